--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -47,7 +47,7 @@
 func loneOptions() replication.Options {
 	n := uint64(0)
 	return replication.Options{Self: replication.Member{Addr: "10.0.0.1:7000", Zone: "z", Region: "r"}, Seeds: []string{"10.0.0.1:7000"}, Bootstrap: true,
-		BeatEvery: beatEvery, SuspectAfter: suspectAfter, StaggerEach: staggerEach, WriteWithin: writeWithin, ForgetAfter: time.Second,
+		HeartbeatInterval: beatEvery, ElectionTimeout: suspectAfter, ElectionStagger: staggerEach, WriteTimeout: writeWithin, MemberTimeout: time.Second,
 		Rand: func() uint64 { n++; return n }}
 }
 
@@ -80,7 +80,7 @@
 		if machine.Status().Ready {
 			break
 		}
-		now = max(machine.Next(), now)
+		now = max(machine.NextTick(), now)
 		carry(machine.Tick(now))
 	}
 	c.Assert(machine.Status().Ready, qt.IsTrue)
@@ -92,7 +92,7 @@
 	shown := string(rec.doc.Show())
 	c.Assert(store.Close(), qt.IsNil)
 
-	machine, rec, state = nil, nil, replication.State{}
+	machine, rec, state = nil, nil, replication.PersistentState{}
 	before := heapInUse()
 	began := time.Now()
 	store, state, err = statestore.Open(dir)
--- a/internal/fleet/controlplane/controlplane.go
+++ b/internal/fleet/controlplane/controlplane.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "open state store")
 	}
-	if state.Lost {
+	if state.DiskLost {
 		log.Warn("the disk's content can't be trusted and counts as lost", zap.Error(a.Broken()))
 	}
 	o := &Server{Readings: DefaultReadings, Dial: distribution.Dial, set: set, log: log, start: time.Now(), store: distribution.NewCache(), archive: a, record: &record{},
@@ -80,10 +80,10 @@
 		}
 	}
 	o.machine, err = replication.New(replication.Options{Self: self,
-		Survive: replication.Survive{Nodes: set.Survive.Nodes, Zones: set.Survive.Zones, Regions: set.Survive.Regions},
-		Seeds:   seeds, Bootstrap: set.Bootstrap,
-		BeatEvery: beatEvery, SuspectAfter: suspectAfter, StaggerEach: staggerEach, WriteWithin: writeWithin,
-		ForgetAfter: set.Bounds.Sync, Rand: random}, state, o.record)
+		Tolerance: replication.FailureTolerance{Nodes: set.Survive.Nodes, Zones: set.Survive.Zones, Regions: set.Survive.Regions},
+		Seeds:     seeds, Bootstrap: set.Bootstrap,
+		HeartbeatInterval: beatEvery, ElectionTimeout: suspectAfter, ElectionStagger: staggerEach, WriteTimeout: writeWithin,
+		MemberTimeout: set.Bounds.Sync, Rand: random}, state, o.record)
 	if err != nil {
 		return nil, errors.Wrap(err, "record")
 	}
--- a/internal/fleet/controlplane/cutoff_test.go
+++ b/internal/fleet/controlplane/cutoff_test.go
@@ -254,7 +254,7 @@
 		{"a backup that is ready by its disk alone", status(replication.Backup, true), state(never, 20*time.Second), nowhere},
 		{"a backup of a view whose primary wasn't heard", status(replication.Backup, true), state(never, beatEvery), undecided},
 		{"a witness that is cut off", status(replication.Witness, false), state(20*time.Second, 20*time.Second), nowhere},
-		{"a machine that is no member but hears the primary", status(replication.Outside, false), state(0, 0), undecided},
+		{"a machine that is no member but hears the primary", status(replication.NonMember, false), state(0, 0), undecided},
 		{"a machine that has just started", status(replication.Backup, true), state(never, 0), undecided},
 	} {
 		qt.Check(t, placeOf(one.st, one.c, came, now), qt.Equals, one.want, qt.Commentf("%s", one.name))
--- a/internal/fleet/controlplane/driver.go
+++ b/internal/fleet/controlplane/driver.go
@@ -23,11 +23,11 @@
 		case <-next.C:
 			out = o.machine.Tick(time.Since(o.start))
 		}
-		if began, ok := o.machine.Contact(); ok {
+		if began, ok := o.machine.LastQuorumContact(); ok {
 			o.contact.renew(o.machine.Status().Epoch, o.start.Add(began))
 		}
 		o.carryOut(ctx, &out)
-		next.Reset(max(o.machine.Next()-time.Since(o.start), 0))
+		next.Reset(max(o.machine.NextTick()-time.Since(o.start), 0))
 	}
 }
 
@@ -55,7 +55,7 @@
 			c <- a
 		}
 	}
-	if out.Changed {
+	if out.StatusChanged {
 		st := o.machine.Status()
 		was := o.status.Swap(&st)
 		next := make(chan struct{})
@@ -76,7 +76,7 @@
 	at := time.Now()
 	o.hears(from, at)
 	input := func(now time.Duration) replication.Output {
-		out := o.machine.Receive(now, from, m)
+		out := o.machine.Step(now, from, m)
 		st := o.machine.Status()
 		if fromPrimary(m, &st) {
 			o.contact.renew(st.Epoch, at)
@@ -92,7 +92,7 @@
 // fromPrimary reports whether a message is the word of the primary of the view that is known here, as its primary.
 func fromPrimary(m *replication.Message, st *replication.Status) bool {
 	switch m.Kind {
-	case replication.KindBeat, replication.KindAppend, replication.KindSnapshot:
+	case replication.KindHeartbeat, replication.KindAppend, replication.KindSnapshot:
 		return m.Epoch == st.Epoch && m.From.ID == st.View.Primary && m.From.ID != st.ID
 	}
 	return false
--- a/internal/fleet/controlplane/peers_test.go
+++ b/internal/fleet/controlplane/peers_test.go
@@ -23,7 +23,7 @@
 	defer ln.Close()
 	p := newPeers("127.0.0.1:1", zap.NewNop(), distribution.Dial)
 	for round := range uint64(3) {
-		p.send(ln.Addr().String(), replication.Message{Kind: replication.KindBeat, Round: round})
+		p.send(ln.Addr().String(), replication.Message{Kind: replication.KindHeartbeat, Round: round})
 		conn, err := ln.Accept()
 		c.Assert(err, qt.IsNil)
 		c.Assert(conn.SetDeadline(time.Now().Add(10*time.Second)), qt.IsNil)
--- a/internal/fleet/controlplane/simulatedcore_test.go
+++ b/internal/fleet/controlplane/simulatedcore_test.go
@@ -13,7 +13,7 @@
 // member is one machine of a simulated core: the real replication machine over the real record, and a disk in memory.
 type member struct {
 	addr, zone string
-	disk       replication.State
+	disk       replication.PersistentState
 	machine    *replication.Machine // nil: not running
 	record     *record
 	settled    *applied // newest committed state
@@ -106,10 +106,10 @@
 	m.disk.Changes = slices.Clip(m.disk.Changes)
 	m.record = &record{}
 	machine, err := replication.New(replication.Options{
-		Self: replication.Member{Addr: m.addr, Zone: m.zone, Region: "r"}, Survive: replication.Survive{Nodes: c.survive},
+		Self: replication.Member{Addr: m.addr, Zone: m.zone, Region: "r"}, Tolerance: replication.FailureTolerance{Nodes: c.survive},
 		Seeds: c.seeds, Bootstrap: c.now < bootstrapUntil,
-		BeatEvery: 100 * time.Millisecond, SuspectAfter: 500 * time.Millisecond, StaggerEach: 150 * time.Millisecond,
-		WriteWithin: 600 * time.Millisecond, ForgetAfter: 3 * time.Second, SnapshotBytes: 2000, Rand: c.rng.Uint64,
+		HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 500 * time.Millisecond, ElectionStagger: 150 * time.Millisecond,
+		WriteTimeout: 600 * time.Millisecond, MemberTimeout: 3 * time.Second, SnapshotBytes: 2000, Rand: c.rng.Uint64,
 	}, m.disk, m.record)
 	if err != nil {
 		c.err = err
@@ -186,7 +186,7 @@
 	}
 	m.ticks++
 	number, life := m.ticks, m.life
-	c.after(max(m.started+m.machine.Next()-c.now, time.Millisecond), func() {
+	c.after(max(m.started+m.machine.NextTick()-c.now, time.Millisecond), func() {
 		if m.life == life && m.ticks == number {
 			c.tick(m)
 		}
@@ -231,7 +231,7 @@
 			return
 		}
 		m := c.members[i]
-		c.input(m, func(now time.Duration) replication.Output { return m.machine.Receive(now, from, &msg) })
+		c.input(m, func(now time.Duration) replication.Output { return m.machine.Step(now, from, &msg) })
 	})
 }
 
@@ -265,7 +265,7 @@
 	case 2:
 		if c.survive > 0 && c.whole() {
 			c.kill(m)
-			m.disk = replication.State{}
+			m.disk = replication.PersistentState{}
 			c.after(c.upTo(time.Second), func() { c.start(m) })
 		}
 	case 3:
@@ -298,9 +298,9 @@
 }
 
 // save carries a write out on a disk in memory.
-func save(d *replication.State, w *replication.Write) {
+func save(d *replication.PersistentState, w *replication.Write) {
 	if w.Reset {
-		*d = replication.State{}
+		*d = replication.PersistentState{}
 	}
 	if w.Identity != nil {
 		d.Identity = *w.Identity
@@ -311,8 +311,8 @@
 	if w.Vote != nil {
 		d.Vote = *w.Vote
 	}
-	if w.Standing != nil {
-		d.Standing = *w.Standing
+	if w.Replica != nil {
+		d.Replica = *w.Replica
 	}
 	if w.Snapshot != nil {
 		d.Snapshot, d.Changes = w.Snapshot, nil
--- a/internal/fleet/replication/adopt.go
+++ b/internal/fleet/replication/adopt.go
@@ -4,54 +4,54 @@
 	"time"
 )
 
-// adopt takes over a decided view that is newer than ours.
-func (m *Machine) adopt(v View) {
+// installView takes over a decided view that is newer than ours.
+func (m *Machine) installView(v View) {
 	if v.Epoch <= m.view.Epoch || !v.valid() {
 		return
 	}
-	known := m.view.Epoch > 0 || m.id.Founder
-	next := known && v.Epoch == m.view.Epoch+1 && m.stand.RecordEpoch == m.view.Epoch
-	m.view, m.vote, m.cand = v, Vote{}, nil
-	m.viewSince, m.lastBeat, m.retryAt, m.helloAt = m.now, m.now, m.now, m.now+m.opt.BeatEvery
-	m.refusals, m.highest = 0, 0
-	m.seeds = map[string]bool{}
-	if m.id.Joined && !v.has(m.id.ID) {
+	known := m.view.Epoch > 0 || m.identity.Founder
+	next := known && v.Epoch == m.view.Epoch+1 && m.replica.RecordEpoch == m.view.Epoch
+	m.view, m.vote, m.candidacy = v, Vote{}, nil
+	m.viewSince, m.lastHeartbeat, m.campaignNotBefore, m.helloAt = m.now, m.now, m.now, m.now+m.opt.HeartbeatInterval
+	m.rejections, m.highestRejection = 0, 0
+	m.foundersSeen = map[string]bool{}
+	if m.identity.Joined && !v.has(m.identity.ID) {
 		// Left out: what this identity holds and promised is over.
 		if m.app.Restore(0, nil) == nil {
 			m.drawIdentity(false)
 		}
 	} else {
-		if v.has(m.id.ID) && !m.id.Joined {
-			m.id.Joined = true
-			m.putIdentity()
+		if v.has(m.identity.ID) && !m.identity.Joined {
+			m.identity.Joined = true
+			m.saveIdentity()
 		}
-		if next && v.rank(m.id.ID) >= 0 {
-			m.stand.RecordEpoch = v.Epoch
-			m.putStanding()
+		if next && v.rank(m.identity.ID) >= 0 {
+			m.replica.RecordEpoch = v.Epoch
+			m.saveReplica()
 		}
-		m.putView()
-		m.putVote()
+		m.saveView()
+		m.saveVote()
 	}
 	heard := map[ID]time.Duration{}
 	for _, o := range v.Members {
-		if at, ok := m.heard[o.ID]; ok {
+		if at, ok := m.lastActive[o.ID]; ok {
 			heard[o.ID] = at
 		}
 	}
-	m.heard = heard
+	m.lastActive = heard
 	m.dropTransfers()
 	clear(m.positions)
-	m.learnAt = m.now
-	for id := range m.slow {
+	m.learnerSendAt = m.now
+	for id := range m.laggedAt {
 		if !v.has(id) {
-			delete(m.slow, id)
+			delete(m.laggedAt, id)
 		}
 	}
-	m.forgetLeavers()
-	m.led = v.Primary == m.id.ID && m.holder()
-	m.peers = nil
-	if !m.led {
-		m.abandon()
+	m.pruneDeparting()
+	m.isPrimary = v.Primary == m.identity.ID && m.holdsRecord()
+	m.progress = nil
+	if !m.isPrimary {
+		m.failPending()
 		clear(m.joiners)
 		return
 	}
@@ -60,30 +60,30 @@
 			delete(m.joiners, a)
 		}
 	}
-	m.leadSeq, m.round, m.beatAt = m.seq, 0, m.now
-	m.peers, m.contact = map[ID]*peer{}, contact{}
+	m.viewStartSeq, m.readRound, m.heartbeatAt = m.seq, 0, m.now
+	m.progress, m.contact = map[ID]*progress{}, quorumContact{}
 	for _, b := range v.Backups {
-		m.peers[b] = &peer{behind: m.now}
+		m.progress[b] = &progress{stalledSince: m.now}
 	}
 	for _, o := range v.Members { // grace for those not heard yet
-		if m.now-m.heard[o.ID] > m.opt.SuspectAfter/2 && v.rank(o.ID) > 0 || m.heard[o.ID] == 0 {
-			m.heard[o.ID] = m.now
+		if m.now-m.lastActive[o.ID] > m.opt.ElectionTimeout/2 && v.rank(o.ID) > 0 || m.lastActive[o.ID] == 0 {
+			m.lastActive[o.ID] = m.now
 		}
 	}
-	for i := range m.reads {
-		m.reads[i].at = 0
+	for i := range m.pendingReads {
+		m.pendingReads[i].at = 0
 	}
-	m.beat()
-	m.advance()
+	m.broadcastHeartbeat()
+	m.advanceCommit()
 }
 
-// abandon answers all that waits: another leads.
-func (m *Machine) abandon() {
-	for _, w := range m.writes {
+// failPending answers all that waits: another leads.
+func (m *Machine) failPending() {
+	for _, w := range m.pendingWrites {
 		m.answer(w.token, LostPrimacy, w.at)
 	}
-	for _, w := range m.reads {
+	for _, w := range m.pendingReads {
 		m.answer(w.token, LostPrimacy, 0)
 	}
-	m.writes, m.reads = nil, nil
+	m.pendingWrites, m.pendingReads = nil, nil
 }
--- a/internal/fleet/replication/ballot.go
+++ b/internal/fleet/replication/ballot.go
@@ -11,13 +11,13 @@
 )
 
 type promise struct {
-	member   Member
-	accepted Ballot
-	value    *View
-	holder   bool
-	at       time.Duration
-	bad      bool   // didn't take the stage
-	seq      uint64 // where its record stands
+	member      Member
+	accepted    Ballot
+	value       *View
+	holdsRecord bool
+	at          time.Duration
+	stageFailed bool   // didn't take the stage
+	seq         uint64 // where its record stands
 }
 
 // candidacy is this machine's proposal for the next epoch.
@@ -34,30 +34,30 @@
 
 // campaign begins a candidacy: this holder stops answering in its view and asks for promises.
 func (m *Machine) campaign() {
-	if m.cand != nil || m.now < m.retryAt || !m.holder() {
+	if m.candidacy != nil || m.now < m.campaignNotBefore || !m.holdsRecord() {
 		return
 	}
 	if !m.stopped() {
-		m.stand.StoppedEpoch = m.view.Epoch + 1
-		m.putStanding()
+		m.replica.StoppedEpoch = m.view.Epoch + 1
+		m.saveReplica()
 		m.dropTransfers() // what is staged holds all that was acknowledged until now
 	}
-	b := Ballot{N: max(m.vote.Promised.N, m.highest) + 1, ID: m.id.ID}
+	b := Ballot{N: max(m.vote.Promised.N, m.highestRejection) + 1, ID: m.identity.ID}
 	m.vote.Promised = b
-	m.putVote()
-	m.cand = &candidacy{
-		ballot: b, since: m.now, resendAt: m.now + m.opt.BeatEvery,
+	m.saveVote()
+	m.candidacy = &candidacy{
+		ballot: b, since: m.now, resendAt: m.now + m.opt.HeartbeatInterval,
 		promises: map[ID]*promise{m.voter(): {
-			member: m.self(), accepted: m.vote.Accepted, value: m.vote.Value, holder: true, at: m.now,
+			member: m.self(), accepted: m.vote.Accepted, value: m.vote.Value, holdsRecord: true, at: m.now,
 		}},
 		staged: map[ID]bool{}, accepted: map[ID]bool{},
 	}
-	m.propose(true)
+	m.runPhase(true)
 }
 
-// propose does what the candidacy's phase allows; with again it also sends (again) what isn't answered yet.
-func (m *Machine) propose(again bool) {
-	switch m.cand.phase {
+// runPhase does what the candidacy's phase allows; with again it also sends (again) what isn't answered yet.
+func (m *Machine) runPhase(again bool) {
+	switch m.candidacy.phase {
 	case preparing:
 		m.prepare(again)
 	case staging:
@@ -68,19 +68,19 @@
 }
 
 func (m *Machine) prepare(again bool) {
-	c := m.cand
+	c := m.candidacy
 	if again {
 		for _, o := range m.view.Members {
 			m.send(o.Addr, Message{Kind: KindPrepare, Ballot: c.ballot})
 		}
 	}
-	if len(c.promises) < m.view.majority() {
+	if len(c.promises) < m.view.quorum() {
 		return
 	}
-	if !m.hasCommitted() {
+	if !m.hasAllCommitted() {
 		return
 	}
-	m.doubtRestored()
+	m.restageRegressed()
 	var newest *promise
 	for _, p := range c.promises {
 		if p.value != nil && (newest == nil || newest.accepted.less(p.accepted)) {
@@ -88,22 +88,22 @@
 		}
 	}
 	if newest != nil {
-		m.enter(accepting, newest.value)
+		m.enterPhase(accepting, newest.value)
 		return
 	}
-	if v := m.newView(); v != nil {
-		m.enter(staging, v)
+	if v := m.proposedView(); v != nil {
+		m.enterPhase(staging, v)
 	}
 }
 
-func (m *Machine) enter(p phase, v *View) {
-	m.cand.phase, m.cand.value, m.cand.since, m.cand.resendAt = p, v, m.now, m.now+m.opt.BeatEvery
-	m.propose(true)
+func (m *Machine) enterPhase(p phase, v *View) {
+	m.candidacy.phase, m.candidacy.value, m.candidacy.since, m.candidacy.resendAt = p, v, m.now, m.now+m.opt.HeartbeatInterval
+	m.runPhase(true)
 }
 
-// newView is the view to propose; nil while too few are there for it.
-func (m *Machine) newView() *View {
-	c := m.cand
+// proposedView is the view to propose; nil while too few are there for it.
+func (m *Machine) proposedView() *View {
+	c := m.candidacy
 	var members []Member
 	var from []candidate
 	if m.view.Epoch == 0 {
@@ -115,43 +115,43 @@
 		members = m.nextMembers().members
 	}
 	for _, o := range members {
-		if o.ID == m.id.ID {
+		if o.ID == m.identity.ID {
 			continue
 		}
 		key := o.ID
 		if m.view.Epoch == 0 {
 			key = seedID(o.Addr)
 		}
-		cand := candidate{Member: o, slow: m.slowLately(o.ID), near: m.near(o.ID), leaving: m.leavers[o.ID]}
+		cand := candidate{Member: o, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.departing[o.ID]}
 		if p := c.promises[key]; p != nil {
-			if p.bad || m.now-p.at >= 2*m.opt.SuspectAfter {
+			if p.stageFailed || m.now-p.at >= 2*m.opt.ElectionTimeout {
 				continue
 			}
-			cand.holder = p.holder
+			cand.holdsRecord = p.holdsRecord
 		} else if m.view.has(o.ID) {
 			continue
 		} // else a joiner that answered lately
 		from = append(from, cand)
 	}
-	best := choose(m.wanted(), m.self(), members, from)
+	best := choose(m.requiredTolerance(), m.self(), members, from)
 	full := best.full && (m.view.Epoch > 0 || len(members) == len(m.view.Members))
 	if !best.enough {
-		if m.now-c.since >= m.opt.WriteWithin {
+		if m.now-c.since >= m.opt.WriteTimeout {
 			for _, p := range c.promises {
-				p.bad = false
+				p.stageFailed = false
 			}
 		}
 		return nil
 	}
-	if !full && m.now-c.since < m.opt.SuspectAfter {
+	if !full && m.now-c.since < m.opt.ElectionTimeout {
 		return nil
 	}
-	return &View{Epoch: m.view.Epoch + 1, Members: members, Primary: m.id.ID, Backups: best.backups}
+	return &View{Epoch: m.view.Epoch + 1, Members: members, Primary: m.identity.ID, Backups: best.backups}
 }
 
 // stage puts the record on the disks of the coming backups that don't hold it.
 func (m *Machine) stage(again bool) {
-	c := m.cand
+	c := m.candidacy
 	open, late := false, false
 	for _, b := range c.value.Backups {
 		key := b
@@ -160,16 +160,16 @@
 			key = seedID(o.Addr)
 		}
 		p := c.promises[key]
-		if c.staged[b] || p != nil && p.holder {
+		if c.staged[b] || p != nil && p.holdsRecord {
 			continue
 		}
 		open = true
-		if m.stalled(b, c.since, m.opt.WriteWithin) {
+		if m.stalled(b, c.since, m.opt.WriteTimeout) {
 			late = true
 			m.dropTransfer(b)
-			m.slow[b] = m.now
+			m.laggedAt[b] = m.now
 			if p != nil {
-				p.bad = true
+				p.stageFailed = true
 			} else {
 				delete(m.joiners, o.Addr)
 			}
@@ -177,15 +177,15 @@
 	}
 	switch {
 	case !open:
-		m.enter(accepting, c.value)
+		m.enterPhase(accepting, c.value)
 	case late:
 		c.phase, c.value, c.since = preparing, nil, m.now
-		m.propose(true)
+		m.runPhase(true)
 	case again:
-		c.resendAt = m.now + m.opt.BeatEvery
+		c.resendAt = m.now + m.opt.HeartbeatInterval
 		for _, b := range c.value.Backups {
 			p := c.promises[b]
-			if !c.staged[b] && (p == nil || !p.holder) {
+			if !c.staged[b] && (p == nil || !p.holdsRecord) {
 				o, _ := c.value.member(b)
 				m.stageRecord(o)
 			}
@@ -193,40 +193,40 @@
 	}
 }
 
-func (m *Machine) onStage(msg *Message) {
+func (m *Machine) handleStage(msg *Message) {
 	if m.view.Epoch == 0 || m.view.rank(msg.From.ID) < 0 {
 		return
 	}
-	if !m.holder() || m.lacks(msg) {
-		same := m.stand.RecordEpoch == m.view.Epoch && msg.Seq == m.seq && msg.Digest == m.digest
+	if !m.holdsRecord() || m.lacksCommitted(msg) {
+		same := m.replica.RecordEpoch == m.view.Epoch && msg.Seq == m.seq && msg.Digest == m.digest
 		if !same {
-			body, whole := m.assemble(msg)
-			if !whole || !m.replace(msg.Seq, msg.Digest, body) {
+			body, complete := m.receiveChunk(msg)
+			if !complete || !m.replace(msg.Seq, msg.Digest, body) {
 				return
 			}
-			m.stand.RecordEpoch = m.view.Epoch
-			m.putStanding()
+			m.replica.RecordEpoch = m.view.Epoch
+			m.saveReplica()
 		}
 	}
 	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.seq, Digest: m.digest})
 }
 
-func (m *Machine) onStaged(msg *Message) {
-	if c := m.cand; c != nil && c.phase == staging {
+func (m *Machine) handleStaged(msg *Message) {
+	if c := m.candidacy; c != nil && c.phase == staging {
 		c.staged[msg.From.ID] = true
 		m.dropTransfer(msg.From.ID)
-		m.propose(false)
+		m.runPhase(false)
 	}
 }
 
 func (m *Machine) accept(again bool) {
-	c := m.cand
+	c := m.candidacy
 	if !c.accepted[m.voter()] {
 		c.accepted[m.voter()] = true
 		m.vote.Accepted, m.vote.Value = c.ballot, c.value
-		m.putVote()
+		m.saveVote()
 	}
-	if len(c.accepted) >= m.view.majority() {
+	if len(c.accepted) >= m.view.quorum() {
 		m.decide(*c.value)
 		return
 	}
@@ -242,97 +242,97 @@
 // decide takes over the view that a majority accepted, and tells it.
 func (m *Machine) decide(v View) {
 	old := m.view
-	m.adopt(v)
-	told := map[string]bool{}
+	m.installView(v)
+	notified := map[string]bool{}
 	for _, o := range append(append([]Member{}, old.Members...), v.Members...) {
-		if told[o.Addr] || m.led && v.has(o.ID) { // those get the beat
+		if notified[o.Addr] || m.isPrimary && v.has(o.ID) { // those get the beat
 			continue
 		}
-		told[o.Addr] = true
+		notified[o.Addr] = true
 		m.send(o.Addr, Message{Kind: KindView})
 	}
 }
 
 // yieldTo gives up a candidacy below ballot b for some time.
 func (m *Machine) yieldTo(b Ballot, wait time.Duration) {
-	if m.cand != nil && m.cand.ballot.less(b) {
-		m.cand = nil
+	if m.candidacy != nil && m.candidacy.ballot.less(b) {
+		m.candidacy = nil
 	}
-	m.highest = max(m.highest, b.N)
-	m.retryAt = max(m.retryAt, m.now+wait)
+	m.highestRejection = max(m.highestRejection, b.N)
+	m.campaignNotBefore = max(m.campaignNotBefore, m.now+wait)
 }
 
-func (m *Machine) onPrepare(msg *Message) {
-	if m.voter() == "" || m.voterOf(msg) == "" || msg.Ballot.ID != msg.From.ID {
+func (m *Machine) handlePrepare(msg *Message) {
+	if m.voter() == "" || m.senderVoter(msg) == "" || msg.Ballot.ID != msg.From.ID {
 		return
 	}
 	if msg.Ballot.less(m.vote.Promised) {
-		m.send(msg.From.Addr, Message{Kind: KindRefuse, Ballot: m.vote.Promised})
+		m.send(msg.From.Addr, Message{Kind: KindReject, Ballot: m.vote.Promised})
 		return
 	}
 	if msg.Ballot != m.vote.Promised {
 		m.vote.Promised = msg.Ballot
-		m.putVote()
-		m.lastBeat = m.now
-		m.yieldTo(msg.Ballot, m.opt.SuspectAfter+m.jitter(m.opt.StaggerEach))
-		if p := m.peers[msg.From.ID]; p != nil {
+		m.saveVote()
+		m.lastHeartbeat = m.now
+		m.yieldTo(msg.Ballot, m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
+		if p := m.progress[msg.From.ID]; p != nil {
 			p.stopped = true
 		}
 	}
 	m.send(msg.From.Addr, Message{
-		Kind: KindPromise, Ballot: msg.Ballot, Accepted: m.vote.Accepted, Value: m.vote.Value, Holder: m.holder(),
-		Seq: m.seq, Digest: m.digest, Committed: m.knownCommitted(),
+		Kind: KindPromise, Ballot: msg.Ballot, Accepted: m.vote.Accepted, Value: m.vote.Value, HoldsRecord: m.holdsRecord(),
+		Seq: m.seq, Digest: m.digest, Committed: m.knownCommit(),
 	})
 }
 
-func (m *Machine) onPromise(msg *Message) {
-	c, id := m.cand, m.voterOf(msg)
+func (m *Machine) handlePromise(msg *Message) {
+	c, id := m.candidacy, m.senderVoter(msg)
 	if c == nil || id == "" || c.ballot != msg.Ballot || c.phase != preparing {
 		return
 	}
-	m.notePosition(msg)
+	m.recordPosition(msg)
 	bad := false
 	if p := c.promises[id]; p != nil {
-		bad = p.bad
+		bad = p.stageFailed
 	}
 	c.promises[id] = &promise{
-		member: msg.From, accepted: msg.Accepted, value: msg.Value, holder: msg.Holder, at: m.now, bad: bad, seq: msg.Seq,
+		member: msg.From, accepted: msg.Accepted, value: msg.Value, holdsRecord: msg.HoldsRecord, at: m.now, stageFailed: bad, seq: msg.Seq,
 	}
-	m.toldCommitted = max(m.toldCommitted, msg.Committed)
-	m.propose(false)
+	m.reportedCommit = max(m.reportedCommit, msg.Committed)
+	m.runPhase(false)
 }
 
-func (m *Machine) onAccept(msg *Message) {
-	if m.voter() == "" || m.voterOf(msg) == "" || msg.Value == nil || msg.Value.Epoch != m.view.Epoch+1 || !msg.Value.valid() {
+func (m *Machine) handleAccept(msg *Message) {
+	if m.voter() == "" || m.senderVoter(msg) == "" || msg.Value == nil || msg.Value.Epoch != m.view.Epoch+1 || !msg.Value.valid() {
 		return
 	}
 	if msg.Ballot.less(m.vote.Promised) {
-		m.send(msg.From.Addr, Message{Kind: KindRefuse, Ballot: m.vote.Promised})
+		m.send(msg.From.Addr, Message{Kind: KindReject, Ballot: m.vote.Promised})
 		return
 	}
 	if m.vote.Accepted != msg.Ballot {
 		m.vote = Vote{Promised: msg.Ballot, Accepted: msg.Ballot, Value: msg.Value}
-		m.putVote()
-		m.lastBeat = m.now
-		m.yieldTo(msg.Ballot, m.opt.SuspectAfter+m.jitter(m.opt.StaggerEach))
+		m.saveVote()
+		m.lastHeartbeat = m.now
+		m.yieldTo(msg.Ballot, m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
 	}
 	m.send(msg.From.Addr, Message{Kind: KindAccepted, Ballot: msg.Ballot})
 }
 
-func (m *Machine) onAccepted(msg *Message) {
-	c, id := m.cand, m.voterOf(msg)
+func (m *Machine) handleAccepted(msg *Message) {
+	c, id := m.candidacy, m.senderVoter(msg)
 	if c == nil || id == "" || c.ballot != msg.Ballot || c.phase != accepting {
 		return
 	}
 	c.accepted[id] = true
-	m.propose(false)
+	m.runPhase(false)
 }
 
-func (m *Machine) onRefuse(msg *Message) {
-	if m.cand == nil || m.voterOf(msg) == "" || !m.cand.ballot.less(msg.Ballot) {
+func (m *Machine) handleReject(msg *Message) {
+	if m.candidacy == nil || m.senderVoter(msg) == "" || !m.candidacy.ballot.less(msg.Ballot) {
 		return
 	}
-	m.refusals++
-	spread := m.opt.StaggerEach * time.Duration(1+min(m.refusals, 8))
-	m.yieldTo(msg.Ballot, m.opt.StaggerEach*time.Duration(1+m.rank())+m.jitter(spread))
+	m.rejections++
+	spread := m.opt.ElectionStagger * time.Duration(1+min(m.rejections, 8))
+	m.yieldTo(msg.Ballot, m.opt.ElectionStagger*time.Duration(1+m.rank())+m.jitter(spread))
 }
--- a/internal/fleet/replication/catchup_test.go
+++ b/internal/fleet/replication/catchup_test.go
@@ -21,7 +21,7 @@
 }
 
 func (a *sizedApp) Apply(seq uint64, body []byte) {
-	a.digest = Chain(a.digest, seq, body)
+	a.digest = ChainDigest(a.digest, seq, body)
 	a.seq = seq
 }
 
@@ -55,7 +55,7 @@
 	queue       events
 	count       int
 	nodes       []*thinNode
-	survive     Survive
+	survive     FailureTolerance
 	bytesPerSec float64
 	latency     time.Duration
 	sync        time.Duration
@@ -76,7 +76,7 @@
 type thinNode struct {
 	core     *thinCore
 	addr     string
-	disk     State
+	disk     PersistentState
 	app      *sizedApp
 	m        *Machine
 	started  time.Duration
@@ -94,7 +94,7 @@
 	thinQueueBound = 64
 )
 
-func newThinCore(c *qt.C, n int, survive Survive, size int) *thinCore {
+func newThinCore(c *qt.C, n int, survive FailureTolerance, size int) *thinCore {
 	core := &thinCore{
 		c: c, survive: survive, size: size, bytesPerSec: 10e6 / 8, latency: 15 * time.Millisecond, sync: 3 * time.Millisecond,
 		random: rand.New(rand.NewPCG(uint64(n), uint64(size))), pending: map[uint64]time.Duration{},
@@ -133,8 +133,8 @@
 		seeds = append(seeds, o.addr)
 	}
 	m, err := New(Options{
-		Self: Member{Addr: n.addr, Zone: n.addr, Region: "r"}, Survive: t.survive, Seeds: seeds, Bootstrap: !t.bootOver,
-		BeatEvery: 150 * ms, SuspectAfter: 700 * ms, StaggerEach: 250 * ms, WriteWithin: 600 * ms, ForgetAfter: 4 * time.Second,
+		Self: Member{Addr: n.addr, Zone: n.addr, Region: "r"}, Tolerance: t.survive, Seeds: seeds, Bootstrap: !t.bootOver,
+		HeartbeatInterval: 150 * ms, ElectionTimeout: 700 * ms, ElectionStagger: 250 * ms, WriteTimeout: 600 * ms, MemberTimeout: 4 * time.Second,
 		SnapshotBytes: t.logBytes, Rand: t.random.Uint64,
 	}, n.disk, n.app)
 	t.c.Assert(err, qt.IsNil)
@@ -174,7 +174,7 @@
 
 func (n *thinNode) planTick(life int) {
 	t := n.core
-	at := max(n.m.Next()+n.started, t.now+ms)
+	at := max(n.m.NextTick()+n.started, t.now+ms)
 	if n.tickAt > t.now && n.tickAt <= at {
 		return
 	}
@@ -189,9 +189,9 @@
 
 func (n *thinNode) carryOut(out *Output) {
 	t := n.core
-	held := n.disk.Standing.RecordEpoch
+	held := n.disk.Replica.RecordEpoch
 	save(&n.disk, out.Write)
-	if now := n.disk.Standing.RecordEpoch; now > max(held, 1) {
+	if now := n.disk.Replica.RecordEpoch; now > max(held, 1) {
 		t.c.Assert(n.durableSeq() >= t.acked, qt.IsTrue, qt.Commentf("%s holds the record for epoch %d up to %d, %d was acknowledged", n.addr, now, n.durableSeq(), t.acked))
 	}
 	for _, e := range out.Send {
@@ -241,7 +241,7 @@
 			if o.addr == e.To {
 				t.after(t.latency, func() {
 					if o.m != nil {
-						o.input(func(now time.Duration) Output { return o.m.Receive(now, n.addr, &e.Msg) })
+						o.input(func(now time.Duration) Output { return o.m.Step(now, n.addr, &e.Msg) })
 					}
 				})
 			}
@@ -293,7 +293,7 @@
 		return false
 	}
 	for _, n := range t.nodes {
-		if n.m != nil && (n.m.view.Epoch != p.m.view.Epoch || !p.m.view.has(n.m.id.ID)) {
+		if n.m != nil && (n.m.view.Epoch != p.m.view.Epoch || !p.m.view.has(n.m.identity.ID)) {
 			return false
 		}
 	}
@@ -310,7 +310,7 @@
 			continue
 		}
 		s := n.m.Status()
-		fmt.Fprintf(&b, "\n%s %v epoch %d ready %v seq %d stopped %v: %+v", n.addr, s.Role, s.Epoch, s.Ready, s.Seq, n.m.stopped(), n.m.cand)
+		fmt.Fprintf(&b, "\n%s %v epoch %d ready %v seq %d stopped %v: %+v", n.addr, s.Role, s.Epoch, s.Ready, s.Seq, n.m.stopped(), n.m.candidacy)
 	}
 	return b.String()
 }
@@ -325,18 +325,18 @@
 	return nil
 }
 
-func startThinCore(c *qt.C, n int, survive Survive, size int) *thinCore {
+func startThinCore(c *qt.C, n int, survive FailureTolerance, size int) *thinCore {
 	return startThinCoreWith(c, n, survive, size, 0)
 }
 
 // startThinCoreWith starts a core whose log is bounded to so many bytes; 0: the default.
-func startThinCoreWith(c *qt.C, n int, survive Survive, size, logBytes int) *thinCore {
+func startThinCoreWith(c *qt.C, n int, survive FailureTolerance, size, logBytes int) *thinCore {
 	t := newThinCore(c, n, survive, size)
 	t.begin(logBytes)
 	return t
 }
 
-// begin has the core start, take a whole configuration and then changes.
+// beginInput has the core start, take a whole configuration and then changes.
 func (t *thinCore) begin(logBytes int) {
 	c, size := t.c, t.size
 	t.logBytes = logBytes
@@ -364,8 +364,8 @@
 	for _, size := range []int{200_000, recordBytes} {
 		for _, members := range []struct {
 			n       int
-			survive Survive
-		}{{3, Survive{Nodes: 1}}, {5, Survive{Nodes: 2}}} {
+			survive FailureTolerance
+		}{{3, FailureTolerance{Nodes: 1}}, {5, FailureTolerance{Nodes: 2}}} {
 			t.Run(fmt.Sprintf("%d members, %d bytes", members.n, size), func(t *testing.T) {
 				c := qt.New(t)
 				core := startThinCore(c, members.n, members.survive, size)
@@ -377,7 +377,7 @@
 					qt.Commentf("nothing was acknowledged after a backup was lost: %s", core.told()))
 				t.Logf("a backup lost: no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
-				lost.disk = State{}
+				lost.disk = PersistentState{}
 				lost.start()
 				began := core.now
 				core.longest = 0
@@ -401,7 +401,7 @@
 // empty has a machine start again without its disk and waits until it is a member.
 func (n *thinNode) empty() {
 	n.stop()
-	n.disk = State{}
+	n.disk = PersistentState{}
 	n.start()
 	n.core.c.Assert(n.core.until(5*time.Second, n.core.settled), qt.IsTrue, qt.Commentf("%s", n.core.told()))
 }
@@ -416,7 +416,7 @@
 		for _, stall := range []time.Duration{300 * ms, 2 * time.Second, 20 * time.Second} {
 			t.Run(fmt.Sprintf("%v for %v", role, stall), func(t *testing.T) {
 				c := qt.New(t)
-				core := startThinCore(c, 3, Survive{Nodes: 1}, 200_000)
+				core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, 200_000)
 				stalled := core.byRole(role)
 				stalled.stall(stall)
 				core.longest, core.ackedAt = 0, core.now
@@ -437,11 +437,11 @@
 // TestSlowDisks: with syncs thirty times as slow on one machine or on all of them changes are acknowledged throughout.
 func TestSlowDisks(t *testing.T) {
 	const slow = 30 * 5 * time.Millisecond
-	for _, role := range []Role{Primary, Backup, Witness, Outside} {
+	for _, role := range []Role{Primary, Backup, Witness, NonMember} {
 		c := qt.New(t)
-		core := startThinCore(c, 3, Survive{Nodes: 1}, 200_000)
+		core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, 200_000)
 		for _, n := range core.nodes {
-			if role == Outside || n.m.Status().Role == role { // Outside stands for all
+			if role == NonMember || n.m.Status().Role == role { // Outside stands for all
 				n.syncTime = slow
 			}
 		}
@@ -464,7 +464,7 @@
 	for _, size := range []int{routes500, routes10000} {
 		for _, away := range []uint64{1, 100, 5000} {
 			c := qt.New(t)
-			core := startThinCore(c, 3, Survive{Nodes: 1}, size)
+			core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, size)
 			n := core.byRole(Backup)
 			n.stop()
 			acked := core.acked
@@ -473,7 +473,7 @@
 			target, began, sent, encoded := core.acked, core.now, primary.sent, primary.app.snapshots
 			n.start()
 			link := time.Duration(float64(size) / core.bytesPerSec * float64(time.Second))
-			c.Assert(core.until(link+time.Second+learnBeats*150*ms, func() bool { return n.durableSeq() >= target }), qt.IsTrue, qt.Commentf("%s", core.told()))
+			c.Assert(core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }), qt.IsTrue, qt.Commentf("%s", core.told()))
 			t.Logf("%d bytes, away for %d changes: caught up after %v, %d bytes sent by the primary to all, record encoded %d times",
 				size, away, core.now-began, primary.sent-sent, primary.app.snapshots-encoded)
 		}
--- a/internal/fleet/replication/cells_test.go
+++ b/internal/fleet/replication/cells_test.go
@@ -15,7 +15,7 @@
 	i     int // which machine
 	m     *Machine
 	app   *logApp
-	disk  State
+	disk  PersistentState
 	gen   int // identities drawn
 	life  int // processes ended
 	wiped []ID
@@ -54,13 +54,13 @@
 
 // done notes what a step led to.
 func (c *cell) done(before ID) {
-	if c.m.id.ID != before {
+	if c.m.identity.ID != before {
 		c.gen++
 	}
 	c.status = c.m.Status()
 	c.view = fmt.Sprint(c.status.View)
 	c.durable, c.holds = nil, 0
-	if d := &c.disk; d.View.rank(d.Identity.ID) >= 0 && d.Standing.RecordEpoch == d.View.Epoch {
+	if d := &c.disk; d.View.rank(d.Identity.ID) >= 0 && d.Replica.RecordEpoch == d.View.Epoch {
 		c.holds = d.View.Epoch
 	}
 	if s := c.disk.Snapshot; s != nil && len(s.Body) > 0 {
@@ -75,8 +75,8 @@
 func cloneMachine(m *Machine, app *logApp) *Machine {
 	c := *m
 	c.app = app
-	c.heard, c.slow, c.seeds = maps.Clone(m.heard), maps.Clone(m.slow), maps.Clone(m.seeds)
-	c.changes, c.writes, c.reads = slices.Clone(m.changes), slices.Clone(m.writes), slices.Clone(m.reads)
+	c.lastActive, c.laggedAt, c.foundersSeen = maps.Clone(m.lastActive), maps.Clone(m.laggedAt), maps.Clone(m.foundersSeen)
+	c.changes, c.pendingWrites, c.pendingReads = slices.Clone(m.changes), slices.Clone(m.pendingWrites), slices.Clone(m.pendingReads)
 	c.joiners = map[string]*joiner{}
 	for a, j := range m.joiners {
 		k := *j
@@ -93,22 +93,22 @@
 		k.body = slices.Clip(k.body)
 		c.incoming = &k
 	}
-	if m.peers != nil {
-		c.peers = map[ID]*peer{}
-		for id, p := range m.peers {
+	if m.progress != nil {
+		c.progress = map[ID]*progress{}
+		for id, p := range m.progress {
 			k := *p
-			c.peers[id] = &k
+			c.progress[id] = &k
 		}
 	}
-	if m.cand != nil {
-		k := *m.cand
+	if m.candidacy != nil {
+		k := *m.candidacy
 		k.staged, k.accepted = maps.Clone(k.staged), maps.Clone(k.accepted)
 		k.promises = map[ID]*promise{}
-		for id, p := range m.cand.promises {
+		for id, p := range m.candidacy.promises {
 			o := *p
 			k.promises[id] = &o
 		}
-		c.cand = &k
+		c.candidacy = &k
 	}
 	return &c
 }
--- a/internal/fleet/replication/choose.go
+++ b/internal/fleet/replication/choose.go
@@ -8,10 +8,10 @@
 // candidate is a machine that may become a backup.
 type candidate struct {
 	Member
-	holder  bool // holds the record already
-	slow    bool // was left out lately
-	near    bool // lacks a few changes only
-	leaving bool // is about to end: taken only where nobody else is there
+	holdsRecord    bool // holds the record already
+	lagged         bool // was left out lately
+	nearlyCaughtUp bool // lacks a few changes only
+	leaving        bool // is about to end: taken only where nobody else is there
 }
 
 // spread counts the zones and regions of some machines.
@@ -40,9 +40,9 @@
 
 // What a candidate has that another lacks, the weightiest first.
 const (
-	weightNear = 1 << iota
-	weightHolder
-	weightPrompt
+	weightNearlyCaughtUp = 1 << iota
+	weightHoldsRecord
+	weightNotLagged
 	weightNewZone
 	weightNewRegion
 	weightStays
@@ -51,7 +51,7 @@
 // spreadWanted is over how many zones and regions the holders of the record should stand.
 type spreadWanted struct{ zones, regions int }
 
-func (s Survive) spreadWanted() spreadWanted {
+func (s FailureTolerance) spreadWanted() spreadWanted {
 	return spreadWanted{zones: max(s.Zones, 0) + 1, regions: max(s.Regions, 0) + 1}
 }
 
@@ -67,9 +67,9 @@
 		{!c.leaving, weightStays},
 		{regionsWith > regions && regions < wanted.regions, weightNewRegion},
 		{zonesWith > zones && zones < wanted.zones, weightNewZone},
-		{!c.slow, weightPrompt},
-		{c.holder, weightHolder},
-		{c.near, weightNear},
+		{!c.lagged, weightNotLagged},
+		{c.holdsRecord, weightHoldsRecord},
+		{c.nearlyCaughtUp, weightNearlyCaughtUp},
 	} {
 		if has.it {
 			weight += has.weight
@@ -81,8 +81,8 @@
 // choose picks the backups beside self among the candidates, for a view with these members. Each step takes who
 // stays, then who brings a new region or zone where one is still wanted, then who isn't slow, then who holds the record,
 // then who lacks a few changes only, then the lowest address.
-func choose(s Survive, self Member, members []Member, from []candidate) choice {
-	need := min(s.Copies(), len(members)) - 1
+func choose(s FailureTolerance, self Member, members []Member, from []candidate) choice {
+	need := min(s.Replicas(), len(members)) - 1
 	wanted := s.spreadWanted()
 	holders := []Member{self}
 	rest := slices.Clone(from)
@@ -95,7 +95,7 @@
 				best, bestWeight = i, w
 			}
 		}
-		if rest[best].slow || rest[best].leaving {
+		if rest[best].lagged || rest[best].leaving {
 			c.full = false
 		}
 		holders = append(holders, rest[best].Member)
--- a/internal/fleet/replication/contact.go
+++ b/internal/fleet/replication/contact.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// contact remembers when the newest round of confirmations began that all backups of a view have answered.
-type contact struct {
+// quorumContact remembers when the newest round of confirmations began that all backups of a view have answered.
+type quorumContact struct {
 	open      uint64        // the round that is followed; 0: none
 	opened    time.Duration // when it began
 	confirmed time.Duration // when the newest confirmed one began
 	known     bool          // a round was confirmed
 }
 
-// begin notes that a round began. One that is open stays so until it is confirmed: its confirmation is then a bound from
+// beginInput notes that a round began. One that is open stays so until it is confirmed: its confirmation is then a bound from
 // below.
-func (c *contact) begin(round uint64, now time.Duration) {
+func (c *quorumContact) begin(round uint64, now time.Duration) {
 	if c.open == 0 {
 		c.open, c.opened = round, now
 	}
 }
 
 // confirm notes that all backups have answered all rounds up to one.
-func (c *contact) confirm(round uint64) {
+func (c *quorumContact) confirm(round uint64) {
 	if c.open != 0 && c.open <= round {
 		c.confirmed, c.known, c.open = c.opened, true, 0
 	}
 }
 
-// Contact tells a primary since when its view may have been superseded: up to the time given no view of a later epoch was
+// LastQuorumContact tells a primary since when its view may have been superseded: up to the time given no view of a later epoch was
 // decided, so that nothing newer was acknowledged elsewhere. false: this machine isn't the primary, or its view has not been
 // confirmed yet. A view without backups needs nobody's word.
-func (m *Machine) Contact() (began time.Duration, ok bool) {
+func (m *Machine) LastQuorumContact() (began time.Duration, ok bool) {
 	if !m.ready() {
 		return 0, false
 	}
-	if len(m.peers) == 0 {
+	if len(m.progress) == 0 {
 		return m.now, true
 	}
 	return m.contact.confirmed, m.contact.known
--- a/internal/fleet/replication/contact_test.go
+++ b/internal/fleet/replication/contact_test.go
@@ -14,7 +14,7 @@
 	claims, later := 0, 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		for _, members := range []int{1, 3, 5} {
-			s := newSim(seed, members, 3, Survive{Nodes: (members - 1) / 2})
+			s := newSim(seed, members, 3, FailureTolerance{Nodes: (members - 1) / 2})
 			s.loss, s.dup, s.delay = 0.05, 0.05, 200*ms
 			s.hard = seed%2 == 0
 			for _, b := range s.boxes {
@@ -54,7 +54,7 @@
 					if b.m == nil {
 						continue
 					}
-					began, ok := b.m.Contact()
+					began, ok := b.m.LastQuorumContact()
 					if !ok {
 						continue
 					}
--- a/internal/fleet/replication/doc.go
+++ b/internal/fleet/replication/doc.go
@@ -21,7 +21,7 @@
 //
 // A machine with an empty disk draws an identity and asks to be taken in. The primary does so by a new view, in which the
 // older identity of that address goes out. A joiner takes the place of a member that is silent, or comes as one more where
-// the majority is there without it. Members silent for ForgetAfter go out when that lowers the majority that
+// the majority is there without it. Members silent for MemberTimeout go out when that lowers the majority that
 // is needed and enough members are left for the losses to be borne (3, and 2s+1 for s machines); otherwise they stay, as
 // they may come back with their vote.
 //
--- a/internal/fleet/replication/hello.go
+++ b/internal/fleet/replication/hello.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// hello asks for the view, and to be taken in where this machine is no member.
-func (m *Machine) hello() Message {
-	return Message{Kind: KindHello, Join: m.voter() == "" && !m.leave.begun}
+// helloMessage asks for the view, and to be taken in where this machine is no member.
+func (m *Machine) helloMessage() Message {
+	return Message{Kind: KindHello, Join: m.voter() == "" && !m.departure.begun}
 }
 
-// sayHello asks around when there is a reason: no member yet, or no word of a primary.
-func (m *Machine) sayHello() {
-	outside := m.view.Epoch == 0 || !m.view.has(m.id.ID)
-	silent := m.now-m.lastBeat >= m.opt.SuspectAfter
-	if m.led {
-		silent = !m.majorityAlive()
+// sendHello asks around when there is a reason: no member yet, or no word of a primary.
+func (m *Machine) sendHello() {
+	outside := m.view.Epoch == 0 || !m.view.has(m.identity.ID)
+	silent := m.now-m.lastHeartbeat >= m.opt.ElectionTimeout
+	if m.isPrimary {
+		silent = !m.quorumAlive()
 	}
-	m.helloAt = m.now + m.opt.SuspectAfter
+	m.helloAt = m.now + m.opt.ElectionTimeout
 	if outside {
-		m.helloAt = m.now + m.opt.BeatEvery
+		m.helloAt = m.now + m.opt.HeartbeatInterval
 	}
 	if outside && !silent && m.view.Epoch > 0 {
 		if p, ok := m.view.member(m.view.Primary); ok {
-			m.send(p.Addr, m.hello())
+			m.send(p.Addr, m.helloMessage())
 		}
 		return
 	}
@@ -36,15 +36,15 @@
 	}
 	slices.Sort(to)
 	for _, a := range slices.Compact(to) {
-		m.send(a, m.hello())
+		m.send(a, m.helloMessage())
 	}
 }
 
-func (m *Machine) onHello(msg *Message) {
+func (m *Machine) handleHello(msg *Message) {
 	m.send(msg.From.Addr, Message{Kind: KindView})
 	if m.view.Epoch == 0 {
-		if m.voterOf(msg) != "" {
-			m.seeds[msg.From.Addr] = true
+		if m.senderVoter(msg) != "" {
+			m.foundersSeen[msg.From.Addr] = true
 			m.tickFounder()
 		}
 		return
@@ -57,27 +57,27 @@
 		if j == nil && len(m.joiners) >= maxJoiners {
 			return
 		}
-		j = &joiner{Member: msg.From, since: m.now}
+		j = &joiner{Member: msg.From, firstActive: m.now}
 		m.joiners[msg.From.Addr] = j
 	}
-	j.heard = m.now
-	m.send(j.Addr, m.beatMessage()) // its answer shows that this identity lives
+	j.lastActive = m.now
+	m.send(j.Addr, m.heartbeatMessage()) // its answer shows that this identity lives
 }
 
 // tickFounder begins the first candidacy of all: the lowest address when all founders were heard, else whose turn it
 // is when a majority was.
 func (m *Machine) tickFounder() {
-	if m.view.Epoch > 0 || m.voter() == "" || m.cand != nil {
+	if m.view.Epoch > 0 || m.voter() == "" || m.candidacy != nil {
 		return
 	}
 	heard := 1
 	for _, o := range m.view.Members {
-		if o.Addr != m.id.Addr && m.seeds[o.Addr] {
+		if o.Addr != m.identity.Addr && m.foundersSeen[o.Addr] {
 			heard++
 		}
 	}
-	turn := m.now >= m.viewSince+m.opt.SuspectAfter+time.Duration(m.rank())*m.opt.StaggerEach
-	if heard == len(m.view.Members) && (m.rank() == 0 || m.stopped()) || heard >= m.view.majority() && turn {
+	turn := m.now >= m.viewSince+m.opt.ElectionTimeout+time.Duration(m.rank())*m.opt.ElectionStagger
+	if heard == len(m.view.Members) && (m.rank() == 0 || m.stopped()) || heard >= m.view.quorum() && turn {
 		m.campaign()
 	}
 }
--- a/internal/fleet/replication/histories_test.go
+++ b/internal/fleet/replication/histories_test.go
@@ -244,7 +244,7 @@
 }
 
 func newOperators(seed uint64, n, nodes int) *operators {
-	o := &operators{sim: newSim(seed, n, 3, Survive{Nodes: nodes}), count: map[verdict]int{}}
+	o := &operators{sim: newSim(seed, n, 3, FailureTolerance{Nodes: nodes}), count: map[verdict]int{}}
 	o.lossy = 0.1 * float64(seed%3)
 	o.blackouts = seed%2 == 0
 	return o
--- a/internal/fleet/replication/identity.go
+++ b/internal/fleet/replication/identity.go
@@ -7,35 +7,35 @@
 
 // drawIdentity starts as a machine with an empty disk that knows m.view.
 func (m *Machine) drawIdentity(founder bool) {
-	m.id = Identity{
+	m.identity = Identity{
 		ID:   ID(fmt.Sprintf("%016x%016x", m.opt.Rand(), m.opt.Rand())),
 		Addr: m.opt.Self.Addr, Founder: founder, Joined: founder,
 	}
-	m.vote, m.stand = Vote{}, Standing{}
+	m.vote, m.replica = Vote{}, ReplicaState{}
 	m.seq, m.digest, m.committed, m.base, m.changes = 0, 0, 0, Snapshot{}, nil
 	m.logBytes, m.logCount = 0, 0
 	m.write = Write{Reset: true}
-	m.putIdentity()
-	m.putView()
-	m.putVote()
-	m.putStanding()
+	m.saveIdentity()
+	m.saveView()
+	m.saveVote()
+	m.saveReplica()
 }
 
 // self is this machine as a member.
 func (m *Machine) self() Member {
 	s := m.opt.Self
-	s.ID = m.id.ID
+	s.ID = m.identity.ID
 	return s
 }
 
 // voter is the identity by which this machine votes in its view; "" when it has no vote.
 func (m *Machine) voter() ID {
-	id := m.id.ID
+	id := m.identity.ID
 	if m.view.Epoch == 0 {
-		if !m.id.Founder {
+		if !m.identity.Founder {
 			return ""
 		}
-		id = seedID(m.id.Addr)
+		id = seedID(m.identity.Addr)
 	}
 	if !m.view.has(id) {
 		return ""
@@ -43,8 +43,8 @@
 	return id
 }
 
-// voterOf is the identity by which the sender votes in our view.
-func (m *Machine) voterOf(msg *Message) ID {
+// senderVoter is the identity by which the sender votes in our view.
+func (m *Machine) senderVoter(msg *Message) ID {
 	id := msg.From.ID
 	if m.view.Epoch == 0 {
 		if !msg.Founder {
@@ -58,18 +58,18 @@
 	return id
 }
 
-// holder reports whether this machine holds the record of its view.
-func (m *Machine) holder() bool {
+// holdsRecord reports whether this machine holds the record of its view.
+func (m *Machine) holdsRecord() bool {
 	if m.view.Epoch == 0 {
 		return m.voter() != ""
 	}
-	return m.view.rank(m.id.ID) >= 0 && m.stand.RecordEpoch == m.view.Epoch
+	return m.view.rank(m.identity.ID) >= 0 && m.replica.RecordEpoch == m.view.Epoch
 }
 
 // rank is this machine's turn among the holders.
 func (m *Machine) rank() int {
 	if m.view.Epoch > 0 {
-		return max(m.view.rank(m.id.ID), 0)
+		return max(m.view.rank(m.identity.ID), 0)
 	}
-	return max(slices.IndexFunc(m.view.Members, func(o Member) bool { return o.Addr == m.id.Addr }), 0)
+	return max(slices.IndexFunc(m.view.Members, func(o Member) bool { return o.Addr == m.identity.Addr }), 0)
 }
--- a/internal/fleet/replication/leave.go
+++ b/internal/fleet/replication/leave.go
@@ -9,10 +9,10 @@
 // replaced by another machine that takes the record first, and the primary drops a member that leaves at once where
 // the set bears as much without it. Nothing here is needed for safety: a machine that leaves is one that may soon be lost.
 
-// leave is what a machine that was told to end keeps in mind.
-type leave struct {
-	begun       bool
-	releasedFor uint64 // the epoch in which the primary said that it needs this machine no more
+// departure is what a machine that was told to end keeps in mind.
+type departure struct {
+	begun         bool
+	releasedEpoch uint64 // the epoch in which the primary said that it needs this machine no more
 }
 
 // Leave tells the machine that its process is about to end. It serves on meanwhile; Status.Released tells when its end
@@ -20,48 +20,48 @@
 // primary drops it where the majority that is needed falls with it.
 func (m *Machine) Leave(now time.Duration) Output {
 	before := m.Status()
-	m.begin(now)
-	m.leave.begun = true
+	m.beginInput(now)
+	m.departure.begun = true
 	if m.leading() {
 		m.handOver()
 	} else if p, ok := m.view.member(m.view.Primary); ok {
-		m.ack(p.Addr, 0)
+		m.sendHeartbeatAck(p.Addr, 0)
 	}
-	return m.end(before)
+	return m.endInput(before)
 }
 
 // released reports whether a machine that leaves has no role left that others would miss.
 func (m *Machine) released() bool {
 	switch {
-	case !m.leave.begun:
+	case !m.departure.begun:
 		return false
-	case !m.view.has(m.id.ID) || len(m.view.Members) == 1:
+	case !m.view.has(m.identity.ID) || len(m.view.Members) == 1:
 		return true
-	case m.view.rank(m.id.ID) >= 0:
+	case m.view.rank(m.identity.ID) >= 0:
 		return false
 	}
-	return m.leave.releasedFor == m.view.Epoch
+	return m.departure.releasedEpoch == m.view.Epoch
 }
 
-// noteLeaver keeps which members of the view are about to end.
-func (m *Machine) noteLeaver(msg *Message) {
-	if m.leavers[msg.From.ID] == msg.Leaving || !m.view.has(msg.From.ID) {
+// recordDeparture keeps which members of the view are about to end.
+func (m *Machine) recordDeparture(msg *Message) {
+	if m.departing[msg.From.ID] == msg.Leaving || !m.view.has(msg.From.ID) {
 		return
 	}
-	m.setLeaver(msg.From.ID, msg.Leaving)
+	m.setDeparting(msg.From.ID, msg.Leaving)
 }
 
-// turnAway forgets a joiner that is about to end. A view that takes it in may be on its way: it goes out of that at once.
-func (m *Machine) turnAway(j *joiner) {
+// rejectJoiner forgets a joiner that is about to end. A view that takes it in may be on its way: it goes out of that at once.
+func (m *Machine) rejectJoiner(j *joiner) {
 	delete(m.joiners, j.Addr)
-	m.setLeaver(j.ID, true)
+	m.setDeparting(j.ID, true)
 }
 
-func (m *Machine) setLeaver(id ID, leaving bool) {
-	if leaving && len(m.leavers) >= maxMembers+maxJoiners {
+func (m *Machine) setDeparting(id ID, leaving bool) {
+	if leaving && len(m.departing) >= maxMembers+maxJoiners {
 		return
 	}
-	leavers := maps.Clone(m.leavers)
+	leavers := maps.Clone(m.departing)
 	if leavers == nil {
 		leavers = map[ID]bool{}
 	}
@@ -70,28 +70,28 @@
 	} else {
 		delete(leavers, id)
 	}
-	m.leavers = leavers
+	m.departing = leavers
 }
 
-// forgetLeavers drops what is known of machines that are no members any more.
-func (m *Machine) forgetLeavers() {
+// pruneDeparting drops what is known of machines that are no members any more.
+func (m *Machine) pruneDeparting() {
 	leavers := map[ID]bool{}
-	for id := range m.leavers {
+	for id := range m.departing {
 		if m.view.has(id) {
 			leavers[id] = true
 		}
 	}
-	m.leavers = leavers
+	m.departing = leavers
 }
 
 // handOver asks a backup in step to take over, once nothing waits for an acknowledgement or a heartbeat later.
 func (m *Machine) handOver() {
-	if !m.leave.begun || !m.ready() || m.cand != nil {
+	if !m.departure.begun || !m.ready() || m.candidacy != nil {
 		return
 	}
 	for _, id := range m.view.Backups {
-		p := m.peers[id]
-		if p.seq != m.seq || !m.alive(id) || m.leavers[id] {
+		p := m.progress[id]
+		if p.match != m.seq || !m.alive(id) || m.departing[id] {
 			continue
 		}
 		to, _ := m.view.member(id)
@@ -100,30 +100,30 @@
 	}
 }
 
-// onHandover takes over from a primary that leaves.
-func (m *Machine) onHandover(msg *Message) {
-	if !m.fromPrimary(msg) || !m.inStep() || m.leave.begun || msg.Seq != m.seq || msg.Digest != m.digest {
+// handleHandover takes over from a primary that leaves.
+func (m *Machine) handleHandover(msg *Message) {
+	if !m.fromPrimary(msg) || !m.inSync() || m.departure.begun || msg.Seq != m.seq || msg.Digest != m.digest {
 		return
 	}
-	m.learnCommitted(msg)
-	m.retryAt = m.now
+	m.learnCommit(msg)
+	m.campaignNotBefore = m.now
 	m.campaign()
 }
 
 // hasSuccessor reports whether a backup may take over from this primary and stay.
 func (m *Machine) hasSuccessor() bool {
 	for _, id := range m.view.Backups {
-		if m.alive(id) && !m.leavers[id] {
+		if m.alive(id) && !m.departing[id] {
 			return true
 		}
 	}
 	return false
 }
 
-// wanted is what the next view must survive: a primary that leaves needs a backup to hand over to.
-func (m *Machine) wanted() Survive {
-	s := m.opt.Survive
-	if m.leave.begun {
+// requiredTolerance is what the next view must survive: a primary that leaves needs a backup to hand over to.
+func (m *Machine) requiredTolerance() FailureTolerance {
+	s := m.opt.Tolerance
+	if m.departure.begun {
 		s.Nodes = max(s.Nodes, 1)
 	}
 	return s
--- a/internal/fleet/replication/machine_test.go
+++ b/internal/fleet/replication/machine_test.go
@@ -35,7 +35,7 @@
 		}
 		s.wiped++
 		s.kill(b)
-		b.disk = State{}
+		b.disk = PersistentState{}
 		s.note("wiped %s", b.addr)
 		return true
 	}
@@ -49,7 +49,7 @@
 			}
 			if o.zone == b.zone {
 				s.note("wiped %s", o.addr)
-				o.disk = State{}
+				o.disk = PersistentState{}
 			}
 		}
 		return
@@ -112,7 +112,7 @@
 }
 
 // storm plays a day of faults and then calm.
-func storm(seed uint64, n, seeds int, sv Survive, trace bool) error {
+func storm(seed uint64, n, seeds int, sv FailureTolerance, trace bool) error {
 	s := newSim(seed, n, seeds, sv)
 	s.trace = trace
 	var clients func()
@@ -169,7 +169,7 @@
 	if !s.runUntil(end+10*time.Second, s.settled) && s.err == nil {
 		for _, b := range s.boxes {
 			if b.m != nil {
-				s.note("%s %+v cand %+v standing %+v", b.addr, b.m.Status(), b.m.cand, b.m.stand)
+				s.note("%s %+v cand %+v standing %+v", b.addr, b.m.Status(), b.m.candidacy, b.m.replica)
 			}
 		}
 		s.fail("not settled after calm")
@@ -203,7 +203,7 @@
 		name := fmt.Sprintf("%d-%d-%d-%d", c.n, c.seeds, c.nodes, c.zones)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sv := Survive{Nodes: c.nodes, Zones: c.zones}
+			sv := FailureTolerance{Nodes: c.nodes, Zones: c.zones}
 			if *oneSeed != 0 {
 				if *oneCase == name {
 					qt.Assert(t, storm(*oneSeed, c.n, c.seeds, sv, true), qt.IsNil)
@@ -233,7 +233,7 @@
 func TestStartInAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		for _, n := range []int{1, 2, 3, 4, 5, 8, 9} {
-			s := newSim(seed, n, 3, Survive{Nodes: min(1, (n-1)/2)})
+			s := newSim(seed, n, 3, FailureTolerance{Nodes: min(1, (n-1)/2)})
 			calm(t, s, s.rng.Perm(n), s.upTo(200*ms))
 		}
 	}
@@ -243,13 +243,13 @@
 // system; a machine that says bootstrap and isn't a seed joins.
 func TestStartOneSystem(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(7, 4, 3, Survive{Nodes: 1})
+	s := newSim(7, 4, 3, FailureTolerance{Nodes: 1})
 	s.bootUntil = time.Hour
 	s.start(s.boxes[3])
 	s.start(s.boxes[0])
 	s.runUntil(2*time.Second, nil)
 	c.Assert(s.boxes[0].m.Status().Epoch, qt.Equals, uint64(0))
-	c.Assert(s.boxes[3].m.Status().Role, qt.Equals, Outside)
+	c.Assert(s.boxes[3].m.Status().Role, qt.Equals, NonMember)
 	s.kill(s.boxes[0])
 	s.start(s.boxes[1])
 	s.runUntil(4*time.Second, nil)
@@ -270,7 +270,7 @@
 // anything.
 func TestWipedWitnessHasNoVote(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(3, 3, 3, Survive{Nodes: 1})
+	s := newSim(3, 3, 3, FailureTolerance{Nodes: 1})
 	calm(t, s, []int{0, 1, 2}, 0)
 	s.bootUntil = 0
 	p := s.well()
@@ -284,7 +284,7 @@
 	c.Assert(witness, qt.IsNotNil)
 	s.kill(p)
 	s.kill(witness)
-	witness.disk = State{}
+	witness.disk = PersistentState{}
 	s.start(witness)
 	s.runUntil(s.now+20*time.Second, nil)
 	c.Assert(s.err, qt.IsNil)
@@ -293,7 +293,7 @@
 		c.Assert(st.Epoch, qt.Equals, view.Epoch)
 		c.Assert(st.Role, qt.Not(qt.Equals), Primary)
 	}
-	c.Assert(witness.m.Status().Role, qt.Equals, Outside)
+	c.Assert(witness.m.Status().Role, qt.Equals, NonMember)
 	c.Assert(witness.disk.Vote.Promised, qt.Equals, Ballot{})
 	// The primary's disk comes back: all is well again.
 	s.start(p)
@@ -304,7 +304,7 @@
 func TestReplaced(t *testing.T) {
 	for i := range 3 {
 		c := qt.New(t)
-		s := newSim(uint64(i), 3, 3, Survive{Nodes: 1})
+		s := newSim(uint64(i), 3, 3, FailureTolerance{Nodes: 1})
 		calm(t, s, []int{0, 1, 2}, 0)
 		s.bootUntil = 0
 		s.writeTo(s.well())
@@ -321,7 +321,7 @@
 		c.Assert(s.ackedMax, qt.Equals, uint64(2))
 		p := s.well()
 		s.kill(p)
-		p.disk = State{}
+		p.disk = PersistentState{}
 		c.Assert(s.runUntil(s.now+3*time.Second, func() bool {
 			return slices.ContainsFunc(s.live(), func(b *box) bool { return b.m.Status().Role == Primary && b.m.Status().Ready })
 		}), qt.IsTrue)
@@ -340,7 +340,7 @@
 		if seed%2 == 0 {
 			n, k = 5, 2
 		}
-		s := newSim(seed, n, 3, Survive{Nodes: k})
+		s := newSim(seed, n, 3, FailureTolerance{Nodes: k})
 		calm(t, s, s.rng.Perm(n), 0)
 		s.bootUntil = 0
 		s.writeTo(s.well())
@@ -349,7 +349,7 @@
 		for i, b := range s.boxes {
 			s.kill(b)
 			if slices.Contains(lost, i) {
-				b.disk = State{}
+				b.disk = PersistentState{}
 			}
 			s.after(s.upTo(time.Second), func() { s.start(b) })
 		}
@@ -362,7 +362,7 @@
 // TestZones: the holders are spread, also again after a zone was away.
 func TestZones(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(5, 6, 6, Survive{Zones: 1})
+	s := newSim(5, 6, 6, FailureTolerance{Zones: 1})
 	calm(t, s, []int{0, 1, 2, 3, 4, 5}, 0)
 	spreadOver := func() int {
 		p := s.well()
@@ -389,29 +389,29 @@
 
 func TestSettings(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(1, 1, 1, Survive{})
+	s := newSim(1, 1, 1, FailureTolerance{})
 	o := s.options(s.boxes[0])
 	var err error
 	app := &logApp{err: &err}
 	for _, change := range []func(*Options){
-		func(o *Options) { o.BeatEvery = 0 },
+		func(o *Options) { o.HeartbeatInterval = 0 },
 		func(o *Options) { o.Rand = nil },
 		func(o *Options) { o.Self.Addr = "" },
-		func(o *Options) { o.Survive.Nodes = -1 },
+		func(o *Options) { o.Tolerance.Nodes = -1 },
 	} {
 		bad := o
 		change(&bad)
-		_, err := New(bad, State{}, app)
+		_, err := New(bad, PersistentState{}, app)
 		c.Assert(err, qt.IsNotNil)
 	}
-	_, err = New(o, State{Identity: Identity{ID: "x", Addr: "elsewhere"}}, app)
+	_, err = New(o, PersistentState{Identity: Identity{ID: "x", Addr: "elsewhere"}}, app)
 	c.Assert(err, qt.ErrorMatches, ".*belongs to elsewhere.*")
-	_, err = New(o, State{Identity: Identity{ID: "x", Addr: o.Self.Addr}, Changes: []Change{{Seq: 2}}}, app)
+	_, err = New(o, PersistentState{Identity: Identity{ID: "x", Addr: o.Self.Addr}, Changes: []Change{{Seq: 2}}}, app)
 	c.Assert(err, qt.ErrorMatches, ".*doesn't follow.*")
 	// A lost disk never starts a system.
-	m, err := New(o, State{Lost: true}, app)
+	m, err := New(o, PersistentState{DiskLost: true}, app)
 	c.Assert(err, qt.IsNil)
 	m.Tick(0)
 	m.Tick(time.Minute)
-	c.Assert(m.Status().Role, qt.Equals, Outside)
+	c.Assert(m.Status().Role, qt.Equals, NonMember)
 }
--- a/internal/fleet/replication/membership.go
+++ b/internal/fleet/replication/membership.go
@@ -9,9 +9,9 @@
 // joiner is a machine that asks to become a member.
 type joiner struct {
 	Member
-	since     time.Duration // first heard
-	heard     time.Duration // last heard
-	confirmed bool          // answered a heartbeat under this identity
+	firstActive time.Duration // first heard
+	lastActive  time.Duration // last heard
+	confirmed   bool          // answered a heartbeat under this identity
 }
 
 // memberPlan is the set of members that the next view should have.
@@ -25,8 +25,8 @@
 func (m *Machine) joining() []Member {
 	var js []Member
 	for a, j := range m.joiners {
-		if m.now-j.heard >= m.opt.SuspectAfter {
-			if m.now-j.heard >= m.opt.ForgetAfter {
+		if m.now-j.lastActive >= m.opt.ElectionTimeout {
+			if m.now-j.lastActive >= m.opt.MemberTimeout {
 				delete(m.joiners, a)
 			}
 			continue
@@ -39,9 +39,9 @@
 	return js
 }
 
-// leastMembers is the size below which no member is dropped: after the loss of all that may be lost, a majority of so
+// minMembers is the size below which no member is dropped: after the loss of all that may be lost, a majority of so
 // many is left, and a lost member that comes back with its vote may be needed.
-func (m *Machine) leastMembers() int { return max(3, 2*m.opt.Survive.Copies()-1) }
+func (m *Machine) minMembers() int { return max(3, 2*m.opt.Tolerance.Replicas()-1) }
 
 // nextMembers plans the members of the next view. Only the primary changes them: a machine that lost its disk replaces its
 // older identity, joiners come in, members that leave or are silent go out. The decided view is replaced as a whole
@@ -49,19 +49,19 @@
 // set among machines that live without the joiners.
 func (m *Machine) nextMembers() memberPlan {
 	plan := memberPlan{members: slices.Clone(m.view.Members)}
-	if !m.led {
+	if !m.isPrimary {
 		return plan
 	}
-	waiting := plan.renew(m.joining())
-	waiting = m.swapAbsent(&plan, waiting)
+	waiting := plan.replaceOldIdentities(m.joining())
+	waiting = m.replaceAbsent(&plan, waiting)
 	m.grow(&plan, waiting)
-	m.dropAbsent(&plan)
+	m.removeAbsent(&plan)
 	sortMembers(plan.members)
 	return plan
 }
 
-// renew puts joiners in the places of their addresses' older identities and returns the others.
-func (plan *memberPlan) renew(joiners []Member) []Member {
+// replaceOldIdentities puts joiners in the places of their addresses' older identities and returns the others.
+func (plan *memberPlan) replaceOldIdentities(joiners []Member) []Member {
 	return slices.DeleteFunc(joiners, func(j Member) bool {
 		i := slices.IndexFunc(plan.members, func(o Member) bool { return o.Addr == j.Addr })
 		if i < 0 {
@@ -72,20 +72,20 @@
 	})
 }
 
-// swapAbsent puts joiners in the places of members that leave or are silent, and returns the others. A joiner that came as
+// replaceAbsent puts joiners in the places of members that leave or are silent, and returns the others. A joiner that came as
 // one more beside a lost member would raise the majority and be needed for it: the set would be lost with its disk.
-func (m *Machine) swapAbsent(plan *memberPlan, joiners []Member) []Member {
-	if len(plan.members) < m.leastMembers() {
+func (m *Machine) replaceAbsent(plan *memberPlan, joiners []Member) []Member {
+	if len(plan.members) < m.minMembers() {
 		return joiners
 	}
 	return slices.DeleteFunc(joiners, func(j Member) bool {
-		for _, o := range m.absent(plan.members, m.opt.SuspectAfter) {
+		for _, o := range m.absent(plan.members, m.opt.ElectionTimeout) {
 			swapped := append(without(plan.members, o), j)
-			if m.bearsLess(plan.members, swapped) {
+			if m.reducesTolerance(plan.members, swapped) {
 				continue
 			}
 			plan.members, plan.changed = swapped, true
-			plan.urgent = plan.urgent || m.leavesAsWitness(o.ID)
+			plan.urgent = plan.urgent || m.departsAsWitness(o.ID)
 			return true
 		}
 		return false
@@ -94,58 +94,58 @@
 
 // grow takes in as many joiners as may come, those first whose zone has the fewest members. The others wait.
 func (m *Machine) grow(plan *memberPlan, joiners []Member) {
-	joiners = byNeed(plan.members, joiners)
+	joiners = balanceZones(plan.members, joiners)
 	for n := len(joiners); n > 0; n-- {
-		if m.mayGrow(plan.members, joiners[:n]) {
+		if m.canGrow(plan.members, joiners[:n]) {
 			plan.members, plan.changed = append(plan.members, joiners[:n]...), true
 			return
 		}
 	}
 }
 
-// mayGrow reports whether joiners may come as so many more members: without them a majority of the larger set must be
+// canGrow reports whether joiners may come as so many more members: without them a majority of the larger set must be
 // there, and it must bear what the smaller one does. Where the majority rises each joiner must have been heard for a
 // while, so that who is silent by now is known to be, and must have been heard just now.
-func (m *Machine) mayGrow(members, joiners []Member) bool {
+func (m *Machine) canGrow(members, joiners []Member) bool {
 	grown := append(slices.Clone(members), joiners...)
 	switch {
 	case len(grown) > maxMembers:
 		return false
-	case len(members) < m.leastMembers():
+	case len(members) < m.minMembers():
 		return true
-	case m.bearsLess(members, grown):
+	case m.reducesTolerance(members, grown):
 		return false
-	case majorityOf(len(grown)) == majorityOf(len(members)):
+	case quorumSize(len(grown)) == quorumSize(len(members)):
 		return true
 	}
 	unsure := func(j Member) bool {
 		joiner := m.joiners[j.Addr]
-		return m.now-joiner.since < m.opt.SuspectAfter || m.now-joiner.heard > 2*m.opt.BeatEvery
+		return m.now-joiner.firstActive < m.opt.ElectionTimeout || m.now-joiner.lastActive > 2*m.opt.HeartbeatInterval
 	}
-	return !slices.ContainsFunc(joiners, unsure) && m.present(members) >= majorityOf(len(grown))
+	return !slices.ContainsFunc(joiners, unsure) && m.countPresent(members) >= quorumSize(len(grown))
 }
 
-// bearsLess reports whether a change of the members takes from them that they bear what is to be survived.
-func (m *Machine) bearsLess(before, after []Member) bool {
-	return m.opt.Survive.borneBy(before) && !m.opt.Survive.borneBy(after)
+// reducesTolerance reports whether a change of the members takes from them that they bear what is to be survived.
+func (m *Machine) reducesTolerance(before, after []Member) bool {
+	return m.opt.Tolerance.toleratedBy(before) && !m.opt.Tolerance.toleratedBy(after)
 }
 
-// dropAbsent takes out of the plan those that leave or were silent for ForgetAfter, where that lowers the majority.
-func (m *Machine) dropAbsent(plan *memberPlan) {
-	m.drop(plan, m.absent(plan.members, m.opt.ForgetAfter), m.leastMembers())
-	leaving := slices.DeleteFunc(slices.Clone(plan.members), func(o Member) bool { return !m.leavesAsWitness(o.ID) })
-	m.drop(plan, leaving, 2*m.opt.Survive.Copies()-1)
+// removeAbsent takes out of the plan those that leave or were silent for MemberTimeout, where that lowers the majority.
+func (m *Machine) removeAbsent(plan *memberPlan) {
+	m.removeMembers(plan, m.absent(plan.members, m.opt.MemberTimeout), m.minMembers())
+	leaving := slices.DeleteFunc(slices.Clone(plan.members), func(o Member) bool { return !m.departsAsWitness(o.ID) })
+	m.removeMembers(plan, leaving, 2*m.opt.Tolerance.Replicas()-1)
 }
 
-// drop takes the first of these members out of the plan, down to so many, where that lowers the majority.
-func (m *Machine) drop(plan *memberPlan, absent []Member, least int) {
+// removeMembers takes the first of these members out of the plan, down to so many, where that lowers the majority.
+func (m *Machine) removeMembers(plan *memberPlan, absent []Member, least int) {
 	absent = absent[:max(0, min(len(absent), len(plan.members)-least))]
 	rest := without(plan.members, absent...)
-	if majorityOf(len(rest)) == majorityOf(len(plan.members)) || m.bearsLess(plan.members, rest) {
+	if quorumSize(len(rest)) == quorumSize(len(plan.members)) || m.reducesTolerance(plan.members, rest) {
 		return
 	}
 	plan.members, plan.changed = rest, true
-	plan.urgent = plan.urgent || slices.ContainsFunc(absent, func(o Member) bool { return m.leavesAsWitness(o.ID) })
+	plan.urgent = plan.urgent || slices.ContainsFunc(absent, func(o Member) bool { return m.departsAsWitness(o.ID) })
 }
 
 // absent lists members of the view among these that are about to end or were silent for so long: the former first,
@@ -153,35 +153,35 @@
 func (m *Machine) absent(members []Member, silence time.Duration) []Member {
 	var absent []Member
 	for _, o := range members {
-		if o.ID == m.id.ID || !m.view.has(o.ID) {
+		if o.ID == m.identity.ID || !m.view.has(o.ID) {
 			continue
 		}
-		at, ok := m.heard[o.ID]
-		if m.leavesAsWitness(o.ID) || !ok || m.now-at >= silence {
+		at, ok := m.lastActive[o.ID]
+		if m.departsAsWitness(o.ID) || !ok || m.now-at >= silence {
 			absent = append(absent, o)
 		}
 	}
 	slices.SortStableFunc(absent, func(a, b Member) int {
-		if leaves := m.leavesAsWitness(a.ID); leaves != m.leavesAsWitness(b.ID) {
+		if leaves := m.departsAsWitness(a.ID); leaves != m.departsAsWitness(b.ID) {
 			if leaves {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(m.heard[a.ID], m.heard[b.ID])
+		return cmp.Compare(m.lastActive[a.ID], m.lastActive[b.ID])
 	})
 	return absent
 }
 
-// leavesAsWitness reports whether a member is about to end and holds no record of the view. One that holds it first
+// departsAsWitness reports whether a member is about to end and holds no record of the view. One that holds it first
 // becomes a witness: whoever is left out drops its record, and by then the holders of the next view must know of it.
-func (m *Machine) leavesAsWitness(id ID) bool { return m.leavers[id] && m.view.rank(id) < 0 }
+func (m *Machine) departsAsWitness(id ID) bool { return m.departing[id] && m.view.rank(id) < 0 }
 
-// present counts the members of the view among these that answer and stay.
-func (m *Machine) present(members []Member) int {
+// countPresent counts the members of the view among these that answer and stay.
+func (m *Machine) countPresent(members []Member) int {
 	n := 0
 	for _, o := range members {
-		if m.view.has(o.ID) && m.alive(o.ID) && !m.leavers[o.ID] {
+		if m.view.has(o.ID) && m.alive(o.ID) && !m.departing[o.ID] {
 			n++
 		}
 	}
@@ -193,8 +193,8 @@
 	return slices.DeleteFunc(slices.Clone(members), func(o Member) bool { return slices.Contains(some, o) })
 }
 
-// byNeed orders joiners so that each in turn stands in the zone with the fewest members.
-func byNeed(members, joiners []Member) []Member {
+// balanceZones orders joiners so that each in turn stands in the zone with the fewest members.
+func balanceZones(members, joiners []Member) []Member {
 	inZone := map[[2]string]int{}
 	for _, o := range members {
 		inZone[o.zone()]++
--- a/internal/fleet/replication/membership_test.go
+++ b/internal/fleet/replication/membership_test.go
@@ -22,8 +22,8 @@
 
 // programTimes are the settings of the control plane's program.
 func programTimes(o *Options) {
-	o.BeatEvery, o.SuspectAfter, o.StaggerEach = progBeat, progSuspect, progStagger
-	o.WriteWithin, o.ForgetAfter = progWrite, boundSync
+	o.HeartbeatInterval, o.ElectionTimeout, o.ElectionStagger = progBeat, progSuspect, progStagger
+	o.WriteTimeout, o.MemberTimeout = progWrite, boundSync
 }
 
 // coreCase is a core for the scripted schedules.
@@ -41,7 +41,7 @@
 
 // newSchedule starts a core with the program's times and one acknowledged change, every machine of it long established.
 func newSchedule(c *qt.C, seed uint64, of coreCase) *schedule {
-	s := newSim(seed, of.machines, 3, Survive{Nodes: of.survive})
+	s := newSim(seed, of.machines, 3, FailureTolerance{Nodes: of.survive})
 	s.tune, s.delay = programTimes, 5*ms
 	for _, b := range s.boxes {
 		s.after(s.upTo(300*ms), func() { s.start(b) })
@@ -59,7 +59,7 @@
 // wipe ends a machine at once and drops its disk.
 func (s *schedule) wipe(b *box) {
 	s.kill(b)
-	b.disk = State{}
+	b.disk = PersistentState{}
 }
 
 // remove ends a machine at once, for good.
@@ -171,7 +171,7 @@
 	})
 }
 
-// leave tells a machine that its process is to end, and ends it when it is released or its time is over. It returns how
+// departure tells a machine that its process is to end, and ends it when it is released or its time is over. It returns how
 // long that took.
 func (s *schedule) leave(b *box) time.Duration {
 	began, life := s.now, b.life
@@ -220,13 +220,13 @@
 		d := &b.disk
 		// Who was brought the record in the epoch before is a holder as soon as it is told of the view.
 		told := d.View.Epoch < newest.Epoch
-		holds := d.Standing.RecordEpoch == newest.Epoch || told && d.Standing.RecordEpoch+1 == newest.Epoch
+		holds := d.Replica.RecordEpoch == newest.Epoch || told && d.Replica.RecordEpoch+1 == newest.Epoch
 		return newest.rank(d.Identity.ID) >= 0 && holds && diskSeq(d) >= s.ackedMax
 	})
 }
 
 // diskSeq is the newest change on a disk.
-func diskSeq(d *State) uint64 {
+func diskSeq(d *PersistentState) uint64 {
 	if n := len(d.Changes); n > 0 {
 		return d.Changes[n-1].Seq
 	}
@@ -260,7 +260,7 @@
 		s.input(b, b.m.Leave(s.clock(b)))
 		s.pass(boundSync)
 		c.Assert(b.m.Status().Released, qt.IsTrue)
-		c.Assert(b.m.Status().Role, qt.Equals, Outside, qt.Commentf("seed %d", seed))
+		c.Assert(b.m.Status().Role, qt.Equals, NonMember, qt.Commentf("seed %d", seed))
 		c.Assert(s.leader().m.Status().View.Members, qt.HasLen, 3)
 		epoch := s.leader().m.Status().Epoch
 		s.pass(boundSync)
@@ -480,7 +480,7 @@
 }
 
 func stormWithLeaves(seed uint64, of coreCase) error {
-	s := newSim(seed, of.machines, 3, Survive{Nodes: of.survive})
+	s := newSim(seed, of.machines, 3, FailureTolerance{Nodes: of.survive})
 	s.wholeFirst = true
 	var clients, leaves func()
 	clients = func() {
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -24,7 +24,7 @@
 // survive says.
 type layout struct {
 	machines, places int
-	survive          Survive
+	survive          FailureTolerance
 }
 
 func (l layout) String() string {
@@ -47,13 +47,13 @@
 
 // layouts are all cores of the table.
 func layouts() []layout {
-	all := []layout{{1, 1, Survive{}}}
+	all := []layout{{1, 1, FailureTolerance{}}}
 	for _, n := range []int{1, 3, 4, 5, 8, 9} {
 		for s := 1; s <= 2; s++ {
-			all = append(all, layout{n, n, Survive{Nodes: s}})
+			all = append(all, layout{n, n, FailureTolerance{Nodes: s}})
 			for _, places := range []int{3, 4, 5} {
 				if places <= n && places >= 2*s+1 {
-					all = append(all, layout{n, places, Survive{Zones: s}}, layout{n, places, Survive{Regions: s}})
+					all = append(all, layout{n, places, FailureTolerance{Zones: s}}, layout{n, places, FailureTolerance{Regions: s}})
 				}
 			}
 		}
@@ -121,21 +121,21 @@
 // planner is the primary of a view with what it knows of the others.
 func (l layout) planner(v View) *Machine {
 	m := &Machine{
-		opt: Options{Survive: l.survive, SuspectAfter: progSuspect, ForgetAfter: boundSync, BeatEvery: progBeat}, view: v, led: true,
-		now: 10 * boundSync, heard: map[ID]time.Duration{}, slow: map[ID]time.Duration{}, joiners: map[string]*joiner{}, leavers: map[ID]bool{},
+		opt: Options{Tolerance: l.survive, ElectionTimeout: progSuspect, MemberTimeout: boundSync, HeartbeatInterval: progBeat}, view: v, isPrimary: true,
+		now: 10 * boundSync, lastActive: map[ID]time.Duration{}, laggedAt: map[ID]time.Duration{}, joiners: map[string]*joiner{}, departing: map[ID]bool{},
 	}
 	self, _ := v.member(v.Primary)
-	m.id = Identity{ID: self.ID, Addr: self.Addr}
+	m.identity = Identity{ID: self.ID, Addr: self.Addr}
 	m.opt.Self = self
 	for _, o := range v.Members {
-		m.heard[o.ID] = m.now
+		m.lastActive[o.ID] = m.now
 	}
 	return m
 }
 
 // joins has a machine ask to be taken in, for longer than a suspicion takes.
 func (m *Machine) joins(o Member) {
-	m.joiners[o.Addr] = &joiner{Member: o, since: m.now - progSuspect, heard: m.now, confirmed: true}
+	m.joiners[o.Addr] = &joiner{Member: o, firstActive: m.now - progSuspect, lastActive: m.now, confirmed: true}
 }
 
 // next is the view that the planner would have decided; the view as it is when there is nothing to change.
@@ -144,7 +144,7 @@
 	if !c.enough {
 		return m.view
 	}
-	return View{Epoch: m.view.Epoch + 1, Members: plan.members, Primary: m.id.ID, Backups: c.backups}
+	return View{Epoch: m.view.Epoch + 1, Members: plan.members, Primary: m.identity.ID, Backups: c.backups}
 }
 
 // takeovers are all views of the next epoch that a backup may have decided after the primary's loss.
@@ -154,8 +154,8 @@
 		w := v
 		w.Primary = id
 		m := l.planner(w)
-		m.heard[dead] = 0
-		m.led = false // members stay
+		m.lastActive[dead] = 0
+		m.isPrimary = false // members stay
 		if next := m.next(); next.Epoch > v.Epoch {
 			all = append(all, next)
 		}
@@ -176,11 +176,11 @@
 	n := len(v.Members)
 	if !s.seen {
 		s.seen, s.members = true, [2]int{n, n}
-		s.quorum, s.copies, s.spareVotes, s.lastCopy = v.majority(), copies, spare, last
+		s.quorum, s.copies, s.spareVotes, s.lastCopy = v.quorum(), copies, spare, last
 		return
 	}
 	s.members = [2]int{min(s.members[0], n), max(s.members[1], n)}
-	s.quorum, s.copies = max(s.quorum, v.majority()), min(s.copies, copies)
+	s.quorum, s.copies = max(s.quorum, v.quorum()), min(s.copies, copies)
 	s.spareVotes, s.lastCopy = min(s.spareVotes, spare), min(s.lastCopy, last)
 }
 
@@ -205,13 +205,13 @@
 				last++
 			}
 		}
-		s.note(&v, votes, copies, votes-v.majority(), last)
+		s.note(&v, votes, copies, votes-v.quorum(), last)
 	}
 }
 
 // stages plays a replacement of each machine in turn, unplanned and planned, and judges each view on the way.
 func (l layout) stages(c *qt.C) []*stage {
-	whole, lostOne := &stage{name: "whole"}, &stage{name: "one machine lost"}
+	whole, lostOne := &stage{name: "complete"}, &stage{name: "one machine lost"}
 	joined, synced := &stage{name: "its successor is in"}, &stage{name: "the successor has caught up"}
 	second, ended := &stage{name: "planned: one more is in"}, &stage{name: "planned: the old one has ended"}
 	first := View{Epoch: 1}
@@ -229,7 +229,7 @@
 	for i := range l.machines {
 		l.planned(c, first, l.member(i, 1), l.member(i, 2), second, ended)
 	}
-	if l.survive.Copies() == 1 {
+	if l.survive.Replicas() == 1 {
 		return []*stage{whole, second, ended}
 	}
 	for i := range l.machines {
@@ -247,16 +247,16 @@
 	}
 	for _, v := range views {
 		m := l.planner(v)
-		m.heard[old.ID] = m.now - progSuspect
+		m.lastActive[old.ID] = m.now - progSuspect
 		repaired := m.next() // the backups anew
 		lostOne.judge(c, repaired, l.losses(repaired.Members, old))
 		m = l.planner(repaired)
-		m.heard[old.ID] = m.now - progSuspect
+		m.lastActive[old.ID] = m.now - progSuspect
 		m.joins(successor)
 		v = m.next()
 		joined.judge(c, v, l.losses(v.Members, old, successor))
 		m = l.planner(v)
-		m.heard[old.ID] = m.now - boundSync
+		m.lastActive[old.ID] = m.now - boundSync
 		v = m.next()
 		synced.judge(c, v, l.losses(slices.DeleteFunc(slices.Clone(v.Members), func(o Member) bool { return o == old })), old)
 	}
@@ -271,22 +271,22 @@
 	views := []View{v}
 	if v.Primary == old.ID {
 		m = l.planner(v) // without a backup it takes one first
-		m.leave.begun = true
+		m.departure.begun = true
 		v = m.next()
 		views = nil
 		for _, id := range v.Backups { // each may be handed the role
 			w := v
 			w.Primary = id
 			m = l.planner(w)
-			m.leavers[old.ID] = true
-			m.led = false // members stay
+			m.departing[old.ID] = true
+			m.isPrimary = false // members stay
 			views = append(views, m.next())
 		}
 	}
 	for _, v := range views {
 		for range 3 { // out of its role, out of the members
 			m = l.planner(v)
-			m.leavers[old.ID] = true
+			m.departing[old.ID] = true
 			if !slices.ContainsFunc(v.Members, func(o Member) bool { return o == successor }) {
 				m.joins(successor)
 			}
--- a/internal/fleet/replication/record.go
+++ b/internal/fleet/replication/record.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Chain is the digest of a record after a change, from the digest before it; an empty record's is 0.
-func Chain(before, seq uint64, body []byte) uint64 {
+// ChainDigest is the digest of a record after a change, from the digest before it; an empty record's is 0.
+func ChainDigest(before, seq uint64, body []byte) uint64 {
 	var head [16]byte
 	binary.LittleEndian.PutUint64(head[:8], before)
 	binary.LittleEndian.PutUint64(head[8:], seq)
@@ -18,8 +18,8 @@
 	return d.Sum64()
 }
 
-// take applies c, which follows the record.
-func (m *Machine) take(c Change) {
+// add applies c, which follows the record.
+func (m *Machine) applyChange(c Change) {
 	m.app.Apply(c.Seq, c.Body)
 	m.seq, m.digest = c.Seq, c.Digest
 	m.changes = append(m.changes, c)
@@ -27,17 +27,17 @@
 	m.logCount++
 }
 
-// keep writes changes that were taken, as a snapshot when they are many.
-func (m *Machine) keep(cs ...Change) {
+// saveChanges writes changes that were taken, as a snapshot when they are many.
+func (m *Machine) saveChanges(cs ...Change) {
 	if m.logFull() {
-		m.putSnapshot(m.app.Snapshot())
+		m.saveSnapshot(m.app.Snapshot())
 		return
 	}
 	m.write.Changes = append(m.write.Changes, cs...)
 }
 
-// putSnapshot writes the record as it stands in the place of all changes.
-func (m *Machine) putSnapshot(body []byte) {
+// saveSnapshot writes the record as it stands in the place of all changes.
+func (m *Machine) saveSnapshot(body []byte) {
 	m.logBytes, m.logCount = 0, 0
 	m.trimChanges()
 	m.write.Snapshot = &Snapshot{Seq: m.seq, Digest: m.digest, Body: body}
@@ -48,9 +48,9 @@
 // brought these, and not the whole record at each cut of the log.
 func (m *Machine) trimChanges() {
 	first, bytes := len(m.changes), 0
-	for first > 0 && len(m.changes)-first < maxLogChanges/keptPart {
+	for first > 0 && len(m.changes)-first < maxLogChanges/retainedLogDivisor {
 		bytes += len(m.changes[first-1].Body)
-		if bytes > m.opt.SnapshotBytes/keptPart {
+		if bytes > m.opt.SnapshotBytes/retainedLogDivisor {
 			break
 		}
 		first--
@@ -63,8 +63,8 @@
 	m.changes = slices.Clone(m.changes[first:])
 }
 
-// keptPart is which part of the log's bound is kept in memory beyond a snapshot.
-const keptPart = 4
+// retainedLogDivisor is which part of the log's bound is kept in memory beyond a snapshot.
+const retainedLogDivisor = 4
 
 // replace puts another's record in the place of ours.
 func (m *Machine) replace(seq, digest uint64, body []byte) bool {
@@ -74,7 +74,7 @@
 	m.seq, m.digest = seq, digest
 	m.base, m.changes = Snapshot{Seq: seq, Digest: digest}, nil
 	m.committed = min(m.committed, seq)
-	m.putSnapshot(body)
+	m.saveSnapshot(body)
 	return true
 }
 
@@ -91,9 +91,9 @@
 	return 0, false
 }
 
-// follow takes the changes of a message that come after our record. It reports false when our record isn't among those that
+// appendChanges takes the changes of a message that come after our record. It reports false when our record isn't among those that
 // the message tells of.
-func (m *Machine) follow(msg *Message) bool {
+func (m *Machine) appendChanges(msg *Message) bool {
 	rest, ok := msg.Changes, msg.Seq == m.seq && msg.Digest == m.digest
 	for !ok && len(rest) > 0 {
 		ok = rest[0].Seq == m.seq && rest[0].Digest == m.digest
@@ -104,12 +104,12 @@
 	}
 	taken := 0
 	for _, c := range rest {
-		if c.Seq != m.seq+1 || c.Digest != Chain(m.digest, c.Seq, c.Body) {
+		if c.Seq != m.seq+1 || c.Digest != ChainDigest(m.digest, c.Seq, c.Body) {
 			break
 		}
-		m.take(c)
+		m.applyChange(c)
 		taken++
 	}
-	m.keep(rest[:taken]...)
+	m.saveChanges(rest[:taken]...)
 	return true
 }
--- a/internal/fleet/replication/reform.go
+++ b/internal/fleet/replication/reform.go
@@ -4,48 +4,48 @@
 
 // alive reports whether a member answered lately.
 func (m *Machine) alive(id ID) bool {
-	at, ok := m.heard[id]
-	return id == m.id.ID || ok && m.now-at < m.opt.SuspectAfter
+	at, ok := m.lastActive[id]
+	return id == m.identity.ID || ok && m.now-at < m.opt.ElectionTimeout
 }
 
-func (m *Machine) majorityAlive() bool {
+func (m *Machine) quorumAlive() bool {
 	n := 0
 	for _, o := range m.view.Members {
 		if m.alive(o.ID) {
 			n++
 		}
 	}
-	return n >= m.view.majority()
+	return n >= m.view.quorum()
 }
 
-// slowLately reports whether a member was left out not long ago.
-func (m *Machine) slowLately(id ID) bool {
-	at, ok := m.slow[id]
-	return ok && m.now-at < m.opt.ForgetAfter
+// laggedRecently reports whether a member was left out not long ago.
+func (m *Machine) laggedRecently(id ID) bool {
+	at, ok := m.laggedAt[id]
+	return ok && m.now-at < m.opt.MemberTimeout
 }
 
-// aliveAmong are the machines among members that may become backups now.
-func (m *Machine) aliveAmong(members []Member, except func(ID) bool) []candidate {
+// backupCandidates are the machines among members that may become backups now.
+func (m *Machine) backupCandidates(members []Member, except func(ID) bool) []candidate {
 	var cs []candidate
 	for _, o := range members {
-		// A joiner among them answered within SuspectAfter.
-		if o.ID == m.id.ID || m.view.has(o.ID) && !m.alive(o.ID) || except(o.ID) {
+		// A joiner among them answered within ElectionTimeout.
+		if o.ID == m.identity.ID || m.view.has(o.ID) && !m.alive(o.ID) || except(o.ID) {
 			continue
 		}
-		cs = append(cs, candidate{Member: o, holder: m.view.rank(o.ID) >= 0, slow: m.slowLately(o.ID), near: m.near(o.ID), leaving: m.leavers[o.ID]})
+		cs = append(cs, candidate{Member: o, holdsRecord: m.view.rank(o.ID) >= 0, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.departing[o.ID]})
 	}
 	return cs
 }
 
-// reform proposes a next view, led by this machine again, when a backup is lost or the view can be better.
-func (m *Machine) reform() {
-	if !m.leading() || m.cand != nil || m.now < m.retryAt {
+// reconfigure proposes a next view, led by this machine again, when a backup is lost or the view can be better.
+func (m *Machine) reconfigure() {
+	if !m.leading() || m.candidacy != nil || m.now < m.campaignNotBefore {
 		return
 	}
 	bad := map[ID]bool{}
 	dead, stopped := false, false
-	for id, p := range m.peers {
-		late := p.behind >= 0 && m.now-p.behind >= m.opt.WriteWithin
+	for id, p := range m.progress {
+		late := p.stalledSince >= 0 && m.now-p.stalledSince >= m.opt.WriteTimeout
 		if !m.alive(id) || late {
 			bad[id] = true
 		}
@@ -54,7 +54,7 @@
 	}
 	plan, c := m.nextPlan(func(id ID) bool { return bad[id] })
 	switch {
-	case !m.majorityAlive():
+	case !m.quorumAlive():
 		// Without answers nobody can be replaced. A backup that hears this machine, but isn't heard by it, may do better.
 		if dead {
 			m.campaign()
@@ -62,15 +62,15 @@
 	case len(bad) > 0 || stopped:
 		if c.enough {
 			for id := range bad {
-				m.slow[id] = m.now
+				m.laggedAt[id] = m.now
 			}
 			m.campaign()
 		}
 	case !m.ready() || !c.enough:
-	case plan.urgent || m.relieves(c):
+	case plan.urgent || m.replacesDeparting(c):
 		m.campaign()
-	case m.now-m.viewSince < m.opt.SuspectAfter || m.awaitsLearner(c):
-	case plan.changed || m.betters(c):
+	case m.now-m.viewSince < m.opt.ElectionTimeout || m.awaitsLearner(c):
+	case plan.changed || m.improvesView(c):
 		m.campaign()
 	}
 }
@@ -78,33 +78,33 @@
 // nextPlan is what the next view should be: its members, and backups that aren't excepted.
 func (m *Machine) nextPlan(except func(ID) bool) (memberPlan, choice) {
 	plan := m.nextMembers()
-	return plan, choose(m.wanted(), m.self(), plan.members, m.aliveAmong(plan.members, except))
+	return plan, choose(m.requiredTolerance(), m.self(), plan.members, m.backupCandidates(plan.members, except))
 }
 
-// relievesLeavers reports whether a next view would take a role or the membership from a machine that leaves.
-func (m *Machine) relievesLeavers() bool {
+// canReplaceDeparting reports whether a next view would take a role or the membership from a machine that leaves.
+func (m *Machine) canReplaceDeparting() bool {
 	plan, c := m.nextPlan(func(ID) bool { return false })
-	return c.enough && (plan.urgent || m.relieves(c))
+	return c.enough && (plan.urgent || m.replacesDeparting(c))
 }
 
-// relieves reports whether a choice takes the role from a backup that leaves, or gives a primary that leaves somebody to
+// replacesDeparting reports whether a choice takes the role from a backup that leaves, or gives a primary that leaves somebody to
 // hand over to.
-func (m *Machine) relieves(c choice) bool {
-	leaves := func(id ID) bool { return m.leavers[id] }
+func (m *Machine) replacesDeparting(c choice) bool {
+	leaves := func(id ID) bool { return m.departing[id] }
 	if slices.ContainsFunc(c.backups, leaves) {
 		return false
 	}
-	return slices.ContainsFunc(m.view.Backups, leaves) || m.leave.begun && len(c.backups) > 0 && !m.hasSuccessor()
+	return slices.ContainsFunc(m.view.Backups, leaves) || m.departure.begun && len(c.backups) > 0 && !m.hasSuccessor()
 }
 
-// betters reports whether a choice has more backups than the view, or ones that are spread better.
-func (m *Machine) betters(c choice) bool {
+// improvesView reports whether a choice has more backups than the view, or ones that are spread better.
+func (m *Machine) improvesView(c choice) bool {
 	holders := []Member{m.self()}
 	for _, b := range m.view.Backups {
 		o, _ := m.view.member(b)
 		holders = append(holders, o)
 	}
-	wanted := m.opt.Survive.spreadWanted()
+	wanted := m.opt.Tolerance.spreadWanted()
 	zones, regions := spread(holders)
 	zones, regions = min(zones, wanted.zones), min(regions, wanted.regions)
 	return len(c.backups) > len(m.view.Backups) || c.full && (c.regions > regions || c.regions == regions && c.zones > zones)
--- a/internal/fleet/replication/restored.go
+++ b/internal/fleet/replication/restored.go
@@ -3,27 +3,27 @@
 // A disk that was put back as it was earlier has forgotten changes that it acknowledged. Nobody can tell that from the disk alone.
 // What is here finds it out by what others remember, so that such a machine is brought what it lacks and doesn't lead with it.
 
-// wentBack reports whether a backup's record is shorter than it was: its answer to a round was sent after the round began, when
+// regressed reports whether a backup's record is shorter than it was: its answer to a round was sent after the round began, when
 // it had said that it has more.
-func (p *peer) wentBack(round uint64, msg *Message) bool {
-	return msg.Round != 0 && msg.Round == round && msg.Seq < p.roundSeq
+func (p *progress) regressed(round uint64, msg *Message) bool {
+	return msg.Round != 0 && msg.Round == round && msg.Seq < p.matchAtRoundStart
 }
 
-// knownCommitted is up to where changes were committed, as far as this machine has heard, whatever of them it has.
-func (m *Machine) knownCommitted() uint64 { return max(m.committed, m.toldCommitted) }
+// knownCommit is up to where changes were committed, as far as this machine has heard, whatever of them it has.
+func (m *Machine) knownCommit() uint64 { return max(m.committed, m.reportedCommit) }
 
-// hasCommitted reports whether this candidate has all that was committed, as far as those who promised have heard. A candidate
+// hasAllCommitted reports whether this candidate has all that was committed, as far as those who promised have heard. A candidate
 // that hasn't proposes nothing: who has it may come back.
-func (m *Machine) hasCommitted() bool { return m.seq >= m.knownCommitted() }
+func (m *Machine) hasAllCommitted() bool { return m.seq >= m.knownCommit() }
 
-// doubtRestored has holders that lack what was committed brought the record like any other machine.
-func (m *Machine) doubtRestored() {
-	for id, p := range m.cand.promises {
-		if id != m.voter() && p.seq < m.knownCommitted() {
-			p.holder = false
+// restageRegressed has holders that lack what was committed brought the record like any other machine.
+func (m *Machine) restageRegressed() {
+	for id, p := range m.candidacy.promises {
+		if id != m.voter() && p.seq < m.knownCommit() {
+			p.holdsRecord = false
 		}
 	}
 }
 
-// lacks reports whether this machine's record is shorter than what the sender knows to be committed.
-func (m *Machine) lacks(msg *Message) bool { return m.seq < msg.Committed }
+// lacksCommitted reports whether this machine's record is shorter than what the sender knows to be committed.
+func (m *Machine) lacksCommitted(msg *Message) bool { return m.seq < msg.Committed }
--- a/internal/fleet/replication/restored_test.go
+++ b/internal/fleet/replication/restored_test.go
@@ -8,7 +8,7 @@
 )
 
 // putBack ends a machine's process and starts it on its disk as it was earlier.
-func (t *thinCore) putBack(n *thinNode, earlier State) {
+func (t *thinCore) putBack(n *thinNode, earlier PersistentState) {
 	n.stop()
 	n.disk = earlier
 	n.start()
@@ -18,7 +18,7 @@
 // is lost at that moment, as the witness knows of what was committed. When the primary is back all is there.
 func TestDiskPutBackNeverLeads(t *testing.T) {
 	c := qt.New(t)
-	core := startThinCore(c, 3, Survive{Nodes: 1}, 10_000)
+	core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, 10_000)
 	primary, backup := core.primary(), core.byRole(Backup)
 	earlier, was := backup.disk, core.acked
 	earlier.Changes = append([]Change(nil), earlier.Changes...)
@@ -26,8 +26,8 @@
 	// A beat has told the witness of it.
 	acked := core.acked
 	witness := core.byRole(Witness)
-	c.Assert(core.until(time.Second, func() bool { return witness.m.toldCommitted >= acked }), qt.IsTrue)
-	acked = witness.m.toldCommitted
+	c.Assert(core.until(time.Second, func() bool { return witness.m.reportedCommit >= acked }), qt.IsTrue)
+	acked = witness.m.reportedCommit
 	primary.stop()
 	core.putBack(backup, earlier)
 	led := func() bool { return core.primary() != nil }
@@ -45,7 +45,7 @@
 func TestDiskPutBackCatchesUp(t *testing.T) {
 	for _, logBytes := range []int{1 << 20, 4000} { // by changes, and by the whole
 		c := qt.New(t)
-		core := startThinCoreWith(c, 2, Survive{Nodes: 1}, 10_000, logBytes)
+		core := startThinCoreWith(c, 2, FailureTolerance{Nodes: 1}, 10_000, logBytes)
 		backup := core.byRole(Backup)
 		earlier, was := backup.disk, core.acked
 		earlier.Changes = append([]Change(nil), earlier.Changes...)
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -17,7 +17,7 @@
 
 func newHand(t *testing.T) *hand {
 	c := qt.New(t)
-	s := newSim(11, 3, 3, Survive{Nodes: 1})
+	s := newSim(11, 3, 3, FailureTolerance{Nodes: 1})
 	calm(t, s, []int{0, 1, 2}, 0)
 	h := &hand{C: c, s: s, primary: s.well()}
 	s.writeTo(h.primary)
@@ -40,7 +40,7 @@
 func (h *hand) give(b, from *box, msg Message) []Message {
 	msg.From, _ = h.view.member(from.disk.Identity.ID)
 	msg.Epoch, msg.View = h.view.Epoch, &h.view
-	return h.done(b, b.m.Receive(h.s.clock(b), "", &msg))
+	return h.done(b, b.m.Step(h.s.clock(b), "", &msg))
 }
 
 func (h *hand) done(b *box, out Output) []Message {
@@ -64,7 +64,7 @@
 func (h *hand) suspect(b *box) []Message {
 	for range 10 { // in steps, so that it doesn't take itself for frozen
 		h.s.now += 100 * ms
-		if sent := h.done(b, b.m.Tick(h.s.clock(b))); b.m.cand != nil {
+		if sent := h.done(b, b.m.Tick(h.s.clock(b))); b.m.candidacy != nil {
 			return sent
 		}
 	}
@@ -72,18 +72,18 @@
 }
 
 func (h *hand) beat() Message {
-	return Message{Kind: KindBeat, Round: 99, Seq: 2, Digest: h.primary.m.digest, Committed: 2}
+	return Message{Kind: KindHeartbeat, Round: 99, Seq: 2, Digest: h.primary.m.digest, Committed: 2}
 }
 
 func TestStoppedBackupDoesNotAnswer(t *testing.T) {
 	h := newHand(t)
 	ack := h.give(h.backup, h.primary, h.beat())
-	h.Assert(ack[0].Step, qt.IsTrue)
+	h.Assert(ack[0].InSync, qt.IsTrue)
 	h.Assert(ack[0].Round, qt.Equals, uint64(99))
 	sent := h.suspect(h.backup)
 	h.Assert(sent[0].Kind, qt.Equals, KindPrepare)
 	third := Change{Seq: 3, Body: []byte("3")}
-	third.Digest = Chain(h.primary.m.digest, 3, third.Body)
+	third.Digest = ChainDigest(h.primary.m.digest, 3, third.Body)
 	for range 2 { // before and after a restart
 		for _, msg := range []Message{
 			h.beat(),
@@ -92,8 +92,8 @@
 		} {
 			ack = h.give(h.backup, h.primary, msg)
 			ack = ack[len(ack)-1:]
-			h.Assert(ack[0].Kind, qt.Equals, KindBeatAck)
-			h.Assert(ack[0].Step, qt.IsFalse)
+			h.Assert(ack[0].Kind, qt.Equals, KindHeartbeatAck)
+			h.Assert(ack[0].InSync, qt.IsFalse)
 			h.Assert(ack[0].Stopped, qt.IsTrue)
 			h.Assert(ack[0].Seq, qt.Equals, uint64(2))
 		}
@@ -105,7 +105,7 @@
 	h := newHand(t)
 	for range 2 {
 		ack := h.give(h.backup, h.primary, Message{
-			Kind: KindSnapshot, Seq: 1, Digest: Chain(0, 1, []byte("w1")), Body: []byte("w1"),
+			Kind: KindSnapshot, Seq: 1, Digest: ChainDigest(0, 1, []byte("w1")), Body: []byte("w1"),
 		})
 		h.Assert(ack[len(ack)-1].Seq, qt.Equals, uint64(2))
 		h.Assert(h.backup.app.log, qt.HasLen, 2)
@@ -147,7 +147,7 @@
 	h.Assert(sent[0].Kind, qt.Equals, by)
 	staged := h.give(h.witness, h.backup, sent[0])
 	h.Assert(staged[0].Kind, qt.Equals, KindStaged)
-	h.Assert(h.witness.disk.Standing.RecordEpoch, qt.Equals, h.view.Epoch)
+	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 	sent = h.give(h.backup, h.witness, staged[0])
 	h.Assert(sent[0].Kind, qt.Equals, KindAccept)
 	h.Assert(sent[0].Value.Backups, qt.DeepEquals, []ID{h.witness.disk.Identity.ID})
@@ -168,10 +168,10 @@
 	h.Assert(sent[0].Kind, qt.Equals, KindPromise)
 	for range 2 {
 		sent = h.give(w, h.backup, Message{Kind: KindPrepare, Ballot: low})
-		h.Assert(sent[len(sent)-1].Kind, qt.Equals, KindRefuse)
+		h.Assert(sent[len(sent)-1].Kind, qt.Equals, KindReject)
 		h.Assert(sent[len(sent)-1].Ballot, qt.Equals, high)
 		sent = h.give(w, h.backup, Message{Kind: KindAccept, Ballot: low, Value: &value})
-		h.Assert(sent[0].Kind, qt.Equals, KindRefuse)
+		h.Assert(sent[0].Kind, qt.Equals, KindReject)
 		h.restart(w)
 	}
 	sent = h.give(w, h.backup, Message{Kind: KindAccept, Ballot: high, Value: &value})
@@ -190,22 +190,22 @@
 		Kind: KindPrepare, From: Member{ID: "stranger", Addr: "10.0.8.8:7000"}, Epoch: h.view.Epoch,
 		Ballot: Ballot{N: 99, ID: "stranger"},
 	}
-	h.Assert(h.done(w, w.m.Receive(h.s.clock(w), "", &stranger)), qt.HasLen, 0)
+	h.Assert(h.done(w, w.m.Step(h.s.clock(w), "", &stranger)), qt.HasLen, 0)
 }
 
 // TestOldRecordHasNoSay: a machine that the view names, but whose record is of an older epoch, neither acknowledges nor
 // proposes.
 func TestOldRecordHasNoSay(t *testing.T) {
 	h := newHand(t)
-	h.backup.disk.Standing = Standing{}
+	h.backup.disk.Replica = ReplicaState{}
 	h.restart(h.backup)
 	sent := h.give(h.backup, h.primary, h.beat())
-	h.Assert(sent[len(sent)-1].Step, qt.IsFalse)
-	h.Assert(sent[len(sent)-1].Holder, qt.IsFalse)
+	h.Assert(sent[len(sent)-1].InSync, qt.IsFalse)
+	h.Assert(sent[len(sent)-1].HoldsRecord, qt.IsFalse)
 	for _, msg := range h.suspect(h.backup) {
 		h.Assert(msg.Kind, qt.Not(qt.Equals), KindPrepare)
 	}
-	h.Assert(h.backup.m.cand, qt.IsNil)
+	h.Assert(h.backup.m.candidacy, qt.IsNil)
 }
 
 // TestSlowBackupIsReplaced: a backup that beats but doesn't acknowledge is left out within bounds, and the write
@@ -251,7 +251,7 @@
 	var results []Result
 	next := View{}
 	next = h.backup.m.Status().View
-	for _, a := range h.primary.m.Receive(s.clock(h.primary), "", &Message{
+	for _, a := range h.primary.m.Step(s.clock(h.primary), "", &Message{
 		Kind: KindView, From: h.backup.m.self(), Epoch: next.Epoch, View: &next,
 	}).Answer {
 		results = append(results, a.Result)
@@ -294,16 +294,16 @@
 	h := newHand(t)
 	digest := h.primary.m.digest
 	other := Change{Seq: 3, Body: []byte("other")}
-	other.Digest = Chain(digest, 3, other.Body)
+	other.Digest = ChainDigest(digest, 3, other.Body)
 	h.backup.disk.Changes = append(h.backup.disk.Changes, other)
-	h.backup.disk.Standing.StepEpoch = 0
+	h.backup.disk.Replica.InSyncEpoch = 0
 	h.restart(h.backup)
 	third := Change{Seq: 3, Body: []byte("third")}
-	third.Digest = Chain(digest, 3, third.Body)
+	third.Digest = ChainDigest(digest, 3, third.Body)
 	sent := h.give(h.backup, h.primary, Message{Kind: KindAppend, Seq: 2, Digest: digest, Changes: []Change{third}})
 	ack := sent[len(sent)-1]
-	h.Assert(ack.Kind, qt.Equals, KindBeatAck)
-	h.Assert(ack.Step, qt.IsFalse)
+	h.Assert(ack.Kind, qt.Equals, KindHeartbeatAck)
+	h.Assert(ack.InSync, qt.IsFalse)
 	h.Assert(h.backup.app.log, qt.DeepEquals, []string{"w1", "w2", "other"})
 }
 
@@ -324,11 +324,11 @@
 	h.give(h.backup, h.primary, Message{Kind: KindView})
 	h.Assert(h.backup.disk.Identity.ID, qt.Not(qt.Equals), before)
 	h.Assert(h.backup.disk.Identity.Joined, qt.IsFalse)
-	h.Assert(h.backup.disk.Standing, qt.Equals, Standing{})
+	h.Assert(h.backup.disk.Replica, qt.Equals, ReplicaState{})
 	h.Assert(h.backup.disk.Vote.Promised, qt.Equals, Ballot{})
 	h.Assert(h.backup.disk.Changes, qt.HasLen, 0)
 	h.Assert(h.backup.app.log, qt.HasLen, 0)
-	h.Assert(h.backup.m.Status().Role, qt.Equals, Outside)
+	h.Assert(h.backup.m.Status().Role, qt.Equals, NonMember)
 }
 
 // TestThawedMachineWaits: a machine that was frozen doesn't take the others' silence meanwhile for their loss, neither a backup
@@ -343,14 +343,14 @@
 		out := b.m.Tick(h.s.clock(b) + 3*time.Second)
 		h.done(b, out)
 		h.Assert(b.m.Status().Role, qt.Equals, role)
-		h.Assert(b.m.cand, qt.IsNil)
+		h.Assert(b.m.candidacy, qt.IsNil)
 		h.Assert(b.m.stopped(), qt.IsFalse)
 	}
 }
 
 // TestOldMembersDecide: a view that leaves members out is decided by a majority of the members before, not of those after.
 func TestOldMembersDecide(t *testing.T) {
-	h := &hand{C: qt.New(t), s: newSim(11, 5, 5, Survive{Nodes: 1})}
+	h := &hand{C: qt.New(t), s: newSim(11, 5, 5, FailureTolerance{Nodes: 1})}
 	s := h.s
 	calm(t, s, []int{0, 1, 2, 3, 4}, 0)
 	h.primary = s.well()
@@ -368,10 +368,10 @@
 	for _, b := range silent {
 		s.kill(b)
 	}
-	proposes := func() bool { return h.primary.m.cand != nil && h.primary.m.cand.phase == accepting }
+	proposes := func() bool { return h.primary.m.candidacy != nil && h.primary.m.candidacy.phase == accepting }
 	h.Assert(s.runUntil(s.now+10*time.Second, proposes), qt.IsTrue)
-	h.Assert(h.primary.m.cand.value.Members, qt.HasLen, 3)
-	accepted := Message{Kind: KindAccepted, Ballot: h.primary.m.cand.ballot}
+	h.Assert(h.primary.m.candidacy.value.Members, qt.HasLen, 3)
+	accepted := Message{Kind: KindAccepted, Ballot: h.primary.m.candidacy.ballot}
 	h.give(h.primary, voters[0], accepted)
 	h.Assert(h.primary.m.Status().Epoch, qt.Equals, h.view.Epoch)
 	h.give(h.primary, voters[1], accepted)
@@ -382,7 +382,7 @@
 // TestSilentMembersStay: members are left out only as long as a majority stays when as many as may be lost are lost after that.
 func TestSilentMembersStay(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(11, 5, 5, Survive{Nodes: 2})
+	s := newSim(11, 5, 5, FailureTolerance{Nodes: 2})
 	calm(t, s, []int{0, 1, 2, 3, 4}, 0)
 	p := s.well()
 	killed := 0
@@ -403,10 +403,10 @@
 func TestJoinerIsAskedFirst(t *testing.T) {
 	h := newHand(t)
 	joiner := Message{Kind: KindHello, From: Member{ID: "joiner", Addr: "10.0.9.1:7000"}, Join: true}
-	asked := h.done(h.primary, h.primary.m.Receive(h.s.clock(h.primary), "", &joiner))
-	h.Assert(asked[len(asked)-1].Kind, qt.Equals, KindBeat)
+	asked := h.done(h.primary, h.primary.m.Step(h.s.clock(h.primary), "", &joiner))
+	h.Assert(asked[len(asked)-1].Kind, qt.Equals, KindHeartbeat)
 	h.Assert(h.primary.m.joining(), qt.HasLen, 0)
-	answer := Message{Kind: KindBeatAck, From: joiner.From, Epoch: h.view.Epoch, Round: asked[len(asked)-1].Round}
-	h.done(h.primary, h.primary.m.Receive(h.s.clock(h.primary), "", &answer))
+	answer := Message{Kind: KindHeartbeatAck, From: joiner.From, Epoch: h.view.Epoch, Round: asked[len(asked)-1].Round}
+	h.done(h.primary, h.primary.m.Step(h.s.clock(h.primary), "", &answer))
 	h.Assert(h.primary.m.joining(), qt.DeepEquals, []Member{joiner.From})
 }
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -78,7 +78,7 @@
 var stepNames = [...]string{"gets", "is to write", "is to read", "beats", "waits", "crashes and restarts", "loses its disk and restarts", "starts",
 	"is asked again for", "was frozen", "time passes for all,", "is told to end"}
 
-// step is one thing that happens to a machine; arg is a message or a token.
+// inSync is one thing that happens to a machine; arg is a message or a token.
 type step struct {
 	kind stepKind
 	i    uint8
@@ -95,7 +95,7 @@
 	n          int
 	founders   int // the first so many machines are there from the start, the others join
 	timing     timing
-	survive    Survive
+	survive    FailureTolerance
 	judged     bool // changes are judged by the record, as the control plane does it
 	small      bool // snapshots at every change
 	chunkBytes int  // of a record; 0: the usual size
@@ -136,7 +136,7 @@
 	servedTiming = timing{150 * ms, 700 * ms, 250 * ms, 600 * ms, 4 * time.Second}
 )
 
-func newExplorer(n int, sv Survive, small bool, limit int) *explorer {
+func newExplorer(n int, sv FailureTolerance, small bool, limit int) *explorer {
 	x := &explorer{
 		n: n, founders: n, timing: quickTiming, survive: sv, small: small, limit: limit, cellIDs: map[string]uint32{}, msgIDs: map[string]uint32{},
 		ghostIDs: map[string]uint32{}, effects: map[stepOf]*effect{}, ghosts: []ghost{{}}, views: map[string]View{},
@@ -150,9 +150,9 @@
 
 func (x *explorer) options(i int, bootstrap bool) Options {
 	o := Options{
-		Self: Member{Addr: x.addrs[i], Zone: fmt.Sprint("z", i), Region: "r"}, Survive: x.survive, Bootstrap: bootstrap,
-		BeatEvery: x.timing.beat, SuspectAfter: x.timing.suspect, StaggerEach: x.timing.stagger,
-		WriteWithin: x.timing.write, ForgetAfter: x.timing.forget,
+		Self: Member{Addr: x.addrs[i], Zone: fmt.Sprint("z", i), Region: "r"}, Tolerance: x.survive, Bootstrap: bootstrap,
+		HeartbeatInterval: x.timing.beat, ElectionTimeout: x.timing.suspect, ElectionStagger: x.timing.stagger,
+		WriteTimeout: x.timing.write, MemberTimeout: x.timing.forget,
 		Rand: func() uint64 { return 0 },
 	}
 	o.Seeds, o.ChunkBytes = x.addrs[:x.founders], x.chunkBytes
@@ -208,7 +208,7 @@
 		}
 		m := &p.msg
 		p.text = fmt.Sprintf("%s of %d: epoch %d ballot %d/%.8s seq %d round %d step %v stopped %v",
-			kindNames[m.Kind], from, m.Epoch, m.Ballot.N, m.Ballot.ID, m.Seq, m.Round, m.Step, m.Stopped)
+			kindNames[m.Kind], from, m.Epoch, m.Ballot.N, m.Ballot.ID, m.Seq, m.Round, m.InSync, m.Stopped)
 		id = uint32(len(x.packets))
 		x.packets = append(x.packets, p)
 		x.msgIDs[k] = id
@@ -217,10 +217,10 @@
 }
 
 var kindNames = map[Kind]string{
-	KindHello: "hello", KindView: "view", KindBeat: "beat", KindBeatAck: "ack", KindAppend: "append",
+	KindHello: "helloMessage", KindView: "view", KindHeartbeat: "beat", KindHeartbeatAck: "ack", KindAppend: "appendProposal",
 	KindSnapshot: "snapshot", KindStage: "stage", KindStaged: "staged", KindPrepare: "prepare", KindPromise: "promise",
-	KindAccept: "accept", KindAccepted: "accepted", KindRefuse: "refuse", KindHandover: "handover",
-	KindReceived: "received", KindStageChanges: "stage changes",
+	KindAccept: "accept", KindAccepted: "accepted", KindReject: "refuse", KindHandover: "handover",
+	KindTransferAck: "received", KindStageChanges: "stage changes",
 }
 
 func (x *explorer) internGhost(g ghost) uint32 {
@@ -249,7 +249,7 @@
 	}
 	old := x.cells[id]
 	c := old.grow(&x.err)
-	before := c.m.id.ID
+	before := c.m.identity.ID
 	was := x.cellIDs[old.key()]
 	out, ok := x.input(c, s)
 	var e *effect
@@ -291,14 +291,14 @@
 	switch s.kind {
 	case stepDeliver:
 		p := &x.packets[s.arg]
-		return m.Receive(c.clock(), x.addrs[p.from], &p.msg), true
+		return m.Step(c.clock(), x.addrs[p.from], &p.msg), true
 	case stepWrite:
-		if !m.led {
+		if !m.isPrimary {
 			return Output{}, false
 		}
 		return m.Propose(c.clock(), uint64(s.arg), fmt.Appendf(nil, "w%d", s.arg)), true
 	case stepRead:
-		if !m.led {
+		if !m.isPrimary {
 			return Output{}, false
 		}
 		return m.Read(c.clock(), uint64(s.arg)), true
@@ -311,7 +311,7 @@
 		c.frozen = freezeTime
 		return Output{}, true
 	case stepLeave:
-		if m.leave.begun || !m.started {
+		if m.departure.begun || !m.started {
 			return Output{}, false
 		}
 		return m.Leave(c.clock()), true
@@ -319,18 +319,18 @@
 		if !m.leading() {
 			return Output{}, false
 		}
-		return m.Tick(max(m.Next(), m.now+1, c.clock())), true
+		return m.Tick(max(m.NextTick(), m.now+1, c.clock())), true
 	case stepWait: // what is sent meanwhile is lost, but for the last
 		mark := func() string {
 			ph := -1
-			if m.cand != nil {
-				ph = int(m.cand.phase)
+			if m.candidacy != nil {
+				ph = int(m.candidacy.phase)
 			}
 			return fmt.Sprint(m.view.Epoch, ph, m.stopped(), m.vote.Promised)
 		}
 		first := mark()
 		for range 60 {
-			out := m.Tick(max(m.Next(), m.now+1, c.clock()))
+			out := m.Tick(max(m.NextTick(), m.now+1, c.clock()))
 			if mark() != first {
 				return out, true
 			}
@@ -339,8 +339,8 @@
 		return Output{}, false
 	case stepCrash, stepWipe, stepStart:
 		if s.kind == stepWipe {
-			c.wiped = append(slices.Clip(c.wiped), m.id.ID)
-			c.disk = State{}
+			c.wiped = append(slices.Clip(c.wiped), m.identity.ID)
+			c.disk = PersistentState{}
 		}
 		if s.kind != stepStart {
 			c.life++
--- a/internal/fleet/replication/searchcases_test.go
+++ b/internal/fleet/replication/searchcases_test.go
@@ -127,7 +127,7 @@
 
 // explorer makes the search of a shape and its first state.
 func (sh *shape) explorer(limit int) (*explorer, world, error) {
-	x := newExplorer(sh.members+sh.joiners, Survive{Nodes: max(sh.survive, 1)}, sh.small, limit)
+	x := newExplorer(sh.members+sh.joiners, FailureTolerance{Nodes: max(sh.survive, 1)}, sh.small, limit)
 	x.founders, x.judged, x.kinds = sh.members, sh.judged, sh.faults
 	x.late, x.chunkBytes = sh.late, sh.chunkBytes
 	if sh.served {
--- a/internal/fleet/replication/searchretry_test.go
+++ b/internal/fleet/replication/searchretry_test.go
@@ -46,7 +46,7 @@
 
 // retry has a primary judge a change.
 func (x *explorer) retry(c *cell, arg uint32) (Output, bool) {
-	if !c.m.led {
+	if !c.m.isPrimary {
 		return Output{}, false
 	}
 	change, base := orderOfArg(arg)
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// refusals tells when a change that was refused is committed.
+// rejections tells when a change that was refused is committed.
 func (g *ghost) refusals() string {
 	for _, change := range g.refused {
 		if slices.Contains(g.committed, changeBody(change)) {
--- a/internal/fleet/replication/searchrules_test.go
+++ b/internal/fleet/replication/searchrules_test.go
@@ -176,7 +176,7 @@
 	}
 	past := p.msg.Epoch < c.view.Epoch
 	switch p.msg.Kind {
-	case KindPrepare, KindPromise, KindAccept, KindAccepted, KindRefuse:
+	case KindPrepare, KindPromise, KindAccept, KindAccepted, KindReject:
 		past = past || p.msg.Ballot.less(c.vote.Promised)
 	}
 	return past && x.play(id, step{stepDeliver, uint8(p.to), m}).cell == id
@@ -278,7 +278,7 @@
 func (x *explorer) whole(w *world, g *ghost) bool {
 	newest := uint64(len(g.views)) - 1
 	v := x.views[g.views[newest]]
-	if len(v.Backups) < x.survive.Copies()-1 {
+	if len(v.Backups) < x.survive.Replicas()-1 {
 		return false
 	}
 	ready, holding, members := false, 0, 0
@@ -292,7 +292,7 @@
 			members++
 		}
 	}
-	return ready && holding == len(v.Backups)+1 && members-x.survive.Nodes >= v.majority()
+	return ready && holding == len(v.Backups)+1 && members-x.survive.Nodes >= v.quorum()
 }
 
 // missed tells when a machine that may end is one of the last so many that hold a change.
@@ -333,10 +333,10 @@
 				return fmt.Sprintf("%d leads epoch %d without %s, acknowledged in %d", i, c.status.Epoch, body, a.epoch)
 			}
 		}
-		if b := x.missed(w, has, x.survive.Copies()-g.wipes); b != "" {
+		if b := x.missed(w, has, x.survive.Replicas()-g.wipes); b != "" {
 			return b
 		}
-		if disks < x.survive.Copies()-g.wipes {
+		if disks < x.survive.Replicas()-g.wipes {
 			return fmt.Sprintf("%s was acknowledged and is on %d disks after %d were lost", body, disks, g.wipes)
 		}
 	}
@@ -347,12 +347,12 @@
 	v, disks := x.views[g.views[newest]], 0
 	for i := range x.n {
 		d := &x.cells[w.cells[i]].disk
-		whole := d.Standing.RecordEpoch == d.View.Epoch && (d.View.Epoch > 0 || d.Identity.Founder)
+		whole := d.Replica.RecordEpoch == d.View.Epoch && (d.View.Epoch > 0 || d.Identity.Founder)
 		if v.rank(d.Identity.ID) >= 0 && whole && d.View.Epoch+1 >= newest {
 			disks++
 		}
 	}
-	if disks < x.survive.Copies()-g.wipes {
+	if disks < x.survive.Replicas()-g.wipes {
 		return fmt.Sprintf("the record of epoch %d is on %d disks after %d were lost", newest, disks, g.wipes)
 	}
 	return ""
--- a/internal/fleet/replication/searchrun_test.go
+++ b/internal/fleet/replication/searchrun_test.go
@@ -234,14 +234,14 @@
 			to := x.packets[m].to
 			c := x.cells[w.cells[to]].grow(&x.err) // clocks go together here
 			c.m.now = max(c.m.now, now)
-			c.done(c.m.id.ID)
+			c.done(c.m.identity.ID)
 			w.cells[to] = x.internCell(c)
 			take(step{stepDeliver, uint8(to), m})
 		}
 		ready, lead := 0, -1
 		for i := range x.founders {
 			st := x.cells[w.cells[i]].status
-			if st.Ready && len(st.View.Members) == x.founders && len(st.View.Backups) == x.survive.Copies()-1 {
+			if st.Ready && len(st.View.Members) == x.founders && len(st.View.Backups) == x.survive.Replicas()-1 {
 				ready++
 				if st.Role == Primary {
 					lead = i
@@ -271,13 +271,13 @@
 		}
 		i := 0
 		for j := range x.founders {
-			if x.cells[w.cells[j]].m.Next() < x.cells[w.cells[i]].m.Next() {
+			if x.cells[w.cells[j]].m.NextTick() < x.cells[w.cells[i]].m.NextTick() {
 				i = j
 			}
 		}
-		now = max(now+1, x.cells[w.cells[i]].m.Next())
+		now = max(now+1, x.cells[w.cells[i]].m.NextTick())
 		c := x.cells[w.cells[i]].grow(&x.err)
-		before := c.m.id.ID
+		before := c.m.identity.ID
 		out := c.m.Tick(now)
 		save(&c.disk, out.Write)
 		c.done(before)
@@ -296,7 +296,7 @@
 	w := world{left: budget{starts: uint8(starts)}}
 	for i := range x.n {
 		c := &cell{i: i, app: &logApp{err: &x.err}}
-		m, err := New(x.options(i, true), State{}, c.app)
+		m, err := New(x.options(i, true), PersistentState{}, c.app)
 		if err != nil {
 			x.err = err
 			return w
--- a/internal/fleet/replication/searchtime_test.go
+++ b/internal/fleet/replication/searchtime_test.go
@@ -138,10 +138,10 @@
 // input gives machine i an input now.
 func (r *timeline) input(i int, do func(m *Machine, now time.Duration) Output) {
 	c := r.cells[i]
-	before := c.m.id.ID
+	before := c.m.identity.ID
 	out := do(c.m, r.clock(i))
 	save(&c.disk, out.Write)
-	if c.m.id.ID != before {
+	if c.m.identity.ID != before {
 		c.gen++
 		c.draw()
 	}
@@ -172,7 +172,7 @@
 		if c == nil || r.asleep(i) {
 			continue
 		}
-		if at := max(c.m.Next()-r.offset[i], r.now+1); at < due {
+		if at := max(c.m.NextTick()-r.offset[i], r.now+1); at < due {
 			first, due = i, at
 		}
 	}
@@ -180,7 +180,7 @@
 		f := r.queue[0]
 		r.queue = r.queue[1:]
 		r.now = f.at
-		r.input(f.to, func(m *Machine, now time.Duration) Output { return m.Receive(now, f.by, f.msg) })
+		r.input(f.to, func(m *Machine, now time.Duration) Output { return m.Step(now, f.by, f.msg) })
 		return true
 	}
 	if first < 0 {
@@ -218,9 +218,9 @@
 }
 
 func markOf(m *Machine) mark {
-	k := mark{epoch: m.view.Epoch, stopped: m.stopped(), promise: m.vote.Promised, cand: m.cand != nil}
+	k := mark{epoch: m.view.Epoch, stopped: m.stopped(), promise: m.vote.Promised, cand: m.candidacy != nil}
 	if k.cand {
-		k.phase = m.cand.phase
+		k.phase = m.candidacy.phase
 	}
 	return k
 }
@@ -286,7 +286,7 @@
 		if r.fault.kind == faultFrozen && r.asleep(i) {
 			c.frozen = r.clock(i) - c.m.now
 		}
-		c.done(c.m.id.ID)
+		c.done(c.m.identity.ID)
 		from[i] = r.x.internCell(c)
 	}
 	return from
--- a/internal/fleet/replication/sim_test.go
+++ b/internal/fleet/replication/sim_test.go
@@ -39,12 +39,12 @@
 }
 
 // save carries a Write out on a disk in memory.
-func save(d *State, w *Write) {
+func save(d *PersistentState, w *Write) {
 	if w == nil {
 		return
 	}
 	if w.Reset {
-		*d = State{}
+		*d = PersistentState{}
 	}
 	if w.Identity != nil {
 		d.Identity = *w.Identity
@@ -55,8 +55,8 @@
 	if w.Vote != nil {
 		d.Vote = *w.Vote
 	}
-	if w.Standing != nil {
-		d.Standing = *w.Standing
+	if w.Replica != nil {
+		d.Replica = *w.Replica
 	}
 	if w.Snapshot != nil {
 		d.Snapshot, d.Changes = w.Snapshot, nil
@@ -75,7 +75,7 @@
 // box is one machine of the simulated core.
 type box struct {
 	addr, zone string
-	disk       State
+	disk       PersistentState
 	m          *Machine
 	app        *logApp
 	life       int
@@ -114,7 +114,7 @@
 	n         int
 	boxes     []*box
 	seeds     []string
-	survive   Survive
+	survive   FailureTolerance
 	bootUntil time.Duration
 	zones     int
 	loss, dup float64
@@ -141,7 +141,7 @@
 	tune       func(*Options) // changes the settings of each process, nil: nothing
 }
 
-func newSim(seed uint64, n, seeds int, s Survive) *sim {
+func newSim(seed uint64, n, seeds int, s FailureTolerance) *sim {
 	r := &sim{
 		rng: rand.New(rand.NewPCG(seed, 1)), survive: s, zones: 3, delay: 10 * ms,
 		cuts: map[[2]string]time.Duration{}, acked: map[string]uint64{}, leaders: map[uint64]string{},
@@ -211,12 +211,12 @@
 		seeds = there[:min(3, len(there))]
 	}
 	o := Options{
-		Self: Member{Addr: b.addr, Zone: b.zone, Region: "r"}, Survive: s.survive, Seeds: seeds,
-		Bootstrap: s.now < s.bootUntil, BeatEvery: 100 * ms, SuspectAfter: 500 * ms, StaggerEach: 150 * ms,
-		WriteWithin: 600 * ms, ForgetAfter: 3 * time.Second, Rand: s.rng.Uint64,
+		Self: Member{Addr: b.addr, Zone: b.zone, Region: "r"}, Tolerance: s.survive, Seeds: seeds,
+		Bootstrap: s.now < s.bootUntil, HeartbeatInterval: 100 * ms, ElectionTimeout: 500 * ms, ElectionStagger: 150 * ms,
+		WriteTimeout: 600 * ms, MemberTimeout: 3 * time.Second, Rand: s.rng.Uint64,
 	}
 	if s.hard {
-		o.SuspectAfter, o.StaggerEach = 200*ms, 20*ms
+		o.ElectionTimeout, o.ElectionStagger = 200*ms, 20*ms
 	}
 	if s.small {
 		o.SnapshotBytes, o.ChunkBytes = 20, 64
@@ -295,7 +295,7 @@
 	}
 	b.diskFree = max(b.diskFree, s.now) + d
 	s.after(b.diskFree-s.now, func() { s.carryOut(b, life) })
-	next := max(b.m.Next()+b.started, s.now+ms)
+	next := max(b.m.NextTick()+b.started, s.now+ms)
 	if b.ticking < 0 || next < b.ticking {
 		b.ticking = next
 		s.after(next-s.now, func() {
@@ -414,7 +414,7 @@
 		s.fail("decode: %v", err)
 		return
 	}
-	s.input(b, b.m.Receive(s.clock(b), from, &msg))
+	s.input(b, b.m.Step(s.clock(b), from, &msg))
 }
 
 func (s *sim) live() []*box {
@@ -485,10 +485,10 @@
 	}
 	for _, b := range s.live() {
 		st := b.m.Status()
-		if st.Role != Primary || !st.Ready || len(st.View.Backups) < min(s.survive.Copies(), len(s.boxes))-1 {
+		if st.Role != Primary || !st.Ready || len(st.View.Backups) < min(s.survive.Replicas(), len(s.boxes))-1 {
 			continue
 		}
-		if len(st.View.Members) < 2*s.survive.Copies()-1 {
+		if len(st.View.Members) < 2*s.survive.Replicas()-1 {
 			continue
 		}
 		zones := map[string]bool{b.zone: true}
@@ -509,7 +509,7 @@
 		if s.survive.Zones > 0 {
 			most = max(most, (len(s.boxes)+s.zones-1)/s.zones*s.survive.Zones)
 		}
-		if there-most >= st.View.majority() && !slices.ContainsFunc(st.View.Backups, func(id ID) bool { return !ids[id] }) {
+		if there-most >= st.View.quorum() && !slices.ContainsFunc(st.View.Backups, func(id ID) bool { return !ids[id] }) {
 			return b
 		}
 	}
--- a/internal/fleet/replication/stage.go
+++ b/internal/fleet/replication/stage.go
@@ -8,9 +8,9 @@
 	movedAt     time.Duration
 }
 
-// notePosition keeps where the sender's record stands, and reports whether that is news. It is a hint: what it leads to is
+// recordPosition keeps where the sender's record stands, and reports whether that is news. It is a hint: what it leads to is
 // checked by the receiver.
-func (m *Machine) notePosition(msg *Message) bool {
+func (m *Machine) recordPosition(msg *Message) bool {
 	was, ok := m.positions[msg.From.ID]
 	if ok && was.seq == msg.Seq && was.digest == msg.Digest {
 		return false
@@ -22,11 +22,11 @@
 // stageRecord brings a coming backup the record: the changes that it lacks where its record is a part of ours that we still
 // know, else all of it.
 func (m *Machine) stageRecord(to Member) {
-	if at, ok := m.positions[to.ID]; ok && m.knows(at) {
+	if at, ok := m.positions[to.ID]; ok && m.hasPrefix(at) {
 		changes := m.changesAfter(at.seq)
 		if len(changes) > 0 || at.seq == m.seq {
 			m.send(to.Addr, Message{
-				Kind: KindStageChanges, Seq: at.seq, Digest: at.digest, Changes: changes, Committed: m.knownCommitted(), Total: m.seq,
+				Kind: KindStageChanges, Seq: at.seq, Digest: at.digest, Changes: changes, Committed: m.knownCommit(), Total: m.seq,
 			})
 			return
 		}
@@ -34,29 +34,29 @@
 	m.sendRecord(KindStage, to)
 }
 
-// onStageChanges takes changes of a proposer's record. Only with all of them does this machine hold the record.
-func (m *Machine) onStageChanges(msg *Message) {
+// handleStageChanges takes changes of a proposer's record. Only with all of them does this machine hold the record.
+func (m *Machine) handleStageChanges(msg *Message) {
 	if m.view.Epoch == 0 || m.view.rank(msg.From.ID) < 0 {
 		return
 	}
-	if !m.holder() && m.stand.RecordEpoch != m.view.Epoch || m.lacks(msg) {
-		if !m.follow(msg) || m.seq < msg.Total {
-			m.send(msg.From.Addr, Message{Kind: KindReceived, Seq: m.seq, Digest: m.digest})
+	if !m.holdsRecord() && m.replica.RecordEpoch != m.view.Epoch || m.lacksCommitted(msg) {
+		if !m.appendChanges(msg) || m.seq < msg.Total {
+			m.send(msg.From.Addr, Message{Kind: KindTransferAck, Seq: m.seq, Digest: m.digest})
 			return
 		}
-		m.stand.RecordEpoch = m.view.Epoch
-		m.putStanding()
+		m.replica.RecordEpoch = m.view.Epoch
+		m.saveReplica()
 	}
 	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.seq, Digest: m.digest})
 }
 
-// onStagePosition goes on with staging from where a coming backup stands.
-func (m *Machine) onStagePosition(msg *Message) {
-	c := m.cand
+// handleStagePosition goes on with staging from where a coming backup stands.
+func (m *Machine) handleStagePosition(msg *Message) {
+	c := m.candidacy
 	if c == nil || c.phase != staging {
 		return
 	}
-	if to, ok := c.value.member(msg.From.ID); ok && c.value.rank(to.ID) > 0 && !c.staged[to.ID] && m.notePosition(msg) {
+	if to, ok := c.value.member(msg.From.ID); ok && c.value.rank(to.ID) > 0 && !c.staged[to.ID] && m.recordPosition(msg) {
 		m.positions[to.ID] = position{msg.Seq, msg.Digest, m.now}
 		m.stageRecord(to)
 	}
--- a/internal/fleet/replication/survive.go
+++ b/internal/fleet/replication/survive.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Copies is how many machines must hold the record so that one remains: one more than may be lost at once.
-func (s Survive) Copies() int { return max(s.Nodes, s.Zones, s.Regions, 0) + 1 }
+// Replicas is how many machines must hold the record so that one remains: one more than may be lost at once.
+func (s FailureTolerance) Replicas() int { return max(s.Nodes, s.Zones, s.Regions, 0) + 1 }
 
-// borneBy reports whether a majority of the members is left after any loss that is to be survived.
-func (s Survive) borneBy(members []Member) bool {
+// toleratedBy reports whether a majority of the members is left after any loss that is to be survived.
+func (s FailureTolerance) toleratedBy(members []Member) bool {
 	zones, regions := map[[2]string]int{}, map[string]int{}
 	for _, m := range members {
 		zones[m.zone()]++
 		regions[m.Region]++
 	}
-	lost := max(s.Nodes, mostOf(zones, s.Zones), mostOf(regions, s.Regions))
-	return len(members)-lost >= majorityOf(len(members))
+	lost := max(s.Nodes, largestDomains(zones, s.Zones), largestDomains(regions, s.Regions))
+	return len(members)-lost >= quorumSize(len(members))
 }
 
-// mostOf is how many members the n largest places have together.
-func mostOf[K comparable](places map[K]int, n int) int {
+// largestDomains is how many members the n largest places have together.
+func largestDomains[K comparable](places map[K]int, n int) int {
 	var sizes []int
 	for _, size := range places {
 		sizes = append(sizes, size)
@@ -30,8 +30,8 @@
 	return sum
 }
 
-// majorityOf is how many of so many members are a majority.
-func majorityOf(members int) int { return members/2 + 1 }
+// quorumSize is how many of so many members are a majority.
+func quorumSize(members int) int { return members/2 + 1 }
 
 // zone is where a member stands: zones of different regions may bear one name.
 func (m *Member) zone() [2]string { return [2]string{m.Region, m.Zone} }
--- a/internal/fleet/replication/transfer.go
+++ b/internal/fleet/replication/transfer.go
@@ -26,7 +26,7 @@
 // image is the whole record as it was at seq.
 type image struct {
 	seq, digest uint64
-	sum         uint64 // hash of body
+	checksum    uint64 // hash of body
 	body        []byte
 }
 
@@ -34,7 +34,7 @@
 type transfer struct {
 	kind    Kind // KindSnapshot or KindStage
 	image   *image
-	had     int           // bytes that the receiver acknowledged
+	acked   int           // bytes that the receiver acknowledged
 	next    int           // the first byte that wasn't sent since had was last set back
 	sentAt  time.Duration // the last chunk
 	movedAt time.Duration // when had last grew
@@ -42,21 +42,21 @@
 
 // assembly is an image of which some chunks have come.
 type assembly struct {
-	seq, digest, sum uint64
-	total            int
-	body             []byte
-	ahead            []byte // a chunk that overtook the one before it
-	aheadOffset      int
-	at               time.Duration // the last chunk that was of use
+	seq, digest, checksum uint64
+	total                 int
+	body                  []byte
+	ahead                 []byte // a chunk that overtook the one before it
+	aheadOffset           int
+	at                    time.Duration // the last chunk that was of use
 }
 
-// of reports whether a chunk belongs to a.
-func (a *assembly) of(msg *Message) bool {
-	return a.seq == msg.Seq && a.digest == msg.Digest && a.sum == msg.Sum && uint64(a.total) == msg.Total
+// matches reports whether a chunk belongs to a.
+func (a *assembly) matches(msg *Message) bool {
+	return a.seq == msg.Seq && a.digest == msg.Digest && a.checksum == msg.Checksum && uint64(a.total) == msg.Total
 }
 
-// take adds a chunk and reports whether it was of use.
-func (a *assembly) take(offset int, chunk []byte) bool {
+// add adds a chunk and reports whether it was of use.
+func (a *assembly) add(offset int, chunk []byte) bool {
 	if offset > len(a.body) {
 		a.ahead, a.aheadOffset = chunk, offset
 		return false
@@ -75,33 +75,33 @@
 // sendRecord sends the whole record, or goes on with a transfer of it whose receiver was silent for too long.
 func (m *Machine) sendRecord(kind Kind, to Member) {
 	t := m.transfers[to.ID]
-	if t == nil || t.kind != kind || !m.reachedFrom(t.image) {
+	if t == nil || t.kind != kind || !m.reachableFrom(t.image) {
 		m.dropTransfer(to.ID)
 		img := m.currentImage()
 		t = &transfer{kind: kind, image: img, movedAt: m.now}
 		if len(img.body) > m.opt.ChunkBytes {
 			m.transfers[to.ID], m.image = t, img
 		}
-	} else if m.now-max(t.sentAt, t.movedAt) < m.opt.WriteWithin/2 {
+	} else if m.now-max(t.sentAt, t.movedAt) < m.opt.WriteTimeout/2 {
 		return
 	}
-	t.next = t.had
+	t.next = t.acked
 	m.sendChunks(to.Addr, t)
 }
 
-// reachedFrom reports whether the changes that lead from an image to the record are still kept.
-func (m *Machine) reachedFrom(img *image) bool {
+// reachableFrom reports whether the changes that lead from an image to the record are still kept.
+func (m *Machine) reachableFrom(img *image) bool {
 	digest, ok := m.digestAt(img.seq)
 	return ok && digest == img.digest
 }
 
 // currentImage is the image that transfers share while the changes since are kept, else a new one.
 func (m *Machine) currentImage() *image {
-	if m.image != nil && m.reachedFrom(m.image) {
+	if m.image != nil && m.reachableFrom(m.image) {
 		return m.image
 	}
 	body := m.app.Snapshot()
-	return &image{seq: m.seq, digest: m.digest, sum: xxhash.Sum64(body), body: body}
+	return &image{seq: m.seq, digest: m.digest, checksum: xxhash.Sum64(body), body: body}
 }
 
 // sendChunks sends what the window allows.
@@ -110,46 +110,46 @@
 	for {
 		end := min(t.next+m.opt.ChunkBytes, len(img.body))
 		m.send(to, Message{
-			Kind: t.kind, Seq: img.seq, Digest: img.digest, Committed: min(m.knownCommitted(), img.seq),
-			Sum: img.sum, Total: uint64(len(img.body)), Offset: uint64(t.next), Body: img.body[t.next:end],
+			Kind: t.kind, Seq: img.seq, Digest: img.digest, Committed: min(m.knownCommit(), img.seq),
+			Checksum: img.checksum, Total: uint64(len(img.body)), Offset: uint64(t.next), Body: img.body[t.next:end],
 		})
 		t.next, t.sentAt = end, m.now
-		if end == len(img.body) || end-t.had >= chunkWindow*m.opt.ChunkBytes {
+		if end == len(img.body) || end-t.acked >= chunkWindow*m.opt.ChunkBytes {
 			return
 		}
 	}
 }
 
-// onReceived goes on with a transfer.
-func (m *Machine) onReceived(msg *Message) {
-	if msg.Sum == 0 {
-		m.onStagePosition(msg)
+// handleTransferAck goes on with a transfer.
+func (m *Machine) handleTransferAck(msg *Message) {
+	if msg.Checksum == 0 {
+		m.handleStagePosition(msg)
 		return
 	}
 	t := m.transfers[msg.From.ID]
-	if t == nil || t.image.sum != msg.Sum || t.image.seq != msg.Seq || msg.Offset >= uint64(len(t.image.body)) {
+	if t == nil || t.image.checksum != msg.Checksum || t.image.seq != msg.Seq || msg.Offset >= uint64(len(t.image.body)) {
 		return
 	}
 	had := int(msg.Offset)
 	switch {
-	case had > t.had:
-		t.had, t.movedAt = had, m.now
+	case had > t.acked:
+		t.acked, t.movedAt = had, m.now
 		t.next = max(t.next, had)
-		if p := m.peers[msg.From.ID]; p != nil && p.behind >= 0 {
-			p.behind = m.now
+		if p := m.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {
+			p.stalledSince = m.now
 		}
-	case had < t.had && m.now-t.movedAt >= m.opt.BeatEvery: // the receiver has begun anew
-		t.had, t.next = had, had
+	case had < t.acked && m.now-t.movedAt >= m.opt.HeartbeatInterval: // the receiver has begun anew
+		t.acked, t.next = had, had
 	default:
 		return
 	}
-	if t.next < len(t.image.body) && t.next-t.had < chunkWindow*m.opt.ChunkBytes {
+	if t.next < len(t.image.body) && t.next-t.acked < chunkWindow*m.opt.ChunkBytes {
 		m.sendChunks(msg.From.Addr, t)
 	}
 }
 
-// endTransfer notes that a receiver's record has come to seq.
-func (m *Machine) endTransfer(id ID, seq uint64) {
+// finishTransfer notes that a receiver's record has come to seq.
+func (m *Machine) finishTransfer(id ID, seq uint64) {
 	if t := m.transfers[id]; t != nil && seq >= t.image.seq {
 		m.dropTransfer(id)
 	}
@@ -188,41 +188,41 @@
 	return m.now-since >= within
 }
 
-// assemble takes a chunk and acknowledges it. It gives the record's body once that is whole.
-func (m *Machine) assemble(msg *Message) (body []byte, whole bool) {
+// receiveChunk takes a chunk and acknowledges it. It gives the record's body once that is whole.
+func (m *Machine) receiveChunk(msg *Message) (body []byte, complete bool) {
 	if msg.Offset == 0 && uint64(len(msg.Body)) >= msg.Total {
-		return msg.Body, msg.Sum == 0 || msg.Sum == xxhash.Sum64(msg.Body)
+		return msg.Body, msg.Checksum == 0 || msg.Checksum == xxhash.Sum64(msg.Body)
 	}
 	if msg.Total > maxRecordBytes || msg.Offset+uint64(len(msg.Body)) > msg.Total {
 		return nil, false
 	}
 	a := m.incoming
-	if a == nil || !a.of(msg) {
-		if a != nil && m.now-a.at < 2*m.opt.BeatEvery {
+	if a == nil || !a.matches(msg) {
+		if a != nil && m.now-a.at < 2*m.opt.HeartbeatInterval {
 			return nil, false // one at a time: memory is bounded, and two senders can't keep each other from the end
 		}
-		a = &assembly{seq: msg.Seq, digest: msg.Digest, sum: msg.Sum, total: int(msg.Total)}
+		a = &assembly{seq: msg.Seq, digest: msg.Digest, checksum: msg.Checksum, total: int(msg.Total)}
 		m.incoming = a
 	}
-	if a.take(int(msg.Offset), msg.Body) {
+	if a.add(int(msg.Offset), msg.Body) {
 		a.at = m.now
 	}
 	if len(a.body) == a.total {
 		m.incoming = nil
-		if xxhash.Sum64(a.body) == a.sum {
+		if xxhash.Sum64(a.body) == a.checksum {
 			return a.body, true
 		}
 		a = &assembly{}
 	}
 	m.send(msg.From.Addr, Message{
-		Kind: KindReceived, Seq: msg.Seq, Digest: msg.Digest, Sum: msg.Sum, Offset: uint64(len(a.body)),
+		Kind: KindTransferAck, Seq: msg.Seq, Digest: msg.Digest, Checksum: msg.Checksum, Offset: uint64(len(a.body)),
 	})
 	return nil, false
 }
 
-// forgetAssembly drops a record whose sender has gone silent.
-func (m *Machine) forgetAssembly() {
-	if a := m.incoming; a != nil && m.now-a.at >= m.opt.ForgetAfter {
+// expireAssembly drops a record whose sender has gone silent.
+func (m *Machine) expireAssembly() {
+	if a := m.incoming; a != nil && m.now-a.at >= m.opt.MemberTimeout {
 		m.incoming = nil
 	}
 }
--- a/internal/fleet/replication/transfer_test.go
+++ b/internal/fleet/replication/transfer_test.go
@@ -35,7 +35,7 @@
 	seq, digest := uint64(9), uint64(99)
 	for at := 0; at < len(body); at += chunkBytes {
 		chunks = append(chunks, Message{
-			Kind: KindSnapshot, Seq: seq, Digest: digest, Sum: xxhash.Sum64String(body), Total: uint64(len(body)),
+			Kind: KindSnapshot, Seq: seq, Digest: digest, Checksum: xxhash.Sum64String(body), Total: uint64(len(body)),
 			Offset: uint64(at), Body: []byte(body[at:min(at+chunkBytes, len(body))]),
 		})
 	}
@@ -54,18 +54,18 @@
 	for _, msg := range damaged {
 		sent := h.give(h.backup, h.primary, msg)
 		h.Assert(sent, qt.HasLen, 1)
-		h.Assert(sent[0].Kind, qt.Equals, KindReceived)
+		h.Assert(sent[0].Kind, qt.Equals, KindTransferAck)
 	}
 	h.Assert(h.backup.m.Status().Seq, qt.Equals, uint64(2))
 	h.Assert(strings.Join(h.backup.app.log, ","), qt.Equals, "w1,w2")
 	for i, msg := range chunks {
 		sent := h.give(h.backup, h.primary, msg)
 		if i < len(chunks)-1 {
-			h.Assert(sent[0].Kind, qt.Equals, KindReceived)
+			h.Assert(sent[0].Kind, qt.Equals, KindTransferAck)
 			h.Assert(sent[0].Offset, qt.Equals, msg.Offset+uint64(len(msg.Body)))
 			continue
 		}
-		h.Assert(sent[0].Kind, qt.Equals, KindBeatAck)
+		h.Assert(sent[0].Kind, qt.Equals, KindHeartbeatAck)
 		h.Assert(sent[0].Seq, qt.Equals, uint64(9))
 	}
 	h.Assert(string(h.backup.disk.Snapshot.Body), qt.Equals, nineChanges)
@@ -81,7 +81,7 @@
 		for steps := 0; len(a.body) < a.total; steps++ {
 			h.Assert(steps < 10_000, qt.IsTrue)
 			msg := chunks[r.IntN(len(chunks))]
-			a.take(int(msg.Offset), msg.Body)
+			a.add(int(msg.Offset), msg.Body)
 			h.Assert(string(a.body), qt.Equals, nineChanges[:len(a.body)])
 		}
 	}
@@ -90,7 +90,7 @@
 // TestLostChunks: a record gets through although chunks are lost.
 func TestLostChunks(t *testing.T) {
 	c := qt.New(t)
-	core := newThinCore(c, 3, Survive{Nodes: 1}, 400_000)
+	core := newThinCore(c, 3, FailureTolerance{Nodes: 1}, 400_000)
 	sent := 0
 	core.lost = func(msg *Message) bool {
 		sent++
@@ -104,7 +104,7 @@
 func TestLogIsKeptForRecord(t *testing.T) {
 	c := qt.New(t)
 	const size = 6_000_000
-	core := startThinCoreWith(c, 3, Survive{Nodes: 1}, size, 40_000) // 4.8 s on the link; 100 changes or 4 s in the log
+	core := startThinCoreWith(c, 3, FailureTolerance{Nodes: 1}, size, 40_000) // 4.8 s on the link; 100 changes or 4 s in the log
 	n, primary := core.byRole(Witness), core.primary()
 	n.empty()
 	sent := primary.sent
@@ -122,22 +122,22 @@
 	ballot := h.suspect(h.backup)[0].Ballot
 	all := h.backup.disk.Changes
 	h.Assert(all, qt.HasLen, 2)
-	held := h.witness.disk.Standing.RecordEpoch
+	held := h.witness.disk.Replica.RecordEpoch
 	notStaged := func(msg Message) {
 		h.Helper()
 		msg.Kind, msg.Ballot = KindStageChanges, ballot
 		sent := h.give(h.witness, h.backup, msg)
 		h.Assert(sent, qt.HasLen, 1)
-		h.Assert(sent[0].Kind, qt.Equals, KindReceived)
+		h.Assert(sent[0].Kind, qt.Equals, KindTransferAck)
 		h.Assert(sent[0].Seq, qt.Equals, h.witness.m.Status().Seq)
-		h.Assert(h.witness.disk.Standing.RecordEpoch, qt.Equals, held)
+		h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, held)
 	}
 	seq := h.witness.m.Status().Seq
 	notStaged(Message{Seq: 7, Digest: 7, Total: 2})
 	notStaged(Message{Seq: seq, Digest: h.witness.m.digest, Changes: all[seq:], Total: 3})
 	sent := h.give(h.witness, h.backup, Message{Kind: KindStageChanges, Ballot: ballot, Seq: all[1].Seq, Digest: all[1].Digest, Total: 2})
 	h.Assert(sent[0].Kind, qt.Equals, KindStaged)
-	h.Assert(h.witness.disk.Standing.RecordEpoch, qt.Equals, h.view.Epoch)
+	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
 
 // TestStagedRecordStays: once a proposer's record was staged, a late record of the primary, which may be shorter, doesn't take its place.
@@ -150,14 +150,14 @@
 	h.Assert(staged[0].Kind, qt.Equals, KindStaged)
 	h.give(h.witness, h.primary, Message{Kind: KindSnapshot, Seq: 2, Digest: h.primary.m.digest, Body: []byte("w1\nw2")})
 	h.Assert(strings.Join(h.witness.app.log, ","), qt.Equals, "w1,w2,x")
-	h.Assert(h.witness.disk.Standing.RecordEpoch, qt.Equals, h.view.Epoch)
+	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
 
 // TestNearLearnerIsPreferred: of two machines that may become the backup the one that has learned the record does, and changes are
 // acknowledged again within a second and a half.
 func TestNearLearnerIsPreferred(t *testing.T) {
 	c := qt.New(t)
-	core := startThinCore(c, 4, Survive{Nodes: 1}, recordBytes)
+	core := startThinCore(c, 4, FailureTolerance{Nodes: 1}, recordBytes)
 	core.until(10*time.Second, func() bool { return false }) // all learn
 	core.byRole(Witness).empty()                             // but the first has to again
 	acked := core.acked
@@ -173,17 +173,17 @@
 func TestStagedRecordIsNew(t *testing.T) {
 	h := newHand(t)
 	m := h.primary.m
-	old := &image{seq: 1, digest: Chain(0, 1, []byte("w1")), sum: 1, body: []byte("w1")}
-	h.Assert(m.reachedFrom(old), qt.IsTrue)
+	old := &image{seq: 1, digest: ChainDigest(0, 1, []byte("w1")), checksum: 1, body: []byte("w1")}
+	h.Assert(m.reachableFrom(old), qt.IsTrue)
 	m.image, m.transfers["learner"] = old, &transfer{kind: KindSnapshot, image: old}
 	before := m.Status()
-	m.begin(h.s.clock(h.primary))
+	m.beginInput(h.s.clock(h.primary))
 	m.campaign()
-	h.done(h.primary, m.end(before))
+	h.done(h.primary, m.endInput(before))
 	h.Assert(m.stopped(), qt.IsTrue)
 	var staged []Message
 	for _, b := range []*box{h.backup, h.witness} { // neither is a holder, nor has a record that is a part of the primary's
-		staged = append(staged, h.give(h.primary, b, Message{Kind: KindPromise, Ballot: m.cand.ballot, Seq: 1, Digest: 99})...)
+		staged = append(staged, h.give(h.primary, b, Message{Kind: KindPromise, Ballot: m.candidacy.ballot, Seq: 1, Digest: 99})...)
 	}
 	staged = slices.DeleteFunc(staged, func(msg Message) bool { return msg.Kind != KindStage })
 	h.Assert(len(staged) > 0, qt.IsTrue)
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -50,8 +50,8 @@
 const (
 	KindHello        Kind = iota + 1 // asks for the decided view; with Join, asks to become a member
 	KindView                         // tells the decided view
-	KindBeat                         // primary to all: I lead; Round is to be confirmed
-	KindBeatAck                      // to the primary: where the sender's record stands
+	KindHeartbeat                    // primary to all: I lead; Round is to be confirmed
+	KindHeartbeatAck                 // to the primary: where the sender's record stands
 	KindAppend                       // primary to a backup: changes after (Seq, Digest)
 	KindSnapshot                     // primary to a backup: a chunk of the whole record at (Seq, Digest)
 	KindStage                        // proposer to a coming backup: a chunk of the whole record, before its view is proposed
@@ -60,9 +60,9 @@
 	KindPromise                      // answer, with what was accepted
 	KindAccept                       // proposer to the members of Epoch: accept Value for Epoch+1
 	KindAccepted                     // answer
-	KindRefuse                       // answer: Ballot was promised to another
+	KindReject                       // answer: Ballot was promised to another
 	KindHandover                     // primary that leaves to a backup in step: take over
-	KindReceived                     // answer to a chunk of a record: what the sender has of it; to KindStageChanges: where its record stands
+	KindTransferAck                  // answer to a chunk of a record: what the sender has of it; to KindStageChanges: where its record stands
 	KindStageChanges                 // proposer to a coming backup: changes after (Seq, Digest); at Total they make the record whole
 )
 
@@ -70,29 +70,29 @@
 // sender's decided view. Which of the other fields count depends on Kind. A Message holds one chunk of a record, or
 // changes of the size of one, and the members of two views.
 type Message struct {
-	Kind      Kind     `msg:"k"`
-	From      Member   `msg:"f"`
-	Epoch     uint64   `msg:"e"`
-	Join      bool     `msg:"j,omitempty"`
-	Founder   bool     `msg:"o,omitempty"` // the sender is a seed of a first start that still goes on
-	View      *View    `msg:"v,omitempty"` // the sender's decided view
-	Ballot    Ballot   `msg:"b"`
-	Accepted  Ballot   `msg:"a"`
-	Value     *View    `msg:"w,omitempty"`
-	Round     uint64   `msg:"r,omitempty"` // confirmations are counted by rounds
-	Seq       uint64   `msg:"s,omitempty"`
-	Digest    uint64   `msg:"d,omitempty"`
-	Committed uint64   `msg:"c,omitempty"`
-	Stopped   bool     `msg:"x,omitempty"` // the sender answers nothing of Epoch any more
-	Step      bool     `msg:"p,omitempty"` // the sender's record is a prefix of its primary's
-	Holder    bool     `msg:"h,omitempty"` // the sender holds the record of Epoch
-	Leaving   bool     `msg:"z,omitempty"` // the sender's process is about to end
-	Release   bool     `msg:"q,omitempty"` // heartbeat: the receiver, which is about to end, has no role left
-	Changes   []Change `msg:"l,omitempty"`
-	Body      []byte   `msg:"y,omitempty"`
-	Offset    uint64   `msg:"g,omitempty"` // of Body in the whole record; in KindReceived, how much of it is there
-	Total     uint64   `msg:"t,omitempty"` // bytes of the whole record; in KindStageChanges, the Seq that makes it whole
-	Sum       uint64   `msg:"u,omitempty"` // hash of the whole record, which also names a transfer
+	Kind        Kind     `msg:"k"`
+	From        Member   `msg:"f"`
+	Epoch       uint64   `msg:"e"`
+	Join        bool     `msg:"j,omitempty"`
+	Founder     bool     `msg:"o,omitempty"` // the sender is a seed of a first start that still goes on
+	View        *View    `msg:"v,omitempty"` // the sender's decided view
+	Ballot      Ballot   `msg:"b"`
+	Accepted    Ballot   `msg:"a"`
+	Value       *View    `msg:"w,omitempty"`
+	Round       uint64   `msg:"r,omitempty"` // confirmations are counted by rounds
+	Seq         uint64   `msg:"s,omitempty"`
+	Digest      uint64   `msg:"d,omitempty"`
+	Committed   uint64   `msg:"c,omitempty"`
+	Stopped     bool     `msg:"x,omitempty"` // the sender answers nothing of Epoch any more
+	InSync      bool     `msg:"p,omitempty"` // the sender's record is a prefix of its primary's
+	HoldsRecord bool     `msg:"h,omitempty"` // the sender holds the record of Epoch
+	Leaving     bool     `msg:"z,omitempty"` // the sender's process is about to end
+	Release     bool     `msg:"q,omitempty"` // heartbeat: the receiver, which is about to end, has no role left
+	Changes     []Change `msg:"l,omitempty"`
+	Body        []byte   `msg:"y,omitempty"`
+	Offset      uint64   `msg:"g,omitempty"` // of Body in the whole record; in KindTransferAck, how much of it is there
+	Total       uint64   `msg:"t,omitempty"` // bytes of the whole record; in KindStageChanges, the Seq that makes it whole
+	Checksum    uint64   `msg:"u,omitempty"` // hash of the whole record, which also names a transfer
 }
 
 // Identity says who a disk belongs to.
@@ -110,12 +110,12 @@
 	Value    *View  `msg:"v"` // what was accepted, nil when nothing
 }
 
-// Standing says what the record on this disk is good for.
-type Standing struct {
+// Replica says what the record on this disk is good for.
+type ReplicaState struct {
 	// RecordEpoch is the epoch for which the record holds all that was committed before it.
 	RecordEpoch uint64 `msg:"r"`
-	// StepEpoch is the epoch in which the record was found to be a prefix of its primary's.
-	StepEpoch uint64 `msg:"s"`
+	// InSyncEpoch is the epoch in which the record was found to be a prefix of its primary's.
+	InSyncEpoch uint64 `msg:"s"`
 	// StoppedEpoch is the epoch of which nothing is answered any more, plus 1 (0: none).
 	StoppedEpoch uint64 `msg:"x"`
 	// Committed is a bound from below of what is committed.
@@ -129,15 +129,15 @@
 	Body   []byte `msg:"b"`
 }
 
-// State is what the disk held. The zero State is an empty disk.
-type State struct {
+// PersistentState is what the disk held. The zero State is an empty disk.
+type PersistentState struct {
 	Identity Identity
 	View     View
 	Vote     Vote
-	Standing Standing
+	Replica  ReplicaState
 	Snapshot *Snapshot // nil: no snapshot, the changes start at 1
 	Changes  []Change  // those after the snapshot, without a gap
-	Lost     bool      // the disk was not empty but unreadable: counts as empty, never as a first start
+	DiskLost bool      // the disk was not empty but unreadable: counts as empty, never as a first start
 }
 
 // Write is what must be on disk, synced, before Send and Answer of the same Output are carried out. Fields that are nil
@@ -147,14 +147,14 @@
 	Identity *Identity
 	View     *View
 	Vote     *Vote
-	Standing *Standing
+	Replica  *ReplicaState
 	Snapshot *Snapshot // replaces the older snapshot and all changes
 	Changes  []Change  // appended, after Snapshot if there is one; a Seq that is there already is replaced
 }
 
 // Empty reports whether there is nothing to write.
 func (w *Write) Empty() bool {
-	return w == nil || !w.Reset && w.Identity == nil && w.View == nil && w.Vote == nil && w.Standing == nil &&
+	return w == nil || !w.Reset && w.Identity == nil && w.View == nil && w.Vote == nil && w.Replica == nil &&
 		w.Snapshot == nil && len(w.Changes) == 0
 }
 
@@ -186,11 +186,11 @@
 // Output is what an input led to. It is carried out in this order: Write, then Send and Answer; outputs in the order of
 // their inputs. When the write fails, it is tried again before anything else is done.
 type Output struct {
-	Write     *Write // nil: nothing to write
-	Send      []Envelope
-	Answer    []Answer
-	Committed uint64 // all changes up to this Seq are committed, as far as this machine knows
-	Changed   bool   // role, view or readiness changed: see Status
+	Write         *Write // nil: nothing to write
+	Send          []Envelope
+	Answer        []Answer
+	Committed     uint64 // all changes up to this Seq are committed, as far as this machine knows
+	StatusChanged bool   // role, view or readiness changed: see Status
 }
 
 // App is the record's content, opaque to replication. Calls come from within the Machine's inputs. Apply comes before a
@@ -202,21 +202,21 @@
 	Restore(seq uint64, body []byte) error // seq 0 with an empty body is the empty record
 }
 
-// Survive tells what may be lost at once: so many machines, or zones, or regions.
-type Survive struct{ Nodes, Zones, Regions int }
+// FailureTolerance tells what may be lost at once: so many machines, or zones, or regions.
+type FailureTolerance struct{ Nodes, Zones, Regions int }
 
 // Options of a Machine. All durations must be above 0.
 type Options struct {
 	Self      Member // without ID
-	Survive   Survive
+	Tolerance FailureTolerance
 	Seeds     []string // addresses to ask; with Bootstrap, the members of view 0
 	Bootstrap bool     // first start of the whole system: counts only when the disk is empty and Self.Addr is a seed
 
-	BeatEvery    time.Duration // from one beat of the primary to the next, and between repeats
-	SuspectAfter time.Duration // silence after which a primary or backup counts as lost; some beats long
-	StaggerEach  time.Duration // a backup of rank r waits r times this longer
-	WriteWithin  time.Duration // a backup that doesn't acknowledge a change for so long is left out
-	ForgetAfter  time.Duration // a member silent for so long goes out when the others are better off without it
+	HeartbeatInterval time.Duration // from one beat of the primary to the next, and between repeats
+	ElectionTimeout   time.Duration // silence after which a primary or backup counts as lost; some beats long
+	ElectionStagger   time.Duration // a backup of rank r waits r times this longer
+	WriteTimeout      time.Duration // a backup that doesn't acknowledge a change for so long is left out
+	MemberTimeout     time.Duration // a member silent for so long goes out when the others are better off without it
 
 	SnapshotBytes int           // a snapshot replaces the changes on disk when their bodies exceed this; 0: 1 MiB
 	ChunkBytes    int           // bounds the chunks of a record and the changes in one message; 0: 64 KiB
@@ -228,8 +228,8 @@
 
 // The roles.
 const (
-	Outside Role = iota // no member yet
-	Witness             // member without the record
+	NonMember Role = iota // no member yet
+	Witness               // member without the record
 	Backup
 	Primary
 )
@@ -256,7 +256,7 @@
 	Seq         uint64 // newest change in the record, committed or not
 	PrimaryAddr string // "" when unknown
 	// Ready: as primary, all backups are in step, writes and reads are answered. Else: the view is known, this machine is
-	// its member and heard its primary within SuspectAfter.
+	// its member and heard its primary within ElectionTimeout.
 	Ready bool
 	// Released: after Leave, no other machine would miss this one; its process may end.
 	Released bool
--- a/internal/fleet/replication/types_gen.go
+++ b/internal/fleet/replication/types_gen.go
@@ -968,13 +968,13 @@
 				return
 			}
 		case "p":
-			z.Step, err = dc.ReadBool()
+			z.InSync, err = dc.ReadBool()
 			if err != nil {
 				err = msgp.WrapError(err, "Step")
 				return
 			}
 		case "h":
-			z.Holder, err = dc.ReadBool()
+			z.HoldsRecord, err = dc.ReadBool()
 			if err != nil {
 				err = msgp.WrapError(err, "Holder")
 				return
@@ -1064,7 +1064,7 @@
 				return
 			}
 		case "u":
-			z.Sum, err = dc.ReadUint64()
+			z.Checksum, err = dc.ReadUint64()
 			if err != nil {
 				err = msgp.WrapError(err, "Sum")
 				return
@@ -1122,11 +1122,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
-	if z.Step == false {
+	if z.InSync == false {
 		zb0001Len--
 		zb0001Mask |= 0x4000
 	}
-	if z.Holder == false {
+	if z.HoldsRecord == false {
 		zb0001Len--
 		zb0001Mask |= 0x8000
 	}
@@ -1154,7 +1154,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x200000
 	}
-	if z.Sum == 0 {
+	if z.Checksum == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x400000
 	}
@@ -1376,7 +1376,7 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Step)
+			err = en.WriteBool(z.InSync)
 			if err != nil {
 				err = msgp.WrapError(err, "Step")
 				return
@@ -1388,7 +1388,7 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Holder)
+			err = en.WriteBool(z.HoldsRecord)
 			if err != nil {
 				err = msgp.WrapError(err, "Holder")
 				return
@@ -1505,7 +1505,7 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Sum)
+			err = en.WriteUint64(z.Checksum)
 			if err != nil {
 				err = msgp.WrapError(err, "Sum")
 				return
@@ -1558,11 +1558,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
-	if z.Step == false {
+	if z.InSync == false {
 		zb0001Len--
 		zb0001Mask |= 0x4000
 	}
-	if z.Holder == false {
+	if z.HoldsRecord == false {
 		zb0001Len--
 		zb0001Mask |= 0x8000
 	}
@@ -1590,7 +1590,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x200000
 	}
-	if z.Sum == 0 {
+	if z.Checksum == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x400000
 	}
@@ -1694,12 +1694,12 @@
 		if (zb0001Mask & 0x4000) == 0 { // if not omitted
 			// string "p"
 			o = append(o, 0xa1, 0x70)
-			o = msgp.AppendBool(o, z.Step)
+			o = msgp.AppendBool(o, z.InSync)
 		}
 		if (zb0001Mask & 0x8000) == 0 { // if not omitted
 			// string "h"
 			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendBool(o, z.Holder)
+			o = msgp.AppendBool(o, z.HoldsRecord)
 		}
 		if (zb0001Mask & 0x10000) == 0 { // if not omitted
 			// string "z"
@@ -1746,7 +1746,7 @@
 		if (zb0001Mask & 0x400000) == 0 { // if not omitted
 			// string "u"
 			o = append(o, 0xa1, 0x75)
-			o = msgp.AppendUint64(o, z.Sum)
+			o = msgp.AppendUint64(o, z.Checksum)
 		}
 	}
 	return
@@ -1947,13 +1947,13 @@
 				return
 			}
 		case "p":
-			z.Step, bts, err = msgp.ReadBoolBytes(bts)
+			z.InSync, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Step")
 				return
 			}
 		case "h":
-			z.Holder, bts, err = msgp.ReadBoolBytes(bts)
+			z.HoldsRecord, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Holder")
 				return
@@ -2043,7 +2043,7 @@
 				return
 			}
 		case "u":
-			z.Sum, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Checksum, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Sum")
 				return
@@ -2236,7 +2236,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Standing) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ReplicaState) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2260,7 +2260,7 @@
 				return
 			}
 		case "s":
-			z.StepEpoch, err = dc.ReadUint64()
+			z.InSyncEpoch, err = dc.ReadUint64()
 			if err != nil {
 				err = msgp.WrapError(err, "StepEpoch")
 				return
@@ -2289,7 +2289,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Standing) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *ReplicaState) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 4
 	// write "r"
 	err = en.Append(0x84, 0xa1, 0x72)
@@ -2306,7 +2306,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.StepEpoch)
+	err = en.WriteUint64(z.InSyncEpoch)
 	if err != nil {
 		err = msgp.WrapError(err, "StepEpoch")
 		return
@@ -2335,7 +2335,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Standing) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ReplicaState) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "r"
@@ -2343,7 +2343,7 @@
 	o = msgp.AppendUint64(o, z.RecordEpoch)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.StepEpoch)
+	o = msgp.AppendUint64(o, z.InSyncEpoch)
 	// string "x"
 	o = append(o, 0xa1, 0x78)
 	o = msgp.AppendUint64(o, z.StoppedEpoch)
@@ -2354,7 +2354,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Standing) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ReplicaState) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2378,7 +2378,7 @@
 				return
 			}
 		case "s":
-			z.StepEpoch, bts, err = msgp.ReadUint64Bytes(bts)
+			z.InSyncEpoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "StepEpoch")
 				return
@@ -2408,7 +2408,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Standing) Msgsize() (s int) {
+func (z *ReplicaState) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
--- a/internal/fleet/replication/view.go
+++ b/internal/fleet/replication/view.go
@@ -32,7 +32,7 @@
 
 func (v *View) has(id ID) bool { _, ok := v.member(id); return ok }
 
-func (v *View) majority() int { return majorityOf(len(v.Members)) }
+func (v *View) quorum() int { return quorumSize(len(v.Members)) }
 
 // rank is 0 for the primary, from 1 on for the backups, -1 for others.
 func (v *View) rank(id ID) int {
--- a/internal/fleet/statestore/power_test.go
+++ b/internal/fleet/statestore/power_test.go
@@ -32,7 +32,7 @@
 }
 
 // openFiles opens a store that has these files and gives its state.
-func openFiles(c *qt.C, f files) replication.State {
+func openFiles(c *qt.C, f files) replication.PersistentState {
 	dir := c.TempDir()
 	for name, b := range f {
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
@@ -86,7 +86,7 @@
 		} else {
 			seq++
 			body := bytes.Repeat([]byte{byte(i)}, 2_000)
-			digest = replication.Chain(digest, seq, body)
+			digest = replication.ChainDigest(digest, seq, body)
 			w.Changes = []replication.Change{{Seq: seq, Digest: digest, Body: body}}
 		}
 		c.Assert(a.Save(w), qt.IsNil)
@@ -133,7 +133,7 @@
 		cases = append(cases, files{fileName: made[fileName], fileName + "-wal": wal[:n]})
 	}
 	for i, f := range cases {
-		c.Assert(openFiles(c, f), qt.DeepEquals, replication.State{}, qt.Commentf("case %d", i))
+		c.Assert(openFiles(c, f), qt.DeepEquals, replication.PersistentState{}, qt.Commentf("case %d", i))
 	}
 	c.Assert(a.Close(), qt.IsNil)
 }
--- a/internal/fleet/statestore/statestore.go
+++ b/internal/fleet/statestore/statestore.go
@@ -78,30 +78,30 @@
 
 // Open opens or creates the store in dir and loads what it holds. A file that can't be read whole is set aside and the State
 // comes back empty with Lost set; Broken then tells why. Open fails when the folder can't be used at all.
-func Open(dir string) (*Store, replication.State, error) {
+func Open(dir string) (*Store, replication.PersistentState, error) {
 	if err := makeFolder(dir); err != nil {
-		return nil, replication.State{}, errors.Wrap(err, "statestore: make folder")
+		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore: make folder")
 	}
 	if err := settle(dir); err != nil {
-		return nil, replication.State{}, errors.Wrap(err, "statestore")
+		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore")
 	}
 	path := filepath.Join(dir, fileName)
 	a, st, err := open(path)
 	var broken *BrokenError
 	if errors.As(err, &broken) {
 		if err := setAside(dir); err != nil {
-			return nil, replication.State{}, errors.Wrapf(err, "statestore: set aside after: %v", broken)
+			return nil, replication.PersistentState{}, errors.Wrapf(err, "statestore: set aside after: %v", broken)
 		}
 		a, st, err = open(path)
 	}
 	if err != nil {
-		return nil, replication.State{}, errors.Wrap(err, "statestore")
+		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore")
 	}
 	a.broken = broken
 	if st.Identity.ID == "" {
-		st = replication.State{}
+		st = replication.PersistentState{}
 		if _, err := os.Stat(filepath.Join(dir, brokenName)); err == nil {
-			st.Lost = true
+			st.DiskLost = true
 		}
 	}
 	return a, st, nil
@@ -110,7 +110,7 @@
 // OpenFor opens the store of the machine at an address. What another address left is set aside as a broken file is: its identity
 // is a member at that address and answers nothing here, so that this machine begins as one that lost its disk, and nothing
 // of the old content is destroyed.
-func OpenFor(dir, addr string) (*Store, replication.State, error) {
+func OpenFor(dir, addr string) (*Store, replication.PersistentState, error) {
 	a, st, err := Open(dir)
 	if err != nil || st.Identity.ID == "" || st.Identity.Addr == addr {
 		return a, st, err
@@ -119,10 +119,10 @@
 		File: filepath.Join(dir, fileName), Err: errors.Errorf("the state belongs to %s, not to %s", st.Identity.Addr, addr),
 	}
 	if err := a.Close(); err != nil {
-		return nil, replication.State{}, err
+		return nil, replication.PersistentState{}, err
 	}
 	if err := setAside(dir); err != nil {
-		return nil, replication.State{}, errors.Wrapf(err, "statestore: set aside after: %v", foreign)
+		return nil, replication.PersistentState{}, errors.Wrapf(err, "statestore: set aside after: %v", foreign)
 	}
 	if a, st, err = Open(dir); err == nil {
 		a.broken = foreign
@@ -138,7 +138,7 @@
 	return a.broken
 }
 
-func open(path string) (_ *Store, st replication.State, rerr error) {
+func open(path string) (_ *Store, st replication.PersistentState, rerr error) {
 	db, err := sql.Open("sqlite3", (&url.URL{Scheme: "file", Opaque: (&url.URL{Path: path}).EscapedPath()}).String())
 	if err != nil {
 		return nil, st, errors.Wrap(err, "open")
@@ -282,8 +282,8 @@
 				return err
 			}
 		}
-		if w.Standing != nil {
-			if err := put(partStanding, w.Standing); err != nil {
+		if w.Replica != nil {
+			if err := put(partStanding, w.Replica); err != nil {
 				return err
 			}
 		}
@@ -317,11 +317,11 @@
 }
 
 // load reads and checks everything.
-func (a *Store) load(ctx context.Context, path string) (st replication.State, _ error) {
+func (a *Store) load(ctx context.Context, path string) (st replication.PersistentState, _ error) {
 	var head replication.Snapshot
 	var snapshot replication.Snapshot
 	parts := map[string]msgp.Unmarshaler{
-		partIdentity: &st.Identity, partView: &st.View, partVote: &st.Vote, partStanding: &st.Standing,
+		partIdentity: &st.Identity, partView: &st.View, partVote: &st.Vote, partStanding: &st.Replica,
 		partSnapshot: &snapshot, partHead: &head,
 	}
 	found := map[string]bool{}
@@ -360,7 +360,7 @@
 		return nil
 	})
 	if err != nil {
-		return replication.State{}, err
+		return replication.PersistentState{}, err
 	}
 	at := replication.Snapshot{}
 	if found[partSnapshot] {
@@ -380,7 +380,7 @@
 		if sum != changeSum(c.Seq, c.Digest, body) {
 			return broken("checksum differs")
 		}
-		if c.Seq != at.Seq+1 || c.Digest != replication.Chain(at.Digest, c.Seq, body) {
+		if c.Seq != at.Seq+1 || c.Digest != replication.ChainDigest(at.Digest, c.Seq, body) {
 			return broken(fmt.Sprintf("doesn't follow %d", at.Seq))
 		}
 		at.Seq, at.Digest = c.Seq, c.Digest
@@ -388,17 +388,17 @@
 		return nil
 	})
 	if err != nil {
-		return replication.State{}, err
+		return replication.PersistentState{}, err
 	}
 	if at.Seq != head.Seq || at.Digest != head.Digest {
-		return replication.State{}, &BrokenError{
+		return replication.PersistentState{}, &BrokenError{
 			File: path, Err: errors.Errorf("the record ends at %d instead of %d", at.Seq, head.Seq),
 		}
 	}
 	if len(found) > 0 {
 		for _, name := range []string{partIdentity, partView, partVote, partStanding} {
 			if !found[name] {
-				return replication.State{}, &BrokenError{File: path, Row: "part " + name, Err: errors.New("missing")}
+				return replication.PersistentState{}, &BrokenError{File: path, Row: "part " + name, Err: errors.New("missing")}
 			}
 		}
 	}
--- a/internal/fleet/statestore/statestore_test.go
+++ b/internal/fleet/statestore/statestore_test.go
@@ -13,24 +13,24 @@
 )
 
 // fill saves a first start, a snapshot at 2 and two changes, and returns what must be loaded.
-func fill(c *qt.C, a *Store) replication.State {
-	st := replication.State{
+func fill(c *qt.C, a *Store) replication.PersistentState {
+	st := replication.PersistentState{
 		Identity: replication.Identity{ID: "a1", Addr: "10.0.0.1:7000", Joined: true},
 		View: replication.View{
 			Epoch: 3, Members: []replication.Member{{ID: "a1", Addr: "10.0.0.1:7000", Zone: "z", Region: "r"}},
 			Primary: "a1",
 		},
-		Vote:     replication.Vote{Promised: replication.Ballot{N: 4, ID: "a1"}},
-		Standing: replication.Standing{RecordEpoch: 3, StepEpoch: 3, Committed: 2},
+		Vote:    replication.Vote{Promised: replication.Ballot{N: 4, ID: "a1"}},
+		Replica: replication.ReplicaState{RecordEpoch: 3, InSyncEpoch: 3, Committed: 2},
 	}
 	c.Assert(a.Save(&replication.Write{
-		Reset: true, Identity: &st.Identity, View: &st.View, Vote: &st.Vote, Standing: &st.Standing,
+		Reset: true, Identity: &st.Identity, View: &st.View, Vote: &st.Vote, Replica: &st.Replica,
 	}), qt.IsNil)
 	var all []replication.Change
 	var digest uint64
 	for seq := uint64(1); seq <= 4; seq++ {
 		body := bytes.Repeat([]byte{byte(seq)}, 100)
-		digest = replication.Chain(digest, seq, body)
+		digest = replication.ChainDigest(digest, seq, body)
 		all = append(all, replication.Change{Seq: seq, Digest: digest, Body: body})
 	}
 	st.Snapshot = &replication.Snapshot{Seq: 2, Digest: all[1].Digest, Body: []byte("two")}
@@ -41,7 +41,7 @@
 	return st
 }
 
-func open2(c *qt.C, dir string) (*Store, replication.State) {
+func open2(c *qt.C, dir string) (*Store, replication.PersistentState) {
 	a, st, err := Open(dir)
 	c.Assert(err, qt.IsNil)
 	return a, st
@@ -51,7 +51,7 @@
 	c := qt.New(t)
 	dir := filepath.Join(c.TempDir(), "data # 1%")
 	a, st := open2(c, dir)
-	c.Assert(st, qt.DeepEquals, replication.State{})
+	c.Assert(st, qt.DeepEquals, replication.PersistentState{})
 	want := fill(c, a)
 	c.Assert(a.Close(), qt.IsNil)
 	a, st = open2(c, dir)
@@ -59,7 +59,7 @@
 	c.Assert(st, qt.DeepEquals, want)
 
 	// The same write again equals once; a reset drops all.
-	again := &replication.Write{Changes: want.Changes[1:], Standing: &replication.Standing{RecordEpoch: 9}}
+	again := &replication.Write{Changes: want.Changes[1:], Replica: &replication.ReplicaState{RecordEpoch: 9}}
 	c.Assert(a.Save(again), qt.IsNil)
 	c.Assert(a.Save(again), qt.IsNil)
 	again = &replication.Write{Snapshot: want.Snapshot, Changes: want.Changes}
@@ -67,16 +67,16 @@
 	c.Assert(a.Save(again), qt.IsNil)
 	c.Assert(a.Save(nil), qt.IsNil)
 	c.Assert(a.Close(), qt.IsNil)
-	want.Standing = replication.Standing{RecordEpoch: 9}
+	want.Replica = replication.ReplicaState{RecordEpoch: 9}
 	a, st = open2(c, dir)
 	c.Assert(st, qt.DeepEquals, want)
 	id := replication.Identity{ID: "a2", Addr: "10.0.0.1:7000"}
 	c.Assert(a.Save(&replication.Write{
-		Reset: true, Identity: &id, View: &want.View, Vote: &replication.Vote{}, Standing: &replication.Standing{},
+		Reset: true, Identity: &id, View: &want.View, Vote: &replication.Vote{}, Replica: &replication.ReplicaState{},
 	}), qt.IsNil)
 	c.Assert(a.Close(), qt.IsNil)
 	a, st = open2(c, dir)
-	c.Assert(st, qt.DeepEquals, replication.State{Identity: id, View: want.View})
+	c.Assert(st, qt.DeepEquals, replication.PersistentState{Identity: id, View: want.View})
 	c.Assert(a.Close(), qt.IsNil)
 }
 
@@ -121,11 +121,11 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(a.Close(), qt.IsNil)
 		a, st := open2(c, dir)
-		c.Assert(st, qt.DeepEquals, replication.State{Lost: true}, qt.Commentf(query))
+		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true}, qt.Commentf(query))
 		c.Assert(a.Broken(), qt.ErrorMatches, report)
 		c.Assert(a.Close(), qt.IsNil)
 		a, st = open2(c, dir)
-		c.Assert(st, qt.DeepEquals, replication.State{Lost: true})
+		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true})
 		c.Assert(a.Broken(), qt.IsNil)
 		want := fill(c, a)
 		c.Assert(a.Close(), qt.IsNil)
@@ -156,7 +156,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(os.WriteFile(path, tear(body), 0o644), qt.IsNil)
 		a, st := open2(c, dir)
-		c.Assert(st, qt.DeepEquals, replication.State{Lost: true}, qt.Commentf("tear %d", i))
+		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true}, qt.Commentf("tear %d", i))
 		c.Assert(a.Broken(), qt.ErrorMatches, "(?s).*control.db: .*")
 		c.Assert(a.Close(), qt.IsNil)
 		files, err := filepath.Glob(filepath.Join(dir, "*"+".broken*"))
@@ -174,7 +174,7 @@
 	_, err := a.conn.ExecContext(context.Background(), "PRAGMA max_page_count=20")
 	c.Assert(err, qt.IsNil)
 	w := &replication.Write{
-		Standing: &replication.Standing{RecordEpoch: 8},
+		Replica:  &replication.ReplicaState{RecordEpoch: 8},
 		Snapshot: &replication.Snapshot{Seq: 9, Digest: 9, Body: bytes.Repeat([]byte{1}, 300_000)},
 	}
 	c.Assert(a.Save(w), qt.ErrorMatches, "statestore: save: .*full.*")
@@ -188,7 +188,7 @@
 	c.Assert(a.Close(), qt.IsNil)
 	a, st = open2(c, dir)
 	c.Assert(st.Snapshot, qt.DeepEquals, w.Snapshot)
-	c.Assert(st.Standing, qt.Equals, *w.Standing)
+	c.Assert(st.Replica, qt.Equals, *w.Replica)
 	c.Assert(st.Changes, qt.HasLen, 0)
 	c.Assert(a.Close(), qt.IsNil)
 }
@@ -237,14 +237,14 @@
 	n := uint64(0)
 	opt := replication.Options{
 		Self: replication.Member{Addr: "10.0.0.1:7000"}, Seeds: []string{"10.0.0.1:7000"}, Bootstrap: true,
-		BeatEvery: 1, SuspectAfter: 5, StaggerEach: 1, WriteWithin: 9, ForgetAfter: 50,
+		HeartbeatInterval: 1, ElectionTimeout: 5, ElectionStagger: 1, WriteTimeout: 9, MemberTimeout: 50,
 		Rand: func() uint64 { n++; return n },
 	}
 	app := &text{}
 	m, err := replication.New(opt, st, app)
 	c.Assert(err, qt.IsNil)
 	c.Assert(a.Save(m.Tick(0).Write), qt.IsNil)
-	c.Assert(a.Save(m.Tick(m.Next()).Write), qt.IsNil)
+	c.Assert(a.Save(m.Tick(m.NextTick()).Write), qt.IsNil)
 	c.Assert(m.Status().Ready, qt.IsTrue)
 	out := m.Propose(1, 77, []byte("x"))
 	c.Assert(a.Save(out.Write), qt.IsNil)
--- a/internal/fleet/statestore/transient_test.go
+++ b/internal/fleet/statestore/transient_test.go
@@ -39,7 +39,7 @@
 	c.Assert(os.Remove(inTheWay), qt.IsNil)
 	store, state, err := Open(dir)
 	c.Assert(err, qt.IsNil)
-	c.Assert(state.Lost, qt.IsFalse)
+	c.Assert(state.DiskLost, qt.IsFalse)
 	c.Assert(store.Close(), qt.IsNil)
 }
 
--- a/internal/fleet/statestore/worn_test.go
+++ b/internal/fleet/statestore/worn_test.go
@@ -21,7 +21,7 @@
 	for range 2 {
 		a, st, err := OpenFor(dir, "10.0.0.9:7000")
 		c.Assert(err, qt.IsNil)
-		c.Assert(st, qt.DeepEquals, replication.State{Lost: true})
+		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true})
 		c.Assert(a.Close(), qt.IsNil)
 	}
 	kept, err := os.ReadFile(filepath.Join(dir, brokenName))
@@ -30,9 +30,9 @@
 
 	a, st, err := OpenFor(dir, "10.0.0.9:7000")
 	c.Assert(err, qt.IsNil)
-	c.Assert(st.Lost, qt.IsTrue)
+	c.Assert(st.DiskLost, qt.IsTrue)
 	identity := replication.Identity{ID: "b2", Addr: "10.0.0.9:7000"}
-	c.Assert(a.Save(&replication.Write{Reset: true, Identity: &identity, View: &st.View, Vote: &st.Vote, Standing: &st.Standing}), qt.IsNil)
+	c.Assert(a.Save(&replication.Write{Reset: true, Identity: &identity, View: &st.View, Vote: &st.Vote, Replica: &st.Replica}), qt.IsNil)
 	c.Assert(a.Close(), qt.IsNil)
 	a, st, err = OpenFor(dir, "10.0.0.9:7000")
 	c.Assert(err, qt.IsNil)
@@ -50,7 +50,7 @@
 	fill(c, a)
 	const wal = fileName + "-wal"
 	times := []files{}
-	states := []replication.State{{}, {Lost: true}}
+	states := []replication.PersistentState{{}, {DiskLost: true}}
 	for i := range 16 {
 		vote := replication.Vote{Promised: replication.Ballot{N: uint64(10 + i), ID: "a1"}}
 		w := &replication.Write{Vote: &vote, Snapshot: &replication.Snapshot{Seq: uint64(5 + i), Digest: uint64(i), Body: make([]byte, 40_000)}}
@@ -59,9 +59,9 @@
 		times, states = append(times, now), append(states, openFiles(c, now))
 	}
 	c.Assert(a.Close(), qt.IsNil)
-	saved := func(st replication.State) bool {
+	saved := func(st replication.PersistentState) bool {
 		for i := range states {
-			if st.Vote == states[i].Vote && st.Lost == states[i].Lost {
+			if st.Vote == states[i].Vote && st.DiskLost == states[i].DiskLost {
 				return qt.Check(c, st, qt.DeepEquals, states[i])
 			}
 		}
@@ -69,14 +69,14 @@
 	}
 	for i, one := range times {
 		c.Assert(saved(openEither(c, files{fileName: one[fileName]})), qt.IsTrue, qt.Commentf("without its log, %d", i))
-		c.Assert(openEither(c, files{wal: one[wal]}), qt.DeepEquals, replication.State{}, qt.Commentf("a log alone, %d", i))
+		c.Assert(openEither(c, files{wal: one[wal]}), qt.DeepEquals, replication.PersistentState{}, qt.Commentf("a log alone, %d", i))
 		other := times[(i*7+3)%len(times)]
 		c.Assert(saved(openEither(c, files{fileName: one[fileName], wal: other[wal]})), qt.IsTrue, qt.Commentf("a log of another time, %d", i))
 	}
 }
 
 // openEither opens a store that has these files, whole or not.
-func openEither(c *qt.C, f files) replication.State {
+func openEither(c *qt.C, f files) replication.PersistentState {
 	dir := c.TempDir()
 	for name, b := range f {
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
