--- a/cmd/molepaddle-fleet/programs.go
+++ b/cmd/molepaddle-fleet/programs.go
@@ -65,7 +65,7 @@
 		case err != nil:
 			return err
 		}
-		server.Readings = c.Readings
+		server.ResidencyInterval = c.Readings
 		return server.Run(ctx)
 	})
 }
--- a/cmd/molepaddle-fleet/schedule_planted_test.go
+++ b/cmd/molepaddle-fleet/schedule_planted_test.go
@@ -28,8 +28,8 @@
 
 var plantedFaults = []plantedFault{
 	{"a configuration is shown without a confirmed read", "controlplane", []string{
-		"ans, err := o.ask(ctx, func(now time.Duration, token uint64) replication.Output { return o.machine.Read(now, token) })\n\tif err != nil || ans.Result != replication.Confirmed {\n\t\to.later(w, \"the view is not confirmed\")",
-		"ans, err := replication.Answer{Result: replication.Confirmed}, ctx.Err()\n\tif err != nil || ans.Result != replication.Confirmed {\n\t\to.later(w, \"the view is not confirmed\")"}, ""},
+		"ans, err := s.submitAndWait(ctx, func(now time.Duration, token uint64) replication.Output { return s.replica.Read(now, token) })\n\tif err != nil || ans.Result != replication.Confirmed {\n\t\ts.unavailable(w, \"the view is not confirmed\")",
+		"ans, err := replication.Answer{Result: replication.Confirmed}, ctx.Err()\n\tif err != nil || ans.Result != replication.Confirmed {\n\t\ts.unavailable(w, \"the view is not confirmed\")"}, ""},
 	{"the second of two changes on one base is taken", "controlplane", []string{
 		"return sameChange\n\t}\n\treturn otherChange", "return sameChange\n\t}\n\treturn notBuiltOn"}, ""},
 	{"a restart forgets which changes were accepted, and refuses them", "controlplane", []string{
@@ -38,7 +38,7 @@
 	{"a change is acknowledged whatever became of it", "controlplane", []string{
 		"case v == nil && a.Result == replication.Committed:", "case v == nil:"}, ""},
 	{"what is sent and answered isn't on the disk first", "controlplane", []string{
-		"err := o.archive.Save(out.Write)", "err := error(nil)\n\t\tgo func() { _ = o.archive.Save(out.Write) }()"}, ""},
+		"err := s.storage.Save(out.Write)", "err := error(nil)\n\t\tgo func() { _ = s.storage.Save(out.Write) }()"}, ""},
 	{"a source that is behind sends its configuration, which is taken", "distribution", []string{
 		"if h := s.pieces[source]; h != nil && !h.at.Before(n.at) {", "if h := s.pieces[source]; h != nil && h.at == n.at {",
 		"if ok && !had.Before(h.at) {", "if ok && had == h.at {"}, "a proxy takes no older version, whoever offers it"},
--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -38,7 +38,7 @@
 		version, version%500, version)
 }
 
-func encoded(call *Call) []byte {
+func encoded(call *Command) []byte {
 	b, _ := call.MarshalMsg(nil)
 	return b
 }
@@ -47,7 +47,7 @@
 func loneOptions() replication.Options {
 	n := uint64(0)
 	return replication.Options{Self: replication.Member{Addr: "10.0.0.1:7000", Zone: "z", Region: "r"}, Seeds: []string{"10.0.0.1:7000"}, Bootstrap: true,
-		HeartbeatInterval: beatEvery, ElectionTimeout: suspectAfter, ElectionStagger: staggerEach, WriteTimeout: writeWithin, MemberTimeout: time.Second,
+		HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, ElectionStagger: electionStagger, WriteTimeout: writeTimeout, MemberTimeout: time.Second,
 		Rand: func() uint64 { n++; return n }}
 }
 
@@ -68,13 +68,13 @@
 	dir := c.TempDir()
 	store, state, err := statestore.Open(dir)
 	c.Assert(err, qt.IsNil)
-	rec := &record{}
+	rec := &controlState{}
 	machine, err := replication.New(loneOptions(), state, rec)
 	c.Assert(err, qt.IsNil)
 	now := time.Duration(0)
 	carry := func(out replication.Output) {
 		c.Assert(store.Save(out.Write), qt.IsNil)
-		rec.settle(out.Committed)
+		rec.takeCommitted(out.Committed)
 	}
 	for range 100 {
 		if machine.Status().Ready {
@@ -84,9 +84,9 @@
 		carry(machine.Tick(now))
 	}
 	c.Assert(machine.Status().Ready, qt.IsTrue)
-	carry(machine.Propose(now, 1, encoded(&Call{Replace: true, Body: manyRoutes(1, routes)})))
+	carry(machine.Propose(now, 1, encoded(&Command{Replace: true, Body: manyRoutes(1, routes)})))
 	for v := int64(2); v < 2+changes; v++ {
-		carry(machine.Propose(now, uint64(v), encoded(&Call{Base: v - 1, Body: oneRoute(v)})))
+		carry(machine.Propose(now, uint64(v), encoded(&Command{Base: v - 1, Body: oneRoute(v)})))
 	}
 	c.Assert(versionOf(rec.doc), qt.Equals, int64(1+changes))
 	shown := string(rec.doc.Show())
@@ -97,7 +97,7 @@
 	began := time.Now()
 	store, state, err = statestore.Open(dir)
 	c.Assert(err, qt.IsNil)
-	again := &record{}
+	again := &controlState{}
 	machine, err = replication.New(loneOptions(), state, again)
 	c.Assert(err, qt.IsNil)
 	took, log := time.Since(began), len(state.Changes)
@@ -114,21 +114,21 @@
 func TestChangesPublishedFollow(t *testing.T) {
 	for _, batch := range []int{1, 2, maxRecent, maxRecent + 1, 5 * maxRecent} {
 		c := qt.New(t)
-		o := &Server{log: zap.NewNop(), store: distribution.NewCache(), record: &record{}}
+		o := &Server{log: zap.NewNop(), cache: distribution.NewCache(), state: &controlState{}}
 		reader := distribution.NewCache()
 		seq := uint64(1)
-		o.record.Apply(seq, encoded(&Call{Replace: true, Body: manyRoutes(1, 3)}))
-		o.settle(seq)
+		o.state.Apply(seq, encoded(&Command{Replace: true, Body: manyRoutes(1, 3)}))
+		o.publishCommitted(seq)
 		for version := int64(2); version < 400; {
 			for range batch {
 				seq++
-				o.record.Apply(seq, encoded(&Call{Base: version - 1, Body: oneRoute(version)}))
+				o.state.Apply(seq, encoded(&Command{Base: version - 1, Body: oneRoute(version)}))
 				version++
 			}
-			o.settle(seq)
-			answer := o.store.Answer(c.Context(), "o", &distribution.Request{Have: reader.Have()})
+			o.publishCommitted(seq)
+			answer := o.cache.Answer(c.Context(), "o", &distribution.Request{Have: reader.Have()})
 			c.Assert(answer.Resources, qt.HasLen, 1)
-			c.Assert(configurationOf(c, answer.Resources[0], reader), qt.Equals, string(o.record.doc.Show()))
+			c.Assert(configurationOf(c, answer.Resources[0], reader), qt.Equals, string(o.state.doc.Show()))
 			c.Assert(reader.Take(answer, time.Now()), qt.HasLen, 0)
 		}
 	}
@@ -144,7 +144,7 @@
 	doc, found := routingconfig.Decode(news.Whole)
 	c.Assert(found.Err(), qt.IsNil)
 	for _, change := range news.Changes {
-		doc, found = (&Call{Replace: change.Replace, Body: change.Body}).change(doc)
+		doc, found = (&Command{Replace: change.Replace, Body: change.Body}).applyTo(doc)
 		c.Assert(found.Err(), qt.IsNil)
 	}
 	return string(doc.Show())
@@ -156,6 +156,6 @@
 		{Name: "the state after each change is kept", Tests: "^TestRestartAfterManyChanges$", Texts: []string{
 			"const maxRecent = 64", "const maxRecent = 4096"}},
 		{Name: "a change is published as following on another one", Tests: "^TestChangesPublishedFollow$", Texts: []string{
-			" || d.before != was.docSeq", ""}},
+			" || d.prevDocSeq != was.docSeq", ""}},
 	})
 }
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -108,7 +108,7 @@
 		var events []<-chan struct{}
 		for _, ip := range ips {
 			st, changed := c.servers[ip].watch()
-			events = append(events, changed, c.servers[ip].contact.in(st.Epoch).renewed)
+			events = append(events, changed, c.servers[ip].contact.forEpoch(st.Epoch).renewed)
 		}
 		if holds() {
 			return
@@ -136,13 +136,13 @@
 	}
 }
 
-// primary waits until one of some machines leads and has confirmed it, and gives its address.
+// redirectToPrimary waits until one of some machines leads and has confirmed it, and gives its address.
 func (c *cluster) primary(among ...string) string {
 	c.Helper()
 	found := ""
 	c.within("a primary", func() bool {
 		for _, ip := range among {
-			if s := c.servers[ip]; s.leads(s.status.Load()) {
+			if s := c.servers[ip]; s.isLeader(s.status.Load()) {
 				found = ip
 				return true
 			}
@@ -166,7 +166,7 @@
 	took     time.Duration
 }
 
-// call makes a call to one machine and follows nothing.
+// command makes a call to one machine and follows nothing.
 func (c *cluster) call(ip, method, path string, base string, body []byte) reply {
 	c.Helper()
 	w := httptest.NewRecorder()
@@ -210,7 +210,7 @@
 	r.inputs <- func(now time.Duration) replication.Output {
 		close(asleep)
 		<-awake
-		return r.machine.Tick(now)
+		return r.replica.Tick(now)
 	}
 	<-asleep
 	return func() { close(awake) }
--- a/internal/fleet/controlplane/contact.go
+++ b/internal/fleet/controlplane/contact.go
@@ -35,8 +35,8 @@
 	c.renewed = make(chan struct{})
 }
 
-// adopt notes a new view, of whose primary nothing was heard so far.
-func (c *contact) adopt(epoch uint64, now time.Time) {
+// enterEpoch notes a new view, of whose primary nothing was heard so far.
+func (c *contact) enterEpoch(epoch uint64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if epoch > c.epoch {
@@ -45,8 +45,8 @@
 	c.last = now
 }
 
-// doubt forgets when the primary was heard, but not how long ago there was contact.
-func (c *contact) doubt() {
+// suspect forgets when the primary was heard, but not how long ago there was contact.
+func (c *contact) suspect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = time.Time{}
@@ -59,8 +59,8 @@
 	renewed <-chan struct{}
 }
 
-// in gives the contact in an epoch.
-func (c *contact) in(epoch uint64) contactState {
+// forEpoch gives the contact in an epoch.
+func (c *contact) forEpoch(epoch uint64) contactState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := contactState{last: c.last, renewed: c.renewed}
--- a/internal/fleet/controlplane/controlplane.go
+++ b/internal/fleet/controlplane/controlplane.go
@@ -22,39 +22,39 @@
 
 // Server is one core machine's program.
 type Server struct {
-	// Readings is the least time between two readings of where tenants' data rested; New sets DefaultReadings.
-	Readings time.Duration
+	// Readings is the least time between two readings of where tenants' data rested; New sets DefaultResidencyInterval.
+	ResidencyInterval time.Duration
 	// Dial connects to other core machines; New sets distribution.Dial. Tests put a network of their own between.
 	Dial distribution.DialFunc
 
-	set     settings.Settings
-	log     *zap.Logger
-	start   time.Time
-	store   *distribution.Cache
-	archive *statestore.Store
-	machine *replication.Machine
-	record  *record
-	peers   *peers
-	inputs  chan func(now time.Duration) replication.Output
-	status  atomic.Pointer[replication.Status]
-	changed atomic.Pointer[chan struct{}] // closed when the status next changes
-	settled atomic.Pointer[applied]       // newest committed state
-	newest  atomic.Pointer[settledDoc]    // which configuration that has, and since when
-	polls   atomic.Pointer[polls]         // what the poller did last, as primary
-	heard   *xsync.Map[string, time.Time] // when another core machine was last heard, by its address among the core
-	contact *contact                      // with the primary, or as primary with the backups
+	settings        settings.Settings
+	log             *zap.Logger
+	start           time.Time
+	cache           *distribution.Cache
+	storage         *statestore.Store
+	replica         *replication.Machine
+	state           *controlState
+	transport       *transport
+	inputs          chan func(now time.Duration) replication.Output
+	status          atomic.Pointer[replication.Status]
+	changed         atomic.Pointer[chan struct{}] // closed when the status next changes
+	committed       atomic.Pointer[appliedState]  // newest committed state
+	committedConfig atomic.Pointer[configCommit]  // which configuration that has, and since when
+	lastPoll        atomic.Pointer[pollStatus]    // what the poller did last, as primary
+	lastContact     *xsync.Map[string, time.Time] // when another core machine was last heard, by its address among the core
+	contact         *contact                      // with the primary, or as primary with the backups
 
 	// What follows belongs to the driver's goroutine.
-	waiting map[uint64]chan<- replication.Answer
-	token   uint64
-	writing chan struct{} // one change at a time; holds one value
+	pendingAnswers map[uint64]chan<- replication.Answer
+	lastToken      uint64
+	changeSlot     chan struct{} // one change at a time; holds one value
 }
 
 const (
-	beatEvery    = 150 * time.Millisecond
-	suspectAfter = 700 * time.Millisecond
-	staggerEach  = 250 * time.Millisecond
-	writeWithin  = 600 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
+	electionTimeout   = 700 * time.Millisecond
+	electionStagger   = 250 * time.Millisecond
+	writeTimeout      = 600 * time.Millisecond
 )
 
 // New opens the disk and makes the program. A disk whose content can't be trusted counts as lost.
@@ -68,67 +68,67 @@
 		return nil, errors.Wrap(err, "open state store")
 	}
 	if state.DiskLost {
-		log.Warn("the disk's content can't be trusted and counts as lost", zap.Error(a.Broken()))
+		log.Warn("the disk's content can't be trusted and counts as lost", zap.Error(a.SetAsideCause()))
 	}
-	o := &Server{Readings: DefaultReadings, Dial: distribution.Dial, set: set, log: log, start: time.Now(), store: distribution.NewCache(), archive: a, record: &record{},
-		heard: xsync.NewMap[string, time.Time](), contact: newContact(time.Now()),
-		inputs: make(chan func(time.Duration) replication.Output, 1024), waiting: map[uint64]chan<- replication.Answer{}, writing: make(chan struct{}, 1)}
+	o := &Server{ResidencyInterval: DefaultResidencyInterval, Dial: distribution.Dial, settings: set, log: log, start: time.Now(), cache: distribution.NewCache(), storage: a, state: &controlState{},
+		lastContact: xsync.NewMap[string, time.Time](), contact: newContact(time.Now()),
+		inputs: make(chan func(time.Duration) replication.Output, 1024), pendingAnswers: map[uint64]chan<- replication.Answer{}, changeSlot: make(chan struct{}, 1)}
 	var seeds []string
 	for _, s := range set.Seeds {
 		if host, _, err := net.SplitHostPort(s); err == nil {
 			seeds = append(seeds, distribution.CoreAddr(host, set.Ports))
 		}
 	}
-	o.machine, err = replication.New(replication.Options{Self: self,
+	o.replica, err = replication.New(replication.Options{Self: self,
 		Tolerance: replication.FailureTolerance{Nodes: set.Survive.Nodes, Zones: set.Survive.Zones, Regions: set.Survive.Regions},
 		Seeds:     seeds, Bootstrap: set.Bootstrap,
-		HeartbeatInterval: beatEvery, ElectionTimeout: suspectAfter, ElectionStagger: staggerEach, WriteTimeout: writeWithin,
-		MemberTimeout: set.Bounds.Sync, Rand: random}, state, o.record)
+		HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, ElectionStagger: electionStagger, WriteTimeout: writeTimeout,
+		MemberTimeout: set.Bounds.Sync, Rand: random}, state, o.state)
 	if err != nil {
 		return nil, errors.Wrap(err, "record")
 	}
-	o.peers = newPeers(self.Addr, log, func(addr string, within time.Duration) (net.Conn, error) { return o.Dial(addr, within) })
-	st := o.machine.Status()
+	o.transport = newTransport(self.Addr, log, func(addr string, within time.Duration) (net.Conn, error) { return o.Dial(addr, within) })
+	st := o.replica.Status()
 	o.status.Store(&st)
-	o.publishCore(&st)
+	o.publishCoreMembers(&st)
 	changed := make(chan struct{})
 	o.changed.Store(&changed)
 	return o, nil
 }
 
 // watch gives the status, and what is closed when it next changes.
-func (o *Server) watch() (*replication.Status, <-chan struct{}) {
-	changed := o.changed.Load()
-	return o.status.Load(), *changed
+func (s *Server) watch() (*replication.Status, <-chan struct{}) {
+	changed := s.changed.Load()
+	return s.status.Load(), *changed
 }
 
 // Run serves until ctx ends and the core has taken over what this machine does.
-func (o *Server) Run(ctx context.Context) error {
-	ctx, stopServing := o.untilReleased(ctx)
+func (s *Server) Run(ctx context.Context) error {
+	ctx, stopServing := s.serveUntilReleased(ctx)
 	defer stopServing()
-	if o.set.Bind.Control == "" {
+	if s.settings.Bind.Control == "" {
 		return errors.New("bind: ctl must be given")
 	}
-	core, err := sockets.Listen(ctx, distribution.CoreAddr(o.set.IP, o.set.Ports), sockets.ListenWithin)
+	core, err := sockets.Listen(ctx, distribution.CoreAddr(s.settings.IP, s.settings.Ports), sockets.ListenWithin)
 	if err != nil {
 		return errors.Wrap(err, "listen for the core")
 	}
-	pulls, err := sockets.Listen(ctx, distribution.PullAddr(o.set.IP, o.set.Ports), sockets.ListenWithin)
+	pulls, err := sockets.Listen(ctx, distribution.PullAddr(s.settings.IP, s.settings.Ports), sockets.ListenWithin)
 	if err != nil {
 		return errors.Wrap(err, "listen for pulls")
 	}
-	control, err := sockets.Listen(ctx, o.set.Bind.Control, sockets.ListenWithin)
+	control, err := sockets.Listen(ctx, s.settings.Bind.Control, sockets.ListenWithin)
 	if err != nil {
 		return errors.Wrap(err, "listen for the operator")
 	}
-	server := &http.Server{Handler: o.handler(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 10 * time.Second, ErrorLog: zap.NewStdLog(o.log)}
+	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 10 * time.Second, ErrorLog: zap.NewStdLog(s.log)}
 	go func() { _ = server.Serve(control) }()
-	go o.peers.serve(ctx, core, o.receive, o.connectionEnded)
-	go o.servePulls(ctx, pulls)
-	go o.relay(ctx)
-	go o.poll(ctx)
-	go o.detectOutliers(ctx)
-	go o.read(ctx)
+	go s.transport.serve(ctx, core, s.receive, s.peerDisconnected)
+	go s.servePulls(ctx, pulls)
+	go s.followPrimary(ctx)
+	go s.poll(ctx)
+	go s.detectOutliers(ctx)
+	go s.recordResidency(ctx)
 	closeListeners := func() {
 		core.Close()
 		pulls.Close()
@@ -136,12 +136,12 @@
 	defer closeListeners()
 	stop := context.AfterFunc(ctx, closeListeners)
 	defer stop()
-	o.log.Info("started")
-	o.drive(ctx)
+	s.log.Info("started")
+	s.drive(ctx)
 	end, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = server.Shutdown(end)
-	if err := o.archive.Close(); err != nil {
+	if err := s.storage.Close(); err != nil {
 		return errors.Wrap(err, "close state store")
 	}
 	return nil
--- a/internal/fleet/controlplane/cutoff_test.go
+++ b/internal/fleet/controlplane/cutoff_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// silent asks a machine that is cut off for everything: it says nothing of the state, soon, and tells callers to go on elsewhere.
+// unresponsive asks a machine that is cut off for everything: it says nothing of the state, soon, and tells callers to go on elsewhere.
 // Where it still hears others it may send callers to one of those given.
 func (c *cluster) silent(ip string, version uint64, within time.Duration, heard ...string) {
 	c.Helper()
@@ -101,8 +101,8 @@
 			c.within("the cut is known", func() bool {
 				st := c.servers[old].status.Load()
 				now := time.Now()
-				where := placeOf(st, c.servers[old].contact.in(st.Epoch), now.Add(-beatEvery), now)
-				return where == nowhere || one.hears && where == primary
+				where := decideAdmission(st, c.servers[old].contact.forEpoch(st.Epoch), now.Add(-heartbeatInterval), now)
+				return where == rejectPartitioned || one.hears && where == redirectToPrimary
 			}, old)
 			c.silent(old, 5, atOnce, heard...)
 			bad := c.call(old, externalapi.Replace.Method, externalapi.Replace.Path, "x", documentOf(9))
@@ -166,12 +166,12 @@
 	c.silent(old, 5, moveOn)
 	resume()
 	c.silent(old, 5, moveOn)
-	c.Assert(c.servers[old].leads(c.servers[old].status.Load()), qt.IsFalse)
+	c.Assert(c.servers[old].isLeader(c.servers[old].status.Load()), qt.IsFalse)
 	// It may have learnt of the next view from what came while it slept; in its own it has had no contact since.
-	contact := c.servers[old].contact.in(led)
-	c.Assert(contact.at.Before(slept.Add(beatEvery)), qt.IsTrue, qt.Commentf("in contact %v after it slept", contact.at.Sub(slept)))
-	fresh, _ := c.servers[old].store.Fresh()
-	c.Assert(fresh.Before(slept.Add(beatEvery)), qt.IsTrue, qt.Commentf("fresh %v after it slept", fresh.Sub(slept)))
+	contact := c.servers[old].contact.forEpoch(led)
+	c.Assert(contact.at.Before(slept.Add(heartbeatInterval)), qt.IsTrue, qt.Commentf("in contact %v after it slept", contact.at.Sub(slept)))
+	fresh, _ := c.servers[old].cache.Fresh()
+	c.Assert(fresh.Before(slept.Add(heartbeatInterval)), qt.IsTrue, qt.Commentf("fresh %v after it slept", fresh.Sub(slept)))
 	c.network.Heal()
 	c.within("the next primary is known", func() bool {
 		got := c.call(old, http.MethodGet, externalapi.Show.Path, "", nil)
@@ -213,7 +213,7 @@
 // pulls are the control servers that one tells those that pull of.
 func (c *cluster) pulls(ip string) []string {
 	var core distribution.Core
-	for _, r := range c.servers[ip].store.Answer(c.Context(), ip, &distribution.Request{}).Resources {
+	for _, r := range c.servers[ip].cache.Answer(c.Context(), ip, &distribution.Request{}).Resources {
 		if r.Source == distribution.SourceCore {
 			_, err := core.UnmarshalMsg(r.Whole)
 			c.Assert(err, qt.IsNil)
@@ -226,7 +226,7 @@
 // so following redirects never leads back to a machine of the same or an older epoch.
 func TestRedirectsLeadOn(t *testing.T) {
 	now := time.Now()
-	came := now.Add(-beatEvery)
+	came := now.Add(-heartbeatInterval)
 	status := func(role replication.Role, ready bool) *replication.Status {
 		return &replication.Status{Role: role, Ready: ready, Epoch: 4, PrimaryAddr: "127.0.0.2:7"}
 	}
@@ -242,30 +242,30 @@
 		name string
 		st   *replication.Status
 		c    contactState
-		want place
+		want admission
 	}{
-		{"a primary that was confirmed", status(replication.Primary, true), state(beatEvery, beatEvery), here},
-		{"a primary that wasn't for long", status(replication.Primary, true), state(leadWithin, leadWithin), undecided},
-		{"a primary whose backups aren't in step", status(replication.Primary, false), state(0, 0), undecided},
-		{"a primary that was cut off", status(replication.Primary, true), state(cutOffAfter, cutOffAfter), nowhere},
-		{"a primary that stopped long ago", status(replication.Primary, false), state(20*time.Second, 20*time.Second), nowhere},
-		{"a backup that has heard its primary since", status(replication.Backup, true), state(beatEvery/2, beatEvery/2), primary},
-		{"a backup that heard its primary before", status(replication.Backup, true), state(beatEvery, beatEvery), undecided},
-		{"a backup that is ready by its disk alone", status(replication.Backup, true), state(never, 20*time.Second), nowhere},
-		{"a backup of a view whose primary wasn't heard", status(replication.Backup, true), state(never, beatEvery), undecided},
-		{"a witness that is cut off", status(replication.Witness, false), state(20*time.Second, 20*time.Second), nowhere},
-		{"a machine that is no member but hears the primary", status(replication.NonMember, false), state(0, 0), undecided},
-		{"a machine that has just started", status(replication.Backup, true), state(never, 0), undecided},
+		{"a primary that was confirmed", status(replication.Primary, true), state(heartbeatInterval, heartbeatInterval), admitHere},
+		{"a primary that wasn't for long", status(replication.Primary, true), state(leaderContactTimeout, leaderContactTimeout), awaitPrimary},
+		{"a primary whose backups aren't in step", status(replication.Primary, false), state(0, 0), awaitPrimary},
+		{"a primary that was cut off", status(replication.Primary, true), state(partitionTimeout, partitionTimeout), rejectPartitioned},
+		{"a primary that stopped long ago", status(replication.Primary, false), state(20*time.Second, 20*time.Second), rejectPartitioned},
+		{"a backup that has heard its primary since", status(replication.Backup, true), state(heartbeatInterval/2, heartbeatInterval/2), redirectToPrimary},
+		{"a backup that heard its primary before", status(replication.Backup, true), state(heartbeatInterval, heartbeatInterval), awaitPrimary},
+		{"a backup that is ready by its disk alone", status(replication.Backup, true), state(never, 20*time.Second), rejectPartitioned},
+		{"a backup of a view whose primary wasn't heard", status(replication.Backup, true), state(never, heartbeatInterval), awaitPrimary},
+		{"a witness that is cut off", status(replication.Witness, false), state(20*time.Second, 20*time.Second), rejectPartitioned},
+		{"a machine that is no member but hears the primary", status(replication.NonMember, false), state(0, 0), awaitPrimary},
+		{"a machine that has just started", status(replication.Backup, true), state(never, 0), awaitPrimary},
 	} {
-		qt.Check(t, placeOf(one.st, one.c, came, now), qt.Equals, one.want, qt.Commentf("%s", one.name))
+		qt.Check(t, decideAdmission(one.st, one.c, came, now), qt.Equals, one.want, qt.Commentf("%s", one.name))
 	}
 	contact := newContact(now)
 	contact.renew(4, now)
 	contact.renew(3, now.Add(time.Hour)) // a late word of an older primary
-	qt.Check(t, contact.in(4).at, qt.Equals, now)
-	qt.Check(t, contact.in(3).at.IsZero(), qt.IsTrue)
-	contact.adopt(5, now)
-	qt.Check(t, contact.in(5).at.IsZero(), qt.IsTrue, qt.Commentf("of the new primary nothing was heard"))
+	qt.Check(t, contact.forEpoch(4).at, qt.Equals, now)
+	qt.Check(t, contact.forEpoch(3).at.IsZero(), qt.IsTrue)
+	contact.enterEpoch(5, now)
+	qt.Check(t, contact.forEpoch(5).at.IsZero(), qt.IsTrue, qt.Commentf("of the new primary nothing was heard"))
 }
 
 // silence takes connections at an address and says nothing, as a machine without power does for a caller.
--- a/internal/fleet/controlplane/driver.go
+++ b/internal/fleet/controlplane/driver.go
@@ -10,7 +10,7 @@
 )
 
 // drive handles inputs one by one: what is to be on disk is there before anything is sent or answered.
-func (o *Server) drive(ctx context.Context) {
+func (s *Server) drive(ctx context.Context) {
 	next := time.NewTimer(0)
 	defer next.Stop()
 	for {
@@ -18,26 +18,26 @@
 		select {
 		case <-ctx.Done():
 			return
-		case in := <-o.inputs:
-			out = in(time.Since(o.start))
+		case in := <-s.inputs:
+			out = in(time.Since(s.start))
 		case <-next.C:
-			out = o.machine.Tick(time.Since(o.start))
+			out = s.replica.Tick(time.Since(s.start))
 		}
-		if began, ok := o.machine.LastQuorumContact(); ok {
-			o.contact.renew(o.machine.Status().Epoch, o.start.Add(began))
+		if began, ok := s.replica.LastQuorumContact(); ok {
+			s.contact.renew(s.replica.Status().Epoch, s.start.Add(began))
 		}
-		o.carryOut(ctx, &out)
-		next.Reset(max(o.machine.NextTick()-time.Since(o.start), 0))
+		s.processOutput(ctx, &out)
+		next.Reset(max(s.replica.NextTick()-time.Since(s.start), 0))
 	}
 }
 
-func (o *Server) carryOut(ctx context.Context, out *replication.Output) {
+func (s *Server) processOutput(ctx context.Context, out *replication.Output) {
 	for pause := 50 * time.Millisecond; !out.Write.Empty(); {
-		err := o.archive.Save(out.Write)
+		err := s.storage.Save(out.Write)
 		if err == nil {
 			break
 		}
-		o.log.Error("the disk takes no write; tried again", zap.Error(err))
+		s.log.Error("the disk takes no write; tried again", zap.Error(err))
 		select {
 		case <-ctx.Done():
 			return
@@ -46,45 +46,45 @@
 		pause = min(2*pause, time.Second)
 	}
 	for _, e := range out.Send {
-		o.peers.send(e.To, e.Msg)
+		s.transport.send(e.To, e.Msg)
 	}
-	o.settle(out.Committed)
+	s.publishCommitted(out.Committed)
 	for _, a := range out.Answer {
-		if c := o.waiting[a.Token]; c != nil {
-			delete(o.waiting, a.Token)
+		if c := s.pendingAnswers[a.Token]; c != nil {
+			delete(s.pendingAnswers, a.Token)
 			c <- a
 		}
 	}
 	if out.StatusChanged {
-		st := o.machine.Status()
-		was := o.status.Swap(&st)
+		st := s.replica.Status()
+		was := s.status.Swap(&st)
 		next := make(chan struct{})
-		close(*o.changed.Swap(&next))
+		close(*s.changed.Swap(&next))
 		if was.Epoch != st.Epoch {
-			o.contact.adopt(st.Epoch, time.Now())
-			o.publishCore(&st)
+			s.contact.enterEpoch(st.Epoch, time.Now())
+			s.publishCoreMembers(&st)
 		}
 		if was.Epoch != st.Epoch || was.Role != st.Role || was.Ready != st.Ready {
-			o.log.Info("view", zap.Uint64("epoch", st.Epoch), zap.Stringer("role", st.Role), zap.Bool("ready", st.Ready), zap.String("primary", st.PrimaryAddr),
+			s.log.Info("view", zap.Uint64("epoch", st.Epoch), zap.Stringer("role", st.Role), zap.Bool("ready", st.Ready), zap.String("primary", st.PrimaryAddr),
 				zap.Int("members", len(st.View.Members)), zap.Int("backups", len(st.View.Backups)))
 		}
 	}
 }
 
 // receive hands the driver a message of another core machine.
-func (o *Server) receive(from string, m *replication.Message) {
+func (s *Server) receive(from string, m *replication.Message) {
 	at := time.Now()
-	o.hears(from, at)
+	s.recordContact(from, at)
 	input := func(now time.Duration) replication.Output {
-		out := o.machine.Step(now, from, m)
-		st := o.machine.Status()
+		out := s.replica.Step(now, from, m)
+		st := s.replica.Status()
 		if fromPrimary(m, &st) {
-			o.contact.renew(st.Epoch, at)
+			s.contact.renew(st.Epoch, at)
 		}
 		return out
 	}
 	select {
-	case o.inputs <- input:
+	case s.inputs <- input:
 	default: // messages may be lost
 	}
 }
@@ -98,31 +98,34 @@
 	return false
 }
 
-// connectionEnded notes that a core machine's connection to this one has ended: its process may be gone, so that no caller is
+// peerDisconnected notes that a core machine's connection to this one has ended: its process may be gone, so that no caller is
 // sent there before it is heard again.
-func (o *Server) connectionEnded(from string) {
-	if o.status.Load().PrimaryAddr == from {
-		o.contact.doubt()
+func (s *Server) peerDisconnected(from string) {
+	if s.status.Load().PrimaryAddr == from {
+		s.contact.suspect()
 	}
 }
 
-// ask hands the machine an input with a token and waits for its answer.
-func (o *Server) ask(ctx context.Context, do func(now time.Duration, token uint64) replication.Output) (replication.Answer, error) {
+// pollPlatform hands the machine an input with a token and waits for its answer.
+func (s *Server) submitAndWait(ctx context.Context, do func(now time.Duration, token uint64) replication.Output) (replication.Answer, error) {
 	c := make(chan replication.Answer, 1)
 	in := func(now time.Duration) replication.Output {
-		o.token++
-		token := o.token
-		o.waiting[token] = c
+		s.lastToken++
+		token := s.lastToken
+		s.pendingAnswers[token] = c
 		context.AfterFunc(ctx, func() {
 			select {
-			case o.inputs <- func(now time.Duration) replication.Output { delete(o.waiting, token); return o.machine.Tick(now) }:
+			case s.inputs <- func(now time.Duration) replication.Output {
+				delete(s.pendingAnswers, token)
+				return s.replica.Tick(now)
+			}:
 			default:
 			}
 		})
 		return do(now, token)
 	}
 	select {
-	case o.inputs <- in:
+	case s.inputs <- in:
 	case <-ctx.Done():
 		return replication.Answer{}, ctx.Err()
 	}
--- a/internal/fleet/controlplane/histories_test.go
+++ b/internal/fleet/controlplane/histories_test.go
@@ -25,12 +25,12 @@
 const troubleEnd = 25 * time.Second
 
 // key names a call by its content: equal calls of two operators are the same change.
-func (c *Call) key() string { return fmt.Sprintf("%v %d %s", c.Replace, c.Base, c.Body) }
+func (c *Command) key() string { return fmt.Sprintf("%v %d %s", c.Replace, c.Base, c.Body) }
 
 // request is an operator's call in a history: a change, or a look at the newest configuration.
 type request struct {
-	call    *Call // nil: a look
-	version int64 // that the call would bring
+	call    *Command // nil: a look
+	version int64    // that the call would bring
 }
 
 // historyReply is what it was told; status 0: no clear answer.
@@ -60,7 +60,7 @@
 }
 
 // has reports whether a call is in the line.
-func (l *acceptedLine) has(call *Call) bool {
+func (l *acceptedLine) has(call *Command) bool {
 	key := call.key()
 	for ; l != nil; l = l.before {
 		if l.key == key {
@@ -122,7 +122,7 @@
 }
 
 // submit has a member answer a change as the server does.
-func (h *history) submit(m *member, call *Call, told func(historyReply)) {
+func (h *history) submit(m *member, call *Command, told func(historyReply)) {
 	var judged *verdict
 	h.ask(m, func(now time.Duration, token uint64) (out replication.Output) {
 		judged, out = m.record.submit(m.machine, now, token, call)
@@ -130,7 +130,7 @@
 	}, func(a replication.Answer) { told(historyReply{status: outcome(judged, a).status}) })
 }
 
-// show has a member answer with the newest configuration as the server does.
+// showConfig has a member answer with the newest configuration as the server does.
 func (h *history) show(m *member, told func(historyReply)) {
 	h.ask(m, func(now time.Duration, token uint64) replication.Output { return m.machine.Read(now, token) }, func(a replication.Answer) {
 		if a.Result != replication.Confirmed || a.Seq > 0 && (m.settled == nil || m.settled.seq < a.Seq) {
@@ -185,7 +185,7 @@
 	try()
 }
 
-// change draws a call on the version that an operator knows. Numbers and contents are few, so that calls of different operators collide.
+// applyTo draws a call on the version that an operator knows. Numbers and contents are few, so that calls of different operators collide.
 func (h *history) change(known int64) request {
 	version := known + 1 + int64(h.rng.IntN(2))
 	if h.rng.IntN(12) == 0 {
--- a/internal/fleet/controlplane/idempotency.go
+++ b/internal/fleet/controlplane/idempotency.go
@@ -42,7 +42,7 @@
 )
 
 // digest names a call by its operation, its base and the bytes of its body.
-func (c *Call) digest() uint64 {
+func (c *Command) digest() uint64 {
 	operation := "update"
 	if c.Replace {
 		operation = "replace"
@@ -69,7 +69,7 @@
 }
 
 // lookup says what is remembered of a call.
-func (a *acceptedChanges) lookup(c *Call) recollection {
+func (a *acceptedChanges) lookup(c *Command) recollection {
 	following := sort.Search(len(a.versions), func(i int) bool { return a.versions[i] > c.Base })
 	base := a.oldestBase
 	if following > 0 {
@@ -91,8 +91,8 @@
 	return otherChange
 }
 
-// store puts the remembered changes into a snapshot.
-func (a *acceptedChanges) store(s *Stored) {
+// cache puts the remembered changes into a snapshot.
+func (a *acceptedChanges) store(s *StoredState) {
 	s.Versions = a.versions
 	s.Digests = a.digests
 	if oldest := a.oldestBase; oldest != unknownBase {
@@ -102,7 +102,7 @@
 
 // restoreAccepted reads the remembered changes of a snapshot whose document has the version given. A snapshot of a build
 // that kept no OldestBase doesn't tell what its oldest change was built on, nor whether there were others before.
-func restoreAccepted(s *Stored, version int64) (a acceptedChanges, err error) {
+func restoreAccepted(s *StoredState, version int64) (a acceptedChanges, err error) {
 	if len(s.Versions) != len(s.Digests) {
 		return a, errors.New("as many versions as digests are due")
 	}
--- a/internal/fleet/controlplane/idempotency_bench_test.go
+++ b/internal/fleet/controlplane/idempotency_bench_test.go
@@ -6,8 +6,8 @@
 )
 
 // remembering is a record that accepted so many changes.
-func remembering(tb testing.TB, changes int) *record {
-	r := &record{}
+func remembering(tb testing.TB, changes int) *controlState {
+	r := &controlState{}
 	apply(tb, r, orderOf(0, "1", "a"))
 	acceptMore(tb, r, changes-1)
 	return r
--- a/internal/fleet/controlplane/idempotency_model_test.go
+++ b/internal/fleet/controlplane/idempotency_model_test.go
@@ -11,7 +11,7 @@
 
 // line is the model of a record: the calls that it accepted, oldest first.
 type line struct {
-	calls     []*Call
+	calls     []*Command
 	versions  []int64
 	committed int // so many can't be lost any more
 	firstKept int // older ones may be forgotten, as an older build led
@@ -26,8 +26,8 @@
 }
 
 // at is the place of a call in the line, or -1.
-func (l *line) at(call *Call) int {
-	return slices.IndexFunc(l.calls, func(c *Call) bool { return c == call || c.key() == call.key() })
+func (l *line) at(call *Command) int {
+	return slices.IndexFunc(l.calls, func(c *Command) bool { return c == call || c.key() == call.key() })
 }
 
 // truncate takes away all but the first calls.
@@ -41,28 +41,28 @@
 
 // lineTest holds a record against its model.
 type lineTest struct {
-	record    *record
+	record    *controlState
 	model     line
-	sent      []*Call        // all calls ever sent: each may come again
-	refused   map[*Call]bool // those whose refusal may have been told
-	snapshots map[int][]byte // by length of the line
+	sent      []*Command        // all calls ever sent: each may come again
+	refused   map[*Command]bool // those whose refusal may have been told
+	snapshots map[int][]byte    // by length of the line
 	bulk      int
 }
 
 // accept has the record and the model accept a call.
-func (lt *lineTest) accept(t *rapid.T, call *Call) {
+func (lt *lineTest) accept(t *rapid.T, call *Command) {
 	b, err := call.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	lt.record.Apply(lt.record.seq+1, b)
-	lt.record.settle(0)
+	lt.record.takeCommitted(0)
 	lt.model.calls = append(lt.model.calls, call)
 	lt.model.versions = append(lt.model.versions, lt.record.doc.Version())
 }
 
 // judge has the record judge a call, and judges the verdict.
-func (lt *lineTest) judge(t *rapid.T, call *Call) {
+func (lt *lineTest) judge(t *rapid.T, call *Command) {
 	v := lt.record.judge(call)
 	at := lt.model.at(call)
 	switch {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (lt *lineTest) judgeProposal(t *rapid.T, call *Call, at int) {
+func (lt *lineTest) judgeProposal(t *rapid.T, call *Command, at int) {
 	if at >= 0 || call.Base != lt.model.current() {
 		t.Fatalf("proposed on %d at version %d, accepted at %d", call.Base, lt.model.current(), at)
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (lt *lineTest) judgeUnclear(t *rapid.T, call *Call, at int) {
+func (lt *lineTest) judgeUnclear(t *rapid.T, call *Command, at int) {
 	forgotten := len(lt.model.calls) - maxRemembered
 	if at >= 0 && at >= max(forgotten, lt.model.firstKept) {
 		t.Fatalf("no clear answer though %d of %d is remembered", at, len(lt.model.calls))
@@ -138,7 +138,7 @@
 	if len(lt.sent) == 0 {
 		return
 	}
-	call := *rapid.SampledFrom(lt.sent).Draw(t, "call")
+	call := *rapid.SampledFrom(lt.sent).Draw(t, "command")
 	call.Replace = rapid.Bool().Draw(t, "replace")
 	call.Base += rapid.Int64Range(0, 1).Draw(t, "base")
 	lt.sent = append(lt.sent, &call)
@@ -146,7 +146,7 @@
 
 // baseReached has a change accepted that brings the version which a call builds on that came too early.
 func (lt *lineTest) baseReached(t *rapid.T) {
-	early := slices.DeleteFunc(slices.Clone(lt.sent), func(c *Call) bool { return c.Base <= lt.model.current() })
+	early := slices.DeleteFunc(slices.Clone(lt.sent), func(c *Command) bool { return c.Base <= lt.model.current() })
 	if len(early) == 0 || lt.record.doc == nil {
 		return
 	}
@@ -169,7 +169,7 @@
 
 func (lt *lineTest) allCommitted(*rapid.T) {
 	lt.model.committed = len(lt.model.calls)
-	lt.record.settle(lt.record.seq)
+	lt.record.takeCommitted(lt.record.seq)
 }
 
 func (lt *lineTest) snapshot(*rapid.T) { lt.snapshots[len(lt.model.calls)] = lt.record.Snapshot() }
@@ -227,7 +227,7 @@
 // never is, and left without a clear answer only if it is older than all that is remembered or ahead of the record.
 func TestSentAgainAtAnyTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lt := &lineTest{record: &record{}, refused: map[*Call]bool{}, snapshots: map[int][]byte{0: nil}}
+		lt := &lineTest{record: &controlState{}, refused: map[*Command]bool{}, snapshots: map[int][]byte{0: nil}}
 		t.Repeat(map[string]func(*rapid.T){
 			"a new call":                       lt.newCall,
 			"a copy comes":                     lt.copyComes,
--- a/internal/fleet/controlplane/idempotency_test.go
+++ b/internal/fleet/controlplane/idempotency_test.go
@@ -15,7 +15,7 @@
 const proposed = 0
 
 // judged is the status of the verdict on a call.
-func judged(r *record, call *Call) int {
+func judged(r *controlState, call *Command) int {
 	if v := r.judge(call); v != nil {
 		return v.status
 	}
@@ -23,28 +23,28 @@
 }
 
 // nextVersion is an update that changes the version alone.
-func nextVersion(base, version int64) *Call {
-	return &Call{Base: base, Body: fmt.Appendf(nil, `{"ver":%d}`, version)}
+func nextVersion(base, version int64) *Command {
+	return &Command{Base: base, Body: fmt.Appendf(nil, `{"ver":%d}`, version)}
 }
 
 // accept has a record accept a call.
-func accept(tb testing.TB, r *record, call *Call) {
+func accept(tb testing.TB, r *controlState, call *Command) {
 	tb.Helper()
 	qt.Assert(tb, judged(r, call), qt.Equals, proposed, qt.Commentf("%d %s", call.Base, call.Body))
 	apply(tb, r, call)
 }
 
 // apply has a record apply a call.
-func apply(tb testing.TB, r *record, call *Call) {
+func apply(tb testing.TB, r *controlState, call *Command) {
 	tb.Helper()
 	b, err := call.MarshalMsg(nil)
 	qt.Assert(tb, err, qt.IsNil)
 	r.Apply(r.seq+1, b)
-	r.settle(r.seq)
+	r.takeCommitted(r.seq)
 }
 
 // acceptMore has a record accept n changes that raise the version by one each.
-func acceptMore(tb testing.TB, r *record, n int) {
+func acceptMore(tb testing.TB, r *controlState, n int) {
 	tb.Helper()
 	for range n {
 		apply(tb, r, nextVersion(r.doc.Version(), r.doc.Version()+1))
@@ -52,15 +52,15 @@
 }
 
 // restored is a record that was read from the snapshot of another.
-func restored(tb testing.TB, r *record) *record {
+func restored(tb testing.TB, r *controlState) *controlState {
 	tb.Helper()
-	next := &record{}
+	next := &controlState{}
 	qt.Assert(tb, next.Restore(r.seq, r.Snapshot()), qt.IsNil)
 	return next
 }
 
 // storedBy is the decoded snapshot of a record.
-func storedBy(tb rapid.TB, r *record) (s Stored) {
+func storedBy(tb rapid.TB, r *controlState) (s StoredState) {
 	tb.Helper()
 	if _, err := s.UnmarshalMsg(r.Snapshot()); err != nil {
 		tb.Fatal(err)
@@ -69,13 +69,13 @@
 }
 
 // fromStored is a record read from a snapshot.
-func fromStored(tb rapid.TB, seq uint64, s *Stored) *record {
+func fromStored(tb rapid.TB, seq uint64, s *StoredState) *controlState {
 	tb.Helper()
 	b, err := s.MarshalMsg(nil)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r := &record{}
+	r := &controlState{}
 	if err := r.Restore(seq, b); err != nil {
 		tb.Fatal(err)
 	}
@@ -84,15 +84,15 @@
 
 // TestVerdicts: who is told what of a change on each kind of base, also after a snapshot.
 func TestVerdicts(t *testing.T) {
-	r := &record{}
+	r := &controlState{}
 	first, second, third := orderOf(0, "5", "a"), orderOf(5, "7", "a"), nextVersion(7, 12)
-	for _, call := range []*Call{first, second, third} {
+	for _, call := range []*Command{first, second, third} {
 		accept(t, r, call)
 	}
-	asReplace := func(c *Call) *Call { return &Call{Replace: !c.Replace, Base: c.Base, Body: c.Body} }
+	asReplace := func(c *Command) *Command { return &Command{Replace: !c.Replace, Base: c.Base, Body: c.Body} }
 	for _, tc := range []struct {
 		name string
-		call *Call
+		call *Command
 		want int
 	}{
 		{"the first change again", first, http.StatusOK},
@@ -104,8 +104,8 @@
 		{"the same content on a base that was passed over", orderOf(6, "7", "a"), http.StatusPreconditionFailed},
 		{"the same content on the newest base", orderOf(12, "7", "a"), http.StatusBadRequest},
 		{"the same body as another operation", asReplace(third), http.StatusPreconditionFailed},
-		{"an invalid change on an older base", &Call{Base: 5, Body: []byte("{")}, http.StatusPreconditionFailed},
-		{"an invalid change on the newest base", &Call{Base: 12, Body: []byte("{")}, http.StatusBadRequest},
+		{"an invalid change on an older base", &Command{Base: 5, Body: []byte("{")}, http.StatusPreconditionFailed},
+		{"an invalid change on the newest base", &Command{Base: 12, Body: []byte("{")}, http.StatusBadRequest},
 		{"a change on a base that is not reached", nextVersion(13, 14), http.StatusServiceUnavailable},
 		{"a new change", nextVersion(12, 13), proposed},
 	} {
@@ -120,21 +120,21 @@
 // is remembered gets no clear answer, and neither does another one on its base.
 func TestSentAgainMuchLater(t *testing.T) {
 	qt.Assert(t, maxRemembered >= 4096, qt.IsTrue)
-	r := &record{}
+	r := &controlState{}
 	first, rival := orderOf(0, "5", "a"), orderOf(0, "5", "b")
 	accept(t, r, first)
 	after := 0
 	for _, upTo := range []int{1, 63, 64, 200, 1000, 4095, maxRemembered - 1} {
 		acceptMore(t, r, upTo-after)
 		after = upTo
-		for _, one := range []*record{r, restored(t, r)} {
+		for _, one := range []*controlState{r, restored(t, r)} {
 			qt.Check(t, judged(one, first), qt.Equals, http.StatusOK, qt.Commentf("after %d changes", upTo))
 			qt.Check(t, judged(one, rival), qt.Equals, http.StatusPreconditionFailed, qt.Commentf("after %d changes", upTo))
 		}
 	}
 	acceptMore(t, r, 1)
-	for _, one := range []*record{r, restored(t, r)} {
-		for _, call := range []*Call{first, rival, nextVersion(4, 5), {Base: 0, Body: []byte("{")}} {
+	for _, one := range []*controlState{r, restored(t, r)} {
+		for _, call := range []*Command{first, rival, nextVersion(4, 5), {Base: 0, Body: []byte("{")}} {
 			qt.Check(t, judged(one, call), qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%d %s", call.Base, call.Body))
 		}
 		qt.Check(t, judged(one, nextVersion(5, 6)), qt.Equals, http.StatusOK)
@@ -155,11 +155,11 @@
 	for i := range int64(maxRemembered + 10) {
 		a.add(1<<62+i, ^uint64(i))
 	}
-	var s Stored
+	var s StoredState
 	a.store(&s)
 	b, err := s.MarshalMsg(nil)
 	qt.Assert(t, err, qt.IsNil)
-	empty, err := (&Stored{}).MarshalMsg(nil)
+	empty, err := (&StoredState{}).MarshalMsg(nil)
 	qt.Assert(t, err, qt.IsNil)
 	const oldestBase, arrayHeads = 2 + 9, 2 * 2
 	qt.Check(t, len(b)-len(empty) <= rememberedBytes+oldestBase+arrayHeads, qt.IsTrue, qt.Commentf("%d bytes", len(b)))
@@ -168,9 +168,9 @@
 // TestOlderBuildsSnapshot: the snapshot of a build that doesn't tell what its oldest change was built on is read; nothing is refused
 // that may have been accepted before it.
 func TestOlderBuildsSnapshot(t *testing.T) {
-	r := &record{}
+	r := &controlState{}
 	first, second, third := orderOf(0, "5", "a"), orderOf(5, "7", "a"), nextVersion(7, 12)
-	for _, call := range []*Call{first, second, third} {
+	for _, call := range []*Command{first, second, third} {
 		accept(t, r, call)
 	}
 	older := storedBy(t, r)
@@ -179,7 +179,7 @@
 	back := fromStored(t, r.seq, &older)
 	for range 2 {
 		for _, tc := range []struct {
-			call *Call
+			call *Command
 			want int
 		}{
 			{first, http.StatusServiceUnavailable},
@@ -201,7 +201,7 @@
 	// Still older ones remembered nothing.
 	older.Versions, older.Digests = nil, nil
 	back = fromStored(t, r.seq, &older)
-	for _, call := range []*Call{first, second, third} {
+	for _, call := range []*Command{first, second, third} {
 		qt.Check(t, judged(back, call), qt.Equals, http.StatusServiceUnavailable)
 	}
 	qt.Check(t, judged(back, nextVersion(12, 13)), qt.Equals, proposed)
@@ -223,7 +223,7 @@
 
 // TestOlderBuildsRead: older builds find the document, the versions and the digests where they look for them.
 func TestOlderBuildsRead(t *testing.T) {
-	r := &record{}
+	r := &controlState{}
 	accept(t, r, orderOf(0, "5", "a"))
 	accept(t, r, nextVersion(5, 6))
 	fields, _, err := msgp.ReadMapStrIntfBytes(r.Snapshot(), nil)
@@ -235,21 +235,21 @@
 
 // TestDamagedSnapshot: a snapshot whose remembered changes can't be right is refused, and the record stays as it is.
 func TestDamagedSnapshot(t *testing.T) {
-	r := &record{}
+	r := &controlState{}
 	accept(t, r, orderOf(0, "5", "a"))
 	accept(t, r, nextVersion(5, 6))
 	before, seq := r.Snapshot(), r.seq
 	for _, tc := range []struct {
 		name   string
-		damage func(s *Stored)
+		damage func(s *StoredState)
 		want   string
 	}{
-		{"a digest is missing", func(s *Stored) { s.Digests = s.Digests[:1] }, "record: as many versions as digests are due"},
-		{"the newest is missing", func(s *Stored) { s.Versions, s.Digests = s.Versions[:1], s.Digests[:1] }, "record: .* do not follow .*"},
-		{"versions fall", func(s *Stored) { slices.Reverse(s.Versions) }, "record: .* do not follow .*"},
-		{"the base is not below", func(s *Stored) { s.OldestBase = &s.Versions[0] }, "record: .* do not follow .*"},
-		{"the document is damaged", func(s *Stored) { s.Document = s.Document[1:] }, "record: configuration: .*"},
-		{"the residency is damaged", func(s *Stored) { s.Rested = []byte{0} }, "record: .*"},
+		{"a digest is missing", func(s *StoredState) { s.Digests = s.Digests[:1] }, "record: as many versions as digests are due"},
+		{"the newest is missing", func(s *StoredState) { s.Versions, s.Digests = s.Versions[:1], s.Digests[:1] }, "record: .* do not follow .*"},
+		{"versions fall", func(s *StoredState) { slices.Reverse(s.Versions) }, "record: .* do not follow .*"},
+		{"the base is not below", func(s *StoredState) { s.OldestBase = &s.Versions[0] }, "record: .* do not follow .*"},
+		{"the document is damaged", func(s *StoredState) { s.Document = s.Document[1:] }, "record: configuration: .*"},
+		{"the residency is damaged", func(s *StoredState) { s.Rested = []byte{0} }, "record: .*"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := storedBy(t, r)
@@ -265,7 +265,7 @@
 
 // TestLostTail: a change that was applied but lost with the end of its record is proposed again, unless another one took its base.
 func TestLostTail(t *testing.T) {
-	r := &record{}
+	r := &controlState{}
 	accept(t, r, orderOf(0, "5", "a"))
 	committed, seq := r.Snapshot(), r.seq
 	lost, after := nextVersion(5, 6), nextVersion(6, 7)
--- a/internal/fleet/controlplane/messages.go
+++ b/internal/fleet/controlplane/messages.go
@@ -4,9 +4,9 @@
 
 //go:generate msgp -tests=false
 
-// Call is a change of the record: one of the configuration as the operator sent it, or a reading of where tenants' data
+// Command is a change of the record: one of the configuration as the operator sent it, or a reading of where tenants' data
 // rested, which leaves the configuration as it is.
-type Call struct {
+type Command struct {
 	Replace bool   `msg:"r"`
 	Base    int64  `msg:"b"`
 	Body    []byte `msg:"d"`
@@ -14,8 +14,8 @@
 	Reading *residencyreport.Reading `msg:"g,omitempty"`
 }
 
-// Stored is the record's snapshot.
-type Stored struct {
+// StoredState is the record's snapshot.
+type StoredState struct {
 	Document []byte `msg:"d"`
 	// Versions and Digests are those of the newest accepted changes, oldest first.
 	Versions []int64  `msg:"v"`
--- a/internal/fleet/controlplane/messages_gen.go
+++ b/internal/fleet/controlplane/messages_gen.go
@@ -9,7 +9,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Call) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Command) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -74,7 +74,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Call) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Command) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
 	zb0001Len := uint32(4)
 	var zb0001Mask uint8 /* 4 bits */
@@ -145,7 +145,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Call) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Command) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(4)
@@ -187,7 +187,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Call) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Command) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -252,7 +252,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Call) Msgsize() (s int) {
+func (z *Command) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Body) + 2
 	if z.Reading == nil {
 		s += msgp.NilSize
@@ -263,7 +263,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Stored) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *StoredState) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -366,7 +366,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Stored) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *StoredState) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
 	zb0001Len := uint32(6)
 	var zb0001Mask uint8 /* 6 bits */
@@ -483,7 +483,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Stored) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *StoredState) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(6)
@@ -545,7 +545,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Stored) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StoredState) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -648,7 +648,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Stored) Msgsize() (s int) {
+func (z *StoredState) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Document) + 2 + msgp.ArrayHeaderSize + (len(z.Versions) * (msgp.Int64Size)) + 2 + msgp.ArrayHeaderSize + (len(z.Digests) * (msgp.Uint64Size)) + 2
 	if z.OldestBase == nil {
 		s += msgp.NilSize
--- a/internal/fleet/controlplane/operator_test.go
+++ b/internal/fleet/controlplane/operator_test.go
@@ -19,7 +19,7 @@
 )
 
 // sendChange has a server answer a change whose body is read from a reader.
-func sendChange(ctx context.Context, o *Server, c *Call, body io.Reader) *httptest.ResponseRecorder {
+func sendChange(ctx context.Context, o *Server, c *Command, body io.Reader) *httptest.ResponseRecorder {
 	target := externalapi.Update
 	if c.Replace {
 		target = externalapi.Replace
@@ -38,7 +38,7 @@
 	first, second := orderOf(0, "5", "a"), nextVersion(5, 7)
 	for _, tc := range []struct {
 		name string
-		call *Call
+		call *Command
 		want int
 		told string
 	}{
@@ -88,6 +88,6 @@
 	for _, code := range codes {
 		c.Check(code, qt.Equals, http.StatusOK)
 	}
-	c.Check(o.settled.Load().doc.Version(), qt.Equals, int64(5))
-	c.Check(o.settled.Load().seq, qt.Equals, uint64(1))
+	c.Check(o.committed.Load().doc.Version(), qt.Equals, int64(5))
+	c.Check(o.committed.Load().seq, qt.Equals, uint64(1))
 }
--- a/internal/fleet/controlplane/outliers.go
+++ b/internal/fleet/controlplane/outliers.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// judgeEvery is the time between two judgements of the backends.
-	judgeEvery = 100 * time.Millisecond
-	// ejectAgain is how often ejections in force are sent again, so that they don't lapse.
-	ejectAgain = time.Second
+	// detectionInterval is the time between two judgements of the backends.
+	detectionInterval = 100 * time.Millisecond
+	// ejectionRefresh is how often ejections in force are sent again, so that they don't lapse.
+	ejectionRefresh = time.Second
 )
 
-// outliers judges backends by what all proxies tell of them, while this machine is the primary.
-type outliers struct {
-	o        *Server
+// outlierEjector judges backends by what all proxies tell of them, while this machine is the primary.
+type outlierEjector struct {
+	server   *Server
 	epoch    uint64
 	count    uint64
 	detector *outlier.Detector
@@ -29,44 +29,44 @@
 }
 
 // detectOutliers runs until ctx ends.
-func (o *Server) detectOutliers(ctx context.Context) {
-	d := &outliers{o: o}
-	for ; ctx.Err() == nil; sleep(ctx, judgeEvery) {
-		if st := o.status.Load(); o.leads(st) {
+func (s *Server) detectOutliers(ctx context.Context) {
+	d := &outlierEjector{server: s}
+	for ; ctx.Err() == nil; sleep(ctx, detectionInterval) {
+		if st := s.status.Load(); s.isLeader(st) {
 			d.step(st.Epoch, time.Now())
 		}
 	}
 }
 
 // step judges as the primary of an epoch, and publishes what is ejected.
-func (d *outliers) step(epoch uint64, now time.Time) {
+func (d *outlierEjector) step(epoch uint64, now time.Time) {
 	if d.detector == nil || d.epoch != epoch {
 		d.epoch, d.count, d.detector, d.ejected = epoch, 0, outlier.NewDetector(), nil
 	}
-	polls := d.o.polls.Load()
+	polls := d.server.lastPoll.Load()
 	if polls == nil || polls.epoch != epoch || polls.list == nil {
 		return
 	}
-	ms := float64(now.Sub(d.o.start).Milliseconds())
-	reports := d.o.store.Outcomes.Take()
+	ms := float64(now.Sub(d.server.start).Milliseconds())
+	reports := d.server.cache.Outcomes.Take()
 	for i := range reports {
 		d.detector.Observe(ms, &reports[i])
 	}
 	if len(reports) == 0 && len(d.ejected) == 0 {
 		return
 	}
-	ejected := d.detector.Step(ms, peersOf(polls.list))
+	ejected := d.detector.Step(ms, outlierPeers(polls.list))
 	changed := !slices.Equal(ejected, d.ejected)
 	if changed {
-		d.o.log.Info("backends that do far worse than their peers", zap.Any("ejected", ejected))
+		d.server.log.Info("backends that do far worse than their peers", zap.Any("ejected", ejected))
 	}
-	if changed || len(ejected) > 0 && now.Sub(d.sent) >= ejectAgain {
+	if changed || len(ejected) > 0 && now.Sub(d.sent) >= ejectionRefresh {
 		d.publish(ejected, now)
 	}
 }
 
-// peersOf are the listed backends, in groups that serve the same requests.
-func peersOf(list *distribution.List) []outlier.Peer {
+// outlierPeers are the listed backends, in groups that serve the same requests.
+func outlierPeers(list *distribution.List) []outlier.Peer {
 	peers := make([]outlier.Peer, 0, len(list.Backends))
 	for _, b := range list.Backends {
 		if b.Draining || b.Phase == distribution.PhaseChanging {
@@ -77,10 +77,10 @@
 	return peers
 }
 
-func (d *outliers) publish(ejected []distribution.Ejection, now time.Time) {
+func (d *outlierEjector) publish(ejected []distribution.Ejection, now time.Time) {
 	d.count++
 	d.ejected, d.sent = ejected, now
 	all := distribution.Ejections{Ejected: ejected}
 	b, _ := all.MarshalMsg(nil) // it has no way to fail
-	d.o.store.Set(distribution.SourceEjections, distribution.Version{Epoch: d.epoch, Count: d.count}, b)
+	d.server.cache.Set(distribution.SourceEjections, distribution.Version{Epoch: d.epoch, Count: d.count}, b)
 }
--- a/internal/fleet/controlplane/outliers_test.go
+++ b/internal/fleet/controlplane/outliers_test.go
@@ -16,15 +16,15 @@
 // stands, and to an end of it once trials succeed; nothing is sent while there is nothing to say.
 func TestOutliersArePublished(t *testing.T) {
 	c := qt.New(t)
-	o := &Server{store: distribution.NewCache(), start: time.Now(), log: zap.NewNop()}
+	o := &Server{cache: distribution.NewCache(), start: time.Now(), log: zap.NewNop()}
 	list := &distribution.List{}
 	for i := range 6 {
 		list.Backends = append(list.Backends, distribution.Backend{ID: fmt.Sprint("b", i), Service: "s", Phase: externalapi.PhaseDecode})
 	}
 	list.Backends = append(list.Backends, distribution.Backend{ID: "leaves", Service: "s", Phase: externalapi.PhaseDecode, Draining: true})
 	const epoch = 3
-	o.polls.Store(&polls{epoch: epoch, list: list})
-	d := &outliers{o: o}
+	o.lastPoll.Store(&pollStatus{epoch: epoch, list: list})
+	d := &outlierEjector{server: o}
 	now := time.Now()
 	tell := func(failed int) {
 		for p := range 8 {
@@ -36,11 +36,11 @@
 				}
 				all = append(all, one)
 			}
-			o.store.Outcomes.Put(distribution.OutcomeReport{Proxy: fmt.Sprint("p", p), Zone: "z", Outcomes: all})
+			o.cache.Outcomes.Put(distribution.OutcomeReport{Proxy: fmt.Sprint("p", p), Zone: "z", Outcomes: all})
 		}
 	}
 	published := func() (distribution.Version, []distribution.Ejection) {
-		for _, r := range o.store.Answer(c.Context(), "n", &distribution.Request{}).Resources {
+		for _, r := range o.cache.Answer(c.Context(), "n", &distribution.Request{}).Resources {
 			var all distribution.Ejections
 			_, err := all.UnmarshalMsg(r.Whole)
 			c.Assert(err, qt.IsNil)
@@ -57,22 +57,22 @@
 	at, _ := published()
 	c.Assert(at, qt.Equals, distribution.Version{})
 	tell(4)
-	step(judgeEvery)
+	step(detectionInterval)
 	at, ejected := published()
 	c.Assert(at, qt.Equals, distribution.Version{Epoch: epoch, Count: 1})
 	c.Assert(ejected, qt.DeepEquals, []distribution.Ejection{{Backend: "b2"}})
-	step(judgeEvery)
+	step(detectionInterval)
 	again, _ := published()
 	c.Assert(again, qt.Equals, at)
-	step(ejectAgain)
+	step(ejectionRefresh)
 	again, _ = published()
 	c.Assert(at.Before(again), qt.IsTrue)
 	tell(0)
-	step(2 * ejectAgain)
+	step(2 * ejectionRefresh)
 	_, ejected = published()
 	c.Assert(ejected, qt.HasLen, 0)
 	last, _ := published()
-	step(2 * ejectAgain)
+	step(2 * ejectionRefresh)
 	again, _ = published()
 	c.Assert(again, qt.Equals, last)
 }
--- a/internal/fleet/controlplane/peers.go
+++ b/internal/fleet/controlplane/peers.go
@@ -16,36 +16,36 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// peers is the way to the other core machines: one connection each way, messages that can't be sent are lost.
-type peers struct {
-	self string
-	log  *zap.Logger
-	dial distribution.DialFunc
-	mu   sync.Mutex
-	out  map[string]chan replication.Message
+// transport is the way to the other core machines: one connection each way, messages that can't be sent are lost.
+type transport struct {
+	self   string
+	log    *zap.Logger
+	dial   distribution.DialFunc
+	mu     sync.Mutex
+	queues map[string]chan replication.Message
 }
 
 const (
-	// peerQueue bounds what waits for one peer.
-	peerQueue = 64
-	// peerWithin bounds a dial and a write to a peer.
-	peerWithin = 500 * time.Millisecond
-	// peerIdle is how long a way without messages is kept.
-	peerIdle = 10 * time.Second
+	// peerQueueLength bounds what waits for one peer.
+	peerQueueLength = 64
+	// peerTimeout bounds a dial and a write to a peer.
+	peerTimeout = 500 * time.Millisecond
+	// peerIdleTimeout is how long a way without messages is kept.
+	peerIdleTimeout = 10 * time.Second
 )
 
-func newPeers(self string, log *zap.Logger, dial distribution.DialFunc) *peers {
-	return &peers{self: self, log: log, dial: dial, out: map[string]chan replication.Message{}}
+func newTransport(self string, log *zap.Logger, dial distribution.DialFunc) *transport {
+	return &transport{self: self, log: log, dial: dial, queues: map[string]chan replication.Message{}}
 }
 
-func (p *peers) send(to string, m replication.Message) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	q := p.out[to]
+func (t *transport) send(to string, m replication.Message) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	q := t.queues[to]
 	if q == nil {
-		q = make(chan replication.Message, peerQueue)
-		p.out[to] = q
-		go p.write(to, q)
+		q = make(chan replication.Message, peerQueueLength)
+		t.queues[to] = q
+		go t.writeLoop(to, q)
 	}
 	select {
 	case q <- m:
@@ -53,31 +53,31 @@
 	}
 }
 
-// write sends what is queued for one peer, and ends when nothing has been for a while.
-func (p *peers) write(to string, q chan replication.Message) {
+// writeLoop sends what is queued for one peer, and ends when nothing has been for a while.
+func (t *transport) writeLoop(to string, q chan replication.Message) {
 	var c net.Conn
-	idle := time.NewTimer(peerIdle)
+	idle := time.NewTimer(peerIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case m := <-q:
 			var err error
-			if c, err = p.deliver(c, to, &m); err != nil {
+			if c, err = t.deliver(c, to, &m); err != nil {
 				for len(q) > 0 { // what waited meanwhile is old
 					<-q
 				}
 				continue
 			}
-			idle.Reset(peerIdle)
+			idle.Reset(peerIdleTimeout)
 		case <-idle.C:
-			p.mu.Lock()
+			t.mu.Lock()
 			if len(q) > 0 {
-				p.mu.Unlock()
-				idle.Reset(peerIdle)
+				t.mu.Unlock()
+				idle.Reset(peerIdleTimeout)
 				continue
 			}
-			delete(p.out, to)
-			p.mu.Unlock()
+			delete(t.queues, to)
+			t.mu.Unlock()
 			if c != nil {
 				c.Close()
 			}
@@ -88,17 +88,17 @@
 
 // deliver sends one message on a connection, or on a new one where there is none or it has ended: the peer's process may have been
 // replaced by another, which is not to miss what is said first. One that is silent isn't tried twice.
-func (p *peers) deliver(c net.Conn, to string, m *replication.Message) (net.Conn, error) {
+func (t *transport) deliver(c net.Conn, to string, m *replication.Message) (net.Conn, error) {
 	for {
 		made := c == nil
 		if made {
 			var err error
-			if c, err = p.dial(to, peerWithin); err != nil {
+			if c, err = t.dial(to, peerTimeout); err != nil {
 				return nil, err
 			}
-			go closeAtEnd(c)
+			go closeOnEOF(c)
 		}
-		_ = c.SetWriteDeadline(time.Now().Add(peerWithin))
+		_ = c.SetWriteDeadline(time.Now().Add(peerTimeout))
 		err := distribution.WriteFrame(c, m)
 		if err == nil {
 			return c, nil
@@ -111,15 +111,15 @@
 	}
 }
 
-// closeAtEnd closes a connection once the peer has ended it. Nothing is ever read from it: without this a first message to a
+// closeOnEOF closes a connection once the peer has ended it. Nothing is ever read from it: without this a first message to a
 // process that is gone would be taken by the kernel and lost.
-func closeAtEnd(c net.Conn) {
+func closeOnEOF(c net.Conn) {
 	_, _ = io.Copy(io.Discard, c)
 	c.Close()
 }
 
 // serve hears the other core machines, and tells of whose connection has ended.
-func (p *peers) serve(ctx context.Context, ln net.Listener, tell func(from string, m *replication.Message), ended func(from string)) {
+func (t *transport) serve(ctx context.Context, ln net.Listener, tell func(from string, m *replication.Message), ended func(from string)) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -137,7 +137,7 @@
 			from := ""
 			defer func() { ended(from) }()
 			for {
-				_ = c.SetReadDeadline(time.Now().Add(3 * peerIdle))
+				_ = c.SetReadDeadline(time.Now().Add(3 * peerIdleTimeout))
 				m := new(replication.Message)
 				if err := distribution.ReadFrame(r, m); err != nil {
 					return
--- a/internal/fleet/controlplane/peers_test.go
+++ b/internal/fleet/controlplane/peers_test.go
@@ -21,7 +21,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer ln.Close()
-	p := newPeers("127.0.0.1:1", zap.NewNop(), distribution.Dial)
+	p := newTransport("127.0.0.1:1", zap.NewNop(), distribution.Dial)
 	for round := range uint64(3) {
 		p.send(ln.Addr().String(), replication.Message{Kind: replication.KindHeartbeat, Round: round})
 		conn, err := ln.Accept()
@@ -47,7 +47,7 @@
 	c.Assert(err, qt.IsNil)
 	addr := ln.Addr().String()
 	ended := make(chan struct{}, 10)
-	p := newPeers("self", zap.NewNop(), func(addr string, within time.Duration) (net.Conn, error) {
+	p := newTransport("self", zap.NewNop(), func(addr string, within time.Duration) (net.Conn, error) {
 		conn, err := distribution.Dial(addr, within)
 		return endNoted{conn, ended}, err
 	})
@@ -73,7 +73,7 @@
 	defer next.Close()
 	select {
 	case <-ended: // the end was noticed without a message
-	case <-time.After(peerIdle / 2): // before an idle connection is closed anyhow
+	case <-time.After(peerIdleTimeout / 2): // before an idle connection is closed anyhow
 		c.Fatal("the end of a connection is not noticed")
 	}
 	p.send(addr, replication.Message{Round: 2})
--- a/internal/fleet/controlplane/phases.go
+++ b/internal/fleet/controlplane/phases.go
@@ -17,51 +17,51 @@
 	"molepaddle/internal/fleet/scheduler"
 )
 
-// phases holds the duty of giving orders to backends: it comes with the primary's view, whose epoch is the fence.
-type phases struct {
-	o      *Server
+// phaseController holds the duty of giving orders to backends: it comes with the primary's view, whose epoch is the fence.
+type phaseController struct {
+	server *Server
 	client *externalapi.BackendClient
 
-	mu       sync.Mutex
-	machines map[string]*scheduler.Phases // by service
-	changing map[string]bool              // ids to which nobody should send
-	active   map[string]int               // by id of those that make tokens, as of the last round
-	silent   []string                     // whose report did not come then
+	mu           sync.Mutex
+	planners     map[string]*scheduler.Phases // by service
+	changing     map[string]bool              // ids to which nobody should send
+	active       map[string]int               // by id of those that make tokens, as of the last round
+	unresponsive []string                     // whose report did not come then
 }
 
 const (
-	// reportEvery is the time between two rounds of reports; they are priced as probes.
-	reportEvery = 1500 * time.Millisecond
-	// mostSilent is one in how many backends may be silent for that to be believed.
-	mostSilent = 3
-	// orderWithin bounds a call to a backend.
-	orderWithin = 300 * time.Millisecond
-	// giveWithin bounds the confirmation before an order and the order together.
-	giveWithin = 2 * orderWithin
-	// onTheWay is more than an order takes from its sender to the backend.
-	onTheWay = orderWithin
+	// reportInterval is the time between two rounds of reports; they are priced as probes.
+	reportInterval = 1500 * time.Millisecond
+	// unresponsiveDivisor is one in how many backends may be silent for that to be believed.
+	unresponsiveDivisor = 3
+	// orderTimeout bounds a call to a backend.
+	orderTimeout = 300 * time.Millisecond
+	// confirmAndOrderTimeout bounds the confirmation before an order and the order together.
+	confirmAndOrderTimeout = 2 * orderTimeout
+	// orderTransitBound is more than an order takes from its sender to the backend.
+	orderTransitBound = orderTimeout
 )
 
-func newPhases(o *Server) *phases {
-	return &phases{o: o, client: externalapi.NewBackendClient(orderWithin), machines: map[string]*scheduler.Phases{}, changing: map[string]bool{},
+func newPhaseController(o *Server) *phaseController {
+	return &phaseController{server: o, client: externalapi.NewBackendClient(orderTimeout), planners: map[string]*scheduler.Phases{}, changing: map[string]bool{},
 		active: map[string]int{}}
 }
 
 // reset forgets what an earlier term of the duty began.
-func (p *phases) reset() {
+func (p *phaseController) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	clear(p.machines)
+	clear(p.planners)
 	clear(p.changing)
 	clear(p.active)
-	p.silent = nil
+	p.unresponsive = nil
 }
 
 // gauges is how many requests were at the backends that make tokens when they were last asked: the fullest of them.
-func (p *phases) gauges() distribution.Gauges {
+func (p *phaseController) gauges() distribution.Gauges {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := distribution.Gauges{Active: maps.Clone(p.active), Silent: p.silent}
+	g := distribution.Gauges{Active: maps.Clone(p.active), Silent: p.unresponsive}
 	if len(g.Active) <= distribution.MaxGauges {
 		return g
 	}
@@ -72,8 +72,8 @@
 	return g
 }
 
-// mark has a list say which backends are about to change, so that proxies send nothing there.
-func (p *phases) mark(list *distribution.List) {
+// markChanging has a list say which backends are about to change, so that proxies send nothing there.
+func (p *phaseController) markChanging(list *distribution.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range list.Backends {
@@ -83,15 +83,15 @@
 	}
 }
 
-// round asks the engines of all services for their reports and, where it may, gives the orders that follow. It reports whether
+// runPhases asks the engines of all services for their reports and, where it may, gives the orders that follow. It reports whether
 // what is to be announced has changed.
-func (p *phases) round(ctx context.Context, now time.Duration, list *distribution.List, epoch uint64, orders bool) bool {
-	settled := p.o.settled.Load()
+func (p *phaseController) runRound(ctx context.Context, now time.Duration, list *distribution.List, epoch uint64, orders bool) bool {
+	settled := p.server.committed.Load()
 	if settled == nil || settled.doc == nil {
 		return false
 	}
 	before := p.changingNow()
-	p.forgetReports()
+	p.resetReports()
 	for _, svc := range settled.doc.Services() {
 		if svc.Runtime == nil || svc.Runtime.Capacity <= 0 {
 			continue
@@ -102,27 +102,27 @@
 				all = append(all, b)
 			}
 		}
-		states := p.reports(ctx, all)
-		machine := p.noteReports(svc.Name, all, states)
+		states := p.fetchReports(ctx, all)
+		machine := p.recordReports(svc.Name, all, states)
 		var moves []scheduler.Move
 		if orders {
-			moves = p.decide(machine, now, svc.Runtime.Capacity, states)
+			moves = p.planMoves(machine, now, svc.Runtime.Capacity, states)
 		}
-		p.noteChanging(machine, all, states)
-		p.giveAll(ctx, machine, moves, all, states, epoch)
+		p.updateChanging(machine, all, states)
+		p.sendOrders(ctx, machine, moves, all, states, epoch)
 	}
 	return !maps.Equal(before, p.changingNow())
 }
 
-func (p *phases) forgetReports() {
+func (p *phaseController) resetReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.active)
-	p.silent = nil
+	p.unresponsive = nil
 }
 
-// noteReports notes how full the backends of a service are and which were silent, and gives the machine that decides its phases.
-func (p *phases) noteReports(service string, all []distribution.Backend, states []scheduler.EngineState) *scheduler.Phases {
+// recordReports notes how full the backends of a service are and which were silent, and gives the machine that decides its phases.
+func (p *phaseController) recordReports(service string, all []distribution.Backend, states []scheduler.EngineState) *scheduler.Phases {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var silent []string
@@ -134,26 +134,26 @@
 		}
 	}
 	// Where many are silent this machine may be the one that is cut off.
-	if len(silent)*mostSilent <= len(all) {
-		p.silent = append(p.silent, silent...)
+	if len(silent)*unresponsiveDivisor <= len(all) {
+		p.unresponsive = append(p.unresponsive, silent...)
 	}
-	machine := p.machines[service]
+	machine := p.planners[service]
 	if machine == nil {
 		machine = scheduler.NewPhases()
-		p.machines[service] = machine
+		p.planners[service] = machine
 	}
 	return machine
 }
 
-// decide gives the orders that are due.
-func (p *phases) decide(machine *scheduler.Phases, now time.Duration, capacity int, states []scheduler.EngineState) []scheduler.Move {
+// planMoves gives the orders that are due.
+func (p *phaseController) planMoves(machine *scheduler.Phases, now time.Duration, capacity int, states []scheduler.EngineState) []scheduler.Move {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return machine.Step(float64(now.Milliseconds()), capacity, states)
 }
 
-// noteChanging notes which backends of a service are about to change, also by an order of an earlier holder.
-func (p *phases) noteChanging(machine *scheduler.Phases, all []distribution.Backend, states []scheduler.EngineState) {
+// updateChanging notes which backends of a service are about to change, also by an order of an earlier holder.
+func (p *phaseController) updateChanging(machine *scheduler.Phases, all []distribution.Backend, states []scheduler.EngineState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range all {
@@ -169,14 +169,14 @@
 	}
 }
 
-// giveAll gives the orders that are due; one that was not heard of is given again later.
-func (p *phases) giveAll(ctx context.Context, machine *scheduler.Phases, moves []scheduler.Move, all []distribution.Backend, states []scheduler.EngineState, epoch uint64) {
+// sendOrders gives the orders that are due; one that was not heard of is given again later.
+func (p *phaseController) sendOrders(ctx context.Context, machine *scheduler.Phases, moves []scheduler.Move, all []distribution.Backend, states []scheduler.EngineState, epoch uint64) {
 	for _, move := range moves {
 		i := slices.IndexFunc(all, func(b distribution.Backend) bool { return b.ID == move.ID })
 		if !move.Due || i < 0 {
 			continue
 		}
-		if !p.order(ctx, &all[i], move.Prefill, states[i].Orders, epoch) {
+		if !p.confirmAndOrder(ctx, &all[i], move.Prefill, states[i].Orders, epoch) {
 			p.mu.Lock()
 			machine.Again(move.ID)
 			p.mu.Unlock()
@@ -184,27 +184,27 @@
 	}
 }
 
-func (p *phases) changingNow() map[string]bool {
+func (p *phaseController) changingNow() map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.changing)
 }
 
-// order sends one order, if the view that gives the duty still stands, to a backend that has taken so many; false: it was not
+// confirmAndOrder sends one order, if the view that gives the duty still stands, to a backend that has taken so many; false: it was not
 // sent, nothing was heard of it, or the backend has taken another since its report or has one under way.
 //
-// It is sent within giveWithin of when the confirmation of the view was asked for, and given up at that time. The next holder of
-// the duty, which was chosen after that, gives no order before phasesWait: a lease lies between the two. After a freeze in
+// It is sent within confirmAndOrderTimeout of when the confirmation of the view was asked for, and given up at that time. The next holder of
+// the duty, which was chosen after that, gives no order before phaseTakeoverWait: a lease lies between the two. After a freeze in
 // between the time is over, and nothing is sent.
-func (p *phases) order(ctx context.Context, b *distribution.Backend, prefill bool, taken, epoch uint64) (heard bool) {
-	by := time.Now().Add(giveWithin)
+func (p *phaseController) confirmAndOrder(ctx context.Context, b *distribution.Backend, prefill bool, taken, epoch uint64) (heard bool) {
+	by := time.Now().Add(confirmAndOrderTimeout)
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
-	return p.confirm(ctx, epoch) && p.give(ctx, by, b, prefill, taken, epoch)
+	return p.confirmEpoch(ctx, epoch) && p.sendOrder(ctx, by, b, prefill, taken, epoch)
 }
 
-// give sends an order, unless it is too late for that; see order.
-func (p *phases) give(ctx context.Context, by time.Time, b *distribution.Backend, prefill bool, taken, epoch uint64) (heard bool) {
+// sendOrder sends an order, unless it is too late for that; see order.
+func (p *phaseController) sendOrder(ctx context.Context, by time.Time, b *distribution.Backend, prefill bool, taken, epoch uint64) (heard bool) {
 	if !time.Now().Before(by) {
 		return false
 	}
@@ -212,20 +212,20 @@
 	if prefill {
 		phase = externalapi.PhasePrefill
 	}
-	status, err := p.client.Order(ctx, b.Address, externalapi.PhaseOrder{Backend: b.ID, Phase: phase, Owner: p.o.set.Nodename, Fence: epoch, Expect: taken})
-	p.o.log.Info("order", zap.String("backend", b.ID), zap.String("phase", phase), zap.Int("status", status), zap.Uint64("fence", epoch), zap.Error(err))
+	status, err := p.client.Order(ctx, b.Address, externalapi.PhaseOrder{Backend: b.ID, Phase: phase, Owner: p.server.settings.Nodename, Fence: epoch, Expect: taken})
+	p.server.log.Info("order", zap.String("backend", b.ID), zap.String("phase", phase), zap.Int("status", status), zap.Uint64("fence", epoch), zap.Error(err))
 	return err == nil && status != http.StatusConflict
 }
 
-// confirm reports whether all backups confirm that the view of an epoch stands, with this machine as its primary.
-func (p *phases) confirm(ctx context.Context, epoch uint64) bool {
-	ans, err := p.o.ask(ctx, func(now time.Duration, token uint64) replication.Output { return p.o.machine.Read(now, token) })
-	st := p.o.status.Load()
+// confirmEpoch reports whether all backups confirm that the view of an epoch stands, with this machine as its primary.
+func (p *phaseController) confirmEpoch(ctx context.Context, epoch uint64) bool {
+	ans, err := p.server.submitAndWait(ctx, func(now time.Duration, token uint64) replication.Output { return p.server.replica.Read(now, token) })
+	st := p.server.status.Load()
 	return err == nil && ans.Result == replication.Confirmed && st.Epoch == epoch && st.Role == replication.Primary
 }
 
-// reports asks all backends at once for their reports.
-func (p *phases) reports(ctx context.Context, all []distribution.Backend) []scheduler.EngineState {
+// fetchReports asks all backends at once for their reports.
+func (p *phaseController) fetchReports(ctx context.Context, all []distribution.Backend) []scheduler.EngineState {
 	states := make([]scheduler.EngineState, len(all))
 	var wait sync.WaitGroup
 	room := make(chan struct{}, 16)
--- a/internal/fleet/controlplane/phases_test.go
+++ b/internal/fleet/controlplane/phases_test.go
@@ -37,25 +37,25 @@
 	c := newCluster(t, 47, 3, 1, nil)
 	holder := c.primary(c.ips...)
 	backend, orders := ordered(c.C)
-	p := newPhases(c.servers[holder].Server)
+	p := newPhaseController(c.servers[holder].Server)
 	epoch := c.servers[holder].status.Load().Epoch
-	c.Assert(p.order(c.Context(), backend, true, 0, epoch), qt.IsTrue)
+	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsTrue)
 	c.Assert(orders.Load(), qt.Equals, int64(1))
-	c.Assert(p.order(c.Context(), backend, true, 0, epoch-1), qt.IsFalse, qt.Commentf("the fence of an earlier epoch"))
+	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch-1), qt.IsFalse, qt.Commentf("the fence of an earlier epoch"))
 	for _, other := range c.others(holder) {
-		c.Assert(newPhases(c.servers[other].Server).order(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("%s isn't the primary", other))
+		c.Assert(newPhaseController(c.servers[other].Server).confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("%s isn't the primary", other))
 	}
 	c.network.Part([]string{holder}, c.others(holder))
 	began := time.Now()
-	c.Assert(p.order(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("nobody confirms the epoch"))
-	c.Assert(time.Since(began) < giveWithin+atOnce, qt.IsTrue)
+	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("nobody confirms the epoch"))
+	c.Assert(time.Since(began) < confirmAndOrderTimeout+atOnce, qt.IsTrue)
 	next := c.primary(c.others(holder)...)
 	later := c.servers[next].status.Load().Epoch
 	c.Assert(later > epoch, qt.IsTrue)
-	c.Assert(newPhases(c.servers[next].Server).order(c.Context(), backend, true, 0, later), qt.IsTrue)
+	c.Assert(newPhaseController(c.servers[next].Server).confirmAndOrder(c.Context(), backend, true, 0, later), qt.IsTrue)
 	c.network.Heal()
 	c.within("the holder is another one", func() bool { return c.servers[holder].status.Load().Epoch >= later }, holder)
-	c.Assert(p.order(c.Context(), backend, true, 0, epoch), qt.IsFalse)
+	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse)
 	c.Assert(orders.Load(), qt.Equals, int64(2))
 }
 
@@ -63,10 +63,10 @@
 func TestOrderIsTooLateAfterAFreeze(t *testing.T) {
 	c := qt.New(t)
 	backend, orders := ordered(c)
-	p := newPhases(solo(c))
-	c.Assert(p.give(c.Context(), time.Now(), backend, true, 0, 1), qt.IsFalse)
+	p := newPhaseController(solo(c))
+	c.Assert(p.sendOrder(c.Context(), time.Now(), backend, true, 0, 1), qt.IsFalse)
 	c.Assert(orders.Load(), qt.Equals, int64(0))
-	c.Assert(p.give(c.Context(), time.Now().Add(time.Minute), backend, true, 0, 1), qt.IsTrue)
+	c.Assert(p.sendOrder(c.Context(), time.Now().Add(time.Minute), backend, true, 0, 1), qt.IsTrue)
 	c.Assert(orders.Load(), qt.Equals, int64(1))
 }
 
@@ -88,18 +88,18 @@
 		_, err = io.Copy(io.Discard, conn)
 		ended <- err
 	}()
-	p := newPhases(solo(c))
+	p := newPhaseController(solo(c))
 	ctx, cancel := context.WithTimeout(c.Context(), atOnce)
 	defer cancel()
-	c.Assert(p.give(ctx, time.Now().Add(atOnce), &distribution.Backend{ID: "b", Address: ln.Addr().String()}, true, 0, 1), qt.IsFalse)
+	c.Assert(p.sendOrder(ctx, time.Now().Add(atOnce), &distribution.Backend{ID: "b", Address: ln.Addr().String()}, true, 0, 1), qt.IsFalse)
 	c.Assert(<-ended, qt.ErrorIs, syscall.ECONNRESET)
 }
 
 // TestHoldersKeepALeaseApart: the last order of a holder is given up before a lease begins after which the next may give one.
 func TestHoldersKeepALeaseApart(t *testing.T) {
 	for _, lease := range []time.Duration{0, time.Second, 3 * time.Second} {
-		o := &Server{set: settings.Settings{Bounds: settings.Bounds{Lease: lease}}}
-		qt.Check(t, o.phasesWait()-giveWithin > lease, qt.IsTrue)
+		o := &Server{settings: settings.Settings{Bounds: settings.Bounds{Lease: lease}}}
+		qt.Check(t, o.phaseTakeoverWait()-confirmAndOrderTimeout > lease, qt.IsTrue)
 	}
 }
 
@@ -143,13 +143,13 @@
 	reaches(old, 2)
 	c.network.Part([]string{old}, c.others(old))
 	next := c.primary(c.others(old)...)
-	c.within("the cut is known", func() bool { return !c.servers[old].leads(c.servers[old].status.Load()) }, old)
+	c.within("the cut is known", func() bool { return !c.servers[old].isLeader(c.servers[old].status.Load()) }, old)
 	reaches(next, 1)
 	before := count(old)
 	reaches(next, 4)
 	c.Assert(count(old)-before <= 1, qt.IsTrue, qt.Commentf("%d polls of one that is cut off; one may have been under way", count(old)-before))
 	c.Assert(count(c.others(old, next)[0]), qt.Equals, 0)
 	st := c.servers[old].status.Load()
-	at, _ := c.servers[next].store.At(distribution.SourceList)
+	at, _ := c.servers[next].cache.At(distribution.SourceList)
 	c.Assert(at.Epoch > st.Epoch, qt.IsTrue, qt.Commentf("receivers prefer the later epoch"))
 }
--- a/internal/fleet/controlplane/planted_record_test.go
+++ b/internal/fleet/controlplane/planted_record_test.go
@@ -39,7 +39,7 @@
 	{"the remembered changes are not read", "record.go", "r.accepted, err = restoreAccepted(&s, r.doc.Version())", "_, err = restoreAccepted(&s, r.doc.Version())"},
 	{"a restore leaves the remembered changes as they are", "record.go", "\t*r = next\n", "\tnext.accepted = r.accepted\n\t*r = next\n"},
 	{"a restore that fails leaves half of a record", "record.go", "\t\t\treturn errors.Wrap(err, \"record\")\n\t\t}\n\t\tnext.recent", "\t\t\t*r = next\n\t\t\treturn errors.Wrap(err, \"record\")\n\t\t}\n\t\tnext.recent"},
-	{"a base that is not reached is refused", "verdict.go", "return &verdict{seq: r.seq, status: http.StatusServiceUnavailable,\n\t\t\twhy: fmt.Sprintf(\"version %d is in place; version", "return &verdict{seq: r.seq, status: http.StatusPreconditionFailed,\n\t\t\twhy: fmt.Sprintf(\"version %d is in place; version"},
+	{"a base that is not reached is refused", "verdict.go", "return &verdict{seq: r.seq, status: http.StatusServiceUnavailable,\n\t\t\treason: fmt.Sprintf(\"version %d is in place; version", "return &verdict{seq: r.seq, status: http.StatusPreconditionFailed,\n\t\t\treason: fmt.Sprintf(\"version %d is in place; version"},
 	{"validity goes before what was accepted", "verdict.go", "\tswitch r.accepted.lookup(c) {\n", "\tif _, found := c.change(r.doc, checks...); found.Err() != nil {\n\t\treturn &verdict{seq: r.seq, status: http.StatusBadRequest, found: found}\n\t}\n\tswitch r.accepted.lookup(c) {\n"},
 	{"a verdict is told before what it is about is committed", "verdict.go", " && a.Seq >= v.seq", ""},
 	{"a change that was lost in a takeover is acknowledged", "verdict.go", "a.Result == replication.Committed", "(a.Result == replication.Committed || a.Result == replication.LostPrimacy)"},
--- a/internal/fleet/controlplane/pulls.go
+++ b/internal/fleet/controlplane/pulls.go
@@ -11,39 +11,39 @@
 
 // servePulls answers node agents and, at the primary, the other control servers. An answer is as new as this machine's contact
 // with its backups; elsewhere, as the word that came from the primary.
-func (o *Server) servePulls(ctx context.Context, ln net.Listener) {
-	distribution.Serve(ctx, ln, o.set.Nodename, o.store, 3*o.set.Heartbeat+time.Second, func() (time.Time, string) {
-		st := o.status.Load()
-		if contact := o.contact.in(st.Epoch); st.Role == replication.Primary && !contact.at.IsZero() {
-			o.store.Heard(st.PrimaryAddr, contact.at)
+func (s *Server) servePulls(ctx context.Context, ln net.Listener) {
+	distribution.Serve(ctx, ln, s.settings.Nodename, s.cache, 3*s.settings.Heartbeat+time.Second, func() (time.Time, string) {
+		st := s.status.Load()
+		if contact := s.contact.forEpoch(st.Epoch); st.Role == replication.Primary && !contact.at.IsZero() {
+			s.cache.Heard(st.PrimaryAddr, contact.at)
 		}
-		return o.store.Fresh()
+		return s.cache.Fresh()
 	})
 }
 
-// publishCore tells those that pull where the members of a view answer pulls. Every machine knows a decided view by itself, so that
+// publishCoreMembers tells those that pull where the members of a view answer pulls. Every machine knows a decided view by itself, so that
 // this needs no primary: agents that reach only machines that are cut off learn of the others.
-func (o *Server) publishCore(st *replication.Status) {
+func (s *Server) publishCoreMembers(st *replication.Status) {
 	core := distribution.Core{}
 	for _, m := range st.View.Members {
 		if host, _, err := net.SplitHostPort(m.Addr); err == nil && st.Epoch > 0 {
-			core.Pulls = append(core.Pulls, distribution.PullAddr(host, o.set.Ports))
+			core.Pulls = append(core.Pulls, distribution.PullAddr(host, s.settings.Ports))
 		}
 	}
 	if len(core.Pulls) == 0 {
 		return
 	}
 	b, _ := core.MarshalMsg(nil) // it has no way to fail
-	o.store.Set(distribution.SourceCore, distribution.Version{Epoch: st.Epoch}, b)
+	s.cache.Set(distribution.SourceCore, distribution.Version{Epoch: st.Epoch}, b)
 }
 
-// relay keeps a control server that isn't the primary up to date by the primary's pulls, as node agents are.
-func (o *Server) relay(ctx context.Context) {
-	wait, silence := distribution.Pace(o.set.Bounds.Apply, o.set.Heartbeat)
+// followPrimary keeps a control server that isn't the primary up to date by the primary's pulls, as node agents are.
+func (s *Server) followPrimary(ctx context.Context) {
+	wait, silence := distribution.Pace(s.settings.Bounds.Apply, s.settings.Heartbeat)
 	for ctx.Err() == nil {
-		st, changed := o.watch()
+		st, changed := s.watch()
 		host, _, err := net.SplitHostPort(st.PrimaryAddr)
-		if st.Role == replication.Primary || err != nil || host == o.set.IP {
+		if st.Role == replication.Primary || err != nil || host == s.settings.IP {
 			select {
 			case <-changed:
 			case <-ctx.Done():
@@ -54,7 +54,7 @@
 		term, cancel := context.WithCancel(ctx)
 		go func() {
 			for {
-				now, changed := o.watch()
+				now, changed := s.watch()
 				if now.Role == replication.Primary || now.PrimaryAddr != st.PrimaryAddr {
 					cancel()
 				}
@@ -65,13 +65,13 @@
 				}
 			}
 		}()
-		_ = distribution.Follow(term, distribution.PullAddr(host, o.set.Ports), &distribution.Follower{Name: o.set.Nodename, Wait: wait, Silence: silence,
-			Members:  func() []distribution.Member { return o.store.Members(time.Now(), 3*o.set.Heartbeat) },
-			Have:     o.store.Have,
-			Take:     func(n *distribution.Response) []string { return o.store.Take(n, time.Now()) },
-			Rested:   func(time.Time) *distribution.Outbox { return o.store.Rested },
-			Outcomes: o.store.Outcomes,
-			Dial:     o.Dial,
+		_ = distribution.Follow(term, distribution.PullAddr(host, s.settings.Ports), &distribution.Follower{Name: s.settings.Nodename, Wait: wait, Silence: silence,
+			Members:  func() []distribution.Member { return s.cache.Members(time.Now(), 3*s.settings.Heartbeat) },
+			Have:     s.cache.Have,
+			Take:     func(n *distribution.Response) []string { return s.cache.Take(n, time.Now()) },
+			Rested:   func(time.Time) *distribution.Outbox { return s.cache.Rested },
+			Outcomes: s.cache.Outcomes,
+			Dial:     s.Dial,
 		})
 		cancel()
 		sleep(ctx, 50*time.Millisecond)
--- a/internal/fleet/controlplane/record.go
+++ b/internal/fleet/controlplane/record.go
@@ -7,34 +7,34 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// record is the durable state: the operator's configuration, which calls brought it there, and where tenants' data rested.
+// controlState is the durable state: the operator's configuration, which calls brought it there, and where tenants' data rested.
 // It is replication's App. Documents and gauges are never changed in place, so those of each change are kept until that is
 // committed.
-type record struct {
-	seq      uint64
-	doc      *routingconfig.Document
-	docSeq   uint64 // the change that led to doc
-	accepted acceptedChanges
-	rested   *residencyreport.Gauge
-	recent   []applied // not yet known to be committed, and the last committed one
+type controlState struct {
+	seq       uint64
+	doc       *routingconfig.Document
+	docSeq    uint64 // the change that led to doc
+	accepted  acceptedChanges
+	residency *residencyreport.Gauge
+	recent    []appliedState // not yet known to be committed, and the last committed one
 }
 
 // maxRecent bounds the states that are kept until they are known to be committed. With 10,000 routes each holds some 80 kB, and a
 // restart applies all changes of the log before it learns what is committed. Older ones are committed along with a later one.
 const maxRecent = 64
 
-// applied is the state after one change.
-type applied struct {
-	seq    uint64
-	doc    *routingconfig.Document
-	docSeq uint64
-	before uint64 // docSeq before this change
-	call   *Call  // nil: not known, or none of the configuration
-	rested *residencyreport.Gauge
+// appliedState is the state after one change.
+type appliedState struct {
+	seq        uint64
+	doc        *routingconfig.Document
+	docSeq     uint64
+	prevDocSeq uint64   // docSeq before this change
+	command    *Command // nil: not known, or none of the configuration
+	residency  *residencyreport.Gauge
 }
 
-// change works out what a call makes of a document.
-func (c *Call) change(doc *routingconfig.Document, checks ...routingconfig.Check) (*routingconfig.Document, routingconfig.Findings) {
+// applyTo works out what a call makes of a document.
+func (c *Command) applyTo(doc *routingconfig.Document, checks ...routingconfig.Check) (*routingconfig.Document, routingconfig.Findings) {
 	if c.Replace {
 		return routingconfig.Replace(doc, c.Body, checks...)
 	}
@@ -42,32 +42,32 @@
 }
 
 // Apply takes a change that the primary has checked: it can't fail, and is left out everywhere if it does.
-func (r *record) Apply(seq uint64, body []byte) {
+func (r *controlState) Apply(seq uint64, body []byte) {
 	before := r.docSeq
 	r.seq = seq
-	c := new(Call)
+	c := new(Command)
 	_, err := c.UnmarshalMsg(body)
 	if err == nil && c.Reading != nil {
-		r.rested = r.rested.Take(c.Reading)
+		r.residency = r.residency.Take(c.Reading)
 		c = nil
 	} else {
 		r.docSeq = seq
 	}
 	if err == nil && c != nil {
-		if doc, found := c.change(r.doc); found.Err() == nil {
+		if doc, found := c.applyTo(r.doc); found.Err() == nil {
 			r.doc = doc
 			r.accepted.add(doc.Version(), c.digest())
 		}
 	}
-	r.recent = append(r.recent, applied{seq, r.doc, r.docSeq, before, c, r.rested})
+	r.recent = append(r.recent, appliedState{seq, r.doc, r.docSeq, before, c, r.residency})
 	if len(r.recent) > maxRecent {
 		r.recent = r.recent[1:]
 	}
 }
 
 // Snapshot is all that was applied.
-func (r *record) Snapshot() []byte {
-	s := Stored{Rested: r.rested.Snapshot()}
+func (r *controlState) Snapshot() []byte {
+	s := StoredState{Rested: r.residency.Snapshot()}
 	if r.docSeq != r.seq {
 		s.DocumentSeq = r.docSeq
 	}
@@ -80,21 +80,21 @@
 }
 
 // Restore replaces everything, or nothing where the snapshot can't be read.
-func (r *record) Restore(seq uint64, body []byte) error {
-	next := record{seq: seq, docSeq: seq}
+func (r *controlState) Restore(seq uint64, body []byte) error {
+	next := controlState{seq: seq, docSeq: seq}
 	if len(body) > 0 {
-		if err := next.read(body); err != nil {
+		if err := next.decodeSnapshot(body); err != nil {
 			return errors.Wrap(err, "record")
 		}
-		next.recent = []applied{{seq: next.seq, doc: next.doc, docSeq: next.docSeq, rested: next.rested}}
+		next.recent = []appliedState{{seq: next.seq, doc: next.doc, docSeq: next.docSeq, residency: next.residency}}
 	}
 	*r = next
 	return nil
 }
 
-// read fills an empty record from a snapshot.
-func (r *record) read(body []byte) (err error) {
-	var s Stored
+// decodeSnapshot fills an empty record from a snapshot.
+func (r *controlState) decodeSnapshot(body []byte) (err error) {
+	var s StoredState
 	if _, err := s.UnmarshalMsg(body); err != nil {
 		return errors.Wrap(err, "decode")
 	}
@@ -108,15 +108,15 @@
 	if s.DocumentSeq > 0 {
 		r.docSeq = s.DocumentSeq
 	}
-	if r.rested, err = residencyreport.Restore(s.Rested); err != nil {
+	if r.residency, err = residencyreport.Restore(s.Rested); err != nil {
 		return errors.Wrap(err, "residency")
 	}
 	r.accepted, err = restoreAccepted(&s, r.doc.Version())
 	return err
 }
 
-// settle forgets what lies before the committed change, and gives that and the ones since the last time.
-func (r *record) settle(committed uint64) []applied {
+// takeCommitted forgets what lies before the committed change, and gives that and the ones since the last time.
+func (r *controlState) takeCommitted(committed uint64) []appliedState {
 	n := 0
 	for n < len(r.recent) && r.recent[n].seq <= committed {
 		n++
--- a/internal/fleet/controlplane/record_test.go
+++ b/internal/fleet/controlplane/record_test.go
@@ -11,14 +11,14 @@
 
 // configuration is a call that has a version in force.
 func configuration(base, version int64) []byte {
-	b, _ := (&Call{Replace: true, Base: base, Body: fmt.Appendf(nil, `{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"labs"}],`+
+	b, _ := (&Command{Replace: true, Base: base, Body: fmt.Appendf(nil, `{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"labs"}],`+
 		`"tenants":[{"name":"labs","regions":["east"]}],"svcs":[{"name":"s","probe":"/healthz"}]}`, version)}).MarshalMsg(nil)
 	return b
 }
 
 // reading is one that a process's batch amounts to.
 func reading(p residencyreport.Process, n uint64, plain int64) []byte {
-	b, _ := (&Call{Reading: &residencyreport.Reading{Upto: []residencyreport.Kept{{Process: p, N: n}},
+	b, _ := (&Command{Reading: &residencyreport.Reading{Upto: []residencyreport.Kept{{Process: p, N: n}},
 		Entries: []residencyreport.Entry{{Pair: residencyreport.Pair{Tenant: "labs", Region: "east"}, First: 5, Last: 9, Counts: residencyreport.Counts{Plain: plain}}}}}).MarshalMsg(nil)
 	return b
 }
@@ -26,31 +26,31 @@
 // Readings leave the configuration and its place as they are, and outlive a snapshot with it.
 func TestRecordKeepsReadings(t *testing.T) {
 	c := qt.New(t)
-	r := &record{}
+	r := &controlState{}
 	for seq, body := range [][]byte{configuration(0, 3), reading(1, 1, 4), configuration(3, 7), reading(1, 2, 1), reading(2, 1, 2)} {
 		r.Apply(uint64(seq+1), body)
 	}
-	done := r.settle(5)
+	done := r.takeCommitted(5)
 	c.Assert(done, qt.HasLen, 5)
 	var places []uint64
 	for _, d := range done {
 		places = append(places, d.docSeq)
-		c.Check(d.call != nil, qt.Equals, d.docSeq == d.seq)
+		c.Check(d.command != nil, qt.Equals, d.docSeq == d.seq)
 	}
 	c.Assert(places, qt.DeepEquals, []uint64{1, 1, 3, 3, 3})
 
 	snapshot := r.Snapshot()
-	back := &record{}
+	back := &controlState{}
 	c.Assert(back.Restore(5, snapshot), qt.IsNil)
 	c.Assert(back.Snapshot(), qt.DeepEquals, snapshot)
-	for _, one := range []*record{r, back} {
+	for _, one := range []*controlState{r, back} {
 		c.Check(one.docSeq, qt.Equals, uint64(3))
 		c.Check(one.doc.Version(), qt.Equals, int64(7))
 		c.Check(one.accepted.versions, qt.DeepEquals, []int64{3, 7})
-		all := one.rested.Report(nil)
+		all := one.residency.Report(nil)
 		c.Assert(all, qt.HasLen, 1)
 		c.Check(all[0].Counts.Plain, qt.Equals, int64(7))
-		c.Check(one.rested.Kept(1), qt.Equals, uint64(2))
+		c.Check(one.residency.Kept(1), qt.Equals, uint64(2))
 	}
 	c.Assert(back.Restore(9, []byte{0x81, 0xa1, 'g', 0xc4, 1, 0}), qt.IsNotNil, qt.Commentf("a damaged report"))
 }
@@ -58,22 +58,22 @@
 // Without readings a record and its changes have the bytes that they had before there were any.
 func TestRecordWithoutReadings(t *testing.T) {
 	c := qt.New(t)
-	b, err := (&Call{Replace: true, Base: 3, Body: []byte("x")}).MarshalMsg(nil)
+	b, err := (&Command{Replace: true, Base: 3, Body: []byte("x")}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(b, qt.DeepEquals, []byte("\x83\xa1r\xc3\xa1b\x03\xa1d\xc4\x01x"))
-	r := &record{}
+	r := &controlState{}
 	r.Apply(1, configuration(0, 3))
-	var s Stored
+	var s StoredState
 	_, err = s.UnmarshalMsg(r.Snapshot())
 	c.Assert(err, qt.IsNil)
-	b, err = (&Stored{Document: []byte("d"), Versions: []int64{3}, Digests: []uint64{4}}).MarshalMsg(nil)
+	b, err = (&StoredState{Document: []byte("d"), Versions: []int64{3}, Digests: []uint64{4}}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(b, qt.DeepEquals, []byte("\x83\xa1d\xc4\x01d\xa1v\x91\x03\xa1x\x91\x04"))
 	c.Assert(s.Rested, qt.IsNil)
 	c.Assert(s.DocumentSeq, qt.Equals, uint64(0))
 	// A snapshot of a build that knows of no readings is read as before.
 	c.Assert(r.Restore(6, b[:0]), qt.IsNil)
-	old, err := (&Stored{}).MarshalMsg(nil)
+	old, err := (&StoredState{}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(r.Restore(6, old), qt.IsNil)
 	c.Assert(r.docSeq, qt.Equals, uint64(6))
--- a/internal/fleet/controlplane/rested.go
+++ b/internal/fleet/controlplane/rested.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// DefaultReadings is the least time between two readings: each costs a write on the disks of the primary and its backups.
-	DefaultReadings = 30 * time.Second
-	// soonest is that time where a pair of tenant and region is new, there was no room for all, or the last one failed.
-	soonest = 2 * time.Second
-	// lookEvery is how often what waits for a reading is looked at for something new.
-	lookEvery = time.Second
-	// readingWithin bounds how long a reading may take to settle.
-	readingWithin = 3 * time.Second
+	// DefaultResidencyInterval is the least time between two readings: each costs a write on the disks of the primary and its backups.
+	DefaultResidencyInterval = 30 * time.Second
+	// minResidencyInterval is that time where a pair of tenant and region is new, there was no room for all, or the last one failed.
+	minResidencyInterval = 2 * time.Second
+	// residencyTick is how often what waits for a reading is looked at for something new.
+	residencyTick = time.Second
+	// residencyWriteTimeout bounds how long a reading may take to settle.
+	residencyWriteTimeout = 3 * time.Second
 )
 
-// read has the record take what node agents handed on, while this is the primary. It sleeps for good where nothing comes,
+// decodeSnapshot has the record take what node agents handed on, while this is the primary. It sleeps for good where nothing comes,
 // and calls of the operator don't wait for it.
-func (o *Server) read(ctx context.Context) {
+func (s *Server) recordResidency(ctx context.Context) {
 	var last time.Time
 	hurry := false
 	for ctx.Err() == nil {
-		open, arrived := o.store.Rested.Open()
-		st, changed := o.watch()
+		open, arrived := s.cache.Rested.Open()
+		st, changed := s.watch()
 		if len(open) == 0 {
 			select {
 			case <-arrived:
@@ -46,31 +46,31 @@
 			}
 			continue
 		}
-		every := o.Readings
-		if hurry || o.news(open) {
-			every = min(every, soonest)
+		every := s.ResidencyInterval
+		if hurry || s.hasNewPairs(open) {
+			every = min(every, minResidencyInterval)
 		}
 		if wait := every - time.Since(last); wait > 0 {
-			sleep(ctx, min(wait, lookEvery))
+			sleep(ctx, min(wait, residencyTick))
 			continue
 		}
 		last = time.Now()
-		hurry = o.takeReading(ctx, open)
+		hurry = s.commitResidency(ctx, open)
 	}
 }
 
-// news tells whether batches have something of a pair that the record knows nothing of.
-func (o *Server) news(open []residencyreport.Batch) bool {
-	settled := o.settled.Load()
+// hasNewPairs tells whether batches have something of a pair that the record knows nothing of.
+func (s *Server) hasNewPairs(open []residencyreport.Batch) bool {
+	settled := s.committed.Load()
 	if settled == nil {
 		return true
 	}
 	for i := range open {
-		if open[i].N <= settled.rested.Kept(open[i].Process) {
+		if open[i].N <= settled.residency.Kept(open[i].Process) {
 			continue
 		}
 		for j := range open[i].Entries {
-			if !settled.rested.Has(open[i].Entries[j].Pair) {
+			if !settled.residency.Has(open[i].Entries[j].Pair) {
 				return true
 			}
 		}
@@ -78,45 +78,45 @@
 	return false
 }
 
-// takeReading has the record take some batches, and lets those go that are on all disks that they have to be on. It reports
+// commitResidency has the record take some batches, and lets those go that are on all disks that they have to be on. It reports
 // whether there is more to be done soon.
-func (o *Server) takeReading(ctx context.Context, open []residencyreport.Batch) (soon bool) {
-	within, cancel := context.WithTimeout(ctx, readingWithin)
+func (s *Server) commitResidency(ctx context.Context, open []residencyreport.Batch) (soon bool) {
+	within, cancel := context.WithTimeout(ctx, residencyWriteTimeout)
 	defer cancel()
 	var base *residencyreport.Gauge
-	if settled := o.settled.Load(); settled != nil {
-		base = settled.rested
+	if settled := s.committed.Load(); settled != nil {
+		base = settled.residency
 	}
 	r, more := base.Compose(open)
-	body, _ := (&Call{Reading: &r}).MarshalMsg(nil) // it has no way to fail
+	body, _ := (&Command{Reading: &r}).MarshalMsg(nil) // it has no way to fail
 	// What was composed and what is proposed belong together: in the driver's goroutine nothing comes between.
-	ans, err := o.ask(within, func(now time.Duration, token uint64) replication.Output {
-		if r.Empty() || o.record.rested != base {
-			return o.machine.Read(now, token)
+	ans, err := s.submitAndWait(within, func(now time.Duration, token uint64) replication.Output {
+		if r.Empty() || s.state.residency != base {
+			return s.replica.Read(now, token)
 		}
-		return o.machine.Propose(now, token, body)
+		return s.replica.Propose(now, token, body)
 	})
 	if err != nil || ans.Result != replication.Committed && ans.Result != replication.Confirmed {
-		o.log.Debug("reading not settled", zap.Error(err))
+		s.log.Debug("reading not settled", zap.Error(err))
 		return true
 	}
-	settled := o.settled.Load()
+	settled := s.committed.Load()
 	if settled == nil {
 		return true
 	}
 	var kept []residencyreport.Kept
 	for i := range open {
-		if b := &open[i]; b.N <= settled.rested.Kept(b.Process) {
+		if b := &open[i]; b.N <= settled.residency.Kept(b.Process) {
 			kept = append(kept, residencyreport.Kept{Process: b.Process, N: b.N})
 		}
 	}
-	o.store.Rested.Keep(kept...)
+	s.cache.Rested.Keep(kept...)
 	return more || len(kept) < len(open)
 }
 
-// residency answers where data rested: of one tenant, of one route that has regions without a tenant, or of all.
-func (o *Server) residency(w http.ResponseWriter, r *http.Request) {
-	d, seq, ok := o.confirmed(w, r)
+// showResidency answers where data rested: of one tenant, of one route that has regions without a tenant, or of all.
+func (s *Server) showResidency(w http.ResponseWriter, r *http.Request) {
+	d, seq, ok := s.linearizableRead(w, r)
 	if !ok {
 		return
 	}
@@ -126,22 +126,22 @@
 	}
 	answer := externalapi.Residency{Seq: seq, Rested: []externalapi.Rested{}}
 	if d != nil {
-		for _, e := range d.rested.Report(match) {
+		for _, e := range d.residency.Report(match) {
 			answer.Rested = append(answer.Rested, externalapi.Rested{Tenant: e.Pair.Tenant, Route: e.Pair.Route, Region: e.Pair.Region,
 				First: time.UnixMilli(e.First).UTC(), Last: time.UnixMilli(e.Last).UTC(),
 				Plain: e.Counts.Plain, Prefills: e.Counts.Prefills, Decodes: e.Counts.Decodes, Resumes: e.Counts.Resumes})
 		}
 	}
-	if len(answer.Rested) == 0 && !o.listed(d, tenant, route) {
-		o.fail(w, http.StatusNotFound, "nothing is known of such a name: it is not listed and nothing of it rested anywhere", nil)
+	if len(answer.Rested) == 0 && !s.isConfigured(d, tenant, route) {
+		s.writeError(w, http.StatusNotFound, "nothing is known of such a name: it is not listed and nothing of it rested anywhere", nil)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// listed tells whether the configuration has the tenant or the route that is asked for; true where none is.
-func (o *Server) listed(d *applied, tenant, route string) bool {
+// isConfigured tells whether the configuration has the tenant or the route that is asked for; true where none is.
+func (s *Server) isConfigured(d *appliedState, tenant, route string) bool {
 	if tenant == "" && route == "" {
 		return true
 	}
--- a/internal/fleet/controlplane/rested_test.go
+++ b/internal/fleet/controlplane/rested_test.go
@@ -37,7 +37,7 @@
 	c.Cleanup(func() {
 		cancel()
 		<-ended
-		c.Check(o.archive.Close(), qt.IsNil)
+		c.Check(o.storage.Close(), qt.IsNil)
 	})
 	over := time.After(testPatience)
 	for {
@@ -53,7 +53,7 @@
 	}
 }
 
-// call makes a call of the operator.
+// command makes a call of the operator.
 func call(o *Server, method, target string, body []byte) (int, http.Header, externalapi.Residency) {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(context.Background(), method, target, bytes.NewReader(body))
@@ -81,10 +81,10 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		o.read(ctx)
+		o.recordResidency(ctx)
 	}()
 	defer func() { cancel(); <-ended }()
-	o.Readings = testPatience // before anything arrives
+	o.ResidencyInterval = testPatience // before anything arrives
 
 	status, _, report := call(o, http.MethodGet, "/molepaddle/residency", nil)
 	c.Assert(status, qt.Equals, http.StatusOK)
@@ -93,8 +93,8 @@
 		status, _, _ = call(o, http.MethodGet, target, nil)
 		c.Assert(status, qt.Equals, http.StatusNotFound)
 	}
-	o.store.Rested.Put(batchOf(1, 1, labs))
-	o.store.Rested.Put(batchOf(2, 1, road))
+	o.cache.Rested.Put(batchOf(1, 1, labs))
+	o.cache.Rested.Put(batchOf(2, 1, road))
 	over := time.After(testPatience)
 	for {
 		status, _, report = call(o, http.MethodGet, "/molepaddle/residency", nil)
@@ -129,7 +129,7 @@
 	status, _, _ = call(o, http.MethodPost, externalapi.Replace.Path, []byte(`{"ver":3,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"new"}],`+
 		`"tenants":[{"name":"new","regions":["east"]}],"svcs":[{"name":"s","probe":"/healthz"}]}`))
 	c.Assert(status, qt.Equals, http.StatusOK)
-	version, ok := o.store.At("config")
+	version, ok := o.cache.At("config")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version.Count, qt.Equals, seq+1)
 	status, _, report = call(o, http.MethodGet, "/molepaddle/residency?tenant=new", nil)
@@ -142,24 +142,24 @@
 	c := qt.New(t)
 	o := solo(c)
 	first := batchOf(1, 1, labs)
-	o.store.Rested.Put(first)
-	c.Assert(o.news([]residencyreport.Batch{first}), qt.IsTrue)
-	c.Assert(o.takeReading(c.Context(), []residencyreport.Batch{first}), qt.IsFalse)
-	c.Assert(o.store.Rested.OpenOf(1), qt.Equals, 0)
-	c.Assert(o.news([]residencyreport.Batch{first, batchOf(1, 2, labs)}), qt.IsFalse)
-	c.Assert(o.news([]residencyreport.Batch{first, batchOf(1, 2, road)}), qt.IsTrue)
+	o.cache.Rested.Put(first)
+	c.Assert(o.hasNewPairs([]residencyreport.Batch{first}), qt.IsTrue)
+	c.Assert(o.commitResidency(c.Context(), []residencyreport.Batch{first}), qt.IsFalse)
+	c.Assert(o.cache.Rested.OpenOf(1), qt.Equals, 0)
+	c.Assert(o.hasNewPairs([]residencyreport.Batch{first, batchOf(1, 2, labs)}), qt.IsFalse)
+	c.Assert(o.hasNewPairs([]residencyreport.Batch{first, batchOf(1, 2, road)}), qt.IsTrue)
 
 	// The record is ahead of what is known to be committed: nothing is proposed on top of that, and nothing let go.
 	var committed *residencyreport.Gauge
-	onDriver(o, func() { committed, o.record.rested = o.record.rested, nil })
+	onDriver(o, func() { committed, o.state.residency = o.state.residency, nil })
 	second := batchOf(1, 2, labs)
-	o.store.Rested.Put(second)
-	c.Assert(o.takeReading(c.Context(), []residencyreport.Batch{second}), qt.IsTrue)
-	c.Assert(o.store.Rested.OpenOf(1), qt.Equals, 1)
-	onDriver(o, func() { o.record.rested = committed })
-	c.Assert(o.takeReading(c.Context(), []residencyreport.Batch{second}), qt.IsFalse)
-	c.Assert(o.store.Rested.OpenOf(1), qt.Equals, 0)
-	c.Assert(o.settled.Load().rested.Report(nil)[0].Counts.Decodes, qt.Equals, int64(4))
+	o.cache.Rested.Put(second)
+	c.Assert(o.commitResidency(c.Context(), []residencyreport.Batch{second}), qt.IsTrue)
+	c.Assert(o.cache.Rested.OpenOf(1), qt.Equals, 1)
+	onDriver(o, func() { o.state.residency = committed })
+	c.Assert(o.commitResidency(c.Context(), []residencyreport.Batch{second}), qt.IsFalse)
+	c.Assert(o.cache.Rested.OpenOf(1), qt.Equals, 0)
+	c.Assert(o.committed.Load().residency.Report(nil)[0].Counts.Decodes, qt.Equals, int64(4))
 }
 
 // onDriver does something in the driver's goroutine, which the record belongs to.
@@ -168,7 +168,7 @@
 	o.inputs <- func(now time.Duration) replication.Output {
 		do()
 		close(done)
-		return o.machine.Tick(now)
+		return o.replica.Tick(now)
 	}
 	<-done
 }
--- a/internal/fleet/controlplane/simulatedcore_test.go
+++ b/internal/fleet/controlplane/simulatedcore_test.go
@@ -15,8 +15,8 @@
 	addr, zone string
 	disk       replication.PersistentState
 	machine    *replication.Machine // nil: not running
-	record     *record
-	settled    *applied // newest committed state
+	record     *controlState
+	settled    *appliedState // newest committed state
 	life       int
 	started    time.Duration
 	busy       time.Duration       // until: a write is under way, or the process is frozen
@@ -104,7 +104,7 @@
 		return
 	}
 	m.disk.Changes = slices.Clip(m.disk.Changes)
-	m.record = &record{}
+	m.record = &controlState{}
 	machine, err := replication.New(replication.Options{
 		Self: replication.Member{Addr: m.addr, Zone: m.zone, Region: "r"}, Tolerance: replication.FailureTolerance{Nodes: c.survive},
 		Seeds: c.seeds, Bootstrap: c.now < bootstrapUntil,
@@ -168,9 +168,9 @@
 	})
 }
 
-// carryOut does what the server's driver does once an output's write is on the disk.
+// processOutput does what the server's driver does once an output's write is on the disk.
 func (c *simulatedCore) carryOut(m *member, out *replication.Output) {
-	if done := m.record.settle(out.Committed); len(done) > 0 {
+	if done := m.record.takeCommitted(out.Committed); len(done) > 0 {
 		if last := &done[len(done)-1]; m.settled == nil || last.seq > m.settled.seq {
 			m.settled = last
 		}
@@ -197,7 +197,7 @@
 	c.input(m, func(now time.Duration) replication.Output { return m.machine.Tick(now) })
 }
 
-// ask hands a member an input with a token, and gives its answer to told unless the process ends before.
+// pollPlatform hands a member an input with a token, and gives its answer to told unless the process ends before.
 func (c *simulatedCore) ask(m *member, do func(now time.Duration, token uint64) replication.Output, told func(replication.Answer)) {
 	c.input(m, func(now time.Duration) replication.Output {
 		m.token++
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -13,86 +13,88 @@
 	"molepaddle/internal/fleet/status"
 )
 
-// confirmWithin bounds how long a status waits for the view to be confirmed: callers turn elsewhere after a second.
-const confirmWithin = 700 * time.Millisecond
+// statusTimeout bounds how long a status waits for the view to be confirmed: callers turn elsewhere after a second.
+const statusTimeout = 700 * time.Millisecond
 
-// polls is what the poller of a term last did. It is replaced whole, its list is never changed.
-type polls struct {
+// pollStatus is what the poller of a term last did. It is replaced whole, its list is never changed.
+type pollStatus struct {
 	epoch uint64
 	since time.Time // when the term began
 	at    time.Time // of the last answer; zero: none in this term
 	list  *distribution.List
 }
 
-// settledDoc tells when the newest configuration was found committed here, by which change.
-type settledDoc struct {
+// configCommit tells when the newest configuration was found committed here, by which change.
+type configCommit struct {
 	version int64
 	seq     uint64
 	at      time.Time
 }
 
-// noteSettled notes committed state: its time counts where it brings another configuration.
-func (o *Server) noteSettled(a *applied, now time.Time) {
-	if was := o.newest.Load(); was == nil || was.version != versionOf(a.doc) {
-		o.newest.Store(&settledDoc{version: versionOf(a.doc), seq: a.docSeq, at: now})
+// recordConfigCommit notes committed state: its time counts where it brings another configuration.
+func (s *Server) recordConfigCommit(a *appliedState, now time.Time) {
+	if was := s.committedConfig.Load(); was == nil || was.version != versionOf(a.doc) {
+		s.committedConfig.Store(&configCommit{version: versionOf(a.doc), seq: a.docSeq, at: now})
 	}
 }
 
-// maxHeard bounds the core machines of which the last word is remembered: members change, and there are 64 at the most.
-const maxHeard = 256
+// maxContacts bounds the core machines of which the last word is remembered: members change, and there are 64 at the most.
+const maxContacts = 256
 
-// hears notes that a core machine was heard.
-func (o *Server) hears(from string, at time.Time) {
-	if _, known := o.heard.Load(from); known || o.heard.Size() < maxHeard {
-		o.heard.Store(from, at)
+// recordContact notes that a core machine was heard.
+func (s *Server) recordContact(from string, at time.Time) {
+	if _, known := s.lastContact.Load(from); known || s.lastContact.Size() < maxContacts {
+		s.lastContact.Store(from, at)
 	}
 }
 
-// leaseFor is how long a member counts without a renewal.
-func (o *Server) leaseFor() time.Duration { return 3*o.set.Heartbeat + time.Second }
+// memberLease is how long a member counts without a renewal.
+func (s *Server) memberLease() time.Duration { return 3*s.settings.Heartbeat + time.Second }
 
-// phasesWait is how long a new holder of the phases' duty keeps still: holders don't take turns within a lease, and the last
-// order of an earlier one may be sent giveWithin after that one's view was last confirmed.
-func (o *Server) phasesWait() time.Duration { return o.set.Bounds.Lease + giveWithin + onTheWay }
+// phaseTakeoverWait is how long a new holder of the phases' duty keeps still: holders don't take turns within a lease, and the last
+// order of an earlier one may be sent confirmAndOrderTimeout after that one's view was last confirmed.
+func (s *Server) phaseTakeoverWait() time.Duration {
+	return s.settings.Bounds.Lease + confirmAndOrderTimeout + orderTransitBound
+}
 
-// tell answers a call for the status; a caller is passed on to the primary unless it asks for this machine's own word.
-func (o *Server) tell(w http.ResponseWriter, r *http.Request) {
+// showStatus answers a call for the status; a caller is passed on to the primary unless it asks for this machine's own word.
+func (s *Server) showStatus(w http.ResponseWriter, r *http.Request) {
 	local := r.URL.Query().Has(externalapi.QueryLocal)
-	ctx, cancel := o.whileInTouch(r.Context(), confirmWithin)
+	ctx, cancel := s.withContact(r.Context(), statusTimeout)
 	defer cancel()
-	if !local && !o.admit(ctx, w, r) {
+	if !local && !s.admit(ctx, w, r) {
 		return
 	}
-	st := o.status.Load()
+	st := s.status.Load()
 	confirmed := false
 	if st.Role == replication.Primary {
-		ans, err := o.ask(ctx, func(now time.Duration, token uint64) replication.Output { return o.machine.Read(now, token) })
-		st = o.status.Load()
+		ans, err := s.submitAndWait(ctx, func(now time.Duration, token uint64) replication.Output { return s.replica.Read(now, token) })
+		st = s.status.Load()
 		confirmed = err == nil && ans.Result == replication.Confirmed && st.Role == replication.Primary
 	}
 	if !confirmed && !local {
-		o.later(w, "the view is not confirmed")
+		s.unavailable(w, "the view is not confirmed")
 		return
 	}
-	f := o.stands(st, time.Now())
+	f := s.fleetStatus(st, time.Now())
 	f.Confirmed = confirmed
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(f)
 }
 
-// controlOf is where a core machine takes the operator's calls, from where it hears the core.
-func (o *Server) controlOf(core string) string {
+// controlAddr is where a core machine takes the operator's calls, from where it hears the core.
+func (s *Server) controlAddr(core string) string {
 	host, _, err := net.SplitHostPort(core)
-	_, port, err2 := net.SplitHostPort(o.set.Bind.Control)
+	_, port, err2 := net.SplitHostPort(s.settings.Bind.Control)
 	if err != nil || err2 != nil {
 		return ""
 	}
 	return net.JoinHostPort(host, port)
 }
 
-// stands gathers how the fleet stands, as far as this machine knows.
-func (o *Server) stands(st *replication.Status, now time.Time) *status.Fleet {
-	f := &status.Fleet{From: o.set.Nodename, View: status.View{Epoch: st.Epoch, Primary: o.controlOf(st.PrimaryAddr), Ready: st.Ready, Members: []status.Member{}},
+// fleetStatus gathers how the fleet stands, as far as this machine knows.
+func (s *Server) fleetStatus(st *replication.Status, now time.Time) *status.Fleet {
+	f := &status.Fleet{From: s.settings.Nodename, View: status.View{Epoch: st.Epoch, Primary: s.controlAddr(st.PrimaryAddr), Ready: st.Ready, Members: []status.Member{}},
 		List: status.List{AgeMs: -1}, Agents: []status.Agent{}, Services: []status.Service{}}
 	for _, m := range st.View.Members {
 		role := replication.Witness
@@ -102,27 +104,27 @@
 		case slices.Contains(st.View.Backups, m.ID):
 			role = replication.Backup
 		}
-		told := status.Member{Address: o.controlOf(m.Addr), Zone: m.Zone, Region: m.Region, Role: role.String(), Self: m.ID == st.ID, HeardMs: -1}
-		if at, ok := o.heard.Load(m.Addr); ok && !told.Self {
+		told := status.Member{Address: s.controlAddr(m.Addr), Zone: m.Zone, Region: m.Region, Role: role.String(), Self: m.ID == st.ID, HeardMs: -1}
+		if at, ok := s.lastContact.Load(m.Addr); ok && !told.Self {
 			told.HeardMs = max(now.Sub(at), 0).Milliseconds()
 		}
 		f.View.Members = append(f.View.Members, told)
 	}
-	settled := o.settled.Load()
-	if c := o.newest.Load(); c != nil {
+	settled := s.committed.Load()
+	if c := s.committedConfig.Load(); c != nil {
 		f.Configuration = status.Configuration{Version: c.version, Seq: c.seq, AgeMs: max(now.Sub(c.at), 0).Milliseconds()}
 	}
-	for _, m := range o.store.Members(now, o.leaseFor()) {
+	for _, m := range s.cache.Members(now, s.memberLease()) {
 		f.Agents = append(f.Agents, status.Agent{Name: m.Name, Zone: m.Zone, LeaseMs: m.AgeM, Version: m.Config, SinceMs: m.AgeM + m.SinceM,
 			List: status.Number{Epoch: m.List.Epoch, Count: m.List.Count}})
 	}
-	if at, ok := o.store.At(distribution.SourceList); ok {
+	if at, ok := s.cache.At(distribution.SourceList); ok {
 		f.List.Number = status.Number{Epoch: at.Epoch, Count: at.Count}
 	}
-	f.Duties = o.duties(st, now)
+	f.Duties = s.singletonRoles(st, now)
 	f.Learning = true
-	if p := o.polls.Load(); p != nil && st.Role == replication.Primary && p.epoch == st.Epoch {
-		f.Learning = now.Sub(p.since) < o.leaseFor()
+	if p := s.lastPoll.Load(); p != nil && st.Role == replication.Primary && p.epoch == st.Epoch {
+		f.Learning = now.Sub(p.since) < s.memberLease()
 		if !p.at.IsZero() {
 			f.List.AgeMs = max(now.Sub(p.at), 0).Milliseconds()
 		}
@@ -132,16 +134,16 @@
 	return f
 }
 
-// duties tells who does what for all: nobody while the view has no primary that is ready.
-func (o *Server) duties(st *replication.Status, now time.Time) []status.Duty {
+// singletonRoles tells who does what for all: nobody while the view has no primary that is ready.
+func (s *Server) singletonRoles(st *replication.Status, now time.Time) []status.Duty {
 	poll, phases := status.Duty{Name: status.DutyPoll}, status.Duty{Name: status.DutyPhases}
-	if st.Ready && o.set.Provider.Address != "" {
-		poll.Holder, poll.Fence = o.controlOf(st.PrimaryAddr), st.Epoch
+	if st.Ready && s.settings.Provider.Address != "" {
+		poll.Holder, poll.Fence = s.controlAddr(st.PrimaryAddr), st.Epoch
 		phases.Holder, phases.Fence = poll.Holder, st.Epoch
 		if st.Role == replication.Primary {
-			phases.WaitMs = o.phasesWait().Milliseconds()
-			if p := o.polls.Load(); p != nil && p.epoch == st.Epoch {
-				phases.WaitMs = max(o.phasesWait()-now.Sub(p.since), 0).Milliseconds()
+			phases.WaitMs = s.phaseTakeoverWait().Milliseconds()
+			if p := s.lastPoll.Load(); p != nil && p.epoch == st.Epoch {
+				phases.WaitMs = max(s.phaseTakeoverWait()-now.Sub(p.since), 0).Milliseconds()
 			}
 		}
 	}
@@ -149,7 +151,7 @@
 }
 
 // servicesOf counts the backends of each service that the configuration or the list names.
-func servicesOf(list *distribution.List, settled *applied) []status.Service {
+func servicesOf(list *distribution.List, settled *appliedState) []status.Service {
 	all := map[string]*status.Service{}
 	of := func(name string) *status.Service {
 		s := all[name]
--- a/internal/fleet/controlplane/verdict.go
+++ b/internal/fleet/controlplane/verdict.go
@@ -11,32 +11,32 @@
 
 // verdict is the answer to a call that isn't proposed, as the record stood at seq.
 type verdict struct {
-	status int // 503: no clear answer can be given
-	why    string
-	found  routingconfig.Findings
-	seq    uint64
+	status   int // 503: no clear answer can be given
+	reason   string
+	findings routingconfig.Findings
+	seq      uint64
 }
 
 // judge answers a call that was accepted already, can't be accepted any more, or whose fate isn't known; nil: it is to be
 // proposed. A call is refused only if it was not accepted and never can be, as a copy of it may still be on its way:
 // versions rise, so that a base that was built on or passed over is never current again.
-func (r *record) judge(c *Call, checks ...routingconfig.Check) *verdict {
+func (r *controlState) judge(c *Command, checks ...routingconfig.Check) *verdict {
 	current := r.doc.Version()
 	switch r.accepted.lookup(c) {
 	case sameChange:
 		return &verdict{seq: r.seq, status: http.StatusOK}
 	case otherChange:
-		return &verdict{seq: r.seq, status: http.StatusPreconditionFailed, why: fmt.Sprintf("version %d is in place", current)}
+		return &verdict{seq: r.seq, status: http.StatusPreconditionFailed, reason: fmt.Sprintf("version %d is in place", current)}
 	case forgotten:
 		return &verdict{seq: r.seq, status: http.StatusServiceUnavailable,
-			why: fmt.Sprintf("version %d is in place; what was accepted on version %d is not remembered any more", current, c.Base)}
+			reason: fmt.Sprintf("version %d is in place; what was accepted on version %d is not remembered any more", current, c.Base)}
 	}
 	if c.Base > current {
 		return &verdict{seq: r.seq, status: http.StatusServiceUnavailable,
-			why: fmt.Sprintf("version %d is in place; version %d is not known yet", current, c.Base)}
+			reason: fmt.Sprintf("version %d is in place; version %d is not known yet", current, c.Base)}
 	}
-	if _, found := c.change(r.doc, checks...); found.Err() != nil {
-		return &verdict{seq: r.seq, status: http.StatusBadRequest, why: "the configuration is invalid", found: found}
+	if _, found := c.applyTo(r.doc, checks...); found.Err() != nil {
+		return &verdict{seq: r.seq, status: http.StatusBadRequest, reason: "the configuration is invalid", findings: found}
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 
 // submit hands a call to the machine whose record this is, by one input: the call is proposed, or a Read is asked for that
 // has to confirm the verdict which is given.
-func (r *record) submit(m *replication.Machine, now time.Duration, token uint64, c *Call, checks ...routingconfig.Check) (*verdict, replication.Output) {
+func (r *controlState) submit(m *replication.Machine, now time.Duration, token uint64, c *Command, checks ...routingconfig.Check) (*verdict, replication.Output) {
 	if m.Status().Role != replication.Primary {
 		return nil, m.Propose(now, token, nil) // refused: NotPrimary
 	}
@@ -68,5 +68,5 @@
 	case v == nil && a.Result == replication.Committed:
 		return &verdict{status: http.StatusOK, seq: a.Seq}
 	}
-	return &verdict{status: http.StatusServiceUnavailable, why: "not settled"}
+	return &verdict{status: http.StatusServiceUnavailable, reason: "not settled"}
 }
--- a/internal/fleet/controlplane/verdict_test.go
+++ b/internal/fleet/controlplane/verdict_test.go
@@ -9,12 +9,12 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-func orderOf(base int64, ver, host string) *Call {
-	return &Call{Replace: true, Base: base, Body: []byte(`{"ver":` + ver + `,"routing":[{"name":"r","hostname":"` + host +
+func orderOf(base int64, ver, host string) *Command {
+	return &Command{Replace: true, Base: base, Body: []byte(`{"ver":` + ver + `,"routing":[{"name":"r","hostname":"` + host +
 		`","pfx":"/","kind":"readonly","deadline_ms":9,"svc":"s"}],"svcs":[{"name":"s"}],"caps":{}}`)}
 }
 
-func takeOrder(c *qt.C, r *record, one *Call) {
+func takeOrder(c *qt.C, r *controlState, one *Command) {
 	c.Assert(r.judge(one), qt.IsNil)
 	b, err := one.MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
@@ -25,7 +25,7 @@
 // carries its number; one that wasn't is refused once another change was made.
 func TestSentAgain(t *testing.T) {
 	c := qt.New(t)
-	r := &record{}
+	r := &controlState{}
 	first, rival, second := orderOf(0, "5", "a"), orderOf(0, "5", "b"), orderOf(5, "7", "a")
 	takeOrder(c, r, first)
 	for range 2 {
@@ -35,7 +35,7 @@
 		c.Assert(r.judge(first).status, qt.Equals, http.StatusOK)
 		c.Assert(r.judge(second).status, qt.Equals, http.StatusOK)
 		c.Assert(r.judge(rival).status, qt.Equals, http.StatusPreconditionFailed)
-		again := &record{}
+		again := &controlState{}
 		c.Assert(again.Restore(r.seq, r.Snapshot()), qt.IsNil)
 		r, second = again, orderOf(7, "8", "c")
 	}
@@ -44,9 +44,9 @@
 // TestVerdictWaits: an answer about changes that aren't committed yet is not told, as they may be lost.
 func TestVerdictWaits(t *testing.T) {
 	c := qt.New(t)
-	r := &record{}
+	r := &controlState{}
 	takeOrder(c, r, orderOf(0, "5", "a"))
-	for _, one := range []*Call{orderOf(0, "5", "a"), orderOf(0, "5", "b"), orderOf(5, "4", "a")} {
+	for _, one := range []*Command{orderOf(0, "5", "a"), orderOf(0, "5", "b"), orderOf(5, "4", "a")} {
 		v := r.judge(one)
 		c.Assert(v, qt.IsNotNil)
 		c.Assert(v.holds(replication.Answer{Result: replication.Confirmed, Seq: 0}), qt.IsFalse)
--- a/internal/fleet/statestore/folder.go
+++ b/internal/fleet/statestore/folder.go
@@ -17,8 +17,8 @@
 	return wrap(f.Sync(), "sync")
 }
 
-// makeFolder makes dir and what is missing above it, each on the disk before the next.
-func makeFolder(dir string) error {
+// makeDirDurable makes dir and what is missing above it, each on the disk before the next.
+func makeDirDurable(dir string) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return err
@@ -27,7 +27,7 @@
 		return nil
 	}
 	if above := filepath.Dir(dir); above != dir {
-		if err := makeFolder(above); err != nil {
+		if err := makeDirDurable(above); err != nil {
 			return err
 		}
 	}
@@ -37,13 +37,13 @@
 	return syncPath(filepath.Dir(dir))
 }
 
-var logs = []string{"-wal", "-shm", "-journal"}
+var journalSuffixes = []string{"-wal", "-shm", "-journal"}
 
-// settle puts what an earlier process left on the disk, before it is read: closing a file that SQLite has open would
+// syncExistingFiles puts what an earlier process left on the disk, before it is read: closing a file that SQLite has open would
 // give up its locks.
-func settle(dir string) error {
+func syncExistingFiles(dir string) error {
 	path := filepath.Join(dir, fileName)
-	for _, tail := range append([]string{""}, logs...) {
+	for _, tail := range append([]string{""}, journalSuffixes...) {
 		if err := syncPath(path + tail); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return errors.Wrap(err, path+tail)
 		}
@@ -61,7 +61,7 @@
 	if err := syncPath(dir); err != nil {
 		return err
 	}
-	for _, tail := range logs {
+	for _, tail := range journalSuffixes {
 		if err := os.Remove(path + tail); err != nil && !os.IsNotExist(err) {
 			return errors.Wrap(err, "remove")
 		}
--- a/internal/fleet/statestore/power_test.go
+++ b/internal/fleet/statestore/power_test.go
@@ -38,7 +38,7 @@
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
 	}
 	a, st := open2(c, dir)
-	c.Assert(a.Broken(), qt.IsNil)
+	c.Assert(a.SetAsideCause(), qt.IsNil)
 	c.Assert(a.Close(), qt.IsNil)
 	return st
 }
--- a/internal/fleet/statestore/statestore.go
+++ b/internal/fleet/statestore/statestore.go
@@ -37,29 +37,29 @@
 )
 
 const (
-	fileName   = "control.db"
-	brokenName = fileName + ".broken"
-	version    = 1 // of the schema
+	fileName      = "control.db"
+	brokenName    = fileName + ".broken"
+	schemaVersion = 1 // of the schema
 )
 
 // The names in the table part.
 const (
-	partIdentity = "identity"
-	partView     = "view"
-	partVote     = "vote"
-	partStanding = "standing"
-	partSnapshot = "snapshot"
-	partHead     = "head"
+	identityKey     = "identity"
+	viewKey         = "view"
+	voteKey         = "vote"
+	replicaStateKey = "standing"
+	snapshotKey     = "snapshot"
+	headKey         = "head"
 )
 
-// BrokenError tells what of the file can't be read. The disk then counts as lost.
-type BrokenError struct {
+// UnusableError tells what of the file can't be read. The disk then counts as lost.
+type UnusableError struct {
 	File string
 	Row  string // table and key; "" when it isn't one row
 	Err  error
 }
 
-func (e *BrokenError) Error() string {
+func (e *UnusableError) Error() string {
 	if e.Row == "" {
 		return fmt.Sprintf("%s: %v", e.File, e.Err)
 	}
@@ -67,75 +67,75 @@
 }
 
 // Unwrap returns the cause.
-func (e *BrokenError) Unwrap() error { return e.Err }
+func (e *UnusableError) Unwrap() error { return e.Err }
 
 // Store is an open store. It is not safe for concurrent use.
 type Store struct {
-	db     *sql.DB
-	conn   *sql.Conn
-	broken *BrokenError
+	db            *sql.DB
+	conn          *sql.Conn
+	setAsideCause *UnusableError
 }
 
 // Open opens or creates the store in dir and loads what it holds. A file that can't be read whole is set aside and the State
 // comes back empty with Lost set; Broken then tells why. Open fails when the folder can't be used at all.
 func Open(dir string) (*Store, replication.PersistentState, error) {
-	if err := makeFolder(dir); err != nil {
+	if err := makeDirDurable(dir); err != nil {
 		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore: make folder")
 	}
-	if err := settle(dir); err != nil {
+	if err := syncExistingFiles(dir); err != nil {
 		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore")
 	}
 	path := filepath.Join(dir, fileName)
-	a, st, err := open(path)
-	var broken *BrokenError
+	store, st, err := open(path)
+	var broken *UnusableError
 	if errors.As(err, &broken) {
 		if err := setAside(dir); err != nil {
 			return nil, replication.PersistentState{}, errors.Wrapf(err, "statestore: set aside after: %v", broken)
 		}
-		a, st, err = open(path)
+		store, st, err = open(path)
 	}
 	if err != nil {
 		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore")
 	}
-	a.broken = broken
+	store.setAsideCause = broken
 	if st.Identity.ID == "" {
 		st = replication.PersistentState{}
 		if _, err := os.Stat(filepath.Join(dir, brokenName)); err == nil {
 			st.DiskLost = true
 		}
 	}
-	return a, st, nil
+	return store, st, nil
 }
 
 // OpenFor opens the store of the machine at an address. What another address left is set aside as a broken file is: its identity
 // is a member at that address and answers nothing here, so that this machine begins as one that lost its disk, and nothing
 // of the old content is destroyed.
 func OpenFor(dir, addr string) (*Store, replication.PersistentState, error) {
-	a, st, err := Open(dir)
+	store, st, err := Open(dir)
 	if err != nil || st.Identity.ID == "" || st.Identity.Addr == addr {
-		return a, st, err
+		return store, st, err
 	}
-	foreign := &BrokenError{
+	foreign := &UnusableError{
 		File: filepath.Join(dir, fileName), Err: errors.Errorf("the state belongs to %s, not to %s", st.Identity.Addr, addr),
 	}
-	if err := a.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		return nil, replication.PersistentState{}, err
 	}
 	if err := setAside(dir); err != nil {
 		return nil, replication.PersistentState{}, errors.Wrapf(err, "statestore: set aside after: %v", foreign)
 	}
-	if a, st, err = Open(dir); err == nil {
-		a.broken = foreign
+	if store, st, err = Open(dir); err == nil {
+		store.setAsideCause = foreign
 	}
-	return a, st, err
+	return store, st, err
 }
 
-// Broken tells what was wrong with the file that Open set aside (a *BrokenError), nil when nothing was.
-func (a *Store) Broken() error {
-	if a.broken == nil {
+// SetAsideCause tells what was wrong with the file that Open set aside (a *UnusableError), nil when nothing was.
+func (s *Store) SetAsideCause() error {
+	if s.setAsideCause == nil {
 		return nil
 	}
-	return a.broken
+	return s.setAsideCause
 }
 
 func open(path string) (_ *Store, st replication.PersistentState, rerr error) {
@@ -144,14 +144,14 @@
 		return nil, st, errors.Wrap(err, "open")
 	}
 	db.SetMaxOpenConns(1)
-	a := &Store{db: db}
+	store := &Store{db: db}
 	defer func() {
 		if rerr != nil {
-			_ = a.Close()
+			_ = store.Close()
 		}
 	}()
 	ctx := context.Background()
-	if a.conn, err = db.Conn(ctx); err != nil {
+	if store.conn, err = db.Conn(ctx); err != nil {
 		return nil, st, classify(path, "", errors.Wrap(err, "connect"))
 	}
 	for _, q := range []string{
@@ -163,69 +163,69 @@
 		"PRAGMA cache_size=-512",
 		"PRAGMA temp_store=MEMORY",
 	} {
-		if _, err := a.conn.ExecContext(ctx, q); err != nil {
+		if _, err := store.conn.ExecContext(ctx, q); err != nil {
 			return nil, st, classify(path, "", errors.Wrap(err, q))
 		}
 	}
 	var check string
-	if err := a.conn.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&check); err != nil {
+	if err := store.conn.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&check); err != nil {
 		return nil, st, classify(path, "", errors.Wrap(err, "check"))
 	}
 	if check != "ok" {
-		return nil, st, &BrokenError{File: path, Err: errors.New(check)}
+		return nil, st, &UnusableError{File: path, Err: errors.New(check)}
 	}
 	var v, tables int
-	if err := a.conn.QueryRowContext(ctx, "PRAGMA user_version").Scan(&v); err != nil {
+	if err := store.conn.QueryRowContext(ctx, "PRAGMA user_version").Scan(&v); err != nil {
 		return nil, st, classify(path, "", errors.Wrap(err, "version"))
 	}
-	if err := a.conn.QueryRowContext(ctx, "SELECT count(*) FROM sqlite_schema").Scan(&tables); err != nil {
+	if err := store.conn.QueryRowContext(ctx, "SELECT count(*) FROM sqlite_schema").Scan(&tables); err != nil {
 		return nil, st, classify(path, "", errors.Wrap(err, "schema"))
 	}
 	switch {
 	case v == 0 && tables == 0:
-		err := a.transact(func(ctx context.Context) error {
+		err := store.transact(func(ctx context.Context) error {
 			for _, q := range []string{
 				"CREATE TABLE part (name TEXT PRIMARY KEY, body BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID",
 				"CREATE TABLE change (seq INTEGER PRIMARY KEY, digest INTEGER NOT NULL, body BLOB NOT NULL, " +
 					"sum INTEGER NOT NULL)",
-				fmt.Sprintf("PRAGMA user_version=%d", version),
+				fmt.Sprintf("PRAGMA user_version=%d", schemaVersion),
 			} {
-				if _, err := a.conn.ExecContext(ctx, q); err != nil {
+				if _, err := store.conn.ExecContext(ctx, q); err != nil {
 					return errors.Wrap(err, q)
 				}
 			}
 			return nil
 		})
-		return a, st, err
-	case v != version:
-		if v > version {
-			return nil, st, errors.Errorf("%s: schema %d is newer than %d", path, v, version)
+		return store, st, err
+	case v != schemaVersion:
+		if v > schemaVersion {
+			return nil, st, errors.Errorf("%s: schema %d is newer than %d", path, v, schemaVersion)
 		}
-		return nil, st, &BrokenError{File: path, Err: errors.Errorf("schema %d with %d tables", v, tables)}
+		return nil, st, &UnusableError{File: path, Err: errors.Errorf("schema %d with %d tables", v, tables)}
 	}
-	st, err = a.load(ctx, path)
-	return a, st, err
+	st, err = store.load(ctx, path)
+	return store, st, err
 }
 
 // transact runs f between BEGIN and COMMIT.
-func (a *Store) transact(f func(context.Context) error) error {
+func (s *Store) transact(f func(context.Context) error) error {
 	ctx := context.Background()
-	if _, err := a.conn.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
+	if _, err := s.conn.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
 		return errors.Wrap(err, "begin")
 	}
 	err := f(ctx)
 	if err == nil {
-		if _, err = a.conn.ExecContext(ctx, "COMMIT"); err == nil {
+		if _, err = s.conn.ExecContext(ctx, "COMMIT"); err == nil {
 			return nil
 		}
 		err = errors.Wrap(err, "commit")
 	}
 	// Some errors have rolled back already; this one then fails, which is fine.
-	_, _ = a.conn.ExecContext(ctx, "ROLLBACK")
+	_, _ = s.conn.ExecContext(ctx, "ROLLBACK")
 	return err
 }
 
-func partSum(name string, body []byte) int64 {
+func partChecksum(name string, body []byte) int64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(name)
 	_, _ = d.Write([]byte{0})
@@ -233,7 +233,7 @@
 	return int64(d.Sum64())
 }
 
-func changeSum(seq, digest uint64, body []byte) int64 {
+func changeChecksum(seq, digest uint64, body []byte) int64 {
 	var head [16]byte
 	binary.LittleEndian.PutUint64(head[:8], seq)
 	binary.LittleEndian.PutUint64(head[8:], digest)
@@ -245,14 +245,14 @@
 
 // Save writes w in one transaction and returns when it is synced. After an error nothing of w counts as written, and
 // the same w may be saved again; saving it twice equals once. A full or failing disk shows as an error.
-func (a *Store) Save(w *replication.Write) error {
+func (s *Store) Save(w *replication.Write) error {
 	if w.Empty() {
 		return nil
 	}
-	err := a.transact(func(ctx context.Context) error {
+	err := s.transact(func(ctx context.Context) error {
 		if w.Reset {
 			for _, q := range []string{"DELETE FROM part", "DELETE FROM change"} {
-				if _, err := a.conn.ExecContext(ctx, q); err != nil {
+				if _, err := s.conn.ExecContext(ctx, q); err != nil {
 					return errors.Wrap(err, q)
 				}
 			}
@@ -262,54 +262,54 @@
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
-			_, err = a.conn.ExecContext(ctx, "INSERT OR REPLACE INTO part (name, body, sum) VALUES (?, ?, ?)",
-				name, body, partSum(name, body))
+			_, err = s.conn.ExecContext(ctx, "INSERT OR REPLACE INTO part (name, body, sum) VALUES (?, ?, ?)",
+				name, body, partChecksum(name, body))
 			return wrap(err, name)
 		}
 		var head *replication.Snapshot // without body
 		if w.Identity != nil {
-			if err := put(partIdentity, w.Identity); err != nil {
+			if err := put(identityKey, w.Identity); err != nil {
 				return err
 			}
 		}
 		if w.View != nil {
-			if err := put(partView, w.View); err != nil {
+			if err := put(viewKey, w.View); err != nil {
 				return err
 			}
 		}
 		if w.Vote != nil {
-			if err := put(partVote, w.Vote); err != nil {
+			if err := put(voteKey, w.Vote); err != nil {
 				return err
 			}
 		}
 		if w.Replica != nil {
-			if err := put(partStanding, w.Replica); err != nil {
+			if err := put(replicaStateKey, w.Replica); err != nil {
 				return err
 			}
 		}
-		if s := w.Snapshot; s != nil {
-			if _, err := a.conn.ExecContext(ctx, "DELETE FROM change"); err != nil {
+		if snapshot := w.Snapshot; snapshot != nil {
+			if _, err := s.conn.ExecContext(ctx, "DELETE FROM change"); err != nil {
 				return errors.Wrap(err, "drop changes")
 			}
-			if err := put(partSnapshot, s); err != nil {
+			if err := put(snapshotKey, snapshot); err != nil {
 				return err
 			}
-			head = &replication.Snapshot{Seq: s.Seq, Digest: s.Digest}
+			head = &replication.Snapshot{Seq: snapshot.Seq, Digest: snapshot.Digest}
 		}
 		for _, c := range w.Changes {
 			body := c.Body
 			if body == nil {
 				body = []byte{}
 			}
-			_, err := a.conn.ExecContext(ctx, "INSERT OR REPLACE INTO change (seq, digest, body, sum) VALUES (?, ?, ?, ?)",
-				int64(c.Seq), int64(c.Digest), body, changeSum(c.Seq, c.Digest, body))
+			_, err := s.conn.ExecContext(ctx, "INSERT OR REPLACE INTO change (seq, digest, body, sum) VALUES (?, ?, ?, ?)",
+				int64(c.Seq), int64(c.Digest), body, changeChecksum(c.Seq, c.Digest, body))
 			if err != nil {
 				return errors.Wrapf(err, "change %d", c.Seq)
 			}
 			head = &replication.Snapshot{Seq: c.Seq, Digest: c.Digest}
 		}
 		if head != nil {
-			return put(partHead, head)
+			return put(headKey, head)
 		}
 		return nil
 	})
@@ -317,16 +317,16 @@
 }
 
 // load reads and checks everything.
-func (a *Store) load(ctx context.Context, path string) (st replication.PersistentState, _ error) {
+func (s *Store) load(ctx context.Context, path string) (st replication.PersistentState, _ error) {
 	var head replication.Snapshot
 	var snapshot replication.Snapshot
 	parts := map[string]msgp.Unmarshaler{
-		partIdentity: &st.Identity, partView: &st.View, partVote: &st.Vote, partStanding: &st.Replica,
-		partSnapshot: &snapshot, partHead: &head,
+		identityKey: &st.Identity, viewKey: &st.View, voteKey: &st.Vote, replicaStateKey: &st.Replica,
+		snapshotKey: &snapshot, headKey: &head,
 	}
 	found := map[string]bool{}
 	read := func(query string, row func(*sql.Rows) error) error {
-		rows, err := a.conn.QueryContext(ctx, query)
+		rows, err := s.conn.QueryContext(ctx, query)
 		if err != nil {
 			return classify(path, "", errors.Wrap(err, query))
 		}
@@ -343,10 +343,10 @@
 		var body []byte
 		var sum int64
 		if err := rows.Scan(&name, &body, &sum); err != nil {
-			return &BrokenError{File: path, Row: "part", Err: err}
+			return &UnusableError{File: path, Row: "part", Err: err}
 		}
-		broken := func(err error) error { return &BrokenError{File: path, Row: "part " + name, Err: err} }
-		if sum != partSum(name, body) {
+		broken := func(err error) error { return &UnusableError{File: path, Row: "part " + name, Err: err} }
+		if sum != partChecksum(name, body) {
 			return broken(errors.New("checksum differs"))
 		}
 		into, ok := parts[name]
@@ -363,7 +363,7 @@
 		return replication.PersistentState{}, err
 	}
 	at := replication.Snapshot{}
-	if found[partSnapshot] {
+	if found[snapshotKey] {
 		st.Snapshot = &snapshot
 		at.Seq, at.Digest = snapshot.Seq, snapshot.Digest
 	}
@@ -371,13 +371,13 @@
 		var seq, digest, sum int64
 		var body []byte
 		if err := rows.Scan(&seq, &digest, &body, &sum); err != nil {
-			return &BrokenError{File: path, Row: "change", Err: err}
+			return &UnusableError{File: path, Row: "change", Err: err}
 		}
 		c := replication.Change{Seq: uint64(seq), Digest: uint64(digest), Body: body}
 		broken := func(text string) error {
-			return &BrokenError{File: path, Row: fmt.Sprintf("change %d", seq), Err: errors.New(text)}
+			return &UnusableError{File: path, Row: fmt.Sprintf("change %d", seq), Err: errors.New(text)}
 		}
-		if sum != changeSum(c.Seq, c.Digest, body) {
+		if sum != changeChecksum(c.Seq, c.Digest, body) {
 			return broken("checksum differs")
 		}
 		if c.Seq != at.Seq+1 || c.Digest != replication.ChainDigest(at.Digest, c.Seq, body) {
@@ -391,37 +391,37 @@
 		return replication.PersistentState{}, err
 	}
 	if at.Seq != head.Seq || at.Digest != head.Digest {
-		return replication.PersistentState{}, &BrokenError{
+		return replication.PersistentState{}, &UnusableError{
 			File: path, Err: errors.Errorf("the record ends at %d instead of %d", at.Seq, head.Seq),
 		}
 	}
 	if len(found) > 0 {
-		for _, name := range []string{partIdentity, partView, partVote, partStanding} {
+		for _, name := range []string{identityKey, viewKey, voteKey, replicaStateKey} {
 			if !found[name] {
-				return replication.PersistentState{}, &BrokenError{File: path, Row: "part " + name, Err: errors.New("missing")}
+				return replication.PersistentState{}, &UnusableError{File: path, Row: "part " + name, Err: errors.New("missing")}
 			}
 		}
 	}
 	return st, nil
 }
 
-// classify makes a BrokenError of an error that tells of the file's content. An error of the disk itself stays what it is:
+// classify makes a UnusableError of an error that tells of the file's content. An error of the disk itself stays what it is:
 // the content may be fine.
 func classify(path, row string, err error) error {
 	var e sqlite3.Error
 	if errors.As(err, &e) && (e.Code == sqlite3.ErrCorrupt || e.Code == sqlite3.ErrNotADB || e.Code == sqlite3.ErrFormat) {
-		return &BrokenError{File: path, Row: row, Err: err}
+		return &UnusableError{File: path, Row: row, Err: err}
 	}
 	return err
 }
 
 // Close closes the file.
-func (a *Store) Close() error {
+func (s *Store) Close() error {
 	var err error
-	if a.conn != nil {
-		err = a.conn.Close()
+	if s.conn != nil {
+		err = s.conn.Close()
 	}
-	if e := a.db.Close(); err == nil {
+	if e := s.db.Close(); err == nil {
 		err = e
 	}
 	return wrap(err, "statestore: close")
--- a/internal/fleet/statestore/transient_test.go
+++ b/internal/fleet/statestore/transient_test.go
@@ -22,7 +22,7 @@
 		c.Check(Transient(err), qt.IsTrue, qt.Commentf("%v", err))
 	}
 	for _, err := range []error{nil, errors.New("schema 2 is newer than 1"), refused(syscall.EACCES), refused(syscall.ENOTDIR),
-		&BrokenError{File: "control.db", Err: sqlite3.Error{Code: sqlite3.ErrCorrupt}}} {
+		&UnusableError{File: "control.db", Err: sqlite3.Error{Code: sqlite3.ErrCorrupt}}} {
 		c.Check(Transient(err), qt.IsFalse, qt.Commentf("%v", err))
 	}
 }
--- a/internal/fleet/statestore/worn_test.go
+++ b/internal/fleet/statestore/worn_test.go
@@ -36,7 +36,7 @@
 	c.Assert(a.Close(), qt.IsNil)
 	a, st, err = OpenFor(dir, "10.0.0.9:7000")
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.Broken(), qt.IsNil)
+	c.Assert(a.SetAsideCause(), qt.IsNil)
 	c.Assert(st.Identity, qt.Equals, identity)
 	c.Assert(a.Close(), qt.IsNil)
 }
