--- a/cmd/molepaddle-fleet/control_test.go
+++ b/cmd/molepaddle-fleet/control_test.go
@@ -119,7 +119,7 @@
 	w.WriteHeader(status)
 	list := []map[string]string{}
 	for _, f := range in {
-		list = append(list, map[string]string{"place": f.Place, "text": f.Text})
+		list = append(list, map[string]string{"place": f.Path, "text": f.Message})
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{"err": why, "findings": list})
 }
--- a/cmd/molepaddle-fleet/diff.go
+++ b/cmd/molepaddle-fleet/diff.go
@@ -66,12 +66,12 @@
 		fmt.Fprintf(w, "version %d -> %d: %s\n", o.From, o.To, many(len(o.Changes), "change"))
 	}
 	for _, c := range o.Changes {
-		what := c.Of
+		what := c.Kind
 		if c.Name != "" {
 			what += " " + word(c.Name)
 		}
 		switch {
-		case c.Field != "" || c.Of == configdiff.Caps:
+		case c.Field != "" || c.Kind == configdiff.KindCaps:
 			if c.Field != "" {
 				what += ": " + c.Field
 			}
--- a/cmd/molepaddle-fleet/route.go
+++ b/cmd/molepaddle-fleet/route.go
@@ -32,12 +32,12 @@
 		return errors.Errorf("version %d has no route for %s%s: the answer is 404", d.Version(), lines(c.Host), lines(path))
 	}
 	fmt.Fprintf(a.out, "route %s of version %d: %s on %s, %s\n", word(r.Name), d.Version(), word(r.Prefix), word(r.Hostname), manner(r.RouteSpec))
-	fmt.Fprintf(a.out, "held for %v at most, sent to %s at most\n", r.Deadline(), many(r.Tries, "backend"))
+	fmt.Fprintf(a.out, "held for %v at most, sent to %s at most\n", r.Deadline(), many(r.MaxAttempts, "backend"))
 	total := 0.0
-	for _, s := range r.Shares {
+	for _, s := range r.WeightedServices {
 		total += s.Weight
 	}
-	for _, s := range r.Shares {
+	for _, s := range r.WeightedServices {
 		fmt.Fprintf(a.out, "%s to service %s\n", percent(s.Weight/total), word(s.Service.Name))
 	}
 	return nil
--- a/cmd/molepaddle-fleet/schedule_fault_test.go
+++ b/cmd/molepaddle-fleet/schedule_fault_test.go
@@ -96,8 +96,8 @@
 			continue
 		}
 		for _, a := range f.Agents {
-			if a.Name == run.edges[0].settings.Node && a.LeaseMs < youngest {
-				source, youngest = ctl, a.LeaseMs
+			if a.Name == run.edges[0].settings.Node && a.LeaseAgeMs < youngest {
+				source, youngest = ctl, a.LeaseAgeMs
 			}
 		}
 	}
--- a/cmd/molepaddle-fleet/schedule_planted_test.go
+++ b/cmd/molepaddle-fleet/schedule_planted_test.go
@@ -40,11 +40,11 @@
 	{"what is sent and answered isn't on the disk first", "controlplane", []string{
 		"err := s.storage.Save(out.Write)", "err := error(nil)\n\t\tgo func() { _ = s.storage.Save(out.Write) }()"}, ""},
 	{"a source that is behind sends its configuration, which is taken", "distribution", []string{
-		"if h := s.pieces[source]; h != nil && !h.at.Before(n.at) {", "if h := s.pieces[source]; h != nil && h.at == n.at {",
-		"if ok && !had.Before(h.at) {", "if ok && had == h.at {"}, "a proxy takes no older version, whoever offers it"},
+		"if h := c.entries[resourceType]; h != nil && !h.version.Before(n.version) {", "if h := c.entries[resourceType]; h != nil && h.version == n.version {",
+		"if ok && !had.Before(h.version) {", "if ok && had == h.version {"}, "a proxy takes no older version, whoever offers it"},
 	{"a source that is behind sends its configuration, which a proxy takes too", "distribution,proxy", []string{
-		"if h := s.pieces[source]; h != nil && !h.at.Before(n.at) {", "if h := s.pieces[source]; h != nil && h.at == n.at {",
-		"if ok && !had.Before(h.at) {", "if ok && had == h.at {",
+		"if h := c.entries[resourceType]; h != nil && !h.version.Before(n.version) {", "if h := c.entries[resourceType]; h != nil && h.version == n.version {",
+		"if ok && !had.Before(h.version) {", "if ok && had == h.version {",
 		"if doc.Version() > v.doc.Version() {", "if doc.Version() != v.doc.Version() {"}, ""},
 	{"a node agent stays with a source that has lost the primary", "nodeagent", []string{
 		"\tif age < s.limit {", "\tif age < time.Hour {"}, ""},
--- a/cmd/molepaddle-fleet/show.go
+++ b/cmd/molepaddle-fleet/show.go
@@ -51,20 +51,20 @@
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		var besides []string
-		if r.Pin {
+		if r.PrefixAffinity {
 			besides = append(besides, "pin")
 		}
 		if r.Resumable {
 			besides = append(besides, "resumable")
 		}
-		if r.GapAimMs > 0 {
-			besides = append(besides, "pauses "+r.GapAim().String())
+		if r.EventGapTargetMs > 0 {
+			besides = append(besides, "pauses "+r.EventGapTarget().String())
 		}
 		if besides == nil {
 			besides = []string{"-"}
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%d\t%d\t%s\n", word(r.Name), word(r.Hostname), word(r.Prefix), r.Kind,
-			strings.Join(shares(r), " "), r.Deadline(), span(r.Target()), r.Priority, r.Tries, strings.Join(besides, ", "))
+			strings.Join(shares(r), " "), r.Deadline(), span(r.LatencyTarget()), r.Priority, r.MaxAttempts, strings.Join(besides, ", "))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -76,7 +76,7 @@
 		s := &c.Services[i]
 		requests, tokens, models := "-", "-", "-"
 		if r := s.Runtime; r != nil {
-			requests, tokens = count(int64(r.Capacity)), count(r.KVTokens)
+			requests, tokens = count(int64(r.Capacity)), count(r.KVCacheTokens)
 			var names []string
 			for _, m := range r.Models {
 				names = append(names, word(m.Name))
@@ -84,8 +84,8 @@
 			models = strings.Join(names, " ")
 		}
 		probe := "-"
-		if s.Probe != "" {
-			probe = word(s.Probe)
+		if s.HealthCheckPath != "" {
+			probe = word(s.HealthCheckPath)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", word(s.Name), probe, count(int64(s.MaxConn)), requests, tokens, models)
 	}
@@ -94,7 +94,7 @@
 	}
 	if l := c.Limits; l != nil {
 		fmt.Fprintf(w, "\nclients: head %s bytes within %s, body %s bytes, idle %s\n",
-			count(l.HeaderBytes), span(l.HeaderTimeout()), count(l.BodyBytes), span(l.IdleTimeout()))
+			count(l.MaxHeaderBytes), span(l.HeaderTimeout()), count(l.MaxBodyBytes), span(l.IdleTimeout()))
 	}
 	return nil
 }
--- a/cmd/molepaddle-fleet/status.go
+++ b/cmd/molepaddle-fleet/status.go
@@ -53,21 +53,21 @@
 		switch {
 		case m.Self:
 			heard = "-"
-		case m.HeardMs >= 0:
-			heard = millis(m.HeardMs) + " ago"
+		case m.LastContactMs >= 0:
+			heard = millis(m.LastContactMs) + " ago"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Address, word(m.Zone), m.Role, heard)
 	}
 	fmt.Fprintln(t, "\nduty\tholder\tfence\tstate")
-	for _, d := range f.Duties {
+	for _, d := range f.SingletonRoles {
 		state := "at work"
 		switch {
 		case d.Holder == "":
 			state = "nobody does it"
-		case d.WaitMs > 0:
-			state = "keeps still for another " + millis(d.WaitMs)
+		case d.StandbyMs > 0:
+			state = "keeps still for another " + millis(d.StandbyMs)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Name, dash(d.Holder), count(int64(d.Fence)), state)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Name, dash(d.Holder), count(int64(d.FencingToken)), state)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -77,8 +77,8 @@
 	} else {
 		fmt.Fprintf(w, "\nconfiguration: version %d, change %d of the record, settled %s ago\n", c.Version, c.Seq, millis(c.AgeMs))
 	}
-	if f.List.Count > 0 {
-		fmt.Fprintf(w, "list of backends: %s%s\n", listed(f.List.Number), polledAgo(f.List.AgeMs))
+	if f.BackendList.Count > 0 {
+		fmt.Fprintf(w, "list of backends: %s%s\n", listed(f.BackendList.ListVersion), polledAgo(f.BackendList.AgeMs))
 	}
 	writeAgents(t, f)
 	if len(f.Services) > 0 {
@@ -97,15 +97,15 @@
 	for i := range f.Agents {
 		a := &f.Agents[i]
 		since := "-"
-		if a.Version > 0 {
-			since = millis(a.SinceMs)
+		if a.ConfigVersion > 0 {
+			since = millis(a.ConfigAgeMs)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s ago\t%s\n", word(a.Name), word(a.Zone), count(a.Version), since, listed(a.List), millis(a.LeaseMs), behind(f, a))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s ago\t%s\n", word(a.Name), word(a.Zone), count(a.ConfigVersion), since, listed(a.BackendListVersion), millis(a.LeaseAgeMs), behind(f, a))
 	}
 	switch {
 	case len(f.Agents) == 0:
 		fmt.Fprintln(t, "\nno agent holds a lease")
-	case f.Learning && f.Confirmed:
+	case f.CollectingLeases && f.Confirmed:
 		fmt.Fprintln(t, "the primary is new: there may be agents that it has not heard yet")
 	}
 }
@@ -113,16 +113,16 @@
 // behind is what an agent lacks.
 func behind(f *status.Fleet, a *status.Agent) string {
 	var all []string
-	if a.Version < f.Configuration.Version {
+	if a.ConfigVersion < f.Configuration.Version {
 		all = append(all, "configuration")
 	}
-	if a.List != f.List.Number {
+	if a.BackendListVersion != f.BackendList.ListVersion {
 		all = append(all, "list")
 	}
 	return dash(strings.Join(all, ", "))
 }
 
-func listed(n status.Number) string {
+func listed(n status.ListVersion) string {
 	if n.Count == 0 {
 		return "-"
 	}
--- a/cmd/molepaddle-fleet/status_test.go
+++ b/cmd/molepaddle-fleet/status_test.go
@@ -53,7 +53,7 @@
 		s := f.stands(m)
 		f.Check(s.From, qt.Equals, primary.settings.Node)
 		f.Check(s.Confirmed, qt.IsTrue)
-		f.Check(s.Learning, qt.IsFalse)
+		f.Check(s.CollectingLeases, qt.IsFalse)
 		f.Check(s.View.Primary, qt.Equals, primary.boot.Ctl)
 		roles := map[string]int{}
 		for i, member := range s.View.Members {
@@ -61,20 +61,20 @@
 			f.Check(member.Zone, qt.Equals, f.core[i].settings.Zone)
 			roles[member.Role]++
 			f.Check(member.Self, qt.Equals, f.core[i] == primary)
-			f.Check(member.HeardMs >= 0, qt.Equals, !member.Self, qt.Commentf("%+v", member))
+			f.Check(member.LastContactMs >= 0, qt.Equals, !member.Self, qt.Commentf("%+v", member))
 		}
 		f.Check(roles, qt.DeepEquals, map[string]int{"primary": 1, "backup": 1, "witness": 1})
-		for _, d := range s.Duties {
+		for _, d := range s.SingletonRoles {
 			f.Check(d.Holder, qt.Equals, primary.boot.Ctl)
-			f.Check(d.Fence, qt.Equals, s.View.Epoch)
+			f.Check(d.FencingToken, qt.Equals, s.View.Epoch)
 		}
 		f.Check(s.Configuration.Version, qt.Equals, int64(1))
 		f.Check(s.Configuration.Seq, qt.Equals, uint64(1))
 		f.Check(names(s.Agents), qt.DeepEquals, []string{"edge-1", "edge-2"})
 		for i, a := range s.Agents {
 			f.Check(a.Zone, qt.Equals, f.edge[i].settings.Zone)
-			f.Check(a.Version, qt.Equals, int64(1))
-			f.Check(a.SinceMs > 0 && a.SinceMs < time.Minute.Milliseconds(), qt.IsTrue, qt.Commentf("%d", a.SinceMs))
+			f.Check(a.ConfigVersion, qt.Equals, int64(1))
+			f.Check(a.ConfigAgeMs > 0 && a.ConfigAgeMs < time.Minute.Milliseconds(), qt.IsTrue, qt.Commentf("%d", a.ConfigAgeMs))
 		}
 		f.Assert(s.Services, qt.HasLen, 2)
 		f.Check(s.Services[0].Name, qt.Equals, model)
@@ -89,13 +89,13 @@
 	// The list's number comes back from the proxies by way of their node agents.
 	f.until(patient, "both proxies have the newest list", func() bool {
 		s := f.stands(primary)
-		return !slices.ContainsFunc(s.Agents, func(a status.Agent) bool { return a.List != s.List.Number })
+		return !slices.ContainsFunc(s.Agents, func(a status.Agent) bool { return a.BackendListVersion != s.BackendList.ListVersion })
 	})
 	f.platform.Drain(f.plain[0])
 	f.until(patient, "a draining backend is counted", func() bool { return f.stands(primary).Services[1].Draining == 1 })
-	before := f.stands(primary).List.Number
+	before := f.stands(primary).BackendList.ListVersion
 	f.until(patient, "both proxies have the list that tells of it", func() bool {
-		return !slices.ContainsFunc(f.stands(primary).Agents, func(a status.Agent) bool { return a.List.Count < before.Count })
+		return !slices.ContainsFunc(f.stands(primary).Agents, func(a status.Agent) bool { return a.BackendListVersion.Count < before.Count })
 	})
 
 	// One that is not the primary tells what it knows when asked for that.
@@ -110,7 +110,7 @@
 	hung.Signal(syscall.SIGSTOP)
 	f.add(2)
 	f.until(patient, "only the proxy that hangs lacks the version", func() bool {
-		return slices.Equal(names(f.stands(primary).Lacking(2)), []string{"edge-2"})
+		return slices.Equal(names(f.stands(primary).Behind(2)), []string{"edge-2"})
 	})
 	out := f.watch(exitLate, "2", "--limit", "500ms")
 	f.Check(out, qt.Contains, "version 2: in force at 1 of 2 agents; not at edge-2 (1)")
@@ -133,10 +133,10 @@
 	s = f.stands(f.primary())
 	f.Check(s.View.Primary, qt.Not(qt.Equals), primary.boot.Ctl)
 	lost := slices.IndexFunc(f.core, func(m *machine) bool { return m == primary })
-	f.Check(s.View.Members[lost].HeardMs > 3000, qt.IsTrue, qt.Commentf("%+v: the lease's time has passed since its end", s.View.Members[lost]))
+	f.Check(s.View.Members[lost].LastContactMs > 3000, qt.IsTrue, qt.Commentf("%+v: the lease's time has passed since its end", s.View.Members[lost]))
 	f.Check(names(s.Agents), qt.DeepEquals, []string{"edge-1", "edge-2"})
-	f.Check(s.Duties[1], qt.DeepEquals, status.Duty{Name: status.DutyPhases, Holder: s.View.Primary, Fence: s.View.Epoch})
-	f.Check(fmt.Sprint(s.Agents[0].Version, s.Agents[1].Version), qt.Equals, "3 3")
+	f.Check(s.SingletonRoles[1], qt.DeepEquals, status.SingletonRole{Name: status.SingletonPhases, Holder: s.View.Primary, FencingToken: s.View.Epoch})
+	f.Check(fmt.Sprint(s.Agents[0].ConfigVersion, s.Agents[1].ConfigVersion), qt.Equals, "3 3")
 	f.judge()
 }
 
@@ -168,24 +168,24 @@
 // stands is the status that the stand-in for the control plane gives: of three agents one is late with each change.
 func (s *control) stands(local bool) *status.Fleet {
 	f := &status.Fleet{From: "core-koto-hall-1", Confirmed: !local, View: status.View{Epoch: 4, Primary: pageControl, Ready: true},
-		Configuration: status.Configuration{Version: s.doc.Version(), Seq: 3, AgeMs: 310}, List: status.List{Number: status.Number{Epoch: 4, Count: 12}, AgeMs: 140}}
+		Configuration: status.Configuration{Version: s.doc.Version(), Seq: 3, AgeMs: 310}, BackendList: status.BackendList{ListVersion: status.ListVersion{Epoch: 4, Count: 12}, AgeMs: 140}}
 	zones := []string{"koto-hall", "shinagawa-hall", "kawasaki-hall"}
 	roles := []string{"primary", "backup", "witness"}
 	for i, addr := range pageCore {
 		f.View.Members = append(f.View.Members, status.Member{Address: addr, Zone: zones[i], Region: "kanto", Role: roles[i],
-			Self: i == 0, HeardMs: int64(70*i - 1)})
+			Self: i == 0, LastContactMs: int64(70*i - 1)})
 	}
-	for _, name := range []string{status.DutyPoll, status.DutyPhases} {
-		f.Duties = append(f.Duties, status.Duty{Name: name, Holder: pageControl, Fence: 4})
+	for _, name := range []string{status.SingletonPoll, status.SingletonPhases} {
+		f.SingletonRoles = append(f.SingletonRoles, status.SingletonRole{Name: name, Holder: pageControl, FencingToken: 4})
 	}
 	if s.doc == nil {
 		f.Configuration = status.Configuration{}
 		return f
 	}
 	for i, zone := range zones {
-		a := status.Agent{Name: fmt.Sprintf("edge-%s-1", zone), Zone: zone, LeaseMs: int64(40 + 210*i), Version: s.doc.Version(), SinceMs: int64(290 - 30*i), List: f.List.Number}
+		a := status.Agent{Name: fmt.Sprintf("edge-%s-1", zone), Zone: zone, LeaseAgeMs: int64(40 + 210*i), ConfigVersion: s.doc.Version(), ConfigAgeMs: int64(290 - 30*i), BackendListVersion: f.BackendList.ListVersion}
 		if i == 2 && s.looks <= lateFor {
-			a.Version, a.SinceMs = s.was.Version(), 3_600_000
+			a.ConfigVersion, a.ConfigAgeMs = s.was.Version(), 3_600_000
 		}
 		f.Agents = append(f.Agents, a)
 	}
@@ -213,7 +213,7 @@
 	c.Check(code, qt.Equals, exitDone, qt.Commentf("%s", errOut))
 	f, err := status.Decode([]byte(out))
 	c.Assert(err, qt.IsNil)
-	c.Check(f.Everywhere(5), qt.IsTrue)
+	c.Check(f.AppliedEverywhere(5), qt.IsTrue)
 	nobody := deadAddr(c)
 	code, _, errOut = fleetctl(t, "status", "--control", nobody, "--within", "150ms")
 	c.Check(code, qt.Equals, exitUnclear)
--- a/cmd/molepaddle-fleet/text.go
+++ b/cmd/molepaddle-fleet/text.go
@@ -62,14 +62,14 @@
 func found(in routingconfig.Findings, body []byte) []finding {
 	out := make([]finding, 0, len(in))
 	for _, f := range in {
-		place := f.Place
+		place := f.Path
 		if at, ok := strings.CutPrefix(place, "byte "); ok && body != nil {
 			if n, err := strconv.Atoi(at); err == nil {
 				before := string(body[:min(max(n-1, 0), len(body))])
 				place = fmt.Sprintf("line %d, column %d", strings.Count(before, "\n")+1, len(before)-strings.LastIndexByte(before, '\n'))
 			}
 		}
-		out = append(out, finding{place, f.Text})
+		out = append(out, finding{place, f.Message})
 	}
 	return out
 }
--- a/cmd/molepaddle-fleet/watch.go
+++ b/cmd/molepaddle-fleet/watch.go
@@ -77,9 +77,9 @@
 				say(line)
 			}
 			for _, a := range f.Agents {
-				seen[a.Name] = a.Version
+				seen[a.Name] = a.ConfigVersion
 			}
-			if f.Everywhere(version) {
+			if f.AppliedEverywhere(version) {
 				if gone := dropped(f, seen, version); gone != "" {
 					say("no lease any more: " + gone)
 				}
@@ -117,7 +117,7 @@
 
 // progress is how far a version has come.
 func progress(f *status.Fleet, version int64) string {
-	lacking := f.Lacking(version)
+	lacking := f.Behind(version)
 	line := fmt.Sprintf("version %d: in force at %d of %s", version, len(f.Agents)-len(lacking), many(len(f.Agents), "agent"))
 	const most = 5
 	var names []string
@@ -126,12 +126,12 @@
 			names = append(names, fmt.Sprintf("%d more", len(lacking)-most))
 			break
 		}
-		names = append(names, fmt.Sprintf("%s (%s)", word(a.Name), count(a.Version)))
+		names = append(names, fmt.Sprintf("%s (%s)", word(a.Name), count(a.ConfigVersion)))
 	}
 	if names != nil {
 		line += "; not at " + strings.Join(names, ", ")
 	}
-	if f.Learning {
+	if f.CollectingLeases {
 		line += "; the primary is new and may not have heard all"
 	}
 	return line
--- a/internal/fleet/configdiff/configdiff.go
+++ b/internal/fleet/configdiff/configdiff.go
@@ -14,16 +14,16 @@
 
 // What a Change is of.
 const (
-	Route         = "route"
-	Service       = "service"
-	Caps          = "caps"          // the operator's bounds on clients
-	Configuration = "configuration" // top-level fields that this program doesn't know, and the order of lists
+	KindRoute         = "route"
+	KindService       = "service"
+	KindCaps          = "caps"          // the operator's bounds on clients
+	KindConfiguration = "configuration" // top-level fields that this program doesn't know, and the order of lists
 )
 
 // Change is one difference.
 type Change struct {
 	// Of is Route, Service, Caps or Configuration.
-	Of string `json:"of"`
+	Kind string `json:"of"`
 	// Name is the route's or service's; empty for the others.
 	Name string `json:"name,omitempty"`
 	// Field is the way to the field, "shares[1].wt"; empty where the whole item was added or removed.
@@ -43,32 +43,32 @@
 // old document with additions last, then caps and the rest. The version is not among them. A field that is null counts
 // as not there, and numbers are compared by value. It costs time and memory for every route.
 func Diff(from, to *routingconfig.Document) []Change {
-	a, b := fields(from.Show()), fields(to.Show())
+	a, b := objectFields(from.Show()), objectFields(to.Show())
 	var out []Change
-	out = append(out, items(Route, a["routing"], b["routing"])...)
-	out = append(out, items(Service, a["svcs"], b["svcs"])...)
-	d := differ{of: Caps}
-	d.value("", a["caps"], b["caps"])
-	d.of = Configuration
+	out = append(out, diffItems(KindRoute, a["routing"], b["routing"])...)
+	out = append(out, diffItems(KindService, a["svcs"], b["svcs"])...)
+	d := differ{kind: KindCaps}
+	d.diffValue("", a["caps"], b["caps"])
+	d.kind = KindConfiguration
 	for _, list := range []string{"routing", "svcs"} {
-		d.order(list, a[list], b[list])
+		d.diffOrder(list, a[list], b[list])
 	}
 	for _, key := range keys(a, b) {
 		if key != "ver" && key != "routing" && key != "svcs" && key != "caps" {
-			d.value(key, a[key], b[key])
+			d.diffValue(key, a[key], b[key])
 		}
 	}
-	return append(out, d.out...)
+	return append(out, d.changes...)
 }
 
-// fields are the members of a JSON object; none where it isn't one. Keys are compared exactly, as the documents do.
-func fields(raw json.RawMessage) map[string]json.RawMessage {
+// objectFields are the members of a JSON object; none where it isn't one. Keys are compared exactly, as the documents do.
+func objectFields(raw json.RawMessage) map[string]json.RawMessage {
 	var m map[string]json.RawMessage
 	_ = json.Unmarshal(raw, &m) // from a valid document; nil else
 	return m
 }
 
-func list(raw json.RawMessage) []json.RawMessage {
+func listItems(raw json.RawMessage) []json.RawMessage {
 	var l []json.RawMessage
 	_ = json.Unmarshal(raw, &l)
 	return l
@@ -83,27 +83,27 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// named are the items of a list by name, and the names in order.
-func named(raw json.RawMessage) (map[string]json.RawMessage, []string) {
+// byName are the items of a list by name, and the names in order.
+func byName(raw json.RawMessage) (map[string]json.RawMessage, []string) {
 	by := map[string]json.RawMessage{}
 	var names []string
-	for _, item := range list(raw) {
+	for _, item := range listItems(raw) {
 		var name string
-		_ = json.Unmarshal(fields(item)["name"], &name)
+		_ = json.Unmarshal(objectFields(item)["name"], &name)
 		by[name] = item
 		names = append(names, name)
 	}
 	return by, names
 }
 
-func items(of string, from, to json.RawMessage) []Change {
-	a, old := named(from)
-	b, now := named(to)
-	d := differ{of: of}
+func diffItems(kind string, from, to json.RawMessage) []Change {
+	a, old := byName(from)
+	b, now := byName(to)
+	d := differ{kind: kind}
 	for _, name := range old {
 		d.name = name
 		if item, ok := b[name]; ok {
-			d.value("", a[name], item)
+			d.diffValue("", a[name], item)
 		} else {
 			d.add("", a[name], nil)
 		}
@@ -114,22 +114,22 @@
 			d.add("", nil, b[name])
 		}
 	}
-	return d.out
+	return d.changes
 }
 
 type differ struct {
-	of, name string
-	out      []Change
+	kind, name string
+	changes    []Change
 }
 
 func (d *differ) add(field string, from, to json.RawMessage) {
-	d.out = append(d.out, Change{Of: d.of, Name: d.name, Field: field, Old: compact(from), New: compact(to)})
+	d.changes = append(d.changes, Change{Kind: d.kind, Name: d.name, Field: field, Old: compact(from), New: compact(to)})
 }
 
-// order notes when the items that both lists have stand in another order.
-func (d *differ) order(field string, from, to json.RawMessage) {
-	a, old := named(from)
-	b, now := named(to)
+// diffOrder notes when the items that both lists have stand in another order.
+func (d *differ) diffOrder(field string, from, to json.RawMessage) {
+	a, old := byName(from)
+	b, now := byName(to)
 	old = slices.DeleteFunc(old, func(n string) bool { return b[n] == nil })
 	now = slices.DeleteFunc(now, func(n string) bool { return a[n] == nil })
 	if !slices.Equal(old, now) {
@@ -139,47 +139,47 @@
 	}
 }
 
-// value compares two values of a field, and goes into objects and lists of the same length.
-func (d *differ) value(field string, from, to json.RawMessage) {
-	if absent(from) && absent(to) {
+// diffValue compares two values of a field, and goes into objects and lists of the same length.
+func (d *differ) diffValue(field string, from, to json.RawMessage) {
+	if isNull(from) && isNull(to) {
 		return
 	}
-	if absent(from) || absent(to) || from[0] != to[0] {
-		if !same(from, to) {
+	if isNull(from) || isNull(to) || from[0] != to[0] {
+		if !equalValues(from, to) {
 			d.add(field, from, to)
 		}
 		return
 	}
 	switch from[0] {
 	case '{':
-		a, b := fields(from), fields(to)
+		a, b := objectFields(from), objectFields(to)
 		for _, key := range keys(a, b) {
 			at := key
 			if field != "" {
 				at = field + "." + key
 			}
-			d.value(at, a[key], b[key])
+			d.diffValue(at, a[key], b[key])
 		}
 	case '[':
-		a, b := list(from), list(to)
+		a, b := listItems(from), listItems(to)
 		if len(a) != len(b) {
 			d.add(field, from, to)
 			return
 		}
 		for i := range a {
-			d.value(field+"["+strconv.Itoa(i)+"]", a[i], b[i])
+			d.diffValue(field+"["+strconv.Itoa(i)+"]", a[i], b[i])
 		}
 	default:
-		if !same(from, to) {
+		if !equalValues(from, to) {
 			d.add(field, from, to)
 		}
 	}
 }
 
-// same compares strings and numbers by value.
-func same(a, b json.RawMessage) bool {
-	if absent(a) || absent(b) {
-		return absent(a) == absent(b)
+// equalValues compares strings and numbers by value.
+func equalValues(a, b json.RawMessage) bool {
+	if isNull(a) || isNull(b) {
+		return isNull(a) == isNull(b)
 	}
 	if bytes.Equal(a, b) {
 		return true
@@ -198,10 +198,10 @@
 	return err == nil && err2 == nil && x == y
 }
 
-func absent(raw json.RawMessage) bool { return len(raw) == 0 || raw[0] == 'n' }
+func isNull(raw json.RawMessage) bool { return len(raw) == 0 || raw[0] == 'n' }
 
 func compact(raw json.RawMessage) json.RawMessage {
-	if absent(raw) {
+	if isNull(raw) {
 		return nil
 	}
 	var b bytes.Buffer
--- a/internal/fleet/configdiff/configdiff_test.go
+++ b/internal/fleet/configdiff/configdiff_test.go
@@ -25,7 +25,7 @@
 func lines(all []configdiff.Change) []string {
 	out := []string{}
 	for _, c := range all {
-		out = append(out, fmt.Sprintf("%s %s %s: %s -> %s", c.Of, c.Name, c.Field, c.Old, c.New))
+		out = append(out, fmt.Sprintf("%s %s %s: %s -> %s", c.Kind, c.Name, c.Field, c.Old, c.New))
 	}
 	return out
 }
--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -126,22 +126,22 @@
 				version++
 			}
 			o.publishCommitted(seq)
-			answer := o.cache.Answer(c.Context(), "o", &distribution.Request{Have: reader.Have()})
+			answer := o.cache.Fetch(c.Context(), "o", &distribution.Request{Versions: reader.Versions()})
 			c.Assert(answer.Resources, qt.HasLen, 1)
 			c.Assert(configurationOf(c, answer.Resources[0], reader), qt.Equals, string(o.state.doc.Show()))
-			c.Assert(reader.Take(answer, time.Now()), qt.HasLen, 0)
+			c.Assert(reader.Apply(answer, time.Now()), qt.HasLen, 0)
 		}
 	}
 }
 
 // configurationOf is what a proxy makes of the news, with what it has.
 func configurationOf(c *qt.C, news distribution.Resource, had *distribution.Cache) string {
-	if news.Whole == nil {
-		all := had.Answer(c.Context(), "had", &distribution.Request{}).Resources[0]
-		c.Assert(news.Since, qt.Equals, all.At)
-		news.Whole, news.Changes = all.Whole, append(all.Changes[:len(all.Changes):len(all.Changes)], news.Changes...)
+	if news.Snapshot == nil {
+		all := had.Fetch(c.Context(), "had", &distribution.Request{}).Resources[0]
+		c.Assert(news.BaseVersion, qt.Equals, all.Version)
+		news.Snapshot, news.Changes = all.Snapshot, append(all.Changes[:len(all.Changes):len(all.Changes)], news.Changes...)
 	}
-	doc, found := routingconfig.Decode(news.Whole)
+	doc, found := routingconfig.Decode(news.Snapshot)
 	c.Assert(found.Err(), qt.IsNil)
 	for _, change := range news.Changes {
 		doc, found = (&Command{Replace: change.Replace, Body: change.Body}).applyTo(doc)
--- a/internal/fleet/controlplane/cutoff_test.go
+++ b/internal/fleet/controlplane/cutoff_test.go
@@ -170,7 +170,7 @@
 	// It may have learnt of the next view from what came while it slept; in its own it has had no contact since.
 	contact := c.servers[old].contact.forEpoch(led)
 	c.Assert(contact.at.Before(slept.Add(heartbeatInterval)), qt.IsTrue, qt.Commentf("in contact %v after it slept", contact.at.Sub(slept)))
-	fresh, _ := c.servers[old].cache.Fresh()
+	fresh, _ := c.servers[old].cache.LastContact()
 	c.Assert(fresh.Before(slept.Add(heartbeatInterval)), qt.IsTrue, qt.Commentf("fresh %v after it slept", fresh.Sub(slept)))
 	c.network.Heal()
 	c.within("the next primary is known", func() bool {
@@ -212,14 +212,14 @@
 
 // pulls are the control servers that one tells those that pull of.
 func (c *cluster) pulls(ip string) []string {
-	var core distribution.Core
-	for _, r := range c.servers[ip].cache.Answer(c.Context(), ip, &distribution.Request{}).Resources {
-		if r.Source == distribution.SourceCore {
-			_, err := core.UnmarshalMsg(r.Whole)
+	var core distribution.ControlServers
+	for _, r := range c.servers[ip].cache.Fetch(c.Context(), ip, &distribution.Request{}).Resources {
+		if r.Type == distribution.ControlServersType {
+			_, err := core.UnmarshalMsg(r.Snapshot)
 			c.Assert(err, qt.IsNil)
 		}
 	}
-	return core.Pulls
+	return core.PullAddrs
 }
 
 // TestRedirectsLeadOn: a machine sends callers only to a primary that it has heard since the call came, in the epoch that both know,
--- a/internal/fleet/controlplane/operator.go
+++ b/internal/fleet/controlplane/operator.go
@@ -40,7 +40,7 @@
 		Findings []finding `json:"findings,omitempty"`
 	}{Error: why}
 	for _, f := range found {
-		body.Findings = append(body.Findings, finding{f.Place, f.Text})
+		body.Findings = append(body.Findings, finding{f.Path, f.Message})
 	}
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/fleet/controlplane/outliers.go
+++ b/internal/fleet/controlplane/outliers.go
@@ -66,7 +66,7 @@
 }
 
 // outlierPeers are the listed backends, in groups that serve the same requests.
-func outlierPeers(list *distribution.List) []outlier.Peer {
+func outlierPeers(list *distribution.BackendList) []outlier.Peer {
 	peers := make([]outlier.Peer, 0, len(list.Backends))
 	for _, b := range list.Backends {
 		if b.Draining || b.Phase == distribution.PhaseChanging {
@@ -82,5 +82,5 @@
 	d.ejected, d.sent = ejected, now
 	all := distribution.Ejections{Ejected: ejected}
 	b, _ := all.MarshalMsg(nil) // it has no way to fail
-	d.server.cache.Set(distribution.SourceEjections, distribution.Version{Epoch: d.epoch, Count: d.count}, b)
+	d.server.cache.SetSnapshot(distribution.EjectionsType, distribution.Version{Epoch: d.epoch, Count: d.count}, b)
 }
--- a/internal/fleet/controlplane/outliers_test.go
+++ b/internal/fleet/controlplane/outliers_test.go
@@ -17,7 +17,7 @@
 func TestOutliersArePublished(t *testing.T) {
 	c := qt.New(t)
 	o := &Server{cache: distribution.NewCache(), start: time.Now(), log: zap.NewNop()}
-	list := &distribution.List{}
+	list := &distribution.BackendList{}
 	for i := range 6 {
 		list.Backends = append(list.Backends, distribution.Backend{ID: fmt.Sprint("b", i), Service: "s", Phase: externalapi.PhaseDecode})
 	}
@@ -40,11 +40,11 @@
 		}
 	}
 	published := func() (distribution.Version, []distribution.Ejection) {
-		for _, r := range o.cache.Answer(c.Context(), "n", &distribution.Request{}).Resources {
+		for _, r := range o.cache.Fetch(c.Context(), "n", &distribution.Request{}).Resources {
 			var all distribution.Ejections
-			_, err := all.UnmarshalMsg(r.Whole)
+			_, err := all.UnmarshalMsg(r.Snapshot)
 			c.Assert(err, qt.IsNil)
-			return r.At, all.Ejected
+			return r.Version, all.Ejected
 		}
 		return distribution.Version{}, nil
 	}
--- a/internal/fleet/controlplane/phases.go
+++ b/internal/fleet/controlplane/phases.go
@@ -58,22 +58,22 @@
 }
 
 // gauges is how many requests were at the backends that make tokens when they were last asked: the fullest of them.
-func (p *phaseController) gauges() distribution.Gauges {
+func (p *phaseController) gauges() distribution.LoadReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := distribution.Gauges{Active: maps.Clone(p.active), Silent: p.unresponsive}
-	if len(g.Active) <= distribution.MaxGauges {
+	g := distribution.LoadReport{Active: maps.Clone(p.active), Unresponsive: p.unresponsive}
+	if len(g.Active) <= distribution.MaxLoadReportBackends {
 		return g
 	}
 	ids := slices.SortedFunc(maps.Keys(g.Active), func(a, b string) int { return cmp.Or(g.Active[b]-g.Active[a], cmp.Compare(a, b)) })
-	for _, id := range ids[distribution.MaxGauges:] {
+	for _, id := range ids[distribution.MaxLoadReportBackends:] {
 		delete(g.Active, id)
 	}
 	return g
 }
 
 // markChanging has a list say which backends are about to change, so that proxies send nothing there.
-func (p *phaseController) markChanging(list *distribution.List) {
+func (p *phaseController) markChanging(list *distribution.BackendList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range list.Backends {
@@ -85,7 +85,7 @@
 
 // runPhases asks the engines of all services for their reports and, where it may, gives the orders that follow. It reports whether
 // what is to be announced has changed.
-func (p *phaseController) runRound(ctx context.Context, now time.Duration, list *distribution.List, epoch uint64, orders bool) bool {
+func (p *phaseController) runRound(ctx context.Context, now time.Duration, list *distribution.BackendList, epoch uint64, orders bool) bool {
 	settled := p.server.committed.Load()
 	if settled == nil || settled.doc == nil {
 		return false
--- a/internal/fleet/controlplane/phases_test.go
+++ b/internal/fleet/controlplane/phases_test.go
@@ -150,6 +150,6 @@
 	c.Assert(count(old)-before <= 1, qt.IsTrue, qt.Commentf("%d polls of one that is cut off; one may have been under way", count(old)-before))
 	c.Assert(count(c.others(old, next)[0]), qt.Equals, 0)
 	st := c.servers[old].status.Load()
-	at, _ := c.servers[next].cache.At(distribution.SourceList)
+	at, _ := c.servers[next].cache.Version(distribution.BackendListType)
 	c.Assert(at.Epoch > st.Epoch, qt.IsTrue, qt.Commentf("receivers prefer the later epoch"))
 }
--- a/internal/fleet/controlplane/poller.go
+++ b/internal/fleet/controlplane/poller.go
@@ -41,11 +41,11 @@
 	since          time.Time // when it began
 	lastAnswer     time.Time // when the platform last answered
 	lastReports    time.Time // when backends were last asked for their reports
-	platformList   *distribution.List
-	list           *distribution.List // as published, with the backends that are about to change
-	dirty          bool               // plain or those have changed since
-	membershipSize *distribution.Crowd
-	gauges         distribution.Gauges
+	platformList   *distribution.BackendList
+	list           *distribution.BackendList // as published, with the backends that are about to change
+	dirty          bool                      // plain or those have changed since
+	membershipSize *distribution.MembershipSize
+	gauges         distribution.LoadReport
 }
 
 // poll runs a poller until ctx ends.
@@ -102,8 +102,8 @@
 		p.term.dirty = true
 	}
 	last, gauges := p.term.gauges, p.phases.gauges()
-	if !maps.Equal(gauges.Active, last.Active) || len(gauges.Silent) > 0 || len(last.Silent) > 0 {
-		p.publish(distribution.SourceGauges, &gauges)
+	if !maps.Equal(gauges.Active, last.Active) || len(gauges.Unresponsive) > 0 || len(last.Unresponsive) > 0 {
+		p.publish(distribution.LoadReportType, &gauges)
 		p.term.gauges = gauges
 	}
 }
@@ -112,7 +112,7 @@
 func (p *poller) publish(source string, whole msgp.Marshaler) {
 	p.term.count++
 	b, _ := whole.MarshalMsg(nil) // it has no way to fail
-	p.server.cache.Set(source, distribution.Version{Epoch: p.term.epoch, Count: p.term.count}, b)
+	p.server.cache.SetSnapshot(source, distribution.Version{Epoch: p.term.epoch, Count: p.term.count}, b)
 }
 
 func (p *poller) publishList() {
@@ -120,10 +120,10 @@
 		return
 	}
 	p.term.dirty = false
-	list := distribution.List{Backends: slices.Clone(p.term.platformList.Backends)}
+	list := distribution.BackendList{Backends: slices.Clone(p.term.platformList.Backends)}
 	p.phases.markChanging(&list)
 	if p.term.list == nil || !reflect.DeepEqual(*p.term.list, list) {
-		p.publish(distribution.SourceList, &list)
+		p.publish(distribution.BackendListType, &list)
 		p.term.list = &list
 	}
 }
@@ -138,13 +138,13 @@
 
 // publishMembershipSize tells how many proxies hold a lease.
 func (p *poller) publishMembershipSize() {
-	crowd := distribution.Crowd{Zones: map[string]int{}}
+	crowd := distribution.MembershipSize{Zones: map[string]int{}}
 	for _, m := range p.server.cache.Members(time.Now(), p.server.memberLease()) {
 		crowd.Proxies++
 		crowd.Zones[m.Zone]++
 	}
 	if crowd.Proxies > 0 && (p.term.membershipSize == nil || !reflect.DeepEqual(*p.term.membershipSize, crowd)) {
-		p.publish(distribution.SourceCrowd, &crowd)
+		p.publish(distribution.MembershipSizeType, &crowd)
 		p.term.membershipSize = &crowd
 	}
 }
--- a/internal/fleet/controlplane/pulls.go
+++ b/internal/fleet/controlplane/pulls.go
@@ -15,31 +15,31 @@
 	distribution.Serve(ctx, ln, s.settings.Nodename, s.cache, 3*s.settings.Heartbeat+time.Second, func() (time.Time, string) {
 		st := s.status.Load()
 		if contact := s.contact.forEpoch(st.Epoch); st.Role == replication.Primary && !contact.at.IsZero() {
-			s.cache.Heard(st.PrimaryAddr, contact.at)
+			s.cache.RecordContact(st.PrimaryAddr, contact.at)
 		}
-		return s.cache.Fresh()
+		return s.cache.LastContact()
 	})
 }
 
 // publishCoreMembers tells those that pull where the members of a view answer pulls. Every machine knows a decided view by itself, so that
 // this needs no primary: agents that reach only machines that are cut off learn of the others.
 func (s *Server) publishCoreMembers(st *replication.Status) {
-	core := distribution.Core{}
+	core := distribution.ControlServers{}
 	for _, m := range st.View.Members {
 		if host, _, err := net.SplitHostPort(m.Addr); err == nil && st.Epoch > 0 {
-			core.Pulls = append(core.Pulls, distribution.PullAddr(host, s.settings.Ports))
+			core.PullAddrs = append(core.PullAddrs, distribution.PullAddr(host, s.settings.Ports))
 		}
 	}
-	if len(core.Pulls) == 0 {
+	if len(core.PullAddrs) == 0 {
 		return
 	}
 	b, _ := core.MarshalMsg(nil) // it has no way to fail
-	s.cache.Set(distribution.SourceCore, distribution.Version{Epoch: st.Epoch}, b)
+	s.cache.SetSnapshot(distribution.ControlServersType, distribution.Version{Epoch: st.Epoch}, b)
 }
 
 // followPrimary keeps a control server that isn't the primary up to date by the primary's pulls, as node agents are.
 func (s *Server) followPrimary(ctx context.Context) {
-	wait, silence := distribution.Pace(s.settings.Bounds.Apply, s.settings.Heartbeat)
+	wait, silence := distribution.PullTimeouts(s.settings.Bounds.Apply, s.settings.Heartbeat)
 	for ctx.Err() == nil {
 		st, changed := s.watch()
 		host, _, err := net.SplitHostPort(st.PrimaryAddr)
@@ -65,13 +65,13 @@
 				}
 			}
 		}()
-		_ = distribution.Follow(term, distribution.PullAddr(host, s.settings.Ports), &distribution.Follower{Name: s.settings.Nodename, Wait: wait, Silence: silence,
-			Members:  func() []distribution.Member { return s.cache.Members(time.Now(), 3*s.settings.Heartbeat) },
-			Have:     s.cache.Have,
-			Take:     func(n *distribution.Response) []string { return s.cache.Take(n, time.Now()) },
-			Rested:   func(time.Time) *distribution.Outbox { return s.cache.Rested },
-			Outcomes: s.cache.Outcomes,
-			Dial:     s.Dial,
+		_ = distribution.Watch(term, distribution.PullAddr(host, s.settings.Ports), &distribution.Watcher{Name: s.settings.Nodename, MaxWait: wait, ReadTimeout: silence,
+			Members:   func() []distribution.Member { return s.cache.Members(time.Now(), 3*s.settings.Heartbeat) },
+			Versions:  s.cache.Versions,
+			Apply:     func(n *distribution.Response) []string { return s.cache.Apply(n, time.Now()) },
+			Residency: func(time.Time) *distribution.ResidencyOutbox { return s.cache.Residency },
+			Outcomes:  s.cache.Outcomes,
+			Dial:      s.Dial,
 		})
 		cancel()
 		sleep(ctx, 50*time.Millisecond)
--- a/internal/fleet/controlplane/rested.go
+++ b/internal/fleet/controlplane/rested.go
@@ -30,7 +30,7 @@
 	var last time.Time
 	hurry := false
 	for ctx.Err() == nil {
-		open, arrived := s.cache.Rested.Open()
+		open, arrived := s.cache.Residency.Pending()
 		st, changed := s.watch()
 		if len(open) == 0 {
 			select {
@@ -110,7 +110,7 @@
 			kept = append(kept, residencyreport.Kept{Process: b.Process, N: b.N})
 		}
 	}
-	s.cache.Rested.Keep(kept...)
+	s.cache.Residency.Acknowledge(kept...)
 	return more || len(kept) < len(open)
 }
 
@@ -153,7 +153,7 @@
 			return true
 		}
 	}
-	for _, r := range d.doc.Enclosed() {
+	for _, r := range d.doc.RoutesWithResidencyTerms() {
 		if r.Tenant == "" && r.Name == route {
 			return true
 		}
--- a/internal/fleet/controlplane/rested_test.go
+++ b/internal/fleet/controlplane/rested_test.go
@@ -93,8 +93,8 @@
 		status, _, _ = call(o, http.MethodGet, target, nil)
 		c.Assert(status, qt.Equals, http.StatusNotFound)
 	}
-	o.cache.Rested.Put(batchOf(1, 1, labs))
-	o.cache.Rested.Put(batchOf(2, 1, road))
+	o.cache.Residency.Put(batchOf(1, 1, labs))
+	o.cache.Residency.Put(batchOf(2, 1, road))
 	over := time.After(testPatience)
 	for {
 		status, _, report = call(o, http.MethodGet, "/molepaddle/residency", nil)
@@ -129,7 +129,7 @@
 	status, _, _ = call(o, http.MethodPost, externalapi.Replace.Path, []byte(`{"ver":3,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"new"}],`+
 		`"tenants":[{"name":"new","regions":["east"]}],"svcs":[{"name":"s","probe":"/healthz"}]}`))
 	c.Assert(status, qt.Equals, http.StatusOK)
-	version, ok := o.cache.At("config")
+	version, ok := o.cache.Version("config")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version.Count, qt.Equals, seq+1)
 	status, _, report = call(o, http.MethodGet, "/molepaddle/residency?tenant=new", nil)
@@ -142,10 +142,10 @@
 	c := qt.New(t)
 	o := solo(c)
 	first := batchOf(1, 1, labs)
-	o.cache.Rested.Put(first)
+	o.cache.Residency.Put(first)
 	c.Assert(o.hasNewPairs([]residencyreport.Batch{first}), qt.IsTrue)
 	c.Assert(o.commitResidency(c.Context(), []residencyreport.Batch{first}), qt.IsFalse)
-	c.Assert(o.cache.Rested.OpenOf(1), qt.Equals, 0)
+	c.Assert(o.cache.Residency.PendingOf(1), qt.Equals, 0)
 	c.Assert(o.hasNewPairs([]residencyreport.Batch{first, batchOf(1, 2, labs)}), qt.IsFalse)
 	c.Assert(o.hasNewPairs([]residencyreport.Batch{first, batchOf(1, 2, road)}), qt.IsTrue)
 
@@ -153,12 +153,12 @@
 	var committed *residencyreport.Gauge
 	onDriver(o, func() { committed, o.state.residency = o.state.residency, nil })
 	second := batchOf(1, 2, labs)
-	o.cache.Rested.Put(second)
+	o.cache.Residency.Put(second)
 	c.Assert(o.commitResidency(c.Context(), []residencyreport.Batch{second}), qt.IsTrue)
-	c.Assert(o.cache.Rested.OpenOf(1), qt.Equals, 1)
+	c.Assert(o.cache.Residency.PendingOf(1), qt.Equals, 1)
 	onDriver(o, func() { o.state.residency = committed })
 	c.Assert(o.commitResidency(c.Context(), []residencyreport.Batch{second}), qt.IsFalse)
-	c.Assert(o.cache.Rested.OpenOf(1), qt.Equals, 0)
+	c.Assert(o.cache.Residency.PendingOf(1), qt.Equals, 0)
 	c.Assert(o.committed.Load().residency.Report(nil)[0].Counts.Decodes, qt.Equals, int64(4))
 }
 
--- a/internal/fleet/controlplane/settle.go
+++ b/internal/fleet/controlplane/settle.go
@@ -36,7 +36,7 @@
 	}
 	for i, d := range docs {
 		if !s.publishChange(was, d) && i == len(docs)-1 {
-			s.cache.Set(distribution.SourceConfig, distribution.Version{Count: d.docSeq}, d.doc.Show())
+			s.cache.SetSnapshot(distribution.ConfigType, distribution.Version{Count: d.docSeq}, d.doc.Show())
 		}
 		was = d
 	}
@@ -51,8 +51,8 @@
 		return false
 	}
 	at := distribution.Version{Count: d.docSeq}
-	change := distribution.Change{At: at, Replace: d.command.Replace, Body: d.command.Body}
-	return s.cache.Append(distribution.SourceConfig, distribution.Version{Count: was.docSeq}, at, change, d.doc.Show)
+	change := distribution.Change{Version: at, Replace: d.command.Replace, Body: d.command.Body}
+	return s.cache.AppendChange(distribution.ConfigType, distribution.Version{Count: was.docSeq}, at, change, d.doc.Show)
 }
 
 func versionOf(d *routingconfig.Document) int64 {
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -21,7 +21,7 @@
 	epoch uint64
 	since time.Time // when the term began
 	at    time.Time // of the last answer; zero: none in this term
-	list  *distribution.List
+	list  *distribution.BackendList
 }
 
 // configCommit tells when the newest configuration was found committed here, by which change.
@@ -95,7 +95,7 @@
 // fleetStatus gathers how the fleet stands, as far as this machine knows.
 func (s *Server) fleetStatus(st *replication.Status, now time.Time) *status.Fleet {
 	f := &status.Fleet{From: s.settings.Nodename, View: status.View{Epoch: st.Epoch, Primary: s.controlAddr(st.PrimaryAddr), Ready: st.Ready, Members: []status.Member{}},
-		List: status.List{AgeMs: -1}, Agents: []status.Agent{}, Services: []status.Service{}}
+		BackendList: status.BackendList{AgeMs: -1}, Agents: []status.Agent{}, Services: []status.Service{}}
 	for _, m := range st.View.Members {
 		role := replication.Witness
 		switch {
@@ -104,9 +104,9 @@
 		case slices.Contains(st.View.Backups, m.ID):
 			role = replication.Backup
 		}
-		told := status.Member{Address: s.controlAddr(m.Addr), Zone: m.Zone, Region: m.Region, Role: role.String(), Self: m.ID == st.ID, HeardMs: -1}
+		told := status.Member{Address: s.controlAddr(m.Addr), Zone: m.Zone, Region: m.Region, Role: role.String(), Self: m.ID == st.ID, LastContactMs: -1}
 		if at, ok := s.lastContact.Load(m.Addr); ok && !told.Self {
-			told.HeardMs = max(now.Sub(at), 0).Milliseconds()
+			told.LastContactMs = max(now.Sub(at), 0).Milliseconds()
 		}
 		f.View.Members = append(f.View.Members, told)
 	}
@@ -115,18 +115,18 @@
 		f.Configuration = status.Configuration{Version: c.version, Seq: c.seq, AgeMs: max(now.Sub(c.at), 0).Milliseconds()}
 	}
 	for _, m := range s.cache.Members(now, s.memberLease()) {
-		f.Agents = append(f.Agents, status.Agent{Name: m.Name, Zone: m.Zone, LeaseMs: m.AgeM, Version: m.Config, SinceMs: m.AgeM + m.SinceM,
-			List: status.Number{Epoch: m.List.Epoch, Count: m.List.Count}})
+		f.Agents = append(f.Agents, status.Agent{Name: m.Name, Zone: m.Zone, LeaseAgeMs: m.AgeMs, ConfigVersion: m.ConfigVersion, ConfigAgeMs: m.AgeMs + m.ConfigAgeMs,
+			BackendListVersion: status.ListVersion{Epoch: m.BackendListVersion.Epoch, Count: m.BackendListVersion.Count}})
 	}
-	if at, ok := s.cache.At(distribution.SourceList); ok {
-		f.List.Number = status.Number{Epoch: at.Epoch, Count: at.Count}
+	if at, ok := s.cache.Version(distribution.BackendListType); ok {
+		f.BackendList.ListVersion = status.ListVersion{Epoch: at.Epoch, Count: at.Count}
 	}
-	f.Duties = s.singletonRoles(st, now)
-	f.Learning = true
+	f.SingletonRoles = s.singletonRoles(st, now)
+	f.CollectingLeases = true
 	if p := s.lastPoll.Load(); p != nil && st.Role == replication.Primary && p.epoch == st.Epoch {
-		f.Learning = now.Sub(p.since) < s.memberLease()
+		f.CollectingLeases = now.Sub(p.since) < s.memberLease()
 		if !p.at.IsZero() {
-			f.List.AgeMs = max(now.Sub(p.at), 0).Milliseconds()
+			f.BackendList.AgeMs = max(now.Sub(p.at), 0).Milliseconds()
 		}
 		f.Services = servicesOf(p.list, settled)
 	}
@@ -135,23 +135,23 @@
 }
 
 // singletonRoles tells who does what for all: nobody while the view has no primary that is ready.
-func (s *Server) singletonRoles(st *replication.Status, now time.Time) []status.Duty {
-	poll, phases := status.Duty{Name: status.DutyPoll}, status.Duty{Name: status.DutyPhases}
+func (s *Server) singletonRoles(st *replication.Status, now time.Time) []status.SingletonRole {
+	poll, phases := status.SingletonRole{Name: status.SingletonPoll}, status.SingletonRole{Name: status.SingletonPhases}
 	if st.Ready && s.settings.Provider.Address != "" {
-		poll.Holder, poll.Fence = s.controlAddr(st.PrimaryAddr), st.Epoch
-		phases.Holder, phases.Fence = poll.Holder, st.Epoch
+		poll.Holder, poll.FencingToken = s.controlAddr(st.PrimaryAddr), st.Epoch
+		phases.Holder, phases.FencingToken = poll.Holder, st.Epoch
 		if st.Role == replication.Primary {
-			phases.WaitMs = s.phaseTakeoverWait().Milliseconds()
+			phases.StandbyMs = s.phaseTakeoverWait().Milliseconds()
 			if p := s.lastPoll.Load(); p != nil && p.epoch == st.Epoch {
-				phases.WaitMs = max(s.phaseTakeoverWait()-now.Sub(p.since), 0).Milliseconds()
+				phases.StandbyMs = max(s.phaseTakeoverWait()-now.Sub(p.since), 0).Milliseconds()
 			}
 		}
 	}
-	return []status.Duty{poll, phases}
+	return []status.SingletonRole{poll, phases}
 }
 
 // servicesOf counts the backends of each service that the configuration or the list names.
-func servicesOf(list *distribution.List, settled *appliedState) []status.Service {
+func servicesOf(list *distribution.BackendList, settled *appliedState) []status.Service {
 	all := map[string]*status.Service{}
 	of := func(name string) *status.Service {
 		s := all[name]
--- a/internal/fleet/distribution/distribution_test.go
+++ b/internal/fleet/distribution/distribution_test.go
@@ -15,64 +15,64 @@
 
 func v(n uint64) Version { return Version{Count: n} }
 
-func TestStoreNeverGoesBack(t *testing.T) {
+func TestCacheNeverReturnsToOlderVersion(t *testing.T) {
 	c := qt.New(t)
 	s := NewCache()
-	c.Assert(s.Set("config", v(2), []byte("b")), qt.IsTrue)
-	c.Assert(s.Set("config", v(1), []byte("a")), qt.IsFalse)
-	c.Assert(s.Set("config", v(2), []byte("c")), qt.IsFalse)
-	c.Assert(s.Set("config", Version{Epoch: 1}, []byte("d")), qt.IsTrue, qt.Commentf("a later epoch is newer"))
-	at, ok := s.At("config")
+	c.Assert(s.SetSnapshot("config", v(2), []byte("b")), qt.IsTrue)
+	c.Assert(s.SetSnapshot("config", v(1), []byte("a")), qt.IsFalse)
+	c.Assert(s.SetSnapshot("config", v(2), []byte("c")), qt.IsFalse)
+	c.Assert(s.SetSnapshot("config", Version{Epoch: 1}, []byte("d")), qt.IsTrue, qt.Commentf("a later epoch is newer"))
+	at, ok := s.Version("config")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(at, qt.Equals, Version{Epoch: 1})
 }
 
 // Who is a few changes behind gets these; who has nothing, or is too far behind, the whole with what follows on it.
-func TestPullsBringWhatIsLacking(t *testing.T) {
+func TestFetchReturnsMissingChanges(t *testing.T) {
 	c := qt.New(t)
 	s := NewCache()
-	c.Assert(s.Append("config", v(0), v(1), Change{At: v(1)}, nil), qt.IsFalse, qt.Commentf("no whole to follow on"))
-	s.Set("config", v(1), []byte("whole"))
-	c.Assert(s.Append("config", v(1), v(2), Change{At: v(2), Body: []byte("x")}, nil), qt.IsTrue)
-	c.Assert(s.Append("config", v(1), v(3), Change{At: v(3)}, nil), qt.IsFalse, qt.Commentf("a gap"))
-	c.Assert(s.Append("config", v(2), v(3), Change{At: v(3), Body: []byte("y")}, nil), qt.IsTrue)
+	c.Assert(s.AppendChange("config", v(0), v(1), Change{Version: v(1)}, nil), qt.IsFalse, qt.Commentf("no whole to follow on"))
+	s.SetSnapshot("config", v(1), []byte("whole"))
+	c.Assert(s.AppendChange("config", v(1), v(2), Change{Version: v(2), Body: []byte("x")}, nil), qt.IsTrue)
+	c.Assert(s.AppendChange("config", v(1), v(3), Change{Version: v(3)}, nil), qt.IsFalse, qt.Commentf("a gap"))
+	c.Assert(s.AppendChange("config", v(2), v(3), Change{Version: v(3), Body: []byte("y")}, nil), qt.IsTrue)
 	ask := func(have map[string]Version) []Resource {
-		return s.Answer(context.Background(), "n", &Request{Have: have}).Resources
+		return s.Fetch(context.Background(), "n", &Request{Versions: have}).Resources
 	}
 	p := ask(nil)
 	c.Assert(p, qt.HasLen, 1)
-	c.Assert(string(p[0].Whole), qt.Equals, "whole")
+	c.Assert(string(p[0].Snapshot), qt.Equals, "whole")
 	c.Assert(p[0].Changes, qt.HasLen, 2)
 	p = ask(map[string]Version{"config": v(2)})
-	c.Assert(p[0].Whole, qt.IsNil)
+	c.Assert(p[0].Snapshot, qt.IsNil)
 	c.Assert(p[0].Changes, qt.HasLen, 1)
-	c.Assert(p[0].Since, qt.Equals, v(2))
+	c.Assert(p[0].BaseVersion, qt.Equals, v(2))
 	c.Assert(ask(map[string]Version{"config": v(3)}), qt.HasLen, 0)
 	// A relay passes on the same, and says what it can't follow.
 	r := NewCache()
-	c.Assert(r.Take(&Response{FreshMs: -1, Resources: ask(map[string]Version{"config": v(2)})}, time.Now()), qt.DeepEquals, []string{"config"})
-	c.Assert(r.Take(&Response{FreshMs: -1, Resources: ask(nil)}, time.Now()), qt.HasLen, 0)
-	c.Assert(r.Have(), qt.DeepEquals, s.Have())
-	s.Append("config", v(3), v(4), Change{At: v(4), Body: []byte("z")}, nil)
-	c.Assert(r.Take(&Response{FreshMs: -1, Resources: s.Answer(context.Background(), "n", &Request{Have: r.Have()}).Resources}, time.Now()), qt.HasLen, 0)
-	c.Assert(r.Have(), qt.DeepEquals, s.Have())
+	c.Assert(r.Apply(&Response{LastContactMs: -1, Resources: ask(map[string]Version{"config": v(2)})}, time.Now()), qt.DeepEquals, []string{"config"})
+	c.Assert(r.Apply(&Response{LastContactMs: -1, Resources: ask(nil)}, time.Now()), qt.HasLen, 0)
+	c.Assert(r.Versions(), qt.DeepEquals, s.Versions())
+	s.AppendChange("config", v(3), v(4), Change{Version: v(4), Body: []byte("z")}, nil)
+	c.Assert(r.Apply(&Response{LastContactMs: -1, Resources: s.Fetch(context.Background(), "n", &Request{Versions: r.Versions()}).Resources}, time.Now()), qt.HasLen, 0)
+	c.Assert(r.Versions(), qt.DeepEquals, s.Versions())
 }
 
 // Changes after the whole are bounded by a new whole, those before it by what is kept of them. Who is no further behind than
 // that gets changes alone, also over a new whole; who is gets the whole.
 func TestChangesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	for _, size := range []int{100, 1000, keptChanges / 2, 2 * keptChanges, 2 * maxHistory} {
+	for _, size := range []int{100, 1000, maxBytesAfterSnapshot / 2, 2 * maxBytesAfterSnapshot, 2 * maxHistoryBytes} {
 		s := NewCache()
 		const whole = 1 << 20
-		s.Set("config", v(0), make([]byte, whole))
+		s.SetSnapshot("config", v(0), make([]byte, whole))
 		wholes := 0
-		for n := uint64(0); n < 3*maxHistoryCount; n++ {
+		for n := uint64(0); n < 3*maxHistoryChanges; n++ {
 			body := make([]byte, size)
-			c.Assert(s.Append("config", v(n), v(n+1), Change{At: v(n + 1), Body: body}, func() []byte { wholes++; return make([]byte, whole) }), qt.IsTrue)
-			e := s.pieces["config"]
-			c.Assert(len(e.changes)-e.since <= keptCount && e.after <= keptChanges, qt.IsTrue)
-			c.Assert(len(e.changes) <= maxHistoryCount+keptCount && e.bytes <= maxHistory+keptChanges, qt.IsTrue)
+			c.Assert(s.AppendChange("config", v(n), v(n+1), Change{Version: v(n + 1), Body: body}, func() []byte { wholes++; return make([]byte, whole) }), qt.IsTrue)
+			e := s.entries["config"]
+			c.Assert(len(e.changes)-e.afterSnapshot <= maxChangesAfterSnapshot && e.bytesAfterSnapshot <= maxBytesAfterSnapshot, qt.IsTrue)
+			c.Assert(len(e.changes) <= maxHistoryChanges+maxChangesAfterSnapshot && e.changeBytes <= maxHistoryBytes+maxBytesAfterSnapshot, qt.IsTrue)
 			if n%97 != 0 {
 				continue
 			}
@@ -80,50 +80,50 @@
 			for i := range e.changes {
 				bytes += len(e.changes[i].Body)
 			}
-			c.Assert(e.bytes, qt.Equals, bytes)
-			for behind := uint64(1); behind <= min(n+1, 2*maxHistoryCount); behind += 1 + behind/3 {
-				p := s.Answer(context.Background(), "s", &Request{Have: map[string]Version{"config": v(n + 1 - behind)}}).Resources[0]
+			c.Assert(e.changeBytes, qt.Equals, bytes)
+			for behind := uint64(1); behind <= min(n+1, 2*maxHistoryChanges); behind += 1 + behind/3 {
+				p := s.Fetch(context.Background(), "s", &Request{Versions: map[string]Version{"config": v(n + 1 - behind)}}).Resources[0]
 				near := behind <= uint64(len(e.changes))
-				c.Assert(p.Whole == nil, qt.Equals, near, qt.Commentf("changes of %d bytes, %d behind at %d", size, behind, n+1))
+				c.Assert(p.Snapshot == nil, qt.Equals, near, qt.Commentf("changes of %d bytes, %d behind at %d", size, behind, n+1))
 				if near {
 					c.Assert(p.Changes, qt.HasLen, int(behind))
 				}
-				last := p.Since
+				last := p.BaseVersion
 				for _, change := range p.Changes {
-					c.Assert(change.At.Count, qt.Equals, last.Count+1)
-					last = change.At
+					c.Assert(change.Version.Count, qt.Equals, last.Count+1)
+					last = change.Version
 				}
 				c.Assert(last, qt.Equals, v(n+1))
 			}
 		}
-		c.Check(wholes >= 3*maxHistoryCount/(keptCount+1), qt.IsTrue)
+		c.Check(wholes >= 3*maxHistoryChanges/(maxChangesAfterSnapshot+1), qt.IsTrue)
 	}
 }
 
-func TestLeasesEnd(t *testing.T) {
+func TestLeasesExpire(t *testing.T) {
 	c := qt.New(t)
 	s := NewCache()
 	now := time.Now()
-	s.Renew([]Member{{Name: "a", Zone: "z", AgeM: 0}, {Name: "b", Zone: "z", AgeM: 900}}, now)
+	s.Renew([]Member{{Name: "a", Zone: "z", AgeMs: 0}, {Name: "b", Zone: "z", AgeMs: 900}}, now)
 	c.Assert(s.Members(now, time.Second), qt.HasLen, 2)
 	c.Assert(s.Members(now.Add(500*time.Millisecond), time.Second), qt.HasLen, 1, qt.Commentf("the age that a relay tells counts"))
 	c.Assert(s.Members(now.Add(2*time.Second), time.Second), qt.HasLen, 0)
 }
 
 // What a member had at its renewal is passed on with it, and an older renewal by another way takes nothing back.
-func TestLeasesTellVersions(t *testing.T) {
+func TestLeasesCarryVersions(t *testing.T) {
 	c := qt.New(t)
 	s, relay := NewCache(), NewCache()
 	now := time.Now()
-	had := Member{Name: "a", Zone: "z", Config: 7, SinceM: 40, List: Version{Epoch: 2, Count: 5}}
+	had := Member{Name: "a", Zone: "z", ConfigVersion: 7, ConfigAgeMs: 40, BackendListVersion: Version{Epoch: 2, Count: 5}}
 	relay.Renew([]Member{had}, now)
 	s.Renew(relay.Members(now.Add(300*time.Millisecond), time.Second), now.Add(300*time.Millisecond))
-	s.Renew([]Member{{Name: "a", Zone: "z", AgeM: 600, Config: 6}}, now.Add(300*time.Millisecond))
-	had.AgeM = 500
+	s.Renew([]Member{{Name: "a", Zone: "z", AgeMs: 600, ConfigVersion: 6}}, now.Add(300*time.Millisecond))
+	had.AgeMs = 500
 	c.Assert(s.Members(now.Add(500*time.Millisecond), time.Second), qt.DeepEquals, []Member{had})
 }
 
-func TestPullWaitsForNewsOverLoopback(t *testing.T) {
+func TestWatchWaitsForUpdates(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -131,17 +131,17 @@
 	c.Assert(err, qt.IsNil)
 	defer ln.Close()
 	src, dst := NewCache(), NewCache()
-	go Serve(ctx, ln, "src", src, 10*time.Second, src.Fresh)
+	go Serve(ctx, ln, "src", src, 10*time.Second, src.LastContact)
 	took := make(chan *Response, 16)
 	go func() {
-		_ = Follow(ctx, ln.Addr().String(), &Follower{Name: "dst", Wait: 5 * time.Second, Silence: 5 * time.Second,
-			Members: func() []Member { return []Member{{Name: "dst", Zone: "z"}} }, Have: dst.Have,
-			Take: func(n *Response) []string { l := dst.Take(n, time.Now()); took <- n; return l }})
+		_ = Watch(ctx, ln.Addr().String(), &Watcher{Name: "dst", MaxWait: 5 * time.Second, ReadTimeout: 5 * time.Second,
+			Members: func() []Member { return []Member{{Name: "dst", Zone: "z"}} }, Versions: dst.Versions,
+			Apply: func(n *Response) []string { l := dst.Apply(n, time.Now()); took <- n; return l }})
 	}()
 	for n := uint64(1); n < 4; n++ {
-		src.Set("config", v(n), []byte("x"))
+		src.SetSnapshot("config", v(n), []byte("x"))
 		<-took
-		at, _ := dst.At("config")
+		at, _ := dst.Version("config")
 		c.Assert(at.Count <= n && at.Count > 0, qt.IsTrue)
 	}
 	c.Assert(src.Members(time.Now(), time.Minute), qt.HasLen, 1)
@@ -155,13 +155,13 @@
 	err = ReadFrame(bufio.NewReader(bytes.NewReader([]byte{0, 0, 1, 0, 1, 2, 3})), &p)
 	c.Assert(err, qt.ErrorMatches, ".*cut short.*")
 	var b bytes.Buffer
-	c.Assert(WriteFrame(&b, &Request{From: "a", Have: map[string]Version{"config": v(3)}}), qt.IsNil)
+	c.Assert(WriteFrame(&b, &Request{From: "a", Versions: map[string]Version{"config": v(3)}}), qt.IsNil)
 	c.Assert(ReadFrame(bufio.NewReader(&b), &p), qt.IsNil)
 	c.Assert(p.From, qt.Equals, "a")
 }
 
 // A whole answer that takes longer than a silence, but comes, is waited for.
-func TestSlowAnswersAreWaitedFor(t *testing.T) {
+func TestReadTimeoutRestartsWithProgress(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -180,7 +180,7 @@
 			return
 		}
 		var b bytes.Buffer
-		_ = WriteFrame(&b, &Response{Resources: []Resource{{Source: "list", At: v(1), Whole: make([]byte, 64<<10)}}})
+		_ = WriteFrame(&b, &Response{Resources: []Resource{{Type: "list", Version: v(1), Snapshot: make([]byte, 64<<10)}}})
 		tick := time.NewTicker(silence / 4)
 		defer tick.Stop()
 		for b.Len() > 0 { // for three silences in all
@@ -193,28 +193,28 @@
 	}()
 	took := make(chan *Response, 1)
 	go func() {
-		_ = Follow(ctx, ln.Addr().String(), &Follower{Name: "f", Wait: 0, Silence: silence, Members: func() []Member { return nil },
-			Have: func() map[string]Version { return nil }, Take: func(n *Response) []string { took <- n; return nil }})
+		_ = Watch(ctx, ln.Addr().String(), &Watcher{Name: "f", MaxWait: 0, ReadTimeout: silence, Members: func() []Member { return nil },
+			Versions: func() map[string]Version { return nil }, Apply: func(n *Response) []string { took <- n; return nil }})
 		close(took)
 	}()
 	n, ok := <-took
 	c.Assert(ok, qt.IsTrue, qt.Commentf("given up while it came"))
-	c.Assert(n.Resources[0].Whole, qt.HasLen, 64<<10)
+	c.Assert(n.Resources[0].Snapshot, qt.HasLen, 64<<10)
 }
 
 // Without anything that rested, messages have the bytes that they had before there was such a thing.
-func TestMessagesWithoutRested(t *testing.T) {
+func TestEncodingWithoutResidency(t *testing.T) {
 	c := qt.New(t)
 	b, err := (&Request{From: "a", WaitMs: 5}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(b, qt.DeepEquals, []byte("\x84\xa1f\xa1a\xa1w\x05\xa1h\x80\xa1m\x90"))
-	b, err = (&Response{From: "a", Primary: "p", FreshMs: 1}).MarshalMsg(nil)
+	b, err = (&Response{From: "a", Primary: "p", LastContactMs: 1}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(b, qt.DeepEquals, []byte("\x84\xa1f\xa1a\xa1p\xa1p\xa1a\x01\xa1x\x90"))
 }
 
 // What rested goes up along a chain of stores with the pulls, and is let go on all of it once it is kept at the end.
-func TestRestedGoesUpAndIsLetGo(t *testing.T) {
+func TestResidencyIsRelayedUntilAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -223,23 +223,23 @@
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(func() { ln.Close() })
 		s = NewCache()
-		go Serve(ctx, ln, "s", s, 10*time.Second, s.Fresh)
+		go Serve(ctx, ln, "s", s, 10*time.Second, s.LastContact)
 		return ln.Addr().String(), s
 	}
 	middleAddr, middle := serve()
 	topAddr, top := serve()
-	follow := func(addr string, out *Outbox, of func() bool) {
-		_ = Follow(ctx, addr, &Follower{Name: "f", Wait: 10 * time.Millisecond, Silence: 5 * time.Second,
-			Members: func() []Member { return nil }, Have: func() map[string]Version { return nil },
-			Take: func(*Response) []string { return nil }, Rested: func(time.Time) *Outbox { return out }, Goes: of})
+	follow := func(addr string, out *ResidencyOutbox, of func() bool) {
+		_ = Watch(ctx, addr, &Watcher{Name: "f", MaxWait: 10 * time.Millisecond, ReadTimeout: 5 * time.Second,
+			Members: func() []Member { return nil }, Versions: func() map[string]Version { return nil },
+			Apply: func(*Response) []string { return nil }, Residency: func(time.Time) *ResidencyOutbox { return out }, Continue: of})
 	}
-	box := NewOutbox()
-	empty := func(o *Outbox) bool { all, _ := o.Open(); return len(all) == 0 }
+	box := NewResidencyOutbox()
+	empty := func(o *ResidencyOutbox) bool { all, _ := o.Pending(); return len(all) == 0 }
 	c.Assert(box.Put(residencyreport.Batch{Process: 7, N: 1, Entries: []residencyreport.Entry{{Pair: residencyreport.Pair{Tenant: "t", Region: "r"}, First: 1, Last: 2}}}), qt.IsTrue)
 	relays, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(relays)
-		follow(topAddr, middle.Rested, func() bool { return ctx.Err() == nil })
+		follow(topAddr, middle.Residency, func() bool { return ctx.Err() == nil })
 	}()
 	go func() {
 		defer close(done)
@@ -254,7 +254,7 @@
 		}
 	}
 	for {
-		all, arrived := top.Rested.Open()
+		all, arrived := top.Residency.Pending()
 		if len(all) > 0 {
 			c.Assert(all, qt.HasLen, 1)
 			c.Assert(all[0].Entries[0].Pair.Tenant, qt.Equals, "t")
@@ -263,21 +263,21 @@
 		wait(arrived, "nothing comes to the top")
 	}
 	c.Assert(empty(box), qt.IsFalse, qt.Commentf("let go before it was kept"))
-	top.Rested.Keep(residencyreport.Kept{Process: 7, N: 1})
+	top.Residency.Acknowledge(residencyreport.Kept{Process: 7, N: 1})
 	wait(done, "what is kept is not let go")
-	c.Assert(empty(middle.Rested) && empty(top.Rested), qt.IsTrue)
+	c.Assert(empty(middle.Residency) && empty(top.Residency), qt.IsTrue)
 
 	// A last word is one pull, whose sender may be gone after it; what comes from another process lives on.
 	c.Assert(box.Put(residencyreport.Batch{Process: 7, N: 2}), qt.IsTrue)
 	pulls := 0
-	_ = Follow(ctx, middleAddr, &Follower{Name: "f", Silence: 5 * time.Second, Members: func() []Member { return nil }, Have: func() map[string]Version { return nil },
-		Take: func(*Response) []string { pulls++; return nil }, Rested: func(time.Time) *Outbox { return box }, Ends: true})
+	_ = Watch(ctx, middleAddr, &Watcher{Name: "f", ReadTimeout: 5 * time.Second, Members: func() []Member { return nil }, Versions: func() map[string]Version { return nil },
+		Apply: func(*Response) []string { pulls++; return nil }, Residency: func(time.Time) *ResidencyOutbox { return box }, Final: true})
 	c.Assert(pulls, qt.Equals, 1)
-	wait(middle.Rested.Ended(), "the last word is not heard")
+	wait(middle.Residency.SendersDone(), "the last word is not heard")
 	asked := false
 	follow(middleAddr, box, func() bool { first := !asked; asked = true; return first })
 	select {
-	case <-middle.Rested.Ended():
+	case <-middle.Residency.SendersDone():
 		c.Fatal("a process that lives counts as ended")
 	default:
 	}
@@ -285,21 +285,21 @@
 	wait(relays, "the relay does not end")
 }
 
-// heldReads is a connection of which what has arrived is read some time later, as by a process that slept.
-type heldReads struct {
+// delayedReads is a connection of which what has arrived is read some time later, as by a process that slept.
+type delayedReads struct {
 	net.Conn
-	later time.Duration
+	delay time.Duration
 }
 
-func (c heldReads) Read(p []byte) (int, error) {
+func (c delayedReads) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	time.Sleep(c.later)
+	time.Sleep(c.delay)
 	return n, err
 }
 
-// TestAgeCountsTheWay: what an answer claims to be as new as is not made newer by the time that it took to come, nor by a freeze of
+// TestLastContactIncludesTransitTime: what an answer claims to be as new as is not made newer by the time that it took to come, nor by a freeze of
 // whoever reads it; the time for which it waited for news at its sender is no age.
-func TestAgeCountsTheWay(t *testing.T) {
+func TestLastContactIncludesTransitTime(t *testing.T) {
 	c := qt.New(t)
 	const wait, later, silence = time.Second, 300 * time.Millisecond, 10 * time.Second
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -309,21 +309,21 @@
 	defer ln.Close()
 	s := NewCache()
 	go Serve(ctx, ln, "source", s, time.Minute, func() (time.Time, string) {
-		s.Heard("primary", time.Now())
-		return s.Fresh()
+		s.RecordContact("primary", time.Now())
+		return s.LastContact()
 	})
 	for _, held := range []time.Duration{0, later} {
 		pulls := 0
-		err = Follow(ctx, ln.Addr().String(), &Follower{Name: "t", Wait: wait, Silence: silence, Members: func() []Member { return nil }, Have: s.Have,
+		err = Watch(ctx, ln.Addr().String(), &Watcher{Name: "t", MaxWait: wait, ReadTimeout: silence, Members: func() []Member { return nil }, Versions: s.Versions,
 			Dial: func(addr string, within time.Duration) (net.Conn, error) {
 				conn, err := Dial(addr, within)
-				return heldReads{conn, held}, err
+				return delayedReads{conn, held}, err
 			},
-			Goes: func() bool { return pulls < 1 },
-			Take: func(n *Response) []string {
+			Continue: func() bool { return pulls < 1 },
+			Apply: func(n *Response) []string {
 				pulls++
-				c.Check(n.FreshMs >= held.Milliseconds(), qt.IsTrue, qt.Commentf("%d", n.FreshMs))
-				c.Check(n.FreshMs < (held+wait).Milliseconds()-1, qt.IsTrue, qt.Commentf("the wait counts as age: %d", n.FreshMs))
+				c.Check(n.LastContactMs >= held.Milliseconds(), qt.IsTrue, qt.Commentf("%d", n.LastContactMs))
+				c.Check(n.LastContactMs < (held+wait).Milliseconds()-1, qt.IsTrue, qt.Commentf("the wait counts as age: %d", n.LastContactMs))
 				return nil
 			}})
 		c.Assert(err, qt.IsNil)
@@ -331,35 +331,35 @@
 	}
 }
 
-// TestRelayAsksForWhole: one who passes on what it pulls asks for the whole where changes don't follow, or are too many for a whole that
+// TestRelayRequestsSnapshot: one who passes on what it pulls asks for the whole where changes don't follow, or are too many for a whole that
 // is old, and has the same as its source then.
-func TestRelayAsksForWhole(t *testing.T) {
+func TestRelayRequestsSnapshot(t *testing.T) {
 	c := qt.New(t)
 	source, relay := NewCache(), NewCache()
 	whole := []byte("whole")
-	source.Set("config", v(0), whole)
+	source.SetSnapshot("config", v(0), whole)
 	pull := func(have map[string]Version) []string {
-		return relay.Take(source.Answer(context.Background(), "s", &Request{Have: have}), time.Now())
+		return relay.Apply(source.Fetch(context.Background(), "s", &Request{Versions: have}), time.Now())
 	}
 	c.Assert(pull(nil), qt.HasLen, 0)
 	wholes := 0
 	for n := uint64(0); n < 200; n++ {
 		body := make([]byte, 40_000)
-		c.Assert(source.Append("config", v(n), v(n+1), Change{At: v(n + 1), Body: body}, func() []byte { return make([]byte, 1<<20) }), qt.IsTrue)
-		if lacking := pull(relay.Have()); lacking != nil {
+		c.Assert(source.AppendChange("config", v(n), v(n+1), Change{Version: v(n + 1), Body: body}, func() []byte { return make([]byte, 1<<20) }), qt.IsTrue)
+		if lacking := pull(relay.Versions()); lacking != nil {
 			wholes++
 			c.Assert(lacking, qt.DeepEquals, []string{"config"})
 			c.Assert(pull(nil), qt.HasLen, 0)
 		}
-		c.Assert(relay.Have(), qt.DeepEquals, source.Have())
-		c.Assert(relay.pieces["config"].after <= maxAfterWhole, qt.IsTrue)
+		c.Assert(relay.Versions(), qt.DeepEquals, source.Versions())
+		c.Assert(relay.entries["config"].bytesAfterSnapshot <= maxRelayBytesAfterSnapshot, qt.IsTrue)
 	}
-	c.Check(wholes >= 200*40_000/maxAfterWhole-1 && wholes <= 200*40_000/keptChanges, qt.IsTrue, qt.Commentf("%d", wholes))
-	gap := &Response{FreshMs: -1, Resources: []Resource{{Source: "config", Since: v(300), At: v(301), Changes: []Change{{At: v(301)}}}}}
-	c.Assert(relay.Take(gap, time.Now()), qt.DeepEquals, []string{"config"})
-	c.Assert(relay.Have(), qt.DeepEquals, source.Have())
+	c.Check(wholes >= 200*40_000/maxRelayBytesAfterSnapshot-1 && wholes <= 200*40_000/maxBytesAfterSnapshot, qt.IsTrue, qt.Commentf("%d", wholes))
+	gap := &Response{LastContactMs: -1, Resources: []Resource{{Type: "config", BaseVersion: v(300), Version: v(301), Changes: []Change{{Version: v(301)}}}}}
+	c.Assert(relay.Apply(gap, time.Now()), qt.DeepEquals, []string{"config"})
+	c.Assert(relay.Versions(), qt.DeepEquals, source.Versions())
 	// An older whole than what is had takes nothing back.
-	old := &Response{FreshMs: -1, Resources: []Resource{{Source: "config", Since: v(7), At: v(9), Whole: whole, Changes: []Change{{At: v(8)}, {At: v(9)}}}}}
-	c.Assert(relay.Take(old, time.Now()), qt.HasLen, 0)
-	c.Assert(relay.Have(), qt.DeepEquals, source.Have())
+	old := &Response{LastContactMs: -1, Resources: []Resource{{Type: "config", BaseVersion: v(7), Version: v(9), Snapshot: whole, Changes: []Change{{Version: v(8)}, {Version: v(9)}}}}}
+	c.Assert(relay.Apply(old, time.Now()), qt.HasLen, 0)
+	c.Assert(relay.Versions(), qt.DeepEquals, source.Versions())
 }
--- a/internal/fleet/distribution/exchange_test.go
+++ b/internal/fleet/distribution/exchange_test.go
@@ -25,12 +25,12 @@
 	return b.Bytes()
 }
 
-// TestResponsesCutOff cuts the response to a pull off after each of its bytes, with the whole of it come before on the same
+// TestTruncatedResponses cuts the response to a pull off after each of its bytes, with the whole of it come before on the same
 // connection: nothing is taken of what is not whole, and nothing more is asked on that connection.
-func TestResponsesCutOff(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	c := qt.New(t)
-	whole := frameOf(c, &Response{Resources: []Resource{{Source: SourceConfig, At: v(1), Whole: []byte("one")}}})
-	next := frameOf(c, &Response{Resources: []Resource{{Source: SourceConfig, At: v(2), Whole: []byte("two")}}})
+	whole := frameOf(c, &Response{Resources: []Resource{{Type: ConfigType, Version: v(1), Snapshot: []byte("one")}}})
+	next := frameOf(c, &Response{Resources: []Resource{{Type: ConfigType, Version: v(2), Snapshot: []byte("two")}}})
 	for k := range len(next) {
 		asked := make(chan int, 1)
 		addr := testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
@@ -48,17 +48,17 @@
 		})
 		var took []Version
 		rounds := 0
-		err := Follow(t.Context(), addr, &Follower{Silence: exchangeWithin, Members: func() []Member { return nil }, Have: func() map[string]Version { return nil },
-			Take: func(n *Response) []string { took = append(took, n.Resources[0].At); return nil },
-			Goes: func() bool { rounds++; return rounds <= 5 }})
+		err := Watch(t.Context(), addr, &Watcher{ReadTimeout: exchangeWithin, Members: func() []Member { return nil }, Versions: func() map[string]Version { return nil },
+			Apply:    func(n *Response) []string { took = append(took, n.Resources[0].Version); return nil },
+			Continue: func() bool { rounds++; return rounds <= 5 }})
 		c.Check(err, qt.IsNotNil)
 		c.Check(took, qt.DeepEquals, []Version{v(1)}, qt.Commentf("%d bytes", k))
 		c.Check(<-asked, qt.Equals, 2)
 	}
 }
 
-// TestRequestsCutOff cuts a pull off after each of its bytes: it is not answered, and renews nothing.
-func TestRequestsCutOff(t *testing.T) {
+// TestTruncatedRequests cuts a pull off after each of its bytes: it is not answered, and renews nothing.
+func TestTruncatedRequests(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -84,8 +84,8 @@
 	c.Check(cache.Members(time.Now(), time.Hour), qt.HasLen, 0)
 }
 
-// TestResponsesOfOneConnectionAreInOrder asks from many connections at once: each has the answers to its own pulls, in order.
-func TestResponsesOfOneConnectionAreInOrder(t *testing.T) {
+// TestResponsesArriveInOrder asks from many connections at once: each has the answers to its own pulls, in order.
+func TestResponsesArriveInOrder(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -95,7 +95,7 @@
 	cache := NewCache()
 	const sources, pulls = 8, 50
 	for i := range sources {
-		cache.Set(fmt.Sprint(i), v(1), []byte(fmt.Sprint(i)))
+		cache.SetSnapshot(fmt.Sprint(i), v(1), []byte(fmt.Sprint(i)))
 	}
 	go Serve(ctx, ln, "server", cache, exchangeWithin, func() (time.Time, string) { return time.Time{}, "" })
 	failed := make(chan string, sources)
@@ -108,11 +108,11 @@
 				}
 			}
 			left, wrong := pulls, ""
-			_ = Follow(ctx, ln.Addr().String(), &Follower{Silence: exchangeWithin, Members: func() []Member { return nil }, Have: func() map[string]Version { return have },
-				Goes: func() bool { return left > 0 && wrong == "" },
-				Take: func(n *Response) []string {
+			_ = Watch(ctx, ln.Addr().String(), &Watcher{ReadTimeout: exchangeWithin, Members: func() []Member { return nil }, Versions: func() map[string]Version { return have },
+				Continue: func() bool { return left > 0 && wrong == "" },
+				Apply: func(n *Response) []string {
 					left--
-					if len(n.Resources) != 1 || n.Resources[0].Source != fmt.Sprint(i) {
+					if len(n.Resources) != 1 || n.Resources[0].Type != fmt.Sprint(i) {
 						wrong = fmt.Sprintf("%d gets %v", i, n.Resources)
 					}
 					return nil
--- a/internal/fleet/distribution/frame.go
+++ b/internal/fleet/distribution/frame.go
@@ -13,8 +13,8 @@
 	"molepaddle/internal/protocol/sockets"
 )
 
-// MaxFrame bounds a message between own processes, in bytes.
-const MaxFrame = 32 << 20
+// MaxFrameBytes bounds a message between own processes, in bytes.
+const MaxFrameBytes = 32 << 20
 
 // WriteFrame writes one message. The caller sets the deadline.
 func WriteFrame(w io.Writer, m msgp.Marshaler) error {
@@ -22,37 +22,37 @@
 	if err != nil {
 		return errors.Wrap(err, "encode")
 	}
-	if len(b)-4 > MaxFrame {
-		return errors.Errorf("message of %d bytes is over the bound of %d", len(b)-4, MaxFrame)
+	if len(b)-4 > MaxFrameBytes {
+		return errors.Errorf("message of %d bytes is over the bound of %d", len(b)-4, MaxFrameBytes)
 	}
 	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
 	_, err = w.Write(b)
 	return err
 }
 
-// steadyPiece is how much of a message has to get into the link within one silence.
-const steadyPiece = 32 << 10
+// writeChunkBytes is how much of a message has to get into the link within one silence.
+const writeChunkBytes = 32 << 10
 
-// steadyWriter writes to a connection that has time for as long as its reader takes what comes: a whole configuration over a
+// progressWriter writes to a connection that has time for as long as its reader takes what comes: a whole configuration over a
 // thin link takes longer than a silence.
-type steadyWriter struct {
+type progressWriter struct {
 	conn    net.Conn
-	silence time.Duration
+	timeout time.Duration
 }
 
-func (w *steadyWriter) Write(p []byte) (written int, err error) {
+func (w *progressWriter) Write(p []byte) (written int, err error) {
 	for written < len(p) && err == nil {
-		if err = w.conn.SetWriteDeadline(time.Now().Add(w.silence)); err != nil {
+		if err = w.conn.SetWriteDeadline(time.Now().Add(w.timeout)); err != nil {
 			break
 		}
 		var n int
-		n, err = w.conn.Write(p[written:min(written+steadyPiece, len(p))])
+		n, err = w.conn.Write(p[written:min(written+writeChunkBytes, len(p))])
 		written += n
 	}
 	return written, err
 }
 
-// ReadFrame reads one message into m. A frame over MaxFrame is an error before anything is kept; memory grows
+// ReadFrame reads one message into m. A frame over MaxFrameBytes is an error before anything is kept; memory grows
 // with what has come, not with what a length claims.
 func ReadFrame(r *bufio.Reader, m msgp.Unmarshaler) error {
 	var head [4]byte
@@ -60,8 +60,8 @@
 		return err
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
-	if n > MaxFrame {
-		return errors.Errorf("frame of %d bytes is over the bound of %d", n, MaxFrame)
+	if n > MaxFrameBytes {
+		return errors.Errorf("frame of %d bytes is over the bound of %d", n, MaxFrameBytes)
 	}
 	b := make([]byte, 0, min(n, 64<<10))
 	for len(b) < n {
--- a/internal/fleet/distribution/link.go
+++ b/internal/fleet/distribution/link.go
@@ -42,26 +42,26 @@
 				s.Outcomes.Put(p.Outcomes...)
 				if p.Push {
 					_ = c.SetDeadline(time.Now().Add(idle))
-					if WriteFrame(c, &Response{From: name, FreshMs: -1}) != nil {
+					if WriteFrame(c, &Response{From: name, LastContactMs: -1}) != nil {
 						return
 					}
 					continue
 				}
-				if p.Rested != nil {
-					s.Rested.take(&rested, p.Rested)
+				if p.Residency != nil {
+					s.Residency.receive(&rested, p.Residency)
 				}
-				if p.Ends {
-					s.Rested.end()
+				if p.Final {
+					s.Residency.markSendersDone()
 				} else {
-					s.Rested.lives()
+					s.Residency.markSenderActive()
 				}
 				p.WaitMs = min(max(p.WaitMs, 0), 30_000)
-				n := s.answer(ctx, name, &p, func() { fresh() })
+				n := s.fetch(ctx, name, &p, func() { fresh() })
 				if !rested.Idle() {
-					n.Kept = s.Rested.tell(&rested)
+					n.ResidencyAcks = s.Residency.acknowledgements(&rested)
 				}
 				_ = c.SetDeadline(time.Now().Add(idle))
-				if WriteFrame(&steadyWriter{c, idle}, n) != nil {
+				if WriteFrame(&progressWriter{c, idle}, n) != nil {
 					return
 				}
 			}
@@ -69,114 +69,114 @@
 	}
 }
 
-// Pace is how long a pull may wait, and how much longer its answer may take, for a change to be in force everywhere in
+// PullTimeouts is how long a pull may wait, and how much longer its answer may take, for a change to be in force everywhere in
 // the time given although one source on its way was lost: a wait, a silence, and as much for the next source.
-func Pace(apply, heartbeat time.Duration) (wait, silence time.Duration) {
+func PullTimeouts(apply, heartbeat time.Duration) (wait, readTimeout time.Duration) {
 	return min(heartbeat, apply/5), max(apply/4, 200*time.Millisecond)
 }
 
-// Pause is the wait before a source is asked again: it grows twofold from Least to Most, a part of it by chance so that
+// Backoff is the wait before a source is asked again: it grows twofold from Least to Most, a part of it by chance so that
 // those that lost a source together don't come back together, and is Least again after a link that lasted.
-type Pause struct {
-	Least, Most time.Duration
-	next        time.Duration
+type Backoff struct {
+	Min, Max time.Duration
+	next     time.Duration
 }
 
-// Wait waits until it is time to ask again, or ctx ends; lasted is how long the last link stood.
-func (p *Pause) Wait(ctx context.Context, lasted time.Duration) {
-	if p.next == 0 || lasted > 10*p.Most {
-		p.next = p.Least
+// MaxWait waits until it is time to ask again, or ctx ends; lasted is how long the last link stood.
+func (p *Backoff) Wait(ctx context.Context, lasted time.Duration) {
+	if p.next == 0 || lasted > 10*p.Max {
+		p.next = p.Min
 	}
 	t := time.NewTimer(p.next/2 + rand.N(p.next/2+1))
 	defer t.Stop()
-	p.next = min(2*p.next, p.Most)
+	p.next = min(2*p.next, p.Max)
 	select {
 	case <-ctx.Done():
 	case <-t.C:
 	}
 }
 
-// leastDial is what a dial has at the least: round trips between regions are some tens of ms.
-const leastDial = 100 * time.Millisecond
+// minDialTimeout is what a dial has at the least: round trips between regions are some tens of ms.
+const minDialTimeout = 100 * time.Millisecond
 
-// coming is a connection whose answer has time for as long as it comes: a whole list over a thin link takes longer than
+// progressReader is a connection whose answer has time for as long as it comes: a whole list over a thin link takes longer than
 // a silence.
-type coming struct {
+type progressReader struct {
 	net.Conn
-	silence time.Duration
+	timeout time.Duration
 }
 
-func (c *coming) Read(p []byte) (int, error) {
+func (c *progressReader) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(c.silence))
+		_ = c.Conn.SetReadDeadline(time.Now().Add(c.timeout))
 	}
 	return n, err
 }
 
-// Follower is who pulls.
-type Follower struct {
-	Name    string
-	Wait    time.Duration        // for which a pull may wait for news, at the most
-	Waits   func() time.Duration // how long the next pull may; nil: Wait
-	Silence time.Duration        // how much longer than that an answer may take
-	Members func() []Member
-	Have    func() map[string]Version
-	Take    func(n *Response) (lacking []string) // sources that are to be sent whole
-	Goes    func() bool                          // false: no further pull; nil: as long as the connection lasts
-	Rested  func(now time.Time) *Outbox          // what is to be handed on with the next pull; nil: nothing ever
-	Ends    bool                                 // one pull, the last word of a process that ends
-	Dial    DialFunc                             // nil: Dial
+// Watcher is who pulls.
+type Watcher struct {
+	Name        string
+	MaxWait     time.Duration        // for which a pull may wait for news, at the most
+	NextWait    func() time.Duration // how long the next pull may; nil: Wait
+	ReadTimeout time.Duration        // how much longer than that an answer may take
+	Members     func() []Member
+	Versions    func() map[string]Version
+	Apply       func(n *Response) (lacking []string) // sources that are to be sent whole
+	Continue    func() bool                          // false: no further pull; nil: as long as the connection lasts
+	Residency   func(now time.Time) *ResidencyOutbox // what is to be handed on with the next pull; nil: nothing ever
+	Final       bool                                 // one pull, the last word of a process that ends
+	Dial        DialFunc                             // nil: Dial
 	// Outcomes are pushed to the source as they come, over a connection of their own; nil: none ever.
-	Outcomes *OutcomeBox
+	Outcomes *OutcomeQueue
 }
 
 // dial connects to the source.
-func (f *Follower) dial(addr string) (net.Conn, error) {
-	if f.Dial == nil {
-		return Dial(addr, max(f.Silence/3, leastDial))
+func (w *Watcher) dial(addr string) (net.Conn, error) {
+	if w.Dial == nil {
+		return Dial(addr, max(w.ReadTimeout/3, minDialTimeout))
 	}
-	return f.Dial(addr, max(f.Silence/3, leastDial))
+	return w.Dial(addr, max(w.ReadTimeout/3, minDialTimeout))
 }
 
-// wait is how long the next pull may wait for news.
-func (f *Follower) wait() time.Duration {
-	if f.Waits == nil {
-		return f.Wait
+// nextWait is how long the next pull may wait for news.
+func (w *Watcher) nextWait() time.Duration {
+	if w.NextWait == nil {
+		return w.MaxWait
 	}
-	return f.Waits()
+	return w.NextWait()
 }
 
-// Follow pulls from an address until the connection breaks, ctx ends or Goes says so.
-func Follow(ctx context.Context, addr string, f *Follower) error {
-	c, err := f.dial(addr)
+// Watch pulls from an address until the connection breaks, ctx ends or Goes says so.
+func Watch(ctx context.Context, addr string, w *Watcher) error {
+	c, err := w.dial(addr)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	if f.Outcomes != nil && !f.Ends {
+	if w.Outcomes != nil && !w.Final {
 		pushing, end := context.WithCancel(ctx)
 		defer end()
-		go f.push(pushing, addr)
+		go w.pushOutcomes(pushing, addr)
 	}
-	r := bufio.NewReader(&coming{c, f.Silence})
+	r := bufio.NewReader(&progressReader{c, w.ReadTimeout})
 	var lacking []string
 	var rested residencyreport.Sender
-	for asked := false; !(f.Ends && asked) && (f.Goes == nil || f.Goes()); asked = true {
-		wait, sent := f.wait(), time.Now()
-		p := Request{From: f.Name, WaitMs: wait.Milliseconds(), Have: f.Have(), Members: f.Members(), Ends: f.Ends}
+	for asked := false; !(w.Final && asked) && (w.Continue == nil || w.Continue()); asked = true {
+		wait, sent := w.nextWait(), time.Now()
+		p := Request{From: w.Name, WaitMs: wait.Milliseconds(), Versions: w.Versions(), Members: w.Members(), Final: w.Final}
 		for _, source := range lacking {
-			delete(p.Have, source)
+			delete(p.Versions, source)
 		}
-		var out *Outbox
-		if f.Rested != nil {
+		var out *ResidencyOutbox
+		if w.Residency != nil {
 			now := time.Now()
-			out = f.Rested(now)
-			p.Rested = out.next(&rested, now)
+			out = w.Residency(now)
+			p.Residency = out.nextBatches(&rested, now)
 		}
-		_ = c.SetDeadline(sent.Add(wait + f.Silence))
+		_ = c.SetDeadline(sent.Add(wait + w.ReadTimeout))
 		if err := WriteFrame(c, &p); err != nil {
 			return err
 		}
@@ -184,19 +184,19 @@
 		if err := ReadFrame(r, &n); err != nil {
 			return err
 		}
-		n.age(sent)
-		if out != nil && n.Kept != nil {
-			out.Keep(n.Kept...)
+		n.addTransitTime(sent)
+		if out != nil && n.ResidencyAcks != nil {
+			out.Acknowledge(n.ResidencyAcks...)
 		}
-		lacking = f.Take(&n)
+		lacking = w.Apply(&n)
 	}
 	return nil
 }
 
-// age adds what an answer was on its way to what it tells of its age. The request's way counts too, and so does a freeze of
+// addTransitTime adds what an answer was on its way to what it tells of its age. The request's way counts too, and so does a freeze of
 // either side: who reads an old answer late doesn't take it for a new one.
-func (n *Response) age(sent time.Time) {
-	if n.FreshMs >= 0 {
-		n.FreshMs += max(ageMs(sent)-n.HeldMs, 0)
+func (n *Response) addTransitTime(sent time.Time) {
+	if n.LastContactMs >= 0 {
+		n.LastContactMs += max(ageMs(sent)-n.WaitedMs, 0)
 	}
 }
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -19,24 +19,24 @@
 
 // Member is a process that renews its lease: which machine, how many milliseconds ago it last did, and what it had then.
 type Member struct {
-	Name   string  `msg:"n"`
-	Zone   string  `msg:"z"`
-	AgeM   int64   `msg:"a"` // milliseconds since its last renewal, as whoever sends this knows
-	Config int64   `msg:"c"` // the operator's version of the configuration in force there; 0: none
-	SinceM int64   `msg:"s"` // milliseconds since that came into force, before the renewal
-	List   Version `msg:"l"` // of the list of backends there, as its sender counts; zero: none, or one polled elsewhere
+	Name               string  `msg:"n"`
+	Zone               string  `msg:"z"`
+	AgeMs              int64   `msg:"a"` // milliseconds since its last renewal, as whoever sends this knows
+	ConfigVersion      int64   `msg:"c"` // the operator's version of the configuration in force there; 0: none
+	ConfigAgeMs        int64   `msg:"s"` // milliseconds since that came into force, before the renewal
+	BackendListVersion Version `msg:"l"` // of the list of backends there, as its sender counts; zero: none, or one polled elsewhere
 }
 
 // Request asks for what the sender lacks and renews the leases of those it stands for.
 type Request struct {
-	From    string             `msg:"f"`
-	WaitMs  int64              `msg:"w"` // how long an answer may wait for news
-	Have    map[string]Version `msg:"h"`
-	Members []Member           `msg:"m"`
+	From     string             `msg:"f"`
+	WaitMs   int64              `msg:"w"` // how long an answer may wait for news
+	Versions map[string]Version `msg:"h"`
+	Members  []Member           `msg:"m"`
 	// Rested is where tenants' data rested, on its way to the record; left out where there is none.
-	Rested []residencyreport.Batch `msg:"g,omitempty"`
+	Residency []residencyreport.Batch `msg:"g,omitempty"`
 	// Ends says that the sender's process ends, and this is its last word; left out where it isn't.
-	Ends bool `msg:"z,omitempty"`
+	Final bool `msg:"z,omitempty"`
 	// Outcomes is how attempts at backends ended; left out where there are none.
 	Outcomes []OutcomeReport `msg:"o,omitempty"`
 	// Push says that the request only brings something: it is answered at once, without resources.
@@ -49,7 +49,7 @@
 	Attempts int    `msg:"a"` // that ended or are overdue
 	Failed   int    `msg:"f"` // of them: errors, time-outs, resets, failed connects
 	Slow     int    `msg:"s"` // of them: far slower than usual once their answers had begun
-	Paced    int    `msg:"k"` // of them: answers that came in parts, which shows how fast
+	Streamed int    `msg:"k"` // of them: answers that came in parts, which shows how fast
 	Overdue  int    `msg:"v"` // of them: not answered within far longer than usual
 	Late     int    `msg:"l"` // attempts told of as overdue, now or before, that have been answered
 }
@@ -76,31 +76,31 @@
 
 // Change is one acknowledged change of the configuration, as the operator sent it.
 type Change struct {
-	At      Version `msg:"v"` // that it leads to
+	Version Version `msg:"v"` // that it leads to
 	Replace bool    `msg:"r"`
 	Body    []byte  `msg:"b"`
 }
 
 // Resource is the news of one source: its whole at a version, unless that was had, and the changes from there.
 type Resource struct {
-	Source  string   `msg:"s"`
-	At      Version  `msg:"v"`
-	Whole   []byte   `msg:"w"` // at Since; nil: Since was had
-	Since   Version  `msg:"o"`
-	Changes []Change `msg:"c"`
+	Type        string   `msg:"s"`
+	Version     Version  `msg:"v"`
+	Snapshot    []byte   `msg:"w"` // at Since; nil: Since was had
+	BaseVersion Version  `msg:"o"`
+	Changes     []Change `msg:"c"`
 }
 
 // Response answers a Request.
 type Response struct {
-	From      string     `msg:"f"`
-	Primary   string     `msg:"p"` // internal address of the primary, where known
-	FreshMs   int64      `msg:"a"` // how long ago the primary was heard by this chain of sources; below 0: never
-	Resources []Resource `msg:"x"`
+	From          string     `msg:"f"`
+	Primary       string     `msg:"p"` // internal address of the primary, where known
+	LastContactMs int64      `msg:"a"` // how long ago the primary was heard by this chain of sources; below 0: never
+	Resources     []Resource `msg:"x"`
 	// Kept says what of Rested is in the record for good; left out where nothing is new of that.
-	Kept []residencyreport.Kept `msg:"k,omitempty"`
-	// HeldMs is how long the answer waited at its sender for news: the rest of the time since the request was on the way, and
+	ResidencyAcks []residencyreport.Kept `msg:"k,omitempty"`
+	// WaitedMs is how long the answer waited at its sender for news: the rest of the time since the request was on the way, and
 	// counts as age. Left out where it is none.
-	HeldMs int64 `msg:"h,omitempty"`
+	WaitedMs int64 `msg:"h,omitempty"`
 }
 
 // Backend is one entry of the platform's list, in the words that the proxies use.
@@ -119,38 +119,38 @@
 // PhaseChanging stands in a Backend for its phase while that changes: nobody sends there.
 const PhaseChanging = "changing"
 
-// List is the platform's list as last seen.
-type List struct {
+// BackendListVersion is the platform's list as last seen.
+type BackendList struct {
 	Backends []Backend `msg:"b"`
 }
 
-// Crowd is how many proxies there are, in all and by zone.
-type Crowd struct {
+// MembershipSize is how many proxies there are, in all and by zone.
+type MembershipSize struct {
 	Proxies int            `msg:"n"`
 	Zones   map[string]int `msg:"z"`
 }
 
-// Core is where control servers answer pulls: the members of the view.
-type Core struct {
-	Pulls []string `msg:"p"`
+// ControlServers is where control servers answer pulls: the members of the view.
+type ControlServers struct {
+	PullAddrs []string `msg:"p"`
 }
 
-// Gauges is how many requests were at each backend that makes tokens, as the holder of the duty of orders heard from them:
-// the fullest ones where there are more than MaxGauges. Who isn't named has no more than the least of them.
-type Gauges struct {
-	Active map[string]int `msg:"a"` // by id
-	Silent []string       `msg:"s"` // ids of those, also that read prompts, whose report did not come
+// LoadReport is how many requests were at each backend that makes tokens, as the holder of the duty of orders heard from them:
+// the fullest ones where there are more than MaxLoadReportBackends. Who isn't named has no more than the least of them.
+type LoadReport struct {
+	Active       map[string]int `msg:"a"` // by id
+	Unresponsive []string       `msg:"s"` // ids of those, also that read prompts, whose report did not come
 }
 
-// MaxGauges bounds the backends that Gauges name: some 4 kB.
-const MaxGauges = 256
+// MaxLoadReportBackends bounds the backends that Gauges name: some 4 kB.
+const MaxLoadReportBackends = 256
 
 // The sources.
 const (
-	SourceConfig    = "config"
-	SourceList      = "list"
-	SourceCrowd     = "crowd"
-	SourceCore      = "core"
-	SourceGauges    = "gauges"
-	SourceEjections = "ejections"
+	ConfigType         = "config"
+	BackendListType    = "list"
+	MembershipSizeType = "crowd"
+	ControlServersType = "core"
+	LoadReportType     = "gauges"
+	EjectionsType      = "ejections"
 )
--- a/internal/fleet/distribution/messages_gen.go
+++ b/internal/fleet/distribution/messages_gen.go
@@ -345,13 +345,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.At.Epoch, err = dc.ReadUint64()
+					z.Version.Epoch, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Epoch")
 						return
 					}
 				case "n":
-					z.At.Count, err = dc.ReadUint64()
+					z.Version.Count, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Count")
 						return
@@ -401,7 +401,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.At.Epoch)
+	err = en.WriteUint64(z.Version.Epoch)
 	if err != nil {
 		err = msgp.WrapError(err, "At", "Epoch")
 		return
@@ -411,7 +411,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.At.Count)
+	err = en.WriteUint64(z.Version.Count)
 	if err != nil {
 		err = msgp.WrapError(err, "At", "Count")
 		return
@@ -448,10 +448,10 @@
 	// map header, size 2
 	// string "e"
 	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.At.Epoch)
+	o = msgp.AppendUint64(o, z.Version.Epoch)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.At.Count)
+	o = msgp.AppendUint64(o, z.Version.Count)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendBool(o, z.Replace)
@@ -495,13 +495,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.At.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Epoch")
 						return
 					}
 				case "n":
-					z.At.Count, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Count, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Count")
 						return
@@ -545,7 +545,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Core) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ControlServers) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -569,13 +569,13 @@
 				err = msgp.WrapError(err, "Pulls")
 				return
 			}
-			if cap(z.Pulls) >= int(zb0002) {
-				z.Pulls = (z.Pulls)[:zb0002]
+			if cap(z.PullAddrs) >= int(zb0002) {
+				z.PullAddrs = (z.PullAddrs)[:zb0002]
 			} else {
-				z.Pulls = make([]string, zb0002)
+				z.PullAddrs = make([]string, zb0002)
 			}
-			for za0001 := range z.Pulls {
-				z.Pulls[za0001], err = dc.ReadString()
+			for za0001 := range z.PullAddrs {
+				z.PullAddrs[za0001], err = dc.ReadString()
 				if err != nil {
 					err = msgp.WrapError(err, "Pulls", za0001)
 					return
@@ -593,20 +593,20 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Core) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *ControlServers) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 1
 	// write "p"
 	err = en.Append(0x81, 0xa1, 0x70)
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Pulls)))
+	err = en.WriteArrayHeader(uint32(len(z.PullAddrs)))
 	if err != nil {
 		err = msgp.WrapError(err, "Pulls")
 		return
 	}
-	for za0001 := range z.Pulls {
-		err = en.WriteString(z.Pulls[za0001])
+	for za0001 := range z.PullAddrs {
+		err = en.WriteString(z.PullAddrs[za0001])
 		if err != nil {
 			err = msgp.WrapError(err, "Pulls", za0001)
 			return
@@ -616,20 +616,20 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Core) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ControlServers) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "p"
 	o = append(o, 0x81, 0xa1, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Pulls)))
-	for za0001 := range z.Pulls {
-		o = msgp.AppendString(o, z.Pulls[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.PullAddrs)))
+	for za0001 := range z.PullAddrs {
+		o = msgp.AppendString(o, z.PullAddrs[za0001])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Core) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ControlServers) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -653,13 +653,13 @@
 				err = msgp.WrapError(err, "Pulls")
 				return
 			}
-			if cap(z.Pulls) >= int(zb0002) {
-				z.Pulls = (z.Pulls)[:zb0002]
+			if cap(z.PullAddrs) >= int(zb0002) {
+				z.PullAddrs = (z.PullAddrs)[:zb0002]
 			} else {
-				z.Pulls = make([]string, zb0002)
+				z.PullAddrs = make([]string, zb0002)
 			}
-			for za0001 := range z.Pulls {
-				z.Pulls[za0001], bts, err = msgp.ReadStringBytes(bts)
+			for za0001 := range z.PullAddrs {
+				z.PullAddrs[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Pulls", za0001)
 					return
@@ -678,16 +678,16 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Core) Msgsize() (s int) {
+func (z *ControlServers) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Pulls {
-		s += msgp.StringPrefixSize + len(z.Pulls[za0001])
+	for za0001 := range z.PullAddrs {
+		s += msgp.StringPrefixSize + len(z.PullAddrs[za0001])
 	}
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Crowd) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *MembershipSize) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -750,7 +750,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Crowd) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *MembershipSize) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "n"
 	err = en.Append(0x82, 0xa1, 0x6e)
@@ -788,7 +788,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Crowd) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *MembershipSize) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "n"
@@ -805,7 +805,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Crowd) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *MembershipSize) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -869,7 +869,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Crowd) Msgsize() (s int) {
+func (z *MembershipSize) Msgsize() (s int) {
 	s = 1 + 2 + msgp.IntSize + 2 + msgp.MapHeaderSize
 	if z.Zones != nil {
 		for za0001, za0002 := range z.Zones {
@@ -1205,7 +1205,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Gauges) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1257,13 +1257,13 @@
 				err = msgp.WrapError(err, "Silent")
 				return
 			}
-			if cap(z.Silent) >= int(zb0003) {
-				z.Silent = (z.Silent)[:zb0003]
+			if cap(z.Unresponsive) >= int(zb0003) {
+				z.Unresponsive = (z.Unresponsive)[:zb0003]
 			} else {
-				z.Silent = make([]string, zb0003)
+				z.Unresponsive = make([]string, zb0003)
 			}
-			for za0003 := range z.Silent {
-				z.Silent[za0003], err = dc.ReadString()
+			for za0003 := range z.Unresponsive {
+				z.Unresponsive[za0003], err = dc.ReadString()
 				if err != nil {
 					err = msgp.WrapError(err, "Silent", za0003)
 					return
@@ -1281,7 +1281,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Gauges) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *LoadReport) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "a"
 	err = en.Append(0x82, 0xa1, 0x61)
@@ -1310,13 +1310,13 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Silent)))
+	err = en.WriteArrayHeader(uint32(len(z.Unresponsive)))
 	if err != nil {
 		err = msgp.WrapError(err, "Silent")
 		return
 	}
-	for za0003 := range z.Silent {
-		err = en.WriteString(z.Silent[za0003])
+	for za0003 := range z.Unresponsive {
+		err = en.WriteString(z.Unresponsive[za0003])
 		if err != nil {
 			err = msgp.WrapError(err, "Silent", za0003)
 			return
@@ -1326,7 +1326,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Gauges) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "a"
@@ -1338,15 +1338,15 @@
 	}
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Silent)))
-	for za0003 := range z.Silent {
-		o = msgp.AppendString(o, z.Silent[za0003])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Unresponsive)))
+	for za0003 := range z.Unresponsive {
+		o = msgp.AppendString(o, z.Unresponsive[za0003])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Gauges) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1398,13 +1398,13 @@
 				err = msgp.WrapError(err, "Silent")
 				return
 			}
-			if cap(z.Silent) >= int(zb0003) {
-				z.Silent = (z.Silent)[:zb0003]
+			if cap(z.Unresponsive) >= int(zb0003) {
+				z.Unresponsive = (z.Unresponsive)[:zb0003]
 			} else {
-				z.Silent = make([]string, zb0003)
+				z.Unresponsive = make([]string, zb0003)
 			}
-			for za0003 := range z.Silent {
-				z.Silent[za0003], bts, err = msgp.ReadStringBytes(bts)
+			for za0003 := range z.Unresponsive {
+				z.Unresponsive[za0003], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Silent", za0003)
 					return
@@ -1423,7 +1423,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Gauges) Msgsize() (s int) {
+func (z *LoadReport) Msgsize() (s int) {
 	s = 1 + 2 + msgp.MapHeaderSize
 	if z.Active != nil {
 		for za0001, za0002 := range z.Active {
@@ -1432,14 +1432,14 @@
 		}
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Silent {
-		s += msgp.StringPrefixSize + len(z.Silent[za0003])
+	for za0003 := range z.Unresponsive {
+		s += msgp.StringPrefixSize + len(z.Unresponsive[za0003])
 	}
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *List) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *BackendList) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1487,7 +1487,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *List) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *BackendList) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 1
 	// write "b"
 	err = en.Append(0x81, 0xa1, 0x62)
@@ -1510,7 +1510,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *List) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *BackendList) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "b"
@@ -1527,7 +1527,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *List) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *BackendList) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1576,7 +1576,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *List) Msgsize() (s int) {
+func (z *BackendList) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Backends {
 		s += z.Backends[za0001].Msgsize()
@@ -1615,19 +1615,19 @@
 				return
 			}
 		case "a":
-			z.AgeM, err = dc.ReadInt64()
+			z.AgeMs, err = dc.ReadInt64()
 			if err != nil {
 				err = msgp.WrapError(err, "AgeM")
 				return
 			}
 		case "c":
-			z.Config, err = dc.ReadInt64()
+			z.ConfigVersion, err = dc.ReadInt64()
 			if err != nil {
 				err = msgp.WrapError(err, "Config")
 				return
 			}
 		case "s":
-			z.SinceM, err = dc.ReadInt64()
+			z.ConfigAgeMs, err = dc.ReadInt64()
 			if err != nil {
 				err = msgp.WrapError(err, "SinceM")
 				return
@@ -1648,13 +1648,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.List.Epoch, err = dc.ReadUint64()
+					z.BackendListVersion.Epoch, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "List", "Epoch")
 						return
 					}
 				case "n":
-					z.List.Count, err = dc.ReadUint64()
+					z.BackendListVersion.Count, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "List", "Count")
 						return
@@ -1706,7 +1706,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.AgeM)
+	err = en.WriteInt64(z.AgeMs)
 	if err != nil {
 		err = msgp.WrapError(err, "AgeM")
 		return
@@ -1716,7 +1716,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.Config)
+	err = en.WriteInt64(z.ConfigVersion)
 	if err != nil {
 		err = msgp.WrapError(err, "Config")
 		return
@@ -1726,7 +1726,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.SinceM)
+	err = en.WriteInt64(z.ConfigAgeMs)
 	if err != nil {
 		err = msgp.WrapError(err, "SinceM")
 		return
@@ -1742,7 +1742,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.List.Epoch)
+	err = en.WriteUint64(z.BackendListVersion.Epoch)
 	if err != nil {
 		err = msgp.WrapError(err, "List", "Epoch")
 		return
@@ -1752,7 +1752,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.List.Count)
+	err = en.WriteUint64(z.BackendListVersion.Count)
 	if err != nil {
 		err = msgp.WrapError(err, "List", "Count")
 		return
@@ -1772,22 +1772,22 @@
 	o = msgp.AppendString(o, z.Zone)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendInt64(o, z.AgeM)
+	o = msgp.AppendInt64(o, z.AgeMs)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendInt64(o, z.Config)
+	o = msgp.AppendInt64(o, z.ConfigVersion)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendInt64(o, z.SinceM)
+	o = msgp.AppendInt64(o, z.ConfigAgeMs)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
 	// map header, size 2
 	// string "e"
 	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.List.Epoch)
+	o = msgp.AppendUint64(o, z.BackendListVersion.Epoch)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.List.Count)
+	o = msgp.AppendUint64(o, z.BackendListVersion.Count)
 	return
 }
 
@@ -1822,19 +1822,19 @@
 				return
 			}
 		case "a":
-			z.AgeM, bts, err = msgp.ReadInt64Bytes(bts)
+			z.AgeMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "AgeM")
 				return
 			}
 		case "c":
-			z.Config, bts, err = msgp.ReadInt64Bytes(bts)
+			z.ConfigVersion, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Config")
 				return
 			}
 		case "s":
-			z.SinceM, bts, err = msgp.ReadInt64Bytes(bts)
+			z.ConfigAgeMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "SinceM")
 				return
@@ -1855,13 +1855,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.List.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+					z.BackendListVersion.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "List", "Epoch")
 						return
 					}
 				case "n":
-					z.List.Count, bts, err = msgp.ReadUint64Bytes(bts)
+					z.BackendListVersion.Count, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "List", "Count")
 						return
@@ -1935,7 +1935,7 @@
 				return
 			}
 		case "k":
-			z.Paced, err = dc.ReadInt()
+			z.Streamed, err = dc.ReadInt()
 			if err != nil {
 				err = msgp.WrapError(err, "Paced")
 				return
@@ -2011,7 +2011,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Paced)
+	err = en.WriteInt(z.Streamed)
 	if err != nil {
 		err = msgp.WrapError(err, "Paced")
 		return
@@ -2057,7 +2057,7 @@
 	o = msgp.AppendInt(o, z.Slow)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendInt(o, z.Paced)
+	o = msgp.AppendInt(o, z.Streamed)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
 	o = msgp.AppendInt(o, z.Overdue)
@@ -2110,7 +2110,7 @@
 				return
 			}
 		case "k":
-			z.Paced, bts, err = msgp.ReadIntBytes(bts)
+			z.Streamed, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Paced")
 				return
@@ -2378,10 +2378,10 @@
 				err = msgp.WrapError(err, "Have")
 				return
 			}
-			if z.Have == nil {
-				z.Have = make(map[string]Version, zb0002)
-			} else if len(z.Have) > 0 {
-				clear(z.Have)
+			if z.Versions == nil {
+				z.Versions = make(map[string]Version, zb0002)
+			} else if len(z.Versions) > 0 {
+				clear(z.Versions)
 			}
 			for zb0002 > 0 {
 				zb0002--
@@ -2426,7 +2426,7 @@
 						}
 					}
 				}
-				z.Have[za0001] = za0002
+				z.Versions[za0001] = za0002
 			}
 		case "m":
 			var zb0004 uint32
@@ -2454,20 +2454,20 @@
 				err = msgp.WrapError(err, "Rested")
 				return
 			}
-			if cap(z.Rested) >= int(zb0005) {
-				z.Rested = (z.Rested)[:zb0005]
+			if cap(z.Residency) >= int(zb0005) {
+				z.Residency = (z.Residency)[:zb0005]
 			} else {
-				z.Rested = make([]residencyreport.Batch, zb0005)
+				z.Residency = make([]residencyreport.Batch, zb0005)
 			}
-			for za0004 := range z.Rested {
-				err = z.Rested[za0004].DecodeMsg(dc)
+			for za0004 := range z.Residency {
+				err = z.Residency[za0004].DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Rested", za0004)
 					return
 				}
 			}
 		case "z":
-			z.Ends, err = dc.ReadBool()
+			z.Final, err = dc.ReadBool()
 			if err != nil {
 				err = msgp.WrapError(err, "Ends")
 				return
@@ -2514,11 +2514,11 @@
 	zb0001Len := uint32(8)
 	var zb0001Mask uint8 /* 8 bits */
 	_ = zb0001Mask
-	if z.Rested == nil {
+	if z.Residency == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.Ends == false {
+	if z.Final == false {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
@@ -2563,12 +2563,12 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteMapHeader(uint32(len(z.Have)))
+		err = en.WriteMapHeader(uint32(len(z.Versions)))
 		if err != nil {
 			err = msgp.WrapError(err, "Have")
 			return
 		}
-		for za0001, za0002 := range z.Have {
+		for za0001, za0002 := range z.Versions {
 			err = en.WriteString(za0001)
 			if err != nil {
 				err = msgp.WrapError(err, "Have")
@@ -2619,13 +2619,13 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Rested)))
+			err = en.WriteArrayHeader(uint32(len(z.Residency)))
 			if err != nil {
 				err = msgp.WrapError(err, "Rested")
 				return
 			}
-			for za0004 := range z.Rested {
-				err = z.Rested[za0004].EncodeMsg(en)
+			for za0004 := range z.Residency {
+				err = z.Residency[za0004].EncodeMsg(en)
 				if err != nil {
 					err = msgp.WrapError(err, "Rested", za0004)
 					return
@@ -2638,7 +2638,7 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Ends)
+			err = en.WriteBool(z.Final)
 			if err != nil {
 				err = msgp.WrapError(err, "Ends")
 				return
@@ -2686,11 +2686,11 @@
 	zb0001Len := uint32(8)
 	var zb0001Mask uint8 /* 8 bits */
 	_ = zb0001Mask
-	if z.Rested == nil {
+	if z.Residency == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.Ends == false {
+	if z.Final == false {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
@@ -2715,8 +2715,8 @@
 		o = msgp.AppendInt64(o, z.WaitMs)
 		// string "h"
 		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendMapHeader(o, uint32(len(z.Have)))
-		for za0001, za0002 := range z.Have {
+		o = msgp.AppendMapHeader(o, uint32(len(z.Versions)))
+		for za0001, za0002 := range z.Versions {
 			o = msgp.AppendString(o, za0001)
 			// map header, size 2
 			// string "e"
@@ -2739,9 +2739,9 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "g"
 			o = append(o, 0xa1, 0x67)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Rested)))
-			for za0004 := range z.Rested {
-				o, err = z.Rested[za0004].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Residency)))
+			for za0004 := range z.Residency {
+				o, err = z.Residency[za0004].MarshalMsg(o)
 				if err != nil {
 					err = msgp.WrapError(err, "Rested", za0004)
 					return
@@ -2751,7 +2751,7 @@
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "z"
 			o = append(o, 0xa1, 0x7a)
-			o = msgp.AppendBool(o, z.Ends)
+			o = msgp.AppendBool(o, z.Final)
 		}
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "o"
@@ -2811,10 +2811,10 @@
 				err = msgp.WrapError(err, "Have")
 				return
 			}
-			if z.Have == nil {
-				z.Have = make(map[string]Version, zb0002)
-			} else if len(z.Have) > 0 {
-				clear(z.Have)
+			if z.Versions == nil {
+				z.Versions = make(map[string]Version, zb0002)
+			} else if len(z.Versions) > 0 {
+				clear(z.Versions)
 			}
 			for zb0002 > 0 {
 				var za0002 Version
@@ -2859,7 +2859,7 @@
 						}
 					}
 				}
-				z.Have[za0001] = za0002
+				z.Versions[za0001] = za0002
 			}
 		case "m":
 			var zb0004 uint32
@@ -2887,20 +2887,20 @@
 				err = msgp.WrapError(err, "Rested")
 				return
 			}
-			if cap(z.Rested) >= int(zb0005) {
-				z.Rested = (z.Rested)[:zb0005]
+			if cap(z.Residency) >= int(zb0005) {
+				z.Residency = (z.Residency)[:zb0005]
 			} else {
-				z.Rested = make([]residencyreport.Batch, zb0005)
+				z.Residency = make([]residencyreport.Batch, zb0005)
 			}
-			for za0004 := range z.Rested {
-				bts, err = z.Rested[za0004].UnmarshalMsg(bts)
+			for za0004 := range z.Residency {
+				bts, err = z.Residency[za0004].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Rested", za0004)
 					return
 				}
 			}
 		case "z":
-			z.Ends, bts, err = msgp.ReadBoolBytes(bts)
+			z.Final, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Ends")
 				return
@@ -2945,8 +2945,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Request) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Int64Size + 2 + msgp.MapHeaderSize
-	if z.Have != nil {
-		for za0001, za0002 := range z.Have {
+	if z.Versions != nil {
+		for za0001, za0002 := range z.Versions {
 			_ = za0002
 			s += msgp.StringPrefixSize + len(za0001) + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 		}
@@ -2956,8 +2956,8 @@
 		s += z.Members[za0003].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0004 := range z.Rested {
-		s += z.Rested[za0004].Msgsize()
+	for za0004 := range z.Residency {
+		s += z.Residency[za0004].Msgsize()
 	}
 	s += 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
 	for za0005 := range z.Outcomes {
@@ -2986,7 +2986,7 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "s":
-			z.Source, err = dc.ReadString()
+			z.Type, err = dc.ReadString()
 			if err != nil {
 				err = msgp.WrapError(err, "Source")
 				return
@@ -3007,13 +3007,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.At.Epoch, err = dc.ReadUint64()
+					z.Version.Epoch, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Epoch")
 						return
 					}
 				case "n":
-					z.At.Count, err = dc.ReadUint64()
+					z.Version.Count, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Count")
 						return
@@ -3027,7 +3027,7 @@
 				}
 			}
 		case "w":
-			z.Whole, err = dc.ReadBytes(z.Whole)
+			z.Snapshot, err = dc.ReadBytes(z.Snapshot)
 			if err != nil {
 				err = msgp.WrapError(err, "Whole")
 				return
@@ -3048,13 +3048,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.Since.Epoch, err = dc.ReadUint64()
+					z.BaseVersion.Epoch, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "Since", "Epoch")
 						return
 					}
 				case "n":
-					z.Since.Count, err = dc.ReadUint64()
+					z.BaseVersion.Count, err = dc.ReadUint64()
 					if err != nil {
 						err = msgp.WrapError(err, "Since", "Count")
 						return
@@ -3105,7 +3105,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Source)
+	err = en.WriteString(z.Type)
 	if err != nil {
 		err = msgp.WrapError(err, "Source")
 		return
@@ -3121,7 +3121,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.At.Epoch)
+	err = en.WriteUint64(z.Version.Epoch)
 	if err != nil {
 		err = msgp.WrapError(err, "At", "Epoch")
 		return
@@ -3131,7 +3131,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.At.Count)
+	err = en.WriteUint64(z.Version.Count)
 	if err != nil {
 		err = msgp.WrapError(err, "At", "Count")
 		return
@@ -3141,7 +3141,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBytes(z.Whole)
+	err = en.WriteBytes(z.Snapshot)
 	if err != nil {
 		err = msgp.WrapError(err, "Whole")
 		return
@@ -3157,7 +3157,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Since.Epoch)
+	err = en.WriteUint64(z.BaseVersion.Epoch)
 	if err != nil {
 		err = msgp.WrapError(err, "Since", "Epoch")
 		return
@@ -3167,7 +3167,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Since.Count)
+	err = en.WriteUint64(z.BaseVersion.Count)
 	if err != nil {
 		err = msgp.WrapError(err, "Since", "Count")
 		return
@@ -3198,28 +3198,28 @@
 	// map header, size 5
 	// string "s"
 	o = append(o, 0x85, 0xa1, 0x73)
-	o = msgp.AppendString(o, z.Source)
+	o = msgp.AppendString(o, z.Type)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
 	// map header, size 2
 	// string "e"
 	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.At.Epoch)
+	o = msgp.AppendUint64(o, z.Version.Epoch)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.At.Count)
+	o = msgp.AppendUint64(o, z.Version.Count)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBytes(o, z.Whole)
+	o = msgp.AppendBytes(o, z.Snapshot)
 	// string "o"
 	o = append(o, 0xa1, 0x6f)
 	// map header, size 2
 	// string "e"
 	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Since.Epoch)
+	o = msgp.AppendUint64(o, z.BaseVersion.Epoch)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Since.Count)
+	o = msgp.AppendUint64(o, z.BaseVersion.Count)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Changes)))
@@ -3252,7 +3252,7 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "s":
-			z.Source, bts, err = msgp.ReadStringBytes(bts)
+			z.Type, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Source")
 				return
@@ -3273,13 +3273,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.At.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Epoch")
 						return
 					}
 				case "n":
-					z.At.Count, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Count, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "At", "Count")
 						return
@@ -3293,7 +3293,7 @@
 				}
 			}
 		case "w":
-			z.Whole, bts, err = msgp.ReadBytesBytes(bts, z.Whole)
+			z.Snapshot, bts, err = msgp.ReadBytesBytes(bts, z.Snapshot)
 			if err != nil {
 				err = msgp.WrapError(err, "Whole")
 				return
@@ -3314,13 +3314,13 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "e":
-					z.Since.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+					z.BaseVersion.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "Since", "Epoch")
 						return
 					}
 				case "n":
-					z.Since.Count, bts, err = msgp.ReadUint64Bytes(bts)
+					z.BaseVersion.Count, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "Since", "Count")
 						return
@@ -3366,7 +3366,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Resource) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Source) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Whole) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Type) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Snapshot) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Changes {
 		s += z.Changes[za0001].Msgsize()
 	}
@@ -3404,7 +3404,7 @@
 				return
 			}
 		case "a":
-			z.FreshMs, err = dc.ReadInt64()
+			z.LastContactMs, err = dc.ReadInt64()
 			if err != nil {
 				err = msgp.WrapError(err, "FreshMs")
 				return
@@ -3435,20 +3435,20 @@
 				err = msgp.WrapError(err, "Kept")
 				return
 			}
-			if cap(z.Kept) >= int(zb0003) {
-				z.Kept = (z.Kept)[:zb0003]
+			if cap(z.ResidencyAcks) >= int(zb0003) {
+				z.ResidencyAcks = (z.ResidencyAcks)[:zb0003]
 			} else {
-				z.Kept = make([]residencyreport.Kept, zb0003)
+				z.ResidencyAcks = make([]residencyreport.Kept, zb0003)
 			}
-			for za0002 := range z.Kept {
-				err = z.Kept[za0002].DecodeMsg(dc)
+			for za0002 := range z.ResidencyAcks {
+				err = z.ResidencyAcks[za0002].DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Kept", za0002)
 					return
 				}
 			}
 		case "h":
-			z.HeldMs, err = dc.ReadInt64()
+			z.WaitedMs, err = dc.ReadInt64()
 			if err != nil {
 				err = msgp.WrapError(err, "HeldMs")
 				return
@@ -3470,11 +3470,11 @@
 	zb0001Len := uint32(6)
 	var zb0001Mask uint8 /* 6 bits */
 	_ = zb0001Mask
-	if z.Kept == nil {
+	if z.ResidencyAcks == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.HeldMs == 0 {
+	if z.WaitedMs == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
@@ -3511,7 +3511,7 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteInt64(z.FreshMs)
+		err = en.WriteInt64(z.LastContactMs)
 		if err != nil {
 			err = msgp.WrapError(err, "FreshMs")
 			return
@@ -3539,13 +3539,13 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Kept)))
+			err = en.WriteArrayHeader(uint32(len(z.ResidencyAcks)))
 			if err != nil {
 				err = msgp.WrapError(err, "Kept")
 				return
 			}
-			for za0002 := range z.Kept {
-				err = z.Kept[za0002].EncodeMsg(en)
+			for za0002 := range z.ResidencyAcks {
+				err = z.ResidencyAcks[za0002].EncodeMsg(en)
 				if err != nil {
 					err = msgp.WrapError(err, "Kept", za0002)
 					return
@@ -3558,7 +3558,7 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteInt64(z.HeldMs)
+			err = en.WriteInt64(z.WaitedMs)
 			if err != nil {
 				err = msgp.WrapError(err, "HeldMs")
 				return
@@ -3575,11 +3575,11 @@
 	zb0001Len := uint32(6)
 	var zb0001Mask uint8 /* 6 bits */
 	_ = zb0001Mask
-	if z.Kept == nil {
+	if z.ResidencyAcks == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.HeldMs == 0 {
+	if z.WaitedMs == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
@@ -3596,7 +3596,7 @@
 		o = msgp.AppendString(o, z.Primary)
 		// string "a"
 		o = append(o, 0xa1, 0x61)
-		o = msgp.AppendInt64(o, z.FreshMs)
+		o = msgp.AppendInt64(o, z.LastContactMs)
 		// string "x"
 		o = append(o, 0xa1, 0x78)
 		o = msgp.AppendArrayHeader(o, uint32(len(z.Resources)))
@@ -3610,9 +3610,9 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "k"
 			o = append(o, 0xa1, 0x6b)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Kept)))
-			for za0002 := range z.Kept {
-				o, err = z.Kept[za0002].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.ResidencyAcks)))
+			for za0002 := range z.ResidencyAcks {
+				o, err = z.ResidencyAcks[za0002].MarshalMsg(o)
 				if err != nil {
 					err = msgp.WrapError(err, "Kept", za0002)
 					return
@@ -3622,7 +3622,7 @@
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "h"
 			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendInt64(o, z.HeldMs)
+			o = msgp.AppendInt64(o, z.WaitedMs)
 		}
 	}
 	return
@@ -3659,7 +3659,7 @@
 				return
 			}
 		case "a":
-			z.FreshMs, bts, err = msgp.ReadInt64Bytes(bts)
+			z.LastContactMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "FreshMs")
 				return
@@ -3690,20 +3690,20 @@
 				err = msgp.WrapError(err, "Kept")
 				return
 			}
-			if cap(z.Kept) >= int(zb0003) {
-				z.Kept = (z.Kept)[:zb0003]
+			if cap(z.ResidencyAcks) >= int(zb0003) {
+				z.ResidencyAcks = (z.ResidencyAcks)[:zb0003]
 			} else {
-				z.Kept = make([]residencyreport.Kept, zb0003)
+				z.ResidencyAcks = make([]residencyreport.Kept, zb0003)
 			}
-			for za0002 := range z.Kept {
-				bts, err = z.Kept[za0002].UnmarshalMsg(bts)
+			for za0002 := range z.ResidencyAcks {
+				bts, err = z.ResidencyAcks[za0002].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Kept", za0002)
 					return
 				}
 			}
 		case "h":
-			z.HeldMs, bts, err = msgp.ReadInt64Bytes(bts)
+			z.WaitedMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "HeldMs")
 				return
@@ -3727,8 +3727,8 @@
 		s += z.Resources[za0001].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Kept {
-		s += z.Kept[za0002].Msgsize()
+	for za0002 := range z.ResidencyAcks {
+		s += z.ResidencyAcks[za0002].Msgsize()
 	}
 	s += 2 + msgp.Int64Size
 	return
--- a/internal/fleet/distribution/outcomes_test.go
+++ b/internal/fleet/distribution/outcomes_test.go
@@ -19,25 +19,25 @@
 		cancel()
 		ln.Close()
 	})
-	go Serve(ctx, ln, name, s, 10*time.Second, s.Fresh)
+	go Serve(ctx, ln, name, s, 10*time.Second, s.LastContact)
 	return ln.Addr().String()
 }
 
-// TestOutcomesGoUp: what a proxy tells of backends reaches the primary through a node agent and a control server, while a pull of each
+// TestOutcomesReachPrimary: what a proxy tells of backends reaches the primary through a node agent and a control server, while a pull of each
 // waits for news; and what it is answered brings no news of its own.
-func TestOutcomesGoUp(t *testing.T) {
+func TestOutcomesReachPrimary(t *testing.T) {
 	c := qt.New(t)
 	primary, relay, agent := NewCache(), NewCache(), NewCache()
-	primary.Set(SourceConfig, v(1), []byte("whole"))
+	primary.SetSnapshot(ConfigType, v(1), []byte("whole"))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	proxy := NewOutcomeBox()
+	proxy := NewOutcomeQueue()
 	taken := make(chan string, 16)
-	follow := func(name, addr string, box *OutcomeBox, into *Cache) {
+	follow := func(name, addr string, box *OutcomeQueue, into *Cache) {
 		go func() {
-			_ = Follow(ctx, addr, &Follower{Name: name, Wait: time.Minute, Silence: 5 * time.Second, Outcomes: box,
-				Members: func() []Member { return nil }, Have: into.Have,
-				Take: func(n *Response) []string { taken <- name; return into.Take(n, time.Now()) }})
+			_ = Watch(ctx, addr, &Watcher{Name: name, MaxWait: time.Minute, ReadTimeout: 5 * time.Second, Outcomes: box,
+				Members: func() []Member { return nil }, Versions: into.Versions,
+				Apply: func(n *Response) []string { taken <- name; return into.Apply(n, time.Now()) }})
 		}()
 	}
 	follow("relay", serveCache(c, "primary", primary), relay.Outcomes, relay)
@@ -59,18 +59,18 @@
 	}
 	c.Assert(len(taken), qt.Equals, 0, qt.Commentf("a push is no pull"))
 	// The word on it goes down as any news does.
-	primary.Set(SourceEjections, v(1), []byte("ejected"))
+	primary.SetSnapshot(EjectionsType, v(1), []byte("ejected"))
 	for range 3 {
 		<-taken
 	}
-	at, _ := last.At(SourceEjections)
+	at, _ := last.Version(EjectionsType)
 	c.Assert(at, qt.Equals, v(1))
 }
 
 // TestOutcomesAreBounded: reports that nobody takes give way to newer ones.
 func TestOutcomesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	b := NewOutcomeBox()
+	b := NewOutcomeQueue()
 	for i := range 2 * maxOutcomeReports {
 		b.Put(OutcomeReport{Proxy: fmt.Sprint(i)})
 	}
--- a/internal/fleet/distribution/slow_test.go
+++ b/internal/fleet/distribution/slow_test.go
@@ -20,8 +20,8 @@
 	return conn, err
 }
 
-// thinLink passes connections to a server on, in its answers so many bytes a second. It returns its own address.
-func thinLink(c *qt.C, server string, bytesPerSec int) string {
+// slowLink passes connections to a server on, in its answers so many bytes a second. It returns its own address.
+func slowLink(c *qt.C, server string, bytesPerSec int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { ln.Close() })
@@ -66,9 +66,9 @@
 	return ln.Addr().String()
 }
 
-// TestBehindOverThinLink: a reader over a thin link, for which the whole takes several times longer than a silence and longer
+// TestSlowLinkCatchesUp: a reader over a thin link, for which the whole takes several times longer than a silence and longer
 // than it takes the source to put another whole in its place, comes up with the source while that goes on changing.
-func TestBehindOverThinLink(t *testing.T) {
+func TestSlowLinkCatchesUp(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -82,34 +82,34 @@
 		every   = 5 * time.Millisecond // some 600 changes while the whole is on its way
 	)
 	source, reader := NewCache(), NewCache()
-	go Serve(ctx, smallBuffers{ln}, "source", source, silence, source.Fresh)
-	source.Set("config", v(1), make([]byte, whole))
+	go Serve(ctx, smallBuffers{ln}, "source", source, silence, source.LastContact)
+	source.SetSnapshot("config", v(1), make([]byte, whole))
 	go func() {
 		tick := time.NewTicker(every)
 		defer tick.Stop()
 		for n := uint64(1); ctx.Err() == nil; n++ {
-			source.Append("config", v(n), v(n+1), Change{At: v(n + 1), Body: make([]byte, 100)}, func() []byte { return make([]byte, whole) })
+			source.AppendChange("config", v(n), v(n+1), Change{Version: v(n + 1), Body: make([]byte, 100)}, func() []byte { return make([]byte, whole) })
 			<-tick.C
 		}
 	}()
-	addr := thinLink(c, ln.Addr().String(), rate)
+	addr := slowLink(c, ln.Addr().String(), rate)
 	wholes, began := 0, time.Now()
 	follow, done := context.WithCancel(ctx)
 	for links := 0; follow.Err() == nil; links++ {
 		c.Assert(links < 5 && wholes < 4, qt.IsTrue, qt.Commentf("it doesn't come up with the source: %d links broke, %d wholes came", links, wholes))
-		_ = Follow(follow, addr, &Follower{Name: "reader", Wait: 100 * time.Millisecond, Silence: silence, Members: func() []Member { return nil },
-			Have: reader.Have, Take: func(n *Response) []string {
+		_ = Watch(follow, addr, &Watcher{Name: "reader", MaxWait: 100 * time.Millisecond, ReadTimeout: silence, Members: func() []Member { return nil },
+			Versions: reader.Versions, Apply: func(n *Response) []string {
 				if wholes == 4 {
 					done()
 				}
 				for i := range n.Resources {
-					if n.Resources[i].Whole != nil {
+					if n.Resources[i].Snapshot != nil {
 						wholes++
 					}
 				}
-				lacking := reader.Take(n, time.Now())
-				had, _ := reader.At("config")
-				if now, _ := source.At("config"); had.Count > 0 && now.Count-had.Count < 100 {
+				lacking := reader.Apply(n, time.Now())
+				had, _ := reader.Version("config")
+				if now, _ := source.Version("config"); had.Count > 0 && now.Count-had.Count < 100 {
 					done()
 				}
 				return lacking
--- a/internal/fleet/externalapi/platform.go
+++ b/internal/fleet/externalapi/platform.go
@@ -40,7 +40,7 @@
 }
 
 // Sort puts a list in the order of ids, so that equal lists have equal bytes.
-func Sort(list *distribution.List) {
+func Sort(list *distribution.BackendList) {
 	slices.SortFunc(list.Backends, func(a, b distribution.Backend) int { return strings.Compare(a.ID, b.ID) })
 }
 
@@ -61,7 +61,7 @@
 
 // List asks for the whole list, page by page, and says how many calls that took. Errors: ErrBusy, those of the
 // network, and a list that can't be read.
-func (p *PlatformClient) List(ctx context.Context) (list distribution.List, calls int, err error) {
+func (p *PlatformClient) List(ctx context.Context) (list distribution.BackendList, calls int, err error) {
 	marker := ""
 	for calls < maxPages {
 		u := url.URL{Scheme: "http", Host: p.addr, Path: Listing.Path}
--- a/internal/fleet/nodeagent/cutoff_test.go
+++ b/internal/fleet/nodeagent/cutoff_test.go
@@ -165,7 +165,7 @@
 	over := time.After(testPatience)
 	for {
 		changed := a.store.Changed()
-		if at, _ := a.store.At(distribution.SourceConfig); at.Count >= change {
+		if at, _ := a.store.Version(distribution.ConfigType); at.Count >= change {
 			return time.Now()
 		}
 		select {
@@ -265,7 +265,7 @@
 		again := time.NewTicker(20 * time.Millisecond)
 		defer again.Stop()
 		worst := time.Duration(0)
-		for heard, _ := a.store.Fresh(); heard.Before(began.Add(calm)); heard, _ = a.store.Fresh() {
+		for heard, _ := a.store.LastContact(); heard.Before(began.Add(calm)); heard, _ = a.store.LastContact() {
 			if !heard.IsZero() {
 				worst = max(worst, time.Since(heard))
 			}
--- a/internal/fleet/nodeagent/lists.go
+++ b/internal/fleet/nodeagent/lists.go
@@ -21,11 +21,11 @@
 // theirs has the members tell of their lists as the control servers do: the zero Version stands for what these don't know.
 func (l *listNumbers) theirs(members []distribution.Member) []distribution.Member {
 	for i := range members {
-		had := members[i].List
-		members[i].List = distribution.Version{}
+		had := members[i].BackendListVersion
+		members[i].BackendListVersion = distribution.Version{}
 		for _, n := range l.newest {
 			if n.here == had && had != (distribution.Version{}) {
-				members[i].List = n.there
+				members[i].BackendListVersion = n.there
 			}
 		}
 	}
--- a/internal/fleet/nodeagent/lists_test.go
+++ b/internal/fleet/nodeagent/lists_test.go
@@ -14,7 +14,7 @@
 	at := func(n uint64) distribution.Version { return distribution.Version{Epoch: 9, Count: n} }
 	there := func(n uint64) distribution.Version { return distribution.Version{Epoch: 2, Count: n} }
 	told := func(had distribution.Version) distribution.Version {
-		return l.theirs([]distribution.Member{{Name: "a", Config: 3, List: had}})[0].List
+		return l.theirs([]distribution.Member{{Name: "a", ConfigVersion: 3, BackendListVersion: had}})[0].BackendListVersion
 	}
 	c.Assert(told(distribution.Version{}), qt.Equals, distribution.Version{}, qt.Commentf("none yet"))
 	l.note(at(1), there(10))
@@ -28,5 +28,5 @@
 	}
 	c.Assert(told(at(4)), qt.Equals, distribution.Version{}, qt.Commentf("too far behind"))
 	c.Assert(told(at(6)), qt.Equals, there(6))
-	c.Assert(l.theirs([]distribution.Member{{Name: "a", Config: 3}})[0].Config, qt.Equals, int64(3))
+	c.Assert(l.theirs([]distribution.Member{{Name: "a", ConfigVersion: 3}})[0].ConfigVersion, qt.Equals, int64(3))
 }
--- a/internal/fleet/nodeagent/nodeagent.go
+++ b/internal/fleet/nodeagent/nodeagent.go
@@ -86,7 +86,7 @@
 func (a *Agent) Run(until context.Context) error {
 	ctx, end := context.WithCancel(context.WithoutCancel(until))
 	defer end()
-	wait, silence := distribution.Pace(a.set.Bounds.Apply, a.set.Heartbeat)
+	wait, silence := distribution.PullTimeouts(a.set.Bounds.Apply, a.set.Heartbeat)
 	defer context.AfterFunc(until, func() {
 		a.linger(ctx, wait)
 		end()
@@ -97,17 +97,17 @@
 	}
 	stop := context.AfterFunc(ctx, func() { ln.Close() })
 	defer stop()
-	go distribution.Serve(ctx, ln, a.set.Nodename, a.store, 3*a.set.Heartbeat+time.Second, a.store.Fresh)
+	go distribution.Serve(ctx, ln, a.set.Nodename, a.store, 3*a.set.Heartbeat+time.Second, a.store.LastContact)
 	a.log.Info("started")
 	choice := sourceChoice{wait: wait, limit: freshFor(wait, silence)}
-	pause := distribution.Pause{Least: 10 * time.Millisecond, Most: 100 * time.Millisecond}
+	pause := distribution.Backoff{Min: 10 * time.Millisecond, Max: 100 * time.Millisecond}
 	for i := rand.IntN(max(len(a.known), 1)); ctx.Err() == nil; i++ {
 		if len(a.known) == 0 {
 			return errors.New("peers: none to ask")
 		}
 		addr := a.known[i%len(a.known)]
 		choice.begin(time.Now())
-		err := distribution.Follow(ctx, addr, a.follower(&choice, silence))
+		err := distribution.Watch(ctx, addr, a.follower(&choice, silence))
 		choice.end()
 		if ctx.Err() == nil {
 			a.log.Debug("control server left", zap.String("addr", addr), zap.Error(err))
@@ -122,33 +122,33 @@
 }
 
 // follower pulls from one control server for as long as that is in touch with the primary.
-func (a *Agent) follower(choice *sourceChoice, silence time.Duration) *distribution.Follower {
-	return &distribution.Follower{Name: a.set.Nodename, Wait: choice.wait, Silence: silence, Dial: a.Dial,
-		Members:  func() []distribution.Member { return a.lists.theirs(a.store.Members(time.Now(), 3*a.set.Heartbeat)) },
-		Have:     a.vector,
-		Take:     a.take,
-		Rested:   func(time.Time) *distribution.Outbox { return a.store.Rested },
-		Outcomes: a.store.Outcomes,
-		Goes:     func() bool { return choice.stays(time.Now(), a.age(), len(a.known)) },
-		Waits:    func() time.Duration { return choice.pullWait(a.age(), len(a.known)) },
+func (a *Agent) follower(choice *sourceChoice, silence time.Duration) *distribution.Watcher {
+	return &distribution.Watcher{Name: a.set.Nodename, MaxWait: choice.wait, ReadTimeout: silence, Dial: a.Dial,
+		Members:   func() []distribution.Member { return a.lists.theirs(a.store.Members(time.Now(), 3*a.set.Heartbeat)) },
+		Versions:  a.vector,
+		Apply:     a.take,
+		Residency: func(time.Time) *distribution.ResidencyOutbox { return a.store.Residency },
+		Outcomes:  a.store.Outcomes,
+		Continue:  func() bool { return choice.stays(time.Now(), a.age(), len(a.known)) },
+		NextWait:  func() time.Duration { return choice.pullWait(a.age(), len(a.known)) },
 	}
 }
 
 // age is how long ago the primary was last heard of, by whichever control server.
 func (a *Agent) age() time.Duration {
-	heard, _ := a.store.Fresh()
+	heard, _ := a.store.LastContact()
 	return time.Since(heard)
 }
 
 // linger waits for the last word of a proxy that ends along with this process, and for the pull that takes it along.
 func (a *Agent) linger(ctx context.Context, wait time.Duration) {
-	if !a.store.Rested.Used() {
+	if !a.store.Residency.Used() {
 		return
 	}
 	end, cancel := context.WithTimeout(ctx, a.set.Bounds.Grace-graceLeft)
 	defer cancel()
 	select {
-	case <-a.store.Rested.Ended():
+	case <-a.store.Residency.SendersDone():
 	case <-end.Done():
 		return
 	}
@@ -180,14 +180,14 @@
 	pass := *n
 	pass.Resources = nil
 	for _, p := range n.Resources {
-		a.have[p.Source] = p.At
-		if p.Source == distribution.SourceConfig {
+		a.have[p.Type] = p.Version
+		if p.Type == distribution.ConfigType {
 			pass.Resources = append(pass.Resources, p)
 		}
 	}
-	lacking = a.store.Take(&pass, time.Now())
+	lacking = a.store.Apply(&pass, time.Now())
 	for i := range n.Resources {
-		if p := &n.Resources[i]; p.Source != distribution.SourceConfig {
+		if p := &n.Resources[i]; p.Type != distribution.ConfigType {
 			a.takeSoft(p)
 		}
 	}
@@ -200,18 +200,18 @@
 
 // takeSoft takes the news of a source that is no durable state.
 func (a *Agent) takeSoft(p *distribution.Resource) {
-	switch p.Source {
-	case distribution.SourceList:
+	switch p.Type {
+	case distribution.BackendListType:
 		a.withheld.resource = p
 		return
-	case distribution.SourceCore:
-		var core distribution.Core
-		if _, err := core.UnmarshalMsg(p.Whole); err == nil {
-			a.learn(core.Pulls)
+	case distribution.ControlServersType:
+		var core distribution.ControlServers
+		if _, err := core.UnmarshalMsg(p.Snapshot); err == nil {
+			a.learn(core.PullAddrs)
 		}
-	case distribution.SourceCrowd:
-		var crowd distribution.Crowd
-		if _, err := crowd.UnmarshalMsg(p.Whole); err == nil {
+	case distribution.MembershipSizeType:
+		var crowd distribution.MembershipSize
+		if _, err := crowd.UnmarshalMsg(p.Snapshot); err == nil {
 			a.proxies = crowd.Proxies
 		}
 	}
@@ -221,26 +221,26 @@
 // pass hands a source's whole on under this process's own count.
 func (a *Agent) pass(p *distribution.Resource) {
 	a.list.Count++
-	a.store.Set(p.Source, a.list, p.Whole)
+	a.store.SetSnapshot(p.Type, a.list, p.Snapshot)
 }
 
 // passWithheld hands on the list that came from a control server, unless one that was polled here is newer than what the primary
 // is known to have said.
 func (a *Agent) passWithheld() {
-	heard, _ := a.store.Fresh()
+	heard, _ := a.store.LastContact()
 	p := a.withheld.resource
 	if p == nil || a.withheld.older(heard) {
 		return
 	}
 	a.withheld, a.polled = withheld{}, nil
 	a.pass(p)
-	a.lists.note(a.list, p.At)
+	a.lists.note(a.list, p.Version)
 }
 
 // pollAlone asks the platform itself where the control plane has not been heard for half as long as a draining backend
 // may still be sent to; all others may do the same, so each takes its part of half of the platform's rate.
 func (a *Agent) pollAlone(ctx context.Context) {
-	heard, _ := a.store.Fresh()
+	heard, _ := a.store.LastContact()
 	if a.platform == nil || time.Since(heard) < a.set.Bounds.Drain/2 || time.Now().Before(a.pollNext) {
 		return
 	}
@@ -263,9 +263,9 @@
 	}
 	a.log.Info("the control plane is silent: the platform's list is asked for here", zap.Int("backends", len(list.Backends)))
 	a.polled = b
-	delete(a.have, distribution.SourceList) // what comes from there again is news
+	delete(a.have, distribution.BackendListType) // what comes from there again is news
 	a.list.Count++
-	a.store.Set(distribution.SourceList, a.list, b)
+	a.store.SetSnapshot(distribution.BackendListType, a.list, b)
 }
 
 // assumedProxies stands for how many others may ask as well, until that is known.
--- a/internal/fleet/nodeagent/nodeagent_test.go
+++ b/internal/fleet/nodeagent/nodeagent_test.go
@@ -32,14 +32,14 @@
 		defer ln.Close()
 		s := distribution.NewCache()
 		stores[ip] = s
-		s.Set(distribution.SourceConfig, distribution.Version{Count: 1}, []byte("old"))
+		s.SetSnapshot(distribution.ConfigType, distribution.Version{Count: 1}, []byte("old"))
 		stale := ip != ips[3]
-		s.Heard("primary", time.Now())
+		s.RecordContact("primary", time.Now())
 		go distribution.Serve(ctx, ln, ip, s, 10*time.Second, func() (time.Time, string) {
 			if !stale {
-				s.Heard("primary", time.Now())
+				s.RecordContact("primary", time.Now())
 			}
-			return s.Fresh()
+			return s.LastContact()
 		})
 		set.Seeds = append(set.Seeds, net.JoinHostPort(ip, "1"))
 	}
@@ -50,7 +50,7 @@
 		over := time.After(within)
 		for {
 			changed := agent.store.Changed()
-			if at, _ := agent.store.At(distribution.SourceConfig); at.Count >= n {
+			if at, _ := agent.store.Version(distribution.ConfigType); at.Count >= n {
 				return time.Since(began)
 			}
 			select {
@@ -62,7 +62,7 @@
 	}
 	wait(1, 5*time.Second)
 	// Only the one that hears its primary gets the change, after all have been fresh for a moment.
-	stores[ips[3]].Set(distribution.SourceConfig, distribution.Version{Count: 2}, []byte("new"))
+	stores[ips[3]].SetSnapshot(distribution.ConfigType, distribution.Version{Count: 2}, []byte("new"))
 	took := wait(2, 10*time.Second)
 	c.Assert(took < 3*set.Bounds.Apply, qt.IsTrue, qt.Commentf("%v with three of four stale", took))
 	t.Logf("left the stale ones after %v", took)
@@ -84,14 +84,14 @@
 		ln, err := net.Listen("tcp", distribution.PullAddr(ip, set.Ports))
 		c.Assert(err, qt.IsNil)
 		s := distribution.NewCache()
-		s.Set(distribution.SourceConfig, distribution.Version{Count: version}, []byte("x"))
+		s.SetSnapshot(distribution.ConfigType, distribution.Version{Count: version}, []byte("x"))
 		if len(core) > 0 {
-			b, err := (&distribution.Core{Pulls: core}).MarshalMsg(nil)
+			b, err := (&distribution.ControlServers{PullAddrs: core}).MarshalMsg(nil)
 			c.Assert(err, qt.IsNil)
-			s.Set(distribution.SourceCore, distribution.Version{Count: version}, b)
+			s.SetSnapshot(distribution.ControlServersType, distribution.Version{Count: version}, b)
 		}
 		term, end := context.WithCancel(ctx)
-		go distribution.Serve(term, ln, ip, s, 10*time.Second, func() (time.Time, string) { s.Heard("p", time.Now()); return s.Fresh() })
+		go distribution.Serve(term, ln, ip, s, 10*time.Second, func() (time.Time, string) { s.RecordContact("p", time.Now()); return s.LastContact() })
 		return func() { end(); ln.Close() }
 	}
 	first := serve(ips[0], 1, distribution.PullAddr(ips[1], set.Ports))
@@ -102,7 +102,7 @@
 		over := time.After(10 * time.Second)
 		for {
 			changed := agent.store.Changed()
-			if at, _ := agent.store.At(distribution.SourceConfig); at.Count >= n {
+			if at, _ := agent.store.Version(distribution.ConfigType); at.Count >= n {
 				return
 			}
 			select {
--- a/internal/fleet/nodeagent/source_test.go
+++ b/internal/fleet/nodeagent/source_test.go
@@ -72,7 +72,7 @@
 	c := qt.New(t)
 	const heartbeat, trip = 1200 * time.Millisecond, 40 * time.Millisecond
 	for _, apply := range []time.Duration{2 * time.Second, 2500 * time.Millisecond} {
-		wait, silence := distribution.Pace(apply, heartbeat)
+		wait, silence := distribution.PullTimeouts(apply, heartbeat)
 		limit := freshFor(wait, silence)
 		worst := time.Duration(0)
 		rng := rand.New(rand.NewPCG(1, uint64(apply)))
--- a/internal/fleet/nodeagent/withheld_test.go
+++ b/internal/fleet/nodeagent/withheld_test.go
@@ -25,14 +25,14 @@
 	c.Cleanup(platform.Close)
 	set := settings.Settings{Nodename: "edge-1", Zone: "z", Provider: settings.Provider{Address: platform.Listener.Addr().String(), Rate: 42}}
 	a := New(set, zap.NewNop())
-	told, err := (&distribution.List{Backends: []distribution.Backend{{ID: "told", Service: "s"}}}).MarshalMsg(nil)
+	told, err := (&distribution.BackendList{Backends: []distribution.Backend{{ID: "told", Service: "s"}}}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	here := func() string {
-		r := a.store.Answer(c.Context(), "n", &distribution.Request{})
+		r := a.store.Fetch(c.Context(), "n", &distribution.Request{})
 		for _, p := range r.Resources {
-			if p.Source == distribution.SourceList {
-				var list distribution.List
-				_, err := list.UnmarshalMsg(p.Whole)
+			if p.Type == distribution.BackendListType {
+				var list distribution.BackendList
+				_, err := list.UnmarshalMsg(p.Snapshot)
 				c.Assert(err, qt.IsNil)
 				c.Assert(list.Backends, qt.HasLen, 1)
 				return list.Backends[0].ID
@@ -41,9 +41,9 @@
 		return ""
 	}
 	response := func(age time.Duration, resources ...distribution.Resource) *distribution.Response {
-		return &distribution.Response{FreshMs: age.Milliseconds(), Primary: "p", Resources: resources}
+		return &distribution.Response{LastContactMs: age.Milliseconds(), Primary: "p", Resources: resources}
 	}
-	list := distribution.Resource{Source: distribution.SourceList, At: distribution.Version{Epoch: 5, Count: 1}, Since: distribution.Version{Epoch: 5, Count: 1}, Whole: told}
+	list := distribution.Resource{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 5, Count: 1}, BaseVersion: distribution.Version{Epoch: 5, Count: 1}, Snapshot: told}
 	a.take(response(time.Hour, list))
 	c.Assert(here(), qt.Equals, "told", qt.Commentf("a list is better than none"))
 	poll := func() {
@@ -53,10 +53,10 @@
 	poll()
 	c.Assert(here(), qt.Equals, "polled")
 	for range 2 {
-		_, had := a.vector()[distribution.SourceList]
+		_, had := a.vector()[distribution.BackendListType]
 		c.Assert(had, qt.IsFalse, qt.Commentf("what the control plane has is news"))
 		a.take(response(time.Hour, list))
-		_, had = a.vector()[distribution.SourceList]
+		_, had = a.vector()[distribution.BackendListType]
 		c.Assert(had, qt.IsTrue, qt.Commentf("it isn't asked for again and again"))
 		c.Assert(here(), qt.Equals, "polled", qt.Commentf("the control server has not heard the primary since the poll"))
 		poll()
--- a/internal/fleet/operatorclient/operatorclient.go
+++ b/internal/fleet/operatorclient/operatorclient.go
@@ -181,7 +181,7 @@
 	if json.Unmarshal(answer.Body, &said) == nil && said.Why != "" {
 		r.Why = said.Why
 		for _, f := range said.Findings {
-			r.Findings = append(r.Findings, routingconfig.Finding{Place: f.Place, Text: f.Text})
+			r.Findings = append(r.Findings, routingconfig.Finding{Path: f.Place, Message: f.Text})
 		}
 		return r
 	}
--- a/internal/fleet/operatorclient/operatorclient_test.go
+++ b/internal/fleet/operatorclient/operatorclient_test.go
@@ -100,7 +100,7 @@
 		var no *operatorclient.Refused
 		c.Assert(errors.As(err, &no), qt.IsTrue)
 		c.Check(no, qt.DeepEquals, &operatorclient.Refused{Status: status, From: at, Why: "the configuration is invalid",
-			Findings: routingconfig.Findings{{Place: "routing[0].svc", Text: "a"}, {Text: "b"}}})
+			Findings: routingconfig.Findings{{Path: "routing[0].svc", Message: "a"}, {Message: "b"}}})
 		c.Check(calls.Load(), qt.Equals, int64(1))
 	}
 }
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -127,7 +127,7 @@
 }
 
 func (d *Detector) observe(now float64, report *distribution.OutcomeReport, o *distribution.Outcome) {
-	if o.Attempts < 0 || o.Failed < 0 || o.Slow < 0 || o.Overdue < 0 || o.Late < 0 || o.Slow > o.Paced || o.Failed+o.Paced+o.Overdue > o.Attempts {
+	if o.Attempts < 0 || o.Failed < 0 || o.Slow < 0 || o.Overdue < 0 || o.Late < 0 || o.Slow > o.Streamed || o.Failed+o.Streamed+o.Overdue > o.Attempts {
 		return
 	}
 	s := d.subjects[o.Backend]
@@ -148,7 +148,7 @@
 	t.attempts += float64(o.Attempts)
 	t.failed += float64(o.Failed)
 	t.slow += float64(o.Slow)
-	t.paced += float64(o.Paced)
+	t.paced += float64(o.Streamed)
 	t.overdue += float64(o.Overdue)
 	t.late += float64(o.Late)
 	t.answers += float64(o.Attempts - o.Failed - o.Overdue + o.Late)
--- a/internal/fleet/outlier/detector_test.go
+++ b/internal/fleet/outlier/detector_test.go
@@ -163,7 +163,7 @@
 		d := NewDetector()
 		served(d, 0, 6)
 		for p := range 8 {
-			tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 20, Paced: 10, Slow: slow})
+			tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 20, Streamed: 10, Slow: slow})
 		}
 		c.Assert(d.Step(100, group(6)), qt.HasLen, map[bool]int{true: 1}[ill])
 	}
@@ -208,7 +208,7 @@
 		served(d, 0, 6)
 		ill := distribution.Outcome{Backend: "b01", Attempts: 9, Overdue: 9}
 		if slow {
-			ill = distribution.Outcome{Backend: "b01", Attempts: 9, Paced: 9, Slow: 9}
+			ill = distribution.Outcome{Backend: "b01", Attempts: 9, Streamed: 9, Slow: 9}
 		}
 		var ejected []distribution.Ejection
 		for now := 100.0; now < 3000 && len(ejected) == 0; now += 100 {
@@ -229,7 +229,7 @@
 	c := qt.New(t)
 	d := NewDetector()
 	for p := range 8 {
-		for _, o := range []distribution.Outcome{{Attempts: 1, Failed: 9}, {Attempts: -1}, {Attempts: 3, Failed: -3, Slow: 3, Paced: 3}, {Attempts: 1, Slow: 1}, {Attempts: 1, Late: -1}} {
+		for _, o := range []distribution.Outcome{{Attempts: 1, Failed: 9}, {Attempts: -1}, {Attempts: 3, Failed: -3, Slow: 3, Streamed: 3}, {Attempts: 1, Slow: 1}, {Attempts: 1, Late: -1}} {
 			o.Backend = "b00"
 			tell(d, 0, p, "z", o)
 		}
--- a/internal/fleet/outlier/recorder.go
+++ b/internal/fleet/outlier/recorder.go
@@ -119,9 +119,9 @@
 		o.Overdue++
 		o.Late++
 	case Paced:
-		o.Paced++
+		o.Streamed++
 	case Slow:
-		o.Paced++
+		o.Streamed++
 		o.Slow++
 	case Failed:
 		o.Failed++
--- a/internal/fleet/outlier/recorder_test.go
+++ b/internal/fleet/outlier/recorder_test.go
@@ -18,7 +18,7 @@
 	r.Note("a", Slow)
 	r.Note("a", Paced)
 	c.Assert(r.Adverse(), qt.IsTrue)
-	c.Assert(r.Take(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 4, Failed: 1, Slow: 1, Paced: 2}})
+	c.Assert(r.Take(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 4, Failed: 1, Slow: 1, Streamed: 2}})
 	c.Assert(r.Adverse(), qt.IsFalse)
 	c.Assert(r.Take(), qt.IsNil)
 }
--- a/internal/fleet/proxy/departure.go
+++ b/internal/fleet/proxy/departure.go
@@ -71,7 +71,7 @@
 // Where nothing tells, it is the time left.
 func (t *try) longest(now time.Time, p *scheduler.Prompt) time.Duration {
 	left := t.deadline.Sub(now)
-	first, gap := slowAims*t.route.Target(), t.route.GapAim()
+	first, gap := slowAims*t.route.LatencyTarget(), t.route.EventGapTarget()
 	if pace := slowerPace * t.svc.slowestPace(); pace > 0 && (gap <= 0 || pace < gap) {
 		gap = pace
 	}
--- a/internal/fleet/proxy/departure_test.go
+++ b/internal/fleet/proxy/departure_test.go
@@ -15,14 +15,14 @@
 // refused.
 func TestWhatMayOutlastALeavingProxy(t *testing.T) {
 	now := time.Unix(1000, 0)
-	stream := routingconfig.RouteSpec{Kind: routingconfig.KindStream, DeadlineMs: 20_000, TargetMs: 120, GapAimMs: 150}
+	stream := routingconfig.RouteSpec{Kind: routingconfig.KindStream, DeadlineMs: 20_000, LatencyTargetMs: 120, EventGapTargetMs: 150}
 	noGap := stream
-	noGap.GapAimMs = 0
+	noGap.EventGapTargetMs = 0
 	short := stream
 	short.DeadlineMs = 2000
-	lookup := routingconfig.RouteSpec{Kind: routingconfig.KindReadonly, DeadlineMs: 20_000, TargetMs: 150}
+	lookup := routingconfig.RouteSpec{Kind: routingconfig.KindReadonly, DeadlineMs: 20_000, LatencyTargetMs: 150}
 	noAim := lookup
-	noAim.TargetMs = 0
+	noAim.LatencyTargetMs = 0
 	tokens := func(n int) *scheduler.Prompt { return &scheduler.Prompt{In: 220, Out: n} }
 	for _, tc := range []struct {
 		name   string
--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -176,7 +176,7 @@
 	}
 	doc := fmt.Sprintf(`{"ver":%d,"routing":[%s],"tenants":[%s],"svcs":[{"name":"obs","probe":"/healthz"},{"name":"llm","probe":"/healthz",`+
 		`"runtime":{"capacity":8,"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}}]}`, d.version, strings.Join(routes, ","), strings.Join(tenants, ","))
-	d.v.take(&distribution.Response{Resources: []distribution.Resource{{Source: distribution.SourceConfig, At: distribution.Version{Epoch: 1, Count: uint64(d.version)}, Whole: []byte(doc)}}})
+	d.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(d.version)}, Snapshot: []byte(doc)}}})
 	if got := d.v.world.Load(); got == nil || got.version != int64(d.version) {
 		d.find("the proxy didn't take version %d: %s", d.version, doc)
 	}
@@ -184,7 +184,7 @@
 
 // relist gives the proxy the platform's list as it is.
 func (d *drawn) relist() {
-	var list distribution.List
+	var list distribution.BackendList
 	for _, n := range d.nodes {
 		if n.listed {
 			list.Backends = append(list.Backends, distribution.Backend{ID: n.id, Service: n.service, Address: n.address, Zone: drawnZoneName(n.zone), Version: "v1", Capacity: 8,
@@ -193,7 +193,7 @@
 	}
 	whole, _ := list.MarshalMsg(nil)
 	d.count++
-	d.v.take(&distribution.Response{Resources: []distribution.Resource{{Source: distribution.SourceList, At: distribution.Version{Epoch: 1, Count: d.count}, Whole: whole}}})
+	d.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: d.count}, Snapshot: whole}}})
 }
 
 // change has one thing happen.
--- a/internal/fleet/proxy/enclosed.go
+++ b/internal/fleet/proxy/enclosed.go
@@ -42,7 +42,7 @@
 
 // enclose works out the terms of a configuration. A tenant that is not listed allows nothing.
 func (w *world) enclose(d *routingconfig.Document) {
-	all := d.Enclosed()
+	all := d.RoutesWithResidencyTerms()
 	if len(all) == 0 {
 		return
 	}
@@ -86,7 +86,7 @@
 func (t *try) enclose(w *world) {
 	t.world = w
 	t.subject.route = t.route.Name
-	if !t.route.Enclosed() {
+	if !t.route.HasResidencyTerms() {
 		return
 	}
 	t.subject.tenant = t.route.Tenant
--- a/internal/fleet/proxy/enclosed_choice_test.go
+++ b/internal/fleet/proxy/enclosed_choice_test.go
@@ -29,7 +29,7 @@
 }
 
 func runtimeOf(capacity int) *routingconfig.Service {
-	return &routingconfig.Service{Name: "llm", Runtime: &routingconfig.Runtime{Capacity: capacity, KVTokens: 100_000, KVTokenBytes: 163_840, LinkMbps: 8e6}}
+	return &routingconfig.Service{Name: "llm", Runtime: &routingconfig.Runtime{Capacity: capacity, KVCacheTokens: 100_000, KVTokenBytes: 163_840, KVTransferMbps: 8e6}}
 }
 
 // TestPlacementInside places requests over random lists, zones, phases, health, load and terms: never outside, and always
--- a/internal/fleet/proxy/enclosed_rig_test.go
+++ b/internal/fleet/proxy/enclosed_rig_test.go
@@ -126,10 +126,10 @@
 
 func (r *rig) relist(all []distribution.Backend) {
 	r.listed = all
-	whole, err := (&distribution.List{Backends: all}).MarshalMsg(nil)
+	whole, err := (&distribution.BackendList{Backends: all}).MarshalMsg(nil)
 	r.Assert(err, qt.IsNil)
 	r.count++
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Source: distribution.SourceList, At: distribution.Version{Epoch: 1, Count: r.count}, Whole: whole}}})
+	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.count}, Snapshot: whole}}})
 }
 
 // document is the configuration of these tests; terms: the item of tenants, empty for none at all.
@@ -154,7 +154,7 @@
 // configure gives the proxy a configuration in which the tenant may be held in the regions given; none: there is no tenant.
 func (r *rig) configure(regions ...string) {
 	doc := r.document(regions...)
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Source: distribution.SourceConfig, At: distribution.Version{Epoch: 1, Count: uint64(r.version)}, Whole: doc}}})
+	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(r.version)}, Snapshot: doc}}})
 	r.Assert(r.v.world.Load().version, qt.Equals, int64(r.version))
 	r.history = append(r.history, simulation.Term{From: time.Now(), Regions: regions})
 }
--- a/internal/fleet/proxy/enclosed_test.go
+++ b/internal/fleet/proxy/enclosed_test.go
@@ -347,22 +347,22 @@
 	defer cancel()
 	defer ln.Close()
 	store := distribution.NewCache()
-	go distribution.Serve(ctx, ln, "node-agent", store, time.Minute, store.Fresh)
+	go distribution.Serve(ctx, ln, "node-agent", store, time.Minute, store.LastContact)
 	port := ln.Addr().(*net.TCPAddr).Port
 	set := testSettings(testZones)
 	set.Ports = [2]int{port - 2, port}
 	set.Heartbeat = 50 * time.Millisecond
 	v := New(ctx, set, zap.NewNop())
 	defer v.pool.Close()
-	list, err := (&distribution.List{Backends: r.listed}).MarshalMsg(nil)
+	list, err := (&distribution.BackendList{Backends: r.listed}).MarshalMsg(nil)
 	r.Assert(err, qt.IsNil)
-	store.Set(distribution.SourceList, distribution.Version{Epoch: 1, Count: 1}, list)
-	store.Set(distribution.SourceConfig, distribution.Version{Epoch: 1, Count: 1}, r.document("east"))
+	store.SetSnapshot(distribution.BackendListType, distribution.Version{Epoch: 1, Count: 1}, list)
+	store.SetSnapshot(distribution.ConfigType, distribution.Version{Epoch: 1, Count: 1}, r.document("east"))
 	fed, taken := make(chan error, 1), make(chan struct{}, 8)
 	go func() {
-		fed <- distribution.Follow(ctx, distribution.NodeAgentAddr(set.Ports), &distribution.Follower{Name: "edge-1", Wait: time.Second, Silence: testPatience,
-			Members: func() []distribution.Member { return nil }, Have: func() map[string]distribution.Version { return maps.Clone(v.have) },
-			Take: func(n *distribution.Response) []string {
+		fed <- distribution.Watch(ctx, distribution.NodeAgentAddr(set.Ports), &distribution.Watcher{Name: "edge-1", MaxWait: time.Second, ReadTimeout: testPatience,
+			Members: func() []distribution.Member { return nil }, Versions: func() map[string]distribution.Version { return maps.Clone(v.have) },
+			Apply: func(n *distribution.Response) []string {
 				v.take(n)
 				select {
 				case taken <- struct{}{}:
@@ -387,8 +387,8 @@
 	}
 	awaits(residency.Within("east"))
 	body := fmt.Sprintf(`{"ver":%d,"upsert":{"tenants":[{"name":"held","regions":["mid"]}]}}`, r.version+1)
-	r.Assert(store.Append(distribution.SourceConfig, distribution.Version{Epoch: 1, Count: 1}, distribution.Version{Epoch: 1, Count: 2},
-		distribution.Change{At: distribution.Version{Epoch: 1, Count: 2}, Body: []byte(body)}, nil), qt.IsTrue)
+	r.Assert(store.AppendChange(distribution.ConfigType, distribution.Version{Epoch: 1, Count: 1}, distribution.Version{Epoch: 1, Count: 2},
+		distribution.Change{Version: distribution.Version{Epoch: 1, Count: 2}, Body: []byte(body)}, nil), qt.IsTrue)
 	awaits(residency.Within("mid"))
 	cancel()
 	<-fed
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -145,7 +145,7 @@
 		r.backends = append(r.backends, &b)
 	}
 	doc := exchangeDocument()
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Source: distribution.SourceConfig, At: distribution.Version{Epoch: 1, Count: 1}, Whole: doc}}})
+	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: doc}}})
 	r.list(true)
 	return r
 }
@@ -174,7 +174,7 @@
 // list has the proxy know the backends that the request's kind needs; alone: of the role in trouble only the one.
 func (r *exchangeRig) list(alone bool) {
 	struck := r.struckBackend()
-	var list distribution.List
+	var list distribution.BackendList
 	for _, b := range r.backends {
 		role, _, _ := strings.Cut(b.id, "-")
 		if role == "prefill" && !r.kind.staged || alone && strings.HasPrefix(struck, role) && b.id != struck {
@@ -184,7 +184,7 @@
 	}
 	whole, _ := list.MarshalMsg(nil)
 	r.version++
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Source: distribution.SourceList, At: distribution.Version{Epoch: 1, Count: r.version}, Whole: whole}}})
+	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.version}, Snapshot: whole}}})
 }
 
 func (r *exchangeRig) dial(_ context.Context, _, address string) (net.Conn, error) {
--- a/internal/fleet/proxy/feed.go
+++ b/internal/fleet/proxy/feed.go
@@ -15,15 +15,18 @@
 
 // feed pulls from the node agent for as long as the process lives.
 func (v *Proxy) feed(ctx context.Context) {
-	pause := distribution.Pause{Least: 5 * time.Millisecond, Most: 100 * time.Millisecond}
+	pause := distribution.Backoff{Min: 5 * time.Millisecond, Max: 100 * time.Millisecond}
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := distribution.Follow(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Follower{Name: v.set.Nodename, Wait: v.set.Heartbeat, Silence: time.Second,
+		err := distribution.Watch(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Watcher{Name: v.set.Nodename, MaxWait: v.set.Heartbeat, ReadTimeout: time.Second,
 			Members:  func() []distribution.Member { return []distribution.Member{v.member(time.Now())} },
-			Have:     func() map[string]distribution.Version { return maps.Clone(v.have) },
-			Take:     func(n *distribution.Response) []string { v.take(n); return nil },
+			Versions: func() map[string]distribution.Version { return maps.Clone(v.have) },
+			Apply:    func(n *distribution.Response) []string { v.take(n); return nil },
 			Outcomes: v.outcomes,
-			Rested:   func(now time.Time) *distribution.Outbox { v.enclosed.hand(now, v.rested, false); return v.rested }})
+			Residency: func(now time.Time) *distribution.ResidencyOutbox {
+				v.enclosed.hand(now, v.rested, false)
+				return v.rested
+			}})
 		if ctx.Err() != nil {
 			return
 		}
@@ -34,9 +37,9 @@
 
 // member is this proxy as its lease tells of it.
 func (v *Proxy) member(now time.Time) distribution.Member {
-	m := distribution.Member{Name: v.set.Nodename, Zone: v.set.Zone, List: v.have[distribution.SourceList]}
+	m := distribution.Member{Name: v.set.Nodename, Zone: v.set.Zone, BackendListVersion: v.have[distribution.BackendListType]}
 	if v.doc != nil {
-		m.Config, m.SinceM = v.doc.Version(), now.Sub(v.docAt).Milliseconds()
+		m.ConfigVersion, m.ConfigAgeMs = v.doc.Version(), now.Sub(v.docAt).Milliseconds()
 	}
 	return m
 }
@@ -47,12 +50,12 @@
 	for i := range n.Resources {
 		p := &n.Resources[i]
 		if err := v.takePiece(p); err != nil {
-			v.log.Warn("news not understood", zap.String("source", p.Source), zap.Error(err))
-			delete(v.have, p.Source)
+			v.log.Warn("news not understood", zap.String("source", p.Type), zap.Error(err))
+			delete(v.have, p.Type)
 			continue
 		}
-		v.have[p.Source] = p.At
-		news = news || p.Source != distribution.SourceGauges && p.Source != distribution.SourceEjections
+		v.have[p.Type] = p.Version
+		news = news || p.Type != distribution.LoadReportType && p.Type != distribution.EjectionsType
 	}
 	if news {
 		v.turn()
@@ -60,16 +63,16 @@
 }
 
 func (v *Proxy) takePiece(p *distribution.Resource) error {
-	switch p.Source {
-	case distribution.SourceConfig:
+	switch p.Type {
+	case distribution.ConfigType:
 		doc := v.doc
-		if p.Whole != nil {
-			d, found := routingconfig.Decode(p.Whole)
+		if p.Snapshot != nil {
+			d, found := routingconfig.Decode(p.Snapshot)
 			if err := found.Err(); err != nil {
 				return err
 			}
 			doc = d
-		} else if v.have[p.Source] != p.Since {
+		} else if v.have[p.Type] != p.BaseVersion {
 			return errors.New("changes of a version that is not had")
 		}
 		for _, c := range p.Changes {
@@ -87,29 +90,29 @@
 			v.doc, v.docAt = doc, time.Now()
 			v.log.Info("configuration in force", zap.Int64("version", doc.Version()), zap.Int("routes", doc.NumRoutes()))
 		}
-	case distribution.SourceList:
-		var list distribution.List
-		if _, err := list.UnmarshalMsg(p.Whole); err != nil {
+	case distribution.BackendListType:
+		var list distribution.BackendList
+		if _, err := list.UnmarshalMsg(p.Snapshot); err != nil {
 			return err
 		}
 		v.list, v.listed = list, true
-	case distribution.SourceCrowd:
-		var crowd distribution.Crowd
-		if _, err := crowd.UnmarshalMsg(p.Whole); err != nil {
+	case distribution.MembershipSizeType:
+		var crowd distribution.MembershipSize
+		if _, err := crowd.UnmarshalMsg(p.Snapshot); err != nil {
 			return err
 		}
 		v.proxies, v.neighbours = max(crowd.Proxies, 1), max(crowd.Zones[v.set.Zone], 1)
-	case distribution.SourceGauges:
-		var gauges distribution.Gauges
-		if _, err := gauges.UnmarshalMsg(p.Whole); err != nil {
+	case distribution.LoadReportType:
+		var gauges distribution.LoadReport
+		if _, err := gauges.UnmarshalMsg(p.Snapshot); err != nil {
 			return err
 		}
 		for _, s := range v.services {
-			s.gauged(gauges.Active, gauges.Silent)
+			s.gauged(gauges.Active, gauges.Unresponsive)
 		}
-	case distribution.SourceEjections:
+	case distribution.EjectionsType:
 		var all distribution.Ejections
-		if _, err := all.UnmarshalMsg(p.Whole); err != nil {
+		if _, err := all.UnmarshalMsg(p.Snapshot); err != nil {
 			return err
 		}
 		for _, s := range v.services {
--- a/internal/fleet/proxy/generate.go
+++ b/internal/fleet/proxy/generate.go
@@ -117,9 +117,9 @@
 			split = reads < 2 && t.allowed()
 		}
 		if h != nil {
-			pl, ok = t.svc.takerFor(h.from, t.repeatable(), p, t.route.Target(), t.tried, terms)
+			pl, ok = t.svc.takerFor(h.from, t.repeatable(), p, t.route.LatencyTarget(), t.tried, terms)
 		} else {
-			pl, ok = t.svc.placeFor(t.route.Name, t.repeatable(), p, t.route.Target(), t.tried, split, terms)
+			pl, ok = t.svc.placeFor(t.route.Name, t.repeatable(), p, t.route.LatencyTarget(), t.tried, split, terms)
 		}
 		if !ok {
 			t.giveUp(ctx, "no backend")
--- a/internal/fleet/proxy/ledger.go
+++ b/internal/fleet/proxy/ledger.go
@@ -125,14 +125,14 @@
 
 // hand puts what changed in the ledger into batches, where that is due or the process ends. Nothing is done while nothing
 // changed; while the control plane keeps nothing, what changes waits in the ledger.
-func (e *enclosed) hand(now time.Time, out *distribution.Outbox, ending bool) {
+func (e *enclosed) hand(now time.Time, out *distribution.ResidencyOutbox, ending bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := &e.ledger
 	if !l.changed || !ending && (now.Before(l.soon) || now.Before(l.next) && !l.fresh) {
 		return
 	}
-	if out.OpenOf(l.process) >= residencyreport.MaxOpen {
+	if out.PendingOf(l.process) >= residencyreport.MaxOpen {
 		return
 	}
 	l.next, l.soon = now.Add(batchEvery), now.Add(firstSight)
@@ -174,12 +174,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOverWithin)
 	defer cancel()
-	_ = distribution.Follow(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Follower{Name: v.set.Nodename, Silence: handOverWithin,
-		Members: func() []distribution.Member { return nil },
-		Have:    func() map[string]distribution.Version { return nil },
-		Take:    func(*distribution.Response) []string { return nil },
-		Rested:  func(time.Time) *distribution.Outbox { return v.rested },
-		Ends:    true})
+	_ = distribution.Watch(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Watcher{Name: v.set.Nodename, ReadTimeout: handOverWithin,
+		Members:   func() []distribution.Member { return nil },
+		Versions:  func() map[string]distribution.Version { return nil },
+		Apply:     func(*distribution.Response) []string { return nil },
+		Residency: func(time.Time) *distribution.ResidencyOutbox { return v.rested },
+		Final:     true})
 }
 
 // handOverWithin bounds the last word to the node agent.
--- a/internal/fleet/proxy/ledger_test.go
+++ b/internal/fleet/proxy/ledger_test.go
@@ -37,8 +37,8 @@
 	c := qt.New(t)
 	e, east, west := newNoter(c)
 	at := func(s int) time.Time { return time.Unix(1_000_000+int64(s), 0) }
-	out := distribution.NewOutbox()
-	open := func() []residencyreport.Batch { all, _ := out.Open(); return all }
+	out := distribution.NewResidencyOutbox()
+	open := func() []residencyreport.Batch { all, _ := out.Pending(); return all }
 
 	e.hand(at(0), out, false)
 	c.Assert(open(), qt.HasLen, 0)
@@ -91,12 +91,12 @@
 	c := qt.New(t)
 	e, east, _ := newNoter(c)
 	now := time.Unix(1_000_000, 0)
-	out := distribution.NewOutbox()
+	out := distribution.NewResidencyOutbox()
 	const tenants, rounds = residencyreport.MaxBatch + 44, 40
 	sums := map[residencyreport.Pair]int64{}
 	last := uint64(0)
 	drain := func() {
-		open, _ := out.Open()
+		open, _ := out.Pending()
 		for _, b := range open {
 			c.Assert(b.N, qt.Equals, last+1)
 			c.Assert(len(b.Entries) <= residencyreport.MaxBatch, qt.IsTrue)
@@ -105,7 +105,7 @@
 			}
 			last = b.N
 		}
-		out.Keep(residencyreport.Kept{Process: e.ledger.process, N: last})
+		out.Acknowledge(residencyreport.Kept{Process: e.ledger.process, N: last})
 	}
 	for range rounds {
 		for i := range tenants {
@@ -113,10 +113,10 @@
 		}
 		now = now.Add(batchEvery)
 		e.hand(now, out, false)
-		open, _ := out.Open()
+		open, _ := out.Pending()
 		c.Assert(len(open) <= residencyreport.MaxOpen, qt.IsTrue)
 	}
-	c.Assert(out.OpenOf(e.ledger.process), qt.Equals, residencyreport.MaxOpen)
+	c.Assert(out.PendingOf(e.ledger.process), qt.Equals, residencyreport.MaxOpen)
 	for range 4 {
 		drain()
 		now = now.Add(batchEvery)
--- a/internal/fleet/proxy/outcomes.go
+++ b/internal/fleet/proxy/outcomes.go
@@ -38,7 +38,7 @@
 
 // slowBound is how long an attempt may last before it counts as slow, ms, where it usually lasts so long.
 func (t *try) slowBound(usual float64) float64 {
-	return slowTimes*usual + leastSlowAim*float64(t.route.Target().Milliseconds())
+	return slowTimes*usual + leastSlowAim*float64(t.route.LatencyTarget().Milliseconds())
 }
 
 // attempt is a send whose end is told to the fleet.
--- a/internal/fleet/proxy/proxy.go
+++ b/internal/fleet/proxy/proxy.go
@@ -41,15 +41,15 @@
 	background sync.WaitGroup
 	statuses   *xsync.Map[int, *xsync.Counter]
 	enclosed   *enclosed
-	rested     *distribution.Outbox // batches of the ledger, until they are kept
-	outcomes   *distribution.OutcomeBox
+	rested     *distribution.ResidencyOutbox // batches of the ledger, until they are kept
+	outcomes   *distribution.OutcomeQueue
 
 	// What follows belongs to the feed's goroutine.
 	have     map[string]distribution.Version
 	services map[string]*service
 	doc      *routingconfig.Document
 	docAt    time.Time // when that came into force
-	list     distribution.List
+	list     distribution.BackendList
 	listed   bool
 	proxies  int
 	// neighbours is how many of the proxies are in this one's zone.
@@ -81,7 +81,7 @@
 	}
 	room := max(files-reserved, 64)
 	v := &Proxy{ctx: ctx, set: set, log: log, life: lifecycle.New(), served: make(chan struct{}), have: map[string]distribution.Version{}, services: map[string]*service{}, proxies: assumedProxies, neighbours: assumedProxies,
-		statuses: xsync.NewMap[int, *xsync.Counter](), enclosed: newEnclosed(), rested: distribution.NewOutbox(), outcomes: distribution.NewOutcomeBox()}
+		statuses: xsync.NewMap[int, *xsync.Counter](), enclosed: newEnclosed(), rested: distribution.NewResidencyOutbox(), outcomes: distribution.NewOutcomeQueue()}
 	dialer := &net.Dialer{KeepAlive: -1, Control: sockets.UserTimeout(set.Bounds.Contact)}
 	pool := transport.New(transport.Options{Dial: dialer.DialContext, Timeout: connectWithin, Idle: 10 * time.Second, Most: room / 2,
 		Settle: time.Millisecond, Resting: 4})
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -194,7 +194,7 @@
 	const most = 10_000
 	r := newRig(t, everywhere(nil)...)
 	doc := strings.Replace(string(r.document()), `"svcs":`, fmt.Sprintf(`"caps":{"body_max_bytes":%d},"svcs":`, most), 1)
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Source: distribution.SourceConfig, At: distribution.Version{Epoch: 1, Count: 1}, Whole: []byte(doc)}}})
+	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: []byte(doc)}}})
 	for _, chunked := range []bool{false, true} {
 		for _, size := range []int{most, most + 1, 3 << 20} {
 			q := ask("post", 0, 0, [2]int{})
--- a/internal/fleet/proxy/serve.go
+++ b/internal/fleet/proxy/serve.go
@@ -106,8 +106,8 @@
 		}
 	}
 	most := int64(4 << 20)
-	if l := world.limits; l != nil && l.BodyBytes > 0 {
-		most = l.BodyBytes
+	if l := world.limits; l != nil && l.MaxBodyBytes > 0 {
+		most = l.MaxBodyBytes
 	}
 	if r.ContentLength > most {
 		w.Header().Set("Connection", "close")
@@ -192,7 +192,7 @@
 
 // couldAgain tells whether the request itself bears another send: by its kind, its tries and its time.
 func (t *try) couldAgain() bool {
-	return (!t.ran || t.route.Idempotent()) && t.sends < max(t.route.Tries, 1) && time.Until(t.deadline) >= 5*time.Millisecond
+	return (!t.ran || t.route.Idempotent()) && t.sends < max(t.route.MaxAttempts, 1) && time.Until(t.deadline) >= 5*time.Millisecond
 }
 
 // mayAgain tells whether the request may be sent to another backend now, and takes that from the allowance.
@@ -200,7 +200,7 @@
 
 // repeatable tells whether the request can be served by another backend if its next send fails.
 func (t *try) repeatable() bool {
-	return t.route.Idempotent() && t.sends+1 < t.route.Tries && time.Until(t.deadline) > t.route.Target()
+	return t.route.Idempotent() && t.sends+1 < t.route.MaxAttempts && time.Until(t.deadline) > t.route.LatencyTarget()
 }
 
 // wouldAgain is mayAgain without taking from the allowance.
@@ -262,7 +262,7 @@
 // backend without power nothing ever comes.
 func (t *try) connectBy() time.Time {
 	within := connectWithin
-	if aim := t.route.Target(); aim > 0 {
+	if aim := t.route.LatencyTarget(); aim > 0 {
 		within = min(max(aim/2, connectLeast), connectWithin)
 	}
 	return time.Now().Add(within)
@@ -270,7 +270,7 @@
 
 // headBy is until when an attempt waits for the head of its answer.
 func (t *try) headBy() time.Time {
-	if aim := t.route.Target(); t.route.Idempotent() && aim > 0 && t.sends+1 < t.route.Tries {
+	if aim := t.route.LatencyTarget(); t.route.Idempotent() && aim > 0 && t.sends+1 < t.route.MaxAttempts {
 		if by := time.Now().Add(max(silentAims*aim, 200*time.Millisecond)); by.Before(t.deadline) {
 			return by
 		}
--- a/internal/fleet/proxy/service.go
+++ b/internal/fleet/proxy/service.go
@@ -72,7 +72,7 @@
 	if !s.model {
 		return
 	}
-	set := scheduler.Engine{Capacity: c.Runtime.Capacity, KVTokens: int(c.Runtime.KVTokens), KVBytes: c.Runtime.KVTokenBytes, LinkMbps: c.Runtime.LinkMbps}
+	set := scheduler.Engine{Capacity: c.Runtime.Capacity, KVTokens: int(c.Runtime.KVCacheTokens), KVBytes: c.Runtime.KVTokenBytes, LinkMbps: c.Runtime.KVTransferMbps}
 	if s.engines == nil {
 		s.engines = scheduler.New(set)
 		s.relist()
@@ -210,7 +210,7 @@
 		return
 	}
 	least := 0
-	if len(active) >= distribution.MaxGauges {
+	if len(active) >= distribution.MaxLoadReportBackends {
 		least = slices.Min(slices.Collect(maps.Values(active)))
 	}
 	now := s.now()
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -288,7 +288,7 @@
 		if !t.mayAgain() {
 			return false
 		}
-		pl, ok := t.svc.placeFor(t.route.Name, false, p, t.route.Target(), t.tried, false, t.terms())
+		pl, ok := t.svc.placeFor(t.route.Name, false, p, t.route.LatencyTarget(), t.tried, false, t.terms())
 		if !ok {
 			return false
 		}
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -101,7 +101,7 @@
 	for _, o := range s.outcomes(true) {
 		told[o.Backend] = o
 	}
-	c.Assert(told, qt.DeepEquals, map[string]distribution.Outcome{"d0": {Backend: "d0", Attempts: 1, Paced: 1}, "d1": {Backend: "d1", Attempts: 1, Paced: 1, Slow: 1}})
+	c.Assert(told, qt.DeepEquals, map[string]distribution.Outcome{"d0": {Backend: "d0", Attempts: 1, Streamed: 1}, "d1": {Backend: "d1", Attempts: 1, Streamed: 1, Slow: 1}})
 }
 
 // TestOverdueAttemptsAreTold: the fleet hears of an attempt that waits far longer than usual before it ends.
--- a/internal/fleet/routingconfig/checks.go
+++ b/internal/fleet/routingconfig/checks.go
@@ -19,35 +19,35 @@
 	return c
 }
 
-// inRegions notes names that the caller's checks don't know; places are told only for findings.
-func inRegions(checks []Check, regions []string, found *Findings, place func() string) {
+// checkKnownRegions notes names that the caller's checks don't know; places are told only for findings.
+func checkKnownRegions(checks []Check, regions []string, found *Findings, path func() string) {
 	for _, c := range checks {
 		for i, name := range regions {
 			if len(c.regions) > 0 && name != "" && !c.regions[name] {
-				found.add(place()+"."+indexed("regions", i), "the deployment has no region %q", name)
+				found.add(path()+"."+indexed("regions", i), "the deployment has no region %q", name)
 			}
 		}
 	}
 }
 
-// checkTerms notes when a route, whose place is given, names a tenant that isn't listed or a region that isn't its tenant's.
-func checkTerms(r *routeItem, tenants map[string]*tenantItem, found *Findings, place func() string) {
+// checkResidencyTerms notes when a route, whose place is given, names a tenant that isn't listed or a region that isn't its tenant's.
+func checkResidencyTerms(r *routeItem, tenants map[string]*tenantItem, found *Findings, path func() string) {
 	if r.Tenant == "" {
 		return
 	}
 	t := tenants[r.Tenant]
 	if t == nil {
-		found.add(place()+".tenant", "the tenant %q is not listed", r.Tenant)
+		found.add(path()+".tenant", "the tenant %q is not listed", r.Tenant)
 		return
 	}
 	for i, name := range r.Regions {
 		if name != "" && !slices.Contains(t.Regions, name) {
-			found.add(place()+"."+indexed("regions", i), "%q is not among the regions of the tenant %q", name, r.Tenant)
+			found.add(path()+"."+indexed("regions", i), "%q is not among the regions of the tenant %q", name, r.Tenant)
 		}
 	}
 }
 
-func byName(tenants []*tenantItem) map[string]*tenantItem {
+func tenantsByName(tenants []*tenantItem) map[string]*tenantItem {
 	if len(tenants) == 0 {
 		return nil
 	}
@@ -58,17 +58,17 @@
 	return out
 }
 
-// address is what no two routes share: host in lower case, and prefix.
-type address struct{ host, prefix string }
+// routeMatch is what no two routes share: host in lower case, and prefix.
+type routeMatch struct{ host, prefix string }
 
-func (r *RouteSpec) address() address { return address{lowerHost(r.Hostname), r.Prefix} }
+func (r *RouteSpec) match() routeMatch { return routeMatch{lowerHost(r.Hostname), r.Prefix} }
 
-// checkAddress notes when an earlier route of the list has the route's host and prefix.
-func checkAddress(r *routeItem, i int, taken map[address]int, list string, found *Findings) {
+// checkDuplicateMatch notes when an earlier route of the list has the route's host and prefix.
+func checkDuplicateMatch(r *routeItem, i int, taken map[routeMatch]int, list string, found *Findings) {
 	if r.Hostname == "" || r.Prefix == "" {
 		return
 	}
-	a := r.address()
+	a := r.match()
 	if first, ok := taken[a]; ok {
 		found.add(indexed(list, i), "has the same hostname and pfx as %s", indexed(list, first))
 		return
@@ -77,13 +77,13 @@
 }
 
 // checkServices notes services of the route, whose place is given, that aren't known.
-func checkServices(r *routeItem, known map[string]bool, found *Findings, place func() string) {
+func checkServices(r *routeItem, known map[string]bool, found *Findings, path func() string) {
 	if r.ServiceName != "" && !known[r.ServiceName] {
-		found.add(place()+".svc", "the service %q is not known", r.ServiceName)
+		found.add(path()+".svc", "the service %q is not known", r.ServiceName)
 	}
 	for i, s := range r.Split {
 		if s.ServiceName != "" && !known[s.ServiceName] {
-			found.add(place()+"."+indexed("shares", i)+".svc", "the service %q is not known", s.ServiceName)
+			found.add(path()+"."+indexed("shares", i)+".svc", "the service %q is not known", s.ServiceName)
 		}
 	}
 }
--- a/internal/fleet/routingconfig/decode.go
+++ b/internal/fleet/routingconfig/decode.go
@@ -18,7 +18,7 @@
 // Replace is Decode for a configuration sent on top of current (nil: none yet); its version must be above current's.
 func Replace(current *Document, body []byte, checks ...Check) (*Document, Findings) {
 	var found Findings
-	top := open(body, &found)
+	top := parseObject(body, &found)
 	if top == nil {
 		return nil, found
 	}
@@ -54,7 +54,7 @@
 	if !absent(tenants) {
 		d.tenants = top.tenants("tenants", tenants)
 	}
-	if caps := top.within("caps"); !absent(d.caps) && caps.is(d.caps) {
+	if caps := top.child("caps"); !absent(d.caps) && caps.requireObject(d.caps) {
 		d.limits = caps.limits(d.caps)
 	}
 
@@ -62,18 +62,18 @@
 	for _, s := range d.services {
 		known[s.Name] = true
 	}
-	listed := byName(d.tenants)
+	listed := tenantsByName(d.tenants)
 	for i, t := range d.tenants {
-		inRegions(checks, t.Regions, &found, func() string { return indexed("tenants", i) })
+		checkKnownRegions(checks, t.Regions, &found, func() string { return indexed("tenants", i) })
 	}
-	taken := make(map[address]int, len(d.routes))
+	taken := make(map[routeMatch]int, len(d.routes))
 	for i, r := range d.routes {
 		checkServices(r, known, &found, func() string { return indexed("routing", i) })
-		if r.Enclosed() {
-			inRegions(checks, r.Regions, &found, func() string { return indexed("routing", i) })
-			checkTerms(r, listed, &found, func() string { return indexed("routing", i) })
+		if r.HasResidencyTerms() {
+			checkKnownRegions(checks, r.Regions, &found, func() string { return indexed("routing", i) })
+			checkResidencyTerms(r, listed, &found, func() string { return indexed("routing", i) })
 		}
-		checkAddress(r, i, taken, "routing", &found)
+		checkDuplicateMatch(r, i, taken, "routing", &found)
 	}
 	if len(found) > 0 {
 		return nil, found
@@ -81,8 +81,8 @@
 	return d, nil
 }
 
-// open checks that body can be read as one object; nil, with findings, when it can't.
-func open(body []byte, found *Findings) *object {
+// parseObject checks that body can be read as one object; nil, with findings, when it can't.
+func parseObject(body []byte, found *Findings) *object {
 	if checkText(body, found); len(*found) > 0 {
 		return nil
 	}
@@ -100,7 +100,7 @@
 		return 0
 	}
 	var v int64
-	if !o.whole("ver", raw, &v) {
+	if !o.integerValue("ver", raw, &v) {
 		return 0
 	}
 	o.check("ver", v, ruleVersion...)
@@ -112,7 +112,7 @@
 
 // routes reads a list of routes with names that differ. A list that is null is empty.
 func (o *object) routes(key string, raw json.RawMessage) []*routeItem {
-	if absent(raw) || !o.isList(key, raw) {
+	if absent(raw) || !o.requireList(key, raw) {
 		return nil
 	}
 	var out []*routeItem
@@ -127,7 +127,7 @@
 
 // services reads a list of services with names that differ. A list that is null is empty.
 func (o *object) services(key string, raw json.RawMessage) []*serviceItem {
-	if absent(raw) || !o.isList(key, raw) {
+	if absent(raw) || !o.requireList(key, raw) {
 		return nil
 	}
 	var out []*serviceItem
@@ -143,7 +143,7 @@
 // tenants reads a list of tenants with names that differ; never nil.
 func (o *object) tenants(key string, raw json.RawMessage) []*tenantItem {
 	out := []*tenantItem{}
-	if absent(raw) || !o.isList(key, raw) {
+	if absent(raw) || !o.requireList(key, raw) {
 		return out
 	}
 	names := make(map[string]int)
@@ -161,21 +161,21 @@
 		return
 	}
 	if first, ok := names[name]; ok {
-		o.found.add(o.at(indexed(key, i)+".name"), "%q is the name of %s too", name, o.at(indexed(key, first)))
+		o.found.add(o.fieldPath(indexed(key, i)+".name"), "%q is the name of %s too", name, o.fieldPath(indexed(key, first)))
 		return
 	}
 	names[name] = i
 }
 
-// list reads a list of names. One that is null is empty.
-func (o *object) list(key string, raw json.RawMessage) map[string]bool {
-	if absent(raw) || !o.isList(key, raw) {
+// nameSet reads a list of names. One that is null is empty.
+func (o *object) nameSet(key string, raw json.RawMessage) map[string]bool {
+	if absent(raw) || !o.requireList(key, raw) {
 		return nil
 	}
 	out := make(map[string]bool)
 	eachItem(raw, func(i int, v json.RawMessage) {
 		if v[0] != '"' {
-			o.found.add(o.at(indexed(key, i)), "must be a string")
+			o.found.add(o.fieldPath(indexed(key, i)), "must be a string")
 			return
 		}
 		out[string(unquote(v))] = true
