--- a/internal/fleet/routingconfig/fields.go
+++ b/internal/fleet/routingconfig/fields.go
@@ -12,7 +12,7 @@
 
 // The rules of single fields. Those that look at several items stand in decode.go.
 var (
-	ruleGiven    = validation.Required.Error("must be given and not be empty")
+	ruleRequired = validation.Required.Error("must be given and not be empty")
 	rulePositive = []validation.Rule{
 		validation.Required.Error("must be above 0"),
 		validation.Min(0.0).Exclusive().Error("must be above 0"),
@@ -31,58 +31,58 @@
 
 // object is an object being read. Its place is told only for a finding.
 type object struct {
-	found *Findings
-	names map[string]string // strings already made, so that items share them
-	owner *object           // nil for the body itself
-	key   string            // where in the owner
-	index int               // where in the list at key; -1 when there is no list
+	found  *Findings
+	names  map[string]string // strings already made, so that items share them
+	parent *object           // nil for the body itself
+	key    string            // where in the owner
+	index  int               // where in the list at key; -1 when there is no list
 }
 
-// place is the way to the object from the body.
-func (o *object) place() string {
-	if o.owner == nil {
+// pathString is the way to the object from the body.
+func (o *object) path() string {
+	if o.parent == nil {
 		return ""
 	}
 	if o.index < 0 {
-		return o.owner.at(o.key)
+		return o.parent.fieldPath(o.key)
 	}
-	return o.owner.at(indexed(o.key, o.index))
+	return o.parent.fieldPath(indexed(o.key, o.index))
 }
 
-// at is the place of a field.
-func (o *object) at(key string) string {
-	if place := o.place(); place != "" {
-		return place + "." + key
+// fieldPath is the place of a field.
+func (o *object) fieldPath(key string) string {
+	if path := o.path(); path != "" {
+		return path + "." + key
 	}
 	return key
 }
 
-// within is the object at a key of this one.
-func (o *object) within(key string) *object { return o.item(key, -1) }
+// child is the object at a key of this one.
+func (o *object) child(key string) *object { return o.item(key, -1) }
 
 // item is the object at an index of the list at a key of this one.
 func (o *object) item(key string, index int) *object {
-	return &object{found: o.found, names: o.names, owner: o, key: key, index: index}
+	return &object{found: o.found, names: o.names, parent: o, key: key, index: index}
 }
 
 func indexed(key string, i int) string { return key + "[" + strconv.Itoa(i) + "]" }
 
 func (o *object) check(key string, value any, rules ...validation.Rule) {
 	if err := validation.Validate(value, rules...); err != nil {
-		o.found.add(o.at(key), "%s", err.Error())
+		o.found.add(o.fieldPath(key), "%s", err.Error())
 	}
 }
 
 // absent tells whether a value counts as not given.
 func absent(raw json.RawMessage) bool { return len(raw) == 0 || raw[0] == 'n' }
 
-// text reads a string.
-func (o *object) text(key string, raw json.RawMessage, into *string) {
+// stringValue reads a string.
+func (o *object) stringValue(key string, raw json.RawMessage, into *string) {
 	if absent(raw) {
 		return
 	}
 	if raw[0] != '"' {
-		o.found.add(o.at(key), "must be a string")
+		o.found.add(o.fieldPath(key), "must be a string")
 		return
 	}
 	b := unquote(raw)
@@ -94,87 +94,87 @@
 	*into = s
 }
 
-// flag reads true or false.
-func (o *object) flag(key string, raw json.RawMessage, into *bool) {
+// boolValue reads true or false.
+func (o *object) boolValue(key string, raw json.RawMessage, into *bool) {
 	if absent(raw) {
 		return
 	}
 	if raw[0] != 't' && raw[0] != 'f' {
-		o.found.add(o.at(key), "must be true or false")
+		o.found.add(o.fieldPath(key), "must be true or false")
 		return
 	}
 	*into = raw[0] == 't'
 }
 
-// number reads a number.
-func (o *object) number(key string, raw json.RawMessage, into *float64) bool {
+// numberValue reads a number.
+func (o *object) numberValue(key string, raw json.RawMessage, into *float64) bool {
 	if absent(raw) {
 		return false
 	}
 	if raw[0] != '-' && (raw[0] < '0' || raw[0] > '9') {
-		o.found.add(o.at(key), "must be a number")
+		o.found.add(o.fieldPath(key), "must be a number")
 		return false
 	}
 	f, err := strconv.ParseFloat(string(raw), 64)
 	if err != nil {
-		o.found.add(o.at(key), "the number is too large")
+		o.found.add(o.fieldPath(key), "the number is too large")
 		return false
 	}
 	*into = f
 	return true
 }
 
-// whole reads a whole number; 7.0 and 7e0 are whole too.
-func (o *object) whole(key string, raw json.RawMessage, into *int64) bool {
+// integerValue reads a whole number; 7.0 and 7e0 are whole too.
+func (o *object) integerValue(key string, raw json.RawMessage, into *int64) bool {
 	if n, err := strconv.ParseInt(string(raw), 10, 64); err == nil {
 		*into = n
 		return true
 	}
 	var f float64
-	if !o.number(key, raw, &f) {
+	if !o.numberValue(key, raw, &f) {
 		return false
 	}
 	if f != math.Trunc(f) || math.Abs(f) >= 1<<63 {
-		o.found.add(o.at(key), "must be a whole number of at most 64 bits")
+		o.found.add(o.fieldPath(key), "must be a whole number of at most 64 bits")
 		return false
 	}
 	*into = int64(f)
 	return true
 }
 
-// count reads a whole number that isn't negative.
-func (o *object) count(key string, raw json.RawMessage, into *int64) {
-	if o.whole(key, raw, into) {
+// nonNegativeInteger reads a whole number that isn't negative.
+func (o *object) nonNegativeInteger(key string, raw json.RawMessage, into *int64) {
+	if o.integerValue(key, raw, into) {
 		o.check(key, *into, ruleCount)
 	}
 }
 
-// small is count for an int.
-func (o *object) small(key string, raw json.RawMessage, into *int) {
+// nonNegativeInt is count for an int.
+func (o *object) nonNegativeInt(key string, raw json.RawMessage, into *int) {
 	var n int64
-	o.count(key, raw, &n)
+	o.nonNegativeInteger(key, raw, &n)
 	*into = int(min(max(n, 0), math.MaxInt32))
 }
 
-// measure reads a number that isn't negative.
-func (o *object) measure(key string, raw json.RawMessage, into *float64) {
-	if o.number(key, raw, into) {
+// nonNegativeNumber reads a number that isn't negative.
+func (o *object) nonNegativeNumber(key string, raw json.RawMessage, into *float64) {
+	if o.numberValue(key, raw, into) {
 		o.check(key, *into, ruleNotNegative)
 	}
 }
 
-// is tells whether the value of this object is one, and notes a finding where it isn't.
-func (o *object) is(raw json.RawMessage) bool {
+// requireObject tells whether the value of this object is one, and notes a finding where it isn't.
+func (o *object) requireObject(raw json.RawMessage) bool {
 	if raw[0] != '{' {
-		o.found.add(o.place(), "must be an object")
+		o.found.add(o.path(), "must be an object")
 	}
 	return raw[0] == '{'
 }
 
-// isList tells whether the value at key is a list, and notes a finding where it isn't.
-func (o *object) isList(key string, raw json.RawMessage) bool {
+// requireList tells whether the value at key is a list, and notes a finding where it isn't.
+func (o *object) requireList(key string, raw json.RawMessage) bool {
 	if raw[0] != '[' {
-		o.found.add(o.at(key), "must be a list")
+		o.found.add(o.fieldPath(key), "must be a list")
 	}
 	return raw[0] == '['
 }
@@ -182,7 +182,7 @@
 // route reads one route.
 func (o *object) route(raw json.RawMessage) *routeItem {
 	r := &routeItem{raw: raw}
-	if !o.is(raw) {
+	if !o.requireObject(raw) {
 		return r
 	}
 	var shares json.RawMessage
@@ -190,50 +190,50 @@
 	eachField(raw, func(k []byte, v json.RawMessage) {
 		switch string(k) {
 		case "name":
-			o.text("name", v, &r.Name)
+			o.stringValue("name", v, &r.Name)
 		case "hostname":
-			o.text("hostname", v, &r.Hostname)
+			o.stringValue("hostname", v, &r.Hostname)
 		case "pfx":
-			o.text("pfx", v, &r.Prefix)
+			o.stringValue("pfx", v, &r.Prefix)
 		case "kind":
-			o.text("kind", v, &r.Kind)
+			o.stringValue("kind", v, &r.Kind)
 		case "deadline_ms":
-			timed = o.number("deadline_ms", v, &r.DeadlineMs) || absent(v)
+			timed = o.numberValue("deadline_ms", v, &r.DeadlineMs) || absent(v)
 		case "target_ms":
-			o.measure("target_ms", v, &r.TargetMs)
+			o.nonNegativeNumber("target_ms", v, &r.LatencyTargetMs)
 		case "prio":
-			o.small("prio", v, &r.Priority)
+			o.nonNegativeInt("prio", v, &r.Priority)
 		case "svc":
-			o.text("svc", v, &r.ServiceName)
+			o.stringValue("svc", v, &r.ServiceName)
 		case "shares":
 			shares = v
 		case "tries":
-			o.small("tries", v, &r.Tries)
+			o.nonNegativeInt("tries", v, &r.MaxAttempts)
 		case "pin":
-			o.flag("pin", v, &r.Pin)
+			o.boolValue("pin", v, &r.PrefixAffinity)
 		case "resumable":
-			o.flag("resumable", v, &r.Resumable)
+			o.boolValue("resumable", v, &r.Resumable)
 		case "gap_aim_ms":
-			o.measure("gap_aim_ms", v, &r.GapAimMs)
+			o.nonNegativeNumber("gap_aim_ms", v, &r.EventGapTargetMs)
 		case "tenant":
 			o.tenantName(v, &r.Tenant)
 		case "regions":
 			r.Regions = o.regions(v)
 		}
 	})
-	r.Tries = max(r.Tries, 1)
-	o.check("name", r.Name, ruleGiven)
-	o.check("hostname", r.Hostname, ruleGiven)
-	o.check("pfx", r.Prefix, ruleGiven, rulePrefix)
-	o.check("kind", r.Kind, ruleGiven, ruleKind)
+	r.MaxAttempts = max(r.MaxAttempts, 1)
+	o.check("name", r.Name, ruleRequired)
+	o.check("hostname", r.Hostname, ruleRequired)
+	o.check("pfx", r.Prefix, ruleRequired, rulePrefix)
+	o.check("kind", r.Kind, ruleRequired, ruleKind)
 	if timed {
 		o.check("deadline_ms", r.DeadlineMs, rulePositive...)
 	}
-	if !absent(shares) && o.isList("shares", shares) {
-		o.shares(r, shares)
+	if !absent(shares) && o.requireList("shares", shares) {
+		o.weightedServices(r, shares)
 	}
 	if r.ServiceName == "" && len(r.Split) == 0 {
-		o.found.add(o.place(), "must name a service in svc or shares")
+		o.found.add(o.path(), "must name a service in svc or shares")
 	}
 	return r
 }
@@ -242,12 +242,12 @@
 // mean anywhere.
 func (o *object) tenantName(raw json.RawMessage, into *string) {
 	if absent(raw) {
-		o.found.add(o.at("tenant"), "must be a string (leave it out where there is no tenant)")
+		o.found.add(o.fieldPath("tenant"), "must be a string (leave it out where there is no tenant)")
 		return
 	}
 	was := len(*o.found)
-	if o.text("tenant", raw, into); len(*o.found) == was {
-		o.check("tenant", *into, ruleGiven)
+	if o.stringValue("tenant", raw, into); len(*o.found) == was {
+		o.check("tenant", *into, ruleRequired)
 	}
 }
 
@@ -255,10 +255,10 @@
 func (o *object) regions(raw json.RawMessage) []string {
 	out := []string{}
 	if absent(raw) {
-		o.found.add(o.at("regions"), "must be a list (leave it out where anywhere will do)")
+		o.found.add(o.fieldPath("regions"), "must be a list (leave it out where anywhere will do)")
 		return out
 	}
-	if !o.isList("regions", raw) {
+	if !o.requireList("regions", raw) {
 		return out
 	}
 	items := 0
@@ -267,22 +267,22 @@
 		var name string
 		key := indexed("regions", i)
 		if absent(v) {
-			o.found.add(o.at(key), "must be a string")
+			o.found.add(o.fieldPath(key), "must be a string")
 			return
 		}
 		was := len(*o.found)
-		if o.text(key, v, &name); len(*o.found) > was {
+		if o.stringValue(key, v, &name); len(*o.found) > was {
 			return
 		}
 		if name == "" {
-			o.found.add(o.at(key), "must not be empty")
+			o.found.add(o.fieldPath(key), "must not be empty")
 		} else if slices.Contains(out, name) {
-			o.found.add(o.at(key), "%q is there already", name)
+			o.found.add(o.fieldPath(key), "%q is there already", name)
 		}
 		out = append(out, name)
 	})
 	if items == 0 {
-		o.found.add(o.at("regions"), "must name a region")
+		o.found.add(o.fieldPath("regions"), "must name a region")
 	}
 	return out
 }
@@ -290,33 +290,33 @@
 // tenant reads one tenant.
 func (o *object) tenant(raw json.RawMessage) *tenantItem {
 	t := &tenantItem{raw: raw}
-	if !o.is(raw) {
+	if !o.requireObject(raw) {
 		return t
 	}
 	given := false
 	eachField(raw, func(k []byte, v json.RawMessage) {
 		switch string(k) {
 		case "name":
-			o.text("name", v, &t.Name)
+			o.stringValue("name", v, &t.Name)
 		case "regions":
 			given = true
 			t.Regions = o.regions(v)
 		}
 	})
-	o.check("name", t.Name, ruleGiven)
+	o.check("name", t.Name, ruleRequired)
 	if !given {
-		o.found.add(o.at("regions"), "must be given")
+		o.found.add(o.fieldPath("regions"), "must be given")
 	}
 	return t
 }
 
-// shares reads the weights of a route.
-func (o *object) shares(r *routeItem, raw json.RawMessage) {
+// weightedServices reads the weights of a route.
+func (o *object) weightedServices(r *routeItem, raw json.RawMessage) {
 	total, clean := 0.0, true
 	eachItem(raw, func(i int, v json.RawMessage) {
-		var s ShareSpec
+		var s WeightedServiceSpec
 		in, weighed := o.item("shares", i), false
-		if !in.is(v) {
+		if !in.requireObject(v) {
 			clean = false
 			r.Split = append(r.Split, s) // so that it doesn't count as not given
 			return
@@ -324,19 +324,19 @@
 		eachField(v, func(k []byte, f json.RawMessage) {
 			switch string(k) {
 			case "svc":
-				in.text("svc", f, &s.ServiceName)
+				in.stringValue("svc", f, &s.ServiceName)
 			case "wt":
 				weighed = true
 				if absent(f) {
 					weighed = false
-				} else if !in.number("wt", f, &s.Weight) {
+				} else if !in.numberValue("wt", f, &s.Weight) {
 					clean = false
 				}
 			}
 		})
-		in.check("svc", s.ServiceName, ruleGiven)
+		in.check("svc", s.ServiceName, ruleRequired)
 		if !weighed {
-			in.found.add(in.at("wt"), "must be given")
+			in.found.add(in.fieldPath("wt"), "must be given")
 			clean = false
 		}
 		if in.check("wt", s.Weight, ruleNotNegative); s.Weight < 0 {
@@ -346,38 +346,38 @@
 		r.Split = append(r.Split, s)
 	})
 	if clean && len(r.Split) > 0 && total == 0 {
-		o.found.add(o.at("shares"), "the weights add up to 0")
+		o.found.add(o.fieldPath("shares"), "the weights add up to 0")
 	}
 	if math.IsInf(total, 0) {
-		o.found.add(o.at("shares"), "the weights are too large")
+		o.found.add(o.fieldPath("shares"), "the weights are too large")
 	}
 }
 
 // service reads one service.
 func (o *object) service(raw json.RawMessage) *serviceItem {
 	s := &serviceItem{raw: raw}
-	if !o.is(raw) {
+	if !o.requireObject(raw) {
 		return s
 	}
 	eachField(raw, func(k []byte, v json.RawMessage) {
 		switch string(k) {
 		case "name":
-			o.text("name", v, &s.Name)
+			o.stringValue("name", v, &s.Name)
 		case "probe":
-			o.text("probe", v, &s.Probe)
+			o.stringValue("probe", v, &s.HealthCheckPath)
 		case "maxconn":
-			o.small("maxconn", v, &s.MaxConn)
+			o.nonNegativeInt("maxconn", v, &s.MaxConn)
 		case "proto":
-			o.text("proto", v, &s.Proto)
+			o.stringValue("proto", v, &s.Proto)
 		case "ssl":
-			o.flag("ssl", v, &s.SSL)
+			o.boolValue("ssl", v, &s.SSL)
 		case "runtime":
-			if run := o.within("runtime"); !absent(v) && run.is(v) {
+			if run := o.child("runtime"); !absent(v) && run.requireObject(v) {
 				s.Runtime = run.runtime(v)
 			}
 		}
 	})
-	o.check("name", s.Name, ruleGiven)
+	o.check("name", s.Name, ruleRequired)
 	return s
 }
 
@@ -386,32 +386,32 @@
 	eachField(raw, func(k []byte, v json.RawMessage) {
 		switch string(k) {
 		case "capacity":
-			o.small("capacity", v, &r.Capacity)
+			o.nonNegativeInt("capacity", v, &r.Capacity)
 		case "kv_ntok":
-			o.count("kv_ntok", v, &r.KVTokens)
+			o.nonNegativeInteger("kv_ntok", v, &r.KVCacheTokens)
 		case "kv_tok_bytes":
-			o.measure("kv_tok_bytes", v, &r.KVTokenBytes)
+			o.nonNegativeNumber("kv_tok_bytes", v, &r.KVTokenBytes)
 		case "bw_mbps":
-			o.measure("bw_mbps", v, &r.LinkMbps)
+			o.nonNegativeNumber("bw_mbps", v, &r.KVTransferMbps)
 		case "stride":
-			o.measure("stride", v, &r.Stride)
+			o.nonNegativeNumber("stride", v, &r.Stride)
 		case "kv_ref_s":
-			o.measure("kv_ref_s", v, &r.HandleSeconds)
+			o.nonNegativeNumber("kv_ref_s", v, &r.KVHandleTTLSeconds)
 		case "swap_s":
-			o.measure("swap_s", v, &r.SwapSeconds)
+			o.nonNegativeNumber("swap_s", v, &r.PhaseChangeSeconds)
 		case "model_list":
-			if absent(v) || !o.isList("model_list", v) {
+			if absent(v) || !o.requireList("model_list", v) {
 				return
 			}
 			eachItem(v, func(i int, item json.RawMessage) {
 				var m Model
 				in := o.item("model_list", i)
-				if !in.is(item) {
+				if !in.requireObject(item) {
 					return
 				}
 				eachField(item, func(k []byte, f json.RawMessage) {
 					if string(k) == "name" {
-						in.text("name", f, &m.Name)
+						in.stringValue("name", f, &m.Name)
 					}
 				})
 				r.Models = append(r.Models, m)
@@ -426,13 +426,13 @@
 	eachField(raw, func(k []byte, v json.RawMessage) {
 		switch string(k) {
 		case "hdr_max_bytes":
-			o.count("hdr_max_bytes", v, &l.HeaderBytes)
+			o.nonNegativeInteger("hdr_max_bytes", v, &l.MaxHeaderBytes)
 		case "body_max_bytes":
-			o.count("body_max_bytes", v, &l.BodyBytes)
+			o.nonNegativeInteger("body_max_bytes", v, &l.MaxBodyBytes)
 		case "hdr_timeout_ms":
-			o.measure("hdr_timeout_ms", v, &l.HeaderTimeoutMs)
+			o.nonNegativeNumber("hdr_timeout_ms", v, &l.HeaderTimeoutMs)
 		case "idle_timeout_ms":
-			o.measure("idle_timeout_ms", v, &l.IdleTimeoutMs)
+			o.nonNegativeNumber("idle_timeout_ms", v, &l.IdleTimeoutMs)
 		}
 	})
 	return l
--- a/internal/fleet/routingconfig/findings.go
+++ b/internal/fleet/routingconfig/findings.go
@@ -14,16 +14,16 @@
 type Finding struct {
 	// Place is where, as a path of the body: "routing[3].deadline_ms"; "byte 120" where it can't be read; empty for
 	// the body as a whole.
-	Place string
+	Path string
 	// Text is what is wrong, for the operator to read.
-	Text string
+	Message string
 }
 
 func (f Finding) String() string {
-	if f.Place == "" {
-		return f.Text
+	if f.Path == "" {
+		return f.Message
 	}
-	return f.Place + ": " + f.Text
+	return f.Path + ": " + f.Message
 }
 
 // Findings are all that is wrong, in the order found. None means valid.
@@ -47,11 +47,11 @@
 }
 
 // add notes a finding; beyond MaxFindings it only notes that there are more.
-func (f *Findings) add(place, format string, args ...any) {
+func (f *Findings) add(path, format string, args ...any) {
 	switch {
 	case len(*f) < MaxFindings:
-		*f = append(*f, Finding{Place: place, Text: fmt.Sprintf(format, args...)})
+		*f = append(*f, Finding{Path: path, Message: fmt.Sprintf(format, args...)})
 	case len(*f) == MaxFindings:
-		*f = append(*f, Finding{Text: "more findings are not listed"})
+		*f = append(*f, Finding{Message: "more findings are not listed"})
 	}
 }
--- a/internal/fleet/routingconfig/index.go
+++ b/internal/fleet/routingconfig/index.go
@@ -21,12 +21,12 @@
 type Route struct {
 	*RouteSpec
 	// Shares are the services that get requests, without those of weight 0; one or more.
-	Shares []Share
-	bounds []uint64 // of each share but the last, the first u that is beyond it; nil for one share
+	WeightedServices []WeightedService
+	bounds           []uint64 // of each share but the last, the first u that is beyond it; nil for one share
 }
 
-// Share is one service of a route.
-type Share struct {
+// WeightedService is one service of a route.
+type WeightedService struct {
 	Service *Service
 	// Weight is above 0.
 	Weight float64
@@ -71,18 +71,18 @@
 // resolve fills in the shares of a route.
 func (x *Index) resolve(r *Route) {
 	if len(r.Split) == 0 {
-		r.Shares = []Share{{Service: x.services[r.ServiceName], Weight: 1}}
+		r.WeightedServices = []WeightedService{{Service: x.services[r.ServiceName], Weight: 1}}
 		return
 	}
 	total := 0.0
 	for _, s := range r.Split {
 		if s.Weight > 0 {
-			r.Shares = append(r.Shares, Share{Service: x.services[s.ServiceName], Weight: s.Weight})
+			r.WeightedServices = append(r.WeightedServices, WeightedService{Service: x.services[s.ServiceName], Weight: s.Weight})
 			total += s.Weight
 		}
 	}
 	sum := 0.0
-	for _, s := range r.Shares[:len(r.Shares)-1] {
+	for _, s := range r.WeightedServices[:len(r.WeightedServices)-1] {
 		sum += s.Weight
 		// The product is below 2^64 unless rounding made the fraction 1.
 		if at := sum / total * (1 << 64); at < 1<<64 {
@@ -156,8 +156,8 @@
 func (r *Route) Pick(u uint64) *Service {
 	for i, bound := range r.bounds {
 		if u < bound {
-			return r.Shares[i].Service
+			return r.WeightedServices[i].Service
 		}
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.WeightedServices[len(r.WeightedServices)-1].Service
 }
--- a/internal/fleet/routingconfig/index_test.go
+++ b/internal/fleet/routingconfig/index_test.go
@@ -125,7 +125,7 @@
 	c.Assert(get("tiny").Pick(0).Name, qt.Equals, "a")
 
 	split := get("split")
-	c.Assert(split.Shares, qt.HasLen, 2)
+	c.Assert(split.WeightedServices, qt.HasLen, 2)
 	c.Assert(split.Pick(0).Name, qt.Equals, "a")
 	c.Assert(split.Pick(1<<62-1).Name, qt.Equals, "a")
 	c.Assert(split.Pick(1<<62).Name, qt.Equals, "b")
--- a/internal/fleet/routingconfig/routingconfig.go
+++ b/internal/fleet/routingconfig/routingconfig.go
@@ -49,22 +49,22 @@
 	Kind string `json:"kind"`
 	// DeadlineMs is the longest the operator wants a request held; above 0.
 	DeadlineMs float64 `json:"deadline_ms"`
-	// TargetMs is the time within which an answer earns its full worth (streams: to the first event); 0: not given.
-	TargetMs float64 `json:"target_ms"`
+	// LatencyTargetMs is the time within which an answer earns its full worth (streams: to the first event); 0: not given.
+	LatencyTargetMs float64 `json:"target_ms"`
 	// Priority is the rank, 0 is the highest and the default.
 	Priority int `json:"prio"`
 	// ServiceName is the one service of the route; empty where the route is split by Split.
 	ServiceName string `json:"svc,omitempty"`
 	// Split lists services with weights. Where it is not empty it goes before ServiceName.
-	Split []ShareSpec `json:"shares,omitempty"`
+	Split []WeightedServiceSpec `json:"shares,omitempty"`
 	// Tries is the most backends to which one try of a client may be sent; 1 or more, 1 when not given or given as 0.
-	Tries int `json:"tries"`
+	MaxAttempts int `json:"tries"`
 	// Pin is set on routes whose requests tell the parts of their prompt.
-	Pin bool `json:"pin"`
+	PrefixAffinity bool `json:"pin"`
 	// Resumable streams may be taken up at another backend with Last-Event-Id.
 	Resumable bool `json:"resumable"`
-	// GapAimMs is the longest pause between events that keeps a stream in time; 0: not given.
-	GapAimMs float64 `json:"gap_aim_ms"`
+	// EventGapTargetMs is the longest pause between events that keeps a stream in time; 0: not given.
+	EventGapTargetMs float64 `json:"gap_aim_ms"`
 	// Tenant names the tenant whose requests these are, one of Tenants; empty: no tenant.
 	Tenant string `json:"tenant,omitempty"`
 	// Regions are those in which the data of the route's requests may rest: one or more, all of them the tenant's where
@@ -72,8 +72,8 @@
 	Regions []string `json:"regions,omitempty"`
 }
 
-// Enclosed tells whether the route's data may rest in some regions only.
-func (r *RouteSpec) Enclosed() bool { return r.Tenant != "" || r.Regions != nil }
+// HasResidencyTerms tells whether the route's data may rest in some regions only.
+func (r *RouteSpec) HasResidencyTerms() bool { return r.Tenant != "" || r.Regions != nil }
 
 // Tenant is who has a contract that names the regions which may hold its data.
 type Tenant struct {
@@ -83,8 +83,8 @@
 	Regions []string `json:"regions"`
 }
 
-// ShareSpec is one part of a split route.
-type ShareSpec struct {
+// WeightedServiceSpec is one part of a split route.
+type WeightedServiceSpec struct {
 	ServiceName string `json:"svc"`
 	// Weight is 0 or more; a share of weight 0 gets nothing. The weights of a route add up to more than 0.
 	Weight float64 `json:"wt"`
@@ -93,11 +93,11 @@
 // Deadline is DeadlineMs as a duration; above 0.
 func (r *RouteSpec) Deadline() time.Duration { return millis(r.DeadlineMs) }
 
-// Target is TargetMs as a duration; 0 when not given.
-func (r *RouteSpec) Target() time.Duration { return millis(r.TargetMs) }
+// LatencyTarget is LatencyTargetMs as a duration; 0 when not given.
+func (r *RouteSpec) LatencyTarget() time.Duration { return millis(r.LatencyTargetMs) }
 
-// GapAim is GapAimMs as a duration; 0 when not given.
-func (r *RouteSpec) GapAim() time.Duration { return millis(r.GapAimMs) }
+// EventGapTarget is EventGapTargetMs as a duration; 0 when not given.
+func (r *RouteSpec) EventGapTarget() time.Duration { return millis(r.EventGapTargetMs) }
 
 // Idempotent tells whether requests of the route may run more than once (RULES.md, "Words"): readonly routes and
 // streams that may be resumed.
@@ -110,7 +110,7 @@
 	// Name is unique among services and not empty.
 	Name string `json:"name"`
 	// Probe is the path of health checks; empty when not given.
-	Probe string `json:"probe"`
+	HealthCheckPath string `json:"probe"`
 	// MaxConn is the number of connections each backend takes from all callers together; 0: not given.
 	MaxConn int `json:"maxconn"`
 	// Proto is "h1" in all known deployments; not checked.
@@ -124,26 +124,26 @@
 type Runtime struct {
 	// Capacity is the number of requests in one batch.
 	Capacity int `json:"capacity"`
-	// KVTokens is the memory of one backend, in tokens, shared by running requests and cached parts.
-	KVTokens int64 `json:"kv_ntok"`
+	// KVCacheTokens is the memory of one backend, in tokens, shared by running requests and cached parts.
+	KVCacheTokens int64 `json:"kv_ntok"`
 	// KVTokenBytes is the memory of one token, in bytes.
 	KVTokenBytes float64 `json:"kv_tok_bytes"`
-	// LinkMbps is the bandwidth of a backend's moves of memory, in Mbit/s.
-	LinkMbps float64 `json:"bw_mbps"`
+	// KVTransferMbps is the bandwidth of a backend's moves of memory, in Mbit/s.
+	KVTransferMbps float64 `json:"bw_mbps"`
 	// Stride is as sent. PROTOCOL.md doesn't explain it.
 	Stride float64 `json:"stride"`
-	// HandleSeconds is how long the memory of a handle is kept, in seconds.
-	HandleSeconds float64 `json:"kv_ref_s"`
-	// SwapSeconds is how long a backend is away after an order, in seconds.
-	SwapSeconds float64 `json:"swap_s"`
-	Models      []Model `json:"model_list"`
+	// KVHandleTTLSeconds is how long the memory of a handle is kept, in seconds.
+	KVHandleTTLSeconds float64 `json:"kv_ref_s"`
+	// PhaseChangeSeconds is how long a backend is away after an order, in seconds.
+	PhaseChangeSeconds float64 `json:"swap_s"`
+	Models             []Model `json:"model_list"`
 }
 
-// Handle is HandleSeconds as a duration.
-func (r *Runtime) Handle() time.Duration { return millis(r.HandleSeconds * 1000) }
+// KVHandleTTL is KVHandleTTLSeconds as a duration.
+func (r *Runtime) KVHandleTTL() time.Duration { return millis(r.KVHandleTTLSeconds * 1000) }
 
-// Swap is SwapSeconds as a duration.
-func (r *Runtime) Swap() time.Duration { return millis(r.SwapSeconds * 1000) }
+// PhaseChangeDuration is PhaseChangeSeconds as a duration.
+func (r *Runtime) PhaseChangeDuration() time.Duration { return millis(r.PhaseChangeSeconds * 1000) }
 
 // Model is one model of a service.
 type Model struct {
@@ -152,10 +152,10 @@
 
 // Limits bound what a client may send and how long it may take or stay idle. 0: not given.
 type Limits struct {
-	// HeaderBytes bounds a request's head, in bytes.
-	HeaderBytes int64 `json:"hdr_max_bytes"`
-	// BodyBytes bounds a request's body, in bytes.
-	BodyBytes int64 `json:"body_max_bytes"`
+	// MaxHeaderBytes bounds a request's head, in bytes.
+	MaxHeaderBytes int64 `json:"hdr_max_bytes"`
+	// MaxBodyBytes bounds a request's body, in bytes.
+	MaxBodyBytes int64 `json:"body_max_bytes"`
 	// HeaderTimeoutMs bounds the time a client takes to send a head, in milliseconds.
 	HeaderTimeoutMs float64 `json:"hdr_timeout_ms"`
 	// IdleTimeoutMs bounds how long a connection stays idle, in milliseconds.
@@ -262,14 +262,14 @@
 	return out
 }
 
-// Enclosed lists the routes whose data may rest in some regions only, in order, in time linear in the number of routes.
+// HasResidencyTerms lists the routes whose data may rest in some regions only, in order, in time linear in the number of routes.
 // They must not be changed.
-func (d *Document) Enclosed() (out []*RouteSpec) {
+func (d *Document) RoutesWithResidencyTerms() (out []*RouteSpec) {
 	if d == nil {
 		return nil
 	}
 	for _, r := range d.routes {
-		if r.Enclosed() {
+		if r.HasResidencyTerms() {
 			out = append(out, &r.RouteSpec)
 		}
 	}
--- a/internal/fleet/routingconfig/routingconfig_test.go
+++ b/internal/fleet/routingconfig/routingconfig_test.go
@@ -44,7 +44,7 @@
 
 func lines(found routingconfig.Findings) []string { return strings.Split(found.String(), "\n") }
 
-func TestWholeExample(t *testing.T) {
+func TestConfigurationExample(t *testing.T) {
 	c := qt.New(t)
 	d := decode(t, wholeExample)
 	c.Assert(string(d.Show()), qt.Equals, wholeExample)
@@ -60,12 +60,12 @@
 
 	r, l, e := got.Routes[0], got.Limits, got.Services[0].Runtime
 	c.Assert(r.Deadline(), qt.Equals, 20*time.Second)
-	c.Assert(r.Target(), qt.Equals, 120*time.Millisecond)
-	c.Assert(r.GapAim(), qt.Equals, 150*time.Millisecond)
+	c.Assert(r.LatencyTarget(), qt.Equals, 120*time.Millisecond)
+	c.Assert(r.EventGapTarget(), qt.Equals, 150*time.Millisecond)
 	c.Assert(l.HeaderTimeout(), qt.Equals, 3*time.Second)
 	c.Assert(l.IdleTimeout(), qt.Equals, 15*time.Second)
-	c.Assert(e.Handle(), qt.Equals, 5*time.Second)
-	c.Assert(e.Swap(), qt.Equals, 500*time.Millisecond)
+	c.Assert(e.KVHandleTTL(), qt.Equals, 5*time.Second)
+	c.Assert(e.PhaseChangeDuration(), qt.Equals, 500*time.Millisecond)
 	c.Assert(r.Idempotent(), qt.IsFalse)
 	c.Assert(got.Routes[1].Idempotent(), qt.IsTrue)
 	c.Assert((&routingconfig.RouteSpec{Kind: "readonly"}).Idempotent(), qt.IsTrue)
@@ -92,7 +92,7 @@
 	return `{"ver":3,"routing":[` + routes + `],"svcs":[` + services + `]}`
 }
 
-func TestProper(t *testing.T) {
+func TestValid(t *testing.T) {
 	a := service("a")
 	for name, body := range map[string]string{
 		"empty lists":       whole("", ""),
@@ -127,7 +127,7 @@
 			c.Assert(again.Config(), qt.DeepEquals, d.Config())
 		})
 	}
-	qt.Assert(t, decode(t, whole(route("r", `,"svc":"a"`), a)).Config().Routes[0].Tries, qt.Equals, 1)
+	qt.Assert(t, decode(t, whole(route("r", `,"svc":"a"`), a)).Config().Routes[0].MaxAttempts, qt.Equals, 1)
 	qt.Assert(t, decode(t, `{"ver":9007199254740993,"routing":[],"svcs":[]}`).Version(), qt.Equals, int64(9007199254740993))
 }
 
@@ -250,7 +250,7 @@
 		"caps.body_max_bytes: must be a number",
 		`routing[0].svc: the service "b" is not known`,
 	})
-	c.Assert(found[1], qt.Equals, routingconfig.Finding{Place: "routing[0].pfx", Text: "must begin and end with a slash"})
+	c.Assert(found[1], qt.Equals, routingconfig.Finding{Path: "routing[0].pfx", Message: "must begin and end with a slash"})
 
 	_, found = routingconfig.Decode([]byte(whole(strings.TrimSuffix(strings.Repeat("7,", 1000), ","), "")))
 	c.Assert(found, qt.HasLen, routingconfig.MaxFindings+1)
--- a/internal/fleet/routingconfig/scan.go
+++ b/internal/fleet/routingconfig/scan.go
@@ -34,26 +34,26 @@
 		found.add("", "not UTF-8")
 		return
 	}
-	w := walker{body: body, found: found}
+	w := duplicateKeyFinder{body: body, found: found}
 	w.value(skipSpace(body, 0))
 }
 
-// walker looks for keys given twice in valid JSON.
-type walker struct {
-	body  []byte
-	found *Findings
-	path  []step
-	deep  bool
+// duplicateKeyFinder looks for keys given twice in valid JSON.
+type duplicateKeyFinder struct {
+	body    []byte
+	found   *Findings
+	path    []pathElement
+	tooDeep bool
 }
 
-// step is a key or, where key is nil, an index on the way to a value.
-type step struct {
+// pathElement is a key or, where key is nil, an index on the way to a value.
+type pathElement struct {
 	key   []byte
 	index int
 }
 
-// place tells the way to the value at hand.
-func (w *walker) place() string {
+// pathString tells the way to the value at hand.
+func (w *duplicateKeyFinder) pathString() string {
 	var b strings.Builder
 	for _, s := range w.path {
 		if s.key == nil {
@@ -69,25 +69,25 @@
 }
 
 // value walks through the value that begins at i and gives the place after it.
-func (w *walker) value(i int) int {
+func (w *duplicateKeyFinder) value(i int) int {
 	open := w.body[i]
 	if open != '{' && open != '[' {
 		return skipValue(w.body, i)
 	}
 	if len(w.path) >= maxDepth {
-		if !w.deep {
-			w.deep = true
+		if !w.tooDeep {
+			w.tooDeep = true
 			w.found.add("", "more than %d levels deep", maxDepth)
 		}
 		return skipValue(w.body, i)
 	}
-	w.path = append(w.path, step{})
+	w.path = append(w.path, pathElement{})
 	top := len(w.path) - 1
 	defer func() { w.path = w.path[:top] }()
 	i = skipSpace(w.body, i+1)
 	if open == '[' {
 		for n := 0; w.body[i] != ']'; n++ {
-			w.path[top] = step{index: n}
+			w.path[top] = pathElement{index: n}
 			i = skipSpace(w.body, w.value(i))
 			if w.body[i] == ',' {
 				i = skipSpace(w.body, i+1)
@@ -103,7 +103,7 @@
 	for w.body[i] != '}' {
 		end := skipValue(w.body, i)
 		key := unquote(w.body[i:end])
-		w.path[top] = step{key: key}
+		w.path[top] = pathElement{key: key}
 		twice := false
 		if many != nil {
 			twice = many[string(key)]
@@ -120,7 +120,7 @@
 			}
 		}
 		if twice {
-			w.found.add(w.place(), "the key is given twice")
+			w.found.add(w.pathString(), "the key is given twice")
 		}
 		i = skipSpace(w.body, end)                             // the colon
 		i = skipSpace(w.body, w.value(skipSpace(w.body, i+1))) // the value
--- a/internal/fleet/routingconfig/tenants_test.go
+++ b/internal/fleet/routingconfig/tenants_test.go
@@ -29,14 +29,14 @@
 	c.Assert(*d.Tenants()[0], qt.DeepEquals, routingconfig.Tenant{Name: "kobe", Regions: []string{"east", "mid"}})
 	c.Assert(d.Config().Tenants, qt.HasLen, 2)
 	var names []string
-	for _, r := range d.Enclosed() {
+	for _, r := range d.RoutesWithResidencyTerms() {
 		names = append(names, r.Name)
 	}
 	c.Assert(names, qt.DeepEquals, []string{"r", "q", "p"})
-	c.Assert(d.Enclosed()[0].Regions, qt.DeepEquals, []string{"east"})
-	c.Assert(d.Enclosed()[1].Regions, qt.IsNil)
+	c.Assert(d.RoutesWithResidencyTerms()[0].Regions, qt.DeepEquals, []string{"east"})
+	c.Assert(d.RoutesWithResidencyTerms()[1].Regions, qt.IsNil)
 	c.Assert((*routingconfig.Document)(nil).Tenants(), qt.HasLen, 0)
-	c.Assert((*routingconfig.Document)(nil).Enclosed(), qt.HasLen, 0)
+	c.Assert((*routingconfig.Document)(nil).RoutesWithResidencyTerms(), qt.HasLen, 0)
 
 	// Nothing of tenants is shown where nobody spoke of them; an empty list stays.
 	plainly := whole(held("o", ""), service("a"))
@@ -59,7 +59,7 @@
 
 	next = update(t, next, `{"ver":5,"upsert":{"routing":[`+held("q", "")+`]},"remove":{"tenants":["oita","gone"]}}`)
 	c.Assert(next.Tenants(), qt.HasLen, 2)
-	c.Assert(update(t, next, `{"ver":6,"upsert":{"routing":[`+held("z", `,"tenant":"nara"`)+`]}}`).Enclosed(), qt.HasLen, 2)
+	c.Assert(update(t, next, `{"ver":6,"upsert":{"routing":[`+held("z", `,"tenant":"nara"`)+`]}}`).RoutesWithResidencyTerms(), qt.HasLen, 2)
 
 	for name, test := range map[string]struct{ body, want string }{
 		"withdrawn from under a route": {`{"ver":4,"upsert":{"tenants":[{"name":"kobe","regions":["mid"]}]}}`, `route "r".regions[0]: "east" is not among the regions of the tenant "kobe"`},
@@ -185,7 +185,7 @@
 			for _, one := range d.Tenants() {
 				byName[one.Name] = one.Regions
 			}
-			for _, one := range d.Enclosed() {
+			for _, one := range d.RoutesWithResidencyTerms() {
 				if _, ok := byName[one.Tenant]; one.Tenant != "" && !ok {
 					r.Fatalf("%s names %s", one.Name, one.Tenant)
 				}
--- a/internal/fleet/routingconfig/update.go
+++ b/internal/fleet/routingconfig/update.go
@@ -18,7 +18,7 @@
 // routes, with little work for a route that isn't touched. The new Document shares current's items and keeps none of body.
 func Update(current *Document, body []byte, checks ...Check) (*Document, Findings) {
 	var found Findings
-	top := open(body, &found)
+	top := parseObject(body, &found)
 	if top == nil {
 		return nil, found
 	}
@@ -27,13 +27,13 @@
 	}
 	d := &Document{limits: current.limits, caps: current.caps, extra: current.extra, tenants: current.tenants}
 	var (
-		ver             json.RawMessage
-		routes          []*routeItem
-		services        []*serviceItem
-		tenants         []*tenantItem
-		goneR, goneS    map[string]bool
-		goneT           map[string]bool
-		upsert, removed = top.within("upsert"), top.within("remove")
+		ver                            json.RawMessage
+		routes                         []*routeItem
+		services                       []*serviceItem
+		tenants                        []*tenantItem
+		removedRoutes, removedServices map[string]bool
+		removedTenants                 map[string]bool
+		upsert, removed                = top.child("upsert"), top.child("remove")
 	)
 	eachField(body, func(k []byte, v json.RawMessage) {
 		switch string(k) {
@@ -42,7 +42,7 @@
 		case "routing", "svcs":
 			found.add(string(k), "belongs under upsert in an update")
 		case "upsert":
-			if absent(v) || !upsert.is(v) {
+			if absent(v) || !upsert.requireObject(v) {
 				return
 			}
 			eachField(v, func(k []byte, v json.RawMessage) {
@@ -54,23 +54,23 @@
 				case "tenants":
 					tenants = upsert.tenants("tenants", v)
 				case "caps":
-					if caps := upsert.within("caps"); !absent(v) && caps.is(v) {
+					if caps := upsert.child("caps"); !absent(v) && caps.requireObject(v) {
 						d.caps, d.limits = bytes.Clone(v), caps.limits(v)
 					}
 				}
 			})
 		case "remove":
-			if absent(v) || !removed.is(v) {
+			if absent(v) || !removed.requireObject(v) {
 				return
 			}
 			eachField(v, func(k []byte, v json.RawMessage) {
 				switch string(k) {
 				case "routing":
-					goneR = removed.list("routing", v)
+					removedRoutes = removed.nameSet("routing", v)
 				case "svcs":
-					goneS = removed.list("svcs", v)
+					removedServices = removed.nameSet("svcs", v)
 				case "tenants":
-					goneT = removed.list("tenants", v)
+					removedTenants = removed.nameSet("tenants", v)
 				}
 			})
 		}
@@ -82,14 +82,14 @@
 	for _, s := range services {
 		s.raw = bytes.Clone(s.raw)
 	}
-	d.routes = merge(current.routes, routes, goneR, func(r *routeItem) string { return r.Name })
-	d.services = merge(current.services, services, goneS, func(s *serviceItem) string { return s.Name })
+	d.routes = merge(current.routes, routes, removedRoutes, func(r *routeItem) string { return r.Name })
+	d.services = merge(current.services, services, removedServices, func(s *serviceItem) string { return s.Name })
 	for _, t := range tenants {
 		t.raw = bytes.Clone(t.raw)
 	}
-	d.tenants = merge(current.tenants, tenants, goneT, func(t *tenantItem) string { return t.Name })
-	d.checkChanged(routes, len(goneS) > 0, &found)
-	d.checkTerms(routes, tenants, len(goneT) > 0, checks, &found)
+	d.tenants = merge(current.tenants, tenants, removedTenants, func(t *tenantItem) string { return t.Name })
+	d.checkChanged(routes, len(removedServices) > 0, &found)
+	d.checkResidencyTerms(routes, tenants, len(removedTenants) > 0, checks, &found)
 	if len(found) > 0 {
 		return nil, found
 	}
@@ -98,25 +98,25 @@
 
 // merge gives old with the named items gone, those in put replaced, and the others of put at the end. Names in put must
 // differ.
-func merge[T any](old, put []T, gone map[string]bool, name func(T) string) []T {
-	if len(put) == 0 && len(gone) == 0 {
+func merge[T any](old, upserts []T, removed map[string]bool, name func(T) string) []T {
+	if len(upserts) == 0 && len(removed) == 0 {
 		return old
 	}
-	fresh := make(map[string]int, len(put)) // the place in put; below 0 once it is in
-	for i, item := range put {
+	fresh := make(map[string]int, len(upserts)) // the place in put; below 0 once it is in
+	for i, item := range upserts {
 		fresh[name(item)] = i
 	}
-	out := make([]T, 0, len(old)+len(put))
+	out := make([]T, 0, len(old)+len(upserts))
 	for _, item := range old {
 		n := name(item)
 		if i, ok := fresh[n]; ok {
-			out = append(out, put[i])
+			out = append(out, upserts[i])
 			fresh[n] = -1
-		} else if !gone[n] {
+		} else if !removed[n] {
 			out = append(out, item)
 		}
 	}
-	for _, item := range put {
+	for _, item := range upserts {
 		if fresh[name(item)] >= 0 {
 			out = append(out, item)
 		}
@@ -126,56 +126,56 @@
 
 // checkChanged checks a merged document of which the routes in put are new, and all others come from a valid document;
 // thinned tells that services may be missing now.
-func (d *Document) checkChanged(put []*routeItem, thinned bool, found *Findings) {
-	if len(put) == 0 && !thinned {
+func (d *Document) checkChanged(upserts []*routeItem, servicesRemoved bool, found *Findings) {
+	if len(upserts) == 0 && !servicesRemoved {
 		return
 	}
 	known := make(map[string]bool, len(d.services))
 	for _, s := range d.services {
 		known[s.Name] = true
 	}
-	isNew := make(map[*routeItem]bool, len(put))
-	taken := make(map[address]int, len(put)) // of the new routes only; the others differ from each other
-	for i, r := range put {
+	isNew := make(map[*routeItem]bool, len(upserts))
+	taken := make(map[routeMatch]int, len(upserts)) // of the new routes only; the others differ from each other
+	for i, r := range upserts {
 		isNew[r] = true
 		checkServices(r, known, found, func() string { return indexed("upsert.routing", i) })
-		checkAddress(r, i, taken, "upsert.routing", found)
+		checkDuplicateMatch(r, i, taken, "upsert.routing", found)
 	}
 	// The prefix alone tells most old routes apart from the new ones, without work on their host.
-	prefixes := make(map[string]bool, len(put))
-	for _, r := range put {
+	prefixes := make(map[string]bool, len(upserts))
+	for _, r := range upserts {
 		prefixes[r.Prefix] = true
 	}
 	for _, r := range d.routes {
 		if isNew[r] {
 			continue
 		}
-		if thinned {
+		if servicesRemoved {
 			checkServices(r, known, found, func() string { return "route " + strconv.Quote(r.Name) })
 		}
 		if !prefixes[r.Prefix] {
 			continue
 		}
-		if i, ok := taken[r.address()]; ok {
+		if i, ok := taken[r.match()]; ok {
 			found.add(indexed("upsert.routing", i), "has the hostname and pfx of the route %q", r.Name)
 		}
 	}
 }
 
-// checkTerms checks the terms of a merged document of which the routes and tenants given are new, and all others come from
+// checkResidencyTerms checks the terms of a merged document of which the routes and tenants given are new, and all others come from
 // a valid document; thinned tells that tenants may be missing now.
-func (d *Document) checkTerms(routes []*routeItem, tenants []*tenantItem, thinned bool, checks []Check, found *Findings) {
+func (d *Document) checkResidencyTerms(routes []*routeItem, tenants []*tenantItem, tenantsRemoved bool, checks []Check, found *Findings) {
 	for i, t := range tenants {
-		inRegions(checks, t.Regions, found, func() string { return indexed("upsert.tenants", i) })
+		checkKnownRegions(checks, t.Regions, found, func() string { return indexed("upsert.tenants", i) })
 	}
-	listed := byName(d.tenants)
+	listed := tenantsByName(d.tenants)
 	for i, r := range routes {
-		if r.Enclosed() {
-			inRegions(checks, r.Regions, found, func() string { return indexed("upsert.routing", i) })
-			checkTerms(r, listed, found, func() string { return indexed("upsert.routing", i) })
+		if r.HasResidencyTerms() {
+			checkKnownRegions(checks, r.Regions, found, func() string { return indexed("upsert.routing", i) })
+			checkResidencyTerms(r, listed, found, func() string { return indexed("upsert.routing", i) })
 		}
 	}
-	if len(tenants) == 0 && !thinned {
+	if len(tenants) == 0 && !tenantsRemoved {
 		return
 	}
 	isNew := make(map[*routeItem]bool, len(routes))
@@ -184,7 +184,7 @@
 	}
 	for _, r := range d.routes {
 		if r.Tenant != "" && !isNew[r] {
-			checkTerms(r, listed, found, func() string { return "route " + strconv.Quote(r.Name) })
+			checkResidencyTerms(r, listed, found, func() string { return "route " + strconv.Quote(r.Name) })
 		}
 	}
 }
--- a/internal/fleet/routingconfig/update_test.go
+++ b/internal/fleet/routingconfig/update_test.go
@@ -27,11 +27,11 @@
 	c.Assert(string(next.Show()), qt.Equals, want)
 	c.Assert(string(d.Show()), qt.Equals, before)
 	c.Assert(next.Config().Routes[1].Priority, qt.Equals, 2)
-	c.Assert(next.Limits().HeaderBytes, qt.Equals, int64(5))
+	c.Assert(next.Limits().MaxHeaderBytes, qt.Equals, int64(5))
 	c.Assert(next.Services()[1], qt.Equals, d.Services()[1]) // not touched, so the same
 
 	capped := update(t, next, `{"ver":9,"upsert":{"caps":{"hdr_max_bytes":6}}}`)
-	c.Assert(capped.Limits().HeaderBytes, qt.Equals, int64(6))
+	c.Assert(capped.Limits().MaxHeaderBytes, qt.Equals, int64(6))
 	c.Assert(string(capped.Show()), qt.Equals,
 		strings.Replace(strings.Replace(want, `{"hdr_max_bytes":5,"later":7}`, `{"hdr_max_bytes":6}`, 1), `"ver":8`, `"ver":9`, 1))
 	c.Assert(capped.Equal(next), qt.IsFalse)
@@ -150,9 +150,9 @@
 	return out
 }
 
-// TestUpdateIsReplaceOfTheWhole compares each update with the whole configuration it leads to: both are taken, and show the
+// TestUpdateEqualsReplace compares each update with the whole configuration it leads to: both are taken, and show the
 // same, or neither.
-func TestUpdateIsReplaceOfTheWhole(t *testing.T) {
+func TestUpdateEqualsReplace(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		t, c := r, qt.New(property{t, r})
 		marshal := func(v any) []byte {
@@ -225,7 +225,7 @@
 	began = time.Now()
 	all := update(t, d, change)
 	t.Logf("update of all: %v", time.Since(began))
-	c.Assert(all.Config().Routes[n-1].Tries, qt.Equals, 3)
+	c.Assert(all.Config().Routes[n-1].MaxAttempts, qt.Equals, 3)
 	c.Assert(all.NumRoutes(), qt.Equals, n)
 
 	began = time.Now()
--- a/internal/fleet/scaletest/agents.go
+++ b/internal/fleet/scaletest/agents.go
@@ -73,43 +73,43 @@
 func (c *Crew) follow(ctx context.Context, i int) {
 	name, zone := fmt.Sprintf("edge-zone-%d-%d", (c.First+i)%zones, c.First+i), Zone(c.First+i)
 	have := map[string]distribution.Version{}
-	wait, silence := distribution.Pace(c.Apply, c.Beat)
+	wait, silence := distribution.PullTimeouts(c.Apply, c.Beat)
 	var heard time.Time
 	began := time.Now()
 	for at := rand.IntN(len(c.Addresses)); ctx.Err() == nil; at++ {
-		_ = distribution.Follow(ctx, c.Addresses[at%len(c.Addresses)], &distribution.Follower{Name: name, Wait: wait, Silence: silence,
+		_ = distribution.Watch(ctx, c.Addresses[at%len(c.Addresses)], &distribution.Watcher{Name: name, MaxWait: wait, ReadTimeout: silence,
 			Members: func() []distribution.Member {
-				return []distribution.Member{{Name: name, Zone: zone, Config: int64(have[distribution.SourceConfig].Count), List: have[distribution.SourceList]}}
+				return []distribution.Member{{Name: name, Zone: zone, ConfigVersion: int64(have[distribution.ConfigType].Count), BackendListVersion: have[distribution.BackendListType]}}
 			},
-			Have: func() map[string]distribution.Version {
+			Versions: func() map[string]distribution.Version {
 				clone := make(map[string]distribution.Version, len(have))
 				for source, v := range have {
 					clone[source] = v
 				}
 				return clone
 			},
-			Take: func(n *distribution.Response) (lacking []string) {
+			Apply: func(n *distribution.Response) (lacking []string) {
 				now := time.Now()
-				if n.FreshMs >= 0 {
-					if h := now.Add(-time.Duration(n.FreshMs) * time.Millisecond); h.After(heard) {
+				if n.LastContactMs >= 0 {
+					if h := now.Add(-time.Duration(n.LastContactMs) * time.Millisecond); h.After(heard) {
 						heard = h
 					}
 				}
 				c.noteBack(i, heard, now)
 				for _, p := range n.Resources {
-					was := have[p.Source]
-					if p.Whole == nil && was != p.Since {
-						lacking = append(lacking, p.Source)
+					was := have[p.Type]
+					if p.Snapshot == nil && was != p.BaseVersion {
+						lacking = append(lacking, p.Type)
 						continue
 					}
-					if was.Before(p.At) {
-						have[p.Source] = p.At
-						c.note(p.Source, was, p.At, now)
+					if was.Before(p.Version) {
+						have[p.Type] = p.Version
+						c.note(p.Type, was, p.Version, now)
 					}
 				}
 				return lacking
 			},
-			Goes: func() bool { return time.Since(heard) < 2*c.Beat || time.Since(began) < 2*c.Beat }})
+			Continue: func() bool { return time.Since(heard) < 2*c.Beat || time.Since(began) < 2*c.Beat }})
 		began = time.Now()
 		pause := time.NewTimer(50*time.Millisecond + rand.N(50*time.Millisecond))
 		select {
@@ -122,13 +122,13 @@
 
 // note counts that one more agent came from a version to another: of the configuration each one between counts.
 func (c *Crew) note(source string, was, at distribution.Version, now time.Time) {
-	if source == distribution.SourceCrowd {
+	if source == distribution.MembershipSizeType {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	from := at.Count
-	if source == distribution.SourceConfig && was.Epoch == at.Epoch {
+	if source == distribution.ConfigType && was.Epoch == at.Epoch {
 		from = was.Count + 1
 	}
 	for n := max(from, at.Count-min(at.Count, keptVersions)); n <= at.Count; n++ {
--- a/internal/fleet/scaletest/bench_test.go
+++ b/internal/fleet/scaletest/bench_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func encoded(b *testing.B, l distribution.List) []byte {
+func encoded(b *testing.B, l distribution.BackendList) []byte {
 	out, err := l.MarshalMsg(nil)
 	if err != nil {
 		b.Fatal(err)
@@ -58,7 +58,7 @@
 	sizes(b, listSizes, func(b *testing.B, n int) {
 		in := encoded(b, Backends(n))
 		for b.Loop() {
-			var l distribution.List
+			var l distribution.BackendList
 			if _, err := l.UnmarshalMsg(in); err != nil {
 				b.Fatal(err)
 			}
@@ -89,7 +89,7 @@
 func BenchmarkPullWhole(b *testing.B) {
 	sizes(b, listSizes, func(b *testing.B, n int) {
 		s := distribution.NewCache()
-		s.Set(distribution.SourceList, distribution.Version{Epoch: 1, Count: 1}, encoded(b, Backends(n)))
+		s.SetSnapshot(distribution.BackendListType, distribution.Version{Epoch: 1, Count: 1}, encoded(b, Backends(n)))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
@@ -97,13 +97,13 @@
 		defer ln.Close()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go distribution.Serve(ctx, ln, "o", s, time.Minute, s.Fresh)
+		go distribution.Serve(ctx, ln, "o", s, time.Minute, s.LastContact)
 		left := b.N
 		b.ResetTimer()
-		err = distribution.Follow(ctx, ln.Addr().String(), &distribution.Follower{Name: "t", Wait: time.Second, Silence: time.Second, Members: func() []distribution.Member { return nil },
-			Have: func() map[string]distribution.Version { return nil },
-			Take: func(*distribution.Response) []string { left--; return nil },
-			Goes: func() bool { return left > 0 }})
+		err = distribution.Watch(ctx, ln.Addr().String(), &distribution.Watcher{Name: "t", MaxWait: time.Second, ReadTimeout: time.Second, Members: func() []distribution.Member { return nil },
+			Versions: func() map[string]distribution.Version { return nil },
+			Apply:    func(*distribution.Response) []string { left--; return nil },
+			Continue: func() bool { return left > 0 }})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/fleet/scaletest/fleet.go
+++ b/internal/fleet/scaletest/fleet.go
@@ -18,8 +18,8 @@
 
 // Backends makes a list of n hollow backends of one service, sorted by id. Their addresses are on loopback, where
 // nobody listens.
-func Backends(n int) distribution.List {
-	l := distribution.List{Backends: make([]distribution.Backend, n)}
+func Backends(n int) distribution.BackendList {
+	l := distribution.BackendList{Backends: make([]distribution.Backend, n)}
 	for i := range l.Backends {
 		phase := "decode"
 		if float64(i*37%100) < prefillShare*100 { // spread evenly, as 37 and 100 have no common factor
--- a/internal/fleet/scaletest/phases.go
+++ b/internal/fleet/scaletest/phases.go
@@ -44,7 +44,7 @@
 			}
 			ack := time.Now()
 			acks = append(acks, ack.Sub(began))
-			at, err := t.await(ctx, func(e *Event) bool { return e.What == distribution.SourceConfig && e.Count >= t.op.changes })
+			at, err := t.await(ctx, func(e *Event) bool { return e.What == distribution.ConfigType && e.Count >= t.op.changes })
 			if err != nil {
 				return err
 			}
@@ -71,7 +71,7 @@
 			}
 			began := time.Now()
 			t.platform.Toggle(i)
-			at, err := t.await(ctx, func(e *Event) bool { return e.What == distribution.SourceList && e.At[0] > began.UnixNano() })
+			at, err := t.await(ctx, func(e *Event) bool { return e.What == distribution.BackendListType && e.At[0] > began.UnixNano() })
 			if err != nil {
 				return err
 			}
@@ -118,7 +118,7 @@
 			switch {
 			case e.What == eventBack && !backs[e.crew]:
 				backs[e.crew], back = true, append(back, e.At...)
-			case e.What == distribution.SourceConfig && e.Count >= t.op.changes && !configs[e.crew]:
+			case e.What == distribution.ConfigType && e.Count >= t.op.changes && !configs[e.crew]:
 				configs[e.crew], config = true, append(config, e.At...)
 			}
 		case <-bound.Done():
--- a/internal/fleet/scaletest/platform.go
+++ b/internal/fleet/scaletest/platform.go
@@ -19,11 +19,11 @@
 	calls atomic.Int64
 
 	mu   sync.Mutex
-	list distribution.List
+	list distribution.BackendList
 }
 
 // ServePlatform starts a platform on a port of its own on loopback; Close ends it.
-func ServePlatform(list distribution.List, page int) (*Platform, error) {
+func ServePlatform(list distribution.BackendList, page int) (*Platform, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/fleet/scaletest/proxy.go
+++ b/internal/fleet/scaletest/proxy.go
@@ -120,9 +120,9 @@
 		return err
 	}
 	s := distribution.NewCache()
-	s.Set(distribution.SourceList, distribution.Version{Epoch: 1, Count: 1}, b)
-	s.Set(distribution.SourceConfig, distribution.Version{Count: 1}, doc)
-	go distribution.Serve(ctx, ln, "feed", s, 3*beat+time.Second, s.Fresh)
+	s.SetSnapshot(distribution.BackendListType, distribution.Version{Epoch: 1, Count: 1}, b)
+	s.SetSnapshot(distribution.ConfigType, distribution.Version{Count: 1}, doc)
+	go distribution.Serve(ctx, ln, "feed", s, 3*beat+time.Second, s.LastContact)
 	return nil
 }
 
--- a/internal/fleet/scaletest/scaletest_test.go
+++ b/internal/fleet/scaletest/scaletest_test.go
@@ -64,11 +64,11 @@
 	c.Assert(err, qt.IsNil)
 	defer ln.Close()
 	s := distribution.NewCache()
-	s.Heard("primary", time.Now())
-	s.Set(distribution.SourceConfig, distribution.Version{Count: 1}, []byte("one"))
+	s.RecordContact("primary", time.Now())
+	s.SetSnapshot(distribution.ConfigType, distribution.Version{Count: 1}, []byte("one"))
 	go distribution.Serve(ctx, ln, "o", s, time.Second, func() (time.Time, string) {
-		s.Heard("primary", time.Now())
-		return s.Fresh()
+		s.RecordContact("primary", time.Now())
+		return s.LastContact()
 	})
 	in, commands := io.Pipe()
 	events, out := io.Pipe()
@@ -82,11 +82,11 @@
 		e.At = nil
 		return e
 	}
-	c.Assert(next(), qt.DeepEquals, Event{What: distribution.SourceConfig, Count: 1})
-	s.Append(distribution.SourceConfig, distribution.Version{Count: 1}, distribution.Version{Count: 2}, distribution.Change{At: distribution.Version{Count: 2}, Body: []byte("two")}, func() []byte { return []byte("whole") })
-	c.Assert(next(), qt.DeepEquals, Event{What: distribution.SourceConfig, Count: 2})
-	s.Set(distribution.SourceList, distribution.Version{Epoch: 3, Count: 4}, []byte("list"))
-	c.Assert(next(), qt.DeepEquals, Event{What: distribution.SourceList, Epoch: 3, Count: 4})
+	c.Assert(next(), qt.DeepEquals, Event{What: distribution.ConfigType, Count: 1})
+	s.AppendChange(distribution.ConfigType, distribution.Version{Count: 1}, distribution.Version{Count: 2}, distribution.Change{Version: distribution.Version{Count: 2}, Body: []byte("two")}, func() []byte { return []byte("whole") })
+	c.Assert(next(), qt.DeepEquals, Event{What: distribution.ConfigType, Count: 2})
+	s.SetSnapshot(distribution.BackendListType, distribution.Version{Epoch: 3, Count: 4}, []byte("list"))
+	c.Assert(next(), qt.DeepEquals, Event{What: distribution.BackendListType, Epoch: 3, Count: 4})
 	_, err = io.WriteString(commands, "mark\n")
 	c.Assert(err, qt.IsNil)
 	c.Assert(next(), qt.DeepEquals, Event{What: eventBack})
--- a/internal/fleet/scaletest/setup.go
+++ b/internal/fleet/scaletest/setup.go
@@ -84,7 +84,7 @@
 	if err := t.startAgents(l); err != nil {
 		return err
 	}
-	config, err := t.await(ctx, func(e *Event) bool { return e.What == distribution.SourceConfig && e.Count >= t.op.changes })
+	config, err := t.await(ctx, func(e *Event) bool { return e.What == distribution.ConfigType && e.Count >= t.op.changes })
 	if err != nil {
 		return errors.Wrap(err, "configuration to all")
 	}
--- a/internal/fleet/status/status.go
+++ b/internal/fleet/status/status.go
@@ -15,13 +15,13 @@
 	From      string `json:"from"`      // name of the core machine that tells
 	Confirmed bool   `json:"confirmed"` // its view was confirmed by all backups as this was told
 	// Learning: the primary has led for less than a lease, so agents may be missing that it has not heard yet.
-	Learning      bool          `json:"learning"`
-	View          View          `json:"view"`
-	Duties        []Duty        `json:"duties"`
-	Configuration Configuration `json:"configuration"`
-	List          List          `json:"list"`
-	Agents        []Agent       `json:"agents"`   // by name
-	Services      []Service     `json:"services"` // by name
+	CollectingLeases bool            `json:"learning"`
+	View             View            `json:"view"`
+	SingletonRoles   []SingletonRole `json:"duties"`
+	Configuration    Configuration   `json:"configuration"`
+	BackendList      BackendList     `json:"list"`
+	Agents           []Agent         `json:"agents"`   // by name
+	Services         []Service       `json:"services"` // by name
 }
 
 // View is the core's: who keeps the record.
@@ -34,27 +34,27 @@
 
 // Member is a core machine.
 type Member struct {
-	Address string `json:"address"` // control address
-	Zone    string `json:"zone"`
-	Region  string `json:"region"`
-	Role    string `json:"role"`     // primary, backup or witness
-	Self    bool   `json:"self"`     // the one who tells
-	HeardMs int64  `json:"heard_ms"` // when it was last heard; -1: not since the teller's start, or the teller itself
+	Address       string `json:"address"` // control address
+	Zone          string `json:"zone"`
+	Region        string `json:"region"`
+	Role          string `json:"role"`     // primary, backup or witness
+	Self          bool   `json:"self"`     // the one who tells
+	LastContactMs int64  `json:"heard_ms"` // when it was last heard; -1: not since the teller's start, or the teller itself
 }
 
 // The duties, of which each has one holder at the most.
 const (
-	DutyPoll   = "poll"   // asking the platform for its list, for all
-	DutyPhases = "phases" // telling backends which phase to take up
+	SingletonPoll   = "poll"   // asking the platform for its list, for all
+	SingletonPhases = "phases" // telling backends which phase to take up
 )
 
-// Duty is one that is done for the whole fleet.
-type Duty struct {
-	Name   string `json:"name"`
-	Holder string `json:"holder"` // control address; empty: nobody
-	Fence  uint64 `json:"fence"`  // the epoch in whose name it is done
-	// WaitMs is how long the holder still keeps still, so that holders don't take turns within a lease; 0: it is at work.
-	WaitMs int64 `json:"wait_ms"`
+// SingletonRole is one that is done for the whole fleet.
+type SingletonRole struct {
+	Name         string `json:"name"`
+	Holder       string `json:"holder"` // control address; empty: nobody
+	FencingToken uint64 `json:"fence"`  // the epoch in whose name it is done
+	// StandbyMs is how long the holder still keeps still, so that holders don't take turns within a lease; 0: it is at work.
+	StandbyMs int64 `json:"wait_ms"`
 }
 
 // Configuration is the newest acknowledged one.
@@ -64,26 +64,26 @@
 	AgeMs   int64  `json:"age_ms"`
 }
 
-// Number is a list's: epochs first, counts within one.
-type Number struct {
+// ListVersion is a list's: epochs first, counts within one.
+type ListVersion struct {
 	Epoch uint64 `json:"epoch"`
 	Count uint64 `json:"count"`
 }
 
-// List is the platform's list as last given out.
-type List struct {
-	Number
+// BackendList is the platform's list as last given out.
+type BackendList struct {
+	ListVersion
 	AgeMs int64 `json:"age_ms"` // of the last poll that was answered; -1: none
 }
 
 // Agent is one that holds a lease: a proxy, by way of its node agent.
 type Agent struct {
-	Name    string `json:"name"`
-	Zone    string `json:"zone"`
-	LeaseMs int64  `json:"lease_ms"` // age of the last renewal
-	Version int64  `json:"ver"`      // of the configuration in force there; 0: none
-	SinceMs int64  `json:"since_ms"` // for how long it has been
-	List    Number `json:"list"`     // zero: none, or one that its node agent polled itself
+	Name               string      `json:"name"`
+	Zone               string      `json:"zone"`
+	LeaseAgeMs         int64       `json:"lease_ms"` // age of the last renewal
+	ConfigVersion      int64       `json:"ver"`      // of the configuration in force there; 0: none
+	ConfigAgeMs        int64       `json:"since_ms"` // for how long it has been
+	BackendListVersion ListVersion `json:"list"`     // zero: none, or one that its node agent polled itself
 }
 
 // Service is a service's backends, as in the list given out.
@@ -110,19 +110,19 @@
 	slices.SortFunc(f.View.Members, func(a, b Member) int { return cmp.Compare(a.Address, b.Address) })
 }
 
-// Lacking are the agents whose configuration is older than a version.
-func (f *Fleet) Lacking(version int64) []Agent {
+// Behind are the agents whose configuration is older than a version.
+func (f *Fleet) Behind(version int64) []Agent {
 	var all []Agent
 	for _, a := range f.Agents {
-		if a.Version < version {
+		if a.ConfigVersion < version {
 			all = append(all, a)
 		}
 	}
 	return all
 }
 
-// Everywhere tells whether every agent with a lease has a version or a newer one. It is false while nobody holds a lease
+// AppliedEverywhere tells whether every agent with a lease has a version or a newer one. It is false while nobody holds a lease
 // or the primary may not have heard all of them yet.
-func (f *Fleet) Everywhere(version int64) bool {
-	return f.Confirmed && !f.Learning && len(f.Agents) > 0 && len(f.Lacking(version)) == 0
+func (f *Fleet) AppliedEverywhere(version int64) bool {
+	return f.Confirmed && !f.CollectingLeases && len(f.Agents) > 0 && len(f.Behind(version)) == 0
 }
--- a/internal/fleet/status/status_test.go
+++ b/internal/fleet/status/status_test.go
@@ -6,22 +6,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestEverywhere(t *testing.T) {
+func TestAppliedEverywhere(t *testing.T) {
 	c := qt.New(t)
-	f := &Fleet{Confirmed: true, Agents: []Agent{{Name: "b", Version: 7}, {Name: "a", Version: 8}}}
+	f := &Fleet{Confirmed: true, Agents: []Agent{{Name: "b", ConfigVersion: 7}, {Name: "a", ConfigVersion: 8}}}
 	f.Sort()
 	c.Assert(f.Agents[0].Name, qt.Equals, "a")
-	c.Assert(f.Everywhere(7), qt.IsTrue, qt.Commentf("a newer one counts"))
-	c.Assert(f.Everywhere(8), qt.IsFalse)
-	c.Assert(f.Lacking(8), qt.DeepEquals, []Agent{{Name: "b", Version: 7}})
+	c.Assert(f.AppliedEverywhere(7), qt.IsTrue, qt.Commentf("a newer one counts"))
+	c.Assert(f.AppliedEverywhere(8), qt.IsFalse)
+	c.Assert(f.Behind(8), qt.DeepEquals, []Agent{{Name: "b", ConfigVersion: 7}})
 	for _, change := range []func(f *Fleet){
-		func(f *Fleet) { f.Learning = true },
+		func(f *Fleet) { f.CollectingLeases = true },
 		func(f *Fleet) { f.Confirmed = false },
 		func(f *Fleet) { f.Agents = nil },
 	} {
 		g := *f
 		change(&g)
-		c.Check(g.Everywhere(7), qt.IsFalse, qt.Commentf("%+v", g))
+		c.Check(g.AppliedEverywhere(7), qt.IsFalse, qt.Commentf("%+v", g))
 	}
 }
 
@@ -29,7 +29,7 @@
 	c := qt.New(t)
 	f, err := Decode([]byte(`{"from":"core-1","agents":[{"name":"a","ver":7,"list":{"epoch":2,"count":3}}],"later":1}`))
 	c.Assert(err, qt.IsNil)
-	c.Assert(f.Agents, qt.DeepEquals, []Agent{{Name: "a", Version: 7, List: Number{Epoch: 2, Count: 3}}})
+	c.Assert(f.Agents, qt.DeepEquals, []Agent{{Name: "a", ConfigVersion: 7, BackendListVersion: ListVersion{Epoch: 2, Count: 3}}})
 	_, err = Decode([]byte(`<html>`))
 	c.Assert(err, qt.ErrorMatches, "status: .*")
 }
