--- a/cmd/molepaddle-fleet/check.go
+++ b/cmd/molepaddle-fleet/check.go
@@ -25,8 +25,8 @@
 	kindUpdate        = "update"
 )
 
-// checked is what was found of one file.
-type checked struct {
+// fileReport is what was found of one file.
+type fileReport struct {
 	File     string    `json:"file"`
 	Kind     string    `json:"kind,omitempty"`  // empty where the file can't be read
 	About    string    `json:"about,omitempty"` // one line; empty with findings that hide it
@@ -36,27 +36,27 @@
 
 // Run checks each file. The worst one gives the exit code.
 func (c *checkCmd) Run(a *app) error {
-	all := make([]checked, 0, len(c.Files))
-	code := exitDone
+	all := make([]fileReport, 0, len(c.Files))
+	code := exitOK
 	for _, name := range c.Files {
-		one := check(name)
+		one := checkFile(name)
 		all = append(all, one)
 		switch {
 		case one.Error != "":
 			code = exitUsage
 		case len(one.Findings) > 0:
-			code = max(code, exitNo)
+			code = max(code, exitFailure)
 		}
 	}
 	if c.JSON {
 		if err := writeJSON(a.out, all); err != nil {
 			return err
 		}
-		return codeOnly(code)
+		return exitWith(code)
 	}
 	for _, one := range all {
 		if one.Error != "" {
-			fmt.Fprintln(a.out, lines(one.File+": can't be read: "+one.Error))
+			fmt.Fprintln(a.out, sanitize(one.File+": can't be read: "+one.Error))
 			continue
 		}
 		about := one.Kind
@@ -64,43 +64,43 @@
 			about += ", " + one.About
 		}
 		if n := len(one.Findings); n > 0 {
-			about += "; " + many(n, "finding")
+			about += "; " + plural(n, "finding")
 		}
-		fmt.Fprintln(a.out, lines(one.File+": "+about))
+		fmt.Fprintln(a.out, sanitize(one.File+": "+about))
 		writeFindings(a.out, one.File, one.Findings)
 	}
-	return codeOnly(code)
+	return exitWith(code)
 }
 
-// codeOnly ends with a code when all has been said.
-func codeOnly(code int) error {
-	if code == exitDone {
+// exitWith ends with a code when all has been said.
+func exitWith(code int) error {
+	if code == exitOK {
 		return nil
 	}
-	return coded{nil, code}
+	return exitError{nil, code}
 }
 
-func check(name string) checked {
-	one := checked{File: name, Findings: []finding{}}
+func checkFile(name string) fileReport {
+	one := fileReport{File: name, Findings: []finding{}}
 	body, err := readFile(name)
 	if err != nil {
 		one.Error = err.Error()
 		return one
 	}
-	switch one.Kind = kindOf(name, body); one.Kind {
+	switch one.Kind = detectKind(name, body); one.Kind {
 	case kindUpdate:
 		one.Findings = append(one.Findings, finding{"", "is no whole configuration: `molepaddle-fleet diff` tells what it would change"})
 	case kindConfiguration:
 		d, in := routingconfig.Decode(body)
-		one.Findings = found(in, body)
+		one.Findings = fileFindings(in, body)
 		if len(in) == 0 {
-			one.About = aboutDocument(d)
+			one.About = describeDocument(d)
 		}
 	case kindSettings:
 		s, err := settings.Parse(name, body)
 		var in settings.Findings
 		if err == nil {
-			one.About = aboutSettings(s)
+			one.About = describeSettings(s)
 			in = s.Check(name)
 		} else if !errors.As(err, &in) {
 			one.Findings = append(one.Findings, finding{"", err.Error()})
@@ -112,8 +112,8 @@
 	return one
 }
 
-// kindOf tells what a file is meant to be: by its content, and by its name where that tells nothing.
-func kindOf(name string, body []byte) string {
+// detectKind tells what a file is meant to be: by its content, and by its name where that tells nothing.
+func detectKind(name string, body []byte) string {
 	text := bytes.TrimLeft(body, " \t\r\n")
 	if !bytes.HasPrefix(text, []byte("{")) && !strings.EqualFold(filepath.Ext(name), ".json") {
 		return kindSettings
@@ -125,14 +125,14 @@
 	return kindConfiguration
 }
 
-func aboutDocument(d *routingconfig.Document) string {
-	return fmt.Sprintf("version %d: %s, %s", d.Version(), many(d.NumRoutes(), "route"), many(len(d.Services()), "service"))
+func describeDocument(d *routingconfig.Document) string {
+	return fmt.Sprintf("version %d: %s, %s", d.Version(), plural(d.NumRoutes(), "route"), plural(len(d.Services()), "service"))
 }
 
-func aboutSettings(s settings.Settings) string {
-	about := "of " + word(s.Nodename) + " at " + s.IP
+func describeSettings(s settings.Settings) string {
+	about := "of " + quoteName(s.NodeName) + " at " + s.IP
 	if s.Zone != "" {
-		about += " in " + word(s.Zone)
+		about += " in " + quoteName(s.Zone)
 	}
 	if len(s.Roles) == 0 {
 		return about + ", serves nobody from outside"
--- a/cmd/molepaddle-fleet/control.go
+++ b/cmd/molepaddle-fleet/control.go
@@ -23,58 +23,58 @@
 func (f *controlFlags) client(a *app) (*operatorclient.Client, error) {
 	addresses := f.Control
 	if len(addresses) == 0 {
-		if a.settings == "" {
-			return nil, coded{errors.New("no control address: give --control ADDR, or a settings file that names peers"), exitUsage}
+		if a.settingsPath == "" {
+			return nil, exitError{errors.New("no control address: give --control ADDR, or a settings file that names peers"), exitUsage}
 		}
-		set, err := settings.Load(a.settings)
+		set, err := settings.Load(a.settingsPath)
 		if err != nil {
-			return nil, coded{errors.Wrap(err, "settings"), exitUsage}
+			return nil, exitError{errors.Wrap(err, "settings"), exitUsage}
 		}
 		if addresses = set.Seeds; set.Bind.Control != "" {
 			addresses = append([]string{set.Bind.Control}, addresses...)
 		}
 		if len(addresses) == 0 {
-			return nil, coded{errors.Errorf("%s: peers: names no control address", a.settings), exitUsage}
+			return nil, exitError{errors.Errorf("%s: peers: names no control address", a.settingsPath), exitUsage}
 		}
 	}
 	for _, addr := range addresses {
 		host, port, err := net.SplitHostPort(addr)
 		n, err2 := strconv.ParseUint(port, 10, 16)
 		if err != nil || err2 != nil || host == "" || n == 0 {
-			return nil, coded{errors.Errorf("--control: %q is no IP:port", addr), exitUsage}
+			return nil, exitError{errors.Errorf("--control: %q is no IP:port", addr), exitUsage}
 		}
 	}
 	if f.Within <= 0 {
-		return nil, coded{errors.New("--within: must be above 0"), exitUsage}
+		return nil, exitError{errors.New("--within: must be above 0"), exitUsage}
 	}
-	return &operatorclient.Client{Control: addresses, Within: f.Within}, nil
+	return &operatorclient.Client{Endpoints: addresses, CallTimeout: f.Within}, nil
 }
 
-// current asks for the configuration in force; nil while there is none.
-func current(a *app, c *operatorclient.Client) (d *routingconfig.Document, answer operatorclient.Answer, err error) {
+// fetchCurrent asks for the configuration in force; nil while there is none.
+func fetchCurrent(a *app, c *operatorclient.Client) (d *routingconfig.Document, answer operatorclient.Response, err error) {
 	answer, err = c.Show(a.ctx)
-	var no *operatorclient.Refused
+	var no *operatorclient.RejectedError
 	if errors.As(err, &no) && no.Status == http.StatusNotFound {
-		return nil, operatorclient.Answer{From: no.From}, nil
+		return nil, operatorclient.Response{Endpoint: no.Endpoint}, nil
 	}
 	if err != nil {
-		return nil, answer, coded{err, codeOf(err)}
+		return nil, answer, exitError{err, exitCodeOf(err)}
 	}
 	d, in := routingconfig.Decode(answer.Body)
 	if err := in.Err(); err != nil {
-		return nil, answer, coded{errors.Wrapf(err, "what %s shows is no configuration", answer.From), exitUnclear}
+		return nil, answer, exitError{errors.Wrapf(err, "what %s shows is no configuration", answer.Endpoint), exitIndeterminate}
 	}
 	return d, answer, nil
 }
 
-// codeOf is the exit code of a client's error.
-func codeOf(err error) int {
-	var no *operatorclient.Refused
+// exitCodeOf is the exit code of a client's error.
+func exitCodeOf(err error) int {
+	var no *operatorclient.RejectedError
 	switch {
 	case !errors.As(err, &no):
-		return exitUnclear
+		return exitIndeterminate
 	case no.Status == http.StatusPreconditionFailed:
-		return exitStale
+		return exitVersionConflict
 	}
-	return exitNo
+	return exitFailure
 }
--- a/cmd/molepaddle-fleet/control_test.go
+++ b/cmd/molepaddle-fleet/control_test.go
@@ -24,98 +24,98 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// control stands in for the control plane: one agent that takes configurations as PROTOCOL.md says.
-type control struct {
+// fakeControlPlane stands in for the control plane: one agent that takes configurations as PROTOCOL.md says.
+type fakeControlPlane struct {
 	addr string
 
-	mu    sync.Mutex
-	doc   *routingconfig.Document
-	was   *routingconfig.Document // in force before
-	calls []string                // method, path and base version of each call
-	looks int                     // at the status since the last change
+	mu          sync.Mutex
+	doc         *routingconfig.Document
+	previous    *routingconfig.Document // in force before
+	calls       []string                // method, path and base version of each call
+	statusCalls int                     // at the status since the last change
 }
 
-// newControl starts one, ended with the test.
-func newControl(tb testing.TB) *control {
-	s := &control{}
+// newFakeControlPlane starts one, ended with the test.
+func newFakeControlPlane(tb testing.TB) *fakeControlPlane {
+	s := &fakeControlPlane{}
 	server := httptest.NewServer(s)
 	tb.Cleanup(server.Close)
 	s.addr = server.Listener.Addr().String()
 	return s
 }
 
-func (s *control) seen() []string {
+func (s *fakeControlPlane) recordedCalls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.calls...)
 }
 
-func (s *control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeControlPlane) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls = append(s.calls, strings.TrimSpace(r.Method+" "+r.URL.Path+" "+r.Header.Get(externalapi.BaseVersion)))
+	s.calls = append(s.calls, strings.TrimSpace(r.Method+" "+r.URL.Path+" "+r.Header.Get(externalapi.HeaderBaseVersion)))
 	change := routingconfig.Replace
 	switch r.Method + " " + r.URL.Path {
-	case externalapi.Show.Method + " " + externalapi.Show.Path:
+	case externalapi.CallShow.Method + " " + externalapi.CallShow.Path:
 		if s.doc == nil {
-			no(w, http.StatusNotFound, "no configuration yet", nil)
+			writeRejection(w, http.StatusNotFound, "no configuration yet", nil)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(s.doc.Show())
 		return
-	case externalapi.Resided.Method + " " + externalapi.Resided.Path:
+	case externalapi.CallResidency.Method + " " + externalapi.CallResidency.Path:
 		s.residency(w, r)
 		return
-	case externalapi.Status.Method + " " + externalapi.Status.Path:
-		s.looks++
+	case externalapi.CallStatus.Method + " " + externalapi.CallStatus.Path:
+		s.statusCalls++
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s.stands(r.URL.Query().Has(externalapi.QueryLocal)))
+		_ = json.NewEncoder(w).Encode(s.fleetStatus(r.URL.Query().Has(externalapi.QueryLocal)))
 		return
-	case externalapi.Replace.Method + " " + externalapi.Replace.Path:
-	case externalapi.Update.Method + " " + externalapi.Update.Path:
+	case externalapi.CallReplace.Method + " " + externalapi.CallReplace.Path:
+	case externalapi.CallUpdate.Method + " " + externalapi.CallUpdate.Path:
 		change = routingconfig.Update
 	default:
-		no(w, http.StatusNotFound, "no such call", nil)
+		writeRejection(w, http.StatusNotFound, "no such call", nil)
 		return
 	}
-	base, err := strconv.ParseInt(r.Header.Get(externalapi.BaseVersion), 10, 64)
+	base, err := strconv.ParseInt(r.Header.Get(externalapi.HeaderBaseVersion), 10, 64)
 	if err != nil || base != s.doc.Version() {
-		no(w, http.StatusPreconditionFailed, "version "+strconv.FormatInt(s.doc.Version(), 10)+" is in place", nil)
+		writeRejection(w, http.StatusPreconditionFailed, "version "+strconv.FormatInt(s.doc.Version(), 10)+" is in place", nil)
 		return
 	}
 	next, found := change(s.doc, body)
 	if len(found) > 0 {
-		no(w, http.StatusBadRequest, "the configuration is invalid", found)
+		writeRejection(w, http.StatusBadRequest, "the configuration is invalid", found)
 		return
 	}
-	s.was, s.doc, s.looks = s.doc, next, 0
+	s.previous, s.doc, s.statusCalls = s.doc, next, 0
 }
 
 // residency tells of two tenants, as a control server does.
-func (s *control) residency(w http.ResponseWriter, r *http.Request) {
+func (s *fakeControlPlane) residency(w http.ResponseWriter, r *http.Request) {
 	at := time.Date(2026, time.December, 1, 8, 0, 0, 0, time.UTC)
 	tenant, route := r.URL.Query().Get(externalapi.QueryTenant), r.URL.Query().Get(externalapi.QueryRoute)
-	answer := externalapi.Residency{Seq: 41}
-	for _, one := range []externalapi.Rested{
+	answer := externalapi.ResidencyReport{Seq: 41}
+	for _, one := range []externalapi.ResidencyRow{
 		{Route: "r-old", Region: "kanto", First: at, Last: at.Add(1500 * time.Millisecond), Plain: 3},
 		{Tenant: "kochi-labs", Region: "kerala-central", First: at.Add(250 * time.Millisecond), Last: at.Add(30 * time.Hour), Plain: 12, Prefills: 871, Decodes: 902, Resumes: 4},
 		{Tenant: "kochi-labs", Region: "kerala-north", First: at.Add(time.Minute), Last: at.Add(24 * time.Hour), Prefills: 40, Decodes: 51},
 	} {
 		if (tenant == "" || one.Tenant == tenant) && (route == "" || one.Route == route) {
-			answer.Rested = append(answer.Rested, one)
+			answer.Rows = append(answer.Rows, one)
 		}
 	}
-	if len(answer.Rested) == 0 && tenant != "new-labs" {
-		no(w, http.StatusNotFound, "nothing is known of such a name: it is not listed and nothing of it rested anywhere", nil)
+	if len(answer.Rows) == 0 && tenant != "new-labs" {
+		writeRejection(w, http.StatusNotFound, "nothing is known of such a name: it is not listed and nothing of it rested anywhere", nil)
 		return
 	}
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// no answers as a control server refuses.
-func no(w http.ResponseWriter, status int, why string, in routingconfig.Findings) {
+// writeRejection answers as a control server refuses.
+func writeRejection(w http.ResponseWriter, status int, why string, in routingconfig.Findings) {
 	w.WriteHeader(status)
 	list := []map[string]string{}
 	for _, f := range in {
@@ -124,7 +124,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"err": why, "findings": list})
 }
 
-// build is what the program is told of its build.
+// readBuildInfo is what the program is told of its build.
 func build() (*debug.BuildInfo, bool) {
 	return &debug.BuildInfo{GoVersion: "go1.26.8", Main: debug.Module{Version: "v1.2.0"}, Settings: []debug.BuildSetting{
 		{Key: "GOOS", Value: "linux"}, {Key: "GOARCH", Value: "amd64"}, {Key: "vcs.revision", Value: "a923778"},
@@ -155,12 +155,12 @@
 		files []string
 		code  int
 	}{
-		{[]string{"boot.toml", "fleet.json"}, exitDone},
-		{[]string{"boot.toml", "bad.json"}, exitNo},
-		{[]string{"lacking.toml"}, exitNo},
-		{[]string{"wrong.toml"}, exitNo},
-		{[]string{"cut.json"}, exitNo},
-		{[]string{"reading.json"}, exitNo},
+		{[]string{"boot.toml", "fleet.json"}, exitOK},
+		{[]string{"boot.toml", "bad.json"}, exitFailure},
+		{[]string{"lacking.toml"}, exitFailure},
+		{[]string{"wrong.toml"}, exitFailure},
+		{[]string{"cut.json"}, exitFailure},
+		{[]string{"reading.json"}, exitFailure},
 		{[]string{"absent.toml", "bad.json"}, exitUsage},
 		{[]string{"bad.json", "absent.toml"}, exitUsage},
 	} {
@@ -173,12 +173,12 @@
 	}
 }
 
-func TestCheckTellsAll(t *testing.T) {
+func TestCheckReportsAllFindings(t *testing.T) {
 	c := qt.New(t)
 	code, out, errOut := fleetctl(t, "check", "--json", data("wrong.toml"), data("bad.json"), data("absent.toml"))
 	c.Assert(code, qt.Equals, exitUsage)
 	c.Assert(errOut, qt.Equals, "")
-	var all []checked
+	var all []fileReport
 	c.Assert(json.Unmarshal([]byte(out), &all), qt.IsNil)
 	c.Assert(all, qt.HasLen, 3)
 	c.Check(all[0].Kind, qt.Equals, kindSettings)
@@ -195,54 +195,54 @@
 	c.Check(all[2].Error, qt.Contains, "no such file")
 }
 
-func TestCheckHidesNoOrderToTheTerminal(t *testing.T) {
+func TestCheckSanitizesTerminalOutput(t *testing.T) {
 	c := qt.New(t)
 	name := filepath.Join(t.TempDir(), "x.json")
 	c.Assert(os.WriteFile(name, []byte("{\"ver\":1,\"routing\":[],\"svcs\":[],\"caps\":{\"a\\u001b[2Jb\":1,\"a\\u001b[2Jb\":2}}"), 0o600), qt.IsNil)
 	code, out, _ := fleetctl(t, "check", name)
-	c.Assert(code, qt.Equals, exitNo)
+	c.Assert(code, qt.Equals, exitFailure)
 	c.Assert(out, qt.Contains, "given twice")
 	c.Assert(strings.ContainsRune(out, 0x1b), qt.IsFalse)
 }
 
 func TestProposeTakesTheCurrentVersion(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	// While there is none, the third no is the answer.
 	show := "GET /molepaddle/cfg/show"
 	code, out, _ := fleetctl(t, "propose", data("fleet.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "version 5 on top of 0")
-	c.Assert(s.seen(), qt.DeepEquals, []string{show, show, show, "POST /molepaddle/cfg/replace 0"})
+	c.Assert(s.recordedCalls(), qt.DeepEquals, []string{show, show, show, "POST /molepaddle/cfg/replace 0"})
 	code, out, _ = fleetctl(t, "propose", data("next.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "version 7 on top of 5")
-	c.Assert(s.seen()[4:], qt.DeepEquals, []string{show, "POST /molepaddle/cfg/replace 5"})
+	c.Assert(s.recordedCalls()[4:], qt.DeepEquals, []string{show, "POST /molepaddle/cfg/replace 5"})
 	// What is in force already is not sent.
 	code, out, _ = fleetctl(t, "propose", data("next.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "in force already")
-	c.Assert(s.seen(), qt.HasLen, 7)
+	c.Assert(s.recordedCalls(), qt.HasLen, 7)
 	// With a base nothing is asked.
 	code, _, errOut := fleetctl(t, "propose", data("back.json"), "--control", s.addr, "--base", "5")
-	c.Assert(code, qt.Equals, exitStale)
+	c.Assert(code, qt.Equals, exitVersionConflict)
 	c.Assert(errOut, qt.Contains, "(412): version 7 is in place")
-	c.Assert(s.seen()[7:], qt.DeepEquals, []string{"POST /molepaddle/cfg/replace 5"})
+	c.Assert(s.recordedCalls()[7:], qt.DeepEquals, []string{"POST /molepaddle/cfg/replace 5"})
 }
 
-func TestProposeTellsFindings(t *testing.T) {
+func TestProposeReportsFindings(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	code, out, errOut := fleetctl(t, "propose", data("bad.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitNo)
+	c.Assert(code, qt.Equals, exitFailure)
 	c.Assert(out, qt.Contains, data("bad.json")+": routing[1].deadline_ms: must be above 0\n")
 	c.Assert(out, qt.Contains, `routing[1].shares[1].svc: the service "obs-lookpu" is not known`)
 	c.Assert(errOut, qt.Contains, "refused by "+s.addr+" (400): the configuration is invalid")
 
 	code, out, errOut = fleetctl(t, "propose", "--json", data("bad.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitNo)
+	c.Assert(code, qt.Equals, exitFailure)
 	c.Assert(errOut, qt.Equals, "")
-	var got sent
+	var got changeResult
 	c.Assert(json.Unmarshal([]byte(out), &got), qt.IsNil)
 	c.Assert(got.Status, qt.Equals, 400)
 	c.Assert(got.Version, qt.Equals, int64(12))
@@ -251,32 +251,32 @@
 
 func TestChangesAreNotMixedUp(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	code, _, errOut := fleetctl(t, "update", data("fleet.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitNo)
+	c.Assert(code, qt.Equals, exitFailure)
 	c.Assert(errOut, qt.Contains, "molepaddle-fleet propose")
 	code, _, errOut = fleetctl(t, "propose", data("reading.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitNo)
+	c.Assert(code, qt.Equals, exitFailure)
 	c.Assert(errOut, qt.Contains, "molepaddle-fleet update")
-	c.Assert(s.seen(), qt.HasLen, 0)
+	c.Assert(s.recordedCalls(), qt.HasLen, 0)
 }
 
 func TestUpdate(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	code, _, _ := fleetctl(t, "propose", data("next.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	code, out, errOut := fleetctl(t, "update", data("reading.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone, qt.Commentf("%s", errOut))
+	c.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", errOut))
 	c.Assert(out, qt.Contains, "version 9 on top of 7")
 	code, out, _ = fleetctl(t, "show", "--json", "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	d, found := routingconfig.Decode([]byte(out))
 	c.Assert(found, qt.HasLen, 0)
 	c.Assert(d.NumRoutes(), qt.Equals, 3)
 }
 
-func TestUnclear(t *testing.T) {
+func TestIndeterminate(t *testing.T) {
 	c := qt.New(t)
 	nobody := deadAddr(c)
 	for _, args := range [][]string{
@@ -284,7 +284,7 @@
 		{"update", "--base", "7", data("reading.json")}, {"route", "a", "/b"},
 	} {
 		code, _, errOut := fleetctl(t, append(args, "--control", nobody, "--within", "150ms")...)
-		c.Check(code, qt.Equals, exitUnclear, qt.Commentf("%v", args))
+		c.Check(code, qt.Equals, exitIndeterminate, qt.Commentf("%v", args))
 		c.Check(errOut, qt.Contains, "no clear answer: "+nobody, qt.Commentf("%v", args))
 		if len(args) > 2 && args[1] == "--base" {
 			c.Check(errOut, qt.Contains, "Send it again with --base "+args[2])
@@ -292,14 +292,14 @@
 	}
 }
 
-func TestDiffTellsWhatWouldBeRefused(t *testing.T) {
+func TestDiffReportsRejections(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	code, _, _ := fleetctl(t, "propose", data("next.json"), "--control", s.addr, "--base", "0")
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	code, out, _ := fleetctl(t, "diff", "--json", data("fleet.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitNo)
-	var o outcome
+	c.Assert(code, qt.Equals, exitFailure)
+	var o diffResult
 	c.Assert(json.Unmarshal([]byte(out), &o), qt.IsNil)
 	c.Check(o.From, qt.Equals, int64(7))
 	c.Check(o.To, qt.Equals, int64(5))
@@ -307,24 +307,24 @@
 	c.Check(len(o.Changes) > 0, qt.IsTrue)
 	// What is in force is no change, and would not be refused.
 	code, out, _ = fleetctl(t, "diff", data("next.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Equals, "version 7 -> 7: 0 changes\n")
 	// An update is laid over what is in force.
 	code, out, _ = fleetctl(t, "diff", data("reading.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "+ route r-reading")
-	c.Assert(s.seen()[1:], qt.DeepEquals, []string{"GET /molepaddle/cfg/show", "GET /molepaddle/cfg/show", "GET /molepaddle/cfg/show"})
+	c.Assert(s.recordedCalls()[1:], qt.DeepEquals, []string{"GET /molepaddle/cfg/show", "GET /molepaddle/cfg/show", "GET /molepaddle/cfg/show"})
 }
 
 func TestControlFromSettings(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	name := filepath.Join(t.TempDir(), "boot.toml")
 	c.Assert(os.WriteFile(name, []byte("nodename = \"n\"\nip = \"127.0.0.1\"\nport_range = [1, 9]\npeers = [\""+s.addr+"\"]\n"), 0o600), qt.IsNil)
 	code, _, errOut := fleetctl(t, "propose", data("fleet.json"), "--settings", name)
-	c.Assert(code, qt.Equals, exitDone, qt.Commentf("%s", errOut))
+	c.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", errOut))
 	code, out, _ := fleetctl(t, "show", "--settings", name)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "version 5: 3 routes, 2 services, from "+s.addr)
 }
 
@@ -343,10 +343,10 @@
 	}
 	for _, program := range []string{"proxy", "node-agent", "control-plane"} {
 		code, _, errOut := fleetctl(t, program)
-		c.Check(code, qt.Equals, exitNo)
+		c.Check(code, qt.Equals, exitFailure)
 		c.Check(errOut, qt.Equals, "molepaddle-fleet: no settings file: MOLEPADDLE_CONFIG or --settings gives its path\n")
 		code, _, errOut = fleetctl(t, program, "--settings", data("wrong.toml"))
-		c.Check(code, qt.Equals, exitNo)
+		c.Check(code, qt.Equals, exitFailure)
 		c.Check(strings.Count(errOut, "\n"), qt.Equals, 3, qt.Commentf("all findings: %s", errOut))
 	}
 }
@@ -354,39 +354,39 @@
 func TestRoute(t *testing.T) {
 	c := qt.New(t)
 	code, out, _ := fleetctl(t, "route", "Forecast.Example:8161", "/hazard/7?q=1", "--file", data("next.json"))
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "route r-hazard of version 7")
 	c.Assert(out, qt.Contains, "100% to service sora-llm")
 	code, _, errOut := fleetctl(t, "route", "forecast.example", "/old/1", "--file", data("next.json"))
-	c.Assert(code, qt.Equals, exitNo)
+	c.Assert(code, qt.Equals, exitFailure)
 	c.Assert(errOut, qt.Contains, "no route for forecast.example/old/1: the answer is 404")
 	code, out, _ = fleetctl(t, "route", "forecast.example", "/old/1", "--file", data("bad.json"))
-	c.Assert(code, qt.Equals, exitNo)
+	c.Assert(code, qt.Equals, exitFailure)
 	c.Assert(out, qt.Contains, "routing[1].deadline_ms")
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	_, _, _ = fleetctl(t, "propose", data("fleet.json"), "--control", s.addr)
 	code, out, _ = fleetctl(t, "route", "forecast.example", "/old/1", "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "route r-old of version 5")
 }
 
 func TestVersion(t *testing.T) {
 	c := qt.New(t)
 	code, out, _ := fleetctl(t, "--version")
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	code2, out2, _ := fleetctl(t, "version")
-	c.Assert(code2, qt.Equals, exitDone)
+	c.Assert(code2, qt.Equals, exitOK)
 	c.Assert(out, qt.Equals, out2)
 	var b, e bytes.Buffer
-	c.Assert(run(context.Background(), []string{"version"}, &b, &e, func() (*debug.BuildInfo, bool) { return nil, false }), qt.Equals, exitDone)
+	c.Assert(run(context.Background(), []string{"version"}, &b, &e, func() (*debug.BuildInfo, bool) { return nil, false }), qt.Equals, exitOK)
 	c.Assert(b.String(), qt.Equals, "molepaddle-fleet, of a build that says nothing of itself\n")
-	c.Assert(run(context.Background(), []string{"version"}, &b, &e, debug.ReadBuildInfo), qt.Equals, exitDone)
+	c.Assert(run(context.Background(), []string{"version"}, &b, &e, debug.ReadBuildInfo), qt.Equals, exitOK)
 }
 
 func TestCompletion(t *testing.T) {
 	c := qt.New(t)
 	t.Setenv("COMP_LINE", "molepaddle-fleet pro")
 	code, out, _ := fleetctl(t)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(slices.Sorted(slices.Values(strings.Fields(out))), qt.DeepEquals, []string{"propose", "proxy"})
 }
--- a/cmd/molepaddle-fleet/core_test.go
+++ b/cmd/molepaddle-fleet/core_test.go
@@ -17,7 +17,7 @@
 // TestPrimaryKilledAmidChanges kills the primary while changes come one after the other: all that were acknowledged are
 // there, the rest of them is taken, and requests go on.
 func TestPrimaryKilledAmidChanges(t *testing.T) {
-	f := newFleet(t, plan{})
+	f := newFleet(t, fleetOptions{})
 	primary := f.primary()
 	load := f.traffic([]int{0, 1})
 	const first, amid, last = 2, 8, 20
@@ -25,7 +25,7 @@
 		rep simulation.Reply
 		err error
 	}
-	ctx := f.within(patient)
+	ctx := f.withTimeout(testTimeout)
 	seen := make(chan struct{})
 	outcomes := make(chan outcome, last)
 	go func() {
@@ -58,90 +58,90 @@
 		acked, f.version, at = append(acked, o.rep.Version), o.rep.Version, o.rep.At
 	}
 	f.Assert(f.version, qt.Equals, uint64(last))
-	f.holds(acked...)
+	f.checkConfig(acked...)
 	for i := range f.edge {
-		f.inForce(i, last, at.Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
+		f.awaitInForce(i, last, at.Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
 	}
-	f.add(last + 1)
-	load.goesOn(8, 0, 1)
+	f.applyAddRoute(last + 1)
+	load.awaitMore(8, 0, 1)
 	load.stop()
-	f.judge()
+	f.checkRules()
 }
 
 // TestCoreKilled kills all processes of the core at once; their disks stay.
 func TestCoreKilled(t *testing.T) {
-	f := newFleet(t, plan{})
-	f.add(2)
-	f.inForce(0, 2, time.Now().Add(patient))
-	f.inForce(1, 2, time.Now().Add(patient))
-	load := f.traffic([]int{0, 1}, onAdded(2)) // no proxy goes back to an older version
+	f := newFleet(t, fleetOptions{})
+	f.applyAddRoute(2)
+	f.awaitInForce(0, 2, time.Now().Add(testTimeout))
+	f.awaitInForce(1, 2, time.Now().Add(testTimeout))
+	load := f.traffic([]int{0, 1}, addedRouteRequest(2)) // no proxy goes back to an older version
 	var all sync.WaitGroup
 	for _, m := range f.core {
 		all.Go(func() { m.kill("control-plane") })
 	}
 	all.Wait()
-	load.goesOn(40, 0, 1)
+	load.awaitMore(40, 0, 1)
 	// Node agents ask for the list themselves, once nobody else does.
 	fresh := f.startPlain()
 	f.platform.Add(fresh)
 	alone := time.Now()
-	f.until(patient, "a new backend is sent to", func() bool { return began([]*simulation.Engine{fresh}) > 0 })
+	f.eventually(testTimeout, "a new backend is sent to", func() bool { return startedRuns([]*simulation.Engine{fresh}) > 0 })
 	t.Logf("a new backend was sent to %v after it was added", time.Since(alone))
 	for _, m := range f.core {
 		m.start("control-plane")
 	}
 	back := time.Now()
-	f.holds(2)
+	f.checkConfig(2)
 	t.Logf("read back %v after the return", time.Since(back))
-	rep := f.add(5)
+	rep := f.applyAddRoute(5)
 	t.Logf("the next change %v after the return", rep.At.Sub(back))
-	f.holds(2, 5)
+	f.checkConfig(2, 5)
 	for i := range f.edge {
-		f.inForce(i, 5, rep.At.Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
+		f.awaitInForce(i, 5, rep.At.Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
 	}
-	load.goesOn(8, 0, 1)
+	load.awaitMore(8, 0, 1)
 	load.stop()
-	f.judge()
+	f.checkRules()
 }
 
 // TestCoreDiskLost takes the primary's disk, then, once that machine was taken in again, kills the next primary.
 func TestCoreDiskLost(t *testing.T) {
-	f := newFleet(t, plan{bounds: map[string]any{"sync_s": 1}})
-	f.add(2)
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
+	f.applyAddRoute(2)
 	load := f.traffic([]int{0, 1})
 	lost := f.primary()
 	lost.kill("control-plane")
 	lost.settings.DataDir = "" // a new one, empty
 	lost.start("control-plane")
 	back := time.Now()
-	f.holds(2)
+	f.checkConfig(2)
 	// A machine that is no member knows no primary to send a caller to.
-	version, _, from := f.shown(&simulation.Operator{Ctl: []string{lost.boot.Ctl}})
+	version, _, from := f.showConfig(&simulation.Operator{Ctl: []string{lost.boot.Ctl}})
 	f.Assert(version, qt.Equals, uint64(2))
 	t.Logf("taken in %v after the return", time.Since(back))
-	f.add(3)
+	f.applyAddRoute(3)
 	// What the system may lose at once counts as lost for that long after its return.
-	f.until(patient, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
+	f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
 	if now := f.primary(); now != from {
 		t.Logf("%s leads after %s", now.settings.Node, from.settings.Node)
 		from = now
 	}
 	from.kill("control-plane")
 	killed := time.Now()
-	f.holds(2, 3)
-	rep := f.add(4)
+	f.checkConfig(2, 3)
+	rep := f.applyAddRoute(4)
 	t.Logf("the next change %v after the second loss", rep.At.Sub(killed))
-	f.holds(2, 3, 4)
+	f.checkConfig(2, 3, 4)
 	for i := range f.edge {
-		f.inForce(i, 4, rep.At.Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
+		f.awaitInForce(i, 4, rep.At.Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
 	}
 	load.stop()
-	f.judge()
+	f.checkRules()
 }
 
 // TestOperatorsRace has two operators build on one version, and send the same calls again: one of them wins, for good.
 func TestOperatorsRace(t *testing.T) {
-	f := newFleet(t, plan{})
+	f := newFleet(t, fleetOptions{})
 	ctls := f.operator.Ctl
 	var lost []uint64
 	for base := uint64(1); base < 10; base += 3 {
@@ -152,7 +152,7 @@
 		for i, v := range versions {
 			both.Go(func() {
 				o := &simulation.Operator{Ctl: append(slices.Clone(ctls[i:]), ctls[:i]...)}
-				reps[i], errs[i] = o.Update(f.within(patient), base, addRoute(v))
+				reps[i], errs[i] = o.Update(f.withTimeout(testTimeout), base, addRoute(v))
 			})
 		}
 		both.Wait()
@@ -162,42 +162,42 @@
 		f.Assert(reps[1-winner].Status, qt.Equals, http.StatusPreconditionFailed, qt.Commentf("%s", reps[1-winner].Body))
 		lost = append(lost, versions[1-winner])
 		f.version = versions[winner]
-		f.holds(f.version)
+		f.checkConfig(f.version)
 		for _, ctl := range ctls {
 			o := &simulation.Operator{Ctl: []string{ctl}}
-			rep, err := o.Update(f.within(patient), base, addRoute(versions[winner]))
+			rep, err := o.Update(f.withTimeout(testTimeout), base, addRoute(versions[winner]))
 			f.Assert(err, qt.IsNil)
 			f.Assert(rep.Status, qt.Equals, http.StatusOK)
-			rep, err = o.Update(f.within(patient), base, addRoute(versions[1-winner]))
+			rep, err = o.Update(f.withTimeout(testTimeout), base, addRoute(versions[1-winner]))
 			f.Assert(err, qt.IsNil)
 			f.Assert(rep.Status, qt.Equals, http.StatusPreconditionFailed)
 		}
 		if winner == 0 { // the next round builds on base+3
-			f.add(base + 3)
+			f.applyAddRoute(base + 3)
 			lost = slices.DeleteFunc(lost, func(v uint64) bool { return v == base+3 })
 		}
 	}
 
-	_, routes, _ := f.shown(f.operator)
+	_, routes, _ := f.showConfig(f.operator)
 	for _, v := range lost {
-		f.Assert(slices.Contains(routes, added(v)), qt.IsFalse, qt.Commentf("version %d lost its race", v))
+		f.Assert(slices.Contains(routes, addedRouteName(v)), qt.IsFalse, qt.Commentf("version %d lost its race", v))
 	}
-	rep := f.add(f.version + 2)
+	rep := f.applyAddRoute(f.version + 2)
 	for i := range f.edge {
-		f.inForce(i, f.version, rep.At.Add(f.bound("apply_ms", time.Millisecond)))
+		f.awaitInForce(i, f.version, rep.At.Add(f.bound("apply_ms", time.Millisecond)))
 		for _, v := range lost {
-			r := onAdded(v)
+			r := addedRouteRequest(v)
 			r.Services = []string{}
 			f.Check(f.clients[i].Do(f.ctx, r).Status, qt.Equals, http.StatusNotFound, qt.Commentf("version %d", v))
 		}
 	}
-	f.judge()
+	f.checkRules()
 }
 
 // TestInvalidConfigurations sends what is refused: all that is wrong is told with its place, and nothing of it is in
 // force.
 func TestInvalidConfigurations(t *testing.T) {
-	f := newFleet(t, plan{})
+	f := newFleet(t, fleetOptions{})
 	bad := f.version + 1
 	wrong := func(name, prefix string, change func(object)) object {
 		r := route(name, prefix, "readonly", lookups, 4000, 200, 1, false)
@@ -222,7 +222,7 @@
 		{"no service left", object{"ver": bad, "remove": object{"svcs": list{lookups}}}, []string{""}},
 		{"cut off", []byte(`{"ver":100,"upsert":{"rout`), []string{"byte"}},
 	} {
-		rep, err := f.operator.Update(f.within(patient), f.version, tc.doc)
+		rep, err := f.operator.Update(f.withTimeout(testTimeout), f.version, tc.doc)
 		f.Assert(err, qt.IsNil, qt.Commentf("%s", tc.name))
 		f.Check(rep.Status, qt.Equals, http.StatusBadRequest, qt.Commentf("%s: %s", tc.name, rep.Body))
 		var told struct {
@@ -237,22 +237,22 @@
 	}
 	whole := f.configuration(bad)
 	whole["routing"] = append(whole["routing"].(list), wrong("bad-svc", "/bad-svc/", func(r object) { r["svc"] = "nobody" }))
-	rep, err := f.operator.Replace(f.within(patient), f.version, whole)
+	rep, err := f.operator.Replace(f.withTimeout(testTimeout), f.version, whole)
 	f.Assert(err, qt.IsNil)
 	f.Check(rep.Status, qt.Equals, http.StatusBadRequest)
 	f.Check(strings.Contains(string(rep.Body), `"place":"routing[4].svc"`), qt.IsTrue, qt.Commentf("%s", rep.Body))
 
-	version, routes, _ := f.shown(f.operator)
+	version, routes, _ := f.showConfig(f.operator)
 	f.Assert(version, qt.Equals, f.version)
 	f.Assert(slices.ContainsFunc(routes, func(name string) bool { return strings.HasPrefix(name, "bad") }), qt.IsFalse)
-	rep = f.add(bad + 1)
+	rep = f.applyAddRoute(bad + 1)
 	for i := range f.edge {
-		f.inForce(i, f.version, rep.At.Add(f.bound("apply_ms", time.Millisecond)))
+		f.awaitInForce(i, f.version, rep.At.Add(f.bound("apply_ms", time.Millisecond)))
 		for _, path := range []string{"/bad-svc/x", "/bad-wait/x", "/bad-split/x"} {
 			r := lookup()
 			r.Path, r.Services = path, []string{}
 			f.Check(f.clients[i].Do(f.ctx, r).Status, qt.Equals, http.StatusNotFound)
 		}
 	}
-	f.judge()
+	f.checkRules()
 }
--- a/cmd/molepaddle-fleet/demo.go
+++ b/cmd/molepaddle-fleet/demo.go
@@ -22,8 +22,8 @@
 	Keep bool `help:"Leave the fleet running at the end, until Ctrl-C."`
 }
 
-// demoWithin bounds the whole play; it takes about fifteen seconds.
-const demoWithin = 90 * time.Second
+// demoTimeout bounds the whole play; it takes about fifteen seconds.
+const demoTimeout = 90 * time.Second
 
 // Run plays a small fleet on loopback.
 func (c *demoCmd) Run(a *app) (err error) {
@@ -36,14 +36,14 @@
 			}
 		}()
 	}
-	play, cancel := context.WithTimeout(ctx, demoWithin)
+	play, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	s := &stage{errOut: func(line string) { fmt.Fprintln(os.Stderr, line) }}
-	defer s.end()
+	s := &demoHarness{errOut: func(line string) { fmt.Fprintln(os.Stderr, line) }}
+	defer s.cleanUp()
 	defer func() {
 		switch e := recover().(type) {
 		case nil:
-		case broken:
+		case demoFailure:
 			if err = e.error; ctx.Err() != nil {
 				err = errors.New("interrupted")
 			}
@@ -51,18 +51,18 @@
 			panic(e)
 		}
 	}()
-	d := &demo{began: time.Now(), say: func(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) }}
-	d.say("A whole fleet on this machine. Its programs run for real, as processes of this binary: 3 core machines (the control\n" +
+	d := &demo{startedAt: time.Now(), printLine: func(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) }}
+	d.printLine("A whole fleet on this machine. Its programs run for real, as processes of this binary: 3 core machines (the control\n" +
 		"plane), 2 edge machines (a proxy, and the agent that links it to the core). Backends, the platform's list of them and\n" +
 		"clients are stand-ins. A prompt's token takes 20us to read, a token of an answer 5ms to make.")
 	d.start(play, s)
 	d.prompts()
 	d.rollout()
 	d.takeover()
-	d.stands(a)
-	d.say("\nPlayed in %v.", since(d.began))
+	d.showStatus(a)
+	d.printLine("\nPlayed in %v.", elapsed(d.startedAt))
 	if c.Keep {
-		d.say("The fleet runs on until Ctrl-C. In another terminal:\n   molepaddle-fleet status --control %s\n   molepaddle-fleet show --control %s",
+		d.printLine("The fleet runs on until Ctrl-C. In another terminal:\n   molepaddle-fleet status --control %s\n   molepaddle-fleet show --control %s",
 			d.leader, d.leader)
 		<-ctx.Done()
 	}
@@ -72,32 +72,32 @@
 // demo is the play: what has happened so far.
 type demo struct {
 	*demoFleet
-	began   time.Time
-	say     func(format string, args ...any)
-	version int64
-	leader  string // control address of the primary
+	startedAt time.Time
+	printLine func(format string, args ...any)
+	version   int64
+	leader    string // control address of the primary
 }
 
-func since(at time.Time) time.Duration { return rounded(time.Since(at)) }
+func elapsed(at time.Time) time.Duration { return roundDuration(time.Since(at)) }
 
-// rounded is a duration as one reads it.
-func rounded(d time.Duration) time.Duration {
+// roundDuration is a duration as one reads it.
+func roundDuration(d time.Duration) time.Duration {
 	if d >= time.Second {
 		return d.Round(100 * time.Millisecond)
 	}
 	return d.Round(time.Millisecond)
 }
 
-func (d *demo) start(ctx context.Context, s *stage) {
+func (d *demo) start(ctx context.Context, s *demoHarness) {
 	d.demoFleet = startDemo(ctx, s)
-	d.say("\n1  The start")
-	d.change(externalapi.Replace, []byte(demoConfig))
+	d.printLine("\n1  The start")
+	d.change(externalapi.CallReplace, []byte(demoConfig))
 	for i := range d.edge {
 		if err := simulation.AwaitReady(ctx, d.edge[i].ready); err != nil {
 			d.Fatalf("%s: %v", d.edge[i].name, err)
 		}
 	}
-	d.say("   both proxies take requests %v after the start", since(d.began))
+	d.printLine("   both proxies take requests %v after the start", elapsed(d.startedAt))
 }
 
 // change sends a configuration or a change of one on top of the newest.
@@ -108,15 +108,15 @@
 		d.Fatalf("change: %v", err)
 	}
 	d.version++
-	d.say("   version %d of the configuration: on the disks of the primary, %s, and its backup after %v", d.version, d.nameOf(answer.From), since(began))
+	d.printLine("   version %d of the configuration: on the disks of the primary, %s, and its backup after %v", d.version, d.nameOf(answer.Endpoint), elapsed(began))
 }
 
 // prompts sends two prompts that begin alike.
 func (d *demo) prompts() {
-	d.say("\n2  A prompt is read at one backend, its answer made at another")
+	d.printLine("\n2  A prompt is read at one backend, its answer made at another")
 	shared := simulation.Part{ID: "5a", Tokens: 15_000}
 	d.prompt(0, shared, simulation.Part{ID: "01", Tokens: 5_000})
-	d.say("   Another one that begins alike, at the other proxy:")
+	d.printLine("   Another one that begins alike, at the other proxy:")
 	d.prompt(1, shared, simulation.Part{ID: "02", Tokens: 5_000})
 }
 
@@ -126,48 +126,48 @@
 	for _, p := range parts {
 		tokens += p.Tokens
 	}
-	d.say("   POST /chat/ at %s: a prompt of %d tokens, %d to come", d.edge[edge].name, tokens, out)
+	d.printLine("   POST /chat/ at %s: a prompt of %d tokens, %d to come", d.edge[edge].name, tokens, out)
 	r := d.clients[edge].Do(d.ctx, simulation.Request{Kind: simulation.Stream, Resumable: true, Host: demoHost, Path: "/chat/1", Body: []byte("tell me"),
 		Deadline: 8 * time.Second, Model: "m", Tokens: [2]int{tokens, out}, Parts: parts})
 	if !r.OK() || len(r.Events) != out {
 		d.Fatalf("POST /chat/: status %d, %d of %d tokens, %v: %s", r.Status, len(r.Events), out, r.Err, r.AnswerBody)
 	}
-	if e, ok := d.at(r.Attempt, simulation.KindPrefill); ok {
-		d.say("   read at %s: %d tokens in %v, %d were kept from before", e.Engine, e.ReadTokens, rounded(e.Ended.Sub(e.Began)), e.KeptTokens)
+	if e, ok := d.entryOf(r.Attempt, simulation.KindPrefill); ok {
+		d.printLine("   read at %s: %d tokens in %v, %d were kept from before", e.Engine, e.ReadTokens, roundDuration(e.Ended.Sub(e.Began)), e.KeptTokens)
 	}
-	if e, ok := d.at(r.Attempt, simulation.KindRequest); ok {
-		d.say("   made at %s: %d tokens, on the memory of %d taken over", e.Engine, len(r.Events), e.MovedTokens)
+	if e, ok := d.entryOf(r.Attempt, simulation.KindRequest); ok {
+		d.printLine("   made at %s: %d tokens, on the memory of %d taken over", e.Engine, len(r.Events), e.MovedTokens)
 	}
-	d.say("   the first token came after %v, the last after %v", rounded(r.Events[0].At.Sub(r.SentAt)), rounded(r.EndedAt.Sub(r.SentAt)))
+	d.printLine("   the first token came after %v, the last after %v", roundDuration(r.Events[0].At.Sub(r.SentAt)), roundDuration(r.EndedAt.Sub(r.SentAt)))
 }
 
-// news asks for a route that a version brings, at each proxy.
-func (d *demo) news(version int64) (line string) {
+// probeRoute asks for a route that a version brings, at each proxy.
+func (d *demo) probeRoute(version int64) (line string) {
 	var all []string
 	for i, client := range d.clients {
-		r := client.Do(d.ctx, newsRequest(version))
+		r := client.Do(d.ctx, routeRequest(version))
 		all = append(all, fmt.Sprintf("%d at %s", r.Status, d.edge[i].name))
 	}
 	return strings.Join(all, ", ")
 }
 
-func newsRequest(version int64) simulation.Request {
+func routeRequest(version int64) simulation.Request {
 	return simulation.Request{Kind: simulation.ReadOnly, Method: http.MethodGet, Host: demoHost, Path: fmt.Sprintf("/news-%d/today", version), Deadline: 4 * time.Second}
 }
 
 func (d *demo) rollout() {
-	d.say("\n3  A change of the configuration reaches every proxy")
+	d.printLine("\n3  A change of the configuration reaches every proxy")
 	next := d.version + 1
-	d.say("   GET /news-%d/ before: %s", next, d.news(next))
-	d.change(externalapi.Update, demoChange(next))
-	d.everywhere()
-	d.say("   GET /news-%d/ after: %s", next, d.news(next))
+	d.printLine("   GET /news-%d/ before: %s", next, d.probeRoute(next))
+	d.change(externalapi.CallUpdate, demoChange(next))
+	d.awaitRollout()
+	d.printLine("   GET /news-%d/ after: %s", next, d.probeRoute(next))
 }
 
-// everywhere waits until the newest version is in force at every proxy, as `molepaddle-fleet watch` does.
-func (d *demo) everywhere() {
-	d.say("   molepaddle-fleet watch %d:", d.version)
-	if _, err := watch(d.ctx, d.control, d.version, demoWithin, func(line string) { d.say("     %s", line) }); err != nil {
+// awaitRollout waits until the newest version is in force at every proxy, as `molepaddle-fleet watch` does.
+func (d *demo) awaitRollout() {
+	d.printLine("   molepaddle-fleet watch %d:", d.version)
+	if _, err := watch(d.ctx, d.control, d.version, demoTimeout, func(line string) { d.printLine("     %s", line) }); err != nil {
 		d.Fatalf("watch: %v", err)
 	}
 }
@@ -184,7 +184,7 @@
 
 // takeover kills the primary amid requests.
 func (d *demo) takeover() {
-	d.say("\n4  The primary of the core is killed, amid requests")
+	d.printLine("\n4  The primary of the core is killed, amid requests")
 	was := d.primary()
 	ctx, stop := context.WithCancel(d.ctx)
 	defer stop()
@@ -196,7 +196,7 @@
 		warm.Add(1)
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				r := client.Do(d.ctx, newsRequest(2))
+				r := client.Do(d.ctx, routeRequest(2))
 				mu.Lock()
 				if r.OK() {
 					served++
@@ -219,23 +219,23 @@
 			}
 		}
 	}
-	d.say("   %s, which led view %d, is killed", d.nameOf(d.leader), was.View.Epoch)
+	d.printLine("   %s, which led view %d, is killed", d.nameOf(d.leader), was.View.Epoch)
 	now := d.primary()
-	d.say("   %s leads view %d %v later; the configuration there is version %d", d.nameOf(d.leader), now.View.Epoch, since(killed), now.Configuration.Version)
-	d.change(externalapi.Update, demoChange(d.version+1))
-	d.everywhere()
+	d.printLine("   %s leads view %d %v later; the configuration there is version %d", d.nameOf(d.leader), now.View.Epoch, elapsed(killed), now.Configuration.Version)
+	d.change(externalapi.CallUpdate, demoChange(d.version+1))
+	d.awaitRollout()
 	stop()
 	all.Wait()
-	d.say("   requests meanwhile: %d served, %d not", served, other)
+	d.printLine("   requests meanwhile: %d served, %d not", served, other)
 	if other > 0 {
 		d.Fatalf("requests were not served while the core changed its primary")
 	}
 }
 
-// stands shows what `molepaddle-fleet status` tells.
-func (d *demo) stands(a *app) {
+// status shows what `molepaddle-fleet status` tells.
+func (d *demo) showStatus(a *app) {
 	f := d.primary()
-	d.say("\n5  molepaddle-fleet status --control %s\n", d.leader)
+	d.printLine("\n5  molepaddle-fleet status --control %s\n", d.leader)
 	if err := writeStatus(a.out, f, d.leader); err != nil {
 		d.Fatalf("%v", errors.Wrap(err, "status"))
 	}
--- a/cmd/molepaddle-fleet/demo_test.go
+++ b/cmd/molepaddle-fleet/demo_test.go
@@ -41,11 +41,11 @@
 func TestDemo(t *testing.T) {
 	c := qt.New(t)
 	t.Setenv("MOLEPADDLE_CONFIG", "")
-	ctx, cancel := context.WithTimeout(context.Background(), 2*demoWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*demoTimeout)
 	defer cancel()
 	var out, errOut bytes.Buffer
 	code := run(ctx, []string{"demo"}, &out, &errOut, build)
-	c.Assert(code, qt.Equals, exitDone, qt.Commentf("%s\n%s", out.String(), errOut.String()))
+	c.Assert(code, qt.Equals, exitOK, qt.Commentf("%s\n%s", out.String(), errOut.String()))
 	said := out.String()
 	for _, want := range []string{
 		`read at prefill-\d: 20000 tokens in \S+, 0 were kept from before`,
--- a/cmd/molepaddle-fleet/demofleet.go
+++ b/cmd/molepaddle-fleet/demofleet.go
@@ -23,57 +23,57 @@
 	demoPlain = "news-index"
 )
 
-// stage starts things and ends them again: the last one first.
-type stage struct {
+// demoHarness starts things and ends them again: the last one first.
+type demoHarness struct {
 	cleanups []func()
 	failed   bool
 	errOut   func(line string)
 }
 
-// broken is a Fatalf on its way to the demo's end.
-type broken struct{ error }
+// demoFailure is a Fatalf on its way to the demo's end.
+type demoFailure struct{ error }
 
 // Helper has nothing to do here.
-func (*stage) Helper() {}
+func (*demoHarness) Helper() {}
 
 // Cleanup has f called at the end.
-func (s *stage) Cleanup(f func()) { s.cleanups = append(s.cleanups, f) }
+func (h *demoHarness) Cleanup(f func()) { h.cleanups = append(h.cleanups, f) }
 
 // Failed tells whether Fatalf was called.
-func (s *stage) Failed() bool { return s.failed }
+func (h *demoHarness) Failed() bool { return h.failed }
 
 // Logf writes what helps to understand a failure.
-func (s *stage) Logf(format string, args ...any) { s.errOut(fmt.Sprintf(format, args...)) }
+func (h *demoHarness) Logf(format string, args ...any) { h.errOut(fmt.Sprintf(format, args...)) }
 
 // Fatalf ends the demo.
-func (s *stage) Fatalf(format string, args ...any) {
-	s.failed = true
-	panic(broken{errors.Errorf(format, args...)})
+func (h *demoHarness) Fatalf(format string, args ...any) {
+	h.failed = true
+	panic(demoFailure{errors.Errorf(format, args...)})
 }
 
 // TempDir makes a folder that is gone after the end.
-func (s *stage) TempDir() string {
+func (h *demoHarness) TempDir() string {
 	dir, err := os.MkdirTemp("", "molepaddle-demo-")
 	if err != nil {
-		s.Fatalf("%v", err)
+		h.Fatalf("%v", err)
 	}
-	s.Cleanup(func() { _ = os.RemoveAll(dir) })
+	h.Cleanup(func() { _ = os.RemoveAll(dir) })
 	return dir
 }
 
-// end undoes all.
-func (s *stage) end() {
-	for len(s.cleanups) > 0 {
-		last := len(s.cleanups) - 1
-		f := s.cleanups[last]
-		s.cleanups = s.cleanups[:last]
+// cleanUp undoes all.
+func (h *demoHarness) cleanUp() {
+	for len(h.cleanups) > 0 {
+		last := len(h.cleanups) - 1
+		f := h.cleanups[last]
+		h.cleanups = h.cleanups[:last]
 		f()
 	}
 }
 
 // demoFleet is a whole fleet on loopback: machines are addresses of 127.0.0.0/8, which Linux has without setting them up.
 type demoFleet struct {
-	*stage
+	*demoHarness
 	ctx     context.Context
 	engines []*simulation.Engine
 	core    []demoMachine
@@ -88,8 +88,8 @@
 }
 
 // startDemo starts all programs and stand-ins.
-func startDemo(ctx context.Context, s *stage) *demoFleet {
-	f := &demoFleet{stage: s, ctx: ctx, control: &operatorclient.Client{}}
+func startDemo(ctx context.Context, s *demoHarness) *demoFleet {
+	f := &demoFleet{demoHarness: s, ctx: ctx, control: &operatorclient.Client{}}
 	zones := []string{"koto-hall", "shinagawa-hall", "kawasaki-hall"}
 	for i, zone := range zones[:2] {
 		engine := simulation.EngineSettings{ID: fmt.Sprintf("prefill-%d", i+1), Service: demoModel, Zone: zone, Region: "kanto", Phase: simulation.PhasePrefill,
@@ -107,9 +107,9 @@
 	const own = 4 // ports that the programs of a machine have among themselves
 	ports := simulation.ChoosePorts(f, own, all...)
 	for _, ip := range coreIPs {
-		f.control.Control = append(f.control.Control, net.JoinHostPort(ip, strconv.Itoa(ports.Ctl)))
+		f.control.Endpoints = append(f.control.Endpoints, net.JoinHostPort(ip, strconv.Itoa(ports.Ctl)))
 	}
-	usual := simulation.BootSettings{Ports: ports, Peers: f.control.Control, Provider: platform.Address(), Rate: rate, Delay: delay, Nodes: 1}
+	usual := simulation.BootSettings{Ports: ports, Peers: f.control.Endpoints, Provider: platform.Address(), Rate: rate, Delay: delay, Nodes: 1}
 	for i, ip := range coreIPs {
 		set := usual
 		set.Tier, set.Node, set.IP, set.Zone, set.Bootstrap, set.Voting = "core", fmt.Sprintf("core-%d", i+1), ip, zones[i], true, true
@@ -161,8 +161,8 @@
 	return control
 }
 
-// at gives what the backends of a phase did for a request; ok false: none of them had it.
-func (f *demoFleet) at(attempt string, kind simulation.EntryKind) (e simulation.Entry, ok bool) {
+// entryOf gives what the backends of a phase did for a request; ok false: none of them had it.
+func (f *demoFleet) entryOf(attempt string, kind simulation.EntryKind) (e simulation.Entry, ok bool) {
 	for _, engine := range f.engines {
 		for _, e := range engine.Log.Entries() {
 			if e.Attempt == attempt && e.Kind == kind && e.Ran {
--- a/cmd/molepaddle-fleet/diff.go
+++ b/cmd/molepaddle-fleet/diff.go
@@ -15,8 +15,8 @@
 	JSON bool   `name:"json" help:"Print the outcome for programs."`
 }
 
-// outcome is what a file would do.
-type outcome struct {
+// diffResult is what a file would do.
+type diffResult struct {
 	From     int64               `json:"from"` // the version in force; 0 for none
 	To       int64               `json:"to"`   // the file's; 0 where it can't be read
 	Changes  []configdiff.Change `json:"changes"`
@@ -33,19 +33,19 @@
 	if err != nil {
 		return err
 	}
-	now, _, err := current(a, client)
+	now, _, err := fetchCurrent(a, client)
 	if err != nil {
 		return err
 	}
-	o := outcome{From: now.Version(), Changes: []configdiff.Change{}, Findings: []finding{}}
+	o := diffResult{From: now.Version(), Changes: []configdiff.Change{}, Findings: []finding{}}
 	var next *routingconfig.Document
 	var in routingconfig.Findings
-	if kindOf(c.File, body) == kindUpdate {
+	if detectKind(c.File, body) == kindUpdate {
 		next, in = routingconfig.Update(now, body)
 	} else if next, in = routingconfig.Decode(body); next != nil && !next.Equal(now) { // what is in force may come again
 		_, in = routingconfig.Replace(now, body) // its version has to rise
 	}
-	o.Findings = found(in, body)
+	o.Findings = fileFindings(in, body)
 	if next != nil {
 		o.To = next.Version()
 		o.Changes = append(o.Changes, configdiff.Diff(now, next)...)
@@ -56,40 +56,40 @@
 		o.write(a.out, c.File)
 	}
 	if err == nil && len(o.Findings) > 0 {
-		return codeOnly(exitNo)
+		return exitWith(exitFailure)
 	}
 	return err
 }
 
-func (o *outcome) write(w io.Writer, file string) {
-	if o.To > 0 {
-		fmt.Fprintf(w, "version %d -> %d: %s\n", o.From, o.To, many(len(o.Changes), "change"))
+func (r *diffResult) write(w io.Writer, file string) {
+	if r.To > 0 {
+		fmt.Fprintf(w, "version %d -> %d: %s\n", r.From, r.To, plural(len(r.Changes), "change"))
 	}
-	for _, c := range o.Changes {
+	for _, c := range r.Changes {
 		what := c.Kind
 		if c.Name != "" {
-			what += " " + word(c.Name)
+			what += " " + quoteName(c.Name)
 		}
 		switch {
 		case c.Field != "" || c.Kind == configdiff.KindCaps:
 			if c.Field != "" {
 				what += ": " + c.Field
 			}
-			what += " " + either(c.Old) + " -> " + either(c.New)
+			what += " " + rawOrNone(c.Old) + " -> " + rawOrNone(c.New)
 		case c.Added():
 			what = "+ " + what + " " + string(c.New)
 		default:
 			what = "- " + what
 		}
-		fmt.Fprintln(w, lines(what))
+		fmt.Fprintln(w, sanitize(what))
 	}
-	if len(o.Findings) > 0 {
+	if len(r.Findings) > 0 {
 		fmt.Fprintln(w, "would be refused:")
-		writeFindings(w, file, o.Findings)
+		writeFindings(w, file, r.Findings)
 	}
 }
 
-func either(raw json.RawMessage) string {
+func rawOrNone(raw json.RawMessage) string {
 	if raw == nil {
 		return "(none)"
 	}
--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -53,11 +53,11 @@
 	lookups = "wuno96b" // plain service
 )
 
-// patient bounds each wait of a test; nothing here takes that long.
-const patient = 20 * time.Second
+// testTimeout bounds each wait of a test; nothing here takes that long.
+const testTimeout = 20 * time.Second
 
-// plan is what differs between the fleets of the tests.
-type plan struct {
+// fleetOptions is what differs between the fleets of the tests.
+type fleetOptions struct {
 	bounds  map[string]any // over the example's bnds
 	prefill int            // backends of each kind; 1, 2 and 2 when 0
 	decode  int
@@ -99,7 +99,7 @@
 }
 
 // newFleet starts a fleet, gives it its first configuration and waits until both proxies are ready and all of the core is in.
-func newFleet(t *testing.T, p plan) *fleet {
+func newFleet(t *testing.T, p fleetOptions) *fleet {
 	c := qt.New(t)
 	f := &fleet{C: c, flags: p.flags, running: map[*simulation.Program]string{}, delay: 50 * time.Millisecond, settings: map[string]any{
 		"retry_ratio": 0.2, "retry_window_s": 10, "retry_extra": 54, "drain_ms": 3000, "apply_ms": 2000, "grace_s": 8,
@@ -168,16 +168,16 @@
 		}
 	}
 	began := time.Now()
-	rep := f.put(f.ctx, f.configuration(1))
+	rep := f.replaceConfig(f.ctx, f.configuration(1))
 	for _, m := range f.edge {
-		f.ready(m)
+		f.awaitReady(m)
 		f.clients = append(f.clients, &simulation.Client{Edge: m.boot.Edge, Keep: true})
 	}
 	c.Logf("first configuration taken after %v, at the try %d; proxies ready after %v", rep.At.Sub(began), rep.Tries, time.Since(began))
 	// The core serves as soon as two of its machines are there. What it promises to survive counts from when all are in: one
 	// that is no member knows no primary to send a caller to.
 	for _, m := range f.core {
-		version, _, _ := f.shown(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
+		version, _, _ := f.showConfig(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
 		c.Assert(version, qt.Equals, f.version, qt.Commentf("%s", m.settings.Node))
 	}
 	c.Logf("all of the core is in after %v", time.Since(began))
@@ -226,34 +226,34 @@
 // kill ends a role with SIGKILL.
 func (m *machine) kill(role string) {
 	p := m.programs[role]
-	m.f.ends(p)
+	m.f.expectExit(p)
 	p.Kill()
 }
 
-// ends says that a program ends because the test wants it to.
-func (f *fleet) ends(p *simulation.Program) {
+// expectExit says that a program ends because the test wants it to.
+func (f *fleet) expectExit(p *simulation.Program) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.running, p)
 }
 
-func (f *fleet) within(d time.Duration) context.Context {
+func (f *fleet) withTimeout(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(f.ctx, d)
 	f.Cleanup(cancel)
 	return ctx
 }
 
-func (f *fleet) ready(m *machine) {
+func (f *fleet) awaitReady(m *machine) {
 	f.Helper()
-	f.Assert(simulation.AwaitReady(f.within(patient), m.boot.Readyz), qt.IsNil, qt.Commentf("%s", m.settings.Node))
+	f.Assert(simulation.AwaitReady(f.withTimeout(testTimeout), m.boot.Readyz), qt.IsNil, qt.Commentf("%s", m.settings.Node))
 }
 
-// until waits until ok holds, for as long as given.
-func (f *fleet) until(d time.Duration, what string, ok func() bool) {
+// eventually waits until ok holds, for as long as given.
+func (f *fleet) eventually(d time.Duration, what string, ok func() bool) {
 	f.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	ctx := f.within(d)
+	ctx := f.withTimeout(d)
 	for !ok() {
 		select {
 		case <-tick.C:
@@ -304,8 +304,8 @@
 	}
 }
 
-// put has a whole configuration acknowledged on top of the newest.
-func (f *fleet) put(ctx context.Context, doc object) simulation.Reply {
+// replaceConfig has a whole configuration acknowledged on top of the newest.
+func (f *fleet) replaceConfig(ctx context.Context, doc object) simulation.Reply {
 	f.Helper()
 	rep, err := f.operator.Replace(ctx, f.version, doc)
 	f.Assert(err, qt.IsNil)
@@ -314,28 +314,28 @@
 	return rep
 }
 
-func added(version uint64) string { return fmt.Sprintf("added-%d", version) }
+func addedRouteName(version uint64) string { return fmt.Sprintf("added-%d", version) }
 
 // addRoute is a change that brings a readonly route named by the version.
 func addRoute(version uint64) object {
-	name := added(version)
+	name := addedRouteName(version)
 	return object{"ver": version, "upsert": object{"routing": list{route(name, "/"+name+"/", "readonly", lookups, 4000, 200, 3, false)}}}
 }
 
-// add has such a change acknowledged on top of the newest.
-func (f *fleet) add(version uint64) simulation.Reply {
+// applyAddRoute has such a change acknowledged on top of the newest.
+func (f *fleet) applyAddRoute(version uint64) simulation.Reply {
 	f.Helper()
-	rep, err := f.operator.Update(f.within(patient), f.version, addRoute(version))
+	rep, err := f.operator.Update(f.withTimeout(testTimeout), f.version, addRoute(version))
 	f.Assert(err, qt.IsNil)
 	f.Assert(rep.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", rep.Body))
 	f.version = version
 	return rep
 }
 
-// shown is what the operator reads back: the version and the names of the routes; from tells which core machine said it.
-func (f *fleet) shown(o *simulation.Operator) (version uint64, routes []string, from *machine) {
+// showConfig is what the operator reads back: the version and the names of the routes; from tells which core machine said it.
+func (f *fleet) showConfig(o *simulation.Operator) (version uint64, routes []string, from *machine) {
 	f.Helper()
-	rep, err := o.Show(f.within(patient))
+	rep, err := o.Show(f.withTimeout(testTimeout))
 	f.Assert(err, qt.IsNil)
 	f.Assert(rep.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", rep.Body))
 	var doc struct{ Routing []struct{ Name string } }
@@ -353,25 +353,25 @@
 // primary is the core machine that answers the operator.
 func (f *fleet) primary() *machine {
 	f.Helper()
-	_, _, m := f.shown(f.operator)
+	_, _, m := f.showConfig(f.operator)
 	return m
 }
 
-// holds asks that the newest acknowledged configuration is shown, with a route for each version added.
-func (f *fleet) holds(versions ...uint64) {
+// checkConfig asks that the newest acknowledged configuration is shown, with a route for each version added.
+func (f *fleet) checkConfig(versions ...uint64) {
 	f.Helper()
-	version, routes, _ := f.shown(f.operator)
+	version, routes, _ := f.showConfig(f.operator)
 	f.Assert(version, qt.Equals, f.version)
 	for _, v := range versions {
-		f.Assert(slices.Contains(routes, added(v)), qt.IsTrue, qt.Commentf("route of version %d is not in %v", v, routes))
+		f.Assert(slices.Contains(routes, addedRouteName(v)), qt.IsTrue, qt.Commentf("route of version %d is not in %v", v, routes))
 	}
 }
 
-// inForce waits until the proxy of an edge machine serves the route of a version, at most until the time given.
-func (f *fleet) inForce(edge int, version uint64, by time.Time) {
+// awaitInForce waits until the proxy of an edge machine serves the route of a version, at most until the time given.
+func (f *fleet) awaitInForce(edge int, version uint64, by time.Time) {
 	f.Helper()
-	r := onAdded(version)
-	f.until(max(time.Until(by), time.Millisecond), fmt.Sprintf("version %d in force at edge %d", version, edge+1), func() bool {
+	r := addedRouteRequest(version)
+	f.eventually(max(time.Until(by), time.Millisecond), fmt.Sprintf("version %d in force at edge %d", version, edge+1), func() bool {
 		return f.clients[edge].Do(f.ctx, r).Status == http.StatusOK
 	})
 }
@@ -384,10 +384,10 @@
 		Deadline: 4 * time.Second, Services: []string{lookups}}
 }
 
-// onAdded is a request of the route that addRoute brings.
-func onAdded(version uint64) simulation.Request {
+// addedRouteRequest is a request of the route that addRoute brings.
+func addedRouteRequest(version uint64) simulation.Request {
 	r := lookup()
-	r.Path = "/" + added(version) + "/x"
+	r.Path = "/" + addedRouteName(version) + "/x"
 	return r
 }
 
@@ -442,8 +442,8 @@
 	return t
 }
 
-// since counts what was sent to an edge machine after a time and ended.
-func (t *traffic) since(edge int, at time.Time) (n int) {
+// endedSince counts what was sent to an edge machine after a time and ended.
+func (t *traffic) endedSince(edge int, at time.Time) (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.seen[edge] {
@@ -454,12 +454,12 @@
 	return n
 }
 
-// goesOn waits until so many more requests have been sent to each edge machine given, and answered.
-func (t *traffic) goesOn(n int, edges ...int) {
+// awaitMore waits until so many more requests have been sent to each edge machine given, and answered.
+func (t *traffic) awaitMore(n int, edges ...int) {
 	t.f.Helper()
 	at := time.Now()
 	for _, i := range edges {
-		t.f.until(patient, fmt.Sprintf("%d more requests at edge %d", n, i+1), func() bool { return t.since(i, at) >= n })
+		t.f.eventually(testTimeout, fmt.Sprintf("%d more requests at edge %d", n, i+1), func() bool { return t.endedSince(i, at) >= n })
 	}
 }
 
@@ -470,25 +470,25 @@
 	t.all.Wait()
 	for i, rs := range t.seen {
 		for _, r := range rs {
-			t.f.served(r, fmt.Sprintf("edge %d", i+1))
+			t.f.checkServed(r, fmt.Sprintf("edge %d", i+1))
 		}
 	}
 }
 
-// served asks that a request got a whole success, a stream to its last event.
-func (f *fleet) served(r simulation.Result, where string) {
+// checkServed asks that a request got a whole success, a stream to its last event.
+func (f *fleet) checkServed(r simulation.Result, where string) {
 	f.Helper()
 	if !r.OK() {
 		f.Errorf("%s: %s %s: status %d, %v, %q, %v after %v", where, r.Path, r.Attempt, r.Status, r.Err,
-			r.AnswerBody[:min(len(r.AnswerBody), 100)], f.ways(r.Attempt), r.EndedAt.Sub(r.SentAt))
+			r.AnswerBody[:min(len(r.AnswerBody), 100)], f.attemptsOf(r.Attempt), r.EndedAt.Sub(r.SentAt))
 	}
 	if r.Kind == simulation.Stream && r.OK() {
 		f.Check(r.Events, qt.HasLen, r.Tokens[1])
 	}
 }
 
-// ways tells where an attempt came, for the log of a failure.
-func (f *fleet) ways(attempt string) (out []string) {
+// attemptsOf tells where an attempt came, for the log of a failure.
+func (f *fleet) attemptsOf(attempt string) (out []string) {
 	for _, e := range f.engines() {
 		for _, en := range e.Log.Entries() {
 			if en.Attempt == attempt {
@@ -499,15 +499,15 @@
 	return out
 }
 
-// goDo sends a request in the background.
-func (f *fleet) goDo(edge int, r simulation.Request) <-chan simulation.Result {
+// doAsync sends a request in the background.
+func (f *fleet) doAsync(edge int, r simulation.Request) <-chan simulation.Result {
 	ch := make(chan simulation.Result, 1)
 	go func() { ch <- f.clients[edge].Do(f.ctx, r) }()
 	return ch
 }
 
-// began counts the runs that began at some backends.
-func began(es []*simulation.Engine) (n int) {
+// startedAt counts the runs that began at some backends.
+func startedRuns(es []*simulation.Engine) (n int) {
 	for _, e := range es {
 		for _, en := range e.Log.Entries() {
 			if en.Kind == simulation.KindRequest && en.Ran {
@@ -530,8 +530,8 @@
 	return out
 }
 
-// judge asks that no rule was broken, no program ended by itself and none had a race or a panic.
-func (f *fleet) judge() {
+// checkRules asks that no rule was broken, no program ended by itself and none had a race or a panic.
+func (f *fleet) checkRules() {
 	f.Helper()
 	for _, c := range f.clients {
 		c.Close()
--- a/cmd/molepaddle-fleet/leave_test.go
+++ b/cmd/molepaddle-fleet/leave_test.go
@@ -12,11 +12,11 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// notReady waits until a machine's readiness check fails.
-func (f *fleet) notReady(m *machine) {
+// awaitNotReady waits until a machine's readiness check fails.
+func (f *fleet) awaitNotReady(m *machine) {
 	f.Helper()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	f.until(patient, "not ready", func() bool {
+	f.eventually(testTimeout, "not ready", func() bool {
 		resp, err := client.Get("http://" + m.boot.Readyz + simulation.PathReady)
 		f.Assert(err, qt.IsNil, qt.Commentf("no answer before 503"))
 		f.Assert(resp.Body.Close(), qt.IsNil)
@@ -24,28 +24,28 @@
 	})
 }
 
-// TestLeavingProxyRefusesWhatItCannotFinish: a proxy that was told to end still gets clients for some seconds. A stream that may
+// TestDrainingProxyRejectsWhatItCannotFinish: a proxy that was told to end still gets clients for some seconds. A stream that may
 // take longer than it has left is refused at once, before any backend saw it, so that its client goes elsewhere in time; what
 // ends soon is served.
-func TestLeavingProxyRefusesWhatItCannotFinish(t *testing.T) {
-	f := newFleet(t, plan{})
+func TestDrainingProxyRejectsWhatItCannotFinish(t *testing.T) {
+	f := newFleet(t, fleetOptions{})
 	m := f.edge[0]
 	proxy := m.programs["proxy"]
-	f.ends(proxy)
+	f.expectExit(proxy)
 	proxy.Signal(syscall.SIGTERM)
-	f.notReady(m)
+	f.awaitNotReady(m)
 
 	client := &simulation.Client{Edge: m.boot.Edge}
 	f.clients = append(f.clients, client)
 	for _, short := range []simulation.Request{lookup(), report(), bulletin(2000, 2)} {
-		f.served(client.Do(f.ctx, short), "while it leaves")
+		f.checkServed(client.Do(f.ctx, short), "while it leaves")
 	}
 	var releases []func()
 	for _, e := range f.decode {
 		releases = append(releases, e.Hold())
 	}
 	long := hazard()
-	long.Deadline, long.Tokens = patient, [2]int{220, 300}
+	long.Deadline, long.Tokens = testTimeout, [2]int{220, 300}
 	refused := client.Do(f.ctx, long)
 	for _, release := range releases {
 		release()
@@ -54,25 +54,25 @@
 	f.Check(refused.RetryAfter > 0, qt.IsTrue)
 	f.Check(refused.Closing, qt.IsTrue)
 	f.Check(refused.EndedAt.Sub(refused.SentAt) < time.Second, qt.IsTrue, qt.Commentf("refused after %v", refused.EndedAt.Sub(refused.SentAt)))
-	f.Check(f.ways(refused.Attempt), qt.HasLen, 0)
+	f.Check(f.attemptsOf(refused.Attempt), qt.HasLen, 0)
 	elsewhere := long
 	elsewhere.Attempt = ""
-	f.served(f.clients[1].Do(f.ctx, elsewhere), "at a proxy that stays")
+	f.checkServed(f.clients[1].Do(f.ctx, elsewhere), "at a proxy that stays")
 
-	code, err := proxy.Wait(f.within(patient))
+	code, err := proxy.Wait(f.withTimeout(testTimeout))
 	f.Assert(err, qt.IsNil)
 	f.Check(code, qt.Equals, 0)
 	for _, line := range []string{`"msg":"leaving"`, `"msg":"left"`} {
 		f.Check(strings.Contains(proxy.Output(), line), qt.IsTrue, qt.Commentf("%s is not in the log", line))
 	}
 	f.Check(strings.Contains(proxy.Output(), "answers cut"), qt.IsFalse, qt.Commentf("%s", proxy.Output()))
-	f.judge()
+	f.checkRules()
 }
 
-// TestCoreEndsInTurn tells each core machine to end, the primary of the moment first, while changes come one after the
+// TestCoreShutsDownInTurn tells each core machine to end, the primary of the moment first, while changes come one after the
 // other. Each is released by the others before its grace is over, and comes back; every change is acknowledged.
-func TestCoreEndsInTurn(t *testing.T) {
-	f := newFleet(t, plan{bounds: map[string]any{"sync_s": 1}})
+func TestCoreShutsDownInTurn(t *testing.T) {
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
 	const name = 2 // of the one route that all changes bring again
 	stop, done := make(chan struct{}), make(chan struct{})
 	var longest time.Duration
@@ -96,12 +96,12 @@
 	}()
 	reader := &simulation.Operator{Ctl: f.operator.Ctl}
 	for range len(f.core) {
-		_, _, primary := f.shown(reader)
+		_, _, primary := f.showConfig(reader)
 		program := primary.programs["control-plane"]
-		f.ends(program)
+		f.expectExit(program)
 		program.Signal(syscall.SIGTERM)
 		term := time.Now()
-		code, err := program.Wait(f.within(patient))
+		code, err := program.Wait(f.withTimeout(testTimeout))
 		f.Assert(err, qt.IsNil)
 		f.Check(code, qt.Equals, 0)
 		f.Check(time.Since(term) < f.bound("grace_s", time.Second), qt.IsTrue, qt.Commentf("ended after %v", time.Since(term)))
@@ -109,12 +109,12 @@
 		t.Logf("%s led and ended %v after SIGTERM", primary.settings.Node, time.Since(term))
 		primary.start("control-plane")
 		back := time.Now()
-		f.until(patient, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
+		f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
 	}
 	close(stop)
 	<-done
 	f.version = version
 	t.Logf("%d changes, the longest wait between two acknowledgements %v", version, longest)
-	f.holds(name)
-	f.judge()
+	f.checkConfig(name)
+	f.checkRules()
 }
--- a/cmd/molepaddle-fleet/main.go
+++ b/cmd/molepaddle-fleet/main.go
@@ -18,12 +18,12 @@
 
 // Exit codes. docs/operators/fleet-commands.md tells them.
 const (
-	exitDone    = 0
-	exitNo      = 1 // findings, a refusal, no route; a program failed
-	exitUsage   = 2 // the command line makes no sense, or a file can't be read
-	exitStale   = 3 // another version is current than the one built on
-	exitLate    = 3 // the time was over before every agent had the version
-	exitUnclear = 4 // the control plane gave no clear answer
+	exitOK              = 0
+	exitFailure         = 1 // findings, a refusal, no route; a program failed
+	exitUsage           = 2 // the command line makes no sense, or a file can't be read
+	exitVersionConflict = 3 // another version is current than the one built on
+	exitTimeout         = 3 // the time was over before every agent had the version
+	exitIndeterminate   = 4 // the control plane gave no clear answer
 )
 
 type cli struct {
@@ -51,43 +51,43 @@
 
 // app is what every command is given.
 type app struct {
-	ctx      context.Context
-	out      io.Writer // what was asked for
-	settings string    // path of the settings file; may be empty
-	logLevel string
-	build    func() (*debug.BuildInfo, bool)
+	ctx           context.Context
+	out           io.Writer // what was asked for
+	settingsPath  string    // path of the settings file; may be empty
+	logLevel      string
+	readBuildInfo func() (*debug.BuildInfo, bool)
 }
 
-// coded is an error with its exit code. With no error in it, all has been said.
-type coded struct {
+// exitError is an error with its exit code. With no error in it, all has been said.
+type exitError struct {
 	error
 	code int
 }
 
-func (c coded) Unwrap() error { return c.error }
+func (e exitError) Unwrap() error { return e.error }
 
 func main() {
 	os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr, debug.ReadBuildInfo))
 }
 
-// ended is how kong's own ends (help, version, completion) come back.
-type ended int
+// exitRequest is how kong's own ends (help, version, completion) come back.
+type exitRequest int
 
 // run does what the command line asks for and gives the exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer, build func() (*debug.BuildInfo, bool)) (code int) {
 	defer func() {
 		switch e := recover().(type) {
 		case nil:
-		case ended:
+		case exitRequest:
 			code = int(e)
 		default:
 			panic(e)
 		}
 	}()
 	var c cli
-	a := &app{ctx: ctx, out: out, build: build}
+	a := &app{ctx: ctx, out: out, readBuildInfo: build}
 	k, err := kong.New(&c, kong.Name("molepaddle-fleet"), kong.Description("Programs of the molepaddle router fleet, and commands for its operators."),
-		kong.Writers(out, errOut), kong.Exit(func(code int) { panic(ended(code)) }), kong.Bind(a))
+		kong.Writers(out, errOut), kong.Exit(func(code int) { panic(exitRequest(code)) }), kong.Bind(a))
 	if err != nil {
 		panic(err) // the declarations above
 	}
@@ -99,18 +99,18 @@
 		fmt.Fprintf(errOut, "molepaddle-fleet: %v; --help tells the usage\n", err)
 		return exitUsage
 	}
-	a.settings, a.logLevel = c.Settings, c.LogLevel
+	a.settingsPath, a.logLevel = c.Settings, c.LogLevel
 	if err = parsed.Run(); err == nil {
-		return exitDone
+		return exitOK
 	}
-	code = exitNo
-	var with coded
+	code = exitFailure
+	var with exitError
 	if errors.As(err, &with) {
 		code = with.code
 		if with.error == nil {
 			return code
 		}
 	}
-	fmt.Fprintf(errOut, "molepaddle-fleet: %s\n", lines(err.Error()))
+	fmt.Fprintf(errOut, "molepaddle-fleet: %s\n", sanitize(err.Error()))
 	return code
 }
--- a/cmd/molepaddle-fleet/page_test.go
+++ b/cmd/molepaddle-fleet/page_test.go
@@ -51,7 +51,7 @@
 	c.Assert(err, qt.IsNil)
 	t.Setenv("MOLEPADDLE_CONFIG", "")
 	t.Chdir("testdata")
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	there := strings.NewReplacer(pageControl, s.addr, pageDead, deadAddr(c))
 	dead := there.Replace(pageDead)
 	back := strings.NewReplacer(s.addr, pageControl, dead, pageDead)
@@ -79,7 +79,7 @@
 		if echo {
 			fmt.Fprintln(&b, code)
 		} else {
-			c.Check(code, qt.Equals, exitDone, qt.Commentf("molepaddle-fleet %s", command))
+			c.Check(code, qt.Equals, exitOK, qt.Commentf("molepaddle-fleet %s", command))
 		}
 		got := []string{in[i]}
 		for l := range strings.Lines(back.Replace(b.String())) {
--- a/cmd/molepaddle-fleet/process_test.go
+++ b/cmd/molepaddle-fleet/process_test.go
@@ -30,10 +30,10 @@
 	before := debug.SetMemoryLimit(-1)
 	c.Cleanup(func() { debug.SetMemoryLimit(before) })
 	debug.SetMemoryLimit(math.MaxInt64)
-	protect(settings.Limits{})
+	configureRuntime(settings.Limits{})
 	c.Assert(debug.SetMemoryLimit(-1), qt.Equals, int64(math.MaxInt64))
 	const memoryMB = 72
-	protect(settings.Limits{MemoryMB: memoryMB})
+	configureRuntime(settings.Limits{MemoryMB: memoryMB})
 	limit := debug.SetMemoryLimit(-1)
 	c.Assert(limit > memoryMB<<19 && limit < memoryMB<<20, qt.IsTrue, qt.Commentf("%d bytes of %d MB", limit, memoryMB))
 }
@@ -46,7 +46,7 @@
 		passes := func(err error) bool { return errors.Is(err, passing) }
 		ignore := func(error) {}
 		tries, began := 0, time.Now()
-		err := retry(t.Context(), passes, ignore, func() error {
+		err := retryTransient(t.Context(), passes, ignore, func() error {
 			if tries++; tries <= 8 {
 				return passing
 			}
@@ -56,13 +56,13 @@
 		c.Assert(tries, qt.Equals, 9)
 		c.Assert(time.Since(began), qt.Equals, (50+100+200+400+800+1000+1000+1000)*time.Millisecond)
 		tries = 0
-		err = retry(t.Context(), passes, ignore, func() error { tries++; return lasting })
+		err = retryTransient(t.Context(), passes, ignore, func() error { tries++; return lasting })
 		c.Assert(err, qt.ErrorIs, lasting)
 		c.Assert(tries, qt.Equals, 1)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
 		began = time.Now()
-		err = retry(ctx, passes, ignore, func() error { return passing })
+		err = retryTransient(ctx, passes, ignore, func() error { return passing })
 		c.Assert(err, qt.ErrorIs, passing)
 		c.Assert(time.Since(began), qt.Equals, 300*time.Millisecond)
 	})
@@ -82,7 +82,7 @@
 	c.Assert(err, qt.IsNil)
 	reader, writer, err := os.Pipe()
 	c.Assert(err, qt.IsNil)
-	ctx, cancel := context.WithTimeout(context.Background(), patient)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	cmd := exec.CommandContext(ctx, self, args...)
 	cmd.Env = []string{settings.EnvFile + "=" + boot.Path, "PATH=" + os.Getenv("PATH")}
 	cmd.Stdout, cmd.Stderr = writer, writer
@@ -110,8 +110,8 @@
 	}
 }
 
-// endsWell sends SIGTERM, which must end the program without an error.
-func (p *loggedProgram) endsWell() {
+// awaitCleanExit sends SIGTERM, which must end the program without an error.
+func (p *loggedProgram) awaitCleanExit() {
 	p.Helper()
 	p.Assert(p.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	p.Assert(p.cmd.Wait(), qt.IsNil)
@@ -133,12 +133,12 @@
 	c.Assert(p.reader.Close(), qt.IsNil)
 	const calls = 5 // each but the last has been followed by a write to the log
 	for i := range calls {
-		c.Assert(peer.(*net.TCPListener).SetDeadline(time.Now().Add(patient)), qt.IsNil)
+		c.Assert(peer.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)), qt.IsNil)
 		conn, err := peer.Accept()
 		c.Assert(err, qt.IsNil, qt.Commentf("call %d", i))
 		conn.Close()
 	}
-	p.endsWell()
+	p.awaitCleanExit()
 }
 
 // TestControlPlaneWaitsForItsDisk starts a control server on a disk that gives it no file: it doesn't end, and serves once
@@ -157,7 +157,7 @@
 	p.awaitLine("can't be opened; tried again")
 	c.Assert(os.Remove(inTheWay), qt.IsNil)
 	p.awaitLine("started")
-	p.endsWell()
+	p.awaitCleanExit()
 }
 
 // TestControlPlaneEndsWhileItWaitsForItsDisk tells a control server to end while its disk gives it no file.
@@ -170,25 +170,25 @@
 		Voting: true, Bootstrap: true, Peers: []string{net.JoinHostPort(ip, "9")}})
 	p := startLogged(c, boot, "control-plane")
 	p.awaitLine("can't be opened; tried again")
-	p.endsWell()
+	p.awaitCleanExit()
 }
 
-// TestHangUpChangesNothing sends SIGHUP to every program of a fleet with requests under way: all of them are served, and the
+// TestHangUpIsIgnored sends SIGHUP to every program of a fleet with requests under way: all of them are served, and the
 // programs run on.
-func TestHangUpChangesNothing(t *testing.T) {
-	f := newFleet(t, plan{})
+func TestHangUpIsIgnored(t *testing.T) {
+	f := newFleet(t, fleetOptions{})
 	var releases []func()
 	for _, e := range slices.Concat(f.decode, f.plain) {
 		releases = append(releases, e.Hold())
 	}
-	was := began(f.engines())
+	was := startedRuns(f.engines())
 	var open []<-chan simulation.Result
 	for i := range f.edge {
 		for _, r := range []simulation.Request{hazard(), report(), bulletin(1000, 3), lookup()} {
-			open = append(open, f.goDo(i, r))
+			open = append(open, f.doAsync(i, r))
 		}
 	}
-	f.until(patient, "all have begun", func() bool { return began(f.engines()) >= was+len(open) })
+	f.eventually(testTimeout, "all have begun", func() bool { return startedRuns(f.engines()) >= was+len(open) })
 	for _, m := range append(slices.Clone(f.core), f.edge...) {
 		for _, p := range m.programs {
 			p.Signal(syscall.SIGHUP)
@@ -198,12 +198,12 @@
 		release()
 	}
 	for _, ch := range open {
-		f.served(<-ch, "under way at SIGHUP")
+		f.checkServed(<-ch, "under way at SIGHUP")
 	}
-	f.add(2)
+	f.applyAddRoute(2)
 	for i := range f.edge {
-		f.inForce(i, 2, time.Now().Add(patient))
-		f.served(f.clients[i].Do(f.ctx, lookup()), "after SIGHUP")
+		f.awaitInForce(i, 2, time.Now().Add(testTimeout))
+		f.checkServed(f.clients[i].Do(f.ctx, lookup()), "after SIGHUP")
 	}
-	f.judge()
+	f.checkRules()
 }
--- a/cmd/molepaddle-fleet/programs.go
+++ b/cmd/molepaddle-fleet/programs.go
@@ -28,16 +28,16 @@
 )
 
 func (proxyCmd) Run(a *app) error {
-	return a.program(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
+	return a.runProgram(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		return proxy.New(ctx, set, log).Run(ctx)
 	})
 }
 
 func (nodeAgentCmd) Run(a *app) error {
-	return a.program(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
+	return a.runProgram(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		t := nodeagent.New(set, log)
-		t.Seeds = func() []string {
-			now, err := settings.Load(a.settings)
+		t.ReloadSeeds = func() []string {
+			now, err := settings.Load(a.settingsPath)
 			if err != nil {
 				return set.Seeds
 			}
@@ -49,13 +49,13 @@
 
 func (c controlPlaneCmd) Run(a *app) error {
 	if c.Readings <= 0 {
-		return coded{errors.New("--readings: must be above 0"), exitUsage}
+		return exitError{errors.New("--readings: must be above 0"), exitUsage}
 	}
-	return a.program(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
+	return a.runProgram(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		var server *controlplane.Server
 		// A disk that is full or refuses writes may take them again: until then this machine is as good as down.
 		refused := func(err error) { log.Warn("the state store can't be opened; tried again", zap.Error(err)) }
-		err := retry(ctx, statestore.Transient, refused, func() (err error) {
+		err := retryTransient(ctx, statestore.Transient, refused, func() (err error) {
 			server, err = controlplane.New(set, log, rand.Uint64)
 			return err
 		})
@@ -70,16 +70,16 @@
 	})
 }
 
-// program runs one of the fleet's programs until SIGTERM or SIGINT.
-func (a *app) program(do func(ctx context.Context, set settings.Settings, log *zap.Logger) error) error {
-	if a.settings == "" {
+// runProgram runs one of the fleet's programs until SIGTERM or SIGINT.
+func (a *app) runProgram(do func(ctx context.Context, set settings.Settings, log *zap.Logger) error) error {
+	if a.settingsPath == "" {
 		return errors.Errorf("no settings file: %s or --settings gives its path", settings.EnvFile)
 	}
-	set, err := settings.Load(a.settings)
+	set, err := settings.Load(a.settingsPath)
 	if err != nil {
 		return errors.Wrap(err, "settings")
 	}
-	protect(set.Limits)
+	configureRuntime(set.Limits)
 	level, err := zapcore.ParseLevel(a.logLevel)
 	if err != nil {
 		return errors.Wrap(err, "log level")
@@ -97,5 +97,5 @@
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP) // the settings that may change are read at the next start
-	return do(ctx, set, log.With(zap.String("node", set.Nodename)))
+	return do(ctx, set, log.With(zap.String("node", set.NodeName)))
 }
--- a/cmd/molepaddle-fleet/propose.go
+++ b/cmd/molepaddle-fleet/propose.go
@@ -24,22 +24,22 @@
 	updateCmd  struct{ changeFlags }
 )
 
-// sent is what became of a change.
-type sent struct {
+// changeResult is what became of a change.
+type changeResult struct {
 	Version  int64     `json:"ver"`            // the file's
 	Base     int64     `json:"base"`           // the version it was sent on top of
 	Status   int       `json:"status"`         // 200: acknowledged; 0: no clear answer
 	From     string    `json:"from,omitempty"` // who answered
 	Already  bool      `json:"already,omitempty"`
-	Why      string    `json:"err,omitempty"`
+	Reason   string    `json:"err,omitempty"`
 	Findings []finding `json:"findings"`
 }
 
 // Run sends a whole configuration.
-func (c *proposeCmd) Run(a *app) error { return c.send(a, externalapi.Replace) }
+func (c *proposeCmd) Run(a *app) error { return c.send(a, externalapi.CallReplace) }
 
 // Run sends a change of named items.
-func (c *updateCmd) Run(a *app) error { return c.send(a, externalapi.Update) }
+func (c *updateCmd) Run(a *app) error { return c.send(a, externalapi.CallUpdate) }
 
 func (c *changeFlags) send(a *app, call externalapi.Call) error {
 	body, err := readFile(c.File)
@@ -47,44 +47,44 @@
 		return err
 	}
 	// The control plane would take a whole configuration for an update of nothing: unknown fields are let pass.
-	if kind := kindOf(c.File, body); call == externalapi.Update && kind != kindUpdate {
+	if kind := detectKind(c.File, body); call == externalapi.CallUpdate && kind != kindUpdate {
 		return errors.Errorf("%s: has neither upsert nor remove alone: `molepaddle-fleet propose` sends whole configurations", c.File)
-	} else if call == externalapi.Replace && kind == kindUpdate {
+	} else if call == externalapi.CallReplace && kind == kindUpdate {
 		return errors.Errorf("%s: is a change of named items: `molepaddle-fleet update` sends those", c.File)
 	}
 	client, err := c.client(a)
 	if err != nil {
 		return err
 	}
-	s := sent{Version: versionIn(body), Base: c.Base, Findings: []finding{}}
+	s := changeResult{Version: versionOf(body), Base: c.Base, Findings: []finding{}}
 	if s.Base < 0 {
-		now, answer, err := current(a, client)
+		now, answer, err := fetchCurrent(a, client)
 		if err != nil {
 			return err
 		}
-		if s.Base = now.Version(); call == externalapi.Replace && now != nil {
+		if s.Base = now.Version(); call == externalapi.CallReplace && now != nil {
 			if next, _ := routingconfig.Decode(body); next != nil && next.Equal(now) {
-				s.Status, s.From, s.Already = 200, answer.From, true
-				return c.tell(a, &s, nil)
+				s.Status, s.From, s.Already = 200, answer.Endpoint, true
+				return c.report(a, &s, nil)
 			}
 		}
 	}
 	answer, err := client.Change(a.ctx, call, s.Base, body)
-	s.From = answer.From
-	var no *operatorclient.Refused
+	s.From = answer.Endpoint
+	var no *operatorclient.RejectedError
 	switch {
 	case err == nil:
 		s.Status = 200
 	case errors.As(err, &no):
-		s.Status, s.From, s.Why, s.Findings = no.Status, no.From, no.Why, found(no.Findings, body)
+		s.Status, s.From, s.Reason, s.Findings = no.Status, no.Endpoint, no.Reason, fileFindings(no.Findings, body)
 	default:
-		s.Why = err.Error()
+		s.Reason = err.Error()
 	}
-	return c.tell(a, &s, err)
+	return c.report(a, &s, err)
 }
 
-// tell says what became of a change; err is the client's.
-func (c *changeFlags) tell(a *app, s *sent, err error) error {
+// report says what became of a change; err is the client's.
+func (c *changeFlags) report(a *app, s *changeResult, err error) error {
 	if c.JSON {
 		if err2 := writeJSON(a.out, s); err2 != nil {
 			return err2
@@ -92,7 +92,7 @@
 		if err == nil {
 			return nil
 		}
-		return codeOnly(codeOf(err))
+		return exitWith(exitCodeOf(err))
 	}
 	switch {
 	case err == nil && s.Already:
@@ -102,14 +102,14 @@
 		fmt.Fprintf(a.out, "acknowledged by %s: version %d on top of %d\n", s.From, s.Version, s.Base)
 		return nil
 	case s.Status == 0:
-		return coded{errors.Errorf("%v\nThe change may be in force or not. Send it again with --base %d.", err, s.Base), exitUnclear}
+		return exitError{errors.Errorf("%v\nThe change may be in force or not. Send it again with --base %d.", err, s.Base), exitIndeterminate}
 	}
 	writeFindings(a.out, c.File, s.Findings)
-	return coded{err, codeOf(err)}
+	return exitError{err, exitCodeOf(err)}
 }
 
-// versionIn is the version of a body, 0 where it can't be read.
-func versionIn(body []byte) int64 {
+// versionOf is the version of a body, 0 where it can't be read.
+func versionOf(body []byte) int64 {
 	var top map[string]json.RawMessage
 	var ver float64
 	if json.Unmarshal(body, &top) != nil || json.Unmarshal(top["ver"], &ver) != nil {
--- a/cmd/molepaddle-fleet/residency.go
+++ b/cmd/molepaddle-fleet/residency.go
@@ -21,7 +21,7 @@
 // Run tells where data rested.
 func (c *residencyCmd) Run(a *app) error {
 	if c.Tenant != "" && c.Route != "" {
-		return coded{errors.New("give TENANT or --route, not both"), exitUsage}
+		return exitError{errors.New("give TENANT or --route, not both"), exitUsage}
 	}
 	client, err := c.client(a)
 	if err != nil {
@@ -29,33 +29,33 @@
 	}
 	answer, err := client.Residency(a.ctx, c.Tenant, c.Route)
 	if err != nil {
-		return coded{err, codeOf(err)}
+		return exitError{err, exitCodeOf(err)}
 	}
-	var report externalapi.Residency
+	var report externalapi.ResidencyReport
 	if err := json.Unmarshal(answer.Body, &report); err != nil {
-		return coded{errors.Wrapf(err, "what %s says is no report", answer.From), exitUnclear}
+		return exitError{errors.Wrapf(err, "what %s says is no report", answer.Endpoint), exitIndeterminate}
 	}
 	if c.JSON {
 		return writeJSON(a.out, report)
 	}
-	fmt.Fprintf(a.out, "%s, as of change %d of the record, from %s\n", many(len(report.Rested), "row"), report.Seq, answer.From)
-	if len(report.Rested) == 0 {
+	fmt.Fprintf(a.out, "%s, as of change %d of the record, from %s\n", plural(len(report.Rows), "row"), report.Seq, answer.Endpoint)
+	if len(report.Rows) == 0 {
 		return nil
 	}
 	t := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "\nof\tregion\tfirst\tlast\tplain\tprefills\tdecodes\tresumes")
-	for _, r := range report.Rested {
+	for _, r := range report.Rows {
 		of := "others"
 		switch {
 		case r.Tenant != "":
-			of = "tenant " + word(r.Tenant)
+			of = "tenant " + quoteName(r.Tenant)
 		case r.Route != "":
-			of = "route " + word(r.Route)
+			of = "route " + quoteName(r.Route)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", of, word(r.Region), moment(r.First), moment(r.Last), r.Plain, r.Prefills, r.Decodes, r.Resumes)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", of, quoteName(r.Region), formatTime(r.First), formatTime(r.Last), r.Plain, r.Prefills, r.Decodes, r.Resumes)
 	}
 	return t.Flush()
 }
 
-// moment is a time to the millisecond, of UTC.
-func moment(t time.Time) string { return t.UTC().Format("2006-01-02T15:04:05.000Z") }
+// formatTime is a time to the millisecond, of UTC.
+func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02T15:04:05.000Z") }
--- a/cmd/molepaddle-fleet/residency_test.go
+++ b/cmd/molepaddle-fleet/residency_test.go
@@ -16,27 +16,27 @@
 )
 
 // residency asks one core machine where the data of a tenant rested, by the command.
-func (f *fleet) residency(ctl, tenant string) (code int, report externalapi.Residency, said string) {
+func (f *fleet) residency(ctl, tenant string) (code int, report externalapi.ResidencyReport, said string) {
 	f.Helper()
 	code, out, errOut := fleetctl(f, "residency", tenant, "--json", "--control", ctl, "--within", "3s")
-	if code == exitDone {
+	if code == exitOK {
 		f.Assert(json.Unmarshal([]byte(out), &report), qt.IsNil, qt.Commentf("%s", out))
 	}
 	return code, report, errOut
 }
 
-// rested waits until each running core machine tells that the tenant's data rested in one region, by so many plain requests.
-func (f *fleet) rested(tenant string, plain int64) (r externalapi.Rested) {
+// residencyRow waits until each running core machine tells that the tenant's data rested in one region, by so many plain requests.
+func (f *fleet) residencyRow(tenant string, plain int64) (r externalapi.ResidencyRow) {
 	f.Helper()
 	for _, m := range f.core {
 		var last any
-		f.until(patient, "the report tells of all requests", func() bool {
+		f.eventually(testTimeout, "the report tells of all requests", func() bool {
 			code, report, said := f.residency(m.boot.Ctl, tenant)
 			last = []any{code, report, said}
-			if code != exitDone || len(report.Rested) != 1 {
+			if code != exitOK || len(report.Rows) != 1 {
 				return false
 			}
-			r = report.Rested[0]
+			r = report.Rows[0]
 			f.Assert(r.Plain <= plain, qt.IsTrue, qt.Commentf("counted twice: %+v, asked for %d", r, plain))
 			return r.Plain == plain
 		})
@@ -50,8 +50,8 @@
 // TestResidencyOutlives kills a proxy, its node agent, the primary and at last the whole core, one after the other, with
 // requests of a tenant in between: the report tells the earliest time all along, and counts each request once.
 func TestResidencyOutlives(t *testing.T) {
-	f := newFleet(t, plan{flags: map[string][]string{"control-plane": {"--readings", "200ms"}}})
-	rep, err := f.operator.Update(f.within(patient), f.version, object{"ver": f.version + 1, "upsert": object{
+	f := newFleet(t, fleetOptions{flags: map[string][]string{"control-plane": {"--readings", "200ms"}}})
+	rep, err := f.operator.Update(f.withTimeout(testTimeout), f.version, object{"ver": f.version + 1, "upsert": object{
 		"tenants": list{object{"name": "labs", "regions": list{"kanto"}}, object{"name": "idle", "regions": list{"kanto"}}},
 		"routing": list{object{"name": "held", "hostname": "held.example", "pfx": "/", "kind": "readonly", "deadline_ms": 4000, "svc": lookups, "tenant": "labs"}}}})
 	f.Assert(err, qt.IsNil)
@@ -64,27 +64,27 @@
 			r := lookup()
 			r.Host, r.Path = "held.example", "/x"
 			var res simulation.Result
-			f.until(patient, "the tenant's route is in force, and the client's connection is to the proxy that lives", func() bool {
+			f.eventually(testTimeout, "the tenant's route is in force, and the client's connection is to the proxy that lives", func() bool {
 				res = f.clients[edge].Do(f.ctx, r)
 				return res.Status != http.StatusNotFound && res.Status != 0
 			})
-			f.served(res, "held")
+			f.checkServed(res, "held")
 			asked++
 		}
 	}
 	code, _, said := f.residency(f.core[0].boot.Ctl, "nobody")
-	f.Assert(code, qt.Equals, exitNo, qt.Commentf("%s", said))
+	f.Assert(code, qt.Equals, exitFailure, qt.Commentf("%s", said))
 	f.Assert(said, qt.Contains, "nothing is known of such a name")
 	code, report, _ := f.residency(f.core[0].boot.Ctl, "idle")
-	f.Assert(code, qt.Equals, exitDone)
-	f.Assert(report.Rested, qt.HasLen, 0)
+	f.Assert(code, qt.Equals, exitOK)
+	f.Assert(report.Rows, qt.HasLen, 0)
 
 	ask(0, 5)
 	ask(1, 3)
-	first := f.rested("labs", asked)
+	first := f.residencyRow("labs", asked)
 	since := func(what string) {
 		f.Helper()
-		r := f.rested("labs", asked)
+		r := f.residencyRow("labs", asked)
 		f.Assert(r.First, qt.Equals, first.First, qt.Commentf("after %s", what))
 		f.Assert(r.Last.After(first.Last), qt.IsTrue, qt.Commentf("after %s", what))
 		t.Logf("after %s: %+v", what, r)
@@ -93,7 +93,7 @@
 	edge := f.edge[0]
 	edge.kill("proxy")
 	edge.start("proxy")
-	f.ready(edge)
+	f.awaitReady(edge)
 	ask(0, 4)
 	since("a proxy's kill")
 
@@ -127,13 +127,13 @@
 	// Orderly ends hand on the last that was served.
 	end := func(roles ...string) {
 		for _, role := range roles {
-			f.ends(edge.programs[role])
+			f.expectExit(edge.programs[role])
 			edge.programs[role].Signal(syscall.SIGTERM)
 		}
 		ask(0, 2) // whoever comes before the platform sends nobody any more is served
 		began := time.Now()
 		for _, role := range roles {
-			code, err := edge.programs[role].Wait(f.within(patient))
+			code, err := edge.programs[role].Wait(f.withTimeout(testTimeout))
 			f.Assert(err, qt.IsNil)
 			f.Assert(code, qt.Equals, 0, qt.Commentf("%s", role))
 			t.Logf("%s ended after %v", role, time.Since(began))
@@ -143,51 +143,51 @@
 	end("proxy")
 	since("a proxy's orderly end")
 	edge.start("proxy")
-	f.ready(edge)
+	f.awaitReady(edge)
 	ask(0, 1)
 	end("proxy", "node-agent")
 	since("a machine's orderly end")
 	// The configuration is what it was, and still changes.
-	rep = f.add(f.version + 1)
+	rep = f.applyAddRoute(f.version + 1)
 	f.Assert(rep.Status, qt.Equals, http.StatusOK)
-	f.holds(f.version)
-	f.judge()
+	f.checkConfig(f.version)
+	f.checkRules()
 }
 
-// TestNoTermsNoReadings has no tenant: nothing of a report is ever written, and the record takes the operator's changes alone.
-func TestNoTermsNoReadings(t *testing.T) {
-	f := newFleet(t, plan{flags: map[string][]string{"control-plane": {"--readings", "1ms"}}})
+// TestNoResidencyReportsWithoutTerms has no tenant: nothing of a report is ever written, and the record takes the operator's changes alone.
+func TestNoResidencyReportsWithoutTerms(t *testing.T) {
+	f := newFleet(t, fleetOptions{flags: map[string][]string{"control-plane": {"--readings", "1ms"}}})
 	load := f.traffic([]int{0, 1})
-	load.goesOn(40, 0, 1)
+	load.awaitMore(40, 0, 1)
 	load.stop()
 	for _, m := range f.core {
 		code, out, errOut := fleetctl(f, "residency", "--json", "--control", m.boot.Ctl)
-		f.Assert(code, qt.Equals, exitDone, qt.Commentf("%s", errOut))
-		var report externalapi.Residency
+		f.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", errOut))
+		var report externalapi.ResidencyReport
 		f.Assert(json.Unmarshal([]byte(out), &report), qt.IsNil)
-		f.Assert(report.Rested, qt.HasLen, 0)
+		f.Assert(report.Rows, qt.HasLen, 0)
 		f.Assert(report.Seq, qt.Equals, f.version, qt.Commentf("one change for each version"))
 		f.Assert(strings.Contains(m.programs["control-plane"].Output(), "reading"), qt.IsFalse)
 	}
-	f.judge()
+	f.checkRules()
 }
 
 // TestResidencyCodes plays the command against a control plane that answers by rote.
 func TestResidencyCodes(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	for _, one := range []struct {
 		args string
 		code int
 		says string
 	}{
-		{"residency kochi-labs", exitDone, "tenant kochi-labs"},
-		{"residency --route r-old", exitDone, "route r-old"},
-		{"residency new-labs", exitDone, "0 rows"},
-		{"residency nobody", exitNo, "nothing is known"},
+		{"residency kochi-labs", exitOK, "tenant kochi-labs"},
+		{"residency --route r-old", exitOK, "route r-old"},
+		{"residency new-labs", exitOK, "0 rows"},
+		{"residency nobody", exitFailure, "nothing is known"},
 		{"residency kochi-labs --route r-old", exitUsage, "not both"},
 		{"residency kochi-labs --control 1", exitUsage, "no IP:port"},
-		{"residency kochi-labs --within 200ms --control " + deadAddr(c), exitUnclear, "no clear answer"},
+		{"residency kochi-labs --within 200ms --control " + deadAddr(c), exitIndeterminate, "no clear answer"},
 	} {
 		args := strings.Fields(one.args)
 		if !strings.Contains(one.args, "--control") {
--- a/cmd/molepaddle-fleet/retries_test.go
+++ b/cmd/molepaddle-fleet/retries_test.go
@@ -16,8 +16,8 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// sentBefore is a change that was sent once, with the answer that is due whenever it comes again.
-type sentBefore struct {
+// earlierChange is a change that was sent once, with the answer that is due whenever it comes again.
+type earlierChange struct {
 	replace bool
 	base    uint64
 	change  object
@@ -28,15 +28,15 @@
 func (f *fleet) renumber(n int) {
 	f.Helper()
 	for range n {
-		rep, err := f.operator.Update(f.within(patient), f.version, object{"ver": f.version + 1})
+		rep, err := f.operator.Update(f.withTimeout(testTimeout), f.version, object{"ver": f.version + 1})
 		f.Assert(err, qt.IsNil)
 		f.Assert(rep.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", rep.Body))
 		f.version++
 	}
 }
 
-// answeredAt asks that changes that come again at one machine of the core get the answers due.
-func (f *fleet) answeredAt(m *machine, when string, changes []sentBefore) {
+// checkResendsAt asks that changes that come again at one machine of the core get the answers due.
+func (f *fleet) checkResendsAt(m *machine, when string, changes []earlierChange) {
 	f.Helper()
 	o := &simulation.Operator{Ctl: []string{m.boot.Ctl}}
 	for _, c := range changes {
@@ -44,28 +44,28 @@
 		if c.replace {
 			send = o.Replace
 		}
-		rep, err := send(f.within(patient), c.base, c.change)
+		rep, err := send(f.withTimeout(testTimeout), c.base, c.change)
 		f.Assert(err, qt.IsNil, qt.Commentf("%s: at %s: on %d", when, m.settings.Node, c.base))
 		f.Check(rep.Status, qt.Equals, c.want, qt.Commentf("%s: at %s: on %d: %s", when, m.settings.Node, c.base, rep.Body))
 	}
 }
 
-// answeredAnywhere asks the same of each machine of the core.
-func (f *fleet) answeredAnywhere(when string, changes []sentBefore) {
+// checkResends asks the same of each machine of the core.
+func (f *fleet) checkResends(when string, changes []earlierChange) {
 	f.Helper()
 	for _, m := range f.core {
-		f.answeredAt(m, when, changes)
+		f.checkResendsAt(m, when, changes)
 	}
 }
 
-// TestSentAgainAfterManyChanges: changes that were acknowledged are sent again at each machine after hundreds of others, after the primary
+// TestResendAfterManyChanges: changes that were acknowledged are sent again at each machine after hundreds of others, after the primary
 // lost its disk and was taken in again, after the next primary was killed, after one was frozen, and after all were killed. They are
 // acknowledged each time, and those that lost their base to them are refused each time.
-func TestSentAgainAfterManyChanges(t *testing.T) {
-	f := newFleet(t, plan{bounds: map[string]any{"sync_s": 1}})
-	f.add(2)
+func TestResendAfterManyChanges(t *testing.T) {
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
+	f.applyAddRoute(2)
 	f.renumber(3)
-	changes := []sentBefore{
+	changes := []earlierChange{
 		{true, 0, f.configuration(1), http.StatusOK},
 		{false, 1, addRoute(2), http.StatusOK},
 		{false, 2, object{"ver": 3}, http.StatusOK},
@@ -76,7 +76,7 @@
 	began := time.Now()
 	f.renumber(220)
 	t.Logf("220 changes took %v", time.Since(began))
-	f.answeredAnywhere("after many changes", changes)
+	f.checkResends("after many changes", changes)
 
 	wiped := f.primary()
 	wiped.kill("control-plane")
@@ -84,27 +84,27 @@
 	wiped.settings.DataDir = "" // a new one, empty
 	wiped.start("control-plane")
 	back := time.Now()
-	f.answeredAnywhere("after a disk was lost", changes)
+	f.checkResends("after a disk was lost", changes)
 	f.renumber(5)
-	f.until(patient, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
+	f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
 
 	killed := f.primary()
 	killed.kill("control-plane")
-	f.answeredAt(wiped, "the empty disk was taken in and the primary killed", changes)
+	f.checkResendsAt(wiped, "the empty disk was taken in and the primary killed", changes)
 	killed.start("control-plane")
 	back = time.Now()
-	f.answeredAnywhere("after a restart", changes)
-	f.until(patient, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
+	f.checkResends("after a restart", changes)
+	f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
 
 	frozen := f.primary()
 	program := frozen.programs["control-plane"]
 	program.Signal(syscall.SIGSTOP)
-	latest := sentBefore{false, f.version, addRoute(f.version + 1), http.StatusOK}
-	f.add(f.version + 1)
+	latest := earlierChange{false, f.version, addRoute(f.version + 1), http.StatusOK}
+	f.applyAddRoute(f.version + 1)
 	f.renumber(1)
 	program.Signal(syscall.SIGCONT)
-	f.answeredAt(frozen, "at once after it was frozen", append([]sentBefore{latest}, changes...))
-	f.answeredAnywhere("after one was frozen", append(changes, latest))
+	f.checkResendsAt(frozen, "at once after it was frozen", append([]earlierChange{latest}, changes...))
+	f.checkResends("after one was frozen", append(changes, latest))
 
 	var all sync.WaitGroup
 	for _, m := range f.core {
@@ -114,9 +114,9 @@
 	for _, m := range f.core {
 		m.start("control-plane")
 	}
-	f.answeredAnywhere("after all were killed", append(changes, latest))
-	f.holds(2, latest.base+1)
-	f.judge()
+	f.checkResends("after all were killed", append(changes, latest))
+	f.checkConfig(2, latest.base+1)
+	f.checkRules()
 }
 
 func rivalName(operator int, version uint64) string {
@@ -144,13 +144,13 @@
 		both.Go(func() {
 			change := rivalRoute(i, base+1)
 			hasty := &simulation.Operator{Ctl: ctl, Silence: silence, Tries: 1}
-			replies[i], errs[i] = hasty.Update(f.within(patient), base, change)
+			replies[i], errs[i] = hasty.Update(f.withTimeout(testTimeout), base, change)
 			if errs[i] == nil {
 				return
 			}
 			lost.Add(1)
 			patiently := &simulation.Operator{Ctl: ctl}
-			replies[i], errs[i] = patiently.Update(f.within(patient), base, change)
+			replies[i], errs[i] = patiently.Update(f.withTimeout(testTimeout), base, change)
 		})
 	}
 	meanwhile()
@@ -168,10 +168,10 @@
 // later another one frozen, and while answers that take a millisecond are not waited for. One of the two is confirmed each time, the
 // other is refused, and both are told the same when they send their changes again at any machine.
 func TestOperatorsRaceAcrossTakeovers(t *testing.T) {
-	f := newFleet(t, plan{bounds: map[string]any{"sync_s": 1}})
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
 	const rounds, killAt, freezeAt, thawAt = 45, 10, 30, 32
 	first, unanswered := f.version, int64(0)
-	var changes []sentBefore
+	var changes []earlierChange
 	var routesDue []string
 	var back time.Time
 	var frozen *simulation.Program
@@ -185,7 +185,7 @@
 				primary.start("control-plane")
 				back = time.Now()
 			case freezeAt:
-				f.until(patient, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
+				f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
 				frozen = f.primary().programs["control-plane"]
 				frozen.Signal(syscall.SIGSTOP)
 			case thawAt:
@@ -193,15 +193,15 @@
 			}
 		})
 		unanswered += lost
-		changes = append(changes, sentBefore{false, base, rivalRoute(winner, base+1), http.StatusOK},
-			sentBefore{false, base, rivalRoute(1-winner, base+1), http.StatusPreconditionFailed})
+		changes = append(changes, earlierChange{false, base, rivalRoute(winner, base+1), http.StatusOK},
+			earlierChange{false, base, rivalRoute(1-winner, base+1), http.StatusPreconditionFailed})
 		routesDue = append(routesDue, rivalName(winner, base+1))
 	}
 	t.Logf("%d of %d changes had no answer to their first call", unanswered, 2*rounds)
-	f.answeredAnywhere("at the end", changes)
-	version, routes, _ := f.shown(f.operator)
+	f.checkResends("at the end", changes)
+	version, routes, _ := f.showConfig(f.operator)
 	f.Assert(version, qt.Equals, first+rounds)
 	f.Assert(routes[len(routes)-rounds:], qt.DeepEquals, routesDue)
 	f.Assert(slices.ContainsFunc(routes[:len(routes)-rounds], func(name string) bool { return strings.HasPrefix(name, "rival") }), qt.IsFalse)
-	f.judge()
+	f.checkRules()
 }
--- a/cmd/molepaddle-fleet/route.go
+++ b/cmd/molepaddle-fleet/route.go
@@ -21,7 +21,7 @@
 func (c *routeCmd) Run(a *app) error {
 	path, _, _ := strings.Cut(c.Path, "?")
 	if u, err := url.ParseRequestURI(path); err != nil || !strings.HasPrefix(path, "/") || u.Path == "" {
-		return coded{errors.Errorf("%q is no path: it begins with a slash", c.Path), exitUsage}
+		return exitError{errors.Errorf("%q is no path: it begins with a slash", c.Path), exitUsage}
 	}
 	d, err := c.document(a)
 	if err != nil {
@@ -29,16 +29,16 @@
 	}
 	r, ok := routingconfig.NewIndex(d).Lookup(c.Host, path)
 	if !ok {
-		return errors.Errorf("version %d has no route for %s%s: the answer is 404", d.Version(), lines(c.Host), lines(path))
+		return errors.Errorf("version %d has no route for %s%s: the answer is 404", d.Version(), sanitize(c.Host), sanitize(path))
 	}
-	fmt.Fprintf(a.out, "route %s of version %d: %s on %s, %s\n", word(r.Name), d.Version(), word(r.Prefix), word(r.Hostname), manner(r.RouteSpec))
-	fmt.Fprintf(a.out, "held for %v at most, sent to %s at most\n", r.Deadline(), many(r.MaxAttempts, "backend"))
+	fmt.Fprintf(a.out, "route %s of version %d: %s on %s, %s\n", quoteName(r.Name), d.Version(), quoteName(r.Prefix), quoteName(r.Hostname), describeKind(r.RouteSpec))
+	fmt.Fprintf(a.out, "held for %v at most, sent to %s at most\n", r.Deadline(), plural(r.MaxAttempts, "backend"))
 	total := 0.0
 	for _, s := range r.WeightedServices {
 		total += s.Weight
 	}
 	for _, s := range r.WeightedServices {
-		fmt.Fprintf(a.out, "%s to service %s\n", percent(s.Weight/total), word(s.Service.Name))
+		fmt.Fprintf(a.out, "%s to service %s\n", formatPercent(s.Weight/total), quoteName(s.Service.Name))
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 		if err != nil {
 			return nil, err
 		}
-		d, _, err := current(a, client)
+		d, _, err := fetchCurrent(a, client)
 		return d, err
 	}
 	body, err := readFile(c.File)
@@ -58,14 +58,14 @@
 	}
 	d, in := routingconfig.Decode(body)
 	if len(in) > 0 {
-		writeFindings(a.out, c.File, found(in, body))
-		return nil, codeOnly(exitNo)
+		writeFindings(a.out, c.File, fileFindings(in, body))
+		return nil, exitWith(exitFailure)
 	}
 	return d, nil
 }
 
-// manner is a route's kind, and what that means for a request that fails.
-func manner(r *routingconfig.RouteSpec) string {
+// describeKind is a route's kind, and what that means for a request that fails.
+func describeKind(r *routingconfig.RouteSpec) string {
 	if r.Idempotent() {
 		return r.Kind + " (may run more than once)"
 	}
--- a/cmd/molepaddle-fleet/schedule_client_test.go
+++ b/cmd/molepaddle-fleet/schedule_client_test.go
@@ -20,17 +20,17 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// order is a change of the configuration. Its tag is its own; its number and its base may be others' as well.
-type order struct {
+// operatorChange is a change of the configuration. Its tag is its own; its number and its base may be others' as well.
+type operatorChange struct {
 	base, version int
 	tag           string
 }
 
-// mark is the name of the route that a change brings; its path is /mark/.
-func (o order) mark() string { return fmt.Sprintf("mark-%d-%s", o.version, o.tag) }
+// routeName is the name of the route that a change brings; its path is /mark/.
+func (o operatorChange) routeName() string { return fmt.Sprintf("mark-%d-%s", o.version, o.tag) }
 
-// parseMark reads a route's name; false: it is none that a change brought.
-func parseMark(name string) (version int, tag string, ok bool) {
+// parseRouteName reads a route's name; false: it is none that a change brought.
+func parseRouteName(name string) (version int, tag string, ok bool) {
 	parts := strings.SplitN(name, "-", 3)
 	if len(parts) != 3 || parts[0] != "mark" {
 		return 0, "", false
@@ -39,7 +39,7 @@
 	return version, parts[2], err == nil
 }
 
-func markRoute(name string) object {
+func changeRoute(name string) object {
 	return route(name, "/"+name+"/", "readonly", lookups, 4000, 200, 3, false)
 }
 
@@ -47,10 +47,10 @@
 type verdict uint8
 
 const (
-	unclear verdict = iota // no clear answer: a change may have been taken
-	taken                  // 200 to a change
-	refused                // 412, or another answer that ends the call
-	shown                  // 200 with a configuration
+	indeterminate verdict = iota // no clear answer: a change may have been taken
+	accepted                     // 200 to a change
+	rejected                     // 412, or another answer that ends the call
+	shown                        // 200 with a configuration
 )
 
 // scheduleOperator sends changes and reads the configuration back, one call at a time.
@@ -59,27 +59,27 @@
 	run   *scheduleRun
 	rng   *rand.Rand
 	http  *http.Client
-	known []order // the configuration as this operator knows it: all changes up to the newest
-	mine  []order // own changes that were acknowledged
-	dead  []order // own changes that were refused
+	known []operatorChange // the configuration as this operator knows it: all changes up to the newest
+	mine  []operatorChange // own changes that were acknowledged
+	dead  []operatorChange // own changes that were refused
 	count int
 }
 
 const (
-	// operatorSilence is how long a caller waits for an answer before it turns elsewhere.
-	operatorSilence = time.Second
-	// farAgain is after how many further changes a call that comes again counts as late.
-	farAgain = 100
-	// againWithin bounds the tries of a call that comes again: it may be left without a clear answer.
-	againWithin = 4 * time.Second
+	// operatorReadTimeout is how long a caller waits for an answer before it turns elsewhere.
+	operatorReadTimeout = time.Second
+	// lateResendChanges is after how many further changes a call that comes again counts as late.
+	lateResendChanges = 100
+	// resendTimeout bounds the tries of a call that comes again: it may be left without a clear answer.
+	resendTimeout = 4 * time.Second
 )
 
 func newScheduleOperator(run *scheduleRun, id int) *scheduleOperator {
-	return &scheduleOperator{id: id, run: run, rng: rand.New(rand.NewPCG(run.s.seed, uint64(id))), known: []order{firstOrder},
+	return &scheduleOperator{id: id, run: run, rng: rand.New(rand.NewPCG(run.s.seed, uint64(id))), known: []operatorChange{initialChange},
 		http: &http.Client{
-			Transport:     &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: operatorSilence}).DialContext},
+			Transport:     &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: operatorReadTimeout}).DialContext},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-			Timeout:       operatorSilence,
+			Timeout:       operatorReadTimeout,
 		}}
 }
 
@@ -97,7 +97,7 @@
 		case draw < 6:
 			o.change(ctx)
 		case draw < 8 && len(o.mine)+len(o.dead) > 0:
-			o.again(ctx)
+			o.resend(ctx)
 		default:
 			o.show(ctx)
 		}
@@ -116,8 +116,8 @@
 	}
 }
 
-// answer is what one call got in the end.
-type answer struct {
+// callResult is what one call got in the end.
+type callResult struct {
 	status int
 	body   []byte
 	from   string    // control address that answered
@@ -126,24 +126,24 @@
 }
 
 // call sends one call to one machine after the other until it has a clear answer; false: ctx ended before.
-func (o *scheduleOperator) call(ctx context.Context, method, path string, base int, body []byte) (answer, bool) {
+func (o *scheduleOperator) call(ctx context.Context, method, path string, base int, body []byte) (callResult, bool) {
 	pause := 10 * time.Millisecond
 	for ctx.Err() == nil {
 		ctls := o.run.controls()
-		a, err := o.try(ctx, method, "http://"+ctls[o.rng.IntN(len(ctls))]+path, base, body)
+		a, err := o.attempt(ctx, method, "http://"+ctls[o.rng.IntN(len(ctls))]+path, base, body)
 		lost := o.rng.Float64() < o.run.s.lossy
-		if err == nil && !lost && isClear(method, a.status) {
+		if err == nil && !lost && isDefinite(method, a.status) {
 			return a, true
 		}
 		o.pause(ctx, pause)
 		pause = min(2*pause, 200*time.Millisecond)
 	}
-	return answer{}, false
+	return callResult{}, false
 }
 
-// isClear tells whether an answer ends a call. A 404 to a read does: an operator who knows of a configuration is told that
+// isDefinite tells whether an answer ends a call. A 404 to a read does: an operator who knows of a configuration is told that
 // there is none.
-func isClear(method string, status int) bool {
+func isDefinite(method string, status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		return true
@@ -153,25 +153,25 @@
 	return false
 }
 
-// try makes one call and follows 307 twice.
-func (o *scheduleOperator) try(ctx context.Context, method, to string, base int, body []byte) (answer, error) {
+// attempt makes one call and follows 307 twice.
+func (o *scheduleOperator) attempt(ctx context.Context, method, to string, base int, body []byte) (callResult, error) {
 	sent := time.Now()
 	for hop := 0; ; hop++ {
 		req, err := http.NewRequestWithContext(ctx, method, to, bytes.NewReader(body))
 		if err != nil {
-			return answer{}, err
+			return callResult{}, err
 		}
 		if method == http.MethodPost {
 			req.Header.Set(simulation.HeaderBaseVersion, strconv.Itoa(base))
 		}
 		resp, err := o.http.Do(req)
 		if err != nil {
-			return answer{}, err
+			return callResult{}, err
 		}
 		got, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil {
-			return answer{}, err
+			return callResult{}, err
 		}
 		if resp.StatusCode == http.StatusTemporaryRedirect && hop < 2 {
 			to = resp.Header.Get("Location")
@@ -179,27 +179,27 @@
 		}
 		from, err := url.Parse(to)
 		if err != nil {
-			return answer{}, err
+			return callResult{}, err
 		}
-		return answer{resp.StatusCode, got, from.Host, sent, time.Now()}, nil
+		return callResult{resp.StatusCode, got, from.Host, sent, time.Now()}, nil
 	}
 }
 
 // document is the whole configuration after some changes.
-func document(changes []order) object {
+func document(changes []operatorChange) object {
 	doc := (&fleet{}).configuration(uint64(changes[len(changes)-1].version))
 	routes := doc["routing"].(list)
 	for _, c := range changes {
-		routes = append(routes, markRoute(c.mark()))
+		routes = append(routes, changeRoute(c.routeName()))
 	}
 	doc["routing"] = routes
 	return doc
 }
 
 // body is the call that brings a change on top of those known.
-func (o *scheduleOperator) body(next order, whole bool) (path string, body []byte) {
+func (o *scheduleOperator) body(next operatorChange, whole bool) (path string, body []byte) {
 	path = simulation.PathUpdate
-	doc := object{"ver": next.version, "upsert": object{"routing": list{markRoute(next.mark())}}}
+	doc := object{"ver": next.version, "upsert": object{"routing": list{changeRoute(next.routeName())}}}
 	if whole {
 		path, doc = simulation.PathReplace, document(append(o.known[:len(o.known):len(o.known)], next))
 	}
@@ -214,7 +214,7 @@
 func (o *scheduleOperator) change(ctx context.Context) {
 	o.count++
 	base := o.known[len(o.known)-1].version
-	next := order{base, base + 1 + o.rng.IntN(2), fmt.Sprintf("%d.%d", o.id, o.count)}
+	next := operatorChange{base, base + 1 + o.rng.IntN(2), fmt.Sprintf("%d.%d", o.id, o.count)}
 	path, body := o.body(next, o.rng.IntN(5) == 0)
 	o.run.history.ordered(next, path, body)
 	began := o.run.sinceBegin()
@@ -226,25 +226,25 @@
 	}
 	op.Return = o.run.sinceBegin()
 	if a.status == http.StatusOK {
-		op.Output = operatorOutput{verdict: taken}
+		op.Output = operatorOutput{verdict: accepted}
 		o.run.history.add(op)
 		o.run.history.acknowledged(next, a)
 		o.known = append(o.known[:len(o.known):len(o.known)], next)
 		o.mine = append(o.mine, next)
 		return
 	}
-	op.Output = operatorOutput{verdict: refused}
+	op.Output = operatorOutput{verdict: rejected}
 	o.run.history.add(op)
 	o.run.history.refuses(next)
 	o.dead = append(o.dead, next)
 	o.show(ctx)
 }
 
-// again sends an earlier change again, as it was.
-func (o *scheduleOperator) again(ctx context.Context) {
-	all, was := o.mine, taken
+// resend sends an earlier change again, as it was.
+func (o *scheduleOperator) resend(ctx context.Context) {
+	all, was := o.mine, accepted
 	if len(all) == 0 || len(o.dead) > 0 && o.rng.IntN(4) == 0 {
-		all, was = o.dead, refused
+		all, was = o.dead, rejected
 	}
 	one := all[o.rng.IntN(len(all))]
 	if o.rng.IntN(2) == 0 {
@@ -252,7 +252,7 @@
 	}
 	path, body := o.run.history.callOf(one)
 	since := o.run.history.takenSince(one)
-	bounded, cancel := context.WithTimeout(ctx, againWithin)
+	bounded, cancel := context.WithTimeout(ctx, resendTimeout)
 	defer cancel()
 	a, ok := o.call(bounded, http.MethodPost, path, one.base, body)
 	if !ok {
@@ -273,7 +273,7 @@
 	if a.status == http.StatusOK {
 		changes, err := o.run.history.read(a.body)
 		if err != nil {
-			o.run.breach("%s showed a configuration that nobody made: %v", a.from, err)
+			o.run.reportBreach("%s showed a configuration that nobody made: %v", a.from, err)
 			return
 		}
 		o.known, out.shown = changes, changes[len(changes)-1]
--- a/cmd/molepaddle-fleet/schedule_fault_test.go
+++ b/cmd/molepaddle-fleet/schedule_fault_test.go
@@ -12,35 +12,37 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// trouble notes that there is trouble, with the core machines that count as lost meanwhile and for sync_s after; what it
+// beginFault notes that there is trouble, with the core machines that count as lost meanwhile and for sync_s after; what it
 // gives ends it.
-func (run *scheduleRun) trouble(lost ...*coreNode) (end func()) { return run.keepSpan(false, lost) }
+func (run *scheduleRun) beginFault(lost ...*coreNode) (end func()) { return run.keepSpan(false, lost) }
 
 func (run *scheduleRun) keepSpan(absent bool, lost []*coreNode) (end func()) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	span := &troubleSpan{from: time.Now(), to: time.Now().Add(time.Hour), absent: absent}
+	span := &faultSpan{from: time.Now(), to: time.Now().Add(time.Hour), absent: absent}
 	run.spans = append(run.spans, span)
 	for _, n := range lost {
-		n.troubles++
+		n.activeFaults++
 	}
 	return func() {
 		run.mu.Lock()
 		defer run.mu.Unlock()
 		span.to = time.Now()
 		for _, n := range lost {
-			n.troubles--
-			n.lostTill = span.to.Add(run.syncFor())
+			n.activeFaults--
+			n.lostUntil = span.to.Add(run.syncFor())
 		}
 	}
 }
 
-// absence is trouble that keeps one core machine away whole: once contact_ms have passed the core is stable without it, as
+// beginAbsence is trouble that keeps one core machine away whole: once contact_ms have passed the core is stable without it, as
 // long as more than half of it is there.
-func (run *scheduleRun) absence(n *coreNode) (end func()) { return run.keepSpan(true, []*coreNode{n}) }
+func (run *scheduleRun) beginAbsence(n *coreNode) (end func()) {
+	return run.keepSpan(true, []*coreNode{n})
+}
 
-// calmSince tells whether the core was stable, and the agents' machines and links untroubled, from one time to another.
-func (run *scheduleRun) calmSince(from, to time.Time) bool {
+// undisturbed tells whether the core was stable, and the agents' machines and links untroubled, from one time to another.
+func (run *scheduleRun) undisturbed(from, to time.Time) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	absent := 0
@@ -59,7 +61,7 @@
 // lostBeside counts the core machines that count as lost, one aside.
 func (run *scheduleRun) lostBeside(one *coreNode) (n int) {
 	for _, c := range run.cores {
-		if c != one && (c.troubles > 0 || time.Now().Before(c.lostTill)) {
+		if c != one && (c.activeFaults > 0 || time.Now().Before(c.lostUntil)) {
 			n++
 		}
 	}
@@ -114,7 +116,7 @@
 	}
 	if disk {
 		// It counts from now on: two steps may ask at once.
-		n.lostTill = time.Now().Add(run.syncFor())
+		n.lostUntil = time.Now().Add(run.syncFor())
 	}
 	n.busy = true
 	return true
@@ -152,9 +154,9 @@
 func (run *scheduleRun) play(s step) {
 	done := false
 	switch s.kind {
-	case cutWhole, cutInbound, cutOutbound, cutPair, slowLinks:
+	case partitionNode, partitionInbound, partitionOutbound, partitionPair, slowLinks:
 		done = run.playLinks(s)
-	case cutHalves:
+	case partitionHalves:
 		done = run.playHalves(s, func() { run.rest(s.lasts) })
 	case restartHalf:
 		done = run.playHalves(s, func() { run.killAll(s.lasts / 2); run.rest(s.lasts / 2) })
@@ -166,7 +168,7 @@
 		done = run.roll()
 	case killCore:
 		done = run.killAll(s.lasts)
-	case cutAgent:
+	case partitionAgent:
 		done = run.playAgentCut(s)
 	case killAgent, freezeAgent:
 		done = run.playAgent(s)
@@ -204,11 +206,11 @@
 	in, out := linksBetween(others, self), linksBetween(self, others)
 	links := append(in, out...)
 	switch s.kind {
-	case cutInbound:
+	case partitionInbound:
 		links = in
-	case cutOutbound:
+	case partitionOutbound:
 		links = out
-	case cutPair:
+	case partitionPair:
 		other := run.node(s.other)
 		if other == n {
 			return false
@@ -216,9 +218,9 @@
 		peer := []string{other.settings.IP}
 		links = append(linksBetween(self, peer), linksBetween(peer, self)...)
 	}
-	start := run.trouble
-	if s.kind == cutWhole {
-		start = func(...*coreNode) func() { return run.absence(n) }
+	start := run.beginFault
+	if s.kind == partitionNode {
+		start = func(...*coreNode) func() { return run.beginAbsence(n) }
 	}
 	end := start(n)
 	defer end()
@@ -251,7 +253,7 @@
 		}
 	}
 	run.mu.Unlock()
-	end := run.trouble(lost...)
+	end := run.beginFault(lost...)
 	defer end()
 	links := append(linksBetween(halves[0], halves[1]), linksBetween(halves[1], halves[0])...)
 	run.network.Cut(links...)
@@ -267,7 +269,7 @@
 		return false
 	}
 	defer run.release(n)
-	end := run.absence(n)
+	end := run.beginAbsence(n)
 	defer end()
 	run.hits(s.kind, n)
 	if s.kind == freeze {
@@ -288,10 +290,10 @@
 // restart starts a core machine's process and waits until it listens.
 func (run *scheduleRun) restart(n *coreNode) {
 	run.startCore(n)
-	ctx, cancel := context.WithTimeout(run.ctx, patient)
+	ctx, cancel := context.WithTimeout(run.ctx, testTimeout)
 	defer cancel()
 	if err := simulation.AwaitListening(ctx, n.ctl); err != nil && run.ctx.Err() == nil {
-		run.breach("%s doesn't start: %v", n.ctl, err)
+		run.reportBreach("%s doesn't start: %v", n.ctl, err)
 	}
 }
 
@@ -305,7 +307,7 @@
 		return false
 	}
 	defer run.release(n)
-	end := run.trouble(n)
+	end := run.beginFault(n)
 	defer end()
 	run.hits(s.kind, n)
 	n.program.Kill()
@@ -348,7 +350,7 @@
 }
 
 func (run *scheduleRun) rollOne(n *coreNode) {
-	end := run.trouble(n)
+	end := run.beginFault(n)
 	defer end()
 	run.hits(rollCore, n)
 	const grace = 8 * time.Second
@@ -356,7 +358,7 @@
 	defer cancel()
 	n.program.Signal(syscall.SIGTERM)
 	if code, err := n.program.Wait(ctx); err == nil && code != 0 {
-		run.breach("%s ended with code %d after SIGTERM", n.ctl, code)
+		run.reportBreach("%s ended with code %d after SIGTERM", n.ctl, code)
 	}
 	n.program.Kill()
 	run.restart(n)
@@ -368,7 +370,7 @@
 	all := slices.Clone(run.cores)
 	run.mu.Unlock()
 	all = slices.DeleteFunc(all, func(n *coreNode) bool { return !run.seize(n, false) })
-	end := run.trouble(all...)
+	end := run.beginFault(all...)
 	defer end()
 	for _, n := range all {
 		n.program.Kill()
@@ -378,9 +380,9 @@
 		run.startCore(n)
 	}
 	for _, n := range all {
-		ctx, cancel := context.WithTimeout(run.ctx, patient)
+		ctx, cancel := context.WithTimeout(run.ctx, testTimeout)
 		if err := simulation.AwaitListening(ctx, n.ctl); err != nil && run.ctx.Err() == nil {
-			run.breach("%s doesn't start: %v", n.ctl, err)
+			run.reportBreach("%s doesn't start: %v", n.ctl, err)
 		}
 		cancel()
 		run.release(n)
@@ -397,7 +399,7 @@
 	if s.agents {
 		links = append(links, linksBetween([]string{ip}, others)...)
 	}
-	end := run.trouble()
+	end := run.beginFault()
 	defer end()
 	run.network.Cut(links...)
 	run.rest(s.lasts)
@@ -415,7 +417,7 @@
 	if was {
 		return false
 	}
-	end := run.trouble()
+	end := run.beginFault()
 	defer func() {
 		end()
 		run.mu.Lock()
--- a/cmd/molepaddle-fleet/schedule_judge_test.go
+++ b/cmd/molepaddle-fleet/schedule_judge_test.go
@@ -18,28 +18,28 @@
 // operatorInput is a call in the history.
 type operatorInput struct {
 	show  bool
-	order order
+	order operatorChange
 }
 
 type operatorOutput struct {
 	verdict verdict
-	shown   order
+	shown   operatorChange
 }
 
-// firstOrder is the configuration that is there before a schedule begins.
-var firstOrder = order{0, 1, "first"}
+// initialChange is the configuration that is there before a schedule begins.
+var initialChange = operatorChange{0, 1, "first"}
 
 // configurationRegister is one machine that does one thing after the other.
 var configurationRegister = porcupine.Model{
-	Init: func() any { return firstOrder },
+	Init: func() any { return initialChange },
 	Step: func(state, in, out any) (bool, any) {
-		now, call, got := state.(order), in.(operatorInput), out.(operatorOutput)
+		now, call, got := state.(operatorChange), in.(operatorInput), out.(operatorOutput)
 		switch {
 		case call.show:
 			return got.shown == now, now
-		case got.verdict == taken:
+		case got.verdict == accepted:
 			return now.version == call.order.base, call.order
-		case got.verdict == refused:
+		case got.verdict == rejected:
 			return now.version != call.order.base, now
 		case now.version == call.order.base: // without an answer: it was taken, or comes after all else
 			return true, call.order
@@ -51,7 +51,7 @@
 
 // acknowledgement is a change that was acknowledged.
 type acknowledgement struct {
-	order order
+	order operatorChange
 	sent  time.Time // when the try that was acknowledged was sent
 	at    time.Time
 	from  string // control address
@@ -69,26 +69,26 @@
 
 	mu      sync.Mutex
 	ops     []porcupine.Operation
-	orders  map[string]order // by tag
-	calls   map[order]storedCall
+	orders  map[string]operatorChange // by tag
+	calls   map[operatorChange]storedCall
 	acks    []acknowledgement
-	refused []order
-	chain   []order // the longest configuration that was shown
+	refused []operatorChange
+	chain   []operatorChange // the longest configuration that was shown
 	report  *scheduleReport
 }
 
 func newOperatorHistory(run *scheduleRun) *operatorHistory {
-	return &operatorHistory{run: run, report: run.report, orders: map[string]order{firstOrder.tag: firstOrder}, calls: map[order]storedCall{}}
+	return &operatorHistory{run: run, report: run.report, orders: map[string]operatorChange{initialChange.tag: initialChange}, calls: map[operatorChange]storedCall{}}
 }
 
-func (h *operatorHistory) ordered(o order, path string, body []byte) {
+func (h *operatorHistory) ordered(o operatorChange, path string, body []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.orders[o.tag] = o
 	h.calls[o] = storedCall{path, body}
 }
 
-func (h *operatorHistory) callOf(o order) (path string, body []byte) {
+func (h *operatorHistory) callOf(o operatorChange) (path string, body []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.calls[o]
@@ -100,29 +100,29 @@
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, op)
 	switch op.Output.(operatorOutput).verdict {
-	case taken:
+	case accepted:
 		h.report.taken++
-	case refused:
+	case rejected:
 		h.report.refused++
 	case shown:
 		h.report.shown++
 	}
 }
 
-func (h *operatorHistory) acknowledged(o order, a answer) {
+func (h *operatorHistory) acknowledged(o operatorChange, a callResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.acks = append(h.acks, acknowledgement{o, a.sent, a.at, a.from})
 }
 
-func (h *operatorHistory) refuses(o order) {
+func (h *operatorHistory) refuses(o operatorChange) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.refused = append(h.refused, o)
 }
 
 // takenSince counts the changes acknowledged after one.
-func (h *operatorHistory) takenSince(o order) (n int) {
+func (h *operatorHistory) takenSince(o operatorChange) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.acks {
@@ -134,15 +134,15 @@
 }
 
 // repeated judges the answer to a change that had a clear answer before and came again.
-func (h *operatorHistory) repeated(o order, was verdict, status, since int) {
+func (h *operatorHistory) repeated(o operatorChange, was verdict, status, since int) {
 	h.mu.Lock()
 	h.report.again++
-	if since >= farAgain {
+	if since >= lateResendChanges {
 		h.report.late++
 	}
 	h.mu.Unlock()
-	if now := status == http.StatusOK; now != (was == taken) {
-		h.run.breach("%v came again after %d further changes and was answered %d, which had been taken: %v", o, since, status, was == taken)
+	if now := status == http.StatusOK; now != (was == accepted) {
+		h.run.reportBreach("%v came again after %d further changes and was answered %d, which had been taken: %v", o, since, status, was == accepted)
 	}
 }
 
@@ -164,7 +164,7 @@
 }
 
 // newestBefore is the change with the highest version among those acknowledged before a time.
-func (h *operatorHistory) newestBefore(at time.Time) (newest order, ok bool) {
+func (h *operatorHistory) newestBefore(at time.Time) (newest operatorChange, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.acks {
@@ -200,7 +200,7 @@
 
 // read gives the changes that a shown configuration holds, the oldest first. One of two configurations that were shown must
 // go on from the other.
-func (h *operatorHistory) read(body []byte) ([]order, error) {
+func (h *operatorHistory) read(body []byte) ([]operatorChange, error) {
 	var doc struct {
 		Version int `json:"ver"`
 		Routing []struct{ Name string }
@@ -210,9 +210,9 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var changes []order
+	var changes []operatorChange
 	for _, r := range doc.Routing {
-		version, tag, ok := parseMark(r.Name)
+		version, tag, ok := parseRouteName(r.Name)
 		if !ok {
 			continue
 		}
@@ -222,13 +222,13 @@
 		}
 		changes = append(changes, o)
 	}
-	slices.SortFunc(changes, func(a, b order) int { return a.version - b.version })
+	slices.SortFunc(changes, func(a, b operatorChange) int { return a.version - b.version })
 	for i, o := range changes {
 		if i > 0 && o.base != changes[i-1].version {
 			return nil, errors.Errorf("%v follows %v", o, changes[i-1])
 		}
 	}
-	if len(changes) == 0 || changes[0] != firstOrder || changes[len(changes)-1].version != doc.Version {
+	if len(changes) == 0 || changes[0] != initialChange || changes[len(changes)-1].version != doc.Version {
 		return nil, errors.Errorf("version %d with the changes %v", doc.Version, changes)
 	}
 	both := min(len(changes), len(h.chain))
@@ -244,7 +244,7 @@
 // historyWithin bounds the search for an order of all calls.
 const historyWithin = 30 * time.Second
 
-// judge looks for an order of all calls that explains the answers, and for changes that were lost.
+// checkRules looks for an order of all calls that explains the answers, and for changes that were lost.
 func (h *operatorHistory) judge() {
 	h.mu.Lock()
 	ops, acks, chain := slices.Clone(h.ops), slices.Clone(h.acks), h.chain
@@ -257,13 +257,13 @@
 	}
 	switch porcupine.CheckOperationsTimeout(configurationRegister, ops, historyWithin) {
 	case porcupine.Illegal:
-		h.run.breach("no order of %d calls explains their answers", len(ops))
+		h.run.reportBreach("no order of %d calls explains their answers", len(ops))
 	case porcupine.Unknown:
-		h.run.breach("%d calls weren't judged within %v", len(ops), historyWithin)
+		h.run.reportBreach("%d calls weren't judged within %v", len(ops), historyWithin)
 	}
 	for _, a := range acks {
 		if !slices.Contains(chain, a.order) {
-			h.run.breach("%v was acknowledged by %s and isn't in the newest configuration shown", a.order, a.from)
+			h.run.reportBreach("%v was acknowledged by %s and isn't in the newest configuration shown", a.order, a.from)
 		}
 	}
 }
@@ -271,7 +271,7 @@
 // probe is one request to a proxy on the route of a change.
 type probe struct {
 	edge, life int
-	order      order
+	order      operatorChange
 	sent, done time.Time
 	status     int
 }
@@ -279,7 +279,7 @@
 // judgeProbes asks that proxies have each acknowledged change in force in time, and don't go back.
 func (run *scheduleRun) judgeProbes() {
 	apply, contact, downgrade := run.bound("apply_ms"), run.bound("contact_ms"), run.bound("downgrade_ms")
-	acked := map[order]time.Time{}
+	acked := map[operatorChange]time.Time{}
 	for _, a := range run.history.acks {
 		acked[a.order] = a.at
 	}
@@ -287,7 +287,7 @@
 	inForce := map[life][]probe{} // those that were served, of rising versions
 	for _, p := range run.probes {
 		run.report.probes++
-		calm := run.calmSince(p.sent.Add(-contact), p.sent)
+		calm := run.undisturbed(p.sent.Add(-contact), p.sent)
 		if calm {
 			run.report.judged++
 		}
@@ -300,10 +300,10 @@
 			}
 		case http.StatusNotFound:
 			if i := slices.IndexFunc(served, func(was probe) bool { return was.order.version >= p.order.version }); i >= 0 && p.sent.After(served[i].done.Add(downgrade)) {
-				run.breach("edge %d went back: %v isn't in force, and %v was %v before", p.edge, p.order, served[i].order, p.sent.Sub(served[i].done))
+				run.reportBreach("edge %d went back: %v isn't in force, and %v was %v before", p.edge, p.order, served[i].order, p.sent.Sub(served[i].done))
 			}
 			if when, ok := acked[p.order]; ok && calm && p.sent.After(when.Add(apply)) {
-				run.breach("edge %d: %v isn't in force %v after its acknowledgement, in calm", p.edge, p.order, p.sent.Sub(when))
+				run.reportBreach("edge %d: %v isn't in force %v after its acknowledgement, in calm", p.edge, p.order, p.sent.Sub(when))
 			}
 		}
 	}
@@ -314,8 +314,8 @@
 	const most = 8
 	refused := run.history.refused
 	for _, o := range refused[max(0, len(refused)-most):] {
-		if res := client.Do(run.ctx, markRequest(o)); res.Status == http.StatusOK {
-			run.breach("edge %d serves the route of %v, which was refused", edge, o)
+		if res := client.Do(run.ctx, changeRequest(o)); res.Status == http.StatusOK {
+			run.reportBreach("edge %d serves the route of %v, which was refused", edge, o)
 		}
 	}
 }
--- a/cmd/molepaddle-fleet/schedule_planted_test.go
+++ b/cmd/molepaddle-fleet/schedule_planted_test.go
@@ -47,7 +47,7 @@
 		"if ok && !had.Before(h.version) {", "if ok && had == h.version {",
 		"if doc.Version() > v.doc.Version() {", "if doc.Version() != v.doc.Version() {"}, ""},
 	{"a node agent stays with a source that has lost the primary", "nodeagent", []string{
-		"\tif age < s.limit {", "\tif age < time.Hour {"}, ""},
+		"\tif contactAge < s.maxContactAge {", "\tif contactAge < time.Hour {"}, ""},
 	{"a machine without its disk votes as who it was", "replication", []string{
 		`ID(fmt.Sprintf("%016x%016x", m.opt.Rand(), m.opt.Rand()))`, `ID(fmt.Sprint("of ", m.opt.Self.Addr))`},
 		"it needs a vote before and after the loss in one epoch, which replication's search brings about"},
--- a/cmd/molepaddle-fleet/schedule_run_test.go
+++ b/cmd/molepaddle-fleet/schedule_run_test.go
@@ -82,26 +82,26 @@
 
 // coreNode is a core machine.
 type coreNode struct {
-	settings simulation.BootSettings
-	ctl      string
-	program  *simulation.Program
-	busy     bool      // a step has its process
-	troubles int       // steps that trouble it now
-	lostTill time.Time // until when it counts as lost
+	settings     simulation.BootSettings
+	ctl          string
+	program      *simulation.Program
+	busy         bool      // a step has its process
+	activeFaults int       // steps that trouble it now
+	lostUntil    time.Time // until when it counts as lost
 }
 
 // edgeNode is an edge machine.
 type edgeNode struct {
-	settings simulation.BootSettings
-	agent    *simulation.Program
-	client   *simulation.Client
-	readyz   string
-	life     int // of its processes
-	busy     bool
+	settings    simulation.BootSettings
+	agent       *simulation.Program
+	client      *simulation.Client
+	readyz      string
+	incarnation int // of its processes
+	busy        bool
 }
 
-// troubleSpan is when there was trouble.
-type troubleSpan struct {
+// faultSpan is when there was trouble.
+type faultSpan struct {
 	from, to time.Time
 	absent   bool // a core machine was away whole, see absence
 }
@@ -122,7 +122,7 @@
 	cores    []*coreNode
 	edges    []*edgeNode
 	spare    int // the next IP
-	spans    []*troubleSpan
+	spans    []*faultSpan
 	probes   []probe
 	primary  []primaryFault
 	programs []*simulation.Program
@@ -144,8 +144,8 @@
 	return time.Duration(scheduleBounds["sync_s"].(int)) * time.Second
 }
 
-// breach notes that a rule was broken.
-func (run *scheduleRun) breach(format string, args ...any) {
+// reportBreach notes that a rule was broken.
+func (run *scheduleRun) reportBreach(format string, args ...any) {
 	const mostOfAKind = 3
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -188,7 +188,7 @@
 	close(stop)
 	limit := busyFactor * run.bound("ack_ms")
 	last := time.AfterFunc(limit, func() {
-		run.breach("calls have no clear answer %v after the last one began, in calm", limit)
+		run.reportBreach("calls have no clear answer %v after the last one began, in calm", limit)
 		giveUp()
 	})
 	operators.Wait()
@@ -259,12 +259,12 @@
 		}
 		run.edges = append(run.edges, run.startEdge(s))
 	}
-	first, err := json.Marshal(document([]order{firstOrder}))
+	first, err := json.Marshal(document([]operatorChange{initialChange}))
 	if err != nil {
 		run.Fatal(err)
 	}
 	o := newScheduleOperator(run, 0)
-	boot, cancel := context.WithTimeout(run.ctx, 2*patient)
+	boot, cancel := context.WithTimeout(run.ctx, 2*testTimeout)
 	defer cancel()
 	if a, ok := o.call(boot, http.MethodPost, simulation.PathReplace, 0, first); !ok || a.status != http.StatusOK {
 		run.Fatalf("the first configuration: %d %s", a.status, a.body)
@@ -275,7 +275,7 @@
 		}
 	}
 	// What the system promises to survive counts from when all of the core is in.
-	if !run.until(patient, func() bool { return run.allHave(firstOrder.version) }) {
+	if !run.until(testTimeout, func() bool { return run.allHave(initialChange.version) }) {
 		run.Fatalf("the core isn't whole: %s", run.views())
 	}
 }
@@ -319,7 +319,7 @@
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	e.agent = p
-	e.life++
+	e.incarnation++
 }
 
 // controls are the control addresses of the core as it now is.
@@ -333,7 +333,7 @@
 	return all
 }
 
-// until waits until ok holds; false: not within d.
+// eventually waits until ok holds; false: not within d.
 func (run *scheduleRun) until(d time.Duration, ok func() bool) bool {
 	ctx, cancel := context.WithTimeout(run.ctx, d)
 	defer cancel()
@@ -353,7 +353,7 @@
 
 // localView asks one core machine how it sees the fleet.
 func (run *scheduleRun) localView(ctl string) (f status.Fleet, err error) {
-	req, err := http.NewRequestWithContext(run.ctx, http.MethodGet, "http://"+ctl+externalapi.Status.Path+"?"+externalapi.QueryLocal, nil)
+	req, err := http.NewRequestWithContext(run.ctx, http.MethodGet, "http://"+ctl+externalapi.CallStatus.Path+"?"+externalapi.QueryLocal, nil)
 	if err != nil {
 		return f, err
 	}
@@ -407,12 +407,12 @@
 	var next acknowledgement
 	ok := run.until(convergeWithin, func() (ok bool) { next, ok = run.history.nextAfter(healed); return ok })
 	if !ok {
-		run.breach("no change is acknowledged %v after the last fault:\n%s", time.Since(healed), run.views())
+		run.reportBreach("no change is acknowledged %v after the last fault:\n%s", time.Since(healed), run.views())
 		return
 	}
 	run.report.settled = next.at.Sub(healed)
 	if limit := busyFactor * run.bound("ack_ms"); run.report.settled > limit {
-		run.breach("a change is acknowledged %v after the last fault, which is over %v", run.report.settled, limit)
+		run.reportBreach("a change is acknowledged %v after the last fault, which is over %v", run.report.settled, limit)
 	}
 }
 
@@ -425,31 +425,31 @@
 	o.show(end)
 	newest := o.known[len(o.known)-1]
 	if !run.until(convergeWithin, func() bool { return run.allHave(newest.version) }) {
-		run.breach("not all of the core has version %d %v after the last change:\n%s", newest.version, time.Since(still), run.views())
+		run.reportBreach("not all of the core has version %d %v after the last change:\n%s", newest.version, time.Since(still), run.views())
 	}
 	run.report.converged = time.Since(still)
 	for _, ctl := range run.controls() {
-		a, err := o.try(end, http.MethodGet, "http://"+ctl+simulation.PathShow, 0, nil)
+		a, err := o.attempt(end, http.MethodGet, "http://"+ctl+simulation.PathShow, 0, nil)
 		if err != nil || a.status != http.StatusOK {
-			run.breach("%s doesn't show the configuration in calm: %d, %v", ctl, a.status, err)
+			run.reportBreach("%s doesn't show the configuration in calm: %d, %v", ctl, a.status, err)
 			continue
 		}
 		changes, err := run.history.read(a.body)
 		if err != nil || changes[len(changes)-1] != newest {
-			run.breach("%s shows another configuration than %v in calm: %v", ctl, newest, err)
+			run.reportBreach("%s shows another configuration than %v in calm: %v", ctl, newest, err)
 		}
 	}
 	for i, e := range run.edges {
-		if !run.until(run.bound("apply_ms"), func() bool { return e.client.Do(run.ctx, markRequest(newest)).Status == http.StatusOK }) {
-			run.breach("edge %d hasn't %v in force in calm", i, newest)
+		if !run.until(run.bound("apply_ms"), func() bool { return e.client.Do(run.ctx, changeRequest(newest)).Status == http.StatusOK }) {
+			run.reportBreach("edge %d hasn't %v in force in calm", i, newest)
 		}
 	}
 }
 
-// markRequest is a request on the route of a change.
-func markRequest(o order) simulation.Request {
+// changeRequest is a request on the route of a change.
+func changeRequest(o operatorChange) simulation.Request {
 	r := lookup()
-	r.Path, r.Services = "/"+o.mark()+"/x", nil
+	r.Path, r.Services = "/"+o.routeName()+"/x", nil
 	return r
 }
 
@@ -473,10 +473,10 @@
 		if !ok {
 			continue
 		}
-		p := probe{edge: edge, order: one, sent: time.Now(), life: run.lifeOf(e)}
-		p.status = e.client.Do(run.ctx, markRequest(one)).Status
+		p := probe{edge: edge, order: one, sent: time.Now(), life: run.incarnationOf(e)}
+		p.status = e.client.Do(run.ctx, changeRequest(one)).Status
 		p.done = time.Now()
-		if run.lifeOf(e) != p.life {
+		if run.incarnationOf(e) != p.life {
 			continue
 		}
 		run.mu.Lock()
@@ -485,14 +485,14 @@
 	}
 }
 
-func (run *scheduleRun) lifeOf(e *edgeNode) int {
+func (run *scheduleRun) incarnationOf(e *edgeNode) int {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	return e.life
+	return e.incarnation
 }
 
 // probeTarget is the newest change that was acknowledged, or every other time the newest that is due everywhere.
-func (run *scheduleRun) probeTarget(i int) (order, bool) {
+func (run *scheduleRun) probeTarget(i int) (operatorChange, bool) {
 	newest, ok := run.history.newest()
 	if !ok || i%2 == 0 {
 		return newest.order, ok
@@ -505,7 +505,7 @@
 	for _, p := range run.programs {
 		for _, sign := range []string{"DATA RACE", "panic:", "fatal error:"} {
 			if out := p.Output(); strings.Contains(out, sign) {
-				run.breach("%s in a process's output:\n%s", sign, out)
+				run.reportBreach("%s in a process's output:\n%s", sign, out)
 			}
 		}
 	}
--- a/cmd/molepaddle-fleet/schedule_test.go
+++ b/cmd/molepaddle-fleet/schedule_test.go
@@ -27,29 +27,29 @@
 type faultKind string
 
 const (
-	cutWhole    faultKind = "cut whole"      // a machine from all others, in both directions
-	cutInbound  faultKind = "cut inbound"    // nothing reaches a machine, which still sends
-	cutOutbound faultKind = "cut outbound"   // nothing leaves a machine, which still hears
-	cutPair     faultKind = "cut pair"       // two machines from each other
-	cutHalves   faultKind = "cut halves"     // the core into two parts, each with some of the agents and spares
-	slowLinks   faultKind = "slow links"     // what a machine sends and hears comes late
-	killProcess faultKind = "kill"           // SIGKILL and a restart
-	freeze      faultKind = "freeze"         // SIGSTOP, later SIGCONT
-	wipeDisk    faultKind = "wipe"           // SIGKILL and a restart with an empty disk
-	replaceNode faultKind = "replace"        // a machine is gone for good, another comes at a new address
-	rollCore    faultKind = "roll"           // SIGTERM and a restart, one machine after the other
-	killCore    faultKind = "kill all"       // all processes of the core at once
-	cutAgent    faultKind = "cut agent"      // an edge machine from all core machines but one
-	killAgent   faultKind = "kill agent"     // SIGKILL of a node agent and a restart
-	freezeAgent faultKind = "freeze agent"   // SIGSTOP of a node agent, later SIGCONT
-	restartHalf faultKind = "restart inside" // the core is cut in two, and both halves restart while it is
+	partitionNode     faultKind = "cut whole"      // a machine from all others, in both directions
+	partitionInbound  faultKind = "cut inbound"    // nothing reaches a machine, which still sends
+	partitionOutbound faultKind = "cut outbound"   // nothing leaves a machine, which still hears
+	partitionPair     faultKind = "cut pair"       // two machines from each other
+	partitionHalves   faultKind = "cut halves"     // the core into two parts, each with some of the agents and spares
+	slowLinks         faultKind = "slow links"     // what a machine sends and hears comes late
+	killProcess       faultKind = "kill"           // SIGKILL and a restart
+	freeze            faultKind = "freeze"         // SIGSTOP, later SIGCONT
+	wipeDisk          faultKind = "wipe"           // SIGKILL and a restart with an empty disk
+	replaceNode       faultKind = "replace"        // a machine is gone for good, another comes at a new address
+	rollCore          faultKind = "roll"           // SIGTERM and a restart, one machine after the other
+	killCore          faultKind = "kill all"       // all processes of the core at once
+	partitionAgent    faultKind = "cut agent"      // an edge machine from all core machines but one
+	killAgent         faultKind = "kill agent"     // SIGKILL of a node agent and a restart
+	freezeAgent       faultKind = "freeze agent"   // SIGSTOP of a node agent, later SIGCONT
+	restartHalf       faultKind = "restart inside" // the core is cut in two, and both halves restart while it is
 )
 
 // drawnKinds are the kinds as often as they are drawn.
 var drawnKinds = []faultKind{
-	cutWhole, cutWhole, cutWhole, cutInbound, cutInbound, cutOutbound, cutOutbound, cutPair, cutHalves, cutHalves, slowLinks,
+	partitionNode, partitionNode, partitionNode, partitionInbound, partitionInbound, partitionOutbound, partitionOutbound, partitionPair, partitionHalves, partitionHalves, slowLinks,
 	killProcess, killProcess, killProcess, freeze, freeze, freeze, wipeDisk, wipeDisk, wipeDisk, replaceNode, replaceNode,
-	rollCore, killCore, cutAgent, killAgent, freezeAgent, restartHalf,
+	rollCore, killCore, partitionAgent, killAgent, freezeAgent, restartHalf,
 }
 
 // Targets of steps that are looked up when the step begins.
@@ -115,7 +115,7 @@
 		s.steps = append(s.steps, drawStep(rng, &s))
 	}
 	if long {
-		one := step{at: between(rng, 0, 2*time.Second), kind: []faultKind{cutWhole, cutInbound, cutOutbound, freeze}[rng.IntN(4)], target: primaryTarget, lasts: longFault, agents: rng.IntN(2) == 0}
+		one := step{at: between(rng, 0, 2*time.Second), kind: []faultKind{partitionNode, partitionInbound, partitionOutbound, freeze}[rng.IntN(4)], target: primaryTarget, lasts: longFault, agents: rng.IntN(2) == 0}
 		s.steps = append(s.steps, one)
 	}
 	slices.SortStableFunc(s.steps, func(a, b step) int { return int(a.at - b.at) })
@@ -175,18 +175,18 @@
 	// The core goes on without the machine that an agent pulls from, for long enough that its configuration has to be
 	// another's.
 	{seed: 90_001, machines: 3, survive: 1, edges: 2, operators: 3, window: 5 * time.Second, steps: []step{
-		{at: 100 * time.Millisecond, kind: cutWhole, target: agentTarget, lasts: 4600 * time.Millisecond},
+		{at: 100 * time.Millisecond, kind: partitionNode, target: agentTarget, lasts: 4600 * time.Millisecond},
 	}},
 	// Agents lose their sources one after the other, while the first one is behind the others.
 	{seed: 90_002, machines: 3, survive: 1, edges: 2, operators: 3, window: 5 * time.Second, busy: true, steps: []step{
-		{at: 100 * time.Millisecond, kind: cutWhole, target: agentTarget, lasts: 4600 * time.Millisecond},
+		{at: 100 * time.Millisecond, kind: partitionNode, target: agentTarget, lasts: 4600 * time.Millisecond},
 		{at: 2 * time.Second, kind: killProcess, target: agentTarget, lasts: 300 * time.Millisecond},
 		{at: 3200 * time.Millisecond, kind: killProcess, target: agentTarget, lasts: 300 * time.Millisecond},
 	}},
 	// The primary is cut off for long, and once more after it is back.
 	{seed: 90_003, machines: 3, survive: 1, edges: 1, operators: 4, window: 5 * time.Second, lossy: 0.05, busy: true, steps: []step{
-		{at: 100 * time.Millisecond, kind: cutWhole, target: primaryTarget, lasts: 2500 * time.Millisecond},
-		{at: 2700 * time.Millisecond, kind: cutWhole, target: primaryTarget, lasts: 2 * time.Second},
+		{at: 100 * time.Millisecond, kind: partitionNode, target: primaryTarget, lasts: 2500 * time.Millisecond},
+		{at: 2700 * time.Millisecond, kind: partitionNode, target: primaryTarget, lasts: 2 * time.Second},
 	}},
 }
 
@@ -292,7 +292,7 @@
 	defer t.mu.Unlock()
 	text := fmt.Sprintf("%d schedules, %d with a breach; %d changes taken, %d refused, %d shown, %d sent again (%d of them after 100 further changes or more; %d without a clear answer); %d steps left out; %d probes, %d of them in calm; faults %v",
 		t.runs, t.breaches, t.taken, t.refused, t.shown, t.again, t.late, t.unanswered, t.skip, t.probes, t.judged, t.faults)
-	for _, kind := range []faultKind{killProcess, freeze, cutWhole, cutInbound, cutOutbound, wipeDisk, replaceNode, rollCore} {
+	for _, kind := range []faultKind{killProcess, freeze, partitionNode, partitionInbound, partitionOutbound, wipeDisk, replaceNode, rollCore} {
 		if len(t.takeover[kind]) == 0 {
 			continue
 		}
--- a/cmd/molepaddle-fleet/show.go
+++ b/cmd/molepaddle-fleet/show.go
@@ -18,8 +18,8 @@
 	JSON bool `name:"json" help:"Print the configuration as the control plane gives it."`
 }
 
-// errNone is that there is no configuration yet.
-var errNone = errors.New("no configuration yet")
+// errNoConfiguration is that there is no configuration yet.
+var errNoConfiguration = errors.New("no configuration yet")
 
 // Run shows the configuration in force.
 func (c *showCmd) Run(a *app) error {
@@ -27,18 +27,18 @@
 	if err != nil {
 		return err
 	}
-	d, answer, err := current(a, client)
+	d, answer, err := fetchCurrent(a, client)
 	if err != nil {
 		return err
 	}
 	if d == nil {
-		return errors.Wrap(errNone, answer.From)
+		return errors.Wrap(errNoConfiguration, answer.Endpoint)
 	}
 	if c.JSON {
 		_, err := a.out.Write(append(answer.Body, '\n'))
 		return err
 	}
-	fmt.Fprintf(a.out, "%s, from %s\n", aboutDocument(d), answer.From)
+	fmt.Fprintf(a.out, "%s, from %s\n", describeDocument(d), answer.Endpoint)
 	return writeConfig(a.out, d.Config())
 }
 
@@ -63,8 +63,8 @@
 		if besides == nil {
 			besides = []string{"-"}
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%d\t%d\t%s\n", word(r.Name), word(r.Hostname), word(r.Prefix), r.Kind,
-			strings.Join(shares(r), " "), r.Deadline(), span(r.LatencyTarget()), r.Priority, r.MaxAttempts, strings.Join(besides, ", "))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%d\t%d\t%s\n", quoteName(r.Name), quoteName(r.Hostname), quoteName(r.Prefix), r.Kind,
+			strings.Join(formatShares(r), " "), r.Deadline(), formatDuration(r.LatencyTarget()), r.Priority, r.MaxAttempts, strings.Join(besides, ", "))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -76,34 +76,34 @@
 		s := &c.Services[i]
 		requests, tokens, models := "-", "-", "-"
 		if r := s.Runtime; r != nil {
-			requests, tokens = count(int64(r.Capacity)), count(r.KVCacheTokens)
+			requests, tokens = formatCount(int64(r.Capacity)), formatCount(r.KVCacheTokens)
 			var names []string
 			for _, m := range r.Models {
-				names = append(names, word(m.Name))
+				names = append(names, quoteName(m.Name))
 			}
 			models = strings.Join(names, " ")
 		}
 		probe := "-"
 		if s.HealthCheckPath != "" {
-			probe = word(s.HealthCheckPath)
+			probe = quoteName(s.HealthCheckPath)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", word(s.Name), probe, count(int64(s.MaxConn)), requests, tokens, models)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", quoteName(s.Name), probe, formatCount(int64(s.MaxConn)), requests, tokens, models)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	if l := c.Limits; l != nil {
 		fmt.Fprintf(w, "\nclients: head %s bytes within %s, body %s bytes, idle %s\n",
-			count(l.MaxHeaderBytes), span(l.HeaderTimeout()), count(l.MaxBodyBytes), span(l.IdleTimeout()))
+			formatCount(l.MaxHeaderBytes), formatDuration(l.HeaderTimeout()), formatCount(l.MaxBodyBytes), formatDuration(l.IdleTimeout()))
 	}
 	return nil
 }
 
-// shares are a route's services, with their parts where there are several. The weights of a valid route add up to more
+// formatShares are a route's services, with their parts where there are several. The weights of a valid route add up to more
 // than 0.
-func shares(r *routingconfig.RouteSpec) []string {
+func formatShares(r *routingconfig.RouteSpec) []string {
 	if len(r.Split) == 0 {
-		return []string{word(r.ServiceName)}
+		return []string{quoteName(r.ServiceName)}
 	}
 	total := 0.0
 	for _, s := range r.Split {
@@ -111,22 +111,22 @@
 	}
 	var out []string
 	for _, s := range r.Split {
-		out = append(out, word(s.ServiceName)+":"+percent(s.Weight/total))
+		out = append(out, quoteName(s.ServiceName)+":"+formatPercent(s.Weight/total))
 	}
 	return out
 }
 
-func percent(part float64) string { return strconv.FormatFloat(100*part, 'g', 4, 64) + "%" }
+func formatPercent(part float64) string { return strconv.FormatFloat(100*part, 'g', 4, 64) + "%" }
 
-// span and count are a dash where nothing was given.
-func span(d time.Duration) string {
+// formatDuration and count are a dash where nothing was given.
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return "-"
 	}
 	return d.String()
 }
 
-func count(n int64) string {
+func formatCount(n int64) string {
 	if n == 0 {
 		return "-"
 	}
--- a/cmd/molepaddle-fleet/status.go
+++ b/cmd/molepaddle-fleet/status.go
@@ -27,23 +27,23 @@
 	}
 	f, answer, err := client.Status(a.ctx, c.Local)
 	if err != nil {
-		if codeOf(err) == exitUnclear && !c.Local {
+		if exitCodeOf(err) == exitIndeterminate && !c.Local {
 			err = errors.Errorf("%v\nNo primary answers. --local shows what one machine knows: give its address with --control.", err)
-			return coded{err, exitUnclear}
+			return exitError{err, exitIndeterminate}
 		}
-		return coded{err, codeOf(err)}
+		return exitError{err, exitCodeOf(err)}
 	}
 	if c.JSON {
 		return writeJSON(a.out, f)
 	}
-	return writeStatus(a.out, f, answer.From)
+	return writeStatus(a.out, f, answer.Endpoint)
 }
 
 // writeStatus writes a status as tables.
 func writeStatus(w io.Writer, f *status.Fleet, from string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	v := &f.View
-	fmt.Fprintf(w, "view %d, from %s at %s\n", v.Epoch, word(f.From), from)
+	fmt.Fprintf(w, "view %d, from %s at %s\n", v.Epoch, quoteName(f.From), from)
 	if !f.Confirmed {
 		fmt.Fprintln(w, "not confirmed by the core: this is what that machine knows itself")
 	}
@@ -54,9 +54,9 @@
 		case m.Self:
 			heard = "-"
 		case m.LastContactMs >= 0:
-			heard = millis(m.LastContactMs) + " ago"
+			heard = formatMillis(m.LastContactMs) + " ago"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Address, word(m.Zone), m.Role, heard)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Address, quoteName(m.Zone), m.Role, heard)
 	}
 	fmt.Fprintln(t, "\nduty\tholder\tfence\tstate")
 	for _, d := range f.SingletonRoles {
@@ -65,9 +65,9 @@
 		case d.Holder == "":
 			state = "nobody does it"
 		case d.StandbyMs > 0:
-			state = "keeps still for another " + millis(d.StandbyMs)
+			state = "keeps still for another " + formatMillis(d.StandbyMs)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Name, dash(d.Holder), count(int64(d.FencingToken)), state)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Name, orDash(d.Holder), formatCount(int64(d.FencingToken)), state)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -75,17 +75,17 @@
 	if c := f.Configuration; c.Version == 0 {
 		fmt.Fprintln(w, "\nno configuration yet")
 	} else {
-		fmt.Fprintf(w, "\nconfiguration: version %d, change %d of the record, settled %s ago\n", c.Version, c.Seq, millis(c.AgeMs))
+		fmt.Fprintf(w, "\nconfiguration: version %d, change %d of the record, settled %s ago\n", c.Version, c.Seq, formatMillis(c.AgeMs))
 	}
 	if f.BackendList.Count > 0 {
-		fmt.Fprintf(w, "list of backends: %s%s\n", listed(f.BackendList.ListVersion), polledAgo(f.BackendList.AgeMs))
+		fmt.Fprintf(w, "list of backends: %s%s\n", formatVersion(f.BackendList.ListVersion), formatPollAge(f.BackendList.AgeMs))
 	}
 	writeAgents(t, f)
 	if len(f.Services) > 0 {
 		fmt.Fprintln(t, "\nservice\tbackends\tdraining\tphases")
 	}
 	for _, s := range f.Services {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%s\n", word(s.Name), s.Backends, s.Draining, phases(s.Phases))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%s\n", quoteName(s.Name), s.Backends, s.Draining, formatPhases(s.Phases))
 	}
 	return t.Flush()
 }
@@ -98,9 +98,9 @@
 		a := &f.Agents[i]
 		since := "-"
 		if a.ConfigVersion > 0 {
-			since = millis(a.ConfigAgeMs)
+			since = formatMillis(a.ConfigAgeMs)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s ago\t%s\n", word(a.Name), word(a.Zone), count(a.ConfigVersion), since, listed(a.BackendListVersion), millis(a.LeaseAgeMs), behind(f, a))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s ago\t%s\n", quoteName(a.Name), quoteName(a.Zone), formatCount(a.ConfigVersion), since, formatVersion(a.BackendListVersion), formatMillis(a.LeaseAgeMs), lagging(f, a))
 	}
 	switch {
 	case len(f.Agents) == 0:
@@ -110,8 +110,8 @@
 	}
 }
 
-// behind is what an agent lacks.
-func behind(f *status.Fleet, a *status.Agent) string {
+// lagging is what an agent lacks.
+func lagging(f *status.Fleet, a *status.Agent) string {
 	var all []string
 	if a.ConfigVersion < f.Configuration.Version {
 		all = append(all, "configuration")
@@ -119,41 +119,41 @@
 	if a.BackendListVersion != f.BackendList.ListVersion {
 		all = append(all, "list")
 	}
-	return dash(strings.Join(all, ", "))
+	return orDash(strings.Join(all, ", "))
 }
 
-func listed(n status.ListVersion) string {
+func formatVersion(n status.ListVersion) string {
 	if n.Count == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%d.%d", n.Epoch, n.Count)
 }
 
-func polledAgo(ms int64) string {
+func formatPollAge(ms int64) string {
 	if ms < 0 {
 		return ""
 	}
-	return ", asked for " + millis(ms) + " ago"
+	return ", asked for " + formatMillis(ms) + " ago"
 }
 
-func phases(in map[string]int) string {
+func formatPhases(in map[string]int) string {
 	var all []string
 	for name, n := range in {
-		all = append(all, fmt.Sprintf("%s %d", word(name), n))
+		all = append(all, fmt.Sprintf("%s %d", quoteName(name), n))
 	}
 	slices.Sort(all)
-	return dash(strings.Join(all, ", "))
+	return orDash(strings.Join(all, ", "))
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// millis is a duration as one reads it: whole seconds from a minute on, tenths from a second on.
-func millis(ms int64) string {
+// formatMillis is a duration as one reads it: whole seconds from a minute on, tenths from a second on.
+func formatMillis(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	switch {
 	case d >= time.Minute:
--- a/cmd/molepaddle-fleet/status_test.go
+++ b/cmd/molepaddle-fleet/status_test.go
@@ -13,11 +13,11 @@
 	"molepaddle/internal/fleet/status"
 )
 
-// stands is what `molepaddle-fleet status --json` tells, asked at one core machine.
-func (f *fleet) stands(at *machine, flags ...string) *status.Fleet {
+// status is what `molepaddle-fleet status --json` tells, asked at one core machine.
+func (f *fleet) status(at *machine, flags ...string) *status.Fleet {
 	f.Helper()
 	code, out, errOut := fleetctl(f, append([]string{"status", "--json", "--control", at.boot.Ctl}, flags...)...)
-	f.Assert(code, qt.Equals, exitDone, qt.Commentf("%s", errOut))
+	f.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", errOut))
 	var s status.Fleet
 	f.Assert(json.Unmarshal([]byte(out), &s), qt.IsNil)
 	return &s
@@ -44,13 +44,13 @@
 
 // TestStatus follows a configuration to every proxy, past one that hangs and past the loss of the primary.
 func TestStatus(t *testing.T) {
-	f := newFleet(t, plan{prefill: 2, decode: 2})
+	f := newFleet(t, fleetOptions{prefill: 2, decode: 2})
 	primary := f.primary()
-	f.watch(exitDone, "1")
+	f.watch(exitOK, "1")
 
 	// Any control server is asked, the primary tells.
 	for _, m := range f.core {
-		s := f.stands(m)
+		s := f.status(m)
 		f.Check(s.From, qt.Equals, primary.settings.Node)
 		f.Check(s.Confirmed, qt.IsTrue)
 		f.Check(s.CollectingLeases, qt.IsFalse)
@@ -87,20 +87,20 @@
 		f.Check(s.Services[1], qt.DeepEquals, status.Service{Name: lookups, Backends: 2, Phases: map[string]int{}})
 	}
 	// The list's number comes back from the proxies by way of their node agents.
-	f.until(patient, "both proxies have the newest list", func() bool {
-		s := f.stands(primary)
+	f.eventually(testTimeout, "both proxies have the newest list", func() bool {
+		s := f.status(primary)
 		return !slices.ContainsFunc(s.Agents, func(a status.Agent) bool { return a.BackendListVersion != s.BackendList.ListVersion })
 	})
 	f.platform.Drain(f.plain[0])
-	f.until(patient, "a draining backend is counted", func() bool { return f.stands(primary).Services[1].Draining == 1 })
-	before := f.stands(primary).BackendList.ListVersion
-	f.until(patient, "both proxies have the list that tells of it", func() bool {
-		return !slices.ContainsFunc(f.stands(primary).Agents, func(a status.Agent) bool { return a.BackendListVersion.Count < before.Count })
+	f.eventually(testTimeout, "a draining backend is counted", func() bool { return f.status(primary).Services[1].Draining == 1 })
+	before := f.status(primary).BackendList.ListVersion
+	f.eventually(testTimeout, "both proxies have the list that tells of it", func() bool {
+		return !slices.ContainsFunc(f.status(primary).Agents, func(a status.Agent) bool { return a.BackendListVersion.Count < before.Count })
 	})
 
 	// One that is not the primary tells what it knows when asked for that.
 	other := f.core[slices.IndexFunc(f.core, func(m *machine) bool { return m != primary })]
-	s := f.stands(other, "--local")
+	s := f.status(other, "--local")
 	f.Check(s.From, qt.Equals, other.settings.Node)
 	f.Check(s.Confirmed, qt.IsFalse)
 	f.Check(s.View.Primary, qt.Equals, primary.boot.Ctl)
@@ -108,41 +108,41 @@
 	// A proxy that hangs lacks the next version, for as long as it has a lease.
 	hung := f.edge[1].programs["proxy"]
 	hung.Signal(syscall.SIGSTOP)
-	f.add(2)
-	f.until(patient, "only the proxy that hangs lacks the version", func() bool {
-		return slices.Equal(names(f.stands(primary).Behind(2)), []string{"edge-2"})
+	f.applyAddRoute(2)
+	f.eventually(testTimeout, "only the proxy that hangs lacks the version", func() bool {
+		return slices.Equal(names(f.status(primary).Behind(2)), []string{"edge-2"})
 	})
-	out := f.watch(exitLate, "2", "--limit", "500ms")
+	out := f.watch(exitTimeout, "2", "--limit", "500ms")
 	f.Check(out, qt.Contains, "version 2: in force at 1 of 2 agents; not at edge-2 (1)")
 	hung.Signal(syscall.SIGCONT)
-	f.Check(f.watch(exitDone), qt.Contains, "version 2: in force at 2 of 2 agents")
+	f.Check(f.watch(exitOK), qt.Contains, "version 2: in force at 2 of 2 agents")
 
 	f.edge[1].kill("proxy")
-	f.add(3)
-	out = f.watch(exitDone, "3")
+	f.applyAddRoute(3)
+	out = f.watch(exitOK, "3")
 	f.Check(out, qt.Contains, "no lease any more: edge-2 (2)")
-	f.Check(names(f.stands(primary).Agents), qt.DeepEquals, []string{"edge-1"})
+	f.Check(names(f.status(primary).Agents), qt.DeepEquals, []string{"edge-1"})
 	f.edge[1].start("proxy")
-	f.ready(f.edge[1])
+	f.awaitReady(f.edge[1])
 
 	// With the primary gone, the next one tells, and waits until it knows all agents.
 	primary.kill("control-plane")
-	out = f.watch(exitDone, "3")
+	out = f.watch(exitOK, "3")
 	t.Logf("after the loss of the primary:\n%s", out)
 	f.Check(out, qt.Contains, "the primary is new and may not have heard all")
-	s = f.stands(f.primary())
+	s = f.status(f.primary())
 	f.Check(s.View.Primary, qt.Not(qt.Equals), primary.boot.Ctl)
 	lost := slices.IndexFunc(f.core, func(m *machine) bool { return m == primary })
 	f.Check(s.View.Members[lost].LastContactMs > 3000, qt.IsTrue, qt.Commentf("%+v: the lease's time has passed since its end", s.View.Members[lost]))
 	f.Check(names(s.Agents), qt.DeepEquals, []string{"edge-1", "edge-2"})
 	f.Check(s.SingletonRoles[1], qt.DeepEquals, status.SingletonRole{Name: status.SingletonPhases, Holder: s.View.Primary, FencingToken: s.View.Epoch})
 	f.Check(fmt.Sprint(s.Agents[0].ConfigVersion, s.Agents[1].ConfigVersion), qt.Equals, "3 3")
-	f.judge()
+	f.checkRules()
 }
 
 // TestStatusWithoutPrimary asks where most of the core is gone.
 func TestStatusWithoutPrimary(t *testing.T) {
-	f := newFleet(t, plan{})
+	f := newFleet(t, fleetOptions{})
 	primary := f.primary()
 	var left *machine
 	for _, m := range f.core {
@@ -153,20 +153,20 @@
 		}
 	}
 	code, _, errOut := fleetctl(t, "status", "--control", left.boot.Ctl, "--within", "3s")
-	f.Assert(code, qt.Equals, exitUnclear, qt.Commentf("%s", errOut))
+	f.Assert(code, qt.Equals, exitIndeterminate, qt.Commentf("%s", errOut))
 	f.Check(errOut, qt.Contains, "--local shows what one machine knows")
 	code, out, _ := fleetctl(t, "status", "--local", "--control", left.boot.Ctl)
-	f.Assert(code, qt.Equals, exitDone)
+	f.Assert(code, qt.Equals, exitOK)
 	f.Check(out, qt.Contains, "not confirmed by the core")
 	f.Check(out, qt.Contains, "version 1")
-	f.judge()
+	f.checkRules()
 }
 
 // lateFor is for how many looks one agent of the stand-in lacks a change.
 const lateFor = 3
 
-// stands is the status that the stand-in for the control plane gives: of three agents one is late with each change.
-func (s *control) stands(local bool) *status.Fleet {
+// status is the status that the stand-in for the control plane gives: of three agents one is late with each change.
+func (s *fakeControlPlane) fleetStatus(local bool) *status.Fleet {
 	f := &status.Fleet{From: "core-koto-hall-1", Confirmed: !local, View: status.View{Epoch: 4, Primary: pageControl, Ready: true},
 		Configuration: status.Configuration{Version: s.doc.Version(), Seq: 3, AgeMs: 310}, BackendList: status.BackendList{ListVersion: status.ListVersion{Epoch: 4, Count: 12}, AgeMs: 140}}
 	zones := []string{"koto-hall", "shinagawa-hall", "kawasaki-hall"}
@@ -184,8 +184,8 @@
 	}
 	for i, zone := range zones {
 		a := status.Agent{Name: fmt.Sprintf("edge-%s-1", zone), Zone: zone, LeaseAgeMs: int64(40 + 210*i), ConfigVersion: s.doc.Version(), ConfigAgeMs: int64(290 - 30*i), BackendListVersion: f.BackendList.ListVersion}
-		if i == 2 && s.looks <= lateFor {
-			a.ConfigVersion, a.ConfigAgeMs = s.was.Version(), 3_600_000
+		if i == 2 && s.statusCalls <= lateFor {
+			a.ConfigVersion, a.ConfigAgeMs = s.previous.Version(), 3_600_000
 		}
 		f.Agents = append(f.Agents, a)
 	}
@@ -195,31 +195,31 @@
 
 func TestStatusCodes(t *testing.T) {
 	c := qt.New(t)
-	s := newControl(c)
+	s := newFakeControlPlane(c)
 	code, out, errOut := fleetctl(t, "watch", "--control", s.addr)
-	c.Check(code, qt.Equals, exitNo, qt.Commentf("%s%s", out, errOut))
+	c.Check(code, qt.Equals, exitFailure, qt.Commentf("%s%s", out, errOut))
 	c.Check(errOut, qt.Contains, "no configuration yet")
 	code, out, _ = fleetctl(t, "status", "--control", s.addr)
-	c.Check(code, qt.Equals, exitDone)
+	c.Check(code, qt.Equals, exitOK)
 	c.Check(out, qt.Contains, "no configuration yet")
 	c.Check(out, qt.Contains, "no agent holds a lease")
 	// A version that nobody has is waited for.
 	code, _, errOut = fleetctl(t, "watch", "5", "--limit", "300ms", "--control", s.addr)
-	c.Check(code, qt.Equals, exitLate)
+	c.Check(code, qt.Equals, exitTimeout)
 	c.Check(errOut, qt.Contains, "not within 300ms: version 5: in force at 0 of 0 agents")
 	code, _, _ = fleetctl(t, "propose", data("fleet.json"), "--control", s.addr)
-	c.Assert(code, qt.Equals, exitDone)
+	c.Assert(code, qt.Equals, exitOK)
 	code, out, errOut = fleetctl(t, "watch", "--json", "--control", s.addr)
-	c.Check(code, qt.Equals, exitDone, qt.Commentf("%s", errOut))
+	c.Check(code, qt.Equals, exitOK, qt.Commentf("%s", errOut))
 	f, err := status.Decode([]byte(out))
 	c.Assert(err, qt.IsNil)
 	c.Check(f.AppliedEverywhere(5), qt.IsTrue)
 	nobody := deadAddr(c)
 	code, _, errOut = fleetctl(t, "status", "--control", nobody, "--within", "150ms")
-	c.Check(code, qt.Equals, exitUnclear)
+	c.Check(code, qt.Equals, exitIndeterminate)
 	c.Check(errOut, qt.Contains, "no clear answer: "+nobody)
 	code, _, errOut = fleetctl(t, "watch", "--control", nobody, "--within", "100ms", "--limit", "300ms")
-	c.Check(code, qt.Equals, exitUnclear, qt.Commentf("%s", errOut))
+	c.Check(code, qt.Equals, exitIndeterminate, qt.Commentf("%s", errOut))
 	for _, args := range [][]string{{"status"}, {"watch"}, {"watch", "-1", "--control", s.addr}, {"watch", "x", "--control", s.addr},
 		{"watch", "--limit", "0s", "--control", s.addr}} {
 		code, _, errOut := fleetctl(t, args...)
--- a/cmd/molepaddle-fleet/text.go
+++ b/cmd/molepaddle-fleet/text.go
@@ -14,28 +14,28 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// maxFile bounds a file that is read, in bytes; the control server takes bodies of 16 MiB.
-const maxFile = 64 << 20
+// maxFileBytes bounds a file that is read, in bytes; the control server takes bodies of 16 MiB.
+const maxFileBytes = 64 << 20
 
 // readFile reads a file of the operator's; an error ends with exitUsage.
 func readFile(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, coded{err, exitUsage}
+		return nil, exitError{err, exitUsage}
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	b, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
-		return nil, coded{err, exitUsage}
+		return nil, exitError{err, exitUsage}
 	}
-	if len(b) > maxFile {
-		return nil, coded{errors.Errorf("%s: over %d bytes", name, maxFile), exitUsage}
+	if len(b) > maxFileBytes {
+		return nil, exitError{errors.Errorf("%s: over %d bytes", name, maxFileBytes), exitUsage}
 	}
 	return b, nil
 }
 
-// lines takes out of a text what a terminal may take for an order; line ends stay.
-func lines(s string) string {
+// sanitize takes out of a text what a terminal may take for an order; line ends stay.
+func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\n' || unicode.IsPrint(r) {
 			return r
@@ -44,8 +44,8 @@
 	}, s)
 }
 
-// word is a name as it stands in a table: quoted where it has spaces or signs that can't be seen.
-func word(s string) string {
+// quoteName is a name as it stands in a table: quoted where it has spaces or signs that can't be seen.
+func quoteName(s string) string {
 	if s == "" || strings.ContainsFunc(s, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) || r == '"' }) {
 		return strconv.Quote(s)
 	}
@@ -58,8 +58,8 @@
 	Text  string `json:"text"`
 }
 
-// found turns a configuration's findings into those of a file: a place by bytes becomes one by line and column.
-func found(in routingconfig.Findings, body []byte) []finding {
+// fileFindings turns a configuration's findings into those of a file: a place by bytes becomes one by line and column.
+func fileFindings(in routingconfig.Findings, body []byte) []finding {
 	out := make([]finding, 0, len(in))
 	for _, f := range in {
 		place := f.Path
@@ -81,7 +81,7 @@
 		if f.Place != "" {
 			at += ": " + f.Place
 		}
-		fmt.Fprintln(w, lines(at+": "+f.Text))
+		fmt.Fprintln(w, sanitize(at+": "+f.Text))
 	}
 }
 
@@ -93,8 +93,8 @@
 	return e.Encode(v)
 }
 
-// many is a number with its noun.
-func many(n int, noun string) string {
+// plural is a number with its noun.
+func plural(n int, noun string) string {
 	if n != 1 {
 		noun += "s"
 	}
--- a/cmd/molepaddle-fleet/traffic_test.go
+++ b/cmd/molepaddle-fleet/traffic_test.go
@@ -18,18 +18,18 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestCalm serves requests of all kinds on a quiet day.
-func TestCalm(t *testing.T) {
-	f := newFleet(t, plan{})
+// TestAllRequestKindsWithoutFaults serves requests of all kinds on a quiet day.
+func TestAllRequestKindsWithoutFaults(t *testing.T) {
+	f := newFleet(t, fleetOptions{})
 	for i, cl := range f.clients {
 		for range 4 {
-			f.served(cl.Do(f.ctx, lookup()), f.edge[i].settings.Node)
-			f.served(cl.Do(f.ctx, report()), f.edge[i].settings.Node)
-			f.served(cl.Do(f.ctx, hazard()), f.edge[i].settings.Node)
+			f.checkServed(cl.Do(f.ctx, lookup()), f.edge[i].settings.Node)
+			f.checkServed(cl.Do(f.ctx, report()), f.edge[i].settings.Node)
+			f.checkServed(cl.Do(f.ctx, hazard()), f.edge[i].settings.Node)
 		}
 		// A prompt takes a prefill backend 160 ms, a decode backend twice that, of an aim of 200.
 		for range 3 {
-			f.served(cl.Do(f.ctx, bulletin(40_000, 3)), f.edge[i].settings.Node)
+			f.checkServed(cl.Do(f.ctx, bulletin(40_000, 3)), f.edge[i].settings.Node)
 		}
 	}
 	// Each prompt was read at one place, all of it, and its tokens were made once.
@@ -60,21 +60,21 @@
 		}
 	}
 	for attempt, r := range asked {
-		f.Check(runs[attempt], qt.Equals, 1, qt.Commentf("%s: %v", r.Path, f.ways(attempt)))
+		f.Check(runs[attempt], qt.Equals, 1, qt.Commentf("%s: %v", r.Path, f.attemptsOf(attempt)))
 	}
 	f.Check(apart > 0, qt.IsTrue, qt.Commentf("no prompt was read apart"))
 	t.Logf("%d of %d prompts were read apart", apart, len(asked))
-	f.until(patient, "no handle is left", func() bool {
+	f.eventually(testTimeout, "no handle is left", func() bool {
 		return !slices.ContainsFunc(f.prefill, func(e *simulation.Engine) bool { return e.Handles() > 0 })
 	})
-	f.judge()
+	f.checkRules()
 }
 
-// TestBackendTroubles meets backends that die before, in and after the head of an answer, that send bytes which are no
+// TestBackendFaults meets backends that die before, in and after the head of an answer, that send bytes which are no
 // answer, or more than one. What it asks for holds of three backends that make tokens, one of which the core would have
 // read prompts: their reports don't come, so that no order does.
-func TestBackendTroubles(t *testing.T) {
-	f := newFleet(t, plan{decode: 3, plain: 3, noReport: true, bounds: map[string]any{"retry_extra": 400}})
+func TestBackendFaults(t *testing.T) {
+	f := newFleet(t, fleetOptions{decode: 3, plain: 3, noReport: true, bounds: map[string]any{"retry_extra": 400}})
 	set := func(es []*simulation.Engine, fault simulation.Faults) {
 		for _, e := range es {
 			e.SetFaults(fault)
@@ -114,7 +114,7 @@
 		if tc.fault.CutAfter > 0 {
 			// Three backends make 2, 2 and 1 of its 5 events.
 			r := do(bulletin(2000, 5))
-			f.served(r, tc.name)
+			f.checkServed(r, tc.name)
 			seals := map[string]bool{}
 			for _, ev := range r.Events {
 				seals[ev.Seal] = true
@@ -125,8 +125,8 @@
 		set(f.plain[2:], simulation.Faults{})
 		set(f.decode[2:], simulation.Faults{})
 		for range 6 {
-			f.served(do(lookup()), tc.name)
-			f.served(do(bulletin(2000, 5)), tc.name)
+			f.checkServed(do(lookup()), tc.name)
+			f.checkServed(do(bulletin(2000, 5)), tc.name)
 		}
 		set(f.engines(), simulation.Faults{})
 	}
@@ -136,7 +136,7 @@
 		set(es, simulation.Faults{Silent: true})
 		var open []<-chan simulation.Result
 		for i, r := range rs {
-			open = append(open, f.goDo(i%len(f.clients), r))
+			open = append(open, f.doAsync(i%len(f.clients), r))
 		}
 		for _, ch := range open {
 			out = append(out, <-ch)
@@ -145,7 +145,7 @@
 		return out
 	}
 	for _, r := range silent(slices.Concat(f.decode[:2], f.plain[:2]), lookup(), lookup(), bulletin(2000, 3), bulletin(2000, 3)) {
-		f.served(r, "silent")
+		f.checkServed(r, "silent")
 	}
 	once := []simulation.Request{report(), hazard()}
 	for i := range once {
@@ -159,7 +159,7 @@
 	// A reader that fails costs a prompt its place there, not its answer.
 	for _, fault := range []simulation.Faults{{LoseAnswer: true}, {Garble: true}, {Fail: 500}, {Refuse: true}} {
 		set(f.prefill, fault)
-		f.served(do(bulletin(40_000, 3)), "prefill")
+		f.checkServed(do(bulletin(40_000, 3)), "prefill")
 	}
 	set(f.prefill, simulation.Faults{})
 
@@ -169,7 +169,7 @@
 		for _, r := range []simulation.Request{lookup(), report(), hazard(), bulletin(2000, 3)} {
 			res := do(r)
 			if r.Idempotent() {
-				f.served(res, "answers twice")
+				f.checkServed(res, "answers twice")
 			} else if !res.OK() {
 				f.Check(res.Status/100 == 5, qt.IsTrue, qt.Commentf("answers twice: status %d %v", res.Status, res.Err))
 			}
@@ -185,10 +185,10 @@
 	f.others = append(f.others, simulation.StartEngine(f, simulation.EngineSettings{Service: "other", Address: gone.Address()}))
 	for range 8 {
 		for _, r := range []simulation.Request{lookup(), report(), hazard(), bulletin(2000, 3)} {
-			f.served(do(r), "another at its address")
+			f.checkServed(do(r), "another at its address")
 		}
 	}
-	f.Check(began(f.others), qt.Equals, 0)
+	f.Check(startedRuns(f.others), qt.Equals, 0)
 	f.platform.Remove(gone)
 	f.plain, f.others = f.plain[1:], append(f.others, gone)
 
@@ -204,11 +204,11 @@
 		if e.Settings().Phase != simulation.PhaseNone {
 			r = bulletin(100, 1)
 		}
-		r.Deadline = patient // it holds its place for as long as this takes
+		r.Deadline = testTimeout // it holds its place for as long as this takes
 		for range e.Settings().Capacity {
-			held = append(held, f.goDo(len(f.clients)-1, r))
+			held = append(held, f.doAsync(len(f.clients)-1, r))
 		}
-		f.until(patient, "a backend is full", func() bool { n, _ := e.Load(); return n == e.Settings().Capacity })
+		f.eventually(testTimeout, "a backend is full", func() bool { n, _ := e.Load(); return n == e.Settings().Capacity })
 	}
 	for i := range others {
 		for _, r := range []simulation.Request{report(), hazard(), lookup(), bulletin(2000, 2)} {
@@ -222,16 +222,16 @@
 		release()
 	}
 	for _, ch := range held {
-		f.served(<-ch, "held")
+		f.checkServed(<-ch, "held")
 	}
 	f.Check(f.orders(), qt.HasLen, 0)
-	f.judge()
+	f.checkRules()
 }
 
 // TestPhaseOrdered has one backend more make tokens than need be: the core orders it to read prompts, and all that comes
 // meanwhile is served.
 func TestPhaseOrdered(t *testing.T) {
-	f := newFleet(t, plan{decode: 4})
+	f := newFleet(t, fleetOptions{decode: 4})
 	load := f.traffic([]int{0, 1})
 	reads := func() (n int) {
 		for _, e := range f.decode {
@@ -242,8 +242,8 @@
 		return n
 	}
 	// An order that could not be confirmed by the backups is not given, and comes anew once its announcement has lapsed.
-	f.until(2*patient, "one reads prompts instead", func() bool { return reads() == 1 })
-	load.goesOn(16, 0, 1)
+	f.eventually(2*testTimeout, "one reads prompts instead", func() bool { return reads() == 1 })
+	load.awaitMore(16, 0, 1)
 	load.stop()
 	// More may follow where reports are late, as a backend that doesn't report counts as lost. No fence is ever too low.
 	orders := f.orders()
@@ -254,36 +254,36 @@
 	for _, o := range orders {
 		f.Check(o.Status, qt.Not(qt.Equals), http.StatusPreconditionFailed, qt.Commentf("fence %d", o.Gen))
 	}
-	f.judge()
+	f.checkRules()
 }
 
 // TestProxyEnds sends SIGTERM to a proxy with requests under way.
 func TestProxyEnds(t *testing.T) {
-	f := newFleet(t, plan{bounds: map[string]any{"grace_s": 3}})
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"grace_s": 3}})
 	m, cl := f.edge[0], f.clients[0]
-	f.served(cl.Do(f.ctx, lookup()), "before") // its connection stays
+	f.checkServed(cl.Do(f.ctx, lookup()), "before") // its connection stays
 	var releases []func()
 	for _, e := range slices.Concat(f.decode, f.plain) {
 		releases = append(releases, e.Hold())
 	}
-	was := began(f.engines())
+	was := startedRuns(f.engines())
 	var open []<-chan simulation.Result
 	for _, r := range []simulation.Request{hazard(), hazard(), report(), bulletin(1000, 3), lookup()} {
-		open = append(open, f.goDo(0, r))
+		open = append(open, f.doAsync(0, r))
 	}
-	f.until(patient, "all have begun", func() bool { return began(f.engines()) >= was+len(open) })
+	f.eventually(testTimeout, "all have begun", func() bool { return startedRuns(f.engines()) >= was+len(open) })
 
 	proxy := m.programs["proxy"]
-	f.ends(proxy)
+	f.expectExit(proxy)
 	proxy.Signal(syscall.SIGTERM)
 	term := time.Now()
-	f.notReady(m)
+	f.awaitNotReady(m)
 	f.Check(time.Since(term) < time.Second, qt.IsTrue, qt.Commentf("not ready %v after SIGTERM", time.Since(term)))
 	for _, release := range releases {
 		release()
 	}
 	for _, ch := range open {
-		f.served(<-ch, "under way at SIGTERM")
+		f.checkServed(<-ch, "under way at SIGTERM")
 	}
 	// Clients come as long as they are let in. What was read whole is answered.
 	var after atomic.Int64
@@ -297,7 +297,7 @@
 			}
 		})
 	}
-	code, err := proxy.Wait(f.within(patient))
+	code, err := proxy.Wait(f.withTimeout(testTimeout))
 	took := time.Since(term)
 	f.Assert(err, qt.IsNil)
 	f.Check(code, qt.Equals, 0)
@@ -308,18 +308,18 @@
 		for _, r := range cl.Results() {
 			switch {
 			case r.Status != 0:
-				f.served(r, "while it ends")
+				f.checkServed(r, "while it ends")
 				f.Check(r.Closing, qt.IsTrue, qt.Commentf("the connection stays open"))
 			case !strings.Contains(r.Err.Error(), "dial"):
-				f.Check(f.ways(r.Attempt), qt.HasLen, 0, qt.Commentf("%v", r.Err))
+				f.Check(f.attemptsOf(r.Attempt), qt.HasLen, 0, qt.Commentf("%v", r.Err))
 				took := r.EndedAt.Sub(r.SentAt)
 				f.Check(took <= f.bound("loss_slack_ms", time.Millisecond), qt.IsTrue, qt.Commentf("%v after %v", r.Err, took))
 			}
 		}
 	}
 	f.Check(after.Load() > 0, qt.IsTrue, qt.Commentf("nobody was let in after SIGTERM"))
-	f.served(f.clients[1].Do(f.ctx, lookup()), "the other one")
-	f.judge()
+	f.checkServed(f.clients[1].Do(f.ctx, lookup()), "the other one")
+	f.checkRules()
 }
 
 // TestProxyEndsAsClientsCome has clients come for as long as a proxy that got SIGTERM lets them in, each with a stream
@@ -332,12 +332,12 @@
 }
 
 func proxyEndsAsClientsCome(t *testing.T, grace int) {
-	f := newFleet(t, plan{bounds: map[string]any{"grace_s": grace}})
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"grace_s": grace}})
 	proxy := f.edge[0].programs["proxy"]
 	half := hazard()
 	half.Tokens[1] = 250 // of 2 ms each
-	f.served(f.clients[0].Do(f.ctx, half), "before")
-	f.ends(proxy)
+	f.checkServed(f.clients[0].Do(f.ctx, half), "before")
+	f.expectExit(proxy)
 	proxy.Signal(syscall.SIGTERM)
 	term := time.Now()
 	var come sync.WaitGroup
@@ -350,7 +350,7 @@
 			}
 		})
 	}
-	code, err := proxy.Wait(f.within(patient))
+	code, err := proxy.Wait(f.withTimeout(testTimeout))
 	took := time.Since(term)
 	f.Assert(err, qt.IsNil)
 	f.Check(code, qt.Equals, 0)
@@ -358,30 +358,30 @@
 	come.Wait()
 	for _, cl := range f.clients[len(f.edge):] {
 		for _, r := range cl.Results() {
-			ways := f.ways(r.Attempt)
+			ways := f.attemptsOf(r.Attempt)
 			switch {
 			case r.Status == http.StatusServiceUnavailable && grace == 3:
 				f.Check(ways, qt.HasLen, 0)
 				f.Check(r.RetryAfter > 0 && r.Closing, qt.IsTrue, qt.Commentf("%+v", r.Header))
 			case r.Status != 0 || len(ways) > 0:
-				f.served(r, fmt.Sprintf("begun %v after SIGTERM", r.SentAt.Sub(term)))
+				f.checkServed(r, fmt.Sprintf("begun %v after SIGTERM", r.SentAt.Sub(term)))
 			}
 		}
 	}
-	f.judge()
+	f.checkRules()
 }
 
 // TestDrain has backends of both services drained: nothing comes to them later than drain_ms after the list shows it.
 func TestDrain(t *testing.T) {
-	f := newFleet(t, plan{bounds: map[string]any{"drain_ms": 2000}})
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"drain_ms": 2000}})
 	load := f.traffic([]int{0, 1})
-	load.goesOn(16, 0, 1)
+	load.awaitMore(16, 0, 1)
 	leaving := []*simulation.Engine{f.decode[0], f.plain[0]}
 	f.platform.Drain(leaving...)
 	listed := time.Now().Add(f.delay)
 	bound := listed.Add(f.bound("drain_ms", time.Millisecond))
 	for i := range f.edge {
-		f.until(patient, "requests after the bound", func() bool { return load.since(i, bound) >= 16 })
+		f.eventually(testTimeout, "requests after the bound", func() bool { return load.endedSince(i, bound) >= 16 })
 	}
 	load.stop()
 	for _, e := range leaving {
@@ -395,47 +395,47 @@
 		}
 		t.Logf("the last request came %v after the list showed that %s drains", last, e.Settings().Service)
 	}
-	f.judge()
+	f.checkRules()
 }
 
-// TestTelemeterKilled takes the proxy its link: it serves on, and gets what it missed when the link is back.
-func TestTelemeterKilled(t *testing.T) {
-	f := newFleet(t, plan{})
+// TestNodeAgentKilled takes the proxy its link: it serves on, and gets what it missed when the link is back.
+func TestNodeAgentKilled(t *testing.T) {
+	f := newFleet(t, fleetOptions{})
 	apply := f.bound("apply_ms", time.Millisecond)
-	rep := f.add(2)
+	rep := f.applyAddRoute(2)
 	for i := range f.edge {
-		f.inForce(i, 2, rep.At.Add(apply))
+		f.awaitInForce(i, 2, rep.At.Add(apply))
 	}
-	load := f.traffic([]int{0, 1}, onAdded(2)) // no proxy goes back to an older version
+	load := f.traffic([]int{0, 1}, addedRouteRequest(2)) // no proxy goes back to an older version
 	m := f.edge[0]
 	m.kill("node-agent")
-	rep = f.add(3)
-	f.inForce(1, 3, rep.At.Add(apply))
-	load.goesOn(20, 0, 1)
-	f.Check(f.clients[0].Do(f.ctx, onAdded(3)).Status, qt.Equals, http.StatusNotFound)
+	rep = f.applyAddRoute(3)
+	f.awaitInForce(1, 3, rep.At.Add(apply))
+	load.awaitMore(20, 0, 1)
+	f.Check(f.clients[0].Do(f.ctx, addedRouteRequest(3)).Status, qt.Equals, http.StatusNotFound)
 
 	m.start("node-agent")
 	back := time.Now()
-	f.inForce(0, 3, back.Add(f.bound("contact_ms", time.Millisecond)+apply))
+	f.awaitInForce(0, 3, back.Add(f.bound("contact_ms", time.Millisecond)+apply))
 	t.Logf("brought up to date %v after its node agent's return", time.Since(back))
-	rep = f.add(6)
+	rep = f.applyAddRoute(6)
 	for i := range f.edge {
-		f.inForce(i, 6, rep.At.Add(apply))
+		f.awaitInForce(i, 6, rep.At.Add(apply))
 	}
 	// The list goes on as well.
 	fresh := f.startPlain()
 	f.platform.Add(fresh)
-	f.until(patient, "a new backend is sent to", func() bool { return began([]*simulation.Engine{fresh}) > 0 })
+	f.eventually(testTimeout, "a new backend is sent to", func() bool { return startedRuns([]*simulation.Engine{fresh}) > 0 })
 	load.stop()
-	f.judge()
+	f.checkRules()
 }
 
-// TestSilentBackendIsKnown has a backend that makes tokens fall silent: what may run once and comes there is lost to it, by each proxy
+// TestUnresponsiveBackendIsDetected has a backend that makes tokens fall silent: what may run once and comes there is lost to it, by each proxy
 // for itself, until the control plane has asked it for its report and told them all.
-func TestSilentBackendIsKnown(t *testing.T) {
-	f := newFleet(t, plan{decode: 3})
+func TestUnresponsiveBackendIsDetected(t *testing.T) {
+	f := newFleet(t, fleetOptions{decode: 3})
 	// Those that make long answers are the same for all proxies while there are few.
-	f.served(f.clients[0].Do(f.ctx, hazard()), "before")
+	f.checkServed(f.clients[0].Do(f.ctx, hazard()), "before")
 	asked := func(e *simulation.Engine) (n int) {
 		for _, en := range e.Log.Entries() {
 			if en.Kind == simulation.KindRequest {
@@ -449,9 +449,9 @@
 	began := time.Now()
 	// Clients leave before their deadline, which tells a proxy nothing of the backend.
 	r := hazard()
-	r.Deadline = patient
+	r.Deadline = testTimeout
 	row := 0
-	f.until(patient, "nothing is sent to the silent one", func() bool {
+	f.eventually(testTimeout, "nothing is sent to the silent one", func() bool {
 		for i := range f.clients {
 			ctx, leave := context.WithTimeout(f.ctx, 600*time.Millisecond)
 			if row++; !f.clients[i].Do(ctx, r).OK() {
@@ -464,11 +464,11 @@
 	f.Logf("known everywhere after %v", time.Since(began))
 	silent.SetFaults(simulation.Faults{})
 	n := asked(silent)
-	f.until(patient, "it is sent to again", func() bool {
+	f.eventually(testTimeout, "it is sent to again", func() bool {
 		for i := range f.clients {
-			f.served(f.clients[i].Do(f.ctx, hazard()), "after")
+			f.checkServed(f.clients[i].Do(f.ctx, hazard()), "after")
 		}
 		return asked(silent) > n
 	})
-	f.judge()
+	f.checkRules()
 }
--- a/cmd/molepaddle-fleet/version.go
+++ b/cmd/molepaddle-fleet/version.go
@@ -12,7 +12,7 @@
 
 // Run tells the build.
 func (versionCmd) Run(a *app) error {
-	writeVersion(a.out, a.build)
+	writeVersion(a.out, a.readBuildInfo)
 	return nil
 }
 
@@ -20,8 +20,8 @@
 
 // BeforeReset tells the build and ends.
 func (versionFlag) BeforeReset(k *kong.Kong, a *app) error {
-	writeVersion(a.out, a.build)
-	k.Exit(exitDone)
+	writeVersion(a.out, a.readBuildInfo)
+	k.Exit(exitOK)
 	return nil
 }
 
--- a/cmd/molepaddle-fleet/watch.go
+++ b/cmd/molepaddle-fleet/watch.go
@@ -20,11 +20,11 @@
 	JSON    bool          `name:"json" help:"Print the last status for programs, and nothing else."`
 }
 
-// watchEvery is the time between two looks, and watchEach what each agent adds to it: a status of 2,500 agents takes the
+// watchInterval is the time between two looks, and watchIntervalPerAgent what each agent adds to it: a status of 2,500 agents takes the
 // primary 12 ms.
 const (
-	watchEvery = 250 * time.Millisecond
-	watchEach  = 400 * time.Microsecond
+	watchInterval         = 250 * time.Millisecond
+	watchIntervalPerAgent = 400 * time.Microsecond
 )
 
 // Run waits until every agent with a lease has a version.
@@ -34,9 +34,9 @@
 		return err
 	}
 	if c.Version < 0 || c.Limit <= 0 {
-		return coded{errors.New("VERSION must not be below 0, --limit must be above 0"), exitUsage}
+		return exitError{errors.New("VERSION must not be below 0, --limit must be above 0"), exitUsage}
 	}
-	say := func(line string) { fmt.Fprintln(a.out, lines(line)) }
+	say := func(line string) { fmt.Fprintln(a.out, sanitize(line)) }
 	if c.JSON {
 		say = func(string) {}
 	}
@@ -60,8 +60,8 @@
 	for {
 		f, _, err := client.Status(ctx, false)
 		switch {
-		case err != nil && ctx.Err() == nil && codeOf(err) != exitUnclear:
-			return last, coded{err, codeOf(err)}
+		case err != nil && ctx.Err() == nil && exitCodeOf(err) != exitIndeterminate:
+			return last, exitError{err, exitCodeOf(err)}
 		case err != nil:
 			// No primary for the moment, or the time is over: which of them shows below.
 		default:
@@ -70,7 +70,7 @@
 				version = f.Configuration.Version
 			}
 			if version == 0 {
-				return f, errNone
+				return f, errNoConfiguration
 			}
 			if line := progress(f, version); line != said {
 				said = line
@@ -80,15 +80,15 @@
 				seen[a.Name] = a.ConfigVersion
 			}
 			if f.AppliedEverywhere(version) {
-				if gone := dropped(f, seen, version); gone != "" {
+				if gone := expiredAgents(f, seen, version); gone != "" {
 					say("no lease any more: " + gone)
 				}
 				return f, nil
 			}
 		}
-		pause := watchEvery
+		pause := watchInterval
 		if last != nil {
-			pause += time.Duration(len(last.Agents)) * watchEach
+			pause += time.Duration(len(last.Agents)) * watchIntervalPerAgent
 		}
 		next := time.NewTimer(pause)
 		select {
@@ -96,19 +96,19 @@
 		case <-ctx.Done():
 			next.Stop()
 			if last == nil {
-				return nil, coded{errors.Wrapf(err, "not within %v", limit), exitUnclear}
+				return nil, exitError{errors.Wrapf(err, "not within %v", limit), exitIndeterminate}
 			}
-			return last, coded{errors.Errorf("not within %v: %s", limit, progress(last, version)), exitLate}
+			return last, exitError{errors.Errorf("not within %v: %s", limit, progress(last, version)), exitTimeout}
 		}
 	}
 }
 
-// dropped are the agents that were seen without the version and hold no lease now.
-func dropped(f *status.Fleet, seen map[string]int64, version int64) string {
+// expiredAgents are the agents that were seen without the version and hold no lease now.
+func expiredAgents(f *status.Fleet, seen map[string]int64, version int64) string {
 	var all []string
 	for name, had := range seen {
 		if had < version && !slices.ContainsFunc(f.Agents, func(a status.Agent) bool { return a.Name == name }) {
-			all = append(all, fmt.Sprintf("%s (%s)", word(name), count(had)))
+			all = append(all, fmt.Sprintf("%s (%s)", quoteName(name), formatCount(had)))
 		}
 	}
 	slices.Sort(all)
@@ -118,7 +118,7 @@
 // progress is how far a version has come.
 func progress(f *status.Fleet, version int64) string {
 	lacking := f.Behind(version)
-	line := fmt.Sprintf("version %d: in force at %d of %s", version, len(f.Agents)-len(lacking), many(len(f.Agents), "agent"))
+	line := fmt.Sprintf("version %d: in force at %d of %s", version, len(f.Agents)-len(lacking), plural(len(f.Agents), "agent"))
 	const most = 5
 	var names []string
 	for i, a := range lacking {
@@ -126,7 +126,7 @@
 			names = append(names, fmt.Sprintf("%d more", len(lacking)-most))
 			break
 		}
-		names = append(names, fmt.Sprintf("%s (%s)", word(a.Name), count(a.ConfigVersion)))
+		names = append(names, fmt.Sprintf("%s (%s)", quoteName(a.Name), formatCount(a.ConfigVersion)))
 	}
 	if names != nil {
 		line += "; not at " + strings.Join(names, ", ")
--- a/internal/fleet/controlplane/change.go
+++ b/internal/fleet/controlplane/change.go
@@ -55,10 +55,10 @@
 // readCommand reads a change. What is wrong with a call as such is answered here, whatever the state: a header that is no number, a
 // body that is too long or was cut short.
 func (s *Server) readCommand(w http.ResponseWriter, r *http.Request, replace bool) (*Command, bool) {
-	base, err := strconv.ParseInt(r.Header.Get(externalapi.BaseVersion), 10, 64)
+	base, err := strconv.ParseInt(r.Header.Get(externalapi.HeaderBaseVersion), 10, 64)
 	if err != nil || base < 0 {
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxConfigBytes))
-		s.writeError(w, http.StatusBadRequest, externalapi.BaseVersion+": no whole number", nil)
+		s.writeError(w, http.StatusBadRequest, externalapi.HeaderBaseVersion+": no whole number", nil)
 		return nil, false
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -48,7 +48,7 @@
 	span := simulation.ChoosePorts(t, 5, c.ips...)
 	c.ports = [2]int{span.First, span.First + 4}
 	for _, ip := range c.ips {
-		set := settings.Settings{Nodename: ip, IP: ip, Zone: "z", Region: "east", Zones: map[string]string{"z": "east"}, Ports: c.ports, Heartbeat: 1200 * time.Millisecond,
+		set := settings.Settings{NodeName: ip, IP: ip, Zone: "z", Region: "east", Zones: map[string]string{"z": "east"}, Ports: c.ports, Heartbeat: 1200 * time.Millisecond,
 			Bootstrap: true, DataDir: c.TempDir(), Survive: settings.Survive{Nodes: survive}}
 		set.Bind.Control = c.control(ip)
 		set.Bounds.Sync, set.Bounds.Apply, set.Bounds.Lease = 4*time.Second, 2*time.Second, 3*time.Second
@@ -172,11 +172,11 @@
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(c.Context(), method, path, bytes.NewReader(body))
 	if base != "" {
-		r.Header.Set(externalapi.BaseVersion, base)
+		r.Header.Set(externalapi.HeaderBaseVersion, base)
 	}
 	began := time.Now()
 	c.servers[ip].handler().ServeHTTP(w, r)
-	return reply{w.Code, w.Header().Get("Location"), w.Header().Get(externalapi.RetryAfter), w.Body.String(), time.Since(began)}
+	return reply{w.Code, w.Header().Get("Location"), w.Header().Get(externalapi.HeaderRetryAfter), w.Body.String(), time.Since(began)}
 }
 
 // operator calls some machines as the operator does.
