--- a/internal/fleet/controlplane/cutoff_test.go
+++ b/internal/fleet/controlplane/cutoff_test.go
@@ -23,7 +23,7 @@
 func verdictsOf(version uint64) map[string]func(c *cluster, ip string) reply {
 	replace := func(base string, body []byte) func(c *cluster, ip string) reply {
 		return func(c *cluster, ip string) reply {
-			return c.call(ip, externalapi.Replace.Method, externalapi.Replace.Path, base, body)
+			return c.call(ip, externalapi.CallReplace.Method, externalapi.CallReplace.Path, base, body)
 		}
 	}
 	get := func(path string) func(c *cluster, ip string) reply {
@@ -35,10 +35,10 @@
 		"a change sent again":         replace("0", documentOf(version)),
 		"a change on another base":    replace(fmt.Sprint(version+5), documentOf(version+6)),
 		"an invalid change":           replace(current, []byte(`{"ver":1}`)),
-		"show":                        get(externalapi.Show.Path),
-		"status":                      get(externalapi.Status.Path),
-		"residency":                   get(externalapi.Resided.Path),
-		"residency of an unknown one": get(externalapi.Resided.Path + "?tenant=nobody"),
+		"show":                        get(externalapi.CallShow.Path),
+		"status":                      get(externalapi.CallStatus.Path),
+		"residency":                   get(externalapi.CallResidency.Path),
+		"residency of an unknown one": get(externalapi.CallResidency.Path + "?tenant=nobody"),
 	}
 }
 
@@ -105,12 +105,12 @@
 				return where == rejectPartitioned || one.hears && where == redirectToPrimary
 			}, old)
 			c.silent(old, 5, atOnce, heard...)
-			bad := c.call(old, externalapi.Replace.Method, externalapi.Replace.Path, "x", documentOf(9))
+			bad := c.call(old, externalapi.CallReplace.Method, externalapi.CallReplace.Path, "x", documentOf(9))
 			c.Assert(bad.status, qt.Equals, http.StatusBadRequest, qt.Commentf("what is wrong with a call as such doesn't depend on the state"))
 			c.network.Heal()
 			healed := time.Now()
 			c.within("in touch again", func() bool {
-				got := c.call(old, http.MethodGet, externalapi.Show.Path, "", nil)
+				got := c.call(old, http.MethodGet, externalapi.CallShow.Path, "", nil)
 				c.Assert(got.status != http.StatusOK || got.body == string(c.shown(others...).Body), qt.IsTrue, qt.Commentf("%d %s", got.status, got.body))
 				return got.status == http.StatusOK || got.status == http.StatusTemporaryRedirect
 			}, c.ips...)
@@ -174,9 +174,9 @@
 	c.Assert(fresh.Before(slept.Add(heartbeatInterval)), qt.IsTrue, qt.Commentf("fresh %v after it slept", fresh.Sub(slept)))
 	c.network.Heal()
 	c.within("the next primary is known", func() bool {
-		got := c.call(old, http.MethodGet, externalapi.Show.Path, "", nil)
+		got := c.call(old, http.MethodGet, externalapi.CallShow.Path, "", nil)
 		c.Assert(got.status, qt.Not(qt.Equals), http.StatusOK)
-		return got.status == http.StatusTemporaryRedirect && got.location == "http://"+c.control(next)+externalapi.Show.Path
+		return got.status == http.StatusTemporaryRedirect && got.location == "http://"+c.control(next)+externalapi.CallShow.Path
 	}, c.ips...)
 }
 
--- a/internal/fleet/controlplane/operator.go
+++ b/internal/fleet/controlplane/operator.go
@@ -14,17 +14,17 @@
 // confirmed its view in a round that began after the call came.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(externalapi.Replace.Method+" "+externalapi.Replace.Path, func(w http.ResponseWriter, r *http.Request) { s.change(w, r, true) })
-	mux.HandleFunc(externalapi.Update.Method+" "+externalapi.Update.Path, func(w http.ResponseWriter, r *http.Request) { s.change(w, r, false) })
-	mux.HandleFunc(externalapi.Show.Method+" "+externalapi.Show.Path, s.showConfig)
-	mux.HandleFunc(externalapi.Resided.Method+" "+externalapi.Resided.Path, s.showResidency)
-	mux.HandleFunc(externalapi.Status.Method+" "+externalapi.Status.Path, s.showStatus)
+	mux.HandleFunc(externalapi.CallReplace.Method+" "+externalapi.CallReplace.Path, func(w http.ResponseWriter, r *http.Request) { s.change(w, r, true) })
+	mux.HandleFunc(externalapi.CallUpdate.Method+" "+externalapi.CallUpdate.Path, func(w http.ResponseWriter, r *http.Request) { s.change(w, r, false) })
+	mux.HandleFunc(externalapi.CallShow.Method+" "+externalapi.CallShow.Path, s.showConfig)
+	mux.HandleFunc(externalapi.CallResidency.Method+" "+externalapi.CallResidency.Path, s.showResidency)
+	mux.HandleFunc(externalapi.CallStatus.Method+" "+externalapi.CallStatus.Path, s.showStatus)
 	return mux
 }
 
 // unavailable tells a caller to ask again, here or elsewhere.
 func (s *Server) unavailable(w http.ResponseWriter, why string) {
-	w.Header().Set(externalapi.RetryAfter, "0.2")
+	w.Header().Set(externalapi.HeaderRetryAfter, "0.2")
 	s.writeError(w, http.StatusServiceUnavailable, why, nil)
 }
 
--- a/internal/fleet/controlplane/operator_test.go
+++ b/internal/fleet/controlplane/operator_test.go
@@ -20,12 +20,12 @@
 
 // sendChange has a server answer a change whose body is read from a reader.
 func sendChange(ctx context.Context, o *Server, c *Command, body io.Reader) *httptest.ResponseRecorder {
-	target := externalapi.Update
+	target := externalapi.CallUpdate
 	if c.Replace {
-		target = externalapi.Replace
+		target = externalapi.CallReplace
 	}
 	r := httptest.NewRequestWithContext(ctx, target.Method, target.Path, body)
-	r.Header.Set(externalapi.BaseVersion, strconv.FormatInt(c.Base, 10))
+	r.Header.Set(externalapi.HeaderBaseVersion, strconv.FormatInt(c.Base, 10))
 	w := httptest.NewRecorder()
 	o.handler().ServeHTTP(w, r)
 	return w
@@ -53,7 +53,7 @@
 		w := sendChange(c.Context(), o, tc.call, bytes.NewReader(tc.call.Body))
 		c.Check(w.Code, qt.Equals, tc.want, qt.Commentf("%s: %s", tc.name, w.Body))
 		c.Check(strings.Contains(w.Body.String(), tc.told), qt.IsTrue, qt.Commentf("%s: %s", tc.name, w.Body))
-		c.Check(w.Header().Get(externalapi.RetryAfter) != "", qt.Equals, tc.want == http.StatusServiceUnavailable, qt.Commentf("%s", tc.name))
+		c.Check(w.Header().Get(externalapi.HeaderRetryAfter) != "", qt.Equals, tc.want == http.StatusServiceUnavailable, qt.Commentf("%s", tc.name))
 	}
 }
 
--- a/internal/fleet/controlplane/phases.go
+++ b/internal/fleet/controlplane/phases.go
@@ -212,7 +212,7 @@
 	if prefill {
 		phase = externalapi.PhasePrefill
 	}
-	status, err := p.client.Order(ctx, b.Address, externalapi.PhaseOrder{Backend: b.ID, Phase: phase, Owner: p.server.settings.Nodename, Fence: epoch, Expect: taken})
+	status, err := p.client.Order(ctx, b.Address, externalapi.PhaseOrder{BackendID: b.ID, Phase: phase, Owner: p.server.settings.NodeName, FencingToken: epoch, ExpectedOrders: taken})
 	p.server.log.Info("order", zap.String("backend", b.ID), zap.String("phase", phase), zap.Int("status", status), zap.Uint64("fence", epoch), zap.Error(err))
 	return err == nil && status != http.StatusConflict
 }
@@ -241,8 +241,8 @@
 			if err != nil {
 				return
 			}
-			states[i].Usable, states[i].Prefill, states[i].Active, states[i].Changing = true, r.Phase == externalapi.PhasePrefill, r.Active+r.Queued, r.Changing
-			states[i].Orders = r.Orders
+			states[i].Usable, states[i].Prefill, states[i].Active, states[i].Changing = true, r.Phase == externalapi.PhasePrefill, r.Active+r.Queued, r.PhaseChanging
+			states[i].Orders = r.OrdersTaken
 		})
 	}
 	wait.Wait()
--- a/internal/fleet/controlplane/phases_test.go
+++ b/internal/fleet/controlplane/phases_test.go
@@ -23,7 +23,7 @@
 func ordered(c *qt.C) (*distribution.Backend, *atomic.Int64) {
 	var orders atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == externalapi.Order.Path {
+		if r.URL.Path == externalapi.CallOrder.Path {
 			orders.Add(1)
 		}
 		w.WriteHeader(http.StatusAccepted)
--- a/internal/fleet/controlplane/planted_test.go
+++ b/internal/fleet/controlplane/planted_test.go
@@ -68,11 +68,11 @@
 	{"an order that was given up may come later", fileBackend, []string{"_ = tcp.SetLinger(0)", "_ = tcp.SetLinger(-1)"}, inThis, "^TestOrderGivenUpIsReset$"},
 	{"an old answer counts as new when it is read", fileLink, []string{"\t\tn.addTransitTime(sent)\n", ""}, inDistribution, "^TestAgeCountsTheWay$"},
 	{"the wait for news counts as age", fileCache, []string{"WaitedMs: held.Milliseconds()", "WaitedMs: 0 * held.Milliseconds()"}, inDistribution, "^TestAgeCountsTheWay$"},
-	{"a control server that is cut off is kept", fileSource, []string{"	if age < s.limit {\n		s.stale = 0", "	if age < 20*s.limit {\n		s.stale = 0"}, inAgent, "^TestCutOffSourceIsLeftInTime$"},
-	{"each control server is followed for a wait", fileSource, []string{"	case s.stale < known:\n		return 0\n", ""}, inAgent, "^TestCutOffSourceIsLeftInTime$"},
-	{"a core without a primary is pressed", fileSource, []string{"	case s.stale < known:", "	case s.stale >= 0:"}, inAgent, "^TestCoreWithoutPrimaryIsNotPressed$"},
-	{"the list of a control server that is cut off replaces a newer one", fileAgent, []string{"if p == nil || a.withheld.older(heard) {", "if _ = heard; p == nil {"}, inAgent, "^TestListPolledHereStands$"},
-	{"a list that was polled before isn't passed on again", fileAgent, []string{"a.withheld, a.polled = withheld{}, nil", "a.withheld = withheld{}"}, inAgent, "^TestListPolledHereStands$"},
+	{"a control server that is cut off is kept", fileSource, []string{"\tif contactAge < s.maxContactAge {\n\t\ts.staleInARow = 0", "\tif contactAge < 20*s.maxContactAge {\n\t\ts.staleInARow = 0"}, inAgent, "^TestCutOffSourceIsLeftInTime$"},
+	{"each control server is followed for a wait", fileSource, []string{"\tcase s.staleInARow < servers:\n\t\treturn 0\n", ""}, inAgent, "^TestCutOffSourceIsLeftInTime$"},
+	{"a core without a primary is pressed", fileSource, []string{"\tcase s.staleInARow < servers:", "\tcase s.staleInARow >= 0:"}, inAgent, "^TestCoreWithoutPrimaryIsNotPressed$"},
+	{"the list of a control server that is cut off replaces a newer one", fileAgent, []string{"if resource == nil || a.pending.superseded(lastContact) {", "if _ = lastContact; resource == nil {"}, inAgent, "^TestListPolledHereStands$"},
+	{"a list that was polled before isn't passed on again", fileAgent, []string{"a.pending, a.polledList = pendingList{}, nil", "a.pending = pending{}"}, inAgent, "^TestListPolledHereStands$"},
 }
 
 // plant builds the tests of a package with a fault in it, by the compiler's overlay: nothing in the tree is changed. Without build it
--- a/internal/fleet/controlplane/poller.go
+++ b/internal/fleet/controlplane/poller.go
@@ -86,7 +86,7 @@
 		return
 	}
 	p.term.lastAnswer = time.Now()
-	externalapi.Sort(&list)
+	externalapi.SortByID(&list)
 	if p.term.platformList == nil || !reflect.DeepEqual(*p.term.platformList, list) {
 		p.term.platformList, p.term.dirty = &list, true
 	}
--- a/internal/fleet/controlplane/pulls.go
+++ b/internal/fleet/controlplane/pulls.go
@@ -12,7 +12,7 @@
 // servePulls answers node agents and, at the primary, the other control servers. An answer is as new as this machine's contact
 // with its backups; elsewhere, as the word that came from the primary.
 func (s *Server) servePulls(ctx context.Context, ln net.Listener) {
-	distribution.Serve(ctx, ln, s.settings.Nodename, s.cache, 3*s.settings.Heartbeat+time.Second, func() (time.Time, string) {
+	distribution.Serve(ctx, ln, s.settings.NodeName, s.cache, 3*s.settings.Heartbeat+time.Second, func() (time.Time, string) {
 		st := s.status.Load()
 		if contact := s.contact.forEpoch(st.Epoch); st.Role == replication.Primary && !contact.at.IsZero() {
 			s.cache.RecordContact(st.PrimaryAddr, contact.at)
@@ -65,7 +65,7 @@
 				}
 			}
 		}()
-		_ = distribution.Watch(term, distribution.PullAddr(host, s.settings.Ports), &distribution.Watcher{Name: s.settings.Nodename, MaxWait: wait, ReadTimeout: silence,
+		_ = distribution.Watch(term, distribution.PullAddr(host, s.settings.Ports), &distribution.Watcher{Name: s.settings.NodeName, MaxWait: wait, ReadTimeout: silence,
 			Members:   func() []distribution.Member { return s.cache.Members(time.Now(), 3*s.settings.Heartbeat) },
 			Versions:  s.cache.Versions,
 			Apply:     func(n *distribution.Response) []string { return s.cache.Apply(n, time.Now()) },
--- a/internal/fleet/controlplane/rested.go
+++ b/internal/fleet/controlplane/rested.go
@@ -124,15 +124,15 @@
 	match := func(p residencyreport.Pair) bool {
 		return (tenant == "" || p.Tenant == tenant) && (route == "" || p.Tenant == "" && p.Route == route)
 	}
-	answer := externalapi.Residency{Seq: seq, Rested: []externalapi.Rested{}}
+	answer := externalapi.ResidencyReport{Seq: seq, Rows: []externalapi.ResidencyRow{}}
 	if d != nil {
 		for _, e := range d.residency.Report(match) {
-			answer.Rested = append(answer.Rested, externalapi.Rested{Tenant: e.Pair.Tenant, Route: e.Pair.Route, Region: e.Pair.Region,
+			answer.Rows = append(answer.Rows, externalapi.ResidencyRow{Tenant: e.Pair.Tenant, Route: e.Pair.Route, Region: e.Pair.Region,
 				First: time.UnixMilli(e.First).UTC(), Last: time.UnixMilli(e.Last).UTC(),
 				Plain: e.Counts.Plain, Prefills: e.Counts.Prefills, Decodes: e.Counts.Decodes, Resumes: e.Counts.Resumes})
 		}
 	}
-	if len(answer.Rested) == 0 && !s.isConfigured(d, tenant, route) {
+	if len(answer.Rows) == 0 && !s.isConfigured(d, tenant, route) {
 		s.writeError(w, http.StatusNotFound, "nothing is known of such a name: it is not listed and nothing of it rested anywhere", nil)
 		return
 	}
--- a/internal/fleet/controlplane/rested_test.go
+++ b/internal/fleet/controlplane/rested_test.go
@@ -24,7 +24,7 @@
 // solo is a control server that is all of the core, without its network.
 func solo(c *qt.C) *Server {
 	n := uint64(0)
-	o, err := New(settings.Settings{Nodename: "core-1", IP: "127.0.0.1", Zone: "z", Region: "east", Zones: map[string]string{"z": "east"}, Ports: [2]int{7, 10},
+	o, err := New(settings.Settings{NodeName: "core-1", IP: "127.0.0.1", Zone: "z", Region: "east", Zones: map[string]string{"z": "east"}, Ports: [2]int{7, 10},
 		Seeds: []string{"127.0.0.1:9"}, Bootstrap: true, DataDir: c.TempDir(), Bind: settings.Bind{Control: "127.0.0.1:9"}, Bounds: settings.Bounds{Sync: time.Second}},
 		zap.NewNop(), func() uint64 { n++; return n })
 	c.Assert(err, qt.IsNil)
@@ -54,12 +54,12 @@
 }
 
 // command makes a call of the operator.
-func call(o *Server, method, target string, body []byte) (int, http.Header, externalapi.Residency) {
+func call(o *Server, method, target string, body []byte) (int, http.Header, externalapi.ResidencyReport) {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(context.Background(), method, target, bytes.NewReader(body))
-	r.Header.Set(externalapi.BaseVersion, "0")
+	r.Header.Set(externalapi.HeaderBaseVersion, "0")
 	o.handler().ServeHTTP(w, r)
-	var report externalapi.Residency
+	var report externalapi.ResidencyReport
 	_ = json.Unmarshal(w.Body.Bytes(), &report)
 	return w.Code, w.Header(), report
 }
@@ -88,7 +88,7 @@
 
 	status, _, report := call(o, http.MethodGet, "/molepaddle/residency", nil)
 	c.Assert(status, qt.Equals, http.StatusOK)
-	c.Assert(report, qt.DeepEquals, externalapi.Residency{Rested: []externalapi.Rested{}})
+	c.Assert(report, qt.DeepEquals, externalapi.ResidencyReport{Rows: []externalapi.ResidencyRow{}})
 	for _, target := range []string{"/molepaddle/residency?tenant=labs", "/molepaddle/residency?route=r%2F1"} {
 		status, _, _ = call(o, http.MethodGet, target, nil)
 		c.Assert(status, qt.Equals, http.StatusNotFound)
@@ -98,7 +98,7 @@
 	over := time.After(testPatience)
 	for {
 		status, _, report = call(o, http.MethodGet, "/molepaddle/residency", nil)
-		if c.Check(status, qt.Equals, http.StatusOK); len(report.Rested) == 2 {
+		if c.Check(status, qt.Equals, http.StatusOK); len(report.Rows) == 2 {
 			break
 		}
 		select {
@@ -108,7 +108,7 @@
 		}
 	}
 	at := func(ms int64) time.Time { return time.UnixMilli(ms).UTC() }
-	c.Assert(report.Rested, qt.DeepEquals, []externalapi.Rested{
+	c.Assert(report.Rows, qt.DeepEquals, []externalapi.ResidencyRow{
 		{Route: "r/1", Region: "east", First: at(1000), Last: at(1501), Decodes: 2},
 		{Tenant: "labs", Region: "east", First: at(1000), Last: at(1501), Decodes: 2}})
 	for target, want := range map[string]int{"tenant=labs": 1, "route=r%2F1": 0, "tenant=r%2F1": -1, "tenant=": 2} {
@@ -119,14 +119,14 @@
 		}
 		c.Check(status, qt.Equals, http.StatusOK)
 		if want < 2 {
-			c.Check(one.Rested, qt.DeepEquals, []externalapi.Rested{report.Rested[want]}, qt.Commentf("%s", target))
+			c.Check(one.Rows, qt.DeepEquals, []externalapi.ResidencyRow{report.Rows[want]}, qt.Commentf("%s", target))
 		}
 	}
 	// Seq is a bound from below: a reading that was settled while it was asked for counts in the next answer's.
 	_, _, report = call(o, http.MethodGet, "/molepaddle/residency", nil)
 	seq := report.Seq
 	// The first configuration follows on no other, whatever was read.
-	status, _, _ = call(o, http.MethodPost, externalapi.Replace.Path, []byte(`{"ver":3,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"new"}],`+
+	status, _, _ = call(o, http.MethodPost, externalapi.CallReplace.Path, []byte(`{"ver":3,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"new"}],`+
 		`"tenants":[{"name":"new","regions":["east"]}],"svcs":[{"name":"s","probe":"/healthz"}]}`))
 	c.Assert(status, qt.Equals, http.StatusOK)
 	version, ok := o.cache.Version("config")
@@ -134,7 +134,7 @@
 	c.Assert(version.Count, qt.Equals, seq+1)
 	status, _, report = call(o, http.MethodGet, "/molepaddle/residency?tenant=new", nil)
 	c.Assert(status, qt.Equals, http.StatusOK)
-	c.Assert(report.Rested, qt.HasLen, 0)
+	c.Assert(report.Rows, qt.HasLen, 0)
 }
 
 // A batch is let go only where a committed state of the record has it.
@@ -188,5 +188,5 @@
 	o.status.Store(&replication.Status{Role: replication.Backup, Epoch: epoch + 1})
 	status, header, _ = call(o, http.MethodGet, "/molepaddle/residency", nil)
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
-	c.Assert(header.Get(externalapi.RetryAfter), qt.Not(qt.Equals), "")
+	c.Assert(header.Get(externalapi.HeaderRetryAfter), qt.Not(qt.Equals), "")
 }
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -94,7 +94,7 @@
 
 // fleetStatus gathers how the fleet stands, as far as this machine knows.
 func (s *Server) fleetStatus(st *replication.Status, now time.Time) *status.Fleet {
-	f := &status.Fleet{From: s.settings.Nodename, View: status.View{Epoch: st.Epoch, Primary: s.controlAddr(st.PrimaryAddr), Ready: st.Ready, Members: []status.Member{}},
+	f := &status.Fleet{From: s.settings.NodeName, View: status.View{Epoch: st.Epoch, Primary: s.controlAddr(st.PrimaryAddr), Ready: st.Ready, Members: []status.Member{}},
 		BackendList: status.BackendList{AgeMs: -1}, Agents: []status.Agent{}, Services: []status.Service{}}
 	for _, m := range st.View.Members {
 		role := replication.Witness
--- a/internal/fleet/externalapi/backend_test.go
+++ b/internal/fleet/externalapi/backend_test.go
@@ -22,14 +22,14 @@
 
 // within bounds a call; shortly one that is to end in silence, of which every silentStep-th byte is tried.
 const (
-	within     = 20 * time.Second
-	shortly    = 200 * time.Millisecond
-	silentStep = 9
+	callTimeout  = 20 * time.Second
+	shortTimeout = 200 * time.Millisecond
+	silentStep   = 9
 )
 
 const goodReport = "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"phase\":\"decode\",\"seqno\":3      }"
 
-var order = externalapi.PhaseOrder{Backend: "i-1", Phase: externalapi.PhasePrefill, Owner: "node-7", Fence: 41, Expect: 3}
+var order = externalapi.PhaseOrder{BackendID: "i-1", Phase: externalapi.PhasePrefill, Owner: "node-7", FencingToken: 41, ExpectedOrders: 3}
 
 // call is a request that has come to a backend, by the connection that brought it.
 type call struct {
@@ -63,7 +63,7 @@
 			if err != nil {
 				return
 			}
-			one := call{number, req.Method, req.URL.Path, req.Header.Get(externalapi.Target), string(body)}
+			one := call{number, req.Method, req.URL.Path, req.Header.Get(externalapi.HeaderTargetBackend), string(body)}
 			b.mu.Lock()
 			b.calls = append(b.calls, one)
 			b.mu.Unlock()
@@ -105,9 +105,9 @@
 					}
 					return answer[:k], silent
 				})
-				bound := within
+				bound := callTimeout
 				if silent && k < len(answer) {
-					bound = shortly
+					bound = shortTimeout
 				}
 				client := externalapi.NewBackendClient(bound)
 				_, err := client.Report(t.Context(), addr, "i-1")
@@ -125,12 +125,12 @@
 	}
 }
 
-// TestOrderSays what an order carries: for whom it is, and after how many others.
-func TestOrderSays(t *testing.T) {
+// TestOrderReturnsTheStatus what an order carries: for whom it is, and after how many others.
+func TestOrderReturnsTheStatus(t *testing.T) {
 	c := qt.New(t)
 	b := &backend{}
 	addr := b.serve(t, func(call) (string, bool) { return "HTTP/1.1 421 x\r\nContent-Length: 0\r\n\r\n", true })
-	client := externalapi.NewBackendClient(within)
+	client := externalapi.NewBackendClient(callTimeout)
 	status, err := client.Order(t.Context(), addr, order)
 	c.Assert(err, qt.IsNil)
 	c.Check(status, qt.Equals, http.StatusMisdirectedRequest)
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestOrderTakesNoOthersAnswer has a surplus answer to a report wait where an order's would come on the same connection.
-func TestOrderTakesNoOthersAnswer(t *testing.T) {
+// TestOrderTakesNoOtherCallsResponse has a surplus answer to a report wait where an order's would come on the same connection.
+func TestOrderTakesNoOtherCallsResponse(t *testing.T) {
 	c := qt.New(t)
 	b := &backend{}
 	addr := b.serve(t, func(one call) (string, bool) {
@@ -155,7 +155,7 @@
 		}
 		return "HTTP/1.1 409 x\r\nContent-Length: 0\r\n\r\n", true
 	})
-	client := externalapi.NewBackendClient(within)
+	client := externalapi.NewBackendClient(callTimeout)
 	for range 20 {
 		_, err := client.Report(t.Context(), addr, "i-1")
 		c.Assert(err, qt.IsNil)
@@ -166,8 +166,8 @@
 	c.Check(b.of(http.MethodPost), qt.HasLen, 20)
 }
 
-// TestCallsAreNotSentOn has a backend and the platform send callers on: they don't go.
-func TestCallsAreNotSentOn(t *testing.T) {
+// TestRedirectsAreNotFollowed has a backend and the platform send callers on: they don't go.
+func TestRedirectsAreNotFollowed(t *testing.T) {
 	c := qt.New(t)
 	elsewhere, b := &backend{}, &backend{}
 	to := elsewhere.serve(t, func(call) (string, bool) { return goodReport, true })
@@ -175,20 +175,20 @@
 		addr := b.serve(t, func(one call) (string, bool) {
 			return fmt.Sprintf("HTTP/1.1 %d x\r\nLocation: http://%s%s\r\nContent-Length: 0\r\n\r\n", status, to, one.path), true
 		})
-		client := externalapi.NewBackendClient(within)
+		client := externalapi.NewBackendClient(callTimeout)
 		got, err := client.Order(t.Context(), addr, order)
 		c.Check(err, qt.IsNil)
 		c.Check(got, qt.Equals, status)
 		_, err = client.Report(t.Context(), addr, "i-1")
 		c.Check(err, qt.IsNotNil)
-		_, _, err = externalapi.NewPlatformClient(addr, within).List(context.Background())
+		_, _, err = externalapi.NewPlatformClient(addr, callTimeout).List(context.Background())
 		c.Check(err, qt.ErrorMatches, fmt.Sprintf("platform: status %d", status))
 	}
 	c.Check(elsewhere.calls, qt.HasLen, 0)
 }
 
-// TestReportIsWhole: a report that is cut off, too long or none is an error.
-func TestReportIsWhole(t *testing.T) {
+// TestReportIsComplete: a report that is cut off, too long or none is an error.
+func TestReportIsComplete(t *testing.T) {
 	c := qt.New(t)
 	body := goodReport[strings.Index(goodReport, "\r\n\r\n")+4:]
 	for name, answer := range map[string]string{
@@ -198,13 +198,13 @@
 	} {
 		b := &backend{}
 		addr := b.serve(t, func(call) (string, bool) { return answer, false })
-		_, err := externalapi.NewBackendClient(within).Report(t.Context(), addr, "i-1")
+		_, err := externalapi.NewBackendClient(callTimeout).Report(t.Context(), addr, "i-1")
 		c.Check(err, qt.IsNotNil, qt.Commentf("%s", name))
 	}
 }
 
-// TestOrderGivenUpIsReset: what of an order waits to be sent when it is given up is dropped with the connection.
-func TestOrderGivenUpIsReset(t *testing.T) {
+// TestTimedOutOrderIsReset: what of an order waits to be sent when it is given up is dropped with the connection.
+func TestTimedOutOrderIsReset(t *testing.T) {
 	c := qt.New(t)
 	ended := make(chan error, 1)
 	addr := testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
@@ -215,7 +215,7 @@
 		_, err := io.Copy(io.Discard, r)
 		ended <- err
 	})
-	_, err := externalapi.NewBackendClient(shortly).Order(t.Context(), addr, order)
+	_, err := externalapi.NewBackendClient(shortTimeout).Order(t.Context(), addr, order)
 	c.Assert(err, qt.IsNotNil)
 	c.Check(<-ended, qt.ErrorIs, syscall.ECONNRESET)
 }
--- a/internal/fleet/externalapi/clients_test.go
+++ b/internal/fleet/externalapi/clients_test.go
@@ -42,7 +42,7 @@
 	list, calls, err := NewPlatformClient(addr, answerWithin).List(t.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(calls, qt.Equals, 2)
-	Sort(&list)
+	SortByID(&list)
 	c.Assert(list.Backends, qt.DeepEquals, []distribution.Backend{
 		{ID: "b1", Service: "web", Address: "10.0.0.1:80"},
 		{ID: "b2", Service: "llm", Address: "10.0.0.2:80", Zone: "koto", Version: "3", Capacity: 8, Draining: true, Phase: "decode", Weights: 12},
@@ -56,7 +56,7 @@
 		answer func(w http.ResponseWriter, marker string)
 		want   string
 	}{
-		"too many calls": {func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusTooManyRequests) }, ErrBusy.Error()},
+		"too many calls": {func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusTooManyRequests) }, ErrRateLimited.Error()},
 		"no list":        {func(w http.ResponseWriter, _ string) { _, _ = io.WriteString(w, `[]`) }, "platform: .*"},
 		"cut short": {func(w http.ResponseWriter, _ string) {
 			w.Header().Set("Content-Length", "100")
@@ -70,7 +70,7 @@
 			_, _ = io.WriteString(w, `{"backends":[],"next_marker":"2"}`)
 		}, "platform: status 503"},
 		"a page too large": {func(w http.ResponseWriter, _ string) {
-			_, _ = io.WriteString(w, `{"backends":[{"id":"`+strings.Repeat("x", maxPage)+`"}]}`)
+			_, _ = io.WriteString(w, `{"backends":[{"id":"`+strings.Repeat("x", maxPageBytes)+`"}]}`)
 		}, "platform: a page over .*"},
 		"pages without end": {func(w http.ResponseWriter, _ string) {
 			_, _ = io.WriteString(w, `{"backends":[],"next_marker":"again"}`)
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestListIsGivenUp: a platform that says nothing costs no more than the call's time.
-func TestListIsGivenUp(t *testing.T) {
+// TestListTimesOut: a platform that says nothing costs no more than the call's time.
+func TestListTimesOut(t *testing.T) {
 	c := qt.New(t)
 	asked := make(chan struct{})
 	release := make(chan struct{})
@@ -120,7 +120,7 @@
 			bodies <- body
 			w.WriteHeader(status)
 		})
-		got, err := NewBackendClient(answerWithin).Order(t.Context(), addr, PhaseOrder{Backend: "b1", Phase: PhasePrefill, Owner: "core-1", Fence: 7, Expect: 3})
+		got, err := NewBackendClient(answerWithin).Order(t.Context(), addr, PhaseOrder{BackendID: "b1", Phase: PhasePrefill, Owner: "core-1", FencingToken: 7, ExpectedOrders: 3})
 		c.Assert(err, qt.IsNil)
 		c.Assert(got, qt.Equals, status)
 		c.Assert(<-bodies, qt.DeepEquals, map[string]any{"opcode": "phase", "phase": PhasePrefill, "owner": "core-1", "gen": 7.0, "expect": 3.0})
@@ -146,7 +146,7 @@
 	// The connection was used before: only then does the library consider a further try.
 	_, err := client.Report(t.Context(), addr, "b1")
 	c.Assert(err, qt.IsNil)
-	_, err = client.Order(t.Context(), addr, PhaseOrder{Backend: "b1", Phase: PhaseDecode, Owner: "core-1", Fence: 7})
+	_, err = client.Order(t.Context(), addr, PhaseOrder{BackendID: "b1", Phase: PhaseDecode, Owner: "core-1", FencingToken: 7})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(orders.Load(), qt.Equals, int64(1))
 }
--- a/internal/fleet/externalapi/platform.go
+++ b/internal/fleet/externalapi/platform.go
@@ -16,8 +16,8 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// ErrBusy is that the platform takes no more calls for now.
-var ErrBusy = errors.New("the platform takes no more calls for now")
+// ErrRateLimited is that the platform takes no more calls for now.
+var ErrRateLimited = errors.New("the platform takes no more calls for now")
 
 // PlatformClient asks the platform for its list.
 type PlatformClient struct {
@@ -25,26 +25,26 @@
 	client *http.Client
 }
 
-// maxPage and maxPages bound what is read of a list.
+// maxPageBytes and maxPages bound what is read of a list.
 const (
-	maxPage  = 8 << 20
-	maxPages = 4096
+	maxPageBytes = 8 << 20
+	maxPages     = 4096
 )
 
 // NewPlatformClient makes a client of the platform at host and port; a call is given up after the time given.
-func NewPlatformClient(addr string, within time.Duration) *PlatformClient {
-	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: within, KeepAlive: -1}).DialContext, MaxIdleConnsPerHost: 1,
+func NewPlatformClient(addr string, timeout time.Duration) *PlatformClient {
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext, MaxIdleConnsPerHost: 1,
 		IdleConnTimeout: 3 * time.Second, DisableCompression: true}
-	return &PlatformClient{addr: addr, client: &http.Client{Timeout: within, Transport: transport,
+	return &PlatformClient{addr: addr, client: &http.Client{Timeout: timeout, Transport: transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// Sort puts a list in the order of ids, so that equal lists have equal bytes.
-func Sort(list *distribution.BackendList) {
+// SortByID puts a list in the order of ids, so that equal lists have equal bytes.
+func SortByID(list *distribution.BackendList) {
 	slices.SortFunc(list.Backends, func(a, b distribution.Backend) int { return strings.Compare(a.ID, b.ID) })
 }
 
-type listed struct {
+type listedBackend struct {
 	ID       string `json:"id"`
 	Service  string `json:"svc"`
 	Address  string `json:"address"`
@@ -59,16 +59,16 @@
 	} `json:"model_list"`
 }
 
-// List asks for the whole list, page by page, and says how many calls that took. Errors: ErrBusy, those of the
+// List asks for the whole list, page by page, and says how many calls that took. Errors: ErrRateLimited, those of the
 // network, and a list that can't be read.
 func (p *PlatformClient) List(ctx context.Context) (list distribution.BackendList, calls int, err error) {
 	marker := ""
 	for calls < maxPages {
-		u := url.URL{Scheme: "http", Host: p.addr, Path: Listing.Path}
+		u := url.URL{Scheme: "http", Host: p.addr, Path: CallListBackends.Path}
 		if marker != "" {
 			u.RawQuery = url.Values{"marker": {marker}}.Encode()
 		}
-		req, err := http.NewRequestWithContext(ctx, Listing.Method, u.String(), nil)
+		req, err := http.NewRequestWithContext(ctx, CallListBackends.Method, u.String(), nil)
 		if err != nil {
 			return list, calls, errors.Wrap(err, "platform")
 		}
@@ -77,21 +77,21 @@
 		if err != nil {
 			return list, calls, errors.Wrap(err, "platform")
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, maxPage+1))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes+1))
 		resp.Body.Close()
 		switch {
 		case err != nil:
 			return list, calls, errors.Wrap(err, "platform")
 		case resp.StatusCode == http.StatusTooManyRequests:
-			return list, calls, ErrBusy
+			return list, calls, ErrRateLimited
 		case resp.StatusCode != http.StatusOK:
 			return list, calls, errors.Errorf("platform: status %d", resp.StatusCode)
-		case len(body) > maxPage:
-			return list, calls, errors.Errorf("platform: a page over %d bytes", maxPage)
+		case len(body) > maxPageBytes:
+			return list, calls, errors.Errorf("platform: a page over %d bytes", maxPageBytes)
 		}
 		var page struct {
-			Backends []listed `json:"backends"`
-			Next     *string  `json:"next_marker"`
+			Backends []listedBackend `json:"backends"`
+			Next     *string         `json:"next_marker"`
 		}
 		if err := json.Unmarshal(body, &page); err != nil {
 			return list, calls, errors.Wrap(err, "platform")
--- a/internal/fleet/externalapi/residency.go
+++ b/internal/fleet/externalapi/residency.go
@@ -8,16 +8,16 @@
 	QueryRoute  = "route"
 )
 
-// Residency answers Resided: where tenants' data rested, by what is on the disks of the primary and its backups.
-type Residency struct {
+// ResidencyReport answers Resided: where tenants' data rested, by what is on the disks of the primary and its backups.
+type ResidencyReport struct {
 	// Seq is the change of the record that it is at least as new as.
 	Seq uint64 `json:"seqno"`
 	// Rested is sorted by tenant, route and region.
-	Rested []Rested `json:"rested"`
+	Rows []ResidencyRow `json:"rested"`
 }
 
-// Rested tells of the data of one tenant or route in one region. Neither tenant nor route: of those that there was no room for.
-type Rested struct {
+// ResidencyRow tells of the data of one tenant or route in one region. Neither tenant nor route: of those that there was no room for.
+type ResidencyRow struct {
 	Tenant string `json:"tenant,omitempty"`
 	Route  string `json:"route,omitempty"`
 	Region string `json:"region"`
--- a/internal/fleet/nodeagent/cutoff_test.go
+++ b/internal/fleet/nodeagent/cutoff_test.go
@@ -23,11 +23,11 @@
 	"molepaddle/internal/fleet/status"
 )
 
-// testPatience bounds what is waited for that has to come.
-const testPatience = 20 * time.Second
+// testTimeout bounds what is waited for that has to come.
+const testTimeout = 20 * time.Second
 
-// core is some control servers over loopback, with a network between all machines that can be cut.
-type core struct {
+// testCore is some control servers over loopback, with a network between all machines that can be cut.
+type testCore struct {
 	*qt.C
 	network *simulation.Network
 	ips     []string // of the control servers
@@ -38,9 +38,9 @@
 // agentIP is that of the node agent's machine: its pulls go by the network, too.
 const agentIP = "127.0.0.1"
 
-// newCore starts control servers at 127.0.net.1 and on; what they and the agent send takes the delay given.
-func newCore(t *testing.T, net, members, survive int, apply, delay time.Duration) *core {
-	c := &core{C: qt.New(t), network: simulation.NewNetwork(t), apply: apply}
+// newTestCore starts control servers at 127.0.net.1 and on; what they and the agent send takes the delay given.
+func newTestCore(t *testing.T, net, members, survive int, apply, delay time.Duration) *testCore {
+	c := &testCore{C: qt.New(t), network: simulation.NewNetwork(t), apply: apply}
 	c.network.Delay = delay
 	for i := range members {
 		c.ips = append(c.ips, fmt.Sprintf("127.0.%d.%d", net, i+1))
@@ -50,7 +50,7 @@
 	for _, ip := range c.ips {
 		set := c.settings(ip, c.ips[:min(3, members)]...)
 		set.Bootstrap, set.DataDir, set.Survive.Nodes = true, c.TempDir(), survive
-		set.Bind.Control = c.control(ip)
+		set.Bind.Control = c.controlAddr(ip)
 		server, err := controlplane.New(set, zap.NewNop(), rand.Uint64)
 		c.Assert(err, qt.IsNil)
 		server.Dial = c.network.Dialer(ip)
@@ -61,9 +61,9 @@
 }
 
 // awaitMembers waits until all control servers know of a view with so many members.
-func (c *core) awaitMembers(members int) {
+func (c *testCore) awaitMembers(members int) {
 	c.Helper()
-	over := time.After(testPatience)
+	over := time.After(testTimeout)
 	again := time.NewTicker(20 * time.Millisecond)
 	defer again.Stop()
 	for _, ip := range c.ips {
@@ -82,7 +82,7 @@
 }
 
 // run has a program run until the end of the test.
-func (c *core) run(program func(context.Context) error) {
+func (c *testCore) run(program func(context.Context) error) {
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -95,29 +95,31 @@
 	})
 }
 
-func (c *core) settings(ip string, seeds ...string) settings.Settings {
-	set := settings.Settings{Nodename: ip, IP: ip, Zone: "z", Region: "east", Zones: map[string]string{"z": "east"}, Ports: c.ports, Heartbeat: 1200 * time.Millisecond}
+func (c *testCore) settings(ip string, seeds ...string) settings.Settings {
+	set := settings.Settings{NodeName: ip, IP: ip, Zone: "z", Region: "east", Zones: map[string]string{"z": "east"}, Ports: c.ports, Heartbeat: 1200 * time.Millisecond}
 	set.Bounds.Apply, set.Bounds.Sync, set.Bounds.Drain, set.Bounds.Lease = c.apply, 4*time.Second, time.Minute, 3*time.Second
 	for _, seed := range seeds {
-		set.Seeds = append(set.Seeds, c.control(seed))
+		set.Seeds = append(set.Seeds, c.controlAddr(seed))
 	}
 	return set
 }
 
-func (c *core) control(ip string) string { return net.JoinHostPort(ip, fmt.Sprint(c.ports[0]+4)) }
+func (c *testCore) controlAddr(ip string) string {
+	return net.JoinHostPort(ip, fmt.Sprint(c.ports[0]+4))
+}
 
-func (c *core) others(than ...string) []string {
+func (c *testCore) others(than ...string) []string {
 	return slices.DeleteFunc(slices.Clone(c.ips), func(ip string) bool { return slices.Contains(than, ip) })
 }
 
-// replaced has a configuration acknowledged by some machines, and tells when.
-func (c *core) replaced(base, version uint64, ips ...string) time.Time {
+// replaceConfig has a configuration acknowledged by some machines, and tells when.
+func (c *testCore) replaceConfig(base, version uint64, ips ...string) time.Time {
 	c.Helper()
-	ctx, cancel := context.WithTimeout(c.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(c.Context(), testTimeout)
 	defer cancel()
 	operator := &simulation.Operator{}
 	for _, ip := range ips {
-		operator.Ctl = append(operator.Ctl, c.control(ip))
+		operator.Ctl = append(operator.Ctl, c.controlAddr(ip))
 	}
 	rep, err := operator.Replace(ctx, base, fmt.Appendf(nil,
 		`{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s"}],"svcs":[{"name":"s","probe":"/healthz"}],"caps":{}}`, version))
@@ -127,9 +129,9 @@
 }
 
 // status is a control server's own word of how the fleet stands.
-func (c *core) status(ip string) (*status.Fleet, error) {
-	client := http.Client{Timeout: testPatience, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + c.control(ip) + externalapi.Status.Path + "?" + externalapi.QueryLocal)
+func (c *testCore) status(ip string) (*status.Fleet, error) {
+	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Get("http://" + c.controlAddr(ip) + externalapi.CallStatus.Path + "?" + externalapi.QueryLocal)
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +144,7 @@
 }
 
 // primary is the IP of the primary.
-func (c *core) primary() string {
+func (c *testCore) primary() string {
 	c.Helper()
 	fleet, err := c.status(c.ips[0])
 	c.Assert(err, qt.IsNil)
@@ -151,21 +153,21 @@
 	return host
 }
 
-// agent starts a node agent that knows the control servers given; it stays with the first that is fresh.
-func (c *core) agent(seeds ...string) *Agent {
+// startAgent starts a node agent that knows the control servers given; it stays with the first that is fresh.
+func (c *testCore) startAgent(seeds ...string) *Agent {
 	a := New(c.settings(agentIP, seeds...), zap.NewNop())
 	a.Dial = c.network.Dialer(agentIP)
 	c.run(a.Run)
 	return a
 }
 
-// has waits until an agent has a change of the configuration, and tells when.
-func (c *core) has(a *Agent, change uint64) time.Time {
+// awaitChange waits until an agent has a change of the configuration, and tells when.
+func (c *testCore) awaitChange(a *Agent, change uint64) time.Time {
 	c.Helper()
-	over := time.After(testPatience)
+	over := time.After(testTimeout)
 	for {
-		changed := a.store.Changed()
-		if at, _ := a.store.Version(distribution.ConfigType); at.Count >= change {
+		changed := a.cache.Changed()
+		if at, _ := a.cache.Version(distribution.ConfigType); at.Count >= change {
 			return time.Now()
 		}
 		select {
@@ -179,33 +181,33 @@
 // TestChangeReachesAgentInTime: the control server that a node agent follows is cut off from the core, but not from the agent: a
 // change that is acknowledged afterwards is with the agent within apply_ms.
 func TestChangeReachesAgentInTime(t *testing.T) {
-	backup := func(c *core) string { return c.others(c.primary())[0] }
+	backup := func(c *testCore) string { return c.others(c.primary())[0] }
 	type situation struct {
 		name             string
 		members, survive int
-		follows          func(c *core) string
-		cut              func(c *core, followed string) (side []string) // that goes on
+		follows          func(c *testCore) string
+		cut              func(c *testCore, followed string) (side []string) // that goes on
 	}
-	whole := func(c *core, followed string) []string {
+	whole := func(c *testCore, followed string) []string {
 		c.network.Part([]string{followed}, c.others(followed))
 		return c.others(followed)
 	}
 	for i, one := range []situation{
 		{"a machine that isn't the primary, whole", 3, 1, backup, whole},
-		{"a machine that isn't the primary, not heard", 3, 1, backup, func(c *core, followed string) []string {
+		{"a machine that isn't the primary, not heard", 3, 1, backup, func(c *testCore, followed string) []string {
 			for _, ip := range c.others(followed) {
 				c.network.Cut(followed, ip)
 			}
 			return c.others(followed)
 		}},
-		{"a machine that isn't the primary, hears nothing", 3, 1, backup, func(c *core, followed string) []string {
+		{"a machine that isn't the primary, hears nothing", 3, 1, backup, func(c *testCore, followed string) []string {
 			for _, ip := range c.others(followed) {
 				c.network.Cut(ip, followed)
 			}
 			return c.others(followed)
 		}},
-		{"the primary", 3, 1, (*core).primary, whole},
-		{"two of five", 5, 2, backup, func(c *core, followed string) []string {
+		{"the primary", 3, 1, (*testCore).primary, whole},
+		{"two of five", 5, 2, backup, func(c *testCore, followed string) []string {
 			lost := append([]string{followed}, c.others(followed, c.primary())[0])
 			c.network.Part(lost, c.others(lost...))
 			return c.others(lost...)
@@ -213,15 +215,15 @@
 	} {
 		for j, apply := range []time.Duration{2 * time.Second, 2500 * time.Millisecond} {
 			t.Run(fmt.Sprintf("%s %v", one.name, apply), func(t *testing.T) {
-				c := newCore(t, 50+2*i+j, one.members, one.survive, apply, 0)
-				c.replaced(0, 5, c.ips...)
+				c := newTestCore(t, 50+2*i+j, one.members, one.survive, apply, 0)
+				c.replaceConfig(0, 5, c.ips...)
 				followed := one.follows(c)
-				a := c.agent(followed)
-				c.has(a, 1)
+				a := c.startAgent(followed)
+				c.awaitChange(a, 1)
 				cut := time.Now()
 				side := one.cut(c, followed)
-				acked := c.replaced(5, 7, side...)
-				there := c.has(a, 2)
+				acked := c.replaceConfig(5, 7, side...)
+				there := c.awaitChange(a, 2)
 				t.Logf("acknowledged %v after the cut, with the agent %v after that", acked.Sub(cut), there.Sub(acked))
 				c.Assert(there.Sub(acked) < apply, qt.IsTrue, qt.Commentf("%v", there.Sub(acked)))
 			})
@@ -229,28 +231,28 @@
 	}
 }
 
-// TestAgentStartsOnTheWrongSide: an agent that starts during a cut, with seeds that name only a machine that is cut off, learns of
+// TestAgentStartsOnTheMinoritySide: an agent that starts during a cut, with seeds that name only a machine that is cut off, learns of
 // the others by that, and gets what was acknowledged there.
-func TestAgentStartsOnTheWrongSide(t *testing.T) {
-	c := newCore(t, 62, 3, 1, 2*time.Second, 0)
-	c.replaced(0, 5, c.ips...)
+func TestAgentStartsOnTheMinoritySide(t *testing.T) {
+	c := newTestCore(t, 62, 3, 1, 2*time.Second, 0)
+	c.replaceConfig(0, 5, c.ips...)
 	lone := c.others(c.primary())[0]
 	c.network.Part([]string{lone}, c.others(lone))
-	c.replaced(5, 7, c.others(lone)...)
+	c.replaceConfig(5, 7, c.others(lone)...)
 	began := time.Now()
-	a := c.agent(lone)
-	took := c.has(a, 2).Sub(began)
+	a := c.startAgent(lone)
+	took := c.awaitChange(a, 2).Sub(began)
 	t.Logf("the newest configuration %v after the start", took)
 	c.Assert(took < c.apply, qt.IsTrue, qt.Commentf("%v", took))
 }
 
-// TestAgentStaysInCalmTimes: with round trips as they are between regions, a control server that is in touch with the primary is not
+// TestAgentStaysWithAConnectedServer: with round trips as they are between regions, a control server that is in touch with the primary is not
 // left, neither the primary nor one that follows it.
-func TestAgentStaysInCalmTimes(t *testing.T) {
-	for i, follows := range []func(c *core) string{(*core).primary, func(c *core) string { return c.others(c.primary())[0] }} {
+func TestAgentStaysWithAConnectedServer(t *testing.T) {
+	for i, follows := range []func(c *testCore) string{(*testCore).primary, func(c *testCore) string { return c.others(c.primary())[0] }} {
 		const trip = 60 * time.Millisecond
-		c := newCore(t, 64+i, 3, 1, 2*time.Second, trip/2)
-		c.replaced(0, 5, c.ips...)
+		c := newTestCore(t, 64+i, 3, 1, 2*time.Second, trip/2)
+		c.replaceConfig(0, 5, c.ips...)
 		a := New(c.settings(agentIP, follows(c)), zap.NewNop())
 		var dials atomic.Int64
 		dial := c.network.Dialer(agentIP)
@@ -261,11 +263,11 @@
 		began := time.Now()
 		c.run(a.Run)
 		const calm = 4 * time.Second
-		over := time.After(testPatience)
+		over := time.After(testTimeout)
 		again := time.NewTicker(20 * time.Millisecond)
 		defer again.Stop()
 		worst := time.Duration(0)
-		for heard, _ := a.store.LastContact(); heard.Before(began.Add(calm)); heard, _ = a.store.LastContact() {
+		for heard, _ := a.cache.LastContact(); heard.Before(began.Add(calm)); heard, _ = a.cache.LastContact() {
 			if !heard.IsZero() {
 				worst = max(worst, time.Since(heard))
 			}
--- a/internal/fleet/nodeagent/nodeagent_test.go
+++ b/internal/fleet/nodeagent/nodeagent_test.go
@@ -22,7 +22,7 @@
 	defer cancel()
 	ips := []string{"127.0.4.1", "127.0.4.2", "127.0.4.3", "127.0.4.4", "127.0.0.1"}
 	ports := simulation.ChoosePorts(t, 4, ips...)
-	set := settings.Settings{Nodename: "edge-1", Zone: "z", Ports: [2]int{ports.First, ports.First + 3}, Heartbeat: 1200 * time.Millisecond}
+	set := settings.Settings{NodeName: "edge-1", Zone: "z", Ports: [2]int{ports.First, ports.First + 3}, Heartbeat: 1200 * time.Millisecond}
 	set.Bounds.Apply = 2 * time.Second
 	set.Bounds.Drain = time.Minute
 	stores := map[string]*distribution.Cache{}
@@ -49,8 +49,8 @@
 		began := time.Now()
 		over := time.After(within)
 		for {
-			changed := agent.store.Changed()
-			if at, _ := agent.store.Version(distribution.ConfigType); at.Count >= n {
+			changed := agent.cache.Changed()
+			if at, _ := agent.cache.Version(distribution.ConfigType); at.Count >= n {
 				return time.Since(began)
 			}
 			select {
@@ -76,7 +76,7 @@
 	defer cancel()
 	ips := []string{"127.0.5.1", "127.0.5.2", "127.0.5.3", "127.0.0.1"}
 	ports := simulation.ChoosePorts(t, 4, ips...)
-	set := settings.Settings{Nodename: "edge-1", Zone: "z", Ports: [2]int{ports.First, ports.First + 3}, Heartbeat: 400 * time.Millisecond}
+	set := settings.Settings{NodeName: "edge-1", Zone: "z", Ports: [2]int{ports.First, ports.First + 3}, Heartbeat: 400 * time.Millisecond}
 	set.Bounds.Apply = time.Second
 	set.Bounds.Drain = time.Minute
 	set.Seeds = []string{net.JoinHostPort(ips[0], "1")}
@@ -96,13 +96,13 @@
 	}
 	first := serve(ips[0], 1, distribution.PullAddr(ips[1], set.Ports))
 	agent := New(set, zap.NewNop())
-	agent.Seeds = func() []string { return []string{net.JoinHostPort(ips[2], "1")} }
+	agent.ReloadSeeds = func() []string { return []string{net.JoinHostPort(ips[2], "1")} }
 	go func() { _ = agent.Run(ctx) }()
 	wait := func(n uint64) {
 		over := time.After(10 * time.Second)
 		for {
-			changed := agent.store.Changed()
-			if at, _ := agent.store.Version(distribution.ConfigType); at.Count >= n {
+			changed := agent.cache.Changed()
+			if at, _ := agent.cache.Version(distribution.ConfigType); at.Count >= n {
 				return
 			}
 			select {
--- a/internal/fleet/nodeagent/withheld_test.go
+++ b/internal/fleet/nodeagent/withheld_test.go
@@ -14,21 +14,21 @@
 	"molepaddle/internal/fleet/settings"
 )
 
-// TestListPolledHereStands: while an agent asks the platform itself, the list of a control server that is cut off doesn't take the
+// TestDirectlyPolledListIsKept: while an agent asks the platform itself, the list of a control server that is cut off doesn't take the
 // place of what it polled; once a control server is in touch with the primary, its list does.
-func TestListPolledHereStands(t *testing.T) {
+func TestDirectlyPolledListIsKept(t *testing.T) {
 	c := qt.New(t)
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = io.WriteString(w, `{"backends":[{"id":"polled","svc":"s","address":"127.0.0.1:9","az":"z","ver":"v1","capacity":4,"state":"up","warm_left_ms":0}],"next_marker":null}`)
 	}))
 	c.Cleanup(platform.Close)
-	set := settings.Settings{Nodename: "edge-1", Zone: "z", Provider: settings.Provider{Address: platform.Listener.Addr().String(), Rate: 42}}
+	set := settings.Settings{NodeName: "edge-1", Zone: "z", Provider: settings.Provider{Address: platform.Listener.Addr().String(), Rate: 42}}
 	a := New(set, zap.NewNop())
 	told, err := (&distribution.BackendList{Backends: []distribution.Backend{{ID: "told", Service: "s"}}}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	here := func() string {
-		r := a.store.Fetch(c.Context(), "n", &distribution.Request{})
+		r := a.cache.Fetch(c.Context(), "n", &distribution.Request{})
 		for _, p := range r.Resources {
 			if p.Type == distribution.BackendListType {
 				var list distribution.BackendList
@@ -44,24 +44,24 @@
 		return &distribution.Response{LastContactMs: age.Milliseconds(), Primary: "p", Resources: resources}
 	}
 	list := distribution.Resource{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 5, Count: 1}, BaseVersion: distribution.Version{Epoch: 5, Count: 1}, Snapshot: told}
-	a.take(response(time.Hour, list))
+	a.applyResponse(response(time.Hour, list))
 	c.Assert(here(), qt.Equals, "told", qt.Commentf("a list is better than none"))
 	poll := func() {
-		a.pollNext = time.Time{}
-		a.pollAlone(c.Context())
+		a.nextPoll = time.Time{}
+		a.pollDirectly(c.Context())
 	}
 	poll()
 	c.Assert(here(), qt.Equals, "polled")
 	for range 2 {
-		_, had := a.vector()[distribution.BackendListType]
+		_, had := a.versionVector()[distribution.BackendListType]
 		c.Assert(had, qt.IsFalse, qt.Commentf("what the control plane has is news"))
-		a.take(response(time.Hour, list))
-		_, had = a.vector()[distribution.BackendListType]
+		a.applyResponse(response(time.Hour, list))
+		_, had = a.versionVector()[distribution.BackendListType]
 		c.Assert(had, qt.IsTrue, qt.Commentf("it isn't asked for again and again"))
 		c.Assert(here(), qt.Equals, "polled", qt.Commentf("the control server has not heard the primary since the poll"))
 		poll()
 		c.Assert(here(), qt.Equals, "polled")
-		a.take(response(0))
+		a.applyResponse(response(0))
 		c.Assert(here(), qt.Equals, "told", qt.Commentf("the control server is in touch: its list is the newer one"))
 		poll()
 		c.Assert(here(), qt.Equals, "polled", qt.Commentf("a list that was polled before takes its place again"))
--- a/internal/fleet/operatorclient/once_test.go
+++ b/internal/fleet/operatorclient/once_test.go
@@ -18,8 +18,8 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// agentThatSays reads requests and says to the nth of a connection, from 0, what says gives, until that is to be its last.
-func agentThatSays(t *testing.T, asked *atomic.Int64, says func(n int) (answer string, last bool)) string {
+// startScriptedServer reads requests and says to the nth of a connection, from 0, what says gives, until that is to be its last.
+func startScriptedServer(t *testing.T, asked *atomic.Int64, says func(n int) (answer string, last bool)) string {
 	return testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		for n := 0; ; n++ {
 			req, err := http.ReadRequest(r)
@@ -38,14 +38,14 @@
 	})
 }
 
-// closesAfter says so much and closes.
-func closesAfter(t *testing.T, asked *atomic.Int64, said string) string {
-	return agentThatSays(t, asked, func(int) (string, bool) { return said, true })
+// startTruncatingServer says so much and closes.
+func startTruncatingServer(t *testing.T, asked *atomic.Int64, said string) string {
+	return startScriptedServer(t, asked, func(int) (string, bool) { return said, true })
 }
 
-// TestAnswersCutOff cuts an agent's answer off after each of its bytes: it is no answer, whatever it began with; that agent is asked
+// TestTruncatedResponses cuts an agent's answer off after each of its bytes: it is no answer, whatever it began with; that agent is asked
 // once, by nothing but the client's own doing, and the next one's answer counts.
-func TestAnswersCutOff(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	const good, yes, no = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes",
 		"HTTP/1.1 412 x\r\nContent-Length: 2\r\n\r\nno"
 	for _, answer := range []string{yes, no} {
@@ -55,11 +55,11 @@
 					t.Parallel()
 					c := qt.New(t)
 					var bad, well atomic.Int64
-					client := operatorclient.Client{Control: []string{closesAfter(t, &bad, answer[:k]), closesAfter(t, &well, good)}, Silence: time.Minute, Within: time.Minute}
-					var got operatorclient.Answer
+					client := operatorclient.Client{Endpoints: []string{startTruncatingServer(t, &bad, answer[:k]), startTruncatingServer(t, &well, good)}, ReadTimeout: time.Minute, CallTimeout: time.Minute}
+					var got operatorclient.Response
 					var err error
 					if change {
-						got, err = client.Change(t.Context(), externalapi.Replace, 1, []byte("{}"))
+						got, err = client.Change(t.Context(), externalapi.CallReplace, 1, []byte("{}"))
 					} else {
 						got, err = client.Show(t.Context())
 					}
@@ -73,20 +73,20 @@
 	}
 }
 
-// TestSurplusAnswersCountForNothing: each try has a connection of its own, so that a second answer to an earlier one, in the place
+// TestSurplusResponsesAreIgnored: each try has a connection of its own, so that a second answer to an earlier one, in the place
 // of the next one's, is nobody's.
-func TestSurplusAnswersCountForNothing(t *testing.T) {
+func TestSurplusResponsesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	var asked atomic.Int64
-	at := agentThatSays(t, &asked, func(n int) (string, bool) {
+	at := startScriptedServer(t, &asked, func(n int) (string, bool) {
 		if n == 0 {
 			return "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false
 		}
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false
 	})
-	client := operatorclient.Client{Control: []string{at}, Silence: time.Minute, Within: 400 * time.Millisecond}
-	_, err := client.Change(t.Context(), externalapi.Replace, 1, []byte("{}"))
-	var unclear *operatorclient.Unclear
+	client := operatorclient.Client{Endpoints: []string{at}, ReadTimeout: time.Minute, CallTimeout: 400 * time.Millisecond}
+	_, err := client.Change(t.Context(), externalapi.CallReplace, 1, []byte("{}"))
+	var unclear *operatorclient.IndeterminateError
 	c.Assert(errors.As(err, &unclear), qt.IsTrue, qt.Commentf("%v", err))
 	c.Check(asked.Load() >= 2, qt.IsTrue, qt.Commentf("asked %d times", asked.Load()))
 }
--- a/internal/fleet/operatorclient/operatorclient_test.go
+++ b/internal/fleet/operatorclient/operatorclient_test.go
@@ -20,37 +20,37 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// agent is a stand-in for an agent that serves the operator; it gives its host:port.
-func agent(c *qt.C, h http.HandlerFunc) string {
+// startServer is a stand-in for an agent that serves the operator; it gives its host:port.
+func startServer(c *qt.C, h http.HandlerFunc) string {
 	server := httptest.NewServer(h)
 	c.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-// sendOn answers 307 to the address that to holds at that time.
-func sendOn(to *string) http.HandlerFunc {
+// redirectTo answers 307 to the address that to holds at that time.
+func redirectTo(to *string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Location", "http://"+*to+r.URL.Path)
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	}
 }
 
-func TestChangeFollowsTwice(t *testing.T) {
+func TestChangeFollowsTwoRedirects(t *testing.T) {
 	c := qt.New(t)
 	var got *http.Request
 	var body []byte
-	last := agent(c, func(w http.ResponseWriter, r *http.Request) {
+	last := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 		got = r
 		body, _ = io.ReadAll(r.Body)
 	})
-	second := agent(c, sendOn(&last))
-	first := agent(c, sendOn(&second))
-	client := operatorclient.Client{Control: []string{first}}
-	answer, err := client.Change(context.Background(), externalapi.Update, 7, []byte(`{"ver":9}`))
+	second := startServer(c, redirectTo(&last))
+	first := startServer(c, redirectTo(&second))
+	client := operatorclient.Client{Endpoints: []string{first}}
+	answer, err := client.Change(context.Background(), externalapi.CallUpdate, 7, []byte(`{"ver":9}`))
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.From, qt.Equals, last)
+	c.Assert(answer.Endpoint, qt.Equals, last)
 	c.Assert(got.Method+" "+got.URL.Path, qt.Equals, "POST /molepaddle/cfg/update")
-	c.Assert(got.Header.Get(externalapi.BaseVersion), qt.Equals, "7")
+	c.Assert(got.Header.Get(externalapi.HeaderBaseVersion), qt.Equals, "7")
 	c.Assert(got.Header.Get("Content-Type"), qt.Equals, "application/json")
 	c.Assert(string(body), qt.Equals, `{"ver":9}`)
 }
@@ -59,66 +59,66 @@
 	c := qt.New(t)
 	var calls atomic.Int64
 	var self string
-	self = agent(c, func(w http.ResponseWriter, r *http.Request) {
+	self = startServer(c, func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
-		sendOn(&self)(w, r)
+		redirectTo(&self)(w, r)
 	})
-	other := agent(c, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "{}") })
-	client := operatorclient.Client{Control: []string{self, other}}
+	other := startServer(c, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "{}") })
+	client := operatorclient.Client{Endpoints: []string{self, other}}
 	answer, err := client.Show(context.Background())
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.From, qt.Equals, other)
+	c.Assert(answer.Endpoint, qt.Equals, other)
 	c.Assert(calls.Load(), qt.Equals, int64(3))
 }
 
-func TestRedirectsThatLeadNowhere(t *testing.T) {
+func TestInvalidRedirects(t *testing.T) {
 	c := qt.New(t)
 	for _, location := range []string{"", "ftp://10.0.0.1/x", "https://10.0.0.1/x", "::"} {
-		bad := agent(c, func(w http.ResponseWriter, r *http.Request) {
+		bad := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Location", location)
 			w.WriteHeader(http.StatusTemporaryRedirect)
 		})
-		client := operatorclient.Client{Control: []string{bad}, Within: 300 * time.Millisecond}
+		client := operatorclient.Client{Endpoints: []string{bad}, CallTimeout: 300 * time.Millisecond}
 		_, err := client.Show(context.Background())
-		var unclear *operatorclient.Unclear
+		var unclear *operatorclient.IndeterminateError
 		c.Assert(errors.As(err, &unclear), qt.IsTrue)
 		c.Check(err, qt.ErrorMatches, "no clear answer: "+bad+": (a 307 without a Location that can be followed|failed to parse Location.*)")
 	}
 }
 
-func TestRefusalsEndAtOnce(t *testing.T) {
+func TestRejectionsEndTheCall(t *testing.T) {
 	c := qt.New(t)
 	for _, status := range []int{400, 409, 412, 413, 422} {
 		var calls atomic.Int64
-		at := agent(c, func(w http.ResponseWriter, r *http.Request) {
+		at := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 			calls.Add(1)
 			w.WriteHeader(status)
 			fmt.Fprint(w, `{"err":"the configuration is invalid","findings":[{"place":"routing[0].svc","text":"a"},{"place":"","text":"b"}]}`)
 		})
-		client := operatorclient.Client{Control: []string{at}}
-		_, err := client.Change(context.Background(), externalapi.Replace, 5, nil)
-		var no *operatorclient.Refused
+		client := operatorclient.Client{Endpoints: []string{at}}
+		_, err := client.Change(context.Background(), externalapi.CallReplace, 5, nil)
+		var no *operatorclient.RejectedError
 		c.Assert(errors.As(err, &no), qt.IsTrue)
-		c.Check(no, qt.DeepEquals, &operatorclient.Refused{Status: status, From: at, Why: "the configuration is invalid",
+		c.Check(no, qt.DeepEquals, &operatorclient.RejectedError{Status: status, Endpoint: at, Reason: "the configuration is invalid",
 			Findings: routingconfig.Findings{{Path: "routing[0].svc", Message: "a"}, {Message: "b"}}})
 		c.Check(calls.Load(), qt.Equals, int64(1))
 	}
 }
 
-func TestOtherRejectionsEndAtTheThird(t *testing.T) {
+func TestOtherClientErrorsEndAtTheThird(t *testing.T) {
 	c := qt.New(t)
 	var calls atomic.Int64
-	at := agent(c, func(w http.ResponseWriter, r *http.Request) {
+	at := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		http.Error(w, "gone\nfishing", http.StatusNotFound)
 	})
-	client := operatorclient.Client{Control: []string{at}}
+	client := operatorclient.Client{Endpoints: []string{at}}
 	_, err := client.Show(context.Background())
 	c.Assert(err, qt.ErrorMatches, "refused by "+at+` \(404\): gone`)
 	c.Assert(calls.Load(), qt.Equals, int64(3))
 }
 
-func TestFailuresMoveOn(t *testing.T) {
+func TestFailuresTryTheNextEndpoint(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -126,54 +126,54 @@
 	c.Assert(ln.Close(), qt.IsNil)
 	for _, status := range []int{503, 408, 429, 302, 204} {
 		var calls atomic.Int64
-		bad := agent(c, func(w http.ResponseWriter, r *http.Request) {
+		bad := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 			calls.Add(1)
 			w.WriteHeader(status)
 		})
-		good := agent(c, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "shown") })
-		client := operatorclient.Client{Control: []string{bad, dead, good}}
+		good := startServer(c, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "shown") })
+		client := operatorclient.Client{Endpoints: []string{bad, dead, good}}
 		answer, err := client.Show(context.Background())
 		c.Assert(err, qt.IsNil)
-		c.Check(answer, qt.DeepEquals, operatorclient.Answer{From: good, Body: []byte("shown")})
+		c.Check(answer, qt.DeepEquals, operatorclient.Response{Endpoint: good, Body: []byte("shown")})
 		c.Check(calls.Load(), qt.Equals, int64(1))
 	}
 }
 
-func TestSilence(t *testing.T) {
+func TestReadTimeout(t *testing.T) {
 	c := qt.New(t)
-	quiet := agent(c, func(w http.ResponseWriter, r *http.Request) {
+	quiet := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done() // until the caller has left
 	})
-	half := agent(c, func(w http.ResponseWriter, r *http.Request) { // half an answer, then nothing
+	half := startServer(c, func(w http.ResponseWriter, r *http.Request) { // half an answer, then nothing
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Length", "100")
 		fmt.Fprint(w, "half")
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	})
-	good := agent(c, func(w http.ResponseWriter, r *http.Request) {})
-	client := operatorclient.Client{Control: []string{quiet, half, good}, Silence: 30 * time.Millisecond}
-	answer, err := client.Change(context.Background(), externalapi.Replace, 0, []byte("{}"))
+	good := startServer(c, func(w http.ResponseWriter, r *http.Request) {})
+	client := operatorclient.Client{Endpoints: []string{quiet, half, good}, ReadTimeout: 30 * time.Millisecond}
+	answer, err := client.Change(context.Background(), externalapi.CallReplace, 0, []byte("{}"))
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.From, qt.Equals, good)
+	c.Assert(answer.Endpoint, qt.Equals, good)
 
-	client = operatorclient.Client{Control: []string{quiet}, Silence: 10 * time.Millisecond, Within: 50 * time.Millisecond}
-	_, err = client.Change(context.Background(), externalapi.Replace, 0, []byte("{}"))
-	var unclear *operatorclient.Unclear
+	client = operatorclient.Client{Endpoints: []string{quiet}, ReadTimeout: 10 * time.Millisecond, CallTimeout: 50 * time.Millisecond}
+	_, err = client.Change(context.Background(), externalapi.CallReplace, 0, []byte("{}"))
+	var unclear *operatorclient.IndeterminateError
 	c.Assert(errors.As(err, &unclear), qt.IsTrue)
 	c.Assert(err, qt.ErrorMatches, "no clear answer: "+quiet+": silent for 10ms")
 }
 
-func TestUnclear(t *testing.T) {
+func TestIndeterminate(t *testing.T) {
 	c := qt.New(t)
-	at := agent(c, func(w http.ResponseWriter, r *http.Request) {
+	at := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		fmt.Fprint(w, `{"err":"no primary is known"}`)
 	})
-	client := operatorclient.Client{Control: []string{at}, Within: 50 * time.Millisecond}
+	client := operatorclient.Client{Endpoints: []string{at}, CallTimeout: 50 * time.Millisecond}
 	_, err := client.Show(context.Background())
-	var no *operatorclient.Refused
+	var no *operatorclient.RejectedError
 	c.Assert(errors.As(err, &no), qt.IsFalse, qt.Commentf("a 503 is no clear no"))
 	c.Assert(err, qt.ErrorMatches, "no clear answer: "+at+": status 503: no primary is known")
 
@@ -186,17 +186,17 @@
 	c.Assert(errors.Is(err, context.Canceled), qt.IsTrue)
 }
 
-func TestAnswersAreBounded(t *testing.T) {
+func TestResponseSizeIsBounded(t *testing.T) {
 	c := qt.New(t)
-	at := agent(c, func(w http.ResponseWriter, r *http.Request) {
+	at := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 		piece := strings.Repeat(" ", 1<<20)
-		for range operatorclient.MaxAnswer>>20 + 1 {
+		for range operatorclient.MaxResponseBytes>>20 + 1 {
 			if _, err := io.WriteString(w, piece); err != nil {
 				return
 			}
 		}
 	})
-	client := operatorclient.Client{Control: []string{at}, Silence: time.Minute, Within: 15 * time.Second} // what it is about is bytes
+	client := operatorclient.Client{Endpoints: []string{at}, ReadTimeout: time.Minute, CallTimeout: 15 * time.Second} // what it is about is bytes
 	_, err := client.Show(context.Background())
 	c.Assert(err, qt.ErrorMatches, "no clear answer: .*: an answer over 67108864 bytes")
 }
--- a/internal/fleet/operatorclient/status.go
+++ b/internal/fleet/operatorclient/status.go
@@ -11,18 +11,18 @@
 
 // Status asks how the fleet stands: the primary, or with local whichever of Control answers first, for what that one
 // knows itself. Errors: *Refused by one that knows no such call, *Unclear while there is no primary.
-func (c *Client) Status(ctx context.Context, local bool) (*status.Fleet, Answer, error) {
-	call := externalapi.Status
+func (c *Client) Status(ctx context.Context, local bool) (*status.Fleet, Response, error) {
+	call := externalapi.CallStatus
 	if local {
 		call.Path += "?" + externalapi.QueryLocal
 	}
-	answer, err := c.call(ctx, call, nil, nil)
+	response, err := c.do(ctx, call, nil, nil)
 	if err != nil {
-		return nil, answer, err
+		return nil, response, err
 	}
-	f, err := status.Decode(answer.Body)
+	f, err := status.Decode(response.Body)
 	if err != nil {
-		return nil, answer, &Unclear{errors.Wrap(err, answer.From)}
+		return nil, response, &IndeterminateError{errors.Wrap(err, response.Endpoint)}
 	}
-	return f, answer, nil
+	return f, response, nil
 }
--- a/internal/fleet/proxy/answer.go
+++ b/internal/fleet/proxy/answer.go
@@ -12,7 +12,7 @@
 // refuse gives an answer of this proxy's own.
 func (v *Proxy) refuse(w http.ResponseWriter, status int, again time.Duration, text string) {
 	if again > 0 {
-		w.Header().Set(externalapi.RetryAfter, strconv.FormatFloat(again.Seconds(), 'f', 3, 64))
+		w.Header().Set(externalapi.HeaderRetryAfter, strconv.FormatFloat(again.Seconds(), 'f', 3, 64))
 	}
 	v.count(status)
 	http.Error(w, text, status)
@@ -44,12 +44,12 @@
 // notRun reads from an answer's head that the backend did not run the request. A success that says so contradicts itself, and
 // proves nothing.
 func notRun(resp *http.Response) bool {
-	return resp.StatusCode == http.StatusMisdirectedRequest || resp.StatusCode >= 400 && resp.Header.Get(externalapi.NotRun) != ""
+	return resp.StatusCode == http.StatusMisdirectedRequest || resp.StatusCode >= 400 && resp.Header.Get(externalapi.HeaderNotRun) != ""
 }
 
 // retryAfter reads when a backend asks to be tried again; 0: it does not say.
 func retryAfter(resp *http.Response) time.Duration {
-	s, err := strconv.ParseFloat(resp.Header.Get(externalapi.RetryAfter), 64)
+	s, err := strconv.ParseFloat(resp.Header.Get(externalapi.HeaderRetryAfter), 64)
 	if err != nil || s < 0 || s > 60 {
 		return 0
 	}
@@ -63,7 +63,7 @@
 	for key, values := range resp.Header {
 		h[key] = values
 	}
-	h[externalapi.AttemptID] = []string{t.m.id}
+	h[externalapi.HeaderAttemptID] = []string{t.m.id}
 	if _, dated := resp.Header["Date"]; !dated {
 		h["Date"] = nil
 	}
--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -320,7 +320,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	*over = *over || d.meanwhile()
-	if n := d.at[addr]; n.id == req.Header.Get(externalapi.Target) && !d.allowed(n, routeOf(req)) {
+	if n := d.at[addr]; n.id == req.Header.Get(externalapi.HeaderTargetBackend) && !d.allowed(n, routeOf(req)) {
 		return strings.Replace(e, "inside ", "outside", 1)
 	}
 	return e
@@ -336,26 +336,26 @@
 func (d *drawn) answer(addr string, r *http.Request) (head string, events []string, rest string, over bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, id, route := d.at[addr], r.Header.Get(externalapi.AttemptID), routeOf(r)
+	n, id, route := d.at[addr], r.Header.Get(externalapi.HeaderAttemptID), routeOf(r)
 	say := func(status int, body string, more ...string) string {
-		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, externalapi.AttemptID, id, strings.Join(append(more, ""), "\r\n"), len(body), body)
+		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, externalapi.HeaderAttemptID, id, strings.Join(append(more, ""), "\r\n"), len(body), body)
 	}
 	if n.trouble == down {
 		return "", nil, "", over
 	}
-	if n.id != r.Header.Get(externalapi.Target) {
+	if n.id != r.Header.Get(externalapi.HeaderTargetBackend) {
 		return say(http.StatusMisdirectedRequest, ""), nil, "on", over
 	}
-	if r.Method == externalapi.Free.Method {
-		delete(d.handles, n.id+strings.TrimPrefix(r.URL.Path, externalapi.Free.Path))
+	if r.Method == externalapi.CallFreeKVHandle.Method {
+		delete(d.handles, n.id+strings.TrimPrefix(r.URL.Path, externalapi.CallFreeKVHandle.Path))
 		return say(http.StatusOK, ""), nil, "on", over
 	}
-	stage, from := r.Header.Get(externalapi.Stage), r.Header.Get(externalapi.KvFrom)
+	stage, from := r.Header.Get(externalapi.HeaderStage), r.Header.Get(externalapi.HeaderKVFrom)
 	switch {
 	case n.service == "llm" && (stage != "") != (n.phase == externalapi.PhasePrefill):
 		return say(http.StatusMisdirectedRequest, ""), nil, "on", over
 	case n.trouble == full:
-		return say(http.StatusServiceUnavailable, "", externalapi.NotRun+": 1", externalapi.RetryAfter+": 0.05"), nil, "on", over
+		return say(http.StatusServiceUnavailable, "", externalapi.HeaderNotRun+": 1", externalapi.HeaderRetryAfter+": 0.05"), nil, "on", over
 	}
 	// It runs: its data rests here.
 	if !d.allowed(n, route) {
@@ -366,7 +366,7 @@
 		h, ok := d.handles[d.at[at].id+ref]
 		switch {
 		case !ok:
-			return say(http.StatusServiceUnavailable, "", externalapi.NotRun+": 1"), nil, "on", over
+			return say(http.StatusServiceUnavailable, "", externalapi.HeaderNotRun+": 1"), nil, "on", over
 		case h.route != route:
 			d.find("%s of %s takes what %s left", id, route, h.route)
 		case !d.allowed(h.n, route):
@@ -378,7 +378,7 @@
 		d.runs[id]++
 	}
 	over = d.meanwhile()
-	seal := externalapi.Seal + ": s"
+	seal := externalapi.HeaderBackendSeal + ": s"
 	switch n.trouble {
 	case resets:
 		return "", nil, "", over
@@ -394,12 +394,12 @@
 		d.handles[n.id+ref] = handleAt{n, route}
 		return say(http.StatusOK, fmt.Sprintf(`{"kv_ref":%q,"ntok":10}`, ref), seal), nil, "on", over
 	case n.service == "llm":
-		last, _ := strconv.Atoi(r.Header.Get(externalapi.LastEventID))
+		last, _ := strconv.Atoi(r.Header.Get(externalapi.HeaderLastEventID))
 		for i := last + 1; i <= drawnEvents; i++ {
 			e := fmt.Sprintf("id: %d\ndata: inside  %s\n\n", i, body)
 			events = append(events, fmt.Sprintf("%x\r\n%s\r\n", len(e), e))
 		}
-		head = fmt.Sprintf("HTTP/1.1 200 x\r\n%s: %s\r\n%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", externalapi.AttemptID, id, seal)
+		head = fmt.Sprintf("HTTP/1.1 200 x\r\n%s: %s\r\n%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", externalapi.HeaderAttemptID, id, seal)
 		if n.trouble == cuts {
 			return head, events[:len(events)/2], "cut", over
 		}
--- a/internal/fleet/proxy/drawn_test.go
+++ b/internal/fleet/proxy/drawn_test.go
@@ -66,12 +66,12 @@
 	r := httptest.NewRequest(http.MethodPost, "http://h/"+route+"/x", strings.NewReader("data"))
 	r = r.WithContext(context.WithValue(r.Context(), asked{}, true))
 	r.RequestURI = "/" + route + "/x"
-	r.Header.Set(externalapi.AttemptID, id)
+	r.Header.Set(externalapi.HeaderAttemptID, id)
 	if stream {
 		in := 50 + d.rng.IntN(4000)
-		r.Header.Set(externalapi.Model, "m")
-		r.Header.Set(externalapi.TokenCount, fmt.Sprintf("%d,%d", in, 1+d.rng.IntN(40)))
-		r.Header.Set(externalapi.Prefix, fmt.Sprintf("fa%02x:%d,%08x:20", d.rng.IntN(3), in-20, d.rng.Uint32()))
+		r.Header.Set(externalapi.HeaderModel, "m")
+		r.Header.Set(externalapi.HeaderTokenCount, fmt.Sprintf("%d,%d", in, 1+d.rng.IntN(40)))
+		r.Header.Set(externalapi.HeaderPromptPrefix, fmt.Sprintf("fa%02x:%d,%08x:20", d.rng.IntN(3), in-20, d.rng.Uint32()))
 	}
 	d.midway = d.rng.IntN(2) == 0
 	usable, calm := false, true // by the list, and all of those without trouble
@@ -130,7 +130,7 @@
 		if d.runs[id] > 0 {
 			bad("it has run")
 		}
-		if w.Header().Get(externalapi.RetryAfter) == "" {
+		if w.Header().Get(externalapi.HeaderRetryAfter) == "" {
 			bad("no time to come back")
 		}
 	case w.Code != http.StatusBadGateway && w.Code != http.StatusInternalServerError:
--- a/internal/fleet/proxy/enclosed.go
+++ b/internal/fleet/proxy/enclosed.go
@@ -126,7 +126,7 @@
 	if !at.Releases() {
 		return at.Lend(ctx, t.terms(), m.id)
 	}
-	if len(m.body) > 0 || len(m.header) > 0 || m.method != externalapi.Free.Method {
+	if len(m.body) > 0 || len(m.header) > 0 || m.method != externalapi.CallFreeKVHandle.Method {
 		return nil, residency.ErrOutside
 	}
 	return at.LendRelease(ctx, m.id)
--- a/internal/fleet/proxy/enclosed_rig_test.go
+++ b/internal/fleet/proxy/enclosed_rig_test.go
@@ -82,7 +82,7 @@
 }
 
 func testSettings(zones map[string]string) settings.Settings {
-	return settings.Settings{Nodename: "edge-1", Zone: "e1", Region: "east", Zones: zones, Heartbeat: time.Second, Limits: settings.Limits{Files: 4100},
+	return settings.Settings{NodeName: "edge-1", Zone: "e1", Region: "east", Zones: zones, Heartbeat: time.Second, Limits: settings.Limits{Files: 4100},
 		Bounds: settings.Bounds{Contact: 3 * time.Second, RetryRatio: 0.2, RetryExtra: 4000, RetryWindow: 10 * time.Second, Grace: 8 * time.Second}}
 }
 
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -68,9 +68,9 @@
 	}
 	for key, values := range m.header {
 		switch key {
-		case externalapi.DeadlineMs, externalapi.Target, externalapi.Stage, externalapi.KvFrom, externalapi.Priority, "Host":
+		case externalapi.HeaderDeadlineMs, externalapi.HeaderTargetBackend, externalapi.HeaderStage, externalapi.HeaderKVFrom, externalapi.HeaderPriority, "Host":
 			continue
-		case externalapi.LastEventID:
+		case externalapi.HeaderLastEventID:
 			if x.lastID != "" {
 				continue
 			}
@@ -79,19 +79,19 @@
 			line(key, v)
 		}
 	}
-	line(externalapi.DeadlineMs, strconv.FormatInt(max(time.Until(x.until).Milliseconds(), 1), 10))
-	line(externalapi.Target, x.target)
+	line(externalapi.HeaderDeadlineMs, strconv.FormatInt(max(time.Until(x.until).Milliseconds(), 1), 10))
+	line(externalapi.HeaderTargetBackend, x.target)
 	if x.stage != "" {
-		line(externalapi.Stage, x.stage)
+		line(externalapi.HeaderStage, x.stage)
 	}
 	if x.handle != nil {
-		line(externalapi.KvFrom, x.handle.at.Address()+"/"+x.handle.ref)
+		line(externalapi.HeaderKVFrom, x.handle.at.Address()+"/"+x.handle.ref)
 	}
 	if x.lastID != "" {
-		line(externalapi.LastEventID, x.lastID)
+		line(externalapi.HeaderLastEventID, x.lastID)
 	}
 	if x.priority >= 0 {
-		line(externalapi.Priority, strconv.Itoa(min(x.priority, 9)))
+		line(externalapi.HeaderPriority, strconv.Itoa(min(x.priority, 9)))
 	}
 	if len(m.body) > 0 || m.method != http.MethodGet && m.method != http.MethodHead {
 		line("Content-Length", strconv.Itoa(len(m.body)))
@@ -255,7 +255,7 @@
 
 // ownerOf tells whose answer one is.
 func ownerOf(resp *http.Response, id string) owner {
-	ids := resp.Header[externalapi.AttemptID]
+	ids := resp.Header[externalapi.HeaderAttemptID]
 	if len(ids) == 0 {
 		return ownerUntold
 	}
--- a/internal/fleet/proxy/exchange_client_test.go
+++ b/internal/fleet/proxy/exchange_client_test.go
@@ -67,10 +67,10 @@
 func requestText(path, id, body string) string {
 	more := ""
 	if strings.HasPrefix(path, "/free/") {
-		more = externalapi.Model + ": m\r\n" + externalapi.TokenCount + ": 100,2\r\n" + externalapi.Prefix + ": fa01:80,01:20\r\n"
+		more = externalapi.HeaderModel + ": m\r\n" + externalapi.HeaderTokenCount + ": 100,2\r\n" + externalapi.HeaderPromptPrefix + ": fa01:80,01:20\r\n"
 	}
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: 2000\r\n%sContent-Length: %d\r\n\r\n%s",
-		path, externalapi.AttemptID, id, externalapi.DeadlineMs, more, len(body), body)
+		path, externalapi.HeaderAttemptID, id, externalapi.HeaderDeadlineMs, more, len(body), body)
 }
 
 // await waits for a signal that has to come, and tells how long it took.
@@ -157,13 +157,13 @@
 			r.silent(func(a *wellAnswer) []byte { return a.framed() })
 			c, in := r.connect()
 			began := time.Now()
-			_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: one\r\n%s: %d\r\n%s", path, externalapi.AttemptID, externalapi.DeadlineMs, deadline.Milliseconds(), framing)
+			_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: one\r\n%s: %d\r\n%s", path, externalapi.HeaderAttemptID, externalapi.HeaderDeadlineMs, deadline.Milliseconds(), framing)
 			r.Assert(err, qt.IsNil)
 			resp, _ := r.answer(in)
 			took := time.Since(began)
 			r.Check(took < max(deadline, unreadWithin)+goneWithin, qt.IsTrue, qt.Commentf("after %v", took))
 			r.Check(resp.StatusCode, qt.Equals, status)
-			r.Check(resp.Header.Get(externalapi.AttemptID), qt.Equals, "one")
+			r.Check(resp.Header.Get(externalapi.HeaderAttemptID), qt.Equals, "one")
 			_, err = in.ReadByte()
 			r.Check(err, qt.Equals, io.EOF)
 			r.Check(r.arrived, qt.HasLen, 0)
@@ -201,7 +201,7 @@
 	forged := requestText("/freeread/x", "forged", "data")
 	_, err := io.WriteString(c, requestText("/freeread/x", "one", "data")+requestText("/nowhere/x", "two", forged)+
 		requestText("/freeread/x", "three", forged)+requestText("/freeread/x", "two words", forged)+
-		strings.Replace(requestText("/freeread/x", "twice", forged), "Content-Length", externalapi.AttemptID+": again\r\nContent-Length", 1)+
+		strings.Replace(requestText("/freeread/x", "twice", forged), "Content-Length", externalapi.HeaderAttemptID+": again\r\nContent-Length", 1)+
 		requestText("/freeread/x", "four", ""))
 	r.Assert(err, qt.IsNil)
 	for _, want := range []struct {
@@ -210,7 +210,7 @@
 	}{{"one", 200}, {"two", 404}, {"three", 200}, {"two words", 400}, {"twice", 400}, {"four", 200}} {
 		resp, body := r.answer(in)
 		r.Check(resp.StatusCode, qt.Equals, want.status)
-		r.Check(resp.Header.Get(externalapi.AttemptID), qt.Equals, want.id)
+		r.Check(resp.Header.Get(externalapi.HeaderAttemptID), qt.Equals, want.id)
 		if want.status == http.StatusOK {
 			r.Check(body, qt.Equals, "answer to "+want.id)
 		}
@@ -235,7 +235,7 @@
 			r := newClientRig(t, requestKind{route: "freeread"})
 			r.silent(func(a *wellAnswer) []byte { return a.framed() })
 			c, in := r.connect()
-			_, err := io.WriteString(c, "POST /freeread/x HTTP/1.1\r\nHost: h\r\n"+externalapi.AttemptID+": one\r\n"+head+"\r\ndata")
+			_, err := io.WriteString(c, "POST /freeread/x HTTP/1.1\r\nHost: h\r\n"+externalapi.HeaderAttemptID+": one\r\n"+head+"\r\ndata")
 			r.Assert(err, qt.IsNil)
 			resp, _ := r.answer(in)
 			r.Check(resp.StatusCode/100 == 4 || resp.StatusCode == http.StatusNotImplemented, qt.IsTrue, qt.Commentf("%d", resp.StatusCode))
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -245,26 +245,26 @@
 	r := b.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.struck == nil && req.Header.Get(externalapi.AttemptID) == victimID && b.id == r.struckBackend() && req.Method != externalapi.Free.Method
+	return r.struck == nil && req.Header.Get(externalapi.HeaderAttemptID) == victimID && b.id == r.struckBackend() && req.Method != externalapi.CallFreeKVHandle.Method
 }
 
 // well is the answer that a request gets where all is well.
 func (b *scriptedBackend) well(req *http.Request) *wellAnswer {
-	id := req.Header.Get(externalapi.AttemptID)
-	a := &wellAnswer{id: id, bare: req.Method == http.MethodHead, head: "HTTP/1.1 200 OK\r\n" + externalapi.AttemptID + ": " + id + "\r\n"}
+	id := req.Header.Get(externalapi.HeaderAttemptID)
+	a := &wellAnswer{id: id, bare: req.Method == http.MethodHead, head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n"}
 	switch {
-	case req.Method == externalapi.Free.Method:
-	case req.Header.Get(externalapi.Stage) != "":
+	case req.Method == externalapi.CallFreeKVHandle.Method:
+	case req.Header.Get(externalapi.HeaderStage) != "":
 		a.head += "Content-Type: application/json\r\n"
 		a.body = fmt.Sprintf(`{"kv_ref":%q,"ntok":10,"ver":1}`, b.rig.newHandle(b.address, id))
 	case b.service == "llm":
-		a.head += externalapi.Seal + ": of-" + id + "\r\nContent-Type: text/event-stream\r\n"
-		last, _ := strconv.Atoi(req.Header.Get(externalapi.LastEventID))
+		a.head += externalapi.HeaderBackendSeal + ": of-" + id + "\r\nContent-Type: text/event-stream\r\n"
+		last, _ := strconv.Atoi(req.Header.Get(externalapi.HeaderLastEventID))
 		for i := last + 1; i <= exchangeEvents; i++ {
 			a.body += fmt.Sprintf("id: %d\ndata: answer to %s\n\n", i, id)
 		}
 	default:
-		a.head += externalapi.Seal + ": of-" + id + "\r\n"
+		a.head += externalapi.HeaderBackendSeal + ": of-" + id + "\r\n"
 		a.body = "answer to " + id
 	}
 	return a
@@ -282,13 +282,13 @@
 // judge notes a request that has come, and what no request may do. The rig is locked.
 func (b *scriptedBackend) judge(req *http.Request, says reply) {
 	r := b.rig
-	id := req.Header.Get(externalapi.AttemptID)
-	at := reach{id: id, backend: b.id, stage: req.Header.Get(externalapi.Stage), handle: req.Header.Get(externalapi.KvFrom), proved: says.proves, at: time.Now()}
-	freeing := req.Method == externalapi.Free.Method
+	id := req.Header.Get(externalapi.HeaderAttemptID)
+	at := reach{id: id, backend: b.id, stage: req.Header.Get(externalapi.HeaderStage), handle: req.Header.Get(externalapi.HeaderKVFrom), proved: says.proves, at: time.Now()}
+	freeing := req.Method == externalapi.CallFreeKVHandle.Method
 	if freeing {
 		at.stage = "free"
 	}
-	if ids := req.Header[externalapi.AttemptID]; len(ids) != 1 && !freeing {
+	if ids := req.Header[externalapi.HeaderAttemptID]; len(ids) != 1 && !freeing {
 		r.find("a request with the ids %q", ids)
 	}
 	b.judgeDeadline(req, freeing)
@@ -298,7 +298,7 @@
 	r.reaches = append(r.reaches, at)
 	switch {
 	case freeing:
-		ref := b.address + "/" + strings.TrimPrefix(req.URL.Path, externalapi.Free.Path)
+		ref := b.address + "/" + strings.TrimPrefix(req.URL.Path, externalapi.CallFreeKVHandle.Path)
 		if owner := r.handles[ref]; owner != r.asking {
 			r.find("%s's handle %s is freed as %s ends", owner, ref, r.asking)
 		}
@@ -319,9 +319,9 @@
 // judgeDeadline looks at how much time a backend is given. The rig is locked.
 func (b *scriptedBackend) judgeDeadline(req *http.Request, freeing bool) {
 	r := b.rig
-	given, err := strconv.Atoi(req.Header.Get(externalapi.DeadlineMs))
-	if err != nil || len(req.Header[externalapi.DeadlineMs]) != 1 {
-		r.find("%s is given the deadline %q", b.id, req.Header[externalapi.DeadlineMs])
+	given, err := strconv.Atoi(req.Header.Get(externalapi.HeaderDeadlineMs))
+	if err != nil || len(req.Header[externalapi.HeaderDeadlineMs]) != 1 {
+		r.find("%s is given the deadline %q", b.id, req.Header[externalapi.HeaderDeadlineMs])
 		return
 	}
 	left := r.deadline - time.Since(r.came)
@@ -353,12 +353,12 @@
 	}
 	req := httptest.NewRequestWithContext(ctx, method, "/"+r.kind.route+"/x", strings.NewReader(body))
 	req.Host = "h"
-	req.Header.Set(externalapi.AttemptID, id)
-	req.Header.Set(externalapi.DeadlineMs, strconv.FormatInt(exchangeDeadline.Milliseconds(), 10))
+	req.Header.Set(externalapi.HeaderAttemptID, id)
+	req.Header.Set(externalapi.HeaderDeadlineMs, strconv.FormatInt(exchangeDeadline.Milliseconds(), 10))
 	if r.kind.stream() {
-		req.Header.Set(externalapi.Model, "m")
-		req.Header.Set(externalapi.TokenCount, "6000,2")
-		req.Header.Set(externalapi.Prefix, "fa01:5980,"+strconv.Itoa(len(id))+":20")
+		req.Header.Set(externalapi.HeaderModel, "m")
+		req.Header.Set(externalapi.HeaderTokenCount, "6000,2")
+		req.Header.Set(externalapi.HeaderPromptPrefix, "fa01:5980,"+strconv.Itoa(len(id))+":20")
 	}
 	return req
 }
@@ -441,10 +441,10 @@
 	if o.took > exchangeDeadline {
 		bad("too late")
 	}
-	if got := o.header[externalapi.AttemptID]; o.status != 0 && !slices.Equal(got, []string{id}) {
+	if got := o.header[externalapi.HeaderAttemptID]; o.status != 0 && !slices.Equal(got, []string{id}) {
 		bad("it bears the ids %q", got)
 	}
-	seal := o.header.Get(externalapi.Seal)
+	seal := o.header.Get(externalapi.HeaderBackendSeal)
 	if seal != "" && seal != "of-"+id {
 		bad("it bears the seal %q", seal)
 	}
--- a/internal/fleet/proxy/exchange_test.go
+++ b/internal/fleet/proxy/exchange_test.go
@@ -146,7 +146,7 @@
 // TestAnswerBeforeTheBody has a backend answer when it has so many bytes of a request: its answer counts, whether it reads on or
 // not, and no other request goes on a connection on which a part of this one is due.
 func TestAnswerBeforeTheBody(t *testing.T) {
-	const notRunHead = "HTTP/1.1 503 x\r\n" + externalapi.AttemptID + ": " + victimID + "\r\n" + externalapi.NotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
+	const notRunHead = "HTTP/1.1 503 x\r\n" + externalapi.HeaderAttemptID + ": " + victimID + "\r\n" + externalapi.HeaderNotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		head := strings.Index(string(well.request), "\r\n\r\n") + 4
 		for _, k := range requestBytes(len(well.request) - 1) {
@@ -177,16 +177,16 @@
 		}}
 	}
 	other := func(status int, more, body string) string {
-		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: other\r\n%s: of-other\r\n%sContent-Length: %d\r\n\r\n%s", status, externalapi.AttemptID, externalapi.Seal, more, len(body), body)
+		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: other\r\n%s: of-other\r\n%sContent-Length: %d\r\n\r\n%s", status, externalapi.HeaderAttemptID, externalapi.HeaderBackendSeal, more, len(body), body)
 	}
 	surplus := other(200, "", `{"kv_ref":"of-other","ntok":1,"note":"answer to other"}`)
 	failure := func(status int, more string) []byte {
-		return fmt.Appendf(nil, "HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: 4\r\n\r\nfull", status, externalapi.AttemptID, victimID, more)
+		return fmt.Appendf(nil, "HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: 4\r\n\r\nfull", status, externalapi.HeaderAttemptID, victimID, more)
 	}
-	seal := externalapi.Seal + ": of-" + victimID + "\r\n"
-	notRunLine := externalapi.NotRun + ": 1\r\n"
+	seal := externalapi.HeaderBackendSeal + ": of-" + victimID + "\r\n"
+	notRunLine := externalapi.HeaderNotRun + ": 1\r\n"
 	withoutID := func(b []byte) []byte {
-		return []byte(strings.Replace(string(b), externalapi.AttemptID+": "+victimID+"\r\n", "", 1))
+		return []byte(strings.Replace(string(b), externalapi.HeaderAttemptID+": "+victimID+"\r\n", "", 1))
 	}
 	all := []breakage{
 		say("served: another's answer ahead", func(a *wellAnswer, _ bool) reply { return reply{bytes: append([]byte(surplus), a.framed()...)} }),
@@ -212,13 +212,13 @@
 		}),
 		say("421 without an id", func(_ *wellAnswer, fresh bool) reply { return reply{bytes: withoutID(failure(421, "")), proves: fresh} }),
 		say("two ids", func(a *wellAnswer, _ bool) reply {
-			return reply{bytes: []byte(strings.Replace(string(a.framed()), seal, externalapi.AttemptID+": other\r\n"+seal, 1) + "")}
+			return reply{bytes: []byte(strings.Replace(string(a.framed()), seal, externalapi.HeaderAttemptID+": other\r\n"+seal, 1) + "")}
 		}),
 		say("not run, of two ids", func(*wellAnswer, bool) reply {
-			return reply{bytes: failure(503, notRunLine+externalapi.AttemptID+": other\r\n")}
+			return reply{bytes: failure(503, notRunLine+externalapi.HeaderAttemptID+": other\r\n")}
 		}),
 		say("served: the id twice", func(a *wellAnswer, _ bool) reply {
-			id := externalapi.AttemptID + ": " + victimID + "\r\n"
+			id := externalapi.HeaderAttemptID + ": " + victimID + "\r\n"
 			return reply{bytes: []byte(strings.Replace(string(a.framed()), id, id+id, 1))}
 		}),
 		say("served: twice", func(a *wellAnswer, _ bool) reply { return reply{bytes: append(a.framed(), a.framed()...)} }),
@@ -231,7 +231,7 @@
 		say("served: and reset", func(a *wellAnswer, _ bool) reply { return reply{bytes: a.framed(), end: errReset} }),
 		say("served: no length, to its end", func(a *wellAnswer, _ bool) reply { return reply{bytes: a.unframed(), end: io.EOF} }),
 		say("served: in chunks with trailers", func(a *wellAnswer, _ bool) reply {
-			return reply{bytes: a.chunked(externalapi.Seal + ": of-other\r\n" + externalapi.AttemptID + ": other\r\n")}
+			return reply{bytes: a.chunked(externalapi.HeaderBackendSeal + ": of-other\r\n" + externalapi.HeaderAttemptID + ": other\r\n")}
 		}),
 		say("served: interim answers ahead", func(a *wellAnswer, _ bool) reply {
 			return reply{bytes: append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"), a.framed()...)}
--- a/internal/fleet/proxy/feed.go
+++ b/internal/fleet/proxy/feed.go
@@ -18,7 +18,7 @@
 	pause := distribution.Backoff{Min: 5 * time.Millisecond, Max: 100 * time.Millisecond}
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := distribution.Watch(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Watcher{Name: v.set.Nodename, MaxWait: v.set.Heartbeat, ReadTimeout: time.Second,
+		err := distribution.Watch(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Watcher{Name: v.set.NodeName, MaxWait: v.set.Heartbeat, ReadTimeout: time.Second,
 			Members:  func() []distribution.Member { return []distribution.Member{v.member(time.Now())} },
 			Versions: func() map[string]distribution.Version { return maps.Clone(v.have) },
 			Apply:    func(n *distribution.Response) []string { v.take(n); return nil },
@@ -37,7 +37,7 @@
 
 // member is this proxy as its lease tells of it.
 func (v *Proxy) member(now time.Time) distribution.Member {
-	m := distribution.Member{Name: v.set.Nodename, Zone: v.set.Zone, BackendListVersion: v.have[distribution.BackendListType]}
+	m := distribution.Member{Name: v.set.NodeName, Zone: v.set.Zone, BackendListVersion: v.have[distribution.BackendListType]}
 	if v.doc != nil {
 		m.ConfigVersion, m.ConfigAgeMs = v.doc.Version(), now.Sub(v.docAt).Milliseconds()
 	}
--- a/internal/fleet/proxy/generate.go
+++ b/internal/fleet/proxy/generate.go
@@ -53,7 +53,7 @@
 		return nil, wrote, err
 	}
 	resp := e.resp
-	t.svc.told(b.ID, resp.Header.Get(externalapi.Load))
+	t.svc.told(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
 	body, err := e.body(maxHandleAnswer)
 	var ans struct {
 		Ref    string `json:"kv_ref"`
@@ -83,7 +83,7 @@
 	v.background.Go(func() {
 		ctx, cancel := context.WithTimeout(v.ctx, freeWithin)
 		defer cancel()
-		m := message{id: t.m.id, method: externalapi.Free.Method, target: externalapi.Free.Path + h.ref, host: h.from.Address}
+		m := message{id: t.m.id, method: externalapi.CallFreeKVHandle.Method, target: externalapi.CallFreeKVHandle.Path + h.ref, host: h.from.Address}
 		until := time.Now().Add(freeWithin)
 		if late := t.deadline.Add(freeLate); late.Before(until) {
 			until = late // nobody is handed much more time than the client gave
--- a/internal/fleet/proxy/leaks_test.go
+++ b/internal/fleet/proxy/leaks_test.go
@@ -86,7 +86,7 @@
 	{"retries go anywhere, on drawn days", days, map[string][]string{fileEnclosure: noCheck, fileServe: {"t.svc.pick(key, t.repeatable(), t.tried, t.terms())", "t.svc.pick(key, t.repeatable(), t.tried, map[bool]residency.Terms{true: t.terms()}[len(t.tried) == 0])"}}},
 	{"streams are resumed anywhere, on drawn days", days, map[string][]string{fileEnclosure: noCheck, fileStream: {"t.tried, false, t.terms())", "t.tried, false, residency.Terms{})", `"molepaddle/internal/fleet/scheduler"`, "\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\""}}},
 	{"a corrected zone is not taken over, on drawn days", days, map[string][]string{fileService: {"old.plot.Relist(b.Zone)", ""}}},
-	{"an address is taken for the backend that had it", days, map[string][]string{fileExchange: {"line(externalapi.Target, x.target)", "_ = x.target"}}},
+	{"an address is taken for the backend that had it", days, map[string][]string{fileExchange: {"line(externalapi.HeaderTargetBackend, x.target)", "_ = x.target"}}},
 	{"what may have run is refused", days, map[string][]string{fileAnswer: {"case t.ran:\n\t\tt.v.refuse(t.w, http.StatusBadGateway, 0, why)", "case t.ran:\n\t\tt.v.refuse(t.w, http.StatusServiceUnavailable, soonAgain, why)"}}},
 	{"what may have run is sent again", days, map[string][]string{fileServe: {"(!t.ran || t.route.Idempotent()) && t.sends", "t.sends"}}},
 }
--- a/internal/fleet/proxy/ledger.go
+++ b/internal/fleet/proxy/ledger.go
@@ -174,7 +174,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOverWithin)
 	defer cancel()
-	_ = distribution.Watch(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Watcher{Name: v.set.Nodename, ReadTimeout: handOverWithin,
+	_ = distribution.Watch(ctx, distribution.NodeAgentAddr(v.set.Ports), &distribution.Watcher{Name: v.set.NodeName, ReadTimeout: handOverWithin,
 		Members:   func() []distribution.Member { return nil },
 		Versions:  func() map[string]distribution.Version { return nil },
 		Apply:     func(*distribution.Response) []string { return nil },
--- a/internal/fleet/proxy/outcomes.go
+++ b/internal/fleet/proxy/outcomes.go
@@ -221,7 +221,7 @@
 			last = now
 		}
 		if len(told) > 0 {
-			v.outcomes.Put(distribution.OutcomeReport{Proxy: v.set.Nodename, Zone: v.set.Zone, Outcomes: told})
+			v.outcomes.Put(distribution.OutcomeReport{Proxy: v.set.NodeName, Zone: v.set.Zone, Outcomes: told})
 		}
 	}
 }
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -32,9 +32,9 @@
 	c := qt.New(t)
 	client := http.Header{}
 	for key, value := range map[string]string{
-		externalapi.Model: "m", externalapi.TokenCount: "120,8", externalapi.Prefix: "fa01:100", "X-Own": "kept",
-		externalapi.Stage: "prefill", externalapi.KvFrom: "10.0.0.9:80/stolen", externalapi.Priority: "0", externalapi.Target: "b9",
-		externalapi.DeadlineMs: "999999", externalapi.LastEventID: "3",
+		externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "kept",
+		externalapi.HeaderStage: "prefill", externalapi.HeaderKVFrom: "10.0.0.9:80/stolen", externalapi.HeaderPriority: "0", externalapi.HeaderTargetBackend: "b9",
+		externalapi.HeaderDeadlineMs: "999999", externalapi.HeaderLastEventID: "3",
 		"Connection": "X-Hop", "X-Hop": "1", "Transfer-Encoding": "chunked", "Keep-Alive": "x", "Upgrade": "h2c",
 	} {
 		client.Set(key, value)
@@ -52,23 +52,23 @@
 		for _, key := range []string{"Connection", "X-Hop", "Keep-Alive", "Upgrade"} {
 			c.Check(req.Header.Values(key), qt.HasLen, 0, qt.Commentf("%s", key))
 		}
-		for key, want := range map[string]string{externalapi.Model: "m", externalapi.TokenCount: "120,8", externalapi.Prefix: "fa01:100", "X-Own": "kept"} {
+		for key, want := range map[string]string{externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "kept"} {
 			c.Check(req.Header.Values(key), qt.DeepEquals, []string{want}, qt.Commentf("%s", key))
 		}
 		return req
 	}
 	plainSend := read(extra{target: "b1", until: time.Now().Add(1500 * time.Millisecond), priority: -1})
-	c.Check(plainSend.Header.Values(externalapi.Target), qt.DeepEquals, []string{"b1"})
-	c.Check(plainSend.Header.Values(externalapi.DeadlineMs), qt.DeepEquals, []string{"1500"})
-	c.Check(plainSend.Header.Values(externalapi.LastEventID), qt.DeepEquals, []string{"3"})
-	for _, key := range []string{externalapi.Stage, externalapi.KvFrom, externalapi.Priority} {
+	c.Check(plainSend.Header.Values(externalapi.HeaderTargetBackend), qt.DeepEquals, []string{"b1"})
+	c.Check(plainSend.Header.Values(externalapi.HeaderDeadlineMs), qt.DeepEquals, []string{"1500"})
+	c.Check(plainSend.Header.Values(externalapi.HeaderLastEventID), qt.DeepEquals, []string{"3"})
+	for _, key := range []string{externalapi.HeaderStage, externalapi.HeaderKVFrom, externalapi.HeaderPriority} {
 		c.Check(plainSend.Header.Values(key), qt.HasLen, 0, qt.Commentf("%s is the proxy's to set", key))
 	}
 	resumed := read(extra{target: "b2", until: time.Now().Add(-time.Second), priority: 12, stage: "prefill", lastID: "7"})
-	c.Check(resumed.Header.Values(externalapi.DeadlineMs), qt.DeepEquals, []string{"1"})
-	c.Check(resumed.Header.Values(externalapi.LastEventID), qt.DeepEquals, []string{"7"})
-	c.Check(resumed.Header.Values(externalapi.Priority), qt.DeepEquals, []string{"9"})
-	c.Check(resumed.Header.Values(externalapi.Stage), qt.DeepEquals, []string{"prefill"})
+	c.Check(resumed.Header.Values(externalapi.HeaderDeadlineMs), qt.DeepEquals, []string{"1"})
+	c.Check(resumed.Header.Values(externalapi.HeaderLastEventID), qt.DeepEquals, []string{"7"})
+	c.Check(resumed.Header.Values(externalapi.HeaderPriority), qt.DeepEquals, []string{"9"})
+	c.Check(resumed.Header.Values(externalapi.HeaderStage), qt.DeepEquals, []string{"prefill"})
 	c.Check(strings.Contains(string(m.head(&extra{target: "b1"})), "stolen"), qt.IsFalse)
 }
 
@@ -155,8 +155,8 @@
 			if err != nil {
 				return
 			}
-			id := req.Header.Get(externalapi.AttemptID)
-			answer := "HTTP/1.1 200 OK\r\n" + externalapi.AttemptID + ": " + id + "\r\n" + externalapi.Seal + ": s-" + id + "\r\nContent-Length: 2\r\n\r\nok"
+			id := req.Header.Get(externalapi.HeaderAttemptID)
+			answer := "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n" + externalapi.HeaderBackendSeal + ": s-" + id + "\r\nContent-Length: 2\r\n\r\nok"
 			if _, err := io.WriteString(conn, answer); err != nil {
 				return
 			}
@@ -228,7 +228,7 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, strings.ReplaceAll(text, "ID", req.Header.Get(externalapi.AttemptID)))
+		_, _ = io.WriteString(conn, strings.ReplaceAll(text, "ID", req.Header.Get(externalapi.HeaderAttemptID)))
 		if reset {
 			_ = conn.(*net.TCPConn).SetLinger(0)
 		}
@@ -238,7 +238,7 @@
 // TestUnframedAnswers: an answer without a length is whole where its connection ends in order, and never taken for whole where
 // that is reset.
 func TestUnframedAnswers(t *testing.T) {
-	const text = "HTTP/1.1 200 OK\r\n" + externalapi.AttemptID + ": ID\r\n" + externalapi.Seal + ": s1\r\nVersions: 9\r\n\r\nall of it"
+	const text = "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": ID\r\n" + externalapi.HeaderBackendSeal + ": s1\r\nVersions: 9\r\n\r\nall of it"
 	for _, reset := range []bool{false, true} {
 		r := newRig(t)
 		r.relist([]distribution.Backend{{ID: "raw", Service: "obs", Address: rawAnswers(t, text, reset), Zone: "e1", Capacity: 8}})
@@ -246,7 +246,7 @@
 		req, err := http.NewRequest(http.MethodPost, r.server.URL+"/post/x", strings.NewReader("body"))
 		r.Assert(err, qt.IsNil)
 		req.Host = "h"
-		req.Header.Set(externalapi.AttemptID, "a1")
+		req.Header.Set(externalapi.HeaderAttemptID, "a1")
 		resp, err := testkit.Client.Do(req)
 		r.Assert(err, qt.IsNil)
 		body, err := io.ReadAll(resp.Body)
@@ -265,7 +265,7 @@
 // TestVersionsGoOn: a stream's versions, in its head and within an event, reach the client as they came.
 func TestVersionsGoOn(t *testing.T) {
 	const events = "id: 1\ndata: a\n\nversions: 10\nid: 2\ndata: b\n\n"
-	text := "HTTP/1.1 200 OK\r\n" + externalapi.AttemptID + ": ID\r\n" + externalapi.Seal + ": s1\r\nVersions: 9\r\nContent-Type: text/event-stream\r\n" +
+	text := "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": ID\r\n" + externalapi.HeaderBackendSeal + ": s1\r\nVersions: 9\r\nContent-Type: text/event-stream\r\n" +
 		fmt.Sprintf("Content-Length: %d\r\n\r\n", len(events)) + events
 	r := newRig(t)
 	r.relist([]distribution.Backend{{ID: "raw", Service: "llm", Address: rawAnswers(t, text, false), Zone: "e1", Capacity: 8, Phase: externalapi.PhaseDecode}})
@@ -273,9 +273,9 @@
 	req, err := http.NewRequest(http.MethodPost, r.server.URL+"/once/x", strings.NewReader("body"))
 	r.Assert(err, qt.IsNil)
 	req.Host = "h"
-	req.Header.Set(externalapi.AttemptID, "a1")
-	req.Header.Set(externalapi.Model, "m")
-	req.Header.Set(externalapi.TokenCount, "20,2")
+	req.Header.Set(externalapi.HeaderAttemptID, "a1")
+	req.Header.Set(externalapi.HeaderModel, "m")
+	req.Header.Set(externalapi.HeaderTokenCount, "20,2")
 	resp, err := testkit.Client.Do(req)
 	r.Assert(err, qt.IsNil)
 	body, err := io.ReadAll(resp.Body)
--- a/internal/fleet/proxy/serve.go
+++ b/internal/fleet/proxy/serve.go
@@ -72,8 +72,8 @@
 		v.awaitWorld(r.Context())
 	}
 	world := v.world.Load()
-	if id := r.Header.Get(externalapi.AttemptID); id != "" {
-		w.Header()[externalapi.AttemptID] = []string{id}
+	if id := r.Header.Get(externalapi.HeaderAttemptID); id != "" {
+		w.Header()[externalapi.HeaderAttemptID] = []string{id}
 	}
 	if world == nil || world.index == nil {
 		v.refuse(w, http.StatusServiceUnavailable, 200*time.Millisecond, "no configuration yet")
@@ -89,16 +89,16 @@
 		v.refuse(w, http.StatusNotFound, 0, "no route")
 		return
 	}
-	id := r.Header.Get(externalapi.AttemptID)
-	if !plain(id) || len(r.Header[externalapi.AttemptID]) != 1 {
-		v.refuse(w, http.StatusBadRequest, 0, externalapi.AttemptID+": missing, several or no plain word")
+	id := r.Header.Get(externalapi.HeaderAttemptID)
+	if !plain(id) || len(r.Header[externalapi.HeaderAttemptID]) != 1 {
+		v.refuse(w, http.StatusBadRequest, 0, externalapi.HeaderAttemptID+": missing, several or no plain word")
 		return
 	}
 	wait := route.Deadline()
-	if text := r.Header.Get(externalapi.DeadlineMs); text != "" {
+	if text := r.Header.Get(externalapi.HeaderDeadlineMs); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || ms <= 0 {
-			v.refuse(w, http.StatusBadRequest, 0, externalapi.DeadlineMs+": no number above 0")
+			v.refuse(w, http.StatusBadRequest, 0, externalapi.HeaderDeadlineMs+": no number above 0")
 			return
 		}
 		if told := time.Duration(ms * float64(time.Millisecond)); told < wait || wait <= 0 {
@@ -150,7 +150,7 @@
 	t.svc.mu.Unlock()
 	var prompt *scheduler.Prompt
 	if model {
-		if p, ok := scheduler.ParsePrompt(r.Header.Get(externalapi.Model), r.Header.Get(externalapi.TokenCount), r.Header.Get(externalapi.Prefix)); ok {
+		if p, ok := scheduler.ParsePrompt(r.Header.Get(externalapi.HeaderModel), r.Header.Get(externalapi.HeaderTokenCount), r.Header.Get(externalapi.HeaderPromptPrefix)); ok {
 			prompt = &p
 		}
 	}
@@ -302,7 +302,7 @@
 		status = judge(wrote, err)
 		return false, err
 	}
-	if e.resp.Header.Get("Content-Encoding") != "" || e.resp.StatusCode < 300 && e.resp.Header.Get(externalapi.Seal) == "" {
+	if e.resp.Header.Get("Content-Encoding") != "" || e.resp.StatusCode < 300 && e.resp.Header.Get(externalapi.HeaderBackendSeal) == "" {
 		e.end(false)
 		t.ran = true
 		status = policy.Error
@@ -310,7 +310,7 @@
 	}
 	e.readUntil(t.deadline)
 	resp := e.resp
-	t.svc.told(id, resp.Header.Get(externalapi.Load))
+	t.svc.told(id, resp.Header.Get(externalapi.HeaderBackendLoad))
 	body, err := e.body(maxAnswer)
 	switch {
 	case err != nil:
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -69,8 +69,8 @@
 		return false, err
 	}
 	resp := e.resp
-	t.svc.told(b.ID, resp.Header.Get(externalapi.Load))
-	if resp.StatusCode >= 300 || resp.Header.Get("Content-Encoding") != "" || resp.Header.Get(externalapi.Seal) == "" {
+	t.svc.told(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
+	if resp.StatusCode >= 300 || resp.Header.Get("Content-Encoding") != "" || resp.Header.Get(externalapi.HeaderBackendSeal) == "" {
 		e.readUntil(time.Now().Add(time.Second))
 		body, err := e.body(maxAnswer)
 		switch {
@@ -303,7 +303,7 @@
 		done := false
 		if err != nil {
 			status = judge(wrote, err)
-		} else if resp := e.resp; resp.StatusCode != http.StatusOK || resp.Header.Get(externalapi.Seal) == "" || resp.Header.Get("Content-Encoding") != "" || !isEvents(resp) {
+		} else if resp := e.resp; resp.StatusCode != http.StatusOK || resp.Header.Get(externalapi.HeaderBackendSeal) == "" || resp.Header.Get("Content-Encoding") != "" || !isEvents(resp) {
 			status = policy.Error
 			if notRun(resp) {
 				status = policy.Full
--- a/internal/fleet/scaletest/operator.go
+++ b/internal/fleet/scaletest/operator.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		req.Header.Set(externalapi.BaseVersion, strconv.FormatInt(o.version, 10))
+		req.Header.Set(externalapi.HeaderBaseVersion, strconv.FormatInt(o.version, 10))
 		resp, err := o.client.Do(req)
 		if err != nil {
 			last = err
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	if err := o.call(ctx, &externalapi.Replace, b); err != nil {
+	if err := o.call(ctx, &externalapi.CallReplace, b); err != nil {
 		return err
 	}
 	o.version++
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	if err := o.call(ctx, &externalapi.Update, b); err != nil {
+	if err := o.call(ctx, &externalapi.CallUpdate, b); err != nil {
 		return err
 	}
 	o.version++
@@ -105,4 +105,4 @@
 }
 
 // show waits until a control server shows the configuration: a primary is there, and its view stands.
-func (o *operator) show(ctx context.Context) error { return o.call(ctx, &externalapi.Show, nil) }
+func (o *operator) show(ctx context.Context) error { return o.call(ctx, &externalapi.CallShow, nil) }
--- a/internal/fleet/scaletest/proxy.go
+++ b/internal/fleet/scaletest/proxy.go
@@ -131,7 +131,7 @@
 	defer cancel()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		req, err := http.NewRequestWithContext(ctx, externalapi.Ready.Method, "http://"+addr+externalapi.Ready.Path, nil)
+		req, err := http.NewRequestWithContext(ctx, externalapi.CallReady.Method, "http://"+addr+externalapi.CallReady.Path, nil)
 		if err != nil {
 			return err
 		}
@@ -204,10 +204,10 @@
 	}
 	tenant := rand.IntN(tenants)
 	req.Host = r.Host
-	req.Header.Set(externalapi.AttemptID, fmt.Sprintf("%08x%08x", i, rand.Uint32()))
-	req.Header.Set(externalapi.Model, "m")
-	req.Header.Set(externalapi.TokenCount, fmt.Sprintf("%d,%d", promptTokens, t.Events))
-	req.Header.Set(externalapi.Prefix, fmt.Sprintf("aaaaaaaa:800,%08x:410,%08x:250", tenant, rand.Uint32()))
+	req.Header.Set(externalapi.HeaderAttemptID, fmt.Sprintf("%08x%08x", i, rand.Uint32()))
+	req.Header.Set(externalapi.HeaderModel, "m")
+	req.Header.Set(externalapi.HeaderTokenCount, fmt.Sprintf("%d,%d", promptTokens, t.Events))
+	req.Header.Set(externalapi.HeaderPromptPrefix, fmt.Sprintf("aaaaaaaa:800,%08x:410,%08x:250", tenant, rand.Uint32()))
 	began := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
@@ -256,14 +256,14 @@
 }
 
 func (t *ProxyTrial) answer(c net.Conn, req *http.Request) error {
-	id := req.Header.Get(externalapi.AttemptID)
-	if req.Header.Get(externalapi.Stage) == externalapi.PhasePrefill || strings.HasPrefix(req.URL.Path, externalapi.Free.Path) {
+	id := req.Header.Get(externalapi.HeaderAttemptID)
+	if req.Header.Get(externalapi.HeaderStage) == externalapi.PhasePrefill || strings.HasPrefix(req.URL.Path, externalapi.CallFreeKVHandle.Path) {
 		body := fmt.Sprintf(`{"kv_ref":"h%s","ntok":%d,"ver":1}`, id, promptTokens)
-		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: 3,0,64\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", externalapi.AttemptID, id, externalapi.Load, len(body), body)
+		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: 3,0,64\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", externalapi.HeaderAttemptID, id, externalapi.HeaderBackendLoad, len(body), body)
 		return err
 	}
 	if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n%s: 3,0,64\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-		externalapi.AttemptID, id, externalapi.Seal, externalapi.Load); err != nil {
+		externalapi.HeaderAttemptID, id, externalapi.HeaderBackendSeal, externalapi.HeaderBackendLoad); err != nil {
 		return err
 	}
 	for i := range t.Events {
--- a/internal/fleet/scaletest/scaletest_test.go
+++ b/internal/fleet/scaletest/scaletest_test.go
@@ -45,13 +45,13 @@
 	got, calls, err := client.List(context.Background())
 	c.Assert(err, qt.IsNil)
 	c.Assert(calls, qt.Equals, 3)
-	externalapi.Sort(&got)
+	externalapi.SortByID(&got)
 	c.Assert(got, qt.DeepEquals, want)
 	p.Toggle(7)
 	want.Backends[7].Draining = true
 	got, _, err = client.List(context.Background())
 	c.Assert(err, qt.IsNil)
-	externalapi.Sort(&got)
+	externalapi.SortByID(&got)
 	c.Assert(got, qt.DeepEquals, want)
 }
 
--- a/internal/fleet/settings/check.go
+++ b/internal/fleet/settings/check.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// ownPorts is how many ports of port_range the system's own programs use (distribution's ports).
-const ownPorts = 3
+// minPorts is how many ports of port_range the system's own programs use (distribution's ports).
+const minPorts = 3
 
 // Check finds what a settings file that can be used still lacks for what the process serves; name is the file's. A
 // program starts all the same, but some of its work can't be done: it listens at a port that nobody knows, or hears of no
 // backend. None: nothing is lacking.
 func (s Settings) Check(name string) Findings {
-	var found Findings
-	need := func(ok bool, key, text string) {
+	var findings Findings
+	require := func(ok bool, key, text string) {
 		if !ok {
-			found = append(found, Finding{File: name, Key: key, Text: text})
+			findings = append(findings, Finding{File: name, Key: key, Text: text})
 		}
 	}
 	edge, control := slices.Contains(s.Roles, "edge"), slices.Contains(s.Roles, "ctl")
-	need(s.Ports[1]-s.Ports[0]+1 >= ownPorts, "port_range", "must hold 3 ports or more: the programs use that many among themselves")
-	need(!edge || s.Bind.Edge != "", "bind.edge", "must be given where roles has edge")
-	need(!edge || s.Bind.Ready != "", "bind.readyz", "must be given where roles has edge")
-	need(!control || s.Bind.Control != "", "bind.ctl", "must be given where roles has ctl")
-	need(!control || s.DataDir != "", "datadir", "must be given where roles has ctl: the record lies there")
-	need(len(s.Seeds) > 0, "peers", "must not be empty: nobody else is known")
-	need(s.Provider.Address != "", "provider.address", "must be given: no backend is known without it")
+	require(s.Ports[1]-s.Ports[0]+1 >= minPorts, "port_range", "must hold 3 ports or more: the programs use that many among themselves")
+	require(!edge || s.Bind.Edge != "", "bind.edge", "must be given where roles has edge")
+	require(!edge || s.Bind.Ready != "", "bind.readyz", "must be given where roles has edge")
+	require(!control || s.Bind.Control != "", "bind.ctl", "must be given where roles has ctl")
+	require(!control || s.DataDir != "", "datadir", "must be given where roles has ctl: the record lies there")
+	require(len(s.Seeds) > 0, "peers", "must not be empty: nobody else is known")
+	require(s.Provider.Address != "", "provider.address", "must be given: no backend is known without it")
 	if len(s.Zones) > 0 && s.Zone != "" {
 		region, ok := s.Zones[s.Zone]
-		need(ok, "az", "must be one of azs")
-		need(!ok || s.Region == "" || s.Region == region, "rgn", "must be the region that azs gives for az")
+		require(ok, "az", "must be one of azs")
+		require(!ok || s.Region == "" || s.Region == region, "rgn", "must be the region that azs gives for az")
 	}
-	return found
+	return findings
 }
--- a/internal/fleet/settings/check_test.go
+++ b/internal/fleet/settings/check_test.go
@@ -15,7 +15,7 @@
 	c.Assert(s.Check("boot.toml"), qt.HasLen, 0)
 }
 
-func TestCheckFindsWhatLacks(t *testing.T) {
+func TestCheckFindsMissingSettings(t *testing.T) {
 	c := qt.New(t)
 	s, err := settings.Parse("boot.toml", []byte(`
 nodename = "n"
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -11,7 +11,7 @@
 // Settings are the settings of one process. TOML keys stand after each field.
 type Settings struct {
 	// Nodename is the machine's name; required. (nodename)
-	Nodename string
+	NodeName string
 	// Role is the role's name in the deploy file. (role)
 	Role string
 	// Tier is the class of machines, "edge" or "core". (tier)
@@ -30,7 +30,7 @@
 	// Bootstrap is true only at the very first start of the whole system. (bootstrap)
 	Bootstrap bool
 	// Counted is true for machines that Survive.Nodes counts. (voting)
-	Counted bool
+	Voting bool
 	// DataDir is the folder on the machine's disk; empty where there is none. (datadir)
 	DataDir string
 	// Discovery and Ingress name how backends are listed and how clients come. (disco, ingress)
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -78,7 +78,7 @@
 
 func exampleSettings() settings.Settings {
 	return settings.Settings{
-		Nodename:  "edge-koto-hall-1",
+		NodeName:  "edge-koto-hall-1",
 		Role:      "my-edge",
 		Tier:      "edge",
 		Roles:     []string{"edge"},
@@ -114,7 +114,7 @@
 	c.Assert(got, qt.DeepEquals, exampleSettings())
 }
 
-func TestUnknownFieldsAndKindsOfNumber(t *testing.T) {
+func TestUnknownKeysAndNumberTypes(t *testing.T) {
 	c := qt.New(t)
 	text := strings.NewReplacer(
 		"ack_ms = 4000", "ack_ms = 4000.5",
@@ -141,13 +141,13 @@
 	want := exampleSettings().Bounds
 	want.Fencing = false
 	c.Assert(got, qt.DeepEquals, settings.Settings{
-		Nodename: "n", IP: "127.0.0.1", Ports: [2]int{1, 1}, DataDir: "/d", Heartbeat: time.Second,
+		NodeName: "n", IP: "127.0.0.1", Ports: [2]int{1, 1}, DataDir: "/d", Heartbeat: time.Second,
 		Zones: map[string]string{}, Bounds: want, Bind: settings.Bind{Control: "127.0.0.1:0"},
 		Provider: settings.Provider{Rate: 1, Delay: time.Second},
 	})
 }
 
-func TestFindingsTogether(t *testing.T) {
+func TestFindingsAreReportedTogether(t *testing.T) {
 	c := qt.New(t)
 	text := strings.NewReplacer(
 		`nodename = "edge-koto-hall-1"`, "",
