--- a/internal/fleet/controlplane/messages.go
+++ b/internal/fleet/controlplane/messages.go
@@ -11,7 +11,7 @@
 	Base    int64  `msg:"b"`
 	Body    []byte `msg:"d"`
 	// Reading is left out where the change is one of the configuration.
-	Reading *residencyreport.Reading `msg:"g,omitempty"`
+	Reading *residencyreport.Update `msg:"g,omitempty"`
 }
 
 // StoredState is the record's snapshot.
--- a/internal/fleet/controlplane/messages_gen.go
+++ b/internal/fleet/controlplane/messages_gen.go
@@ -54,7 +54,7 @@
 				z.Reading = nil
 			} else {
 				if z.Reading == nil {
-					z.Reading = new(residencyreport.Reading)
+					z.Reading = new(residencyreport.Update)
 				}
 				err = z.Reading.DecodeMsg(dc)
 				if err != nil {
@@ -231,7 +231,7 @@
 				z.Reading = nil
 			} else {
 				if z.Reading == nil {
-					z.Reading = new(residencyreport.Reading)
+					z.Reading = new(residencyreport.Update)
 				}
 				bts, err = z.Reading.UnmarshalMsg(bts)
 				if err != nil {
--- a/internal/fleet/controlplane/phases.go
+++ b/internal/fleet/controlplane/phases.go
@@ -23,10 +23,10 @@
 	client *externalapi.BackendClient
 
 	mu           sync.Mutex
-	planners     map[string]*scheduler.Phases // by service
-	changing     map[string]bool              // ids to which nobody should send
-	active       map[string]int               // by id of those that make tokens, as of the last round
-	unresponsive []string                     // whose report did not come then
+	planners     map[string]*scheduler.PhasePlanner // by service
+	changing     map[string]bool                    // ids to which nobody should send
+	active       map[string]int                     // by id of those that make tokens, as of the last round
+	unresponsive []string                           // whose report did not come then
 }
 
 const (
@@ -43,7 +43,7 @@
 )
 
 func newPhaseController(o *Server) *phaseController {
-	return &phaseController{server: o, client: externalapi.NewBackendClient(orderTimeout), planners: map[string]*scheduler.Phases{}, changing: map[string]bool{},
+	return &phaseController{server: o, client: externalapi.NewBackendClient(orderTimeout), planners: map[string]*scheduler.PhasePlanner{}, changing: map[string]bool{},
 		active: map[string]int{}}
 }
 
@@ -104,7 +104,7 @@
 		}
 		states := p.fetchReports(ctx, all)
 		machine := p.recordReports(svc.Name, all, states)
-		var moves []scheduler.Move
+		var moves []scheduler.Transition
 		if orders {
 			moves = p.planMoves(machine, now, svc.Runtime.Capacity, states)
 		}
@@ -122,7 +122,7 @@
 }
 
 // recordReports notes how full the backends of a service are and which were silent, and gives the machine that decides its phases.
-func (p *phaseController) recordReports(service string, all []distribution.Backend, states []scheduler.EngineState) *scheduler.Phases {
+func (p *phaseController) recordReports(service string, all []distribution.Backend, states []scheduler.BackendReport) *scheduler.PhasePlanner {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var silent []string
@@ -139,27 +139,27 @@
 	}
 	machine := p.planners[service]
 	if machine == nil {
-		machine = scheduler.NewPhases()
+		machine = scheduler.NewPhasePlanner()
 		p.planners[service] = machine
 	}
 	return machine
 }
 
 // planMoves gives the orders that are due.
-func (p *phaseController) planMoves(machine *scheduler.Phases, now time.Duration, capacity int, states []scheduler.EngineState) []scheduler.Move {
+func (p *phaseController) planMoves(machine *scheduler.PhasePlanner, now time.Duration, capacity int, states []scheduler.BackendReport) []scheduler.Transition {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return machine.Step(float64(now.Milliseconds()), capacity, states)
 }
 
 // updateChanging notes which backends of a service are about to change, also by an order of an earlier holder.
-func (p *phaseController) updateChanging(machine *scheduler.Phases, all []distribution.Backend, states []scheduler.EngineState) {
+func (p *phaseController) updateChanging(machine *scheduler.PhasePlanner, all []distribution.Backend, states []scheduler.BackendReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range all {
 		delete(p.changing, b.ID)
 	}
-	for _, id := range machine.Moving() {
+	for _, id := range machine.InTransition() {
 		p.changing[id] = true
 	}
 	for _, s := range states {
@@ -170,7 +170,7 @@
 }
 
 // sendOrders gives the orders that are due; one that was not heard of is given again later.
-func (p *phaseController) sendOrders(ctx context.Context, machine *scheduler.Phases, moves []scheduler.Move, all []distribution.Backend, states []scheduler.EngineState, epoch uint64) {
+func (p *phaseController) sendOrders(ctx context.Context, machine *scheduler.PhasePlanner, moves []scheduler.Transition, all []distribution.Backend, states []scheduler.BackendReport, epoch uint64) {
 	for _, move := range moves {
 		i := slices.IndexFunc(all, func(b distribution.Backend) bool { return b.ID == move.ID })
 		if !move.Due || i < 0 {
@@ -178,7 +178,7 @@
 		}
 		if !p.confirmAndOrder(ctx, &all[i], move.Prefill, states[i].Orders, epoch) {
 			p.mu.Lock()
-			machine.Again(move.ID)
+			machine.RetryOrder(move.ID)
 			p.mu.Unlock()
 		}
 	}
@@ -225,12 +225,12 @@
 }
 
 // fetchReports asks all backends at once for their reports.
-func (p *phaseController) fetchReports(ctx context.Context, all []distribution.Backend) []scheduler.EngineState {
-	states := make([]scheduler.EngineState, len(all))
+func (p *phaseController) fetchReports(ctx context.Context, all []distribution.Backend) []scheduler.BackendReport {
+	states := make([]scheduler.BackendReport, len(all))
 	var wait sync.WaitGroup
 	room := make(chan struct{}, 16)
 	for i, b := range all {
-		states[i] = scheduler.EngineState{ID: b.ID, Prefill: b.Phase == externalapi.PhasePrefill}
+		states[i] = scheduler.BackendReport{ID: b.ID, Prefill: b.Phase == externalapi.PhasePrefill}
 		if b.Draining {
 			continue
 		}
--- a/internal/fleet/controlplane/record.go
+++ b/internal/fleet/controlplane/record.go
@@ -15,7 +15,7 @@
 	doc       *routingconfig.Document
 	docSeq    uint64 // the change that led to doc
 	accepted  acceptedChanges
-	residency *residencyreport.Gauge
+	residency *residencyreport.Totals
 	recent    []appliedState // not yet known to be committed, and the last committed one
 }
 
@@ -30,7 +30,7 @@
 	docSeq     uint64
 	prevDocSeq uint64   // docSeq before this change
 	command    *Command // nil: not known, or none of the configuration
-	residency  *residencyreport.Gauge
+	residency  *residencyreport.Totals
 }
 
 // applyTo works out what a call makes of a document.
@@ -48,7 +48,7 @@
 	c := new(Command)
 	_, err := c.UnmarshalMsg(body)
 	if err == nil && c.Reading != nil {
-		r.residency = r.residency.Take(c.Reading)
+		r.residency = r.residency.Apply(c.Reading)
 		c = nil
 	} else {
 		r.docSeq = seq
--- a/internal/fleet/controlplane/record_test.go
+++ b/internal/fleet/controlplane/record_test.go
@@ -18,7 +18,7 @@
 
 // reading is one that a process's batch amounts to.
 func reading(p residencyreport.Process, n uint64, plain int64) []byte {
-	b, _ := (&Command{Reading: &residencyreport.Reading{Upto: []residencyreport.Kept{{Process: p, N: n}},
+	b, _ := (&Command{Reading: &residencyreport.Update{Upto: []residencyreport.Ack{{Process: p, N: n}},
 		Entries: []residencyreport.Entry{{Pair: residencyreport.Pair{Tenant: "labs", Region: "east"}, First: 5, Last: 9, Counts: residencyreport.Counts{Plain: plain}}}}}).MarshalMsg(nil)
 	return b
 }
@@ -50,7 +50,7 @@
 		all := one.residency.Report(nil)
 		c.Assert(all, qt.HasLen, 1)
 		c.Check(all[0].Counts.Plain, qt.Equals, int64(7))
-		c.Check(one.residency.Kept(1), qt.Equals, uint64(2))
+		c.Check(one.residency.AckedUpTo(1), qt.Equals, uint64(2))
 	}
 	c.Assert(back.Restore(9, []byte{0x81, 0xa1, 'g', 0xc4, 1, 0}), qt.IsNotNil, qt.Commentf("a damaged report"))
 }
--- a/internal/fleet/controlplane/rested.go
+++ b/internal/fleet/controlplane/rested.go
@@ -66,7 +66,7 @@
 		return true
 	}
 	for i := range open {
-		if open[i].N <= settled.residency.Kept(open[i].Process) {
+		if open[i].N <= settled.residency.AckedUpTo(open[i].Process) {
 			continue
 		}
 		for j := range open[i].Entries {
@@ -83,11 +83,11 @@
 func (s *Server) commitResidency(ctx context.Context, open []residencyreport.Batch) (soon bool) {
 	within, cancel := context.WithTimeout(ctx, residencyWriteTimeout)
 	defer cancel()
-	var base *residencyreport.Gauge
+	var base *residencyreport.Totals
 	if settled := s.committed.Load(); settled != nil {
 		base = settled.residency
 	}
-	r, more := base.Compose(open)
+	r, more := base.Merge(open)
 	body, _ := (&Command{Reading: &r}).MarshalMsg(nil) // it has no way to fail
 	// What was composed and what is proposed belong together: in the driver's goroutine nothing comes between.
 	ans, err := s.submitAndWait(within, func(now time.Duration, token uint64) replication.Output {
@@ -104,10 +104,10 @@
 	if settled == nil {
 		return true
 	}
-	var kept []residencyreport.Kept
+	var kept []residencyreport.Ack
 	for i := range open {
-		if b := &open[i]; b.N <= settled.residency.Kept(b.Process) {
-			kept = append(kept, residencyreport.Kept{Process: b.Process, N: b.N})
+		if b := &open[i]; b.N <= settled.residency.AckedUpTo(b.Process) {
+			kept = append(kept, residencyreport.Ack{Process: b.Process, N: b.N})
 		}
 	}
 	s.cache.Residency.Acknowledge(kept...)
--- a/internal/fleet/controlplane/rested_test.go
+++ b/internal/fleet/controlplane/rested_test.go
@@ -150,7 +150,7 @@
 	c.Assert(o.hasNewPairs([]residencyreport.Batch{first, batchOf(1, 2, road)}), qt.IsTrue)
 
 	// The record is ahead of what is known to be committed: nothing is proposed on top of that, and nothing let go.
-	var committed *residencyreport.Gauge
+	var committed *residencyreport.Totals
 	onDriver(o, func() { committed, o.state.residency = o.state.residency, nil })
 	second := batchOf(1, 2, labs)
 	o.cache.Residency.Put(second)
--- a/internal/fleet/distribution/distribution_test.go
+++ b/internal/fleet/distribution/distribution_test.go
@@ -263,7 +263,7 @@
 		wait(arrived, "nothing comes to the top")
 	}
 	c.Assert(empty(box), qt.IsFalse, qt.Commentf("let go before it was kept"))
-	top.Residency.Acknowledge(residencyreport.Kept{Process: 7, N: 1})
+	top.Residency.Acknowledge(residencyreport.Ack{Process: 7, N: 1})
 	wait(done, "what is kept is not let go")
 	c.Assert(empty(middle.Residency) && empty(top.Residency), qt.IsTrue)
 
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -97,7 +97,7 @@
 	LastContactMs int64      `msg:"a"` // how long ago the primary was heard by this chain of sources; below 0: never
 	Resources     []Resource `msg:"x"`
 	// Kept says what of Rested is in the record for good; left out where nothing is new of that.
-	ResidencyAcks []residencyreport.Kept `msg:"k,omitempty"`
+	ResidencyAcks []residencyreport.Ack `msg:"k,omitempty"`
 	// WaitedMs is how long the answer waited at its sender for news: the rest of the time since the request was on the way, and
 	// counts as age. Left out where it is none.
 	WaitedMs int64 `msg:"h,omitempty"`
--- a/internal/fleet/distribution/messages_gen.go
+++ b/internal/fleet/distribution/messages_gen.go
@@ -3438,7 +3438,7 @@
 			if cap(z.ResidencyAcks) >= int(zb0003) {
 				z.ResidencyAcks = (z.ResidencyAcks)[:zb0003]
 			} else {
-				z.ResidencyAcks = make([]residencyreport.Kept, zb0003)
+				z.ResidencyAcks = make([]residencyreport.Ack, zb0003)
 			}
 			for za0002 := range z.ResidencyAcks {
 				err = z.ResidencyAcks[za0002].DecodeMsg(dc)
@@ -3693,7 +3693,7 @@
 			if cap(z.ResidencyAcks) >= int(zb0003) {
 				z.ResidencyAcks = (z.ResidencyAcks)[:zb0003]
 			} else {
-				z.ResidencyAcks = make([]residencyreport.Kept, zb0003)
+				z.ResidencyAcks = make([]residencyreport.Ack, zb0003)
 			}
 			for za0002 := range z.ResidencyAcks {
 				bts, err = z.ResidencyAcks[za0002].UnmarshalMsg(bts)
--- a/internal/fleet/distribution/outbox.go
+++ b/internal/fleet/distribution/outbox.go
@@ -67,24 +67,24 @@
 }
 
 // Acknowledge forgets what is in the record for good.
-func (o *ResidencyOutbox) Acknowledge(all ...residencyreport.Kept) {
+func (o *ResidencyOutbox) Acknowledge(all ...residencyreport.Ack) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.relay.Keep(all...)
+	o.relay.Acknowledge(all...)
 }
 
 // Pending gives what is entry, and what is closed when more arrives.
 func (o *ResidencyOutbox) Pending() ([]residencyreport.Batch, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.relay.Open(), o.arrived
+	return o.relay.Pending(), o.arrived
 }
 
 // PendingOf tells how many batches are entry of a process.
 func (o *ResidencyOutbox) PendingOf(p residencyreport.Process) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.relay.OpenOf(p)
+	return o.relay.PendingOf(p)
 }
 
 func (o *ResidencyOutbox) signal() {
@@ -96,14 +96,14 @@
 func (o *ResidencyOutbox) receive(v *residencyreport.Receiver, batches []residencyreport.Batch) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	v.Take(&o.relay, batches)
+	v.Receive(&o.relay, batches)
 	o.signal()
 }
 
-func (o *ResidencyOutbox) acknowledgements(v *residencyreport.Receiver) []residencyreport.Kept {
+func (o *ResidencyOutbox) acknowledgements(v *residencyreport.Receiver) []residencyreport.Ack {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return v.Tell(&o.relay)
+	return v.Acks(&o.relay)
 }
 
 func (o *ResidencyOutbox) nextBatches(s *residencyreport.Sender, now time.Time) []residencyreport.Batch {
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -15,109 +15,109 @@
 }
 
 const (
-	// forgetHalf is the time in which half of what was counted is forgotten, ms, and answersHalf that for the rate of answers.
-	forgetHalf, answersHalf = 800, 400
-	// leastComplaints is how many proxies must have had bad ends at a backend: one that is ill itself, or lies, condemns nobody.
-	leastComplaints = 3
-	// leastShare is the part of the attempts, on the mean over proxies, that must have ended badly, and timesPeers how many times
+	// halfLifeMs is the time in which half of what was counted is forgotten, ms, and answerRateHalfLifeMs that for the rate of answers.
+	halfLifeMs, answerRateHalfLifeMs = 800, 400
+	// minComplaints is how many proxies must have had bad ends at a backend: one that is ill itself, or lies, condemns nobody.
+	minComplaints = 3
+	// minBadShare is the part of the attempts, on the mean over proxies, that must have ended badly, and peerFactor how many times
 	// the median of its peers' that must be. Where all do badly alike it is load.
-	leastShare, timesPeers = 0.18, 3
-	// loadRate is the part of the median rate of its peers' answers above which a backend that is late is pressed rather than ill.
-	loadRate = 0.4
-	// calmShare is the part of bad ends that three in four of a group's backends stay below while it is not pressed. While it is,
-	// lateness tells nothing of a backend, unless its rate of answers is below silentRate of the median.
-	calmShare, silentRate = 0.05, 0.1
-	// leastSlow is the part of the answers that came slowly at a backend that is ill for certain: some come so where streams make way
+	minBadShare, peerFactor = 0.18, 3
+	// overloadAnswerRate is the part of the median rate of its peers' answers above which a backend that is late is pressed rather than ill.
+	overloadAnswerRate = 0.4
+	// normalBadShare is the part of bad ends that three in four of a group's backends stay below while it is not pressed. While it is,
+	// lateness tells nothing of a backend, unless its rate of answers is below unresponsiveAnswerRate of the median.
+	normalBadShare, unresponsiveAnswerRate = 0.05, 0.1
+	// minSlowShare is the part of the answers that came slowly at a backend that is ill for certain: some come so where streams make way
 	// for more urgent ones.
-	leastSlow = 0.6
-	// leastLate is what leastShare is for lateness alone.
-	leastLate = 0.25
-	// mostEjected is one in how many of a group are ejected at the most, and mostLate where the next one is only late.
-	mostEjected, mostLate = 3, 6
-	// restoreAfter is how many trials in a row must succeed, doubled with each strike up to mostStrikes of them; a strike
-	// is forgotten after strikeFor, ms.
-	restoreAfter, mostStrikes, strikeFor = 4, 2, 30_000
-	// lateReports is for how long after an ejection good ends may have been counted before it, ms.
-	lateReports = 1500
-	// complaintLeast is the least weight, after forgetting, with which a bad end counts as a proxy's complaint.
-	complaintLeast = 0.3
-	// maxReporters bounds the proxies whose counts are told apart at one backend.
-	maxReporters = 4096
+	minSlowShare = 0.6
+	// minLateShare is what minBadShare is for lateness alone.
+	minLateShare = 0.25
+	// maxEjectedDivisor is one in how many of a group are ejected at the most, and maxLateEjectedDivisor where the next one is only late.
+	maxEjectedDivisor, maxLateEjectedDivisor = 3, 6
+	// trialsToRestore is how many trials in a row must succeed, doubled with each strike up to maxStrikes of them; a strike
+	// is forgotten after strikeLifetimeMs, ms.
+	trialsToRestore, maxStrikes, strikeLifetimeMs = 4, 2, 30_000
+	// reportDelayMs is for how long after an ejection good ends may have been counted before it, ms.
+	reportDelayMs = 1500
+	// minComplaintWeight is the least weight, after forgetting, with which a bad end counts as a proxy's complaint.
+	minComplaintWeight = 0.3
+	// maxProxies bounds the proxies whose counts are told apart at one backend.
+	maxProxies = 4096
 )
 
-// tally is what one proxy saw of one backend of late, fading with time.
-type tally struct {
-	zone     string
-	attempts float64
-	failed   float64
-	slow     float64 // far slower than usual once its answer had begun
-	paced    float64 // came in parts, which shows how fast
-	overdue  float64 // not answered within far longer than usual
-	late     float64 // overdue, and answered in the end
-	answers  float64 // of all kinds, fading faster
-	at       float64
+// proxyStats is what one proxy saw of one backend of late, fading with time.
+type proxyStats struct {
+	zone      string
+	attempts  float64
+	failed    float64
+	slow      float64 // far slower than usual once its answer had begun
+	paced     float64 // came in parts, which shows how fast
+	overdue   float64 // not answered within far longer than usual
+	late      float64 // overdue, and answered in the end
+	answers   float64 // of all kinds, fading faster
+	decayedAt float64
 }
 
-// fade forgets what is old.
-func (t *tally) fade(now float64) {
-	part := math.Exp2(-(now - t.at) / forgetHalf)
-	t.attempts *= part
-	t.failed *= part
-	t.slow *= part
-	t.paced *= part
-	t.overdue *= part
-	t.late *= part
-	t.answers *= math.Exp2(-(now - t.at) / answersHalf)
-	t.at = now
+// decay forgets what is old.
+func (p *proxyStats) decay(now float64) {
+	part := math.Exp2(-(now - p.decayedAt) / halfLifeMs)
+	p.attempts *= part
+	p.failed *= part
+	p.slow *= part
+	p.paced *= part
+	p.overdue *= part
+	p.late *= part
+	p.answers *= math.Exp2(-(now - p.decayedAt) / answerRateHalfLifeMs)
+	p.decayedAt = now
 }
 
-// share is the part of the attempts that ended badly.
-func (t *tally) share() float64 {
-	if t.attempts <= 0 {
+// badShare is the part of the attempts that ended badly.
+func (p *proxyStats) badShare() float64 {
+	if p.attempts <= 0 {
 		return 0
 	}
-	return min(t.bad()/t.attempts, 1)
+	return min(p.badEnds()/p.attempts, 1)
 }
 
 // failedShare is the part of the attempts that failed.
-func (t *tally) failedShare() float64 {
-	if t.attempts <= 0 {
+func (p *proxyStats) failedShare() float64 {
+	if p.attempts <= 0 {
 		return 0
 	}
-	return min(t.failed/t.attempts, 1)
+	return min(p.failed/p.attempts, 1)
 }
 
-// bad is how many attempts ended badly or are overdue.
-func (t *tally) bad() float64 { return t.failed + t.slow + t.overdue }
+// badEnds is how many attempts ended badly or are overdue.
+func (p *proxyStats) badEnds() float64 { return p.failed + p.slow + p.overdue }
 
-// failing is the part of the attempts that failed, or to which nothing came.
-func (t *tally) failing() float64 {
-	if t.attempts <= 0 {
+// unansweredShare is the part of the attempts that failed, or to which nothing came.
+func (p *proxyStats) unansweredShare() float64 {
+	if p.attempts <= 0 {
 		return 0
 	}
-	return min((t.failed+max(t.overdue-t.late, 0))/t.attempts, 1)
+	return min((p.failed+max(p.overdue-p.late, 0))/p.attempts, 1)
 }
 
-// subject is what is known of one backend.
-type subject struct {
-	byProxy  map[string]*tally
-	badAt    float64 // when a bad end was last counted
-	ejected  bool
-	since    float64 // of the ejection
-	slow     bool    // it served, only slowly
-	zone     string  // for whose proxies; "": for all
-	good     int     // trials since the last bad one
-	strikes  int
-	struckAt float64
+// backendStats is what is known of one backend.
+type backendStats struct {
+	byProxy    map[string]*proxyStats
+	lastBadAt  float64 // when a bad end was last counted
+	ejected    bool
+	ejectedAt  float64 // of the ejection
+	slow       bool    // it served, only slowly
+	zone       string  // for whose proxies; "": for all
+	goodTrials int     // trials since the last bad one
+	strikes    int
+	restoredAt float64
 }
 
 // Detector decides which backends are ejected. Times are in ms on a clock that doesn't go back.
 type Detector struct {
-	subjects map[string]*subject
+	backends map[string]*backendStats
 }
 
 // NewDetector returns a Detector that knows nothing.
-func NewDetector() *Detector { return &Detector{subjects: map[string]*subject{}} }
+func NewDetector() *Detector { return &Detector{backends: map[string]*backendStats{}} }
 
 // Observe takes what one proxy counted.
 func (d *Detector) Observe(now float64, report *distribution.OutcomeReport) {
@@ -130,20 +130,20 @@
 	if o.Attempts < 0 || o.Failed < 0 || o.Slow < 0 || o.Overdue < 0 || o.Late < 0 || o.Slow > o.Streamed || o.Failed+o.Streamed+o.Overdue > o.Attempts {
 		return
 	}
-	s := d.subjects[o.Backend]
+	s := d.backends[o.Backend]
 	if s == nil {
-		s = &subject{byProxy: map[string]*tally{}, badAt: math.Inf(-1)}
-		d.subjects[o.Backend] = s
+		s = &backendStats{byProxy: map[string]*proxyStats{}, lastBadAt: math.Inf(-1)}
+		d.backends[o.Backend] = s
 	}
 	t := s.byProxy[report.Proxy]
 	if t == nil {
-		if len(s.byProxy) >= maxReporters {
+		if len(s.byProxy) >= maxProxies {
 			return
 		}
-		t = &tally{at: now}
+		t = &proxyStats{decayedAt: now}
 		s.byProxy[report.Proxy] = t
 	}
-	t.fade(now)
+	t.decay(now)
 	t.zone = report.Zone
 	t.attempts += float64(o.Attempts)
 	t.failed += float64(o.Failed)
@@ -153,63 +153,63 @@
 	t.late += float64(o.Late)
 	t.answers += float64(o.Attempts - o.Failed - o.Overdue + o.Late)
 	if o.Failed+o.Slow+o.Overdue > 0 {
-		s.badAt, s.good = now, 0
-	} else if s.ejected && now-s.since > lateReports && (s.zone == "" || s.zone == report.Zone) {
-		s.good += min(o.Attempts, 2) // no single proxy's word restores a backend
+		s.lastBadAt, s.goodTrials = now, 0
+	} else if s.ejected && now-s.ejectedAt > reportDelayMs && (s.zone == "" || s.zone == report.Zone) {
+		s.goodTrials += min(o.Attempts, 2) // no single proxy's word restores a backend
 	}
 }
 
-// judged is what the counts say of one backend for the proxies of one zone, or of all.
-type judged struct {
-	complaints int     // proxies with bad ends
-	proxies    float64 // that sent there
-	share      float64 // of the attempts that ended badly, on the mean over proxies
-	failing    float64 // and of those that failed or got no answer
-	failed     float64 // and of those that failed
-	paced      float64 // proxies that know how fast its answers come
-	slow       float64 // the part of these answers that came slowly, on the mean over those
-	answers    float64 // their rate, fading
+// assessment is what the counts say of one backend for the proxies of one zone, or of all.
+type assessment struct {
+	complaints      int     // proxies with bad ends
+	proxies         float64 // that sent there
+	badShare        float64 // of the attempts that ended badly, on the mean over proxies
+	unansweredShare float64 // and of those that failed or got no answer
+	failedShare     float64 // and of those that failed
+	pacedProxies    float64 // proxies that know how fast its answers come
+	slowShare       float64 // the part of these answers that came slowly, on the mean over those
+	answerRate      float64 // their rate, fading
 }
 
-// judge sums up what the proxies of a zone saw of a backend; "": all.
-func (s *subject) judge(now float64, zone string) judged {
-	var j judged
-	for _, t := range s.byProxy {
+// assess sums up what the proxies of a zone saw of a backend; "": all.
+func (b *backendStats) assess(now float64, zone string) assessment {
+	var j assessment
+	for _, t := range b.byProxy {
 		if zone != "" && t.zone != zone {
 			continue
 		}
-		t.fade(now)
+		t.decay(now)
 		weight := min(t.attempts, 1)
 		j.proxies += weight
-		j.share += weight * t.share()
-		j.failing += weight * t.failing()
-		j.failed += weight * t.failedShare()
+		j.badShare += weight * t.badShare()
+		j.unansweredShare += weight * t.unansweredShare()
+		j.failedShare += weight * t.failedShare()
 		if t.paced > 0 {
 			paced := min(t.paced, 1)
-			j.paced += paced
-			j.slow += paced * min(t.slow/t.paced, 1)
+			j.pacedProxies += paced
+			j.slowShare += paced * min(t.slow/t.paced, 1)
 		}
-		j.answers += t.answers
-		if t.bad() >= complaintLeast {
+		j.answerRate += t.answers
+		if t.badEnds() >= minComplaintWeight {
 			j.complaints++
 		}
 	}
 	if j.proxies > 0 {
-		j.share /= j.proxies
-		j.failing /= j.proxies
-		j.failed /= j.proxies
+		j.badShare /= j.proxies
+		j.unansweredShare /= j.proxies
+		j.failedShare /= j.proxies
 	}
-	if j.paced > 0 {
-		j.slow /= j.paced
+	if j.pacedProxies > 0 {
+		j.slowShare /= j.pacedProxies
 	}
 	return j
 }
 
 // zones are those of the proxies that sent to the backend.
-func (s *subject) zones() []string {
+func (b *backendStats) zones() []string {
 	var all []string
-	for _, t := range s.byProxy {
-		if t.attempts >= complaintLeast && !slices.Contains(all, t.zone) {
+	for _, t := range b.byProxy {
+		if t.attempts >= minComplaintWeight && !slices.Contains(all, t.zone) {
 			all = append(all, t.zone)
 		}
 	}
@@ -227,9 +227,9 @@
 		d.stepGroup(now, group)
 	}
 	var all []distribution.Ejection
-	for id, s := range d.subjects {
+	for id, s := range d.backends {
 		if s.ejected {
-			all = append(all, distribution.Ejection{Backend: id, Zone: s.zone, Probation: s.good > 0, Slow: s.slow})
+			all = append(all, distribution.Ejection{Backend: id, Zone: s.zone, Probation: s.goodTrials > 0, Slow: s.slow})
 		}
 	}
 	slices.SortFunc(all, func(a, b distribution.Ejection) int { return cmp.Compare(a.Backend, b.Backend) })
@@ -242,13 +242,13 @@
 	for _, p := range peers {
 		listed[p.ID] = true
 	}
-	for id, s := range d.subjects {
+	for id, s := range d.backends {
 		if !listed[id] {
-			delete(d.subjects, id)
+			delete(d.backends, id)
 			continue
 		}
 		for proxy, t := range s.byProxy {
-			if now-t.at > 10*forgetHalf {
+			if now-t.decayedAt > 10*halfLifeMs {
 				delete(s.byProxy, proxy)
 			}
 		}
@@ -257,8 +257,8 @@
 
 // candidate is a backend that may be ejected.
 type candidate struct {
-	judged
-	subject *subject
+	assessment
+	subject *backendStats
 	zone    string
 }
 
@@ -267,43 +267,43 @@
 	ejected := 0
 	suspects := false
 	for _, p := range group {
-		s := d.subjects[p.ID]
+		s := d.backends[p.ID]
 		if s == nil {
 			continue
 		}
-		if s.ejected && s.good >= s.needed() {
+		if s.ejected && s.goodTrials >= s.requiredTrials() {
 			s.restore(now)
 		}
 		if s.ejected {
 			ejected++
-			s.widen(now)
-			if j := s.judge(now, ""); j.share > 0 {
+			s.widenToAllZones(now)
+			if j := s.assess(now, ""); j.badShare > 0 {
 				s.slow = j.onlySlow() // late answers tell what was silent from what is slow
 			}
 		}
-		suspects = suspects || !s.ejected && now-s.badAt < 2*forgetHalf
+		suspects = suspects || !s.ejected && now-s.lastBadAt < 2*halfLifeMs
 	}
 	if !suspects {
 		return
 	}
 	var candidates []candidate
-	peers := d.peers(now, group)
+	peers := d.groupStats(now, group)
 	for _, p := range group {
-		s := d.subjects[p.ID]
-		if s == nil || s.ejected || now-s.badAt >= 2*forgetHalf {
+		s := d.backends[p.ID]
+		if s == nil || s.ejected || now-s.lastBadAt >= 2*halfLifeMs {
 			continue
 		}
-		zone, of, ok := s.suspect(now, peers.share)
-		if !ok || !of.certain() && (of.share < leastLate || peers.mayPress(&of)) {
+		zone, of, ok := s.findOutlier(now, peers.medianBadShare)
+		if !ok || !of.conclusive() && (of.badShare < minLateShare || peers.mayBeOverloaded(&of)) {
 			continue
 		}
-		candidates = append(candidates, candidate{subject: s, zone: zone, judged: of})
+		candidates = append(candidates, candidate{subject: s, zone: zone, assessment: of})
 	}
-	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.share, a.share) })
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.badShare, a.badShare) })
 	for _, c := range candidates {
-		most := len(group) / mostEjected
-		if !c.certain() {
-			most = len(group) / mostLate
+		most := len(group) / maxEjectedDivisor
+		if !c.conclusive() {
+			most = len(group) / maxLateEjectedDivisor
 		}
 		if ejected < most {
 			c.subject.eject(now, c.zone, c.onlySlow())
@@ -312,38 +312,38 @@
 	}
 }
 
-// peers is how the backends of a group do together.
-type peers struct {
-	share   float64 // the median of their shares of bad ends
-	high    float64 // which three in four of them stay below
-	answers float64 // the median of their rates of answers
+// groupStats is how the backends of a group do together.
+type groupStats struct {
+	medianBadShare        float64 // the median of their shares of bad ends
+	upperQuartileBadShare float64 // which three in four of them stay below
+	medianAnswerRate      float64 // the median of their rates of answers
 }
 
-// mayPress tells whether a backend that is late may be pressed rather than ill.
-func (g *peers) mayPress(of *judged) bool {
+// mayBeOverloaded tells whether a backend that is late may be pressed rather than ill.
+func (g *groupStats) mayBeOverloaded(of *assessment) bool {
 	switch {
-	case of.answers <= silentRate*g.answers:
+	case of.answerRate <= unresponsiveAnswerRate*g.medianAnswerRate:
 		return false
-	case g.high > calmShare:
+	case g.upperQuartileBadShare > normalBadShare:
 		return true
 	}
-	return of.answers > loadRate*g.answers
+	return of.answerRate > overloadAnswerRate*g.medianAnswerRate
 }
 
-// peers sums up the backends of a group that are in use.
-func (d *Detector) peers(now float64, group []Peer) peers {
+// groupStats sums up the backends of a group that are in use.
+func (d *Detector) groupStats(now float64, group []Peer) groupStats {
 	var shares, rates []float64
 	for _, p := range group {
-		s := d.subjects[p.ID]
+		s := d.backends[p.ID]
 		if s == nil || s.ejected {
 			continue
 		}
-		if j := s.judge(now, ""); j.proxies >= 1 {
-			shares = append(shares, j.share)
-			rates = append(rates, j.answers)
+		if j := s.assess(now, ""); j.proxies >= 1 {
+			shares = append(shares, j.badShare)
+			rates = append(rates, j.answerRate)
 		}
 	}
-	return peers{share: quantile(shares, 0.5), high: quantile(shares, 0.75), answers: quantile(rates, 0.5)}
+	return groupStats{medianBadShare: quantile(shares, 0.5), upperQuartileBadShare: quantile(shares, 0.75), medianAnswerRate: quantile(rates, 0.5)}
 }
 
 // quantile gives the lower one where two are as near; 0 of none. It sorts them.
@@ -355,72 +355,72 @@
 	return all[int(float64(len(all)-1)*part)]
 }
 
-// suspect tells whether a backend is to be ejected, and for whom: for the proxies of one zone where those of others have no
+// findOutlier tells whether a backend is to be ejected, and for whom: for the proxies of one zone where those of others have no
 // complaint, as the path from there may be broken.
-func (s *subject) suspect(now, shares float64) (zone string, of judged, ok bool) {
-	all := s.judge(now, "")
-	zones := s.zones()
+func (b *backendStats) findOutlier(now, shares float64) (zone string, of assessment, ok bool) {
+	all := b.assess(now, "")
+	zones := b.zones()
 	bad, told := 0, 0
 	for _, z := range zones {
-		j := s.judge(now, z)
+		j := b.assess(now, z)
 		if j.proxies < 1 {
 			continue
 		}
 		told++
-		if j.share >= leastShare/2 {
+		if j.badShare >= minBadShare/2 {
 			bad++
 			zone = z
 		}
 	}
 	if told >= 2 && bad == 1 {
-		j := s.judge(now, zone)
-		return zone, j, j.outlies(shares)
+		j := b.assess(now, zone)
+		return zone, j, j.isOutlier(shares)
 	}
-	return "", all, all.outlies(shares)
+	return "", all, all.isOutlier(shares)
 }
 
-// outlies tells whether a backend does so badly against its peers that it is ill.
-func (j *judged) outlies(shares float64) bool {
-	return j.complaints >= leastComplaints && j.share >= max(leastShare, timesPeers*shares)
+// isOutlier tells whether a backend does so badly against its peers that it is ill.
+func (a *assessment) isOutlier(shares float64) bool {
+	return a.complaints >= minComplaints && a.badShare >= max(minBadShare, peerFactor*shares)
 }
 
-// certain tells whether no load explains what the proxies saw: attempts failed, or nearly all answers came slowly.
-func (j *judged) certain() bool {
-	return j.failed >= leastShare/2 || j.paced >= 1 && j.slow >= leastSlow
+// conclusive tells whether no load explains what the proxies saw: attempts failed, or nearly all answers came slowly.
+func (a *assessment) conclusive() bool {
+	return a.failedShare >= minBadShare/2 || a.pacedProxies >= 1 && a.slowShare >= minSlowShare
 }
 
 // onlySlow tells whether the backend answers, too late.
-func (j *judged) onlySlow() bool { return j.failing < j.share/2 }
+func (a *assessment) onlySlow() bool { return a.unansweredShare < a.badShare/2 }
 
-// widen ejects for all proxies what was ejected for those of one zone, once those of others have complaints, too.
-func (s *subject) widen(now float64) {
-	if s.zone == "" {
+// widenToAllZones ejects for all proxies what was ejected for those of one zone, once those of others have complaints, too.
+func (b *backendStats) widenToAllZones(now float64) {
+	if b.zone == "" {
 		return
 	}
-	for _, zone := range s.zones() {
-		if zone == s.zone {
+	for _, zone := range b.zones() {
+		if zone == b.zone {
 			continue
 		}
-		if j := s.judge(now, zone); j.complaints > 0 && j.share >= leastShare {
-			s.zone = ""
+		if j := b.assess(now, zone); j.complaints > 0 && j.badShare >= minBadShare {
+			b.zone = ""
 			return
 		}
 	}
 }
 
-// needed is how many good trials restore the backend.
-func (s *subject) needed() int { return restoreAfter << min(s.strikes, mostStrikes) }
+// requiredTrials is how many good trials restore the backend.
+func (b *backendStats) requiredTrials() int { return trialsToRestore << min(b.strikes, maxStrikes) }
 
-func (s *subject) eject(now float64, zone string, slow bool) {
-	if now-s.struckAt > strikeFor {
-		s.strikes = 0
+func (b *backendStats) eject(now float64, zone string, slow bool) {
+	if now-b.restoredAt > strikeLifetimeMs {
+		b.strikes = 0
 	}
-	s.ejected, s.since, s.zone, s.slow, s.good = true, now, zone, slow, 0
+	b.ejected, b.ejectedAt, b.zone, b.slow, b.goodTrials = true, now, zone, slow, 0
 }
 
 // restore ends an ejection. What was counted before tells nothing of the backend as it is now.
-func (s *subject) restore(now float64) {
-	s.ejected, s.zone, s.good, s.badAt = false, "", 0, math.Inf(-1)
-	s.strikes, s.struckAt = min(s.strikes+1, mostStrikes), now
-	clear(s.byProxy)
+func (b *backendStats) restore(now float64) {
+	b.ejected, b.zone, b.goodTrials, b.lastBadAt = false, "", 0, math.Inf(-1)
+	b.strikes, b.restoredAt = min(b.strikes+1, maxStrikes), now
+	clear(b.byProxy)
 }
--- a/internal/fleet/outlier/detector_test.go
+++ b/internal/fleet/outlier/detector_test.go
@@ -56,7 +56,7 @@
 			tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: backendName(b), Attempts: 20, Failed: 20})
 		}
 	}
-	c.Assert(d.Step(100, group(9)), qt.HasLen, 9/mostEjected)
+	c.Assert(d.Step(100, group(9)), qt.HasLen, 9/maxEjectedDivisor)
 }
 
 // TestLoadIsNoIllness: where all do badly alike, none is ejected.
@@ -116,7 +116,7 @@
 	}
 	c.Assert(trial(3000, 1, distribution.Outcome{Backend: "b01", Attempts: 50}), qt.Equals, 1, qt.Commentf("one proxy's word"))
 	c.Assert(trial(3100, 2, distribution.Outcome{Backend: "b01", Attempts: 1, Failed: 1}), qt.Equals, 1)
-	for i := range restoreAfter - 1 {
+	for i := range trialsToRestore - 1 {
 		c.Assert(trial(3200+float64(i)*100, i, good), qt.Equals, 1)
 	}
 	c.Assert(trial(4000, 5, good), qt.Equals, 0)
@@ -125,7 +125,7 @@
 		tell(d, 4200, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 9, Failed: 9})
 	}
 	c.Assert(d.Step(4200, group(6)), qt.HasLen, 1)
-	for i := range 2*restoreAfter - 1 {
+	for i := range 2*trialsToRestore - 1 {
 		c.Assert(trial(7000+float64(i)*100, i, good), qt.Equals, 1, qt.Commentf("after a strike"))
 	}
 	c.Assert(trial(8000, 9, good), qt.Equals, 0)
@@ -234,5 +234,5 @@
 			tell(d, 0, p, "z", o)
 		}
 	}
-	c.Assert(d.subjects, qt.HasLen, 0)
+	c.Assert(d.backends, qt.HasLen, 0)
 }
--- a/internal/fleet/outlier/model_test.go
+++ b/internal/fleet/outlier/model_test.go
@@ -136,7 +136,7 @@
 // request is one request at a proxy by lot.
 func (f *modelFleet) request() {
 	p := f.proxies[f.random.IntN(len(f.proxies))]
-	chosen := p.trials.Due(f.now, Risk{Repeatable: f.random.IntN(4) == 0}, func(string) bool { return true })
+	chosen := p.trials.NextTrial(f.now, Risk{Idempotent: f.random.IntN(4) == 0}, func(string) bool { return true })
 	if chosen == "" {
 		for tries := 0; chosen == "" || p.trials.Ejected(f.now, chosen) && tries < 100; tries++ {
 			chosen = backendName(f.random.IntN(f.set.backends))
@@ -160,7 +160,7 @@
 			how = Slow // it comes in parts, which tells more
 		}
 	} else if how == Good && f.random.IntN(2) == 0 {
-		how = Paced
+		how = StreamedOnPace
 	}
 	if p.lies {
 		how, took = Failed, 1
@@ -175,7 +175,7 @@
 			return false
 		}
 		if e.how != Failed {
-			e.proxy.recorder.Answered(e.attempt)
+			e.proxy.recorder.HeadersReceived(e.attempt)
 		}
 		e.proxy.recorder.End(e.attempt, e.how)
 		return true
@@ -185,7 +185,7 @@
 // report has the proxies tell: bad ends soon, all in turn.
 func (f *modelFleet) report() {
 	for _, p := range f.proxies {
-		p.recorder.Overdue(f.now)
+		p.recorder.CountOverdue(f.now)
 		all := f.now-p.told >= 1000
 		if int(f.now)%100 != 0 || !all && !p.recorder.Adverse() {
 			continue
@@ -193,13 +193,13 @@
 		if all {
 			p.told = f.now
 		}
-		if told := p.recorder.Take(); len(told) > 0 && !f.away() {
+		if told := p.recorder.Drain(); len(told) > 0 && !f.away() {
 			f.detector.Observe(f.now, &distribution.OutcomeReport{Proxy: p.name, Zone: p.zone, Outcomes: told})
 		}
 	}
 }
 
-// judge has the Detector judge, and the proxies hear of it.
+// assess has the Detector judge, and the proxies hear of it.
 func (f *modelFleet) judge() {
 	peers := make([]Peer, f.set.backends)
 	for i := range peers {
@@ -213,7 +213,7 @@
 	if changed || len(ejected) > 0 && f.now-f.sentAt >= 1000 {
 		f.ejected, f.sentAt = ejected, f.now
 		for _, p := range f.proxies {
-			p.trials.Take(f.now, ejected, p.zone, Crowd{All: len(f.proxies), Zone: max(len(f.proxies)/f.set.zones, 1)}, func(string) bool { return true })
+			p.trials.SetEjections(f.now, ejected, p.zone, ProxyCount{All: len(f.proxies), InZone: max(len(f.proxies)/f.set.zones, 1)}, func(string) bool { return true })
 		}
 	}
 }
--- a/internal/fleet/outlier/recorder_test.go
+++ b/internal/fleet/outlier/recorder_test.go
@@ -12,15 +12,15 @@
 	c := qt.New(t)
 	r := NewRecorder()
 	r.End(r.Begin("a", 100), Good)
-	r.End(r.Begin("a", 100), Untold)
+	r.End(r.Begin("a", 100), Inconclusive)
 	c.Assert(r.Adverse(), qt.IsFalse)
 	r.End(r.Begin("a", 100), Failed)
-	r.Note("a", Slow)
-	r.Note("a", Paced)
+	r.ObservePart("a", Slow)
+	r.ObservePart("a", StreamedOnPace)
 	c.Assert(r.Adverse(), qt.IsTrue)
-	c.Assert(r.Take(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 4, Failed: 1, Slow: 1, Streamed: 2}})
+	c.Assert(r.Drain(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 4, Failed: 1, Slow: 1, Streamed: 2}})
 	c.Assert(r.Adverse(), qt.IsFalse)
-	c.Assert(r.Take(), qt.IsNil)
+	c.Assert(r.Drain(), qt.IsNil)
 }
 
 // TestRecorderOverdue: an attempt counts while it waits for its answer, and only once.
@@ -28,27 +28,27 @@
 	c := qt.New(t)
 	r := NewRecorder()
 	waits, begun := r.Begin("a", 100), r.Begin("a", 100)
-	r.Answered(begun)
-	r.Overdue(99)
-	c.Assert(r.Take(), qt.IsNil)
-	r.Overdue(100)
-	c.Assert(r.Take(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 1, Overdue: 1}})
-	r.Overdue(200)
-	r.Answered(waits)
+	r.HeadersReceived(begun)
+	r.CountOverdue(99)
+	c.Assert(r.Drain(), qt.IsNil)
+	r.CountOverdue(100)
+	c.Assert(r.Drain(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 1, Overdue: 1}})
+	r.CountOverdue(200)
+	r.HeadersReceived(waits)
 	r.End(waits, Slow)
 	r.End(begun, Good)
 	r.End(begun, Failed)
-	c.Assert(r.Take(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 1, Late: 1}})
+	c.Assert(r.Drain(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 1, Late: 1}})
 }
 
 // TestRecorderIsBounded: what there is no room for isn't counted.
 func TestRecorderIsBounded(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecorder()
-	for i := range maxCounted + maxOpen {
+	for i := range maxBackends + maxPending {
 		r.Begin("open", 1e9)
-		r.Note(string(rune('a'+i%26))+string(rune(i)), Failed)
+		r.ObservePart(string(rune('a'+i%26))+string(rune(i)), Failed)
 	}
-	c.Assert(len(r.open) <= maxOpen, qt.IsTrue)
-	c.Assert(len(r.Take()) <= maxCounted, qt.IsTrue)
+	c.Assert(len(r.pending) <= maxPending, qt.IsTrue)
+	c.Assert(len(r.Drain()) <= maxBackends, qt.IsTrue)
 }
--- a/internal/fleet/outlier/search_test.go
+++ b/internal/fleet/outlier/search_test.go
@@ -70,7 +70,7 @@
 	}
 	for at := 0.0; at < f.set.until; at += 100 {
 		ejected := f.ejectedAt(at)
-		if len(ejected) > f.set.backends/mostEjected {
+		if len(ejected) > f.set.backends/maxEjectedDivisor {
 			return fmt.Errorf("%d of %d are ejected at %v", len(ejected), f.set.backends, at)
 		}
 		for id, zone := range ejected {
--- a/internal/fleet/outlier/trials_test.go
+++ b/internal/fleet/outlier/trials_test.go
@@ -19,13 +19,13 @@
 	c := qt.New(t)
 	trials := NewTrials(mean)
 	all := []distribution.Ejection{{Backend: "a"}, {Backend: "b", Zone: "there"}, {Backend: "gone"}}
-	ejected, restored := trials.Take(0, all, "here", Crowd{All: 2, Zone: 1}, func(id string) bool { return id != "gone" })
+	ejected, restored := trials.SetEjections(0, all, "here", ProxyCount{All: 2, InZone: 1}, func(id string) bool { return id != "gone" })
 	c.Assert(ejected, qt.DeepEquals, []string{"a"})
 	c.Assert(restored, qt.HasLen, 0)
-	c.Assert(trials.Ejected(ejectionLasts-1, "a"), qt.IsTrue)
-	c.Assert(trials.Ejected(ejectionLasts, "a"), qt.IsFalse)
-	c.Assert(trials.Due(1e9, Risk{Repeatable: true}, anyBackend), qt.Equals, "")
-	_, restored = trials.Take(ejectionLasts, nil, "here", Crowd{All: 2, Zone: 1}, anyBackend)
+	c.Assert(trials.Ejected(ejectionTTLMs-1, "a"), qt.IsTrue)
+	c.Assert(trials.Ejected(ejectionTTLMs, "a"), qt.IsFalse)
+	c.Assert(trials.NextTrial(1e9, Risk{Idempotent: true}, anyBackend), qt.Equals, "")
+	_, restored = trials.SetEjections(ejectionTTLMs, nil, "here", ProxyCount{All: 2, InZone: 1}, anyBackend)
 	c.Assert(restored, qt.DeepEquals, []string{"a"})
 }
 
@@ -40,39 +40,39 @@
 			trials := NewTrials(random.ExpFloat64)
 			for now := 0.0; now < lasts; now += 50 {
 				if int(now)%1000 == 0 {
-					trials.Take(now, []distribution.Ejection{{Backend: "a"}}, "z", Crowd{All: proxies, Zone: proxies}, anyBackend)
+					trials.SetEjections(now, []distribution.Ejection{{Backend: "a"}}, "z", ProxyCount{All: proxies, InZone: proxies}, anyBackend)
 				}
-				if trials.Due(now, Risk{Repeatable: true}, anyBackend) != "" {
+				if trials.NextTrial(now, Risk{Idempotent: true}, anyBackend) != "" {
 					count++
 				}
 			}
 		}
-		c.Assert(count > lasts/trialEvery*7/10 && count < lasts/trialEvery*13/10, qt.IsTrue, qt.Commentf("%d proxies made %d trials", proxies, count))
+		c.Assert(count > lasts/trialIntervalMs*7/10 && count < lasts/trialIntervalMs*13/10, qt.IsTrue, qt.Commentf("%d proxies made %d trials", proxies, count))
 	}
 }
 
 // TestRiskOfTrials: requests that would lose much leave trials to others, while there are others.
 func TestRiskOfTrials(t *testing.T) {
 	c := qt.New(t)
-	const due, latest = trialEvery + 1, unrepeatableTrial*trialEvery + 1
+	const due, latest = trialIntervalMs + 1, nonIdempotentDelayFactor*trialIntervalMs + 1
 	take := func(trials *Trials, now float64, slow bool) {
-		trials.Take(now, []distribution.Ejection{{Backend: "a", Slow: slow}}, "z", Crowd{All: 1}, anyBackend)
+		trials.SetEjections(now, []distribution.Ejection{{Backend: "a", Slow: slow}}, "z", ProxyCount{All: 1}, anyBackend)
 	}
 	failing := NewTrials(mean)
 	take(failing, 0, false)
-	c.Assert(failing.Due(due, Risk{}, anyBackend), qt.Equals, "")
+	c.Assert(failing.NextTrial(due, Risk{}, anyBackend), qt.Equals, "")
 	take(failing, latest-1, false)
-	c.Assert(failing.Due(latest, Risk{}, anyBackend), qt.Equals, "a", qt.Commentf("none came that may be repeated"))
+	c.Assert(failing.NextTrial(latest, Risk{}, anyBackend), qt.Equals, "a", qt.Commentf("none came that may be repeated"))
 	take(failing, latest, false)
-	c.Assert(failing.Due(latest+due, Risk{Repeatable: true}, anyBackend), qt.Equals, "a")
+	c.Assert(failing.NextTrial(latest+due, Risk{Idempotent: true}, anyBackend), qt.Equals, "a")
 	take(failing, latest+due, false)
 	take(failing, 2*latest+due, false)
-	c.Assert(failing.Due(2*latest+due, Risk{}, anyBackend), qt.Equals, "", qt.Commentf("one that may be repeated came of late"))
-	c.Assert(failing.Due(2*latest+due, Risk{Repeatable: true}, func(string) bool { return false }), qt.Equals, "")
+	c.Assert(failing.NextTrial(2*latest+due, Risk{}, anyBackend), qt.Equals, "", qt.Commentf("one that may be repeated came of late"))
+	c.Assert(failing.NextTrial(2*latest+due, Risk{Idempotent: true}, func(string) bool { return false }), qt.Equals, "")
 	slow := NewTrials(mean)
 	take(slow, 0, true)
-	c.Assert(slow.Due(due, Risk{Repeatable: true, Long: true}, anyBackend), qt.Equals, "")
-	c.Assert(slow.Due(due, Risk{}, anyBackend), qt.Equals, "a")
+	c.Assert(slow.NextTrial(due, Risk{Idempotent: true, LongDecode: true}, anyBackend), qt.Equals, "")
+	c.Assert(slow.NextTrial(due, Risk{}, anyBackend), qt.Equals, "a")
 	take(slow, due, true)
-	c.Assert(slow.Due(due+1, Risk{}, anyBackend), qt.Equals, "", qt.Commentf("it has just been tried"))
+	c.Assert(slow.NextTrial(due+1, Risk{}, anyBackend), qt.Equals, "", qt.Commentf("it has just been tried"))
 }
--- a/internal/fleet/proxy/answer.go
+++ b/internal/fleet/proxy/answer.go
@@ -20,7 +20,7 @@
 
 // giveUp ends a request that no backend has answered: with a promise where it has not run and never will.
 func (t *try) giveUp(ctx context.Context, why string) {
-	if terms := t.terms(); terms.Bound() {
+	if terms := t.terms(); terms.Restricted() {
 		why = t.svc.insideText(t.subject, terms) + ": " + why
 	}
 	switch {
--- a/internal/fleet/proxy/departure.go
+++ b/internal/fleet/proxy/departure.go
@@ -80,12 +80,12 @@
 		return left
 	case t.route.Kind != routingconfig.KindStream:
 		return min(first, left)
-	case p == nil || p.Out <= 0 || gap <= 0:
+	case p == nil || p.MaxOutputTokens <= 0 || gap <= 0:
 		return left
-	case time.Duration(p.Out) > left/gap: // compared before it is multiplied: a client may name any number
+	case time.Duration(p.MaxOutputTokens) > left/gap: // compared before it is multiplied: a client may name any number
 		return left
 	}
-	return min(first+time.Duration(p.Out)*gap, left)
+	return min(first+time.Duration(p.MaxOutputTokens)*gap, left)
 }
 
 // refusedLeaving refuses a request whose answer this proxy may not live to finish. No backend has seen it, and its client has
--- a/internal/fleet/proxy/departure_test.go
+++ b/internal/fleet/proxy/departure_test.go
@@ -23,7 +23,7 @@
 	lookup := routingconfig.RouteSpec{Kind: routingconfig.KindReadonly, DeadlineMs: 20_000, LatencyTargetMs: 150}
 	noAim := lookup
 	noAim.LatencyTargetMs = 0
-	tokens := func(n int) *scheduler.Prompt { return &scheduler.Prompt{In: 220, Out: n} }
+	tokens := func(n int) *scheduler.Prompt { return &scheduler.Prompt{InputTokens: 220, MaxOutputTokens: n} }
 	for _, tc := range []struct {
 		name   string
 		route  routingconfig.RouteSpec
--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -102,7 +102,7 @@
 	d.v = New(context.Background(), testSettings(zones), zap.NewNop())
 	d.v.pool.Close()
 	pool := transport.New(transport.Options{Dial: d.dial, Timeout: connectWithin, Idle: 10 * time.Second, Most: 1000, Settle: 0, Resting: 4})
-	d.v.pool, d.v.ground = pool, residency.NewGround(pool, zones)
+	d.v.pool, d.v.ground = pool, residency.NewGate(pool, zones)
 	for z := range drawnZones {
 		phase := externalapi.PhaseDecode
 		if (z+z/drawnRegions)%3 == 0 {
--- a/internal/fleet/proxy/enclosed.go
+++ b/internal/fleet/proxy/enclosed.go
@@ -60,7 +60,7 @@
 			}
 		}
 		if r.Regions != nil {
-			one.terms = one.terms.Meet(residency.Within(r.Regions...))
+			one.terms = one.terms.Intersect(residency.Within(r.Regions...))
 		}
 		w.routes[r.Name] = one
 	}
@@ -73,11 +73,11 @@
 	switch {
 	case now != nil && now.tenant == s.tenant:
 		return now.terms
-	case now != nil && !s.came.Bound():
+	case now != nil && !s.came.Restricted():
 		return now.terms // the route got terms after the request came
 	}
 	if base, ok := w.tenants[s.tenant]; ok && s.tenant != "" {
-		return base.Meet(s.came)
+		return base.Intersect(s.came)
 	}
 	return s.came
 }
@@ -115,7 +115,7 @@
 	if t.v.world.Load() == t.world {
 		return nil
 	}
-	if terms := t.terms(); terms.Bound() && e.at.Check(terms) != nil {
+	if terms := t.terms(); terms.Restricted() && e.at.Check(terms) != nil {
 		return errWithdrawn
 	}
 	return nil
@@ -123,19 +123,19 @@
 
 // lend lends a connection for a send. What only releases may carry nothing of the request: neither body nor header.
 func (t *try) lend(ctx context.Context, at residency.Permit, m *message) (*transport.Lent, error) {
-	if !at.Releases() {
-		return at.Lend(ctx, t.terms(), m.id)
+	if !at.ReleaseOnly() {
+		return at.AcquireConn(ctx, t.terms(), m.id)
 	}
 	if len(m.body) > 0 || len(m.header) > 0 || m.method != externalapi.CallFreeKVHandle.Method {
 		return nil, residency.ErrOutside
 	}
-	return at.LendRelease(ctx, m.id)
+	return at.AcquireReleaseConn(ctx, m.id)
 }
 
 // hold has a send of an enclosed request watched: it is known before its terms are looked at, so that a configuration that
 // comes now is seen here or sees it. held is nil where the request is not enclosed or nothing of it is sent.
 func (t *try) hold(ctx context.Context, at residency.Permit, x *extra) (context.Context, *held, error) {
-	if at.Releases() || !t.terms().Bound() {
+	if at.ReleaseOnly() || !t.terms().Restricted() {
 		return ctx, nil, nil
 	}
 	h := &held{of: t.v.enclosed, subject: t.subject, rests: []residency.Permit{at}, use: usePlain}
--- a/internal/fleet/proxy/enclosed_choice_test.go
+++ b/internal/fleet/proxy/enclosed_choice_test.go
@@ -23,9 +23,9 @@
 // cases and more, with the hundred of a usual one 50,000.
 const casesEach = 530
 
-func testGround(zones map[string]string) *residency.Ground {
+func testGround(zones map[string]string) *residency.Gate {
 	dial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no network here") }
-	return residency.NewGround(transport.New(transport.Options{Dial: dial, Timeout: time.Second, Idle: time.Second, Most: 1, Settle: time.Millisecond, Resting: 1}), zones)
+	return residency.NewGate(transport.New(transport.Options{Dial: dial, Timeout: time.Second, Idle: time.Second, Most: 1, Settle: time.Millisecond, Resting: 1}), zones)
 }
 
 func runtimeOf(capacity int) *routingconfig.Service {
@@ -66,7 +66,7 @@
 			case 1, 2, 3:
 				if len(list) > 0 {
 					id := list[next(len(list))].ID
-					s.ranker.Sent(id)
+					s.ranker.AttemptStarted(id)
 					s.ended(id, []policy.Status{policy.OK, policy.Error, policy.Timeout, policy.Reset, policy.ConnectFailed, policy.Full}[next(6)])
 					s.told(id, fmt.Sprintf("%d,%d,8", next(9), next(3)))
 				}
@@ -84,7 +84,7 @@
 			tried := map[string]bool{}
 			permitted := func(b distribution.Backend) bool {
 				region := testZones[b.Zone] // independent of what the package makes of it
-				if !terms.Bound() {
+				if !terms.Restricted() {
 					return true
 				}
 				for _, one := range names {
@@ -105,7 +105,7 @@
 				anywhere = anywhere || usable
 				decodes = decodes || usable && b.Phase == externalapi.PhaseDecode
 			}
-			prompt := &scheduler.Prompt{In: 1 + next(8000), Out: 4, Parts: []scheduler.Part{{Chain: uint64(next(4) + 1), Tokens: 100}, {Chain: seed, Tokens: 10}}}
+			prompt := &scheduler.Prompt{InputTokens: 1 + next(8000), MaxOutputTokens: 4, Segments: []scheduler.Segment{{PrefixHash: uint64(next(4) + 1), Tokens: 100}, {PrefixHash: seed, Tokens: 10}}}
 			check := func(what string, p residency.Permit) {
 				if !permitted(byID[p.ID()]) || p.Check(terms) != nil {
 					r.Fatalf("%s in %q under %v", what, byID[p.ID()].Zone, terms)
@@ -165,7 +165,7 @@
 				list = append(list, distribution.Backend{ID: fmt.Sprintf("b%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), Zone: []string{"e1", "m1", "w1"}[i/3], Phase: phase})
 			}
 			s.list(list)
-			prompt := &scheduler.Prompt{In: 6300, Out: 2, Parts: []scheduler.Part{{Chain: 1, Tokens: 6000}, {Chain: 2, Tokens: 300}}}
+			prompt := &scheduler.Prompt{InputTokens: 6300, MaxOutputTokens: 2, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 6000}, {PrefixHash: 2, Tokens: 300}}}
 			tried := map[string]bool{}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -174,9 +174,9 @@
 					b.Fatal("no place")
 				}
 				s.mu.Lock()
-				s.engines.Read(pl.at.ID, pl.tokens, 0)
-				s.engines.Ended(pl.at.ID)
-				s.ranker.Ended(0, pl.at.ID, policy.OK)
+				s.engines.PrefillEnded(pl.at.ID, pl.tokens, 0)
+				s.engines.RequestEnded(pl.at.ID)
+				s.ranker.AttemptEnded(0, pl.at.ID, policy.OK)
 				s.mu.Unlock()
 			}
 		})
--- a/internal/fleet/proxy/enclosed_test.go
+++ b/internal/fleet/proxy/enclosed_test.go
@@ -407,7 +407,7 @@
 	c.Check(old.termsOf(narrow).Equal(in("east")), qt.IsTrue) // its route is gone: the tenant's, as far as it came under them
 	c.Check(old.termsOf(alone).Equal(in("east")), qt.IsTrue)
 	c.Check(old.termsOf(free).Equal(in("east", "mid")), qt.IsTrue) // the route got terms
-	c.Check((&world{}).termsOf(free).Bound(), qt.IsFalse)
+	c.Check((&world{}).termsOf(free).Restricted(), qt.IsFalse)
 	c.Check((&world{}).termsOf(bound).Equal(in("east", "mid")), qt.IsTrue) // nobody tells any more: those it came under
 	moved := &world{routes: map[string]*routeTerms{"r": {"u", in("west")}}, tenants: map[string]residency.Terms{"t": in("mid"), "u": in("west")}}
 	c.Check(moved.termsOf(bound).Equal(in("mid")), qt.IsTrue) // the route is another tenant's, the data is not
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -135,7 +135,7 @@
 	r.v = New(context.Background(), testSettings(zones), zap.NewNop())
 	r.v.pool.Close()
 	pool := transport.New(transport.Options{Dial: r.dial, Timeout: connectWithin, Idle: 10 * time.Second, Most: 100, Settle: time.Millisecond, Resting: 4})
-	r.v.pool, r.v.ground = pool, residency.NewGround(pool, zones)
+	r.v.pool, r.v.ground = pool, residency.NewGate(pool, zones)
 	for i, b := range []scriptedBackend{
 		{id: "obs-a", service: "obs"}, {id: "obs-b", service: "obs"},
 		{id: "prefill-a", service: "llm", phase: externalapi.PhasePrefill}, {id: "prefill-b", service: "llm", phase: externalapi.PhasePrefill},
--- a/internal/fleet/proxy/feed.go
+++ b/internal/fleet/proxy/feed.go
@@ -116,7 +116,7 @@
 			return err
 		}
 		for _, s := range v.services {
-			s.eject(all.Ejected, v.set.Zone, outlier.Crowd{All: v.proxies, Zone: v.neighbours})
+			s.eject(all.Ejected, v.set.Zone, outlier.ProxyCount{All: v.proxies, InZone: v.neighbours})
 		}
 	}
 	return nil
--- a/internal/fleet/proxy/generate.go
+++ b/internal/fleet/proxy/generate.go
@@ -28,8 +28,8 @@
 // prefill has a backend read the prompt and keep its memory for the taker; reached: the call may have come there.
 func (t *try) prefill(ctx context.Context, b *backend, at residency.Permit, p *scheduler.Prompt, home bool, expectedMs float64, by time.Time) (h *handle, reached bool, err error) {
 	t.svc.mu.Lock()
-	tokens := t.svc.engines.Sent(b.ID, p, home)
-	t.svc.ranker.Sent(b.ID)
+	tokens := t.svc.engines.PrefillStarted(b.ID, p, home)
+	t.svc.ranker.AttemptStarted(b.ID)
 	t.svc.mu.Unlock()
 	took := 0.0
 	status := policy.OK
@@ -38,12 +38,12 @@
 	defer func() {
 		attempt.end(status, speedOf(took, expectedMs, bound), false)
 		t.svc.mu.Lock()
-		t.svc.engines.Read(b.ID, tokens, took)
-		t.svc.engines.Ended(b.ID)
+		t.svc.engines.PrefillEnded(b.ID, tokens, took)
+		t.svc.engines.RequestEnded(b.ID)
 		if took == 0 {
-			t.svc.engines.Forget(b.ID, p)
+			t.svc.engines.InvalidateCache(b.ID, p)
 		}
-		t.svc.ranker.Ended(t.svc.now(), b.ID, status)
+		t.svc.ranker.AttemptEnded(t.svc.now(), b.ID, status)
 		t.svc.mu.Unlock()
 	}()
 	x := extra{until: t.deadline, stage: externalapi.PhasePrefill, priority: t.priority(false)}
@@ -89,7 +89,7 @@
 			until = late // nobody is handed much more time than the client gave
 		}
 		x := extra{until: until, priority: -1}
-		e, _, err := t.begin(ctx, h.from.plot.Release(), &m, &x, time.Now().Add(connectWithin), time.Now().Add(freeWithin))
+		e, _, err := t.begin(ctx, h.from.plot.ReleasePermit(), &m, &x, time.Now().Add(connectWithin), time.Now().Add(freeWithin))
 		if err == nil {
 			_, _ = e.body(maxHandleAnswer)
 		}
@@ -192,9 +192,9 @@
 // unsent takes back a place that was not used.
 func (t *try) unsent(pl place, p *scheduler.Prompt) {
 	t.svc.mu.Lock()
-	t.svc.engines.Read(pl.at.ID, pl.tokens, 0)
-	t.svc.engines.Ended(pl.at.ID)
-	t.svc.ranker.Ended(t.svc.now(), pl.at.ID, policy.Moot)
+	t.svc.engines.PrefillEnded(pl.at.ID, pl.tokens, 0)
+	t.svc.engines.RequestEnded(pl.at.ID)
+	t.svc.ranker.AttemptEnded(t.svc.now(), pl.at.ID, policy.Moot)
 	t.svc.mu.Unlock()
 }
 
--- a/internal/fleet/proxy/leaks_test.go
+++ b/internal/fleet/proxy/leaks_test.go
@@ -32,8 +32,8 @@
 var noGate = []string{"if !p.Allowed(t) {\n\t\treturn Permit{}, ErrOutside\n\t}\n", ""}
 
 // takers has who takes memory chosen without terms.
-var takers = []string{"from *backend) *backend {\n\te := s.engines\n\tif at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Repeatable: w.repeatable}); at != nil {\n\t\treturn at\n\t}\n\tkey := w.p.Last()\n\ts.order = s.ranker.Rank(w.now, key, func(id string) bool { return s.open(w, id, externalapi.PhaseDecode) }",
-	"from *backend) *backend {\n\te := s.engines\n\tif at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Repeatable: w.repeatable}); at != nil {\n\t\treturn at\n\t}\n\tkey := w.p.Last()\n\ts.order = s.ranker.Rank(w.now, key, func(id string) bool { return !w.tried[id] && s.byID[id].Phase == externalapi.PhaseDecode }"}
+var takers = []string{"from *backend) *backend {\n\te := s.engines\n\tif at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Idempotent: w.repeatable}); at != nil {\n\t\treturn at\n\t}\n\tkey := w.p.PromptKey()\n\ts.order = s.ranker.Rank(w.now, key, func(id string) bool { return s.open(w, id, externalapi.PhaseDecode) }",
+	"from *backend) *backend {\n\te := s.engines\n\tif at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Idempotent: w.repeatable}); at != nil {\n\t\treturn at\n\t}\n\tkey := w.p.PromptKey()\n\ts.order = s.ranker.Rank(w.now, key, func(id string) bool { return !w.tried[id] && s.byID[id].Phase == externalapi.PhaseDecode }"}
 
 const (
 	fileEnclosure = "../residency/residency.go"
@@ -53,8 +53,8 @@
 	// Types that can't be confused.
 	{"a send without a permit", "compiler", map[string][]string{fileGenerate: {"t.begin(ctx, at, &t.m, &x, t.connectBy(), by)", "t.begin(ctx, b, &t.m, &x, t.connectBy(), by)"}}},
 	{"a permit made by hand", "compiler", map[string][]string{filePlace: {"pl.permit, err = pl.at.plot.Permit(terms)", "pl.permit, err = (residency.Permit{plot: pl.at.plot}), error(nil)"}}},
-	{"a connection past the permit", "compiler", map[string][]string{fileEnclosed: {"return at.Lend(ctx, t.terms(), m.id)", "return t.svc.byID[at.ID()].plot.way.Lend(ctx, m.id)"}}},
-	{"a connection from the pool", "compiler", map[string][]string{fileEnclosed: {"return at.Lend(ctx, t.terms(), m.id)", "return t.v.pool.Way(at.Address()).Lend(ctx, m.id)"}}},
+	{"a connection past the permit", "compiler", map[string][]string{fileEnclosed: {"return at.AcquireConn(ctx, t.terms(), m.id)", "return t.svc.byID[at.ID()].plot.way.AcquireConn(ctx, m.id)"}}},
+	{"a connection from the pool", "compiler", map[string][]string{fileEnclosed: {"return at.AcquireConn(ctx, t.terms(), m.id)", "return t.v.pool.Way(at.Address()).AcquireConn(ctx, m.id)"}}},
 	{"a handle without a permit", "compiler", map[string][]string{fileGenerate: {"from: b, at: at, tokens", "from: b, at: b, tokens"}}},
 	// The choice alone: the send would refuse, so that requests are lost.
 	{"plain requests are chosen anywhere", choice, map[string][]string{fileService: {"return !tried[id] && (!bound || s.allowed(id, terms)) }", "return !tried[id] || bound && tried[id] && false }"}}},
@@ -66,10 +66,10 @@
 	{"a tenant's routes carry no terms", whole + "Calm", map[string][]string{fileEnclosed: {"one.terms = base", "_ = base"}}},
 	{"terms are those of the route when the request came", whole + "Withdrawn", map[string][]string{fileEnclosed: {"if w := t.v.world.Load(); w != t.world {", "if w := t.v.world.Load(); false {"}, fileStream: {"t.tried, false, t.terms())", "t.tried, false, t.subject.came)"}}},
 	{"sends under way are not cut", whole + "Withdrawn", map[string][]string{fileFeed: {"v.enclosed.withdraw(w)", ""}}},
-	{"streams that got terms go on", whole + "TermsAppear", map[string][]string{fileEnclosed: {"if terms := t.terms(); terms.Bound() && e.at.Check(terms) != nil {", "if terms := t.terms(); terms.Bound() && false {"}}},
+	{"streams that got terms go on", whole + "TermsAppear", map[string][]string{fileEnclosed: {"if terms := t.terms(); terms.Restricted() && e.at.Check(terms) != nil {", "if terms := t.terms(); terms.Restricted() && false {"}}},
 	{"the source of a handle is not watched", whole + "HandleWithdrawn", map[string][]string{fileEnclosed: {"h.rests = append(h.rests, x.handle.at)", ""}}},
-	{"a handle outside is not freed", whole + "HandleWithdrawn", map[string][]string{fileEnclosed: {"return at.LendRelease(ctx, m.id)", "return at.Lend(ctx, t.terms(), m.id)"}}},
-	{"a corrected zone is not taken over", whole + "Relisted", map[string][]string{fileService: {"old.plot.Relist(b.Zone)", ""}}},
+	{"a handle outside is not freed", whole + "HandleWithdrawn", map[string][]string{fileEnclosed: {"return at.AcquireReleaseConn(ctx, m.id)", "return at.Lend(ctx, t.terms(), m.id)"}}},
+	{"a corrected zone is not taken over", whole + "Relisted", map[string][]string{fileService: {"old.plot.SetZone(b.Zone)", ""}}},
 	// Both checks gone: what then rests outside, the auditor sees.
 	{"no check at all", whole + "Calm", map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), fileService: {"return s.byID[id].plot.Allowed(terms)", "return true"}}},
 	{"spills over when nothing is left inside", whole + "Crowd$", map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), fileService: {
@@ -77,7 +77,7 @@
 	{"retries go anywhere", whole + "Storm$/^[a-z_]+$", map[string][]string{fileEnclosure: noCheck, fileServe: {"t.svc.pick(key, t.repeatable(), t.tried, t.terms())", "t.svc.pick(key, t.repeatable(), t.tried, map[bool]residency.Terms{true: t.terms()}[len(t.tried) == 0])"}}},
 	{"streams are resumed anywhere", whole + "Resumes$", map[string][]string{fileEnclosure: noCheck, fileStream: {"t.tried, false, t.terms())", "t.tried, false, residency.Terms{})", `"molepaddle/internal/fleet/scheduler"`, "\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\""}}},
 	{"takers stand anywhere", whole + "Takers$", map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), filePlace: takers}},
-	{"the send looks at other terms", whole + "Withdrawn", map[string][]string{fileEnclosed: {"return at.Lend(ctx, t.terms(), m.id)", "return at.Lend(ctx, residency.Terms{}, m.id)", "if err := p.Check(terms); err != nil {", "_ = terms\n\t\tif err := p.Check(t.subject.came); err != nil {"},
+	{"the send looks at other terms", whole + "Withdrawn", map[string][]string{fileEnclosed: {"return at.AcquireConn(ctx, t.terms(), m.id)", "return at.AcquireConn(ctx, residency.Terms{}, m.id)", "if err := p.Check(terms); err != nil {", "_ = terms\n\t\tif err := p.Check(t.subject.came); err != nil {"},
 		fileGenerate: {"t.svc.placeFor(t.route.Name, t.repeatable(), p, t.route.LatencyTarget(), t.tried, split, terms)", "t.svc.placeFor(t.route.Name, t.repeatable(), p, t.route.LatencyTarget(), t.tried, split, t.subject.came)"}, fileStream: {"t.tried, false, t.terms())", "t.tried, false, t.subject.came)"}}},
 	// And what the drawn days find, most of them by what is lost where it need not be.
 	{"plain requests are chosen anywhere, on drawn days", days, map[string][]string{fileService: {"return !tried[id] && (!bound || s.allowed(id, terms)) }", "return !tried[id] || bound && tried[id] && false }"}}},
@@ -85,7 +85,7 @@
 	{"nothing is checked, on drawn days", days, map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), fileService: {"return s.byID[id].plot.Allowed(terms)", "return true"}}},
 	{"retries go anywhere, on drawn days", days, map[string][]string{fileEnclosure: noCheck, fileServe: {"t.svc.pick(key, t.repeatable(), t.tried, t.terms())", "t.svc.pick(key, t.repeatable(), t.tried, map[bool]residency.Terms{true: t.terms()}[len(t.tried) == 0])"}}},
 	{"streams are resumed anywhere, on drawn days", days, map[string][]string{fileEnclosure: noCheck, fileStream: {"t.tried, false, t.terms())", "t.tried, false, residency.Terms{})", `"molepaddle/internal/fleet/scheduler"`, "\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\""}}},
-	{"a corrected zone is not taken over, on drawn days", days, map[string][]string{fileService: {"old.plot.Relist(b.Zone)", ""}}},
+	{"a corrected zone is not taken over, on drawn days", days, map[string][]string{fileService: {"old.plot.SetZone(b.Zone)", ""}}},
 	{"an address is taken for the backend that had it", days, map[string][]string{fileExchange: {"line(externalapi.HeaderTargetBackend, x.target)", "_ = x.target"}}},
 	{"what may have run is refused", days, map[string][]string{fileAnswer: {"case t.ran:\n\t\tt.v.refuse(t.w, http.StatusBadGateway, 0, why)", "case t.ran:\n\t\tt.v.refuse(t.w, http.StatusServiceUnavailable, soonAgain, why)"}}},
 	{"what may have run is sent again", days, map[string][]string{fileServe: {"(!t.ran || t.route.Idempotent()) && t.sends", "t.sends"}}},
--- a/internal/fleet/proxy/ledger.go
+++ b/internal/fleet/proxy/ledger.go
@@ -132,7 +132,7 @@
 	if !l.changed || !ending && (now.Before(l.soon) || now.Before(l.next) && !l.fresh) {
 		return
 	}
-	if out.PendingOf(l.process) >= residencyreport.MaxOpen {
+	if out.PendingOf(l.process) >= residencyreport.MaxPendingBatches {
 		return
 	}
 	l.next, l.soon = now.Add(batchEvery), now.Add(firstSight)
@@ -143,7 +143,7 @@
 		if r.handed == r.changes {
 			continue
 		}
-		if len(b.Entries) == residencyreport.MaxBatch {
+		if len(b.Entries) == residencyreport.MaxBatchEntries {
 			more = true
 			break
 		}
--- a/internal/fleet/proxy/ledger_test.go
+++ b/internal/fleet/proxy/ledger_test.go
@@ -25,9 +25,9 @@
 func newNoter(c *qt.C) (n noter, east, west residency.Permit) {
 	v := New(c.Context(), testSettings(testZones), zap.NewNop())
 	c.Cleanup(v.pool.Close)
-	east, err := v.ground.Plot("b1", "127.0.0.1:1", "e1").Permit(residency.Within("east"))
+	east, err := v.ground.Endpoint("b1", "127.0.0.1:1", "e1").Permit(residency.Within("east"))
 	c.Assert(err, qt.IsNil)
-	west, err = v.ground.Plot("b2", "127.0.0.1:1", "w1").Permit(residency.Within("west"))
+	west, err = v.ground.Endpoint("b2", "127.0.0.1:1", "w1").Permit(residency.Within("west"))
 	c.Assert(err, qt.IsNil)
 	return noter{v.enclosed}, east, west
 }
@@ -92,20 +92,20 @@
 	e, east, _ := newNoter(c)
 	now := time.Unix(1_000_000, 0)
 	out := distribution.NewResidencyOutbox()
-	const tenants, rounds = residencyreport.MaxBatch + 44, 40
+	const tenants, rounds = residencyreport.MaxBatchEntries + 44, 40
 	sums := map[residencyreport.Pair]int64{}
 	last := uint64(0)
 	drain := func() {
 		open, _ := out.Pending()
 		for _, b := range open {
 			c.Assert(b.N, qt.Equals, last+1)
-			c.Assert(len(b.Entries) <= residencyreport.MaxBatch, qt.IsTrue)
+			c.Assert(len(b.Entries) <= residencyreport.MaxBatchEntries, qt.IsTrue)
 			for _, one := range b.Entries {
 				sums[one.Pair] += one.Counts.Plain
 			}
 			last = b.N
 		}
-		out.Acknowledge(residencyreport.Kept{Process: e.ledger.process, N: last})
+		out.Acknowledge(residencyreport.Ack{Process: e.ledger.process, N: last})
 	}
 	for range rounds {
 		for i := range tenants {
@@ -114,9 +114,9 @@
 		now = now.Add(batchEvery)
 		e.hand(now, out, false)
 		open, _ := out.Pending()
-		c.Assert(len(open) <= residencyreport.MaxOpen, qt.IsTrue)
+		c.Assert(len(open) <= residencyreport.MaxPendingBatches, qt.IsTrue)
 	}
-	c.Assert(out.PendingOf(e.ledger.process), qt.Equals, residencyreport.MaxOpen)
+	c.Assert(out.PendingOf(e.ledger.process), qt.Equals, residencyreport.MaxPendingBatches)
 	for range 4 {
 		drain()
 		now = now.Add(batchEvery)
--- a/internal/fleet/proxy/outcomes.go
+++ b/internal/fleet/proxy/outcomes.go
@@ -62,7 +62,7 @@
 func (a *attempt) answered() float64 {
 	a.svc.mu.Lock()
 	defer a.svc.mu.Unlock()
-	a.svc.recorder.Answered(a.of)
+	a.svc.recorder.HeadersReceived(a.of)
 	return a.svc.now() - a.began
 }
 
@@ -91,7 +91,7 @@
 func (a *attempt) end(how policy.Status, fast speed, paced bool) {
 	a.svc.mu.Lock()
 	defer a.svc.mu.Unlock()
-	result := outlier.Untold
+	result := outlier.Inconclusive
 	switch how {
 	case policy.OK:
 		switch {
@@ -100,12 +100,12 @@
 		case fast == speedLate:
 			result = outlier.Late
 		case paced:
-			result = outlier.Paced
+			result = outlier.StreamedOnPace
 		case fast == speedUsual || !a.svc.trials.Ejected(a.began, a.id):
 			result = outlier.Good
 		}
 	case policy.Timeout:
-		result = outlier.Unanswered
+		result = outlier.TimedOut
 	case policy.Error, policy.ConnectFailed, policy.Reset:
 		result = outlier.Failed
 	}
@@ -189,11 +189,11 @@
 func (s *service) outcomes(all bool) []distribution.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.recorder.Overdue(s.now())
+	s.recorder.CountOverdue(s.now())
 	if !all && !s.recorder.Adverse() {
 		return nil
 	}
-	return s.recorder.Take()
+	return s.recorder.Drain()
 }
 
 // tellOutcomes tells the fleet how attempts end, until ctx ends: bad ends soon, all in turn.
--- a/internal/fleet/proxy/place.go
+++ b/internal/fleet/proxy/place.go
@@ -65,11 +65,11 @@
 	defer s.mu.Unlock()
 	now, e := s.now(), s.engines
 	s.keepApart(now)
-	w := want{now: now, key: p.Key(), p: p, patience: patience(aim), tried: tried, terms: terms, bound: terms.Bound(), repeatable: repeatable}
-	if w.key == 0 && len(p.Parts) > 0 {
-		w.key = p.Parts[0].Chain
+	w := want{now: now, key: p.SharedPrefixKey(), p: p, patience: patience(aim), tried: tried, terms: terms, bound: terms.Restricted(), repeatable: repeatable}
+	if w.key == 0 && len(p.Segments) > 0 {
+		w.key = p.Segments[0].PrefixHash
 	}
-	if e.Long(kind, p) && e.InPlaceMs(p) <= shortRead*w.patience {
+	if e.LongDecode(kind, p) && e.DecodeLocalPrefillMs(p) <= shortRead*w.patience {
 		pl.at = s.maker(&w)
 	} else {
 		s.reader(&w, split, &pl)
@@ -79,11 +79,11 @@
 	}
 	at := pl.at.ID
 	if pl.from == nil {
-		pl.tokens = e.Sent(at, p, pl.home)
+		pl.tokens = e.PrefillStarted(at, p, pl.home)
 	} else {
-		e.Began(at)
+		e.DecodeStarted(at)
 	}
-	s.ranker.Sent(at)
+	s.ranker.AttemptStarted(at)
 	return pl, true
 }
 
@@ -113,7 +113,7 @@
 func (s *service) keepApart(now float64) {
 	s.order = s.ranker.Rank(now, apartKey, func(id string) bool { return s.byID[id].Phase == externalapi.PhaseDecode }, math.Inf(1), nil, s.order[:0])
 	clear(s.apart)
-	for i := range s.engines.Apart(now, s.order) {
+	for i := range s.engines.LongDecodePool(now, s.order) {
 		s.apart[s.order[i]] = true
 	}
 }
@@ -123,15 +123,15 @@
 // The lock is held.
 func (s *service) maker(w *want) *backend {
 	e := s.engines
-	if at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Repeatable: w.repeatable, Long: true}); at != nil {
+	if at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Idempotent: w.repeatable, LongDecode: true}); at != nil {
 		return at
 	}
-	key := w.p.Last() // what it shares is short: requests are spread, not kept together
+	key := w.p.PromptKey() // what it shares is short: requests are spread, not kept together
 	s.order = s.ranker.Rank(w.now, key, func(id string) bool { return s.open(w, id, externalapi.PhaseDecode) }, math.Inf(1), func(id string) float64 {
-		busy := e.Busy(id)
+		busy := e.Utilization(id)
 		class := 0.0
 		switch {
-		case e.Full(w.now, id) || e.Silent(w.now, id, w.patience):
+		case e.Full(w.now, id) || e.Unresponsive(w.now, id, w.patience):
 			class = 3
 		case s.apart[id] && busy >= fillLong:
 			class = 2
@@ -140,7 +140,7 @@
 		case !s.apart[id]:
 			class = 1
 		}
-		return class*classApart + s.ranker.Score(key, id, free(busy))
+		return class*classApart + s.ranker.HashScore(key, id, free(busy))
 	}, s.order[:0])
 	return s.first()
 }
@@ -165,11 +165,11 @@
 func (s *service) reader(w *want, split bool, pl *place) {
 	e, now, p := s.engines, w.now, w.p
 	reads := func(id string) bool { return s.open(w, id, externalapi.PhasePrefill) }
-	home := s.ranker.Home(now, w.key, reads)
+	home := s.ranker.PreferredBackend(now, w.key, reads)
 	least := math.Inf(1) // where all are behind, nothing is won elsewhere
 	for id := range s.byID {
 		if reads(id) {
-			least = min(least, e.AheadMs(now, id)+e.OutwardMs(now, id))
+			least = min(least, e.QueueMs(now, id)+e.OutboundDelayMs(now, id))
 		}
 	}
 	if math.IsInf(least, 1) {
@@ -178,9 +178,9 @@
 	// What is read again elsewhere holds up all that wait: the more, the more of them there are.
 	again := 1 + least/w.patience
 	s.order = s.ranker.Rank(now, w.key, func(id string) bool { return split && reads(id) || s.open(w, id, externalapi.PhaseDecode) }, engineCap, func(id string) float64 {
-		c := e.AheadMs(now, id) + e.OutwardMs(now, id) - least
+		c := e.QueueMs(now, id) + e.OutboundDelayMs(now, id) - least
 		if id != home && home != "" {
-			c += max(e.ReadMs(id, p, false)-e.ReadMs(home, p, true), 0) * again
+			c += max(e.PrefillMs(id, p, false)-e.PrefillMs(home, p, true), 0) * again
 		}
 		if c < homePatience*w.patience {
 			c = 0
@@ -188,14 +188,14 @@
 		if s.byID[id].Phase == externalapi.PhaseDecode {
 			// Reading there slows the tokens of all that run, and so fills the batches: only what is short, or where
 			// nobody else reads.
-			if c = max(c, 0) + 10*w.patience; e.ReadMs(id, p, false) > shortRead*w.patience {
+			if c = max(c, 0) + 10*w.patience; e.PrefillMs(id, p, false) > shortRead*w.patience {
 				c += 1000 * w.patience
 			}
 			if s.apart[id] {
 				c += 10 * w.patience
 			}
 		}
-		if e.Full(now, id) || e.Mute(now, id) {
+		if e.Full(now, id) || e.MarkedUnresponsive(now, id) {
 			c += 30 * w.patience
 		}
 		return c
@@ -203,7 +203,7 @@
 	pl.at = s.first()
 	if split {
 		// What one backend failed to read another may read still.
-		if at := s.onTrial(w, externalapi.PhasePrefill, outlier.Risk{Repeatable: true}); at != nil {
+		if at := s.onTrial(w, externalapi.PhasePrefill, outlier.Risk{Idempotent: true}); at != nil {
 			pl.at = at
 		}
 	}
@@ -211,7 +211,7 @@
 		return
 	}
 	pl.home = pl.at.ID == home
-	pl.readMs = e.ExpectMs(now, pl.at.ID, p, pl.home)
+	pl.readMs = e.ExpectedPrefillMs(now, pl.at.ID, p, pl.home)
 	if pl.at.Phase != externalapi.PhaseDecode {
 		pl.from = pl.at
 		pl.at = s.taker(w, pl.from)
@@ -223,12 +223,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pl.from = from
-	w := want{now: s.now(), key: p.Key(), p: p, patience: patience(aim), tried: tried, terms: terms, bound: terms.Bound(), repeatable: repeatable}
+	w := want{now: s.now(), key: p.SharedPrefixKey(), p: p, patience: patience(aim), tried: tried, terms: terms, bound: terms.Restricted(), repeatable: repeatable}
 	if pl.at = s.taker(&w, from); pl.at == nil || !pl.permits(terms) {
 		return pl, false
 	}
-	s.engines.Began(pl.at.ID)
-	s.ranker.Sent(pl.at.ID)
+	s.engines.DecodeStarted(pl.at.ID)
+	s.ranker.AttemptStarted(pl.at.ID)
 	return pl, true
 }
 
@@ -236,12 +236,12 @@
 // same zone if that is no matter, and to which moves have not been slow of late; nil: none is left. The lock is held.
 func (s *service) taker(w *want, from *backend) *backend {
 	e := s.engines
-	if at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Repeatable: w.repeatable}); at != nil {
+	if at := s.onTrial(w, externalapi.PhaseDecode, outlier.Risk{Idempotent: w.repeatable}); at != nil {
 		return at
 	}
-	key := w.p.Last()
+	key := w.p.PromptKey()
 	s.order = s.ranker.Rank(w.now, key, func(id string) bool { return s.open(w, id, externalapi.PhaseDecode) }, math.Inf(1), func(id string) float64 {
-		busy, late := e.Busy(id), e.InwardMs(w.now, id)/w.patience
+		busy, late := e.Utilization(id), e.InboundDelayMs(w.now, id)/w.patience
 		class := 0.0
 		if s.apart[id] {
 			class++ // they keep their places for long answers
@@ -250,13 +250,13 @@
 			class += 2 // a move takes longer there, and costs more
 		}
 		switch {
-		case e.Full(w.now, id) || e.Silent(w.now, id, w.patience):
+		case e.Full(w.now, id) || e.Unresponsive(w.now, id, w.patience):
 			class += 8
 		case busy >= fillLong || late > slowMove:
 			class += 4
 		}
 		weight := free(busy) / ((1 + late) * (1 + late))
-		return class*classApart + s.ranker.Score(key, id, weight)
+		return class*classApart + s.ranker.HashScore(key, id, weight)
 	}, s.order[:0])
 	return s.first()
 }
--- a/internal/fleet/proxy/place_test.go
+++ b/internal/fleet/proxy/place_test.go
@@ -31,7 +31,7 @@
 }
 
 func sharing(key, own uint64) *scheduler.Prompt {
-	return &scheduler.Prompt{In: 9000, Out: 2, Parts: []scheduler.Part{{Chain: key, Tokens: 6000}, {Chain: own, Tokens: 3000}}}
+	return &scheduler.Prompt{InputTokens: 9000, MaxOutputTokens: 2, Segments: []scheduler.Segment{{PrefixHash: key, Tokens: 6000}, {PrefixHash: own, Tokens: 3000}}}
 }
 
 // What can't be read in the time left is not begun: in a burst of twice what could be read, prompts that were begun all the
@@ -47,7 +47,7 @@
 		one := try{svc: s, deadline: time.Now().Add(2 * time.Second)}
 		late = one.tooLate(&pl)
 		if !late {
-			s.engines.Sent(pl.from.ID, sharing(uint64(n%5), uint64(1000+n)), pl.home)
+			s.engines.PrefillStarted(pl.from.ID, sharing(uint64(n%5), uint64(1000+n)), pl.home)
 		}
 	}
 	c.Assert(late, qt.IsTrue)
@@ -65,17 +65,17 @@
 func TestHomesAreKeptUnderLoad(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 4, 2)
-	home := s.ranker.Home(0, 7, func(id string) bool { return s.byID[id].Phase == externalapi.PhasePrefill })
+	home := s.ranker.PreferredBackend(0, 7, func(id string) bool { return s.byID[id].Phase == externalapi.PhasePrefill })
 	chosen := func() string {
 		pl, ok := s.placeFor("k", false, sharing(7, 8), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		s.ended(pl.at.ID, policy.OK)
-		s.engines.Ended(pl.at.ID)
+		s.engines.RequestEnded(pl.at.ID)
 		return pl.from.ID
 	}
 	load := func(id string, prompts int) {
 		for i := range prompts {
-			s.engines.Sent(id, &scheduler.Prompt{In: 5000, Parts: []scheduler.Part{{Chain: uint64(100 + i), Tokens: 5000}}}, false)
+			s.engines.PrefillStarted(id, &scheduler.Prompt{InputTokens: 5000, Segments: []scheduler.Segment{{PrefixHash: uint64(100 + i), Tokens: 5000}}}, false)
 		}
 	}
 	c.Assert(chosen(), qt.Equals, home)
@@ -92,9 +92,9 @@
 func TestLongAnswersGoWherePlacesAre(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(8, 1, 4)
-	talk := &scheduler.Prompt{In: 100, Out: 80, Parts: []scheduler.Part{{Chain: 1, Tokens: 50}, {Chain: 2, Tokens: 50}}}
+	talk := &scheduler.Prompt{InputTokens: 100, MaxOutputTokens: 80, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 50}, {PrefixHash: 2, Tokens: 50}}}
 	for range 50 {
-		s.engines.Made("talk", talk, 4000)
+		s.engines.ObserveDecode("talk", talk, 4000)
 	}
 	full := map[string]int{"d0": 8, "d1": 9, "d2": 8, "d3": 2}
 	s.gauged(full, nil)
@@ -125,7 +125,7 @@
 	verdict := sharing(1, 2)
 	for _, makingMs := range []float64{30, 150, 400, 4000} {
 		for range 100 {
-			s.engines.Made("verdict", verdict, makingMs)
+			s.engines.ObserveDecode("verdict", verdict, makingMs)
 		}
 		pl, ok := s.placeFor("verdict", false, verdict, 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
--- a/internal/fleet/proxy/proxy.go
+++ b/internal/fleet/proxy/proxy.go
@@ -31,7 +31,7 @@
 	set        settings.Settings
 	log        *zap.Logger
 	pool       interface{ Close() } // the way to a backend is its plot's alone
-	ground     *residency.Ground
+	ground     *residency.Gate
 	ready      atomic.Bool   // a configuration and a list are there
 	served     chan struct{} // closed when they first are
 	world      atomic.Pointer[world]
@@ -85,7 +85,7 @@
 	dialer := &net.Dialer{KeepAlive: -1, Control: sockets.UserTimeout(set.Bounds.Contact)}
 	pool := transport.New(transport.Options{Dial: dialer.DialContext, Timeout: connectWithin, Idle: 10 * time.Second, Most: room / 2,
 		Settle: time.Millisecond, Resting: 4})
-	v.pool, v.ground = pool, residency.NewGround(pool, set.Zones)
+	v.pool, v.ground = pool, residency.NewGate(pool, set.Zones)
 	return v
 }
 
--- a/internal/fleet/proxy/service.go
+++ b/internal/fleet/proxy/service.go
@@ -22,23 +22,23 @@
 // backend is a listed backend with its plot, which holds the connections to it.
 type backend struct {
 	distribution.Backend
-	plot *residency.Plot
+	plot *residency.Endpoint
 }
 
 // service is one service's backends as this proxy sees them. Its lock guards all below it.
 type service struct {
 	name   string
-	ground *residency.Ground
+	ground *residency.Gate
 	start  time.Time
 
 	mu      sync.Mutex
 	byID    map[string]*backend
 	ranker  *ranking.Ranker
-	model   bool               // its backends run models
-	engines *scheduler.Engines // nil until it first runs models; kept afterwards, for requests that are under way
-	pace    scheduler.Pace     // of its streams
-	order   []string           // scratch
-	apart   map[string]bool    // scratch
+	model   bool                 // its backends run models
+	engines *scheduler.Estimator // nil until it first runs models; kept afterwards, for requests that are under way
+	pace    scheduler.StreamPace // of its streams
+	order   []string             // scratch
+	apart   map[string]bool      // scratch
 	spent   allowance
 
 	recorder *outlier.Recorder
@@ -56,10 +56,10 @@
 // before a key goes on to the next. A proxy has few requests out, so that c near 1 would scatter keys.
 const capFactor = 3
 
-func newService(name string, ground *residency.Ground, lapse time.Duration) *service {
+func newService(name string, ground *residency.Gate, lapse time.Duration) *service {
 	return &service{name: name, ground: ground, start: time.Now(), byID: map[string]*backend{}, apart: map[string]bool{},
 		recorder: outlier.NewRecorder(), trials: outlier.NewTrials(rand.ExpFloat64), usualWhole: map[string]usual{},
-		ranker: ranking.NewRanker(ranking.RankerSettings{LapseMs: float64(lapse.Milliseconds()), RefetchMs: float64(lapse.Milliseconds())})}
+		ranker: ranking.NewRanker(ranking.RankerSettings{PendingTimeoutMs: float64(lapse.Milliseconds()), UnhealthyHoldMs: float64(lapse.Milliseconds())})}
 }
 
 func (s *service) now() float64 { return float64(time.Since(s.start).Microseconds()) / 1000 }
@@ -72,12 +72,12 @@
 	if !s.model {
 		return
 	}
-	set := scheduler.Engine{Capacity: c.Runtime.Capacity, KVTokens: int(c.Runtime.KVCacheTokens), KVBytes: c.Runtime.KVTokenBytes, LinkMbps: c.Runtime.KVTransferMbps}
+	set := scheduler.EngineSpec{Capacity: c.Runtime.Capacity, KVCacheTokens: int(c.Runtime.KVCacheTokens), KVBytesPerToken: c.Runtime.KVTokenBytes, LinkMbps: c.Runtime.KVTransferMbps}
 	if s.engines == nil {
-		s.engines = scheduler.New(set)
+		s.engines = scheduler.NewEstimator(set)
 		s.relist()
 	} else {
-		s.engines.Turn(set)
+		s.engines.UpdateSpec(set)
 	}
 }
 
@@ -86,7 +86,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	listed := make(map[string]bool, len(all))
-	ranked := make([]ranking.Listed, 0, len(all))
+	ranked := make([]ranking.Endpoint, 0, len(all))
 	for _, b := range all {
 		if listed[b.ID] {
 			continue
@@ -95,15 +95,15 @@
 		old := s.byID[b.ID]
 		switch {
 		case old == nil:
-			s.byID[b.ID] = &backend{Backend: b, plot: s.ground.Plot(b.ID, b.Address, b.Zone)}
+			s.byID[b.ID] = &backend{Backend: b, plot: s.ground.Endpoint(b.ID, b.Address, b.Zone)}
 		case old.Address != b.Address:
 			old.plot.Retire()
-			s.byID[b.ID] = &backend{Backend: b, plot: s.ground.Plot(b.ID, b.Address, b.Zone)}
+			s.byID[b.ID] = &backend{Backend: b, plot: s.ground.Endpoint(b.ID, b.Address, b.Zone)}
 		default:
-			old.plot.Relist(b.Zone)
+			old.plot.SetZone(b.Zone)
 			s.byID[b.ID] = &backend{Backend: b, plot: old.plot}
 		}
-		ranked = append(ranked, ranking.Listed{ID: b.ID, Usable: !b.Draining})
+		ranked = append(ranked, ranking.Endpoint{ID: b.ID, Usable: !b.Draining})
 	}
 	for id, b := range s.byID {
 		if !listed[id] {
@@ -113,7 +113,7 @@
 			b.plot.CloseIdle()
 		}
 	}
-	s.ranker.List(s.now(), ranked)
+	s.ranker.SetEndpoints(s.now(), ranked)
 	s.relist()
 }
 
@@ -125,13 +125,13 @@
 	for id, b := range s.byID {
 		all = append(all, scheduler.Backend{ID: id, Zone: b.Zone, Prefill: b.Phase == externalapi.PhasePrefill})
 	}
-	s.engines.List(all)
+	s.engines.SetBackends(all)
 }
 
 // ended counts the end of an attempt, as its choice counted its beginning.
 func (s *service) ended(id string, how policy.Status) {
 	s.mu.Lock()
-	s.ranker.Ended(s.now(), id, how)
+	s.ranker.AttemptEnded(s.now(), id, how)
 	s.mu.Unlock()
 }
 
@@ -146,7 +146,7 @@
 	}
 	s.mu.Lock()
 	if s.engines != nil {
-		s.engines.Told(s.now(), id, active, waiting)
+		s.engines.ObserveResponseLoad(s.now(), id, active, waiting)
 	}
 	s.mu.Unlock()
 }
@@ -155,10 +155,10 @@
 func (s *service) awaits(id string) (heard func(came bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since := s.engines.Awaits(s.now(), id)
+	since := s.engines.AwaitHeaders(s.now(), id)
 	return func(came bool) {
 		s.mu.Lock()
-		s.engines.Heard(s.now(), id, since, came)
+		s.engines.AwaitEnded(s.now(), id, since, came)
 		s.mu.Unlock()
 	}
 }
@@ -168,12 +168,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ms := float64(took.Microseconds()) / 1000
-	s.pace.Came(s.now(), ms, events)
-	how := outlier.Paced
+	s.pace.Observe(s.now(), ms, events)
+	how := outlier.StreamedOnPace
 	if s.usualGap.ms > 0 && ms/float64(events) > s.slowGap() {
 		how = outlier.Slow
 	}
-	s.recorder.Note(id, how)
+	s.recorder.ObservePart(id, how)
 }
 
 // slowestPace is the longest that an event of a stream took of late, on the mean of a stretch; 0: none came.
@@ -188,16 +188,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if away {
-		s.engines.Shed(s.now(), id)
+		s.engines.ObserveRejection(s.now(), id)
 	} else {
-		s.engines.Took(id)
+		s.engines.ObserveAcceptance(id)
 	}
 }
 
 // turned notes how long a prompt took to be read where it was expected to take so many ms.
 func (s *service) turned(expected float64, took time.Duration) {
 	s.mu.Lock()
-	s.engines.Turned(expected, float64(took.Microseconds())/1000)
+	s.engines.ObservePrefill(expected, float64(took.Microseconds())/1000)
 	s.mu.Unlock()
 }
 
@@ -216,13 +216,13 @@
 	now := s.now()
 	for id, b := range s.byID {
 		if n, ok := active[id]; ok {
-			s.engines.Gauged(now, id, n)
+			s.engines.ObservePolledLoad(now, id, n)
 		} else if least > 0 && b.Phase == externalapi.PhaseDecode {
-			s.engines.Gauged(now, id, least)
+			s.engines.ObservePolledLoad(now, id, least)
 		}
 	}
 	for _, id := range silent {
-		s.engines.Muted(now, id)
+		s.engines.MarkUnresponsive(now, id)
 	}
 }
 
@@ -237,11 +237,11 @@
 func (s *service) pick(key uint64, repeatable bool, tried map[string]bool, terms residency.Terms) (at residency.Permit, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	bound := terms.Bound()
+	bound := terms.Restricted()
 	open := func(id string) bool { return !tried[id] && (!bound || s.allowed(id, terms)) }
-	id := s.trials.Due(s.now(), outlier.Risk{Repeatable: repeatable}, func(id string) bool { return s.triable(id) && open(id) })
+	id := s.trials.NextTrial(s.now(), outlier.Risk{Idempotent: repeatable}, func(id string) bool { return s.triable(id) && open(id) })
 	if id == "" {
-		s.order = s.ranker.Rank(s.now(), key, open, capFactor, func(id string) float64 { return float64(s.ranker.Outstanding(id)) }, s.order[:0])
+		s.order = s.ranker.Rank(s.now(), key, open, capFactor, func(id string) float64 { return float64(s.ranker.InFlight(id)) }, s.order[:0])
 		if len(s.order) == 0 {
 			return at, false
 		}
@@ -251,6 +251,6 @@
 	if err != nil {
 		return at, false
 	}
-	s.ranker.Sent(at.ID())
+	s.ranker.AttemptStarted(at.ID())
 	return at, true
 }
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -42,17 +42,17 @@
 		fast, paced := t.svc.streamed(t, h != nil, bound, began.Sub(start), r)
 		attempt.end(status, fast, paced)
 		t.svc.mu.Lock()
-		t.svc.engines.Read(b.ID, pl.tokens, read)
-		t.svc.engines.Ended(b.ID)
+		t.svc.engines.PrefillEnded(b.ID, pl.tokens, read)
+		t.svc.engines.RequestEnded(b.ID)
 		switch {
 		case h != nil && kept:
-			t.svc.engines.Moved(t.svc.now(), h.from.ID, b.ID, p, float64(began.Sub(start).Microseconds())/1000, true)
+			t.svc.engines.ObserveTransfer(t.svc.now(), h.from.ID, b.ID, p, float64(began.Sub(start).Microseconds())/1000, true)
 		case h != nil && sent:
-			t.svc.engines.Moved(t.svc.now(), h.from.ID, b.ID, p, float64(time.Since(start).Microseconds())/1000, false)
+			t.svc.engines.ObserveTransfer(t.svc.now(), h.from.ID, b.ID, p, float64(time.Since(start).Microseconds())/1000, false)
 		case !kept && h == nil:
-			t.svc.engines.Forget(b.ID, p)
+			t.svc.engines.InvalidateCache(b.ID, p)
 		}
-		t.svc.ranker.Ended(t.svc.now(), b.ID, status)
+		t.svc.ranker.AttemptEnded(t.svc.now(), b.ID, status)
 		t.svc.mu.Unlock()
 	}()
 	x := extra{until: t.deadline, priority: t.priority(h != nil), handle: h}
@@ -84,7 +84,7 @@
 			t.svc.shed(b.ID, true)
 			if h != nil {
 				t.svc.mu.Lock()
-				t.svc.ranker.Handover(t.svc.now(), h.from.ID, false)
+				t.svc.ranker.TransferEnded(t.svc.now(), h.from.ID, false)
 				t.svc.mu.Unlock()
 			}
 			return false, nil
@@ -99,7 +99,7 @@
 	}
 	if h != nil {
 		t.svc.mu.Lock()
-		t.svc.ranker.Handover(t.svc.now(), h.from.ID, true)
+		t.svc.ranker.TransferEnded(t.svc.now(), h.from.ID, true)
 		t.svc.mu.Unlock()
 	}
 	t.svc.shed(b.ID, false)
@@ -113,7 +113,7 @@
 	if err == nil {
 		t.v.count(http.StatusOK)
 		t.svc.mu.Lock()
-		t.svc.engines.Made(t.route.Name, p, float64(time.Since(began).Microseconds())/1000)
+		t.svc.engines.ObserveDecode(t.route.Name, p, float64(time.Since(began).Microseconds())/1000)
 		t.svc.mu.Unlock()
 		return true, nil
 	}
@@ -317,12 +317,12 @@
 		}
 		left := errors.Is(err, errClientLeft)
 		t.svc.mu.Lock()
-		t.svc.engines.Read(pl.at.ID, pl.tokens, 0)
-		t.svc.engines.Ended(pl.at.ID)
+		t.svc.engines.PrefillEnded(pl.at.ID, pl.tokens, 0)
+		t.svc.engines.RequestEnded(pl.at.ID)
 		if !kept {
-			t.svc.engines.Forget(pl.at.ID, p)
+			t.svc.engines.InvalidateCache(pl.at.ID, p)
 		}
-		t.svc.ranker.Ended(t.svc.now(), pl.at.ID, status)
+		t.svc.ranker.AttemptEnded(t.svc.now(), pl.at.ID, status)
 		t.svc.mu.Unlock()
 		if done {
 			t.v.count(http.StatusOK)
--- a/internal/fleet/proxy/trials.go
+++ b/internal/fleet/proxy/trials.go
@@ -6,13 +6,13 @@
 )
 
 // eject takes the fleet's word on the backends of the service, as it concerns proxies of a zone.
-func (s *service) eject(ejections []distribution.Ejection, zone string, crowd outlier.Crowd) {
+func (s *service) eject(ejections []distribution.Ejection, zone string, crowd outlier.ProxyCount) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	ejected, restored := s.trials.Take(now, ejections, zone, crowd, func(id string) bool { return s.byID[id] != nil })
+	ejected, restored := s.trials.SetEjections(now, ejections, zone, crowd, func(id string) bool { return s.byID[id] != nil })
 	for _, id := range ejected {
-		s.ranker.Eject(now, id, outlier.Until(now))
+		s.ranker.Eject(now, id, outlier.EjectionExpiry(now))
 	}
 	for _, id := range restored {
 		s.ranker.Restore(now, id)
@@ -21,7 +21,7 @@
 
 // onTrial is the ejected backend of a phase that the request is to try; nil: none. The lock is held.
 func (s *service) onTrial(w *want, phase string, risk outlier.Risk) *backend {
-	id := s.trials.Due(w.now, risk, func(id string) bool { return s.triable(id) && s.open(w, id, phase) })
+	id := s.trials.NextTrial(w.now, risk, func(id string) bool { return s.triable(id) && s.open(w, id, phase) })
 	return s.byID[id]
 }
 
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -33,7 +33,7 @@
 			count[pl.from.ID]++
 		}
 		s.ended(pl.at.ID, policy.Moot)
-		s.engines.Ended(pl.at.ID)
+		s.engines.RequestEnded(pl.at.ID)
 	}
 	return count
 }
@@ -42,22 +42,22 @@
 func TestEjectedBackendsGetTrialsOnly(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
-	s.eject(ejections("p1", "d2", "d3"), "e1", outlier.Crowd{All: 60, Zone: 20})
+	s.eject(ejections("p1", "d2", "d3"), "e1", outlier.ProxyCount{All: 60, InZone: 20})
 	count := sentTo(c, s, 300, false)
 	c.Assert(count["p1"]+count["d2"]+count["d3"] <= 3, qt.IsTrue, qt.Commentf("%v", count))
 	// Alone in its fleet a proxy makes all the trials.
 	s.start = s.start.Add(-20 * time.Second)
-	s.eject(nil, "e1", outlier.Crowd{})
-	s.eject(ejections("p1", "d2"), "e1", outlier.Crowd{All: 1, Zone: 1})
+	s.eject(nil, "e1", outlier.ProxyCount{})
+	s.eject(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
 	tried := 0
 	for range 40 {
 		s.start = s.start.Add(-500 * time.Millisecond)
-		s.eject(ejections("p1", "d2"), "e1", outlier.Crowd{All: 1, Zone: 1})
+		s.eject(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
 		count := sentTo(c, s, 1, true)
 		tried += count["p1"] + count["d2"]
 	}
 	c.Assert(tried >= 5 && tried <= 70, qt.IsTrue, qt.Commentf("%d", tried))
-	s.eject(nil, "e1", outlier.Crowd{})
+	s.eject(nil, "e1", outlier.ProxyCount{})
 	c.Assert(sentTo(c, s, 500, false)["p1"] > 0, qt.IsTrue)
 }
 
@@ -71,11 +71,11 @@
 		one.Draining = one.ID == "d0"
 		list = append(list, one)
 	}
-	s.eject(ejections("d0"), "e1", outlier.Crowd{All: 1, Zone: 1})
+	s.eject(ejections("d0"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
 	s.list(list)
 	for range 40 {
 		s.start = s.start.Add(-500 * time.Millisecond)
-		s.eject(ejections("d0"), "e1", outlier.Crowd{All: 1, Zone: 1})
+		s.eject(ejections("d0"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
 		c.Assert(sentTo(c, s, 1, true)["d0"], qt.Equals, 0)
 		at, ok := s.pick(1, true, map[string]bool{}, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
@@ -92,7 +92,7 @@
 		s.paced("d0", paceStretch*50*time.Millisecond, paceStretch)
 		s.usualGap.learn(50)
 	}
-	s.recorder.Take()
+	s.recorder.Drain()
 	s.paced("d0", paceStretch*60*time.Millisecond, paceStretch)
 	s.paced("d1", paceStretch*400*time.Millisecond, paceStretch)
 	c.Assert(s.stretchOver(time.Second, 3), qt.IsFalse)
@@ -123,14 +123,14 @@
 func TestTrialsOfLongAnswers(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 4)
-	talk := &scheduler.Prompt{In: 100, Out: 80, Parts: []scheduler.Part{{Chain: 1, Tokens: 50}, {Chain: 2, Tokens: 50}}}
+	talk := &scheduler.Prompt{InputTokens: 100, MaxOutputTokens: 80, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 50}, {PrefixHash: 2, Tokens: 50}}}
 	for range 50 {
-		s.engines.Made("talk", talk, 4000)
+		s.engines.ObserveDecode("talk", talk, 4000)
 	}
 	slow := []distribution.Ejection{{Backend: "d1", Slow: true}}
 	for range 60 {
 		s.start = s.start.Add(-500 * time.Millisecond)
-		s.eject(slow, "e1", outlier.Crowd{All: 1, Zone: 1})
+		s.eject(slow, "e1", outlier.ProxyCount{All: 1, InZone: 1})
 		pl, ok := s.placeFor("talk", true, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(pl.at.Phase, qt.Equals, externalapi.PhaseDecode)
--- a/internal/fleet/ranking/ranking_test.go
+++ b/internal/fleet/ranking/ranking_test.go
@@ -13,16 +13,16 @@
 )
 
 // listed is a list of n usable backends b0, b1 ...
-func listed(n int) (list []Listed) {
+func listed(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Listed{ID: fmt.Sprint("b", i), Usable: true})
+		list = append(list, Endpoint{ID: fmt.Sprint("b", i), Usable: true})
 	}
 	return list
 }
 
 // standing is a Standing that entered a state at since, by its transitions.
-func standing(state policy.State, since float64) policy.Standing {
-	s := policy.NewStanding(since)
+func standing(state policy.State, since float64) policy.Health {
+	s := policy.NewHealth(since)
 	switch state {
 	case policy.Connected:
 		s.Served(since)
@@ -38,7 +38,7 @@
 // ranked is a Ranker that has served from each of n backends at 0.
 func ranked(set RankerSettings, n int) *Ranker {
 	r := NewRanker(set)
-	r.List(0, listed(n))
+	r.SetEndpoints(0, listed(n))
 	for _, l := range listed(n) {
 		attempted(r, 0, l.ID, policy.OK)
 	}
@@ -46,8 +46,8 @@
 }
 
 func attempted(r *Ranker, now float64, id string, how policy.Status) {
-	r.Sent(id)
-	r.Ended(now, id, how)
+	r.AttemptStarted(id)
+	r.AttemptEnded(now, id, how)
 }
 
 func (r *Ranker) ranking(now float64, key uint64) []string {
@@ -57,22 +57,22 @@
 func TestRankerFollowsTheList(t *testing.T) {
 	c := qt.New(t)
 	r := ranked(RankerSettings{}, 2)
-	r.Sent("b0")
-	r.List(1, []Listed{{"b1", false}, {"b2", true}})
+	r.AttemptStarted("b0")
+	r.SetEndpoints(1, []Endpoint{{"b1", false}, {"b2", true}})
 	c.Assert(r.ranking(1, 7), qt.DeepEquals, []string{"b2"})
-	c.Assert(r.byID["b2"].Standing, qt.Equals, policy.NewStanding(1))
+	c.Assert(r.byID["b2"].Health, qt.Equals, policy.NewHealth(1))
 	c.Assert(r.byID["b1"].State(), qt.Equals, policy.Connected) // kept though it is not usable
-	c.Assert(r.Outstanding("b0"), qt.Equals, 1)                 // known until its attempt is over
-	r.Ended(2, "b0", policy.OK)
-	r.List(2, []Listed{{"b1", true}})
+	c.Assert(r.InFlight("b0"), qt.Equals, 1)                    // known until its attempt is over
+	r.AttemptEnded(2, "b0", policy.OK)
+	r.SetEndpoints(2, []Endpoint{{"b1", true}})
 	c.Assert(r.all, qt.HasLen, 1)
 	c.Assert(r.byID, qt.HasLen, 1)
-	r.Sent("b9") // all of an unknown one is nothing
-	r.Ended(2, "b9", policy.Reset)
-	r.Handover(2, "b9", false)
-	r.Probed(2, "b9", true)
-	c.Assert(r.Outstanding("b9"), qt.Equals, 0)
-	r.List(3, nil)
+	r.AttemptStarted("b9") // all of an unknown one is nothing
+	r.AttemptEnded(2, "b9", policy.Reset)
+	r.TransferEnded(2, "b9", false)
+	r.ProbeEnded(2, "b9", true)
+	c.Assert(r.InFlight("b9"), qt.Equals, 0)
+	r.SetEndpoints(3, nil)
 	c.Assert(r.ranking(3, 7), qt.HasLen, 0)
 }
 
@@ -80,17 +80,17 @@
 	c := qt.New(t)
 	for _, how := range []policy.Status{policy.Error, policy.Timeout, policy.ConnectFailed, policy.Reset} {
 		r := ranked(RankerSettings{}, 3)
-		c.Assert(r.Refetch(0), qt.IsFalse)
+		c.Assert(r.ShouldRefetch(0), qt.IsFalse)
 		first := r.ranking(0, 7)
 		attempted(r, 10, first[0], how)
 		// Connected until then: the refresh is forced at once, and it awaits validation.
-		c.Assert(r.byID[first[0]].Standing, qt.Equals, standing(policy.UnhealthyPending, 10))
+		c.Assert(r.byID[first[0]].Health, qt.Equals, standing(policy.UnhealthyPending, 10))
 		c.Assert(r.ranking(10, 7), qt.DeepEquals, append(slices.Clone(first[1:]), first[0]))
-		c.Assert(r.Refetch(10), qt.IsTrue)
-		c.Assert(r.Refetch(10), qt.IsFalse)
+		c.Assert(r.ShouldRefetch(10), qt.IsTrue)
+		c.Assert(r.ShouldRefetch(10), qt.IsFalse)
 		attempted(r, 20, first[0], how) // not Connected: no refresh
-		c.Assert(r.byID[first[0]].Standing, qt.Equals, standing(policy.Unhealthy, 20))
-		c.Assert(r.Refetch(5000), qt.IsFalse)
+		c.Assert(r.byID[first[0]].Health, qt.Equals, standing(policy.Unhealthy, 20))
+		c.Assert(r.ShouldRefetch(5000), qt.IsFalse)
 		attempted(r, 30, first[0], policy.OK)
 		c.Assert(r.ranking(30, 7), qt.DeepEquals, first)
 	}
@@ -103,30 +103,30 @@
 		first := r.ranking(0, 7)
 		attempted(r, 10, first[0], how)
 		c.Assert(r.ranking(10, 7), qt.DeepEquals, first)
-		c.Assert(r.Outstanding(first[0]), qt.Equals, 0)
-		c.Assert(r.Refetch(10), qt.IsFalse)
+		c.Assert(r.InFlight(first[0]), qt.Equals, 0)
+		c.Assert(r.ShouldRefetch(10), qt.IsFalse)
 	}
 }
 
 // One that was out while the calls to it failed refreshes the others, too.
 func TestRankerRefreshesAll(t *testing.T) {
 	c := qt.New(t)
-	r := ranked(RankerSettings{ProbeCap: 2}, 4)
+	r := ranked(RankerSettings{MaxProbes: 2}, 4)
 	r.byID["b0"].Demote(5)
 	r.byID["b1"].Demote(5)
 	attempted(r, 10, "b2", policy.Reset)
-	c.Assert(r.Probes(nil), qt.DeepEquals, []string{"b0", "b1"}) // the cap
-	c.Assert(r.Probes(nil), qt.HasLen, 0)
-	r.Probed(12, "b1", false)
-	c.Assert(r.Probes(nil), qt.DeepEquals, []string{"b2"})
-	r.Probed(13, "b0", true)
-	c.Assert(r.Probes(nil), qt.HasLen, 0) // each once
-	c.Assert(r.byID["b0"].Standing, qt.Equals, standing(policy.Connected, 13))
-	c.Assert(r.byID["b1"].Standing, qt.Equals, standing(policy.Unhealthy, 12))
-	r.Ended(14, "b2", policy.OK) // while its probe is out
-	r.Probed(15, "b2", false)
-	c.Assert(r.byID["b2"].Standing, qt.Equals, standing(policy.Connected, 14))
-	r.Probed(16, "b0", false) // not asked
+	c.Assert(r.StartProbes(nil), qt.DeepEquals, []string{"b0", "b1"}) // the cap
+	c.Assert(r.StartProbes(nil), qt.HasLen, 0)
+	r.ProbeEnded(12, "b1", false)
+	c.Assert(r.StartProbes(nil), qt.DeepEquals, []string{"b2"})
+	r.ProbeEnded(13, "b0", true)
+	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // each once
+	c.Assert(r.byID["b0"].Health, qt.Equals, standing(policy.Connected, 13))
+	c.Assert(r.byID["b1"].Health, qt.Equals, standing(policy.Unhealthy, 12))
+	r.AttemptEnded(14, "b2", policy.OK) // while its probe is out
+	r.ProbeEnded(15, "b2", false)
+	c.Assert(r.byID["b2"].Health, qt.Equals, standing(policy.Connected, 14))
+	r.ProbeEnded(16, "b0", false) // not asked
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Connected)
 }
 
@@ -134,15 +134,15 @@
 func TestRankerLapses(t *testing.T) {
 	c := qt.New(t)
 	r := NewRanker(RankerSettings{})
-	r.List(0, listed(2))
+	r.SetEndpoints(0, listed(2))
 	attempted(r, 0, "b0", policy.ConnectFailed) // Unknown until then: no refresh
 	c.Assert(r.ranking(59999, 7), qt.DeepEquals, []string{"b1", "b0"})
-	c.Assert(r.Refetch(59999), qt.IsFalse)
+	c.Assert(r.ShouldRefetch(59999), qt.IsFalse)
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Unhealthy)
 	c.Assert(r.ranking(60000, 7), qt.DeepEquals, []string{"b1", "b0"})
-	c.Assert(r.Refetch(60000), qt.IsTrue)
-	c.Assert(r.byID["b0"].Standing, qt.Equals, standing(policy.UnhealthyPending, 60000))
-	c.Assert(r.Probes(nil), qt.HasLen, 0) // no cap, no probe
+	c.Assert(r.ShouldRefetch(60000), qt.IsTrue)
+	c.Assert(r.byID["b0"].Health, qt.Equals, standing(policy.UnhealthyPending, 60000))
+	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // no cap, no probe
 	b0 := func(now float64) (first int) {
 		for key := range uint64(200) {
 			if r.ranking(now, key*0x9e3779b97f4a7c15)[0] == "b0" {
@@ -159,27 +159,27 @@
 	c := qt.New(t)
 	r := ranked(RankerSettings{}, 2)
 	fail := func(now float64) {
-		r.Sent("b1")
-		r.Handover(now, "b0", false)
-		r.Ended(now, "b1", policy.Full)
+		r.AttemptStarted("b1")
+		r.TransferEnded(now, "b0", false)
+		r.AttemptEnded(now, "b1", policy.Full)
 	}
-	for range handoverLimit - 1 {
+	for range maxFailedTransfers - 1 {
 		fail(1)
 	}
 	attempted(r, 2, "b0", policy.OK) // a prompt read says nothing of the way of its memory
-	r.Handover(2, "b0", true)
-	for range handoverLimit - 1 {
+	r.TransferEnded(2, "b0", true)
+	for range maxFailedTransfers - 1 {
 		fail(3)
 	}
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Connected)
 	fail(4)
-	c.Assert(r.byID["b0"].Standing, qt.Equals, standing(policy.UnhealthyPending, 4))
+	c.Assert(r.byID["b0"].Health, qt.Equals, standing(policy.UnhealthyPending, 4))
 	attempted(r, 5, "b0", policy.OK)
 	fail(6) // still none has succeeded
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.UnhealthyPending)
 	c.Assert(r.byID["b1"].State(), qt.Equals, policy.Connected)
-	c.Assert(r.Outstanding("b1"), qt.Equals, 0)
-	c.Assert(r.Outstanding("b0"), qt.Equals, 0)
+	c.Assert(r.InFlight("b1"), qt.Equals, 0)
+	c.Assert(r.InFlight("b0"), qt.Equals, 0)
 }
 
 // Costs come before the key in a tier, but not before the tier; near costs are one.
@@ -209,7 +209,7 @@
 	for id, n := range count {
 		c.Assert(n > 400 && n < 600, qt.IsTrue, qt.Commentf("%s has %d of 4000 keys", id, n))
 	}
-	r.List(1, listed(7))
+	r.SetEndpoints(1, listed(7))
 	for key, id := range home {
 		if now := r.ranking(1, key*0x9e3779b97f4a7c15)[0]; id != "b7" {
 			c.Assert(now, qt.Equals, id)
@@ -238,8 +238,8 @@
 // more validations under way than it may, and has everyone back in the first tier in bounded time.
 func TestRankerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := RankerSettings{ProbeCap: rapid.IntRange(0, 3).Draw(t, "probes"), LapseMs: 1000, RefetchMs: 3000,
-			LeastMs: 500, CostTolerance: 5}
+		set := RankerSettings{MaxProbes: rapid.IntRange(0, 3).Draw(t, "probes"), PendingTimeoutMs: 1000, UnhealthyHoldMs: 3000,
+			MinRefetchIntervalMs: 500, CostTolerance: 5}
 		r := NewRanker(set)
 		now, asked := 0.0, math.Inf(-1)
 		usable, out, probing := map[string]bool{}, map[string]int{}, map[string]bool{}
@@ -255,23 +255,23 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
 				clear(usable)
-				var list []Listed
+				var list []Endpoint
 				for i := range 10 {
 					if rapid.IntRange(0, 3).Draw(t, "listed") > 0 {
-						l := Listed{fmt.Sprint("b", i), rapid.IntRange(0, 4).Draw(t, "usable") > 0}
+						l := Endpoint{fmt.Sprint("b", i), rapid.IntRange(0, 4).Draw(t, "usable") > 0}
 						usable[l.ID] = l.Usable
 						list = append(list, l)
 					}
 				}
-				r.List(now, list)
+				r.SetEndpoints(now, list)
 				for x, n := range out {
-					if r.Outstanding(x) != n {
-						t.Fatalf("%s has %d out after a list, not %d", x, r.Outstanding(x), n)
+					if r.InFlight(x) != n {
+						t.Fatalf("%s has %d out after a list, not %d", x, r.InFlight(x), n)
 					}
 				}
 			case 1, 2:
 				if x := id(); r.byID[x] != nil {
-					r.Sent(x)
+					r.AttemptStarted(x)
 					out[x]++
 				}
 			case 3, 4:
@@ -281,7 +281,7 @@
 				}
 				was, _ := held(x)
 				how := rapid.SampledFrom([]policy.Status{policy.OK, policy.Full, policy.Error, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Moot, policy.Cancelled, policy.NoWay}).Draw(t, "how")
-				r.Ended(now, x, how)
+				r.AttemptEnded(now, x, how)
 				out[x]--
 				is, _ := held(x)
 				switch how {
@@ -302,20 +302,20 @@
 					}
 				}
 			case 5:
-				for _, x := range r.Probes(nil) {
+				for _, x := range r.StartProbes(nil) {
 					if s, _ := held(x); probing[x] || !usable[x] || s != policy.UnhealthyPending {
 						t.Fatalf("%s is to be probed in state %d", x, s)
 					}
 					probing[x] = true
 				}
-				if len(probing) > set.ProbeCap {
+				if len(probing) > set.MaxProbes {
 					t.Fatalf("%d probes at once", len(probing))
 				}
 			case 6:
 				x := id()
 				was, _ := held(x)
 				ok := rapid.Bool().Draw(t, "ok")
-				r.Probed(now, x, ok)
+				r.ProbeEnded(now, x, ok)
 				is, _ := held(x)
 				if want := map[bool]policy.State{true: policy.Connected, false: policy.Unhealthy}[ok]; probing[x] && was == policy.UnhealthyPending {
 					if is != want {
@@ -326,8 +326,8 @@
 				}
 				delete(probing, x)
 			}
-			if r.Refetch(now) {
-				if now-asked < set.LeastMs {
+			if r.ShouldRefetch(now) {
+				if now-asked < set.MinRefetchIntervalMs {
 					t.Fatal("the list is asked for too often")
 				}
 				asked = now
@@ -335,11 +335,11 @@
 			ordered(t, r, now, usable, out)
 		}
 		// It ends well: with nothing more to happen but requests, all rank first.
-		r.Rank(now+set.RefetchMs, 1, nil, 1, nil, nil)
-		now += set.RefetchMs + set.LapseMs
+		r.Rank(now+set.UnhealthyHoldMs, 1, nil, 1, nil, nil)
+		now += set.UnhealthyHoldMs + set.PendingTimeoutMs
 		r.Rank(now, 1, nil, 1, nil, nil)
 		for _, b := range r.all {
-			if b.Tier(now, set.LapseMs) != 0 {
+			if b.Tier(now, set.PendingTimeoutMs) != 0 {
 				t.Fatalf("%s stays in state %d", b.id, b.State())
 			}
 		}
@@ -358,7 +358,7 @@
 		}
 		seen[id] = true
 		inflight += out[id]
-		size[r.byID[id].Tier(now, r.set.LapseMs)]++
+		size[r.byID[id].Tier(now, r.settings.PendingTimeoutMs)]++
 	}
 	for id, ok := range usable {
 		if ok && id != left && !seen[id] {
@@ -366,12 +366,12 @@
 		}
 	}
 	over := func(id string) bool {
-		n := float64(size[r.byID[id].Tier(now, r.set.LapseMs)])
+		n := float64(size[r.byID[id].Tier(now, r.settings.PendingTimeoutMs)])
 		return float64(out[id]) >= policy.Cap(c, inflight, 1/n)
 	}
 	for i := 1; i < len(order); i++ {
 		x, y := r.byID[order[i-1]], r.byID[order[i]]
-		switch tx, ty := x.Tier(now, r.set.LapseMs), y.Tier(now, r.set.LapseMs); {
+		switch tx, ty := x.Tier(now, r.settings.PendingTimeoutMs), y.Tier(now, r.settings.PendingTimeoutMs); {
 		case tx > ty:
 			t.Fatalf("tier %d before %d", tx, ty)
 		case tx < ty:
@@ -391,18 +391,18 @@
 	c := qt.New(t)
 	r := NewRanker(RankerSettings{})
 	all := func(string) bool { return true }
-	c.Assert(r.Home(0, 1, all), qt.Equals, "")
-	r.List(0, []Listed{{ID: "a", Usable: true}, {ID: "b", Usable: true}, {ID: "c", Usable: true}, {ID: "leaving"}})
+	c.Assert(r.PreferredBackend(0, 1, all), qt.Equals, "")
+	r.SetEndpoints(0, []Endpoint{{ID: "a", Usable: true}, {ID: "b", Usable: true}, {ID: "c", Usable: true}, {ID: "leaving"}})
 	for key := range uint64(200) {
-		home := r.Home(0, key, all)
+		home := r.PreferredBackend(0, key, all)
 		c.Assert(home, qt.Equals, r.Rank(0, key, nil, math.Inf(1), nil, nil)[0], qt.Commentf("key %d", key))
-		second := r.Home(0, key, func(id string) bool { return id != home })
+		second := r.PreferredBackend(0, key, func(id string) bool { return id != home })
 		c.Assert(second, qt.Equals, r.Rank(0, key, nil, math.Inf(1), nil, nil)[1], qt.Commentf("key %d", key))
 	}
-	r.Sent("a")
-	r.Ended(0, "a", policy.Reset)
+	r.AttemptStarted("a")
+	r.AttemptEnded(0, "a", policy.Reset)
 	for key := range uint64(50) {
-		c.Assert(r.Home(1, key, all), qt.Not(qt.Equals), "a", qt.Commentf("others find the key elsewhere"))
+		c.Assert(r.PreferredBackend(1, key, all), qt.Not(qt.Equals), "a", qt.Commentf("others find the key elsewhere"))
 	}
 }
 
@@ -410,23 +410,23 @@
 func TestRankerEjects(t *testing.T) {
 	c := qt.New(t)
 	for _, restored := range []bool{true, false} {
-		r := ranked(RankerSettings{LapseMs: 1000, RefetchMs: 1000}, 3)
+		r := ranked(RankerSettings{PendingTimeoutMs: 1000, UnhealthyHoldMs: 1000}, 3)
 		r.Eject(0, "b1", 5000)
 		for now := 0.0; now < 5000; now += 500 {
-			r.Sent("b1")
-			r.Ended(now, "b1", policy.OK)
+			r.AttemptStarted("b1")
+			r.AttemptEnded(now, "b1", policy.OK)
 			c.Assert(r.Rank(now, 7, nil, 1, nil, nil)[2], qt.Equals, "b1")
-			c.Assert(r.Home(now, 7, func(id string) bool { return id != "b0" }), qt.Equals, "b2")
+			c.Assert(r.PreferredBackend(now, 7, func(id string) bool { return id != "b0" }), qt.Equals, "b2")
 		}
 		c.Assert(r.Rank(4000, 7, func(id string) bool { return id == "b1" }, 1, nil, nil), qt.DeepEquals, []string{"b1"}, qt.Commentf("an empty tier passes down"))
 		if restored {
 			r.Restore(4500, "b1")
-			c.Assert(r.Home(4500, 7, func(id string) bool { return id == "b1" }), qt.Equals, "b1")
+			c.Assert(r.PreferredBackend(4500, 7, func(id string) bool { return id == "b1" }), qt.Equals, "b1")
 		}
 		r.Eject(5000, "b2", 5000)
 		first := map[string]bool{}
 		for key := range uint64(200) {
-			first[r.Home(6100, key, func(string) bool { return true })] = true
+			first[r.PreferredBackend(6100, key, func(string) bool { return true })] = true
 		}
 		c.Assert(first["b1"], qt.IsTrue)
 		r.Eject(0, "unknown", 1)
--- a/internal/fleet/residency/residency.go
+++ b/internal/fleet/residency/residency.go
@@ -22,35 +22,35 @@
 // Terms are the regions that may hold a request's data. They are immutable. The zero value allows every backend, also one
 // of an unknown region: it stands for requests under no contract.
 type Terms struct {
-	bound   bool
-	regions []string // sorted, each once
+	restricted bool
+	regions    []string // sorted, each once
 }
 
 // Within makes terms that allow only the regions given; with none given they allow nothing.
 func Within(regions ...string) Terms {
 	all := slices.Clone(regions)
 	slices.Sort(all)
-	return Terms{bound: true, regions: slices.Compact(all)}
+	return Terms{restricted: true, regions: slices.Compact(all)}
 }
 
-// Bound tells whether there are terms at all.
-func (t Terms) Bound() bool { return t.bound }
+// Restricted tells whether there are terms at all.
+func (t Terms) Restricted() bool { return t.restricted }
 
 // Allows tells whether data may rest in a region. An empty name, which stands for an unknown region, is allowed only by
 // the zero value.
 func (t Terms) Allows(region string) bool {
-	if !t.bound {
+	if !t.restricted {
 		return true
 	}
 	return region != "" && slices.Contains(t.regions, region)
 }
 
-// Meet gives the terms that hold where both hold.
-func (t Terms) Meet(o Terms) Terms {
+// Intersect gives the terms that hold where both hold.
+func (t Terms) Intersect(o Terms) Terms {
 	switch {
-	case !t.bound:
+	case !t.restricted:
 		return o
-	case !o.bound:
+	case !o.restricted:
 		return t
 	}
 	var both []string
@@ -59,18 +59,18 @@
 			both = append(both, r)
 		}
 	}
-	return Terms{bound: true, regions: both}
+	return Terms{restricted: true, regions: both}
 }
 
 // Equal tells whether both allow the same.
 func (t Terms) Equal(o Terms) bool {
-	return t.bound == o.bound && slices.Equal(t.regions, o.regions)
+	return t.restricted == o.restricted && slices.Equal(t.regions, o.regions)
 }
 
 // String lists the regions for people to read.
 func (t Terms) String() string {
 	switch {
-	case !t.bound:
+	case !t.restricted:
 		return "anywhere"
 	case len(t.regions) == 0:
 		return "nowhere"
@@ -78,16 +78,16 @@
 	return strings.Join(t.regions, ", ")
 }
 
-// Ground is where plots are laid out: the deployment's regions by zone, and the connections to backends.
-type Ground struct {
+// Gate is where plots are laid out: the deployment's regions by zone, and the connections to backends.
+type Gate struct {
 	pool  *transport.Transport
 	zones map[string]string
 }
 
-// NewGround takes the region of each zone (settings Settings.Zones; copied) and the connections. A zone that is not there,
+// NewGate takes the region of each zone (settings Settings.Zones; copied) and the connections. A zone that is not there,
 // or whose region is empty, is of no known region.
-func NewGround(pool *transport.Transport, zones map[string]string) *Ground {
-	g := &Ground{pool: pool, zones: make(map[string]string, len(zones))}
+func NewGate(pool *transport.Transport, zones map[string]string) *Gate {
+	g := &Gate{pool: pool, zones: make(map[string]string, len(zones))}
 	for zone, region := range zones {
 		g.zones[zone] = region
 	}
@@ -95,110 +95,110 @@
 }
 
 // Region is the region of a zone; empty: it is not known.
-func (g *Ground) Region(zone string) string { return g.zones[zone] }
+func (g *Gate) Region(zone string) string { return g.zones[zone] }
 
-// Plot is one backend: its id, its address, the region it stands in and the way there. It is safe for concurrent use.
-type Plot struct {
-	ground      *Ground
+// Endpoint is one backend: its id, its address, the region it stands in and the way there. It is safe for concurrent use.
+type Endpoint struct {
+	gate        *Gate
 	id, address string
 	region      atomic.Pointer[string]
-	way         *transport.Way
+	conns       *transport.Way
 }
 
-// Plot lays out a backend by what the platform's list tells of it: address is IP:port.
-func (g *Ground) Plot(id, address, zone string) *Plot {
-	p := &Plot{ground: g, id: id, address: address, way: g.pool.Way(address)}
-	p.Relist(zone)
+// Endpoint lays out a backend by what the platform's list tells of it: address is IP:port.
+func (g *Gate) Endpoint(id, address, zone string) *Endpoint {
+	p := &Endpoint{gate: g, id: id, address: address, conns: g.pool.Way(address)}
+	p.SetZone(zone)
 	return p
 }
 
-// Relist takes the zone that the list tells now. Permits given earlier are judged by it from here on.
-func (p *Plot) Relist(zone string) {
-	region := p.ground.zones[zone]
-	if old := p.region.Load(); old == nil || *old != region {
-		p.region.Store(&region)
+// SetZone takes the zone that the list tells now. Permits given earlier are judged by it from here on.
+func (e *Endpoint) SetZone(zone string) {
+	region := e.gate.zones[zone]
+	if old := e.region.Load(); old == nil || *old != region {
+		e.region.Store(&region)
 	}
 }
 
 // Region is where the backend stands; empty: that is not known.
-func (p *Plot) Region() string { return *p.region.Load() }
+func (e *Endpoint) Region() string { return *e.region.Load() }
 
 // Allowed tells whether the terms let it hold data.
-func (p *Plot) Allowed(t Terms) bool { return !t.bound || t.Allows(*p.region.Load()) }
+func (e *Endpoint) Allowed(t Terms) bool { return !t.restricted || t.Allows(*e.region.Load()) }
 
 // Permit gives the permit for a request under the terms. The error is ErrOutside.
-func (p *Plot) Permit(t Terms) (Permit, error) {
-	if !p.Allowed(t) {
+func (e *Endpoint) Permit(t Terms) (Permit, error) {
+	if !e.Allowed(t) {
 		return Permit{}, ErrOutside
 	}
-	return Permit{plot: p}, nil
+	return Permit{endpoint: e}, nil
 }
 
-// Release gives a permit for calls that carry nothing of a request and end what is held there: a handle is freed also
+// ReleasePermit gives a permit for calls that carry nothing of a request and end what is held there: a handle is freed also
 // where its tenant's data may not rest any more.
-func (p *Plot) Release() Permit { return Permit{plot: p, release: true} }
+func (e *Endpoint) ReleasePermit() Permit { return Permit{endpoint: e, releaseOnly: true} }
 
 // Retire closes the way once it is free: the backend is gone. CloseIdle closes what is not in use.
-func (p *Plot) Retire()    { p.way.Retire() }
-func (p *Plot) CloseIdle() { p.way.CloseIdle() }
+func (e *Endpoint) Retire()    { e.conns.Retire() }
+func (e *Endpoint) CloseIdle() { e.conns.CloseIdle() }
 
 // Permit says that one backend may hold one request's data. Only a Plot makes one that is worth anything: the zero value
 // is refused everywhere.
 type Permit struct {
-	plot    *Plot
-	release bool
+	endpoint    *Endpoint
+	releaseOnly bool
 }
 
 // ID and Address name the backend; empty for the zero value.
 func (p Permit) ID() string {
-	if p.plot == nil {
+	if p.endpoint == nil {
 		return ""
 	}
-	return p.plot.id
+	return p.endpoint.id
 }
 
 // Address is IP:port.
 func (p Permit) Address() string {
-	if p.plot == nil {
+	if p.endpoint == nil {
 		return ""
 	}
-	return p.plot.address
+	return p.endpoint.address
 }
 
 // Region is where the backend stands by the newest list; empty: that is not known.
 func (p Permit) Region() string {
-	if p.plot == nil {
+	if p.endpoint == nil {
 		return ""
 	}
-	return p.plot.Region()
+	return p.endpoint.Region()
 }
 
-// Releases tells whether it is only for calls that carry nothing of a request.
-func (p Permit) Releases() bool { return p.release }
+// ReleaseOnly tells whether it is only for calls that carry nothing of a request.
+func (p Permit) ReleaseOnly() bool { return p.releaseOnly }
 
 // Check is nil where the backend may hold data under the terms now, by the region that the newest list tells; else the
 // error is ErrOutside. A permit that only releases is good for no data.
 func (p Permit) Check(t Terms) error {
-	if p.plot == nil || p.release || !p.plot.Allowed(t) {
+	if p.endpoint == nil || p.releaseOnly || !p.endpoint.Allowed(t) {
 		return ErrOutside
 	}
 	return nil
 }
 
-// Lend lends a connection to the backend for one send of a request under the terms, which are checked here once more:
+// AcquireConn lends a connection to the backend for one send of a request under the terms, which are checked here once more:
 // ErrOutside, and no connection, where they don't allow it. Other errors are those of the way.
-func (p Permit) Lend(ctx context.Context, t Terms, purpose string) (*transport.Lent, error) {
+func (p Permit) AcquireConn(ctx context.Context, t Terms, purpose string) (*transport.Lent, error) {
 	if err := p.Check(t); err != nil {
 		return nil, err
 	}
-	return p.plot.way.Lend(ctx, purpose)
+	return p.endpoint.conns.Lend(ctx, purpose)
 }
 
-// LendRelease lends a connection for a call that carries nothing of a request. The error is ErrOutside where the permit
+// AcquireReleaseConn lends a connection for a call that carries nothing of a request. The error is ErrOutside where the permit
 // is not one to release.
-func (p Permit) LendRelease(ctx context.Context, purpose string) (*transport.Lent, error) {
-	if p.plot == nil || !p.release {
+func (p Permit) AcquireReleaseConn(ctx context.Context, purpose string) (*transport.Lent, error) {
+	if p.endpoint == nil || !p.releaseOnly {
 		return nil, ErrOutside
 	}
-	return p.plot.way.Lend(ctx, purpose)
+	return p.endpoint.conns.Lend(ctx, purpose)
 }
--- a/internal/fleet/residency/residency_test.go
+++ b/internal/fleet/residency/residency_test.go
@@ -18,8 +18,8 @@
 
 var errDial = errors.New("no network here")
 
-func (d *dials) ground() *residency.Ground {
-	return residency.NewGround(transport.New(transport.Options{Timeout: time.Second, Idle: time.Second, Most: 1, Settle: time.Millisecond, Resting: 1,
+func (d *dials) ground() *residency.Gate {
+	return residency.NewGate(transport.New(transport.Options{Timeout: time.Second, Idle: time.Second, Most: 1, Settle: time.Millisecond, Resting: 1,
 		Dial: func(context.Context, string, string) (net.Conn, error) { d.n++; return nil, errDial }}),
 		map[string]string{"e1": "east", "w1": "west", "blank": ""})
 }
@@ -28,15 +28,15 @@
 	c := qt.New(t)
 	var free residency.Terms
 	in := residency.Within
-	c.Check(free.Bound() || in().Allows("east") || in().Allows(""), qt.IsFalse)
+	c.Check(free.Restricted() || in().Allows("east") || in().Allows(""), qt.IsFalse)
 	c.Check(free.Allows("") && free.Allows("east") && in("west", "east").Allows("east"), qt.IsTrue)
 	c.Check(in("east").Allows(""), qt.IsFalse)
 	c.Check(in("").Allows(""), qt.IsFalse) // an empty name in a list is no region
 	c.Check(in("b", "a", "b").Equal(in("a", "b")), qt.IsTrue)
 	c.Check(in().Equal(free), qt.IsFalse)
-	c.Check(in("a", "b").Meet(in("b", "c")).Equal(in("b")), qt.IsTrue)
-	c.Check(in("a").Meet(in("b")).Equal(in()), qt.IsTrue) // nothing in common: nowhere, not anywhere
-	c.Check(free.Meet(in("a")).Equal(in("a")) && in("a").Meet(free).Equal(in("a")), qt.IsTrue)
+	c.Check(in("a", "b").Intersect(in("b", "c")).Equal(in("b")), qt.IsTrue)
+	c.Check(in("a").Intersect(in("b")).Equal(in()), qt.IsTrue) // nothing in common: nowhere, not anywhere
+	c.Check(free.Intersect(in("a")).Equal(in("a")) && in("a").Intersect(free).Equal(in("a")), qt.IsTrue)
 	c.Check([]string{free.String(), in().String(), in("b", "a").String()}, qt.DeepEquals, []string{"anywhere", "nowhere", "a, b"})
 	names := []string{"a"}
 	kept := in(names...)
@@ -48,40 +48,40 @@
 	c := qt.New(t)
 	d := &dials{}
 	g := d.ground()
-	east, west, lost, blank := g.Plot("e", "10.0.0.1:80", "e1"), g.Plot("w", "10.0.0.2:80", "w1"), g.Plot("l", "10.0.0.3:80", "x"), g.Plot("b", "10.0.0.4:80", "blank")
+	east, west, lost, blank := g.Endpoint("e", "10.0.0.1:80", "e1"), g.Endpoint("w", "10.0.0.2:80", "w1"), g.Endpoint("l", "10.0.0.3:80", "x"), g.Endpoint("b", "10.0.0.4:80", "blank")
 	in := residency.Within("east")
 	ctx := context.Background()
 
 	p, err := east.Permit(in)
 	c.Assert(err, qt.IsNil)
 	c.Check([]string{p.ID(), p.Address(), p.Region()}, qt.DeepEquals, []string{"e", "10.0.0.1:80", "east"})
-	_, err = p.Lend(ctx, in, "x")
+	_, err = p.AcquireConn(ctx, in, "x")
 	c.Check(errors.Is(err, errDial), qt.IsTrue)
 	c.Check(d.n, qt.Equals, 1)
 
-	for _, plot := range []*residency.Plot{west, lost, blank} {
+	for _, plot := range []*residency.Endpoint{west, lost, blank} {
 		_, err := plot.Permit(in)
 		c.Check(err, qt.ErrorIs, residency.ErrOutside)
 		free, err := plot.Permit(residency.Terms{})
 		c.Assert(err, qt.IsNil)
-		_, err = free.Lend(ctx, in, "x") // given under other terms than those of the send
+		_, err = free.AcquireConn(ctx, in, "x") // given under other terms than those of the send
 		c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	}
-	_, err = p.Lend(ctx, residency.Within("west"), "x") // withdrawn between choice and send
+	_, err = p.AcquireConn(ctx, residency.Within("west"), "x") // withdrawn between choice and send
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
-	_, err = (residency.Permit{}).Lend(ctx, residency.Terms{}, "x")
+	_, err = (residency.Permit{}).AcquireConn(ctx, residency.Terms{}, "x")
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	c.Check((residency.Permit{}).ID()+(residency.Permit{}).Address()+(residency.Permit{}).Region(), qt.Equals, "")
-	_, err = p.LendRelease(ctx, "x")
+	_, err = p.AcquireReleaseConn(ctx, "x")
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
-	_, err = west.Release().Lend(ctx, residency.Terms{}, "x")
+	_, err = west.ReleasePermit().AcquireConn(ctx, residency.Terms{}, "x")
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	c.Check(d.n, qt.Equals, 1) // nothing was dialled
-	_, err = west.Release().LendRelease(ctx, "x")
+	_, err = west.ReleasePermit().AcquireReleaseConn(ctx, "x")
 	c.Check(errors.Is(err, errDial), qt.IsTrue)
 
-	east.Relist("w1") // misreported before: permits that are out are judged by the new region
-	_, err = p.Lend(ctx, in, "x")
+	east.SetZone("w1") // misreported before: permits that are out are judged by the new region
+	_, err = p.AcquireConn(ctx, in, "x")
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	c.Check(p.Region(), qt.Equals, "west")
 }
--- a/internal/fleet/residencyreport/gauge_test.go
+++ b/internal/fleet/residencyreport/gauge_test.go
@@ -73,7 +73,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawBatches(t)
 		next := map[Process]uint64{}
-		var g *Gauge
+		var g *Totals
 		for left := true; left; {
 			// The next offer: of some processes, from before what was taken to somewhere after, without gaps.
 			var offer []Batch
@@ -92,12 +92,12 @@
 				}
 			}
 			before, was := g, g.Report(nil)
-			r, more := g.Compose(offer)
+			r, more := g.Merge(offer)
 			if more {
 				t.Fatal("there is more")
 			}
 			if !r.Empty() {
-				g = g.Take(&r)
+				g = g.Apply(&r)
 			}
 			if !reflect.DeepEqual(before.Report(nil), was) {
 				t.Fatal("an older gauge was changed")
@@ -111,7 +111,7 @@
 			}
 		}
 		for _, b := range all {
-			if g.Kept(b.Process) < b.N {
+			if g.AckedUpTo(b.Process) < b.N {
 				t.Fatalf("batch %d of %d is not taken", b.N, b.Process)
 			}
 		}
@@ -119,7 +119,7 @@
 			t.Fatalf("%v\nin place of\n%v", got, want)
 		}
 		// All over again: nothing comes of it.
-		if r, _ := g.Compose(all); !r.Empty() || len(r.Entries) > 0 {
+		if r, _ := g.Merge(all); !r.Empty() || len(r.Entries) > 0 {
 			t.Fatalf("what was taken is taken again: %v", r)
 		}
 	})
@@ -133,17 +133,17 @@
 	entry := func(first, last int64) []Entry {
 		return []Entry{{Pair: pair, First: first, Last: last, Counts: Counts{Plain: 2}}}
 	}
-	var g *Gauge
+	var g *Totals
 	take := func(batches ...Batch) {
-		r, _ := g.Compose(batches)
-		g = g.Take(&r)
+		r, _ := g.Merge(batches)
+		g = g.Apply(&r)
 	}
 	take(Batch{1, 1, entry(5, 6)}, Batch{1, 2, entry(5, 7)})
 	c.Assert(g.Report(nil)[0].Counts.Plain, qt.Equals, int64(4))
 	take(Batch{2, 1, entry(9, 10)})
-	g.forget(1) // who told something last stays
-	c.Assert(g.Kept(1), qt.Equals, uint64(0))
-	c.Assert(g.Kept(2), qt.Equals, uint64(1))
+	g.evictProcesses(1) // who told something last stays
+	c.Assert(g.AckedUpTo(1), qt.Equals, uint64(0))
+	c.Assert(g.AckedUpTo(2), qt.Equals, uint64(1))
 	take(Batch{1, 2, entry(5, 7)}, Batch{1, 3, entry(4, 20)})
 	c.Assert(g.Report(nil), qt.DeepEquals, []Entry{{Pair: pair, First: 4, Last: 20, Counts: Counts{Plain: 6}}})
 	take(Batch{1, 4, entry(4, 21)})
@@ -154,7 +154,7 @@
 // bounded and says that there is more.
 func TestGaugeIsBounded(t *testing.T) {
 	c := qt.New(t)
-	var g *Gauge
+	var g *Totals
 	n := 0 // entries made, each for a tenant of its own
 	batch := func(p Process, entries int) Batch {
 		b := Batch{Process: p, N: 1}
@@ -165,10 +165,10 @@
 		return b
 	}
 	for p := Process(1); n < MaxPairs+100; p++ {
-		offer := []Batch{batch(p<<20, MaxReading)}
-		r, more := g.Compose(offer)
+		offer := []Batch{batch(p<<20, MaxUpdateEntries)}
+		r, more := g.Merge(offer)
 		c.Assert(more, qt.IsFalse)
-		g = g.Take(&r)
+		g = g.Apply(&r)
 	}
 	all := g.Report(nil)
 	c.Assert(all, qt.HasLen, MaxPairs+1) // those with a name, and the others
@@ -182,14 +182,14 @@
 	g, n = nil, 0
 	var offer []Batch
 	for p := range Process(40) {
-		offer = append(offer, batch(p+1, MaxBatch))
+		offer = append(offer, batch(p+1, MaxBatchEntries))
 	}
-	r, more := g.Compose(offer)
+	r, more := g.Merge(offer)
 	c.Assert(more, qt.IsTrue)
-	c.Assert(len(r.Entries) < MaxReading+MaxBatch, qt.IsTrue)
+	c.Assert(len(r.Entries) < MaxUpdateEntries+MaxBatchEntries, qt.IsTrue)
 	rounds := 0
-	for ; !r.Empty(); r, _ = g.Compose(offer) {
-		g = g.Take(&r)
+	for ; !r.Empty(); r, _ = g.Merge(offer) {
+		g = g.Apply(&r)
 		rounds++
 	}
 	c.Assert(rounds, qt.Equals, 3)
@@ -197,21 +197,21 @@
 
 	g = nil
 	for p := range Process(4) {
-		var upto []Kept
+		var upto []Ack
 		for i := range Process(MaxProcesses / 2) {
-			upto = append(upto, Kept{1 + p*MaxProcesses + i, 1})
+			upto = append(upto, Ack{1 + p*MaxProcesses + i, 1})
 		}
-		g = g.Take(&Reading{Upto: upto})
+		g = g.Apply(&Update{Upto: upto})
 	}
 	c.Assert(g.processes, qt.HasLen, MaxProcesses)
-	c.Assert(g.Kept(1), qt.Equals, uint64(0))
-	c.Assert(g.Kept(1+2*MaxProcesses), qt.Equals, uint64(1))
+	c.Assert(g.AckedUpTo(1), qt.Equals, uint64(0))
+	c.Assert(g.AckedUpTo(1+2*MaxProcesses), qt.Equals, uint64(1))
 }
 
 // Damaged snapshots are errors.
 func TestRestoreRefusesDamage(t *testing.T) {
 	c := qt.New(t)
-	g := (*Gauge)(nil).Take(&Reading{Entries: []Entry{{Pair: Pair{Tenant: "a", Region: "r"}, First: 1, Last: 2}}, Upto: []Kept{{1, 1}}})
+	g := (*Totals)(nil).Apply(&Update{Entries: []Entry{{Pair: Pair{Tenant: "a", Region: "r"}, First: 1, Last: 2}}, Upto: []Ack{{1, 1}}})
 	b := g.Snapshot()
 	for n := 1; n < len(b); n++ {
 		_, err := Restore(b[:n])
--- a/internal/fleet/residencyreport/messages.go
+++ b/internal/fleet/residencyreport/messages.go
@@ -42,20 +42,20 @@
 	Entries []Entry `msg:"e"`
 }
 
-// Kept says that all batches of a process up to a number are in the record for good.
-type Kept struct {
+// Ack says that all batches of a process up to a number are in the record for good.
+type Ack struct {
 	Process Process `msg:"p"`
 	N       uint64  `msg:"n"`
 }
 
-// Reading is a change of the record: what a number of batches amount to, and which these were.
-type Reading struct {
+// Update is a change of the record: what a number of batches amount to, and which these were.
+type Update struct {
 	Entries []Entry `msg:"e"`
-	Upto    []Kept  `msg:"u"`
+	Upto    []Ack   `msg:"u"`
 }
 
-// Stored is a Gauge as snapshots of the record hold it.
-type Stored struct {
+// StoredTotals is a Gauge as snapshots of the record hold it.
+type StoredTotals struct {
 	Entries   []Entry    `msg:"e"`
 	Processes []Progress `msg:"p"`
 	Readings  uint64     `msg:"n"`
--- a/internal/fleet/residencyreport/messages_gen.go
+++ b/internal/fleet/residencyreport/messages_gen.go
@@ -802,7 +802,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Kept) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Ack) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -847,7 +847,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Kept) EncodeMsg(en *msgp.Writer) (err error) {
+func (z Ack) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "p"
 	err = en.Append(0x82, 0xa1, 0x70)
@@ -873,7 +873,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Kept) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Ack) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "p"
@@ -886,7 +886,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Kept) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Ack) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -932,7 +932,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Kept) Msgsize() (s int) {
+func (z Ack) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
@@ -1361,7 +1361,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Reading) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Update) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1407,7 +1407,7 @@
 			if cap(z.Upto) >= int(zb0003) {
 				z.Upto = (z.Upto)[:zb0003]
 			} else {
-				z.Upto = make([]Kept, zb0003)
+				z.Upto = make([]Ack, zb0003)
 			}
 			for za0002 := range z.Upto {
 				var zb0004 uint32
@@ -1461,7 +1461,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Reading) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Update) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "e"
 	err = en.Append(0x82, 0xa1, 0x65)
@@ -1517,7 +1517,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Reading) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "e"
@@ -1546,7 +1546,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Reading) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1592,7 +1592,7 @@
 			if cap(z.Upto) >= int(zb0003) {
 				z.Upto = (z.Upto)[:zb0003]
 			} else {
-				z.Upto = make([]Kept, zb0003)
+				z.Upto = make([]Ack, zb0003)
 			}
 			for za0002 := range z.Upto {
 				var zb0004 uint32
@@ -1647,7 +1647,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Reading) Msgsize() (s int) {
+func (z *Update) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Entries {
 		s += z.Entries[za0001].Msgsize()
@@ -1657,7 +1657,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Stored) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *StoredTotals) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1730,7 +1730,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Stored) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *StoredTotals) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "e"
 	err = en.Append(0x83, 0xa1, 0x65)
@@ -1780,7 +1780,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Stored) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *StoredTotals) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "e"
@@ -1810,7 +1810,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Stored) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StoredTotals) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1884,7 +1884,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Stored) Msgsize() (s int) {
+func (z *StoredTotals) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Entries {
 		s += z.Entries[za0001].Msgsize()
--- a/internal/fleet/residencyreport/relay_test.go
+++ b/internal/fleet/residencyreport/relay_test.go
@@ -29,7 +29,7 @@
 	down    [2]link
 	up      [2]link
 	across  [3]link // control servers to the primary
-	gauge   *Gauge  // on the disks of all that it has to be on
+	gauge   *Totals // on the disks of all that it has to be on
 	last    Process
 }
 
@@ -42,13 +42,13 @@
 		*l = link{}
 		return
 	}
-	l.receiver.Take(to, batches)
-	kept := l.receiver.Tell(to)
+	l.receiver.Receive(to, batches)
+	kept := l.receiver.Acks(to)
 	if faults && d.chance(15) {
 		*l = link{}
 		return
 	}
-	from.Keep(kept...)
+	from.Acknowledge(kept...)
 }
 
 func (d *day) startProxy(i int) {
@@ -78,20 +78,20 @@
 // takeReading is what the primary does. Its outcome may stay unknown to it, or nothing may come of it.
 func (d *day) takeReading(faults bool) {
 	box := d.core[d.primary]
-	open := box.Open()
-	r, _ := d.gauge.Compose(open)
+	open := box.Pending()
+	r, _ := d.gauge.Merge(open)
 	if faults && d.chance(20) {
 		return
 	}
 	if !r.Empty() {
-		d.gauge = d.gauge.Take(&r)
+		d.gauge = d.gauge.Apply(&r)
 	}
 	if faults && d.chance(20) {
 		return
 	}
 	for _, b := range open {
-		if k := d.gauge.Kept(b.Process); b.N <= k {
-			box.Keep(Kept{b.Process, b.N})
+		if k := d.gauge.AckedUpTo(b.Process); b.N <= k {
+			box.Acknowledge(Ack{b.Process, b.N})
 		}
 	}
 }
@@ -100,13 +100,13 @@
 func (d *day) check() {
 	relays := append(append(d.boxes[:], d.agents[:]...), d.core[:]...)
 	for _, r := range relays {
-		for p, n := range r.kept {
-			if n > d.gauge.Kept(p) {
-				d.Fatalf("batch %d of %d counts as kept, the record has %d", n, p, d.gauge.Kept(p))
+		for p, n := range r.acked {
+			if n > d.gauge.AckedUpTo(p) {
+				d.Fatalf("batch %d of %d counts as kept, the record has %d", n, p, d.gauge.AckedUpTo(p))
 			}
 		}
 		entries := 0
-		for p, held := range r.open {
+		for p, held := range r.pending {
 			for i, b := range held {
 				if b.N != held[0].N+uint64(i) {
 					d.Fatalf("batches of %d are held with a gap: %v", p, held)
@@ -120,7 +120,7 @@
 	}
 	var taken []Batch
 	for p, made := range d.made {
-		taken = append(taken, made[:d.gauge.Kept(p)]...)
+		taken = append(taken, made[:d.gauge.AckedUpTo(p)]...)
 	}
 	if got, want := d.gauge.Report(nil), total(taken); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
 		d.Fatalf("%v\nin place of\n%v", got, want)
@@ -133,7 +133,7 @@
 	j := rapid.IntRange(0, 2).Draw(d.T, "core")
 	switch rapid.IntRange(0, 11).Draw(d.T, "what") {
 	case 0, 1, 2:
-		if p := d.proxy[i]; faults && d.boxes[i].OpenOf(p) < MaxOpen {
+		if p := d.proxy[i]; faults && d.boxes[i].PendingOf(p) < MaxPendingBatches {
 			b := Batch{Process: p, N: uint64(len(d.made[p])) + 1, Entries: drawEntries(d.T)}
 			if !d.boxes[i].Put(b) {
 				d.Fatal("no room for a proxy's own batch")
@@ -204,11 +204,11 @@
 			}
 			d.takeReading(false)
 			d.check()
-			d.now = d.now.Add(againAfter)
+			d.now = d.now.Add(resendAfter)
 		}
 		for i, p := range d.proxy {
-			if d.gauge.Kept(p) != uint64(len(d.made[p])) || !d.boxes[i].Empty() || !d.agents[i].Empty() {
-				t.Fatalf("%d of %d batches are kept", d.gauge.Kept(p), len(d.made[p]))
+			if d.gauge.AckedUpTo(p) != uint64(len(d.made[p])) || !d.boxes[i].Empty() || !d.agents[i].Empty() {
+				t.Fatalf("%d of %d batches are kept", d.gauge.AckedUpTo(p), len(d.made[p]))
 			}
 		}
 	})
@@ -220,34 +220,34 @@
 	var from, to Relay
 	var l link
 	now := time.Unix(1_000_000, 0)
-	full := Batch{Process: 9, N: 1, Entries: make([]Entry, maxEntries)}
+	full := Batch{Process: 9, N: 1, Entries: make([]Entry, maxRelayEntries)}
 	c.Assert(to.Put(full), qt.IsTrue)
 	carry := func() {
-		l.receiver.Take(&to, l.sender.Next(&from, now))
-		from.Keep(l.receiver.Tell(&to)...)
+		l.receiver.Receive(&to, l.sender.Next(&from, now))
+		from.Acknowledge(l.receiver.Acks(&to)...)
 	}
 	batch := func(n uint64, entries int) Batch { return Batch{Process: 1, N: n, Entries: make([]Entry, entries)} }
 	c.Assert(from.Put(batch(1, 1)), qt.IsTrue)
 	c.Assert(from.Put(batch(2, 0)), qt.IsTrue) // there would be room for this one
 	carry()
-	c.Assert(to.OpenOf(1), qt.Equals, 0)
-	to.Keep(Kept{9, 1})
+	c.Assert(to.PendingOf(1), qt.Equals, 0)
+	to.Acknowledge(Ack{9, 1})
 	c.Assert(from.Put(batch(3, 1)), qt.IsTrue)
 	carry()
-	c.Assert(to.OpenOf(1), qt.Equals, 0, qt.Commentf("a batch is missing before"))
-	now = now.Add(againAfter)
+	c.Assert(to.PendingOf(1), qt.Equals, 0, qt.Commentf("a batch is missing before"))
+	now = now.Add(resendAfter)
 	carry()
-	c.Assert(to.OpenOf(1), qt.Equals, 3)
-	to.Keep(Kept{1, 3})
+	c.Assert(to.PendingOf(1), qt.Equals, 3)
+	to.Acknowledge(Ack{1, 3})
 	carry()
 	c.Assert(from.Empty(), qt.IsTrue)
 
 	c.Assert(to.Put(batch(5, 1)), qt.IsTrue, qt.Commentf("whoever begins there knows that the fourth is kept"))
 	c.Assert(to.Put(batch(7, 1)), qt.IsFalse)
-	for n := uint64(6); n < 5+MaxOpen; n++ {
+	for n := uint64(6); n < 5+MaxPendingBatches; n++ {
 		c.Assert(to.Put(batch(n, 1)), qt.IsTrue)
 	}
-	c.Assert(to.Put(batch(5+MaxOpen, 1)), qt.IsFalse)
-	l.receiver.Take(&to, []Batch{{Process: 0, N: 1}, {Process: 2, N: 0}})
-	c.Assert(to.OpenOf(0)+to.OpenOf(2), qt.Equals, 0, qt.Commentf("no batch has such a number"))
+	c.Assert(to.Put(batch(5+MaxPendingBatches, 1)), qt.IsFalse)
+	l.receiver.Receive(&to, []Batch{{Process: 0, N: 1}, {Process: 2, N: 0}})
+	c.Assert(to.PendingOf(0)+to.PendingOf(2), qt.Equals, 0, qt.Commentf("no batch has such a number"))
 }
--- a/internal/fleet/scaletest/bench_test.go
+++ b/internal/fleet/scaletest/bench_test.go
@@ -216,23 +216,23 @@
 	})
 }
 
-func ranker(n int) (*ranking.Ranker, []ranking.Listed) {
+func ranker(n int) (*ranking.Ranker, []ranking.Endpoint) {
 	r := ranking.NewRanker(ranking.RankerSettings{})
-	var l []ranking.Listed
+	var l []ranking.Endpoint
 	for _, e := range Backends(n).Backends {
-		l = append(l, ranking.Listed{ID: e.ID, Usable: true})
+		l = append(l, ranking.Endpoint{ID: e.ID, Usable: true})
 	}
-	r.List(0, l)
+	r.SetEndpoints(0, l)
 	return r, l
 }
 
-func engines(n int) (*scheduler.Engines, []scheduler.Backend) {
-	e := scheduler.New(scheduler.Engine{Capacity: 64, KVTokens: 600_000, KVBytes: 163_840, LinkMbps: 8_800_000})
+func engines(n int) (*scheduler.Estimator, []scheduler.Backend) {
+	e := scheduler.NewEstimator(scheduler.EngineSpec{Capacity: 64, KVCacheTokens: 600_000, KVBytesPerToken: 163_840, LinkMbps: 8_800_000})
 	var l []scheduler.Backend
 	for _, s := range Backends(n).Backends {
 		l = append(l, scheduler.Backend{ID: s.ID, Zone: s.Zone, Prefill: s.Phase == externalapi.PhasePrefill})
 	}
-	e.List(l)
+	e.SetBackends(l)
 	return e, l
 }
 
@@ -255,13 +255,13 @@
 		r, l := ranker(n)
 		e, _ := engines(n)
 		for i := range l {
-			e.Told(1, l[i].ID, i%64, i%3)
+			e.ObserveResponseLoad(1, l[i].ID, i%64, i%3)
 		}
 		var out []string
 		i := uint64(0)
 		for b.Loop() {
 			i++
-			out = r.Rank(1, i*0x9e3779b97f4a7c15, nil, math.Inf(1), func(id string) float64 { return e.AheadMs(1, id) }, out[:0])
+			out = r.Rank(1, i*0x9e3779b97f4a7c15, nil, math.Inf(1), func(id string) float64 { return e.QueueMs(1, id) }, out[:0])
 		}
 	})
 }
@@ -282,9 +282,9 @@
 		for b.Loop() {
 			p := prompt(i)
 			id := l[i%n].ID
-			tokens := e.Sent(id, &p, false)
-			e.Read(id, tokens, 5)
-			e.Ended(id)
+			tokens := e.PrefillStarted(id, &p, false)
+			e.PrefillEnded(id, tokens, 5)
+			e.RequestEnded(id)
 			i++
 		}
 	})
@@ -296,8 +296,8 @@
 		r, l := ranker(n)
 		e, le := engines(n)
 		for b.Loop() {
-			r.List(1, l)
-			e.List(le)
+			r.SetEndpoints(1, l)
+			e.SetBackends(le)
 		}
 	})
 }
@@ -315,9 +315,9 @@
 				for i := range n {
 					p := prompt(i)
 					id := l[i%len(l)].ID
-					e.Sent(id, &p, false)
-					e.Read(id, 0, 0)
-					e.Ended(id)
+					e.PrefillStarted(id, &p, false)
+					e.PrefillEnded(id, 0, 0)
+					e.RequestEnded(id)
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/internal/fleet/scheduler/pace_test.go
+++ b/internal/fleet/scheduler/pace_test.go
@@ -9,15 +9,15 @@
 // TestPaceIsTheSlowestOfLate: faster stretches don't hide a slow one, which half is forgotten of in ten seconds.
 func TestPaceIsTheSlowestOfLate(t *testing.T) {
 	c := qt.New(t)
-	var p Pace
+	var p StreamPace
 	c.Assert(p.Slowest(0), qt.Equals, 0.0)
-	p.Came(1000, 640, 16)
+	p.Observe(1000, 640, 16)
 	c.Assert(p.Slowest(1000), qt.Equals, 40.0)
-	p.Came(1000, 160, 16)
+	p.Observe(1000, 160, 16)
 	c.Assert(p.Slowest(1000), qt.Equals, 40.0)
 	c.Assert(p.Slowest(11_000), qt.Equals, 20.0)
-	p.Came(11_000, 160, 16)
+	p.Observe(11_000, 160, 16)
 	c.Assert(p.Slowest(11_000), qt.Equals, 20.0, qt.Commentf("what is faster than what is left of it"))
-	p.Came(11_000, 480, 16)
+	p.Observe(11_000, 480, 16)
 	c.Assert(p.Slowest(11_000), qt.Equals, 30.0)
 }
--- a/internal/fleet/scheduler/scheduler_test.go
+++ b/internal/fleet/scheduler/scheduler_test.go
@@ -13,20 +13,20 @@
 	c := qt.New(t)
 	p, ok := ParsePrompt("m", "1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
 	c.Assert(ok, qt.IsTrue)
-	c.Assert([]int{p.In, p.Out, len(p.Parts)}, qt.DeepEquals, []int{1460, 80, 3})
+	c.Assert([]int{p.InputTokens, p.MaxOutputTokens, len(p.Segments)}, qt.DeepEquals, []int{1460, 80, 3})
 	same, _ := ParsePrompt("m", "1500,10", "5c1e07a2:800,91bd3f06:410,aaaaaaaa:290")
-	c.Assert(same.Key(), qt.Equals, p.Key(), qt.Commentf("what is shared is the same"))
+	c.Assert(same.SharedPrefixKey(), qt.Equals, p.SharedPrefixKey(), qt.Commentf("what is shared is the same"))
 	other, _ := ParsePrompt("n", "1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
-	c.Assert(other.Key(), qt.Not(qt.Equals), p.Key(), qt.Commentf("kept parts are a model's own"))
+	c.Assert(other.SharedPrefixKey(), qt.Not(qt.Equals), p.SharedPrefixKey(), qt.Commentf("kept parts are a model's own"))
 	moved, _ := ParsePrompt("m", "1460,80", "91bd3f06:410,5c1e07a2:800,e4402b7d:250")
-	c.Assert(moved.Key(), qt.Not(qt.Equals), p.Key(), qt.Commentf("a part serves only with all before it"))
+	c.Assert(moved.SharedPrefixKey(), qt.Not(qt.Equals), p.SharedPrefixKey(), qt.Commentf("a part serves only with all before it"))
 	for _, bad := range []string{"", "x,1", "-1,2", "1,y", "1,-2"} {
 		_, ok := ParsePrompt("m", bad, "")
 		c.Check(ok, qt.IsFalse, qt.Commentf("%q", bad))
 	}
 	long, ok := ParsePrompt("m", "10,1", "a:1,b:1,:,c:1")
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(len(long.Parts), qt.Equals, 2, qt.Commentf("what can't be read ends the list"))
+	c.Assert(len(long.Segments), qt.Equals, 2, qt.Commentf("what can't be read ends the list"))
 }
 
 func prompt(in int, parts ...string) *Prompt {
@@ -41,8 +41,8 @@
 	return &p
 }
 
-func engines(t testing.TB, prefill, decode int) *Engines {
-	e := New(Engine{Capacity: 8, KVTokens: 1000, KVBytes: 1000, LinkMbps: 1000})
+func engines(t testing.TB, prefill, decode int) *Estimator {
+	e := NewEstimator(EngineSpec{Capacity: 8, KVCacheTokens: 1000, KVBytesPerToken: 1000, LinkMbps: 1000})
 	var all []Backend
 	for i := range prefill {
 		all = append(all, Backend{ID: fmt.Sprintf("p%d", i), Zone: "a", Prefill: true})
@@ -50,7 +50,7 @@
 	for i := range decode {
 		all = append(all, Backend{ID: fmt.Sprintf("d%d", i), Zone: "b"})
 	}
-	e.List(all)
+	e.SetBackends(all)
 	return e
 }
 
@@ -58,15 +58,15 @@
 	c := qt.New(t)
 	e := engines(t, 1, 0)
 	a, b := prompt(700, "s:400,a:300"), prompt(600, "s:400,b:200")
-	c.Assert(e.Sent("p0", a, false), qt.Equals, 700)
-	c.Assert(e.Unkept("p0", b), qt.Equals, 200, qt.Commentf("the shared part is there"))
-	c.Assert(e.Unkept("p0", prompt(500, "x:100,s:400")), qt.Equals, 500, qt.Commentf("not without what stands before it"))
-	e.Sent("p0", b, false)                          // 900 kept
-	e.Sent("p0", prompt(600, "s:400,c:200"), false) // a's own part is the one unused the longest
-	c.Assert(e.Unkept("p0", a), qt.Equals, 300)
-	c.Assert(e.Unkept("p0", b), qt.Equals, 0)
-	e.Forget("p0", b)
-	c.Assert(e.Unkept("p0", b), qt.Equals, 600, qt.Commentf("what may not have been read is not counted on"))
+	c.Assert(e.PrefillStarted("p0", a, false), qt.Equals, 700)
+	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 200, qt.Commentf("the shared part is there"))
+	c.Assert(e.UncachedTokens("p0", prompt(500, "x:100,s:400")), qt.Equals, 500, qt.Commentf("not without what stands before it"))
+	e.PrefillStarted("p0", b, false)                          // 900 kept
+	e.PrefillStarted("p0", prompt(600, "s:400,c:200"), false) // a's own part is the one unused the longest
+	c.Assert(e.UncachedTokens("p0", a), qt.Equals, 300)
+	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 0)
+	e.InvalidateCache("p0", b)
+	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 600, qt.Commentf("what may not have been read is not counted on"))
 }
 
 // Each of many proxies sees few of the prompts that share a part; it took a home for far behind that keeps the part from others.
@@ -74,15 +74,15 @@
 	c := qt.New(t)
 	e := engines(t, 2, 0)
 	p := prompt(900, "s:400,a:200,b:300")
-	c.Assert(p.Own(), qt.Equals, 300)
-	c.Assert(e.Sent("p0", p, true), qt.Equals, 300)
-	c.Assert(e.Sent("p1", p, false), qt.Equals, 900)
-	c.Assert(e.AheadMs(0, "p0") < e.AheadMs(0, "p1"), qt.IsTrue)
-	c.Assert(e.Sent("p1", p, true), qt.Equals, 0, qt.Commentf("what is known to be kept stays so"))
+	c.Assert(p.UnsharedTokens(), qt.Equals, 300)
+	c.Assert(e.PrefillStarted("p0", p, true), qt.Equals, 300)
+	c.Assert(e.PrefillStarted("p1", p, false), qt.Equals, 900)
+	c.Assert(e.QueueMs(0, "p0") < e.QueueMs(0, "p1"), qt.IsTrue)
+	c.Assert(e.PrefillStarted("p1", p, true), qt.Equals, 0, qt.Commentf("what is known to be kept stays so"))
 	alone := prompt(500, "z:500")
-	c.Assert(e.Sent("p0", alone, true), qt.Equals, 500, qt.Commentf("it shares nothing"))
+	c.Assert(e.PrefillStarted("p0", alone, true), qt.Equals, 500, qt.Commentf("it shares nothing"))
 	odd := prompt(100, "s:400,a:200")
-	c.Assert(odd.Own(), qt.Equals, 0)
+	c.Assert(odd.UnsharedTokens(), qt.Equals, 0)
 }
 
 // Under twice the load that could be read, prompts that waited were given up at half of their time and read again elsewhere:
@@ -91,46 +91,46 @@
 	c := qt.New(t)
 	e := engines(t, 1, 0)
 	p := prompt(900, "s:600,a:300")
-	one := e.ExpectMs(0, "p0", p, true)
-	c.Assert(one, qt.Equals, 300*e.perTok)
-	c.Assert(e.ExpectMs(0, "p0", p, false), qt.Equals, 900*e.perTok)
+	one := e.ExpectedPrefillMs(0, "p0", p, true)
+	c.Assert(one, qt.Equals, 300*e.prefillMsPerToken)
+	c.Assert(e.ExpectedPrefillMs(0, "p0", p, false), qt.Equals, 900*e.prefillMsPerToken)
 	for range 10 {
-		e.Sent("p0", prompt(900, "t:900"), false)
+		e.PrefillStarted("p0", prompt(900, "t:900"), false)
 	}
-	c.Assert(e.ExpectMs(0, "p0", p, true) > one, qt.IsTrue)
-	e.Turned(1, 1000)
-	c.Assert(e.longer, qt.Equals, 1.0, qt.Commentf("a short wait tells nothing of the queue"))
+	c.Assert(e.ExpectedPrefillMs(0, "p0", p, true) > one, qt.IsTrue)
+	e.ObservePrefill(1, 1000)
+	c.Assert(e.expectedScale, qt.Equals, 1.0, qt.Commentf("a short wait tells nothing of the queue"))
 	for range 500 {
-		e.Turned(100*e.longer, 250)
+		e.ObservePrefill(100*e.expectedScale, 250)
 	}
-	c.Assert(e.longer > 2.4 && e.longer < 2.6, qt.IsTrue, qt.Commentf("%v", e.longer))
+	c.Assert(e.expectedScale > 2.4 && e.expectedScale < 2.6, qt.IsTrue, qt.Commentf("%v", e.expectedScale))
 	for range 500 {
-		e.Turned(100*e.longer, 1e9)
+		e.ObservePrefill(100*e.expectedScale, 1e9)
 	}
-	c.Assert(e.longer <= mostLonger, qt.IsTrue)
+	c.Assert(e.expectedScale <= maxExpectedScale, qt.IsTrue)
 }
 
 // A prompt that waited must not make all others look slow: that sent prompts away from their homes.
 func TestSpeedIsLearnedFromWhatWasAlone(t *testing.T) {
 	c := qt.New(t)
 	e := engines(t, 1, 0)
-	before := e.perTok
+	before := e.prefillMsPerToken
 	p, q := prompt(900, "a:900"), prompt(900, "b:900")
-	n, m := e.Sent("p0", p, false), e.Sent("p0", q, false)
-	e.Read("p0", n, 5000)
-	c.Assert(e.perTok, qt.Equals, before, qt.Commentf("another was under way"))
-	e.Ended("p0")
-	e.Told(1, "p0", 7, 0)
-	e.Read("p0", m, 5000)
-	c.Assert(e.perTok, qt.Equals, before, qt.Commentf("others' requests were"))
-	e.Ended("p0")
-	e.Told(2, "p0", 1, 0)
+	n, m := e.PrefillStarted("p0", p, false), e.PrefillStarted("p0", q, false)
+	e.PrefillEnded("p0", n, 5000)
+	c.Assert(e.prefillMsPerToken, qt.Equals, before, qt.Commentf("another was under way"))
+	e.RequestEnded("p0")
+	e.ObserveResponseLoad(1, "p0", 7, 0)
+	e.PrefillEnded("p0", m, 5000)
+	c.Assert(e.prefillMsPerToken, qt.Equals, before, qt.Commentf("others' requests were"))
+	e.RequestEnded("p0")
+	e.ObserveResponseLoad(2, "p0", 1, 0)
 	for i := range 200 {
-		n := e.Sent("p0", prompt(900, fmt.Sprint("c", i, ":900")), false)
-		e.Read("p0", n, 9)
-		e.Ended("p0")
+		n := e.PrefillStarted("p0", prompt(900, fmt.Sprint("c", i, ":900")), false)
+		e.PrefillEnded("p0", n, 9)
+		e.RequestEnded("p0")
 	}
-	c.Assert(e.perTok > 0.0099 && e.perTok < 0.0101, qt.IsTrue, qt.Commentf("%v ms a token", e.perTok))
+	c.Assert(e.prefillMsPerToken > 0.0099 && e.prefillMsPerToken < 0.0101, qt.IsTrue, qt.Commentf("%v ms a token", e.prefillMsPerToken))
 }
 
 // Moves at a slow link are known by the backend whose link it is, and are tried again after a while.
@@ -141,50 +141,50 @@
 	now := 0.0
 	for i := range 60 {
 		from, to := fmt.Sprint("p", i%3), fmt.Sprint("d", (i/3)%3)
-		ms := 10 + e.MoveMs(from, to, p)
+		ms := 10 + e.TransferMs(from, to, p)
 		if to == "d1" {
 			ms += 300
 		}
 		now += 10
-		e.Moved(now, from, to, p, ms, true)
+		e.ObserveTransfer(now, from, to, p, ms, true)
 	}
-	c.Assert(e.InwardMs(now, "d1") > 200, qt.IsTrue, qt.Commentf("%v", e.InwardMs(now, "d1")))
-	c.Assert(e.InwardMs(now, "d0") < 40, qt.IsTrue, qt.Commentf("%v", e.InwardMs(now, "d0")))
+	c.Assert(e.InboundDelayMs(now, "d1") > 200, qt.IsTrue, qt.Commentf("%v", e.InboundDelayMs(now, "d1")))
+	c.Assert(e.InboundDelayMs(now, "d0") < 40, qt.IsTrue, qt.Commentf("%v", e.InboundDelayMs(now, "d0")))
 	for _, id := range []string{"p0", "p1", "p2"} {
-		c.Assert(e.OutwardMs(now, id) < 60, qt.IsTrue, qt.Commentf("%s %v", id, e.OutwardMs(now, id)))
+		c.Assert(e.OutboundDelayMs(now, id) < 60, qt.IsTrue, qt.Commentf("%s %v", id, e.OutboundDelayMs(now, id)))
 	}
-	c.Assert(e.InwardMs(now+10*lateHalf, "d1") < 1, qt.IsTrue)
+	c.Assert(e.InboundDelayMs(now+10*transferDelayHalfLifeMs, "d1") < 1, qt.IsTrue)
 }
 
 func TestLongAnswersAreTold(t *testing.T) {
 	c := qt.New(t)
 	e := engines(t, 0, 4)
 	read, talk := prompt(9000, "a:6000,b:3000"), prompt(200, "c:100,d:100")
-	c.Assert(e.Long("read", read), qt.IsFalse)
-	c.Assert(e.Long("talk", talk), qt.IsTrue)
+	c.Assert(e.LongDecode("read", read), qt.IsFalse)
+	c.Assert(e.LongDecode("talk", talk), qt.IsTrue)
 	for range 50 {
-		e.Made("read", read, 30)
-		e.Made("talk", talk, 4000)
+		e.ObserveDecode("read", read, 30)
+		e.ObserveDecode("talk", talk, 4000)
 	}
-	c.Assert(e.Long("read", read), qt.IsFalse)
-	c.Assert(e.Long("talk", talk), qt.IsTrue)
+	c.Assert(e.LongDecode("read", read), qt.IsFalse)
+	c.Assert(e.LongDecode("talk", talk), qt.IsTrue)
 	// Those kept for them grow with what runs, and don't take all.
 	order := []string{"d0", "d1", "d2", "d3"}
-	c.Assert(e.Apart(0, order), qt.Equals, 1)
-	e.Told(1000, "d0", 8, 3)
-	c.Assert(e.Apart(1000, order), qt.Equals, 2)
+	c.Assert(e.LongDecodePool(0, order), qt.Equals, 1)
+	e.ObserveResponseLoad(1000, "d0", 8, 3)
+	c.Assert(e.LongDecodePool(1000, order), qt.Equals, 2)
 	for now := 2000.0; now < 9000; now += 1000 {
-		e.Told(now, "d0", 8, 8)
-		e.Told(now, "d1", 8, 8)
-		e.Told(now, "d2", 8, 8)
-		c.Assert(e.Apart(now, order) <= 3, qt.IsTrue)
+		e.ObserveResponseLoad(now, "d0", 8, 8)
+		e.ObserveResponseLoad(now, "d1", 8, 8)
+		e.ObserveResponseLoad(now, "d2", 8, 8)
+		c.Assert(e.LongDecodePool(now, order) <= 3, qt.IsTrue)
 	}
-	c.Assert(e.Apart(0, order[:1]), qt.Equals, 0)
+	c.Assert(e.LongDecodePool(0, order[:1]), qt.Equals, 0)
 }
 
 // fleet is a stand-in of a service's backends for Phases: orders take a while.
 type fleet struct {
-	states []EngineState
+	states []BackendReport
 	until  map[string]float64
 	to     map[string]bool
 	reads  int // prompts under way at those that read
@@ -193,7 +193,7 @@
 func newFleet(prefill, decode int) *fleet {
 	f := &fleet{until: map[string]float64{}, to: map[string]bool{}}
 	for i := range prefill + decode {
-		f.states = append(f.states, EngineState{ID: fmt.Sprintf("b%02d", i), Prefill: i < prefill, Usable: true})
+		f.states = append(f.states, BackendReport{ID: fmt.Sprintf("b%02d", i), Prefill: i < prefill, Usable: true})
 	}
 	return f
 }
@@ -210,7 +210,7 @@
 }
 
 // step plays one round: orders take effect, active requests spread over those that decode.
-func (f *fleet) step(p *Phases, now float64, capacity, active int) []Move {
+func (f *fleet) step(p *PhasePlanner, now float64, capacity, active int) []Transition {
 	decode, prefill := 0, 0
 	for i := range f.states {
 		s := &f.states[i]
@@ -251,13 +251,13 @@
 	for _, n := range []struct{ prefill, decode, want int }{{4, 5, 4}, {16, 28, 22}, {1, 2, 2}, {0, 2, 2}, {2, 4, 3}} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := qt.New(t)
-			f, p := newFleet(n.prefill, n.decode), NewPhases()
+			f, p := newFleet(n.prefill, n.decode), NewPhasePlanner()
 			for now := 0.0; now < 8000; now += 500 {
 				f.step(p, now, 64, 0)
 			}
 			_, decode := f.count()
 			c.Assert(decode, qt.Equals, n.want)
-			c.Assert(p.Moving(), qt.HasLen, 0)
+			c.Assert(p.InTransition(), qt.HasLen, 0)
 		})
 	}
 }
@@ -265,7 +265,7 @@
 // With three of 44 making tokens, full batches hid how much more would come: a quiet day was lost.
 func TestPhasesGrowFromFullBatches(t *testing.T) {
 	c := qt.New(t)
-	f, p := newFleet(41, 3), NewPhases()
+	f, p := newFleet(41, 3), NewPhasePlanner()
 	f.step(p, 0, 48, 3*48)
 	for now := 500.0; now < 12000; now += 500 {
 		_, decode := f.count()
@@ -278,7 +278,7 @@
 // One that makes tokens may be lost while no order can be given: one more than needed is kept.
 func TestPhasesKeepOneToSpareAndReadAgain(t *testing.T) {
 	c := qt.New(t)
-	f, p := newFleet(6, 3), NewPhases()
+	f, p := newFleet(6, 3), NewPhasePlanner()
 	for now := 0.0; now < 20000; now += 500 {
 		f.step(p, now, 64, 171)
 	}
@@ -300,7 +300,7 @@
 // Two of nine stood idle beside readers with forty prompts each: both loads decide.
 func TestPhasesHeedWhatIsToBeRead(t *testing.T) {
 	c := qt.New(t)
-	f, p := newFleet(4, 5), NewPhases()
+	f, p := newFleet(4, 5), NewPhasePlanner()
 	f.reads = 2
 	for now := 0.0; now < 10000; now += 500 {
 		f.step(p, now, 64, 115)
@@ -315,9 +315,9 @@
 			at = now
 		}
 	}
-	c.Assert(at > 0 && at <= 10000+2*readHalf+announceFor+1000, qt.IsTrue, qt.Commentf("pressed readers wait for nothing but the announcement: %v", at))
+	c.Assert(at > 0 && at <= 10000+2*prefillHalfLifeMs+announceMs+1000, qt.IsTrue, qt.Commentf("pressed readers wait for nothing but the announcement: %v", at))
 	// More tokens to make don't take those that read while they are busy.
-	f, p = newFleet(5, 4), NewPhases()
+	f, p = newFleet(5, 4), NewPhasePlanner()
 	f.reads = 15
 	for now := 0.0; now < 20000; now += 500 {
 		f.step(p, now, 64, 230)
@@ -328,20 +328,20 @@
 
 func TestPhasesAnnounceBeforeTheyOrder(t *testing.T) {
 	c := qt.New(t)
-	f, p := newFleet(3, 6), NewPhases()
+	f, p := newFleet(3, 6), NewPhasePlanner()
 	moves := f.step(p, 0, 64, 0)
 	c.Assert(len(moves), qt.Equals, 2)
 	c.Assert(moves[0].Due, qt.IsFalse)
-	c.Assert(p.Moving(), qt.HasLen, 2, qt.Commentf("nobody is to send there"))
-	c.Assert(f.step(p, announceFor/2, 64, 0), qt.HasLen, 0)
-	moves = f.step(p, announceFor, 64, 0)
+	c.Assert(p.InTransition(), qt.HasLen, 2, qt.Commentf("nobody is to send there"))
+	c.Assert(f.step(p, announceMs/2, 64, 0), qt.HasLen, 0)
+	moves = f.step(p, announceMs, 64, 0)
 	c.Assert(len(moves), qt.Equals, 2)
 	c.Assert(moves[0].Due && moves[1].Due, qt.IsTrue)
 	// Backends that are lost meanwhile are forgotten; what is left has its own changes.
-	lost := p.Moving()
+	lost := p.InTransition()
 	f.states = f.states[:3]
-	f.step(p, announceFor+100, 64, 0)
-	for _, id := range p.Moving() {
+	f.step(p, announceMs+100, 64, 0)
+	for _, id := range p.InTransition() {
 		c.Assert(slices.Contains(lost, id), qt.IsFalse, qt.Commentf("%s is gone", id))
 	}
 }
@@ -349,7 +349,7 @@
 // An order that could not be confirmed in time was not sent again: its backend had no work for 20 s.
 func TestPhasesOrderAgain(t *testing.T) {
 	c := qt.New(t)
-	f, p := newFleet(4, 5), NewPhases()
+	f, p := newFleet(4, 5), NewPhasePlanner()
 	due := func(now float64) (ids []string) {
 		for _, m := range p.Step(now, 64, f.states) {
 			if m.Due {
@@ -359,20 +359,20 @@
 		return ids
 	}
 	c.Assert(due(0), qt.HasLen, 0)
-	first := due(announceFor)
+	first := due(announceMs)
 	c.Assert(first, qt.HasLen, 1)
-	c.Assert(due(announceFor+1500), qt.HasLen, 0)
-	p.Again(first[0])
-	p.Again("gone")
-	c.Assert(due(announceFor+3000), qt.DeepEquals, first)
+	c.Assert(due(announceMs+1500), qt.HasLen, 0)
+	p.RetryOrder(first[0])
+	p.RetryOrder("gone")
+	c.Assert(due(announceMs+3000), qt.DeepEquals, first)
 }
 
 func TestPhasesProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "backends")
-		f, p := newFleet(rapid.IntRange(0, n).Draw(t, "prefill"), 0), NewPhases()
+		f, p := newFleet(rapid.IntRange(0, n).Draw(t, "prefill"), 0), NewPhasePlanner()
 		for len(f.states) < n {
-			f.states = append(f.states, EngineState{ID: fmt.Sprintf("d%02d", len(f.states)), Usable: true})
+			f.states = append(f.states, BackendReport{ID: fmt.Sprintf("d%02d", len(f.states)), Usable: true})
 		}
 		now := 0.0
 		for range 40 {
@@ -392,8 +392,8 @@
 				}
 				due[m.ID] = m.Due
 			}
-			if len(p.Moving()) > n {
-				t.Fatalf("%d moving of %d", len(p.Moving()), n)
+			if len(p.InTransition()) > n {
+				t.Fatalf("%d moving of %d", len(p.InTransition()), n)
 			}
 		}
 	})
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -34,15 +34,15 @@
 		id, s := r.sent(0, 0)
 		r.outcome(id, 0, s, OK, 20)
 	}
-	if s := r.b.servers[0]; s.state != Connected || len(s.out) != 0 {
-		t.Fatalf("state %d, %d out", s.state, len(s.out))
+	if s := r.b.servers[0]; s.state != Connected || len(s.inFlight) != 0 {
+		t.Fatalf("state %d, %d out", s.state, len(s.inFlight))
 	}
 	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600})
-	if s := r.b.servers[0]; len(s.out) != 1 || r.b.inflight != 1 {
-		t.Fatalf("%d out, %d in flight once it is whole", len(s.out), r.b.inflight)
+	if s := r.b.servers[0]; len(s.inFlight) != 1 || r.b.inflight != 1 {
+		t.Fatalf("%d out, %d in flight once it is whole", len(s.inFlight), r.b.inflight)
 	}
-	if q := r.b.requests[ids[0]]; q.aimAt != r.now+300 || q.deadline != r.now+595 {
-		t.Errorf("aim in %v, deadline in %v", q.aimAt-r.now, q.deadline-r.now)
+	if q := r.b.requests[ids[0]]; q.targetAt != r.now+300 || q.deadline != r.now+595 {
+		t.Errorf("aim in %v, deadline in %v", q.targetAt-r.now, q.deadline-r.now)
 	}
 	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600}) // again: nothing
 	r.outcome(ids[0], 0, r.b.servers[0].id, OK, 30)
@@ -94,8 +94,8 @@
 		}
 	}
 	s := r.b.servers[0]
-	if s.state > Unknown || len(s.out) != 0 || r.b.inflight != 0 {
-		t.Fatalf("state %d, %d out", s.state, len(s.out))
+	if s.state > Unknown || len(s.inFlight) != 0 || r.b.inflight != 0 {
+		t.Fatalf("state %d, %d out", s.state, len(s.inFlight))
 	}
 	if got := r.outcome(1, 0, s.id, Reset, 20); find(got, ActSend) != nil || find(got, ActFail) != nil {
 		t.Errorf("a broken answer: %+v", got)
@@ -171,9 +171,9 @@
 	for range 50 { // far fewer turns than a window of two would need
 		r.now += 3
 		r.tick(0)
-		n := len(r.b.servers[0].out)
+		n := len(r.b.servers[0].inFlight)
 		most = max(most, n)
-		for _, a := range append([]*attempt(nil), r.b.servers[0].out...) {
+		for _, a := range append([]*attempt(nil), r.b.servers[0].inFlight...) {
 			r.do(Event{Kind: EvStarted, Request: a.r.id, Attempt: a.index})
 			begun++
 		}
@@ -238,15 +238,15 @@
 		id, s := r.sent(0, 0)
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
-		lat, calm := r.b.servers[0].lat, *r.b.calm
+		lat, calm := r.b.servers[0].latencyRatio, *r.b.calm
 		slow, _ := r.coming(1)
 		r.now += 60_000
 		if started {
 			r.do(Event{Kind: EvStarted, Request: slow, Attempt: 0})
 		}
 		r.outcome(slow, 0, s, OK, 60_000)
-		if r.b.servers[0].lat != lat || *r.b.calm != calm || r.b.requests[slow] != nil {
-			t.Errorf("begun %v: %v, was %v", started, r.b.servers[0].lat, lat)
+		if r.b.servers[0].latencyRatio != lat || *r.b.calm != calm || r.b.requests[slow] != nil {
+			t.Errorf("begun %v: %v, was %v", started, r.b.servers[0].latencyRatio, lat)
 		}
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -2,131 +2,131 @@
 
 import "molepaddle/internal/decide/arith"
 
-// moved notes that a transition may have changed tiers.
-func (b *Balancer) moved(tiers bool) {
+// noteTierChange notes that a transition may have changed tiers.
+func (b *Balancer) noteTierChange(tiers bool) {
 	if tiers {
 		b.epoch++
 	}
 }
 
-func (b *Balancer) enter(s *server, to State) { b.moved(s.enter(b.now, to)) }
+func (b *Balancer) enter(s *server, to State) { b.noteTierChange(s.enter(b.now, to)) }
 
-// judge takes what an attempt's end says about its server.
-func (b *Balancer) judge(a *attempt, st Status, rtt float64) {
+// recordOutcome takes what an attempt's end says about its server.
+func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
 	s := a.s
 	if st == OK || st == Error || st == Full {
-		b.lift(s.zone)
+		b.liftSuspicion(s.zone)
 	}
 	switch st {
 	case OK:
-		if b.earn(s, a.cost); !a.r.started && !a.r.coming {
-			b.served(a, rtt)
+		if b.earnSlowStartCredit(s, a.cost); !a.r.started && !a.r.bodyPending {
+			b.recordServed(a, rtt)
 		}
 	case Error, Reset:
-		s.heard = b.now
-		if b.common(s) {
+		s.lastContact = b.now
+		if b.failsLikeFleet(s) {
 			b.recheck(s)
 		} else {
 			b.demote(s, false)
 		}
-		s.fails += failWeight * (1 - s.fails)
+		s.failureShare += failureSmoothing * (1 - s.failureShare)
 	case ConnectFailed:
 		b.demote(s, true)
-		if s.lostAt == 0 {
-			s.lostAt = b.now
+		if s.connectFailedAt == 0 {
+			s.connectFailedAt = b.now
 		}
 	case Timeout:
 		// One that answered others meanwhile is not to blame; it counts as slow.
-		if s.heard > a.sentAt {
+		if s.lastContact > a.sentAt {
 			b.needs.Took(a.r.hint, rtt)
-			b.learn(s, b.needs.Part(a.r.hint, rtt/b.set.Classes[a.r.class].AimMs))
+			b.learnLatency(s, b.needs.Part(a.r.hint, rtt/b.set.Classes[a.r.class].AimMs))
 		} else {
 			b.demote(s, true)
 		}
 	case Full:
-		s.heard = b.now
-		b.cut(s, 0.7, 1)
+		s.lastContact = b.now
+		b.shrinkWindow(s, 0.7, 1)
 	}
 }
 
-func (b *Balancer) served(a *attempt, rtt float64) {
+func (b *Balancer) recordServed(a *attempt, rtt float64) {
 	s, r := a.s, a.r
-	s.fails -= failWeight * s.fails
+	s.failureShare -= failureSmoothing * s.failureShare
 	b.needs.Took(r.hint, rtt)
-	b.heardFrom(s)
-	s.rtt = arith.Mean(s.rtt, rtt, smooth)
+	b.recordContact(s)
+	s.rtt = arith.Mean(s.rtt, rtt, smoothing)
 	c := &b.set.Classes[r.class]
 	b.needs.Served(r.class, rtt, 2*c.AimMs)
-	if b.now <= r.aimAt {
+	if b.now <= r.targetAt {
 		b.worth.Won(r.class)
 	}
 	x := b.needs.Part(r.hint, rtt/c.AimMs)
 	b.calm.Answered(x, a.alone)
-	b.learn(s, x)
+	b.learnLatency(s, x)
 	limit := b.calm.Limit(b.ramp(s))
 	if b.ramp(s) < 1 {
 		b.cold.Answered(x < limit)
 	}
-	if s.state == Unhealthy && a.sentAt < s.since && !s.silent {
+	if s.state == Unhealthy && a.sentAt < s.since && !s.unresponsive {
 		return // sent before the failure: says nothing about what came after
 	}
-	b.moved(s.Served(b.now))
-	if s.silent {
-		s.silent, s.strikes = false, max(s.strikes-1, 0)
+	b.noteTierChange(s.Served(b.now))
+	if s.unresponsive {
+		s.unresponsive, s.strikes = false, max(s.strikes-1, 0)
 	}
-	if s.good++; s.good >= 16*s.strikes {
-		s.good, s.strikes = 0, max(s.strikes-1, 0)
+	if s.servedSinceStrike++; s.servedSinceStrike >= 16*s.strikes {
+		s.servedSinceStrike, s.strikes = 0, max(s.strikes-1, 0)
 	}
 	switch {
-	case s.lat > limit && b.now-s.cutAt > rtt:
+	case s.latencyRatio > limit && b.now-s.windowCutAt > rtt:
 		least := 1.0
-		if s.lat > tipFactor*limit {
-			least = leastWindow
+		if s.latencyRatio > crowdedFactor*limit {
+			least = minWindow
 		}
-		b.cut(s, 0.85, least)
-	case s.lat < limit && float64(len(s.out)+2) > s.window && b.calm.Learnt():
+		b.shrinkWindow(s, 0.85, least)
+	case s.latencyRatio < limit && float64(len(s.inFlight)+2) > s.window && b.calm.Learnt():
 		s.window += min(1/s.window, s.window)
 	}
 }
 
-// heardFrom notes an answer. A server that no connect reached for long may be a new process, cold
+// recordContact notes an answer. A server that no connect reached for long may be a new process, cold
 // and not yet listed: it is ramped as if it had started now. Time-outs alone don't tell (i228a10).
-func (b *Balancer) heardFrom(s *server) {
-	if s.lostAt > 0 && b.now-s.lostAt > b.set.Contract.TipAfterMs {
-		s.startedAt, s.window, s.credit = b.now, 1, b.rng.Float64()
+func (b *Balancer) recordContact(s *server) {
+	if s.connectFailedAt > 0 && b.now-s.connectFailedAt > b.set.Contract.TipAfterMs {
+		s.startedAt, s.window, s.slowStartCredit = b.now, 1, b.rng.Float64()
 	}
-	s.heard, s.lostAt = b.now, 0
+	s.lastContact, s.connectFailedAt = b.now, 0
 }
 
-func (b *Balancer) learn(s *server, x float64) {
+func (b *Balancer) learnLatency(s *server, x float64) {
 	s.samples++
-	s.lat = arith.Mean(s.lat, x, max(smooth, 1/float64(s.samples)))
+	s.latencyRatio = arith.Mean(s.latencyRatio, x, max(smoothing, 1/float64(s.samples)))
 	b.weights.Answered(s.zone, s.kind, x)
 }
 
-func (b *Balancer) cut(s *server, by, least float64) {
-	s.window, s.cutAt = min(s.window, max(s.window*by, least)), b.now
+func (b *Balancer) shrinkWindow(s *server, by, least float64) {
+	s.window, s.windowCutAt = min(s.window, max(s.window*by, least)), b.now
 }
 
-// common tells whether the server fails no more than the fleet does (the median of the usable ones'
+// failsLikeFleet tells whether the server fails no more than the fleet does (the median of the usable ones'
 // shares), as when a network breaks connections at random: held to a strike each all were out at once.
-func (b *Balancer) common(s *server) bool {
-	b.shares = b.shares[:0]
+func (b *Balancer) failsLikeFleet(s *server) bool {
+	b.shareScratch = b.shareScratch[:0]
 	for _, o := range b.servers {
 		if o.usable {
-			b.shares = append(b.shares, o.fails)
+			b.shareScratch = append(b.shareScratch, o.failureShare)
 		}
 	}
-	median := arith.Median(b.shares)
-	return median >= failShare && s.fails <= 3*median
+	median := arith.Median(b.shareScratch)
+	return median >= fleetFailureShare && s.failureShare <= 3*median
 }
 
 // recheck demotes a server and has it validated at once, without a strike.
 func (b *Balancer) recheck(s *server) {
 	if s.state != Unhealthy {
-		b.moved(s.Demote(b.now))
-		s.silent, s.good = false, 0
-		b.moved(s.Refresh(b.now, 0))
+		b.noteTierChange(s.Demote(b.now))
+		s.unresponsive, s.servedSinceStrike = false, 0
+		b.noteTierChange(s.Refresh(b.now, 0))
 	}
 	b.refetch()
 }
@@ -135,49 +135,49 @@
 func (b *Balancer) demote(s *server, silent bool) {
 	if s.state != Unhealthy {
 		s.strikes = min(s.strikes+1, maxStrikes)
-		b.moved(s.Demote(b.now))
-		s.silent, s.good, s.lat, s.samples = silent, 0, 0, 0
+		b.noteTierChange(s.Demote(b.now))
+		s.unresponsive, s.servedSinceStrike, s.latencyRatio, s.samples = silent, 0, 0, 0
 		s.window = max(s.window/2, 1)
 	}
 	b.refetch()
 }
 
-// holdFor is how long a server stays Unhealthy before it is validated again: one aim, or the time in which
+// unhealthyHold is how long a server stays Unhealthy before it is validated again: one aim, or the time in which
 // the agent comes by each server if that is longer and a check costs a request (id753de), doubled with each
 // further strike. While the others have no room there is none, but for one that answers nothing.
-func (b *Balancer) holdFor(s *server) float64 {
-	if b.scarce && !s.silent {
+func (b *Balancer) unhealthyHold(s *server) float64 {
+	if b.saturated && !s.unresponsive {
 		return 0
 	}
-	hold := b.aimMin
+	hold := b.minLatencyTarget
 	if !b.set.Limits.Probing {
 		hold = max(hold, b.pace.Round(b.set.Limits.KeepaliveMs, b.subset()))
 	}
 	return hold * float64(int(1)<<max(s.strikes-1, 0))
 }
 
-// watchSilence demotes servers that took attempts and have answered nothing for several answer
+// demoteUnresponsive demotes servers that took attempts and have answered nothing for several answer
 // times: hung or gone silent, they would stay Connected. Zones of them are doubted as one.
-func (b *Balancer) watchSilence() {
+func (b *Balancer) demoteUnresponsive() {
 	for _, s := range b.servers {
-		if len(s.out) == 0 {
+		if len(s.inFlight) == 0 {
 			continue
 		}
-		a, mean := s.out[0], b.expected(s.out[0].r)
+		a, mean := s.inFlight[0], b.expectedAnswerMs(s.inFlight[0].r)
 		b.doubt.Waits(s.zone, a.sentAt, (b.now-a.sentAt)/mean)
-		if s.state != Unhealthy && b.now-max(s.heard, a.sentAt) >= mean*8/float64(min(len(s.out), 3)) {
+		if s.state != Unhealthy && b.now-max(s.lastContact, a.sentAt) >= mean*8/float64(min(len(s.inFlight), 3)) {
 			b.demote(s, true)
 		}
 	}
-	b.moved(b.doubt.Judge(b.now, b.aimMin))
+	b.noteTierChange(b.doubt.Judge(b.now, b.minLatencyTarget))
 }
 
-// lift takes that a zone has answered: silence of its servers while it was doubted was the way's.
-func (b *Balancer) lift(zone int) {
+// liftSuspicion takes that a zone has answered: silence of its servers while it was doubted was the way's.
+func (b *Balancer) liftSuspicion(zone int) {
 	if since, lifted := b.doubt.Answered(zone, b.now); lifted {
 		for _, s := range b.servers {
-			if s.zone == zone && s.silent && s.since >= since-b.aimMin {
-				b.moved(s.Refresh(b.now, 0))
+			if s.zone == zone && s.unresponsive && s.since >= since-b.minLatencyTarget {
+				b.noteTierChange(s.Refresh(b.now, 0))
 			}
 		}
 	}
@@ -186,15 +186,15 @@
 // revalidate, on each request, refreshes servers that were Unhealthy long enough to pending.
 func (b *Balancer) revalidate() {
 	for _, s := range b.servers {
-		if s.state == Unhealthy && s.usable && len(s.out) == 0 && s.Refresh(b.now, b.holdFor(s)) {
+		if s.state == Unhealthy && s.usable && len(s.inFlight) == 0 && s.Refresh(b.now, b.unhealthyHold(s)) {
 			b.epoch++
 			b.refetch()
 		}
 		pending := s.state == UnhealthyPending && s.usable
-		if pending && b.set.Limits.Probing && !s.probing && b.probes < probeCap {
+		if pending && b.set.Limits.Probing && !s.probing && b.probes < maxProbes {
 			s.probing = true
 			b.probes++
-			b.do(Action{Kind: ActProbe, Server: s.id})
+			b.emit(Action{Kind: ActProbe, Server: s.id})
 		}
 	}
 }
@@ -204,8 +204,8 @@
 		s.probing = false
 		b.probes--
 		if s.state == UnhealthyPending && ev.Status == OK {
-			b.heardFrom(s)
-			b.moved(s.Probed(b.now, true))
+			b.recordContact(s)
+			b.noteTierChange(s.Probed(b.now, true))
 		} else if s.state == UnhealthyPending && ev.Status != Full {
 			b.demote(s, true)
 		}
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -22,15 +22,15 @@
 	return -math.Log(u+1e-18) / weight
 }
 
-// rank is the server's tier for the request.
-func (b *Balancer) rank(s *server, r *request) int {
+// listRank is the server's tier for the request.
+func (b *Balancer) tierOf(s *server, r *request) int {
 	// What must not run twice does not check a server, or a zone, while others are healthy.
 	once := b.set.Classes[r.class].Effect == settings.SingleShot
 	lapse := 0.0 // without probes the first send checks
 	if once {
 		lapse = math.Inf(1)
 	} else if b.set.Limits.Probing {
-		lapse = b.aimMin
+		lapse = b.minLatencyTarget
 	}
 	tier := s.Tier(b.now, lapse)
 	if tier == 0 && b.doubt.Of(s.zone) && (once || !b.doubt.Due(s.zone, b.now)) {
@@ -39,43 +39,43 @@
 	return tier
 }
 
-// pick takes the first by the key's hash, of the best tier that has anyone, under its cap with room.
-func (b *Balancer) pick(r *request) *server {
-	waits, subset := b.waits(r), b.subset()
+// selectServer takes the first by the key's hash, of the best tier that has anyone, under its cap with room.
+func (b *Balancer) selectServer(r *request) *server {
+	waits, subset := b.waitsForAffinity(r), b.subset()
 	for rank := range 3 {
-		tier, n := b.tier[:0], 0
+		tier, n := b.tierScratch[:0], 0
 		r.tierWeight = 0
-		var near [keyServers]*server
+		var near [affinityServers]*server
 		for _, s := range b.servers {
-			if b.rank(s, r) != rank || !b.maySend(r, s) {
+			if b.tierOf(s, r) != rank || !b.maySend(r, s) {
 				continue
 			}
 			if n++; n > subset && len(tier) > 0 {
 				break
 			}
 			r.tierWeight += s.weight * b.ramp(s)
-			if !waits && !b.hasRoom(s, r) || b.now+b.need(s, r) > b.last(r) {
+			if !waits && !b.hasCapacity(s, r) || b.now+b.minRemaining(s, r) > b.latestUseful(r) {
 				continue
 			}
 			s.score = b.score(r, s)
 			tier = append(tier, s)
-			for i, at := 0, s; i < keyServers && at != nil; i++ {
+			for i, at := 0, s; i < affinityServers && at != nil; i++ {
 				if near[i] == nil || at.score < near[i].score {
 					near[i], at = at, near[i]
 				}
 			}
 		}
-		b.tier = tier
+		b.tierScratch = tier
 		if r.tierWeight == 0 {
 			continue // an empty tier passes down
 		}
-		if waits && len(tier) > keyServers {
-			r.near, r.epoch = near, b.epoch
+		if waits && len(tier) > affinityServers {
+			r.affinityServers, r.epoch = near, b.epoch
 			tier = near[:]
 		}
 		var best *server
 		for _, s := range tier {
-			if (best == nil || s.score < best.score) && b.takes(s, r) {
+			if (best == nil || s.score < best.score) && b.underCap(s, r) {
 				best = s
 			}
 		}
@@ -85,20 +85,20 @@
 }
 
 // subset is how many servers of a tier the agent sends to.
-func (b *Balancer) subset() int { return b.pace.Subset(&b.set, b.least, len(b.servers)) }
+func (b *Balancer) subset() int { return b.pace.Subset(&b.set, b.minServers, len(b.servers)) }
 
-// waits tells whether the request still waits for its key's servers.
-func (b *Balancer) waits(r *request) bool {
-	return r.key != 0 && len(r.attempts) == 0 && b.now-r.arrived < keyWait*(r.aimAt-r.arrived)
+// waitsForAffinity tells whether the request still waits for its key's servers.
+func (b *Balancer) waitsForAffinity(r *request) bool {
+	return r.key != 0 && len(r.attempts) == 0 && b.now-r.arrived < affinityWaitShare*(r.targetAt-r.arrived)
 }
 
-// split gives a key the hash that orders the servers for it.
-func (b *Balancer) split(key uint64) uint64 {
+// affinityHash gives a key the hash that orders the servers for it.
+func (b *Balancer) affinityHash(key uint64) uint64 {
 	if key == 0 {
 		return b.rng.Uint64()
 	}
 	servers := float64(b.subset())
-	blind := min(float64(b.set.Replicas)/max(capFactor*servers, 1), 1)
+	blind := min(float64(b.set.Replicas)/max(loadBoundFactor*servers, 1), 1)
 	return b.keys.Split(key, servers, blind, b.rng.Float64())
 }
 
@@ -108,16 +108,16 @@
 	return Rendezvous(r.hash, s.hash, w)
 }
 
-// takes tells whether the server is under its cap in the tier of the last pick and has room.
-func (b *Balancer) takes(s *server, r *request) bool {
+// underCap tells whether the server is under its cap in the tier of the last pick and has room.
+func (b *Balancer) underCap(s *server, r *request) bool {
 	share := s.weight * b.ramp(s) / r.tierWeight
-	return float64(len(s.out)) < Cap(capFactor, b.inflight, share) && b.hasRoom(s, r)
+	return float64(len(s.inFlight)) < Cap(loadBoundFactor, b.inflight, share) && b.hasCapacity(s, r)
 }
 
-// earn keeps each cold server's credit: for all that warm servers have served it may get its
+// earnSlowStartCredit keeps each cold server's credit: for all that warm servers have served it may get its
 // share by weight and ramp, so that all agents together keep to what it can do. What was turned
 // away earns nothing: in a storm it made cold servers' shares ninefold (i86bcad).
-func (b *Balancer) earn(s *server, cost float64) {
+func (b *Balancer) earnSlowStartCredit(s *server, cost float64) {
 	if b.ramp(s) < 1 {
 		return
 	}
@@ -125,7 +125,7 @@
 	b.cold.Served(b.now, cost, warm)
 	for _, o := range b.servers {
 		if k := b.ramp(o); k < 1 && warm > 0 {
-			o.credit = min(o.credit+cost*b.cold.Of(k)*o.weight/warm, coldBurst)
+			o.slowStartCredit = min(o.slowStartCredit+cost*b.cold.Of(k)*o.weight/warm, maxSlowStartCredit)
 		}
 	}
 }
