--- a/policy/policy.go
+++ b/policy/policy.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	capFactor   = 3.0 // c: how far above its even share of the attempts a server may go
-	firstWindow = 2.0 // attempts an unmeasured server may hold
-	// leastWindow is left to the most crowded server: enough to see when it is not.
-	leastWindow, tipFactor = 0.1, 2.5
-	// keyWait is the part of its aim that a request may wait for the keyServers nearest its key.
-	keyWait, keyServers = 0.25, 2
-	hopeless            = 0.7 // least part of its expected time that a hinted request needs
-	maxStrikes          = 5   // bounds the doubling of a bad server's hold
-	// smooth is the weight of an answer in a server's mean; fade is over about 500 requests.
-	smooth, fade = 0.2, 0.998
-	// failWeight is an attempt's weight in its server's share of failures, failShare the least
+	loadBoundFactor = 3.0 // c: how far above its even share of the attempts a server may go
+	firstWindow     = 2.0 // attempts an unmeasured server may hold
+	// minWindow is left to the most crowded server: enough to see when it is not.
+	minWindow, crowdedFactor = 0.1, 2.5
+	// affinityWaitShare is the part of its aim that a request may wait for the affinityServers nearest its key.
+	affinityWaitShare, affinityServers = 0.25, 2
+	minHintedTimeShare                 = 0.7 // least part of its expected time that a hinted request needs
+	maxStrikes                         = 5   // bounds the doubling of a bad server's hold
+	// smoothing is the weight of an answer in a server's mean; fade is over about 500 requests.
+	smoothing, usageDecay = 0.2, 0.998
+	// failureSmoothing is an attempt's weight in its server's share of failures, fleetFailureShare the least
 	// median of these shares with which failures are the fleet's.
-	failWeight, failShare = 0.05, 0.01
-	// trySpan is for how many aims attempts count that earned nothing, mostSlow how many times
-	// as long as elsewhere an answer may take, adviceSpread the part of advice left to chance.
-	trySpan, mostSlow, adviceSpread = 10.0, 8.0, 0.5
+	failureSmoothing, fleetFailureShare = 0.05, 0.01
+	// throttleSpanTargets is for how many aims attempts count that earned nothing, maxSlowdown how many times
+	// as long as elsewhere an answer may take, retryAfterJitter the part of advice left to chance.
+	throttleSpanTargets, maxSlowdown, retryAfterJitter = 10.0, 8.0, 0.5
 
-	leastServers = pace.LeastServers
-	maxHeld      = 512 // bounds the requests held for room, and so the work of a decision
-	coldBurst    = 1.0 // what a cold server's credit saves up at the most: all may spend it at once
-	probeCap     = 2   // bounds the validations under way at once
+	minSubset          = pace.LeastServers
+	maxQueued          = 512 // bounds the requests held for room, and so the work of a decision
+	maxSlowStartCredit = 1.0 // what a cold server's credit saves up at the most: all may spend it at once
+	maxProbes          = 2   // bounds the validations under way at once
 
 	tickToken, followToken = 1, 2
 )
@@ -52,14 +52,14 @@
 	set              settings.Settings
 	rng              *rand.Rand
 	now              float64
-	out              []Action
+	actions          []Action
 	servers          []*server // by rank and order
-	least            int       // fewest servers to keep to, by the list; 0: none told
+	minServers       int       // fewest servers to keep to, by the list; 0: none told
 	byAddr           map[cluster.Addr]*server
 	requests         map[RequestID]*request
-	held             []*request
-	tier             []*server // scratch of pick
-	shares           []float64 // scratch of common
+	queue            []*request
+	tierScratch      []*server // scratch of pick
+	shareScratch     []float64 // scratch of common
 	unserved         unserved.Memory
 	keys             hotkeys.Keys
 	doubt            *doubt.Groups // zones out of reach
@@ -76,11 +76,11 @@
 	usage            arith.Shares // tenants' shares of requests
 	worth            *worth.Tally
 	asking           asking.Asking
-	aimMin           float64
-	lookedAt         float64 // last fetch of the list
+	minLatencyTarget float64
+	refetchedAt      float64 // last fetch of the list
 	pace             pace.Pace
 	ticking          bool
-	scarce           bool // requests that would take any server find no room
+	saturated        bool // requests that would take any server find no room
 }
 
 // New returns the balancer of one agent, or an error that names a setting. Its randomness is the seed's.
@@ -91,7 +91,7 @@
 	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, arith.Mix(seed))),
 		byAddr: map[cluster.Addr]*server{}, doubt: doubt.New(),
 		requests: map[RequestID]*request{}, usage: make([]float64, len(set.Tenants)),
-		unserved: unserved.New(&set, maxHeld), lookedAt: math.Inf(-1), keys: hotkeys.New()}
+		unserved: unserved.New(&set, maxQueued), refetchedAt: math.Inf(-1), keys: hotkeys.New()}
 	b.needs, b.retries = budget.NewNeeds(nil), budget.NewRetries(len(set.Classes))
 	b.calm, b.cold = calm.New(set.Replicas), cold.New(&b.set.Contract)
 	b.worth, b.asking = worth.New(&b.set), asking.New(set.Contract.AskWithinMs)
@@ -103,12 +103,12 @@
 // Turn takes other settings, validated, from the next event on. Classes and tenants that are known
 // keep their numbers; a new class i is taken for one like class from[i], if there is one.
 func (b *Balancer) Turn(set settings.Settings, from []int) {
-	b.set, b.aimMin = set, math.Inf(1)
+	b.set, b.minLatencyTarget = set, math.Inf(1)
 	var first []float64
 	for _, c := range set.Classes {
 		first = append(first, c.AimMs*calm.CrowdShare/2)
 		if !c.Retired {
-			b.aimMin = min(b.aimMin, c.AimMs)
+			b.minLatencyTarget = min(b.minLatencyTarget, c.AimMs)
 		}
 	}
 	b.needs.Fit(first, from)
@@ -116,21 +116,21 @@
 	b.worth.Fit(from)
 	b.unserved.Fit(&b.set)
 	b.usage = append(b.usage, make([]float64, len(set.Tenants)-len(b.usage))...)
-	b.throttle = b.throttle.Over(trySpan * b.aimMin)
+	b.throttle = b.throttle.Over(throttleSpanTargets * b.minLatencyTarget)
 }
 
 // Start gives the first actions of a new agent and appends them to out.
 func (b *Balancer) Start(now float64, out []Action) []Action {
-	b.now, b.out, b.pace = now, out, pace.New(now)
+	b.now, b.actions, b.pace = now, out, pace.New(now)
 	if b.set.Membership == "on_request" {
-		b.do(Action{Kind: ActTimer, Ms: b.asking.First(b.rng.Float64()), Token: followToken})
+		b.emit(Action{Kind: ActTimer, Ms: b.asking.First(b.rng.Float64()), Token: followToken})
 	}
-	return b.out
+	return b.actions
 }
 
 // Handle takes one event and appends the actions it calls for to out; what is unknown is ignored.
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
-	b.now, b.out = now, out
+	b.now, b.actions = now, out
 	switch ev.Kind {
 	case EvRequest:
 		b.onRequest(ev)
@@ -142,16 +142,16 @@
 			break
 		}
 		if a := r.attempts[ev.Attempt]; ev.Kind == EvStarted {
-			r.started, a.s.heard = true, now
-			r.aimAt = arith.Met(now, r.aimAt) // an answer counts from its first byte
-			b.leave(a)                        // how slowly the rest is read says nothing of its server
-			if !r.coming {
-				b.served(a, now-a.sentAt) // else nothing says how long it took
+			r.started, a.s.lastContact = true, now
+			r.targetAt = arith.Met(now, r.targetAt) // an answer counts from its first byte
+			b.endWork(a)                            // how slowly the rest is read says nothing of its server
+			if !r.bodyPending {
+				b.recordServed(a, now-a.sentAt) // else nothing says how long it took
 			}
-		} else if r.coming {
-			r.coming, a.sentAt = false, now
-			b.count(r, ev.LeftMs, false)
-			b.join(a)
+		} else if r.bodyPending {
+			r.bodyPending, a.sentAt = false, now
+			b.startClock(r, ev.LeftMs, false)
+			b.beginWork(a)
 		}
 	case EvDropped:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
@@ -166,26 +166,26 @@
 		b.onTimer(ev.Token)
 	}
 	b.dispatch()
-	b.arm()
-	return b.out
+	b.armTimer()
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// arm keeps one timer running while there is something to watch.
-func (b *Balancer) arm() {
-	if !b.ticking && (len(b.held) > 0 || b.inflight > 0) {
+// armTimer keeps one timer running while there is something to watch.
+func (b *Balancer) armTimer() {
+	if !b.ticking && (len(b.queue) > 0 || b.inflight > 0) {
 		b.ticking = true
-		b.do(Action{Kind: ActTimer, Ms: max(2*b.set.RoundMs, 5), Token: tickToken})
+		b.emit(Action{Kind: ActTimer, Ms: max(2*b.set.RoundMs, 5), Token: tickToken})
 	}
 }
 
 func (b *Balancer) onTimer(token uint32) {
 	if token == followToken {
-		b.do(Action{Kind: ActFollow})
+		b.emit(Action{Kind: ActFollow})
 	} else if token == tickToken {
 		b.ticking = false
-		b.watchSilence()
+		b.demoteUnresponsive()
 		b.expire()
 	}
 }
@@ -204,27 +204,27 @@
 
 // request is one try of a client, kept until it is answered and no attempt is out.
 type request struct {
-	id             RequestID
-	class, tenant  int
-	key            uint64
-	hash           uint64 // what orders the servers for it
-	hint           float64
-	first          float64 // when the client's first try came, as far as known
-	arrived, aimAt float64
-	deadline       float64 // margin already taken off
-	attempts       []*attempt
-	tries          int     // attempts it may have
-	again          float64 // when it looks for a way again, having found none
-	open, risky    int     // attempts out, attempts that may have run
-	ranAt          float64
-	ranOn          *server
-	near           [keyServers]*server // nearest its key, as of epoch
-	epoch          uint64
-	tierWeight     float64 // of the tier at its last pick
-	value          float64
-	closed         bool
-	started        bool // a streamed answer belongs to the client now
-	coming         bool // its body has not come whole: its time has not begun
+	id                 RequestID
+	class, tenant      int
+	key                uint64
+	hash               uint64 // what orders the servers for it
+	hint               float64
+	first              float64 // when the client's first try came, as far as known
+	arrived, targetAt  float64
+	deadline           float64 // margin already taken off
+	attempts           []*attempt
+	maxAttempts        int     // attempts it may have
+	retryAt            float64 // when it looks for a way again, having found none
+	inFlight, maybeRan int     // attempts out, attempts that may have run
+	ranAt              float64
+	ranOn              *server
+	affinityServers    [affinityServers]*server // nearest its key, as of epoch
+	epoch              uint64
+	tierWeight         float64 // of the tier at its last pick
+	value              float64
+	closed             bool
+	started            bool // a streamed answer belongs to the client now
+	bodyPending        bool // its body has not come whole: its time has not begun
 }
 
 func (b *Balancer) onRequest(ev *Event) {
@@ -236,46 +236,46 @@
 		return
 	}
 	c := &b.set.Classes[ev.Class]
-	r := &request{id: ev.Request, class: ev.Class, tenant: ev.Tenant, key: ev.Key, coming: ev.Coming,
-		tries: cmp.Or(min(max(ev.Tries, 0), b.set.Limits.MaxAttempts), b.set.Limits.MaxAttempts)}
+	r := &request{id: ev.Request, class: ev.Class, tenant: ev.Tenant, key: ev.Key, bodyPending: ev.Coming,
+		maxAttempts: cmp.Or(min(max(ev.Tries, 0), b.set.Limits.MaxAttempts), b.set.Limits.MaxAttempts)}
 	if r.hint = arith.Finite(ev.HintMs); !ev.HasHint {
 		r.hint = 0
 	}
 	b.needs.Asked(r.hint)
-	b.count(r, ev.LeftMs, ev.Retry)
-	r.hash = b.split(r.key)
+	b.startClock(r, ev.LeftMs, ev.Retry)
+	r.hash = b.affinityHash(r.key)
 	b.requests[r.id] = r
 	b.pace.Asked(b.now, b.set.Limits.KeepaliveMs)
-	b.usage.Add(r.tenant, fade)
+	b.usage.Add(r.tenant, usageDecay)
 	b.worth.Asked(r.class)
 	b.retries.Asked(r.class, b.now)
 	b.revalidate()
-	b.held = append(b.held, r)
+	b.queue = append(b.queue, r)
 	// One whose hinted work cannot fit the aim anywhere would only keep others waiting.
-	if b.late(r) || r.hint > 0 && c.LateShare == 0 && hopeless*b.needs.Hinted(r.hint) > r.aimAt-b.now {
+	if b.tooLate(r) || r.hint > 0 && c.LateShare == 0 && minHintedTimeShare*b.needs.Hinted(r.hint) > r.targetAt-b.now {
 		b.end(r)
 	}
 }
 
-// count has a request's time begin now.
-func (b *Balancer) count(r *request, left float64, retry bool) {
+// startClock has a request's time begin now.
+func (b *Balancer) startClock(r *request, left float64, retry bool) {
 	c, left := &b.set.Classes[r.class], arith.Finite(left)
-	r.arrived, r.first, r.again, r.deadline = b.now, b.now, b.now, b.now+left-min(b.set.RoundMs, left/4)
+	r.arrived, r.first, r.retryAt, r.deadline = b.now, b.now, b.now, b.now+left-min(b.set.RoundMs, left/4)
 	if retry {
 		r.first = b.unserved.Recall(r.class, r.key, r.arrived)
 	}
-	r.aimAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
+	r.targetAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
 }
 
-// join counts an attempt among those that its server is at work on, leave no more.
-func (b *Balancer) join(a *attempt) {
-	a.s.out = append(a.s.out, a)
+// beginWork counts an attempt among those that its server is at work on, leave no more.
+func (b *Balancer) beginWork(a *attempt) {
+	a.s.inFlight = append(a.s.inFlight, a)
 	b.inflight++
 }
 
-func (b *Balancer) leave(a *attempt) {
-	if i := slices.Index(a.s.out, a); i >= 0 {
-		a.s.out = slices.Delete(a.s.out, i, i+1)
+func (b *Balancer) endWork(a *attempt) {
+	if i := slices.Index(a.s.inFlight, a); i >= 0 {
+		a.s.inFlight = slices.Delete(a.s.inFlight, i, i+1)
 		b.inflight--
 	}
 }
@@ -284,7 +284,7 @@
 func (b *Balancer) value(r *request) float64 {
 	c := &b.set.Classes[r.class]
 	v := b.worth.Of(r.class)
-	if b.now+b.expected(r) > r.aimAt {
+	if b.now+b.expectedAnswerMs(r) > r.targetAt {
 		v *= c.LateShare + b.set.Prices.LateFail
 	}
 	// A tenant that sends more than its portion of what comes.
@@ -299,70 +299,70 @@
 
 // dispatch sends what is held as far as there is room: the most valuable first, of equals the newest.
 func (b *Balancer) dispatch() {
-	for _, r := range b.held {
+	for _, r := range b.queue {
 		r.value = b.value(r)
 	}
-	slices.SortFunc(b.held, func(x, y *request) int {
+	slices.SortFunc(b.queue, func(x, y *request) int {
 		return cmp.Or(cmp.Compare(y.value, x.value), cmp.Compare(y.arrived, x.arrived),
 			cmp.Compare(x.id, y.id))
 	})
 	// One that waits for its key's servers is passed over; of others a few failures tell.
-	b.scarce = false
-	for i, failures := 0, 0; i < len(b.held) && failures < 4 && b.throttle.Open(b.now); {
-		r := b.held[i]
-		if near := r.near; b.waits(r) && near[0] != nil && r.epoch == b.epoch &&
-			!b.takes(near[0], r) && !b.takes(near[1], r) {
+	b.saturated = false
+	for i, failures := 0, 0; i < len(b.queue) && failures < 4 && b.throttle.Open(b.now); {
+		r := b.queue[i]
+		if near := r.affinityServers; b.waitsForAffinity(r) && near[0] != nil && r.epoch == b.epoch &&
+			!b.underCap(near[0], r) && !b.underCap(near[1], r) {
 			i++
 			continue
 		}
-		if s := b.pick(r); s != nil && b.send(r, s) {
-			b.held = slices.Delete(b.held, i, i+1)
+		if s := b.selectServer(r); s != nil && b.send(r, s) {
+			b.queue = slices.Delete(b.queue, i, i+1)
 			continue
 		}
 		i++
-		if !b.waits(r) && b.now >= r.again {
+		if !b.waitsForAffinity(r) && b.now >= r.retryAt {
 			failures++
 		}
-		b.scarce = failures > 0
+		b.saturated = failures > 0
 	}
-	for most := b.set.Limits.OpenCap; len(b.held) > maxHeld || // more than the agent can bear
-		len(b.held) > 0 && most > 0 && len(b.held)+b.inflight > most; {
-		b.end(b.held[len(b.held)-1])
+	for most := b.set.Limits.OpenCap; len(b.queue) > maxQueued || // more than the agent can bear
+		len(b.queue) > 0 && most > 0 && len(b.queue)+b.inflight > most; {
+		b.end(b.queue[len(b.queue)-1])
 	}
 }
 
 // expire ends held requests that can no longer earn anything.
 func (b *Balancer) expire() {
-	for _, r := range slices.Clone(b.held) {
-		if b.now+b.expected(r) > b.last(r) || b.now >= r.deadline {
+	for _, r := range slices.Clone(b.queue) {
+		if b.now+b.expectedAnswerMs(r) > b.latestUseful(r) || b.now >= r.deadline {
 			b.end(r)
 		}
 	}
 }
 
-// last is until when an answer to the request earns something.
-func (b *Balancer) last(r *request) float64 {
+// latestUseful is until when an answer to the request earns something.
+func (b *Balancer) latestUseful(r *request) float64 {
 	if b.set.Classes[r.class].LateShare > 0 {
 		return r.deadline
 	}
-	return r.aimAt
+	return r.targetAt
 }
 
-// late tells whether no server can end the request in time, as need has it.
-func (b *Balancer) late(r *request) bool { return b.now+b.expected(r)/2 > b.last(r) }
+// tooLate tells whether no server can end the request in time, as need has it.
+func (b *Balancer) tooLate(r *request) bool { return b.now+b.expectedAnswerMs(r)/2 > b.latestUseful(r) }
 
-// need is the least time with which the request is begun at the server: half of what an
+// minRemaining is the least time with which the request is begun at the server: half of what an
 // answer there takes on the mean. At the whole mean as much was given up as was saved.
-func (b *Balancer) need(s *server, r *request) float64 {
-	if r.coming {
+func (b *Balancer) minRemaining(s *server, r *request) float64 {
+	if r.bodyPending {
 		return 0 // its time begins when all of it has come
 	}
-	slow := max(s.lat/max(b.calm.Fleet, s.lat/mostSlow, 1e-9), 1)
-	return slow * b.expected(r) / 2
+	slow := max(s.latencyRatio/max(b.calm.Fleet, s.latencyRatio/maxSlowdown, 1e-9), 1)
+	return slow * b.expectedAnswerMs(r) / 2
 }
 
-// expected is how long an answer to the request takes, on the mean.
-func (b *Balancer) expected(r *request) float64 { return b.needs.Of(r.class, r.hint) }
+// expectedAnswerMs is how long an answer to the request takes, on the mean.
+func (b *Balancer) expectedAnswerMs(r *request) float64 { return b.needs.Of(r.class, r.hint) }
 
 // cost is the work of a request in units of the mean one, and never less: hints are rough (i299663).
 func (b *Balancer) cost(r *request) float64 {
@@ -372,23 +372,23 @@
 	return 1
 }
 
-// hasRoom bounds what a server holds: its window, one until it is validated, a cold one's credit.
-func (b *Balancer) hasRoom(s *server, r *request) bool {
+// hasCapacity bounds what a server holds: its window, one until it is validated, a cold one's credit.
+func (b *Balancer) hasCapacity(s *server, r *request) bool {
 	if s.state >= UnhealthyPending {
-		if len(s.out) > 0 {
+		if len(s.inFlight) > 0 {
 			return false
 		}
-	} else if len(s.out) >= max(int(s.window), 1) || s.window < 1 && b.now-s.sentAt < s.rtt/s.window {
+	} else if len(s.inFlight) >= max(int(s.window), 1) || s.window < 1 && b.now-s.sentAt < s.rtt/s.window {
 		// A window under one is kept by pausing: of many agents even one attempt each can be too much.
 		return false
 	}
 	switch {
-	case b.ramp(s) == 1 || s.credit >= b.cost(r):
+	case b.ramp(s) == 1 || s.slowStartCredit >= b.cost(r):
 		return true
 	case b.warmWeight() > 0:
 		return false
 	case !b.cold.Known():
-		v := cold.Unmeasured{Out: len(s.out), Window: s.window, Draw: s.credit, Rtt: s.rtt,
+		v := cold.Unmeasured{Out: len(s.inFlight), Window: s.window, Draw: s.slowStartCredit, Rtt: s.rtt,
 			Mean: b.needs.Mean(r.class), Aim: b.set.Classes[r.class].AimMs, Replicas: b.set.Replicas,
 			Listed: b.now - s.since, Sent: b.now - s.sentAt, New: s.sentAt == 0}
 		return v.Room()
@@ -402,10 +402,10 @@
 	return cold.Ramp(&b.set.Contract, age, s.startedAt, s.listedAt)
 }
 
-// maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in hasRoom.
+// maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in hasCapacity.
 func (b *Balancer) maySend(r *request, s *server) bool {
-	if !s.usable || r.closed || r.started || r.open > 0 || b.now >= r.deadline || b.now < r.again ||
-		len(r.attempts) >= r.tries {
+	if !s.usable || r.closed || r.started || r.inFlight > 0 || b.now >= r.deadline || b.now < r.retryAt ||
+		len(r.attempts) >= r.maxAttempts {
 		return false
 	}
 	for _, a := range r.attempts {
@@ -413,7 +413,7 @@
 			return false // further attempts go elsewhere
 		}
 	}
-	if r.risky == 0 {
+	if r.maybeRan == 0 {
 		return true
 	}
 	c := &b.set.Classes[r.class]
@@ -434,29 +434,29 @@
 	if !b.maySend(r, s) {
 		return false
 	}
-	a := &attempt{r: r, s: s, index: len(r.attempts), alone: len(s.out) == 0, sentAt: b.now, cost: b.cost(r)}
+	a := &attempt{r: r, s: s, index: len(r.attempts), alone: len(s.inFlight) == 0, sentAt: b.now, cost: b.cost(r)}
 	r.attempts = append(r.attempts, a)
-	r.open++
-	begin := b.last(r) - b.need(s, r) // connecting may take all that is left
-	if r.risky == 0 {
+	r.inFlight++
+	begin := b.latestUseful(r) - b.minRemaining(s, r) // connecting may take all that is left
+	if r.maybeRan == 0 {
 		r.ranAt, r.ranOn = b.now, s
 	} else if c := &b.set.Classes[r.class]; c.Effect == settings.Guarded {
 		begin = min(begin, r.ranAt+c.KeyTTLMs-2*b.set.RoundMs) // and outlast the window
 	}
 	begin = max(begin-b.now, math.SmallestNonzeroFloat64)
-	r.risky++
-	if !r.coming { // a server begins when all has come
-		b.join(a)
+	r.maybeRan++
+	if !r.bodyPending { // a server begins when all has come
+		b.beginWork(a)
 	}
 	if s.sentAt > 0 {
-		s.gap = arith.Mean(s.gap, b.now-s.sentAt, smooth)
+		s.gap = arith.Mean(s.gap, b.now-s.sentAt, smoothing)
 	}
 	s.sentAt = b.now
-	b.doubt.Sent(s.zone, b.now, b.aimMin)
+	b.doubt.Sent(s.zone, b.now, b.minLatencyTarget)
 	if b.ramp(s) < 1 {
-		s.credit -= a.cost
+		s.slowStartCredit -= a.cost
 	}
-	b.do(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now, BeginMs: begin})
+	b.emit(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now, BeginMs: begin})
 	return true
 }
 
@@ -467,30 +467,30 @@
 	}
 	b.unserved.Add(r.class, r.key, r.first, b.now)
 	c := &b.set.Classes[r.class]
-	harmless := r.risky == 0 || c.Effect == settings.Free ||
+	harmless := r.maybeRan == 0 || c.Effect == settings.Free ||
 		c.Effect == settings.Guarded && c.Group == settings.GroupAll
 	b.close(r)
 	if harmless {
 		// Who is refused in one moment must not all come back in one.
-		again := b.set.Limits.MaxRetryAfterMs * (1 - adviceSpread*b.rng.Float64())
-		b.do(Action{Kind: ActRefuse, Request: r.id, Ms: again})
+		again := b.set.Limits.MaxRetryAfterMs * (1 - retryAfterJitter*b.rng.Float64())
+		b.emit(Action{Kind: ActRefuse, Request: r.id, Ms: again})
 	} else {
-		b.do(Action{Kind: ActFail, Request: r.id})
+		b.emit(Action{Kind: ActFail, Request: r.id})
 	}
 }
 
 // close forgets a finished request as soon as no attempt of it is out.
 func (b *Balancer) close(r *request) {
 	r.closed = true
-	if i := slices.Index(b.held, r); i >= 0 {
-		b.held = slices.Delete(b.held, i, i+1)
+	if i := slices.Index(b.queue, r); i >= 0 {
+		b.queue = slices.Delete(b.queue, i, i+1)
 	}
 	for _, a := range r.attempts {
 		if !a.done && b.set.Limits.Cancelling {
-			b.do(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
+			b.emit(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
 		}
 	}
-	if r.open == 0 {
+	if r.inFlight == 0 {
 		delete(b.requests, r.id)
 	}
 }
@@ -503,42 +503,42 @@
 	a := r.attempts[ev.Attempt]
 	s := a.s
 	a.done = true
-	r.tries -= ev.Tries // a gateway that it went through made more of it
-	if ev.Status == NoWay && r.tries < MostTries {
+	r.maxAttempts -= ev.Tries // a gateway that it went through made more of it
+	if ev.Status == NoWay && r.maxAttempts < MostTries {
 		rounds := len(r.attempts) / max(len(b.servers), 1) // it went nowhere: to the others at once
-		r.tries, r.again = r.tries+1, b.now+b.set.Classes[r.class].AimMs/MostTries*float64(rounds)
+		r.maxAttempts, r.retryAt = r.maxAttempts+1, b.now+b.set.Classes[r.class].AimMs/MostTries*float64(rounds)
 	}
-	r.open--
-	b.leave(a)
+	r.inFlight--
+	b.endWork(a)
 	if ev.Status.NeverRan() {
-		r.risky--
+		r.maybeRan--
 	}
-	if len(s.out) == 0 && b.pace.HangsUp(&b.set, b.now, s.gap, len(b.servers)) {
-		b.do(Action{Kind: ActClose, Server: s.id})
+	if len(s.inFlight) == 0 && b.pace.HangsUp(&b.set, b.now, s.gap, len(b.servers)) {
+		b.emit(Action{Kind: ActClose, Server: s.id})
 	}
 	// Not where nothing was tried, or a client went in time: a crowd closed it for seconds.
-	if ev.Status != NoWay && (!r.closed || b.now > r.aimAt) {
+	if ev.Status != NoWay && (!r.closed || b.now > r.targetAt) {
 		// With a request or two out at each of a thousand agents no server's window holds back
 		// the crowd: each full answer went on to the next, until requests went out nine times.
-		b.throttle.Ended(b.now, b.set.Classes[r.class].Earned(ev.Status == OK, b.now <= r.aimAt))
+		b.throttle.Ended(b.now, b.set.Classes[r.class].Earned(ev.Status == OK, b.now <= r.targetAt))
 	}
-	b.judge(a, ev.Status, arith.Finite(ev.LatencyMs))
+	b.recordOutcome(a, ev.Status, arith.Finite(ev.LatencyMs))
 	if r.closed || r.started || ev.Final || ev.Status == OK {
 		b.close(r)
 	} else {
-		b.further(r, ev.Status)
+		b.retryOrEnd(r, ev.Status)
 	}
 }
 
-// further holds an unanswered request for another server where class and time allow, or ends it.
-func (b *Balancer) further(r *request, why Status) {
+// retryOrEnd holds an unanswered request for another server where class and time allow, or ends it.
+func (b *Balancer) retryOrEnd(r *request, why Status) {
 	c := &b.set.Classes[r.class]
-	able := r.risky == 0 || c.Effect == settings.Free || c.Effect == settings.Guarded
+	able := r.maybeRan == 0 || c.Effect == settings.Free || c.Effect == settings.Guarded
 	reached := why != ConnectFailed && why != NoWay // else no server had any of it
-	if !able || len(r.attempts) >= r.tries || why == Moot || b.late(r) ||
+	if !able || len(r.attempts) >= r.maxAttempts || why == Moot || b.tooLate(r) ||
 		reached && !b.retries.Take(r.class, b.now, b.rng.Float64()) {
 		b.end(r)
 		return
 	}
-	b.held = append(b.held, r)
+	b.queue = append(b.queue, r)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -131,7 +131,7 @@
 	if _, s3 := r.sent(0, 7); s3 == s {
 		t.Error("an Unhealthy server was chosen before the better tier")
 	}
-	r.now += r.b.holdFor(srv) + 1
+	r.now += r.b.unhealthyHold(srv) + 1
 	id, s4 := r.sent(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
 		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
@@ -161,7 +161,7 @@
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
 	r.outcome(id, 0, s, Error, 5)
-	r.now += 2 * r.b.holdFor(r.b.byAddr[s])
+	r.now += 2 * r.b.unhealthyHold(r.b.byAddr[s])
 	_, actions := r.ask(0, 7)
 	if p := find(actions, ActProbe); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
@@ -173,7 +173,7 @@
 	if r.b.byAddr[s].state != Unhealthy {
 		t.Error("a failed probe did not demote")
 	}
-	r.now += 10 * r.b.holdFor(r.b.byAddr[s])
+	r.now += 10 * r.b.unhealthyHold(r.b.byAddr[s])
 	r.ask(0, 8)
 	r.do(Event{Kind: EvProbed, Server: s, Status: OK, LatencyMs: 5})
 	if r.b.byAddr[s].state != Connected {
@@ -218,7 +218,7 @@
 	}
 	r.now += 496 // just inside the 500 ms less the margin
 	actions = r.outcome(id, 1, a.Server, Error, 20)
-	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && len(r.b.held) == 0 {
+	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && len(r.b.queue) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
@@ -285,11 +285,11 @@
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(4), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
 	cold := r.b.byAddr[addr(4)]
 	for _, st := range []Status{Full, OK} {
-		cold.credit = -1
+		cold.slowStartCredit = -1
 		id, s := r.sent(1, 7)
 		r.outcome(id, 0, s, st, 20)
-		if earned := cold.credit > -1; earned != (st == OK) {
-			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.credit)
+		if earned := cold.slowStartCredit > -1; earned != (st == OK) {
+			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.slowStartCredit)
 		}
 	}
 }
@@ -554,10 +554,10 @@
 	for id, s := range waiting {
 		r.outcome(id, 0, s, Timeout, 600)
 	}
-	r.b.lift(1)
+	r.b.liftSuspicion(1)
 	for _, s := range r.b.servers {
 		if s.zone == 1 {
-			if s.state == Unhealthy && s.silent && s.since >= r.now-1000 {
+			if s.state == Unhealthy && s.unresponsive && s.since >= r.now-1000 {
 				t.Errorf("what was held against %v stays", s.id)
 			}
 		}
@@ -588,7 +588,7 @@
 				r.ask(0, 0)
 			}
 		}
-		r.now += r.b.aimMin + 1
+		r.now += r.b.minLatencyTarget + 1
 		r.ask(0, 0)
 		if tried := bad.state == UnhealthyPending; tried != full {
 			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
@@ -624,9 +624,9 @@
 	if srv.state != UnhealthyPending || srv.strikes != strikes || srv.window != window {
 		t.Fatalf("state %d, strikes %d to %d, window %v to %v", srv.state, strikes, srv.strikes, window, srv.window)
 	}
-	srv.fails = 0.5
+	srv.failureShare = 0.5
 	r.b.enter(srv, Connected)
-	r.b.judge(&attempt{s: srv}, Reset, 20)
+	r.b.recordOutcome(&attempt{s: srv}, Reset, 20)
 	if srv.state != Unhealthy || srv.strikes != strikes+1 {
 		t.Fatalf("fails half of all: state %d, strikes %d to %d", srv.state, strikes, srv.strikes)
 	}
@@ -662,7 +662,7 @@
 	for range 30 {
 		r.ask(0, 42) // one key: fills its two servers, the rest are held
 	}
-	if len(r.b.held) == 0 {
+	if len(r.b.queue) == 0 {
 		t.Fatal("nothing is held; the test does not test what it says")
 	}
 	free := 0
@@ -712,7 +712,7 @@
 	r.outcome(id, 0, s, Cancelled, 200)
 	r.id++
 	r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 5, LeftMs: 600, Retry: true})
-	if q := r.b.requests[r.id]; q == nil || q.aimAt-r.now > 101 {
+	if q := r.b.requests[r.id]; q == nil || q.targetAt-r.now > 101 {
 		t.Error("a retry was given the whole aim again")
 	}
 }
@@ -828,7 +828,7 @@
 	set := testSettings()
 	set.Objective = settings.Objective{Whole: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
-	once, free := &request{class: 1, aimAt: r.now + 500}, &request{class: 0, aimAt: r.now + 500}
+	once, free := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
 		r.b.worth.Asked(0)
 		r.b.worth.Asked(1)
@@ -976,7 +976,7 @@
 	for _, c := range []struct {
 		gap         float64 // ms between requests
 		least, most int
-	}{{400, leastServers, 16}, {4, 50, 60}} {
+	}{{400, minSubset, 16}, {4, 50, 60}} {
 		all := map[cluster.Addr]int{}
 		for index := range 30 {
 			set := testSettings()
@@ -1021,7 +1021,7 @@
 			r.outcome(id, 0, s, OK, 20)
 		}
 		r.b.demote(r.b.byAddr[s], true)
-		if hold := r.b.holdFor(r.b.byAddr[s]); probing != (hold < 1000) {
+		if hold := r.b.unhealthyHold(r.b.byAddr[s]); probing != (hold < 1000) {
 			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
 		}
 	}
@@ -1121,7 +1121,7 @@
 		r.now += 10
 		count(r.do(Event{Kind: EvTimer, Token: tickToken}))
 		for id := RequestID(1); id <= r.id; id++ { // what went out again ends too
-			if q := r.b.requests[id]; q != nil && q.open > 0 {
+			if q := r.b.requests[id]; q != nil && q.inFlight > 0 {
 				a := q.attempts[len(q.attempts)-1]
 				count(r.outcome(id, a.index, a.s.id, Timeout, 10))
 			}
@@ -1161,9 +1161,9 @@
 		r := newRig(t, set, 64)
 		r.list(cluster.ListDelta, cluster.Entry{Server: addr(99), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
 		cold := r.b.byAddr[addr(99)]
-		cold.credit = 0
-		r.b.earn(r.b.byAddr[addr(0)], 1)
-		return cold.credit
+		cold.slowStartCredit = 0
+		r.b.earnSlowStartCredit(r.b.byAddr[addr(0)], 1)
+		return cold.slowStartCredit
 	}
 	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
 		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", whole, part)
@@ -1253,7 +1253,7 @@
 			t.Fatalf("class %d: not sent again", class)
 		}
 		req := r.b.requests[id]
-		inTime := r.b.last(req) - r.b.need(req.attempts[1].s, req) - r.now
+		inTime := r.b.latestUseful(req) - r.b.minRemaining(req.attempts[1].s, req) - r.now
 		if left := set.Classes[2].KeyTTLMs - 100 - 2*set.RoundMs; (a.BeginMs == left) != want || !want && a.BeginMs != inTime || left >= inTime {
 			t.Errorf("class %d: to begin within %v ms, %v are left of the window, %v of the time", class, a.BeginMs, left, inTime)
 		}
@@ -1312,7 +1312,7 @@
 	}
 	r := newRig(t, testSettings(), 4)
 	id, s := r.sent(0, 5)
-	r.now = r.b.requests[id].aimAt - 0.4*r.b.needs.Mean(0)
+	r.now = r.b.requests[id].targetAt - 0.4*r.b.needs.Mean(0)
 	if acts := r.outcome(id, 0, s, Error, 100); find(acts, ActSend) != nil || find(acts, ActRefuse) == nil {
 		t.Errorf("a retry without time: %+v", acts)
 	}
@@ -1324,7 +1324,7 @@
 	set := testSettings()
 	r := newRig(t, set, 2)
 	a, b := r.b.byAddr[addr(0)], r.b.byAddr[addr(1)]
-	r.b.calm.Fleet, a.lat, b.lat = 0.1, 0.1, 0.9
+	r.b.calm.Fleet, a.latencyRatio, b.latencyRatio = 0.1, 0.1, 0.9
 	b.window, a.window = 9, 9
 	need := r.b.needs.Mean(0) / 2
 	for range 20 {
@@ -1341,7 +1341,7 @@
 			t.Fatalf("may begin within %v ms, want %v", send.BeginMs, want)
 		}
 		r.outcome(r.id, 0, a.id, OK, need)
-		a.lat, b.lat, r.b.calm.Fleet = 0.1, 0.9, 0.1
+		a.latencyRatio, b.latencyRatio, r.b.calm.Fleet = 0.1, 0.9, 0.1
 		need = r.b.needs.Mean(0) / 2
 	}
 }
@@ -1371,7 +1371,7 @@
 				s.state, s.strikes = Connected, 0
 			}
 			acts = r.outcome(send.Request, try, send.Server, Error, 5)
-			if find(acts, ActSend) == nil && find(acts, ActRefuse) == nil && find(acts, ActFail) == nil && r.b.requests[send.Request] != nil && len(r.b.held) == 0 {
+			if find(acts, ActSend) == nil && find(acts, ActRefuse) == nil && find(acts, ActFail) == nil && r.b.requests[send.Request] != nil && len(r.b.queue) == 0 {
 				t.Fatalf("neither sent again nor answered: %+v", acts)
 			}
 		}
@@ -1424,8 +1424,8 @@
 		if _, acts := r.ask(0, 0); find(acts, ActSend) != nil {
 			sent++
 		}
-		if len(s.out) > 1 {
-			t.Fatalf("%d out on a cold server that never answered", len(s.out))
+		if len(s.inFlight) > 1 {
+			t.Fatalf("%d out on a cold server that never answered", len(s.inFlight))
 		}
 	}
 	if sent != 1 {
@@ -1443,7 +1443,7 @@
 		r.list(cluster.ListCached, cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
 		s := r.b.byAddr[addr(1)]
 		if s.rtt = rtt; rtt > 0 {
-			s.state, s.heard, s.sentAt = Connected, r.now, r.now
+			s.state, s.lastContact, s.sentAt = Connected, r.now, r.now
 		}
 		sent, began := 0, r.now
 		for r.now < began+3000 {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -240,15 +240,15 @@
 			w.handle(Event{Kind: EvList, List: cluster.ListFailed})
 		}
 	}
-	if n := len(w.b.requests); n != 0 || len(w.b.held) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.held), w.b.inflight)
+	if n := len(w.b.requests); n != 0 || len(w.b.queue) != 0 || w.b.inflight != 0 {
+		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queue), w.b.inflight)
 	}
 	for _, s := range w.b.servers {
-		if len(s.out) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.out))
+		if len(s.inFlight) != 0 {
+			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.inFlight))
 		}
 	}
-	if w.b.unserved.Len() > maxHeld {
+	if w.b.unserved.Len() > maxQueued {
 		t.Errorf("seed %d: %d past requests remembered", seed, w.b.unserved.Len())
 	}
 	return w.history
--- a/policy/standing_test.go
+++ b/policy/standing_test.go
@@ -10,28 +10,28 @@
 // The design's way through the four states: demoted, refreshed, validated, and the entry times with them.
 func TestStanding(t *testing.T) {
 	c := qt.New(t)
-	s := NewStanding(5)
-	c.Assert(s, qt.Equals, Standing{Unknown, 5})
+	s := NewHealth(5)
+	c.Assert(s, qt.Equals, Health{Unknown, 5})
 	c.Assert(s.Served(10), qt.IsFalse) // Connected is of the same tier
-	c.Assert(s, qt.Equals, Standing{Connected, 10})
+	c.Assert(s, qt.Equals, Health{Connected, 10})
 	c.Assert(s.Served(11), qt.IsFalse)
 	c.Assert(s.since, qt.Equals, 10.0)
 
 	c.Assert(s.Demote(20), qt.IsTrue)
 	c.Assert(s.Demote(25), qt.IsFalse)
-	c.Assert(s, qt.Equals, Standing{Unhealthy, 20})
+	c.Assert(s, qt.Equals, Health{Unhealthy, 20})
 	c.Assert(s.Probed(26, true), qt.IsFalse) // nobody awaits it
 	c.Assert(s.Refresh(29, 10), qt.IsFalse)
-	c.Assert(s, qt.Equals, Standing{Unhealthy, 20})
+	c.Assert(s, qt.Equals, Health{Unhealthy, 20})
 	c.Assert(s.Refresh(30, 10), qt.IsTrue)
-	c.Assert(s, qt.Equals, Standing{UnhealthyPending, 30})
+	c.Assert(s, qt.Equals, Health{UnhealthyPending, 30})
 	c.Assert(s.Refresh(31, 0), qt.IsFalse)
 
 	failed := s
 	c.Assert(failed.Probed(40, false), qt.IsTrue)
-	c.Assert(failed, qt.Equals, Standing{Unhealthy, 40})
+	c.Assert(failed, qt.Equals, Health{Unhealthy, 40})
 	c.Assert(s.Probed(40, true), qt.IsTrue)
-	c.Assert(s, qt.Equals, Standing{Connected, 40})
+	c.Assert(s, qt.Equals, Health{Connected, 40})
 }
 
 func TestStandingTier(t *testing.T) {
@@ -46,7 +46,7 @@
 		{UnhealthyPending, 100, 100, 0}, {UnhealthyPending, 0, 0, 0}, {UnhealthyPending, 0, -1, 0},
 		{Unhealthy, 0, 100, 2}, {Unhealthy, 1e9, 100, 2}, {Unhealthy, 0, 0, 2},
 	} {
-		s := Standing{x.state, 7}
+		s := Health{x.state, 7}
 		c.Check(s.Tier(7+x.age, x.lapse), qt.Equals, x.tier, qt.Commentf("%+v", x))
 	}
 }
@@ -56,7 +56,7 @@
 func TestStandingProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, lapse := 0.0, rapid.Float64Range(0, 100).Draw(t, "lapse")
-		s := NewStanding(now)
+		s := NewHealth(now)
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 50).Draw(t, "ms"))
 			was, tier := s, s.Tier(now, lapse)
