--- a/cmd/molepaddle-fleet/schedule_planted_test.go
+++ b/cmd/molepaddle-fleet/schedule_planted_test.go
@@ -45,7 +45,7 @@
 	{"a source that is behind sends its configuration, which a proxy takes too", "distribution,proxy", []string{
 		"if h := c.entries[resourceType]; h != nil && !h.version.Before(n.version) {", "if h := c.entries[resourceType]; h != nil && h.version == n.version {",
 		"if ok && !had.Before(h.version) {", "if ok && had == h.version {",
-		"if doc.Version() > v.doc.Version() {", "if doc.Version() != v.doc.Version() {"}, ""},
+		"if doc.Version() > p.doc.Version() {", "if doc.Version() != p.doc.Version() {"}, ""},
 	{"a node agent stays with a source that has lost the primary", "nodeagent", []string{
 		"\tif contactAge < s.maxContactAge {", "\tif contactAge < time.Hour {"}, ""},
 	{"a machine without its disk votes as who it was", "replication", []string{
--- a/internal/fleet/proxy/allowance_test.go
+++ b/internal/fleet/proxy/allowance_test.go
@@ -16,9 +16,9 @@
 		proxies := rapid.IntRange(1, 80).Draw(r, "proxies")
 		extra := float64(rapid.IntRange(40, 200).Draw(r, "extra"))
 		start := time.Unix(0, 0)
-		all := make([]allowance, proxies)
+		all := make([]retryBudget, proxies)
 		for i := range all {
-			all[i].bound(start, ratio, extra, window, proxies)
+			all[i].configure(start, ratio, extra, window, proxies)
 		}
 		type tick struct{ asked, sent float64 }
 		var ticks []tick // of a tenth of a window
@@ -31,7 +31,7 @@
 				var one tick
 				for i := range all {
 					for range rate {
-						all[i].ask(now)
+						all[i].addRequest(now)
 						one.asked++
 						if greedy && all[i].take(now, 1) {
 							one.sent++
@@ -63,16 +63,16 @@
 func TestAllowanceHasRoomForAStagedPrompt(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
-	var a allowance
-	a.bound(now, 0.2, 202, 10*time.Second, 81)
+	var a retryBudget
+	a.configure(now, 0.2, 202, 10*time.Second, 81)
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		a.ask(now)
+		a.addRequest(now)
 	}
 	c.Assert(a.take(now, 2), qt.IsTrue)
 	c.Assert(a.take(now, 2), qt.IsTrue)
 	// And what is saved is forgotten with the requests that gave it.
 	now = now.Add(time.Minute)
-	c.Assert(a.left(now, 1), qt.IsTrue)
-	c.Assert(a.left(now, 2), qt.IsFalse)
+	c.Assert(a.available(now, 1), qt.IsTrue)
+	c.Assert(a.available(now, 2), qt.IsFalse)
 }
--- a/internal/fleet/proxy/body.go
+++ b/internal/fleet/proxy/body.go
@@ -8,16 +8,16 @@
 	"github.com/go-faster/errors"
 )
 
-var errTooLarge = errors.New("body too large")
+var errBodyTooLarge = errors.New("body too large")
 
-// readBodyBy is readBody with a bound in time: a client that stops within its body is given its answer all the same.
-func readBodyBy(w http.ResponseWriter, r *http.Request, most int64, by time.Time) ([]byte, error) {
+// readBodyUntil is readBody with a bound in time: a client that stops within its body is given its answer all the same.
+func readBodyUntil(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	conn := http.NewResponseController(w)
-	_ = conn.SetReadDeadline(by) // a writer that has no connection has no deadline either
-	body, err := readBody(r, most)
+	_ = conn.SetReadDeadline(deadline) // a writer that has no connection has no deadline either
+	body, err := readBody(r, limit)
 	if err == nil {
 		_ = conn.SetReadDeadline(time.Time{})
 	} // else the library waits no longer for the rest of the body than until then
@@ -25,7 +25,7 @@
 }
 
 // readBody reads a body whole, of at most so many bytes.
-func readBody(r *http.Request, most int64) ([]byte, error) {
+func readBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > 0 {
 		// What is held grows with what comes, in steps, not with what a length claims.
 		b := make([]byte, 0, min(r.ContentLength, 64<<10))
@@ -41,9 +41,9 @@
 		}
 		return b, nil
 	}
-	b, err := io.ReadAll(io.LimitReader(r.Body, most+1))
-	if err == nil && int64(len(b)) > most {
-		err = errTooLarge
+	b, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
+	if err == nil && int64(len(b)) > limit {
+		err = errBodyTooLarge
 	}
 	return b, err
 }
--- a/internal/fleet/proxy/clients.go
+++ b/internal/fleet/proxy/clients.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// headWithin and restWithin are how long a client may take to send a request's head, and leave a connection idle,
+	// defaultHeaderTimeout and defaultIdleTimeout are how long a client may take to send a request's head, and leave a connection idle,
 	// where the configuration's caps don't say.
-	headWithin, restWithin = 3 * time.Second, 15 * time.Second
-	// maxHead bounds a request's head, in bytes.
-	maxHead = 32 << 10
+	defaultHeaderTimeout, defaultIdleTimeout = 3 * time.Second, 15 * time.Second
+	// maxHeaderBytes bounds a request's head, in bytes.
+	maxHeaderBytes = 32 << 10
 )
 
 // clientServer is the server at the edge.
-func (v *Proxy) clientServer() *http.Server {
-	return &http.Server{Handler: v, ReadHeaderTimeout: headWithin, IdleTimeout: restWithin, MaxHeaderBytes: maxHead,
-		ErrorLog: zap.NewStdLog(v.log), ConnState: noteRest}
+func (p *Proxy) clientServer() *http.Server {
+	return &http.Server{Handler: p, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: zap.NewStdLog(p.log), ConnState: markIdle}
 }
 
-// patience is how long clients may take for a head and leave a connection idle, by the caps in force.
-func (v *Proxy) patience() (head, rest time.Duration) {
-	head, rest = headWithin, restWithin
-	w := v.world.Load()
-	if w == nil || w.limits == nil {
-		return head, rest
+// prefillTargetMs is how long clients may take for a head and leave a connection idle, by the caps in force.
+func (p *Proxy) clientTimeouts() (header, idle time.Duration) {
+	header, idle = defaultHeaderTimeout, defaultIdleTimeout
+	snapshot := p.snapshot.Load()
+	if snapshot == nil || snapshot.limits == nil {
+		return header, idle
 	}
-	if d := w.limits.HeaderTimeout(); d > 0 {
-		head = d
+	if d := snapshot.limits.HeaderTimeout(); d > 0 {
+		header = d
 	}
-	if d := w.limits.IdleTimeout(); d > 0 {
-		rest = d
+	if d := snapshot.limits.IdleTimeout(); d > 0 {
+		idle = d
 	}
-	return head, rest
+	return header, idle
 }
 
 // clientListener gives clients' connections the patience that is in force at the time.
 type clientListener struct {
 	net.Listener
-	patience func() (head, rest time.Duration)
+	timeouts func() (head, rest time.Duration)
 }
 
 // Accept waits for the next connection.
@@ -50,21 +50,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: c, patience: l.patience}, nil
+	return &clientConn{Conn: c, timeouts: l.timeouts}, nil
 }
 
 // clientConn is a client's connection. http.Server's time-outs are fixed once it serves, and those of the configuration
 // change: where the server sets a deadline by its own time-outs, this sets it by the ones in force.
 type clientConn struct {
 	net.Conn
-	patience func() (head, rest time.Duration)
-	rests    bool // between requests; the goroutine that serves the connection has it
+	timeouts func() (head, rest time.Duration)
+	idle     bool // between requests; the goroutine that serves the connection has it
 }
 
-// noteRest is the server's ConnState hook. For an idle connection the server calls it right before it sets the deadline.
-func noteRest(c net.Conn, state http.ConnState) {
+// markIdle is the server's ConnState hook. For an idle connection the server calls it right before it sets the deadline.
+func markIdle(c net.Conn, state http.ConnState) {
 	if client, ok := c.(*clientConn); ok && state == http.StateIdle {
-		client.rests = true
+		client.idle = true
 	}
 }
 
@@ -72,13 +72,13 @@
 func (c *clientConn) SetReadDeadline(at time.Time) error {
 	now := time.Now()
 	if at.After(now) {
-		head, rest := c.patience()
-		if c.rests {
-			at = now.Add(rest)
+		header, idle := c.timeouts()
+		if c.idle {
+			at = now.Add(idle)
 		} else {
-			at = now.Add(head)
+			at = now.Add(header)
 		}
-		c.rests = false
+		c.idle = false
 	}
 	return c.Conn.SetReadDeadline(at)
 }
--- a/internal/fleet/proxy/clients_test.go
+++ b/internal/fleet/proxy/clients_test.go
@@ -59,7 +59,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = server.Serve(clientListener{e.listener, v.patience})
+		_ = server.Serve(clientListener{e.listener, v.clientTimeouts})
 	}()
 	c.Cleanup(func() {
 		_ = server.Close()
@@ -74,7 +74,7 @@
 	}
 	doc, found := routingconfig.Decode([]byte(`{"ver":1,"routing":[],"svcs":[],"caps":` + caps + `}`))
 	e.Assert(found.Err(), qt.IsNil)
-	e.proxy.world.Store(&world{index: routingconfig.NewIndex(doc), limits: doc.Limits(), version: doc.Version()})
+	e.proxy.snapshot.Store(&routingSnapshot{index: routingconfig.NewIndex(doc), limits: doc.Limits(), version: doc.Version()})
 }
 
 // dial opens a connection of a client.
@@ -85,7 +85,7 @@
 	return client, bufio.NewReader(client)
 }
 
-// ask sends a request whose head has a pause in it, and tells whether it was answered on this connection.
+// addRequest sends a request whose head has a pause in it, and tells whether it was answered on this connection.
 func (e *cappedEdge) ask(c net.Conn, r *bufio.Reader, within time.Duration) bool {
 	if _, err := io.WriteString(c, "GET /none HTTP/1.1\r\nHost: b\r\n"); err != nil {
 		return false
@@ -109,8 +109,8 @@
 		caps string
 		rest time.Duration
 	}{
-		{"", restWithin},
-		{"{}", restWithin},
+		{"", defaultIdleTimeout},
+		{"{}", defaultIdleTimeout},
 		{`{"idle_timeout_ms":60000}`, time.Minute},
 		{`{"idle_timeout_ms":2000}`, 2 * time.Second},
 	} {
@@ -139,7 +139,7 @@
 		caps string
 		head time.Duration
 	}{
-		{"", headWithin},
+		{"", defaultHeaderTimeout},
 		{`{"hdr_timeout_ms":10000}`, 10 * time.Second},
 		{`{"hdr_timeout_ms":500,"idle_timeout_ms":2000}`, 500 * time.Millisecond},
 	} {
--- a/internal/fleet/proxy/departure_test.go
+++ b/internal/fleet/proxy/departure_test.go
@@ -55,14 +55,14 @@
 		v := new(Proxy)
 		if tc.stays > 0 {
 			end := now.Add(tc.stays)
-			v.departure.end.Store(&end)
+			v.shutdown.closeAt.Store(&end)
 		}
 		svc := newService("s", nil, time.Second)
 		if tc.pace > 0 {
-			svc.paced("e0", paceStretch*tc.pace, paceStretch)
+			svc.recordPace("e0", paceSampleEvents*tc.pace, paceSampleEvents)
 		}
-		try := &try{v: v, svc: svc, route: &routingconfig.Route{RouteSpec: &tc.route}, deadline: now.Add(tc.route.Deadline())}
-		c.Check(v.departure.outlasts(now, try.deadline, try.longest(now, tc.prompt)), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+		try := &clientRequest{proxy: v, svc: svc, route: &routingconfig.Route{RouteSpec: &tc.route}, deadline: now.Add(tc.route.Deadline())}
+		c.Check(v.shutdown.outlasts(now, try.deadline, try.longestAnswer(now, tc.prompt)), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
 
@@ -71,16 +71,16 @@
 func TestWhenClientsOfALeavingProxyComeBack(t *testing.T) {
 	c := qt.New(t)
 	began := time.Unix(1000, 0)
-	d := &departure{began: began}
+	d := &gracefulShutdown{began: began}
 	for _, tc := range []struct {
 		after   time.Duration
 		proxies int
 		want    time.Duration
 	}{
-		{500 * time.Millisecond, manyProxies, againElsewhere},
-		{500 * time.Millisecond, manyProxies - 1, turnedAwayAfter - 500*time.Millisecond},
-		{turnedAwayAfter, 1, againElsewhere},
-		{acceptFor, 1, againElsewhere},
+		{500 * time.Millisecond, manyProxiesPerZone, retryElsewhereAfter},
+		{500 * time.Millisecond, manyProxiesPerZone - 1, notReadyLag - 500*time.Millisecond},
+		{notReadyLag, 1, retryElsewhereAfter},
+		{acceptWindow, 1, retryElsewhereAfter},
 	} {
 		c.Check(d.retryAfter(began.Add(tc.after), tc.proxies), qt.Equals, tc.want, qt.Commentf("%+v", tc))
 	}
--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -35,17 +35,17 @@
 
 func drawnZoneName(zone int) string { return fmt.Sprintf("z%02d", zone) }
 
-// mishap is what a node does to whoever calls it.
-type mishap int
+// nodeFault is what a node does to whoever calls it.
+type nodeFault int
 
 const (
-	fine    mishap = iota
-	down           // takes no connection
-	resets         // reads a request and breaks off
-	fails          // answers 500
-	full           // has not run it
-	garbles        // answers without a seal
-	cuts           // breaks off within its answer
+	fine    nodeFault = iota
+	down              // takes no connection
+	resets            // reads a request and breaks off
+	fails             // answers 500
+	full              // has not run it
+	garbles           // answers without a seal
+	cuts              // breaks off within its answer
 	mishaps
 )
 
@@ -55,7 +55,7 @@
 	zone               int // as the platform lists it
 	address            string
 	draining, listed   bool
-	trouble            mishap
+	trouble            nodeFault
 }
 
 func (n *node) region() string { return drawnRegion(n.zone) }
@@ -63,9 +63,9 @@
 // drawn is one day: a proxy before nodes in memory, and all that happened. Its lock guards everything, since nodes answer in
 // goroutines of their own; a change may come while the proxy waits for one of them.
 type drawn struct {
-	tb   testing.TB
-	seed uint64
-	v    *Proxy
+	tb    testing.TB
+	seed  uint64
+	proxy *Proxy
 
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -99,10 +99,10 @@
 	}
 	d := &drawn{tb: tb, seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), at: map[string]*node{}, tenants: map[string][]int{}, narrow: map[string][]int{},
 		runs: map[string]int{}, handles: map[string]handleAt{}, counts: map[string]int{}}
-	d.v = New(context.Background(), testSettings(zones), zap.NewNop())
-	d.v.pool.Close()
-	pool := transport.New(transport.Options{Dial: d.dial, Timeout: connectWithin, Idle: 10 * time.Second, Most: 1000, Settle: 0, Resting: 4})
-	d.v.pool, d.v.ground = pool, residency.NewGate(pool, zones)
+	d.proxy = New(context.Background(), testSettings(zones), zap.NewNop())
+	d.proxy.pool.Close()
+	pool := transport.New(transport.Options{Dial: d.dial, Timeout: connectTimeout, Idle: 10 * time.Second, Most: 1000, Settle: 0, Resting: 4})
+	d.proxy.pool, d.proxy.gate = pool, residency.NewGate(pool, zones)
 	for z := range drawnZones {
 		phase := externalapi.PhaseDecode
 		if (z+z/drawnRegions)%3 == 0 {
@@ -176,13 +176,13 @@
 	}
 	doc := fmt.Sprintf(`{"ver":%d,"routing":[%s],"tenants":[%s],"svcs":[{"name":"obs","probe":"/healthz"},{"name":"llm","probe":"/healthz",`+
 		`"runtime":{"capacity":8,"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}}]}`, d.version, strings.Join(routes, ","), strings.Join(tenants, ","))
-	d.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(d.version)}, Snapshot: []byte(doc)}}})
-	if got := d.v.world.Load(); got == nil || got.version != int64(d.version) {
+	d.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(d.version)}, Snapshot: []byte(doc)}}})
+	if got := d.proxy.snapshot.Load(); got == nil || got.version != int64(d.version) {
 		d.find("the proxy didn't take version %d: %s", d.version, doc)
 	}
 }
 
-// relist gives the proxy the platform's list as it is.
+// syncEngines gives the proxy the platform's list as it is.
 func (d *drawn) relist() {
 	var list distribution.BackendList
 	for _, n := range d.nodes {
@@ -193,7 +193,7 @@
 	}
 	whole, _ := list.MarshalMsg(nil)
 	d.count++
-	d.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: d.count}, Snapshot: whole}}})
+	d.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: d.count}, Snapshot: whole}}})
 }
 
 // change has one thing happen.
@@ -202,9 +202,9 @@
 	n := d.nodes[d.rng.IntN(len(d.nodes))]
 	switch d.rng.IntN(11) {
 	case 0, 1:
-		n.trouble = mishap(d.rng.IntN(int(mishaps)))
+		n.trouble = nodeFault(d.rng.IntN(int(mishaps)))
 	case 2: // a whole region, in one way
-		region, how := d.rng.IntN(drawnRegions), []mishap{down, down, resets, fails, full}[d.rng.IntN(5)]
+		region, how := d.rng.IntN(drawnRegions), []nodeFault{down, down, resets, fails, full}[d.rng.IntN(5)]
 		for _, one := range d.nodes {
 			if one.zone%drawnRegions == region {
 				one.trouble = how
@@ -266,7 +266,7 @@
 
 var errDown = errors.New("nobody listens there")
 
-// asked marks the context of a client's request: what is freed in the background goes on beside a request, and nothing is to
+// lastRequests marks the context of a client's request: what is freed in the background goes on beside a request, and nothing is to
 // change at a time that a send can't know of.
 type asked struct{}
 
@@ -331,7 +331,7 @@
 	return name
 }
 
-// answer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events; over is
+// writeAnswer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events; over is
 // as for event.
 func (d *drawn) answer(addr string, r *http.Request) (head string, events []string, rest string, over bool) {
 	d.mu.Lock()
--- a/internal/fleet/proxy/drawn_test.go
+++ b/internal/fleet/proxy/drawn_test.go
@@ -50,14 +50,14 @@
 			panic(e)
 		}
 	}()
-	d.v.ServeHTTP(w, r)
+	d.proxy.ServeHTTP(w, r)
 	return false
 }
 
 // promptly is within what a refusal comes: nodes answer at once, so that there is nothing to wait for.
 const promptly = 10 * time.Millisecond
 
-// ask makes one request and judges its answer.
+// addRequest makes one request and judges its answer.
 func (d *drawn) ask(number int) {
 	d.mu.Lock()
 	route := string("rpso"[d.rng.IntN(4)]) + append(drawnTenants, "free")[d.rng.IntN(len(drawnTenants)+1)]
@@ -88,7 +88,7 @@
 	began := time.Now()
 	broken := d.serveOne(w, r)
 	took := time.Since(began)
-	d.v.background.Wait() // what is freed after it
+	d.proxy.background.Wait() // what is freed after it
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,7 +173,7 @@
 		time.Sleep(passes)
 		d.ask(i)
 	}
-	d.v.pool.Close()
+	d.proxy.pool.Close()
 }
 
 // TestDrawnDays plays days of six regions with 21 zones before nodes in memory, on a clock of their own: nodes and whole regions
--- a/internal/fleet/proxy/enclosed.go
+++ b/internal/fleet/proxy/enclosed.go
@@ -15,15 +15,15 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// errWithdrawn ends a send whose backend's region was withdrawn from the request's terms while it was under way. It counts
+// errResidencyWithdrawn ends a send whose backend's region was withdrawn from the request's terms while it was under way. It counts
 // as cancelled: it tells nothing of the backend.
-var errWithdrawn = errors.Wrap(context.Canceled, "the region was withdrawn")
+var errResidencyWithdrawn = errors.Wrap(context.Canceled, "the region was withdrawn")
 
 // subject tells whose data a request carries, as it was when the request came.
 type subject struct {
-	route  string
-	tenant string
-	came   residency.Terms // the terms it came under
+	route        string
+	tenant       string
+	arrivalTerms residency.Terms // the terms it came under
 }
 
 // name is what the ledger and answers call the subject.
@@ -34,26 +34,26 @@
 	return "route " + strconv.Quote(s.route)
 }
 
-// routeTerms is an enclosed route.
-type routeTerms struct {
+// routeResidency is an enclosed route.
+type routeResidency struct {
 	tenant string
 	terms  residency.Terms
 }
 
-// enclose works out the terms of a configuration. A tenant that is not listed allows nothing.
-func (w *world) enclose(d *routingconfig.Document) {
+// computeResidency works out the terms of a configuration. A tenant that is not listed allows nothing.
+func (rs *routingSnapshot) computeResidency(d *routingconfig.Document) {
 	all := d.RoutesWithResidencyTerms()
 	if len(all) == 0 {
 		return
 	}
-	w.routes, w.tenants = make(map[string]*routeTerms, len(all)), map[string]residency.Terms{}
+	rs.residencyByRoute, rs.termsByTenant = make(map[string]*routeResidency, len(all)), map[string]residency.Terms{}
 	for _, t := range d.Tenants() {
-		w.tenants[t.Name] = residency.Within(t.Regions...)
+		rs.termsByTenant[t.Name] = residency.Within(t.Regions...)
 	}
 	for _, r := range all {
-		one := &routeTerms{tenant: r.Tenant}
+		one := &routeResidency{tenant: r.Tenant}
 		if r.Tenant != "" {
-			if base, ok := w.tenants[r.Tenant]; ok {
+			if base, ok := rs.termsByTenant[r.Tenant]; ok {
 				one.terms = base
 			} else {
 				one.terms = residency.Within()
@@ -62,192 +62,192 @@
 		if r.Regions != nil {
 			one.terms = one.terms.Intersect(residency.Within(r.Regions...))
 		}
-		w.routes[r.Name] = one
+		rs.residencyByRoute[r.Name] = one
 	}
 }
 
 // termsOf gives the terms of a request by this configuration: those of its route while that is the same tenant's; else its
 // tenant's as far as it came under them; where the configuration no longer tells, those it came under.
-func (w *world) termsOf(s *subject) residency.Terms {
-	now := w.routes[s.route]
+func (rs *routingSnapshot) termsOf(s *subject) residency.Terms {
+	now := rs.residencyByRoute[s.route]
 	switch {
 	case now != nil && now.tenant == s.tenant:
 		return now.terms
-	case now != nil && !s.came.Restricted():
+	case now != nil && !s.arrivalTerms.Restricted():
 		return now.terms // the route got terms after the request came
 	}
-	if base, ok := w.tenants[s.tenant]; ok && s.tenant != "" {
-		return base.Intersect(s.came)
+	if base, ok := rs.termsByTenant[s.tenant]; ok && s.tenant != "" {
+		return base.Intersect(s.arrivalTerms)
 	}
-	return s.came
+	return s.arrivalTerms
 }
 
-// enclose finds the terms that a request comes under.
-func (t *try) enclose(w *world) {
-	t.world = w
-	t.subject.route = t.route.Name
-	if !t.route.HasResidencyTerms() {
+// computeResidency finds the terms that a request comes under.
+func (cr *clientRequest) bindResidency(snapshot *routingSnapshot) {
+	cr.snapshot = snapshot
+	cr.subject.route = cr.route.Name
+	if !cr.route.HasResidencyTerms() {
 		return
 	}
-	t.subject.tenant = t.route.Tenant
-	if now := w.routes[t.route.Name]; now != nil {
-		t.bounds = now.terms
+	cr.subject.tenant = cr.route.Tenant
+	if current := snapshot.residencyByRoute[cr.route.Name]; current != nil {
+		cr.residencyTerms = current.terms
 	} else {
-		t.bounds = residency.Within() // an enclosed route without terms can't be: nothing is allowed
+		cr.residencyTerms = residency.Within() // an enclosed route without terms can't be: nothing is allowed
 	}
-	t.subject.came = t.bounds
+	cr.subject.arrivalTerms = cr.residencyTerms
 }
 
 // terms gives the request's terms by the newest configuration there is.
-func (t *try) terms() residency.Terms {
-	if w := t.v.world.Load(); w != t.world {
-		t.world = w
-		t.bounds = w.termsOf(&t.subject)
+func (cr *clientRequest) terms() residency.Terms {
+	if snapshot := cr.proxy.snapshot.Load(); snapshot != cr.snapshot {
+		cr.snapshot = snapshot
+		cr.residencyTerms = snapshot.termsOf(&cr.subject)
 	}
-	return t.bounds
+	return cr.residencyTerms
 }
 
-// stays is nil while an exchange may go on under the newest terms.
-func (t *try) stays(e *exchange) error {
-	if e.held != nil {
-		return e.held.cut()
+// checkResidency is nil while an exchange may go on under the newest terms.
+func (cr *clientRequest) checkResidency(e *exchange) error {
+	if e.tracked != nil {
+		return e.tracked.withdrawn()
 	}
-	if t.v.world.Load() == t.world {
+	if cr.proxy.snapshot.Load() == cr.snapshot {
 		return nil
 	}
-	if terms := t.terms(); terms.Restricted() && e.at.Check(terms) != nil {
-		return errWithdrawn
+	if terms := cr.terms(); terms.Restricted() && e.permit.Check(terms) != nil {
+		return errResidencyWithdrawn
 	}
 	return nil
 }
 
-// lend lends a connection for a send. What only releases may carry nothing of the request: neither body nor header.
-func (t *try) lend(ctx context.Context, at residency.Permit, m *message) (*transport.Lent, error) {
-	if !at.ReleaseOnly() {
-		return at.AcquireConn(ctx, t.terms(), m.id)
+// lendConn lends a connection for a send. What only releases may carry nothing of the request: neither body nor header.
+func (cr *clientRequest) lendConn(ctx context.Context, permit residency.Permit, out *outboundRequest) (*transport.Lent, error) {
+	if !permit.ReleaseOnly() {
+		return permit.AcquireConn(ctx, cr.terms(), out.id)
 	}
-	if len(m.body) > 0 || len(m.header) > 0 || m.method != externalapi.CallFreeKVHandle.Method {
+	if len(out.body) > 0 || len(out.header) > 0 || out.method != externalapi.CallFreeKVHandle.Method {
 		return nil, residency.ErrOutside
 	}
-	return at.AcquireReleaseConn(ctx, m.id)
+	return permit.AcquireReleaseConn(ctx, out.id)
 }
 
-// hold has a send of an enclosed request watched: it is known before its terms are looked at, so that a configuration that
+// track has a send of an enclosed request watched: it is known before its terms are looked at, so that a configuration that
 // comes now is seen here or sees it. held is nil where the request is not enclosed or nothing of it is sent.
-func (t *try) hold(ctx context.Context, at residency.Permit, x *extra) (context.Context, *held, error) {
-	if at.ReleaseOnly() || !t.terms().Restricted() {
+func (cr *clientRequest) track(ctx context.Context, permit residency.Permit, opts *attemptOptions) (context.Context, *trackedSend, error) {
+	if permit.ReleaseOnly() || !cr.terms().Restricted() {
 		return ctx, nil, nil
 	}
-	h := &held{of: t.v.enclosed, subject: t.subject, rests: []residency.Permit{at}, use: usePlain}
+	send := &trackedSend{tracker: cr.proxy.residency, subject: cr.subject, permits: []residency.Permit{permit}, purpose: purposePlain}
 	switch {
-	case x.stage != "":
-		h.use = usePrefill
-	case x.lastID != "":
-		h.use = useResume
-	case x.priority >= 0: // only generations have one
-		h.use = useDecode
+	case opts.stage != "":
+		send.purpose = purposePrefill
+	case opts.lastID != "":
+		send.purpose = purposeResume
+	case opts.priority >= 0: // only generations have one
+		send.purpose = purposeDecode
 	}
-	if x.handle != nil {
-		h.rests = append(h.rests, x.handle.at)
+	if opts.handle != nil {
+		send.permits = append(send.permits, opts.handle.permit)
 	}
-	h.ctx, h.cancel = context.WithCancelCause(ctx)
-	h.since = time.Now()
-	h.of.add(h)
-	terms := t.terms()
-	for _, p := range h.rests {
+	send.ctx, send.cancel = context.WithCancelCause(ctx)
+	send.since = time.Now()
+	send.tracker.add(send)
+	terms := cr.terms()
+	for _, p := range send.permits {
 		if err := p.Check(terms); err != nil {
-			h.end(false)
+			send.end(false)
 			return ctx, nil, err
 		}
 	}
-	return h.ctx, h, nil
+	return send.ctx, send, nil
 }
 
-// held is one send of an enclosed request under way. All its methods do nothing for nil.
-type held struct {
-	of      *enclosed
-	subject subject
-	rests   []residency.Permit // where its data is: the backend first, then where the handle that it takes lies
-	use     use
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	since   time.Time
-	ran     bool
+// trackedSend is one send of an enclosed request under way. All its methods do nothing for nil.
+type trackedSend struct {
+	tracker    *residencyTracker
+	subject    subject
+	permits    []residency.Permit // where its data is: the backend first, then where the handle that it takes lies
+	purpose    sendPurpose
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	since      time.Time
+	mayHaveRun bool
 }
 
-// answered notes that an answer has begun, and whether the request may have run.
-func (h *held) answered(ran bool) {
-	if h != nil {
-		h.ran = ran
-		h.of.note(h, time.Now(), ran)
+// headerReceived notes that an answer has begun, and whether the request may have run.
+func (s *trackedSend) answered(ran bool) {
+	if s != nil {
+		s.mayHaveRun = ran
+		s.tracker.record(s, time.Now(), ran)
 	}
 }
 
-// cut tells whether the send was cut off since its region was withdrawn: nil, or an error that counts as cancelled.
-func (h *held) cut() error {
-	if h != nil && h.ctx.Err() != nil && errors.Is(context.Cause(h.ctx), errWithdrawn) {
-		return errWithdrawn
+// withdrawn tells whether the send was cut off since its region was withdrawn: nil, or an error that counts as cancelled.
+func (s *trackedSend) withdrawn() error {
+	if s != nil && s.ctx.Err() != nil && errors.Is(context.Cause(s.ctx), errResidencyWithdrawn) {
+		return errResidencyWithdrawn
 	}
 	return nil
 }
 
-// end ends the watch; wrote: data may have gone out.
-func (h *held) end(wrote bool) {
-	if h == nil {
+// finish ends the watch; wrote: data may have gone out.
+func (s *trackedSend) end(wrote bool) {
+	if s == nil {
 		return
 	}
-	h.cancel(context.Canceled)
-	h.of.remove(h)
+	s.cancel(context.Canceled)
+	s.tracker.remove(s)
 	if wrote {
-		h.of.note(h, time.Now(), false)
+		s.tracker.record(s, time.Now(), false)
 	}
 }
 
-// enclosed is what a proxy knows of enclosed requests: the sends under way, and the ledger of where data was.
-type enclosed struct {
-	mu     sync.Mutex
-	sends  map[*held]struct{}
-	ledger ledger
+// residencyTracker is what a proxy knows of enclosed requests: the sends under way, and the ledger of where data was.
+type residencyTracker struct {
+	mu      sync.Mutex
+	sends   map[*trackedSend]struct{}
+	history residencyLog
 }
 
-func newEnclosed() *enclosed {
-	return &enclosed{sends: map[*held]struct{}{}, ledger: newLedger()}
+func newResidencyTracker() *residencyTracker {
+	return &residencyTracker{sends: map[*trackedSend]struct{}{}, history: newResidencyLog()}
 }
 
-func (e *enclosed) add(h *held) {
-	e.mu.Lock()
-	e.sends[h] = struct{}{}
-	e.mu.Unlock()
+func (rt *residencyTracker) add(send *trackedSend) {
+	rt.mu.Lock()
+	rt.sends[send] = struct{}{}
+	rt.mu.Unlock()
 }
 
-func (e *enclosed) remove(h *held) {
-	e.mu.Lock()
-	delete(e.sends, h)
-	e.mu.Unlock()
+func (rt *residencyTracker) remove(send *trackedSend) {
+	rt.mu.Lock()
+	delete(rt.sends, send)
+	rt.mu.Unlock()
 }
 
-// withdraw cuts off the sends that a new configuration or list no longer allows.
-func (e *enclosed) withdraw(w *world) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for h := range e.sends {
-		terms := w.termsOf(&h.subject)
-		if slices.ContainsFunc(h.rests, func(p residency.Permit) bool { return p.Check(terms) != nil }) {
-			h.cancel(errWithdrawn)
+// cancelWithdrawn cuts off the sends that a new configuration or list no longer allows.
+func (rt *residencyTracker) cancelWithdrawn(snapshot *routingSnapshot) {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	for send := range rt.sends {
+		terms := snapshot.termsOf(&send.subject)
+		if slices.ContainsFunc(send.permits, func(p residency.Permit) bool { return p.Check(terms) != nil }) {
+			send.cancel(errResidencyWithdrawn)
 		}
 	}
 }
 
-// insideText tells what there is of a service inside the terms, for an answer that refuses.
-func (s *service) insideText(of subject, terms residency.Terms) string {
+// residencyText tells what there is of a service inside the terms, for an answer that refuses.
+func (s *service) residencyText(of subject, terms residency.Terms) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	inside, unknown := 0, 0
 	for _, b := range s.byID {
 		switch {
-		case b.plot.Allowed(terms):
+		case b.endpoint.Allowed(terms):
 			inside++
-		case b.plot.Region() == "":
+		case b.endpoint.Region() == "":
 			unknown++
 		}
 	}
--- a/internal/fleet/proxy/enclosed_choice_test.go
+++ b/internal/fleet/proxy/enclosed_choice_test.go
@@ -23,7 +23,7 @@
 // cases and more, with the hundred of a usual one 50,000.
 const casesEach = 530
 
-func testGround(zones map[string]string) *residency.Gate {
+func testGate(zones map[string]string) *residency.Gate {
 	dial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no network here") }
 	return residency.NewGate(transport.New(transport.Options{Dial: dial, Timeout: time.Second, Idle: time.Second, Most: 1, Settle: time.Millisecond, Resting: 1}), zones)
 }
@@ -38,7 +38,7 @@
 	cases := 0
 	zoneNames := []string{"e1", "e2", "m1", "m2", "w1", "w2", "nowhere", ""}
 	rapid.Check(t, func(r *rapid.T) {
-		ground := testGround(testZones)
+		ground := testGate(testZones)
 		s := newService("llm", ground, time.Second)
 		s.configure(runtimeOf(rapid.IntRange(1, 8).Draw(r, "capacity")))
 		draw := func() (all []distribution.Backend) {
@@ -51,7 +51,7 @@
 			return all
 		}
 		list := draw()
-		s.list(list)
+		s.updateEndpoints(list)
 		seed := rapid.Uint64().Draw(r, "seed")
 		next := func(n int) int { // a small generator of our own: rapid's draws would take most of the time
 			seed = seed*6364136223846793005 + 1442695040888963407
@@ -62,13 +62,13 @@
 			switch next(12) {
 			case 0:
 				list = draw()
-				s.list(list)
+				s.updateEndpoints(list)
 			case 1, 2, 3:
 				if len(list) > 0 {
 					id := list[next(len(list))].ID
 					s.ranker.AttemptStarted(id)
-					s.ended(id, []policy.Status{policy.OK, policy.Error, policy.Timeout, policy.Reset, policy.ConnectFailed, policy.Full}[next(6)])
-					s.told(id, fmt.Sprintf("%d,%d,8", next(9), next(3)))
+					s.attemptEnded(id, []policy.Status{policy.OK, policy.Error, policy.Timeout, policy.Reset, policy.ConnectFailed, policy.Full}[next(6)])
+					s.recordLoad(id, fmt.Sprintf("%d,%d,8", next(9), next(3)))
 				}
 			}
 			var names []string
@@ -111,34 +111,34 @@
 					r.Fatalf("%s in %q under %v", what, byID[p.ID()].Zone, terms)
 				}
 			}
-			at, ok := s.pick(seed, next(2) == 0, tried, terms)
+			at, ok := s.selectPlain(seed, next(2) == 0, tried, terms)
 			if ok != anywhere {
 				r.Fatalf("pick found one: %v, there is one: %v, under %v", ok, anywhere, terms)
 			}
 			if ok {
 				check("pick", at)
-				s.ended(at.ID(), policy.OK)
+				s.attemptEnded(at.ID(), policy.OK)
 			}
-			pl, ok := s.placeFor("k", next(2) == 0, prompt, time.Duration(next(300))*time.Millisecond, tried, next(2) == 0, terms)
+			pl, ok := s.selectPlacement("k", next(2) == 0, prompt, time.Duration(next(300))*time.Millisecond, tried, next(2) == 0, terms)
 			if ok != decodes {
 				r.Fatalf("placeFor found one: %v, there is one: %v, under %v", ok, decodes, terms)
 			}
 			if !ok {
 				continue
 			}
-			check("placeFor", pl.permit)
-			if pl.permit.ID() != pl.at.ID {
+			check("placeFor", pl.decodePermit)
+			if pl.decodePermit.ID() != pl.decode.ID {
 				r.Fatal("the permit is for another backend")
 			}
-			if pl.from != nil {
-				check("prefill", pl.first)
-				tried[pl.at.ID] = true
-				if again, ok := s.takerFor(pl.from, next(2) == 0, prompt, time.Millisecond, tried, terms); ok {
-					check("taker", again.permit)
-					s.ended(again.at.ID, policy.OK)
+			if pl.prefill != nil {
+				check("prefill", pl.prefillPermit)
+				tried[pl.decode.ID] = true
+				if again, ok := s.selectDecoder(pl.prefill, next(2) == 0, prompt, time.Millisecond, tried, terms); ok {
+					check("taker", again.decodePermit)
+					s.attemptEnded(again.decode.ID, policy.OK)
 				}
 			}
-			s.ended(pl.at.ID, policy.OK)
+			s.attemptEnded(pl.decode.ID, policy.OK)
 		}
 	})
 	if cases < 10_000 {
@@ -154,7 +154,7 @@
 		terms residency.Terms
 	}{{"free", residency.Terms{}}, {"one region", residency.Within("east")}, {"all regions", residency.Within("east", "mid", "west")}} {
 		b.Run(one.name, func(b *testing.B) {
-			s := newService("llm", testGround(testZones), time.Second)
+			s := newService("llm", testGate(testZones), time.Second)
 			s.configure(runtimeOf(64))
 			var list []distribution.Backend
 			for i := range 9 {
@@ -164,19 +164,19 @@
 				}
 				list = append(list, distribution.Backend{ID: fmt.Sprintf("b%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), Zone: []string{"e1", "m1", "w1"}[i/3], Phase: phase})
 			}
-			s.list(list)
+			s.updateEndpoints(list)
 			prompt := &scheduler.Prompt{InputTokens: 6300, MaxOutputTokens: 2, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 6000}, {PrefixHash: 2, Tokens: 300}}}
 			tried := map[string]bool{}
 			b.ReportAllocs()
 			for b.Loop() {
-				pl, ok := s.placeFor("k", false, prompt, 150*time.Millisecond, tried, true, one.terms)
+				pl, ok := s.selectPlacement("k", false, prompt, 150*time.Millisecond, tried, true, one.terms)
 				if !ok {
 					b.Fatal("no place")
 				}
 				s.mu.Lock()
-				s.engines.PrefillEnded(pl.at.ID, pl.tokens, 0)
-				s.engines.RequestEnded(pl.at.ID)
-				s.ranker.AttemptEnded(0, pl.at.ID, policy.OK)
+				s.engines.PrefillEnded(pl.decode.ID, pl.promptTokens, 0)
+				s.engines.RequestEnded(pl.decode.ID)
+				s.ranker.AttemptEnded(0, pl.decode.ID, policy.OK)
 				s.mu.Unlock()
 			}
 		})
--- a/internal/fleet/proxy/enclosed_rig_test.go
+++ b/internal/fleet/proxy/enclosed_rig_test.go
@@ -33,7 +33,7 @@
 // rig is one proxy before engines, fed by the test.
 type rig struct {
 	*qt.C
-	v       *Proxy
+	proxy   *Proxy
 	server  *httptest.Server
 	engines []*simulation.Engine
 	listed  []distribution.Backend
@@ -89,11 +89,11 @@
 func newRig(tb testing.TB, engines ...simulation.EngineSettings) *rig {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{C: qt.New(tb), v: New(ctx, testSettings(testZones), zap.NewNop())}
-	r.v.life.Open()
+	r := &rig{C: qt.New(tb), proxy: New(ctx, testSettings(testZones), zap.NewNop())}
+	r.proxy.lifecycle.Open()
 	r.begun = make(chan struct{}, 10_000)
 	r.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.v.ServeHTTP(&watched{ResponseWriter: w, begun: r.begun, at: r.at}, q)
+		r.proxy.ServeHTTP(&watched{ResponseWriter: w, begun: r.begun, at: r.at}, q)
 	}))
 	r.client = &simulation.Client{Edge: r.server.Listener.Addr().String()}
 	for _, s := range engines {
@@ -102,8 +102,8 @@
 	tb.Cleanup(func() {
 		cancel()
 		r.server.Close()
-		r.v.background.Wait()
-		r.v.pool.Close()
+		r.proxy.background.Wait()
+		r.proxy.pool.Close()
 	})
 	r.list(r.engines...)
 	return r
@@ -115,7 +115,7 @@
 	return distribution.Backend{ID: e.ID(), Service: s.Service, Address: e.Address(), Zone: s.Zone, Version: "v1", Capacity: s.Capacity, Phase: string(s.Phase)}
 }
 
-// list has the proxy told of these engines.
+// updateEndpoints has the proxy told of these engines.
 func (r *rig) list(engines ...*simulation.Engine) {
 	var all []distribution.Backend
 	for _, e := range engines {
@@ -129,7 +129,7 @@
 	whole, err := (&distribution.BackendList{Backends: all}).MarshalMsg(nil)
 	r.Assert(err, qt.IsNil)
 	r.count++
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.count}, Snapshot: whole}}})
+	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.count}, Snapshot: whole}}})
 }
 
 // document is the configuration of these tests; terms: the item of tenants, empty for none at all.
@@ -154,12 +154,12 @@
 // configure gives the proxy a configuration in which the tenant may be held in the regions given; none: there is no tenant.
 func (r *rig) configure(regions ...string) {
 	doc := r.document(regions...)
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(r.version)}, Snapshot: doc}}})
-	r.Assert(r.v.world.Load().version, qt.Equals, int64(r.version))
+	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(r.version)}, Snapshot: doc}}})
+	r.Assert(r.proxy.snapshot.Load().version, qt.Equals, int64(r.version))
 	r.history = append(r.history, simulation.Term{From: time.Now(), Regions: regions})
 }
 
-// ask makes a request for a route; prompts of the same family share a part.
+// addRequest makes a request for a route; prompts of the same family share a part.
 func ask(route string, family, own int, tokens [2]int) simulation.Request {
 	q := simulation.Request{Host: "h", Path: "/" + route + "/x", Body: []byte("data of " + route), Kind: simulation.ReadOnly, Deadline: testDeadline}
 	switch route {
@@ -205,7 +205,7 @@
 func (r *rig) clean() []simulation.Rest {
 	r.Helper()
 	r.server.Close() // waits for the requests, and what follows for the handles that they left to be freed
-	r.v.background.Wait()
+	r.proxy.background.Wait()
 	j := &simulation.Judge{Engines: r.engines, Clients: []*simulation.Client{r.client}}
 	leaked, lingering := j.Leaks(r.terms, testSlack)
 	for _, one := range leaked {
--- a/internal/fleet/proxy/enclosed_test.go
+++ b/internal/fleet/proxy/enclosed_test.go
@@ -28,18 +28,18 @@
 	r.Assert(answers(got)[200] >= len(got)*3/4, qt.IsTrue, qt.Commentf("%v", answers(got)))
 	r.clean()
 
-	e := r.v.enclosed
+	e := r.proxy.residency
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.Assert(e.sends, qt.HasLen, 0)
 	var prefills, decodes, plains int64
-	for key, rest := range e.ledger.entries {
-		r.Check(pairName(key), qt.Equals, `tenant "held"`)
+	for key, rest := range e.history.entries {
+		r.Check(pairSubject(key), qt.Equals, `tenant "held"`)
 		r.Check(key.Region == "east" || key.Region == "mid", qt.IsTrue, qt.Commentf("%v", key))
 		r.Check(rest.first.IsZero() || rest.last.Before(rest.first), qt.IsFalse)
-		prefills += rest.counts[usePrefill]
-		decodes += rest.counts[useDecode]
-		plains += rest.counts[usePlain]
+		prefills += rest.counts[purposePrefill]
+		decodes += rest.counts[purposeDecode]
+		plains += rest.counts[purposePlain]
 	}
 	r.Check(decodes > 0 && plains > 0, qt.IsTrue, qt.Commentf("%d prefills, %d decodes, %d plain", prefills, decodes, plains))
 }
@@ -361,9 +361,9 @@
 	fed, taken := make(chan error, 1), make(chan struct{}, 8)
 	go func() {
 		fed <- distribution.Watch(ctx, distribution.NodeAgentAddr(set.Ports), &distribution.Watcher{Name: "edge-1", MaxWait: time.Second, ReadTimeout: testPatience,
-			Members: func() []distribution.Member { return nil }, Versions: func() map[string]distribution.Version { return maps.Clone(v.have) },
+			Members: func() []distribution.Member { return nil }, Versions: func() map[string]distribution.Version { return maps.Clone(v.versions) },
 			Apply: func(n *distribution.Response) []string {
-				v.take(n)
+				v.apply(n)
 				select {
 				case taken <- struct{}{}:
 				case <-ctx.Done(): // nobody listens any more; pulls are answered at once until the connection is closed
@@ -375,7 +375,7 @@
 		for {
 			select {
 			case <-taken:
-				if w := v.world.Load(); w != nil && w.tenants["held"].Equal(terms) {
+				if w := v.snapshot.Load(); w != nil && w.termsByTenant["held"].Equal(terms) {
 					return
 				}
 			case err := <-fed:
@@ -398,18 +398,18 @@
 func TestTermsOf(t *testing.T) {
 	c := qt.New(t)
 	in := residency.Within
-	old := &world{routes: map[string]*routeTerms{"r": {"t", in("east", "mid")}}, tenants: map[string]residency.Terms{"t": in("east", "mid")}}
-	bound := &subject{route: "r", tenant: "t", came: in("east", "mid")}
-	narrow := &subject{route: "n", tenant: "t", came: in("east")}
-	alone := &subject{route: "a", came: in("east")}
+	old := &routingSnapshot{residencyByRoute: map[string]*routeResidency{"r": {"t", in("east", "mid")}}, termsByTenant: map[string]residency.Terms{"t": in("east", "mid")}}
+	bound := &subject{route: "r", tenant: "t", arrivalTerms: in("east", "mid")}
+	narrow := &subject{route: "n", tenant: "t", arrivalTerms: in("east")}
+	alone := &subject{route: "a", arrivalTerms: in("east")}
 	free := &subject{route: "r"}
 	c.Check(old.termsOf(bound).Equal(in("east", "mid")), qt.IsTrue)
 	c.Check(old.termsOf(narrow).Equal(in("east")), qt.IsTrue) // its route is gone: the tenant's, as far as it came under them
 	c.Check(old.termsOf(alone).Equal(in("east")), qt.IsTrue)
 	c.Check(old.termsOf(free).Equal(in("east", "mid")), qt.IsTrue) // the route got terms
-	c.Check((&world{}).termsOf(free).Restricted(), qt.IsFalse)
-	c.Check((&world{}).termsOf(bound).Equal(in("east", "mid")), qt.IsTrue) // nobody tells any more: those it came under
-	moved := &world{routes: map[string]*routeTerms{"r": {"u", in("west")}}, tenants: map[string]residency.Terms{"t": in("mid"), "u": in("west")}}
+	c.Check((&routingSnapshot{}).termsOf(free).Restricted(), qt.IsFalse)
+	c.Check((&routingSnapshot{}).termsOf(bound).Equal(in("east", "mid")), qt.IsTrue) // nobody tells any more: those it came under
+	moved := &routingSnapshot{residencyByRoute: map[string]*routeResidency{"r": {"u", in("west")}}, termsByTenant: map[string]residency.Terms{"t": in("mid"), "u": in("west")}}
 	c.Check(moved.termsOf(bound).Equal(in("mid")), qt.IsTrue) // the route is another tenant's, the data is not
 	c.Check(moved.termsOf(narrow).Equal(in()), qt.IsTrue)
 }
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -16,8 +16,8 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// message is a client's request as every backend gets it.
-type message struct {
+// outboundRequest is a client's request as every backend gets it.
+type outboundRequest struct {
 	id     string
 	method string
 	target string // as it came
@@ -27,38 +27,38 @@
 }
 
 // Hop is the header fields that concern one connection only (RFC 9110, 7.6.1).
-var hop = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization", "Content-Length"}
+var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization", "Content-Length"}
 
-// dropHop takes out what concerns one connection only.
-func dropHop(h http.Header) {
+// dropHopByHop takes out what concerns one connection only.
+func dropHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 }
 
-// extra is what one send adds to a message.
-type extra struct {
+// attemptOptions is what one send adds to a message.
+type attemptOptions struct {
 	target   string    // id of the backend, the permit's
-	until    time.Time // when the work is of no use any more
+	deadline time.Time // when the work is of no use any more
 	stage    string
-	handle   *handle // that is to be taken; nil: none
+	handle   *kvHandle // that is to be taken; nil: none
 	lastID   string
 	priority int // -1: none
 }
 
-// head words the request for a backend.
-func (m *message) head(x *extra) []byte {
-	b := make([]byte, 0, 768+len(m.body))
-	b = append(b, m.method...)
+// copyHeader words the request for a backend.
+func (o *outboundRequest) encode(opts *attemptOptions) []byte {
+	b := make([]byte, 0, 768+len(o.body))
+	b = append(b, o.method...)
 	b = append(b, ' ')
-	b = append(b, m.target...)
+	b = append(b, o.target...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, m.host...)
+	b = append(b, o.host...)
 	b = append(b, "\r\n"...)
 	line := func(key, value string) {
 		b = append(b, key...)
@@ -66,12 +66,12 @@
 		b = append(b, value...)
 		b = append(b, "\r\n"...)
 	}
-	for key, values := range m.header {
+	for key, values := range o.header {
 		switch key {
 		case externalapi.HeaderDeadlineMs, externalapi.HeaderTargetBackend, externalapi.HeaderStage, externalapi.HeaderKVFrom, externalapi.HeaderPriority, "Host":
 			continue
 		case externalapi.HeaderLastEventID:
-			if x.lastID != "" {
+			if opts.lastID != "" {
 				continue
 			}
 		}
@@ -79,44 +79,44 @@
 			line(key, v)
 		}
 	}
-	line(externalapi.HeaderDeadlineMs, strconv.FormatInt(max(time.Until(x.until).Milliseconds(), 1), 10))
-	line(externalapi.HeaderTargetBackend, x.target)
-	if x.stage != "" {
-		line(externalapi.HeaderStage, x.stage)
+	line(externalapi.HeaderDeadlineMs, strconv.FormatInt(max(time.Until(opts.deadline).Milliseconds(), 1), 10))
+	line(externalapi.HeaderTargetBackend, opts.target)
+	if opts.stage != "" {
+		line(externalapi.HeaderStage, opts.stage)
 	}
-	if x.handle != nil {
-		line(externalapi.HeaderKVFrom, x.handle.at.Address()+"/"+x.handle.ref)
+	if opts.handle != nil {
+		line(externalapi.HeaderKVFrom, opts.handle.permit.Address()+"/"+opts.handle.ref)
 	}
-	if x.lastID != "" {
-		line(externalapi.HeaderLastEventID, x.lastID)
+	if opts.lastID != "" {
+		line(externalapi.HeaderLastEventID, opts.lastID)
 	}
-	if x.priority >= 0 {
-		line(externalapi.HeaderPriority, strconv.Itoa(min(x.priority, 9)))
+	if opts.priority >= 0 {
+		line(externalapi.HeaderPriority, strconv.Itoa(min(opts.priority, 9)))
 	}
-	if len(m.body) > 0 || m.method != http.MethodGet && m.method != http.MethodHead {
-		line("Content-Length", strconv.Itoa(len(m.body)))
+	if len(o.body) > 0 || o.method != http.MethodGet && o.method != http.MethodHead {
+		line("Content-Length", strconv.Itoa(len(o.body)))
 	}
 	b = append(b, "\r\n"...)
-	return append(b, m.body...)
+	return append(b, o.body...)
 }
 
 // exchange is one send to one backend, and its answer.
 type exchange struct {
-	ctx     context.Context // the send's: when it ends, whoever reads is woken
-	lent    *transport.Lent
-	request *sending
-	resp    *http.Response
-	stop    func() bool
-	sent    time.Time
-	at      residency.Permit
-	held    *held // what the send is known by where its request is enclosed; nil: it is not
+	ctx       context.Context // the send's: when it ends, whoever reads is woken
+	conn      *transport.Lent
+	write     *requestWrite
+	resp      *http.Response
+	stopWatch func() bool
+	sentAt    time.Time
+	permit    residency.Permit
+	tracked   *trackedSend // what the send is known by where its request is enclosed; nil: it is not
 }
 
 var (
-	errNotOurs  = errors.New("the answer belongs to no request of ours")
-	errSilent   = errors.New("no answer in time")
-	errConnect  = errors.New("no connection")
-	errNotWhole = errors.New("the answer is not whole")
+	errForeignAnswer    = errors.New("the answer belongs to no request of ours")
+	errAnswerTimeout    = errors.New("no answer in time")
+	errConnect          = errors.New("no connection")
+	errIncompleteAnswer = errors.New("the answer is not whole")
 )
 
 const (
@@ -128,29 +128,29 @@
 	maxAnswerHead = 64 << 10
 )
 
-// readUntil bounds the reads that follow. A send that has ended stays so: its end may have come between two reads, and a new
+// setReadDeadline bounds the reads that follow. A send that has ended stays so: its end may have come between two reads, and a new
 // bound would undo what is to wake the next.
-func (e *exchange) readUntil(by time.Time) {
-	_ = e.lent.SetReadDeadline(by)
+func (e *exchange) setReadDeadline(by time.Time) {
+	_ = e.conn.SetReadDeadline(by)
 	if e.ctx.Err() != nil {
-		_ = e.lent.SetReadDeadline(over)
+		_ = e.conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// begin sends the message and reads the head of its answer. wrote tells whether a byte may have gone out: else
+// startExchange sends the message and reads the head of its answer. wrote tells whether a byte may have gone out: else
 // the backend has not run it; a backend may act on a request before it has all of it. When ctx ends the connection is closed under whoever reads from it. The terms of the request
 // are checked here again, for the backend and for where a handle lies, and watched until the exchange ends.
-func (t *try) begin(ctx context.Context, at residency.Permit, m *message, x *extra, connectBy, headBy time.Time) (e *exchange, wrote bool, err error) {
-	x.target = at.ID()
-	ctx, held, err := t.hold(ctx, at, x)
+func (cr *clientRequest) startExchange(ctx context.Context, permit residency.Permit, out *outboundRequest, opts *attemptOptions, connectDeadline, headerDeadline time.Time) (e *exchange, wrote bool, err error) {
+	opts.target = permit.ID()
+	ctx, tracked, err := cr.track(ctx, permit, opts)
 	if err != nil {
 		return nil, false, err
 	}
-	dial, cancel := context.WithDeadline(ctx, connectBy)
-	lent, err := t.lend(dial, at, m)
+	dial, cancel := context.WithDeadline(ctx, connectDeadline)
+	conn, err := cr.lendConn(dial, permit, out)
 	cancel()
 	if err != nil {
-		held.end(false)
+		tracked.end(false)
 		if ctx.Err() != nil {
 			return nil, false, ctx.Err()
 		}
@@ -159,160 +159,160 @@
 		}
 		return nil, false, errors.Wrap(errors.Join(errConnect, err), "connect")
 	}
-	e = &exchange{ctx: ctx, lent: lent, sent: time.Now(), at: at, held: held}
-	e.stop = context.AfterFunc(ctx, func() { _ = lent.Conn.SetDeadline(over) })
-	if wrote, err = e.roundTrip(m, x, headBy); err != nil {
-		e.stop()
-		e.drop(true)
-		held.end(wrote)
+	e = &exchange{ctx: ctx, conn: conn, sentAt: time.Now(), permit: permit, tracked: tracked}
+	e.stopWatch = context.AfterFunc(ctx, func() { _ = conn.Conn.SetDeadline(pastDeadline) })
+	if wrote, err = e.roundTrip(out, opts, headerDeadline); err != nil {
+		e.stopWatch()
+		e.abort(true)
+		tracked.end(wrote)
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
 		return nil, wrote, err
 	}
-	held.answered(!notRun(e.resp))
+	tracked.answered(!saysNotRun(e.resp))
 	return e, true, nil
 }
 
 // roundTrip sends the request and reads the head of its answer; wrote: a byte of the request may have gone out.
-func (e *exchange) roundTrip(m *message, x *extra, headBy time.Time) (wrote bool, err error) {
-	if err := e.lent.SetDeadline(headBy); err != nil {
+func (e *exchange) roundTrip(out *outboundRequest, opts *attemptOptions, headerDeadline time.Time) (wrote bool, err error) {
+	if err := e.conn.SetDeadline(headerDeadline); err != nil {
 		return false, err
 	}
 	if e.ctx.Err() != nil {
 		return false, e.ctx.Err()
 	}
-	e.request = send(e.ctx, e.lent, m.head(x))
-	if wrote, err := e.request.failed(); err != nil {
+	e.write = sendRequest(e.ctx, e.conn, out.encode(opts))
+	if wrote, err := e.write.failed(); err != nil {
 		return wrote, errors.Wrap(err, "send")
 	}
-	if err := e.receive(m); err != nil {
+	if err := e.receiveHeader(out); err != nil {
 		if isTimeout(err) && e.ctx.Err() == nil {
-			err = errSilent
+			err = errAnswerTimeout
 		}
-		_ = e.lent.SetDeadline(over)
-		return e.request.wait() > 0, errors.Wrap(err, "answer")
+		_ = e.conn.SetDeadline(pastDeadline)
+		return e.write.wait() > 0, errors.Wrap(err, "answer")
 	}
 	return true, nil
 }
 
-// receive reads the head of the answer to the message, past 1xx answers and surplus answers to earlier requests of the
-// connection. What can't be told to be the answer to this very message is errNotOurs.
-func (e *exchange) receive(m *message) error {
-	only := !e.lent.Reused // nothing but this message was ever sent on the connection
+// receiveHeader reads the head of the answer to the message, past 1xx answers and surplus answers to earlier requests of the
+// connection. What can't be told to be the answer to this very message is errForeignAnswer.
+func (e *exchange) receiveHeader(out *outboundRequest) error {
+	fresh := !e.conn.Reused // nothing but this message was ever sent on the connection
 	interim := 0
-	e.lent.Bound(maxAnswerHead)
+	e.conn.Bound(maxAnswerHead)
 	for surplus := 0; surplus <= maxSurplus; {
-		resp, err := http.ReadResponse(e.lent.R, &http.Request{Method: m.method})
+		resp, err := http.ReadResponse(e.conn.R, &http.Request{Method: out.method})
 		if err != nil {
 			return err
 		}
 		if resp.StatusCode < http.StatusOK {
 			if interim++; interim > maxInterim || resp.StatusCode == http.StatusSwitchingProtocols {
-				return errNotOurs
+				return errForeignAnswer
 			}
 			continue
 		}
-		e.lent.Bound(math.MaxInt)
-		switch ownerOf(resp, m.id) {
-		case ownerUs:
+		e.conn.Bound(math.MaxInt)
+		switch ownerOf(resp, out.id) {
+		case ownerThisRequest:
 			e.resp = resp
 			return nil
-		case ownerUntold:
+		case ownerUnnamed:
 			// A failure that names no request is ours only where there is no other that it could be for.
-			if only && resp.StatusCode >= http.StatusMultipleChoices {
+			if fresh && resp.StatusCode >= http.StatusMultipleChoices {
 				e.resp = resp
 				return nil
 			}
-			return errNotOurs
-		case ownerUnclear:
-			return errNotOurs
+			return errForeignAnswer
+		case ownerAmbiguous:
+			return errForeignAnswer
 		}
 		// Of an answer to a HEAD, or to who knows what on a connection that carries one, the end can't be found.
-		if resp.Close || m.method == http.MethodHead {
-			return errNotOurs
+		if resp.Close || out.method == http.MethodHead {
+			return errForeignAnswer
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSurplusBody+1))
 		if err != nil || n > maxSurplusBody {
-			return errNotOurs
+			return errForeignAnswer
 		}
 		surplus++
-		only = false
-		e.lent.Bound(maxAnswerHead)
+		fresh = false
+		e.conn.Bound(maxAnswerHead)
 	}
-	return errNotOurs
+	return errForeignAnswer
 }
 
 // owner is whose answer one is, by the attempt ids in its head.
 type owner int
 
 const (
-	ownerUs      owner = iota
-	ownerOther         // another request's
-	ownerUntold        // it names none
-	ownerUnclear       // it names several
+	ownerThisRequest owner = iota
+	ownerOther             // another request's
+	ownerUnnamed           // it names none
+	ownerAmbiguous         // it names several
 )
 
 // ownerOf tells whose answer one is.
 func ownerOf(resp *http.Response, id string) owner {
 	ids := resp.Header[externalapi.HeaderAttemptID]
 	if len(ids) == 0 {
-		return ownerUntold
+		return ownerUnnamed
 	}
 	for _, one := range ids[1:] {
 		if one != ids[0] {
-			return ownerUnclear
+			return ownerAmbiguous
 		}
 	}
 	if ids[0] != id {
 		return ownerOther
 	}
-	return ownerUs
+	return ownerThisRequest
 }
 
-// end gives the connection back if the answer was read whole and all of the request has gone out, else closes it.
-func (e *exchange) end(whole bool) {
-	if e.lent == nil {
+// finish gives the connection back if the answer was read whole and all of the request has gone out, else closes it.
+func (e *exchange) finish(complete bool) {
+	if e.conn == nil {
 		return
 	}
-	stopped := e.stop()
-	if whole && stopped && e.reusable() {
-		e.lent.Return()
-		e.lent = nil
+	stopped := e.stopWatch()
+	if complete && stopped && e.reusable() {
+		e.conn.Return()
+		e.conn = nil
 	} else {
-		e.drop(false)
+		e.abort(false)
 	}
-	e.held.end(true)
+	e.tracked.end(true)
 }
 
 // reusable tells whether another request may follow on the connection. Where a part of this one is still to go out, the
 // backend would take the next for that part. A surplus answer to a HEAD has no end that could be found.
 func (e *exchange) reusable() bool {
-	return !e.resp.Close && e.resp.Request.Method != http.MethodHead && e.request.whole()
+	return !e.resp.Close && e.resp.Request.Method != http.MethodHead && e.write.complete()
 }
 
-// drop closes the connection; when it returns no byte of the request goes out any more. broke tells that no answer came.
-func (e *exchange) drop(broke bool) {
-	e.lent.Drop(broke)
-	e.lent = nil
-	if e.request != nil {
-		e.request.wait()
+// abort closes the connection; when it returns no byte of the request goes out any more. broke tells that no answer came.
+func (e *exchange) abort(noAnswer bool) {
+	e.conn.Drop(noAnswer)
+	e.conn = nil
+	if e.write != nil {
+		e.write.wait()
 	}
 }
 
-// body reads an answer whole, bounded; the connection is given back.
-func (e *exchange) body(most int64) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(e.resp.Body, most+1))
-	if err == nil && int64(len(b)) > most {
-		err = errors.Errorf("answer over %d bytes", most)
+// readAll reads an answer whole, bounded; the connection is given back.
+func (e *exchange) readAll(limit int64) ([]byte, error) {
+	b, err := io.ReadAll(io.LimitReader(e.resp.Body, limit+1))
+	if err == nil && int64(len(b)) > limit {
+		err = errors.Errorf("answer over %d bytes", limit)
 	}
-	cut := e.held.cut()
-	e.end(err == nil)
-	if err != nil && cut != nil {
-		return nil, cut
+	withdrawn := e.tracked.withdrawn()
+	e.finish(err == nil)
+	if err != nil && withdrawn != nil {
+		return nil, withdrawn
 	}
 	if err != nil {
-		return nil, errors.Wrap(errors.Join(errNotWhole, err), "answer")
+		return nil, errors.Wrap(errors.Join(errIncompleteAnswer, err), "answer")
 	}
 	return b, nil
 }
--- a/internal/fleet/proxy/exchange_client_test.go
+++ b/internal/fleet/proxy/exchange_client_test.go
@@ -31,11 +31,11 @@
 	r := &clientRig{C: qt.New(t), exchangeRig: newExchangeRig(kind, breakage{}), arrived: make(chan string, 100)}
 	r.struck = &scriptedConn{} // nothing is in trouble but what a script says
 	r.came, r.deadline = time.Now(), exchangeDeadline
-	r.server = httptest.NewServer(r.v)
+	r.server = httptest.NewServer(r.proxy)
 	t.Cleanup(func() {
 		r.server.Close()
-		r.v.background.Wait()
-		r.v.pool.Close()
+		r.proxy.background.Wait()
+		r.proxy.pool.Close()
 		r.Check(r.found, qt.HasLen, 0)
 	})
 	return r
@@ -58,7 +58,7 @@
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
 
-// send writes a request with a body.
+// sendRequest writes a request with a body.
 func (r *clientRig) send(c net.Conn, path, id, body string) {
 	_, err := io.WriteString(c, requestText(path, id, body))
 	r.Assert(err, qt.IsNil)
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// answer reads an answer whole.
+// writeAnswer reads an answer whole.
 func (r *clientRig) answer(in *bufio.Reader) (*http.Response, string) {
 	r.Helper()
 	resp, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
@@ -161,7 +161,7 @@
 			r.Assert(err, qt.IsNil)
 			resp, _ := r.answer(in)
 			took := time.Since(began)
-			r.Check(took < max(deadline, unreadWithin)+goneWithin, qt.IsTrue, qt.Commentf("after %v", took))
+			r.Check(took < max(deadline, unreadBodyTimeout)+goneWithin, qt.IsTrue, qt.Commentf("after %v", took))
 			r.Check(resp.StatusCode, qt.Equals, status)
 			r.Check(resp.Header.Get(externalapi.HeaderAttemptID), qt.Equals, "one")
 			_, err = in.ReadByte()
@@ -186,7 +186,7 @@
 	_, err := io.WriteString(c, strings.Replace(requestText("/free/x", "one", "data"), "Ms: 2000", "Ms: 1000", 1))
 	r.Assert(err, qt.IsNil)
 	await(r, "the request", r.arrived)
-	r.Check(await(r, "the end of the backend's connection", r.conn().gone) < time.Second+unreadWithin+goneWithin, qt.IsTrue)
+	r.Check(await(r, "the end of the backend's connection", r.conn().gone) < time.Second+unreadBodyTimeout+goneWithin, qt.IsTrue)
 }
 
 // TestRequestsInARow sends requests without waiting for answers, among them some that are refused with their bodies unread, which
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -82,7 +82,7 @@
 
 func (k *requestKind) stream() bool { return k.route != "freeread" && k.route != "post" }
 
-// repeatable tells whether the request may run more than once, or the struck call is one that does not run it.
+// retryable tells whether the request may run more than once, or the struck call is one that does not run it.
 func (k *requestKind) repeatable() bool { return k.route == "freeread" || k.route == "free" }
 
 // scriptedBackend is a backend whose connections are scripted.
@@ -102,7 +102,7 @@
 
 // exchangeRig is one proxy before scripted backends, for one victim's request in trouble and those before and after it.
 type exchangeRig struct {
-	v        *Proxy
+	proxy    *Proxy
 	kind     requestKind
 	breakage breakage
 	backends []*scriptedBackend
@@ -132,10 +132,10 @@
 func newExchangeRig(kind requestKind, breakage breakage) *exchangeRig {
 	r := &exchangeRig{kind: kind, breakage: breakage, handles: map[string]string{}, spent: map[string]bool{}}
 	zones := map[string]string{"e1": "east"}
-	r.v = New(context.Background(), testSettings(zones), zap.NewNop())
-	r.v.pool.Close()
-	pool := transport.New(transport.Options{Dial: r.dial, Timeout: connectWithin, Idle: 10 * time.Second, Most: 100, Settle: time.Millisecond, Resting: 4})
-	r.v.pool, r.v.ground = pool, residency.NewGate(pool, zones)
+	r.proxy = New(context.Background(), testSettings(zones), zap.NewNop())
+	r.proxy.pool.Close()
+	pool := transport.New(transport.Options{Dial: r.dial, Timeout: connectTimeout, Idle: 10 * time.Second, Most: 100, Settle: time.Millisecond, Resting: 4})
+	r.proxy.pool, r.proxy.gate = pool, residency.NewGate(pool, zones)
 	for i, b := range []scriptedBackend{
 		{id: "obs-a", service: "obs"}, {id: "obs-b", service: "obs"},
 		{id: "prefill-a", service: "llm", phase: externalapi.PhasePrefill}, {id: "prefill-b", service: "llm", phase: externalapi.PhasePrefill},
@@ -145,7 +145,7 @@
 		r.backends = append(r.backends, &b)
 	}
 	doc := exchangeDocument()
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: doc}}})
+	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: doc}}})
 	r.list(true)
 	return r
 }
@@ -171,7 +171,7 @@
 	return "decode-a"
 }
 
-// list has the proxy know the backends that the request's kind needs; alone: of the role in trouble only the one.
+// updateEndpoints has the proxy know the backends that the request's kind needs; alone: of the role in trouble only the one.
 func (r *exchangeRig) list(alone bool) {
 	struck := r.struckBackend()
 	var list distribution.BackendList
@@ -184,7 +184,7 @@
 	}
 	whole, _ := list.MarshalMsg(nil)
 	r.version++
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.version}, Snapshot: whole}}})
+	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.version}, Snapshot: whole}}})
 }
 
 func (r *exchangeRig) dial(_ context.Context, _, address string) (net.Conn, error) {
@@ -204,14 +204,14 @@
 	r.found = append(r.found, fmt.Sprintf(format, args...))
 }
 
-// note is find for who has not locked the rig.
+// scanEvents is find for who has not locked the rig.
 func (r *exchangeRig) note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.find(format, args...)
 }
 
-// request is what a backend says to a request on a connection.
+// write is what a backend says to a request on a connection.
 func (b *scriptedBackend) request(c *scriptedConn, raw []byte) reply {
 	r := b.rig
 	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
@@ -279,7 +279,7 @@
 	return ref
 }
 
-// judge notes a request that has come, and what no request may do. The rig is locked.
+// attemptStatus notes a request that has come, and what no request may do. The rig is locked.
 func (b *scriptedBackend) judge(req *http.Request, says reply) {
 	r := b.rig
 	id := req.Header.Get(externalapi.HeaderAttemptID)
@@ -363,7 +363,7 @@
 	return req
 }
 
-// ask makes one request of the rig's kind.
+// addRequest makes one request of the rig's kind.
 func (r *exchangeRig) ask(id string) outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -381,7 +381,7 @@
 	if w.answers == 0 && broken {
 		out.status = 0
 	}
-	r.v.background.Wait()
+	r.proxy.background.Wait()
 	return out
 }
 
@@ -404,11 +404,11 @@
 			panic(e)
 		}
 	}()
-	r.v.ServeHTTP(w, req)
+	r.proxy.ServeHTTP(w, req)
 	return false
 }
 
-// ran is how many times a request has come to backends without proof that it did not run; prefills don't count.
+// mayHaveRun is how many times a request has come to backends without proof that it did not run; prefills don't count.
 func (r *exchangeRig) ran(id string) int {
 	n := 0
 	for _, at := range r.reaches {
@@ -419,7 +419,7 @@
 	return n
 }
 
-// whole is the body of a whole answer to a request.
+// complete is the body of a whole answer to a request.
 func (r *exchangeRig) whole(id string) string {
 	if !r.kind.stream() {
 		return "answer to " + id
@@ -460,7 +460,7 @@
 		if o.body != r.whole(id) && r.method(id) != http.MethodHead {
 			bad("not its answer")
 		}
-	case promises(o.status):
+	case impliesNotRun(o.status):
 		if r.ran(id) > 0 {
 			bad("promises that it has not run")
 		}
@@ -478,7 +478,7 @@
 // play plays one case: a request before, where the connection is to be one that has been used, the victim's, and others after it
 // on what it left behind. It gives what the victim got, and what was found.
 func (r *exchangeRig) play(pooled bool) (victim outcome, found []string) {
-	defer r.v.pool.Close()
+	defer r.proxy.pool.Close()
 	if pooled {
 		r.judgeServed("before")
 		settle()
@@ -553,7 +553,7 @@
 	return s
 }
 
-// leave has the victim's client leave once what its backend says now has been read.
+// drainAndClose has the victim's client leave once what its backend says now has been read.
 func (r *exchangeRig) leave(c *scriptedConn) {
 	go func() {
 		time.Sleep(time.Millisecond) // on the clock of the test: all that can be read until then is read
--- a/internal/fleet/proxy/exchange_test.go
+++ b/internal/fleet/proxy/exchange_test.go
@@ -23,8 +23,8 @@
 	{name: "readonly", route: "freeread"},
 	{name: "HEAD", route: "freeread", method: http.MethodHead},
 	{name: "mutating", route: "post"},
-	{name: "mutating, long body", route: "post", body: strings.Repeat("d", 3*maxAtOnce)},
-	{name: "readonly, long body", route: "freeread", body: strings.Repeat("d", 3*maxAtOnce)},
+	{name: "mutating, long body", route: "post", body: strings.Repeat("d", 3*maxSyncWrite)},
+	{name: "readonly, long body", route: "freeread", body: strings.Repeat("d", 3*maxSyncWrite)},
 	{name: "stream", route: "freeonce"},
 	{name: "resumable stream", route: "free"},
 	{name: "stream, its prefill", route: "freeonce", staged: true, stage: externalapi.PhasePrefill},
@@ -97,7 +97,7 @@
 	const edge, step, long = 4, 23, 1024
 	for k := range n + 1 {
 		short := k <= long && (*exchangeAll || k%step == 0)
-		if short || k <= edge || k >= n-edge || k%(long-3) == 0 || k >= maxAtOnce-1 && k <= maxAtOnce+1 {
+		if short || k <= edge || k >= n-edge || k%(long-3) == 0 || k >= maxSyncWrite-1 && k <= maxSyncWrite+1 {
 			all = append(all, k)
 		}
 	}
@@ -150,7 +150,7 @@
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		head := strings.Index(string(well.request), "\r\n\r\n") + 4
 		for _, k := range requestBytes(len(well.request) - 1) {
-			if k < head || len(well.request) <= maxAtOnce {
+			if k < head || len(well.request) <= maxSyncWrite {
 				continue // it has not seen whose request it is; what is short is written before the answer is read
 			}
 			for end, how := range map[error]string{nil: "it reads no more", errReset: "it resets", io.EOF: "it closes"} {
@@ -334,7 +334,7 @@
 		c := qt.New(t)
 		said := 0
 		r := newExchangeRig(requestKind{name: "readonly", route: "freeread"}, breakage{})
-		defer r.v.pool.Close()
+		defer r.proxy.pool.Close()
 		r.struck = &scriptedConn{} // nothing else is in trouble
 		r.script = func(a *wellAnswer) reply {
 			said++
@@ -379,7 +379,7 @@
 			c.Check(broken, qt.IsTrue)
 			c.Check(r.reaches, qt.HasLen, tc.reached)
 			c.Check(r.found, qt.HasLen, 0)
-			r.v.pool.Close()
+			r.proxy.pool.Close()
 		}
 	})
 }
@@ -398,7 +398,7 @@
 			o := r.ask(victimID)
 			c.Check(o.status, qt.Equals, http.StatusOK)
 			c.Check(o.header.Get("Content-Length"), qt.Equals, length)
-			r.v.pool.Close()
+			r.proxy.pool.Close()
 		}
 	})
 }
--- a/internal/fleet/proxy/generate.go
+++ b/internal/fleet/proxy/generate.go
@@ -14,198 +14,198 @@
 	"molepaddle/policy"
 )
 
-// handle is where a prompt's memory lies.
-type handle struct {
+// kvHandle is where a prompt's memory lies.
+type kvHandle struct {
 	ref    string
 	from   *backend
-	at     residency.Permit // for from
+	permit residency.Permit // for from
 	tokens int
 }
 
-// maxHandleAnswer bounds the answer that names a handle.
-const maxHandleAnswer = 64 << 10
+// maxHandleAnswerBytes bounds the answer that names a handle.
+const maxHandleAnswerBytes = 64 << 10
 
 // prefill has a backend read the prompt and keep its memory for the taker; reached: the call may have come there.
-func (t *try) prefill(ctx context.Context, b *backend, at residency.Permit, p *scheduler.Prompt, home bool, expectedMs float64, by time.Time) (h *handle, reached bool, err error) {
-	t.svc.mu.Lock()
-	tokens := t.svc.engines.PrefillStarted(b.ID, p, home)
-	t.svc.ranker.AttemptStarted(b.ID)
-	t.svc.mu.Unlock()
+func (cr *clientRequest) prefill(ctx context.Context, b *backend, permit residency.Permit, prompt *scheduler.Prompt, home bool, expectedMs float64, deadline time.Time) (handle *kvHandle, reached bool, err error) {
+	cr.svc.mu.Lock()
+	tokens := cr.svc.engines.PrefillStarted(b.ID, prompt, home)
+	cr.svc.ranker.AttemptStarted(b.ID)
+	cr.svc.mu.Unlock()
 	took := 0.0
 	status := policy.OK
-	bound := t.slowBound(expectedMs)
-	attempt := t.svc.attempt(b.ID, bound)
+	bound := cr.slowThresholdMs(expectedMs)
+	record := cr.svc.beginAttempt(b.ID, bound)
 	defer func() {
-		attempt.end(status, speedOf(took, expectedMs, bound), false)
-		t.svc.mu.Lock()
-		t.svc.engines.PrefillEnded(b.ID, tokens, took)
-		t.svc.engines.RequestEnded(b.ID)
+		record.finish(status, speedOf(took, expectedMs, bound), false)
+		cr.svc.mu.Lock()
+		cr.svc.engines.PrefillEnded(b.ID, tokens, took)
+		cr.svc.engines.RequestEnded(b.ID)
 		if took == 0 {
-			t.svc.engines.InvalidateCache(b.ID, p)
+			cr.svc.engines.InvalidateCache(b.ID, prompt)
 		}
-		t.svc.ranker.AttemptEnded(t.svc.now(), b.ID, status)
-		t.svc.mu.Unlock()
+		cr.svc.ranker.AttemptEnded(cr.svc.now(), b.ID, status)
+		cr.svc.mu.Unlock()
 	}()
-	x := extra{until: t.deadline, stage: externalapi.PhasePrefill, priority: t.priority(false)}
-	e, wrote, err := t.begin(ctx, at, &t.m, &x, t.connectBy(), by)
+	opts := attemptOptions{deadline: cr.deadline, stage: externalapi.PhasePrefill, priority: cr.priority(false)}
+	e, wrote, err := cr.startExchange(ctx, permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)
 	if err != nil {
-		status = judge(wrote, err)
+		status = attemptStatus(wrote, err)
 		return nil, wrote, err
 	}
 	resp := e.resp
-	t.svc.told(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
-	body, err := e.body(maxHandleAnswer)
-	var ans struct {
+	cr.svc.recordLoad(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
+	body, err := e.readAll(maxHandleAnswerBytes)
+	var answer struct {
 		Ref    string `json:"kv_ref"`
 		Tokens int    `json:"ntok"`
 	}
 	switch {
 	case err != nil:
-		status = judge(true, err)
+		status = attemptStatus(true, err)
 		return nil, true, err
-	case notRun(resp):
+	case saysNotRun(resp):
 		status = policy.Full
 		return nil, true, errors.Errorf("prefill: status %d", resp.StatusCode)
-	case resp.StatusCode != http.StatusOK || json.Unmarshal(body, &ans) != nil || !plain(ans.Ref):
+	case resp.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || !validID(answer.Ref):
 		status = policy.Error
 		return nil, true, errors.Errorf("prefill: status %d", resp.StatusCode)
 	}
-	took = attempt.answered()
-	return &handle{ref: ans.Ref, from: b, at: at, tokens: ans.Tokens}, true, nil
+	took = record.headerReceived()
+	return &kvHandle{ref: answer.Ref, from: b, permit: permit, tokens: answer.Tokens}, true, nil
 }
 
-// freeWithin bounds the call that frees a handle, and freeLate how much longer than its request's time that call may take.
-const freeWithin, freeLate = time.Second, 400 * time.Millisecond
+// releaseTimeout bounds the call that frees a handle, and releaseOverrun how much longer than its request's time that call may take.
+const releaseTimeout, releaseOverrun = time.Second, 400 * time.Millisecond
 
-// free gives memory back that nobody will take.
-func (t *try) free(h *handle) {
-	v := t.v
-	v.background.Go(func() {
-		ctx, cancel := context.WithTimeout(v.ctx, freeWithin)
+// releaseHandle gives memory back that nobody will take.
+func (cr *clientRequest) releaseHandle(handle *kvHandle) {
+	proxy := cr.proxy
+	proxy.background.Go(func() {
+		ctx, cancel := context.WithTimeout(proxy.ctx, releaseTimeout)
 		defer cancel()
-		m := message{id: t.m.id, method: externalapi.CallFreeKVHandle.Method, target: externalapi.CallFreeKVHandle.Path + h.ref, host: h.from.Address}
-		until := time.Now().Add(freeWithin)
-		if late := t.deadline.Add(freeLate); late.Before(until) {
-			until = late // nobody is handed much more time than the client gave
+		out := outboundRequest{id: cr.outbound.id, method: externalapi.CallFreeKVHandle.Method, target: externalapi.CallFreeKVHandle.Path + handle.ref, host: handle.from.Address}
+		until := time.Now().Add(releaseTimeout)
+		if latest := cr.deadline.Add(releaseOverrun); latest.Before(until) {
+			until = latest // nobody is handed much more time than the client gave
 		}
-		x := extra{until: until, priority: -1}
-		e, _, err := t.begin(ctx, h.from.plot.ReleasePermit(), &m, &x, time.Now().Add(connectWithin), time.Now().Add(freeWithin))
+		opts := attemptOptions{deadline: until, priority: -1}
+		e, _, err := cr.startExchange(ctx, handle.from.endpoint.ReleasePermit(), &out, &opts, time.Now().Add(connectTimeout), time.Now().Add(releaseTimeout))
 		if err == nil {
-			_, _ = e.body(maxHandleAnswer)
+			_, _ = e.readAll(maxHandleAnswerBytes)
 		}
 	})
 }
 
-// generate serves a request whose tokens come as a stream.
-func (t *try) generate(ctx context.Context, p *scheduler.Prompt) {
+// serveGeneration serves a request whose tokens come as a stream.
+func (cr *clientRequest) serveGeneration(ctx context.Context, prompt *scheduler.Prompt) {
 	split, reads := true, 0
-	var h *handle // memory of the prompt that waits for its taker
+	var handle *kvHandle // memory of the prompt that waits for its taker
 	defer func() {
-		if h != nil {
-			t.free(h)
+		if handle != nil {
+			cr.releaseHandle(handle)
 		}
 	}()
 	for {
-		var pl place
+		var pl placement
 		ok := false
-		terms := t.terms()
-		if h != nil && h.at.Check(terms) != nil {
+		terms := cr.terms()
+		if handle != nil && handle.permit.Check(terms) != nil {
 			// Its region was withdrawn while it waited: the prompt is read anew, inside.
-			t.free(h)
-			h = nil
+			cr.releaseHandle(handle)
+			handle = nil
 			reads++
-			split = reads < 2 && t.allowed()
+			split = reads < 2 && cr.takeExtraSend()
 		}
-		if h != nil {
-			pl, ok = t.svc.takerFor(h.from, t.repeatable(), p, t.route.LatencyTarget(), t.tried, terms)
+		if handle != nil {
+			pl, ok = cr.svc.selectDecoder(handle.from, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, terms)
 		} else {
-			pl, ok = t.svc.placeFor(t.route.Name, t.repeatable(), p, t.route.LatencyTarget(), t.tried, split, terms)
+			pl, ok = cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, split, terms)
 		}
 		if !ok {
-			t.giveUp(ctx, "no backend")
+			cr.answerFailure(ctx, "no backend")
 			return
 		}
-		if h == nil && t.tooLate(&pl) {
-			t.unsent(pl, p)
-			t.refused = max(t.refused, time.Duration(pl.readMs)*time.Millisecond-time.Until(t.deadline))
-			t.giveUp(ctx, "all that read prompts have too much to read")
+		if handle == nil && cr.prefillTooLate(&pl) {
+			cr.undoPlacement(pl, prompt)
+			cr.retryAfter = max(cr.retryAfter, time.Duration(pl.prefillMs)*time.Millisecond-time.Until(cr.deadline))
+			cr.answerFailure(ctx, "all that read prompts have too much to read")
 			return
 		}
-		if pl.from != nil && h == nil {
+		if pl.prefill != nil && handle == nil {
 			var err error
 			began := time.Now()
 			reached := false
-			if h, reached, err = t.prefill(ctx, pl.from, pl.first, p, pl.home, pl.readMs, t.readBy(pl.readMs)); err != nil {
-				t.unsent(pl, p)
+			if handle, reached, err = cr.prefill(ctx, pl.prefill, pl.prefillPermit, prompt, pl.atHome, pl.prefillMs, cr.prefillDeadline(pl.prefillMs)); err != nil {
+				cr.undoPlacement(pl, prompt)
 				if ctx.Err() != nil {
-					if time.Until(t.deadline) > 0 {
-						t.clientLeft()
+					if time.Until(cr.deadline) > 0 {
+						cr.abortClient()
 					}
-					t.giveUp(ctx, errText(err))
+					cr.answerFailure(ctx, failureText(err))
 					return
 				}
 				// Another backend reads it; a call that came to nothing is one beyond the first, and counts as such.
-				t.tried[pl.from.ID] = true
+				cr.tried[pl.prefill.ID] = true
 				if reached {
 					reads++
 				}
 				split = reads < 2
-				if reached && !t.allowed() || len(t.tried) > maxWays {
-					t.giveUp(ctx, errText(err))
+				if reached && !cr.takeExtraSend() || len(cr.tried) > maxBackendsTried {
+					cr.answerFailure(ctx, failureText(err))
 					return
 				}
 				continue
 			}
-			t.svc.turned(pl.readMs, time.Since(began))
+			cr.svc.recordPrefill(pl.prefillMs, time.Since(began))
 		}
-		t.tried[pl.at.ID] = true
-		sends := t.sends
-		done, err := t.stream(ctx, pl, p, h)
+		cr.tried[pl.decode.ID] = true
+		sends := cr.sends
+		done, err := cr.streamFrom(ctx, pl, prompt, handle)
 		if done {
-			h = nil // taken
+			handle = nil // taken
 			return
 		}
-		if ctx.Err() != nil && time.Until(t.deadline) > 0 {
-			t.clientLeft()
+		if ctx.Err() != nil && time.Until(cr.deadline) > 0 {
+			cr.abortClient()
 		}
-		if t.sends == sends && len(t.tried) < maxWays && time.Until(t.deadline) > connectWithin {
+		if cr.sends == sends && len(cr.tried) < maxBackendsTried && time.Until(cr.deadline) > connectTimeout {
 			continue // none has seen it: there was no way to that backend
 		}
 		paid := false
-		if h != nil {
+		if handle != nil {
 			// What was sent with it has spoilt it, whether or not that came to anything. Reading the prompt again takes one
 			// more send than reading it where its tokens are made.
-			t.tried[h.from.ID] = true
-			t.free(h)
-			h = nil
+			cr.tried[handle.from.ID] = true
+			cr.releaseHandle(handle)
+			handle = nil
 			reads++
-			split = reads < 2 && t.couldAgain() && t.afford(2)
+			split = reads < 2 && cr.retryPossible() && cr.takeExtraSends(2)
 			paid = split
 		}
-		if !paid && !t.mayAgain() {
-			t.giveUp(ctx, errText(err))
+		if !paid && !cr.takeRetry() {
+			cr.answerFailure(ctx, failureText(err))
 			return
 		}
 	}
 }
 
-// unsent takes back a place that was not used.
-func (t *try) unsent(pl place, p *scheduler.Prompt) {
-	t.svc.mu.Lock()
-	t.svc.engines.PrefillEnded(pl.at.ID, pl.tokens, 0)
-	t.svc.engines.RequestEnded(pl.at.ID)
-	t.svc.ranker.AttemptEnded(t.svc.now(), pl.at.ID, policy.Moot)
-	t.svc.mu.Unlock()
+// undoPlacement takes back a place that was not used.
+func (cr *clientRequest) undoPlacement(pl placement, prompt *scheduler.Prompt) {
+	cr.svc.mu.Lock()
+	cr.svc.engines.PrefillEnded(pl.decode.ID, pl.promptTokens, 0)
+	cr.svc.engines.RequestEnded(pl.decode.ID)
+	cr.svc.ranker.AttemptEnded(cr.svc.now(), pl.decode.ID, policy.Moot)
+	cr.svc.mu.Unlock()
 }
 
-// readBy is until when a prompt that is read elsewhere is waited for: half of what is left, in case the backend is silent;
+// prefillDeadline is until when a prompt that is read elsewhere is waited for: half of what is left, in case the backend is silent;
 // longer where a long wait is expected, since one given up is read again from its beginning.
-func (t *try) readBy(expected float64) time.Time {
-	left := time.Until(t.deadline)
-	return time.Now().Add(min(max(left/2, time.Duration(expected*lateReads)*time.Millisecond), left))
+func (cr *clientRequest) prefillDeadline(expected float64) time.Time {
+	left := time.Until(cr.deadline)
+	return time.Now().Add(min(max(left/2, time.Duration(expected*prefillOverrun)*time.Millisecond), left))
 }
 
-// tooLate tells whether the prompt can't be read in the time left: what is begun all the same holds up the others for nothing.
-func (t *try) tooLate(pl *place) bool {
-	return pl.from != nil && pl.readMs > float64(time.Until(t.deadline).Milliseconds())
+// prefillTooLate tells whether the prompt can't be read in the time left: what is begun all the same holds up the others for nothing.
+func (cr *clientRequest) prefillTooLate(pl *placement) bool {
+	return pl.prefill != nil && pl.prefillMs > float64(time.Until(cr.deadline).Milliseconds())
 }
--- a/internal/fleet/proxy/generate_test.go
+++ b/internal/fleet/proxy/generate_test.go
@@ -16,13 +16,13 @@
 			return simulation.EngineSettings{Service: "llm", Zone: "e1", Phase: phase, Capacity: 8}
 		}
 		r := newRig(t, engine(simulation.PhasePrefill), engine(simulation.PhaseDecode), engine(simulation.PhaseDecode))
-		r.v.set.Bounds.RetryExtra, r.v.proxies = 202, 81
+		r.proxy.settings.Bounds.RetryExtra, r.proxy.proxies = 202, 81
 		r.configure()
 		trouble(r.engines[1:2], fault)
 		for own := range 20 {
 			got := r.client.Do(r.Context(), ask("free", own%3, own, [2]int{6000, 2}))
 			r.Check(got.OK(), qt.IsTrue, qt.Commentf("%+v: %d %v", fault, got.Status, got.Err))
 		}
-		r.Check(r.v.services["llm"].spent.saved >= 0, qt.IsTrue)
+		r.Check(r.proxy.services["llm"].retryBudget.tokens >= 0, qt.IsTrue)
 	}
 }
--- a/internal/fleet/proxy/ledger_test.go
+++ b/internal/fleet/proxy/ledger_test.go
@@ -14,22 +14,22 @@
 )
 
 // noter notes sends by hand, for tests of the ledger.
-type noter struct{ *enclosed }
+type noter struct{ *residencyTracker }
 
-func (n noter) send(tenant string, at residency.Permit, u use, since, until time.Time) {
-	h := &held{of: n.enclosed, subject: subject{route: "r", tenant: tenant}, rests: []residency.Permit{at}, use: u, since: since}
-	n.note(h, until, true)
+func (n noter) send(tenant string, at residency.Permit, u sendPurpose, since, until time.Time) {
+	h := &trackedSend{tracker: n.residencyTracker, subject: subject{route: "r", tenant: tenant}, permits: []residency.Permit{at}, purpose: u, since: since}
+	n.record(h, until, true)
 }
 
 // newNoter gives a ledger, and permits for a backend in the east and one in the west.
 func newNoter(c *qt.C) (n noter, east, west residency.Permit) {
 	v := New(c.Context(), testSettings(testZones), zap.NewNop())
 	c.Cleanup(v.pool.Close)
-	east, err := v.ground.Endpoint("b1", "127.0.0.1:1", "e1").Permit(residency.Within("east"))
+	east, err := v.gate.Endpoint("b1", "127.0.0.1:1", "e1").Permit(residency.Within("east"))
 	c.Assert(err, qt.IsNil)
-	west, err = v.ground.Endpoint("b2", "127.0.0.1:1", "w1").Permit(residency.Within("west"))
+	west, err = v.gate.Endpoint("b2", "127.0.0.1:1", "w1").Permit(residency.Within("west"))
 	c.Assert(err, qt.IsNil)
-	return noter{v.enclosed}, east, west
+	return noter{v.residency}, east, west
 }
 
 // Batches hold what changed, each count once, however often the ledger is asked; nothing is done where nothing changed.
@@ -40,24 +40,24 @@
 	out := distribution.NewResidencyOutbox()
 	open := func() []residencyreport.Batch { all, _ := out.Pending(); return all }
 
-	e.hand(at(0), out, false)
+	e.report(at(0), out, false)
 	c.Assert(open(), qt.HasLen, 0)
-	e.send("labs", east, usePlain, at(1), at(2))
-	e.send("labs", east, useDecode, at(1), at(3))
-	e.hand(at(3), out, false)
+	e.send("labs", east, purposePlain, at(1), at(2))
+	e.send("labs", east, purposeDecode, at(1), at(3))
+	e.report(at(3), out, false)
 	labs := residencyreport.Pair{Tenant: "labs", Region: "east"}
-	first := residencyreport.Batch{Process: e.ledger.process, N: 1, Entries: []residencyreport.Entry{{Pair: labs, First: at(1).UnixMilli(), Last: at(3).UnixMilli(),
+	first := residencyreport.Batch{Process: e.history.process, N: 1, Entries: []residencyreport.Entry{{Pair: labs, First: at(1).UnixMilli(), Last: at(3).UnixMilli(),
 		Counts: residencyreport.Counts{Plain: 1, Decodes: 1}}}}
 	c.Assert(open(), qt.DeepEquals, []residencyreport.Batch{first})
 
 	// More of the same waits for some seconds, a region not told yet for one.
-	e.send("labs", east, usePrefill, at(3), at(4))
-	e.hand(at(4), out, false)
+	e.send("labs", east, purposePrefill, at(3), at(4))
+	e.report(at(4), out, false)
 	c.Assert(open(), qt.HasLen, 1)
-	e.send("", west, useResume, at(3), at(4))
-	e.hand(at(3).Add(firstSight-1), out, false)
+	e.send("", west, purposeResume, at(3), at(4))
+	e.report(at(3).Add(newPairDelay-1), out, false)
 	c.Assert(open(), qt.HasLen, 1)
-	e.hand(at(4), out, false)
+	e.report(at(4), out, false)
 	c.Assert(open(), qt.HasLen, 2)
 	c.Assert(open()[1].Entries, qt.HasLen, 2)
 	for _, one := range open()[1].Entries {
@@ -72,16 +72,16 @@
 			c.Errorf("%v", one.Pair)
 		}
 	}
-	e.hand(at(100), out, false)
+	e.report(at(100), out, false)
 	c.Assert(open(), qt.HasLen, 2, qt.Commentf("nothing changed"))
 	// The process ends: all that is left goes at once.
-	e.send("labs", east, usePlain, at(101), at(102))
-	e.hand(at(102), out, false)
+	e.send("labs", east, purposePlain, at(101), at(102))
+	e.report(at(102), out, false)
 	c.Assert(open(), qt.HasLen, 3)
-	e.send("labs", east, usePlain, at(102), at(103))
-	e.hand(at(103), out, false)
+	e.send("labs", east, purposePlain, at(102), at(103))
+	e.report(at(103), out, false)
 	c.Assert(open(), qt.HasLen, 3)
-	e.hand(at(103), out, true)
+	e.report(at(103), out, true)
 	c.Assert(open(), qt.HasLen, 4)
 }
 
@@ -105,22 +105,22 @@
 			}
 			last = b.N
 		}
-		out.Acknowledge(residencyreport.Ack{Process: e.ledger.process, N: last})
+		out.Acknowledge(residencyreport.Ack{Process: e.history.process, N: last})
 	}
 	for range rounds {
 		for i := range tenants {
-			e.send(fmt.Sprint("t", i), east, usePlain, now, now)
+			e.send(fmt.Sprint("t", i), east, purposePlain, now, now)
 		}
-		now = now.Add(batchEvery)
-		e.hand(now, out, false)
+		now = now.Add(batchInterval)
+		e.report(now, out, false)
 		open, _ := out.Pending()
 		c.Assert(len(open) <= residencyreport.MaxPendingBatches, qt.IsTrue)
 	}
-	c.Assert(out.PendingOf(e.ledger.process), qt.Equals, residencyreport.MaxPendingBatches)
+	c.Assert(out.PendingOf(e.history.process), qt.Equals, residencyreport.MaxPendingBatches)
 	for range 4 {
 		drain()
-		now = now.Add(batchEvery)
-		e.hand(now, out, false)
+		now = now.Add(batchInterval)
+		e.report(now, out, false)
 	}
 	drain()
 	c.Assert(sums, qt.HasLen, tenants)
--- a/internal/fleet/proxy/outcomes.go
+++ b/internal/fleet/proxy/outcomes.go
@@ -11,86 +11,86 @@
 )
 
 const (
-	// outcomeStep is how often overdue attempts are looked for, and bad ends told; outcomesEvery is how often good ones are.
-	outcomeStep, outcomesEvery = 100 * time.Millisecond, time.Second
-	// slowTimes is how many times as long as usual an attempt must last to count as slow, and leastSlowAim how long at the least, in
+	// overdueInterval is how often overdue attempts are looked for, and bad ends told; outcomeInterval is how often good ones are.
+	overdueInterval, outcomeInterval = 100 * time.Millisecond, time.Second
+	// slowFactor is how many times as long as usual an attempt must last to count as slow, and minSlowTargetShare how long at the least, in
 	// parts of its route's aim.
-	slowTimes, leastSlowAim = 3, 0.5
-	// leastSlowGap is how much longer than usual times slowTimes the gaps of a stream must be for it to count as slow, ms.
-	leastSlowGap = 20
-	// clearTimes is up to how many times as long as usual what a stream shows tells that its backend is as fast as is usual.
-	clearTimes = 2
-	// learnUsual is the part that a new figure has in what is usual, and mostUsual how many times the usual one counts as at the most.
-	learnUsual, mostUsual = 0.05, 3
+	slowFactor, minSlowTargetShare = 3, 0.5
+	// minSlowGapMs is how much longer than usual times slowFactor the gaps of a stream must be for it to count as slow, ms.
+	minSlowGapMs = 20
+	// clearFactor is up to how many times as long as usual what a stream shows tells that its backend is as fast as is usual.
+	clearFactor = 2
+	// meanWeight is the part that a new figure has in what is usual, and maxSampleFactor how many times the usual one counts as at the most.
+	meanWeight, maxSampleFactor = 0.05, 3
 )
 
-// usual is a mean of late of how long something takes, ms. What takes far longer moves it little, so that ill backends don't become the
+// runningMean is a mean of late of how long something takes, ms. What takes far longer moves it little, so that ill backends don't become the
 // measure.
-type usual struct{ ms float64 }
+type runningMean struct{ ms float64 }
 
-func (u *usual) learn(ms float64) {
+func (u *runningMean) update(ms float64) {
 	if u.ms == 0 {
 		u.ms = ms
 		return
 	}
-	u.ms += (min(ms, mostUsual*u.ms) - u.ms) * learnUsual
+	u.ms += (min(ms, maxSampleFactor*u.ms) - u.ms) * meanWeight
 }
 
-// slowBound is how long an attempt may last before it counts as slow, ms, where it usually lasts so long.
-func (t *try) slowBound(usual float64) float64 {
-	return slowTimes*usual + leastSlowAim*float64(t.route.LatencyTarget().Milliseconds())
+// slowThresholdMs is how long an attempt may last before it counts as slow, ms, where it usually lasts so long.
+func (cr *clientRequest) slowThresholdMs(usual float64) float64 {
+	return slowFactor*usual + minSlowTargetShare*float64(cr.route.LatencyTarget().Milliseconds())
 }
 
-// attempt is a send whose end is told to the fleet.
-type attempt struct {
-	svc   *service
-	id    string
-	of    *outlier.Attempt
-	began float64
-	bound float64 // beyond which it counts as slow, ms
+// beginAttempt is a send whose end is told to the fleet.
+type attemptRecord struct {
+	svc         *service
+	id          string
+	recorded    *outlier.Attempt
+	startedMs   float64
+	thresholdMs float64 // beyond which it counts as slow, ms
 }
 
-// attempt begins one that counts as slow after bound ms.
-func (s *service) attempt(id string, bound float64) *attempt {
+// beginAttempt begins one that counts as slow after bound ms.
+func (s *service) beginAttempt(id string, thresholdMs float64) *attemptRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	return &attempt{svc: s, id: id, of: s.recorder.Begin(id, now+bound), began: now, bound: bound}
+	return &attemptRecord{svc: s, id: id, recorded: s.recorder.Begin(id, now+thresholdMs), startedMs: now, thresholdMs: thresholdMs}
 }
 
-// answered notes that the answer has begun, after which the attempt isn't overdue any more. It gives how long that took, ms.
-func (a *attempt) answered() float64 {
-	a.svc.mu.Lock()
-	defer a.svc.mu.Unlock()
-	a.svc.recorder.HeadersReceived(a.of)
-	return a.svc.now() - a.began
+// headerReceived notes that the answer has begun, after which the attempt isn't overdue any more. It gives how long that took, ms.
+func (ar *attemptRecord) headerReceived() float64 {
+	ar.svc.mu.Lock()
+	defer ar.svc.mu.Unlock()
+	ar.svc.recorder.HeadersReceived(ar.recorded)
+	return ar.svc.now() - ar.startedMs
 }
 
-// speed is how fast a served answer came against what is usual.
-type speed int
+// attemptSpeed is how fast a served answer came against what is usual.
+type attemptSpeed int
 
 const (
-	speedUsual speed = iota
+	speedUsual attemptSpeed = iota
 	speedUnclear
 	speedLate // it was long waited for
 	speedSlow // it came slowly
 )
 
 // speedOf is the speed of an answer that took so long, ms, where it usually takes so long and counts as late beyond a bound.
-func speedOf(took, usual, bound float64) speed {
+func speedOf(took, usual, bound float64) attemptSpeed {
 	switch {
 	case took > bound:
 		return speedLate
-	case took > clearTimes*usual+leastSlowGap:
+	case took > clearFactor*usual+minSlowGapMs:
 		return speedUnclear
 	}
 	return speedUsual
 }
 
-// end counts the attempt; paced tells whether its answer came in parts, which shows how fast. Only what was as fast as is usual clears a backend that is on trial.
-func (a *attempt) end(how policy.Status, fast speed, paced bool) {
-	a.svc.mu.Lock()
-	defer a.svc.mu.Unlock()
+// finish counts the attempt; paced tells whether its answer came in parts, which shows how fast. Only what was as fast as is usual clears a backend that is on trial.
+func (ar *attemptRecord) finish(how policy.Status, fast attemptSpeed, paced bool) {
+	ar.svc.mu.Lock()
+	defer ar.svc.mu.Unlock()
 	result := outlier.Inconclusive
 	switch how {
 	case policy.OK:
@@ -101,7 +101,7 @@
 			result = outlier.Late
 		case paced:
 			result = outlier.StreamedOnPace
-		case fast == speedUsual || !a.svc.trials.Ejected(a.began, a.id):
+		case fast == speedUsual || !ar.svc.trials.Ejected(ar.startedMs, ar.id):
 			result = outlier.Good
 		}
 	case policy.Timeout:
@@ -109,41 +109,41 @@
 	case policy.Error, policy.ConnectFailed, policy.Reset:
 		result = outlier.Failed
 	}
-	a.svc.recorder.End(a.of, result)
+	ar.svc.recorder.End(ar.recorded, result)
 }
 
-// firstBound is how long a stream's first event may take before it counts as slow, ms.
-func (s *service) firstBound(t *try, staged bool, readMs float64) float64 {
+// firstEventThresholdMs is how long a stream's first event may take before it counts as slow, ms.
+func (s *service) firstEventThresholdMs(cr *clientRequest, staged bool, readMs float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !staged {
-		return t.slowBound(readMs)
+		return cr.slowThresholdMs(readMs)
 	}
-	return t.slowBound(s.usualFirst.ms)
+	return cr.slowThresholdMs(s.meanFirstEvent.ms)
 }
 
-// streamed notes how a stream came, and tells whether its backend was far slower than is usual.
-func (s *service) streamed(t *try, staged bool, bound float64, first time.Duration, r *relay) (fast speed, paced bool) {
+// recordStream notes how a stream came, and tells whether its backend was far slower than is usual.
+func (s *service) recordStream(cr *clientRequest, staged bool, thresholdMs float64, first time.Duration, r *streamRelay) (fast attemptSpeed, paced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.total == 0 {
+	if r.totalEvents == 0 {
 		return speedUnclear, false
 	}
 	firstMs := float64(first.Microseconds()) / 1000
-	gap := r.gapMs()
-	slow := s.usualGap.ms > 0 && gap > s.slowGap()
+	gap := r.meanGapMs()
+	slow := s.meanGap.ms > 0 && gap > s.slowGapMs()
 	// A stream without a gap tells little where others have some.
-	clear := gap > 0 && gap < clearTimes*s.usualGap.ms || s.usualGap.ms == 0 && firstMs < clearTimes*s.usualFirst.ms
+	clear := gap > 0 && gap < clearFactor*s.meanGap.ms || s.meanGap.ms == 0 && firstMs < clearFactor*s.meanFirstEvent.ms
 	if staged {
-		s.usualFirst.learn(firstMs)
+		s.meanFirstEvent.update(firstMs)
 	}
 	if gap > 0 {
-		s.usualGap.learn(gap)
+		s.meanGap.update(gap)
 	}
 	switch {
 	case slow:
 		return speedSlow, true
-	case firstMs > bound:
+	case firstMs > thresholdMs:
 		return speedLate, false
 	case clear:
 		return speedUsual, gap > 0
@@ -151,42 +151,42 @@
 	return speedUnclear, false
 }
 
-// slowGap is the mean gap of a stretch of a stream beyond which it counts as slow, ms. The lock is held.
-func (s *service) slowGap() float64 { return slowTimes*s.usualGap.ms + leastSlowGap }
+// slowGapMs is the mean gap of a stretch of a stream beyond which it counts as slow, ms. The lock is held.
+func (s *service) slowGapMs() float64 { return slowFactor*s.meanGap.ms + minSlowGapMs }
 
-// stretchOver tells whether a stretch of a stream that has lasted so long is long enough to tell whether its backend is slow.
-func (s *service) stretchOver(lasted time.Duration, events int) bool {
-	if events >= paceStretch {
+// paceSampleComplete tells whether a stretch of a stream that has lasted so long is long enough to tell whether its backend is slow.
+func (s *service) paceSampleComplete(lasted time.Duration, events int) bool {
+	if events >= paceSampleEvents {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.usualGap.ms > 0 && float64(lasted.Milliseconds()) > paceStretch*s.slowGap()
+	return s.meanGap.ms > 0 && float64(lasted.Milliseconds()) > paceSampleEvents*s.slowGapMs()
 }
 
-// wholeBound is how long an answer that comes whole usually takes on the request's route, and how long it may take before it counts as
+// completeThresholdMs is how long an answer that comes whole usually takes on the request's route, and how long it may take before it counts as
 // slow, ms.
-func (s *service) wholeBound(t *try) (usual, bound float64) {
+func (s *service) completeThresholdMs(cr *clientRequest) (usual, bound float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	usual = s.usualWhole[t.route.Name].ms
-	return usual, t.slowBound(usual)
+	usual = s.meanComplete[cr.route.Name].ms
+	return usual, cr.slowThresholdMs(usual)
 }
 
-// tookWhole notes how long an answer took that came whole.
-func (s *service) tookWhole(t *try, ms float64) {
+// recordComplete notes how long an answer took that came whole.
+func (s *service) recordComplete(cr *clientRequest, ms float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u, known := s.usualWhole[t.route.Name]
-	if !known && len(s.usualWhole) >= maxUsual {
+	u, known := s.meanComplete[cr.route.Name]
+	if !known && len(s.meanComplete) >= maxRouteMeans {
 		return
 	}
-	u.learn(ms)
-	s.usualWhole[t.route.Name] = u
+	u.update(ms)
+	s.meanComplete[cr.route.Name] = u
 }
 
-// outcomes gives what is to be told, if it is time for that. The lock is not held.
-func (s *service) outcomes(all bool) []distribution.Outcome {
+// takeOutcomes gives what is to be told, if it is time for that. The lock is not held.
+func (s *service) takeOutcomes(all bool) []distribution.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recorder.CountOverdue(s.now())
@@ -196,9 +196,9 @@
 	return s.recorder.Drain()
 }
 
-// tellOutcomes tells the fleet how attempts end, until ctx ends: bad ends soon, all in turn.
-func (v *Proxy) tellOutcomes(ctx context.Context) {
-	tick := time.NewTicker(outcomeStep)
+// reportOutcomes tells the fleet how attempts end, until ctx ends: bad ends soon, all in turn.
+func (p *Proxy) reportOutcomes(ctx context.Context) {
+	tick := time.NewTicker(overdueInterval)
 	defer tick.Stop()
 	var last time.Time
 	for {
@@ -207,21 +207,21 @@
 			return
 		case <-tick.C:
 		}
-		w := v.world.Load()
-		if w == nil {
+		snapshot := p.snapshot.Load()
+		if snapshot == nil {
 			continue
 		}
 		now := time.Now()
-		all := now.Sub(last) >= outcomesEvery
-		var told []distribution.Outcome
-		for s := range maps.Values(w.services) {
-			told = append(told, s.outcomes(all)...)
+		all := now.Sub(last) >= outcomeInterval
+		var due []distribution.Outcome
+		for s := range maps.Values(snapshot.services) {
+			due = append(due, s.takeOutcomes(all)...)
 		}
 		if all {
 			last = now
 		}
-		if len(told) > 0 {
-			v.outcomes.Put(distribution.OutcomeReport{Proxy: v.set.NodeName, Zone: v.set.Zone, Outcomes: told})
+		if len(due) > 0 {
+			p.outcomes.Put(distribution.OutcomeReport{Proxy: p.settings.NodeName, Zone: p.settings.Zone, Outcomes: due})
 		}
 	}
 }
--- a/internal/fleet/proxy/place_test.go
+++ b/internal/fleet/proxy/place_test.go
@@ -16,7 +16,7 @@
 
 // engineService is a service of so many backends that read, p0 and on, and that make tokens, d0 and on.
 func engineService(capacity, prefill, decode int) *service {
-	s := newService("llm", testGround(testZones), time.Second)
+	s := newService("llm", testGate(testZones), time.Second)
 	s.configure(runtimeOf(capacity))
 	var list []distribution.Backend
 	for i := range prefill + decode {
@@ -26,7 +26,7 @@
 		}
 		list = append(list, b)
 	}
-	s.list(list)
+	s.updateEndpoints(list)
 	return s
 }
 
@@ -41,24 +41,24 @@
 	s := engineService(64, 2, 2)
 	late, n := false, 0
 	for ; n < 4000 && !late; n++ {
-		pl, ok := s.placeFor("k", false, sharing(uint64(n%5), uint64(1000+n)), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("k", false, sharing(uint64(n%5), uint64(1000+n)), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(pl.from, qt.IsNotNil)
-		one := try{svc: s, deadline: time.Now().Add(2 * time.Second)}
-		late = one.tooLate(&pl)
+		c.Assert(pl.prefill, qt.IsNotNil)
+		one := clientRequest{svc: s, deadline: time.Now().Add(2 * time.Second)}
+		late = one.prefillTooLate(&pl)
 		if !late {
-			s.engines.PrefillStarted(pl.from.ID, sharing(uint64(n%5), uint64(1000+n)), pl.home)
+			s.engines.PrefillStarted(pl.prefill.ID, sharing(uint64(n%5), uint64(1000+n)), pl.atHome)
 		}
 	}
 	c.Assert(late, qt.IsTrue)
 	c.Assert(n > 100, qt.IsTrue, qt.Commentf("after %d", n))
-	one := try{svc: s, deadline: time.Now().Add(time.Minute)}
-	pl, _ := s.placeFor("k", false, sharing(1, 1), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
-	c.Assert(one.tooLate(&pl), qt.IsFalse, qt.Commentf("who has time waits"))
+	one := clientRequest{svc: s, deadline: time.Now().Add(time.Minute)}
+	pl, _ := s.selectPlacement("k", false, sharing(1, 1), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+	c.Assert(one.prefillTooLate(&pl), qt.IsFalse, qt.Commentf("who has time waits"))
 	// What is expected to wait long is not given up halfway; what isn't is, in case the backend is silent.
-	c.Assert(time.Until(one.readBy(10)) < 31*time.Second, qt.IsTrue)
-	c.Assert(time.Until(one.readBy(20_000)) > 39*time.Second, qt.IsTrue)
-	c.Assert(time.Until(one.readBy(1e6)) < 61*time.Second, qt.IsTrue)
+	c.Assert(time.Until(one.prefillDeadline(10)) < 31*time.Second, qt.IsTrue)
+	c.Assert(time.Until(one.prefillDeadline(20_000)) > 39*time.Second, qt.IsTrue)
+	c.Assert(time.Until(one.prefillDeadline(1e6)) < 61*time.Second, qt.IsTrue)
 }
 
 // Where all are behind, leaving a home makes more of what it flees from.
@@ -67,11 +67,11 @@
 	s := engineService(64, 4, 2)
 	home := s.ranker.PreferredBackend(0, 7, func(id string) bool { return s.byID[id].Phase == externalapi.PhasePrefill })
 	chosen := func() string {
-		pl, ok := s.placeFor("k", false, sharing(7, 8), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("k", false, sharing(7, 8), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
-		s.ended(pl.at.ID, policy.OK)
-		s.engines.RequestEnded(pl.at.ID)
-		return pl.from.ID
+		s.attemptEnded(pl.decode.ID, policy.OK)
+		s.engines.RequestEnded(pl.decode.ID)
+		return pl.prefill.ID
 	}
 	load := func(id string, prompts int) {
 		for i := range prompts {
@@ -97,24 +97,24 @@
 		s.engines.ObserveDecode("talk", talk, 4000)
 	}
 	full := map[string]int{"d0": 8, "d1": 9, "d2": 8, "d3": 2}
-	s.gauged(full, nil)
+	s.applyGauges(full, nil)
 	for range 5 {
-		pl, ok := s.placeFor("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(pl.from, qt.IsNil)
-		c.Assert(pl.at.ID, qt.Equals, "d3")
+		c.Assert(pl.prefill, qt.IsNil)
+		c.Assert(pl.decode.ID, qt.Equals, "d3")
 	}
 	// A request that waits long for the head of its answer keeps others away from a backend that was thought to be free.
 	s.start = s.start.Add(-time.Second) // a second later
-	s.gauged(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, nil)
-	heard := s.awaits("d0")
+	s.applyGauges(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, nil)
+	heard := s.awaitHeader("d0")
 	s.start = s.start.Add(-time.Second)
-	pl, _ := s.placeFor("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
-	c.Assert(pl.at.ID, qt.Equals, "d1")
+	pl, _ := s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+	c.Assert(pl.decode.ID, qt.Equals, "d1")
 	heard(true)
-	s.gauged(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, []string{"d1"})
-	pl, _ = s.placeFor("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
-	c.Assert(pl.at.ID, qt.Equals, "d0", qt.Commentf("the control plane did not hear the other"))
+	s.applyGauges(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, []string{"d1"})
+	pl, _ = s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+	c.Assert(pl.decode.ID, qt.Equals, "d0", qt.Commentf("the control plane did not hear the other"))
 }
 
 // Whether a prompt is read apart follows from how long reading it in place would hold up others, however long its answer is: as answers
@@ -127,8 +127,8 @@
 		for range 100 {
 			s.engines.ObserveDecode("verdict", verdict, makingMs)
 		}
-		pl, ok := s.placeFor("verdict", false, verdict, 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("verdict", false, verdict, 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(pl.from, qt.IsNotNil, qt.Commentf("answers that are made for %v ms", makingMs))
+		c.Assert(pl.prefill, qt.IsNotNil, qt.Commentf("answers that are made for %v ms", makingMs))
 	}
 }
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -32,17 +32,17 @@
 	c := qt.New(t)
 	client := http.Header{}
 	for key, value := range map[string]string{
-		externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "kept",
+		externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "started",
 		externalapi.HeaderStage: "prefill", externalapi.HeaderKVFrom: "10.0.0.9:80/stolen", externalapi.HeaderPriority: "0", externalapi.HeaderTargetBackend: "b9",
 		externalapi.HeaderDeadlineMs: "999999", externalapi.HeaderLastEventID: "3",
 		"Connection": "X-Hop", "X-Hop": "1", "Transfer-Encoding": "chunked", "Keep-Alive": "x", "Upgrade": "h2c",
 	} {
 		client.Set(key, value)
 	}
-	dropHop(client)
-	m := message{id: "a1", method: http.MethodPost, target: "/chat/?q=1", host: "h", header: client, body: []byte("the body")}
-	read := func(x extra) *http.Request {
-		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(m.head(&x))))
+	dropHopByHop(client)
+	m := outboundRequest{id: "a1", method: http.MethodPost, target: "/chat/?q=1", host: "h", header: client, body: []byte("the body")}
+	read := func(x attemptOptions) *http.Request {
+		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(m.encode(&x))))
 		c.Assert(err, qt.IsNil)
 		body := make([]byte, len(m.body))
 		_, err = req.Body.Read(body)
@@ -52,24 +52,24 @@
 		for _, key := range []string{"Connection", "X-Hop", "Keep-Alive", "Upgrade"} {
 			c.Check(req.Header.Values(key), qt.HasLen, 0, qt.Commentf("%s", key))
 		}
-		for key, want := range map[string]string{externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "kept"} {
+		for key, want := range map[string]string{externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "started"} {
 			c.Check(req.Header.Values(key), qt.DeepEquals, []string{want}, qt.Commentf("%s", key))
 		}
 		return req
 	}
-	plainSend := read(extra{target: "b1", until: time.Now().Add(1500 * time.Millisecond), priority: -1})
+	plainSend := read(attemptOptions{target: "b1", deadline: time.Now().Add(1500 * time.Millisecond), priority: -1})
 	c.Check(plainSend.Header.Values(externalapi.HeaderTargetBackend), qt.DeepEquals, []string{"b1"})
 	c.Check(plainSend.Header.Values(externalapi.HeaderDeadlineMs), qt.DeepEquals, []string{"1500"})
 	c.Check(plainSend.Header.Values(externalapi.HeaderLastEventID), qt.DeepEquals, []string{"3"})
 	for _, key := range []string{externalapi.HeaderStage, externalapi.HeaderKVFrom, externalapi.HeaderPriority} {
 		c.Check(plainSend.Header.Values(key), qt.HasLen, 0, qt.Commentf("%s is the proxy's to set", key))
 	}
-	resumed := read(extra{target: "b2", until: time.Now().Add(-time.Second), priority: 12, stage: "prefill", lastID: "7"})
+	resumed := read(attemptOptions{target: "b2", deadline: time.Now().Add(-time.Second), priority: 12, stage: "prefill", lastID: "7"})
 	c.Check(resumed.Header.Values(externalapi.HeaderDeadlineMs), qt.DeepEquals, []string{"1"})
 	c.Check(resumed.Header.Values(externalapi.HeaderLastEventID), qt.DeepEquals, []string{"7"})
 	c.Check(resumed.Header.Values(externalapi.HeaderPriority), qt.DeepEquals, []string{"9"})
 	c.Check(resumed.Header.Values(externalapi.HeaderStage), qt.DeepEquals, []string{"prefill"})
-	c.Check(strings.Contains(string(m.head(&extra{target: "b1"})), "stolen"), qt.IsFalse)
+	c.Check(strings.Contains(string(m.encode(&attemptOptions{target: "b1"})), "stolen"), qt.IsFalse)
 }
 
 // TestClientGone has clients leave streams and a plain request under way: the backends' work ends within half a second, and
@@ -194,7 +194,7 @@
 	const most = 10_000
 	r := newRig(t, everywhere(nil)...)
 	doc := strings.Replace(string(r.document()), `"svcs":`, fmt.Sprintf(`"caps":{"body_max_bytes":%d},"svcs":`, most), 1)
-	r.v.take(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: []byte(doc)}}})
+	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: []byte(doc)}}})
 	for _, chunked := range []bool{false, true} {
 		for _, size := range []int{most, most + 1, 3 << 20} {
 			q := ask("post", 0, 0, [2]int{})
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -17,192 +17,192 @@
 
 // priority is what a backend is told of a request's urgency. Whoever comes with memory that waits elsewhere for its taker
 // goes first: that memory is lost to others for so long, lapses, and its reading was paid for; then the operator's rank.
-func (t *try) priority(staged bool) int {
+func (cr *clientRequest) priority(staged bool) int {
 	if staged {
 		return 0
 	}
-	return min(t.route.Priority+1, 9)
+	return min(cr.route.Priority+1, 9)
 }
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream, in bytes.
+const maxEventBytes = 1 << 20
 
-// stream sends a generation to the decode backend of its place and passes its events on; done: the client has its
+// streamFrom sends a generation to the decode backend of its place and passes its events on; done: the client has its
 // answer, whole or cut off.
-func (t *try) stream(ctx context.Context, pl place, p *scheduler.Prompt, h *handle) (done bool, err error) {
-	b := pl.at
+func (cr *clientRequest) streamFrom(ctx context.Context, pl placement, prompt *scheduler.Prompt, handle *kvHandle) (done bool, err error) {
+	b := pl.decode
 	start := time.Now()
-	status, read, kept := policy.OK, 0.0, false
+	status, read, started := policy.OK, 0.0, false
 	var began time.Time // when the first event came
 	sent := false
-	r := &relay{t: t, at: b.ID}
-	bound := t.svc.firstBound(t, h != nil, pl.readMs)
-	attempt := t.svc.attempt(b.ID, bound)
+	r := &streamRelay{cr: cr, backendID: b.ID}
+	bound := cr.svc.firstEventThresholdMs(cr, handle != nil, pl.prefillMs)
+	record := cr.svc.beginAttempt(b.ID, bound)
 	defer func() {
-		fast, paced := t.svc.streamed(t, h != nil, bound, began.Sub(start), r)
-		attempt.end(status, fast, paced)
-		t.svc.mu.Lock()
-		t.svc.engines.PrefillEnded(b.ID, pl.tokens, read)
-		t.svc.engines.RequestEnded(b.ID)
+		fast, paced := cr.svc.recordStream(cr, handle != nil, bound, began.Sub(start), r)
+		record.finish(status, fast, paced)
+		cr.svc.mu.Lock()
+		cr.svc.engines.PrefillEnded(b.ID, pl.promptTokens, read)
+		cr.svc.engines.RequestEnded(b.ID)
 		switch {
-		case h != nil && kept:
-			t.svc.engines.ObserveTransfer(t.svc.now(), h.from.ID, b.ID, p, float64(began.Sub(start).Microseconds())/1000, true)
-		case h != nil && sent:
-			t.svc.engines.ObserveTransfer(t.svc.now(), h.from.ID, b.ID, p, float64(time.Since(start).Microseconds())/1000, false)
-		case !kept && h == nil:
-			t.svc.engines.InvalidateCache(b.ID, p)
+		case handle != nil && started:
+			cr.svc.engines.ObserveTransfer(cr.svc.now(), handle.from.ID, b.ID, prompt, float64(began.Sub(start).Microseconds())/1000, true)
+		case handle != nil && sent:
+			cr.svc.engines.ObserveTransfer(cr.svc.now(), handle.from.ID, b.ID, prompt, float64(time.Since(start).Microseconds())/1000, false)
+		case !started && handle == nil:
+			cr.svc.engines.InvalidateCache(b.ID, prompt)
 		}
-		t.svc.ranker.AttemptEnded(t.svc.now(), b.ID, status)
-		t.svc.mu.Unlock()
+		cr.svc.ranker.AttemptEnded(cr.svc.now(), b.ID, status)
+		cr.svc.mu.Unlock()
 	}()
-	x := extra{until: t.deadline, priority: t.priority(h != nil), handle: h}
-	heard := t.svc.awaits(b.ID)
-	e, wrote, err := t.begin(ctx, pl.permit, &t.m, &x, t.connectBy(), t.headBy())
-	heard(err == nil)
+	opts := attemptOptions{deadline: cr.deadline, priority: cr.priority(handle != nil), handle: handle}
+	headerDone := cr.svc.awaitHeader(b.ID)
+	e, wrote, err := cr.startExchange(ctx, pl.decodePermit, &cr.outbound, &opts, cr.connectDeadline(), cr.headerDeadline())
+	headerDone(err == nil)
 	sent = wrote
 	if wrote {
-		t.sends++
+		cr.sends++
 	}
 	if err != nil {
-		t.ran = t.ran || wrote
-		status = judge(wrote, err)
+		cr.mayHaveRun = cr.mayHaveRun || wrote
+		status = attemptStatus(wrote, err)
 		return false, err
 	}
 	resp := e.resp
-	t.svc.told(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
+	cr.svc.recordLoad(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
 	if resp.StatusCode >= 300 || resp.Header.Get("Content-Encoding") != "" || resp.Header.Get(externalapi.HeaderBackendSeal) == "" {
-		e.readUntil(time.Now().Add(time.Second))
-		body, err := e.body(maxAnswer)
+		e.setReadDeadline(time.Now().Add(time.Second))
+		body, err := e.readAll(maxBufferedAnswer)
 		switch {
 		case err != nil:
-			t.ran = true
-			status = judge(true, err)
+			cr.mayHaveRun = true
+			status = attemptStatus(true, err)
 			return false, err
-		case notRun(resp):
+		case saysNotRun(resp):
 			status = policy.Full
-			t.refused = max(t.refused, retryAfter(resp))
-			t.svc.shed(b.ID, true)
-			if h != nil {
-				t.svc.mu.Lock()
-				t.svc.ranker.TransferEnded(t.svc.now(), h.from.ID, false)
-				t.svc.mu.Unlock()
+			cr.retryAfter = max(cr.retryAfter, backendRetryAfter(resp))
+			cr.svc.recordShed(b.ID, true)
+			if handle != nil {
+				cr.svc.mu.Lock()
+				cr.svc.ranker.TransferEnded(cr.svc.now(), handle.from.ID, false)
+				cr.svc.mu.Unlock()
 			}
 			return false, nil
 		}
-		t.ran = true
+		cr.mayHaveRun = true
 		status = policy.Error
-		if resp.StatusCode < 300 || t.wouldAgain() {
+		if resp.StatusCode < 300 || cr.retryAvailable() {
 			return false, errors.Errorf("status %d", resp.StatusCode)
 		}
-		t.answer(resp, body)
+		cr.writeAnswer(resp, body)
 		return true, nil
 	}
-	if h != nil {
-		t.svc.mu.Lock()
-		t.svc.ranker.TransferEnded(t.svc.now(), h.from.ID, true)
-		t.svc.mu.Unlock()
+	if handle != nil {
+		cr.svc.mu.Lock()
+		cr.svc.ranker.TransferEnded(cr.svc.now(), handle.from.ID, true)
+		cr.svc.mu.Unlock()
 	}
-	t.svc.shed(b.ID, false)
-	err = r.pass(ctx, e, func() {
-		kept, began = true, time.Now()
-		attempt.answered()
-		if pl.tokens > 0 {
+	cr.svc.recordShed(b.ID, false)
+	err = r.copyEvents(ctx, e, func() {
+		started, began = true, time.Now()
+		record.headerReceived()
+		if pl.promptTokens > 0 {
 			read = float64(time.Since(start).Microseconds()) / 1000
 		}
 	})
 	if err == nil {
-		t.v.count(http.StatusOK)
-		t.svc.mu.Lock()
-		t.svc.engines.ObserveDecode(t.route.Name, p, float64(time.Since(began).Microseconds())/1000)
-		t.svc.mu.Unlock()
+		cr.proxy.countAnswer(http.StatusOK)
+		cr.svc.mu.Lock()
+		cr.svc.engines.ObserveDecode(cr.route.Name, prompt, float64(time.Since(began).Microseconds())/1000)
+		cr.svc.mu.Unlock()
 		return true, nil
 	}
-	t.ran = true
-	status = judge(true, err)
-	if r.begun {
-		if ctx.Err() == nil && !errors.Is(err, errClientLeft) && t.route.Resumable {
-			if t.resume(ctx, r, p) {
+	cr.mayHaveRun = true
+	status = attemptStatus(true, err)
+	if r.headerSent {
+		if ctx.Err() == nil && !errors.Is(err, errClientGone) && cr.route.Resumable {
+			if cr.resume(ctx, r, prompt) {
 				return true, nil
 			}
 		}
-		t.v.count(0)
+		cr.proxy.countAnswer(0)
 		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
 	}
 	return false, err
 }
 
-// errClientLeft ends a stream that its client no longer takes: nobody waits for the rest of it. It counts as cancelled, which tells
+// errClientGone ends a stream that its client no longer takes: nobody waits for the rest of it. It counts as cancelled, which tells
 // nothing of the backend.
-var errClientLeft = errors.Wrap(context.Canceled, "the client has left")
+var errClientGone = errors.Wrap(context.Canceled, "the client has left")
 
-// relay passes a stream on, whole events only, so that it can be taken up elsewhere after the last one.
-type relay struct {
-	t      *try
-	at     string // id of the backend that it comes from
-	begun  bool   // the client has the head
-	lastID string
-	events int       // since the stretch of the stream began whose pace is taken
-	since  time.Time // when that was
-	total  int       // events
-	began  time.Time // when the first of them came
-	latest time.Time // and the last
+// streamRelay passes a stream on, whole events only, so that it can be taken up elsewhere after the last one.
+type streamRelay struct {
+	cr           *clientRequest
+	backendID    string // id of the backend that it comes from
+	headerSent   bool   // the client has the head
+	lastID       string
+	sampleEvents int       // since the stretch of the stream began whose pace is taken
+	sampleStart  time.Time // when that was
+	totalEvents  int       // events
+	firstEventAt time.Time // when the first of them came
+	lastEventAt  time.Time // and the last
 }
 
-// gapMs is the mean time between two events, ms; 0: there were fewer than two reads of them.
-func (r *relay) gapMs() float64 {
-	if r.total < 2 {
+// meanGapMs is the mean time between two events, ms; 0: there were fewer than two reads of them.
+func (r *streamRelay) meanGapMs() float64 {
+	if r.totalEvents < 2 {
 		return 0
 	}
-	return float64(r.latest.Sub(r.began).Microseconds()) / 1000 / float64(r.total-1)
+	return float64(r.lastEventAt.Sub(r.firstEventAt).Microseconds()) / 1000 / float64(r.totalEvents-1)
 }
 
-// paceStretch is how many events a stretch has whose pace is taken.
-const paceStretch = 16
+// paceSampleEvents is how many events a stretch has whose pace is taken.
+const paceSampleEvents = 16
 
-// came counts events that came now.
-func (r *relay) came(events int) {
+// arrivedAt counts events that came now.
+func (r *streamRelay) countEvents(events int) {
 	now := time.Now()
-	if r.total == 0 {
-		r.began = now
+	if r.totalEvents == 0 {
+		r.firstEventAt = now
 	}
-	r.total += events
-	r.latest = now
-	if r.since.IsZero() {
-		r.since = now // from the first events on: what is before them is the wait for a place
+	r.totalEvents += events
+	r.lastEventAt = now
+	if r.sampleStart.IsZero() {
+		r.sampleStart = now // from the first events on: what is before them is the wait for a place
 		return
 	}
-	if r.events += events; r.events > 0 && r.t.svc.stretchOver(now.Sub(r.since), r.events) {
-		r.t.svc.paced(r.at, now.Sub(r.since), r.events)
-		r.events, r.since = 0, now
+	if r.sampleEvents += events; r.sampleEvents > 0 && r.cr.svc.paceSampleComplete(now.Sub(r.sampleStart), r.sampleEvents) {
+		r.cr.svc.recordPace(r.backendID, now.Sub(r.sampleStart), r.sampleEvents)
+		r.sampleEvents, r.sampleStart = 0, now
 	}
 }
 
-// pass passes events on until the stream's end; first is called at the first event. An error: the stream broke off.
-func (r *relay) pass(ctx context.Context, e *exchange, first func()) error {
-	t := r.t
+// copyEvents passes events on until the stream's end; first is called at the first event. An error: the stream broke off.
+func (r *streamRelay) copyEvents(ctx context.Context, e *exchange, first func()) error {
+	cr := r.cr
 	resp := e.resp
-	events := isEvents(resp)
-	flush := http.NewResponseController(t.w)
+	events := isEventStream(resp)
+	flush := http.NewResponseController(cr.w)
 	buf := make([]byte, 0, 4<<10)
-	some := false
+	gotEvent := false
 	for {
 		if len(buf) == cap(buf) {
-			if cap(buf) >= maxEvent {
-				e.end(false)
-				return errors.Errorf("an event over %d bytes", maxEvent)
+			if cap(buf) >= maxEventBytes {
+				e.finish(false)
+				return errors.Errorf("an event over %d bytes", maxEventBytes)
 			}
 			buf = append(buf, make([]byte, cap(buf))...)[:len(buf)]
 		}
 		// A first event has its time; between events only the client's patience bounds the wait.
-		by := t.deadline
-		if !some && !r.begun {
-			by = t.headBy()
+		by := cr.deadline
+		if !gotEvent && !r.headerSent {
+			by = cr.headerDeadline()
 		}
-		e.readUntil(by)
+		e.setReadDeadline(by)
 		n, err := resp.Body.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		if cut := t.stays(e); cut != nil && err != io.EOF && ctx.Err() == nil {
-			e.end(false)
+		if cut := cr.checkResidency(e); cut != nil && err != io.EOF && ctx.Err() == nil {
+			e.finish(false)
 			return cut
 		}
 		whole := len(buf)
@@ -213,21 +213,21 @@
 			}
 		}
 		if whole > 0 {
-			if !some {
-				some = true
+			if !gotEvent {
+				gotEvent = true
 				first()
 			}
-			if !r.begun {
-				r.begun = true
-				t.head(resp)
-				t.w.WriteHeader(resp.StatusCode)
+			if !r.headerSent {
+				r.headerSent = true
+				cr.copyHeader(resp)
+				cr.w.WriteHeader(resp.StatusCode)
 			}
 			if events {
-				r.note(buf[:whole])
+				r.scanEvents(buf[:whole])
 			}
-			if _, werr := t.w.Write(buf[:whole]); werr != nil {
-				e.end(false)
-				return errClientLeft
+			if _, werr := cr.w.Write(buf[:whole]); werr != nil {
+				e.finish(false)
+				return errClientGone
 			}
 			if err == nil {
 				_ = flush.Flush()
@@ -235,32 +235,32 @@
 			buf = append(buf[:0], buf[whole:]...)
 		}
 		if err == io.EOF {
-			if !r.begun {
-				r.begun = true
-				t.head(resp)
-				t.w.WriteHeader(resp.StatusCode)
+			if !r.headerSent {
+				r.headerSent = true
+				cr.copyHeader(resp)
+				cr.w.WriteHeader(resp.StatusCode)
 			}
-			if !some {
+			if !gotEvent {
 				first()
 			}
-			e.end(true)
+			e.finish(true)
 			return nil
 		}
 		if err != nil {
-			e.end(false)
+			e.finish(false)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			if isTimeout(err) {
-				return errSilent
+				return errAnswerTimeout
 			}
 			return errors.Wrap(err, "stream")
 		}
 	}
 }
 
-// isEvents tells whether an answer is a series of events.
-func isEvents(resp *http.Response) bool {
+// isEventStream tells whether an answer is a series of events.
+func isEventStream(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
@@ -270,8 +270,8 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// note keeps the id of the last event, and counts the events.
-func (r *relay) note(events []byte) {
+// scanEvents keeps the id of the last event, and counts the events.
+func (r *streamRelay) scanEvents(events []byte) {
 	count := 0
 	for line := range bytes.Lines(events) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -279,53 +279,53 @@
 			count++
 		}
 	}
-	r.came(count)
+	r.countEvents(count)
 }
 
 // resume takes a stream up at another backend after its last event, inside the same answer; false: it could not.
-func (t *try) resume(ctx context.Context, r *relay, p *scheduler.Prompt) bool {
+func (cr *clientRequest) resume(ctx context.Context, r *streamRelay, prompt *scheduler.Prompt) bool {
 	for ctx.Err() == nil && r.lastID != "" {
-		if !t.mayAgain() {
+		if !cr.takeRetry() {
 			return false
 		}
-		pl, ok := t.svc.placeFor(t.route.Name, false, p, t.route.LatencyTarget(), t.tried, false, t.terms())
+		pl, ok := cr.svc.selectPlacement(cr.route.Name, false, prompt, cr.route.LatencyTarget(), cr.tried, false, cr.terms())
 		if !ok {
 			return false
 		}
-		t.tried[pl.at.ID] = true
-		r.at, r.since = pl.at.ID, time.Time{}
+		cr.tried[pl.decode.ID] = true
+		r.backendID, r.sampleStart = pl.decode.ID, time.Time{}
 		status, kept := policy.OK, false
-		x := extra{until: t.deadline, priority: t.priority(false), lastID: r.lastID}
-		e, wrote, err := t.begin(ctx, pl.permit, &t.m, &x, t.connectBy(), t.headBy())
+		opts := attemptOptions{deadline: cr.deadline, priority: cr.priority(false), lastID: r.lastID}
+		e, wrote, err := cr.startExchange(ctx, pl.decodePermit, &cr.outbound, &opts, cr.connectDeadline(), cr.headerDeadline())
 		if wrote {
-			t.sends++
+			cr.sends++
 		}
 		done := false
 		if err != nil {
-			status = judge(wrote, err)
-		} else if resp := e.resp; resp.StatusCode != http.StatusOK || resp.Header.Get(externalapi.HeaderBackendSeal) == "" || resp.Header.Get("Content-Encoding") != "" || !isEvents(resp) {
+			status = attemptStatus(wrote, err)
+		} else if resp := e.resp; resp.StatusCode != http.StatusOK || resp.Header.Get(externalapi.HeaderBackendSeal) == "" || resp.Header.Get("Content-Encoding") != "" || !isEventStream(resp) {
 			status = policy.Error
-			if notRun(resp) {
+			if saysNotRun(resp) {
 				status = policy.Full
 			}
-			e.readUntil(time.Now().Add(time.Second))
-			_, _ = e.body(maxAnswer)
-		} else if err = r.pass(ctx, e, func() { kept = true }); err == nil {
+			e.setReadDeadline(time.Now().Add(time.Second))
+			_, _ = e.readAll(maxBufferedAnswer)
+		} else if err = r.copyEvents(ctx, e, func() { kept = true }); err == nil {
 			done = true
 		} else {
-			status = judge(true, err)
+			status = attemptStatus(true, err)
 		}
-		left := errors.Is(err, errClientLeft)
-		t.svc.mu.Lock()
-		t.svc.engines.PrefillEnded(pl.at.ID, pl.tokens, 0)
-		t.svc.engines.RequestEnded(pl.at.ID)
+		left := errors.Is(err, errClientGone)
+		cr.svc.mu.Lock()
+		cr.svc.engines.PrefillEnded(pl.decode.ID, pl.promptTokens, 0)
+		cr.svc.engines.RequestEnded(pl.decode.ID)
 		if !kept {
-			t.svc.engines.InvalidateCache(pl.at.ID, p)
+			cr.svc.engines.InvalidateCache(pl.decode.ID, prompt)
 		}
-		t.svc.ranker.AttemptEnded(t.svc.now(), pl.at.ID, status)
-		t.svc.mu.Unlock()
+		cr.svc.ranker.AttemptEnded(cr.svc.now(), pl.decode.ID, status)
+		cr.svc.mu.Unlock()
 		if done {
-			t.v.count(http.StatusOK)
+			cr.proxy.countAnswer(http.StatusOK)
 			return true
 		}
 		if left {
--- a/internal/fleet/proxy/trials.go
+++ b/internal/fleet/proxy/trials.go
@@ -5,8 +5,8 @@
 	"molepaddle/internal/fleet/outlier"
 )
 
-// eject takes the fleet's word on the backends of the service, as it concerns proxies of a zone.
-func (s *service) eject(ejections []distribution.Ejection, zone string, crowd outlier.ProxyCount) {
+// applyEjections takes the fleet's word on the backends of the service, as it concerns proxies of a zone.
+func (s *service) applyEjections(ejections []distribution.Ejection, zone string, crowd outlier.ProxyCount) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -19,9 +19,9 @@
 	}
 }
 
-// onTrial is the ejected backend of a phase that the request is to try; nil: none. The lock is held.
-func (s *service) onTrial(w *want, phase string, risk outlier.Risk) *backend {
-	id := s.trials.NextTrial(w.now, risk, func(id string) bool { return s.triable(id) && s.open(w, id, phase) })
+// dueTrial is the ejected backend of a phase that the request is to try; nil: none. The lock is held.
+func (s *service) dueTrial(req *placementRequest, phase string, risk outlier.Risk) *backend {
+	id := s.trials.NextTrial(req.now, risk, func(id string) bool { return s.triable(id) && s.eligible(req, id, phase) })
 	return s.byID[id]
 }
 
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -26,14 +26,14 @@
 func sentTo(c *qt.C, s *service, requests int, repeatable bool) map[string]int {
 	count := map[string]int{}
 	for i := range requests {
-		pl, ok := s.placeFor("k", repeatable, sharing(uint64(1+i%97), uint64(1000+i)), 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("k", repeatable, sharing(uint64(1+i%97), uint64(1000+i)), 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
-		count[pl.at.ID]++
-		if pl.from != nil {
-			count[pl.from.ID]++
+		count[pl.decode.ID]++
+		if pl.prefill != nil {
+			count[pl.prefill.ID]++
 		}
-		s.ended(pl.at.ID, policy.Moot)
-		s.engines.RequestEnded(pl.at.ID)
+		s.attemptEnded(pl.decode.ID, policy.Moot)
+		s.engines.RequestEnded(pl.decode.ID)
 	}
 	return count
 }
@@ -42,22 +42,22 @@
 func TestEjectedBackendsGetTrialsOnly(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
-	s.eject(ejections("p1", "d2", "d3"), "e1", outlier.ProxyCount{All: 60, InZone: 20})
+	s.applyEjections(ejections("p1", "d2", "d3"), "e1", outlier.ProxyCount{All: 60, InZone: 20})
 	count := sentTo(c, s, 300, false)
 	c.Assert(count["p1"]+count["d2"]+count["d3"] <= 3, qt.IsTrue, qt.Commentf("%v", count))
 	// Alone in its fleet a proxy makes all the trials.
 	s.start = s.start.Add(-20 * time.Second)
-	s.eject(nil, "e1", outlier.ProxyCount{})
-	s.eject(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
+	s.applyEjections(nil, "e1", outlier.ProxyCount{})
+	s.applyEjections(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
 	tried := 0
 	for range 40 {
 		s.start = s.start.Add(-500 * time.Millisecond)
-		s.eject(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
+		s.applyEjections(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
 		count := sentTo(c, s, 1, true)
 		tried += count["p1"] + count["d2"]
 	}
 	c.Assert(tried >= 5 && tried <= 70, qt.IsTrue, qt.Commentf("%d", tried))
-	s.eject(nil, "e1", outlier.ProxyCount{})
+	s.applyEjections(nil, "e1", outlier.ProxyCount{})
 	c.Assert(sentTo(c, s, 500, false)["p1"] > 0, qt.IsTrue)
 }
 
@@ -71,16 +71,16 @@
 		one.Draining = one.ID == "d0"
 		list = append(list, one)
 	}
-	s.eject(ejections("d0"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
-	s.list(list)
+	s.applyEjections(ejections("d0"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
+	s.updateEndpoints(list)
 	for range 40 {
 		s.start = s.start.Add(-500 * time.Millisecond)
-		s.eject(ejections("d0"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
+		s.applyEjections(ejections("d0"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
 		c.Assert(sentTo(c, s, 1, true)["d0"], qt.Equals, 0)
-		at, ok := s.pick(1, true, map[string]bool{}, residency.Terms{})
+		at, ok := s.selectPlain(1, true, map[string]bool{}, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(at.ID(), qt.Not(qt.Equals), "d0")
-		s.ended(at.ID(), policy.Moot)
+		s.attemptEnded(at.ID(), policy.Moot)
 	}
 }
 
@@ -89,16 +89,16 @@
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
 	for range 50 {
-		s.paced("d0", paceStretch*50*time.Millisecond, paceStretch)
-		s.usualGap.learn(50)
+		s.recordPace("d0", paceSampleEvents*50*time.Millisecond, paceSampleEvents)
+		s.meanGap.update(50)
 	}
 	s.recorder.Drain()
-	s.paced("d0", paceStretch*60*time.Millisecond, paceStretch)
-	s.paced("d1", paceStretch*400*time.Millisecond, paceStretch)
-	c.Assert(s.stretchOver(time.Second, 3), qt.IsFalse)
-	c.Assert(s.stretchOver(4*time.Second, 3), qt.IsTrue, qt.Commentf("what is that slow needs no whole stretch"))
+	s.recordPace("d0", paceSampleEvents*60*time.Millisecond, paceSampleEvents)
+	s.recordPace("d1", paceSampleEvents*400*time.Millisecond, paceSampleEvents)
+	c.Assert(s.paceSampleComplete(time.Second, 3), qt.IsFalse)
+	c.Assert(s.paceSampleComplete(4*time.Second, 3), qt.IsTrue, qt.Commentf("what is that slow needs no whole stretch"))
 	told := map[string]distribution.Outcome{}
-	for _, o := range s.outcomes(true) {
+	for _, o := range s.takeOutcomes(true) {
 		told[o.Backend] = o
 	}
 	c.Assert(told, qt.DeepEquals, map[string]distribution.Outcome{"d0": {Backend: "d0", Attempts: 1, Streamed: 1}, "d1": {Backend: "d1", Attempts: 1, Streamed: 1, Slow: 1}})
@@ -108,15 +108,15 @@
 func TestOverdueAttemptsAreTold(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
-	waits := s.attempt("d0", 100)
-	c.Assert(s.outcomes(false), qt.IsNil)
+	waits := s.beginAttempt("d0", 100)
+	c.Assert(s.takeOutcomes(false), qt.IsNil)
 	s.start = s.start.Add(-200 * time.Millisecond)
-	c.Assert(s.outcomes(false), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Attempts: 1, Overdue: 1}})
-	waits.answered()
-	waits.end(policy.OK, speedSlow, true)
-	c.Assert(s.outcomes(true), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Late: 1}})
-	s.attempt("d1", 100).end(policy.Cancelled, speedUsual, false)
-	c.Assert(s.outcomes(true), qt.IsNil, qt.Commentf("a client that left tells nothing of a backend"))
+	c.Assert(s.takeOutcomes(false), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Attempts: 1, Overdue: 1}})
+	waits.headerReceived()
+	waits.finish(policy.OK, speedSlow, true)
+	c.Assert(s.takeOutcomes(true), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Late: 1}})
+	s.beginAttempt("d1", 100).finish(policy.Cancelled, speedUsual, false)
+	c.Assert(s.takeOutcomes(true), qt.IsNil, qt.Commentf("a client that left tells nothing of a backend"))
 }
 
 // TestTrialsOfLongAnswers: long answers don't try what is only slow.
@@ -130,10 +130,10 @@
 	slow := []distribution.Ejection{{Backend: "d1", Slow: true}}
 	for range 60 {
 		s.start = s.start.Add(-500 * time.Millisecond)
-		s.eject(slow, "e1", outlier.ProxyCount{All: 1, InZone: 1})
-		pl, ok := s.placeFor("talk", true, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		s.applyEjections(slow, "e1", outlier.ProxyCount{All: 1, InZone: 1})
+		pl, ok := s.selectPlacement("talk", true, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(pl.at.Phase, qt.Equals, externalapi.PhaseDecode)
-		c.Assert(pl.at.ID, qt.Not(qt.Equals), "d1")
+		c.Assert(pl.decode.Phase, qt.Equals, externalapi.PhaseDecode)
+		c.Assert(pl.decode.ID, qt.Not(qt.Equals), "d1")
 	}
 }
