--- /dev/null
+++ b/internal/fleet/controlplane/wire_test.go
@@ -0,0 +1,49 @@
+package controlplane
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"go.uber.org/zap"
+
+	"molepaddle/internal/fleet/routingconfig"
+	"molepaddle/internal/goldenbytes"
+)
+
+// TestStoredBytes holds the changes and the snapshots of the record. The current build must write and read them as all
+// builds before it.
+func TestStoredBytes(t *testing.T) {
+	goldenbytes.Messages(t, map[string]goldenbytes.Message{
+		"call":   new(Call),
+		"stored": new(Stored),
+	})
+}
+
+// TestStoredDigests holds the digests by which a change that is sent again is recognised, also by another build than
+// the one that accepted it.
+func TestStoredDigests(t *testing.T) {
+	c := qt.New(t)
+	body := []byte(`{"ver":8}`)
+	c.Check((&Call{Replace: true, Base: 7, Body: body}).digest(), qt.Equals, uint64(13212804536780761002))
+	c.Check((&Call{Base: 7, Body: body}).digest(), qt.Equals, uint64(4198221720812242868))
+}
+
+// TestWireBytesOfRefusal holds the body with which a call is refused.
+func TestWireBytesOfRefusal(t *testing.T) {
+	c := qt.New(t)
+	o := &Server{log: zap.NewNop()}
+	w := httptest.NewRecorder()
+	o.fail(w, http.StatusBadRequest, "the configuration is invalid", routingconfig.Findings{
+		{Place: "routing[0].pfx", Text: "must begin and end with a slash"}, {Place: "ver", Text: "must be above 0"},
+	})
+	c.Check(w.Code, qt.Equals, http.StatusBadRequest)
+	c.Check(w.Header().Get("Content-Type"), qt.Equals, "application/json")
+	goldenbytes.Check(t, "wire/refusal.json", w.Body.Bytes())
+	w = httptest.NewRecorder()
+	o.later(w, "not settled")
+	c.Check(w.Code, qt.Equals, http.StatusServiceUnavailable)
+	c.Check(w.Header().Get("Retry-After"), qt.Equals, "0.2")
+	goldenbytes.Check(t, "wire/again.json", w.Body.Bytes())
+}
--- /dev/null
+++ b/internal/fleet/distribution/wire_test.go
@@ -0,0 +1,68 @@
+package distribution
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/goldenbytes"
+)
+
+// TestWireBytes holds the messages that the fleet's processes send to each other. The current build must write and
+// read them as all builds before it.
+func TestWireBytes(t *testing.T) {
+	goldenbytes.Messages(t, map[string]goldenbytes.Message{
+		"backend":        new(Backend),
+		"change":         new(Change),
+		"core":           new(Core),
+		"crowd":          new(Crowd),
+		"ejection":       new(Ejection),
+		"ejections":      new(Ejections),
+		"gauges":         new(Gauges),
+		"list":           new(List),
+		"member":         new(Member),
+		"outcome":        new(Outcome),
+		"outcome-report": new(OutcomeReport),
+		"request":        new(Request),
+		"resource":       new(Resource),
+		"response":       new(Response),
+		"version":        new(Version),
+	})
+}
+
+// TestWireBytesOfFrame holds the length before each message: four bytes, the highest first.
+func TestWireBytesOfFrame(t *testing.T) {
+	c := qt.New(t)
+	var b bytes.Buffer
+	c.Assert(WriteFrame(&b, &Version{Epoch: 3, Count: 300}), qt.IsNil)
+	c.Check(b.Bytes(), qt.DeepEquals, []byte("\x00\x00\x00\x09\x82\xa1e\x03\xa1n\xcd\x01\x2c"))
+}
+
+// TestWireNames holds the names of resources and the phase that processes send to each other.
+func TestWireNames(t *testing.T) {
+	c := qt.New(t)
+	c.Check([]string{SourceConfig, SourceList, SourceCrowd, SourceCore, SourceGauges, SourceEjections}, qt.DeepEquals,
+		[]string{"config", "list", "crowd", "core", "gauges", "ejections"})
+	c.Check(PhaseChanging, qt.Equals, "changing")
+}
+
+// TestWirePorts holds where processes find each other: their ports, counted from the first of the settings' range.
+func TestWirePorts(t *testing.T) {
+	c := qt.New(t)
+	ports := [2]int{7720, 7735}
+	c.Check([]string{CoreAddr("10.0.0.1", ports), PullAddr("10.0.0.1", ports), NodeAgentAddr(ports)}, qt.DeepEquals,
+		[]string{"10.0.0.1:7720", "10.0.0.1:7721", "127.0.0.1:7722"})
+}
+
+// TestLogBytesOfEjections holds the keys under which a control server logs ejections. The type has no JSON tags: the
+// keys are the names of its Go fields.
+func TestLogBytesOfEjections(t *testing.T) {
+	c := qt.New(t)
+	ejected := make([]Ejection, 1)
+	goldenbytes.Fill(&ejected[0])
+	b, err := json.Marshal(ejected)
+	c.Assert(err, qt.IsNil)
+	goldenbytes.Check(t, "wire/ejections.log.json", append(b, '\n'))
+}
