--- /dev/null
+++ b/internal/fleet/controlplane/stored_test.go
@@ -0,0 +1,165 @@
+package controlplane
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/fleet/replication"
+	"molepaddle/internal/fleet/residencyreport"
+	"molepaddle/internal/fleet/statestore"
+	"molepaddle/internal/goldenbytes"
+)
+
+// storedFile is the state of a control server that an earlier build left.
+const storedFile = "testdata/stored/control.db"
+
+// storedChanges are the changes that led to storedFile, as they were proposed: configurations, where data rested, and
+// a change of named items.
+func storedChanges(c *qt.C) (bodies [][]byte) {
+	for version := int64(1); version <= 12; version++ {
+		bodies = append(bodies, configuration(version-1, version))
+		if version == 3 {
+			bodies = append(bodies, reading(9, 1, 4))
+		}
+	}
+	update := &Call{Base: 12, Body: []byte(`{"ver":20,"upsert":{"svcs":[{"name":"t","later":1}]}}`)}
+	body, err := update.MarshalMsg(nil)
+	c.Assert(err, qt.IsNil)
+	return append(bodies, reading(9, 2, 5), body, reading(1<<63, 1, 6))
+}
+
+// writeStored writes storedFile: three servers in virtual time take the changes, the first primary is restarted on the
+// way, and the state of the last one is kept.
+func writeStored(c *qt.C) {
+	core := newSimulatedCore(5, 3, 1)
+	for _, m := range core.members {
+		core.start(m)
+	}
+	primary := func() *member {
+		i := slices.IndexFunc(core.members, func(m *member) bool {
+			return m.machine != nil && m.machine.Status().Role == replication.Primary && m.machine.Status().Ready
+		})
+		if i < 0 {
+			return nil
+		}
+		return core.members[i]
+	}
+	run := func(what string, until func() bool) {
+		c.Assert(core.runUntil(core.now+time.Minute, until), qt.IsTrue, qt.Commentf("%s, %v", what, core.err))
+	}
+	run("a primary", func() bool { return primary() != nil && core.whole() })
+	for i, body := range storedChanges(c) {
+		if i == 6 {
+			first := primary()
+			core.kill(first)
+			run("another primary", func() bool { return primary() != nil })
+			core.start(first)
+			run("all three in one view", core.whole)
+		}
+		done := false
+		core.ask(primary(), func(now time.Duration, token uint64) replication.Output {
+			return primary().machine.Propose(now, token, body)
+		}, func(a replication.Answer) { done = a.Result == replication.Committed })
+		run("a change", func() bool { return done })
+	}
+	core.runUntil(core.now+time.Second, nil)
+
+	st := core.members[2].disk
+	dir := c.TempDir()
+	store, _, err := statestore.Open(dir)
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Save(&replication.Write{
+		Identity: &st.Identity, View: &st.View, Vote: &st.Vote, Standing: &st.Standing,
+		Snapshot: st.Snapshot, Changes: st.Changes,
+	}), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	file, err := os.ReadFile(filepath.Join(dir, filepath.Base(storedFile)))
+	c.Assert(err, qt.IsNil)
+	c.Assert(os.MkdirAll(filepath.Dir(storedFile), 0o755), qt.IsNil)
+	c.Assert(os.WriteFile(storedFile, file, 0o644), qt.IsNil)
+}
+
+// TestStoredFolder reads the state that a control server of an earlier build left: the members it knew, the record
+// with its configuration, the changes that it recognises and where data rested. A machine of this build takes it over,
+// and what is written to it afterwards is kept. With -update the state is written anew.
+func TestStoredFolder(t *testing.T) {
+	c := qt.New(t)
+	if goldenbytes.Updating() {
+		writeStored(c)
+	}
+	dir := c.TempDir()
+	body, err := os.ReadFile(storedFile)
+	c.Assert(err, qt.IsNil)
+	c.Assert(os.WriteFile(filepath.Join(dir, "control.db"), body, 0o644), qt.IsNil)
+	store, st, err := statestore.OpenFor(dir, "10.0.2.1:7000")
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Broken(), qt.IsNil)
+	c.Check(st.Identity, qt.Equals, replication.Identity{
+		ID: "2581f0a5c74822e12df9f42644b30984", Addr: "10.0.2.1:7000", Founder: true, Joined: true,
+	})
+	c.Check(st.View, qt.DeepEquals, replication.View{
+		Epoch: 2,
+		Members: []replication.Member{
+			{ID: "b6c3607730c92abfe0e3e0b0b87f212a", Addr: "10.0.0.1:7000", Zone: "z0", Region: "r"},
+			{ID: "c7eaa548eb126633d472f906a47df7a9", Addr: "10.0.1.1:7000", Zone: "z1", Region: "r"},
+			{ID: "2581f0a5c74822e12df9f42644b30984", Addr: "10.0.2.1:7000", Zone: "z2", Region: "r"},
+		},
+		Primary: "c7eaa548eb126633d472f906a47df7a9",
+		Backups: []replication.ID{"2581f0a5c74822e12df9f42644b30984"},
+	})
+	c.Check(st.Standing, qt.Equals, replication.Standing{RecordEpoch: 2, StepEpoch: 2})
+	c.Assert(st.Snapshot, qt.IsNotNil)
+	c.Check(st.Snapshot.Seq, qt.Equals, uint64(10))
+	c.Check(st.Changes, qt.HasLen, 6)
+
+	// A machine of this build takes the record over.
+	r := &record{}
+	_, err = replication.New(replication.Options{
+		Self: replication.Member{Addr: "10.0.2.1:7000", Zone: "z2", Region: "r"}, Survive: replication.Survive{Nodes: 1},
+		Seeds: []string{"10.0.0.1:7000", "10.0.1.1:7000", "10.0.2.1:7000"}, BeatEvery: 100 * time.Millisecond,
+		SuspectAfter: 500 * time.Millisecond, StaggerEach: 150 * time.Millisecond, WriteWithin: 600 * time.Millisecond,
+		ForgetAfter: 3 * time.Second, Rand: func() uint64 { return 1 },
+	}, st, r)
+	c.Assert(err, qt.IsNil)
+	c.Check(r.seq, qt.Equals, uint64(16))
+	c.Check(r.docSeq, qt.Equals, uint64(15))
+	c.Check(string(r.doc.Show()), qt.Equals, `{"ver":20,"routing":[{"name":"r","hostname":"h","pfx":"/",`+
+		`"kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"labs"}],"svcs":[{"name":"s","probe":"/healthz"},`+
+		`{"name":"t","later":1}],"tenants":[{"name":"labs","regions":["east"]}]}`)
+	c.Check(r.accepted.oldestBase, qt.Equals, int64(0))
+	c.Check(r.accepted.versions, qt.DeepEquals, []int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 20})
+	for _, body := range storedChanges(c) {
+		var sent Call
+		_, err := sent.UnmarshalMsg(body)
+		c.Assert(err, qt.IsNil)
+		if sent.Reading == nil {
+			c.Check(r.accepted.lookup(&sent), qt.Equals, sameChange, qt.Commentf("a change on top of %d", sent.Base))
+		}
+	}
+	c.Check(r.rested.Report(nil), qt.DeepEquals, []residencyreport.Entry{{
+		Pair: residencyreport.Pair{Tenant: "labs", Region: "east"}, First: 5, Last: 9,
+		Counts: residencyreport.Counts{Plain: 15},
+	}})
+	c.Check(r.rested.Kept(9), qt.Equals, uint64(2))
+	c.Check(r.rested.Kept(1<<63), qt.Equals, uint64(1))
+
+	// A change that is written afterwards is there beside the others when the server starts again.
+	last := st.Changes[len(st.Changes)-1]
+	next := replication.Change{Seq: 17, Body: configuration(20, 21)}
+	next.Digest = replication.Chain(last.Digest, next.Seq, next.Body)
+	c.Assert(store.Save(&replication.Write{Changes: []replication.Change{next}}), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	store, again, err := statestore.OpenFor(dir, "10.0.2.1:7000")
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Broken(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	st.Changes = append(st.Changes, next)
+	c.Check(again, qt.DeepEquals, st)
+	r.Apply(next.Seq, again.Changes[len(again.Changes)-1].Body)
+	c.Check(r.doc.Version(), qt.Equals, int64(21))
+}
--- /dev/null
+++ b/internal/fleet/statestore/stored_test.go
@@ -0,0 +1,95 @@
+package statestore
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/fleet/replication"
+	"molepaddle/internal/goldenbytes"
+)
+
+// storedState is what the file testdata/stored/control.db holds: every field of every part, a snapshot and the changes
+// after it.
+func storedState() replication.State {
+	members := []replication.Member{
+		{ID: "0123456789abcdef0123456789abcdef", Addr: "10.0.0.1:7720", Zone: "z1", Region: "r1"},
+		{ID: "fedcba9876543210fedcba9876543210", Addr: "10.0.0.2:7720", Zone: "z2", Region: "r2"},
+		{ID: "00112233445566778899aabbccddeeff", Addr: "10.0.0.3:7720", Zone: "z3", Region: "r3"},
+	}
+	st := replication.State{
+		Identity: replication.Identity{ID: members[0].ID, Addr: members[0].Addr, Founder: true, Joined: true},
+		View: replication.View{
+			Epoch: 5, Members: members, Primary: members[1].ID, Backups: []replication.ID{members[0].ID, members[2].ID},
+		},
+		Vote: replication.Vote{
+			Promised: replication.Ballot{N: 8, ID: members[2].ID},
+			Accepted: replication.Ballot{N: 7, ID: members[0].ID},
+			Value: &replication.View{
+				Epoch: 6, Members: members[:2], Primary: members[0].ID, Backups: []replication.ID{members[1].ID},
+			},
+		},
+		Standing: replication.Standing{RecordEpoch: 5, StepEpoch: 4, StoppedEpoch: 6, Committed: 1<<63 + 1},
+		Snapshot: &replication.Snapshot{Seq: 40, Digest: 1<<63 + 40, Body: []byte("the record at 40")},
+	}
+	digest := st.Snapshot.Digest
+	for i, body := range []string{"change 41", "", "change 43"} {
+		seq := st.Snapshot.Seq + 1 + uint64(i)
+		digest = replication.Chain(digest, seq, []byte(body))
+		st.Changes = append(st.Changes, replication.Change{Seq: seq, Digest: digest, Body: []byte(body)})
+	}
+	return st
+}
+
+// TestStoredFolder reads the folder that an earlier build left, and writes to it. With -update the folder is written
+// anew.
+func TestStoredFolder(t *testing.T) {
+	c := qt.New(t)
+	want := storedState()
+	golden := filepath.Join("testdata", "stored", fileName)
+	if goldenbytes.Updating() {
+		dir := c.TempDir()
+		a, _ := open2(c, dir)
+		c.Assert(a.Save(&replication.Write{
+			Identity: &want.Identity, View: &want.View, Vote: &want.Vote, Standing: &want.Standing,
+			Snapshot: want.Snapshot, Changes: want.Changes,
+		}), qt.IsNil)
+		c.Assert(a.Close(), qt.IsNil)
+		body, err := os.ReadFile(filepath.Join(dir, fileName))
+		c.Assert(err, qt.IsNil)
+		c.Assert(os.MkdirAll(filepath.Dir(golden), 0o755), qt.IsNil)
+		c.Assert(os.WriteFile(golden, body, 0o644), qt.IsNil)
+	}
+
+	dir := c.TempDir()
+	body, err := os.ReadFile(golden)
+	c.Assert(err, qt.IsNil)
+	c.Assert(os.WriteFile(filepath.Join(dir, "control.db"), body, 0o644), qt.IsNil)
+	a, st, err := OpenFor(dir, "10.0.0.1:7720")
+	c.Assert(err, qt.IsNil)
+	c.Assert(a.Broken(), qt.IsNil)
+	c.Assert(st, qt.DeepEquals, want)
+
+	// A newer standing and the next change are kept beside all that was there.
+	last := st.Changes[len(st.Changes)-1]
+	next := replication.Change{Seq: 44, Digest: replication.Chain(last.Digest, 44, []byte("new")), Body: []byte("new")}
+	want.Standing.Committed++
+	want.Changes = append(want.Changes, next)
+	c.Assert(a.Save(&replication.Write{Standing: &want.Standing, Changes: []replication.Change{next}}), qt.IsNil)
+	c.Assert(a.Close(), qt.IsNil)
+	a, st = open2(c, dir)
+	c.Check(a.Broken(), qt.IsNil)
+	c.Check(st, qt.DeepEquals, want)
+
+	// A snapshot takes the place of the changes.
+	snapshot := &replication.Snapshot{Seq: 44, Digest: next.Digest, Body: []byte("the record at 44")}
+	c.Assert(a.Save(&replication.Write{Snapshot: snapshot}), qt.IsNil)
+	c.Assert(a.Close(), qt.IsNil)
+	want.Snapshot, want.Changes = snapshot, nil
+	a, st = open2(c, dir)
+	c.Check(a.Broken(), qt.IsNil)
+	c.Check(st, qt.DeepEquals, want)
+	c.Assert(a.Close(), qt.IsNil)
+}
