--- /dev/null
+++ b/internal/fleet/externalapi/wire_test.go
@@ -0,0 +1,91 @@
+package externalapi
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/goldenbytes"
+)
+
+// TestWireBytes holds the bodies of answers: a report, an entry of the platform's list, and where data rested.
+func TestWireBytes(t *testing.T) {
+	goldenbytes.JSON(t, "report", new(State))
+	goldenbytes.JSON(t, "listed", new(listed))
+	goldenbytes.JSON(t, "residency", new(Residency))
+}
+
+// TestWireBytesOfOrder holds the body of an order to a backend.
+func TestWireBytesOfOrder(t *testing.T) {
+	c := qt.New(t)
+	bodies := make(chan []byte, 1)
+	addr := standIn(t, func(_ http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		bodies <- body
+	})
+	order := PhaseOrder{Backend: "b-1", Phase: PhaseDecode, Owner: "control-1", Fence: 4, Expect: 9}
+	_, err := NewBackendClient(answerWithin).Order(t.Context(), addr, order)
+	c.Assert(err, qt.IsNil)
+	goldenbytes.Check(t, "wire/order.json", <-bodies)
+}
+
+// TestWireCalls holds who is asked for what, and how: the names, methods and paths of all calls.
+func TestWireCalls(t *testing.T) {
+	c := qt.New(t)
+	var calls []string
+	for _, call := range Table {
+		calls = append(calls, call.Name+" "+call.Method+" "+call.Path)
+	}
+	c.Check(calls, qt.DeepEquals, []string{
+		"ready GET /molepaddle/readyz",
+		"replace POST /molepaddle/cfg/replace",
+		"update POST /molepaddle/cfg/update",
+		"show GET /molepaddle/cfg/show",
+		"status GET /molepaddle/status",
+		"residency GET /molepaddle/residency",
+		"order POST /molepaddle/order",
+		"report GET /molepaddle/report",
+		"free DELETE /molepaddle/kv-handle/",
+		"list GET /backends",
+	})
+	c.Check([]string{QueryLocal, QueryTenant, QueryRoute}, qt.DeepEquals, []string{"local", "tenant", "route"})
+}
+
+// TestWireHeaders holds the names of header fields and of phases.
+func TestWireHeaders(t *testing.T) {
+	c := qt.New(t)
+	c.Check([]string{
+		AttemptID, DeadlineMs, Prefix, TokenCount, Model, Stage, KvFrom, Target, Seal, BackendID, Load, NotRun,
+		LastEventID, RetryAfter, BaseVersion, Priority, Weights, PhasePrefill, PhaseDecode,
+	}, qt.DeepEquals, []string{
+		"X-Molepaddle-Attempt-Id", "X-Molepaddle-Deadline-Ms", "X-Molepaddle-Prompt-Prefix",
+		"X-Molepaddle-Token-Count", "X-Molepaddle-Model", "X-Molepaddle-Stage", "Kv-From",
+		"X-Molepaddle-Target-Backend", "X-Molepaddle-Backend-Seal", "X-Molepaddle-Backend-Id",
+		"X-Molepaddle-Backend-Load", "X-Molepaddle-Not-Run", "Last-Event-Id", "Retry-After",
+		"X-Molepaddle-Base-Version", "Priority", "Expect-Version", "prefill", "decode",
+	})
+}
+
+// TestWireKeysOfList: the platform's page of a list is read by these keys.
+func TestWireKeysOfList(t *testing.T) {
+	c := qt.New(t)
+	entry, second := new(listed), 0
+	goldenbytes.Fill(entry)
+	entry.State = "draining"
+	addr := standIn(t, func(w http.ResponseWriter, r *http.Request) {
+		var next any = "second"
+		if r.URL.Query().Get("marker") == "second" {
+			second++
+			next = nil
+		}
+		_ = json.NewEncoder(w).Encode(map[string]any{"backends": []any{entry}, "next_marker": next})
+	})
+	list, calls, err := NewPlatformClient(addr, answerWithin).List(t.Context())
+	c.Assert(err, qt.IsNil)
+	c.Check(calls, qt.Equals, 2)
+	c.Check(second, qt.Equals, 1)
+	c.Check(list.Backends, qt.HasLen, 2)
+}
--- /dev/null
+++ b/internal/fleet/routingconfig/wire_test.go
@@ -0,0 +1,83 @@
+package routingconfig_test
+
+import (
+	"os"
+	"reflect"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/fleet/routingconfig"
+	"molepaddle/internal/goldenbytes"
+)
+
+// TestWireBytes holds the keys of a configuration as programs that make one write it.
+func TestWireBytes(t *testing.T) {
+	goldenbytes.JSON(t, "configuration", new(routingconfig.Config))
+}
+
+// TestStoredBytes reads a configuration that has every key, as it lies in the record: each field is read by its key,
+// and the configuration is shown with the bytes that were sent.
+func TestStoredBytes(t *testing.T) {
+	c := qt.New(t)
+	body, err := os.ReadFile("testdata/stored/configuration.json")
+	c.Assert(err, qt.IsNil)
+	d := decode(t, string(body))
+	c.Check(string(d.Show()), qt.Equals, string(body))
+	want := routingconfig.Config{
+		Version: 7,
+		Routes: []routingconfig.RouteSpec{
+			{
+				Name: "route-1", Hostname: "h1.example", Prefix: "/one/", Kind: routingconfig.KindStream,
+				DeadlineMs: 20000.5, TargetMs: 120.25, Priority: 3, ServiceName: "service-1",
+				Split: []routingconfig.ShareSpec{
+					{ServiceName: "service-1", Weight: 90.5}, {ServiceName: "service-2", Weight: 9.5},
+				},
+				Tries: 2, Pin: true, Resumable: true, GapAimMs: 150.75, Tenant: "tenant-1", Regions: []string{"region-1"},
+			},
+			{
+				Name: "route-2", Hostname: "h1.example", Prefix: "/two/", Kind: routingconfig.KindReadonly,
+				DeadlineMs: 1000, ServiceName: "service-2", Tries: 1,
+			},
+			{
+				Name: "route-3", Hostname: "h1.example", Prefix: "/three/", Kind: routingconfig.KindMutating,
+				DeadlineMs: 2000, ServiceName: "service-2", Tries: 1,
+			},
+		},
+		Services: []routingconfig.Service{
+			{
+				Name: "service-1", Probe: "/healthz", MaxConn: 370, Proto: "h1", SSL: true,
+				Runtime: &routingconfig.Runtime{
+					Capacity: 64, KVTokens: 1128715, KVTokenBytes: 163840.5, LinkMbps: 5900000.5, Stride: 57.5,
+					HandleSeconds: 5.5, SwapSeconds: 0.5, Models: []routingconfig.Model{{Name: "model-1"}},
+				},
+			},
+			{Name: "service-2"},
+		},
+		Limits: &routingconfig.Limits{
+			HeaderBytes: 16384, BodyBytes: 4194304, HeaderTimeoutMs: 3000.5, IdleTimeoutMs: 15000.5,
+		},
+		Tenants: []routingconfig.Tenant{{Name: "tenant-1", Regions: []string{"region-1", "region-2"}}},
+	}
+	c.Check(d.Config(), qt.DeepEquals, want)
+	for _, one := range []any{
+		want, want.Routes[0], want.Routes[0].Split[0], want.Services[0], *want.Services[0].Runtime,
+		want.Services[0].Runtime.Models[0], *want.Limits, want.Tenants[0],
+	} {
+		v := reflect.ValueOf(one)
+		for i := range v.NumField() {
+			c.Check(v.Field(i).IsZero(), qt.IsFalse,
+				qt.Commentf("testdata/stored/configuration.json doesn't give %v.%s", v.Type(), v.Type().Field(i).Name))
+		}
+	}
+
+	change, err := os.ReadFile("testdata/stored/update.json")
+	c.Assert(err, qt.IsNil)
+	goldenbytes.Check(t, "stored/updated.json", update(t, d, string(change)).Show())
+}
+
+// TestStoredDigest holds the digests by which changes that are sent again are recognised.
+func TestStoredDigest(t *testing.T) {
+	c := qt.New(t)
+	c.Check(routingconfig.Digest("update", 7, []byte(`{"ver":8}`)), qt.Equals, uint64(4198221720812242868))
+}
