--- /dev/null
+++ b/cmd/molepaddle-fleet/wire_test.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"bytes"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/status"
+	"molepaddle/internal/goldenbytes"
+)
+
+// TestWireBytes holds what the commands print with --json: check, diff, residency, and status and watch, which print
+// the same. Scripts of operators read it.
+func TestWireBytes(t *testing.T) {
+	for name, value := range map[string]any{
+		"check":     new([]checked),
+		"diff":      new(outcome),
+		"residency": new(externalapi.Residency),
+		"status":    new(status.Fleet),
+	} {
+		t.Run(name, func(t *testing.T) {
+			goldenbytes.Fill(value)
+			var b bytes.Buffer
+			qt.Assert(t, writeJSON(&b, value), qt.IsNil)
+			goldenbytes.Check(t, "wire/"+name+".json", b.Bytes())
+		})
+	}
+}
+
+// TestWireNamesOfKinds holds the kinds of files that check prints.
+func TestWireNamesOfKinds(t *testing.T) {
+	c := qt.New(t)
+	c.Check([]string{kindSettings, kindConfiguration, kindUpdate}, qt.DeepEquals,
+		[]string{"settings", "configuration", "update"})
+}
