--- a/cmd/molepaddle-fleet/wire_test.go
+++ b/cmd/molepaddle-fleet/wire_test.go
@@ -11,13 +11,14 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestWireBytes holds what the commands print with --json: check, diff, residency, and status and watch, which print
-// the same. Scripts of operators read it.
+// TestWireBytes holds what the commands print with --json: check, diff, residency, propose and update, which print what
+// was sent, and status and watch, which print the status. Scripts of operators read it.
 func TestWireBytes(t *testing.T) {
 	for name, value := range map[string]any{
 		"check":     new([]checked),
 		"diff":      new(outcome),
 		"residency": new(externalapi.Residency),
+		"sent":      new(sent),
 		"status":    new(status.Fleet),
 	} {
 		t.Run(name, func(t *testing.T) {
