--- a/internal/rig/lab/live/agents.go
+++ b/internal/rig/lab/live/agents.go
@@ -28,6 +28,7 @@
 
 // agentRun is one agent, a process or in this one.
 type agentRun struct {
+	name   string // which agent it is, and its which start
 	listen string
 	base   string
 	client *http.Client
@@ -124,7 +125,16 @@
 		return choose.New(w.o.Chooser, set, seed, truth{w})
 	}
 	log := slog.New(slog.NewTextHandler(&a.said, &slog.HandlerOptions{Level: slog.LevelError}))
-	g, err := agent.NewWith(conf, w.oper, agent.Network{Dial: w.dial}, decide, log)
+	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := w.dial(ctx, network, addr)
+		if err == nil {
+			w.mu.Lock()
+			w.dialled[c.LocalAddr().String()] = a.name
+			w.mu.Unlock()
+		}
+		return c, err
+	}
+	g, err := agent.NewWith(conf, w.oper, agent.Network{Dial: dial}, decide, log)
 	if err != nil {
 		return err
 	}
--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -129,6 +129,9 @@
 	byAddr  map[cluster.Addr]*server
 	byDial  map[string]*server
 	agents  []*agentRun
+	starts  []int             // by agent
+	lives   []string          // what became of agents, a line each, the oldest first
+	dialled map[string]string // which agent in this process has which end of a connection
 	tries   map[string]*try
 	stalls  []stall
 	down    float64 // until then the roster answers nothing
@@ -162,7 +165,7 @@
 		return nil, fmt.Errorf("live: %s plays in this process only, not in %s", o.Chooser, o.Binary)
 	}
 	w := &world{s: s, o: o, plan: law.Plan(s, o.Seed), paths: law.NewPaths(s), zones: law.Zones(s), rng: law.Source(o.Seed, "network"),
-		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, tries: map[string]*try{}, timers: map[*time.Timer]bool{},
+		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, tries: map[string]*try{}, dialled: map[string]string{}, timers: map[*time.Timer]bool{},
 		late: hdrhistogram.New(1, 60e6, 3), slow: hdrhistogram.New(1, 60e6, 3), means: s.MeanWork(), oper: operator.Default()}
 	w.rec = measure.New(s, w.plan)
 	if o.Operator != "" {
@@ -365,6 +368,7 @@
 			// sends it once more, on a new one.
 			req.Close = true
 			w.mu.Lock()
+			t.Note(w.now(), fmt.Sprintf("%s ended the connection (%v), asked once more", a.name, err), "")
 			a = w.agents[p.Agent]
 			w.mu.Unlock()
 			resp, err = a.client.Do(req)
@@ -504,7 +508,7 @@
 // startAgents starts all agents and waits until each is ready.
 func (w *world) startAgents() error {
 	n := w.s.Agents()
-	w.agents, w.turns = make([]*agentRun, n), make([]sync.Mutex, n)
+	w.agents, w.starts, w.turns = make([]*agentRun, n), make([]int, n), make([]sync.Mutex, n)
 	errs := make(chan error, n)
 	for i := range n {
 		go func() { errs <- w.startAgent(i) }()
@@ -516,6 +520,11 @@
 	return errors.Join(all...)
 }
 
+// lived notes what becomes of an agent; the lock is held.
+func (w *world) lived(a *agentRun, what string) {
+	w.lives = append(w.lives, fmt.Sprintf("%.1f ms: %s %s", w.now(), a.name, what))
+}
+
 // startAgent starts one, at the address that it had before if it had one.
 func (w *world) startAgent(i int) error {
 	listen := "127.0.0.1:0"
@@ -524,6 +533,8 @@
 		listen = old.listen
 	}
 	seed := law.Seed(w.o.Seed, fmt.Sprint("agent", i, w.asked))
+	w.starts[i]++
+	name := fmt.Sprintf("agent %d (start %d)", i, w.starts[i])
 	w.mu.Unlock()
 	if listen == "127.0.0.1:0" {
 		ln, err := net.Listen("tcp", listen)
@@ -537,7 +548,7 @@
 	if err != nil {
 		return err
 	}
-	a := &agentRun{listen: listen, base: "http://" + listen, client: newClient(w.s), since: w.now()}
+	a := &agentRun{name: name, listen: listen, base: "http://" + listen, client: newClient(w.s), since: w.now()}
 	if w.o.Binary == "" {
 		err = a.inside(w, i, text)
 	} else {
@@ -555,6 +566,7 @@
 	}
 	w.mu.Lock()
 	w.agents[i] = a
+	w.lived(a, "is ready")
 	w.mu.Unlock()
 	return nil
 }
--- a/internal/rig/lab/live/live_test.go
+++ b/internal/rig/lab/live/live_test.go
@@ -148,10 +148,18 @@
 server = "s-2"
 for = "200ms"
 `)
-	r, err := Play(t.Context(), s, Options{Seed: 1})
+	var played *world
+	r, err := Play(t.Context(), s, Options{Seed: 1, begun: func(w *world) { played = w }})
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer func() {
+		if t.Failed() {
+			played.mu.Lock()
+			defer played.mu.Unlock()
+			t.Logf("what became of agents:\n%s", strings.Join(played.lives, "\n"))
+		}
+	}()
 	m, err := model.Play(s, model.Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rig/lab/live/servers.go
+++ b/internal/rig/lab/live/servers.go
@@ -129,6 +129,11 @@
 		f.unused = false
 		wait += w.trip(zone, v) + w.trip(zone, v) + w.s.Servers[v.kind].Connect.Ms()
 	}
+	from := w.dialled[r.RemoteAddr] // empty: of a process
+	if from == "" {
+		from = r.RemoteAddr
+	}
+	t.Note(now, "by "+from, "")
 	w.rec.Sent(&t.Try, now, w.told(v, t, now), v.name, zone != v.zone)
 	w.rec.Over(&t.Try) // whether two are out is seen below
 	o := &out{v: v}
@@ -409,6 +414,11 @@
 		defer h.turns[i].Unlock()
 		h.mu.Lock()
 		a := h.agents[i]
+		how := "is told to end"
+		if killed {
+			how = "is killed"
+		}
+		h.lived(a, how)
 		h.mu.Unlock()
 		if killed {
 			a.mu.Lock()
@@ -418,6 +428,9 @@
 		} else {
 			a.stop()
 		}
+		h.mu.Lock()
+		h.lived(a, "has ended")
+		h.mu.Unlock()
 		if err := h.startAgent(i); err != nil && h.ctx.Err() == nil {
 			h.mu.Lock()
 			h.rec.Breach(h.now(), "an agent did not start again: "+strings.TrimSpace(err.Error()), nil)
