--- a/internal/rig/lab/live/agents.go
+++ b/internal/rig/lab/live/agents.go
@@ -77,7 +77,7 @@
 		IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
 }
 
-// wasKilled tells whether the agent was killed: what it held then is its clients' to ask again.
+// wasKilled tells whether the agent was killed.
 func (a *agentRun) wasKilled() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -130,6 +130,7 @@
 	byDial  map[string]*server
 	agents  []*agentRun
 	starts  []int             // by agent
+	kills   []int             // by agent: how often it was killed
 	lives   []string          // what became of agents, a line each, the oldest first
 	dialled map[string]string // which agent in this process has which end of a connection
 	tries   map[string]*try
@@ -336,7 +337,7 @@
 	w.mu.Lock()
 	w.rec.Start(&t.Try)
 	w.tries[t.ID] = t
-	a := w.agents[p.Agent]
+	a, kills := w.agents[p.Agent], w.kills[p.Agent]
 	w.mu.Unlock()
 	limit := deadline + slack
 	if p.Leaves > 0 && number == 0 {
@@ -363,13 +364,13 @@
 			req.Header.Set("Client-Retry", "1")
 		}
 		var resp *http.Response
-		if resp, err = a.client.Do(req); crossed(err) && at.Err() == nil && !a.wasKilled() {
+		if resp, err = a.client.Do(req); crossed(err) && at.Err() == nil && !w.killed(a, p.Agent, kills) {
 			// The agent may have closed its connection before it read this, as it may between requests: a client
 			// sends it once more, on a new one.
 			req.Close = true
 			w.mu.Lock()
 			t.Note(w.now(), fmt.Sprintf("%s ended the connection (%v), asked once more", a.name, err), "")
-			a = w.agents[p.Agent]
+			a, kills = w.agents[p.Agent], w.kills[p.Agent]
 			w.mu.Unlock()
 			resp, err = a.client.Do(req)
 		}
@@ -394,12 +395,13 @@
 			}
 		}
 	}
+	killed := w.killed(a, p.Agent, kills)
 	now = w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var dial *net.OpError
 	untaken := errors.As(err, &dial) && dial.Op == "dial" // its agent is being restarted
-	if err != nil && (ctx.Err() != nil || p.Leaves > 0 && number == 0 || a.wasKilled() || untaken) {
+	if err != nil && (ctx.Err() != nil || p.Leaves > 0 && number == 0 || killed || untaken) {
 		outcome = measure.Gone // the play ended, the client left, or its agent was killed
 	}
 	w.rec.End(&t.Try, now, outcome, outcome != measure.Served && outcome != measure.Gone && w.needless(t, now))
@@ -418,6 +420,15 @@
 	}
 }
 
+// killed tells whether an agent was killed that may have held a request: the run that its client asked, or
+// the one that had come in its place, at the same address, before the client knew. What it held is its client's to ask
+// again. kills is how often the agent had been killed as the client asked.
+func (w *world) killed(a *agentRun, agent int32, kills int) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return a.wasKilled() || w.kills[agent] != kills
+}
+
 // crossed tells whether a connection ended without a byte of an answer.
 func crossed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || err != nil && strings.Contains(err.Error(), "server closed idle connection")
@@ -508,7 +519,7 @@
 // startAgents starts all agents and waits until each is ready.
 func (w *world) startAgents() error {
 	n := w.s.Agents()
-	w.agents, w.starts, w.turns = make([]*agentRun, n), make([]int, n), make([]sync.Mutex, n)
+	w.agents, w.starts, w.kills, w.turns = make([]*agentRun, n), make([]int, n), make([]int, n), make([]sync.Mutex, n)
 	errs := make(chan error, n)
 	for i := range n {
 		go func() { errs <- w.startAgent(i) }()
--- a/internal/rig/lab/live/live_test.go
+++ b/internal/rig/lab/live/live_test.go
@@ -5,17 +5,22 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
+	"io"
 	"math"
 	"net"
 	"net/http"
 	"os"
 	"runtime"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"molepaddle/internal/rig/lab/law"
 	"molepaddle/internal/rig/lab/measure"
 	"molepaddle/internal/rig/lab/model"
+	"molepaddle/internal/rig/lab/station"
 	"molepaddle/internal/rig/scenario"
 )
 
@@ -284,3 +289,85 @@
 		t.Errorf("it is out for good, %v", err)
 	}
 }
+
+// door is an address whose first connection goes to one listener, the second to another.
+func door(t *testing.T, to ...string) string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for _, to := range to {
+			in, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			out, err := net.Dial("tcp", to)
+			if err != nil {
+				in.Close()
+				continue
+			}
+			go func() { io.Copy(out, in); out.Close() }()
+			go func() { io.Copy(in, out); in.Close() }()
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// What a killed agent held is not sent once more as if its connection had only crossed the request, also where its client
+// still knew the run that was there before it, at the same address.
+func TestKilledBeforeItsClientKnew(t *testing.T) {
+	type came struct {
+		sent    int
+		outcome measure.Outcome
+		story   string
+	}
+	told := make(chan came, 1)
+	s := small(t, "20.0", "")
+	for k := range s.Classes {
+		s.Classes[k].GiveUp = scenario.Duration(20 * time.Second)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	_, err := Play(ctx, s, Options{Seed: 1, begun: func(w *world) {
+		defer cancel() // nothing else is asked
+		ask := slices.IndexFunc(w.plan, func(p law.Ask) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.Leaves == 0 })
+		i := int(w.plan[ask].Agent)
+		w.mu.Lock()
+		for n := range w.servers { // long enough for the kill to come first
+			host{w}.Fault(n, station.Fault{Slow: 1000, Until: 60000})
+		}
+		now := w.agents[i]
+		before := &agentRun{name: "the run before", listen: now.listen, base: "http://" + door(t, now.listen, w.agents[1-i].listen), client: newClient(w.s)}
+		w.agents[i] = before
+		w.mu.Unlock()
+		defer before.client.CloseIdleConnections()
+		w.wg.Add(1)
+		ended := make(chan struct{})
+		go func() { defer close(ended); w.ask(t.Context(), ask, 7) }()
+		look := func() (c came) {
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			if k := w.tries[fmt.Sprint("r", ask, ".7")]; k != nil {
+				c = came{k.Attempts, k.Outcome, k.Story()}
+			}
+			return c
+		}
+		for end := time.Now().Add(5 * time.Second); look().sent == 0 && time.Now().Before(end); {
+			time.Sleep(time.Millisecond)
+		}
+		w.mu.Lock()
+		w.agents[i] = now
+		host{w}.Restart(i, true)
+		w.mu.Unlock()
+		<-ended
+		told <- look()
+	}})
+	if !errors.Is(err, context.Canceled) {
+		t.Fatal(err)
+	}
+	if c := <-told; c.sent != 1 || c.outcome != measure.Gone {
+		t.Errorf("sent %d times, %v: %s", c.sent, c.outcome, c.story)
+	}
+}
--- a/internal/rig/lab/live/servers.go
+++ b/internal/rig/lab/live/servers.go
@@ -417,13 +417,14 @@
 		how := "is told to end"
 		if killed {
 			how = "is killed"
+			h.kills[i]++
+			a.mu.Lock()
+			a.killed = true
+			a.mu.Unlock()
 		}
 		h.lived(a, how)
 		h.mu.Unlock()
 		if killed {
-			a.mu.Lock()
-			a.killed = true
-			a.mu.Unlock()
 			a.kill()
 		} else {
 			a.stop()
