--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -372,7 +372,9 @@
 			t.Note(w.now(), fmt.Sprintf("%s ended the connection (%v), asked once more", a.name, err), "")
 			a, kills = w.agents[p.Agent], w.kills[p.Agent]
 			w.mu.Unlock()
-			resp, err = a.client.Do(req)
+			once := newClient(w.s) // which has kept none
+			defer once.CloseIdleConnections()
+			resp, err = once.Do(req)
 		}
 		if err == nil {
 			var body []byte
@@ -399,6 +401,9 @@
 	now = w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
+	if err != nil {
+		t.Note(now, err.Error(), "")
+	}
 	var dial *net.OpError
 	untaken := errors.As(err, &dial) && dial.Op == "dial" // its agent is being restarted
 	if err != nil && (ctx.Err() != nil || p.Leaves > 0 && number == 0 || killed || untaken) {
--- a/internal/rig/lab/live/live_test.go
+++ b/internal/rig/lab/live/live_test.go
@@ -14,6 +14,8 @@
 	"runtime"
 	"slices"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -290,6 +292,72 @@
 	}
 }
 
+// A request whose connection its agent closed just then is sent once more on a connection of its own: another that was kept
+// may be closing just as well.
+func TestCrossedIsSentOnANewConnection(t *testing.T) {
+	s := small(t, "20.0", "")
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	story := make(chan string, 1)
+	_, err := Play(ctx, s, Options{Seed: 1, begun: func(w *world) {
+		defer cancel() // nothing else is asked
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		var both sync.WaitGroup // the first two connections are asked at once, so that both are kept
+		both.Add(2)
+		var came atomic.Int32
+		host := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+			if r.URL.Path == "/keep" {
+				both.Done()
+				both.Wait()
+				return
+			}
+			if kept, _ := r.Context().Value(firstKey{}).(bool); kept {
+				panic(http.ErrAbortHandler)
+			}
+			fmt.Fprint(rw, r.Header.Get("Request-Id"), " x")
+		}), ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
+			return context.WithValue(ctx, firstKey{}, came.Add(1) <= 2)
+		}}
+		go host.Serve(ln)
+		defer host.Close()
+		a := &agentRun{name: "one that ends", listen: ln.Addr().String(), base: "http://" + ln.Addr().String(), client: newClient(s)}
+		var asked sync.WaitGroup
+		for range 2 {
+			asked.Go(func() {
+				if resp, err := a.client.Get(a.base + "/keep"); err == nil {
+					io.Copy(io.Discard, resp.Body)
+					resp.Body.Close()
+				}
+			})
+		}
+		asked.Wait()
+		ask := slices.IndexFunc(w.plan, func(p law.Ask) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.Leaves == 0 })
+		i := w.plan[ask].Agent
+		w.mu.Lock()
+		now := w.agents[i]
+		w.agents[i] = a
+		w.mu.Unlock()
+		w.wg.Add(1)
+		w.ask(t.Context(), ask, 7)
+		a.client.CloseIdleConnections()
+		w.mu.Lock()
+		w.agents[i] = now
+		k := w.tries[fmt.Sprint("r", ask, ".7")]
+		story <- k.Outcome.String() + ": " + k.Story()
+		w.mu.Unlock()
+	}})
+	if !errors.Is(err, context.Canceled) {
+		t.Fatal(err)
+	}
+	if s := <-story; !strings.HasPrefix(s, "served") || strings.Count(s, "asked once more") != 1 {
+		t.Error(s)
+	}
+}
+
 // door is an address whose first connection goes to one listener, the second to another.
 func door(t *testing.T, to ...string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
