--- a/internal/process/seat/seat.go
+++ b/internal/process/seat/seat.go
@@ -249,6 +249,8 @@
 	s.machine.Tick()
 	if st := s.machine.Status(); st.Leader == st.ID {
 		s.lead(&st)
+	} else {
+		s.machine.Want(nil) // what it wanted as it led: when it leads again, others may be out
 	}
 	s.publish()
 }
