--- a/internal/core/part_test.go
+++ b/internal/core/part_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func (f *fakeEndpoint) Crowded(time.Time) { f.retire += 100 }
+func (e *fakeEndpoint) Crowded(time.Time) { e.retire += 100 }
 
 // A process that has just started gets nothing before the agent's turn, and something after,
 // with no word from the roster; a drain in between holds.
