--- /dev/null
+++ b/internal/codestyle/pages_test.go
@@ -0,0 +1,81 @@
+package codestyle
+
+import (
+	"go/ast"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// namingPages are the pages that name code, as `package.Name` or `package.Type.Member`.
+var namingPages = []string{"docs/ARCHITECTURE.md", "docs/GLOSSARY.md"}
+
+var codeName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]\\w*)(?:\\.([A-Za-z]\\w*))?`")
+
+// TestPagesNameWhatExists checks that what the pages name is declared, so that they can be relied on after a renaming.
+func TestPagesNameWhatExists(t *testing.T) {
+	declared := fleetDeclarations(t)
+	for _, page := range namingPages {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, page))
+		qt.Assert(t, err, qt.IsNil)
+		names := codeName.FindAllStringSubmatch(string(text), -1)
+		qt.Check(t, len(names) > 10, qt.IsTrue, qt.Commentf("%s names %d declarations", page, len(names)))
+		for _, name := range names {
+			if !declared.packages[name[1]] {
+				t.Errorf("%s: `%s`: no package %s in internal/fleet, and not policy", page, name[0], name[1])
+				continue
+			}
+			full := strings.Trim(name[0], "`")
+			if !declared.names[full] {
+				t.Errorf("%s: %s is not declared", page, full)
+			}
+		}
+	}
+}
+
+// declarations are packages by their name, and what they declare, as package.Name and package.Type.Member.
+type declarations struct {
+	packages map[string]bool
+	names    map[string]bool
+}
+
+// fleetDeclarations returns what the fleet's packages and policy declare.
+func fleetDeclarations(t *testing.T) declarations {
+	d := declarations{packages: map[string]bool{}, names: map[string]bool{}}
+	for _, file := range moduleFiles(t) {
+		if !strings.HasPrefix(file.path, "internal/fleet/") && !strings.HasPrefix(file.path, "policy/") {
+			continue
+		}
+		d.packages[file.syntax.Name.Name] = true
+		for _, decl := range file.syntax.Decls {
+			d.add(file.syntax.Name.Name, decl)
+		}
+	}
+	return d
+}
+
+func (d *declarations) add(pkg string, decl ast.Decl) {
+	put := func(owner string, name *ast.Ident) {
+		if owner == "" {
+			d.names[pkg+"."+name.Name] = true
+			return
+		}
+		d.names[pkg+"."+owner+"."+name.Name] = true
+	}
+	switch x := decl.(type) {
+	case *ast.FuncDecl:
+		owner := ""
+		if x.Recv != nil {
+			owner = receiverType(x)
+		}
+		put(owner, x.Name)
+	case *ast.GenDecl:
+		for _, spec := range x.Specs {
+			visitSpec(spec, put)
+		}
+	}
+}
