--- a/internal/fleet/statestore/transient_test.go
+++ b/internal/fleet/statestore/errors_test.go
@@ -11,18 +11,29 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// TestTransient tells a disk in trouble from what stays.
+// TestTransient: the errors of a failing disk are transient, those that stay until an operator acts are not.
 func TestTransient(t *testing.T) {
 	c := qt.New(t)
 	refused := func(number syscall.Errno) error {
 		return errors.Wrap(&os.PathError{Op: "open", Path: "control.db", Err: number}, "statestore: make folder")
 	}
-	for _, err := range []error{refused(syscall.ENOSPC), refused(syscall.EIO), refused(syscall.EROFS), refused(syscall.EMFILE),
-		errors.Wrap(sqlite3.Error{Code: sqlite3.ErrFull}, "commit"), errors.Wrap(sqlite3.Error{Code: sqlite3.ErrIoErr}, "check")} {
+	for _, err := range []error{
+		refused(syscall.ENOSPC),
+		refused(syscall.EIO),
+		refused(syscall.EROFS),
+		refused(syscall.EMFILE),
+		errors.Wrap(sqlite3.Error{Code: sqlite3.ErrFull}, "commit"),
+		errors.Wrap(sqlite3.Error{Code: sqlite3.ErrIoErr}, "check"),
+	} {
 		c.Check(Transient(err), qt.IsTrue, qt.Commentf("%v", err))
 	}
-	for _, err := range []error{nil, errors.New("schema 2 is newer than 1"), refused(syscall.EACCES), refused(syscall.ENOTDIR),
-		&UnusableError{File: "control.db", Err: sqlite3.Error{Code: sqlite3.ErrCorrupt}}} {
+	for _, err := range []error{
+		nil,
+		errors.New("schema 2 is newer than 1"),
+		refused(syscall.EACCES),
+		refused(syscall.ENOTDIR),
+		&UnusableError{File: "control.db", Err: sqlite3.Error{Code: sqlite3.ErrCorrupt}},
+	} {
 		c.Check(Transient(err), qt.IsFalse, qt.Commentf("%v", err))
 	}
 }
@@ -43,7 +54,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestOpenNewerSchema is an error that no wait mends.
+// TestOpenNewerSchema: a newer schema is an error that no waiting mends.
 func TestOpenNewerSchema(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
--- a/internal/fleet/statestore/folder.go
+++ b/internal/fleet/statestore/files.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-// syncPath puts a file or folder on the disk; a variable for tests alone.
+// syncPath syncs a file or directory to the disk; a variable for tests alone.
 var syncPath = func(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -17,7 +17,7 @@
 	return wrap(f.Sync(), "sync")
 }
 
-// makeDirDurable makes dir and what is missing above it, each on the disk before the next.
+// makeDirDurable makes dir and its missing parents, each on the disk before the next.
 func makeDirDurable(dir string) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -26,8 +26,8 @@
 	if info, err := os.Stat(dir); err == nil && info.IsDir() {
 		return nil
 	}
-	if above := filepath.Dir(dir); above != dir {
-		if err := makeDirDurable(above); err != nil {
+	if parent := filepath.Dir(dir); parent != dir {
+		if err := makeDirDurable(parent); err != nil {
 			return err
 		}
 	}
@@ -37,22 +37,24 @@
 	return syncPath(filepath.Dir(dir))
 }
 
+// journalSuffixes name SQLite's files beside the database.
 var journalSuffixes = []string{"-wal", "-shm", "-journal"}
 
-// syncExistingFiles puts what an earlier process left on the disk, before it is read: closing a file that SQLite has open would
+// syncExistingFiles syncs what an earlier process left, before it is read: closing a file that SQLite has open would
 // give up its locks.
 func syncExistingFiles(dir string) error {
 	path := filepath.Join(dir, fileName)
-	for _, tail := range append([]string{""}, journalSuffixes...) {
-		if err := syncPath(path + tail); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return errors.Wrap(err, path+tail)
+	for _, suffix := range append([]string{""}, journalSuffixes...) {
+		if err := syncPath(path + suffix); err != nil && !errors.Is(err, os.ErrNotExist) {
+			return errors.Wrap(err, path+suffix)
 		}
 	}
 	return wrap(syncPath(dir), dir)
 }
 
-// setAside renames the file, in the place of an older broken one, and removes its logs. The new name is on the disk before
-// they go: without them the file might be read whole as it was earlier, and promises would be forgotten.
+// setAside renames the file, over an older one that was set aside, and removes its journals. The new name is on the
+// disk before they go: without them the file might be read completely as it was earlier, and votes would be
+// forgotten.
 func setAside(dir string) error {
 	path := filepath.Join(dir, fileName)
 	if err := os.Rename(path, filepath.Join(dir, brokenName)); err != nil {
@@ -61,8 +63,8 @@
 	if err := syncPath(dir); err != nil {
 		return err
 	}
-	for _, tail := range journalSuffixes {
-		if err := os.Remove(path + tail); err != nil && !os.IsNotExist(err) {
+	for _, suffix := range journalSuffixes {
+		if err := os.Remove(path + suffix); err != nil && !os.IsNotExist(err) {
 			return errors.Wrap(err, "remove")
 		}
 	}
--- /dev/null
+++ b/internal/fleet/statestore/load.go
@@ -0,0 +1,139 @@
+package statestore
+
+import (
+	"context"
+	"database/sql"
+	"fmt"
+
+	"github.com/go-faster/errors"
+	"github.com/tinylib/msgp/msgp"
+
+	"molepaddle/internal/fleet/replication"
+)
+
+// loader gathers the rows of a file and checks that they belong together.
+type loader struct {
+	path     string
+	state    replication.PersistentState
+	snapshot replication.Snapshot
+	head     replication.Snapshot // stored newest change, without body
+	found    map[string]bool      // keys of the table part
+	last     replication.Snapshot // newest change so far, without body
+}
+
+// load reads everything. A row that is missing, damaged or unknown is an *UnusableError: acting on a state with holes
+// could break a promise that this machine has given.
+func (s *Store) load(ctx context.Context, path string) (replication.PersistentState, error) {
+	l := &loader{path: path, found: map[string]bool{}}
+	if err := s.query(ctx, path, "SELECT name, body, sum FROM part", l.takePart); err != nil {
+		return replication.PersistentState{}, err
+	}
+	if l.found[snapshotKey] {
+		l.state.Snapshot = &l.snapshot
+		l.last.Seq, l.last.Digest = l.snapshot.Seq, l.snapshot.Digest
+	}
+	if err := s.query(ctx, path, "SELECT seq, digest, body, sum FROM change ORDER BY seq", l.takeChange); err != nil {
+		return replication.PersistentState{}, err
+	}
+	if err := l.checkComplete(); err != nil {
+		return replication.PersistentState{}, err
+	}
+	return l.state, nil
+}
+
+// query hands each row of a query to take, until that fails.
+func (s *Store) query(ctx context.Context, path, query string, take func(*sql.Rows) error) error {
+	rows, err := s.conn.QueryContext(ctx, query)
+	if err != nil {
+		return classify(path, errors.Wrap(err, query))
+	}
+	defer func() { _ = rows.Close() }()
+	for rows.Next() {
+		if err := take(rows); err != nil {
+			return err
+		}
+	}
+	return classify(path, wrap(rows.Err(), query))
+}
+
+// target returns where the value of a key is decoded, nil for a key that is not known.
+func (l *loader) target(key string) msgp.Unmarshaler {
+	switch key {
+	case identityKey:
+		return &l.state.Identity
+	case viewKey:
+		return &l.state.View
+	case voteKey:
+		return &l.state.Vote
+	case replicaStateKey:
+		return &l.state.Replica
+	case snapshotKey:
+		return &l.snapshot
+	case headKey:
+		return &l.head
+	}
+	return nil
+}
+
+// takePart takes a row of the table part.
+func (l *loader) takePart(rows *sql.Rows) error {
+	var key string
+	var body []byte
+	var sum int64
+	if err := rows.Scan(&key, &body, &sum); err != nil {
+		return l.unusable("part", err)
+	}
+	row := "part " + key
+	if sum != partChecksum(key, body) {
+		return l.unusable(row, errors.New("checksum differs"))
+	}
+	target := l.target(key)
+	if target == nil {
+		return l.unusable(row, errors.New("unknown name"))
+	}
+	if rest, err := target.UnmarshalMsg(body); err != nil || len(rest) > 0 {
+		return l.unusable(row, errors.Errorf("decode: %v, %d bytes left", err, len(rest)))
+	}
+	l.found[key] = true
+	return nil
+}
+
+// takeChange takes a row of the table change, which follows on the one before.
+func (l *loader) takeChange(rows *sql.Rows) error {
+	var seq, digest, sum int64
+	var body []byte
+	if err := rows.Scan(&seq, &digest, &body, &sum); err != nil {
+		return l.unusable("change", err)
+	}
+	row := fmt.Sprintf("change %d", seq)
+	c := replication.Change{Seq: uint64(seq), Digest: uint64(digest), Body: body}
+	if sum != changeChecksum(c.Seq, c.Digest, body) {
+		return l.unusable(row, errors.New("checksum differs"))
+	}
+	if c.Seq != l.last.Seq+1 || c.Digest != replication.ChainDigest(l.last.Digest, c.Seq, body) {
+		return l.unusable(row, errors.Errorf("doesn't follow %d", l.last.Seq))
+	}
+	l.last.Seq, l.last.Digest = c.Seq, c.Digest
+	l.state.Changes = append(l.state.Changes, c)
+	return nil
+}
+
+// checkComplete finds what the rows by themselves don't show: the end of the log or a key that is missing.
+func (l *loader) checkComplete() error {
+	if l.last.Seq != l.head.Seq || l.last.Digest != l.head.Digest {
+		return l.unusable("", errors.Errorf("the record ends at %d instead of %d", l.last.Seq, l.head.Seq))
+	}
+	if len(l.found) == 0 {
+		return nil // nothing was saved yet
+	}
+	for _, key := range []string{identityKey, viewKey, voteKey, replicaStateKey} {
+		if !l.found[key] {
+			return l.unusable("part "+key, errors.New("missing"))
+		}
+	}
+	return nil
+}
+
+func (l *loader) unusable(row string, err error) error {
+	return &UnusableError{File: l.path, Row: row, Err: err}
+}
--- a/internal/fleet/statestore/power_test.go
+++ b/internal/fleet/statestore/powerloss_test.go
@@ -14,7 +14,7 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-const sector = 512 // a disk writes such pieces whole, in any order, until it is told to sync
+const sector = 512 // bytes that a disk writes as one, in any order, until it syncs
 
 // files is what is in a folder.
 type files map[string][]byte
@@ -37,9 +37,9 @@
 	for name, b := range f {
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
 	}
-	a, st := open2(c, dir)
-	c.Assert(a.SetAsideCause(), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
+	store, st := mustOpen(c, dir)
+	c.Assert(store.SetAsideCause(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	return st
 }
 
@@ -67,12 +67,13 @@
 	c := qt.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
-	fill(c, a)
-	_, err := a.conn.ExecContext(context.Background(), "PRAGMA wal_autocheckpoint=16") // often, so that files stay small
+	store, _ := mustOpen(c, dir)
+	fill(c, store)
+	// Checkpoints come often, so that files stay small.
+	_, err := store.conn.ExecContext(context.Background(), "PRAGMA wal_autocheckpoint=16")
 	c.Assert(err, qt.IsNil)
 	var level int // the copies below can't tell whether a commit is synced
-	c.Assert(a.conn.QueryRowContext(context.Background(), "PRAGMA synchronous").Scan(&level), qt.IsNil)
+	c.Assert(store.conn.QueryRowContext(context.Background(), "PRAGMA synchronous").Scan(&level), qt.IsNil)
 	c.Assert(level, qt.Equals, 2)
 	before := readFiles(c, dir)
 	last := openFiles(c, before)
@@ -89,7 +90,7 @@
 			digest = replication.ChainDigest(digest, seq, body)
 			w.Changes = []replication.Change{{Seq: seq, Digest: digest, Body: body}}
 		}
-		c.Assert(a.Save(w), qt.IsNil)
+		c.Assert(store.Save(w), qt.IsNil)
 		after := readFiles(c, dir)
 		next := openFiles(c, after)
 		c.Assert(next.Vote, qt.DeepEquals, *w.Vote)
@@ -118,14 +119,14 @@
 	}
 	t.Logf("%d times the log went back, %d times it began anew, %d torn Saves count as done", moved, anew, taken)
 	c.Assert(moved > 1 && anew > 1 && taken > 1, qt.IsTrue)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
 // TestPowerLostAtFirst: what a loss of power leaves of a store that was being made is an empty disk, not a lost one.
 func TestPowerLostAtFirst(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
+	store, _ := mustOpen(c, dir)
 	made := readFiles(c, dir)
 	wal := made[fileName+"-wal"]
 	cases := []files{{}, {fileName: nil}, {fileName: made[fileName]}, {fileName + "-wal": wal}}
@@ -135,10 +136,10 @@
 	for i, f := range cases {
 		c.Assert(openFiles(c, f), qt.DeepEquals, replication.PersistentState{}, qt.Commentf("case %d", i))
 	}
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
-// watchSyncs notes what is put on the disk by the archive itself.
+// watchSyncs calls see for what the store itself syncs.
 func watchSyncs(c *qt.C, see func(path string)) {
 	c.Patch(&syncPath, func(path string) error {
 		if _, err := os.Stat(path); err != nil {
@@ -157,29 +158,29 @@
 	dir := filepath.Join(top, "a", "b")
 	var synced []string
 	watchSyncs(c, func(path string) { synced = append(synced, path) })
-	a, _ := open2(c, dir)
+	store, _ := mustOpen(c, dir)
 	c.Assert(synced, qt.DeepEquals, []string{top, filepath.Join(top, "a"), dir})
-	fill(c, a)
+	fill(c, store)
 	left := readFiles(c, dir)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	for name, b := range left { // as a killed process leaves it
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
 	}
 	synced = nil
-	a, _ = open2(c, dir)
+	store, _ = mustOpen(c, dir)
 	c.Assert(synced, qt.DeepEquals, []string{filepath.Join(dir, fileName), filepath.Join(dir, fileName+"-wal"), dir})
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestSetAsideInOrder: the logs of a broken file are there until its new name is on the disk, as without them it might be
-// read whole as it was before.
+// TestSetAsideInOrder: the logs of a broken file are there until its new name is on the disk, as without them it
+// might be read completely as it was before.
 func TestSetAsideInOrder(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
-	fill(c, a)
+	store, _ := mustOpen(c, dir)
+	fill(c, store)
 	left := readFiles(c, dir)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	for name, b := range left {
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
 	}
--- a/internal/fleet/statestore/worn_test.go
+++ b/internal/fleet/statestore/setaside_test.go
@@ -10,55 +10,62 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// TestOtherAddress: what a machine at another address left is no state of this one. It is set aside whole, and this machine has a lost
-// disk, at its next start too.
+// TestOtherAddress: what a machine at another address left is no state of this one. It is set aside complete, and this
+// machine has a lost disk, at its next start too.
 func TestOtherAddress(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
-	want := fill(c, a)
-	c.Assert(a.Close(), qt.IsNil)
+	store, _ := mustOpen(c, dir)
+	want := fill(c, store)
+	c.Assert(store.Close(), qt.IsNil)
 	for range 2 {
-		a, st, err := OpenFor(dir, "10.0.0.9:7000")
+		store, st, err := OpenFor(dir, "10.0.0.9:7000")
 		c.Assert(err, qt.IsNil)
 		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true})
-		c.Assert(a.Close(), qt.IsNil)
+		c.Assert(store.Close(), qt.IsNil)
 	}
 	kept, err := os.ReadFile(filepath.Join(dir, brokenName))
 	c.Assert(err, qt.IsNil)
 	c.Assert(openFiles(c, files{fileName: kept}), qt.DeepEquals, want)
 
-	a, st, err := OpenFor(dir, "10.0.0.9:7000")
+	store, st, err := OpenFor(dir, "10.0.0.9:7000")
 	c.Assert(err, qt.IsNil)
 	c.Assert(st.DiskLost, qt.IsTrue)
 	identity := replication.Identity{ID: "b2", Addr: "10.0.0.9:7000"}
-	c.Assert(a.Save(&replication.Write{Reset: true, Identity: &identity, View: &st.View, Vote: &st.Vote, Replica: &st.Replica}), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
-	a, st, err = OpenFor(dir, "10.0.0.9:7000")
+	c.Assert(store.Save(&replication.Write{
+		Reset:    true,
+		Identity: &identity,
+		View:     &st.View,
+		Vote:     &st.Vote,
+		Replica:  &st.Replica,
+	}), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	store, st, err = OpenFor(dir, "10.0.0.9:7000")
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.SetAsideCause(), qt.IsNil)
+	c.Assert(store.SetAsideCause(), qt.IsNil)
 	c.Assert(st.Identity, qt.Equals, identity)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestFilesApart: a store of which one file is missing or is of another time is a state that was saved once, or a lost or empty disk;
-// never a mixture.
+// TestFilesApart: a store of which one file is missing or is of another time is a state that was saved once, or a
+// lost or empty disk; never a mixture.
 func TestFilesApart(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
-	fill(c, a)
+	store, _ := mustOpen(c, dir)
+	fill(c, store)
 	const wal = fileName + "-wal"
 	times := []files{}
 	states := []replication.PersistentState{{}, {DiskLost: true}}
 	for i := range 16 {
 		vote := replication.Vote{Promised: replication.Ballot{N: uint64(10 + i), ID: "a1"}}
-		w := &replication.Write{Vote: &vote, Snapshot: &replication.Snapshot{Seq: uint64(5 + i), Digest: uint64(i), Body: make([]byte, 40_000)}}
-		c.Assert(a.Save(w), qt.IsNil)
+		snapshot := &replication.Snapshot{Seq: uint64(5 + i), Digest: uint64(i), Body: make([]byte, 40_000)}
+		w := &replication.Write{Vote: &vote, Snapshot: snapshot}
+		c.Assert(store.Save(w), qt.IsNil)
 		now := readFiles(c, dir)
 		times, states = append(times, now), append(states, openFiles(c, now))
 	}
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	saved := func(st replication.PersistentState) bool {
 		for i := range states {
 			if st.Vote == states[i].Vote && st.DiskLost == states[i].DiskLost {
@@ -69,19 +76,21 @@
 	}
 	for i, one := range times {
 		c.Assert(saved(openEither(c, files{fileName: one[fileName]})), qt.IsTrue, qt.Commentf("without its log, %d", i))
-		c.Assert(openEither(c, files{wal: one[wal]}), qt.DeepEquals, replication.PersistentState{}, qt.Commentf("a log alone, %d", i))
+		alone := openEither(c, files{wal: one[wal]})
+		c.Assert(alone, qt.DeepEquals, replication.PersistentState{}, qt.Commentf("a log alone, %d", i))
 		other := times[(i*7+3)%len(times)]
-		c.Assert(saved(openEither(c, files{fileName: one[fileName], wal: other[wal]})), qt.IsTrue, qt.Commentf("a log of another time, %d", i))
+		mixed := openEither(c, files{fileName: one[fileName], wal: other[wal]})
+		c.Assert(saved(mixed), qt.IsTrue, qt.Commentf("a log of another time, %d", i))
 	}
 }
 
-// openEither opens a store that has these files, whole or not.
+// openEither opens a store that has these files, complete or not.
 func openEither(c *qt.C, f files) replication.PersistentState {
 	dir := c.TempDir()
 	for name, b := range f {
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
 	}
-	a, st := open2(c, dir)
-	c.Assert(a.Close(), qt.IsNil)
+	store, st := mustOpen(c, dir)
+	c.Assert(store.Close(), qt.IsNil)
 	return st
 }
--- a/internal/fleet/statestore/statestore_test.go
+++ b/internal/fleet/statestore/statestore_test.go
@@ -13,7 +13,7 @@
 )
 
 // fill saves a first start, a snapshot at 2 and two changes, and returns what must be loaded.
-func fill(c *qt.C, a *Store) replication.PersistentState {
+func fill(c *qt.C, store *Store) replication.PersistentState {
 	st := replication.PersistentState{
 		Identity: replication.Identity{ID: "a1", Addr: "10.0.0.1:7000", Joined: true},
 		View: replication.View{
@@ -23,7 +23,7 @@
 		Vote:    replication.Vote{Promised: replication.Ballot{N: 4, ID: "a1"}},
 		Replica: replication.ReplicaState{RecordEpoch: 3, InSyncEpoch: 3, Committed: 2},
 	}
-	c.Assert(a.Save(&replication.Write{
+	c.Assert(store.Save(&replication.Write{
 		Reset: true, Identity: &st.Identity, View: &st.View, Vote: &st.Vote, Replica: &st.Replica,
 	}), qt.IsNil)
 	var all []replication.Change
@@ -35,57 +35,58 @@
 	}
 	st.Snapshot = &replication.Snapshot{Seq: 2, Digest: all[1].Digest, Body: []byte("two")}
 	st.Changes = all[2:]
-	c.Assert(a.Save(&replication.Write{Changes: all[:2]}), qt.IsNil)
-	c.Assert(a.Save(&replication.Write{Snapshot: st.Snapshot, Changes: all[2:3]}), qt.IsNil)
-	c.Assert(a.Save(&replication.Write{Changes: all[3:]}), qt.IsNil)
+	c.Assert(store.Save(&replication.Write{Changes: all[:2]}), qt.IsNil)
+	c.Assert(store.Save(&replication.Write{Snapshot: st.Snapshot, Changes: all[2:3]}), qt.IsNil)
+	c.Assert(store.Save(&replication.Write{Changes: all[3:]}), qt.IsNil)
 	return st
 }
 
-func open2(c *qt.C, dir string) (*Store, replication.PersistentState) {
-	a, st, err := Open(dir)
+// mustOpen opens a store that has to open.
+func mustOpen(c *qt.C, dir string) (*Store, replication.PersistentState) {
+	store, st, err := Open(dir)
 	c.Assert(err, qt.IsNil)
-	return a, st
+	return store, st
 }
 
 func TestRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	dir := filepath.Join(c.TempDir(), "data # 1%")
-	a, st := open2(c, dir)
+	store, st := mustOpen(c, dir)
 	c.Assert(st, qt.DeepEquals, replication.PersistentState{})
-	want := fill(c, a)
-	c.Assert(a.Close(), qt.IsNil)
-	a, st = open2(c, dir)
-	c.Assert(a.SetAsideCause(), qt.IsNil)
+	want := fill(c, store)
+	c.Assert(store.Close(), qt.IsNil)
+	store, st = mustOpen(c, dir)
+	c.Assert(store.SetAsideCause(), qt.IsNil)
 	c.Assert(st, qt.DeepEquals, want)
 
 	// The same write again equals once; a reset drops all.
 	again := &replication.Write{Changes: want.Changes[1:], Replica: &replication.ReplicaState{RecordEpoch: 9}}
-	c.Assert(a.Save(again), qt.IsNil)
-	c.Assert(a.Save(again), qt.IsNil)
+	c.Assert(store.Save(again), qt.IsNil)
+	c.Assert(store.Save(again), qt.IsNil)
 	again = &replication.Write{Snapshot: want.Snapshot, Changes: want.Changes}
-	c.Assert(a.Save(again), qt.IsNil)
-	c.Assert(a.Save(again), qt.IsNil)
-	c.Assert(a.Save(nil), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Save(again), qt.IsNil)
+	c.Assert(store.Save(again), qt.IsNil)
+	c.Assert(store.Save(nil), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	want.Replica = replication.ReplicaState{RecordEpoch: 9}
-	a, st = open2(c, dir)
+	store, st = mustOpen(c, dir)
 	c.Assert(st, qt.DeepEquals, want)
 	id := replication.Identity{ID: "a2", Addr: "10.0.0.1:7000"}
-	c.Assert(a.Save(&replication.Write{
+	c.Assert(store.Save(&replication.Write{
 		Reset: true, Identity: &id, View: &want.View, Vote: &replication.Vote{}, Replica: &replication.ReplicaState{},
 	}), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
-	a, st = open2(c, dir)
+	c.Assert(store.Close(), qt.IsNil)
+	store, st = mustOpen(c, dir)
 	c.Assert(st, qt.DeepEquals, replication.PersistentState{Identity: id, View: want.View})
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
 // TestKilled: what was saved is there when the process dies without closing; no shared memory file is used.
 func TestKilled(t *testing.T) {
 	c := qt.New(t)
 	dir, copied := c.TempDir(), c.TempDir()
-	a, _ := open2(c, dir)
-	want := fill(c, a)
+	store, _ := mustOpen(c, dir)
+	want := fill(c, store)
 	files, err := os.ReadDir(dir)
 	c.Assert(err, qt.IsNil)
 	for _, f := range files {
@@ -94,14 +95,14 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(os.WriteFile(filepath.Join(copied, f.Name()), body, 0o644), qt.IsNil)
 	}
-	b, st := open2(c, copied)
+	b, st := mustOpen(c, copied)
 	c.Assert(st, qt.DeepEquals, want)
 	c.Assert(b.Close(), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestBrokenRow: a row that was changed, one that is missing and one that nobody knows are reported by name, and the disk
-// counts as lost until something is saved.
+// TestBrokenRow: a row that was changed, one that is missing and one that nobody knows are reported by name, and the
+// disk counts as lost until something is saved.
 func TestBrokenRow(t *testing.T) {
 	for query, report := range map[string]string{
 		"UPDATE change SET body = zeroblob(100) WHERE seq = 4":  ".*control.db: row change 4: checksum differs",
@@ -115,23 +116,23 @@
 	} {
 		c := qt.New(t)
 		dir := c.TempDir()
-		a, _ := open2(c, dir)
-		fill(c, a)
-		_, err := a.conn.ExecContext(context.Background(), query)
+		store, _ := mustOpen(c, dir)
+		fill(c, store)
+		_, err := store.conn.ExecContext(context.Background(), query)
 		c.Assert(err, qt.IsNil)
-		c.Assert(a.Close(), qt.IsNil)
-		a, st := open2(c, dir)
+		c.Assert(store.Close(), qt.IsNil)
+		store, st := mustOpen(c, dir)
 		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true}, qt.Commentf(query))
-		c.Assert(a.SetAsideCause(), qt.ErrorMatches, report)
-		c.Assert(a.Close(), qt.IsNil)
-		a, st = open2(c, dir)
+		c.Assert(store.SetAsideCause(), qt.ErrorMatches, report)
+		c.Assert(store.Close(), qt.IsNil)
+		store, st = mustOpen(c, dir)
 		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true})
-		c.Assert(a.SetAsideCause(), qt.IsNil)
-		want := fill(c, a)
-		c.Assert(a.Close(), qt.IsNil)
-		a, st = open2(c, dir)
+		c.Assert(store.SetAsideCause(), qt.IsNil)
+		want := fill(c, store)
+		c.Assert(store.Close(), qt.IsNil)
+		store, st = mustOpen(c, dir)
 		c.Assert(st, qt.DeepEquals, want)
-		c.Assert(a.Close(), qt.IsNil)
+		c.Assert(store.Close(), qt.IsNil)
 	}
 }
 
@@ -149,16 +150,16 @@
 		},
 		func([]byte) []byte { return []byte("no database") },
 	} {
-		a, _ := open2(c, dir)
-		fill(c, a)
-		c.Assert(a.Close(), qt.IsNil)
+		store, _ := mustOpen(c, dir)
+		fill(c, store)
+		c.Assert(store.Close(), qt.IsNil)
 		body, err := os.ReadFile(path)
 		c.Assert(err, qt.IsNil)
 		c.Assert(os.WriteFile(path, tear(body), 0o644), qt.IsNil)
-		a, st := open2(c, dir)
+		store, st := mustOpen(c, dir)
 		c.Assert(st, qt.DeepEquals, replication.PersistentState{DiskLost: true}, qt.Commentf("tear %d", i))
-		c.Assert(a.SetAsideCause(), qt.ErrorMatches, "(?s).*control.db: .*")
-		c.Assert(a.Close(), qt.IsNil)
+		c.Assert(store.SetAsideCause(), qt.ErrorMatches, "(?s).*control.db: .*")
+		c.Assert(store.Close(), qt.IsNil)
 		files, err := filepath.Glob(filepath.Join(dir, "*"+".broken*"))
 		c.Assert(err, qt.IsNil)
 		c.Assert(files, qt.HasLen, 1)
@@ -169,39 +170,39 @@
 func TestFullDisk(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
-	want := fill(c, a)
-	_, err := a.conn.ExecContext(context.Background(), "PRAGMA max_page_count=20")
+	store, _ := mustOpen(c, dir)
+	want := fill(c, store)
+	_, err := store.conn.ExecContext(context.Background(), "PRAGMA max_page_count=20")
 	c.Assert(err, qt.IsNil)
 	w := &replication.Write{
 		Replica:  &replication.ReplicaState{RecordEpoch: 8},
 		Snapshot: &replication.Snapshot{Seq: 9, Digest: 9, Body: bytes.Repeat([]byte{1}, 300_000)},
 	}
-	c.Assert(a.Save(w), qt.ErrorMatches, "statestore: save: .*full.*")
-	c.Assert(a.Save(w), qt.ErrorMatches, "statestore: save: .*full.*")
-	_, err = a.conn.ExecContext(context.Background(), "PRAGMA max_page_count=100000")
+	c.Assert(store.Save(w), qt.ErrorMatches, "statestore: save: .*full.*")
+	c.Assert(store.Save(w), qt.ErrorMatches, "statestore: save: .*full.*")
+	_, err = store.conn.ExecContext(context.Background(), "PRAGMA max_page_count=100000")
 	c.Assert(err, qt.IsNil)
-	st, err := a.load(context.Background(), fileName)
+	st, err := store.load(context.Background(), fileName)
 	c.Assert(err, qt.IsNil)
 	c.Assert(st, qt.DeepEquals, want)
-	c.Assert(a.Save(w), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
-	a, st = open2(c, dir)
+	c.Assert(store.Save(w), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	store, st = mustOpen(c, dir)
 	c.Assert(st.Snapshot, qt.DeepEquals, w.Snapshot)
 	c.Assert(st.Replica, qt.Equals, *w.Replica)
 	c.Assert(st.Changes, qt.HasLen, 0)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
 // TestSize: many snapshots of one size don't grow the files beyond some times that size.
 func TestSize(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
-	fill(c, a)
+	store, _ := mustOpen(c, dir)
+	fill(c, store)
 	const size = 2 << 20
 	for i := range 20 {
-		c.Assert(a.Save(&replication.Write{
+		c.Assert(store.Save(&replication.Write{
 			Snapshot: &replication.Snapshot{Seq: uint64(i), Body: bytes.Repeat([]byte{byte(i)}, size)},
 		}), qt.IsNil)
 	}
@@ -214,17 +215,17 @@
 		total += info.Size()
 	}
 	c.Assert(total < 4*size+1<<20, qt.IsTrue, qt.Commentf("%d bytes", total))
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
 // TestNewerSchema: a file of a newer program isn't taken for broken.
 func TestNewerSchema(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, _ := open2(c, dir)
-	_, err := a.conn.ExecContext(context.Background(), "PRAGMA user_version = 2")
+	store, _ := mustOpen(c, dir)
+	_, err := store.conn.ExecContext(context.Background(), "PRAGMA user_version = 2")
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	_, _, err = Open(dir)
 	c.Assert(err, qt.ErrorMatches, ".*newer.*")
 }
@@ -233,7 +234,7 @@
 func TestMachine(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
-	a, st := open2(c, dir)
+	store, st := mustOpen(c, dir)
 	n := uint64(0)
 	opt := replication.Options{
 		Self: replication.Member{Addr: "10.0.0.1:7000"}, Seeds: []string{"10.0.0.1:7000"}, Bootstrap: true,
@@ -243,23 +244,23 @@
 	app := &text{}
 	m, err := replication.New(opt, st, app)
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.Save(m.Tick(0).Write), qt.IsNil)
-	c.Assert(a.Save(m.Tick(m.NextTick()).Write), qt.IsNil)
+	c.Assert(store.Save(m.Tick(0).Write), qt.IsNil)
+	c.Assert(store.Save(m.Tick(m.NextTick()).Write), qt.IsNil)
 	c.Assert(m.Status().Ready, qt.IsTrue)
 	out := m.Propose(1, 77, []byte("x"))
-	c.Assert(a.Save(out.Write), qt.IsNil)
+	c.Assert(store.Save(out.Write), qt.IsNil)
 	c.Assert(out.Answer, qt.DeepEquals, []replication.Answer{{Token: 77, Result: replication.Committed, Seq: 1}})
-	c.Assert(a.Close(), qt.IsNil)
-	a, st = open2(c, dir)
+	c.Assert(store.Close(), qt.IsNil)
+	store, st = mustOpen(c, dir)
 	app = &text{}
 	opt.Bootstrap = false
 	m, err = replication.New(opt, st, app)
 	c.Assert(err, qt.IsNil)
 	c.Assert(app.all, qt.Equals, "x")
-	c.Assert(a.Save(m.Tick(0).Write), qt.IsNil)
+	c.Assert(store.Save(m.Tick(0).Write), qt.IsNil)
 	c.Assert(m.Status().Ready, qt.IsTrue)
 	c.Assert(m.Status().Epoch, qt.Equals, uint64(2))
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
 
 type text struct{ all string }
