--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -47,8 +47,8 @@
 	{"an order that was given up may still arrive", "^TestOrderGivenUpIsReset$", map[string][]string{fileBackend: {"tcp.SetLinger(0)", "tcp.SetLinger(-1)"}}},
 	{"an order is for whoever has the address", "^TestOrderSays$", map[string][]string{fileBackend: {"req.Header.Set(HeaderTargetBackend, o.BackendID)", "_ = o.BackendID"}}},
 	{"an order that is cut off has been answered", "^TestOrderIsSentOnce$", map[string][]string{fileBackend: {"io.LimitReader(resp.Body, maxReportBytes)); err != nil {", "io.LimitReader(resp.Body, maxReportBytes)); err == nil && false {"}}},
-	{"a frame that is cut off is taken", "^TestResponsesCutOff$", map[string][]string{fileFrame: {"io.ReadFull(r, b[at:]); err != nil {", "io.ReadFull(r, b[at:]); err != nil && len(b) == 0 {"}}},
-	{"a link goes on after a frame that is cut off", "^TestResponsesCutOff$", map[string][]string{fileLink: {"\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\treturn err\n", "\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\tcontinue\n"}}},
+	{"a frame that is cut off is taken", "^TestTruncatedResponses$", map[string][]string{fileFrame: {"io.ReadFull(r, b[at:]); err != nil {", "io.ReadFull(r, b[at:]); err != nil && len(b) == 0 {"}}},
+	{"a link goes on after a frame that is cut off", "^TestTruncatedResponses$", map[string][]string{fileLink: {"\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\treturn err\n", "\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\tcontinue\n"}}},
 	{"a change that is cut off has been acknowledged", "^TestAnswersCutOff$", map[string][]string{fileClient: {"if errors.Is(err, io.EOF) {", "if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {"}}},
 	{"tries share a connection", "^TestSurplusAnswersCountForNothing$", map[string][]string{fileClient: {"DisableKeepAlives: true, ", ""}}},
 }
