--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	fileSending = "sending.go"
+	fileSending = "requestwrite.go"
 	fileLend    = "../../protocol/transport/lend.go"
 	fileBackend = "../externalapi/backend.go"
 	fileFrame   = "../distribution/frame.go"
--- a/internal/fleet/proxy/leaks_test.go
+++ b/internal/fleet/proxy/leaks_test.go
@@ -39,13 +39,13 @@
 	fileEnclosure = "../residency/residency.go"
 	fileEnclosed  = "enclosed.go"
 	fileExchange  = "exchange.go"
-	fileServe     = "serve.go"
-	fileBody      = "body.go"
-	fileAnswer    = "answer.go"
+	fileServe     = "reverseproxy.go"
+	fileBody      = "requestbody.go"
+	fileAnswer    = "responses.go"
 	fileService   = "service.go"
 	filePlace     = "place.go"
-	fileGenerate  = "generate.go"
-	fileStream    = "stream.go"
+	fileGenerate  = "generation.go"
+	fileStream    = "streaming.go"
 	fileFeed      = "feed.go"
 )
 
