--- a/internal/fleet/proxy/clientconn.go
+++ b/internal/fleet/proxy/clientconn.go
@@ -9,22 +9,33 @@
 )
 
 const (
-	// defaultHeaderTimeout and defaultIdleTimeout are how long a client may take to send a request's head, and leave a connection idle,
-	// where the configuration's caps don't say.
-	defaultHeaderTimeout, defaultIdleTimeout = 3 * time.Second, 15 * time.Second
+	// defaultHeaderTimeout is how long a client may take to send a request's head, where the configuration doesn't say.
+	defaultHeaderTimeout = 3 * time.Second
+	// defaultIdleTimeout is how long a client may leave a connection idle, where the configuration doesn't say.
+	defaultIdleTimeout = 15 * time.Second
 	// maxHeaderBytes bounds a request's head, in bytes.
 	maxHeaderBytes = 32 << 10
 )
 
-// clientServer is the server at the edge.
+// clientTimeouts returns how long clients may take for a request's head and leave a connection idle.
+type clientTimeouts func() (header, idle time.Duration)
+
+// clientServer returns the server for clients. Its connections are to come from a clientListener.
 func (p *Proxy) clientServer() *http.Server {
-	return &http.Server{Handler: p, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: zap.NewStdLog(p.log), ConnState: markIdle}
+	return &http.Server{
+		Handler:           p,
+		ReadHeaderTimeout: defaultHeaderTimeout,
+		IdleTimeout:       defaultIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          zap.NewStdLog(p.log),
+		ConnState:         markIdle,
+	}
 }
 
-// prefillTargetMs is how long clients may take for a head and leave a connection idle, by the caps in force.
+// clientTimeouts returns the time-outs of the configuration in force.
 func (p *Proxy) clientTimeouts() (header, idle time.Duration) {
-	header, idle = defaultHeaderTimeout, defaultIdleTimeout
+	header = defaultHeaderTimeout
+	idle = defaultIdleTimeout
 	snapshot := p.snapshot.Load()
 	if snapshot == nil || snapshot.limits == nil {
 		return header, idle
@@ -38,10 +49,10 @@
 	return header, idle
 }
 
-// clientListener gives clients' connections the patience that is in force at the time.
+// clientListener gives clients' connections the time-outs that are in force at the time.
 type clientListener struct {
 	net.Listener
-	timeouts func() (head, rest time.Duration)
+	timeouts clientTimeouts
 }
 
 // Accept waits for the next connection.
@@ -53,11 +64,11 @@
 	return &clientConn{Conn: c, timeouts: l.timeouts}, nil
 }
 
-// clientConn is a client's connection. http.Server's time-outs are fixed once it serves, and those of the configuration
-// change: where the server sets a deadline by its own time-outs, this sets it by the ones in force.
+// clientConn is a client's connection. The time-outs of http.Server are fixed once it serves, while those of the
+// configuration change: where the server sets a deadline by its own time-outs, this sets it by the ones in force.
 type clientConn struct {
 	net.Conn
-	timeouts func() (head, rest time.Duration)
+	timeouts clientTimeouts
 	idle     bool // between requests; the goroutine that serves the connection has it
 }
 
@@ -68,18 +79,20 @@
 	}
 }
 
-// SetReadDeadline sets the deadline; one that is to come is moved to what the caps give for the connection's stage.
+// SetReadDeadline sets the deadline; one that is to come is moved to what the time-outs in force give for the
+// connection's stage.
 func (c *clientConn) SetReadDeadline(at time.Time) error {
 	now := time.Now()
-	if at.After(now) {
-		header, idle := c.timeouts()
-		if c.idle {
-			at = now.Add(idle)
-		} else {
-			at = now.Add(header)
-		}
-		c.idle = false
+	if !at.After(now) {
+		return c.Conn.SetReadDeadline(at)
+	}
+	header, idle := c.timeouts()
+	if c.idle {
+		at = now.Add(idle)
+	} else {
+		at = now.Add(header)
 	}
+	c.idle = false
 	return c.Conn.SetReadDeadline(at)
 }
 
