--- a/internal/fleet/proxy/clientconn.go
+++ b/internal/fleet/proxy/clientconn.go
@@ -72,7 +72,8 @@
 	idle     bool // between requests; the goroutine that serves the connection has it
 }
 
-// markIdle is the server's ConnState hook. For an idle connection the server calls it right before it sets the deadline.
+// markIdle is the server's ConnState hook. For an idle connection the server calls it right before it sets the
+// deadline.
 func markIdle(c net.Conn, state http.ConnState) {
 	if client, ok := c.(*clientConn); ok && state == http.StateIdle {
 		client.idle = true
--- /dev/null
+++ b/internal/fleet/proxy/decode.go
@@ -0,0 +1,193 @@
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/scheduler"
+	"molepaddle/policy"
+)
+
+const (
+	// maxBufferedAnswer bounds an answer that is relayed once it is complete, in bytes.
+	maxBufferedAnswer = 8 << 20
+	// rejectionTimeout bounds the rest of an answer that is no stream.
+	rejectionTimeout = time.Second
+)
+
+// decodeAttempt is an attempt at a decode backend, whose answer is a stream.
+type decodeAttempt struct {
+	attempt
+	pl          placement
+	prompt      *scheduler.Prompt
+	handle      *kvHandle // that the backend is to take over; nil: it prefills the prompt itself
+	relay       streamRelay
+	thresholdMs float64 // beyond which the first event counts as slow
+	record      *attemptRecord
+
+	startedAt    time.Time
+	firstEventAt time.Time
+	gotEvent     bool
+	prefillMs    float64 // that the backend's own prefill took; 0: there was none
+}
+
+// priority returns the urgency that a backend is told. A request whose KV cache waits elsewhere goes first: that cache
+// is lost to others meanwhile, expires, and its prefill was paid for. Then the operator's rank decides.
+func (cr *clientRequest) priority(staged bool) int {
+	if staged {
+		return 0
+	}
+	return min(cr.route.Priority+1, maxPriority)
+}
+
+// streamFrom sends a generation to the decode backend of its placement and relays the stream; nil: the client has its
+// answer. A stream that breaks off within its answer goes on from another backend, or panics with
+// http.ErrAbortHandler.
+func (cr *clientRequest) streamFrom(
+	ctx context.Context,
+	pl *placement,
+	prompt *scheduler.Prompt,
+	handle *kvHandle,
+) error {
+	a := cr.newDecodeAttempt(pl, prompt, handle)
+	defer a.recordEnd()
+	headerDone := cr.svc.awaitHeader(a.pl.decode.ID)
+	e, err := a.send(ctx)
+	headerDone(err == nil)
+	if err != nil {
+		return err
+	}
+	cr.svc.recordLoad(a.pl.decode.ID, e.resp.Header.Get(externalapi.HeaderBackendLoad))
+	if e.resp.StatusCode >= http.StatusMultipleChoices || !relayable(e.resp) {
+		return a.relayRejection(e)
+	}
+	a.recordTransfer(true)
+	cr.svc.recordShed(a.pl.decode.ID, false)
+	return a.relayStream(ctx, e)
+}
+
+// newDecodeAttempt begins an attempt as the outlier detection counts it.
+func (cr *clientRequest) newDecodeAttempt(pl *placement, prompt *scheduler.Prompt, handle *kvHandle) decodeAttempt {
+	staged := handle != nil
+	startedAt := time.Now()
+	threshold := cr.svc.firstEventThresholdMs(cr, staged, pl.prefillMs)
+	return decodeAttempt{
+		attempt: attempt{
+			cr:     cr,
+			permit: pl.decodePermit,
+			opts:   attemptOptions{deadline: cr.deadline, priority: cr.priority(staged), handle: handle},
+			status: policy.OK,
+		},
+		pl:          *pl,
+		prompt:      prompt,
+		handle:      handle,
+		relay:       streamRelay{cr: cr, backendID: pl.decode.ID},
+		thresholdMs: threshold,
+		record:      cr.svc.beginAttempt(pl.decode.ID, threshold),
+		startedAt:   startedAt,
+	}
+}
+
+// relayRejection reads an answer that is no stream; nil: the client has it.
+func (a *decodeAttempt) relayRejection(e *exchange) error {
+	cr := a.cr
+	resp := e.resp
+	e.setReadDeadline(time.Now().Add(rejectionTimeout))
+	body, err := e.readAll(maxBufferedAnswer)
+	if err != nil {
+		return a.fail(attemptStatus(true, err), err)
+	}
+	if saysNotRun(resp) {
+		cr.svc.recordShed(a.pl.decode.ID, true)
+		a.recordTransfer(false)
+		return a.rejected(resp)
+	}
+	err = a.fail(policy.Error, errors.Errorf("status %d", resp.StatusCode))
+	if resp.StatusCode < http.StatusMultipleChoices || cr.retryAvailable() {
+		return err
+	}
+	cr.writeAnswer(resp, body)
+	return nil
+}
+
+// relayStream relays the stream; an error: the client has nothing of it.
+func (a *decodeAttempt) relayStream(ctx context.Context, e *exchange) error {
+	cr := a.cr
+	err := a.relay.copyEvents(ctx, e, a.firstEvent)
+	if err == nil {
+		cr.proxy.countAnswer(http.StatusOK)
+		a.recordDecoded()
+		return nil
+	}
+	err = a.fail(attemptStatus(true, err), err)
+	if !a.relay.headerSent {
+		return err
+	}
+	if ctx.Err() == nil && !errors.Is(err, errClientGone) && cr.route.Resumable {
+		if cr.resume(ctx, &a.relay, a.prompt) {
+			return nil
+		}
+	}
+	cr.proxy.countAnswer(0)
+	panic(http.ErrAbortHandler) // an answer that ends early must not look complete
+}
+
+// firstEvent notes that the first event has come.
+func (a *decodeAttempt) firstEvent() {
+	a.gotEvent = true
+	a.firstEventAt = time.Now()
+	a.record.headerReceived()
+	if a.pl.promptTokens > 0 {
+		a.prefillMs = milliseconds(time.Since(a.startedAt))
+	}
+}
+
+// recordTransfer counts whether the decode backend took over a KV handle, for the ranking of the one that holds it.
+func (a *decodeAttempt) recordTransfer(taken bool) {
+	if a.handle == nil {
+		return
+	}
+	svc := a.cr.svc
+	svc.mu.Lock()
+	svc.ranker.TransferEnded(svc.now(), a.handle.from.ID, taken)
+	svc.mu.Unlock()
+}
+
+// recordDecoded counts how long the decode of such a prompt took.
+func (a *decodeAttempt) recordDecoded() {
+	svc := a.cr.svc
+	svc.mu.Lock()
+	svc.engines.ObserveDecode(a.cr.route.Name, a.prompt, milliseconds(time.Since(a.firstEventAt)))
+	svc.mu.Unlock()
+}
+
+// recordEnd counts how the attempt ended and how fast it was.
+func (a *decodeAttempt) recordEnd() {
+	svc := a.cr.svc
+	id := a.pl.decode.ID
+	staged := a.handle != nil
+	speed, paced := svc.recordStream(a.cr, staged, a.thresholdMs, a.firstEventAt.Sub(a.startedAt), &a.relay)
+	a.record.finish(a.status, speed, paced)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	svc.engines.PrefillEnded(id, a.pl.promptTokens, a.prefillMs)
+	svc.engines.RequestEnded(id)
+	switch {
+	case staged && a.gotEvent:
+		took := milliseconds(a.firstEventAt.Sub(a.startedAt))
+		svc.engines.ObserveTransfer(svc.now(), a.handle.from.ID, id, a.prompt, took, true)
+	case staged && a.sent:
+		took := milliseconds(time.Since(a.startedAt))
+		svc.engines.ObserveTransfer(svc.now(), a.handle.from.ID, id, a.prompt, took, false)
+	case !staged && !a.gotEvent:
+		svc.engines.InvalidateCache(id, a.prompt)
+	}
+	svc.ranker.AttemptEnded(svc.now(), id, a.status)
+}
+
+// milliseconds returns a duration in milliseconds, to the microsecond.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/fleet/proxy/departure.go
+++ b/internal/fleet/proxy/departure.go
@@ -100,7 +100,11 @@
 	}
 	cr.proxy.shutdown.rejected.Add(1)
 	retryAfter := cr.proxy.shutdown.retryAfter(now, cr.snapshot.proxies/max(len(cr.proxy.settings.Zones), 1))
-	cr.proxy.reject(cr.w, http.StatusServiceUnavailable, retryAfter, "this proxy is leaving: the answer may take longer than it stays")
+	cr.proxy.writeError(cr.w, &rejection{
+		status:     http.StatusServiceUnavailable,
+		retryAfter: retryAfter,
+		reason:     "this proxy is leaving: the answer may take longer than it stays",
+	})
 	return true
 }
 
--- /dev/null
+++ b/internal/fleet/proxy/errors.go
@@ -0,0 +1,118 @@
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/residency"
+	"molepaddle/policy"
+)
+
+// Errors of an attempt.
+var (
+	errForeignAnswer    = errors.New("the answer belongs to no request of ours")
+	errAnswerTimeout    = errors.New("no answer in time")
+	errConnect          = errors.New("no connection")
+	errIncompleteAnswer = errors.New("the answer is not whole")
+	// errBackendFull ends an attempt whose backend said that it did not run the request.
+	errBackendFull = errors.New("backends are full")
+	// errClientGone ends a stream that its client no longer reads: nobody needs the rest of it. It counts as
+	// cancelled, which says nothing about the backend.
+	errClientGone = errors.Wrap(context.Canceled, "the client has left")
+)
+
+// Errors of a choice of backends.
+var (
+	errNoBackend      = errors.New("no backend")
+	errPrefillTooLate = errors.New("all that read prompts have too much to read")
+)
+
+// errBodyTooLarge is the error of a body above the limit in force.
+var errBodyTooLarge = errors.New("body too large")
+
+// rejection is the error of a request that the proxy answers itself. The status says whether the client may send the
+// request again: see impliesNotRun.
+type rejection struct {
+	status int
+	// retryAfter is when the client should come back, in the answer's Retry-After; 0: not said.
+	retryAfter time.Duration
+	// reason is the body of the answer.
+	reason string
+	// closeConn closes the client's connection after the answer, where the rest of a body is still to come.
+	closeConn bool
+}
+
+// Error returns the reason, which is the body of the answer.
+func (e *rejection) Error() string { return e.reason }
+
+// writeError answers a request with an error: a rejection with the status and the advice that it carries, any other
+// with 500. It counts the answer.
+func (p *Proxy) writeError(w http.ResponseWriter, err error) {
+	var r *rejection
+	if !errors.As(err, &r) {
+		r = &rejection{status: http.StatusInternalServerError, reason: err.Error()}
+	}
+	if r.closeConn {
+		w.Header().Set("Connection", "close")
+	}
+	if r.retryAfter > 0 {
+		w.Header().Set(externalapi.HeaderRetryAfter, strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
+	}
+	p.countAnswer(r.status)
+	http.Error(w, r.reason, r.status)
+}
+
+// rejectionFor returns the rejection of a request that no backend has answered. Its status is one that lets the client
+// send the request again only where no backend may have run it, now or later.
+func (cr *clientRequest) rejectionFor(err error) *rejection {
+	reason := err.Error()
+	if terms := cr.terms(); terms.Restricted() {
+		reason = cr.svc.residencyText(cr.subject, terms) + ": " + reason
+	}
+	switch {
+	case cr.mayHaveRun && time.Until(cr.deadline) <= 0:
+		return &rejection{status: http.StatusGatewayTimeout, reason: reason}
+	case cr.mayHaveRun:
+		return &rejection{status: http.StatusBadGateway, reason: reason}
+	}
+	return &rejection{
+		status:     http.StatusServiceUnavailable,
+		retryAfter: max(cr.retryAfter, minRetryAfter),
+		reason:     reason,
+	}
+}
+
+// attemptFailure is the error that a request ends with after its last attempt ended with err.
+func attemptFailure(err error) error {
+	if errors.Is(err, errBackendFull) {
+		return err
+	}
+	return errors.Wrap(err, "backend")
+}
+
+// attemptStatus classifies the end of an attempt for the ranking of backends; wrote: a byte of the request may have
+// gone out.
+func attemptStatus(wrote bool, err error) policy.Status {
+	switch {
+	case err == nil:
+		return policy.OK
+	case errors.Is(err, context.Canceled) || errors.Is(err, residency.ErrOutside):
+		return policy.Cancelled
+	case errors.Is(err, errAnswerTimeout) || errors.Is(err, context.DeadlineExceeded):
+		return policy.Timeout
+	case !wrote:
+		return policy.ConnectFailed
+	}
+	return policy.Reset
+}
+
+// isTimeout reports whether a deadline, a connection's or a context's, ended an operation.
+func isTimeout(err error) bool {
+	var t interface{ Timeout() bool }
+	return errors.As(err, &t) && t.Timeout()
+}
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -5,8 +5,6 @@
 	"io"
 	"math"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/go-faster/errors"
@@ -16,120 +14,34 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// outboundRequest is a client's request as every backend gets it.
-type outboundRequest struct {
-	id     string
-	method string
-	target string // as it came
-	host   string
-	header http.Header // of the client, without what concerns one connection
-	body   []byte
-}
-
-// Hop is the header fields that concern one connection only (RFC 9110, 7.6.1).
-var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization", "Content-Length"}
-
-// dropHopByHop takes out what concerns one connection only.
-func dropHopByHop(h http.Header) {
-	for _, line := range h["Connection"] {
-		for name := range strings.SplitSeq(line, ",") {
-			h.Del(strings.TrimSpace(name))
-		}
-	}
-	for _, name := range hopByHopHeaders {
-		delete(h, name)
-	}
-}
+const (
+	// maxSurplus bounds the answers to earlier requests that are read past on a connection, and maxSurplusBody the body
+	// of each, in bytes.
+	maxSurplus     = 3
+	maxSurplusBody = 1 << 20
+	// maxInterim bounds the 1xx answers ahead of an answer.
+	maxInterim = 8
+	// maxAnswerHead bounds the head of an answer, with the 1xx answers ahead of it, in bytes.
+	maxAnswerHead = 64 << 10
+)
 
-// attemptOptions is what one send adds to a message.
-type attemptOptions struct {
-	target   string    // id of the backend, the permit's
-	deadline time.Time // when the work is of no use any more
-	stage    string
-	handle   *kvHandle // that is to be taken; nil: none
-	lastID   string
-	priority int // -1: none
-}
+// pastDeadline is a deadline that has passed: it wakes who reads or writes.
+var pastDeadline = time.Unix(1, 0)
 
-// copyHeader words the request for a backend.
-func (o *outboundRequest) encode(opts *attemptOptions) []byte {
-	b := make([]byte, 0, 768+len(o.body))
-	b = append(b, o.method...)
-	b = append(b, ' ')
-	b = append(b, o.target...)
-	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, o.host...)
-	b = append(b, "\r\n"...)
-	line := func(key, value string) {
-		b = append(b, key...)
-		b = append(b, ": "...)
-		b = append(b, value...)
-		b = append(b, "\r\n"...)
-	}
-	for key, values := range o.header {
-		switch key {
-		case externalapi.HeaderDeadlineMs, externalapi.HeaderTargetBackend, externalapi.HeaderStage, externalapi.HeaderKVFrom, externalapi.HeaderPriority, "Host":
-			continue
-		case externalapi.HeaderLastEventID:
-			if opts.lastID != "" {
-				continue
-			}
-		}
-		for _, v := range values {
-			line(key, v)
-		}
-	}
-	line(externalapi.HeaderDeadlineMs, strconv.FormatInt(max(time.Until(opts.deadline).Milliseconds(), 1), 10))
-	line(externalapi.HeaderTargetBackend, opts.target)
-	if opts.stage != "" {
-		line(externalapi.HeaderStage, opts.stage)
-	}
-	if opts.handle != nil {
-		line(externalapi.HeaderKVFrom, opts.handle.permit.Address()+"/"+opts.handle.ref)
-	}
-	if opts.lastID != "" {
-		line(externalapi.HeaderLastEventID, opts.lastID)
-	}
-	if opts.priority >= 0 {
-		line(externalapi.HeaderPriority, strconv.Itoa(min(opts.priority, 9)))
-	}
-	if len(o.body) > 0 || o.method != http.MethodGet && o.method != http.MethodHead {
-		line("Content-Length", strconv.Itoa(len(o.body)))
-	}
-	b = append(b, "\r\n"...)
-	return append(b, o.body...)
-}
-
-// exchange is one send to one backend, and its answer.
+// exchange is one request to one backend, and its response, on one connection. It belongs to the goroutine that serves
+// the client's request; when ctx ends, that goroutine is woken from its reads and writes.
 type exchange struct {
-	ctx       context.Context // the send's: when it ends, whoever reads is woken
-	conn      *transport.Lent
+	ctx       context.Context
+	conn      *transport.Lent // nil once it has been given back or closed
 	write     *requestWrite
 	resp      *http.Response
-	stopWatch func() bool
-	sentAt    time.Time
+	stopWatch func() bool // ends the watch over ctx
 	permit    residency.Permit
-	tracked   *trackedSend // what the send is known by where its request is enclosed; nil: it is not
+	tracked   *trackedSend // nil where the request may go to any region
 }
 
-var (
-	errForeignAnswer    = errors.New("the answer belongs to no request of ours")
-	errAnswerTimeout    = errors.New("no answer in time")
-	errConnect          = errors.New("no connection")
-	errIncompleteAnswer = errors.New("the answer is not whole")
-)
-
-const (
-	// maxSurplus bounds the answers to earlier requests that are read past on a connection, and maxSurplusBody the body of each.
-	maxSurplus, maxSurplusBody = 3, 1 << 20
-	// maxInterim bounds the 1xx answers ahead of an answer.
-	maxInterim = 8
-	// maxAnswerHead bounds the head of an answer, with the 1xx answers ahead of it, in bytes.
-	maxAnswerHead = 64 << 10
-)
-
-// setReadDeadline bounds the reads that follow. A send that has ended stays so: its end may have come between two reads, and a new
-// bound would undo what is to wake the next.
+// setReadDeadline bounds the reads that follow. A send that has ended stays so: its end may have come between two
+// reads, and a new bound would undo what is to wake the next.
 func (e *exchange) setReadDeadline(by time.Time) {
 	_ = e.conn.SetReadDeadline(by)
 	if e.ctx.Err() != nil {
@@ -137,10 +49,20 @@
 	}
 }
 
-// startExchange sends the message and reads the head of its answer. wrote tells whether a byte may have gone out: else
-// the backend has not run it; a backend may act on a request before it has all of it. When ctx ends the connection is closed under whoever reads from it. The terms of the request
-// are checked here again, for the backend and for where a handle lies, and watched until the exchange ends.
-func (cr *clientRequest) startExchange(ctx context.Context, permit residency.Permit, out *outboundRequest, opts *attemptOptions, connectDeadline, headerDeadline time.Time) (e *exchange, wrote bool, err error) {
+// startExchange sends a request to the backend of the permit and reads the head of its answer. wrote reports whether a
+// byte may have gone out: a backend may act on a request before it has all of it, and has not run it only where none
+// went. The connection is looked for until connectDeadline, the head waited for until headerDeadline; when ctx ends,
+// whoever reads from the connection is woken.
+//
+// The residency terms are checked here again, for the backend and for where a KV handle lies, and are watched until the
+// exchange ends: between the choice of the backend and now the configuration may have changed.
+func (cr *clientRequest) startExchange(
+	ctx context.Context,
+	permit residency.Permit,
+	out *outboundRequest,
+	opts *attemptOptions,
+	connectDeadline, headerDeadline time.Time,
+) (e *exchange, wrote bool, err error) {
 	opts.target = permit.ID()
 	ctx, tracked, err := cr.track(ctx, permit, opts)
 	if err != nil {
@@ -159,7 +81,12 @@
 		}
 		return nil, false, errors.Wrap(errors.Join(errConnect, err), "connect")
 	}
-	e = &exchange{ctx: ctx, conn: conn, sentAt: time.Now(), permit: permit, tracked: tracked}
+	e = &exchange{
+		ctx:     ctx,
+		conn:    conn,
+		permit:  permit,
+		tracked: tracked,
+	}
 	e.stopWatch = context.AfterFunc(ctx, func() { _ = conn.Conn.SetDeadline(pastDeadline) })
 	if wrote, err = e.roundTrip(out, opts, headerDeadline); err != nil {
 		e.stopWatch()
@@ -175,7 +102,11 @@
 }
 
 // roundTrip sends the request and reads the head of its answer; wrote: a byte of the request may have gone out.
-func (e *exchange) roundTrip(out *outboundRequest, opts *attemptOptions, headerDeadline time.Time) (wrote bool, err error) {
+func (e *exchange) roundTrip(
+	out *outboundRequest,
+	opts *attemptOptions,
+	headerDeadline time.Time,
+) (wrote bool, err error) {
 	if err := e.conn.SetDeadline(headerDeadline); err != nil {
 		return false, err
 	}
@@ -196,10 +127,11 @@
 	return true, nil
 }
 
-// receiveHeader reads the head of the answer to the message, past 1xx answers and surplus answers to earlier requests of the
-// connection. What can't be told to be the answer to this very message is errForeignAnswer.
+// receiveHeader reads the head of the answer to the request, past 1xx answers and surplus answers to earlier
+// requests of the connection. What can't be shown to be the answer to this very request is errForeignAnswer: passed
+// on, it would give one client the data of another.
 func (e *exchange) receiveHeader(out *outboundRequest) error {
-	fresh := !e.conn.Reused // nothing but this message was ever sent on the connection
+	fresh := !e.conn.Reused // nothing but this request was ever sent on the connection
 	interim := 0
 	e.conn.Bound(maxAnswerHead)
 	for surplus := 0; surplus <= maxSurplus; {
@@ -243,17 +175,21 @@
 	return errForeignAnswer
 }
 
-// owner is whose answer one is, by the attempt ids in its head.
+// owner is which request an answer belongs to, by the attempt ids in its head.
 type owner int
 
 const (
+	// ownerThisRequest is an answer to the request that was sent.
 	ownerThisRequest owner = iota
-	ownerOther             // another request's
-	ownerUnnamed           // it names none
-	ownerAmbiguous         // it names several
+	// ownerOther is an answer to another request.
+	ownerOther
+	// ownerUnnamed is an answer that names no request.
+	ownerUnnamed
+	// ownerAmbiguous is an answer that names several requests.
+	ownerAmbiguous
 )
 
-// ownerOf tells whose answer one is.
+// ownerOf returns which request an answer belongs to, seen from the request with the attempt id.
 func ownerOf(resp *http.Response, id string) owner {
 	ids := resp.Header[externalapi.HeaderAttemptID]
 	if len(ids) == 0 {
@@ -270,7 +206,8 @@
 	return ownerThisRequest
 }
 
-// finish gives the connection back if the answer was read whole and all of the request has gone out, else closes it.
+// finish gives the connection back if the answer was read completely and all of the request has gone out, else closes
+// it. Later calls do nothing.
 func (e *exchange) finish(complete bool) {
 	if e.conn == nil {
 		return
@@ -285,13 +222,14 @@
 	e.tracked.end(true)
 }
 
-// reusable tells whether another request may follow on the connection. Where a part of this one is still to go out, the
-// backend would take the next for that part. A surplus answer to a HEAD has no end that could be found.
+// reusable reports whether another request may follow on the connection. Where a part of this one is still to go out,
+// the backend would take the next for that part. A surplus answer to a HEAD has no end that could be found.
 func (e *exchange) reusable() bool {
 	return !e.resp.Close && e.resp.Request.Method != http.MethodHead && e.write.complete()
 }
 
-// abort closes the connection; when it returns no byte of the request goes out any more. broke tells that no answer came.
+// abort closes the connection; when it returns, no byte of the request goes out any more. noAnswer says that no answer
+// came, which the pool counts against the backend's connections.
 func (e *exchange) abort(noAnswer bool) {
 	e.conn.Drop(noAnswer)
 	e.conn = nil
@@ -300,7 +238,8 @@
 	}
 }
 
-// readAll reads an answer whole, bounded; the connection is given back.
+// readAll reads an answer completely, of at most limit bytes, and finishes the exchange. The error is
+// errResidencyWithdrawn where the exchange was cancelled for that, else errIncompleteAnswer with its cause.
 func (e *exchange) readAll(limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(e.resp.Body, limit+1))
 	if err == nil && int64(len(b)) > limit {
--- a/internal/fleet/proxy/generation.go
+++ b/internal/fleet/proxy/generation.go
@@ -2,210 +2,160 @@
 
 import (
 	"context"
-	"encoding/json"
-	"net/http"
 	"time"
 
-	"github.com/go-faster/errors"
-
-	"molepaddle/internal/fleet/externalapi"
 	"molepaddle/internal/fleet/residency"
 	"molepaddle/internal/fleet/scheduler"
-	"molepaddle/policy"
 )
 
-// kvHandle is where a prompt's memory lies.
-type kvHandle struct {
-	ref    string
-	from   *backend
-	permit residency.Permit // for from
-	tokens int
-}
-
-// maxHandleAnswerBytes bounds the answer that names a handle.
-const maxHandleAnswerBytes = 64 << 10
+// maxPrefills is how often the prompt of one request is prefilled apart from its decode: after that, where it fails,
+// the decode backend prefills it.
+const maxPrefills = 2
 
-// prefill has a backend read the prompt and keep its memory for the taker; reached: the call may have come there.
-func (cr *clientRequest) prefill(ctx context.Context, b *backend, permit residency.Permit, prompt *scheduler.Prompt, home bool, expectedMs float64, deadline time.Time) (handle *kvHandle, reached bool, err error) {
-	cr.svc.mu.Lock()
-	tokens := cr.svc.engines.PrefillStarted(b.ID, prompt, home)
-	cr.svc.ranker.AttemptStarted(b.ID)
-	cr.svc.mu.Unlock()
-	took := 0.0
-	status := policy.OK
-	bound := cr.slowThresholdMs(expectedMs)
-	record := cr.svc.beginAttempt(b.ID, bound)
-	defer func() {
-		record.finish(status, speedOf(took, expectedMs, bound), false)
-		cr.svc.mu.Lock()
-		cr.svc.engines.PrefillEnded(b.ID, tokens, took)
-		cr.svc.engines.RequestEnded(b.ID)
-		if took == 0 {
-			cr.svc.engines.InvalidateCache(b.ID, prompt)
-		}
-		cr.svc.ranker.AttemptEnded(cr.svc.now(), b.ID, status)
-		cr.svc.mu.Unlock()
-	}()
-	opts := attemptOptions{deadline: cr.deadline, stage: externalapi.PhasePrefill, priority: cr.priority(false)}
-	e, wrote, err := cr.startExchange(ctx, permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)
-	if err != nil {
-		status = attemptStatus(wrote, err)
-		return nil, wrote, err
-	}
-	resp := e.resp
-	cr.svc.recordLoad(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
-	body, err := e.readAll(maxHandleAnswerBytes)
-	var answer struct {
-		Ref    string `json:"kv_ref"`
-		Tokens int    `json:"ntok"`
-	}
-	switch {
-	case err != nil:
-		status = attemptStatus(true, err)
-		return nil, true, err
-	case saysNotRun(resp):
-		status = policy.Full
-		return nil, true, errors.Errorf("prefill: status %d", resp.StatusCode)
-	case resp.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || !validID(answer.Ref):
-		status = policy.Error
-		return nil, true, errors.Errorf("prefill: status %d", resp.StatusCode)
-	}
-	took = record.headerReceived()
-	return &kvHandle{ref: answer.Ref, from: b, permit: permit, tokens: answer.Tokens}, true, nil
+// generation is the serving of one request whose tokens come as a stream: its prompt is prefilled at one backend and
+// decoded at another, or both at one.
+type generation struct {
+	cr     *clientRequest
+	prompt *scheduler.Prompt
+	// handle names the prompt's KV cache that waits for its decode backend; nil: there is none.
+	handle *kvHandle
+	// split says that the prompt may be prefilled apart from its decode, and prefills how often that came to nothing.
+	split    bool
+	prefills int
 }
 
-// releaseTimeout bounds the call that frees a handle, and releaseOverrun how much longer than its request's time that call may take.
-const releaseTimeout, releaseOverrun = time.Second, 400 * time.Millisecond
-
-// releaseHandle gives memory back that nobody will take.
-func (cr *clientRequest) releaseHandle(handle *kvHandle) {
-	proxy := cr.proxy
-	proxy.background.Go(func() {
-		ctx, cancel := context.WithTimeout(proxy.ctx, releaseTimeout)
-		defer cancel()
-		out := outboundRequest{id: cr.outbound.id, method: externalapi.CallFreeKVHandle.Method, target: externalapi.CallFreeKVHandle.Path + handle.ref, host: handle.from.Address}
-		until := time.Now().Add(releaseTimeout)
-		if latest := cr.deadline.Add(releaseOverrun); latest.Before(until) {
-			until = latest // nobody is handed much more time than the client gave
-		}
-		opts := attemptOptions{deadline: until, priority: -1}
-		e, _, err := cr.startExchange(ctx, handle.from.endpoint.ReleasePermit(), &out, &opts, time.Now().Add(connectTimeout), time.Now().Add(releaseTimeout))
-		if err == nil {
-			_, _ = e.readAll(maxHandleAnswerBytes)
-		}
-	})
-}
-
-// serveGeneration serves a request whose tokens come as a stream.
-func (cr *clientRequest) serveGeneration(ctx context.Context, prompt *scheduler.Prompt) {
-	split, reads := true, 0
-	var handle *kvHandle // memory of the prompt that waits for its taker
-	defer func() {
-		if handle != nil {
-			cr.releaseHandle(handle)
-		}
-	}()
+// serveGeneration serves a request whose tokens come as a stream, from one placement after another until one answers.
+// The error is why none did.
+func (cr *clientRequest) serveGeneration(ctx context.Context, prompt *scheduler.Prompt) error {
+	g := generation{cr: cr, prompt: prompt, split: true}
+	defer g.releaseHandle()
 	for {
-		var pl placement
-		ok := false
-		terms := cr.terms()
-		if handle != nil && handle.permit.Check(terms) != nil {
-			// Its region was withdrawn while it waited: the prompt is read anew, inside.
-			cr.releaseHandle(handle)
-			handle = nil
-			reads++
-			split = reads < 2 && cr.takeExtraSend()
-		}
-		if handle != nil {
-			pl, ok = cr.svc.selectDecoder(handle.from, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, terms)
-		} else {
-			pl, ok = cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, split, terms)
+		pl, err := g.place()
+		if err != nil {
+			return err
 		}
-		if !ok {
-			cr.answerFailure(ctx, "no backend")
-			return
-		}
-		if handle == nil && cr.prefillTooLate(&pl) {
-			cr.undoPlacement(pl, prompt)
-			cr.retryAfter = max(cr.retryAfter, time.Duration(pl.prefillMs)*time.Millisecond-time.Until(cr.deadline))
-			cr.answerFailure(ctx, "all that read prompts have too much to read")
-			return
-		}
-		if pl.prefill != nil && handle == nil {
-			var err error
-			began := time.Now()
-			reached := false
-			if handle, reached, err = cr.prefill(ctx, pl.prefill, pl.prefillPermit, prompt, pl.atHome, pl.prefillMs, cr.prefillDeadline(pl.prefillMs)); err != nil {
-				cr.undoPlacement(pl, prompt)
-				if ctx.Err() != nil {
-					if time.Until(cr.deadline) > 0 {
-						cr.abortClient()
-					}
-					cr.answerFailure(ctx, failureText(err))
-					return
-				}
-				// Another backend reads it; a call that came to nothing is one beyond the first, and counts as such.
-				cr.tried[pl.prefill.ID] = true
-				if reached {
-					reads++
-				}
-				split = reads < 2
-				if reached && !cr.takeExtraSend() || len(cr.tried) > maxBackendsTried {
-					cr.answerFailure(ctx, failureText(err))
-					return
-				}
+		if pl.prefill != nil && g.handle == nil {
+			retry, err := g.prefill(ctx, &pl)
+			if retry {
 				continue
 			}
-			cr.svc.recordPrefill(pl.prefillMs, time.Since(began))
+			if err != nil {
+				return attemptFailure(err)
+			}
 		}
 		cr.tried[pl.decode.ID] = true
 		sends := cr.sends
-		done, err := cr.streamFrom(ctx, pl, prompt, handle)
-		if done {
-			handle = nil // taken
-			return
-		}
-		if ctx.Err() != nil && time.Until(cr.deadline) > 0 {
-			cr.abortClient()
+		err = cr.streamFrom(ctx, &pl, prompt, g.handle)
+		if err == nil {
+			g.handle = nil // the decode backend has taken it over
+			return nil
 		}
-		if cr.sends == sends && len(cr.tried) < maxBackendsTried && time.Until(cr.deadline) > connectTimeout {
-			continue // none has seen it: there was no way to that backend
+		cr.abortIfClientGone(ctx)
+		if cr.canReroute(sends) {
+			continue
 		}
-		paid := false
-		if handle != nil {
-			// What was sent with it has spoilt it, whether or not that came to anything. Reading the prompt again takes one
-			// more send than reading it where its tokens are made.
-			cr.tried[handle.from.ID] = true
-			cr.releaseHandle(handle)
-			handle = nil
-			reads++
-			split = reads < 2 && cr.retryPossible() && cr.takeExtraSends(2)
-			paid = split
+		if !g.takeRetry() {
+			return attemptFailure(err)
 		}
-		if !paid && !cr.takeRetry() {
-			cr.answerFailure(ctx, failureText(err))
-			return
+	}
+}
+
+// place selects where the prompt is prefilled and decoded, or only where it is decoded if it has been prefilled.
+func (g *generation) place() (placement, error) {
+	cr := g.cr
+	terms := cr.terms()
+	g.dropWithdrawnHandle(terms)
+	target := cr.route.LatencyTarget()
+	if g.handle != nil {
+		pl, ok := cr.svc.selectDecoder(g.handle.from, cr.retryable(), g.prompt, target, cr.tried, terms)
+		if !ok {
+			return pl, errNoBackend
 		}
+		return pl, nil
+	}
+	pl, ok := cr.svc.selectPlacement(cr.route.Name, cr.retryable(), g.prompt, target, cr.tried, g.split, terms)
+	if !ok {
+		return pl, errNoBackend
 	}
+	if cr.prefillTooLate(&pl) {
+		cr.undoPlacement(&pl)
+		missing := time.Duration(pl.prefillMs)*time.Millisecond - time.Until(cr.deadline)
+		cr.retryAfter = max(cr.retryAfter, missing)
+		return pl, errPrefillTooLate
+	}
+	return pl, nil
 }
 
-// undoPlacement takes back a place that was not used.
-func (cr *clientRequest) undoPlacement(pl placement, prompt *scheduler.Prompt) {
-	cr.svc.mu.Lock()
-	cr.svc.engines.PrefillEnded(pl.decode.ID, pl.promptTokens, 0)
-	cr.svc.engines.RequestEnded(pl.decode.ID)
-	cr.svc.ranker.AttemptEnded(cr.svc.now(), pl.decode.ID, policy.Moot)
-	cr.svc.mu.Unlock()
+// prefill has the placement's prefill backend prefill the prompt. On an error, retry reports whether the prompt may be
+// placed anew.
+func (g *generation) prefill(ctx context.Context, pl *placement) (retry bool, err error) {
+	cr := g.cr
+	began := time.Now()
+	deadline := cr.prefillDeadline(pl.prefillMs)
+	a := cr.newPrefillAttempt(pl, g.prompt)
+	handle, err := a.run(ctx, deadline)
+	if err != nil {
+		cr.undoPlacement(pl)
+		return g.takePrefillRetry(ctx, pl, a.reached), err
+	}
+	g.handle = handle
+	cr.svc.recordPrefill(pl.prefillMs, time.Since(began))
+	return false, nil
 }
 
-// prefillDeadline is until when a prompt that is read elsewhere is waited for: half of what is left, in case the backend is silent;
-// longer where a long wait is expected, since one given up is read again from its beginning.
-func (cr *clientRequest) prefillDeadline(expected float64) time.Time {
-	left := time.Until(cr.deadline)
-	return time.Now().Add(min(max(left/2, time.Duration(expected*prefillOverrun)*time.Millisecond), left))
+// takePrefillRetry reports whether another backend may prefill the prompt after one failed to. A call that reached a
+// backend is a send beyond the request's first, and is taken from the retry budget as such.
+func (g *generation) takePrefillRetry(ctx context.Context, pl *placement, reached bool) bool {
+	cr := g.cr
+	cr.abortIfClientGone(ctx)
+	if ctx.Err() != nil {
+		return false
+	}
+	cr.tried[pl.prefill.ID] = true
+	if reached {
+		g.prefills++
+	}
+	g.split = g.prefills < maxPrefills
+	if reached && !cr.takeExtraSend() {
+		return false
+	}
+	return len(cr.tried) <= maxBackendsTried
+}
+
+// takeRetry reports whether the request may be sent to another decode backend, and takes that from the retry budget.
+// The attempt has spoilt a KV handle that went with it, whether or not it came to anything: prefilling the prompt apart
+// once more takes one send more than prefilling it where it is decoded.
+func (g *generation) takeRetry() bool {
+	cr := g.cr
+	if g.handle == nil {
+		return cr.takeRetry()
+	}
+	cr.tried[g.handle.from.ID] = true
+	g.discardHandle()
+	g.split = g.prefills < maxPrefills && cr.retryPossible() && cr.takeExtraSends(2)
+	return g.split || cr.takeRetry()
+}
+
+// dropWithdrawnHandle gives up a KV handle whose region was withdrawn from the terms while it waited: the prompt is
+// prefilled anew, inside them.
+func (g *generation) dropWithdrawnHandle(terms residency.Terms) {
+	if g.handle == nil || g.handle.permit.Check(terms) == nil {
+		return
+	}
+	g.discardHandle()
+	g.split = g.prefills < maxPrefills && g.cr.takeExtraSend()
 }
 
-// prefillTooLate tells whether the prompt can't be read in the time left: what is begun all the same holds up the others for nothing.
-func (cr *clientRequest) prefillTooLate(pl *placement) bool {
-	return pl.prefill != nil && pl.prefillMs > float64(time.Until(cr.deadline).Milliseconds())
+// discardHandle releases the KV handle; its prefill has come to nothing.
+func (g *generation) discardHandle() {
+	g.cr.releaseHandle(g.handle)
+	g.handle = nil
+	g.prefills++
+}
+
+// releaseHandle releases a KV handle that is left when the request ends.
+func (g *generation) releaseHandle() {
+	if g.handle != nil {
+		g.cr.releaseHandle(g.handle)
+	}
 }
--- /dev/null
+++ b/internal/fleet/proxy/prefill.go
@@ -0,0 +1,207 @@
+package proxy
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/residency"
+	"molepaddle/internal/fleet/scheduler"
+	"molepaddle/policy"
+)
+
+const (
+	// prefillOverrun is how many times as long as expected a prefill may take.
+	prefillOverrun = 2
+	// maxHandleAnswerBytes bounds the answer that names a KV handle, and the one to its release.
+	maxHandleAnswerBytes = 64 << 10
+	// releaseTimeout bounds the call that releases a KV handle.
+	releaseTimeout = time.Second
+	// releaseOverrun is how much longer than its request's time the release of a KV handle may take.
+	releaseOverrun = 400 * time.Millisecond
+)
+
+// kvHandle names the KV cache of a prompt that a prefill backend holds for a decode backend. It is taken over once, or
+// released.
+type kvHandle struct {
+	ref    string
+	from   *backend
+	permit residency.Permit // for from
+	tokens int
+}
+
+// prefillAttempt is a call that has a backend prefill a prompt, with what it is to be counted as.
+type prefillAttempt struct {
+	cr           *clientRequest
+	backend      *backend
+	permit       residency.Permit
+	prompt       *scheduler.Prompt
+	expectedMs   float64
+	thresholdMs  float64 // beyond which it counts as slow
+	promptTokens int     // that are to be prefilled, as the scheduler counts them
+	reached      bool    // the call may have come to the backend
+	tookMs       float64 // 0: it failed
+	status       policy.Status
+	record       *attemptRecord
+}
+
+// newPrefillAttempt begins the prefill of a placement, as the scheduler and the outlier detection count it.
+func (cr *clientRequest) newPrefillAttempt(pl *placement, prompt *scheduler.Prompt) prefillAttempt {
+	b := pl.prefill
+	svc := cr.svc
+	svc.mu.Lock()
+	tokens := svc.engines.PrefillStarted(b.ID, prompt, pl.atHome)
+	svc.ranker.AttemptStarted(b.ID)
+	svc.mu.Unlock()
+	threshold := cr.slowThresholdMs(pl.prefillMs)
+	return prefillAttempt{
+		cr:           cr,
+		backend:      b,
+		permit:       pl.prefillPermit,
+		prompt:       prompt,
+		expectedMs:   pl.prefillMs,
+		thresholdMs:  threshold,
+		promptTokens: tokens,
+		status:       policy.OK,
+		record:       svc.beginAttempt(b.ID, threshold),
+	}
+}
+
+// run has the backend prefill the prompt and keep its KV cache for a decode backend. It waits until deadline for the
+// head of the answer.
+func (a *prefillAttempt) run(ctx context.Context, deadline time.Time) (*kvHandle, error) {
+	defer a.recordEnd()
+	cr := a.cr
+	opts := attemptOptions{deadline: cr.deadline, stage: externalapi.PhasePrefill, priority: cr.priority(false)}
+	e, wrote, err := cr.startExchange(ctx, a.permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)
+	a.reached = wrote
+	if err != nil {
+		a.status = attemptStatus(wrote, err)
+		return nil, err
+	}
+	handle, err := a.readHandle(e)
+	if err != nil {
+		return nil, err
+	}
+	a.tookMs = a.record.headerReceived()
+	return handle, nil
+}
+
+// readHandle reads the KV handle that the backend answers with.
+func (a *prefillAttempt) readHandle(e *exchange) (*kvHandle, error) {
+	resp := e.resp
+	a.cr.svc.recordLoad(a.backend.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
+	body, err := e.readAll(maxHandleAnswerBytes)
+	if err != nil {
+		a.status = attemptStatus(true, err)
+		return nil, err
+	}
+	var answer struct {
+		Ref    string `json:"kv_ref"`
+		Tokens int    `json:"ntok"`
+	}
+	switch {
+	case saysNotRun(resp):
+		a.status = policy.Full
+		return nil, errors.Errorf("prefill: status %d", resp.StatusCode)
+	case resp.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || !validID(answer.Ref):
+		a.status = policy.Error
+		return nil, errors.Errorf("prefill: status %d", resp.StatusCode)
+	}
+	return &kvHandle{
+		ref:    answer.Ref,
+		from:   a.backend,
+		permit: a.permit,
+		tokens: answer.Tokens,
+	}, nil
+}
+
+// recordEnd counts how the prefill ended and how fast it was.
+func (a *prefillAttempt) recordEnd() {
+	a.record.finish(a.status, speedOf(a.tookMs, a.expectedMs, a.thresholdMs), false)
+	end := generationEnd{
+		backendID:    a.backend.ID,
+		promptTokens: a.promptTokens,
+		prefillMs:    a.tookMs,
+		status:       a.status,
+	}
+	if a.tookMs == 0 {
+		end.evicted = a.prompt
+	}
+	a.cr.svc.generationEnded(end)
+}
+
+// generationEnd is the end of a prefill or a decode at a backend.
+type generationEnd struct {
+	backendID    string
+	promptTokens int               // that were to be prefilled there
+	prefillMs    float64           // 0: they were not
+	evicted      *scheduler.Prompt // that the backend's prefix cache is not to be counted on for; nil: none
+	status       policy.Status
+}
+
+// generationEnded counts the end of a prefill or a decode, as its choice counted its beginning.
+func (s *service) generationEnded(end generationEnd) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.engines.PrefillEnded(end.backendID, end.promptTokens, end.prefillMs)
+	s.engines.RequestEnded(end.backendID)
+	if end.evicted != nil {
+		s.engines.InvalidateCache(end.backendID, end.evicted)
+	}
+	s.ranker.AttemptEnded(s.now(), end.backendID, end.status)
+}
+
+// releaseHandle tells the prefill backend that nobody will take over the KV cache. It doesn't wait for the answer;
+// Proxy.background does.
+func (cr *clientRequest) releaseHandle(handle *kvHandle) {
+	proxy := cr.proxy
+	proxy.background.Go(func() {
+		ctx, cancel := context.WithTimeout(proxy.ctx, releaseTimeout)
+		defer cancel()
+		out := outboundRequest{
+			id:     cr.outbound.id,
+			method: externalapi.CallFreeKVHandle.Method,
+			target: externalapi.CallFreeKVHandle.Path + handle.ref,
+			host:   handle.from.Address,
+		}
+		deadline := time.Now().Add(releaseTimeout)
+		if latest := cr.deadline.Add(releaseOverrun); latest.Before(deadline) {
+			deadline = latest // no backend gets much more time than the client gave
+		}
+		opts := attemptOptions{deadline: deadline, priority: noPriority}
+		permit := handle.from.endpoint.ReleasePermit()
+		connectDeadline := time.Now().Add(connectTimeout)
+		headerDeadline := time.Now().Add(releaseTimeout)
+		e, _, err := cr.startExchange(ctx, permit, &out, &opts, connectDeadline, headerDeadline)
+		if err == nil {
+			_, _ = e.readAll(maxHandleAnswerBytes)
+		}
+	})
+}
+
+// prefillDeadline is until when a prefill is waited for: half of what is left, in case the backend is silent; longer
+// where a long wait is expected, since one that is given up begins again from nothing elsewhere.
+func (cr *clientRequest) prefillDeadline(expectedMs float64) time.Time {
+	left := time.Until(cr.deadline)
+	return time.Now().Add(min(max(left/2, time.Duration(expectedMs*prefillOverrun)*time.Millisecond), left))
+}
+
+// prefillTooLate reports whether the prompt can't be prefilled in the time left: begun all the same, it would hold up
+// the others for nothing.
+func (cr *clientRequest) prefillTooLate(pl *placement) bool {
+	return pl.prefill != nil && pl.prefillMs > float64(time.Until(cr.deadline).Milliseconds())
+}
+
+// undoPlacement takes back a decode placement that was not used.
+func (cr *clientRequest) undoPlacement(pl *placement) {
+	cr.svc.generationEnded(generationEnd{
+		backendID:    pl.decode.ID,
+		promptTokens: pl.promptTokens,
+		status:       policy.Moot,
+	})
+}
--- a/internal/fleet/proxy/requestbody.go
+++ b/internal/fleet/proxy/requestbody.go
@@ -4,46 +4,59 @@
 	"io"
 	"net/http"
 	"time"
-
-	"github.com/go-faster/errors"
 )
 
-var errBodyTooLarge = errors.New("body too large")
+// bodyStep is how much memory a body of known length gets at first, in bytes: what is held grows with what comes, not
+// with what a length claims.
+const bodyStep = 64 << 10
 
-// readBodyUntil is readBody with a bound in time: a client that stops within its body is given its answer all the same.
+// readBodyUntil reads a request's body, of at most limit bytes, until deadline: a client that stops within its body
+// gets its answer all the same. A body that is announced longer isn't read at all. The error is errBodyTooLarge, or
+// that of the connection.
 func readBodyUntil(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
+	if r.ContentLength > limit {
+		return nil, errBodyTooLarge
+	}
 	conn := http.NewResponseController(w)
 	_ = conn.SetReadDeadline(deadline) // a writer that has no connection has no deadline either
 	body, err := readBody(r, limit)
-	if err == nil {
-		_ = conn.SetReadDeadline(time.Time{})
-	} // else the library waits no longer for the rest of the body than until then
-	return body, err
+	if err != nil {
+		return nil, err // the deadline stays: net/http waits for the rest of the body until then
+	}
+	_ = conn.SetReadDeadline(time.Time{})
+	return body, nil
 }
 
-// readBody reads a body whole, of at most so many bytes.
+// readBody reads a request's body, of at most limit bytes.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > 0 {
-		// What is held grows with what comes, in steps, not with what a length claims.
-		b := make([]byte, 0, min(r.ContentLength, 64<<10))
-		for int64(len(b)) < r.ContentLength {
-			if len(b) == cap(b) {
-				b = append(b, make([]byte, min(r.ContentLength-int64(len(b)), int64(len(b))))...)[:len(b)]
-			}
-			n, err := r.Body.Read(b[len(b):min(int64(cap(b)), r.ContentLength)])
-			b = b[:len(b)+n]
-			if err != nil && int64(len(b)) < r.ContentLength {
-				return nil, err
-			}
-		}
-		return b, nil
+		return readBodyOf(r.Body, r.ContentLength)
 	}
 	b, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
-	if err == nil && int64(len(b)) > limit {
-		err = errBodyTooLarge
+	if err != nil {
+		return nil, err
+	}
+	if int64(len(b)) > limit {
+		return nil, errBodyTooLarge
+	}
+	return b, nil
+}
+
+// readBodyOf reads a body of a known length, in bytes, into memory that grows with what has come.
+func readBodyOf(body io.Reader, length int64) ([]byte, error) {
+	b := make([]byte, 0, min(length, bodyStep))
+	for int64(len(b)) < length {
+		if len(b) == cap(b) {
+			b = append(b, make([]byte, min(length-int64(len(b)), int64(len(b))))...)[:len(b)]
+		}
+		n, err := body.Read(b[len(b):min(int64(cap(b)), length)])
+		b = b[:len(b)+n]
+		if err != nil && int64(len(b)) < length {
+			return nil, err
+		}
 	}
-	return b, err
+	return b, nil
 }
--- a/internal/fleet/proxy/requestwrite.go
+++ b/internal/fleet/proxy/requestwrite.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 
 	"molepaddle/internal/protocol/transport"
 )
@@ -11,8 +10,8 @@
 // buffers of a connection. While a longer one goes out its answer may come, and the backend may read no more.
 const maxSyncWrite = 16 << 10
 
-// requestWrite is the write of a request. The goroutine of a long one ends with the write, which abort and the context's
-// deadline end; whoever gives the connection back waits for it.
+// requestWrite is the write of a request. The goroutine of a long one ends with the write, which abort and the
+// context's deadline end; whoever gives the connection back waits for it.
 type requestWrite struct {
 	length int
 	done   chan struct{} // closed when no further byte goes out
@@ -23,7 +22,8 @@
 }
 
 // sendRequest writes a request: a short one before it returns, a long one beside the caller, who reads the answer
-// meanwhile. The write of a long one is bounded by the context's deadline rather than by the time for the answer's head.
+// meanwhile. The write of a long one is bounded by the context's deadline rather than by the time for the answer's
+// head.
 func sendRequest(ctx context.Context, to *transport.Lent, request []byte) *requestWrite {
 	rw := &requestWrite{length: len(request), done: make(chan struct{})}
 	write := func() {
@@ -44,8 +44,8 @@
 	return rw
 }
 
-// failed returns the error of a short request's write, and whether a byte of it may have gone out. A long one's shows in
-// the reading of its answer.
+// failed returns the error of a short request's write, and whether a byte of it may have gone out. A long one's
+// shows in the reading of its answer.
 func (rw *requestWrite) failed() (wrote bool, err error) {
 	if rw.length > maxSyncWrite {
 		return false, nil
@@ -68,6 +68,3 @@
 		return false
 	}
 }
-
-// pastDeadline is a deadline that has passed: it wakes who reads or writes.
-var pastDeadline = time.Unix(1, 0)
--- /dev/null
+++ b/internal/fleet/proxy/resume.go
@@ -0,0 +1,90 @@
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"molepaddle/internal/fleet/scheduler"
+	"molepaddle/policy"
+)
+
+// resume goes on with a stream that broke off, inside the same answer and after its last event, at one backend after
+// another; false: it could not.
+func (cr *clientRequest) resume(ctx context.Context, r *streamRelay, prompt *scheduler.Prompt) bool {
+	for ctx.Err() == nil && r.lastID != "" {
+		if !cr.takeRetry() {
+			return false
+		}
+		pl, ok := cr.svc.selectPlacement(cr.route.Name, false, prompt, cr.route.LatencyTarget(), cr.tried, false, cr.terms())
+		if !ok {
+			return false
+		}
+		cr.tried[pl.decode.ID] = true
+		r.resumeAt(pl.decode.ID)
+		err := cr.resumeFrom(ctx, &pl, r, prompt)
+		if err == nil {
+			cr.proxy.countAnswer(http.StatusOK)
+			return true
+		}
+		if errors.Is(err, errClientGone) {
+			return false
+		}
+	}
+	return false
+}
+
+// resumeFrom goes on with a stream at the decode backend of a placement; nil: it has come to its end.
+func (cr *clientRequest) resumeFrom(
+	ctx context.Context,
+	pl *placement,
+	r *streamRelay,
+	prompt *scheduler.Prompt,
+) error {
+	a := attempt{
+		cr:     cr,
+		permit: pl.decodePermit,
+		opts:   attemptOptions{deadline: cr.deadline, priority: cr.priority(false), lastID: r.lastID},
+		status: policy.OK,
+	}
+	gotEvent := false
+	err := a.relayRest(ctx, r, func() { gotEvent = true })
+	end := generationEnd{
+		backendID:    pl.decode.ID,
+		promptTokens: pl.promptTokens,
+		status:       a.status,
+	}
+	if !gotEvent {
+		end.evicted = prompt
+	}
+	cr.svc.generationEnded(end)
+	return err
+}
+
+// relayRest relays the rest of a stream; first is called when the first event has come.
+func (a *attempt) relayRest(ctx context.Context, r *streamRelay, first func()) error {
+	e, err := a.send(ctx)
+	if err != nil {
+		return err
+	}
+	if !resumes(e.resp) {
+		a.status = policy.Error
+		if saysNotRun(e.resp) {
+			a.status = policy.Full
+		}
+		e.setReadDeadline(time.Now().Add(rejectionTimeout))
+		_, _ = e.readAll(maxBufferedAnswer)
+		return errors.Errorf("status %d", e.resp.StatusCode)
+	}
+	if err := r.copyEvents(ctx, e, first); err != nil {
+		return a.fail(attemptStatus(true, err), err)
+	}
+	return nil
+}
+
+// resumes reports whether an answer can be the rest of a stream.
+func resumes(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusOK && relayable(resp) && isEventStream(resp)
+}
--- a/internal/fleet/proxy/retrybudget.go
+++ b/internal/fleet/proxy/retrybudget.go
@@ -10,14 +10,14 @@
 	minBudgetWindow = time.Second
 )
 
-// retryBudget is this proxy's share of what all proxies together may send beyond the first send of each request. It is a
-// token bucket, one token a send, that fills with requests and with time. It has no lock of its own: its service's
-// guards it.
+// retryBudget is this proxy's share of what all proxies together may send beyond the first send of each request. It
+// is a token bucket, one token a send, that fills with requests and with time. It has no lock of its own: its
+// service's guards it.
 //
-// The fleet's rule bounds the extra sends of any window by a ratio of the requests of that window or of the one before,
-// and by a sum besides. The bucket holds at most half of this proxy's share of the sum and half of what the requests of
-// the last window gave; the other half of the sum, and what the window's own requests give, come while it lasts. That is
-// one and a half times the ratio's part at the most, of which budgetUtilisation is made use of.
+// The fleet's rule bounds the extra sends of any window by a ratio of the requests of that window or of the one
+// before, and by a sum besides. The bucket holds at most half of this proxy's share of the sum and half of what the
+// requests of the last window gave; the other half of the sum, and what the window's own requests give, come while
+// it lasts. That is one and a half times the ratio's part at the most, of which budgetUtilisation is made use of.
 type retryBudget struct {
 	// The rule, for this proxy.
 	ratio     float64       // tokens a request
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -14,49 +14,53 @@
 	"molepaddle/internal/fleet/residency"
 	"molepaddle/internal/fleet/routingconfig"
 	"molepaddle/internal/fleet/scheduler"
-	"molepaddle/policy"
 )
 
 const (
-	// maxBufferedAnswer bounds an answer that is held whole, in bytes.
-	maxBufferedAnswer = 8 << 20
-	// connectTimeout bounds a connect, minConnectTimeout from below: round trips are some milliseconds anywhere.
-	connectTimeout, minConnectTimeout = 200 * time.Millisecond, 50 * time.Millisecond
-	// maxBackendsTried bounds the backends to which a way is looked for.
-	maxBackendsTried = 4
-	// minRetryAfter is when a client whose request was not run is told to come back.
+	// defaultBodyLimit bounds a request's body, in bytes, where the configuration does not.
+	defaultBodyLimit = 4 << 20
+	// maxAttemptIDBytes bounds a client's attempt id, which goes into headers and onto the wire to backends.
+	maxAttemptIDBytes = 256
+	// minRetryAfter is when a client whose request was not run is told to come back, at the earliest.
 	minRetryAfter = 50 * time.Millisecond
-	// headerTimeoutTargets is how many times its aim an idempotent request waits for a first byte before it goes elsewhere.
-	headerTimeoutTargets = 3
-	// startupWait is for how long a request waits for the first configuration and list of a process that has just started.
+	// unconfiguredRetryAfter is when a client is told to come back that a proxy without a configuration rejects.
+	unconfiguredRetryAfter = 200 * time.Millisecond
+	// startupWait is for how long a request waits for the first configuration and endpoint list of a process that has
+	// just started.
 	startupWait = 300 * time.Millisecond
-	// prefillOverrun is how many times as long as expected a prompt may take to be read.
-	prefillOverrun = 2
-	// unreadBodyTimeout bounds the wait for the body of a request that is refused without it, as the library reads that body before it
-	// sends the answer, and for a client to read its answer after its time.
+	// unreadBodyTimeout bounds the wait for the body of a request that is rejected without it, as net/http reads that
+	// body before it sends the answer, and for a client to read its answer after its time.
 	unreadBodyTimeout = 500 * time.Millisecond
 	// returnMargin is what is kept of the time for the way back to the client.
 	returnMargin = 10 * time.Millisecond
 )
 
-// clientRequest is one request of a client under way.
+// clientRequest is one request of a client under way. It belongs to the goroutine that serves the request.
 type clientRequest struct {
-	proxy          *Proxy
-	w              http.ResponseWriter
-	outbound       outboundRequest
-	route          *routingconfig.Route
-	svc            *service
-	snapshot       *routingSnapshot // whose terms these are
-	subject        subject          // whose data it carries
+	proxy    *Proxy
+	w        http.ResponseWriter
+	outbound outboundRequest
+	route    *routingconfig.Route
+	svc      *service
+
+	// Where its data may be held: residencyTerms are those of snapshot for subject, and are renewed with it.
+	snapshot       *routingSnapshot
+	subject        subject
 	residencyTerms residency.Terms
-	arrivedAt      time.Time
-	deadline       time.Time
-	mayHaveRun     bool // it may have run at a backend
-	tried          map[string]bool
-	sends          int
-	retryAfter     time.Duration // advice, once nothing ran
+
+	arrivedAt time.Time
+	deadline  time.Time // by when the answer has to be complete
+
+	// What its attempts have come to.
+	mayHaveRun bool // a backend may have begun to execute it
+	tried      map[string]bool
+	sends      int
+	retryAfter time.Duration // the longest that backends asked for which did not run it
 }
 
+// ServeHTTP serves one request of a client. It admits the request, reads its body and finds its route, sends it to
+// backends until one answers, relays that answer, and records how each attempt ended. It returns when the client has
+// its answer, and panics with http.ErrAbortHandler where an answer must not look complete.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	p.inFlight.Add(1)
@@ -65,6 +69,23 @@
 		w.Header().Set("Connection", "close")
 		defer p.shutdown.track()()
 	}
+	cr, err := p.admit(w, r, arrivedAt)
+	if err != nil {
+		p.writeError(w, err)
+		return
+	}
+	ctx, cancel := context.WithDeadline(r.Context(), cr.deadline)
+	defer cancel()
+	// A client that reads nothing must not hold a backend: the write of the answer is bounded as well.
+	conn := http.NewResponseController(w)
+	_ = conn.SetWriteDeadline(cr.deadline.Add(unreadBodyTimeout))
+	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }()
+	cr.serve(ctx)
+}
+
+// admit checks a request against the routing snapshot, reads its body, and finds its route and service. Its errors are
+// rejections.
+func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) (*clientRequest, error) {
 	if r.ContentLength != 0 {
 		_ = http.NewResponseController(w).SetReadDeadline(arrivedAt.Add(unreadBodyTimeout))
 	}
@@ -75,96 +96,74 @@
 	if id := r.Header.Get(externalapi.HeaderAttemptID); id != "" {
 		w.Header()[externalapi.HeaderAttemptID] = []string{id}
 	}
-	if snapshot == nil || snapshot.index == nil {
-		p.reject(w, http.StatusServiceUnavailable, 200*time.Millisecond, "no configuration yet")
-		return
-	}
-	path, _, _ := strings.Cut(r.RequestURI, "?")
-	if !strings.HasPrefix(path, "/") {
-		p.reject(w, http.StatusBadRequest, 0, "no path: a proxy of this fleet takes paths only")
-		return
-	}
-	route, ok := snapshot.index.Lookup(r.Host, path)
-	if !ok {
-		p.reject(w, http.StatusNotFound, 0, "no route")
-		return
-	}
-	id := r.Header.Get(externalapi.HeaderAttemptID)
-	if !validID(id) || len(r.Header[externalapi.HeaderAttemptID]) != 1 {
-		p.reject(w, http.StatusBadRequest, 0, externalapi.HeaderAttemptID+": missing, several or no plain word")
-		return
-	}
-	wait := route.Deadline()
-	if text := r.Header.Get(externalapi.HeaderDeadlineMs); text != "" {
-		ms, err := strconv.ParseFloat(text, 64)
-		if err != nil || ms <= 0 {
-			p.reject(w, http.StatusBadRequest, 0, externalapi.HeaderDeadlineMs+": no number above 0")
-			return
-		}
-		if requested := time.Duration(ms * float64(time.Millisecond)); requested < wait || wait <= 0 {
-			wait = requested
-		}
+	route, err := snapshot.findRoute(r)
+	if err != nil {
+		return nil, err
 	}
-	maxBodyBytes := int64(4 << 20)
-	if l := snapshot.limits; l != nil && l.MaxBodyBytes > 0 {
-		maxBodyBytes = l.MaxBodyBytes
+	id, err := attemptID(r.Header)
+	if err != nil {
+		return nil, err
 	}
-	if r.ContentLength > maxBodyBytes {
-		w.Header().Set("Connection", "close")
-		p.reject(w, http.StatusRequestEntityTooLarge, 0, "body too large")
-		return
+	wait, err := timeToAnswer(route, r.Header)
+	if err != nil {
+		return nil, err
 	}
 	deadline := arrivedAt.Add(wait - min(returnMargin, wait/10))
-	body, err := readBodyUntil(w, r, maxBodyBytes, deadline)
+	body, err := readClientBody(w, r, snapshot.bodyLimit(), deadline)
 	if err != nil {
-		w.Header().Set("Connection", "close")
-		if isTimeout(err) {
-			p.reject(w, http.StatusRequestTimeout, 0, "body not whole in time")
-			return
-		}
-		if errors.Is(err, errBodyTooLarge) {
-			p.reject(w, http.StatusRequestEntityTooLarge, 0, "body too large")
-			return
-		}
-		p.reject(w, http.StatusBadRequest, 0, "body not whole")
-		return
+		return nil, err
 	}
 	dropHopByHop(r.Header)
-	cr := &clientRequest{proxy: p, w: w, route: route, arrivedAt: arrivedAt, deadline: deadline, tried: map[string]bool{},
-		outbound: outboundRequest{id: id, method: r.Method, target: r.RequestURI, host: r.Host, header: r.Header, body: body}}
+	cr := &clientRequest{
+		proxy:     p,
+		w:         w,
+		route:     route,
+		arrivedAt: arrivedAt,
+		deadline:  deadline,
+		tried:     map[string]bool{},
+		outbound: outboundRequest{
+			id:     id,
+			method: r.Method,
+			target: r.RequestURI,
+			host:   r.Host,
+			header: r.Header,
+			body:   body,
+		},
+	}
 	cr.bindResidency(snapshot)
 	cr.svc = snapshot.services[route.Pick(xxhash.Sum64String(id)).Name]
 	if cr.svc == nil {
-		p.reject(w, http.StatusServiceUnavailable, minRetryAfter, "no backend known")
-		return
+		return nil, &rejection{
+			status:     http.StatusServiceUnavailable,
+			retryAfter: minRetryAfter,
+			reason:     "no backend known",
+		}
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), cr.deadline)
-	defer cancel()
-	// A client that takes nothing is not waited for with a backend at work behind it.
-	conn := http.NewResponseController(w)
-	_ = conn.SetWriteDeadline(cr.deadline.Add(unreadBodyTimeout))
-	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }()
-	cr.svc.mu.Lock()
-	cr.svc.retryBudget.addRequest(arrivedAt)
-	model := cr.svc.runsModels
-	cr.svc.mu.Unlock()
+	return cr, nil
+}
+
+// serve sends an admitted request to backends until one answers, and answers the client.
+func (cr *clientRequest) serve(ctx context.Context) {
 	var prompt *scheduler.Prompt
-	if model {
-		if p, ok := scheduler.ParsePrompt(r.Header.Get(externalapi.HeaderModel), r.Header.Get(externalapi.HeaderTokenCount), r.Header.Get(externalapi.HeaderPromptPrefix)); ok {
-			prompt = &p
-		}
+	if cr.svc.countRequest(cr.arrivedAt) {
+		prompt = parsePrompt(cr.outbound.header)
 	}
-	switch {
-	case cr.rejectIfLeaving(prompt):
-	case prompt != nil:
-		cr.serveGeneration(ctx, prompt)
-	default:
-		cr.servePlain(ctx)
+	if cr.rejectIfLeaving(prompt) {
+		return
+	}
+	var err error
+	if prompt != nil {
+		err = cr.serveGeneration(ctx, prompt)
+	} else {
+		err = cr.servePlain(ctx)
+	}
+	if err != nil {
+		cr.proxy.writeError(cr.w, cr.rejectionFor(err))
 	}
 }
 
-// awaitSnapshot waits for what requests are served by: a process that has just started has it in a moment, and whoever came
-// that early is not given up.
+// awaitSnapshot waits for the first routing snapshot, for startupWait at the most: a process that has just started has
+// it in a moment, and the requests that come before it need not fail.
 func (p *Proxy) awaitSnapshot(ctx context.Context) {
 	t := time.NewTimer(startupWait)
 	defer t.Stop()
@@ -175,176 +174,108 @@
 	}
 }
 
-// attemptStatus tells the design how an attempt ended.
-func attemptStatus(wrote bool, err error) policy.Status {
-	switch {
-	case err == nil:
-		return policy.OK
-	case errors.Is(err, context.Canceled) || errors.Is(err, residency.ErrOutside):
-		return policy.Cancelled
-	case errors.Is(err, errAnswerTimeout) || errors.Is(err, context.DeadlineExceeded):
-		return policy.Timeout
-	case !wrote:
-		return policy.ConnectFailed
-	}
-	return policy.Reset
-}
-
-// retryPossible tells whether the request itself bears another send: by its kind, its tries and its time.
-func (cr *clientRequest) retryPossible() bool {
-	return (!cr.mayHaveRun || cr.route.Idempotent()) && cr.sends < max(cr.route.MaxAttempts, 1) && time.Until(cr.deadline) >= 5*time.Millisecond
-}
-
-// takeRetry tells whether the request may be sent to another backend now, and takes that from the allowance.
-func (cr *clientRequest) takeRetry() bool { return cr.retryPossible() && cr.takeExtraSend() }
-
-// retryable tells whether the request can be served by another backend if its next send fails.
-func (cr *clientRequest) retryable() bool {
-	return cr.route.Idempotent() && cr.sends+1 < cr.route.MaxAttempts && time.Until(cr.deadline) > cr.route.LatencyTarget()
-}
-
-// retryAvailable is takeRetry without taking from the allowance.
-func (cr *clientRequest) retryAvailable() bool {
-	if !cr.retryPossible() {
-		return false
-	}
-	cr.svc.mu.Lock()
-	defer cr.svc.mu.Unlock()
-	return cr.svc.retryBudget.available(time.Now(), 1)
-}
-
-// takeExtraSend takes one send beyond a request's first from what this proxy may make of them.
-func (cr *clientRequest) takeExtraSend() bool { return cr.takeExtraSends(1) }
-
-// takeExtraSends takes n sends beyond a request's first, or none.
-func (cr *clientRequest) takeExtraSends(n float64) bool {
-	cr.svc.mu.Lock()
-	defer cr.svc.mu.Unlock()
-	return cr.svc.retryBudget.take(time.Now(), n)
-}
-
-// servePlain serves a request whose answer comes whole.
-func (cr *clientRequest) servePlain(ctx context.Context) {
-	key := xxhash.Sum64String(cr.outbound.id)
-	for {
-		permit, ok := cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())
-		if !ok {
-			cr.answerFailure(ctx, "no backend")
-			return
-		}
-		cr.tried[permit.ID()] = true
-		sends := cr.sends
-		done, err := cr.sendPlain(ctx, permit)
-		if done {
-			return
-		}
-		if ctx.Err() != nil && time.Until(cr.deadline) > 0 {
-			cr.abortClient()
-		}
-		if cr.sends == sends && len(cr.tried) < maxBackendsTried && time.Until(cr.deadline) > connectTimeout {
-			continue // none has seen it: there was no way to that backend
+// findRoute returns the route of a request. A nil snapshot has none. Its errors are rejections.
+func (rs *routingSnapshot) findRoute(r *http.Request) (*routingconfig.Route, error) {
+	if rs == nil || rs.index == nil {
+		return nil, &rejection{
+			status:     http.StatusServiceUnavailable,
+			retryAfter: unconfiguredRetryAfter,
+			reason:     "no configuration yet",
 		}
-		if !cr.takeRetry() {
-			cr.answerFailure(ctx, failureText(err))
-			return
+	}
+	path, _, _ := strings.Cut(r.RequestURI, "?")
+	if !strings.HasPrefix(path, "/") {
+		return nil, &rejection{
+			status: http.StatusBadRequest,
+			reason: "no path: a proxy of this fleet takes paths only",
 		}
 	}
-}
-
-func failureText(err error) string {
-	if err == nil {
-		return "backends are full"
+	route, ok := rs.index.Lookup(r.Host, path)
+	if !ok {
+		return nil, &rejection{status: http.StatusNotFound, reason: "no route"}
 	}
-	return "backend: " + err.Error()
+	return route, nil
 }
 
-// connectDeadline is until when a connection has to stand: half of the aim, since one that takes longer is of no use, and from a
-// backend without power nothing ever comes.
-func (cr *clientRequest) connectDeadline() time.Time {
-	within := connectTimeout
-	if aim := cr.route.LatencyTarget(); aim > 0 {
-		within = min(max(aim/2, minConnectTimeout), connectTimeout)
+// bodyLimit returns the most bytes that a request's body may have.
+func (rs *routingSnapshot) bodyLimit() int64 {
+	if l := rs.limits; l != nil && l.MaxBodyBytes > 0 {
+		return l.MaxBodyBytes
 	}
-	return time.Now().Add(within)
+	return defaultBodyLimit
 }
 
-// headerDeadline is until when an attempt waits for the head of its answer.
-func (cr *clientRequest) headerDeadline() time.Time {
-	if aim := cr.route.LatencyTarget(); cr.route.Idempotent() && aim > 0 && cr.sends+1 < cr.route.MaxAttempts {
-		if by := time.Now().Add(max(headerTimeoutTargets*aim, 200*time.Millisecond)); by.Before(cr.deadline) {
-			return by
+// attemptID returns the client's id of a request, of which there has to be exactly one. Its errors are rejections.
+func attemptID(header http.Header) (string, error) {
+	id := header.Get(externalapi.HeaderAttemptID)
+	if !validID(id) || len(header[externalapi.HeaderAttemptID]) != 1 {
+		return "", &rejection{
+			status: http.StatusBadRequest,
+			reason: externalapi.HeaderAttemptID + ": missing, several or no plain word",
 		}
 	}
-	return cr.deadline
+	return id, nil
 }
 
-// sendPlain sends to one backend; done: the client has its answer.
-func (cr *clientRequest) sendPlain(ctx context.Context, permit residency.Permit) (done bool, err error) {
-	id := permit.ID()
-	status := policy.OK
-	usual, bound := cr.svc.completeThresholdMs(cr)
-	record := cr.svc.beginAttempt(id, bound)
-	defer func() {
-		took := record.headerReceived()
-		if status == policy.OK {
-			cr.svc.recordComplete(cr, took)
-		}
-		record.finish(status, speedOf(took, usual, bound), false)
-		cr.svc.attemptEnded(id, status)
-	}()
-	opts := attemptOptions{deadline: cr.deadline, priority: -1}
-	e, wrote, err := cr.startExchange(ctx, permit, &cr.outbound, &opts, cr.connectDeadline(), cr.headerDeadline())
-	if wrote {
-		cr.sends++
+// validID reports whether an id can be sent on as it is: printable ASCII without spaces, of at most maxAttemptIDBytes.
+func validID(id string) bool {
+	if id == "" || len(id) > maxAttemptIDBytes {
+		return false
 	}
-	if err != nil {
-		cr.mayHaveRun = cr.mayHaveRun || wrote
-		status = attemptStatus(wrote, err)
-		return false, err
+	for _, c := range []byte(id) {
+		if c <= ' ' || c > '~' {
+			return false
+		}
 	}
-	if e.resp.Header.Get("Content-Encoding") != "" || e.resp.StatusCode < 300 && e.resp.Header.Get(externalapi.HeaderBackendSeal) == "" {
-		e.finish(false)
-		cr.mayHaveRun = true
-		status = policy.Error
-		return false, errForeignAnswer
+	return true
+}
+
+// timeToAnswer returns how long the answer to a request may take: what its route allows, or less where the client asks
+// for less. Its errors are rejections.
+func timeToAnswer(route *routingconfig.Route, header http.Header) (time.Duration, error) {
+	wait := route.Deadline()
+	text := header.Get(externalapi.HeaderDeadlineMs)
+	if text == "" {
+		return wait, nil
 	}
-	e.setReadDeadline(cr.deadline)
-	resp := e.resp
-	cr.svc.recordLoad(id, resp.Header.Get(externalapi.HeaderBackendLoad))
-	body, err := e.readAll(maxBufferedAnswer)
-	switch {
-	case err != nil:
-		cr.mayHaveRun = true
-		if errors.Is(ctx.Err(), context.Canceled) {
-			err = ctx.Err() // the client has left: the backend is not to blame
+	ms, err := strconv.ParseFloat(text, 64)
+	if err != nil || ms <= 0 {
+		return 0, &rejection{
+			status: http.StatusBadRequest,
+			reason: externalapi.HeaderDeadlineMs + ": no number above 0",
 		}
-		status = attemptStatus(true, err)
-		return false, err
-	case saysNotRun(resp):
-		status = policy.Full
-		cr.retryAfter = max(cr.retryAfter, backendRetryAfter(resp))
-		return false, nil
 	}
-	cr.mayHaveRun = true
-	if resp.StatusCode >= 500 {
-		status = policy.Error
-		if cr.retryAvailable() {
-			return false, errors.Errorf("status %d", resp.StatusCode)
-		}
+	requested := time.Duration(ms * float64(time.Millisecond))
+	if requested < wait || wait <= 0 {
+		return requested, nil
 	}
-	cr.writeAnswer(resp, body)
-	return true, nil
+	return wait, nil
 }
 
-// servePlain tells whether an id can be sent on as it is.
-func validID(id string) bool {
-	if id == "" || len(id) > 256 {
-		return false
+// readClientBody reads the body of a request, of at most limit bytes, until deadline. Its errors are rejections that
+// close the connection, since the rest of the body may still be to come.
+func readClientBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
+	body, err := readBodyUntil(w, r, limit, deadline)
+	switch {
+	case err == nil:
+		return body, nil
+	case isTimeout(err):
+		return nil, &rejection{status: http.StatusRequestTimeout, reason: "body not whole in time", closeConn: true}
+	case errors.Is(err, errBodyTooLarge):
+		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "body too large", closeConn: true}
 	}
-	for _, c := range []byte(id) {
-		if c <= ' ' || c > '~' {
-			return false
-		}
+	return nil, &rejection{status: http.StatusBadRequest, reason: "body not whole", closeConn: true}
+}
+
+// parsePrompt returns what the headers of a request say of its prompt; nil: they say nothing that can be used.
+func parsePrompt(header http.Header) *scheduler.Prompt {
+	p, ok := scheduler.ParsePrompt(
+		header.Get(externalapi.HeaderModel),
+		header.Get(externalapi.HeaderTokenCount),
+		header.Get(externalapi.HeaderPromptPrefix),
+	)
+	if !ok {
+		return nil
 	}
-	return true
+	return &p
 }
--- a/internal/fleet/proxy/streaming.go
+++ b/internal/fleet/proxy/streaming.go
@@ -9,146 +9,38 @@
 	"time"
 
 	"github.com/go-faster/errors"
+)
 
-	"molepaddle/internal/fleet/externalapi"
-	"molepaddle/internal/fleet/scheduler"
-	"molepaddle/policy"
+const (
+	// maxEventBytes bounds one event of a stream, in bytes.
+	maxEventBytes = 1 << 20
+	// eventBufferBytes is the buffer of a stream at first, in bytes.
+	eventBufferBytes = 4 << 10
+	// paceSampleEvents is how many events a pace sample has.
+	paceSampleEvents = 16
 )
 
-// priority is what a backend is told of a request's urgency. Whoever comes with memory that waits elsewhere for its taker
-// goes first: that memory is lost to others for so long, lapses, and its reading was paid for; then the operator's rank.
-func (cr *clientRequest) priority(staged bool) int {
-	if staged {
-		return 0
-	}
-	return min(cr.route.Priority+1, 9)
-}
+// streamRelay relays a stream to the client in complete events only, so that another backend can go on with it after
+// the last one. It belongs to the goroutine that serves the request.
+type streamRelay struct {
+	cr        *clientRequest
+	backendID string // of the backend that the stream comes from
 
-// maxEventBytes bounds one event of a stream, in bytes.
-const maxEventBytes = 1 << 20
+	// What the client has: with headerSent its answer has begun, and lastID names its last event.
+	headerSent bool
+	lastID     string
 
-// streamFrom sends a generation to the decode backend of its place and passes its events on; done: the client has its
-// answer, whole or cut off.
-func (cr *clientRequest) streamFrom(ctx context.Context, pl placement, prompt *scheduler.Prompt, handle *kvHandle) (done bool, err error) {
-	b := pl.decode
-	start := time.Now()
-	status, read, started := policy.OK, 0.0, false
-	var began time.Time // when the first event came
-	sent := false
-	r := &streamRelay{cr: cr, backendID: b.ID}
-	bound := cr.svc.firstEventThresholdMs(cr, handle != nil, pl.prefillMs)
-	record := cr.svc.beginAttempt(b.ID, bound)
-	defer func() {
-		fast, paced := cr.svc.recordStream(cr, handle != nil, bound, began.Sub(start), r)
-		record.finish(status, fast, paced)
-		cr.svc.mu.Lock()
-		cr.svc.engines.PrefillEnded(b.ID, pl.promptTokens, read)
-		cr.svc.engines.RequestEnded(b.ID)
-		switch {
-		case handle != nil && started:
-			cr.svc.engines.ObserveTransfer(cr.svc.now(), handle.from.ID, b.ID, prompt, float64(began.Sub(start).Microseconds())/1000, true)
-		case handle != nil && sent:
-			cr.svc.engines.ObserveTransfer(cr.svc.now(), handle.from.ID, b.ID, prompt, float64(time.Since(start).Microseconds())/1000, false)
-		case !started && handle == nil:
-			cr.svc.engines.InvalidateCache(b.ID, prompt)
-		}
-		cr.svc.ranker.AttemptEnded(cr.svc.now(), b.ID, status)
-		cr.svc.mu.Unlock()
-	}()
-	opts := attemptOptions{deadline: cr.deadline, priority: cr.priority(handle != nil), handle: handle}
-	headerDone := cr.svc.awaitHeader(b.ID)
-	e, wrote, err := cr.startExchange(ctx, pl.decodePermit, &cr.outbound, &opts, cr.connectDeadline(), cr.headerDeadline())
-	headerDone(err == nil)
-	sent = wrote
-	if wrote {
-		cr.sends++
-	}
-	if err != nil {
-		cr.mayHaveRun = cr.mayHaveRun || wrote
-		status = attemptStatus(wrote, err)
-		return false, err
-	}
-	resp := e.resp
-	cr.svc.recordLoad(b.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
-	if resp.StatusCode >= 300 || resp.Header.Get("Content-Encoding") != "" || resp.Header.Get(externalapi.HeaderBackendSeal) == "" {
-		e.setReadDeadline(time.Now().Add(time.Second))
-		body, err := e.readAll(maxBufferedAnswer)
-		switch {
-		case err != nil:
-			cr.mayHaveRun = true
-			status = attemptStatus(true, err)
-			return false, err
-		case saysNotRun(resp):
-			status = policy.Full
-			cr.retryAfter = max(cr.retryAfter, backendRetryAfter(resp))
-			cr.svc.recordShed(b.ID, true)
-			if handle != nil {
-				cr.svc.mu.Lock()
-				cr.svc.ranker.TransferEnded(cr.svc.now(), handle.from.ID, false)
-				cr.svc.mu.Unlock()
-			}
-			return false, nil
-		}
-		cr.mayHaveRun = true
-		status = policy.Error
-		if resp.StatusCode < 300 || cr.retryAvailable() {
-			return false, errors.Errorf("status %d", resp.StatusCode)
-		}
-		cr.writeAnswer(resp, body)
-		return true, nil
-	}
-	if handle != nil {
-		cr.svc.mu.Lock()
-		cr.svc.ranker.TransferEnded(cr.svc.now(), handle.from.ID, true)
-		cr.svc.mu.Unlock()
-	}
-	cr.svc.recordShed(b.ID, false)
-	err = r.copyEvents(ctx, e, func() {
-		started, began = true, time.Now()
-		record.headerReceived()
-		if pl.promptTokens > 0 {
-			read = float64(time.Since(start).Microseconds()) / 1000
-		}
-	})
-	if err == nil {
-		cr.proxy.countAnswer(http.StatusOK)
-		cr.svc.mu.Lock()
-		cr.svc.engines.ObserveDecode(cr.route.Name, prompt, float64(time.Since(began).Microseconds())/1000)
-		cr.svc.mu.Unlock()
-		return true, nil
-	}
-	cr.mayHaveRun = true
-	status = attemptStatus(true, err)
-	if r.headerSent {
-		if ctx.Err() == nil && !errors.Is(err, errClientGone) && cr.route.Resumable {
-			if cr.resume(ctx, r, prompt) {
-				return true, nil
-			}
-		}
-		cr.proxy.countAnswer(0)
-		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
-	}
-	return false, err
-}
-
-// errClientGone ends a stream that its client no longer takes: nobody waits for the rest of it. It counts as cancelled, which tells
-// nothing of the backend.
-var errClientGone = errors.Wrap(context.Canceled, "the client has left")
+	// The pace sample under way, which begins with the first events: what is before them is the wait for a batch slot.
+	sampleEvents int
+	sampleStart  time.Time // zero: no sample has begun
 
-// streamRelay passes a stream on, whole events only, so that it can be taken up elsewhere after the last one.
-type streamRelay struct {
-	cr           *clientRequest
-	backendID    string // id of the backend that it comes from
-	headerSent   bool   // the client has the head
-	lastID       string
-	sampleEvents int       // since the stretch of the stream began whose pace is taken
-	sampleStart  time.Time // when that was
-	totalEvents  int       // events
-	firstEventAt time.Time // when the first of them came
-	lastEventAt  time.Time // and the last
+	// All events, of all backends.
+	totalEvents  int
+	firstEventAt time.Time
+	lastEventAt  time.Time
 }
 
-// meanGapMs is the mean time between two events, ms; 0: there were fewer than two reads of them.
+// meanGapMs returns the mean time between two events, ms; 0: fewer than two came.
 func (r *streamRelay) meanGapMs() float64 {
 	if r.totalEvents < 2 {
 		return 0
@@ -156,90 +48,45 @@
 	return float64(r.lastEventAt.Sub(r.firstEventAt).Microseconds()) / 1000 / float64(r.totalEvents-1)
 }
 
-// paceSampleEvents is how many events a stretch has whose pace is taken.
-const paceSampleEvents = 16
-
-// arrivedAt counts events that came now.
-func (r *streamRelay) countEvents(events int) {
-	now := time.Now()
-	if r.totalEvents == 0 {
-		r.firstEventAt = now
-	}
-	r.totalEvents += events
-	r.lastEventAt = now
-	if r.sampleStart.IsZero() {
-		r.sampleStart = now // from the first events on: what is before them is the wait for a place
-		return
-	}
-	if r.sampleEvents += events; r.sampleEvents > 0 && r.cr.svc.paceSampleComplete(now.Sub(r.sampleStart), r.sampleEvents) {
-		r.cr.svc.recordPace(r.backendID, now.Sub(r.sampleStart), r.sampleEvents)
-		r.sampleEvents, r.sampleStart = 0, now
-	}
+// resumeAt has the stream go on from another backend.
+func (r *streamRelay) resumeAt(backendID string) {
+	r.backendID = backendID
+	r.sampleStart = time.Time{}
 }
 
-// copyEvents passes events on until the stream's end; first is called at the first event. An error: the stream broke off.
+// copyEvents relays events until the stream ends, and finishes the exchange. first is called once, when the first event
+// has come. An error says that the stream broke off; what was relayed until then stays relayed.
 func (r *streamRelay) copyEvents(ctx context.Context, e *exchange, first func()) error {
-	cr := r.cr
-	resp := e.resp
-	events := isEventStream(resp)
-	flush := http.NewResponseController(cr.w)
-	buf := make([]byte, 0, 4<<10)
+	in := eventReader{body: e.resp.Body, isEvents: isEventStream(e.resp), buf: make([]byte, 0, eventBufferBytes)}
+	flush := http.NewResponseController(r.cr.w)
 	gotEvent := false
 	for {
-		if len(buf) == cap(buf) {
-			if cap(buf) >= maxEventBytes {
-				e.finish(false)
-				return errors.Errorf("an event over %d bytes", maxEventBytes)
-			}
-			buf = append(buf, make([]byte, cap(buf))...)[:len(buf)]
-		}
-		// A first event has its time; between events only the client's patience bounds the wait.
-		by := cr.deadline
-		if !gotEvent && !r.headerSent {
-			by = cr.headerDeadline()
-		}
-		e.setReadDeadline(by)
-		n, err := resp.Body.Read(buf[len(buf):cap(buf)])
-		buf = buf[:len(buf)+n]
-		if cut := cr.checkResidency(e); cut != nil && err != io.EOF && ctx.Err() == nil {
+		if err := in.grow(); err != nil {
 			e.finish(false)
-			return cut
+			return err
 		}
-		whole := len(buf)
-		if events && err != io.EOF {
-			whole = 0
-			if i := bytes.LastIndex(buf, []byte("\n\n")); i >= 0 {
-				whole = i + 2
-			}
+		e.setReadDeadline(r.eventDeadline(gotEvent))
+		err := in.read()
+		if withdrawn := r.cr.checkResidency(e); withdrawn != nil && err != io.EOF && ctx.Err() == nil {
+			e.finish(false)
+			return withdrawn
 		}
-		if whole > 0 {
+		if events := in.complete(err == io.EOF); len(events) > 0 {
 			if !gotEvent {
 				gotEvent = true
 				first()
 			}
-			if !r.headerSent {
-				r.headerSent = true
-				cr.copyHeader(resp)
-				cr.w.WriteHeader(resp.StatusCode)
-			}
-			if events {
-				r.scanEvents(buf[:whole])
-			}
-			if _, werr := cr.w.Write(buf[:whole]); werr != nil {
+			if werr := r.write(e.resp, events, in.isEvents); werr != nil {
 				e.finish(false)
-				return errClientGone
+				return werr
 			}
 			if err == nil {
 				_ = flush.Flush()
 			}
-			buf = append(buf[:0], buf[whole:]...)
+			in.drop(len(events))
 		}
 		if err == io.EOF {
-			if !r.headerSent {
-				r.headerSent = true
-				cr.copyHeader(resp)
-				cr.w.WriteHeader(resp.StatusCode)
-			}
+			r.sendHeader(e.resp)
 			if !gotEvent {
 				first()
 			}
@@ -248,26 +95,40 @@
 		}
 		if err != nil {
 			e.finish(false)
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			if isTimeout(err) {
-				return errAnswerTimeout
-			}
-			return errors.Wrap(err, "stream")
+			return streamError(ctx, err)
 		}
 	}
 }
 
-// isEventStream tells whether an answer is a series of events.
-func isEventStream(resp *http.Response) bool {
-	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
+// eventDeadline is until when an event is waited for. A first event has a time of its own; between events only the
+// request's deadline bounds the wait.
+func (r *streamRelay) eventDeadline(gotEvent bool) time.Time {
+	if !gotEvent && !r.headerSent {
+		return r.cr.headerDeadline()
+	}
+	return r.cr.deadline
 }
 
-// isTimeout tells whether a deadline, a connection's or a context's, ended an operation.
-func isTimeout(err error) bool {
-	var t interface{ Timeout() bool }
-	return errors.As(err, &t) && t.Timeout()
+// sendHeader sends the head of the answer, once.
+func (r *streamRelay) sendHeader(resp *http.Response) {
+	if r.headerSent {
+		return
+	}
+	r.headerSent = true
+	r.cr.copyHeader(resp)
+	r.cr.w.WriteHeader(resp.StatusCode)
+}
+
+// write gives complete events to the client. The error is errClientGone.
+func (r *streamRelay) write(resp *http.Response, events []byte, isEvents bool) error {
+	r.sendHeader(resp)
+	if isEvents {
+		r.scanEvents(events)
+	}
+	if _, err := r.cr.w.Write(events); err != nil {
+		return errClientGone
+	}
+	return nil
 }
 
 // scanEvents keeps the id of the last event, and counts the events.
@@ -282,55 +143,84 @@
 	r.countEvents(count)
 }
 
-// resume takes a stream up at another backend after its last event, inside the same answer; false: it could not.
-func (cr *clientRequest) resume(ctx context.Context, r *streamRelay, prompt *scheduler.Prompt) bool {
-	for ctx.Err() == nil && r.lastID != "" {
-		if !cr.takeRetry() {
-			return false
-		}
-		pl, ok := cr.svc.selectPlacement(cr.route.Name, false, prompt, cr.route.LatencyTarget(), cr.tried, false, cr.terms())
-		if !ok {
-			return false
-		}
-		cr.tried[pl.decode.ID] = true
-		r.backendID, r.sampleStart = pl.decode.ID, time.Time{}
-		status, kept := policy.OK, false
-		opts := attemptOptions{deadline: cr.deadline, priority: cr.priority(false), lastID: r.lastID}
-		e, wrote, err := cr.startExchange(ctx, pl.decodePermit, &cr.outbound, &opts, cr.connectDeadline(), cr.headerDeadline())
-		if wrote {
-			cr.sends++
-		}
-		done := false
-		if err != nil {
-			status = attemptStatus(wrote, err)
-		} else if resp := e.resp; resp.StatusCode != http.StatusOK || resp.Header.Get(externalapi.HeaderBackendSeal) == "" || resp.Header.Get("Content-Encoding") != "" || !isEventStream(resp) {
-			status = policy.Error
-			if saysNotRun(resp) {
-				status = policy.Full
-			}
-			e.setReadDeadline(time.Now().Add(time.Second))
-			_, _ = e.readAll(maxBufferedAnswer)
-		} else if err = r.copyEvents(ctx, e, func() { kept = true }); err == nil {
-			done = true
-		} else {
-			status = attemptStatus(true, err)
-		}
-		left := errors.Is(err, errClientGone)
-		cr.svc.mu.Lock()
-		cr.svc.engines.PrefillEnded(pl.decode.ID, pl.promptTokens, 0)
-		cr.svc.engines.RequestEnded(pl.decode.ID)
-		if !kept {
-			cr.svc.engines.InvalidateCache(pl.decode.ID, prompt)
-		}
-		cr.svc.ranker.AttemptEnded(cr.svc.now(), pl.decode.ID, status)
-		cr.svc.mu.Unlock()
-		if done {
-			cr.proxy.countAnswer(http.StatusOK)
-			return true
-		}
-		if left {
-			return false
-		}
+// countEvents counts events that came now, and records the pace of a sample that is complete.
+func (r *streamRelay) countEvents(events int) {
+	now := time.Now()
+	if r.totalEvents == 0 {
+		r.firstEventAt = now
+	}
+	r.totalEvents += events
+	r.lastEventAt = now
+	if r.sampleStart.IsZero() {
+		r.sampleStart = now
+		return
+	}
+	r.sampleEvents += events
+	if r.sampleEvents == 0 {
+		return
+	}
+	lasted := now.Sub(r.sampleStart)
+	svc := r.cr.svc
+	if svc.paceSampleComplete(lasted, r.sampleEvents) {
+		svc.recordPace(r.backendID, lasted, r.sampleEvents)
+		r.sampleEvents = 0
+		r.sampleStart = now
+	}
+}
+
+// eventReader reads a stream and finds the ends of its events.
+type eventReader struct {
+	body     io.Reader
+	isEvents bool   // else every read is complete by itself
+	buf      []byte // what has come and is not relayed yet
+}
+
+// grow makes space for more of an event that has filled the buffer. The error is that of an event over maxEventBytes.
+func (er *eventReader) grow() error {
+	if len(er.buf) < cap(er.buf) {
+		return nil
+	}
+	if cap(er.buf) >= maxEventBytes {
+		return errors.Errorf("an event over %d bytes", maxEventBytes)
+	}
+	er.buf = append(er.buf, make([]byte, cap(er.buf))...)[:len(er.buf)]
+	return nil
+}
+
+// read reads what has come, as io.Reader does. There has to be space.
+func (er *eventReader) read() error {
+	n, err := er.body.Read(er.buf[len(er.buf):cap(er.buf)])
+	er.buf = er.buf[:len(er.buf)+n]
+	return err
+}
+
+// complete returns what may be relayed: complete events, or, at the end of the stream, all there is.
+func (er *eventReader) complete(ended bool) []byte {
+	if !er.isEvents || ended {
+		return er.buf
+	}
+	i := bytes.LastIndex(er.buf, []byte("\n\n"))
+	if i < 0 {
+		return nil
+	}
+	return er.buf[:i+2]
+}
+
+// drop removes the first n bytes, which have been relayed.
+func (er *eventReader) drop(n int) { er.buf = append(er.buf[:0], er.buf[n:]...) }
+
+// isEventStream reports whether an answer is a stream of server-sent events.
+func isEventStream(resp *http.Response) bool {
+	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
+}
+
+// streamError is the error of a stream that broke off in a read.
+func streamError(ctx context.Context, err error) error {
+	if ctx.Err() != nil {
+		return ctx.Err()
+	}
+	if isTimeout(err) {
+		return errAnswerTimeout
 	}
-	return false
+	return errors.Wrap(err, "stream")
 }
