--- a/internal/fleet/statestore/stored_test.go
+++ b/internal/fleet/statestore/stored_test.go
@@ -51,12 +51,12 @@
 	golden := filepath.Join("testdata", "stored", fileName)
 	if goldenbytes.Updating() {
 		dir := c.TempDir()
-		a, _ := open2(c, dir)
-		c.Assert(a.Save(&replication.Write{
+		store, _ := mustOpen(c, dir)
+		c.Assert(store.Save(&replication.Write{
 			Identity: &want.Identity, View: &want.View, Vote: &want.Vote, Replica: &want.Replica,
 			Snapshot: want.Snapshot, Changes: want.Changes,
 		}), qt.IsNil)
-		c.Assert(a.Close(), qt.IsNil)
+		c.Assert(store.Close(), qt.IsNil)
 		body, err := os.ReadFile(filepath.Join(dir, fileName))
 		c.Assert(err, qt.IsNil)
 		c.Assert(os.MkdirAll(filepath.Dir(golden), 0o755), qt.IsNil)
@@ -67,29 +67,29 @@
 	body, err := os.ReadFile(golden)
 	c.Assert(err, qt.IsNil)
 	c.Assert(os.WriteFile(filepath.Join(dir, "control.db"), body, 0o644), qt.IsNil)
-	a, st, err := OpenFor(dir, "10.0.0.1:7720")
+	store, st, err := OpenFor(dir, "10.0.0.1:7720")
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.SetAsideCause(), qt.IsNil)
+	c.Assert(store.SetAsideCause(), qt.IsNil)
 	c.Assert(st, qt.DeepEquals, want)
 
-	// A newer standing and the next change are kept beside all that was there.
+	// A newer replica state and the next change are kept beside all that was there.
 	last := st.Changes[len(st.Changes)-1]
 	next := replication.Change{Seq: 44, Digest: replication.ChainDigest(last.Digest, 44, []byte("new")), Body: []byte("new")}
 	want.Replica.Committed++
 	want.Changes = append(want.Changes, next)
-	c.Assert(a.Save(&replication.Write{Replica: &want.Replica, Changes: []replication.Change{next}}), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
-	a, st = open2(c, dir)
-	c.Check(a.SetAsideCause(), qt.IsNil)
+	c.Assert(store.Save(&replication.Write{Replica: &want.Replica, Changes: []replication.Change{next}}), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	store, st = mustOpen(c, dir)
+	c.Check(store.SetAsideCause(), qt.IsNil)
 	c.Check(st, qt.DeepEquals, want)
 
 	// A snapshot takes the place of the changes.
 	snapshot := &replication.Snapshot{Seq: 44, Digest: next.Digest, Body: []byte("the record at 44")}
-	c.Assert(a.Save(&replication.Write{Snapshot: snapshot}), qt.IsNil)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Save(&replication.Write{Snapshot: snapshot}), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	want.Snapshot, want.Changes = snapshot, nil
-	a, st = open2(c, dir)
-	c.Check(a.SetAsideCause(), qt.IsNil)
+	store, st = mustOpen(c, dir)
+	c.Check(store.SetAsideCause(), qt.IsNil)
 	c.Check(st, qt.DeepEquals, want)
-	c.Assert(a.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 }
