--- a/internal/fleet/scheduler/load.go
+++ b/internal/fleet/scheduler/load.go
@@ -5,136 +5,171 @@
 	"slices"
 )
 
-// load is what is known of how busy a backend is: as it last told with an answer, or as the holder of the duty of orders
-// heard from it, whichever is newer; and which requests of this proxy still wait there for the head of their answer.
+// load is what is known of how busy a backend is: by its newest report, which came with a response or by way of the
+// control plane's polling, and by what this proxy sees itself.
 type load struct {
+	// The newest report.
 	reportedAt       float64 // ms
-	reportedActive   int
-	reportedQueued   int
-	inFlightAtReport int       // running then
-	awaitingHeaders  []float64 // since when, the oldest first
-	lastContact      float64   // when this proxy last heard of it itself
-	unresponsiveAt   float64   // when it was last found silent; 0: it was heard since
-	rejectedAt       float64   // when it last turned a request away; 0: it took one since
+	reportedActive   int     // requests running there
+	reportedQueued   int     // requests waiting there
+	inFlightAtReport int     // this proxy's requests there then
+
+	// Responsiveness.
+	awaitingHeaders []float64 // since when requests wait for response headers, the oldest first, ms
+	lastContact     float64   // when this proxy last received anything from it, ms
+	unresponsiveAt  float64   // when it was last found unresponsive, ms; 0: it has answered since
+
+	rejectedAt float64 // when it last rejected a request, ms; 0: it has accepted one since
 }
 
 const (
-	// loadFreshMs is how long what a backend told of its load counts for how much it has to read, ms.
+	// loadFreshMs is how long a report counts for estimates of queued prefill, ms: prefills are short.
 	loadFreshMs = 400
-	// occupancyFreshMs is how long it counts for how many places are taken, ms: answers that are made for seconds hold them.
+	// occupancyFreshMs is how long a report counts for a backend's occupancy, ms: a decode occupies the batch for
+	// seconds.
 	occupancyFreshMs = 3000
-	// polledLoadLagMs is how old a gauged load is when it comes, ms: reports lag, rounds of them take a while.
+	// polledLoadLagMs is how old a polled load is when it arrives, ms: reports lag, and a polling round takes a
+	// while.
 	polledLoadLagMs = 300
-	// rejectionHoldMs is how long a backend that turned a request away is taken for full, ms: one whose phase changes does so until its
-	// last answer has ended.
+	// rejectionHoldMs is how long a backend that rejected a request counts as full, ms: one that changes its phase
+	// rejects until its last answer has ended.
 	rejectionHoldMs = 2000
-	// unresponsiveAfterMs is half of the time after which clients give a silent stream up at the soonest (PROTOCOL), ms; unresponsiveHoldMs is how
-	// long a backend is taken for silent; contactPrecedenceMs is how much newer this proxy's word has to be than the control plane's.
-	unresponsiveAfterMs, unresponsiveHoldMs, contactPrecedenceMs = 1000, 2500, 700
-	// maxAwaiting bounds the waiting requests that are told apart at one backend.
+	// unresponsiveAfterMs is how long a backend sends nothing until it counts as unresponsive, ms: half of the time
+	// after which clients leave a silent stream at the soonest (PROTOCOL).
+	unresponsiveAfterMs = 1000
+	// unresponsiveHoldMs is how long a backend counts as unresponsive, ms; then it is tried again.
+	unresponsiveHoldMs = 2500
+	// contactPrecedenceMs is how recent this proxy's last contact must be to outweigh what the control plane says,
+	// ms.
+	contactPrecedenceMs = 700
+	// maxAwaiting bounds the requests whose wait for headers is tracked at one backend.
 	maxAwaiting = 256
 )
 
-// ObserveResponseLoad takes what a backend said of its load.
-func (e *Estimator) ObserveResponseLoad(now float64, id string, active, waiting int) {
-	if g := e.byID[id]; g != nil {
-		g.lastContact, g.unresponsiveAt = now, 0
-		g.reportedAt, g.reportedActive, g.reportedQueued, g.inFlightAtReport = now, active, waiting, g.inFlight
+// ObserveResponseLoad records the load that a backend reported with a response: requests running and waiting there.
+func (e *Estimator) ObserveResponseLoad(now float64, id string, active, queued int) {
+	b := e.byID[id]
+	if b == nil {
+		return
 	}
+	b.lastContact = now
+	b.unresponsiveAt = 0
+	b.reportedAt = now
+	b.reportedActive = active
+	b.reportedQueued = queued
+	b.inFlightAtReport = b.inFlight
 }
 
-// ObservePolledLoad takes how many requests were at a backend by its report; it counts unless the backend told of itself since.
+// ObservePolledLoad records how many requests were at a backend when the control plane polled it. It is ignored where
+// the backend has reported its load since.
 func (e *Estimator) ObservePolledLoad(now float64, id string, active int) {
-	if g := e.byID[id]; g != nil && g.reportedAt < now-polledLoadLagMs {
-		capacity := max(e.spec.Capacity, 1)
-		g.reportedAt, g.reportedActive, g.reportedQueued, g.inFlightAtReport = now-polledLoadLagMs, min(active, capacity), max(active-capacity, 0), g.inFlight
+	b := e.byID[id]
+	if b == nil || b.reportedAt >= now-polledLoadLagMs {
+		return
 	}
+	capacity := max(e.spec.Capacity, 1)
+	b.reportedAt = now - polledLoadLagMs
+	b.reportedActive = min(active, capacity)
+	b.reportedQueued = max(active-capacity, 0)
+	b.inFlightAtReport = b.inFlight
 }
 
-// occupancy is how many of a backend's places are taken, by its own word and by what this proxy sent since.
+// occupancy returns how many requests are at the backend: those it reported and those this proxy sent since.
 func (b *backendState) occupancy() int {
 	return max(b.reportedActive+b.reportedQueued+max(b.inFlight-b.inFlightAtReport, 0), b.inFlight)
 }
 
-// Utilization is how full a backend's batch is: 0 to 1 and above.
+// Utilization returns the occupied part of a backend's batch: 0 to 1, and above 1 where requests queue; 0 where the
+// capacity isn't known.
 func (e *Estimator) Utilization(id string) float64 {
-	g := e.byID[id]
-	if g == nil || e.spec.Capacity <= 0 {
+	b := e.byID[id]
+	if b == nil || e.spec.Capacity <= 0 {
 		return 0
 	}
-	return float64(g.occupancy()) / float64(e.spec.Capacity)
+	return float64(b.occupancy()) / float64(e.spec.Capacity)
 }
 
-// Full tells whether the backend is believed to have no place now.
+// Full tells whether the backend is believed to have no capacity left.
 func (e *Estimator) Full(now float64, id string) bool {
-	g := e.byID[id]
-	if g == nil || e.spec.Capacity <= 0 {
+	b := e.byID[id]
+	if b == nil || e.spec.Capacity <= 0 {
 		return false
 	}
-	if g.rejectedAt > 0 && now-g.rejectedAt < rejectionHoldMs {
+	if b.rejectedAt > 0 && now-b.rejectedAt < rejectionHoldMs {
 		return true
 	}
-	if g.prefill {
-		return g.inFlight >= e.spec.Capacity || now-g.reportedAt < loadFreshMs && g.reportedQueued > 0 && g.reportedActive >= e.spec.Capacity
+	if b.inFlight >= e.spec.Capacity {
+		return true
+	}
+	if b.prefill {
+		return now-b.reportedAt < loadFreshMs && b.reportedQueued > 0 && b.reportedActive >= e.spec.Capacity
 	}
-	return g.inFlight >= e.spec.Capacity || now-g.reportedAt < occupancyFreshMs && g.occupancy() >= e.spec.Capacity
+	return now-b.reportedAt < occupancyFreshMs && b.occupancy() >= e.spec.Capacity
 }
 
-// AwaitHeaders notes that the head of an answer is waited for, and gives what Heard is to be told.
+// AwaitHeaders records that a request begins to wait for response headers, and returns the time to pass to
+// AwaitEnded.
 func (e *Estimator) AwaitHeaders(now float64, id string) (since float64) {
-	if g := e.byID[id]; g != nil && len(g.awaitingHeaders) < maxAwaiting {
-		g.awaitingHeaders = append(g.awaitingHeaders, now)
+	if b := e.byID[id]; b != nil && len(b.awaitingHeaders) < maxAwaiting {
+		b.awaitingHeaders = append(b.awaitingHeaders, now)
 	}
 	return now
 }
 
-// AwaitEnded notes that a head came, or is waited for no more: a backend of which nothing came for unresponsiveAfterMs is taken for silent.
-func (e *Estimator) AwaitEnded(now float64, id string, since float64, came bool) {
-	g := e.byID[id]
-	if g == nil {
+// AwaitEnded records the end of the wait that AwaitHeaders began: received tells whether headers came. A backend from
+// which nothing came since then, more than unresponsiveAfterMs ago, counts as unresponsive.
+func (e *Estimator) AwaitEnded(now float64, id string, since float64, received bool) {
+	b := e.byID[id]
+	if b == nil {
 		return
 	}
-	if i := slices.Index(g.awaitingHeaders, since); i >= 0 {
-		g.awaitingHeaders = slices.Delete(g.awaitingHeaders, i, i+1)
+	if i := slices.Index(b.awaitingHeaders, since); i >= 0 {
+		b.awaitingHeaders = slices.Delete(b.awaitingHeaders, i, i+1)
 	}
 	switch {
-	case came:
-		g.lastContact, g.unresponsiveAt = now, 0
-	case now-since > unresponsiveAfterMs && g.lastContact < since:
-		g.unresponsiveAt = now
+	case received:
+		b.lastContact = now
+		b.unresponsiveAt = 0
+	case now-since > unresponsiveAfterMs && b.lastContact < since:
+		b.unresponsiveAt = now
 	}
 }
 
-// MarkUnresponsive notes that the control plane did not hear a backend; this proxy's own word counts where it is newer.
+// MarkUnresponsive records that the control plane had no contact with a backend. It is ignored where this proxy's own
+// contact is recent.
 func (e *Estimator) MarkUnresponsive(now float64, id string) {
-	if g := e.byID[id]; g != nil && g.lastContact < now-contactPrecedenceMs {
-		g.unresponsiveAt = now
+	if b := e.byID[id]; b != nil && b.lastContact < now-contactPrecedenceMs {
+		b.unresponsiveAt = now
 	}
 }
 
-// MarkedUnresponsive tells whether a backend was found silent of late.
+// MarkedUnresponsive tells whether a backend was found unresponsive within unresponsiveHoldMs and hasn't answered
+// since.
 func (e *Estimator) MarkedUnresponsive(now float64, id string) bool {
-	g := e.byID[id]
-	return g != nil && g.unresponsiveAt > 0 && now-g.unresponsiveAt < unresponsiveHoldMs
+	b := e.byID[id]
+	return b != nil && b.unresponsiveAt > 0 && now-b.unresponsiveAt < unresponsiveHoldMs
 }
 
-// Unresponsive tells whether a backend was found silent of late, or a request has waited there for so many ms for the head of its
-// answer.
+// Unresponsive tells whether a backend is marked unresponsive, or a request has waited there for response headers for
+// longer than the patience given, ms.
 func (e *Estimator) Unresponsive(now float64, id string, patience float64) bool {
-	g := e.byID[id]
-	return e.MarkedUnresponsive(now, id) || g != nil && len(g.awaitingHeaders) > 0 && now-g.awaitingHeaders[0] > patience
+	if e.MarkedUnresponsive(now, id) {
+		return true
+	}
+	b := e.byID[id]
+	return b != nil && len(b.awaitingHeaders) > 0 && now-b.awaitingHeaders[0] > patience
 }
 
-// ObserveRejection notes that a backend turned a request away, Took that it took one.
+// ObserveRejection records that a backend rejected a request for lack of capacity.
 func (e *Estimator) ObserveRejection(now float64, id string) {
-	if g := e.byID[id]; g != nil {
-		g.rejectedAt = max(now, math.SmallestNonzeroFloat64)
+	if b := e.byID[id]; b != nil {
+		b.rejectedAt = max(now, math.SmallestNonzeroFloat64) // 0 stands for none
 	}
 }
 
-// ObserveAcceptance notes that a backend took a request.
+// ObserveAcceptance records that a backend accepted a request.
 func (e *Estimator) ObserveAcceptance(id string) {
-	if g := e.byID[id]; g != nil {
-		g.rejectedAt = 0
+	if b := e.byID[id]; b != nil {
+		b.rejectedAt = 0
 	}
 }
--- a/internal/fleet/scheduler/load_test.go
+++ b/internal/fleet/scheduler/load_test.go
@@ -6,23 +6,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// On a day two of three that made tokens had queues while the third was empty: what proxies knew was seconds old.
-func TestGaugesTellOfFullBatches(t *testing.T) {
+// On one day two of three decode backends had queues while the third was empty: what proxies knew was seconds old.
+func TestPolledLoadShowsFullBatches(t *testing.T) {
 	c := qt.New(t)
-	e := engines(t, 1, 2)
+	e := newTestEstimator(t, 1, 2)
 	c.Assert(e.Full(1000, "d0"), qt.IsFalse)
 	e.ObservePolledLoad(1000, "d0", 11)
 	c.Assert(e.Full(1000, "d0"), qt.IsTrue)
 	c.Assert(e.Utilization("d0"), qt.Equals, 11.0/8)
 	c.Assert(e.Full(1000, "d1"), qt.IsFalse)
-	c.Assert(e.Full(1000+occupancyFreshMs, "d0"), qt.IsFalse, qt.Commentf("what is old is not believed"))
-	// What a backend says with an answer is newer than a report of the same moment.
+	c.Assert(e.Full(1000+occupancyFreshMs, "d0"), qt.IsFalse, qt.Commentf("an old report doesn't count"))
+	// A load that came with a response is newer than a polled one of the same moment.
 	e.ObserveResponseLoad(2000, "d0", 3, 0)
 	e.ObservePolledLoad(2000, "d0", 8)
 	c.Assert(e.Full(2000, "d0"), qt.IsFalse)
 	e.ObservePolledLoad(3000, "d0", 8)
 	c.Assert(e.Full(3000, "d0"), qt.IsTrue)
-	// What this proxy sent since counts besides, and what ended since is forgotten with the next report only.
+	// What this proxy sent since counts as well; what ended since shows with the next report only.
 	e.ObservePolledLoad(5000, "d1", 6)
 	e.DecodeStarted("d1")
 	c.Assert(e.Full(5000, "d1"), qt.IsFalse)
@@ -32,9 +32,9 @@
 	c.Assert(e.Utilization("gone"), qt.Equals, 0.0)
 }
 
-func TestSilentBackendsAreSeenWhileTheyAreWaitedFor(t *testing.T) {
+func TestUnresponsiveWhileHeadersAreAwaited(t *testing.T) {
 	c := qt.New(t)
-	e := engines(t, 0, 2)
+	e := newTestEstimator(t, 0, 2)
 	c.Assert(e.Unresponsive(500, "d0", 0), qt.IsFalse)
 	first := e.AwaitHeaders(500, "d0")
 	second := e.AwaitHeaders(700, "d0")
@@ -52,10 +52,10 @@
 	e.AwaitEnded(1000, "gone", e.AwaitHeaders(1000, "gone"), false)
 }
 
-// A client leaves a silent stream after two seconds; the next request went to the same backend, and waited as long.
-func TestSilenceOutlivesWhoWaited(t *testing.T) {
+// A client leaves a silent stream after two seconds; the next request went to the same backend and waited as long.
+func TestUnresponsiveOutlivesTheWait(t *testing.T) {
 	c := qt.New(t)
-	e := engines(t, 0, 2)
+	e := newTestEstimator(t, 0, 2)
 	since := e.AwaitHeaders(1000, "d0")
 	e.AwaitEnded(1000+unresponsiveAfterMs, "d0", since, false)
 	c.Assert(e.MarkedUnresponsive(2001, "d0"), qt.IsFalse, qt.Commentf("clients leave for reasons of their own"))
@@ -64,13 +64,13 @@
 	c.Assert(e.MarkedUnresponsive(4001, "d0"), qt.IsTrue)
 	c.Assert(e.MarkedUnresponsive(4000+unresponsiveHoldMs, "d0"), qt.IsFalse, qt.Commentf("it is tried again"))
 	e.ObserveResponseLoad(4100, "d0", 1, 0)
-	c.Assert(e.MarkedUnresponsive(4101, "d0"), qt.IsFalse, qt.Commentf("it was heard"))
+	c.Assert(e.MarkedUnresponsive(4101, "d0"), qt.IsFalse, qt.Commentf("it has answered"))
 	// Another request was answered meanwhile: it is slow, not silent.
 	since = e.AwaitHeaders(5000, "d0")
 	e.AwaitEnded(6000, "d0", e.AwaitHeaders(5500, "d0"), true)
 	e.AwaitEnded(7500, "d0", since, false)
 	c.Assert(e.MarkedUnresponsive(7501, "d0"), qt.IsFalse)
-	// What the control plane did not hear counts unless this proxy did.
+	// The control plane's word counts unless this proxy had contact of late.
 	e.MarkUnresponsive(8000, "d0")
 	c.Assert(e.MarkedUnresponsive(8001, "d0"), qt.IsTrue)
 	e.ObserveResponseLoad(9000, "d0", 1, 0)
@@ -79,10 +79,10 @@
 	e.MarkUnresponsive(9000, "gone")
 }
 
-// A backend whose phase changed turned staged prompts away for seconds, and each proxy went on sending there.
-func TestWhoTurnsRequestsAwayIsFull(t *testing.T) {
+// A backend that changed its phase rejected staged prompts for seconds, and each proxy went on sending there.
+func TestRejectionCountsAsFull(t *testing.T) {
 	c := qt.New(t)
-	e := engines(t, 1, 2)
+	e := newTestEstimator(t, 1, 2)
 	e.ObserveRejection(0, "d0")
 	c.Assert(e.Full(1, "d0"), qt.IsTrue)
 	c.Assert(e.Full(1, "d1"), qt.IsFalse)
--- a/internal/fleet/scheduler/prompt.go
+++ b/internal/fleet/scheduler/prompt.go
@@ -1,5 +1,3 @@
-// Package scheduler reckons where prompts are read and tokens are made. It is a state machine without I/O or clock: what is listed, sent, heard and ended goes in, estimates
-// come out, in milliseconds and in tokens. Figures come from the operator's configuration and from what was measured.
 package scheduler
 
 import (
@@ -11,50 +9,63 @@
 	"molepaddle/internal/decide/arith"
 )
 
-// Segment is a part of a prompt: Chain names it together with all parts before it, as a kept part serves only so.
+// Segment is a piece of a prompt as its sender cut it.
 type Segment struct {
+	// PrefixHash identifies the segment together with all segments before it: a cached segment serves only after the
+	// same prefix.
 	PrefixHash uint64
-	Tokens     int
+	// Tokens is the length of the segment.
+	Tokens int
 }
 
-// Prompt is what a request tells of its prompt.
+// Prompt is what a request's headers say of its prompt.
 type Prompt struct {
-	Segments        []Segment
-	InputTokens     int // tokens of the prompt
-	MaxOutputTokens int // tokens to come at the most
+	// Segments are the pieces of the prompt, in order, maxSegments at most.
+	Segments []Segment
+	// InputTokens is the length of the prompt.
+	InputTokens int
+	// MaxOutputTokens is how many tokens the answer has at the most.
+	MaxOutputTokens int
 }
 
-// maxSegments bounds the parts of a prompt that are looked at.
+// maxSegments bounds the segments of a prompt that are looked at.
 const maxSegments = 64
 
-// ParsePrompt reads the two header fields, `1460,80` and `5c1e07a2:800,91bd3f06:410`, for a model; false: they
-// tell nothing that can be used.
-func ParsePrompt(model, count, parts string) (Prompt, bool) {
+// ParsePrompt reads the two header fields, such as `1460,80` and `5c1e07a2:800,91bd3f06:410`, of a request for a
+// model. It returns false where count can't be read; segments are read up to the first that can't be.
+func ParsePrompt(model, count, segments string) (Prompt, bool) {
 	var p Prompt
-	in, out, two := strings.Cut(count, ",")
-	var err error
-	if p.InputTokens, err = strconv.Atoi(strings.TrimSpace(in)); err != nil || p.InputTokens < 0 {
+	input, output, hasOutput := strings.Cut(count, ",")
+	var ok bool
+	if p.InputTokens, ok = parseTokens(strings.TrimSpace(input)); !ok {
 		return p, false
 	}
-	if two {
-		if p.MaxOutputTokens, err = strconv.Atoi(strings.TrimSpace(out)); err != nil || p.MaxOutputTokens < 0 {
+	if hasOutput {
+		if p.MaxOutputTokens, ok = parseTokens(strings.TrimSpace(output)); !ok {
 			return p, false
 		}
 	}
-	chain := xxhash.Sum64String(model)
-	for word := range strings.SplitSeq(parts, ",") {
-		id, tokens, ok := strings.Cut(strings.TrimSpace(word), ":")
-		n, err := strconv.Atoi(tokens)
-		if !ok || err != nil || n < 0 || len(p.Segments) == maxSegments {
+	hash := xxhash.Sum64String(model)
+	for text := range strings.SplitSeq(segments, ",") {
+		id, length, found := strings.Cut(strings.TrimSpace(text), ":")
+		tokens, ok := parseTokens(length)
+		if !found || !ok || len(p.Segments) == maxSegments {
 			break
 		}
-		chain = arith.Mix(chain ^ xxhash.Sum64String(id))
-		p.Segments = append(p.Segments, Segment{PrefixHash: chain, Tokens: n})
+		hash = arith.Mix(hash ^ xxhash.Sum64String(id))
+		p.Segments = append(p.Segments, Segment{PrefixHash: hash, Tokens: tokens})
 	}
 	return p, true
 }
 
-// SharedPrefixKey is what the prompt shares with others: its parts but the last, which is the request's own. 0: nothing.
+// parseTokens reads a number of tokens, 0 or more.
+func parseTokens(text string) (int, bool) {
+	n, err := strconv.Atoi(text)
+	return n, err == nil && n >= 0
+}
+
+// SharedPrefixKey returns the hash of the prefix that the prompt shares with others: all segments but the last, which
+// is the request's own. 0: it shares nothing.
 func (p *Prompt) SharedPrefixKey() uint64 {
 	if len(p.Segments) < 2 {
 		return 0
@@ -62,19 +73,20 @@
 	return p.Segments[len(p.Segments)-2].PrefixHash
 }
 
-// UnsharedTokens is how many tokens of the prompt no other has: those of its last part, or all where it shares nothing.
+// UnsharedTokens returns how many tokens of the prompt no other prompt has: those of its last segment, or all of them
+// where it shares nothing.
 func (p *Prompt) UnsharedTokens() int {
 	if len(p.Segments) < 2 {
 		return p.InputTokens
 	}
 	shared := 0
-	for _, part := range p.Segments[:len(p.Segments)-1] {
-		shared += part.Tokens
+	for _, segment := range p.Segments[:len(p.Segments)-1] {
+		shared += segment.Tokens
 	}
 	return max(p.InputTokens-shared, 0)
 }
 
-// PromptKey is the prompt's own key, all of its parts together; 0: it has none.
+// PromptKey returns the hash of the whole prompt; 0 where it has no segments.
 func (p *Prompt) PromptKey() uint64 {
 	if len(p.Segments) == 0 {
 		return 0
--- a/internal/fleet/scheduler/pace_test.go
+++ b/internal/fleet/scheduler/stream_pace_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPaceIsTheSlowestOfLate: faster stretches don't hide a slow one, which half is forgotten of in ten seconds.
-func TestPaceIsTheSlowestOfLate(t *testing.T) {
+// Faster stretches don't hide a slow one, whose half-life is ten seconds.
+func TestStreamPaceIsTheSlowest(t *testing.T) {
 	c := qt.New(t)
 	var p StreamPace
 	c.Assert(p.Slowest(0), qt.Equals, 0.0)
@@ -17,7 +17,7 @@
 	c.Assert(p.Slowest(1000), qt.Equals, 40.0)
 	c.Assert(p.Slowest(11_000), qt.Equals, 20.0)
 	p.Observe(11_000, 160, 16)
-	c.Assert(p.Slowest(11_000), qt.Equals, 20.0, qt.Commentf("what is faster than what is left of it"))
+	c.Assert(p.Slowest(11_000), qt.Equals, 20.0, qt.Commentf("a faster stretch than what is left of it"))
 	p.Observe(11_000, 480, 16)
 	c.Assert(p.Slowest(11_000), qt.Equals, 30.0)
 }
