--- a/internal/fleet/ranking/ranking_test.go
+++ b/internal/fleet/ranking/ranker_test.go
@@ -20,8 +20,8 @@
 	return list
 }
 
-// standing is a Standing that entered a state at since, by its transitions.
-func standing(state policy.State, since float64) policy.Health {
+// healthSince is a Health that entered a state at since, by its transitions.
+func healthSince(state policy.State, since float64) policy.Health {
 	s := policy.NewHealth(since)
 	switch state {
 	case policy.Connected:
@@ -54,7 +54,7 @@
 	return r.Rank(now, key, nil, 1.25, nil, nil)
 }
 
-func TestRankerFollowsTheList(t *testing.T) {
+func TestRankerFollowsEndpoints(t *testing.T) {
 	c := qt.New(t)
 	r := ranked(RankerSettings{}, 2)
 	r.AttemptStarted("b0")
@@ -67,7 +67,7 @@
 	r.SetEndpoints(2, []Endpoint{{"b1", true}})
 	c.Assert(r.all, qt.HasLen, 1)
 	c.Assert(r.byID, qt.HasLen, 1)
-	r.AttemptStarted("b9") // all of an unknown one is nothing
+	r.AttemptStarted("b9") // what is reported of an unknown one is ignored
 	r.AttemptEnded(2, "b9", policy.Reset)
 	r.TransferEnded(2, "b9", false)
 	r.ProbeEnded(2, "b9", true)
@@ -84,19 +84,19 @@
 		first := r.ranking(0, 7)
 		attempted(r, 10, first[0], how)
 		// Connected until then: the refresh is forced at once, and it awaits validation.
-		c.Assert(r.byID[first[0]].Health, qt.Equals, standing(policy.UnhealthyPending, 10))
+		c.Assert(r.byID[first[0]].Health, qt.Equals, healthSince(policy.UnhealthyPending, 10))
 		c.Assert(r.ranking(10, 7), qt.DeepEquals, append(slices.Clone(first[1:]), first[0]))
 		c.Assert(r.ShouldRefetch(10), qt.IsTrue)
 		c.Assert(r.ShouldRefetch(10), qt.IsFalse)
 		attempted(r, 20, first[0], how) // not Connected: no refresh
-		c.Assert(r.byID[first[0]].Health, qt.Equals, standing(policy.Unhealthy, 20))
+		c.Assert(r.byID[first[0]].Health, qt.Equals, healthSince(policy.Unhealthy, 20))
 		c.Assert(r.ShouldRefetch(5000), qt.IsFalse)
 		attempted(r, 30, first[0], policy.OK)
 		c.Assert(r.ranking(30, 7), qt.DeepEquals, first)
 	}
 }
 
-func TestRankerDemotesNobodyForFull(t *testing.T) {
+func TestRejectionDoesNotDemote(t *testing.T) {
 	c := qt.New(t)
 	for _, how := range []policy.Status{policy.Full, policy.Moot, policy.Cancelled, policy.NoWay} {
 		r := ranked(RankerSettings{}, 3)
@@ -108,7 +108,7 @@
 	}
 }
 
-// One that was out while the calls to it failed refreshes the others, too.
+// A failed attempt at a Connected backend refreshes the others, too.
 func TestRankerRefreshesAll(t *testing.T) {
 	c := qt.New(t)
 	r := ranked(RankerSettings{MaxProbes: 2}, 4)
@@ -121,17 +121,18 @@
 	c.Assert(r.StartProbes(nil), qt.DeepEquals, []string{"b2"})
 	r.ProbeEnded(13, "b0", true)
 	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // each once
-	c.Assert(r.byID["b0"].Health, qt.Equals, standing(policy.Connected, 13))
-	c.Assert(r.byID["b1"].Health, qt.Equals, standing(policy.Unhealthy, 12))
+	c.Assert(r.byID["b0"].Health, qt.Equals, healthSince(policy.Connected, 13))
+	c.Assert(r.byID["b1"].Health, qt.Equals, healthSince(policy.Unhealthy, 12))
 	r.AttemptEnded(14, "b2", policy.OK) // while its probe is out
 	r.ProbeEnded(15, "b2", false)
-	c.Assert(r.byID["b2"].Health, qt.Equals, standing(policy.Connected, 14))
+	c.Assert(r.byID["b2"].Health, qt.Equals, healthSince(policy.Connected, 14))
 	r.ProbeEnded(16, "b0", false) // not asked
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Connected)
 }
 
-// A minute Unhealthy has the next request refresh, though no list comes, and a minute of that ranks healthy.
-func TestRankerLapses(t *testing.T) {
+// After a minute in Unhealthy the next request refreshes, though no list comes; a minute in UnhealthyPending ranks as
+// healthy.
+func TestPendingTimesOut(t *testing.T) {
 	c := qt.New(t)
 	r := NewRanker(RankerSettings{})
 	r.SetEndpoints(0, listed(2))
@@ -141,7 +142,7 @@
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Unhealthy)
 	c.Assert(r.ranking(60000, 7), qt.DeepEquals, []string{"b1", "b0"})
 	c.Assert(r.ShouldRefetch(60000), qt.IsTrue)
-	c.Assert(r.byID["b0"].Health, qt.Equals, standing(policy.UnhealthyPending, 60000))
+	c.Assert(r.byID["b0"].Health, qt.Equals, healthSince(policy.UnhealthyPending, 60000))
 	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // no cap, no probe
 	b0 := func(now float64) (first int) {
 		for key := range uint64(200) {
@@ -155,7 +156,7 @@
 	c.Assert(b0(120000) > 50, qt.IsTrue)
 }
 
-func TestRankerHandovers(t *testing.T) {
+func TestFailedTransfersDemoteTheirSource(t *testing.T) {
 	c := qt.New(t)
 	r := ranked(RankerSettings{}, 2)
 	fail := func(now float64) {
@@ -166,14 +167,14 @@
 	for range maxFailedTransfers - 1 {
 		fail(1)
 	}
-	attempted(r, 2, "b0", policy.OK) // a prompt read says nothing of the way of its memory
+	attempted(r, 2, "b0", policy.OK) // a prefill says nothing of the transfer after it
 	r.TransferEnded(2, "b0", true)
 	for range maxFailedTransfers - 1 {
 		fail(3)
 	}
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Connected)
 	fail(4)
-	c.Assert(r.byID["b0"].Health, qt.Equals, standing(policy.UnhealthyPending, 4))
+	c.Assert(r.byID["b0"].Health, qt.Equals, healthSince(policy.UnhealthyPending, 4))
 	attempted(r, 5, "b0", policy.OK)
 	fail(6) // still none has succeeded
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.UnhealthyPending)
@@ -197,20 +198,20 @@
 	c.Assert(none, qt.DeepEquals, keyed)
 }
 
-// Keys spread evenly, and of a backend that goes only its own keys move.
+// Keys spread evenly, and only the keys of a backend that is gone move.
 func TestRankerKeepsKeys(t *testing.T) {
 	c := qt.New(t)
 	r := ranked(RankerSettings{}, 8)
-	home, count := map[uint64]string{}, map[string]int{}
+	preferred, count := map[uint64]string{}, map[string]int{}
 	for key := range uint64(4000) {
-		home[key] = r.ranking(0, key*0x9e3779b97f4a7c15)[0]
-		count[home[key]]++
+		preferred[key] = r.ranking(0, key*0x9e3779b97f4a7c15)[0]
+		count[preferred[key]]++
 	}
 	for id, n := range count {
 		c.Assert(n > 400 && n < 600, qt.IsTrue, qt.Commentf("%s has %d of 4000 keys", id, n))
 	}
 	r.SetEndpoints(1, listed(7))
-	for key, id := range home {
+	for key, id := range preferred {
 		if now := r.ranking(1, key*0x9e3779b97f4a7c15)[0]; id != "b7" {
 			c.Assert(now, qt.Equals, id)
 		}
@@ -234,17 +235,30 @@
 	}
 }
 
+// allStatuses are the ways in which an attempt may end.
+var allStatuses = []policy.Status{policy.OK, policy.Full, policy.Error, policy.Timeout, policy.ConnectFailed,
+	policy.Reset, policy.Moot, policy.Cancelled, policy.NoWay}
+
+func anyUnhealthy(r *Ranker) bool {
+	return slices.ContainsFunc(r.all, func(b *backend) bool { return b.State() == policy.Unhealthy })
+}
+
 // Whatever happens to it, a Ranker keeps the tiers in order and its caps, gives each backend once, has no
 // more validations under way than it may, and has everyone back in the first tier in bounded time.
 func TestRankerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := RankerSettings{MaxProbes: rapid.IntRange(0, 3).Draw(t, "probes"), PendingTimeoutMs: 1000, UnhealthyHoldMs: 3000,
-			MinRefetchIntervalMs: 500, CostTolerance: 5}
+		set := RankerSettings{
+			MaxProbes:            rapid.IntRange(0, 3).Draw(t, "probes"),
+			PendingTimeoutMs:     1000,
+			UnhealthyHoldMs:      3000,
+			MinRefetchIntervalMs: 500,
+			CostTolerance:        5,
+		}
 		r := NewRanker(set)
 		now, asked := 0.0, math.Inf(-1)
 		usable, out, probing := map[string]bool{}, map[string]int{}, map[string]bool{}
 		id := func() string { return fmt.Sprint("b", rapid.IntRange(0, 9).Draw(t, "id")) }
-		held := func(id string) (policy.State, bool) {
+		stateOf := func(id string) (policy.State, bool) {
 			if b := r.byID[id]; b != nil {
 				return b.State(), true
 			}
@@ -279,11 +293,11 @@
 				if out[x] == 0 {
 					break
 				}
-				was, _ := held(x)
-				how := rapid.SampledFrom([]policy.Status{policy.OK, policy.Full, policy.Error, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Moot, policy.Cancelled, policy.NoWay}).Draw(t, "how")
+				was, _ := stateOf(x)
+				how := rapid.SampledFrom(allStatuses).Draw(t, "how")
 				r.AttemptEnded(now, x, how)
 				out[x]--
-				is, _ := held(x)
+				is, _ := stateOf(x)
 				switch how {
 				case policy.OK:
 					if is != policy.Connected {
@@ -293,7 +307,7 @@
 					if is < policy.UnhealthyPending || was != policy.Connected && is != policy.Unhealthy {
 						t.Fatalf("failed in state %d and is in %d", was, is)
 					}
-					if was == policy.Connected && slices.ContainsFunc(r.all, func(b *backend) bool { return b.State() == policy.Unhealthy }) {
+					if was == policy.Connected && anyUnhealthy(r) {
 						t.Fatal("a refresh leaves one Unhealthy")
 					}
 				default:
@@ -303,7 +317,7 @@
 				}
 			case 5:
 				for _, x := range r.StartProbes(nil) {
-					if s, _ := held(x); probing[x] || !usable[x] || s != policy.UnhealthyPending {
+					if s, _ := stateOf(x); probing[x] || !usable[x] || s != policy.UnhealthyPending {
 						t.Fatalf("%s is to be probed in state %d", x, s)
 					}
 					probing[x] = true
@@ -313,11 +327,12 @@
 				}
 			case 6:
 				x := id()
-				was, _ := held(x)
+				was, _ := stateOf(x)
 				ok := rapid.Bool().Draw(t, "ok")
 				r.ProbeEnded(now, x, ok)
-				is, _ := held(x)
-				if want := map[bool]policy.State{true: policy.Connected, false: policy.Unhealthy}[ok]; probing[x] && was == policy.UnhealthyPending {
+				is, _ := stateOf(x)
+				want := map[bool]policy.State{true: policy.Connected, false: policy.Unhealthy}[ok]
+				if probing[x] && was == policy.UnhealthyPending {
 					if is != want {
 						t.Fatalf("probed %v: state %d", ok, is)
 					}
@@ -328,7 +343,7 @@
 			}
 			if r.ShouldRefetch(now) {
 				if now-asked < set.MinRefetchIntervalMs {
-					t.Fatal("the list is asked for too often")
+					t.Fatal("the endpoint list is refetched too often")
 				}
 				asked = now
 			}
@@ -387,16 +402,21 @@
 	}
 }
 
-func TestHomeIsTheHashsFirst(t *testing.T) {
+func TestPreferredBackendIsTheHashsFirst(t *testing.T) {
 	c := qt.New(t)
 	r := NewRanker(RankerSettings{})
 	all := func(string) bool { return true }
 	c.Assert(r.PreferredBackend(0, 1, all), qt.Equals, "")
-	r.SetEndpoints(0, []Endpoint{{ID: "a", Usable: true}, {ID: "b", Usable: true}, {ID: "c", Usable: true}, {ID: "leaving"}})
+	r.SetEndpoints(0, []Endpoint{
+		{ID: "a", Usable: true},
+		{ID: "b", Usable: true},
+		{ID: "c", Usable: true},
+		{ID: "draining"},
+	})
 	for key := range uint64(200) {
-		home := r.PreferredBackend(0, key, all)
-		c.Assert(home, qt.Equals, r.Rank(0, key, nil, math.Inf(1), nil, nil)[0], qt.Commentf("key %d", key))
-		second := r.PreferredBackend(0, key, func(id string) bool { return id != home })
+		preferred := r.PreferredBackend(0, key, all)
+		c.Assert(preferred, qt.Equals, r.Rank(0, key, nil, math.Inf(1), nil, nil)[0], qt.Commentf("key %d", key))
+		second := r.PreferredBackend(0, key, func(id string) bool { return id != preferred })
 		c.Assert(second, qt.Equals, r.Rank(0, key, nil, math.Inf(1), nil, nil)[1], qt.Commentf("key %d", key))
 	}
 	r.AttemptStarted("a")
@@ -406,7 +426,8 @@
 	}
 }
 
-// TestRankerEjects: while the fleet's word is against a backend, what this proxy sees of it doesn't lift it; it lapses by itself.
+// While the fleet ejects a backend, an answer that this proxy gets from it doesn't raise it; the ejection expires by
+// itself.
 func TestRankerEjects(t *testing.T) {
 	c := qt.New(t)
 	for _, restored := range []bool{true, false} {
@@ -418,7 +439,8 @@
 			c.Assert(r.Rank(now, 7, nil, 1, nil, nil)[2], qt.Equals, "b1")
 			c.Assert(r.PreferredBackend(now, 7, func(id string) bool { return id != "b0" }), qt.Equals, "b2")
 		}
-		c.Assert(r.Rank(4000, 7, func(id string) bool { return id == "b1" }, 1, nil, nil), qt.DeepEquals, []string{"b1"}, qt.Commentf("an empty tier passes down"))
+		alone := r.Rank(4000, 7, func(id string) bool { return id == "b1" }, 1, nil, nil)
+		c.Assert(alone, qt.DeepEquals, []string{"b1"}, qt.Commentf("an empty tier passes down"))
 		if restored {
 			r.Restore(4500, "b1")
 			c.Assert(r.PreferredBackend(4500, 7, func(id string) bool { return id == "b1" }), qt.Equals, "b1")
