--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -8,118 +8,64 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// Peer is a listed backend as the Detector compares it with others of its group.
-type Peer struct {
-	ID    string
-	Group string // what serves the same requests: its service and phase
-}
-
 const (
-	// halfLifeMs is the time in which half of what was counted is forgotten, ms, and answerRateHalfLifeMs that for the rate of answers.
-	halfLifeMs, answerRateHalfLifeMs = 800, 400
-	// minComplaints is how many proxies must have had bad ends at a backend: one that is ill itself, or lies, condemns nobody.
-	minComplaints = 3
-	// minBadShare is the part of the attempts, on the mean over proxies, that must have ended badly, and peerFactor how many times
-	// the median of its peers' that must be. Where all do badly alike it is load.
-	minBadShare, peerFactor = 0.18, 3
-	// overloadAnswerRate is the part of the median rate of its peers' answers above which a backend that is late is pressed rather than ill.
-	overloadAnswerRate = 0.4
-	// normalBadShare is the part of bad ends that three in four of a group's backends stay below while it is not pressed. While it is,
-	// lateness tells nothing of a backend, unless its rate of answers is below unresponsiveAnswerRate of the median.
-	normalBadShare, unresponsiveAnswerRate = 0.05, 0.1
-	// minSlowShare is the part of the answers that came slowly at a backend that is ill for certain: some come so where streams make way
-	// for more urgent ones.
-	minSlowShare = 0.6
-	// minLateShare is what minBadShare is for lateness alone.
-	minLateShare = 0.25
-	// maxEjectedDivisor is one in how many of a group are ejected at the most, and maxLateEjectedDivisor where the next one is only late.
-	maxEjectedDivisor, maxLateEjectedDivisor = 3, 6
-	// trialsToRestore is how many trials in a row must succeed, doubled with each strike up to maxStrikes of them; a strike
-	// is forgotten after strikeLifetimeMs, ms.
-	trialsToRestore, maxStrikes, strikeLifetimeMs = 4, 2, 30_000
-	// reportDelayMs is for how long after an ejection good ends may have been counted before it, ms.
+	// maxEjectedDivisor is one in how many of a group are ejected at the most.
+	maxEjectedDivisor = 3
+	// maxLateEjectedDivisor is the same where the next one is only late.
+	maxLateEjectedDivisor = 6
+	// trialsToRestore is how many trials in a row must succeed to restore a backend; it doubles with each strike.
+	trialsToRestore = 4
+	// maxStrikes bounds the doubling.
+	maxStrikes = 2
+	// strikeLifetimeMs is how long after it was restored a backend's strikes count, ms.
+	strikeLifetimeMs = 30_000
+	// maxTrialsPerReport bounds the successes that one report counts for: no single proxy's report restores a
+	// backend.
+	maxTrialsPerReport = 2
+	// reportDelayMs is how long after an ejection reported successes may be from before it, ms.
 	reportDelayMs = 1500
-	// minComplaintWeight is the least weight, after forgetting, with which a bad end counts as a proxy's complaint.
-	minComplaintWeight = 0.3
+	// suspicionMs is how long after its last bad end a backend may be ejected, ms.
+	suspicionMs = 2 * halfLifeMs
+	// proxyTimeoutMs is how long the counts of a proxy that reports no more are held, ms.
+	proxyTimeoutMs = 10 * halfLifeMs
 	// maxProxies bounds the proxies whose counts are told apart at one backend.
 	maxProxies = 4096
 )
 
-// proxyStats is what one proxy saw of one backend of late, fading with time.
-type proxyStats struct {
-	zone      string
-	attempts  float64
-	failed    float64
-	slow      float64 // far slower than usual once its answer had begun
-	paced     float64 // came in parts, which shows how fast
-	overdue   float64 // not answered within far longer than usual
-	late      float64 // overdue, and answered in the end
-	answers   float64 // of all kinds, fading faster
-	decayedAt float64
-}
-
-// decay forgets what is old.
-func (p *proxyStats) decay(now float64) {
-	part := math.Exp2(-(now - p.decayedAt) / halfLifeMs)
-	p.attempts *= part
-	p.failed *= part
-	p.slow *= part
-	p.paced *= part
-	p.overdue *= part
-	p.late *= part
-	p.answers *= math.Exp2(-(now - p.decayedAt) / answerRateHalfLifeMs)
-	p.decayedAt = now
-}
-
-// badShare is the part of the attempts that ended badly.
-func (p *proxyStats) badShare() float64 {
-	if p.attempts <= 0 {
-		return 0
-	}
-	return min(p.badEnds()/p.attempts, 1)
-}
-
-// failedShare is the part of the attempts that failed.
-func (p *proxyStats) failedShare() float64 {
-	if p.attempts <= 0 {
-		return 0
-	}
-	return min(p.failed/p.attempts, 1)
+// Peer is a listed backend as the Detector compares it with others of its group.
+type Peer struct {
+	// ID names one incarnation of a backend.
+	ID string
+	// Group is the same for all that serve the same requests: the service and the phase.
+	Group string
 }
 
-// badEnds is how many attempts ended badly or are overdue.
-func (p *proxyStats) badEnds() float64 { return p.failed + p.slow + p.overdue }
-
-// unansweredShare is the part of the attempts that failed, or to which nothing came.
-func (p *proxyStats) unansweredShare() float64 {
-	if p.attempts <= 0 {
-		return 0
-	}
-	return min((p.failed+max(p.overdue-p.late, 0))/p.attempts, 1)
+// Detector decides which backends are ejected. It is not safe for concurrent use.
+type Detector struct {
+	backends map[string]*backendStats // by id
 }
 
 // backendStats is what is known of one backend.
 type backendStats struct {
-	byProxy    map[string]*proxyStats
-	lastBadAt  float64 // when a bad end was last counted
+	byProxy   map[string]*proxyStats
+	lastBadAt float64 // when a bad end was last counted, ms
+
+	// The present ejection.
 	ejected    bool
-	ejectedAt  float64 // of the ejection
-	slow       bool    // it served, only slowly
+	ejectedAt  float64 // ms
 	zone       string  // for whose proxies; "": for all
-	goodTrials int     // trials since the last bad one
-	strikes    int
-	restoredAt float64
-}
+	slow       bool    // it answers, but too late
+	goodTrials int     // since the last bad one
 
-// Detector decides which backends are ejected. Times are in ms on a clock that doesn't go back.
-type Detector struct {
-	backends map[string]*backendStats
+	// Earlier ejections.
+	strikes    int
+	restoredAt float64 // ms
 }
 
-// NewDetector returns a Detector that knows nothing.
+// NewDetector returns a Detector that has seen no report.
 func NewDetector() *Detector { return &Detector{backends: map[string]*backendStats{}} }
 
-// Observe takes what one proxy counted.
+// Observe takes a report of one proxy. Counts that can't be are ignored.
 func (d *Detector) Observe(now float64, report *distribution.OutcomeReport) {
 	for i := range report.Outcomes {
 		d.observe(now, report, &report.Outcomes[i])
@@ -127,272 +73,153 @@
 }
 
 func (d *Detector) observe(now float64, report *distribution.OutcomeReport, o *distribution.Outcome) {
-	if o.Attempts < 0 || o.Failed < 0 || o.Slow < 0 || o.Overdue < 0 || o.Late < 0 || o.Slow > o.Streamed || o.Failed+o.Streamed+o.Overdue > o.Attempts {
+	if !valid(o) {
 		return
 	}
-	s := d.backends[o.Backend]
-	if s == nil {
-		s = &backendStats{byProxy: map[string]*proxyStats{}, lastBadAt: math.Inf(-1)}
-		d.backends[o.Backend] = s
+	b := d.backends[o.Backend]
+	if b == nil {
+		b = &backendStats{byProxy: map[string]*proxyStats{}, lastBadAt: math.Inf(-1)}
+		d.backends[o.Backend] = b
 	}
-	t := s.byProxy[report.Proxy]
-	if t == nil {
-		if len(s.byProxy) >= maxProxies {
+	p := b.byProxy[report.Proxy]
+	if p == nil {
+		if len(b.byProxy) >= maxProxies {
 			return
 		}
-		t = &proxyStats{decayedAt: now}
-		s.byProxy[report.Proxy] = t
+		p = &proxyStats{decayedAt: now}
+		b.byProxy[report.Proxy] = p
 	}
-	t.decay(now)
-	t.zone = report.Zone
-	t.attempts += float64(o.Attempts)
-	t.failed += float64(o.Failed)
-	t.slow += float64(o.Slow)
-	t.paced += float64(o.Streamed)
-	t.overdue += float64(o.Overdue)
-	t.late += float64(o.Late)
-	t.answers += float64(o.Attempts - o.Failed - o.Overdue + o.Late)
+	p.decay(now)
+	p.zone = report.Zone
+	p.add(o)
 	if o.Failed+o.Slow+o.Overdue > 0 {
-		s.lastBadAt, s.goodTrials = now, 0
-	} else if s.ejected && now-s.ejectedAt > reportDelayMs && (s.zone == "" || s.zone == report.Zone) {
-		s.goodTrials += min(o.Attempts, 2) // no single proxy's word restores a backend
-	}
-}
-
-// assessment is what the counts say of one backend for the proxies of one zone, or of all.
-type assessment struct {
-	complaints      int     // proxies with bad ends
-	proxies         float64 // that sent there
-	badShare        float64 // of the attempts that ended badly, on the mean over proxies
-	unansweredShare float64 // and of those that failed or got no answer
-	failedShare     float64 // and of those that failed
-	pacedProxies    float64 // proxies that know how fast its answers come
-	slowShare       float64 // the part of these answers that came slowly, on the mean over those
-	answerRate      float64 // their rate, fading
-}
-
-// assess sums up what the proxies of a zone saw of a backend; "": all.
-func (b *backendStats) assess(now float64, zone string) assessment {
-	var j assessment
-	for _, t := range b.byProxy {
-		if zone != "" && t.zone != zone {
-			continue
-		}
-		t.decay(now)
-		weight := min(t.attempts, 1)
-		j.proxies += weight
-		j.badShare += weight * t.badShare()
-		j.unansweredShare += weight * t.unansweredShare()
-		j.failedShare += weight * t.failedShare()
-		if t.paced > 0 {
-			paced := min(t.paced, 1)
-			j.pacedProxies += paced
-			j.slowShare += paced * min(t.slow/t.paced, 1)
-		}
-		j.answerRate += t.answers
-		if t.badEnds() >= minComplaintWeight {
-			j.complaints++
-		}
-	}
-	if j.proxies > 0 {
-		j.badShare /= j.proxies
-		j.unansweredShare /= j.proxies
-		j.failedShare /= j.proxies
+		b.lastBadAt = now
+		b.goodTrials = 0
+		return
 	}
-	if j.pacedProxies > 0 {
-		j.slowShare /= j.pacedProxies
+	afterEjection := now-b.ejectedAt > reportDelayMs
+	if b.ejected && afterEjection && (b.zone == "" || b.zone == report.Zone) {
+		b.goodTrials += min(o.Attempts, maxTrialsPerReport)
 	}
-	return j
 }
 
-// zones are those of the proxies that sent to the backend.
-func (b *backendStats) zones() []string {
-	var all []string
-	for _, t := range b.byProxy {
-		if t.attempts >= minComplaintWeight && !slices.Contains(all, t.zone) {
-			all = append(all, t.zone)
-		}
-	}
-	return all
-}
-
-// Step judges all listed backends and gives those that are ejected, by id.
+// Step assesses all listed backends and returns the ejections in force, by backend id. What is known of backends that
+// aren't listed is dropped.
 func (d *Detector) Step(now float64, peers []Peer) []distribution.Ejection {
 	d.forget(now, peers)
 	groups := map[string][]Peer{}
-	for _, p := range peers {
-		groups[p.Group] = append(groups[p.Group], p)
+	for _, peer := range peers {
+		groups[peer.Group] = append(groups[peer.Group], peer)
 	}
 	for _, group := range groups {
 		d.stepGroup(now, group)
 	}
-	var all []distribution.Ejection
-	for id, s := range d.backends {
-		if s.ejected {
-			all = append(all, distribution.Ejection{Backend: id, Zone: s.zone, Probation: s.goodTrials > 0, Slow: s.slow})
+	var ejections []distribution.Ejection
+	for id, b := range d.backends {
+		if b.ejected {
+			ejections = append(ejections, distribution.Ejection{
+				Backend:   id,
+				Zone:      b.zone,
+				Probation: b.goodTrials > 0,
+				Slow:      b.slow,
+			})
 		}
 	}
-	slices.SortFunc(all, func(a, b distribution.Ejection) int { return cmp.Compare(a.Backend, b.Backend) })
-	return all
+	slices.SortFunc(ejections, func(a, b distribution.Ejection) int { return cmp.Compare(a.Backend, b.Backend) })
+	return ejections
 }
 
-// forget drops what is no longer listed, and proxies that tell nothing any more.
+// forget drops backends that are no longer listed, and proxies that report no more.
 func (d *Detector) forget(now float64, peers []Peer) {
 	listed := make(map[string]bool, len(peers))
-	for _, p := range peers {
-		listed[p.ID] = true
+	for _, peer := range peers {
+		listed[peer.ID] = true
 	}
-	for id, s := range d.backends {
+	for id, b := range d.backends {
 		if !listed[id] {
 			delete(d.backends, id)
 			continue
 		}
-		for proxy, t := range s.byProxy {
-			if now-t.decayedAt > 10*halfLifeMs {
-				delete(s.byProxy, proxy)
+		for proxy, p := range b.byProxy {
+			if now-p.decayedAt > proxyTimeoutMs {
+				delete(b.byProxy, proxy)
 			}
 		}
 	}
 }
 
-// candidate is a backend that may be ejected.
-type candidate struct {
-	assessment
-	subject *backendStats
-	zone    string
-}
-
 // stepGroup restores and ejects among the backends of a group.
 func (d *Detector) stepGroup(now float64, group []Peer) {
-	ejected := 0
-	suspects := false
-	for _, p := range group {
-		s := d.backends[p.ID]
-		if s == nil {
-			continue
-		}
-		if s.ejected && s.goodTrials >= s.requiredTrials() {
-			s.restore(now)
-		}
-		if s.ejected {
-			ejected++
-			s.widenToAllZones(now)
-			if j := s.assess(now, ""); j.badShare > 0 {
-				s.slow = j.onlySlow() // late answers tell what was silent from what is slow
-			}
-		}
-		suspects = suspects || !s.ejected && now-s.lastBadAt < 2*halfLifeMs
-	}
-	if !suspects {
-		return
-	}
-	var candidates []candidate
-	peers := d.groupStats(now, group)
-	for _, p := range group {
-		s := d.backends[p.ID]
-		if s == nil || s.ejected || now-s.lastBadAt >= 2*halfLifeMs {
-			continue
-		}
-		zone, of, ok := s.findOutlier(now, peers.medianBadShare)
-		if !ok || !of.conclusive() && (of.badShare < minLateShare || peers.mayBeOverloaded(&of)) {
-			continue
-		}
-		candidates = append(candidates, candidate{subject: s, zone: zone, assessment: of})
-	}
-	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.badShare, a.badShare) })
-	for _, c := range candidates {
+	ejected := d.reviewEjections(now, group)
+	for _, c := range d.candidates(now, group) {
 		most := len(group) / maxEjectedDivisor
 		if !c.conclusive() {
 			most = len(group) / maxLateEjectedDivisor
 		}
 		if ejected < most {
-			c.subject.eject(now, c.zone, c.onlySlow())
+			c.backend.eject(now, c.zone, c.onlySlow())
 			ejected++
 		}
 	}
 }
 
-// groupStats is how the backends of a group do together.
-type groupStats struct {
-	medianBadShare        float64 // the median of their shares of bad ends
-	upperQuartileBadShare float64 // which three in four of them stay below
-	medianAnswerRate      float64 // the median of their rates of answers
-}
-
-// mayBeOverloaded tells whether a backend that is late may be pressed rather than ill.
-func (g *groupStats) mayBeOverloaded(of *assessment) bool {
-	switch {
-	case of.answerRate <= unresponsiveAnswerRate*g.medianAnswerRate:
-		return false
-	case g.upperQuartileBadShare > normalBadShare:
-		return true
-	}
-	return of.answerRate > overloadAnswerRate*g.medianAnswerRate
-}
-
-// groupStats sums up the backends of a group that are in use.
-func (d *Detector) groupStats(now float64, group []Peer) groupStats {
-	var shares, rates []float64
-	for _, p := range group {
-		s := d.backends[p.ID]
-		if s == nil || s.ejected {
+// reviewEjections restores the ejected backends of a group that have earned it, widens the ejections of others, and
+// returns how many stay ejected.
+func (d *Detector) reviewEjections(now float64, group []Peer) (ejected int) {
+	for _, peer := range group {
+		b := d.backends[peer.ID]
+		if b == nil || !b.ejected {
 			continue
 		}
-		if j := s.assess(now, ""); j.proxies >= 1 {
-			shares = append(shares, j.badShare)
-			rates = append(rates, j.answerRate)
+		if b.goodTrials >= b.requiredTrials() {
+			b.restore(now)
+			continue
+		}
+		ejected++
+		b.widenToAllZones(now)
+		if a := b.assess(now, ""); a.badShare > 0 {
+			b.slow = a.onlySlow() // answers that come late tell an unresponsive backend from a slow one
 		}
 	}
-	return groupStats{medianBadShare: quantile(shares, 0.5), upperQuartileBadShare: quantile(shares, 0.75), medianAnswerRate: quantile(rates, 0.5)}
+	return ejected
 }
 
-// quantile gives the lower one where two are as near; 0 of none. It sorts them.
-func quantile(all []float64, part float64) float64 {
-	if len(all) == 0 {
-		return 0
-	}
-	slices.Sort(all)
-	return all[int(float64(len(all)-1)*part)]
+// candidate is a backend that may be ejected.
+type candidate struct {
+	assessment
+	backend *backendStats
+	zone    string // for whose proxies; "": for all
 }
 
-// findOutlier tells whether a backend is to be ejected, and for whom: for the proxies of one zone where those of others have no
-// complaint, as the path from there may be broken.
-func (b *backendStats) findOutlier(now, shares float64) (zone string, of assessment, ok bool) {
-	all := b.assess(now, "")
-	zones := b.zones()
-	bad, told := 0, 0
-	for _, z := range zones {
-		j := b.assess(now, z)
-		if j.proxies < 1 {
+// candidates returns the backends of a group that may be ejected, the worst first.
+func (d *Detector) candidates(now float64, group []Peer) []candidate {
+	if !slices.ContainsFunc(group, func(peer Peer) bool { return d.backends[peer.ID].suspect(now) }) {
+		return nil // the usual case: nothing to compare
+	}
+	var all []candidate
+	peers := d.groupStats(now, group)
+	for _, peer := range group {
+		b := d.backends[peer.ID]
+		if !b.suspect(now) {
 			continue
 		}
-		told++
-		if j.badShare >= minBadShare/2 {
-			bad++
-			zone = z
+		zone, a, ok := b.findOutlier(now, peers.medianBadShare)
+		if !ok || !a.conclusive() && (a.badShare < minLateShare || peers.mayBeOverloaded(&a)) {
+			continue
 		}
+		all = append(all, candidate{assessment: a, backend: b, zone: zone})
 	}
-	if told >= 2 && bad == 1 {
-		j := b.assess(now, zone)
-		return zone, j, j.isOutlier(shares)
-	}
-	return "", all, all.isOutlier(shares)
-}
-
-// isOutlier tells whether a backend does so badly against its peers that it is ill.
-func (a *assessment) isOutlier(shares float64) bool {
-	return a.complaints >= minComplaints && a.badShare >= max(minBadShare, peerFactor*shares)
+	slices.SortFunc(all, func(a, b candidate) int { return cmp.Compare(b.badShare, a.badShare) })
+	return all
 }
 
-// conclusive tells whether no load explains what the proxies saw: attempts failed, or nearly all answers came slowly.
-func (a *assessment) conclusive() bool {
-	return a.failedShare >= minBadShare/2 || a.pacedProxies >= 1 && a.slowShare >= minSlowShare
+// suspect tells whether a backend that isn't ejected had a bad end of late; false for one of which nothing is known.
+func (b *backendStats) suspect(now float64) bool {
+	return b != nil && !b.ejected && now-b.lastBadAt < suspicionMs
 }
 
-// onlySlow tells whether the backend answers, too late.
-func (a *assessment) onlySlow() bool { return a.unansweredShare < a.badShare/2 }
-
-// widenToAllZones ejects for all proxies what was ejected for those of one zone, once those of others have complaints, too.
+// widenToAllZones ejects for all proxies what was ejected for those of one zone, once those of others have
+// complaints, too.
 func (b *backendStats) widenToAllZones(now float64) {
 	if b.zone == "" {
 		return
@@ -401,26 +228,34 @@
 		if zone == b.zone {
 			continue
 		}
-		if j := b.assess(now, zone); j.complaints > 0 && j.badShare >= minBadShare {
+		if a := b.assess(now, zone); a.complaints > 0 && a.badShare >= minBadShare {
 			b.zone = ""
 			return
 		}
 	}
 }
 
-// requiredTrials is how many good trials restore the backend.
+// requiredTrials returns how many good trials in a row restore the backend.
 func (b *backendStats) requiredTrials() int { return trialsToRestore << min(b.strikes, maxStrikes) }
 
 func (b *backendStats) eject(now float64, zone string, slow bool) {
 	if now-b.restoredAt > strikeLifetimeMs {
 		b.strikes = 0
 	}
-	b.ejected, b.ejectedAt, b.zone, b.slow, b.goodTrials = true, now, zone, slow, 0
+	b.ejected = true
+	b.ejectedAt = now
+	b.zone = zone
+	b.slow = slow
+	b.goodTrials = 0
 }
 
-// restore ends an ejection. What was counted before tells nothing of the backend as it is now.
+// restore ends an ejection. What was counted before says nothing of the backend as it is now.
 func (b *backendStats) restore(now float64) {
-	b.ejected, b.zone, b.goodTrials, b.lastBadAt = false, "", 0, math.Inf(-1)
-	b.strikes, b.restoredAt = min(b.strikes+1, maxStrikes), now
+	b.ejected = false
+	b.zone = ""
+	b.goodTrials = 0
+	b.lastBadAt = math.Inf(-1)
+	b.strikes = min(b.strikes+1, maxStrikes)
+	b.restoredAt = now
 	clear(b.byProxy)
 }
--- a/internal/fleet/outlier/detector_test.go
+++ b/internal/fleet/outlier/detector_test.go
@@ -18,16 +18,20 @@
 	return peers
 }
 
-// tell has a proxy of a zone tell the outcomes of one backend.
-func tell(d *Detector, now float64, proxy int, zone string, o distribution.Outcome) {
-	d.Observe(now, &distribution.OutcomeReport{Proxy: fmt.Sprintf("p%d", proxy), Zone: zone, Outcomes: []distribution.Outcome{o}})
+// report has a proxy of a zone report the outcomes of one backend.
+func report(d *Detector, now float64, proxy int, zone string, o distribution.Outcome) {
+	d.Observe(now, &distribution.OutcomeReport{
+		Proxy:    fmt.Sprintf("p%d", proxy),
+		Zone:     zone,
+		Outcomes: []distribution.Outcome{o},
+	})
 }
 
-// served has many proxies of two zones tell that all backends served them.
+// served has many proxies of two zones report that all backends served them.
 func served(d *Detector, now float64, backends int) {
 	for b := range backends {
 		for p := range 8 {
-			tell(d, now, p, zoneName(p%2), distribution.Outcome{Backend: backendName(b), Attempts: 2})
+			report(d, now, p, zoneName(p%2), distribution.Outcome{Backend: backendName(b), Attempts: 2})
 		}
 	}
 }
@@ -38,34 +42,34 @@
 	served(d, 0, 6)
 	c.Assert(d.Step(0, group(6)), qt.HasLen, 0)
 	for p := range 2 {
-		tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 5, Failed: 5})
+		report(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 5, Failed: 5})
 	}
-	c.Assert(d.Step(100, group(6)), qt.HasLen, 0, qt.Commentf("two proxies may lie or be ill themselves"))
-	tell(d, 100, 2, zoneName(0), distribution.Outcome{Backend: "b01", Attempts: 5, Failed: 5})
+	c.Assert(d.Step(100, group(6)), qt.HasLen, 0, qt.Commentf("two proxies may be faulty themselves"))
+	report(d, 100, 2, zoneName(0), distribution.Outcome{Backend: "b01", Attempts: 5, Failed: 5})
 	c.Assert(d.Step(100, group(6)), qt.DeepEquals, []distribution.Ejection{{Backend: "b01"}})
 	c.Assert(d.Step(200, group(1)), qt.HasLen, 0, qt.Commentf("what is no longer listed is forgotten"))
 }
 
-// TestBoundedShare: never more than a part of a group is ejected.
-func TestBoundedShare(t *testing.T) {
+// TestEjectedShareIsBounded: never more than a part of a group is ejected.
+func TestEjectedShareIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := NewDetector()
 	served(d, 0, 9)
 	for b := range 4 {
 		for p := range 8 {
-			tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: backendName(b), Attempts: 20, Failed: 20})
+			report(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: backendName(b), Attempts: 20, Failed: 20})
 		}
 	}
 	c.Assert(d.Step(100, group(9)), qt.HasLen, 9/maxEjectedDivisor)
 }
 
-// TestLoadIsNoIllness: where all do badly alike, none is ejected.
-func TestLoadIsNoIllness(t *testing.T) {
+// TestLoadEjectsNobody: where all do badly alike, none is ejected.
+func TestLoadEjectsNobody(t *testing.T) {
 	c := qt.New(t)
 	d := NewDetector()
 	for b := range 9 {
 		for p := range 8 {
-			tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: backendName(b), Attempts: 4, Failed: 2})
+			report(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: backendName(b), Attempts: 4, Failed: 2})
 		}
 	}
 	c.Assert(d.Step(100, group(9)), qt.HasLen, 0)
@@ -78,11 +82,11 @@
 	served(d, 0, 6)
 	for p := range 8 {
 		if p%2 == 0 {
-			tell(d, 100, p, zoneName(0), distribution.Outcome{Backend: "b01", Attempts: 9, Failed: 9})
+			report(d, 100, p, zoneName(0), distribution.Outcome{Backend: "b01", Attempts: 9, Failed: 9})
 		}
 	}
 	c.Assert(d.Step(100, group(6)), qt.DeepEquals, []distribution.Ejection{{Backend: "b01", Zone: zoneName(0)}})
-	tell(d, 2000, 1, zoneName(1), distribution.Outcome{Backend: "b01", Attempts: 3, Failed: 3})
+	report(d, 2000, 1, zoneName(1), distribution.Outcome{Backend: "b01", Attempts: 3, Failed: 3})
 	c.Assert(d.Step(2000, group(6)), qt.DeepEquals, []distribution.Ejection{{Backend: "b01"}})
 }
 
@@ -91,13 +95,13 @@
 	d := NewDetector()
 	served(d, 0, 6)
 	for p := range 8 {
-		tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 9, Failed: 9})
+		report(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 9, Failed: 9})
 	}
 	c.Assert(d.Step(100, group(6)), qt.HasLen, 1)
 	return d
 }
 
-// TestLateReportsDontRestore: good ends from before an ejection are told up to a second later.
+// TestLateReportsDontRestore: successes from before an ejection are reported up to a second later.
 func TestLateReportsDontRestore(t *testing.T) {
 	c := qt.New(t)
 	d := ejectOne(c)
@@ -105,16 +109,18 @@
 	c.Assert(d.Step(600, group(6)), qt.HasLen, 1)
 }
 
-// TestTrialsRestore: enough trials in a row restore a backend; the more so if it was restored of late, and never by the word of one.
+// TestTrialsRestore: enough trials in a row restore a backend, more of them if it was restored of late, and never
+// those of one proxy alone.
 func TestTrialsRestore(t *testing.T) {
 	c := qt.New(t)
 	d := ejectOne(c)
 	good := distribution.Outcome{Backend: "b01", Attempts: 1}
 	trial := func(now float64, proxy int, o distribution.Outcome) int {
-		tell(d, now, proxy, zoneName(0), o)
+		report(d, now, proxy, zoneName(0), o)
 		return len(d.Step(now, group(6)))
 	}
-	c.Assert(trial(3000, 1, distribution.Outcome{Backend: "b01", Attempts: 50}), qt.Equals, 1, qt.Commentf("one proxy's word"))
+	c.Assert(trial(3000, 1, distribution.Outcome{Backend: "b01", Attempts: 50}), qt.Equals, 1,
+		qt.Commentf("one proxy's report"))
 	c.Assert(trial(3100, 2, distribution.Outcome{Backend: "b01", Attempts: 1, Failed: 1}), qt.Equals, 1)
 	for i := range trialsToRestore - 1 {
 		c.Assert(trial(3200+float64(i)*100, i, good), qt.Equals, 1)
@@ -122,7 +128,7 @@
 	c.Assert(trial(4000, 5, good), qt.Equals, 0)
 	served(d, 4100, 6)
 	for p := range 8 {
-		tell(d, 4200, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 9, Failed: 9})
+		report(d, 4200, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 9, Failed: 9})
 	}
 	c.Assert(d.Step(4200, group(6)), qt.HasLen, 1)
 	for i := range 2*trialsToRestore - 1 {
@@ -131,8 +137,9 @@
 	c.Assert(trial(8000, 9, good), qt.Equals, 0)
 }
 
-// TestPressedBackendStays: one that is late, and answers as many as others do, is pressed; one that answers few is ill.
-func TestPressedBackendStays(t *testing.T) {
+// TestOverloadedBackendStays: one that is late, and answers as many as others do, is overloaded; one that answers few
+// is faulty.
+func TestOverloadedBackendStays(t *testing.T) {
 	for _, ill := range []bool{false, true} {
 		c := qt.New(t)
 		d := NewDetector()
@@ -147,7 +154,7 @@
 					if b == 1 && ill && int(now)%500 != 0 {
 						o.Late = 0
 					}
-					tell(d, now, p, zoneName(p%2), o)
+					report(d, now, p, zoneName(p%2), o)
 				}
 			}
 			ejected = max(ejected, len(d.Step(now, group(6))))
@@ -156,20 +163,22 @@
 	}
 }
 
-// TestSlowAnswers: a backend whose answers nearly all come slowly is ill; one of which some do so only makes way for urgent ones.
+// TestSlowAnswers: a backend whose answers nearly all come slowly is ejected; where only some do, they make way for
+// urgent ones.
 func TestSlowAnswers(t *testing.T) {
 	c := qt.New(t)
 	for slow, ill := range map[int]bool{4: false, 9: true} {
 		d := NewDetector()
 		served(d, 0, 6)
 		for p := range 8 {
-			tell(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 20, Streamed: 10, Slow: slow})
+			o := distribution.Outcome{Backend: "b01", Attempts: 20, Streamed: 10, Slow: slow}
+			report(d, 100, p, zoneName(p%2), o)
 		}
 		c.Assert(d.Step(100, group(6)), qt.HasLen, map[bool]int{true: 1}[ill])
 	}
 }
 
-// TestLatenessUnderLoad: while many backends are late, one that is later is no outlier for it, unless it answers nothing at all.
+// TestLatenessUnderLoad: while many backends are late, one that is later is no outlier, unless it is unresponsive.
 func TestLatenessUnderLoad(t *testing.T) {
 	c := qt.New(t)
 	for _, silent := range []bool{false, true} {
@@ -186,7 +195,7 @@
 					case b%2 == 0:
 						o.Overdue, o.Late = 2, 2
 					}
-					tell(d, now, p, zoneName(p%2), o)
+					report(d, now, p, zoneName(p%2), o)
 				}
 			}
 			ejected := d.Step(now, group(9))
@@ -200,8 +209,8 @@
 	}
 }
 
-// TestSilentIsNotSlow: a backend that answers nothing is no slow one, which long answers keep away from.
-func TestSilentIsNotSlow(t *testing.T) {
+// TestUnresponsiveIsNotSlow: a backend that answers nothing isn't a slow one, which only long answers keep away from.
+func TestUnresponsiveIsNotSlow(t *testing.T) {
 	c := qt.New(t)
 	for _, slow := range []bool{false, true} {
 		d := NewDetector()
@@ -213,9 +222,9 @@
 		var ejected []distribution.Ejection
 		for now := 100.0; now < 3000 && len(ejected) == 0; now += 100 {
 			for p := range 8 {
-				tell(d, now, p, zoneName(p%2), ill)
+				report(d, now, p, zoneName(p%2), ill)
 				for _, well := range []string{"b00", "b02", "b03", "b04", "b05"} {
-					tell(d, now, p, zoneName(p%2), distribution.Outcome{Backend: well, Attempts: 2})
+					report(d, now, p, zoneName(p%2), distribution.Outcome{Backend: well, Attempts: 2})
 				}
 			}
 			ejected = d.Step(now, group(6))
@@ -224,14 +233,20 @@
 	}
 }
 
-// TestSenselessCounts: counts that can't be are not taken.
-func TestSenselessCounts(t *testing.T) {
+// TestImpossibleCountsAreIgnored: counts that can't be true are ignored.
+func TestImpossibleCountsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	d := NewDetector()
 	for p := range 8 {
-		for _, o := range []distribution.Outcome{{Attempts: 1, Failed: 9}, {Attempts: -1}, {Attempts: 3, Failed: -3, Slow: 3, Streamed: 3}, {Attempts: 1, Slow: 1}, {Attempts: 1, Late: -1}} {
+		for _, o := range []distribution.Outcome{
+			{Attempts: 1, Failed: 9},
+			{Attempts: -1},
+			{Attempts: 3, Failed: -3, Slow: 3, Streamed: 3},
+			{Attempts: 1, Slow: 1},
+			{Attempts: 1, Late: -1},
+		} {
 			o.Backend = "b00"
-			tell(d, 0, p, "z", o)
+			report(d, 0, p, "z", o)
 		}
 	}
 	c.Assert(d.backends, qt.HasLen, 0)
--- a/internal/fleet/outlier/model_test.go
+++ b/internal/fleet/outlier/model_test.go
@@ -61,7 +61,7 @@
 	lies       bool
 	recorder   *Recorder
 	trials     *Trials
-	told       float64 // when it last told all
+	reportedAt float64 // when it last reported all
 }
 
 // modelEnd is an attempt that ends at a time.
@@ -99,8 +99,14 @@
 	f := &modelFleet{set: set, random: rand.New(rand.NewPCG(seed, 67)), detector: NewDetector()}
 	f.set.load = max(set.load, 1)
 	for i := range set.proxies {
-		f.proxies = append(f.proxies, &modelProxy{name: fmt.Sprintf("p%d", i), zone: zoneName(i % set.zones), lies: i < set.liars,
-			recorder: NewRecorder(), trials: NewTrials(f.random.ExpFloat64), told: -f.random.Float64() * 1000})
+		f.proxies = append(f.proxies, &modelProxy{
+			name:       fmt.Sprintf("p%d", i),
+			zone:       zoneName(i % set.zones),
+			lies:       i < set.liars,
+			recorder:   NewRecorder(),
+			trials:     NewTrials(f.random.ExpFloat64),
+			reportedAt: -f.random.Float64() * 1000,
+		})
 	}
 	return f
 }
@@ -165,7 +171,12 @@
 	if p.lies {
 		how, took = Failed, 1
 	}
-	f.ends = append(f.ends, modelEnd{at: f.now + took, proxy: p, attempt: p.recorder.Begin(chosen, f.now+modelBound*f.set.load), how: how})
+	f.ends = append(f.ends, modelEnd{
+		at:      f.now + took,
+		proxy:   p,
+		attempt: p.recorder.Begin(chosen, f.now+modelBound*f.set.load),
+		how:     how,
+	})
 }
 
 // end ends the attempts whose time has come.
@@ -182,19 +193,19 @@
 	})
 }
 
-// report has the proxies tell: bad ends soon, all in turn.
+// report has the proxies report: bad ends soon, all in turn.
 func (f *modelFleet) report() {
 	for _, p := range f.proxies {
 		p.recorder.CountOverdue(f.now)
-		all := f.now-p.told >= 1000
+		all := f.now-p.reportedAt >= 1000
 		if int(f.now)%100 != 0 || !all && !p.recorder.Adverse() {
 			continue
 		}
 		if all {
-			p.told = f.now
+			p.reportedAt = f.now
 		}
-		if told := p.recorder.Drain(); len(told) > 0 && !f.away() {
-			f.detector.Observe(f.now, &distribution.OutcomeReport{Proxy: p.name, Zone: p.zone, Outcomes: told})
+		if outcomes := p.recorder.Drain(); len(outcomes) > 0 && !f.away() {
+			f.detector.Observe(f.now, &distribution.OutcomeReport{Proxy: p.name, Zone: p.zone, Outcomes: outcomes})
 		}
 	}
 }
@@ -212,8 +223,9 @@
 	}
 	if changed || len(ejected) > 0 && f.now-f.sentAt >= 1000 {
 		f.ejected, f.sentAt = ejected, f.now
+		count := ProxyCount{All: len(f.proxies), InZone: max(len(f.proxies)/f.set.zones, 1)}
 		for _, p := range f.proxies {
-			p.trials.SetEjections(f.now, ejected, p.zone, ProxyCount{All: len(f.proxies), InZone: max(len(f.proxies)/f.set.zones, 1)}, func(string) bool { return true })
+			p.trials.SetEjections(f.now, ejected, p.zone, count, func(string) bool { return true })
 		}
 	}
 }
--- a/internal/fleet/outlier/recorder.go
+++ b/internal/fleet/outlier/recorder.go
@@ -6,17 +6,18 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// Result is how an attempt at a backend ended, as far as that tells of the backend.
+// Result is how an attempt at a backend ended, as far as that says anything of the backend.
 type Result int
 
 const (
-	// Inconclusive tells nothing of the backend: the client left, or the backend was full.
+	// Inconclusive says nothing of the backend: the client left, or the backend was full.
 	Inconclusive Result = iota
-	// Good is a served answer in the time that is usual.
+	// Good is a served answer in the usual time.
 	Good
 	// StreamedOnPace is a served answer that came in parts, as fast as usual.
 	StreamedOnPace
-	// Late is a served answer for which far longer than usual was waited, be it for a place there or for the answer itself.
+	// Late is a served answer for which the proxy waited far longer than usual, be it for capacity there or for the
+	// answer itself.
 	Late
 	// Slow is a served answer that came several times as slowly as usual once it had begun.
 	Slow
@@ -26,49 +27,49 @@
 	TimedOut
 )
 
-// Attempt is one attempt under way. It belongs to the Recorder that began it.
+// Attempt is one attempt in flight. It belongs to the Recorder that began it.
 type Attempt struct {
 	backend        string
-	overdueAt      float64 // when it counts as such although it has not ended, ms
+	overdueAt      float64 // when it counts as overdue although it hasn't ended, ms
 	counted        bool
-	countedOverdue bool // it was counted as overdue
+	countedOverdue bool
 }
 
-// Recorder counts how one proxy's attempts end, by backend. It is a state machine without I/O or clock for one goroutine at a time;
-// times are in ms.
+// Recorder counts how one proxy's attempts end, by backend, until Drain. It is not safe for concurrent use.
 type Recorder struct {
-	pending []*Attempt
+	pending []*Attempt // watched for being overdue
 	counts  map[string]*distribution.Outcome
-	adverse bool // a failure or a slow answer is among the counts
+	adverse bool // a bad end is among the counts
 }
 
 const (
 	// maxPending bounds the attempts that are watched for being overdue.
 	maxPending = 1024
-	// maxBackends bounds the backends that are told of in one report; what others tell of the rest is enough.
+	// maxBackends bounds the backends in one report; what other proxies report of the rest is enough.
 	maxBackends = 512
 )
 
 // NewRecorder returns a Recorder without counts.
 func NewRecorder() *Recorder { return &Recorder{counts: map[string]*distribution.Outcome{}} }
 
-// Begin notes an attempt that is overdue once it has lasted until the time given without an answer.
-func (r *Recorder) Begin(backend string, overdue float64) *Attempt {
-	a := &Attempt{backend: backend, overdueAt: overdue}
+// Begin records the start of an attempt that is overdue if it has no answer by the time given, ms.
+func (r *Recorder) Begin(backend string, overdueAt float64) *Attempt {
+	a := &Attempt{backend: backend, overdueAt: overdueAt}
 	if len(r.pending) < maxPending {
 		r.pending = append(r.pending, a)
 	}
 	return a
 }
 
-// HeadersReceived notes that an attempt's answer has begun: it is no longer watched for being overdue.
+// HeadersReceived records that an attempt's answer has begun: it is no longer watched for being overdue.
 func (r *Recorder) HeadersReceived(a *Attempt) {
 	r.stopWatching(a)
-	if a.countedOverdue {
-		a.countedOverdue = false
-		if o := r.outcome(a.backend); o != nil {
-			o.Late++
-		}
+	if !a.countedOverdue {
+		return
+	}
+	a.countedOverdue = false
+	if o := r.outcome(a.backend); o != nil {
+		o.Late++
 	}
 }
 
@@ -78,15 +79,15 @@
 	}
 }
 
-// ObservePart counts a part of an attempt under way, such as a stretch of a stream, as an attempt of its own.
-func (r *Recorder) ObservePart(backend string, how Result) {
-	r.count(&Attempt{backend: backend}, how)
+// ObservePart counts a part of an attempt in flight, such as a stretch of a stream, as an attempt of its own.
+func (r *Recorder) ObservePart(backend string, result Result) {
+	r.count(&Attempt{backend: backend}, result)
 }
 
-// End counts an attempt, unless it was counted when it was overdue. Only the first call counts.
-func (r *Recorder) End(a *Attempt, how Result) {
+// End counts an attempt, unless it was counted when it became overdue. Only the first call counts.
+func (r *Recorder) End(a *Attempt, result Result) {
 	r.stopWatching(a)
-	r.count(a, how)
+	r.count(a, result)
 }
 
 // CountOverdue counts the attempts that are overdue by now.
@@ -101,12 +102,12 @@
 	})
 }
 
-func (r *Recorder) count(a *Attempt, how Result) {
+func (r *Recorder) count(a *Attempt, result Result) {
 	if a.counted {
 		return
 	}
 	a.counted = true
-	if how == Inconclusive {
+	if result == Inconclusive {
 		return
 	}
 	o := r.outcome(a.backend)
@@ -114,7 +115,7 @@
 		return
 	}
 	o.Attempts++
-	switch how {
+	switch result {
 	case Late:
 		o.Overdue++
 		o.Late++
@@ -128,10 +129,12 @@
 	case TimedOut:
 		o.Overdue++
 	}
-	r.adverse = r.adverse || how != Good && how != StreamedOnPace
+	if result != Good && result != StreamedOnPace {
+		r.adverse = true
+	}
 }
 
-// find gives the counts of a backend; nil: there is no room for them.
+// outcome returns the counts of a backend; nil where there are maxBackends others.
 func (r *Recorder) outcome(backend string) *distribution.Outcome {
 	o := r.counts[backend]
 	if o == nil && len(r.counts) < maxBackends {
@@ -141,10 +144,10 @@
 	return o
 }
 
-// Adverse tells whether a failure or a slow answer is among the counts.
+// Adverse tells whether a bad end is among the counts, so that they should be reported soon.
 func (r *Recorder) Adverse() bool { return r.adverse }
 
-// SetEjections gives the counts, by backend, and forgets them.
+// Drain returns the counts, by backend and in no order, and resets them; nil where there are none.
 func (r *Recorder) Drain() []distribution.Outcome {
 	if len(r.counts) == 0 {
 		return nil
--- a/internal/fleet/outlier/recorder_test.go
+++ b/internal/fleet/outlier/recorder_test.go
@@ -18,7 +18,8 @@
 	r.ObservePart("a", Slow)
 	r.ObservePart("a", StreamedOnPace)
 	c.Assert(r.Adverse(), qt.IsTrue)
-	c.Assert(r.Drain(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 4, Failed: 1, Slow: 1, Streamed: 2}})
+	want := []distribution.Outcome{{Backend: "a", Attempts: 4, Failed: 1, Slow: 1, Streamed: 2}}
+	c.Assert(r.Drain(), qt.DeepEquals, want)
 	c.Assert(r.Adverse(), qt.IsFalse)
 	c.Assert(r.Drain(), qt.IsNil)
 }
@@ -41,7 +42,7 @@
 	c.Assert(r.Drain(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 1, Late: 1}})
 }
 
-// TestRecorderIsBounded: what there is no room for isn't counted.
+// TestRecorderIsBounded: beyond the bounds nothing is counted.
 func TestRecorderIsBounded(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecorder()
--- a/internal/fleet/outlier/search_test.go
+++ b/internal/fleet/outlier/search_test.go
@@ -12,8 +12,8 @@
 
 var searchSeeds = flag.Int("outlier.seeds", 120, "how many drawn days TestSearch plays")
 
-// What is promised of a fleet whose backends are met often enough: an ill one is out within outWithin of its start and back
-// within backWithin of its end, ms; most of the time, as both come by chance.
+// What is required of a fleet whose backends get enough requests: a faulty one is ejected within outWithin of its
+// start and back within backWithin of its end, ms; most of the time, as both come by chance.
 const (
 	outWithin, backWithin = 2000, 8000
 	troubleFrom           = 4000.0
@@ -24,8 +24,15 @@
 // drawDay draws a fleet and one trouble.
 func drawDay(seed uint64) (modelSettings, string) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	set := modelSettings{zones: 2 + random.IntN(3), proxies: 12 + random.IntN(70), backends: 10 + random.IntN(40),
-		perSec: 8 + 30*random.Float64(), load: 1, greyPart: 0.45 + 0.4*random.Float64(), until: troubleFrom + troubleFor + 12_000}
+	set := modelSettings{
+		zones:    2 + random.IntN(3),
+		proxies:  12 + random.IntN(70),
+		backends: 10 + random.IntN(40),
+		perSec:   8 + 30*random.Float64(),
+		load:     1,
+		greyPart: 0.45 + 0.4*random.Float64(),
+		until:    troubleFrom + troubleFor + 12_000,
+	}
 	ill := random.Perm(set.backends)[:1+random.IntN(max(set.backends/7, 1))]
 	of := trouble{from: troubleFrom, to: troubleFrom + troubleFor, backends: ill}
 	kinds := []string{"errors", "grey", "hang", "slow", "path", "liar", "load", "flap", "away", "calm"}
@@ -78,7 +85,8 @@
 				return fmt.Errorf("%s is ejected at %v, and is well", id, at)
 			}
 			if kind == "path" && zone != bad.zone {
-				return fmt.Errorf("%s is ejected at %v for %q, and only the path from %q is broken", id, at, zone, bad.zone)
+				return fmt.Errorf("%s is ejected at %v for %q, and only the path from %q is broken",
+					id, at, zone, bad.zone)
 			}
 		}
 	}
@@ -114,11 +122,12 @@
 	return sum, nil
 }
 
-// TestSearch plays drawn fleets with one trouble each: ill backends of each kind, a broken path, proxies that lie, load that slows
-// all alike, flapping, the control plane away.
+// TestSearch plays drawn fleets with one trouble each: ill backends of each kind, a broken path, proxies that lie,
+// load that slows all alike, flapping, the control plane away.
 func TestSearch(t *testing.T) {
 	c := qt.New(t)
 	sum, err := searchDays(*searchSeeds)
-	t.Logf("%d ill backends: %d out within %d ms, %d back within %d ms", sum.ill, sum.outInTime, outWithin, sum.backInTime, backWithin)
+	t.Logf("%d faulty backends: %d ejected within %d ms, %d restored within %d ms",
+		sum.ill, sum.outInTime, outWithin, sum.backInTime, backWithin)
 	c.Assert(err, qt.IsNil)
 }
--- a/internal/fleet/outlier/trials.go
+++ b/internal/fleet/outlier/trials.go
@@ -7,126 +7,143 @@
 )
 
 const (
-	// ejectionTTLMs is for how long an ejection stands that is not heard of again, ms: the primary repeats it every second.
+	// ejectionTTLMs is how long an ejection holds without being repeated, ms: the primary repeats it every second,
+	// and when the control plane is gone it must not stand for good.
 	ejectionTTLMs = 3000
-	// trialIntervalMs is the time between two trials of an ejected backend by all proxies together, on the mean, ms, and probationIntervalMs
-	// once trials have succeeded.
-	trialIntervalMs, probationIntervalMs = 1500, 300
-	// nonIdempotentDelayFactor is how many times as long a trial waits for a request that may be repeated before any other is taken.
+	// trialIntervalMs is the mean time between two trials of an ejected backend, of all proxies together, ms.
+	trialIntervalMs = 1500
+	// probationIntervalMs is the same once trials have succeeded, ms.
+	probationIntervalMs = 300
+	// nonIdempotentDelayFactor is how many times as long a trial waits for an idempotent request until it takes any
+	// other.
 	nonIdempotentDelayFactor = 3
-	// idempotentRareMs is how long no request that may be repeated must have come for others to be taken, ms.
+	// idempotentRareMs is how long no idempotent request must have come for others to be taken, ms.
 	idempotentRareMs = 30_000
 )
 
-// ProxyCount is how many proxies there are, in all and in one's own zone.
-type ProxyCount struct{ All, InZone int }
+// ProxyCount is how many proxies there are: they share the trials.
+type ProxyCount struct {
+	// All is how many there are in all zones.
+	All int
+	// InZone is how many there are in the proxy's own zone.
+	InZone int
+}
 
 // Risk is what a request would lose by a trial.
 type Risk struct {
-	Idempotent bool // nothing: another backend can serve it if the trial fails
-	LongDecode bool // much, where the backend is slow: its answer is made for long
+	// Idempotent tells that another backend can serve the request if the trial fails, so that nothing is lost.
+	Idempotent bool
+	// LongDecode tells that the answer takes long to decode, so that much is lost where the backend is slow.
+	LongDecode bool
 }
 
-// Trials are the ejected backends of one service at one proxy, and when the proxy next tries each with a request: the trials of all
-// proxies together come in the times above, at chance. It is a state machine without I/O or clock; times are in ms.
+// Trials is the ejected backends of one service at one proxy, and when the proxy next tries each with a request. Each
+// proxy draws its times at random, so that all proxies together come to the intervals above. It is not safe for
+// concurrent use.
 type Trials struct {
-	random           func() float64    // exponentially distributed, 1 on the mean
-	ejected          []*ejectedBackend // in the order of their ids
-	lastIdempotentAt float64           // when a request last came that may be repeated
-	idempotentSeen   bool              // one came
+	random  func() float64    // exponentially distributed, 1 on the mean
+	ejected []*ejectedBackend // in the order of their ids
+
+	idempotentSeen   bool
+	lastIdempotentAt float64 // when an idempotent request last came, ms
 }
 
-// ejectedBackend is an ejected backend.
 type ejectedBackend struct {
 	distribution.Ejection
-	until                    float64 // it is ejected
-	proxies                  int     // that try it
-	nextTrialAt              float64 // when it is tried by a request that loses nothing
-	nextNonIdempotentTrialAt float64 // and by any
+	until   float64 // when the ejection expires, ms
+	proxies int     // that try it
+
+	nextTrialAt              float64 // when an idempotent request tries it, ms
+	nextNonIdempotentTrialAt float64 // when any request does, ms
 }
 
-// NewTrials returns a Trials without ejections; random gives exponentially distributed numbers, 1 on the mean.
+// NewTrials returns a Trials without ejections; random returns exponentially distributed numbers, 1 on the mean.
 func NewTrials(random func() float64) *Trials { return &Trials{random: random} }
 
-func (t *Trials) scheduleTrial(now float64, of *ejectedBackend) {
-	every := trialIntervalMs
-	if of.Probation {
-		every = probationIntervalMs
+func (t *Trials) scheduleTrial(now float64, b *ejectedBackend) {
+	interval := trialIntervalMs
+	if b.Probation {
+		interval = probationIntervalMs
 	}
-	wait := t.random() * float64(every*max(of.proxies, 1))
-	of.nextTrialAt, of.nextNonIdempotentTrialAt = now+wait, now+nonIdempotentDelayFactor*wait
+	wait := t.random() * float64(interval*max(b.proxies, 1))
+	b.nextTrialAt = now + wait
+	b.nextNonIdempotentTrialAt = now + nonIdempotentDelayFactor*wait
 }
 
-// find is the ejected backend of an id; nil: it isn't ejected.
+// find returns the ejected backend of an id; nil where it isn't ejected.
 func (t *Trials) find(id string) *ejectedBackend {
-	for _, one := range t.ejected {
-		if one.Backend == id {
-			return one
+	for _, b := range t.ejected {
+		if b.Backend == id {
+			return b
 		}
 	}
 	return nil
 }
 
-// SetEjections takes the ejections in force as they concern proxies of a zone, of those backends that known accepts. It gives the ids that are
-// ejected, and those that no longer are.
-func (t *Trials) SetEjections(now float64, ejections []distribution.Ejection, zone string, crowd ProxyCount, known func(id string) bool) (ejected, restored []string) {
+// SetEjections replaces the ejections in force, as far as they concern proxies of the zone and backends that known
+// accepts. It returns the ids that are ejected, and those that no longer are.
+func (t *Trials) SetEjections(now float64, ejections []distribution.Ejection, zone string, proxies ProxyCount,
+	known func(id string) bool) (ejected, restored []string) {
 	var next []*ejectedBackend
 	for _, e := range ejections {
 		if !known(e.Backend) || e.Zone != "" && e.Zone != zone {
 			continue
 		}
-		one := t.find(e.Backend)
-		if one == nil || one.Ejection != e {
-			one = &ejectedBackend{Ejection: e, proxies: crowd.All}
+		b := t.find(e.Backend)
+		if b == nil || b.Ejection != e {
+			b = &ejectedBackend{Ejection: e, proxies: proxies.All}
 			if e.Zone != "" {
-				one.proxies = crowd.InZone
+				b.proxies = proxies.InZone
 			}
-			t.scheduleTrial(now, one)
+			t.scheduleTrial(now, b)
 		}
-		one.until = now + ejectionTTLMs
-		next = append(next, one)
+		b.until = EjectionExpiry(now)
+		next = append(next, b)
 		ejected = append(ejected, e.Backend)
 	}
-	for _, was := range t.ejected {
-		if !slices.Contains(ejected, was.Backend) {
-			restored = append(restored, was.Backend)
+	for _, b := range t.ejected {
+		if !slices.Contains(ejected, b.Backend) {
+			restored = append(restored, b.Backend)
 		}
 	}
 	t.ejected = next
 	return ejected, restored
 }
 
-// EjectionExpiry is when an ejection lapses that Take was just given.
+// EjectionExpiry returns when an ejection expires that SetEjections takes now, ms.
 func EjectionExpiry(now float64) float64 { return now + ejectionTTLMs }
 
 // Ejected tells whether a backend is ejected.
 func (t *Trials) Ejected(now float64, id string) bool {
-	one := t.find(id)
-	return one != nil && now < one.until
+	b := t.find(id)
+	return b != nil && now < b.until
 }
 
-// NextTrial is the ejected backend that a request is to try now, of those that among accepts; "": none. It counts as tried.
+// NextTrial returns the ejected backend that a request is to try now, of those that among accepts, and counts it as
+// tried; "" where there is none.
 func (t *Trials) NextTrial(now float64, risk Risk, among func(id string) bool) string {
 	if risk.Idempotent {
-		t.lastIdempotentAt, t.idempotentSeen = now, true
+		t.idempotentSeen = true
+		t.lastIdempotentAt = now
 	}
-	for _, one := range t.ejected {
-		if now < one.until && t.trialDue(now, one, risk) && among(one.Backend) {
-			t.scheduleTrial(now, one)
-			return one.Backend
+	for _, b := range t.ejected {
+		if now < b.until && t.trialDue(now, b, risk) && among(b.Backend) {
+			t.scheduleTrial(now, b)
+			return b.Backend
 		}
 	}
 	return ""
 }
 
-func (t *Trials) trialDue(now float64, one *ejectedBackend, risk Risk) bool {
+// trialDue tells whether a request of this risk is to try a backend now.
+func (t *Trials) trialDue(now float64, b *ejectedBackend, risk Risk) bool {
 	switch {
-	case one.Slow && risk.LongDecode:
+	case b.Slow && risk.LongDecode:
 		return false
-	case one.Slow || risk.Idempotent:
-		return now >= one.nextTrialAt
+	case b.Slow || risk.Idempotent:
+		return now >= b.nextTrialAt
 	case t.idempotentSeen && now-t.lastIdempotentAt < idempotentRareMs:
-		return false // one that may be repeated will come
+		return false // an idempotent request will come
 	}
-	return now >= one.nextNonIdempotentTrialAt
+	return now >= b.nextNonIdempotentTrialAt
 }
--- a/internal/fleet/outlier/trials_test.go
+++ b/internal/fleet/outlier/trials_test.go
@@ -14,12 +14,13 @@
 // mean is a random number that is always 1.
 func mean() float64 { return 1 }
 
-// TestEjectionLapses: what isn't heard of again for a while is over, as the control plane may be away.
-func TestEjectionLapses(t *testing.T) {
+// TestEjectionExpires: an ejection that isn't repeated ends, as the control plane may be gone.
+func TestEjectionExpires(t *testing.T) {
 	c := qt.New(t)
 	trials := NewTrials(mean)
 	all := []distribution.Ejection{{Backend: "a"}, {Backend: "b", Zone: "there"}, {Backend: "gone"}}
-	ejected, restored := trials.SetEjections(0, all, "here", ProxyCount{All: 2, InZone: 1}, func(id string) bool { return id != "gone" })
+	known := func(id string) bool { return id != "gone" }
+	ejected, restored := trials.SetEjections(0, all, "here", ProxyCount{All: 2, InZone: 1}, known)
 	c.Assert(ejected, qt.DeepEquals, []string{"a"})
 	c.Assert(restored, qt.HasLen, 0)
 	c.Assert(trials.Ejected(ejectionTTLMs-1, "a"), qt.IsTrue)
@@ -40,14 +41,17 @@
 			trials := NewTrials(random.ExpFloat64)
 			for now := 0.0; now < lasts; now += 50 {
 				if int(now)%1000 == 0 {
-					trials.SetEjections(now, []distribution.Ejection{{Backend: "a"}}, "z", ProxyCount{All: proxies, InZone: proxies}, anyBackend)
+					count := ProxyCount{All: proxies, InZone: proxies}
+					trials.SetEjections(now, []distribution.Ejection{{Backend: "a"}}, "z", count, anyBackend)
 				}
 				if trials.NextTrial(now, Risk{Idempotent: true}, anyBackend) != "" {
 					count++
 				}
 			}
 		}
-		c.Assert(count > lasts/trialIntervalMs*7/10 && count < lasts/trialIntervalMs*13/10, qt.IsTrue, qt.Commentf("%d proxies made %d trials", proxies, count))
+		const want = lasts / trialIntervalMs
+		c.Assert(count > want*7/10 && count < want*13/10, qt.IsTrue,
+			qt.Commentf("%d proxies made %d trials", proxies, count))
 	}
 }
 
@@ -56,18 +60,20 @@
 	c := qt.New(t)
 	const due, latest = trialIntervalMs + 1, nonIdempotentDelayFactor*trialIntervalMs + 1
 	take := func(trials *Trials, now float64, slow bool) {
-		trials.SetEjections(now, []distribution.Ejection{{Backend: "a", Slow: slow}}, "z", ProxyCount{All: 1}, anyBackend)
+		ejections := []distribution.Ejection{{Backend: "a", Slow: slow}}
+		trials.SetEjections(now, ejections, "z", ProxyCount{All: 1}, anyBackend)
 	}
 	failing := NewTrials(mean)
 	take(failing, 0, false)
 	c.Assert(failing.NextTrial(due, Risk{}, anyBackend), qt.Equals, "")
 	take(failing, latest-1, false)
-	c.Assert(failing.NextTrial(latest, Risk{}, anyBackend), qt.Equals, "a", qt.Commentf("none came that may be repeated"))
+	c.Assert(failing.NextTrial(latest, Risk{}, anyBackend), qt.Equals, "a", qt.Commentf("no idempotent one came"))
 	take(failing, latest, false)
 	c.Assert(failing.NextTrial(latest+due, Risk{Idempotent: true}, anyBackend), qt.Equals, "a")
 	take(failing, latest+due, false)
 	take(failing, 2*latest+due, false)
-	c.Assert(failing.NextTrial(2*latest+due, Risk{}, anyBackend), qt.Equals, "", qt.Commentf("one that may be repeated came of late"))
+	c.Assert(failing.NextTrial(2*latest+due, Risk{}, anyBackend), qt.Equals, "",
+		qt.Commentf("an idempotent one came of late"))
 	c.Assert(failing.NextTrial(2*latest+due, Risk{Idempotent: true}, func(string) bool { return false }), qt.Equals, "")
 	slow := NewTrials(mean)
 	take(slow, 0, true)
