--- a/internal/fleet/residency/residency.go
+++ b/internal/fleet/residency/residency.go
@@ -1,7 +1,14 @@
-// Package residency keeps a tenant's data inside the regions its contract names (data residency). A Plot is a backend with the way to it and the region it stands in; a
-// Permit says that the Plot may hold the data of one request. The way does not leave the package: whoever sends needs a
-// Permit, which only a Plot can make, and the Permit is checked again when a connection is lent for the send. What is not
-// known is refused. docs/design/regions.md has the whole picture.
+// Package residency keeps a tenant's data inside the regions that its contract names (data residency).
+//
+// A Gate hands out Endpoints: a backend, the region it is in, and the connections to it. An Endpoint issues a Permit,
+// which says that this backend may hold the data of one request. The connections don't leave the package: whoever
+// sends needs a Permit, which only an Endpoint can issue, and the Permit is checked again when a connection is
+// acquired for the send, since the terms or the region may have changed in between. What isn't known is refused.
+// docs/design/regions.md has the whole picture.
+//
+// The package decides nothing else: which backend is chosen is package proxy's business, and what is reported of
+// tenants' data is package residencyreport's. Everything here may be called from any goroutine; only the AcquireConn
+// methods block.
 package residency
 
 import (
@@ -15,18 +22,18 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// ErrOutside says that a send was refused since the backend's region is not known to be one of the terms'. Nothing of the
-// request was sent.
+// ErrOutside says that a send was refused since the backend's region is not known to be one that the terms allow.
+// Nothing of the request was sent.
 var ErrOutside = errors.New("outside the regions of the tenant")
 
-// Terms are the regions that may hold a request's data. They are immutable. The zero value allows every backend, also one
-// of an unknown region: it stands for requests under no contract.
+// Terms are the regions that may hold a request's data. They are immutable. The zero value allows every backend, also
+// one of an unknown region: it stands for requests under no contract.
 type Terms struct {
 	restricted bool
 	regions    []string // sorted, each once
 }
 
-// Within makes terms that allow only the regions given; with none given they allow nothing.
+// Within returns terms that allow only the regions given; with none given they allow nothing.
 func Within(regions ...string) Terms {
 	all := slices.Clone(regions)
 	slices.Sort(all)
@@ -36,8 +43,8 @@
 // Restricted tells whether there are terms at all.
 func (t Terms) Restricted() bool { return t.restricted }
 
-// Allows tells whether data may rest in a region. An empty name, which stands for an unknown region, is allowed only by
-// the zero value.
+// Allows tells whether data may be held in a region. An empty name, which stands for an unknown region, is allowed
+// only by the zero value.
 func (t Terms) Allows(region string) bool {
 	if !t.restricted {
 		return true
@@ -45,7 +52,7 @@
 	return region != "" && slices.Contains(t.regions, region)
 }
 
-// Intersect gives the terms that hold where both hold.
+// Intersect returns the terms that allow what both allow. Where they have no region in common, these allow nothing.
 func (t Terms) Intersect(o Terms) Terms {
 	switch {
 	case !t.restricted:
@@ -67,7 +74,7 @@
 	return t.restricted == o.restricted && slices.Equal(t.regions, o.regions)
 }
 
-// String lists the regions for people to read.
+// String returns the regions for people to read: a list, "anywhere" or "nowhere".
 func (t Terms) String() string {
 	switch {
 	case !t.restricted:
@@ -78,14 +85,14 @@
 	return strings.Join(t.regions, ", ")
 }
 
-// Gate is where plots are laid out: the deployment's regions by zone, and the connections to backends.
+// Gate hands out endpoints. It knows the deployment's regions by zone, and the connections to backends.
 type Gate struct {
 	pool  *transport.Transport
 	zones map[string]string
 }
 
-// NewGate takes the region of each zone (settings Settings.Zones; copied) and the connections. A zone that is not there,
-// or whose region is empty, is of no known region.
+// NewGate returns a Gate with the connections and the region of each zone (settings Settings.Zones), which is copied.
+// A zone that is missing, or whose region is empty, is of no known region.
 func NewGate(pool *transport.Transport, zones map[string]string) *Gate {
 	g := &Gate{pool: pool, zones: make(map[string]string, len(zones))}
 	for zone, region := range zones {
@@ -94,25 +101,32 @@
 	return g
 }
 
-// Region is the region of a zone; empty: it is not known.
+// Region returns the region of a zone; empty where it is not known.
 func (g *Gate) Region(zone string) string { return g.zones[zone] }
 
-// Endpoint is one backend: its id, its address, the region it stands in and the way there. It is safe for concurrent use.
+// Endpoint is one backend: its id, its address, its region and the connections to it.
 type Endpoint struct {
-	gate        *Gate
-	id, address string
-	region      atomic.Pointer[string]
-	conns       *transport.Way
+	gate    *Gate
+	id      string
+	address string
+	region  atomic.Pointer[string]
+	conns   *transport.Way
 }
 
-// Endpoint lays out a backend by what the platform's list tells of it: address is IP:port.
+// Endpoint returns the endpoint of a backend by the endpoint list: its id, its address as IP:port, and its zone.
 func (g *Gate) Endpoint(id, address, zone string) *Endpoint {
-	p := &Endpoint{gate: g, id: id, address: address, conns: g.pool.Way(address)}
-	p.SetZone(zone)
-	return p
+	e := &Endpoint{
+		gate:    g,
+		id:      id,
+		address: address,
+		conns:   g.pool.Way(address),
+	}
+	e.SetZone(zone)
+	return e
 }
 
-// SetZone takes the zone that the list tells now. Permits given earlier are judged by it from here on.
+// SetZone takes the zone that the endpoint list has now. Permits issued earlier are judged by it from here on: a
+// region may have been reported wrongly before.
 func (e *Endpoint) SetZone(zone string) {
 	region := e.gate.zones[zone]
 	if old := e.region.Load(); old == nil || *old != region {
@@ -120,13 +134,13 @@
 	}
 }
 
-// Region is where the backend stands; empty: that is not known.
+// Region returns the region of the backend; empty where it is not known.
 func (e *Endpoint) Region() string { return *e.region.Load() }
 
-// Allowed tells whether the terms let it hold data.
+// Allowed tells whether the terms let the backend hold data.
 func (e *Endpoint) Allowed(t Terms) bool { return !t.restricted || t.Allows(*e.region.Load()) }
 
-// Permit gives the permit for a request under the terms. The error is ErrOutside.
+// Permit issues the permit for a request under the terms. The error is ErrOutside.
 func (e *Endpoint) Permit(t Terms) (Permit, error) {
 	if !e.Allowed(t) {
 		return Permit{}, ErrOutside
@@ -134,22 +148,24 @@
 	return Permit{endpoint: e}, nil
 }
 
-// ReleasePermit gives a permit for calls that carry nothing of a request and end what is held there: a handle is freed also
-// where its tenant's data may not rest any more.
+// ReleasePermit issues a permit for calls that carry nothing of a request and end what is held there: a handle is
+// freed also where its tenant's data may no longer be held.
 func (e *Endpoint) ReleasePermit() Permit { return Permit{endpoint: e, releaseOnly: true} }
 
-// Retire closes the way once it is free: the backend is gone. CloseIdle closes what is not in use.
-func (e *Endpoint) Retire()    { e.conns.Retire() }
+// Retire closes the connections once they are free: the backend is gone.
+func (e *Endpoint) Retire() { e.conns.Retire() }
+
+// CloseIdle closes the connections that are not in use.
 func (e *Endpoint) CloseIdle() { e.conns.CloseIdle() }
 
-// Permit says that one backend may hold one request's data. Only a Plot makes one that is worth anything: the zero value
-// is refused everywhere.
+// Permit says that one backend may hold one request's data. Only an Endpoint issues one that is good for anything:
+// the zero value is refused everywhere.
 type Permit struct {
 	endpoint    *Endpoint
 	releaseOnly bool
 }
 
-// ID and Address name the backend; empty for the zero value.
+// ID returns the id of the backend; empty for the zero value.
 func (p Permit) ID() string {
 	if p.endpoint == nil {
 		return ""
@@ -157,7 +173,7 @@
 	return p.endpoint.id
 }
 
-// Address is IP:port.
+// Address returns the address of the backend as IP:port; empty for the zero value.
 func (p Permit) Address() string {
 	if p.endpoint == nil {
 		return ""
@@ -165,7 +181,7 @@
 	return p.endpoint.address
 }
 
-// Region is where the backend stands by the newest list; empty: that is not known.
+// Region returns the region of the backend by the newest endpoint list; empty where it is not known.
 func (p Permit) Region() string {
 	if p.endpoint == nil {
 		return ""
@@ -173,11 +189,11 @@
 	return p.endpoint.Region()
 }
 
-// ReleaseOnly tells whether it is only for calls that carry nothing of a request.
+// ReleaseOnly tells whether the permit is only for calls that carry nothing of a request.
 func (p Permit) ReleaseOnly() bool { return p.releaseOnly }
 
-// Check is nil where the backend may hold data under the terms now, by the region that the newest list tells; else the
-// error is ErrOutside. A permit that only releases is good for no data.
+// Check returns nil where the backend may hold data under the terms now, by the region of the newest endpoint list;
+// else ErrOutside. A permit that only releases is good for no data.
 func (p Permit) Check(t Terms) error {
 	if p.endpoint == nil || p.releaseOnly || !p.endpoint.Allowed(t) {
 		return ErrOutside
@@ -185,20 +201,22 @@
 	return nil
 }
 
-// AcquireConn lends a connection to the backend for one send of a request under the terms, which are checked here once more:
-// ErrOutside, and no connection, where they don't allow it. Other errors are those of the way.
-func (p Permit) AcquireConn(ctx context.Context, t Terms, purpose string) (*transport.Lent, error) {
+// AcquireConn acquires a connection to the backend for one send of a request under the terms; requestID names the
+// request and is not empty. The terms are checked here once more, since they may have changed after the permit was
+// issued: where they don't allow the send, the error is ErrOutside and no connection is made. Other errors are those
+// of transport.Way.Lend. It blocks while a connection is dialled, until the context ends.
+func (p Permit) AcquireConn(ctx context.Context, t Terms, requestID string) (*transport.Lent, error) {
 	if err := p.Check(t); err != nil {
 		return nil, err
 	}
-	return p.endpoint.conns.Lend(ctx, purpose)
+	return p.endpoint.conns.Lend(ctx, requestID)
 }
 
-// AcquireReleaseConn lends a connection for a call that carries nothing of a request. The error is ErrOutside where the permit
-// is not one to release.
-func (p Permit) AcquireReleaseConn(ctx context.Context, purpose string) (*transport.Lent, error) {
+// AcquireReleaseConn acquires a connection for a call that carries nothing of a request. The error is ErrOutside
+// where the permit is not one to release, else that of transport.Way.Lend. It blocks as AcquireConn does.
+func (p Permit) AcquireReleaseConn(ctx context.Context, requestID string) (*transport.Lent, error) {
 	if p.endpoint == nil || !p.releaseOnly {
 		return nil, ErrOutside
 	}
-	return p.endpoint.conns.Lend(ctx, purpose)
+	return p.endpoint.conns.Lend(ctx, requestID)
 }
--- a/internal/fleet/residency/residency_test.go
+++ b/internal/fleet/residency/residency_test.go
@@ -18,10 +18,21 @@
 
 var errDial = errors.New("no network here")
 
-func (d *dials) ground() *residency.Gate {
-	return residency.NewGate(transport.New(transport.Options{Timeout: time.Second, Idle: time.Second, Most: 1, Settle: time.Millisecond, Resting: 1,
-		Dial: func(context.Context, string, string) (net.Conn, error) { d.n++; return nil, errDial }}),
-		map[string]string{"e1": "east", "w1": "west", "blank": ""})
+func (d *dials) gate() *residency.Gate {
+	pool := transport.New(transport.Options{
+		Timeout: time.Second,
+		Idle:    time.Second,
+		Most:    1,
+		Settle:  time.Millisecond,
+		Resting: 1,
+		Dial:    d.dial,
+	})
+	return residency.NewGate(pool, map[string]string{"e1": "east", "w1": "west", "blank": ""})
+}
+
+func (d *dials) dial(context.Context, string, string) (net.Conn, error) {
+	d.n++
+	return nil, errDial
 }
 
 func TestTerms(t *testing.T) {
@@ -37,18 +48,22 @@
 	c.Check(in("a", "b").Intersect(in("b", "c")).Equal(in("b")), qt.IsTrue)
 	c.Check(in("a").Intersect(in("b")).Equal(in()), qt.IsTrue) // nothing in common: nowhere, not anywhere
 	c.Check(free.Intersect(in("a")).Equal(in("a")) && in("a").Intersect(free).Equal(in("a")), qt.IsTrue)
-	c.Check([]string{free.String(), in().String(), in("b", "a").String()}, qt.DeepEquals, []string{"anywhere", "nowhere", "a, b"})
+	texts := []string{free.String(), in().String(), in("b", "a").String()}
+	c.Check(texts, qt.DeepEquals, []string{"anywhere", "nowhere", "a, b"})
 	names := []string{"a"}
-	kept := in(names...)
+	terms := in(names...)
 	names[0] = "b"
-	c.Check(kept.Allows("a"), qt.IsTrue) // immutable
+	c.Check(terms.Allows("a"), qt.IsTrue) // immutable
 }
 
 func TestPermits(t *testing.T) {
 	c := qt.New(t)
 	d := &dials{}
-	g := d.ground()
-	east, west, lost, blank := g.Endpoint("e", "10.0.0.1:80", "e1"), g.Endpoint("w", "10.0.0.2:80", "w1"), g.Endpoint("l", "10.0.0.3:80", "x"), g.Endpoint("b", "10.0.0.4:80", "blank")
+	g := d.gate()
+	east := g.Endpoint("e", "10.0.0.1:80", "e1")
+	west := g.Endpoint("w", "10.0.0.2:80", "w1")
+	unlisted := g.Endpoint("l", "10.0.0.3:80", "x")
+	blank := g.Endpoint("b", "10.0.0.4:80", "blank")
 	in := residency.Within("east")
 	ctx := context.Background()
 
@@ -59,10 +74,10 @@
 	c.Check(errors.Is(err, errDial), qt.IsTrue)
 	c.Check(d.n, qt.Equals, 1)
 
-	for _, plot := range []*residency.Endpoint{west, lost, blank} {
-		_, err := plot.Permit(in)
+	for _, endpoint := range []*residency.Endpoint{west, unlisted, blank} {
+		_, err := endpoint.Permit(in)
 		c.Check(err, qt.ErrorIs, residency.ErrOutside)
-		free, err := plot.Permit(residency.Terms{})
+		free, err := endpoint.Permit(residency.Terms{})
 		c.Assert(err, qt.IsNil)
 		_, err = free.AcquireConn(ctx, in, "x") // given under other terms than those of the send
 		c.Check(err, qt.ErrorIs, residency.ErrOutside)
@@ -80,7 +95,7 @@
 	_, err = west.ReleasePermit().AcquireReleaseConn(ctx, "x")
 	c.Check(errors.Is(err, errDial), qt.IsTrue)
 
-	east.SetZone("w1") // misreported before: permits that are out are judged by the new region
+	east.SetZone("w1") // reported wrongly before: permits issued earlier are judged by the new region
 	_, err = p.AcquireConn(ctx, in, "x")
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	c.Check(p.Region(), qt.Equals, "west")
