--- a/internal/fleet/residencyreport/messages.go
+++ b/internal/fleet/residencyreport/messages.go
@@ -1,7 +1,3 @@
-// Package residencyreport keeps where tenants' data rested, from when to when, past the end of the processes that saw it.
-// Proxies hand on what changed in their ledgers in numbered
-// batches; each is passed on until the control plane says that it is kept; the primary merges them into one reading, which
-// the record takes as a change. All of it is without I/O and without a clock; docs/design/regions.md has the whole picture.
 package residencyreport
 
 //go:generate msgp -file messages.go -o messages_gen.go -tests=false
@@ -9,15 +5,18 @@
 // Process names one run of a proxy: a number drawn at random when it starts, never 0.
 type Process uint64
 
-// Pair is whose data rested in which region. Route is given only where a route has regions and no tenant. The zero value
-// stands for all that there was no room for.
+// Pair is whose data was in which region. The zero value stands for all pairs beyond MaxPairs.
 type Pair struct {
+	// Tenant is the tenant's name.
 	Tenant string `msg:"t,omitempty"`
-	Route  string `msg:"r,omitempty"`
+	// Route is the route's name, only where the route has regions and no tenant.
+	Route string `msg:"r,omitempty"`
+	// Region is the region's name.
 	Region string `msg:"g,omitempty"`
 }
 
-// Counts are sends that an answer began to.
+// Counts are how many sends got an answer, at least its beginning: plain requests, prefills, decodes and resumed
+// streams.
 type Counts struct {
 	Plain    int64 `msg:"p,omitempty"`
 	Prefills int64 `msg:"f,omitempty"`
@@ -25,20 +24,25 @@
 	Resumes  int64 `msg:"r,omitempty"`
 }
 
-// Entry is what there is to tell of a pair: when its data was first sent to the region and when the last send there
-// ended, in milliseconds since 1970 by the clocks of the proxies, and how many sends there were.
+// Entry is what is known of a pair, in milliseconds since 1970 by the clocks of the proxies.
 type Entry struct {
-	Pair   Pair   `msg:"p"`
-	First  int64  `msg:"f"`
-	Last   int64  `msg:"l"`
+	// Pair is the tenant or route, and the region.
+	Pair Pair `msg:"p"`
+	// First is when its data was first sent to the region.
+	First int64 `msg:"f"`
+	// Last is when the last send there ended.
+	Last int64 `msg:"l"`
+	// Counts are the sends there.
 	Counts Counts `msg:"c"`
 }
 
-// Batch is what one process had to tell since its batch before: the counts are those since then, First and Last those
-// since its start. Numbers go from 1 on without gaps; a batch never changes.
+// Batch is what one process has to report since its batch before. A batch never changes.
 type Batch struct {
+	// Process is the process that reports.
 	Process Process `msg:"p"`
-	N       uint64  `msg:"n"`
+	// N is the number of the batch, from 1 on without gaps.
+	N uint64 `msg:"n"`
+	// Entries have the counts since the batch before, and First and Last since the start of the process.
 	Entries []Entry `msg:"e"`
 }
 
@@ -48,22 +52,30 @@
 	N       uint64  `msg:"n"`
 }
 
-// Update is a change of the record: what a number of batches amount to, and which these were.
+// Update is one change of the record: what several batches add to it.
 type Update struct {
+	// Entries are what the batches amount to.
 	Entries []Entry `msg:"e"`
-	Upto    []Ack   `msg:"u"`
+	// Upto is which batches these are: of each process all up to a number.
+	Upto []Ack `msg:"u"`
 }
 
-// StoredTotals is a Gauge as snapshots of the record hold it.
+// StoredTotals is a Totals as snapshots of the record hold it.
 type StoredTotals struct {
-	Entries   []Entry    `msg:"e"`
+	// Entries are in the order of their pairs.
+	Entries []Entry `msg:"e"`
+	// Processes are in the order of their numbers.
 	Processes []Progress `msg:"p"`
-	Readings  uint64     `msg:"n"`
+	// Readings is how many updates were applied.
+	Readings uint64 `msg:"n"`
 }
 
-// Progress is how far the batches of a process are taken, and by which reading.
+// Progress is how far the batches of a process are in the totals.
 type Progress struct {
+	// Process is the process.
 	Process Process `msg:"p"`
-	N       uint64  `msg:"n"`
-	At      uint64  `msg:"a"`
+	// N is the number of its last applied batch.
+	N uint64 `msg:"n"`
+	// At is the number of the update that had it.
+	At uint64 `msg:"a"`
 }
--- a/internal/fleet/residencyreport/planted_test.go
+++ b/internal/fleet/residencyreport/planted_test.go
@@ -7,31 +7,117 @@
 )
 
 const (
-	readings = "^TestGaugeIsOrderFree$"
-	ways     = "^TestRelay"
+	totals = "^TestTotalsAreOrderFree$"
+	relays = "^TestRelay"
 )
 
 var faults = []plantedfault.Fault{
-	{Name: "what is taken counts again", Tests: readings, Texts: []string{"if b.N <= taken {", "if b.N < taken {"}},
-	{Name: "a reading counts again after a restart", Tests: readings, Texts: []string{"Processes: t.progresses(), ", ""}},
-	{Name: "the latest first time", Tests: readings, Texts: []string{"min(e.First, o.First)", "max(e.First, o.First)"}},
-	{Name: "the earliest last time", Tests: readings, Texts: []string{"max(e.Last, o.Last)", "min(e.Last, o.Last)"}},
-	{Name: "one kind of sends is left out", Tests: readings, Texts: []string{"c.Resumes += o.Resumes", ""}},
-	{Name: "a gauge is changed in place", Tests: readings, Texts: []string{"maps.Clone(t.pairs)", "t.pairs"}},
-	{Name: "routes count as tenants do", Tests: readings, Texts: []string{"mergeBounded(pairs, e, MaxPairs)", "e.Pair.Tenant += e.Pair.Route\n\t\t\te.Pair.Route = \"\"\n\t\t\tmergeBounded(pairs, e, MaxPairs)"}},
-	{Name: "a forgotten process counts again", Tests: "^TestForgotten", Texts: []string{"lost[b.Process] = taken == 0 && b.N > 1", "lost[b.Process] = false"}},
-	{Name: "nobody is forgotten", Tests: "^TestGaugeIsBounded$", Texts: []string{"next.evictProcesses(MaxProcesses)", ""}},
-	{Name: "what there is no room for is dropped", Tests: "^TestGaugeIsBounded$", Texts: []string{"e.Pair = Pair{}\n", "return\n"}},
-	{Name: "the first is let go before it is kept", Tests: ways, Texts: []string{"r.Acknowledge(Ack{b.Process, b.N - 1})", "r.Acknowledge(Ack{b.Process, b.N})"}},
-	{Name: "a batch is let go with the one before", Tests: ways, Texts: []string{"held[n].N <= k.N", "held[n].N <= k.N+1"}},
-	{Name: "a gap is taken", Tests: ways, Texts: []string{"b.N != last+1 || n >= MaxPendingBatches", "n >= MaxPendingBatches"}},
-	{Name: "a refused batch is passed by", Tests: ways, Texts: []string{"if at.refused > 0 && b.N > at.refused {", "if false {"}},
-	{Name: "what was lost on the way is not sent again", Tests: ways, Texts: []string{"if s.sent == nil || now.Sub(s.since) >= resendAfter {", "if s.sent == nil {"}},
-	{Name: "a batch counts from the start each time", Dir: "../proxy", Tests: "^TestLedger", Texts: []string{"d[i] -= r.reportedCounts[i]", "d[i] -= 0 * r.reportedCounts[i]"}},
-	{Name: "what found no room is not told any more", Dir: "../proxy", Tests: "^TestLedger", Texts: []string{"l.changed, l.newPair = more, more", "l.changed, l.newPair = more && false, false"}},
-	{Name: "the report is not in the record's snapshot", Dir: "../controlplane", Tests: "^TestRecord", Texts: []string{"s := StoredState{Rested: r.residency.Snapshot()}", "s := StoredState{}"}},
-	{Name: "a reading counts as a configuration", Dir: "../controlplane", Tests: "^TestRecord", Texts: []string{"s.DocumentSeq = r.docSeq", ""}},
-	{Name: "what was not confirmed is let go", Dir: "../controlplane", Tests: "^TestReadings", Texts: []string{"b.N <= settled.residency.AckedUpTo(b.Process) {\n\t\t\tkept", "b.N > 0 {\n\t\t\tkept"}},
+	{
+		Name:  "an applied batch counts again",
+		Tests: totals,
+		Texts: []string{"if b.N <= acked {", "if b.N < acked {"},
+	},
+	{
+		Name:  "an update counts again after a restart",
+		Tests: totals,
+		Texts: []string{"\t\tProcesses: t.progresses(),\n", ""},
+	},
+	{
+		Name:  "the latest first time",
+		Tests: totals,
+		Texts: []string{"min(e.First, o.First)", "max(e.First, o.First)"},
+	},
+	{
+		Name:  "the earliest last time",
+		Tests: totals,
+		Texts: []string{"max(e.Last, o.Last)", "min(e.Last, o.Last)"},
+	},
+	{
+		Name:  "one kind of sends is left out",
+		Tests: totals,
+		Texts: []string{"c.Resumes += o.Resumes", ""},
+	},
+	{
+		Name:  "totals are changed in place",
+		Tests: totals,
+		Texts: []string{"maps.Clone(t.pairs)", "t.pairs"},
+	},
+	{
+		Name:  "routes count as tenants do",
+		Tests: totals,
+		Texts: []string{"mergeBounded(pairs, e, MaxPairs)",
+			"e.Pair.Tenant += e.Pair.Route\n\t\t\te.Pair.Route = \"\"\n\t\t\tmergeBounded(pairs, e, MaxPairs)"},
+	},
+	{
+		Name:  "an evicted process counts again",
+		Tests: "^TestEvictedProcess",
+		Texts: []string{"evicted[b.Process] = acked == 0 && b.N > 1", "evicted[b.Process] = false"},
+	},
+	{
+		Name:  "no process is evicted",
+		Tests: "^TestTotalsAreBounded$",
+		Texts: []string{"next.evictProcesses(MaxProcesses)", ""},
+	},
+	{
+		Name:  "pairs beyond the bound are dropped",
+		Tests: "^TestTotalsAreBounded$",
+		Texts: []string{"e.Pair = Pair{}\n", "return\n"},
+	},
+	{
+		Name:  "the first batch is dropped before it is acknowledged",
+		Tests: relays,
+		Texts: []string{"r.Acknowledge(Ack{b.Process, b.N - 1})", "r.Acknowledge(Ack{b.Process, b.N})"},
+	},
+	{
+		Name:  "a batch is dropped with the one before",
+		Tests: relays,
+		Texts: []string{"pending[n].N <= ack.N", "pending[n].N <= ack.N+1"},
+	},
+	{
+		Name:  "a gap is taken",
+		Tests: relays,
+		Texts: []string{"b.N != last+1 || n >= MaxPendingBatches", "n >= MaxPendingBatches"},
+	},
+	{
+		Name:  "a refused batch is passed over",
+		Tests: relays,
+		Texts: []string{"if at == nil || at.refused > 0 && b.N > at.refused {", "if at == nil {"},
+	},
+	{
+		Name:  "what was lost on the way is not sent again",
+		Tests: relays,
+		Texts: []string{"if s.sent == nil || now.Sub(s.since) >= resendAfter {", "if s.sent == nil {"},
+	},
+	{
+		Name:  "a batch counts from the start each time",
+		Dir:   "../proxy",
+		Tests: "^TestLedger",
+		Texts: []string{"d[i] -= r.reportedCounts[i]", "d[i] -= 0 * r.reportedCounts[i]"},
+	},
+	{
+		Name:  "what didn't fit is not reported any more",
+		Dir:   "../proxy",
+		Tests: "^TestLedger",
+		Texts: []string{"l.changed, l.newPair = more, more", "l.changed, l.newPair = more && false, false"},
+	},
+	{
+		Name:  "the totals are not in the record's snapshot",
+		Dir:   "../controlplane",
+		Tests: "^TestRecord",
+		Texts: []string{"s := StoredState{Rested: r.residency.Snapshot()}", "s := StoredState{}"},
+	},
+	{
+		Name:  "an update counts as a configuration",
+		Dir:   "../controlplane",
+		Tests: "^TestRecord",
+		Texts: []string{"s.DocumentSeq = r.docSeq", ""},
+	},
+	{
+		Name:  "what was not confirmed is dropped",
+		Dir:   "../controlplane",
+		Tests: "^TestReadings",
+		Texts: []string{"b.N <= settled.residency.AckedUpTo(b.Process) {\n\t\t\tkept", "b.N > 0 {\n\t\t\tkept"},
+	},
 }
 
 // TestPlantedFaults plants each fault in turn; the tests named have to find it.
--- a/internal/fleet/residencyreport/relay_test.go
+++ b/internal/fleet/residencyreport/relay_test.go
@@ -15,7 +15,8 @@
 	receiver Receiver
 }
 
-// day is a fleet whose processes die and whose connections break: two proxies with their node agents, three control servers.
+// day is a fleet whose processes crash and whose connections break: two proxies with their node agents, three control
+// servers.
 type day struct {
 	*rapid.T
 	now     time.Time
@@ -29,7 +30,7 @@
 	down    [2]link
 	up      [2]link
 	across  [3]link // control servers to the primary
-	gauge   *Totals // on the disks of all that it has to be on
+	totals  *Totals // on the disks of all that it has to be on
 	last    Process
 }
 
@@ -43,12 +44,12 @@
 		return
 	}
 	l.receiver.Receive(to, batches)
-	kept := l.receiver.Acks(to)
+	acks := l.receiver.Acks(to)
 	if faults && d.chance(15) {
 		*l = link{}
 		return
 	}
-	from.Acknowledge(kept...)
+	from.Acknowledge(acks...)
 }
 
 func (d *day) startProxy(i int) {
@@ -75,34 +76,35 @@
 	}
 }
 
-// takeReading is what the primary does. Its outcome may stay unknown to it, or nothing may come of it.
-func (d *day) takeReading(faults bool) {
+// applyUpdate is what the primary does. The outcome may stay unknown to it, or nothing may come of it.
+func (d *day) applyUpdate(faults bool) {
 	box := d.core[d.primary]
 	open := box.Pending()
-	r, _ := d.gauge.Merge(open)
+	r, _ := d.totals.Merge(open)
 	if faults && d.chance(20) {
 		return
 	}
 	if !r.Empty() {
-		d.gauge = d.gauge.Apply(&r)
+		d.totals = d.totals.Apply(&r)
 	}
 	if faults && d.chance(20) {
 		return
 	}
 	for _, b := range open {
-		if k := d.gauge.AckedUpTo(b.Process); b.N <= k {
+		if k := d.totals.AckedUpTo(b.Process); b.N <= k {
 			box.Acknowledge(Ack{b.Process, b.N})
 		}
 	}
 }
 
-// check asks that nobody takes for kept what isn't, and that the record holds each batch that it took once.
+// check asks that no relay takes for acknowledged what isn't, and that the record counts each batch that it applied
+// once.
 func (d *day) check() {
 	relays := append(append(d.boxes[:], d.agents[:]...), d.core[:]...)
 	for _, r := range relays {
 		for p, n := range r.acked {
-			if n > d.gauge.AckedUpTo(p) {
-				d.Fatalf("batch %d of %d counts as kept, the record has %d", n, p, d.gauge.AckedUpTo(p))
+			if n > d.totals.AckedUpTo(p) {
+				d.Fatalf("batch %d of %d counts as acknowledged, the record has %d", n, p, d.totals.AckedUpTo(p))
 			}
 		}
 		entries := 0
@@ -120,9 +122,9 @@
 	}
 	var taken []Batch
 	for p, made := range d.made {
-		taken = append(taken, made[:d.gauge.AckedUpTo(p)]...)
+		taken = append(taken, made[:d.totals.AckedUpTo(p)]...)
 	}
-	if got, want := d.gauge.Report(nil), total(taken); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
+	if got, want := d.totals.Report(nil), total(taken); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
 		d.Fatalf("%v\nin place of\n%v", got, want)
 	}
 }
@@ -136,7 +138,7 @@
 		if p := d.proxy[i]; faults && d.boxes[i].PendingOf(p) < MaxPendingBatches {
 			b := Batch{Process: p, N: uint64(len(d.made[p])) + 1, Entries: drawEntries(d.T)}
 			if !d.boxes[i].Put(b) {
-				d.Fatal("no room for a proxy's own batch")
+				d.Fatal("a proxy's own batch doesn't fit")
 			}
 			d.made[p] = append(d.made[p], b)
 		}
@@ -149,7 +151,7 @@
 			d.carry(d.core[j], d.core[d.primary], &d.across[j], faults)
 		}
 	case 8:
-		d.takeReading(faults)
+		d.applyUpdate(faults)
 	case 9:
 		if faults {
 			d.follows[i], d.up[i] = j, link{}
@@ -168,17 +170,17 @@
 			}
 		}
 	case 11:
-		back, err := Restore(d.gauge.Snapshot())
+		back, err := Restore(d.totals.Snapshot())
 		if err != nil {
 			d.Fatal(err)
 		}
-		d.gauge = back
+		d.totals = back
 	}
 }
 
-// Over days of deaths and broken connections, what the record counts is at all times exactly the batches that it took, and
-// nobody lets go of one that it doesn't have; in the end it has all of every process that lives.
-func TestRelaysBringEachBatchOnce(t *testing.T) {
+// Over days of crashes and broken connections, what the record counts is at all times exactly the batches that it
+// applied, and no relay drops one that it doesn't have; in the end it has all of every process that runs.
+func TestRelayDeliversEachBatchOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &day{T: t, now: time.Unix(1_000_000, 0), made: map[Process][]Batch{}}
 		for i := range 2 {
@@ -192,7 +194,7 @@
 			d.step(true)
 			d.check()
 		}
-		for range 8 { // a calm end
+		for range 8 { // an end without faults
 			for i := range 2 {
 				d.carry(d.boxes[i], d.agents[i], &d.down[i], false)
 				d.carry(d.agents[i], d.core[d.follows[i]], &d.up[i], false)
@@ -202,20 +204,20 @@
 					d.carry(d.core[j], d.core[d.primary], &d.across[j], false)
 				}
 			}
-			d.takeReading(false)
+			d.applyUpdate(false)
 			d.check()
 			d.now = d.now.Add(resendAfter)
 		}
 		for i, p := range d.proxy {
-			if d.gauge.AckedUpTo(p) != uint64(len(d.made[p])) || !d.boxes[i].Empty() || !d.agents[i].Empty() {
-				t.Fatalf("%d of %d batches are kept", d.gauge.AckedUpTo(p), len(d.made[p]))
+			if d.totals.AckedUpTo(p) != uint64(len(d.made[p])) || !d.boxes[i].Empty() || !d.agents[i].Empty() {
+				t.Fatalf("%d of %d batches are acknowledged", d.totals.AckedUpTo(p), len(d.made[p]))
 			}
 		}
 	})
 }
 
-// Where a relay has no room, what is refused comes again before anything later; nothing is taken out of order.
-func TestRelayWithoutRoom(t *testing.T) {
+// Where a relay is full, what it refuses comes again before anything later; nothing is taken out of order.
+func TestRelayRefusesBeyondItsBounds(t *testing.T) {
 	c := qt.New(t)
 	var from, to Relay
 	var l link
@@ -228,7 +230,7 @@
 	}
 	batch := func(n uint64, entries int) Batch { return Batch{Process: 1, N: n, Entries: make([]Entry, entries)} }
 	c.Assert(from.Put(batch(1, 1)), qt.IsTrue)
-	c.Assert(from.Put(batch(2, 0)), qt.IsTrue) // there would be room for this one
+	c.Assert(from.Put(batch(2, 0)), qt.IsTrue) // this one would fit
 	carry()
 	c.Assert(to.PendingOf(1), qt.Equals, 0)
 	to.Acknowledge(Ack{9, 1})
@@ -242,7 +244,7 @@
 	carry()
 	c.Assert(from.Empty(), qt.IsTrue)
 
-	c.Assert(to.Put(batch(5, 1)), qt.IsTrue, qt.Commentf("whoever begins there knows that the fourth is kept"))
+	c.Assert(to.Put(batch(5, 1)), qt.IsTrue, qt.Commentf("whoever begins there knows that the fourth is acknowledged"))
 	c.Assert(to.Put(batch(7, 1)), qt.IsFalse)
 	for n := uint64(6); n < 5+MaxPendingBatches; n++ {
 		c.Assert(to.Put(batch(n, 1)), qt.IsTrue)
--- a/internal/fleet/residencyreport/gauge_test.go
+++ b/internal/fleet/residencyreport/totals_test.go
@@ -23,8 +23,17 @@
 		}
 		first := rapid.Int64Range(1, 1000).Draw(t, "first")
 		n := rapid.Int64Range(0, 9)
-		pairs[p] = Entry{Pair: p, First: first, Last: first + rapid.Int64Range(0, 1000).Draw(t, "span"),
-			Counts: Counts{n.Draw(t, "plain"), n.Draw(t, "prefills"), n.Draw(t, "decodes"), n.Draw(t, "resumes")}}
+		pairs[p] = Entry{
+			Pair:  p,
+			First: first,
+			Last:  first + rapid.Int64Range(0, 1000).Draw(t, "span"),
+			Counts: Counts{
+				Plain:    n.Draw(t, "plain"),
+				Prefills: n.Draw(t, "prefills"),
+				Decodes:  n.Draw(t, "decodes"),
+				Resumes:  n.Draw(t, "resumes"),
+			},
+		}
 	}
 	return sorted(pairs)
 }
@@ -61,15 +70,14 @@
 	for _, e := range sum {
 		all = append(all, e)
 	}
-	slices.SortFunc(all, func(a, b Entry) int {
-		return slices.Compare([]string{a.Pair.Tenant, a.Pair.Route, a.Pair.Region}, []string{b.Pair.Tenant, b.Pair.Route, b.Pair.Region})
-	})
+	key := func(p Pair) []string { return []string{p.Tenant, p.Route, p.Region} }
+	slices.SortFunc(all, func(a, b Entry) int { return slices.Compare(key(a.Pair), key(b.Pair)) })
 	return all
 }
 
-// However batches are spread over readings, whichever process comes first, whatever is offered again, and wherever the
-// record is read back from a snapshot in between: the report is the same, and right.
-func TestGaugeIsOrderFree(t *testing.T) {
+// However batches are spread over updates, whichever process comes first, whatever is offered again, and wherever
+// the record is restored from a snapshot in between: the report is the same, and right.
+func TestTotalsAreOrderFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawBatches(t)
 		next := map[Process]uint64{}
@@ -100,7 +108,7 @@
 				g = g.Apply(&r)
 			}
 			if !reflect.DeepEqual(before.Report(nil), was) {
-				t.Fatal("an older gauge was changed")
+				t.Fatal("older totals were changed")
 			}
 			if rapid.Bool().Draw(t, "restart") {
 				back, err := Restore(g.Snapshot())
@@ -112,7 +120,7 @@
 		}
 		for _, b := range all {
 			if g.AckedUpTo(b.Process) < b.N {
-				t.Fatalf("batch %d of %d is not taken", b.N, b.Process)
+				t.Fatalf("batch %d of %d is not acknowledged", b.N, b.Process)
 			}
 		}
 		if got, want := g.Report(nil), total(all); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
@@ -120,14 +128,14 @@
 		}
 		// All over again: nothing comes of it.
 		if r, _ := g.Merge(all); !r.Empty() || len(r.Entries) > 0 {
-			t.Fatalf("what was taken is taken again: %v", r)
+			t.Fatalf("what was applied is merged again: %v", r)
 		}
 	})
 }
 
-// A process that was forgotten, or that a record which was begun anew never knew, has its times told; what it may have
-// counted before is not counted again.
-func TestForgottenProcessIsNotCountedTwice(t *testing.T) {
+// The times of a process that was evicted, or that a record which was begun anew never knew, are merged; what it may
+// have counted before is not counted again.
+func TestEvictedProcessIsNotCountedTwice(t *testing.T) {
 	c := qt.New(t)
 	pair := Pair{Tenant: "a", Region: "east"}
 	entry := func(first, last int64) []Entry {
@@ -141,7 +149,7 @@
 	take(Batch{1, 1, entry(5, 6)}, Batch{1, 2, entry(5, 7)})
 	c.Assert(g.Report(nil)[0].Counts.Plain, qt.Equals, int64(4))
 	take(Batch{2, 1, entry(9, 10)})
-	g.evictProcesses(1) // who told something last stays
+	g.evictProcesses(1) // the one that reported most recently stays
 	c.Assert(g.AckedUpTo(1), qt.Equals, uint64(0))
 	c.Assert(g.AckedUpTo(2), qt.Equals, uint64(1))
 	take(Batch{1, 2, entry(5, 7)}, Batch{1, 3, entry(4, 20)})
@@ -150,9 +158,9 @@
 	c.Assert(g.Report(nil)[0].Counts.Plain, qt.Equals, int64(8))
 }
 
-// What there is no room for is counted, under no name; the processes that told nothing for longest go first; one reading is
-// bounded and says that there is more.
-func TestGaugeIsBounded(t *testing.T) {
+// Pairs beyond the bound are counted under the zero Pair; the processes that reported least recently are evicted
+// first; one update is bounded and says that there is more.
+func TestTotalsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	var g *Totals
 	n := 0 // entries made, each for a tenant of its own
@@ -160,7 +168,12 @@
 		b := Batch{Process: p, N: 1}
 		for range entries {
 			n++
-			b.Entries = append(b.Entries, Entry{Pair: Pair{Tenant: fmt.Sprint(n), Region: "r"}, First: int64(n), Last: int64(n), Counts: Counts{Plain: 1}})
+			b.Entries = append(b.Entries, Entry{
+				Pair:   Pair{Tenant: fmt.Sprint(n), Region: "r"},
+				First:  int64(n),
+				Last:   int64(n),
+				Counts: Counts{Plain: 1},
+			})
 		}
 		return b
 	}
@@ -211,7 +224,10 @@
 // Damaged snapshots are errors.
 func TestRestoreRefusesDamage(t *testing.T) {
 	c := qt.New(t)
-	g := (*Totals)(nil).Apply(&Update{Entries: []Entry{{Pair: Pair{Tenant: "a", Region: "r"}, First: 1, Last: 2}}, Upto: []Ack{{1, 1}}})
+	g := (*Totals)(nil).Apply(&Update{
+		Entries: []Entry{{Pair: Pair{Tenant: "a", Region: "r"}, First: 1, Last: 2}},
+		Upto:    []Ack{{1, 1}},
+	})
 	b := g.Snapshot()
 	for n := 1; n < len(b); n++ {
 		_, err := Restore(b[:n])
