--- a/policy/health.go
+++ b/policy/health.go
@@ -142,7 +142,8 @@
 	b.refetch()
 }
 
-// unhealthyHold is how long a server stays Unhealthy before it is validated again: one aim, or the time in which
+// unhealthyHold is how long a server stays Unhealthy before it is validated again: one aim, or the time
+// in which
 // the agent comes by each server if that is longer and a check costs a request (id753de), doubled with each
 // further strike. While the others have no room there is none, but for one that answers nothing.
 func (b *Balancer) unhealthyHold(s *server) float64 {
@@ -165,7 +166,8 @@
 		}
 		a, mean := s.inFlight[0], b.expectedAnswerMs(s.inFlight[0].r)
 		b.doubt.Waits(s.zone, a.sentAt, (b.now-a.sentAt)/mean)
-		if s.state != Unhealthy && b.now-max(s.lastContact, a.sentAt) >= mean*8/float64(min(len(s.inFlight), 3)) {
+		quiet := b.now - max(s.lastContact, a.sentAt)
+		if s.state != Unhealthy && quiet >= mean*8/float64(min(len(s.inFlight), 3)) {
 			b.demote(s, true)
 		}
 	}
--- a/policy/list.go
+++ b/policy/list.go
@@ -82,7 +82,8 @@
 	s, since := b.byAddr[e.Server], arith.Finite(e.SinceMs)
 	if s == nil {
 		s = &server{id: e.Server, hash: arith.Mix(e.Server.Hash()), Health: NewHealth(b.now),
-			window: max(firstWindow, e.Window), startedAt: since, listedAt: since, slowStartCredit: b.rng.Float64()}
+			window: max(firstWindow, e.Window), startedAt: since, listedAt: since,
+			slowStartCredit: b.rng.Float64()}
 		s.agentOrder = arith.Mix(s.hash ^ arith.Mix(uint64(b.set.Index)+1))
 		b.byAddr[s.id] = s
 		b.servers = append(b.servers, s)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -26,7 +26,8 @@
 	firstWindow     = 2.0 // attempts an unmeasured server may hold
 	// minWindow is left to the most crowded server: enough to see when it is not.
 	minWindow, crowdedFactor = 0.1, 2.5
-	// affinityWaitShare is the part of its aim that a request may wait for the affinityServers nearest its key.
+	// affinityWaitShare is the part of its aim that a request may wait for the affinityServers nearest
+	// its key.
 	affinityWaitShare, affinityServers = 0.25, 2
 	minHintedTimeShare                 = 0.7 // least part of its expected time that a hinted request needs
 	maxStrikes                         = 5   // bounds the doubling of a bad server's hold
@@ -252,7 +253,8 @@
 	b.revalidate()
 	b.queue = append(b.queue, r)
 	// One whose hinted work cannot fit the aim anywhere would only keep others waiting.
-	if b.tooLate(r) || r.hint > 0 && c.LateShare == 0 && minHintedTimeShare*b.needs.Hinted(r.hint) > r.targetAt-b.now {
+	if b.tooLate(r) || r.hint > 0 && c.LateShare == 0 &&
+		minHintedTimeShare*b.needs.Hinted(r.hint) > r.targetAt-b.now {
 		b.end(r)
 	}
 }
@@ -434,7 +436,8 @@
 	if !b.maySend(r, s) {
 		return false
 	}
-	a := &attempt{r: r, s: s, index: len(r.attempts), alone: len(s.inFlight) == 0, sentAt: b.now, cost: b.cost(r)}
+	a := &attempt{r: r, s: s, index: len(r.attempts), alone: len(s.inFlight) == 0, sentAt: b.now,
+		cost: b.cost(r)}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	begin := b.latestUseful(r) - b.minRemaining(s, r) // connecting may take all that is left
@@ -506,7 +509,8 @@
 	r.maxAttempts -= ev.Tries // a gateway that it went through made more of it
 	if ev.Status == NoWay && r.maxAttempts < MostTries {
 		rounds := len(r.attempts) / max(len(b.servers), 1) // it went nowhere: to the others at once
-		r.maxAttempts, r.retryAt = r.maxAttempts+1, b.now+b.set.Classes[r.class].AimMs/MostTries*float64(rounds)
+		r.maxAttempts++
+		r.retryAt = b.now + b.set.Classes[r.class].AimMs/MostTries*float64(rounds)
 	}
 	r.inFlight--
 	b.endWork(a)
