--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -38,15 +38,15 @@
 		t.Fatalf("state %d, %d out", s.state, len(s.inFlight))
 	}
 	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600})
-	if s := r.b.servers[0]; len(s.inFlight) != 1 || r.b.inflight != 1 {
-		t.Fatalf("%d out, %d in flight once it is whole", len(s.inFlight), r.b.inflight)
+	if s := r.b.servers[0]; len(s.inFlight) != 1 || r.b.inFlight != 1 {
+		t.Fatalf("%d out, %d in flight once it is whole", len(s.inFlight), r.b.inFlight)
 	}
 	if q := r.b.requests[ids[0]]; q.targetAt != r.now+300 || q.deadline != r.now+595 {
 		t.Errorf("aim in %v, deadline in %v", q.targetAt-r.now, q.deadline-r.now)
 	}
 	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600}) // again: nothing
 	r.outcome(ids[0], 0, r.b.servers[0].id, OK, 30)
-	if r.b.inflight != 0 || r.b.requests[ids[0]] != nil {
+	if r.b.inFlight != 0 || r.b.requests[ids[0]] != nil {
 		t.Error("its end is not counted once")
 	}
 }
@@ -94,7 +94,7 @@
 		}
 	}
 	s := r.b.servers[0]
-	if s.state > Unknown || len(s.inFlight) != 0 || r.b.inflight != 0 {
+	if s.state > Unknown || len(s.inFlight) != 0 || r.b.inFlight != 0 {
 		t.Fatalf("state %d, %d out", s.state, len(s.inFlight))
 	}
 	if got := r.outcome(1, 0, s.id, Reset, 20); find(got, ActSend) != nil || find(got, ActFail) != nil {
@@ -238,14 +238,14 @@
 		id, s := r.sent(0, 0)
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
-		lat, calm := r.b.servers[0].latencyRatio, *r.b.calm
+		lat, calm := r.b.servers[0].latencyRatio, *r.b.normalLatency
 		slow, _ := r.coming(1)
 		r.now += 60_000
 		if started {
 			r.do(Event{Kind: EvStarted, Request: slow, Attempt: 0})
 		}
 		r.outcome(slow, 0, s, OK, 60_000)
-		if r.b.servers[0].latencyRatio != lat || *r.b.calm != calm || r.b.requests[slow] != nil {
+		if r.b.servers[0].latencyRatio != lat || *r.b.normalLatency != calm || r.b.requests[slow] != nil {
 			t.Errorf("begun %v: %v, was %v", started, r.b.servers[0].latencyRatio, lat)
 		}
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,215 +1,70 @@
 package policy
 
-import "molepaddle/internal/decide/arith"
-
-// noteTierChange notes that a transition may have changed tiers.
-func (b *Balancer) noteTierChange(tiers bool) {
-	if tiers {
-		b.epoch++
-	}
+// State is the health state in which an agent holds a listed server.
+type State uint8
+
+// The four health states, best first.
+const (
+	// Connected is a server that has served of late.
+	Connected State = iota
+	// Unknown is a server that has just been listed.
+	Unknown
+	// UnhealthyPending is a server that was Unhealthy and awaits validation, by a probe or by a request.
+	UnhealthyPending
+	// Unhealthy is a server that failed.
+	Unhealthy
+)
+
+// Health is the health state in which one caller holds one listed backend, and since when: the four states of
+// the design with their transitions. Times are in ms on any one clock that does not go back. Each transition
+// returns whether the backend's tier may have changed. The zero Health is Connected since 0. It is not safe
+// for concurrent use.
+type Health struct {
+	state State
+	since float64
 }
 
-func (b *Balancer) enter(s *server, to State) { b.noteTierChange(s.enter(b.now, to)) }
+// NewHealth returns that of a backend that has just been listed: Unknown.
+func NewHealth(now float64) Health { return Health{Unknown, now} }
 
-// recordOutcome takes what an attempt's end says about its server.
-func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
-	s := a.s
-	if st == OK || st == Error || st == Full {
-		b.liftSuspicion(s.zone)
-	}
-	switch st {
-	case OK:
-		if b.earnSlowStartCredit(s, a.cost); !a.r.started && !a.r.bodyPending {
-			b.recordServed(a, rtt)
-		}
-	case Error, Reset:
-		s.lastContact = b.now
-		if b.failsLikeFleet(s) {
-			b.recheck(s)
-		} else {
-			b.demote(s, false)
-		}
-		s.failureShare += failureSmoothing * (1 - s.failureShare)
-	case ConnectFailed:
-		b.demote(s, true)
-		if s.connectFailedAt == 0 {
-			s.connectFailedAt = b.now
-		}
-	case Timeout:
-		// One that answered others meanwhile is not to blame; it counts as slow.
-		if s.lastContact > a.sentAt {
-			b.needs.Took(a.r.hint, rtt)
-			b.learnLatency(s, b.needs.Part(a.r.hint, rtt/b.set.Classes[a.r.class].AimMs))
-		} else {
-			b.demote(s, true)
-		}
-	case Full:
-		s.lastContact = b.now
-		b.shrinkWindow(s, 0.7, 1)
-	}
-}
+// State returns the present state.
+func (h *Health) State() State { return h.state }
 
-func (b *Balancer) recordServed(a *attempt, rtt float64) {
-	s, r := a.s, a.r
-	s.failureShare -= failureSmoothing * s.failureShare
-	b.needs.Took(r.hint, rtt)
-	b.recordContact(s)
-	s.rtt = arith.Mean(s.rtt, rtt, smoothing)
-	c := &b.set.Classes[r.class]
-	b.needs.Served(r.class, rtt, 2*c.AimMs)
-	if b.now <= r.targetAt {
-		b.worth.Won(r.class)
-	}
-	x := b.needs.Part(r.hint, rtt/c.AimMs)
-	b.calm.Answered(x, a.alone)
-	b.learnLatency(s, x)
-	limit := b.calm.Limit(b.ramp(s))
-	if b.ramp(s) < 1 {
-		b.cold.Answered(x < limit)
-	}
-	if s.state == Unhealthy && a.sentAt < s.since && !s.unresponsive {
-		return // sent before the failure: says nothing about what came after
-	}
-	b.noteTierChange(s.Served(b.now))
-	if s.unresponsive {
-		s.unresponsive, s.strikes = false, max(s.strikes-1, 0)
-	}
-	if s.servedSinceStrike++; s.servedSinceStrike >= 16*s.strikes {
-		s.servedSinceStrike, s.strikes = 0, max(s.strikes-1, 0)
-	}
-	switch {
-	case s.latencyRatio > limit && b.now-s.windowCutAt > rtt:
-		least := 1.0
-		if s.latencyRatio > crowdedFactor*limit {
-			least = minWindow
-		}
-		b.shrinkWindow(s, 0.85, least)
-	case s.latencyRatio < limit && float64(len(s.inFlight)+2) > s.window && b.calm.Learnt():
-		s.window += min(1/s.window, s.window)
-	}
-}
+// Since returns when the present state was entered.
+func (h *Health) Since() float64 { return h.since }
 
-// recordContact notes an answer. A server that no connect reached for long may be a new process, cold
-// and not yet listed: it is ramped as if it had started now. Time-outs alone don't tell (i228a10).
-func (b *Balancer) recordContact(s *server) {
-	if s.connectFailedAt > 0 && b.now-s.connectFailedAt > b.set.Contract.TipAfterMs {
-		s.startedAt, s.window, s.slowStartCredit = b.now, 1, b.rng.Float64()
-	}
-	s.lastContact, s.connectFailedAt = b.now, 0
-}
+// Demote takes a failed attempt or validation. A backend that is Unhealthy keeps its entry time.
+func (h *Health) Demote(now float64) bool { return h.state != Unhealthy && h.enter(now, Unhealthy) }
 
-func (b *Balancer) learnLatency(s *server, x float64) {
-	s.samples++
-	s.latencyRatio = arith.Mean(s.latencyRatio, x, max(smoothing, 1/float64(s.samples)))
-	b.weights.Answered(s.zone, s.kind, x)
-}
+// Served takes a served answer: Connected. A backend that is Connected keeps its entry time.
+func (h *Health) Served(now float64) bool { return h.state != Connected && h.enter(now, Connected) }
 
-func (b *Balancer) shrinkWindow(s *server, by, least float64) {
-	s.window, s.windowCutAt = min(s.window, max(s.window*by, least)), b.now
+// Refresh has a backend that has been Unhealthy for hold (in ms, 0: at once) await validation.
+func (h *Health) Refresh(now, hold float64) bool {
+	return h.state == Unhealthy && now-h.since >= hold && h.enter(now, UnhealthyPending)
 }
 
-// failsLikeFleet tells whether the server fails no more than the fleet does (the median of the usable ones'
-// shares), as when a network breaks connections at random: held to a strike each all were out at once.
-func (b *Balancer) failsLikeFleet(s *server) bool {
-	b.shareScratch = b.shareScratch[:0]
-	for _, o := range b.servers {
-		if o.usable {
-			b.shareScratch = append(b.shareScratch, o.failureShare)
-		}
-	}
-	median := arith.Median(b.shareScratch)
-	return median >= fleetFailureShare && s.failureShare <= 3*median
+// Probed takes the end of a validation; it counts only for a backend that still awaits it.
+func (h *Health) Probed(now float64, ok bool) bool {
+	return h.state == UnhealthyPending && (ok && h.Served(now) || !ok && h.Demote(now))
 }
 
-// recheck demotes a server and has it validated at once, without a strike.
-func (b *Balancer) recheck(s *server) {
-	if s.state != Unhealthy {
-		b.noteTierChange(s.Demote(b.now))
-		s.unresponsive, s.servedSinceStrike = false, 0
-		b.noteTierChange(s.Refresh(b.now, 0))
-	}
-	b.refetch()
-}
-
-// demote makes a server Unhealthy; failures of one moment count as one strike.
-func (b *Balancer) demote(s *server, silent bool) {
-	if s.state != Unhealthy {
-		s.strikes = min(s.strikes+1, maxStrikes)
-		b.noteTierChange(s.Demote(b.now))
-		s.unresponsive, s.servedSinceStrike, s.latencyRatio, s.samples = silent, 0, 0, 0
-		s.window = max(s.window/2, 1)
-	}
-	b.refetch()
-}
-
-// unhealthyHold is how long a server stays Unhealthy before it is validated again: one aim, or the time
-// in which
-// the agent comes by each server if that is longer and a check costs a request (id753de), doubled with each
-// further strike. While the others have no room there is none, but for one that answers nothing.
-func (b *Balancer) unhealthyHold(s *server) float64 {
-	if b.saturated && !s.unresponsive {
-		return 0
-	}
-	hold := b.minLatencyTarget
-	if !b.set.Limits.Probing {
-		hold = max(hold, b.pace.Round(b.set.Limits.KeepaliveMs, b.subset()))
-	}
-	return hold * float64(int(1)<<max(s.strikes-1, 0))
-}
-
-// demoteUnresponsive demotes servers that took attempts and have answered nothing for several answer
-// times: hung or gone silent, they would stay Connected. Zones of them are doubted as one.
-func (b *Balancer) demoteUnresponsive() {
-	for _, s := range b.servers {
-		if len(s.inFlight) == 0 {
-			continue
-		}
-		a, mean := s.inFlight[0], b.expectedAnswerMs(s.inFlight[0].r)
-		b.doubt.Waits(s.zone, a.sentAt, (b.now-a.sentAt)/mean)
-		quiet := b.now - max(s.lastContact, a.sentAt)
-		if s.state != Unhealthy && quiet >= mean*8/float64(min(len(s.inFlight), 3)) {
-			b.demote(s, true)
-		}
-	}
-	b.noteTierChange(b.doubt.Judge(b.now, b.minLatencyTarget))
-}
-
-// liftSuspicion takes that a zone has answered: silence of its servers while it was doubted was the way's.
-func (b *Balancer) liftSuspicion(zone int) {
-	if since, lifted := b.doubt.Answered(zone, b.now); lifted {
-		for _, s := range b.servers {
-			if s.zone == zone && s.unresponsive && s.since >= since-b.minLatencyTarget {
-				b.noteTierChange(s.Refresh(b.now, 0))
-			}
-		}
-	}
-}
-
-// revalidate, on each request, refreshes servers that were Unhealthy long enough to pending.
-func (b *Balancer) revalidate() {
-	for _, s := range b.servers {
-		if s.state == Unhealthy && s.usable && len(s.inFlight) == 0 && s.Refresh(b.now, b.unhealthyHold(s)) {
-			b.epoch++
-			b.refetch()
-		}
-		pending := s.state == UnhealthyPending && s.usable
-		if pending && b.set.Limits.Probing && !s.probing && b.probes < maxProbes {
-			s.probing = true
-			b.probes++
-			b.emit(Action{Kind: ActProbe, Server: s.id})
-		}
+// Tier returns the rank among backends, 0 the best: Connected, Unknown and what awaited validation for too
+// long, then UnhealthyPending, then Unhealthy. pendingTimeout is how long a backend awaits validation until
+// it ranks as healthy again, in ms, 0: no time.
+func (h *Health) Tier(now, pendingTimeout float64) int {
+	switch {
+	case h.state == Unhealthy:
+		return 2
+	case h.state == UnhealthyPending && now-h.since < pendingTimeout:
+		return 1
 	}
+	return 0
 }
 
-func (b *Balancer) onProbed(ev *Event) {
-	if s := b.byAddr[ev.Server]; s != nil && s.probing {
-		s.probing = false
-		b.probes--
-		if s.state == UnhealthyPending && ev.Status == OK {
-			b.recordContact(s)
-			b.noteTierChange(s.Probed(b.now, true))
-		} else if s.state == UnhealthyPending && ev.Status != Full {
-			b.demote(s, true)
-		}
-	}
+func (h *Health) enter(now float64, to State) bool {
+	tiers := h.state > Unknown || to > Unknown
+	h.state = to
+	h.since = now
+	return tiers
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -392,8 +392,8 @@
 			r.now += rtt
 			r.outcome(id, 0, s, OK, rtt)
 		}
-		if grown := r.b.calm.Least > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.calm.Least)
+		if grown := r.b.normalLatency.Least > 0.15; grown != (agents == 1) {
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.normalLatency.Least)
 		}
 	}
 }
@@ -405,8 +405,8 @@
 		set := testSettings()
 		set.Replicas = agents
 		r := newRig(t, set, 1)
-		r.b.calm.Least = least
-		return r.b.calm.Limit(1)
+		r.b.normalLatency.Least = least
+		return r.b.normalLatency.Limit(1)
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
 		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
@@ -416,8 +416,8 @@
 	}
 	r := newRig(t, testSettings(), 1)
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
-	r.b.calm.Least = 0.2
-	if cold, warm := r.b.calm.Limit(r.b.ramp(r.b.byAddr[addr(1)])), r.b.calm.Limit(r.b.ramp(r.b.byAddr[addr(0)])); cold < 2*warm {
+	r.b.normalLatency.Least = 0.2
+	if cold, warm := r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(1)])), r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(0)])); cold < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
 	}
 }
@@ -430,8 +430,8 @@
 		r.now += 270
 		r.outcome(id, 0, s, OK, 270)
 	}
-	if r.b.calm.Least > calm.CrowdShare/2 {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.calm.Least)
+	if r.b.normalLatency.Least > calm.CrowdShare/2 {
+		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.normalLatency.Least)
 	}
 }
 
@@ -522,7 +522,7 @@
 		}
 		return tried
 	}
-	for n := 0; !r.b.doubt.Of(1); n++ {
+	for n := 0; !r.b.zoneSuspicion.Of(1); n++ {
 		answer(0)
 		if r.tick(5); n > 40 {
 			t.Fatal("a zone that answers nothing is not doubted")
@@ -568,7 +568,7 @@
 			tries++
 		}
 	}
-	if tries-before < 6 || r.b.doubt.Of(1) {
+	if tries-before < 6 || r.b.zoneSuspicion.Of(1) {
 		t.Errorf("after its answer the zone gets %d of 60", tries-before)
 	}
 }
@@ -830,15 +830,15 @@
 	r := newRig(t, set, 2)
 	once, free := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
-		r.b.worth.Asked(0)
-		r.b.worth.Asked(1)
-		r.b.worth.Won(1)
+		r.b.classValue.Asked(0)
+		r.b.classValue.Asked(1)
+		r.b.classValue.Won(1)
 	}
 	with := r.b.value(free) / r.b.value(once)
 	for range 2000 { // and now the other way round
-		r.b.worth.Asked(0)
-		r.b.worth.Asked(1)
-		r.b.worth.Won(0)
+		r.b.classValue.Asked(0)
+		r.b.classValue.Asked(1)
+		r.b.classValue.Won(0)
 	}
 	if without := r.b.value(free) / r.b.value(once); with <= without {
 		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
@@ -1132,7 +1132,7 @@
 			t.Errorf("request %d has %d final answers", id, final[id])
 		}
 	}
-	if x := r.b.calm.Fleet + r.b.needs.MeanHint + r.b.needs.Of(0, 5) + r.b.calm.Least + r.b.needs.Mean(0); math.IsNaN(x) || math.IsInf(x, 0) {
+	if x := r.b.normalLatency.Fleet + r.b.needs.MeanHint + r.b.needs.Of(0, 5) + r.b.normalLatency.Least + r.b.needs.Mean(0); math.IsNaN(x) || math.IsInf(x, 0) {
 		t.Errorf("odd values poisoned the means: %v", x)
 	}
 }
@@ -1324,7 +1324,7 @@
 	set := testSettings()
 	r := newRig(t, set, 2)
 	a, b := r.b.byAddr[addr(0)], r.b.byAddr[addr(1)]
-	r.b.calm.Fleet, a.latencyRatio, b.latencyRatio = 0.1, 0.1, 0.9
+	r.b.normalLatency.Fleet, a.latencyRatio, b.latencyRatio = 0.1, 0.1, 0.9
 	b.window, a.window = 9, 9
 	need := r.b.needs.Mean(0) / 2
 	for range 20 {
@@ -1341,7 +1341,7 @@
 			t.Fatalf("may begin within %v ms, want %v", send.BeginMs, want)
 		}
 		r.outcome(r.id, 0, a.id, OK, need)
-		a.latencyRatio, b.latencyRatio, r.b.calm.Fleet = 0.1, 0.9, 0.1
+		a.latencyRatio, b.latencyRatio, r.b.normalLatency.Fleet = 0.1, 0.9, 0.1
 		need = r.b.needs.Mean(0) / 2
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -240,8 +240,8 @@
 			w.handle(Event{Kind: EvList, List: cluster.ListFailed})
 		}
 	}
-	if n := len(w.b.requests); n != 0 || len(w.b.queue) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queue), w.b.inflight)
+	if n := len(w.b.requests); n != 0 || len(w.b.queue) != 0 || w.b.inFlight != 0 {
+		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queue), w.b.inFlight)
 	}
 	for _, s := range w.b.servers {
 		if len(s.inFlight) != 0 {
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,21 +1,24 @@
-// Package policy decides, for one agent, where each request goes: which server, when, for how long,
-// whether again, and when to give up. It is a state machine without I/O: events with a clock go in,
-// actions come back, in order. A Balancer, or a Ranker, belongs to one goroutine at a time.
 package policy
 
 import "molepaddle/internal/decide/event"
 
-// What goes in and comes out; package event tells which fields of each count.
+// What goes in and comes out; package event says which fields of each count.
 type (
-	RequestID  = event.RequestID
-	Status     = event.Status
-	EventKind  = event.EventKind
-	Event      = event.Event
+	// RequestID names one try of a client; an id is never used twice.
+	RequestID = event.RequestID
+	// Status is how an attempt or a probe ended.
+	Status = event.Status
+	// EventKind says which fields of an Event count.
+	EventKind = event.EventKind
+	// Event is something that happened to one agent.
+	Event = event.Event
+	// ActionKind says which fields of an Action count.
 	ActionKind = event.ActionKind
-	Action     = event.Action
+	// Action is something that the agent is to do, in the order given.
+	Action = event.Action
 )
 
-// The endings, the events and the actions, as in package event.
+// The statuses, the kinds of events and those of actions; package event documents each.
 const (
 	OK, Error, Full, Timeout        = event.OK, event.Error, event.Full, event.Timeout
 	ConnectFailed, Reset, Cancelled = event.ConnectFailed, event.Reset, event.Cancelled
