--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -19,7 +19,7 @@
 
 // A body that comes for minutes takes no part of its server, is nobody's silence, and its time begins
 // with its last byte.
-func TestBodiesThatAreComing(t *testing.T) {
+func TestIncompleteBodies(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	var ids []RequestID
 	for range 50 { // far more than the server's window
@@ -81,7 +81,7 @@
 
 // An answer that is passed on slowly takes no part of its server, and nothing of its request is done
 // any more.
-func TestAnswersPassedOn(t *testing.T) {
+func TestAnswersRelayed(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	for range 40 {
 		id, _ := r.sent(0, 0)
@@ -104,7 +104,7 @@
 
 // Long answers that begin in time have earned their worth, however late they end: they don't close the
 // throttle.
-func TestAnswersPassedOnInTimeAreWorthIt(t *testing.T) {
+func TestAnswersRelayedInTimeCount(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	for i := range 40 {
 		id, s := r.sent(0, 0)
@@ -159,7 +159,7 @@
 
 // Long answers that come at once from a server that nobody has met open its window as they begin: which of
 // them have ended says nothing of it.
-func TestBegunAnswersOpenTheWindow(t *testing.T) {
+func TestStartedAnswersOpenTheWindow(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	var out []RequestID
 	begun, most := 0, 0
@@ -204,7 +204,7 @@
 
 // A request that finds no way goes on to the others at once, then asks again as long as its aim lasts,
 // less and less often; it is refused once there is no time left, and never before.
-func TestNoWayIsAskedForAgain(t *testing.T) {
+func TestNoConnectionIsRetried(t *testing.T) {
 	for _, servers := range []int{1, 3} {
 		r := newRig(t, testSettings(), servers)
 		id, s := r.sent(0, 0)
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -8,7 +8,7 @@
 )
 
 // The design's way through the four states: demoted, refreshed, validated, and the entry times with them.
-func TestStanding(t *testing.T) {
+func TestHealth(t *testing.T) {
 	c := qt.New(t)
 	s := NewHealth(5)
 	c.Assert(s, qt.Equals, Health{Unknown, 5})
@@ -34,7 +34,7 @@
 	c.Assert(s, qt.Equals, Health{Connected, 40})
 }
 
-func TestStandingTier(t *testing.T) {
+func TestHealthTier(t *testing.T) {
 	c := qt.New(t)
 	for _, x := range []struct {
 		state State
@@ -53,7 +53,7 @@
 
 // Whatever happens: a transition that says the tier stays keeps it, a failed attempt leaves the last tier,
 // and from any state a refresh with a validation or a lapse leads back to the first.
-func TestStandingProperties(t *testing.T) {
+func TestHealthProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, lapse := 0.0, rapid.Float64Range(0, 100).Draw(t, "lapse")
 		s := NewHealth(now)
--- /dev/null
+++ b/policy/passive_health_test.go
@@ -0,0 +1,451 @@
+package policy
+
+import (
+	"testing"
+
+	"molepaddle/internal/decide/calm"
+	"molepaddle/internal/decide/cluster"
+)
+
+func TestHealthStateTransitions(t *testing.T) {
+	set := testSettings()
+	set.Replicas = 0 // the key stays whole
+	r := newRig(t, set, 4)
+	id, s := r.sent(0, 7)
+	srv := r.b.byAddr[s]
+	if srv.state != Unknown {
+		t.Fatalf("a listed server starts in state %d, want Unknown", srv.state)
+	}
+	r.now += 50
+	r.outcome(id, 0, s, OK, 50)
+	if srv.state != Connected {
+		t.Fatalf("served: state %d, want Connected", srv.state)
+	}
+	id, s2 := r.sent(0, 7)
+	if s2 != s {
+		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+	}
+	actions := r.outcome(id, 0, s, Error, 5)
+	if srv.state != Unhealthy {
+		t.Fatalf("error: state %d, want Unhealthy", srv.state)
+	}
+	if find(actions, ActFetch) == nil {
+		t.Error("a demotion did not force a refresh of the list")
+	}
+	if a := find(actions, ActSend); a == nil || a.Server == s {
+		t.Errorf("the free request did not go on to another server: %+v", actions)
+	}
+	// While it is Unhealthy its key goes elsewhere; after its hold the next
+	// request makes it pending, and a served answer Connected.
+	if _, s3 := r.sent(0, 7); s3 == s {
+		t.Error("an Unhealthy server was chosen before the better tier")
+	}
+	r.now += r.b.unhealthyHold(srv) + 1
+	id, s4 := r.sent(0, 7)
+	if srv.state != UnhealthyPending || s4 != s {
+		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
+	}
+	r.now += 50
+	r.outcome(id, 0, s, OK, 50)
+	if srv.state != Connected {
+		t.Fatalf("validated: state %d, want Connected", srv.state)
+	}
+}
+
+func TestRejectionDemotesNobody(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	id, s := r.sent(1, 7)
+	actions := r.outcome(id, 0, s, Full, 1)
+	if got := r.b.byAddr[s].state; got == Unhealthy {
+		t.Error("full demoted the server")
+	}
+	if a := find(actions, ActSend); a == nil || a.Server == s {
+		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
+	}
+}
+
+func TestProbesValidateWhereAllowed(t *testing.T) {
+	set := testSettings()
+	set.Limits.Probing = true
+	r := newRig(t, set, 3)
+	id, s := r.sent(0, 7)
+	r.outcome(id, 0, s, Error, 5)
+	r.now += 2 * r.b.unhealthyHold(r.b.byAddr[s])
+	_, actions := r.ask(0, 7)
+	if p := find(actions, ActProbe); p == nil || p.Server != s {
+		t.Fatalf("no probe of the pending server: %+v", actions)
+	}
+	if a := find(actions, ActSend); a == nil || a.Server == s {
+		t.Error("a request went to a pending server before its probe")
+	}
+	r.do(Event{Kind: EvProbed, Server: s, Status: Timeout, LatencyMs: 100})
+	if r.b.byAddr[s].state != Unhealthy {
+		t.Error("a failed probe did not demote")
+	}
+	r.now += 10 * r.b.unhealthyHold(r.b.byAddr[s])
+	r.ask(0, 8)
+	r.do(Event{Kind: EvProbed, Server: s, Status: OK, LatencyMs: 5})
+	if r.b.byAddr[s].state != Connected {
+		t.Error("a good probe did not set Connected")
+	}
+}
+
+// A day with one agent and four servers: the first answers were quick (a few hot
+// keys), and what came after counted as crowded at one attempt a server, for good.
+func TestLoneAgentLearnsNormalLatency(t *testing.T) {
+	for _, agents := range []int{1, 5} {
+		set := testSettings()
+		set.Replicas = agents
+		r := newRig(t, set, 4)
+		for i := range 2500 {
+			rtt := 20.0
+			if i > 100 {
+				rtt = 60
+			}
+			id, s := r.sent(0, uint64(r.b.rng.Int64()))
+			r.now += rtt
+			r.outcome(id, 0, s, OK, rtt)
+		}
+		if grown := r.b.normalLatency.Least > 0.15; grown != (agents == 1) {
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.normalLatency.Least)
+		}
+	}
+}
+
+// Few agents see most of the load: what answers well within the aim is not crowded,
+// however low calm was taken. Cold servers are slower before they are.
+func TestLatencyLimitFallsWithTheAgents(t *testing.T) {
+	limit := func(agents int, least float64) float64 {
+		set := testSettings()
+		set.Replicas = agents
+		r := newRig(t, set, 1)
+		r.b.normalLatency.Least = least
+		return r.b.normalLatency.Limit(1)
+	}
+	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
+		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
+	}
+	if l := limit(1, 0.9); l != calm.CrowdShare {
+		t.Errorf("limit %.2f with a high calm, want %.2f", l, calm.CrowdShare)
+	}
+	r := newRig(t, testSettings(), 1)
+	r.list(cluster.ListDelta, cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
+	r.b.normalLatency.Least = 0.2
+	if cold, warm := r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(1)])), r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(0)])); cold < 2*warm {
+		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
+	}
+}
+
+// id08146: agents restarted one by one while the fleet was crowded.
+func TestOverloadAtTheStartIsNotNormalLatency(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	for range 50 {
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		r.now += 270
+		r.outcome(id, 0, s, OK, 270)
+	}
+	if r.b.normalLatency.Least > calm.CrowdShare/2 {
+		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.normalLatency.Least)
+	}
+}
+
+// i958eff: servers came back from silence cold, before the list told.
+func TestReturnAfterUnresponsivenessIsSlowStart(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	id, s := r.sent(0, 9)
+	r.outcome(id, 0, s, ConnectFailed, 100)
+	r.now += r.b.set.Contract.TipAfterMs + 500
+	for key := uint64(9); ; key++ {
+		id, to := r.sent(0, 9)
+		r.now += 20
+		r.outcome(id, 0, to, OK, 20)
+		if to == s {
+			break
+		}
+		if key > 50 {
+			t.Fatal("the silent server was never checked again")
+		}
+	}
+	if srv := r.b.byAddr[s]; r.b.ramp(srv) >= 0.5 {
+		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.ramp(srv))
+	}
+}
+
+// Hung servers stay Connected in the source's scheme; silence demotes them.
+func TestHungServerIsDemoted(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	for range 200 { // learn what an answer takes
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		r.now += 10
+		r.outcome(id, 0, s, OK, 10)
+	}
+	_, s := r.sent(0, 9)
+	for range 30 {
+		if r.tick(10); r.b.byAddr[s].state == Unhealthy {
+			return
+		}
+	}
+	t.Error("a server that answers nothing for 300 ms was not demoted")
+}
+
+// Servers of one zone that answer nothing make the others of that zone doubtful: what must not run twice goes to another zone
+// while any answers, one that may be repeated tries, seldom, and an answer ends it all at once.
+func TestZoneOutOfReach(t *testing.T) {
+	r := learned(t, 16)
+	waiting := map[RequestID]cluster.Addr{}
+	answer := func(class int) (tried bool) {
+		id, actions := r.ask(class, uint64(r.b.rng.Int64()))
+		a := find(actions, ActSend)
+		if a == nil {
+			return false // no room for now
+		}
+		if tried = r.b.byAddr[a.Server].zone == 1; tried {
+			waiting[id] = a.Server
+		} else {
+			r.now++
+			r.outcome(id, 0, a.Server, OK, 10)
+		}
+		return tried
+	}
+	for n := 0; !r.b.zoneSuspicion.Of(1); n++ {
+		answer(0)
+		if r.tick(5); n > 40 {
+			t.Fatal("a zone that answers nothing is not doubted")
+		}
+	}
+	fresh := 0
+	for _, s := range r.b.servers {
+		if s.zone == 1 && s.state <= Unknown {
+			fresh++
+		}
+	}
+	if fresh == 0 {
+		t.Fatal("each was found silent by itself")
+	}
+	for range 100 {
+		if answer(1) {
+			t.Fatal("what must not run twice went to the doubted zone")
+		}
+	}
+	tries := 0
+	for end := r.now + 2000; r.now < end; r.tick(1) {
+		if answer(0) {
+			tries++
+		}
+	}
+	if tries == 0 || tries > 6 {
+		t.Errorf("the zone is tried %d times in seven aims", tries)
+	}
+	for id, s := range waiting {
+		r.outcome(id, 0, s, Timeout, 600)
+	}
+	r.b.liftSuspicion(1)
+	for _, s := range r.b.servers {
+		if s.zone == 1 {
+			if s.state == Unhealthy && s.unresponsive && s.since >= r.now-1000 {
+				t.Errorf("what was held against %v stays", s.id)
+			}
+		}
+	}
+	before := tries
+	for range 60 { // they are validated, one after the other
+		if answer(0) {
+			tries++
+		}
+	}
+	if tries-before < 6 || r.b.zoneSuspicion.Of(1) {
+		t.Errorf("after its answer the zone gets %d of 60", tries-before)
+	}
+}
+
+// South's rough days: a server that failed often rests long while others can take
+// its requests, but is tried again at once while they are full.
+func TestFailingServerIsTriedAgainWhileOthersAreFull(t *testing.T) {
+	for _, full := range []bool{false, true} {
+		r := newRig(t, testSettings(), 4)
+		bad := r.b.byAddr[addr(0)]
+		for range 3 {
+			r.b.enter(bad, Connected)
+			r.b.demote(bad, false)
+		}
+		if full {
+			for range 40 { // more than the other windows hold
+				r.ask(0, 0)
+			}
+		}
+		r.now += r.b.minLatencyTarget + 1
+		r.ask(0, 0)
+		if tried := bad.state == UnhealthyPending; tried != full {
+			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
+		}
+	}
+}
+
+// Failures that all servers share, as of a network that breaks connections, cost none of
+// them a strike, its window or its hold; one that fails more than the others is demoted.
+func TestFailuresOfTheWholeFleetCostNoStrike(t *testing.T) {
+	r := newRig(t, testSettings(), 6)
+	end := func(id RequestID, s cluster.Addr, st Status) {
+		r.now += 20
+		r.outcome(id, 0, s, st, 20)
+	}
+	failed := map[cluster.Addr]int{}
+	for i := range 600 {
+		id, s := r.sent(1, 0)
+		if i%12 == 0 {
+			end(id, s, Reset)
+			failed[s]++
+		} else {
+			end(id, s, OK)
+		}
+	}
+	if len(failed) < 6 {
+		t.Fatalf("only %d of the servers failed", len(failed))
+	}
+	id, s := r.sent(1, 0)
+	srv := r.b.byAddr[s]
+	strikes, window := srv.strikes, srv.window
+	end(id, s, Reset)
+	if srv.state != UnhealthyPending || srv.strikes != strikes || srv.window != window {
+		t.Fatalf("state %d, strikes %d to %d, window %v to %v", srv.state, strikes, srv.strikes, window, srv.window)
+	}
+	srv.failureShare = 0.5
+	r.b.enter(srv, Connected)
+	r.b.recordOutcome(&attempt{s: srv}, Reset, 20)
+	if srv.state != Unhealthy || srv.strikes != strikes+1 {
+		t.Fatalf("fails half of all: state %d, strikes %d to %d", srv.state, strikes, srv.strikes)
+	}
+}
+
+// Kyushu's and south's failing servers: what must not run twice would be lost on a
+// server that is only being checked.
+func TestSingleShotDoesNotValidateAServer(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	bad := r.b.byAddr[addr(0)]
+	r.b.enter(bad, UnhealthyPending)
+	free, once := 0, 0
+	for range 200 {
+		r.now += 10
+		for class, n := range []*int{&free, &once} {
+			id, s := r.sent(class, uint64(r.b.rng.Int64()))
+			if s == bad.id {
+				*n++
+			}
+			r.outcome(id, 0, s, OK, 5)
+			r.b.enter(bad, UnhealthyPending)
+		}
+	}
+	if free == 0 || once > 0 {
+		t.Errorf("a pending server was checked by %d free and %d single shot requests; want some and none", free, once)
+	}
+}
+
+func TestOverloadedWindowShrinks(t *testing.T) {
+	set := testSettings()
+	set.Replicas = 20 // many, as on ie9df20: each sees little of the load
+	r := newRig(t, set, 1)
+	srv := r.b.servers[0]
+	for range 300 { // long enough to know the calm answer time
+		id, s := r.sent(0, 1)
+		r.now += 20
+		r.outcome(id, 0, s, OK, 20)
+	}
+	grown := srv.window
+	for range 200 {
+		if id, actions := r.ask(0, 1); find(actions, ActSend) != nil {
+			r.now += 140
+			r.outcome(id, 0, srv.id, OK, 140)
+		}
+		r.now += 10
+	}
+	if srv.window >= grown {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.window)
+	}
+	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
+	if srv.window >= 1 {
+		t.Errorf("a tipped server is not left to rest: window %.2f", srv.window)
+	}
+}
+
+// i452d3e: windows that grew before calm was known crowded the servers, and the
+// crowded time became the measure of calm.
+func TestNoWindowGrowsBeforeNormalLatencyIsKnown(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	for range 50 - 1 {
+		id, s := r.sent(0, r.b.rng.Uint64())
+		r.now += 20
+		r.outcome(id, 0, s, OK, 20)
+		if w := r.b.byAddr[s].window; w > firstWindow {
+			t.Fatalf("window %.2f", w)
+		}
+	}
+	var ids []RequestID
+	var tos []cluster.Addr
+	for range 40 {
+		ids, tos = ids[:0], tos[:0]
+		for range 3 {
+			if id, actions := r.ask(0, r.b.rng.Uint64()); find(actions, ActSend) != nil {
+				ids, tos = append(ids, id), append(tos, find(actions, ActSend).Server)
+			}
+		}
+		r.now += 20
+		for i := range ids {
+			r.outcome(ids[i], 0, tos[i], OK, 20)
+		}
+	}
+	if w := max(r.b.servers[0].window, r.b.servers[1].window); w <= firstWindow {
+		t.Errorf("no window grew once calm was known: %.2f", w)
+	}
+}
+
+// id753de: a quiet agent checked each slow server again after one aim, with a request.
+func TestQuietAgentHoldsAFailedServerLonger(t *testing.T) {
+	for _, probing := range []bool{false, true} {
+		set := testSettings()
+		set.Limits.KeepaliveMs, set.Limits.Probing = 10000, probing
+		r := newRig(t, set, 20)
+		var s cluster.Addr
+		for range 60 {
+			r.now += 500
+			var id RequestID
+			id, s = r.sent(0, r.b.rng.Uint64())
+			r.outcome(id, 0, s, OK, 20)
+		}
+		r.b.demote(r.b.byAddr[s], true)
+		if hold := r.b.unhealthyHold(r.b.byAddr[s]); probing != (hold < 1000) {
+			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
+		}
+	}
+}
+
+// A crowd of clients that leave in time says nothing of the servers: the next is sent at once. Those
+// that leave after their aim have waited too long, and hold the agent back as failures do.
+func TestClientsThatLeaveBlameNobody(t *testing.T) {
+	for _, late := range []bool{false, true} {
+		r := newRig(t, testSettings(), 16)
+		type out struct {
+			id RequestID
+			s  cluster.Addr
+		}
+		var all []out
+		for i := range 24 {
+			id, acts := r.ask(1, uint64(i))
+			if a := find(acts, ActSend); a != nil {
+				all = append(all, out{id, a.Server})
+			}
+		}
+		if r.now += 20; late {
+			r.now += 400
+		}
+		for _, o := range all {
+			r.do(Event{Kind: EvDropped, Request: o.id})
+		}
+		for _, o := range all {
+			r.outcome(o.id, 0, o.s, Cancelled, 20)
+		}
+		_, acts := r.ask(1, 99)
+		if len(all) < 10 || (find(acts, ActSend) == nil) != late {
+			t.Errorf("late %v: %d had been sent, then %+v", late, len(all), acts)
+		}
+	}
+}
--- /dev/null
+++ b/policy/rig_test.go
@@ -0,0 +1,126 @@
+package policy
+
+import (
+	"testing"
+
+	"molepaddle/internal/decide/cluster"
+	"molepaddle/internal/decide/settings"
+)
+
+// rig drives one Balancer by hand.
+type rig struct {
+	t   *testing.T
+	b   *Balancer
+	now float64
+	id  RequestID
+}
+
+func addr(i int) cluster.Addr { return cluster.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b} }
+
+func testSettings() settings.Settings {
+	s := settings.Settings{
+		Classes: []settings.Class{
+			{Name: "free", AimMs: 300, GiveUpMs: 1000, Effect: settings.Free, Credit: 1},
+			{Name: "once", AimMs: 300, GiveUpMs: 1000, Effect: settings.SingleShot, Credit: 4},
+			{Name: "keyed", AimMs: 300, GiveUpMs: 1000, Effect: settings.Guarded, Group: settings.GroupCell, KeyTTLMs: 500, Credit: 2},
+		},
+		Limits: settings.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, ParallelTries: true,
+			ConnectTimeoutMs: 100},
+		Contract: settings.Contract{AnswerSlackMs: 20, AskWithinMs: 8000, ColdFrom: 0.2, ColdMs: 10000, DrainGraceMs: 500,
+			FallMultiple: 3, TipAfterMs: 1000},
+		Membership: "pushed", Replicas: 3, RoundMs: 5, WorthBy: "request", Weights: "nominal",
+	}
+	s.Clients.MarksRetry = true
+	return s
+}
+
+func newRig(t *testing.T, s settings.Settings, servers int) *rig {
+	t.Helper()
+	b, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, b: b, now: 1e6}
+	b.Start(r.now, nil)
+	entries := make([]cluster.Entry, servers)
+	for i := range entries {
+		entries[i] = cluster.Entry{Server: addr(i), Health: cluster.Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
+	}
+	r.list(cluster.ListCached, entries...)
+	return r
+}
+
+func (r *rig) do(ev Event) []Action { return r.b.Handle(r.now, &ev, nil) }
+
+func (r *rig) list(kind cluster.ListKind, entries ...cluster.Entry) []Action {
+	return r.do(Event{Kind: EvList, List: kind, Entries: entries})
+}
+
+func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
+	r.id++
+	return r.id, r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, LeftMs: 600})
+}
+
+func (r *rig) outcome(id RequestID, try int, s cluster.Addr, st Status, rtt float64) []Action {
+	return r.do(Event{Kind: EvOutcome, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
+}
+
+func find(actions []Action, kind ActionKind) *Action {
+	for i := range actions {
+		if actions[i].Kind == kind {
+			return &actions[i]
+		}
+	}
+	return nil
+}
+
+// sent asks once and returns where the request went.
+func (r *rig) sent(class int, key uint64) (RequestID, cluster.Addr) {
+	r.t.Helper()
+	id, actions := r.ask(class, key)
+	a := find(actions, ActSend)
+	if a == nil {
+		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
+	}
+	return id, a.Server
+}
+
+// tick fires the running timer after ms.
+func (r *rig) tick(ms float64) []Action {
+	r.now += ms
+	return r.do(Event{Kind: EvTimer, Token: tickToken})
+}
+
+// seededRig is one of many agents, with the entries of ten warm servers that it is not told yet.
+func seededRig(t *testing.T, seed uint64) (*rig, []cluster.Entry) {
+	t.Helper()
+	b, err := New(testSettings(), seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	entries := make([]cluster.Entry, 10)
+	for i := range entries {
+		entries[i] = cluster.Entry{Server: addr(i), Health: cluster.Ready, Weight: 1}
+	}
+	return &rig{t: t, b: b, now: 1e6}, entries
+}
+
+// learned has a rig know that an answer takes 10 ms.
+func learned(t *testing.T, servers int) *rig {
+	r := newRig(t, testSettings(), servers)
+	for i := range 300 {
+		id, s := r.sent(i%3, uint64(r.b.rng.Int64()))
+		r.now += 10
+		r.outcome(id, 0, s, OK, 10)
+	}
+	return r
+}
+
+func contains(s, part string) bool {
+	for i := 0; i+len(part) <= len(s); i++ {
+		if s[i:i+len(part)] == part {
+			return true
+		}
+	}
+	return false
+}
