--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// The client's retry of a hopeless request is judged by the client's time.
+// The client's retry of a request that can't be in time is judged by the client's time.
 func TestRetryKeepsTheClientsTime(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	id, s := r.sent(0, 5)
@@ -67,14 +67,22 @@
 			}
 		}
 	}
-	actions := r.do(Event{Kind: EvOutcome, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
+	actions := r.do(Event{
+		Kind:      EvOutcome,
+		Request:   id,
+		Attempt:   0,
+		Server:    s,
+		Status:    Reset,
+		LatencyMs: 2000,
+		Final:     true,
+	})
 	if find(actions, ActSend) != nil || find(actions, ActFail) != nil || len(r.b.requests) != 0 {
 		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.requests))
 	}
 }
 
-// i86bcad, i5db14f: each of many agents sent every refused or full request on, and all
-// together kept the servers too full to serve any. What fails leaves less to send.
+// i86bcad, i5db14f: each of many agents retried every rejected request, and all together kept the servers
+// too full to serve any. What fails leaves less to send.
 func TestFailuresThrottleTheAgent(t *testing.T) {
 	for _, st := range []Status{OK, Full} {
 		r := newRig(t, testSettings(), 20)
@@ -124,8 +132,8 @@
 	}
 }
 
-// A keyed repeat must go out within its window, and any attempt with the time left that its work
-// needs; whoever sends it is told so: coming to a connection may take longer.
+// A keyed retry must be sent within its key's memory, and any attempt with the time left that its work needs;
+// each send says until when it may begin: getting a connection may take longer.
 func TestRetriesHaveALatestBegin(t *testing.T) {
 	for class, want := range []bool{false, false, true} {
 		set := testSettings()
@@ -145,14 +153,16 @@
 		}
 		req := r.b.requests[id]
 		inTime := r.b.latestUseful(req) - r.b.minRemaining(req.attempts[1].s, req) - r.now
-		if left := set.Classes[2].KeyTTLMs - 100 - 2*set.RoundMs; (a.BeginMs == left) != want || !want && a.BeginMs != inTime || left >= inTime {
-			t.Errorf("class %d: to begin within %v ms, %v are left of the window, %v of the time", class, a.BeginMs, left, inTime)
+		left := set.Classes[2].KeyTTLMs - 100 - 2*set.RoundMs
+		if (a.BeginMs == left) != want || !want && a.BeginMs != inTime || left >= inTime {
+			t.Errorf("class %d: to begin within %v ms, %v are left of the key's memory, %v of the time",
+				class, a.BeginMs, left, inTime)
 		}
 	}
 }
 
-// What no server can end in time is answered at once and never sent: with no time left, with some
-// that is too little for the class, and as a retry that comes too late.
+// What no server can answer in time is refused at once and never sent: with no time left, with too little for
+// the class, and as a retry that comes too late.
 func TestTooLittleTimeLeft(t *testing.T) {
 	for _, left := range []float64{0, 0.001, 1, 30, math.NaN(), -5} {
 		r := newRig(t, testSettings(), 4)
@@ -170,8 +180,8 @@
 	}
 }
 
-// A server that answers later than the others is not begun on with the time that is enough for them,
-// and each send tells until when it may begin.
+// A server that answers later than the others gets no request with the time that is enough for them, and each
+// send says until when it may begin.
 func TestASlowServerNeedsMoreTime(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set, 2)
@@ -198,8 +208,8 @@
 	}
 }
 
-// In an outage in which all is answered by errors, retries are a part of what comes, not its double,
-// and those without budget are answered at once.
+// In an outage in which all answers are errors, retries are a part of the requests, not as many again, and
+// those without budget are answered at once.
 func TestRetriesHaveABudget(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 1
@@ -209,7 +219,7 @@
 		r.now += 2
 		r.id++
 		asked++
-		r.b.throttle = budget.NewThrottle(1) // left out here: it would hold all back
+		r.b.throttle = budget.NewThrottle(1) // not part of this test: it would hold all back
 		acts := r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: uint64(r.id), LeftMs: 600})
 		for try := 0; ; try++ {
 			send := find(acts, ActSend)
@@ -219,11 +229,12 @@
 			sends++
 			r.now += 0.1
 			r.b.throttle = budget.NewThrottle(1)
-			for _, s := range r.b.servers { // none is held for its failures
+			for _, s := range r.b.servers { // none stays Unhealthy for its failures
 				s.state, s.strikes = Connected, 0
 			}
 			acts = r.outcome(send.Request, try, send.Server, Error, 5)
-			if find(acts, ActSend) == nil && find(acts, ActRefuse) == nil && find(acts, ActFail) == nil && r.b.requests[send.Request] != nil && len(r.b.queue) == 0 {
+			unanswered := find(acts, ActSend) == nil && find(acts, ActRefuse) == nil && find(acts, ActFail) == nil
+			if unanswered && r.b.requests[send.Request] != nil && len(r.b.queue) == 0 {
 				t.Fatalf("neither sent again nor answered: %+v", acts)
 			}
 		}
@@ -233,7 +244,7 @@
 	}
 }
 
-// An attempt that reached no server takes nothing from the budget of retries.
+// An attempt that reached no server takes nothing from the retry budget.
 func TestUnreachedServersCostNoRetry(t *testing.T) {
 	for _, st := range []Status{ConnectFailed, NoWay, Full} {
 		r := newRig(t, testSettings(), 4)
@@ -247,7 +258,7 @@
 	}
 }
 
-// Those that are refused in one moment are not all told to come back in one.
+// Those that are refused in one moment are not all advised to come back in one.
 func TestRetryAfterIsSpread(t *testing.T) {
 	r := newRig(t, testSettings(), 0)
 	least, most := math.Inf(1), 0.0
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -53,11 +53,13 @@
 	// Output: send request 1 to [10 0 0 1 31 144]
 }
 
-// Legal but odd values must not poison what is learned, and each request is answered once.
+// Legal but odd values must not spoil what is learned, and each request is answered once.
 func TestOddValues(t *testing.T) {
 	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300}
 	r := newRig(t, testSettings(), 3)
-	r.list(cluster.ListDelta, cluster.Entry{Server: addr(9), Health: cluster.Gone}, cluster.Entry{Server: addr(1), Health: cluster.Draining})
+	r.list(cluster.ListDelta,
+		cluster.Entry{Server: addr(9), Health: cluster.Gone},
+		cluster.Entry{Server: addr(1), Health: cluster.Draining})
 	final := map[RequestID]int{}
 	count := func(actions []Action) {
 		for _, a := range actions {
@@ -70,7 +72,16 @@
 		r.list(cluster.ListDelta, cluster.Entry{Server: addr(2), Health: cluster.Ready, Weight: x, SinceMs: x})
 		for _, class := range []int{-1, 0, 1, 2, 3, 1 << 16} {
 			r.id++
-			actions := r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Tenant: -i, Key: 5, LeftMs: x, HintMs: x, HasHint: true})
+			actions := r.do(Event{
+				Kind:    EvRequest,
+				Request: r.id,
+				Class:   class,
+				Tenant:  -i,
+				Key:     5,
+				LeftMs:  x,
+				HintMs:  x,
+				HasHint: true,
+			})
 			count(actions)
 			if a := find(actions, ActSend); a != nil {
 				r.now++
@@ -85,7 +96,7 @@
 	for range 300 {
 		r.now += 10
 		count(r.do(Event{Kind: EvTimer, Token: tickToken}))
-		for id := RequestID(1); id <= r.id; id++ { // what went out again ends too
+		for id := RequestID(1); id <= r.id; id++ { // retries end too
 			if q := r.b.requests[id]; q != nil && q.inFlight > 0 {
 				a := q.attempts[len(q.attempts)-1]
 				count(r.outcome(id, a.index, a.s.id, Timeout, 10))
@@ -97,7 +108,9 @@
 			t.Errorf("request %d has %d final answers", id, final[id])
 		}
 	}
-	if x := r.b.normalLatency.Fleet + r.b.needs.MeanHint + r.b.needs.Of(0, 5) + r.b.normalLatency.Least + r.b.needs.Mean(0); math.IsNaN(x) || math.IsInf(x, 0) {
+	latency, needs := r.b.normalLatency, r.b.needs
+	x := latency.Fleet + needs.MeanHint + needs.Of(0, 5) + latency.Least + needs.Mean(0)
+	if math.IsNaN(x) || math.IsInf(x, 0) {
 		t.Errorf("odd values poisoned the means: %v", x)
 	}
 }
@@ -112,7 +125,9 @@
 		}
 		r := &rig{t: t, b: b, now: start}
 		b.Start(start, nil)
-		r.list(cluster.ListCached, cluster.Entry{Server: addr(0), Health: cluster.Ready, Weight: 1}, cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1})
+		r.list(cluster.ListCached,
+			cluster.Entry{Server: addr(0), Health: cluster.Ready, Weight: 1},
+			cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1})
 		for _, left := range []float64{0, -5, 600} {
 			r.id++
 			finals, actions := 0, r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, LeftMs: left})
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -17,8 +17,8 @@
 	return r.id, *a
 }
 
-// A body that comes for minutes takes no part of its server, is nobody's silence, and its time begins
-// with its last byte.
+// A body that comes for minutes takes none of its server's capacity, doesn't make it unresponsive, and its
+// time begins with its last byte.
 func TestIncompleteBodies(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	var ids []RequestID
@@ -51,8 +51,8 @@
 	}
 }
 
-// What has not come whole has not run: it goes on to another server while nothing of it is lost, and is
-// refused once a part is; whole, it is as any other of its class.
+// A request whose body is incomplete has not run: it goes to another server while nothing of it is lost, and
+// is refused once a part is. Complete, it is as any other of its class.
 func TestUnfinishedBodiesHaveNotRun(t *testing.T) {
 	for _, c := range []struct {
 		class int
@@ -79,8 +79,8 @@
 	}
 }
 
-// An answer that is passed on slowly takes no part of its server, and nothing of its request is done
-// any more.
+// An answer that is relayed slowly takes none of its server's capacity, and nothing more is done for its
+// request.
 func TestAnswersRelayed(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	for range 40 {
@@ -102,7 +102,7 @@
 	}
 }
 
-// Long answers that begin in time have earned their worth, however late they end: they don't close the
+// Long answers that begin in time count as served in time, however late they end: they don't close the
 // throttle.
 func TestAnswersRelayedInTimeCount(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Other settings keep what was learnt of what stays, and open requests their class.
+// New settings keep what was learned of classes that stay, and open requests their class.
 func TestTurn(t *testing.T) {
 	set := testSettings()
 	table := settings.NewTable(set)
@@ -157,7 +157,7 @@
 	}
 }
 
-// Long answers that come at once from a server that nobody has met open its window as they begin: which of
+// Long answers that begin at once at a server that nobody has used widen its window as they begin: which of
 // them have ended says nothing of it.
 func TestStartedAnswersOpenTheWindow(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
@@ -183,7 +183,7 @@
 	}
 }
 
-// However slow its server has become, a body that has not come whole may begin: its time has not.
+// However slow its server has become, a request whose body is incomplete may be sent: its time has not begun.
 func TestSlowServersTakeBodies(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	for range 60 {
@@ -202,8 +202,8 @@
 	}
 }
 
-// A request that finds no way goes on to the others at once, then asks again as long as its aim lasts,
-// less and less often; it is refused once there is no time left, and never before.
+// A request that finds no connection goes to the other servers at once, then is retried until its latency
+// target, less and less often; it is refused once there is no time left, and never before.
 func TestNoConnectionIsRetried(t *testing.T) {
 	for _, servers := range []int{1, 3} {
 		r := newRig(t, testSettings(), servers)
@@ -231,7 +231,7 @@
 	}
 }
 
-// An answer that comes before its request has come whole says nothing of how long its server takes.
+// An answer that comes before its request is complete says nothing of how long its server takes.
 func TestAnswersBeforeTheBody(t *testing.T) {
 	for _, started := range []bool{false, true} {
 		r := newRig(t, testSettings(), 1)
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -9,7 +9,7 @@
 	"molepaddle/internal/decide/cluster"
 )
 
-// A cold server gets no more than its share by ramp, even after a quiet time.
+// A server in slow start gets no more than its share, even after a time without requests.
 func TestSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(4), Health: cluster.Ready, Weight: 1, SinceMs: r.now - 10})
@@ -29,8 +29,8 @@
 	}
 }
 
-// i86bcad: attempts that warm servers turned away were counted as what they take, and
-// a storm of them let the agents push cold servers over.
+// i86bcad: attempts that servers past slow start rejected were counted as what they serve, and a storm of
+// them let the agents overload those in slow start.
 func TestRejectedAttemptsEarnNoSlowStartCredit(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(4), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
@@ -45,7 +45,7 @@
 	}
 }
 
-// i299663: 69 requests hinted as ten mean ones pushed a cold server over.
+// i299663: 69 requests hinted as ten mean ones overloaded a server in slow start.
 func TestSlowStartIsChargedForCostlyRequests(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.b.needs.MeanHint = 50
@@ -57,8 +57,8 @@
 	}
 }
 
-// Many quiet agents: each earns a cold server a small part of one request. Together
-// they are to send it what the parts add up to: neither nothing nor one each.
+// Many agents with few requests: each earns a server in slow start a small part of one request. Together they
+// are to send it what the parts add up to: neither nothing nor one each.
 func TestManyQuietAgentsShareSlowStartCredit(t *testing.T) {
 	got, agents, each := 0, 400, 20
 	for seed := range agents {
@@ -80,8 +80,8 @@
 	}
 }
 
-// 36 of 60 servers were new and each had a quarter of what it could do, while the others were
-// crowded: quick answers of cold servers earn them more, late ones less.
+// 36 of 60 servers were new and each had a quarter of what it could serve, while the others were overloaded:
+// quick answers of servers in slow start earn them more, late ones less.
 func TestSlowStartAnswersSetTheirShare(t *testing.T) {
 	sends := map[float64]int{}
 	for _, rtt := range []float64{10, 450} {
@@ -113,7 +113,7 @@
 	}
 }
 
-// i5d0607: a zone was lost and only cold servers were left.
+// i5d0607: a zone was lost and only servers in slow start were left.
 func TestSlowStartServersServeWhenTheOthersFailed(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 200 {
@@ -131,8 +131,8 @@
 	}
 }
 
-// ifa5a01: the fleet doubled, and quiet agents, each sending to a subset, earned the new
-// servers the credit of a whole fleet's share: they idled while the old ones were crowded.
+// ifa5a01: the fleet doubled, and agents with few requests, each sending to a subset, earned the new servers
+// the credit of all servers' share: they idled while the old ones were overloaded.
 func TestSlowStartCreditCountsTheSubset(t *testing.T) {
 	earned := func(keepalive float64) float64 {
 		set := testSettings()
@@ -149,8 +149,8 @@
 	}
 }
 
-// Where all servers are cold, none has a warm one to go by. Requests are served all the
-// same, by all agents together at no more than about two at a time and server.
+// Where all servers are in slow start, nothing tells a share. Requests are served all the same, by all agents
+// together at no more than about two at a time and server.
 func TestAllServersInSlowStart(t *testing.T) {
 	for _, agents := range []int{1, 4, 40} {
 		const servers = 3
@@ -188,7 +188,7 @@
 	}
 }
 
-// A cold server that has answered nothing gets one request at a time, whatever its first window.
+// A server in slow start that has answered nothing gets one request at a time, whatever its first window.
 func TestUnresponsiveServerInSlowStart(t *testing.T) {
 	r := newRig(t, testSettings(), 0)
 	r.list(cluster.ListCached, cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
@@ -208,8 +208,8 @@
 	}
 }
 
-// Nor do cancels make room on it: whether it has answered nothing or slowly, requests that are
-// cancelled at once come no faster than an aim, or twice its own answer time, allows.
+// Nor do cancels free capacity on it: whether it has answered nothing or slowly, requests that are cancelled
+// at once come no faster than the latency target, or twice its own answer time, allows.
 func TestCancelsFreeNoCapacityInSlowStart(t *testing.T) {
 	for _, rtt := range []float64{0, 200} {
 		set := testSettings()
--- a/policy/passive_health_test.go
+++ b/policy/passive_health_test.go
@@ -9,7 +9,7 @@
 
 func TestHealthStateTransitions(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 0 // the key stays whole
+	set.Replicas = 0 // the key isn't split
 	r := newRig(t, set, 4)
 	id, s := r.sent(0, 7)
 	srv := r.b.byAddr[s]
@@ -90,8 +90,8 @@
 	}
 }
 
-// A day with one agent and four servers: the first answers were quick (a few hot
-// keys), and what came after counted as crowded at one attempt a server, for good.
+// One agent and four servers: the first answers were quick (a few hot keys), and what came after counted as
+// overload at one attempt a server, for good.
 func TestLoneAgentLearnsNormalLatency(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
@@ -107,13 +107,14 @@
 			r.outcome(id, 0, s, OK, rtt)
 		}
 		if grown := r.b.normalLatency.Least > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.normalLatency.Least)
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the target, one at a time, normal latency is %.3f",
+				agents, r.b.normalLatency.Least)
 		}
 	}
 }
 
-// Few agents see most of the load: what answers well within the aim is not crowded,
-// however low calm was taken. Cold servers are slower before they are.
+// Few agents see most of the load: what answers well within the latency target is not overloaded, however low
+// the normal latency was taken. Servers in slow start are slower before they are overloaded.
 func TestLatencyLimitFallsWithTheAgents(t *testing.T) {
 	limit := func(agents int, least float64) float64 {
 		set := testSettings()
@@ -131,12 +132,13 @@
 	r := newRig(t, testSettings(), 1)
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
 	r.b.normalLatency.Least = 0.2
-	if cold, warm := r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(1)])), r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(0)])); cold < 2*warm {
-		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
+	limitOf := func(i int) float64 { return r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(i)])) }
+	if starting, started := limitOf(1), limitOf(0); starting < 2*started {
+		t.Errorf("limit %.2f of a starting server, %.2f of a started one", starting, started)
 	}
 }
 
-// id08146: agents restarted one by one while the fleet was crowded.
+// id08146: agents restarted one by one while the fleet was overloaded.
 func TestOverloadAtTheStartIsNotNormalLatency(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 50 {
@@ -149,7 +151,7 @@
 	}
 }
 
-// i958eff: servers came back from silence cold, before the list told.
+// i958eff: servers came back restarted, in slow start, before the list said so.
 func TestReturnAfterUnresponsivenessIsSlowStart(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(0, 9)
@@ -171,7 +173,7 @@
 	}
 }
 
-// Hung servers stay Connected in the source's scheme; silence demotes them.
+// Hung servers would stay Connected by the design's states; being unresponsive demotes them.
 func TestHungServerIsDemoted(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 200 { // learn what an answer takes
@@ -188,8 +190,8 @@
 	t.Error("a server that answers nothing for 300 ms was not demoted")
 }
 
-// Servers of one zone that answer nothing make the others of that zone doubtful: what must not run twice goes to another zone
-// while any answers, one that may be repeated tries, seldom, and an answer ends it all at once.
+// Unresponsive servers of one zone make that zone suspect: what must not run twice goes to another zone while
+// any answers, an idempotent request tries, seldom, and an answer ends the suspicion at once.
 func TestZoneOutOfReach(t *testing.T) {
 	r := learned(t, 16)
 	waiting := map[RequestID]cluster.Addr{}
@@ -197,7 +199,7 @@
 		id, actions := r.ask(class, uint64(r.b.rng.Int64()))
 		a := find(actions, ActSend)
 		if a == nil {
-			return false // no room for now
+			return false // no capacity for now
 		}
 		if tried = r.b.byAddr[a.Server].zone == 1; tried {
 			waiting[id] = a.Server
@@ -258,8 +260,8 @@
 	}
 }
 
-// South's rough days: a server that failed often rests long while others can take
-// its requests, but is tried again at once while they are full.
+// A server that failed often stays Unhealthy for long while others can take its requests, but is tried again
+// at once while they are full.
 func TestFailingServerIsTriedAgainWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
@@ -281,8 +283,8 @@
 	}
 }
 
-// Failures that all servers share, as of a network that breaks connections, cost none of
-// them a strike, its window or its hold; one that fails more than the others is demoted.
+// Failures that all servers share, as of a network that breaks connections, cost none of them a strike or its
+// window; one that fails more than the others is demoted.
 func TestFailuresOfTheWholeFleetCostNoStrike(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	end := func(id RequestID, s cluster.Addr, st Status) {
@@ -317,8 +319,7 @@
 	}
 }
 
-// Kyushu's and south's failing servers: what must not run twice would be lost on a
-// server that is only being checked.
+// What must not run twice would be lost on a server that is only being validated.
 func TestSingleShotDoesNotValidateAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.byAddr[addr(0)]
@@ -345,7 +346,7 @@
 	set.Replicas = 20 // many, as on ie9df20: each sees little of the load
 	r := newRig(t, set, 1)
 	srv := r.b.servers[0]
-	for range 300 { // long enough to know the calm answer time
+	for range 300 { // long enough to know the normal latency
 		id, s := r.sent(0, 1)
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
@@ -367,8 +368,8 @@
 	}
 }
 
-// i452d3e: windows that grew before calm was known crowded the servers, and the
-// crowded time became the measure of calm.
+// i452d3e: windows that grew before the normal latency was known overloaded the servers, and the time of
+// overload became the normal latency.
 func TestNoWindowGrowsBeforeNormalLatencyIsKnown(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 50 - 1 {
@@ -398,7 +399,8 @@
 	}
 }
 
-// id753de: a quiet agent checked each slow server again after one aim, with a request.
+// id753de: an agent with few requests validated each slow server again after one latency target, with a
+// request.
 func TestQuietAgentHoldsAFailedServerLonger(t *testing.T) {
 	for _, probing := range []bool{false, true} {
 		set := testSettings()
@@ -418,8 +420,8 @@
 	}
 }
 
-// A crowd of clients that leave in time says nothing of the servers: the next is sent at once. Those
-// that leave after their aim have waited too long, and hold the agent back as failures do.
+// Many clients that leave in time say nothing of the servers: the next request is sent at once. Those that
+// leave after their latency target have waited too long, and throttle the agent as failures do.
 func TestClientsThatLeaveBlameNobody(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		r := newRig(t, testSettings(), 16)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -23,7 +23,7 @@
 	reqs     map[RequestID]*worldReq
 	timers   []worldTimer
 	list     map[cluster.Addr]cluster.Entry
-	badSince map[cluster.Addr]float64 // told that it drains or is gone
+	badSince map[cluster.Addr]float64 // when it was listed as draining or gone
 	history  []Action
 }
 
@@ -82,7 +82,12 @@
 			if st == Timeout {
 				ends = w.now + a.Ms
 			}
-			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
+			r.tries = append(r.tries, &worldTry{
+				server: a.Server,
+				sentAt: w.now,
+				endsAt: min(ends, w.now+a.Ms),
+				status: st,
+			})
 		case ActRefuse, ActFail:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
@@ -91,7 +96,8 @@
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := w.set.Classes[r.class]
-			if a.Kind == ActRefuse && r.mayHaveRun() && (c.Effect == settings.SingleShot || c.Effect == settings.Guarded && c.Group != settings.GroupAll) {
+			unsafe := c.Effect == settings.SingleShot || c.Effect == settings.Guarded && c.Group != settings.GroupAll
+			if a.Kind == ActRefuse && r.mayHaveRun() && unsafe {
 				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
 			}
 		case ActCancel:
@@ -139,7 +145,8 @@
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
 		case c.Effect == settings.Guarded && w.now-t.sentAt > c.KeyTTLMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
-		case c.Effect == settings.Guarded && (c.Group == settings.GroupZone && x.Zone != y.Zone || c.Group == settings.GroupCell && x.Cell != y.Cell):
+		case c.Effect == settings.Guarded &&
+			(c.Group == settings.GroupZone && x.Zone != y.Zone || c.Group == settings.GroupCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
@@ -179,7 +186,8 @@
 				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
 		}
 		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
-			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline", id, r.class, w.now-r.deadline)
+			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline",
+				id, r.class, w.now-r.deadline)
 		}
 		if r.final > 0 && !open && len(r.tries) > 0 && w.now > r.deadline+100 {
 			delete(w.reqs, id)
@@ -222,8 +230,17 @@
 			left := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.set.Classes))
 			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
-			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				LeftMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
+			w.handle(Event{
+				Kind:    EvRequest,
+				Request: w.next,
+				Class:   class,
+				Tenant:  rng.IntN(2),
+				Key:     uint64(rng.IntN(30)),
+				LeftMs:  left,
+				HasHint: rng.IntN(2) == 0,
+				HintMs:  100 * rng.Float64(),
+				Retry:   rng.IntN(5) == 0,
+			})
 		}
 		switch rng.IntN(40) {
 		case 0:
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -6,7 +6,7 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// i7e1314: the class of least worth was starved though the worst class counts.
+// i7e1314: the class of least value was starved though the worst served class counts.
 func TestWorstServedClassCountsInTheQueue(t *testing.T) {
 	set := testSettings()
 	set.Objective = settings.Objective{Whole: 0.5, WorstClass: 0.5}
@@ -28,8 +28,8 @@
 	}
 }
 
-// An agent that may have few requests open refuses what it can't hold at once, the
-// least valuable first, and never what is already out.
+// An agent that may have few requests open refuses at once what is beyond that, the least valuable first, and
+// never what is already in flight.
 func TestOpenCapRefusesAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Limits.OpenCap = 4
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -22,13 +22,37 @@
 		Classes: []settings.Class{
 			{Name: "free", AimMs: 300, GiveUpMs: 1000, Effect: settings.Free, Credit: 1},
 			{Name: "once", AimMs: 300, GiveUpMs: 1000, Effect: settings.SingleShot, Credit: 4},
-			{Name: "keyed", AimMs: 300, GiveUpMs: 1000, Effect: settings.Guarded, Group: settings.GroupCell, KeyTTLMs: 500, Credit: 2},
+			{
+				Name:     "keyed",
+				AimMs:    300,
+				GiveUpMs: 1000,
+				Effect:   settings.Guarded,
+				Group:    settings.GroupCell,
+				KeyTTLMs: 500,
+				Credit:   2,
+			},
 		},
-		Limits: settings.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, ParallelTries: true,
-			ConnectTimeoutMs: 100},
-		Contract: settings.Contract{AnswerSlackMs: 20, AskWithinMs: 8000, ColdFrom: 0.2, ColdMs: 10000, DrainGraceMs: 500,
-			FallMultiple: 3, TipAfterMs: 1000},
-		Membership: "pushed", Replicas: 3, RoundMs: 5, WorthBy: "request", Weights: "nominal",
+		Limits: settings.Limits{
+			Cancelling:       true,
+			MaxAttempts:      3,
+			MaxRetryAfterMs:  500,
+			ParallelTries:    true,
+			ConnectTimeoutMs: 100,
+		},
+		Contract: settings.Contract{
+			AnswerSlackMs: 20,
+			AskWithinMs:   8000,
+			ColdFrom:      0.2,
+			ColdMs:        10000,
+			DrainGraceMs:  500,
+			FallMultiple:  3,
+			TipAfterMs:    1000,
+		},
+		Membership: "pushed",
+		Replicas:   3,
+		RoundMs:    5,
+		WorthBy:    "request",
+		Weights:    "nominal",
 	}
 	s.Clients.MarksRetry = true
 	return s
@@ -62,7 +86,15 @@
 }
 
 func (r *rig) outcome(id RequestID, try int, s cluster.Addr, st Status, rtt float64) []Action {
-	return r.do(Event{Kind: EvOutcome, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
+	return r.do(Event{
+		Kind:      EvOutcome,
+		Request:   id,
+		Attempt:   try,
+		Server:    s,
+		Status:    st,
+		LatencyMs: rtt,
+		Final:     st == OK,
+	})
 }
 
 func find(actions []Action, kind ActionKind) *Action {
@@ -91,7 +123,7 @@
 	return r.do(Event{Kind: EvTimer, Token: tickToken})
 }
 
-// seededRig is one of many agents, with the entries of ten warm servers that it is not told yet.
+// seededRig is one of many agents, with the entries of ten servers past slow start that aren't listed yet.
 func seededRig(t *testing.T, seed uint64) (*rig, []cluster.Entry) {
 	t.Helper()
 	b, err := New(testSettings(), seed)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -29,12 +29,12 @@
 	}
 }
 
-// i8d4be0, ifafc7b: held requests that wait for their key's servers must not
-// keep others from servers that have room.
+// i8d4be0, ifafc7b: queued requests that wait for their key's servers must not keep others from servers that
+// have capacity.
 func TestWaitingForAffinityBlocksNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	for range 30 {
-		r.ask(0, 42) // one key: fills its two servers, the rest are held
+		r.ask(0, 42) // one key: fills its two servers, the rest are queued
 	}
 	if len(r.b.queue) == 0 {
 		t.Fatal("nothing is held; the test does not test what it says")
@@ -69,7 +69,7 @@
 }
 
 // id753de: with many agents, each with one request out, a popular key put twenty times
-// the mean on one server. Few agents leave it to the cap; a rare key stays whole.
+// the mean on one server. Few agents leave it to the cap; a rare key isn't split.
 func TestPopularKeyIsSplitWhereTheCapIsBlind(t *testing.T) {
 	for _, c := range []struct {
 		agents, every int
@@ -77,7 +77,7 @@
 	}{
 		{1000, 4, 5, 40},  // a quarter of the traffic, many agents: spread
 		{2, 4, 1, 1},      // the same, two agents: the cap sees enough
-		{1000, 150, 1, 1}, // rare: its server keeps it warm
+		{1000, 150, 1, 1}, // rare: its server keeps it cached
 	} {
 		set := testSettings()
 		set.Replicas = c.agents
@@ -102,9 +102,9 @@
 	}
 }
 
-// id753de: a quiet agent of many met each of hundreds of servers once a minute. It keeps
-// to a subset it meets often; agents' subsets differ, so that each server has its share;
-// a busy agent uses the whole fleet, and what is down in the subset is replaced.
+// id753de: one of many agents with few requests sent to each of hundreds of servers once a minute. It keeps
+// to a subset that it uses often; agents' subsets differ, so that each server has its share; a busy agent
+// uses all servers, and what is down in the subset is replaced.
 func TestQuietAgentsKeepToASubset(t *testing.T) {
 	for _, c := range []struct {
 		gap         float64 // ms between requests
@@ -140,8 +140,8 @@
 	}
 }
 
-// Olive's quiet day: with a price on crossing, the own zone was given half of what it
-// could serve. It gets more while it answers as fast as the rest, and gives it back.
+// With a price on crossing zones, the own zone was given half of what it could serve. It gets more while it
+// answers as fast as the rest, and gives it back.
 func TestOwnZoneGetsMoreWhileItIsQuick(t *testing.T) {
 	set := testSettings()
 	set.Prices.CrossZone = 0.08
@@ -170,8 +170,8 @@
 	}
 }
 
-// i5db14f: machines 2.5 times apart got equal shares, and the small ones choked. Where
-// the list tells no weights a kind's answer times do.
+// i5db14f: machines 2.5 times apart got equal shares, and the small ones were overloaded. Where the list has
+// no weights a kind's answer times serve instead.
 func TestSlowKindOfMachineGetsLess(t *testing.T) {
 	for _, weights := range []string{"off", "nominal"} {
 		set := testSettings()
@@ -211,7 +211,8 @@
 	b.Handle(1, &Event{Kind: EvRequest, Request: 1, Class: 0, Key: 5, LeftMs: 600}, nil)
 	b.Handle(2, &Event{Kind: EvTimer, Token: tickToken}, nil)
 	list := []cluster.Entry{{Server: addr(1), Health: cluster.Ready, Weight: 1}}
-	if a := find(b.Handle(3, &Event{Kind: EvList, List: cluster.ListFull, Entries: list}, nil), ActSend); a == nil || a.Request != 1 {
+	actions := b.Handle(3, &Event{Kind: EvList, List: cluster.ListFull, Entries: list}, nil)
+	if a := find(actions, ActSend); a == nil || a.Request != 1 {
 		t.Error("the request was not sent once there was a list")
 	}
 }
