--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -65,6 +65,9 @@
 
 	noReport bool                // the model backends' reports don't come: nobody orders them to change their phase
 	flags    map[string][]string // by role, beside its name
+
+	coreBinary string // program of the core machines; this one where it is empty
+	edgeBinary string // and of the edge machines
 }
 
 // machine is one machine of the fleet, with the programs that run there.
@@ -73,6 +76,7 @@
 	settings simulation.BootSettings
 	boot     simulation.BootFile
 	roles    []string
+	binary   string // what it runs; this program where it is empty
 	programs map[string]*simulation.Program
 }
 
@@ -147,7 +151,7 @@
 	for i, ip := range coreIPs {
 		s := settings
 		s.Tier, s.Node, s.IP, s.Zone, s.Bootstrap, s.Voting = "core", fmt.Sprintf("core-%d", i+1), ip, zones[i], true, true
-		f.core = append(f.core, &machine{f: f, settings: s, roles: []string{"control-plane"}})
+		f.core = append(f.core, &machine{f: f, settings: s, roles: []string{"control-plane"}, binary: p.coreBinary})
 	}
 	for i, ip := range edgeIPs {
 		s := settings
@@ -160,7 +164,7 @@
 				simulation.PassOn(c, net.JoinHostPort(core, strconv.Itoa(s.Ports.First+1)), net.JoinHostPort(core, strconv.Itoa(ports.First+1)))
 			}
 		}
-		f.edge = append(f.edge, &machine{f: f, settings: s, roles: []string{"node-agent", "proxy"}})
+		f.edge = append(f.edge, &machine{f: f, settings: s, roles: []string{"node-agent", "proxy"}, binary: p.edgeBinary})
 	}
 	for _, m := range append(slices.Clone(f.core), f.edge...) {
 		for _, role := range m.roles {
@@ -210,9 +214,13 @@
 		m.settings.DataDir = boot.DataDir
 	}
 	m.settings.Bootstrap = false // only at the very first start
-	self, err := os.Executable()
-	f.Assert(err, qt.IsNil)
-	p := simulation.Exec(f, boot, self, append([]string{role}, f.flags[role]...)...)
+	binary := m.binary
+	if binary == "" {
+		self, err := os.Executable()
+		f.Assert(err, qt.IsNil)
+		binary = self
+	}
+	p := simulation.Exec(f, boot, binary, append([]string{role}, f.flags[role]...)...)
 	if m.programs == nil {
 		m.programs = map[string]*simulation.Program{}
 	}
--- /dev/null
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -0,0 +1,272 @@
+package main
+
+import (
+	"context"
+	"flag"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/fleet/operatorclient"
+	"molepaddle/internal/fleet/replication"
+	"molepaddle/internal/fleet/simulation"
+	"molepaddle/internal/fleet/status"
+)
+
+var upgradeOld = flag.String("upgrade.old", "",
+	"path of molepaddle-fleet of an older build, from which and back to which TestRollingUpgrade replaces servers; "+
+		"without it this build is restarted")
+
+// TestRollingUpgrade replaces the control servers of an older build by those of this build, one at a time, and then back,
+// while changes are proposed and clients send requests. Node agents and proxies are of the older build in one play, and of
+// this build in another. .ci/upgrade builds the older program.
+func TestRollingUpgrade(t *testing.T) {
+	if *upgradeOld == "" {
+		t.Run("restarts", func(t *testing.T) { playUpgrade(t, "", "") })
+		return
+	}
+	t.Run("agents of the older build", func(t *testing.T) { playUpgrade(t, *upgradeOld, *upgradeOld) })
+	t.Run("agents of this build", func(t *testing.T) { playUpgrade(t, *upgradeOld, "") })
+}
+
+// playUpgrade plays one upgrade and the way back; an empty path stands for this build.
+func playUpgrade(t *testing.T, old, edge string) {
+	f := newFleet(t, plan{bounds: map[string]any{"sync_s": 1}, coreBinary: old, edgeBinary: edge})
+	load := f.traffic([]int{0, 1})
+	changes := f.proposeChanges()
+
+	// On the way there, the primary of the older build has backups of the new one for as long as possible; on the way
+	// back it is the other way round.
+	for _, m := range f.primaryLast() {
+		f.replaceServer(m, "", changes)
+	}
+	for _, m := range f.primaryLast() {
+		f.replaceServer(m, old, changes)
+	}
+
+	changes.stop()
+	f.converged()
+	version, routes, _ := f.shown(f.operator)
+	f.Check(version, qt.Equals, f.version)
+	for _, m := range f.core {
+		version, _, _ := f.shown(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
+		f.Check(version, qt.Equals, f.version, qt.Commentf("asked at %s", m.settings.Node))
+		s, err := f.local(m)
+		f.Assert(err, qt.IsNil, qt.Commentf("%s", m.settings.Node))
+		if holdsRecord(s) {
+			f.Check(s.Configuration.Version, qt.Equals, int64(f.version), qt.Commentf("held by %s", m.settings.Node))
+		}
+	}
+	for _, v := range changes.acknowledged {
+		f.Check(slices.Contains(routes, added(v)), qt.IsTrue, qt.Commentf("the acknowledged version %d is lost", v))
+	}
+	for i := range f.edge {
+		f.inForce(i, f.version, time.Now().Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
+	}
+	load.goesOn(8, 0, 1)
+	load.stop()
+	f.judge()
+	t.Logf("%d changes acknowledged, %d of them after more than one try, %d sent again, %d reads; longest change %v",
+		len(changes.acknowledged), changes.retried, changes.repeated, changes.reads.Load(), changes.longest)
+}
+
+// primaryLast lists the core machines, the primary last.
+func (f *fleet) primaryLast() []*machine {
+	f.Helper()
+	primary := f.primary()
+	all := slices.DeleteFunc(slices.Clone(f.core), func(m *machine) bool { return m == primary })
+	return append(all, primary)
+}
+
+// replaceServer ends a control server with SIGTERM and starts another build on its data folder. It returns once all servers
+// have the newest version again and changes go on.
+func (f *fleet) replaceServer(m *machine, binary string, changes *changeLoad) {
+	f.Helper()
+	program := m.programs["control-plane"]
+	f.ends(program)
+	began := time.Now()
+	program.Signal(syscall.SIGTERM)
+	code, err := program.Wait(f.within(patient))
+	f.Assert(err, qt.IsNil)
+	f.Check(code, qt.Equals, 0, qt.Commentf("%s", m.settings.Node))
+	ended := time.Now()
+	f.Check(ended.Sub(began) < f.bound("grace_s", time.Second), qt.IsTrue,
+		qt.Commentf("%s ended %v after SIGTERM", m.settings.Node, ended.Sub(began)))
+	m.binary = binary
+	m.start("control-plane")
+	changes.goOn(3)
+	// A server counts as lost until sync_s after its return.
+	f.until(patient, "sync_s over", func() bool { return time.Since(ended) > f.bound("sync_s", time.Second) })
+	f.converged()
+	_, err = os.Stat(filepath.Join(m.settings.DataDir, "control.db.broken"))
+	f.Check(os.IsNotExist(err), qt.IsTrue, qt.Commentf("%s set the state of the other build aside", m.settings.Node))
+	f.Logf("%s was replaced: ended after %v, all at the newest version after %v", m.settings.Node, ended.Sub(began), time.Since(began))
+}
+
+// converged waits until all control servers, by what each knows itself, are in one view with all members, and those that
+// hold the record, the primary and its backups, have a version that is not older than the newest at the call.
+func (f *fleet) converged() {
+	f.Helper()
+	newest, _, _ := f.shown(&simulation.Operator{Ctl: f.operator.Ctl})
+	f.until(patient, "all control servers in one view, at the newest version", func() bool {
+		var view status.View
+		for _, m := range f.core {
+			s, err := f.local(m)
+			if err != nil || !s.View.Ready || len(s.View.Members) != len(f.core) ||
+				holdsRecord(s) && s.Configuration.Version < int64(newest) {
+				return false
+			}
+			if view.Epoch == 0 {
+				view = s.View
+			}
+			if s.View.Epoch != view.Epoch || s.View.Primary != view.Primary {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// holdsRecord tells whether the control server that gave a status holds the record: a witness doesn't.
+func holdsRecord(s *status.Fleet) bool {
+	return slices.ContainsFunc(s.View.Members, func(m status.Member) bool {
+		return m.Self && m.Role != replication.Witness.String()
+	})
+}
+
+// local is the status of a control server by what it knows itself.
+func (f *fleet) local(m *machine) (*status.Fleet, error) {
+	client := operatorclient.Client{Control: []string{m.boot.Ctl}, Within: time.Second}
+	s, _, err := client.Status(f.ctx, true)
+	return s, err
+}
+
+// changeLoad proposes changes one after the other, and reads the configuration meanwhile.
+type changeLoad struct {
+	f       *fleet
+	end     context.CancelFunc
+	running sync.WaitGroup
+	newest  atomic.Uint64 // acknowledged
+	reads   atomic.Int64
+
+	// Of the goroutine that proposes, and of others once it has ended.
+	acknowledged []uint64
+	retried      int // acknowledged after more than one try
+	repeated     int // acknowledged changes that were sent again
+	longest      time.Duration
+}
+
+const (
+	// changePause is the time between two changes.
+	changePause = 20 * time.Millisecond
+	// changePadding is the size of a change in bytes: some tens of them exceed what a server keeps beside a snapshot.
+	changePadding = 24 << 10
+	// repeatEvery is how many changes come before an earlier one is sent again, and repeatBack how much earlier.
+	repeatEvery, repeatBack = 10, 5
+)
+
+// proposeChanges starts to propose changes on top of the newest version, until stop is called.
+func (f *fleet) proposeChanges() *changeLoad {
+	ctx, cancel := context.WithCancel(f.ctx)
+	f.Cleanup(cancel)
+	l := &changeLoad{f: f, end: cancel}
+	l.newest.Store(f.version)
+	l.running.Go(func() { l.propose(ctx) })
+	l.running.Go(func() { l.read(ctx) })
+	return l
+}
+
+// paddedChange is a change that brings the route of a version, and replaces one that is large.
+func paddedChange(version uint64) object {
+	change := addRoute(version)
+	upsert := change["upsert"].(object)
+	large := route("large", "/large/", "readonly", lookups, 4000, 200, 3, false)
+	large["note"] = strings.Repeat("x", changePadding)
+	upsert["routing"] = append(upsert["routing"].(list), large)
+	return change
+}
+
+// propose has each change acknowledged before the next. Answers that mean 'ask again' are followed by the same call; any
+// other answer than an acknowledgement fails the test. Now and then an earlier change is sent again: it must be recognised,
+// also by a build that did not take it.
+func (l *changeLoad) propose(ctx context.Context) {
+	operator := &simulation.Operator{Ctl: l.f.operator.Ctl}
+	send := func(v uint64) bool {
+		bounded, cancel := context.WithTimeout(l.f.ctx, patient)
+		defer cancel()
+		began := time.Now()
+		rep, err := operator.Update(bounded, v-1, paddedChange(v))
+		if !l.f.Check(err, qt.IsNil, qt.Commentf("version %d", v)) ||
+			!l.f.Check(rep.Status, qt.Equals, http.StatusOK, qt.Commentf("version %d: %s", v, rep.Body)) {
+			return false
+		}
+		l.longest = max(l.longest, time.Since(began))
+		if rep.Tries > 1 {
+			l.retried++
+		}
+		return true
+	}
+	first := l.newest.Load() + 1
+	for v := first; ctx.Err() == nil; v++ {
+		if !send(v) {
+			return
+		}
+		l.acknowledged = append(l.acknowledged, v)
+		l.newest.Store(v)
+		if v%repeatEvery == 0 && v >= first+repeatBack {
+			if l.repeated++; !send(v - repeatBack) {
+				return
+			}
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(changePause):
+		}
+	}
+}
+
+// read asks for the configuration over and over: it is never older than what was acknowledged or shown before.
+func (l *changeLoad) read(ctx context.Context) {
+	ctls := l.f.operator.Ctl
+	var last uint64
+	for n := 0; ctx.Err() == nil; n++ {
+		operator := &simulation.Operator{Ctl: append(slices.Clone(ctls[n%len(ctls):]), ctls[:n%len(ctls)]...)}
+		least := max(last, l.newest.Load())
+		bounded, cancel := context.WithTimeout(l.f.ctx, patient)
+		rep, err := operator.Show(bounded)
+		cancel()
+		if !l.f.Check(err, qt.IsNil) || !l.f.Check(rep.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", rep.Body)) {
+			return
+		}
+		l.f.Check(rep.Version >= least, qt.IsTrue, qt.Commentf("%s shows %d after %d", rep.From, rep.Version, least))
+		last = rep.Version
+		l.reads.Add(1)
+		select {
+		case <-ctx.Done():
+		case <-time.After(changePause):
+		}
+	}
+}
+
+// goOn waits until so many more changes have been acknowledged.
+func (l *changeLoad) goOn(n uint64) {
+	l.f.Helper()
+	from := l.newest.Load()
+	l.f.until(patient, "further changes acknowledged", func() bool { return l.newest.Load() >= from+n })
+}
+
+// stop waits until the change under way has ended.
+func (l *changeLoad) stop() {
+	l.end()
+	l.running.Wait()
+	l.f.version = l.newest.Load()
+}
