--- a/cmd/molepaddle-fleet/upgrade_test.go
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -40,7 +40,7 @@
 
 // playUpgrade plays one upgrade and the way back; an empty path stands for this build.
 func playUpgrade(t *testing.T, old, edge string) {
-	f := newFleet(t, plan{bounds: map[string]any{"sync_s": 1}, coreBinary: old, edgeBinary: edge})
+	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}, coreBinary: old, edgeBinary: edge})
 	load := f.traffic([]int{0, 1})
 	changes := f.proposeChanges()
 
@@ -55,10 +55,10 @@
 
 	changes.stop()
 	f.converged()
-	version, routes, _ := f.shown(f.operator)
+	version, routes, _ := f.showConfig(f.operator)
 	f.Check(version, qt.Equals, f.version)
 	for _, m := range f.core {
-		version, _, _ := f.shown(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
+		version, _, _ := f.showConfig(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
 		f.Check(version, qt.Equals, f.version, qt.Commentf("asked at %s", m.settings.Node))
 		s, err := f.local(m)
 		f.Assert(err, qt.IsNil, qt.Commentf("%s", m.settings.Node))
@@ -67,14 +67,14 @@
 		}
 	}
 	for _, v := range changes.acknowledged {
-		f.Check(slices.Contains(routes, added(v)), qt.IsTrue, qt.Commentf("the acknowledged version %d is lost", v))
+		f.Check(slices.Contains(routes, addedRouteName(v)), qt.IsTrue, qt.Commentf("the acknowledged version %d is lost", v))
 	}
 	for i := range f.edge {
-		f.inForce(i, f.version, time.Now().Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
+		f.awaitInForce(i, f.version, time.Now().Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
 	}
-	load.goesOn(8, 0, 1)
+	load.awaitMore(8, 0, 1)
 	load.stop()
-	f.judge()
+	f.checkRules()
 	t.Logf("%d changes acknowledged, %d of them after more than one try, %d sent again, %d reads; longest change %v",
 		len(changes.acknowledged), changes.retried, changes.repeated, changes.reads.Load(), changes.longest)
 }
@@ -92,10 +92,10 @@
 func (f *fleet) replaceServer(m *machine, binary string, changes *changeLoad) {
 	f.Helper()
 	program := m.programs["control-plane"]
-	f.ends(program)
+	f.expectExit(program)
 	began := time.Now()
 	program.Signal(syscall.SIGTERM)
-	code, err := program.Wait(f.within(patient))
+	code, err := program.Wait(f.withTimeout(testTimeout))
 	f.Assert(err, qt.IsNil)
 	f.Check(code, qt.Equals, 0, qt.Commentf("%s", m.settings.Node))
 	ended := time.Now()
@@ -105,7 +105,7 @@
 	m.start("control-plane")
 	changes.goOn(3)
 	// A server counts as lost until sync_s after its return.
-	f.until(patient, "sync_s over", func() bool { return time.Since(ended) > f.bound("sync_s", time.Second) })
+	f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(ended) > f.bound("sync_s", time.Second) })
 	f.converged()
 	_, err = os.Stat(filepath.Join(m.settings.DataDir, "control.db.broken"))
 	f.Check(os.IsNotExist(err), qt.IsTrue, qt.Commentf("%s set the state of the other build aside", m.settings.Node))
@@ -116,8 +116,8 @@
 // hold the record, the primary and its backups, have a version that is not older than the newest at the call.
 func (f *fleet) converged() {
 	f.Helper()
-	newest, _, _ := f.shown(&simulation.Operator{Ctl: f.operator.Ctl})
-	f.until(patient, "all control servers in one view, at the newest version", func() bool {
+	newest, _, _ := f.showConfig(&simulation.Operator{Ctl: f.operator.Ctl})
+	f.eventually(testTimeout, "all control servers in one view, at the newest version", func() bool {
 		var view status.View
 		for _, m := range f.core {
 			s, err := f.local(m)
@@ -145,7 +145,7 @@
 
 // local is the status of a control server by what it knows itself.
 func (f *fleet) local(m *machine) (*status.Fleet, error) {
-	client := operatorclient.Client{Control: []string{m.boot.Ctl}, Within: time.Second}
+	client := operatorclient.Client{Endpoints: []string{m.boot.Ctl}, CallTimeout: time.Second}
 	s, _, err := client.Status(f.ctx, true)
 	return s, err
 }
@@ -201,7 +201,7 @@
 func (l *changeLoad) propose(ctx context.Context) {
 	operator := &simulation.Operator{Ctl: l.f.operator.Ctl}
 	send := func(v uint64) bool {
-		bounded, cancel := context.WithTimeout(l.f.ctx, patient)
+		bounded, cancel := context.WithTimeout(l.f.ctx, testTimeout)
 		defer cancel()
 		began := time.Now()
 		rep, err := operator.Update(bounded, v-1, paddedChange(v))
@@ -241,7 +241,7 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		operator := &simulation.Operator{Ctl: append(slices.Clone(ctls[n%len(ctls):]), ctls[:n%len(ctls)]...)}
 		least := max(last, l.newest.Load())
-		bounded, cancel := context.WithTimeout(l.f.ctx, patient)
+		bounded, cancel := context.WithTimeout(l.f.ctx, testTimeout)
 		rep, err := operator.Show(bounded)
 		cancel()
 		if !l.f.Check(err, qt.IsNil) || !l.f.Check(rep.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", rep.Body)) {
@@ -261,7 +261,7 @@
 func (l *changeLoad) goOn(n uint64) {
 	l.f.Helper()
 	from := l.newest.Load()
-	l.f.until(patient, "further changes acknowledged", func() bool { return l.newest.Load() >= from+n })
+	l.f.eventually(testTimeout, "further changes acknowledged", func() bool { return l.newest.Load() >= from+n })
 }
 
 // stop waits until the change under way has ended.
