--- a/internal/plantedfault/plantedfault.go
+++ b/internal/plantedfault/plantedfault.go
@@ -1,5 +1,5 @@
-// Package plantedfault checks that tests find deliberate errors. Each error is laid into a copy of the sources by the compiler's
-// overlay, so that nothing in the tree changes, and the tests that are named must fail then.
+// Package plantedfault checks that tests find deliberate errors. Each error is laid into a copy of the sources by the
+// compiler's overlay, so that nothing in the tree changes, and the tests that are named must fail then.
 package plantedfault
 
 import (
@@ -20,7 +20,21 @@
 	Texts []string // old, new, old, new ...: each old text is there exactly once in the package's sources
 	Tests string   // which tests must find it, as for go test -run
 	Dir   string   // of the package with the sources and the tests; empty: the one whose test runs
-	Args  []string // to go test besides
+	// SourceDir is the directory of the package with the sources, where its tests aren't those that must find the
+	// fault.
+	SourceDir string
+	Args      []string // to go test besides
+}
+
+// Fit checks that the texts of each fault are in the sources, and runs nothing.
+func Fit(t *testing.T, faults []Fault) {
+	for _, f := range faults {
+		t.Run(strings.ReplaceAll(f.Name, " ", "_"), func(t *testing.T) {
+			if _, err := f.lay(t.TempDir()); err != nil {
+				t.Fatal(err)
+			}
+		})
+	}
 }
 
 // Find lays each fault in turn and has the tests that it names fail.
@@ -60,7 +74,11 @@
 
 // lay writes the changed sources and the overlay that names them into dir.
 func (f *Fault) lay(dir string) (overlay string, err error) {
-	texts, err := sources(f.Dir)
+	dirOfSources := f.Dir
+	if f.SourceDir != "" {
+		dirOfSources = f.SourceDir
+	}
+	texts, err := sources(dirOfSources)
 	if err != nil {
 		return "", err
 	}
