--- a/internal/fleet/controlplane/verdict_test.go
+++ b/internal/fleet/controlplane/verdict_test.go
@@ -9,44 +9,45 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-func orderOf(base int64, ver, host string) *Command {
-	return &Command{Replace: true, Base: base, Body: []byte(`{"ver":` + ver + `,"routing":[{"name":"r","hostname":"` + host +
-		`","pfx":"/","kind":"readonly","deadline_ms":9,"svc":"s"}],"svcs":[{"name":"s"}],"caps":{}}`)}
+func replaceCommand(base int64, ver, host string) *Command {
+	body := `{"ver":` + ver + `,"routing":[{"name":"r","hostname":"` + host +
+		`","pfx":"/","kind":"readonly","deadline_ms":9,"svc":"s"}],"svcs":[{"name":"s"}],"caps":{}}`
+	return &Command{Replace: true, Base: base, Body: []byte(body)}
 }
 
-func takeOrder(c *qt.C, r *controlState, one *Command) {
+func acceptReplace(c *qt.C, r *controlState, one *Command) {
 	c.Assert(r.judge(one), qt.IsNil)
 	b, err := one.MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	r.Apply(r.seq+1, b)
 }
 
-// TestSentAgain: an order that was taken is acknowledged again, also after others, after a snapshot and where another order
-// carries its number; one that wasn't is refused once another change was made.
-func TestSentAgain(t *testing.T) {
+// TestResubmittedChange: a change that was accepted is acknowledged again, also after others, after a snapshot and
+// where another change carries its number; one that wasn't is refused once another change was made.
+func TestResubmittedChange(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
-	first, rival, second := orderOf(0, "5", "a"), orderOf(0, "5", "b"), orderOf(5, "7", "a")
-	takeOrder(c, r, first)
+	first, rival, second := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "7", "a")
+	acceptReplace(c, r, first)
 	for range 2 {
 		c.Assert(r.judge(first).status, qt.Equals, http.StatusOK)
 		c.Assert(r.judge(rival).status, qt.Equals, http.StatusPreconditionFailed)
-		takeOrder(c, r, second)
+		acceptReplace(c, r, second)
 		c.Assert(r.judge(first).status, qt.Equals, http.StatusOK)
 		c.Assert(r.judge(second).status, qt.Equals, http.StatusOK)
 		c.Assert(r.judge(rival).status, qt.Equals, http.StatusPreconditionFailed)
 		again := &controlState{}
 		c.Assert(again.Restore(r.seq, r.Snapshot()), qt.IsNil)
-		r, second = again, orderOf(7, "8", "c")
+		r, second = again, replaceCommand(7, "8", "c")
 	}
 }
 
-// TestVerdictWaits: an answer about changes that aren't committed yet is not told, as they may be lost.
-func TestVerdictWaits(t *testing.T) {
+// TestVerdictWaitsForCommit: an answer about changes that aren't committed yet is not told, as they may be lost.
+func TestVerdictWaitsForCommit(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
-	takeOrder(c, r, orderOf(0, "5", "a"))
-	for _, one := range []*Command{orderOf(0, "5", "a"), orderOf(0, "5", "b"), orderOf(5, "4", "a")} {
+	acceptReplace(c, r, replaceCommand(0, "5", "a"))
+	for _, one := range []*Command{replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "4", "a")} {
 		v := r.judge(one)
 		c.Assert(v, qt.IsNotNil)
 		c.Assert(v.holds(replication.Answer{Result: replication.Confirmed, Seq: 0}), qt.IsFalse)
--- a/internal/fleet/residencyreport/planted_test.go
+++ b/internal/fleet/residencyreport/planted_test.go
@@ -29,9 +29,9 @@
 	{Name: "what was lost on the way is not sent again", Tests: ways, Texts: []string{"if s.sent == nil || now.Sub(s.since) >= resendAfter {", "if s.sent == nil {"}},
 	{Name: "a batch counts from the start each time", Dir: "../proxy", Tests: "^TestLedger", Texts: []string{"d[i] -= r.reportedCounts[i]", "d[i] -= 0 * r.reportedCounts[i]"}},
 	{Name: "what found no room is not told any more", Dir: "../proxy", Tests: "^TestLedger", Texts: []string{"l.changed, l.newPair = more, more", "l.changed, l.newPair = more && false, false"}},
-	{Name: "the report is not in the record's snapshot", Dir: "../controlplane", Tests: "^TestRecord", Texts: []string{"s := StoredState{Rested: r.residency.Snapshot()}", "s := StoredState{}"}},
-	{Name: "a reading counts as a configuration", Dir: "../controlplane", Tests: "^TestRecord", Texts: []string{"s.DocumentSeq = r.docSeq", ""}},
-	{Name: "what was not confirmed is let go", Dir: "../controlplane", Tests: "^TestReadings", Texts: []string{"b.N <= settled.residency.AckedUpTo(b.Process) {\n\t\t\tkept", "b.N > 0 {\n\t\t\tkept"}},
+	{Name: "the report is not in the record's snapshot", Dir: "../controlplane", Tests: "^TestState", Texts: []string{"s := StoredState{Rested: cs.residency.Snapshot()}", "s := StoredState{}"}},
+	{Name: "a reading counts as a configuration", Dir: "../controlplane", Tests: "^TestState", Texts: []string{"s.DocumentSeq = cs.docSeq", ""}},
+	{Name: "what was not confirmed is let go", Dir: "../controlplane", Tests: "^TestResidency", Texts: []string{"b.N <= committed.residency.AckedUpTo(b.Process) {\n\t\t\tacks", "b.N > 0 {\n\t\t\tacks"}},
 }
 
 // TestPlantedFaults plants each fault in turn; the tests named have to find it.
--- a/internal/fleet/scaletest/process.go
+++ b/internal/fleet/scaletest/process.go
@@ -74,7 +74,7 @@
 		Msg  string `json:"msg"`
 		Role string `json:"role"`
 	}
-	if json.Unmarshal(line, &l) == nil && l.Msg == "view" {
+	if json.Unmarshal(line, &l) == nil && l.Msg == "view changed" {
 		p.mu.Lock()
 		p.role = l.Role
 		p.mu.Unlock()
--- a/internal/fleet/scaletest/scaletest_test.go
+++ b/internal/fleet/scaletest/scaletest_test.go
@@ -133,8 +133,8 @@
 	c := qt.New(t)
 	p := &process{}
 	watchRole(p, []byte("no JSON\n"))
-	watchRole(p, []byte(`{"level":"info","msg":"view","epoch":3,"role":"primary","ready":true}`+"\n"))
+	watchRole(p, []byte(`{"level":"info","msg":"view changed","epoch":3,"role":"primary","ready":true}`+"\n"))
 	c.Assert(p.role, qt.Equals, replication.Primary.String())
-	watchRole(p, []byte(`{"level":"info","msg":"configuration settled","role":"witness"}`+"\n"))
+	watchRole(p, []byte(`{"level":"info","msg":"configuration committed","role":"witness"}`+"\n"))
 	c.Assert(p.role, qt.Equals, replication.Primary.String())
 }
