--- a/internal/fleet/residencyreport/planted_test.go
+++ b/internal/fleet/residencyreport/planted_test.go
@@ -103,20 +103,20 @@
 	{
 		Name:  "the totals are not in the record's snapshot",
 		Dir:   "../controlplane",
-		Tests: "^TestRecord",
-		Texts: []string{"s := StoredState{Rested: r.residency.Snapshot()}", "s := StoredState{}"},
+		Tests: "^TestState",
+		Texts: []string{"s := StoredState{Rested: cs.residency.Snapshot()}", "s := StoredState{}"},
 	},
 	{
 		Name:  "an update counts as a configuration",
 		Dir:   "../controlplane",
-		Tests: "^TestRecord",
-		Texts: []string{"s.DocumentSeq = r.docSeq", ""},
+		Tests: "^TestState",
+		Texts: []string{"s.DocumentSeq = cs.docSeq", ""},
 	},
 	{
 		Name:  "what was not confirmed is dropped",
 		Dir:   "../controlplane",
-		Tests: "^TestReadings",
-		Texts: []string{"b.N <= settled.residency.AckedUpTo(b.Process) {\n\t\t\tkept", "b.N > 0 {\n\t\t\tkept"},
+		Tests: "^TestResidency",
+		Texts: []string{"b.N <= committed.residency.AckedUpTo(b.Process) {\n\t\t\tacks", "b.N > 0 {\n\t\t\tkept"},
 	},
 }
 
