--- a/internal/fleet/status/status.go
+++ b/internal/fleet/status/status.go
@@ -1,5 +1,9 @@
-// Package status is how a fleet stands, as a control server tells the operator: the JSON that goes over the wire, and what
-// is read off it. It has neither I/O nor clock: ages are counted by whoever tells.
+// Package status is the state of the fleet as a control server reports it to the operator: the JSON on the wire, and
+// what can be derived from it. It has neither I/O nor a clock. All ages are in milliseconds, counted by the server
+// that reports them, so that no clocks have to agree. The JSON keys must not change: they are on the wire and in the
+// output of molepaddle-fleet status --json.
+//
+// Its values have no locks: whoever decodes a Fleet or makes one owns it.
 package status
 
 import (
@@ -10,91 +14,118 @@
 	"github.com/go-faster/errors"
 )
 
-// Fleet is the whole. All durations are in milliseconds and ages: how long ago, as the one who tells knows.
+// Fleet is the state of the fleet as one control server knows it.
 type Fleet struct {
-	From      string `json:"from"`      // name of the core machine that tells
-	Confirmed bool   `json:"confirmed"` // its view was confirmed by all backups as this was told
-	// Learning: the primary has led for less than a lease, so agents may be missing that it has not heard yet.
+	// From is the name of the core machine that reports.
+	From string `json:"from"`
+	// Confirmed says that all backups confirmed the view before the report, so that no newer one has replaced it.
+	Confirmed bool `json:"confirmed"`
+	// CollectingLeases says that the primary has led for less than a lease, so that Agents may lack some that haven't
+	// renewed theirs with it yet.
 	CollectingLeases bool            `json:"learning"`
 	View             View            `json:"view"`
 	SingletonRoles   []SingletonRole `json:"duties"`
 	Configuration    Configuration   `json:"configuration"`
 	BackendList      BackendList     `json:"list"`
-	Agents           []Agent         `json:"agents"`   // by name
-	Services         []Service       `json:"services"` // by name
+	// Agents are in the order of their names.
+	Agents []Agent `json:"agents"`
+	// Services are in the order of their names.
+	Services []Service `json:"services"`
 }
 
-// View is the core's: who keeps the record.
+// View is the control plane's: which machines replicate its state, and which of them leads.
 type View struct {
-	Epoch   uint64   `json:"epoch"`
-	Primary string   `json:"primary"` // control address; empty: none is known
-	Ready   bool     `json:"ready"`   // changes and reads are answered
-	Members []Member `json:"members"` // by address
+	Epoch uint64 `json:"epoch"`
+	// Primary is the control address of the primary; empty: not known.
+	Primary string `json:"primary"`
+	// Ready says that changes and reads are answered.
+	Ready bool `json:"ready"`
+	// Members are in the order of their addresses.
+	Members []Member `json:"members"`
 }
 
 // Member is a core machine.
 type Member struct {
-	Address       string `json:"address"` // control address
-	Zone          string `json:"zone"`
-	Region        string `json:"region"`
-	Role          string `json:"role"`     // primary, backup or witness
-	Self          bool   `json:"self"`     // the one who tells
-	LastContactMs int64  `json:"heard_ms"` // when it was last heard; -1: not since the teller's start, or the teller itself
+	// Address is its control address.
+	Address string `json:"address"`
+	Zone    string `json:"zone"`
+	Region  string `json:"region"`
+	// Role is "primary", "backup" or "witness".
+	Role string `json:"role"`
+	// Self is set on the machine that reports.
+	Self bool `json:"self"`
+	// LastContactMs is the age of the last contact with it; -1: none since the reporting machine's start, or that
+	// machine itself.
+	LastContactMs int64 `json:"heard_ms"`
 }
 
-// The duties, of which each has one holder at the most.
+// Names of the singleton roles. They are on the wire.
 const (
-	SingletonPoll   = "poll"   // asking the platform for its list, for all
-	SingletonPhases = "phases" // telling backends which phase to take up
+	// SingletonPoll is polling the platform for its backend list.
+	SingletonPoll = "poll"
+	// SingletonPhases is telling the backends which phase to serve.
+	SingletonPhases = "phases"
 )
 
-// SingletonRole is one that is done for the whole fleet.
+// SingletonRole is work that at most one core machine at a time does for the whole fleet.
 type SingletonRole struct {
-	Name         string `json:"name"`
-	Holder       string `json:"holder"` // control address; empty: nobody
-	FencingToken uint64 `json:"fence"`  // the epoch in whose name it is done
-	// StandbyMs is how long the holder still keeps still, so that holders don't take turns within a lease; 0: it is at work.
+	// Name is SingletonPoll or SingletonPhases.
+	Name string `json:"name"`
+	// Holder is the control address of the holder; empty: nobody.
+	Holder string `json:"holder"`
+	// FencingToken is the epoch in whose name the holder acts: a later one supersedes it.
+	FencingToken uint64 `json:"fence"`
+	// StandbyMs is for how long the holder won't act yet, because the one before may act until its lease is over; 0: it
+	// acts.
 	StandbyMs int64 `json:"wait_ms"`
 }
 
-// Configuration is the newest acknowledged one.
+// Configuration is the newest committed one.
 type Configuration struct {
-	Version int64  `json:"ver"` // the operator's; 0: none yet
-	Seq     uint64 `json:"seq"` // the change of the record that brought it, as this machine settled it
-	AgeMs   int64  `json:"age_ms"`
+	// Version is the operator's; 0: none yet.
+	Version int64 `json:"ver"`
+	// Seq is the number of the replicated change that brought it, as this machine committed it.
+	Seq   uint64 `json:"seq"`
+	AgeMs int64  `json:"age_ms"`
 }
 
-// ListVersion is a list's: epochs first, counts within one.
+// ListVersion is the version of a backend list; versions are ordered by epoch, then by count.
 type ListVersion struct {
 	Epoch uint64 `json:"epoch"`
 	Count uint64 `json:"count"`
 }
 
-// BackendList is the platform's list as last given out.
+// BackendList is the platform's list as last distributed.
 type BackendList struct {
 	ListVersion
-	AgeMs int64 `json:"age_ms"` // of the last poll that was answered; -1: none
+	// AgeMs is that of the last poll that was answered; -1: none was.
+	AgeMs int64 `json:"age_ms"`
 }
 
-// Agent is one that holds a lease: a proxy, by way of its node agent.
+// Agent is a proxy that holds a lease, which its node agent renews.
 type Agent struct {
-	Name               string      `json:"name"`
-	Zone               string      `json:"zone"`
-	LeaseAgeMs         int64       `json:"lease_ms"` // age of the last renewal
-	ConfigVersion      int64       `json:"ver"`      // of the configuration in force there; 0: none
-	ConfigAgeMs        int64       `json:"since_ms"` // for how long it has been
-	BackendListVersion ListVersion `json:"list"`     // zero: none, or one that its node agent polled itself
+	Name string `json:"name"`
+	Zone string `json:"zone"`
+	// LeaseAgeMs is the age of the last renewal.
+	LeaseAgeMs int64 `json:"lease_ms"`
+	// ConfigVersion is that of the configuration in force there; 0: none.
+	ConfigVersion int64 `json:"ver"`
+	// ConfigAgeMs is for how long that has been in force.
+	ConfigAgeMs int64 `json:"since_ms"`
+	// BackendListVersion is that of the list in force there; zero: none, or one that its node agent polled itself.
+	BackendListVersion ListVersion `json:"list"`
 }
 
-// Service is a service's backends, as in the list given out.
+// Service counts a service's backends in the list as last distributed.
 type Service struct {
-	Name     string         `json:"name"`
-	Backends int            `json:"backends"`
-	Draining int            `json:"draining"`
-	Phases   map[string]int `json:"phases"` // backends in each phase; those without one are left out
+	Name     string `json:"name"`
+	Backends int    `json:"backends"`
+	Draining int    `json:"draining"`
+	// Phases counts the backends in each phase; those without a phase are left out.
+	Phases map[string]int `json:"phases"`
 }
 
-// Decode reads what a control server told.
+// Decode returns the report in the body of a control server's answer. Fields that it doesn't know are ignored.
 func Decode(body []byte) (*Fleet, error) {
 	var f Fleet
 	if err := json.Unmarshal(body, &f); err != nil {
@@ -103,26 +134,27 @@
 	return &f, nil
 }
 
-// Sort brings agents and services into the order of names, and members into that of addresses.
+// Sort puts agents and services in the order of their names, and members in that of their addresses.
 func (f *Fleet) Sort() {
 	slices.SortFunc(f.Agents, func(a, b Agent) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.Services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.View.Members, func(a, b Member) int { return cmp.Compare(a.Address, b.Address) })
 }
 
-// Behind are the agents whose configuration is older than a version.
+// Behind returns the agents whose configuration is older than a version.
 func (f *Fleet) Behind(version int64) []Agent {
-	var all []Agent
+	var behind []Agent
 	for _, a := range f.Agents {
 		if a.ConfigVersion < version {
-			all = append(all, a)
+			behind = append(behind, a)
 		}
 	}
-	return all
+	return behind
 }
 
-// AppliedEverywhere tells whether every agent with a lease has a version or a newer one. It is false while nobody holds a lease
-// or the primary may not have heard all of them yet.
+// AppliedEverywhere returns whether every agent with a lease has a version of the configuration or a newer one in
+// force. It is false while nobody holds a lease, the primary may lack some agents, or the report isn't confirmed: the
+// operator takes true as leave to rely on the version.
 func (f *Fleet) AppliedEverywhere(version int64) bool {
 	return f.Confirmed && !f.CollectingLeases && len(f.Agents) > 0 && len(f.Behind(version)) == 0
 }
