--- a/internal/fleet/configdiff/configdiff_test.go
+++ b/internal/fleet/configdiff/configdiff_test.go
@@ -10,9 +10,10 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
+// route is the body of a route: number, number, deadline_ms, and further fields.
 const route = `{"name":"r%d","hostname":"h","pfx":"/%d/","kind":"readonly","deadline_ms":%s,"svc":"a"%s}`
 
-func doc(c *qt.C, text string) *routingconfig.Document {
+func document(c *qt.C, text string) *routingconfig.Document {
 	d, found := routingconfig.Decode([]byte(text))
 	c.Assert(found, qt.HasLen, 0)
 	return d
@@ -33,33 +34,59 @@
 func TestDiff(t *testing.T) {
 	c := qt.New(t)
 	r := func(n int, deadline, more string) string { return fmt.Sprintf(route, n, n, deadline, more) }
-	base := body(1, r(1, "100", "")+","+r(2, "100", ""), `{"name":"a"},{"name":"b"}`, "")
-	for _, one := range []struct {
+	const services = `{"name":"a"},{"name":"b"}`
+	baseRoutes := r(1, "100", "") + "," + r(2, "100", "")
+	base := body(1, baseRoutes, services, "")
+	for _, test := range []struct {
 		name, to string
 		want     []string
 	}{
-		{"the version alone", body(2, r(1, "100", "")+","+r(2, "100", ""), `{"name":"a"},{"name":"b"}`, ""), []string{}},
-		{"numbers by value, null as not given", body(2, r(1, "1e2", `,"prio":null`)+","+r(2, "100.0", ""), `{"name":"a"},{"name":"b"}`, ""), []string{}},
-		{"a field", body(2, r(1, "100", "")+","+r(2, "250", `,"new_field":{"x":1}`), `{"name":"a"},{"name":"b"}`, ""),
-			[]string{"route r2 deadline_ms: 100 -> 250", `route r2 new_field:  -> {"x":1}`}},
-		{"gone and come", body(2, r(3, "100", "")+","+r(1, "100", ""), `{"name":"a"}`, ""), []string{
-			`route r2 : {"name":"r2","hostname":"h","pfx":"/2/","kind":"readonly","deadline_ms":100,"svc":"a"} -> `,
-			`route r3 :  -> {"name":"r3","hostname":"h","pfx":"/3/","kind":"readonly","deadline_ms":100,"svc":"a"}`,
-			`service b : {"name":"b"} -> `,
-		}},
-		{"order", body(2, r(2, "100", "")+","+r(1, "100", ""), `{"name":"a"},{"name":"b"}`, ""),
-			[]string{`configuration  routing order: ["r1","r2"] -> ["r2","r1"]`}},
-		{"the rest", body(2, r(1, "100", "")+","+r(2, "100", ""), `{"name":"a","runtime":{"capacity":4}},{"name":"b"}`, `,"caps":{"body_max_bytes":5},"zeal":[1]`),
-			[]string{`service a runtime:  -> {"capacity":4}`, `caps  :  -> {"body_max_bytes":5}`, `configuration  zeal:  -> [1]`}},
+		{"the version alone", body(2, baseRoutes, services, ""), []string{}},
+		{
+			"numbers by value, null as absent",
+			body(2, r(1, "1e2", `,"prio":null`)+","+r(2, "100.0", ""), services, ""),
+			[]string{},
+		},
+		{
+			"a field",
+			body(2, r(1, "100", "")+","+r(2, "250", `,"new_field":{"x":1}`), services, ""),
+			[]string{"route r2 deadline_ms: 100 -> 250", `route r2 new_field:  -> {"x":1}`},
+		},
+		{
+			"removed and added",
+			body(2, r(3, "100", "")+","+r(1, "100", ""), `{"name":"a"}`, ""),
+			[]string{
+				`route r2 : {"name":"r2","hostname":"h","pfx":"/2/","kind":"readonly","deadline_ms":100,"svc":"a"} -> `,
+				`route r3 :  -> {"name":"r3","hostname":"h","pfx":"/3/","kind":"readonly","deadline_ms":100,"svc":"a"}`,
+				`service b : {"name":"b"} -> `,
+			},
+		},
+		{
+			"order",
+			body(2, r(2, "100", "")+","+r(1, "100", ""), services, ""),
+			[]string{`configuration  routing order: ["r1","r2"] -> ["r2","r1"]`},
+		},
+		{
+			"the remaining fields",
+			body(2, baseRoutes, `{"name":"a","runtime":{"capacity":4}},{"name":"b"}`,
+				`,"caps":{"body_max_bytes":5},"zeal":[1]`),
+			[]string{
+				`service a runtime:  -> {"capacity":4}`,
+				`caps  :  -> {"body_max_bytes":5}`,
+				`configuration  zeal:  -> [1]`,
+			},
+		},
 	} {
-		c.Check(lines(configdiff.Diff(doc(c, base), doc(c, one.to))), qt.DeepEquals, one.want, qt.Commentf(one.name))
+		changes := configdiff.Diff(document(c, base), document(c, test.to))
+		c.Check(lines(changes), qt.DeepEquals, test.want, qt.Commentf(test.name))
 	}
 }
 
 func TestDiffInside(t *testing.T) {
 	c := qt.New(t)
 	with := func(shares, caps string) *routingconfig.Document {
-		return doc(c, body(1, fmt.Sprintf(route, 1, 1, "5", `,"shares":`+shares), `{"name":"a"},{"name":"b"}`, `,"caps":`+caps))
+		split := fmt.Sprintf(route, 1, 1, "5", `,"shares":`+shares)
+		return document(c, body(1, split, `{"name":"a"},{"name":"b"}`, `,"caps":`+caps))
 	}
 	a := with(`[{"svc":"a","wt":90},{"svc":"b","wt":10}]`, `{"body_max_bytes":9007199254740993,"x":"\u0041"}`)
 	b := with(`[{"svc":"a","wt":80},{"svc":"b","wt":20}]`, `{"body_max_bytes":9007199254740992,"x":"A"}`)
@@ -68,13 +95,14 @@
 		"caps  body_max_bytes: 9007199254740993 -> 9007199254740992",
 	})
 	one := with(`[{"svc":"a","wt":90}]`, `{}`)
-	c.Check(lines(configdiff.Diff(a, one))[0], qt.Equals, `route r1 shares: [{"svc":"a","wt":90},{"svc":"b","wt":10}] -> [{"svc":"a","wt":90}]`)
+	want := `route r1 shares: [{"svc":"a","wt":90},{"svc":"b","wt":10}] -> [{"svc":"a","wt":90}]`
+	c.Check(lines(configdiff.Diff(a, one))[0], qt.Equals, want)
 }
 
 func TestDiffOfNothing(t *testing.T) {
 	c := qt.New(t)
 	c.Check(configdiff.Diff(nil, nil), qt.HasLen, 0)
-	d := doc(c, body(1, "", `{"name":"a"}`, ""))
+	d := document(c, body(1, "", `{"name":"a"}`, ""))
 	first := configdiff.Diff(nil, d)
 	c.Assert(first, qt.HasLen, 1)
 	c.Check(first[0].Added(), qt.IsTrue)
