--- a/internal/fleet/routingconfig/findings.go
+++ b/internal/fleet/routingconfig/findings.go
@@ -7,18 +7,19 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxFindings is the most findings that are reported for one body; a last one then tells that there are more.
+// MaxFindings is the most findings that are reported for one body; one more then says that there are others.
 const MaxFindings = 50
 
 // Finding is one thing wrong with a configuration.
 type Finding struct {
-	// Place is where, as a path of the body: "routing[3].deadline_ms"; "byte 120" where it can't be read; empty for
-	// the body as a whole.
+	// Path is where, as a path of the body: "routing[3].deadline_ms"; "byte 120" where it can't be read; empty for the
+	// body itself.
 	Path string
-	// Text is what is wrong, for the operator to read.
+	// Message is what is wrong, for the operator to read.
 	Message string
 }
 
+// String returns the path and the message.
 func (f Finding) String() string {
 	if f.Path == "" {
 		return f.Message
@@ -29,7 +30,7 @@
 // Findings are all that is wrong, in the order found. None means valid.
 type Findings []Finding
 
-// Err is nil when there are no findings, else one error that tells them all.
+// Err returns nil when there are no findings, else one error with all of them, one a line.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -37,7 +38,7 @@
 	return errors.New(f.String())
 }
 
-// String is the findings, one a line.
+// String returns the findings, one a line.
 func (f Findings) String() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -46,7 +47,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// add notes a finding; beyond MaxFindings it only notes that there are more.
+// add adds a finding; beyond MaxFindings only one that says that there are more.
 func (f *Findings) add(path, format string, args ...any) {
 	switch {
 	case len(*f) < MaxFindings:
--- a/internal/fleet/routingconfig/index.go
+++ b/internal/fleet/routingconfig/index.go
@@ -7,11 +7,11 @@
 
 // Index is the route table of one Document. It is immutable and safe for use by many goroutines.
 type Index struct {
-	hosts    map[string]*node // by host in lower case; a host's node stands for the prefix "/"
+	hosts    map[string]*node // by host in lower case; a host's node is that of the prefix "/"
 	services map[string]*Service
 }
 
-// node stands for one prefix of a host; the children are by the segment that comes after it.
+// node is one prefix of a host; its children are by the segment that follows.
 type node struct {
 	route    *Route
 	children map[string]*node
@@ -20,55 +20,72 @@
 // Route is a route of the Index: the operator's fields and its services resolved.
 type Route struct {
 	*RouteSpec
-	// Shares are the services that get requests, without those of weight 0; one or more.
+	// WeightedServices are the services that get requests, without those of weight 0; one or more.
 	WeightedServices []WeightedService
-	bounds           []uint64 // of each share but the last, the first u that is beyond it; nil for one share
+
+	// bounds has, for each of WeightedServices but the last, the first number of Pick that is beyond it.
+	bounds []uint64
 }
 
 // WeightedService is one service of a route.
 type WeightedService struct {
+	// Service must not be changed.
 	Service *Service
 	// Weight is above 0.
 	Weight float64
 }
 
-// NewIndex builds the route table of a document (nil: an empty one), in time linear in its size.
+// NewIndex returns the route table of a document (nil: an empty one), in time linear in its size.
 func NewIndex(d *Document) *Index {
 	if d == nil {
 		d = &Document{}
 	}
-	x := &Index{hosts: make(map[string]*node), services: make(map[string]*Service, len(d.services))}
+	x := &Index{
+		hosts:    make(map[string]*node),
+		services: make(map[string]*Service, len(d.services)),
+	}
 	for _, s := range d.services {
 		x.services[s.Name] = &s.Service
 	}
-	all := make([]Route, len(d.routes))
+	routes := make([]Route, len(d.routes))
 	for i, r := range d.routes {
-		all[i] = Route{RouteSpec: &r.RouteSpec}
-		x.resolve(&all[i])
-		host := lowerHost(r.Hostname)
-		n := x.hosts[host]
-		if n == nil {
-			n = &node{}
-			x.hosts[host] = n
-		}
-		for rest := r.Prefix[1:]; rest != ""; {
-			segment, after, _ := strings.Cut(rest, "/")
-			next := n.children[segment]
-			if next == nil {
-				if n.children == nil {
-					n.children = make(map[string]*node)
-				}
-				next = &node{}
-				n.children[segment] = next
-			}
-			n, rest = next, after
-		}
-		n.route = &all[i]
+		routes[i] = Route{RouteSpec: &r.RouteSpec}
+		x.resolve(&routes[i])
+		x.insert(&routes[i])
 	}
 	return x
 }
 
-// resolve fills in the shares of a route.
+// insert adds a route to the tree of its host.
+func (x *Index) insert(r *Route) {
+	host := lowerHost(r.Hostname)
+	n := x.hosts[host]
+	if n == nil {
+		n = &node{}
+		x.hosts[host] = n
+	}
+	for rest := r.Prefix[1:]; rest != ""; {
+		segment, after, _ := strings.Cut(rest, "/")
+		n = n.child(segment)
+		rest = after
+	}
+	n.route = r
+}
+
+// child returns the node of a segment below this one, which it makes where there is none.
+func (n *node) child(segment string) *node {
+	if n.children == nil {
+		n.children = make(map[string]*node)
+	}
+	next := n.children[segment]
+	if next == nil {
+		next = &node{}
+		n.children[segment] = next
+	}
+	return next
+}
+
+// resolve fills in the services of a route and the bounds for Pick.
 func (x *Index) resolve(r *Route) {
 	if len(r.Split) == 0 {
 		r.WeightedServices = []WeightedService{{Service: x.services[r.ServiceName], Weight: 1}}
@@ -77,7 +94,8 @@
 	total := 0.0
 	for _, s := range r.Split {
 		if s.Weight > 0 {
-			r.WeightedServices = append(r.WeightedServices, WeightedService{Service: x.services[s.ServiceName], Weight: s.Weight})
+			service := x.services[s.ServiceName]
+			r.WeightedServices = append(r.WeightedServices, WeightedService{Service: service, Weight: s.Weight})
 			total += s.Weight
 		}
 	}
@@ -93,7 +111,7 @@
 	}
 }
 
-// Lookup finds the route of the host with the longest prefix with which the path begins. A port at the end of host is
+// Lookup returns the route of the host with the longest prefix with which the path begins. A port at the end of host is
 // left out and its case doesn't count. The path is the one in the request line, without its query and not decoded. It
 // allocates nothing and takes time linear in the lengths of host and path. A host longer than 255 bytes has no route.
 func (x *Index) Lookup(host, path string) (*Route, bool) {
@@ -118,7 +136,7 @@
 	return found, found != nil
 }
 
-// host finds the node of a host in any case.
+// host returns the node of a host in any case; nil where there is none.
 func (x *Index) host(host string) *node {
 	if n := x.hosts[host]; n != nil {
 		return n
@@ -137,7 +155,7 @@
 	return x.hosts[string(lower[:len(host)])]
 }
 
-// withoutPort cuts a port off a Host header's value; an IPv6 address keeps its brackets.
+// withoutPort returns a Host header's value without its port; an IPv6 address keeps its brackets.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
@@ -146,13 +164,14 @@
 	return host[:colon]
 }
 
-// Service finds a service by its name.
+// Service returns a service by its name; it must not be changed.
 func (x *Index) Service(name string) (*Service, bool) {
 	s, ok := x.services[name]
 	return s, ok
 }
 
-// Pick chooses a share by weight. u must be spread evenly over all 64 bits; the same u gives the same share.
+// Pick returns one of the route's services by weight. u must be spread evenly over all 64 bits; the same u gives the
+// same service.
 func (r *Route) Pick(u uint64) *Service {
 	for i, bound := range r.bounds {
 		if u < bound {
@@ -161,3 +180,13 @@
 	}
 	return r.WeightedServices[len(r.WeightedServices)-1].Service
 }
+
+// lowerHost returns a host name in lower case; only ASCII letters are changed, as in host names on the wire.
+func lowerHost(host string) string {
+	return strings.Map(func(r rune) rune {
+		if 'A' <= r && r <= 'Z' {
+			return r + 'a' - 'A'
+		}
+		return r
+	}, host)
+}
--- a/internal/fleet/routingconfig/show.go
+++ b/internal/fleet/routingconfig/show.go
@@ -9,13 +9,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Show is the whole configuration as JSON, for cfg/show and snapshots: each item, caps and tenants as the operator sent
-// them, then the top-level fields this program doesn't know. The nil Document shows version 0 with empty lists.
+// Show returns the complete configuration as JSON, for cfg/show and snapshots: each item, caps and tenants as the
+// operator sent them, then the top-level fields that this program doesn't know. The nil Document shows version 0 with
+// empty lists.
 func (d *Document) Show() []byte {
 	if d == nil {
 		d = &Document{}
 	}
-	size := 64 + len(d.caps)
+	b := append(make([]byte, 0, d.shownBytes()), `{"ver":`...)
+	b = strconv.AppendInt(b, d.version, 10)
+	b = append(b, `,"routing":`...)
+	b = appendItems(b, d.routes)
+	b = append(b, `,"svcs":`...)
+	b = appendItems(b, d.services)
+	if d.caps != nil {
+		b = append(b, `,"caps":`...)
+		b = append(b, d.caps...)
+	}
+	if d.tenants != nil {
+		b = append(b, `,"tenants":`...)
+		b = appendItems(b, d.tenants)
+	}
+	for _, m := range d.extra {
+		key, _ := json.Marshal(m.key) // strings always marshal
+		b = append(b, ',')
+		b = append(b, key...)
+		b = append(b, ':')
+		b = append(b, m.value...)
+	}
+	return append(b, '}')
+}
+
+// shownBytes returns about how many bytes Show returns, so that it allocates once.
+func (d *Document) shownBytes() int {
+	const (
+		frameBytes  = 64 // the keys and brackets of the document
+		tenantBytes = 16 // beyond a tenant's JSON; one of them pays for the key
+		memberBytes = 8  // quotes, colon and comma of a member, and some escapes
+	)
+	size := frameBytes + len(d.caps)
 	for _, r := range d.routes {
 		size += len(r.raw) + 1
 	}
@@ -23,49 +55,27 @@
 		size += len(s.raw) + 1
 	}
 	for _, t := range d.tenants {
-		size += len(t.raw) + 16
+		size += len(t.raw) + tenantBytes
 	}
 	for _, m := range d.extra {
-		size += len(m.key) + len(m.value) + 8
-	}
-	b := append(make([]byte, 0, size), `{"ver":`...)
-	b = strconv.AppendInt(b, d.version, 10)
-	b = append(b, `,"routing":[`...)
-	for i, r := range d.routes {
-		if i > 0 {
-			b = append(b, ',')
-		}
-		b = append(b, r.raw...)
+		size += len(m.key) + len(m.value) + memberBytes
 	}
-	b = append(b, `],"svcs":[`...)
-	for i, s := range d.services {
+	return size
+}
+
+// appendItems appends a list of items as the operator sent them.
+func appendItems[T namedItem](b []byte, items []T) []byte {
+	b = append(b, '[')
+	for i, item := range items {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = append(b, s.raw...)
-	}
-	b = append(b, ']')
-	if d.caps != nil {
-		b = append(append(b, `,"caps":`...), d.caps...)
-	}
-	if d.tenants != nil {
-		b = append(b, `,"tenants":[`...)
-		for i, t := range d.tenants {
-			if i > 0 {
-				b = append(b, ',')
-			}
-			b = append(b, t.raw...)
-		}
-		b = append(b, ']')
+		b = append(b, item.rawJSON()...)
 	}
-	for _, m := range d.extra {
-		key, _ := json.Marshal(m.key) // strings always marshal
-		b = append(append(append(append(b, ','), key...), ':'), m.value...)
-	}
-	return append(b, '}')
+	return append(b, ']')
 }
 
-// Equal tells whether both show the same bytes.
+// Equal returns whether both documents show the same bytes.
 func (d *Document) Equal(other *Document) bool {
 	if d == nil {
 		d = &Document{}
@@ -77,21 +87,31 @@
 		return true
 	}
 	return d.version == other.version &&
-		slices.EqualFunc(d.routes, other.routes, func(a, b *routeItem) bool { return a == b || bytes.Equal(a.raw, b.raw) }) &&
-		slices.EqualFunc(d.services, other.services,
-			func(a, b *serviceItem) bool { return a == b || bytes.Equal(a.raw, b.raw) }) &&
-		slices.EqualFunc(d.tenants, other.tenants, func(a, b *tenantItem) bool { return a == b || bytes.Equal(a.raw, b.raw) }) &&
+		equalItems(d.routes, other.routes) &&
+		equalItems(d.services, other.services) &&
+		equalItems(d.tenants, other.tenants) &&
 		(d.tenants == nil) == (other.tenants == nil) &&
-		(d.caps == nil) == (other.caps == nil) && bytes.Equal(d.caps, other.caps) &&
-		slices.EqualFunc(d.extra, other.extra,
-			func(a, b member) bool { return a.key == b.key && bytes.Equal(a.value, b.value) })
+		(d.caps == nil) == (other.caps == nil) &&
+		bytes.Equal(d.caps, other.caps) &&
+		slices.EqualFunc(d.extra, other.extra, member.equal)
+}
+
+// equalItems compares the operator's JSON of the items; documents that follow on each other share most of these.
+func equalItems[T namedItem](items, others []T) bool {
+	return slices.EqualFunc(items, others, func(a, b T) bool {
+		return a == b || bytes.Equal(a.rawJSON(), b.rawJSON())
+	})
+}
+
+func (m member) equal(other member) bool {
+	return m.key == other.key && bytes.Equal(m.value, other.value)
 }
 
-// Digest recognises the same call coming again: a hash over the operation ("replace", "update"), the base version and the
-// body's bytes. It is not proof against a sender that looks for collisions.
+// Digest returns a hash over the operation ("replace", "update"), the base version and the body's bytes, by which a
+// call that is sent again is recognised. A sender that looks for collisions finds them.
 func Digest(op string, base int64, body []byte) uint64 {
 	h := xxhash.New()
-	_, _ = h.WriteString(op)
+	_, _ = h.WriteString(op) // a hash takes every write
 	_, _ = h.WriteString("\x00" + strconv.FormatInt(base, 10) + "\x00")
 	_, _ = h.Write(body)
 	return h.Sum64()
