--- a/internal/fleet/routingconfig/index_test.go
+++ b/internal/fleet/routingconfig/index_test.go
@@ -14,9 +14,11 @@
 
 func TestLookup(t *testing.T) {
 	r := func(name, host, pfx string) string {
-		return `{"name":"` + name + `","hostname":"` + host + `","pfx":"` + pfx + `","kind":"stream","deadline_ms":1,"svc":"a"}`
+		return `{"name":"` + name + `","hostname":"` + host + `","pfx":"` + pfx +
+			`","kind":"stream","deadline_ms":1,"svc":"a"}`
 	}
-	d := decode(t, whole(strings.Join([]string{r("root", "h.example", "/"), r("a", "h.example", "/a/"), r("abc", "h.example", "/a/b/c/"),
+	d := decode(t, configuration(strings.Join([]string{
+		r("root", "h.example", "/"), r("a", "h.example", "/a/"), r("abc", "h.example", "/a/b/c/"),
 		r("empty", "h.example", "/a//"), r("case", "G.Example", "/A/"), r("v6", "[::1]", "/")}, ","), service("a")))
 	x := routingconfig.NewIndex(d)
 	for _, test := range []struct{ host, path, want string }{
@@ -76,7 +78,9 @@
 			}
 			if k := (key{strings.ToLower(host), pfx}); !seen[k] {
 				seen[k] = true
-				routes = append(routes, item{"name": host + pfx, "hostname": host, "pfx": pfx, "kind": "readonly", "deadline_ms": 1, "svc": "a"})
+				routes = append(routes, item{
+					"name": host + pfx, "hostname": host, "pfx": pfx, "kind": "readonly", "deadline_ms": 1, "svc": "a",
+				})
 			}
 		}
 		body, err := json.Marshal(item{"ver": 1, "routing": routes, "svcs": []item{{"name": "a"}}})
@@ -105,9 +109,10 @@
 
 func TestPick(t *testing.T) {
 	c := qt.New(t)
-	x := routingconfig.NewIndex(decode(t, whole(strings.Join([]string{
+	x := routingconfig.NewIndex(decode(t, configuration(strings.Join([]string{
 		route("one", `,"svc":"a"`),
-		route("split", `,"shares":[{"svc":"z","wt":0},{"svc":"a","wt":1},{"svc":"z","wt":0},{"svc":"b","wt":3},{"svc":"z","wt":0}]`),
+		route("split", `,"shares":[{"svc":"z","wt":0},{"svc":"a","wt":1},{"svc":"z","wt":0},`+
+			`{"svc":"b","wt":3},{"svc":"z","wt":0}]`),
 		route("tiny", `,"shares":[{"svc":"a","wt":1e300},{"svc":"b","wt":1e-300}]`),
 		route("both", `,"svc":"z","shares":[{"svc":"b","wt":1}]`),
 	}, ","), service("a")+","+service("b")+","+service("z"))))
--- a/internal/fleet/routingconfig/update_test.go
+++ b/internal/fleet/routingconfig/update_test.go
@@ -19,11 +19,15 @@
 	d := decode(t, `{"ver":3,"zz":{"q": 1},"routing":[`+r("r1", "")+`,`+r("r2", "")+`,`+r("r3", "")+`,`+r("r4", "")+
 		`],"svcs":[`+service("a")+`,{"name":"b","new":[true]},`+service("c")+`],"caps":{"hdr_max_bytes":5,"later":7}}`)
 	before := string(d.Show())
-	body := []byte(`{"ver":8,"upsert":{"routing":[` + r("new", "") + `,` + r("r3", `,"prio":2`) + `,` + r("r4", `,"prio":3`) +
-		`],"svcs":[` + service("d") + `,{"name":"a","z":0}]},"remove":{"routing":["r2","gone","r4","r2"],"svcs":["c","gone"]},"later":1}`)
+	body := []byte(`{"ver":8,"upsert":{"routing":[` +
+		r("new", "") + `,` + r("r3", `,"prio":2`) + `,` + r("r4", `,"prio":3`) +
+		`],"svcs":[` + service("d") + `,{"name":"a","z":0}]},` +
+		`"remove":{"routing":["r2","gone","r4","r2"],"svcs":["c","gone"]},"later":1}`)
 	next := update(t, d, string(body))
-	want := `{"ver":8,"routing":[` + r("r1", "") + `,` + r("r3", `,"prio":2`) + `,` + r("r4", `,"prio":3`) + `,` + r("new", "") +
-		`],"svcs":[{"name":"a","z":0},{"name":"b","new":[true]},` + service("d") + `],"caps":{"hdr_max_bytes":5,"later":7},"zz":{"q": 1}}`
+	want := `{"ver":8,"routing":[` +
+		r("r1", "") + `,` + r("r3", `,"prio":2`) + `,` + r("r4", `,"prio":3`) + `,` + r("new", "") +
+		`],"svcs":[{"name":"a","z":0},{"name":"b","new":[true]},` + service("d") +
+		`],"caps":{"hdr_max_bytes":5,"later":7},"zz":{"q": 1}}`
 	c.Assert(string(next.Show()), qt.Equals, want)
 	c.Assert(string(d.Show()), qt.Equals, before)
 	c.Assert(next.Config().Routes[1].Priority, qt.Equals, 2)
@@ -33,17 +37,18 @@
 	capped := update(t, next, `{"ver":9,"upsert":{"caps":{"hdr_max_bytes":6}}}`)
 	c.Assert(capped.Limits().MaxHeaderBytes, qt.Equals, int64(6))
 	c.Assert(string(capped.Show()), qt.Equals,
-		strings.Replace(strings.Replace(want, `{"hdr_max_bytes":5,"later":7}`, `{"hdr_max_bytes":6}`, 1), `"ver":8`, `"ver":9`, 1))
+		strings.NewReplacer(`{"hdr_max_bytes":5,"later":7}`, `{"hdr_max_bytes":6}`, `"ver":8`, `"ver":9`).Replace(want))
 	c.Assert(capped.Equal(next), qt.IsFalse)
 
 	null := update(t, next, `{"ver":9,"upsert":{"routing":null,"svcs":null,"caps":null},"remove":null}`)
 	c.Assert(string(null.Show()), qt.Equals, strings.Replace(want, `"ver":8`, `"ver":9`, 1))
 }
 
-// TestUpdateKeepsNoneOfTheBody writes over the body once it has been taken.
-func TestUpdateKeepsNoneOfTheBody(t *testing.T) {
-	d := decode(t, wholeExample)
-	body := []byte(`{"ver":8,"upsert":{"routing":[` + route("q", `,"svc":"huvo11a"`) + `],"svcs":[` + service("s") + `],"caps":{"n":1}}}`)
+// TestUpdateSharesNoMemoryWithBody overwrites the body once the update is done.
+func TestUpdateSharesNoMemoryWithBody(t *testing.T) {
+	d := decode(t, configurationExample)
+	body := []byte(`{"ver":8,"upsert":{"routing":[` + route("q", `,"svc":"huvo11a"`) + `],"svcs":[` + service("s") +
+		`],"caps":{"n":1}}}`)
 	next, found := routingconfig.Update(d, body)
 	qt.Assert(t, found, qt.HasLen, 0)
 	shown := string(next.Show())
@@ -54,26 +59,57 @@
 }
 
 func TestUpdateInvalid(t *testing.T) {
-	d := decode(t, whole(route("r", `,"svc":"a"`)+","+route("q", `,"shares":[{"svc":"a","wt":1},{"svc":"b","wt":0}]`), service("a")+","+service("b")))
+	routes := route("r", `,"svc":"a"`) + "," + route("q", `,"shares":[{"svc":"a","wt":1},{"svc":"b","wt":0}]`)
+	d := decode(t, configuration(routes, service("a")+","+service("b")))
+	named := func(name, old string) string {
+		return strings.Replace(route(old, `,"svc":"a"`), `"name":"`+old+`"`, `"name":"`+name+`"`, 1)
+	}
 	for name, test := range map[string]struct{ body, want string }{
-		"cut off":            {`{"ver":4,`, "byte .*: not JSON: .*"},
-		"key twice":          {`{"ver":4,"remove":{},"remove":{}}`, "remove: the key is given twice"},
-		"no version":         {`{}`, "ver: must be given"},
-		"not above":          {`{"ver":3}`, "ver: 3 is not above the current version, 3"},
-		"upsert a list":      {`{"ver":4,"upsert":[]}`, "upsert: must be an object"},
-		"remove a list":      {`{"ver":4,"remove":[]}`, "remove: must be an object"},
-		"routes an object":   {`{"ver":4,"upsert":{"routing":{}}}`, "upsert.routing: must be a list"},
-		"names a text":       {`{"ver":4,"remove":{"svcs":"a"}}`, "remove.svcs: must be a list"},
-		"name an item":       {`{"ver":4,"remove":{"routing":["x",{"name":"r"}]}}`, `remove.routing\[1\]: must be a string`},
-		"caps text":          {`{"ver":4,"upsert":{"caps":{"idle_timeout_ms":""}}}`, "upsert.caps.idle_timeout_ms: must be a number"},
-		"item wrong":         {`{"ver":4,"upsert":{"routing":[` + strings.Replace(route("n", `,"svc":"a"`), `:100`, `:0`, 1) + `]}}`, `upsert.routing\[0\].deadline_ms: must be above 0`},
-		"item twice":         {`{"ver":4,"upsert":{"svcs":[` + service("n") + `,` + service("n") + `]}}`, `upsert.svcs\[1\].name: "n" is the name of upsert.svcs\[0\] too`},
-		"unknown service":    {`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"z"`) + `]}}`, `upsert.routing\[0\].svc: the service "z" is not known`},
-		"service removed":    {`{"ver":4,"remove":{"svcs":["b"]}}`, `route "q".shares\[1\].svc: the service "b" is not known`},
-		"both removed":       {`{"ver":4,"remove":{"svcs":["a"],"routing":["q"]}}`, `route "r".svc: the service "a" is not known`},
-		"address of old":     {`{"ver":4,"upsert":{"routing":[` + strings.Replace(route("r", `,"svc":"a"`), `"name":"r"`, `"name":"n"`, 1) + `]}}`, `upsert.routing\[0\]: has the hostname and pfx of the route "r"`},
-		"address of new":     {`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"a"`) + `,` + strings.Replace(route("n", `,"svc":"a"`), `"name":"n"`, `"name":"m"`, 1) + `]}}`, `upsert.routing\[1\]: has the same hostname and pfx as upsert.routing\[0\]`},
-		"moved onto another": {`{"ver":4,"upsert":{"routing":[` + strings.Replace(route("q", `,"svc":"a"`), `"name":"q"`, `"name":"r"`, 1) + `]}}`, `upsert.routing\[0\]: has the hostname and pfx of the route "q"`},
+		"cut off":          {`{"ver":4,`, "byte .*: not JSON: .*"},
+		"key twice":        {`{"ver":4,"remove":{},"remove":{}}`, "remove: the key is given twice"},
+		"no version":       {`{}`, "ver: must be given"},
+		"not above":        {`{"ver":3}`, "ver: 3 is not above the current version, 3"},
+		"upsert a list":    {`{"ver":4,"upsert":[]}`, "upsert: must be an object"},
+		"remove a list":    {`{"ver":4,"remove":[]}`, "remove: must be an object"},
+		"routes an object": {`{"ver":4,"upsert":{"routing":{}}}`, "upsert.routing: must be a list"},
+		"names a text":     {`{"ver":4,"remove":{"svcs":"a"}}`, "remove.svcs: must be a list"},
+		"name an item":     {`{"ver":4,"remove":{"routing":["x",{"name":"r"}]}}`, `remove.routing\[1\]: must be a string`},
+		"caps text": {
+			`{"ver":4,"upsert":{"caps":{"idle_timeout_ms":""}}}`,
+			"upsert.caps.idle_timeout_ms: must be a number",
+		},
+		"item wrong": {
+			`{"ver":4,"upsert":{"routing":[` + strings.Replace(route("n", `,"svc":"a"`), `:100`, `:0`, 1) + `]}}`,
+			`upsert.routing\[0\].deadline_ms: must be above 0`,
+		},
+		"item twice": {
+			`{"ver":4,"upsert":{"svcs":[` + service("n") + `,` + service("n") + `]}}`,
+			`upsert.svcs\[1\].name: "n" is the name of upsert.svcs\[0\] too`,
+		},
+		"unknown service": {
+			`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"z"`) + `]}}`,
+			`upsert.routing\[0\].svc: the service "z" is not known`,
+		},
+		"service removed": {
+			`{"ver":4,"remove":{"svcs":["b"]}}`,
+			`route "q".shares\[1\].svc: the service "b" is not known`,
+		},
+		"both removed": {
+			`{"ver":4,"remove":{"svcs":["a"],"routing":["q"]}}`,
+			`route "r".svc: the service "a" is not known`,
+		},
+		"match of old": {
+			`{"ver":4,"upsert":{"routing":[` + named("n", "r") + `]}}`,
+			`upsert.routing\[0\]: has the hostname and pfx of the route "r"`,
+		},
+		"match of new": {
+			`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"a"`) + `,` + named("m", "n") + `]}}`,
+			`upsert.routing\[1\]: has the same hostname and pfx as upsert.routing\[0\]`,
+		},
+		"moved onto another": {
+			`{"ver":4,"upsert":{"routing":[` + named("r", "q") + `]}}`,
+			`upsert.routing\[0\]: has the hostname and pfx of the route "q"`,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next, found := routingconfig.Update(d, []byte(test.body))
@@ -119,17 +155,17 @@
 
 func distinctNames(i item) string { return i["name"].(string) }
 
-// apply is what an update means, written the plain way.
-func apply(old, put []item, gone []string) []item {
+// apply is what an update means, without regard to its cost.
+func apply(old, upserts []item, removed []string) []item {
 	out := []item{}
 	for _, have := range old {
 		keep := have
-		for _, name := range gone {
+		for _, name := range removed {
 			if have["name"] == name {
 				keep = nil
 			}
 		}
-		for _, p := range put {
+		for _, p := range upserts {
 			if p["name"] == have["name"] {
 				keep = p
 			}
@@ -138,7 +174,7 @@
 			out = append(out, keep)
 		}
 	}
-	for _, p := range put {
+	for _, p := range upserts {
 		isNew := true
 		for _, have := range old {
 			isNew = isNew && have["name"] != p["name"]
@@ -150,8 +186,8 @@
 	return out
 }
 
-// TestUpdateEqualsReplace compares each update with the whole configuration it leads to: both are taken, and show the
-// same, or neither.
+// TestUpdateEqualsReplace compares each update with the configuration it leads to: both are accepted, and show the
+// same, or neither is.
 func TestUpdateEqualsReplace(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		t, c := r, qt.New(property{t, r})
@@ -163,16 +199,19 @@
 		var doc *routingconfig.Document
 		routes, services := []item{}, []item{}
 		for ver := 1; ver <= rapid.IntRange(2, 12).Draw(t, "steps"); ver++ {
-			putR := rapid.SliceOfNDistinct(rapid.Custom(drawRoute), 0, 3, distinctNames).Draw(t, "routes")
-			putS := rapid.SliceOfNDistinct(rapid.Custom(drawService), 0, 3, distinctNames).Draw(t, "services")
-			goneR := rapid.SliceOfN(rapid.SampledFrom([]string{"r1", "r2", "r3", "zz"}), 0, 2).Draw(t, "gone routes")
-			goneS := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "zz"}), 0, 1).Draw(t, "gone services")
-			newR, newS := apply(routes, putR, goneR), apply(services, putS, goneS)
+			putRoutes := rapid.SliceOfNDistinct(rapid.Custom(drawRoute), 0, 3, distinctNames).Draw(t, "routes")
+			putServices := rapid.SliceOfNDistinct(rapid.Custom(drawService), 0, 3, distinctNames).Draw(t, "services")
+			removedRoutes := rapid.SliceOfN(rapid.SampledFrom([]string{"r1", "r2", "r3", "zz"}), 0, 2).Draw(t, "gone routes")
+			removedServices := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "zz"}), 0, 1).Draw(t, "gone services")
+			newRoutes, newServices := apply(routes, putRoutes, removedRoutes), apply(services, putServices, removedServices)
 
 			before := doc.Show()
-			next, found := routingconfig.Update(doc, marshal(item{"ver": ver,
-				"upsert": item{"routing": putR, "svcs": putS}, "remove": item{"routing": goneR, "svcs": goneS}}))
-			body := marshal(item{"ver": ver, "routing": newR, "svcs": newS})
+			next, found := routingconfig.Update(doc, marshal(item{
+				"ver":    ver,
+				"upsert": item{"routing": putRoutes, "svcs": putServices},
+				"remove": item{"routing": removedRoutes, "svcs": removedServices},
+			}))
+			body := marshal(item{"ver": ver, "routing": newRoutes, "svcs": newServices})
 			want, wantFound := routingconfig.Replace(doc, body)
 			c.Assert(doc.Show(), qt.DeepEquals, before)
 			c.Assert(len(found) == 0, qt.Equals, len(wantFound) == 0, qt.Commentf("%v\n%v", found, wantFound))
@@ -185,7 +224,7 @@
 			c.Assert(json.Unmarshal(next.Show(), &shown), qt.IsNil)
 			c.Assert(json.Unmarshal(body, &sent), qt.IsNil)
 			c.Assert(shown, qt.DeepEquals, sent)
-			doc, routes, services = next, newR, newS
+			doc, routes, services = next, newRoutes, newServices
 		}
 	})
 }
@@ -198,14 +237,16 @@
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		fmt.Fprintf(&b, `{"name":"r-%d","hostname":"host%d.example","pfx":"/p%d/","kind":"stream","deadline_ms":2000,"target_ms":150,"prio":1,"shares":[{"svc":"a","wt":90},{"svc":"b","wt":10}],"tries":2,"pin":true,"resumable":true,"gap_aim_ms":150}`, i, i%7, i)
+		fmt.Fprintf(&b, `{"name":"r-%d","hostname":"host%d.example","pfx":"/p%d/","kind":"stream",`+
+			`"deadline_ms":2000,"target_ms":150,"prio":1,"shares":[{"svc":"a","wt":90},{"svc":"b","wt":10}],`+
+			`"tries":2,"pin":true,"resumable":true,"gap_aim_ms":150}`, i, i%7, i)
 	}
 	b.WriteString("]}")
 	return b.String()
 }
 
-// TestManyRoutes changes one route and all routes of 100,000. The bound for one is far above what it takes, so that a busy
-// machine doesn't fail it.
+// TestManyRoutes changes one route and all routes of 100,000. The bound for one is far above what it takes, so that a
+// busy machine doesn't fail it.
 func TestManyRoutes(t *testing.T) {
 	c := qt.New(t)
 	const n = 100_000
@@ -215,7 +256,9 @@
 	t.Logf("decode: %v", time.Since(began))
 
 	began = time.Now()
-	one := update(t, d, `{"ver":2,"upsert":{"routing":[`+route("new", `,"svc":"a"`)+`]},"remove":{"routing":["r-5"],"svcs":["zz"]}}`)
+	oneRoute := `{"ver":2,"upsert":{"routing":[` + route("new", `,"svc":"a"`) +
+		`]},"remove":{"routing":["r-5"],"svcs":["zz"]}}`
+	one := update(t, d, oneRoute)
 	t.Logf("update of one: %v", time.Since(began))
 	c.Assert(time.Since(began) < time.Second, qt.IsTrue)
 	c.Assert(one.NumRoutes(), qt.Equals, n)
