--- a/internal/fleet/controlplane/planted_test.go
+++ b/internal/fleet/controlplane/planted_test.go
@@ -34,8 +34,8 @@
 	fileBackend   = "../externalapi/backend.go"
 	fileLink      = "../distribution/link.go"
 	fileCache     = "../distribution/cache.go"
-	fileAgent     = "../nodeagent/nodeagent.go"
-	fileSource    = "../nodeagent/source.go"
+	filePolling   = "../nodeagent/polling.go"
+	fileSelection = "../nodeagent/selection.go"
 	fileContact   = "../replication/contact.go"
 	filePrimary   = "../replication/primary.go"
 
@@ -68,11 +68,11 @@
 	{"an order that was given up may come later", fileBackend, []string{"_ = tcp.SetLinger(0)", "_ = tcp.SetLinger(-1)"}, inThis, "^TestOrderGivenUpIsReset$"},
 	{"an old answer counts as new when it is read", fileLink, []string{"\t\tn.addTransitTime(sent)\n", ""}, inDistribution, "^TestAgeCountsTheWay$"},
 	{"the wait for news counts as age", fileCache, []string{"WaitedMs: held.Milliseconds()", "WaitedMs: 0 * held.Milliseconds()"}, inDistribution, "^TestAgeCountsTheWay$"},
-	{"a control server that is cut off is kept", fileSource, []string{"\tif contactAge < s.maxContactAge {\n\t\ts.staleInARow = 0", "\tif contactAge < 20*s.maxContactAge {\n\t\ts.staleInARow = 0"}, inAgent, "^TestCutOffSourceIsLeftInTime$"},
-	{"each control server is followed for a wait", fileSource, []string{"\tcase s.staleInARow < servers:\n\t\treturn 0\n", ""}, inAgent, "^TestCutOffSourceIsLeftInTime$"},
-	{"a core without a primary is pressed", fileSource, []string{"\tcase s.staleInARow < servers:", "\tcase s.staleInARow >= 0:"}, inAgent, "^TestCoreWithoutPrimaryIsNotPressed$"},
-	{"the list of a control server that is cut off replaces a newer one", fileAgent, []string{"if resource == nil || a.pending.superseded(lastContact) {", "if _ = lastContact; resource == nil {"}, inAgent, "^TestListPolledHereStands$"},
-	{"a list that was polled before isn't passed on again", fileAgent, []string{"a.pending, a.polledList = pendingList{}, nil", "a.pending = pending{}"}, inAgent, "^TestListPolledHereStands$"},
+	{"a control server that is cut off is kept", fileSelection, []string{"\tif contactAge < s.maxContactAge {\n\t\ts.staleInARow = 0", "\tif contactAge < 20*s.maxContactAge {\n\t\ts.staleInARow = 0"}, inAgent, "^TestPartitionedServerIsLeftInTime$"},
+	{"each control server is followed for a wait", fileSelection, []string{"\tcase s.staleInARow < servers:\n\t\treturn 0\n", ""}, inAgent, "^TestPartitionedServerIsLeftInTime$"},
+	{"a core without a primary is pressed", fileSelection, []string{"\tcase s.staleInARow < servers:", "\tcase s.staleInARow >= 0:"}, inAgent, "^TestPullRateIsBoundedWithoutPrimary$"},
+	{"the list of a control server that is cut off replaces a newer one", filePolling, []string{"if resource == nil || a.pending.superseded(lastContact) {", "if _ = lastContact; resource == nil {"}, inAgent, "^TestDirectlyPolledListIsKept$"},
+	{"a list that was polled before isn't passed on again", filePolling, []string{"\ta.polledList = nil\n", ""}, inAgent, "^TestDirectlyPolledListIsKept$"},
 }
 
 // plant builds the tests of a package with a fault in it, by the compiler's overlay: nothing in the tree is changed. Without build it
--- a/internal/fleet/nodeagent/nodeagent_test.go
+++ b/internal/fleet/nodeagent/nodeagent_test.go
@@ -14,24 +14,29 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// A control server that is cut off from its primary still answers pulls; whoever follows it must leave it in time for a
-// change to be in force within the bound. This was missed by milliseconds on two days.
+// TestStaleControlServerIsLeft: a control server that is partitioned off from its primary still answers pulls; an agent
+// must leave it in time for a change to be in force within the bound. This was missed by milliseconds on two days.
 func TestStaleControlServerIsLeft(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ips := []string{"127.0.4.1", "127.0.4.2", "127.0.4.3", "127.0.4.4", "127.0.0.1"}
 	ports := simulation.ChoosePorts(t, 4, ips...)
-	set := settings.Settings{NodeName: "edge-1", Zone: "z", Ports: [2]int{ports.First, ports.First + 3}, Heartbeat: 1200 * time.Millisecond}
+	set := settings.Settings{
+		NodeName:  "edge-1",
+		Zone:      "z",
+		Ports:     [2]int{ports.First, ports.First + 3},
+		Heartbeat: 1200 * time.Millisecond,
+	}
 	set.Bounds.Apply = 2 * time.Second
 	set.Bounds.Drain = time.Minute
-	stores := map[string]*distribution.Cache{}
+	caches := map[string]*distribution.Cache{}
 	for _, ip := range ips[:4] {
 		ln, err := net.Listen("tcp", distribution.PullAddr(ip, set.Ports))
 		c.Assert(err, qt.IsNil)
 		defer ln.Close()
 		s := distribution.NewCache()
-		stores[ip] = s
+		caches[ip] = s
 		s.SetSnapshot(distribution.ConfigType, distribution.Version{Count: 1}, []byte("old"))
 		stale := ip != ips[3]
 		s.RecordContact("primary", time.Now())
@@ -61,22 +66,27 @@
 		}
 	}
 	wait(1, 5*time.Second)
-	// Only the one that hears its primary gets the change, after all have been fresh for a moment.
-	stores[ips[3]].SetSnapshot(distribution.ConfigType, distribution.Version{Count: 2}, []byte("new"))
+	// Only the server in touch with the primary gets the change; all had a recent contact a moment before.
+	caches[ips[3]].SetSnapshot(distribution.ConfigType, distribution.Version{Count: 2}, []byte("new"))
 	took := wait(2, 10*time.Second)
 	c.Assert(took < 3*set.Bounds.Apply, qt.IsTrue, qt.Commentf("%v with three of four stale", took))
 	t.Logf("left the stale ones after %v", took)
 }
 
-// All seeds may be replaced one after the other while a node agent lives: it learns the core's members, and reads the
-// seeds anew when none that it knows answers.
+// TestReplacedCoreIsFound: all seeds may be replaced one after the other while a node agent runs: it learns the control
+// servers' addresses, and reads the seeds anew when none that it knows answers.
 func TestReplacedCoreIsFound(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ips := []string{"127.0.5.1", "127.0.5.2", "127.0.5.3", "127.0.0.1"}
 	ports := simulation.ChoosePorts(t, 4, ips...)
-	set := settings.Settings{NodeName: "edge-1", Zone: "z", Ports: [2]int{ports.First, ports.First + 3}, Heartbeat: 400 * time.Millisecond}
+	set := settings.Settings{
+		NodeName:  "edge-1",
+		Zone:      "z",
+		Ports:     [2]int{ports.First, ports.First + 3},
+		Heartbeat: 400 * time.Millisecond,
+	}
 	set.Bounds.Apply = time.Second
 	set.Bounds.Drain = time.Minute
 	set.Seeds = []string{net.JoinHostPort(ips[0], "1")}
@@ -91,8 +101,14 @@
 			s.SetSnapshot(distribution.ControlServersType, distribution.Version{Count: version}, b)
 		}
 		term, end := context.WithCancel(ctx)
-		go distribution.Serve(term, ln, ip, s, 10*time.Second, func() (time.Time, string) { s.RecordContact("p", time.Now()); return s.LastContact() })
-		return func() { end(); ln.Close() }
+		go distribution.Serve(term, ln, ip, s, 10*time.Second, func() (time.Time, string) {
+			s.RecordContact("p", time.Now())
+			return s.LastContact()
+		})
+		return func() {
+			end()
+			ln.Close()
+		}
 	}
 	first := serve(ips[0], 1, distribution.PullAddr(ips[1], set.Ports))
 	agent := New(set, zap.NewNop())
@@ -115,8 +131,8 @@
 	wait(1)
 	second := serve(ips[1], 2)
 	first()
-	wait(2) // by the members that were told
+	wait(2) // by the control servers' addresses received
 	defer serve(ips[2], 3)()
 	second()
-	wait(3) // by the settings as they are now
+	wait(3) // by the seeds read anew
 }
--- a/internal/fleet/nodeagent/cutoff_test.go
+++ b/internal/fleet/nodeagent/partition_test.go
@@ -26,7 +26,7 @@
 // testTimeout bounds what is waited for that has to come.
 const testTimeout = 20 * time.Second
 
-// testCore is some control servers over loopback, with a network between all machines that can be cut.
+// testCore is some control servers over loopback, with a network between all machines that can be partitioned.
 type testCore struct {
 	*qt.C
 	network *simulation.Network
@@ -35,10 +35,10 @@
 	apply   time.Duration
 }
 
-// agentIP is that of the node agent's machine: its pulls go by the network, too.
+// agentIP is the node agent's address: its pulls go over the simulated network, too.
 const agentIP = "127.0.0.1"
 
-// newTestCore starts control servers at 127.0.net.1 and on; what they and the agent send takes the delay given.
+// newTestCore starts control servers at 127.0.net.1 and on; what they and the agent send is delayed by delay.
 func newTestCore(t *testing.T, net, members, survive int, apply, delay time.Duration) *testCore {
 	c := &testCore{C: qt.New(t), network: simulation.NewNetwork(t), apply: apply}
 	c.network.Delay = delay
@@ -49,7 +49,9 @@
 	c.ports = [2]int{span.First, span.First + 4}
 	for _, ip := range c.ips {
 		set := c.settings(ip, c.ips[:min(3, members)]...)
-		set.Bootstrap, set.DataDir, set.Survive.Nodes = true, c.TempDir(), survive
+		set.Bootstrap = true
+		set.DataDir = c.TempDir()
+		set.Survive.Nodes = survive
 		set.Bind.Control = c.controlAddr(ip)
 		server, err := controlplane.New(set, zap.NewNop(), rand.Uint64)
 		c.Assert(err, qt.IsNil)
@@ -60,7 +62,7 @@
 	return c
 }
 
-// awaitMembers waits until all control servers know of a view with so many members.
+// awaitMembers waits until all control servers report a ready view with so many members.
 func (c *testCore) awaitMembers(members int) {
 	c.Helper()
 	over := time.After(testTimeout)
@@ -96,8 +98,21 @@
 }
 
 func (c *testCore) settings(ip string, seeds ...string) settings.Settings {
-	set := settings.Settings{NodeName: ip, IP: ip, Zone: "z", Region: "east", Zones: map[string]string{"z": "east"}, Ports: c.ports, Heartbeat: 1200 * time.Millisecond}
-	set.Bounds.Apply, set.Bounds.Sync, set.Bounds.Drain, set.Bounds.Lease = c.apply, 4*time.Second, time.Minute, 3*time.Second
+	set := settings.Settings{
+		NodeName:  ip,
+		IP:        ip,
+		Zone:      "z",
+		Region:    "east",
+		Zones:     map[string]string{"z": "east"},
+		Ports:     c.ports,
+		Heartbeat: 1200 * time.Millisecond,
+		Bounds: settings.Bounds{
+			Apply: c.apply,
+			Sync:  4 * time.Second,
+			Drain: time.Minute,
+			Lease: 3 * time.Second,
+		},
+	}
 	for _, seed := range seeds {
 		set.Seeds = append(set.Seeds, c.controlAddr(seed))
 	}
@@ -112,7 +127,7 @@
 	return slices.DeleteFunc(slices.Clone(c.ips), func(ip string) bool { return slices.Contains(than, ip) })
 }
 
-// replaceConfig has a configuration acknowledged by some machines, and tells when.
+// replaceConfig sends a configuration to some control servers and returns when it was acknowledged.
 func (c *testCore) replaceConfig(base, version uint64, ips ...string) time.Time {
 	c.Helper()
 	ctx, cancel := context.WithTimeout(c.Context(), testTimeout)
@@ -122,13 +137,14 @@
 		operator.Ctl = append(operator.Ctl, c.controlAddr(ip))
 	}
 	rep, err := operator.Replace(ctx, base, fmt.Appendf(nil,
-		`{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s"}],"svcs":[{"name":"s","probe":"/healthz"}],"caps":{}}`, version))
+		`{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s"}],`+
+			`"svcs":[{"name":"s","probe":"/healthz"}],"caps":{}}`, version))
 	c.Assert(err, qt.IsNil)
 	c.Assert(rep.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", rep.Body))
 	return rep.At
 }
 
-// status is a control server's own word of how the fleet stands.
+// status asks a control server for the fleet's status as that server knows it.
 func (c *testCore) status(ip string) (*status.Fleet, error) {
 	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + c.controlAddr(ip) + externalapi.CallStatus.Path + "?" + externalapi.QueryLocal)
@@ -153,7 +169,8 @@
 	return host
 }
 
-// startAgent starts a node agent that knows the control servers given; it stays with the first that is fresh.
+// startAgent starts a node agent that knows the control servers given; it follows the first that is in touch with the
+// primary.
 func (c *testCore) startAgent(seeds ...string) *Agent {
 	a := New(c.settings(agentIP, seeds...), zap.NewNop())
 	a.Dial = c.network.Dialer(agentIP)
@@ -161,7 +178,7 @@
 	return a
 }
 
-// awaitChange waits until an agent has a change of the configuration, and tells when.
+// awaitChange waits until an agent has a change of the configuration, and returns when.
 func (c *testCore) awaitChange(a *Agent, change uint64) time.Time {
 	c.Helper()
 	over := time.After(testTimeout)
@@ -178,23 +195,23 @@
 	}
 }
 
-// TestChangeReachesAgentInTime: the control server that a node agent follows is cut off from the core, but not from the agent: a
-// change that is acknowledged afterwards is with the agent within apply_ms.
+// TestChangeReachesAgentInTime: the control server that a node agent follows is partitioned off from the core, but
+// not from the agent: a change that is acknowledged afterwards reaches the agent within apply_ms.
 func TestChangeReachesAgentInTime(t *testing.T) {
 	backup := func(c *testCore) string { return c.others(c.primary())[0] }
 	type situation struct {
 		name             string
 		members, survive int
 		follows          func(c *testCore) string
-		cut              func(c *testCore, followed string) (side []string) // that goes on
+		cut              func(c *testCore, followed string) (majority []string)
 	}
-	whole := func(c *testCore, followed string) []string {
+	isolate := func(c *testCore, followed string) []string {
 		c.network.Part([]string{followed}, c.others(followed))
 		return c.others(followed)
 	}
-	for i, one := range []situation{
-		{"a machine that isn't the primary, whole", 3, 1, backup, whole},
-		{"a machine that isn't the primary, not heard", 3, 1, backup, func(c *testCore, followed string) []string {
+	for i, tc := range []situation{
+		{"a machine that isn't the primary, whole", 3, 1, backup, isolate},
+		{"a machine that isn't the primary, not lastContact", 3, 1, backup, func(c *testCore, followed string) []string {
 			for _, ip := range c.others(followed) {
 				c.network.Cut(followed, ip)
 			}
@@ -206,7 +223,7 @@
 			}
 			return c.others(followed)
 		}},
-		{"the primary", 3, 1, (*testCore).primary, whole},
+		{"the primary", 3, 1, (*testCore).primary, isolate},
 		{"two of five", 5, 2, backup, func(c *testCore, followed string) []string {
 			lost := append([]string{followed}, c.others(followed, c.primary())[0])
 			c.network.Part(lost, c.others(lost...))
@@ -214,14 +231,14 @@
 		}},
 	} {
 		for j, apply := range []time.Duration{2 * time.Second, 2500 * time.Millisecond} {
-			t.Run(fmt.Sprintf("%s %v", one.name, apply), func(t *testing.T) {
-				c := newTestCore(t, 50+2*i+j, one.members, one.survive, apply, 0)
+			t.Run(fmt.Sprintf("%s %v", tc.name, apply), func(t *testing.T) {
+				c := newTestCore(t, 50+2*i+j, tc.members, tc.survive, apply, 0)
 				c.replaceConfig(0, 5, c.ips...)
-				followed := one.follows(c)
+				followed := tc.follows(c)
 				a := c.startAgent(followed)
 				c.awaitChange(a, 1)
 				cut := time.Now()
-				side := one.cut(c, followed)
+				side := tc.cut(c, followed)
 				acked := c.replaceConfig(5, 7, side...)
 				there := c.awaitChange(a, 2)
 				t.Logf("acknowledged %v after the cut, with the agent %v after that", acked.Sub(cut), there.Sub(acked))
@@ -231,8 +248,8 @@
 	}
 }
 
-// TestAgentStartsOnTheMinoritySide: an agent that starts during a cut, with seeds that name only a machine that is cut off, learns of
-// the others by that, and gets what was acknowledged there.
+// TestAgentStartsOnTheMinoritySide: an agent that starts during a partition, with seeds that name only a control
+// server on the minority side, learns the others' addresses from it, and gets what was acknowledged there.
 func TestAgentStartsOnTheMinoritySide(t *testing.T) {
 	c := newTestCore(t, 62, 3, 1, 2*time.Second, 0)
 	c.replaceConfig(0, 5, c.ips...)
@@ -246,10 +263,11 @@
 	c.Assert(took < c.apply, qt.IsTrue, qt.Commentf("%v", took))
 }
 
-// TestAgentStaysWithAConnectedServer: with round trips as they are between regions, a control server that is in touch with the primary is not
-// left, neither the primary nor one that follows it.
+// TestAgentStaysWithAConnectedServer: with round trips as between regions, a control server that is in touch with the
+// primary is not left, neither the primary itself nor a backup.
 func TestAgentStaysWithAConnectedServer(t *testing.T) {
-	for i, follows := range []func(c *testCore) string{(*testCore).primary, func(c *testCore) string { return c.others(c.primary())[0] }} {
+	backup := func(c *testCore) string { return c.others(c.primary())[0] }
+	for i, follows := range []func(c *testCore) string{(*testCore).primary, backup} {
 		const trip = 60 * time.Millisecond
 		c := newTestCore(t, 64+i, 3, 1, 2*time.Second, trip/2)
 		c.replaceConfig(0, 5, c.ips...)
@@ -262,22 +280,23 @@
 		}
 		began := time.Now()
 		c.run(a.Run)
-		const calm = 4 * time.Second
+		const observed = 4 * time.Second
 		over := time.After(testTimeout)
 		again := time.NewTicker(20 * time.Millisecond)
 		defer again.Stop()
 		worst := time.Duration(0)
-		for heard, _ := a.cache.LastContact(); heard.Before(began.Add(calm)); heard, _ = a.cache.LastContact() {
-			if !heard.IsZero() {
-				worst = max(worst, time.Since(heard))
+		lastContact, _ := a.cache.LastContact()
+		for ; lastContact.Before(began.Add(observed)); lastContact, _ = a.cache.LastContact() {
+			if !lastContact.IsZero() {
+				worst = max(worst, time.Since(lastContact))
 			}
 			select {
 			case <-again.C:
 			case <-over:
-				c.Fatalf("the primary was last heard of %v after the start", heard.Sub(began))
+				c.Fatalf("the last contact with the primary was %v after the start", lastContact.Sub(began))
 			}
 		}
-		t.Logf("%d connections in %v, the word of the primary %v old at the most", dials.Load(), calm, worst)
+		t.Logf("%d connections in %v, the last contact %v old at the most", dials.Load(), observed, worst)
 		c.Assert(dials.Load() <= 2, qt.IsTrue, qt.Commentf("%d connections", dials.Load()))
 	}
 }
--- a/internal/fleet/nodeagent/withheld_test.go
+++ b/internal/fleet/nodeagent/polling_test.go
@@ -14,20 +14,27 @@
 	"molepaddle/internal/fleet/settings"
 )
 
-// TestDirectlyPolledListIsKept: while an agent asks the platform itself, the list of a control server that is cut off doesn't take the
-// place of what it polled; once a control server is in touch with the primary, its list does.
+// TestDirectlyPolledListIsKept: while an agent polls the platform itself, the list of a partitioned control server
+// doesn't replace the one it polled; once a control server is in touch with the primary, its list does.
 func TestDirectlyPolledListIsKept(t *testing.T) {
 	c := qt.New(t)
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = io.WriteString(w, `{"backends":[{"id":"polled","svc":"s","address":"127.0.0.1:9","az":"z","ver":"v1","capacity":4,"state":"up","warm_left_ms":0}],"next_marker":null}`)
+		_, _ = io.WriteString(w, `{"backends":[{"id":"polled","svc":"s","address":"127.0.0.1:9","az":"z","ver":"v1",`+
+			`"capacity":4,"state":"up","warm_left_ms":0}],"next_marker":null}`)
 	}))
 	c.Cleanup(platform.Close)
-	set := settings.Settings{NodeName: "edge-1", Zone: "z", Provider: settings.Provider{Address: platform.Listener.Addr().String(), Rate: 42}}
+	set := settings.Settings{
+		NodeName: "edge-1",
+		Zone:     "z",
+		Provider: settings.Provider{Address: platform.Listener.Addr().String(), Rate: 42},
+	}
 	a := New(set, zap.NewNop())
-	told, err := (&distribution.BackendList{Backends: []distribution.Backend{{ID: "told", Service: "s"}}}).MarshalMsg(nil)
+	snapshot, err := (&distribution.BackendList{
+		Backends: []distribution.Backend{{ID: "pulled", Service: "s"}},
+	}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
-	here := func() string {
+	cachedID := func() string {
 		r := a.cache.Fetch(c.Context(), "n", &distribution.Request{})
 		for _, p := range r.Resources {
 			if p.Type == distribution.BackendListType {
@@ -43,27 +50,32 @@
 	response := func(age time.Duration, resources ...distribution.Resource) *distribution.Response {
 		return &distribution.Response{LastContactMs: age.Milliseconds(), Primary: "p", Resources: resources}
 	}
-	list := distribution.Resource{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 5, Count: 1}, BaseVersion: distribution.Version{Epoch: 5, Count: 1}, Snapshot: told}
+	list := distribution.Resource{
+		Type:        distribution.BackendListType,
+		Version:     distribution.Version{Epoch: 5, Count: 1},
+		BaseVersion: distribution.Version{Epoch: 5, Count: 1},
+		Snapshot:    snapshot,
+	}
 	a.applyResponse(response(time.Hour, list))
-	c.Assert(here(), qt.Equals, "told", qt.Commentf("a list is better than none"))
+	c.Assert(cachedID(), qt.Equals, "pulled", qt.Commentf("a list is better than none"))
 	poll := func() {
 		a.nextPoll = time.Time{}
 		a.pollDirectly(c.Context())
 	}
 	poll()
-	c.Assert(here(), qt.Equals, "polled")
+	c.Assert(cachedID(), qt.Equals, "polled")
 	for range 2 {
 		_, had := a.versionVector()[distribution.BackendListType]
-		c.Assert(had, qt.IsFalse, qt.Commentf("what the control plane has is news"))
+		c.Assert(had, qt.IsFalse, qt.Commentf("what the control plane has is new again"))
 		a.applyResponse(response(time.Hour, list))
 		_, had = a.versionVector()[distribution.BackendListType]
 		c.Assert(had, qt.IsTrue, qt.Commentf("it isn't asked for again and again"))
-		c.Assert(here(), qt.Equals, "polled", qt.Commentf("the control server has not heard the primary since the poll"))
+		c.Assert(cachedID(), qt.Equals, "polled", qt.Commentf("no contact with the primary since the poll"))
 		poll()
-		c.Assert(here(), qt.Equals, "polled")
+		c.Assert(cachedID(), qt.Equals, "polled")
 		a.applyResponse(response(0))
-		c.Assert(here(), qt.Equals, "told", qt.Commentf("the control server is in touch: its list is the newer one"))
+		c.Assert(cachedID(), qt.Equals, "pulled", qt.Commentf("the control server is in touch: its list is the newer one"))
 		poll()
-		c.Assert(here(), qt.Equals, "polled", qt.Commentf("a list that was polled before takes its place again"))
+		c.Assert(cachedID(), qt.Equals, "polled", qt.Commentf("a list that was polled before replaces it again"))
 	}
 }
--- /dev/null
+++ b/internal/fleet/nodeagent/resources.go
@@ -0,0 +1,64 @@
+package nodeagent
+
+import (
+	"maps"
+	"time"
+
+	"molepaddle/internal/fleet/distribution"
+)
+
+// versionVector gives the versions that were last received, by resource type: a control server sends what is newer.
+func (a *Agent) versionVector() map[string]distribution.Version {
+	return maps.Clone(a.upstreamVersions)
+}
+
+// applyResponse puts a control server's response into the cache. It returns the resource types whose changes don't
+// fit what the cache holds: the watch asks for their snapshots. The configuration, which is durable state, keeps the
+// version that the control servers gave it; all other resources get a local version.
+func (a *Agent) applyResponse(response *distribution.Response) (incomplete []string) {
+	durable := *response
+	durable.Resources = nil
+	for _, resource := range response.Resources {
+		a.upstreamVersions[resource.Type] = resource.Version
+		if resource.Type == distribution.ConfigType {
+			durable.Resources = append(durable.Resources, resource)
+		}
+	}
+	incomplete = a.cache.Apply(&durable, time.Now())
+	for i := range response.Resources {
+		if resource := &response.Resources[i]; resource.Type != distribution.ConfigType {
+			a.applyVolatile(resource)
+		}
+	}
+	a.publishPending()
+	for _, resourceType := range incomplete {
+		delete(a.upstreamVersions, resourceType)
+	}
+	return incomplete
+}
+
+// applyVolatile takes a resource that is no durable state. A list of backends waits for publishPending.
+func (a *Agent) applyVolatile(resource *distribution.Resource) {
+	switch resource.Type {
+	case distribution.BackendListType:
+		a.pending.resource = resource
+		return
+	case distribution.ControlServersType:
+		var servers distribution.ControlServers
+		if _, err := servers.UnmarshalMsg(resource.Snapshot); err == nil {
+			a.addServers(servers.PullAddrs)
+		}
+	case distribution.MembershipSizeType:
+		var size distribution.MembershipSize
+		if _, err := size.UnmarshalMsg(resource.Snapshot); err == nil {
+			a.proxyCount = size.Proxies
+		}
+	}
+	a.publish(resource)
+}
+
+// publish puts a resource's snapshot into the cache under the next local version.
+func (a *Agent) publish(resource *distribution.Resource) {
+	a.localVersion.Count++
+	a.cache.SetSnapshot(resource.Type, a.localVersion, resource.Snapshot)
+}
--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -42,15 +42,15 @@
 	{"a client that reads nothing is waited for", "^TestClientReadsNothing$", map[string][]string{fileServe: {"SetWriteDeadline(cr.deadline.Add(unreadBodyTimeout))", "SetWriteDeadline(cr.deadline.Add(3 * unreadBodyTimeout))"}}},
 	{"a stream is taken up for a client that has left", "^TestUntakenStreamIsNotTakenUp$", map[string][]string{fileStream: {"ctx.Err() == nil && !errors.Is(err, errClientGone) && cr.route", "ctx.Err() == nil && cr.route"}}},
 	{"an id goes twice over one connection", "^TestIDUsedAgain$", map[string][]string{fileLend: {"if c.carried == requestID {", "if c.carried == requestID+requestID {"}}},
-	{"orders share the connections of reports", "^TestOrderTakesNoOthersAnswer$|^TestOrderIsSentOnce$", map[string][]string{fileBackend: {"b.orders.Do(req)", "b.reports.Do(req)"}}},
-	{"orders are sent on", "^TestCallsAreNotSentOn$", map[string][]string{fileBackend: {"\treq.GetBody = nil // nothing that could be sent again\n", "", "return http.ErrUseLastResponse", "return nil"}}},
-	{"an order that was given up may still arrive", "^TestOrderGivenUpIsReset$", map[string][]string{fileBackend: {"tcp.SetLinger(0)", "tcp.SetLinger(-1)"}}},
-	{"an order is for whoever has the address", "^TestOrderSays$", map[string][]string{fileBackend: {"req.Header.Set(HeaderTargetBackend, o.BackendID)", "_ = o.BackendID"}}},
+	{"orders share the connections of reports", "^TestOrderTakesNoOtherCallsResponse$|^TestOrderIsSentOnce$", map[string][]string{fileBackend: {"b.orders.Do(req)", "b.reports.Do(req)"}}},
+	{"orders are sent on", "^TestRedirectsAreNotFollowed$", map[string][]string{fileBackend: {"\treq.GetBody = nil // nothing that could be sent again\n", "", "return http.ErrUseLastResponse", "return nil"}}},
+	{"an order that was given up may still arrive", "^TestTimedOutOrderIsReset$", map[string][]string{fileBackend: {"tcp.SetLinger(0)", "tcp.SetLinger(-1)"}}},
+	{"an order is for whoever has the address", "^TestOrderReturnsTheStatus$", map[string][]string{fileBackend: {"req.Header.Set(HeaderTargetBackend, o.BackendID)", "_ = o.BackendID"}}},
 	{"an order that is cut off has been answered", "^TestOrderIsSentOnce$", map[string][]string{fileBackend: {"io.LimitReader(resp.Body, maxReportBytes)); err != nil {", "io.LimitReader(resp.Body, maxReportBytes)); err == nil && false {"}}},
 	{"a frame that is cut off is taken", "^TestResponsesCutOff$", map[string][]string{fileFrame: {"io.ReadFull(r, b[at:]); err != nil {", "io.ReadFull(r, b[at:]); err != nil && len(b) == 0 {"}}},
 	{"a link goes on after a frame that is cut off", "^TestResponsesCutOff$", map[string][]string{fileLink: {"\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\treturn err\n", "\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\tcontinue\n"}}},
-	{"a change that is cut off has been acknowledged", "^TestAnswersCutOff$", map[string][]string{fileClient: {"if errors.Is(err, io.EOF) {", "if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {"}}},
-	{"tries share a connection", "^TestSurplusAnswersCountForNothing$", map[string][]string{fileClient: {"DisableKeepAlives: true, ", ""}}},
+	{"a change that is cut off has been acknowledged", "^TestTruncatedResponses$", map[string][]string{fileClient: {"if errors.Is(err, io.EOF) {", "if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {"}}},
+	{"tries share a connection", "^TestSurplusResponsesAreIgnored$", map[string][]string{fileClient: {"DisableKeepAlives: true, ", ""}}},
 }
 
 // TestPlantedExchangeFaults plants each of them in turn.
