--- a/internal/fleet/operatorclient/once_test.go
+++ b/internal/fleet/operatorclient/exchange_test.go
@@ -18,7 +18,8 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// startScriptedServer reads requests and says to the nth of a connection, from 0, what says gives, until that is to be its last.
+// startScriptedServer starts a server that answers the nth request of a connection, from 0, with the bytes that says
+// gives, until that reports the last answer. It counts the requests in asked and returns its host:port.
 func startScriptedServer(t *testing.T, asked *atomic.Int64, says func(n int) (answer string, last bool)) string {
 	return testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		for n := 0; ; n++ {
@@ -38,16 +39,19 @@
 	})
 }
 
-// startTruncatingServer says so much and closes.
+// startTruncatingServer starts a server that writes said and closes the connection.
 func startTruncatingServer(t *testing.T, asked *atomic.Int64, said string) string {
 	return startScriptedServer(t, asked, func(int) (string, bool) { return said, true })
 }
 
-// TestTruncatedResponses cuts an agent's answer off after each of its bytes: it is no answer, whatever it began with; that agent is asked
-// once, by nothing but the client's own doing, and the next one's answer counts.
+// TestTruncatedResponses cuts a server's response off after each of its bytes: it is no answer, whatever it began with;
+// that server is asked once, no request is repeated behind the client's back, and the next one's response counts.
 func TestTruncatedResponses(t *testing.T) {
-	const good, yes, no = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes",
-		"HTTP/1.1 412 x\r\nContent-Length: 2\r\n\r\nno"
+	const (
+		good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
+		yes  = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
+		no   = "HTTP/1.1 412 x\r\nContent-Length: 2\r\n\r\nno"
+	)
 	for _, answer := range []string{yes, no} {
 		for k := range len(answer) {
 			for _, change := range []bool{true, false} {
@@ -55,7 +59,14 @@
 					t.Parallel()
 					c := qt.New(t)
 					var bad, well atomic.Int64
-					client := operatorclient.Client{Endpoints: []string{startTruncatingServer(t, &bad, answer[:k]), startTruncatingServer(t, &well, good)}, ReadTimeout: time.Minute, CallTimeout: time.Minute}
+					client := operatorclient.Client{
+						Endpoints: []string{
+							startTruncatingServer(t, &bad, answer[:k]),
+							startTruncatingServer(t, &well, good),
+						},
+						ReadTimeout: time.Minute,
+						CallTimeout: time.Minute,
+					}
 					var got operatorclient.Response
 					var err error
 					if change {
@@ -73,8 +84,8 @@
 	}
 }
 
-// TestSurplusResponsesAreIgnored: each try has a connection of its own, so that a second answer to an earlier one, in the place
-// of the next one's, is nobody's.
+// TestSurplusResponsesAreIgnored: each attempt has a connection of its own, so that a second answer to an earlier one
+// is not taken for the answer to the next.
 func TestSurplusResponsesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	var asked atomic.Int64
--- a/internal/fleet/operatorclient/operatorclient_test.go
+++ b/internal/fleet/operatorclient/operatorclient_test.go
@@ -20,14 +20,14 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// startServer is a stand-in for an agent that serves the operator; it gives its host:port.
+// startServer starts a stand-in for a control server and returns its host:port.
 func startServer(c *qt.C, h http.HandlerFunc) string {
 	server := httptest.NewServer(h)
 	c.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-// redirectTo answers 307 to the address that to holds at that time.
+// redirectTo answers 307 with the address that to holds at that time.
 func redirectTo(to *string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Location", "http://"+*to+r.URL.Path)
@@ -80,9 +80,10 @@
 		})
 		client := operatorclient.Client{Endpoints: []string{bad}, CallTimeout: 300 * time.Millisecond}
 		_, err := client.Show(context.Background())
-		var unclear *operatorclient.IndeterminateError
-		c.Assert(errors.As(err, &unclear), qt.IsTrue)
-		c.Check(err, qt.ErrorMatches, "no clear answer: "+bad+": (a 307 without a Location that can be followed|failed to parse Location.*)")
+		var indeterminate *operatorclient.IndeterminateError
+		c.Assert(errors.As(err, &indeterminate), qt.IsTrue)
+		c.Check(err, qt.ErrorMatches,
+			"no clear answer: "+bad+": (a 307 without a Location that can be followed|failed to parse Location.*)")
 	}
 }
 
@@ -93,14 +94,19 @@
 		at := startServer(c, func(w http.ResponseWriter, r *http.Request) {
 			calls.Add(1)
 			w.WriteHeader(status)
-			fmt.Fprint(w, `{"err":"the configuration is invalid","findings":[{"place":"routing[0].svc","text":"a"},{"place":"","text":"b"}]}`)
+			fmt.Fprint(w, `{"err":"the configuration is invalid",`+
+				`"findings":[{"place":"routing[0].svc","text":"a"},{"place":"","text":"b"}]}`)
 		})
 		client := operatorclient.Client{Endpoints: []string{at}}
 		_, err := client.Change(context.Background(), externalapi.CallReplace, 5, nil)
-		var no *operatorclient.RejectedError
-		c.Assert(errors.As(err, &no), qt.IsTrue)
-		c.Check(no, qt.DeepEquals, &operatorclient.RejectedError{Status: status, Endpoint: at, Reason: "the configuration is invalid",
-			Findings: routingconfig.Findings{{Path: "routing[0].svc", Message: "a"}, {Message: "b"}}})
+		var rejected *operatorclient.RejectedError
+		c.Assert(errors.As(err, &rejected), qt.IsTrue)
+		c.Check(rejected, qt.DeepEquals, &operatorclient.RejectedError{
+			Status:   status,
+			Endpoint: at,
+			Reason:   "the configuration is invalid",
+			Findings: routingconfig.Findings{{Path: "routing[0].svc", Message: "a"}, {Message: "b"}},
+		})
 		c.Check(calls.Load(), qt.Equals, int64(1))
 	}
 }
@@ -158,10 +164,14 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(answer.Endpoint, qt.Equals, good)
 
-	client = operatorclient.Client{Endpoints: []string{quiet}, ReadTimeout: 10 * time.Millisecond, CallTimeout: 50 * time.Millisecond}
+	client = operatorclient.Client{
+		Endpoints:   []string{quiet},
+		ReadTimeout: 10 * time.Millisecond,
+		CallTimeout: 50 * time.Millisecond,
+	}
 	_, err = client.Change(context.Background(), externalapi.CallReplace, 0, []byte("{}"))
-	var unclear *operatorclient.IndeterminateError
-	c.Assert(errors.As(err, &unclear), qt.IsTrue)
+	var indeterminate *operatorclient.IndeterminateError
+	c.Assert(errors.As(err, &indeterminate), qt.IsTrue)
 	c.Assert(err, qt.ErrorMatches, "no clear answer: "+quiet+": silent for 10ms")
 }
 
@@ -173,8 +183,8 @@
 	})
 	client := operatorclient.Client{Endpoints: []string{at}, CallTimeout: 50 * time.Millisecond}
 	_, err := client.Show(context.Background())
-	var no *operatorclient.RejectedError
-	c.Assert(errors.As(err, &no), qt.IsFalse, qt.Commentf("a 503 is no clear no"))
+	var rejected *operatorclient.RejectedError
+	c.Assert(errors.As(err, &rejected), qt.IsFalse, qt.Commentf("a 503 is no definite no"))
 	c.Assert(err, qt.ErrorMatches, "no clear answer: "+at+": status 503: no primary is known")
 
 	_, err = (&operatorclient.Client{}).Show(context.Background())
@@ -196,7 +206,8 @@
 			}
 		}
 	})
-	client := operatorclient.Client{Endpoints: []string{at}, ReadTimeout: time.Minute, CallTimeout: 15 * time.Second} // what it is about is bytes
+	// The test is about bytes: the time-outs are long.
+	client := operatorclient.Client{Endpoints: []string{at}, ReadTimeout: time.Minute, CallTimeout: 15 * time.Second}
 	_, err := client.Show(context.Background())
 	c.Assert(err, qt.ErrorMatches, "no clear answer: .*: an answer over 67108864 bytes")
 }
--- a/internal/fleet/operatorclient/status.go
+++ b/internal/fleet/operatorclient/status.go
@@ -9,8 +9,9 @@
 	"molepaddle/internal/fleet/status"
 )
 
-// Status asks how the fleet stands: the primary, or with local whichever of Control answers first, for what that one
-// knows itself. Errors: *Refused by one that knows no such call, *Unclear while there is no primary.
+// Status asks the primary for the fleet's status, or with local whichever of Endpoints answers first, for what that
+// one knows itself. Errors: *RejectedError by a control server that knows no such call, *IndeterminateError while
+// there is no primary or the status can't be decoded.
 func (c *Client) Status(ctx context.Context, local bool) (*status.Fleet, Response, error) {
 	call := externalapi.CallStatus
 	if local {
@@ -20,9 +21,9 @@
 	if err != nil {
 		return nil, response, err
 	}
-	f, err := status.Decode(response.Body)
+	fleet, err := status.Decode(response.Body)
 	if err != nil {
 		return nil, response, &IndeterminateError{errors.Wrap(err, response.Endpoint)}
 	}
-	return f, response, nil
+	return fleet, response, nil
 }
--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -19,7 +19,7 @@
 	fileBackend = "../externalapi/backend.go"
 	fileFrame   = "../distribution/frame.go"
 	fileLink    = "../distribution/link.go"
-	fileClient  = "../operatorclient/operatorclient.go"
+	fileClient  = "../operatorclient/exchange.go"
 )
 
 // exchangeFaults are faults by which an answer goes to the wrong caller, or what may run once is sent twice.
@@ -50,7 +50,7 @@
 	{"a frame that is cut off is taken", "^TestResponsesCutOff$", map[string][]string{fileFrame: {"io.ReadFull(r, b[at:]); err != nil {", "io.ReadFull(r, b[at:]); err != nil && len(b) == 0 {"}}},
 	{"a link goes on after a frame that is cut off", "^TestResponsesCutOff$", map[string][]string{fileLink: {"\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\treturn err\n", "\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\tcontinue\n"}}},
 	{"a change that is cut off has been acknowledged", "^TestTruncatedResponses$", map[string][]string{fileClient: {"if errors.Is(err, io.EOF) {", "if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {"}}},
-	{"tries share a connection", "^TestSurplusResponsesAreIgnored$", map[string][]string{fileClient: {"DisableKeepAlives: true, ", ""}}},
+	{"tries share a connection", "^TestSurplusResponsesAreIgnored$", map[string][]string{fileClient: {"\t\tDisableKeepAlives:  true,\n", ""}}},
 }
 
 // TestPlantedExchangeFaults plants each of them in turn.
