--- a/internal/fleet/settings/check.go
+++ b/internal/fleet/settings/check.go
@@ -5,9 +5,9 @@
 // minPorts is how many ports of port_range the system's own programs use (distribution's ports).
 const minPorts = 3
 
-// Check finds what a settings file that can be used still lacks for what the process serves; name is the file's. A
-// program starts all the same, but some of its work can't be done: it listens at a port that nobody knows, or hears of no
-// backend. None: nothing is lacking.
+// Check returns what settings that Parse accepted still lack for what the process serves, nil where nothing is
+// missing; name is the file's, for the findings. A program starts all the same, but some of its work can't be done:
+// it listens at a port that nobody knows, or learns of no backend.
 func (s Settings) Check(name string) Findings {
 	var findings Findings
 	require := func(ok bool, key, text string) {
@@ -15,8 +15,10 @@
 			findings = append(findings, Finding{File: name, Key: key, Text: text})
 		}
 	}
-	edge, control := slices.Contains(s.Roles, "edge"), slices.Contains(s.Roles, "ctl")
-	require(s.Ports[1]-s.Ports[0]+1 >= minPorts, "port_range", "must hold 3 ports or more: the programs use that many among themselves")
+	edge := slices.Contains(s.Roles, "edge")
+	control := slices.Contains(s.Roles, "ctl")
+	require(s.Ports[1]-s.Ports[0]+1 >= minPorts, "port_range",
+		"must hold 3 ports or more: the programs use that many among themselves")
 	require(!edge || s.Bind.Edge != "", "bind.edge", "must be given where roles has edge")
 	require(!edge || s.Bind.Ready != "", "bind.readyz", "must be given where roles has edge")
 	require(!control || s.Bind.Control != "", "bind.ctl", "must be given where roles has ctl")
--- a/internal/fleet/settings/check_test.go
+++ b/internal/fleet/settings/check_test.go
@@ -33,5 +33,7 @@
 		c.Check(f.File, qt.Equals, "boot.toml")
 		keys = append(keys, f.Key)
 	}
-	c.Assert(keys, qt.DeepEquals, []string{"port_range", "bind.edge", "bind.readyz", "bind.ctl", "datadir", "peers", "provider.address", "rgn"})
+	c.Assert(keys, qt.DeepEquals, []string{
+		"port_range", "bind.edge", "bind.readyz", "bind.ctl", "datadir", "peers", "provider.address", "rgn",
+	})
 }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -1,41 +1,48 @@
-// Package settings reads and checks the settings file of a process (DEPLOY.md, "Settings of a process"): TOML, its path in
-// the variable MOLEPADDLE_CONFIG. Fields it doesn't know are ignored. All findings are collected with their place (file
-// and key) and reported together.
+// Package settings reads and checks the settings file of a process (DEPLOY.md, "Settings of a process"): TOML, its
+// path in the environment variable MOLEPADDLE_CONFIG. Keys it doesn't know are ignored. All findings are collected,
+// each with its file and key, and reported together.
+//
+// It neither watches the file nor holds settings: a Settings is a value, which whoever loaded it may copy and pass
+// on. All functions may be called from any goroutine.
 package settings
 
 import "time"
 
-// EnvFile is the variable that gives the path of the settings file.
-const EnvFile = "MOLEPADDLE_CONFIG"
-
-// Settings are the settings of one process. TOML keys stand after each field.
+// Settings are the settings of one process. The TOML key stands in parentheses; "required" means that Parse finds
+// fault with a file without it. A field without a default is empty, 0 or false where its key is missing.
 type Settings struct {
-	// Nodename is the machine's name; required. (nodename)
+	// NodeName is the machine's name; required. (nodename)
 	NodeName string
 	// Role is the role's name in the deploy file. (role)
 	Role string
 	// Tier is the class of machines, "edge" or "core". (tier)
 	Tier string
-	// Roles are what the process serves: "edge", "ctl". (roles)
+	// Roles are what the process serves to outside: "edge" for clients, "ctl" for the operator. (roles)
 	Roles []string
 	// IP is the machine's IPv4 address; required. (ip)
 	IP string
-	// Zone and Region are where the machine is. (az, rgn)
-	Zone, Region string
-	// Ports are the first and the last port that agents use among themselves; required, 1 to 65535, the first not above
-	// the last. (port_range)
+	// Zone is the availability zone that the machine is in. (az)
+	Zone string
+	// Region is the region that the machine is in. (rgn)
+	Region string
+	// Ports are the first and the last port for the system's own programs; required, 1 to 65535, the first not above the
+	// last. Package distribution says which of them is whose. (port_range)
 	Ports [2]int
-	// Seeds are the control addresses (IP:port) of a few machines; they may be down or gone. (peers)
+	// Seeds are the control addresses (IP:port) of a few machines, from which a process learns of the others; they may be
+	// down or gone. (peers)
 	Seeds []string
 	// Bootstrap is true only at the very first start of the whole system. (bootstrap)
 	Bootstrap bool
-	// Counted is true for machines that Survive.Nodes counts. (voting)
+	// Voting is true for machines that Survive.Nodes counts. (voting)
 	Voting bool
 	// DataDir is the folder on the machine's disk; empty where there is none. (datadir)
 	DataDir string
-	// Discovery and Ingress name how backends are listed and how clients come. (disco, ingress)
-	Discovery, Ingress string
-	// Heartbeat is as the deployment sets it; default 1 s. (heartbeat_ms)
+	// Discovery names how backends are listed. (disco)
+	Discovery string
+	// Ingress names how clients reach the proxies. (ingress)
+	Ingress string
+	// Heartbeat is the time between two heartbeats, by which lease terms and time-outs go; in ms, default 1000, above 0.
+	// (heartbeat_ms)
 	Heartbeat time.Duration
 	// Clauses are the parts of the rules in force. (clauses)
 	Clauses []string
@@ -53,60 +60,103 @@
 	Provider Provider
 }
 
-// Bind holds the addresses (IP:port) the role serves on; empty where it doesn't serve. Port 0 leaves the choice to the
-// kernel, for tests.
+// Bind holds the addresses (IP:port) that the process serves on; empty where it doesn't serve. Port 0 leaves the
+// choice to the kernel, for tests.
 type Bind struct {
-	Edge    string // clients (edge)
-	Ready   string // the platform's readiness checks (readyz)
-	Control string // backends and the operator (ctl)
+	// Edge is for clients' requests. (bind.edge)
+	Edge string
+	// Ready is for the platform's readiness checks. (bind.readyz)
+	Ready string
+	// Control is for the operator's calls. (bind.ctl)
+	Control string
 }
 
-// Limits is what the process may use. 0: not given.
+// Limits is what the process may use. 0, the default of each: no limit is given.
 type Limits struct {
-	CPUFraction float64 // share of one core (cpu_frac)
-	CPUs        float64 // how many times as fast that share runs (ncpu)
-	MemoryMB    float64 // the process is killed above (ram_mb)
-	Files       int     // descriptors, of which 200 stay kept for files outside the data folder (nofile)
-	LinkMbps    float64 // Mbit/s of the machine's link (bw_mbps)
-	DiskMB      float64 // (disk_mb)
+	// CPUFraction is the share of one core. (caps.cpu_frac)
+	CPUFraction float64
+	// CPUs is how many times as fast that share runs. (caps.ncpu)
+	CPUs float64
+	// MemoryMB is the memory, in MiB, above which the process is killed. (caps.ram_mb)
+	MemoryMB float64
+	// Files is the number of descriptors, 200 of which are reserved for files outside the data folder. (caps.nofile)
+	Files int
+	// LinkMbps is the bandwidth of the machine's link, in Mbit/s. (caps.bw_mbps)
+	LinkMbps float64
+	// DiskMB is the size of the disk, in MB. (caps.disk_mb)
+	DiskMB float64
 }
 
-// Survive is what the system may lose at once while it keeps all rules.
+// Survive is what the system may lose at once while it keeps all rules. The default of each is 0.
 type Survive struct {
-	Nodes   int // machines for which voting is true (nodes)
-	Zones   int // (azs)
-	Regions int // (rgns)
+	// Nodes is the number of machines of those whose Settings.Voting is true. (survive.nodes)
+	Nodes int
+	// Zones is the number of zones. (survive.azs)
+	Zones int
+	// Regions is the number of regions. (survive.rgns)
+	Regions int
 }
 
-// Bounds are the figures of the rules (RULES.md). A missing one gets the default named here, which is the one of
-// DEPLOY.md's example.
+// Bounds are the figures of the rules (RULES.md). Times are in s where the key ends in _s and in ms where it ends in
+// _ms, whole or not. The defaults are those of DEPLOY.md's example, but for fencing.
 type Bounds struct {
-	PeerLag     time.Duration // how far the operator's list of agents is behind; default 3 s (peer_lag_s)
-	AddrReuse   time.Duration // an ended backend's address may serve another service after; default 2 s (addr_reuse_s)
-	Contact     time.Duration // untroubled time after which a machine is in touch; default 3 s (contact_ms)
-	Ack         time.Duration // a proper order of the operator is acknowledged within; default 4 s (ack_ms)
-	Sync        time.Duration // a machine stays lost for this long after its return; default 4 s (sync_s)
-	Drain       time.Duration // no request to a leaving backend after; default 3 s (drain_ms)
-	Grace       time.Duration // from SIGTERM to SIGKILL; default 8 s (grace_s)
-	LossSlack   time.Duration // a request sent this long before the close must be answered; default 200 ms (loss_slack_ms)
-	Apply       time.Duration // an acknowledged version is in force within; default 2 s (apply_ms)
-	Downgrade   time.Duration // no older version after a newer one was seen for; default 250 ms (downgrade_ms)
-	Skew        time.Duration // an unstable core stretches Apply by; default 5 s (skew_ms)
-	RetryRatio  float64       // extra arrivals per request of a service; default 0.2 (retry_ratio)
-	RetryWindow time.Duration // the window over which extra arrivals count; default 10 s (retry_window_s)
-	RetryExtra  float64       // extra arrivals allowed besides, in a window; default 54 (retry_extra)
-	Heal        time.Duration // requests are served again this long after the return from a final fault; default 12 s (heal_s)
-	Transit     time.Duration // an event of a stream is passed on within; default 120 ms (transit_ms)
-	Again       time.Duration // not explained by the operators' pages; default 0 (again_s)
-	Fencing     bool          // backends check the fence of orders; default false, the careful reading (fencing)
-	Lease       time.Duration // holders of a duty don't take turns within; default 3 s (lease_ms)
-	Unfreeze    time.Duration // orders aren't judged this long after a thaw; default 300 ms (unfreeze_ms)
+	// PeerLag is how far the operator's list of agents is behind; default 3 s. (bnds.peer_lag_s)
+	PeerLag time.Duration
+	// AddrReuse is the time after a backend's end before its address may serve another service; default 2 s.
+	// (bnds.addr_reuse_s)
+	AddrReuse time.Duration
+	// Contact is the time without a fault after which a machine counts as in touch; default 3000 ms, above 0.
+	// (bnds.contact_ms)
+	Contact time.Duration
+	// Ack is the time within which a valid change by the operator is acknowledged; default 4000 ms, above 0. (bnds.ack_ms)
+	Ack time.Duration
+	// Sync is for how long after its return a machine still counts as lost; default 4 s. (bnds.sync_s)
+	Sync time.Duration
+	// Drain is the time after a backend begins to drain from which on no request may be sent to it; default 3000 ms, above
+	// 0. (bnds.drain_ms)
+	Drain time.Duration
+	// Grace is the time from SIGTERM to SIGKILL; default 8 s, above 0. (bnds.grace_s)
+	Grace time.Duration
+	// LossSlack: a request sent at least this long before the close must be answered; default 200 ms. (bnds.loss_slack_ms)
+	LossSlack time.Duration
+	// Apply is the time within which an acknowledged version is in force; default 2000 ms, above 0. (bnds.apply_ms)
+	Apply time.Duration
+	// Downgrade is for how long after a newer version was seen no older one may be; default 250 ms. (bnds.downgrade_ms)
+	Downgrade time.Duration
+	// Skew is what Apply is stretched by while the core is unstable; default 5000 ms. (bnds.skew_ms)
+	Skew time.Duration
+	// RetryRatio is the retry budget of a service, in extra arrivals at backends per request; default 0.2.
+	// (bnds.retry_ratio)
+	RetryRatio float64
+	// RetryWindow is the window over which extra arrivals count; default 10 s, above 0. (bnds.retry_window_s)
+	RetryWindow time.Duration
+	// RetryExtra is the number of extra arrivals in a window that are allowed besides; default 54. (bnds.retry_extra)
+	RetryExtra float64
+	// Heal is the time after the return from the last fault from which on requests are served again; default 12 s.
+	// (bnds.heal_s)
+	Heal time.Duration
+	// Transit is the time within which an event of a stream is passed on; default 120 ms. (bnds.transit_ms)
+	Transit time.Duration
+	// Again is not explained by the operators' pages, and not used; default 0 s. (bnds.again_s)
+	Again time.Duration
+	// Fencing is whether backends check the fencing token of orders; default false, which is the safe assumption.
+	// (bnds.fencing)
+	Fencing bool
+	// Lease is the least time between two holders of a singleton role; default 3000 ms. (bnds.lease_ms)
+	Lease time.Duration
+	// Unfreeze is for how long after a frozen process goes on its orders aren't judged; default 300 ms. (bnds.unfreeze_ms)
+	Unfreeze time.Duration
 }
 
 // Provider is the platform's list of backends.
 type Provider struct {
-	Address string        // IP:port; empty: there is none (address)
-	Rate    float64       // calls a second from all agents together; default 1 (rate_s)
-	Jobs    []string      // (jobs)
-	Delay   time.Duration // the list is behind by; default 1 s (delay_ms)
+	// Address is the platform's IP:port; empty: there is none. (provider.address)
+	Address string
+	// Rate is the number of calls a second that the platform takes from all machines together; default 1.
+	// (provider.rate_s)
+	Rate float64
+	// Jobs is read, and not used. (provider.jobs)
+	Jobs []string
+	// Delay is how far the list is behind; default 1000 ms. (provider.delay_ms)
+	Delay time.Duration
 }
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -97,13 +97,32 @@
 		Limits:    settings.Limits{CPUFraction: 0.4, CPUs: 1, MemoryMB: 284, Files: 4100, LinkMbps: 1000},
 		Survive:   settings.Survive{Nodes: 1},
 		Bounds: settings.Bounds{
-			PeerLag: 3 * time.Second, AddrReuse: 2 * time.Second, Contact: 3 * time.Second, Ack: 4 * time.Second,
-			Sync: 4 * time.Second, Drain: 3 * time.Second, Grace: 8 * time.Second, LossSlack: 200 * time.Millisecond,
-			Apply: 2 * time.Second, Downgrade: 250 * time.Millisecond, Skew: 5 * time.Second, RetryRatio: 0.2,
-			RetryWindow: 10 * time.Second, RetryExtra: 54, Heal: 12 * time.Second, Transit: 120 * time.Millisecond,
-			Fencing: true, Lease: 3 * time.Second, Unfreeze: 300 * time.Millisecond,
+			PeerLag:     3 * time.Second,
+			AddrReuse:   2 * time.Second,
+			Contact:     3 * time.Second,
+			Ack:         4 * time.Second,
+			Sync:        4 * time.Second,
+			Drain:       3 * time.Second,
+			Grace:       8 * time.Second,
+			LossSlack:   200 * time.Millisecond,
+			Apply:       2 * time.Second,
+			Downgrade:   250 * time.Millisecond,
+			Skew:        5 * time.Second,
+			RetryRatio:  0.2,
+			RetryWindow: 10 * time.Second,
+			RetryExtra:  54,
+			Heal:        12 * time.Second,
+			Transit:     120 * time.Millisecond,
+			Fencing:     true,
+			Lease:       3 * time.Second,
+			Unfreeze:    300 * time.Millisecond,
+		},
+		Provider: settings.Provider{
+			Address: "10.200.0.79:8169",
+			Rate:    42,
+			Jobs:    []string{},
+			Delay:   800 * time.Millisecond,
 		},
-		Provider: settings.Provider{Address: "10.200.0.79:8169", Rate: 42, Jobs: []string{}, Delay: 800 * time.Millisecond},
 	}
 }
 
@@ -136,7 +155,8 @@
 
 func TestDefaults(t *testing.T) {
 	c := qt.New(t)
-	got, err := settings.Parse("boot.toml", []byte("nodename = 'n'\nip = '127.0.0.1'\nport_range = [1,1]\ndatadir = '/d'\n[bind]\nctl = '127.0.0.1:0'"))
+	got, err := settings.Parse("boot.toml", []byte(
+		"nodename = 'n'\nip = '127.0.0.1'\nport_range = [1,1]\ndatadir = '/d'\n[bind]\nctl = '127.0.0.1:0'"))
 	c.Assert(err, qt.IsNil)
 	want := exampleSettings().Bounds
 	want.Fencing = false
