--- a/internal/fleet/externalapi/backend.go
+++ b/internal/fleet/externalapi/backend.go
@@ -14,35 +14,51 @@
 	"molepaddle/internal/protocol/sockets"
 )
 
-// BackendClient makes the calls to backends that are no requests of clients.
+const (
+	// reportIdleTimeout is for how long a connection for reports is kept without use.
+	reportIdleTimeout = 6 * time.Second
+	// maxReportBytes bounds a report.
+	maxReportBytes = 1 << 20
+)
+
+// BackendClient makes the calls to backends that no client's request causes. It is safe for use by many goroutines.
 //
-// net/http repeats a request by itself, on another connection, where a connection that had been used before ends without a byte
-// of an answer: those of the methods GET, HEAD, OPTIONS and TRACE, those with an Idempotency-Key, and any of which no byte was
-// written. A report may be repeated. An order has a connection of its own, so that it is written once and no answer but its own
-// can come in the place of its answer. Redirects, which would have an order sent once more, are not followed.
+// net/http repeats a request by itself, on another connection, where a connection that had been used before ends
+// without a byte of an answer: those of the methods GET, HEAD, OPTIONS and TRACE, those with an Idempotency-Key, and
+// any of which no byte was written. A report may be repeated. An order has a connection of its own, so that it is
+// written once and no answer but its own can be taken for its answer. Redirects, which would have an order sent once
+// more, are not followed.
 type BackendClient struct {
 	reports *http.Client
 	orders  *http.Client
 }
 
-// reportIdleTimeout is for how long a connection for reports is kept without use.
-const reportIdleTimeout = 6 * time.Second
-
-// NewBackendClient makes a client each of whose calls is given up after the time given. What of an order has not reached its
-// backend when it is given up is not sent any more: one that a cut held up must not arrive once the cut has healed.
+// NewBackendClient makes a client each of whose calls is given up after timeout. What of an order has not reached its
+// backend by then is not sent any more: an order that a partition delayed must not arrive once the partition has
+// healed.
 func NewBackendClient(timeout time.Duration) *BackendClient {
 	dialer := &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: sockets.UserTimeout(timeout)}
-	client := func(t *http.Transport) *http.Client {
-		t.DisableCompression = true
-		return &http.Client{Timeout: timeout, Transport: t, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	newClient := func(transport *http.Transport) *http.Client {
+		transport.DisableCompression = true
+		return &http.Client{Timeout: timeout, Transport: transport, CheckRedirect: ignoreRedirect}
 	}
 	return &BackendClient{
-		reports: client(&http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: reportIdleTimeout}),
-		orders:  client(&http.Transport{DialContext: dialResetting(dialer), DisableKeepAlives: true}),
+		reports: newClient(&http.Transport{
+			DialContext:         dialer.DialContext,
+			MaxIdleConnsPerHost: 1,
+			IdleConnTimeout:     reportIdleTimeout,
+		}),
+		orders: newClient(&http.Transport{
+			DialContext:       dialResetting(dialer),
+			DisableKeepAlives: true,
+		}),
 	}
 }
 
-// dialResetting has closing a connection reset it, so that what waits to be sent is dropped.
+// ignoreRedirect has a 3xx come back as the answer.
+func ignoreRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+
+// dialResetting dials connections that are reset when they are closed, so that what waits to be sent is dropped.
 func dialResetting(dialer *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, addr)
@@ -56,22 +72,26 @@
 	}
 }
 
-// BackendReport is a backend's report, some hundred ms old.
+// BackendReport is a backend's report of its state, some hundred ms old.
 type BackendReport struct {
-	Phase           string `json:"phase"`
-	PhaseChanging   bool   `json:"util"` // an order is under way
-	OrdersTaken     uint64 `json:"seqno"`
-	Queued          int    `json:"queued"`
-	Active          int    `json:"active"`
-	KVTokensInUse   int64  `json:"kv_inuse"` // tokens
-	KVTokenCapacity int64  `json:"kv_cap"`
-	KVHandles       int    `json:"kv_refs"`
+	// Phase is PhasePrefill or PhaseDecode.
+	Phase string `json:"phase"`
+	// PhaseChanging is true while an order is carried out.
+	PhaseChanging bool `json:"util"`
+	// OrdersTaken counts the orders that the backend has taken, see PhaseOrder.ExpectedOrders.
+	OrdersTaken uint64 `json:"seqno"`
+	// Queued and Active are numbers of requests.
+	Queued int `json:"queued"`
+	Active int `json:"active"`
+	// KVTokensInUse and KVTokenCapacity are the fill and the size of the KV cache, in tokens.
+	KVTokensInUse   int64 `json:"kv_inuse"`
+	KVTokenCapacity int64 `json:"kv_cap"`
+	// KVHandles is the number of handles of KV caches that wait to be taken.
+	KVHandles int `json:"kv_refs"`
 }
 
-// maxReportBytes bounds a report, in bytes.
-const maxReportBytes = 1 << 20
-
-// CallReport asks the backend of an id how it stands; another at its address does not answer for it.
+// Report asks the backend with an id for its report; another one at addr, host:port, doesn't answer for it. Errors:
+// those of the network, a status that isn't 200, and a report that can't be read.
 func (b *BackendClient) Report(ctx context.Context, addr, id string) (BackendReport, error) {
 	var report BackendReport
 	req, err := http.NewRequestWithContext(ctx, CallReport.Method, "http://"+addr+CallReport.Path, nil)
@@ -99,23 +119,38 @@
 
 // PhaseOrder has a backend change its phase.
 type PhaseOrder struct {
-	BackendID      string // its id: another at its address, and itself after a restart, does not take the order
-	Phase          string
-	Owner          string // the duty's holder
-	FencingToken   uint64 // the holder's
-	ExpectedOrders uint64 // orders that the backend has taken, by its last report: one that comes late, after another, is not taken
+	// BackendID is the backend's id: another one at its address, or itself after a restart, does not take the order.
+	BackendID string
+	// Phase is PhasePrefill or PhaseDecode.
+	Phase string
+	// Owner is the holder of the singleton role that gives orders.
+	Owner string
+	// FencingToken is the holder's: a backend that has seen a higher one does not take the order.
+	FencingToken uint64
+	// ExpectedOrders is OrdersTaken of the backend's last report: an order that arrives late, after another, is not taken.
+	ExpectedOrders uint64
+}
+
+// phaseOrderBody is the body of a PhaseOrder.
+type phaseOrderBody struct {
+	Op             string `json:"opcode"`
+	Phase          string `json:"phase"`
+	Owner          string `json:"owner"`
+	FencingToken   uint64 `json:"gen"`
+	ExpectedOrders uint64 `json:"expect"`
 }
 
-// CallOrder gives an order. The status is the backend's answer: 202 it does, 200 it is so, 409 another is under way or was taken
-// since the report, 412 a higher fence was seen, 421 it is another. An error: it may have been taken.
+// Order gives an order to the backend at addr, host:port. It returns the backend's status: 202 the phase changes, 200
+// it was that already, 409 another order is under way or was taken since the report, 412 a higher fencing token was
+// seen, 421 this is another backend. After an error the order may have been taken; it is not sent again.
 func (b *BackendClient) Order(ctx context.Context, addr string, o PhaseOrder) (status int, err error) {
-	body, err := json.Marshal(struct {
-		Op     string `json:"opcode"`
-		Phase  string `json:"phase"`
-		Owner  string `json:"owner"`
-		Fence  uint64 `json:"gen"`
-		Expect uint64 `json:"expect"`
-	}{"phase", o.Phase, o.Owner, o.FencingToken, o.ExpectedOrders})
+	body, err := json.Marshal(phaseOrderBody{
+		Op:             "phase",
+		Phase:          o.Phase,
+		Owner:          o.Owner,
+		FencingToken:   o.FencingToken,
+		ExpectedOrders: o.ExpectedOrders,
+	})
 	if err != nil {
 		return 0, errors.Wrap(err, "order")
 	}
--- a/internal/fleet/externalapi/backend_test.go
+++ b/internal/fleet/externalapi/backend_test.go
@@ -20,7 +20,7 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// within bounds a call; shortly one that is to end in silence, of which every silentStep-th byte is tried.
+// callTimeout bounds a call; shortTimeout one that is to time out, of which every silentStep-th byte is tried.
 const (
 	callTimeout  = 20 * time.Second
 	shortTimeout = 200 * time.Millisecond
@@ -29,7 +29,13 @@
 
 const goodReport = "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"phase\":\"decode\",\"seqno\":3      }"
 
-var order = externalapi.PhaseOrder{BackendID: "i-1", Phase: externalapi.PhasePrefill, Owner: "node-7", FencingToken: 41, ExpectedOrders: 3}
+var order = externalapi.PhaseOrder{
+	BackendID:      "i-1",
+	Phase:          externalapi.PhasePrefill,
+	Owner:          "node-7",
+	FencingToken:   41,
+	ExpectedOrders: 3,
+}
 
 // call is a request that has come to a backend, by the connection that brought it.
 type call struct {
@@ -40,7 +46,7 @@
 	body   string
 }
 
-// backend is a stand-in that notes what comes, and what is said to each method.
+// backend is a stand-in that records its calls.
 type backend struct {
 	mu    sync.Mutex
 	conns int
@@ -75,7 +81,7 @@
 	})
 }
 
-// of gives the calls of a method.
+// of returns the calls of a method.
 func (b *backend) of(method string) (all []call) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,8 +93,8 @@
 	return all
 }
 
-// TestOrderIsSentOnce cuts the answer to an order off after each of its bytes, in silence or closed, at a backend to which a
-// connection stands: the order comes there once, and what is not whole is no answer.
+// TestOrderIsSentOnce cuts the answer to an order off after each of its bytes, in silence or closed, at a backend to
+// which a connection is open: the order arrives there once, and an incomplete answer is an error.
 func TestOrderIsSentOnce(t *testing.T) {
 	const answer = "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
 	for k := range len(answer) + 1 {
@@ -125,7 +131,7 @@
 	}
 }
 
-// TestOrderReturnsTheStatus what an order carries: for whom it is, and after how many others.
+// TestOrderReturnsTheStatus: an order names its backend and the orders expected before it, and returns the status.
 func TestOrderReturnsTheStatus(t *testing.T) {
 	c := qt.New(t)
 	b := &backend{}
@@ -138,14 +144,16 @@
 	c.Check(err, qt.ErrorMatches, "report: status 421")
 	var said map[string]any
 	c.Assert(json.Unmarshal([]byte(b.calls[0].body), &said), qt.IsNil)
-	c.Check(said, qt.DeepEquals, map[string]any{"opcode": "phase", "phase": "prefill", "owner": "node-7", "gen": 41.0, "expect": 3.0})
+	c.Check(said, qt.DeepEquals, map[string]any{"opcode": "phase", "phase": "prefill", "owner": "node-7", "gen": 41.0,
+		"expect": 3.0})
 	c.Check(b.calls[0].path, qt.Equals, "/molepaddle/order")
 	for _, one := range b.calls {
 		c.Check(one.target, qt.Equals, "i-1")
 	}
 }
 
-// TestOrderTakesNoOtherCallsResponse has a surplus answer to a report wait where an order's would come on the same connection.
+// TestOrderTakesNoOtherCallsResponse has a surplus answer to a report wait where an order's would come on the same
+// connection.
 func TestOrderTakesNoOtherCallsResponse(t *testing.T) {
 	c := qt.New(t)
 	b := &backend{}
@@ -166,7 +174,7 @@
 	c.Check(b.of(http.MethodPost), qt.HasLen, 20)
 }
 
-// TestRedirectsAreNotFollowed has a backend and the platform send callers on: they don't go.
+// TestRedirectsAreNotFollowed has a backend and the platform redirect callers: they don't follow.
 func TestRedirectsAreNotFollowed(t *testing.T) {
 	c := qt.New(t)
 	elsewhere, b := &backend{}, &backend{}
@@ -187,12 +195,13 @@
 	c.Check(elsewhere.calls, qt.HasLen, 0)
 }
 
-// TestReportIsComplete: a report that is cut off, too long or none is an error.
+// TestReportIsComplete: a report that is truncated, too long or no JSON is an error.
 func TestReportIsComplete(t *testing.T) {
 	c := qt.New(t)
 	body := goodReport[strings.Index(goodReport, "\r\n\r\n")+4:]
 	for name, answer := range map[string]string{
-		"cut off": goodReport[:len(goodReport)-1], "no report": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", "not found": "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n",
+		"cut off": goodReport[:len(goodReport)-1], "no report": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+		"not found":           "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n",
 		"lengths that differ": "HTTP/1.1 200 OK\r\nContent-Length: 34\r\nContent-Length: 3\r\n\r\n" + body,
 		"too long":            "HTTP/1.1 200 OK\r\n\r\n{\"phase\":\"" + strings.Repeat("x", 2<<20) + "\"}",
 	} {
--- a/internal/fleet/externalapi/clients_test.go
+++ b/internal/fleet/externalapi/clients_test.go
@@ -26,7 +26,8 @@
 	return server.Listener.Addr().String()
 }
 
-// TestListFollowsPages reads a list page by page: entries that can't be sent to are left out, the fields are the platform's.
+// TestListFollowsPages reads a list page by page: entries that can't be sent to are left out, the fields are the
+// platform's.
 func TestListFollowsPages(t *testing.T) {
 	c := qt.New(t)
 	pages := map[string]string{
@@ -45,7 +46,17 @@
 	SortByID(&list)
 	c.Assert(list.Backends, qt.DeepEquals, []distribution.Backend{
 		{ID: "b1", Service: "web", Address: "10.0.0.1:80"},
-		{ID: "b2", Service: "llm", Address: "10.0.0.2:80", Zone: "koto", Version: "3", Capacity: 8, Draining: true, Phase: "decode", Weights: 12},
+		{
+			ID:       "b2",
+			Service:  "llm",
+			Address:  "10.0.0.2:80",
+			Zone:     "koto",
+			Version:  "3",
+			Capacity: 8,
+			Draining: true,
+			Phase:    "decode",
+			Weights:  12,
+		},
 	})
 }
 
@@ -56,8 +67,9 @@
 		answer func(w http.ResponseWriter, marker string)
 		want   string
 	}{
-		"too many calls": {func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusTooManyRequests) }, ErrRateLimited.Error()},
-		"no list":        {func(w http.ResponseWriter, _ string) { _, _ = io.WriteString(w, `[]`) }, "platform: .*"},
+		"too many calls": {func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusTooManyRequests) },
+			ErrRateLimited.Error()},
+		"no list": {func(w http.ResponseWriter, _ string) { _, _ = io.WriteString(w, `[]`) }, "platform: .*"},
 		"cut short": {func(w http.ResponseWriter, _ string) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, `{"backends":[]`)
@@ -120,15 +132,22 @@
 			bodies <- body
 			w.WriteHeader(status)
 		})
-		got, err := NewBackendClient(answerWithin).Order(t.Context(), addr, PhaseOrder{BackendID: "b1", Phase: PhasePrefill, Owner: "core-1", FencingToken: 7, ExpectedOrders: 3})
+		got, err := NewBackendClient(answerWithin).Order(t.Context(), addr, PhaseOrder{
+			BackendID:      "b1",
+			Phase:          PhasePrefill,
+			Owner:          "core-1",
+			FencingToken:   7,
+			ExpectedOrders: 3,
+		})
 		c.Assert(err, qt.IsNil)
 		c.Assert(got, qt.Equals, status)
-		c.Assert(<-bodies, qt.DeepEquals, map[string]any{"opcode": "phase", "phase": PhasePrefill, "owner": "core-1", "gen": 7.0, "expect": 3.0})
+		c.Assert(<-bodies, qt.DeepEquals,
+			map[string]any{"opcode": "phase", "phase": PhasePrefill, "owner": "core-1", "gen": 7.0, "expect": 3.0})
 	}
 }
 
-// TestOrderIsSentOnce: an order whose connection ends without an answer may have been taken, and the client library sends
-// it no second time by itself.
+// TestOrderIsSentOnce: an order whose connection ends without an answer may have been taken, and the client library
+// sends it no second time by itself.
 func TestOrderIsSentOnce(t *testing.T) {
 	c := qt.New(t)
 	var orders atomic.Int64
@@ -146,7 +165,12 @@
 	// The connection was used before: only then does the library consider a further try.
 	_, err := client.Report(t.Context(), addr, "b1")
 	c.Assert(err, qt.IsNil)
-	_, err = client.Order(t.Context(), addr, PhaseOrder{BackendID: "b1", Phase: PhaseDecode, Owner: "core-1", FencingToken: 7})
+	_, err = client.Order(t.Context(), addr, PhaseOrder{
+		BackendID:    "b1",
+		Phase:        PhaseDecode,
+		Owner:        "core-1",
+		FencingToken: 7,
+	})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(orders.Load(), qt.Equals, int64(1))
 }
--- a/internal/fleet/externalapi/platform.go
+++ b/internal/fleet/externalapi/platform.go
@@ -16,34 +16,58 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// ErrRateLimited is that the platform takes no more calls for now.
+// ErrRateLimited is that the platform takes no more calls for now (429).
 var ErrRateLimited = errors.New("the platform takes no more calls for now")
 
-// PlatformClient asks the platform for its list.
-type PlatformClient struct {
-	addr   string
-	client *http.Client
-}
-
-// maxPageBytes and maxPages bound what is read of a list.
 const (
+	// maxPageBytes and maxPages bound what is read of a list.
 	maxPageBytes = 8 << 20
 	maxPages     = 4096
+	// platformIdleTimeout is for how long a connection to the platform is kept without use.
+	platformIdleTimeout = 3 * time.Second
 )
 
-// NewPlatformClient makes a client of the platform at host and port; a call is given up after the time given.
+// States of a backend in the platform's list. A backend in any other state takes no requests yet, or no more.
+const (
+	stateUp       = "up"
+	stateDraining = "draining"
+)
+
+// PlatformClient asks the platform for its list of backends. It is safe for use by many goroutines.
+type PlatformClient struct {
+	addr   string
+	client *http.Client
+}
+
+// NewPlatformClient makes a client of the platform at addr, host:port; each call, of which a list takes one a page,
+// is given up after timeout.
 func NewPlatformClient(addr string, timeout time.Duration) *PlatformClient {
-	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext, MaxIdleConnsPerHost: 1,
-		IdleConnTimeout: 3 * time.Second, DisableCompression: true}
-	return &PlatformClient{addr: addr, client: &http.Client{Timeout: timeout, Transport: transport,
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
+	transport := &http.Transport{
+		DialContext:         (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext,
+		MaxIdleConnsPerHost: 1,
+		IdleConnTimeout:     platformIdleTimeout,
+		DisableCompression:  true,
+	}
+	client := &http.Client{
+		Timeout:       timeout,
+		Transport:     transport,
+		CheckRedirect: ignoreRedirect,
+	}
+	return &PlatformClient{addr: addr, client: client}
 }
 
-// SortByID puts a list in the order of ids, so that equal lists have equal bytes.
+// SortByID sorts a list by ids, so that equal lists have equal bytes.
 func SortByID(list *distribution.BackendList) {
 	slices.SortFunc(list.Backends, func(a, b distribution.Backend) int { return strings.Compare(a.ID, b.ID) })
 }
 
+// listPage is a page of the list as the platform sends it.
+type listPage struct {
+	Backends []listedBackend `json:"backends"`
+	Next     *string         `json:"next_marker"` // nil or empty on the last page
+}
+
+// listedBackend is a backend as the platform lists it.
 type listedBackend struct {
 	ID       string `json:"id"`
 	Service  string `json:"svc"`
@@ -59,51 +83,29 @@
 	} `json:"model_list"`
 }
 
-// List asks for the whole list, page by page, and says how many calls that took. Errors: ErrRateLimited, those of the
-// network, and a list that can't be read.
+// usable reports whether requests may be sent to a backend, or may have been sent until it began to drain.
+func (b *listedBackend) usable() bool {
+	return b.ID != "" && b.Address != "" && (b.State == stateUp || b.State == stateDraining)
+}
+
+// List asks for the complete list, page by page, and returns how many calls that took, also with an error. Errors:
+// ErrRateLimited, those of the network, and those of a list that can't be read; what was received until then comes with
+// them.
 func (p *PlatformClient) List(ctx context.Context) (list distribution.BackendList, calls int, err error) {
 	marker := ""
 	for calls < maxPages {
-		u := url.URL{Scheme: "http", Host: p.addr, Path: CallListBackends.Path}
-		if marker != "" {
-			u.RawQuery = url.Values{"marker": {marker}}.Encode()
-		}
-		req, err := http.NewRequestWithContext(ctx, CallListBackends.Method, u.String(), nil)
+		req, err := p.newRequest(ctx, marker)
 		if err != nil {
 			return list, calls, errors.Wrap(err, "platform")
 		}
 		calls++
-		resp, err := p.client.Do(req)
+		page, err := p.fetchPage(req)
 		if err != nil {
-			return list, calls, errors.Wrap(err, "platform")
-		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes+1))
-		resp.Body.Close()
-		switch {
-		case err != nil:
-			return list, calls, errors.Wrap(err, "platform")
-		case resp.StatusCode == http.StatusTooManyRequests:
-			return list, calls, ErrRateLimited
-		case resp.StatusCode != http.StatusOK:
-			return list, calls, errors.Errorf("platform: status %d", resp.StatusCode)
-		case len(body) > maxPageBytes:
-			return list, calls, errors.Errorf("platform: a page over %d bytes", maxPageBytes)
-		}
-		var page struct {
-			Backends []listedBackend `json:"backends"`
-			Next     *string         `json:"next_marker"`
-		}
-		if err := json.Unmarshal(body, &page); err != nil {
-			return list, calls, errors.Wrap(err, "platform")
+			return list, calls, err
 		}
-		for _, b := range page.Backends {
-			e := distribution.Backend{ID: b.ID, Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Version, Capacity: b.Capacity,
-				Draining: b.State == "draining", Phase: b.Phase}
-			if len(b.Models) > 0 {
-				e.Weights = b.Models[0].Version
-			}
-			if e.ID != "" && e.Address != "" && (b.State == "up" || b.State == "draining") {
-				list.Backends = append(list.Backends, e)
+		for i := range page.Backends {
+			if b := &page.Backends[i]; b.usable() {
+				list.Backends = append(list.Backends, b.toBackend())
 			}
 		}
 		if page.Next == nil || *page.Next == "" {
@@ -113,3 +115,55 @@
 	}
 	return list, calls, errors.Errorf("platform: more than %d pages", maxPages)
 }
+
+// newRequest makes the request of the page at a marker; empty: the first.
+func (p *PlatformClient) newRequest(ctx context.Context, marker string) (*http.Request, error) {
+	u := url.URL{Scheme: "http", Host: p.addr, Path: CallListBackends.Path}
+	if marker != "" {
+		u.RawQuery = url.Values{"marker": {marker}}.Encode()
+	}
+	return http.NewRequestWithContext(ctx, CallListBackends.Method, u.String(), nil)
+}
+
+// fetchPage sends the request of a page and decodes the answer.
+func (p *PlatformClient) fetchPage(req *http.Request) (*listPage, error) {
+	resp, err := p.client.Do(req)
+	if err != nil {
+		return nil, errors.Wrap(err, "platform")
+	}
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes+1))
+	resp.Body.Close()
+	switch {
+	case err != nil:
+		return nil, errors.Wrap(err, "platform")
+	case resp.StatusCode == http.StatusTooManyRequests:
+		return nil, ErrRateLimited
+	case resp.StatusCode != http.StatusOK:
+		return nil, errors.Errorf("platform: status %d", resp.StatusCode)
+	case len(body) > maxPageBytes:
+		return nil, errors.Errorf("platform: a page over %d bytes", maxPageBytes)
+	}
+	var page listPage
+	if err := json.Unmarshal(body, &page); err != nil {
+		return nil, errors.Wrap(err, "platform")
+	}
+	return &page, nil
+}
+
+// toBackend is the backend as the fleet's list has it. Where several models are served, the first one's version counts.
+func (b *listedBackend) toBackend() distribution.Backend {
+	out := distribution.Backend{
+		ID:       b.ID,
+		Service:  b.Service,
+		Address:  b.Address,
+		Zone:     b.Zone,
+		Version:  b.Version,
+		Capacity: b.Capacity,
+		Draining: b.State == stateDraining,
+		Phase:    b.Phase,
+	}
+	if len(b.Models) > 0 {
+		out.Weights = b.Models[0].Version
+	}
+	return out
+}
