--- a/internal/fleet/replication/plantedfaults_test.go
+++ b/internal/fleet/replication/plantedfaults_test.go
@@ -25,10 +25,10 @@
 	{"a stopped backup still acknowledges", []string{"m.holdsRecord() && !m.stopped() && m.replica.InSyncEpoch", "m.holdsRecord() && m.replica.InSyncEpoch",
 		"\tif !m.stopped() {\n\t\tif m.appendChanges", "\t{\n\t\tif m.appendChanges", "\tif msg.Stopped {\n\t\tm.recordStoppedBackup(p)\n\t\treturn\n\t}\n", ""}, "search,hand", ""},
 	{"a write is acknowledged before the backups have it", []string{
-		"seq, round = min(seq, p.match), min(round, p.readRound)", "readRound = min(readRound, p.readRound)"}, "search,hand", ""},
+		"seq, round = min(seq, p.match), min(round, p.readRound)", "round = min(round, p.readRound)"}, "search,hand", ""},
 	{"a read is not confirmed", []string{"len(m.progress) == 0 || w.at != 0 && w.at <= round", "true"}, "search,hand", ""},
 	{"a read is confirmed by an earlier answer", []string{
-		"pendingRequest{token: token})\n\t\tm.advanceCommit()", "pendingRequest{token: token, at: m.round})\n\t\tm.advanceCommit()"}, "search", ""},
+		"pendingRequest{token: token})\n\t\tm.advanceCommit()", "pendingRequest{token: token, at: m.readRound})\n\t\tm.advanceCommit()"}, "search", ""},
 	{"what others accepted is not proposed", []string{"if newest != nil {", "if newest != nil && m.now < 0 {"}, "search,hand", ""},
 	{"the oldest acceptance wins", []string{"newest.accepted.less(p.accepted)", "p.accepted.less(newest.accepted)"},
 		"hand", ""},
@@ -56,15 +56,15 @@
 	{"a read is confirmed by the answers to the round before", []string{
 		"w.at != 0 && w.at <= round", "w.at != 0 && w.at <= round+1"}, "search", ""},
 	{"a read is confirmed by one of two backups", []string{
-		"\tdone := 0\n", "\tfor _, p := range m.peers {\n\t\tround = max(round, p.round)\n\t}\n\tdone := 0\n"}, "search", ""},
+		"\tdone := 0\n", "\tfor _, p := range m.progress {\n\t\tround = max(round, p.readRound)\n\t}\n\tdone := 0\n"}, "search", ""},
 	{"a write is acknowledged by one of two backups", []string{
-		"\tm.committed = max(m.committed, seq)\n", "\tfor _, p := range m.peers {\n\t\tseq = max(seq, p.seq)\n\t}\n\tm.committed = max(m.committed, seq)\n"}, "search,hand", ""},
+		"\tm.committed = max(m.committed, seq)\n", "\tfor _, p := range m.progress {\n\t\tseq = max(seq, p.match)\n\t}\n\tm.committed = max(m.committed, seq)\n"}, "search,hand", ""},
 	{"a thawed primary takes old answers for new ones", []string{
-		"\t\tfor _, p := range m.progress {\n\t\t\tif p.stalledSince >= 0 {\n", "\t\tfor _, p := range m.progress {\n\t\t\tp.round = m.round\n\t\t\tif p.stalledSince >= 0 {\n"}, "search", ""},
+		"\t\tfor _, p := range m.progress {\n\t\t\tif p.stalledSince >= 0 {\n", "\t\tfor _, p := range m.progress {\n\t\t\tp.readRound = m.readRound\n\t\t\tif p.stalledSince >= 0 {\n"}, "search", ""},
 	{"reads are served while a majority was heard lately by the own clock", []string{
-		"len(m.progress) == 0 || w.at != 0 && w.at <= round", "m.majorityAlive()"}, "search,hand", ""},
+		"len(m.progress) == 0 || w.at != 0 && w.at <= round", "m.quorumAlive()"}, "search,hand", ""},
 	{"a new primary takes its backups to be in step", []string{
-		"&progress{stalledSince: m.now}", "&progress{stalledSince: m.now, step: true, seq: m.seq}"}, "search,hand", ""},
+		"&progress{stalledSince: m.now}", "&progress{stalledSince: m.now, inSync: true, match: m.seq}"}, "search,hand", ""},
 	{"a deposed primary acknowledges what waited", []string{
 		"m.answer(w.token, LostPrimacy, w.at)", "m.answer(w.token, Committed, w.at)"}, "search,hand", ""},
 	{"a primary that proposes goes on answering", []string{
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -211,7 +211,7 @@
 
 // stages plays a replacement of each machine in turn, unplanned and planned, and judges each view on the way.
 func (l layout) stages(c *qt.C) []*stage {
-	whole, lostOne := &stage{name: "complete"}, &stage{name: "one machine lost"}
+	whole, lostOne := &stage{name: "whole"}, &stage{name: "one machine lost"}
 	joined, synced := &stage{name: "its successor is in"}, &stage{name: "the successor has caught up"}
 	second, ended := &stage{name: "planned: one more is in"}, &stage{name: "planned: the old one has ended"}
 	first := View{Epoch: 1}
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -6,7 +6,7 @@
 
 //go:generate msgp -file types.go -o types_gen.go -tests=false
 
-//msgp:ignore Options Output Envelope Answer Status App Survive Result Role State Write
+//msgp:ignore Options Output Envelope Answer Status App FailureTolerance Result Role PersistentState Write
 
 // ID is the identity that a machine draws when its disk is empty: 32 hex digits. A machine that lost its disk, or
 // whose identity left the members, draws a new one, so what an older identity promised binds nobody else.
