--- a/internal/fleet/replication/ballot.go
+++ b/internal/fleet/replication/candidacy.go
@@ -34,7 +34,7 @@
 
 // campaign begins a candidacy: this holder stops answering in its view and asks for promises.
 func (m *Machine) campaign() {
-	if m.candidacy != nil || m.now < m.campaignNotBefore || !m.holdsRecord() {
+	if m.candidacy != nil || m.now < m.election.campaignNotBefore || !m.holdsRecord() {
 		return
 	}
 	if !m.stopped() {
@@ -42,7 +42,7 @@
 		m.saveReplica()
 		m.dropTransfers() // what is staged holds all that was acknowledged until now
 	}
-	b := Ballot{N: max(m.vote.Promised.N, m.highestRejection) + 1, ID: m.identity.ID}
+	b := Ballot{N: max(m.vote.Promised.N, m.election.highestRejection) + 1, ID: m.identity.ID}
 	m.vote.Promised = b
 	m.saveVote()
 	m.candidacy = &candidacy{
@@ -122,7 +122,7 @@
 		if m.view.Epoch == 0 {
 			key = seedID(o.Addr)
 		}
-		cand := candidate{Member: o, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.departing[o.ID]}
+		cand := candidate{Member: o, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.peers.departing[o.ID]}
 		if p := c.promises[key]; p != nil {
 			if p.stageFailed || m.now-p.at >= 2*m.opt.ElectionTimeout {
 				continue
@@ -167,11 +167,11 @@
 		if m.stalled(b, c.since, m.opt.WriteTimeout) {
 			late = true
 			m.dropTransfer(b)
-			m.laggedAt[b] = m.now
+			m.peers.laggedAt[b] = m.now
 			if p != nil {
 				p.stageFailed = true
 			} else {
-				delete(m.joiners, o.Addr)
+				delete(m.primary.joiners, o.Addr)
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 		return
 	}
 	if !m.holdsRecord() || m.lacksCommitted(msg) {
-		same := m.replica.RecordEpoch == m.view.Epoch && msg.Seq == m.seq && msg.Digest == m.digest
+		same := m.replica.RecordEpoch == m.view.Epoch && msg.Seq == m.log.seq && msg.Digest == m.log.digest
 		if !same {
 			body, complete := m.receiveChunk(msg)
 			if !complete || !m.replace(msg.Seq, msg.Digest, body) {
@@ -208,7 +208,7 @@
 			m.saveReplica()
 		}
 	}
-	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.seq, Digest: m.digest})
+	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.log.seq, Digest: m.log.digest})
 }
 
 func (m *Machine) handleStaged(msg *Message) {
@@ -245,7 +245,7 @@
 	m.installView(v)
 	notified := map[string]bool{}
 	for _, o := range append(append([]Member{}, old.Members...), v.Members...) {
-		if notified[o.Addr] || m.isPrimary && v.has(o.ID) { // those get the beat
+		if notified[o.Addr] || m.primary.active && v.has(o.ID) { // those get the beat
 			continue
 		}
 		notified[o.Addr] = true
@@ -258,8 +258,8 @@
 	if m.candidacy != nil && m.candidacy.ballot.less(b) {
 		m.candidacy = nil
 	}
-	m.highestRejection = max(m.highestRejection, b.N)
-	m.campaignNotBefore = max(m.campaignNotBefore, m.now+wait)
+	m.election.highestRejection = max(m.election.highestRejection, b.N)
+	m.election.campaignNotBefore = max(m.election.campaignNotBefore, m.now+wait)
 }
 
 func (m *Machine) handlePrepare(msg *Message) {
@@ -273,15 +273,15 @@
 	if msg.Ballot != m.vote.Promised {
 		m.vote.Promised = msg.Ballot
 		m.saveVote()
-		m.lastHeartbeat = m.now
+		m.election.lastHeartbeat = m.now
 		m.yieldTo(msg.Ballot, m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
-		if p := m.progress[msg.From.ID]; p != nil {
+		if p := m.primary.progress[msg.From.ID]; p != nil {
 			p.stopped = true
 		}
 	}
 	m.send(msg.From.Addr, Message{
 		Kind: KindPromise, Ballot: msg.Ballot, Accepted: m.vote.Accepted, Value: m.vote.Value, HoldsRecord: m.holdsRecord(),
-		Seq: m.seq, Digest: m.digest, Committed: m.knownCommit(),
+		Seq: m.log.seq, Digest: m.log.digest, Committed: m.knownCommit(),
 	})
 }
 
@@ -298,7 +298,7 @@
 	c.promises[id] = &promise{
 		member: msg.From, accepted: msg.Accepted, value: msg.Value, holdsRecord: msg.HoldsRecord, at: m.now, stageFailed: bad, seq: msg.Seq,
 	}
-	m.reportedCommit = max(m.reportedCommit, msg.Committed)
+	m.log.reportedCommit = max(m.log.reportedCommit, msg.Committed)
 	m.runPhase(false)
 }
 
@@ -313,7 +313,7 @@
 	if m.vote.Accepted != msg.Ballot {
 		m.vote = Vote{Promised: msg.Ballot, Accepted: msg.Ballot, Value: msg.Value}
 		m.saveVote()
-		m.lastHeartbeat = m.now
+		m.election.lastHeartbeat = m.now
 		m.yieldTo(msg.Ballot, m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
 	}
 	m.send(msg.From.Addr, Message{Kind: KindAccepted, Ballot: msg.Ballot})
@@ -332,7 +332,7 @@
 	if m.candidacy == nil || m.senderVoter(msg) == "" || !m.candidacy.ballot.less(msg.Ballot) {
 		return
 	}
-	m.rejections++
-	spread := m.opt.ElectionStagger * time.Duration(1+min(m.rejections, 8))
+	m.election.rejections++
+	spread := m.opt.ElectionStagger * time.Duration(1+min(m.election.rejections, 8))
 	m.yieldTo(msg.Ballot, m.opt.ElectionStagger*time.Duration(1+m.rank())+m.jitter(spread))
 }
--- a/internal/fleet/replication/catchupfaults_test.go
+++ b/internal/fleet/replication/catchupfaults_test.go
@@ -17,23 +17,23 @@
 		{Name: "a lost chunk is not sent again", Tests: "^TestLostChunks$", Texts: []string{
 			"\tt.next = t.acked\n\tm.sendChunks(to.Addr, t)", "\tm.sendChunks(to.Addr, t)"}},
 		{Name: "a backup whose record is on its way counts as late", Tests: "^TestSlowLinkTakesRecord$", Texts: []string{
-			"if p := m.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {\n\t\t\tp.stalledSince = m.now\n\t\t}", ""}},
+			"if p := m.primary.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {\n\t\t\tp.stalledSince = m.now\n\t\t}", ""}},
 		{Name: "what is staged may be older than the stop", Tests: "^TestStagedRecordIsNew$", Texts: []string{
 			"\t\tm.dropTransfers() // what is staged", "\t\t// what is staged"}},
 		{Name: "some of the changes make a holder", Tests: "^TestPartOfChangesIsNoRecord$", Texts: []string{
-			"!m.appendChanges(msg) || m.seq < msg.Total", "!m.appendChanges(msg)"}},
+			"!m.appendChanges(msg) || m.log.seq < msg.Total", "!m.appendChanges(msg)"}},
 		{Name: "changes that don't follow make a holder", Tests: "^TestPartOfChangesIsNoRecord$", Texts: []string{
-			"!m.appendChanges(msg) || m.seq < msg.Total", "!m.appendChanges(msg) && m.seq < msg.Total"}},
+			"!m.appendChanges(msg) || m.log.seq < msg.Total", "!m.appendChanges(msg) && m.log.seq < msg.Total"}},
 		{Name: "a staged record is replaced by a learner's", Tests: "^TestStagedRecordStays$", Texts: []string{
 			"return !m.holdsRecord() && m.replica.RecordEpoch != m.view.Epoch", "return !m.holdsRecord()"}},
 		{Name: "the log is cut while a record is on its way", Tests: "^TestLogIsKeptForRecord$", Texts: []string{
 			"transferLogFactor = 4", "transferLogFactor = 1"}},
 		{Name: "a cut of the log leaves none of it", Tests: "^TestLogIsKeptForRecord$", Texts: []string{
-			"first, bytes := len(m.changes), 0", "first, bytes := len(m.changes), m.opt.SnapshotBytes"}},
+			"first, bytes := len(l.changes), 0", "first, bytes := len(l.changes), maxBytes"}},
 		{Name: "who has the record but for a few changes isn't preferred", Tests: "^TestNearLearnerIsPreferred$", Texts: []string{
 			"{c.nearlyCaughtUp, weightNearlyCaughtUp},", "{false, weightNearlyCaughtUp},"}},
 		{Name: "a disk that was put back leads", Tests: "^TestDiskPutBackNeverLeads$", Texts: []string{
-			"return m.seq >= m.knownCommit()", "return true"}},
+			"return m.log.seq >= m.knownCommit()", "return true"}},
 		{Name: "a holder whose disk was put back isn't staged anew", Tests: "^TestDiskPutBackNeverLeads$", Texts: []string{
 			"\t\t\tp.holdsRecord = false\n", ""}},
 		{Name: "a backup whose disk was put back counts as it was", Tests: "^TestDiskPutBackCatchesUp$", Texts: []string{
--- a/internal/fleet/replication/cells_test.go
+++ b/internal/fleet/replication/cells_test.go
@@ -75,44 +75,43 @@
 func cloneMachine(m *Machine, app *logApp) *Machine {
 	c := *m
 	c.app = app
-	c.lastActive, c.laggedAt, c.foundersSeen = maps.Clone(m.lastActive), maps.Clone(m.laggedAt), maps.Clone(m.foundersSeen)
-	c.changes, c.pendingWrites, c.pendingReads = slices.Clone(m.changes), slices.Clone(m.pendingWrites), slices.Clone(m.pendingReads)
-	c.joiners = map[string]*joiner{}
-	for a, j := range m.joiners {
-		k := *j
-		c.joiners[a] = &k
-	}
-	c.positions = maps.Clone(m.positions)
-	c.transfers = map[ID]*transfer{}
-	for id, t := range m.transfers {
-		k := *t
-		c.transfers[id] = &k
-	}
-	if m.incoming != nil {
-		k := *m.incoming
+	c.log.changes = slices.Clone(m.log.changes)
+	c.peers.lastActive = maps.Clone(m.peers.lastActive)
+	c.peers.laggedAt = maps.Clone(m.peers.laggedAt)
+	c.peers.foundersSeen = maps.Clone(m.peers.foundersSeen)
+	c.primary.pendingWrites = slices.Clone(m.primary.pendingWrites)
+	c.primary.pendingReads = slices.Clone(m.primary.pendingReads)
+	c.primary.joiners = cloneValues(m.primary.joiners)
+	c.primary.progress = cloneValues(m.primary.progress)
+	c.transfers.positions = maps.Clone(m.transfers.positions)
+	c.transfers.outgoing = cloneValues(m.transfers.outgoing)
+	if m.transfers.incoming != nil {
+		k := *m.transfers.incoming
 		k.body = slices.Clip(k.body)
-		c.incoming = &k
-	}
-	if m.progress != nil {
-		c.progress = map[ID]*progress{}
-		for id, p := range m.progress {
-			k := *p
-			c.progress[id] = &k
-		}
+		c.transfers.incoming = &k
 	}
 	if m.candidacy != nil {
 		k := *m.candidacy
 		k.staged, k.accepted = maps.Clone(k.staged), maps.Clone(k.accepted)
-		k.promises = map[ID]*promise{}
-		for id, p := range m.candidacy.promises {
-			o := *p
-			k.promises[id] = &o
-		}
+		k.promises = cloneValues(k.promises)
 		c.candidacy = &k
 	}
 	return &c
 }
 
+// cloneValues copies a map and what it points to.
+func cloneValues[K comparable, V any](from map[K]*V) map[K]*V {
+	if from == nil {
+		return nil
+	}
+	to := make(map[K]*V, len(from))
+	for k, v := range from {
+		c := *v
+		to[k] = &c
+	}
+	return to
+}
+
 // canon writes values so that equal ones are written equally: maps sorted, pointers followed, times relative to now.
 type canon struct {
 	b   []byte
--- a/internal/fleet/replication/leave.go
+++ b/internal/fleet/replication/departure.go
@@ -45,7 +45,7 @@
 
 // recordDeparture keeps which members of the view are about to end.
 func (m *Machine) recordDeparture(msg *Message) {
-	if m.departing[msg.From.ID] == msg.Leaving || !m.view.has(msg.From.ID) {
+	if m.peers.departing[msg.From.ID] == msg.Leaving || !m.view.has(msg.From.ID) {
 		return
 	}
 	m.setDeparting(msg.From.ID, msg.Leaving)
@@ -53,15 +53,15 @@
 
 // rejectJoiner forgets a joiner that is about to end. A view that takes it in may be on its way: it goes out of that at once.
 func (m *Machine) rejectJoiner(j *joiner) {
-	delete(m.joiners, j.Addr)
+	delete(m.primary.joiners, j.Addr)
 	m.setDeparting(j.ID, true)
 }
 
 func (m *Machine) setDeparting(id ID, leaving bool) {
-	if leaving && len(m.departing) >= maxMembers+maxJoiners {
+	if leaving && len(m.peers.departing) >= maxMembers+maxJoiners {
 		return
 	}
-	leavers := maps.Clone(m.departing)
+	leavers := maps.Clone(m.peers.departing)
 	if leavers == nil {
 		leavers = map[ID]bool{}
 	}
@@ -70,18 +70,18 @@
 	} else {
 		delete(leavers, id)
 	}
-	m.departing = leavers
+	m.peers.departing = leavers
 }
 
 // pruneDeparting drops what is known of machines that are no members any more.
 func (m *Machine) pruneDeparting() {
 	leavers := map[ID]bool{}
-	for id := range m.departing {
+	for id := range m.peers.departing {
 		if m.view.has(id) {
 			leavers[id] = true
 		}
 	}
-	m.departing = leavers
+	m.peers.departing = leavers
 }
 
 // handOver asks a backup in step to take over, once nothing waits for an acknowledgement or a heartbeat later.
@@ -90,30 +90,30 @@
 		return
 	}
 	for _, id := range m.view.Backups {
-		p := m.progress[id]
-		if p.match != m.seq || !m.alive(id) || m.departing[id] {
+		p := m.primary.progress[id]
+		if p.match != m.log.seq || !m.alive(id) || m.peers.departing[id] {
 			continue
 		}
 		to, _ := m.view.member(id)
-		m.send(to.Addr, Message{Kind: KindHandover, Seq: m.seq, Digest: m.digest, Committed: m.committed})
+		m.send(to.Addr, Message{Kind: KindHandover, Seq: m.log.seq, Digest: m.log.digest, Committed: m.log.committed})
 		return
 	}
 }
 
 // handleHandover takes over from a primary that leaves.
 func (m *Machine) handleHandover(msg *Message) {
-	if !m.fromPrimary(msg) || !m.inSync() || m.departure.begun || msg.Seq != m.seq || msg.Digest != m.digest {
+	if !m.fromPrimary(msg) || !m.inSync() || m.departure.begun || msg.Seq != m.log.seq || msg.Digest != m.log.digest {
 		return
 	}
 	m.learnCommit(msg)
-	m.campaignNotBefore = m.now
+	m.election.campaignNotBefore = m.now
 	m.campaign()
 }
 
 // hasSuccessor reports whether a backup may take over from this primary and stay.
 func (m *Machine) hasSuccessor() bool {
 	for _, id := range m.view.Backups {
-		if m.alive(id) && !m.departing[id] {
+		if m.alive(id) && !m.peers.departing[id] {
 			return true
 		}
 	}
--- a/internal/fleet/replication/hello.go
+++ b/internal/fleet/replication/discovery.go
@@ -13,13 +13,13 @@
 // sendHello asks around when there is a reason: no member yet, or no word of a primary.
 func (m *Machine) sendHello() {
 	outside := m.view.Epoch == 0 || !m.view.has(m.identity.ID)
-	silent := m.now-m.lastHeartbeat >= m.opt.ElectionTimeout
-	if m.isPrimary {
+	silent := m.now-m.election.lastHeartbeat >= m.opt.ElectionTimeout
+	if m.primary.active {
 		silent = !m.quorumAlive()
 	}
-	m.helloAt = m.now + m.opt.ElectionTimeout
+	m.election.helloAt = m.now + m.opt.ElectionTimeout
 	if outside {
-		m.helloAt = m.now + m.opt.HeartbeatInterval
+		m.election.helloAt = m.now + m.opt.HeartbeatInterval
 	}
 	if outside && !silent && m.view.Epoch > 0 {
 		if p, ok := m.view.member(m.view.Primary); ok {
@@ -40,25 +40,45 @@
 	}
 }
 
+// tellView sends the decided view to the sender of a message of an older epoch.
+func (m *Machine) tellView(msg *Message) {
+	if msg.Kind != KindView {
+		m.send(msg.From.Addr, Message{Kind: KindView})
+	}
+}
+
+// askForView asks the sender of a message of a newer epoch for its view, unless another was asked just now.
+func (m *Machine) askForView(msg *Message) {
+	if msg.Kind != KindView && m.now >= m.election.helloAt-m.opt.HeartbeatInterval/2 {
+		m.send(msg.From.Addr, m.helloMessage())
+	}
+}
+
+// handleView counts the founders that answer during a first start. A decided view was installed before.
+func (m *Machine) handleView(msg *Message) {
+	if m.view.Epoch == 0 && m.senderVoter(msg) != "" {
+		m.peers.foundersSeen[msg.From.Addr] = true
+		m.tickFounder()
+	}
+}
+
+// handleHello tells the decided view, and takes note of who asks to become a member.
 func (m *Machine) handleHello(msg *Message) {
 	m.send(msg.From.Addr, Message{Kind: KindView})
 	if m.view.Epoch == 0 {
-		if m.senderVoter(msg) != "" {
-			m.foundersSeen[msg.From.Addr] = true
-			m.tickFounder()
-		}
+		m.handleView(msg)
 		return
 	}
 	if !m.leading() || !msg.Join || msg.From.ID == "" || m.view.has(msg.From.ID) {
 		return
 	}
-	j := m.joiners[msg.From.Addr]
+	j := m.primary.joiners[msg.From.Addr]
 	if j == nil || j.ID != msg.From.ID {
-		if j == nil && len(m.joiners) >= maxJoiners {
+		if j == nil && len(m.primary.joiners) >= maxJoiners {
 			return
 		}
 		j = &joiner{Member: msg.From, firstActive: m.now}
-		m.joiners[msg.From.Addr] = j
+		m.primary.joiners[msg.From.Addr] = j
 	}
 	j.lastActive = m.now
 	m.send(j.Addr, m.heartbeatMessage()) // its answer shows that this identity lives
@@ -72,11 +92,11 @@
 	}
 	heard := 1
 	for _, o := range m.view.Members {
-		if o.Addr != m.identity.Addr && m.foundersSeen[o.Addr] {
+		if o.Addr != m.identity.Addr && m.peers.foundersSeen[o.Addr] {
 			heard++
 		}
 	}
-	turn := m.now >= m.viewSince+m.opt.ElectionTimeout+time.Duration(m.rank())*m.opt.ElectionStagger
+	turn := m.now >= m.election.viewSince+m.opt.ElectionTimeout+time.Duration(m.rank())*m.opt.ElectionStagger
 	if heard == len(m.view.Members) && (m.rank() == 0 || m.stopped()) || heard >= m.view.quorum() && turn {
 		m.campaign()
 	}
--- a/internal/fleet/replication/identity.go
+++ b/internal/fleet/replication/identity.go
@@ -12,8 +12,7 @@
 		Addr: m.opt.Self.Addr, Founder: founder, Joined: founder,
 	}
 	m.vote, m.replica = Vote{}, ReplicaState{}
-	m.seq, m.digest, m.committed, m.base, m.changes = 0, 0, 0, Snapshot{}, nil
-	m.logBytes, m.logCount = 0, 0
+	m.log = recordLog{reportedCommit: m.log.reportedCommit}
 	m.write = Write{Reset: true}
 	m.saveIdentity()
 	m.saveView()
--- a/internal/fleet/replication/learner.go
+++ b/internal/fleet/replication/learner.go
@@ -13,7 +13,7 @@
 func (m *Machine) learners() []Member {
 	var all []Member
 	for _, o := range m.view.Members {
-		if m.view.rank(o.ID) < 0 && m.alive(o.ID) && !m.departing[o.ID] {
+		if m.view.rank(o.ID) < 0 && m.alive(o.ID) && !m.peers.departing[o.ID] {
 			all = append(all, o)
 		}
 	}
@@ -22,12 +22,12 @@
 
 // catchUpLearners sends learners what they lack.
 func (m *Machine) catchUpLearners() {
-	if m.now < m.learnerSendAt {
+	if m.now < m.primary.learnerSendAt {
 		return
 	}
-	m.learnerSendAt = m.now + learnerHeartbeats*m.opt.HeartbeatInterval
-	for id, t := range m.transfers {
-		if m.progress[id] == nil && m.now-max(t.sentAt, t.movedAt) >= m.opt.ElectionTimeout {
+	m.primary.learnerSendAt = m.now + learnerHeartbeats*m.opt.HeartbeatInterval
+	for id, t := range m.transfers.outgoing {
+		if m.primary.progress[id] == nil && m.now-max(t.sentAt, t.movedAt) >= m.opt.ElectionTimeout {
 			m.dropTransfer(id)
 		}
 	}
@@ -37,7 +37,7 @@
 }
 
 func (m *Machine) catchUpLearner(to Member) {
-	at, ok := m.positions[to.ID]
+	at, ok := m.transfers.positions[to.ID]
 	if !ok {
 		return // it hasn't told yet
 	}
@@ -45,41 +45,41 @@
 		m.transferToLearner(to)
 		return
 	}
-	if at.seq == m.seq {
+	if at.seq == m.log.seq {
 		m.dropTransfer(to.ID)
 		return
 	}
-	changes := m.changesAfter(at.seq)
+	changes := m.log.changesAfter(at.seq, m.opt.ChunkBytes)
 	if len(changes) == 0 {
 		m.transferToLearner(to)
 		return
 	}
-	m.send(to.Addr, Message{Kind: KindAppend, Seq: at.seq, Digest: at.digest, Committed: m.committed, Changes: changes})
+	m.send(to.Addr, Message{Kind: KindAppend, Seq: at.seq, Digest: at.digest, Committed: m.log.committed, Changes: changes})
 }
 
 // hasPrefix reports whether a record at a position is a part of ours from which the changes are still kept.
 func (m *Machine) hasPrefix(at position) bool {
-	digest, known := m.digestAt(at.seq)
+	digest, known := m.log.digestAt(at.seq)
 	return known && digest == at.digest
 }
 
 // nearlyCaughtUp reports whether a machine is known to lack only changes that are still kept.
 func (m *Machine) nearlyCaughtUp(id ID) bool {
-	at, ok := m.positions[id]
+	at, ok := m.transfers.positions[id]
 	return ok && m.hasPrefix(at)
 }
 
 // transferToLearner sends the whole record to one learner at a time: heartbeats wait behind it.
 func (m *Machine) transferToLearner(to Member) {
-	if m.transfers[to.ID] != nil || !m.learnerTransferActive(m.opt.ElectionTimeout) {
+	if m.transfers.outgoing[to.ID] != nil || !m.learnerTransferActive(m.opt.ElectionTimeout) {
 		m.sendRecord(KindSnapshot, to)
 	}
 }
 
 // learnerTransferActive reports whether a whole record is on its way to some learner and has moved within the time given.
 func (m *Machine) learnerTransferActive(within time.Duration) bool {
-	for id, t := range m.transfers {
-		if m.progress[id] == nil && m.now-t.movedAt < within {
+	for id, t := range m.transfers.outgoing {
+		if m.primary.progress[id] == nil && m.now-t.movedAt < within {
 			return true
 		}
 	}
@@ -107,7 +107,7 @@
 
 // handleLearnerSnapshot takes chunks of the primary's record, unless it is a part of ours.
 func (m *Machine) handleLearnerSnapshot(msg *Message) {
-	digest, known := m.digestAt(msg.Seq)
+	digest, known := m.log.digestAt(msg.Seq)
 	if m.isLearner() && !(known && digest == msg.Digest) {
 		body, complete := m.receiveChunk(msg)
 		if !complete {
--- a/internal/fleet/replication/liveness_test.go
+++ b/internal/fleet/replication/liveness_test.go
@@ -125,7 +125,7 @@
 func (r *timeline) primary() (newest int, epoch uint64) {
 	newest = -1
 	for i, c := range r.cells {
-		if c.m.isPrimary && c.m.view.Epoch > epoch && !r.cutOff(i) {
+		if c.m.primary.active && c.m.view.Epoch > epoch && !r.cutOff(i) {
 			newest, epoch = i, c.m.view.Epoch
 		}
 	}
--- a/internal/fleet/replication/membership.go
+++ b/internal/fleet/replication/membership.go
@@ -24,10 +24,10 @@
 // joining lists the machines to be taken in, by address.
 func (m *Machine) joining() []Member {
 	var js []Member
-	for a, j := range m.joiners {
+	for a, j := range m.primary.joiners {
 		if m.now-j.lastActive >= m.opt.ElectionTimeout {
 			if m.now-j.lastActive >= m.opt.MemberTimeout {
-				delete(m.joiners, a)
+				delete(m.primary.joiners, a)
 			}
 			continue
 		}
@@ -49,7 +49,7 @@
 // set among machines that live without the joiners.
 func (m *Machine) nextMembers() memberPlan {
 	plan := memberPlan{members: slices.Clone(m.view.Members)}
-	if !m.isPrimary {
+	if !m.primary.active {
 		return plan
 	}
 	waiting := plan.replaceOldIdentities(m.joining())
@@ -119,7 +119,7 @@
 		return true
 	}
 	unsure := func(j Member) bool {
-		joiner := m.joiners[j.Addr]
+		joiner := m.primary.joiners[j.Addr]
 		return m.now-joiner.firstActive < m.opt.ElectionTimeout || m.now-joiner.lastActive > 2*m.opt.HeartbeatInterval
 	}
 	return !slices.ContainsFunc(joiners, unsure) && m.countPresent(members) >= quorumSize(len(grown))
@@ -156,7 +156,7 @@
 		if o.ID == m.identity.ID || !m.view.has(o.ID) {
 			continue
 		}
-		at, ok := m.lastActive[o.ID]
+		at, ok := m.peers.lastActive[o.ID]
 		if m.departsAsWitness(o.ID) || !ok || m.now-at >= silence {
 			absent = append(absent, o)
 		}
@@ -168,20 +168,20 @@
 			}
 			return 1
 		}
-		return cmp.Compare(m.lastActive[a.ID], m.lastActive[b.ID])
+		return cmp.Compare(m.peers.lastActive[a.ID], m.peers.lastActive[b.ID])
 	})
 	return absent
 }
 
 // departsAsWitness reports whether a member is about to end and holds no record of the view. One that holds it first
 // becomes a witness: whoever is left out drops its record, and by then the holders of the next view must know of it.
-func (m *Machine) departsAsWitness(id ID) bool { return m.departing[id] && m.view.rank(id) < 0 }
+func (m *Machine) departsAsWitness(id ID) bool { return m.peers.departing[id] && m.view.rank(id) < 0 }
 
 // countPresent counts the members of the view among these that answer and stay.
 func (m *Machine) countPresent(members []Member) int {
 	n := 0
 	for _, o := range members {
-		if m.view.has(o.ID) && m.alive(o.ID) && !m.departing[o.ID] {
+		if m.view.has(o.ID) && m.alive(o.ID) && !m.peers.departing[o.ID] {
 			n++
 		}
 	}
--- a/internal/fleet/replication/plantedfaults_test.go
+++ b/internal/fleet/replication/plantedfaults_test.go
@@ -12,8 +12,8 @@
 	{"a machine without its disk votes as who it was", []string{
 		`ID(fmt.Sprintf("%016x%016x", m.opt.Rand(), m.opt.Rand()))`, `ID(fmt.Sprint("of ", m.opt.Self.Addr))`}, "search,hand", ""},
 	{"a snapshot on the disk is one change short", []string{
-		"Digest: m.digest, Body: body}",
-		"Digest: m.digest, Body: func() []byte { n := len(body); for n > 0 && body[n-1] != 10 { n-- }; return body[:max(0, n-1)] }()}"}, "search,hand", ""},
+		"Digest: m.log.digest, Body: body}",
+		"Digest: m.log.digest, Body: func() []byte { n := len(body); for n > 0 && body[n-1] != 10 { n-- }; return body[:max(0, n-1)] }()}"}, "search,hand", ""},
 	{"half of the members decide", []string{"return members/2 + 1", "return (members + 1) / 2"}, "search", ""},
 	{"a view is decided by fewer than promised", []string{
 		"len(c.accepted) >= m.view.quorum()", "len(c.accepted) >= m.view.quorum()-1"}, "search,hand", ""},
@@ -26,9 +26,9 @@
 		"\tif !m.stopped() {\n\t\tif m.appendChanges", "\t{\n\t\tif m.appendChanges", "\tif msg.Stopped {\n\t\tm.recordStoppedBackup(p)\n\t\treturn\n\t}\n", ""}, "search,hand", ""},
 	{"a write is acknowledged before the backups have it", []string{
 		"seq, round = min(seq, p.match), min(round, p.readRound)", "round = min(round, p.readRound)"}, "search,hand", ""},
-	{"a read is not confirmed", []string{"len(m.progress) == 0 || w.at != 0 && w.at <= round", "true"}, "search,hand", ""},
+	{"a read is not confirmed", []string{"len(m.primary.progress) == 0 || w.at != 0 && w.at <= round", "true"}, "search,hand", ""},
 	{"a read is confirmed by an earlier answer", []string{
-		"pendingRequest{token: token})\n\t\tm.advanceCommit()", "pendingRequest{token: token, at: m.readRound})\n\t\tm.advanceCommit()"}, "search", ""},
+		"pendingRequest{token: token})\n\t\tm.advanceCommit()", "pendingRequest{token: token, at: m.primary.readRound})\n\t\tm.advanceCommit()"}, "search", ""},
 	{"what others accepted is not proposed", []string{"if newest != nil {", "if newest != nil && m.now < 0 {"}, "search,hand", ""},
 	{"the oldest acceptance wins", []string{"newest.accepted.less(p.accepted)", "p.accepted.less(newest.accepted)"},
 		"hand", ""},
@@ -40,15 +40,15 @@
 		"if c.staged[b] || p != nil && p.holdsRecord {", "if c.staged[b] || p != nil {"}, "search,hand", ""},
 	{"any backup counts as a holder", []string{"m.view.rank(m.identity.ID) >= 0 && m.replica.RecordEpoch == m.view.Epoch", "m.view.rank(m.identity.ID) >= 0"},
 		"hand", ""},
-	{"an older snapshot is taken late", []string{"(m.replica.InSyncEpoch != m.view.Epoch || msg.Seq > m.seq)", "(m.now >= 0)"}, "search,hand", ""},
-	{"a longer record counts as a prefix", []string{"!m.stopped() && msg.Seq == m.seq && msg.Digest == m.digest", "!m.stopped()"}, "search", ""},
+	{"an older snapshot is taken late", []string{"(m.replica.InSyncEpoch != m.view.Epoch || msg.Seq > m.log.seq)", "(m.now >= 0)"}, "search,hand", ""},
+	{"a longer record counts as a prefix", []string{"!m.stopped() && msg.Seq == m.log.seq && msg.Digest == m.log.digest", "!m.stopped()"}, "search", ""},
 	{"a change follows any record", []string{
-		"ok := msg.Changes, msg.Seq == m.seq && msg.Digest == m.digest", "ok := msg.Changes, msg.Seq <= m.seq"},
+		"ok := msg.Changes, msg.Seq == m.log.seq && msg.Digest == m.log.digest", "ok := msg.Changes, msg.Seq <= m.log.seq"},
 		"hand", ""},
 	{"words of an older view count", []string{"if msg.Epoch < m.view.Epoch {", "if msg.Epoch+1 < m.view.Epoch {"}, "search", ""},
 	{"who was left out keeps its identity", []string{"if m.identity.Joined && !v.has(m.identity.ID) {", "if m.identity.Joined && !v.has(m.identity.ID) && m.now < 0 {"},
 		"hand", ""},
-	{"a decided view isn't kept on the disk", []string{"\t\tm.saveView()\n\t\tm.saveVote()\n\t}\n\theard", "\t\tm.saveVote()\n\t}\n\theard"}, "search,hand", ""},
+	{"a decided view isn't kept on the disk", []string{"\tm.saveView()\n\tm.saveVote()\n}\n", "\tm.saveVote()\n}\n"}, "search,hand", ""},
 	{"a view of the same epoch replaces the one that is known", []string{"if v.Epoch <= m.view.Epoch || !v.valid()", "if v.Epoch < m.view.Epoch || !v.valid()"},
 		"search,hand", ""},
 
@@ -56,19 +56,19 @@
 	{"a read is confirmed by the answers to the round before", []string{
 		"w.at != 0 && w.at <= round", "w.at != 0 && w.at <= round+1"}, "search", ""},
 	{"a read is confirmed by one of two backups", []string{
-		"\tdone := 0\n", "\tfor _, p := range m.progress {\n\t\tround = max(round, p.readRound)\n\t}\n\tdone := 0\n"}, "search", ""},
+		"\tdone := 0\n", "\tfor _, p := range m.primary.progress {\n\t\tround = max(round, p.readRound)\n\t}\n\tdone := 0\n"}, "search", ""},
 	{"a write is acknowledged by one of two backups", []string{
-		"\tm.committed = max(m.committed, seq)\n", "\tfor _, p := range m.progress {\n\t\tseq = max(seq, p.match)\n\t}\n\tm.committed = max(m.committed, seq)\n"}, "search,hand", ""},
+		"\tm.log.committed = max(m.log.committed, seq)\n", "\tfor _, p := range m.primary.progress {\n\t\tseq = max(seq, p.match)\n\t}\n\tm.log.committed = max(m.log.committed, seq)\n"}, "search,hand", ""},
 	{"a thawed primary takes old answers for new ones", []string{
-		"\t\tfor _, p := range m.progress {\n\t\t\tif p.stalledSince >= 0 {\n", "\t\tfor _, p := range m.progress {\n\t\t\tp.readRound = m.readRound\n\t\t\tif p.stalledSince >= 0 {\n"}, "search", ""},
+		"\tfor _, p := range m.primary.progress {\n\t\tif p.stalledSince >= 0 {\n", "\tfor _, p := range m.primary.progress {\n\t\tp.readRound = m.primary.readRound\n\t\tif p.stalledSince >= 0 {\n"}, "search", ""},
 	{"reads are served while a majority was heard lately by the own clock", []string{
-		"len(m.progress) == 0 || w.at != 0 && w.at <= round", "m.quorumAlive()"}, "search,hand", ""},
+		"len(m.primary.progress) == 0 || w.at != 0 && w.at <= round", "m.quorumAlive()"}, "search,hand", ""},
 	{"a new primary takes its backups to be in step", []string{
-		"&progress{stalledSince: m.now}", "&progress{stalledSince: m.now, inSync: true, match: m.seq}"}, "search,hand", ""},
+		"&progress{stalledSince: m.now}", "&progress{stalledSince: m.now, inSync: true, match: m.log.seq}"}, "search,hand", ""},
 	{"a deposed primary acknowledges what waited", []string{
 		"m.answer(w.token, LostPrimacy, w.at)", "m.answer(w.token, Committed, w.at)"}, "search,hand", ""},
 	{"a primary that proposes goes on answering", []string{
-		"return m.isPrimary && !m.stopped()", "return m.isPrimary"}, "search", ""},
+		"return m.primary.active && !m.stopped()", "return m.primary.active"}, "search", ""},
 	{"a thawed machine takes the others' silence for their loss", []string{"\tif frozen {", "\tif frozen && m.now < 0 {"}, "hand", ""},
 
 	// Changes of membership.
@@ -84,5 +84,5 @@
 	{"a joiner's disk doesn't say that it holds the record", []string{
 		"\t\t\tm.replica.RecordEpoch = m.view.Epoch\n\t\t\tm.saveReplica()\n", "\t\t\tm.replica.RecordEpoch = m.view.Epoch\n"}, "search,hand", ""},
 	{"who takes over leaves out whom it hasn't heard", []string{
-		"\tif !m.isPrimary {\n\t\treturn plan\n\t}\n", ""}, "search,hand", ""},
+		"\tif !m.primary.active {\n\t\treturn plan\n\t}\n", ""}, "search,hand", ""},
 }
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -12,9 +12,9 @@
 	before := m.Status()
 	m.beginInput(now)
 	switch {
-	case !m.isPrimary:
+	case !m.primary.active:
 		m.answer(token, NotPrimary, 0)
-	case len(m.pendingWrites) >= maxPending:
+	case len(m.primary.pendingWrites) >= maxPending:
 		m.answer(token, Busy, 0)
 	default:
 		m.appendProposal(token, body)
@@ -23,21 +23,21 @@
 }
 
 func (m *Machine) appendProposal(token uint64, body []byte) {
-	prev := Message{Kind: KindAppend, Seq: m.seq, Digest: m.digest, Committed: m.committed}
-	c := Change{Seq: m.seq + 1, Digest: ChainDigest(m.digest, m.seq+1, body), Body: body}
+	prev := Message{Kind: KindAppend, Seq: m.log.seq, Digest: m.log.digest, Committed: m.log.committed}
+	c := Change{Seq: m.log.seq + 1, Digest: ChainDigest(m.log.digest, m.log.seq+1, body), Body: body}
 	m.applyChange(c)
 	m.saveChanges(c)
-	m.pendingWrites = append(m.pendingWrites, pendingRequest{token: token, at: c.Seq})
+	m.primary.pendingWrites = append(m.primary.pendingWrites, pendingRequest{token: token, at: c.Seq})
 	if !m.leading() {
 		return // a new view is on its way and takes it along
 	}
 	prev.Changes = []Change{c}
 	for _, b := range m.view.Backups {
-		p := m.progress[b]
+		p := m.primary.progress[b]
 		if p.stalledSince < 0 {
 			p.stalledSince = m.now
 		}
-		if p.inSync && p.match+uint64(len(m.pendingWrites)) >= c.Seq {
+		if p.inSync && p.match+uint64(len(m.primary.pendingWrites)) >= c.Seq {
 			to, _ := m.view.member(b)
 			if len(body) > m.opt.ChunkBytes {
 				m.sendRecord(KindSnapshot, to)
@@ -56,12 +56,12 @@
 	before := m.Status()
 	m.beginInput(now)
 	switch {
-	case !m.isPrimary:
+	case !m.primary.active:
 		m.answer(token, NotPrimary, 0)
-	case len(m.pendingReads) >= maxPending:
+	case len(m.primary.pendingReads) >= maxPending:
 		m.answer(token, Busy, 0)
 	default:
-		m.pendingReads = append(m.pendingReads, pendingRequest{token: token})
+		m.primary.pendingReads = append(m.primary.pendingReads, pendingRequest{token: token})
 		m.advanceCommit()
 	}
 	return m.endInput(before)
@@ -72,31 +72,31 @@
 	if !m.ready() {
 		return
 	}
-	seq, round := m.seq, ^uint64(0)
-	for _, p := range m.progress {
+	seq, round := m.log.seq, ^uint64(0)
+	for _, p := range m.primary.progress {
 		seq, round = min(seq, p.match), min(round, p.readRound)
 	}
-	m.contact.confirm(round)
-	m.committed = max(m.committed, seq)
+	m.primary.contact.confirm(round)
+	m.log.committed = max(m.log.committed, seq)
 	done := 0
-	for done < len(m.pendingWrites) && m.pendingWrites[done].at <= m.committed {
-		m.answer(m.pendingWrites[done].token, Committed, m.pendingWrites[done].at)
+	for done < len(m.primary.pendingWrites) && m.primary.pendingWrites[done].at <= m.log.committed {
+		m.answer(m.primary.pendingWrites[done].token, Committed, m.primary.pendingWrites[done].at)
 		done++
 	}
-	m.pendingWrites = slices.Delete(m.pendingWrites, 0, done)
+	m.primary.pendingWrites = slices.Delete(m.primary.pendingWrites, 0, done)
 	if done > 0 {
 		m.handOver()
 	}
 	asked := false
-	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(w pendingRequest) bool {
-		if len(m.progress) == 0 || w.at != 0 && w.at <= round {
-			m.answer(w.token, Confirmed, m.committed)
+	m.primary.pendingReads = slices.DeleteFunc(m.primary.pendingReads, func(w pendingRequest) bool {
+		if len(m.primary.progress) == 0 || w.at != 0 && w.at <= round {
+			m.answer(w.token, Confirmed, m.log.committed)
 			return true
 		}
 		asked = asked || w.at != 0
 		return false
 	})
-	if len(m.pendingReads) > 0 && !asked {
+	if len(m.primary.pendingReads) > 0 && !asked {
 		m.beginReadRound()
 		for _, b := range m.view.Backups {
 			to, _ := m.view.member(b)
@@ -107,30 +107,30 @@
 
 // beginReadRound begins a round of confirmations for all reads that came before it.
 func (m *Machine) beginReadRound() {
-	m.readRound++
-	m.contact.begin(m.readRound, m.now)
-	for i := range m.pendingReads {
-		if m.pendingReads[i].at == 0 {
-			m.pendingReads[i].at = m.readRound
+	m.primary.readRound++
+	m.primary.contact.begin(m.primary.readRound, m.now)
+	for i := range m.primary.pendingReads {
+		if m.primary.pendingReads[i].at == 0 {
+			m.primary.pendingReads[i].at = m.primary.readRound
 		}
 	}
-	for _, p := range m.progress {
+	for _, p := range m.primary.progress {
 		p.matchAtRoundStart = p.match
 	}
 }
 
 func (m *Machine) heartbeatMessage() Message {
-	return Message{Kind: KindHeartbeat, Round: m.readRound, Seq: m.seq, Digest: m.digest, Committed: m.committed}
+	return Message{Kind: KindHeartbeat, Round: m.primary.readRound, Seq: m.log.seq, Digest: m.log.digest, Committed: m.log.committed}
 }
 
 // broadcastHeartbeat tells all that this machine leads.
 func (m *Machine) broadcastHeartbeat() {
-	m.heartbeatAt = m.now + m.opt.HeartbeatInterval
+	m.primary.heartbeatAt = m.now + m.opt.HeartbeatInterval
 	m.beginReadRound()
-	pending := len(m.departing) > 0 && (!m.ready() || m.canReplaceDeparting())
+	pending := len(m.peers.departing) > 0 && (!m.ready() || m.canReplaceDeparting())
 	for _, o := range m.view.Members {
 		msg := m.heartbeatMessage()
-		msg.Release = m.departing[o.ID] && !pending && m.view.rank(o.ID) < 0
+		msg.Release = m.peers.departing[o.ID] && !pending && m.view.rank(o.ID) < 0
 		m.send(o.Addr, msg)
 	}
 }
@@ -138,9 +138,9 @@
 // resend sends again what the backups lack.
 func (m *Machine) resend() {
 	for _, b := range m.view.Backups {
-		p := m.progress[b]
-		if p.inSync && p.match < m.seq && m.now-p.sentAt >= m.opt.HeartbeatInterval {
-			digest, ok := m.digestAt(p.match)
+		p := m.primary.progress[b]
+		if p.inSync && p.match < m.log.seq && m.now-p.sentAt >= m.opt.HeartbeatInterval {
+			digest, ok := m.log.digestAt(p.match)
 			m.catchUp(p, b, p.match, digest, ok)
 		}
 	}
@@ -150,11 +150,11 @@
 func (m *Machine) catchUp(p *progress, id ID, seq, digest uint64, known bool) {
 	var changes []Change
 	if known {
-		changes = m.changesAfter(seq)
-		known = len(changes) > 0 || seq == m.seq
+		changes = m.log.changesAfter(seq, m.opt.ChunkBytes)
+		known = len(changes) > 0 || seq == m.log.seq
 	}
 	wait := m.opt.HeartbeatInterval
-	if !known && m.transfers[id] == nil {
+	if !known && m.transfers.outgoing[id] == nil {
 		wait = max(wait, m.opt.WriteTimeout/2)
 	}
 	if p.everSent && m.now-p.sentAt < wait {
@@ -164,7 +164,7 @@
 	to, _ := m.view.member(id)
 	if known {
 		m.send(to.Addr, Message{
-			Kind: KindAppend, Seq: seq, Digest: digest, Committed: m.committed,
+			Kind: KindAppend, Seq: seq, Digest: digest, Committed: m.log.committed,
 			Changes: changes,
 		})
 		return
@@ -173,16 +173,16 @@
 }
 
 func (m *Machine) handleHeartbeatAck(msg *Message) {
-	if !m.isPrimary {
+	if !m.primary.active {
 		return
 	}
-	if j := m.joiners[msg.From.Addr]; j != nil && j.ID == msg.From.ID {
+	if j := m.primary.joiners[msg.From.Addr]; j != nil && j.ID == msg.From.ID {
 		j.confirmed, j.lastActive = true, m.now
 		m.recordPosition(msg)
 	} else if m.view.has(msg.From.ID) {
 		m.recordPosition(msg)
 	}
-	p := m.progress[msg.From.ID]
+	p := m.primary.progress[msg.From.ID]
 	if p == nil || !m.leading() {
 		return
 	}
@@ -196,17 +196,17 @@
 			p.stalledSince = m.now
 		}
 		p.inSync = true
-		if p.regressed(m.readRound, msg) {
+		if p.regressed(m.primary.readRound, msg) {
 			p.match, p.stalledSince = msg.Seq, m.now
 		}
 		p.match = max(p.match, msg.Seq)
 		m.finishTransfer(msg.From.ID, p.match)
 		p.readRound = max(p.readRound, msg.Round)
-		if p.match == m.seq {
+		if p.match == m.log.seq {
 			p.stalledSince = -1
 		}
 	case !p.inSync && msg.HoldsRecord:
-		d, ok := m.digestAt(msg.Seq)
+		d, ok := m.log.digestAt(msg.Seq)
 		m.catchUp(p, msg.From.ID, msg.Seq, msg.Digest, ok && d == msg.Digest)
 	}
 	m.advanceCommit()
@@ -216,10 +216,31 @@
 func (m *Machine) recordStoppedBackup(p *progress) {
 	if !p.stopped {
 		p.stopped = true
-		m.campaignNotBefore = max(m.campaignNotBefore, m.now+m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
+		m.election.campaignNotBefore = max(m.election.campaignNotBefore, m.now+m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
 	}
 }
 
+// stopped reports whether this machine answers nothing of its view any more (is fenced). It is kept on the disk: a holder
+// that proposed must not answer again after a restart, as the view it proposed may be decided (TestStoppedBackupDoesNotAnswer).
+func (m *Machine) stopped() bool { return m.replica.StoppedEpoch == m.view.Epoch+1 }
+
+// leading reports whether this machine answers as primary.
+func (m *Machine) leading() bool { return m.primary.active && !m.stopped() }
+
+// ready reports whether all backups are in sync and have the record up to where it ended when the view began. Before that
+// nothing is answered: a backup's record may differ, and what earlier primaries committed may be on too few disks.
+func (m *Machine) ready() bool {
+	if !m.leading() {
+		return false
+	}
+	for _, p := range m.primary.progress {
+		if !p.inSync || p.match < m.primary.viewStartSeq {
+			return false
+		}
+	}
+	return true
+}
+
 // jitter is a random time below d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.opt.Rand() % uint64(d))
@@ -238,7 +259,7 @@
 func (m *Machine) sendHeartbeatAck(to string, round uint64) {
 	holder := m.holdsRecord()
 	m.send(to, Message{
-		Kind: KindHeartbeatAck, Round: round, Seq: m.seq, Digest: m.digest,
+		Kind: KindHeartbeatAck, Round: round, Seq: m.log.seq, Digest: m.log.digest,
 		InSync: m.inSync(), HoldsRecord: holder, Stopped: holder && m.stopped(),
 	})
 }
@@ -253,7 +274,7 @@
 
 func (m *Machine) learnCommit(msg *Message) {
 	if m.inSync() {
-		m.committed = max(m.committed, min(msg.Committed, m.seq))
+		m.log.committed = max(m.log.committed, min(msg.Committed, m.log.seq))
 	}
 }
 
@@ -261,12 +282,12 @@
 	if !m.fromPrimary(msg) {
 		return
 	}
-	m.lastHeartbeat = m.now
-	m.reportedCommit = max(m.reportedCommit, msg.Committed)
+	m.election.lastHeartbeat = m.now
+	m.log.reportedCommit = max(m.log.reportedCommit, msg.Committed)
 	if msg.Release {
 		m.departure.releasedEpoch = m.view.Epoch
 	}
-	if m.holdsRecord() && !m.stopped() && msg.Seq == m.seq && msg.Digest == m.digest {
+	if m.holdsRecord() && !m.stopped() && msg.Seq == m.log.seq && msg.Digest == m.log.digest {
 		m.markInSync()
 	}
 	m.learnCommit(msg)
@@ -281,7 +302,7 @@
 		m.handleLearnerAppend(msg)
 		return
 	}
-	m.lastHeartbeat = m.now
+	m.election.lastHeartbeat = m.now
 	if !m.stopped() {
 		if m.appendChanges(msg) {
 			m.markInSync()
@@ -299,9 +320,9 @@
 		m.handleLearnerSnapshot(msg)
 		return
 	}
-	m.lastHeartbeat = m.now
+	m.election.lastHeartbeat = m.now
 	// Once in step, what was acknowledged in this epoch never goes back: an older snapshot may come late.
-	if !m.stopped() && (m.replica.InSyncEpoch != m.view.Epoch || msg.Seq > m.seq) {
+	if !m.stopped() && (m.replica.InSyncEpoch != m.view.Epoch || msg.Seq > m.log.seq) {
 		body, complete := m.receiveChunk(msg)
 		if !complete {
 			return
--- a/internal/fleet/replication/contact.go
+++ b/internal/fleet/replication/quorumcontact.go
@@ -32,8 +32,8 @@
 	if !m.ready() {
 		return 0, false
 	}
-	if len(m.progress) == 0 {
+	if len(m.primary.progress) == 0 {
 		return m.now, true
 	}
-	return m.contact.confirmed, m.contact.known
+	return m.primary.contact.confirmed, m.primary.contact.known
 }
--- a/internal/fleet/replication/contact_test.go
+++ b/internal/fleet/replication/quorumcontact_test.go
@@ -68,7 +68,7 @@
 					}
 					for i := len(acks) - 1; i >= 0; i-- {
 						if acks[i].at < at {
-							c.Check(b.m.committed >= acks[i].seq, qt.IsTrue, qt.Commentf("seed %d, %d members, %v: %s claims %v without change %d", seed, members, s.now, b.addr, at, acks[i].seq))
+							c.Check(b.m.log.committed >= acks[i].seq, qt.IsTrue, qt.Commentf("seed %d, %d members, %v: %s claims %v without change %d", seed, members, s.now, b.addr, at, acks[i].seq))
 							break
 						}
 					}
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -121,21 +121,36 @@
 // planner is the primary of a view with what it knows of the others.
 func (l layout) planner(v View) *Machine {
 	m := &Machine{
-		opt: Options{Tolerance: l.survive, ElectionTimeout: progSuspect, MemberTimeout: boundSync, HeartbeatInterval: progBeat}, view: v, isPrimary: true,
-		now: 10 * boundSync, lastActive: map[ID]time.Duration{}, laggedAt: map[ID]time.Duration{}, joiners: map[string]*joiner{}, departing: map[ID]bool{},
+		opt: Options{
+			Tolerance:         l.survive,
+			ElectionTimeout:   progSuspect,
+			MemberTimeout:     boundSync,
+			HeartbeatInterval: progBeat,
+		},
+		persistentState: persistentState{view: v},
+		now:             10 * boundSync,
+		peers: peerState{
+			lastActive: map[ID]time.Duration{},
+			laggedAt:   map[ID]time.Duration{},
+			departing:  map[ID]bool{},
+		},
+		primary: primaryState{
+			active:  true,
+			joiners: map[string]*joiner{},
+		},
 	}
 	self, _ := v.member(v.Primary)
 	m.identity = Identity{ID: self.ID, Addr: self.Addr}
 	m.opt.Self = self
 	for _, o := range v.Members {
-		m.lastActive[o.ID] = m.now
+		m.peers.lastActive[o.ID] = m.now
 	}
 	return m
 }
 
 // joins has a machine ask to be taken in, for longer than a suspicion takes.
 func (m *Machine) joins(o Member) {
-	m.joiners[o.Addr] = &joiner{Member: o, firstActive: m.now - progSuspect, lastActive: m.now, confirmed: true}
+	m.primary.joiners[o.Addr] = &joiner{Member: o, firstActive: m.now - progSuspect, lastActive: m.now, confirmed: true}
 }
 
 // next is the view that the planner would have decided; the view as it is when there is nothing to change.
@@ -154,8 +169,8 @@
 		w := v
 		w.Primary = id
 		m := l.planner(w)
-		m.lastActive[dead] = 0
-		m.isPrimary = false // members stay
+		m.peers.lastActive[dead] = 0
+		m.primary.active = false // members stay
 		if next := m.next(); next.Epoch > v.Epoch {
 			all = append(all, next)
 		}
@@ -247,16 +262,16 @@
 	}
 	for _, v := range views {
 		m := l.planner(v)
-		m.lastActive[old.ID] = m.now - progSuspect
+		m.peers.lastActive[old.ID] = m.now - progSuspect
 		repaired := m.next() // the backups anew
 		lostOne.judge(c, repaired, l.losses(repaired.Members, old))
 		m = l.planner(repaired)
-		m.lastActive[old.ID] = m.now - progSuspect
+		m.peers.lastActive[old.ID] = m.now - progSuspect
 		m.joins(successor)
 		v = m.next()
 		joined.judge(c, v, l.losses(v.Members, old, successor))
 		m = l.planner(v)
-		m.lastActive[old.ID] = m.now - boundSync
+		m.peers.lastActive[old.ID] = m.now - boundSync
 		v = m.next()
 		synced.judge(c, v, l.losses(slices.DeleteFunc(slices.Clone(v.Members), func(o Member) bool { return o == old })), old)
 	}
@@ -278,15 +293,15 @@
 			w := v
 			w.Primary = id
 			m = l.planner(w)
-			m.departing[old.ID] = true
-			m.isPrimary = false // members stay
+			m.peers.departing[old.ID] = true
+			m.primary.active = false // members stay
 			views = append(views, m.next())
 		}
 	}
 	for _, v := range views {
 		for range 3 { // out of its role, out of the members
 			m = l.planner(v)
-			m.departing[old.ID] = true
+			m.peers.departing[old.ID] = true
 			if !slices.ContainsFunc(v.Members, func(o Member) bool { return o == successor }) {
 				m.joins(successor)
 			}
--- a/internal/fleet/replication/reform.go
+++ b/internal/fleet/replication/reconfigure.go
@@ -4,7 +4,7 @@
 
 // alive reports whether a member answered lately.
 func (m *Machine) alive(id ID) bool {
-	at, ok := m.lastActive[id]
+	at, ok := m.peers.lastActive[id]
 	return id == m.identity.ID || ok && m.now-at < m.opt.ElectionTimeout
 }
 
@@ -20,7 +20,7 @@
 
 // laggedRecently reports whether a member was left out not long ago.
 func (m *Machine) laggedRecently(id ID) bool {
-	at, ok := m.laggedAt[id]
+	at, ok := m.peers.laggedAt[id]
 	return ok && m.now-at < m.opt.MemberTimeout
 }
 
@@ -32,19 +32,19 @@
 		if o.ID == m.identity.ID || m.view.has(o.ID) && !m.alive(o.ID) || except(o.ID) {
 			continue
 		}
-		cs = append(cs, candidate{Member: o, holdsRecord: m.view.rank(o.ID) >= 0, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.departing[o.ID]})
+		cs = append(cs, candidate{Member: o, holdsRecord: m.view.rank(o.ID) >= 0, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.peers.departing[o.ID]})
 	}
 	return cs
 }
 
 // reconfigure proposes a next view, led by this machine again, when a backup is lost or the view can be better.
 func (m *Machine) reconfigure() {
-	if !m.leading() || m.candidacy != nil || m.now < m.campaignNotBefore {
+	if !m.leading() || m.candidacy != nil || m.now < m.election.campaignNotBefore {
 		return
 	}
 	bad := map[ID]bool{}
 	dead, stopped := false, false
-	for id, p := range m.progress {
+	for id, p := range m.primary.progress {
 		late := p.stalledSince >= 0 && m.now-p.stalledSince >= m.opt.WriteTimeout
 		if !m.alive(id) || late {
 			bad[id] = true
@@ -62,14 +62,14 @@
 	case len(bad) > 0 || stopped:
 		if c.enough {
 			for id := range bad {
-				m.laggedAt[id] = m.now
+				m.peers.laggedAt[id] = m.now
 			}
 			m.campaign()
 		}
 	case !m.ready() || !c.enough:
 	case plan.urgent || m.replacesDeparting(c):
 		m.campaign()
-	case m.now-m.viewSince < m.opt.ElectionTimeout || m.awaitsLearner(c):
+	case m.now-m.election.viewSince < m.opt.ElectionTimeout || m.awaitsLearner(c):
 	case plan.changed || m.improvesView(c):
 		m.campaign()
 	}
@@ -90,7 +90,7 @@
 // replacesDeparting reports whether a choice takes the role from a backup that leaves, or gives a primary that leaves somebody to
 // hand over to.
 func (m *Machine) replacesDeparting(c choice) bool {
-	leaves := func(id ID) bool { return m.departing[id] }
+	leaves := func(id ID) bool { return m.peers.departing[id] }
 	if slices.ContainsFunc(c.backups, leaves) {
 		return false
 	}
--- a/internal/fleet/replication/restored.go
+++ b/internal/fleet/replication/restoreddisk.go
@@ -10,11 +10,11 @@
 }
 
 // knownCommit is up to where changes were committed, as far as this machine has heard, whatever of them it has.
-func (m *Machine) knownCommit() uint64 { return max(m.committed, m.reportedCommit) }
+func (m *Machine) knownCommit() uint64 { return max(m.log.committed, m.log.reportedCommit) }
 
 // hasAllCommitted reports whether this candidate has all that was committed, as far as those who promised have heard. A candidate
 // that hasn't proposes nothing: who has it may come back.
-func (m *Machine) hasAllCommitted() bool { return m.seq >= m.knownCommit() }
+func (m *Machine) hasAllCommitted() bool { return m.log.seq >= m.knownCommit() }
 
 // restageRegressed has holders that lack what was committed brought the record like any other machine.
 func (m *Machine) restageRegressed() {
@@ -26,4 +26,4 @@
 }
 
 // lacksCommitted reports whether this machine's record is shorter than what the sender knows to be committed.
-func (m *Machine) lacksCommitted(msg *Message) bool { return m.seq < msg.Committed }
+func (m *Machine) lacksCommitted(msg *Message) bool { return m.log.seq < msg.Committed }
--- a/internal/fleet/replication/restored_test.go
+++ b/internal/fleet/replication/restoreddisk_test.go
@@ -26,8 +26,8 @@
 	// A beat has told the witness of it.
 	acked := core.acked
 	witness := core.byRole(Witness)
-	c.Assert(core.until(time.Second, func() bool { return witness.m.reportedCommit >= acked }), qt.IsTrue)
-	acked = witness.m.reportedCommit
+	c.Assert(core.until(time.Second, func() bool { return witness.m.log.reportedCommit >= acked }), qt.IsTrue)
+	acked = witness.m.log.reportedCommit
 	primary.stop()
 	core.putBack(backup, earlier)
 	led := func() bool { return core.primary() != nil }
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -72,7 +72,7 @@
 }
 
 func (h *hand) beat() Message {
-	return Message{Kind: KindHeartbeat, Round: 99, Seq: 2, Digest: h.primary.m.digest, Committed: 2}
+	return Message{Kind: KindHeartbeat, Round: 99, Seq: 2, Digest: h.primary.m.log.digest, Committed: 2}
 }
 
 func TestStoppedBackupDoesNotAnswer(t *testing.T) {
@@ -83,11 +83,11 @@
 	sent := h.suspect(h.backup)
 	h.Assert(sent[0].Kind, qt.Equals, KindPrepare)
 	third := Change{Seq: 3, Body: []byte("3")}
-	third.Digest = ChainDigest(h.primary.m.digest, 3, third.Body)
+	third.Digest = ChainDigest(h.primary.m.log.digest, 3, third.Body)
 	for range 2 { // before and after a restart
 		for _, msg := range []Message{
 			h.beat(),
-			{Kind: KindAppend, Seq: 2, Digest: h.primary.m.digest, Changes: []Change{third}},
+			{Kind: KindAppend, Seq: 2, Digest: h.primary.m.log.digest, Changes: []Change{third}},
 			{Kind: KindSnapshot, Seq: 3, Digest: third.Digest, Body: []byte("w1\nw2\n3")},
 		} {
 			ack = h.give(h.backup, h.primary, msg)
@@ -292,7 +292,7 @@
 // record, and doesn't say that it is in step.
 func TestAppendToAnotherRecord(t *testing.T) {
 	h := newHand(t)
-	digest := h.primary.m.digest
+	digest := h.primary.m.log.digest
 	other := Change{Seq: 3, Body: []byte("other")}
 	other.Digest = ChainDigest(digest, 3, other.Body)
 	h.backup.disk.Changes = append(h.backup.disk.Changes, other)
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -293,12 +293,12 @@
 		p := &x.packets[s.arg]
 		return m.Step(c.clock(), x.addrs[p.from], &p.msg), true
 	case stepWrite:
-		if !m.isPrimary {
+		if !m.primary.active {
 			return Output{}, false
 		}
 		return m.Propose(c.clock(), uint64(s.arg), fmt.Appendf(nil, "w%d", s.arg)), true
 	case stepRead:
-		if !m.isPrimary {
+		if !m.primary.active {
 			return Output{}, false
 		}
 		return m.Read(c.clock(), uint64(s.arg)), true
--- a/internal/fleet/replication/searchretry_test.go
+++ b/internal/fleet/replication/searchretry_test.go
@@ -46,7 +46,7 @@
 
 // retry has a primary judge a change.
 func (x *explorer) retry(c *cell, arg uint32) (Output, bool) {
-	if !c.m.isPrimary {
+	if !c.m.primary.active {
 		return Output{}, false
 	}
 	change, base := orderOfArg(arg)
--- a/internal/fleet/replication/stage.go
+++ b/internal/fleet/replication/stage.go
@@ -11,22 +11,22 @@
 // recordPosition keeps where the sender's record stands, and reports whether that is news. It is a hint: what it leads to is
 // checked by the receiver.
 func (m *Machine) recordPosition(msg *Message) bool {
-	was, ok := m.positions[msg.From.ID]
+	was, ok := m.transfers.positions[msg.From.ID]
 	if ok && was.seq == msg.Seq && was.digest == msg.Digest {
 		return false
 	}
-	m.positions[msg.From.ID] = position{seq: msg.Seq, digest: msg.Digest}
+	m.transfers.positions[msg.From.ID] = position{seq: msg.Seq, digest: msg.Digest}
 	return true
 }
 
 // stageRecord brings a coming backup the record: the changes that it lacks where its record is a part of ours that we still
 // know, else all of it.
 func (m *Machine) stageRecord(to Member) {
-	if at, ok := m.positions[to.ID]; ok && m.hasPrefix(at) {
-		changes := m.changesAfter(at.seq)
-		if len(changes) > 0 || at.seq == m.seq {
+	if at, ok := m.transfers.positions[to.ID]; ok && m.hasPrefix(at) {
+		changes := m.log.changesAfter(at.seq, m.opt.ChunkBytes)
+		if len(changes) > 0 || at.seq == m.log.seq {
 			m.send(to.Addr, Message{
-				Kind: KindStageChanges, Seq: at.seq, Digest: at.digest, Changes: changes, Committed: m.knownCommit(), Total: m.seq,
+				Kind: KindStageChanges, Seq: at.seq, Digest: at.digest, Changes: changes, Committed: m.knownCommit(), Total: m.log.seq,
 			})
 			return
 		}
@@ -40,14 +40,14 @@
 		return
 	}
 	if !m.holdsRecord() && m.replica.RecordEpoch != m.view.Epoch || m.lacksCommitted(msg) {
-		if !m.appendChanges(msg) || m.seq < msg.Total {
-			m.send(msg.From.Addr, Message{Kind: KindTransferAck, Seq: m.seq, Digest: m.digest})
+		if !m.appendChanges(msg) || m.log.seq < msg.Total {
+			m.send(msg.From.Addr, Message{Kind: KindTransferAck, Seq: m.log.seq, Digest: m.log.digest})
 			return
 		}
 		m.replica.RecordEpoch = m.view.Epoch
 		m.saveReplica()
 	}
-	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.seq, Digest: m.digest})
+	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.log.seq, Digest: m.log.digest})
 }
 
 // handleStagePosition goes on with staging from where a coming backup stands.
@@ -57,7 +57,7 @@
 		return
 	}
 	if to, ok := c.value.member(msg.From.ID); ok && c.value.rank(to.ID) > 0 && !c.staged[to.ID] && m.recordPosition(msg) {
-		m.positions[to.ID] = position{msg.Seq, msg.Digest, m.now}
+		m.transfers.positions[to.ID] = position{msg.Seq, msg.Digest, m.now}
 		m.stageRecord(to)
 	}
 }
--- a/internal/fleet/replication/transfer.go
+++ b/internal/fleet/replication/transfer.go
@@ -15,8 +15,6 @@
 	defaultChunkBytes = 64 << 10
 	// chunkWindow is how many chunks may be under way to one receiver.
 	chunkWindow = 2
-	// maxLogChanges bounds the changes that a restart applies one by one.
-	maxLogChanges = 1024
 	// transferLogFactor is how many times longer the log may be while a record is on its way.
 	transferLogFactor = 4
 	// maxRecordBytes bounds a record that is received.
@@ -74,13 +72,13 @@
 
 // sendRecord sends the whole record, or goes on with a transfer of it whose receiver was silent for too long.
 func (m *Machine) sendRecord(kind Kind, to Member) {
-	t := m.transfers[to.ID]
+	t := m.transfers.outgoing[to.ID]
 	if t == nil || t.kind != kind || !m.reachableFrom(t.image) {
 		m.dropTransfer(to.ID)
 		img := m.currentImage()
 		t = &transfer{kind: kind, image: img, movedAt: m.now}
 		if len(img.body) > m.opt.ChunkBytes {
-			m.transfers[to.ID], m.image = t, img
+			m.transfers.outgoing[to.ID], m.transfers.image = t, img
 		}
 	} else if m.now-max(t.sentAt, t.movedAt) < m.opt.WriteTimeout/2 {
 		return
@@ -91,17 +89,17 @@
 
 // reachableFrom reports whether the changes that lead from an image to the record are still kept.
 func (m *Machine) reachableFrom(img *image) bool {
-	digest, ok := m.digestAt(img.seq)
+	digest, ok := m.log.digestAt(img.seq)
 	return ok && digest == img.digest
 }
 
 // currentImage is the image that transfers share while the changes since are kept, else a new one.
 func (m *Machine) currentImage() *image {
-	if m.image != nil && m.reachableFrom(m.image) {
-		return m.image
+	if m.transfers.image != nil && m.reachableFrom(m.transfers.image) {
+		return m.transfers.image
 	}
 	body := m.app.Snapshot()
-	return &image{seq: m.seq, digest: m.digest, checksum: xxhash.Sum64(body), body: body}
+	return &image{seq: m.log.seq, digest: m.log.digest, checksum: xxhash.Sum64(body), body: body}
 }
 
 // sendChunks sends what the window allows.
@@ -126,7 +124,7 @@
 		m.handleStagePosition(msg)
 		return
 	}
-	t := m.transfers[msg.From.ID]
+	t := m.transfers.outgoing[msg.From.ID]
 	if t == nil || t.image.checksum != msg.Checksum || t.image.seq != msg.Seq || msg.Offset >= uint64(len(t.image.body)) {
 		return
 	}
@@ -135,7 +133,7 @@
 	case had > t.acked:
 		t.acked, t.movedAt = had, m.now
 		t.next = max(t.next, had)
-		if p := m.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {
+		if p := m.primary.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {
 			p.stalledSince = m.now
 		}
 	case had < t.acked && m.now-t.movedAt >= m.opt.HeartbeatInterval: // the receiver has begun anew
@@ -150,20 +148,20 @@
 
 // finishTransfer notes that a receiver's record has come to seq.
 func (m *Machine) finishTransfer(id ID, seq uint64) {
-	if t := m.transfers[id]; t != nil && seq >= t.image.seq {
+	if t := m.transfers.outgoing[id]; t != nil && seq >= t.image.seq {
 		m.dropTransfer(id)
 	}
 }
 
 func (m *Machine) dropTransfers() {
-	clear(m.transfers)
-	m.image = nil
+	clear(m.transfers.outgoing)
+	m.transfers.image = nil
 }
 
 func (m *Machine) dropTransfer(id ID) {
-	delete(m.transfers, id)
-	if len(m.transfers) == 0 {
-		m.image = nil
+	delete(m.transfers.outgoing, id)
+	if len(m.transfers.outgoing) == 0 {
+		m.transfers.image = nil
 	}
 }
 
@@ -171,18 +169,18 @@
 // needed.
 func (m *Machine) logFull() bool {
 	factor := 1
-	if len(m.transfers) > 0 {
+	if len(m.transfers.outgoing) > 0 {
 		factor = transferLogFactor
 	}
-	return m.logBytes > factor*m.opt.SnapshotBytes || m.logCount > factor*maxLogChanges
+	return m.log.diskBytes > factor*m.opt.SnapshotBytes || m.log.diskCount > factor*maxLogChanges
 }
 
 // stalled reports whether nothing has moved towards this receiver for the time given.
 func (m *Machine) stalled(id ID, since, within time.Duration) bool {
-	if t := m.transfers[id]; t != nil {
+	if t := m.transfers.outgoing[id]; t != nil {
 		since = max(since, t.movedAt)
 	}
-	if at, ok := m.positions[id]; ok {
+	if at, ok := m.transfers.positions[id]; ok {
 		since = max(since, at.movedAt)
 	}
 	return m.now-since >= within
@@ -196,19 +194,19 @@
 	if msg.Total > maxRecordBytes || msg.Offset+uint64(len(msg.Body)) > msg.Total {
 		return nil, false
 	}
-	a := m.incoming
+	a := m.transfers.incoming
 	if a == nil || !a.matches(msg) {
 		if a != nil && m.now-a.at < 2*m.opt.HeartbeatInterval {
 			return nil, false // one at a time: memory is bounded, and two senders can't keep each other from the end
 		}
 		a = &assembly{seq: msg.Seq, digest: msg.Digest, checksum: msg.Checksum, total: int(msg.Total)}
-		m.incoming = a
+		m.transfers.incoming = a
 	}
 	if a.add(int(msg.Offset), msg.Body) {
 		a.at = m.now
 	}
 	if len(a.body) == a.total {
-		m.incoming = nil
+		m.transfers.incoming = nil
 		if xxhash.Sum64(a.body) == a.checksum {
 			return a.body, true
 		}
@@ -222,18 +220,7 @@
 
 // expireAssembly drops a record whose sender has gone silent.
 func (m *Machine) expireAssembly() {
-	if a := m.incoming; a != nil && m.now-a.at >= m.opt.MemberTimeout {
-		m.incoming = nil
+	if a := m.transfers.incoming; a != nil && m.now-a.at >= m.opt.MemberTimeout {
+		m.transfers.incoming = nil
 	}
 }
-
-// changesAfter gives the changes after seq that fit into one message; none when the first one doesn't.
-func (m *Machine) changesAfter(seq uint64) []Change {
-	rest := m.changes[seq-m.base.Seq:]
-	n, bytes := 0, 0
-	for n < len(rest) && bytes+len(rest[n].Body) <= m.opt.ChunkBytes {
-		bytes += len(rest[n].Body)
-		n++
-	}
-	return rest[:n:n]
-}
--- a/internal/fleet/replication/transfer_test.go
+++ b/internal/fleet/replication/transfer_test.go
@@ -134,7 +134,7 @@
 	}
 	seq := h.witness.m.Status().Seq
 	notStaged(Message{Seq: 7, Digest: 7, Total: 2})
-	notStaged(Message{Seq: seq, Digest: h.witness.m.digest, Changes: all[seq:], Total: 3})
+	notStaged(Message{Seq: seq, Digest: h.witness.m.log.digest, Changes: all[seq:], Total: 3})
 	sent := h.give(h.witness, h.backup, Message{Kind: KindStageChanges, Ballot: ballot, Seq: all[1].Seq, Digest: all[1].Digest, Total: 2})
 	h.Assert(sent[0].Kind, qt.Equals, KindStaged)
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
@@ -148,7 +148,7 @@
 	ballot := h.suspect(h.backup)[0].Ballot
 	staged := h.give(h.witness, h.backup, Message{Kind: KindStage, Ballot: ballot, Seq: 3, Digest: 33, Body: []byte("w1\nw2\nx")})
 	h.Assert(staged[0].Kind, qt.Equals, KindStaged)
-	h.give(h.witness, h.primary, Message{Kind: KindSnapshot, Seq: 2, Digest: h.primary.m.digest, Body: []byte("w1\nw2")})
+	h.give(h.witness, h.primary, Message{Kind: KindSnapshot, Seq: 2, Digest: h.primary.m.log.digest, Body: []byte("w1\nw2")})
 	h.Assert(strings.Join(h.witness.app.log, ","), qt.Equals, "w1,w2,x")
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
@@ -175,7 +175,7 @@
 	m := h.primary.m
 	old := &image{seq: 1, digest: ChainDigest(0, 1, []byte("w1")), checksum: 1, body: []byte("w1")}
 	h.Assert(m.reachableFrom(old), qt.IsTrue)
-	m.image, m.transfers["learner"] = old, &transfer{kind: KindSnapshot, image: old}
+	m.transfers.image, m.transfers.outgoing["learner"] = old, &transfer{kind: KindSnapshot, image: old}
 	before := m.Status()
 	m.beginInput(h.s.clock(h.primary))
 	m.campaign()
