--- a/internal/fleet/replication/candidacy.go
+++ b/internal/fleet/replication/candidacy.go
@@ -2,37 +2,43 @@
 
 import "time"
 
+// phase is how far a candidacy has come.
 type phase uint8
 
 const (
-	preparing phase = iota
-	staging
-	accepting
+	preparing phase = iota // it asks the members to promise its ballot
+	staging                // it brings the record to the coming backups
+	accepting              // it asks the members to accept its view
 )
 
+// promise is a member's promise of the candidacy's ballot.
 type promise struct {
 	member      Member
-	accepted    Ballot
-	value       *View
+	accepted    Ballot // under which it accepted value
+	value       *View  // nil: it accepted nothing
 	holdsRecord bool
-	at          time.Duration
-	stageFailed bool   // didn't take the stage
-	seq         uint64 // where its record stands
+	at          time.Duration // when the promise came
+	stageFailed bool          // it didn't take the record in time
+	seq         uint64        // the end of its record
 }
 
 // candidacy is this machine's proposal for the next epoch.
 type candidacy struct {
 	ballot   Ballot
 	phase    phase
-	since    time.Duration // the phase
-	resendAt time.Duration
+	since    time.Duration   // when the phase began
+	resendAt time.Duration   // when what isn't answered is sent again
 	promises map[ID]*promise // by identity in the view
-	value    *View
-	staged   map[ID]bool
-	accepted map[ID]bool
+	value    *View           // the proposed view; nil while preparing
+	staged   map[ID]bool     // coming backups that have the record on disk
+	accepted map[ID]bool     // by identity in the view
 }
 
-// campaign begins a candidacy: this holder stops answering in its view and asks for promises.
+// campaign begins a candidacy: this holder of the record stops answering in its view and asks for promises.
+//
+// The stop is on disk with the first prepare and is never taken back in this epoch. The primary of the view needs the
+// answers of all its backups, so from then on nothing is acknowledged in the view that this record lacks: whatever view
+// is decided next, its primary has all that was (TestStoppedBackupDoesNotAnswer).
 func (m *Machine) campaign() {
 	if m.candidacy != nil || m.now < m.election.campaignNotBefore || !m.holdsRecord() {
 		return
@@ -46,11 +52,18 @@
 	m.vote.Promised = b
 	m.saveVote()
 	m.candidacy = &candidacy{
-		ballot: b, since: m.now, resendAt: m.now + m.opt.HeartbeatInterval,
+		ballot:   b,
+		since:    m.now,
+		resendAt: m.now + m.opt.HeartbeatInterval,
 		promises: map[ID]*promise{m.voter(): {
-			member: m.self(), accepted: m.vote.Accepted, value: m.vote.Value, holdsRecord: true, at: m.now,
+			member:      m.self(),
+			accepted:    m.vote.Accepted,
+			value:       m.vote.Value,
+			holdsRecord: true,
+			at:          m.now,
 		}},
-		staged: map[ID]bool{}, accepted: map[ID]bool{},
+		staged:   map[ID]bool{},
+		accepted: map[ID]bool{},
 	}
 	m.runPhase(true)
 }
@@ -67,6 +80,8 @@
 	}
 }
 
+// prepare waits for the promises of a majority, and then proposes the view that was accepted under the highest ballot
+// among them: it may be decided (TestNewestAcceptanceIsProposed). Only where none was accepted the choice is free.
 func (m *Machine) prepare(again bool) {
 	c := m.candidacy
 	if again {
@@ -81,12 +96,7 @@
 		return
 	}
 	m.restageRegressed()
-	var newest *promise
-	for _, p := range c.promises {
-		if p.value != nil && (newest == nil || newest.accepted.less(p.accepted)) {
-			newest = p
-		}
-	}
+	newest := c.newestAccepted()
 	if newest != nil {
 		m.enterPhase(accepting, newest.value)
 		return
@@ -96,50 +106,35 @@
 	}
 }
 
+// newestAccepted is the promise that names the acceptance under the highest ballot; nil when nothing was accepted.
+func (c *candidacy) newestAccepted() *promise {
+	var newest *promise
+	for _, p := range c.promises {
+		if p.value != nil && (newest == nil || newest.accepted.less(p.accepted)) {
+			newest = p
+		}
+	}
+	return newest
+}
+
+// enterPhase goes on to a phase with the view to propose.
 func (m *Machine) enterPhase(p phase, v *View) {
-	m.candidacy.phase, m.candidacy.value, m.candidacy.since, m.candidacy.resendAt = p, v, m.now, m.now+m.opt.HeartbeatInterval
+	c := m.candidacy
+	c.phase, c.value = p, v
+	c.since = m.now
+	c.resendAt = m.now + m.opt.HeartbeatInterval
 	m.runPhase(true)
 }
 
-// proposedView is the view to propose; nil while too few are there for it.
+// proposedView is the view to propose; nil while too few machines answer, or while a better choice may come soon.
 func (m *Machine) proposedView() *View {
 	c := m.candidacy
-	var members []Member
-	var from []candidate
-	if m.view.Epoch == 0 {
-		for _, p := range c.promises {
-			members = append(members, p.member)
-		}
-		sortMembers(members)
-	} else {
-		members = m.nextMembers().members
-	}
-	for _, o := range members {
-		if o.ID == m.identity.ID {
-			continue
-		}
-		key := o.ID
-		if m.view.Epoch == 0 {
-			key = seedID(o.Addr)
-		}
-		cand := candidate{Member: o, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.peers.departing[o.ID]}
-		if p := c.promises[key]; p != nil {
-			if p.stageFailed || m.now-p.at >= 2*m.opt.ElectionTimeout {
-				continue
-			}
-			cand.holdsRecord = p.holdsRecord
-		} else if m.view.has(o.ID) {
-			continue
-		} // else a joiner that answered lately
-		from = append(from, cand)
-	}
-	best := choose(m.requiredTolerance(), m.self(), members, from)
+	members := m.proposedMembers()
+	best := choose(m.requiredTolerance(), m.self(), members, m.promisedCandidates(members))
 	full := best.full && (m.view.Epoch > 0 || len(members) == len(m.view.Members))
 	if !best.enough {
 		if m.now-c.since >= m.opt.WriteTimeout {
-			for _, p := range c.promises {
-				p.stageFailed = false
-			}
+			c.retryFailedStages()
 		}
 		return nil
 	}
@@ -149,76 +144,51 @@
 	return &View{Epoch: m.view.Epoch + 1, Members: members, Primary: m.identity.ID, Backups: best.backups}
 }
 
-// stage puts the record on the disks of the coming backups that don't hold it.
-func (m *Machine) stage(again bool) {
-	c := m.candidacy
-	open, late := false, false
-	for _, b := range c.value.Backups {
-		key := b
-		o, _ := c.value.member(b)
-		if m.view.Epoch == 0 {
-			key = seedID(o.Addr)
-		}
-		p := c.promises[key]
-		if c.staged[b] || p != nil && p.holdsRecord {
-			continue
-		}
-		open = true
-		if m.stalled(b, c.since, m.opt.WriteTimeout) {
-			late = true
-			m.dropTransfer(b)
-			m.peers.laggedAt[b] = m.now
-			if p != nil {
-				p.stageFailed = true
-			} else {
-				delete(m.primary.joiners, o.Addr)
-			}
-		}
+// proposedMembers are the members of the view to propose: in view 0 the founders that promised.
+func (m *Machine) proposedMembers() []Member {
+	if m.view.Epoch > 0 {
+		return m.nextMembers().members
 	}
-	switch {
-	case !open:
-		m.enterPhase(accepting, c.value)
-	case late:
-		c.phase, c.value, c.since = preparing, nil, m.now
-		m.runPhase(true)
-	case again:
-		c.resendAt = m.now + m.opt.HeartbeatInterval
-		for _, b := range c.value.Backups {
-			p := c.promises[b]
-			if !c.staged[b] && (p == nil || !p.holdsRecord) {
-				o, _ := c.value.member(b)
-				m.stageRecord(o)
-			}
-		}
+	var members []Member
+	for _, p := range m.candidacy.promises {
+		members = append(members, p.member)
 	}
+	sortMembers(members)
+	return members
 }
 
-func (m *Machine) handleStage(msg *Message) {
-	if m.view.Epoch == 0 || m.view.rank(msg.From.ID) < 0 {
-		return
-	}
-	if !m.holdsRecord() || m.lacksCommitted(msg) {
-		same := m.replica.RecordEpoch == m.view.Epoch && msg.Seq == m.log.seq && msg.Digest == m.log.digest
-		if !same {
-			body, complete := m.receiveChunk(msg)
-			if !complete || !m.replace(msg.Seq, msg.Digest, body) {
-				return
-			}
-			m.replica.RecordEpoch = m.view.Epoch
-			m.saveReplica()
+// promisedCandidates are those of the members that may become backups: who promised lately and took the record in time,
+// and joiners, which answered lately and promise nothing.
+func (m *Machine) promisedCandidates(members []Member) []candidate {
+	var cs []candidate
+	for _, o := range members {
+		if o.ID == m.identity.ID {
+			continue
 		}
+		cand := m.newCandidate(o)
+		p := m.candidacy.promises[m.voterID(o)]
+		switch {
+		case p == nil && m.view.has(o.ID):
+			continue
+		case p != nil && (p.stageFailed || m.now-p.at >= 2*m.opt.ElectionTimeout):
+			continue
+		case p != nil:
+			cand.holdsRecord = p.holdsRecord
+		}
+		cs = append(cs, cand)
 	}
-	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.log.seq, Digest: m.log.digest})
+	return cs
 }
 
-func (m *Machine) handleStaged(msg *Message) {
-	if c := m.candidacy; c != nil && c.phase == staging {
-		c.staged[msg.From.ID] = true
-		m.dropTransfer(msg.From.ID)
-		m.runPhase(false)
+// retryFailedStages lets those be chosen again that didn't take the record in time: there are too few without them.
+func (c *candidacy) retryFailedStages() {
+	for _, p := range c.promises {
+		p.stageFailed = false
 	}
 }
 
+// accept asks the members to accept the view. A majority of the members of the view before decides, not of those it
+// names (TestOldMembersDecide).
 func (m *Machine) accept(again bool) {
 	c := m.candidacy
 	if !c.accepted[m.voter()] {
@@ -239,13 +209,13 @@
 	}
 }
 
-// decide takes over the view that a majority accepted, and tells it.
+// decide installs the view that a majority accepted, and notifies all members of both views.
 func (m *Machine) decide(v View) {
 	old := m.view
 	m.installView(v)
 	notified := map[string]bool{}
 	for _, o := range append(append([]Member{}, old.Members...), v.Members...) {
-		if notified[o.Addr] || m.primary.active && v.has(o.ID) { // those get the beat
+		if notified[o.Addr] || m.primary.active && v.has(o.ID) { // those get the heartbeat
 			continue
 		}
 		notified[o.Addr] = true
@@ -253,72 +223,31 @@
 	}
 }
 
-// yieldTo gives up a candidacy below ballot b for some time.
-func (m *Machine) yieldTo(b Ballot, wait time.Duration) {
-	if m.candidacy != nil && m.candidacy.ballot.less(b) {
-		m.candidacy = nil
-	}
-	m.election.highestRejection = max(m.election.highestRejection, b.N)
-	m.election.campaignNotBefore = max(m.election.campaignNotBefore, m.now+wait)
-}
-
-func (m *Machine) handlePrepare(msg *Message) {
-	if m.voter() == "" || m.senderVoter(msg) == "" || msg.Ballot.ID != msg.From.ID {
-		return
-	}
-	if msg.Ballot.less(m.vote.Promised) {
-		m.send(msg.From.Addr, Message{Kind: KindReject, Ballot: m.vote.Promised})
-		return
-	}
-	if msg.Ballot != m.vote.Promised {
-		m.vote.Promised = msg.Ballot
-		m.saveVote()
-		m.election.lastHeartbeat = m.now
-		m.yieldTo(msg.Ballot, m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
-		if p := m.primary.progress[msg.From.ID]; p != nil {
-			p.stopped = true
-		}
-	}
-	m.send(msg.From.Addr, Message{
-		Kind: KindPromise, Ballot: msg.Ballot, Accepted: m.vote.Accepted, Value: m.vote.Value, HoldsRecord: m.holdsRecord(),
-		Seq: m.log.seq, Digest: m.log.digest, Committed: m.knownCommit(),
-	})
-}
-
+// handlePromise counts a promise. One that came again takes the older one's place.
 func (m *Machine) handlePromise(msg *Message) {
 	c, id := m.candidacy, m.senderVoter(msg)
 	if c == nil || id == "" || c.ballot != msg.Ballot || c.phase != preparing {
 		return
 	}
 	m.recordPosition(msg)
-	bad := false
+	failed := false
 	if p := c.promises[id]; p != nil {
-		bad = p.stageFailed
+		failed = p.stageFailed
 	}
 	c.promises[id] = &promise{
-		member: msg.From, accepted: msg.Accepted, value: msg.Value, holdsRecord: msg.HoldsRecord, at: m.now, stageFailed: bad, seq: msg.Seq,
+		member:      msg.From,
+		accepted:    msg.Accepted,
+		value:       msg.Value,
+		holdsRecord: msg.HoldsRecord,
+		at:          m.now,
+		stageFailed: failed,
+		seq:         msg.Seq,
 	}
 	m.log.reportedCommit = max(m.log.reportedCommit, msg.Committed)
 	m.runPhase(false)
 }
 
-func (m *Machine) handleAccept(msg *Message) {
-	if m.voter() == "" || m.senderVoter(msg) == "" || msg.Value == nil || msg.Value.Epoch != m.view.Epoch+1 || !msg.Value.valid() {
-		return
-	}
-	if msg.Ballot.less(m.vote.Promised) {
-		m.send(msg.From.Addr, Message{Kind: KindReject, Ballot: m.vote.Promised})
-		return
-	}
-	if m.vote.Accepted != msg.Ballot {
-		m.vote = Vote{Promised: msg.Ballot, Accepted: msg.Ballot, Value: msg.Value}
-		m.saveVote()
-		m.election.lastHeartbeat = m.now
-		m.yieldTo(msg.Ballot, m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
-	}
-	m.send(msg.From.Addr, Message{Kind: KindAccepted, Ballot: msg.Ballot})
-}
-
+// handleAccepted counts an acceptance.
 func (m *Machine) handleAccepted(msg *Message) {
 	c, id := m.candidacy, m.senderVoter(msg)
 	if c == nil || id == "" || c.ballot != msg.Ballot || c.phase != accepting {
@@ -328,6 +257,8 @@
 	m.runPhase(false)
 }
 
+// handleReject gives up a candidacy whose ballot is below one that was promised, for a time that grows with the
+// rejections.
 func (m *Machine) handleReject(msg *Message) {
 	if m.candidacy == nil || m.senderVoter(msg) == "" || !m.candidacy.ballot.less(msg.Ballot) {
 		return
--- a/internal/fleet/replication/catchup_test.go
+++ b/internal/fleet/replication/catchup_test.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// thinCore is a core in virtual time whose machines send over thin links, in order and one message after the other, as the
-// control servers do: a message whose write takes over writeBound breaks the connection, and what waits is bounded.
+// thinCore is a core in virtual time whose machines send over thin links, in order and one message after the other, as
+// the control servers do: a message whose write takes over writeBound breaks the connection, and what waits is bounded.
 type thinCore struct {
 	c           *qt.C
 	now         time.Duration
@@ -273,8 +273,8 @@
 	p.input(func(now time.Duration) Output { return p.m.Propose(now, token, body) })
 }
 
-// keepChanging proposes a change every so often from now on, one at a time as the operators' door does. Who asked gives up after a
-// second without an answer.
+// keepChanging proposes a change every so often from now on, one at a time as the operators' door does. Who asked gives
+// up after a second without an answer.
 func (t *thinCore) keepChanging(every time.Duration, bytes int) {
 	for token, since := range t.pending {
 		if t.now-since > time.Second {
@@ -357,9 +357,9 @@
 // recordBytes is the size of a record with 10,000 routes.
 const recordBytes = 3_500_000
 
-// TestSlowLinkTakesRecord: with 10,000 routes over links of 10 Mbit/s, while changes come every 40 ms, the loss of a backup
-// and of its disk is overcome: a machine that never had the record is brought it, changes are acknowledged again, and the
-// one that lost its disk holds the record or votes once more.
+// TestSlowLinkTakesRecord: with 10,000 routes over links of 10 Mbit/s, while changes come every 40 ms, the loss of a
+// backup and of its disk is overcome: a machine that never had the record is brought it, changes are acknowledged
+// again, and the one that lost its disk holds the record or votes once more.
 func TestSlowLinkTakesRecord(t *testing.T) {
 	for _, size := range []int{200_000, recordBytes} {
 		for _, members := range []struct {
@@ -384,7 +384,8 @@
 				c.Assert(core.until(30*time.Second, core.settled), qt.IsTrue, qt.Commentf("who lost its disk isn't a member again"))
 				t.Logf("its disk lost: a member after %v, no acknowledgement for %v", core.now-began, core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
-				// It counts as lost for some seconds more. Then the primary goes: who takes its place holds all that was acknowledged.
+				// It counts as lost for some seconds more. Then the primary goes: who takes its place holds all that
+				// was acknowledged.
 				core.until(syncWithin, func() bool { return false })
 				acked = core.acked
 				core.primary().stop()
@@ -406,11 +407,12 @@
 	n.core.c.Assert(n.core.until(5*time.Second, n.core.settled), qt.IsTrue, qt.Commentf("%s", n.core.told()))
 }
 
-// stall has a disk take no write for some time, as one that is full or hangs: its machine neither hears nor says anything then.
+// stall has a disk take no write for some time, as one that is full or hangs: its machine neither hears nor says
+// anything then.
 func (n *thinNode) stall(for_ time.Duration) { n.busy = max(n.busy, n.core.now) + for_ }
 
-// TestStalledDisk: a machine whose disk takes no write for seconds is replaced, whatever its role, and doesn't hold the others up for
-// longer than ackWithin; when its disk works again it takes part.
+// TestStalledDisk: a machine whose disk takes no write for seconds is replaced, whatever its role, and doesn't hold the
+// others up for longer than ackWithin; when its disk works again it takes part.
 func TestStalledDisk(t *testing.T) {
 	for _, role := range []Role{Primary, Backup, Witness} {
 		for _, stall := range []time.Duration{300 * ms, 2 * time.Second, 20 * time.Second} {
@@ -454,8 +456,8 @@
 	}
 }
 
-// TestCatchUpAfterAbsence: a machine that was away for 1, 100 and 5,000 changes has the record again within the time that the record
-// takes on its link and a second, while changes go on.
+// TestCatchUpAfterAbsence: a machine that was away for 1, 100 and 5,000 changes has the record again within the time
+// that the record takes on its link and a second, while changes go on.
 func TestCatchUpAfterAbsence(t *testing.T) {
 	const (
 		routes500   = 100_000 // bytes of a record
--- a/internal/fleet/replication/departure.go
+++ b/internal/fleet/replication/departure.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// A process that was told to end leaves in order: a primary hands its role to a backup that is in step, a backup is
-// replaced by another machine that takes the record first, and the primary drops a member that leaves at once where
-// the set bears as much without it. Nothing here is needed for safety: a machine that leaves is one that may soon be lost.
+// Graceful shutdown: a primary hands its role to a backup in sync, a backup is replaced by another machine that takes
+// the record first, and the primary removes a departing member at once where the membership tolerates as much without
+// it. Nothing here is needed for safety: a departing machine is one that may soon be lost.
 
-// departure is what a machine that was told to end keeps in mind.
+// departure is the graceful shutdown of this machine.
 type departure struct {
-	begun         bool
-	releasedEpoch uint64 // the epoch in which the primary said that it needs this machine no more
+	begun         bool   // Leave was called
+	releasedEpoch uint64 // the epoch in which the primary released this machine
 }
 
-// Leave tells the machine that its process is about to end. It serves on meanwhile; Status.Released tells when its end
+// Leave begins the graceful shutdown of this machine. It goes on serving meanwhile; Status.Released says when its end
 // costs the others nothing. Whether it comes back is not known, so it gives up its role and not its membership: the
-// primary drops it where the majority that is needed falls with it.
+// primary removes it where the quorum falls with it.
 func (m *Machine) Leave(now time.Duration) Output {
 	before := m.Status()
 	m.beginInput(now)
@@ -30,7 +30,8 @@
 	return m.endInput(before)
 }
 
-// released reports whether a machine that leaves has no role left that others would miss.
+// released reports whether this departing machine has no role left that others would miss. While it holds the record it
+// isn't: it may have one of too few replicas (TestLeaverHoldsNoOnlyCopy).
 func (m *Machine) released() bool {
 	switch {
 	case !m.departure.begun:
@@ -43,7 +44,7 @@
 	return m.departure.releasedEpoch == m.view.Epoch
 }
 
-// recordDeparture keeps which members of the view are about to end.
+// recordDeparture notes whether the sender, a member, is departing.
 func (m *Machine) recordDeparture(msg *Message) {
 	if m.peers.departing[msg.From.ID] == msg.Leaving || !m.view.has(msg.From.ID) {
 		return
@@ -51,40 +52,42 @@
 	m.setDeparting(msg.From.ID, msg.Leaving)
 }
 
-// rejectJoiner forgets a joiner that is about to end. A view that takes it in may be on its way: it goes out of that at once.
+// rejectJoiner forgets a joiner that is departing. A view that takes it in may be under way: it goes out of that at
+// once.
 func (m *Machine) rejectJoiner(j *joiner) {
 	delete(m.primary.joiners, j.Addr)
 	m.setDeparting(j.ID, true)
 }
 
+// setDeparting replaces the set of departing members: a copy of the machine may share the older one.
 func (m *Machine) setDeparting(id ID, leaving bool) {
 	if leaving && len(m.peers.departing) >= maxMembers+maxJoiners {
 		return
 	}
-	leavers := maps.Clone(m.peers.departing)
-	if leavers == nil {
-		leavers = map[ID]bool{}
+	departing := maps.Clone(m.peers.departing)
+	if departing == nil {
+		departing = map[ID]bool{}
 	}
 	if leaving {
-		leavers[id] = true
+		departing[id] = true
 	} else {
-		delete(leavers, id)
+		delete(departing, id)
 	}
-	m.peers.departing = leavers
+	m.peers.departing = departing
 }
 
-// pruneDeparting drops what is known of machines that are no members any more.
+// pruneDeparting forgets departing machines that are no members any more.
 func (m *Machine) pruneDeparting() {
-	leavers := map[ID]bool{}
+	departing := map[ID]bool{}
 	for id := range m.peers.departing {
 		if m.view.has(id) {
-			leavers[id] = true
+			departing[id] = true
 		}
 	}
-	m.peers.departing = leavers
+	m.peers.departing = departing
 }
 
-// handOver asks a backup in step to take over, once nothing waits for an acknowledgement or a heartbeat later.
+// handOver asks a backup in sync, which stays and has the complete record, to take over.
 func (m *Machine) handOver() {
 	if !m.departure.begun || !m.ready() || m.candidacy != nil {
 		return
@@ -100,7 +103,7 @@
 	}
 }
 
-// handleHandover takes over from a primary that leaves.
+// handleHandover takes over from a departing primary.
 func (m *Machine) handleHandover(msg *Message) {
 	if !m.fromPrimary(msg) || !m.inSync() || m.departure.begun || msg.Seq != m.log.seq || msg.Digest != m.log.digest {
 		return
@@ -120,7 +123,7 @@
 	return false
 }
 
-// requiredTolerance is what the next view must survive: a primary that leaves needs a backup to hand over to.
+// requiredTolerance is what the next view must tolerate: a departing primary needs a backup to hand over to.
 func (m *Machine) requiredTolerance() FailureTolerance {
 	s := m.opt.Tolerance
 	if m.departure.begun {
--- a/internal/fleet/replication/discovery.go
+++ b/internal/fleet/replication/discovery.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// helloMessage asks for the view, and to be taken in where this machine is no member.
+// helloMessage asks for the decided view, and to join where this machine is no member.
 func (m *Machine) helloMessage() Message {
 	return Message{Kind: KindHello, Join: m.voter() == "" && !m.departure.begun}
 }
 
-// sendHello asks around when there is a reason: no member yet, or no word of a primary.
+// sendHello asks the primary, or all addresses that are known, for the decided view when there is a reason: this
+// machine is no member, or hears no primary, or as primary no quorum.
 func (m *Machine) sendHello() {
-	outside := m.view.Epoch == 0 || !m.view.has(m.identity.ID)
-	silent := m.now-m.election.lastHeartbeat >= m.opt.ElectionTimeout
+	nonMember := m.view.Epoch == 0 || !m.view.has(m.identity.ID)
+	noContact := m.now-m.election.lastHeartbeat >= m.opt.ElectionTimeout
 	if m.primary.active {
-		silent = !m.quorumAlive()
+		noContact = !m.quorumAlive()
 	}
 	m.election.helloAt = m.now + m.opt.ElectionTimeout
-	if outside {
+	if nonMember {
 		m.election.helloAt = m.now + m.opt.HeartbeatInterval
 	}
-	if outside && !silent && m.view.Epoch > 0 {
+	if nonMember && !noContact && m.view.Epoch > 0 {
 		if p, ok := m.view.member(m.view.Primary); ok {
 			m.send(p.Addr, m.helloMessage())
 		}
 		return
 	}
-	if !outside && !silent {
+	if !nonMember && !noContact {
 		return
 	}
 	to := slices.Clone(m.opt.Seeds)
@@ -84,20 +85,20 @@
 	m.send(j.Addr, m.heartbeatMessage()) // its answer shows that this identity lives
 }
 
-// tickFounder begins the first candidacy of all: the lowest address when all founders were heard, else whose turn it
-// is when a majority was.
+// tickFounder begins the first candidacy of all: the lowest address once all founders answered, else whose turn it is
+// once a majority did.
 func (m *Machine) tickFounder() {
 	if m.view.Epoch > 0 || m.voter() == "" || m.candidacy != nil {
 		return
 	}
-	heard := 1
+	seen := 1
 	for _, o := range m.view.Members {
 		if o.Addr != m.identity.Addr && m.peers.foundersSeen[o.Addr] {
-			heard++
+			seen++
 		}
 	}
 	turn := m.now >= m.election.viewSince+m.opt.ElectionTimeout+time.Duration(m.rank())*m.opt.ElectionStagger
-	if heard == len(m.view.Members) && (m.rank() == 0 || m.stopped()) || heard >= m.view.quorum() && turn {
+	if seen == len(m.view.Members) && (m.rank() == 0 || m.stopped()) || seen >= m.view.quorum() && turn {
 		m.campaign()
 	}
 }
--- a/internal/fleet/replication/histories_test.go
+++ b/internal/fleet/replication/histories_test.go
@@ -13,7 +13,8 @@
 )
 
 // Operators order changes on top of the version that they know and read the newest one back, over the storms' faults.
-// Their answers are judged together: they must be such as one machine could have given that did one thing after the other.
+// Their answers are judged together: they must be such as one machine could have given that did one thing after the
+// other.
 
 // order is a change of the configuration, as it stands in the record: its number and its author name it.
 type order struct {
@@ -93,8 +94,8 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in, " ", out) },
 }
 
-// judge does at a box what the control server does with an order: one that was taken is acknowledged again, one on another base is
-// refused, both only when the record it was judged by is committed; else it is proposed.
+// judge does at a box what the control server does with an order: one that was taken is acknowledged again, one on
+// another base is refused, both only when the record it was judged by is committed; else it is proposed.
 func (o *operators) judge(b *box, what order, tell func(verdict)) {
 	o.token++
 	t := o.token
@@ -281,8 +282,8 @@
 	return nil
 }
 
-// TestHistories: what operators are answered over storms is linearizable, also where answers are lost and orders are sent
-// again to any machine, where two build on one version, and where all machines lose power while they acknowledge.
+// TestHistories: what operators are answered over storms is linearizable, also where answers are lost and orders are
+// sent again to any machine, where two build on one version, and where all machines lose power while they acknowledge.
 func TestHistories(t *testing.T) {
 	for _, c := range []struct{ n, nodes int }{{1, 0}, {3, 1}, {4, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d-%d", c.n, c.nodes), func(t *testing.T) {
--- a/internal/fleet/replication/identity.go
+++ b/internal/fleet/replication/identity.go
@@ -5,11 +5,14 @@
 	"slices"
 )
 
-// drawIdentity starts as a machine with an empty disk that knows m.view.
+// drawIdentity begins anew with an empty record, as a machine that knows m.view and has a new identity. A machine that
+// lost its disk has forgotten what it promised, so it must not vote as who it was (TestWipedWitnessHasNoVote).
 func (m *Machine) drawIdentity(founder bool) {
 	m.identity = Identity{
-		ID:   ID(fmt.Sprintf("%016x%016x", m.opt.Rand(), m.opt.Rand())),
-		Addr: m.opt.Self.Addr, Founder: founder, Joined: founder,
+		ID:      ID(fmt.Sprintf("%016x%016x", m.opt.Rand(), m.opt.Rand())),
+		Addr:    m.opt.Self.Addr,
+		Founder: founder,
+		Joined:  founder,
 	}
 	m.vote, m.replica = Vote{}, ReplicaState{}
 	m.log = recordLog{reportedCommit: m.log.reportedCommit}
@@ -29,35 +32,36 @@
 
 // voter is the identity by which this machine votes in its view; "" when it has no vote.
 func (m *Machine) voter() ID {
-	id := m.identity.ID
-	if m.view.Epoch == 0 {
-		if !m.identity.Founder {
-			return ""
-		}
-		id = seedID(m.identity.Addr)
+	return m.voterOf(m.self(), m.identity.Founder)
+}
+
+// senderVoter is the identity by which the sender votes in this machine's view; "" when it has no vote.
+func (m *Machine) senderVoter(msg *Message) ID { return m.voterOf(msg.From, msg.Founder) }
+
+// voterOf is the identity by which a machine votes in this machine's view: in view 0 founders alone vote, each as its
+// address.
+func (m *Machine) voterOf(o Member, founder bool) ID {
+	if m.view.Epoch == 0 && !founder {
+		return ""
 	}
+	id := m.voterID(o)
 	if !m.view.has(id) {
 		return ""
 	}
 	return id
 }
 
-// senderVoter is the identity by which the sender votes in our view.
-func (m *Machine) senderVoter(msg *Message) ID {
-	id := msg.From.ID
+// voterID is the identity under which a machine's vote is counted in this machine's view.
+func (m *Machine) voterID(o Member) ID {
 	if m.view.Epoch == 0 {
-		if !msg.Founder {
-			return ""
-		}
-		id = seedID(msg.From.Addr)
+		return seedID(o.Addr)
 	}
-	if !m.view.has(id) {
-		return ""
-	}
-	return id
+	return o.ID
 }
 
-// holdsRecord reports whether this machine holds the record of its view.
+// holdsRecord reports whether this machine is the primary or a backup of its view and its disk has all that was
+// committed before the view. A machine that is named a backup but was never brought the record has no say
+// (TestOldRecordHasNoSay).
 func (m *Machine) holdsRecord() bool {
 	if m.view.Epoch == 0 {
 		return m.voter() != ""
--- a/internal/fleet/replication/input.go
+++ b/internal/fleet/replication/input.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Each input runs between beginInput and endInput. What it leads to is gathered in out and write; the caller writes before
-// it sends and answers, so a handler may change the state and send in any order.
+// Each input runs between beginInput and endInput. What it leads to is gathered in out and write; the caller writes
+// before it sends and answers, so a handler may change the state and send in any order.
 
 // beginInput opens an input. Time never goes back.
 func (m *Machine) beginInput(now time.Duration) {
@@ -45,8 +45,9 @@
 	m.out.StatusChanged = true
 }
 
-// restartTimeouts is for a machine that was frozen: that it heard nobody says nothing of the others, so all time-outs begin
-// anew (TestThawedMachineWaits). It changes nothing else: read rounds and answers from before stay as old as they are.
+// restartTimeouts is for a machine that was frozen: that it heard nobody says nothing of the others, so all time-outs
+// begin anew (TestThawedMachineWaits). It changes nothing else: read rounds and answers from before stay as old as they
+// are.
 func (m *Machine) restartTimeouts() {
 	m.election.lastHeartbeat = m.now
 	for id := range m.peers.lastActive {
@@ -104,7 +105,8 @@
 	m.out.Answer = append(m.out.Answer, Answer{Token: token, Result: r, Seq: seq})
 }
 
-// saveVote, saveIdentity, saveView and saveReplica add a part of the persistent state, as it is now, to the input's write.
+// saveVote, saveIdentity, saveView and saveReplica add a part of the persistent state, as it is now, to the input's
+// write.
 func (m *Machine) saveVote() {
 	v := m.vote
 	m.write.Vote = &v
--- a/internal/fleet/replication/install.go
+++ b/internal/fleet/replication/install.go
@@ -36,8 +36,8 @@
 	m.peers.foundersSeen = map[string]bool{}
 }
 
-// saveInstalledView has the view, and what it makes of this machine's record, written. A machine that was removed begins
-// anew: the members of the view no longer count its identity, so what that holds and promised is over
+// saveInstalledView has the view, and what it makes of this machine's record, written. A machine that was removed
+// begins anew: the members of the view no longer count its identity, so what that holds and promised is over
 // (TestLeftOutDrawsNewIdentity).
 func (m *Machine) saveInstalledView(carriesRecord bool) {
 	v := &m.view
@@ -85,8 +85,8 @@
 }
 
 // becomePrimary makes this machine the primary of its view. It takes no backup to be in sync before that has said so in
-// this view: what a backup acknowledged in an earlier view may have been replaced since. Reads that came before the view
-// wait for a round of this one.
+// this view: what a backup acknowledged in an earlier view may have been replaced since. Reads that came before the
+// view wait for a round of this one.
 func (m *Machine) becomePrimary() {
 	p := &m.primary
 	p.active = true
--- a/internal/fleet/replication/liveness_test.go
+++ b/internal/fleet/replication/liveness_test.go
@@ -14,9 +14,9 @@
 // neverAcknowledged is longer than any bound.
 const neverAcknowledged = time.Hour
 
-// A state is live when a change that is asked for from then on is acknowledged in time while all links are up and all machines
-// alive, and also while as many machines as the core must survive are cut off for good. What is in flight is lost or, with shape.late,
-// comes at once.
+// A state is live when a change that is asked for from then on is acknowledged in time while all links are up and all
+// machines alive, and also while as many machines as the core must survive are cut off for good. What is in flight is
+// lost or, with shape.late, comes at once.
 
 // checkLiveness is the rule that every state is live when calm.
 func (x *explorer) checkLiveness(w *world) string {
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("nothing is acknowledged within %v from here on when all that is in flight comes", ackWithin)
 }
 
-// checkLivenessAfterLoss is the rule that every state is live when calm and, where no disk is lost, after any further loss that
-// the core must survive.
+// checkLivenessAfterLoss is the rule that every state is live when calm and, where no disk is lost, after any further
+// loss that the core must survive.
 func (x *explorer) checkLivenessAfterLoss(w *world) string {
 	if problem := x.checkLiveness(w); problem != "" || x.ghosts[w.ghost].wipes > 0 {
 		return problem
@@ -78,8 +78,8 @@
 // calmToken is the token of the change that is asked for.
 const calmToken = 1 << 30
 
-// playCalm plays from a state on until a change is acknowledged. The change is asked for at the primary of the newest epoch that
-// isn't cut off, and again when a newer one appears. What is in flight comes first.
+// playCalm plays from a state on until a change is acknowledged. The change is asked for at the primary of the newest
+// epoch that isn't cut off, and again when a newer one appears. What is in flight comes first.
 func (x *explorer) playCalm(cells cellSet, lasting networkFault, inFlight []uint32) time.Duration {
 	r := x.newTimeline(cells, lasting)
 	for _, id := range inFlight {
@@ -143,8 +143,8 @@
 	return false
 }
 
-// TestAcknowledgedUnderLastingFault: from a settled core on, the next acknowledgement comes in time while one directed link stays
-// cut, one machine stays cut off or frozen, or two are that may be lost at once.
+// TestAcknowledgedUnderLastingFault: from a settled core on, the next acknowledgement comes in time while one directed
+// link stays cut, one machine stays cut off or frozen, or two are that may be lost at once.
 func TestAcknowledgedUnderLastingFault(t *testing.T) {
 	for _, core := range []struct{ members, survive int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d-%d", core.members, core.survive), func(t *testing.T) {
--- a/internal/fleet/replication/log.go
+++ b/internal/fleet/replication/log.go
@@ -56,8 +56,8 @@
 	return 0, false
 }
 
-// changesAfter gives the changes after seq whose bodies have at most maxBytes together; none when the first one has more.
-// seq must not lie before the log's base.
+// changesAfter gives the changes after seq whose bodies have at most maxBytes together; none when the first one has
+// more. seq must not lie before the log's base.
 func (l *recordLog) changesAfter(seq uint64, maxBytes int) []Change {
 	rest := l.changes[seq-l.base.Seq:]
 	n, bytes := 0, 0
@@ -68,8 +68,8 @@
 	return rest[:n:n]
 }
 
-// compact notes that a snapshot of the record replaces the changes on the disk. In memory the newest changes are kept, as
-// many as the bounds allow: who lacks only these is brought them, and not the whole record at each snapshot.
+// compact notes that a snapshot of the record replaces the changes on the disk. In memory the newest changes are kept,
+// as many as the bounds allow: who lacks only these is brought them, and not the complete record at each snapshot.
 func (l *recordLog) compact(maxCount, maxBytes int) {
 	l.diskBytes, l.diskCount = 0, 0
 	first, bytes := len(l.changes), 0
--- a/internal/fleet/replication/machine.go
+++ b/internal/fleet/replication/machine.go
@@ -18,8 +18,8 @@
 // Machine is one core machine's part in the replication: a state machine whose inputs are Step, Tick, Propose, Read and
 // Leave. It is not safe for concurrent use; one goroutine owns it.
 //
-// Its state is grouped by durability and role. persistentState and log are on disk; all else is gone with the process, and
-// no safety rule rests on it. primary counts while this process is primary, candidacy while it proposes a view.
+// Its state is grouped by durability and role. persistentState and log are on disk; all else is gone with the process,
+// and no safety rule rests on it. primary counts while this process is primary, candidacy while it proposes a view.
 type Machine struct {
 	opt Options
 	app App
@@ -44,8 +44,8 @@
 }
 
 // New makes a machine from what its disk held; the zero PersistentState is an empty disk. The app must be empty; New
-// restores the record into it. It fails on settings out of bounds, on a disk that belongs to another address, on changes
-// with a gap and when the app can't restore.
+// restores the record into it. It fails on settings out of bounds, on a disk that belongs to another address, on
+// changes with a gap and when the app can't restore.
 func New(opt Options, from PersistentState, app App) (*Machine, error) {
 	if opt.SnapshotBytes <= 0 {
 		opt.SnapshotBytes = defaultSnapshotBytes
@@ -146,8 +146,8 @@
 	return m.endInput(before)
 }
 
-// step sorts a message by its epoch. Only what was sent in this machine's own epoch counts: an answer of an older one may
-// be of a member that was removed since, and of a newer one nothing is known before its view is installed.
+// step sorts a message by its epoch. Only what was sent in this machine's own epoch counts: an answer of an older one
+// may be of a member that was removed since, and of a newer one nothing is known before its view is installed.
 func (m *Machine) step(msg *Message) {
 	if j := m.primary.joiners[msg.From.Addr]; j != nil && msg.Leaving {
 		m.rejectJoiner(j)
@@ -235,7 +235,8 @@
 	}
 }
 
-// tickElection begins a candidacy when the primary is overdue, and goes on with one that a rejection or a restart ended.
+// tickElection begins a candidacy when the primary is overdue, and goes on with one that a rejection or a restart
+// ended.
 func (m *Machine) tickElection() {
 	if m.candidacy == nil && m.canCampaign() && !m.primary.active {
 		if m.campaignsAtOnce() || m.now >= m.electionDeadline() {
--- a/internal/fleet/replication/machine_test.go
+++ b/internal/fleet/replication/machine_test.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestStorm plays many seeds of faults: nothing acknowledged is lost, nobody but one primary commits in an epoch, records
-// never part, reads are never stale, and after calm all work again.
+// TestStorm plays many seeds of faults: nothing acknowledged is lost, nobody but one primary commits in an epoch,
+// records never part, reads are never stale, and after calm all work again.
 func TestStorm(t *testing.T) {
 	cases := []struct{ n, seeds, nodes, zones int }{
 		{1, 1, 0, 0}, {2, 2, 0, 0}, {3, 3, 0, 0}, {3, 3, 1, 0}, {4, 3, 1, 0}, {5, 3, 1, 0}, {5, 3, 2, 0}, {8, 3, 2, 0},
@@ -239,8 +239,8 @@
 	}
 }
 
-// TestStartOneSystem: seeds that are restarted while the first start goes on, and one that comes up much later, form one
-// system; a machine that says bootstrap and isn't a seed joins.
+// TestStartOneSystem: seeds that are restarted while the first start goes on, and one that comes up much later, form
+// one system; a machine that says bootstrap and isn't a seed joins.
 func TestStartOneSystem(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(7, 4, 3, FailureTolerance{Nodes: 1})
--- a/internal/fleet/replication/membership.go
+++ b/internal/fleet/replication/membership.go
@@ -18,10 +18,10 @@
 type memberPlan struct {
 	members []Member
 	changed bool
-	urgent  bool // a member that is about to end goes out: it won't wait
+	urgent  bool // a member that is departing goes out: it won't wait
 }
 
-// joining lists the machines to be taken in, by address.
+// joining lists the machines to become members, by address.
 func (m *Machine) joining() []Member {
 	var js []Member
 	for a, j := range m.primary.joiners {
@@ -43,10 +43,11 @@
 // many is left, and a lost member that comes back with its vote may be needed.
 func (m *Machine) minMembers() int { return max(3, 2*m.opt.Tolerance.Replicas()-1) }
 
-// nextMembers plans the members of the next view. Only the primary changes them: a machine that lost its disk replaces its
-// older identity, joiners come in, members that leave or are silent go out. The decided view is replaced as a whole
-// by a majority of its members, so the plan may change several at once; what it must keep is a majority of the new
-// set among machines that live without the joiners.
+// nextMembers plans the members of the next view. Only the primary changes them (a machine that takes over doesn't know
+// who is unresponsive): a machine that lost its disk replaces its older identity, joiners come in, members that are
+// departing or unresponsive go out. A majority of the members decides the next view with all its members, so the plan
+// may change several at once, unlike raft's single-server change; what it must keep is a quorum of the new members
+// among machines that answer without the joiners.
 func (m *Machine) nextMembers() memberPlan {
 	plan := memberPlan{members: slices.Clone(m.view.Members)}
 	if !m.primary.active {
@@ -72,8 +73,9 @@
 	})
 }
 
-// replaceAbsent puts joiners in the places of members that leave or are silent, and returns the others. A joiner that came as
-// one more beside a lost member would raise the majority and be needed for it: the set would be lost with its disk.
+// replaceAbsent puts joiners in the places of members that are departing or unresponsive, and returns the others. A
+// joiner that came as one more beside a lost member would raise the majority and be needed for it: the set would be
+// lost with its disk.
 func (m *Machine) replaceAbsent(plan *memberPlan, joiners []Member) []Member {
 	if len(plan.members) < m.minMembers() {
 		return joiners
@@ -92,7 +94,7 @@
 	})
 }
 
-// grow takes in as many joiners as may come, those first whose zone has the fewest members. The others wait.
+// grow admits as many joiners as may come, those first whose zone has the fewest members. The others wait.
 func (m *Machine) grow(plan *memberPlan, joiners []Member) {
 	joiners = balanceZones(plan.members, joiners)
 	for n := len(joiners); n > 0; n-- {
@@ -104,8 +106,8 @@
 }
 
 // canGrow reports whether joiners may come as so many more members: without them a majority of the larger set must be
-// there, and it must bear what the smaller one does. Where the majority rises each joiner must have been heard for a
-// while, so that who is silent by now is known to be, and must have been heard just now.
+// there, and it must tolerate what the smaller one does. Where the majority rises each joiner must have been heard for
+// a while, so that who is unresponsive by now is known to be, and must have been heard just now.
 func (m *Machine) canGrow(members, joiners []Member) bool {
 	grown := append(slices.Clone(members), joiners...)
 	switch {
@@ -125,12 +127,13 @@
 	return !slices.ContainsFunc(joiners, unsure) && m.countPresent(members) >= quorumSize(len(grown))
 }
 
-// reducesTolerance reports whether a change of the members takes from them that they bear what is to be survived.
+// reducesTolerance reports whether the members tolerate the required losses before a change and not after it.
 func (m *Machine) reducesTolerance(before, after []Member) bool {
 	return m.opt.Tolerance.toleratedBy(before) && !m.opt.Tolerance.toleratedBy(after)
 }
 
-// removeAbsent takes out of the plan those that leave or were silent for MemberTimeout, where that lowers the majority.
+// removeAbsent takes out of the plan members that are departing or were unresponsive for MemberTimeout, where that
+// lowers the quorum (TestSilentMembersStay).
 func (m *Machine) removeAbsent(plan *memberPlan) {
 	m.removeMembers(plan, m.absent(plan.members, m.opt.MemberTimeout), m.minMembers())
 	leaving := slices.DeleteFunc(slices.Clone(plan.members), func(o Member) bool { return !m.departsAsWitness(o.ID) })
@@ -148,8 +151,8 @@
 	plan.urgent = plan.urgent || slices.ContainsFunc(absent, func(o Member) bool { return m.departsAsWitness(o.ID) })
 }
 
-// absent lists members of the view among these that are about to end or were silent for so long: the former first,
-// then by the length of their silence.
+// absent lists those of the members that are departing or were unresponsive for so long: the former first, then by how
+// long they have been so.
 func (m *Machine) absent(members []Member, silence time.Duration) []Member {
 	var absent []Member
 	for _, o := range members {
@@ -173,7 +176,7 @@
 	return absent
 }
 
-// departsAsWitness reports whether a member is about to end and holds no record of the view. One that holds it first
+// departsAsWitness reports whether a member is departing and holds no record of the view. One that holds it first
 // becomes a witness: whoever is left out drops its record, and by then the holders of the next view must know of it.
 func (m *Machine) departsAsWitness(id ID) bool { return m.peers.departing[id] && m.view.rank(id) < 0 }
 
--- a/internal/fleet/replication/membership_test.go
+++ b/internal/fleet/replication/membership_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestSuccessorLosesItsDisk: a machine is gone for good, and its successor loses its disk right after its first start, again and
-// again: as it counts as lost all the while, no more than may be lost ever is.
+// TestSuccessorLosesItsDisk: a machine is gone for good, and its successor loses its disk right after its first start,
+// again and again: as it counts as lost all the while, no more than may be lost ever is.
 func TestSuccessorLosesItsDisk(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -148,8 +148,8 @@
 	})
 }
 
-// TestSecondLossAfterReplacement: a machine is gone for good, its successor has had the time to catch up, and the next one is lost
-// at that moment.
+// TestSecondLossAfterReplacement: a machine is gone for good, its successor has had the time to catch up, and the next
+// one is lost at that moment.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for range 3 {
@@ -171,8 +171,8 @@
 	})
 }
 
-// departure tells a machine that its process is to end, and ends it when it is released or its time is over. It returns how
-// long that took.
+// departure tells a machine that its process is to end, and ends it when it is released or its time is over. It returns
+// how long that took.
 func (s *schedule) leave(b *box) time.Duration {
 	began, life := s.now, b.life
 	s.input(b, b.m.Leave(s.clock(b)))
@@ -183,8 +183,8 @@
 	return s.now - began
 }
 
-// recordBears reports whether the record can be gone on with from the disks alone when so many machines are lost at once, any
-// of them, and another has ended.
+// recordBears reports whether the record can be gone on with from the disks alone when so many machines are lost at
+// once, any of them, and another has ended.
 func (s *schedule) recordBears(losses int, ended *box) bool {
 	var rest []*box
 	for _, b := range s.boxes {
@@ -207,8 +207,8 @@
 	return lose(0, losses, rest)
 }
 
-// recoverable reports whether one of these machines holds all that was acknowledged, and holds it for the newest view that any
-// of them knows and would tell.
+// recoverable reports whether one of these machines holds all that was acknowledged, and holds it for the newest view
+// that any of them knows and would tell.
 func (s *schedule) recoverable(left []*box) bool {
 	var newest View
 	for _, b := range left {
@@ -236,8 +236,8 @@
 	return 0
 }
 
-// TestLeaverHoldsNoOnlyCopy: when a machine that was told to end is released, whatever its role, the record outlives any loss
-// of others that must be survived.
+// TestLeaverHoldsNoOnlyCopy: when a machine that was told to end is released, whatever its role, the record outlives
+// any loss of others that must be survived.
 func TestLeaverHoldsNoOnlyCopy(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -273,8 +273,8 @@
 	}
 }
 
-// TestJoinerToldToEnd: a machine that asks to be taken in, or has just been, is told to end and never comes back; once it has
-// ended the core bears the next loss.
+// TestJoinerToldToEnd: a machine that asks to be taken in, or has just been, is told to end and never comes back; once
+// it has ended the core bears the next loss.
 func TestJoinerToldToEnd(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		n := s.spare()
@@ -308,7 +308,8 @@
 	}
 }
 
-// TestLeaveAlone: a machine that is the whole core, or hears nobody, isn't kept waiting for a release that nobody can give.
+// TestLeaveAlone: a machine that is the whole core, or hears nobody, isn't kept waiting for a release that nobody can
+// give.
 func TestLeaveAlone(t *testing.T) {
 	c := qt.New(t)
 	s := newSchedule(c, 1, coreCase{1, 0})
@@ -317,7 +318,8 @@
 	s.acknowledges(c)
 }
 
-// TestOnlyMachineReplaced: the one machine of a core is told to end once its successor is in; the record goes over with the role.
+// TestOnlyMachineReplaced: the one machine of a core is told to end once its successor is in; the record goes over with
+// the role.
 func TestOnlyMachineReplaced(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
@@ -354,8 +356,8 @@
 	})
 }
 
-// TestAllReplacedInTurn: every machine that began the day is replaced, the oldest disks first, each as soon as the last successor
-// had its time; then all lose power and as many as may be their disks.
+// TestAllReplacedInTurn: every machine that began the day is replaced, the oldest disks first, each as soon as the last
+// successor had its time; then all lose power and as many as may be their disks.
 func TestAllReplacedInTurn(t *testing.T) {
 	eachCase(t, 4, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for _, old := range slices.Clone(s.boxes) {
@@ -390,8 +392,8 @@
 	})
 }
 
-// TestWipedInTurn: the disks go one after the other, each as soon as the last had its time, all others without power at the
-// same moment at times.
+// TestWipedInTurn: the disks go one after the other, each as soon as the last had its time, all others without power at
+// the same moment at times.
 func TestWipedInTurn(t *testing.T) {
 	eachCase(t, 4, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i := range 2 * of.machines {
@@ -410,8 +412,8 @@
 	})
 }
 
-// TestRolled: the machines are told to end one after the other, a second apart, and come back with their disks; with the
-// last that may be lost gone for good.
+// TestRolled: the machines are told to end one after the other, a second apart, and come back with their disks; with
+// the last that may be lost gone for good.
 func TestRolled(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i, b := range slices.Clone(s.boxes) {
@@ -429,7 +431,8 @@
 	})
 }
 
-// TestAllToldToEnd: every machine is told to end at the same moment and ends within its time; all come back with their disks.
+// TestAllToldToEnd: every machine is told to end at the same moment and ends within its time; all come back with their
+// disks.
 func TestAllToldToEnd(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for _, b := range s.boxes {
@@ -448,8 +451,8 @@
 	})
 }
 
-// TestLeaveWithLostBackup: a backup is lost at the moment when the primary is told to end; others take its place, and then the
-// primary's.
+// TestLeaveWithLostBackup: a backup is lost at the moment when the primary is told to end; others take its place, and
+// then the primary's.
 func TestLeaveWithLostBackup(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -464,8 +467,8 @@
 	})
 }
 
-// TestStormWithLeaves plays storms in which machines are told to end as well: in the middle of other troubles they end when they
-// are released or their time is over, and come back.
+// TestStormWithLeaves plays storms in which machines are told to end as well: in the middle of other troubles they end
+// when they are released or their time is over, and come back.
 func TestStormWithLeaves(t *testing.T) {
 	for _, of := range []coreCase{{1, 0}, {3, 1}, {4, 1}, {5, 2}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -18,8 +18,8 @@
 
 var planted = flag.String("replication.planted", "", "lay each planted fault in turn and see which of these kinds of tests find it, which takes minutes: search,hand,storms,histories")
 
-// plantedFault is an error that is laid into a copy of the sources: each old text, which the package has exactly once, is
-// replaced.
+// plantedFault is an error that is laid into a copy of the sources: each old text, which the package has exactly once,
+// is replaced.
 type plantedFault struct {
 	name    string
 	texts   []string // old, new, old, new ...
@@ -54,8 +54,8 @@
 	return texts
 }
 
-// lay replaces the fault's texts and returns the files that change, by name. Each text must be in all sources together exactly
-// once.
+// lay replaces the fault's texts and returns the files that change, by name. Each text must be in all sources together
+// exactly once.
 func (f *plantedFault) lay(texts map[string]string) (map[string]string, error) {
 	changed := map[string]string{}
 	for pair := range slices.Chunk(f.texts, 2) {
@@ -100,7 +100,8 @@
 	return binary
 }
 
-// finds reports whether some test of this kind fails, and what it says. A search is ended at the first state that breaks a rule.
+// finds reports whether some test of this kind fails, and what it says. A search is ended at the first state that
+// breaks a rule.
 func (k *testKind) finds(c *qt.C, binary string) (found bool, reason string) {
 	ctx, cancel := context.WithCancel(c.Context())
 	defer cancel()
@@ -126,8 +127,8 @@
 	return true, reason
 }
 
-// TestPlantedFaults checks that the planted faults fit the sources. With -replication.planted each is laid, and the kinds of
-// tests that it names must find it.
+// TestPlantedFaults checks that the planted faults fit the sources. With -replication.planted each is laid, and the
+// kinds of tests that it names must find it.
 func TestPlantedFaults(t *testing.T) {
 	texts := sources(qt.New(t))
 	for _, f := range slices.Concat(plantedFaults, membershipFaults) {
--- a/internal/fleet/replication/plantedfaults_test.go
+++ b/internal/fleet/replication/plantedfaults_test.go
@@ -1,7 +1,7 @@
 package replication
 
-// plantedFaults are deliberate errors in the protocol. TestPlantedFaults checks that each still fits the sources and, with
-// -replication.planted, that the kinds of tests named by it find it.
+// plantedFaults are deliberate errors in the protocol. TestPlantedFaults checks that each still fits the sources and,
+// with -replication.planted, that the kinds of tests named by it find it.
 var plantedFaults = []plantedFault{
 	{"a backup acknowledges what isn't on its disk", []string{"\tm.saveChanges(rest[:taken]...)\n", ""}, "search,hand", ""},
 	{"the primary's own disk isn't waited for", []string{"\tm.saveChanges(c)\n", ""}, "search,hand", ""},
@@ -56,7 +56,7 @@
 	{"a read is confirmed by the answers to the round before", []string{
 		"w.at != 0 && w.at <= round", "w.at != 0 && w.at <= round+1"}, "search", ""},
 	{"a read is confirmed by one of two backups", []string{
-		"\tdone := 0\n", "\tfor _, p := range m.primary.progress {\n\t\tround = max(round, p.readRound)\n\t}\n\tdone := 0\n"}, "search", ""},
+		"\tm.answerReads(round)\n", "\tfor _, p := range m.primary.progress {\n\t\tround = max(round, p.readRound)\n\t}\n\tm.answerReads(round)\n"}, "search", ""},
 	{"a write is acknowledged by one of two backups", []string{
 		"\tm.log.committed = max(m.log.committed, seq)\n", "\tfor _, p := range m.primary.progress {\n\t\tseq = max(seq, p.match)\n\t}\n\tm.log.committed = max(m.log.committed, seq)\n"}, "search,hand", ""},
 	{"a thawed primary takes old answers for new ones", []string{
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -6,8 +6,8 @@
 )
 
 // Propose asks for a change. It is answered at once with NotPrimary or Busy, or later with Committed or LostPrimacy.
-// body must not be changed afterwards. While too few machines are there it waits without a bound: the caller may give up
-// on its token, its place is taken until the answer.
+// body must not be changed afterwards. While too few machines answer it waits without a bound: the caller may give up
+// on its token, which stays pending until the answer.
 func (m *Machine) Propose(now time.Duration, token uint64, body []byte) Output {
 	before := m.Status()
 	m.beginInput(now)
@@ -22,6 +22,8 @@
 	return m.endInput(before)
 }
 
+// appendProposal appends a change to the record and sends it to the backups that are close enough to take it now. The
+// primary's own disk counts like a backup's: the change is written before the answer goes out.
 func (m *Machine) appendProposal(token uint64, body []byte) {
 	prev := Message{Kind: KindAppend, Seq: m.log.seq, Digest: m.log.digest, Committed: m.log.committed}
 	c := Change{Seq: m.log.seq + 1, Digest: ChainDigest(m.log.digest, m.log.seq+1, body), Body: body}
@@ -67,7 +69,9 @@
 	return m.endInput(before)
 }
 
-// advanceCommit answers what the backups' answers allow, and asks them anew for reads that came since.
+// advanceCommit moves the commit index to what all backups have, answers what that allows, and begins a read round for
+// reads that came since. All backups count, not a majority of them: the one left out may be the only holder that
+// stopped and proposes (the search's rules that nothing acknowledged is lost and no read is stale).
 func (m *Machine) advanceCommit() {
 	if !m.ready() {
 		return
@@ -78,6 +82,12 @@
 	}
 	m.primary.contact.confirm(round)
 	m.log.committed = max(m.log.committed, seq)
+	m.answerWrites()
+	m.answerReads(round)
+}
+
+// answerWrites answers the writes that are committed.
+func (m *Machine) answerWrites() {
 	done := 0
 	for done < len(m.primary.pendingWrites) && m.primary.pendingWrites[done].at <= m.log.committed {
 		m.answer(m.primary.pendingWrites[done].token, Committed, m.primary.pendingWrites[done].at)
@@ -87,6 +97,11 @@
 	if done > 0 {
 		m.handOver()
 	}
+}
+
+// answerReads answers the reads whose round all backups have answered, as in raft's ReadIndex: a round that began after
+// the read came. An answer to an older round says nothing, as another view may have been decided since.
+func (m *Machine) answerReads(round uint64) {
 	asked := false
 	m.primary.pendingReads = slices.DeleteFunc(m.primary.pendingReads, func(w pendingRequest) bool {
 		if len(m.primary.progress) == 0 || w.at != 0 && w.at <= round {
@@ -96,16 +111,17 @@
 		asked = asked || w.at != 0
 		return false
 	})
-	if len(m.primary.pendingReads) > 0 && !asked {
-		m.beginReadRound()
-		for _, b := range m.view.Backups {
-			to, _ := m.view.member(b)
-			m.send(to.Addr, m.heartbeatMessage())
-		}
+	if len(m.primary.pendingReads) == 0 || asked {
+		return
+	}
+	m.beginReadRound()
+	for _, b := range m.view.Backups {
+		to, _ := m.view.member(b)
+		m.send(to.Addr, m.heartbeatMessage())
 	}
 }
 
-// beginReadRound begins a round of confirmations for all reads that came before it.
+// beginReadRound begins a round of heartbeats that confirms all reads which came before it.
 func (m *Machine) beginReadRound() {
 	m.primary.readRound++
 	m.primary.contact.begin(m.primary.readRound, m.now)
@@ -120,10 +136,17 @@
 }
 
 func (m *Machine) heartbeatMessage() Message {
-	return Message{Kind: KindHeartbeat, Round: m.primary.readRound, Seq: m.log.seq, Digest: m.log.digest, Committed: m.log.committed}
+	return Message{
+		Kind:      KindHeartbeat,
+		Round:     m.primary.readRound,
+		Seq:       m.log.seq,
+		Digest:    m.log.digest,
+		Committed: m.log.committed,
+	}
 }
 
-// broadcastHeartbeat tells all that this machine leads.
+// broadcastHeartbeat sends a heartbeat to all members. Departing ones are released when no next view would replace
+// them.
 func (m *Machine) broadcastHeartbeat() {
 	m.primary.heartbeatAt = m.now + m.opt.HeartbeatInterval
 	m.beginReadRound()
@@ -135,7 +158,7 @@
 	}
 }
 
-// resend sends again what the backups lack.
+// resend sends again what backups in sync lack.
 func (m *Machine) resend() {
 	for _, b := range m.view.Backups {
 		p := m.primary.progress[b]
@@ -146,7 +169,8 @@
 	}
 }
 
-// catchUp sends a backup that stands at (seq, digest) what it lacks: changes where they are still known, else a snapshot.
+// catchUp sends a backup whose record ends at (seq, digest) what it lacks: changes where they are still kept, else a
+// snapshot.
 func (m *Machine) catchUp(p *progress, id ID, seq, digest uint64, known bool) {
 	var changes []Change
 	if known {
@@ -164,14 +188,18 @@
 	to, _ := m.view.member(id)
 	if known {
 		m.send(to.Addr, Message{
-			Kind: KindAppend, Seq: seq, Digest: digest, Committed: m.log.committed,
-			Changes: changes,
+			Kind:      KindAppend,
+			Seq:       seq,
+			Digest:    digest,
+			Committed: m.log.committed,
+			Changes:   changes,
 		})
 		return
 	}
 	m.sendRecord(KindSnapshot, to)
 }
 
+// handleHeartbeatAck admits where a member's record ends and, for a backup, what it has answered.
 func (m *Machine) handleHeartbeatAck(msg *Message) {
 	if !m.primary.active {
 		return
@@ -192,19 +220,7 @@
 	}
 	switch {
 	case msg.InSync:
-		if !p.inSync || msg.Seq > p.match {
-			p.stalledSince = m.now
-		}
-		p.inSync = true
-		if p.regressed(m.primary.readRound, msg) {
-			p.match, p.stalledSince = msg.Seq, m.now
-		}
-		p.match = max(p.match, msg.Seq)
-		m.finishTransfer(msg.From.ID, p.match)
-		p.readRound = max(p.readRound, msg.Round)
-		if p.match == m.log.seq {
-			p.stalledSince = -1
-		}
+		m.updateProgress(p, msg)
 	case !p.inSync && msg.HoldsRecord:
 		d, ok := m.log.digestAt(msg.Seq)
 		m.catchUp(p, msg.From.ID, msg.Seq, msg.Digest, ok && d == msg.Digest)
@@ -212,23 +228,42 @@
 	m.advanceCommit()
 }
 
+// updateProgress admits the answer of a backup that is in sync.
+func (m *Machine) updateProgress(p *progress, msg *Message) {
+	if !p.inSync || msg.Seq > p.match {
+		p.stalledSince = m.now
+	}
+	p.inSync = true
+	if p.regressed(m.primary.readRound, msg) {
+		p.match, p.stalledSince = msg.Seq, m.now
+	}
+	p.match = max(p.match, msg.Seq)
+	m.finishTransfer(msg.From.ID, p.match)
+	p.readRound = max(p.readRound, msg.Round)
+	if p.match == m.log.seq {
+		p.stalledSince = -1
+	}
+}
+
 // recordStoppedBackup notes that a backup proposes a view of its own; it gets time before this machine does the same.
 func (m *Machine) recordStoppedBackup(p *progress) {
 	if !p.stopped {
 		p.stopped = true
-		m.election.campaignNotBefore = max(m.election.campaignNotBefore, m.now+m.opt.ElectionTimeout+m.jitter(m.opt.ElectionStagger))
+		wait := m.opt.ElectionTimeout + m.jitter(m.opt.ElectionStagger)
+		m.election.campaignNotBefore = max(m.election.campaignNotBefore, m.now+wait)
 	}
 }
 
-// stopped reports whether this machine answers nothing of its view any more (is fenced). It is kept on the disk: a holder
-// that proposed must not answer again after a restart, as the view it proposed may be decided (TestStoppedBackupDoesNotAnswer).
+// stopped reports whether this machine answers nothing of its view any more (is fenced). It is kept on the disk: a
+// holder that proposed must not answer again after a restart, as the view it proposed may be decided
+// (TestStoppedBackupDoesNotAnswer).
 func (m *Machine) stopped() bool { return m.replica.StoppedEpoch == m.view.Epoch+1 }
 
 // leading reports whether this machine answers as primary.
 func (m *Machine) leading() bool { return m.primary.active && !m.stopped() }
 
-// ready reports whether all backups are in sync and have the record up to where it ended when the view began. Before that
-// nothing is answered: a backup's record may differ, and what earlier primaries committed may be on too few disks.
+// ready reports whether all backups are in sync and have the record up to where it ended when the view began. Before
+// that nothing is answered: a backup's record may differ, and what earlier primaries committed may be on too few disks.
 func (m *Machine) ready() bool {
 	if !m.leading() {
 		return false
@@ -245,92 +280,3 @@
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.opt.Rand() % uint64(d))
 }
-
-// inSync reports whether this backup's record is a prefix of its primary's.
-func (m *Machine) inSync() bool {
-	return m.view.Epoch > 0 && m.holdsRecord() && !m.stopped() && m.replica.InSyncEpoch == m.view.Epoch
-}
-
-func (m *Machine) fromPrimary(msg *Message) bool {
-	return m.view.Epoch > 0 && msg.From.ID == m.view.Primary && m.view.Primary != m.identity.ID
-}
-
-// sendHeartbeatAck tells the primary where this machine's record stands.
-func (m *Machine) sendHeartbeatAck(to string, round uint64) {
-	holder := m.holdsRecord()
-	m.send(to, Message{
-		Kind: KindHeartbeatAck, Round: round, Seq: m.log.seq, Digest: m.log.digest,
-		InSync: m.inSync(), HoldsRecord: holder, Stopped: holder && m.stopped(),
-	})
-}
-
-// markInSync notes that the record is a prefix of the primary's.
-func (m *Machine) markInSync() {
-	if m.replica.InSyncEpoch != m.view.Epoch {
-		m.replica.InSyncEpoch = m.view.Epoch
-		m.saveReplica()
-	}
-}
-
-func (m *Machine) learnCommit(msg *Message) {
-	if m.inSync() {
-		m.log.committed = max(m.log.committed, min(msg.Committed, m.log.seq))
-	}
-}
-
-func (m *Machine) handleHeartbeat(msg *Message) {
-	if !m.fromPrimary(msg) {
-		return
-	}
-	m.election.lastHeartbeat = m.now
-	m.log.reportedCommit = max(m.log.reportedCommit, msg.Committed)
-	if msg.Release {
-		m.departure.releasedEpoch = m.view.Epoch
-	}
-	if m.holdsRecord() && !m.stopped() && msg.Seq == m.log.seq && msg.Digest == m.log.digest {
-		m.markInSync()
-	}
-	m.learnCommit(msg)
-	m.sendHeartbeatAck(msg.From.Addr, msg.Round)
-}
-
-func (m *Machine) handleAppend(msg *Message) {
-	if !m.fromPrimary(msg) {
-		return
-	}
-	if !m.holdsRecord() {
-		m.handleLearnerAppend(msg)
-		return
-	}
-	m.election.lastHeartbeat = m.now
-	if !m.stopped() {
-		if m.appendChanges(msg) {
-			m.markInSync()
-		}
-		m.learnCommit(msg)
-	}
-	m.sendHeartbeatAck(msg.From.Addr, 0)
-}
-
-func (m *Machine) handleSnapshot(msg *Message) {
-	if !m.fromPrimary(msg) {
-		return
-	}
-	if !m.holdsRecord() {
-		m.handleLearnerSnapshot(msg)
-		return
-	}
-	m.election.lastHeartbeat = m.now
-	// Once in step, what was acknowledged in this epoch never goes back: an older snapshot may come late.
-	if !m.stopped() && (m.replica.InSyncEpoch != m.view.Epoch || msg.Seq > m.log.seq) {
-		body, complete := m.receiveChunk(msg)
-		if !complete {
-			return
-		}
-		if m.replace(msg.Seq, msg.Digest, body) {
-			m.markInSync()
-			m.learnCommit(msg)
-		}
-	}
-	m.sendHeartbeatAck(msg.From.Addr, 0)
-}
--- a/internal/fleet/replication/quorumcontact.go
+++ b/internal/fleet/replication/quorumcontact.go
@@ -10,8 +10,8 @@
 	known     bool          // a round was confirmed
 }
 
-// beginInput notes that a round began. One that is open stays so until it is confirmed: its confirmation is then a bound from
-// below.
+// begin notes that a round began. One that is open stays so until it is confirmed: its confirmation is then a lower
+// bound.
 func (c *quorumContact) begin(round uint64, now time.Duration) {
 	if c.open == 0 {
 		c.open, c.opened = round, now
@@ -25,9 +25,9 @@
 	}
 }
 
-// LastQuorumContact tells a primary since when its view may have been superseded: up to the time given no view of a later epoch was
-// decided, so that nothing newer was acknowledged elsewhere. false: this machine isn't the primary, or its view has not been
-// confirmed yet. A view without backups needs nobody's word.
+// LastQuorumContact returns since when this primary's view may have been superseded: up to that time, on the clock of
+// the inputs, no view of a later epoch was decided, so nothing newer was acknowledged elsewhere. ok is false when this
+// machine isn't a ready primary or its view has not been confirmed yet. A view without backups needs no confirmation.
 func (m *Machine) LastQuorumContact() (began time.Duration, ok bool) {
 	if !m.ready() {
 		return 0, false
--- a/internal/fleet/replication/quorumcontact_test.go
+++ b/internal/fleet/replication/quorumcontact_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestContactInStorms: whatever is lost, delayed, cut, frozen or killed, when a primary tells since when its view may have been
-// superseded, nobody knew of a later view by then, and its record has all that was acknowledged by then.
+// TestContactInStorms: whatever is lost, delayed, cut, frozen or killed, when a primary tells since when its view may
+// have been superseded, nobody knew of a later view by then, and its record has all that was acknowledged by then.
 func TestContactInStorms(t *testing.T) {
 	c := qt.New(t)
 	claims, later := 0, 0
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -331,9 +331,9 @@
 	return true
 }
 
-// TestQuorumTable enumerates cores, changes of their members and losses: wherever the whole core bears what is to be survived, it
-// does so at each moment of a change: a majority of the members is left, and a copy of the record. The table
-// in the design page is what was found.
+// TestQuorumTable enumerates cores, changes of their members and losses: wherever the whole core bears what is to be
+// survived, it does so at each moment of a change: a majority of the members is left, and a copy of the record. The
+// table in the design page is what was found.
 func TestQuorumTable(t *testing.T) {
 	c := qt.New(t)
 	var table strings.Builder
--- a/internal/fleet/replication/reconfigure.go
+++ b/internal/fleet/replication/reconfigure.go
@@ -18,7 +18,7 @@
 	return n >= m.view.quorum()
 }
 
-// laggedRecently reports whether a member was left out not long ago.
+// laggedRecently reports whether a member was replaced not long ago as it lagged.
 func (m *Machine) laggedRecently(id ID) bool {
 	at, ok := m.peers.laggedAt[id]
 	return ok && m.now-at < m.opt.MemberTimeout
@@ -32,11 +32,23 @@
 		if o.ID == m.identity.ID || m.view.has(o.ID) && !m.alive(o.ID) || except(o.ID) {
 			continue
 		}
-		cs = append(cs, candidate{Member: o, holdsRecord: m.view.rank(o.ID) >= 0, lagged: m.laggedRecently(o.ID), nearlyCaughtUp: m.nearlyCaughtUp(o.ID), leaving: m.peers.departing[o.ID]})
+		cand := m.newCandidate(o)
+		cand.holdsRecord = m.view.rank(o.ID) >= 0
+		cs = append(cs, cand)
 	}
 	return cs
 }
 
+// newCandidate is a machine that may become a backup, but for whether it holds the record.
+func (m *Machine) newCandidate(o Member) candidate {
+	return candidate{
+		Member:         o,
+		lagged:         m.laggedRecently(o.ID),
+		nearlyCaughtUp: m.nearlyCaughtUp(o.ID),
+		leaving:        m.peers.departing[o.ID],
+	}
+}
+
 // reconfigure proposes a next view, led by this machine again, when a backup is lost or the view can be better.
 func (m *Machine) reconfigure() {
 	if !m.leading() || m.candidacy != nil || m.now < m.election.campaignNotBefore {
@@ -81,14 +93,14 @@
 	return plan, choose(m.requiredTolerance(), m.self(), plan.members, m.backupCandidates(plan.members, except))
 }
 
-// canReplaceDeparting reports whether a next view would take a role or the membership from a machine that leaves.
+// canReplaceDeparting reports whether a next view would take a role or the membership from a departing machine.
 func (m *Machine) canReplaceDeparting() bool {
 	plan, c := m.nextPlan(func(ID) bool { return false })
 	return c.enough && (plan.urgent || m.replacesDeparting(c))
 }
 
-// replacesDeparting reports whether a choice takes the role from a backup that leaves, or gives a primary that leaves somebody to
-// hand over to.
+// replacesDeparting reports whether a choice takes the role from a departing backup, or gives a departing primary
+// somebody to hand over to.
 func (m *Machine) replacesDeparting(c choice) bool {
 	leaves := func(id ID) bool { return m.peers.departing[id] }
 	if slices.ContainsFunc(c.backups, leaves) {
@@ -107,5 +119,6 @@
 	wanted := m.opt.Tolerance.spreadWanted()
 	zones, regions := spread(holders)
 	zones, regions = min(zones, wanted.zones), min(regions, wanted.regions)
-	return len(c.backups) > len(m.view.Backups) || c.full && (c.regions > regions || c.regions == regions && c.zones > zones)
+	spreadBetter := c.regions > regions || c.regions == regions && c.zones > zones
+	return len(c.backups) > len(m.view.Backups) || c.full && spreadBetter
 }
--- a/internal/fleet/replication/restoreddisk_test.go
+++ b/internal/fleet/replication/restoreddisk_test.go
@@ -14,8 +14,9 @@
 	n.start()
 }
 
-// TestDiskPutBackNeverLeads: a backup whose disk was put back as it was before many changes doesn't lead with it when the primary
-// is lost at that moment, as the witness knows of what was committed. When the primary is back all is there.
+// TestDiskPutBackNeverLeads: a backup whose disk was put back as it was before many changes doesn't lead with it when
+// the primary is lost at that moment, as the witness knows of what was committed. When the primary is back all is
+// there.
 func TestDiskPutBackNeverLeads(t *testing.T) {
 	c := qt.New(t)
 	core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, 10_000)
@@ -40,8 +41,8 @@
 	}), qt.IsTrue, qt.Commentf("%s", core.told()))
 }
 
-// TestDiskPutBackCatchesUp: where there is nobody to take its place, a backup whose disk was put back within one epoch is brought
-// what it lacks, and changes are acknowledged again.
+// TestDiskPutBackCatchesUp: where there is nobody to take its place, a backup whose disk was put back within one epoch
+// is brought what it lacks, and changes are acknowledged again.
 func TestDiskPutBackCatchesUp(t *testing.T) {
 	for _, logBytes := range []int{1 << 20, 4000} { // by changes, and by the whole
 		c := qt.New(t)
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -126,8 +126,8 @@
 	h.Assert(*sent[0].Value, qt.DeepEquals, value)
 }
 
-// TestStagedBeforeProposed: the coming backup has the record on its disk before its view is proposed, whether it is brought
-// all of it, as its own record isn't a part of the proposer's, or the changes that it lacks.
+// TestStagedBeforeProposed: the coming backup has the record on its disk before its view is proposed, whether it is
+// brought all of it, as its own record isn't a part of the proposer's, or the changes that it lacks.
 func TestStagedBeforeProposed(t *testing.T) {
 	h := newHand(t)
 	stagedBeforeProposed(h, Message{Kind: KindPromise, Seq: 1, Digest: 99}, KindStage)
@@ -260,8 +260,8 @@
 	h.Assert(h.primary.m.Status().Role, qt.Not(qt.Equals), Primary)
 }
 
-// TestNewestAcceptanceIsProposed: of the views that a majority has accepted under two ballots, the one under the higher ballot is
-// proposed, whichever of them the proposer accepted itself.
+// TestNewestAcceptanceIsProposed: of the views that a majority has accepted under two ballots, the one under the higher
+// ballot is proposed, whichever of them the proposer accepted itself.
 func TestNewestAcceptanceIsProposed(t *testing.T) {
 	for _, own := range []uint64{50, 70} {
 		h := newHand(t)
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestAppendToAnotherRecord: a backup whose record isn't a prefix of the primary's takes nothing of what follows another
-// record, and doesn't say that it is in step.
+// TestAppendToAnotherRecord: a backup whose record isn't a prefix of the primary's takes nothing of what follows
+// another record, and doesn't say that it is in step.
 func TestAppendToAnotherRecord(t *testing.T) {
 	h := newHand(t)
 	digest := h.primary.m.log.digest
@@ -331,8 +331,8 @@
 	h.Assert(h.backup.m.Status().Role, qt.Equals, NonMember)
 }
 
-// TestThawedMachineWaits: a machine that was frozen doesn't take the others' silence meanwhile for their loss, neither a backup
-// its primary's nor a primary its backup's.
+// TestThawedMachineWaits: a machine that was frozen doesn't take the others' silence meanwhile for their loss, neither
+// a backup its primary's nor a primary its backup's.
 func TestThawedMachineWaits(t *testing.T) {
 	for _, role := range []Role{Backup, Primary} {
 		h := newHand(t)
@@ -348,7 +348,8 @@
 	}
 }
 
-// TestOldMembersDecide: a view that leaves members out is decided by a majority of the members before, not of those after.
+// TestOldMembersDecide: a view that leaves members out is decided by a majority of the members before, not of those
+// after.
 func TestOldMembersDecide(t *testing.T) {
 	h := &hand{C: qt.New(t), s: newSim(11, 5, 5, FailureTolerance{Nodes: 1})}
 	s := h.s
@@ -379,7 +380,8 @@
 	h.Assert(s.err, qt.IsNil)
 }
 
-// TestSilentMembersStay: members are left out only as long as a majority stays when as many as may be lost are lost after that.
+// TestSilentMembersStay: members are left out only as long as a majority stays when as many as may be lost are lost
+// after that.
 func TestSilentMembersStay(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(11, 5, 5, FailureTolerance{Nodes: 2})
@@ -398,8 +400,8 @@
 	c.Assert(s.err, qt.IsNil)
 }
 
-// TestJoinerIsAskedFirst: who asks to be taken in is taken in only when its identity has answered a beat, as its request may be
-// old and the machine have another identity by now.
+// TestJoinerIsAskedFirst: who asks to be taken in is taken in only when its identity has answered a beat, as its
+// request may be old and the machine have another identity by now.
 func TestJoinerIsAskedFirst(t *testing.T) {
 	h := newHand(t)
 	joiner := Message{Kind: KindHello, From: Member{ID: "joiner", Addr: "10.0.9.1:7000"}, Join: true}
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -12,9 +12,10 @@
 // on disk is there before anything is sent, so a crash with writes pending equals one before their inputs. A step of
 // a machine depends on its cell and the message alone and is worked out once.
 //
-// The files: cells_test.go a machine with its disk, search_test.go the steps of one machine, searchtime_test.go time that
-// passes for all, searchretry_test.go changes that are asked for again, searchrules_test.go the rules, searchrun_test.go the
-// search itself, liveness_test.go what must happen when calm, searchcases_test.go the cores and budgets.
+// The files: cells_test.go a machine with its disk, search_test.go the steps of one machine, searchtime_test.go time
+// that passes for all, searchretry_test.go changes that are asked for again, searchrules_test.go the rules,
+// searchrun_test.go the search itself, liveness_test.go what must happen when calm, searchcases_test.go the cores and
+// budgets.
 
 // budget is what may still happen.
 type budget struct {
--- a/internal/fleet/replication/searchretry_test.go
+++ b/internal/fleet/replication/searchretry_test.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// A change that is asked for, also once more, is judged by the record of the machine that leads, as the control plane does it:
-// one that is there already is acknowledged, one on another base is refused, both only when what it was judged by is
-// confirmed; else it is proposed. A change's base is how many changes were acknowledged when it was first asked for.
+// A change that is asked for, also once more, is judged by the record of the machine that leads, as the control plane
+// does it: one that is there already is acknowledged, one on another base is refused, both only when what it was judged
+// by is confirmed; else it is proposed. A change's base is how many changes were acknowledged when it was first asked
+// for.
 
 // judgement is what a record says about a change.
 type judgement uint8
--- a/internal/fleet/replication/searchrules_test.go
+++ b/internal/fleet/replication/searchrules_test.go
@@ -116,8 +116,8 @@
 }
 
 // close adds what deliveries that leave their machine as it is send, as such a step takes no other away, and drops the
-// messages that can't do anything any more: those of an epoch that their receiver has left, and those of a ballot below the
-// one it has promised. Only what goes to machines that changed, and what is new, can have more to say than before.
+// messages that can't do anything any more: those of an epoch that their receiver has left, and those of a ballot below
+// the one it has promised. Only what goes to machines that changed, and what is new, can have more to say than before.
 func (x *explorer) close(w *world, changed func(int) bool, sent []uint32) (violation string) {
 	todo := x.todo[:0]
 	for _, m := range w.net {
@@ -165,8 +165,8 @@
 	return violation
 }
 
-// inert tells whether a message is past: its epoch or ballot is, and it does nothing to its receiver as that stands. What it
-// was answered with is in flight already.
+// inert tells whether a message is past: its epoch or ballot is, and it does nothing to its receiver as that stands.
+// What it was answered with is in flight already.
 func (x *explorer) inert(w *world, m uint32) bool {
 	p := &x.packets[m]
 	id := w.cells[p.to]
@@ -273,8 +273,8 @@
 	return g.refusals()
 }
 
-// whole reports whether as many machines may be lost as at the beginning: a primary of the newest view is ready, all backups
-// that must be are there with their disks, and a majority of the members stays when as many are lost as may be.
+// whole reports whether as many machines may be lost as at the beginning: a primary of the newest view is ready, all
+// backups that must be are there with their disks, and a majority of the members stays when as many are lost as may be.
 func (x *explorer) whole(w *world, g *ghost) bool {
 	newest := uint64(len(g.views)) - 1
 	v := x.views[g.views[newest]]
--- a/internal/fleet/replication/searchtime_test.go
+++ b/internal/fleet/replication/searchtime_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A message that was sent may come at any time or never, so a cut needs no step of its own for what it loses. It needs one
-// where a machine acts by what it hears from some and not from others for as long as its time-outs are: time that passes for
-// one machine alone (stepWait) is silence from all. So stepPass lets time pass for all machines alike, with messages that take
-// a millisecond, while one directed link loses everything, one machine is cut off both ways, one is frozen, or all is
-// well. It ends when a machine stops, proposes, promises or learns of a view.
+// A message that was sent may come at any time or never, so a cut needs no step of its own for what it loses. It needs
+// one where a machine acts by what it hears from some and not from others for as long as its time-outs are: time that
+// passes for one machine alone (stepWait) is silence from all. So stepPass lets time pass for all machines alike, with
+// messages that take a millisecond, while one directed link loses everything, one machine is cut off both ways, one is
+// frozen, or all is well. It ends when a machine stops, proposes, promises or learns of a view.
 
 // faultKind is what is wrong while time passes.
 type faultKind uint8
@@ -276,7 +276,8 @@
 	return p
 }
 
-// close makes cells of the machines as they are now; those that did nothing find that time has passed at their next input.
+// close makes cells of the machines as they are now; those that did nothing find that time has passed at their next
+// input.
 func (r *timeline) close(from cellSet) cellSet {
 	for i, c := range r.cells {
 		if c == nil {
--- a/internal/fleet/replication/selection.go
+++ b/internal/fleet/replication/selection.go
@@ -9,9 +9,9 @@
 type candidate struct {
 	Member
 	holdsRecord    bool // holds the record already
-	lagged         bool // was left out lately
+	lagged         bool // was replaced lately as it lagged
 	nearlyCaughtUp bool // lacks a few changes only
-	leaving        bool // is about to end: taken only where nobody else is there
+	leaving        bool // is departing: taken only where nobody else is there
 }
 
 // spread counts the zones and regions of some machines.
@@ -27,11 +27,11 @@
 type choice struct {
 	backups        []ID
 	enough         bool // as many as must be
-	full           bool // and spread as well as the members allow, none of them slow
+	full           bool // and spread as well as the members allow, none of them lagging
 	zones, regions int  // of the holders, up to what is wanted
 }
 
-// staying are the members but for the candidates that are about to end.
+// staying are the members but for the candidates that are departing.
 func staying(members []Member, from []candidate) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(o Member) bool {
 		return slices.ContainsFunc(from, func(c candidate) bool { return c.leaving && c.ID == o.ID })
@@ -78,9 +78,9 @@
 	return weight
 }
 
-// choose picks the backups beside self among the candidates, for a view with these members. Each step takes who
-// stays, then who brings a new region or zone where one is still wanted, then who isn't slow, then who holds the record,
-// then who lacks a few changes only, then the lowest address.
+// choose picks the backups beside self among the candidates, for a view with these members. Each step takes who stays,
+// then who brings a new region or zone where one is still wanted, then who doesn't lag, then who holds the record, then
+// who lacks a few changes only, then the lowest address.
 func choose(s FailureTolerance, self Member, members []Member, from []candidate) choice {
 	need := min(s.Replicas(), len(members)) - 1
 	wanted := s.spreadWanted()
--- a/internal/fleet/replication/state.go
+++ b/internal/fleet/replication/state.go
@@ -12,7 +12,8 @@
 	replica  ReplicaState // what the record is good for
 }
 
-// electionState is volatile: the timers by which a replica of the record begins a candidacy. No safety rule rests on it.
+// electionState is volatile: the timers by which a replica of the record begins a candidacy. No safety rule rests on
+// it.
 type electionState struct {
 	viewSince         time.Duration // when the view was installed
 	lastHeartbeat     time.Duration // of the primary; also when another's ballot was promised or accepted
@@ -27,7 +28,7 @@
 	lastActive   map[ID]time.Duration // when a member last answered
 	laggedAt     map[ID]time.Duration // when a backup was replaced because it didn't acknowledge in time
 	foundersSeen map[string]bool      // founders that answered, by address; in view 0 only
-	departing    map[ID]bool          // members about to end; replaced, never changed in place
+	departing    map[ID]bool          // members departing; replaced, never changed in place
 }
 
 // primaryState is volatile and counts while active: a process that restarts never leads the view that it led before.
--- a/internal/fleet/replication/status.go
+++ b/internal/fleet/replication/status.go
@@ -1,6 +1,6 @@
 package replication
 
-// Status tells how things stand. It may be called between inputs.
+// Status returns the machine's state. It may be called between inputs.
 func (m *Machine) Status() Status {
 	s := Status{ID: m.identity.ID, View: m.view, Epoch: m.view.Epoch, Committed: m.log.committed, Seq: m.log.seq}
 	if p, ok := m.view.member(m.view.Primary); ok {
--- a/internal/fleet/replication/takeover_test.go
+++ b/internal/fleet/replication/takeover_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestRepairTimes measures how long after its start a successor is a member of a core that is whole again: one that bears the next
-// loss. It must be whole within the time for which the successor counts as lost.
+// TestRepairTimes measures how long after its start a successor is a member of a core that is whole again: one that
+// bears the next loss. It must be whole within the time for which the successor counts as lost.
 func TestRepairTimes(t *testing.T) {
 	for _, of := range []coreCase{{3, 1}, {4, 1}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
--- a/internal/fleet/replication/transfer.go
+++ b/internal/fleet/replication/transfer.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A whole record goes from one machine to another in chunks, so that a slow link delays beats by two chunks at most and a
-// record that takes seconds gets through. The receiver acknowledges how much it has; the sender has at most
+// A complete record goes from one machine to another in chunks, so that a slow link delays heartbeats by two chunks at
+// most and a record that takes seconds gets through. The receiver acknowledges how much it has; the sender has at most
 // chunkWindow chunks under way and goes on from what was acknowledged. Changes that come meanwhile follow as changes.
 
 const (
@@ -21,7 +21,7 @@
 	maxRecordBytes = 32 << 20
 )
 
-// image is the whole record as it was at seq.
+// image is the complete record as it was at seq.
 type image struct {
 	seq, digest uint64
 	checksum    uint64 // hash of body
@@ -70,7 +70,7 @@
 	return true
 }
 
-// sendRecord sends the whole record, or goes on with a transfer of it whose receiver was silent for too long.
+// sendRecord sends the complete record, or goes on with a transfer of it whose receiver was unresponsive for too long.
 func (m *Machine) sendRecord(kind Kind, to Member) {
 	t := m.transfers.outgoing[to.ID]
 	if t == nil || t.kind != kind || !m.reachableFrom(t.image) {
@@ -165,8 +165,8 @@
 	}
 }
 
-// logFull reports whether a snapshot is to replace the changes. While a record is on its way the changes since are still
-// needed.
+// logFull reports whether a snapshot is to replace the changes. While a record is on its way the changes since are
+// still needed.
 func (m *Machine) logFull() bool {
 	factor := 1
 	if len(m.transfers.outgoing) > 0 {
@@ -186,7 +186,7 @@
 	return m.now-since >= within
 }
 
-// receiveChunk takes a chunk and acknowledges it. It gives the record's body once that is whole.
+// receiveChunk takes a chunk and acknowledges it. It gives the record's body once that is complete.
 func (m *Machine) receiveChunk(msg *Message) (body []byte, complete bool) {
 	if msg.Offset == 0 && uint64(len(msg.Body)) >= msg.Total {
 		return msg.Body, msg.Checksum == 0 || msg.Checksum == xxhash.Sum64(msg.Body)
@@ -218,7 +218,7 @@
 	return nil, false
 }
 
-// expireAssembly drops a record whose sender has gone silent.
+// expireAssembly drops a record whose sender has become unresponsive.
 func (m *Machine) expireAssembly() {
 	if a := m.transfers.incoming; a != nil && m.now-a.at >= m.opt.MemberTimeout {
 		m.transfers.incoming = nil
--- a/internal/fleet/replication/transfer_test.go
+++ b/internal/fleet/replication/transfer_test.go
@@ -71,7 +71,8 @@
 	h.Assert(string(h.backup.disk.Snapshot.Body), qt.Equals, nineChanges)
 }
 
-// TestChunksInAnyOrder: chunks that come twice, late or out of order make the record, and none makes it before all are there.
+// TestChunksInAnyOrder: chunks that come twice, late or out of order make the record, and none makes it before all are
+// there.
 func TestChunksInAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		h := &hand{C: qt.New(t)}
@@ -99,8 +100,8 @@
 	core.begin(0)
 }
 
-// TestLogIsKeptForRecord: a machine without a disk gets the record although the log would be cut several times while that is on its
-// way.
+// TestLogIsKeptForRecord: a machine without a disk gets the record although the log would be cut several times while
+// that is on its way.
 func TestLogIsKeptForRecord(t *testing.T) {
 	c := qt.New(t)
 	const size = 6_000_000
@@ -115,8 +116,8 @@
 	c.Assert(primary.sent-sent < 2*size, qt.IsTrue, qt.Commentf("%d bytes were sent", primary.sent-sent))
 }
 
-// TestPartOfChangesIsNoRecord: a machine that was sent some of the changes that it lacks, or such that don't follow on its record, isn't
-// staged.
+// TestPartOfChangesIsNoRecord: a machine that was sent some of the changes that it lacks, or such that don't follow on
+// its record, isn't staged.
 func TestPartOfChangesIsNoRecord(t *testing.T) {
 	h := newHand(t)
 	ballot := h.suspect(h.backup)[0].Ballot
@@ -140,7 +141,8 @@
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
 
-// TestStagedRecordStays: once a proposer's record was staged, a late record of the primary, which may be shorter, doesn't take its place.
+// TestStagedRecordStays: once a proposer's record was staged, a late record of the primary, which may be shorter,
+// doesn't take its place.
 func TestStagedRecordStays(t *testing.T) {
 	h := newHand(t)
 	stagedBeforeProposed(h, Message{Kind: KindPromise, Seq: 1, Digest: 99}, KindStage)
@@ -153,8 +155,8 @@
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
 
-// TestNearLearnerIsPreferred: of two machines that may become the backup the one that has learned the record does, and changes are
-// acknowledged again within a second and a half.
+// TestNearLearnerIsPreferred: of two machines that may become the backup the one that has learned the record does, and
+// changes are acknowledged again within a second and a half.
 func TestNearLearnerIsPreferred(t *testing.T) {
 	c := qt.New(t)
 	core := startThinCore(c, 4, FailureTolerance{Nodes: 1}, recordBytes)
@@ -168,8 +170,8 @@
 	c.Check(core.longest < 1500*ms, qt.IsTrue, qt.Commentf("%v", core.longest))
 }
 
-// TestStagedRecordIsNew: while an older record is on its way to a learner its primary proposes a view. What it stages is the record up to
-// its stop, not the one that was on its way.
+// TestStagedRecordIsNew: while an older record is on its way to a learner its primary proposes a view. What it stages
+// is the record up to its stop, not the one that was on its way.
 func TestStagedRecordIsNew(t *testing.T) {
 	h := newHand(t)
 	m := h.primary.m
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -8,8 +8,9 @@
 
 //msgp:ignore Options Output Envelope Answer Status App FailureTolerance Result Role PersistentState Write
 
-// ID is the identity that a machine draws when its disk is empty: 32 hex digits. A machine that lost its disk, or
-// whose identity left the members, draws a new one, so what an older identity promised binds nobody else.
+// ID is the identity (incarnation) that a machine draws when its disk is empty: 32 hex digits. A machine that lost its
+// disk, or whose identity was removed from the members, draws a new one, so what an older identity promised binds
+// nobody else.
 type ID string
 
 // Member is one machine of the core.
@@ -29,7 +30,7 @@
 	Backups []ID     `msg:"b"`
 }
 
-// Ballot orders the proposals for one epoch, by number, then by the proposer's identity.
+// Ballot is a proposal number. Ballots order the proposals for one epoch by number, then by the proposer's identity.
 type Ballot struct {
 	N  uint64 `msg:"n"`
 	ID ID     `msg:"i"`
@@ -43,27 +44,44 @@
 	Body   []byte `msg:"b"`
 }
 
-// Kind tells what a Message is.
+// Kind says what a Message is.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	KindHello        Kind = iota + 1 // asks for the decided view; with Join, asks to become a member
-	KindView                         // tells the decided view
-	KindHeartbeat                    // primary to all: I lead; Round is to be confirmed
-	KindHeartbeatAck                 // to the primary: where the sender's record stands
-	KindAppend                       // primary to a backup: changes after (Seq, Digest)
-	KindSnapshot                     // primary to a backup: a chunk of the whole record at (Seq, Digest)
-	KindStage                        // proposer to a coming backup: a chunk of the whole record, before its view is proposed
-	KindStaged                       // answer to KindStage and KindStageChanges: the whole record is on disk
-	KindPrepare                      // proposer to the members of Epoch: promise Ballot for Epoch+1
-	KindPromise                      // answer, with what was accepted
-	KindAccept                       // proposer to the members of Epoch: accept Value for Epoch+1
-	KindAccepted                     // answer
-	KindReject                       // answer: Ballot was promised to another
-	KindHandover                     // primary that leaves to a backup in step: take over
-	KindTransferAck                  // answer to a chunk of a record: what the sender has of it; to KindStageChanges: where its record stands
-	KindStageChanges                 // proposer to a coming backup: changes after (Seq, Digest); at Total they make the record whole
+	// KindHello asks for the decided view; with Join, to become a member.
+	KindHello Kind = iota + 1
+	// KindView carries the sender's decided view.
+	KindView
+	// KindHeartbeat is sent by the primary to all members; Round is to be confirmed.
+	KindHeartbeat
+	// KindHeartbeatAck is sent to the primary: where the sender's record ends.
+	KindHeartbeatAck
+	// KindAppend is sent by the primary to a backup: changes after (Seq, Digest).
+	KindAppend
+	// KindSnapshot is sent by the primary to a backup: a chunk of the complete record at (Seq, Digest).
+	KindSnapshot
+	// KindStage is sent by a proposer to a coming backup before its view is proposed: a chunk of the complete record.
+	KindStage
+	// KindStaged answers KindStage and KindStageChanges: the complete record is on disk.
+	KindStaged
+	// KindPrepare is sent by a proposer to the members of Epoch: promise Ballot for Epoch+1.
+	KindPrepare
+	// KindPromise answers KindPrepare, with what was accepted.
+	KindPromise
+	// KindAccept is sent by a proposer to the members of Epoch: accept Value for Epoch+1.
+	KindAccept
+	// KindAccepted answers KindAccept.
+	KindAccepted
+	// KindReject answers KindPrepare and KindAccept: Ballot, which is higher, was promised.
+	KindReject
+	// KindHandover is sent by a departing primary to a backup in sync: take over.
+	KindHandover
+	// KindTransferAck answers a chunk of a record: what the sender has of it; and KindStageChanges: where its record ends.
+	KindTransferAck
+	// KindStageChanges is sent by a proposer to a coming backup: changes after (Seq, Digest); with those up to Total its
+	// record is complete.
+	KindStageChanges
 )
 
 // Message is all traffic between machines of the core. From is the sender; From.ID is its identity. Epoch is the
@@ -79,23 +97,23 @@
 	Ballot      Ballot   `msg:"b"`
 	Accepted    Ballot   `msg:"a"`
 	Value       *View    `msg:"w,omitempty"`
-	Round       uint64   `msg:"r,omitempty"` // confirmations are counted by rounds
+	Round       uint64   `msg:"r,omitempty"` // of heartbeats that confirm reads; 0: none
 	Seq         uint64   `msg:"s,omitempty"`
 	Digest      uint64   `msg:"d,omitempty"`
 	Committed   uint64   `msg:"c,omitempty"`
 	Stopped     bool     `msg:"x,omitempty"` // the sender answers nothing of Epoch any more
 	InSync      bool     `msg:"p,omitempty"` // the sender's record is a prefix of its primary's
 	HoldsRecord bool     `msg:"h,omitempty"` // the sender holds the record of Epoch
-	Leaving     bool     `msg:"z,omitempty"` // the sender's process is about to end
-	Release     bool     `msg:"q,omitempty"` // heartbeat: the receiver, which is about to end, has no role left
+	Leaving     bool     `msg:"z,omitempty"` // the sender is departing
+	Release     bool     `msg:"q,omitempty"` // heartbeat: the receiver, which is departing, has no role left
 	Changes     []Change `msg:"l,omitempty"`
 	Body        []byte   `msg:"y,omitempty"`
-	Offset      uint64   `msg:"g,omitempty"` // of Body in the whole record; in KindTransferAck, how much of it is there
-	Total       uint64   `msg:"t,omitempty"` // bytes of the whole record; in KindStageChanges, the Seq that makes it whole
-	Checksum    uint64   `msg:"u,omitempty"` // hash of the whole record, which also names a transfer
+	Offset      uint64   `msg:"g,omitempty"` // of Body in the record; in KindTransferAck, how much is there
+	Total       uint64   `msg:"t,omitempty"` // bytes of the record; in KindStageChanges, its last Seq
+	Checksum    uint64   `msg:"u,omitempty"` // xxhash of the record's bytes, which also names a transfer
 }
 
-// Identity says who a disk belongs to.
+// Identity says which machine a disk belongs to.
 type Identity struct {
 	ID      ID     `msg:"i"`
 	Addr    string `msg:"a"`
@@ -110,26 +128,28 @@
 	Value    *View  `msg:"v"` // what was accepted, nil when nothing
 }
 
-// Replica says what the record on this disk is good for.
+// ReplicaState says what the record on this disk is good for. A change of it is on disk before any message that rests
+// on it is sent.
 type ReplicaState struct {
 	// RecordEpoch is the epoch for which the record holds all that was committed before it.
 	RecordEpoch uint64 `msg:"r"`
-	// InSyncEpoch is the epoch in which the record was found to be a prefix of its primary's.
+	// InSyncEpoch is the epoch in which the record was found to be a prefix of its primary's; from then on in that epoch
+	// nothing of it is given up.
 	InSyncEpoch uint64 `msg:"s"`
 	// StoppedEpoch is the epoch of which nothing is answered any more, plus 1 (0: none).
 	StoppedEpoch uint64 `msg:"x"`
-	// Committed is a bound from below of what is committed.
+	// Committed is a lower bound of the commit index.
 	Committed uint64 `msg:"c"`
 }
 
-// Snapshot is the whole record at Seq.
+// Snapshot is the complete record at Seq.
 type Snapshot struct {
 	Seq    uint64 `msg:"s"`
 	Digest uint64 `msg:"d"`
 	Body   []byte `msg:"b"`
 }
 
-// PersistentState is what the disk held. The zero State is an empty disk.
+// PersistentState is what the disk held. Its zero value is an empty disk.
 type PersistentState struct {
 	Identity Identity
 	View     View
@@ -172,7 +192,7 @@
 	Committed   Result = iota + 1 // Propose: on the disks of the primary and of all its backups
 	Confirmed                     // Read: the record up to Answer.Seq is at least as new as all that was answered before
 	NotPrimary                    // not taken: this machine isn't the primary; Status tells who may be
-	LostPrimacy                   // Propose: another primary came; the change may have been committed or not. Read: ask again
+	LostPrimacy                   // Propose: another is primary; the change may be committed or not. Read: ask again
 	Busy                          // not taken: too many wait
 )
 
@@ -202,38 +222,51 @@
 	Restore(seq uint64, body []byte) error // seq 0 with an empty body is the empty record
 }
 
-// FailureTolerance tells what may be lost at once: so many machines, or zones, or regions.
+// FailureTolerance says how many machines, or zones, or regions may be lost at once.
 type FailureTolerance struct{ Nodes, Zones, Regions int }
 
-// Options of a Machine. All durations must be above 0.
+// Options of a Machine. All durations must be above 0; there are no defaults for them.
 type Options struct {
-	Self      Member // without ID
+	// Self is this machine, without its ID.
+	Self Member
+	// Tolerance is the loss that the core must survive. It decides how many backups a view has.
 	Tolerance FailureTolerance
-	Seeds     []string // addresses to ask; with Bootstrap, the members of view 0
-	Bootstrap bool     // first start of the whole system: counts only when the disk is empty and Self.Addr is a seed
-
-	HeartbeatInterval time.Duration // from one beat of the primary to the next, and between repeats
-	ElectionTimeout   time.Duration // silence after which a primary or backup counts as lost; some beats long
-	ElectionStagger   time.Duration // a backup of rank r waits r times this longer
-	WriteTimeout      time.Duration // a backup that doesn't acknowledge a change for so long is left out
-	MemberTimeout     time.Duration // a member silent for so long goes out when the others are better off without it
-
-	SnapshotBytes int           // a snapshot replaces the changes on disk when their bodies exceed this; 0: 1 MiB
-	ChunkBytes    int           // bounds the chunks of a record and the changes in one message; 0: 64 KiB
-	Rand          func() uint64 // identities and back-off; must differ between machines and starts
+	// Seeds are addresses to ask for the decided view; with Bootstrap, the members of view 0.
+	Seeds []string
+	// Bootstrap is for the first start of the whole system. It counts only when the disk is empty and Self.Addr is a seed.
+	Bootstrap bool
+
+	// HeartbeatInterval is the time from one heartbeat of the primary to the next, and between repeats.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is how long a primary or backup may be unresponsive before it counts as lost; some heartbeats long.
+	ElectionTimeout time.Duration
+	// ElectionStagger is how much longer a backup waits for each rank before it proposes a view.
+	ElectionStagger time.Duration
+	// WriteTimeout is how long a backup may owe the acknowledgement of a change before it is replaced.
+	WriteTimeout time.Duration
+	// MemberTimeout is how long a member may be unresponsive before it is removed, if the others are better off so.
+	MemberTimeout time.Duration
+
+	// SnapshotBytes bounds the bodies of the changes on disk: beyond it a snapshot replaces them. 0: 1 MiB.
+	SnapshotBytes int
+	// ChunkBytes bounds the chunks of a record, and the changes in one message. 0: 64 KiB.
+	ChunkBytes int
+	// Rand gives identities and back-off. Its numbers must differ between machines and starts.
+	Rand func() uint64
 }
 
-// Role of this machine in the view it knows.
+// Role is a machine's role in the view that it knows.
 type Role uint8
 
 // The roles.
 const (
-	NonMember Role = iota // no member yet
-	Witness               // member without the record
-	Backup
-	Primary
+	NonMember Role = iota // not a member, or not yet
+	Witness               // member that only votes; it may be a learner of the record
+	Backup                // member with the record, whose answer each write and read needs
+	Primary               // member with the record that answers writes and reads
 )
 
+// String is the role's name in lower case, "outside" for NonMember, as the status page has it.
 func (r Role) String() string {
 	switch r {
 	case Witness:
@@ -246,18 +279,18 @@
 	return "outside"
 }
 
-// Status tells how things stand.
+// Status is a machine's state as others may see it.
 type Status struct {
 	ID          ID
 	Role        Role
-	View        View // shared: not to be changed
-	Epoch       uint64
-	Committed   uint64
+	View        View   // the newest decided view that is known; shared: not to be changed
+	Epoch       uint64 // of View
+	Committed   uint64 // up to this Seq changes are known to be committed
 	Seq         uint64 // newest change in the record, committed or not
 	PrimaryAddr string // "" when unknown
-	// Ready: as primary, all backups are in step, writes and reads are answered. Else: the view is known, this machine is
-	// its member and heard its primary within ElectionTimeout.
+	// Ready means: as primary, that all backups are in sync, and writes and reads are answered. Else, that this machine
+	// is a member of the view and heard its primary within ElectionTimeout.
 	Ready bool
-	// Released: after Leave, no other machine would miss this one; its process may end.
+	// Released means that after Leave no other machine would miss this one: its process may end.
 	Released bool
 }
