--- a/internal/fleet/replication/catchup_test.go
+++ b/internal/fleet/replication/catchup_test.go
@@ -300,8 +300,8 @@
 	return true
 }
 
-// told is how all stand.
-func (t *thinCore) told() string {
+// describe is how all stand.
+func (t *thinCore) describe() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "acknowledged %d, last at %v of %v", t.acked, t.ackedAt, t.now)
 	for _, n := range t.nodes {
@@ -348,7 +348,7 @@
 	t.change(size) // the operator's first configuration, whole
 	c.Assert(t.until(20*time.Second, func() bool { return t.acked == 1 }), qt.IsTrue, qt.Commentf("the first configuration isn't acknowledged"))
 	t.keepChanging(40*ms, 400)
-	c.Assert(t.until(5*time.Second, func() bool { return t.acked >= 40 }), qt.IsTrue, qt.Commentf("%s", t.told()))
+	c.Assert(t.until(5*time.Second, func() bool { return t.acked >= 40 }), qt.IsTrue, qt.Commentf("%s", t.describe()))
 }
 
 // syncWithin is how long a machine counts as lost after its return.
@@ -374,7 +374,7 @@
 				core.longest = 0
 				acked := core.acked
 				c.Assert(core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
-					qt.Commentf("nothing was acknowledged after a backup was lost: %s", core.told()))
+					qt.Commentf("nothing was acknowledged after a backup was lost: %s", core.describe()))
 				t.Logf("a backup lost: no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
 				lost.disk = PersistentState{}
@@ -390,7 +390,7 @@
 				acked = core.acked
 				core.primary().stop()
 				core.longest = 0
-				c.Assert(core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue, qt.Commentf("nothing was acknowledged after the primary was lost: %s", core.told()))
+				c.Assert(core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue, qt.Commentf("nothing was acknowledged after the primary was lost: %s", core.describe()))
 				c.Assert(core.primary().app.seq >= core.acked, qt.IsTrue)
 				t.Logf("the primary lost as well: no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
@@ -404,7 +404,7 @@
 	n.stop()
 	n.disk = PersistentState{}
 	n.start()
-	n.core.c.Assert(n.core.until(5*time.Second, n.core.settled), qt.IsTrue, qt.Commentf("%s", n.core.told()))
+	n.core.c.Assert(n.core.until(5*time.Second, n.core.settled), qt.IsTrue, qt.Commentf("%s", n.core.describe()))
 }
 
 // stall has a disk take no write for some time, as one that is full or hangs: its machine neither hears nor says
@@ -423,14 +423,14 @@
 				stalled.stall(stall)
 				core.longest, core.ackedAt = 0, core.now
 				acked := core.acked
-				c.Assert(core.until(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue, qt.Commentf("%s", core.told()))
+				c.Assert(core.until(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue, qt.Commentf("%s", core.describe()))
 				core.until(stall, func() bool { return false })
 				t.Logf("no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
 				acked = core.acked
 				c.Assert(core.until(10*time.Second, func() bool {
 					return core.settled() && core.acked > acked+20 && stalled.m.Status().Ready
-				}), qt.IsTrue, qt.Commentf("not whole again: %s", core.told()))
+				}), qt.IsTrue, qt.Commentf("not whole again: %s", core.describe()))
 			})
 		}
 	}
@@ -470,12 +470,12 @@
 			n := core.byRole(Backup)
 			n.stop()
 			acked := core.acked
-			c.Assert(core.until(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }), qt.IsTrue, qt.Commentf("%s", core.told()))
+			c.Assert(core.until(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }), qt.IsTrue, qt.Commentf("%s", core.describe()))
 			primary := core.primary()
 			target, began, sent, encoded := core.acked, core.now, primary.sent, primary.app.snapshots
 			n.start()
 			link := time.Duration(float64(size) / core.bytesPerSec * float64(time.Second))
-			c.Assert(core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }), qt.IsTrue, qt.Commentf("%s", core.told()))
+			c.Assert(core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }), qt.IsTrue, qt.Commentf("%s", core.describe()))
 			t.Logf("%d bytes, away for %d changes: caught up after %v, %d bytes sent by the primary to all, record encoded %d times",
 				size, away, core.now-began, primary.sent-sent, primary.app.snapshots-encoded)
 		}
--- a/internal/fleet/replication/catchupfaults_test.go
+++ b/internal/fleet/replication/catchupfaults_test.go
@@ -18,11 +18,11 @@
 			"\tt.next = t.acked\n\tm.sendChunks(to.Addr, t)", "\tm.sendChunks(to.Addr, t)"}},
 		{Name: "a backup whose record is on its way counts as late", Tests: "^TestSlowLinkTakesRecord$", Texts: []string{
 			"if p := m.primary.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {\n\t\t\tp.stalledSince = m.now\n\t\t}", ""}},
-		{Name: "what is staged may be older than the stop", Tests: "^TestStagedRecordIsNew$", Texts: []string{
+		{Name: "what is staged may be older than the stop", Tests: "^TestStagedRecordIsCurrent$", Texts: []string{
 			"\t\tm.dropTransfers() // what is staged", "\t\t// what is staged"}},
-		{Name: "some of the changes make a holder", Tests: "^TestPartOfChangesIsNoRecord$", Texts: []string{
+		{Name: "some of the changes make a holder", Tests: "^TestPartialChangesMakeNoHolder$", Texts: []string{
 			"!m.appendChanges(msg) || m.log.seq < msg.Total", "!m.appendChanges(msg)"}},
-		{Name: "changes that don't follow make a holder", Tests: "^TestPartOfChangesIsNoRecord$", Texts: []string{
+		{Name: "changes that don't follow make a holder", Tests: "^TestPartialChangesMakeNoHolder$", Texts: []string{
 			"!m.appendChanges(msg) || m.log.seq < msg.Total", "!m.appendChanges(msg) && m.log.seq < msg.Total"}},
 		{Name: "a staged record is replaced by a learner's", Tests: "^TestStagedRecordStays$", Texts: []string{
 			"return !m.holdsRecord() && m.replica.RecordEpoch != m.view.Epoch", "return !m.holdsRecord()"}},
@@ -32,11 +32,11 @@
 			"first, bytes := len(l.changes), 0", "first, bytes := len(l.changes), maxBytes"}},
 		{Name: "who has the record but for a few changes isn't preferred", Tests: "^TestNearLearnerIsPreferred$", Texts: []string{
 			"{c.nearlyCaughtUp, weightNearlyCaughtUp},", "{false, weightNearlyCaughtUp},"}},
-		{Name: "a disk that was put back leads", Tests: "^TestDiskPutBackNeverLeads$", Texts: []string{
+		{Name: "a disk that was put back leads", Tests: "^TestRestoredDiskNeverLeads$", Texts: []string{
 			"return m.log.seq >= m.knownCommit()", "return true"}},
-		{Name: "a holder whose disk was put back isn't staged anew", Tests: "^TestDiskPutBackNeverLeads$", Texts: []string{
+		{Name: "a holder whose disk was put back isn't staged anew", Tests: "^TestRestoredDiskNeverLeads$", Texts: []string{
 			"\t\t\tp.holdsRecord = false\n", ""}},
-		{Name: "a backup whose disk was put back counts as it was", Tests: "^TestDiskPutBackCatchesUp$", Texts: []string{
+		{Name: "a backup whose disk was put back counts as it was", Tests: "^TestRestoredDiskCatchesUp$", Texts: []string{
 			"msg.Round == round && msg.Seq < p.matchAtRoundStart", "msg.Round == round && false"}},
 	})
 }
--- a/internal/fleet/replication/cells_test.go
+++ b/internal/fleet/replication/cells_test.go
@@ -52,7 +52,7 @@
 	return now
 }
 
-// done notes what a step led to.
+// persist notes what a step led to.
 func (c *cell) done(before ID) {
 	if c.m.identity.ID != before {
 		c.gen++
--- a/internal/fleet/replication/departure.go
+++ b/internal/fleet/replication/departure.go
@@ -31,7 +31,7 @@
 }
 
 // released reports whether this departing machine has no role left that others would miss. While it holds the record it
-// isn't: it may have one of too few replicas (TestLeaverHoldsNoOnlyCopy).
+// isn't: it may have one of too few replicas (TestDepartingMemberHoldsNoOnlyReplica).
 func (m *Machine) released() bool {
 	switch {
 	case !m.departure.begun:
--- a/internal/fleet/replication/histories_test.go
+++ b/internal/fleet/replication/histories_test.go
@@ -96,7 +96,7 @@
 
 // judge does at a box what the control server does with an order: one that was taken is acknowledged again, one on
 // another base is refused, both only when the record it was judged by is committed; else it is proposed.
-func (o *operators) judge(b *box, what order, tell func(verdict)) {
+func (o *operators) judge(b *simNode, what order, tell func(verdict)) {
 	o.token++
 	t := o.token
 	if b.m.Status().Role != Primary {
@@ -115,7 +115,7 @@
 		v = refused
 	default:
 		o.bodies[t] = what.body()
-		o.calls[t] = func(_ carry, a Answer) {
+		o.calls[t] = func(_ pendingOutput, a Answer) {
 			if a.Result == Committed {
 				tell(taken)
 				return
@@ -127,7 +127,7 @@
 		return
 	}
 	o.floors[t] = o.ackedMax
-	o.calls[t] = func(_ carry, a Answer) {
+	o.calls[t] = func(_ pendingOutput, a Answer) {
 		if a.Result != Confirmed || a.Seq < at && !o.hasty {
 			v = unclear
 		}
@@ -136,11 +136,11 @@
 	o.input(b, b.m.Read(o.clock(b), t))
 }
 
-func (o *operators) show(b *box, tell func(verdict, order)) {
+func (o *operators) show(b *simNode, tell func(verdict, order)) {
 	o.token++
 	t := o.token
 	o.floors[t] = o.ackedMax
-	o.calls[t] = func(c carry, a Answer) {
+	o.calls[t] = func(c pendingOutput, a Answer) {
 		if a.Result != Confirmed {
 			tell(unclear, order{})
 			return
@@ -236,7 +236,7 @@
 // blackout takes the power of all machines at once.
 func (o *operators) blackout() {
 	o.note("blackout")
-	for _, b := range o.boxes {
+	for _, b := range o.nodes {
 		if b.m != nil {
 			o.kill(b)
 			o.after(100*ms+o.upTo(700*ms), func() { o.start(b) })
--- a/internal/fleet/replication/identity.go
+++ b/internal/fleet/replication/identity.go
@@ -61,7 +61,7 @@
 
 // holdsRecord reports whether this machine is the primary or a backup of its view and its disk has all that was
 // committed before the view. A machine that is named a backup but was never brought the record has no say
-// (TestOldRecordHasNoSay).
+// (TestStaleRecordHasNoVote).
 func (m *Machine) holdsRecord() bool {
 	if m.view.Epoch == 0 {
 		return m.voter() != ""
--- a/internal/fleet/replication/install.go
+++ b/internal/fleet/replication/install.go
@@ -38,7 +38,7 @@
 
 // saveInstalledView has the view, and what it makes of this machine's record, written. A machine that was removed
 // begins anew: the members of the view no longer count its identity, so what that holds and promised is over
-// (TestLeftOutDrawsNewIdentity).
+// (TestRemovedMemberDrawsNewIdentity).
 func (m *Machine) saveInstalledView(carriesRecord bool) {
 	v := &m.view
 	if m.identity.Joined && !v.has(m.identity.ID) {
--- a/internal/fleet/replication/liveness_test.go
+++ b/internal/fleet/replication/liveness_test.go
@@ -19,7 +19,7 @@
 // lost or, with shape.late, comes at once.
 
 // checkLiveness is the rule that every state is live when calm.
-func (x *explorer) checkLiveness(w *world) string {
+func (x *explorer) checkLiveness(w *modelState) string {
 	if problem := x.checkAcknowledged(w, networkFault{}); problem != "" || !x.late {
 		return problem
 	}
@@ -34,7 +34,7 @@
 
 // checkLivenessAfterLoss is the rule that every state is live when calm and, where no disk is lost, after any further
 // loss that the core must survive.
-func (x *explorer) checkLivenessAfterLoss(w *world) string {
+func (x *explorer) checkLivenessAfterLoss(w *modelState) string {
 	if problem := x.checkLiveness(w); problem != "" || x.ghosts[w.ghost].wipes > 0 {
 		return problem
 	}
@@ -57,7 +57,7 @@
 	return y.faults(&budget{})
 }
 
-func (x *explorer) checkAcknowledged(w *world, lasting networkFault) string {
+func (x *explorer) checkAcknowledged(w *modelState, lasting networkFault) string {
 	if x.timeToAcknowledge(w.cells, lasting) <= ackWithin {
 		return ""
 	}
--- a/internal/fleet/replication/machine_test.go
+++ b/internal/fleet/replication/machine_test.go
@@ -22,14 +22,14 @@
 		return
 	}
 	b := l[s.rng.IntN(len(l))]
-	restart := func(b *box) {
+	restart := func(b *simNode) {
 		d := 100*ms + s.upTo(1500*ms)
 		s.after(d, func() { s.start(b) })
 	}
-	if s.well() != nil && (!s.wholeFirst || s.settled()) {
+	if s.healthyPrimary() != nil && (!s.repairFirst || s.converged()) {
 		s.wiped = 0
 	}
-	wipe := func(b *box) bool {
+	wipe := func(b *simNode) bool {
 		if s.wiped >= s.survive.Nodes || s.now < s.bootUntil {
 			return false
 		}
@@ -39,10 +39,10 @@
 		s.note("wiped %s", b.addr)
 		return true
 	}
-	if s.survive.Zones > 0 && s.rng.IntN(4) == 0 && s.well() != nil && s.now >= s.bootUntil {
+	if s.survive.Zones > 0 && s.rng.IntN(4) == 0 && s.healthyPrimary() != nil && s.now >= s.bootUntil {
 		// A whole zone loses its disks, and at times all others lose power at the same moment.
 		all := s.rng.IntN(2) == 0
-		for _, o := range s.boxes {
+		for _, o := range s.nodes {
 			if o.zone == b.zone || all {
 				s.kill(o)
 				restart(o)
@@ -60,9 +60,9 @@
 		s.kill(b)
 		restart(b)
 	case 2: // all, with wipes at the same moment at times
-		for _, o := range s.rng.Perm(len(s.boxes)) {
-			o := s.boxes[o]
-			if o.gone {
+		for _, o := range s.rng.Perm(len(s.nodes)) {
+			o := s.nodes[o]
+			if o.removed {
 				continue
 			}
 			s.kill(o)
@@ -79,20 +79,20 @@
 		s.note("freeze %s for %v", b.addr, for_)
 		b.frozen = s.now + for_
 	case 6: // one way, one pair
-		o := s.boxes[s.rng.IntN(len(s.boxes))]
+		o := s.nodes[s.rng.IntN(len(s.nodes))]
 		s.note("cut %s to %s for %v", b.addr, o.addr, for_)
 		s.cuts[[2]string{b.addr, o.addr}] = s.now + for_
 	case 7, 8: // one machine or a half, both ways or one
 		side := map[string]bool{b.addr: true}
 		if s.rng.IntN(2) == 0 {
-			for _, o := range s.boxes {
+			for _, o := range s.nodes {
 				side[o.addr] = side[o.addr] || s.rng.IntN(2) == 0
 			}
 		}
 		way := s.rng.IntN(3)
 		s.note("cut off %v way %d for %v", side, way, for_)
-		for _, x := range s.boxes {
-			for _, y := range s.boxes {
+		for _, x := range s.nodes {
+			for _, y := range s.nodes {
 				if side[x.addr] != side[y.addr] && (way == 0 || side[x.addr] == (way == 1)) {
 					s.cuts[[2]string{x.addr, y.addr}] = s.now + for_
 				}
@@ -103,8 +103,8 @@
 		b.slow = s.now + for_
 	case 10: // replaced at a new address
 		if wipe(b) {
-			b.gone = true
-			n := s.add(fmt.Sprintf("10.0.%d.2:7000", len(s.boxes)), b.zone)
+			b.removed = true
+			n := s.add(fmt.Sprintf("10.0.%d.2:7000", len(s.nodes)), b.zone)
 			s.note("replaced by %s", n.addr)
 			restart(n)
 		}
@@ -138,7 +138,7 @@
 	if s.hard = seed%4 == 3; s.hard {
 		s.delay, s.loss = 150*ms, 0.15
 	}
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		s.after(s.upTo(300*ms), func() { s.start(b) })
 	}
 	const end = stormEnd
@@ -160,14 +160,14 @@
 	s.note("calm")
 	s.loss, s.dup, s.delay = 0, 0, 10*ms
 	clear(s.cuts)
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		b.slow, b.frozen = 0, min(b.frozen, s.now)
 		if b.m == nil {
 			s.start(b)
 		}
 	}
-	if !s.runUntil(end+10*time.Second, s.settled) && s.err == nil {
-		for _, b := range s.boxes {
+	if !s.runUntil(end+10*time.Second, s.converged) && s.err == nil {
+		for _, b := range s.nodes {
 			if b.m != nil {
 				s.note("%s %+v cand %+v standing %+v", b.addr, b.m.Status(), b.m.candidacy, b.m.replica)
 			}
@@ -180,7 +180,7 @@
 	}
 	// What was acknowledged is there.
 	if s.err == nil {
-		p := s.well()
+		p := s.healthyPrimary()
 		if p == nil {
 			p = s.target()
 		}
@@ -223,9 +223,9 @@
 func calm(t *testing.T, s *sim, order []int, gap time.Duration) {
 	t.Helper()
 	for i, j := range order {
-		s.after(time.Duration(i)*gap, func() { s.start(s.boxes[j]) })
+		s.after(time.Duration(i)*gap, func() { s.start(s.nodes[j]) })
 	}
-	ok := s.runUntil(s.now+time.Duration(len(order))*gap+10*time.Second, s.settled)
+	ok := s.runUntil(s.now+time.Duration(len(order))*gap+10*time.Second, s.converged)
 	qt.Assert(t, s.err, qt.IsNil)
 	qt.Assert(t, ok, qt.IsTrue, qt.Commentf("not settled"))
 }
@@ -239,31 +239,31 @@
 	}
 }
 
-// TestStartOneSystem: seeds that are restarted while the first start goes on, and one that comes up much later, form
+// TestBootstrapFormsOneSystem: seeds that are restarted while the first start goes on, and one that comes up much later, form
 // one system; a machine that says bootstrap and isn't a seed joins.
-func TestStartOneSystem(t *testing.T) {
+func TestBootstrapFormsOneSystem(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(7, 4, 3, FailureTolerance{Nodes: 1})
 	s.bootUntil = time.Hour
-	s.start(s.boxes[3])
-	s.start(s.boxes[0])
+	s.start(s.nodes[3])
+	s.start(s.nodes[0])
 	s.runUntil(2*time.Second, nil)
-	c.Assert(s.boxes[0].m.Status().Epoch, qt.Equals, uint64(0))
-	c.Assert(s.boxes[3].m.Status().Role, qt.Equals, NonMember)
-	s.kill(s.boxes[0])
-	s.start(s.boxes[1])
+	c.Assert(s.nodes[0].m.Status().Epoch, qt.Equals, uint64(0))
+	c.Assert(s.nodes[3].m.Status().Role, qt.Equals, NonMember)
+	s.kill(s.nodes[0])
+	s.start(s.nodes[1])
 	s.runUntil(4*time.Second, nil)
-	s.start(s.boxes[0])
+	s.start(s.nodes[0])
 	c.Assert(s.runUntil(8*time.Second, func() bool { return s.leader() != nil }), qt.IsTrue)
 	// The last seed comes with bootstrap still set; what was decided without it stands.
 	s.writeTo(s.leader())
 	s.runUntil(9*time.Second, nil)
 	c.Assert(s.ackedMax, qt.Equals, uint64(1))
-	s.start(s.boxes[2])
-	c.Assert(s.runUntil(20*time.Second, s.settled), qt.IsTrue)
+	s.start(s.nodes[2])
+	c.Assert(s.runUntil(20*time.Second, s.converged), qt.IsTrue)
 	c.Assert(s.err, qt.IsNil)
-	c.Assert(len(s.well().m.view.Members), qt.Equals, 4)
-	c.Assert(s.well().app.log, qt.HasLen, 1)
+	c.Assert(len(s.healthyPrimary().m.view.Members), qt.Equals, 4)
+	c.Assert(s.healthyPrimary().app.log, qt.HasLen, 1)
 }
 
 // TestWipedWitnessHasNoVote: with the primary lost, one of the two left wiped, the wiped one neither votes nor forms
@@ -273,10 +273,10 @@
 	s := newSim(3, 3, 3, FailureTolerance{Nodes: 1})
 	calm(t, s, []int{0, 1, 2}, 0)
 	s.bootUntil = 0
-	p := s.well()
+	p := s.healthyPrimary()
 	view := p.m.Status().View
-	var witness *box
-	for _, b := range s.boxes {
+	var witness *simNode
+	for _, b := range s.nodes {
 		if b.m.Status().Role == Witness {
 			witness = b
 		}
@@ -297,43 +297,43 @@
 	c.Assert(witness.disk.Vote.Promised, qt.Equals, Ballot{})
 	// The primary's disk comes back: all is well again.
 	s.start(p)
-	c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue)
+	c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
 }
 
-// TestReplaced: a machine goes for good, another comes at a new address; then the others may lose one more.
-func TestReplaced(t *testing.T) {
+// TestMemberReplaced: a machine goes for good, another comes at a new address; then the others may lose one more.
+func TestMemberReplaced(t *testing.T) {
 	for i := range 3 {
 		c := qt.New(t)
 		s := newSim(uint64(i), 3, 3, FailureTolerance{Nodes: 1})
 		calm(t, s, []int{0, 1, 2}, 0)
 		s.bootUntil = 0
-		s.writeTo(s.well())
+		s.writeTo(s.healthyPrimary())
 		s.runUntil(s.now+time.Second, nil)
 		c.Assert(s.ackedMax, qt.Equals, uint64(1))
-		old := s.boxes[i]
+		old := s.nodes[i]
 		s.kill(old)
-		old.gone = true
+		old.removed = true
 		s.start(s.add("10.0.9.2:7000", "z0"))
-		c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue)
-		c.Assert(s.well().m.view.Members, qt.HasLen, 3)
-		s.writeTo(s.well())
+		c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
+		c.Assert(s.healthyPrimary().m.view.Members, qt.HasLen, 3)
+		s.writeTo(s.healthyPrimary())
 		s.runUntil(s.now+time.Second, nil)
 		c.Assert(s.ackedMax, qt.Equals, uint64(2))
-		p := s.well()
+		p := s.healthyPrimary()
 		s.kill(p)
 		p.disk = PersistentState{}
 		c.Assert(s.runUntil(s.now+3*time.Second, func() bool {
-			return slices.ContainsFunc(s.live(), func(b *box) bool { return b.m.Status().Role == Primary && b.m.Status().Ready })
+			return slices.ContainsFunc(s.live(), func(b *simNode) bool { return b.m.Status().Role == Primary && b.m.Status().Ready })
 		}), qt.IsTrue)
 		s.start(p)
-		c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue)
-		c.Assert(s.well().app.log, qt.HasLen, 2)
+		c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
+		c.Assert(s.healthyPrimary().app.log, qt.HasLen, 2)
 		c.Assert(s.err, qt.IsNil)
 	}
 }
 
-// TestFinalFault: right after an acknowledgement all lose power and as many as survive allows their disks.
-func TestFinalFault(t *testing.T) {
+// TestPowerLossAfterAcknowledgement: right after an acknowledgement all lose power and as many as survive allows their disks.
+func TestPowerLossAfterAcknowledgement(t *testing.T) {
 	for seed := uint64(1); seed <= 100; seed++ {
 		c := qt.New(t)
 		n, k := 3, 1
@@ -343,18 +343,18 @@
 		s := newSim(seed, n, 3, FailureTolerance{Nodes: k})
 		calm(t, s, s.rng.Perm(n), 0)
 		s.bootUntil = 0
-		s.writeTo(s.well())
+		s.writeTo(s.healthyPrimary())
 		c.Assert(s.runUntil(s.now+2*time.Second, func() bool { return s.ackedMax == 1 }), qt.IsTrue, qt.Commentf("seed %d", seed))
 		lost := s.rng.Perm(n)[:k]
-		for i, b := range s.boxes {
+		for i, b := range s.nodes {
 			s.kill(b)
 			if slices.Contains(lost, i) {
 				b.disk = PersistentState{}
 			}
 			s.after(s.upTo(time.Second), func() { s.start(b) })
 		}
-		c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue, qt.Commentf("seed %d", seed))
-		c.Assert(s.well().app.log, qt.DeepEquals, []string{"w1"})
+		c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(s.healthyPrimary().app.log, qt.DeepEquals, []string{"w1"})
 		c.Assert(s.err, qt.IsNil)
 	}
 }
@@ -365,7 +365,7 @@
 	s := newSim(5, 6, 6, FailureTolerance{Zones: 1})
 	calm(t, s, []int{0, 1, 2, 3, 4, 5}, 0)
 	spreadOver := func() int {
-		p := s.well()
+		p := s.healthyPrimary()
 		if p == nil {
 			return 0
 		}
@@ -377,8 +377,8 @@
 		return len(zones)
 	}
 	c.Assert(s.runUntil(s.now+5*time.Second, func() bool { return spreadOver() == 2 }), qt.IsTrue)
-	zone := s.well().zone
-	for _, b := range s.boxes {
+	zone := s.healthyPrimary().zone
+	for _, b := range s.nodes {
 		if b.zone == zone {
 			s.kill(b)
 		}
@@ -390,7 +390,7 @@
 func TestSettings(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(1, 1, 1, FailureTolerance{})
-	o := s.options(s.boxes[0])
+	o := s.options(s.nodes[0])
 	var err error
 	app := &logApp{err: &err}
 	for _, change := range []func(*Options){
--- a/internal/fleet/replication/membership.go
+++ b/internal/fleet/replication/membership.go
@@ -133,7 +133,7 @@
 }
 
 // removeAbsent takes out of the plan members that are departing or were unresponsive for MemberTimeout, where that
-// lowers the quorum (TestSilentMembersStay).
+// lowers the quorum (TestUnresponsiveMembersStay).
 func (m *Machine) removeAbsent(plan *memberPlan) {
 	m.removeMembers(plan, m.absent(plan.members, m.opt.MemberTimeout), m.minMembers())
 	leaving := slices.DeleteFunc(slices.Clone(plan.members), func(o Member) bool { return !m.departsAsWitness(o.ID) })
--- a/internal/fleet/replication/membership_test.go
+++ b/internal/fleet/replication/membership_test.go
@@ -11,18 +11,18 @@
 
 // The times of the control plane's program, and the bounds that its settings give.
 const (
-	progBeat    = 150 * ms
-	progSuspect = 700 * ms
-	progStagger = 250 * ms
-	progWrite   = 600 * ms
-	boundSync   = 4 * time.Second // a machine counts as lost for so long after its return
-	boundAck    = 4 * time.Second // a change is acknowledged within this when things are calm
-	leaveWithin = 2 * time.Second // a process that was told to end waits no longer than this for its release
+	progHeartbeat = 150 * ms
+	progElection  = 700 * ms
+	progStagger   = 250 * ms
+	progWrite     = 600 * ms
+	boundSync     = 4 * time.Second // a machine counts as lost for so long after its return
+	boundAck      = 4 * time.Second // a change is acknowledged within this when things are calm
+	leaveWithin   = 2 * time.Second // a process that was told to end waits no longer than this for its release
 )
 
 // programTimes are the settings of the control plane's program.
 func programTimes(o *Options) {
-	o.HeartbeatInterval, o.ElectionTimeout, o.ElectionStagger = progBeat, progSuspect, progStagger
+	o.HeartbeatInterval, o.ElectionTimeout, o.ElectionStagger = progHeartbeat, progElection, progStagger
 	o.WriteTimeout, o.MemberTimeout = progWrite, boundSync
 }
 
@@ -43,10 +43,10 @@
 func newSchedule(c *qt.C, seed uint64, of coreCase) *schedule {
 	s := newSim(seed, of.machines, 3, FailureTolerance{Nodes: of.survive})
 	s.tune, s.delay = programTimes, 5*ms
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		s.after(s.upTo(300*ms), func() { s.start(b) })
 	}
-	c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue, qt.Commentf("no start: %v", s.err))
+	c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue, qt.Commentf("no start: %v", s.err))
 	s.runUntil(max(s.now, s.bootUntil)+boundSync, nil)
 	sc := &schedule{sim: s}
 	sc.acknowledges(c)
@@ -57,19 +57,19 @@
 func (s *schedule) pass(d time.Duration) { s.runUntil(s.now+d, nil) }
 
 // wipe ends a machine at once and drops its disk.
-func (s *schedule) wipe(b *box) {
+func (s *schedule) wipe(b *simNode) {
 	s.kill(b)
 	b.disk = PersistentState{}
 }
 
 // remove ends a machine at once, for good.
-func (s *schedule) remove(b *box) {
+func (s *schedule) remove(b *simNode) {
 	s.wipe(b)
-	b.gone = true
+	b.removed = true
 }
 
 // spare starts an empty machine at a new address.
-func (s *schedule) spare() *box {
+func (s *schedule) spare() *simNode {
 	s.spares++
 	b := s.add(fmt.Sprintf("10.1.%d.1:7000", s.spares), "z0")
 	s.start(b)
@@ -78,7 +78,7 @@
 
 // powerCycle ends all machines at once and starts each again within a second.
 func (s *schedule) powerCycle() {
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		if b.m != nil {
 			s.kill(b)
 			s.after(s.upTo(time.Second), func() { s.start(b) })
@@ -87,9 +87,9 @@
 }
 
 // byRole lists the machines that run, the primary first, then backups, then witnesses, by the newest view.
-func (s *schedule) byRole() []*box {
+func (s *schedule) byRole() []*simNode {
 	l := s.live()
-	slices.SortStableFunc(l, func(a, b *box) int { return int(b.m.Status().Role) - int(a.m.Status().Role) })
+	slices.SortStableFunc(l, func(a, b *simNode) int { return int(b.m.Status().Role) - int(a.m.Status().Role) })
 	return l
 }
 
@@ -173,11 +173,11 @@
 
 // departure tells a machine that its process is to end, and ends it when it is released or its time is over. It returns
 // how long that took.
-func (s *schedule) leave(b *box) time.Duration {
+func (s *schedule) depart(b *simNode) time.Duration {
 	began, life := s.now, b.life
 	s.input(b, b.m.Leave(s.clock(b)))
 	s.runUntil(began+leaveWithin, func() bool {
-		return b.m != nil && b.life == life && b.m.Status().Released && len(b.carries) == 0
+		return b.m != nil && b.life == life && b.m.Status().Released && len(b.pendingOutputs) == 0
 	})
 	s.kill(b)
 	return s.now - began
@@ -185,15 +185,15 @@
 
 // recordBears reports whether the record can be gone on with from the disks alone when so many machines are lost at
 // once, any of them, and another has ended.
-func (s *schedule) recordBears(losses int, ended *box) bool {
-	var rest []*box
-	for _, b := range s.boxes {
-		if b != ended && !b.gone {
+func (s *schedule) recordBears(losses int, ended *simNode) bool {
+	var rest []*simNode
+	for _, b := range s.nodes {
+		if b != ended && !b.removed {
 			rest = append(rest, b)
 		}
 	}
-	var lose func(from, more int, left []*box) bool
-	lose = func(from, more int, left []*box) bool {
+	var lose func(from, more int, left []*simNode) bool
+	lose = func(from, more int, left []*simNode) bool {
 		if more == 0 {
 			return s.recoverable(left)
 		}
@@ -209,14 +209,14 @@
 
 // recoverable reports whether one of these machines holds all that was acknowledged, and holds it for the newest view
 // that any of them knows and would tell.
-func (s *schedule) recoverable(left []*box) bool {
+func (s *schedule) recoverable(left []*simNode) bool {
 	var newest View
 	for _, b := range left {
 		if v := b.disk.View; v.Epoch > newest.Epoch {
 			newest = v
 		}
 	}
-	return slices.ContainsFunc(left, func(b *box) bool {
+	return slices.ContainsFunc(left, func(b *simNode) bool {
 		d := &b.disk
 		// Who was brought the record in the epoch before is a holder as soon as it is told of the view.
 		told := d.View.Epoch < newest.Epoch
@@ -236,23 +236,23 @@
 	return 0
 }
 
-// TestLeaverHoldsNoOnlyCopy: when a machine that was told to end is released, whatever its role, the record outlives
+// TestDepartingMemberHoldsNoOnlyReplica: when a machine that was told to end is released, whatever its role, the record outlives
 // any loss of others that must be survived.
-func TestLeaverHoldsNoOnlyCopy(t *testing.T) {
+func TestDepartingMemberHoldsNoOnlyReplica(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
 		b := l[int(seed)%len(l)]
 		role := b.m.Status().Role
-		took := s.leave(b)
+		took := s.depart(b)
 		c.Assert(took < leaveWithin, qt.IsTrue, qt.Commentf("%v seed %d: the %s is not released", of, seed, role))
 		c.Assert(s.recordBears(of.survive, b), qt.IsTrue, qt.Commentf("%v seed %d: the %s had one of too few copies", of, seed, role))
-		b.gone = true
+		b.removed = true
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// TestLeaverStaysOut: a machine that was told to end and left out of the members doesn't come in again while it lasts.
-func TestLeaverStaysOut(t *testing.T) {
+// TestDepartedMemberStaysOut: a machine that was told to end and left out of the members doesn't come in again while it lasts.
+func TestDepartedMemberStaysOut(t *testing.T) {
 	for seed := range uint64(10) {
 		c := qt.New(t)
 		s := newSchedule(c, seed, coreCase{4, 1})
@@ -273,14 +273,14 @@
 	}
 }
 
-// TestJoinerToldToEnd: a machine that asks to be taken in, or has just been, is told to end and never comes back; once
+// TestDepartingJoiner: a machine that asks to be taken in, or has just been, is told to end and never comes back; once
 // it has ended the core bears the next loss.
-func TestJoinerToldToEnd(t *testing.T) {
+func TestDepartingJoiner(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		n := s.spare()
 		s.pass(s.upTo(1500 * ms))
-		s.leave(n)
-		n.gone = true
+		s.depart(n)
+		n.removed = true
 		s.pass(time.Duration(seed%3) * 300 * ms)
 		l := s.byRole()
 		for i := range of.survive {
@@ -290,14 +290,14 @@
 	})
 }
 
-// TestLastTwoLeave: the primary and its only backup leave at the same moment; the machines that stay take over.
-func TestLastTwoLeave(t *testing.T) {
+// TestPrimaryAndOnlyBackupDepart: the primary and its only backup leave at the same moment; the machines that stay take over.
+func TestPrimaryAndOnlyBackupDepart(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		s := newSchedule(c, seed, coreCase{4, 1})
 		l := s.byRole()
 		s.input(l[1], l[1].m.Leave(s.clock(l[1])))
-		s.leave(l[0])
+		s.depart(l[0])
 		s.runUntil(s.now+leaveWithin, func() bool { return l[1].m.Status().Released })
 		c.Assert(l[1].m.Status().Released, qt.IsTrue, qt.Commentf("seed %d", seed))
 		c.Assert(s.recordBears(1, l[0]), qt.IsTrue, qt.Commentf("seed %d", seed))
@@ -308,13 +308,13 @@
 	}
 }
 
-// TestLeaveAlone: a machine that is the whole core, or hears nobody, isn't kept waiting for a release that nobody can
+// TestSingleMemberDeparts: a machine that is the whole core, or hears nobody, isn't kept waiting for a release that nobody can
 // give.
-func TestLeaveAlone(t *testing.T) {
+func TestSingleMemberDeparts(t *testing.T) {
 	c := qt.New(t)
 	s := newSchedule(c, 1, coreCase{1, 0})
-	c.Assert(s.leave(s.boxes[0]), qt.Equals, time.Duration(0))
-	s.start(s.boxes[0])
+	c.Assert(s.depart(s.nodes[0]), qt.Equals, time.Duration(0))
+	s.start(s.nodes[0])
 	s.acknowledges(c)
 }
 
@@ -324,11 +324,11 @@
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		s := newSchedule(c, seed, coreCase{1, 0})
-		old := s.boxes[0]
+		old := s.nodes[0]
 		s.spare()
 		s.pass(2 * time.Second)
-		c.Assert(s.leave(old) < leaveWithin, qt.IsTrue, qt.Commentf("seed %d", seed))
-		old.gone = true
+		c.Assert(s.depart(old) < leaveWithin, qt.IsTrue, qt.Commentf("seed %d", seed))
+		old.removed = true
 		s.acknowledges(c, "seed", seed)
 		c.Assert(s.leader().app.log, qt.HasLen, 2)
 	}
@@ -344,8 +344,8 @@
 			s.pass([]time.Duration{500 * ms, 2 * time.Second, boundSync, 2 * boundSync}[seed%4])
 			l := s.byRole()
 			old := l[int(seed/4)%len(l)]
-			s.leave(old)
-			old.gone = true
+			s.depart(old)
+			old.removed = true
 			s.runUntil(max(s.now, began+boundSync)+time.Duration(seed%3)*50*ms, nil)
 		}
 		l := s.byRole()
@@ -360,13 +360,13 @@
 // successor had its time; then all lose power and as many as may be their disks.
 func TestAllReplacedInTurn(t *testing.T) {
 	eachCase(t, 4, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
-		for _, old := range slices.Clone(s.boxes) {
+		for _, old := range slices.Clone(s.nodes) {
 			planned := s.rng.IntN(2) == 0
 			if planned {
 				s.spare()
 				s.pass(s.upTo(2 * time.Second))
-				s.leave(old)
-				old.gone = true
+				s.depart(old)
+				old.removed = true
 			} else {
 				s.remove(old)
 				s.pass(s.upTo(time.Second))
@@ -392,12 +392,12 @@
 	})
 }
 
-// TestWipedInTurn: the disks go one after the other, each as soon as the last had its time, all others without power at
+// TestDisksWipedInTurn: the disks go one after the other, each as soon as the last had its time, all others without power at
 // the same moment at times.
-func TestWipedInTurn(t *testing.T) {
+func TestDisksWipedInTurn(t *testing.T) {
 	eachCase(t, 4, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i := range 2 * of.machines {
-			b := s.boxes[i%of.machines]
+			b := s.nodes[i%of.machines]
 			s.wipe(b)
 			if s.rng.IntN(3) == 0 {
 				s.powerCycle()
@@ -412,15 +412,15 @@
 	})
 }
 
-// TestRolled: the machines are told to end one after the other, a second apart, and come back with their disks; with
+// TestRollingRestart: the machines are told to end one after the other, a second apart, and come back with their disks; with
 // the last that may be lost gone for good.
-func TestRolled(t *testing.T) {
+func TestRollingRestart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
-		for i, b := range slices.Clone(s.boxes) {
+		for i, b := range slices.Clone(s.nodes) {
 			until := s.now + time.Second
-			s.leave(b)
+			s.depart(b)
 			if i >= of.machines-of.survive {
-				b.gone = true
+				b.removed = true
 			} else {
 				s.after(300*ms+s.upTo(700*ms), func() { s.start(b) })
 			}
@@ -431,19 +431,19 @@
 	})
 }
 
-// TestAllToldToEnd: every machine is told to end at the same moment and ends within its time; all come back with their
+// TestAllMembersDepart: every machine is told to end at the same moment and ends within its time; all come back with their
 // disks.
-func TestAllToldToEnd(t *testing.T) {
+func TestAllMembersDepart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
-		for _, b := range s.boxes {
+		for _, b := range s.nodes {
 			s.input(b, b.m.Leave(s.clock(b)))
 		}
 		until := s.now + leaveWithin
-		for _, b := range s.boxes {
-			s.runUntil(until, func() bool { return b.m.Status().Released && len(b.carries) == 0 })
+		for _, b := range s.nodes {
+			s.runUntil(until, func() bool { return b.m.Status().Released && len(b.pendingOutputs) == 0 })
 			s.kill(b)
 		}
-		for _, b := range s.boxes {
+		for _, b := range s.nodes {
 			s.after(s.upTo(time.Second), func() { s.start(b) })
 		}
 		s.pass(time.Second)
@@ -451,13 +451,13 @@
 	})
 }
 
-// TestLeaveWithLostBackup: a backup is lost at the moment when the primary is told to end; others take its place, and
+// TestPrimaryDepartsWithLostBackup: a backup is lost at the moment when the primary is told to end; others take its place, and
 // then the primary's.
-func TestLeaveWithLostBackup(t *testing.T) {
+func TestPrimaryDepartsWithLostBackup(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
 		s.wipe(l[1])
-		took := s.leave(l[0])
+		took := s.depart(l[0])
 		if of.machines > 3 { // of three, no machine is left that could take the record
 			c.Assert(took < leaveWithin, qt.IsTrue, qt.Commentf("%v seed %d", of, seed))
 		}
@@ -467,14 +467,14 @@
 	})
 }
 
-// TestStormWithLeaves plays storms in which machines are told to end as well: in the middle of other troubles they end
+// TestStormWithDepartures plays storms in which machines are told to end as well: in the middle of other troubles they end
 // when they are released or their time is over, and come back.
-func TestStormWithLeaves(t *testing.T) {
+func TestStormWithDepartures(t *testing.T) {
 	for _, of := range []coreCase{{1, 0}, {3, 1}, {4, 1}, {5, 2}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= uint64(*nSeeds); seed++ {
-				if err := stormWithLeaves(seed, of); err != nil {
+				if err := stormWithDepartures(seed, of); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
 				}
 			}
@@ -482,9 +482,9 @@
 	}
 }
 
-func stormWithLeaves(seed uint64, of coreCase) error {
+func stormWithDepartures(seed uint64, of coreCase) error {
 	s := newSim(seed, of.machines, 3, FailureTolerance{Nodes: of.survive})
-	s.wholeFirst = true
+	s.repairFirst = true
 	var clients, leaves func()
 	clients = func() {
 		s.write()
@@ -506,7 +506,7 @@
 }
 
 // endReleased ends a machine once it is released, or at a time, and starts it again soon after.
-func (s *sim) endReleased(b *box, life int, until time.Duration) {
+func (s *sim) endReleased(b *simNode, life int, until time.Duration) {
 	if b.m == nil || b.life != life {
 		return
 	}
--- a/internal/fleet/replication/quorumcontact_test.go
+++ b/internal/fleet/replication/quorumcontact_test.go
@@ -17,7 +17,7 @@
 			s := newSim(seed, members, 3, FailureTolerance{Nodes: (members - 1) / 2})
 			s.loss, s.dup, s.delay = 0.05, 0.05, 200*ms
 			s.hard = seed%2 == 0
-			for _, b := range s.boxes {
+			for _, b := range s.nodes {
 				s.start(b)
 			}
 			const end = 40 * time.Second
@@ -42,7 +42,7 @@
 				if n := len(acks); s.ackedMax > 0 && (n == 0 || acks[n-1].seq < s.ackedMax) {
 					acks = append(acks, ack{s.now, s.ackedMax})
 				}
-				for _, b := range s.boxes {
+				for _, b := range s.nodes {
 					if b.m == nil {
 						continue
 					}
@@ -50,7 +50,7 @@
 						known[b.m.view.Epoch] = s.now
 					}
 				}
-				for _, b := range s.boxes {
+				for _, b := range s.nodes {
 					if b.m == nil {
 						continue
 					}
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -123,9 +123,9 @@
 	m := &Machine{
 		opt: Options{
 			Tolerance:         l.survive,
-			ElectionTimeout:   progSuspect,
+			ElectionTimeout:   progElection,
 			MemberTimeout:     boundSync,
-			HeartbeatInterval: progBeat,
+			HeartbeatInterval: progHeartbeat,
 		},
 		persistentState: persistentState{view: v},
 		now:             10 * boundSync,
@@ -150,7 +150,7 @@
 
 // joins has a machine ask to be taken in, for longer than a suspicion takes.
 func (m *Machine) joins(o Member) {
-	m.primary.joiners[o.Addr] = &joiner{Member: o, firstActive: m.now - progSuspect, lastActive: m.now, confirmed: true}
+	m.primary.joiners[o.Addr] = &joiner{Member: o, firstActive: m.now - progElection, lastActive: m.now, confirmed: true}
 }
 
 // next is the view that the planner would have decided; the view as it is when there is nothing to change.
@@ -262,11 +262,11 @@
 	}
 	for _, v := range views {
 		m := l.planner(v)
-		m.peers.lastActive[old.ID] = m.now - progSuspect
+		m.peers.lastActive[old.ID] = m.now - progElection
 		repaired := m.next() // the backups anew
 		lostOne.judge(c, repaired, l.losses(repaired.Members, old))
 		m = l.planner(repaired)
-		m.peers.lastActive[old.ID] = m.now - progSuspect
+		m.peers.lastActive[old.ID] = m.now - progElection
 		m.joins(successor)
 		v = m.next()
 		joined.judge(c, v, l.losses(v.Members, old, successor))
--- a/internal/fleet/replication/restoreddisk.go
+++ b/internal/fleet/replication/restoreddisk.go
@@ -2,7 +2,7 @@
 
 // A disk that was restored to an earlier state has forgotten changes that it acknowledged. That can't be seen on the
 // disk alone. What is here finds it out by what others remember, so that such a machine is brought what it lacks and
-// doesn't become primary with it (TestDiskPutBackNeverLeads, TestDiskPutBackCatchesUp).
+// doesn't become primary with it (TestRestoredDiskNeverLeads, TestRestoredDiskCatchesUp).
 
 // regressed reports whether a backup's record is shorter than it was: its answer to a round was sent after the round
 // began, when it had said that it has more.
--- a/internal/fleet/replication/restoreddisk_test.go
+++ b/internal/fleet/replication/restoreddisk_test.go
@@ -7,17 +7,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// putBack ends a machine's process and starts it on its disk as it was earlier.
-func (t *thinCore) putBack(n *thinNode, earlier PersistentState) {
+// restoreDisk ends a machine's process and starts it on its disk as it was earlier.
+func (t *thinCore) restoreDisk(n *thinNode, earlier PersistentState) {
 	n.stop()
 	n.disk = earlier
 	n.start()
 }
 
-// TestDiskPutBackNeverLeads: a backup whose disk was put back as it was before many changes doesn't lead with it when
+// TestRestoredDiskNeverLeads: a backup whose disk was put back as it was before many changes doesn't lead with it when
 // the primary is lost at that moment, as the witness knows of what was committed. When the primary is back all is
 // there.
-func TestDiskPutBackNeverLeads(t *testing.T) {
+func TestRestoredDiskNeverLeads(t *testing.T) {
 	c := qt.New(t)
 	core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, 10_000)
 	primary, backup := core.primary(), core.byRole(Backup)
@@ -30,20 +30,20 @@
 	c.Assert(core.until(time.Second, func() bool { return witness.m.log.reportedCommit >= acked }), qt.IsTrue)
 	acked = witness.m.log.reportedCommit
 	primary.stop()
-	core.putBack(backup, earlier)
+	core.restoreDisk(backup, earlier)
 	led := func() bool { return core.primary() != nil }
-	c.Assert(core.until(10*time.Second, led), qt.IsFalse, qt.Commentf("an old disk leads: %s", core.told()))
+	c.Assert(core.until(10*time.Second, led), qt.IsFalse, qt.Commentf("an old disk leads: %s", core.describe()))
 	primary.start()
-	c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue, qt.Commentf("nothing is acknowledged with all there: %s", core.told()))
+	c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue, qt.Commentf("nothing is acknowledged with all there: %s", core.describe()))
 	c.Assert(core.until(10*time.Second, func() bool {
 		p, b := core.primary(), core.byRole(Backup)
 		return p != nil && b != nil && p.app.seq == b.app.seq && p.app.digest == b.app.digest
-	}), qt.IsTrue, qt.Commentf("%s", core.told()))
+	}), qt.IsTrue, qt.Commentf("%s", core.describe()))
 }
 
-// TestDiskPutBackCatchesUp: where there is nobody to take its place, a backup whose disk was put back within one epoch
+// TestRestoredDiskCatchesUp: where there is nobody to take its place, a backup whose disk was put back within one epoch
 // is brought what it lacks, and changes are acknowledged again.
-func TestDiskPutBackCatchesUp(t *testing.T) {
+func TestRestoredDiskCatchesUp(t *testing.T) {
 	for _, logBytes := range []int{1 << 20, 4000} { // by changes, and by the whole
 		c := qt.New(t)
 		core := startThinCoreWith(c, 2, FailureTolerance{Nodes: 1}, 10_000, logBytes)
@@ -52,8 +52,8 @@
 		earlier.Changes = append([]Change(nil), earlier.Changes...)
 		c.Assert(core.until(10*time.Second, func() bool { return core.acked >= was+50 }), qt.IsTrue)
 		acked := core.acked
-		core.putBack(backup, earlier)
-		c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue, qt.Commentf("it never catches up: %s", core.told()))
+		core.restoreDisk(backup, earlier)
+		c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue, qt.Commentf("it never catches up: %s", core.describe()))
 		c.Assert(core.until(time.Second, func() bool { return backup.app.seq >= core.acked }), qt.IsTrue)
 	}
 }
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -11,7 +11,7 @@
 type hand struct {
 	*qt.C
 	s                        *sim
-	primary, backup, witness *box
+	primary, backup, witness *simNode
 	view                     View
 }
 
@@ -19,13 +19,13 @@
 	c := qt.New(t)
 	s := newSim(11, 3, 3, FailureTolerance{Nodes: 1})
 	calm(t, s, []int{0, 1, 2}, 0)
-	h := &hand{C: c, s: s, primary: s.well()}
+	h := &hand{C: c, s: s, primary: s.healthyPrimary()}
 	s.writeTo(h.primary)
 	s.writeTo(h.primary)
 	s.runUntil(s.now+time.Second, nil)
 	c.Assert(s.ackedMax, qt.Equals, uint64(2))
 	h.view = h.primary.m.Status().View
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		switch b.m.Status().Role {
 		case Backup:
 			h.backup = b
@@ -36,14 +36,14 @@
 	return h
 }
 
-// give hands b a message of from in the view's epoch and returns the answers, after the disk has the write.
-func (h *hand) give(b, from *box, msg Message) []Message {
+// deliver hands b a message of from in the view's epoch and returns the answers, after the disk has the write.
+func (h *hand) deliver(b, from *simNode, msg Message) []Message {
 	msg.From, _ = h.view.member(from.disk.Identity.ID)
 	msg.Epoch, msg.View = h.view.Epoch, &h.view
-	return h.done(b, b.m.Step(h.s.clock(b), "", &msg))
+	return h.persist(b, b.m.Step(h.s.clock(b), "", &msg))
 }
 
-func (h *hand) done(b *box, out Output) []Message {
+func (h *hand) persist(b *simNode, out Output) []Message {
 	save(&b.disk, out.Write)
 	var ms []Message
 	for _, e := range out.Send {
@@ -53,31 +53,31 @@
 }
 
 // restart begins b's next life, at the very time, without its first tick.
-func (h *hand) restart(b *box) {
+func (h *hand) restart(b *simNode) {
 	b.app = &logApp{err: &h.s.err}
 	m, err := New(h.s.options(b), b.disk, b.app)
 	h.Assert(err, qt.IsNil)
 	b.m, b.started = m, h.s.now
 }
 
-// suspect lets b hear nothing until it proposes itself, a second at most, and returns what it sends then.
-func (h *hand) suspect(b *box) []Message {
+// election lets b hear nothing until it proposes itself, a second at most, and returns what it sends then.
+func (h *hand) suspect(b *simNode) []Message {
 	for range 10 { // in steps, so that it doesn't take itself for frozen
 		h.s.now += 100 * ms
-		if sent := h.done(b, b.m.Tick(h.s.clock(b))); b.m.candidacy != nil {
+		if sent := h.persist(b, b.m.Tick(h.s.clock(b))); b.m.candidacy != nil {
 			return sent
 		}
 	}
 	return nil
 }
 
-func (h *hand) beat() Message {
+func (h *hand) heartbeat() Message {
 	return Message{Kind: KindHeartbeat, Round: 99, Seq: 2, Digest: h.primary.m.log.digest, Committed: 2}
 }
 
 func TestStoppedBackupDoesNotAnswer(t *testing.T) {
 	h := newHand(t)
-	ack := h.give(h.backup, h.primary, h.beat())
+	ack := h.deliver(h.backup, h.primary, h.heartbeat())
 	h.Assert(ack[0].InSync, qt.IsTrue)
 	h.Assert(ack[0].Round, qt.Equals, uint64(99))
 	sent := h.suspect(h.backup)
@@ -86,11 +86,11 @@
 	third.Digest = ChainDigest(h.primary.m.log.digest, 3, third.Body)
 	for range 2 { // before and after a restart
 		for _, msg := range []Message{
-			h.beat(),
+			h.heartbeat(),
 			{Kind: KindAppend, Seq: 2, Digest: h.primary.m.log.digest, Changes: []Change{third}},
 			{Kind: KindSnapshot, Seq: 3, Digest: third.Digest, Body: []byte("w1\nw2\n3")},
 		} {
-			ack = h.give(h.backup, h.primary, msg)
+			ack = h.deliver(h.backup, h.primary, msg)
 			ack = ack[len(ack)-1:]
 			h.Assert(ack[0].Kind, qt.Equals, KindHeartbeatAck)
 			h.Assert(ack[0].InSync, qt.IsFalse)
@@ -104,7 +104,7 @@
 func TestLateSnapshotIsNotTaken(t *testing.T) {
 	h := newHand(t)
 	for range 2 {
-		ack := h.give(h.backup, h.primary, Message{
+		ack := h.deliver(h.backup, h.primary, Message{
 			Kind: KindSnapshot, Seq: 1, Digest: ChainDigest(0, 1, []byte("w1")), Body: []byte("w1"),
 		})
 		h.Assert(ack[len(ack)-1].Seq, qt.Equals, uint64(2))
@@ -119,7 +119,7 @@
 	value := h.view
 	value.Epoch++
 	value.Backups = []ID{h.witness.disk.Identity.ID}
-	sent = h.give(h.backup, h.witness, Message{
+	sent = h.deliver(h.backup, h.witness, Message{
 		Kind: KindPromise, Ballot: sent[0].Ballot, Accepted: Ballot{N: 1, ID: "x"}, Value: &value,
 	})
 	h.Assert(sent[0].Kind, qt.Equals, KindAccept)
@@ -142,16 +142,16 @@
 	h.Helper()
 	ballot := h.suspect(h.backup)[0].Ballot
 	promise.Ballot = ballot
-	sent := h.give(h.backup, h.witness, promise)
+	sent := h.deliver(h.backup, h.witness, promise)
 	h.Assert(sent, qt.HasLen, 1)
 	h.Assert(sent[0].Kind, qt.Equals, by)
-	staged := h.give(h.witness, h.backup, sent[0])
+	staged := h.deliver(h.witness, h.backup, sent[0])
 	h.Assert(staged[0].Kind, qt.Equals, KindStaged)
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
-	sent = h.give(h.backup, h.witness, staged[0])
+	sent = h.deliver(h.backup, h.witness, staged[0])
 	h.Assert(sent[0].Kind, qt.Equals, KindAccept)
 	h.Assert(sent[0].Value.Backups, qt.DeepEquals, []ID{h.witness.disk.Identity.ID})
-	h.give(h.backup, h.witness, Message{Kind: KindAccepted, Ballot: ballot})
+	h.deliver(h.backup, h.witness, Message{Kind: KindAccepted, Ballot: ballot})
 	h.Assert(h.backup.disk.View.Epoch, qt.Equals, h.view.Epoch+1)
 	h.Assert(h.backup.m.Status().Role, qt.Equals, Primary)
 	h.Assert(h.backup.m.Status().Ready, qt.IsFalse) // not before the backup is in step
@@ -164,21 +164,21 @@
 	value := h.view
 	value.Epoch++
 	high, low := Ballot{N: 50, ID: id}, Ballot{N: 40, ID: id}
-	sent := h.give(w, h.backup, Message{Kind: KindPrepare, Ballot: high})
+	sent := h.deliver(w, h.backup, Message{Kind: KindPrepare, Ballot: high})
 	h.Assert(sent[0].Kind, qt.Equals, KindPromise)
 	for range 2 {
-		sent = h.give(w, h.backup, Message{Kind: KindPrepare, Ballot: low})
+		sent = h.deliver(w, h.backup, Message{Kind: KindPrepare, Ballot: low})
 		h.Assert(sent[len(sent)-1].Kind, qt.Equals, KindReject)
 		h.Assert(sent[len(sent)-1].Ballot, qt.Equals, high)
-		sent = h.give(w, h.backup, Message{Kind: KindAccept, Ballot: low, Value: &value})
+		sent = h.deliver(w, h.backup, Message{Kind: KindAccept, Ballot: low, Value: &value})
 		h.Assert(sent[0].Kind, qt.Equals, KindReject)
 		h.restart(w)
 	}
-	sent = h.give(w, h.backup, Message{Kind: KindAccept, Ballot: high, Value: &value})
+	sent = h.deliver(w, h.backup, Message{Kind: KindAccept, Ballot: high, Value: &value})
 	h.Assert(sent[len(sent)-1].Kind, qt.Equals, KindAccepted)
 	h.restart(w)
 	for n := range uint64(2) {
-		sent = h.give(w, h.backup, Message{Kind: KindPrepare, Ballot: Ballot{N: 60 + n, ID: id}})
+		sent = h.deliver(w, h.backup, Message{Kind: KindPrepare, Ballot: Ballot{N: 60 + n, ID: id}})
 		promise := sent[len(sent)-1]
 		h.Assert(promise.Kind, qt.Equals, KindPromise)
 		h.Assert(promise.Accepted, qt.Equals, high)
@@ -190,16 +190,16 @@
 		Kind: KindPrepare, From: Member{ID: "stranger", Addr: "10.0.8.8:7000"}, Epoch: h.view.Epoch,
 		Ballot: Ballot{N: 99, ID: "stranger"},
 	}
-	h.Assert(h.done(w, w.m.Step(h.s.clock(w), "", &stranger)), qt.HasLen, 0)
+	h.Assert(h.persist(w, w.m.Step(h.s.clock(w), "", &stranger)), qt.HasLen, 0)
 }
 
-// TestOldRecordHasNoSay: a machine that the view names, but whose record is of an older epoch, neither acknowledges nor
+// TestStaleRecordHasNoVote: a machine that the view names, but whose record is of an older epoch, neither acknowledges nor
 // proposes.
-func TestOldRecordHasNoSay(t *testing.T) {
+func TestStaleRecordHasNoVote(t *testing.T) {
 	h := newHand(t)
 	h.backup.disk.Replica = ReplicaState{}
 	h.restart(h.backup)
-	sent := h.give(h.backup, h.primary, h.beat())
+	sent := h.deliver(h.backup, h.primary, h.heartbeat())
 	h.Assert(sent[len(sent)-1].InSync, qt.IsFalse)
 	h.Assert(sent[len(sent)-1].HoldsRecord, qt.IsFalse)
 	for _, msg := range h.suspect(h.backup) {
@@ -266,17 +266,17 @@
 	for _, own := range []uint64{50, 70} {
 		h := newHand(t)
 		id := h.primary.disk.Identity.ID
-		view := func(backup *box) *View {
+		view := func(backup *simNode) *View {
 			v := h.view
 			v.Epoch++
 			v.Backups = []ID{backup.disk.Identity.ID}
 			return &v
 		}
 		byOwn, byOther := view(h.backup), view(h.witness)
-		sent := h.give(h.backup, h.primary, Message{Kind: KindAccept, Ballot: Ballot{N: own, ID: id}, Value: byOwn})
+		sent := h.deliver(h.backup, h.primary, Message{Kind: KindAccept, Ballot: Ballot{N: own, ID: id}, Value: byOwn})
 		h.Assert(sent[len(sent)-1].Kind, qt.Equals, KindAccepted)
 		ballot := h.suspect(h.backup)[0].Ballot
-		sent = h.give(h.backup, h.witness, Message{
+		sent = h.deliver(h.backup, h.witness, Message{
 			Kind: KindPromise, Ballot: ballot, Accepted: Ballot{N: 60, ID: id}, Value: byOther,
 		})
 		h.Assert(sent[0].Kind, qt.Equals, KindAccept)
@@ -300,15 +300,15 @@
 	h.restart(h.backup)
 	third := Change{Seq: 3, Body: []byte("third")}
 	third.Digest = ChainDigest(digest, 3, third.Body)
-	sent := h.give(h.backup, h.primary, Message{Kind: KindAppend, Seq: 2, Digest: digest, Changes: []Change{third}})
+	sent := h.deliver(h.backup, h.primary, Message{Kind: KindAppend, Seq: 2, Digest: digest, Changes: []Change{third}})
 	ack := sent[len(sent)-1]
 	h.Assert(ack.Kind, qt.Equals, KindHeartbeatAck)
 	h.Assert(ack.InSync, qt.IsFalse)
 	h.Assert(h.backup.app.log, qt.DeepEquals, []string{"w1", "w2", "other"})
 }
 
-// TestLeftOutDrawsNewIdentity: a machine that learns of a view without it begins anew, in memory and on its disk.
-func TestLeftOutDrawsNewIdentity(t *testing.T) {
+// TestRemovedMemberDrawsNewIdentity: a machine that learns of a view without it begins anew, in memory and on its disk.
+func TestRemovedMemberDrawsNewIdentity(t *testing.T) {
 	h := newHand(t)
 	before := h.backup.disk.Identity.ID
 	next := h.view
@@ -321,7 +321,7 @@
 		}
 	}
 	h.view = next
-	h.give(h.backup, h.primary, Message{Kind: KindView})
+	h.deliver(h.backup, h.primary, Message{Kind: KindView})
 	h.Assert(h.backup.disk.Identity.ID, qt.Not(qt.Equals), before)
 	h.Assert(h.backup.disk.Identity.Joined, qt.IsFalse)
 	h.Assert(h.backup.disk.Replica, qt.Equals, ReplicaState{})
@@ -341,7 +341,7 @@
 			b = h.primary
 		}
 		out := b.m.Tick(h.s.clock(b) + 3*time.Second)
-		h.done(b, out)
+		h.persist(b, out)
 		h.Assert(b.m.Status().Role, qt.Equals, role)
 		h.Assert(b.m.candidacy, qt.IsNil)
 		h.Assert(b.m.stopped(), qt.IsFalse)
@@ -354,10 +354,10 @@
 	h := &hand{C: qt.New(t), s: newSim(11, 5, 5, FailureTolerance{Nodes: 1})}
 	s := h.s
 	calm(t, s, []int{0, 1, 2, 3, 4}, 0)
-	h.primary = s.well()
+	h.primary = s.healthyPrimary()
 	h.view = h.primary.m.Status().View
-	var silent, voters []*box
-	for _, b := range s.boxes {
+	var silent, voters []*simNode
+	for _, b := range s.nodes {
 		switch {
 		case b == h.primary:
 		case b.m.Status().Role == Witness && len(silent) < 2:
@@ -373,22 +373,22 @@
 	h.Assert(s.runUntil(s.now+10*time.Second, proposes), qt.IsTrue)
 	h.Assert(h.primary.m.candidacy.value.Members, qt.HasLen, 3)
 	accepted := Message{Kind: KindAccepted, Ballot: h.primary.m.candidacy.ballot}
-	h.give(h.primary, voters[0], accepted)
+	h.deliver(h.primary, voters[0], accepted)
 	h.Assert(h.primary.m.Status().Epoch, qt.Equals, h.view.Epoch)
-	h.give(h.primary, voters[1], accepted)
+	h.deliver(h.primary, voters[1], accepted)
 	h.Assert(h.primary.m.Status().Epoch, qt.Equals, h.view.Epoch+1)
 	h.Assert(s.err, qt.IsNil)
 }
 
-// TestSilentMembersStay: members are left out only as long as a majority stays when as many as may be lost are lost
+// TestUnresponsiveMembersStay: members are left out only as long as a majority stays when as many as may be lost are lost
 // after that.
-func TestSilentMembersStay(t *testing.T) {
+func TestUnresponsiveMembersStay(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(11, 5, 5, FailureTolerance{Nodes: 2})
 	calm(t, s, []int{0, 1, 2, 3, 4}, 0)
-	p := s.well()
+	p := s.healthyPrimary()
 	killed := 0
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		if b.m.Status().Role == Witness && killed < 2 {
 			s.kill(b)
 			killed++
@@ -400,15 +400,15 @@
 	c.Assert(s.err, qt.IsNil)
 }
 
-// TestJoinerIsAskedFirst: who asks to be taken in is taken in only when its identity has answered a beat, as its
+// TestJoinerConfirmsIdentity: who asks to be taken in is taken in only when its identity has answered a beat, as its
 // request may be old and the machine have another identity by now.
-func TestJoinerIsAskedFirst(t *testing.T) {
+func TestJoinerConfirmsIdentity(t *testing.T) {
 	h := newHand(t)
 	joiner := Message{Kind: KindHello, From: Member{ID: "joiner", Addr: "10.0.9.1:7000"}, Join: true}
-	asked := h.done(h.primary, h.primary.m.Step(h.s.clock(h.primary), "", &joiner))
+	asked := h.persist(h.primary, h.primary.m.Step(h.s.clock(h.primary), "", &joiner))
 	h.Assert(asked[len(asked)-1].Kind, qt.Equals, KindHeartbeat)
 	h.Assert(h.primary.m.joining(), qt.HasLen, 0)
 	answer := Message{Kind: KindHeartbeatAck, From: joiner.From, Epoch: h.view.Epoch, Round: asked[len(asked)-1].Round}
-	h.done(h.primary, h.primary.m.Step(h.s.clock(h.primary), "", &answer))
+	h.persist(h.primary, h.primary.m.Step(h.s.clock(h.primary), "", &answer))
 	h.Assert(h.primary.m.joining(), qt.DeepEquals, []Member{joiner.From})
 }
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -20,7 +20,7 @@
 // budget is what may still happen.
 type budget struct {
 	writes, reads uint8
-	beats         uint8 // ticks of who leads
+	heartbeats    uint8 // ticks of who leads
 	waits         uint8 // a machine's time passes until it does something by itself
 	crashes       uint8 // restarts with the disk
 	wipes         uint8 // restarts with an empty disk
@@ -37,8 +37,8 @@
 // cellSet is the cell of each machine.
 type cellSet [maxCells]uint32
 
-// world is one state.
-type world struct {
+// modelState is one state.
+type modelState struct {
 	cells cellSet
 	ghost uint32
 	left  budget
@@ -65,7 +65,7 @@
 	stepDeliver stepKind = iota
 	stepWrite
 	stepRead
-	stepBeat
+	stepHeartbeat
 	stepWait
 	stepCrash
 	stepWipe
@@ -124,11 +124,11 @@
 	slowestLate time.Duration
 
 	// check is a further rule that every state must hold, nil when there is none.
-	check func(*world) string
+	check func(*modelState) string
 }
 
 // timing is the part of Options that says how long things take.
-type timing struct{ beat, suspect, stagger, write, forget time.Duration }
+type timing struct{ heartbeat, election, stagger, write, member time.Duration }
 
 var (
 	// quickTiming has round figures.
@@ -152,8 +152,8 @@
 func (x *explorer) options(i int, bootstrap bool) Options {
 	o := Options{
 		Self: Member{Addr: x.addrs[i], Zone: fmt.Sprint("z", i), Region: "r"}, Tolerance: x.survive, Bootstrap: bootstrap,
-		HeartbeatInterval: x.timing.beat, ElectionTimeout: x.timing.suspect, ElectionStagger: x.timing.stagger,
-		WriteTimeout: x.timing.write, MemberTimeout: x.timing.forget,
+		HeartbeatInterval: x.timing.heartbeat, ElectionTimeout: x.timing.election, ElectionStagger: x.timing.stagger,
+		WriteTimeout: x.timing.write, MemberTimeout: x.timing.member,
 		Rand: func() uint64 { return 0 },
 	}
 	o.Seeds, o.ChunkBytes = x.addrs[:x.founders], x.chunkBytes
@@ -316,7 +316,7 @@
 			return Output{}, false
 		}
 		return m.Leave(c.clock()), true
-	case stepBeat:
+	case stepHeartbeat:
 		if !m.leading() {
 			return Output{}, false
 		}
--- a/internal/fleet/replication/searchcases_test.go
+++ b/internal/fleet/replication/searchcases_test.go
@@ -57,11 +57,11 @@
 	return []shape{
 		{name: "a write, a takeover and a restart", members: 3, budget: budget{writes: 1, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
 		{name: "two writes and a takeover", members: 3, budget: budget{writes: 2, waits: 1}, want: reach{led: 2, acked: 2}},
-		{name: "three writes and snapshots", members: 3, small: true, budget: budget{writes: 3, beats: 1}, want: reach{led: 1, acked: 1}},
+		{name: "three writes and snapshots", members: 3, small: true, budget: budget{writes: 3, heartbeats: 1}, want: reach{led: 1, acked: 1}},
 		{name: "two proposals cross", members: 3, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 3}},
-		{name: "a write, a read and a takeover", members: 3, budget: budget{writes: 1, reads: 1, beats: 1, waits: 1}, want: reach{led: 2, acked: 2}},
+		{name: "a write, a read and a takeover", members: 3, budget: budget{writes: 1, reads: 1, heartbeats: 1, waits: 1}, want: reach{led: 2, acked: 2}},
 		{name: "a disk is lost", members: 3, budget: budget{writes: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 2, joined: true, wipes: 1}},
-		{name: "a lost disk is replaced", members: 3, budget: budget{beats: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 1, joined: true, wipes: 1}},
+		{name: "a lost disk is replaced", members: 3, budget: budget{heartbeats: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 1, joined: true, wipes: 1}},
 		{name: "four, a write and a takeover", members: 4, budget: budget{writes: 1, waits: 1}, want: reach{led: 2, acked: 2}},
 		{name: "four, two proposals cross", members: 4, budget: budget{waits: 2}, want: reach{led: 3, acked: 1}},
 		{name: "the first start", members: 3, first: true, budget: budget{writes: 1, waits: 1, starts: 3}, want: reach{led: 2, acked: 2, fewest: 2}},
@@ -94,9 +94,9 @@
 	return []shape{
 		{name: "two writes, a takeover and a restart", members: 3, budget: budget{writes: 2, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
 		{name: "snapshots, two writes, a takeover and a restart", members: 3, small: true, budget: budget{writes: 2, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
-		{name: "two takeovers and a read", members: 3, budget: budget{reads: 1, waits: 2, beats: 1}, want: reach{led: 3, acked: 1}},
+		{name: "two takeovers and a read", members: 3, budget: budget{reads: 1, waits: 2, heartbeats: 1}, want: reach{led: 3, acked: 1}},
 		{name: "two proposals cross, a restart", members: 3, budget: budget{writes: 1, waits: 2, crashes: 1}, want: reach{led: 3, acked: 2}},
-		{name: "a disk is lost", members: 3, budget: budget{writes: 1, beats: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 2, joined: true, wipes: 1}},
+		{name: "a disk is lost", members: 3, budget: budget{writes: 1, heartbeats: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 2, joined: true, wipes: 1}},
 		{name: "four, a write, a takeover and a restart", members: 4, budget: budget{writes: 1, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
 		{name: "four, two proposals cross, a write", members: 4, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 2}},
 		{name: "the first start, a restart", members: 3, first: true, budget: budget{waits: 1, crashes: 1, starts: 3}, want: reach{led: 2, fewest: 2}},
@@ -126,7 +126,7 @@
 const beforeTime = 5 * time.Second
 
 // explorer makes the search of a shape and its first state.
-func (sh *shape) explorer(limit int) (*explorer, world, error) {
+func (sh *shape) explorer(limit int) (*explorer, modelState, error) {
 	x := newExplorer(sh.members+sh.joiners, FailureTolerance{Nodes: max(sh.survive, 1)}, sh.small, limit)
 	x.founders, x.judged, x.kinds = sh.members, sh.judged, sh.faults
 	x.late, x.chunkBytes = sh.late, sh.chunkBytes
@@ -139,12 +139,12 @@
 	case sh.calm:
 		x.check = x.checkLiveness
 	}
-	var w world
+	var w modelState
 	var err error
 	if sh.first {
-		w = x.emptyWorld(sh.members)
+		w = x.emptyState(sh.members)
 	} else {
-		w, err = x.calmWorld()
+		w, err = x.steadyState()
 	}
 	for _, f := range sh.before {
 		if err == nil {
@@ -177,7 +177,7 @@
 	if *trial != "" {
 		return
 	}
-	qt.Check(t, res.whole || *deep, qt.IsTrue, qt.Commentf("%d states are too few", limit))
+	qt.Check(t, res.exhausted || *deep, qt.IsTrue, qt.Commentf("%d states are too few", limit))
 	want := sh.want
 	if want.fewest == 0 {
 		want.fewest = sh.members
--- a/internal/fleet/replication/searchrules_test.go
+++ b/internal/fleet/replication/searchrules_test.go
@@ -42,13 +42,13 @@
 }
 
 // apply is the state after a step; false: the step does nothing.
-func (x *explorer) apply(w *world, s step) (world, string, bool) {
+func (x *explorer) apply(w *modelState, s step) (modelState, string, bool) {
 	if s.kind == stepPass {
 		return x.applyPass(w, s)
 	}
 	e := x.play(w.cells[s.i], s)
 	if e == nil {
-		return world{}, "", false
+		return modelState{}, "", false
 	}
 	n := *w
 	n.cells[s.i] = e.cell
@@ -90,7 +90,7 @@
 	moved := x.cells[e.cell] != x.cells[w.cells[s.i]]
 	violation = x.conclude(&n, &g, seen, moved, violation)
 	if n.cells == w.cells && n.ghost == w.ghost && fresh == 0 && violation == "" {
-		return world{}, "", false
+		return modelState{}, "", false
 	}
 	if b := x.close(&n, changed, e.sent); violation == "" {
 		violation = b
@@ -99,8 +99,8 @@
 }
 
 // conclude notes what was seen on the way to a state, and holds the rules in it when something changed.
-func (x *explorer) conclude(w *world, g *ghost, seen, moved bool, violation string) string {
-	if g.wipes > 0 && x.whole(w, g) {
+func (x *explorer) conclude(w *modelState, g *ghost, seen, moved bool, violation string) string {
+	if g.wipes > 0 && x.fullyRedundant(w, g) {
 		g.wipes, seen = 0, true
 	}
 	if seen {
@@ -118,7 +118,7 @@
 // close adds what deliveries that leave their machine as it is send, as such a step takes no other away, and drops the
 // messages that can't do anything any more: those of an epoch that their receiver has left, and those of a ballot below
 // the one it has promised. Only what goes to machines that changed, and what is new, can have more to say than before.
-func (x *explorer) close(w *world, changed func(int) bool, sent []uint32) (violation string) {
+func (x *explorer) close(w *modelState, changed func(int) bool, sent []uint32) (violation string) {
 	todo := x.todo[:0]
 	for _, m := range w.net {
 		if changed(x.packets[m].to) {
@@ -167,7 +167,7 @@
 
 // inert tells whether a message is past: its epoch or ballot is, and it does nothing to its receiver as that stands.
 // What it was answered with is in flight already.
-func (x *explorer) inert(w *world, m uint32) bool {
+func (x *explorer) inert(w *modelState, m uint32) bool {
 	p := &x.packets[m]
 	id := w.cells[p.to]
 	c := x.cells[id].m
@@ -273,9 +273,9 @@
 	return g.refusals()
 }
 
-// whole reports whether as many machines may be lost as at the beginning: a primary of the newest view is ready, all
+// exhausted reports whether as many machines may be lost as at the beginning: a primary of the newest view is ready, all
 // backups that must be are there with their disks, and a majority of the members stays when as many are lost as may be.
-func (x *explorer) whole(w *world, g *ghost) bool {
+func (x *explorer) fullyRedundant(w *modelState, g *ghost) bool {
 	newest := uint64(len(g.views)) - 1
 	v := x.views[g.views[newest]]
 	if len(v.Backups) < x.survive.Replicas()-1 {
@@ -296,7 +296,7 @@
 }
 
 // missed tells when a machine that may end is one of the last so many that hold a change.
-func (x *explorer) missed(w *world, has func(log []string) bool, copies int) string {
+func (x *explorer) missed(w *modelState, has func(log []string) bool, copies int) string {
 	for i := range x.n {
 		if !x.cells[w.cells[i]].status.Released {
 			continue
@@ -315,7 +315,7 @@
 }
 
 // rules are those on whole states.
-func (x *explorer) rules(w *world) string {
+func (x *explorer) rules(w *modelState) string {
 	g := &x.ghosts[w.ghost]
 	for _, a := range g.acked {
 		disks := 0
--- a/internal/fleet/replication/searchrun_test.go
+++ b/internal/fleet/replication/searchrun_test.go
@@ -11,7 +11,7 @@
 )
 
 // steps lists what may happen next.
-func (x *explorer) steps(w *world, yield func(step, budget)) {
+func (x *explorer) steps(w *modelState, yield func(step, budget)) {
 	for _, m := range w.net {
 		yield(step{stepDeliver, uint8(x.packets[m].to), m}, w.left)
 	}
@@ -34,7 +34,7 @@
 			spend(&l.writes, stepWrite, g.writes+1)
 		}
 		spend(&l.reads, stepRead, 100+g.asked)
-		spend(&l.beats, stepBeat, 0)
+		spend(&l.heartbeats, stepHeartbeat, 0)
 		spend(&l.waits, stepWait, 0)
 		spend(&l.crashes, stepCrash, 0)
 		if g.wipes < x.survive.Nodes {
@@ -59,14 +59,14 @@
 	}
 }
 
-func (x *explorer) hash(w *world, buf []byte) (uint64, []byte) {
+func (x *explorer) hash(w *modelState, buf []byte) (uint64, []byte) {
 	buf = buf[:0]
 	for _, c := range w.cells {
 		buf = binary.LittleEndian.AppendUint32(buf, c)
 	}
 	l := &w.left
 	buf = binary.LittleEndian.AppendUint32(buf, w.ghost)
-	buf = append(buf, l.writes, l.reads, l.beats, l.waits, l.crashes, l.wipes, l.starts, l.retries, l.freezes, l.passes, l.leaves)
+	buf = append(buf, l.writes, l.reads, l.heartbeats, l.waits, l.crashes, l.wipes, l.starts, l.retries, l.freezes, l.passes, l.leaves)
 	for _, m := range w.net {
 		buf = binary.LittleEndian.AppendUint32(buf, m)
 	}
@@ -77,7 +77,7 @@
 type found struct {
 	states, steps, cells, msgs int
 	depth                      int           // all states up to so many steps were seen
-	whole                      bool          // there are no more within the budgets
+	exhausted                  bool          // there are no more within the budgets
 	led                        uint64        // newest epoch in which some primary was ready
 	acked                      uint64        // newest epoch in which a change was acknowledged
 	joined                     bool          // a machine with a new identity held the record
@@ -94,7 +94,7 @@
 
 func (f *found) String() string {
 	all := fmt.Sprintf("all up to %d steps", f.depth)
-	if f.whole {
+	if f.exhausted {
 		all = fmt.Sprintf("all there are, %d steps deep", f.depth)
 	}
 	return fmt.Sprintf("%d states (%s), %d steps, %d cells, %d messages, led up to epoch %d, acknowledged up to %d, "+
@@ -103,7 +103,7 @@
 }
 
 // run searches from first on.
-func (x *explorer) run(first world) (res found) {
+func (x *explorer) run(first modelState) (res found) {
 	began := time.Now()
 	type origin struct {
 		parent uint32
@@ -113,7 +113,7 @@
 	h, buf := x.hash(&first, buf)
 	known := map[uint64]struct{}{h: {}}
 	origins := []origin{{}}
-	front, next := []world{first}, []world(nil)
+	front, next := []modelState{first}, []modelState(nil)
 	at := uint32(0)
 	defer func() {
 		res.states, res.cells, res.msgs, res.took = len(origins), len(x.cells), len(x.packets), time.Since(began)
@@ -149,7 +149,7 @@
 	for len(front) > 0 {
 		for i := range front {
 			w := front[i]
-			front[i] = world{}
+			front[i] = modelState{}
 			x.steps(&w, func(s step, left budget) {
 				if res.violation != "" {
 					return
@@ -162,9 +162,9 @@
 				n.left = left
 				if violation != "" {
 					res.violation = violation
-					res.trace = []string{x.word(s)}
+					res.trace = []string{x.describe(s)}
 					for o := at; o != 0; o = origins[o].parent {
-						res.trace = append(res.trace, x.word(origins[o].by))
+						res.trace = append(res.trace, x.describe(origins[o].by))
 					}
 					slices.Reverse(res.trace)
 					return
@@ -187,11 +187,11 @@
 			res.depth++
 		}
 	}
-	res.whole = true
+	res.exhausted = true
 	return res
 }
 
-func (x *explorer) word(s step) string {
+func (x *explorer) describe(s step) string {
 	t := fmt.Sprintf("%d %s", s.i, stepNames[s.kind])
 	switch s.kind {
 	case stepDeliver:
@@ -204,9 +204,9 @@
 	return strings.TrimSpace(t)
 }
 
-// calmWorld is a settled core with one acknowledged change and nothing in flight.
-func (x *explorer) calmWorld() (world, error) {
-	w := x.emptyWorld(0)
+// steadyState is a settled core with one acknowledged change and nothing in flight.
+func (x *explorer) steadyState() (modelState, error) {
+	w := x.emptyState(0)
 	now := time.Second
 	wrote := false
 	var queue []uint32
@@ -291,9 +291,9 @@
 	return w, fmt.Errorf("the core didn't settle: %v", x.err)
 }
 
-// emptyWorld has machines that haven't started.
-func (x *explorer) emptyWorld(starts int) world {
-	w := world{left: budget{starts: uint8(starts)}}
+// emptyState has machines that haven't started.
+func (x *explorer) emptyState(starts int) modelState {
+	w := modelState{left: budget{starts: uint8(starts)}}
 	for i := range x.n {
 		c := &cell{i: i, app: &logApp{err: &x.err}}
 		m, err := New(x.options(i, true), PersistentState{}, c.app)
--- a/internal/fleet/replication/searchtime_test.go
+++ b/internal/fleet/replication/searchtime_test.go
@@ -294,7 +294,7 @@
 }
 
 // passFor is the state after so much time has passed with a fault. What was sent has come or is lost.
-func (x *explorer) passFor(w *world, fault networkFault, duration time.Duration) (world, error) {
+func (x *explorer) passFor(w *modelState, fault networkFault, duration time.Duration) (modelState, error) {
 	r := x.newTimeline(w.cells, fault)
 	g, seen, violation := x.ghosts[w.ghost], false, ""
 	r.seen = func(i int, out Output) {
@@ -318,10 +318,10 @@
 }
 
 // applyPass is the state after time has passed; false: nothing happens.
-func (x *explorer) applyPass(w *world, s step) (world, string, bool) {
+func (x *explorer) applyPass(w *modelState, s step) (modelState, string, bool) {
 	p := x.pass(w.cells, faultOf(s))
 	if p == nil {
-		return world{}, "", false
+		return modelState{}, "", false
 	}
 	n := *w
 	n.cells = p.cells
--- a/internal/fleet/replication/sim_test.go
+++ b/internal/fleet/replication/sim_test.go
@@ -64,30 +64,30 @@
 	d.Changes = append(d.Changes, w.Changes...)
 }
 
-// carry is an output under way to the disk.
-type carry struct {
+// pendingOutput is an output under way to the disk.
+type pendingOutput struct {
 	out    Output
 	epoch  uint64
 	status Status
 	log    []string
 }
 
-// box is one machine of the simulated core.
-type box struct {
-	addr, zone string
-	disk       PersistentState
-	m          *Machine
-	app        *logApp
-	life       int
-	started    time.Duration
-	frozen     time.Duration // until
-	slow       time.Duration // until: syncs take long
-	gone       bool          // for good
-	diskFree   time.Duration
-	carries    []carry
-	ticking    time.Duration // earliest tick that is scheduled
-	checked    uint64
-	seen       uint64 // epoch whose view was compared
+// simNode is one machine of the simulated core.
+type simNode struct {
+	addr, zone     string
+	disk           PersistentState
+	m              *Machine
+	app            *logApp
+	life           int
+	started        time.Duration
+	frozen         time.Duration // until
+	slow           time.Duration // until: syncs take long
+	removed        bool          // for good
+	diskFree       time.Duration
+	pendingOutputs []pendingOutput
+	ticking        time.Duration // earliest tick that is scheduled
+	checked        uint64
+	seen           uint64 // epoch whose view was compared
 }
 
 type event struct {
@@ -112,7 +112,7 @@
 	now       time.Duration
 	q         events
 	n         int
-	boxes     []*box
+	nodes     []*simNode
 	seeds     []string
 	survive   FailureTolerance
 	bootUntil time.Duration
@@ -125,20 +125,20 @@
 	small     bool // snapshots often
 
 	// What clients saw.
-	acked      map[string]uint64
-	ackedMax   uint64
-	committed  []string // by seq-1
-	leaders    map[uint64]string
-	floors     map[uint64]uint64 // reads under way
-	bodies     map[uint64]string // writes under way
-	calls      map[uint64]func(carry, Answer)
-	token      uint64
-	confirms   int
-	views      map[uint64]View
-	wiped      int            // since all was well
-	hard       bool           // delays near the time-outs, so that proposals cross
-	wholeFirst bool           // no disk is lost before all machines are members again
-	tune       func(*Options) // changes the settings of each process, nil: nothing
+	acked       map[string]uint64
+	ackedMax    uint64
+	committed   []string // by seq-1
+	leaders     map[uint64]string
+	floors      map[uint64]uint64 // reads under way
+	bodies      map[uint64]string // writes under way
+	calls       map[uint64]func(pendingOutput, Answer)
+	token       uint64
+	confirms    int
+	views       map[uint64]View
+	wiped       int            // since all was well
+	hard        bool           // delays near the time-outs, so that proposals cross
+	repairFirst bool           // no disk is lost before all machines are members again
+	tune        func(*Options) // changes the settings of each process, nil: nothing
 }
 
 func newSim(seed uint64, n, seeds int, s FailureTolerance) *sim {
@@ -146,20 +146,20 @@
 		rng: rand.New(rand.NewPCG(seed, 1)), survive: s, zones: 3, delay: 10 * ms,
 		cuts: map[[2]string]time.Duration{}, acked: map[string]uint64{}, leaders: map[uint64]string{},
 		floors: map[uint64]uint64{}, bodies: map[uint64]string{}, bootUntil: 5 * time.Second,
-		views: map[uint64]View{}, calls: map[uint64]func(carry, Answer){}, wiped: s.Nodes, // none before all was well once
+		views: map[uint64]View{}, calls: map[uint64]func(pendingOutput, Answer){}, wiped: s.Nodes, // none before all was well once
 	}
 	for i := range n {
 		r.add(fmt.Sprintf("10.0.%d.1:7000", i), fmt.Sprint("z", i%r.zones))
 	}
-	for _, b := range r.boxes[:min(seeds, n)] {
+	for _, b := range r.nodes[:min(seeds, n)] {
 		r.seeds = append(r.seeds, b.addr)
 	}
 	return r
 }
 
-func (s *sim) add(addr, zone string) *box {
-	b := &box{addr: addr, zone: zone}
-	s.boxes = append(s.boxes, b)
+func (s *sim) add(addr, zone string) *simNode {
+	b := &simNode{addr: addr, zone: zone}
+	s.nodes = append(s.nodes, b)
 	return b
 }
 
@@ -198,12 +198,12 @@
 	return false
 }
 
-func (s *sim) options(b *box) Options {
+func (s *sim) options(b *simNode) Options {
 	seeds := s.seeds
 	if s.now >= s.bootUntil { // the operator's list of now, or an older one
 		var there []string
-		for _, b := range s.boxes {
-			if !b.gone {
+		for _, b := range s.nodes {
+			if !b.removed {
 				there = append(there, b.addr)
 			}
 		}
@@ -227,8 +227,8 @@
 	return o
 }
 
-func (s *sim) start(b *box) {
-	if b.m != nil || b.gone {
+func (s *sim) start(b *simNode) {
+	if b.m != nil || b.removed {
 		return
 	}
 	b.app = &logApp{err: &s.err}
@@ -243,23 +243,23 @@
 }
 
 // kill ends the process, or its machine's power. Of what is on its way to the disk some may get there, in order.
-func (s *sim) kill(b *box) {
+func (s *sim) kill(b *simNode) {
 	if b.m == nil {
 		return
 	}
 	s.note("kill %s", b.addr)
-	if len(b.carries) > 0 && s.rng.IntN(2) == 0 {
-		for _, c := range b.carries[:1+s.rng.IntN(len(b.carries))] {
+	if len(b.pendingOutputs) > 0 && s.rng.IntN(2) == 0 {
+		for _, c := range b.pendingOutputs[:1+s.rng.IntN(len(b.pendingOutputs))] {
 			save(&b.disk, c.out.Write)
 		}
 	}
-	b.m, b.carries, b.diskFree = nil, nil, s.now
+	b.m, b.pendingOutputs, b.diskFree = nil, nil, s.now
 	b.life++
 }
 
-func (s *sim) clock(b *box) time.Duration { return s.now - b.started }
+func (s *sim) clock(b *simNode) time.Duration { return s.now - b.started }
 
-func (s *sim) tick(b *box, life int) {
+func (s *sim) tick(b *simNode, life int) {
 	if b.m == nil || b.life != life {
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 // input takes what an input led to and plans the next tick.
-func (s *sim) input(b *box, out Output) {
+func (s *sim) input(b *simNode, out Output) {
 	st := b.m.Status()
 	if v, ok := s.views[st.Epoch]; !ok {
 		s.views[st.Epoch] = st.View
@@ -280,8 +280,8 @@
 		s.fail("two views are decided: %+v and %+v", v, st.View)
 	}
 	b.seen = st.Epoch
-	c := carry{out: out, epoch: st.Epoch, status: st, log: b.app.log}
-	b.carries = append(b.carries, c)
+	c := pendingOutput{out: out, epoch: st.Epoch, status: st, log: b.app.log}
+	b.pendingOutputs = append(b.pendingOutputs, c)
 	life := b.life
 	var d time.Duration
 	if !out.Write.Empty() {
@@ -294,7 +294,7 @@
 		}
 	}
 	b.diskFree = max(b.diskFree, s.now) + d
-	s.after(b.diskFree-s.now, func() { s.carryOut(b, life) })
+	s.after(b.diskFree-s.now, func() { s.completeOutput(b, life) })
 	next := max(b.m.NextTick()+b.started, s.now+ms)
 	if b.ticking < 0 || next < b.ticking {
 		b.ticking = next
@@ -306,12 +306,12 @@
 	}
 }
 
-func (s *sim) carryOut(b *box, life int) {
-	if b.m == nil || b.life != life || len(b.carries) == 0 {
+func (s *sim) completeOutput(b *simNode, life int) {
+	if b.m == nil || b.life != life || len(b.pendingOutputs) == 0 {
 		return
 	}
-	c := b.carries[0]
-	b.carries = b.carries[1:]
+	c := b.pendingOutputs[0]
+	b.pendingOutputs = b.pendingOutputs[1:]
 	save(&b.disk, c.out.Write)
 	for seq := b.checked + 1; seq <= c.out.Committed; seq++ {
 		if seq > uint64(len(c.log)) {
@@ -338,7 +338,7 @@
 	}
 }
 
-func (s *sim) answered(b *box, c carry, a Answer) {
+func (s *sim) answered(b *simNode, c pendingOutput, a Answer) {
 	switch a.Result {
 	case Committed:
 		who := fmt.Sprint(b.addr, " life ", b.life)
@@ -395,11 +395,11 @@
 	if s.cuts[[2]string{from, to}] > s.now {
 		return
 	}
-	i := slices.IndexFunc(s.boxes, func(b *box) bool { return b.addr == to })
-	if i < 0 || s.boxes[i].m == nil {
+	i := slices.IndexFunc(s.nodes, func(b *simNode) bool { return b.addr == to })
+	if i < 0 || s.nodes[i].m == nil {
 		return
 	}
-	b := s.boxes[i]
+	b := s.nodes[i]
 	if b.frozen > s.now {
 		life := b.life
 		s.after(b.frozen-s.now+s.upTo(ms), func() {
@@ -417,9 +417,9 @@
 	s.input(b, b.m.Step(s.clock(b), from, &msg))
 }
 
-func (s *sim) live() []*box {
-	var l []*box
-	for _, b := range s.boxes {
+func (s *sim) live() []*simNode {
+	var l []*simNode
+	for _, b := range s.nodes {
 		if b.m != nil && b.frozen <= s.now {
 			l = append(l, b)
 		}
@@ -434,7 +434,7 @@
 	}
 }
 
-func (s *sim) writeTo(b *box) {
+func (s *sim) writeTo(b *simNode) {
 	s.token++
 	t := s.token
 	s.bodies[t] = fmt.Sprint("w", t)
@@ -451,12 +451,12 @@
 	s.input(b, b.m.Read(s.clock(b), s.token))
 }
 
-func (s *sim) target() *box {
+func (s *sim) target() *simNode {
 	l := s.live()
 	if len(l) == 0 {
 		return nil
 	}
-	lead := slices.DeleteFunc(slices.Clone(l), func(b *box) bool { return b.m.Status().Role != Primary })
+	lead := slices.DeleteFunc(slices.Clone(l), func(b *simNode) bool { return b.m.Status().Role != Primary })
 	if len(lead) > 0 && s.rng.IntN(10) > 0 {
 		l = lead
 	}
@@ -464,8 +464,8 @@
 }
 
 // leader is the ready primary with the highest epoch, nil if there is none.
-func (s *sim) leader() *box {
-	var l *box
+func (s *sim) leader() *simNode {
+	var l *simNode
 	for _, b := range s.live() {
 		if st := b.m.Status(); st.Role == Primary && st.Ready && (l == nil || st.Epoch > l.m.Status().Epoch) {
 			l = b
@@ -474,18 +474,18 @@
 	return l
 }
 
-// well finds a ready primary of a view in which as many hold the record as must, and that keeps a majority when as many
+// healthyPrimary finds a ready primary of a view in which as many hold the record as must, and that keeps a majority when as many
 // of the members still there by their identity are lost as may be.
-func (s *sim) well() *box {
+func (s *sim) healthyPrimary() *simNode {
 	ids := map[ID]bool{}
-	for _, b := range s.boxes {
-		if !b.gone {
+	for _, b := range s.nodes {
+		if !b.removed {
 			ids[b.disk.Identity.ID] = true
 		}
 	}
 	for _, b := range s.live() {
 		st := b.m.Status()
-		if st.Role != Primary || !st.Ready || len(st.View.Backups) < min(s.survive.Replicas(), len(s.boxes))-1 {
+		if st.Role != Primary || !st.Ready || len(st.View.Backups) < min(s.survive.Replicas(), len(s.nodes))-1 {
 			continue
 		}
 		if len(st.View.Members) < 2*s.survive.Replicas()-1 {
@@ -507,7 +507,7 @@
 		}
 		most := s.survive.Nodes // to be lost at once; a zone has a share of all machines, rounded up
 		if s.survive.Zones > 0 {
-			most = max(most, (len(s.boxes)+s.zones-1)/s.zones*s.survive.Zones)
+			most = max(most, (len(s.nodes)+s.zones-1)/s.zones*s.survive.Zones)
 		}
 		if there-most >= st.View.quorum() && !slices.ContainsFunc(st.View.Backups, func(id ID) bool { return !ids[id] }) {
 			return b
@@ -516,16 +516,16 @@
 	return nil
 }
 
-// settled reports whether all machines are members, one leads, and all know it.
-func (s *sim) settled() bool {
-	p := s.well()
+// converged reports whether all machines are members, one leads, and all know it.
+func (s *sim) converged() bool {
+	p := s.healthyPrimary()
 	if p == nil {
 		return false
 	}
 	st := p.m.Status()
 	n := 0
-	for _, b := range s.boxes {
-		if b.gone {
+	for _, b := range s.nodes {
+		if b.removed {
 			continue
 		}
 		n++
--- a/internal/fleet/replication/staging.go
+++ b/internal/fleet/replication/staging.go
@@ -110,7 +110,7 @@
 }
 
 // handleStageChanges takes changes of a proposer's record. Only with all of them does this machine hold the record
-// (TestPartOfChangesIsNoRecord).
+// (TestPartialChangesMakeNoHolder).
 func (m *Machine) handleStageChanges(msg *Message) {
 	if m.view.Epoch == 0 || m.view.rank(msg.From.ID) < 0 {
 		return
--- a/internal/fleet/replication/takeover_test.go
+++ b/internal/fleet/replication/takeover_test.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		var result Result
-		s.calls[s.token+1] = func(_ carry, a Answer) { result = a.Result }
+		s.calls[s.token+1] = func(_ pendingOutput, a Answer) { result = a.Result }
 		s.writeTo(primary)
 		s.runUntil(end, func() bool {
 			other := s.leader()
@@ -40,16 +40,16 @@
 var takeovers = []struct {
 	name  string
 	bound time.Duration
-	do    func(s *schedule, primary *box)
+	do    func(s *schedule, primary *simNode)
 }{
 	// A backup of rank 1 waits for the time-out, its heartbeat may just have come; then a ballot, a stage and syncs.
-	{"killed", progSuspect + progBeat + 250*ms, func(s *schedule, primary *box) { s.kill(primary) }},
-	{"killed and back within half a second", progSuspect + progBeat + 250*ms, func(s *schedule, primary *box) {
+	{"killed", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) { s.kill(primary) }},
+	{"killed and back within half a second", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) {
 		s.kill(primary)
 		s.after(500*ms, func() { s.start(primary) })
 	}},
-	{"frozen for 20 s", progSuspect + progBeat + 250*ms, func(s *schedule, primary *box) { primary.frozen = s.now + 20*time.Second }},
-	{"told to end", progBeat + 100*ms, func(s *schedule, primary *box) {
+	{"frozen for 20 s", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) { primary.frozen = s.now + 20*time.Second }},
+	{"told to end", progHeartbeat + 100*ms, func(s *schedule, primary *simNode) {
 		life := primary.life
 		s.input(primary, primary.m.Leave(s.clock(primary)))
 		var end func()
@@ -77,7 +77,7 @@
 				var waits []time.Duration
 				for seed := range uint64(*nSeeds) {
 					s := newSchedule(c, seed, of)
-					s.pass(s.upTo(progBeat))
+					s.pass(s.upTo(progHeartbeat))
 					how.do(s, s.leader())
 					waits = append(waits, s.longestWait(3*time.Second))
 					c.Assert(s.err, qt.IsNil, qt.Commentf("seed %d", seed))
@@ -106,7 +106,7 @@
 				s.pass(s.upTo(2 * time.Second))
 				successor, began := s.spare(), s.now
 				s.runUntil(began+boundSync, func() bool {
-					p := s.well()
+					p := s.healthyPrimary()
 					return p != nil && p.m.view.has(successor.disk.Identity.ID)
 				})
 				repairs = append(repairs, s.now-began)
--- a/internal/fleet/replication/transfer_test.go
+++ b/internal/fleet/replication/transfer_test.go
@@ -52,14 +52,14 @@
 	damaged := slices.Clone(chunks)
 	damaged[1].Body = []byte("cXdYeZ")
 	for _, msg := range damaged {
-		sent := h.give(h.backup, h.primary, msg)
+		sent := h.deliver(h.backup, h.primary, msg)
 		h.Assert(sent, qt.HasLen, 1)
 		h.Assert(sent[0].Kind, qt.Equals, KindTransferAck)
 	}
 	h.Assert(h.backup.m.Status().Seq, qt.Equals, uint64(2))
 	h.Assert(strings.Join(h.backup.app.log, ","), qt.Equals, "w1,w2")
 	for i, msg := range chunks {
-		sent := h.give(h.backup, h.primary, msg)
+		sent := h.deliver(h.backup, h.primary, msg)
 		if i < len(chunks)-1 {
 			h.Assert(sent[0].Kind, qt.Equals, KindTransferAck)
 			h.Assert(sent[0].Offset, qt.Equals, msg.Offset+uint64(len(msg.Body)))
@@ -110,15 +110,15 @@
 	n.empty()
 	sent := primary.sent
 	near := func() bool { return n.durableSeq()+20 > core.acked }
-	c.Assert(core.until(10*time.Second, near), qt.IsTrue, qt.Commentf("%s", core.told()))
+	c.Assert(core.until(10*time.Second, near), qt.IsTrue, qt.Commentf("%s", core.describe()))
 	core.until(20*time.Second, func() bool { return false })
-	c.Assert(near(), qt.IsTrue, qt.Commentf("%s", core.told()))
+	c.Assert(near(), qt.IsTrue, qt.Commentf("%s", core.describe()))
 	c.Assert(primary.sent-sent < 2*size, qt.IsTrue, qt.Commentf("%d bytes were sent", primary.sent-sent))
 }
 
-// TestPartOfChangesIsNoRecord: a machine that was sent some of the changes that it lacks, or such that don't follow on
+// TestPartialChangesMakeNoHolder: a machine that was sent some of the changes that it lacks, or such that don't follow on
 // its record, isn't staged.
-func TestPartOfChangesIsNoRecord(t *testing.T) {
+func TestPartialChangesMakeNoHolder(t *testing.T) {
 	h := newHand(t)
 	ballot := h.suspect(h.backup)[0].Ballot
 	all := h.backup.disk.Changes
@@ -127,7 +127,7 @@
 	notStaged := func(msg Message) {
 		h.Helper()
 		msg.Kind, msg.Ballot = KindStageChanges, ballot
-		sent := h.give(h.witness, h.backup, msg)
+		sent := h.deliver(h.witness, h.backup, msg)
 		h.Assert(sent, qt.HasLen, 1)
 		h.Assert(sent[0].Kind, qt.Equals, KindTransferAck)
 		h.Assert(sent[0].Seq, qt.Equals, h.witness.m.Status().Seq)
@@ -136,7 +136,7 @@
 	seq := h.witness.m.Status().Seq
 	notStaged(Message{Seq: 7, Digest: 7, Total: 2})
 	notStaged(Message{Seq: seq, Digest: h.witness.m.log.digest, Changes: all[seq:], Total: 3})
-	sent := h.give(h.witness, h.backup, Message{Kind: KindStageChanges, Ballot: ballot, Seq: all[1].Seq, Digest: all[1].Digest, Total: 2})
+	sent := h.deliver(h.witness, h.backup, Message{Kind: KindStageChanges, Ballot: ballot, Seq: all[1].Seq, Digest: all[1].Digest, Total: 2})
 	h.Assert(sent[0].Kind, qt.Equals, KindStaged)
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
@@ -148,9 +148,9 @@
 	stagedBeforeProposed(h, Message{Kind: KindPromise, Seq: 1, Digest: 99}, KindStage)
 	h = newHand(t)
 	ballot := h.suspect(h.backup)[0].Ballot
-	staged := h.give(h.witness, h.backup, Message{Kind: KindStage, Ballot: ballot, Seq: 3, Digest: 33, Body: []byte("w1\nw2\nx")})
+	staged := h.deliver(h.witness, h.backup, Message{Kind: KindStage, Ballot: ballot, Seq: 3, Digest: 33, Body: []byte("w1\nw2\nx")})
 	h.Assert(staged[0].Kind, qt.Equals, KindStaged)
-	h.give(h.witness, h.primary, Message{Kind: KindSnapshot, Seq: 2, Digest: h.primary.m.log.digest, Body: []byte("w1\nw2")})
+	h.deliver(h.witness, h.primary, Message{Kind: KindSnapshot, Seq: 2, Digest: h.primary.m.log.digest, Body: []byte("w1\nw2")})
 	h.Assert(strings.Join(h.witness.app.log, ","), qt.Equals, "w1,w2,x")
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
@@ -165,14 +165,14 @@
 	acked := core.acked
 	core.longest, core.ackedAt = 0, core.now
 	core.byRole(Backup).stop()
-	c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+10 }), qt.IsTrue, qt.Commentf("%s", core.told()))
+	c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+10 }), qt.IsTrue, qt.Commentf("%s", core.describe()))
 	t.Logf("no acknowledgement for %v", core.longest)
 	c.Check(core.longest < 1500*ms, qt.IsTrue, qt.Commentf("%v", core.longest))
 }
 
-// TestStagedRecordIsNew: while an older record is on its way to a learner its primary proposes a view. What it stages
+// TestStagedRecordIsCurrent: while an older record is on its way to a learner its primary proposes a view. What it stages
 // is the record up to its stop, not the one that was on its way.
-func TestStagedRecordIsNew(t *testing.T) {
+func TestStagedRecordIsCurrent(t *testing.T) {
 	h := newHand(t)
 	m := h.primary.m
 	old := &image{seq: 1, digest: ChainDigest(0, 1, []byte("w1")), checksum: 1, body: []byte("w1")}
@@ -181,11 +181,11 @@
 	before := m.Status()
 	m.beginInput(h.s.clock(h.primary))
 	m.campaign()
-	h.done(h.primary, m.endInput(before))
+	h.persist(h.primary, m.endInput(before))
 	h.Assert(m.stopped(), qt.IsTrue)
 	var staged []Message
-	for _, b := range []*box{h.backup, h.witness} { // neither is a holder, nor has a record that is a part of the primary's
-		staged = append(staged, h.give(h.primary, b, Message{Kind: KindPromise, Ballot: m.candidacy.ballot, Seq: 1, Digest: 99})...)
+	for _, b := range []*simNode{h.backup, h.witness} { // neither is a holder, nor has a record that is a part of the primary's
+		staged = append(staged, h.deliver(h.primary, b, Message{Kind: KindPromise, Ballot: m.candidacy.ballot, Seq: 1, Digest: 99})...)
 	}
 	staged = slices.DeleteFunc(staged, func(msg Message) bool { return msg.Kind != KindStage })
 	h.Assert(len(staged) > 0, qt.IsTrue)
--- a/internal/fleet/replication/trial_test.go
+++ b/internal/fleet/replication/trial_test.go
@@ -17,7 +17,7 @@
 		n, _ := strconv.Atoi(figure)
 		b := &sh.budget
 		counts := map[string]*uint8{
-			"writes": &b.writes, "reads": &b.reads, "beats": &b.beats, "waits": &b.waits, "crashes": &b.crashes, "wipes": &b.wipes,
+			"writes": &b.writes, "reads": &b.reads, "beats": &b.heartbeats, "waits": &b.waits, "crashes": &b.crashes, "wipes": &b.wipes,
 			"starts": &b.starts, "retries": &b.retries, "freezes": &b.freezes, "passes": &b.passes, "leaves": &b.leaves,
 		}
 		sizes := map[string]*int{"members": &sh.members, "joiners": &sh.joiners, "survive": &sh.survive}
