--- a/internal/fleet/replication/catchup_test.go
+++ b/internal/fleet/replication/catchup_test.go
@@ -100,7 +100,9 @@
 		random: rand.New(rand.NewPCG(uint64(n), uint64(size))), pending: map[uint64]time.Duration{},
 	}
 	for i := range n {
-		core.nodes = append(core.nodes, &thinNode{core: core, addr: fmt.Sprintf("10.0.%d.1:7000", i), waiting: map[string]int{}})
+		core.nodes = append(
+			core.nodes, &thinNode{core: core, addr: fmt.Sprintf("10.0.%d.1:7000", i), waiting: map[string]int{}},
+		)
 	}
 	return core
 }
@@ -134,8 +136,12 @@
 	}
 	m, err := New(Options{
 		Self: Member{Addr: n.addr, Zone: n.addr, Region: "r"}, Tolerance: t.survive, Seeds: seeds, Bootstrap: !t.bootOver,
-		HeartbeatInterval: 150 * ms, ElectionTimeout: 700 * ms, ElectionStagger: 250 * ms, WriteTimeout: 600 * ms, MemberTimeout: 4 * time.Second,
-		SnapshotBytes: t.logBytes, Rand: t.random.Uint64,
+		HeartbeatInterval: 150 * ms,
+		ElectionTimeout:   700 * ms,
+		ElectionStagger:   250 * ms,
+		WriteTimeout:      600 * ms,
+		MemberTimeout:     4 * time.Second,
+		SnapshotBytes:     t.logBytes, Rand: t.random.Uint64,
 	}, n.disk, n.app)
 	t.c.Assert(err, qt.IsNil)
 	n.m = m
@@ -192,7 +198,10 @@
 	held := n.disk.Replica.RecordEpoch
 	save(&n.disk, out.Write)
 	if now := n.disk.Replica.RecordEpoch; now > max(held, 1) {
-		t.c.Assert(n.durableSeq() >= t.acked, qt.IsTrue, qt.Commentf("%s holds the record for epoch %d up to %d, %d was acknowledged", n.addr, now, n.durableSeq(), t.acked))
+		t.c.Assert(
+			n.durableSeq() >= t.acked, qt.IsTrue,
+			qt.Commentf("%s holds the record for epoch %d up to %d, %d was acknowledged", n.addr, now, n.durableSeq(), t.acked),
+		)
 	}
 	for _, e := range out.Send {
 		n.send(e)
@@ -310,7 +319,10 @@
 			continue
 		}
 		s := n.m.Status()
-		fmt.Fprintf(&b, "\n%s %v epoch %d ready %v seq %d stopped %v: %+v", n.addr, s.Role, s.Epoch, s.Ready, s.Seq, n.m.stopped(), n.m.candidacy)
+		fmt.Fprintf(
+			&b, "\n%s %v epoch %d ready %v seq %d stopped %v: %+v", n.addr, s.Role, s.Epoch, s.Ready, s.Seq,
+			n.m.stopped(), n.m.candidacy,
+		)
 	}
 	return b.String()
 }
@@ -346,7 +358,10 @@
 	c.Assert(t.until(10*time.Second, t.settled), qt.IsTrue, qt.Commentf("no start"))
 	t.bootOver, t.ackedAt = true, t.now
 	t.change(size) // the operator's first configuration, whole
-	c.Assert(t.until(20*time.Second, func() bool { return t.acked == 1 }), qt.IsTrue, qt.Commentf("the first configuration isn't acknowledged"))
+	c.Assert(
+		t.until(20*time.Second, func() bool { return t.acked == 1 }), qt.IsTrue,
+		qt.Commentf("the first configuration isn't acknowledged"),
+	)
 	t.keepChanging(40*ms, 400)
 	c.Assert(t.until(5*time.Second, func() bool { return t.acked >= 40 }), qt.IsTrue, qt.Commentf("%s", t.describe()))
 }
@@ -390,7 +405,10 @@
 				acked = core.acked
 				core.primary().stop()
 				core.longest = 0
-				c.Assert(core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue, qt.Commentf("nothing was acknowledged after the primary was lost: %s", core.describe()))
+				c.Assert(
+					core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
+					qt.Commentf("nothing was acknowledged after the primary was lost: %s", core.describe()),
+				)
 				c.Assert(core.primary().app.seq >= core.acked, qt.IsTrue)
 				t.Logf("the primary lost as well: no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
@@ -423,7 +441,10 @@
 				stalled.stall(stall)
 				core.longest, core.ackedAt = 0, core.now
 				acked := core.acked
-				c.Assert(core.until(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue, qt.Commentf("%s", core.describe()))
+				c.Assert(
+					core.until(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue,
+					qt.Commentf("%s", core.describe()),
+				)
 				core.until(stall, func() bool { return false })
 				t.Logf("no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
@@ -470,12 +491,18 @@
 			n := core.byRole(Backup)
 			n.stop()
 			acked := core.acked
-			c.Assert(core.until(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }), qt.IsTrue, qt.Commentf("%s", core.describe()))
+			c.Assert(
+				core.until(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }),
+				qt.IsTrue, qt.Commentf("%s", core.describe()),
+			)
 			primary := core.primary()
 			target, began, sent, encoded := core.acked, core.now, primary.sent, primary.app.snapshots
 			n.start()
 			link := time.Duration(float64(size) / core.bytesPerSec * float64(time.Second))
-			c.Assert(core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }), qt.IsTrue, qt.Commentf("%s", core.describe()))
+			c.Assert(
+				core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }),
+				qt.IsTrue, qt.Commentf("%s", core.describe()),
+			)
 			t.Logf("%d bytes, away for %d changes: caught up after %v, %d bytes sent by the primary to all, record encoded %d times",
 				size, away, core.now-began, primary.sent-sent, primary.app.snapshots-encoded)
 		}
--- a/internal/fleet/replication/histories_test.go
+++ b/internal/fleet/replication/histories_test.go
@@ -163,7 +163,9 @@
 		}
 		began := int64(o.now)
 		at := len(o.ops)
-		o.ops = append(o.ops, porcupine.Operation{ClientId: id, Input: call, Call: began, Output: output{}, Return: math.MaxInt64})
+		o.ops = append(
+			o.ops, porcupine.Operation{ClientId: id, Input: call, Call: began, Output: output{}, Return: math.MaxInt64},
+		)
 		o.open++
 		ended := false
 		end := func(out output) {
--- a/internal/fleet/replication/machine_test.go
+++ b/internal/fleet/replication/machine_test.go
@@ -175,7 +175,9 @@
 		s.fail("not settled after calm")
 	}
 	acked, confirms := s.ackedMax, s.confirms
-	if s.err == nil && !s.runUntil(s.now+5*time.Second, func() bool { return s.ackedMax > acked && s.confirms > confirms }) {
+	if s.err == nil && !s.runUntil(
+		s.now+5*time.Second, func() bool { return s.ackedMax > acked && s.confirms > confirms },
+	) {
 		s.fail("nothing is acknowledged or read after calm")
 	}
 	// What was acknowledged is there.
@@ -239,8 +241,8 @@
 	}
 }
 
-// TestBootstrapFormsOneSystem: seeds that are restarted while the first start goes on, and one that comes up much later, form
-// one system; a machine that says bootstrap and isn't a seed joins.
+// TestBootstrapFormsOneSystem: seeds that are restarted while the first start goes on, and one that comes up much
+// later, form one system; a machine that says bootstrap and isn't a seed joins.
 func TestBootstrapFormsOneSystem(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(7, 4, 3, FailureTolerance{Nodes: 1})
@@ -323,7 +325,9 @@
 		s.kill(p)
 		p.disk = PersistentState{}
 		c.Assert(s.runUntil(s.now+3*time.Second, func() bool {
-			return slices.ContainsFunc(s.live(), func(b *simNode) bool { return b.m.Status().Role == Primary && b.m.Status().Ready })
+			return slices.ContainsFunc(
+				s.live(), func(b *simNode) bool { return b.m.Status().Role == Primary && b.m.Status().Ready },
+			)
 		}), qt.IsTrue)
 		s.start(p)
 		c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
@@ -332,7 +336,8 @@
 	}
 }
 
-// TestPowerLossAfterAcknowledgement: right after an acknowledgement all lose power and as many as survive allows their disks.
+// TestPowerLossAfterAcknowledgement: right after an acknowledgement all lose power and as many as survive allows their
+// disks.
 func TestPowerLossAfterAcknowledgement(t *testing.T) {
 	for seed := uint64(1); seed <= 100; seed++ {
 		c := qt.New(t)
@@ -344,7 +349,10 @@
 		calm(t, s, s.rng.Perm(n), 0)
 		s.bootUntil = 0
 		s.writeTo(s.healthyPrimary())
-		c.Assert(s.runUntil(s.now+2*time.Second, func() bool { return s.ackedMax == 1 }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(
+			s.runUntil(s.now+2*time.Second, func() bool { return s.ackedMax == 1 }), qt.IsTrue,
+			qt.Commentf("seed %d", seed),
+		)
 		lost := s.rng.Perm(n)[:k]
 		for i, b := range s.nodes {
 			s.kill(b)
--- a/internal/fleet/replication/membership_test.go
+++ b/internal/fleet/replication/membership_test.go
@@ -107,7 +107,10 @@
 	if s.ackedMax == acked {
 		for _, b := range s.live() {
 			st := b.m.Status()
-			c.Logf("%s %s epoch %d, %d members, backups %d, ready %v", b.addr, st.Role, st.Epoch, len(st.View.Members), len(st.View.Backups), st.Ready)
+			c.Logf(
+				"%s %s epoch %d, %d members, backups %d, ready %v", b.addr, st.Role, st.Epoch, len(st.View.Members),
+				len(st.View.Backups), st.Ready,
+			)
 		}
 		c.Fatalf("no change is acknowledged: %v", about)
 	}
@@ -236,8 +239,8 @@
 	return 0
 }
 
-// TestDepartingMemberHoldsNoOnlyReplica: when a machine that was told to end is released, whatever its role, the record outlives
-// any loss of others that must be survived.
+// TestDepartingMemberHoldsNoOnlyReplica: when a machine that was told to end is released, whatever its role, the record
+// outlives any loss of others that must be survived.
 func TestDepartingMemberHoldsNoOnlyReplica(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -245,13 +248,17 @@
 		role := b.m.Status().Role
 		took := s.depart(b)
 		c.Assert(took < leaveWithin, qt.IsTrue, qt.Commentf("%v seed %d: the %s is not released", of, seed, role))
-		c.Assert(s.recordBears(of.survive, b), qt.IsTrue, qt.Commentf("%v seed %d: the %s had one of too few copies", of, seed, role))
+		c.Assert(
+			s.recordBears(of.survive, b), qt.IsTrue,
+			qt.Commentf("%v seed %d: the %s had one of too few copies", of, seed, role),
+		)
 		b.removed = true
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// TestDepartedMemberStaysOut: a machine that was told to end and left out of the members doesn't come in again while it lasts.
+// TestDepartedMemberStaysOut: a machine that was told to end and left out of the members doesn't come in again while it
+// lasts.
 func TestDepartedMemberStaysOut(t *testing.T) {
 	for seed := range uint64(10) {
 		c := qt.New(t)
@@ -290,7 +297,8 @@
 	})
 }
 
-// TestPrimaryAndOnlyBackupDepart: the primary and its only backup leave at the same moment; the machines that stay take over.
+// TestPrimaryAndOnlyBackupDepart: the primary and its only backup leave at the same moment; the machines that stay take
+// over.
 func TestPrimaryAndOnlyBackupDepart(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
@@ -308,8 +316,8 @@
 	}
 }
 
-// TestSingleMemberDeparts: a machine that is the whole core, or hears nobody, isn't kept waiting for a release that nobody can
-// give.
+// TestSingleMemberDeparts: a machine that is the whole core, or hears nobody, isn't kept waiting for a release that
+// nobody can give.
 func TestSingleMemberDeparts(t *testing.T) {
 	c := qt.New(t)
 	s := newSchedule(c, 1, coreCase{1, 0})
@@ -392,8 +400,8 @@
 	})
 }
 
-// TestDisksWipedInTurn: the disks go one after the other, each as soon as the last had its time, all others without power at
-// the same moment at times.
+// TestDisksWipedInTurn: the disks go one after the other, each as soon as the last had its time, all others without
+// power at the same moment at times.
 func TestDisksWipedInTurn(t *testing.T) {
 	eachCase(t, 4, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i := range 2 * of.machines {
@@ -412,8 +420,8 @@
 	})
 }
 
-// TestRollingRestart: the machines are told to end one after the other, a second apart, and come back with their disks; with
-// the last that may be lost gone for good.
+// TestRollingRestart: the machines are told to end one after the other, a second apart, and come back with their disks;
+// with the last that may be lost gone for good.
 func TestRollingRestart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i, b := range slices.Clone(s.nodes) {
@@ -431,8 +439,8 @@
 	})
 }
 
-// TestAllMembersDepart: every machine is told to end at the same moment and ends within its time; all come back with their
-// disks.
+// TestAllMembersDepart: every machine is told to end at the same moment and ends within its time; all come back with
+// their disks.
 func TestAllMembersDepart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for _, b := range s.nodes {
@@ -451,8 +459,8 @@
 	})
 }
 
-// TestPrimaryDepartsWithLostBackup: a backup is lost at the moment when the primary is told to end; others take its place, and
-// then the primary's.
+// TestPrimaryDepartsWithLostBackup: a backup is lost at the moment when the primary is told to end; others take its
+// place, and then the primary's.
 func TestPrimaryDepartsWithLostBackup(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -467,8 +475,8 @@
 	})
 }
 
-// TestStormWithDepartures plays storms in which machines are told to end as well: in the middle of other troubles they end
-// when they are released or their time is over, and come back.
+// TestStormWithDepartures plays storms in which machines are told to end as well: in the middle of other troubles they
+// end when they are released or their time is over, and come back.
 func TestStormWithDepartures(t *testing.T) {
 	for _, of := range []coreCase{{1, 0}, {3, 1}, {4, 1}, {5, 2}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -16,7 +16,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var planted = flag.String("replication.planted", "", "lay each planted fault in turn and see which of these kinds of tests find it, which takes minutes: search,hand,storms,histories")
+var planted = flag.String(
+	"replication.planted", "",
+	"lay each planted fault in turn and see which of these kinds of tests find it, which takes minutes: search,hand,storms,histories",
+)
 
 // plantedFault is an error that is laid into a copy of the sources: each old text, which the package has exactly once,
 // is replaced.
@@ -95,7 +98,9 @@
 	c.Assert(err, qt.IsNil)
 	overlay, binary := filepath.Join(dir, "overlay.json"), filepath.Join(dir, "replication.test")
 	c.Assert(os.WriteFile(overlay, list, 0o600), qt.IsNil)
-	out, err := exec.CommandContext(c.Context(), "go", "test", "-vet=off", "-p=2", "-c", "-overlay", overlay, "-o", binary, ".").CombinedOutput()
+	out, err := exec.CommandContext(
+		c.Context(), "go", "test", "-vet=off", "-p=2", "-c", "-overlay", overlay, "-o", binary, ".",
+	).CombinedOutput()
 	c.Assert(err, qt.IsNil, qt.Commentf("%s", out))
 	return binary
 }
@@ -136,7 +141,10 @@
 			c := qt.New(t)
 			changed, err := f.lay(texts)
 			c.Assert(err, qt.IsNil)
-			c.Assert((f.foundBy == "") != (f.missed == ""), qt.IsTrue, qt.Commentf("either found by some tests or missed for a reason"))
+			c.Assert(
+				(f.foundBy == "") != (f.missed == ""), qt.IsTrue,
+				qt.Commentf("either found by some tests or missed for a reason"),
+			)
 			if *planted == "" {
 				return
 			}
--- a/internal/fleet/replication/quorumcontact_test.go
+++ b/internal/fleet/replication/quorumcontact_test.go
@@ -63,12 +63,24 @@
 					for epoch, since := range known {
 						if epoch > b.m.view.Epoch {
 							later++
-							c.Check(since >= at, qt.IsTrue, qt.Commentf("seed %d, %d members, %v: %s claims epoch %d as of %v, epoch %d is known since %v", seed, members, s.now, b.addr, b.m.view.Epoch, at, epoch, since))
+							c.Check(
+								since >= at, qt.IsTrue,
+								qt.Commentf(
+									"seed %d, %d members, %v: %s claims epoch %d as of %v, epoch %d is known since %v", seed, members,
+									s.now, b.addr, b.m.view.Epoch, at, epoch, since,
+								),
+							)
 						}
 					}
 					for i := len(acks) - 1; i >= 0; i-- {
 						if acks[i].at < at {
-							c.Check(b.m.log.committed >= acks[i].seq, qt.IsTrue, qt.Commentf("seed %d, %d members, %v: %s claims %v without change %d", seed, members, s.now, b.addr, at, acks[i].seq))
+							c.Check(
+								b.m.log.committed >= acks[i].seq, qt.IsTrue,
+								qt.Commentf(
+									"seed %d, %d members, %v: %s claims %v without change %d", seed, members, s.now, b.addr, at,
+									acks[i].seq,
+								),
+							)
 							break
 						}
 					}
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -355,7 +355,10 @@
 			default:
 				verdict = "no: no copy is left"
 			}
-			fmt.Fprintf(&table, "| %s | %s | %s | %d | %d | %d | %d | %s |\n", l, s.name, members, s.quorum, s.copies, s.spareVotes, s.lastCopy, verdict)
+			fmt.Fprintf(
+				&table, "| %s | %s | %s | %d | %d | %d | %d | %s |\n", l, s.name, members, s.quorum, s.copies,
+				s.spareVotes, s.lastCopy, verdict,
+			)
 		}
 	}
 	page, err := os.ReadFile(tablePage)
--- a/internal/fleet/replication/record.go
+++ b/internal/fleet/replication/record.go
@@ -24,7 +24,8 @@
 }
 
 // saveChanges writes changes that were applied, as a snapshot when they are many. They are on disk before this machine
-// acknowledges them, as primary or as backup: what is acknowledged outlives a loss of power of all (TestPowerLossAfterAcknowledgement).
+// acknowledges them, as primary or as backup: what is acknowledged outlives a loss of power of all
+// (TestPowerLossAfterAcknowledgement).
 func (m *Machine) saveChanges(cs ...Change) {
 	if m.logFull() {
 		m.saveSnapshot(m.app.Snapshot())
--- a/internal/fleet/replication/restoreddisk_test.go
+++ b/internal/fleet/replication/restoreddisk_test.go
@@ -34,7 +34,10 @@
 	led := func() bool { return core.primary() != nil }
 	c.Assert(core.until(10*time.Second, led), qt.IsFalse, qt.Commentf("an old disk leads: %s", core.describe()))
 	primary.start()
-	c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue, qt.Commentf("nothing is acknowledged with all there: %s", core.describe()))
+	c.Assert(
+		core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue,
+		qt.Commentf("nothing is acknowledged with all there: %s", core.describe()),
+	)
 	c.Assert(core.until(10*time.Second, func() bool {
 		p, b := core.primary(), core.byRole(Backup)
 		return p != nil && b != nil && p.app.seq == b.app.seq && p.app.digest == b.app.digest
@@ -53,7 +56,10 @@
 		c.Assert(core.until(10*time.Second, func() bool { return core.acked >= was+50 }), qt.IsTrue)
 		acked := core.acked
 		core.restoreDisk(backup, earlier)
-		c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue, qt.Commentf("it never catches up: %s", core.describe()))
+		c.Assert(
+			core.until(10*time.Second, func() bool { return core.acked >= acked+20 }), qt.IsTrue,
+			qt.Commentf("it never catches up: %s", core.describe()),
+		)
 		c.Assert(core.until(time.Second, func() bool { return backup.app.seq >= core.acked }), qt.IsTrue)
 	}
 }
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -193,8 +193,8 @@
 	h.Assert(h.persist(w, w.m.Step(h.s.clock(w), "", &stranger)), qt.HasLen, 0)
 }
 
-// TestStaleRecordHasNoVote: a machine that the view names, but whose record is of an older epoch, neither acknowledges nor
-// proposes.
+// TestStaleRecordHasNoVote: a machine that the view names, but whose record is of an older epoch, neither acknowledges
+// nor proposes.
 func TestStaleRecordHasNoVote(t *testing.T) {
 	h := newHand(t)
 	h.backup.disk.Replica = ReplicaState{}
@@ -380,8 +380,8 @@
 	h.Assert(s.err, qt.IsNil)
 }
 
-// TestUnresponsiveMembersStay: members are left out only as long as a majority stays when as many as may be lost are lost
-// after that.
+// TestUnresponsiveMembersStay: members are left out only as long as a majority stays when as many as may be lost are
+// lost after that.
 func TestUnresponsiveMembersStay(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(11, 5, 5, FailureTolerance{Nodes: 2})
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -76,8 +76,20 @@
 	stepLeave
 )
 
-var stepNames = [...]string{"gets", "is to write", "is to read", "beats", "waits", "crashes and restarts", "loses its disk and restarts", "starts",
-	"is asked again for", "was frozen", "time passes for all,", "is told to end"}
+var stepNames = [...]string{
+	"gets",
+	"is to write",
+	"is to read",
+	"beats",
+	"waits",
+	"crashes and restarts",
+	"loses its disk and restarts",
+	"starts",
+	"is asked again for",
+	"was frozen",
+	"time passes for all,",
+	"is told to end",
+}
 
 // inSync is one thing that happens to a machine; arg is a message or a token.
 type step struct {
@@ -139,7 +151,14 @@
 
 func newExplorer(n int, sv FailureTolerance, small bool, limit int) *explorer {
 	x := &explorer{
-		n: n, founders: n, timing: quickTiming, survive: sv, small: small, limit: limit, cellIDs: map[string]uint32{}, msgIDs: map[string]uint32{},
+		n:        n,
+		founders: n,
+		timing:   quickTiming,
+		survive:  sv,
+		small:    small,
+		limit:    limit,
+		cellIDs:  map[string]uint32{},
+		msgIDs:   map[string]uint32{},
 		ghostIDs: map[string]uint32{}, effects: map[stepOf]*effect{}, ghosts: []ghost{{}}, views: map[string]View{},
 		passes: map[passOf]*passing{}, calms: map[passOf]time.Duration{},
 	}
@@ -218,7 +237,7 @@
 }
 
 var kindNames = map[Kind]string{
-	KindHello: "helloMessage", KindView: "view", KindHeartbeat: "beat", KindHeartbeatAck: "ack", KindAppend: "appendProposal",
+	KindHello: "hello", KindView: "view", KindHeartbeat: "beat", KindHeartbeatAck: "ack", KindAppend: "append",
 	KindSnapshot: "snapshot", KindStage: "stage", KindStaged: "staged", KindPrepare: "prepare", KindPromise: "promise",
 	KindAccept: "accept", KindAccepted: "accepted", KindReject: "refuse", KindHandover: "handover",
 	KindTransferAck: "received", KindStageChanges: "stage changes",
--- a/internal/fleet/replication/searchrules_test.go
+++ b/internal/fleet/replication/searchrules_test.go
@@ -145,7 +145,9 @@
 		}
 		for _, f := range e.sent {
 			at, ok := slices.BinarySearch(w.net, f)
-			if ok || x.inert(w, f) && len(x.play(w.cells[x.packets[f].to], step{stepDeliver, uint8(x.packets[f].to), f}).sent) == 0 {
+			if ok || x.inert(w, f) && len(x.play(
+				w.cells[x.packets[f].to], step{stepDeliver, uint8(x.packets[f].to), f},
+			).sent) == 0 {
 				continue
 			}
 			if !own {
@@ -273,8 +275,9 @@
 	return g.refusals()
 }
 
-// exhausted reports whether as many machines may be lost as at the beginning: a primary of the newest view is ready, all
-// backups that must be are there with their disks, and a majority of the members stays when as many are lost as may be.
+// fullyRedundant reports whether as many machines may be lost as at the beginning: a primary of the newest view is
+// ready, all backups that must be are there with their disks, and a majority of the members stays when as many are lost
+// as may be.
 func (x *explorer) fullyRedundant(w *modelState, g *ghost) bool {
 	newest := uint64(len(g.views)) - 1
 	v := x.views[g.views[newest]]
--- a/internal/fleet/replication/searchrun_test.go
+++ b/internal/fleet/replication/searchrun_test.go
@@ -66,7 +66,10 @@
 	}
 	l := &w.left
 	buf = binary.LittleEndian.AppendUint32(buf, w.ghost)
-	buf = append(buf, l.writes, l.reads, l.heartbeats, l.waits, l.crashes, l.wipes, l.starts, l.retries, l.freezes, l.passes, l.leaves)
+	buf = append(
+		buf, l.writes, l.reads, l.heartbeats, l.waits, l.crashes, l.wipes, l.starts, l.retries, l.freezes, l.passes,
+		l.leaves,
+	)
 	for _, m := range w.net {
 		buf = binary.LittleEndian.AppendUint32(buf, m)
 	}
@@ -99,7 +102,8 @@
 	}
 	return fmt.Sprintf("%d states (%s), %d steps, %d cells, %d messages, led up to epoch %d, acknowledged up to %d, "+
 		"%d to %d members, %d disks lost, acknowledged within %v when calm (%d tried), %v",
-		f.states, all, f.steps, f.cells, f.msgs, f.led, f.acked, f.fewest, f.most, f.wipes, f.slowest, f.calms, f.took.Round(time.Millisecond))
+		f.states, all, f.steps, f.cells, f.msgs, f.led, f.acked, f.fewest, f.most, f.wipes, f.slowest, f.calms,
+		f.took.Round(time.Millisecond))
 }
 
 // run searches from first on.
--- a/internal/fleet/replication/sim_test.go
+++ b/internal/fleet/replication/sim_test.go
@@ -474,8 +474,8 @@
 	return l
 }
 
-// healthyPrimary finds a ready primary of a view in which as many hold the record as must, and that keeps a majority when as many
-// of the members still there by their identity are lost as may be.
+// healthyPrimary finds a ready primary of a view in which as many hold the record as must, and that keeps a majority
+// when as many of the members still there by their identity are lost as may be.
 func (s *sim) healthyPrimary() *simNode {
 	ids := map[ID]bool{}
 	for _, b := range s.nodes {
--- a/internal/fleet/replication/takeover_test.go
+++ b/internal/fleet/replication/takeover_test.go
@@ -48,7 +48,10 @@
 		s.kill(primary)
 		s.after(500*ms, func() { s.start(primary) })
 	}},
-	{"frozen for 20 s", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) { primary.frozen = s.now + 20*time.Second }},
+	{
+		"frozen for 20 s", progElection + progHeartbeat + 250*ms,
+		func(s *schedule, primary *simNode) { primary.frozen = s.now + 20*time.Second },
+	},
 	{"told to end", progHeartbeat + 100*ms, func(s *schedule, primary *simNode) {
 		life := primary.life
 		s.input(primary, primary.m.Leave(s.clock(primary)))
@@ -84,7 +87,10 @@
 				}
 				slices.Sort(waits)
 				n := len(waits)
-				c.Logf("%d takeovers: median %v, 99 in 100 %v, longest %v", n, waits[n/2].Round(ms), waits[n*99/100].Round(ms), waits[n-1].Round(ms))
+				c.Logf(
+					"%d takeovers: median %v, 99 in 100 %v, longest %v", n, waits[n/2].Round(ms), waits[n*99/100].Round(ms),
+					waits[n-1].Round(ms),
+				)
 				c.Check(waits[n-1] <= how.bound, qt.IsTrue, qt.Commentf("longest %v, bound %v", waits[n-1], how.bound))
 			})
 		}
@@ -114,7 +120,10 @@
 			}
 			slices.Sort(repairs)
 			n := len(repairs)
-			c.Logf("%d repairs: median %v, 99 in 100 %v, longest %v", n, repairs[n/2].Round(ms), repairs[n*99/100].Round(ms), repairs[n-1].Round(ms))
+			c.Logf(
+				"%d repairs: median %v, 99 in 100 %v, longest %v", n, repairs[n/2].Round(ms), repairs[n*99/100].Round(ms),
+				repairs[n-1].Round(ms),
+			)
 			c.Check(repairs[n-1] < boundSync, qt.IsTrue, qt.Commentf("longest %v", repairs[n-1]))
 		})
 	}
--- a/internal/fleet/replication/transfer_test.go
+++ b/internal/fleet/replication/transfer_test.go
@@ -18,9 +18,30 @@
 // several.
 func TestSearchChunks(t *testing.T) {
 	for _, sh := range []shape{
-		{name: "three writes, snapshots and a takeover", members: 3, small: true, chunkBytes: smallChunk, budget: budget{writes: 2, waits: 1}, want: reach{led: 2, acked: 2}},
-		{name: "a write, a takeover and a lost disk", members: 3, small: true, chunkBytes: smallChunk, budget: budget{writes: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 2, joined: true, wipes: 1}},
-		{name: "a write, a takeover and a restart", members: 3, small: true, chunkBytes: smallChunk, budget: budget{writes: 1, waits: 1, crashes: 1}, want: reach{led: 2, acked: 2}},
+		{
+			name:       "three writes, snapshots and a takeover",
+			members:    3,
+			small:      true,
+			chunkBytes: smallChunk,
+			budget:     budget{writes: 2, waits: 1},
+			want:       reach{led: 2, acked: 2},
+		},
+		{
+			name:       "a write, a takeover and a lost disk",
+			members:    3,
+			small:      true,
+			chunkBytes: smallChunk,
+			budget:     budget{writes: 1, waits: 1, wipes: 1},
+			want:       reach{led: 2, acked: 2, joined: true, wipes: 1},
+		},
+		{
+			name:       "a write, a takeover and a restart",
+			members:    3,
+			small:      true,
+			chunkBytes: smallChunk,
+			budget:     budget{writes: 1, waits: 1, crashes: 1},
+			want:       reach{led: 2, acked: 2},
+		},
 	} {
 		t.Run(sh.name, func(t *testing.T) {
 			t.Parallel()
@@ -105,7 +126,9 @@
 func TestLogIsKeptForRecord(t *testing.T) {
 	c := qt.New(t)
 	const size = 6_000_000
-	core := startThinCoreWith(c, 3, FailureTolerance{Nodes: 1}, size, 40_000) // 4.8 s on the link; 100 changes or 4 s in the log
+	core := startThinCoreWith(
+		c, 3, FailureTolerance{Nodes: 1}, size, 40_000,
+	) // 4.8 s on the link; 100 changes or 4 s in the log
 	n, primary := core.byRole(Witness), core.primary()
 	n.empty()
 	sent := primary.sent
@@ -116,8 +139,8 @@
 	c.Assert(primary.sent-sent < 2*size, qt.IsTrue, qt.Commentf("%d bytes were sent", primary.sent-sent))
 }
 
-// TestPartialChangesMakeNoHolder: a machine that was sent some of the changes that it lacks, or such that don't follow on
-// its record, isn't staged.
+// TestPartialChangesMakeNoHolder: a machine that was sent some of the changes that it lacks, or such that don't follow
+// on its record, isn't staged.
 func TestPartialChangesMakeNoHolder(t *testing.T) {
 	h := newHand(t)
 	ballot := h.suspect(h.backup)[0].Ballot
@@ -136,7 +159,10 @@
 	seq := h.witness.m.Status().Seq
 	notStaged(Message{Seq: 7, Digest: 7, Total: 2})
 	notStaged(Message{Seq: seq, Digest: h.witness.m.log.digest, Changes: all[seq:], Total: 3})
-	sent := h.deliver(h.witness, h.backup, Message{Kind: KindStageChanges, Ballot: ballot, Seq: all[1].Seq, Digest: all[1].Digest, Total: 2})
+	sent := h.deliver(
+		h.witness, h.backup,
+		Message{Kind: KindStageChanges, Ballot: ballot, Seq: all[1].Seq, Digest: all[1].Digest, Total: 2},
+	)
 	h.Assert(sent[0].Kind, qt.Equals, KindStaged)
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
@@ -148,9 +174,14 @@
 	stagedBeforeProposed(h, Message{Kind: KindPromise, Seq: 1, Digest: 99}, KindStage)
 	h = newHand(t)
 	ballot := h.suspect(h.backup)[0].Ballot
-	staged := h.deliver(h.witness, h.backup, Message{Kind: KindStage, Ballot: ballot, Seq: 3, Digest: 33, Body: []byte("w1\nw2\nx")})
+	staged := h.deliver(
+		h.witness, h.backup, Message{Kind: KindStage, Ballot: ballot, Seq: 3, Digest: 33, Body: []byte("w1\nw2\nx")},
+	)
 	h.Assert(staged[0].Kind, qt.Equals, KindStaged)
-	h.deliver(h.witness, h.primary, Message{Kind: KindSnapshot, Seq: 2, Digest: h.primary.m.log.digest, Body: []byte("w1\nw2")})
+	h.deliver(
+		h.witness, h.primary,
+		Message{Kind: KindSnapshot, Seq: 2, Digest: h.primary.m.log.digest, Body: []byte("w1\nw2")},
+	)
 	h.Assert(strings.Join(h.witness.app.log, ","), qt.Equals, "w1,w2,x")
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
@@ -165,13 +196,16 @@
 	acked := core.acked
 	core.longest, core.ackedAt = 0, core.now
 	core.byRole(Backup).stop()
-	c.Assert(core.until(10*time.Second, func() bool { return core.acked >= acked+10 }), qt.IsTrue, qt.Commentf("%s", core.describe()))
+	c.Assert(
+		core.until(10*time.Second, func() bool { return core.acked >= acked+10 }), qt.IsTrue,
+		qt.Commentf("%s", core.describe()),
+	)
 	t.Logf("no acknowledgement for %v", core.longest)
 	c.Check(core.longest < 1500*ms, qt.IsTrue, qt.Commentf("%v", core.longest))
 }
 
-// TestStagedRecordIsCurrent: while an older record is on its way to a learner its primary proposes a view. What it stages
-// is the record up to its stop, not the one that was on its way.
+// TestStagedRecordIsCurrent: while an older record is on its way to a learner its primary proposes a view. What it
+// stages is the record up to its stop, not the one that was on its way.
 func TestStagedRecordIsCurrent(t *testing.T) {
 	h := newHand(t)
 	m := h.primary.m
@@ -184,8 +218,12 @@
 	h.persist(h.primary, m.endInput(before))
 	h.Assert(m.stopped(), qt.IsTrue)
 	var staged []Message
-	for _, b := range []*simNode{h.backup, h.witness} { // neither is a holder, nor has a record that is a part of the primary's
-		staged = append(staged, h.deliver(h.primary, b, Message{Kind: KindPromise, Ballot: m.candidacy.ballot, Seq: 1, Digest: 99})...)
+	// Neither is a holder, nor has a record that is a part of the primary's.
+	for _, b := range []*simNode{h.backup, h.witness} {
+		staged = append(
+			staged,
+			h.deliver(h.primary, b, Message{Kind: KindPromise, Ballot: m.candidacy.ballot, Seq: 1, Digest: 99})...,
+		)
 	}
 	staged = slices.DeleteFunc(staged, func(msg Message) bool { return msg.Kind != KindStage })
 	h.Assert(len(staged) > 0, qt.IsTrue)
--- a/internal/fleet/replication/trial_test.go
+++ b/internal/fleet/replication/trial_test.go
@@ -17,12 +17,23 @@
 		n, _ := strconv.Atoi(figure)
 		b := &sh.budget
 		counts := map[string]*uint8{
-			"writes": &b.writes, "reads": &b.reads, "beats": &b.heartbeats, "waits": &b.waits, "crashes": &b.crashes, "wipes": &b.wipes,
-			"starts": &b.starts, "retries": &b.retries, "freezes": &b.freezes, "passes": &b.passes, "leaves": &b.leaves,
+			"writes":  &b.writes,
+			"reads":   &b.reads,
+			"beats":   &b.heartbeats,
+			"waits":   &b.waits,
+			"crashes": &b.crashes,
+			"wipes":   &b.wipes,
+			"starts":  &b.starts, "retries": &b.retries, "freezes": &b.freezes, "passes": &b.passes, "leaves": &b.leaves,
 		}
 		sizes := map[string]*int{"members": &sh.members, "joiners": &sh.joiners, "survive": &sh.survive}
-		flags := map[string]*bool{"first": &sh.first, "small": &sh.small, "judged": &sh.judged, "served": &sh.served, "calm": &sh.calm, "lossy": &sh.lossy, "late": &sh.late}
-		kinds := map[string]faultKind{"well": faultNone, "cut": faultCut, "isolated": faultIsolated, "frozen": faultFrozen, "split": faultSplit, "slow": faultSlow}
+		flags := map[string]*bool{
+			"first": &sh.first, "small": &sh.small, "judged": &sh.judged, "served": &sh.served, "calm": &sh.calm,
+			"lossy": &sh.lossy, "late": &sh.late,
+		}
+		kinds := map[string]faultKind{
+			"well": faultNone, "cut": faultCut, "isolated": faultIsolated, "frozen": faultFrozen, "split": faultSplit,
+			"slow": faultSlow,
+		}
 		switch {
 		case name == "before":
 			sh.before = append(sh.before, trialFault(kinds, figure))
