--- a/internal/fleet/replication/plantedfaults_test.go
+++ b/internal/fleet/replication/plantedfaults_test.go
@@ -266,7 +266,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "a new primary takes its backups to be in step",
+		name: "a new primary takes its backups to be in sync",
 		texts: []string{
 			"&progress{stalledSince: m.now}",
 			"&progress{stalledSince: m.now, inSync: true, match: m.log.seq}",
