--- a/internal/fleet/replication/machine_test.go
+++ b/internal/fleet/replication/machine_test.go
@@ -16,97 +16,116 @@
 	nSeeds  = flag.Int("replication.seeds", 60, "seeds for each case of the storm")
 )
 
+// restartSoon starts a machine again within 1.6 s.
+func (s *sim) restartSoon(b *simNode) {
+	d := 100*ms + s.upTo(1500*ms)
+	s.after(d, func() { s.start(b) })
+}
+
+// loseDisk ends a machine and drops its disk, unless as many are lost as may be.
+func (s *sim) loseDisk(b *simNode) bool {
+	if s.wiped >= s.survive.Nodes || s.now < s.bootUntil {
+		return false
+	}
+	s.wiped++
+	s.kill(b)
+	b.disk = PersistentState{}
+	s.note("wiped %s", b.addr)
+	return true
+}
+
+// loseZone has a whole zone lose its disks, and at times all others lose power at the same moment.
+func (s *sim) loseZone(zone string) {
+	all := s.rng.IntN(2) == 0
+	for _, o := range s.nodes {
+		if o.zone == zone || all {
+			s.kill(o)
+			s.restartSoon(o)
+		}
+		if o.zone == zone {
+			s.note("wiped %s", o.addr)
+			o.disk = PersistentState{}
+		}
+	}
+}
+
+// losePower ends all machines, some with their disks.
+func (s *sim) losePower() {
+	for _, i := range s.rng.Perm(len(s.nodes)) {
+		o := s.nodes[i]
+		if o.removed {
+			continue
+		}
+		s.kill(o)
+		if s.rng.IntN(3) == 0 {
+			s.loseDisk(o)
+		}
+		s.restartSoon(o)
+	}
+}
+
+// partition cuts one machine or a half off, both ways or one.
+func (s *sim) partition(b *simNode, lasting time.Duration) {
+	side := map[string]bool{b.addr: true}
+	if s.rng.IntN(2) == 0 {
+		for _, o := range s.nodes {
+			side[o.addr] = side[o.addr] || s.rng.IntN(2) == 0
+		}
+	}
+	way := s.rng.IntN(3)
+	s.note("cut off %v way %d for %v", side, way, lasting)
+	for _, x := range s.nodes {
+		for _, y := range s.nodes {
+			if side[x.addr] != side[y.addr] && (way == 0 || side[x.addr] == (way == 1)) {
+				s.cuts[[2]string{x.addr, y.addr}] = s.now + lasting
+			}
+		}
+	}
+}
+
+// fault lets one thing go wrong at some machine.
 func (s *sim) fault() {
 	l := s.live()
 	if len(l) == 0 {
 		return
 	}
 	b := l[s.rng.IntN(len(l))]
-	restart := func(b *simNode) {
-		d := 100*ms + s.upTo(1500*ms)
-		s.after(d, func() { s.start(b) })
-	}
 	if s.healthyPrimary() != nil && (!s.repairFirst || s.converged()) {
 		s.wiped = 0
 	}
-	wipe := func(b *simNode) bool {
-		if s.wiped >= s.survive.Nodes || s.now < s.bootUntil {
-			return false
-		}
-		s.wiped++
-		s.kill(b)
-		b.disk = PersistentState{}
-		s.note("wiped %s", b.addr)
-		return true
-	}
 	if s.survive.Zones > 0 && s.rng.IntN(4) == 0 && s.healthyPrimary() != nil && s.now >= s.bootUntil {
-		// A whole zone loses its disks, and at times all others lose power at the same moment.
-		all := s.rng.IntN(2) == 0
-		for _, o := range s.nodes {
-			if o.zone == b.zone || all {
-				s.kill(o)
-				restart(o)
-			}
-			if o.zone == b.zone {
-				s.note("wiped %s", o.addr)
-				o.disk = PersistentState{}
-			}
-		}
+		s.loseZone(b.zone)
 		return
 	}
-	for_ := 200*ms + s.upTo(4*time.Second)
+	lasting := 200*ms + s.upTo(4*time.Second)
 	switch s.rng.IntN(11) {
 	case 0, 1:
 		s.kill(b)
-		restart(b)
-	case 2: // all, with wipes at the same moment at times
-		for _, o := range s.rng.Perm(len(s.nodes)) {
-			o := s.nodes[o]
-			if o.removed {
-				continue
-			}
-			s.kill(o)
-			if s.rng.IntN(3) == 0 {
-				wipe(o)
-			}
-			restart(o)
-		}
+		s.restartSoon(b)
+	case 2:
+		s.losePower()
 	case 3, 4:
-		if wipe(b) {
-			restart(b)
+		if s.loseDisk(b) {
+			s.restartSoon(b)
 		}
 	case 5:
-		s.note("freeze %s for %v", b.addr, for_)
-		b.frozen = s.now + for_
+		s.note("freeze %s for %v", b.addr, lasting)
+		b.frozen = s.now + lasting
 	case 6: // one way, one pair
 		o := s.nodes[s.rng.IntN(len(s.nodes))]
-		s.note("cut %s to %s for %v", b.addr, o.addr, for_)
-		s.cuts[[2]string{b.addr, o.addr}] = s.now + for_
-	case 7, 8: // one machine or a half, both ways or one
-		side := map[string]bool{b.addr: true}
-		if s.rng.IntN(2) == 0 {
-			for _, o := range s.nodes {
-				side[o.addr] = side[o.addr] || s.rng.IntN(2) == 0
-			}
-		}
-		way := s.rng.IntN(3)
-		s.note("cut off %v way %d for %v", side, way, for_)
-		for _, x := range s.nodes {
-			for _, y := range s.nodes {
-				if side[x.addr] != side[y.addr] && (way == 0 || side[x.addr] == (way == 1)) {
-					s.cuts[[2]string{x.addr, y.addr}] = s.now + for_
-				}
-			}
-		}
+		s.note("cut %s to %s for %v", b.addr, o.addr, lasting)
+		s.cuts[[2]string{b.addr, o.addr}] = s.now + lasting
+	case 7, 8:
+		s.partition(b, lasting)
 	case 9:
-		s.note("slow disk %s for %v", b.addr, for_)
-		b.slow = s.now + for_
+		s.note("slow disk %s for %v", b.addr, lasting)
+		b.slow = s.now + lasting
 	case 10: // replaced at a new address
-		if wipe(b) {
+		if s.loseDisk(b) {
 			b.removed = true
 			n := s.add(fmt.Sprintf("10.0.%d.2:7000", len(s.nodes)), b.zone)
 			s.note("replaced by %s", n.addr)
-			restart(n)
+			s.restartSoon(n)
 		}
 	}
 }
@@ -174,6 +193,11 @@
 		}
 		s.fail("not settled after calm")
 	}
+	s.checkAfterCalm()
+}
+
+// checkAfterCalm checks that changes and reads are answered again and that nothing acknowledged is lost.
+func (s *sim) checkAfterCalm() {
 	acked, confirms := s.ackedMax, s.confirms
 	if s.err == nil && !s.runUntil(
 		s.now+5*time.Second, func() bool { return s.ackedMax > acked && s.confirms > confirms },
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -340,23 +340,8 @@
 			return Output{}, false
 		}
 		return m.Tick(max(m.NextTick(), m.now+1, c.clock())), true
-	case stepWait: // what is sent meanwhile is lost, but for the last
-		mark := func() string {
-			ph := -1
-			if m.candidacy != nil {
-				ph = int(m.candidacy.phase)
-			}
-			return fmt.Sprint(m.view.Epoch, ph, m.stopped(), m.vote.Promised)
-		}
-		first := mark()
-		for range 60 {
-			out := m.Tick(max(m.NextTick(), m.now+1, c.clock()))
-			if mark() != first {
-				return out, true
-			}
-			save(&c.disk, out.Write)
-		}
-		return Output{}, false
+	case stepWait:
+		return x.waitUntilMark(c)
 	case stepCrash, stepWipe, stepStart:
 		if s.kind == stepWipe {
 			c.wiped = append(slices.Clip(c.wiped), m.identity.ID)
@@ -370,3 +355,17 @@
 	}
 	return Output{}, false
 }
+
+// waitUntilMark lets a machine's time pass until it does something by itself. What it sends meanwhile is lost, but for the
+// last.
+func (x *explorer) waitUntilMark(c *cell) (Output, bool) {
+	first := markOf(c.m)
+	for range 60 {
+		out := c.m.Tick(max(c.m.NextTick(), c.m.now+1, c.clock()))
+		if markOf(c.m) != first {
+			return out, true
+		}
+		save(&c.disk, out.Write)
+	}
+	return Output{}, false
+}
--- a/internal/fleet/replication/searchrules_test.go
+++ b/internal/fleet/replication/searchrules_test.go
@@ -241,6 +241,15 @@
 			return fmt.Sprintf("a fork: change %d is %s and %s", i+1, g.committed[i], e.log[i])
 		}
 	}
+	if violation := g.learnAnswers(e, seen); violation != "" {
+		return violation
+	}
+	return g.refusals()
+}
+
+// learnAnswers takes in the answers that a step gave.
+func (g *ghost) learnAnswers(e *sighting, seen *bool) string {
+	epoch := e.epoch
 	for _, a := range e.answers {
 		*seen = true
 		switch a.Result {
@@ -272,7 +281,7 @@
 		g.reads = slices.DeleteFunc(slices.Clone(g.reads), func(f floor) bool { return f.token == a.Token })
 		g.retries = slices.DeleteFunc(slices.Clone(g.retries), func(r retry) bool { return r.token == a.Token })
 	}
-	return g.refusals()
+	return ""
 }
 
 // fullyRedundant reports whether as many machines may be lost as at the beginning: a primary of the newest view is
--- a/internal/fleet/replication/searchrun_test.go
+++ b/internal/fleet/replication/searchrun_test.go
@@ -120,35 +120,8 @@
 	front, next := []modelState{first}, []modelState(nil)
 	at := uint32(0)
 	defer func() {
-		res.states, res.cells, res.msgs, res.took = len(origins), len(x.cells), len(x.packets), time.Since(began)
-		for _, c := range x.cells {
-			res.released = res.released || c.status.Released
-			if c.status.Role == Primary && c.status.Ready {
-				res.led = max(res.led, c.status.Epoch)
-			}
-			res.joined = res.joined || len(c.wiped) > 0 && c.holds > 0
-		}
-		for _, v := range x.views {
-			if v.Epoch == 0 {
-				continue
-			}
-			if res.fewest == 0 || len(v.Members) < res.fewest {
-				res.fewest = len(v.Members)
-			}
-			res.most = max(res.most, len(v.Members))
-		}
-		for _, took := range x.calms {
-			res.slowest, res.calms = max(res.slowest, took), res.calms+1
-		}
-		res.calms += x.lateCalms
-		res.slowest = max(res.slowest, x.slowestLate)
-		for _, g := range x.ghosts {
-			res.refused = res.refused || len(g.refused) > 0
-			res.wipes = max(res.wipes, g.allWipes)
-			for _, a := range g.acked {
-				res.acked = max(res.acked, a.epoch)
-			}
-		}
+		res.states, res.took = len(origins), time.Since(began)
+		x.summarize(&res)
 	}()
 	for len(front) > 0 {
 		for i := range front {
@@ -195,6 +168,39 @@
 	return res
 }
 
+// summarize adds what the search saw in all cells, views and ghosts.
+func (x *explorer) summarize(res *found) {
+	res.cells, res.msgs = len(x.cells), len(x.packets)
+	for _, c := range x.cells {
+		res.released = res.released || c.status.Released
+		if c.status.Role == Primary && c.status.Ready {
+			res.led = max(res.led, c.status.Epoch)
+		}
+		res.joined = res.joined || len(c.wiped) > 0 && c.holds > 0
+	}
+	for _, v := range x.views {
+		if v.Epoch == 0 {
+			continue
+		}
+		if res.fewest == 0 || len(v.Members) < res.fewest {
+			res.fewest = len(v.Members)
+		}
+		res.most = max(res.most, len(v.Members))
+	}
+	for _, took := range x.calms {
+		res.slowest, res.calms = max(res.slowest, took), res.calms+1
+	}
+	res.calms += x.lateCalms
+	res.slowest = max(res.slowest, x.slowestLate)
+	for _, g := range x.ghosts {
+		res.refused = res.refused || len(g.refused) > 0
+		res.wipes = max(res.wipes, g.allWipes)
+		for _, a := range g.acked {
+			res.acked = max(res.acked, a.epoch)
+		}
+	}
+}
+
 func (x *explorer) describe(s step) string {
 	t := fmt.Sprintf("%d %s", s.i, stepNames[s.kind])
 	switch s.kind {
@@ -208,91 +214,125 @@
 	return strings.TrimSpace(t)
 }
 
-// steadyState is a settled core with one acknowledged change and nothing in flight.
-func (x *explorer) steadyState() (modelState, error) {
-	w := x.emptyState(0)
-	now := time.Second
-	wrote := false
-	var queue []uint32
-	take := func(s step) {
-		e := x.play(w.cells[s.i], s)
-		if e == nil {
-			return
+// starter plays a core from its first start on, one message or tick after the other, the clocks of all machines together.
+type starter struct {
+	x     *explorer
+	w     modelState
+	now   time.Duration
+	queue []uint32 // messages in flight
+}
+
+// take plays a step and notes what it showed.
+func (r *starter) take(s step) {
+	x := r.x
+	e := x.play(r.w.cells[s.i], s)
+	if e == nil {
+		return
+	}
+	r.w.cells[s.i] = e.cell
+	r.queue = append(r.queue, e.sent...)
+	g := x.ghosts[r.w.ghost]
+	seen := false
+	if b := g.learn(&e.sighting, &seen); b != "" && x.err == nil {
+		x.err = fmt.Errorf("before the search: %s", b)
+	}
+	r.w.ghost = x.internGhost(g)
+}
+
+// deliverAll delivers what is in flight, and what that leads to.
+func (r *starter) deliverAll() {
+	x := r.x
+	for len(r.queue) > 0 {
+		m := r.queue[0]
+		r.queue = r.queue[1:]
+		to := x.packets[m].to
+		c := x.cells[r.w.cells[to]].grow(&x.err) // clocks go together here
+		c.m.now = max(c.m.now, r.now)
+		c.done(c.m.identity.ID)
+		r.w.cells[to] = x.internCell(c)
+		r.take(step{stepDeliver, uint8(to), m})
+	}
+}
+
+// primary is the machine that leads, -1 while the core isn't complete or not all know the view.
+func (r *starter) primary() int {
+	x := r.x
+	ready, primary := 0, -1
+	for i := range x.founders {
+		st := x.cells[r.w.cells[i]].status
+		if st.Ready && len(st.View.Members) == x.founders && len(st.View.Backups) == x.survive.Replicas()-1 {
+			ready++
+			if st.Role == Primary {
+				primary = i
+			}
 		}
-		w.cells[s.i] = e.cell
-		queue = append(queue, e.sent...)
-		g := x.ghosts[w.ghost]
-		seen := false
-		if b := g.learn(&e.sighting, &seen); b != "" && x.err == nil {
-			x.err = fmt.Errorf("before the search: %s", b)
+	}
+	if ready != x.founders {
+		return -1
+	}
+	return primary
+}
+
+// allKnowCommit reports whether all that hold the record know that the change is committed.
+func (r *starter) allKnowCommit() bool {
+	known := 0
+	for i := range r.x.founders {
+		if st := r.x.cells[r.w.cells[i]].status; st.Role == Witness || st.Committed == 1 {
+			known++
 		}
-		w.ghost = x.internGhost(g)
 	}
+	return known == r.x.founders
+}
+
+// tickNext plays the tick that is due first.
+func (r *starter) tickNext() {
+	x := r.x
+	i := 0
+	for j := range x.founders {
+		if x.cells[r.w.cells[j]].m.NextTick() < x.cells[r.w.cells[i]].m.NextTick() {
+			i = j
+		}
+	}
+	r.now = max(r.now+1, x.cells[r.w.cells[i]].m.NextTick())
+	c := x.cells[r.w.cells[i]].grow(&x.err)
+	before := c.m.identity.ID
+	out := c.m.Tick(r.now)
+	save(&c.disk, out.Write)
+	c.done(before)
+	r.w.cells[i] = x.internCell(c)
+	for _, e := range out.Send {
+		if m, ok := x.internMsg(i, e); ok {
+			r.queue = append(r.queue, m)
+		}
+	}
+}
+
+// steadyState is a core with one acknowledged change, which all know, and nothing in flight.
+func (x *explorer) steadyState() (modelState, error) {
+	r := &starter{x: x, w: x.emptyState(0), now: time.Second}
+	wrote := false
 	for i := range x.founders {
-		take(step{kind: stepStart, i: uint8(i)})
+		r.take(step{kind: stepStart, i: uint8(i)})
 	}
 	for range 2000 {
-		for len(queue) > 0 {
-			m := queue[0]
-			queue = queue[1:]
-			to := x.packets[m].to
-			c := x.cells[w.cells[to]].grow(&x.err) // clocks go together here
-			c.m.now = max(c.m.now, now)
-			c.done(c.m.identity.ID)
-			w.cells[to] = x.internCell(c)
-			take(step{stepDeliver, uint8(to), m})
-		}
-		ready, lead := 0, -1
-		for i := range x.founders {
-			st := x.cells[w.cells[i]].status
-			if st.Ready && len(st.View.Members) == x.founders && len(st.View.Backups) == x.survive.Replicas()-1 {
-				ready++
-				if st.Role == Primary {
-					lead = i
-				}
-			}
-		}
-		g := &x.ghosts[w.ghost]
-		if ready == x.founders && lead >= 0 {
+		r.deliverAll()
+		if primary := r.primary(); primary >= 0 {
+			g := x.ghosts[r.w.ghost]
 			if !wrote {
 				wrote = true
-				g2 := *g
-				g2.writes++
-				g2.bases = []uint64{0}
-				w.ghost = x.internGhost(g2)
-				take(step{stepWrite, uint8(lead), 1})
+				g.writes++
+				g.bases = []uint64{0}
+				r.w.ghost = x.internGhost(g)
+				r.take(step{stepWrite, uint8(primary), 1})
 				continue
 			}
-			known := 0
-			for i := range x.founders {
-				if st := x.cells[w.cells[i]].status; st.Role == Witness || st.Committed == 1 {
-					known++
-				}
-			}
-			if len(g.acked) == 1 && known == x.founders {
-				return w, x.err
-			}
-		}
-		i := 0
-		for j := range x.founders {
-			if x.cells[w.cells[j]].m.NextTick() < x.cells[w.cells[i]].m.NextTick() {
-				i = j
-			}
-		}
-		now = max(now+1, x.cells[w.cells[i]].m.NextTick())
-		c := x.cells[w.cells[i]].grow(&x.err)
-		before := c.m.identity.ID
-		out := c.m.Tick(now)
-		save(&c.disk, out.Write)
-		c.done(before)
-		w.cells[i] = x.internCell(c)
-		for _, e := range out.Send {
-			if m, ok := x.internMsg(i, e); ok {
-				queue = append(queue, m)
+			if len(g.acked) == 1 && r.allKnowCommit() {
+				return r.w, x.err
 			}
 		}
+		r.tickNext()
 	}
-	return w, fmt.Errorf("the core didn't settle: %v", x.err)
+	return r.w, fmt.Errorf("the core didn't settle: %v", x.err)
 }
 
 // emptyState has machines that haven't started.
