--- a/internal/fleet/replication/histories_test.go
+++ b/internal/fleet/replication/histories_test.go
@@ -151,71 +151,96 @@
 }
 
 // operator calls again and again: the same call until it has a clear answer, from one machine after the other.
-func (o *operators) operator(id int) {
-	var known int // the version that this operator builds on
-	n := 0
-	var next func()
-	next = func() {
-		n++
-		call := input{show: o.rng.IntN(3) == 0}
-		if !call.show {
-			call.order = order{known, known + 1 + o.rng.IntN(2), fmt.Sprintf("%d.%d", id, n)}
-		}
-		began := int64(o.now)
-		at := len(o.ops)
-		o.ops = append(
-			o.ops, porcupine.Operation{ClientId: id, Input: call, Call: began, Output: output{}, Return: math.MaxInt64},
-		)
-		o.open++
-		ended := false
-		end := func(out output) {
-			if ended {
-				return
-			}
-			ended = true
-			o.open--
-			o.count[out.verdict]++
-			o.ops[at].Output, o.ops[at].Return = out, int64(o.now)
-			switch out.verdict {
-			case taken:
-				known = call.order.ver
-			case shown:
-				known = out.shown.ver
-			case refused: // the newest version is asked for next, mostly
-				if o.rng.IntN(4) > 0 {
-					known = max(known, newestAcked(o))
+func (o *operators) operator(id int) { (&operator{o: o, id: id}).next() }
+
+// operator is one of the operators.
+type operator struct {
+	o     *operators
+	id    int
+	known int // the version that it builds on
+	calls int
+}
+
+// next begins the operator's next call.
+func (p *operator) next() {
+	o := p.o
+	p.calls++
+	call := input{show: o.rng.IntN(3) == 0}
+	if !call.show {
+		call.order = order{p.known, p.known + 1 + o.rng.IntN(2), fmt.Sprintf("%d.%d", p.id, p.calls)}
+	}
+	began := int64(o.now)
+	op := &operatorCall{operator: p, call: call, at: len(o.ops)}
+	o.ops = append(o.ops, porcupine.Operation{
+		ClientId: p.id,
+		Input:    call,
+		Call:     began,
+		Output:   output{},
+		Return:   math.MaxInt64,
+	})
+	o.open++
+	op.attempt()
+}
+
+// operatorCall is one call, asked for again until it is answered.
+type operatorCall struct {
+	*operator
+	call  input
+	at    int // in the history
+	ended bool
+}
+
+// attempt asks some machine, and again later while there is no answer.
+func (p *operatorCall) attempt() {
+	if p.ended {
+		return
+	}
+	o := p.o
+	if b := o.target(); b != nil {
+		if p.call.show {
+			o.show(b, func(v verdict, d order) { p.answer(output{v, d}) })
+		} else {
+			o.judge(b, p.call.order, func(v verdict) {
+				if v == taken {
+					o.perhapsDark(2 * ms)
 				}
-			}
-			o.after(o.upTo(300*ms), next)
+				p.answer(output{verdict: v})
+			})
 		}
-		var try func()
-		try = func() {
-			if ended {
-				return
-			}
-			if b := o.target(); b != nil {
-				answer := func(out output) {
-					if out.verdict == unclear || o.rng.Float64() < o.lossy {
-						return // asked again
-					}
-					o.after(o.upTo(5*ms), func() { end(out) })
-				}
-				if call.show {
-					o.show(b, func(v verdict, d order) { answer(output{v, d}) })
-				} else {
-					o.judge(b, call.order, func(v verdict) {
-						if v == taken {
-							o.perhapsDark(2 * ms)
-						}
-						answer(output{verdict: v})
-					})
-				}
-			}
-			o.after(50*ms+o.upTo(time.Second), try)
+	}
+	o.after(50*ms+o.upTo(time.Second), p.attempt)
+}
+
+// answer brings an answer, unless it is lost or says nothing: then the call is asked for again.
+func (p *operatorCall) answer(out output) {
+	o := p.o
+	if out.verdict == unclear || o.rng.Float64() < o.lossy {
+		return
+	}
+	o.after(o.upTo(5*ms), func() { p.end(out) })
+}
+
+// end ends the call; the operator goes on from what it learned.
+func (p *operatorCall) end(out output) {
+	if p.ended {
+		return
+	}
+	o := p.o
+	p.ended = true
+	o.open--
+	o.count[out.verdict]++
+	o.ops[p.at].Output, o.ops[p.at].Return = out, int64(o.now)
+	switch out.verdict {
+	case taken:
+		p.known = p.call.order.ver
+	case shown:
+		p.known = out.shown.ver
+	case refused: // the newest version is asked for next, mostly
+		if o.rng.IntN(4) > 0 {
+			p.known = max(p.known, newestAcked(o))
 		}
-		try()
 	}
-	next()
+	o.after(o.upTo(300*ms), p.next)
 }
 
 // newestAcked is the version that was last acknowledged.
--- a/internal/fleet/replication/membership.go
+++ b/internal/fleet/replication/membership.go
@@ -136,8 +136,8 @@
 // lowers the quorum (TestUnresponsiveMembersStay).
 func (m *Machine) removeAbsent(plan *memberPlan) {
 	m.removeMembers(plan, m.absent(plan.members, m.opt.MemberTimeout), m.minMembers())
-	leaving := slices.DeleteFunc(slices.Clone(plan.members), func(o Member) bool { return !m.departsAsWitness(o.ID) })
-	m.removeMembers(plan, leaving, 2*m.opt.Tolerance.Replicas()-1)
+	departing := slices.DeleteFunc(slices.Clone(plan.members), func(o Member) bool { return !m.departsAsWitness(o.ID) })
+	m.removeMembers(plan, departing, 2*m.opt.Tolerance.Replicas()-1)
 }
 
 // removeMembers takes the first of these members out of the plan, down to so many, where that lowers the majority.
@@ -153,14 +153,14 @@
 
 // absent lists those of the members that are departing or were unresponsive for so long: the former first, then by how
 // long they have been so.
-func (m *Machine) absent(members []Member, silence time.Duration) []Member {
+func (m *Machine) absent(members []Member, timeout time.Duration) []Member {
 	var absent []Member
 	for _, o := range members {
 		if o.ID == m.identity.ID || !m.view.has(o.ID) {
 			continue
 		}
 		at, ok := m.peers.lastActive[o.ID]
-		if m.departsAsWitness(o.ID) || !ok || m.now-at >= silence {
+		if m.departsAsWitness(o.ID) || !ok || m.now-at >= timeout {
 			absent = append(absent, o)
 		}
 	}
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -11,15 +11,23 @@
 func (m *Machine) Propose(now time.Duration, token uint64, body []byte) Output {
 	before := m.Status()
 	m.beginInput(now)
+	if m.admits(token, len(m.primary.pendingWrites)) {
+		m.appendProposal(token, body)
+	}
+	return m.endInput(before)
+}
+
+// admits reports whether a write or read is taken beside so many pending ones; else it answers it at once.
+func (m *Machine) admits(token uint64, pending int) bool {
 	switch {
 	case !m.primary.active:
 		m.answer(token, NotPrimary, 0)
-	case len(m.primary.pendingWrites) >= maxPending:
+		return false
+	case pending >= maxPending:
 		m.answer(token, Busy, 0)
-	default:
-		m.appendProposal(token, body)
+		return false
 	}
-	return m.endInput(before)
+	return true
 }
 
 // appendProposal appends a change to the record and sends it to the backups that are close enough to take it now. The
@@ -57,12 +65,7 @@
 func (m *Machine) Read(now time.Duration, token uint64) Output {
 	before := m.Status()
 	m.beginInput(now)
-	switch {
-	case !m.primary.active:
-		m.answer(token, NotPrimary, 0)
-	case len(m.primary.pendingReads) >= maxPending:
-		m.answer(token, Busy, 0)
-	default:
+	if m.admits(token, len(m.primary.pendingReads)) {
 		m.primary.pendingReads = append(m.primary.pendingReads, pendingRequest{token: token})
 		m.advanceCommit()
 	}
