--- a/internal/fleet/replication/liveness_test.go
+++ b/internal/fleet/replication/liveness_test.go
@@ -143,8 +143,8 @@
 	return false
 }
 
-// TestAcknowledgedUnderLastingFault: from a settled core on, the next acknowledgement comes in time while one directed
-// link stays cut, one machine stays cut off or frozen, or two are that may be lost at once.
+// TestAcknowledgedUnderLastingFault: from a converged core on, the next acknowledgement comes in time while one
+// directed link stays cut, one machine stays cut off or frozen, or two are that may be lost at once.
 func TestAcknowledgedUnderLastingFault(t *testing.T) {
 	for _, core := range []struct{ members, survive int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d-%d", core.members, core.survive), func(t *testing.T) {
--- a/internal/fleet/replication/membership_test.go
+++ b/internal/fleet/replication/membership_test.go
@@ -239,8 +239,8 @@
 	return 0
 }
 
-// TestDepartingMemberHoldsNoOnlyReplica: when a machine that was told to end is released, whatever its role, the record
-// outlives any loss of others that must be survived.
+// TestDepartingMemberHoldsNoOnlyReplica: when a machine that was asked to shut down is released, whatever its role, the
+// record outlives any loss of others that must be survived.
 func TestDepartingMemberHoldsNoOnlyReplica(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -257,8 +257,8 @@
 	})
 }
 
-// TestDepartedMemberStaysOut: a machine that was told to end and left out of the members doesn't come in again while it
-// lasts.
+// TestDepartedMemberStaysOut: a machine that was asked to shut down and removed from the members doesn't come in again
+// while it lasts.
 func TestDepartedMemberStaysOut(t *testing.T) {
 	for seed := range uint64(10) {
 		c := qt.New(t)
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestDepartingJoiner: a machine that asks to be taken in, or has just been, is told to end and never comes back; once
-// it has ended the core bears the next loss.
+// TestDepartingJoiner: a machine that asks to be taken in, or has just been, is asked to shut down and never comes
+// back; once it has ended the core bears the next loss.
 func TestDepartingJoiner(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		n := s.spare()
@@ -326,8 +326,8 @@
 	s.acknowledges(c)
 }
 
-// TestOnlyMachineReplaced: the one machine of a core is told to end once its successor is in; the record goes over with
-// the role.
+// TestOnlyMachineReplaced: the one machine of a core is asked to shut down once its successor is in; the record goes
+// over with the role.
 func TestOnlyMachineReplaced(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
@@ -342,8 +342,8 @@
 	}
 }
 
-// TestPlannedReplacement: the successor comes first, then the old machine is told to end and never comes back. Once the
-// successor had its time to catch up, as many others as may be lost go at once, at any moment after the end.
+// TestPlannedReplacement: the successor comes first, then the old machine is asked to shut down and never comes back.
+// Once the successor had its time to catch up, as many others as may be lost go at once, at any moment after the end.
 func TestPlannedReplacement(t *testing.T) {
 	eachCase(t, 16, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for range 2 {
@@ -420,8 +420,8 @@
 	})
 }
 
-// TestRollingRestart: the machines are told to end one after the other, a second apart, and come back with their disks;
-// with the last that may be lost gone for good.
+// TestRollingRestart: the machines are asked to shut down one after the other, a second apart, and come back with their
+// disks; with the last that may be lost gone for good.
 func TestRollingRestart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i, b := range slices.Clone(s.nodes) {
@@ -439,8 +439,8 @@
 	})
 }
 
-// TestAllMembersDepart: every machine is told to end at the same moment and ends within its time; all come back with
-// their disks.
+// TestAllMembersDepart: every machine is asked to shut down at the same moment and ends within its time; all come back
+// with their disks.
 func TestAllMembersDepart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for _, b := range s.nodes {
@@ -459,8 +459,8 @@
 	})
 }
 
-// TestPrimaryDepartsWithLostBackup: a backup is lost at the moment when the primary is told to end; others take its
-// place, and then the primary's.
+// TestPrimaryDepartsWithLostBackup: a backup is lost at the moment when the primary is asked to shut down; others take
+// its place, and then the primary's.
 func TestPrimaryDepartsWithLostBackup(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -475,8 +475,8 @@
 	})
 }
 
-// TestStormWithDepartures plays storms in which machines are told to end as well: in the middle of other troubles they
-// end when they are released or their time is over, and come back.
+// TestStormWithDepartures plays storms in which machines are asked to shut down as well: in the middle of other
+// troubles they end when they are released or their time is over, and come back.
 func TestStormWithDepartures(t *testing.T) {
 	for _, of := range []coreCase{{1, 0}, {3, 1}, {4, 1}, {5, 2}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -277,7 +277,7 @@
 	}
 }
 
-// planned: the successor comes first and has its time, then old is told to end and leaves in order.
+// planned: the successor comes first and has its time, then old is asked to shut down and leaves in order.
 func (l layout) planned(c *qt.C, first View, old, successor Member, second, ended *stage) {
 	m := l.planner(first)
 	m.joins(successor)
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// hand is a core of three in step with two changes, whose backup is then driven by hand.
+// hand is a core of three in sync with two changes, whose backup is then driven by hand.
 type hand struct {
 	*qt.C
 	s                        *sim
@@ -208,8 +208,8 @@
 	h.Assert(h.backup.m.candidacy, qt.IsNil)
 }
 
-// TestSlowBackupIsReplaced: a backup that beats but doesn't acknowledge is left out within bounds, and the write
-// that waited for it commits in the next view.
+// TestSlowBackupIsReplaced: a backup that sends heartbeats but doesn't acknowledge is replaced within bounds, and the
+// write that waited for it commits in the next view.
 func TestSlowBackupIsReplaced(t *testing.T) {
 	h := newHand(t)
 	s := h.s
@@ -289,7 +289,7 @@
 }
 
 // TestAppendToAnotherRecord: a backup whose record isn't a prefix of the primary's takes nothing of what follows
-// another record, and doesn't say that it is in step.
+// another record, and doesn't say that it is in sync.
 func TestAppendToAnotherRecord(t *testing.T) {
 	h := newHand(t)
 	digest := h.primary.m.log.digest
@@ -380,7 +380,7 @@
 	h.Assert(s.err, qt.IsNil)
 }
 
-// TestUnresponsiveMembersStay: members are left out only as long as a majority stays when as many as may be lost are
+// TestUnresponsiveMembersStay: members are removed only as long as a majority stays when as many as may be lost are
 // lost after that.
 func TestUnresponsiveMembersStay(t *testing.T) {
 	c := qt.New(t)
@@ -400,8 +400,8 @@
 	c.Assert(s.err, qt.IsNil)
 }
 
-// TestJoinerConfirmsIdentity: who asks to be taken in is taken in only when its identity has answered a beat, as its
-// request may be old and the machine have another identity by now.
+// TestJoinerConfirmsIdentity: who asks to be taken in is taken in only when its identity has answered a heartbeat, as
+// its request may be old and the machine have another identity by now.
 func TestJoinerConfirmsIdentity(t *testing.T) {
 	h := newHand(t)
 	joiner := Message{Kind: KindHello, From: Member{ID: "joiner", Addr: "10.0.9.1:7000"}, Join: true}
