--- a/internal/fleet/replication/input.go
+++ b/internal/fleet/replication/input.go
@@ -66,8 +66,8 @@
 // endInput closes an input.
 func (m *Machine) endInput(before Status) Output {
 	after := m.Status()
-	if before.ID != after.ID || before.Role != after.Role || before.Epoch != after.Epoch || before.Ready != after.Ready ||
-		before.Released != after.Released {
+	if before.ID != after.ID || before.Role != after.Role || before.Epoch != after.Epoch ||
+		before.Ready != after.Ready || before.Released != after.Released {
 		m.out.StatusChanged = true
 	}
 	if !m.write.Empty() {
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -53,7 +53,8 @@
 			all = append(all, layout{n, n, FailureTolerance{Nodes: s}})
 			for _, places := range []int{3, 4, 5} {
 				if places <= n && places >= 2*s+1 {
-					all = append(all, layout{n, places, FailureTolerance{Zones: s}}, layout{n, places, FailureTolerance{Regions: s}})
+					all = append(all, layout{n, places, FailureTolerance{Zones: s}})
+					all = append(all, layout{n, places, FailureTolerance{Regions: s}})
 				}
 			}
 		}
@@ -150,7 +151,12 @@
 
 // joins has a machine ask to be taken in, for longer than a suspicion takes.
 func (m *Machine) joins(o Member) {
-	m.primary.joiners[o.Addr] = &joiner{Member: o, firstActive: m.now - progElection, lastActive: m.now, confirmed: true}
+	m.primary.joiners[o.Addr] = &joiner{
+		Member:      o,
+		firstActive: m.now - progElection,
+		lastActive:  m.now,
+		confirmed:   true,
+	}
 }
 
 // next is the view that the planner would have decided; the view as it is when there is nothing to change.
@@ -273,7 +279,7 @@
 		m = l.planner(v)
 		m.peers.lastActive[old.ID] = m.now - boundSync
 		v = m.next()
-		synced.judge(c, v, l.losses(slices.DeleteFunc(slices.Clone(v.Members), func(o Member) bool { return o == old })), old)
+		synced.judge(c, v, l.losses(without(v.Members, old)), old)
 	}
 }
 
@@ -307,7 +313,7 @@
 			}
 			v = m.next()
 		}
-		ended.judge(c, v, l.losses(slices.DeleteFunc(slices.Clone(v.Members), func(o Member) bool { return o == old })), old)
+		ended.judge(c, v, l.losses(without(v.Members, old)), old)
 	}
 }
 
--- a/internal/fleet/replication/reconfigure.go
+++ b/internal/fleet/replication/reconfigure.go
@@ -67,7 +67,8 @@
 	plan, c := m.nextPlan(func(id ID) bool { return bad[id] })
 	switch {
 	case !m.quorumAlive():
-		// Without answers nobody can be replaced. A backup that hears this machine, but isn't heard by it, may do better.
+		// Without answers nobody can be replaced. A backup that hears this machine, but isn't heard by it, may do
+		// better.
 		if dead {
 			m.campaign()
 		}
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -356,8 +356,8 @@
 	return Output{}, false
 }
 
-// waitUntilMark lets a machine's time pass until it does something by itself. What it sends meanwhile is lost, but for the
-// last.
+// waitUntilMark lets a machine's time pass until it does something by itself. What it sends meanwhile is lost, but for
+// the last.
 func (x *explorer) waitUntilMark(c *cell) (Output, bool) {
 	first := markOf(c.m)
 	for range 60 {
--- a/internal/fleet/replication/searchcases_test.go
+++ b/internal/fleet/replication/searchcases_test.go
@@ -26,22 +26,23 @@
 // shape is a setting of the search.
 type shape struct {
 	name       string
-	members    int            // at the beginning
-	joiners    int            // machines that are no members yet; the budget starts them
-	survive    int            // machines that may be lost at once; 1 if 0
-	first      bool           // from machines that haven't started yet; else from a settled core
-	small      bool           // a snapshot at every change
-	chunkBytes int            // of a record that goes to another machine; 0: the usual size
-	judged     bool           // changes are judged by the record first, as the control plane does it
-	served     bool           // with the control plane's timing
-	calm       bool           // every state is live when calm
-	lossy      bool           // every state is live after a further loss, too
-	late       bool           // every state is live also when all that is in flight comes
-	faults     []faultKind    // while time passes
-	before     []networkFault // time passes with each of these before the search begins, and what is sent comes or is lost
-	begun      []networkFault // then time passes with each of these until something begins, which is in flight
-	budget     budget
-	want       reach
+	members    int         // at the beginning
+	joiners    int         // machines that are no members yet; the budget starts them
+	survive    int         // machines that may be lost at once; 1 if 0
+	first      bool        // from machines that haven't started yet; else from a settled core
+	small      bool        // a snapshot at every change
+	chunkBytes int         // of a record that goes to another machine; 0: the usual size
+	judged     bool        // changes are judged by the record first, as the control plane does it
+	served     bool        // with the control plane's timing
+	calm       bool        // every state is live when calm
+	lossy      bool        // every state is live after a further loss, too
+	late       bool        // every state is live also when all that is in flight comes
+	faults     []faultKind // while time passes
+	// before are faults with each of which time passes before the search begins; what is sent comes or is lost.
+	before []networkFault
+	begun  []networkFault // then time passes with each of these until something begins, which is in flight
+	budget budget
+	want   reach
 }
 
 // reach is what some state must show, or the search saw nothing.
--- a/internal/fleet/replication/searchrun_test.go
+++ b/internal/fleet/replication/searchrun_test.go
@@ -214,7 +214,8 @@
 	return strings.TrimSpace(t)
 }
 
-// starter plays a core from its first start on, one message or tick after the other, the clocks of all machines together.
+// starter plays a core from its first start on, one message or tick after the other, the clocks of all machines
+// together.
 type starter struct {
 	x     *explorer
 	w     modelState
--- a/internal/fleet/replication/sim_test.go
+++ b/internal/fleet/replication/sim_test.go
@@ -146,7 +146,8 @@
 		rng: rand.New(rand.NewPCG(seed, 1)), survive: s, zones: 3, delay: 10 * ms,
 		cuts: map[[2]string]time.Duration{}, acked: map[string]uint64{}, leaders: map[uint64]string{},
 		floors: map[uint64]uint64{}, bodies: map[uint64]string{}, bootUntil: 5 * time.Second,
-		views: map[uint64]View{}, calls: map[uint64]func(pendingOutput, Answer){}, wiped: s.Nodes, // none before all was well once
+		views: map[uint64]View{}, calls: map[uint64]func(pendingOutput, Answer){},
+		wiped: s.Nodes, // none before all was well once
 	}
 	for i := range n {
 		r.add(fmt.Sprintf("10.0.%d.1:7000", i), fmt.Sprint("z", i%r.zones))
--- a/internal/fleet/replication/staging.go
+++ b/internal/fleet/replication/staging.go
@@ -132,8 +132,10 @@
 	if c == nil || c.phase != staging {
 		return
 	}
-	if to, ok := c.value.member(msg.From.ID); ok && c.value.rank(to.ID) > 0 && !c.staged[to.ID] && m.recordPosition(msg) {
-		m.transfers.positions[to.ID] = position{msg.Seq, msg.Digest, m.now}
-		m.stageRecord(to)
+	to, ok := c.value.member(msg.From.ID)
+	if !ok || c.value.rank(to.ID) <= 0 || c.staged[to.ID] || !m.recordPosition(msg) {
+		return
 	}
+	m.transfers.positions[to.ID] = position{seq: msg.Seq, digest: msg.Digest, movedAt: m.now}
+	m.stageRecord(to)
 }
--- a/internal/fleet/replication/state.go
+++ b/internal/fleet/replication/state.go
@@ -34,7 +34,7 @@
 // primaryState is volatile and counts while active: a process that restarts never leads the view that it led before.
 type primaryState struct {
 	active        bool          // this process became primary of the view
-	viewStartSeq  uint64        // the record's end when the view began: backups must reach it before anything is answered
+	viewStartSeq  uint64        // the record's end when the view began: backups must reach it first
 	heartbeatAt   time.Duration // when the next heartbeat is due
 	learnerSendAt time.Duration // no changes for learners before this
 	progress      map[ID]*progress
--- a/internal/fleet/replication/transfer.go
+++ b/internal/fleet/replication/transfer.go
@@ -125,7 +125,10 @@
 		return
 	}
 	t := m.transfers.outgoing[msg.From.ID]
-	if t == nil || t.image.checksum != msg.Checksum || t.image.seq != msg.Seq || msg.Offset >= uint64(len(t.image.body)) {
+	if t == nil || t.image.checksum != msg.Checksum || t.image.seq != msg.Seq {
+		return
+	}
+	if msg.Offset >= uint64(len(t.image.body)) {
 		return
 	}
 	had := int(msg.Offset)
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -77,10 +77,11 @@
 	KindReject
 	// KindHandover is sent by a departing primary to a backup in sync: take over.
 	KindHandover
-	// KindTransferAck answers a chunk of a record: what the sender has of it; and KindStageChanges: where its record ends.
+	// KindTransferAck answers a chunk of a record: what the sender has of it; and KindStageChanges: where its record
+	// ends.
 	KindTransferAck
-	// KindStageChanges is sent by a proposer to a coming backup: changes after (Seq, Digest); with those up to Total its
-	// record is complete.
+	// KindStageChanges is sent by a proposer to a coming backup: changes after (Seq, Digest); with those up to Total
+	// its record is complete.
 	KindStageChanges
 )
 
@@ -133,8 +134,8 @@
 type ReplicaState struct {
 	// RecordEpoch is the epoch for which the record holds all that was committed before it.
 	RecordEpoch uint64 `msg:"r"`
-	// InSyncEpoch is the epoch in which the record was found to be a prefix of its primary's; from then on in that epoch
-	// nothing of it is given up.
+	// InSyncEpoch is the epoch in which the record was found to be a prefix of its primary's; from then on in that
+	// epoch nothing of it is given up.
 	InSyncEpoch uint64 `msg:"s"`
 	// StoppedEpoch is the epoch of which nothing is answered any more, plus 1 (0: none).
 	StoppedEpoch uint64 `msg:"x"`
@@ -190,7 +191,7 @@
 // The results.
 const (
 	Committed   Result = iota + 1 // Propose: on the disks of the primary and of all its backups
-	Confirmed                     // Read: the record up to Answer.Seq is at least as new as all that was answered before
+	Confirmed                     // Read: the record up to Answer.Seq has all that was answered before
 	NotPrimary                    // not taken: this machine isn't the primary; Status tells who may be
 	LostPrimacy                   // Propose: another is primary; the change may be committed or not. Read: ask again
 	Busy                          // not taken: too many wait
@@ -233,12 +234,14 @@
 	Tolerance FailureTolerance
 	// Seeds are addresses to ask for the decided view; with Bootstrap, the members of view 0.
 	Seeds []string
-	// Bootstrap is for the first start of the whole system. It counts only when the disk is empty and Self.Addr is a seed.
+	// Bootstrap is for the first start of the whole system. It counts only when the disk is empty and Self.Addr is a
+	// seed.
 	Bootstrap bool
 
 	// HeartbeatInterval is the time from one heartbeat of the primary to the next, and between repeats.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is how long a primary or backup may be unresponsive before it counts as lost; some heartbeats long.
+	// ElectionTimeout is how long a primary or backup may be unresponsive before it counts as lost; some heartbeats
+	// long.
 	ElectionTimeout time.Duration
 	// ElectionStagger is how much longer a backup waits for each rank before it proposes a view.
 	ElectionStagger time.Duration
