--- a/internal/fleet/replication/catchup_test.go
+++ b/internal/fleet/replication/catchup_test.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// thinCore is a core in virtual time whose machines send over thin links, in order and one message after the other, as the
-// control servers do: a message whose write takes over writeBound breaks the connection, and what waits is bounded.
+// thinCore is a core in virtual time whose machines send over thin links, in order and one message after the other, as
+// the control servers do: a message whose write takes over writeBound breaks the connection, and what waits is bounded.
 type thinCore struct {
 	c           *qt.C
 	now         time.Duration
@@ -100,7 +100,9 @@
 		random: rand.New(rand.NewPCG(uint64(n), uint64(size))), pending: map[uint64]time.Duration{},
 	}
 	for i := range n {
-		core.nodes = append(core.nodes, &thinNode{core: core, addr: fmt.Sprintf("10.0.%d.1:7000", i), waiting: map[string]int{}})
+		core.nodes = append(
+			core.nodes, &thinNode{core: core, addr: fmt.Sprintf("10.0.%d.1:7000", i), waiting: map[string]int{}},
+		)
 	}
 	return core
 }
@@ -134,8 +136,12 @@
 	}
 	m, err := New(Options{
 		Self: Member{Addr: n.addr, Zone: n.addr, Region: "r"}, Tolerance: t.survive, Seeds: seeds, Bootstrap: !t.bootOver,
-		HeartbeatInterval: 150 * ms, ElectionTimeout: 700 * ms, ElectionStagger: 250 * ms, WriteTimeout: 600 * ms, MemberTimeout: 4 * time.Second,
-		SnapshotBytes: t.logBytes, Rand: t.random.Uint64,
+		HeartbeatInterval: 150 * ms,
+		ElectionTimeout:   700 * ms,
+		ElectionStagger:   250 * ms,
+		WriteTimeout:      600 * ms,
+		MemberTimeout:     4 * time.Second,
+		SnapshotBytes:     t.logBytes, Rand: t.random.Uint64,
 	}, n.disk, n.app)
 	t.c.Assert(err, qt.IsNil)
 	n.m = m
@@ -192,7 +198,10 @@
 	held := n.disk.Replica.RecordEpoch
 	save(&n.disk, out.Write)
 	if now := n.disk.Replica.RecordEpoch; now > max(held, 1) {
-		t.c.Assert(n.durableSeq() >= t.acked, qt.IsTrue, qt.Commentf("%s holds the record for epoch %d up to %d, %d was acknowledged", n.addr, now, n.durableSeq(), t.acked))
+		t.c.Assert(
+			n.durableSeq() >= t.acked, qt.IsTrue,
+			qt.Commentf("%s holds the record for epoch %d up to %d, %d was acknowledged", n.addr, now, n.durableSeq(), t.acked),
+		)
 	}
 	for _, e := range out.Send {
 		n.send(e)
@@ -273,8 +282,8 @@
 	p.input(func(now time.Duration) Output { return p.m.Propose(now, token, body) })
 }
 
-// keepChanging proposes a change every so often from now on, one at a time as the operators' door does. Who asked gives up after a
-// second without an answer.
+// keepChanging proposes a change every so often from now on, one at a time as the operators' door does. Who asked gives
+// up after a second without an answer.
 func (t *thinCore) keepChanging(every time.Duration, bytes int) {
 	for token, since := range t.pending {
 		if t.now-since > time.Second {
@@ -300,8 +309,8 @@
 	return true
 }
 
-// told is how all stand.
-func (t *thinCore) told() string {
+// describe is how all stand.
+func (t *thinCore) describe() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "acknowledged %d, last at %v of %v", t.acked, t.ackedAt, t.now)
 	for _, n := range t.nodes {
@@ -310,7 +319,10 @@
 			continue
 		}
 		s := n.m.Status()
-		fmt.Fprintf(&b, "\n%s %v epoch %d ready %v seq %d stopped %v: %+v", n.addr, s.Role, s.Epoch, s.Ready, s.Seq, n.m.stopped(), n.m.candidacy)
+		fmt.Fprintf(
+			&b, "\n%s %v epoch %d ready %v seq %d stopped %v: %+v", n.addr, s.Role, s.Epoch, s.Ready, s.Seq,
+			n.m.stopped(), n.m.candidacy,
+		)
 	}
 	return b.String()
 }
@@ -346,9 +358,12 @@
 	c.Assert(t.until(10*time.Second, t.settled), qt.IsTrue, qt.Commentf("no start"))
 	t.bootOver, t.ackedAt = true, t.now
 	t.change(size) // the operator's first configuration, whole
-	c.Assert(t.until(20*time.Second, func() bool { return t.acked == 1 }), qt.IsTrue, qt.Commentf("the first configuration isn't acknowledged"))
+	c.Assert(
+		t.until(20*time.Second, func() bool { return t.acked == 1 }), qt.IsTrue,
+		qt.Commentf("the first configuration isn't acknowledged"),
+	)
 	t.keepChanging(40*ms, 400)
-	c.Assert(t.until(5*time.Second, func() bool { return t.acked >= 40 }), qt.IsTrue, qt.Commentf("%s", t.told()))
+	c.Assert(t.until(5*time.Second, func() bool { return t.acked >= 40 }), qt.IsTrue, qt.Commentf("%s", t.describe()))
 }
 
 // syncWithin is how long a machine counts as lost after its return.
@@ -357,9 +372,9 @@
 // recordBytes is the size of a record with 10,000 routes.
 const recordBytes = 3_500_000
 
-// TestSlowLinkTakesRecord: with 10,000 routes over links of 10 Mbit/s, while changes come every 40 ms, the loss of a backup
-// and of its disk is overcome: a machine that never had the record is brought it, changes are acknowledged again, and the
-// one that lost its disk holds the record or votes once more.
+// TestSlowLinkTakesRecord: with 10,000 routes over links of 10 Mbit/s, while changes come every 40 ms, the loss of a
+// backup and of its disk is overcome: a machine that never had the record is brought it, changes are acknowledged
+// again, and the one that lost its disk holds the record or votes once more.
 func TestSlowLinkTakesRecord(t *testing.T) {
 	for _, size := range []int{200_000, recordBytes} {
 		for _, members := range []struct {
@@ -374,7 +389,7 @@
 				core.longest = 0
 				acked := core.acked
 				c.Assert(core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
-					qt.Commentf("nothing was acknowledged after a backup was lost: %s", core.told()))
+					qt.Commentf("nothing was acknowledged after a backup was lost: %s", core.describe()))
 				t.Logf("a backup lost: no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
 				lost.disk = PersistentState{}
@@ -384,12 +399,16 @@
 				c.Assert(core.until(30*time.Second, core.settled), qt.IsTrue, qt.Commentf("who lost its disk isn't a member again"))
 				t.Logf("its disk lost: a member after %v, no acknowledgement for %v", core.now-began, core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
-				// It counts as lost for some seconds more. Then the primary goes: who takes its place holds all that was acknowledged.
+				// It counts as lost for some seconds more. Then the primary goes: who takes its place holds all that
+				// was acknowledged.
 				core.until(syncWithin, func() bool { return false })
 				acked = core.acked
 				core.primary().stop()
 				core.longest = 0
-				c.Assert(core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue, qt.Commentf("nothing was acknowledged after the primary was lost: %s", core.told()))
+				c.Assert(
+					core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
+					qt.Commentf("nothing was acknowledged after the primary was lost: %s", core.describe()),
+				)
 				c.Assert(core.primary().app.seq >= core.acked, qt.IsTrue)
 				t.Logf("the primary lost as well: no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
@@ -403,14 +422,15 @@
 	n.stop()
 	n.disk = PersistentState{}
 	n.start()
-	n.core.c.Assert(n.core.until(5*time.Second, n.core.settled), qt.IsTrue, qt.Commentf("%s", n.core.told()))
+	n.core.c.Assert(n.core.until(5*time.Second, n.core.settled), qt.IsTrue, qt.Commentf("%s", n.core.describe()))
 }
 
-// stall has a disk take no write for some time, as one that is full or hangs: its machine neither hears nor says anything then.
+// stall has a disk take no write for some time, as one that is full or hangs: its machine neither hears nor says
+// anything then.
 func (n *thinNode) stall(for_ time.Duration) { n.busy = max(n.busy, n.core.now) + for_ }
 
-// TestStalledDisk: a machine whose disk takes no write for seconds is replaced, whatever its role, and doesn't hold the others up for
-// longer than ackWithin; when its disk works again it takes part.
+// TestStalledDisk: a machine whose disk takes no write for seconds is replaced, whatever its role, and doesn't hold the
+// others up for longer than ackWithin; when its disk works again it takes part.
 func TestStalledDisk(t *testing.T) {
 	for _, role := range []Role{Primary, Backup, Witness} {
 		for _, stall := range []time.Duration{300 * ms, 2 * time.Second, 20 * time.Second} {
@@ -421,14 +441,17 @@
 				stalled.stall(stall)
 				core.longest, core.ackedAt = 0, core.now
 				acked := core.acked
-				c.Assert(core.until(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue, qt.Commentf("%s", core.told()))
+				c.Assert(
+					core.until(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue,
+					qt.Commentf("%s", core.describe()),
+				)
 				core.until(stall, func() bool { return false })
 				t.Logf("no acknowledgement for %v", core.longest)
 				c.Check(core.longest < ackWithin, qt.IsTrue)
 				acked = core.acked
 				c.Assert(core.until(10*time.Second, func() bool {
 					return core.settled() && core.acked > acked+20 && stalled.m.Status().Ready
-				}), qt.IsTrue, qt.Commentf("not whole again: %s", core.told()))
+				}), qt.IsTrue, qt.Commentf("not whole again: %s", core.describe()))
 			})
 		}
 	}
@@ -454,8 +477,8 @@
 	}
 }
 
-// TestCatchUpAfterAbsence: a machine that was away for 1, 100 and 5,000 changes has the record again within the time that the record
-// takes on its link and a second, while changes go on.
+// TestCatchUpAfterAbsence: a machine that was away for 1, 100 and 5,000 changes has the record again within the time
+// that the record takes on its link and a second, while changes go on.
 func TestCatchUpAfterAbsence(t *testing.T) {
 	const (
 		routes500   = 100_000 // bytes of a record
@@ -468,12 +491,18 @@
 			n := core.byRole(Backup)
 			n.stop()
 			acked := core.acked
-			c.Assert(core.until(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }), qt.IsTrue, qt.Commentf("%s", core.told()))
+			c.Assert(
+				core.until(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }),
+				qt.IsTrue, qt.Commentf("%s", core.describe()),
+			)
 			primary := core.primary()
 			target, began, sent, encoded := core.acked, core.now, primary.sent, primary.app.snapshots
 			n.start()
 			link := time.Duration(float64(size) / core.bytesPerSec * float64(time.Second))
-			c.Assert(core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }), qt.IsTrue, qt.Commentf("%s", core.told()))
+			c.Assert(
+				core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }),
+				qt.IsTrue, qt.Commentf("%s", core.describe()),
+			)
 			t.Logf("%d bytes, away for %d changes: caught up after %v, %d bytes sent by the primary to all, record encoded %d times",
 				size, away, core.now-began, primary.sent-sent, primary.app.snapshots-encoded)
 		}
--- a/internal/fleet/replication/histories_test.go
+++ b/internal/fleet/replication/histories_test.go
@@ -13,7 +13,8 @@
 )
 
 // Operators order changes on top of the version that they know and read the newest one back, over the storms' faults.
-// Their answers are judged together: they must be such as one machine could have given that did one thing after the other.
+// Their answers are judged together: they must be such as one machine could have given that did one thing after the
+// other.
 
 // order is a change of the configuration, as it stands in the record: its number and its author name it.
 type order struct {
@@ -93,9 +94,9 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in, " ", out) },
 }
 
-// judge does at a box what the control server does with an order: one that was taken is acknowledged again, one on another base is
-// refused, both only when the record it was judged by is committed; else it is proposed.
-func (o *operators) judge(b *box, what order, tell func(verdict)) {
+// judge does at a box what the control server does with an order: one that was taken is acknowledged again, one on
+// another base is refused, both only when the record it was judged by is committed; else it is proposed.
+func (o *operators) judge(b *simNode, what order, tell func(verdict)) {
 	o.token++
 	t := o.token
 	if b.m.Status().Role != Primary {
@@ -114,7 +115,7 @@
 		v = refused
 	default:
 		o.bodies[t] = what.body()
-		o.calls[t] = func(_ carry, a Answer) {
+		o.calls[t] = func(_ pendingOutput, a Answer) {
 			if a.Result == Committed {
 				tell(taken)
 				return
@@ -126,7 +127,7 @@
 		return
 	}
 	o.floors[t] = o.ackedMax
-	o.calls[t] = func(_ carry, a Answer) {
+	o.calls[t] = func(_ pendingOutput, a Answer) {
 		if a.Result != Confirmed || a.Seq < at && !o.hasty {
 			v = unclear
 		}
@@ -135,11 +136,11 @@
 	o.input(b, b.m.Read(o.clock(b), t))
 }
 
-func (o *operators) show(b *box, tell func(verdict, order)) {
+func (o *operators) show(b *simNode, tell func(verdict, order)) {
 	o.token++
 	t := o.token
 	o.floors[t] = o.ackedMax
-	o.calls[t] = func(c carry, a Answer) {
+	o.calls[t] = func(c pendingOutput, a Answer) {
 		if a.Result != Confirmed {
 			tell(unclear, order{})
 			return
@@ -150,69 +151,96 @@
 }
 
 // operator calls again and again: the same call until it has a clear answer, from one machine after the other.
-func (o *operators) operator(id int) {
-	var known int // the version that this operator builds on
-	n := 0
-	var next func()
-	next = func() {
-		n++
-		call := input{show: o.rng.IntN(3) == 0}
-		if !call.show {
-			call.order = order{known, known + 1 + o.rng.IntN(2), fmt.Sprintf("%d.%d", id, n)}
-		}
-		began := int64(o.now)
-		at := len(o.ops)
-		o.ops = append(o.ops, porcupine.Operation{ClientId: id, Input: call, Call: began, Output: output{}, Return: math.MaxInt64})
-		o.open++
-		ended := false
-		end := func(out output) {
-			if ended {
-				return
-			}
-			ended = true
-			o.open--
-			o.count[out.verdict]++
-			o.ops[at].Output, o.ops[at].Return = out, int64(o.now)
-			switch out.verdict {
-			case taken:
-				known = call.order.ver
-			case shown:
-				known = out.shown.ver
-			case refused: // the newest version is asked for next, mostly
-				if o.rng.IntN(4) > 0 {
-					known = max(known, newestAcked(o))
+func (o *operators) operator(id int) { (&operator{o: o, id: id}).next() }
+
+// operator is one of the operators.
+type operator struct {
+	o     *operators
+	id    int
+	known int // the version that it builds on
+	calls int
+}
+
+// next begins the operator's next call.
+func (p *operator) next() {
+	o := p.o
+	p.calls++
+	call := input{show: o.rng.IntN(3) == 0}
+	if !call.show {
+		call.order = order{p.known, p.known + 1 + o.rng.IntN(2), fmt.Sprintf("%d.%d", p.id, p.calls)}
+	}
+	began := int64(o.now)
+	op := &operatorCall{operator: p, call: call, at: len(o.ops)}
+	o.ops = append(o.ops, porcupine.Operation{
+		ClientId: p.id,
+		Input:    call,
+		Call:     began,
+		Output:   output{},
+		Return:   math.MaxInt64,
+	})
+	o.open++
+	op.attempt()
+}
+
+// operatorCall is one call, asked for again until it is answered.
+type operatorCall struct {
+	*operator
+	call  input
+	at    int // in the history
+	ended bool
+}
+
+// attempt asks some machine, and again later while there is no answer.
+func (p *operatorCall) attempt() {
+	if p.ended {
+		return
+	}
+	o := p.o
+	if b := o.target(); b != nil {
+		if p.call.show {
+			o.show(b, func(v verdict, d order) { p.answer(output{v, d}) })
+		} else {
+			o.judge(b, p.call.order, func(v verdict) {
+				if v == taken {
+					o.perhapsDark(2 * ms)
 				}
-			}
-			o.after(o.upTo(300*ms), next)
+				p.answer(output{verdict: v})
+			})
 		}
-		var try func()
-		try = func() {
-			if ended {
-				return
-			}
-			if b := o.target(); b != nil {
-				answer := func(out output) {
-					if out.verdict == unclear || o.rng.Float64() < o.lossy {
-						return // asked again
-					}
-					o.after(o.upTo(5*ms), func() { end(out) })
-				}
-				if call.show {
-					o.show(b, func(v verdict, d order) { answer(output{v, d}) })
-				} else {
-					o.judge(b, call.order, func(v verdict) {
-						if v == taken {
-							o.perhapsDark(2 * ms)
-						}
-						answer(output{verdict: v})
-					})
-				}
-			}
-			o.after(50*ms+o.upTo(time.Second), try)
+	}
+	o.after(50*ms+o.upTo(time.Second), p.attempt)
+}
+
+// answer brings an answer, unless it is lost or says nothing: then the call is asked for again.
+func (p *operatorCall) answer(out output) {
+	o := p.o
+	if out.verdict == unclear || o.rng.Float64() < o.lossy {
+		return
+	}
+	o.after(o.upTo(5*ms), func() { p.end(out) })
+}
+
+// end ends the call; the operator goes on from what it learned.
+func (p *operatorCall) end(out output) {
+	if p.ended {
+		return
+	}
+	o := p.o
+	p.ended = true
+	o.open--
+	o.count[out.verdict]++
+	o.ops[p.at].Output, o.ops[p.at].Return = out, int64(o.now)
+	switch out.verdict {
+	case taken:
+		p.known = p.call.order.ver
+	case shown:
+		p.known = out.shown.ver
+	case refused: // the newest version is asked for next, mostly
+		if o.rng.IntN(4) > 0 {
+			p.known = max(p.known, newestAcked(o))
 		}
-		try()
 	}
-	next()
+	o.after(o.upTo(300*ms), p.next)
 }
 
 // newestAcked is the version that was last acknowledged.
@@ -235,7 +263,7 @@
 // blackout takes the power of all machines at once.
 func (o *operators) blackout() {
 	o.note("blackout")
-	for _, b := range o.boxes {
+	for _, b := range o.nodes {
 		if b.m != nil {
 			o.kill(b)
 			o.after(100*ms+o.upTo(700*ms), func() { o.start(b) })
@@ -281,8 +309,8 @@
 	return nil
 }
 
-// TestHistories: what operators are answered over storms is linearizable, also where answers are lost and orders are sent
-// again to any machine, where two build on one version, and where all machines lose power while they acknowledge.
+// TestHistories: what operators are answered over storms is linearizable, also where answers are lost and orders are
+// sent again to any machine, where two build on one version, and where all machines lose power while they acknowledge.
 func TestHistories(t *testing.T) {
 	for _, c := range []struct{ n, nodes int }{{1, 0}, {3, 1}, {4, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d-%d", c.n, c.nodes), func(t *testing.T) {
--- a/internal/fleet/replication/takeover_test.go
+++ b/internal/fleet/replication/takeover_test.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		var result Result
-		s.calls[s.token+1] = func(_ carry, a Answer) { result = a.Result }
+		s.calls[s.token+1] = func(_ pendingOutput, a Answer) { result = a.Result }
 		s.writeTo(primary)
 		s.runUntil(end, func() bool {
 			other := s.leader()
@@ -40,16 +40,19 @@
 var takeovers = []struct {
 	name  string
 	bound time.Duration
-	do    func(s *schedule, primary *box)
+	do    func(s *schedule, primary *simNode)
 }{
 	// A backup of rank 1 waits for the time-out, its heartbeat may just have come; then a ballot, a stage and syncs.
-	{"killed", progSuspect + progBeat + 250*ms, func(s *schedule, primary *box) { s.kill(primary) }},
-	{"killed and back within half a second", progSuspect + progBeat + 250*ms, func(s *schedule, primary *box) {
+	{"killed", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) { s.kill(primary) }},
+	{"killed and back within half a second", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) {
 		s.kill(primary)
 		s.after(500*ms, func() { s.start(primary) })
 	}},
-	{"frozen for 20 s", progSuspect + progBeat + 250*ms, func(s *schedule, primary *box) { primary.frozen = s.now + 20*time.Second }},
-	{"told to end", progBeat + 100*ms, func(s *schedule, primary *box) {
+	{
+		"frozen for 20 s", progElection + progHeartbeat + 250*ms,
+		func(s *schedule, primary *simNode) { primary.frozen = s.now + 20*time.Second },
+	},
+	{"told to end", progHeartbeat + 100*ms, func(s *schedule, primary *simNode) {
 		life := primary.life
 		s.input(primary, primary.m.Leave(s.clock(primary)))
 		var end func()
@@ -77,22 +80,25 @@
 				var waits []time.Duration
 				for seed := range uint64(*nSeeds) {
 					s := newSchedule(c, seed, of)
-					s.pass(s.upTo(progBeat))
+					s.pass(s.upTo(progHeartbeat))
 					how.do(s, s.leader())
 					waits = append(waits, s.longestWait(3*time.Second))
 					c.Assert(s.err, qt.IsNil, qt.Commentf("seed %d", seed))
 				}
 				slices.Sort(waits)
 				n := len(waits)
-				c.Logf("%d takeovers: median %v, 99 in 100 %v, longest %v", n, waits[n/2].Round(ms), waits[n*99/100].Round(ms), waits[n-1].Round(ms))
+				c.Logf(
+					"%d takeovers: median %v, 99 in 100 %v, longest %v", n, waits[n/2].Round(ms), waits[n*99/100].Round(ms),
+					waits[n-1].Round(ms),
+				)
 				c.Check(waits[n-1] <= how.bound, qt.IsTrue, qt.Commentf("longest %v, bound %v", waits[n-1], how.bound))
 			})
 		}
 	}
 }
 
-// TestRepairTimes measures how long after its start a successor is a member of a core that is whole again: one that bears the next
-// loss. It must be whole within the time for which the successor counts as lost.
+// TestRepairTimes measures how long after its start a successor is a member of a core that is whole again: one that
+// bears the next loss. It must be whole within the time for which the successor counts as lost.
 func TestRepairTimes(t *testing.T) {
 	for _, of := range []coreCase{{3, 1}, {4, 1}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
@@ -106,7 +112,7 @@
 				s.pass(s.upTo(2 * time.Second))
 				successor, began := s.spare(), s.now
 				s.runUntil(began+boundSync, func() bool {
-					p := s.well()
+					p := s.healthyPrimary()
 					return p != nil && p.m.view.has(successor.disk.Identity.ID)
 				})
 				repairs = append(repairs, s.now-began)
@@ -114,7 +120,10 @@
 			}
 			slices.Sort(repairs)
 			n := len(repairs)
-			c.Logf("%d repairs: median %v, 99 in 100 %v, longest %v", n, repairs[n/2].Round(ms), repairs[n*99/100].Round(ms), repairs[n-1].Round(ms))
+			c.Logf(
+				"%d repairs: median %v, 99 in 100 %v, longest %v", n, repairs[n/2].Round(ms), repairs[n*99/100].Round(ms),
+				repairs[n-1].Round(ms),
+			)
 			c.Check(repairs[n-1] < boundSync, qt.IsTrue, qt.Commentf("longest %v", repairs[n-1]))
 		})
 	}
