--- a/internal/fleet/controlplane/controlstate.go
+++ b/internal/fleet/controlplane/controlstate.go
@@ -40,8 +40,8 @@
 	cs.seq = seq
 	c := new(Command)
 	_, err := c.UnmarshalMsg(body)
-	if err == nil && c.Reading != nil {
-		cs.residency = cs.residency.Apply(c.Reading)
+	if err == nil && c.Residency != nil {
+		cs.residency = cs.residency.Apply(c.Residency)
 		c = nil
 	} else {
 		cs.docSeq = seq
@@ -81,7 +81,7 @@
 
 // Snapshot returns all that was applied, as Restore takes it.
 func (cs *controlState) Snapshot() []byte {
-	s := StoredState{Rested: cs.residency.Snapshot()}
+	s := StoredState{Residency: cs.residency.Snapshot()}
 	if cs.docSeq != cs.seq {
 		s.DocumentSeq = cs.docSeq
 	}
@@ -127,7 +127,7 @@
 	if s.DocumentSeq > 0 {
 		cs.docSeq = s.DocumentSeq
 	}
-	if cs.residency, err = residencyreport.Restore(s.Rested); err != nil {
+	if cs.residency, err = residencyreport.Restore(s.Residency); err != nil {
 		return errors.Wrap(err, "residency")
 	}
 	cs.accepted, err = restoreAccepted(&s, cs.doc.Version())
--- a/internal/fleet/controlplane/controlstate_test.go
+++ b/internal/fleet/controlplane/controlstate_test.go
@@ -30,7 +30,7 @@
 		Upto:    []residencyreport.Ack{{Process: p, N: n}},
 		Entries: []residencyreport.Entry{entry},
 	}
-	b, _ := (&Command{Reading: update}).MarshalMsg(nil)
+	b, _ := (&Command{Residency: update}).MarshalMsg(nil)
 	return b
 }
 
@@ -88,7 +88,7 @@
 	b, err = (&StoredState{Document: []byte("d"), Versions: []int64{3}, Digests: []uint64{4}}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(b, qt.DeepEquals, []byte("\x83\xa1d\xc4\x01d\xa1v\x91\x03\xa1x\x91\x04"))
-	c.Assert(s.Rested, qt.IsNil)
+	c.Assert(s.Residency, qt.IsNil)
 	c.Assert(s.DocumentSeq, qt.Equals, uint64(0))
 	// A snapshot of a build that knows of no readings is read as before.
 	c.Assert(r.Restore(6, b[:0]), qt.IsNil)
--- a/internal/fleet/controlplane/idempotency_test.go
+++ b/internal/fleet/controlplane/idempotency_test.go
@@ -257,7 +257,7 @@
 		{"versions fall", func(s *StoredState) { slices.Reverse(s.Versions) }, "record: .* do not follow .*"},
 		{"the base is not below", func(s *StoredState) { s.OldestBase = &s.Versions[0] }, "record: .* do not follow .*"},
 		{"the document is damaged", func(s *StoredState) { s.Document = s.Document[1:] }, "record: configuration: .*"},
-		{"the residency is damaged", func(s *StoredState) { s.Rested = []byte{0} }, "record: .*"},
+		{"the residency is damaged", func(s *StoredState) { s.Residency = []byte{0} }, "record: .*"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := storedBy(t, r)
--- a/internal/fleet/controlplane/messages_gen.go
+++ b/internal/fleet/controlplane/messages_gen.go
@@ -51,12 +51,12 @@
 					err = msgp.WrapError(err, "Reading")
 					return
 				}
-				z.Reading = nil
+				z.Residency = nil
 			} else {
-				if z.Reading == nil {
-					z.Reading = new(residencyreport.Update)
+				if z.Residency == nil {
+					z.Residency = new(residencyreport.Update)
 				}
-				err = z.Reading.DecodeMsg(dc)
+				err = z.Residency.DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Reading")
 					return
@@ -79,7 +79,7 @@
 	zb0001Len := uint32(4)
 	var zb0001Mask uint8 /* 4 bits */
 	_ = zb0001Mask
-	if z.Reading == nil {
+	if z.Residency == nil {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
@@ -127,13 +127,13 @@
 			if err != nil {
 				return
 			}
-			if z.Reading == nil {
+			if z.Residency == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Reading.EncodeMsg(en)
+				err = z.Residency.EncodeMsg(en)
 				if err != nil {
 					err = msgp.WrapError(err, "Reading")
 					return
@@ -151,7 +151,7 @@
 	zb0001Len := uint32(4)
 	var zb0001Mask uint8 /* 4 bits */
 	_ = zb0001Mask
-	if z.Reading == nil {
+	if z.Residency == nil {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
@@ -172,10 +172,10 @@
 		if (zb0001Mask & 0x8) == 0 { // if not omitted
 			// string "g"
 			o = append(o, 0xa1, 0x67)
-			if z.Reading == nil {
+			if z.Residency == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Reading.MarshalMsg(o)
+				o, err = z.Residency.MarshalMsg(o)
 				if err != nil {
 					err = msgp.WrapError(err, "Reading")
 					return
@@ -228,12 +228,12 @@
 				if err != nil {
 					return
 				}
-				z.Reading = nil
+				z.Residency = nil
 			} else {
-				if z.Reading == nil {
-					z.Reading = new(residencyreport.Update)
+				if z.Residency == nil {
+					z.Residency = new(residencyreport.Update)
 				}
-				bts, err = z.Reading.UnmarshalMsg(bts)
+				bts, err = z.Residency.UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Reading")
 					return
@@ -254,10 +254,10 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Command) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Body) + 2
-	if z.Reading == nil {
+	if z.Residency == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Reading.Msgsize()
+		s += z.Residency.Msgsize()
 	}
 	return
 }
@@ -343,7 +343,7 @@
 				}
 			}
 		case "g":
-			z.Rested, err = dc.ReadBytes(z.Rested)
+			z.Residency, err = dc.ReadBytes(z.Residency)
 			if err != nil {
 				err = msgp.WrapError(err, "Rested")
 				return
@@ -375,7 +375,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Rested == nil {
+	if z.Residency == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -460,7 +460,7 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBytes(z.Rested)
+			err = en.WriteBytes(z.Residency)
 			if err != nil {
 				err = msgp.WrapError(err, "Rested")
 				return
@@ -493,7 +493,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Rested == nil {
+	if z.Residency == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -533,7 +533,7 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "g"
 			o = append(o, 0xa1, 0x67)
-			o = msgp.AppendBytes(o, z.Rested)
+			o = msgp.AppendBytes(o, z.Residency)
 		}
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "q"
@@ -624,7 +624,7 @@
 				}
 			}
 		case "g":
-			z.Rested, bts, err = msgp.ReadBytesBytes(bts, z.Rested)
+			z.Residency, bts, err = msgp.ReadBytesBytes(bts, z.Residency)
 			if err != nil {
 				err = msgp.WrapError(err, "Rested")
 				return
@@ -655,6 +655,6 @@
 	} else {
 		s += msgp.Int64Size
 	}
-	s += 2 + msgp.BytesPrefixSize + len(z.Rested) + 2 + msgp.Uint64Size
+	s += 2 + msgp.BytesPrefixSize + len(z.Residency) + 2 + msgp.Uint64Size
 	return
 }
--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -122,7 +122,7 @@
 		Dir:   replicationDir,
 		Texts: []string{
 			"m.contact.confirm(round)",
-			"m.contact.confirm(m.round)",
+			"m.contact.confirm(m.readRound)",
 		},
 	},
 	{
@@ -180,7 +180,7 @@
 		Tests: "^TestLastContactIncludesTransitTime$",
 		Dir:   distributionDir,
 		Texts: []string{
-			"\t\tn.addTransitTime(sent)\n",
+			"\tresponse.addTransitTime(sent)\n",
 			"",
 		},
 	},
@@ -189,8 +189,8 @@
 		Tests: "^TestLastContactIncludesTransitTime$",
 		Dir:   distributionDir,
 		Texts: []string{
-			"WaitedMs: held.Milliseconds()",
-			"WaitedMs: 0 * held.Milliseconds()",
+			"waited.Milliseconds()",
+			"0 * waited.Milliseconds()",
 		},
 	},
 	{
--- a/internal/fleet/controlplane/residency.go
+++ b/internal/fleet/controlplane/residency.go
@@ -84,7 +84,7 @@
 		base = committed.residency
 	}
 	update, more := base.Merge(batches)
-	body, _ := (&Command{Reading: &update}).MarshalMsg(nil) // it has no way to fail
+	body, _ := (&Command{Residency: &update}).MarshalMsg(nil) // it has no way to fail
 	// What was merged and what is proposed belong together: in the driver's goroutine nothing comes between.
 	ans, err := s.submitAndWait(ctx, func(now time.Duration, token uint64) replication.Output {
 		if update.Empty() || s.state.residency != base {
--- /dev/null
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -0,0 +1,281 @@
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/go-faster/errors"
+
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/residency"
+	"molepaddle/internal/fleet/routingconfig"
+	"molepaddle/internal/fleet/scheduler"
+)
+
+const (
+	// defaultBodyLimit bounds a request's body, in bytes, where the configuration does not.
+	defaultBodyLimit = 4 << 20
+	// maxAttemptIDBytes bounds a client's attempt id, which goes into headers and onto the wire to backends.
+	maxAttemptIDBytes = 256
+	// minRetryAfter is when a client whose request was not run is told to come back, at the earliest.
+	minRetryAfter = 50 * time.Millisecond
+	// unconfiguredRetryAfter is when a client is told to come back that a proxy without a configuration rejects.
+	unconfiguredRetryAfter = 200 * time.Millisecond
+	// startupWait is for how long a request waits for the first configuration and endpoint list of a process that has
+	// just started.
+	startupWait = 300 * time.Millisecond
+	// unreadBodyTimeout bounds the wait for the body of a request that is rejected without it, as net/http reads that
+	// body before it sends the answer, and for a client to read its answer after its time.
+	unreadBodyTimeout = 500 * time.Millisecond
+	// returnMargin is what is kept of the time for the way back to the client.
+	returnMargin = 10 * time.Millisecond
+)
+
+// clientRequest is one request of a client under way. It belongs to the goroutine that serves the request.
+type clientRequest struct {
+	proxy    *Proxy
+	w        http.ResponseWriter
+	outbound outboundRequest
+	route    *routingconfig.Route
+	svc      *service
+
+	// Where its data may be held: residencyTerms are those of snapshot for subject, and are renewed with it.
+	snapshot       *routingSnapshot
+	subject        subject
+	residencyTerms residency.Terms
+
+	arrivedAt time.Time
+	deadline  time.Time // by when the answer has to be complete
+
+	// What its attempts have come to.
+	mayHaveRun bool // a backend may have begun to execute it
+	tried      map[string]bool
+	sends      int
+	retryAfter time.Duration // the longest that backends asked for which did not run it
+}
+
+// ServeHTTP serves one request of a client. It admits the request, reads its body and finds its route, sends it to
+// backends until one answers, relays that answer, and records how each attempt ended. It returns when the client has
+// its answer, and panics with http.ErrAbortHandler where an answer must not look complete.
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrivedAt := time.Now()
+	p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
+	if p.lifecycle.Leaving() {
+		w.Header().Set("Connection", "close")
+		defer p.shutdown.track()()
+	}
+	cr, err := p.admit(w, r, arrivedAt)
+	if err != nil {
+		p.writeError(w, err)
+		return
+	}
+	ctx, cancel := context.WithDeadline(r.Context(), cr.deadline)
+	defer cancel()
+	// A client that reads nothing must not hold a backend: the write of the answer is bounded as well.
+	conn := http.NewResponseController(w)
+	_ = conn.SetWriteDeadline(cr.deadline.Add(unreadBodyTimeout))
+	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }()
+	cr.serve(ctx)
+}
+
+// admit checks a request against the routing snapshot, reads its body, and finds its route and service. Its errors are
+// rejections.
+func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) (*clientRequest, error) {
+	if r.ContentLength != 0 {
+		_ = http.NewResponseController(w).SetReadDeadline(arrivedAt.Add(unreadBodyTimeout))
+	}
+	if !p.ready.Load() {
+		p.awaitSnapshot(r.Context())
+	}
+	snapshot := p.snapshot.Load()
+	if id := r.Header.Get(externalapi.HeaderAttemptID); id != "" {
+		w.Header()[externalapi.HeaderAttemptID] = []string{id}
+	}
+	route, err := snapshot.findRoute(r)
+	if err != nil {
+		return nil, err
+	}
+	id, err := attemptID(r.Header)
+	if err != nil {
+		return nil, err
+	}
+	wait, err := timeToAnswer(route, r.Header)
+	if err != nil {
+		return nil, err
+	}
+	deadline := arrivedAt.Add(wait - min(returnMargin, wait/10))
+	body, err := readClientBody(w, r, snapshot.bodyLimit(), deadline)
+	if err != nil {
+		return nil, err
+	}
+	dropHopByHop(r.Header)
+	cr := &clientRequest{
+		proxy:     p,
+		w:         w,
+		route:     route,
+		arrivedAt: arrivedAt,
+		deadline:  deadline,
+		tried:     map[string]bool{},
+		outbound: outboundRequest{
+			id:     id,
+			method: r.Method,
+			target: r.RequestURI,
+			host:   r.Host,
+			header: r.Header,
+			body:   body,
+		},
+	}
+	cr.bindResidency(snapshot)
+	cr.svc = snapshot.services[route.Pick(xxhash.Sum64String(id)).Name]
+	if cr.svc == nil {
+		return nil, &rejection{
+			status:     http.StatusServiceUnavailable,
+			retryAfter: minRetryAfter,
+			reason:     "no backend known",
+		}
+	}
+	return cr, nil
+}
+
+// serve sends an admitted request to backends until one answers, and answers the client.
+func (cr *clientRequest) serve(ctx context.Context) {
+	var prompt *scheduler.Prompt
+	if cr.svc.countRequest(cr.arrivedAt) {
+		prompt = parsePrompt(cr.outbound.header)
+	}
+	if cr.rejectIfLeaving(prompt) {
+		return
+	}
+	var err error
+	if prompt != nil {
+		err = cr.serveGeneration(ctx, prompt)
+	} else {
+		err = cr.servePlain(ctx)
+	}
+	if err != nil {
+		cr.proxy.writeError(cr.w, cr.rejectionFor(err))
+	}
+}
+
+// awaitSnapshot waits for the first routing snapshot, for startupWait at the most: a process that has just started has
+// it in a moment, and the requests that come before it need not fail.
+func (p *Proxy) awaitSnapshot(ctx context.Context) {
+	t := time.NewTimer(startupWait)
+	defer t.Stop()
+	select {
+	case <-p.becameReady:
+	case <-t.C:
+	case <-ctx.Done():
+	}
+}
+
+// findRoute returns the route of a request. A nil snapshot has none. Its errors are rejections.
+func (rs *routingSnapshot) findRoute(r *http.Request) (*routingconfig.Route, error) {
+	if rs == nil || rs.index == nil {
+		return nil, &rejection{
+			status:     http.StatusServiceUnavailable,
+			retryAfter: unconfiguredRetryAfter,
+			reason:     "no configuration yet",
+		}
+	}
+	path, _, _ := strings.Cut(r.RequestURI, "?")
+	if !strings.HasPrefix(path, "/") {
+		return nil, &rejection{
+			status: http.StatusBadRequest,
+			reason: "no path: a proxy of this fleet takes paths only",
+		}
+	}
+	route, ok := rs.index.Lookup(r.Host, path)
+	if !ok {
+		return nil, &rejection{status: http.StatusNotFound, reason: "no route"}
+	}
+	return route, nil
+}
+
+// bodyLimit returns the most bytes that a request's body may have.
+func (rs *routingSnapshot) bodyLimit() int64 {
+	if l := rs.limits; l != nil && l.MaxBodyBytes > 0 {
+		return l.MaxBodyBytes
+	}
+	return defaultBodyLimit
+}
+
+// attemptID returns the client's id of a request, of which there has to be exactly one. Its errors are rejections.
+func attemptID(header http.Header) (string, error) {
+	id := header.Get(externalapi.HeaderAttemptID)
+	if !validID(id) || len(header[externalapi.HeaderAttemptID]) != 1 {
+		return "", &rejection{
+			status: http.StatusBadRequest,
+			reason: externalapi.HeaderAttemptID + ": missing, several or no plain word",
+		}
+	}
+	return id, nil
+}
+
+// validID reports whether an id can be sent on as it is: printable ASCII without spaces, of at most maxAttemptIDBytes.
+func validID(id string) bool {
+	if id == "" || len(id) > maxAttemptIDBytes {
+		return false
+	}
+	for _, c := range []byte(id) {
+		if c <= ' ' || c > '~' {
+			return false
+		}
+	}
+	return true
+}
+
+// timeToAnswer returns how long the answer to a request may take: what its route allows, or less where the client asks
+// for less. Its errors are rejections.
+func timeToAnswer(route *routingconfig.Route, header http.Header) (time.Duration, error) {
+	wait := route.Deadline()
+	text := header.Get(externalapi.HeaderDeadlineMs)
+	if text == "" {
+		return wait, nil
+	}
+	ms, err := strconv.ParseFloat(text, 64)
+	if err != nil || ms <= 0 {
+		return 0, &rejection{
+			status: http.StatusBadRequest,
+			reason: externalapi.HeaderDeadlineMs + ": no number above 0",
+		}
+	}
+	requested := time.Duration(ms * float64(time.Millisecond))
+	if requested < wait || wait <= 0 {
+		return requested, nil
+	}
+	return wait, nil
+}
+
+// readClientBody reads the body of a request, of at most limit bytes, until deadline. Its errors are rejections that
+// close the connection, since the rest of the body may still be to come.
+func readClientBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
+	body, err := readBodyUntil(w, r, limit, deadline)
+	switch {
+	case err == nil:
+		return body, nil
+	case isTimeout(err):
+		return nil, &rejection{status: http.StatusRequestTimeout, reason: "body not whole in time", closeConn: true}
+	case errors.Is(err, errBodyTooLarge):
+		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "body too large", closeConn: true}
+	}
+	return nil, &rejection{status: http.StatusBadRequest, reason: "body not whole", closeConn: true}
+}
+
+// parsePrompt returns what the headers of a request say of its prompt; nil: they say nothing that can be used.
+func parsePrompt(header http.Header) *scheduler.Prompt {
+	p, ok := scheduler.ParsePrompt(
+		header.Get(externalapi.HeaderModel),
+		header.Get(externalapi.HeaderTokenCount),
+		header.Get(externalapi.HeaderPromptPrefix),
+	)
+	if !ok {
+		return nil
+	}
+	return &p
+}
