--- a/internal/fleet/distribution/residencyoutbox_test.go
+++ b/internal/fleet/distribution/residencyoutbox_test.go
@@ -11,92 +11,122 @@
 	"molepaddle/internal/fleet/residencyreport"
 )
 
+// residencyChain is a relay and a primary that serve, and a client's outbox; the test sends reports along it.
+type residencyChain struct {
+	*qt.C
+	ctx                    context.Context
+	outbox                 *ResidencyOutbox
+	relay, primary         *Cache
+	relayAddr, primaryAddr string
+}
+
+func newResidencyChain(ctx context.Context, c *qt.C) *residencyChain {
+	chain := &residencyChain{C: c, ctx: ctx, outbox: NewResidencyOutbox()}
+	chain.relayAddr, chain.relay = chain.serve()
+	chain.primaryAddr, chain.primary = chain.serve()
+	return chain
+}
+
+func (rc *residencyChain) serve() (addr string, cache *Cache) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	rc.Assert(err, qt.IsNil)
+	rc.Cleanup(func() { ln.Close() })
+	cache = NewCache()
+	go Serve(rc.ctx, ln, "server", cache, 10*time.Second, cache.LastContact)
+	return ln.Addr().String(), cache
+}
+
+// watch sends an outbox's reports to a server for as long as goOn returns true.
+func (rc *residencyChain) watch(addr string, outbox *ResidencyOutbox, goOn func() bool) {
+	_ = Watch(rc.ctx, addr, &Watcher{
+		Name:        "client",
+		MaxWait:     10 * time.Millisecond,
+		ReadTimeout: 5 * time.Second,
+		Members:     noMembers,
+		Versions:    noVersions,
+		Apply:       func(*Response) []string { return nil },
+		Residency:   func(time.Time) *ResidencyOutbox { return outbox },
+		Continue:    goOn,
+	})
+}
+
+// sendFinal sends the outbox's reports to the relay with a final request, and returns how many responses came.
+func (rc *residencyChain) sendFinal() (responses int) {
+	_ = Watch(rc.ctx, rc.relayAddr, &Watcher{
+		Name:        "client",
+		ReadTimeout: 5 * time.Second,
+		Members:     noMembers,
+		Versions:    noVersions,
+		Apply: func(*Response) []string {
+			responses++
+			return nil
+		},
+		Residency: func(time.Time) *ResidencyOutbox { return rc.outbox },
+		Final:     true,
+	})
+	return responses
+}
+
+// wait waits until a channel is closed, and fails the test with a text where that takes too long.
+func (rc *residencyChain) wait(ch <-chan struct{}, otherwise string) {
+	rc.Helper()
+	select {
+	case <-ch:
+	case <-time.After(20 * time.Second):
+		rc.Fatal(otherwise)
+	}
+}
+
+// awaitReport waits for the first report at the primary.
+func (rc *residencyChain) awaitReport() {
+	for {
+		pending, arrived := rc.primary.Residency.Pending()
+		if len(pending) > 0 {
+			rc.Assert(pending, qt.HasLen, 1)
+			rc.Assert(pending[0].Entries[0].Pair.Tenant, qt.Equals, "t")
+			return
+		}
+		rc.wait(arrived, "nothing arrives at the primary")
+	}
+}
+
+func isEmpty(o *ResidencyOutbox) bool {
+	pending, _ := o.Pending()
+	return len(pending) == 0
+}
+
 // TestResidencyIsRelayedUntilAcknowledged: residency reports go along a chain of caches with the requests, and each of
 // these drops them once they are acknowledged at the end of the chain.
 func TestResidencyIsRelayedUntilAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	serve := func() (addr string, cache *Cache) {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		c.Assert(err, qt.IsNil)
-		c.Cleanup(func() { ln.Close() })
-		cache = NewCache()
-		go Serve(ctx, ln, "server", cache, 10*time.Second, cache.LastContact)
-		return ln.Addr().String(), cache
-	}
-	relayAddr, relay := serve()
-	primaryAddr, primary := serve()
-	watch := func(addr string, outbox *ResidencyOutbox, goOn func() bool) {
-		_ = Watch(ctx, addr, &Watcher{
-			Name:        "client",
-			MaxWait:     10 * time.Millisecond,
-			ReadTimeout: 5 * time.Second,
-			Members:     noMembers,
-			Versions:    noVersions,
-			Apply:       func(*Response) []string { return nil },
-			Residency:   func(time.Time) *ResidencyOutbox { return outbox },
-			Continue:    goOn,
-		})
-	}
-	outbox := NewResidencyOutbox()
-	empty := func(o *ResidencyOutbox) bool {
-		pending, _ := o.Pending()
-		return len(pending) == 0
-	}
+	chain := newResidencyChain(ctx, c)
+	outbox, relay, primary := chain.outbox, chain.relay, chain.primary
 	entry := residencyreport.Entry{Pair: residencyreport.Pair{Tenant: "t", Region: "r"}, First: 1, Last: 2}
 	first := residencyreport.Batch{Process: 7, N: 1, Entries: []residencyreport.Entry{entry}}
 	c.Assert(outbox.Put(first), qt.IsTrue)
 	relayEnded, clientEnded := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(relayEnded)
-		watch(primaryAddr, relay.Residency, func() bool { return ctx.Err() == nil })
+		chain.watch(chain.primaryAddr, relay.Residency, func() bool { return ctx.Err() == nil })
 	}()
 	go func() {
 		defer close(clientEnded)
-		watch(relayAddr, outbox, func() bool { return !empty(outbox) })
+		chain.watch(chain.relayAddr, outbox, func() bool { return !isEmpty(outbox) })
 	}()
-	wait := func(ch <-chan struct{}, what string) {
-		c.Helper()
-		select {
-		case <-ch:
-		case <-time.After(20 * time.Second):
-			c.Fatal(what)
-		}
-	}
-	for {
-		pending, arrived := primary.Residency.Pending()
-		if len(pending) > 0 {
-			c.Assert(pending, qt.HasLen, 1)
-			c.Assert(pending[0].Entries[0].Pair.Tenant, qt.Equals, "t")
-			break
-		}
-		wait(arrived, "nothing arrives at the primary")
-	}
-	c.Assert(empty(outbox), qt.IsFalse, qt.Commentf("dropped before it was acknowledged"))
+	chain.awaitReport()
+	c.Assert(isEmpty(outbox), qt.IsFalse, qt.Commentf("dropped before it was acknowledged"))
 	primary.Residency.Acknowledge(residencyreport.Ack{Process: 7, N: 1})
-	wait(clientEnded, "what is acknowledged is not dropped")
-	c.Assert(empty(relay.Residency) && empty(primary.Residency), qt.IsTrue)
+	chain.wait(clientEnded, "what is acknowledged is not dropped")
+	c.Assert(isEmpty(relay.Residency) && isEmpty(primary.Residency), qt.IsTrue)
 
 	// A final request is one pull, whose sender may be gone after it; a request of another process takes its mark back.
 	c.Assert(outbox.Put(residencyreport.Batch{Process: 7, N: 2}), qt.IsTrue)
-	pulls := 0
-	_ = Watch(ctx, relayAddr, &Watcher{
-		Name:        "client",
-		ReadTimeout: 5 * time.Second,
-		Members:     noMembers,
-		Versions:    noVersions,
-		Apply: func(*Response) []string {
-			pulls++
-			return nil
-		},
-		Residency: func(time.Time) *ResidencyOutbox { return outbox },
-		Final:     true,
-	})
-	c.Assert(pulls, qt.Equals, 1)
-	wait(relay.Residency.SendersDone(), "the final request is not recorded")
+	c.Assert(chain.sendFinal(), qt.Equals, 1)
+	chain.wait(relay.Residency.SendersDone(), "the final request is not recorded")
 	requested := false
-	watch(relayAddr, outbox, func() bool {
+	chain.watch(chain.relayAddr, outbox, func() bool {
 		once := !requested
 		requested = true
 		return once
@@ -107,5 +137,5 @@
 	default:
 	}
 	cancel()
-	wait(relayEnded, "the relay does not end")
+	chain.wait(relayEnded, "the relay does not end")
 }
--- a/internal/fleet/distribution/slowlink_test.go
+++ b/internal/fleet/distribution/slowlink_test.go
@@ -71,6 +71,18 @@
 	}
 }
 
+// appendChanges appends small changes to the configuration, which is at version 1, until ctx ends.
+func appendChanges(ctx context.Context, source *Cache, snapshotBytes int, interval time.Duration) {
+	tick := time.NewTicker(interval)
+	defer tick.Stop()
+	newSnapshot := func() []byte { return make([]byte, snapshotBytes) }
+	for n := uint64(1); ctx.Err() == nil; n++ {
+		change := Change{Version: v(n + 1), Body: make([]byte, 100)}
+		source.AppendChange("config", v(n), v(n+1), change, newSnapshot)
+		<-tick.C
+	}
+}
+
 // TestSlowLinkCatchesUp: a client over a slow link, for which the snapshot takes several times longer than the read
 // time-out and longer than the source takes to replace its snapshot, catches up with a source that goes on changing.
 func TestSlowLinkCatchesUp(t *testing.T) {
@@ -89,16 +101,7 @@
 	source, client := NewCache(), NewCache()
 	go Serve(ctx, smallBuffers{ln}, "source", source, readTimeout, source.LastContact)
 	source.SetSnapshot("config", v(1), make([]byte, snapshotBytes))
-	go func() {
-		tick := time.NewTicker(changeInterval)
-		defer tick.Stop()
-		newSnapshot := func() []byte { return make([]byte, snapshotBytes) }
-		for n := uint64(1); ctx.Err() == nil; n++ {
-			change := Change{Version: v(n + 1), Body: make([]byte, 100)}
-			source.AppendChange("config", v(n), v(n+1), change, newSnapshot)
-			<-tick.C
-		}
-	}()
+	go appendChanges(ctx, source, snapshotBytes, changeInterval)
 	addr := slowLink(c, ln.Addr().String(), bytesPerSec)
 	snapshots, start := 0, time.Now()
 	watching, done := context.WithCancel(ctx)
--- a/internal/fleet/distribution/watcher.go
+++ b/internal/fleet/distribution/watcher.go
@@ -44,7 +44,7 @@
 	Continue func() bool
 	// Residency returns the residency reports that the next request takes along; nil: there never are any.
 	Residency func(now time.Time) *ResidencyOutbox
-	// Final ends the watch after one request, which tells the server that the process is shutting down.
+	// Final ends the watch after one request, which announces to the server that the process is shutting down.
 	Final bool
 	// Dial opens the connections; nil: the function Dial.
 	Dial DialFunc
--- a/internal/fleet/routingconfig/checks.go
+++ b/internal/fleet/routingconfig/checks.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Check is a rule that a configuration has to keep beside those of Decode, from what the caller knows.
+// Check is a rule that a configuration must satisfy beside those of Decode, from what the caller knows.
 type Check struct{ regions map[string]bool }
 
 // KnownRegions returns a check that refuses names of regions that the deployment doesn't have; zones gives the region
--- a/internal/fleet/routingconfig/config.go
+++ b/internal/fleet/routingconfig/config.go
@@ -34,7 +34,7 @@
 type RouteSpec struct {
 	// Name is unique among routes and not empty.
 	Name string `json:"name"`
-	// Hostname is not empty and compared without regard to ASCII case; it is kept as sent.
+	// Hostname is not empty and compared without regard to ASCII case; it is retained as sent.
 	Hostname string `json:"hostname"`
 	// Prefix of the path; it begins and ends with a slash.
 	Prefix string `json:"pfx"`
--- a/internal/fleet/routingconfig/decode_test.go
+++ b/internal/fleet/routingconfig/decode_test.go
@@ -159,176 +159,198 @@
 		int64(9007199254740993))
 }
 
+// serviceA and routeR are a valid service and a valid route to it.
+var (
+	serviceA = service("a")
+	routeR   = route("r", `,"svc":"a"`)
+)
+
+// withRouteR returns the JSON of a configuration of serviceA and routeR, in which old is replaced by new.
+func withRouteR(old, new string) string {
+	return configuration(strings.Replace(routeR, old, new, 1), serviceA)
+}
+
+// invalidDocuments has bodies that are refused, and the findings as a regular expression.
+var invalidDocuments = map[string]struct{ body, want string }{
+	"empty":            {"", "byte 0: not JSON: .*"},
+	"cut off":          {configurationExample[:len(configurationExample)-5], "byte .*: not JSON: .*"},
+	"trailing bytes":   {configurationExample + "x", "byte .*: not JSON: .*"},
+	"two values":       {configurationExample + configurationExample, "byte .*: not JSON: .*"},
+	"comma at the end": {`{"ver":1,"routing":[],"svcs":[],}`, "byte .*: not JSON: .*"},
+	"not UTF-8":        {"{\"ver\":1,\"routing\":[],\"svcs\":[],\"x\":\"\xff\"}", "not UTF-8"},
+	"not an object":    {`[]`, "must be an object"},
+	"null":             {`null`, "must be an object"},
+	"deep": {
+		`{"ver":1,"routing":[],"svcs":[],"x":` + strings.Repeat("[", 500) + strings.Repeat("]", 500) + `}`,
+		"more than 64 levels deep",
+	},
+	"key twice": {`{"ver":1,"ver":2,"routing":[],"svcs":[]}`, "ver: the key is given twice"},
+	"key twice, escaped": {
+		configuration(route("r", `,"svc":"a","\u0073vc":"a"`), serviceA),
+		`routing\[0\].svc: the key is given twice`,
+	},
+	"key twice, deep": {
+		configuration(route("r", `,"svc":"a","x":[0,{"y":1,"z":{},"y":1}]`), serviceA),
+		`routing\[0\].x\[1\].y: the key is given twice`,
+	},
+	"no version":     {`{"routing":[],"svcs":[]}`, "ver: must be given"},
+	"version null":   {`{"ver":null,"routing":[],"svcs":[]}`, "ver: must be given"},
+	"version text":   {`{"ver":"3","routing":[],"svcs":[]}`, "ver: must be a number"},
+	"version broken": {`{"ver":3.5,"routing":[],"svcs":[]}`, "ver: must be a whole number of at most 64 bits"},
+	"version huge": {
+		`{"ver":9223372036854775808,"routing":[],"svcs":[]}`,
+		"ver: must be a whole number of at most 64 bits",
+	},
+	"version 0":         {`{"ver":0,"routing":[],"svcs":[]}`, "ver: must be above 0"},
+	"version below 0":   {`{"ver":-1,"routing":[],"svcs":[]}`, "ver: must be above 0"},
+	"no routing":        {`{"ver":1,"svcs":[]}`, "routing: must be given"},
+	"no svcs":           {`{"ver":1,"routing":[]}`, "svcs: must be given"},
+	"routing an object": {`{"ver":1,"routing":{},"svcs":[]}`, "routing: must be a list"},
+	"svcs text":         {`{"ver":1,"routing":[],"svcs":"a"}`, "svcs: must be a list"},
+	"caps a list":       {`{"ver":1,"routing":[],"svcs":[],"caps":[]}`, "caps: must be an object"},
+	"caps text": {
+		`{"ver":1,"routing":[],"svcs":[],"caps":{"hdr_max_bytes":"1"}}`,
+		"caps.hdr_max_bytes: must be a number",
+	},
+	"caps negative": {
+		`{"ver":1,"routing":[],"svcs":[],"caps":{"idle_timeout_ms":-1}}`,
+		"caps.idle_timeout_ms: must not be negative",
+	},
+	"route null":       {configuration("null", serviceA), `routing\[0\]: must be an object`},
+	"service a number": {configuration("", "3"), `svcs\[0\]: must be an object`},
+	"unknown service":  {withRouteR(`"svc":"a"`, `"svc":"b"`), `routing\[0\].svc: the service "b" is not known`},
+	"unknown share": {
+		withRouteR(`"svc":"a"`, `"shares":[{"svc":"a","wt":1},{"svc":"b","wt":1}]`),
+		`routing\[0\].shares\[1\].svc: the service "b" is not known`,
+	},
+	"unknown besides": {
+		withRouteR(`"svc":"a"`, `"svc":"b","shares":[{"svc":"a","wt":1}]`),
+		`routing\[0\].svc: the service "b" is not known`,
+	},
+	"no service": {withRouteR(`,"svc":"a"`, ``), `routing\[0\]: must name a service in svc or shares`},
+	"empty service": {
+		withRouteR(`"svc":"a"`, `"svc":"","shares":[]`),
+		`routing\[0\]: must name a service in svc or shares`,
+	},
+	"service a list": {withRouteR(`"svc":"a"`, `"svc":["a"]`), `(?s)routing\[0\].svc: must be a string\n.*`},
+	"weights 0": {
+		withRouteR(`"svc":"a"`, `"shares":[{"svc":"a","wt":0},{"svc":"a","wt":0}]`),
+		`routing\[0\].shares: the weights add up to 0`,
+	},
+	"weights 0 and svc": {
+		withRouteR(`"svc":"a"`, `"svc":"a","shares":[{"svc":"a","wt":0}]`),
+		`routing\[0\].shares: the weights add up to 0`,
+	},
+	"weight negative": {
+		withRouteR(`"svc":"a"`, `"shares":[{"svc":"a","wt":-1},{"svc":"a","wt":2}]`),
+		`routing\[0\].shares\[0\].wt: must not be negative`,
+	},
+	"weights cancel": {
+		withRouteR(`"svc":"a"`, `"shares":[{"svc":"a","wt":-1},{"svc":"a","wt":1}]`),
+		`routing\[0\].shares\[0\].wt: must not be negative`,
+	},
+	"weight missing": {withRouteR(`"svc":"a"`, `"shares":[{"svc":"a"}]`), `routing\[0\].shares\[0\].wt: must be given`},
+	"weight text": {
+		withRouteR(`"svc":"a"`, `"shares":[{"svc":"a","wt":"1"}]`),
+		`(?s)routing\[0\].shares\[0\].wt: must be a number.*`,
+	},
+	"weights endless": {
+		withRouteR(`"svc":"a"`, `"shares":[{"svc":"a","wt":1e308},{"svc":"a","wt":1e308}]`),
+		`routing\[0\].shares: the weights are too large`,
+	},
+	"share without svc": {
+		withRouteR(`"svc":"a"`, `"shares":[{"wt":1}]`),
+		`routing\[0\].shares\[0\].svc: must be given and not be empty`,
+	},
+	"share a number":   {withRouteR(`"svc":"a"`, `"shares":[1]`), `routing\[0\].shares\[0\]: must be an object`},
+	"shares an object": {withRouteR(`"svc":"a"`, `"svc":"a","shares":{}`), `routing\[0\].shares: must be a list`},
+	"deadline 0":       {withRouteR(`"deadline_ms":100`, `"deadline_ms":0`), `routing\[0\].deadline_ms: must be above 0`},
+	"deadline 0.0": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":0.0`),
+		`routing\[0\].deadline_ms: must be above 0`,
+	},
+	"deadline -0": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":-0`),
+		`routing\[0\].deadline_ms: must be above 0`,
+	},
+	"deadline negative": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":-5`),
+		`routing\[0\].deadline_ms: must be above 0`,
+	},
+	"deadline absent": {
+		configuration(`{"name":"r","hostname":"h","pfx":"/","kind":"readonly","svc":"a"}`, serviceA),
+		`routing\[0\].deadline_ms: must be above 0`,
+	},
+	"deadline null": {withRouteR(`"deadline_ms":100`, `"deadline_ms":null`), `routing\[0\].deadline_ms: must be above 0`},
+	"deadline text": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":"100"`),
+		`routing\[0\].deadline_ms: must be a number`,
+	},
+	"deadline endless": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":1e999`),
+		`routing\[0\].deadline_ms: the number is too large`,
+	},
+	"target negative": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":100,"target_ms":-1`),
+		`routing\[0\].target_ms: must not be negative`,
+	},
+	"tries negative": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":100,"tries":-1`),
+		`routing\[0\].tries: must not be negative`,
+	},
+	"tries broken": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":100,"tries":1.5`),
+		`routing\[0\].tries: must be a whole number of at most 64 bits`,
+	},
+	"pin a number": {
+		withRouteR(`"deadline_ms":100`, `"deadline_ms":100,"pin":1`),
+		`routing\[0\].pin: must be true or false`,
+	},
+	"kind unknown":     {withRouteR(`readonly`, `safe`), `routing\[0\].kind: must be readonly, mutating or stream`},
+	"kind missing":     {withRouteR(`"kind":"readonly",`, ``), `routing\[0\].kind: must be given and not be empty`},
+	"prefix not begun": {withRouteR(`"/r/"`, `"r/"`), `routing\[0\].pfx: must begin and end with a slash`},
+	"prefix not ended": {withRouteR(`"/r/"`, `"/r"`), `routing\[0\].pfx: must begin and end with a slash`},
+	"prefix empty":     {withRouteR(`"/r/"`, `""`), `routing\[0\].pfx: must be given and not be empty`},
+	"name missing":     {withRouteR(`"name":"r",`, ``), `routing\[0\].name: must be given and not be empty`},
+	"host missing": {
+		withRouteR(`"hostname":"h.example",`, ``),
+		`routing\[0\].hostname: must be given and not be empty`,
+	},
+	"service unnamed":     {configuration("", `{}`), `svcs\[0\].name: must be given and not be empty`},
+	"service name number": {configuration("", `{"name":1}`), `(?s)svcs\[0\].name: must be a string.*`},
+	"service twice": {
+		configuration("", serviceA+","+service("b")+","+serviceA),
+		`svcs\[2\].name: "a" is the name of svcs\[0\] too`,
+	},
+	"route twice": {
+		configuration(routeR+","+strings.Replace(routeR, "/r/", "/q/", 1), serviceA),
+		`routing\[1\].name: "r" is the name of routing\[0\] too`,
+	},
+	"same address": {
+		configuration(routeR+","+strings.NewReplacer(`"r"`, `"q"`, "h.example", "H.Example").Replace(routeR), serviceA),
+		`routing\[1\]: has the same hostname and pfx as routing\[0\]`,
+	},
+	"runtime a list": {configuration("", `{"name":"a","runtime":[]}`), `svcs\[0\].runtime: must be an object`},
+	"runtime negative": {
+		configuration("", `{"name":"a","runtime":{"capacity":-1}}`),
+		`svcs\[0\].runtime.capacity: must not be negative`,
+	},
+	"models an object": {
+		configuration("", `{"name":"a","runtime":{"model_list":{}}}`),
+		`svcs\[0\].runtime.model_list: must be a list`,
+	},
+	"model a text": {
+		configuration("", `{"name":"a","runtime":{"model_list":["m"]}}`),
+		`svcs\[0\].runtime.model_list\[0\]: must be an object`,
+	},
+	"model name a number": {
+		configuration("", `{"name":"a","runtime":{"model_list":[{"name":1}]}}`),
+		`svcs\[0\].runtime.model_list\[0\].name: must be a string`,
+	},
+}
+
 func TestInvalid(t *testing.T) {
-	a := service("a")
-	valid := route("r", `,"svc":"a"`)
-	with := func(old, new string) string { return configuration(strings.Replace(valid, old, new, 1), a) }
-	for name, test := range map[string]struct{ body, want string }{
-		"empty":            {"", "byte 0: not JSON: .*"},
-		"cut off":          {configurationExample[:len(configurationExample)-5], "byte .*: not JSON: .*"},
-		"trailing bytes":   {configurationExample + "x", "byte .*: not JSON: .*"},
-		"two values":       {configurationExample + configurationExample, "byte .*: not JSON: .*"},
-		"comma at the end": {`{"ver":1,"routing":[],"svcs":[],}`, "byte .*: not JSON: .*"},
-		"not UTF-8":        {"{\"ver\":1,\"routing\":[],\"svcs\":[],\"x\":\"\xff\"}", "not UTF-8"},
-		"not an object":    {`[]`, "must be an object"},
-		"null":             {`null`, "must be an object"},
-		"deep": {
-			`{"ver":1,"routing":[],"svcs":[],"x":` + strings.Repeat("[", 500) + strings.Repeat("]", 500) + `}`,
-			"more than 64 levels deep",
-		},
-		"key twice": {`{"ver":1,"ver":2,"routing":[],"svcs":[]}`, "ver: the key is given twice"},
-		"key twice, escaped": {
-			configuration(route("r", `,"svc":"a","\u0073vc":"a"`), a),
-			`routing\[0\].svc: the key is given twice`,
-		},
-		"key twice, deep": {
-			configuration(route("r", `,"svc":"a","x":[0,{"y":1,"z":{},"y":1}]`), a),
-			`routing\[0\].x\[1\].y: the key is given twice`,
-		},
-		"no version":     {`{"routing":[],"svcs":[]}`, "ver: must be given"},
-		"version null":   {`{"ver":null,"routing":[],"svcs":[]}`, "ver: must be given"},
-		"version text":   {`{"ver":"3","routing":[],"svcs":[]}`, "ver: must be a number"},
-		"version broken": {`{"ver":3.5,"routing":[],"svcs":[]}`, "ver: must be a whole number of at most 64 bits"},
-		"version huge": {
-			`{"ver":9223372036854775808,"routing":[],"svcs":[]}`,
-			"ver: must be a whole number of at most 64 bits",
-		},
-		"version 0":         {`{"ver":0,"routing":[],"svcs":[]}`, "ver: must be above 0"},
-		"version below 0":   {`{"ver":-1,"routing":[],"svcs":[]}`, "ver: must be above 0"},
-		"no routing":        {`{"ver":1,"svcs":[]}`, "routing: must be given"},
-		"no svcs":           {`{"ver":1,"routing":[]}`, "svcs: must be given"},
-		"routing an object": {`{"ver":1,"routing":{},"svcs":[]}`, "routing: must be a list"},
-		"svcs text":         {`{"ver":1,"routing":[],"svcs":"a"}`, "svcs: must be a list"},
-		"caps a list":       {`{"ver":1,"routing":[],"svcs":[],"caps":[]}`, "caps: must be an object"},
-		"caps text": {
-			`{"ver":1,"routing":[],"svcs":[],"caps":{"hdr_max_bytes":"1"}}`,
-			"caps.hdr_max_bytes: must be a number",
-		},
-		"caps negative": {
-			`{"ver":1,"routing":[],"svcs":[],"caps":{"idle_timeout_ms":-1}}`,
-			"caps.idle_timeout_ms: must not be negative",
-		},
-		"route null":       {configuration("null", a), `routing\[0\]: must be an object`},
-		"service a number": {configuration("", "3"), `svcs\[0\]: must be an object`},
-		"unknown service":  {with(`"svc":"a"`, `"svc":"b"`), `routing\[0\].svc: the service "b" is not known`},
-		"unknown share": {
-			with(`"svc":"a"`, `"shares":[{"svc":"a","wt":1},{"svc":"b","wt":1}]`),
-			`routing\[0\].shares\[1\].svc: the service "b" is not known`,
-		},
-		"unknown besides": {
-			with(`"svc":"a"`, `"svc":"b","shares":[{"svc":"a","wt":1}]`),
-			`routing\[0\].svc: the service "b" is not known`,
-		},
-		"no service": {with(`,"svc":"a"`, ``), `routing\[0\]: must name a service in svc or shares`},
-		"empty service": {
-			with(`"svc":"a"`, `"svc":"","shares":[]`),
-			`routing\[0\]: must name a service in svc or shares`,
-		},
-		"service a list": {with(`"svc":"a"`, `"svc":["a"]`), `(?s)routing\[0\].svc: must be a string\n.*`},
-		"weights 0": {
-			with(`"svc":"a"`, `"shares":[{"svc":"a","wt":0},{"svc":"a","wt":0}]`),
-			`routing\[0\].shares: the weights add up to 0`,
-		},
-		"weights 0 and svc": {
-			with(`"svc":"a"`, `"svc":"a","shares":[{"svc":"a","wt":0}]`),
-			`routing\[0\].shares: the weights add up to 0`,
-		},
-		"weight negative": {
-			with(`"svc":"a"`, `"shares":[{"svc":"a","wt":-1},{"svc":"a","wt":2}]`),
-			`routing\[0\].shares\[0\].wt: must not be negative`,
-		},
-		"weights cancel": {
-			with(`"svc":"a"`, `"shares":[{"svc":"a","wt":-1},{"svc":"a","wt":1}]`),
-			`routing\[0\].shares\[0\].wt: must not be negative`,
-		},
-		"weight missing": {with(`"svc":"a"`, `"shares":[{"svc":"a"}]`), `routing\[0\].shares\[0\].wt: must be given`},
-		"weight text": {
-			with(`"svc":"a"`, `"shares":[{"svc":"a","wt":"1"}]`),
-			`(?s)routing\[0\].shares\[0\].wt: must be a number.*`,
-		},
-		"weights endless": {
-			with(`"svc":"a"`, `"shares":[{"svc":"a","wt":1e308},{"svc":"a","wt":1e308}]`),
-			`routing\[0\].shares: the weights are too large`,
-		},
-		"share without svc": {
-			with(`"svc":"a"`, `"shares":[{"wt":1}]`),
-			`routing\[0\].shares\[0\].svc: must be given and not be empty`,
-		},
-		"share a number":    {with(`"svc":"a"`, `"shares":[1]`), `routing\[0\].shares\[0\]: must be an object`},
-		"shares an object":  {with(`"svc":"a"`, `"svc":"a","shares":{}`), `routing\[0\].shares: must be a list`},
-		"deadline 0":        {with(`"deadline_ms":100`, `"deadline_ms":0`), `routing\[0\].deadline_ms: must be above 0`},
-		"deadline 0.0":      {with(`"deadline_ms":100`, `"deadline_ms":0.0`), `routing\[0\].deadline_ms: must be above 0`},
-		"deadline -0":       {with(`"deadline_ms":100`, `"deadline_ms":-0`), `routing\[0\].deadline_ms: must be above 0`},
-		"deadline negative": {with(`"deadline_ms":100`, `"deadline_ms":-5`), `routing\[0\].deadline_ms: must be above 0`},
-		"deadline absent": {
-			configuration(`{"name":"r","hostname":"h","pfx":"/","kind":"readonly","svc":"a"}`, a),
-			`routing\[0\].deadline_ms: must be above 0`,
-		},
-		"deadline null": {with(`"deadline_ms":100`, `"deadline_ms":null`), `routing\[0\].deadline_ms: must be above 0`},
-		"deadline text": {
-			with(`"deadline_ms":100`, `"deadline_ms":"100"`),
-			`routing\[0\].deadline_ms: must be a number`,
-		},
-		"deadline endless": {
-			with(`"deadline_ms":100`, `"deadline_ms":1e999`),
-			`routing\[0\].deadline_ms: the number is too large`,
-		},
-		"target negative": {
-			with(`"deadline_ms":100`, `"deadline_ms":100,"target_ms":-1`),
-			`routing\[0\].target_ms: must not be negative`,
-		},
-		"tries negative": {
-			with(`"deadline_ms":100`, `"deadline_ms":100,"tries":-1`),
-			`routing\[0\].tries: must not be negative`,
-		},
-		"tries broken": {
-			with(`"deadline_ms":100`, `"deadline_ms":100,"tries":1.5`),
-			`routing\[0\].tries: must be a whole number of at most 64 bits`,
-		},
-		"pin a number": {
-			with(`"deadline_ms":100`, `"deadline_ms":100,"pin":1`),
-			`routing\[0\].pin: must be true or false`,
-		},
-		"kind unknown":        {with(`readonly`, `safe`), `routing\[0\].kind: must be readonly, mutating or stream`},
-		"kind missing":        {with(`"kind":"readonly",`, ``), `routing\[0\].kind: must be given and not be empty`},
-		"prefix not begun":    {with(`"/r/"`, `"r/"`), `routing\[0\].pfx: must begin and end with a slash`},
-		"prefix not ended":    {with(`"/r/"`, `"/r"`), `routing\[0\].pfx: must begin and end with a slash`},
-		"prefix empty":        {with(`"/r/"`, `""`), `routing\[0\].pfx: must be given and not be empty`},
-		"name missing":        {with(`"name":"r",`, ``), `routing\[0\].name: must be given and not be empty`},
-		"host missing":        {with(`"hostname":"h.example",`, ``), `routing\[0\].hostname: must be given and not be empty`},
-		"service unnamed":     {configuration("", `{}`), `svcs\[0\].name: must be given and not be empty`},
-		"service name number": {configuration("", `{"name":1}`), `(?s)svcs\[0\].name: must be a string.*`},
-		"service twice": {
-			configuration("", a+","+service("b")+","+a),
-			`svcs\[2\].name: "a" is the name of svcs\[0\] too`,
-		},
-		"route twice": {
-			configuration(valid+","+strings.Replace(valid, "/r/", "/q/", 1), a),
-			`routing\[1\].name: "r" is the name of routing\[0\] too`,
-		},
-		"same address": {
-			configuration(valid+","+strings.Replace(strings.Replace(valid, `"r"`, `"q"`, 1), "h.example",
-				"H.Example", 1), a),
-			`routing\[1\]: has the same hostname and pfx as routing\[0\]`,
-		},
-		"runtime a list": {configuration("", `{"name":"a","runtime":[]}`), `svcs\[0\].runtime: must be an object`},
-		"runtime negative": {
-			configuration("", `{"name":"a","runtime":{"capacity":-1}}`),
-			`svcs\[0\].runtime.capacity: must not be negative`,
-		},
-		"models an object": {
-			configuration("", `{"name":"a","runtime":{"model_list":{}}}`),
-			`svcs\[0\].runtime.model_list: must be a list`,
-		},
-		"model a text": {
-			configuration("", `{"name":"a","runtime":{"model_list":["m"]}}`),
-			`svcs\[0\].runtime.model_list\[0\]: must be an object`,
-		},
-		"model name a number": {
-			configuration("", `{"name":"a","runtime":{"model_list":[{"name":1}]}}`),
-			`svcs\[0\].runtime.model_list\[0\].name: must be a string`,
-		},
-	} {
+	for name, test := range invalidDocuments {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			d, found := routingconfig.Decode([]byte(test.body))
--- a/internal/fleet/routingconfig/residencyterms_test.go
+++ b/internal/fleet/routingconfig/residencyterms_test.go
@@ -110,75 +110,78 @@
 	c.Assert(string(next.Show()), qt.Equals, shown)
 }
 
+// invalidTenants has bodies whose tenants or regions are wrong, and the findings.
+var invalidTenants = map[string]struct{ body, want string }{
+	"not a list":    {strings.Replace(withTenants("", ""), "[]}", "{}}", 1), "tenants: must be a list"},
+	"not an object": {withTenants("", `7`), "tenants[0]: must be an object"},
+	"no name":       {withTenants("", `{"regions":["a"]}`), "tenants[0].name: must be given and not be empty"},
+	"no regions":    {withTenants("", `{"name":"n"}`), "tenants[0].regions: must be given"},
+	"null regions": {
+		withTenants("", `{"name":"n","regions":null}`),
+		"tenants[0].regions: must be a list (leave it out where anywhere will do)",
+	},
+	"empty regions":    {withTenants("", `{"name":"n","regions":[ ]}`), "tenants[0].regions: must name a region"},
+	"regions a string": {withTenants("", `{"name":"n","regions":"a"}`), "tenants[0].regions: must be a list"},
+	"a region no string": {
+		withTenants("", `{"name":"n","regions":["a",2]}`),
+		"tenants[0].regions[1]: must be a string",
+	},
+	"a region empty": {
+		withTenants("", `{"name":"n","regions":[""]}`),
+		"tenants[0].regions[0]: must not be empty",
+	},
+	"a region null": {
+		withTenants("", `{"name":"n","regions":[null]}`),
+		"tenants[0].regions[0]: must be a string",
+	},
+	"a region twice": {
+		withTenants("", `{"name":"n","regions":["a","a"]}`),
+		`tenants[0].regions[1]: "a" is there already`,
+	},
+	"name twice": {
+		withTenants("", `{"name":"n","regions":["a"]},{"name":"n","regions":["b"]}`),
+		`tenants[1].name: "n" is the name of tenants[0] too`,
+	},
+	"tenant not listed": {
+		withTenants(routeToA("r", `,"tenant":"x"`), ""),
+		`routing[0].tenant: the tenant "x" is not listed`,
+	},
+	"no tenants at all": {
+		configuration(routeToA("r", `,"tenant":"x"`), service("a")),
+		`routing[0].tenant: the tenant "x" is not listed`,
+	},
+	"tenant no string": {
+		withTenants(routeToA("r", `,"tenant":["n"]`), `{"name":"n","regions":["a"]}`),
+		"routing[0].tenant: must be a string",
+	},
+	"tenant empty": {
+		withTenants(routeToA("r", `,"tenant":""`), ""),
+		"routing[0].tenant: must be given and not be empty",
+	},
+	"tenant null": {
+		withTenants(routeToA("r", `,"tenant":null`), ""),
+		"routing[0].tenant: must be a string (leave it out where there is no tenant)",
+	},
+	"route's regions empty": {
+		withTenants(routeToA("r", `,"regions":[]`), ""),
+		"routing[0].regions: must name a region",
+	},
+	"route's regions null": {
+		withTenants(routeToA("r", `,"regions":null`), ""),
+		"routing[0].regions: must be a list (leave it out where anywhere will do)",
+	},
+	"route beyond tenant": {
+		withTenants(routeToA("r", `,"tenant":"n","regions":["b"]`), `{"name":"n","regions":["a"]}`),
+		`routing[0].regions[0]: "b" is not among the regions of the tenant "n"`,
+	},
+	"regions of a wrong type": {
+		withTenants(routeToA("r", `,"regions":{"a":1}`), ""),
+		"routing[0].regions: must be a list",
+	},
+}
+
 func TestInvalidTenants(t *testing.T) {
-	for name, test := range map[string]struct{ body, want string }{
-		"not a list":    {strings.Replace(withTenants("", ""), "[]}", "{}}", 1), "tenants: must be a list"},
-		"not an object": {withTenants("", `7`), "tenants[0]: must be an object"},
-		"no name":       {withTenants("", `{"regions":["a"]}`), "tenants[0].name: must be given and not be empty"},
-		"no regions":    {withTenants("", `{"name":"n"}`), "tenants[0].regions: must be given"},
-		"null regions": {
-			withTenants("", `{"name":"n","regions":null}`),
-			"tenants[0].regions: must be a list (leave it out where anywhere will do)",
-		},
-		"empty regions":    {withTenants("", `{"name":"n","regions":[ ]}`), "tenants[0].regions: must name a region"},
-		"regions a string": {withTenants("", `{"name":"n","regions":"a"}`), "tenants[0].regions: must be a list"},
-		"a region no string": {
-			withTenants("", `{"name":"n","regions":["a",2]}`),
-			"tenants[0].regions[1]: must be a string",
-		},
-		"a region empty": {
-			withTenants("", `{"name":"n","regions":[""]}`),
-			"tenants[0].regions[0]: must not be empty",
-		},
-		"a region null": {
-			withTenants("", `{"name":"n","regions":[null]}`),
-			"tenants[0].regions[0]: must be a string",
-		},
-		"a region twice": {
-			withTenants("", `{"name":"n","regions":["a","a"]}`),
-			`tenants[0].regions[1]: "a" is there already`,
-		},
-		"name twice": {
-			withTenants("", `{"name":"n","regions":["a"]},{"name":"n","regions":["b"]}`),
-			`tenants[1].name: "n" is the name of tenants[0] too`,
-		},
-		"tenant not listed": {
-			withTenants(routeToA("r", `,"tenant":"x"`), ""),
-			`routing[0].tenant: the tenant "x" is not listed`,
-		},
-		"no tenants at all": {
-			configuration(routeToA("r", `,"tenant":"x"`), service("a")),
-			`routing[0].tenant: the tenant "x" is not listed`,
-		},
-		"tenant no string": {
-			withTenants(routeToA("r", `,"tenant":["n"]`), `{"name":"n","regions":["a"]}`),
-			"routing[0].tenant: must be a string",
-		},
-		"tenant empty": {
-			withTenants(routeToA("r", `,"tenant":""`), ""),
-			"routing[0].tenant: must be given and not be empty",
-		},
-		"tenant null": {
-			withTenants(routeToA("r", `,"tenant":null`), ""),
-			"routing[0].tenant: must be a string (leave it out where there is no tenant)",
-		},
-		"route's regions empty": {
-			withTenants(routeToA("r", `,"regions":[]`), ""),
-			"routing[0].regions: must name a region",
-		},
-		"route's regions null": {
-			withTenants(routeToA("r", `,"regions":null`), ""),
-			"routing[0].regions: must be a list (leave it out where anywhere will do)",
-		},
-		"route beyond tenant": {
-			withTenants(routeToA("r", `,"tenant":"n","regions":["b"]`), `{"name":"n","regions":["a"]}`),
-			`routing[0].regions[0]: "b" is not among the regions of the tenant "n"`,
-		},
-		"regions of a wrong type": {
-			withTenants(routeToA("r", `,"regions":{"a":1}`), ""),
-			"routing[0].regions: must be a list",
-		},
-	} {
+	for name, test := range invalidTenants {
 		t.Run(name, func(t *testing.T) {
 			d, found := routingconfig.Decode([]byte(test.body))
 			qt.Assert(t, d, qt.IsNil)
@@ -261,24 +264,30 @@
 			if len(found) > 0 || !again.Equal(d) {
 				r.Fatalf("%s: %v", d.Show(), found)
 			}
-			byName := map[string][]string{}
-			for _, one := range d.Tenants() {
-				byName[one.Name] = one.Regions
-			}
-			for _, one := range d.RoutesWithResidencyTerms() {
-				if _, ok := byName[one.Tenant]; one.Tenant != "" && !ok {
-					r.Fatalf("%s names %s", one.Name, one.Tenant)
-				}
-				for _, region := range one.Regions {
-					if one.Tenant != "" && !strings.Contains(strings.Join(byName[one.Tenant], " "), region) {
-						r.Fatalf("%s may be stored in %s, its tenant's data not", one.Name, region)
-					}
-				}
-			}
+			requireResidencyTerms(r, d)
 		}
 	})
 }
 
+// requireResidencyTerms fails where a route has terms that its tenant doesn't give.
+func requireResidencyTerms(r *rapid.T, d *routingconfig.Document) {
+	tenants := map[string][]string{}
+	for _, tenant := range d.Tenants() {
+		tenants[tenant.Name] = tenant.Regions
+	}
+	for _, route := range d.RoutesWithResidencyTerms() {
+		regions, ok := tenants[route.Tenant]
+		if route.Tenant != "" && !ok {
+			r.Fatalf("%s names %s", route.Name, route.Tenant)
+		}
+		for _, region := range route.Regions {
+			if route.Tenant != "" && !strings.Contains(strings.Join(regions, " "), region) {
+				r.Fatalf("%s may be stored in %s, its tenant's data not", route.Name, region)
+			}
+		}
+	}
+}
+
 // TestOperatorsPage reads the configuration and the change that the operators' page shows.
 func TestOperatorsPage(t *testing.T) {
 	c := qt.New(t)
--- a/internal/fleet/routingconfig/update_test.go
+++ b/internal/fleet/routingconfig/update_test.go
@@ -58,59 +58,69 @@
 	qt.Assert(t, string(next.Show()), qt.Equals, shown)
 }
 
-func TestUpdateInvalid(t *testing.T) {
+// updatedDocument is what invalidUpdates are sent to: two routes, one of them split, and two services.
+func updatedDocument(t testing.TB) *routingconfig.Document {
 	routes := route("r", `,"svc":"a"`) + "," + route("q", `,"shares":[{"svc":"a","wt":1},{"svc":"b","wt":0}]`)
-	d := decode(t, configuration(routes, service("a")+","+service("b")))
-	named := func(name, old string) string {
-		return strings.Replace(route(old, `,"svc":"a"`), `"name":"`+old+`"`, `"name":"`+name+`"`, 1)
-	}
-	for name, test := range map[string]struct{ body, want string }{
-		"cut off":          {`{"ver":4,`, "byte .*: not JSON: .*"},
-		"key twice":        {`{"ver":4,"remove":{},"remove":{}}`, "remove: the key is given twice"},
-		"no version":       {`{}`, "ver: must be given"},
-		"not above":        {`{"ver":3}`, "ver: 3 is not above the current version, 3"},
-		"upsert a list":    {`{"ver":4,"upsert":[]}`, "upsert: must be an object"},
-		"remove a list":    {`{"ver":4,"remove":[]}`, "remove: must be an object"},
-		"routes an object": {`{"ver":4,"upsert":{"routing":{}}}`, "upsert.routing: must be a list"},
-		"names a text":     {`{"ver":4,"remove":{"svcs":"a"}}`, "remove.svcs: must be a list"},
-		"name an item":     {`{"ver":4,"remove":{"routing":["x",{"name":"r"}]}}`, `remove.routing\[1\]: must be a string`},
-		"caps text": {
-			`{"ver":4,"upsert":{"caps":{"idle_timeout_ms":""}}}`,
-			"upsert.caps.idle_timeout_ms: must be a number",
-		},
-		"item wrong": {
-			`{"ver":4,"upsert":{"routing":[` + strings.Replace(route("n", `,"svc":"a"`), `:100`, `:0`, 1) + `]}}`,
-			`upsert.routing\[0\].deadline_ms: must be above 0`,
-		},
-		"item twice": {
-			`{"ver":4,"upsert":{"svcs":[` + service("n") + `,` + service("n") + `]}}`,
-			`upsert.svcs\[1\].name: "n" is the name of upsert.svcs\[0\] too`,
-		},
-		"unknown service": {
-			`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"z"`) + `]}}`,
-			`upsert.routing\[0\].svc: the service "z" is not known`,
-		},
-		"service removed": {
-			`{"ver":4,"remove":{"svcs":["b"]}}`,
-			`route "q".shares\[1\].svc: the service "b" is not known`,
-		},
-		"both removed": {
-			`{"ver":4,"remove":{"svcs":["a"],"routing":["q"]}}`,
-			`route "r".svc: the service "a" is not known`,
-		},
-		"match of old": {
-			`{"ver":4,"upsert":{"routing":[` + named("n", "r") + `]}}`,
-			`upsert.routing\[0\]: has the hostname and pfx of the route "r"`,
-		},
-		"match of new": {
-			`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"a"`) + `,` + named("m", "n") + `]}}`,
-			`upsert.routing\[1\]: has the same hostname and pfx as upsert.routing\[0\]`,
-		},
-		"moved onto another": {
-			`{"ver":4,"upsert":{"routing":[` + named("r", "q") + `]}}`,
-			`upsert.routing\[0\]: has the hostname and pfx of the route "q"`,
-		},
-	} {
+	return decode(t, configuration(routes, service("a")+","+service("b")))
+}
+
+// renamedRoute returns the JSON of the route old with another name.
+func renamedRoute(name, old string) string {
+	return strings.Replace(route(old, `,"svc":"a"`), `"name":"`+old+`"`, `"name":"`+name+`"`, 1)
+}
+
+// invalidUpdates has updates of updatedDocument that are refused, and the findings as a regular expression.
+var invalidUpdates = map[string]struct{ body, want string }{
+	"cut off":          {`{"ver":4,`, "byte .*: not JSON: .*"},
+	"key twice":        {`{"ver":4,"remove":{},"remove":{}}`, "remove: the key is given twice"},
+	"no version":       {`{}`, "ver: must be given"},
+	"not above":        {`{"ver":3}`, "ver: 3 is not above the current version, 3"},
+	"upsert a list":    {`{"ver":4,"upsert":[]}`, "upsert: must be an object"},
+	"remove a list":    {`{"ver":4,"remove":[]}`, "remove: must be an object"},
+	"routes an object": {`{"ver":4,"upsert":{"routing":{}}}`, "upsert.routing: must be a list"},
+	"names a text":     {`{"ver":4,"remove":{"svcs":"a"}}`, "remove.svcs: must be a list"},
+	"name an item":     {`{"ver":4,"remove":{"routing":["x",{"name":"r"}]}}`, `remove.routing\[1\]: must be a string`},
+	"caps text": {
+		`{"ver":4,"upsert":{"caps":{"idle_timeout_ms":""}}}`,
+		"upsert.caps.idle_timeout_ms: must be a number",
+	},
+	"item wrong": {
+		`{"ver":4,"upsert":{"routing":[` + strings.Replace(route("n", `,"svc":"a"`), `:100`, `:0`, 1) + `]}}`,
+		`upsert.routing\[0\].deadline_ms: must be above 0`,
+	},
+	"item twice": {
+		`{"ver":4,"upsert":{"svcs":[` + service("n") + `,` + service("n") + `]}}`,
+		`upsert.svcs\[1\].name: "n" is the name of upsert.svcs\[0\] too`,
+	},
+	"unknown service": {
+		`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"z"`) + `]}}`,
+		`upsert.routing\[0\].svc: the service "z" is not known`,
+	},
+	"service removed": {
+		`{"ver":4,"remove":{"svcs":["b"]}}`,
+		`route "q".shares\[1\].svc: the service "b" is not known`,
+	},
+	"both removed": {
+		`{"ver":4,"remove":{"svcs":["a"],"routing":["q"]}}`,
+		`route "r".svc: the service "a" is not known`,
+	},
+	"match of old": {
+		`{"ver":4,"upsert":{"routing":[` + renamedRoute("n", "r") + `]}}`,
+		`upsert.routing\[0\]: has the hostname and pfx of the route "r"`,
+	},
+	"match of new": {
+		`{"ver":4,"upsert":{"routing":[` + route("n", `,"svc":"a"`) + `,` + renamedRoute("m", "n") + `]}}`,
+		`upsert.routing\[1\]: has the same hostname and pfx as upsert.routing\[0\]`,
+	},
+	"moved onto another": {
+		`{"ver":4,"upsert":{"routing":[` + renamedRoute("r", "q") + `]}}`,
+		`upsert.routing\[0\]: has the hostname and pfx of the route "q"`,
+	},
+}
+
+func TestUpdateInvalid(t *testing.T) {
+	d := updatedDocument(t)
+	for name, test := range invalidUpdates {
 		t.Run(name, func(t *testing.T) {
 			next, found := routingconfig.Update(d, []byte(test.body))
 			qt.Assert(t, next, qt.IsNil)
--- a/internal/fleet/status/status.go
+++ b/internal/fleet/status/status.go
@@ -67,7 +67,7 @@
 	SingletonPhases = "phases"
 )
 
-// SingletonRole is work that at most one core machine at a time does for the whole fleet.
+// SingletonRole is work that at most one core machine at a time does for the fleet.
 type SingletonRole struct {
 	// Name is SingletonPoll or SingletonPhases.
 	Name string `json:"name"`
