--- a/cmd/molepaddle-fleet/control.go
+++ b/cmd/molepaddle-fleet/control.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"strconv"
@@ -52,31 +53,32 @@
 }
 
 // fetchCurrent asks for the configuration in force; the document is nil while there is none.
-func fetchCurrent(a *app, c *operatorclient.Client) (d *routingconfig.Document, answer operatorclient.Response,
-	err error) {
-	answer, err = c.Show(a.ctx)
-	var no *operatorclient.RejectedError
-	if errors.As(err, &no) && no.Status == http.StatusNotFound {
-		return nil, operatorclient.Response{Endpoint: no.Endpoint}, nil
+func fetchCurrent(
+	ctx context.Context, c *operatorclient.Client,
+) (d *routingconfig.Document, response operatorclient.Response, err error) {
+	response, err = c.Show(ctx)
+	var rejected *operatorclient.RejectedError
+	if errors.As(err, &rejected) && rejected.Status == http.StatusNotFound {
+		return nil, operatorclient.Response{Endpoint: rejected.Endpoint}, nil
 	}
 	if err != nil {
-		return nil, answer, exitError{err, exitCodeOf(err)}
+		return nil, response, exitError{err, exitCodeOf(err)}
 	}
-	d, in := routingconfig.Decode(answer.Body)
+	d, in := routingconfig.Decode(response.Body)
 	if err := in.Err(); err != nil {
-		return nil, answer, exitError{errors.Wrapf(err, "what %s shows is no configuration", answer.Endpoint),
+		return nil, response, exitError{errors.Wrapf(err, "what %s shows is no configuration", response.Endpoint),
 			exitIndeterminate}
 	}
-	return d, answer, nil
+	return d, response, nil
 }
 
 // exitCodeOf is the exit code of a client's error.
 func exitCodeOf(err error) int {
-	var no *operatorclient.RejectedError
+	var rejected *operatorclient.RejectedError
 	switch {
-	case !errors.As(err, &no):
+	case !errors.As(err, &rejected):
 		return exitIndeterminate
-	case no.Status == http.StatusPreconditionFailed:
+	case rejected.Status == http.StatusPreconditionFailed:
 		return exitVersionConflict
 	}
 	return exitFailure
--- a/cmd/molepaddle-fleet/demo.go
+++ b/cmd/molepaddle-fleet/demo.go
@@ -25,9 +25,14 @@
 // demoTimeout bounds the whole demo; it takes about fifteen seconds.
 const demoTimeout = 90 * time.Second
 
+// demoIntroduction is what the demo prints first.
+const demoIntroduction = `A whole fleet on this machine. Its programs run for real, as processes of this binary: 3 core machines (the control
+plane), 2 edge machines (a proxy, and the agent that links it to the core). Backends, the platform's list of them and
+clients are stand-ins. A prompt's token takes 20us to read, a token of an answer 5ms to make.`
+
 // Run starts a small fleet on loopback and shows what it does.
-func (c *demoCmd) Run(a *app) (err error) {
-	ctx, stop := signal.NotifyContext(a.ctx, syscall.SIGTERM, syscall.SIGINT)
+func (c *demoCmd) Run(ctx context.Context, a *app) (err error) {
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if c.Keep {
 		defer func() {
@@ -55,9 +60,7 @@
 		startedAt: time.Now(),
 		printLine: func(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) },
 	}
-	d.printLine("A whole fleet on this machine. Its programs run for real, as processes of this binary: 3 core machines (the control\n" +
-		"plane), 2 edge machines (a proxy, and the agent that links it to the core). Backends, the platform's list of them and\n" +
-		"clients are stand-ins. A prompt's token takes 20us to read, a token of an answer 5ms to make.")
+	d.printLine(demoIntroduction)
 	d.start(play, s)
 	d.prompts()
 	d.rollout()
@@ -65,8 +68,8 @@
 	d.showStatus(a)
 	d.printLine("\nPlayed in %v.", elapsed(d.startedAt))
 	if c.Keep {
-		d.printLine("The fleet runs on until Ctrl-C. In another terminal:\n   molepaddle-fleet status --control %s\n   molepaddle-fleet show --control %s",
-			d.leader, d.leader)
+		d.printLine("The fleet runs on until Ctrl-C. In another terminal:\n"+
+			"   molepaddle-fleet status --control %s\n   molepaddle-fleet show --control %s", d.leader, d.leader)
 		<-ctx.Done()
 	}
 	return nil
@@ -106,13 +109,13 @@
 // change sends a configuration or an update on top of the newest version.
 func (d *demo) change(call externalapi.Call, body []byte) {
 	began := time.Now()
-	answer, err := d.control.Change(d.ctx, call, d.version, body)
+	response, err := d.control.Change(d.ctx, call, d.version, body)
 	if err != nil {
 		d.Fatalf("change: %v", err)
 	}
 	d.version++
 	d.printLine("   version %d of the configuration: on the disks of the primary, %s, and its backup after %v",
-		d.version, d.nameOf(answer.Endpoint), elapsed(began))
+		d.version, d.nameOf(response.Endpoint), elapsed(began))
 }
 
 // prompts sends two prompts that begin alike.
--- a/cmd/molepaddle-fleet/diff.go
+++ b/cmd/molepaddle-fleet/diff.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -24,7 +25,7 @@
 }
 
 // Run prints what a file would change.
-func (c *diffCmd) Run(a *app) error {
+func (c *diffCmd) Run(ctx context.Context, a *app) error {
 	body, err := readFile(c.File)
 	if err != nil {
 		return err
@@ -33,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	now, _, err := fetchCurrent(a, client)
+	now, _, err := fetchCurrent(ctx, client)
 	if err != nil {
 		return err
 	}
--- a/cmd/molepaddle-fleet/main.go
+++ b/cmd/molepaddle-fleet/main.go
@@ -56,7 +56,6 @@
 
 // app is what every command is given.
 type app struct {
-	ctx           context.Context // ends with the process
 	out           io.Writer // what was asked for
 	settingsPath  string    // path of the settings file; may be empty
 	logLevel      string
@@ -91,10 +90,10 @@
 		}
 	}()
 	var c cli
-	a := &app{ctx: ctx, out: out, readBuildInfo: build}
+	a := &app{out: out, readBuildInfo: build}
 	k, err := kong.New(&c, kong.Name("molepaddle-fleet"),
 		kong.Description("Programs of the molepaddle router fleet, and commands for its operators."),
-		kong.Writers(out, errOut), kong.Exit(func(code int) { panic(exitRequest(code)) }), kong.Bind(a))
+		kong.Writers(out, errOut), kong.Exit(func(code int) { panic(exitRequest(code)) }), kong.Bind(a), kong.BindTo(ctx, (*context.Context)(nil)))
 	if err != nil {
 		panic(err) // the declarations above
 	}
--- a/cmd/molepaddle-fleet/programs.go
+++ b/cmd/molepaddle-fleet/programs.go
@@ -27,14 +27,14 @@
 	}
 )
 
-func (proxyCmd) Run(a *app) error {
-	return a.runProgram(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
+func (proxyCmd) Run(ctx context.Context, a *app) error {
+	return a.runProgram(ctx, func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		return proxy.New(ctx, set, log).Run(ctx)
 	})
 }
 
-func (nodeAgentCmd) Run(a *app) error {
-	return a.runProgram(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
+func (nodeAgentCmd) Run(ctx context.Context, a *app) error {
+	return a.runProgram(ctx, func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		agent := nodeagent.New(set, log)
 		agent.ReloadSeeds = func() []string {
 			current, err := settings.Load(a.settingsPath)
@@ -47,11 +47,11 @@
 	})
 }
 
-func (c controlPlaneCmd) Run(a *app) error {
+func (c controlPlaneCmd) Run(ctx context.Context, a *app) error {
 	if c.Readings <= 0 {
 		return exitError{errors.New("--readings: must be above 0"), exitUsage}
 	}
-	return a.runProgram(func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
+	return a.runProgram(ctx, func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		var server *controlplane.Server
 		// A disk that is full or refuses writes may take them again: until then this machine is as good as down.
 		refused := func(err error) { log.Warn("the state store can't be opened; tried again", zap.Error(err)) }
@@ -71,7 +71,9 @@
 }
 
 // runProgram runs one of the fleet's programs until SIGTERM or SIGINT.
-func (a *app) runProgram(do func(ctx context.Context, set settings.Settings, log *zap.Logger) error) error {
+func (a *app) runProgram(
+	ctx context.Context, do func(ctx context.Context, set settings.Settings, log *zap.Logger) error,
+) error {
 	if a.settingsPath == "" {
 		return errors.Errorf("no settings file: %s or --settings gives its path", settings.EnvFile)
 	}
@@ -93,7 +95,7 @@
 		return errors.Wrap(err, "log")
 	}
 	defer func() { _ = log.Sync() }()
-	ctx, stop := signal.NotifyContext(a.ctx, syscall.SIGTERM, syscall.SIGINT)
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP) // the settings that may change are read at the next start
--- a/cmd/molepaddle-fleet/propose.go
+++ b/cmd/molepaddle-fleet/propose.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
+	"net/http"
 
 	"github.com/go-faster/errors"
 
@@ -36,20 +38,27 @@
 }
 
 // Run sends a whole configuration.
-func (c *proposeCmd) Run(a *app) error { return c.send(a, externalapi.CallReplace) }
+func (c *proposeCmd) Run(ctx context.Context, a *app) error {
+	return c.send(ctx, a, externalapi.CallReplace)
+}
 
 // Run sends a change of named items.
-func (c *updateCmd) Run(a *app) error { return c.send(a, externalapi.CallUpdate) }
+func (c *updateCmd) Run(ctx context.Context, a *app) error {
+	return c.send(ctx, a, externalapi.CallUpdate)
+}
 
-func (c *changeFlags) send(a *app, call externalapi.Call) error {
+func (c *changeFlags) send(ctx context.Context, a *app, call externalapi.Call) error {
 	body, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
 	// The control plane would take a whole configuration for an update of nothing: unknown fields are ignored.
-	if kind := detectKind(c.File, body); call == externalapi.CallUpdate && kind != kindUpdate {
-		return errors.Errorf("%s: has neither upsert nor remove alone: `molepaddle-fleet propose` sends whole configurations", c.File)
-	} else if call == externalapi.CallReplace && kind == kindUpdate {
+	isUpdate := detectKind(c.File, body) == kindUpdate
+	switch {
+	case call == externalapi.CallUpdate && !isUpdate:
+		return errors.Errorf("%s: has neither upsert nor remove alone: "+
+			"`molepaddle-fleet propose` sends whole configurations", c.File)
+	case call == externalapi.CallReplace && isUpdate:
 		return errors.Errorf("%s: is a change of named items: `molepaddle-fleet update` sends those", c.File)
 	}
 	client, err := c.client(a)
@@ -58,25 +67,30 @@
 	}
 	s := changeResult{Version: versionOf(body), Base: c.Base, Findings: []finding{}}
 	if s.Base < 0 {
-		now, answer, err := fetchCurrent(a, client)
+		now, response, err := fetchCurrent(ctx, client)
 		if err != nil {
 			return err
 		}
 		if s.Base = now.Version(); call == externalapi.CallReplace && now != nil {
 			if next, _ := routingconfig.Decode(body); next != nil && next.Equal(now) {
-				s.Status, s.From, s.Already = 200, answer.Endpoint, true
+				s.Status = http.StatusOK
+				s.From = response.Endpoint
+				s.Already = true
 				return c.report(a, &s, nil)
 			}
 		}
 	}
-	answer, err := client.Change(a.ctx, call, s.Base, body)
-	s.From = answer.Endpoint
-	var no *operatorclient.RejectedError
+	response, err := client.Change(ctx, call, s.Base, body)
+	s.From = response.Endpoint
+	var rejected *operatorclient.RejectedError
 	switch {
 	case err == nil:
-		s.Status = 200
-	case errors.As(err, &no):
-		s.Status, s.From, s.Reason, s.Findings = no.Status, no.Endpoint, no.Reason, fileFindings(no.Findings, body)
+		s.Status = http.StatusOK
+	case errors.As(err, &rejected):
+		s.Status = rejected.Status
+		s.From = rejected.Endpoint
+		s.Reason = rejected.Reason
+		s.Findings = fileFindings(rejected.Findings, body)
 	default:
 		s.Reason = err.Error()
 	}
--- a/cmd/molepaddle-fleet/residency.go
+++ b/cmd/molepaddle-fleet/residency.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"text/tabwriter"
@@ -19,7 +20,7 @@
 }
 
 // Run prints where data rested.
-func (c *residencyCmd) Run(a *app) error {
+func (c *residencyCmd) Run(ctx context.Context, a *app) error {
 	if c.Tenant != "" && c.Route != "" {
 		return exitError{errors.New("give TENANT or --route, not both"), exitUsage}
 	}
@@ -27,19 +28,19 @@
 	if err != nil {
 		return err
 	}
-	answer, err := client.Residency(a.ctx, c.Tenant, c.Route)
+	response, err := client.Residency(ctx, c.Tenant, c.Route)
 	if err != nil {
 		return exitError{err, exitCodeOf(err)}
 	}
 	var report externalapi.ResidencyReport
-	if err := json.Unmarshal(answer.Body, &report); err != nil {
-		return exitError{errors.Wrapf(err, "what %s says is no report", answer.Endpoint), exitIndeterminate}
+	if err := json.Unmarshal(response.Body, &report); err != nil {
+		return exitError{errors.Wrapf(err, "what %s says is no report", response.Endpoint), exitIndeterminate}
 	}
 	if c.JSON {
 		return writeJSON(a.out, report)
 	}
 	fmt.Fprintf(a.out, "%s, as of change %d of the record, from %s\n", plural(len(report.Rows), "row"), report.Seq,
-		answer.Endpoint)
+		response.Endpoint)
 	if len(report.Rows) == 0 {
 		return nil
 	}
--- a/cmd/molepaddle-fleet/route.go
+++ b/cmd/molepaddle-fleet/route.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net/url"
 	"strings"
@@ -18,12 +19,12 @@
 }
 
 // Run prints which route a request takes.
-func (c *routeCmd) Run(a *app) error {
+func (c *routeCmd) Run(ctx context.Context, a *app) error {
 	path, _, _ := strings.Cut(c.Path, "?")
 	if u, err := url.ParseRequestURI(path); err != nil || !strings.HasPrefix(path, "/") || u.Path == "" {
 		return exitError{errors.Errorf("%q is no path: it begins with a slash", c.Path), exitUsage}
 	}
-	d, err := c.document(a)
+	d, err := c.document(ctx, a)
 	if err != nil {
 		return err
 	}
@@ -45,13 +46,13 @@
 	return nil
 }
 
-func (c *routeCmd) document(a *app) (*routingconfig.Document, error) {
+func (c *routeCmd) document(ctx context.Context, a *app) (*routingconfig.Document, error) {
 	if c.File == "" {
 		client, err := c.client(a)
 		if err != nil {
 			return nil, err
 		}
-		d, _, err := fetchCurrent(a, client)
+		d, _, err := fetchCurrent(ctx, client)
 		return d, err
 	}
 	body, err := readFile(c.File)
--- a/cmd/molepaddle-fleet/show.go
+++ b/cmd/molepaddle-fleet/show.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"strconv"
@@ -22,23 +23,23 @@
 var errNoConfiguration = errors.New("no configuration yet")
 
 // Run shows the configuration in force.
-func (c *showCmd) Run(a *app) error {
+func (c *showCmd) Run(ctx context.Context, a *app) error {
 	client, err := c.client(a)
 	if err != nil {
 		return err
 	}
-	d, answer, err := fetchCurrent(a, client)
+	d, response, err := fetchCurrent(ctx, client)
 	if err != nil {
 		return err
 	}
 	if d == nil {
-		return errors.Wrap(errNoConfiguration, answer.Endpoint)
+		return errors.Wrap(errNoConfiguration, response.Endpoint)
 	}
 	if c.JSON {
-		_, err := a.out.Write(append(answer.Body, '\n'))
+		_, err := a.out.Write(append(response.Body, '\n'))
 		return err
 	}
-	fmt.Fprintf(a.out, "%s, from %s\n", describeDocument(d), answer.Endpoint)
+	fmt.Fprintf(a.out, "%s, from %s\n", describeDocument(d), response.Endpoint)
 	return writeConfig(a.out, d.Config())
 }
 
--- a/cmd/molepaddle-fleet/status.go
+++ b/cmd/molepaddle-fleet/status.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"slices"
@@ -20,23 +21,24 @@
 }
 
 // Run shows the fleet's status.
-func (c *statusCmd) Run(a *app) error {
+func (c *statusCmd) Run(ctx context.Context, a *app) error {
 	client, err := c.client(a)
 	if err != nil {
 		return err
 	}
-	f, answer, err := client.Status(a.ctx, c.Local)
+	fleet, response, err := client.Status(ctx, c.Local)
 	if err != nil {
 		if exitCodeOf(err) == exitIndeterminate && !c.Local {
-			err = errors.Errorf("%v\nNo primary answers. --local shows what one machine knows: give its address with --control.", err)
+			err = errors.Errorf("%v\nNo primary answers. "+
+				"--local shows what one machine knows: give its address with --control.", err)
 			return exitError{err, exitIndeterminate}
 		}
 		return exitError{err, exitCodeOf(err)}
 	}
 	if c.JSON {
-		return writeJSON(a.out, f)
+		return writeJSON(a.out, fleet)
 	}
-	return writeStatus(a.out, f, answer.Endpoint)
+	return writeStatus(a.out, fleet, response.Endpoint)
 }
 
 // writeStatus writes a status as tables.
--- a/cmd/molepaddle-fleet/watch.go
+++ b/cmd/molepaddle-fleet/watch.go
@@ -28,7 +28,7 @@
 )
 
 // Run waits until every agent with a lease has a version.
-func (c *watchCmd) Run(a *app) error {
+func (c *watchCmd) Run(ctx context.Context, a *app) error {
 	client, err := c.client(a)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	if c.JSON {
 		printLine = func(string) {}
 	}
-	fleet, err := watch(a.ctx, client, c.Version, c.Limit, printLine)
+	fleet, err := watch(ctx, client, c.Version, c.Limit, printLine)
 	if fleet != nil && c.JSON {
 		if err := writeJSON(a.out, fleet); err != nil {
 			return err
