--- a/cmd/molepaddle-fleet/control_test.go
+++ b/cmd/molepaddle-fleet/control_test.go
@@ -94,7 +94,7 @@
 	s.previous, s.doc, s.statusCalls = s.doc, next, 0
 }
 
-// residency tells of two tenants, as a control server does.
+// residency answers with a report on two tenants, as a control server does.
 func (s *fakeControlPlane) residency(w http.ResponseWriter, r *http.Request) {
 	at := time.Date(2026, time.December, 1, 8, 0, 0, 0, time.UTC)
 	tenant, route := r.URL.Query().Get(externalapi.QueryTenant), r.URL.Query().Get(externalapi.QueryRoute)
@@ -142,7 +142,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"err": why, "findings": list})
 }
 
-// readBuildInfo is what the program is told of its build.
+// readBuildInfo is the build information that the command is given.
 func build() (*debug.BuildInfo, bool) {
 	return &debug.BuildInfo{GoVersion: "go1.26.8", Main: debug.Module{Version: "v1.2.0"}, Settings: []debug.BuildSetting{
 		{Key: "GOOS", Value: "linux"}, {Key: "GOARCH", Value: "amd64"}, {Key: "vcs.revision", Value: "a923778"},
--- a/cmd/molepaddle-fleet/core_test.go
+++ b/cmd/molepaddle-fleet/core_test.go
@@ -196,7 +196,7 @@
 	f.checkRules()
 }
 
-// TestInvalidConfigurations sends what is refused: all that is wrong is told with its place, and nothing of it is in
+// TestInvalidConfigurations sends invalid configurations: all findings come with their paths, and nothing of it is in
 // force.
 func TestInvalidConfigurations(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
--- a/cmd/molepaddle-fleet/demo_test.go
+++ b/cmd/molepaddle-fleet/demo_test.go
@@ -37,7 +37,7 @@
 	return all
 }
 
-// TestDemo plays the demo: it does what it tells, and the page's transcript is one of it.
+// TestDemo plays the demo: it does what it prints, and the page's transcript is one of it.
 func TestDemo(t *testing.T) {
 	c := qt.New(t)
 	t.Setenv("MOLEPADDLE_CONFIG", "")
--- a/cmd/molepaddle-fleet/demofleet.go
+++ b/cmd/molepaddle-fleet/demofleet.go
@@ -39,7 +39,7 @@
 // Cleanup has f called at the end.
 func (h *demoHarness) Cleanup(f func()) { h.cleanups = append(h.cleanups, f) }
 
-// Failed tells whether Fatalf was called.
+// Failed reports whether Fatalf was called.
 func (h *demoHarness) Failed() bool { return h.failed }
 
 // Logf writes what helps to understand a failure.
@@ -71,8 +71,8 @@
 	}
 }
 
-// demoFleet is a whole fleet on loopback: machines are addresses of 127.0.0.0/8, which Linux has without setting them
-// up.
+// demoFleet is a complete fleet on loopback: machines are addresses of 127.0.0.0/8, which Linux has without setting
+// them up.
 type demoFleet struct {
 	*demoHarness
 	ctx     context.Context
--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -76,7 +77,8 @@
 	programs map[string]*simulation.Program
 }
 
-// fleet is a whole system on loopback: 3 core machines, 2 edge machines, the backends, the platform and the operator.
+// fleet is a complete system on loopback: 3 core machines, 2 edge machines, the backends, the platform and the
+// operator.
 type fleet struct {
 	*qt.C
 	ctx      context.Context
@@ -98,24 +100,43 @@
 	version  uint64 // of the newest configuration that was acknowledged
 }
 
-// newFleet starts a fleet, gives it its first configuration and waits until both proxies are ready and all of the
-// core is in.
-func newFleet(t *testing.T, p fleetOptions) *fleet {
+// fleetZones are the zones of a test's fleet; all are of one region.
+var fleetZones = []string{"koto-hall", "shinagawa-hall", "kawasaki-hall"}
+
+const (
+	fleetRegion = "kanto"
+	// platformRate is how many calls a second the platform takes.
+	platformRate = 42
+	// machinePorts is how many ports the programs of a machine have among themselves.
+	machinePorts = 4
+)
+
+// newFleet starts a fleet, gives it its first configuration and waits until both proxies are ready and all core
+// machines are members.
+func newFleet(t *testing.T, options fleetOptions) *fleet {
 	c := qt.New(t)
 	f := &fleet{
 		C:       c,
-		flags:   p.flags,
+		flags:   options.flags,
 		running: map[*simulation.Program]string{},
 		delay:   50 * time.Millisecond,
 		settings: map[string]any{
-			"retry_ratio": 0.2, "retry_window_s": 10, "retry_extra": 54, "drain_ms": 3000, "apply_ms": 2000, "grace_s": 8,
-			"skew_ms": 5000, "sync_s": 4, "loss_slack_ms": 200, "contact_ms": 3000,
+			"retry_ratio":    0.2,
+			"retry_window_s": 10,
+			"retry_extra":    54,
+			"drain_ms":       3000,
+			"apply_ms":       2000,
+			"grace_s":        8,
+			"skew_ms":        5000,
+			"sync_s":         4,
+			"loss_slack_ms":  200,
+			"contact_ms":     3000,
 		},
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 2*time.Minute)
 	c.Cleanup(cancel)
 	f.ctx = ctx
-	for k, v := range p.bounds {
+	for k, v := range options.bounds {
 		f.settings[k] = v
 	}
 	f.bounds = simulation.Bounds{
@@ -123,89 +144,110 @@
 		RetryWindow: time.Duration(f.settings["retry_window_s"].(int)) * time.Second,
 		RetryExtra:  float64(f.settings["retry_extra"].(int)),
 	}
-	zones := []string{"koto-hall", "shinagawa-hall", "kawasaki-hall"}
-	start := func(n, usual int, s simulation.EngineSettings) (es []*simulation.Engine) {
-		if n == 0 {
-			n = usual
-		}
-		for i := range n {
-			s.Zone, s.Region = zones[i%len(zones)], "kanto"
-			es = append(es, simulation.StartEngine(c, s))
+	f.startBackends(options)
+	f.addMachines()
+	for _, m := range append(slices.Clone(f.core), f.edge...) {
+		for _, role := range m.roles {
+			m.start(role)
 		}
-		return es
 	}
+	began := time.Now()
+	rep := f.replaceConfig(f.ctx, f.configuration(1))
+	for _, m := range f.edge {
+		f.awaitReady(m)
+		f.clients = append(f.clients, &simulation.Client{Edge: m.boot.Edge, Keep: true})
+	}
+	c.Logf("first configuration taken after %v, at the try %d; proxies ready after %v", rep.At.Sub(began), rep.Tries,
+		time.Since(began))
+	// The core serves as soon as two of its machines are there. What it promises to survive counts from when all are
+	// in: one that is no member knows no primary to send a caller to.
+	for _, m := range f.core {
+		version, _, _ := f.showConfig(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
+		c.Assert(version, qt.Equals, f.version, qt.Commentf("%s", m.settings.Node))
+	}
+	c.Logf("all of the core is in after %v", time.Since(began))
+	return f
+}
+
+// startBackends starts the backends and the platform that lists them.
+func (f *fleet) startBackends(options fleetOptions) {
 	// A token takes 4 us to be read at a prefill backend: 250 are read in a ms.
-	engine := simulation.EngineSettings{
+	prefill := simulation.EngineSettings{
 		Service:   model,
 		Phase:     simulation.PhasePrefill,
 		Capacity:  16,
 		Step:      2 * time.Millisecond,
 		TokenRead: 4 * time.Microsecond,
 		Fencing:   true,
-		NoReport:  p.noReport,
-	}
-	f.prefill = start(p.prefill, 1, engine)
-	engine.Phase = simulation.PhaseDecode
-	f.decode = start(p.decode, 2, engine)
-	f.plain = start(p.plain, 2, plainEngine)
-	f.platform = simulation.StartPlatform(c, simulation.PlatformSettings{Rate: 42, Delay: f.delay}, f.engines()...)
-
-	coreIPs, edgeIPs := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}, []string{"127.0.2.1", "127.0.2.2"}
-	all := append(append([]string{"127.0.0.1"}, coreIPs...), edgeIPs...)
-	ports := simulation.ChoosePorts(c, 4, all...)
+		NoReport:  options.noReport,
+	}
+	decode := prefill
+	decode.Phase = simulation.PhaseDecode
+	f.prefill = f.startEngines(cmp.Or(options.prefill, 1), prefill)
+	f.decode = f.startEngines(cmp.Or(options.decode, 2), decode)
+	f.plain = f.startEngines(cmp.Or(options.plain, 2), plainEngine)
+	f.platform = simulation.StartPlatform(f.C, simulation.PlatformSettings{
+		Rate:  platformRate,
+		Delay: f.delay,
+	}, f.engines()...)
+}
+
+// startEngines starts n backends of a kind, in one zone after the other.
+func (f *fleet) startEngines(n int, set simulation.EngineSettings) (engines []*simulation.Engine) {
+	for i := range n {
+		set.Zone = fleetZones[i%len(fleetZones)]
+		set.Region = fleetRegion
+		engines = append(engines, simulation.StartEngine(f.C, set))
+	}
+	return engines
+}
+
+// addMachines gives the core and edge machines their addresses and settings.
+func (f *fleet) addMachines() {
+	coreIPs := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
+	edgeIPs := []string{"127.0.2.1", "127.0.2.2"}
+	all := slices.Concat([]string{"127.0.0.1"}, coreIPs, edgeIPs)
+	ports := simulation.ChoosePorts(f.C, machinePorts, all...)
 	f.operator = &simulation.Operator{}
 	for _, ip := range coreIPs {
 		f.operator.Ctl = append(f.operator.Ctl, net.JoinHostPort(ip, strconv.Itoa(ports.Ctl)))
 	}
-	settings := simulation.BootSettings{
+	usual := simulation.BootSettings{
 		Ports:    ports,
 		Peers:    f.operator.Ctl,
 		Provider: f.platform.Address(),
-		Rate:     42,
+		Rate:     platformRate,
 		Delay:    f.delay,
 		Nodes:    1,
 		Bounds:   f.settings,
 	}
 	for i, ip := range coreIPs {
-		s := settings
-		s.Tier, s.Node, s.IP, s.Zone, s.Bootstrap, s.Voting = "core", fmt.Sprintf("core-%d", i+1), ip, zones[i], true, true
-		f.core = append(f.core, &machine{f: f, settings: s, roles: []string{"control-plane"}})
+		set := usual
+		set.Tier = "core"
+		set.Node = fmt.Sprintf("core-%d", i+1)
+		set.IP = ip
+		set.Zone = fleetZones[i]
+		set.Bootstrap = true
+		set.Voting = true
+		f.core = append(f.core, &machine{f: f, settings: set, roles: []string{"control-plane"}})
 	}
 	for i, ip := range edgeIPs {
-		s := settings
-		s.Tier, s.Node, s.IP, s.Zone = "edge", fmt.Sprintf("edge-%d", i+1), ip, zones[i]
+		set := usual
+		set.Tier = "edge"
+		set.Node = fmt.Sprintf("edge-%d", i+1)
+		set.IP = ip
+		set.Zone = fleetZones[i]
 		if i > 0 {
-			// Node agents feed their proxies at a port of 127.0.0.1, which machines don't share and these here do. This
+			// Node agents serve their proxies at a port of 127.0.0.1, which machines don't share and these here do. This
 			// one gets ports of its own, and finds the control servers there by way of relays.
-			s.Ports = simulation.ChoosePorts(c, 4, all...)
+			set.Ports = simulation.ChoosePorts(f.C, machinePorts, all...)
 			for _, core := range coreIPs {
-				simulation.PassOn(c, net.JoinHostPort(core, strconv.Itoa(s.Ports.First+1)),
+				simulation.PassOn(f.C, net.JoinHostPort(core, strconv.Itoa(set.Ports.First+1)),
 					net.JoinHostPort(core, strconv.Itoa(ports.First+1)))
 			}
 		}
-		f.edge = append(f.edge, &machine{f: f, settings: s, roles: []string{"node-agent", "proxy"}})
-	}
-	for _, m := range append(slices.Clone(f.core), f.edge...) {
-		for _, role := range m.roles {
-			m.start(role)
-		}
-	}
-	began := time.Now()
-	rep := f.replaceConfig(f.ctx, f.configuration(1))
-	for _, m := range f.edge {
-		f.awaitReady(m)
-		f.clients = append(f.clients, &simulation.Client{Edge: m.boot.Edge, Keep: true})
-	}
-	c.Logf("first configuration taken after %v, at the try %d; proxies ready after %v", rep.At.Sub(began), rep.Tries,
-		time.Since(began))
-	// The core serves as soon as two of its machines are there. What it promises to survive counts from when all are
-	// in: one that is no member knows no primary to send a caller to.
-	for _, m := range f.core {
-		version, _, _ := f.showConfig(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
-		c.Assert(version, qt.Equals, f.version, qt.Commentf("%s", m.settings.Node))
+		f.edge = append(f.edge, &machine{f: f, settings: set, roles: []string{"node-agent", "proxy"}})
 	}
-	c.Logf("all of the core is in after %v", time.Since(began))
-	return f
 }
 
 var plainEngine = simulation.EngineSettings{
@@ -314,7 +356,7 @@
 	return r
 }
 
-// configuration is a whole one.
+// configuration is a complete configuration.
 func (f *fleet) configuration(version uint64) object {
 	return object{
 		"ver": version,
@@ -336,7 +378,7 @@
 	}
 }
 
-// replaceConfig has a whole configuration acknowledged on top of the newest.
+// replaceConfig has a complete configuration acknowledged on top of the newest.
 func (f *fleet) replaceConfig(ctx context.Context, doc object) simulation.Reply {
 	f.Helper()
 	rep, err := f.operator.Replace(ctx, f.version, doc)
@@ -365,7 +407,7 @@
 	return rep
 }
 
-// showConfig is what the operator reads back: the version and the names of the routes; from tells which core machine
+// showConfig is what the operator reads back: the version and the names of the routes; from is the core machine that
 // said it.
 func (f *fleet) showConfig(o *simulation.Operator) (version uint64, routes []string, from *machine) {
 	f.Helper()
@@ -528,7 +570,7 @@
 	}
 }
 
-// checkServed asks that a request got a whole success, a stream to its last event.
+// checkServed asserts that a request got a complete success, a stream to its last event.
 func (f *fleet) checkServed(r simulation.Result, where string) {
 	f.Helper()
 	if !r.OK() {
@@ -540,7 +582,7 @@
 	}
 }
 
-// attemptsOf tells where an attempt came, for the log of a failure.
+// attemptsOf lists the backends that an attempt reached, for the log of a failure.
 func (f *fleet) attemptsOf(attempt string) (out []string) {
 	for _, e := range f.engines() {
 		for _, en := range e.Log.Entries() {
--- a/cmd/molepaddle-fleet/leave_test.go
+++ b/cmd/molepaddle-fleet/leave_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// TestDrainingProxyRejectsWhatItCannotFinish: a proxy that was told to end still gets clients for some seconds. A
+// TestDrainingProxyRejectsWhatItCannotFinish: a proxy that is shutting down still gets clients for some seconds. A
 // stream that may take longer than it has left is refused at once, before any backend saw it, so that its client goes
 // elsewhere in time; what ends soon is served.
 func TestDrainingProxyRejectsWhatItCannotFinish(t *testing.T) {
@@ -71,7 +71,7 @@
 	f.checkRules()
 }
 
-// TestCoreShutsDownInTurn tells each core machine to end, the primary of the moment first, while changes come one
+// TestCoreShutsDownInTurn shuts down each core machine, the primary of the moment first, while changes come one
 // after the other. Each is released by the others before its grace is over, and comes back; every change is
 // acknowledged.
 func TestCoreShutsDownInTurn(t *testing.T) {
--- a/cmd/molepaddle-fleet/page_test.go
+++ b/cmd/molepaddle-fleet/page_test.go
@@ -26,7 +26,7 @@
 // Addresses as the page has them: the control plane's, and one where nobody listens.
 const pageControl, pageDead = "10.1.0.16:8166", "10.2.0.32:8166"
 
-// And the other core machines that the status tells of.
+// And the other core machines of the status.
 var pageCore = []string{pageControl, "10.1.1.16:8166", "10.1.2.16:8166"}
 
 // indent begins a transcript's lines.
@@ -159,7 +159,7 @@
 	return ok && id.Name == name
 }
 
-// isLog tells whether an expression is a logger: log, x.log, or log.With(...) of one.
+// isLog reports whether an expression is a logger: log, x.log, or log.With(...) of one.
 func isLog(e ast.Expr) bool {
 	switch e := e.(type) {
 	case *ast.Ident:
--- a/cmd/molepaddle-fleet/process_test.go
+++ b/cmd/molepaddle-fleet/process_test.go
@@ -117,7 +117,7 @@
 	p.Assert(p.cmd.Wait(), qt.IsNil)
 }
 
-// TestLogReaderGone closes the pipe that a program logs to: it goes on at its work, and ends only when told.
+// TestLogReaderGone closes the pipe that a program logs to: it goes on with its work, and ends only on a signal.
 func TestLogReaderGone(t *testing.T) {
 	c := qt.New(t)
 	const coreIP = "127.0.1.61"
@@ -168,7 +168,7 @@
 	p.awaitCleanExit()
 }
 
-// TestControlPlaneEndsWhileItWaitsForItsDisk tells a control server to end while its disk gives it no file.
+// TestControlPlaneEndsWhileItWaitsForItsDisk shuts down a control server while its disk gives it no file.
 func TestControlPlaneEndsWhileItWaitsForItsDisk(t *testing.T) {
 	c := qt.New(t)
 	const ip = "127.0.1.63"
--- a/cmd/molepaddle-fleet/programs.go
+++ b/cmd/molepaddle-fleet/programs.go
@@ -61,7 +61,7 @@
 		})
 		switch {
 		case ctx.Err() != nil:
-			return nil // told to end before it could begin
+			return nil // shut down before it could begin
 		case err != nil:
 			return err
 		}
--- a/cmd/molepaddle-fleet/propose.go
+++ b/cmd/molepaddle-fleet/propose.go
@@ -37,7 +37,7 @@
 	Findings []finding `json:"findings"`
 }
 
-// Run sends a whole configuration.
+// Run sends a complete configuration.
 func (c *proposeCmd) Run(ctx context.Context, a *app) error {
 	return c.send(ctx, a, externalapi.CallReplace)
 }
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	// The control plane would take a whole configuration for an update of nothing: unknown fields are ignored.
+	// The control plane would take a complete configuration for an update of nothing: unknown fields are ignored.
 	isUpdate := detectKind(c.File, body) == kindUpdate
 	switch {
 	case call == externalapi.CallUpdate && !isUpdate:
--- a/cmd/molepaddle-fleet/residency_test.go
+++ b/cmd/molepaddle-fleet/residency_test.go
@@ -25,7 +25,7 @@
 	return code, report, errOut
 }
 
-// residencyRow waits until each running core machine tells that the tenant's data rested in one region, by so many
+// residencyRow waits until each running core machine reports that the tenant's data rested in one region, by so many
 // plain requests.
 func (f *fleet) residencyRow(tenant string, plain int64) (r externalapi.ResidencyRow) {
 	f.Helper()
@@ -49,7 +49,7 @@
 }
 
 // TestResidencyOutlives kills a proxy, its node agent, the primary and at last the whole core, one after the other,
-// with requests of a tenant in between: the report tells the earliest time all along, and counts each request once.
+// with requests of a tenant in between: the report keeps the earliest time throughout, and counts each request once.
 func TestResidencyOutlives(t *testing.T) {
 	f := newFleet(t, fleetOptions{flags: map[string][]string{"control-plane": {"--readings", "200ms"}}})
 	rep, err := f.operator.Update(f.withTimeout(testTimeout), f.version, object{"ver": f.version + 1, "upsert": object{
@@ -156,7 +156,7 @@
 	f.checkRules()
 }
 
-// TestNoResidencyReportsWithoutTerms has no tenant: nothing of a report is ever written, and the record takes the
+// TestNoResidencyReportsWithoutTerms has no tenant: nothing of a report is ever written, and the log takes the
 // operator's changes alone.
 func TestNoResidencyReportsWithoutTerms(t *testing.T) {
 	f := newFleet(t, fleetOptions{flags: map[string][]string{"control-plane": {"--readings", "1ms"}}})
--- a/cmd/molepaddle-fleet/retries_test.go
+++ b/cmd/molepaddle-fleet/retries_test.go
@@ -132,7 +132,7 @@
 }
 
 // sendRivals has two operators send different changes under one number on top of the newest, at once, and more happen
-// meanwhile. Their first calls are given up soon, so that the answers are lost at some step. One of them must be
+// meanwhile. Their first calls time out soon, so that the answers are lost at some step. One of them must be
 // confirmed, the other refused.
 func (f *fleet) sendRivals(round int, meanwhile func()) (winner int, unanswered int64) {
 	f.Helper()
@@ -169,7 +169,7 @@
 
 // TestOperatorsRaceAcrossTakeovers has two operators send different changes under one number, over and over, while
 // the primary is killed, later another one frozen, and while answers that take a millisecond are not waited for. One
-// of the two is confirmed each time, the other is refused, and both are told the same when they send their changes
+// of the two is confirmed each time, the other is rejected, and both get the same answer when they send their changes
 // again at any machine.
 func TestOperatorsRaceAcrossTakeovers(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
--- a/cmd/molepaddle-fleet/schedule_client_test.go
+++ b/cmd/molepaddle-fleet/schedule_client_test.go
@@ -47,7 +47,7 @@
 type verdict uint8
 
 const (
-	indeterminate verdict = iota // no clear answer: a change may have been taken
+	indeterminate verdict = iota // no definite answer: the change may have been accepted
 	accepted                     // 200 to a change
 	rejected                     // 412, or another answer that ends the call
 	shown                        // 200 with a configuration
@@ -70,7 +70,7 @@
 	operatorReadTimeout = time.Second
 	// lateResendChanges is after how many further changes a call that comes again counts as late.
 	lateResendChanges = 100
-	// resendTimeout bounds the tries of a call that comes again: it may be left without a clear answer.
+	// resendTimeout bounds the attempts of a resent call: it may be left without a definite answer.
 	resendTimeout = 4 * time.Second
 )
 
@@ -129,7 +129,7 @@
 	status int
 	body   []byte
 	from   string    // control address that answered
-	sent   time.Time // when the try that was answered was sent
+	sent   time.Time // when the attempt that was answered was sent
 	at     time.Time
 }
 
@@ -149,8 +149,8 @@
 	return callResult{}, false
 }
 
-// isDefinite tells whether an answer ends a call. A 404 to a read does: an operator who knows of a configuration is
-// told that there is none.
+// isDefinite reports whether an answer ends a call. A 404 to a read does: an operator who knows of a
+// configuration gets the answer that there is none.
 func isDefinite(method string, status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed,
@@ -194,7 +194,7 @@
 	}
 }
 
-// document is the whole configuration after some changes.
+// document is the complete configuration after some changes.
 func document(changes []operatorChange) object {
 	doc := (&fleet{}).configuration(uint64(changes[len(changes)-1].version))
 	routes := doc["routing"].(list)
--- a/cmd/molepaddle-fleet/schedule_fault_test.go
+++ b/cmd/molepaddle-fleet/schedule_fault_test.go
@@ -12,7 +12,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// beginFault notes that there is trouble, with the core machines that count as lost meanwhile and for sync_s after;
+// beginFault records the begin of a fault, with the core machines that count as lost meanwhile and for sync_s after;
 // what it gives ends it.
 func (run *scheduleRun) beginFault(lost ...*coreNode) (end func()) { return run.keepSpan(false, lost) }
 
@@ -35,13 +35,13 @@
 	}
 }
 
-// beginAbsence is trouble that keeps one core machine away whole: once contact_ms have passed the core is stable
+// beginAbsence is a fault that takes one core machine away completely: once contact_ms have passed the core is stable
 // without it, as long as more than half of it is there.
 func (run *scheduleRun) beginAbsence(n *coreNode) (end func()) {
 	return run.keepSpan(true, []*coreNode{n})
 }
 
-// undisturbed tells whether the core was stable, and the agents' machines and links untroubled, from one time to
+// undisturbed reports whether the core was stable, and the agents' machines and links without a fault, from one time to
 // another.
 func (run *scheduleRun) undisturbed(from, to time.Time) bool {
 	run.mu.Lock()
@@ -89,8 +89,8 @@
 	return run.cores[target%len(run.cores)]
 }
 
-// servesAgent is the control address of the core machine that heard last of the first edge machine's node agent, and so
-// is the one that this pulls from; the primary where none has heard of it.
+// servesAgent is the control address of the core machine last in contact with the first edge machine's node agent,
+// and so is the one that this pulls from; the primary where none has been.
 func (run *scheduleRun) servesAgent(primary string) string {
 	source, youngest := primary, int64(math.MaxInt64)
 	for _, ctl := range run.controls() {
@@ -200,7 +200,7 @@
 	return links
 }
 
-// playLinks troubles the links of one machine.
+// playLinks disturbs the links of one machine.
 func (run *scheduleRun) playLinks(s step) bool {
 	n := run.node(s.target)
 	self, others := []string{n.settings.IP}, run.others(n.settings.IP, s.agents)
@@ -239,7 +239,8 @@
 	return true
 }
 
-// playHalves cuts the core in two, with the agents and the machines to come on one side or the other, while do runs.
+// playHalves partitions the core in two, with the agents and the machines to come on one side or the other, while do
+// runs.
 func (run *scheduleRun) playHalves(s step, do func()) bool {
 	var halves [2][]string
 	for i, ip := range append(slices.Clone(run.ips), run.edgeIPs...) {
@@ -391,7 +392,7 @@
 	return true
 }
 
-// playAgentCut cuts an edge machine from all of the core but one machine.
+// playAgentCut partitions an edge machine from all of the core but one machine.
 func (run *scheduleRun) playAgentCut(s step) bool {
 	ip := run.edgeIPs[s.other%len(run.edgeIPs)]
 	kept := run.node(s.target)
--- a/cmd/molepaddle-fleet/schedule_judge_test.go
+++ b/cmd/molepaddle-fleet/schedule_judge_test.go
@@ -41,7 +41,7 @@
 			return now.version == call.order.base, call.order
 		case got.verdict == rejected:
 			return now.version != call.order.base, now
-		case now.version == call.order.base: // without an answer: it was taken, or comes after all else
+		case now.version == call.order.base: // without an answer: it was accepted, or comes after all else
 			return true, call.order
 		}
 		return true, now
@@ -52,7 +52,7 @@
 // acknowledgement is a change that was acknowledged.
 type acknowledgement struct {
 	order operatorChange
-	sent  time.Time // when the try that was acknowledged was sent
+	sent  time.Time // when the attempt that was acknowledged was sent
 	at    time.Time
 	from  string // control address
 }
@@ -63,7 +63,7 @@
 	body []byte
 }
 
-// operatorHistory is all that operators did and were told.
+// operatorHistory is all calls of the operators, with their answers.
 type operatorHistory struct {
 	run *scheduleRun
 
@@ -191,7 +191,7 @@
 	return h.acks[len(h.acks)-1].from
 }
 
-// nextAfter is the first acknowledgement of a try that was sent after a time.
+// nextAfter is the first acknowledgement of an attempt that was sent after a time.
 func (h *operatorHistory) nextAfter(at time.Time) (acknowledgement, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/cmd/molepaddle-fleet/schedule_run_test.go
+++ b/cmd/molepaddle-fleet/schedule_run_test.go
@@ -28,7 +28,7 @@
 func throughRelay(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil // the program itself tells that
+		return nil // the program itself reports that
 	}
 	var file struct {
 		IP    string `toml:"ip"`
@@ -58,11 +58,11 @@
 	calmTail = 800 * time.Millisecond
 	// busyFactor is what is added for a machine that runs much besides: bounds on liveness are doubled.
 	busyFactor = 2
-	// convergeWithin bounds the time until all of the core has the newest, in calm.
+	// convergeWithin bounds the time until all of the core has the newest, without a fault.
 	convergeWithin = 12 * time.Second
 )
 
-// scheduleReport is what a run tells.
+// scheduleReport is the result of a run.
 type scheduleReport struct {
 	taken, refused, shown, again, late, skipped int
 	unanswered                                  int // calls that came again and got no clear answer
@@ -87,7 +87,7 @@
 	ctl          string
 	program      *simulation.Program
 	busy         bool      // a step has its process
-	activeFaults int       // steps that trouble it now
+	activeFaults int       // steps that disturb it now
 	lostUntil    time.Time // until when it counts as lost
 }
 
@@ -101,10 +101,10 @@
 	busy        bool
 }
 
-// faultSpan is when there was trouble.
+// faultSpan is the time of a fault.
 type faultSpan struct {
 	from, to time.Time
-	absent   bool // a core machine was away whole, see absence
+	absent   bool // a core machine was away completely, see beginAbsence
 }
 
 // scheduleRun is one schedule as it is played.
@@ -389,7 +389,7 @@
 	return f, json.Unmarshal(body, &f)
 }
 
-// allHave tells whether the core machines are the members of one view, whose primary and backups have a version.
+// allHave reports whether the core machines are the members of one view, whose primary and backups have a version.
 func (run *scheduleRun) allHave(version int) bool {
 	ctls := run.controls()
 	epoch := uint64(0)
@@ -413,7 +413,7 @@
 	return true
 }
 
-// views tells how all core machines see the core.
+// views is how all core machines see the core.
 func (run *scheduleRun) views() string {
 	var text strings.Builder
 	for _, ctl := range run.controls() {
--- a/cmd/molepaddle-fleet/schedule_test.go
+++ b/cmd/molepaddle-fleet/schedule_test.go
@@ -30,10 +30,10 @@
 const (
 	partitionNode     faultKind = "cut whole"      // a machine from all others, in both directions
 	partitionInbound  faultKind = "cut inbound"    // nothing reaches a machine, which still sends
-	partitionOutbound faultKind = "cut outbound"   // nothing leaves a machine, which still hears
+	partitionOutbound faultKind = "cut outbound"   // nothing leaves a machine, which still receives
 	partitionPair     faultKind = "cut pair"       // two machines from each other
 	partitionHalves   faultKind = "cut halves"     // the core into two parts, each with some of the agents and spares
-	slowLinks         faultKind = "slow links"     // what a machine sends and hears comes late
+	slowLinks         faultKind = "slow links"     // what a machine sends and receives is delayed
 	killProcess       faultKind = "kill"           // SIGKILL and a restart
 	freeze            faultKind = "freeze"         // SIGSTOP, later SIGCONT
 	wipeDisk          faultKind = "wipe"           // SIGKILL and a restart with an empty disk
@@ -43,7 +43,7 @@
 	partitionAgent    faultKind = "cut agent"      // an edge machine from all core machines but one
 	killAgent         faultKind = "kill agent"     // SIGKILL of a node agent and a restart
 	freezeAgent       faultKind = "freeze agent"   // SIGSTOP of a node agent, later SIGCONT
-	restartHalf       faultKind = "restart inside" // the core is cut in two, and both halves restart while it is
+	restartHalf       faultKind = "restart inside" // the core is partitioned in two, and both halves restart meanwhile
 )
 
 // drawnKinds are the kinds as often as they are drawn.
@@ -65,12 +65,12 @@
 	at     time.Duration // after the schedule's begin
 	kind   faultKind
 	target int           // a core machine, an edge machine or primaryTarget
-	other  int           // the second one of a pair, or how many are cut off
-	lasts  time.Duration // until it is taken back, or the process starts again
-	agents bool          // the agents are cut off as well
+	other  int           // the second one of a pair, or how many are partitioned off
+	lasts  time.Duration // until the fault ends, or the process starts again
+	agents bool          // the agents are partitioned off as well
 }
 
-// String tells what a step does.
+// String describes a step.
 func (s step) String() string {
 	target := fmt.Sprint(s.target)
 	switch s.target {
@@ -171,9 +171,9 @@
 	return least + time.Duration(rng.Int64N(int64(most-least)))
 }
 
-// TestSchedules plays the schedules: what operators are told is linearizable, an acknowledged change stays and is never
-// refused, every proxy has it in time and doesn't go back, and after the last fault changes are acknowledged again and
-// all of the core has the newest.
+// TestSchedules plays the schedules: what operators are answered is linearizable, an acknowledged change stays and is
+// never refused, every proxy has it in time and doesn't go back, and after the last fault changes are acknowledged
+// again and all of the core has the newest.
 func TestSchedules(t *testing.T) {
 	var total totals
 	place := make(chan int, max(*scheduleAtOnce, 1))
@@ -207,7 +207,7 @@
 		{at: 2 * time.Second, kind: killProcess, target: agentTarget, lasts: 300 * time.Millisecond},
 		{at: 3200 * time.Millisecond, kind: killProcess, target: agentTarget, lasts: 300 * time.Millisecond},
 	}},
-	// The primary is cut off for long, and once more after it is back.
+	// The primary is partitioned off for long, and once more after it is back.
 	{
 		seed:      90_003,
 		machines:  3,
@@ -276,7 +276,7 @@
 	}
 }
 
-// totals adds up what runs tell.
+// totals adds up the results of runs.
 type totals struct {
 	mu                                       sync.Mutex
 	runs, breaches                           int
@@ -345,7 +345,7 @@
 	return text + fmt.Sprintf("\nnext acknowledgement after the last fault: %s\nall of the core at the newest after the last change: %s", spread(t.settle), spread(t.converge))
 }
 
-// spread tells the median, the 99th percentile and the most of durations.
+// spread formats the median, the 99th percentile and the most of durations.
 func spread(all []time.Duration) string {
 	if len(all) == 0 {
 		return "none"
--- a/cmd/molepaddle-fleet/status_test.go
+++ b/cmd/molepaddle-fleet/status_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/internal/fleet/status"
 )
 
-// status is what `molepaddle-fleet status --json` tells, asked at one core machine.
+// status is what `molepaddle-fleet status --json` prints, asked at one core machine.
 func (f *fleet) status(at *machine, flags ...string) *status.Fleet {
 	f.Helper()
 	code, out, errOut := fleetctl(f, append([]string{"status", "--json", "--control", at.boot.Ctl}, flags...)...)
@@ -48,7 +48,7 @@
 	primary := f.primary()
 	f.watch(exitOK, "1")
 
-	// Any control server is asked, the primary tells.
+	// Any control server is asked, the primary answers.
 	for _, m := range f.core {
 		s := f.status(m)
 		f.Check(s.From, qt.Equals, primary.settings.Node)
@@ -101,7 +101,7 @@
 			func(a status.Agent) bool { return a.BackendListVersion.Count < before.Count })
 	})
 
-	// One that is not the primary tells what it knows when asked for that.
+	// One that is not the primary answers with what it knows when asked for that.
 	other := f.core[slices.IndexFunc(f.core, func(m *machine) bool { return m != primary })]
 	s := f.status(other, "--local")
 	f.Check(s.From, qt.Equals, other.settings.Node)
@@ -128,7 +128,7 @@
 	f.edge[1].start("proxy")
 	f.awaitReady(f.edge[1])
 
-	// With the primary gone, the next one tells, and waits until it knows all agents.
+	// With the primary gone, the next one answers, and waits until it knows all agents.
 	primary.kill("control-plane")
 	out = f.watch(exitOK, "3")
 	t.Logf("after the loss of the primary:\n%s", out)
--- a/cmd/molepaddle-fleet/traffic_test.go
+++ b/cmd/molepaddle-fleet/traffic_test.go
@@ -181,7 +181,7 @@
 	set(f.engines(), simulation.Faults{})
 
 	// Another backend at the address of one that is still listed, of the same service or of another, does not run what is
-	// meant for that; upon its word what may run once goes elsewhere.
+	// meant for that; upon that answer what may run once goes elsewhere.
 	f.decode[0].Restart(f)
 	gone := f.plain[0]
 	gone.Crash()
@@ -198,7 +198,7 @@
 	f.platform.Remove(gone)
 	f.plain, f.others = f.plain[1:], append(f.others, gone)
 
-	// Full backends, by others' requests: what is refused is told when to come back, and never runs.
+	// Full backends, by others' requests: what is rejected gets a Retry-After, and never runs.
 	full := slices.Concat(f.decode, f.plain)
 	var held []<-chan simulation.Result
 	var releases []func()
@@ -252,7 +252,8 @@
 	f.eventually(2*testTimeout, "one reads prompts instead", func() bool { return reads() == 1 })
 	load.awaitMore(16, 0, 1)
 	load.stop()
-	// More may follow where reports are late, as a backend that doesn't report counts as lost. No fence is ever too low.
+	// More may follow where reports are late, as a backend that doesn't report counts as lost. No fencing token is ever
+	// too low.
 	orders := f.orders()
 	f.Assert(len(orders) > 0, qt.IsTrue)
 	slices.SortFunc(orders, func(a, b simulation.Entry) int { return cmp.Compare(a.Seq, b.Seq) })
@@ -292,7 +293,7 @@
 	for _, ch := range open {
 		f.checkServed(<-ch, "under way at SIGTERM")
 	}
-	// Clients come as long as they are let in. What was read whole is answered.
+	// Clients come as long as they are accepted. A request that was read completely is answered.
 	var after atomic.Int64
 	var late sync.WaitGroup
 	for range 3 {
@@ -440,8 +441,8 @@
 	f.checkRules()
 }
 
-// TestUnresponsiveBackendIsDetected has a backend that makes tokens fall silent: what may run once and comes there is
-// lost to it, by each proxy for itself, until the control plane has asked it for its report and told them all.
+// TestUnresponsiveBackendIsDetected has a backend that decodes become unresponsive: what may run once and comes there
+// is lost to it, by each proxy for itself, until the control plane has asked it for its report and notified them all.
 func TestUnresponsiveBackendIsDetected(t *testing.T) {
 	f := newFleet(t, fleetOptions{decode: 3})
 	// Those that make long answers are the same for all proxies while there are few.
@@ -457,7 +458,7 @@
 	silent := f.decode[slices.IndexFunc(f.decode, func(e *simulation.Engine) bool { return asked(e) > 0 })]
 	silent.SetFaults(simulation.Faults{Silent: true})
 	began := time.Now()
-	// Clients leave before their deadline, which tells a proxy nothing of the backend.
+	// Clients leave before their deadline, from which a proxy learns nothing about the backend.
 	r := hazard()
 	r.Deadline = testTimeout
 	row := 0
