--- a/cmd/molepaddle-fleet/process_test.go
+++ b/cmd/molepaddle-fleet/process_test.go
@@ -161,8 +161,8 @@
 		Peers:     []string{net.JoinHostPort(ip, strconv.Itoa(ports.Ctl))},
 	})
 	p := startLogged(c, boot, "control-plane")
-	p.awaitLine("can't be opened; tried again")
-	p.awaitLine("can't be opened; tried again")
+	p.awaitLine("can't be opened, retrying")
+	p.awaitLine("can't be opened, retrying")
 	c.Assert(os.Remove(inTheWay), qt.IsNil)
 	p.awaitLine("started")
 	p.awaitCleanExit()
@@ -185,7 +185,7 @@
 		Peers:     []string{net.JoinHostPort(ip, "9")},
 	})
 	p := startLogged(c, boot, "control-plane")
-	p.awaitLine("can't be opened; tried again")
+	p.awaitLine("can't be opened, retrying")
 	p.awaitCleanExit()
 }
 
--- a/cmd/molepaddle-fleet/programs.go
+++ b/cmd/molepaddle-fleet/programs.go
@@ -54,8 +54,8 @@
 	return a.runProgram(ctx, func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		var server *controlplane.Server
 		// A disk that is full or refuses writes may take them again: until then this machine is as good as down.
-		refused := func(err error) { log.Warn("the state store can't be opened; tried again", zap.Error(err)) }
-		err := retryTransient(ctx, statestore.Transient, refused, func() (err error) {
+		onFailure := func(err error) { log.Warn("state store can't be opened, retrying", zap.Error(err)) }
+		err := retryTransient(ctx, statestore.Transient, onFailure, func() (err error) {
 			server, err = controlplane.New(set, log, rand.Uint64)
 			return err
 		})
--- a/internal/fleet/externalapi/calls.go
+++ b/internal/fleet/externalapi/calls.go
@@ -59,21 +59,38 @@
 
 // Header fields of requests and answers, in canonical form.
 const (
-	HeaderAttemptID     = "X-Molepaddle-Attempt-Id"
-	HeaderDeadlineMs    = "X-Molepaddle-Deadline-Ms"
-	HeaderPromptPrefix  = "X-Molepaddle-Prompt-Prefix"
-	HeaderTokenCount    = "X-Molepaddle-Token-Count"
-	HeaderModel         = "X-Molepaddle-Model"
-	HeaderStage         = "X-Molepaddle-Stage"
-	HeaderKVFrom        = "Kv-From"
+	// HeaderAttemptID is the id of a request, which its answer repeats.
+	HeaderAttemptID = "X-Molepaddle-Attempt-Id"
+	// HeaderDeadlineMs is the time until the request's deadline, in ms.
+	HeaderDeadlineMs = "X-Molepaddle-Deadline-Ms"
+	// HeaderModel is the model that the request's prompt is for.
+	HeaderModel = "X-Molepaddle-Model"
+	// HeaderTokenCount is the number of tokens of the prompt and the most that may be generated: "1460,80".
+	HeaderTokenCount = "X-Molepaddle-Token-Count"
+	// HeaderPromptPrefix is the prompt's segments from the first on, each with its id and number of tokens:
+	// "5c1e07a2:800,91bd3f06:410".
+	HeaderPromptPrefix = "X-Molepaddle-Prompt-Prefix"
+	// HeaderPriority is the request's priority for a backend, 0 to 9.
+	HeaderPriority = "Priority"
+	// HeaderTargetBackend is the id of the backend that a request is for; any other answers 421.
 	HeaderTargetBackend = "X-Molepaddle-Target-Backend"
-	HeaderBackendSeal   = "X-Molepaddle-Backend-Seal"
-	HeaderBackendLoad   = "X-Molepaddle-Backend-Load"
-	HeaderNotRun        = "X-Molepaddle-Not-Run"
-	HeaderLastEventID   = "Last-Event-Id"
-	HeaderRetryAfter    = "Retry-After"
-	HeaderBaseVersion   = "X-Molepaddle-Base-Version"
-	HeaderPriority      = "Priority"
+	// HeaderStage is PhasePrefill for a request that a backend only prefills.
+	HeaderStage = "X-Molepaddle-Stage"
+	// HeaderKVFrom is where a backend takes the KV cache of a prefilled prompt: the address of the backend that has it, a
+	// slash, and the handle.
+	HeaderKVFrom = "Kv-From"
+	// HeaderLastEventID is the last event that was received of a stream which is to be resumed.
+	HeaderLastEventID = "Last-Event-Id"
+	// HeaderBackendSeal marks an answer as a backend's own.
+	HeaderBackendSeal = "X-Molepaddle-Backend-Seal"
+	// HeaderBackendLoad is a backend's load at the time of its answer.
+	HeaderBackendLoad = "X-Molepaddle-Backend-Load"
+	// HeaderNotRun marks a failure whose request did not run.
+	HeaderNotRun = "X-Molepaddle-Not-Run"
+	// HeaderRetryAfter is the time after which a rejected request may come again, in s, with a fraction.
+	HeaderRetryAfter = "Retry-After"
+	// HeaderBaseVersion is the version of the configuration that a change builds on; 0: there is none yet.
+	HeaderBaseVersion = "X-Molepaddle-Base-Version"
 )
 
 // Phases of a backend, as reports, orders and the platform's list name them.
