--- a/internal/fleet/proxy/clientconn_test.go
+++ b/internal/fleet/proxy/clientconn_test.go
@@ -43,7 +43,8 @@
 
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// cappedEdge is the edge of a proxy with the given caps (JSON; "" for no configuration), in a bubble with its own time.
+// cappedEdge is the client listener of a proxy with the given limits (JSON; "" for no configuration), in a bubble with
+// its own time.
 type cappedEdge struct {
 	*qt.C
 	proxy    *Proxy
@@ -85,7 +86,7 @@
 	return client, bufio.NewReader(client)
 }
 
-// addRequest sends a request whose head has a pause in it, and tells whether it was answered on this connection.
+// ask sends a request whose head has a pause in it, and tells whether it was answered on this connection.
 func (e *cappedEdge) ask(c net.Conn, r *bufio.Reader, within time.Duration) bool {
 	if _, err := io.WriteString(c, "GET /none HTTP/1.1\r\nHost: b\r\n"); err != nil {
 		return false
@@ -102,9 +103,9 @@
 	return err == nil && (resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusServiceUnavailable)
 }
 
-// TestRestsByTheCaps: a connection that rested for four fifths of the idle time-out is taken up, one that rested for longer
-// than all of it is closed; that holds of caps that come into force later, too.
-func TestRestsByTheCaps(t *testing.T) {
+// TestIdleTimeoutOfTheConfiguration leaves connections idle: after four fifths of the idle time-out one still serves, after
+// more than all of it one is closed; that holds of limits that come into force later, too.
+func TestIdleTimeoutOfTheConfiguration(t *testing.T) {
 	for _, one := range []struct {
 		caps string
 		rest time.Duration
@@ -133,8 +134,9 @@
 	}
 }
 
-// TestHeadsByTheCaps: a head may take as long as the caps say, of a first request and of a further one, and no longer.
-func TestHeadsByTheCaps(t *testing.T) {
+// TestHeaderTimeoutOfTheConfiguration sends heads slowly: one may take as long as the configuration says, of a first
+// request and of a further one, and no longer.
+func TestHeaderTimeoutOfTheConfiguration(t *testing.T) {
 	for _, one := range []struct {
 		caps string
 		head time.Duration
--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// syncEngines gives the proxy the platform's list as it is.
+// relist gives the proxy the platform's list as it is.
 func (d *drawn) relist() {
 	var list distribution.BackendList
 	for _, n := range d.nodes {
@@ -266,7 +266,7 @@
 
 var errDown = errors.New("nobody listens there")
 
-// lastRequests marks the context of a client's request: what is freed in the background goes on beside a request, and nothing is to
+// asked marks the context of a client's request: what is freed in the background goes on beside a request, and nothing is to
 // change at a time that a send can't know of.
 type asked struct{}
 
@@ -331,7 +331,7 @@
 	return name
 }
 
-// writeAnswer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events; over is
+// answer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events; over is
 // as for event.
 func (d *drawn) answer(addr string, r *http.Request) (head string, events []string, rest string, over bool) {
 	d.mu.Lock()
--- a/internal/fleet/proxy/drawn_test.go
+++ b/internal/fleet/proxy/drawn_test.go
@@ -39,25 +39,10 @@
 	return o.ResponseRecorder.Write(b)
 }
 
-// serveOne has the proxy serve a request; broken: it broke the answer off.
-func (d *drawn) serveOne(w http.ResponseWriter, r *http.Request) (broken bool) {
-	defer func() {
-		switch e := recover(); e {
-		case nil:
-		case http.ErrAbortHandler:
-			broken = true
-		default:
-			panic(e)
-		}
-	}()
-	d.proxy.ServeHTTP(w, r)
-	return false
-}
-
 // promptly is within what a refusal comes: nodes answer at once, so that there is nothing to wait for.
 const promptly = 10 * time.Millisecond
 
-// addRequest makes one request and judges its answer.
+// ask makes one request and judges its answer.
 func (d *drawn) ask(number int) {
 	d.mu.Lock()
 	route := string("rpso"[d.rng.IntN(4)]) + append(drawnTenants, "free")[d.rng.IntN(len(drawnTenants)+1)]
@@ -86,7 +71,7 @@
 
 	w := &once{ResponseRecorder: httptest.NewRecorder()}
 	began := time.Now()
-	broken := d.serveOne(w, r)
+	broken := serveUntilAborted(d.proxy, w, r)
 	took := time.Since(began)
 	d.proxy.background.Wait() // what is freed after it
 
--- a/internal/fleet/proxy/exchange_client_test.go
+++ b/internal/fleet/proxy/exchange_client_test.go
@@ -42,8 +42,8 @@
 }
 
 // silent has the backend say this much and then nothing.
-func (r *clientRig) silent(after func(a *wellAnswer) []byte) {
-	r.script = func(a *wellAnswer) reply {
+func (r *clientRig) silent(after func(a *validAnswer) []byte) {
+	r.script = func(a *validAnswer) reply {
 		r.arrived <- a.id
 		return reply{taken: -1, bytes: after(a)}
 	}
@@ -58,7 +58,7 @@
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
 
-// sendRequest writes a request with a body.
+// send writes a request with a body.
 func (r *clientRig) send(c net.Conn, path, id, body string) {
 	_, err := io.WriteString(c, requestText(path, id, body))
 	r.Assert(err, qt.IsNil)
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// writeAnswer reads an answer whole.
+// answer reads a complete answer.
 func (r *clientRig) answer(in *bufio.Reader) (*http.Response, string) {
 	r.Helper()
 	resp, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
@@ -107,15 +107,15 @@
 	return resp, string(body)
 }
 
-// TestClientLeaves has clients close their connection, or their half of it, before and within an answer: the backend's connection
-// ends at once, and who has closed only its half gets no answer in place of its own.
+// TestClientLeaves has clients close their connection, or their half of it, before and within an answer: the backend's
+// connection ends at once, and who has closed only its half gets no answer in place of its own.
 func TestClientLeaves(t *testing.T) {
-	nothing := func(*wellAnswer) []byte { return nil }
-	half := func(a *wellAnswer) []byte { return a.framed()[:len(a.framed())/2] }
+	nothing := func(*validAnswer) []byte { return nil }
+	half := func(a *validAnswer) []byte { return a.framed()[:len(a.framed())/2] }
 	for _, tc := range []struct {
 		name  string
 		kind  requestKind
-		after func(*wellAnswer) []byte
+		after func(*validAnswer) []byte
 		half  bool
 	}{
 		{"before an answer", requestKind{route: "freeread"}, nothing, false},
@@ -147,14 +147,14 @@
 	}
 }
 
-// TestClientStopsWithinItsBody: the request has its final answer within half a second of its deadline, a refusal that needs no body
-// at once, and nothing of it reaches a backend.
+// TestClientStopsWithinItsBody has clients stop within a body: the request has its final answer within half a second of
+// its deadline, a rejection that needs no body at once, and nothing of it reaches a backend.
 func TestClientStopsWithinItsBody(t *testing.T) {
 	const deadline = 200 * time.Millisecond
 	for path, status := range map[string]int{"/post/x": http.StatusRequestTimeout, "/nowhere/x": http.StatusNotFound} {
 		for _, framing := range []string{"Content-Length: 100\r\n\r\nsome", "Transfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n5"} {
 			r := newClientRig(t, requestKind{route: "post"})
-			r.silent(func(a *wellAnswer) []byte { return a.framed() })
+			r.silent(func(a *validAnswer) []byte { return a.framed() })
 			c, in := r.connect()
 			began := time.Now()
 			_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: one\r\n%s: %d\r\n%s", path, externalapi.HeaderAttemptID, externalapi.HeaderDeadlineMs, deadline.Milliseconds(), framing)
@@ -177,7 +177,7 @@
 	// More than the buffers on the way hold, the client's being small; and little enough to be framed long before the proxy would
 	// take the backend for silent and go elsewhere.
 	more := strings.Repeat("data: "+strings.Repeat("more ", 10<<10)+"\n\n", 1<<8)
-	r.silent(func(a *wellAnswer) []byte {
+	r.silent(func(a *validAnswer) []byte {
 		a.body = more
 		return a.framed()
 	})
@@ -189,11 +189,12 @@
 	r.Check(await(r, "the end of the backend's connection", r.conn().gone) < time.Second+unreadBodyTimeout+goneWithin, qt.IsTrue)
 }
 
-// TestRequestsInARow sends requests without waiting for answers, among them some that are refused with their bodies unread, which
-// hold what looks like a request: each answer is the next request's, and nothing within a body is taken for one.
+// TestRequestsInARow sends requests without waiting for answers, among them some that are rejected with their bodies
+// unread, which hold what looks like a request: each answer is the next request's, and nothing within a body is taken
+// for one.
 func TestRequestsInARow(t *testing.T) {
 	r := newClientRig(t, requestKind{route: "freeread"})
-	r.script = func(a *wellAnswer) reply {
+	r.script = func(a *validAnswer) reply {
 		r.arrived <- a.id
 		return reply{taken: -1, bytes: a.framed()}
 	}
@@ -221,8 +222,8 @@
 	r.Check(r.arrived, qt.HasLen, 0)
 }
 
-// TestRequestsThatAreUnclear: what can be read in two ways is refused, and nothing after it is taken for a request.
-func TestRequestsThatAreUnclear(t *testing.T) {
+// TestAmbiguousRequests sends what can be read in two ways: it is rejected, and nothing after it is taken for a request.
+func TestAmbiguousRequests(t *testing.T) {
 	forged := requestText("/freeread/x", "forged", "data")
 	for name, head := range map[string]string{
 		"two lengths":              "Content-Length: 4\r\nContent-Length: 5\r\n",
@@ -233,7 +234,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newClientRig(t, requestKind{route: "freeread"})
-			r.silent(func(a *wellAnswer) []byte { return a.framed() })
+			r.silent(func(a *validAnswer) []byte { return a.framed() })
 			c, in := r.connect()
 			_, err := io.WriteString(c, "POST /freeread/x HTTP/1.1\r\nHost: h\r\n"+externalapi.HeaderAttemptID+": one\r\n"+head+"\r\ndata")
 			r.Assert(err, qt.IsNil)
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -32,15 +32,15 @@
 	proves   bool   // it proves that the request has not run
 }
 
-// wellAnswer is the answer of a backend that is well, in parts.
-type wellAnswer struct {
+// validAnswer is the answer of a healthy backend, in parts.
+type validAnswer struct {
 	id   string
 	head string // without the empty line at its end, and without its framing
 	body string // unframed
 	bare bool   // it answers a HEAD: the body is not sent
 }
 
-func (a *wellAnswer) framed() []byte {
+func (a *validAnswer) framed() []byte {
 	if strings.Contains(a.head, "text/event-stream") {
 		return a.chunked("")
 	}
@@ -52,7 +52,7 @@
 }
 
 // chunked frames the body in chunks of an event each, with trailers.
-func (a *wellAnswer) chunked(trailers string) []byte {
+func (a *validAnswer) chunked(trailers string) []byte {
 	b := []byte(a.head + "Transfer-Encoding: chunked\r\n\r\n")
 	for part := range strings.SplitAfterSeq(a.body, "\n\n") {
 		if part != "" {
@@ -62,12 +62,12 @@
 	return append(b, "0\r\n"+trailers+"\r\n"...)
 }
 
-func (a *wellAnswer) unframed() []byte { return []byte(a.head + "\r\n" + a.body) }
+func (a *validAnswer) unframed() []byte { return []byte(a.head + "\r\n" + a.body) }
 
 // breakage is what a backend does to the victim's request.
 type breakage struct {
 	name string
-	does func(r *exchangeRig, c *scriptedConn, request []byte, well *wellAnswer) reply
+	does func(r *exchangeRig, c *scriptedConn, request []byte, well *validAnswer) reply
 }
 
 // requestKind is a kind of request, and the call of it that is struck.
@@ -82,8 +82,8 @@
 
 func (k *requestKind) stream() bool { return k.route != "freeread" && k.route != "post" }
 
-// retryable tells whether the request may run more than once, or the struck call is one that does not run it.
-func (k *requestKind) repeatable() bool { return k.route == "freeread" || k.route == "free" }
+// idempotent tells whether the request may run more than once, or the struck call is one that does not run it.
+func (k *requestKind) idempotent() bool { return k.route == "freeread" || k.route == "free" }
 
 // scriptedBackend is a backend whose connections are scripted.
 type scriptedBackend struct {
@@ -93,21 +93,22 @@
 	conns              []*scriptedConn
 }
 
-// reach is a request, or a part of one, that has come to a backend.
-type reach struct {
+// arrival is a request, or a part of one, that has come to a backend.
+type arrival struct {
 	id, backend, stage, handle string
 	proved                     bool // that it has not run
 	at                         time.Time
 }
 
-// exchangeRig is one proxy before scripted backends, for one victim's request in trouble and those before and after it.
+// exchangeRig is one proxy before scripted backends, for one victim's request that meets a fault and those before and
+// after it.
 type exchangeRig struct {
 	proxy    *Proxy
 	kind     requestKind
 	breakage breakage
 	backends []*scriptedBackend
 	version  uint64
-	script   func(a *wellAnswer) reply // what all requests get; nil: their answers
+	script   func(a *validAnswer) reply // what all requests get; nil: their answers
 
 	mu       sync.Mutex
 	struck   *scriptedConn // where the trouble was
@@ -116,7 +117,7 @@
 	left     time.Time // when the victim's client left
 	came     time.Time
 	deadline time.Duration // of the request under way
-	reaches  []reach
+	reaches  []arrival
 	handles  map[string]string // whose a handle is, by address and reference
 	spent    map[string]bool   // handles that were sent to a taker
 	found    []string
@@ -160,7 +161,7 @@
 			route("freeread", "readonly", "obs", ""), route("post", "mutating", "obs", "")}, ","))
 }
 
-// struckBackend is the backend whose role is the one that the trouble strikes.
+// struckBackend is the backend whose role is the one that the fault strikes.
 func (r *exchangeRig) struckBackend() string {
 	switch {
 	case !r.kind.stream():
@@ -171,7 +172,8 @@
 	return "decode-a"
 }
 
-// updateEndpoints has the proxy know the backends that the request's kind needs; alone: of the role in trouble only the one.
+// list has the proxy know the backends that the request's kind needs; alone: of the role that the fault strikes only the
+// one.
 func (r *exchangeRig) list(alone bool) {
 	struck := r.struckBackend()
 	var list distribution.BackendList
@@ -204,14 +206,14 @@
 	r.found = append(r.found, fmt.Sprintf(format, args...))
 }
 
-// scanEvents is find for who has not locked the rig.
+// note is find for who has not locked the rig.
 func (r *exchangeRig) note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.find(format, args...)
 }
 
-// write is what a backend says to a request on a connection.
+// request is what a backend says to a request on a connection.
 func (b *scriptedBackend) request(c *scriptedConn, raw []byte) reply {
 	r := b.rig
 	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
@@ -221,7 +223,7 @@
 		r.find("%s gets what is no request: %v", b.id, err)
 		return reply{taken: -1, end: errReset}
 	}
-	well := b.well(req)
+	well := b.answerTo(req)
 	strikes := b.strikes(req)
 	says := reply{taken: -1, bytes: well.framed()}
 	if r.script != nil {
@@ -240,7 +242,7 @@
 	return says
 }
 
-// strikes tells whether a request is the victim's call that meets the trouble.
+// strikes tells whether a request is the victim's call that meets the fault.
 func (b *scriptedBackend) strikes(req *http.Request) bool {
 	r := b.rig
 	r.mu.Lock()
@@ -248,10 +250,10 @@
 	return r.struck == nil && req.Header.Get(externalapi.HeaderAttemptID) == victimID && b.id == r.struckBackend() && req.Method != externalapi.CallFreeKVHandle.Method
 }
 
-// well is the answer that a request gets where all is well.
-func (b *scriptedBackend) well(req *http.Request) *wellAnswer {
+// answerTo is the answer that a request gets where all is well.
+func (b *scriptedBackend) answerTo(req *http.Request) *validAnswer {
 	id := req.Header.Get(externalapi.HeaderAttemptID)
-	a := &wellAnswer{id: id, bare: req.Method == http.MethodHead, head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n"}
+	a := &validAnswer{id: id, bare: req.Method == http.MethodHead, head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n"}
 	switch {
 	case req.Method == externalapi.CallFreeKVHandle.Method:
 	case req.Header.Get(externalapi.HeaderStage) != "":
@@ -279,11 +281,11 @@
 	return ref
 }
 
-// attemptStatus notes a request that has come, and what no request may do. The rig is locked.
+// judge notes a request that has come, and what no request may do. The rig is locked.
 func (b *scriptedBackend) judge(req *http.Request, says reply) {
 	r := b.rig
 	id := req.Header.Get(externalapi.HeaderAttemptID)
-	at := reach{id: id, backend: b.id, stage: req.Header.Get(externalapi.HeaderStage), handle: req.Header.Get(externalapi.HeaderKVFrom), proved: says.proves, at: time.Now()}
+	at := arrival{id: id, backend: b.id, stage: req.Header.Get(externalapi.HeaderStage), handle: req.Header.Get(externalapi.HeaderKVFrom), proved: says.proves, at: time.Now()}
 	freeing := req.Method == externalapi.CallFreeKVHandle.Method
 	if freeing {
 		at.stage = "free"
@@ -363,7 +365,7 @@
 	return req
 }
 
-// addRequest makes one request of the rig's kind.
+// ask makes one request of the rig's kind.
 func (r *exchangeRig) ask(id string) outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -373,7 +375,7 @@
 	r.mu.Unlock()
 	w := &once{ResponseRecorder: httptest.NewRecorder()}
 	began := time.Now()
-	broken := r.serve(w, req)
+	broken := serveUntilAborted(r.proxy, w, req)
 	out := outcome{w.Code, w.Header(), w.Body.String(), broken, time.Since(began)}
 	if w.answers == 0 && !broken {
 		out.status = http.StatusOK // what the library makes of a handler that says nothing
@@ -393,22 +395,22 @@
 	return http.MethodPost
 }
 
-// serve has the proxy serve a request; broken: it broke the answer off.
-func (r *exchangeRig) serve(w http.ResponseWriter, req *http.Request) (broken bool) {
+// serveUntilAborted has a proxy serve a request; aborted: it broke the answer off.
+func serveUntilAborted(p *Proxy, w http.ResponseWriter, req *http.Request) (aborted bool) {
 	defer func() {
 		switch e := recover(); e {
 		case nil:
 		case http.ErrAbortHandler:
-			broken = true
+			aborted = true
 		default:
 			panic(e)
 		}
 	}()
-	r.proxy.ServeHTTP(w, req)
+	p.ServeHTTP(w, req)
 	return false
 }
 
-// mayHaveRun is how many times a request has come to backends without proof that it did not run; prefills don't count.
+// ran is how many times a request has come to backends without proof that it did not run; prefills don't count.
 func (r *exchangeRig) ran(id string) int {
 	n := 0
 	for _, at := range r.reaches {
@@ -419,8 +421,8 @@
 	return n
 }
 
-// complete is the body of a whole answer to a request.
-func (r *exchangeRig) whole(id string) string {
+// completeAnswer is the body of a complete answer to a request.
+func (r *exchangeRig) completeAnswer(id string) string {
 	if !r.kind.stream() {
 		return "answer to " + id
 	}
@@ -453,11 +455,11 @@
 	case o.status < 300 && seal == "":
 		bad("a success without a seal")
 	case o.status == http.StatusOK && o.broken:
-		if !strings.HasPrefix(r.whole(id), o.body) {
+		if !strings.HasPrefix(r.completeAnswer(id), o.body) {
 			bad("another's bytes")
 		}
 	case o.status == http.StatusOK:
-		if o.body != r.whole(id) && r.method(id) != http.MethodHead {
+		if o.body != r.completeAnswer(id) && r.method(id) != http.MethodHead {
 			bad("not its answer")
 		}
 	case impliesNotRun(o.status):
@@ -470,13 +472,13 @@
 	case strings.Contains(o.body, "answer to "):
 		bad("a failure with an answer")
 	}
-	if !r.kind.repeatable() && r.ran(id) > 1 {
+	if !r.kind.idempotent() && r.ran(id) > 1 {
 		bad("it has come to backends %d times", r.ran(id))
 	}
 }
 
-// play plays one case: a request before, where the connection is to be one that has been used, the victim's, and others after it
-// on what it left behind. It gives what the victim got, and what was found.
+// play plays one case: a request before, where the connection is to be one that has been used, the victim's, and others
+// after it on what it left behind. It returns what the victim got, and what was found.
 func (r *exchangeRig) play(pooled bool) (victim outcome, found []string) {
 	defer r.proxy.pool.Close()
 	if pooled {
@@ -528,8 +530,8 @@
 }
 
 // framedUntil gives the bytes of an answer up to k, and then the end given.
-func framedUntil(k int, end error) func(*exchangeRig, *scriptedConn, []byte, *wellAnswer) reply {
-	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *wellAnswer) reply {
+func framedUntil(k int, end error) func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
+	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *validAnswer) reply {
 		b := a.framed()
 		return reply{taken: -1, bytes: b[:min(k, len(b)-1)], end: end}
 	}
@@ -538,12 +540,12 @@
 // sample is the struck call as it is where all is well: the request as it goes out, and its answer.
 type sample struct {
 	request []byte
-	answer  *wellAnswer
+	answer  *validAnswer
 }
 
 // sampleExchange gives the sample of a kind of request.
 func sampleExchange(kind requestKind) (s sample) {
-	r := newExchangeRig(kind, breakage{"sample", func(_ *exchangeRig, _ *scriptedConn, raw []byte, a *wellAnswer) reply {
+	r := newExchangeRig(kind, breakage{"sample", func(_ *exchangeRig, _ *scriptedConn, raw []byte, a *validAnswer) reply {
 		s = sample{bytes.Clone(raw), a}
 		return reply{taken: -1, bytes: a.framed()}
 	}})
@@ -553,8 +555,8 @@
 	return s
 }
 
-// drainAndClose has the victim's client leave once what its backend says now has been read.
-func (r *exchangeRig) leave(c *scriptedConn) {
+// clientLeaves has the victim's client leave once what its backend says now has been read.
+func (r *exchangeRig) clientLeaves(c *scriptedConn) {
 	go func() {
 		time.Sleep(time.Millisecond) // on the clock of the test: all that can be read until then is read
 		r.mu.Lock()
--- a/internal/fleet/proxy/exchange_test.go
+++ b/internal/fleet/proxy/exchange_test.go
@@ -91,8 +91,8 @@
 	return all
 }
 
-// requestBytes gives the lengths up to n at which a request is to end: the first, the last, and some between. Of what is long a part
-// at each step of a thousand: whether a byte more or less is taken makes no difference there.
+// requestBytes gives the lengths up to n at which a request is to end: the first, the last, and some between. Of what is
+// long a part at each step of a thousand: whether a byte more or less is taken makes no difference there.
 func requestBytes(n int) (all []int) {
 	const edge, step, long = 4, 23, 1024
 	for k := range n + 1 {
@@ -104,7 +104,7 @@
 	return all
 }
 
-// TestAnswerEndsAtEveryByte has an answer end after each of its bytes, in silence, closed or reset. What may be repeated is
+// TestAnswerEndsAtEveryByte has an answer end after each of its bytes, in silence, closed or reset. What is idempotent is
 // served elsewhere; what may not has come to one backend.
 func TestAnswerEndsAtEveryByte(t *testing.T) {
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
@@ -122,7 +122,7 @@
 		return all
 	}, func(kind *requestKind, one breakage) bool {
 		// An answer that has begun is waited for.
-		return (kind.repeatable() || kind.prefill()) && !(!kind.prefill() && strings.HasPrefix(one.name, "silence in the body"))
+		return (kind.idempotent() || kind.prefill()) && !(!kind.prefill() && strings.HasPrefix(one.name, "silence in the body"))
 	})
 }
 
@@ -131,15 +131,15 @@
 func TestRequestEndsAtItsBytes(t *testing.T) {
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		for _, k := range requestBytes(len(well.request) - 1) {
-			all = append(all, breakage{fmt.Sprintf("reset after %d bytes of the request", k), func(*exchangeRig, *scriptedConn, []byte, *wellAnswer) reply {
+			all = append(all, breakage{fmt.Sprintf("reset after %d bytes of the request", k), func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
 				return reply{taken: k, writeEnd: errReset, end: errReset}
-			}}, breakage{fmt.Sprintf("nothing taken after %d bytes of the request", k), func(*exchangeRig, *scriptedConn, []byte, *wellAnswer) reply {
+			}}, breakage{fmt.Sprintf("nothing taken after %d bytes of the request", k), func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
 				return reply{taken: k}
 			}})
 		}
 		return all
 	}, func(kind *requestKind, one breakage) bool {
-		return kind.repeatable() || kind.prefill() || one.name == "reset after 0 bytes of the request"
+		return kind.idempotent() || kind.prefill() || one.name == "reset after 0 bytes of the request"
 	})
 }
 
@@ -154,9 +154,9 @@
 				continue // it has not seen whose request it is; what is short is written before the answer is read
 			}
 			for end, how := range map[error]string{nil: "it reads no more", errReset: "it resets", io.EOF: "it closes"} {
-				all = append(all, breakage{fmt.Sprintf("answered after %d bytes, %s", k, how), func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *wellAnswer) reply {
+				all = append(all, breakage{fmt.Sprintf("answered after %d bytes, %s", k, how), func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *validAnswer) reply {
 					return reply{taken: k, bytes: a.framed(), end: end, writeEnd: end}
-				}}, breakage{fmt.Sprintf("turned away after %d bytes, %s", k, how), func(*exchangeRig, *scriptedConn, []byte, *wellAnswer) reply {
+				}}, breakage{fmt.Sprintf("turned away after %d bytes, %s", k, how), func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
 					return reply{taken: k, bytes: []byte(notRunHead), end: end, writeEnd: end, proves: true}
 				}})
 			}
@@ -167,8 +167,8 @@
 
 // oddAnswers are answers that are none, are another's, come twice or at the wrong time, or say what they can't.
 func oddAnswers(_ *requestKind, well sample) []breakage {
-	say := func(name string, make func(a *wellAnswer, fresh bool) reply) breakage {
-		return breakage{name, func(_ *exchangeRig, c *scriptedConn, _ []byte, a *wellAnswer) reply {
+	say := func(name string, make func(a *validAnswer, fresh bool) reply) breakage {
+		return breakage{name, func(_ *exchangeRig, c *scriptedConn, _ []byte, a *validAnswer) reply {
 			says := make(a, c.carried == 0)
 			if says.taken == 0 {
 				says.taken = -1
@@ -189,106 +189,110 @@
 		return []byte(strings.Replace(string(b), externalapi.HeaderAttemptID+": "+victimID+"\r\n", "", 1))
 	}
 	all := []breakage{
-		say("served: another's answer ahead", func(a *wellAnswer, _ bool) reply { return reply{bytes: append([]byte(surplus), a.framed()...)} }),
-		say("served: two others' answers ahead", func(a *wellAnswer, _ bool) reply { return reply{bytes: append([]byte(surplus+surplus), a.framed()...)} }),
-		say("another's answer, then silence", func(*wellAnswer, bool) reply { return reply{bytes: []byte(surplus)} }),
-		say("another's answer, then closed", func(*wellAnswer, bool) reply { return reply{bytes: []byte(surplus), end: io.EOF} }),
-		say("many answers of others", func(*wellAnswer, bool) reply { return reply{bytes: []byte(strings.Repeat(surplus, 20))} }),
-		say("another's answer without an end", func(*wellAnswer, bool) reply {
+		say("served: another's answer ahead", func(a *validAnswer, _ bool) reply { return reply{bytes: append([]byte(surplus), a.framed()...)} }),
+		say("served: two others' answers ahead", func(a *validAnswer, _ bool) reply {
+			return reply{bytes: append([]byte(surplus+surplus), a.framed()...)}
+		}),
+		say("another's answer, then silence", func(*validAnswer, bool) reply { return reply{bytes: []byte(surplus)} }),
+		say("another's answer, then closed", func(*validAnswer, bool) reply { return reply{bytes: []byte(surplus), end: io.EOF} }),
+		say("many answers of others", func(*validAnswer, bool) reply { return reply{bytes: []byte(strings.Repeat(surplus, 20))} }),
+		say("another's answer without an end", func(*validAnswer, bool) reply {
 			return reply{bytes: []byte(strings.Replace(surplus, "Content-Length: 55\r\n", "", 1)), end: io.EOF}
 		}),
-		say("another's answer that closes, and ours behind", func(a *wellAnswer, _ bool) reply {
+		say("another's answer that closes, and ours behind", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: append([]byte(other(200, "Connection: close\r\n", "x")), a.framed()...)}
 		}),
-		say("another's long answer, which holds one of ours", func(a *wellAnswer, _ bool) reply {
+		say("another's long answer, which holds one of ours", func(a *validAnswer, _ bool) reply {
 			forged := strings.Replace(string(a.framed()), "answer to "+victimID, "answer to other", -1)
 			return reply{bytes: []byte(other(200, "", strings.Repeat(" ", maxSurplusBody)+strings.Repeat(forged, 2)))}
 		}),
-		say("another's that was not run", func(*wellAnswer, bool) reply { return reply{bytes: []byte(other(503, notRunLine, ""))} }),
-		say("another's that went to the wrong backend", func(*wellAnswer, bool) reply { return reply{bytes: []byte(other(421, "", ""))} }),
-		say("no id", func(a *wellAnswer, _ bool) reply { return reply{bytes: withoutID(a.framed())} }),
-		say("not run, without an id", func(_ *wellAnswer, fresh bool) reply {
+		say("another's that was not run", func(*validAnswer, bool) reply { return reply{bytes: []byte(other(503, notRunLine, ""))} }),
+		say("another's that went to the wrong backend", func(*validAnswer, bool) reply { return reply{bytes: []byte(other(421, "", ""))} }),
+		say("no id", func(a *validAnswer, _ bool) reply { return reply{bytes: withoutID(a.framed())} }),
+		say("not run, without an id", func(_ *validAnswer, fresh bool) reply {
 			return reply{bytes: withoutID(failure(503, notRunLine)), proves: fresh}
 		}),
-		say("421 without an id", func(_ *wellAnswer, fresh bool) reply { return reply{bytes: withoutID(failure(421, "")), proves: fresh} }),
-		say("two ids", func(a *wellAnswer, _ bool) reply {
+		say("421 without an id", func(_ *validAnswer, fresh bool) reply {
+			return reply{bytes: withoutID(failure(421, "")), proves: fresh}
+		}),
+		say("two ids", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: []byte(strings.Replace(string(a.framed()), seal, externalapi.HeaderAttemptID+": other\r\n"+seal, 1) + "")}
 		}),
-		say("not run, of two ids", func(*wellAnswer, bool) reply {
+		say("not run, of two ids", func(*validAnswer, bool) reply {
 			return reply{bytes: failure(503, notRunLine+externalapi.HeaderAttemptID+": other\r\n")}
 		}),
-		say("served: the id twice", func(a *wellAnswer, _ bool) reply {
+		say("served: the id twice", func(a *validAnswer, _ bool) reply {
 			id := externalapi.HeaderAttemptID + ": " + victimID + "\r\n"
 			return reply{bytes: []byte(strings.Replace(string(a.framed()), id, id+id, 1))}
 		}),
-		say("served: twice", func(a *wellAnswer, _ bool) reply { return reply{bytes: append(a.framed(), a.framed()...)} }),
-		say("served: another's behind", func(a *wellAnswer, _ bool) reply { return reply{bytes: append(a.framed(), surplus...)} }),
-		say("served: bytes behind", func(a *wellAnswer, _ bool) reply { return reply{bytes: append(a.framed(), "\x00\r\n\r\n"...)} }),
-		say("served: a byte behind", func(a *wellAnswer, _ bool) reply { return reply{bytes: append(a.framed(), 'H')} }),
-		say("served: the same late", func(a *wellAnswer, _ bool) reply { return reply{bytes: a.framed(), late: a.framed()} }),
-		say("served: another's late", func(a *wellAnswer, _ bool) reply { return reply{bytes: a.framed(), late: []byte(surplus)} }),
-		say("served: closes, and says more", func(a *wellAnswer, _ bool) reply { return reply{bytes: append(a.framed(), surplus...), end: io.EOF} }),
-		say("served: and reset", func(a *wellAnswer, _ bool) reply { return reply{bytes: a.framed(), end: errReset} }),
-		say("served: no length, to its end", func(a *wellAnswer, _ bool) reply { return reply{bytes: a.unframed(), end: io.EOF} }),
-		say("served: in chunks with trailers", func(a *wellAnswer, _ bool) reply {
+		say("served: twice", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), a.framed()...)} }),
+		say("served: another's behind", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), surplus...)} }),
+		say("served: bytes behind", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), "\x00\r\n\r\n"...)} }),
+		say("served: a byte behind", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), 'H')} }),
+		say("served: the same late", func(a *validAnswer, _ bool) reply { return reply{bytes: a.framed(), late: a.framed()} }),
+		say("served: another's late", func(a *validAnswer, _ bool) reply { return reply{bytes: a.framed(), late: []byte(surplus)} }),
+		say("served: closes, and says more", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), surplus...), end: io.EOF} }),
+		say("served: and reset", func(a *validAnswer, _ bool) reply { return reply{bytes: a.framed(), end: errReset} }),
+		say("served: no length, to its end", func(a *validAnswer, _ bool) reply { return reply{bytes: a.unframed(), end: io.EOF} }),
+		say("served: in chunks with trailers", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: a.chunked(externalapi.HeaderBackendSeal + ": of-other\r\n" + externalapi.HeaderAttemptID + ": other\r\n")}
 		}),
-		say("served: interim answers ahead", func(a *wellAnswer, _ bool) reply {
+		say("served: interim answers ahead", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"), a.framed()...)}
 		}),
-		say("interim answers without end", func(*wellAnswer, bool) reply {
+		say("interim answers without end", func(*validAnswer, bool) reply {
 			return reply{bytes: []byte(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 5000))}
 		}),
-		say("another protocol", func(a *wellAnswer, _ bool) reply {
+		say("another protocol", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: append([]byte("HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n"), a.framed()...)}
 		}),
-		say("no protocol", func(*wellAnswer, bool) reply { return reply{bytes: []byte("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")} }),
-		say("a head without end", func(a *wellAnswer, _ bool) reply {
+		say("no protocol", func(*validAnswer, bool) reply { return reply{bytes: []byte("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")} }),
+		say("a head without end", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: []byte(a.head + strings.Repeat("X-More: and more\r\n", 1<<17))}
 		}),
-		say("lengths that differ", func(a *wellAnswer, _ bool) reply {
+		say("lengths that differ", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: []byte(a.head + "Content-Length: 3\r\nContent-Length: 5\r\n\r\n" + a.body)}
 		}),
-		say("a length below 0", func(a *wellAnswer, _ bool) reply {
+		say("a length below 0", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: []byte(a.head + "Content-Length: -1\r\n\r\n" + a.body)}
 		}),
-		say("served: the same length twice", func(a *wellAnswer, _ bool) reply {
+		say("served: the same length twice", func(a *validAnswer, _ bool) reply {
 			line := fmt.Sprintf("Content-Length: %d\r\n", len(a.body))
 			return reply{bytes: []byte(a.head + line + line + "\r\n" + a.body)}
 		}),
-		say("served: a length beside chunks", func(a *wellAnswer, _ bool) reply {
+		say("served: a length beside chunks", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: []byte(strings.Replace(string(a.chunked("")), "Transfer-Encoding", "Content-Length: 3\r\nTransfer-Encoding", 1))}
 		}),
-		say("a length too long", func(a *wellAnswer, _ bool) reply {
+		say("a length too long", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", a.head, len(a.body)+1, a.body), end: io.EOF}
 		}),
-		say("not run", func(*wellAnswer, bool) reply { return reply{bytes: failure(503, notRunLine), proves: true} }),
-		say("not run, 429", func(*wellAnswer, bool) reply { return reply{bytes: failure(429, notRunLine), proves: true} }),
-		say("not run, and reset", func(*wellAnswer, bool) reply {
+		say("not run", func(*validAnswer, bool) reply { return reply{bytes: failure(503, notRunLine), proves: true} }),
+		say("not run, 429", func(*validAnswer, bool) reply { return reply{bytes: failure(429, notRunLine), proves: true} }),
+		say("not run, and reset", func(*validAnswer, bool) reply {
 			return reply{bytes: failure(503, notRunLine), end: errReset, proves: true}
 		}),
-		say("the wrong backend", func(*wellAnswer, bool) reply { return reply{bytes: failure(421, ""), proves: true} }),
-		say("200 that says it has not run", func(a *wellAnswer, _ bool) reply {
+		say("the wrong backend", func(*validAnswer, bool) reply { return reply{bytes: failure(421, ""), proves: true} }),
+		say("200 that says it has not run", func(a *validAnswer, _ bool) reply {
 			return reply{bytes: []byte(strings.Replace(string(a.framed()), "\r\n", "\r\n"+notRunLine, 1))}
 		}),
 	}
 	for _, status := range []int{400, 404, 408, 413, 429, 500, 502, 503, 504} {
-		all = append(all, say(fmt.Sprintf("status %d, without a word of not having run", status), func(*wellAnswer, bool) reply { return reply{bytes: failure(status, seal)} }))
+		all = append(all, say(fmt.Sprintf("status %d, without a word of not having run", status), func(*validAnswer, bool) reply { return reply{bytes: failure(status, seal)} }))
 	}
 	head := len(well.answer.head) + 2
 	for k := range head {
-		all = append(all, say(fmt.Sprintf("garbage from byte %d of the head", k), func(a *wellAnswer, _ bool) reply {
+		all = append(all, say(fmt.Sprintf("garbage from byte %d of the head", k), func(a *validAnswer, _ bool) reply {
 			return reply{bytes: append(a.unframed()[:k:k], "\x00\x01 no \x02 answer\r\n\r\n"...), end: io.EOF}
 		}))
 	}
 	for k := range len(well.answer.unframed()) {
-		all = append(all, say(fmt.Sprintf("no length, reset after %d bytes", k), func(a *wellAnswer, _ bool) reply {
+		all = append(all, say(fmt.Sprintf("no length, reset after %d bytes", k), func(a *validAnswer, _ bool) reply {
 			b := a.unframed()
 			return reply{bytes: b[:min(k, len(b))], end: errReset}
 		}))
 	}
 	for k := range len(failure(503, notRunLine)) {
-		all = append(all, say(fmt.Sprintf("not run, reset after %d bytes", k), func(*wellAnswer, bool) reply {
+		all = append(all, say(fmt.Sprintf("not run, reset after %d bytes", k), func(*validAnswer, bool) reply {
 			b := failure(503, notRunLine)
 			return reply{bytes: b[:k], end: errReset, proves: k >= len(b)-4}
 		}))
@@ -303,22 +307,22 @@
 			return false // what stands ahead of its answer has no end that could be found
 		}
 		return strings.HasPrefix(one.name, "served: ") || one.name == "not run" || one.name == "the wrong backend" ||
-			strings.HasPrefix(one.name, "no length, reset") && (kind.repeatable() || kind.prefill())
+			strings.HasPrefix(one.name, "no length, reset") && (kind.idempotent() || kind.prefill())
 	})
 }
 
-// TestClientLeavesAtEveryByte has a client leave when so many bytes of its answer have come to the proxy: the backend's connection
-// is closed at once, nothing of the request is sent any more, and what is left of the answer comes to nobody.
+// TestClientLeavesAtEveryByte has a client leave when so many bytes of its answer have come to the proxy: the backend's
+// connection is closed at once, nothing of the request is sent any more, and what is left of the answer comes to nobody.
 func TestClientLeavesAtEveryByte(t *testing.T) {
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		for _, k := range everyByte(len(well.answer.framed()) - 1) {
 			for _, rest := range []bool{false, true} {
-				all = append(all, breakage{fmt.Sprintf("the client leaves after %d bytes, the rest comes %v", k, rest), func(r *exchangeRig, c *scriptedConn, _ []byte, a *wellAnswer) reply {
+				all = append(all, breakage{fmt.Sprintf("the client leaves after %d bytes, the rest comes %v", k, rest), func(r *exchangeRig, c *scriptedConn, _ []byte, a *validAnswer) reply {
 					says := reply{taken: -1, bytes: a.framed()[:k]}
 					if rest {
 						says.late = a.framed()[k:]
 					}
-					r.leave(c)
+					r.clientLeaves(c)
 					return says
 				}})
 			}
@@ -327,16 +331,16 @@
 	}, nil)
 }
 
-// TestIDUsedAgain has two requests of one id follow each other, and the answer to the first come once more in the place of the
+// TestReusedID has two requests of one id follow each other, and the answer to the first come once more in the place of the
 // second's: the second is not sent on that connection.
-func TestIDUsedAgain(t *testing.T) {
+func TestReusedID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		said := 0
 		r := newExchangeRig(requestKind{name: "readonly", route: "freeread"}, breakage{})
 		defer r.proxy.pool.Close()
 		r.struck = &scriptedConn{} // nothing else is in trouble
-		r.script = func(a *wellAnswer) reply {
+		r.script = func(a *validAnswer) reply {
 			said++
 			a.body += fmt.Sprintf(", number %d", said)
 			return reply{taken: -1, bytes: a.framed(), late: a.framed()}
@@ -363,19 +367,19 @@
 	return w.once.Write(b)
 }
 
-// TestUntakenStreamIsNotTakenUp has a client's connection fail under a stream, at the first backend and once it has been taken up at
-// a second: nobody is asked for the rest.
-func TestUntakenStreamIsNotTakenUp(t *testing.T) {
+// TestUnreadStreamIsNotResumed has a client's connection fail under a stream, at the first backend and once a second one has
+// resumed it: nobody is asked for the rest.
+func TestUnreadStreamIsNotResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for _, tc := range []struct{ takes, reached int }{{0, 1}, {1, 2}} {
-			r := newExchangeRig(requestKind{name: "resumable stream", route: "free"}, breakage{"cut within", func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *wellAnswer) reply {
+			r := newExchangeRig(requestKind{name: "resumable stream", route: "free"}, breakage{"cut within", func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *validAnswer) reply {
 				b := a.framed()
 				return reply{taken: -1, bytes: b[:len(b)-20], end: errReset}
 			}})
 			w := &failingWriter{&once{ResponseRecorder: httptest.NewRecorder()}, tc.takes}
 			r.came, r.deadline = time.Now(), exchangeDeadline
-			broken := r.serve(w, r.newRequest(t.Context(), victimID))
+			broken := serveUntilAborted(r.proxy, w, r.newRequest(t.Context(), victimID))
 			c.Check(broken, qt.IsTrue)
 			c.Check(r.reaches, qt.HasLen, tc.reached)
 			c.Check(r.found, qt.HasLen, 0)
@@ -384,17 +388,17 @@
 	})
 }
 
-// TestHeadKeepsItsLength: the answer to a HEAD tells the length that the backend told, and none where that told none.
+// TestHeadKeepsItsLength has the answer to a HEAD tell the length that the backend told, and none where that told none.
 func TestHeadKeepsItsLength(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		for length, says := range map[string]func(a *wellAnswer) []byte{
-			"16": (*wellAnswer).framed,
-			"":   func(a *wellAnswer) []byte { return []byte(a.head + "\r\n") },
+		for length, says := range map[string]func(a *validAnswer) []byte{
+			"16": (*validAnswer).framed,
+			"":   func(a *validAnswer) []byte { return []byte(a.head + "\r\n") },
 		} {
 			r := newExchangeRig(requestKind{name: "HEAD", route: "freeread", method: http.MethodHead}, breakage{})
 			r.struck = &scriptedConn{} // nothing is in trouble
-			r.script = func(a *wellAnswer) reply { return reply{taken: -1, bytes: says(a)} }
+			r.script = func(a *validAnswer) reply { return reply{taken: -1, bytes: says(a)} }
 			o := r.ask(victimID)
 			c.Check(o.status, qt.Equals, http.StatusOK)
 			c.Check(o.header.Get("Content-Length"), qt.Equals, length)
--- /dev/null
+++ b/internal/fleet/proxy/retries_test.go
@@ -0,0 +1,124 @@
+package proxy
+
+import (
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/routingconfig"
+	"molepaddle/policy"
+)
+
+// testRoute is a route of three attempts, with the kind and the latency target.
+func testRoute(kind string, target time.Duration) *routingconfig.Route {
+	return &routingconfig.Route{RouteSpec: &routingconfig.RouteSpec{
+		Kind:            kind,
+		MaxAttempts:     3,
+		LatencyTargetMs: float64(target.Milliseconds()),
+	}}
+}
+
+// TestRetriesNeedTimeAttemptsAndBudget has a request ask for a further send: what may have run and is not idempotent
+// never gets one, nor does a request without time, attempts or tokens.
+func TestRetriesNeedTimeAttemptsAndBudget(t *testing.T) {
+	for _, one := range []struct {
+		name       string
+		kind       string
+		mayHaveRun bool
+		sends      int
+		left       time.Duration
+		tokens     float64
+		want       bool
+	}{
+		{
+			name:       "idempotent",
+			kind:       routingconfig.KindReadonly,
+			mayHaveRun: true,
+			sends:      1,
+			left:       time.Second,
+			tokens:     1,
+			want:       true,
+		},
+		{name: "not run", kind: routingconfig.KindMutating, sends: 1, left: time.Second, tokens: 1, want: true},
+		{name: "may have run", kind: routingconfig.KindMutating, mayHaveRun: true, sends: 1, left: time.Second, tokens: 1},
+		{name: "all attempts made", kind: routingconfig.KindReadonly, sends: 3, left: time.Second, tokens: 1},
+		{name: "no time", kind: routingconfig.KindReadonly, sends: 1, left: minRetryTime - time.Millisecond, tokens: 1},
+		{name: "budget spent", kind: routingconfig.KindReadonly, sends: 1, left: time.Second, tokens: 0.5},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				c := qt.New(t)
+				svc := newService("s", testGate(nil), time.Second)
+				svc.retryBudget.configure(time.Now(), 0, 0, time.Second, 1)
+				svc.retryBudget.base = 2
+				svc.retryBudget.tokens = one.tokens
+				cr := &clientRequest{
+					svc:        svc,
+					route:      testRoute(one.kind, 0),
+					mayHaveRun: one.mayHaveRun,
+					sends:      one.sends,
+					deadline:   time.Now().Add(one.left),
+				}
+				c.Check(cr.retryAvailable(), qt.Equals, one.want)
+				c.Check(svc.retryBudget.tokens, qt.Equals, one.tokens)
+				c.Check(cr.takeRetry(), qt.Equals, one.want)
+				if one.want {
+					c.Check(svc.retryBudget.tokens, qt.Equals, one.tokens-1)
+				}
+			})
+		})
+	}
+}
+
+// TestHeaderDeadlines has attempts wait for a head: to the request's deadline, or for some latency targets where
+// another backend could still serve the request.
+func TestHeaderDeadlines(t *testing.T) {
+	for _, one := range []struct {
+		name   string
+		kind   string
+		target time.Duration
+		sends  int
+		want   time.Duration
+	}{
+		{name: "no target", kind: routingconfig.KindReadonly, want: 10 * time.Second},
+		{name: "short target", kind: routingconfig.KindReadonly, target: 10 * time.Millisecond, want: minHeaderTimeout},
+		{name: "target", kind: routingconfig.KindReadonly, target: time.Second, want: 3 * time.Second},
+		{name: "long target", kind: routingconfig.KindReadonly, target: 5 * time.Second, want: 10 * time.Second},
+		{name: "last attempt", kind: routingconfig.KindReadonly, target: time.Second, sends: 2, want: 10 * time.Second},
+		{name: "not idempotent", kind: routingconfig.KindMutating, target: time.Second, want: 10 * time.Second},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				cr := &clientRequest{
+					route:    testRoute(one.kind, one.target),
+					sends:    one.sends,
+					deadline: time.Now().Add(10 * time.Second),
+				}
+				qt.Check(t, time.Until(cr.headerDeadline()), qt.Equals, one.want)
+			})
+		})
+	}
+}
+
+// TestRejectedAttempt has a backend say that it did not run a request: the request keeps the longest advice, and may be
+// sent again.
+func TestRejectedAttempt(t *testing.T) {
+	c := qt.New(t)
+	cr := &clientRequest{}
+	for _, advice := range []string{"0.5", "2", "1", "61", "soon"} {
+		a := attempt{cr: cr}
+		err := a.rejected(&http.Response{Header: http.Header{externalapi.HeaderRetryAfter: {advice}}})
+		c.Check(err, qt.Equals, errBackendFull)
+		c.Check(a.status, qt.Equals, policy.Full)
+	}
+	c.Check(cr.retryAfter, qt.Equals, 2*time.Second)
+	c.Check(cr.mayHaveRun, qt.IsFalse)
+	a := attempt{cr: cr}
+	c.Check(a.fail(policy.Reset, errForeignAnswer), qt.Equals, errForeignAnswer)
+	c.Check(cr.mayHaveRun, qt.IsTrue)
+	c.Check(a.status, qt.Equals, policy.Reset)
+}
--- a/internal/fleet/proxy/retrybudget_test.go
+++ b/internal/fleet/proxy/retrybudget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAllowanceKeepsTheBudget: whatever the requests and however greedy the proxies, no window has more further sends than the rule
-// allows: a ratio of the requests of that window or the one before it, and a sum.
-func TestAllowanceKeepsTheBudget(t *testing.T) {
+// TestRetryBudgetBoundsExtraSends has proxies spend all that they may, whatever the requests: no window has more extra
+// sends than the rule allows, a ratio of the requests of that window or the one before it, and a sum.
+func TestRetryBudgetBoundsExtraSends(t *testing.T) {
 	const ratio, window = 0.2, 10 * time.Second
 	rapid.Check(t, func(r *rapid.T) {
 		proxies := rapid.IntRange(1, 80).Draw(r, "proxies")
@@ -58,9 +58,9 @@
 	})
 }
 
-// With eighty proxies nothing more than one send could ever be saved, and a staged prompt whose taker failed takes two: none
-// was ever tried again.
-func TestAllowanceHasRoomForAStagedPrompt(t *testing.T) {
+// TestRetryBudgetCoversAStagedPrompt has eighty proxies, each of which could never save more than one send, while a
+// staged prompt whose decode backend failed takes two: none was ever retried.
+func TestRetryBudgetCoversAStagedPrompt(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
 	var a retryBudget
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -21,7 +21,7 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// TestBackendsGetTheClientsRequest words requests for backends: what describes the prompt is the client's; what is the
+// TestBackendsGetTheClientsRequest encodes requests for backends: what describes the prompt is the client's; what is the
 // proxy's to set never comes from the client; each send tells the time left, and no more.
 func TestBackendsGetTheClientsRequest(t *testing.T) {
 	synctest.Test(t, testBackendsGetTheClientsRequest)
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestNoConfigurationIsNoVerdict: a proxy that knows no configuration answers 503 to everything, and never that there is no
+// TestUnconfiguredProxyRejects has a proxy without a configuration answer 503 to everything, and never that there is no
 // such route.
-func TestNoConfigurationIsNoVerdict(t *testing.T) {
+func TestUnconfiguredProxyRejects(t *testing.T) {
 	r := newRig(t, everywhere(nil)...)
 	for _, route := range []string{"freeread", "post", "unheard"} {
 		got := r.client.Do(context.Background(), ask(route, 0, 0, [2]int{}))
@@ -142,9 +142,9 @@
 	r.Check(got.Status, qt.Equals, http.StatusOK)
 }
 
-// TestEarlyAnswerLeavesTheBodyWhole: a backend that answers before it has read a long body, and reads on later, gets all of
+// TestEarlyAnswerLeavesTheBodyComplete has a long body and an early answer: a backend that answers before it has read a long body, and reads on later, gets all of
 // that body and then the next request, whether that comes on this connection or another.
-func TestEarlyAnswerLeavesTheBodyWhole(t *testing.T) {
+func TestEarlyAnswerLeavesTheBodyComplete(t *testing.T) {
 	const bodySize, requests = 3 << 20, 4
 	r := newRig(t)
 	seen := make(chan string, requests) // what was wrong with each request as it came
@@ -188,9 +188,9 @@
 	}
 }
 
-// TestBodiesByTheCaps: a body over body_max_bytes is refused, framed either way, and reaches no backend; one that just
-// fits is served.
-func TestBodiesByTheCaps(t *testing.T) {
+// TestBodyLimitOfTheConfiguration sends a body over body_max_bytes: it is rejected, framed either way, and reaches no
+// backend; one that just fits is served.
+func TestBodyLimitOfTheConfiguration(t *testing.T) {
 	const most = 10_000
 	r := newRig(t, everywhere(nil)...)
 	doc := strings.Replace(string(r.document()), `"svcs":`, fmt.Sprintf(`"caps":{"body_max_bytes":%d},"svcs":`, most), 1)
@@ -235,8 +235,8 @@
 	})
 }
 
-// TestUnframedAnswers: an answer without a length is whole where its connection ends in order, and never taken for whole where
-// that is reset.
+// TestUnframedAnswers has answers without a length: one is complete where its connection ends in order, and never taken
+// for complete where that is reset.
 func TestUnframedAnswers(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": ID\r\n" + externalapi.HeaderBackendSeal + ": s1\r\nVersions: 9\r\n\r\nall of it"
 	for _, reset := range []bool{false, true} {
@@ -262,8 +262,8 @@
 	}
 }
 
-// TestVersionsGoOn: a stream's versions, in its head and within an event, reach the client as they came.
-func TestVersionsGoOn(t *testing.T) {
+// TestVersionsAreRelayed shows that a stream's versions, in its head and within an event, reach the client as they came.
+func TestVersionsAreRelayed(t *testing.T) {
 	const events = "id: 1\ndata: a\n\nversions: 10\nid: 2\ndata: b\n\n"
 	text := "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": ID\r\n" + externalapi.HeaderBackendSeal + ": s1\r\nVersions: 9\r\nContent-Type: text/event-stream\r\n" +
 		fmt.Sprintf("Content-Length: %d\r\n\r\n", len(events)) + events
--- /dev/null
+++ b/internal/fleet/proxy/streaming_test.go
@@ -0,0 +1,92 @@
+package proxy
+
+import (
+	"io"
+	"strings"
+	"testing"
+	"testing/iotest"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// TestEventReaderFindsCompleteEvents reads a stream byte by byte: what may be relayed ends with an event, and is all
+// there is once the stream has ended.
+func TestEventReaderFindsCompleteEvents(t *testing.T) {
+	const stream = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3"
+	for _, one := range []struct {
+		name     string
+		isEvents bool
+		want     []string
+	}{
+		{"events", true, []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3"}},
+		{"bytes", false, strings.Split(stream, "")},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			c := qt.New(t)
+			in := eventReader{
+				body:     iotest.OneByteReader(strings.NewReader(stream)),
+				isEvents: one.isEvents,
+				buf:      make([]byte, 0, 2),
+			}
+			var got []string
+			for ended := false; !ended; {
+				c.Assert(in.grow(), qt.IsNil)
+				err := in.read()
+				ended = err == io.EOF
+				c.Assert(err == nil || ended, qt.IsTrue)
+				events := in.complete(ended)
+				if len(events) > 0 {
+					got = append(got, string(events))
+					in.drop(len(events))
+				}
+			}
+			c.Check(got, qt.DeepEquals, one.want)
+			c.Check(in.buf, qt.HasLen, 0)
+		})
+	}
+}
+
+// TestEventReaderBoundsEvents reads an event that never ends: it fails once a buffer of maxEventBytes or more is full.
+func TestEventReaderBoundsEvents(t *testing.T) {
+	c := qt.New(t)
+	in := eventReader{body: zeros{}, isEvents: true, buf: make([]byte, 0, eventBufferBytes)}
+	for {
+		if err := in.grow(); err != nil {
+			c.Check(err, qt.ErrorMatches, "an event over 1048576 bytes")
+			break
+		}
+		c.Assert(in.read(), qt.IsNil)
+		c.Assert(in.complete(false), qt.HasLen, 0)
+	}
+	c.Check(len(in.buf) >= maxEventBytes, qt.IsTrue, qt.Commentf("%d bytes", len(in.buf)))
+	c.Check(len(in.buf) < 3*maxEventBytes, qt.IsTrue, qt.Commentf("%d bytes", len(in.buf)))
+}
+
+// zeros is a stream without an end.
+type zeros struct{}
+
+func (zeros) Read(p []byte) (int, error) {
+	clear(p)
+	return len(p), nil
+}
+
+// TestRelayResumesAtLastEvent scans the events of two backends: the last id is kept, and the pace sample begins anew
+// with the second backend.
+func TestRelayResumesAtLastEvent(t *testing.T) {
+	c := qt.New(t)
+	r := streamRelay{cr: &clientRequest{svc: newService("llm", testGate(nil), 0)}, backendID: "b1"}
+	c.Check(r.meanGapMs(), qt.Equals, 0.0)
+	r.scanEvents([]byte("id: 1\ndata: a\n\nid:2\ndata: b\n\n"))
+	c.Check(r.lastID, qt.Equals, "2")
+	c.Check(r.totalEvents, qt.Equals, 2)
+	c.Check(r.sampleStart, qt.Equals, r.firstEventAt)
+	r.resumeAt("b2")
+	c.Check(r.backendID, qt.Equals, "b2")
+	c.Check(r.sampleStart.IsZero(), qt.IsTrue)
+	r.scanEvents([]byte("data: no id\n\n"))
+	c.Check(r.lastID, qt.Equals, "2")
+	r.scanEvents([]byte("id: 3\n\n"))
+	c.Check(r.lastID, qt.Equals, "3")
+	c.Check(r.totalEvents, qt.Equals, 3)
+	c.Check(r.meanGapMs() >= 0, qt.IsTrue)
+}
