--- a/internal/fleet/proxy/clientconn_test.go
+++ b/internal/fleet/proxy/clientconn_test.go
@@ -75,7 +75,11 @@
 	}
 	doc, found := routingconfig.Decode([]byte(`{"ver":1,"routing":[],"svcs":[],"caps":` + caps + `}`))
 	e.Assert(found.Err(), qt.IsNil)
-	e.proxy.snapshot.Store(&routingSnapshot{index: routingconfig.NewIndex(doc), limits: doc.Limits(), version: doc.Version()})
+	e.proxy.snapshot.Store(&routingSnapshot{
+		index:   routingconfig.NewIndex(doc),
+		limits:  doc.Limits(),
+		version: doc.Version(),
+	})
 }
 
 // dial opens a connection of a client.
@@ -103,8 +107,8 @@
 	return err == nil && (resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusServiceUnavailable)
 }
 
-// TestIdleTimeoutOfTheConfiguration leaves connections idle: after four fifths of the idle time-out one still serves, after
-// more than all of it one is closed; that holds of limits that come into force later, too.
+// TestIdleTimeoutOfTheConfiguration leaves connections idle: after four fifths of the idle time-out one still serves,
+// after more than all of it one is closed; that holds of limits that come into force later, too.
 func TestIdleTimeoutOfTheConfiguration(t *testing.T) {
 	for _, one := range []struct {
 		caps string
--- a/internal/fleet/proxy/decode.go
+++ b/internal/fleet/proxy/decode.go
@@ -23,7 +23,6 @@
 type decodeAttempt struct {
 	attempt
 	pl          placement
-	prompt      *scheduler.Prompt
 	handle      *kvHandle // that the backend is to take over; nil: it prefills the prompt itself
 	relay       streamRelay
 	thresholdMs float64 // beyond which the first event counts as slow
@@ -53,8 +52,8 @@
 	prompt *scheduler.Prompt,
 	handle *kvHandle,
 ) error {
-	a := cr.newDecodeAttempt(pl, prompt, handle)
-	defer a.recordEnd()
+	a := cr.newDecodeAttempt(pl, handle)
+	defer a.recordEnd(prompt)
 	headerDone := cr.svc.awaitHeader(a.pl.decode.ID)
 	e, err := a.send(ctx)
 	headerDone(err == nil)
@@ -67,11 +66,11 @@
 	}
 	a.recordTransfer(true)
 	cr.svc.recordShed(a.pl.decode.ID, false)
-	return a.relayStream(ctx, e)
+	return a.relayStream(ctx, e, prompt)
 }
 
 // newDecodeAttempt begins an attempt as the outlier detection counts it.
-func (cr *clientRequest) newDecodeAttempt(pl *placement, prompt *scheduler.Prompt, handle *kvHandle) decodeAttempt {
+func (cr *clientRequest) newDecodeAttempt(pl *placement, handle *kvHandle) decodeAttempt {
 	staged := handle != nil
 	startedAt := time.Now()
 	threshold := cr.svc.firstEventThresholdMs(cr, staged, pl.prefillMs)
@@ -83,7 +82,6 @@
 			status: policy.OK,
 		},
 		pl:          *pl,
-		prompt:      prompt,
 		handle:      handle,
 		relay:       streamRelay{cr: cr, backendID: pl.decode.ID},
 		thresholdMs: threshold,
@@ -115,12 +113,12 @@
 }
 
 // relayStream relays the stream; an error: the client has nothing of it.
-func (a *decodeAttempt) relayStream(ctx context.Context, e *exchange) error {
+func (a *decodeAttempt) relayStream(ctx context.Context, e *exchange, prompt *scheduler.Prompt) error {
 	cr := a.cr
 	err := a.relay.copyEvents(ctx, e, a.firstEvent)
 	if err == nil {
 		cr.proxy.countAnswer(http.StatusOK)
-		a.recordDecoded()
+		a.recordDecoded(prompt)
 		return nil
 	}
 	err = a.fail(attemptStatus(true, err), err)
@@ -128,7 +126,7 @@
 		return err
 	}
 	if ctx.Err() == nil && !errors.Is(err, errClientGone) && cr.route.Resumable {
-		if cr.resume(ctx, &a.relay, a.prompt) {
+		if cr.resume(ctx, &a.relay, prompt) {
 			return nil
 		}
 	}
@@ -158,15 +156,15 @@
 }
 
 // recordDecoded counts how long the decode of such a prompt took.
-func (a *decodeAttempt) recordDecoded() {
+func (a *decodeAttempt) recordDecoded(prompt *scheduler.Prompt) {
 	svc := a.cr.svc
 	svc.mu.Lock()
-	svc.engines.ObserveDecode(a.cr.route.Name, a.prompt, milliseconds(time.Since(a.firstEventAt)))
+	svc.engines.ObserveDecode(a.cr.route.Name, prompt, milliseconds(time.Since(a.firstEventAt)))
 	svc.mu.Unlock()
 }
 
 // recordEnd counts how the attempt ended and how fast it was.
-func (a *decodeAttempt) recordEnd() {
+func (a *decodeAttempt) recordEnd(prompt *scheduler.Prompt) {
 	svc := a.cr.svc
 	id := a.pl.decode.ID
 	staged := a.handle != nil
@@ -179,12 +177,12 @@
 	switch {
 	case staged && a.gotEvent:
 		took := milliseconds(a.firstEventAt.Sub(a.startedAt))
-		svc.engines.ObserveTransfer(svc.now(), a.handle.from.ID, id, a.prompt, took, true)
+		svc.engines.ObserveTransfer(svc.now(), a.handle.from.ID, id, prompt, took, true)
 	case staged && a.sent:
 		took := milliseconds(time.Since(a.startedAt))
-		svc.engines.ObserveTransfer(svc.now(), a.handle.from.ID, id, a.prompt, took, false)
+		svc.engines.ObserveTransfer(svc.now(), a.handle.from.ID, id, prompt, took, false)
 	case !staged && !a.gotEvent:
-		svc.engines.InvalidateCache(id, a.prompt)
+		svc.engines.InvalidateCache(id, prompt)
 	}
 	svc.ranker.AttemptEnded(svc.now(), id, a.status)
 }
--- a/internal/fleet/proxy/exchange_client_test.go
+++ b/internal/fleet/proxy/exchange_client_test.go
@@ -67,7 +67,9 @@
 func requestText(path, id, body string) string {
 	more := ""
 	if strings.HasPrefix(path, "/free/") {
-		more = externalapi.HeaderModel + ": m\r\n" + externalapi.HeaderTokenCount + ": 100,2\r\n" + externalapi.HeaderPromptPrefix + ": fa01:80,01:20\r\n"
+		more = externalapi.HeaderModel + ": m\r\n" +
+			externalapi.HeaderTokenCount + ": 100,2\r\n" +
+			externalapi.HeaderPromptPrefix + ": fa01:80,01:20\r\n"
 	}
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: 2000\r\n%sContent-Length: %d\r\n\r\n%s",
 		path, externalapi.HeaderAttemptID, id, externalapi.HeaderDeadlineMs, more, len(body), body)
@@ -152,12 +154,16 @@
 func TestClientStopsWithinItsBody(t *testing.T) {
 	const deadline = 200 * time.Millisecond
 	for path, status := range map[string]int{"/post/x": http.StatusRequestTimeout, "/nowhere/x": http.StatusNotFound} {
-		for _, framing := range []string{"Content-Length: 100\r\n\r\nsome", "Transfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n5"} {
+		for _, framing := range []string{
+			"Content-Length: 100\r\n\r\nsome",
+			"Transfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n5",
+		} {
 			r := newClientRig(t, requestKind{route: "post"})
 			r.silent(func(a *validAnswer) []byte { return a.framed() })
 			c, in := r.connect()
 			began := time.Now()
-			_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: one\r\n%s: %d\r\n%s", path, externalapi.HeaderAttemptID, externalapi.HeaderDeadlineMs, deadline.Milliseconds(), framing)
+			_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: one\r\n%s: %d\r\n%s",
+				path, externalapi.HeaderAttemptID, externalapi.HeaderDeadlineMs, deadline.Milliseconds(), framing)
 			r.Assert(err, qt.IsNil)
 			resp, _ := r.answer(in)
 			took := time.Since(began)
@@ -174,8 +180,8 @@
 // TestClientReadsNothing has a client leave its stream unread: once its time is over the backend's connection ends.
 func TestClientReadsNothing(t *testing.T) {
 	r := newClientRig(t, requestKind{route: "free"})
-	// More than the buffers on the way hold, the client's being small; and little enough to be framed long before the proxy would
-	// take the backend for silent and go elsewhere.
+	// More than the buffers on the way hold, the client's being small; and little enough to be framed long before the
+	// proxy would take the backend for silent and go elsewhere.
 	more := strings.Repeat("data: "+strings.Repeat("more ", 10<<10)+"\n\n", 1<<8)
 	r.silent(func(a *validAnswer) []byte {
 		a.body = more
@@ -186,7 +192,8 @@
 	_, err := io.WriteString(c, strings.Replace(requestText("/free/x", "one", "data"), "Ms: 2000", "Ms: 1000", 1))
 	r.Assert(err, qt.IsNil)
 	await(r, "the request", r.arrived)
-	r.Check(await(r, "the end of the backend's connection", r.conn().gone) < time.Second+unreadBodyTimeout+goneWithin, qt.IsTrue)
+	took := await(r, "the end of the backend's connection", r.conn().gone)
+	r.Check(took < time.Second+unreadBodyTimeout+goneWithin, qt.IsTrue)
 }
 
 // TestRequestsInARow sends requests without waiting for answers, among them some that are rejected with their bodies
@@ -202,7 +209,8 @@
 	forged := requestText("/freeread/x", "forged", "data")
 	_, err := io.WriteString(c, requestText("/freeread/x", "one", "data")+requestText("/nowhere/x", "two", forged)+
 		requestText("/freeread/x", "three", forged)+requestText("/freeread/x", "two words", forged)+
-		strings.Replace(requestText("/freeread/x", "twice", forged), "Content-Length", externalapi.HeaderAttemptID+": again\r\nContent-Length", 1)+
+		strings.Replace(requestText("/freeread/x", "twice", forged), "Content-Length",
+			externalapi.HeaderAttemptID+": again\r\nContent-Length", 1)+
 		requestText("/freeread/x", "four", ""))
 	r.Assert(err, qt.IsNil)
 	for _, want := range []struct {
@@ -222,7 +230,8 @@
 	r.Check(r.arrived, qt.HasLen, 0)
 }
 
-// TestAmbiguousRequests sends what can be read in two ways: it is rejected, and nothing after it is taken for a request.
+// TestAmbiguousRequests sends what can be read in two ways: it is rejected, and nothing after it is taken for a
+// request.
 func TestAmbiguousRequests(t *testing.T) {
 	forged := requestText("/freeread/x", "forged", "data")
 	for name, head := range map[string]string{
@@ -236,10 +245,12 @@
 			r := newClientRig(t, requestKind{route: "freeread"})
 			r.silent(func(a *validAnswer) []byte { return a.framed() })
 			c, in := r.connect()
-			_, err := io.WriteString(c, "POST /freeread/x HTTP/1.1\r\nHost: h\r\n"+externalapi.HeaderAttemptID+": one\r\n"+head+"\r\ndata")
+			_, err := io.WriteString(c, "POST /freeread/x HTTP/1.1\r\nHost: h\r\n"+
+				externalapi.HeaderAttemptID+": one\r\n"+head+"\r\ndata")
 			r.Assert(err, qt.IsNil)
 			resp, _ := r.answer(in)
-			r.Check(resp.StatusCode/100 == 4 || resp.StatusCode == http.StatusNotImplemented, qt.IsTrue, qt.Commentf("%d", resp.StatusCode))
+			rejected := resp.StatusCode/100 == 4 || resp.StatusCode == http.StatusNotImplemented
+			r.Check(rejected, qt.IsTrue, qt.Commentf("%d", resp.StatusCode))
 			_, _ = io.WriteString(c, forged) // it may be closed by now
 			r.Check(r.arrived, qt.HasLen, 0)
 		})
--- a/internal/fleet/proxy/exchange_conn_test.go
+++ b/internal/fleet/proxy/exchange_conn_test.go
@@ -11,8 +11,8 @@
 // errReset is what the end of a connection that is reset says.
 var errReset = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 
-// scriptedConn is a proxy's end of a connection in memory. What is at the other end is a script: it is called with each request
-// that the proxy writes, and says how many bytes of it are taken and what comes back.
+// scriptedConn is a proxy's end of a connection in memory. What is at the other end is a script: it is called with
+// each request that the proxy writes, and says how many bytes of it are taken and what comes back.
 type scriptedConn struct {
 	backend *scriptedBackend
 
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -64,10 +64,23 @@
 
 func (a *validAnswer) unframed() []byte { return []byte(a.head + "\r\n" + a.body) }
 
+// script is what a backend does with a request, as far as it has come, that would get the answer.
+type script func(r *exchangeRig, c *scriptedConn, request []byte, answer *validAnswer) reply
+
 // breakage is what a backend does to the victim's request.
 type breakage struct {
 	name string
-	does func(r *exchangeRig, c *scriptedConn, request []byte, well *validAnswer) reply
+	does script
+}
+
+// onAnswer is a script that needs the answer alone.
+func onAnswer(does func(answer *validAnswer) reply) script {
+	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, answer *validAnswer) reply { return does(answer) }
+}
+
+// always is a script that says the same to every request.
+func always(says reply) script {
+	return func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply { return says }
 }
 
 // requestKind is a kind of request, and the call of it that is struck.
@@ -135,30 +148,54 @@
 	zones := map[string]string{"e1": "east"}
 	r.proxy = New(context.Background(), testSettings(zones), zap.NewNop())
 	r.proxy.pool.Close()
-	pool := transport.New(transport.Options{Dial: r.dial, Timeout: connectTimeout, Idle: 10 * time.Second, Most: 100, Settle: time.Millisecond, Resting: 4})
+	pool := transport.New(transport.Options{
+		Dial:    r.dial,
+		Timeout: connectTimeout,
+		Idle:    10 * time.Second,
+		Most:    100,
+		Settle:  time.Millisecond,
+		Resting: 4,
+	})
 	r.proxy.pool, r.proxy.gate = pool, residency.NewGate(pool, zones)
 	for i, b := range []scriptedBackend{
 		{id: "obs-a", service: "obs"}, {id: "obs-b", service: "obs"},
-		{id: "prefill-a", service: "llm", phase: externalapi.PhasePrefill}, {id: "prefill-b", service: "llm", phase: externalapi.PhasePrefill},
-		{id: "decode-a", service: "llm", phase: externalapi.PhaseDecode}, {id: "decode-b", service: "llm", phase: externalapi.PhaseDecode},
+		{id: "prefill-a", service: "llm", phase: externalapi.PhasePrefill},
+		{id: "prefill-b", service: "llm", phase: externalapi.PhasePrefill},
+		{id: "decode-a", service: "llm", phase: externalapi.PhaseDecode},
+		{id: "decode-b", service: "llm", phase: externalapi.PhaseDecode},
 	} {
 		b.rig, b.address = r, fmt.Sprintf("10.0.0.%d:80", i+1)
 		r.backends = append(r.backends, &b)
 	}
 	doc := exchangeDocument()
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: doc}}})
+	applyResource(r.proxy, distribution.ConfigType, 1, doc)
 	r.list(true)
 	return r
 }
 
+// applyResource gives a proxy a complete resource of the version.
+func applyResource(p *Proxy, kind string, version uint64, snapshot []byte) {
+	p.apply(&distribution.Response{Resources: []distribution.Resource{{
+		Type:     kind,
+		Version:  distribution.Version{Epoch: 1, Count: version},
+		Snapshot: snapshot,
+	}}})
+}
+
 // exchangeDocument is the configuration of these tests.
 func exchangeDocument() []byte {
 	route := func(name, kind, svc, more string) string {
-		return fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,"deadline_ms":3000,"target_ms":150,"svc":%[3]q,"tries":3%[4]s}`, name, kind, svc, more)
+		return fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,"deadline_ms":3000,`+
+			`"target_ms":150,"svc":%[3]q,"tries":3%[4]s}`, name, kind, svc, more)
 	}
-	return fmt.Appendf(nil, `{"ver":1,"routing":[%s],"svcs":[{"name":"llm","probe":"/healthz","runtime":{"capacity":8,"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}},{"name":"obs","probe":"/healthz"}]}`,
-		strings.Join([]string{route("free", "stream", "llm", `,"pin":true,"resumable":true`), route("freeonce", "stream", "llm", `,"pin":true`),
-			route("freeread", "readonly", "obs", ""), route("post", "mutating", "obs", "")}, ","))
+	return fmt.Appendf(nil, `{"ver":1,"routing":[%s],"svcs":[{"name":"llm","probe":"/healthz","runtime":{"capacity":8,`+
+		`"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}},{"name":"obs","probe":"/healthz"}]}`,
+		strings.Join([]string{
+			route("free", "stream", "llm", `,"pin":true,"resumable":true`),
+			route("freeonce", "stream", "llm", `,"pin":true`),
+			route("freeread", "readonly", "obs", ""),
+			route("post", "mutating", "obs", ""),
+		}, ","))
 }
 
 // struckBackend is the backend whose role is the one that the fault strikes.
@@ -172,8 +209,8 @@
 	return "decode-a"
 }
 
-// list has the proxy know the backends that the request's kind needs; alone: of the role that the fault strikes only the
-// one.
+// list has the proxy know the backends that the request's kind needs; alone: of the role that the fault strikes only
+// the one.
 func (r *exchangeRig) list(alone bool) {
 	struck := r.struckBackend()
 	var list distribution.BackendList
@@ -182,11 +219,19 @@
 		if role == "prefill" && !r.kind.staged || alone && strings.HasPrefix(struck, role) && b.id != struck {
 			continue
 		}
-		list.Backends = append(list.Backends, distribution.Backend{ID: b.id, Service: b.service, Address: b.address, Zone: "e1", Version: "v1", Capacity: 8, Phase: b.phase})
+		list.Backends = append(list.Backends, distribution.Backend{
+			ID:       b.id,
+			Service:  b.service,
+			Address:  b.address,
+			Zone:     "e1",
+			Version:  "v1",
+			Capacity: 8,
+			Phase:    b.phase,
+		})
 	}
 	whole, _ := list.MarshalMsg(nil)
 	r.version++
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.version}, Snapshot: whole}}})
+	applyResource(r.proxy, distribution.BackendListType, r.version, whole)
 }
 
 func (r *exchangeRig) dial(_ context.Context, _, address string) (net.Conn, error) {
@@ -247,13 +292,20 @@
 	r := b.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.struck == nil && req.Header.Get(externalapi.HeaderAttemptID) == victimID && b.id == r.struckBackend() && req.Method != externalapi.CallFreeKVHandle.Method
+	return r.struck == nil &&
+		req.Header.Get(externalapi.HeaderAttemptID) == victimID &&
+		b.id == r.struckBackend() &&
+		req.Method != externalapi.CallFreeKVHandle.Method
 }
 
 // answerTo is the answer that a request gets where all is well.
 func (b *scriptedBackend) answerTo(req *http.Request) *validAnswer {
 	id := req.Header.Get(externalapi.HeaderAttemptID)
-	a := &validAnswer{id: id, bare: req.Method == http.MethodHead, head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n"}
+	a := &validAnswer{
+		id:   id,
+		bare: req.Method == http.MethodHead,
+		head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n",
+	}
 	switch {
 	case req.Method == externalapi.CallFreeKVHandle.Method:
 	case req.Header.Get(externalapi.HeaderStage) != "":
@@ -285,7 +337,14 @@
 func (b *scriptedBackend) judge(req *http.Request, says reply) {
 	r := b.rig
 	id := req.Header.Get(externalapi.HeaderAttemptID)
-	at := arrival{id: id, backend: b.id, stage: req.Header.Get(externalapi.HeaderStage), handle: req.Header.Get(externalapi.HeaderKVFrom), proved: says.proves, at: time.Now()}
+	at := arrival{
+		id:      id,
+		backend: b.id,
+		stage:   req.Header.Get(externalapi.HeaderStage),
+		handle:  req.Header.Get(externalapi.HeaderKVFrom),
+		proved:  says.proves,
+		at:      time.Now(),
+	}
 	freeing := req.Method == externalapi.CallFreeKVHandle.Method
 	if freeing {
 		at.stage = "free"
@@ -438,7 +497,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	bad := func(format string, args ...any) {
-		r.find("%s: status %d, broken off %v, after %v, %q, reached %v: %s", id, o.status, o.broken, o.took, o.body, r.reaches, fmt.Sprintf(format, args...))
+		r.find("%s: status %d, broken off %v, after %v, %q, reached %v: %s",
+			id, o.status, o.broken, o.took, o.body, r.reaches, fmt.Sprintf(format, args...))
 	}
 	if o.took > exchangeDeadline {
 		bad("too late")
--- a/internal/fleet/proxy/exchange_test.go
+++ b/internal/fleet/proxy/exchange_test.go
@@ -52,9 +52,13 @@
 	return served
 }
 
-// forEachExchange plays a list of breakages for each kind of request on a fresh connection and on one that has been used. The
-// victim has to be served where must says so.
-func forEachExchange(t *testing.T, breakages func(kind *requestKind, well sample) []breakage, must func(kind *requestKind, o breakage) bool) {
+// forEachExchange plays a list of breakages for each kind of request on a fresh connection and on one that has been
+// used. The victim has to be served where must says so.
+func forEachExchange(
+	t *testing.T,
+	breakages func(kind *requestKind, well sample) []breakage,
+	must func(kind *requestKind, one breakage) bool,
+) {
 	for _, kind := range exchangeKinds {
 		for _, pooled := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, pooled %v", kind.name, pooled), func(t *testing.T) {
@@ -91,8 +95,8 @@
 	return all
 }
 
-// requestBytes gives the lengths up to n at which a request is to end: the first, the last, and some between. Of what is
-// long a part at each step of a thousand: whether a byte more or less is taken makes no difference there.
+// requestBytes gives the lengths up to n at which a request is to end: the first, the last, and some between. Of what
+// is long a part at each step of a thousand: whether a byte more or less is taken makes no difference there.
 func requestBytes(n int) (all []int) {
 	const edge, step, long = 4, 23, 1024
 	for k := range n + 1 {
@@ -104,8 +108,8 @@
 	return all
 }
 
-// TestAnswerEndsAtEveryByte has an answer end after each of its bytes, in silence, closed or reset. What is idempotent is
-// served elsewhere; what may not has come to one backend.
+// TestAnswerEndsAtEveryByte has an answer end after each of its bytes, in silence, closed or reset. What is
+// idempotent is served elsewhere; what may not has come to one backend.
 func TestAnswerEndsAtEveryByte(t *testing.T) {
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		whole := well.answer.framed()
@@ -122,20 +126,23 @@
 		return all
 	}, func(kind *requestKind, one breakage) bool {
 		// An answer that has begun is waited for.
-		return (kind.idempotent() || kind.prefill()) && !(!kind.prefill() && strings.HasPrefix(one.name, "silence in the body"))
+		waited := !kind.prefill() && strings.HasPrefix(one.name, "silence in the body")
+		return (kind.idempotent() || kind.prefill()) && !waited
 	})
 }
 
-// TestRequestEndsAtItsBytes has a connection take so many bytes of a request and no more: it is reset, or takes nothing further.
-// Only where not one byte was taken is the request known not to have run.
+// TestRequestEndsAtItsBytes has a connection take so many bytes of a request and no more: it is reset, or takes
+// nothing further. Only where not one byte was taken is the request known not to have run.
 func TestRequestEndsAtItsBytes(t *testing.T) {
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		for _, k := range requestBytes(len(well.request) - 1) {
-			all = append(all, breakage{fmt.Sprintf("reset after %d bytes of the request", k), func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
-				return reply{taken: k, writeEnd: errReset, end: errReset}
-			}}, breakage{fmt.Sprintf("nothing taken after %d bytes of the request", k), func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
-				return reply{taken: k}
-			}})
+			all = append(all, breakage{
+				name: fmt.Sprintf("reset after %d bytes of the request", k),
+				does: always(reply{taken: k, writeEnd: errReset, end: errReset}),
+			}, breakage{
+				name: fmt.Sprintf("nothing taken after %d bytes of the request", k),
+				does: always(reply{taken: k}),
+			})
 		}
 		return all
 	}, func(kind *requestKind, one breakage) bool {
@@ -143,10 +150,10 @@
 	})
 }
 
-// TestAnswerBeforeTheBody has a backend answer when it has so many bytes of a request: its answer counts, whether it reads on or
-// not, and no other request goes on a connection on which a part of this one is due.
+// TestAnswerBeforeTheBody has a backend answer when it has so many bytes of a request: its answer counts, whether it
+// reads on or not, and no other request goes on a connection on which a part of this one is due.
 func TestAnswerBeforeTheBody(t *testing.T) {
-	const notRunHead = "HTTP/1.1 503 x\r\n" + externalapi.HeaderAttemptID + ": " + victimID + "\r\n" + externalapi.HeaderNotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
+	const notRunHead = "HTTP/1.1 503 x\r\n" + victimLine + notRunLine + "Content-Length: 0\r\n\r\n"
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		head := strings.Index(string(well.request), "\r\n\r\n") + 4
 		for _, k := range requestBytes(len(well.request) - 1) {
@@ -154,152 +161,21 @@
 				continue // it has not seen whose request it is; what is short is written before the answer is read
 			}
 			for end, how := range map[error]string{nil: "it reads no more", errReset: "it resets", io.EOF: "it closes"} {
-				all = append(all, breakage{fmt.Sprintf("answered after %d bytes, %s", k, how), func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *validAnswer) reply {
-					return reply{taken: k, bytes: a.framed(), end: end, writeEnd: end}
-				}}, breakage{fmt.Sprintf("turned away after %d bytes, %s", k, how), func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
-					return reply{taken: k, bytes: []byte(notRunHead), end: end, writeEnd: end, proves: true}
-				}})
+				all = append(all, breakage{
+					name: fmt.Sprintf("answered after %d bytes, %s", k, how),
+					does: onAnswer(func(a *validAnswer) reply {
+						return reply{taken: k, bytes: a.framed(), end: end, writeEnd: end}
+					}),
+				}, breakage{
+					name: fmt.Sprintf("rejected after %d bytes, %s", k, how),
+					does: always(reply{taken: k, bytes: []byte(notRunHead), end: end, writeEnd: end, proves: true}),
+				})
 			}
 		}
 		return all
 	}, func(*requestKind, breakage) bool { return true })
 }
 
-// oddAnswers are answers that are none, are another's, come twice or at the wrong time, or say what they can't.
-func oddAnswers(_ *requestKind, well sample) []breakage {
-	say := func(name string, make func(a *validAnswer, fresh bool) reply) breakage {
-		return breakage{name, func(_ *exchangeRig, c *scriptedConn, _ []byte, a *validAnswer) reply {
-			says := make(a, c.carried == 0)
-			if says.taken == 0 {
-				says.taken = -1
-			}
-			return says
-		}}
-	}
-	other := func(status int, more, body string) string {
-		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: other\r\n%s: of-other\r\n%sContent-Length: %d\r\n\r\n%s", status, externalapi.HeaderAttemptID, externalapi.HeaderBackendSeal, more, len(body), body)
-	}
-	surplus := other(200, "", `{"kv_ref":"of-other","ntok":1,"note":"answer to other"}`)
-	failure := func(status int, more string) []byte {
-		return fmt.Appendf(nil, "HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: 4\r\n\r\nfull", status, externalapi.HeaderAttemptID, victimID, more)
-	}
-	seal := externalapi.HeaderBackendSeal + ": of-" + victimID + "\r\n"
-	notRunLine := externalapi.HeaderNotRun + ": 1\r\n"
-	withoutID := func(b []byte) []byte {
-		return []byte(strings.Replace(string(b), externalapi.HeaderAttemptID+": "+victimID+"\r\n", "", 1))
-	}
-	all := []breakage{
-		say("served: another's answer ahead", func(a *validAnswer, _ bool) reply { return reply{bytes: append([]byte(surplus), a.framed()...)} }),
-		say("served: two others' answers ahead", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: append([]byte(surplus+surplus), a.framed()...)}
-		}),
-		say("another's answer, then silence", func(*validAnswer, bool) reply { return reply{bytes: []byte(surplus)} }),
-		say("another's answer, then closed", func(*validAnswer, bool) reply { return reply{bytes: []byte(surplus), end: io.EOF} }),
-		say("many answers of others", func(*validAnswer, bool) reply { return reply{bytes: []byte(strings.Repeat(surplus, 20))} }),
-		say("another's answer without an end", func(*validAnswer, bool) reply {
-			return reply{bytes: []byte(strings.Replace(surplus, "Content-Length: 55\r\n", "", 1)), end: io.EOF}
-		}),
-		say("another's answer that closes, and ours behind", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: append([]byte(other(200, "Connection: close\r\n", "x")), a.framed()...)}
-		}),
-		say("another's long answer, which holds one of ours", func(a *validAnswer, _ bool) reply {
-			forged := strings.Replace(string(a.framed()), "answer to "+victimID, "answer to other", -1)
-			return reply{bytes: []byte(other(200, "", strings.Repeat(" ", maxSurplusBody)+strings.Repeat(forged, 2)))}
-		}),
-		say("another's that was not run", func(*validAnswer, bool) reply { return reply{bytes: []byte(other(503, notRunLine, ""))} }),
-		say("another's that went to the wrong backend", func(*validAnswer, bool) reply { return reply{bytes: []byte(other(421, "", ""))} }),
-		say("no id", func(a *validAnswer, _ bool) reply { return reply{bytes: withoutID(a.framed())} }),
-		say("not run, without an id", func(_ *validAnswer, fresh bool) reply {
-			return reply{bytes: withoutID(failure(503, notRunLine)), proves: fresh}
-		}),
-		say("421 without an id", func(_ *validAnswer, fresh bool) reply {
-			return reply{bytes: withoutID(failure(421, "")), proves: fresh}
-		}),
-		say("two ids", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: []byte(strings.Replace(string(a.framed()), seal, externalapi.HeaderAttemptID+": other\r\n"+seal, 1) + "")}
-		}),
-		say("not run, of two ids", func(*validAnswer, bool) reply {
-			return reply{bytes: failure(503, notRunLine+externalapi.HeaderAttemptID+": other\r\n")}
-		}),
-		say("served: the id twice", func(a *validAnswer, _ bool) reply {
-			id := externalapi.HeaderAttemptID + ": " + victimID + "\r\n"
-			return reply{bytes: []byte(strings.Replace(string(a.framed()), id, id+id, 1))}
-		}),
-		say("served: twice", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), a.framed()...)} }),
-		say("served: another's behind", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), surplus...)} }),
-		say("served: bytes behind", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), "\x00\r\n\r\n"...)} }),
-		say("served: a byte behind", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), 'H')} }),
-		say("served: the same late", func(a *validAnswer, _ bool) reply { return reply{bytes: a.framed(), late: a.framed()} }),
-		say("served: another's late", func(a *validAnswer, _ bool) reply { return reply{bytes: a.framed(), late: []byte(surplus)} }),
-		say("served: closes, and says more", func(a *validAnswer, _ bool) reply { return reply{bytes: append(a.framed(), surplus...), end: io.EOF} }),
-		say("served: and reset", func(a *validAnswer, _ bool) reply { return reply{bytes: a.framed(), end: errReset} }),
-		say("served: no length, to its end", func(a *validAnswer, _ bool) reply { return reply{bytes: a.unframed(), end: io.EOF} }),
-		say("served: in chunks with trailers", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: a.chunked(externalapi.HeaderBackendSeal + ": of-other\r\n" + externalapi.HeaderAttemptID + ": other\r\n")}
-		}),
-		say("served: interim answers ahead", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"), a.framed()...)}
-		}),
-		say("interim answers without end", func(*validAnswer, bool) reply {
-			return reply{bytes: []byte(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 5000))}
-		}),
-		say("another protocol", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: append([]byte("HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n"), a.framed()...)}
-		}),
-		say("no protocol", func(*validAnswer, bool) reply { return reply{bytes: []byte("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")} }),
-		say("a head without end", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: []byte(a.head + strings.Repeat("X-More: and more\r\n", 1<<17))}
-		}),
-		say("lengths that differ", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: []byte(a.head + "Content-Length: 3\r\nContent-Length: 5\r\n\r\n" + a.body)}
-		}),
-		say("a length below 0", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: []byte(a.head + "Content-Length: -1\r\n\r\n" + a.body)}
-		}),
-		say("served: the same length twice", func(a *validAnswer, _ bool) reply {
-			line := fmt.Sprintf("Content-Length: %d\r\n", len(a.body))
-			return reply{bytes: []byte(a.head + line + line + "\r\n" + a.body)}
-		}),
-		say("served: a length beside chunks", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: []byte(strings.Replace(string(a.chunked("")), "Transfer-Encoding", "Content-Length: 3\r\nTransfer-Encoding", 1))}
-		}),
-		say("a length too long", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", a.head, len(a.body)+1, a.body), end: io.EOF}
-		}),
-		say("not run", func(*validAnswer, bool) reply { return reply{bytes: failure(503, notRunLine), proves: true} }),
-		say("not run, 429", func(*validAnswer, bool) reply { return reply{bytes: failure(429, notRunLine), proves: true} }),
-		say("not run, and reset", func(*validAnswer, bool) reply {
-			return reply{bytes: failure(503, notRunLine), end: errReset, proves: true}
-		}),
-		say("the wrong backend", func(*validAnswer, bool) reply { return reply{bytes: failure(421, ""), proves: true} }),
-		say("200 that says it has not run", func(a *validAnswer, _ bool) reply {
-			return reply{bytes: []byte(strings.Replace(string(a.framed()), "\r\n", "\r\n"+notRunLine, 1))}
-		}),
-	}
-	for _, status := range []int{400, 404, 408, 413, 429, 500, 502, 503, 504} {
-		all = append(all, say(fmt.Sprintf("status %d, without a word of not having run", status), func(*validAnswer, bool) reply { return reply{bytes: failure(status, seal)} }))
-	}
-	head := len(well.answer.head) + 2
-	for k := range head {
-		all = append(all, say(fmt.Sprintf("garbage from byte %d of the head", k), func(a *validAnswer, _ bool) reply {
-			return reply{bytes: append(a.unframed()[:k:k], "\x00\x01 no \x02 answer\r\n\r\n"...), end: io.EOF}
-		}))
-	}
-	for k := range len(well.answer.unframed()) {
-		all = append(all, say(fmt.Sprintf("no length, reset after %d bytes", k), func(a *validAnswer, _ bool) reply {
-			b := a.unframed()
-			return reply{bytes: b[:min(k, len(b))], end: errReset}
-		}))
-	}
-	for k := range len(failure(503, notRunLine)) {
-		all = append(all, say(fmt.Sprintf("not run, reset after %d bytes", k), func(*validAnswer, bool) reply {
-			b := failure(503, notRunLine)
-			return reply{bytes: b[:k], end: errReset, proves: k >= len(b)-4}
-		}))
-	}
-	return all
-}
-
 // TestOddAnswers plays the odd answers.
 func TestOddAnswers(t *testing.T) {
 	forEachExchange(t, oddAnswers, func(kind *requestKind, one breakage) bool {
@@ -311,13 +187,15 @@
 	})
 }
 
-// TestClientLeavesAtEveryByte has a client leave when so many bytes of its answer have come to the proxy: the backend's
-// connection is closed at once, nothing of the request is sent any more, and what is left of the answer comes to nobody.
+// TestClientLeavesAtEveryByte has a client leave when so many bytes of its answer have come to the proxy: the
+// backend's connection is closed at once, nothing of the request is sent any more, and what is left of the answer
+// comes to nobody.
 func TestClientLeavesAtEveryByte(t *testing.T) {
 	forEachExchange(t, func(_ *requestKind, well sample) (all []breakage) {
 		for _, k := range everyByte(len(well.answer.framed()) - 1) {
 			for _, rest := range []bool{false, true} {
-				all = append(all, breakage{fmt.Sprintf("the client leaves after %d bytes, the rest comes %v", k, rest), func(r *exchangeRig, c *scriptedConn, _ []byte, a *validAnswer) reply {
+				name := fmt.Sprintf("the client leaves after %d bytes, the rest comes %v", k, rest)
+				all = append(all, breakage{name, func(r *exchangeRig, c *scriptedConn, _ []byte, a *validAnswer) reply {
 					says := reply{taken: -1, bytes: a.framed()[:k]}
 					if rest {
 						says.late = a.framed()[k:]
@@ -331,8 +209,8 @@
 	}, nil)
 }
 
-// TestReusedID has two requests of one id follow each other, and the answer to the first come once more in the place of the
-// second's: the second is not sent on that connection.
+// TestReusedID has two requests of one id follow each other, and the answer to the first come once more in the place
+// of the second's: the second is not sent on that connection.
 func TestReusedID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -367,16 +245,17 @@
 	return w.once.Write(b)
 }
 
-// TestUnreadStreamIsNotResumed has a client's connection fail under a stream, at the first backend and once a second one has
-// resumed it: nobody is asked for the rest.
+// TestUnreadStreamIsNotResumed has a client's connection fail under a stream, at the first backend and once a second
+// one has resumed it: nobody is asked for the rest.
 func TestUnreadStreamIsNotResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for _, tc := range []struct{ takes, reached int }{{0, 1}, {1, 2}} {
-			r := newExchangeRig(requestKind{name: "resumable stream", route: "free"}, breakage{"cut within", func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *validAnswer) reply {
+			cut := onAnswer(func(a *validAnswer) reply {
 				b := a.framed()
 				return reply{taken: -1, bytes: b[:len(b)-20], end: errReset}
-			}})
+			})
+			r := newExchangeRig(requestKind{name: "resumable stream", route: "free"}, breakage{"cut within", cut})
 			w := &failingWriter{&once{ResponseRecorder: httptest.NewRecorder()}, tc.takes}
 			r.came, r.deadline = time.Now(), exchangeDeadline
 			broken := serveUntilAborted(r.proxy, w, r.newRequest(t.Context(), victimID))
--- a/internal/fleet/proxy/generation.go
+++ b/internal/fleet/proxy/generation.go
@@ -13,10 +13,10 @@
 const maxPrefills = 2
 
 // generation is the serving of one request whose tokens come as a stream: its prompt is prefilled at one backend and
-// decoded at another, or both at one.
+// decoded at another, or both at one. The prompt is handed from step to step rather than kept here: beside what
+// outlives the request it would have to be allocated.
 type generation struct {
-	cr     *clientRequest
-	prompt *scheduler.Prompt
+	cr *clientRequest
 	// handle names the prompt's KV cache that waits for its decode backend; nil: there is none.
 	handle *kvHandle
 	// split says that the prompt may be prefilled apart from its decode, and prefills how often that came to nothing.
@@ -27,15 +27,15 @@
 // serveGeneration serves a request whose tokens come as a stream, from one placement after another until one answers.
 // The error is why none did.
 func (cr *clientRequest) serveGeneration(ctx context.Context, prompt *scheduler.Prompt) error {
-	g := generation{cr: cr, prompt: prompt, split: true}
+	g := generation{cr: cr, split: true}
 	defer g.releaseHandle()
 	for {
-		pl, err := g.place()
+		pl, err := g.place(prompt)
 		if err != nil {
 			return err
 		}
 		if pl.prefill != nil && g.handle == nil {
-			retry, err := g.prefill(ctx, &pl)
+			retry, err := g.prefill(ctx, &pl, prompt)
 			if retry {
 				continue
 			}
@@ -61,19 +61,19 @@
 }
 
 // place selects where the prompt is prefilled and decoded, or only where it is decoded if it has been prefilled.
-func (g *generation) place() (placement, error) {
+func (g *generation) place(prompt *scheduler.Prompt) (placement, error) {
 	cr := g.cr
 	terms := cr.terms()
 	g.dropWithdrawnHandle(terms)
 	target := cr.route.LatencyTarget()
 	if g.handle != nil {
-		pl, ok := cr.svc.selectDecoder(g.handle.from, cr.retryable(), g.prompt, target, cr.tried, terms)
+		pl, ok := cr.svc.selectDecoder(g.handle.from, cr.retryable(), prompt, target, cr.tried, terms)
 		if !ok {
 			return pl, errNoBackend
 		}
 		return pl, nil
 	}
-	pl, ok := cr.svc.selectPlacement(cr.route.Name, cr.retryable(), g.prompt, target, cr.tried, g.split, terms)
+	pl, ok := cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, target, cr.tried, g.split, terms)
 	if !ok {
 		return pl, errNoBackend
 	}
@@ -88,12 +88,16 @@
 
 // prefill has the placement's prefill backend prefill the prompt. On an error, retry reports whether the prompt may be
 // placed anew.
-func (g *generation) prefill(ctx context.Context, pl *placement) (retry bool, err error) {
+func (g *generation) prefill(
+	ctx context.Context,
+	pl *placement,
+	prompt *scheduler.Prompt,
+) (retry bool, err error) {
 	cr := g.cr
 	began := time.Now()
 	deadline := cr.prefillDeadline(pl.prefillMs)
-	a := cr.newPrefillAttempt(pl, g.prompt)
-	handle, err := a.run(ctx, deadline)
+	a := cr.newPrefillAttempt(pl, prompt)
+	handle, err := a.run(ctx, prompt, deadline)
 	if err != nil {
 		cr.undoPlacement(pl)
 		return g.takePrefillRetry(ctx, pl, a.reached), err
--- a/internal/fleet/proxy/generation_test.go
+++ b/internal/fleet/proxy/generation_test.go
@@ -8,8 +8,9 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestStagedPromptsAreRetried has eighty proxies, each of which may save little more than one extra send. A staged prompt
-// whose decode backend failed asked for two, one to prefill it again and one to send it again, and was never served.
+// TestStagedPromptsAreRetried has eighty proxies, each of which may save little more than one extra send. A staged
+// prompt whose decode backend failed asked for two, one to prefill it again and one to send it again, and was never
+// served.
 func TestStagedPromptsAreRetried(t *testing.T) {
 	for _, fault := range []simulation.Faults{{Fail: 500}, {LoseAnswer: true}, {Garble: true}, {Refuse: true}} {
 		engine := func(phase simulation.Phase) simulation.EngineSettings {
--- a/internal/fleet/proxy/prefill.go
+++ b/internal/fleet/proxy/prefill.go
@@ -39,7 +39,6 @@
 	cr           *clientRequest
 	backend      *backend
 	permit       residency.Permit
-	prompt       *scheduler.Prompt
 	expectedMs   float64
 	thresholdMs  float64 // beyond which it counts as slow
 	promptTokens int     // that are to be prefilled, as the scheduler counts them
@@ -62,7 +61,6 @@
 		cr:           cr,
 		backend:      b,
 		permit:       pl.prefillPermit,
-		prompt:       prompt,
 		expectedMs:   pl.prefillMs,
 		thresholdMs:  threshold,
 		promptTokens: tokens,
@@ -73,8 +71,8 @@
 
 // run has the backend prefill the prompt and keep its KV cache for a decode backend. It waits until deadline for the
 // head of the answer.
-func (a *prefillAttempt) run(ctx context.Context, deadline time.Time) (*kvHandle, error) {
-	defer a.recordEnd()
+func (a *prefillAttempt) run(ctx context.Context, prompt *scheduler.Prompt, deadline time.Time) (*kvHandle, error) {
+	defer a.recordEnd(prompt)
 	cr := a.cr
 	opts := attemptOptions{deadline: cr.deadline, stage: externalapi.PhasePrefill, priority: cr.priority(false)}
 	e, wrote, err := cr.startExchange(ctx, a.permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)
@@ -121,37 +119,37 @@
 }
 
 // recordEnd counts how the prefill ended and how fast it was.
-func (a *prefillAttempt) recordEnd() {
+func (a *prefillAttempt) recordEnd(prompt *scheduler.Prompt) {
 	a.record.finish(a.status, speedOf(a.tookMs, a.expectedMs, a.thresholdMs), false)
-	end := generationEnd{
+	evicted := prompt
+	if a.tookMs != 0 {
+		evicted = nil
+	}
+	a.cr.svc.generationEnded(generationEnd{
 		backendID:    a.backend.ID,
 		promptTokens: a.promptTokens,
 		prefillMs:    a.tookMs,
 		status:       a.status,
-	}
-	if a.tookMs == 0 {
-		end.evicted = a.prompt
-	}
-	a.cr.svc.generationEnded(end)
+	}, evicted)
 }
 
 // generationEnd is the end of a prefill or a decode at a backend.
 type generationEnd struct {
 	backendID    string
-	promptTokens int               // that were to be prefilled there
-	prefillMs    float64           // 0: they were not
-	evicted      *scheduler.Prompt // that the backend's prefix cache is not to be counted on for; nil: none
+	promptTokens int     // that were to be prefilled there
+	prefillMs    float64 // 0: they were not
 	status       policy.Status
 }
 
-// generationEnded counts the end of a prefill or a decode, as its choice counted its beginning.
-func (s *service) generationEnded(end generationEnd) {
+// generationEnded counts the end of a prefill or a decode, as its choice counted its beginning. evicted is the prompt
+// that the backend's prefix cache is not to be counted on for; nil: there is none.
+func (s *service) generationEnded(end generationEnd, evicted *scheduler.Prompt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.engines.PrefillEnded(end.backendID, end.promptTokens, end.prefillMs)
 	s.engines.RequestEnded(end.backendID)
-	if end.evicted != nil {
-		s.engines.InvalidateCache(end.backendID, end.evicted)
+	if evicted != nil {
+		s.engines.InvalidateCache(end.backendID, evicted)
 	}
 	s.ranker.AttemptEnded(s.now(), end.backendID, end.status)
 }
@@ -203,5 +201,5 @@
 		backendID:    pl.decode.ID,
 		promptTokens: pl.promptTokens,
 		status:       policy.Moot,
-	})
+	}, nil)
 }
--- a/internal/fleet/proxy/resume.go
+++ b/internal/fleet/proxy/resume.go
@@ -51,15 +51,15 @@
 	}
 	gotEvent := false
 	err := a.relayRest(ctx, r, func() { gotEvent = true })
-	end := generationEnd{
+	evicted := prompt
+	if gotEvent {
+		evicted = nil
+	}
+	cr.svc.generationEnded(generationEnd{
 		backendID:    pl.decode.ID,
 		promptTokens: pl.promptTokens,
 		status:       a.status,
-	}
-	if !gotEvent {
-		end.evicted = prompt
-	}
-	cr.svc.generationEnded(end)
+	}, evicted)
 	return err
 }
 
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -146,7 +146,9 @@
 func (cr *clientRequest) serve(ctx context.Context) {
 	var prompt *scheduler.Prompt
 	if cr.svc.countRequest(cr.arrivedAt) {
-		prompt = parsePrompt(cr.outbound.header)
+		if p, ok := parsePrompt(cr.outbound.header); ok {
+			prompt = &p // which stays on the stack
+		}
 	}
 	if cr.rejectIfLeaving(prompt) {
 		return
@@ -267,15 +269,11 @@
 	return nil, &rejection{status: http.StatusBadRequest, reason: "body not whole", closeConn: true}
 }
 
-// parsePrompt returns what the headers of a request say of its prompt; nil: they say nothing that can be used.
-func parsePrompt(header http.Header) *scheduler.Prompt {
-	p, ok := scheduler.ParsePrompt(
+// parsePrompt returns what the headers of a request say of its prompt; false: they say nothing that can be used.
+func parsePrompt(header http.Header) (scheduler.Prompt, bool) {
+	return scheduler.ParsePrompt(
 		header.Get(externalapi.HeaderModel),
 		header.Get(externalapi.HeaderTokenCount),
 		header.Get(externalapi.HeaderPromptPrefix),
 	)
-	if !ok {
-		return nil
-	}
-	return &p
 }
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -21,26 +21,40 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// TestBackendsGetTheClientsRequest encodes requests for backends: what describes the prompt is the client's; what is the
-// proxy's to set never comes from the client; each send tells the time left, and no more.
+// TestBackendsGetTheClientsRequest encodes requests for backends: what describes the prompt is the client's; what is
+// the proxy's to set never comes from the client; each send tells the time left, and no more.
 func TestBackendsGetTheClientsRequest(t *testing.T) {
 	synctest.Test(t, testBackendsGetTheClientsRequest)
 }
 
-// testBackendsGetTheClientsRequest runs where the clock stands still, so that the time left is known to the millisecond.
+// testBackendsGetTheClientsRequest runs where the clock stands still, so that the time left is known to the
+// millisecond.
 func testBackendsGetTheClientsRequest(t *testing.T) {
 	c := qt.New(t)
 	client := http.Header{}
 	for key, value := range map[string]string{
-		externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "started",
-		externalapi.HeaderStage: "prefill", externalapi.HeaderKVFrom: "10.0.0.9:80/stolen", externalapi.HeaderPriority: "0", externalapi.HeaderTargetBackend: "b9",
-		externalapi.HeaderDeadlineMs: "999999", externalapi.HeaderLastEventID: "3",
+		externalapi.HeaderModel:         "m",
+		externalapi.HeaderTokenCount:    "120,8",
+		externalapi.HeaderPromptPrefix:  "fa01:100",
+		"X-Own":                         "started",
+		externalapi.HeaderStage:         "prefill",
+		externalapi.HeaderKVFrom:        "10.0.0.9:80/stolen",
+		externalapi.HeaderPriority:      "0",
+		externalapi.HeaderTargetBackend: "b9",
+		externalapi.HeaderDeadlineMs:    "999999", externalapi.HeaderLastEventID: "3",
 		"Connection": "X-Hop", "X-Hop": "1", "Transfer-Encoding": "chunked", "Keep-Alive": "x", "Upgrade": "h2c",
 	} {
 		client.Set(key, value)
 	}
 	dropHopByHop(client)
-	m := outboundRequest{id: "a1", method: http.MethodPost, target: "/chat/?q=1", host: "h", header: client, body: []byte("the body")}
+	m := outboundRequest{
+		id:     "a1",
+		method: http.MethodPost,
+		target: "/chat/?q=1",
+		host:   "h",
+		header: client,
+		body:   []byte("the body"),
+	}
 	read := func(x attemptOptions) *http.Request {
 		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(m.encode(&x))))
 		c.Assert(err, qt.IsNil)
@@ -52,7 +66,12 @@
 		for _, key := range []string{"Connection", "X-Hop", "Keep-Alive", "Upgrade"} {
 			c.Check(req.Header.Values(key), qt.HasLen, 0, qt.Commentf("%s", key))
 		}
-		for key, want := range map[string]string{externalapi.HeaderModel: "m", externalapi.HeaderTokenCount: "120,8", externalapi.HeaderPromptPrefix: "fa01:100", "X-Own": "started"} {
+		for key, want := range map[string]string{
+			externalapi.HeaderModel:        "m",
+			externalapi.HeaderTokenCount:   "120,8",
+			externalapi.HeaderPromptPrefix: "fa01:100",
+			"X-Own":                        "started",
+		} {
 			c.Check(req.Header.Values(key), qt.DeepEquals, []string{want}, qt.Commentf("%s", key))
 		}
 		return req
@@ -64,7 +83,13 @@
 	for _, key := range []string{externalapi.HeaderStage, externalapi.HeaderKVFrom, externalapi.HeaderPriority} {
 		c.Check(plainSend.Header.Values(key), qt.HasLen, 0, qt.Commentf("%s is the proxy's to set", key))
 	}
-	resumed := read(attemptOptions{target: "b2", deadline: time.Now().Add(-time.Second), priority: 12, stage: "prefill", lastID: "7"})
+	resumed := read(attemptOptions{
+		target:   "b2",
+		deadline: time.Now().Add(-time.Second),
+		priority: 12,
+		stage:    "prefill",
+		lastID:   "7",
+	})
 	c.Check(resumed.Header.Values(externalapi.HeaderDeadlineMs), qt.DeepEquals, []string{"1"})
 	c.Check(resumed.Header.Values(externalapi.HeaderLastEventID), qt.DeepEquals, []string{"7"})
 	c.Check(resumed.Header.Values(externalapi.HeaderPriority), qt.DeepEquals, []string{"9"})
@@ -72,8 +97,8 @@
 	c.Check(strings.Contains(string(m.encode(&attemptOptions{target: "b1"})), "stolen"), qt.IsFalse)
 }
 
-// TestClientGone has clients leave streams and a plain request under way: the backends' work ends within half a second, and
-// nothing of these requests reaches a backend later.
+// TestClientGone has clients leave streams and a plain request under way: the backends' work ends within half a
+// second, and nothing of these requests reaches a backend later.
 func TestClientGone(t *testing.T) {
 	const bound = 500 * time.Millisecond
 	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 50 * time.Millisecond })...)
@@ -120,8 +145,10 @@
 			if !ids[en.Attempt] {
 				continue
 			}
-			r.Check(en.At.After(left.Add(bound)), qt.IsFalse, qt.Commentf("%s reached %s after its client had left", en.Attempt, e.ID()))
-			r.Check(en.Ended.After(left.Add(bound)), qt.IsFalse, qt.Commentf("%s was at work %v after its client had left", en.Attempt, en.Ended.Sub(left)))
+			r.Check(en.At.After(left.Add(bound)), qt.IsFalse,
+				qt.Commentf("%s reached %s after its client had left", en.Attempt, e.ID()))
+			r.Check(en.Ended.After(left.Add(bound)), qt.IsFalse,
+				qt.Commentf("%s was at work %v after its client had left", en.Attempt, en.Ended.Sub(left)))
 		}
 	}
 }
@@ -142,8 +169,9 @@
 	r.Check(got.Status, qt.Equals, http.StatusOK)
 }
 
-// TestEarlyAnswerLeavesTheBodyComplete has a long body and an early answer: a backend that answers before it has read a long body, and reads on later, gets all of
-// that body and then the next request, whether that comes on this connection or another.
+// TestEarlyAnswerLeavesTheBodyComplete has a long body and an early answer: a backend that answers before it has read
+// a long body, and reads on later, gets all of that body and then the next request, whether that comes on this
+// connection or another.
 func TestEarlyAnswerLeavesTheBodyComplete(t *testing.T) {
 	const bodySize, requests = 3 << 20, 4
 	r := newRig(t)
@@ -156,7 +184,10 @@
 				return
 			}
 			id := req.Header.Get(externalapi.HeaderAttemptID)
-			answer := "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n" + externalapi.HeaderBackendSeal + ": s-" + id + "\r\nContent-Length: 2\r\n\r\nok"
+			answer := "HTTP/1.1 200 OK\r\n" +
+				externalapi.HeaderAttemptID + ": " + id + "\r\n" +
+				externalapi.HeaderBackendSeal + ": s-" + id + "\r\n" +
+				"Content-Length: 2\r\n\r\nok"
 			if _, err := io.WriteString(conn, answer); err != nil {
 				return
 			}
@@ -194,7 +225,7 @@
 	const most = 10_000
 	r := newRig(t, everywhere(nil)...)
 	doc := strings.Replace(string(r.document()), `"svcs":`, fmt.Sprintf(`"caps":{"body_max_bytes":%d},"svcs":`, most), 1)
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: []byte(doc)}}})
+	applyResource(r.proxy, distribution.ConfigType, 1, []byte(doc))
 	for _, chunked := range []bool{false, true} {
 		for _, size := range []int{most, most + 1, 3 << 20} {
 			q := ask("post", 0, 0, [2]int{})
@@ -213,14 +244,15 @@
 				continue
 			}
 			// A client that is still sending may see its connection end in place of the answer.
-			r.Check(got.Status == http.StatusRequestEntityTooLarge || got.Status == 0, qt.IsTrue, qt.Commentf("%d bytes, chunked %v: %d", size, chunked, got.Status))
+			r.Check(got.Status == http.StatusRequestEntityTooLarge || got.Status == 0, qt.IsTrue,
+				qt.Commentf("%d bytes, chunked %v: %d", size, chunked, got.Status))
 			r.Check(runs, qt.Equals, 0, qt.Commentf("%d bytes, chunked %v", size, chunked))
 		}
 	}
 }
 
-// rawAnswers is a backend of the service that answers each request by the text given, with ID in place of the request's id,
-// and then ends its connection: with a reset, or in order.
+// rawAnswers is a backend of the service that answers each request by the text given, with ID in place of the
+// request's id, and then ends its connection: with a reset, or in order.
 func rawAnswers(t *testing.T, text string, reset bool) string {
 	return testkit.Raw(t, func(conn net.Conn, in *bufio.Reader) {
 		_ = conn.SetDeadline(time.Now().Add(testPatience))
@@ -238,10 +270,19 @@
 // TestUnframedAnswers has answers without a length: one is complete where its connection ends in order, and never taken
 // for complete where that is reset.
 func TestUnframedAnswers(t *testing.T) {
-	const text = "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": ID\r\n" + externalapi.HeaderBackendSeal + ": s1\r\nVersions: 9\r\n\r\nall of it"
+	const text = "HTTP/1.1 200 OK\r\n" +
+		externalapi.HeaderAttemptID + ": ID\r\n" +
+		externalapi.HeaderBackendSeal + ": s1\r\n" +
+		"Versions: 9\r\n\r\nall of it"
 	for _, reset := range []bool{false, true} {
 		r := newRig(t)
-		r.relist([]distribution.Backend{{ID: "raw", Service: "obs", Address: rawAnswers(t, text, reset), Zone: "e1", Capacity: 8}})
+		r.relist([]distribution.Backend{{
+			ID:       "raw",
+			Service:  "obs",
+			Address:  rawAnswers(t, text, reset),
+			Zone:     "e1",
+			Capacity: 8,
+		}})
 		r.configure()
 		req, err := http.NewRequest(http.MethodPost, r.server.URL+"/post/x", strings.NewReader("body"))
 		r.Assert(err, qt.IsNil)
@@ -262,13 +303,24 @@
 	}
 }
 
-// TestVersionsAreRelayed shows that a stream's versions, in its head and within an event, reach the client as they came.
+// TestVersionsAreRelayed shows that a stream's versions, in its head and within an event, reach the client as they
+// came.
 func TestVersionsAreRelayed(t *testing.T) {
 	const events = "id: 1\ndata: a\n\nversions: 10\nid: 2\ndata: b\n\n"
-	text := "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": ID\r\n" + externalapi.HeaderBackendSeal + ": s1\r\nVersions: 9\r\nContent-Type: text/event-stream\r\n" +
+	text := "HTTP/1.1 200 OK\r\n" +
+		externalapi.HeaderAttemptID + ": ID\r\n" +
+		externalapi.HeaderBackendSeal + ": s1\r\n" +
+		"Versions: 9\r\nContent-Type: text/event-stream\r\n" +
 		fmt.Sprintf("Content-Length: %d\r\n\r\n", len(events)) + events
 	r := newRig(t)
-	r.relist([]distribution.Backend{{ID: "raw", Service: "llm", Address: rawAnswers(t, text, false), Zone: "e1", Capacity: 8, Phase: externalapi.PhaseDecode}})
+	r.relist([]distribution.Backend{{
+		ID:       "raw",
+		Service:  "llm",
+		Address:  rawAnswers(t, text, false),
+		Zone:     "e1",
+		Capacity: 8,
+		Phase:    externalapi.PhaseDecode,
+	}})
 	r.configure()
 	req, err := http.NewRequest(http.MethodPost, r.server.URL+"/once/x", strings.NewReader("body"))
 	r.Assert(err, qt.IsNil)
