--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -23,7 +23,7 @@
 	fileLend         = "../../protocol/transport/lend.go"
 	fileBackend      = "../externalapi/backend.go"
 	fileFrame        = "../distribution/frame.go"
-	fileLink         = "../distribution/link.go"
+	fileWatcher      = "../distribution/watcher.go"
 	fileClient       = "../operatorclient/operatorclient.go"
 )
 
@@ -275,9 +275,9 @@
 		name: "a link goes on after a frame that is cut off",
 		by:   "^TestTruncatedResponses$",
 		changes: map[string][]string{
-			fileLink: {
-				"\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\treturn err\n",
-				"\t\tvar n Response\n\t\tif err := ReadFrame(r, &n); err != nil {\n\t\t\tcontinue\n",
+			fileWatcher: {
+				"ReadFrame(s.r, &response); err != nil {\n\t\treturn err\n",
+				"ReadFrame(s.r, &response); err != nil {\n\t\treturn nil\n",
 			},
 		},
 	},
--- a/internal/rig/lab/live/live_test.go
+++ b/internal/rig/lab/live/live_test.go
@@ -5,17 +5,24 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
+	"io"
 	"math"
 	"net"
 	"net/http"
 	"os"
 	"runtime"
+	"slices"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
+	"molepaddle/internal/rig/lab/law"
 	"molepaddle/internal/rig/lab/measure"
 	"molepaddle/internal/rig/lab/model"
+	"molepaddle/internal/rig/lab/station"
 	"molepaddle/internal/rig/scenario"
 )
 
@@ -148,10 +155,18 @@
 server = "s-2"
 for = "200ms"
 `)
-	r, err := Play(t.Context(), s, Options{Seed: 1})
+	var played *world
+	r, err := Play(t.Context(), s, Options{Seed: 1, begun: func(w *world) { played = w }})
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer func() {
+		if t.Failed() {
+			played.mu.Lock()
+			defer played.mu.Unlock()
+			t.Logf("what became of agents:\n%s", strings.Join(played.lives, "\n"))
+		}
+	}()
 	m, err := model.Play(s, model.Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -276,3 +291,151 @@
 		t.Errorf("it is out for good, %v", err)
 	}
 }
+
+// A request whose connection its agent closed just then is sent once more on a connection of its own: another that was kept
+// may be closing just as well.
+func TestCrossedIsSentOnANewConnection(t *testing.T) {
+	s := small(t, "20.0", "")
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	story := make(chan string, 1)
+	_, err := Play(ctx, s, Options{Seed: 1, begun: func(w *world) {
+		defer cancel() // nothing else is asked
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		var both sync.WaitGroup // the first two connections are asked at once, so that both are kept
+		both.Add(2)
+		var came atomic.Int32
+		host := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+			if r.URL.Path == "/keep" {
+				both.Done()
+				both.Wait()
+				return
+			}
+			if kept, _ := r.Context().Value(firstKey{}).(bool); kept {
+				panic(http.ErrAbortHandler)
+			}
+			fmt.Fprint(rw, r.Header.Get("Request-Id"), " x")
+		}), ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
+			return context.WithValue(ctx, firstKey{}, came.Add(1) <= 2)
+		}}
+		go host.Serve(ln)
+		defer host.Close()
+		a := &agentRun{name: "one that ends", listen: ln.Addr().String(), base: "http://" + ln.Addr().String(), client: newClient(s)}
+		var asked sync.WaitGroup
+		for range 2 {
+			asked.Go(func() {
+				if resp, err := a.client.Get(a.base + "/keep"); err == nil {
+					io.Copy(io.Discard, resp.Body)
+					resp.Body.Close()
+				}
+			})
+		}
+		asked.Wait()
+		ask := slices.IndexFunc(w.plan, func(p law.Ask) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.Leaves == 0 })
+		i := w.plan[ask].Agent
+		w.mu.Lock()
+		now := w.agents[i]
+		w.agents[i] = a
+		w.mu.Unlock()
+		w.wg.Add(1)
+		w.ask(t.Context(), ask, 7)
+		a.client.CloseIdleConnections()
+		w.mu.Lock()
+		w.agents[i] = now
+		k := w.tries[fmt.Sprint("r", ask, ".7")]
+		story <- k.Outcome.String() + ": " + k.Story()
+		w.mu.Unlock()
+	}})
+	if !errors.Is(err, context.Canceled) {
+		t.Fatal(err)
+	}
+	if s := <-story; !strings.HasPrefix(s, "served") || strings.Count(s, "asked once more") != 1 {
+		t.Error(s)
+	}
+}
+
+// door is an address whose first connection goes to one listener, the second to another.
+func door(t *testing.T, to ...string) string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for _, to := range to {
+			in, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			out, err := net.Dial("tcp", to)
+			if err != nil {
+				in.Close()
+				continue
+			}
+			go func() { io.Copy(out, in); out.Close() }()
+			go func() { io.Copy(in, out); in.Close() }()
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// What a killed agent held is not sent once more as if its connection had only crossed the request, also where its client
+// still knew the run that was there before it, at the same address.
+func TestKilledBeforeItsClientKnew(t *testing.T) {
+	type came struct {
+		sent    int
+		outcome measure.Outcome
+		story   string
+	}
+	told := make(chan came, 1)
+	s := small(t, "20.0", "")
+	for k := range s.Classes {
+		s.Classes[k].GiveUp = scenario.Duration(20 * time.Second)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	_, err := Play(ctx, s, Options{Seed: 1, begun: func(w *world) {
+		defer cancel() // nothing else is asked
+		ask := slices.IndexFunc(w.plan, func(p law.Ask) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.Leaves == 0 })
+		i := int(w.plan[ask].Agent)
+		w.mu.Lock()
+		for n := range w.servers { // long enough for the kill to come first
+			host{w}.Fault(n, station.Fault{Slow: 1000, Until: 60000})
+		}
+		now := w.agents[i]
+		before := &agentRun{name: "the run before", listen: now.listen, base: "http://" + door(t, now.listen, w.agents[1-i].listen), client: newClient(w.s)}
+		w.agents[i] = before
+		w.mu.Unlock()
+		defer before.client.CloseIdleConnections()
+		w.wg.Add(1)
+		ended := make(chan struct{})
+		go func() { defer close(ended); w.ask(t.Context(), ask, 7) }()
+		look := func() (c came) {
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			if k := w.tries[fmt.Sprint("r", ask, ".7")]; k != nil {
+				c = came{k.Attempts, k.Outcome, k.Story()}
+			}
+			return c
+		}
+		for end := time.Now().Add(5 * time.Second); look().sent == 0 && time.Now().Before(end); {
+			time.Sleep(time.Millisecond)
+		}
+		w.mu.Lock()
+		w.agents[i] = now
+		host{w}.Restart(i, true)
+		w.mu.Unlock()
+		<-ended
+		told <- look()
+	}})
+	if !errors.Is(err, context.Canceled) {
+		t.Fatal(err)
+	}
+	if c := <-told; c.sent != 1 || c.outcome != measure.Gone {
+		t.Errorf("sent %d times, %v: %s", c.sent, c.outcome, c.story)
+	}
+}
