--- a/internal/fleet/proxy/decode.go
+++ b/internal/fleet/proxy/decode.go
@@ -34,7 +34,7 @@
 	prefillMs    float64 // that the backend's own prefill took; 0: there was none
 }
 
-// priority returns the urgency that a backend is told. A request whose KV cache waits elsewhere goes first: that cache
+// priority returns the urgency that goes to a backend. A request whose KV cache waits elsewhere goes first: that cache
 // is lost to others meanwhile, expires, and its prefill was paid for. Then the operator's rank decides.
 func (cr *clientRequest) priority(staged bool) int {
 	if staged {
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -54,8 +54,8 @@
 // went. The connection is looked for until connectDeadline, the head waited for until headerDeadline; when ctx ends,
 // whoever reads from the connection is woken.
 //
-// The residency terms are checked here again, for the backend and for where a KV handle lies, and are watched until the
-// exchange ends: between the choice of the backend and now the configuration may have changed.
+// The residency terms are checked here again, for the backend and for the one that holds a KV handle, and are watched
+// until the exchange ends: between the choice of the backend and now the configuration may have changed.
 func (cr *clientRequest) startExchange(
 	ctx context.Context,
 	permit residency.Permit,
--- a/internal/fleet/proxy/exchange_client_test.go
+++ b/internal/fleet/proxy/exchange_client_test.go
@@ -29,7 +29,7 @@
 
 func newClientRig(t *testing.T, kind requestKind) *clientRig {
 	r := &clientRig{C: qt.New(t), exchangeRig: newExchangeRig(kind, breakage{}), arrived: make(chan string, 100)}
-	r.struck = &scriptedConn{} // nothing is in trouble but what a script says
+	r.struck = &scriptedConn{} // no fault strikes but what a script says
 	r.came, r.deadline = time.Now(), exchangeDeadline
 	r.server = httptest.NewServer(r.proxy)
 	t.Cleanup(func() {
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -124,7 +124,7 @@
 	script   func(a *validAnswer) reply // what all requests get; nil: their answers
 
 	mu       sync.Mutex
-	struck   *scriptedConn // where the trouble was
+	struck   *scriptedConn // where the fault struck
 	asking   string        // id of the request under way
 	cancel   context.CancelFunc
 	left     time.Time // when the victim's client left
@@ -132,7 +132,7 @@
 	deadline time.Duration // of the request under way
 	reaches  []arrival
 	handles  map[string]string // whose a handle is, by address and reference
-	spent    map[string]bool   // handles that were sent to a taker
+	spent    map[string]bool   // handles that were sent to a decode backend
 	found    []string
 }
 
@@ -548,7 +548,7 @@
 	victim = r.ask(victimID)
 	r.judgeOutcome(victimID, victim)
 	if r.struck == nil {
-		r.find("the trouble did not strike")
+		r.find("the fault did not strike")
 		return victim, r.found
 	}
 	if pooled != (r.struck.carried > 1) {
@@ -557,7 +557,7 @@
 	if !r.left.IsZero() {
 		r.judgeLeft()
 	}
-	r.list(true) // what follows goes where the trouble was
+	r.list(true) // what follows goes where the fault struck
 	for _, id := range []string{"after", "after-that"} {
 		settle()
 		r.judgeServed(id)
@@ -610,7 +610,7 @@
 		return reply{taken: -1, bytes: a.framed()}
 	}})
 	if o, found := r.play(false); s.answer == nil || o.status != http.StatusOK || len(found) > 0 {
-		panic(fmt.Sprintf("%s without trouble: %d %q, %v", kind.name, o.status, o.body, found))
+		panic(fmt.Sprintf("%s without a fault: %d %q, %v", kind.name, o.status, o.body, found))
 	}
 	return s
 }
--- a/internal/fleet/proxy/exchange_test.go
+++ b/internal/fleet/proxy/exchange_test.go
@@ -217,7 +217,7 @@
 		said := 0
 		r := newExchangeRig(requestKind{name: "readonly", route: "freeread"}, breakage{})
 		defer r.proxy.pool.Close()
-		r.struck = &scriptedConn{} // nothing else is in trouble
+		r.struck = &scriptedConn{} // no fault strikes
 		r.script = func(a *validAnswer) reply {
 			said++
 			a.body += fmt.Sprintf(", number %d", said)
@@ -276,7 +276,7 @@
 			"":   func(a *validAnswer) []byte { return []byte(a.head + "\r\n") },
 		} {
 			r := newExchangeRig(requestKind{name: "HEAD", route: "freeread", method: http.MethodHead}, breakage{})
-			r.struck = &scriptedConn{} // nothing is in trouble
+			r.struck = &scriptedConn{} // no fault strikes
 			r.script = func(a *validAnswer) reply { return reply{taken: -1, bytes: says(a)} }
 			o := r.ask(victimID)
 			c.Check(o.status, qt.Equals, http.StatusOK)
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -21,9 +21,9 @@
 	defaultBodyLimit = 4 << 20
 	// maxAttemptIDBytes bounds a client's attempt id, which goes into headers and onto the wire to backends.
 	maxAttemptIDBytes = 256
-	// minRetryAfter is when a client whose request was not run is told to come back, at the earliest.
+	// minRetryAfter is the least Retry-After of a request that was not run.
 	minRetryAfter = 50 * time.Millisecond
-	// unconfiguredRetryAfter is when a client is told to come back that a proxy without a configuration rejects.
+	// unconfiguredRetryAfter is the Retry-After of a proxy without a configuration.
 	unconfiguredRetryAfter = 200 * time.Millisecond
 	// startupWait is for how long a request waits for the first configuration and endpoint list of a process that has
 	// just started.
@@ -219,7 +219,7 @@
 	return id, nil
 }
 
-// validID reports whether an id can be sent on as it is: printable ASCII without spaces, of at most maxAttemptIDBytes.
+// validID reports whether an id can be forwarded as it is: printable ASCII without spaces, of at most maxAttemptIDBytes.
 func validID(id string) bool {
 	if id == "" || len(id) > maxAttemptIDBytes {
 		return false
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -27,27 +27,30 @@
 	synctest.Test(t, testBackendsGetTheClientsRequest)
 }
 
-// testBackendsGetTheClientsRequest runs where the clock stands still, so that the time left is known to the
-// millisecond.
-func testBackendsGetTheClientsRequest(t *testing.T) {
-	c := qt.New(t)
+// promptRequest is a client's request with a prompt, which names fields that are the proxy's to set.
+func promptRequest() outboundRequest {
 	client := http.Header{}
 	for key, value := range map[string]string{
 		externalapi.HeaderModel:         "m",
 		externalapi.HeaderTokenCount:    "120,8",
 		externalapi.HeaderPromptPrefix:  "fa01:100",
-		"X-Own":                         "started",
+		"X-Own":                         "kept",
 		externalapi.HeaderStage:         "prefill",
 		externalapi.HeaderKVFrom:        "10.0.0.9:80/stolen",
 		externalapi.HeaderPriority:      "0",
 		externalapi.HeaderTargetBackend: "b9",
-		externalapi.HeaderDeadlineMs:    "999999", externalapi.HeaderLastEventID: "3",
-		"Connection": "X-Hop", "X-Hop": "1", "Transfer-Encoding": "chunked", "Keep-Alive": "x", "Upgrade": "h2c",
+		externalapi.HeaderDeadlineMs:    "999999",
+		externalapi.HeaderLastEventID:   "3",
+		"Connection":                    "X-Hop",
+		"X-Hop":                         "1",
+		"Transfer-Encoding":             "chunked",
+		"Keep-Alive":                    "x",
+		"Upgrade":                       "h2c",
 	} {
 		client.Set(key, value)
 	}
 	dropHopByHop(client)
-	m := outboundRequest{
+	return outboundRequest{
 		id:     "a1",
 		method: http.MethodPost,
 		target: "/chat/?q=1",
@@ -55,10 +58,17 @@
 		header: client,
 		body:   []byte("the body"),
 	}
+}
+
+// testBackendsGetTheClientsRequest runs where the clock stands still, so that the time left is known to the
+// millisecond.
+func testBackendsGetTheClientsRequest(t *testing.T) {
+	c := qt.New(t)
+	out := promptRequest()
 	read := func(x attemptOptions) *http.Request {
-		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(m.encode(&x))))
+		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(out.encode(&x))))
 		c.Assert(err, qt.IsNil)
-		body := make([]byte, len(m.body))
+		body := make([]byte, len(out.body))
 		_, err = req.Body.Read(body)
 		c.Assert(err == nil || err.Error() == "EOF", qt.IsTrue)
 		c.Assert(string(body), qt.Equals, "the body")
@@ -70,7 +80,7 @@
 			externalapi.HeaderModel:        "m",
 			externalapi.HeaderTokenCount:   "120,8",
 			externalapi.HeaderPromptPrefix: "fa01:100",
-			"X-Own":                        "started",
+			"X-Own":                        "kept",
 		} {
 			c.Check(req.Header.Values(key), qt.DeepEquals, []string{want}, qt.Commentf("%s", key))
 		}
@@ -94,7 +104,7 @@
 	c.Check(resumed.Header.Values(externalapi.HeaderLastEventID), qt.DeepEquals, []string{"7"})
 	c.Check(resumed.Header.Values(externalapi.HeaderPriority), qt.DeepEquals, []string{"9"})
 	c.Check(resumed.Header.Values(externalapi.HeaderStage), qt.DeepEquals, []string{"prefill"})
-	c.Check(strings.Contains(string(m.encode(&attemptOptions{target: "b1"})), "stolen"), qt.IsFalse)
+	c.Check(strings.Contains(string(out.encode(&attemptOptions{target: "b1"})), "stolen"), qt.IsFalse)
 }
 
 // TestClientGone has clients leave streams and a plain request under way: the backends' work ends within half a
