--- a/internal/fleet/proxy/feed.go
+++ b/internal/fleet/proxy/configwatch.go
@@ -97,11 +97,11 @@
 		}
 		p.list, p.listReceived = list, true
 	case distribution.MembershipSizeType:
-		var crowd distribution.MembershipSize
-		if _, err := crowd.UnmarshalMsg(resource.Snapshot); err != nil {
+		var members distribution.MembershipSize
+		if _, err := members.UnmarshalMsg(resource.Snapshot); err != nil {
 			return err
 		}
-		p.proxies, p.zoneProxies = max(crowd.Proxies, 1), max(crowd.Zones[p.settings.Zone], 1)
+		p.proxies, p.zoneProxies = max(members.Proxies, 1), max(members.Zones[p.settings.Zone], 1)
 	case distribution.LoadReportType:
 		var gauges distribution.LoadReport
 		if _, err := gauges.UnmarshalMsg(resource.Snapshot); err != nil {
--- a/internal/fleet/proxy/outcomes.go
+++ b/internal/fleet/proxy/outcomereport.go
@@ -28,12 +28,12 @@
 // measure.
 type runningMean struct{ ms float64 }
 
-func (u *runningMean) update(ms float64) {
-	if u.ms == 0 {
-		u.ms = ms
+func (m *runningMean) update(ms float64) {
+	if m.ms == 0 {
+		m.ms = ms
 		return
 	}
-	u.ms += (min(ms, maxSampleFactor*u.ms) - u.ms) * meanWeight
+	m.ms += (min(ms, maxSampleFactor*m.ms) - m.ms) * meanWeight
 }
 
 // slowThresholdMs is how long an attempt may last before it counts as slow, ms, where it usually lasts so long.
--- a/internal/fleet/proxy/enclosed_choice_test.go
+++ b/internal/fleet/proxy/placement_residency_test.go
@@ -32,14 +32,14 @@
 	return &routingconfig.Service{Name: "llm", Runtime: &routingconfig.Runtime{Capacity: capacity, KVCacheTokens: 100_000, KVTokenBytes: 163_840, KVTransferMbps: 8e6}}
 }
 
-// TestPlacementInside places requests over random lists, zones, phases, health, load and terms: never outside, and always
+// TestPlacementWithinTerms places requests over random lists, zones, phases, health, load and terms: never outside, and always
 // somewhere while a permitted usable backend is there.
-func TestPlacementInside(t *testing.T) {
+func TestPlacementWithinTerms(t *testing.T) {
 	cases := 0
 	zoneNames := []string{"e1", "e2", "m1", "m2", "w1", "w2", "nowhere", ""}
 	rapid.Check(t, func(r *rapid.T) {
-		ground := testGate(testZones)
-		s := newService("llm", ground, time.Second)
+		gate := testGate(testZones)
+		s := newService("llm", gate, time.Second)
 		s.configure(runtimeOf(rapid.IntRange(1, 8).Draw(r, "capacity")))
 		draw := func() (all []distribution.Backend) {
 			for i := range rapid.IntRange(0, 12).Draw(r, "backends") {
--- a/internal/fleet/proxy/place_test.go
+++ b/internal/fleet/proxy/placement_test.go
@@ -30,30 +30,30 @@
 	return s
 }
 
-func sharing(key, own uint64) *scheduler.Prompt {
+func sharedPrefixPrompt(key, own uint64) *scheduler.Prompt {
 	return &scheduler.Prompt{InputTokens: 9000, MaxOutputTokens: 2, Segments: []scheduler.Segment{{PrefixHash: key, Tokens: 6000}, {PrefixHash: own, Tokens: 3000}}}
 }
 
 // What can't be read in the time left is not begun: in a burst of twice what could be read, prompts that were begun all the
 // same held up the others, and nearly all were late.
-func TestTooLateIsSaidAtOnce(t *testing.T) {
+func TestLatePrefillIsRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 2, 2)
 	late, n := false, 0
 	for ; n < 4000 && !late; n++ {
-		pl, ok := s.selectPlacement("k", false, sharing(uint64(n%5), uint64(1000+n)), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("k", false, sharedPrefixPrompt(uint64(n%5), uint64(1000+n)), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(pl.prefill, qt.IsNotNil)
 		one := clientRequest{svc: s, deadline: time.Now().Add(2 * time.Second)}
 		late = one.prefillTooLate(&pl)
 		if !late {
-			s.engines.PrefillStarted(pl.prefill.ID, sharing(uint64(n%5), uint64(1000+n)), pl.atHome)
+			s.engines.PrefillStarted(pl.prefill.ID, sharedPrefixPrompt(uint64(n%5), uint64(1000+n)), pl.atHome)
 		}
 	}
 	c.Assert(late, qt.IsTrue)
 	c.Assert(n > 100, qt.IsTrue, qt.Commentf("after %d", n))
 	one := clientRequest{svc: s, deadline: time.Now().Add(time.Minute)}
-	pl, _ := s.selectPlacement("k", false, sharing(1, 1), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+	pl, _ := s.selectPlacement("k", false, sharedPrefixPrompt(1, 1), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 	c.Assert(one.prefillTooLate(&pl), qt.IsFalse, qt.Commentf("who has time waits"))
 	// What is expected to wait long is not given up halfway; what isn't is, in case the backend is silent.
 	c.Assert(time.Until(one.prefillDeadline(10)) < 31*time.Second, qt.IsTrue)
@@ -62,12 +62,12 @@
 }
 
 // Where all are behind, leaving a home makes more of what it flees from.
-func TestHomesAreKeptUnderLoad(t *testing.T) {
+func TestPreferredBackendKeptUnderLoad(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 4, 2)
 	home := s.ranker.PreferredBackend(0, 7, func(id string) bool { return s.byID[id].Phase == externalapi.PhasePrefill })
 	chosen := func() string {
-		pl, ok := s.selectPlacement("k", false, sharing(7, 8), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("k", false, sharedPrefixPrompt(7, 8), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		s.attemptEnded(pl.decode.ID, policy.OK)
 		s.engines.RequestEnded(pl.decode.ID)
@@ -89,7 +89,7 @@
 }
 
 // Long answers go where places are, by what the control plane heard; those kept for staged prompts come last.
-func TestLongAnswersGoWherePlacesAre(t *testing.T) {
+func TestLongDecodesGoToFreeBackends(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(8, 1, 4)
 	talk := &scheduler.Prompt{InputTokens: 100, MaxOutputTokens: 80, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 50}, {PrefixHash: 2, Tokens: 50}}}
@@ -107,11 +107,11 @@
 	// A request that waits long for the head of its answer keeps others away from a backend that was thought to be free.
 	s.start = s.start.Add(-time.Second) // a second later
 	s.applyGauges(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, nil)
-	heard := s.awaitHeader("d0")
+	ended := s.awaitHeader("d0")
 	s.start = s.start.Add(-time.Second)
 	pl, _ := s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 	c.Assert(pl.decode.ID, qt.Equals, "d1")
-	heard(true)
+	ended(true)
 	s.applyGauges(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, []string{"d1"})
 	pl, _ = s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 	c.Assert(pl.decode.ID, qt.Equals, "d0", qt.Commentf("the control plane did not hear the other"))
@@ -119,10 +119,10 @@
 
 // Whether a prompt is read apart follows from how long reading it in place would hold up others, however long its answer is: as answers
 // grew from two tokens to four, a whole kind of long prompts went over to being read between the tokens of others.
-func TestLongPromptsAreReadApartHoweverLongTheirAnswers(t *testing.T) {
+func TestLongPromptsAreSplitWhateverTheirOutput(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
-	verdict := sharing(1, 2)
+	verdict := sharedPrefixPrompt(1, 2)
 	for _, makingMs := range []float64{30, 150, 400, 4000} {
 		for range 100 {
 			s.engines.ObserveDecode("verdict", verdict, makingMs)
--- a/internal/fleet/proxy/enclosed_test.go
+++ b/internal/fleet/proxy/residencycheck_test.go
@@ -20,8 +20,8 @@
 
 var allHeld = []string{"held", "once", "read", "post"}
 
-// TestEnclosedCalm serves a tenant inside its regions while others go anywhere, and keeps the ledger of it.
-func TestEnclosedCalm(t *testing.T) {
+// TestResidencySteady serves a tenant inside its regions while others go anywhere, and keeps the ledger of it.
+func TestResidencySteady(t *testing.T) {
 	r := newRig(t, everywhere(nil)...)
 	r.configure("east", "mid")
 	got := r.burst(12, [2]int{600, 4}, append(allHeld, "free", "freeread")...)
@@ -44,9 +44,9 @@
 	r.Check(decodes > 0 && plains > 0, qt.IsTrue, qt.Commentf("%d prefills, %d decodes, %d plain", prefills, decodes, plains))
 }
 
-// TestEnclosedStorm has the near region fail in every way at once, with terms and without: with them nothing rests outside;
+// TestResidencyUnderFaults has the near region fail in every way at once, with terms and without: with them nothing rests outside;
 // without them the same storm spills over.
-func TestEnclosedStorm(t *testing.T) {
+func TestResidencyUnderFaults(t *testing.T) {
 	storms := map[string]func(r *rig){
 		"near region dies":   func(r *rig) { crash(r.in("east")) },
 		"all inside die":     func(r *rig) { crash(r.in("east")); crash(r.in("mid")) },
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestEnclosedCrowd sends several times what fits inside: what does not fit is refused at once, and none goes outside although
+// TestResidencyOverload sends several times what fits inside: what does not fit is refused at once, and none goes outside although
 // the other region stands idle.
-func TestEnclosedCrowd(t *testing.T) {
+func TestResidencyOverload(t *testing.T) {
 	small := func(s *simulation.EngineSettings) {
 		s.Capacity, s.Queue = 2, 1
 		s.Step = 20 * time.Millisecond
@@ -127,8 +127,8 @@
 	r.Assert(free.outside("east") > 0, qt.IsTrue)
 }
 
-// TestEnclosedWithdrawn withdraws a region while streams run there and handles wait there.
-func TestEnclosedWithdrawn(t *testing.T) {
+// TestResidencyWithdrawn withdraws a region while streams run there and handles wait there.
+func TestResidencyWithdrawn(t *testing.T) {
 	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.configure("east")
 	done := make(chan []simulation.Result)
@@ -154,9 +154,9 @@
 	t.Logf("%d kept parts linger", len(lingering))
 }
 
-// TestEnclosedWithdrawnBetweenReads withdraws a region as the proxy passes an event on, where the next does not come: the
+// TestResidencyWithdrawnBetweenReads withdraws a region as the proxy passes an event on, where the next does not come: the
 // stream is cut all the same, long before its deadline, and taken up inside.
-func TestEnclosedWithdrawnBetweenReads(t *testing.T) {
+func TestResidencyWithdrawnBetweenReads(t *testing.T) {
 	r := newRig(t, everywhere(nil)...)
 	r.configure("east")
 	trouble(r.in("east"), simulation.Faults{StallAfter: 1})
@@ -176,8 +176,8 @@
 	return res.Status == 502 || res.Status == 200 && !res.Complete
 }
 
-// TestEnclosedTermsAppear puts a route under terms while its streams run elsewhere: they are cut at their next event.
-func TestEnclosedTermsAppear(t *testing.T) {
+// TestResidencyTermsAppear puts a route under terms while its streams run elsewhere: they are cut at their next event.
+func TestResidencyTermsAppear(t *testing.T) {
 	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.list(r.in("west")...)
 	r.configure()
@@ -192,8 +192,8 @@
 	r.clean()
 }
 
-// TestEnclosedHandleWithdrawn withdraws the region where memory waits for a taker that is full: the memory is freed.
-func TestEnclosedHandleWithdrawn(t *testing.T) {
+// TestResidencyHandleWithdrawn withdraws the region where memory waits for a taker that is full: the memory is freed.
+func TestResidencyHandleWithdrawn(t *testing.T) {
 	at := func(zone string, phase simulation.Phase) simulation.EngineSettings {
 		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: phase, Capacity: 1, Queue: 4, KVRef: time.Minute}
 	}
@@ -228,8 +228,8 @@
 	r.clean()
 }
 
-// TestEnclosedTakers has memory taken from where it was read to another region of the tenant, with an idle taker outside.
-func TestEnclosedTakers(t *testing.T) {
+// TestResidencyDecoders has memory taken from where it was read to another region of the tenant, with an idle taker outside.
+func TestResidencyDecoders(t *testing.T) {
 	at := func(zone string, phase simulation.Phase) simulation.EngineSettings {
 		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: phase, Capacity: 8, Queue: 4, KVRef: time.Minute}
 	}
@@ -246,9 +246,9 @@
 	r.clean()
 }
 
-// TestEnclosedResumes has every stream cut off half way: they are taken up at the other backend of the tenant's regions, although
+// TestResidencyResumes has every stream cut off half way: they are taken up at the other backend of the tenant's regions, although
 // more stand idle outside.
-func TestEnclosedResumes(t *testing.T) {
+func TestResidencyResumes(t *testing.T) {
 	at := func(zone string) simulation.EngineSettings {
 		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: simulation.PhaseDecode, Capacity: 64}
 	}
@@ -271,8 +271,8 @@
 	r.clean()
 }
 
-// TestEnclosedUnknownZone fails closed where the region of a backend is not known.
-func TestEnclosedUnknownZone(t *testing.T) {
+// TestResidencyUnknownZone fails closed where the region of a backend is not known.
+func TestResidencyUnknownZone(t *testing.T) {
 	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Zone = "x-" + s.Zone })...)
 	r.configure("east", "mid", "west")
 	for _, res := range r.burst(3, [2]int{400, 4}, allHeld...) {
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestEnclosedRelisted has the platform correct the region of a backend while a stream runs there.
-func TestEnclosedRelisted(t *testing.T) {
+// TestResidencyRelisted has the platform correct the region of a backend while a stream runs there.
+func TestResidencyRelisted(t *testing.T) {
 	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.configure("east")
 	done := make(chan []simulation.Result)
@@ -310,9 +310,9 @@
 	}
 }
 
-// TestEnclosedAddressReused sends to an address that belongs to a backend of another region by now, of which the list does
+// TestResidencyAddressReused sends to an address that belongs to a backend of another region by now, of which the list does
 // not tell yet: bytes reach it, nothing rests there.
-func TestEnclosedAddressReused(t *testing.T) {
+func TestResidencyAddressReused(t *testing.T) {
 	at := func(zone string, phase simulation.Phase, address string) simulation.EngineSettings {
 		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: phase, Address: address}
 	}
@@ -338,8 +338,8 @@
 	r.clean()
 }
 
-// TestEnclosedThroughTelemeter has terms reach a proxy as in service: pulled from the node agent beside it.
-func TestEnclosedThroughTelemeter(t *testing.T) {
+// TestResidencyThroughTelemeter has terms reach a proxy as in service: pulled from the node agent beside it.
+func TestResidencyThroughTelemeter(t *testing.T) {
 	r := newRig(t, everywhere(nil)...)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	r.Assert(err, qt.IsNil)
--- a/internal/fleet/proxy/service_test.go
+++ b/internal/fleet/proxy/service_test.go
@@ -9,9 +9,9 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// TestServiceThatRunsModelsNoMore: a change may take the models from a service while requests of it are under way; what they
+// TestServiceWithoutRuntimeKeepsEstimator: a change may take the models from a service while requests of it are under way; what they
 // report at their end has its place still.
-func TestServiceThatRunsModelsNoMore(t *testing.T) {
+func TestServiceWithoutRuntimeKeepsEstimator(t *testing.T) {
 	c := qt.New(t)
 	s := newService("s", nil, time.Second)
 	s.configure(&routingconfig.Service{Name: "s", Runtime: &routingconfig.Runtime{Capacity: 8}})
--- a/internal/fleet/proxy/departure.go
+++ b/internal/fleet/proxy/shutdown.go
@@ -70,22 +70,22 @@
 // its tokens take one by one, each with the longest pause that still is in time, or less where the streams of late were faster.
 // Where nothing tells, it is the time left.
 func (cr *clientRequest) longestAnswer(now time.Time, prompt *scheduler.Prompt) time.Duration {
-	left := cr.deadline.Sub(now)
+	remaining := cr.deadline.Sub(now)
 	first, gap := firstByteTargets*cr.route.LatencyTarget(), cr.route.EventGapTarget()
 	if pace := paceFactor * cr.svc.slowestPace(); pace > 0 && (gap <= 0 || pace < gap) {
 		gap = pace
 	}
 	switch {
 	case first <= 0:
-		return left
+		return remaining
 	case cr.route.Kind != routingconfig.KindStream:
-		return min(first, left)
+		return min(first, remaining)
 	case prompt == nil || prompt.MaxOutputTokens <= 0 || gap <= 0:
-		return left
-	case time.Duration(prompt.MaxOutputTokens) > left/gap: // compared before it is multiplied: a client may name any number
-		return left
+		return remaining
+	case time.Duration(prompt.MaxOutputTokens) > remaining/gap: // compared before it is multiplied: a client may name any number
+		return remaining
 	}
-	return min(first+time.Duration(prompt.MaxOutputTokens)*gap, left)
+	return min(first+time.Duration(prompt.MaxOutputTokens)*gap, remaining)
 }
 
 // rejectIfLeaving refuses a request whose answer this proxy may not live to finish. No backend has seen it, and its client has
--- a/internal/fleet/proxy/departure_test.go
+++ b/internal/fleet/proxy/shutdown_test.go
@@ -11,9 +11,9 @@
 	"molepaddle/internal/fleet/scheduler"
 )
 
-// TestWhatMayOutlastALeavingProxy asks of requests of several kinds, with so much time left to the proxy's end, whether they are
+// TestAnswersThatOutlastShutdown asks of requests of several kinds, with so much time left to the proxy's end, whether they are
 // refused.
-func TestWhatMayOutlastALeavingProxy(t *testing.T) {
+func TestAnswersThatOutlastShutdown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	stream := routingconfig.RouteSpec{Kind: routingconfig.KindStream, DeadlineMs: 20_000, LatencyTargetMs: 120, EventGapTargetMs: 150}
 	noGap := stream
@@ -21,8 +21,8 @@
 	short := stream
 	short.DeadlineMs = 2000
 	lookup := routingconfig.RouteSpec{Kind: routingconfig.KindReadonly, DeadlineMs: 20_000, LatencyTargetMs: 150}
-	noAim := lookup
-	noAim.LatencyTargetMs = 0
+	noTarget := lookup
+	noTarget.LatencyTargetMs = 0
 	tokens := func(n int) *scheduler.Prompt { return &scheduler.Prompt{InputTokens: 220, MaxOutputTokens: n} }
 	for _, tc := range []struct {
 		name   string
@@ -49,29 +49,29 @@
 		{"a deadline after the end", short, tokens(1000), 1999 * time.Millisecond, 0, true},
 		{"a whole answer", lookup, nil, 600 * time.Millisecond, 0, false},
 		{"a whole answer with the end near", lookup, nil, 599 * time.Millisecond, 0, true},
-		{"a whole answer without an aim", noAim, nil, 7 * time.Second, 0, true},
+		{"a whole answer without an aim", noTarget, nil, 7 * time.Second, 0, true},
 	} {
 		c := qt.New(t)
-		v := new(Proxy)
+		p := new(Proxy)
 		if tc.stays > 0 {
 			end := now.Add(tc.stays)
-			v.shutdown.closeAt.Store(&end)
+			p.shutdown.closeAt.Store(&end)
 		}
 		svc := newService("s", nil, time.Second)
 		if tc.pace > 0 {
 			svc.recordPace("e0", paceSampleEvents*tc.pace, paceSampleEvents)
 		}
-		try := &clientRequest{proxy: v, svc: svc, route: &routingconfig.Route{RouteSpec: &tc.route}, deadline: now.Add(tc.route.Deadline())}
-		c.Check(v.shutdown.outlasts(now, try.deadline, try.longestAnswer(now, tc.prompt)), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+		cr := &clientRequest{proxy: p, svc: svc, route: &routingconfig.Route{RouteSpec: &tc.route}, deadline: now.Add(tc.route.Deadline())}
+		c.Check(p.shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, tc.prompt)), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
 
-// TestWhenClientsOfALeavingProxyComeBack: at once where another proxy takes them, else when the platform has turned away from
+// TestRetryAfterDuringShutdown: at once where another proxy takes them, else when the platform has turned away from
 // this one.
-func TestWhenClientsOfALeavingProxyComeBack(t *testing.T) {
+func TestRetryAfterDuringShutdown(t *testing.T) {
 	c := qt.New(t)
 	began := time.Unix(1000, 0)
-	d := &gracefulShutdown{began: began}
+	shutdown := &gracefulShutdown{began: began}
 	for _, tc := range []struct {
 		after   time.Duration
 		proxies int
@@ -82,6 +82,6 @@
 		{notReadyLag, 1, retryElsewhereAfter},
 		{acceptWindow, 1, retryElsewhereAfter},
 	} {
-		c.Check(d.retryAfter(began.Add(tc.after), tc.proxies), qt.Equals, tc.want, qt.Commentf("%+v", tc))
+		c.Check(shutdown.retryAfter(began.Add(tc.after), tc.proxies), qt.Equals, tc.want, qt.Commentf("%+v", tc))
 	}
 }
--- a/internal/fleet/proxy/trials.go
+++ b/internal/fleet/proxy/trials.go
@@ -6,11 +6,11 @@
 )
 
 // applyEjections takes the fleet's word on the backends of the service, as it concerns proxies of a zone.
-func (s *service) applyEjections(ejections []distribution.Ejection, zone string, crowd outlier.ProxyCount) {
+func (s *service) applyEjections(ejections []distribution.Ejection, zone string, proxies outlier.ProxyCount) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	ejected, restored := s.trials.SetEjections(now, ejections, zone, crowd, func(id string) bool { return s.byID[id] != nil })
+	ejected, restored := s.trials.SetEjections(now, ejections, zone, proxies, func(id string) bool { return s.byID[id] != nil })
 	for _, id := range ejected {
 		s.ranker.Eject(now, id, outlier.EjectionExpiry(now))
 	}
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -22,11 +22,11 @@
 	return all
 }
 
-// sentTo counts where prompts are read and tokens are made of so many requests.
-func sentTo(c *qt.C, s *service, requests int, repeatable bool) map[string]int {
+// countPlacements counts where prompts are read and tokens are made of so many requests.
+func countPlacements(c *qt.C, s *service, requests int, repeatable bool) map[string]int {
 	count := map[string]int{}
 	for i := range requests {
-		pl, ok := s.selectPlacement("k", repeatable, sharing(uint64(1+i%97), uint64(1000+i)), 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		pl, ok := s.selectPlacement("k", repeatable, sharedPrefixPrompt(uint64(1+i%97), uint64(1000+i)), 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		count[pl.decode.ID]++
 		if pl.prefill != nil {
@@ -43,7 +43,7 @@
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
 	s.applyEjections(ejections("p1", "d2", "d3"), "e1", outlier.ProxyCount{All: 60, InZone: 20})
-	count := sentTo(c, s, 300, false)
+	count := countPlacements(c, s, 300, false)
 	c.Assert(count["p1"]+count["d2"]+count["d3"] <= 3, qt.IsTrue, qt.Commentf("%v", count))
 	// Alone in its fleet a proxy makes all the trials.
 	s.start = s.start.Add(-20 * time.Second)
@@ -53,16 +53,16 @@
 	for range 40 {
 		s.start = s.start.Add(-500 * time.Millisecond)
 		s.applyEjections(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
-		count := sentTo(c, s, 1, true)
+		count := countPlacements(c, s, 1, true)
 		tried += count["p1"] + count["d2"]
 	}
 	c.Assert(tried >= 5 && tried <= 70, qt.IsTrue, qt.Commentf("%d", tried))
 	s.applyEjections(nil, "e1", outlier.ProxyCount{})
-	c.Assert(sentTo(c, s, 500, false)["p1"] > 0, qt.IsTrue)
+	c.Assert(countPlacements(c, s, 500, false)["p1"] > 0, qt.IsTrue)
 }
 
-// TestNothingIsTriedThatLeaves: a backend that drains gets no trial.
-func TestNothingIsTriedThatLeaves(t *testing.T) {
+// TestDrainingBackendsGetNoTrial: a backend that drains gets no trial.
+func TestDrainingBackendsGetNoTrial(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
 	list := make([]distribution.Backend, 0, 3)
@@ -76,7 +76,7 @@
 	for range 40 {
 		s.start = s.start.Add(-500 * time.Millisecond)
 		s.applyEjections(ejections("d0"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
-		c.Assert(sentTo(c, s, 1, true)["d0"], qt.Equals, 0)
+		c.Assert(countPlacements(c, s, 1, true)["d0"], qt.Equals, 0)
 		at, ok := s.selectPlain(1, true, map[string]bool{}, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(at.ID(), qt.Not(qt.Equals), "d0")
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestSlowStreamsAreTold: of streams that come several times as slowly as usual the fleet is told; of others as good.
-func TestSlowStreamsAreTold(t *testing.T) {
+// TestSlowStreamsAreReported: of streams that come several times as slowly as usual the fleet is told; of others as good.
+func TestSlowStreamsAreReported(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
 	for range 50 {
@@ -97,30 +97,30 @@
 	s.recordPace("d1", paceSampleEvents*400*time.Millisecond, paceSampleEvents)
 	c.Assert(s.paceSampleComplete(time.Second, 3), qt.IsFalse)
 	c.Assert(s.paceSampleComplete(4*time.Second, 3), qt.IsTrue, qt.Commentf("what is that slow needs no whole stretch"))
-	told := map[string]distribution.Outcome{}
+	reported := map[string]distribution.Outcome{}
 	for _, o := range s.takeOutcomes(true) {
-		told[o.Backend] = o
+		reported[o.Backend] = o
 	}
-	c.Assert(told, qt.DeepEquals, map[string]distribution.Outcome{"d0": {Backend: "d0", Attempts: 1, Streamed: 1}, "d1": {Backend: "d1", Attempts: 1, Streamed: 1, Slow: 1}})
+	c.Assert(reported, qt.DeepEquals, map[string]distribution.Outcome{"d0": {Backend: "d0", Attempts: 1, Streamed: 1}, "d1": {Backend: "d1", Attempts: 1, Streamed: 1, Slow: 1}})
 }
 
-// TestOverdueAttemptsAreTold: the fleet hears of an attempt that waits far longer than usual before it ends.
-func TestOverdueAttemptsAreTold(t *testing.T) {
+// TestOverdueAttemptsAreReported: the fleet hears of an attempt that waits far longer than usual before it ends.
+func TestOverdueAttemptsAreReported(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
-	waits := s.beginAttempt("d0", 100)
+	waiting := s.beginAttempt("d0", 100)
 	c.Assert(s.takeOutcomes(false), qt.IsNil)
 	s.start = s.start.Add(-200 * time.Millisecond)
 	c.Assert(s.takeOutcomes(false), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Attempts: 1, Overdue: 1}})
-	waits.headerReceived()
-	waits.finish(policy.OK, speedSlow, true)
+	waiting.headerReceived()
+	waiting.finish(policy.OK, speedSlow, true)
 	c.Assert(s.takeOutcomes(true), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Late: 1}})
 	s.beginAttempt("d1", 100).finish(policy.Cancelled, speedUsual, false)
 	c.Assert(s.takeOutcomes(true), qt.IsNil, qt.Commentf("a client that left tells nothing of a backend"))
 }
 
-// TestTrialsOfLongAnswers: long answers don't try what is only slow.
-func TestTrialsOfLongAnswers(t *testing.T) {
+// TestTrialsOfLongDecodes: long answers don't try what is only slow.
+func TestTrialsOfLongDecodes(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 4)
 	talk := &scheduler.Prompt{InputTokens: 100, MaxOutputTokens: 80, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 50}, {PrefixHash: 2, Tokens: 50}}}
