--- a/cmd/molepaddle-fleet/leave_test.go
+++ b/cmd/molepaddle-fleet/leave_test.go
@@ -62,10 +62,10 @@
 	code, err := proxy.Wait(f.withTimeout(testTimeout))
 	f.Assert(err, qt.IsNil)
 	f.Check(code, qt.Equals, 0)
-	for _, line := range []string{`"msg":"leaving"`, `"msg":"left"`} {
+	for _, line := range []string{`"msg":"draining"`, `"msg":"shut down"`} {
 		f.Check(strings.Contains(proxy.Output(), line), qt.IsTrue, qt.Commentf("%s is not in the log", line))
 	}
-	f.Check(strings.Contains(proxy.Output(), "answers cut"), qt.IsFalse, qt.Commentf("%s", proxy.Output()))
+	f.Check(strings.Contains(proxy.Output(), "requests aborted"), qt.IsFalse, qt.Commentf("%s", proxy.Output()))
 	f.checkRules()
 }
 
--- a/internal/fleet/proxy/configwatch.go
+++ b/internal/fleet/proxy/configwatch.go
@@ -13,147 +13,199 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// followNodeAgent pulls from the node agent for as long as the process lives.
+const (
+	// minWatchBackoff and maxWatchBackoff bound the wait before the node agent is connected to again. It is on the same
+	// machine, and a proxy without it gets no new endpoint list: the wait is short.
+	minWatchBackoff = 5 * time.Millisecond
+	maxWatchBackoff = 100 * time.Millisecond
+	// watchReadTimeout is how much longer than the wait that a pull asks for its response may take.
+	watchReadTimeout = time.Second
+)
+
+// errMissingBase says that a configuration update changes a version that this proxy doesn't have.
+var errMissingBase = errors.New("changes of a version that is not had")
+
+// configState is what the proxy has received from the node agent. It belongs to the goroutine of followNodeAgent; all
+// others see the routing snapshot that is built of it.
+type configState struct {
+	versions map[string]distribution.Version // of the resources applied, by type
+
+	doc      *routingconfig.Document // the configuration in force; nil: none has come
+	docSince time.Time               // when it came into force
+
+	services     map[string]*service // by name; they outlive snapshots
+	list         distribution.BackendList
+	listReceived bool
+
+	proxies     int // of the fleet
+	zoneProxies int // of those, in this proxy's zone
+}
+
+// followNodeAgent applies what the node agent sends, and reconnects to it with backoff, until ctx ends.
 func (p *Proxy) followNodeAgent(ctx context.Context) {
-	pause := distribution.Backoff{Min: 5 * time.Millisecond, Max: 100 * time.Millisecond}
+	backoff := distribution.Backoff{Min: minWatchBackoff, Max: maxWatchBackoff}
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := distribution.Watch(ctx, distribution.NodeAgentAddr(p.settings.Ports), &distribution.Watcher{Name: p.settings.NodeName, MaxWait: p.settings.Heartbeat, ReadTimeout: time.Second,
-			Members:  func() []distribution.Member { return []distribution.Member{p.member(time.Now())} },
-			Versions: func() map[string]distribution.Version { return maps.Clone(p.versions) },
-			Apply:    func(n *distribution.Response) []string { p.apply(n); return nil },
-			Outcomes: p.outcomes,
-			Residency: func(now time.Time) *distribution.ResidencyOutbox {
-				p.residency.report(now, p.residencyReports, false)
-				return p.residencyReports
-			}})
+		err := distribution.Watch(ctx, distribution.NodeAgentAddr(p.settings.Ports), p.nodeAgentWatcher())
 		if ctx.Err() != nil {
 			return
 		}
-		p.log.Debug("node agent lost", zap.Error(err))
-		pause.Wait(ctx, time.Since(began))
+		p.log.Debug("node agent connection lost", zap.Error(err))
+		backoff.Wait(ctx, time.Since(began))
+	}
+}
+
+// nodeAgentWatcher says what each pull from the node agent carries and what is done with its response.
+func (p *Proxy) nodeAgentWatcher() *distribution.Watcher {
+	return &distribution.Watcher{
+		Name:        p.settings.NodeName,
+		MaxWait:     p.settings.Heartbeat,
+		ReadTimeout: watchReadTimeout,
+		Members:     func() []distribution.Member { return []distribution.Member{p.member(time.Now())} },
+		Versions:    func() map[string]distribution.Version { return maps.Clone(p.versions) },
+		Apply: func(response *distribution.Response) []string {
+			p.apply(response)
+			return nil // what was rejected has no version any more, which asks for it again
+		},
+		Outcomes: p.outcomes,
+		Residency: func(now time.Time) *distribution.ResidencyOutbox {
+			p.residency.report(now, p.residencyReports, false)
+			return p.residencyReports
+		},
 	}
 }
 
-// member is this proxy as its lease tells of it.
+// member describes this proxy for the renewal of its lease.
 func (p *Proxy) member(now time.Time) distribution.Member {
-	m := distribution.Member{Name: p.settings.NodeName, Zone: p.settings.Zone, BackendListVersion: p.versions[distribution.BackendListType]}
+	m := distribution.Member{
+		Name:               p.settings.NodeName,
+		Zone:               p.settings.Zone,
+		BackendListVersion: p.versions[distribution.BackendListType],
+	}
 	if p.doc != nil {
-		m.ConfigVersion, m.ConfigAgeMs = p.doc.Version(), now.Sub(p.docSince).Milliseconds()
+		m.ConfigVersion = p.doc.Version()
+		m.ConfigAgeMs = now.Sub(p.docSince).Milliseconds()
 	}
 	return m
 }
 
-// apply takes news; what can't be used is asked for anew, whole.
+// apply applies the resources of a response. One that can't be used is logged, and asked for again as a complete one
+// with the next pull.
 func (p *Proxy) apply(response *distribution.Response) {
 	routingChanged := false
 	for i := range response.Resources {
 		resource := &response.Resources[i]
 		if err := p.applyResource(resource); err != nil {
-			p.log.Warn("news not understood", zap.String("source", resource.Type), zap.Error(err))
+			p.log.Warn("resource rejected", zap.String("source", resource.Type), zap.Error(err))
 			delete(p.versions, resource.Type)
 			continue
 		}
 		p.versions[resource.Type] = resource.Version
-		routingChanged = routingChanged || resource.Type != distribution.LoadReportType && resource.Type != distribution.EjectionsType
+		switch resource.Type {
+		case distribution.LoadReportType, distribution.EjectionsType: // these go to the services directly
+		default:
+			routingChanged = true
+		}
 	}
 	if routingChanged {
 		p.rebuildSnapshot()
 	}
 }
 
+// applyResource applies one resource. A type that this build doesn't know is passed over, so that a newer control plane
+// may send more.
 func (p *Proxy) applyResource(resource *distribution.Resource) error {
 	switch resource.Type {
 	case distribution.ConfigType:
-		doc := p.doc
-		if resource.Snapshot != nil {
-			d, found := routingconfig.Decode(resource.Snapshot)
-			if err := found.Err(); err != nil {
-				return err
-			}
-			doc = d
-		} else if p.versions[resource.Type] != resource.BaseVersion {
-			return errors.New("changes of a version that is not had")
-		}
-		for _, c := range resource.Changes {
-			change := routingconfig.Update
-			if c.Replace {
-				change = routingconfig.Replace
-			}
-			d, found := change(doc, c.Body)
-			if err := found.Err(); err != nil {
-				return err
-			}
-			doc = d
-		}
-		if doc.Version() > p.doc.Version() { // never back to an older one, whoever offers it
-			p.doc, p.docSince = doc, time.Now()
-			p.log.Info("configuration in force", zap.Int64("version", doc.Version()), zap.Int("routes", doc.NumRoutes()))
-		}
+		return p.applyConfig(resource)
 	case distribution.BackendListType:
-		var list distribution.BackendList
-		if _, err := list.UnmarshalMsg(resource.Snapshot); err != nil {
-			return err
-		}
-		p.list, p.listReceived = list, true
+		return p.applyBackendList(resource)
 	case distribution.MembershipSizeType:
-		var members distribution.MembershipSize
-		if _, err := members.UnmarshalMsg(resource.Snapshot); err != nil {
-			return err
-		}
-		p.proxies, p.zoneProxies = max(members.Proxies, 1), max(members.Zones[p.settings.Zone], 1)
+		return p.applyMembershipSize(resource)
 	case distribution.LoadReportType:
-		var gauges distribution.LoadReport
-		if _, err := gauges.UnmarshalMsg(resource.Snapshot); err != nil {
+		return p.applyLoadReport(resource)
+	case distribution.EjectionsType:
+		return p.applyEjections(resource)
+	}
+	return nil
+}
+
+// applyConfig puts a configuration in force: a complete one or changes of the one in force, which is kept if the result
+// isn't newer or any of it is invalid.
+func (p *Proxy) applyConfig(resource *distribution.Resource) error {
+	doc := p.doc
+	if resource.Snapshot != nil {
+		d, found := routingconfig.Decode(resource.Snapshot)
+		if err := found.Err(); err != nil {
 			return err
 		}
-		for _, s := range p.services {
-			s.applyGauges(gauges.Active, gauges.Unresponsive)
+		doc = d
+	} else if p.versions[resource.Type] != resource.BaseVersion {
+		return errMissingBase
+	}
+	for _, c := range resource.Changes {
+		change := routingconfig.Update
+		if c.Replace {
+			change = routingconfig.Replace
 		}
-	case distribution.EjectionsType:
-		var all distribution.Ejections
-		if _, err := all.UnmarshalMsg(resource.Snapshot); err != nil {
+		d, found := change(doc, c.Body)
+		if err := found.Err(); err != nil {
 			return err
 		}
-		for _, s := range p.services {
-			s.applyEjections(all.Ejected, p.settings.Zone, outlier.ProxyCount{All: p.proxies, InZone: p.zoneProxies})
-		}
+		doc = d
+	}
+	// A node agent that has been away may offer an older one: what clients have seen in force doesn't go back.
+	if doc.Version() > p.doc.Version() {
+		p.doc = doc
+		p.docSince = time.Now()
+		p.log.Info("configuration in force", zap.Int64("version", doc.Version()), zap.Int("routes", doc.NumRoutes()))
 	}
 	return nil
 }
 
-// rebuildSnapshot has requests served by what is known now.
-func (p *Proxy) rebuildSnapshot() {
-	if p.doc == nil {
-		return
-	}
-	snapshot := &routingSnapshot{index: routingconfig.NewIndex(p.doc), limits: p.doc.Limits(), services: map[string]*service{}, version: p.doc.Version(), proxies: p.proxies}
-	snapshot.computeResidency(p.doc)
-	backends := map[string][]distribution.Backend{}
-	for _, b := range p.list.Backends {
-		backends[b.Service] = append(backends[b.Service], b)
-	}
-	for _, c := range p.doc.Services() {
-		s := p.services[c.Name]
-		if s == nil {
-			s = newService(c.Name, p.gate, p.settings.Bounds.Contact)
-			p.services[c.Name] = s
-		}
-		s.configure(c)
-		s.updateEndpoints(backends[c.Name])
-		s.mu.Lock()
-		s.retryBudget.configure(time.Now(), p.settings.Bounds.RetryRatio, p.settings.Bounds.RetryExtra, p.settings.Bounds.RetryWindow, p.proxies)
-		s.mu.Unlock()
-		snapshot.services[c.Name] = s
-	}
-	for name := range p.services {
-		if snapshot.services[name] == nil {
-			delete(p.services, name)
-		}
+// applyBackendList takes the complete endpoint list.
+func (p *Proxy) applyBackendList(resource *distribution.Resource) error {
+	var list distribution.BackendList
+	if _, err := list.UnmarshalMsg(resource.Snapshot); err != nil {
+		return err
+	}
+	p.list = list
+	p.listReceived = true
+	return nil
+}
+
+// applyMembershipSize takes the number of proxies, in all and in this one's zone: at least this one.
+func (p *Proxy) applyMembershipSize(resource *distribution.Resource) error {
+	var size distribution.MembershipSize
+	if _, err := size.UnmarshalMsg(resource.Snapshot); err != nil {
+		return err
+	}
+	p.proxies = max(size.Proxies, 1)
+	p.zoneProxies = max(size.Zones[p.settings.Zone], 1)
+	return nil
+}
+
+// applyLoadReport hands the loads that the control plane polled to the services.
+func (p *Proxy) applyLoadReport(resource *distribution.Resource) error {
+	var report distribution.LoadReport
+	if _, err := report.UnmarshalMsg(resource.Snapshot); err != nil {
+		return err
 	}
-	p.snapshot.Store(snapshot)
-	p.residency.cancelWithdrawn(snapshot)
-	if p.listReceived && !p.ready.Swap(true) {
-		close(p.becameReady)
+	for _, s := range p.services {
+		s.applyGauges(report.Active, report.Unresponsive)
 	}
+	return nil
+}
+
+// applyEjections hands the ejections of the fleet's outlier detection to the services.
+func (p *Proxy) applyEjections(resource *distribution.Resource) error {
+	var ejections distribution.Ejections
+	if _, err := ejections.UnmarshalMsg(resource.Snapshot); err != nil {
+		return err
+	}
+	count := outlier.ProxyCount{All: p.proxies, InZone: p.zoneProxies}
+	for _, s := range p.services {
+		s.applyEjections(ejections.Ejected, p.settings.Zone, count)
+	}
+	return nil
 }
--- a/internal/fleet/proxy/leaks_test.go
+++ b/internal/fleet/proxy/leaks_test.go
@@ -26,14 +26,19 @@
 )
 
 // noCheck takes the check at the send away, so that only the choice is left.
-var noCheck = []string{"if p.plot == nil || p.release || !p.plot.Allowed(t) {", "if p.plot == nil || p.release {"}
+var noCheck = []string{"if p.endpoint == nil || p.releaseOnly || !p.endpoint.Allowed(t) {",
+	"if p.endpoint == nil || p.releaseOnly {"}
 
 // noGate takes the check of the chosen place away as well.
-var noGate = []string{"if !p.Allowed(t) {\n\t\treturn Permit{}, ErrOutside\n\t}\n", ""}
+var noGate = []string{"if !e.Allowed(t) {\n\t\treturn Permit{}, ErrOutside\n\t}\n", ""}
 
-// anyDecoder has who takes memory chosen without terms.
-var anyDecoder = []string{"from *backend) *backend {\n\te := s.engines\n\tif at := s.dueTrial(req, externalapi.PhaseDecode, outlier.Risk{Idempotent: req.retryable}); at != nil {\n\t\treturn at\n\t}\n\tkey := req.prompt.PromptKey()\n\ts.ranked = s.ranker.Rank(req.now, key, func(id string) bool { return s.eligible(req, id, externalapi.PhaseDecode) }",
-	"from *backend) *backend {\n\te := s.engines\n\tif at := s.dueTrial(req, externalapi.PhaseDecode, outlier.Risk{Idempotent: req.retryable}); at != nil {\n\t\treturn at\n\t}\n\tkey := req.prompt.PromptKey()\n\ts.ranked = s.ranker.Rank(req.now, key, func(id string) bool { return !req.tried[id] && s.byID[id].Phase == externalapi.PhaseDecode }"}
+// anyDecoder has the decode backend for a KV cache chosen without terms.
+var anyDecoder = []string{
+	"decoders := func(id string) bool { return s.canDecode(req, id) }\n" +
+		"\tcost := func(id string) float64 {\n\t\tutilization := s.engines.Utilization(id)\n\t\tdelay",
+	"decoders := func(id string) bool { return !req.tried[id] && s.byID[id].Phase == externalapi.PhaseDecode }\n" +
+		"\tcost := func(id string) float64 {\n\t\tutilization := s.engines.Utilization(id)\n\t\tdelay",
+}
 
 const (
 	fileResidency      = "../residency/residency.go"
@@ -42,52 +47,54 @@
 	fileServe          = "serve.go"
 	fileBody           = "body.go"
 	fileAnswer         = "answer.go"
-	fileService        = "service.go"
+	fileUpstreams      = "upstreams.go"
 	filePlacement      = "placement.go"
+	filePolicies       = "selectionpolicies.go"
+	fileTerms          = "residencyterms.go"
+	fileSnapshot       = "routingsnapshot.go"
 	fileGenerate       = "generate.go"
 	fileStream         = "stream.go"
-	fileConfigWatch    = "configwatch.go"
 )
 
 var residencyLeaks = []leak{
 	// Types that can't be confused.
 	{"a send without a permit", "compiler", map[string][]string{fileGenerate: {"cr.startExchange(ctx, permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)", "cr.startExchange(ctx, b, &cr.outbound, &opts, cr.connectDeadline(), deadline)"}}},
 	{"a permit made by hand", "compiler", map[string][]string{filePlacement: {"pl.decodePermit, err = pl.decode.endpoint.Permit(terms)", "pl.decodePermit, err = (residency.Permit{endpoint: pl.decode.endpoint}), error(nil)"}}},
-	{"a connection past the permit", "compiler", map[string][]string{fileResidencyCheck: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return cr.svc.byID[permit.ID()].plot.way.AcquireConn(ctx, out.id)"}}},
-	{"a connection from the pool", "compiler", map[string][]string{fileResidencyCheck: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return cr.v.pool.Way(permit.Address()).AcquireConn(ctx, out.id)"}}},
+	{"a connection past the permit", "compiler", map[string][]string{fileResidencyCheck: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return cr.svc.byID[permit.ID()].endpoint.conns.Lend(ctx, out.id)"}}},
+	{"a connection from the pool", "compiler", map[string][]string{fileResidencyCheck: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return cr.proxy.pool.Way(permit.Address()).Lend(ctx, out.id)"}}},
 	{"a handle without a permit", "compiler", map[string][]string{fileGenerate: {"from: b, permit: permit, tokens", "from: b, permit: b, tokens"}}},
 	// The choice alone: the send would refuse, so that requests are lost.
-	{"plain requests are chosen anywhere", placementTests, map[string][]string{fileService: {"return !tried[id] && (!restricted || s.withinTerms(id, terms)) }", "return !tried[id] || restricted && tried[id] && false }"}}},
-	{"prompts are placed anywhere", placementTests, map[string][]string{filePlacement: {"return split && reads(id) || s.eligible(req, id, externalapi.PhaseDecode)", "return !req.tried[id] && (split && s.byID[id].Phase == externalapi.PhasePrefill || s.byID[id].Phase == externalapi.PhaseDecode)"}}},
-	{"memory is taken anywhere", placementTests, map[string][]string{filePlacement: anyDecoder}},
+	{"plain requests are chosen anywhere", placementTests, map[string][]string{filePlacement: {"return !tried[id] && (!restricted || s.withinTerms(id, terms))\n", "return !tried[id] || restricted && tried[id] && false\n"}}},
+	{"prompts are placed anywhere", placementTests, map[string][]string{filePolicies: {"return split && s.canPrefill(req, id) || s.canDecode(req, id)", "return !req.tried[id] && (split && s.byID[id].Phase == externalapi.PhasePrefill || s.byID[id].Phase == externalapi.PhaseDecode)"}}},
+	{"memory is taken anywhere", placementTests, map[string][]string{filePolicies: anyDecoder}},
 	// The terms.
 	{"an unknown region is allowed", placementTests, map[string][]string{fileResidency: {`return region != "" && slices.Contains(t.regions, region)`, `return region == "" || slices.Contains(t.regions, region)`}}},
-	{"nothing in common is anywhere", "^TestTermsOf$", map[string][]string{fileResidency: {"return Terms{bound: true, regions: both}", "return Terms{bound: len(both) > 0, regions: both}"}}},
-	{"a tenant's routes carry no terms", residencyTests + "Steady", map[string][]string{fileResidencyCheck: {"one.terms = base", "_ = base"}}},
-	{"terms are those of the route when the request came", residencyTests + "Withdrawn", map[string][]string{fileResidencyCheck: {"if snapshot := cr.proxy.snapshot.Load(); snapshot != cr.snapshot {", "if snapshot := cr.proxy.snapshot.Load(); false {"}, fileStream: {"cr.tried, false, cr.terms())", "cr.tried, false, cr.subject.came)"}}},
-	{"sends under way are not cut", residencyTests + "Withdrawn", map[string][]string{fileConfigWatch: {"p.residency.cancelWithdrawn(snapshot)", ""}}},
-	{"streams that got terms go on", residencyTests + "TermsAppear", map[string][]string{fileResidencyCheck: {"if terms := cr.terms(); terms.Restricted() && e.permit.Check(terms) != nil {", "if terms := cr.terms(); terms.Restricted() && false {"}}},
+	{"nothing in common is anywhere", "^TestTermsOf$", map[string][]string{fileResidency: {"return Terms{restricted: true, regions: both}", "return Terms{restricted: len(both) > 0, regions: both}"}}},
+	{"a tenant's routes carry no terms", residencyTests + "Steady", map[string][]string{fileTerms: {"bound.terms = tenantTerms\n", "_ = tenantTerms\n"}}},
+	{"terms are those of the route when the request came", residencyTests + "Withdrawn", map[string][]string{fileResidencyCheck: {"if snapshot := rc.latest.Load(); snapshot != rc.snapshot {", "if snapshot := rc.latest.Load(); false {"}, fileStream: {"cr.tried, false, cr.terms())", "cr.tried, false, cr.subject.arrivalTerms)"}}},
+	{"sends under way are not cut", residencyTests + "Withdrawn", map[string][]string{fileSnapshot: {"p.residency.cancelWithdrawn(snapshot)", ""}}},
+	{"streams that got terms go on", residencyTests + "TermsAppear", map[string][]string{fileResidencyCheck: {"if terms := rc.terms(); terms.Restricted() && e.permit.Check(terms) != nil {", "if terms := rc.terms(); terms.Restricted() && false {"}}},
 	{"the source of a handle is not watched", residencyTests + "HandleWithdrawn", map[string][]string{fileResidencyCheck: {"send.permits = append(send.permits, opts.handle.permit)", ""}}},
-	{"a handle outside is not freed", residencyTests + "HandleWithdrawn", map[string][]string{fileResidencyCheck: {"return permit.AcquireReleaseConn(ctx, out.id)", "return permit.Lend(ctx, t.terms(), out.id)"}}},
-	{"a corrected zone is not taken over", residencyTests + "Relisted", map[string][]string{fileService: {"old.endpoint.SetZone(b.Zone)", ""}}},
+	{"a handle outside is not freed", residencyTests + "HandleWithdrawn", map[string][]string{fileResidencyCheck: {"return permit.AcquireReleaseConn(ctx, out.id)", "return permit.AcquireConn(ctx, cr.terms(), out.id)"}}},
+	{"a corrected zone is not taken over", residencyTests + "Relisted", map[string][]string{fileUpstreams: {"old.endpoint.SetZone(b.Zone)", ""}}},
 	// Both checks gone: what then rests outside, the auditor sees.
-	{"no check at all", residencyTests + "Steady", map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), fileService: {"return s.byID[id].endpoint.Allowed(terms)", "return true"}}},
-	{"spills over when nothing is left inside", residencyTests + "Overload$", map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), fileService: {
-		"if len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]", "if len(s.ranked) == 0 {\n\t\t\ts.ranked = s.ranker.Rank(s.now(), key, func(id string) bool { return !tried[id] }, capFactor, nil, s.ranked[:0])\n\t\t}\n\t\tif len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]"}}},
+	{"no check at all", residencyTests + "Steady", map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), fileUpstreams: {"return s.byID[id].endpoint.Allowed(terms)", "return true"}}},
+	{"spills over when nothing is left inside", residencyTests + "Overload$", map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), filePlacement: {
+		"if len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]", "if len(s.ranked) == 0 {\n\t\t\ts.ranked = s.ranker.Rank(s.now(), key, func(id string) bool { return !tried[id] }, plainLoadFactor, nil, s.ranked[:0])\n\t\t}\n\t\tif len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]"}}},
 	{"retries go anywhere", residencyTests + "UnderFaults$/^[a-z_]+$", map[string][]string{fileResidency: noCheck, fileServe: {"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())", "cr.svc.selectPlain(key, cr.retryable(), cr.tried, map[bool]residency.Terms{true: cr.terms()}[len(cr.tried) == 0])"}}},
 	{"streams are resumed anywhere", residencyTests + "Resumes$", map[string][]string{fileResidency: noCheck, fileStream: {"cr.tried, false, cr.terms())", "cr.tried, false, residency.Terms{})", `"molepaddle/internal/fleet/scheduler"`, "\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\""}}},
-	{"takers stand anywhere", residencyTests + "Decoders$", map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), filePlacement: anyDecoder}},
-	{"the send looks at other terms", residencyTests + "Withdrawn", map[string][]string{fileResidencyCheck: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return permit.AcquireConn(ctx, residency.Terms{}, out.id)", "if err := p.Check(terms); err != nil {", "_ = terms\n\t\tif err := p.Check(t.subject.came); err != nil {"},
-		fileGenerate: {"cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, split, terms)", "cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, split, cr.subject.came)"}, fileStream: {"cr.tried, false, cr.terms())", "cr.tried, false, cr.subject.came)"}}},
+	{"takers stand anywhere", residencyTests + "Decoders$", map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), filePolicies: anyDecoder}},
+	{"the send looks at other terms", residencyTests + "Withdrawn", map[string][]string{fileResidencyCheck: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return permit.AcquireConn(ctx, residency.Terms{}, out.id)", "if err := p.Check(terms); err != nil {", "_ = terms\n\t\tif err := p.Check(rc.subject.arrivalTerms); err != nil {"},
+		fileGenerate: {"cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, split, terms)", "cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, cr.route.LatencyTarget(), cr.tried, split, cr.subject.arrivalTerms)"}, fileStream: {"cr.tried, false, cr.terms())", "cr.tried, false, cr.subject.arrivalTerms)"}}},
 	// And what the drawn days find, most of them by what is lost where it need not be.
-	{"plain requests are chosen anywhere, on drawn days", drawnDaysTests, map[string][]string{fileService: {"return !tried[id] && (!restricted || s.withinTerms(id, terms)) }", "return !tried[id] || restricted && tried[id] && false }"}}},
-	{"sends under way are not cut, on drawn days", drawnDaysTests, map[string][]string{fileConfigWatch: {"p.residency.cancelWithdrawn(snapshot)", ""}}},
-	{"nothing is checked, on drawn days", drawnDaysTests, map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), fileService: {"return s.byID[id].endpoint.Allowed(terms)", "return true"}}},
+	{"plain requests are chosen anywhere, on drawn days", drawnDaysTests, map[string][]string{filePlacement: {"return !tried[id] && (!restricted || s.withinTerms(id, terms))\n", "return !tried[id] || restricted && tried[id] && false\n"}}},
+	{"sends under way are not cut, on drawn days", drawnDaysTests, map[string][]string{fileSnapshot: {"p.residency.cancelWithdrawn(snapshot)", ""}}},
+	{"nothing is checked, on drawn days", drawnDaysTests, map[string][]string{fileResidency: append(append([]string{}, noCheck...), noGate...), fileUpstreams: {"return s.byID[id].endpoint.Allowed(terms)", "return true"}}},
 	{"retries go anywhere, on drawn days", drawnDaysTests, map[string][]string{fileResidency: noCheck, fileServe: {"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())", "cr.svc.selectPlain(key, cr.retryable(), cr.tried, map[bool]residency.Terms{true: cr.terms()}[len(cr.tried) == 0])"}}},
 	{"streams are resumed anywhere, on drawn days", drawnDaysTests, map[string][]string{fileResidency: noCheck, fileStream: {"cr.tried, false, cr.terms())", "cr.tried, false, residency.Terms{})", `"molepaddle/internal/fleet/scheduler"`, "\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\""}}},
-	{"a corrected zone is not taken over, on drawn days", drawnDaysTests, map[string][]string{fileService: {"old.endpoint.SetZone(b.Zone)", ""}}},
+	{"a corrected zone is not taken over, on drawn days", drawnDaysTests, map[string][]string{fileUpstreams: {"old.endpoint.SetZone(b.Zone)", ""}}},
 	{"an address is taken for the backend that had it", drawnDaysTests, map[string][]string{fileExchange: {"line(externalapi.HeaderTargetBackend, opts.target)", "_ = opts.target"}}},
-	{"what may have run is refused", drawnDaysTests, map[string][]string{fileAnswer: {"case cr.mayHaveRun:\n\t\tcr.proxy.reject(cr.w, http.StatusBadGateway, 0, why)", "case cr.mayHaveRun:\n\t\tcr.proxy.reject(cr.w, http.StatusServiceUnavailable, soonAgain, why)"}}},
+	{"what may have run is refused", drawnDaysTests, map[string][]string{fileAnswer: {"case cr.mayHaveRun:\n\t\tcr.proxy.reject(cr.w, http.StatusBadGateway, 0, why)", "case cr.mayHaveRun:\n\t\tcr.proxy.reject(cr.w, http.StatusServiceUnavailable, minRetryAfter, why)"}}},
 	{"what may have run is sent again", drawnDaysTests, map[string][]string{fileServe: {"(!cr.mayHaveRun || cr.route.Idempotent()) && cr.sends", "cr.sends"}}},
 }
 
--- /dev/null
+++ b/internal/fleet/proxy/loadreports.go
@@ -0,0 +1,121 @@
+package proxy
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"molepaddle/internal/fleet/distribution"
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/outlier"
+	"molepaddle/policy"
+)
+
+// attemptEnded counts the end of an attempt, as its selection counted its beginning.
+func (s *service) attemptEnded(id string, how policy.Status) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ranker.AttemptEnded(s.now(), id, how)
+}
+
+// parseLoad reads the load that a backend reports in a response header, "active,waiting" with more fields to come;
+// false: it isn't one.
+func parseLoad(load string) (active, waiting int, ok bool) {
+	activeText, rest, found := strings.Cut(load, ",")
+	waitingText, _, _ := strings.Cut(rest, ",")
+	active, activeErr := strconv.Atoi(strings.TrimSpace(activeText))
+	waiting, waitingErr := strconv.Atoi(strings.TrimSpace(waitingText))
+	return active, waiting, found && activeErr == nil && waitingErr == nil
+}
+
+// recordLoad records the load that a backend reported with a response. Anything else in its place is ignored.
+func (s *service) recordLoad(id, load string) {
+	active, waiting, ok := parseLoad(load)
+	if !ok {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.engines != nil {
+		s.engines.ObserveResponseLoad(s.now(), id, active, waiting)
+	}
+}
+
+// awaitHeader records that a request waits for the response header of a backend. The caller calls done when that ends,
+// and says whether a header came.
+func (s *service) awaitHeader(id string) (done func(came bool)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	since := s.engines.AwaitHeaders(s.now(), id)
+	return func(came bool) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.engines.AwaitEnded(s.now(), id, since, came)
+	}
+}
+
+// recordPace records how long a sample of a stream's events took at a backend.
+func (s *service) recordPace(id string, took time.Duration, events int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ms := milliseconds(took)
+	s.pace.Observe(s.now(), ms, events)
+	result := outlier.StreamedOnPace
+	if s.recent.gap.ms > 0 && ms/float64(events) > s.slowGapMs() {
+		result = outlier.Slow
+	}
+	s.recorder.ObservePart(id, result)
+}
+
+// slowestPace is the slowest mean time per event of recent streams; 0: there were none.
+func (s *service) slowestPace() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Duration(s.pace.Slowest(s.now()) * float64(time.Millisecond))
+}
+
+// recordShed records whether a backend rejected a request because it was full.
+func (s *service) recordShed(id string, shed bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if shed {
+		s.engines.ObserveRejection(s.now(), id)
+	} else {
+		s.engines.ObserveAcceptance(id)
+	}
+}
+
+// recordPrefill records how long a prefill took that was expected to take so many milliseconds.
+func (s *service) recordPrefill(expectedMs float64, took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.engines.ObservePrefill(expectedMs, milliseconds(took))
+}
+
+// applyGauges applies the loads that the control plane polled: the requests at decode backends by id, and the ids of
+// backends that did not respond. A report that is cut off at its maximum names the most loaded ones: decode backends
+// that it doesn't name have the least load named, at the most, and count as having it.
+func (s *service) applyGauges(active map[string]int, unresponsive []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.engines == nil {
+		return
+	}
+	least := 0
+	if len(active) >= distribution.MaxLoadReportBackends {
+		least = slices.Min(slices.Collect(maps.Values(active)))
+	}
+	now := s.now()
+	for id, b := range s.byID {
+		if n, ok := active[id]; ok {
+			s.engines.ObservePolledLoad(now, id, n)
+		} else if least > 0 && b.Phase == externalapi.PhaseDecode {
+			s.engines.ObservePolledLoad(now, id, least)
+		}
+	}
+	for _, id := range unresponsive {
+		s.engines.MarkUnresponsive(now, id)
+	}
+}
--- a/internal/fleet/proxy/proxy.go
+++ b/internal/fleet/proxy/proxy.go
@@ -1,6 +1,13 @@
-// Package proxy is the fleet's proxy, the data plane. It takes
-// clients' requests, finds their route, and has `policy` and `scheduler` choose the backend. What it knows of the fleet
-// comes from the node agent beside it, over loopback; it serves on with what it has when nothing comes.
+// Package proxy is the fleet's proxy, the data plane: it accepts clients' requests, finds their route, has `policy` and
+// `scheduler` choose the backend, and copies the response back. It retries within the limits of the route and of the
+// retry budget, and keeps residency-bound data inside its regions.
+//
+// It decides nothing about the fleet. Configuration, endpoint list, loads and ejections come from the node agent on the
+// same machine, over loopback; while nothing comes, the proxy serves on with what it has.
+//
+// ServeHTTP may be called from any goroutine. A request keeps the routing snapshot that it began with; only its
+// residency terms follow newer ones. A service's state is guarded by that service's lock. What the proxy has received
+// from the node agent belongs to the goroutine of the configuration watch, which publishes it as one routing snapshot.
 package proxy
 
 import (
@@ -19,88 +26,113 @@
 	"molepaddle/internal/decide/lifecycle"
 	"molepaddle/internal/fleet/distribution"
 	"molepaddle/internal/fleet/residency"
-	"molepaddle/internal/fleet/routingconfig"
 	"molepaddle/internal/fleet/settings"
 	"molepaddle/internal/protocol/sockets"
 	"molepaddle/internal/protocol/transport"
 )
 
-// Proxy is one proxy.
+const (
+	// assumedProxies stands for the number of proxies until the control plane has reported it. It is on the high side,
+	// as the retry budget is divided by it.
+	assumedProxies = 16
+	// defaultFiles is the limit of file descriptors where the settings give none.
+	defaultFiles = 1024
+	// reservedFiles is how many descriptors are kept for what is no connection to a backend or client (DEPLOY: 200 for
+	// files).
+	reservedFiles = 260
+	// minConnSlots is how many connections there may be, however low the limit of descriptors.
+	minConnSlots = 64
+	// backendIdleTimeout is how long a connection to a backend is kept without use.
+	backendIdleTimeout = 10 * time.Second
+	// backendSettleTime is how long a connection rests before its next use: surplus bytes of a response come right
+	// behind it and are seen by then.
+	backendSettleTime = time.Millisecond
+	// maxSettlingConns is how many connections to one backend may rest before an attempt waits for one of them rather
+	// than opens another.
+	maxSettlingConns = 4
+	// readinessHeaderTimeout bounds the time in which the platform sends the header of a readiness check.
+	readinessHeaderTimeout = 2 * time.Second
+	// counterInterval is the time between two log lines of the counters.
+	counterInterval = 10 * time.Second
+)
+
+// Proxy is one proxy process. Its fields are set by New and not replaced; what changes is guarded as said with each.
 type Proxy struct {
-	ctx              context.Context
-	settings         settings.Settings
-	log              *zap.Logger
-	pool             interface{ Close() } // the way to a backend is its plot's alone
-	gate             *residency.Gate
-	ready            atomic.Bool   // a configuration and a list are there
-	becameReady      chan struct{} // closed when they first are
-	snapshot         atomic.Pointer[routingSnapshot]
-	lifecycle        *lifecycle.Machine
-	inFlight         atomic.Int64
-	shutdown         gracefulShutdown
-	background       sync.WaitGroup
-	answersByStatus  *xsync.Map[int, *xsync.Counter]
-	residency        *residencyTracker
-	residencyReports *distribution.ResidencyOutbox // batches of the ledger, until they are kept
-	outcomes         *distribution.OutcomeQueue
-
-	// What follows belongs to the feed's goroutine.
-	versions     map[string]distribution.Version
-	services     map[string]*service
-	doc          *routingconfig.Document
-	docSince     time.Time // when that came into force
-	list         distribution.BackendList
-	listReceived bool
-	proxies      int
-	// neighbours is how many of the proxies are in this one's zone.
-	zoneProxies int
-}
+	ctx      context.Context // of the process: calls that outlive their request end with it
+	settings settings.Settings
+	log      *zap.Logger
 
-// routingSnapshot is what requests are served by, replaced whole.
-type routingSnapshot struct {
-	index            *routingconfig.Index
-	limits           *routingconfig.Limits
-	services         map[string]*service
-	version          int64
-	proxies          int                        // of the fleet, as the control plane counts them
-	residencyByRoute map[string]*routeResidency // of enclosed routes, by name
-	termsByTenant    map[string]residency.Terms // by name
-}
+	// Serving. The pool is only closed here: connections are acquired through the gate, which checks residency terms.
+	pool       interface{ Close() }
+	gate       *residency.Gate
+	snapshot   atomic.Pointer[routingSnapshot] // nil until the first configuration
+	inFlight   atomic.Int64                    // requests under way
+	background sync.WaitGroup                  // calls that release KV handles
+
+	// Start and end of the process.
+	lifecycle   *lifecycle.Machine
+	ready       atomic.Bool   // a configuration and an endpoint list have come
+	becameReady chan struct{} // closed when ready is first set
+	shutdown    gracefulShutdown
 
-// assumedProxies stands for how many proxies there are until that is known.
-const assumedProxies = 16
+	// Reports.
+	answersByStatus  *xsync.Map[int, *xsync.Counter] // final answers; 0: broken off
+	residency        *residencyTracker
+	residencyReports *distribution.ResidencyOutbox // batches of the residency log, until they are acknowledged
+	outcomes         *distribution.OutcomeQueue    // results of attempts for the fleet's outlier detection
 
-// reservedFiles is how many descriptors are kept for what is no connection to a backend or client (DEPLOY: 200 for files).
-const reservedFiles = 260
+	configState
+}
 
-// New makes a proxy that knows nothing yet.
+// New returns a proxy that has no configuration yet. It opens no socket; Run does. The context is that of the process:
+// calls that release KV handles end with it.
 func New(ctx context.Context, set settings.Settings, log *zap.Logger) *Proxy {
 	files := set.Limits.Files
 	if files <= 0 {
-		files = 1024
+		files = defaultFiles
+	}
+	connSlots := max(files-reservedFiles, minConnSlots)
+	dialer := &net.Dialer{
+		KeepAlive: -1, // the user time-out finds dead machines, sooner
+		Control:   sockets.UserTimeout(set.Bounds.Contact),
+	}
+	pool := transport.New(transport.Options{
+		Dial:    dialer.DialContext,
+		Timeout: connectTimeout,
+		Idle:    backendIdleTimeout,
+		Most:    connSlots / 2, // the other half is for clients
+		Settle:  backendSettleTime,
+		Resting: maxSettlingConns,
+	})
+	return &Proxy{
+		ctx:              ctx,
+		settings:         set,
+		log:              log,
+		pool:             pool,
+		gate:             residency.NewGate(pool, set.Zones),
+		lifecycle:        lifecycle.New(),
+		becameReady:      make(chan struct{}),
+		answersByStatus:  xsync.NewMap[int, *xsync.Counter](),
+		residency:        newResidencyTracker(),
+		residencyReports: distribution.NewResidencyOutbox(),
+		outcomes:         distribution.NewOutcomeQueue(),
+		configState: configState{
+			versions:    map[string]distribution.Version{},
+			services:    map[string]*service{},
+			proxies:     assumedProxies,
+			zoneProxies: assumedProxies,
+		},
 	}
-	connSlots := max(files-reservedFiles, 64)
-	p := &Proxy{ctx: ctx, settings: set, log: log, lifecycle: lifecycle.New(), becameReady: make(chan struct{}), versions: map[string]distribution.Version{}, services: map[string]*service{}, proxies: assumedProxies, zoneProxies: assumedProxies,
-		answersByStatus: xsync.NewMap[int, *xsync.Counter](), residency: newResidencyTracker(), residencyReports: distribution.NewResidencyOutbox(), outcomes: distribution.NewOutcomeQueue()}
-	dialer := &net.Dialer{KeepAlive: -1, Control: sockets.UserTimeout(set.Bounds.Contact)}
-	pool := transport.New(transport.Options{Dial: dialer.DialContext, Timeout: connectTimeout, Idle: 10 * time.Second, Most: connSlots / 2,
-		Settle: time.Millisecond, Resting: 4})
-	p.pool, p.gate = pool, residency.NewGate(pool, set.Zones)
-	return p
-}
-
-// countAnswer counts a final answer by its status; 0: broken off.
-func (p *Proxy) countAnswer(status int) {
-	c, _ := p.answersByStatus.LoadOrCompute(status, func() (*xsync.Counter, bool) { return xsync.NewCounter(), false })
-	c.Inc()
 }
 
-// Ready tells whether requests can be served: a configuration and a list are there.
+// Ready tells whether requests can be served: a configuration and an endpoint list have come, and the proxy isn't
+// draining.
 func (p *Proxy) Ready() bool {
 	return p.ready.Load() && !p.lifecycle.Leaving()
 }
 
-// Run serves until ctx ends, then finishes what it holds within the platform's grace.
+// Run serves clients and readiness checks until ctx ends, then drains within the platform's grace period. It returns an
+// error if the settings name no address, if it can't listen, or if the listener of clients fails.
 func (p *Proxy) Run(ctx context.Context) error {
 	if p.settings.Bind.Edge == "" || p.settings.Bind.Ready == "" {
 		return errors.New("bind: edge and readyz must be given")
@@ -113,11 +145,7 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for readiness")
 	}
-	readiness := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if !p.lifecycle.AnswerReady(p.Ready()) {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
-	}), ReadHeaderTimeout: 2 * time.Second}
+	readiness := p.readinessServer()
 	go func() { _ = readiness.Serve(ready) }()
 	server := p.clientServer()
 	p.log.Info("started")
@@ -138,9 +166,30 @@
 	return nil
 }
 
-// logChanges writes counters now and then.
+// readinessServer answers the platform's readiness checks: 200 if the proxy is ready, else 503. It serves on while the
+// proxy drains, so that the platform sees it as not ready rather than as dead.
+func (p *Proxy) readinessServer() *http.Server {
+	answer := func(w http.ResponseWriter, _ *http.Request) {
+		if !p.lifecycle.AnswerReady(p.Ready()) {
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
+	}
+	return &http.Server{
+		Handler:           http.HandlerFunc(answer),
+		ReadHeaderTimeout: readinessHeaderTimeout,
+	}
+}
+
+// countAnswer counts a final answer by its status; 0: it was broken off.
+func (p *Proxy) countAnswer(status int) {
+	newCounter := func() (*xsync.Counter, bool) { return xsync.NewCounter(), false }
+	counter, _ := p.answersByStatus.LoadOrCompute(status, newCounter)
+	counter.Inc()
+}
+
+// logCounters logs the counters and the changed entries of the residency log every counterInterval, until ctx ends.
 func (p *Proxy) logCounters(ctx context.Context) {
-	tick := time.NewTicker(10 * time.Second)
+	tick := time.NewTicker(counterInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -153,7 +202,7 @@
 	}
 }
 
-// counters are what the log tells of the requests: how many are under way, and the answers by their status.
+// counters returns the log fields of the requests under way and of the answers by status.
 func (p *Proxy) counters() []zap.Field {
 	fields := []zap.Field{zap.Int64("open", p.inFlight.Load())}
 	p.answersByStatus.Range(func(status int, c *xsync.Counter) bool {
@@ -163,6 +212,7 @@
 	return fields
 }
 
+// statusName is the status as it stands in the name of a counter; "cut": the answer was broken off.
 func statusName(status int) string {
 	if status == 0 {
 		return "cut"
--- /dev/null
+++ b/internal/fleet/proxy/routingsnapshot.go
@@ -0,0 +1,67 @@
+package proxy
+
+import (
+	"molepaddle/internal/fleet/distribution"
+	"molepaddle/internal/fleet/residency"
+	"molepaddle/internal/fleet/routingconfig"
+)
+
+// routingSnapshot is what requests are served by. It is immutable but for the services, which have locks of their own,
+// and is replaced as one value.
+type routingSnapshot struct {
+	index    *routingconfig.Index
+	limits   *routingconfig.Limits
+	services map[string]*service // by name
+	version  int64               // of the configuration
+	proxies  int                 // of the fleet, as the control plane counts them
+
+	residencyByRoute map[string]*routeResidency // of residency-bound routes, by name
+	termsByTenant    map[string]residency.Terms // by name
+}
+
+// rebuildSnapshot publishes a routing snapshot of the configuration and the endpoint list received so far. Attempts
+// under way that the new residency terms no longer allow are cancelled. It does nothing before the first configuration.
+func (p *Proxy) rebuildSnapshot() {
+	if p.doc == nil {
+		return
+	}
+	snapshot := &routingSnapshot{
+		index:    routingconfig.NewIndex(p.doc),
+		limits:   p.doc.Limits(),
+		services: map[string]*service{},
+		version:  p.doc.Version(),
+		proxies:  p.proxies,
+	}
+	snapshot.computeResidency(p.doc)
+	p.updateServices(snapshot.services)
+	p.snapshot.Store(snapshot)
+	p.residency.cancelWithdrawn(snapshot)
+	if p.listReceived && !p.ready.Swap(true) {
+		close(p.becameReady)
+	}
+}
+
+// updateServices brings the services to the configuration and the endpoint list received, adds them to current and
+// forgets those that are no longer configured. Requests that hold a forgotten one finish with it.
+func (p *Proxy) updateServices(current map[string]*service) {
+	backends := map[string][]distribution.Backend{}
+	for _, b := range p.list.Backends {
+		backends[b.Service] = append(backends[b.Service], b)
+	}
+	for _, c := range p.doc.Services() {
+		s := p.services[c.Name]
+		if s == nil {
+			s = newService(c.Name, p.gate, p.settings.Bounds.Contact)
+			p.services[c.Name] = s
+		}
+		s.configure(c)
+		s.updateEndpoints(backends[c.Name])
+		s.configureRetries(&p.settings.Bounds, p.proxies)
+		current[c.Name] = s
+	}
+	for name := range p.services {
+		if current[name] == nil {
+			delete(p.services, name)
+		}
+	}
+}
--- a/internal/fleet/proxy/serve.go
+++ b/internal/fleet/proxy/serve.go
@@ -41,20 +41,18 @@
 
 // clientRequest is one request of a client under way.
 type clientRequest struct {
-	proxy          *Proxy
-	w              http.ResponseWriter
-	outbound       outboundRequest
-	route          *routingconfig.Route
-	svc            *service
-	snapshot       *routingSnapshot // whose terms these are
-	subject        subject          // whose data it carries
-	residencyTerms residency.Terms
-	arrivedAt      time.Time
-	deadline       time.Time
-	mayHaveRun     bool // it may have run at a backend
-	tried          map[string]bool
-	sends          int
-	retryAfter     time.Duration // advice, once nothing ran
+	proxy    *Proxy
+	w        http.ResponseWriter
+	outbound outboundRequest
+	route    *routingconfig.Route
+	svc      *service
+	residencyCheck
+	arrivedAt  time.Time
+	deadline   time.Time
+	mayHaveRun bool // it may have run at a backend
+	tried      map[string]bool
+	sends      int
+	retryAfter time.Duration // advice, once nothing ran
 }
 
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/fleet/proxy/shutdown.go
+++ b/internal/fleet/proxy/shutdown.go
@@ -13,35 +13,44 @@
 )
 
 const (
-	// acceptWindow is for how long a leaving proxy still accepts connections: the platform asks every second whether it is
-	// ready, and turns clients away after two misses.
+	// acceptWindow is for how long a draining proxy still accepts connections: the platform checks every second
+	// whether it is ready, and sends clients elsewhere after two misses.
 	acceptWindow = 3 * time.Second
-	// forceCloseMargin is how long before the end of the grace what is still open is closed.
+	// forceCloseMargin is how long before the end of the grace period what is still open is closed: the process has to
+	// end before it is killed.
 	forceCloseMargin = 300 * time.Millisecond
-	// firstByteTargets is how many times a route's aim an answer may take to its first byte.
+	// firstByteTargets is how many latency targets of its route an answer may take to its first byte.
 	firstByteTargets = 4
-	// paceFactor is how much slower than of late a stream's events may come.
+	// paceFactor is how many times as slowly as in recent streams the events of a stream may come.
 	paceFactor = 2
 	// notReadyLag is how long after a proxy's answer that it isn't ready the platform still sends it clients, at the
 	// most: two misses, a second apart, and some time for the way.
 	notReadyLag = 2200 * time.Millisecond
-	// retryElsewhereAfter is when a client that a leaving proxy sends away is told to come back, where it will meet another one.
+	// retryElsewhereAfter is the least Retry-After of a draining proxy: a client that retries then meets another one.
 	retryElsewhereAfter = 10 * time.Millisecond
-	// manyProxiesPerZone is how many proxies a zone has to have for a client that comes back at once to meet another one nearly
-	// always. With fewer it comes back to the leaving one too often, and most clients come back but once.
+	// manyProxiesPerZone is how many proxies a zone has to have for a client that retries at once to meet another one
+	// nearly always. With fewer it meets the draining one too often, and most clients retry but once.
 	manyProxiesPerZone = 5
 )
 
-// gracefulShutdown is the end of a proxy that was told to end: until when its answers may take, and what has come since.
+// gracefulShutdown is the state of a proxy's shutdown: until when its answers may take, and the requests that arrived
+// since it began. Its zero value is that of a proxy that serves on. It may be used from any goroutine.
 type gracefulShutdown struct {
-	began    time.Time                 // set before end
-	closeAt  atomic.Pointer[time.Time] // when what is open is closed; nil: the proxy stays
-	accepted atomic.Int64              // requests that came since
+	began    time.Time                 // written before closeAt is stored, read after it was seen
+	closeAt  atomic.Pointer[time.Time] // when open connections are closed; nil: the proxy serves on
+	accepted atomic.Int64              // requests that arrived since it began
 	inFlight atomic.Int64              // those of them that are under way
-	rejected atomic.Int64              // those of them that were refused as they might outlast the proxy
+	rejected atomic.Int64              // those of them that were rejected as they might outlast the proxy
 }
 
-// outlasts tells whether an answer that may take so long, and has to be there by the deadline, may come after the proxy's end.
+// begin begins the shutdown: what is open is closed at the time given.
+func (gs *gracefulShutdown) begin(now, closeAt time.Time) {
+	gs.began = now
+	gs.closeAt.Store(&closeAt)
+}
+
+// outlasts tells whether an answer that may take so long, and has to be complete by the deadline, may come after the
+// proxy has closed its connections.
 func (gs *gracefulShutdown) outlasts(now, deadline time.Time, longest time.Duration) bool {
 	end := gs.closeAt.Load()
 	if end == nil || !deadline.After(*end) {
@@ -50,15 +59,15 @@
 	return now.Add(longest).After(*end)
 }
 
-// arrivedAt counts a request that comes while the proxy leaves; the caller calls ended when it is over.
+// track counts a request that arrives during the shutdown. The caller calls ended when it is over.
 func (gs *gracefulShutdown) track() (ended func()) {
 	gs.accepted.Add(1)
 	gs.inFlight.Add(1)
 	return func() { gs.inFlight.Add(-1) }
 }
 
-// backendRetryAfter is when a client that is sent away is to come back: at once in a zone of many proxies, else once the platform sends
-// clients to the others only.
+// retryAfter is when a rejected client is to retry: at once in a zone of many proxies, else when the platform sends
+// clients to the other ones only.
 func (gs *gracefulShutdown) retryAfter(now time.Time, proxiesInZone int) time.Duration {
 	if proxiesInZone >= manyProxiesPerZone {
 		return retryElsewhereAfter
@@ -66,15 +75,14 @@
 	return max(notReadyLag-now.Sub(gs.began), retryElsewhereAfter)
 }
 
-// longestAnswer is how long an answer may take: to its first byte by the route's aim, and for a stream from there on as long as all of
-// its tokens take one by one, each with the longest pause that still is in time, or less where the streams of late were faster.
-// Where nothing tells, it is the time left.
+// longestAnswer is how long an answer may take, at most the time left to the deadline: firstByteTargets latency
+// targets to its first byte, and for a stream as long from there on as all of its tokens take one by one, each with
+// the longest gap that the route allows, or paceFactor times the gap of recent streams if that is less. Where the
+// route or the prompt doesn't bound it, it is the time left.
 func (cr *clientRequest) longestAnswer(now time.Time, prompt *scheduler.Prompt) time.Duration {
 	remaining := cr.deadline.Sub(now)
-	first, gap := firstByteTargets*cr.route.LatencyTarget(), cr.route.EventGapTarget()
-	if pace := paceFactor * cr.svc.slowestPace(); pace > 0 && (gap <= 0 || pace < gap) {
-		gap = pace
-	}
+	first := firstByteTargets * cr.route.LatencyTarget()
+	gap := cr.longestEventGap()
 	switch {
 	case first <= 0:
 		return remaining
@@ -82,40 +90,54 @@
 		return min(first, remaining)
 	case prompt == nil || prompt.MaxOutputTokens <= 0 || gap <= 0:
 		return remaining
-	case time.Duration(prompt.MaxOutputTokens) > remaining/gap: // compared before it is multiplied: a client may name any number
+	}
+	tokens := time.Duration(prompt.MaxOutputTokens)
+	if tokens > remaining/gap { // compared before it is multiplied: a client may name any number
 		return remaining
 	}
-	return min(first+time.Duration(prompt.MaxOutputTokens)*gap, remaining)
+	return min(first+tokens*gap, remaining)
+}
+
+// longestEventGap is the longest time that is expected between two events of a stream; 0: nothing bounds it.
+func (cr *clientRequest) longestEventGap() time.Duration {
+	gap := cr.route.EventGapTarget()
+	pace := paceFactor * cr.svc.slowestPace()
+	if pace > 0 && (gap <= 0 || pace < gap) {
+		return pace
+	}
+	return gap
 }
 
-// rejectIfLeaving refuses a request whose answer this proxy may not live to finish. No backend has seen it, and its client has
-// time to come to a proxy that stays.
+// rejectIfLeaving rejects a request whose answer may outlast a draining proxy, and tells whether it did. No backend has
+// seen the request, and its client has time to retry at a proxy that stays.
 func (cr *clientRequest) rejectIfLeaving(prompt *scheduler.Prompt) bool {
-	if cr.proxy.shutdown.closeAt.Load() == nil {
+	shutdown := &cr.proxy.shutdown
+	if shutdown.closeAt.Load() == nil {
 		return false
 	}
 	now := time.Now()
-	if !cr.proxy.shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, prompt)) {
+	if !shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, prompt)) {
 		return false
 	}
-	cr.proxy.shutdown.rejected.Add(1)
-	retryAfter := cr.proxy.shutdown.retryAfter(now, cr.snapshot.proxies/max(len(cr.proxy.settings.Zones), 1))
-	cr.proxy.reject(cr.w, http.StatusServiceUnavailable, retryAfter, "this proxy is leaving: the answer may take longer than it stays")
+	shutdown.rejected.Add(1)
+	proxiesInZone := cr.snapshot.proxies / max(len(cr.proxy.settings.Zones), 1)
+	retryAfter := shutdown.retryAfter(now, proxiesInZone)
+	text := "this proxy is leaving: the answer may take longer than it stays"
+	cr.proxy.reject(cr.w, http.StatusServiceUnavailable, retryAfter, text)
 	return true
 }
 
-// drainAndClose ends in order: not ready any more, so that the platform sends nobody; answers close their connections; what
-// is held is finished; idle connections are closed last.
+// drainAndClose shuts the proxy down and blocks until that is done, for the platform's grace period at the most. From
+// its call on, the proxy isn't ready, and answers close their connections. For acceptWindow, or half the grace period
+// if that is less, new requests are still served, as the platform still sends some; then the listener and idle
+// connections are closed, and the requests under way have the rest of the grace period.
 func (p *Proxy) drainAndClose(server *http.Server) {
 	began := time.Now()
 	grace := p.settings.Bounds.Grace
-	p.shutdown.began = began
 	closeAt := began.Add(grace - forceCloseMargin)
-	p.shutdown.closeAt.Store(&closeAt)
+	p.shutdown.begin(began, closeAt)
 	p.lifecycle.End()
-	p.log.Info("leaving", zap.Int64("open", p.inFlight.Load()), zap.Duration("grace", grace))
-	// What comes while the platform still sends clients is served. After that nothing is begun any more, so that what is
-	// held has the rest of the grace.
+	p.log.Info("draining", zap.Int64("open", p.inFlight.Load()), zap.Duration("grace", grace))
 	accepting := time.NewTimer(min(acceptWindow, grace/2))
 	defer accepting.Stop()
 	<-accepting.C
@@ -123,10 +145,14 @@
 	defer cancel()
 	if server.Shutdown(closing) != nil {
 		acceptedSince := p.shutdown.inFlight.Load()
-		p.log.Warn("answers cut: the grace is over", zap.Int64("from_before", p.inFlight.Load()-acceptedSince), zap.Int64("taken_since", acceptedSince))
+		p.log.Warn("requests aborted: grace period over",
+			zap.Int64("accepted_before", p.inFlight.Load()-acceptedSince),
+			zap.Int64("accepted_draining", acceptedSince))
 		_ = server.Close()
 	}
-	p.log.Info("left", append(p.counters(), zap.Int64("taken_since", p.shutdown.accepted.Load()),
-		zap.Int64("refused_leaving", p.shutdown.rejected.Load()), zap.Duration("took", time.Since(began)))...)
+	p.log.Info("shut down", append(p.counters(),
+		zap.Int64("accepted_draining", p.shutdown.accepted.Load()),
+		zap.Int64("rejected_draining", p.shutdown.rejected.Load()),
+		zap.Duration("took", time.Since(began)))...)
 	p.pool.Close()
 }
--- a/internal/fleet/proxy/trials.go
+++ b/internal/fleet/proxy/trials.go
@@ -5,12 +5,14 @@
 	"molepaddle/internal/fleet/outlier"
 )
 
-// applyEjections takes the fleet's word on the backends of the service, as it concerns proxies of a zone.
+// applyEjections applies the ejections in force, as far as they concern proxies of the zone: an ejected backend gets
+// trials only. One that is no longer ejected is restored.
 func (s *service) applyEjections(ejections []distribution.Ejection, zone string, proxies outlier.ProxyCount) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	ejected, restored := s.trials.SetEjections(now, ejections, zone, proxies, func(id string) bool { return s.byID[id] != nil })
+	listed := func(id string) bool { return s.byID[id] != nil }
+	ejected, restored := s.trials.SetEjections(now, ejections, zone, proxies, listed)
 	for _, id := range ejected {
 		s.ranker.Eject(now, id, outlier.EjectionExpiry(now))
 	}
@@ -19,13 +21,14 @@
 	}
 }
 
-// dueTrial is the ejected backend of a phase that the request is to try; nil: none. The lock is held.
+// dueTrial is the ejected backend of a phase that the request is to try, which counts as tried then; nil: there is
+// none. The lock is held.
 func (s *service) dueTrial(req *placementRequest, phase string, risk outlier.Risk) *backend {
-	id := s.trials.NextTrial(req.now, risk, func(id string) bool { return s.triable(id) && s.eligible(req, id, phase) })
-	return s.byID[id]
+	among := func(id string) bool { return s.triable(id) && s.eligible(req, id, phase) }
+	return s.byID[s.trials.NextTrial(req.now, risk, among)]
 }
 
-// triable tells whether a backend that is ejected may be sent to at all. The lock is held.
+// triable tells whether an ejected backend may be sent to at all: it is listed and not draining. The lock is held.
 func (s *service) triable(id string) bool {
 	b := s.byID[id]
 	return b != nil && !b.Draining
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -90,7 +90,7 @@
 	s := engineService(12, 1, 2)
 	for range 50 {
 		s.recordPace("d0", paceSampleEvents*50*time.Millisecond, paceSampleEvents)
-		s.meanGap.update(50)
+		s.recent.gap.update(50)
 	}
 	s.recorder.Drain()
 	s.recordPace("d0", paceSampleEvents*60*time.Millisecond, paceSampleEvents)
--- /dev/null
+++ b/internal/fleet/proxy/upstreams.go
@@ -0,0 +1,75 @@
+package proxy
+
+import (
+	"molepaddle/internal/fleet/distribution"
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/ranking"
+	"molepaddle/internal/fleet/residency"
+	"molepaddle/internal/fleet/scheduler"
+)
+
+// backend is a listed backend with its endpoint, which holds the connections to it. It is immutable: a changed entry of
+// the list makes a new one.
+type backend struct {
+	distribution.Backend
+	endpoint *residency.Endpoint
+}
+
+// updateEndpoints applies the service's part of the endpoint list. Of an id that is listed twice the first entry
+// counts. A backend with a new address is a new one: what is held of connections to the old address is closed.
+func (s *service) updateEndpoints(list []distribution.Backend) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	listed := make(map[string]bool, len(list))
+	endpoints := make([]ranking.Endpoint, 0, len(list))
+	for _, b := range list {
+		if listed[b.ID] {
+			continue
+		}
+		listed[b.ID] = true
+		s.byID[b.ID] = s.updateBackend(b)
+		endpoints = append(endpoints, ranking.Endpoint{ID: b.ID, Usable: !b.Draining})
+	}
+	for id, b := range s.byID {
+		if !listed[id] {
+			b.endpoint.Retire()
+			delete(s.byID, id)
+		} else if b.Draining {
+			b.endpoint.CloseIdle()
+		}
+	}
+	s.ranker.SetEndpoints(s.now(), endpoints)
+	s.syncEngines()
+}
+
+// updateBackend returns the backend for an entry of the list. It keeps the connections to one whose address stays. The
+// lock is held.
+func (s *service) updateBackend(b distribution.Backend) *backend {
+	old := s.byID[b.ID]
+	if old != nil && old.Address == b.Address {
+		old.endpoint.SetZone(b.Zone)
+		return &backend{Backend: b, endpoint: old.endpoint}
+	}
+	if old != nil {
+		old.endpoint.Retire()
+	}
+	return &backend{Backend: b, endpoint: s.gate.Endpoint(b.ID, b.Address, b.Zone)}
+}
+
+// syncEngines gives the estimator the list of backends. The lock is held.
+func (s *service) syncEngines() {
+	if s.engines == nil {
+		return
+	}
+	all := make([]scheduler.Backend, 0, len(s.byID))
+	for id, b := range s.byID {
+		all = append(all, scheduler.Backend{ID: id, Zone: b.Zone, Prefill: b.Phase == externalapi.PhasePrefill})
+	}
+	s.engines.SetBackends(all)
+}
+
+// withinTerms tells whether a listed backend may hold data under the terms. Callers ask only for requests that have
+// terms, so that the others don't pay for the check. The lock is held.
+func (s *service) withinTerms(id string, terms residency.Terms) bool {
+	return s.byID[id].endpoint.Allowed(terms)
+}
--- a/internal/fleet/residencyreport/planted_test.go
+++ b/internal/fleet/residencyreport/planted_test.go
@@ -27,7 +27,7 @@
 	{Name: "a gap is taken", Tests: ways, Texts: []string{"b.N != last+1 || n >= MaxPendingBatches", "n >= MaxPendingBatches"}},
 	{Name: "a refused batch is passed by", Tests: ways, Texts: []string{"if at.refused > 0 && b.N > at.refused {", "if false {"}},
 	{Name: "what was lost on the way is not sent again", Tests: ways, Texts: []string{"if s.sent == nil || now.Sub(s.since) >= resendAfter {", "if s.sent == nil {"}},
-	{Name: "a batch counts from the start each time", Dir: "../proxy", Tests: "^TestResidencyLog", Texts: []string{"d[i] -= r.reportedCounts[i]", "d[i] -= 0 * r.reportedCounts[i]"}},
+	{Name: "a batch counts from the start each time", Dir: "../proxy", Tests: "^TestResidencyLog", Texts: []string{"d[i] -= other[i]", "d[i] -= 0 * other[i]"}},
 	{Name: "what found no room is not told any more", Dir: "../proxy", Tests: "^TestResidencyLog", Texts: []string{"l.changed, l.newPair = more, more", "l.changed, l.newPair = more && false, false"}},
 	{Name: "the report is not in the record's snapshot", Dir: "../controlplane", Tests: "^TestRecord", Texts: []string{"s := StoredState{Rested: r.residency.Snapshot()}", "s := StoredState{}"}},
 	{Name: "a reading counts as a configuration", Dir: "../controlplane", Tests: "^TestRecord", Texts: []string{"s.DocumentSeq = r.docSeq", ""}},
