--- a/internal/fleet/proxy/attemptrecord.go
+++ b/internal/fleet/proxy/attemptrecord.go
@@ -172,8 +172,8 @@
 	return speedUnclear, false
 }
 
-// asFastAsUsual tells whether a stream shows its backend to be as fast as usual, by the mean gap between its events and
-// the time to the first. A stream without a gap shows little where others have some. The lock is held.
+// asFastAsUsual reports whether a stream shows its backend to be as fast as usual, by the mean gap between its events
+// and the time to the first. A stream without a gap shows little where others have some. The lock is held.
 func (s *service) asFastAsUsual(gapMs, firstMs float64) bool {
 	if s.recent.gap.ms == 0 && firstMs < clearFactor*s.recent.firstEvent.ms {
 		return true
@@ -184,7 +184,7 @@
 // slowGapMs is the mean gap of a sample of a stream beyond which it counts as slow, in milliseconds. The lock is held.
 func (s *service) slowGapMs() float64 { return slowFactor*s.recent.gap.ms + minSlowGapMs }
 
-// paceSampleComplete tells whether a sample of a stream suffices to tell whether its backend is slow: it has enough
+// paceSampleComplete reports whether a sample of a stream suffices to tell whether its backend is slow: it has enough
 // events, or has lasted longer than a slow stream takes for them.
 func (s *service) paceSampleComplete(lasted time.Duration, events int) bool {
 	if events >= paceSampleEvents {
--- a/internal/fleet/proxy/configwatch.go
+++ b/internal/fleet/proxy/configwatch.go
@@ -192,7 +192,7 @@
 		return err
 	}
 	for _, s := range p.services {
-		s.applyGauges(report.Active, report.Unresponsive)
+		s.applyPolledLoad(report.Active, report.Unresponsive)
 	}
 	return nil
 }
--- a/internal/fleet/proxy/generate_test.go
+++ b/internal/fleet/proxy/generate_test.go
@@ -18,7 +18,7 @@
 		r := newRig(t, engine(simulation.PhasePrefill), engine(simulation.PhaseDecode), engine(simulation.PhaseDecode))
 		r.proxy.settings.Bounds.RetryExtra, r.proxy.proxies = 202, 81
 		r.configure()
-		trouble(r.engines[1:2], fault)
+		setFaults(r.engines[1:2], fault)
 		for own := range 20 {
 			got := r.client.Do(r.Context(), ask("free", own%3, own, [2]int{6000, 2}))
 			r.Check(got.OK(), qt.IsTrue, qt.Commentf("%+v: %d %v", fault, got.Status, got.Err))
--- a/internal/fleet/proxy/loadreports.go
+++ b/internal/fleet/proxy/loadreports.go
@@ -30,7 +30,7 @@
 	return active, waiting, found && activeErr == nil && waitingErr == nil
 }
 
-// recordLoad records the load that a backend reported with a response. Anything else in its place is ignored.
+// recordLoad records the load that a backend reported with a response. Anything else is ignored.
 func (s *service) recordLoad(id, load string) {
 	active, waiting, ok := parseLoad(load)
 	if !ok {
@@ -94,10 +94,10 @@
 	s.engines.ObservePrefill(expectedMs, milliseconds(took))
 }
 
-// applyGauges applies the loads that the control plane polled: the requests at decode backends by id, and the ids of
-// backends that did not respond. A report that is cut off at its maximum names the most loaded ones: decode backends
-// that it doesn't name have the least load named, at the most, and count as having it.
-func (s *service) applyGauges(active map[string]int, unresponsive []string) {
+// applyPolledLoad applies the loads that the control plane polled: the requests at decode backends by id, and the ids
+// of backends that did not respond. A report that is cut off at its maximum names the most loaded ones: decode
+// backends that it doesn't name have the least load named, at the most, and count as having it.
+func (s *service) applyPolledLoad(active map[string]int, unresponsive []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.engines == nil {
--- a/internal/fleet/proxy/placement.go
+++ b/internal/fleet/proxy/placement.go
@@ -93,7 +93,7 @@
 	return pl, true
 }
 
-// decodesLong tells whether a request is served by one decode backend: its answer is long, and its prompt is so short
+// decodesLong reports whether a request is served by one decode backend: its answer is long, and its prompt is so short
 // that reading it there hardly slows the tokens of others. The lock is held.
 func (s *service) decodesLong(kind string, req *placementRequest) bool {
 	return s.engines.LongDecode(kind, req.prompt) &&
@@ -145,17 +145,17 @@
 	return permit, true
 }
 
-// eligible tells whether a backend may be chosen for a phase. The lock is held.
+// eligible reports whether a backend may be chosen for a phase. The lock is held.
 func (s *service) eligible(req *placementRequest, id, phase string) bool {
 	return s.byID[id].Phase == phase && !req.tried[id] && (!req.restricted || s.withinTerms(id, req.terms))
 }
 
-// canDecode tells whether a backend may be chosen to make tokens. The lock is held.
+// canDecode reports whether a backend may be chosen to make tokens. The lock is held.
 func (s *service) canDecode(req *placementRequest, id string) bool {
 	return s.eligible(req, id, externalapi.PhaseDecode)
 }
 
-// canPrefill tells whether a backend may be chosen to read a prompt and hand its KV cache on. The lock is held.
+// canPrefill reports whether a backend may be chosen to read a prompt and hand its KV cache on. The lock is held.
 func (s *service) canPrefill(req *placementRequest, id string) bool {
 	return s.eligible(req, id, externalapi.PhasePrefill)
 }
--- a/internal/fleet/proxy/placement_test.go
+++ b/internal/fleet/proxy/placement_test.go
@@ -14,13 +14,18 @@
 	"molepaddle/policy"
 )
 
-// engineService is a service of so many backends that read, p0 and on, and that make tokens, d0 and on.
+// engineService returns a service of prefill backends p0, p1 ... and decode backends d0, d1 ...
 func engineService(capacity, prefill, decode int) *service {
 	s := newService("llm", testGate(testZones), time.Second)
 	s.configure(runtimeOf(capacity))
 	var list []distribution.Backend
 	for i := range prefill + decode {
-		b := distribution.Backend{ID: fmt.Sprintf("p%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i+1), Zone: "e1", Phase: externalapi.PhasePrefill}
+		b := distribution.Backend{
+			ID:      fmt.Sprintf("p%d", i),
+			Address: fmt.Sprintf("10.0.0.%d:80", i+1),
+			Zone:    "e1",
+			Phase:   externalapi.PhasePrefill,
+		}
 		if i >= prefill {
 			b.ID, b.Phase = fmt.Sprintf("d%d", i-prefill), externalapi.PhaseDecode
 		}
@@ -30,52 +35,66 @@
 	return s
 }
 
+// sharedPrefixPrompt returns a prompt with a prefix that others share, and a segment of its own.
 func sharedPrefixPrompt(key, own uint64) *scheduler.Prompt {
-	return &scheduler.Prompt{InputTokens: 9000, MaxOutputTokens: 2, Segments: []scheduler.Segment{{PrefixHash: key, Tokens: 6000}, {PrefixHash: own, Tokens: 3000}}}
+	return &scheduler.Prompt{
+		InputTokens:     9000,
+		MaxOutputTokens: 2,
+		Segments:        []scheduler.Segment{{PrefixHash: key, Tokens: 6000}, {PrefixHash: own, Tokens: 3000}},
+	}
+}
+
+// place selects a placement of a request that isn't retryable, may be split, and has no terms; it has to be there.
+func place(c *qt.C, s *service, kind string, prompt *scheduler.Prompt, target time.Duration) placement {
+	pl, ok := s.selectPlacement(kind, false, prompt, target, map[string]bool{}, true, residency.Terms{})
+	c.Assert(ok, qt.IsTrue)
+	return pl
 }
 
-// What can't be read in the time left is not begun: in a burst of twice what could be read, prompts that were begun all the
-// same held up the others, and nearly all were late.
+// A prefill that can't be done in the time left is not begun: in a burst of twice the capacity, prefills that were
+// begun all the same held up the others, and nearly all were late.
 func TestLatePrefillIsRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 2, 2)
 	late, n := false, 0
 	for ; n < 4000 && !late; n++ {
-		pl, ok := s.selectPlacement("k", false, sharedPrefixPrompt(uint64(n%5), uint64(1000+n)), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
-		c.Assert(ok, qt.IsTrue)
+		prompt := sharedPrefixPrompt(uint64(n%5), uint64(1000+n))
+		pl := place(c, s, "k", prompt, 150*time.Millisecond)
 		c.Assert(pl.prefill, qt.IsNotNil)
 		one := clientRequest{svc: s, deadline: time.Now().Add(2 * time.Second)}
 		late = one.prefillTooLate(&pl)
 		if !late {
-			s.engines.PrefillStarted(pl.prefill.ID, sharedPrefixPrompt(uint64(n%5), uint64(1000+n)), pl.atHome)
+			s.engines.PrefillStarted(pl.prefill.ID, prompt, pl.atHome)
 		}
 	}
 	c.Assert(late, qt.IsTrue)
 	c.Assert(n > 100, qt.IsTrue, qt.Commentf("after %d", n))
 	one := clientRequest{svc: s, deadline: time.Now().Add(time.Minute)}
-	pl, _ := s.selectPlacement("k", false, sharedPrefixPrompt(1, 1), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+	pl := place(c, s, "k", sharedPrefixPrompt(1, 1), 150*time.Millisecond)
 	c.Assert(one.prefillTooLate(&pl), qt.IsFalse, qt.Commentf("who has time waits"))
-	// What is expected to wait long is not given up halfway; what isn't is, in case the backend is silent.
+	// A prefill that is expected to wait long is not given up halfway; another is, in case the backend is unresponsive.
 	c.Assert(time.Until(one.prefillDeadline(10)) < 31*time.Second, qt.IsTrue)
 	c.Assert(time.Until(one.prefillDeadline(20_000)) > 39*time.Second, qt.IsTrue)
 	c.Assert(time.Until(one.prefillDeadline(1e6)) < 61*time.Second, qt.IsTrue)
 }
 
-// Where all are behind, leaving a home makes more of what it flees from.
+// Where all prefill backends are behind, a prompt stays at its preferred one: reading it anew elsewhere adds to the
+// queues.
 func TestPreferredBackendKeptUnderLoad(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 4, 2)
-	home := s.ranker.PreferredBackend(0, 7, func(id string) bool { return s.byID[id].Phase == externalapi.PhasePrefill })
+	prefillers := func(id string) bool { return s.byID[id].Phase == externalapi.PhasePrefill }
+	home := s.ranker.PreferredBackend(0, 7, prefillers)
 	chosen := func() string {
-		pl, ok := s.selectPlacement("k", false, sharedPrefixPrompt(7, 8), 150*time.Millisecond, map[string]bool{}, true, residency.Terms{})
-		c.Assert(ok, qt.IsTrue)
+		pl := place(c, s, "k", sharedPrefixPrompt(7, 8), 150*time.Millisecond)
 		s.attemptEnded(pl.decode.ID, policy.OK)
 		s.engines.RequestEnded(pl.decode.ID)
 		return pl.prefill.ID
 	}
 	load := func(id string, prompts int) {
 		for i := range prompts {
-			s.engines.PrefillStarted(id, &scheduler.Prompt{InputTokens: 5000, Segments: []scheduler.Segment{{PrefixHash: uint64(100 + i), Tokens: 5000}}}, false)
+			segments := []scheduler.Segment{{PrefixHash: uint64(100 + i), Tokens: 5000}}
+			s.engines.PrefillStarted(id, &scheduler.Prompt{InputTokens: 5000, Segments: segments}, false)
 		}
 	}
 	c.Assert(chosen(), qt.Equals, home)
@@ -88,37 +107,46 @@
 	c.Assert(chosen(), qt.Not(qt.Equals), home, qt.Commentf("it alone is far behind"))
 }
 
-// Long answers go where places are, by what the control plane heard; those kept for staged prompts come last.
+// longAnswerPrompt returns a short prompt whose answer may be long.
+func longAnswerPrompt() *scheduler.Prompt {
+	return &scheduler.Prompt{
+		InputTokens:     100,
+		MaxOutputTokens: 80,
+		Segments:        []scheduler.Segment{{PrefixHash: 1, Tokens: 50}, {PrefixHash: 2, Tokens: 50}},
+	}
+}
+
+// Long answers go to decode backends with free capacity, by the loads that the control plane polled.
 func TestLongDecodesGoToFreeBackends(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(8, 1, 4)
-	talk := &scheduler.Prompt{InputTokens: 100, MaxOutputTokens: 80, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 50}, {PrefixHash: 2, Tokens: 50}}}
+	talk := longAnswerPrompt()
 	for range 50 {
 		s.engines.ObserveDecode("talk", talk, 4000)
 	}
 	full := map[string]int{"d0": 8, "d1": 9, "d2": 8, "d3": 2}
-	s.applyGauges(full, nil)
+	s.applyPolledLoad(full, nil)
 	for range 5 {
-		pl, ok := s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
-		c.Assert(ok, qt.IsTrue)
+		pl := place(c, s, "talk", talk, 120*time.Millisecond)
 		c.Assert(pl.prefill, qt.IsNil)
 		c.Assert(pl.decode.ID, qt.Equals, "d3")
 	}
-	// A request that waits long for the head of its answer keeps others away from a backend that was thought to be free.
+	// A request that waits long for its response header keeps others away from a backend that is reported to be free.
 	s.start = s.start.Add(-time.Second) // a second later
-	s.applyGauges(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, nil)
+	s.applyPolledLoad(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, nil)
 	ended := s.awaitHeader("d0")
 	s.start = s.start.Add(-time.Second)
-	pl, _ := s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+	pl := place(c, s, "talk", talk, 120*time.Millisecond)
 	c.Assert(pl.decode.ID, qt.Equals, "d1")
 	ended(true)
-	s.applyGauges(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, []string{"d1"})
-	pl, _ = s.selectPlacement("talk", false, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+	s.applyPolledLoad(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, []string{"d1"})
+	pl = place(c, s, "talk", talk, 120*time.Millisecond)
 	c.Assert(pl.decode.ID, qt.Equals, "d0", qt.Commentf("the control plane did not hear the other"))
 }
 
-// Whether a prompt is read apart follows from how long reading it in place would hold up others, however long its answer is: as answers
-// grew from two tokens to four, a whole kind of long prompts went over to being read between the tokens of others.
+// Whether a prompt is read by a prefill backend follows from how long reading it at the decode backend would hold up
+// others, however long its answer is: as answers grew from two tokens to four, all long prompts of a kind went over to
+// being read between the tokens of others.
 func TestLongPromptsAreSplitWhateverTheirOutput(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
@@ -127,8 +155,7 @@
 		for range 100 {
 			s.engines.ObserveDecode("verdict", verdict, makingMs)
 		}
-		pl, ok := s.selectPlacement("verdict", false, verdict, 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
-		c.Assert(ok, qt.IsTrue)
+		pl := place(c, s, "verdict", verdict, 200*time.Millisecond)
 		c.Assert(pl.prefill, qt.IsNotNil, qt.Commentf("answers that are made for %v ms", makingMs))
 	}
 }
--- a/internal/fleet/proxy/proxy.go
+++ b/internal/fleet/proxy/proxy.go
@@ -44,9 +44,9 @@
 	minConnSlots = 64
 	// backendIdleTimeout is how long a connection to a backend is kept without use.
 	backendIdleTimeout = 10 * time.Second
-	// backendSettleTime is how long a connection rests before its next use: surplus bytes of a response come right
+	// backendReuseDelay is how long a connection rests before its next use: surplus bytes of a response come right
 	// behind it and are seen by then.
-	backendSettleTime = time.Millisecond
+	backendReuseDelay = time.Millisecond
 	// maxSettlingConns is how many connections to one backend may rest before an attempt waits for one of them rather
 	// than opens another.
 	maxSettlingConns = 4
@@ -101,7 +101,7 @@
 		Timeout: connectTimeout,
 		Idle:    backendIdleTimeout,
 		Most:    connSlots / 2, // the other half is for clients
-		Settle:  backendSettleTime,
+		Settle:  backendReuseDelay,
 		Resting: maxSettlingConns,
 	})
 	return &Proxy{
@@ -125,7 +125,7 @@
 	}
 }
 
-// Ready tells whether requests can be served: a configuration and an endpoint list have come, and the proxy isn't
+// Ready reports whether requests can be served: a configuration and an endpoint list have come, and the proxy isn't
 // draining.
 func (p *Proxy) Ready() bool {
 	return p.ready.Load() && !p.lifecycle.Leaving()
--- a/internal/fleet/proxy/residencycheck.go
+++ b/internal/fleet/proxy/residencycheck.go
@@ -26,7 +26,7 @@
 	latest  *atomic.Pointer[routingSnapshot]
 	tracker *residencyTracker
 
-	snapshot       *routingSnapshot // that residencyTerms were taken from
+	snapshot       *routingSnapshot // that residencyTerms are from
 	subject        subject          // whose data the request carries
 	residencyTerms residency.Terms
 }
--- a/internal/fleet/proxy/residencycheck_test.go
+++ b/internal/fleet/proxy/residencycheck_test.go
@@ -20,7 +20,7 @@
 
 var allHeld = []string{"held", "once", "read", "post"}
 
-// TestResidencySteady serves a tenant inside its regions while others go anywhere, and keeps the ledger of it.
+// TestResidencySteady serves a tenant inside its regions while others go anywhere, and keeps the residency log of it.
 func TestResidencySteady(t *testing.T) {
 	r := newRig(t, everywhere(nil)...)
 	r.configure("east", "mid")
@@ -28,36 +28,39 @@
 	r.Assert(answers(got)[200] >= len(got)*3/4, qt.IsTrue, qt.Commentf("%v", answers(got)))
 	r.clean()
 
-	e := r.proxy.residency
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	r.Assert(e.sends, qt.HasLen, 0)
+	tracker := r.proxy.residency
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	r.Assert(tracker.sends, qt.HasLen, 0)
 	var prefills, decodes, plains int64
-	for key, rest := range e.history.entries {
+	for key, entry := range tracker.history.entries {
 		r.Check(pairSubject(key), qt.Equals, `tenant "held"`)
 		r.Check(key.Region == "east" || key.Region == "mid", qt.IsTrue, qt.Commentf("%v", key))
-		r.Check(rest.first.IsZero() || rest.last.Before(rest.first), qt.IsFalse)
-		prefills += rest.counts[purposePrefill]
-		decodes += rest.counts[purposeDecode]
-		plains += rest.counts[purposePlain]
+		r.Check(entry.first.IsZero() || entry.last.Before(entry.first), qt.IsFalse)
+		prefills += entry.counts[purposePrefill]
+		decodes += entry.counts[purposeDecode]
+		plains += entry.counts[purposePlain]
 	}
 	r.Check(decodes > 0 && plains > 0, qt.IsTrue, qt.Commentf("%d prefills, %d decodes, %d plain", prefills, decodes, plains))
 }
 
-// TestResidencyUnderFaults has the near region fail in every way at once, with terms and without: with them nothing rests outside;
-// without them the same storm spills over.
+// TestResidencyUnderFaults has the near region fail in every way at once, with terms and without: with them no data
+// is held outside; without them the same faults spill over.
 func TestResidencyUnderFaults(t *testing.T) {
-	storms := map[string]func(r *rig){
-		"near region dies":   func(r *rig) { crash(r.in("east")) },
-		"all inside die":     func(r *rig) { crash(r.in("east")); crash(r.in("mid")) },
-		"near garbles":       func(r *rig) { trouble(r.in("east"), simulation.Faults{Garble: true}) },
-		"near loses answers": func(r *rig) { trouble(r.in("east"), simulation.Faults{LoseAnswer: true}) },
-		"near cuts streams":  func(r *rig) { trouble(r.in("east"), simulation.Faults{CutAfter: 2}) },
-		"near fails":         func(r *rig) { trouble(r.in("east"), simulation.Faults{Fail: 500}) },
-		"near refuses":       func(r *rig) { trouble(r.in("east"), simulation.Faults{Refuse: true}) },
+	faults := map[string]func(r *rig){
+		"near region dies": func(r *rig) { crash(r.in("east")) },
+		"all inside die": func(r *rig) {
+			crash(r.in("east"))
+			crash(r.in("mid"))
+		},
+		"near garbles":       func(r *rig) { setFaults(r.in("east"), simulation.Faults{Garble: true}) },
+		"near loses answers": func(r *rig) { setFaults(r.in("east"), simulation.Faults{LoseAnswer: true}) },
+		"near cuts streams":  func(r *rig) { setFaults(r.in("east"), simulation.Faults{CutAfter: 2}) },
+		"near fails":         func(r *rig) { setFaults(r.in("east"), simulation.Faults{Fail: 500}) },
+		"near refuses":       func(r *rig) { setFaults(r.in("east"), simulation.Faults{Refuse: true}) },
 		"inside refuse": func(r *rig) {
-			trouble(r.in("east"), simulation.Faults{Refuse: true})
-			trouble(r.in("mid"), simulation.Faults{Refuse: true})
+			setFaults(r.in("east"), simulation.Faults{Refuse: true})
+			setFaults(r.in("mid"), simulation.Faults{Refuse: true})
 		},
 		"handles lapse": func(r *rig) {
 			for _, e := range r.engines {
@@ -65,14 +68,14 @@
 			}
 		},
 	}
-	for name, storm := range storms {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, everywhere(nil)...)
 			r.configure("east", "mid")
 			first := r.burst(4, [2]int{400, 4}, allHeld...)
 			done := make(chan []simulation.Result)
 			go func() { done <- r.burst(12, [2]int{400, 12}, append(allHeld, "free")...) }()
-			storm(r)
+			inject(r)
 			got := append(first, <-done...)
 			got = append(got, r.burst(8, [2]int{400, 4}, allHeld...)...)
 			t.Logf("answers: %v", answers(got))
@@ -83,7 +86,7 @@
 			r.configure()
 			done := make(chan []simulation.Result)
 			go func() { done <- r.burst(12, [2]int{400, 12}, allHeld...) }()
-			storm(r)
+			inject(r)
 			<-done
 			got := r.burst(8, [2]int{400, 4}, allHeld...)
 			t.Logf("answers: %v, %d outside", answers(got), r.outside("east", "mid"))
@@ -99,17 +102,19 @@
 	}
 }
 
-func trouble(all []*simulation.Engine, f simulation.Faults) {
+// setFaults has engines fail in the ways given.
+func setFaults(all []*simulation.Engine, f simulation.Faults) {
 	for _, e := range all {
 		e.SetFaults(f)
 	}
 }
 
-// TestResidencyOverload sends several times what fits inside: what does not fit is refused at once, and none goes outside although
-// the other region stands idle.
+// TestResidencyOverload sends several times the capacity inside: what exceeds it is rejected at once, and none goes
+// outside although the other region is idle.
 func TestResidencyOverload(t *testing.T) {
 	small := func(s *simulation.EngineSettings) {
-		s.Capacity, s.Queue = 2, 1
+		s.Capacity = 2
+		s.Queue = 1
 		s.Step = 20 * time.Millisecond
 	}
 	r := newRig(t, everywhere(small)...)
@@ -127,7 +132,7 @@
 	r.Assert(free.outside("east") > 0, qt.IsTrue)
 }
 
-// TestResidencyWithdrawn withdraws a region while streams run there and handles wait there.
+// TestResidencyWithdrawn withdraws a region while streams run there and KV handles wait there.
 func TestResidencyWithdrawn(t *testing.T) {
 	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.configure("east")
@@ -151,19 +156,19 @@
 	got = r.burst(8, [2]int{400, 4}, allHeld...)
 	r.Check(answers(got)[200] > 0, qt.IsTrue, qt.Commentf("%v", answers(got)))
 	lingering := r.clean()
-	t.Logf("%d kept parts linger", len(lingering))
+	t.Logf("%d cached prefixes are left", len(lingering))
 }
 
-// TestResidencyWithdrawnBetweenReads withdraws a region as the proxy passes an event on, where the next does not come: the
-// stream is cut all the same, long before its deadline, and taken up inside.
+// TestResidencyWithdrawnBetweenReads withdraws a region as the proxy passes an event on, where the next does not
+// come: the attempt is cancelled all the same, long before its deadline, and the stream resumed inside.
 func TestResidencyWithdrawnBetweenReads(t *testing.T) {
 	r := newRig(t, everywhere(nil)...)
 	r.configure("east")
-	trouble(r.in("east"), simulation.Faults{StallAfter: 1})
+	setFaults(r.in("east"), simulation.Faults{StallAfter: 1})
 	r.at = sync.OnceFunc(func() {
 		r.configure("mid")
 		for range 1000 {
-			runtime.Gosched() // the cut is made beside this: let it come before the next read
+			runtime.Gosched() // the cancellation is made beside this: let it come before the next read
 		}
 	})
 	got := r.burst(1, [2]int{400, 5}, "held")
@@ -171,12 +176,14 @@
 	r.clean()
 }
 
-// cutOff tells whether an answer can't be taken for a whole one: broken off, or, before its first event, refused without a promise.
+// cutOff reports whether an answer can't be taken for a complete one: it was broken off, or, before its first event,
+// rejected with a status that doesn't imply that nothing ran.
 func cutOff(res simulation.Result) bool {
 	return res.Status == 502 || res.Status == 200 && !res.Complete
 }
 
-// TestResidencyTermsAppear puts a route under terms while its streams run elsewhere: they are cut at their next event.
+// TestResidencyTermsAppear puts a route under terms while its streams run elsewhere: they are resumed inside at their
+// next event.
 func TestResidencyTermsAppear(t *testing.T) {
 	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.list(r.in("west")...)
@@ -187,40 +194,38 @@
 	r.list(r.engines...)
 	r.configure("east")
 	for _, res := range <-done {
-		r.Check(res.OK(), qt.IsTrue, qt.Commentf("%d %v", res.Status, res.Err)) // taken up inside
+		r.Check(res.OK(), qt.IsTrue, qt.Commentf("%d %v", res.Status, res.Err)) // resumed inside
 	}
 	r.clean()
 }
 
-// TestResidencyHandleWithdrawn withdraws the region where memory waits for a taker that is full: the memory is freed.
+// TestResidencyHandleWithdrawn withdraws the region where a KV cache waits for a decode backend that is full: its
+// handle is released.
 func TestResidencyHandleWithdrawn(t *testing.T) {
-	at := func(zone string, phase simulation.Phase) simulation.EngineSettings {
-		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: phase, Capacity: 1, Queue: 4, KVRef: time.Minute}
-	}
-	r := newRig(t, at("e1", simulation.PhasePrefill), at("m1", simulation.PhaseDecode))
-	reader, taker := r.engines[0], r.engines[1]
+	r := newRig(t, engineAt("e1", simulation.PhasePrefill, 1), engineAt("m1", simulation.PhaseDecode, 1))
+	prefill, decode := r.engines[0], r.engines[1]
 	r.configure("east", "mid")
-	release := taker.Hold()
+	release := decode.Hold()
 	defer release()
 	done := make(chan []simulation.Result, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testDeadline)
 	defer cancel()
-	// Another's holds the only place; the tenant's waits behind it, its memory still where it was read. Neither is to be
-	// repeated, so that its head is waited for until its deadline.
+	// Another's request fills the backend; the tenant's waits behind it, its KV cache still where it was read.
+	// Neither is retryable, so that the response header is awaited until the deadline.
 	for _, one := range []struct {
 		route            string
 		running, waiting int
 	}{{"freeonce", 1, 0}, {"once", 1, 1}} {
 		go func() { done <- r.burst(1, [2]int{4000, 4}, one.route) }()
-		_, err := taker.Log.Wait(ctx, func([]simulation.Entry) bool {
-			running, waiting := taker.Load()
+		_, err := decode.Log.Wait(ctx, func([]simulation.Entry) bool {
+			running, waiting := decode.Load()
 			return running == one.running && waiting == one.waiting
 		})
 		r.Assert(err, qt.IsNil)
 	}
-	r.Assert(reader.Handles(), qt.Equals, 1)
+	r.Assert(prefill.Handles(), qt.Equals, 1)
 	r.configure("mid")
-	_, err := reader.Log.Wait(ctx, func([]simulation.Entry) bool { return reader.Handles() == 0 })
+	_, err := prefill.Log.Wait(ctx, func([]simulation.Entry) bool { return prefill.Handles() == 0 })
 	r.Assert(err, qt.IsNil)
 	release()
 	<-done
@@ -228,12 +233,13 @@
 	r.clean()
 }
 
-// TestResidencyDecoders has memory taken from where it was read to another region of the tenant, with an idle taker outside.
+// TestResidencyDecoders has KV caches transferred to another region of the tenant, with an idle decode backend outside.
 func TestResidencyDecoders(t *testing.T) {
-	at := func(zone string, phase simulation.Phase) simulation.EngineSettings {
-		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: phase, Capacity: 8, Queue: 4, KVRef: time.Minute}
-	}
-	r := newRig(t, at("e1", simulation.PhasePrefill), at("m1", simulation.PhaseDecode), at("w1", simulation.PhaseDecode), at("w2", simulation.PhaseDecode))
+	r := newRig(t,
+		engineAt("e1", simulation.PhasePrefill, 8),
+		engineAt("m1", simulation.PhaseDecode, 8),
+		engineAt("w1", simulation.PhaseDecode, 8),
+		engineAt("w2", simulation.PhaseDecode, 8))
 	r.configure("east", "mid")
 	for range 4 {
 		r.burst(4, [2]int{4000, 4}, "held", "once")
@@ -246,14 +252,20 @@
 	r.clean()
 }
 
-// TestResidencyResumes has every stream cut off half way: they are taken up at the other backend of the tenant's regions, although
-// more stand idle outside.
+// TestResidencyResumes has every stream cut off half way: they are resumed at the other backend of the tenant's
+// regions, although more are idle outside.
 func TestResidencyResumes(t *testing.T) {
 	at := func(zone string) simulation.EngineSettings {
-		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: simulation.PhaseDecode, Capacity: 64}
+		return simulation.EngineSettings{
+			Service:  "llm",
+			Zone:     zone,
+			Region:   testZones[zone],
+			Phase:    simulation.PhaseDecode,
+			Capacity: 64,
+		}
 	}
 	r := newRig(t, at("e1"), at("m1"), at("w1"), at("w2"), at("w2"))
-	trouble(r.engines[:2], simulation.Faults{CutAfter: 2})
+	setFaults(r.engines[:2], simulation.Faults{CutAfter: 2})
 	r.configure("east", "mid")
 	for i := range 24 {
 		q := ask("held", i, i, [2]int{400, 4})
@@ -310,11 +322,17 @@
 	}
 }
 
-// TestResidencyAddressReused sends to an address that belongs to a backend of another region by now, of which the list does
-// not tell yet: bytes reach it, nothing rests there.
+// TestResidencyAddressReused sends to an address that belongs to a backend of another region by now, which the endpoint
+// list doesn't say yet: bytes reach it, no data is held there.
 func TestResidencyAddressReused(t *testing.T) {
 	at := func(zone string, phase simulation.Phase, address string) simulation.EngineSettings {
-		return simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: phase, Address: address}
+		return simulation.EngineSettings{
+			Service: "llm",
+			Zone:    zone,
+			Region:  testZones[zone],
+			Phase:   phase,
+			Address: address,
+		}
 	}
 	r := newRig(t, at("e1", simulation.PhasePrefill, ""), at("e1", simulation.PhaseDecode, ""))
 	r.configure("east")
@@ -338,8 +356,8 @@
 	r.clean()
 }
 
-// TestResidencyThroughTelemeter has terms reach a proxy as in service: pulled from the node agent beside it.
-func TestResidencyThroughTelemeter(t *testing.T) {
+// TestResidencyThroughNodeAgent has terms reach a proxy as in service: pulled from the node agent beside it.
+func TestResidencyThroughNodeAgent(t *testing.T) {
 	r := newRig(t, everywhere(nil)...)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	r.Assert(err, qt.IsNil)
@@ -352,33 +370,37 @@
 	set := testSettings(testZones)
 	set.Ports = [2]int{port - 2, port}
 	set.Heartbeat = 50 * time.Millisecond
-	v := New(ctx, set, zap.NewNop())
-	defer v.pool.Close()
+	p := New(ctx, set, zap.NewNop())
+	defer p.pool.Close()
 	list, err := (&distribution.BackendList{Backends: r.listed}).MarshalMsg(nil)
 	r.Assert(err, qt.IsNil)
 	store.SetSnapshot(distribution.BackendListType, distribution.Version{Epoch: 1, Count: 1}, list)
 	store.SetSnapshot(distribution.ConfigType, distribution.Version{Epoch: 1, Count: 1}, r.document("east"))
-	fed, taken := make(chan error, 1), make(chan struct{}, 8)
-	go func() {
-		fed <- distribution.Watch(ctx, distribution.NodeAgentAddr(set.Ports), &distribution.Watcher{Name: "edge-1", MaxWait: time.Second, ReadTimeout: testPatience,
-			Members: func() []distribution.Member { return nil }, Versions: func() map[string]distribution.Version { return maps.Clone(v.versions) },
-			Apply: func(n *distribution.Response) []string {
-				v.apply(n)
-				select {
-				case taken <- struct{}{}:
-				case <-ctx.Done(): // nobody listens any more; pulls are answered at once until the connection is closed
-				}
-				return nil
-			}})
-	}()
+	ended, applied := make(chan error, 1), make(chan struct{}, 8)
+	watcher := &distribution.Watcher{
+		Name:        "edge-1",
+		MaxWait:     time.Second,
+		ReadTimeout: testPatience,
+		Members:     func() []distribution.Member { return nil },
+		Versions:    func() map[string]distribution.Version { return maps.Clone(p.versions) },
+		Apply: func(response *distribution.Response) []string {
+			p.apply(response)
+			select {
+			case applied <- struct{}{}:
+			case <-ctx.Done(): // nobody listens any more; pulls are answered at once until the connection is closed
+			}
+			return nil
+		},
+	}
+	go func() { ended <- distribution.Watch(ctx, distribution.NodeAgentAddr(set.Ports), watcher) }()
 	awaits := func(terms residency.Terms) {
 		for {
 			select {
-			case <-taken:
-				if w := v.snapshot.Load(); w != nil && w.termsByTenant["held"].Equal(terms) {
+			case <-applied:
+				if s := p.snapshot.Load(); s != nil && s.termsByTenant["held"].Equal(terms) {
 					return
 				}
-			case err := <-fed:
+			case err := <-ended:
 				t.Fatal("the node agent was lost: ", err)
 			case <-ctx.Done():
 				t.Fatal("the terms don't come")
@@ -387,29 +409,11 @@
 	}
 	awaits(residency.Within("east"))
 	body := fmt.Sprintf(`{"ver":%d,"upsert":{"tenants":[{"name":"held","regions":["mid"]}]}}`, r.version+1)
-	r.Assert(store.AppendChange(distribution.ConfigType, distribution.Version{Epoch: 1, Count: 1}, distribution.Version{Epoch: 1, Count: 2},
-		distribution.Change{Version: distribution.Version{Epoch: 1, Count: 2}, Body: []byte(body)}, nil), qt.IsTrue)
+	base := distribution.Version{Epoch: 1, Count: 1}
+	next := distribution.Version{Epoch: 1, Count: 2}
+	change := distribution.Change{Version: next, Body: []byte(body)}
+	r.Assert(store.AppendChange(distribution.ConfigType, base, next, change, nil), qt.IsTrue)
 	awaits(residency.Within("mid"))
 	cancel()
-	<-fed
-}
-
-// TestTermsOf looks at the terms of requests under way by newer configurations.
-func TestTermsOf(t *testing.T) {
-	c := qt.New(t)
-	in := residency.Within
-	old := &routingSnapshot{residencyByRoute: map[string]*routeResidency{"r": {"t", in("east", "mid")}}, termsByTenant: map[string]residency.Terms{"t": in("east", "mid")}}
-	bound := &subject{route: "r", tenant: "t", arrivalTerms: in("east", "mid")}
-	narrow := &subject{route: "n", tenant: "t", arrivalTerms: in("east")}
-	alone := &subject{route: "a", arrivalTerms: in("east")}
-	free := &subject{route: "r"}
-	c.Check(old.termsOf(bound).Equal(in("east", "mid")), qt.IsTrue)
-	c.Check(old.termsOf(narrow).Equal(in("east")), qt.IsTrue) // its route is gone: the tenant's, as far as it came under them
-	c.Check(old.termsOf(alone).Equal(in("east")), qt.IsTrue)
-	c.Check(old.termsOf(free).Equal(in("east", "mid")), qt.IsTrue) // the route got terms
-	c.Check((&routingSnapshot{}).termsOf(free).Restricted(), qt.IsFalse)
-	c.Check((&routingSnapshot{}).termsOf(bound).Equal(in("east", "mid")), qt.IsTrue) // nobody tells any more: those it came under
-	moved := &routingSnapshot{residencyByRoute: map[string]*routeResidency{"r": {"u", in("west")}}, termsByTenant: map[string]residency.Terms{"t": in("mid"), "u": in("west")}}
-	c.Check(moved.termsOf(bound).Equal(in("mid")), qt.IsTrue) // the route is another tenant's, the data is not
-	c.Check(moved.termsOf(narrow).Equal(in()), qt.IsTrue)
+	<-ended
 }
--- a/internal/fleet/proxy/residencylog.go
+++ b/internal/fleet/proxy/residencylog.go
@@ -191,19 +191,19 @@
 	}
 	l.nextBatch = now.Add(batchInterval)
 	l.earliestBatch = now.Add(newPairDelay)
-	batch, taken, more := l.nextChanges()
+	batch, reported, more := l.nextChanges()
 	if !out.Put(batch) {
 		return
 	}
 	l.batches++
-	for _, r := range taken {
+	for _, r := range reported {
 		r.reported = r.changes
 		r.reportedCounts = r.counts
 	}
 	l.changed, l.newPair = more, more
 }
 
-// due tells whether there is something to report, and it is time for that.
+// due reports whether there is something to report, and it is time for that.
 func (l *residencyLog) due(now time.Time, ending bool) bool {
 	switch {
 	case !l.changed:
@@ -218,14 +218,14 @@
 
 // nextChanges returns a batch of changed entries with what changed since they were last reported, those entries, and
 // whether there are more than a batch takes. It changes nothing: the batch may be refused.
-func (l *residencyLog) nextChanges() (batch residencyreport.Batch, taken []*residencyEntry, more bool) {
+func (l *residencyLog) nextChanges() (batch residencyreport.Batch, reported []*residencyEntry, more bool) {
 	batch = residencyreport.Batch{Process: l.process, N: l.batches + 1}
 	for key, r := range l.entries {
 		if r.reported == r.changes {
 			continue
 		}
 		if len(batch.Entries) == residencyreport.MaxBatchEntries {
-			return batch, taken, true
+			return batch, reported, true
 		}
 		first := r.first.UnixMilli()
 		batch.Entries = append(batch.Entries, residencyreport.Entry{
@@ -234,9 +234,9 @@
 			Last:   max(first, r.last.UnixMilli()), // the clock may have been set back in between
 			Counts: r.counts.minus(r.reportedCounts),
 		})
-		taken = append(taken, r)
+		reported = append(reported, r)
 	}
-	return batch, taken, false
+	return batch, reported, false
 }
 
 // flushResidencyReports reports what is left in the log to the node agent, as the process ends. It blocks for
--- a/internal/fleet/proxy/residencylog_test.go
+++ b/internal/fleet/proxy/residencylog_test.go
@@ -13,15 +13,21 @@
 	"molepaddle/internal/fleet/residencyreport"
 )
 
-// residencyRecorder notes sends by hand, for tests of the ledger.
+// residencyRecorder records attempts by hand, for tests of the log.
 type residencyRecorder struct{ *residencyTracker }
 
-func (n residencyRecorder) send(tenant string, at residency.Permit, u sendPurpose, since, until time.Time) {
-	h := &trackedSend{tracker: n.residencyTracker, subject: subject{route: "r", tenant: tenant}, permits: []residency.Permit{at}, purpose: u, since: since}
-	n.record(h, until, true)
+func (n residencyRecorder) send(tenant string, at residency.Permit, purpose sendPurpose, since, until time.Time) {
+	send := &trackedSend{
+		tracker: n.residencyTracker,
+		subject: subject{route: "r", tenant: tenant},
+		permits: []residency.Permit{at},
+		purpose: purpose,
+		since:   since,
+	}
+	n.record(send, until, true)
 }
 
-// newResidencyRecorder gives a ledger, and permits for a backend in the east and one in the west.
+// newResidencyRecorder returns an empty log, and permits for a backend in the east and one in the west.
 func newResidencyRecorder(c *qt.C) (recorder residencyRecorder, east, west residency.Permit) {
 	p := New(c.Context(), testSettings(testZones), zap.NewNop())
 	c.Cleanup(p.pool.Close)
@@ -32,7 +38,8 @@
 	return residencyRecorder{p.residency}, east, west
 }
 
-// Batches hold what changed, each count once, however often the ledger is asked; nothing is done where nothing changed.
+// Batches hold what changed, each count once, however often the log is asked; nothing is reported where nothing
+// changed.
 func TestResidencyLogReportsChanges(t *testing.T) {
 	c := qt.New(t)
 	recorder, east, west := newResidencyRecorder(c)
@@ -46,11 +53,19 @@
 	recorder.send("labs", east, purposeDecode, at(1), at(3))
 	recorder.report(at(3), out, false)
 	labs := residencyreport.Pair{Tenant: "labs", Region: "east"}
-	first := residencyreport.Batch{Process: recorder.history.process, N: 1, Entries: []residencyreport.Entry{{Pair: labs, First: at(1).UnixMilli(), Last: at(3).UnixMilli(),
-		Counts: residencyreport.Counts{Plain: 1, Decodes: 1}}}}
+	first := residencyreport.Batch{
+		Process: recorder.history.process,
+		N:       1,
+		Entries: []residencyreport.Entry{{
+			Pair:   labs,
+			First:  at(1).UnixMilli(),
+			Last:   at(3).UnixMilli(),
+			Counts: residencyreport.Counts{Plain: 1, Decodes: 1},
+		}},
+	}
 	c.Assert(pending(), qt.DeepEquals, []residencyreport.Batch{first})
 
-	// More of the same waits for some seconds, a region not told yet for one.
+	// More of the same waits for some seconds, a region that was not reported yet for one.
 	recorder.send("labs", east, purposePrefill, at(3), at(4))
 	recorder.report(at(4), out, false)
 	c.Assert(pending(), qt.HasLen, 1)
@@ -85,8 +100,8 @@
 	c.Assert(pending(), qt.HasLen, 4)
 }
 
-// While nothing is kept, what changes waits in the ledger, and comes whole once there is room; many pairs go in several
-// batches.
+// While nothing is acknowledged, changes wait in the log, and all are reported once the outbox takes batches again;
+// many pairs go in several batches.
 func TestResidencyLogWaitsForAcknowledgement(t *testing.T) {
 	c := qt.New(t)
 	recorder, east, _ := newResidencyRecorder(c)
--- a/internal/fleet/proxy/rig_test.go
+++ b/internal/fleet/proxy/rig_test.go
@@ -24,7 +24,7 @@
 
 const (
 	testDeadline = 3 * time.Second
-	// testPatience bounds what is waited for that has to come.
+	// testPatience bounds the wait for what has to come.
 	testPatience = 20 * time.Second
 	// testSlack is how long after a proxy has new terms what was under way may still be seen at a backend.
 	testSlack = 500 * time.Millisecond
@@ -81,11 +81,26 @@
 	}
 }
 
+// testSettings are those of a proxy in zone e1.
 func testSettings(zones map[string]string) settings.Settings {
-	return settings.Settings{NodeName: "edge-1", Zone: "e1", Region: "east", Zones: zones, Heartbeat: time.Second, Limits: settings.Limits{Files: 4100},
-		Bounds: settings.Bounds{Contact: 3 * time.Second, RetryRatio: 0.2, RetryExtra: 4000, RetryWindow: 10 * time.Second, Grace: 8 * time.Second}}
+	return settings.Settings{
+		NodeName:  "edge-1",
+		Zone:      "e1",
+		Region:    "east",
+		Zones:     zones,
+		Heartbeat: time.Second,
+		Limits:    settings.Limits{Files: 4100},
+		Bounds: settings.Bounds{
+			Contact:     3 * time.Second,
+			RetryRatio:  0.2,
+			RetryExtra:  4000,
+			RetryWindow: 10 * time.Second,
+			Grace:       8 * time.Second,
+		},
+	}
 }
 
+// newRig starts engines and a proxy that has them listed, and ends all when the test does.
 func newRig(tb testing.TB, engines ...simulation.EngineSettings) *rig {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -112,10 +127,18 @@
 // entry is an engine as the platform lists it.
 func entry(e *simulation.Engine) distribution.Backend {
 	s := e.Settings()
-	return distribution.Backend{ID: e.ID(), Service: s.Service, Address: e.Address(), Zone: s.Zone, Version: "v1", Capacity: s.Capacity, Phase: string(s.Phase)}
+	return distribution.Backend{
+		ID:       e.ID(),
+		Service:  s.Service,
+		Address:  e.Address(),
+		Zone:     s.Zone,
+		Version:  "v1",
+		Capacity: s.Capacity,
+		Phase:    string(s.Phase),
+	}
 }
 
-// updateEndpoints has the proxy told of these engines.
+// list gives the proxy an endpoint list of these engines.
 func (r *rig) list(engines ...*simulation.Engine) {
 	var all []distribution.Backend
 	for _, e := range engines {
@@ -124,44 +147,71 @@
 	r.relist(all)
 }
 
+// relist gives the proxy another endpoint list.
 func (r *rig) relist(all []distribution.Backend) {
 	r.listed = all
-	whole, err := (&distribution.BackendList{Backends: all}).MarshalMsg(nil)
+	snapshot, err := (&distribution.BackendList{Backends: all}).MarshalMsg(nil)
 	r.Assert(err, qt.IsNil)
 	r.count++
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.count}, Snapshot: whole}}})
+	r.apply(distribution.BackendListType, r.count, snapshot)
 }
 
-// document is the configuration of these tests; terms: the item of tenants, empty for none at all.
+// apply has the proxy apply a complete resource.
+func (r *rig) apply(resourceType string, count uint64, snapshot []byte) {
+	version := distribution.Version{Epoch: 1, Count: count}
+	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{
+		Type:     resourceType,
+		Version:  version,
+		Snapshot: snapshot,
+	}}})
+}
+
+// document is the next configuration, in which the tenant may be held in the regions given; none: there is no tenant.
 func (r *rig) document(regions ...string) []byte {
 	r.version++
 	tenant, tenants := "", ""
 	if regions != nil {
 		b, _ := json.Marshal(regions)
-		tenant, tenants = `,"tenant":"held"`, `,"tenants":[{"name":"held","regions":`+string(b)+`}]`
+		tenant = `,"tenant":"held"`
+		tenants = `,"tenants":[{"name":"held","regions":` + string(b) + `}]`
 	}
 	route := func(name, kind, svc, more string) string {
-		return fmt.Sprintf(`{"name":%q,"hostname":"h","pfx":"/%s/","kind":%q,"deadline_ms":%d,"target_ms":150,"svc":%q,"tries":3,"pin":true%s}`,
+		return fmt.Sprintf(`{"name":%q,"hostname":"h","pfx":"/%s/","kind":%q,"deadline_ms":%d,`+
+			`"target_ms":150,"svc":%q,"tries":3,"pin":true%s}`,
 			name, name, kind, testDeadline.Milliseconds(), svc, more)
 	}
-	return []byte(fmt.Sprintf(`{"ver":%d,"routing":[%s],"svcs":[{"name":"llm","probe":"/healthz","runtime":{"capacity":8,"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}},{"name":"obs","probe":"/healthz"}]%s}`,
-		r.version, strings.Join([]string{
-			route("held", "stream", "llm", `,"resumable":true`+tenant), route("once", "stream", "llm", tenant), route("read", "readonly", "obs", tenant),
-			route("post", "mutating", "obs", tenant), route("free", "stream", "llm", `,"resumable":true`), route("freeonce", "stream", "llm", ""), route("freeread", "readonly", "obs", ""),
-		}, ","), tenants))
+	routes := strings.Join([]string{
+		route("held", "stream", "llm", `,"resumable":true`+tenant),
+		route("once", "stream", "llm", tenant),
+		route("read", "readonly", "obs", tenant),
+		route("post", "mutating", "obs", tenant),
+		route("free", "stream", "llm", `,"resumable":true`),
+		route("freeonce", "stream", "llm", ""),
+		route("freeread", "readonly", "obs", ""),
+	}, ",")
+	const services = `{"name":"llm","probe":"/healthz","runtime":{"capacity":8,"kv_ntok":1000000,` +
+		`"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}},{"name":"obs","probe":"/healthz"}`
+	return fmt.Appendf(nil, `{"ver":%d,"routing":[%s],"svcs":[%s]%s}`, r.version, routes, services, tenants)
 }
 
-// configure gives the proxy a configuration in which the tenant may be held in the regions given; none: there is no tenant.
+// configure gives the proxy a configuration in which the tenant may be held in the regions given; none: there is no
+// tenant.
 func (r *rig) configure(regions ...string) {
 	doc := r.document(regions...)
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(r.version)}, Snapshot: doc}}})
+	r.apply(distribution.ConfigType, uint64(r.version), doc)
 	r.Assert(r.proxy.snapshot.Load().version, qt.Equals, int64(r.version))
 	r.history = append(r.history, simulation.Term{From: time.Now(), Regions: regions})
 }
 
-// addRequest makes a request for a route; prompts of the same family share a part.
+// ask returns a request to a route; prompts of the same family share a prefix.
 func ask(route string, family, own int, tokens [2]int) simulation.Request {
-	q := simulation.Request{Host: "h", Path: "/" + route + "/x", Body: []byte("data of " + route), Kind: simulation.ReadOnly, Deadline: testDeadline}
+	q := simulation.Request{
+		Host:     "h",
+		Path:     "/" + route + "/x",
+		Body:     []byte("data of " + route),
+		Kind:     simulation.ReadOnly,
+		Deadline: testDeadline,
+	}
 	switch route {
 	case "held", "free":
 		q.Kind, q.Resumable = simulation.Stream, true
@@ -171,8 +221,12 @@
 		q.Kind = simulation.Mutating
 	}
 	if q.Kind == simulation.Stream {
-		q.Model, q.Tokens = "m", tokens
-		q.Parts = []simulation.Part{{ID: fmt.Sprintf("fa%04x", family), Tokens: tokens[0] - 16}, {ID: fmt.Sprintf("%08x", own), Tokens: 16}}
+		q.Model = "m"
+		q.Tokens = tokens
+		q.Parts = []simulation.Part{
+			{ID: fmt.Sprintf("fa%04x", family), Tokens: tokens[0] - 16},
+			{ID: fmt.Sprintf("%08x", own), Tokens: 16},
+		}
 	}
 	return q
 }
@@ -190,6 +244,7 @@
 	return out
 }
 
+// Context is that of the requests: they end by their deadlines.
 func (r *rig) Context() context.Context { return context.Background() }
 
 // terms are those of a request over the whole history.
@@ -200,11 +255,11 @@
 	return r.history
 }
 
-// clean ends the proxy and judges all that happened: nothing outside, every request answered once and in its time. It gives the kept parts that
-// lingered.
+// clean ends the proxy and judges all that happened: nothing outside, every request answered once and in its time. It
+// returns the cached prefixes that were left.
 func (r *rig) clean() []simulation.Rest {
 	r.Helper()
-	r.server.Close() // waits for the requests, and what follows for the handles that they left to be freed
+	r.server.Close() // waits for the requests, and the next for the handles that they left to be released
 	r.proxy.background.Wait()
 	j := &simulation.Judge{Engines: r.engines, Clients: []*simulation.Client{r.client}}
 	leaked, lingering := j.Leaks(r.terms, testSlack)
@@ -214,7 +269,8 @@
 	}
 	r.Check(j.Findings(), qt.HasLen, 0)
 	for _, res := range r.client.Results() {
-		r.Check(res.EndedAt.Sub(res.SentAt) <= testDeadline, qt.IsTrue, qt.Commentf("%s took %v", res.Path, res.EndedAt.Sub(res.SentAt)))
+		took := res.EndedAt.Sub(res.SentAt)
+		r.Check(took <= testDeadline, qt.IsTrue, qt.Commentf("%s took %v", res.Path, took))
 		r.Check(res.Status, qt.Not(qt.Equals), 0, qt.Commentf("%s: %v", res.Path, res.Err))
 		if res.Status == 503 {
 			r.Check(res.RetryAfter > 0, qt.IsTrue)
@@ -236,11 +292,24 @@
 	return out
 }
 
+// engineAt is an engine of the service llm in a zone, for so many requests at once.
+func engineAt(zone string, phase simulation.Phase, capacity int) simulation.EngineSettings {
+	return simulation.EngineSettings{
+		Service:  "llm",
+		Zone:     zone,
+		Region:   testZones[zone],
+		Phase:    phase,
+		Capacity: capacity,
+		Queue:    4,
+		KVRef:    time.Minute,
+	}
+}
+
 // everywhere is a prefill, a decode and a plain backend in each region.
 func everywhere(change func(s *simulation.EngineSettings)) (all []simulation.EngineSettings) {
 	for _, zone := range []string{"e1", "m1", "w1"} {
 		for _, phase := range []simulation.Phase{simulation.PhasePrefill, simulation.PhaseDecode, simulation.PhaseNone} {
-			s := simulation.EngineSettings{Service: "llm", Zone: zone, Region: testZones[zone], Phase: phase, Capacity: 8, Queue: 4, KVRef: time.Minute}
+			s := engineAt(zone, phase, 8)
 			if phase == simulation.PhaseNone {
 				s.Service = "obs"
 			}
--- a/internal/fleet/proxy/selectionpolicies.go
+++ b/internal/fleet/proxy/selectionpolicies.go
@@ -69,7 +69,7 @@
 // Classes of decode backends for a long answer: those of a lower class are chosen first.
 const (
 	dedicatedClass   = 0 // kept for long answers
-	sharedClass      = 1 // for prompts read elsewhere, which find a place there while reservedShare is free
+	sharedClass      = 1 // for prompts read elsewhere, which find capacity there while reservedShare is free
 	filledClass      = 2 // either, filled to its limit
 	unavailableClass = 3 // full, or unresponsive
 )
@@ -126,7 +126,8 @@
 	decoders := func(id string) bool { return s.canDecode(req, id) }
 	cost := func(id string) float64 {
 		utilization := s.engines.Utilization(id)
-		return s.longDecodeClass(req, id, utilization)*classWeight + s.ranker.HashScore(key, id, freeWeight(utilization))
+		score := s.ranker.HashScore(key, id, freeWeight(utilization))
+		return s.longDecodeClass(req, id, utilization)*classWeight + score
 	}
 	s.ranked = s.ranker.Rank(req.now, key, decoders, math.Inf(1), cost, s.ranked[:0])
 	return s.topRanked()
@@ -242,7 +243,8 @@
 		utilization := s.engines.Utilization(id)
 		delay := s.engines.InboundDelayMs(req.now, id) / req.prefillTargetMs
 		weight := freeWeight(utilization) / ((1 + delay) * (1 + delay))
-		return s.decoderClass(req, id, from, utilization, delay)*classWeight + s.ranker.HashScore(key, id, weight)
+		score := s.ranker.HashScore(key, id, weight)
+		return s.decoderClass(req, id, from, utilization, delay)*classWeight + score
 	}
 	s.ranked = s.ranker.Rank(req.now, key, decoders, math.Inf(1), cost, s.ranked[:0])
 	return s.topRanked()
--- a/internal/fleet/proxy/service_test.go
+++ b/internal/fleet/proxy/service_test.go
@@ -9,8 +9,8 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// TestServiceWithoutRuntimeKeepsEstimator: a change may take the models from a service while requests of it are under way; what they
-// report at their end has its place still.
+// TestServiceWithoutRuntimeKeepsEstimator: a change may take the models from a service while requests of it are under
+// way; what they report at their end is still taken.
 func TestServiceWithoutRuntimeKeepsEstimator(t *testing.T) {
 	c := qt.New(t)
 	s := newService("s", nil, time.Second)
--- a/internal/fleet/proxy/shutdown.go
+++ b/internal/fleet/proxy/shutdown.go
@@ -49,7 +49,7 @@
 	gs.closeAt.Store(&closeAt)
 }
 
-// outlasts tells whether an answer that may take so long, and has to be complete by the deadline, may come after the
+// outlasts reports whether an answer that may take so long, and has to be complete by the deadline, may come after the
 // proxy has closed its connections.
 func (gs *gracefulShutdown) outlasts(now, deadline time.Time, longest time.Duration) bool {
 	end := gs.closeAt.Load()
@@ -108,8 +108,8 @@
 	return gap
 }
 
-// rejectIfLeaving rejects a request whose answer may outlast a draining proxy, and tells whether it did. No backend has
-// seen the request, and its client has time to retry at a proxy that stays.
+// rejectIfLeaving rejects a request whose answer may outlast a draining proxy, and reports whether it did. No backend
+// has seen the request, and its client has time to retry at a proxy that stays.
 func (cr *clientRequest) rejectIfLeaving(prompt *scheduler.Prompt) bool {
 	shutdown := &cr.proxy.shutdown
 	if shutdown.closeAt.Load() == nil {
--- a/internal/fleet/proxy/shutdown_test.go
+++ b/internal/fleet/proxy/shutdown_test.go
@@ -11,11 +11,16 @@
 	"molepaddle/internal/fleet/scheduler"
 )
 
-// TestAnswersThatOutlastShutdown asks of requests of several kinds, with so much time left to the proxy's end, whether they are
-// refused.
+// TestAnswersThatOutlastShutdown asks of requests of several kinds, with so much time left to the proxy's end, whether
+// they are rejected.
 func TestAnswersThatOutlastShutdown(t *testing.T) {
 	now := time.Unix(1000, 0)
-	stream := routingconfig.RouteSpec{Kind: routingconfig.KindStream, DeadlineMs: 20_000, LatencyTargetMs: 120, EventGapTargetMs: 150}
+	stream := routingconfig.RouteSpec{
+		Kind:             routingconfig.KindStream,
+		DeadlineMs:       20_000,
+		LatencyTargetMs:  120,
+		EventGapTargetMs: 150,
+	}
 	noGap := stream
 	noGap.EventGapTargetMs = 0
 	short := stream
@@ -23,7 +28,9 @@
 	lookup := routingconfig.RouteSpec{Kind: routingconfig.KindReadonly, DeadlineMs: 20_000, LatencyTargetMs: 150}
 	noTarget := lookup
 	noTarget.LatencyTargetMs = 0
-	tokens := func(n int) *scheduler.Prompt { return &scheduler.Prompt{InputTokens: 220, MaxOutputTokens: n} }
+	tokens := func(n int) *scheduler.Prompt {
+		return &scheduler.Prompt{InputTokens: 220, MaxOutputTokens: n}
+	}
 	for _, tc := range []struct {
 		name   string
 		route  routingconfig.RouteSpec
@@ -47,9 +54,9 @@
 		{"no longest pause", noGap, tokens(3), 7 * time.Second, 0, true},
 		{"a deadline before the end", short, tokens(1000), 2 * time.Second, 0, false},
 		{"a deadline after the end", short, tokens(1000), 1999 * time.Millisecond, 0, true},
-		{"a whole answer", lookup, nil, 600 * time.Millisecond, 0, false},
-		{"a whole answer with the end near", lookup, nil, 599 * time.Millisecond, 0, true},
-		{"a whole answer without an aim", noTarget, nil, 7 * time.Second, 0, true},
+		{"a plain answer", lookup, nil, 600 * time.Millisecond, 0, false},
+		{"a plain answer with the end near", lookup, nil, 599 * time.Millisecond, 0, true},
+		{"a plain answer without a latency target", noTarget, nil, 7 * time.Second, 0, true},
 	} {
 		c := qt.New(t)
 		p := new(Proxy)
@@ -61,13 +68,19 @@
 		if tc.pace > 0 {
 			svc.recordPace("e0", paceSampleEvents*tc.pace, paceSampleEvents)
 		}
-		cr := &clientRequest{proxy: p, svc: svc, route: &routingconfig.Route{RouteSpec: &tc.route}, deadline: now.Add(tc.route.Deadline())}
-		c.Check(p.shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, tc.prompt)), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+		cr := &clientRequest{
+			proxy:    p,
+			svc:      svc,
+			route:    &routingconfig.Route{RouteSpec: &tc.route},
+			deadline: now.Add(tc.route.Deadline()),
+		}
+		got := p.shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, tc.prompt))
+		c.Check(got, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
 
-// TestRetryAfterDuringShutdown: at once where another proxy takes them, else when the platform has turned away from
-// this one.
+// TestRetryAfterDuringShutdown: clients retry at once where another proxy takes them, else when the platform sends
+// them to others only.
 func TestRetryAfterDuringShutdown(t *testing.T) {
 	c := qt.New(t)
 	began := time.Unix(1000, 0)
--- a/internal/fleet/proxy/trials.go
+++ b/internal/fleet/proxy/trials.go
@@ -28,7 +28,7 @@
 	return s.byID[s.trials.NextTrial(req.now, risk, among)]
 }
 
-// triable tells whether an ejected backend may be sent to at all: it is listed and not draining. The lock is held.
+// triable reports whether an ejected backend may be sent to at all: it is listed and not draining. The lock is held.
 func (s *service) triable(id string) bool {
 	b := s.byID[id]
 	return b != nil && !b.Draining
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -10,11 +10,10 @@
 	"molepaddle/internal/fleet/externalapi"
 	"molepaddle/internal/fleet/outlier"
 	"molepaddle/internal/fleet/residency"
-	"molepaddle/internal/fleet/scheduler"
 	"molepaddle/policy"
 )
 
-// ejections are of the backends named, for all proxies.
+// ejections returns ejections of the backends named, for all proxies.
 func ejections(ids ...string) (all []distribution.Ejection) {
 	for _, id := range ids {
 		all = append(all, distribution.Ejection{Backend: id})
@@ -22,11 +21,12 @@
 	return all
 }
 
-// countPlacements counts where prompts are read and tokens are made of so many requests.
-func countPlacements(c *qt.C, s *service, requests int, repeatable bool) map[string]int {
+// countPlacements counts by backend where so many requests are prefilled and decoded.
+func countPlacements(c *qt.C, s *service, requests int, retryable bool) map[string]int {
 	count := map[string]int{}
 	for i := range requests {
-		pl, ok := s.selectPlacement("k", repeatable, sharedPrefixPrompt(uint64(1+i%97), uint64(1000+i)), 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		prompt := sharedPrefixPrompt(uint64(1+i%97), uint64(1000+i))
+		pl, ok := s.selectPlacement("k", retryable, prompt, 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		count[pl.decode.ID]++
 		if pl.prefill != nil {
@@ -38,7 +38,7 @@
 	return count
 }
 
-// TestEjectedBackendsGetTrialsOnly: neither prompts nor tokens go where the fleet's word is against it, but for trials.
+// TestEjectedBackendsGetTrialsOnly: an ejected backend is chosen neither for prefill nor for decode, but for trials.
 func TestEjectedBackendsGetTrialsOnly(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestSlowStreamsAreReported: of streams that come several times as slowly as usual the fleet is told; of others as good.
+// TestSlowStreamsAreReported: streams that come several times as slowly as usual are reported as slow, others as good.
 func TestSlowStreamsAreReported(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
@@ -96,15 +96,18 @@
 	s.recordPace("d0", paceSampleEvents*60*time.Millisecond, paceSampleEvents)
 	s.recordPace("d1", paceSampleEvents*400*time.Millisecond, paceSampleEvents)
 	c.Assert(s.paceSampleComplete(time.Second, 3), qt.IsFalse)
-	c.Assert(s.paceSampleComplete(4*time.Second, 3), qt.IsTrue, qt.Commentf("what is that slow needs no whole stretch"))
+	c.Assert(s.paceSampleComplete(4*time.Second, 3), qt.IsTrue, qt.Commentf("what is that slow needs no complete sample"))
 	reported := map[string]distribution.Outcome{}
 	for _, o := range s.takeOutcomes(true) {
 		reported[o.Backend] = o
 	}
-	c.Assert(reported, qt.DeepEquals, map[string]distribution.Outcome{"d0": {Backend: "d0", Attempts: 1, Streamed: 1}, "d1": {Backend: "d1", Attempts: 1, Streamed: 1, Slow: 1}})
+	c.Assert(reported, qt.DeepEquals, map[string]distribution.Outcome{
+		"d0": {Backend: "d0", Attempts: 1, Streamed: 1},
+		"d1": {Backend: "d1", Attempts: 1, Streamed: 1, Slow: 1},
+	})
 }
 
-// TestOverdueAttemptsAreReported: the fleet hears of an attempt that waits far longer than usual before it ends.
+// TestOverdueAttemptsAreReported: an attempt that waits far longer than usual is reported before it ends.
 func TestOverdueAttemptsAreReported(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
@@ -123,7 +126,7 @@
 func TestTrialsOfLongDecodes(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 4)
-	talk := &scheduler.Prompt{InputTokens: 100, MaxOutputTokens: 80, Segments: []scheduler.Segment{{PrefixHash: 1, Tokens: 50}, {PrefixHash: 2, Tokens: 50}}}
+	talk := longAnswerPrompt()
 	for range 50 {
 		s.engines.ObserveDecode("talk", talk, 4000)
 	}
--- a/internal/fleet/proxy/upstreams.go
+++ b/internal/fleet/proxy/upstreams.go
@@ -68,7 +68,7 @@
 	s.engines.SetBackends(all)
 }
 
-// withinTerms tells whether a listed backend may hold data under the terms. Callers ask only for requests that have
+// withinTerms reports whether a listed backend may hold data under the terms. Callers ask only for requests that have
 // terms, so that the others don't pay for the check. The lock is held.
 func (s *service) withinTerms(id string, terms residency.Terms) bool {
 	return s.byID[id].endpoint.Allowed(terms)
