--- /dev/null
+++ b/internal/fleet/proxy/generation.go
@@ -0,0 +1,165 @@
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"molepaddle/internal/fleet/residency"
+	"molepaddle/internal/fleet/scheduler"
+)
+
+// maxPrefills is how often the prompt of one request is prefilled apart from its decode: after that, where it fails,
+// the decode backend prefills it.
+const maxPrefills = 2
+
+// generation is the serving of one request whose tokens come as a stream: its prompt is prefilled at one backend and
+// decoded at another, or both at one. The prompt is handed from step to step rather than kept here: beside what
+// outlives the request it would have to be allocated.
+type generation struct {
+	cr *clientRequest
+	// handle names the prompt's KV cache that waits for its decode backend; nil: there is none.
+	handle *kvHandle
+	// split says that the prompt may be prefilled apart from its decode, and prefills how often that came to nothing.
+	split    bool
+	prefills int
+}
+
+// serveGeneration serves a request whose tokens come as a stream, from one placement after another until one answers.
+// The error is why none did.
+func (cr *clientRequest) serveGeneration(ctx context.Context, prompt *scheduler.Prompt) error {
+	g := generation{cr: cr, split: true}
+	defer g.releaseHandle()
+	for {
+		pl, err := g.place(prompt)
+		if err != nil {
+			return err
+		}
+		if pl.prefill != nil && g.handle == nil {
+			retry, err := g.prefill(ctx, &pl, prompt)
+			if retry {
+				continue
+			}
+			if err != nil {
+				return attemptFailure(err)
+			}
+		}
+		cr.tried[pl.decode.ID] = true
+		sends := cr.sends
+		err = cr.streamFrom(ctx, &pl, prompt, g.handle)
+		if err == nil {
+			g.handle = nil // the decode backend has taken it over
+			return nil
+		}
+		cr.abortIfClientGone(ctx)
+		if cr.canReroute(sends) {
+			continue
+		}
+		if !g.takeRetry() {
+			return attemptFailure(err)
+		}
+	}
+}
+
+// place selects where the prompt is prefilled and decoded, or only where it is decoded if it has been prefilled.
+func (g *generation) place(prompt *scheduler.Prompt) (placement, error) {
+	cr := g.cr
+	terms := cr.terms()
+	g.dropWithdrawnHandle(terms)
+	target := cr.route.LatencyTarget()
+	if g.handle != nil {
+		pl, ok := cr.svc.selectDecoder(g.handle.from, cr.retryable(), prompt, target, cr.tried, terms)
+		if !ok {
+			return pl, errNoBackend
+		}
+		return pl, nil
+	}
+	pl, ok := cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, target, cr.tried, g.split, terms)
+	if !ok {
+		return pl, errNoBackend
+	}
+	if cr.prefillTooLate(&pl) {
+		cr.undoPlacement(&pl)
+		missing := time.Duration(pl.prefillMs)*time.Millisecond - time.Until(cr.deadline)
+		cr.retryAfter = max(cr.retryAfter, missing)
+		return pl, errPrefillTooLate
+	}
+	return pl, nil
+}
+
+// prefill has the placement's prefill backend prefill the prompt. On an error, retry reports whether the prompt may be
+// placed anew.
+func (g *generation) prefill(
+	ctx context.Context,
+	pl *placement,
+	prompt *scheduler.Prompt,
+) (retry bool, err error) {
+	cr := g.cr
+	began := time.Now()
+	deadline := cr.prefillDeadline(pl.prefillMs)
+	a := cr.newPrefillAttempt(pl, prompt)
+	handle, err := a.run(ctx, prompt, deadline)
+	if err != nil {
+		cr.undoPlacement(pl)
+		return g.takePrefillRetry(ctx, pl, a.reached), err
+	}
+	g.handle = handle
+	cr.svc.recordPrefill(pl.prefillMs, time.Since(began))
+	return false, nil
+}
+
+// takePrefillRetry reports whether another backend may prefill the prompt after one failed to. A call that reached a
+// backend is a send beyond the request's first, and is taken from the retry budget as such.
+func (g *generation) takePrefillRetry(ctx context.Context, pl *placement, reached bool) bool {
+	cr := g.cr
+	cr.abortIfClientGone(ctx)
+	if ctx.Err() != nil {
+		return false
+	}
+	cr.tried[pl.prefill.ID] = true
+	if reached {
+		g.prefills++
+	}
+	g.split = g.prefills < maxPrefills
+	if reached && !cr.takeExtraSend() {
+		return false
+	}
+	return len(cr.tried) <= maxBackendsTried
+}
+
+// takeRetry reports whether the request may be sent to another decode backend, and takes that from the retry budget.
+// The attempt has spoilt a KV handle that went with it, whether or not it came to anything: prefilling the prompt apart
+// once more takes one send more than prefilling it where it is decoded.
+func (g *generation) takeRetry() bool {
+	cr := g.cr
+	if g.handle == nil {
+		return cr.takeRetry()
+	}
+	cr.tried[g.handle.from.ID] = true
+	g.discardHandle()
+	g.split = g.prefills < maxPrefills && cr.retryPossible() && cr.takeExtraSends(2)
+	return g.split || cr.takeRetry()
+}
+
+// dropWithdrawnHandle gives up a KV handle whose region was withdrawn from the terms while it waited: the prompt is
+// prefilled anew, inside them.
+func (g *generation) dropWithdrawnHandle(terms residency.Terms) {
+	if g.handle == nil || g.handle.permit.Check(terms) == nil {
+		return
+	}
+	g.discardHandle()
+	g.split = g.prefills < maxPrefills && g.cr.takeExtraSend()
+}
+
+// discardHandle releases the KV handle; its prefill has come to nothing.
+func (g *generation) discardHandle() {
+	g.cr.releaseHandle(g.handle)
+	g.handle = nil
+	g.prefills++
+}
+
+// releaseHandle releases a KV handle that is left when the request ends.
+func (g *generation) releaseHandle() {
+	if g.handle != nil {
+		g.cr.releaseHandle(g.handle)
+	}
+}
--- a/internal/fleet/proxy/shutdown.go
+++ b/internal/fleet/proxy/shutdown.go
@@ -121,9 +121,11 @@
 	}
 	shutdown.rejected.Add(1)
 	proxiesInZone := cr.snapshot.proxies / max(len(cr.proxy.settings.Zones), 1)
-	retryAfter := shutdown.retryAfter(now, proxiesInZone)
-	text := "this proxy is leaving: the answer may take longer than it stays"
-	cr.proxy.reject(cr.w, http.StatusServiceUnavailable, retryAfter, text)
+	cr.proxy.writeError(cr.w, &rejection{
+		status:     http.StatusServiceUnavailable,
+		retryAfter: shutdown.retryAfter(now, proxiesInZone),
+		reason:     "this proxy is leaving: the answer may take longer than it stays",
+	})
 	return true
 }
 
