--- a/internal/fleet/proxy/decode.go
+++ b/internal/fleet/proxy/decode.go
@@ -186,6 +186,3 @@
 	}
 	svc.ranker.AttemptEnded(svc.now(), id, a.status)
 }
-
-// milliseconds returns a duration in milliseconds, to the microsecond.
-func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/fleet/proxy/errors_test.go
+++ b/internal/fleet/proxy/errors_test.go
@@ -101,11 +101,13 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			c := qt.New(t)
+			p := &Proxy{}
 			cr := &clientRequest{
-				proxy:      &Proxy{},
-				mayHaveRun: one.mayHaveRun,
-				deadline:   time.Now().Add(one.left),
-				retryAfter: one.advice,
+				proxy:          p,
+				residencyCheck: residencyCheck{latest: &p.snapshot},
+				mayHaveRun:     one.mayHaveRun,
+				deadline:       time.Now().Add(one.left),
+				retryAfter:     one.advice,
 			}
 			got := cr.rejectionFor(attemptFailure(errForeignAnswer))
 			c.Check(got.status, qt.Equals, one.status)
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -11,7 +11,6 @@
 	"github.com/go-faster/errors"
 
 	"molepaddle/internal/fleet/externalapi"
-	"molepaddle/internal/fleet/residency"
 	"molepaddle/internal/fleet/routingconfig"
 	"molepaddle/internal/fleet/scheduler"
 )
@@ -43,10 +42,7 @@
 	route    *routingconfig.Route
 	svc      *service
 
-	// Where its data may be held: residencyTerms are those of snapshot for subject, and are renewed with it.
-	snapshot       *routingSnapshot
-	subject        subject
-	residencyTerms residency.Terms
+	residencyCheck // where its data may be held
 
 	arrivedAt time.Time
 	deadline  time.Time // by when the answer has to be complete
