--- /dev/null
+++ b/internal/fleet/controlplane/server.go
@@ -0,0 +1,229 @@
+// Package controlplane is the program of a core machine. The core machines replicate the control state (the
+// operator's configuration and the residency record), poll the platform's list of backends for all machines of the
+// fleet, answer the pulls of node agents and the operator's calls.
+//
+// It decides nothing about replication: package replication is a state machine without I/O, and Server.drive is its
+// driver, which saves, sends and answers what that machine hands out, in this order. Nor does it route requests: that
+// is package proxy, from what is published here.
+//
+// New and Run are called once each, in this order, by one goroutine; everything else is internal. Within a Server the
+// replica, its state and the state store belong to the driver's goroutine; what others read of them is published by
+// atomic pointers (see the groups of Server's fields).
+package controlplane
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-faster/errors"
+	"github.com/puzpuzpuz/xsync/v4"
+	"go.uber.org/zap"
+
+	"molepaddle/internal/fleet/distribution"
+	"molepaddle/internal/fleet/replication"
+	"molepaddle/internal/fleet/settings"
+	"molepaddle/internal/fleet/statestore"
+	"molepaddle/internal/protocol/sockets"
+)
+
+const (
+	// heartbeatInterval is the time from one heartbeat of the primary to the next.
+	heartbeatInterval = 150 * time.Millisecond
+	// electionTimeout is how long a primary or backup may be silent before it counts as lost: some heartbeats.
+	electionTimeout = 700 * time.Millisecond
+	// electionStagger is how much longer each further backup waits, so that they don't compete for the next view.
+	electionStagger = 250 * time.Millisecond
+	// writeTimeout is how long a backup may take to acknowledge a change before the next view leaves it out.
+	writeTimeout = 600 * time.Millisecond
+
+	// inputQueueLength bounds the inputs that wait for the driver; messages beyond it are lost, calls wait.
+	inputQueueLength = 1024
+
+	// headerTimeout and idleTimeout bound a connection of the operator, shutdownTimeout the end of those that are open.
+	headerTimeout   = 3 * time.Second
+	idleTimeout     = 10 * time.Second
+	shutdownTimeout = time.Second
+)
+
+// Server is one core machine's program.
+type Server struct {
+	// ResidencyInterval is the least time between two writes of the residency record; New sets
+	// DefaultResidencyInterval. It may be set before Run.
+	ResidencyInterval time.Duration
+	// Dial connects to other core machines; New sets distribution.Dial. Tests put a network of their own between. It
+	// may be set before Run.
+	Dial distribution.DialFunc
+
+	// Set by New and not changed since; each part guards itself.
+	settings  settings.Settings
+	log       *zap.Logger
+	start     time.Time // zero of the replica's clock
+	cache     *distribution.Cache
+	transport *transport
+	inputs    chan func(now time.Duration) replication.Output // executed one by one by the driver
+
+	// Owned by the driver's goroutine.
+	storage        *statestore.Store
+	replica        *replication.Machine
+	state          *controlState
+	pendingAnswers map[uint64]chan<- replication.Answer // by token
+	lastToken      uint64
+
+	// Published by the driver for all. A status is stored before the channel that announced it is closed.
+	status          atomic.Pointer[replication.Status]
+	changed         atomic.Pointer[chan struct{}] // closed when the status next changes
+	committed       atomic.Pointer[appliedState]  // newest committed state
+	committedConfig atomic.Pointer[configCommit]  // which configuration that has, and since when
+
+	// Other state that several goroutines share.
+	contact     *contact                      // with the primary, or as primary with the backups
+	lastContact *xsync.Map[string, time.Time] // with each other core machine, by its address among the core
+	lastPoll    atomic.Pointer[pollStatus]    // what the poller did last, as primary
+	changeSlot  chan struct{}                 // one change at a time; holds one value
+}
+
+// New opens the state store in set.DataDir, which blocks until the disk has synced it, and makes the program. A state
+// store that can't be used counts as a lost disk. random gives identities, which must differ between machines and
+// starts. An error for which statestore.Transient is true may be gone at a later attempt.
+func New(set settings.Settings, log *zap.Logger, random func() uint64) (*Server, error) {
+	if set.DataDir == "" {
+		return nil, errors.New("datadir: a core machine needs a disk")
+	}
+	self := replication.Member{Addr: distribution.CoreAddr(set.IP, set.Ports), Zone: set.Zone, Region: set.Region}
+	storage, persisted, err := statestore.OpenFor(set.DataDir, self.Addr)
+	if err != nil {
+		return nil, errors.Wrap(err, "open state store")
+	}
+	if persisted.DiskLost {
+		log.Warn("the disk's content can't be trusted and counts as lost", zap.Error(storage.SetAsideCause()))
+	}
+	s := &Server{
+		ResidencyInterval: DefaultResidencyInterval,
+		Dial:              distribution.Dial,
+		settings:          set,
+		log:               log,
+		start:             time.Now(),
+		cache:             distribution.NewCache(),
+		inputs:            make(chan func(time.Duration) replication.Output, inputQueueLength),
+		storage:           storage,
+		state:             &controlState{},
+		pendingAnswers:    map[uint64]chan<- replication.Answer{},
+		contact:           newContact(time.Now()),
+		lastContact:       xsync.NewMap[string, time.Time](),
+		changeSlot:        make(chan struct{}, 1),
+	}
+	s.replica, err = replication.New(replicaOptions(&set, self, random), persisted, s.state)
+	if err != nil {
+		return nil, errors.Wrap(err, "record")
+	}
+	dial := func(addr string, timeout time.Duration) (net.Conn, error) { return s.Dial(addr, timeout) }
+	s.transport = newTransport(dial)
+	st := s.replica.Status()
+	s.status.Store(&st)
+	s.publishCoreMembers(&st)
+	changed := make(chan struct{})
+	s.changed.Store(&changed)
+	return s, nil
+}
+
+// replicaOptions are replication's settings for a machine.
+func replicaOptions(set *settings.Settings, self replication.Member, random func() uint64) replication.Options {
+	var seeds []string
+	for _, seed := range set.Seeds {
+		if host, _, err := net.SplitHostPort(seed); err == nil {
+			seeds = append(seeds, distribution.CoreAddr(host, set.Ports))
+		}
+	}
+	return replication.Options{
+		Self: self,
+		Tolerance: replication.FailureTolerance{
+			Nodes:   set.Survive.Nodes,
+			Zones:   set.Survive.Zones,
+			Regions: set.Survive.Regions,
+		},
+		Seeds:             seeds,
+		Bootstrap:         set.Bootstrap,
+		HeartbeatInterval: heartbeatInterval,
+		ElectionTimeout:   electionTimeout,
+		ElectionStagger:   electionStagger,
+		WriteTimeout:      writeTimeout,
+		MemberTimeout:     set.Bounds.Sync,
+		Rand:              random,
+	}
+}
+
+// watch returns the status, and a channel that is closed when it next changes.
+func (s *Server) watch() (*replication.Status, <-chan struct{}) {
+	changed := s.changed.Load()
+	return s.status.Load(), *changed
+}
+
+// listeners are the sockets of a running server.
+type listeners struct {
+	core    net.Listener // messages of the other core machines
+	pulls   net.Listener // pulls of node agents and other control servers
+	control net.Listener // the operator's calls
+}
+
+// listen opens the sockets. It waits sockets.ListenWithin for an address that is still taken.
+func (s *Server) listen(ctx context.Context) (l listeners, err error) {
+	if s.settings.Bind.Control == "" {
+		return l, errors.New("bind: ctl must be given")
+	}
+	l.core, err = sockets.Listen(ctx, distribution.CoreAddr(s.settings.IP, s.settings.Ports), sockets.ListenWithin)
+	if err != nil {
+		return l, errors.Wrap(err, "listen for the core")
+	}
+	l.pulls, err = sockets.Listen(ctx, distribution.PullAddr(s.settings.IP, s.settings.Ports), sockets.ListenWithin)
+	if err != nil {
+		return l, errors.Wrap(err, "listen for pulls")
+	}
+	l.control, err = sockets.Listen(ctx, s.settings.Bind.Control, sockets.ListenWithin)
+	if err != nil {
+		return l, errors.Wrap(err, "listen for the operator")
+	}
+	return l, nil
+}
+
+// Run serves until ctx ends and the core has taken over what this machine does, at most handOverTimeout later. It
+// returns an error when a socket can't be opened or the state store can't be closed.
+func (s *Server) Run(ctx context.Context) error {
+	ctx, stopServing := s.serveUntilReleased(ctx)
+	defer stopServing()
+	l, err := s.listen(ctx)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{
+		Handler:           s.handler(),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		ErrorLog:          zap.NewStdLog(s.log),
+	}
+	go func() { _ = server.Serve(l.control) }()
+	go s.transport.serve(ctx, l.core, s.receive, s.peerDisconnected)
+	go s.servePulls(ctx, l.pulls)
+	go s.followPrimary(ctx)
+	go s.poll(ctx)
+	go s.detectOutliers(ctx)
+	go s.recordResidency(ctx)
+	closeListeners := func() {
+		l.core.Close()
+		l.pulls.Close()
+	}
+	defer closeListeners()
+	stop := context.AfterFunc(ctx, closeListeners)
+	defer stop()
+	s.log.Info("started")
+	s.drive(ctx)
+	end, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	_ = server.Shutdown(end)
+	if err := s.storage.Close(); err != nil {
+		return errors.Wrap(err, "close state store")
+	}
+	return nil
+}
--- a/internal/fleet/controlplane/wire_test.go
+++ b/internal/fleet/controlplane/wire_test.go
@@ -6,8 +6,6 @@
 	"testing"
 
 	qt "github.com/frankban/quicktest"
-	"go.uber.org/zap"
-
 	"molepaddle/internal/fleet/routingconfig"
 	"molepaddle/internal/goldenbytes"
 )
@@ -33,16 +31,20 @@
 // TestWireBytesOfRefusal holds the body with which a call is refused.
 func TestWireBytesOfRefusal(t *testing.T) {
 	c := qt.New(t)
-	o := &Server{log: zap.NewNop()}
 	w := httptest.NewRecorder()
-	o.writeError(w, http.StatusBadRequest, "the configuration is invalid", routingconfig.Findings{
-		{Path: "routing[0].pfx", Message: "must begin and end with a slash"}, {Path: "ver", Message: "must be above 0"},
+	writeError(w, &callError{
+		status: http.StatusBadRequest,
+		reason: "the configuration is invalid",
+		findings: routingconfig.Findings{
+			{Path: "routing[0].pfx", Message: "must begin and end with a slash"},
+			{Path: "ver", Message: "must be above 0"},
+		},
 	})
 	c.Check(w.Code, qt.Equals, http.StatusBadRequest)
 	c.Check(w.Header().Get("Content-Type"), qt.Equals, "application/json")
 	goldenbytes.Check(t, "wire/refusal.json", w.Body.Bytes())
 	w = httptest.NewRecorder()
-	o.unavailable(w, "not settled")
+	writeError(w, unavailable("not settled"))
 	c.Check(w.Code, qt.Equals, http.StatusServiceUnavailable)
 	c.Check(w.Header().Get("Retry-After"), qt.Equals, "0.2")
 	goldenbytes.Check(t, "wire/again.json", w.Body.Bytes())
