--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -32,15 +32,15 @@
 	proves   bool   // it proves that the request has not run
 }
 
-// wellAnswer is the answer of a backend that is well, in parts.
-type wellAnswer struct {
+// validAnswer is the answer of a healthy backend, in parts.
+type validAnswer struct {
 	id   string
 	head string // without the empty line at its end, and without its framing
 	body string // unframed
 	bare bool   // it answers a HEAD: the body is not sent
 }
 
-func (a *wellAnswer) framed() []byte {
+func (a *validAnswer) framed() []byte {
 	if strings.Contains(a.head, "text/event-stream") {
 		return a.chunked("")
 	}
@@ -52,7 +52,7 @@
 }
 
 // chunked frames the body in chunks of an event each, with trailers.
-func (a *wellAnswer) chunked(trailers string) []byte {
+func (a *validAnswer) chunked(trailers string) []byte {
 	b := []byte(a.head + "Transfer-Encoding: chunked\r\n\r\n")
 	for part := range strings.SplitAfterSeq(a.body, "\n\n") {
 		if part != "" {
@@ -62,12 +62,25 @@
 	return append(b, "0\r\n"+trailers+"\r\n"...)
 }
 
-func (a *wellAnswer) unframed() []byte { return []byte(a.head + "\r\n" + a.body) }
+func (a *validAnswer) unframed() []byte { return []byte(a.head + "\r\n" + a.body) }
+
+// script is what a backend does with a request, as far as it has come, that would get the answer.
+type script func(r *exchangeRig, c *scriptedConn, request []byte, answer *validAnswer) reply
 
 // breakage is what a backend does to the victim's request.
 type breakage struct {
 	name string
-	does func(r *exchangeRig, c *scriptedConn, request []byte, well *wellAnswer) reply
+	does script
+}
+
+// onAnswer is a script that needs the answer alone.
+func onAnswer(does func(answer *validAnswer) reply) script {
+	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, answer *validAnswer) reply { return does(answer) }
+}
+
+// always is a script that says the same to every request.
+func always(says reply) script {
+	return func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply { return says }
 }
 
 // requestKind is a kind of request, and the call of it that is struck.
@@ -82,8 +95,8 @@
 
 func (k *requestKind) stream() bool { return k.route != "freeread" && k.route != "post" }
 
-// retryable tells whether the request may run more than once, or the struck call is one that does not run it.
-func (k *requestKind) repeatable() bool { return k.route == "freeread" || k.route == "free" }
+// idempotent tells whether the request may run more than once, or the struck call is one that does not run it.
+func (k *requestKind) idempotent() bool { return k.route == "freeread" || k.route == "free" }
 
 // scriptedBackend is a backend whose connections are scripted.
 type scriptedBackend struct {
@@ -93,32 +106,33 @@
 	conns              []*scriptedConn
 }
 
-// reach is a request, or a part of one, that has come to a backend.
-type reach struct {
+// arrival is a request, or a part of one, that has come to a backend.
+type arrival struct {
 	id, backend, stage, handle string
 	proved                     bool // that it has not run
 	at                         time.Time
 }
 
-// exchangeRig is one proxy before scripted backends, for one victim's request in trouble and those before and after it.
+// exchangeRig is one proxy before scripted backends, for one victim's request that meets a fault and those before and
+// after it.
 type exchangeRig struct {
 	proxy    *Proxy
 	kind     requestKind
 	breakage breakage
 	backends []*scriptedBackend
 	version  uint64
-	script   func(a *wellAnswer) reply // what all requests get; nil: their answers
+	script   func(a *validAnswer) reply // what all requests get; nil: their answers
 
 	mu       sync.Mutex
-	struck   *scriptedConn // where the trouble was
+	struck   *scriptedConn // where the fault struck
 	asking   string        // id of the request under way
 	cancel   context.CancelFunc
 	left     time.Time // when the victim's client left
 	came     time.Time
 	deadline time.Duration // of the request under way
-	reaches  []reach
+	reaches  []arrival
 	handles  map[string]string // whose a handle is, by address and reference
-	spent    map[string]bool   // handles that were sent to a taker
+	spent    map[string]bool   // handles that were sent to a decode backend
 	found    []string
 }
 
@@ -134,33 +148,57 @@
 	zones := map[string]string{"e1": "east"}
 	r.proxy = New(context.Background(), testSettings(zones), zap.NewNop())
 	r.proxy.pool.Close()
-	pool := transport.New(transport.Options{Dial: r.dial, Timeout: connectTimeout, Idle: 10 * time.Second, Most: 100, Settle: time.Millisecond, Resting: 4})
+	pool := transport.New(transport.Options{
+		Dial:    r.dial,
+		Timeout: connectTimeout,
+		Idle:    10 * time.Second,
+		Most:    100,
+		Settle:  time.Millisecond,
+		Resting: 4,
+	})
 	r.proxy.pool, r.proxy.gate = pool, residency.NewGate(pool, zones)
 	for i, b := range []scriptedBackend{
 		{id: "obs-a", service: "obs"}, {id: "obs-b", service: "obs"},
-		{id: "prefill-a", service: "llm", phase: externalapi.PhasePrefill}, {id: "prefill-b", service: "llm", phase: externalapi.PhasePrefill},
-		{id: "decode-a", service: "llm", phase: externalapi.PhaseDecode}, {id: "decode-b", service: "llm", phase: externalapi.PhaseDecode},
+		{id: "prefill-a", service: "llm", phase: externalapi.PhasePrefill},
+		{id: "prefill-b", service: "llm", phase: externalapi.PhasePrefill},
+		{id: "decode-a", service: "llm", phase: externalapi.PhaseDecode},
+		{id: "decode-b", service: "llm", phase: externalapi.PhaseDecode},
 	} {
 		b.rig, b.address = r, fmt.Sprintf("10.0.0.%d:80", i+1)
 		r.backends = append(r.backends, &b)
 	}
 	doc := exchangeDocument()
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: 1}, Snapshot: doc}}})
+	applyResource(r.proxy, distribution.ConfigType, 1, doc)
 	r.list(true)
 	return r
 }
 
+// applyResource gives a proxy a complete resource of the version.
+func applyResource(p *Proxy, kind string, version uint64, snapshot []byte) {
+	p.apply(&distribution.Response{Resources: []distribution.Resource{{
+		Type:     kind,
+		Version:  distribution.Version{Epoch: 1, Count: version},
+		Snapshot: snapshot,
+	}}})
+}
+
 // exchangeDocument is the configuration of these tests.
 func exchangeDocument() []byte {
 	route := func(name, kind, svc, more string) string {
-		return fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,"deadline_ms":3000,"target_ms":150,"svc":%[3]q,"tries":3%[4]s}`, name, kind, svc, more)
+		return fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,"deadline_ms":3000,`+
+			`"target_ms":150,"svc":%[3]q,"tries":3%[4]s}`, name, kind, svc, more)
 	}
-	return fmt.Appendf(nil, `{"ver":1,"routing":[%s],"svcs":[{"name":"llm","probe":"/healthz","runtime":{"capacity":8,"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}},{"name":"obs","probe":"/healthz"}]}`,
-		strings.Join([]string{route("free", "stream", "llm", `,"pin":true,"resumable":true`), route("freeonce", "stream", "llm", `,"pin":true`),
-			route("freeread", "readonly", "obs", ""), route("post", "mutating", "obs", "")}, ","))
+	return fmt.Appendf(nil, `{"ver":1,"routing":[%s],"svcs":[{"name":"llm","probe":"/healthz","runtime":{"capacity":8,`+
+		`"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}},{"name":"obs","probe":"/healthz"}]}`,
+		strings.Join([]string{
+			route("free", "stream", "llm", `,"pin":true,"resumable":true`),
+			route("freeonce", "stream", "llm", `,"pin":true`),
+			route("freeread", "readonly", "obs", ""),
+			route("post", "mutating", "obs", ""),
+		}, ","))
 }
 
-// struckBackend is the backend whose role is the one that the trouble strikes.
+// struckBackend is the backend whose role is the one that the fault strikes.
 func (r *exchangeRig) struckBackend() string {
 	switch {
 	case !r.kind.stream():
@@ -171,7 +209,8 @@
 	return "decode-a"
 }
 
-// updateEndpoints has the proxy know the backends that the request's kind needs; alone: of the role in trouble only the one.
+// list has the proxy know the backends that the request's kind needs; alone: of the role that the fault strikes only
+// the one.
 func (r *exchangeRig) list(alone bool) {
 	struck := r.struckBackend()
 	var list distribution.BackendList
@@ -180,11 +219,19 @@
 		if role == "prefill" && !r.kind.staged || alone && strings.HasPrefix(struck, role) && b.id != struck {
 			continue
 		}
-		list.Backends = append(list.Backends, distribution.Backend{ID: b.id, Service: b.service, Address: b.address, Zone: "e1", Version: "v1", Capacity: 8, Phase: b.phase})
+		list.Backends = append(list.Backends, distribution.Backend{
+			ID:       b.id,
+			Service:  b.service,
+			Address:  b.address,
+			Zone:     "e1",
+			Version:  "v1",
+			Capacity: 8,
+			Phase:    b.phase,
+		})
 	}
 	whole, _ := list.MarshalMsg(nil)
 	r.version++
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: r.version}, Snapshot: whole}}})
+	applyResource(r.proxy, distribution.BackendListType, r.version, whole)
 }
 
 func (r *exchangeRig) dial(_ context.Context, _, address string) (net.Conn, error) {
@@ -204,14 +251,14 @@
 	r.found = append(r.found, fmt.Sprintf(format, args...))
 }
 
-// scanEvents is find for who has not locked the rig.
+// note is find for who has not locked the rig.
 func (r *exchangeRig) note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.find(format, args...)
 }
 
-// write is what a backend says to a request on a connection.
+// request is what a backend says to a request on a connection.
 func (b *scriptedBackend) request(c *scriptedConn, raw []byte) reply {
 	r := b.rig
 	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
@@ -221,7 +268,7 @@
 		r.find("%s gets what is no request: %v", b.id, err)
 		return reply{taken: -1, end: errReset}
 	}
-	well := b.well(req)
+	well := b.answerTo(req)
 	strikes := b.strikes(req)
 	says := reply{taken: -1, bytes: well.framed()}
 	if r.script != nil {
@@ -240,18 +287,25 @@
 	return says
 }
 
-// strikes tells whether a request is the victim's call that meets the trouble.
+// strikes tells whether a request is the victim's call that meets the fault.
 func (b *scriptedBackend) strikes(req *http.Request) bool {
 	r := b.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.struck == nil && req.Header.Get(externalapi.HeaderAttemptID) == victimID && b.id == r.struckBackend() && req.Method != externalapi.CallFreeKVHandle.Method
+	return r.struck == nil &&
+		req.Header.Get(externalapi.HeaderAttemptID) == victimID &&
+		b.id == r.struckBackend() &&
+		req.Method != externalapi.CallFreeKVHandle.Method
 }
 
-// well is the answer that a request gets where all is well.
-func (b *scriptedBackend) well(req *http.Request) *wellAnswer {
+// answerTo is the answer that a request gets where all is well.
+func (b *scriptedBackend) answerTo(req *http.Request) *validAnswer {
 	id := req.Header.Get(externalapi.HeaderAttemptID)
-	a := &wellAnswer{id: id, bare: req.Method == http.MethodHead, head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n"}
+	a := &validAnswer{
+		id:   id,
+		bare: req.Method == http.MethodHead,
+		head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n",
+	}
 	switch {
 	case req.Method == externalapi.CallFreeKVHandle.Method:
 	case req.Header.Get(externalapi.HeaderStage) != "":
@@ -279,11 +333,18 @@
 	return ref
 }
 
-// attemptStatus notes a request that has come, and what no request may do. The rig is locked.
+// judge notes a request that has come, and what no request may do. The rig is locked.
 func (b *scriptedBackend) judge(req *http.Request, says reply) {
 	r := b.rig
 	id := req.Header.Get(externalapi.HeaderAttemptID)
-	at := reach{id: id, backend: b.id, stage: req.Header.Get(externalapi.HeaderStage), handle: req.Header.Get(externalapi.HeaderKVFrom), proved: says.proves, at: time.Now()}
+	at := arrival{
+		id:      id,
+		backend: b.id,
+		stage:   req.Header.Get(externalapi.HeaderStage),
+		handle:  req.Header.Get(externalapi.HeaderKVFrom),
+		proved:  says.proves,
+		at:      time.Now(),
+	}
 	freeing := req.Method == externalapi.CallFreeKVHandle.Method
 	if freeing {
 		at.stage = "free"
@@ -363,7 +424,7 @@
 	return req
 }
 
-// addRequest makes one request of the rig's kind.
+// ask makes one request of the rig's kind.
 func (r *exchangeRig) ask(id string) outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -373,7 +434,7 @@
 	r.mu.Unlock()
 	w := &once{ResponseRecorder: httptest.NewRecorder()}
 	began := time.Now()
-	broken := r.serve(w, req)
+	broken := serveUntilAborted(r.proxy, w, req)
 	out := outcome{w.Code, w.Header(), w.Body.String(), broken, time.Since(began)}
 	if w.answers == 0 && !broken {
 		out.status = http.StatusOK // what the library makes of a handler that says nothing
@@ -393,22 +454,22 @@
 	return http.MethodPost
 }
 
-// serve has the proxy serve a request; broken: it broke the answer off.
-func (r *exchangeRig) serve(w http.ResponseWriter, req *http.Request) (broken bool) {
+// serveUntilAborted has a proxy serve a request; aborted: it broke the answer off.
+func serveUntilAborted(p *Proxy, w http.ResponseWriter, req *http.Request) (aborted bool) {
 	defer func() {
 		switch e := recover(); e {
 		case nil:
 		case http.ErrAbortHandler:
-			broken = true
+			aborted = true
 		default:
 			panic(e)
 		}
 	}()
-	r.proxy.ServeHTTP(w, req)
+	p.ServeHTTP(w, req)
 	return false
 }
 
-// mayHaveRun is how many times a request has come to backends without proof that it did not run; prefills don't count.
+// ran is how many times a request has come to backends without proof that it did not run; prefills don't count.
 func (r *exchangeRig) ran(id string) int {
 	n := 0
 	for _, at := range r.reaches {
@@ -419,8 +480,8 @@
 	return n
 }
 
-// complete is the body of a whole answer to a request.
-func (r *exchangeRig) whole(id string) string {
+// completeAnswer is the body of a complete answer to a request.
+func (r *exchangeRig) completeAnswer(id string) string {
 	if !r.kind.stream() {
 		return "answer to " + id
 	}
@@ -436,7 +497,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	bad := func(format string, args ...any) {
-		r.find("%s: status %d, broken off %v, after %v, %q, reached %v: %s", id, o.status, o.broken, o.took, o.body, r.reaches, fmt.Sprintf(format, args...))
+		r.find("%s: status %d, broken off %v, after %v, %q, reached %v: %s",
+			id, o.status, o.broken, o.took, o.body, r.reaches, fmt.Sprintf(format, args...))
 	}
 	if o.took > exchangeDeadline {
 		bad("too late")
@@ -453,11 +515,11 @@
 	case o.status < 300 && seal == "":
 		bad("a success without a seal")
 	case o.status == http.StatusOK && o.broken:
-		if !strings.HasPrefix(r.whole(id), o.body) {
+		if !strings.HasPrefix(r.completeAnswer(id), o.body) {
 			bad("another's bytes")
 		}
 	case o.status == http.StatusOK:
-		if o.body != r.whole(id) && r.method(id) != http.MethodHead {
+		if o.body != r.completeAnswer(id) && r.method(id) != http.MethodHead {
 			bad("not its answer")
 		}
 	case impliesNotRun(o.status):
@@ -470,13 +532,13 @@
 	case strings.Contains(o.body, "answer to "):
 		bad("a failure with an answer")
 	}
-	if !r.kind.repeatable() && r.ran(id) > 1 {
+	if !r.kind.idempotent() && r.ran(id) > 1 {
 		bad("it has come to backends %d times", r.ran(id))
 	}
 }
 
-// play plays one case: a request before, where the connection is to be one that has been used, the victim's, and others after it
-// on what it left behind. It gives what the victim got, and what was found.
+// play plays one case: a request before, where the connection is to be one that has been used, the victim's, and others
+// after it on what it left behind. It returns what the victim got, and what was found.
 func (r *exchangeRig) play(pooled bool) (victim outcome, found []string) {
 	defer r.proxy.pool.Close()
 	if pooled {
@@ -486,7 +548,7 @@
 	victim = r.ask(victimID)
 	r.judgeOutcome(victimID, victim)
 	if r.struck == nil {
-		r.find("the trouble did not strike")
+		r.find("the fault did not strike")
 		return victim, r.found
 	}
 	if pooled != (r.struck.carried > 1) {
@@ -495,7 +557,7 @@
 	if !r.left.IsZero() {
 		r.judgeLeft()
 	}
-	r.list(true) // what follows goes where the trouble was
+	r.list(true) // what follows goes where the fault struck
 	for _, id := range []string{"after", "after-that"} {
 		settle()
 		r.judgeServed(id)
@@ -528,8 +590,8 @@
 }
 
 // framedUntil gives the bytes of an answer up to k, and then the end given.
-func framedUntil(k int, end error) func(*exchangeRig, *scriptedConn, []byte, *wellAnswer) reply {
-	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *wellAnswer) reply {
+func framedUntil(k int, end error) func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
+	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *validAnswer) reply {
 		b := a.framed()
 		return reply{taken: -1, bytes: b[:min(k, len(b)-1)], end: end}
 	}
@@ -538,23 +600,23 @@
 // sample is the struck call as it is where all is well: the request as it goes out, and its answer.
 type sample struct {
 	request []byte
-	answer  *wellAnswer
+	answer  *validAnswer
 }
 
 // sampleExchange gives the sample of a kind of request.
 func sampleExchange(kind requestKind) (s sample) {
-	r := newExchangeRig(kind, breakage{"sample", func(_ *exchangeRig, _ *scriptedConn, raw []byte, a *wellAnswer) reply {
+	r := newExchangeRig(kind, breakage{"sample", func(_ *exchangeRig, _ *scriptedConn, raw []byte, a *validAnswer) reply {
 		s = sample{bytes.Clone(raw), a}
 		return reply{taken: -1, bytes: a.framed()}
 	}})
 	if o, found := r.play(false); s.answer == nil || o.status != http.StatusOK || len(found) > 0 {
-		panic(fmt.Sprintf("%s without trouble: %d %q, %v", kind.name, o.status, o.body, found))
+		panic(fmt.Sprintf("%s without a fault: %d %q, %v", kind.name, o.status, o.body, found))
 	}
 	return s
 }
 
-// drainAndClose has the victim's client leave once what its backend says now has been read.
-func (r *exchangeRig) leave(c *scriptedConn) {
+// clientLeaves has the victim's client leave once what its backend says now has been read.
+func (r *exchangeRig) clientLeaves(c *scriptedConn) {
 	go func() {
 		time.Sleep(time.Millisecond) // on the clock of the test: all that can be read until then is read
 		r.mu.Lock()
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -11,7 +11,6 @@
 	"github.com/go-faster/errors"
 
 	"molepaddle/internal/fleet/externalapi"
-	"molepaddle/internal/fleet/residency"
 	"molepaddle/internal/fleet/routingconfig"
 	"molepaddle/internal/fleet/scheduler"
 )
@@ -21,9 +20,9 @@
 	defaultBodyLimit = 4 << 20
 	// maxAttemptIDBytes bounds a client's attempt id, which goes into headers and onto the wire to backends.
 	maxAttemptIDBytes = 256
-	// minRetryAfter is when a client whose request was not run is told to come back, at the earliest.
+	// minRetryAfter is the least Retry-After of a request that was not run.
 	minRetryAfter = 50 * time.Millisecond
-	// unconfiguredRetryAfter is when a client is told to come back that a proxy without a configuration rejects.
+	// unconfiguredRetryAfter is the Retry-After of a proxy without a configuration.
 	unconfiguredRetryAfter = 200 * time.Millisecond
 	// startupWait is for how long a request waits for the first configuration and endpoint list of a process that has
 	// just started.
@@ -43,10 +42,7 @@
 	route    *routingconfig.Route
 	svc      *service
 
-	// Where its data may be held: residencyTerms are those of snapshot for subject, and are renewed with it.
-	snapshot       *routingSnapshot
-	subject        subject
-	residencyTerms residency.Terms
+	residencyCheck // where its data may be held
 
 	arrivedAt time.Time
 	deadline  time.Time // by when the answer has to be complete
@@ -146,7 +142,9 @@
 func (cr *clientRequest) serve(ctx context.Context) {
 	var prompt *scheduler.Prompt
 	if cr.svc.countRequest(cr.arrivedAt) {
-		prompt = parsePrompt(cr.outbound.header)
+		if p, ok := parsePrompt(cr.outbound.header); ok {
+			prompt = &p // which stays on the stack
+		}
 	}
 	if cr.rejectIfLeaving(prompt) {
 		return
@@ -217,7 +215,7 @@
 	return id, nil
 }
 
-// validID reports whether an id can be sent on as it is: printable ASCII without spaces, of at most maxAttemptIDBytes.
+// validID reports whether an id can be forwarded as it is: printable ASCII without spaces, of at most maxAttemptIDBytes.
 func validID(id string) bool {
 	if id == "" || len(id) > maxAttemptIDBytes {
 		return false
@@ -267,15 +265,11 @@
 	return nil, &rejection{status: http.StatusBadRequest, reason: "body not whole", closeConn: true}
 }
 
-// parsePrompt returns what the headers of a request say of its prompt; nil: they say nothing that can be used.
-func parsePrompt(header http.Header) *scheduler.Prompt {
-	p, ok := scheduler.ParsePrompt(
+// parsePrompt returns what the headers of a request say of its prompt; false: they say nothing that can be used.
+func parsePrompt(header http.Header) (scheduler.Prompt, bool) {
+	return scheduler.ParsePrompt(
 		header.Get(externalapi.HeaderModel),
 		header.Get(externalapi.HeaderTokenCount),
 		header.Get(externalapi.HeaderPromptPrefix),
 	)
-	if !ok {
-		return nil
-	}
-	return &p
 }
--- a/internal/fleet/residencyreport/planted_test.go
+++ b/internal/fleet/residencyreport/planted_test.go
@@ -91,13 +91,13 @@
 	{
 		Name:  "a batch counts from the start each time",
 		Dir:   "../proxy",
-		Tests: "^TestLedger",
-		Texts: []string{"d[i] -= r.reportedCounts[i]", "d[i] -= 0 * r.reportedCounts[i]"},
+		Tests: "^TestResidencyLog",
+		Texts: []string{"d[i] -= other[i]", "d[i] -= 0 * other[i]"},
 	},
 	{
 		Name:  "what didn't fit is not reported any more",
 		Dir:   "../proxy",
-		Tests: "^TestLedger",
+		Tests: "^TestResidencyLog",
 		Texts: []string{"l.changed, l.newPair = more, more", "l.changed, l.newPair = more && false, false"},
 	},
 	{
