--- /dev/null
+++ b/internal/fleet/controlplane/handler.go
@@ -0,0 +1,66 @@
+package controlplane
+
+import (
+	"context"
+	"net/http"
+
+	"molepaddle/internal/fleet/externalapi"
+	"molepaddle/internal/fleet/replication"
+)
+
+// handler serves the operator's calls. Only the primary says anything about the state, after its backups have
+// confirmed its view in a round that began after the call came: an answer of a machine that was replaced meanwhile
+// could be out of date.
+func (s *Server) handler() http.Handler {
+	mux := http.NewServeMux()
+	register := func(call externalapi.Call, h func(w http.ResponseWriter, r *http.Request) error) {
+		mux.HandleFunc(call.Method+" "+call.Path, handle(h))
+	}
+	register(externalapi.CallReplace, func(w http.ResponseWriter, r *http.Request) error { return s.change(w, r, true) })
+	register(externalapi.CallUpdate, func(w http.ResponseWriter, r *http.Request) error { return s.change(w, r, false) })
+	register(externalapi.CallShow, s.showConfig)
+	register(externalapi.CallResidency, s.showResidency)
+	register(externalapi.CallStatus, s.showStatus)
+	return mux
+}
+
+// showConfig answers with the newest acknowledged configuration.
+func (s *Server) showConfig(w http.ResponseWriter, r *http.Request) error {
+	applied, seq, err := s.linearizableRead(r)
+	if err != nil {
+		return err
+	}
+	if applied == nil || applied.doc == nil {
+		if seq > 0 {
+			return unavailable("not settled")
+		}
+		return &callError{status: http.StatusNotFound, reason: "no configuration yet"}
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(applied.doc.Show())
+	return nil
+}
+
+// linearizableRead returns the newest state once the view is confirmed, and the change that it is at least as new as;
+// a nil state: there is no change yet.
+func (s *Server) linearizableRead(r *http.Request) (applied *appliedState, seq uint64, err error) {
+	ctx, cancel := s.withContact(r.Context(), callTimeout)
+	defer cancel()
+	if err := s.admit(ctx, r); err != nil {
+		return nil, 0, err
+	}
+	return s.confirmedState(ctx)
+}
+
+// confirmedState returns the newest state, as linearizableRead does, of a machine that is the primary.
+func (s *Server) confirmedState(ctx context.Context) (applied *appliedState, seq uint64, err error) {
+	ans, err := s.confirmView(ctx)
+	if err != nil || ans.Result != replication.Confirmed {
+		return nil, 0, unavailable("the view is not confirmed")
+	}
+	applied = s.committed.Load()
+	if ans.Seq > 0 && (applied == nil || applied.seq < ans.Seq) {
+		return nil, 0, unavailable("not settled")
+	}
+	return applied, ans.Seq, nil
+}
--- a/internal/fleet/controlplane/stored_test.go
+++ b/internal/fleet/controlplane/stored_test.go
@@ -42,7 +42,7 @@
 	}
 	primary := func() *member {
 		i := slices.IndexFunc(core.members, func(m *member) bool {
-			return m.machine != nil && m.machine.Status().Role == replication.Primary && m.machine.Status().Ready
+			return m.replica != nil && m.replica.Status().Role == replication.Primary && m.replica.Status().Ready
 		})
 		if i < 0 {
 			return nil
@@ -52,18 +52,18 @@
 	run := func(what string, until func() bool) {
 		c.Assert(core.runUntil(core.now+time.Minute, until), qt.IsTrue, qt.Commentf("%s, %v", what, core.err))
 	}
-	run("a primary", func() bool { return primary() != nil && core.whole() })
+	run("a primary", func() bool { return primary() != nil && core.allInStep() })
 	for i, body := range storedChanges(c) {
 		if i == 6 {
 			first := primary()
 			core.kill(first)
 			run("another primary", func() bool { return primary() != nil })
 			core.start(first)
-			run("all three in one view", core.whole)
+			run("all three in one view", core.allInStep)
 		}
 		done := false
 		core.ask(primary(), func(now time.Duration, token uint64) replication.Output {
-			return primary().machine.Propose(now, token, body)
+			return primary().replica.Propose(now, token, body)
 		}, func(a replication.Answer) { done = a.Result == replication.Committed })
 		run("a change", func() bool { return done })
 	}
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -17,9 +17,9 @@
 	return r.id, *a
 }
 
-// A body that comes for minutes takes no part of its server, is nobody's silence, and its time begins
-// with its last byte.
-func TestBodiesThatAreComing(t *testing.T) {
+// A body that comes for minutes takes none of its server's capacity, doesn't make it unresponsive, and its
+// time begins with its last byte.
+func TestIncompleteBodies(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	var ids []RequestID
 	for range 50 { // far more than the server's window
@@ -38,21 +38,21 @@
 		t.Fatalf("state %d, %d out", s.state, len(s.inFlight))
 	}
 	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600})
-	if s := r.b.servers[0]; len(s.inFlight) != 1 || r.b.inflight != 1 {
-		t.Fatalf("%d out, %d in flight once it is whole", len(s.inFlight), r.b.inflight)
+	if s := r.b.servers[0]; len(s.inFlight) != 1 || r.b.inFlight != 1 {
+		t.Fatalf("%d out, %d in flight once it is whole", len(s.inFlight), r.b.inFlight)
 	}
 	if q := r.b.requests[ids[0]]; q.targetAt != r.now+300 || q.deadline != r.now+595 {
 		t.Errorf("aim in %v, deadline in %v", q.targetAt-r.now, q.deadline-r.now)
 	}
 	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600}) // again: nothing
 	r.outcome(ids[0], 0, r.b.servers[0].id, OK, 30)
-	if r.b.inflight != 0 || r.b.requests[ids[0]] != nil {
+	if r.b.inFlight != 0 || r.b.requests[ids[0]] != nil {
 		t.Error("its end is not counted once")
 	}
 }
 
-// What has not come whole has not run: it goes on to another server while nothing of it is lost, and is
-// refused once a part is; whole, it is as any other of its class.
+// A request whose body is incomplete has not run: it goes to another server while nothing of it is lost, and
+// is refused once a part is. Complete, it is as any other of its class.
 func TestUnfinishedBodiesHaveNotRun(t *testing.T) {
 	for _, c := range []struct {
 		class int
@@ -79,9 +79,9 @@
 	}
 }
 
-// An answer that is passed on slowly takes no part of its server, and nothing of its request is done
-// any more.
-func TestAnswersPassedOn(t *testing.T) {
+// An answer that is relayed slowly takes none of its server's capacity, and nothing more is done for its
+// request.
+func TestAnswersRelayed(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	for range 40 {
 		id, _ := r.sent(0, 0)
@@ -94,7 +94,7 @@
 		}
 	}
 	s := r.b.servers[0]
-	if s.state > Unknown || len(s.inFlight) != 0 || r.b.inflight != 0 {
+	if s.state > Unknown || len(s.inFlight) != 0 || r.b.inFlight != 0 {
 		t.Fatalf("state %d, %d out", s.state, len(s.inFlight))
 	}
 	if got := r.outcome(1, 0, s.id, Reset, 20); find(got, ActSend) != nil || find(got, ActFail) != nil {
@@ -102,9 +102,9 @@
 	}
 }
 
-// Long answers that begin in time have earned their worth, however late they end: they don't close the
+// Long answers that begin in time count as served in time, however late they end: they don't close the
 // throttle.
-func TestAnswersPassedOnInTimeAreWorthIt(t *testing.T) {
+func TestAnswersRelayedInTimeCount(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	for i := range 40 {
 		id, s := r.sent(0, 0)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Other settings keep what was learnt of what stays, and open requests their class.
+// New settings keep what was learned of classes that stay, and open requests their class.
 func TestTurn(t *testing.T) {
 	set := testSettings()
 	table := settings.NewTable(set)
@@ -157,9 +157,9 @@
 	}
 }
 
-// Long answers that come at once from a server that nobody has met open its window as they begin: which of
+// Long answers that begin at once at a server that nobody has used widen its window as they begin: which of
 // them have ended says nothing of it.
-func TestBegunAnswersOpenTheWindow(t *testing.T) {
+func TestStartedAnswersOpenTheWindow(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	var out []RequestID
 	begun, most := 0, 0
@@ -183,7 +183,7 @@
 	}
 }
 
-// However slow its server has become, a body that has not come whole may begin: its time has not.
+// However slow its server has become, a request whose body is incomplete may be sent: its time has not begun.
 func TestSlowServersTakeBodies(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	for range 60 {
@@ -202,9 +202,9 @@
 	}
 }
 
-// A request that finds no way goes on to the others at once, then asks again as long as its aim lasts,
-// less and less often; it is refused once there is no time left, and never before.
-func TestNoWayIsAskedForAgain(t *testing.T) {
+// A request that finds no connection goes to the other servers at once, then is retried until its latency
+// target, less and less often; it is refused once there is no time left, and never before.
+func TestNoConnectionIsRetried(t *testing.T) {
 	for _, servers := range []int{1, 3} {
 		r := newRig(t, testSettings(), servers)
 		id, s := r.sent(0, 0)
@@ -231,21 +231,21 @@
 	}
 }
 
-// An answer that comes before its request has come whole says nothing of how long its server takes.
+// An answer that comes before its request is complete says nothing of how long its server takes.
 func TestAnswersBeforeTheBody(t *testing.T) {
 	for _, started := range []bool{false, true} {
 		r := newRig(t, testSettings(), 1)
 		id, s := r.sent(0, 0)
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
-		lat, calm := r.b.servers[0].latencyRatio, *r.b.calm
+		lat, calm := r.b.servers[0].latencyRatio, *r.b.normalLatency
 		slow, _ := r.coming(1)
 		r.now += 60_000
 		if started {
 			r.do(Event{Kind: EvStarted, Request: slow, Attempt: 0})
 		}
 		r.outcome(slow, 0, s, OK, 60_000)
-		if r.b.servers[0].latencyRatio != lat || *r.b.calm != calm || r.b.requests[slow] != nil {
+		if r.b.servers[0].latencyRatio != lat || *r.b.normalLatency != calm || r.b.requests[slow] != nil {
 			t.Errorf("begun %v: %v, was %v", started, r.b.servers[0].latencyRatio, lat)
 		}
 	}
