--- a/cmd/molepaddle-fleet/upgrade_test.go
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -26,9 +26,9 @@
 	"path of molepaddle-fleet of an older build, from which and back to which TestRollingUpgrade replaces servers; "+
 		"without it this build is restarted")
 
-// TestRollingUpgrade replaces the control servers of an older build by those of this build, one at a time, and then back,
-// while changes are proposed and clients send requests. Node agents and proxies are of the older build in one play, and of
-// this build in another. .ci/upgrade builds the older program.
+// TestRollingUpgrade replaces the control servers of an older build by those of this build, one at a time, and then
+// back, while changes are proposed and clients send requests. Node agents and proxies are of the older build in one
+// play, and of this build in another. .ci/upgrade builds the older program.
 func TestRollingUpgrade(t *testing.T) {
 	if *upgradeOld == "" {
 		t.Run("restarts", func(t *testing.T) { playUpgrade(t, "", "") })
@@ -69,8 +69,9 @@
 	for _, v := range changes.acknowledged {
 		f.Check(slices.Contains(routes, added(v)), qt.IsTrue, qt.Commentf("the acknowledged version %d is lost", v))
 	}
+	within := f.bound("apply_ms", time.Millisecond) + f.bound("skew_ms", time.Millisecond)
 	for i := range f.edge {
-		f.inForce(i, f.version, time.Now().Add(f.bound("apply_ms", time.Millisecond)+f.bound("skew_ms", time.Millisecond)))
+		f.inForce(i, f.version, time.Now().Add(within))
 	}
 	load.goesOn(8, 0, 1)
 	load.stop()
@@ -87,8 +88,8 @@
 	return append(all, primary)
 }
 
-// replaceServer ends a control server with SIGTERM and starts another build on its data folder. It returns once all servers
-// have the newest version again and changes go on.
+// replaceServer ends a control server with SIGTERM and starts another build on its data folder. It returns once all
+// servers have the newest version again and changes go on.
 func (f *fleet) replaceServer(m *machine, binary string, changes *changeLoad) {
 	f.Helper()
 	program := m.programs["control-plane"]
@@ -109,11 +110,12 @@
 	f.converged()
 	_, err = os.Stat(filepath.Join(m.settings.DataDir, "control.db.broken"))
 	f.Check(os.IsNotExist(err), qt.IsTrue, qt.Commentf("%s set the state of the other build aside", m.settings.Node))
-	f.Logf("%s was replaced: ended after %v, all at the newest version after %v", m.settings.Node, ended.Sub(began), time.Since(began))
+	f.Logf("%s was replaced: ended after %v, all at the newest version after %v",
+		m.settings.Node, ended.Sub(began), time.Since(began))
 }
 
-// converged waits until all control servers, by what each knows itself, are in one view with all members, and those that
-// hold the record, the primary and its backups, have a version that is not older than the newest at the call.
+// converged waits until all control servers, by what each knows itself, are in one view with all members, and those
+// that hold the record, the primary and its backups, have a version that is not older than the newest at the call.
 func (f *fleet) converged() {
 	f.Helper()
 	newest, _, _ := f.shown(&simulation.Operator{Ctl: f.operator.Ctl})
@@ -195,9 +197,9 @@
 	return change
 }
 
-// propose has each change acknowledged before the next. Answers that mean 'ask again' are followed by the same call; any
-// other answer than an acknowledgement fails the test. Now and then an earlier change is sent again: it must be recognised,
-// also by a build that did not take it.
+// propose has each change acknowledged before the next. Answers that mean 'ask again' are followed by the same call;
+// any other answer than an acknowledgement fails the test. Now and then an earlier change is sent again: it must be
+// recognised, also by a build that did not take it.
 func (l *changeLoad) propose(ctx context.Context) {
 	operator := &simulation.Operator{Ctl: l.f.operator.Ctl}
 	send := func(v uint64) bool {
