--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -243,13 +243,13 @@
 
 // Turner is a Decider that can take other settings while it is at work, as policy.Balancer.Turn does.
 type Turner interface {
-	Turn(set settings.Settings, from []int)
+	UpdateSettings(set settings.Settings, from []int)
 }
 
 // ErrSettled is why settings can't be changed.
 var ErrSettled = errors.New("what decides takes no other settings")
 
-// Turn takes another version of the settings and returns when its classes are known: requests that
+// UpdateSettings takes another version of the settings and returns when its classes are known: requests that
 // have come keep their numbers, which mean the same. An error has changed nothing.
 func (c *Core) Turn(t *settings.Table) error {
 	if _, able := c.bal.(Turner); !able {
@@ -489,7 +489,7 @@
 		c.set.Replicas = max(c.told, c.agents)
 		c.classes.Store(&c.set.Classes)
 		c.ids.keep(Longest(&c.set) + idMargin)
-		c.bal.(Turner).Turn(c.set, in.table.From)
+		c.bal.(Turner).UpdateSettings(c.set, in.table.From)
 		close(in.done)
 	case inKnown:
 		in.known <- Known{Roster: c.rosterAddr, List: cluster.List{Seq: c.seq, Whole: true, Servers: slices.Clone(c.list.Servers)}, Silent: c.silent(), ColdMs: c.set.Contract.ColdMs}
@@ -572,7 +572,7 @@
 	case r.whole <- r.Deadline:
 	default: // nobody waits any more
 	}
-	c.tell(&policy.Event{Kind: policy.EvWhole, Request: r.id, Attempt: a.index, LeftMs: float64(r.Left) / float64(time.Millisecond)})
+	c.tell(&policy.Event{Kind: policy.EvBodyComplete, Request: r.id, Attempt: a.index, LeftMs: float64(r.Left) / float64(time.Millisecond)})
 }
 
 // onStarted gives a request the answer that begins, unless it has one.
--- a/internal/core/part.go
+++ b/internal/core/part.go
@@ -84,7 +84,7 @@
 		for i := range same {
 			same[i] = i
 		}
-		t.Turn(c.set, same)
+		t.UpdateSettings(c.set, same)
 	}
 }
 
--- a/internal/decide/event/event.go
+++ b/internal/decide/event/event.go
@@ -36,15 +36,15 @@
 
 // The events.
 const (
-	EvRequest EventKind = iota + 1 // all from Class to Tries
-	EvOutcome                      // Request, Attempt, Server, Status, LatencyMs, Final, Report, Tries
-	EvStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EvDropped                      // Request: the client left
-	EvList                         // List, Entries, Least
-	EvProbed                       // Server, Status, LatencyMs, Report
-	EvTimer                        // Token
-	EvPeer                         // a message of another agent; carries nothing that is used
-	EvWhole                        // Request, Attempt, LeftMs: a body that was Coming is whole
+	EvRequest      EventKind = iota + 1 // all from Class to Tries
+	EvOutcome                           // Request, Attempt, Server, Status, LatencyMs, Final, Report, Tries
+	EvStarted                           // Request, Attempt, Server, LatencyMs: a streamed answer began
+	EvDropped                           // Request: the client left
+	EvList                              // List, Entries, Least
+	EvProbed                            // Server, Status, LatencyMs, Report
+	EvTimer                             // Token
+	EvPeer                              // a message of another agent; carries nothing that is used
+	EvBodyComplete                      // Request, Attempt, LeftMs: a body that was Coming is whole
 )
 
 // Event is something that happened to one agent.
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -120,13 +120,13 @@
 	// These keep a pointer into the settings, which Turn replaces in place.
 	b.slowStart = cold.New(&b.set.Contract)
 	b.classValue = worth.New(&b.set)
-	b.Turn(set, make([]int, len(set.Classes)))
+	b.UpdateSettings(set, make([]int, len(set.Classes)))
 	return b, nil
 }
 
-// Turn replaces the settings, which are valid, from the next event on. Classes and tenants that are known
+// UpdateSettings replaces the settings, which are valid, from the next event on. Classes and tenants that are known
 // keep their numbers; a new class i is taken for one like class from[i], if there is one.
-func (b *Balancer) Turn(set settings.Settings, from []int) {
+func (b *Balancer) UpdateSettings(set settings.Settings, from []int) {
 	b.set = set
 	b.minLatencyTarget = math.Inf(1)
 	var first []float64
@@ -168,7 +168,7 @@
 		b.onOutcome(ev)
 	case EvStarted:
 		b.onStarted(ev)
-	case EvWhole:
+	case EvBodyComplete:
 		b.onBodyComplete(ev)
 	case EvDropped:
 		b.onDropped(ev)
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -37,14 +37,14 @@
 	if s := r.b.servers[0]; s.state != Connected || len(s.inFlight) != 0 {
 		t.Fatalf("state %d, %d out", s.state, len(s.inFlight))
 	}
-	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600})
+	r.do(Event{Kind: EvBodyComplete, Request: ids[0], Attempt: 0, LeftMs: 600})
 	if s := r.b.servers[0]; len(s.inFlight) != 1 || r.b.inFlight != 1 {
 		t.Fatalf("%d out, %d in flight once it is whole", len(s.inFlight), r.b.inFlight)
 	}
 	if q := r.b.requests[ids[0]]; q.targetAt != r.now+300 || q.deadline != r.now+595 {
 		t.Errorf("aim in %v, deadline in %v", q.targetAt-r.now, q.deadline-r.now)
 	}
-	r.do(Event{Kind: EvWhole, Request: ids[0], Attempt: 0, LeftMs: 600}) // again: nothing
+	r.do(Event{Kind: EvBodyComplete, Request: ids[0], Attempt: 0, LeftMs: 600}) // again: nothing
 	r.outcome(ids[0], 0, r.b.servers[0].id, OK, 30)
 	if r.b.inFlight != 0 || r.b.requests[ids[0]] != nil {
 		t.Error("its end is not counted once")
@@ -69,7 +69,7 @@
 		id, a := r.coming(c.class)
 		st := ConnectFailed
 		if c.whole {
-			r.do(Event{Kind: EvWhole, Request: id, LeftMs: 600})
+			r.do(Event{Kind: EvBodyComplete, Request: id, LeftMs: 600})
 			st = Reset
 		}
 		got := r.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Status: st, Tries: c.spent})
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.b.Turn(table.Settings, table.From)
+	r.b.UpdateSettings(table.Settings, table.From)
 	number := table.Classes["once"]
 	if number == 1 || r.b.needs.Mean(number) != mean || r.b.needs.Mean(1) != mean {
 		t.Errorf("class %d takes %v, was %v", number, r.b.needs.Mean(number), mean)
--- a/policy/types.go
+++ b/policy/types.go
@@ -26,7 +26,7 @@
 
 	EvRequest, EvOutcome, EvStarted = event.EvRequest, event.EvOutcome, event.EvStarted
 	EvDropped, EvList, EvProbed     = event.EvDropped, event.EvList, event.EvProbed
-	EvTimer, EvPeer, EvWhole        = event.EvTimer, event.EvPeer, event.EvWhole
+	EvTimer, EvPeer, EvBodyComplete = event.EvTimer, event.EvPeer, event.EvBodyComplete
 
 	ActSend, ActCancel, ActRefuse = event.ActSend, event.ActCancel, event.ActRefuse
 	ActFail, ActProbe, ActTimer   = event.ActFail, event.ActProbe, event.ActTimer
