--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -49,12 +49,14 @@
 
 // Request asks for what the sender lacks, and renews the leases of the members behind it.
 type Request struct {
+	// From is the sender's name.
 	From string `msg:"f"`
 	// WaitMs is how long the response may wait for an update, in milliseconds.
 	WaitMs int64 `msg:"w"`
 	// Versions are what the sender has, by resource type; a type that is left out is sent as a snapshot.
 	Versions map[string]Version `msg:"h"`
-	Members  []Member           `msg:"m"`
+	// Members are those whose leases the request renews.
+	Members []Member `msg:"m"`
 	// Residency are residency reports on their way to the primary; left out where there are none.
 	Residency []residencyreport.Batch `msg:"g,omitempty"`
 	// Final is set on the only request of a process that is shutting down; left out otherwise.
@@ -67,6 +69,7 @@
 
 // Outcome is how one proxy's attempts at one backend ended since its last report.
 type Outcome struct {
+	// Backend is the backend's ID.
 	Backend string `msg:"b"`
 	// Attempts counts those that ended or are overdue.
 	Attempts int `msg:"a"`
@@ -84,13 +87,17 @@
 
 // OutcomeReport is the outcomes that one proxy reports.
 type OutcomeReport struct {
-	Proxy    string    `msg:"p"`
-	Zone     string    `msg:"z"`
+	// Proxy is the proxy's name.
+	Proxy string `msg:"p"`
+	// Zone is the proxy's zone.
+	Zone string `msg:"z"`
+	// Outcomes has one for each backend that had attempts.
 	Outcomes []Outcome `msg:"o"`
 }
 
 // Ejection says that a backend serves so much worse than its peers that it gets trial requests only.
 type Ejection struct {
+	// Backend is the backend's ID.
 	Backend string `msg:"b"`
 	// Zone is the zone whose proxies eject the backend; empty: those of all zones.
 	Zone string `msg:"z"`
@@ -110,31 +117,36 @@
 	// Version is that of the configuration after the change.
 	Version Version `msg:"v"`
 	// Replace says that Body is a complete configuration, not an update.
-	Replace bool   `msg:"r"`
-	Body    []byte `msg:"b"`
+	Replace bool `msg:"r"`
+	// Body is that of the operator's call.
+	Body []byte `msg:"b"`
 }
 
 // Resource is what a client lacks of one resource type: a snapshot and the changes since, or changes alone.
 type Resource struct {
+	// Type is one of the resource types.
 	Type string `msg:"s"`
 	// Version is that of the state after all Changes.
 	Version Version `msg:"v"`
 	// Snapshot is the state at BaseVersion; nil: the client has that.
 	Snapshot []byte `msg:"w"`
 	// BaseVersion is what the first of Changes follows on.
-	BaseVersion Version  `msg:"o"`
-	Changes     []Change `msg:"c"`
+	BaseVersion Version `msg:"o"`
+	// Changes lead from BaseVersion to Version, the oldest first.
+	Changes []Change `msg:"c"`
 }
 
 // Response answers a Request.
 type Response struct {
+	// From is the server's name.
 	From string `msg:"f"`
 	// Primary is the internal address of the primary; empty: not known.
 	Primary string `msg:"p"`
 	// LastContactMs is how long ago this chain of servers last had contact with the primary, in milliseconds; below 0:
 	// never.
-	LastContactMs int64      `msg:"a"`
-	Resources     []Resource `msg:"x"`
+	LastContactMs int64 `msg:"a"`
+	// Resources are what the client lacks; empty where the wait was over first.
+	Resources []Resource `msg:"x"`
 	// ResidencyAcks say which residency reports are committed; left out where there is nothing to acknowledge.
 	ResidencyAcks []residencyreport.Ack `msg:"k,omitempty"`
 	// WaitedMs is how long the response waited at its server for an update, in milliseconds; left out where it didn't.
@@ -144,13 +156,17 @@
 
 // Backend is one entry of the platform's list, in the terms that the proxies use.
 type Backend struct {
-	ID       string `msg:"i"`
-	Service  string `msg:"s"`
-	Address  string `msg:"a"`
-	Zone     string `msg:"z"`
+	ID string `msg:"i"`
+	// Service is the name of the service that the backend belongs to.
+	Service string `msg:"s"`
+	// Address is host and port.
+	Address string `msg:"a"`
+	Zone    string `msg:"z"`
+	// Version and Capacity are as the platform lists them.
 	Version  string `msg:"v"`
 	Capacity int    `msg:"c"`
-	Draining bool   `msg:"d"`
+	// Draining says that the backend is shutting down and gets no new requests.
+	Draining bool `msg:"d"`
 	// Phase is what the backend serves; PhaseChanging while that changes.
 	Phase string `msg:"p"`
 	// Weights is the version of its model's weights.
@@ -167,8 +183,10 @@
 
 // MembershipSize is how many proxies hold a lease, in all and by zone.
 type MembershipSize struct {
-	Proxies int            `msg:"n"`
-	Zones   map[string]int `msg:"z"`
+	// Proxies is their number in all.
+	Proxies int `msg:"n"`
+	// Zones is their number by zone.
+	Zones map[string]int `msg:"z"`
 }
 
 // ControlServers are the members of the current view as those who pull from them need them.
--- a/internal/fleet/distribution/outcomequeue.go
+++ b/internal/fleet/distribution/outcomequeue.go
@@ -5,8 +5,8 @@
 // maxOutcomeReports bounds the reports that an OutcomeQueue holds; beyond it the oldest are dropped.
 const maxOutcomeReports = 4096
 
-// OutcomeQueue holds reports of outcomes until they are pushed to the next server or used. Reports that are lost are
-// not sent again: the outlier detector goes by what comes after. It is safe for use by many goroutines.
+// OutcomeQueue holds reports of outcomes until they are pushed to the next server or used. What is lost with it is
+// made up by the reports that come after. It is safe for use by many goroutines.
 type OutcomeQueue struct {
 	mu      sync.Mutex
 	reports []OutcomeReport
--- a/internal/fleet/distribution/watcher.go
+++ b/internal/fleet/distribution/watcher.go
@@ -12,8 +12,7 @@
 const (
 	// minDialTimeout is the least time that a dial has: round trips between regions are some tens of milliseconds.
 	minDialTimeout = 100 * time.Millisecond
-	// minReadTimeout is the least that PullTimeouts gives a response: a busy machine takes some tens of milliseconds to
-	// answer.
+	// minReadTimeout is the least that PullTimeouts gives a response beyond its wait, however short apply is.
 	minReadTimeout = 200 * time.Millisecond
 )
 
--- a/internal/fleet/status/status.go
+++ b/internal/fleet/status/status.go
@@ -18,7 +18,7 @@
 type Fleet struct {
 	// From is the name of the core machine that reports.
 	From string `json:"from"`
-	// Confirmed says that all backups confirmed the view before the report, so that no newer one has replaced it.
+	// Confirmed says that all backups confirmed the view for this report.
 	Confirmed bool `json:"confirmed"`
 	// CollectingLeases says that the primary has led for less than a lease, so that Agents may lack some that haven't
 	// renewed theirs with it yet.
@@ -35,6 +35,7 @@
 
 // View is the control plane's: which machines replicate its state, and which of them leads.
 type View struct {
+	// Epoch is the number of the view; each new view has a higher one.
 	Epoch uint64 `json:"epoch"`
 	// Primary is the control address of the primary; empty: not known.
 	Primary string `json:"primary"`
@@ -75,8 +76,7 @@
 	Holder string `json:"holder"`
 	// FencingToken is the epoch in whose name the holder acts: a later one supersedes it.
 	FencingToken uint64 `json:"fence"`
-	// StandbyMs is for how long the holder won't act yet, because the one before may act until its lease is over; 0: it
-	// acts.
+	// StandbyMs is for how long the holder won't act yet, so that holders don't alternate within a lease; 0: it acts.
 	StandbyMs int64 `json:"wait_ms"`
 }
 
@@ -85,8 +85,9 @@
 	// Version is the operator's; 0: none yet.
 	Version int64 `json:"ver"`
 	// Seq is the number of the replicated change that brought it, as this machine committed it.
-	Seq   uint64 `json:"seq"`
-	AgeMs int64  `json:"age_ms"`
+	Seq uint64 `json:"seq"`
+	// AgeMs is for how long this machine has had it.
+	AgeMs int64 `json:"age_ms"`
 }
 
 // ListVersion is the version of a backend list; versions are ordered by epoch, then by count.
