--- a/cmd/molepaddle-fleet/upgrade_test.go
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -69,10 +69,7 @@
 	for _, v := range changes.acknowledged {
 		f.Check(slices.Contains(routes, added(v)), qt.IsTrue, qt.Commentf("the acknowledged version %d is lost", v))
 	}
-	within := f.bound("apply_ms", time.Millisecond) + f.bound("skew_ms", time.Millisecond)
-	for i := range f.edge {
-		f.inForce(i, f.version, time.Now().Add(within))
-	}
+	f.takenUp(f.version)
 	load.goesOn(8, 0, 1)
 	load.stop()
 	f.judge()
@@ -89,7 +86,7 @@
 }
 
 // replaceServer ends a control server with SIGTERM and starts another build on its data folder. It returns once all
-// servers have the newest version again and changes go on.
+// servers have the newest version again, changes go on in one view, and the proxies have a version of that time.
 func (f *fleet) replaceServer(m *machine, binary string, changes *changeLoad) {
 	f.Helper()
 	program := m.programs["control-plane"]
@@ -104,13 +101,14 @@
 		qt.Commentf("%s ended %v after SIGTERM", m.settings.Node, ended.Sub(began)))
 	m.binary = binary
 	m.start("control-plane")
-	changes.goOn(3)
 	// A server counts as lost until sync_s after its return.
 	f.until(patient, "sync_s over", func() bool { return time.Since(ended) > f.bound("sync_s", time.Second) })
 	f.converged()
+	f.calm(changes)
+	f.takenUp(changes.newest.Load())
 	_, err = os.Stat(filepath.Join(m.settings.DataDir, "control.db.broken"))
 	f.Check(os.IsNotExist(err), qt.IsTrue, qt.Commentf("%s set the state of the other build aside", m.settings.Node))
-	f.Logf("%s was replaced: ended after %v, all at the newest version after %v",
+	f.Logf("%s was replaced: ended after %v, calm again after %v",
 		m.settings.Node, ended.Sub(began), time.Since(began))
 }
 
@@ -138,6 +136,34 @@
 	})
 }
 
+// calm waits until some changes in a row were acknowledged in one view. Where a backup doesn't understand its primary,
+// the servers form a new view for each change: nothing is lost, but the builds don't work together.
+func (f *fleet) calm(changes *changeLoad) {
+	f.Helper()
+	const inOneView = 10
+	var epoch, from uint64
+	f.until(patient, "changes go on in one view", func() bool {
+		s, err := f.local(f.core[0])
+		newest := changes.newest.Load()
+		if err != nil || !s.View.Ready || s.View.Epoch != epoch {
+			if epoch, from = 0, newest; err == nil {
+				epoch = s.View.Epoch
+			}
+			return false
+		}
+		return newest >= from+inOneView
+	})
+}
+
+// takenUp waits until both proxies have a version in force.
+func (f *fleet) takenUp(version uint64) {
+	f.Helper()
+	within := f.bound("apply_ms", time.Millisecond) + f.bound("skew_ms", time.Millisecond)
+	for i := range f.edge {
+		f.inForce(i, version, time.Now().Add(within))
+	}
+}
+
 // holdsRecord tells whether the control server that gave a status holds the record: a witness doesn't.
 func holdsRecord(s *status.Fleet) bool {
 	return slices.ContainsFunc(s.View.Members, func(m status.Member) bool {
@@ -172,8 +198,8 @@
 	changePause = 20 * time.Millisecond
 	// changePadding is the size of a change in bytes: some tens of them exceed what a server keeps beside a snapshot.
 	changePadding = 24 << 10
-	// repeatEvery is how many changes come before an earlier one is sent again, and repeatBack how much earlier.
-	repeatEvery, repeatBack = 10, 5
+	// repeatEvery is how many changes come before an earlier one is sent again.
+	repeatEvery = 4
 )
 
 // proposeChanges starts to propose changes on top of the newest version, until stop is called.
@@ -217,15 +243,16 @@
 		}
 		return true
 	}
-	first := l.newest.Load() + 1
-	for v := first; ctx.Err() == nil; v++ {
+	for v := l.newest.Load() + 1; ctx.Err() == nil; v++ {
 		if !send(v) {
 			return
 		}
 		l.acknowledged = append(l.acknowledged, v)
 		l.newest.Store(v)
-		if v%repeatEvery == 0 && v >= first+repeatBack {
-			if l.repeated++; !send(v - repeatBack) {
+		if v%repeatEvery == 0 {
+			// Early and late ones in turn: some came to the servers by a snapshot of the other build.
+			l.repeated++
+			if !send(l.acknowledged[l.repeated*17%len(l.acknowledged)]) {
 				return
 			}
 		}
@@ -259,13 +286,6 @@
 	}
 }
 
-// goOn waits until so many more changes have been acknowledged.
-func (l *changeLoad) goOn(n uint64) {
-	l.f.Helper()
-	from := l.newest.Load()
-	l.f.until(patient, "further changes acknowledged", func() bool { return l.newest.Load() >= from+n })
-}
-
 // stop waits until the change under way has ended.
 func (l *changeLoad) stop() {
 	l.end()
