--- a/cmd/molepaddle-fleet/upgrade_test.go
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -43,15 +43,24 @@
 	f := newFleet(t, plan{bounds: map[string]any{"sync_s": 1}, coreBinary: old, edgeBinary: edge})
 	load := f.traffic([]int{0, 1})
 	changes := f.proposeChanges()
-
-	// On the way there, the primary of the older build has backups of the new one for as long as possible; on the way
-	// back it is the other way round.
-	for _, m := range f.primaryLast() {
-		f.replaceServer(m, "", changes)
-	}
-	for _, m := range f.primaryLast() {
-		f.replaceServer(m, old, changes)
+	u := &upgrade{fleet: f, changes: changes, newer: map[*machine]bool{}, pairs: map[buildPair]bool{}}
+	// A primary of the one build must have led a backup of the other. The primary is replaced last, so that it leads
+	// servers of the other build alone before; on a busy machine it may lose its role to one of them, and the play is
+	// repeated.
+	const rounds = 3
+	mixed := func() bool { return u.pairs[buildPair{primary: true}] && u.pairs[buildPair{backup: true}] }
+	for range rounds {
+		for _, m := range f.primaryLast() {
+			u.replace(m, "", true)
+		}
+		for _, m := range f.primaryLast() {
+			u.replace(m, old, false)
+		}
+		if mixed() {
+			break
+		}
 	}
+	f.Check(mixed(), qt.IsTrue, qt.Commentf("no primary of each build led a backup of the other: %+v", u.pairs))
 
 	changes.stop()
 	f.converged()
@@ -77,6 +86,17 @@
 		len(changes.acknowledged), changes.retried, changes.repeated, changes.reads.Load(), changes.longest)
 }
 
+// upgrade is one play.
+type upgrade struct {
+	*fleet
+	changes *changeLoad
+	newer   map[*machine]bool  // runs the new build
+	pairs   map[buildPair]bool // that were seen at work
+}
+
+// buildPair tells of a primary and its backup whether they run the new build.
+type buildPair struct{ primary, backup bool }
+
 // primaryLast lists the core machines, the primary last.
 func (f *fleet) primaryLast() []*machine {
 	f.Helper()
@@ -85,9 +105,10 @@
 	return append(all, primary)
 }
 
-// replaceServer ends a control server with SIGTERM and starts another build on its data folder. It returns once all
+// replace ends a control server with SIGTERM and starts another build on its data folder. It returns once all
 // servers have the newest version again, changes go on in one view, and the proxies have a version of that time.
-func (f *fleet) replaceServer(m *machine, binary string, changes *changeLoad) {
+func (u *upgrade) replace(m *machine, binary string, newer bool) {
+	f := u.fleet
 	f.Helper()
 	program := m.programs["control-plane"]
 	f.ends(program)
@@ -99,13 +120,13 @@
 	ended := time.Now()
 	f.Check(ended.Sub(began) < f.bound("grace_s", time.Second), qt.IsTrue,
 		qt.Commentf("%s ended %v after SIGTERM", m.settings.Node, ended.Sub(began)))
-	m.binary = binary
+	m.binary, u.newer[m] = binary, newer
 	m.start("control-plane")
 	// A server counts as lost until sync_s after its return.
 	f.until(patient, "sync_s over", func() bool { return time.Since(ended) > f.bound("sync_s", time.Second) })
 	f.converged()
-	f.calm(changes)
-	f.takenUp(changes.newest.Load())
+	u.calm()
+	f.takenUp(u.changes.newest.Load())
 	_, err = os.Stat(filepath.Join(m.settings.DataDir, "control.db.broken"))
 	f.Check(os.IsNotExist(err), qt.IsTrue, qt.Commentf("%s set the state of the other build aside", m.settings.Node))
 	f.Logf("%s was replaced: ended after %v, calm again after %v",
@@ -136,22 +157,40 @@
 	})
 }
 
-// calm waits until some changes in a row were acknowledged in one view. Where a backup doesn't understand its primary,
-// the servers form a new view for each change: nothing is lost, but the builds don't work together.
-func (f *fleet) calm(changes *changeLoad) {
+// calm waits until some changes in a row were acknowledged in one view, and notes the builds of its primary and backup.
+// Where a backup doesn't understand its primary, the servers form new views until both are of one build: nothing is
+// lost, but the builds don't work together.
+func (u *upgrade) calm() {
+	f := u.fleet
 	f.Helper()
 	const inOneView = 10
 	var epoch, from uint64
 	f.until(patient, "changes go on in one view", func() bool {
 		s, err := f.local(f.core[0])
-		newest := changes.newest.Load()
+		newest := u.changes.newest.Load()
 		if err != nil || !s.View.Ready || s.View.Epoch != epoch {
 			if epoch, from = 0, newest; err == nil {
 				epoch = s.View.Epoch
 			}
 			return false
 		}
-		return newest >= from+inOneView
+		if newest < from+inOneView {
+			return false
+		}
+		var pair buildPair
+		for _, member := range s.View.Members {
+			i := slices.IndexFunc(f.core, func(m *machine) bool { return m.boot.Ctl == member.Address })
+			switch {
+			case i < 0:
+				return false
+			case member.Role == replication.Primary.String():
+				pair.primary = u.newer[f.core[i]]
+			case member.Role == replication.Backup.String():
+				pair.backup = u.newer[f.core[i]]
+			}
+		}
+		u.pairs[pair] = true
+		return true
 	})
 }
 
