--- a/cmd/molepaddle-fleet/upgrade_test.go
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -43,15 +43,24 @@
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}, coreBinary: old, edgeBinary: edge})
 	load := f.traffic([]int{0, 1})
 	changes := f.proposeChanges()
-
-	// On the way there, the primary of the older build has backups of the new one for as long as possible; on the way
-	// back it is the other way round.
-	for _, m := range f.primaryLast() {
-		f.replaceServer(m, "", changes)
-	}
-	for _, m := range f.primaryLast() {
-		f.replaceServer(m, old, changes)
+	u := &upgrade{fleet: f, changes: changes, newer: map[*machine]bool{}, pairs: map[buildPair]bool{}}
+	// A primary of the one build must have led a backup of the other. The primary is replaced last, so that it leads
+	// servers of the other build alone before; on a busy machine it may lose its role to one of them, and the play is
+	// repeated.
+	const rounds = 3
+	mixed := func() bool { return u.pairs[buildPair{primary: true}] && u.pairs[buildPair{backup: true}] }
+	for range rounds {
+		for _, m := range f.primaryLast() {
+			u.replace(m, "", true)
+		}
+		for _, m := range f.primaryLast() {
+			u.replace(m, old, false)
+		}
+		if mixed() {
+			break
+		}
 	}
+	f.Check(mixed(), qt.IsTrue, qt.Commentf("no primary of each build led a backup of the other: %+v", u.pairs))
 
 	changes.stop()
 	f.converged()
@@ -69,10 +78,7 @@
 	for _, v := range changes.acknowledged {
 		f.Check(slices.Contains(routes, addedRouteName(v)), qt.IsTrue, qt.Commentf("the acknowledged version %d is lost", v))
 	}
-	within := f.bound("apply_ms", time.Millisecond) + f.bound("skew_ms", time.Millisecond)
-	for i := range f.edge {
-		f.awaitInForce(i, f.version, time.Now().Add(within))
-	}
+	f.takenUp(f.version)
 	load.awaitMore(8, 0, 1)
 	load.stop()
 	f.checkRules()
@@ -80,6 +86,17 @@
 		len(changes.acknowledged), changes.retried, changes.repeated, changes.reads.Load(), changes.longest)
 }
 
+// upgrade is one play.
+type upgrade struct {
+	*fleet
+	changes *changeLoad
+	newer   map[*machine]bool  // runs the new build
+	pairs   map[buildPair]bool // that were seen at work
+}
+
+// buildPair tells of a primary and its backup whether they run the new build.
+type buildPair struct{ primary, backup bool }
+
 // primaryLast lists the core machines, the primary last.
 func (f *fleet) primaryLast() []*machine {
 	f.Helper()
@@ -88,9 +105,10 @@
 	return append(all, primary)
 }
 
-// replaceServer ends a control server with SIGTERM and starts another build on its data folder. It returns once all
-// servers have the newest version again and changes go on.
-func (f *fleet) replaceServer(m *machine, binary string, changes *changeLoad) {
+// replace ends a control server with SIGTERM and starts another build on its data folder. It returns once all
+// servers have the newest version again, changes go on in one view, and the proxies have a version of that time.
+func (u *upgrade) replace(m *machine, binary string, newer bool) {
+	f := u.fleet
 	f.Helper()
 	program := m.programs["control-plane"]
 	f.expectExit(program)
@@ -102,15 +120,16 @@
 	ended := time.Now()
 	f.Check(ended.Sub(began) < f.bound("grace_s", time.Second), qt.IsTrue,
 		qt.Commentf("%s ended %v after SIGTERM", m.settings.Node, ended.Sub(began)))
-	m.binary = binary
+	m.binary, u.newer[m] = binary, newer
 	m.start("control-plane")
-	changes.goOn(3)
 	// A server counts as lost until sync_s after its return.
 	f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(ended) > f.bound("sync_s", time.Second) })
 	f.converged()
+	u.calm()
+	f.takenUp(u.changes.newest.Load())
 	_, err = os.Stat(filepath.Join(m.settings.DataDir, "control.db.broken"))
 	f.Check(os.IsNotExist(err), qt.IsTrue, qt.Commentf("%s set the state of the other build aside", m.settings.Node))
-	f.Logf("%s was replaced: ended after %v, all at the newest version after %v",
+	f.Logf("%s was replaced: ended after %v, calm again after %v",
 		m.settings.Node, ended.Sub(began), time.Since(began))
 }
 
@@ -138,6 +157,52 @@
 	})
 }
 
+// calm waits until some changes in a row were acknowledged in one view, and notes the builds of its primary and backup.
+// Where a backup doesn't understand its primary, the servers form new views until both are of one build: nothing is
+// lost, but the builds don't work together.
+func (u *upgrade) calm() {
+	f := u.fleet
+	f.Helper()
+	const inOneView = 10
+	var epoch, from uint64
+	f.eventually(testTimeout, "changes go on in one view", func() bool {
+		s, err := f.local(f.core[0])
+		newest := u.changes.newest.Load()
+		if err != nil || !s.View.Ready || s.View.Epoch != epoch {
+			if epoch, from = 0, newest; err == nil {
+				epoch = s.View.Epoch
+			}
+			return false
+		}
+		if newest < from+inOneView {
+			return false
+		}
+		var pair buildPair
+		for _, member := range s.View.Members {
+			i := slices.IndexFunc(f.core, func(m *machine) bool { return m.boot.Ctl == member.Address })
+			switch {
+			case i < 0:
+				return false
+			case member.Role == replication.Primary.String():
+				pair.primary = u.newer[f.core[i]]
+			case member.Role == replication.Backup.String():
+				pair.backup = u.newer[f.core[i]]
+			}
+		}
+		u.pairs[pair] = true
+		return true
+	})
+}
+
+// takenUp waits until both proxies have a version in force.
+func (f *fleet) takenUp(version uint64) {
+	f.Helper()
+	within := f.bound("apply_ms", time.Millisecond) + f.bound("skew_ms", time.Millisecond)
+	for i := range f.edge {
+		f.awaitInForce(i, version, time.Now().Add(within))
+	}
+}
+
 // holdsRecord tells whether the control server that gave a status holds the record: a witness doesn't.
 func holdsRecord(s *status.Fleet) bool {
 	return slices.ContainsFunc(s.View.Members, func(m status.Member) bool {
@@ -172,8 +237,8 @@
 	changePause = 20 * time.Millisecond
 	// changePadding is the size of a change in bytes: some tens of them exceed what a server keeps beside a snapshot.
 	changePadding = 24 << 10
-	// repeatEvery is how many changes come before an earlier one is sent again, and repeatBack how much earlier.
-	repeatEvery, repeatBack = 10, 5
+	// repeatEvery is how many changes come before an earlier one is sent again.
+	repeatEvery = 4
 )
 
 // proposeChanges starts to propose changes on top of the newest version, until stop is called.
@@ -217,15 +282,16 @@
 		}
 		return true
 	}
-	first := l.newest.Load() + 1
-	for v := first; ctx.Err() == nil; v++ {
+	for v := l.newest.Load() + 1; ctx.Err() == nil; v++ {
 		if !send(v) {
 			return
 		}
 		l.acknowledged = append(l.acknowledged, v)
 		l.newest.Store(v)
-		if v%repeatEvery == 0 && v >= first+repeatBack {
-			if l.repeated++; !send(v - repeatBack) {
+		if v%repeatEvery == 0 {
+			// Early and late ones in turn: some came to the servers by a snapshot of the other build.
+			l.repeated++
+			if !send(l.acknowledged[l.repeated*17%len(l.acknowledged)]) {
 				return
 			}
 		}
@@ -259,13 +325,6 @@
 	}
 }
 
-// goOn waits until so many more changes have been acknowledged.
-func (l *changeLoad) goOn(n uint64) {
-	l.f.Helper()
-	from := l.newest.Load()
-	l.f.eventually(testTimeout, "further changes acknowledged", func() bool { return l.newest.Load() >= from+n })
-}
-
 // stop waits until the change under way has ended.
 func (l *changeLoad) stop() {
 	l.end()
