--- a/internal/fleet/controlplane/controlstate_test.go
+++ b/internal/fleet/controlplane/controlstate_test.go
@@ -9,8 +9,8 @@
 	"molepaddle/internal/fleet/residencyreport"
 )
 
-// configuration is a call that has a version in force.
-func configuration(base, version int64) []byte {
+// configCommand is a call that has a version in force.
+func configCommand(base, version int64) []byte {
 	body := fmt.Appendf(nil, `{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly",`+
 		`"deadline_ms":1000,"svc":"s","tenant":"labs"}],`+
 		`"tenants":[{"name":"labs","regions":["east"]}],"svcs":[{"name":"s","probe":"/healthz"}]}`, version)
@@ -18,8 +18,8 @@
 	return b
 }
 
-// reading is one that a process's batch amounts to.
-func reading(p residencyreport.Process, n uint64, plain int64) []byte {
+// residencyCommand is one that a process's batch amounts to.
+func residencyCommand(p residencyreport.Process, n uint64, plain int64) []byte {
 	entry := residencyreport.Entry{
 		Pair:   residencyreport.Pair{Tenant: "labs", Region: "east"},
 		First:  5,
@@ -40,11 +40,11 @@
 	c := qt.New(t)
 	r := &controlState{}
 	for seq, body := range [][]byte{
-		configuration(0, 3),
-		reading(1, 1, 4),
-		configuration(3, 7),
-		reading(1, 2, 1),
-		reading(2, 1, 2),
+		configCommand(0, 3),
+		residencyCommand(1, 1, 4),
+		configCommand(3, 7),
+		residencyCommand(1, 2, 1),
+		residencyCommand(2, 1, 2),
 	} {
 		r.Apply(uint64(seq+1), body)
 	}
@@ -81,7 +81,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(b, qt.DeepEquals, []byte("\x83\xa1r\xc3\xa1b\x03\xa1d\xc4\x01x"))
 	r := &controlState{}
-	r.Apply(1, configuration(0, 3))
+	r.Apply(1, configCommand(0, 3))
 	var s StoredState
 	_, err = s.UnmarshalMsg(r.Snapshot())
 	c.Assert(err, qt.IsNil)
--- a/internal/fleet/controlplane/outlierejector_test.go
+++ b/internal/fleet/controlplane/outlierejector_test.go
@@ -12,7 +12,34 @@
 	"molepaddle/internal/fleet/externalapi"
 )
 
-// TestOutliersArePublished: what proxies tell of a backend that fails leads to its ejection, which is sent again
+// reportOutcomes has eight proxies report on the backends of a list: so many of four attempts failed at the third and
+// at those that are draining.
+func reportOutcomes(server *Server, list *distribution.BackendList, failed int) {
+	for p := range 8 {
+		all := make([]distribution.Outcome, 0, len(list.Backends))
+		for i, b := range list.Backends {
+			one := distribution.Outcome{Backend: b.ID, Attempts: 4}
+			if i == 2 || b.Draining {
+				one.Failed = failed
+			}
+			all = append(all, one)
+		}
+		server.cache.Outcomes.Put(distribution.OutcomeReport{Proxy: fmt.Sprint("p", p), Zone: "z", Outcomes: all})
+	}
+}
+
+// publishedEjections returns what a server has published; zero: nothing.
+func publishedEjections(c *qt.C, server *Server) (distribution.Version, []distribution.Ejection) {
+	for _, r := range server.cache.Fetch(c.Context(), "n", &distribution.Request{}).Resources {
+		var all distribution.Ejections
+		_, err := all.UnmarshalMsg(r.Snapshot)
+		c.Assert(err, qt.IsNil)
+		return r.Version, all.Ejected
+	}
+	return distribution.Version{}, nil
+}
+
+// TestOutliersArePublished: what proxies report of a backend that fails leads to its ejection, which is sent again
 // every second while it stands, and to an end of it once trials succeed; nothing is sent while there is nothing to
 // say.
 func TestOutliersArePublished(t *testing.T) {
@@ -29,37 +56,17 @@
 	server.lastPoll.Store(&pollStatus{epoch: epoch, list: list})
 	d := &outlierEjector{server: server}
 	now := time.Now()
-	tell := func(failed int) {
-		for p := range 8 {
-			all := make([]distribution.Outcome, 0, len(list.Backends))
-			for i, b := range list.Backends {
-				one := distribution.Outcome{Backend: b.ID, Attempts: 4}
-				if i == 2 || b.Draining {
-					one.Failed = failed
-				}
-				all = append(all, one)
-			}
-			server.cache.Outcomes.Put(distribution.OutcomeReport{Proxy: fmt.Sprint("p", p), Zone: "z", Outcomes: all})
-		}
-	}
-	published := func() (distribution.Version, []distribution.Ejection) {
-		for _, r := range server.cache.Fetch(c.Context(), "n", &distribution.Request{}).Resources {
-			var all distribution.Ejections
-			_, err := all.UnmarshalMsg(r.Snapshot)
-			c.Assert(err, qt.IsNil)
-			return r.Version, all.Ejected
-		}
-		return distribution.Version{}, nil
-	}
+	report := func(failed int) { reportOutcomes(server, list, failed) }
+	published := func() (distribution.Version, []distribution.Ejection) { return publishedEjections(c, server) }
 	step := func(after time.Duration) {
 		now = now.Add(after)
 		d.step(epoch, now)
 	}
-	tell(0)
+	report(0)
 	step(0)
 	at, _ := published()
 	c.Assert(at, qt.Equals, distribution.Version{})
-	tell(4)
+	report(4)
 	step(detectionInterval)
 	at, ejected := published()
 	c.Assert(at, qt.Equals, distribution.Version{Epoch: epoch, Count: 1})
@@ -70,7 +77,7 @@
 	step(ejectionRefresh)
 	again, _ = published()
 	c.Assert(at.Before(again), qt.IsTrue)
-	tell(0)
+	report(0)
 	step(2 * ejectionRefresh)
 	_, ejected = published()
 	c.Assert(ejected, qt.HasLen, 0)
--- a/internal/fleet/controlplane/residency_test.go
+++ b/internal/fleet/controlplane/residency_test.go
@@ -94,6 +94,22 @@
 	road = residencyreport.Pair{Route: "r/1", Region: "east"}
 )
 
+// awaitRows waits until a server shows so many rows of the residency record.
+func awaitRows(c *qt.C, server *Server, rows int) externalapi.ResidencyReport {
+	over := time.After(testTimeout)
+	for {
+		status, _, report := call(server, http.MethodGet, "/molepaddle/residency", nil)
+		if c.Check(status, qt.Equals, http.StatusOK); len(report.Rows) == rows {
+			return report
+		}
+		select {
+		case <-over:
+			c.Fatal("the residency record isn't written")
+		default:
+		}
+	}
+}
+
 // TestResidencyIsRecordedAndShown: what arrives is committed, shown and acknowledged, and leaves no trace in what the
 // operator changes.
 func TestResidencyIsRecordedAndShown(t *testing.T) {
@@ -117,18 +133,7 @@
 	}
 	server.cache.Residency.Put(batchOf(1, 1, labs))
 	server.cache.Residency.Put(batchOf(2, 1, road))
-	over := time.After(testTimeout)
-	for {
-		status, _, report = call(server, http.MethodGet, "/molepaddle/residency", nil)
-		if c.Check(status, qt.Equals, http.StatusOK); len(report.Rows) == 2 {
-			break
-		}
-		select {
-		case <-over:
-			c.Fatal("no reading")
-		default:
-		}
-	}
+	report = awaitRows(c, server, 2)
 	at := func(ms int64) time.Time { return time.UnixMilli(ms).UTC() }
 	c.Assert(report.Rows, qt.DeepEquals, []externalapi.ResidencyRow{
 		{Route: "r/1", Region: "east", First: at(1000), Last: at(1501), Decodes: 2},
@@ -148,7 +153,7 @@
 	// answer's.
 	_, _, report = call(server, http.MethodGet, "/molepaddle/residency", nil)
 	seq := report.Seq
-	// The first configuration follows on no other, whatever was read.
+	// The first configuration follows on no other, whatever residency was recorded before.
 	status, _, _ = call(server, http.MethodPost, externalapi.CallReplace.Path, []byte(`{"ver":3,"routing":[{"name":"r",`+
 		`"hostname":"h","pfx":"/","kind":"readonly","deadline_ms":1000,"svc":"s","tenant":"new"}],`+
 		`"tenants":[{"name":"new","regions":["east"]}],"svcs":[{"name":"s","probe":"/healthz"}]}`))
--- a/internal/fleet/controlplane/stored_test.go
+++ b/internal/fleet/controlplane/stored_test.go
@@ -22,15 +22,15 @@
 // a change of named items.
 func storedChanges(c *qt.C) (bodies [][]byte) {
 	for version := int64(1); version <= 12; version++ {
-		bodies = append(bodies, configuration(version-1, version))
+		bodies = append(bodies, configCommand(version-1, version))
 		if version == 3 {
-			bodies = append(bodies, reading(9, 1, 4))
+			bodies = append(bodies, residencyCommand(9, 1, 4))
 		}
 	}
 	update := &Command{Base: 12, Body: []byte(`{"ver":20,"upsert":{"svcs":[{"name":"t","later":1}]}}`)}
 	body, err := update.MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
-	return append(bodies, reading(9, 2, 5), body, reading(1<<63, 1, 6))
+	return append(bodies, residencyCommand(9, 2, 5), body, residencyCommand(1<<63, 1, 6))
 }
 
 // writeStored writes storedFile: three servers in virtual time take the changes, the first primary is restarted on the
@@ -155,7 +155,7 @@
 
 	// A change that is written afterwards is there beside the others when the server starts again.
 	last := st.Changes[len(st.Changes)-1]
-	next := replication.Change{Seq: 17, Body: configuration(20, 21)}
+	next := replication.Change{Seq: 17, Body: configCommand(20, 21)}
 	next.Digest = replication.ChainDigest(last.Digest, next.Seq, next.Body)
 	c.Assert(store.Save(&replication.Write{Changes: []replication.Change{next}}), qt.IsNil)
 	c.Assert(store.Close(), qt.IsNil)
