--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -66,6 +66,9 @@
 
 	noReport bool                // the model backends' reports don't come: nobody orders them to change their phase
 	flags    map[string][]string // by role, beside its name
+
+	coreBinary string // program of the core machines; this one where it is empty
+	edgeBinary string // and of the edge machines
 }
 
 // machine is one machine of the fleet, with the programs that run there.
@@ -74,6 +77,7 @@
 	settings simulation.BootSettings
 	boot     simulation.BootFile
 	roles    []string
+	binary   string // what it runs; this program where it is empty
 	programs map[string]*simulation.Program
 }
 
@@ -145,7 +149,7 @@
 		RetryExtra:  float64(f.settings["retry_extra"].(int)),
 	}
 	f.startBackends(options)
-	f.addMachines()
+	f.addMachines(options)
 	for _, m := range append(slices.Clone(f.core), f.edge...) {
 		for _, role := range m.roles {
 			m.start(role)
@@ -203,7 +207,7 @@
 }
 
 // addMachines gives the core and edge machines their addresses and settings.
-func (f *fleet) addMachines() {
+func (f *fleet) addMachines(options fleetOptions) {
 	coreIPs := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	edgeIPs := []string{"127.0.2.1", "127.0.2.2"}
 	all := slices.Concat([]string{"127.0.0.1"}, coreIPs, edgeIPs)
@@ -229,7 +233,12 @@
 		set.Zone = fleetZones[i]
 		set.Bootstrap = true
 		set.Voting = true
-		f.core = append(f.core, &machine{f: f, settings: set, roles: []string{"control-plane"}})
+		f.core = append(f.core, &machine{
+			f:        f,
+			settings: set,
+			roles:    []string{"control-plane"},
+			binary:   options.coreBinary,
+		})
 	}
 	for i, ip := range edgeIPs {
 		set := usual
@@ -246,7 +255,12 @@
 					net.JoinHostPort(core, strconv.Itoa(ports.First+1)))
 			}
 		}
-		f.edge = append(f.edge, &machine{f: f, settings: set, roles: []string{"node-agent", "proxy"}})
+		f.edge = append(f.edge, &machine{
+			f:        f,
+			settings: set,
+			roles:    []string{"node-agent", "proxy"},
+			binary:   options.edgeBinary,
+		})
 	}
 }
 
@@ -282,9 +296,13 @@
 		m.settings.DataDir = boot.DataDir
 	}
 	m.settings.Bootstrap = false // only at the very first start
-	self, err := os.Executable()
-	f.Assert(err, qt.IsNil)
-	p := simulation.Exec(f, boot, self, append([]string{role}, f.flags[role]...)...)
+	binary := m.binary
+	if binary == "" {
+		self, err := os.Executable()
+		f.Assert(err, qt.IsNil)
+		binary = self
+	}
+	p := simulation.Exec(f, boot, binary, append([]string{role}, f.flags[role]...)...)
 	if m.programs == nil {
 		m.programs = map[string]*simulation.Program{}
 	}
--- a/internal/fleet/replication/machine_test.go
+++ b/internal/fleet/replication/machine_test.go
@@ -16,97 +16,116 @@
 	nSeeds  = flag.Int("replication.seeds", 60, "seeds for each case of the storm")
 )
 
+// restartSoon starts a machine again within 1.6 s.
+func (s *sim) restartSoon(b *simNode) {
+	d := 100*ms + s.upTo(1500*ms)
+	s.after(d, func() { s.start(b) })
+}
+
+// loseDisk ends a machine and drops its disk, unless as many are lost as may be.
+func (s *sim) loseDisk(b *simNode) bool {
+	if s.wiped >= s.survive.Nodes || s.now < s.bootUntil {
+		return false
+	}
+	s.wiped++
+	s.kill(b)
+	b.disk = PersistentState{}
+	s.note("wiped %s", b.addr)
+	return true
+}
+
+// loseZone has a whole zone lose its disks, and at times all others lose power at the same moment.
+func (s *sim) loseZone(zone string) {
+	all := s.rng.IntN(2) == 0
+	for _, o := range s.nodes {
+		if o.zone == zone || all {
+			s.kill(o)
+			s.restartSoon(o)
+		}
+		if o.zone == zone {
+			s.note("wiped %s", o.addr)
+			o.disk = PersistentState{}
+		}
+	}
+}
+
+// losePower ends all machines, some with their disks.
+func (s *sim) losePower() {
+	for _, i := range s.rng.Perm(len(s.nodes)) {
+		o := s.nodes[i]
+		if o.removed {
+			continue
+		}
+		s.kill(o)
+		if s.rng.IntN(3) == 0 {
+			s.loseDisk(o)
+		}
+		s.restartSoon(o)
+	}
+}
+
+// partition cuts one machine or a half off, both ways or one.
+func (s *sim) partition(b *simNode, lasting time.Duration) {
+	side := map[string]bool{b.addr: true}
+	if s.rng.IntN(2) == 0 {
+		for _, o := range s.nodes {
+			side[o.addr] = side[o.addr] || s.rng.IntN(2) == 0
+		}
+	}
+	way := s.rng.IntN(3)
+	s.note("cut off %v way %d for %v", side, way, lasting)
+	for _, x := range s.nodes {
+		for _, y := range s.nodes {
+			if side[x.addr] != side[y.addr] && (way == 0 || side[x.addr] == (way == 1)) {
+				s.cuts[[2]string{x.addr, y.addr}] = s.now + lasting
+			}
+		}
+	}
+}
+
+// fault lets one thing go wrong at some machine.
 func (s *sim) fault() {
 	l := s.live()
 	if len(l) == 0 {
 		return
 	}
 	b := l[s.rng.IntN(len(l))]
-	restart := func(b *box) {
-		d := 100*ms + s.upTo(1500*ms)
-		s.after(d, func() { s.start(b) })
-	}
-	if s.well() != nil && (!s.wholeFirst || s.settled()) {
+	if s.healthyPrimary() != nil && (!s.repairFirst || s.converged()) {
 		s.wiped = 0
 	}
-	wipe := func(b *box) bool {
-		if s.wiped >= s.survive.Nodes || s.now < s.bootUntil {
-			return false
-		}
-		s.wiped++
-		s.kill(b)
-		b.disk = PersistentState{}
-		s.note("wiped %s", b.addr)
-		return true
-	}
-	if s.survive.Zones > 0 && s.rng.IntN(4) == 0 && s.well() != nil && s.now >= s.bootUntil {
-		// A whole zone loses its disks, and at times all others lose power at the same moment.
-		all := s.rng.IntN(2) == 0
-		for _, o := range s.boxes {
-			if o.zone == b.zone || all {
-				s.kill(o)
-				restart(o)
-			}
-			if o.zone == b.zone {
-				s.note("wiped %s", o.addr)
-				o.disk = PersistentState{}
-			}
-		}
+	if s.survive.Zones > 0 && s.rng.IntN(4) == 0 && s.healthyPrimary() != nil && s.now >= s.bootUntil {
+		s.loseZone(b.zone)
 		return
 	}
-	for_ := 200*ms + s.upTo(4*time.Second)
+	lasting := 200*ms + s.upTo(4*time.Second)
 	switch s.rng.IntN(11) {
 	case 0, 1:
 		s.kill(b)
-		restart(b)
-	case 2: // all, with wipes at the same moment at times
-		for _, o := range s.rng.Perm(len(s.boxes)) {
-			o := s.boxes[o]
-			if o.gone {
-				continue
-			}
-			s.kill(o)
-			if s.rng.IntN(3) == 0 {
-				wipe(o)
-			}
-			restart(o)
-		}
+		s.restartSoon(b)
+	case 2:
+		s.losePower()
 	case 3, 4:
-		if wipe(b) {
-			restart(b)
+		if s.loseDisk(b) {
+			s.restartSoon(b)
 		}
 	case 5:
-		s.note("freeze %s for %v", b.addr, for_)
-		b.frozen = s.now + for_
+		s.note("freeze %s for %v", b.addr, lasting)
+		b.frozen = s.now + lasting
 	case 6: // one way, one pair
-		o := s.boxes[s.rng.IntN(len(s.boxes))]
-		s.note("cut %s to %s for %v", b.addr, o.addr, for_)
-		s.cuts[[2]string{b.addr, o.addr}] = s.now + for_
-	case 7, 8: // one machine or a half, both ways or one
-		side := map[string]bool{b.addr: true}
-		if s.rng.IntN(2) == 0 {
-			for _, o := range s.boxes {
-				side[o.addr] = side[o.addr] || s.rng.IntN(2) == 0
-			}
-		}
-		way := s.rng.IntN(3)
-		s.note("cut off %v way %d for %v", side, way, for_)
-		for _, x := range s.boxes {
-			for _, y := range s.boxes {
-				if side[x.addr] != side[y.addr] && (way == 0 || side[x.addr] == (way == 1)) {
-					s.cuts[[2]string{x.addr, y.addr}] = s.now + for_
-				}
-			}
-		}
+		o := s.nodes[s.rng.IntN(len(s.nodes))]
+		s.note("cut %s to %s for %v", b.addr, o.addr, lasting)
+		s.cuts[[2]string{b.addr, o.addr}] = s.now + lasting
+	case 7, 8:
+		s.partition(b, lasting)
 	case 9:
-		s.note("slow disk %s for %v", b.addr, for_)
-		b.slow = s.now + for_
+		s.note("slow disk %s for %v", b.addr, lasting)
+		b.slow = s.now + lasting
 	case 10: // replaced at a new address
-		if wipe(b) {
-			b.gone = true
-			n := s.add(fmt.Sprintf("10.0.%d.2:7000", len(s.boxes)), b.zone)
+		if s.loseDisk(b) {
+			b.removed = true
+			n := s.add(fmt.Sprintf("10.0.%d.2:7000", len(s.nodes)), b.zone)
 			s.note("replaced by %s", n.addr)
-			restart(n)
+			s.restartSoon(n)
 		}
 	}
 }
@@ -138,7 +157,7 @@
 	if s.hard = seed%4 == 3; s.hard {
 		s.delay, s.loss = 150*ms, 0.15
 	}
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		s.after(s.upTo(300*ms), func() { s.start(b) })
 	}
 	const end = stormEnd
@@ -160,27 +179,34 @@
 	s.note("calm")
 	s.loss, s.dup, s.delay = 0, 0, 10*ms
 	clear(s.cuts)
-	for _, b := range s.boxes {
+	for _, b := range s.nodes {
 		b.slow, b.frozen = 0, min(b.frozen, s.now)
 		if b.m == nil {
 			s.start(b)
 		}
 	}
-	if !s.runUntil(end+10*time.Second, s.settled) && s.err == nil {
-		for _, b := range s.boxes {
+	if !s.runUntil(end+10*time.Second, s.converged) && s.err == nil {
+		for _, b := range s.nodes {
 			if b.m != nil {
 				s.note("%s %+v cand %+v standing %+v", b.addr, b.m.Status(), b.m.candidacy, b.m.replica)
 			}
 		}
 		s.fail("not settled after calm")
 	}
+	s.checkAfterCalm()
+}
+
+// checkAfterCalm checks that changes and reads are answered again and that nothing acknowledged is lost.
+func (s *sim) checkAfterCalm() {
 	acked, confirms := s.ackedMax, s.confirms
-	if s.err == nil && !s.runUntil(s.now+5*time.Second, func() bool { return s.ackedMax > acked && s.confirms > confirms }) {
+	if s.err == nil && !s.runUntil(
+		s.now+5*time.Second, func() bool { return s.ackedMax > acked && s.confirms > confirms },
+	) {
 		s.fail("nothing is acknowledged or read after calm")
 	}
 	// What was acknowledged is there.
 	if s.err == nil {
-		p := s.well()
+		p := s.healthyPrimary()
 		if p == nil {
 			p = s.target()
 		}
@@ -192,8 +218,8 @@
 	}
 }
 
-// TestStorm plays many seeds of faults: nothing acknowledged is lost, nobody but one primary commits in an epoch, records
-// never part, reads are never stale, and after calm all work again.
+// TestStorm plays many seeds of faults: nothing acknowledged is lost, nobody but one primary commits in an epoch,
+// records never part, reads are never stale, and after calm all work again.
 func TestStorm(t *testing.T) {
 	cases := []struct{ n, seeds, nodes, zones int }{
 		{1, 1, 0, 0}, {2, 2, 0, 0}, {3, 3, 0, 0}, {3, 3, 1, 0}, {4, 3, 1, 0}, {5, 3, 1, 0}, {5, 3, 2, 0}, {8, 3, 2, 0},
@@ -223,9 +249,9 @@
 func calm(t *testing.T, s *sim, order []int, gap time.Duration) {
 	t.Helper()
 	for i, j := range order {
-		s.after(time.Duration(i)*gap, func() { s.start(s.boxes[j]) })
+		s.after(time.Duration(i)*gap, func() { s.start(s.nodes[j]) })
 	}
-	ok := s.runUntil(s.now+time.Duration(len(order))*gap+10*time.Second, s.settled)
+	ok := s.runUntil(s.now+time.Duration(len(order))*gap+10*time.Second, s.converged)
 	qt.Assert(t, s.err, qt.IsNil)
 	qt.Assert(t, ok, qt.IsTrue, qt.Commentf("not settled"))
 }
@@ -239,31 +265,31 @@
 	}
 }
 
-// TestStartOneSystem: seeds that are restarted while the first start goes on, and one that comes up much later, form one
-// system; a machine that says bootstrap and isn't a seed joins.
-func TestStartOneSystem(t *testing.T) {
+// TestBootstrapFormsOneSystem: seeds that are restarted while the first start goes on, and one that comes up much
+// later, form one system; a machine that says bootstrap and isn't a seed joins.
+func TestBootstrapFormsOneSystem(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(7, 4, 3, FailureTolerance{Nodes: 1})
 	s.bootUntil = time.Hour
-	s.start(s.boxes[3])
-	s.start(s.boxes[0])
+	s.start(s.nodes[3])
+	s.start(s.nodes[0])
 	s.runUntil(2*time.Second, nil)
-	c.Assert(s.boxes[0].m.Status().Epoch, qt.Equals, uint64(0))
-	c.Assert(s.boxes[3].m.Status().Role, qt.Equals, NonMember)
-	s.kill(s.boxes[0])
-	s.start(s.boxes[1])
+	c.Assert(s.nodes[0].m.Status().Epoch, qt.Equals, uint64(0))
+	c.Assert(s.nodes[3].m.Status().Role, qt.Equals, NonMember)
+	s.kill(s.nodes[0])
+	s.start(s.nodes[1])
 	s.runUntil(4*time.Second, nil)
-	s.start(s.boxes[0])
+	s.start(s.nodes[0])
 	c.Assert(s.runUntil(8*time.Second, func() bool { return s.leader() != nil }), qt.IsTrue)
 	// The last seed comes with bootstrap still set; what was decided without it stands.
 	s.writeTo(s.leader())
 	s.runUntil(9*time.Second, nil)
 	c.Assert(s.ackedMax, qt.Equals, uint64(1))
-	s.start(s.boxes[2])
-	c.Assert(s.runUntil(20*time.Second, s.settled), qt.IsTrue)
+	s.start(s.nodes[2])
+	c.Assert(s.runUntil(20*time.Second, s.converged), qt.IsTrue)
 	c.Assert(s.err, qt.IsNil)
-	c.Assert(len(s.well().m.view.Members), qt.Equals, 4)
-	c.Assert(s.well().app.log, qt.HasLen, 1)
+	c.Assert(len(s.healthyPrimary().m.view.Members), qt.Equals, 4)
+	c.Assert(s.healthyPrimary().app.log, qt.HasLen, 1)
 }
 
 // TestWipedWitnessHasNoVote: with the primary lost, one of the two left wiped, the wiped one neither votes nor forms
@@ -273,10 +299,10 @@
 	s := newSim(3, 3, 3, FailureTolerance{Nodes: 1})
 	calm(t, s, []int{0, 1, 2}, 0)
 	s.bootUntil = 0
-	p := s.well()
+	p := s.healthyPrimary()
 	view := p.m.Status().View
-	var witness *box
-	for _, b := range s.boxes {
+	var witness *simNode
+	for _, b := range s.nodes {
 		if b.m.Status().Role == Witness {
 			witness = b
 		}
@@ -297,43 +323,46 @@
 	c.Assert(witness.disk.Vote.Promised, qt.Equals, Ballot{})
 	// The primary's disk comes back: all is well again.
 	s.start(p)
-	c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue)
+	c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
 }
 
-// TestReplaced: a machine goes for good, another comes at a new address; then the others may lose one more.
-func TestReplaced(t *testing.T) {
+// TestMemberReplaced: a machine goes for good, another comes at a new address; then the others may lose one more.
+func TestMemberReplaced(t *testing.T) {
 	for i := range 3 {
 		c := qt.New(t)
 		s := newSim(uint64(i), 3, 3, FailureTolerance{Nodes: 1})
 		calm(t, s, []int{0, 1, 2}, 0)
 		s.bootUntil = 0
-		s.writeTo(s.well())
+		s.writeTo(s.healthyPrimary())
 		s.runUntil(s.now+time.Second, nil)
 		c.Assert(s.ackedMax, qt.Equals, uint64(1))
-		old := s.boxes[i]
+		old := s.nodes[i]
 		s.kill(old)
-		old.gone = true
+		old.removed = true
 		s.start(s.add("10.0.9.2:7000", "z0"))
-		c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue)
-		c.Assert(s.well().m.view.Members, qt.HasLen, 3)
-		s.writeTo(s.well())
+		c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
+		c.Assert(s.healthyPrimary().m.view.Members, qt.HasLen, 3)
+		s.writeTo(s.healthyPrimary())
 		s.runUntil(s.now+time.Second, nil)
 		c.Assert(s.ackedMax, qt.Equals, uint64(2))
-		p := s.well()
+		p := s.healthyPrimary()
 		s.kill(p)
 		p.disk = PersistentState{}
 		c.Assert(s.runUntil(s.now+3*time.Second, func() bool {
-			return slices.ContainsFunc(s.live(), func(b *box) bool { return b.m.Status().Role == Primary && b.m.Status().Ready })
+			return slices.ContainsFunc(
+				s.live(), func(b *simNode) bool { return b.m.Status().Role == Primary && b.m.Status().Ready },
+			)
 		}), qt.IsTrue)
 		s.start(p)
-		c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue)
-		c.Assert(s.well().app.log, qt.HasLen, 2)
+		c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
+		c.Assert(s.healthyPrimary().app.log, qt.HasLen, 2)
 		c.Assert(s.err, qt.IsNil)
 	}
 }
 
-// TestFinalFault: right after an acknowledgement all lose power and as many as survive allows their disks.
-func TestFinalFault(t *testing.T) {
+// TestPowerLossAfterAcknowledgement: right after an acknowledgement all lose power and as many as survive allows their
+// disks.
+func TestPowerLossAfterAcknowledgement(t *testing.T) {
 	for seed := uint64(1); seed <= 100; seed++ {
 		c := qt.New(t)
 		n, k := 3, 1
@@ -343,18 +372,21 @@
 		s := newSim(seed, n, 3, FailureTolerance{Nodes: k})
 		calm(t, s, s.rng.Perm(n), 0)
 		s.bootUntil = 0
-		s.writeTo(s.well())
-		c.Assert(s.runUntil(s.now+2*time.Second, func() bool { return s.ackedMax == 1 }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		s.writeTo(s.healthyPrimary())
+		c.Assert(
+			s.runUntil(s.now+2*time.Second, func() bool { return s.ackedMax == 1 }), qt.IsTrue,
+			qt.Commentf("seed %d", seed),
+		)
 		lost := s.rng.Perm(n)[:k]
-		for i, b := range s.boxes {
+		for i, b := range s.nodes {
 			s.kill(b)
 			if slices.Contains(lost, i) {
 				b.disk = PersistentState{}
 			}
 			s.after(s.upTo(time.Second), func() { s.start(b) })
 		}
-		c.Assert(s.runUntil(s.now+10*time.Second, s.settled), qt.IsTrue, qt.Commentf("seed %d", seed))
-		c.Assert(s.well().app.log, qt.DeepEquals, []string{"w1"})
+		c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(s.healthyPrimary().app.log, qt.DeepEquals, []string{"w1"})
 		c.Assert(s.err, qt.IsNil)
 	}
 }
@@ -365,7 +397,7 @@
 	s := newSim(5, 6, 6, FailureTolerance{Zones: 1})
 	calm(t, s, []int{0, 1, 2, 3, 4, 5}, 0)
 	spreadOver := func() int {
-		p := s.well()
+		p := s.healthyPrimary()
 		if p == nil {
 			return 0
 		}
@@ -377,8 +409,8 @@
 		return len(zones)
 	}
 	c.Assert(s.runUntil(s.now+5*time.Second, func() bool { return spreadOver() == 2 }), qt.IsTrue)
-	zone := s.well().zone
-	for _, b := range s.boxes {
+	zone := s.healthyPrimary().zone
+	for _, b := range s.nodes {
 		if b.zone == zone {
 			s.kill(b)
 		}
@@ -390,7 +422,7 @@
 func TestSettings(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(1, 1, 1, FailureTolerance{})
-	o := s.options(s.boxes[0])
+	o := s.options(s.nodes[0])
 	var err error
 	app := &logApp{err: &err}
 	for _, change := range []func(*Options){
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -53,7 +53,8 @@
 			all = append(all, layout{n, n, FailureTolerance{Nodes: s}})
 			for _, places := range []int{3, 4, 5} {
 				if places <= n && places >= 2*s+1 {
-					all = append(all, layout{n, places, FailureTolerance{Zones: s}}, layout{n, places, FailureTolerance{Regions: s}})
+					all = append(all, layout{n, places, FailureTolerance{Zones: s}})
+					all = append(all, layout{n, places, FailureTolerance{Regions: s}})
 				}
 			}
 		}
@@ -121,21 +122,41 @@
 // planner is the primary of a view with what it knows of the others.
 func (l layout) planner(v View) *Machine {
 	m := &Machine{
-		opt: Options{Tolerance: l.survive, ElectionTimeout: progSuspect, MemberTimeout: boundSync, HeartbeatInterval: progBeat}, view: v, isPrimary: true,
-		now: 10 * boundSync, lastActive: map[ID]time.Duration{}, laggedAt: map[ID]time.Duration{}, joiners: map[string]*joiner{}, departing: map[ID]bool{},
+		opt: Options{
+			Tolerance:         l.survive,
+			ElectionTimeout:   progElection,
+			MemberTimeout:     boundSync,
+			HeartbeatInterval: progHeartbeat,
+		},
+		persistentState: persistentState{view: v},
+		now:             10 * boundSync,
+		peers: peerState{
+			lastActive: map[ID]time.Duration{},
+			laggedAt:   map[ID]time.Duration{},
+			departing:  map[ID]bool{},
+		},
+		primary: primaryState{
+			active:  true,
+			joiners: map[string]*joiner{},
+		},
 	}
 	self, _ := v.member(v.Primary)
 	m.identity = Identity{ID: self.ID, Addr: self.Addr}
 	m.opt.Self = self
 	for _, o := range v.Members {
-		m.lastActive[o.ID] = m.now
+		m.peers.lastActive[o.ID] = m.now
 	}
 	return m
 }
 
 // joins has a machine ask to be taken in, for longer than a suspicion takes.
 func (m *Machine) joins(o Member) {
-	m.joiners[o.Addr] = &joiner{Member: o, firstActive: m.now - progSuspect, lastActive: m.now, confirmed: true}
+	m.primary.joiners[o.Addr] = &joiner{
+		Member:      o,
+		firstActive: m.now - progElection,
+		lastActive:  m.now,
+		confirmed:   true,
+	}
 }
 
 // next is the view that the planner would have decided; the view as it is when there is nothing to change.
@@ -154,8 +175,8 @@
 		w := v
 		w.Primary = id
 		m := l.planner(w)
-		m.lastActive[dead] = 0
-		m.isPrimary = false // members stay
+		m.peers.lastActive[dead] = 0
+		m.primary.active = false // members stay
 		if next := m.next(); next.Epoch > v.Epoch {
 			all = append(all, next)
 		}
@@ -211,7 +232,7 @@
 
 // stages plays a replacement of each machine in turn, unplanned and planned, and judges each view on the way.
 func (l layout) stages(c *qt.C) []*stage {
-	whole, lostOne := &stage{name: "complete"}, &stage{name: "one machine lost"}
+	whole, lostOne := &stage{name: "whole"}, &stage{name: "one machine lost"}
 	joined, synced := &stage{name: "its successor is in"}, &stage{name: "the successor has caught up"}
 	second, ended := &stage{name: "planned: one more is in"}, &stage{name: "planned: the old one has ended"}
 	first := View{Epoch: 1}
@@ -247,22 +268,22 @@
 	}
 	for _, v := range views {
 		m := l.planner(v)
-		m.lastActive[old.ID] = m.now - progSuspect
+		m.peers.lastActive[old.ID] = m.now - progElection
 		repaired := m.next() // the backups anew
 		lostOne.judge(c, repaired, l.losses(repaired.Members, old))
 		m = l.planner(repaired)
-		m.lastActive[old.ID] = m.now - progSuspect
+		m.peers.lastActive[old.ID] = m.now - progElection
 		m.joins(successor)
 		v = m.next()
 		joined.judge(c, v, l.losses(v.Members, old, successor))
 		m = l.planner(v)
-		m.lastActive[old.ID] = m.now - boundSync
+		m.peers.lastActive[old.ID] = m.now - boundSync
 		v = m.next()
-		synced.judge(c, v, l.losses(slices.DeleteFunc(slices.Clone(v.Members), func(o Member) bool { return o == old })), old)
+		synced.judge(c, v, l.losses(without(v.Members, old)), old)
 	}
 }
 
-// planned: the successor comes first and has its time, then old is told to end and leaves in order.
+// planned: the successor comes first and has its time, then old is asked to shut down and leaves in order.
 func (l layout) planned(c *qt.C, first View, old, successor Member, second, ended *stage) {
 	m := l.planner(first)
 	m.joins(successor)
@@ -278,21 +299,21 @@
 			w := v
 			w.Primary = id
 			m = l.planner(w)
-			m.departing[old.ID] = true
-			m.isPrimary = false // members stay
+			m.peers.departing[old.ID] = true
+			m.primary.active = false // members stay
 			views = append(views, m.next())
 		}
 	}
 	for _, v := range views {
 		for range 3 { // out of its role, out of the members
 			m = l.planner(v)
-			m.departing[old.ID] = true
+			m.peers.departing[old.ID] = true
 			if !slices.ContainsFunc(v.Members, func(o Member) bool { return o == successor }) {
 				m.joins(successor)
 			}
 			v = m.next()
 		}
-		ended.judge(c, v, l.losses(slices.DeleteFunc(slices.Clone(v.Members), func(o Member) bool { return o == old })), old)
+		ended.judge(c, v, l.losses(without(v.Members, old)), old)
 	}
 }
 
@@ -316,9 +337,9 @@
 	return true
 }
 
-// TestQuorumTable enumerates cores, changes of their members and losses: wherever the whole core bears what is to be survived, it
-// does so at each moment of a change: a majority of the members is left, and a copy of the record. The table
-// in the design page is what was found.
+// TestQuorumTable enumerates cores, changes of their members and losses: wherever the whole core bears what is to be
+// survived, it does so at each moment of a change: a majority of the members is left, and a copy of the record. The
+// table in the design page is what was found.
 func TestQuorumTable(t *testing.T) {
 	c := qt.New(t)
 	var table strings.Builder
@@ -340,7 +361,10 @@
 			default:
 				verdict = "no: no copy is left"
 			}
-			fmt.Fprintf(&table, "| %s | %s | %s | %d | %d | %d | %d | %s |\n", l, s.name, members, s.quorum, s.copies, s.spareVotes, s.lastCopy, verdict)
+			fmt.Fprintf(
+				&table, "| %s | %s | %s | %d | %d | %d | %d | %s |\n", l, s.name, members, s.quorum, s.copies,
+				s.spareVotes, s.lastCopy, verdict,
+			)
 		}
 	}
 	page, err := os.ReadFile(tablePage)
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -12,14 +12,15 @@
 // on disk is there before anything is sent, so a crash with writes pending equals one before their inputs. A step of
 // a machine depends on its cell and the message alone and is worked out once.
 //
-// The files: cells_test.go a machine with its disk, search_test.go the steps of one machine, searchtime_test.go time that
-// passes for all, searchretry_test.go changes that are asked for again, searchrules_test.go the rules, searchrun_test.go the
-// search itself, liveness_test.go what must happen when calm, searchcases_test.go the cores and budgets.
+// The files: cells_test.go a machine with its disk, search_test.go the steps of one machine, searchtime_test.go time
+// that passes for all, searchretry_test.go changes that are asked for again, searchrules_test.go the rules,
+// searchrun_test.go the search itself, liveness_test.go what must happen when calm, searchcases_test.go the cores and
+// budgets.
 
 // budget is what may still happen.
 type budget struct {
 	writes, reads uint8
-	beats         uint8 // ticks of who leads
+	heartbeats    uint8 // ticks of who leads
 	waits         uint8 // a machine's time passes until it does something by itself
 	crashes       uint8 // restarts with the disk
 	wipes         uint8 // restarts with an empty disk
@@ -36,8 +37,8 @@
 // cellSet is the cell of each machine.
 type cellSet [maxCells]uint32
 
-// world is one state.
-type world struct {
+// modelState is one state.
+type modelState struct {
 	cells cellSet
 	ghost uint32
 	left  budget
@@ -64,7 +65,7 @@
 	stepDeliver stepKind = iota
 	stepWrite
 	stepRead
-	stepBeat
+	stepHeartbeat
 	stepWait
 	stepCrash
 	stepWipe
@@ -75,8 +76,20 @@
 	stepLeave
 )
 
-var stepNames = [...]string{"gets", "is to write", "is to read", "beats", "waits", "crashes and restarts", "loses its disk and restarts", "starts",
-	"is asked again for", "was frozen", "time passes for all,", "is told to end"}
+var stepNames = [...]string{
+	"gets",
+	"is to write",
+	"is to read",
+	"beats",
+	"waits",
+	"crashes and restarts",
+	"loses its disk and restarts",
+	"starts",
+	"is asked again for",
+	"was frozen",
+	"time passes for all,",
+	"is told to end",
+}
 
 // inSync is one thing that happens to a machine; arg is a message or a token.
 type step struct {
@@ -123,11 +136,11 @@
 	slowestLate time.Duration
 
 	// check is a further rule that every state must hold, nil when there is none.
-	check func(*world) string
+	check func(*modelState) string
 }
 
 // timing is the part of Options that says how long things take.
-type timing struct{ beat, suspect, stagger, write, forget time.Duration }
+type timing struct{ heartbeat, election, stagger, write, member time.Duration }
 
 var (
 	// quickTiming has round figures.
@@ -138,7 +151,14 @@
 
 func newExplorer(n int, sv FailureTolerance, small bool, limit int) *explorer {
 	x := &explorer{
-		n: n, founders: n, timing: quickTiming, survive: sv, small: small, limit: limit, cellIDs: map[string]uint32{}, msgIDs: map[string]uint32{},
+		n:        n,
+		founders: n,
+		timing:   quickTiming,
+		survive:  sv,
+		small:    small,
+		limit:    limit,
+		cellIDs:  map[string]uint32{},
+		msgIDs:   map[string]uint32{},
 		ghostIDs: map[string]uint32{}, effects: map[stepOf]*effect{}, ghosts: []ghost{{}}, views: map[string]View{},
 		passes: map[passOf]*passing{}, calms: map[passOf]time.Duration{},
 	}
@@ -151,8 +171,8 @@
 func (x *explorer) options(i int, bootstrap bool) Options {
 	o := Options{
 		Self: Member{Addr: x.addrs[i], Zone: fmt.Sprint("z", i), Region: "r"}, Tolerance: x.survive, Bootstrap: bootstrap,
-		HeartbeatInterval: x.timing.beat, ElectionTimeout: x.timing.suspect, ElectionStagger: x.timing.stagger,
-		WriteTimeout: x.timing.write, MemberTimeout: x.timing.forget,
+		HeartbeatInterval: x.timing.heartbeat, ElectionTimeout: x.timing.election, ElectionStagger: x.timing.stagger,
+		WriteTimeout: x.timing.write, MemberTimeout: x.timing.member,
 		Rand: func() uint64 { return 0 },
 	}
 	o.Seeds, o.ChunkBytes = x.addrs[:x.founders], x.chunkBytes
@@ -217,7 +237,7 @@
 }
 
 var kindNames = map[Kind]string{
-	KindHello: "helloMessage", KindView: "view", KindHeartbeat: "beat", KindHeartbeatAck: "ack", KindAppend: "appendProposal",
+	KindHello: "hello", KindView: "view", KindHeartbeat: "beat", KindHeartbeatAck: "ack", KindAppend: "append",
 	KindSnapshot: "snapshot", KindStage: "stage", KindStaged: "staged", KindPrepare: "prepare", KindPromise: "promise",
 	KindAccept: "accept", KindAccepted: "accepted", KindReject: "refuse", KindHandover: "handover",
 	KindTransferAck: "received", KindStageChanges: "stage changes",
@@ -293,12 +313,12 @@
 		p := &x.packets[s.arg]
 		return m.Step(c.clock(), x.addrs[p.from], &p.msg), true
 	case stepWrite:
-		if !m.isPrimary {
+		if !m.primary.active {
 			return Output{}, false
 		}
 		return m.Propose(c.clock(), uint64(s.arg), fmt.Appendf(nil, "w%d", s.arg)), true
 	case stepRead:
-		if !m.isPrimary {
+		if !m.primary.active {
 			return Output{}, false
 		}
 		return m.Read(c.clock(), uint64(s.arg)), true
@@ -315,28 +335,13 @@
 			return Output{}, false
 		}
 		return m.Leave(c.clock()), true
-	case stepBeat:
+	case stepHeartbeat:
 		if !m.leading() {
 			return Output{}, false
 		}
 		return m.Tick(max(m.NextTick(), m.now+1, c.clock())), true
-	case stepWait: // what is sent meanwhile is lost, but for the last
-		mark := func() string {
-			ph := -1
-			if m.candidacy != nil {
-				ph = int(m.candidacy.phase)
-			}
-			return fmt.Sprint(m.view.Epoch, ph, m.stopped(), m.vote.Promised)
-		}
-		first := mark()
-		for range 60 {
-			out := m.Tick(max(m.NextTick(), m.now+1, c.clock()))
-			if mark() != first {
-				return out, true
-			}
-			save(&c.disk, out.Write)
-		}
-		return Output{}, false
+	case stepWait:
+		return x.waitUntilMark(c)
 	case stepCrash, stepWipe, stepStart:
 		if s.kind == stepWipe {
 			c.wiped = append(slices.Clip(c.wiped), m.identity.ID)
@@ -350,3 +355,17 @@
 	}
 	return Output{}, false
 }
+
+// waitUntilMark lets a machine's time pass until it does something by itself. What it sends meanwhile is lost, but for
+// the last.
+func (x *explorer) waitUntilMark(c *cell) (Output, bool) {
+	first := markOf(c.m)
+	for range 60 {
+		out := c.m.Tick(max(c.m.NextTick(), c.m.now+1, c.clock()))
+		if markOf(c.m) != first {
+			return out, true
+		}
+		save(&c.disk, out.Write)
+	}
+	return Output{}, false
+}
--- a/internal/fleet/replication/searchcases_test.go
+++ b/internal/fleet/replication/searchcases_test.go
@@ -11,9 +11,13 @@
 )
 
 var (
-	deep        = flag.Bool("replication.deep", false, "search with larger budgets and twenty times the states, which takes minutes")
+	deep = flag.Bool(
+		"replication.deep", false, "search with larger budgets and twenty times the states, which takes minutes",
+	)
 	trial       = flag.String("replication.trial", "", "search this shape only: 3,survive=1,joiners=1,calm,writes=1 ...")
-	searchLimit = flag.Int("replication.states", 1_500_000, "states for each search; twenty times as many with replication.deep")
+	searchLimit = flag.Int(
+		"replication.states", 1_500_000, "states for each search; twenty times as many with replication.deep",
+	)
 )
 
 // ruleBroken begins what a search says of a state that breaks a rule.
@@ -22,22 +26,23 @@
 // shape is a setting of the search.
 type shape struct {
 	name       string
-	members    int            // at the beginning
-	joiners    int            // machines that are no members yet; the budget starts them
-	survive    int            // machines that may be lost at once; 1 if 0
-	first      bool           // from machines that haven't started yet; else from a settled core
-	small      bool           // a snapshot at every change
-	chunkBytes int            // of a record that goes to another machine; 0: the usual size
-	judged     bool           // changes are judged by the record first, as the control plane does it
-	served     bool           // with the control plane's timing
-	calm       bool           // every state is live when calm
-	lossy      bool           // every state is live after a further loss, too
-	late       bool           // every state is live also when all that is in flight comes
-	faults     []faultKind    // while time passes
-	before     []networkFault // time passes with each of these before the search begins, and what is sent comes or is lost
-	begun      []networkFault // then time passes with each of these until something begins, which is in flight
-	budget     budget
-	want       reach
+	members    int         // at the beginning
+	joiners    int         // machines that are no members yet; the budget starts them
+	survive    int         // machines that may be lost at once; 1 if 0
+	first      bool        // from machines that haven't started yet; else from a settled core
+	small      bool        // a snapshot at every change
+	chunkBytes int         // of a record that goes to another machine; 0: the usual size
+	judged     bool        // changes are judged by the record first, as the control plane does it
+	served     bool        // with the control plane's timing
+	calm       bool        // every state is live when calm
+	lossy      bool        // every state is live after a further loss, too
+	late       bool        // every state is live also when all that is in flight comes
+	faults     []faultKind // while time passes
+	// before are faults with each of which time passes before the search begins; what is sent comes or is lost.
+	before []networkFault
+	begun  []networkFault // then time passes with each of these until something begins, which is in flight
+	budget budget
+	want   reach
 }
 
 // reach is what some state must show, or the search saw nothing.
@@ -52,81 +57,451 @@
 	wipes    int    // disks that were lost one after the other
 }
 
-// shapes are the searches that CI runs.
-func shapes() []shape {
-	return []shape{
-		{name: "a write, a takeover and a restart", members: 3, budget: budget{writes: 1, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
-		{name: "two writes and a takeover", members: 3, budget: budget{writes: 2, waits: 1}, want: reach{led: 2, acked: 2}},
-		{name: "three writes and snapshots", members: 3, small: true, budget: budget{writes: 3, beats: 1}, want: reach{led: 1, acked: 1}},
-		{name: "two proposals cross", members: 3, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 3}},
-		{name: "a write, a read and a takeover", members: 3, budget: budget{writes: 1, reads: 1, beats: 1, waits: 1}, want: reach{led: 2, acked: 2}},
-		{name: "a disk is lost", members: 3, budget: budget{writes: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 2, joined: true, wipes: 1}},
-		{name: "a lost disk is replaced", members: 3, budget: budget{beats: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 1, joined: true, wipes: 1}},
-		{name: "four, a write and a takeover", members: 4, budget: budget{writes: 1, waits: 1}, want: reach{led: 2, acked: 2}},
-		{name: "four, two proposals cross", members: 4, budget: budget{waits: 2}, want: reach{led: 3, acked: 1}},
-		{name: "the first start", members: 3, first: true, budget: budget{writes: 1, waits: 1, starts: 3}, want: reach{led: 2, acked: 2, fewest: 2}},
-		// With liveness, for the control plane's timing.
-		{name: "a write and a takeover, then a loss", members: 3, served: true, lossy: true, late: true, budget: budget{writes: 1, waits: 1}, want: reach{led: 2, acked: 2}},
-		{name: "a restart and a takeover", members: 3, served: true, calm: true, budget: budget{waits: 1, crashes: 1}, want: reach{led: 3, acked: 1}},
-		{name: "a freeze, a read and a takeover", members: 3, served: true, calm: true, budget: budget{reads: 1, waits: 1, freezes: 1}, want: reach{led: 2, acked: 1}},
-		{name: "links are cut in one direction", members: 3, served: true, calm: true, faults: []faultKind{faultCut}, budget: budget{passes: 2}, want: reach{led: 2, acked: 1}},
-		{name: "a link is cut, a write and a read", members: 3, served: true, calm: true, faults: []faultKind{faultCut}, budget: budget{writes: 1, reads: 1, passes: 1}, want: reach{led: 2, acked: 2}},
-		{name: "a machine is cut off or frozen", members: 3, served: true, calm: true, faults: []faultKind{faultIsolated, faultFrozen}, budget: budget{writes: 1, reads: 1, passes: 1}, want: reach{led: 2, acked: 2}},
-		{name: "a disk is lost after another was replaced", members: 3, served: true, lossy: true, faults: []faultKind{faultNone}, budget: budget{wipes: 2, passes: 2}, want: reach{led: 3, acked: 1, joined: true, wipes: 2}},
-		{name: "a machine joins", members: 3, joiners: 1, served: true, lossy: true, faults: []faultKind{faultNone}, budget: budget{starts: 1, passes: 1}, want: reach{led: 2, acked: 1, most: 4}},
-		{name: "a silent member is left out", members: 4, served: true, lossy: true, faults: []faultKind{faultIsolated}, budget: budget{passes: 1}, want: reach{led: 2, acked: 1, fewest: 3}},
-		{name: "a machine leaves", members: 3, served: true, lossy: true, late: true, faults: []faultKind{faultNone}, budget: budget{writes: 1, leaves: 1, passes: 1}, want: reach{led: 3, acked: 2, released: true}},
-		{name: "a machine leaves, a takeover", members: 3, budget: budget{waits: 1, leaves: 1}, want: reach{led: 3, acked: 1, released: true}},
-		{name: "five, a takeover", members: 5, survive: 2, served: true, calm: true, budget: budget{waits: 1}, want: reach{led: 2, acked: 1}},
-		{name: "five, a machine is cut off or frozen", members: 5, survive: 2, served: true, calm: true, faults: []faultKind{faultIsolated, faultFrozen}, budget: budget{passes: 1}, want: reach{led: 2, acked: 1}},
-		{name: "five, a read and a takeover", members: 5, survive: 2, budget: budget{reads: 1, waits: 1}, want: reach{led: 2, acked: 1}},
-		{name: "four, a takeover while a member is left out", members: 4, begun: []networkFault{{faultIsolated, 3, 0}}, budget: budget{waits: 1}, want: reach{led: 3, acked: 1, fewest: 3}},
-		{name: "a read at a slow primary", members: 3, before: []networkFault{{faultSlow, 0, 0}}, budget: budget{writes: 1, reads: 2, freezes: 1}, want: reach{led: 2, acked: 2}},
-		{name: "a read at a slow primary, a takeover", members: 3, served: true, calm: true, before: []networkFault{{faultSlow, 0, 0}}, budget: budget{writes: 1, reads: 1, waits: 1}, want: reach{led: 3, acked: 3}},
-		{name: "five, a read at a slow primary with a slow backup", members: 5, survive: 2, before: []networkFault{{faultSlow, 0, 1}}, budget: budget{writes: 1, reads: 1, freezes: 1}, want: reach{led: 2, acked: 2}},
-		{name: "changes are asked for again", members: 3, judged: true, budget: budget{writes: 2, retries: 1}, want: reach{led: 1, acked: 1, refused: true}},
-		{name: "a change is asked for again, a takeover", members: 3, judged: true, budget: budget{writes: 1, retries: 1, waits: 1}, want: reach{led: 2, acked: 2}},
-	}
+// ciShapes are the searches that CI runs.
+var ciShapes = []shape{
+	{
+		name:    "a write, a takeover and a restart",
+		members: 3,
+		budget:  budget{writes: 1, waits: 1, crashes: 1},
+		want:    reach{led: 3, acked: 3},
+	},
+	{name: "two writes and a takeover", members: 3, budget: budget{writes: 2, waits: 1}, want: reach{led: 2, acked: 2}},
+	{
+		name:    "three writes and snapshots",
+		members: 3,
+		small:   true,
+		budget:  budget{writes: 3, heartbeats: 1},
+		want:    reach{led: 1, acked: 1},
+	},
+	{name: "two proposals cross", members: 3, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 3}},
+	{
+		name:    "a write, a read and a takeover",
+		members: 3,
+		budget:  budget{writes: 1, reads: 1, heartbeats: 1, waits: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "a disk is lost",
+		members: 3,
+		budget:  budget{writes: 1, waits: 1, wipes: 1},
+		want:    reach{led: 2, acked: 2, joined: true, wipes: 1},
+	},
+	{
+		name:    "a lost disk is replaced",
+		members: 3,
+		budget:  budget{heartbeats: 1, waits: 1, wipes: 1},
+		want:    reach{led: 2, acked: 1, joined: true, wipes: 1},
+	},
+	{
+		name:    "four, a write and a takeover",
+		members: 4,
+		budget:  budget{writes: 1, waits: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{name: "four, two proposals cross", members: 4, budget: budget{waits: 2}, want: reach{led: 3, acked: 1}},
+	{
+		name:    "the first start",
+		members: 3,
+		first:   true,
+		budget:  budget{writes: 1, waits: 1, starts: 3},
+		want:    reach{led: 2, acked: 2, fewest: 2},
+	},
+	// With liveness, for the control plane's timing.
+	{
+		name:    "a write and a takeover, then a loss",
+		members: 3,
+		served:  true,
+		lossy:   true,
+		late:    true,
+		budget:  budget{writes: 1, waits: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "a restart and a takeover",
+		members: 3,
+		served:  true,
+		calm:    true,
+		budget:  budget{waits: 1, crashes: 1},
+		want:    reach{led: 3, acked: 1},
+	},
+	{
+		name:    "a freeze, a read and a takeover",
+		members: 3,
+		served:  true,
+		calm:    true,
+		budget:  budget{reads: 1, waits: 1, freezes: 1},
+		want:    reach{led: 2, acked: 1},
+	},
+	{
+		name:    "links are cut in one direction",
+		members: 3,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultCut},
+		budget:  budget{passes: 2},
+		want:    reach{led: 2, acked: 1},
+	},
+	{
+		name:    "a link is cut, a write and a read",
+		members: 3,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultCut},
+		budget:  budget{writes: 1, reads: 1, passes: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "a machine is cut off or frozen",
+		members: 3,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultIsolated, faultFrozen},
+		budget:  budget{writes: 1, reads: 1, passes: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "a disk is lost after another was replaced",
+		members: 3,
+		served:  true,
+		lossy:   true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{wipes: 2, passes: 2},
+		want:    reach{led: 3, acked: 1, joined: true, wipes: 2},
+	},
+	{
+		name:    "a machine joins",
+		members: 3,
+		joiners: 1,
+		served:  true,
+		lossy:   true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{starts: 1, passes: 1},
+		want:    reach{led: 2, acked: 1, most: 4},
+	},
+	{
+		name:    "a silent member is left out",
+		members: 4,
+		served:  true,
+		lossy:   true,
+		faults:  []faultKind{faultIsolated},
+		budget:  budget{passes: 1},
+		want:    reach{led: 2, acked: 1, fewest: 3},
+	},
+	{
+		name:    "a machine leaves",
+		members: 3,
+		served:  true,
+		lossy:   true,
+		late:    true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{writes: 1, leaves: 1, passes: 1},
+		want:    reach{led: 3, acked: 2, released: true},
+	},
+	{
+		name:    "a machine leaves, a takeover",
+		members: 3,
+		budget:  budget{waits: 1, leaves: 1},
+		want:    reach{led: 3, acked: 1, released: true},
+	},
+	{
+		name:    "five, a takeover",
+		members: 5,
+		survive: 2,
+		served:  true,
+		calm:    true,
+		budget:  budget{waits: 1},
+		want:    reach{led: 2, acked: 1},
+	},
+	{
+		name:    "five, a machine is cut off or frozen",
+		members: 5,
+		survive: 2,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultIsolated, faultFrozen},
+		budget:  budget{passes: 1},
+		want:    reach{led: 2, acked: 1},
+	},
+	{
+		name:    "five, a read and a takeover",
+		members: 5,
+		survive: 2,
+		budget:  budget{reads: 1, waits: 1},
+		want:    reach{led: 2, acked: 1},
+	},
+	{
+		name:    "four, a takeover while a member is left out",
+		members: 4,
+		begun:   []networkFault{{faultIsolated, 3, 0}},
+		budget:  budget{waits: 1},
+		want:    reach{led: 3, acked: 1, fewest: 3},
+	},
+	{
+		name:    "a read at a slow primary",
+		members: 3,
+		before:  []networkFault{{faultSlow, 0, 0}},
+		budget:  budget{writes: 1, reads: 2, freezes: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "a read at a slow primary, a takeover",
+		members: 3,
+		served:  true,
+		calm:    true,
+		before:  []networkFault{{faultSlow, 0, 0}},
+		budget:  budget{writes: 1, reads: 1, waits: 1},
+		want:    reach{led: 3, acked: 3},
+	},
+	{
+		name:    "five, a read at a slow primary with a slow backup",
+		members: 5,
+		survive: 2,
+		before:  []networkFault{{faultSlow, 0, 1}},
+		budget:  budget{writes: 1, reads: 1, freezes: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "changes are asked for again",
+		members: 3,
+		judged:  true,
+		budget:  budget{writes: 2, retries: 1},
+		want:    reach{led: 1, acked: 1, refused: true},
+	},
+	{
+		name:    "a change is asked for again, a takeover",
+		members: 3,
+		judged:  true,
+		budget:  budget{writes: 1, retries: 1, waits: 1},
+		want:    reach{led: 2, acked: 2},
+	},
 }
 
 // deepShapes have larger budgets and take long.
-func deepShapes() []shape {
-	return []shape{
-		{name: "two writes, a takeover and a restart", members: 3, budget: budget{writes: 2, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
-		{name: "snapshots, two writes, a takeover and a restart", members: 3, small: true, budget: budget{writes: 2, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
-		{name: "two takeovers and a read", members: 3, budget: budget{reads: 1, waits: 2, beats: 1}, want: reach{led: 3, acked: 1}},
-		{name: "two proposals cross, a restart", members: 3, budget: budget{writes: 1, waits: 2, crashes: 1}, want: reach{led: 3, acked: 2}},
-		{name: "a disk is lost", members: 3, budget: budget{writes: 1, beats: 1, waits: 1, wipes: 1}, want: reach{led: 2, acked: 2, joined: true, wipes: 1}},
-		{name: "four, a write, a takeover and a restart", members: 4, budget: budget{writes: 1, waits: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
-		{name: "four, two proposals cross, a write", members: 4, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 2}},
-		{name: "the first start, a restart", members: 3, first: true, budget: budget{waits: 1, crashes: 1, starts: 3}, want: reach{led: 2, fewest: 2}},
-		{name: "a silent member is left out, a write", members: 4, served: true, lossy: true, faults: []faultKind{faultIsolated}, budget: budget{writes: 1, passes: 1}, want: reach{led: 2, acked: 2, fewest: 3}},
-		{name: "a freeze, a write, a read and a takeover", members: 3, served: true, calm: true, budget: budget{writes: 1, reads: 1, waits: 1, freezes: 1}, want: reach{led: 2, acked: 2}},
-		{name: "changes are asked for again, a takeover", members: 3, judged: true, budget: budget{writes: 2, retries: 1, waits: 1}, want: reach{led: 2, acked: 2, refused: true}},
-		{name: "two machines join", members: 3, joiners: 2, served: true, faults: []faultKind{faultNone}, budget: budget{starts: 2, passes: 1}, want: reach{led: 2, acked: 1, most: 5}},
-		{name: "a write, a restart and a takeover, then calm", members: 3, served: true, calm: true, budget: budget{writes: 1, waits: 1, crashes: 1}, want: reach{led: 3, acked: 2}},
-		{name: "a machine joins, a write", members: 3, joiners: 1, served: true, lossy: true, faults: []faultKind{faultNone}, budget: budget{writes: 1, starts: 1, passes: 1}, want: reach{led: 2, acked: 2, most: 4}},
-		{name: "two proposals cross, then calm", members: 3, served: true, calm: true, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 3}},
-		{name: "machines are cut off and frozen", members: 3, served: true, calm: true, faults: []faultKind{faultNone, faultIsolated, faultFrozen}, budget: budget{passes: 2}, want: reach{led: 3, acked: 1}},
-		{name: "disks are lost one after the other", members: 3, served: true, calm: true, faults: []faultKind{faultNone}, budget: budget{wipes: 2, passes: 3}, want: reach{led: 4, acked: 1, joined: true, wipes: 2}},
-		{name: "a machine joins, a takeover", members: 3, joiners: 1, served: true, calm: true, faults: []faultKind{faultNone}, budget: budget{waits: 1, starts: 1, passes: 1}, want: reach{led: 3, acked: 1, most: 4}},
-		{name: "silent members are left out", members: 4, served: true, calm: true, faults: []faultKind{faultIsolated}, budget: budget{passes: 2}, want: reach{led: 3, acked: 1, fewest: 3}},
-		{name: "five, a write and a takeover", members: 5, survive: 2, served: true, calm: true, budget: budget{writes: 1, waits: 1}, want: reach{led: 2, acked: 2}},
-		{name: "five, a takeover, then two are lost", members: 5, survive: 2, served: true, lossy: true, budget: budget{waits: 1}, want: reach{led: 2, acked: 1}},
-		{name: "two machines leave", members: 3, served: true, lossy: true, faults: []faultKind{faultNone}, budget: budget{leaves: 2, passes: 1}, want: reach{led: 3, acked: 1, released: true}},
-		{name: "four, a machine leaves", members: 4, served: true, lossy: true, faults: []faultKind{faultNone}, budget: budget{writes: 1, leaves: 1, passes: 1}, want: reach{led: 3, acked: 2, fewest: 3, released: true}},
-		{name: "five, a machine leaves", members: 5, survive: 2, served: true, faults: []faultKind{faultNone}, budget: budget{leaves: 1, passes: 1}, want: reach{led: 2, acked: 1, released: true}},
-		{name: "five, a disk is lost", members: 5, survive: 2, served: true, calm: true, faults: []faultKind{faultNone}, budget: budget{wipes: 1, passes: 1}, want: reach{led: 2, acked: 1, joined: true, wipes: 1}},
-		{name: "five, two disks are lost", members: 5, survive: 2, served: true, faults: []faultKind{faultNone}, budget: budget{wipes: 2, passes: 1}, want: reach{led: 2, acked: 1, joined: true, wipes: 2}},
-		{name: "changes are asked for again over a freeze and a restart", members: 3, judged: true, budget: budget{writes: 1, retries: 1, waits: 1, freezes: 1, crashes: 1}, want: reach{led: 3, acked: 3}},
-	}
+var deepShapes = []shape{
+	{
+		name:    "two writes, a takeover and a restart",
+		members: 3,
+		budget:  budget{writes: 2, waits: 1, crashes: 1},
+		want:    reach{led: 3, acked: 3},
+	},
+	{
+		name:    "snapshots, two writes, a takeover and a restart",
+		members: 3,
+		small:   true,
+		budget:  budget{writes: 2, waits: 1, crashes: 1},
+		want:    reach{led: 3, acked: 3},
+	},
+	{
+		name:    "two takeovers and a read",
+		members: 3,
+		budget:  budget{reads: 1, waits: 2, heartbeats: 1},
+		want:    reach{led: 3, acked: 1},
+	},
+	{
+		name:    "two proposals cross, a restart",
+		members: 3,
+		budget:  budget{writes: 1, waits: 2, crashes: 1},
+		want:    reach{led: 3, acked: 2},
+	},
+	{
+		name:    "a disk is lost",
+		members: 3,
+		budget:  budget{writes: 1, heartbeats: 1, waits: 1, wipes: 1},
+		want:    reach{led: 2, acked: 2, joined: true, wipes: 1},
+	},
+	{
+		name:    "four, a write, a takeover and a restart",
+		members: 4,
+		budget:  budget{writes: 1, waits: 1, crashes: 1},
+		want:    reach{led: 3, acked: 3},
+	},
+	{
+		name:    "four, two proposals cross, a write",
+		members: 4,
+		budget:  budget{writes: 1, waits: 2},
+		want:    reach{led: 3, acked: 2},
+	},
+	{
+		name:    "the first start, a restart",
+		members: 3,
+		first:   true,
+		budget:  budget{waits: 1, crashes: 1, starts: 3},
+		want:    reach{led: 2, fewest: 2},
+	},
+	{
+		name:    "a silent member is left out, a write",
+		members: 4,
+		served:  true,
+		lossy:   true,
+		faults:  []faultKind{faultIsolated},
+		budget:  budget{writes: 1, passes: 1},
+		want:    reach{led: 2, acked: 2, fewest: 3},
+	},
+	{
+		name:    "a freeze, a write, a read and a takeover",
+		members: 3,
+		served:  true,
+		calm:    true,
+		budget:  budget{writes: 1, reads: 1, waits: 1, freezes: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "changes are asked for again, a takeover",
+		members: 3,
+		judged:  true,
+		budget:  budget{writes: 2, retries: 1, waits: 1},
+		want:    reach{led: 2, acked: 2, refused: true},
+	},
+	{
+		name:    "two machines join",
+		members: 3,
+		joiners: 2,
+		served:  true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{starts: 2, passes: 1},
+		want:    reach{led: 2, acked: 1, most: 5},
+	},
+	{
+		name:    "a write, a restart and a takeover, then calm",
+		members: 3,
+		served:  true,
+		calm:    true,
+		budget:  budget{writes: 1, waits: 1, crashes: 1},
+		want:    reach{led: 3, acked: 2},
+	},
+	{
+		name:    "a machine joins, a write",
+		members: 3,
+		joiners: 1,
+		served:  true,
+		lossy:   true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{writes: 1, starts: 1, passes: 1},
+		want:    reach{led: 2, acked: 2, most: 4},
+	},
+	{
+		name:    "two proposals cross, then calm",
+		members: 3,
+		served:  true,
+		calm:    true,
+		budget:  budget{writes: 1, waits: 2},
+		want:    reach{led: 3, acked: 3},
+	},
+	{
+		name:    "machines are cut off and frozen",
+		members: 3,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultNone, faultIsolated, faultFrozen},
+		budget:  budget{passes: 2},
+		want:    reach{led: 3, acked: 1},
+	},
+	{
+		name:    "disks are lost one after the other",
+		members: 3,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{wipes: 2, passes: 3},
+		want:    reach{led: 4, acked: 1, joined: true, wipes: 2},
+	},
+	{
+		name:    "a machine joins, a takeover",
+		members: 3,
+		joiners: 1,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{waits: 1, starts: 1, passes: 1},
+		want:    reach{led: 3, acked: 1, most: 4},
+	},
+	{
+		name:    "silent members are left out",
+		members: 4,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultIsolated},
+		budget:  budget{passes: 2},
+		want:    reach{led: 3, acked: 1, fewest: 3},
+	},
+	{
+		name:    "five, a write and a takeover",
+		members: 5,
+		survive: 2,
+		served:  true,
+		calm:    true,
+		budget:  budget{writes: 1, waits: 1},
+		want:    reach{led: 2, acked: 2},
+	},
+	{
+		name:    "five, a takeover, then two are lost",
+		members: 5,
+		survive: 2,
+		served:  true,
+		lossy:   true,
+		budget:  budget{waits: 1},
+		want:    reach{led: 2, acked: 1},
+	},
+	{
+		name:    "two machines leave",
+		members: 3,
+		served:  true,
+		lossy:   true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{leaves: 2, passes: 1},
+		want:    reach{led: 3, acked: 1, released: true},
+	},
+	{
+		name:    "four, a machine leaves",
+		members: 4,
+		served:  true,
+		lossy:   true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{writes: 1, leaves: 1, passes: 1},
+		want:    reach{led: 3, acked: 2, fewest: 3, released: true},
+	},
+	{
+		name:    "five, a machine leaves",
+		members: 5,
+		survive: 2,
+		served:  true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{leaves: 1, passes: 1},
+		want:    reach{led: 2, acked: 1, released: true},
+	},
+	{
+		name:    "five, a disk is lost",
+		members: 5,
+		survive: 2,
+		served:  true,
+		calm:    true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{wipes: 1, passes: 1},
+		want:    reach{led: 2, acked: 1, joined: true, wipes: 1},
+	},
+	{
+		name:    "five, two disks are lost",
+		members: 5,
+		survive: 2,
+		served:  true,
+		faults:  []faultKind{faultNone},
+		budget:  budget{wipes: 2, passes: 1},
+		want:    reach{led: 2, acked: 1, joined: true, wipes: 2},
+	},
+	{
+		name:    "changes are asked for again over a freeze and a restart",
+		members: 3,
+		judged:  true,
+		budget:  budget{writes: 1, retries: 1, waits: 1, freezes: 1, crashes: 1},
+		want:    reach{led: 3, acked: 3},
+	},
 }
 
-// beforeTime is how long a shape's faults before the search last: a takeover takes less, a silent member is left out.
+// beforeTime is how long a shape's faults before the search last: a takeover takes less, a silent member is removed.
 const beforeTime = 5 * time.Second
 
 // explorer makes the search of a shape and its first state.
-func (sh *shape) explorer(limit int) (*explorer, world, error) {
+func (sh *shape) explorer(limit int) (*explorer, modelState, error) {
 	x := newExplorer(sh.members+sh.joiners, FailureTolerance{Nodes: max(sh.survive, 1)}, sh.small, limit)
 	x.founders, x.judged, x.kinds = sh.members, sh.judged, sh.faults
 	x.late, x.chunkBytes = sh.late, sh.chunkBytes
@@ -139,12 +514,12 @@
 	case sh.calm:
 		x.check = x.checkLiveness
 	}
-	var w world
+	var w modelState
 	var err error
 	if sh.first {
-		w = x.emptyWorld(sh.members)
+		w = x.emptyState(sh.members)
 	} else {
-		w, err = x.calmWorld()
+		w, err = x.steadyState()
 	}
 	for _, f := range sh.before {
 		if err == nil {
@@ -177,7 +552,7 @@
 	if *trial != "" {
 		return
 	}
-	qt.Check(t, res.whole || *deep, qt.IsTrue, qt.Commentf("%d states are too few", limit))
+	qt.Check(t, res.exhausted || *deep, qt.IsTrue, qt.Commentf("%d states are too few", limit))
 	want := sh.want
 	if want.fewest == 0 {
 		want.fewest = sh.members
@@ -186,17 +561,21 @@
 		want.most = sh.members
 	}
 	got := reach{
-		led: min(res.led, want.led), acked: min(res.acked, want.acked), joined: res.joined, refused: res.refused, released: res.released,
-		fewest: res.fewest, most: res.most, wipes: res.wipes,
+		led:      min(res.led, want.led),
+		acked:    min(res.acked, want.acked),
+		joined:   res.joined,
+		refused:  res.refused,
+		released: res.released,
+		fewest:   res.fewest, most: res.most, wipes: res.wipes,
 	}
 	qt.Check(t, got, qt.Equals, want)
 }
 
 // TestSearch holds the rules in every state that small cores can come to within the budgets.
 func TestSearch(t *testing.T) {
-	list := shapes()
+	list := ciShapes
 	if *deep {
-		list = deepShapes()
+		list = deepShapes
 	}
 	if *trial != "" {
 		list = []shape{trialShape(t, *trial)}
--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -129,6 +129,10 @@
 	byAddr  map[cluster.Addr]*server
 	byDial  map[string]*server
 	agents  []*agentRun
+	starts  []int             // by agent
+	kills   []int             // by agent: how often it was killed
+	lives   []string          // what became of agents, a line each, the oldest first
+	dialled map[string]string // which agent in this process has which end of a connection
 	tries   map[string]*try
 	stalls  []stall
 	down    float64 // until then the roster answers nothing
@@ -162,7 +166,7 @@
 		return nil, fmt.Errorf("live: %s plays in this process only, not in %s", o.Chooser, o.Binary)
 	}
 	w := &world{s: s, o: o, plan: law.Plan(s, o.Seed), paths: law.NewPaths(s), zones: law.Zones(s), rng: law.Source(o.Seed, "network"),
-		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, tries: map[string]*try{}, timers: map[*time.Timer]bool{},
+		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, tries: map[string]*try{}, dialled: map[string]string{}, timers: map[*time.Timer]bool{},
 		late: hdrhistogram.New(1, 60e6, 3), slow: hdrhistogram.New(1, 60e6, 3), means: s.MeanWork(), oper: operator.Default()}
 	w.rec = measure.New(s, w.plan)
 	if o.Operator != "" {
@@ -333,7 +337,7 @@
 	w.mu.Lock()
 	w.rec.Start(&t.Try)
 	w.tries[t.ID] = t
-	a := w.agents[p.Agent]
+	a, kills := w.agents[p.Agent], w.kills[p.Agent]
 	w.mu.Unlock()
 	limit := deadline + slack
 	if p.Leaves > 0 && number == 0 {
@@ -360,14 +364,17 @@
 			req.Header.Set("Client-Retry", "1")
 		}
 		var resp *http.Response
-		if resp, err = a.client.Do(req); crossed(err) && at.Err() == nil && !a.wasKilled() {
+		if resp, err = a.client.Do(req); crossed(err) && at.Err() == nil && !w.killed(a, p.Agent, kills) {
 			// The agent may have closed its connection before it read this, as it may between requests: a client
 			// sends it once more, on a new one.
 			req.Close = true
 			w.mu.Lock()
-			a = w.agents[p.Agent]
+			t.Note(w.now(), fmt.Sprintf("%s ended the connection (%v), asked once more", a.name, err), "")
+			a, kills = w.agents[p.Agent], w.kills[p.Agent]
 			w.mu.Unlock()
-			resp, err = a.client.Do(req)
+			once := newClient(w.s) // which has kept none
+			defer once.CloseIdleConnections()
+			resp, err = once.Do(req)
 		}
 		if err == nil {
 			var body []byte
@@ -390,12 +397,16 @@
 			}
 		}
 	}
+	killed := w.killed(a, p.Agent, kills)
 	now = w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
+	if err != nil {
+		t.Note(now, err.Error(), "")
+	}
 	var dial *net.OpError
 	untaken := errors.As(err, &dial) && dial.Op == "dial" // its agent is being restarted
-	if err != nil && (ctx.Err() != nil || p.Leaves > 0 && number == 0 || a.wasKilled() || untaken) {
+	if err != nil && (ctx.Err() != nil || p.Leaves > 0 && number == 0 || killed || untaken) {
 		outcome = measure.Gone // the play ended, the client left, or its agent was killed
 	}
 	w.rec.End(&t.Try, now, outcome, outcome != measure.Served && outcome != measure.Gone && w.needless(t, now))
@@ -414,6 +425,15 @@
 	}
 }
 
+// killed tells whether an agent was killed that may have held a request: the run that its client asked, or
+// the one that had come in its place, at the same address, before the client knew. What it held is its client's to ask
+// again. kills is how often the agent had been killed as the client asked.
+func (w *world) killed(a *agentRun, agent int32, kills int) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return a.wasKilled() || w.kills[agent] != kills
+}
+
 // crossed tells whether a connection ended without a byte of an answer.
 func crossed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || err != nil && strings.Contains(err.Error(), "server closed idle connection")
@@ -504,7 +524,7 @@
 // startAgents starts all agents and waits until each is ready.
 func (w *world) startAgents() error {
 	n := w.s.Agents()
-	w.agents, w.turns = make([]*agentRun, n), make([]sync.Mutex, n)
+	w.agents, w.starts, w.kills, w.turns = make([]*agentRun, n), make([]int, n), make([]int, n), make([]sync.Mutex, n)
 	errs := make(chan error, n)
 	for i := range n {
 		go func() { errs <- w.startAgent(i) }()
@@ -516,6 +536,11 @@
 	return errors.Join(all...)
 }
 
+// lived notes what becomes of an agent; the lock is held.
+func (w *world) lived(a *agentRun, what string) {
+	w.lives = append(w.lives, fmt.Sprintf("%.1f ms: %s %s", w.now(), a.name, what))
+}
+
 // startAgent starts one, at the address that it had before if it had one.
 func (w *world) startAgent(i int) error {
 	listen := "127.0.0.1:0"
@@ -524,6 +549,8 @@
 		listen = old.listen
 	}
 	seed := law.Seed(w.o.Seed, fmt.Sprint("agent", i, w.asked))
+	w.starts[i]++
+	name := fmt.Sprintf("agent %d (start %d)", i, w.starts[i])
 	w.mu.Unlock()
 	if listen == "127.0.0.1:0" {
 		ln, err := net.Listen("tcp", listen)
@@ -537,7 +564,7 @@
 	if err != nil {
 		return err
 	}
-	a := &agentRun{listen: listen, base: "http://" + listen, client: newClient(w.s), since: w.now()}
+	a := &agentRun{name: name, listen: listen, base: "http://" + listen, client: newClient(w.s), since: w.now()}
 	if w.o.Binary == "" {
 		err = a.inside(w, i, text)
 	} else {
@@ -555,6 +582,7 @@
 	}
 	w.mu.Lock()
 	w.agents[i] = a
+	w.lived(a, "is ready")
 	w.mu.Unlock()
 	return nil
 }
