--- a/internal/fleet/proxy/generation_test.go
+++ b/internal/fleet/proxy/generation_test.go
@@ -8,9 +8,10 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestStagedPromptsAreTriedAgain: with eighty proxies each may save little more than one further send. A staged prompt whose taker
-// failed asked for two, one to read it again and one to send it again, and was never served.
-func TestStagedPromptsAreTriedAgain(t *testing.T) {
+// TestStagedPromptsAreRetried has eighty proxies, each of which may save little more than one extra send. A staged
+// prompt whose decode backend failed asked for two, one to prefill it again and one to send it again, and was never
+// served.
+func TestStagedPromptsAreRetried(t *testing.T) {
 	for _, fault := range []simulation.Faults{{Fail: 500}, {LoseAnswer: true}, {Garble: true}, {Refuse: true}} {
 		engine := func(phase simulation.Phase) simulation.EngineSettings {
 			return simulation.EngineSettings{Service: "llm", Zone: "e1", Phase: phase, Capacity: 8}
@@ -18,7 +19,7 @@
 		r := newRig(t, engine(simulation.PhasePrefill), engine(simulation.PhaseDecode), engine(simulation.PhaseDecode))
 		r.proxy.settings.Bounds.RetryExtra, r.proxy.proxies = 202, 81
 		r.configure()
-		trouble(r.engines[1:2], fault)
+		setFaults(r.engines[1:2], fault)
 		for own := range 20 {
 			got := r.client.Do(r.Context(), ask("free", own%3, own, [2]int{6000, 2}))
 			r.Check(got.OK(), qt.IsTrue, qt.Commentf("%+v: %d %v", fault, got.Status, got.Err))
--- a/internal/fleet/proxy/leaks_test.go
+++ b/internal/fleet/proxy/leaks_test.go
@@ -11,8 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// leak is a fault planted in a copy of the sources: each old text once, replaced. The compiler or the tests of enclosed requests,
-// most of them by the auditor (simulation.Judge's Leaks), have to find it.
+// leak is a fault planted in a copy of the sources: each old text once, replaced. The compiler or the tests of
+// residency-bound requests, most of them by the auditor (simulation.Judge's Leaks), have to find it.
 type leak struct {
 	name    string
 	by      string              // what finds it: "compiler", or the tests that are run
@@ -20,82 +20,411 @@
 }
 
 const (
-	choice = "^TestPlacementInside$"
-	whole  = "^TestEnclosed"
-	days   = "^TestDrawnDays$"
+	placementTests = "^TestPlacementWithinTerms$"
+	residencyTests = "^TestResidency"
+	drawnDaysTests = "^TestDrawnDays$"
 )
 
 // noCheck takes the check at the send away, so that only the choice is left.
-var noCheck = []string{"if p.endpoint == nil || p.releaseOnly || !p.endpoint.Allowed(t) {", "if p.endpoint == nil || p.releaseOnly {"}
+var noCheck = []string{
+	"if p.endpoint == nil || p.releaseOnly || !p.endpoint.Allowed(t) {",
+	"if p.endpoint == nil || p.releaseOnly {",
+}
 
-// noGate takes the check of the chosen place away as well.
+// noGate takes the check of the chosen backend away as well.
 var noGate = []string{"if !e.Allowed(t) {\n\t\treturn Permit{}, ErrOutside\n\t}\n", ""}
 
-// takers has who takes memory chosen without terms.
-var takers = []string{"from *backend) *backend {\n\te := s.engines\n\tif at := s.dueTrial(req, externalapi.PhaseDecode, outlier.Risk{Idempotent: req.retryable}); at != nil {\n\t\treturn at\n\t}\n\tkey := req.prompt.PromptKey()\n\ts.ranked = s.ranker.Rank(req.now, key, func(id string) bool { return s.eligible(req, id, externalapi.PhaseDecode) }",
-	"from *backend) *backend {\n\te := s.engines\n\tif at := s.dueTrial(req, externalapi.PhaseDecode, outlier.Risk{Idempotent: req.retryable}); at != nil {\n\t\treturn at\n\t}\n\tkey := req.prompt.PromptKey()\n\ts.ranked = s.ranker.Rank(req.now, key, func(id string) bool { return !req.tried[id] && s.byID[id].Phase == externalapi.PhaseDecode }"}
+// anyDecoder has the decode backend for a KV cache chosen without terms.
+var anyDecoder = []string{
+	"decoders := func(id string) bool { return s.canDecode(req, id) }\n" +
+		"\tcost := func(id string) float64 {\n\t\tutilization := s.engines.Utilization(id)\n\t\tdelay",
+	"decoders := func(id string) bool { return !req.tried[id] && s.byID[id].Phase == externalapi.PhaseDecode }\n" +
+		"\tcost := func(id string) float64 {\n\t\tutilization := s.engines.Utilization(id)\n\t\tdelay",
+}
 
 const (
-	fileEnclosure = "../residency/residency.go"
-	fileEnclosed  = "enclosed.go"
-	fileExchange  = "exchange.go"
-	fileErrors    = "errors.go"
-	fileOutbound  = "outboundrequest.go"
-	filePlain     = "plain.go"
-	fileRetries   = "retries.go"
-	fileService   = "service.go"
-	filePlace     = "place.go"
-	fileGenerate  = "generation.go"
-	filePrefill   = "prefill.go"
-	fileResume    = "resume.go"
-	fileFeed      = "feed.go"
+	fileResidency      = "../residency/residency.go"
+	fileResidencyCheck = "residencycheck.go"
+	fileExchange       = "exchange.go"
+	fileErrors         = "errors.go"
+	fileOutbound       = "outboundrequest.go"
+	filePlain          = "plain.go"
+	fileRetries        = "retries.go"
+	fileUpstreams      = "upstreams.go"
+	filePolicies       = "selectionpolicies.go"
+	fileTerms          = "residencyterms.go"
+	fileSnapshot       = "routingsnapshot.go"
+	filePlacement      = "placement.go"
+	fileGenerate       = "generation.go"
+	filePrefill        = "prefill.go"
+	fileResume         = "resume.go"
 )
 
-var leaks = []leak{
+var residencyLeaks = []leak{
 	// Types that can't be confused.
-	{"a send without a permit", "compiler", map[string][]string{filePrefill: {"cr.startExchange(ctx, a.permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)", "cr.startExchange(ctx, a.backend, &cr.outbound, &opts, cr.connectDeadline(), deadline)"}}},
-	{"a permit made by hand", "compiler", map[string][]string{filePlace: {"pl.decodePermit, err = pl.decode.endpoint.Permit(terms)", "pl.decodePermit, err = (residency.Permit{endpoint: pl.decode.endpoint}), error(nil)"}}},
-	{"a connection past the permit", "compiler", map[string][]string{fileEnclosed: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return cr.svc.byID[permit.ID()].endpoint.conns.Lend(ctx, out.id)"}}},
-	{"a connection from the pool", "compiler", map[string][]string{fileEnclosed: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return cr.proxy.pool.Way(permit.Address()).Lend(ctx, out.id)"}}},
-	{"a handle without a permit", "compiler", map[string][]string{filePrefill: {"\t\tpermit: a.permit,\n\t\ttokens:", "\t\tpermit: a.backend,\n\t\ttokens:"}}},
+	{
+		name: "a send without a permit",
+		by:   "compiler",
+		changes: map[string][]string{
+			filePrefill: {
+				"cr.startExchange(ctx, a.permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)",
+				"cr.startExchange(ctx, a.backend, &cr.outbound, &opts, cr.connectDeadline(), deadline)",
+			},
+		},
+	},
+	{
+		name: "a permit made by hand",
+		by:   "compiler",
+		changes: map[string][]string{
+			filePlacement: {
+				"pl.decodePermit, err = pl.decode.endpoint.Permit(terms)",
+				"pl.decodePermit, err = (residency.Permit{endpoint: pl.decode.endpoint}), error(nil)",
+			},
+		},
+	},
+	{
+		name: "a connection past the permit",
+		by:   "compiler",
+		changes: map[string][]string{
+			fileResidencyCheck: {
+				"return permit.AcquireConn(ctx, cr.terms(), out.id)",
+				"return cr.svc.byID[permit.ID()].endpoint.conns.Lend(ctx, out.id)",
+			},
+		},
+	},
+	{
+		name: "a connection from the pool",
+		by:   "compiler",
+		changes: map[string][]string{
+			fileResidencyCheck: {
+				"return permit.AcquireConn(ctx, cr.terms(), out.id)",
+				"return cr.proxy.pool.Way(permit.Address()).Lend(ctx, out.id)",
+			},
+		},
+	},
+	{
+		name: "a handle without a permit",
+		by:   "compiler",
+		changes: map[string][]string{
+			filePrefill: {
+				"\t\tpermit: a.permit,\n\t\ttokens:",
+				"\t\tpermit: a.backend,\n\t\ttokens:",
+			},
+		},
+	},
 	// The choice alone: the send would refuse, so that requests are lost.
-	{"plain requests are chosen anywhere", choice, map[string][]string{fileService: {"return !tried[id] && (!restricted || s.withinTerms(id, terms)) }", "return !tried[id] || restricted && tried[id] && false }"}}},
-	{"prompts are placed anywhere", choice, map[string][]string{filePlace: {"return split && reads(id) || s.eligible(req, id, externalapi.PhaseDecode)", "return !req.tried[id] && (split && s.byID[id].Phase == externalapi.PhasePrefill || s.byID[id].Phase == externalapi.PhaseDecode)"}}},
-	{"memory is taken anywhere", choice, map[string][]string{filePlace: takers}},
+	{
+		name: "plain requests are chosen anywhere",
+		by:   placementTests,
+		changes: map[string][]string{
+			filePlacement: {
+				"return !tried[id] && (!restricted || s.withinTerms(id, terms))\n",
+				"return !tried[id] || restricted && tried[id] && false\n",
+			},
+		},
+	},
+	{
+		name: "prompts are placed anywhere",
+		by:   placementTests,
+		changes: map[string][]string{
+			filePolicies: {
+				"return split && s.canPrefill(req, id) || s.canDecode(req, id)",
+				"return !req.tried[id] && (split && s.byID[id].Phase == externalapi.PhasePrefill " +
+					"|| s.byID[id].Phase == externalapi.PhaseDecode)",
+			},
+		},
+	},
+	{
+		name: "KV caches go to any decode backend",
+		by:   placementTests,
+		changes: map[string][]string{
+			filePolicies: anyDecoder,
+		},
+	},
 	// The terms.
-	{"an unknown region is allowed", choice, map[string][]string{fileEnclosure: {`return region != "" && slices.Contains(t.regions, region)`, `return region == "" || slices.Contains(t.regions, region)`}}},
-	{"nothing in common is anywhere", "^TestTermsOf$", map[string][]string{fileEnclosure: {"return Terms{restricted: true, regions: both}", "return Terms{restricted: len(both) > 0, regions: both}"}}},
-	{"a tenant's routes carry no terms", whole + "Calm", map[string][]string{fileEnclosed: {"one.terms = base", "_ = base"}}},
-	{"terms are those of the route when the request came", whole + "Withdrawn", map[string][]string{fileEnclosed: {"if snapshot := cr.proxy.snapshot.Load(); snapshot != cr.snapshot {", "if snapshot := cr.proxy.snapshot.Load(); false {"}, fileResume: {"cr.tried, false, cr.terms())", "cr.tried, false, cr.subject.arrivalTerms)"}}},
-	{"sends under way are not cut", whole + "Withdrawn", map[string][]string{fileFeed: {"p.residency.cancelWithdrawn(snapshot)", ""}}},
-	{"streams that got terms go on", whole + "TermsAppear", map[string][]string{fileEnclosed: {"if terms := cr.terms(); terms.Restricted() && e.permit.Check(terms) != nil {", "if terms := cr.terms(); terms.Restricted() && false {"}}},
-	{"the source of a handle is not watched", whole + "HandleWithdrawn", map[string][]string{fileEnclosed: {"send.permits = append(send.permits, opts.handle.permit)", ""}}},
-	{"a handle outside is not freed", whole + "HandleWithdrawn", map[string][]string{fileEnclosed: {"return permit.AcquireReleaseConn(ctx, out.id)", "return permit.AcquireConn(ctx, cr.terms(), out.id)"}}},
-	{"a corrected zone is not taken over", whole + "Relisted", map[string][]string{fileService: {"old.endpoint.SetZone(b.Zone)", ""}}},
-	// Both checks gone: what then rests outside, the auditor sees.
-	{"no check at all", whole + "Calm", map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), fileService: {"return s.byID[id].endpoint.Allowed(terms)", "return true"}}},
-	{"spills over when nothing is left inside", whole + "Crowd$", map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), fileService: {
-		"if len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]", "if len(s.ranked) == 0 {\n\t\t\ts.ranked = s.ranker.Rank(s.now(), key, func(id string) bool { return !tried[id] }, capFactor, nil, s.ranked[:0])\n\t\t}\n\t\tif len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]"}}},
-	{"retries go anywhere", whole + "Storm$/^[a-z_]+$", map[string][]string{fileEnclosure: noCheck, filePlain: {"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())", "cr.svc.selectPlain(key, cr.retryable(), cr.tried, map[bool]residency.Terms{true: cr.terms()}[len(cr.tried) == 0])"}}},
-	{"streams are resumed anywhere", whole + "Resumes$", map[string][]string{fileEnclosure: noCheck, fileResume: {"cr.tried, false, cr.terms())", "cr.tried, false, residency.Terms{})", `"molepaddle/internal/fleet/scheduler"`, "\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\""}}},
-	{"takers stand anywhere", whole + "Takers$", map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), filePlace: takers}},
-	{"the send looks at other terms", whole + "Withdrawn", map[string][]string{fileEnclosed: {"return permit.AcquireConn(ctx, cr.terms(), out.id)", "return permit.AcquireConn(ctx, residency.Terms{}, out.id)", "if err := p.Check(terms); err != nil {", "_ = terms\n\t\tif err := p.Check(cr.subject.arrivalTerms); err != nil {"},
-		fileGenerate: {"cr.svc.selectPlacement(cr.route.Name, cr.retryable(), g.prompt, target, cr.tried, g.split, terms)", "cr.svc.selectPlacement(cr.route.Name, cr.retryable(), g.prompt, target, cr.tried, g.split, cr.subject.arrivalTerms)"}, fileResume: {"cr.tried, false, cr.terms())", "cr.tried, false, cr.subject.arrivalTerms)"}}},
+	{
+		name: "an unknown region is allowed",
+		by:   placementTests,
+		changes: map[string][]string{
+			fileResidency: {
+				`return region != "" && slices.Contains(t.regions, region)`,
+				`return region == "" || slices.Contains(t.regions, region)`,
+			},
+		},
+	},
+	{
+		name: "nothing in common is anywhere",
+		by:   "^TestTermsOf$",
+		changes: map[string][]string{
+			fileResidency: {
+				"return Terms{restricted: true, regions: both}",
+				"return Terms{restricted: len(both) > 0, regions: both}",
+			},
+		},
+	},
+	{
+		name: "a tenant's routes carry no terms",
+		by:   residencyTests + "Steady",
+		changes: map[string][]string{
+			fileTerms: {
+				"bound.terms = tenantTerms\n",
+				"_ = tenantTerms\n",
+			},
+		},
+	},
+	{
+		name: "terms are those of the route when the request came",
+		by:   residencyTests + "Withdrawn",
+		changes: map[string][]string{
+			fileResidencyCheck: {
+				"if snapshot := rc.latest.Load(); snapshot != rc.snapshot {",
+				"if snapshot := rc.latest.Load(); false {",
+			},
+			fileResume: {
+				"cr.tried, false, cr.terms())",
+				"cr.tried, false, cr.subject.arrivalTerms)",
+			},
+		},
+	},
+	{
+		name: "sends under way are not cut",
+		by:   residencyTests + "Withdrawn",
+		changes: map[string][]string{
+			fileSnapshot: {
+				"p.residency.cancelWithdrawn(snapshot)",
+				"",
+			},
+		},
+	},
+	{
+		name: "streams that got terms go on",
+		by:   residencyTests + "TermsAppear",
+		changes: map[string][]string{
+			fileResidencyCheck: {
+				"if terms := rc.terms(); terms.Restricted() && e.permit.Check(terms) != nil {",
+				"if terms := rc.terms(); terms.Restricted() && false {",
+			},
+		},
+	},
+	{
+		name: "the source of a handle is not watched",
+		by:   residencyTests + "HandleWithdrawn",
+		changes: map[string][]string{
+			fileResidencyCheck: {
+				"send.permits = append(send.permits, opts.handle.permit)",
+				"",
+			},
+		},
+	},
+	{
+		name: "a handle outside is not freed",
+		by:   residencyTests + "HandleWithdrawn",
+		changes: map[string][]string{
+			fileResidencyCheck: {
+				"return permit.AcquireReleaseConn(ctx, out.id)",
+				"return permit.AcquireConn(ctx, cr.terms(), out.id)",
+			},
+		},
+	},
+	{
+		name: "a corrected zone is not taken over",
+		by:   residencyTests + "Relisted",
+		changes: map[string][]string{
+			fileUpstreams: {
+				"old.endpoint.SetZone(b.Zone)",
+				"",
+			},
+		},
+	},
+	// Both checks gone: the auditor sees what is held outside then.
+	{
+		name: "no check at all",
+		by:   residencyTests + "Steady",
+		changes: map[string][]string{
+			fileResidency: append(append([]string{}, noCheck...), noGate...),
+			fileUpstreams: {
+				"return s.byID[id].endpoint.Allowed(terms)",
+				"return true",
+			},
+		},
+	},
+	{
+		name: "spills over when nothing is left inside",
+		by:   residencyTests + "Overload$",
+		changes: map[string][]string{
+			fileResidency: append(append([]string{}, noCheck...), noGate...),
+			filePlacement: {
+				"if len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]",
+				"if len(s.ranked) == 0 {\n" +
+					"\t\t\ts.ranked = s.ranker.Rank(s.now(), key, func(id string) bool { return " +
+					"!tried[id] }, plainLoadFactor, nil, s.ranked[:0])\n\t\t}\n\t\tif len(s.ranked) == 0 {\n" +
+					"\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]",
+			},
+		},
+	},
+	{
+		name: "retries go anywhere",
+		by:   residencyTests + "UnderFaults$/^[a-z_]+$",
+		changes: map[string][]string{
+			fileResidency: noCheck,
+			filePlain: {
+				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())",
+				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, " +
+					"map[bool]residency.Terms{true: cr.terms()}[len(cr.tried) == 0])",
+				`"github.com/cespare/xxhash/v2"`,
+				"\"github.com/cespare/xxhash/v2\"\n\n\t\"molepaddle/internal/fleet/residency\"",
+			},
+		},
+	},
+	{
+		name: "streams are resumed anywhere",
+		by:   residencyTests + "Resumes$",
+		changes: map[string][]string{
+			fileResidency: noCheck,
+			fileResume: {
+				"cr.tried, false, cr.terms())",
+				"cr.tried, false, residency.Terms{})",
+				`"molepaddle/internal/fleet/scheduler"`,
+				"\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\"",
+			},
+		},
+	},
+	{
+		name: "KV caches go to any decode backend, unchecked",
+		by:   residencyTests + "Decoders$",
+		changes: map[string][]string{
+			fileResidency: append(append([]string{}, noCheck...), noGate...),
+			filePolicies:  anyDecoder,
+		},
+	},
+	{
+		name: "the send looks at other terms",
+		by:   residencyTests + "Withdrawn",
+		changes: map[string][]string{
+			fileResidencyCheck: {
+				"return permit.AcquireConn(ctx, cr.terms(), out.id)",
+				"return permit.AcquireConn(ctx, residency.Terms{}, out.id)",
+				"if err := p.Check(terms); err != nil {",
+				"_ = terms\n\t\tif err := p.Check(rc.subject.arrivalTerms); err != nil {",
+			},
+			fileGenerate: {
+				"cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, target, cr.tried, " +
+					"g.split, terms)",
+				"cr.svc.selectPlacement(cr.route.Name, cr.retryable(), prompt, target, cr.tried, " +
+					"g.split, cr.subject.arrivalTerms)",
+			},
+			fileResume: {
+				"cr.tried, false, cr.terms())",
+				"cr.tried, false, cr.subject.arrivalTerms)",
+			},
+		},
+	},
 	// And what the drawn days find, most of them by what is lost where it need not be.
-	{"plain requests are chosen anywhere, on drawn days", days, map[string][]string{fileService: {"return !tried[id] && (!restricted || s.withinTerms(id, terms)) }", "return !tried[id] || restricted && tried[id] && false }"}}},
-	{"sends under way are not cut, on drawn days", days, map[string][]string{fileFeed: {"p.residency.cancelWithdrawn(snapshot)", ""}}},
-	{"nothing is checked, on drawn days", days, map[string][]string{fileEnclosure: append(append([]string{}, noCheck...), noGate...), fileService: {"return s.byID[id].endpoint.Allowed(terms)", "return true"}}},
-	{"retries go anywhere, on drawn days", days, map[string][]string{fileEnclosure: noCheck, filePlain: {"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())", "cr.svc.selectPlain(key, cr.retryable(), cr.tried, map[bool]residency.Terms{true: cr.terms()}[len(cr.tried) == 0])"}}},
-	{"streams are resumed anywhere, on drawn days", days, map[string][]string{fileEnclosure: noCheck, fileResume: {"cr.tried, false, cr.terms())", "cr.tried, false, residency.Terms{})", `"molepaddle/internal/fleet/scheduler"`, "\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\""}}},
-	{"a corrected zone is not taken over, on drawn days", days, map[string][]string{fileService: {"old.endpoint.SetZone(b.Zone)", ""}}},
-	{"an address is taken for the backend that had it", days, map[string][]string{fileOutbound: {"b = appendField(b, externalapi.HeaderTargetBackend, o.target)", "_ = o.target"}}},
-	{"what may have run is refused", days, map[string][]string{fileErrors: {"case cr.mayHaveRun:\n\t\treturn &rejection{status: http.StatusBadGateway, reason: reason}", "case cr.mayHaveRun:\n\t\treturn &rejection{status: http.StatusServiceUnavailable, retryAfter: minRetryAfter, reason: reason}"}}},
-	{"what may have run is sent again", days, map[string][]string{fileRetries: {"(!cr.mayHaveRun || cr.route.Idempotent()) &&\n\t\tcr.sends", "cr.sends"}}},
+	{
+		name: "plain requests are chosen anywhere, on drawn days",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			filePlacement: {
+				"return !tried[id] && (!restricted || s.withinTerms(id, terms))\n",
+				"return !tried[id] || restricted && tried[id] && false\n",
+			},
+		},
+	},
+	{
+		name: "sends under way are not cut, on drawn days",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileSnapshot: {
+				"p.residency.cancelWithdrawn(snapshot)",
+				"",
+			},
+		},
+	},
+	{
+		name: "nothing is checked, on drawn days",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileResidency: append(append([]string{}, noCheck...), noGate...),
+			fileUpstreams: {
+				"return s.byID[id].endpoint.Allowed(terms)",
+				"return true",
+			},
+		},
+	},
+	{
+		name: "retries go anywhere, on drawn days",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileResidency: noCheck,
+			filePlain: {
+				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())",
+				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, " +
+					"map[bool]residency.Terms{true: cr.terms()}[len(cr.tried) == 0])",
+				`"github.com/cespare/xxhash/v2"`,
+				"\"github.com/cespare/xxhash/v2\"\n\n\t\"molepaddle/internal/fleet/residency\"",
+			},
+		},
+	},
+	{
+		name: "streams are resumed anywhere, on drawn days",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileResidency: noCheck,
+			fileResume: {
+				"cr.tried, false, cr.terms())",
+				"cr.tried, false, residency.Terms{})",
+				`"molepaddle/internal/fleet/scheduler"`,
+				"\"molepaddle/internal/fleet/residency\"\n\t\"molepaddle/internal/fleet/scheduler\"",
+			},
+		},
+	},
+	{
+		name: "a corrected zone is not taken over, on drawn days",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileUpstreams: {
+				"old.endpoint.SetZone(b.Zone)",
+				"",
+			},
+		},
+	},
+	{
+		name: "an address is taken for the backend that had it",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileOutbound: {
+				"b = appendField(b, externalapi.HeaderTargetBackend, o.target)",
+				"_ = o.target",
+			},
+		},
+	},
+	{
+		name: "what may have run is refused",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileErrors: {
+				"case cr.mayHaveRun:\n\t\treturn &rejection{status: http.StatusBadGateway, reason: reason}",
+				"case cr.mayHaveRun:\n" +
+					"\t\treturn &rejection{status: http.StatusServiceUnavailable, retryAfter: " +
+					"minRetryAfter, reason: reason}",
+			},
+		},
+	},
+	{
+		name: "what may have run is sent again",
+		by:   drawnDaysTests,
+		changes: map[string][]string{
+			fileRetries: {
+				"(!cr.mayHaveRun || cr.route.Idempotent()) &&\n\t\tcr.sends",
+				"cr.sends",
+			},
+		},
+	},
 }
 
 // TestPlantedLeaks plants each leak in turn, by the compiler's overlay: nothing in the tree is changed.
 func TestPlantedLeaks(t *testing.T) {
-	for _, one := range leaks {
+	for _, one := range residencyLeaks {
 		t.Run(strings.ReplaceAll(one.name, " ", "_"), one.plant)
 	}
 }
@@ -103,7 +432,9 @@
 // plant builds the tests with the leak in, and has them fail.
 func (one leak) plant(t *testing.T) {
 	c := qt.New(t)
-	cmd := exec.CommandContext(t.Context(), "go", "test", "-vet=off", "-p=2", "-count=1", "-overlay", one.overlay(c, t.TempDir()), "-run", one.tests(), one.in())
+	overlay := one.overlay(c, t.TempDir())
+	cmd := exec.CommandContext(t.Context(), "go", "test", "-vet=off", "-p=2", "-count=1",
+		"-overlay", overlay, "-run", one.tests(), one.in())
 	if one.in() == "." {
 		cmd.Args = append(cmd.Args, "-rapid.nofailfile", "-rapid.shrinktime=0s")
 	}
@@ -112,7 +443,10 @@
 	built := !strings.Contains(string(out), "[build failed]")
 	c.Assert(built, qt.Equals, one.by != "compiler", qt.Commentf("%s", out))
 	for line := range strings.Lines(string(out)) {
-		if strings.Contains(line, "error:") || strings.Contains(line, ".go:") && !built || strings.Contains(line, "--- FAIL") {
+		tellsWhy := strings.Contains(line, "error:") ||
+			strings.Contains(line, ".go:") && !built ||
+			strings.Contains(line, "--- FAIL")
+		if tellsWhy {
 			t.Logf("found: %s", strings.TrimSpace(line))
 			break
 		}
@@ -148,7 +482,8 @@
 		c.Assert(err, qt.IsNil)
 		src := string(b)
 		for i := 0; i < len(texts); i += 2 {
-			c.Assert(strings.Count(src, texts[i]), qt.Equals, 1, qt.Commentf("the leak is to be planted anew: %s: %s", file, texts[i]))
+			comment := qt.Commentf("the leak is to be planted anew: %s: %s", file, texts[i])
+			c.Assert(strings.Count(src, texts[i]), qt.Equals, 1, comment)
 			src = strings.Replace(src, texts[i], texts[i+1], 1)
 		}
 		planted := filepath.Join(dir, filepath.Base(file))
