--- a/cmd/molepaddle-fleet/regions_test.go
+++ b/cmd/molepaddle-fleet/regions_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestTenantResidencyTerms sends the terms of tenants to running programs: a region that the deployment doesn't have
-// is refused with its place, a valid one is acknowledged and shown.
+// is rejected with its path, a valid one is acknowledged and shown.
 func TestTenantResidencyTerms(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	terms := func(version uint64, region string) object {
--- a/cmd/molepaddle-fleet/residency.go
+++ b/cmd/molepaddle-fleet/residency.go
@@ -19,7 +19,7 @@
 	JSON   bool   `name:"json" help:"Print what the control plane says."`
 }
 
-// Run prints where data rested.
+// Run prints in which regions data was.
 func (c *residencyCmd) Run(ctx context.Context, a *app) error {
 	if c.Tenant != "" && c.Route != "" {
 		return exitError{errors.New("give TENANT or --route, not both"), exitUsage}
--- a/cmd/molepaddle-fleet/residency_test.go
+++ b/cmd/molepaddle-fleet/residency_test.go
@@ -15,7 +15,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// residency asks one core machine where the data of a tenant rested, by the command.
+// residency asks one core machine in which regions the data of a tenant was, by the command.
 func (f *fleet) residency(ctl, tenant string) (code int, report externalapi.ResidencyReport, said string) {
 	f.Helper()
 	code, out, errOut := fleetctl(f, "residency", tenant, "--json", "--control", ctl, "--within", "3s")
@@ -25,7 +25,7 @@
 	return code, report, errOut
 }
 
-// residencyRow waits until each running core machine reports that the tenant's data rested in one region, by so many
+// residencyRow waits until each running core machine reports that the tenant's data was in one region, by so many
 // plain requests.
 func (f *fleet) residencyRow(tenant string, plain int64) (r externalapi.ResidencyRow) {
 	f.Helper()
--- a/cmd/molepaddle-fleet/traffic_test.go
+++ b/cmd/molepaddle-fleet/traffic_test.go
@@ -32,7 +32,7 @@
 			f.checkServed(cl.Do(f.ctx, bulletin(40_000, 3)), f.edge[i].settings.Node)
 		}
 	}
-	// Each prompt was read at one place, all of it, and its tokens were made once.
+	// Each prompt was prefilled at one backend, all of it, and its tokens were made once.
 	apart, asked := 0, map[string]simulation.Result{}
 	for _, cl := range f.clients {
 		for _, r := range cl.Results() {
@@ -247,7 +247,7 @@
 		if e.Settings().Phase != simulation.PhaseNone {
 			r = bulletin(100, 1)
 		}
-		r.Deadline = testTimeout // it holds its place for as long as this takes
+		r.Deadline = testTimeout // it holds its slot for as long as this takes
 		for range e.Settings().Capacity {
 			held = append(held, p.doAsync(len(p.clients)-1, r))
 		}
--- a/internal/fleet/externalapi/residency.go
+++ b/internal/fleet/externalapi/residency.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ResidencyReport answers CallResidency: where tenants' data rested, by what is on the disks of the primary and its
-// backups.
+// ResidencyReport answers CallResidency: in which regions tenants' data was, by what is on the disks of the primary
+// and its backups.
 type ResidencyReport struct {
 	// Seq is the change of the log that the report is at least as new as.
 	Seq uint64 `json:"seqno"`
--- a/internal/fleet/nodeagent/polling.go
+++ b/internal/fleet/nodeagent/polling.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// assumedProxies stands for the number of proxies, all of which may poll as well, until the control plane has told it.
+	// assumedProxies stands for the number of proxies, all of which may poll as well, until the control plane reports it.
 	assumedProxies = 16
 	// pollRateShare is the share of the platform's rate that the node agents take together. The other half is for the
 	// control server that polls for all: it may still be at work on another side of a partition.
--- a/internal/fleet/operatorclient/operatorclient.go
+++ b/internal/fleet/operatorclient/operatorclient.go
@@ -27,7 +27,7 @@
 	// DefaultReadTimeout is how long a control server may send nothing before another one is asked, by PROTOCOL.md. It is
 	// a second longer for each MiB sent.
 	DefaultReadTimeout = time.Second
-	// DefaultCallTimeout bounds a whole call with all its attempts.
+	// DefaultCallTimeout bounds a call with all its attempts.
 	DefaultCallTimeout = 10 * time.Second
 	// MaxResponseBytes is the most that is read of a response; the control server takes configurations of 16 MiB.
 	MaxResponseBytes = 64 << 20
@@ -60,9 +60,9 @@
 	return c.do(ctx, externalapi.CallShow, nil, nil)
 }
 
-// Residency asks where data rested, by what is on the disks of the control plane: of one tenant, of one route that has
-// regions without a tenant, or of all where both are empty. The body is an externalapi.ResidencyReport. Errors:
-// *RejectedError, with status 404 for a name of which nothing is known; *IndeterminateError.
+// Residency asks in which regions data was, by what is on the disks of the control plane: of one tenant, of one route
+// that has regions without a tenant, or of all where both are empty. The body is an externalapi.ResidencyReport.
+// Errors: *RejectedError, with status 404 for a name of which nothing is known; *IndeterminateError.
 func (c *Client) Residency(ctx context.Context, tenant, route string) (Response, error) {
 	call := externalapi.CallResidency
 	query := url.Values{}
--- a/internal/fleet/settings/table.go
+++ b/internal/fleet/settings/table.go
@@ -126,7 +126,7 @@
 	return 0, false
 }
 
-// numberAt is the number at key, whole or not.
+// numberAt is the number at key, an integer or not.
 func (t table) numberAt(key string, defaultValue float64, rules ...validation.Rule) float64 {
 	v, ok := t.values[key]
 	if !ok {
@@ -143,7 +143,7 @@
 	return n
 }
 
-// integerAt is the whole number at key, 0 by default; 3.0 is whole too.
+// integerAt is the integer at key, 0 by default; 3.0 is one too.
 func (t table) integerAt(key string, rules ...validation.Rule) int {
 	n := t.numberAt(key, 0, rules...)
 	if n != math.Trunc(n) || math.Abs(n) > math.MaxInt32 {
