--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -233,7 +233,12 @@
 		set.Zone = fleetZones[i]
 		set.Bootstrap = true
 		set.Voting = true
-		f.core = append(f.core, &machine{f: f, settings: set, roles: []string{"control-plane"}, binary: options.coreBinary})
+		f.core = append(f.core, &machine{
+			f:        f,
+			settings: set,
+			roles:    []string{"control-plane"},
+			binary:   options.coreBinary,
+		})
 	}
 	for i, ip := range edgeIPs {
 		set := usual
@@ -250,7 +255,12 @@
 					net.JoinHostPort(core, strconv.Itoa(ports.First+1)))
 			}
 		}
-		f.edge = append(f.edge, &machine{f: f, settings: set, roles: []string{"node-agent", "proxy"}, binary: options.edgeBinary})
+		f.edge = append(f.edge, &machine{
+			f:        f,
+			settings: set,
+			roles:    []string{"node-agent", "proxy"},
+			binary:   options.edgeBinary,
+		})
 	}
 }
 
