--- a/internal/fleet/proxy/placement_residency_test.go
+++ b/internal/fleet/proxy/placement_residency_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"net"
+	"slices"
 	"testing"
 	"time"
 
@@ -50,138 +51,174 @@
 	}
 }
 
-// TestPlacementWithinTerms places requests over random lists, zones, phases, health, load and terms: never outside,
-// and always somewhere while a permitted usable backend is there.
+// TestPlacementWithinTerms places requests over random lists, zones, phases, health, load and terms: never outside, and
+// always somewhere while a permitted usable backend is there.
 func TestPlacementWithinTerms(t *testing.T) {
 	cases := 0
+	rapid.Check(t, func(r *rapid.T) {
+		p := newPlacementPlay(r)
+		for range casesEach {
+			cases++
+			p.change()
+			p.place(p.request())
+		}
+	})
+	if cases < 10_000 {
+		t.Fatalf("%d cases only", cases)
+	}
+	t.Logf("%d cases", cases)
+}
+
+// placementPlay places requests over a service whose list and load change.
+type placementPlay struct {
+	*rapid.T
+	svc  *service
+	list []distribution.Backend
+	seed uint64
+}
+
+// newPlacementPlay returns a play over a drawn list.
+func newPlacementPlay(r *rapid.T) *placementPlay {
+	p := &placementPlay{T: r, svc: newService("llm", testGate(testZones), time.Second)}
+	p.svc.configure(runtimeOf(rapid.IntRange(1, 8).Draw(r, "capacity")))
+	p.relist()
+	p.seed = rapid.Uint64().Draw(r, "seed")
+	return p
+}
+
+// relist draws another list.
+func (p *placementPlay) relist() {
 	zoneNames := []string{"e1", "e2", "m1", "m2", "w1", "w2", "nowhere", ""}
 	phases := []string{
 		externalapi.PhasePrefill, externalapi.PhaseDecode, externalapi.PhaseDecode, distribution.PhaseChanging,
 	}
+	p.list = nil
+	for i := range rapid.IntRange(0, 12).Draw(p.T, "backends") {
+		p.list = append(p.list, distribution.Backend{
+			ID:       fmt.Sprintf("b%d", i),
+			Address:  fmt.Sprintf("10.0.0.%d:80", rapid.IntRange(1, 14).Draw(p.T, "address")),
+			Zone:     rapid.SampledFrom(zoneNames).Draw(p.T, "zone"),
+			Phase:    rapid.SampledFrom(phases).Draw(p.T, "phase"),
+			Draining: rapid.IntRange(0, 4).Draw(p.T, "draining") == 0,
+		})
+	}
+	p.svc.updateEndpoints(p.list)
+}
+
+// next is a number below n, by a small generator of our own: rapid's draws would take most of the time.
+func (p *placementPlay) next(n int) int {
+	p.seed = p.seed*6364136223846793005 + 1442695040888963407
+	return int(p.seed>>33) % n
+}
+
+// change has the list change now and then, and more often an attempt end somewhere and a load be reported.
+func (p *placementPlay) change() {
 	endings := []policy.Status{
 		policy.OK, policy.Error, policy.Timeout, policy.Reset, policy.ConnectFailed, policy.Full,
 	}
-	rapid.Check(t, func(r *rapid.T) {
-		gate := testGate(testZones)
-		s := newService("llm", gate, time.Second)
-		s.configure(runtimeOf(rapid.IntRange(1, 8).Draw(r, "capacity")))
-		draw := func() (all []distribution.Backend) {
-			for i := range rapid.IntRange(0, 12).Draw(r, "backends") {
-				all = append(all, distribution.Backend{
-					ID:       fmt.Sprintf("b%d", i),
-					Address:  fmt.Sprintf("10.0.0.%d:80", rapid.IntRange(1, 14).Draw(r, "address")),
-					Zone:     rapid.SampledFrom(zoneNames).Draw(r, "zone"),
-					Phase:    rapid.SampledFrom(phases).Draw(r, "phase"),
-					Draining: rapid.IntRange(0, 4).Draw(r, "draining") == 0,
-				})
-			}
-			return all
+	switch p.next(12) {
+	case 0:
+		p.relist()
+	case 1, 2, 3:
+		if len(p.list) > 0 {
+			id := p.list[p.next(len(p.list))].ID
+			p.svc.ranker.AttemptStarted(id)
+			p.svc.attemptEnded(id, endings[p.next(len(endings))])
+			p.svc.recordLoad(id, fmt.Sprintf("%d,%d,8", p.next(9), p.next(3)))
 		}
-		list := draw()
-		s.updateEndpoints(list)
-		seed := rapid.Uint64().Draw(r, "seed")
-		next := func(n int) int { // a small generator of our own: rapid's draws would take most of the time
-			seed = seed*6364136223846793005 + 1442695040888963407
-			return int(seed>>33) % n
+	}
+}
+
+// playedRequest is a request and what may serve it.
+type playedRequest struct {
+	terms    residency.Terms
+	regions  []string // that the terms allow
+	tried    map[string]bool
+	byID     map[string]distribution.Backend
+	anywhere bool // a backend may serve it
+	decodes  bool // a decode backend may
+	prompt   *scheduler.Prompt
+}
+
+// permitted reports whether a backend may hold the request's data, independent of what the package makes of it.
+func (q *playedRequest) permitted(b distribution.Backend) bool {
+	region := testZones[b.Zone]
+	return !q.terms.Restricted() || region != "" && slices.Contains(q.regions, region)
+}
+
+// request makes a request with terms of some regions, or none, that some backends were tried for.
+func (p *placementPlay) request() *playedRequest {
+	q := &playedRequest{tried: map[string]bool{}, byID: map[string]distribution.Backend{}}
+	for _, region := range []string{"east", "mid", "west", "else"} {
+		if p.next(2) == 0 {
+			q.regions = append(q.regions, region)
 		}
-		for range casesEach {
-			cases++
-			switch next(12) {
-			case 0:
-				list = draw()
-				s.updateEndpoints(list)
-			case 1, 2, 3:
-				if len(list) > 0 {
-					id := list[next(len(list))].ID
-					s.ranker.AttemptStarted(id)
-					s.attemptEnded(id, endings[next(len(endings))])
-					s.recordLoad(id, fmt.Sprintf("%d,%d,8", next(9), next(3)))
-				}
-			}
-			var names []string
-			for _, region := range []string{"east", "mid", "west", "else"} {
-				if next(2) == 0 {
-					names = append(names, region)
-				}
-			}
-			terms := residency.Within(names...)
-			if next(8) == 0 {
-				terms = residency.Terms{}
-			}
-			tried := map[string]bool{}
-			permitted := func(b distribution.Backend) bool {
-				region := testZones[b.Zone] // independent of what the package makes of it
-				if !terms.Restricted() {
-					return true
-				}
-				for _, one := range names {
-					if region != "" && region == one {
-						return true
-					}
-				}
-				return false
-			}
-			byID := map[string]distribution.Backend{}
-			anywhere, decodes := false, false
-			for _, b := range list {
-				if next(6) == 0 {
-					tried[b.ID] = true
-				}
-				byID[b.ID] = b
-				usable := !b.Draining && !tried[b.ID] && permitted(b)
-				anywhere = anywhere || usable
-				decodes = decodes || usable && b.Phase == externalapi.PhaseDecode
-			}
-			prompt := &scheduler.Prompt{
-				InputTokens:     1 + next(8000),
-				MaxOutputTokens: 4,
-				Segments: []scheduler.Segment{
-					{PrefixHash: uint64(next(4) + 1), Tokens: 100},
-					{PrefixHash: seed, Tokens: 10},
-				},
-			}
-			check := func(what string, p residency.Permit) {
-				if !permitted(byID[p.ID()]) || p.Check(terms) != nil {
-					r.Fatalf("%s in %q under %v", what, byID[p.ID()].Zone, terms)
-				}
-			}
-			at, ok := s.selectPlain(seed, next(2) == 0, tried, terms)
-			if ok != anywhere {
-				r.Fatalf("selectPlain found one: %v, there is one: %v, under %v", ok, anywhere, terms)
-			}
-			if ok {
-				check("selectPlain", at)
-				s.attemptEnded(at.ID(), policy.OK)
-			}
-			retryable := next(2) == 0
-			target := time.Duration(next(300)) * time.Millisecond
-			pl, ok := s.selectPlacement("k", retryable, prompt, target, tried, next(2) == 0, terms)
-			if ok != decodes {
-				r.Fatalf("selectPlacement found one: %v, there is one: %v, under %v", ok, decodes, terms)
-			}
-			if !ok {
-				continue
-			}
-			check("decode", pl.decodePermit)
-			if pl.decodePermit.ID() != pl.decode.ID {
-				r.Fatal("the permit is for another backend")
-			}
-			if pl.prefill != nil {
-				check("prefill", pl.prefillPermit)
-				tried[pl.decode.ID] = true
-				again, ok := s.selectDecoder(pl.prefill, next(2) == 0, prompt, time.Millisecond, tried, terms)
-				if ok {
-					check("selectDecoder", again.decodePermit)
-					s.attemptEnded(again.decode.ID, policy.OK)
-				}
-			}
-			s.attemptEnded(pl.decode.ID, policy.OK)
+	}
+	q.terms = residency.Within(q.regions...)
+	if p.next(8) == 0 {
+		q.terms = residency.Terms{}
+	}
+	for _, b := range p.list {
+		if p.next(6) == 0 {
+			q.tried[b.ID] = true
 		}
-	})
-	if cases < 10_000 {
-		t.Fatalf("%d cases only", cases)
+		q.byID[b.ID] = b
+		usable := !b.Draining && !q.tried[b.ID] && q.permitted(b)
+		q.anywhere = q.anywhere || usable
+		q.decodes = q.decodes || usable && b.Phase == externalapi.PhaseDecode
 	}
-	t.Logf("%d cases", cases)
+	q.prompt = &scheduler.Prompt{
+		InputTokens:     1 + p.next(8000),
+		MaxOutputTokens: 4,
+		Segments: []scheduler.Segment{
+			{PrefixHash: uint64(p.next(4) + 1), Tokens: 100},
+			{PrefixHash: p.seed, Tokens: 10},
+		},
+	}
+	return q
+}
+
+// check fails where a permit is for a backend outside the terms.
+func (p *placementPlay) check(what string, q *playedRequest, permit residency.Permit) {
+	b := q.byID[permit.ID()]
+	if !q.permitted(b) || permit.Check(q.terms) != nil {
+		p.Fatalf("%s in %q under %v", what, b.Zone, q.terms)
+	}
+}
+
+// place chooses backends for the request as a plain one, and as a generation with a second decode backend.
+func (p *placementPlay) place(q *playedRequest) {
+	plain, ok := p.svc.selectPlain(p.seed, p.next(2) == 0, q.tried, q.terms)
+	if ok != q.anywhere {
+		p.Fatalf("selectPlain found one: %v, there is one: %v, under %v", ok, q.anywhere, q.terms)
+	}
+	if ok {
+		p.check("selectPlain", q, plain)
+		p.svc.attemptEnded(plain.ID(), policy.OK)
+	}
+	retryable := p.next(2) == 0
+	target := time.Duration(p.next(300)) * time.Millisecond
+	pl, ok := p.svc.selectPlacement("k", retryable, q.prompt, target, q.tried, p.next(2) == 0, q.terms)
+	if ok != q.decodes {
+		p.Fatalf("selectPlacement found one: %v, there is one: %v, under %v", ok, q.decodes, q.terms)
+	}
+	if !ok {
+		return
+	}
+	p.check("decode", q, pl.decodePermit)
+	if pl.decodePermit.ID() != pl.decode.ID {
+		p.Fatal("the permit is for another backend")
+	}
+	if pl.prefill != nil {
+		p.check("prefill", q, pl.prefillPermit)
+		q.tried[pl.decode.ID] = true
+		again, ok := p.svc.selectDecoder(pl.prefill, p.next(2) == 0, q.prompt, time.Millisecond, q.tried, q.terms)
+		if ok {
+			p.check("selectDecoder", q, again.decodePermit)
+			p.svc.attemptEnded(again.decode.ID, policy.OK)
+		}
+	}
+	p.svc.attemptEnded(pl.decode.ID, policy.OK)
 }
 
 // BenchmarkPlacement measures a placement among nine backends in three regions, with terms and without.
--- a/internal/fleet/proxy/residencycheck_test.go
+++ b/internal/fleet/proxy/residencycheck_test.go
@@ -41,7 +41,8 @@
 		decodes += entry.counts[purposeDecode]
 		plains += entry.counts[purposePlain]
 	}
-	r.Check(decodes > 0 && plains > 0, qt.IsTrue, qt.Commentf("%d prefills, %d decodes, %d plain", prefills, decodes, plains))
+	counts := qt.Commentf("%d prefills, %d decodes, %d plain", prefills, decodes, plains)
+	r.Check(decodes > 0 && plains > 0, qt.IsTrue, counts)
 }
 
 // TestResidencyUnderFaults has the near region fail in every way at once, with terms and without: with them no data
--- a/internal/fleet/proxy/rig_test.go
+++ b/internal/fleet/proxy/rig_test.go
@@ -307,8 +307,9 @@
 
 // everywhere is a prefill, a decode and a plain backend in each region.
 func everywhere(change func(s *simulation.EngineSettings)) (all []simulation.EngineSettings) {
+	phases := []simulation.Phase{simulation.PhasePrefill, simulation.PhaseDecode, simulation.PhaseNone}
 	for _, zone := range []string{"e1", "m1", "w1"} {
-		for _, phase := range []simulation.Phase{simulation.PhasePrefill, simulation.PhaseDecode, simulation.PhaseNone} {
+		for _, phase := range phases {
 			s := engineAt(zone, phase, 8)
 			if phase == simulation.PhaseNone {
 				s.Service = "obs"
--- a/internal/fleet/proxy/shutdown_test.go
+++ b/internal/fleet/proxy/shutdown_test.go
@@ -59,26 +59,32 @@
 		{"a plain answer without a latency target", noTarget, nil, 7 * time.Second, 0, true},
 	} {
 		c := qt.New(t)
-		p := new(Proxy)
-		if tc.stays > 0 {
-			end := now.Add(tc.stays)
-			p.shutdown.closeAt.Store(&end)
-		}
-		svc := newService("s", nil, time.Second)
-		if tc.pace > 0 {
-			svc.recordPace("e0", paceSampleEvents*tc.pace, paceSampleEvents)
-		}
-		cr := &clientRequest{
-			proxy:    p,
-			svc:      svc,
-			route:    &routingconfig.Route{RouteSpec: &tc.route},
-			deadline: now.Add(tc.route.Deadline()),
-		}
-		got := p.shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, tc.prompt))
+		got := mayOutlast(now, tc.stays, tc.pace, &tc.route, tc.prompt)
 		c.Check(got, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
 
+// mayOutlast reports whether a request to a route may outlast a proxy that stays so long, where recent streams had so
+// much time between two events; 0: the proxy doesn't shut down, there were no streams.
+func mayOutlast(now time.Time, stays, pace time.Duration, route *routingconfig.RouteSpec,
+	prompt *scheduler.Prompt) bool {
+	p := new(Proxy)
+	if stays > 0 {
+		p.shutdown.begin(now, now.Add(stays))
+	}
+	svc := newService("s", nil, time.Second)
+	if pace > 0 {
+		svc.recordPace("e0", paceSampleEvents*pace, paceSampleEvents)
+	}
+	cr := &clientRequest{
+		proxy:    p,
+		svc:      svc,
+		route:    &routingconfig.Route{RouteSpec: route},
+		deadline: now.Add(route.Deadline()),
+	}
+	return p.shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, prompt))
+}
+
 // TestRetryAfterDuringShutdown: clients retry at once where another proxy takes them, else when the platform sends
 // them to others only.
 func TestRetryAfterDuringShutdown(t *testing.T) {
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -26,7 +26,8 @@
 	count := map[string]int{}
 	for i := range requests {
 		prompt := sharedPrefixPrompt(uint64(1+i%97), uint64(1000+i))
-		pl, ok := s.selectPlacement("k", retryable, prompt, 200*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		tried := map[string]bool{}
+		pl, ok := s.selectPlacement("k", retryable, prompt, 200*time.Millisecond, tried, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		count[pl.decode.ID]++
 		if pl.prefill != nil {
@@ -96,7 +97,8 @@
 	s.recordPace("d0", paceSampleEvents*60*time.Millisecond, paceSampleEvents)
 	s.recordPace("d1", paceSampleEvents*400*time.Millisecond, paceSampleEvents)
 	c.Assert(s.paceSampleComplete(time.Second, 3), qt.IsFalse)
-	c.Assert(s.paceSampleComplete(4*time.Second, 3), qt.IsTrue, qt.Commentf("what is that slow needs no complete sample"))
+	slow := qt.Commentf("what is that slow needs no complete sample")
+	c.Assert(s.paceSampleComplete(4*time.Second, 3), qt.IsTrue, slow)
 	reported := map[string]distribution.Outcome{}
 	for _, o := range s.takeOutcomes(true) {
 		reported[o.Backend] = o
@@ -134,7 +136,8 @@
 	for range 60 {
 		s.start = s.start.Add(-500 * time.Millisecond)
 		s.applyEjections(slow, "e1", outlier.ProxyCount{All: 1, InZone: 1})
-		pl, ok := s.selectPlacement("talk", true, talk, 120*time.Millisecond, map[string]bool{}, true, residency.Terms{})
+		tried := map[string]bool{}
+		pl, ok := s.selectPlacement("talk", true, talk, 120*time.Millisecond, tried, true, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(pl.decode.Phase, qt.Equals, externalapi.PhaseDecode)
 		c.Assert(pl.decode.ID, qt.Not(qt.Equals), "d1")
