--- a/internal/fleet/proxy/outboundrequest.go
+++ b/internal/fleet/proxy/outboundrequest.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// usualHeadBytes is the space for the head of an ordinary outbound request, in bytes, so that encoding allocates once.
+	// usualHeadBytes is the space for the head of an ordinary outbound request, in bytes, so that encoding allocates
+	// once.
 	usualHeadBytes = 768
 	// noPriority is the priority of what has none: it isn't a generation.
 	noPriority = -1
@@ -86,8 +87,8 @@
 func (o *outboundRequest) appendClientHeader(b []byte, opts *attemptOptions) []byte {
 	for key, values := range o.header {
 		switch key {
-		case externalapi.HeaderDeadlineMs, externalapi.HeaderTargetBackend, externalapi.HeaderStage, externalapi.HeaderKVFrom,
-			externalapi.HeaderPriority, "Host":
+		case externalapi.HeaderDeadlineMs, externalapi.HeaderTargetBackend, externalapi.HeaderStage,
+			externalapi.HeaderKVFrom, externalapi.HeaderPriority, "Host":
 			continue
 		case externalapi.HeaderLastEventID:
 			if opts.lastID != "" {
--- a/internal/fleet/proxy/resume.go
+++ b/internal/fleet/proxy/resume.go
@@ -18,7 +18,8 @@
 		if !cr.takeRetry() {
 			return false
 		}
-		pl, ok := cr.svc.selectPlacement(cr.route.Name, false, prompt, cr.route.LatencyTarget(), cr.tried, false, cr.terms())
+		pl, ok := cr.svc.selectPlacement(cr.route.Name, false, prompt, cr.route.LatencyTarget(),
+			cr.tried, false, cr.terms())
 		if !ok {
 			return false
 		}
--- a/internal/fleet/proxy/retries.go
+++ b/internal/fleet/proxy/retries.go
@@ -42,7 +42,9 @@
 
 // retryable reports whether another backend can serve the request if its next send fails.
 func (cr *clientRequest) retryable() bool {
-	return cr.route.Idempotent() && cr.sends+1 < cr.route.MaxAttempts && time.Until(cr.deadline) > cr.route.LatencyTarget()
+	return cr.route.Idempotent() &&
+		cr.sends+1 < cr.route.MaxAttempts &&
+		time.Until(cr.deadline) > cr.route.LatencyTarget()
 }
 
 // retryAvailable is takeRetry without taking from the retry budget.
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -215,7 +215,8 @@
 	return id, nil
 }
 
-// validID reports whether an id can be forwarded as it is: printable ASCII without spaces, of at most maxAttemptIDBytes.
+// validID reports whether an id can be forwarded as it is: printable ASCII without spaces, of at most
+// maxAttemptIDBytes.
 func validID(id string) bool {
 	if id == "" || len(id) > maxAttemptIDBytes {
 		return false
--- a/internal/fleet/proxy/streaming.go
+++ b/internal/fleet/proxy/streaming.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream, in bytes: a buffer of that size or more does not grow. The last growth
-	// may make it up to three times as large.
+	// maxEventBytes bounds one event of a stream, in bytes: a buffer of that size or more does not grow. The last
+	// growth may make it up to three times as large.
 	maxEventBytes = 1 << 20
 	// eventBufferBytes is the buffer of a stream at first, in bytes.
 	eventBufferBytes = 4 << 10
