--- a/internal/fleet/proxy/rig_test.go
+++ b/internal/fleet/proxy/rig_test.go
@@ -153,17 +153,7 @@
 	snapshot, err := (&distribution.BackendList{Backends: all}).MarshalMsg(nil)
 	r.Assert(err, qt.IsNil)
 	r.count++
-	r.apply(distribution.BackendListType, r.count, snapshot)
-}
-
-// apply has the proxy apply a complete resource.
-func (r *rig) apply(resourceType string, count uint64, snapshot []byte) {
-	version := distribution.Version{Epoch: 1, Count: count}
-	r.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{
-		Type:     resourceType,
-		Version:  version,
-		Snapshot: snapshot,
-	}}})
+	applyResource(r.proxy, distribution.BackendListType, r.count, snapshot)
 }
 
 // document is the next configuration, in which the tenant may be held in the regions given; none: there is no tenant.
@@ -198,7 +188,7 @@
 // tenant.
 func (r *rig) configure(regions ...string) {
 	doc := r.document(regions...)
-	r.apply(distribution.ConfigType, uint64(r.version), doc)
+	applyResource(r.proxy, distribution.ConfigType, uint64(r.version), doc)
 	r.Assert(r.proxy.snapshot.Load().version, qt.Equals, int64(r.version))
 	r.history = append(r.history, simulation.Term{From: time.Now(), Regions: regions})
 }
