--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -60,8 +60,8 @@
 
 func (n *node) region() string { return drawnRegion(n.zone) }
 
-// drawn is one day: a proxy before nodes in memory, and all that happened. Its lock guards everything, since nodes answer in
-// goroutines of their own; a change may come while the proxy waits for one of them.
+// drawn is one day: a proxy before nodes in memory, and all that happened. Its lock guards everything, since nodes
+// answer in goroutines of their own; a change may come while the proxy waits for one of them.
 type drawn struct {
 	tb    testing.TB
 	seed  uint64
@@ -92,24 +92,45 @@
 // drawnTenants are those with terms; routes are named by a letter for what they are and the tenant.
 var drawnTenants = []string{"a", "b", "c"}
 
+// newDrawn returns the day of a seed: its nodes, some of them listed, and a proxy that is configured.
 func newDrawn(tb testing.TB, seed uint64) *drawn {
 	zones := map[string]string{}
 	for z := range drawnZones {
 		zones[drawnZoneName(z)] = drawnRegion(z)
 	}
-	d := &drawn{tb: tb, seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), at: map[string]*node{}, tenants: map[string][]int{}, narrow: map[string][]int{},
-		runs: map[string]int{}, handles: map[string]handleAt{}, counts: map[string]int{}}
+	d := &drawn{
+		tb:      tb,
+		seed:    seed,
+		rng:     rand.New(rand.NewPCG(seed, 0)),
+		at:      map[string]*node{},
+		tenants: map[string][]int{},
+		narrow:  map[string][]int{},
+		runs:    map[string]int{},
+		handles: map[string]handleAt{},
+		counts:  map[string]int{},
+	}
 	d.proxy = New(context.Background(), testSettings(zones), zap.NewNop())
 	d.proxy.pool.Close()
-	pool := transport.New(transport.Options{Dial: d.dial, Timeout: connectTimeout, Idle: 10 * time.Second, Most: 1000, Settle: 0, Resting: 4})
-	d.proxy.pool, d.proxy.gate = pool, residency.NewGate(pool, zones)
+	pool := transport.New(transport.Options{
+		Dial:    d.dial,
+		Timeout: connectTimeout,
+		Idle:    10 * time.Second,
+		Most:    1000,
+		Settle:  0,
+		Resting: 4,
+	})
+	d.proxy.pool = pool
+	d.proxy.gate = residency.NewGate(pool, zones)
 	for z := range drawnZones {
 		phase := externalapi.PhaseDecode
 		if (z+z/drawnRegions)%3 == 0 {
 			phase = externalapi.PhasePrefill
 		}
 		for _, n := range []*node{{service: "obs"}, {service: "llm", phase: phase}} {
-			n.id, n.zone, n.address, n.listed = fmt.Sprintf("%s-%s", n.service, drawnZoneName(z)), z, fmt.Sprintf("10.%d.0.%d:80", len(n.phase), z+1), d.rng.IntN(8) > 0
+			n.id = fmt.Sprintf("%s-%s", n.service, drawnZoneName(z))
+			n.zone = z
+			n.address = fmt.Sprintf("10.%d.0.%d:80", len(n.phase), z+1)
+			n.listed = d.rng.IntN(8) > 0
 			d.nodes = append(d.nodes, n)
 			d.at[n.address] = n
 		}
@@ -122,6 +143,7 @@
 	return d
 }
 
+// find records a finding, by which the day fails.
 func (d *drawn) find(format string, args ...any) {
 	d.found = append(d.found, fmt.Sprintf(format, args...))
 }
@@ -129,6 +151,7 @@
 // someRegions draws one to three regions.
 func (d *drawn) someRegions() []int { return d.rng.Perm(drawnRegions)[:1+d.rng.IntN(3)] }
 
+// names are the names of regions.
 func names(regions []int) []string {
 	out := []string{}
 	for _, r := range regions {
@@ -137,7 +160,7 @@
 	return out
 }
 
-// terms are the regions that a route's requests may rest in now; false: anywhere.
+// terms are the regions in which a route's data may be held now; false: in any.
 func (d *drawn) terms(route string) ([]int, bool) {
 	tenant := route[1:]
 	regions, ok := d.tenants[tenant]
@@ -147,6 +170,7 @@
 	return regions, ok
 }
 
+// allowed reports whether a node may hold a route's data now.
 func (d *drawn) allowed(n *node, route string) bool {
 	regions, bound := d.terms(route)
 	return !bound || slices.Contains(regions, n.zone%drawnRegions)
@@ -164,36 +188,58 @@
 			tenants = append(tenants, fmt.Sprintf(`{"name":%q,"regions":%s}`, t, b))
 			of = fmt.Sprintf(`,"tenant":%q`, t)
 		}
-		for _, r := range []struct{ letter, kind, svc, more string }{{"r", "readonly", "obs", ""}, {"p", "mutating", "obs", ""},
-			{"s", "stream", "llm", `,"resumable":true`}, {"o", "stream", "llm", ""}} {
-			if own := d.narrow[t]; r.letter == "s" && own != nil {
-				b, _ := json.Marshal(names(own))
-				r.more += `,"regions":` + string(b)
-			}
-			routes = append(routes, fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,"deadline_ms":%[3]d,"target_ms":150,"svc":%[4]q,"tries":3%[5]s%[6]s}`,
-				r.letter+t, r.kind, testDeadline.Milliseconds(), r.svc, of, r.more))
-		}
+		routes = append(routes, d.routesOf(t, of)...)
 	}
-	doc := fmt.Sprintf(`{"ver":%d,"routing":[%s],"tenants":[%s],"svcs":[{"name":"obs","probe":"/healthz"},{"name":"llm","probe":"/healthz",`+
-		`"runtime":{"capacity":8,"kv_ntok":1000000,"kv_tok_bytes":163840,"bw_mbps":8000000,"kv_ref_s":5}}]}`, d.version, strings.Join(routes, ","), strings.Join(tenants, ","))
-	d.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.ConfigType, Version: distribution.Version{Epoch: 1, Count: uint64(d.version)}, Snapshot: []byte(doc)}}})
+	doc := fmt.Sprintf(`{"ver":%d,"routing":[%s],"tenants":[%s],"svcs":[{"name":"obs","probe":"/healthz"},`+
+		`{"name":"llm","probe":"/healthz","runtime":{"capacity":8,"kv_ntok":1000000,"kv_tok_bytes":163840,`+
+		`"bw_mbps":8000000,"kv_ref_s":5}}]}`,
+		d.version, strings.Join(routes, ","), strings.Join(tenants, ","))
+	applyResource(d.proxy, distribution.ConfigType, uint64(d.version), []byte(doc))
 	if got := d.proxy.snapshot.Load(); got == nil || got.version != int64(d.version) {
 		d.find("the proxy didn't take version %d: %s", d.version, doc)
 	}
 }
 
+// routesOf are the four routes of a tenant, with its item.
+func (d *drawn) routesOf(tenant, item string) []string {
+	var routes []string
+	for _, r := range []struct{ letter, kind, svc, more string }{
+		{"r", "readonly", "obs", ""},
+		{"p", "mutating", "obs", ""},
+		{"s", "stream", "llm", `,"resumable":true`},
+		{"o", "stream", "llm", ""},
+	} {
+		if own := d.narrow[tenant]; r.letter == "s" && own != nil {
+			b, _ := json.Marshal(names(own))
+			r.more += `,"regions":` + string(b)
+		}
+		routes = append(routes, fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,`+
+			`"deadline_ms":%[3]d,"target_ms":150,"svc":%[4]q,"tries":3%[5]s%[6]s}`,
+			r.letter+tenant, r.kind, testDeadline.Milliseconds(), r.svc, item, r.more))
+	}
+	return routes
+}
+
 // relist gives the proxy the platform's list as it is.
 func (d *drawn) relist() {
 	var list distribution.BackendList
 	for _, n := range d.nodes {
 		if n.listed {
-			list.Backends = append(list.Backends, distribution.Backend{ID: n.id, Service: n.service, Address: n.address, Zone: drawnZoneName(n.zone), Version: "v1", Capacity: 8,
-				Phase: n.phase, Draining: n.draining})
+			list.Backends = append(list.Backends, distribution.Backend{
+				ID:       n.id,
+				Service:  n.service,
+				Address:  n.address,
+				Zone:     drawnZoneName(n.zone),
+				Version:  "v1",
+				Capacity: 8,
+				Phase:    n.phase,
+				Draining: n.draining,
+			})
 		}
 	}
-	whole, _ := list.MarshalMsg(nil)
+	snapshot, _ := list.MarshalMsg(nil)
 	d.count++
-	d.proxy.apply(&distribution.Response{Resources: []distribution.Resource{{Type: distribution.BackendListType, Version: distribution.Version{Epoch: 1, Count: d.count}, Snapshot: whole}}})
+	applyResource(d.proxy, distribution.BackendListType, d.count, snapshot)
 }
 
 // change has one thing happen.
@@ -254,8 +300,8 @@
 	}
 }
 
-// meanwhile has something happen while a request is under way, now and then. It is called where the proxy waits for what is
-// to come: a change that comes between its last look at the terms and the node's first is one that comes under the send.
+// meanwhile has something happen while a request is under way, now and then. It is called where the proxy waits: a
+// change that comes between its last look at the terms and the node's first comes while the attempt is under way.
 func (d *drawn) meanwhile() bool {
 	if d.midway && d.rng.IntN(6) == 0 {
 		d.change()
@@ -266,10 +312,11 @@
 
 var errDown = errors.New("nobody listens there")
 
-// asked marks the context of a client's request: what is freed in the background goes on beside a request, and nothing is to
-// change at a time that a send can't know of.
+// asked marks the context of a client's request: handles are released in the background, beside a request, and
+// nothing is to change at a time that an attempt can't know of.
 type asked struct{}
 
+// dial connects to the node at an address.
 func (d *drawn) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -314,31 +361,34 @@
 	}
 }
 
-// event is a later event of a stream: something may happen before it, and data made outside by then is marked. over: something
-// has happened, and the proxy may be elsewhere with the request.
+// event is a later event of a stream: something may happen before it, and data made outside by then is marked. over:
+// something has happened, and the proxy may be elsewhere with the request.
 func (d *drawn) event(addr string, req *http.Request, e string, over *bool) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	*over = *over || d.meanwhile()
-	if n := d.at[addr]; n.id == req.Header.Get(externalapi.HeaderTargetBackend) && !d.allowed(n, routeOf(req)) {
+	n := d.at[addr]
+	if n.id == req.Header.Get(externalapi.HeaderTargetBackend) && !d.allowed(n, routeOf(req)) {
 		return strings.Replace(e, "inside ", "outside", 1)
 	}
 	return e
 }
 
+// routeOf is the route of a request, by its path.
 func routeOf(r *http.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return name
 }
 
-// answer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events; over is
-// as for event.
+// answer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events;
+// over is as for event.
 func (d *drawn) answer(addr string, r *http.Request) (head string, events []string, rest string, over bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n, id, route := d.at[addr], r.Header.Get(externalapi.HeaderAttemptID), routeOf(r)
 	say := func(status int, body string, more ...string) string {
-		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, externalapi.HeaderAttemptID, id, strings.Join(append(more, ""), "\r\n"), len(body), body)
+		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s",
+			status, externalapi.HeaderAttemptID, id, strings.Join(append(more, ""), "\r\n"), len(body), body)
 	}
 	if n.trouble == down {
 		return "", nil, "", over
@@ -355,24 +405,16 @@
 	case n.service == "llm" && (stage != "") != (n.phase == externalapi.PhasePrefill):
 		return say(http.StatusMisdirectedRequest, ""), nil, "on", over
 	case n.trouble == full:
-		return say(http.StatusServiceUnavailable, "", externalapi.HeaderNotRun+": 1", externalapi.HeaderRetryAfter+": 0.05"), nil, "on", over
+		notRun := say(http.StatusServiceUnavailable, "",
+			externalapi.HeaderNotRun+": 1", externalapi.HeaderRetryAfter+": 0.05")
+		return notRun, nil, "on", over
 	}
-	// It runs: its data rests here.
+	// It runs: its data is held here.
 	if !d.allowed(n, route) {
 		d.find("%s of %s runs at %s in %s", id, route, n.id, n.region())
 	}
-	if from != "" {
-		at, ref, _ := strings.Cut(from, "/")
-		h, ok := d.handles[d.at[at].id+ref]
-		switch {
-		case !ok:
-			return say(http.StatusServiceUnavailable, "", externalapi.HeaderNotRun+": 1"), nil, "on", over
-		case h.route != route:
-			d.find("%s of %s takes what %s left", id, route, h.route)
-		case !d.allowed(h.n, route):
-			d.find("%s of %s takes what lies at %s in %s", id, route, h.n.id, h.n.region())
-		}
-		delete(d.handles, d.at[at].id+ref)
+	if from != "" && !d.takeHandle(id, route, from) {
+		return say(http.StatusServiceUnavailable, "", externalapi.HeaderNotRun+": 1"), nil, "on", over
 	}
 	if stage == "" {
 		d.runs[id]++
@@ -394,22 +436,47 @@
 		d.handles[n.id+ref] = handleAt{n, route}
 		return say(http.StatusOK, fmt.Sprintf(`{"kv_ref":%q,"ntok":10}`, ref), seal), nil, "on", over
 	case n.service == "llm":
-		last, _ := strconv.Atoi(r.Header.Get(externalapi.HeaderLastEventID))
-		for i := last + 1; i <= drawnEvents; i++ {
-			e := fmt.Sprintf("id: %d\ndata: inside  %s\n\n", i, body)
-			events = append(events, fmt.Sprintf("%x\r\n%s\r\n", len(e), e))
-		}
-		head = fmt.Sprintf("HTTP/1.1 200 x\r\n%s: %s\r\n%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", externalapi.HeaderAttemptID, id, seal)
+		events = drawnStream(r.Header.Get(externalapi.HeaderLastEventID), body)
+		head = fmt.Sprintf("HTTP/1.1 200 x\r\n%s: %s\r\n%s\r\n"+
+			"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
+			externalapi.HeaderAttemptID, id, seal)
 		if n.trouble == cuts {
 			return head, events[:len(events)/2], "cut", over
 		}
 		return head, append(events, "0\r\n\r\n"), "on", over
 	case n.trouble == cuts:
-		whole := say(http.StatusOK, body, seal)
-		return whole[:len(whole)-3], nil, "", over
+		complete := say(http.StatusOK, body, seal)
+		return complete[:len(complete)-3], nil, "", over
 	}
 	return say(http.StatusOK, body, seal), nil, "on", over
 }
 
+// takeHandle takes the handle that a request names, and finds one that is another route's or lies outside; false: there
+// is none.
+func (d *drawn) takeHandle(id, route, from string) bool {
+	at, ref, _ := strings.Cut(from, "/")
+	h, ok := d.handles[d.at[at].id+ref]
+	switch {
+	case !ok:
+		return false
+	case h.route != route:
+		d.find("%s of %s takes what %s left", id, route, h.route)
+	case !d.allowed(h.n, route):
+		d.find("%s of %s takes what lies at %s in %s", id, route, h.n.id, h.n.region())
+	}
+	delete(d.handles, d.at[at].id+ref)
+	return true
+}
+
 // drawnEvents is how many events a stream has.
 const drawnEvents = 4
+
+// drawnStream is the events of a stream after the last one that its client has, as chunks.
+func drawnStream(lastID, body string) (events []string) {
+	last, _ := strconv.Atoi(lastID)
+	for i := last + 1; i <= drawnEvents; i++ {
+		e := fmt.Sprintf("id: %d\ndata: inside  %s\n\n", i, body)
+		events = append(events, fmt.Sprintf("%x\r\n%s\r\n", len(e), e))
+	}
+	return events
+}
