--- a/internal/fleet/simulation/judge.go
+++ b/internal/fleet/simulation/judge.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Judge holds what Engines and Clients saw and finds what broke a rule of RULES.md. Ask it when all requests have ended:
-// it knows a request by its Result.
+// Judge finds what broke a rule of RULES.md, from what Engines and Clients recorded. Call it when all requests have
+// ended: it knows a request only by its Result. Its fields are not to be changed during a call.
 type Judge struct {
 	Bounds  Bounds
 	Engines []*Engine
@@ -16,19 +16,28 @@
 	Results []Result // beside those of Clients
 }
 
-// observations is what one judgement is made of.
+// observations are the records that one judgement is made of, and its findings.
 type observations struct {
-	bounds           Bounds
-	entries          []Entry           // arrivals of requests and prompts, in the order of Seq
-	runBySeal        map[string]*Entry // by seal
+	bounds  Bounds
+	entries []Entry // arrivals of requests and prompts, in the order of Seq
+	results []Result
+
+	// These point into entries and results. runBySeal has the runs with a seal, by it.
+	runBySeal        map[string]*Entry
 	entriesByAttempt map[string][]*Entry
-	results          []Result
 	resultByAttempt  map[string]*Result
-	findings         []Finding
+
+	findings []Finding
 }
 
+// observe copies the records of all Engines and Clients.
 func (j *Judge) observe() *observations {
-	o := &observations{bounds: j.Bounds, runBySeal: map[string]*Entry{}, entriesByAttempt: map[string][]*Entry{}, resultByAttempt: map[string]*Result{}}
+	o := &observations{
+		bounds:           j.Bounds,
+		runBySeal:        map[string]*Entry{},
+		entriesByAttempt: map[string][]*Entry{},
+		resultByAttempt:  map[string]*Result{},
+	}
 	for _, e := range j.Engines {
 		for _, en := range e.Log.Entries() {
 			if en.Kind == KindRequest || en.Kind == KindPrefill {
@@ -55,7 +64,7 @@
 	return o
 }
 
-// Findings returns all breaches, ordered by rule and time.
+// Findings returns all breaches, sorted by rule and time.
 func (j *Judge) Findings() []Finding {
 	o := j.observe()
 	for i := range o.results {
@@ -73,25 +82,37 @@
 	return o.findings
 }
 
-// reportAtClient notes a finding at the client.
+// reportAtClient adds a finding that was observed at the client.
 func (o *observations) reportAtClient(rule Rule, r *Result, format string, args ...any) {
-	f := Finding{Rule: rule, Attempt: r.Attempt, At: r.SentAt, What: fmt.Sprintf(format, args...)}
+	f := Finding{
+		Rule:    rule,
+		Attempt: r.Attempt,
+		At:      r.SentAt,
+		What:    fmt.Sprintf(format, args...),
+	}
 	if run := o.runBySeal[r.Seal]; run != nil {
-		f.Engine, f.Service = run.Engine, run.Service
+		f.Engine = run.Engine
+		f.Service = run.Service
 	}
 	o.findings = append(o.findings, f)
 }
 
-// reportAtEngine notes a finding at a backend.
+// reportAtEngine adds a finding that was observed at a backend.
 func (o *observations) reportAtEngine(rule Rule, en *Entry, format string, args ...any) {
 	o.findings = append(o.findings, Finding{
-		Rule: rule, Attempt: en.Attempt, Service: en.Service, Engine: en.Engine, At: en.At, What: fmt.Sprintf(format, args...),
+		Rule:    rule,
+		Attempt: en.Attempt,
+		Service: en.Service,
+		Engine:  en.Engine,
+		At:      en.At,
+		What:    fmt.Sprintf(format, args...),
 	})
 }
 
-// checkAnswer judges what a client got against what the backend of its seal sent.
+// checkAnswer judges what a client received against what the backend of its seal sent.
 func (o *observations) checkAnswer(r *Result) {
-	if r.Malformed && !slices.ContainsFunc(o.entriesByAttempt[r.Attempt], func(en *Entry) bool { return en.Broke }) {
+	broke := func(en *Entry) bool { return en.Broke }
+	if r.Malformed && !slices.ContainsFunc(o.entriesByAttempt[r.Attempt], broke) {
 		o.reportAtClient(MIXED, r, "the client got bytes that are no answer: %v", r.Err)
 	}
 	if r.Extra {
@@ -125,18 +146,20 @@
 	if enc := r.Header.Get("Content-Encoding"); enc != "" {
 		o.reportAtClient(MIXED, r, "the body is encoded as %s", enc)
 	}
-	if r.Complete && run.FirstEvent == 0 && r.Method != http.MethodHead && r.AnswerHash != run.AnswerHash {
-		o.reportAtClient(MIXED, r, "a complete body of %d bytes is not the backend's whole body", len(r.AnswerBody))
+	hasBody := run.FirstEvent == 0 && r.Method != http.MethodHead
+	if r.Complete && hasBody && r.AnswerHash != run.AnswerHash {
+		o.reportAtClient(MIXED, r, "a complete body of %d bytes is not the backend's", len(r.AnswerBody))
 	}
 }
 
-// checkEventOrder judges the events of a stream.
+// checkEventOrder judges the events of a stream: in order, without gaps, and of other runs only where it may resume.
 func (o *observations) checkEventOrder(r *Result) {
 	head := o.runBySeal[r.Seal]
 	if r.Status/100 != 2 || head == nil || head.Attempt != r.Attempt || head.FirstEvent == 0 {
 		return
 	}
-	at, last := head, r.LastEvent
+	at := head // the run of the event before
+	last := r.LastEvent
 	for _, ev := range r.Events {
 		if ev.ID != last+1 {
 			o.reportAtClient(ORDER, r, "event %d came after event %d", ev.ID, last)
@@ -165,7 +188,7 @@
 	}
 }
 
-// checkRepeats judges TWICE and REFUSED.
+// checkRepeats judges TWICE and REFUSED: how often a request that isn't idempotent ran.
 func (o *observations) checkRepeats(r *Result) {
 	if r.Idempotent() {
 		return
@@ -175,7 +198,8 @@
 		if en.Kind != KindRequest || !en.Ran {
 			continue
 		}
-		if runs++; runs == 2 {
+		runs++
+		if runs == 2 {
 			o.reportAtEngine(TWICE, en, "a %s request ran for the second time", r.Kind)
 		}
 		switch r.Status {
@@ -186,7 +210,7 @@
 	}
 }
 
-// checkArrival judges what a backend ran or read against what the client sent.
+// checkArrival judges what a backend ran or prefilled against what the client sent.
 func (o *observations) checkArrival(en *Entry) {
 	if !en.Ran {
 		return
@@ -209,18 +233,27 @@
 	}
 }
 
-// Executions returns where each attempt was run or read, in order of arrival.
+// Executions returns where each attempt ran or was prefilled, in order of arrival.
 func (j *Judge) Executions() []Execution {
 	var out []Execution
 	for _, en := range j.observe().entries {
-		if en.Ran {
-			out = append(out, Execution{en.Attempt, en.Kind, en.Service, en.Engine, en.Zone, en.Region, en.Began})
+		if !en.Ran {
+			continue
 		}
+		out = append(out, Execution{
+			Attempt: en.Attempt,
+			Stage:   en.Kind,
+			Service: en.Service,
+			Engine:  en.Engine,
+			Zone:    en.Zone,
+			Region:  en.Region,
+			At:      en.Began,
+		})
 	}
 	return out
 }
 
-// CachedParts returns each part that was kept anywhere, in order of time.
+// CachedParts returns each part that was cached at any Engine, in order of time.
 func (j *Judge) CachedParts() []CachedPart {
 	var out []CachedPart
 	for _, e := range j.Engines {
@@ -230,22 +263,22 @@
 	return out
 }
 
-// OutsideRegions returns the places and kept parts outside the Regions of the request that led there.
-func (j *Judge) OutsideRegions() (places []Execution, kept []CachedPart) {
+// OutsideRegions returns the executions and cached parts outside the Regions of the request that caused them.
+func (j *Judge) OutsideRegions() (executions []Execution, cached []CachedPart) {
 	o := j.observe()
 	outside := func(attempt, region string) bool {
 		r := o.resultByAttempt[attempt]
 		return r != nil && r.Regions != nil && !slices.Contains(r.Regions, region)
 	}
-	for _, p := range j.Executions() {
-		if outside(p.Attempt, p.Region) {
-			places = append(places, p)
+	for _, x := range j.Executions() {
+		if outside(x.Attempt, x.Region) {
+			executions = append(executions, x)
 		}
 	}
-	for _, k := range j.CachedParts() {
-		if outside(k.Attempt, k.Region) {
-			kept = append(kept, k)
+	for _, part := range j.CachedParts() {
+		if outside(part.Attempt, part.Region) {
+			cached = append(cached, part)
 		}
 	}
-	return places, kept
+	return executions, cached
 }
--- a/internal/fleet/simulation/judge_budget.go
+++ b/internal/fleet/simulation/judge_budget.go
@@ -7,17 +7,25 @@
 	"time"
 )
 
-// checkBudget judges BUDGET per service: within each window, the arrivals beyond the first of each request, the first taken
-// call that only reads a prompt left out, against ratio x requests + extra. The windows tried are those that end with
-// such an arrival and those that begin with one; the first window of each service that breaks the rule is a finding.
-// A request counts for each service of its Services, or where it arrived when they are not told.
+// checkBudget judges BUDGET per service: within each window, the arrivals beyond the first of each request, the first
+// successful prefill left out, against ratio x requests + extra. The windows tried are those that end with such an
+// arrival and those that begin with one; the first window of each service that breaks the rule is a finding. A request
+// counts for each service of its Services, or where it arrived when they are nil.
 func (o *observations) checkBudget() {
-	w := o.bounds.RetryWindow
-	if w <= 0 {
+	if o.bounds.RetryWindow <= 0 {
 		return
 	}
-	extra := map[string][]*Entry{}
-	asked := map[string][]time.Time{}
+	sentAt := o.requestTimes()
+	for service, further := range o.furtherArrivals() {
+		if f := o.overBudget(service, further, sentAt[service]); f != nil {
+			o.findings = append(o.findings, *f)
+		}
+	}
+}
+
+// requestTimes returns when requests were sent, by service.
+func (o *observations) requestTimes() map[string][]time.Time {
+	sentAt := map[string][]time.Time{}
 	for i := range o.results {
 		r := &o.results[i]
 		services := slices.Clone(r.Services)
@@ -28,49 +36,68 @@
 				}
 			}
 		}
-		for _, s := range services {
-			asked[s] = append(asked[s], r.SentAt)
+		for _, service := range services {
+			sentAt[service] = append(sentAt[service], r.SentAt)
 		}
 	}
-	first := map[[2]string]bool{}
-	read := map[string]bool{}
+	return sentAt
+}
+
+// furtherArrivals returns the arrivals that count against the budget, by service.
+func (o *observations) furtherArrivals() map[string][]*Entry {
+	type arrival struct{ service, attempt string }
+	further := map[string][]*Entry{}
+	arrived := map[arrival]bool{}
+	prefilled := map[string]bool{} // attempts
 	for i := range o.entries {
 		en := &o.entries[i]
-		if en.Kind == KindPrefill && en.Status == http.StatusOK && !read[en.Attempt] {
-			read[en.Attempt] = true
+		if en.Kind == KindPrefill && en.Status == http.StatusOK && !prefilled[en.Attempt] {
+			prefilled[en.Attempt] = true
 			continue
 		}
-		k := [2]string{en.Service, en.Attempt}
-		if !first[k] {
-			first[k] = true
+		a := arrival{en.Service, en.Attempt}
+		if !arrived[a] {
+			arrived[a] = true
 			continue
 		}
-		extra[en.Service] = append(extra[en.Service], en)
+		further[en.Service] = append(further[en.Service], en)
 	}
-	for service, ens := range extra {
-		times := make([]time.Time, len(ens))
-		for i, en := range ens {
-			times[i] = en.At
-		}
-		for i := range 2 * len(ens) {
-			en := ens[i/2]
-			end := en.At // of the window (end-w, end]
-			if i%2 == 1 {
-				end = en.At.Add(w - 1)
-			}
+	return further
+}
+
+// overBudget returns a finding for the first window of a service that has more further arrivals than the requests of
+// that time allow, or nil. Of the windows that end at the same time, w/2 and w earlier, the one with the most requests
+// counts: an arrival comes after its request.
+func (o *observations) overBudget(service string, further []*Entry, sentAt []time.Time) *Finding {
+	w := o.bounds.RetryWindow
+	times := make([]time.Time, len(further))
+	for i, en := range further {
+		times[i] = en.At
+	}
+	for _, en := range further {
+		for _, end := range []time.Time{en.At, en.At.Add(w - 1)} { // of the window (end-w, end]
 			n := countWithin(times, end, w)
-			requests := max(countWithin(asked[service], end, w), countWithin(asked[service], end.Add(-w), w),
-				countWithin(asked[service], end.Add(-w/2), w))
-			if most := o.bounds.RetryRatio*float64(requests) + o.bounds.RetryExtra; float64(n) > most {
-				o.findings = append(o.findings, Finding{
-					Rule: BUDGET, Service: service, Attempt: en.Attempt, Engine: en.Engine, At: en.At,
-					What: fmt.Sprintf("%d further arrivals in the window to %s, %g are paid for by %d requests",
-						n, end.Format(time.TimeOnly), most, requests),
-				})
-				break
+			requests := max(
+				countWithin(sentAt, end, w),
+				countWithin(sentAt, end.Add(-w), w),
+				countWithin(sentAt, end.Add(-w/2), w),
+			)
+			limit := o.bounds.RetryRatio*float64(requests) + o.bounds.RetryExtra
+			if float64(n) <= limit {
+				continue
+			}
+			return &Finding{
+				Rule:    BUDGET,
+				Service: service,
+				Attempt: en.Attempt,
+				Engine:  en.Engine,
+				At:      en.At,
+				What: fmt.Sprintf("%d further arrivals in the window to %s, %g are allowed for %d requests",
+					n, end.Format(time.TimeOnly), limit, requests),
 			}
 		}
 	}
+	return nil
 }
 
 // countWithin counts the times in (end-w, end].
--- a/internal/fleet/simulation/judge_residency.go
+++ b/internal/fleet/simulation/judge_residency.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// ResidenceKind tells in which form a request's data was somewhere.
+// ResidenceKind is the form in which a request's data was at a backend.
 type ResidenceKind string
 
-// The forms in which data rests at a backend.
+// The forms in which data is at a backend.
 const (
-	ResidencePrefill ResidenceKind = "read"   // its prompt was read there
-	ResidenceRun     ResidenceKind = "run"    // its tokens were made there
-	ResidenceHandle  ResidenceKind = "handle" // its memory waited there for a taker
-	ResidenceCached  ResidenceKind = "kept"   // a part of its prompt was kept there
+	ResidencePrefill ResidenceKind = "read"   // its prompt was prefilled there
+	ResidenceRun     ResidenceKind = "run"    // it ran there
+	ResidenceHandle  ResidenceKind = "handle" // its memory was there to be fetched
+	ResidenceCached  ResidenceKind = "kept"   // a part of its prompt was cached there
 )
 
 // Rest is data of one request that was at one backend, by the backend's own record.
 type Rest struct {
 	Attempt string
 	Kind    ResidenceKind
-	Engine  string
+	Engine  string // id
 	Zone    string
 	Region  string
 	From    time.Time
 	Until   time.Time // zero: it is there still
 }
 
+// String returns the kind, attempt, engine and region in a few words.
 func (r Rest) String() string {
 	return fmt.Sprintf("%s of %s at %s in %s", r.Kind, r.Attempt, r.Engine, r.Region)
 }
 
-// Term is the regions allowed from a moment on. Nil Regions: anywhere; empty, not nil: nowhere.
+// Term is the regions that are allowed from a time on. Nil Regions: any; empty, not nil: none.
 type Term struct {
 	From    time.Time
 	Regions []string
@@ -44,95 +45,147 @@
 	return t.Regions == nil || slices.Contains(t.Regions, region)
 }
 
-// Residences returns everywhere that data of requests was, by the Engines' own record, in order of time. It knows nothing of
-// who chose the places.
+// Residences returns everywhere that data of requests was, by the Engines' own record, in order of time. It doesn't use
+// what the proxies under test recorded about their choice.
 func (j *Judge) Residences() []Rest {
 	var out []Rest
 	for _, e := range j.Engines {
 		entries := e.Log.Entries()
-		gone := map[string]time.Time{} // handles that aren't here any more, by the engine's word: freed, or taken before a move broke off
+		removed := j.handleRemovals(entries)
 		for _, en := range entries {
-			if en.Kind == KindFree && (en.Status == http.StatusOK || en.Status == http.StatusNotFound) {
-				gone[en.Handle] = en.At
-			}
-		}
-		for _, other := range j.Engines {
-			for _, en := range other.Log.Entries() {
-				if en.Kind == KindRequest && en.Handle != "" {
-					gone[en.Handle] = en.Began
-				}
-			}
-		}
-		for _, en := range entries {
-			rest := Rest{Attempt: en.Attempt, Engine: en.Engine, Zone: en.Zone, Region: en.Region, From: en.Began, Until: en.Ended}
-			switch {
-			case !en.Ran:
-				continue
-			case en.Kind == KindPrefill:
-				rest.Kind = ResidencePrefill
-			case en.Kind == KindRequest:
-				rest.Kind = ResidenceRun
-			default:
+			r, ok := runResidence(en)
+			if !ok {
 				continue
 			}
-			out = append(out, rest)
+			out = append(out, r)
 			if en.Kind == KindPrefill && en.Handle != "" {
-				rest.Kind = ResidenceHandle
-				if !rest.Until.IsZero() {
-					rest.Until = en.Ended.Add(e.s.KVRef)
-				}
-				if at, ok := gone[en.Handle]; ok && (rest.Until.IsZero() || at.Before(rest.Until)) {
-					rest.Until = at
-				}
-				out = append(out, rest)
+				out = append(out, handleResidence(r, en, e.s.KVRef, removed))
 			}
 		}
 	}
-	for _, k := range j.CachedParts() {
-		out = append(out, Rest{Attempt: k.Attempt, Kind: ResidenceCached, Engine: k.Engine, Zone: k.Zone, Region: k.Region, From: k.CachedAt, Until: k.EvictedAt})
+	for _, part := range j.CachedParts() {
+		out = append(out, Rest{
+			Attempt: part.Attempt,
+			Kind:    ResidenceCached,
+			Engine:  part.Engine,
+			Zone:    part.Zone,
+			Region:  part.Region,
+			From:    part.CachedAt,
+			Until:   part.EvictedAt,
+		})
 	}
 	slices.SortStableFunc(out, func(a, b Rest) int { return cmp.Compare(a.From.UnixNano(), b.From.UnixNano()) })
 	return out
 }
 
-// Leaks audits a whole history against terms that may change: terms gives those of a request, the oldest first (none: it
-// may be anywhere). Leaked is what came to rest outside the terms in force, or rested on outside them for longer than slack
-// after a change. Kept parts that were there before a change can't be taken away by the protocol: they linger. A request
-// that no Result tells of is judged by the terms of the zero Result.
-func (j *Judge) Leaks(terms func(Result) []Term, slack time.Duration) (leaked, lingering []Rest) {
+// handleRemovals returns when handles were removed before they expired: freed at the engine of these entries, which
+// answers 404 when a transfer that broke off had taken the handle, or fetched by any engine's run.
+func (j *Judge) handleRemovals(entries []Entry) map[string]time.Time {
+	removed := map[string]time.Time{}
+	for _, en := range entries {
+		if en.Kind == KindFree && (en.Status == http.StatusOK || en.Status == http.StatusNotFound) {
+			removed[en.Handle] = en.At
+		}
+	}
+	for _, other := range j.Engines {
+		for _, en := range other.Log.Entries() {
+			if en.Kind == KindRequest && en.Handle != "" {
+				removed[en.Handle] = en.Began
+			}
+		}
+	}
+	return removed
+}
+
+// runResidence returns the residence of a request's run or prefill; ok is false when there was none.
+func runResidence(en Entry) (r Rest, ok bool) {
+	r = Rest{
+		Attempt: en.Attempt,
+		Engine:  en.Engine,
+		Zone:    en.Zone,
+		Region:  en.Region,
+		From:    en.Began,
+		Until:   en.Ended,
+	}
+	switch {
+	case !en.Ran:
+		return r, false
+	case en.Kind == KindPrefill:
+		r.Kind = ResidencePrefill
+	case en.Kind == KindRequest:
+		r.Kind = ResidenceRun
+	default:
+		return r, false
+	}
+	return r, true
+}
+
+// handleResidence returns the residence of the handle that a prefill made: until it was removed, or at the latest
+// expired.
+func handleResidence(prefill Rest, en Entry, ttl time.Duration, removed map[string]time.Time) Rest {
+	r := prefill
+	r.Kind = ResidenceHandle
+	if !r.Until.IsZero() {
+		r.Until = en.Ended.Add(ttl)
+	}
+	if at, ok := removed[en.Handle]; ok && (r.Until.IsZero() || at.Before(r.Until)) {
+		r.Until = at
+	}
+	return r
+}
+
+// verdict says whether a residence kept to the terms of its request; of several, the highest counts.
+type verdict int
+
+const (
+	allowed  verdict = iota
+	lingered         // a cached part that was there before a change
+	leaked
+)
+
+// Leaks audits a complete history against terms that may change: terms returns those of a request, the oldest first
+// (none: it may be anywhere). Leaked are the residences that began outside the terms in force, or went on outside them
+// for longer than slack after a change. Cached parts that were there before a change can't be removed by the protocol:
+// they are returned as lingering. A request without a Result is judged by the terms of the zero Result.
+func (j *Judge) Leaks(terms func(Result) []Term, slack time.Duration) (leaking, lingering []Rest) {
 	o := j.observe()
 	for _, r := range j.Residences() {
 		var of Result
 		if known := o.resultByAttempt[r.Attempt]; known != nil {
 			of = *known
 		}
-		history := terms(of)
-		end := r.Until
-		if end.IsZero() {
-			end = time.Now()
+		switch r.judge(terms(of), slack) {
+		case lingered:
+			lingering = append(lingering, r)
+		case leaked:
+			leaking = append(leaking, r)
 		}
-		verdict := 0 // 1: lingers, 2: leaks
-		for i, t := range history {
-			from := t.From
-			if i > 0 {
-				from = from.Add(slack)
-			}
-			before := i+1 == len(history) || r.From.Before(history[i+1].From)
-			after := end.After(from) || !r.From.Before(from)
-			switch {
-			case t.allows(r.Region) || !before || !after:
-			case r.Kind == ResidenceCached && i > 0 && r.From.Before(from):
-				verdict = max(verdict, 1)
-			default:
-				verdict = 2
-			}
+	}
+	return leaking, lingering
+}
+
+// judge compares a residence with its request's terms, the oldest first. Each term but the first is in force only slack
+// after its change, and each until the next one's change.
+func (r Rest) judge(history []Term, slack time.Duration) verdict {
+	end := r.Until
+	if end.IsZero() {
+		end = time.Now()
+	}
+	result := allowed
+	for i, t := range history {
+		from := t.From
+		if i > 0 {
+			from = from.Add(slack)
 		}
-		switch verdict {
-		case 1:
-			lingering = append(lingering, r)
-		case 2:
-			leaked = append(leaked, r)
+		beganBeforeNext := i+1 == len(history) || r.From.Before(history[i+1].From)
+		wentOnAfter := end.After(from) || !r.From.Before(from)
+		switch {
+		case t.allows(r.Region) || !beganBeforeNext || !wentOnAfter:
+		case r.Kind == ResidenceCached && i > 0 && r.From.Before(from):
+			result = max(result, lingered)
+		default:
+			result = leaked
 		}
 	}
-	return leaked, lingering
+	return result
 }
--- a/internal/fleet/simulation/judge_residency_test.go
+++ b/internal/fleet/simulation/judge_residency_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLeaks judges requests that ran in two regions, and their kept parts, under several histories of terms.
+// TestLeaks judges requests that ran in two regions, and their cached parts, under several histories of terms.
 func TestLeaks(t *testing.T) {
 	c := qt.New(t)
 	s := newScene(c)
@@ -30,7 +30,7 @@
 	leaked, _ = j.Leaks(always(region, "west", "east"), 0)
 	c.Assert(leaked, qt.HasLen, 0)
 
-	// Withdrawn once all of it was over: only what is kept lingers.
+	// The regions are withdrawn after all requests ended: only cached parts linger.
 	over := time.Now()
 	later := func(Result) []Term {
 		return []Term{{Regions: []string{region, "west", "east"}}, {From: over, Regions: []string{}}}
@@ -44,7 +44,7 @@
 	for _, r := range lingering {
 		c.Assert(r.Kind, qt.Equals, ResidenceCached)
 	}
-	// Withdrawn before any of it: all of it leaked.
+	// They are withdrawn before any request: all data leaked.
 	early := func(Result) []Term { return []Term{{}, {From: rests[0].From.Add(-time.Hour), Regions: []string{}}} }
 	leaked, _ = j.Leaks(early, time.Second)
 	c.Assert(leaked, qt.HasLen, len(rests))
--- a/internal/fleet/simulation/judge_test.go
+++ b/internal/fleet/simulation/judge_test.go
@@ -49,7 +49,7 @@
 	c.Assert(s.judge(s.read, s.stream).Findings(), qt.HasLen, 0)
 }
 
-// TestJudge alters what a client saw and asks for the rule that it breaks.
+// TestJudge changes what a client observed, and expects the rule that it breaks.
 func TestJudge(t *testing.T) {
 	c := qt.New(t)
 	s := newScene(c)
@@ -109,7 +109,8 @@
 	c.Assert(rules((&Judge{Engines: []*Engine{e}, Results: []Result{r}}).Findings()), qt.DeepEquals, []Rule{MIXED})
 }
 
-// TestJudgeUnframed: an answer without a length that ends early looks complete, and is told from the whole one.
+// TestJudgeUnframed: an answer without a length that ends early looks complete, and is distinguished from the complete
+// one.
 func TestJudgeUnframed(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{})
@@ -139,7 +140,7 @@
 	c.Assert(rules((&Judge{Engines: []*Engine{e}, Results: []Result{r}}).Findings()), qt.DeepEquals, []Rule{MIXED})
 }
 
-// TestJudgeForeignHandle: backends do not check to whom a handle belongs, Judge does.
+// TestJudgeForeignHandle: backends don't check to which attempt a handle belongs, Judge does.
 func TestJudgeForeignHandle(t *testing.T) {
 	c := qt.New(t)
 	p := StartEngine(t, EngineSettings{Phase: PhasePrefill})
@@ -178,8 +179,8 @@
 	c.Assert(rules(judge(joined)), qt.DeepEquals, []Rule{ORDER})
 }
 
-// TestJudgeBudget: arrivals beyond the first are paid for by the requests of the window; the first taken call that only
-// reads is not extra.
+// TestJudgeBudget: the requests of a window allow a number of arrivals beyond the first; the first successful prefill
+// doesn't count.
 func TestJudgeBudget(t *testing.T) {
 	c := qt.New(t)
 	p := StartEngine(t, EngineSettings{Service: "model", Phase: PhasePrefill})
@@ -196,18 +197,19 @@
 	}
 	j := &Judge{
 		Bounds:  Bounds{RetryRatio: 0.25, RetryWindow: time.Minute, RetryExtra: 0},
-		Engines: []*Engine{p, d}, Clients: []*Client{cl},
+		Engines: []*Engine{p, d},
+		Clients: []*Client{cl},
 	}
 	c.Assert(j.Findings(), qt.HasLen, 0)
 	prefillAt(c, p, first)
-	c.Assert(j.Findings(), qt.HasLen, 0, qt.Commentf("one is paid for by four requests"))
+	c.Assert(j.Findings(), qt.HasLen, 0, qt.Commentf("one is allowed for four requests"))
 	prefillAt(c, p, first)
 	fs := j.Findings()
 	c.Assert(rules(fs), qt.DeepEquals, []Rule{BUDGET})
 	c.Assert(fs[0].Service, qt.Equals, "model")
 }
 
-// TestJudgeRegions lists where requests were run and parts kept.
+// TestJudgeRegions lists where requests ran and parts were cached.
 func TestJudgeRegions(t *testing.T) {
 	c := qt.New(t)
 	s := newScene(c)
