--- a/internal/fleet/simulation/boot_test.go
+++ b/internal/fleet/simulation/boot_test.go
@@ -16,7 +16,7 @@
 
 func hashed(b []byte) uint64 { return xxhash.Sum64(b) }
 
-// bootDoc is what the tests read back.
+// bootDoc is the part of a settings file that the tests check.
 type bootDoc struct {
 	Role      string
 	PortRange []int `toml:"port_range"`
@@ -48,7 +48,7 @@
 	return doc, err
 }
 
-// TestMain plays a program when it is started with a settings file: ready at readyz until SIGTERM.
+// TestMain is a program when it is started with a settings file: ready at readyz until SIGTERM.
 func TestMain(m *testing.M) {
 	path, ok := os.LookupEnv("MOLEPADDLE_CONFIG")
 	if !ok {
@@ -95,8 +95,8 @@
 	c.Assert(doc.DataDir, qt.Equals, core.DataDir)
 	c.Assert(doc.Peers, qt.DeepEquals, []string{"127.0.0.1:1"})
 
-	silent := Boot(t, BootSettings{Roles: []string{}})
-	c.Assert([]string{silent.Edge, silent.Readyz, silent.Ctl}, qt.DeepEquals, []string{"", "", ""})
+	noRoles := Boot(t, BootSettings{Roles: []string{}})
+	c.Assert([]string{noRoles.Edge, noRoles.Readyz, noRoles.Ctl}, qt.DeepEquals, []string{"", "", ""})
 }
 
 func TestPortsDoNotMeet(t *testing.T) {
--- a/internal/fleet/simulation/client.go
+++ b/internal/fleet/simulation/client.go
@@ -17,30 +17,39 @@
 	"github.com/go-faster/errors"
 )
 
-// Client sends requests to one edge address over plain connections and keeps a Result of each. It does not retry. It is
-// safe for concurrent use.
+// Client sends requests to one edge address over plain connections and records a Result of each. It does not retry. It
+// is safe for concurrent use.
 type Client struct {
 	Edge string // IP:PORT
-	Keep bool   // keep connections for many requests
+	Keep bool   // reuse connections for further requests
 
 	mu      sync.Mutex
 	idle    []*clientConn
 	results []*Result
 }
 
+// clientConn is a connection that carries one request at a time.
 type clientConn struct {
 	net.Conn
 	br         *bufio.Reader
 	lastResult *Result // of the request before
 }
 
-// patience bounds a request without a deadline, and linger the wait for bytes after an answer on a closing connection.
 const (
-	defaultDeadline   = 10 * time.Second
+	// defaultDeadline bounds a request that has no deadline.
+	defaultDeadline = 10 * time.Second
+	// trailingBytesWait is how long Client waits for bytes after an answer on a closing connection: long enough for
+	// those that follow it at once over loopback.
 	trailingBytesWait = 200 * time.Millisecond
+	// idleBytesWait is as trailingBytesWait, for a kept connection that Close closes.
+	idleBytesWait = 10 * time.Millisecond
+	// clientDialTimeout bounds the connect to the edge.
+	clientDialTimeout = time.Second
+	// requestChunk is the most bytes of a chunk of a request's body.
+	requestChunk = 512
 )
 
-// Do sends r once and reads the whole answer.
+// Do sends r once, blocks until its answer was read completely or its deadline passed, and returns its Result.
 func (c *Client) Do(ctx context.Context, r Request) Result {
 	if r.Attempt == "" {
 		r.Attempt = randomHex(8)
@@ -51,7 +60,12 @@
 	if r.Kind == "" {
 		r.Kind = ReadOnly
 	}
-	res := &Result{Request: r, BodyHash: xxhash.Sum64(r.Body), Edge: c.Edge, SentAt: time.Now()}
+	res := &Result{
+		Request:  r,
+		BodyHash: xxhash.Sum64(r.Body),
+		Edge:     c.Edge,
+		SentAt:   time.Now(),
+	}
 	res.Err = c.exchange(ctx, res)
 	res.EndedAt = time.Now()
 	c.mu.Lock()
@@ -71,12 +85,12 @@
 	return out
 }
 
-// Close closes kept connections; bytes found there mark the last Result on them as Extra.
+// Close closes idle connections; bytes found there mark the last Result on them as Extra.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.idle {
-		k.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
+		k.SetReadDeadline(time.Now().Add(idleBytesWait))
 		if _, err := k.br.Peek(1); err == nil {
 			k.lastResult.Extra = true
 		}
@@ -85,6 +99,7 @@
 	c.idle = nil
 }
 
+// acquireConn returns an idle connection or opens one, and reports whether it was used before.
 func (c *Client) acquireConn(ctx context.Context) (*clientConn, bool, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 {
@@ -94,14 +109,14 @@
 		return k, true, nil
 	}
 	c.mu.Unlock()
-	nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", c.Edge)
+	nc, err := (&net.Dialer{Timeout: clientDialTimeout}).DialContext(ctx, "tcp", c.Edge)
 	if err != nil {
 		return nil, false, errors.Wrap(err, "dial")
 	}
 	return &clientConn{Conn: nc, br: bufio.NewReader(nc)}, false, nil
 }
 
-// formatRequest writes r as HTTP/1.1.
+// formatRequest returns r as HTTP/1.1.
 func formatRequest(r Request, keep bool) []byte {
 	b := &bytes.Buffer{}
 	fmt.Fprintf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", r.Method, r.Path, r.Host, HeaderAttempt, r.Attempt)
@@ -124,25 +139,31 @@
 		b.WriteString("Connection: close\r\n")
 	}
 	r.Header.Write(b)
-	switch {
-	case r.Chunked:
+	writeRequestBody(b, r)
+	return b.Bytes()
+}
+
+// writeRequestBody writes the framing headers, the end of the head and the body.
+func writeRequestBody(b *bytes.Buffer, r Request) {
+	if r.Chunked {
 		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 		for rest := r.Body; len(rest) > 0; {
-			n := min(len(rest), 512)
+			n := min(len(rest), requestChunk)
 			fmt.Fprintf(b, "%x\r\n%s\r\n", n, rest[:n])
 			rest = rest[n:]
 		}
 		b.WriteString("0\r\n\r\n")
-	default:
-		if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
-			fmt.Fprintf(b, "Content-Length: %d\r\n", len(r.Body))
-		}
-		b.WriteString("\r\n")
-		b.Write(r.Body)
+		return
 	}
-	return b.Bytes()
+	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
+		fmt.Fprintf(b, "Content-Length: %d\r\n", len(r.Body))
+	}
+	b.WriteString("\r\n")
+	b.Write(r.Body)
 }
 
+// exchange sends res.Request over a connection and fills in the answer. The connection is kept for another request only
+// when nothing is left on it; whatever else happens, it is closed.
 func (c *Client) exchange(ctx context.Context, res *Result) error {
 	limit := res.Deadline
 	if limit <= 0 {
@@ -156,10 +177,10 @@
 	}
 	res.Reused = reused
 	stop := context.AfterFunc(ctx, func() { k.Close() })
-	keep := false
+	reusable := false
 	defer func() {
-		if keep = keep && stop(); !keep {
-			stop()
+		// stop reports false when ctx ended first: then the connection is being closed.
+		if !stop() || !reusable {
 			k.Close()
 			return
 		}
@@ -171,52 +192,75 @@
 	if k.br.Buffered() > 0 {
 		res.Extra = true
 	}
-	// A peer may answer before it has read the body: a failed write is told only when no answer can be read.
-	_, wrote := k.Write(formatRequest(res.Request, c.Keep))
+	// A peer may answer before it has read the body: a failed write is returned only when no answer can be read.
+	_, sendErr := k.Write(formatRequest(res.Request, c.Keep))
 	resp, err := readResponseHead(k.br, res.Method)
 	if err != nil {
 		res.Malformed = isMalformed(err)
-		if wrote != nil {
-			err = errors.Wrap(wrote, "send")
+		if sendErr != nil {
+			err = errors.Wrap(sendErr, "send")
 		}
 		return errors.Wrap(err, "read head")
 	}
-	res.Status, res.Header = resp.StatusCode, resp.Header
-	res.Closing = resp.Close
-	res.Seal, res.Answered = resp.Header.Get(HeaderSeal), resp.Header.Get(HeaderAttempt)
+	res.setHead(resp)
+	if err := res.readBody(resp); err != nil {
+		return err
+	}
+	reusable = k.checkTrailingBytes(res) && c.Keep
+	return nil
+}
+
+// checkTrailingBytes records bytes that came after the answer, and reports whether the connection can carry another
+// request.
+func (k *clientConn) checkTrailingBytes(res *Result) bool {
+	if k.br.Buffered() > 0 {
+		res.Extra = true
+		return false
+	}
+	if !res.Closing {
+		return true
+	}
+	k.SetReadDeadline(time.Now().Add(trailingBytesWait))
+	if _, err := k.br.Peek(1); err == nil {
+		res.Extra = true
+	}
+	return false
+}
+
+// setHead records an answer's head.
+func (r *Result) setHead(resp *http.Response) {
+	r.Status = resp.StatusCode
+	r.Header = resp.Header
+	r.Closing = resp.Close
+	r.Seal = resp.Header.Get(HeaderSeal)
+	r.Answered = resp.Header.Get(HeaderAttempt)
 	if s, err := strconv.ParseFloat(resp.Header.Get(HeaderRetryAfter), 64); err == nil {
-		res.RetryAfter = time.Duration(s * float64(time.Second))
+		r.RetryAfter = time.Duration(s * float64(time.Second))
 	}
+}
+
+// readBody reads an answer's body, and its events if it is a stream of them.
+func (r *Result) readBody(resp *http.Response) error {
 	body := &bytes.Buffer{}
-	var from io.Reader = io.TeeReader(resp.Body, body)
+	tee := io.TeeReader(resp.Body, body)
+	var err error
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		err = readEvents(from, res)
+		err = readEvents(tee, r)
 	} else {
-		_, err = io.Copy(io.Discard, from)
+		_, err = io.Copy(io.Discard, tee)
 	}
-	res.AnswerBody, res.AnswerHash = body.Bytes(), xxhash.Sum64(body.Bytes())
+	r.AnswerBody = body.Bytes()
+	r.AnswerHash = xxhash.Sum64(r.AnswerBody)
 	if err != nil {
-		res.Malformed = res.Malformed || isMalformed(err)
+		r.Malformed = r.Malformed || isMalformed(err)
 		return errors.Wrap(err, "read body")
 	}
 	// An answer that has no length and no chunks ends with its connection, and looks complete wherever it was cut.
-	res.Complete = true
-	if k.br.Buffered() > 0 {
-		res.Extra = true
-		return nil
-	}
-	if resp.Close {
-		k.SetReadDeadline(time.Now().Add(trailingBytesWait))
-		if _, err := k.br.Peek(1); err == nil {
-			res.Extra = true
-		}
-		return nil
-	}
-	keep = c.Keep
+	r.Complete = true
 	return nil
 }
 
-// readResponseHead reads an answer's head, passing over 1xx.
+// readResponseHead returns the answer after any 1xx ones, as far as its head; its body is read from br.
 func readResponseHead(br *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		if _, err := br.Peek(1); err != nil {
@@ -229,14 +273,15 @@
 	}
 }
 
-// isMalformed tells whether err is about the bytes and not about their end.
+// isMalformed reports whether err is about the bytes that came, and not a time-out or their end.
 func isMalformed(err error) bool {
 	var ne net.Error
 	return !errors.As(err, &ne) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) &&
 		!errors.Is(err, net.ErrClosed)
 }
 
-// readEvents reads a stream of events: lines "versions: N", "id: N" and "data: SEAL TOKENS", and an empty line.
+// readEvents reads a stream of events: lines "versions: N", "id: N" and "data: SEAL TOKENS", and an empty line. What is
+// not of this form makes res.Malformed true. It returns nil at an end between two events.
 func readEvents(r io.Reader, res *Result) error {
 	br := bufio.NewReader(r)
 	var ev Event
@@ -259,25 +304,35 @@
 			}
 			ev.At = time.Now()
 			res.Events = append(res.Events, ev)
-			ev, begun = Event{}, false
+			ev = Event{}
+			begun = false
 			continue
 		}
 		begun = true
-		name, value, ok := strings.Cut(line, ": ")
-		switch {
-		case ok && name == "versions":
-			ev.Versions = value
-		case ok && name == "id":
-			ev.ID, err = strconv.Atoi(value)
-		case ok && name == "data":
-			var n string
-			ev.Seal, n, _ = strings.Cut(value, " ")
-			ev.Tokens, err = strconv.Atoi(n)
-		default:
-			res.Malformed = true
-		}
-		if err != nil {
+		if !ev.parseLine(line) {
 			res.Malformed = true
 		}
 	}
 }
+
+// parseLine adds one line of an event, and reports whether it could be read.
+func (ev *Event) parseLine(line string) bool {
+	name, value, ok := strings.Cut(line, ": ")
+	if !ok {
+		return false
+	}
+	var err error
+	switch name {
+	case "versions":
+		ev.Versions = value
+	case "id":
+		ev.ID, err = strconv.Atoi(value)
+	case "data":
+		var tokens string
+		ev.Seal, tokens, _ = strings.Cut(value, " ")
+		ev.Tokens, err = strconv.Atoi(tokens)
+	default:
+		return false
+	}
+	return err == nil
+}
--- a/internal/fleet/simulation/doc.go
+++ b/internal/fleet/simulation/doc.go
@@ -1,12 +1,16 @@
-// Package simulation holds the stand-ins for whole-program tests over loopback: Engine (a backend), Platform (the list of
-// backends), Operator and Client, a Judge over what they saw, and Boot, which writes settings files and starts
-// programs. Tests use it, and `molepaddle-fleet demo`. The statements it follows are those of PROTOCOL.md, RULES.md and DEPLOY.md.
+// Package simulation has the stand-ins for whole-program tests over loopback: Engine (a backend), Platform (the list of
+// backends), Operator and Client, a Judge of what they recorded, Boot, which writes settings files, and Exec, which
+// starts programs. RelayNetwork and Network are links between machines that can be cut. Tests and `molepaddle-fleet
+// demo` use it; nothing that serves clients does. It follows the statements of PROTOCOL.md, RULES.md and DEPLOY.md, and
+// uses no code of the programs under test but for socket options, so that a fault of theirs isn't repeated here.
 //
-// Nothing here sleeps to let something happen: tests wait for signals (Log.Wait, Engine.Hold, AwaitReady). Times that
-// a stand-in takes itself (steps, moves, lag) are zero unless set.
+// The stand-ins can be called from any goroutine, and end with the test that started them.
+//
+// Nothing here sleeps to let something happen: tests wait for events (Log.Wait, Engine.Hold, AwaitReady). The times
+// that a stand-in takes itself (steps, transfers, delays) are zero unless set.
 package simulation
 
-// Names of headers, as in PROTOCOL.md.
+// The names of headers, as in PROTOCOL.md.
 const (
 	HeaderAttempt     = "X-Molepaddle-Attempt-Id"
 	HeaderDeadline    = "X-Molepaddle-Deadline-Ms"
@@ -28,7 +32,7 @@
 	HeaderVersions    = "Versions"
 )
 
-// Paths of the backends' and the system's own interfaces, as in PROTOCOL.md.
+// The paths of the backends' and the system's own interfaces, as in PROTOCOL.md.
 const (
 	PathReport  = "/molepaddle/report"
 	PathOrder   = "/molepaddle/order"
--- a/internal/fleet/simulation/forward.go
+++ b/internal/fleet/simulation/forward.go
@@ -6,35 +6,41 @@
 	"time"
 )
 
-// PassOn carries connections from one address to another until the end, as if what listens at to listened at from: for
-// machines that share 127.0.0.1 and so need ports of their own.
+// forwardDialTimeout bounds the connect to the target of PassOn.
+const forwardDialTimeout = time.Second
+
+// PassOn forwards connections from one address to another until the test ends, as if what listens at to
+// listened at from: for machines that share 127.0.0.1 and so need ports of their own.
 func PassOn(tb TB, from, to string) {
 	tb.Helper()
 	ln, err := net.Listen("tcp", from)
 	if err != nil {
-		tb.Fatalf("simulation: pass on: %v", err)
+		tb.Fatalf("simulation: forward: %v", err)
 	}
 	tb.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
-			a, err := ln.Accept()
+			client, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer a.Close()
-				b, err := net.DialTimeout("tcp", to, time.Second)
-				if err != nil {
-					return
-				}
-				defer b.Close()
-				go func() {
-					defer a.Close()
-					defer b.Close()
-					io.Copy(b, a)
-				}()
-				io.Copy(a, b)
-			}()
+			go forwardConn(client, to)
 		}
 	}()
 }
+
+// forwardConn copies between a connection and a new one to an address, until either is closed; then it closes both.
+func forwardConn(client net.Conn, to string) {
+	defer client.Close()
+	server, err := net.DialTimeout("tcp", to, forwardDialTimeout)
+	if err != nil {
+		return
+	}
+	defer server.Close()
+	go func() {
+		defer client.Close()
+		defer server.Close()
+		io.Copy(server, client)
+	}()
+	io.Copy(client, server)
+}
--- a/internal/fleet/simulation/network.go
+++ b/internal/fleet/simulation/network.go
@@ -7,32 +7,38 @@
 	"time"
 )
 
-// Network is a network of machines, known by their IP addresses, that can be cut: whole or one way. Connections that were
-// opened through it hold what is cut off until the cut heals, their deadline is reached or they are closed.
+// Network is a network of machines of one process, known by their IP addresses, that can be partitioned, also in one
+// direction only. A connection that was opened with Dialer delays what a partition holds up until the partition heals;
+// its reads and writes fail when their deadline passes or it is closed. It is safe for concurrent use. For machines
+// that are processes of their own, see RelayNetwork.
 type Network struct {
-	Delay time.Duration // of whatever is sent, one way; not to be changed once there are connections
+	Delay time.Duration // of whatever is sent, in each direction; not to be changed once there are connections
 
 	mu      sync.Mutex
 	cut     map[direction]bool
-	changed chan struct{}         // closed and made anew with each cut and healing
-	conns   map[*networkConn]bool // that are open
+	changed chan struct{}         // closed and replaced at each change of cut
+	conns   map[*networkConn]bool // those that are open
 	parked  []net.Conn            // closed by their owners behind a cut: the other side doesn't learn of it yet
 }
 
-// direction is a direction between two machines.
+// direction is a direction between two machines, by their IPs.
 type direction struct{ from, to string }
 
-// NewNetwork makes a network without cuts. Its connections end with the test.
+// NewNetwork returns a network without cuts. They heal when the test ends.
 func NewNetwork(tb TB) *Network {
-	n := &Network{cut: map[direction]bool{}, conns: map[*networkConn]bool{}, changed: make(chan struct{})}
+	n := &Network{
+		cut:     map[direction]bool{},
+		conns:   map[*networkConn]bool{},
+		changed: make(chan struct{}),
+	}
 	tb.Cleanup(n.Heal)
 	return n
 }
 
-// Cut has nothing more that one machine sends reach another.
+// Cut holds up whatever one machine sends to another.
 func (n *Network) Cut(from, to string) { n.cutDirections(direction{from, to}) }
 
-// Part cuts the machines of one side from those of the other, both ways.
+// Part partitions the network: it cuts the machines of one side from those of the other, in both directions.
 func (n *Network) Part(one, other []string) {
 	for _, a := range one {
 		for _, b := range other {
@@ -41,7 +47,7 @@
 	}
 }
 
-// Drop closes the connections that a machine has opened, as the end of its process does.
+// Drop closes the connections that a machine has opened, as the end of its process would.
 func (n *Network) Drop(from string) {
 	n.mu.Lock()
 	var all []*networkConn
@@ -56,7 +62,7 @@
 	}
 }
 
-// Heal ends all cuts.
+// Heal ends all cuts, and closes the connections that were closed behind one.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,48 +74,51 @@
 	n.signal()
 }
 
-func (n *Network) cutDirections(ways ...direction) {
+// cutDirections adds cuts.
+func (n *Network) cutDirections(directions ...direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range ways {
-		n.cut[w] = true
+	for _, d := range directions {
+		n.cut[d] = true
 	}
 	n.signal()
 }
 
+// signal wakes those who wait for a change. n.mu is held.
 func (n *Network) signal() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// open reports whether none of some ways is cut, and what is closed when that may have changed.
-func (n *Network) open(ways ...direction) (bool, <-chan struct{}) {
+// open reports whether none of some directions is cut, and returns a channel that is closed when that may have changed.
+func (n *Network) open(directions ...direction) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range ways {
-		if n.cut[w] {
+	for _, d := range directions {
+		if n.cut[d] {
 			return false, n.changed
 		}
 	}
 	return true, n.changed
 }
 
-// awaitOpen waits until none of some ways is cut. It fails at the deadline, if there is one, and when the connection is closed.
-func (n *Network) awaitOpen(deadline time.Time, closed <-chan struct{}, ways ...direction) error {
-	var over <-chan time.Time
+// awaitOpen blocks until none of some directions is cut. It returns os.ErrDeadlineExceeded at the deadline, if that
+// isn't zero, and net.ErrClosed when closed is.
+func (n *Network) awaitOpen(deadline time.Time, closed <-chan struct{}, directions ...direction) error {
+	var expired <-chan time.Time
 	if !deadline.IsZero() {
 		timer := time.NewTimer(time.Until(deadline))
 		defer timer.Stop()
-		over = timer.C
+		expired = timer.C
 	}
 	for {
-		open, changed := n.open(ways...)
+		open, changed := n.open(directions...)
 		if open {
 			return nil
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-expired:
 			return os.ErrDeadlineExceeded
 		case <-closed:
 			return net.ErrClosed
@@ -117,7 +126,8 @@
 	}
 }
 
-// Dialer opens connections of one machine.
+// Dialer returns a function that dials as one machine. It blocks until both directions are open, for within at the
+// most.
 func (n *Network) Dialer(from string) func(addr string, within time.Duration) (net.Conn, error) {
 	return func(addr string, within time.Duration) (net.Conn, error) {
 		by := time.Now().Add(within)
@@ -125,7 +135,12 @@
 		if err != nil {
 			return nil, err
 		}
-		c := &networkConn{network: n, out: direction{from, to}, back: direction{to, from}, closed: make(chan struct{})}
+		c := &networkConn{
+			network: n,
+			out:     direction{from, to},
+			back:    direction{to, from},
+			closed:  make(chan struct{}),
+		}
 		if err := n.awaitOpen(by, nil, c.out, c.back); err != nil {
 			return nil, err
 		}
@@ -142,26 +157,29 @@
 // networkConn is a connection through a Network. One goroutine reads and one writes at a time.
 type networkConn struct {
 	net.Conn
-	network   *Network
-	out, back direction
+	network *Network
+	out     direction // from the machine that dialed
+	back    direction
 
-	mu                          sync.Mutex
-	readDeadline, writeDeadline time.Time // deadlines
-	once                        sync.Once
-	closed                      chan struct{}
+	mu            sync.Mutex
+	readDeadline  time.Time
+	writeDeadline time.Time
+	once          sync.Once     // for Close
+	closed        chan struct{} // closed by Close
 
-	received []byte // read but held by a cut
-	readErr  error  // what came after that
+	received []byte // read from the connection and not yet returned by Read; used by the reader only
+	readErr  error  // what came after received
 }
 
-// Read gives what has arrived, once its way is open.
+// Read returns what has arrived, once its direction is open.
 func (c *networkConn) Read(p []byte) (int, error) {
 	if len(c.received) == 0 && c.readErr == nil {
 		n, err := c.Conn.Read(p)
 		if n == 0 && err != nil && os.IsTimeout(err) {
 			return 0, err
 		}
-		c.received, c.readErr = append(c.received, p[:n]...), err
+		c.received = append(c.received, p[:n]...)
+		c.readErr = err
 	}
 	if err := c.network.awaitOpen(c.deadline(&c.readDeadline), c.closed, c.back); err != nil {
 		return 0, err
@@ -175,7 +193,7 @@
 	return n, nil
 }
 
-// Write sends once the way is open.
+// Write sends once its direction is open.
 func (c *networkConn) Write(p []byte) (int, error) {
 	if err := c.network.awaitOpen(c.deadline(&c.writeDeadline), c.closed, c.out); err != nil {
 		return 0, err
@@ -184,7 +202,7 @@
 	return c.Conn.Write(p)
 }
 
-// awaitDelay waits for as long as the way takes.
+// awaitDelay blocks for the network's Delay, or until the connection is closed.
 func (c *networkConn) awaitDelay() {
 	if c.network.Delay <= 0 {
 		return
@@ -197,16 +215,18 @@
 	}
 }
 
+// deadline returns one of the deadlines under the lock.
 func (c *networkConn) deadline(which *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return *which
 }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the deadlines of reads and writes.
 func (c *networkConn) SetDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.readDeadline, c.writeDeadline = t, t
+	c.readDeadline = t
+	c.writeDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetDeadline(t)
 }
@@ -227,7 +247,7 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Close ends the connection here; the other side learns of it once the way there is open.
+// Close closes the connection at this end; the other end learns of it once the direction there is open.
 func (c *networkConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
--- a/internal/fleet/simulation/operator.go
+++ b/internal/fleet/simulation/operator.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"encoding/json"
 	"io"
@@ -12,11 +13,24 @@
 	"github.com/go-faster/errors"
 )
 
-// Operator calls the operator's API at the ctl addresses.
+const (
+	// defaultCallTimeout bounds a call, with a second more for each MiB of its body.
+	defaultCallTimeout = time.Second
+	// defaultBackoff and longestBackoff bound the pauses between calls, which double.
+	defaultBackoff = 20 * time.Millisecond
+	longestBackoff = time.Second
+	// maxRedirects is how often a call follows a 307: to the leader, and once more when that has changed meanwhile.
+	maxRedirects = 2
+	// clientErrorLimit is the number of 4xx answers after which a call ends with the last of them.
+	clientErrorLimit = 3
+)
+
+// Operator calls the operator's API at the ctl addresses. Its fields are not to be changed during a call; it is safe
+// for concurrent use otherwise.
 type Operator struct {
-	Ctl     []string      // IP:PORT; tried in turn
-	Silence time.Duration // how long a call may be silent; a second, and more for large bodies, when 0
-	Backoff time.Duration // first pause between tries, doubled up to a second; 20 ms when 0
+	Ctl     []string      // IP:PORT; called in turn
+	Silence time.Duration // bounds each call; 1 s, and 1 s more for each MiB of its body, when 0
+	Backoff time.Duration // first pause between calls, doubled up to 1 s; 20 ms when 0
 	Tries   int           // most calls, 307s not counted; 0 for as many as ctx allows
 }
 
@@ -25,22 +39,23 @@
 	Status  int    // of the answer that ended the call; 0 when none did
 	Version uint64 // acknowledged (replace, update) or shown; 0 otherwise
 	Body    []byte
-	From    string // URL that answered
-	Tries   int
+	From    string    // URL that answered
+	Tries   int       // calls made, 307s not counted
 	At      time.Time // of the answer
 }
 
-// Replace sends a whole configuration built on base. doc is JSON as []byte, or a value to be marshalled.
+// Replace sends a complete configuration based on the version base, and blocks until an answer ends the call, or
+// returns an error when ctx or Tries does. doc is JSON as []byte, or a value to be marshalled.
 func (o *Operator) Replace(ctx context.Context, base uint64, doc any) (Reply, error) {
 	return o.submit(ctx, PathReplace, base, doc)
 }
 
-// Update sends a change of named items built on base; doc as for Replace.
+// Update is as Replace, for a change of named items.
 func (o *Operator) Update(ctx context.Context, base uint64, doc any) (Reply, error) {
 	return o.submit(ctx, PathUpdate, base, doc)
 }
 
-// Show asks for the newest configuration.
+// Show returns the newest configuration in Reply.Body; it blocks as Replace does.
 func (o *Operator) Show(ctx context.Context) (Reply, error) {
 	rep, err := o.call(ctx, http.MethodGet, PathShow, nil, nil)
 	if err == nil && rep.Status == http.StatusOK {
@@ -49,6 +64,7 @@
 	return rep, err
 }
 
+// submit sends a configuration or a change of one.
 func (o *Operator) submit(ctx context.Context, path string, base uint64, doc any) (Reply, error) {
 	body, ok := doc.([]byte)
 	if !ok {
@@ -58,7 +74,8 @@
 		}
 	}
 	rep, err := o.call(ctx, http.MethodPost, path, body, http.Header{
-		"Content-Type": {"application/json"}, HeaderBaseVersion: {strconv.FormatUint(base, 10)},
+		"Content-Type":    {"application/json"},
+		HeaderBaseVersion: {strconv.FormatUint(base, 10)},
 	})
 	if err == nil && rep.Status == http.StatusOK {
 		rep.Version, err = documentVersion(body)
@@ -66,6 +83,7 @@
 	return rep, err
 }
 
+// documentVersion returns the version of a configuration.
 func documentVersion(doc []byte) (uint64, error) {
 	var v struct {
 		Ver *uint64 `json:"ver"`
@@ -79,56 +97,67 @@
 	return *v.Ver, nil
 }
 
-// call goes from agent to agent until a call is ended: by any 2xx, by 400, 409, 412, 413 or 422 at once, by other 4xx at
-// the third try.
+// call makes calls, to one ctl address after the other, until one is final or ctx or Tries ends them.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, h http.Header) (Reply, error) {
 	if len(o.Ctl) == 0 {
 		return Reply{}, errors.New("no ctl address")
 	}
-	silence := o.Silence
-	if silence == 0 {
-		silence = time.Second + time.Duration(len(body)>>20)*time.Second
-	}
-	pause := o.Backoff
-	if pause == 0 {
-		pause = 20 * time.Millisecond
+	timeout := o.Silence
+	if timeout == 0 {
+		timeout = defaultCallTimeout + time.Duration(len(body)>>20)*time.Second
 	}
-	var last error
-	client4xx := 0
+	pause := cmp.Or(o.Backoff, defaultBackoff)
+	var lastErr error
+	clientErrors := 0
 	for n := 1; ; n++ {
-		rep, err := o.callOnce(ctx, silence, method, "http://"+o.Ctl[(n-1)%len(o.Ctl)]+path, body, h)
+		url := "http://" + o.Ctl[(n-1)%len(o.Ctl)] + path
+		rep, err := o.callOnce(ctx, timeout, method, url, body, h)
 		rep.Tries = n
-		switch s := rep.Status; {
-		case err != nil:
-			last = err
-		case s/100 == 2, s == 400, s == 409, s == 412, s == 413, s == 422:
-			return rep, nil
-		case s/100 == 4 && s != 408 && s != 429:
-			if client4xx++; client4xx == 3 {
+		if err != nil {
+			lastErr = err
+		} else {
+			if isClientError(rep.Status) {
+				clientErrors++
+			}
+			if isFinal(rep.Status) || clientErrors == clientErrorLimit {
 				return rep, nil
 			}
-			last = errors.Errorf("status %d from %s", s, rep.From)
-		default:
-			last = errors.Errorf("status %d from %s", s, rep.From)
+			lastErr = errors.Errorf("status %d from %s", rep.Status, rep.From)
 		}
 		if o.Tries > 0 && n >= o.Tries {
-			return Reply{Tries: n}, errors.Wrapf(last, "%s %s: %d tries", method, path, n)
+			return Reply{Tries: n}, errors.Wrapf(lastErr, "%s %s: %d tries", method, path, n)
 		}
 		if err := sleep(ctx, pause); err != nil {
-			return Reply{Tries: n}, errors.Wrapf(last, "%s %s: %v", method, path, err)
+			return Reply{Tries: n}, errors.Wrapf(lastErr, "%s %s: %v", method, path, err)
 		}
-		pause = min(2*pause, time.Second)
+		pause = min(2*pause, longestBackoff)
 	}
 }
 
-// tryReserve makes one call, following 307 twice.
+// isFinal reports whether a status ends a call at once: any 2xx, and those that another agent would answer with as
+// well.
+func isFinal(status int) bool {
+	switch status {
+	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
+		http.StatusUnprocessableEntity:
+		return true
+	}
+	return status/100 == 2
+}
+
+// isClientError reports whether a status is a 4xx that another agent may answer with as well.
+func isClientError(status int) bool {
+	return status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
+}
+
+// callOnce makes one call, following up to maxRedirects 307s. timeout bounds each of these.
 func (o *Operator) callOnce(
-	ctx context.Context, silence time.Duration, method, url string, body []byte, h http.Header,
+	ctx context.Context, timeout time.Duration, method, url string, body []byte, h http.Header,
 ) (Reply, error) {
 	client := http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		Timeout:       silence,
+		Timeout:       timeout,
 	}
 	for hop := 0; ; hop++ {
 		req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -142,17 +171,22 @@
 		if err != nil {
 			return Reply{}, errors.Wrap(err, "call")
 		}
-		got, err := io.ReadAll(resp.Body)
+		answer, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil {
 			return Reply{}, errors.Wrap(err, "read answer")
 		}
-		if resp.StatusCode == http.StatusTemporaryRedirect && hop < 2 {
+		if resp.StatusCode == http.StatusTemporaryRedirect && hop < maxRedirects {
 			if url = resp.Header.Get("Location"); url == "" {
 				return Reply{}, errors.New("307 without Location")
 			}
 			continue
 		}
-		return Reply{Status: resp.StatusCode, Body: got, From: url, At: time.Now()}, nil
+		return Reply{
+			Status: resp.StatusCode,
+			Body:   answer,
+			From:   url,
+			At:     time.Now(),
+		}, nil
 	}
 }
--- a/internal/fleet/simulation/operator_test.go
+++ b/internal/fleet/simulation/operator_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// serveCtl serves ctl with f.
+// serveCtl serves ctl with f until the test ends.
 func serveCtl(c *qt.C, f http.HandlerFunc) (address string) {
 	srv := httptest.NewServer(f)
 	c.Cleanup(srv.Close)
@@ -36,10 +36,14 @@
 	one := serveCtl(c, to(primary))
 	two := serveCtl(c, to(one))
 	three := serveCtl(c, to(two)) // a third 307 is not followed
-	silent := serveCtl(c, func(_ http.ResponseWriter, r *http.Request) { io.ReadAll(r.Body); <-r.Context().Done() })
+	unresponsive := serveCtl(c, func(_ http.ResponseWriter, r *http.Request) {
+		io.ReadAll(r.Body)
+		<-r.Context().Done()
+	})
 	op := &Operator{
-		Ctl:     []string{serveCtl(c, status(503)), serveCtl(c, status(429)), silent, three, two},
-		Silence: time.Second, Backoff: time.Millisecond,
+		Ctl:     []string{serveCtl(c, status(503)), serveCtl(c, status(429)), unresponsive, three, two},
+		Silence: time.Second,
+		Backoff: time.Millisecond,
 	}
 	rep, err := op.Replace(c.Context(), 5, []byte(doc))
 	c.Assert(err, qt.IsNil)
@@ -50,14 +54,14 @@
 func TestOperatorEnds(t *testing.T) {
 	c := qt.New(t)
 	for _, tc := range []struct{ status, tries int }{{400, 1}, {409, 1}, {412, 1}, {413, 1}, {422, 1}, {404, 3}} {
-		op := &Operator{Backoff: time.Millisecond, Ctl: []string{serveCtl(c, func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(tc.status)
-		})}}
+		ctl := serveCtl(c, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(tc.status) })
+		op := &Operator{Backoff: time.Millisecond, Ctl: []string{ctl}}
 		rep, err := op.Update(c.Context(), 1, map[string]any{"ver": 2})
 		c.Assert(err, qt.IsNil)
 		c.Assert([]int{rep.Status, rep.Tries}, qt.DeepEquals, []int{tc.status, tc.tries})
 	}
-	show := &Operator{Ctl: []string{serveCtl(c, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"ver":9}`) })}}
+	ctl := serveCtl(c, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"ver":9}`) })
+	show := &Operator{Ctl: []string{ctl}}
 	rep, err := show.Show(c.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(rep.Version, qt.Equals, uint64(9))
--- a/internal/fleet/simulation/platform.go
+++ b/internal/fleet/simulation/platform.go
@@ -12,15 +12,18 @@
 	"time"
 )
 
-// PlatformSettings say how the list is given.
+// rateWindow is the time in which PlatformSettings.Rate counts calls: rate_s is calls a second.
+const rateWindow = time.Second
+
+// PlatformSettings configure a Platform.
 type PlatformSettings struct {
 	Page  int              // entries on a page; 50 when 0
-	Rate  float64          // rate_s: calls taken from all in a second, at least 1; 0 for no bound
-	Delay time.Duration    // delay_ms: how far the list is behind
+	Rate  float64          // rate_s: calls accepted from all callers in a second, at least 1; 0 for no bound
+	Delay time.Duration    // delay_ms: how long after a change the list shows it; 0 for at once
 	Now   func() time.Time // time.Now when nil
 }
 
-// Backend is one entry of the platform's list.
+// Backend is one entry of the Platform's list.
 type Backend struct {
 	ID         string  `json:"id"`
 	Service    string  `json:"svc"`
@@ -34,28 +37,30 @@
 	Models     []Model `json:"model_list,omitempty"`
 }
 
+// listedEngine is an Engine with its state in the list.
 type listedEngine struct {
 	e     *Engine
 	state string
 }
 
+// listVersion is the list from a time on.
 type listVersion struct {
 	at   time.Time
 	list []Backend
 }
 
-// Platform gives the list of backends over HTTP: GET /backends with az and marker. It is safe for concurrent use.
+// Platform serves the list of backends over HTTP: GET /backends with az and marker. It is safe for concurrent use.
 type Platform struct {
 	s        PlatformSettings
 	listener net.Listener
 
 	mu            sync.Mutex
 	engines       []listedEngine
-	history       []listVersion
-	recentCalls   []time.Time // taken in the last second
+	history       []listVersion // the oldest first; never empty
+	recentCalls   []time.Time   // accepted within rateWindow
 	totalCalls    int
 	rejectedCalls int
-	down          bool
+	down          bool // see SetDown
 }
 
 // StartPlatform starts a Platform, which ends with the test, with engines listed as up.
@@ -72,7 +77,7 @@
 		tb.Fatalf("simulation: platform: %v", err)
 	}
 	p := &Platform{s: s, listener: ln}
-	// What is there at the start was always there: the lag begins with the first change.
+	// What is there at the start was always there: the delay begins with the first change.
 	p.history = []listVersion{{}}
 	for _, e := range engines {
 		p.engines = append(p.engines, listedEngine{e, StateUp})
@@ -87,20 +92,27 @@
 	return p
 }
 
-// snapshot returns the list as it is now. Apart from the start, p.mu is held.
+// snapshot returns the current list. But for StartPlatform, p.mu is held.
 func (p *Platform) snapshot() []Backend {
 	out := []Backend{}
 	for _, l := range p.engines {
 		s := l.e.Settings()
 		out = append(out, Backend{
-			ID: l.e.ID(), Service: s.Service, Address: s.Address, Zone: s.Zone, Version: s.Version,
-			Capacity: s.Capacity, State: l.state, Phase: l.e.Phase(), Models: l.e.Models(),
+			ID:       l.e.ID(),
+			Service:  s.Service,
+			Address:  s.Address,
+			Zone:     s.Zone,
+			Version:  s.Version,
+			Capacity: s.Capacity,
+			State:    l.state,
+			Phase:    l.e.Phase(),
+			Models:   l.e.Models(),
 		})
 	}
 	return out
 }
 
-// recordList records the list as it is now.
+// recordList adds the current list to the history.
 func (p *Platform) recordList() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +135,7 @@
 	}
 }
 
-// Drain shows engines as draining and sets their Draining fault; they go on serving.
+// Drain lists engines as draining and sets their Draining fault; they go on serving.
 func (p *Platform) Drain(engines ...*Engine) {
 	p.mu.Lock()
 	for i, l := range p.engines {
@@ -140,7 +152,7 @@
 	}
 }
 
-// Remove takes engines off the list. Until then, those that crashed stay on it.
+// Remove takes engines off the list; without it, those that crashed stay on it.
 func (p *Platform) Remove(engines ...*Engine) {
 	p.mu.Lock()
 	p.engines = slices.DeleteFunc(p.engines, func(l listedEngine) bool { return slices.Contains(engines, l.e) })
@@ -155,14 +167,14 @@
 	p.down = down
 }
 
-// Calls returns how many calls came and how many of them got 429.
-func (p *Platform) Calls() (all, refused int) {
+// Calls returns how many calls came, and how many of them were answered with 429.
+func (p *Platform) Calls() (total, rejected int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.totalCalls, p.rejectedCalls
 }
 
-// reportAtClient returns the list as it stood Delay ago.
+// listAt returns the list as it was Delay before now. p.mu is held.
 func (p *Platform) listAt(now time.Time) []Backend {
 	at := now.Add(-p.s.Delay)
 	i := len(p.history) - 1
@@ -172,10 +184,10 @@
 	return p.history[i].list
 }
 
-// accept counts a call and tells whether the rate allows it.
+// admitCall counts a call and reports whether the rate allows it. p.mu is held.
 func (p *Platform) admitCall(now time.Time) bool {
 	p.totalCalls++
-	p.recentCalls = slices.DeleteFunc(p.recentCalls, func(t time.Time) bool { return now.Sub(t) >= time.Second })
+	p.recentCalls = slices.DeleteFunc(p.recentCalls, func(t time.Time) bool { return now.Sub(t) >= rateWindow })
 	if p.s.Rate > 0 && float64(len(p.recentCalls)+1) > max(p.s.Rate, 1) {
 		p.rejectedCalls++
 		return false
@@ -184,45 +196,61 @@
 	return true
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP answers a call for the list, from the entry on that the marker names.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	now := p.s.Now()
-	ok, down := p.admitCall(now), p.down
+	admitted := p.admitCall(now)
+	down := p.down
 	list := p.listAt(now)
 	p.mu.Unlock()
-	from, bad := 0, r.Method != http.MethodGet
-	if m := r.URL.Query().Get("marker"); m != "" {
-		n, err := strconv.Atoi(strings.TrimPrefix(m, "p-"))
-		from, bad = n, bad || err != nil || n < 0
-	}
+	from, markerOK := parseMarker(r.URL.Query().Get("marker"))
 	switch {
 	case down:
-		panic(http.ErrAbortHandler)
-	case !ok:
+		panic(http.ErrAbortHandler) // closes the connection without an answer
+	case !admitted:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case r.URL.Path != "/backends":
 		w.WriteHeader(http.StatusNotFound)
 		return
-	case bad:
+	case r.Method != http.MethodGet || !markerOK:
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	if az := r.URL.Query().Get("az"); az != "" {
 		list = slices.DeleteFunc(slices.Clone(list), func(b Backend) bool { return b.Zone != az })
 	}
-	page := struct {
-		Backends   []Backend `json:"backends"`
-		NextMarker *string   `json:"next_marker"`
-	}{Backends: []Backend{}}
+	w.Header().Set("Content-Type", "application/json")
+	json.NewEncoder(w).Encode(p.page(list, from))
+}
+
+// markerPrefix begins the marker of a page; the index of its first entry follows.
+const markerPrefix = "p-"
+
+// parseMarker returns the index of a page's first entry: 0 without a marker.
+func parseMarker(marker string) (from int, ok bool) {
+	if marker == "" {
+		return 0, true
+	}
+	from, err := strconv.Atoi(strings.TrimPrefix(marker, markerPrefix))
+	return from, err == nil && from >= 0
+}
+
+// listPage is the answer to a call for the list. NextMarker is nil on the last page.
+type listPage struct {
+	Backends   []Backend `json:"backends"`
+	NextMarker *string   `json:"next_marker"`
+}
+
+// page returns the page of a list that begins at an index.
+func (p *Platform) page(list []Backend, from int) listPage {
 	from = min(from, len(list))
 	to := min(from+p.s.Page, len(list))
-	page.Backends = append(page.Backends, list[from:to]...)
+	page := listPage{Backends: append([]Backend{}, list[from:to]...)}
 	if to < len(list) {
-		m := fmt.Sprintf("p-%d", to)
-		page.NextMarker = &m
+		marker := fmt.Sprintf("%s%d", markerPrefix, to)
+		page.NextMarker = &marker
 	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(page)
+	return page
 }
--- a/internal/fleet/simulation/platform_test.go
+++ b/internal/fleet/simulation/platform_test.go
@@ -10,6 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// page is an answer of the platform.
 type page struct {
 	Backends []Backend `json:"backends"`
 	Next     *string   `json:"next_marker"`
@@ -51,7 +52,7 @@
 	c.Assert(az.Backends, qt.HasLen, 2)
 	c.Assert(az.Backends[1].ID, qt.Equals, es[2].ID())
 
-	// A change is seen delay_ms later; a crashed backend stays.
+	// A change is listed delay_ms later; a crashed backend stays.
 	p.Drain(es[0])
 	es[1].Crash()
 	k.advance(999 * time.Millisecond)
--- a/internal/fleet/simulation/program.go
+++ b/internal/fleet/simulation/program.go
@@ -14,11 +14,20 @@
 	"github.com/go-faster/errors"
 )
 
-// Program is a process that was started with a settings file.
+const (
+	// readyTimeout bounds one call or connect of AwaitReady and AwaitListening.
+	readyTimeout = time.Second
+	// firstPollPause and longestPollPause bound the pauses between these: a program on loopback is ready within tens of
+	// milliseconds, and a busy machine shouldn't be kept busier.
+	firstPollPause   = 5 * time.Millisecond
+	longestPollPause = 100 * time.Millisecond
+)
+
+// Program is a process that was started with a settings file. It is safe for concurrent use.
 type Program struct {
 	cmd  *exec.Cmd
 	out  *output
-	done chan struct{}
+	done chan struct{} // closed when the process has ended
 }
 
 // output collects what a process writes.
@@ -27,21 +36,22 @@
 	b  bytes.Buffer
 }
 
-// Write adds p.
+// Write appends p.
 func (o *output) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.b.Write(p)
 }
 
+// String returns all that was written so far.
 func (o *output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.b.String()
 }
 
-// Exec starts binary with args, with MOLEPADDLE_CONFIG and only the caller's PATH, HOME and LANG. It is killed with the
-// test; if the test failed, its output goes to the test's log.
+// Exec starts binary with args, with MOLEPADDLE_CONFIG and only the caller's PATH, HOME and LANG as its environment. It
+// is killed when the test ends; if the test failed, its output is written to the test's log.
 func Exec(tb TB, boot BootFile, binary string, args ...string) *Program {
 	tb.Helper()
 	p := &Program{cmd: exec.Command(binary, args...), out: &output{}, done: make(chan struct{})}
@@ -71,16 +81,16 @@
 // Output returns what the process has written so far.
 func (p *Program) Output() string { return p.out.String() }
 
-// Signal sends a signal, as the platform does with SIGTERM and SIGHUP; it does nothing after the end.
+// Signal sends a signal, as the platform does with SIGTERM and SIGHUP; it does nothing after the process has ended.
 func (p *Program) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and blocks until the process has ended.
 func (p *Program) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Wait waits for the end and returns the exit code (-1 after a signal), or -1 and ctx's error.
+// Wait blocks until the process has ended and returns its exit code (-1 after a signal), or -1 with ctx's error.
 func (p *Program) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-p.done:
@@ -90,9 +100,10 @@
 	}
 }
 
-// AwaitReady returns when GET /molepaddle/readyz at address (IP:PORT) answers 200, or ctx's error with the last failure.
+// AwaitReady blocks until GET /molepaddle/readyz at address (IP:PORT) answers 200, or returns ctx's error with the last
+// failure.
 func AwaitReady(ctx context.Context, address string) error {
-	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return poll(ctx, func() error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathReady, nil)
 		if err != nil {
@@ -110,11 +121,11 @@
 	})
 }
 
-// AwaitListening returns when something listens at address (IP:PORT), for roles without readyz, or ctx's error with the
-// last failure.
+// AwaitListening blocks until something listens at address (IP:PORT), for roles without readyz, or returns ctx's error
+// with the last failure.
 func AwaitListening(ctx context.Context, address string) error {
 	return poll(ctx, func() error {
-		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", address)
+		c, err := (&net.Dialer{Timeout: readyTimeout}).DialContext(ctx, "tcp", address)
 		if err != nil {
 			return err
 		}
@@ -122,17 +133,17 @@
 	})
 }
 
-// poll calls f until it succeeds or ctx ends, with pauses of 5 ms that double up to 100 ms.
+// poll calls f until it returns nil or ctx ends, with pauses that double.
 func poll(ctx context.Context, f func() error) error {
-	pause := 5 * time.Millisecond
+	pause := firstPollPause
 	for {
 		err := f()
 		if err == nil {
 			return nil
 		}
-		if werr := sleep(ctx, pause); werr != nil {
-			return errors.Wrapf(werr, "not ready: %v", err)
+		if ctxErr := sleep(ctx, pause); ctxErr != nil {
+			return errors.Wrapf(ctxErr, "not ready: %v", err)
 		}
-		pause = min(2*pause, 100*time.Millisecond)
+		pause = min(2*pause, longestPollPause)
 	}
 }
--- a/internal/fleet/simulation/relaynetwork.go
+++ b/internal/fleet/simulation/relaynetwork.go
@@ -15,31 +15,35 @@
 	"molepaddle/internal/protocol/sockets"
 )
 
-// RelayNetwork is the links between machines of one test, each with its own address of 127.0.0.0/8: a relay through which
-// processes dial each other with DialRelay, so that links can be cut and delayed in each direction apart.
+// RelayNetwork is the links between machines of one test, each with its own address of 127.0.0.0/8: a relay through
+// which processes dial each other with DialRelay, so that links can be cut and delayed in each direction independently.
+// It is safe for concurrent use.
 //
-// A direction that is cut carries nothing: what was sent waits and comes after the cut, unless the machine that dialed
-// gives the connection up before. It does so as TCP_USER_TIMEOUT would: once bytes of its own were not acknowledged for
-// as long as its dial was given, which either direction's cut brings about. A dial needs both directions.
+// A direction that is cut carries nothing: what was sent is held up until the cut heals, unless the machine that dialed
+// closes the connection before. It does so as TCP_USER_TIMEOUT would: once bytes of its own were not acknowledged for
+// as long as its dial's bound, which a cut of either direction causes. A dial needs both directions.
 type RelayNetwork struct {
 	listener net.Listener
 
 	mu      sync.Mutex
-	cuts    map[Link]int
+	cuts    map[Link]int // a link is open at 0
 	delays  map[Link]time.Duration
 	aliases map[string]string
-	changed chan struct{} // closed and made anew with each change
+	changed chan struct{} // closed and replaced at each change of cuts or delays
 }
 
 // Link is one direction between two machines, by their IPs.
 type Link struct{ From, To string }
 
-// relayGreeting is the line with which a dial begins: the dialing machine's IP, the address and the bound in ms.
+// relayGreeting is the line with which a dial begins: the dialing machine's IP, the address and the dial's bound in ms.
 const relayGreeting = "%s %s %d\n"
 
-// relayOpen is the byte that tells a dialing process that its connection stands.
+// relayOpen is the byte with which the relay answers once the connection is open.
 const relayOpen = '+'
 
+// relayChunk is the most bytes that the relay holds of one direction; more wait with the sender.
+const relayChunk = 64 << 10
+
 // StartRelayNetwork starts a RelayNetwork without cuts, which ends with the test.
 func StartRelayNetwork(tb TB) *RelayNetwork {
 	tb.Helper()
@@ -47,7 +51,13 @@
 	if err != nil {
 		tb.Fatalf("simulation: network: %v", err)
 	}
-	n := &RelayNetwork{listener: ln, cuts: map[Link]int{}, delays: map[Link]time.Duration{}, aliases: map[string]string{}, changed: make(chan struct{})}
+	n := &RelayNetwork{
+		listener: ln,
+		cuts:     map[Link]int{},
+		delays:   map[Link]time.Duration{},
+		aliases:  map[string]string{},
+		changed:  make(chan struct{}),
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(func() {
 		cancel()
@@ -57,22 +67,23 @@
 	return n
 }
 
-// Address is where the relay listens, for DialRelay.
+// Address returns the IP:PORT of the relay, for DialRelay.
 func (n *RelayNetwork) Address() string { return n.listener.Addr().String() }
 
-// Alias has connections to one address led to another.
+// Alias makes the relay connect to one address instead of another.
 func (n *RelayNetwork) Alias(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.aliases[from] = to
 }
 
-// Cut cuts links; one that was cut twice needs two calls of Heal.
+// Cut cuts links. One that was cut twice is open after two calls of Heal.
 func (n *RelayNetwork) Cut(links ...Link) { n.addCuts(1, links) }
 
-// Heal takes back one cut of each link.
+// Heal undoes one cut of each link.
 func (n *RelayNetwork) Heal(links ...Link) { n.addCuts(-1, links) }
 
+// addCuts changes the number of cuts of each link.
 func (n *RelayNetwork) addCuts(by int, links []Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,7 +93,7 @@
 	n.signal()
 }
 
-// Delay has what passes a link come later; 0 takes it back.
+// Delay delays what passes each link from now on; 0 undoes it.
 func (n *RelayNetwork) Delay(d time.Duration, links ...Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,18 +103,20 @@
 	n.signal()
 }
 
+// signal wakes those who wait for a change. n.mu is held.
 func (n *RelayNetwork) signal() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// open tells whether a link carries anything, how late, and what is closed when that changes.
+// open returns whether a link is open, its delay, and a channel that is closed when either may have changed.
 func (n *RelayNetwork) open(l Link) (open bool, delay time.Duration, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[l] <= 0, n.delays[l], n.changed
 }
 
+// resolve returns the address to which connections to addr go.
 func (n *RelayNetwork) resolve(addr string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -113,7 +126,7 @@
 	return addr
 }
 
-// awaitOpen waits until a link carries; false: ctx ended first.
+// awaitOpen blocks until a link is open, and reports false when ctx ended first.
 func (n *RelayNetwork) awaitOpen(ctx context.Context, l Link) bool {
 	for {
 		open, _, changed := n.open(l)
@@ -128,6 +141,7 @@
 	}
 }
 
+// serve relays connections, each on goroutines of its own, until the listener is closed.
 func (n *RelayNetwork) serve(ctx context.Context) {
 	for {
 		c, err := n.listener.Accept()
@@ -138,46 +152,37 @@
 	}
 }
 
-// relayedConn is one connection through the relay.
+// relayedConn is one connection through the relay. ctx ends with either end of it.
 type relayedConn struct {
 	network     *RelayNetwork
 	ctx         context.Context
 	dialer      net.Conn
 	target      net.Conn
-	out         Link // from the machine that dialed
-	dialTimeout time.Duration
+	out         Link          // from the machine that dialed
+	dialTimeout time.Duration // the dial's bound, and that of an acknowledgement
 }
 
 // back is the direction towards the machine that dialed.
 func (c *relayedConn) back() Link { return Link{From: c.out.To, To: c.out.From} }
 
-// relayDial answers one dial and passes on what both ends send until one closes.
+// relayDial serves one dial: it connects to the target and copies what both ends send until one closes.
 func (n *RelayNetwork) relayDial(ctx context.Context, dialer net.Conn) {
 	defer dialer.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := bufio.NewReader(dialer)
-	line, err := r.ReadString('\n')
-	if err != nil {
-		return
-	}
-	var from, to string
-	var ms int64
-	if _, err := fmt.Sscanf(line, relayGreeting, &from, &to, &ms); err != nil {
-		return
-	}
-	host, _, err := net.SplitHostPort(to)
+	fromDialer := bufio.NewReader(dialer)
+	g, err := readGreeting(fromDialer)
 	if err != nil {
 		return
 	}
-	c := &relayedConn{network: n, ctx: ctx, dialer: dialer, out: Link{From: from, To: host}, dialTimeout: time.Duration(ms) * time.Millisecond}
-	dialing, stop := context.WithTimeout(ctx, c.dialTimeout)
-	defer stop()
-	if !n.awaitOpen(dialing, c.out) || !n.awaitOpen(dialing, c.back()) {
-		return
+	c := &relayedConn{
+		network:     n,
+		ctx:         ctx,
+		dialer:      dialer,
+		out:         g.link,
+		dialTimeout: g.within,
 	}
-	c.target, err = (&net.Dialer{}).DialContext(dialing, "tcp", n.resolve(to))
-	if err != nil {
+	if err := c.dialTarget(g.address); err != nil {
 		return
 	}
 	defer c.target.Close()
@@ -192,13 +197,54 @@
 		defer cancel()
 		c.copyDirection(c.target, dialer, c.back(), false)
 	}()
-	c.copyDirection(r, c.target, c.out, true)
+	c.copyDirection(fromDialer, c.target, c.out, true)
 }
 
-// relayChunk is how much of a direction the relay holds at the most; more waits with the sender.
-const relayChunk = 64 << 10
+// greeting is what a dial begins with.
+type greeting struct {
+	link    Link // from the dialing machine to the host of address
+	address string
+	within  time.Duration
+}
+
+// readGreeting blocks until the greeting has come.
+func readGreeting(r *bufio.Reader) (greeting, error) {
+	line, err := r.ReadString('\n')
+	if err != nil {
+		return greeting{}, err
+	}
+	var from, address string
+	var ms int64
+	if _, err := fmt.Sscanf(line, relayGreeting, &from, &address, &ms); err != nil {
+		return greeting{}, err
+	}
+	host, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return greeting{}, err
+	}
+	return greeting{
+		link:    Link{From: from, To: host},
+		address: address,
+		within:  time.Duration(ms) * time.Millisecond,
+	}, nil
+}
+
+// dialTarget connects to the target, once both directions are open, within the dial's bound.
+func (c *relayedConn) dialTarget(address string) error {
+	ctx, cancel := context.WithTimeout(c.ctx, c.dialTimeout)
+	defer cancel()
+	if !c.network.awaitOpen(ctx, c.out) || !c.network.awaitOpen(ctx, c.back()) {
+		return ctx.Err()
+	}
+	target, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.network.resolve(address))
+	if err != nil {
+		return err
+	}
+	c.target = target
+	return nil
+}
 
-// copyDirection copies one direction until an end closes; dialed tells that the sender is the machine that dialed.
+// copyDirection copies one direction until an end closes; dialed says that the sender is the machine that dialed.
 func (c *relayedConn) copyDirection(from io.Reader, to io.Writer, l Link, dialed bool) {
 	b := make([]byte, relayChunk)
 	for {
@@ -215,19 +261,19 @@
 			}
 		}
 		if err != nil {
-			c.network.awaitOpen(c.ctx, l) // the other end learns of it once it can
+			c.network.awaitOpen(c.ctx, l) // the other end learns of the close once its link is open
 			return
 		}
 	}
 }
 
-// awaitPassage waits until the link carries what was read; false: the connection is over.
+// awaitPassage blocks until the link carries what was read, and reports false when the connection has ended.
 func (c *relayedConn) awaitPassage(l Link, dialed bool) bool {
 	ctx := c.ctx
 	if dialed {
-		waiting, stop := context.WithTimeout(ctx, c.dialTimeout)
-		defer stop()
-		ctx = waiting
+		bounded, cancel := context.WithTimeout(ctx, c.dialTimeout)
+		defer cancel()
+		ctx = bounded
 	}
 	for {
 		if !c.network.awaitOpen(ctx, l) {
@@ -246,23 +292,24 @@
 	}
 }
 
-// watchAcknowledgement ends the connection where the way back is cut for longer than the dialing machine waits for an
-// acknowledgement of what it sent.
+// watchAcknowledgement closes the connection if the direction back is cut for longer than the dialing machine waits for
+// an acknowledgement of what it sent. It doesn't block; its goroutine ends with the cut, that time or the connection.
 func (c *relayedConn) watchAcknowledgement() {
 	back := c.back()
 	if open, _, _ := c.network.open(back); open {
 		return
 	}
 	go func() {
-		waiting, stop := context.WithTimeout(c.ctx, c.dialTimeout)
-		defer stop()
-		if !c.network.awaitOpen(waiting, back) {
+		ctx, cancel := context.WithTimeout(c.ctx, c.dialTimeout)
+		defer cancel()
+		if !c.network.awaitOpen(ctx, back) {
 			c.dialer.Close()
 		}
 	}()
 }
 
-// DialRelay connects to an address by way of a RelayNetwork's relay, as the machine with the IP given.
+// DialRelay connects to an address through the relay of a RelayNetwork, as the machine with the given IP. It blocks for
+// within at the most; within also bounds how long bytes may stay unacknowledged.
 func DialRelay(relay, ip, address string, within time.Duration) (net.Conn, error) {
 	c, err := (&net.Dialer{Timeout: within, KeepAlive: -1, Control: sockets.UserTimeout(within)}).Dial("tcp", relay)
 	if err != nil {
@@ -275,6 +322,7 @@
 	return c, nil
 }
 
+// greet sends the greeting and blocks until the relay answers that the connection is open.
 func greet(c net.Conn, ip, address string, within time.Duration) error {
 	if strings.ContainsAny(address, " \n") {
 		return errors.New("no address")
--- a/internal/fleet/simulation/relaynetwork_test.go
+++ b/internal/fleet/simulation/relaynetwork_test.go
@@ -21,13 +21,14 @@
 )
 
 const (
-	// networkTimeout bounds what must happen; networkShort what must not.
+	// networkTimeout bounds the wait for what must happen.
 	networkTimeout = 10 * time.Second
-	networkShort   = 50 * time.Millisecond
+	// networkShort is the wait for what must not happen.
+	networkShort = 50 * time.Millisecond
 )
 
-// startEcho listens at the target and gives each connection's other end.
-func startEcho(c *qt.C) (address string, accepted <-chan net.Conn) {
+// listenAtTarget listens at the target's address and sends each accepted connection.
+func listenAtTarget(c *qt.C) (address string, accepted <-chan net.Conn) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(targetIP, "0"))
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { ln.Close() })
@@ -44,11 +45,17 @@
 	return ln.Addr().String(), ends
 }
 
-func pair(c *qt.C, n *RelayNetwork, address string, accepted <-chan net.Conn, within time.Duration) (dialer, target net.Conn) {
+// pair returns both ends of a connection through the relay.
+func pair(
+	c *qt.C, n *RelayNetwork, address string, accepted <-chan net.Conn, within time.Duration,
+) (dialer, target net.Conn) {
 	dialer, err := DialRelay(n.Address(), dialingIP, address, within)
 	c.Assert(err, qt.IsNil)
 	target = <-accepted
-	c.Cleanup(func() { dialer.Close(); target.Close() })
+	c.Cleanup(func() {
+		dialer.Close()
+		target.Close()
+	})
 	return dialer, target
 }
 
@@ -72,11 +79,11 @@
 	c.Assert(ok && timeout.Timeout(), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// TestRelayNetworkForwards: both directions of an open link carry what is sent, an alias leads elsewhere.
+// TestRelayNetworkForwards: both directions of an open link carry what is sent, an alias changes the target.
 func TestRelayNetworkForwards(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
-	address, accepted := startEcho(c)
+	address, accepted := listenAtTarget(c)
 	n.Alias("127.0.9.2:1", address)
 	dialer, target := pair(c, n, "127.0.9.2:1", accepted, networkTimeout)
 	sendText(c, dialer, "request")
@@ -92,7 +99,7 @@
 func TestRelayNetworkCutsOneWay(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
-	address, accepted := startEcho(c)
+	address, accepted := listenAtTarget(c)
 	dialer, target := pair(c, n, address, accepted, networkTimeout)
 	n.Cut(outbound)
 	sendText(c, dialer, "held up")
@@ -113,12 +120,12 @@
 	expectText(c, dialer, "late")
 }
 
-// TestRelayNetworkDialsNeedBothWays: a dial over a link that is cut in one direction ends with its bound, and one that is healed
-// meanwhile comes through.
+// TestRelayNetworkDialsNeedBothWays: a dial over a link that is cut in one direction fails at its bound, and one over a
+// link that heals meanwhile succeeds.
 func TestRelayNetworkDialsNeedBothWays(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
-	address, accepted := startEcho(c)
+	address, accepted := listenAtTarget(c)
 	for _, l := range []Link{outbound, inbound} {
 		n.Cut(l)
 		_, err := DialRelay(n.Address(), dialingIP, address, networkShort)
@@ -145,14 +152,14 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-// TestRelayNetworkTimesOut: who dialed loses the connection once its bytes were not acknowledged for as long as its dial was
-// given, whichever direction is cut; what a cut held up is lost with it.
+// TestRelayNetworkTimesOut: the dialing machine loses the connection once its bytes were not acknowledged for as long
+// as its dial's bound, whichever direction is cut; what a cut held up is lost with it.
 func TestRelayNetworkTimesOut(t *testing.T) {
 	for _, l := range []Link{outbound, inbound} {
 		t.Run(l.From, func(t *testing.T) {
 			c := qt.New(t)
 			n := StartRelayNetwork(c)
-			address, accepted := startEcho(c)
+			address, accepted := listenAtTarget(c)
 			dialer, target := pair(c, n, address, accepted, networkShort)
 			n.Cut(l)
 			sendText(c, dialer, "request")
@@ -174,11 +181,11 @@
 	}
 }
 
-// TestRelayNetworkDelays: what passes a slow link comes late.
+// TestRelayNetworkDelays: what passes a link with a delay comes late.
 func TestRelayNetworkDelays(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
-	address, accepted := startEcho(c)
+	address, accepted := listenAtTarget(c)
 	dialer, target := pair(c, n, address, accepted, networkTimeout)
 	const late = 60 * time.Millisecond
 	n.Delay(late, outbound)
--- a/internal/fleet/simulation/request.go
+++ b/internal/fleet/simulation/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind is a route's kind.
+// Kind is a route's kind: it says whether a request may run more than once.
 type Kind string
 
 // The kinds of routes.
@@ -15,9 +15,9 @@
 	Stream   Kind = "stream"
 )
 
-// Request is one try of a client. Attempt is drawn when empty.
+// Request is one attempt of a client.
 type Request struct {
-	Attempt   string
+	Attempt   string // X-Molepaddle-Attempt-Id; random when empty
 	Kind      Kind   // ReadOnly when empty
 	Resumable bool   // streams: the route has resumable
 	Method    string // POST when empty
@@ -25,25 +25,25 @@
 	Path      string // with the query
 	Body      []byte
 	Chunked   bool          // send the body in chunks
-	Deadline  time.Duration // X-Molepaddle-Deadline-Ms, and the bound of the whole try; 10 s and no header when 0
-	Model     string
-	Tokens    [2]int // prompt, most to come out; no header when both are 0
-	Parts     []Part // X-Molepaddle-Prompt-Prefix
-	LastEvent int    // Last-Event-Id; no header when 0
-	Header    http.Header
-	// Services are those to which any configuration that may be in force lets the request go. Nil: not judged. Empty,
+	Deadline  time.Duration // X-Molepaddle-Deadline-Ms, and the bound of the attempt; 10 s and no header when 0
+	Model     string        // X-Molepaddle-Model; no header when empty
+	Tokens    [2]int        // of the prompt, and the most to come out; no header when both are 0
+	Parts     []Part        // X-Molepaddle-Prompt-Prefix
+	LastEvent int           // Last-Event-Id; no header when 0
+	Header    http.Header   // further headers
+	// Services are those to which any configuration that may be in force routes the request. Nil: not judged. Empty,
 	// not nil: no service may run it.
 	Services []string
-	// Regions are those in which it may run, be read and be kept. Nil: anywhere.
+	// Regions are those in which it may run, be prefilled and be cached. Nil: any.
 	Regions []string
 }
 
-// Idempotent tells whether r may run more than once.
+// Idempotent reports whether r may run more than once.
 func (r Request) Idempotent() bool {
 	return r.Kind == ReadOnly || r.Kind == "" || r.Kind == Stream && r.Resumable
 }
 
-// Event is one event of a stream as the client got it.
+// Event is one event of a stream as the client received it.
 type Event struct {
 	ID       int
 	Seal     string // of the run that made it
@@ -52,7 +52,7 @@
 	At       time.Time
 }
 
-// Result is what a client saw of one request.
+// Result is what a client observed of one request.
 type Result struct {
 	Request
 	BodyHash uint64 // xxhash of Request.Body
@@ -63,20 +63,20 @@
 	Status     int // 0 when no answer came
 	Header     http.Header
 	Seal       string
-	Answered   string // attempt id carried back
+	Answered   string // attempt id in the answer
 	AnswerBody []byte
 	AnswerHash uint64
 	Events     []Event
-	Complete   bool // the answer came to what a client takes for its proper end
+	Complete   bool // the answer ended in a way that a client takes for its proper end
 	Extra      bool // bytes came after the answer although no request was waiting
 	Malformed  bool // the bytes were no answer in the protocol
 	RetryAfter time.Duration
-	Closing    bool  // the answer told that the connection closes after it
-	Reused     bool  // it went over a connection that had carried a request before
+	Closing    bool  // the answer says that the connection closes after it
+	Reused     bool  // its connection had carried a request before
 	Err        error // what ended it; nil when Complete
 }
 
-// OK tells whether the request got a whole success: 2xx, with a seal, its own id and all bytes.
+// OK reports whether the answer is a complete success: 2xx, with a seal, its own attempt id and all bytes.
 func (r Result) OK() bool {
 	return r.Status/100 == 2 && r.Seal != "" && r.Answered == r.Attempt && r.Complete && !r.Malformed
 }
