--- a/internal/fleet/simulation/engine.go
+++ b/internal/fleet/simulation/engine.go
@@ -11,169 +11,153 @@
 	"time"
 )
 
-// registry finds Engines by address, for moves.
-var registry sync.Map
+// enginesByAddress holds the Engines of this process (string to *Engine): transfers find their source there.
+var enginesByAddress sync.Map
 
 // Engine is a backend on loopback, speaking HTTP/1.1 as PROTOCOL.md says. Its Log can be judged. It is safe for
 // concurrent use.
 //
-// What it leaves out: requests are not preempted in the middle (a request takes its memory, all tokens to come
-// included, before it begins), reports are not late, and the tokens of one request don't slow those of others.
+// What it leaves out: requests are not preempted (a request reserves its memory, all tokens to come included, before it
+// begins), reports are not late, and the tokens of one request don't slow down those of others.
 type Engine struct {
-	Log Log
+	Log Log // what arrived, and which parts of prompts were cached
 
-	s      EngineSettings
+	s      EngineSettings // with the defaults; not changed after StartEngine
 	faults atomic.Pointer[Faults]
 
-	mu       sync.Mutex
-	listener net.Listener
-	now      *life
-	hold     chan struct{} // closed on release; nil when not held
-	watchers []func()
+	mu          sync.Mutex
+	listener    net.Listener  // nil after Crash
+	current     *incarnation  // never nil
+	held        chan struct{} // closed on release; nil when not held
+	changeHooks []func()
 }
 
-// life is one incarnation: what a backend forgets when it restarts.
-type life struct {
+// incarnation is what a backend forgets when it restarts. ctx ends with it.
+type incarnation struct {
 	e      *Engine
 	id     string
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu       sync.Mutex
-	conns    int
-	running  int
-	queue    []*waiter
-	mem      *memory
-	handles  map[string]*handle
-	orders   orders
-	swapping bool
-	models   []Model
-
-	link     sync.Mutex // taken before mu, also that of others
-	linkFree time.Time  // when the link is free for another move
+	mu             sync.Mutex
+	conns          int
+	running        int
+	queue          []*waiter // the most urgent first
+	mem            *memory
+	handles        map[string]*handle
+	orders         orderState
+	orderFinishing bool // an order's phase change is under way
+	models         []Model
+
+	link       sync.Mutex // locked before mu, also before that of the incarnation at a transfer's other end
+	linkFreeAt time.Time  // when the link is free for another transfer
 }
 
-func draw(bytes int) string {
+// randomHex returns random bytes in hex.
+func randomHex(bytes int) string {
 	b := make([]byte, bytes)
 	rand.Read(b)
 	return hex.EncodeToString(b)
 }
 
-// StartEngine starts an Engine, which ends with the test.
+// StartEngine starts an Engine, which ends with the test. It fails the test when it can't listen.
 func StartEngine(tb TB, s EngineSettings) *Engine {
 	tb.Helper()
-	if s.Service == "" {
-		s.Service = "svc"
-	}
-	if s.Version == "" {
-		s.Version = "v1"
-	}
-	if s.Address == "" {
-		s.Address = "127.0.0.1:0"
-	}
-	if s.Probe == "" {
-		s.Probe = "/healthz"
-	}
-	if s.Capacity == 0 {
-		s.Capacity = 8
-	}
-	if s.KVTokens == 0 {
-		s.KVTokens = 1_000_000
-	}
-	if s.KVTokenBytes == 0 {
-		s.KVTokenBytes = 163_840
-	}
-	if s.Stride == 0 {
-		s.Stride = 1
-	}
-	if s.Models == nil && s.Phase != PhaseNone {
-		s.Models = []Model{{Name: "m", Ver: 1}}
-	}
-	if s.KVRef == 0 {
-		s.KVRef = 5 * time.Second
-	}
-	if s.BodyBytes == 0 {
-		s.BodyBytes = 64
-	}
-	if s.Tokens == 0 {
-		s.Tokens = 3 * s.Stride
-	}
-	if s.Now == nil {
-		s.Now = time.Now
-	}
+	s.setDefaults()
 	e := &Engine{s: s}
 	e.faults.Store(&Faults{})
 	e.mu.Lock()
-	e.begin(s.ID)
+	e.startIncarnation(s.ID)
 	err := e.listen()
 	e.mu.Unlock()
 	if err != nil {
 		tb.Fatalf("simulation: engine: %v", err)
 	}
-	registry.Store(e.s.Address, e)
+	enginesByAddress.Store(e.s.Address, e)
 	tb.Cleanup(func() {
 		e.Crash()
-		registry.CompareAndDelete(e.s.Address, e)
+		enginesByAddress.CompareAndDelete(e.s.Address, e)
 	})
 	return e
 }
 
-// listen opens the address and takes connections. e.mu is held.
+// listen listens at the address and accepts connections until the listener is closed. e.mu is held.
 func (e *Engine) listen() error {
-	l, err := net.Listen("tcp", e.s.Address)
+	ln, err := net.Listen("tcp", e.s.Address)
 	if err != nil {
 		return err
 	}
-	e.listener, e.s.Address = l, l.Addr().String()
-	go e.accept(l)
+	e.listener = ln
+	e.s.Address = ln.Addr().String()
+	go e.acceptConns(ln)
 	return nil
 }
 
-// begin starts an incarnation. e.mu is held.
-func (e *Engine) begin(id string) {
+// startIncarnation starts an incarnation, with a random id when id is empty. e.mu is held.
+func (e *Engine) startIncarnation(id string) {
 	if id == "" {
-		id = "i-" + draw(4)
+		id = "i-" + randomHex(4)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &life{e: e, id: id, ctx: ctx, cancel: cancel, handles: map[string]*handle{}}
-	l.orders = orders{fencing: e.s.Fencing, phase: e.s.Phase}
+	ic := &incarnation{
+		e:       e,
+		id:      id,
+		ctx:     ctx,
+		cancel:  cancel,
+		handles: map[string]*handle{},
+		orders:  orderState{fencing: e.s.Fencing, phase: e.s.Phase},
+	}
 	for _, m := range e.s.Models {
 		m.LoRAs = append([]string{}, m.LoRAs...)
-		l.models = append(l.models, m)
+		ic.models = append(ic.models, m)
+	}
+	ic.mem = &memory{
+		size:      e.s.KVTokens,
+		parts:     map[cacheKey]*memoryPart{},
+		onCached:  ic.recordCached,
+		onEvicted: ic.recordEvicted,
 	}
-	l.mem = &memory{size: e.s.KVTokens, parts: map[partKey]*held{}, keep: l.keep, drop: l.drop}
-	e.now = l
+	e.current = ic
 }
 
-// keep records a part that is kept from now on.
-func (l *life) keep(k partKey, tokens int, attempt string, moved bool) *KeptPart {
-	s := &l.e.s
-	rec := &KeptPart{
-		Engine: l.id, Service: s.Service, Zone: s.Zone, Region: s.Region, Model: k.model, Ver: k.ver,
-		Part: Part{k.id, tokens}, Attempt: attempt, Moved: moved, Since: s.Now(),
+// recordCached records a part that is cached from now on.
+func (ic *incarnation) recordCached(k cacheKey, tokens int, attempt string, transferred bool) *CachedPart {
+	s := &ic.e.s
+	record := &CachedPart{
+		Engine:      ic.id,
+		Service:     s.Service,
+		Zone:        s.Zone,
+		Region:      s.Region,
+		Model:       k.model,
+		Ver:         k.ver,
+		Part:        Part{k.partID, tokens},
+		Attempt:     attempt,
+		Transferred: transferred,
+		CachedAt:    s.Now(),
 	}
-	l.e.Log.edit(func() { l.e.Log.kept = append(l.e.Log.kept, rec) })
-	return rec
+	ic.e.Log.edit(func() { ic.e.Log.cachedParts = append(ic.e.Log.cachedParts, record) })
+	return record
 }
 
-// drop records that a part gave way.
-func (l *life) drop(rec *KeptPart) {
-	l.e.Log.edit(func() { rec.Until = l.e.s.Now() })
+// recordEvicted records that a part was evicted.
+func (ic *incarnation) recordEvicted(record *CachedPart) {
+	ic.e.Log.edit(func() { record.EvictedAt = ic.e.s.Now() })
 }
 
-func (e *Engine) life() *life {
+// incarnation returns the current incarnation, or the last one after Crash.
+func (e *Engine) incarnation() *incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.now
+	return e.current
 }
 
-// ID returns the id of the incarnation.
-func (e *Engine) ID() string { return e.life().id }
+// ID returns the id of the current incarnation.
+func (e *Engine) ID() string { return e.incarnation().id }
 
 // Address returns the IP:PORT at which it listens.
 func (e *Engine) Address() string { return e.s.Address }
 
-// Settings returns its settings, with the defaults filled in; ID and Phase as they were at the start.
+// Settings returns its settings with the defaults; ID and Phase are those of its start.
 func (e *Engine) Settings() EngineSettings { return e.s }
 
 // SetFaults changes its faults for the requests and connections that begin from now on.
@@ -182,28 +166,28 @@
 // Faults returns its faults.
 func (e *Engine) Faults() Faults { return *e.faults.Load() }
 
-// Hold stops the work on requests before the next step until release is called. Requests still take slots and memory.
-// Calls do not nest.
+// Hold stops the work on requests before the next step until release is called. Requests still get slots and memory.
+// Calls don't nest.
 func (e *Engine) Hold() (release func()) {
 	ch := make(chan struct{})
 	e.mu.Lock()
-	e.hold = ch
+	e.held = ch
 	e.mu.Unlock()
 	return sync.OnceFunc(func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		close(ch)
-		if e.hold == ch {
-			e.hold = nil
+		if e.held == ch {
+			e.held = nil
 		}
 	})
 }
 
-// pass waits while the Engine is held.
-func (e *Engine) pass(ctx context.Context) error {
+// awaitRelease blocks while the Engine is held, or until ctx ends.
+func (e *Engine) awaitRelease(ctx context.Context) error {
 	for {
 		e.mu.Lock()
-		ch := e.hold
+		ch := e.held
 		e.mu.Unlock()
 		if ch == nil {
 			return ctx.Err()
@@ -216,8 +200,8 @@
 	}
 }
 
-// wait lets d pass, or ctx end.
-func wait(ctx context.Context, d time.Duration) error {
+// sleep blocks for d or until ctx ends, and returns ctx's error.
+func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
 	}
@@ -231,50 +215,50 @@
 	}
 }
 
-// SetVersion changes the version of a model's weights.
+// SetVersion changes the version of a model's weights, until Restart.
 func (e *Engine) SetVersion(model string, ver int) {
-	l := e.life()
-	l.mu.Lock()
-	for i := range l.models {
-		if l.models[i].Name == model {
-			l.models[i].Ver = ver
+	ic := e.incarnation()
+	ic.mu.Lock()
+	for i := range ic.models {
+		if ic.models[i].Name == model {
+			ic.models[i].Ver = ver
 		}
 	}
-	l.mu.Unlock()
-	e.changed()
+	ic.mu.Unlock()
+	e.notifyChange()
 }
 
-// Phase returns its phase now.
+// Phase returns its current phase.
 func (e *Engine) Phase() Phase {
-	l := e.life()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.orders.phase
+	ic := e.incarnation()
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	return ic.orders.phase
 }
 
-// Models returns its models now.
+// Models returns its models at their current versions.
 func (e *Engine) Models() []Model {
-	l := e.life()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.models)
+	ic := e.incarnation()
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	return slices.Clone(ic.models)
 }
 
-// Load returns the requests running and waiting.
+// Load returns how many requests are running and how many are queued.
 func (e *Engine) Load() (running, waiting int) {
-	l := e.life()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.running, len(l.queue)
+	ic := e.incarnation()
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	return ic.running, len(ic.queue)
 }
 
-// Restart ends the incarnation and starts a new one with a new id at the same address, also after a Crash; memory,
-// handles, seqno and fences are forgotten, the Log and the faults stay.
+// Restart ends the incarnation and starts another one with another id at the same address, also after a Crash; memory,
+// handles, seqno and fencing tokens are forgotten, the Log and the faults stay.
 func (e *Engine) Restart(tb TB) {
 	tb.Helper()
-	e.end()
+	e.endIncarnation()
 	e.mu.Lock()
-	e.begin("")
+	e.startIncarnation("")
 	if e.listener == nil {
 		if err := e.listen(); err != nil {
 			e.mu.Unlock()
@@ -282,7 +266,7 @@
 		}
 	}
 	e.mu.Unlock()
-	e.changed()
+	e.notifyChange()
 }
 
 // Crash closes the listener and all connections at once.
@@ -293,36 +277,42 @@
 		e.listener = nil
 	}
 	e.mu.Unlock()
-	e.end()
+	e.endIncarnation()
+}
+
+// endIncarnation ends the current incarnation with its requests, connections, handles and cached parts.
+func (e *Engine) endIncarnation() {
+	ic := e.incarnation()
+	ic.cancel()
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	ic.handles = map[string]*handle{}
+	ic.mem.clear()
+	ic.rejectWaiting()
 }
 
-// end breaks off all of an incarnation.
-func (e *Engine) end() {
-	l := e.life()
-	l.cancel()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.handles = map[string]*handle{}
-	l.mem.clear()
-	for _, w := range l.queue {
+// rejectWaiting rejects all queued requests. ic.mu is held.
+func (ic *incarnation) rejectWaiting() {
+	for _, w := range ic.queue {
 		w.granted <- false
 	}
-	l.queue = nil
+	ic.queue = nil
 }
 
-// watch calls f after each change of phase, models or incarnation.
-func (e *Engine) watch(f func()) {
+// onChange has f called after each change of phase, models or incarnation.
+func (e *Engine) onChange(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.watchers = append(e.watchers, f)
+	e.changeHooks = append(e.changeHooks, f)
 }
 
-func (e *Engine) changed() {
+// notifyChange calls the hooks, and wakes tests that wait on the Log. No lock is held.
+func (e *Engine) notifyChange() {
 	e.Log.edit(func() {}) // wakes tests that wait for Phase
 	e.mu.Lock()
-	fs := slices.Clone(e.watchers)
+	hooks := slices.Clone(e.changeHooks)
 	e.mu.Unlock()
-	for _, f := range fs {
-		f()
+	for _, hook := range hooks {
+		hook()
 	}
 }
--- a/internal/fleet/simulation/engine_handle.go
+++ b/internal/fleet/simulation/engine_handle.go
@@ -14,18 +14,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// handle answers one request and records it.
-func (l *life) handle(ctx context.Context, a *answerer) {
-	s, r, en := &l.e.s, a.r, &Entry{}
-	l.mu.Lock()
-	phase := l.orders.phase
-	l.mu.Unlock()
-	*en = Entry{
-		At: r.at, Kind: KindRequest, Engine: l.id, Address: s.Address, Service: s.Service, Zone: s.Zone, Region: s.Region,
-		Phase: phase, Attempt: r.Header.Get(HeaderAttempt), Method: r.Method, Path: r.RequestURI, Host: r.Host,
-		Header: maps.Clone(r.Header), Body: r.body, BodyHash: xxhash.Sum64(r.body), Stage: r.Header.Get(HeaderStage),
-		Model: r.Header.Get(HeaderModel), Parts: parseParts(r.Header.Get(HeaderPrefix)), Priority: 5,
-		KVFrom: r.Header.Get(HeaderKVFrom),
+// defaultPriority is the priority of a request without a valid Priority header; 0 is the most urgent, 9 the least.
+const defaultPriority = 5
+
+// serveOne answers one request and records it.
+func (ic *incarnation) serveOne(ctx context.Context, rw *responseWriter) {
+	en := ic.newEntry(rw.request)
+	run := ic.route(en)
+	ic.e.Log.add(en)
+	defer ic.e.Log.edit(func() {}) // wakes tests that wait for what the handler changed outside of the Log
+	defer ic.recordEnd(en)
+	if rw.faults.Silent {
+		rw.keepAlive = false
+		<-ctx.Done()
+		return
+	}
+	if t := rw.request.Header.Get(HeaderTarget); t != "" && t != ic.id {
+		ic.reject(rw, en, http.StatusMisdirectedRequest)
+		return
+	}
+	run(ctx, rw, en)
+}
+
+// newEntry returns the entry of a request that has just come.
+func (ic *incarnation) newEntry(r incoming) *Entry {
+	s := &ic.e.s
+	en := &Entry{
+		At:       r.at,
+		Kind:     KindRequest,
+		Engine:   ic.id,
+		Address:  s.Address,
+		Service:  s.Service,
+		Zone:     s.Zone,
+		Region:   s.Region,
+		Phase:    ic.Phase(),
+		Attempt:  r.Header.Get(HeaderAttempt),
+		Method:   r.Method,
+		Path:     r.RequestURI,
+		Host:     r.Host,
+		Header:   maps.Clone(r.Header),
+		Body:     r.body,
+		BodyHash: xxhash.Sum64(r.body),
+		Stage:    r.Header.Get(HeaderStage),
+		Model:    r.Header.Get(HeaderModel),
+		Parts:    parseParts(r.Header.Get(HeaderPrefix)),
+		Priority: defaultPriority,
+		KVFrom:   r.Header.Get(HeaderKVFrom),
 	}
 	if p, err := strconv.Atoi(r.Header.Get(HeaderPriority)); err == nil && p >= 0 && p <= 9 {
 		en.Priority = p
@@ -33,48 +67,46 @@
 	if ms, err := strconv.ParseFloat(r.Header.Get(HeaderDeadline), 64); err == nil {
 		en.Deadline = time.Duration(ms * float64(time.Millisecond))
 	}
-	path, _, _ := strings.Cut(r.RequestURI, "?")
-	var run func(context.Context, *answerer, *Entry)
+	return en
+}
+
+// handler answers one request. It rejects, responds, or closes the connection by rw.keepAlive.
+type handler func(ctx context.Context, rw *responseWriter, en *Entry)
+
+// route sets an entry's kind and returns its handler.
+func (ic *incarnation) route(en *Entry) handler {
+	path, _, _ := strings.Cut(en.Path, "?")
 	switch {
-	case path == s.Probe && r.Method == http.MethodGet:
-		en.Kind, run = KindProbe, l.probe
-	case path == PathReport && r.Method == http.MethodGet:
-		en.Kind, run = KindReport, l.report
-	case path == PathOrder && r.Method == http.MethodPost:
-		en.Kind, run = KindOrder, l.order
-	case strings.HasPrefix(path, PathHandle) && r.Method == http.MethodDelete:
-		en.Kind, run = KindFree, l.free
+	case path == ic.e.s.Probe && en.Method == http.MethodGet:
+		en.Kind = KindProbe
+		return ic.serveProbe
+	case path == PathReport && en.Method == http.MethodGet:
+		en.Kind = KindReport
+		return ic.serveReport
+	case path == PathOrder && en.Method == http.MethodPost:
+		en.Kind = KindOrder
+		return ic.serveOrder
+	case strings.HasPrefix(path, PathHandle) && en.Method == http.MethodDelete:
+		en.Kind = KindFree
+		return ic.serveFreeHandle
 	case en.Stage != "":
-		en.Kind, run = KindPrefill, l.prefill
-	default:
-		run = l.request
-	}
-	l.e.Log.add(en)
-	defer l.e.Log.edit(func() {})
-	defer l.over(en)
-	if a.f.Silent {
-		a.keep = false
-		<-ctx.Done()
-		return
-	}
-	if t := r.Header.Get(HeaderTarget); t != "" && t != l.id {
-		l.refuse(a, en, http.StatusMisdirectedRequest)
-		return
+		en.Kind = KindPrefill
+		return ic.servePrefill
 	}
-	run(ctx, a, en)
+	return ic.serveRequest
 }
 
-// over records when the work on a request ended: as its place is given back, which is before the end of its answer goes
-// out. How long it takes to write that is no time in which the request is here.
-func (l *life) over(en *Entry) {
-	l.e.Log.edit(func() {
+// recordEnd records when the work on a request ended: as its slot is released, which is before the end of its answer is
+// sent. The time that it takes to write that isn't part of the request's run.
+func (ic *incarnation) recordEnd(en *Entry) {
+	ic.e.Log.edit(func() {
 		if en.Ended.IsZero() {
-			en.Ended = l.e.s.Now()
+			en.Ended = ic.e.s.Now()
 		}
 	})
 }
 
-// parseParts reads X-Molepaddle-Prompt-Prefix; parts that can't be read are left out.
+// parseParts returns the parts of X-Molepaddle-Prompt-Prefix; those that can't be read are left out.
 func parseParts(s string) (parts []Part) {
 	for f := range strings.SplitSeq(s, ",") {
 		id, n, ok := strings.Cut(strings.TrimSpace(f), ":")
@@ -85,7 +117,7 @@
 	return parts
 }
 
-// formatParts writes X-Molepaddle-Prompt-Prefix.
+// formatParts returns the value of X-Molepaddle-Prompt-Prefix.
 func formatParts(parts []Part) string {
 	var b []byte
 	for i, p := range parts {
@@ -98,120 +130,124 @@
 	return string(b)
 }
 
-// answer sends a whole answer and records it.
-func (l *life) answer(a *answerer, en *Entry, status int, body []byte, headers ...string) {
-	l.e.Log.edit(func() { en.Status = status })
-	a.done()
-	whole := a.send(status, body, headers...)
-	l.e.Log.edit(func() { en.Whole = whole })
+// respond sends a complete answer and records it.
+func (ic *incarnation) respond(rw *responseWriter, en *Entry, status int, body []byte, headers ...string) {
+	ic.e.Log.edit(func() { en.Status = status })
+	rw.release()
+	complete := rw.send(status, body, headers...)
+	ic.e.Log.edit(func() { en.Complete = complete })
 }
 
-// refuse answers that the request was not run.
-func (l *life) refuse(a *answerer, en *Entry, status int) {
-	l.e.Log.edit(func() { en.NotRun = true })
-	l.answer(a, en, status, nil, HeaderNotRun, "1")
+// reject answers that the request was not run.
+func (ic *incarnation) reject(rw *responseWriter, en *Entry, status int) {
+	ic.e.Log.edit(func() { en.NotRun = true })
+	ic.respond(rw, en, status, nil, HeaderNotRun, "1")
 }
 
-// probe waits for a slot like a request.
-func (l *life) probe(ctx context.Context, a *answerer, en *Entry) {
-	ok := l.admit(ctx, &waiter{priority: en.Priority, try: func() bool { return true }})
+// serveProbe answers a health check. It waits for a slot as a request does.
+func (ic *incarnation) serveProbe(ctx context.Context, rw *responseWriter, en *Entry) {
+	ok := ic.acquireSlot(ctx, &waiter{priority: en.Priority, tryReserve: func() bool { return true }})
 	if !ok {
-		l.refuse(a, en, http.StatusServiceUnavailable)
+		ic.reject(rw, en, http.StatusServiceUnavailable)
 		return
 	}
-	a.done = sync.OnceFunc(func() { l.leave(nil) })
-	defer a.done()
-	if l.e.pass(ctx) != nil {
-		a.keep = false
+	rw.release = sync.OnceFunc(func() { ic.releaseSlot(nil) })
+	defer rw.release()
+	if ic.e.awaitRelease(ctx) != nil {
+		rw.keepAlive = false
 		return
 	}
-	well := !a.f.Draining && a.f.Fail == 0
-	if well == a.f.LieHealth {
-		l.answer(a, en, http.StatusServiceUnavailable, nil, HeaderBackend, l.id)
+	healthy := !rw.faults.Draining && rw.faults.Fail == 0
+	if healthy == rw.faults.InvertProbes {
+		ic.respond(rw, en, http.StatusServiceUnavailable, nil, HeaderBackend, ic.id)
 		return
 	}
-	l.answer(a, en, http.StatusOK, nil, HeaderBackend, l.id)
+	ic.respond(rw, en, http.StatusOK, nil, HeaderBackend, ic.id)
 }
 
-// report needs no slot.
-func (l *life) report(_ context.Context, a *answerer, en *Entry) {
-	if l.e.s.NoReport {
-		l.answer(a, en, http.StatusNotFound, nil)
+// serveReport answers with the load report. It needs no slot.
+func (ic *incarnation) serveReport(_ context.Context, rw *responseWriter, en *Entry) {
+	if ic.e.s.NoReport {
+		ic.respond(rw, en, http.StatusNotFound, nil)
 		return
 	}
-	l.mu.Lock()
-	l.lapse()
+	ic.mu.Lock()
+	ic.expireHandles()
 	body, _ := json.Marshal(map[string]any{
-		"phase": l.orders.phase, "model_list": slices.Clone(l.models), "util": l.orders.util, "seqno": l.orders.seqno,
-		"queued": len(l.queue), "active": l.running, "kv_inuse": l.mem.inUse(), "kv_cap": l.mem.size,
-		"kv_refs": len(l.handles),
+		"phase":      ic.orders.phase,
+		"model_list": slices.Clone(ic.models),
+		"util":       ic.orders.pending,
+		"seqno":      ic.orders.seqno,
+		"queued":     len(ic.queue),
+		"active":     ic.running,
+		"kv_inuse":   ic.mem.inUse(),
+		"kv_cap":     ic.mem.size,
+		"kv_refs":    len(ic.handles),
 	})
-	l.mu.Unlock()
-	l.answer(a, en, http.StatusOK, body, "Content-Type", "application/json")
+	ic.mu.Unlock()
+	ic.respond(rw, en, http.StatusOK, body, "Content-Type", "application/json")
 }
 
-// order takes an order; see orders.
-func (l *life) order(_ context.Context, a *answerer, en *Entry) {
-	o, ok := parseOrder(a.r.body)
+// serveOrder accepts or rejects an order; see orderState. A pending order rejects all queued requests.
+func (ic *incarnation) serveOrder(_ context.Context, rw *responseWriter, en *Entry) {
+	o, ok := parseOrder(rw.request.body)
 	if !ok {
-		l.answer(a, en, http.StatusBadRequest, nil)
+		ic.respond(rw, en, http.StatusBadRequest, nil)
 		return
 	}
-	l.e.Log.edit(func() { en.Owner, en.Gen = *o.Owner, *o.Gen })
-	l.mu.Lock()
-	status := l.orders.take(o)
-	if l.orders.util {
-		for _, w := range l.queue {
-			w.granted <- false
-		}
-		l.queue = nil
+	ic.e.Log.edit(func() { en.Owner, en.Gen = *o.Owner, *o.Gen })
+	ic.mu.Lock()
+	status := ic.orders.accept(o)
+	if ic.orders.pending {
+		ic.rejectWaiting()
 	}
-	done := l.swap()
-	l.mu.Unlock()
-	if done {
-		l.e.changed()
+	completed := ic.finishOrder()
+	ic.mu.Unlock()
+	if completed {
+		ic.e.notifyChange()
 	}
-	if a.f.LoseAnswer {
-		a.keep = false
+	if rw.faults.LoseAnswer {
+		rw.keepAlive = false
 		return
 	}
-	l.answer(a, en, status, nil)
+	ic.respond(rw, en, status, nil)
 }
 
-// swap ends the order under way once nothing runs, after the swap's time. It tells whether it ended now. l.mu is held.
-func (l *life) swap() bool {
-	if !l.orders.util || l.swapping || l.running > 0 {
+// finishOrder completes the pending order once nothing runs, after the time of EngineSettings.Swap, and reports whether
+// it completed it at once. ic.mu is held.
+func (ic *incarnation) finishOrder() bool {
+	if !ic.orders.pending || ic.orderFinishing || ic.running > 0 {
 		return false
 	}
-	if l.e.s.Swap == 0 {
-		l.orders.done()
+	if ic.e.s.Swap == 0 {
+		ic.orders.complete()
 		return true
 	}
-	l.swapping = true
-	time.AfterFunc(l.e.s.Swap, func() {
-		l.mu.Lock()
-		l.swapping = false
-		l.orders.done()
-		l.mu.Unlock()
-		l.e.changed()
+	ic.orderFinishing = true
+	time.AfterFunc(ic.e.s.Swap, func() {
+		ic.mu.Lock()
+		ic.orderFinishing = false
+		ic.orders.complete()
+		ic.mu.Unlock()
+		ic.e.notifyChange()
 	})
 	return false
 }
 
-// free drops a handle: 200, or 404 when it is not there (ours).
-func (l *life) free(_ context.Context, a *answerer, en *Entry) {
+// serveFreeHandle releases a handle: 200, or 404 when there is none (ours).
+func (ic *incarnation) serveFreeHandle(_ context.Context, rw *responseWriter, en *Entry) {
 	id := strings.TrimPrefix(en.Path, PathHandle)
-	l.e.Log.edit(func() { en.Handle = id })
-	l.mu.Lock()
-	l.lapse()
-	h := l.handles[id]
+	ic.e.Log.edit(func() { en.Handle = id })
+	ic.mu.Lock()
+	ic.expireHandles()
+	h := ic.handles[id]
 	if h != nil {
-		l.letGo(h)
+		ic.releaseHandle(h)
 	}
-	l.mu.Unlock()
+	ic.mu.Unlock()
 	if h == nil {
-		l.answer(a, en, http.StatusNotFound, nil)
+		ic.respond(rw, en, http.StatusNotFound, nil)
 		return
 	}
-	l.answer(a, en, http.StatusOK, nil)
+	ic.respond(rw, en, http.StatusOK, nil)
 }
--- a/internal/fleet/simulation/engine_test.go
+++ b/internal/fleet/simulation/engine_test.go
@@ -19,19 +19,20 @@
 	}
 }
 
-// do sends r straight to a backend.
+// do sends r directly to a backend.
 func do(c *qt.C, e *Engine, r Request) Result {
 	return (&Client{Edge: e.Address()}).Do(c.Context(), r)
 }
 
+// goDo sends r without blocking; the channel receives its Result.
 func goDo(cl *Client, r Request) chan Result {
 	ch := make(chan Result, 1)
 	go func() { ch <- cl.Do(context.Background(), r) }()
 	return ch
 }
 
-// ran waits until n requests have begun.
-func ran(c *qt.C, e *Engine, n int) []Entry {
+// awaitRan blocks until n requests have begun to run.
+func awaitRan(c *qt.C, e *Engine, n int) []Entry {
 	c.Helper()
 	ctx, cancel := context.WithTimeout(c.Context(), 10*time.Second)
 	defer cancel()
@@ -48,6 +49,7 @@
 	return es
 }
 
+// last returns the newest entry.
 func last(e *Engine) Entry {
 	es := e.Log.Entries()
 	return es[len(es)-1]
@@ -62,8 +64,8 @@
 	return r
 }
 
-// read sends r to a prefill backend and returns its Kv-From.
-func read(c *qt.C, e *Engine, r Request) string {
+// prefillAt sends r to a prefill backend and returns the Kv-From of its handle.
+func prefillAt(c *qt.C, e *Engine, r Request) string {
 	c.Helper()
 	res := do(c, e, with(r, HeaderStage, "prefill"))
 	c.Assert(res.Status, qt.Equals, 200)
@@ -79,6 +81,7 @@
 	return e.Address() + "/" + h.Ref
 }
 
+// report is the part of a load report that the tests check.
 type report struct {
 	Phase   Phase   `json:"phase"`
 	Models  []Model `json:"model_list"`
@@ -98,7 +101,8 @@
 	return r
 }
 
-func notRun(c *qt.C, e *Engine, r Result, status int) {
+// assertNotRun asserts that a request was rejected with a status, and that the answer says that it was not run.
+func assertNotRun(c *qt.C, e *Engine, r Result, status int) {
 	c.Helper()
 	c.Assert(r.Status, qt.Equals, status)
 	c.Assert(r.Header.Get(HeaderNotRun), qt.Not(qt.Equals), "")
@@ -108,15 +112,15 @@
 	c.Assert(r.Answered, qt.Equals, r.Attempt)
 }
 
-// TestHandOver: a prompt is read at a prefill backend and goes on at a decode one, which keeps its parts; the handle can
-// be taken once.
-func TestHandOver(t *testing.T) {
+// TestHandoff: a prompt is prefilled at one backend and decoded at another, which caches its parts; the handle can be
+// fetched once.
+func TestHandoff(t *testing.T) {
 	c := qt.New(t)
 	p := StartEngine(t, EngineSettings{Phase: PhasePrefill, KVTokens: 1000})
 	d := StartEngine(t, EngineSettings{Phase: PhaseDecode, Stride: 2})
 	r := prompt("e440")
 	r.Attempt = "9c41"
-	from := read(c, p, r)
+	from := prefillAt(c, p, r)
 	c.Assert(reported(c, p), qt.DeepEquals, report{
 		Phase: PhasePrefill, Models: []Model{{"m", 1, []string{}}}, InUse: 160, Cap: 1000, Handles: 1,
 	})
@@ -128,11 +132,11 @@
 	en := last(d)
 	c.Assert(en.HandleOwner, qt.Equals, "9c41")
 	c.Assert([]int{en.MovedTokens, en.ReadTokens}, qt.DeepEquals, []int{160, 0})
-	c.Assert(d.Log.Kept(), qt.HasLen, 3)
-	c.Assert(d.Log.Kept()[0].Moved, qt.IsTrue)
+	c.Assert(d.Log.CachedParts(), qt.HasLen, 3)
+	c.Assert(d.Log.CachedParts()[0].Transferred, qt.IsTrue)
 	c.Assert(reported(c, p).InUse, qt.Equals, 0)
 
-	notRun(c, d, do(c, d, with(r, HeaderKVFrom, from)), 503)
+	assertNotRun(c, d, do(c, d, with(r, HeaderKVFrom, from)), 503)
 
 	next := prompt("77")
 	c.Assert(do(c, d, next).OK(), qt.IsTrue)
@@ -146,50 +150,50 @@
 	d := StartEngine(t, EngineSettings{Phase: PhaseDecode})
 	r := prompt("e440")
 
-	freed := read(c, p, r)
+	freed := prefillAt(c, p, r)
 	url := "http://" + p.Address() + PathHandle + freed[len(p.Address())+1:]
 	c.Assert(call(c, "DELETE", url, "").StatusCode, qt.Equals, 200)
-	notRun(c, d, do(c, d, with(r, HeaderKVFrom, freed)), 503)
+	assertNotRun(c, d, do(c, d, with(r, HeaderKVFrom, freed)), 503)
 
-	lapsed := read(c, p, r)
+	lapsed := prefillAt(c, p, r)
 	p.HandlesLapse()
-	notRun(c, d, do(c, d, with(r, HeaderKVFrom, lapsed)), 503)
+	assertNotRun(c, d, do(c, d, with(r, HeaderKVFrom, lapsed)), 503)
 
-	late := read(c, p, r)
+	late := prefillAt(c, p, r)
 	k.advance(time.Hour)
-	notRun(c, d, do(c, d, with(r, HeaderKVFrom, late)), 503)
+	assertNotRun(c, d, do(c, d, with(r, HeaderKVFrom, late)), 503)
 
 	c.Assert(reported(c, p).Handles, qt.Equals, 0)
-	gone := read(c, p, r)
+	gone := prefillAt(c, p, r)
 	p.Crash()
-	notRun(c, d, do(c, d, with(r, HeaderKVFrom, gone)), 503)
+	assertNotRun(c, d, do(c, d, with(r, HeaderKVFrom, gone)), 503)
 }
 
-func TestMoveTime(t *testing.T) {
+func TestTransferTime(t *testing.T) {
 	c := qt.New(t)
 	here := &EngineSettings{Zone: "a", Region: "r", KVTokenBytes: 1000, Bandwidth: 8}
 	zone, region := &EngineSettings{Zone: "b", Region: "r"}, &EngineSettings{Zone: "a", Region: "q"}
-	c.Assert(moveTime(here, here, 100, 0), qt.Equals, 100*time.Millisecond)
-	c.Assert(moveTime(here, zone, 100, 0), qt.Equals, 200*time.Millisecond)
-	c.Assert(moveTime(here, region, 100, 0), qt.Equals, time.Second)
-	c.Assert(moveTime(here, here, 100, 4), qt.Equals, 400*time.Millisecond)
-	c.Assert(moveTime(zone, here, 100, 4), qt.Equals, time.Duration(0))
+	c.Assert(transferTime(here, here, 100, 0), qt.Equals, 100*time.Millisecond)
+	c.Assert(transferTime(here, zone, 100, 0), qt.Equals, 200*time.Millisecond)
+	c.Assert(transferTime(here, region, 100, 0), qt.Equals, time.Second)
+	c.Assert(transferTime(here, here, 100, 4), qt.Equals, 400*time.Millisecond)
+	c.Assert(transferTime(zone, here, 100, 4), qt.Equals, time.Duration(0))
 }
 
-// TestMovesOneAtATime: a move that would have to wait more than two seconds is not started, and its handle stays.
-func TestMovesOneAtATime(t *testing.T) {
+// TestTransfersOneAtATime: a transfer that would have to wait longer than two seconds is not started; its handle stays.
+func TestTransfersOneAtATime(t *testing.T) {
 	c := qt.New(t)
 	p := StartEngine(t, EngineSettings{Phase: PhasePrefill, KVRef: time.Hour})
 	d := StartEngine(t, EngineSettings{Phase: PhaseDecode, Bandwidth: 1, KVTokenBytes: 1_000_000})
 	first, second := prompt("a"), prompt("b")
-	from := []string{read(c, p, first), read(c, p, second)}
+	from := []string{prefillAt(c, p, first), prefillAt(c, p, second)}
 	ctx, cancel := context.WithCancel(c.Context())
 	done := make(chan Result, 1)
 	go func() { done <- (&Client{Edge: d.Address()}).Do(ctx, with(first, HeaderKVFrom, from[0])) }()
-	// The first move has begun once its handle is taken.
+	// The first transfer has begun once its handle was removed.
 	_, err := p.Log.Wait(c.Context(), func([]Entry) bool { return p.Handles() == 1 })
 	c.Assert(err, qt.IsNil)
-	notRun(c, d, do(c, d, with(second, HeaderKVFrom, from[1])), 503)
+	assertNotRun(c, d, do(c, d, with(second, HeaderKVFrom, from[1])), 503)
 	c.Assert(reported(c, p).Handles, qt.Equals, 1)
 	cancel()
 	c.Assert((<-done).Err, qt.IsNotNil)
@@ -212,7 +216,7 @@
 		{p, with(r, HeaderKVFrom, "127.0.0.1:1/00")},
 		{plain, with(r, HeaderStage, "prefill")},
 	} {
-		notRun(c, tc.at, do(c, tc.at, tc.r), 421)
+		assertNotRun(c, tc.at, do(c, tc.at, tc.r), 421)
 	}
 	c.Assert(do(c, d, with(r, HeaderTarget, d.ID(), HeaderExpect, "1")).OK(), qt.IsTrue)
 	d.SetVersion("m", 2)
@@ -220,7 +224,7 @@
 	c.Assert(last(d).KeptTokens, qt.Equals, 0, qt.Commentf("parts are kept for their weights"))
 }
 
-// TestFull: slots, then the queue, then 503; more urgent requests are let in first.
+// TestFull: slots, then the queue, then 503; more urgent requests are admitted first.
 func TestFull(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Capacity: 1, Queue: 2})
@@ -228,18 +232,21 @@
 	release := e.Hold()
 	waiting := func(n int) {
 		c.Helper()
-		_, err := e.Log.Wait(c.Context(), func([]Entry) bool { _, w := e.Load(); return w == n })
+		_, err := e.Log.Wait(c.Context(), func([]Entry) bool {
+			_, queued := e.Load()
+			return queued == n
+		})
 		c.Assert(err, qt.IsNil)
 	}
 	r := Request{Path: "/a/"}
 	chans := []chan Result{goDo(cl, r)}
-	ran(c, e, 1)
+	awaitRan(c, e, 1)
 	chans = append(chans, goDo(cl, with(r, HeaderPriority, "5")))
 	waiting(1)
 	chans = append(chans, goDo(cl, with(r, HeaderPriority, "0")))
 	waiting(2)
 	full := do(c, e, r)
-	notRun(c, e, full, 503)
+	assertNotRun(c, e, full, 503)
 	c.Assert(full.Header.Get(HeaderLoad), qt.Equals, "1,2,1")
 	release()
 	for _, ch := range chans {
@@ -247,10 +254,11 @@
 	}
 	es := e.Log.Entries()
 	c.Assert(es[2].Began.Before(es[1].Began), qt.IsTrue)
-	c.Assert(do(c, StartEngine(t, EngineSettings{Phase: PhaseDecode, KVTokens: 164}), prompt("a")).Status, qt.Equals, 503)
+	small := StartEngine(t, EngineSettings{Phase: PhaseDecode, KVTokens: 164})
+	c.Assert(do(c, small, prompt("a")).Status, qt.Equals, 503)
 }
 
-// TestDeadline: 503 when it passes in the queue, 504 that counts as run when it passes at work.
+// TestDeadline: 503 when it passes in the queue, 504 that counts as run when it passes while the request runs.
 func TestDeadline(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Capacity: 1, Queue: 1})
@@ -258,8 +266,8 @@
 	defer release()
 	short := with(Request{Path: "/a/"}, HeaderDeadline, "30")
 	ch := goDo(&Client{Edge: e.Address()}, with(Request{Path: "/a/"}, HeaderDeadline, "1000"))
-	ran(c, e, 1)
-	notRun(c, e, do(c, e, short), 503)
+	awaitRan(c, e, 1)
+	assertNotRun(c, e, do(c, e, short), 503)
 	got := <-ch
 	c.Assert(got.Status, qt.Equals, 504)
 	c.Assert(got.Header.Get(HeaderNotRun), qt.Equals, "")
@@ -308,13 +316,14 @@
 	e.SetFaults(Faults{Silent: true})
 	ctx, cancel := context.WithTimeout(c.Context(), 10*time.Second)
 	defer cancel()
-	leave, left := context.WithCancel(ctx)
-	n, silent := len(e.Log.Entries()), make(chan Result, 1)
-	go func() { silent <- (&Client{Edge: e.Address()}).Do(leave, r) }()
+	clientCtx, leave := context.WithCancel(ctx)
+	n := len(e.Log.Entries())
+	unanswered := make(chan Result, 1)
+	go func() { unanswered <- (&Client{Edge: e.Address()}).Do(clientCtx, r) }()
 	_, err := e.Log.Wait(ctx, func(es []Entry) bool { return len(es) == n+1 })
 	c.Assert(err, qt.IsNil)
-	left()
-	got = <-silent
+	leave()
+	got = <-unanswered
 	_, err = e.Log.Wait(ctx, func([]Entry) bool { return !last(e).Ended.IsZero() })
 	c.Assert(err, qt.IsNil)
 	c.Assert([]any{got.Status, last(e).Attempt, last(e).Ran}, qt.DeepEquals, []any{0, got.Attempt, false})
@@ -353,8 +362,8 @@
 		f    Faults
 		want int
 	}{
-		{Faults{Draining: true}, 503}, {Faults{Fail: 500}, 503}, {Faults{Draining: true, LieHealth: true}, 200},
-		{Faults{LieHealth: true}, 503},
+		{Faults{Draining: true}, 503}, {Faults{Fail: 500}, 503}, {Faults{Draining: true, InvertProbes: true}, 200},
+		{Faults{InvertProbes: true}, 503},
 	} {
 		e.SetFaults(tc.f)
 		status, _ = probe()
@@ -362,32 +371,32 @@
 	}
 }
 
-// TestNoReport: an engine that doesn't report answers so, and does its work and takes orders as any.
+// TestNoReport: an engine without load reports answers 404 to polls, and serves requests and orders as any other.
 func TestNoReport(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Phase: PhaseDecode, NoReport: true})
 	c.Assert(call(c, "GET", "http://"+e.Address()+PathReport, "").StatusCode, qt.Equals, 404)
 	c.Assert(last(e).Kind, qt.Equals, KindReport)
 	c.Assert(do(c, e, prompt("a")).OK(), qt.IsTrue)
-	c.Assert(call(c, "POST", "http://"+e.Address()+PathOrder, `{"opcode":"phase","phase":"prefill","owner":"o","gen":1}`).StatusCode, qt.Equals, 202)
+	c.Assert(order(c, e, `{"opcode":"phase","phase":"prefill","owner":"o","gen":1}`), qt.Equals, 202)
 	c.Assert(e.Phase(), qt.Equals, PhasePrefill)
 }
 
-// TestStallAfter: a stream that stalls keeps its place until its caller leaves.
+// TestStallAfter: a stream that stalls keeps its slot until its caller closes the connection.
 func TestStallAfter(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Phase: PhaseDecode})
 	e.SetFaults(Faults{StallAfter: 2})
 	ctx, cancel := context.WithTimeout(c.Context(), 10*time.Second)
 	defer cancel()
-	leave, left := context.WithCancel(ctx)
+	clientCtx, leave := context.WithCancel(ctx)
 	res := make(chan Result, 1)
-	go func() { res <- (&Client{Edge: e.Address()}).Do(leave, prompt("a")) }()
+	go func() { res <- (&Client{Edge: e.Address()}).Do(clientCtx, prompt("a")) }()
 	_, err := e.Log.Wait(ctx, func(es []Entry) bool { return len(es) == 1 && es[0].LastEvent == 2 })
 	c.Assert(err, qt.IsNil)
 	running, _ := e.Load()
 	c.Assert(running, qt.Equals, 1)
-	left()
+	leave()
 	r := <-res
 	c.Assert(len(r.Events) <= 2 && !r.Complete, qt.IsTrue)
 	_, err = e.Log.Wait(ctx, func(es []Entry) bool { return !es[0].Ended.IsZero() })
@@ -396,8 +405,8 @@
 	c.Assert(running, qt.Equals, 0)
 }
 
-// TestSlotIsFreeWithTheAnswer: who has read a whole answer finds the slot free.
-func TestSlotIsFreeWithTheAnswer(t *testing.T) {
+// TestSlotReleasedBeforeResponseEnds: once a client has read a complete answer, the slot is free.
+func TestSlotReleasedBeforeResponseEnds(t *testing.T) {
 	c := qt.New(t)
 	for _, s := range []EngineSettings{{Capacity: 1}, {Capacity: 1, Phase: PhaseDecode, KVTokens: 165}} {
 		e := StartEngine(t, s)
@@ -407,8 +416,9 @@
 	}
 }
 
-// TestEndedWithTheAnswer: who has read a whole answer finds that its work has ended, before the answer came.
-func TestEndedWithTheAnswer(t *testing.T) {
+// TestEndRecordedBeforeResponseEnds: once a client has read a complete answer, the run has ended, before the answer
+// came.
+func TestEndRecordedBeforeResponseEnds(t *testing.T) {
 	c := qt.New(t)
 	for _, s := range []EngineSettings{{}, {Phase: PhaseDecode}, {Phase: PhasePrefill}} {
 		e := StartEngine(t, s)
--- a/internal/fleet/simulation/memory.go
+++ b/internal/fleet/simulation/memory.go
@@ -1,45 +1,46 @@
 package simulation
 
-// partKey names a kept part: parts are kept for the same model at the same version of its weights.
-type partKey struct {
-	model string
-	ver   int
-	id    string
+// cacheKey names a cached part: parts are cached for one model at one version of its weights.
+type cacheKey struct {
+	model  string
+	ver    int
+	partID string
 }
 
-// held is one part in memory.
-type held struct {
-	key    partKey
-	tokens int
-	refs   int    // running requests and handles that hold it
-	ready  bool   // it has been read or moved in
-	tick   uint64 // last use
-	rec    *KeptPart
+// memoryPart is one part in memory.
+type memoryPart struct {
+	key     cacheKey
+	tokens  int
+	refs    int         // running requests and handles that use it; it can't be evicted while there are any
+	ready   bool        // it was prefilled or transferred, so that others can use it
+	lastUse uint64      // memory.useCount at its last use
+	record  *CachedPart // nil until ready
 }
 
-// memory is a backend's memory of prompts: a state machine without lock or clock. keep and drop are told of parts that
-// become kept and that give way.
+// memory is a backend's memory of prompts: a state machine without lock or clock. onCached is called with each part
+// that becomes ready, and onEvicted with each of these that is removed. incarnation.mu is held for all its methods.
 type memory struct {
-	size  int // tokens
-	used  int // tokens of all parts and of requests' own
-	own   int // tokens of running requests that are no parts
-	tick  uint64
-	parts map[partKey]*held
-	keep  func(k partKey, tokens int, attempt string, moved bool) *KeptPart
-	drop  func(*KeptPart)
+	size     int // tokens
+	used     int // tokens of all parts, and unshared
+	unshared int // tokens of running requests that belong to no part
+	useCount uint64
+	parts    map[cacheKey]*memoryPart
+
+	onCached  func(k cacheKey, tokens int, attempt string, transferred bool) *CachedPart
+	onEvicted func(*CachedPart)
 }
 
-// lease is the memory held by one request or handle.
-type lease struct {
-	parts []*held
-	own   int
-	kept  int // tokens of the parts found kept, with all before them
-	read  int // tokens to be read: the other parts, and the prompt's rest
+// reservation is the memory of one request or handle.
+type reservation struct {
+	parts          []*memoryPart
+	unshared       int // tokens that belong to no part
+	cachedTokens   int // tokens of the leading parts that were ready
+	uncachedTokens int // tokens to prefill: the other parts, and the prompt's rest
 }
 
-// inUse returns the tokens that can't give way.
+// inUse returns the tokens that can't be evicted.
 func (m *memory) inUse() int {
-	n := m.own
+	n := m.unshared
 	for _, h := range m.parts {
 		if h.refs > 0 {
 			n += h.tokens
@@ -48,100 +49,112 @@
 	return n
 }
 
-// reserve takes memory for a prompt's parts and own further tokens, of which rest have to be read. Parts unused the
-// longest give way. It changes nothing and returns nil when there is not enough.
-func (m *memory) reserve(model string, ver int, parts []Part, own, rest int) *lease {
-	need, spare := own, 0
-	wanted := make(map[partKey]bool, len(parts))
-	for _, p := range parts {
-		k := partKey{model, ver, p.ID}
-		if !wanted[k] && m.parts[k] == nil {
-			need += p.Tokens
-		}
-		wanted[k] = true
-	}
-	for k, h := range m.parts {
-		if h.refs == 0 && !wanted[k] {
-			spare += h.tokens
-		}
-	}
-	if need > m.size-m.used+spare {
+// reserve reserves memory for a prompt's parts and unshared further tokens, of which rest are to be prefilled. The
+// least recently used parts are evicted. It changes nothing and returns nil when there is not enough.
+func (m *memory) reserve(model string, ver int, parts []Part, unshared, rest int) *reservation {
+	if !m.fits(model, ver, parts, unshared) {
 		return nil
 	}
-	l := &lease{own: own, read: rest}
-	m.tick++
+	rs := &reservation{unshared: unshared, uncachedTokens: rest}
+	m.useCount++
 	leading := true
 	for _, p := range parts {
-		k := partKey{model, ver, p.ID}
+		k := cacheKey{model, ver, p.ID}
 		h := m.parts[k]
 		if h == nil {
-			h = &held{key: k, tokens: p.Tokens}
+			h = &memoryPart{key: k, tokens: p.Tokens}
 			m.parts[k] = h
 			m.used += p.Tokens
 		}
 		h.refs++
-		h.tick = m.tick
-		l.parts = append(l.parts, h)
+		h.lastUse = m.useCount
+		rs.parts = append(rs.parts, h)
+		// A part's memory depends on all tokens before it: it can be used only after parts that are ready.
 		leading = leading && h.ready
 		if leading {
-			l.kept += h.tokens
+			rs.cachedTokens += h.tokens
 		} else {
-			l.read += h.tokens
+			rs.uncachedTokens += h.tokens
 		}
 	}
-	m.used += own
-	m.own += own
+	m.used += unshared
+	m.unshared += unshared
 	for m.used > m.size {
 		m.evict()
 	}
-	return l
+	return rs
 }
 
-// evict gives up the free part unused the longest; of equals, the one with the lowest id.
+// fits reports whether reserve can make enough memory free.
+func (m *memory) fits(model string, ver int, parts []Part, unshared int) bool {
+	need := unshared
+	wanted := make(map[cacheKey]bool, len(parts))
+	for _, p := range parts {
+		k := cacheKey{model, ver, p.ID}
+		if !wanted[k] && m.parts[k] == nil {
+			need += p.Tokens
+		}
+		wanted[k] = true
+	}
+	evictable := 0
+	for k, h := range m.parts {
+		if h.refs == 0 && !wanted[k] {
+			evictable += h.tokens
+		}
+	}
+	return need <= m.size-m.used+evictable
+}
+
+// evict removes the least recently used part without refs; of equals, the one with the lowest id.
 func (m *memory) evict() {
-	var old *held
+	var oldest *memoryPart
 	for _, h := range m.parts {
-		if h.refs == 0 && (old == nil || h.tick < old.tick || h.tick == old.tick && h.key.id < old.key.id) {
-			old = h
+		if h.refs > 0 {
+			continue
+		}
+		if oldest == nil || h.lastUse < oldest.lastUse ||
+			h.lastUse == oldest.lastUse && h.key.partID < oldest.key.partID {
+			oldest = h
 		}
 	}
-	m.remove(old)
+	m.remove(oldest)
 }
 
-func (m *memory) remove(h *held) {
+func (m *memory) remove(h *memoryPart) {
 	delete(m.parts, h.key)
 	m.used -= h.tokens
-	if h.rec != nil {
-		m.drop(h.rec)
+	if h.record != nil {
+		m.onEvicted(h.record)
 	}
 }
 
-// filled marks a lease's parts as read, or as moved in, by attempt.
-func (m *memory) filled(l *lease, attempt string, moved bool) {
-	for _, h := range l.parts {
+// markFilled marks a reservation's parts as ready: prefilled for attempt, or transferred.
+func (m *memory) markFilled(rs *reservation, attempt string, transferred bool) {
+	for _, h := range rs.parts {
 		if !h.ready {
 			h.ready = true
-			h.rec = m.keep(h.key, h.tokens, attempt, moved)
+			h.record = m.onCached(h.key, h.tokens, attempt, transferred)
 		}
 	}
 }
 
-// release gives a lease back. Parts that were read stay until they give way; the others go.
-func (m *memory) release(l *lease) {
-	m.used -= l.own
-	m.own -= l.own
-	m.tick++
-	for _, h := range l.parts {
+// release returns a reservation. Its ready parts stay until they are evicted; the others are removed.
+func (m *memory) release(rs *reservation) {
+	m.used -= rs.unshared
+	m.unshared -= rs.unshared
+	m.useCount++
+	for _, h := range rs.parts {
 		h.refs--
-		h.tick = m.tick
+		h.lastUse = m.useCount
 		if h.refs == 0 && !h.ready {
 			m.remove(h)
 		}
 	}
-	l.parts, l.own = nil, 0
+	rs.parts = nil
+	rs.unshared = 0
 }
 
-// clear gives up everything, at the end of an incarnation.
+// clear removes all parts, at the end of an incarnation.
 func (m *memory) clear() {
 	for _, h := range m.parts {
 		m.remove(h)
--- a/internal/fleet/simulation/network.go
+++ b/internal/fleet/simulation/network.go
@@ -7,44 +7,50 @@
 	"time"
 )
 
-// Network is a network of machines, known by their IP addresses, that can be cut: whole or one way. Connections that were
-// opened through it hold what is cut off until the cut heals, their deadline is reached or they are closed.
+// Network is a network of machines of one process, known by their IP addresses, that can be partitioned, also in one
+// direction only. A connection that was opened with Dialer delays what a partition holds up until the partition heals;
+// its reads and writes fail when their deadline passes or it is closed. It is safe for concurrent use. For machines
+// that are processes of their own, see RelayNetwork.
 type Network struct {
-	Delay time.Duration // of whatever is sent, one way; not to be changed once there are connections
+	Delay time.Duration // of whatever is sent, in each direction; not to be changed once there are connections
 
 	mu      sync.Mutex
-	cut     map[way]bool
-	changed chan struct{}      // closed and made anew with each cut and healing
-	conns   map[*heldConn]bool // that are open
-	parked  []net.Conn         // closed by their owners behind a cut: the other side doesn't learn of it yet
+	cut     map[direction]bool
+	changed chan struct{}         // closed and replaced at each change of cut
+	conns   map[*networkConn]bool // those that are open
+	parked  []net.Conn            // closed by their owners behind a cut: the other side doesn't learn of it yet
 }
 
-// way is a direction between two machines.
-type way struct{ from, to string }
+// direction is a direction between two machines, by their IPs.
+type direction struct{ from, to string }
 
-// NewNetwork makes a network without cuts. Its connections end with the test.
+// NewNetwork returns a network without cuts. They heal when the test ends.
 func NewNetwork(tb TB) *Network {
-	n := &Network{cut: map[way]bool{}, conns: map[*heldConn]bool{}, changed: make(chan struct{})}
+	n := &Network{
+		cut:     map[direction]bool{},
+		conns:   map[*networkConn]bool{},
+		changed: make(chan struct{}),
+	}
 	tb.Cleanup(n.Heal)
 	return n
 }
 
-// Cut has nothing more that one machine sends reach another.
-func (n *Network) Cut(from, to string) { n.set(way{from, to}) }
+// Cut holds up whatever one machine sends to another.
+func (n *Network) Cut(from, to string) { n.cutDirections(direction{from, to}) }
 
-// Part cuts the machines of one side from those of the other, both ways.
+// Part partitions the network: it cuts the machines of one side from those of the other, in both directions.
 func (n *Network) Part(one, other []string) {
 	for _, a := range one {
 		for _, b := range other {
-			n.set(way{a, b}, way{b, a})
+			n.cutDirections(direction{a, b}, direction{b, a})
 		}
 	}
 }
 
-// Drop closes the connections that a machine has opened, as the end of its process does.
+// Drop closes the connections that a machine has opened, as the end of its process would.
 func (n *Network) Drop(from string) {
 	n.mu.Lock()
-	var all []*heldConn
+	var all []*networkConn
 	for c := range n.conns {
 		if c.out.from == from {
 			all = append(all, c)
@@ -56,7 +62,7 @@
 	}
 }
 
-// Heal ends all cuts.
+// Heal ends all cuts, and closes the connections that were closed behind one.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,48 +74,51 @@
 	n.signal()
 }
 
-func (n *Network) set(ways ...way) {
+// cutDirections adds cuts.
+func (n *Network) cutDirections(directions ...direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range ways {
-		n.cut[w] = true
+	for _, d := range directions {
+		n.cut[d] = true
 	}
 	n.signal()
 }
 
+// signal wakes those who wait for a change. n.mu is held.
 func (n *Network) signal() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// open reports whether none of some ways is cut, and what is closed when that may have changed.
-func (n *Network) open(ways ...way) (bool, <-chan struct{}) {
+// open reports whether none of some directions is cut, and returns a channel that is closed when that may have changed.
+func (n *Network) open(directions ...direction) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range ways {
-		if n.cut[w] {
+	for _, d := range directions {
+		if n.cut[d] {
 			return false, n.changed
 		}
 	}
 	return true, n.changed
 }
 
-// await waits until none of some ways is cut. It fails at the deadline, if there is one, and when the connection is closed.
-func (n *Network) await(deadline time.Time, closed <-chan struct{}, ways ...way) error {
-	var over <-chan time.Time
+// awaitOpen blocks until none of some directions is cut. It returns os.ErrDeadlineExceeded at the deadline, if that
+// isn't zero, and net.ErrClosed when closed is.
+func (n *Network) awaitOpen(deadline time.Time, closed <-chan struct{}, directions ...direction) error {
+	var expired <-chan time.Time
 	if !deadline.IsZero() {
 		timer := time.NewTimer(time.Until(deadline))
 		defer timer.Stop()
-		over = timer.C
+		expired = timer.C
 	}
 	for {
-		open, changed := n.open(ways...)
+		open, changed := n.open(directions...)
 		if open {
 			return nil
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-expired:
 			return os.ErrDeadlineExceeded
 		case <-closed:
 			return net.ErrClosed
@@ -117,7 +126,8 @@
 	}
 }
 
-// Dialer opens connections of one machine.
+// Dialer returns a function that dials as one machine. It blocks until both directions are open, for within at the
+// most.
 func (n *Network) Dialer(from string) func(addr string, within time.Duration) (net.Conn, error) {
 	return func(addr string, within time.Duration) (net.Conn, error) {
 		by := time.Now().Add(within)
@@ -125,8 +135,13 @@
 		if err != nil {
 			return nil, err
 		}
-		c := &heldConn{n: n, out: way{from, to}, back: way{to, from}, closed: make(chan struct{})}
-		if err := n.await(by, nil, c.out, c.back); err != nil {
+		c := &networkConn{
+			network: n,
+			out:     direction{from, to},
+			back:    direction{to, from},
+			closed:  make(chan struct{}),
+		}
+		if err := n.awaitOpen(by, nil, c.out, c.back); err != nil {
 			return nil, err
 		}
 		if c.Conn, err = net.DialTimeout("tcp", addr, time.Until(by)); err != nil {
@@ -139,57 +154,60 @@
 	}
 }
 
-// heldConn is a connection through a Network. One goroutine reads and one writes at a time.
-type heldConn struct {
+// networkConn is a connection through a Network. One goroutine reads and one writes at a time.
+type networkConn struct {
 	net.Conn
-	n         *Network
-	out, back way
+	network *Network
+	out     direction // from the machine that dialed
+	back    direction
 
-	mu          sync.Mutex
-	read, write time.Time // deadlines
-	once        sync.Once
-	closed      chan struct{}
+	mu            sync.Mutex
+	readDeadline  time.Time
+	writeDeadline time.Time
+	once          sync.Once     // for Close
+	closed        chan struct{} // closed by Close
 
-	arrived []byte // read but held by a cut
-	failed  error  // what came after that
+	received []byte // read from the connection and not yet returned by Read; used by the reader only
+	readErr  error  // what came after received
 }
 
-// Read gives what has arrived, once its way is open.
-func (c *heldConn) Read(p []byte) (int, error) {
-	if len(c.arrived) == 0 && c.failed == nil {
+// Read returns what has arrived, once its direction is open.
+func (c *networkConn) Read(p []byte) (int, error) {
+	if len(c.received) == 0 && c.readErr == nil {
 		n, err := c.Conn.Read(p)
 		if n == 0 && err != nil && os.IsTimeout(err) {
 			return 0, err
 		}
-		c.arrived, c.failed = append(c.arrived, p[:n]...), err
+		c.received = append(c.received, p[:n]...)
+		c.readErr = err
 	}
-	if err := c.n.await(c.deadline(&c.read), c.closed, c.back); err != nil {
+	if err := c.network.awaitOpen(c.deadline(&c.readDeadline), c.closed, c.back); err != nil {
 		return 0, err
 	}
-	c.travel()
-	if len(c.arrived) == 0 {
-		return 0, c.failed
+	c.awaitDelay()
+	if len(c.received) == 0 {
+		return 0, c.readErr
 	}
-	n := copy(p, c.arrived)
-	c.arrived = c.arrived[n:]
+	n := copy(p, c.received)
+	c.received = c.received[n:]
 	return n, nil
 }
 
-// Write sends once the way is open.
-func (c *heldConn) Write(p []byte) (int, error) {
-	if err := c.n.await(c.deadline(&c.write), c.closed, c.out); err != nil {
+// Write sends once its direction is open.
+func (c *networkConn) Write(p []byte) (int, error) {
+	if err := c.network.awaitOpen(c.deadline(&c.writeDeadline), c.closed, c.out); err != nil {
 		return 0, err
 	}
-	c.travel()
+	c.awaitDelay()
 	return c.Conn.Write(p)
 }
 
-// travel waits for as long as the way takes.
-func (c *heldConn) travel() {
-	if c.n.Delay <= 0 {
+// awaitDelay blocks for the network's Delay, or until the connection is closed.
+func (c *networkConn) awaitDelay() {
+	if c.network.Delay <= 0 {
 		return
 	}
-	timer := time.NewTimer(c.n.Delay)
+	timer := time.NewTimer(c.network.Delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -197,48 +215,50 @@
 	}
 }
 
-func (c *heldConn) deadline(which *time.Time) time.Time {
+// deadline returns one of the deadlines under the lock.
+func (c *networkConn) deadline(which *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return *which
 }
 
-// SetDeadline sets both deadlines.
-func (c *heldConn) SetDeadline(t time.Time) error {
+// SetDeadline sets the deadlines of reads and writes.
+func (c *networkConn) SetDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.read, c.write = t, t
+	c.readDeadline = t
+	c.writeDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetDeadline(t)
 }
 
 // SetReadDeadline sets the deadline of reads.
-func (c *heldConn) SetReadDeadline(t time.Time) error {
+func (c *networkConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.read = t
+	c.readDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
 // SetWriteDeadline sets the deadline of writes.
-func (c *heldConn) SetWriteDeadline(t time.Time) error {
+func (c *networkConn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.write = t
+	c.writeDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Close ends the connection here; the other side learns of it once the way there is open.
-func (c *heldConn) Close() error {
+// Close closes the connection at this end; the other end learns of it once the direction there is open.
+func (c *networkConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		c.n.mu.Lock()
-		defer c.n.mu.Unlock()
-		delete(c.n.conns, c)
-		if !c.n.cut[c.out] {
+		c.network.mu.Lock()
+		defer c.network.mu.Unlock()
+		delete(c.network.conns, c)
+		if !c.network.cut[c.out] {
 			c.Conn.Close()
 			return
 		}
-		c.n.parked = append(c.n.parked, c.Conn)
+		c.network.parked = append(c.network.parked, c.Conn)
 		c.Conn.SetDeadline(time.Unix(1, 0)) // whoever reads or writes returns
 	})
 	return nil
