--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -127,7 +127,7 @@
 	return replication.Witness
 }
 
-// agentStatus returns the node agents that hold a lease.
+// agentStatus returns the proxies that hold a lease, each with its node agent's name; the report calls them agents.
 func (s *Server) agentStatus(now time.Time) []status.Agent {
 	agents := []status.Agent{}
 	for _, m := range s.cache.Members(now, s.memberLease()) {
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -21,7 +21,8 @@
 )
 
 // Version orders the states of one resource type: by epoch, then by count. A primary counts within its epoch, so that
-// what a newer primary sends is always newer.
+// what a newer primary sends is always newer. The configuration's epoch is always 0 and its count the number of the
+// change that led to it, which rises through all views.
 type Version struct {
 	Epoch uint64 `msg:"e"`
 	Count uint64 `msg:"n"`
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -292,7 +292,8 @@
 	Seq         uint64 // newest change in the record, committed or not
 	PrimaryAddr string // "" when unknown
 	// Ready means: as primary, that all backups are in sync, and writes and reads are answered. Else, that this machine
-	// is a member of the view and heard its primary within ElectionTimeout.
+	// is a member of the view whose election timer has not run out: the primary's heartbeats restart it, and so do the
+	// start of the process, a new view, another's ballot and the end of a freeze.
 	Ready bool
 	// Released means that after Leave no other machine would miss this one: its process may end.
 	Released bool
