--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -121,8 +121,8 @@
 		Tests: "^TestContactInStorms$",
 		Dir:   replicationDir,
 		Texts: []string{
-			"m.contact.confirm(round)",
-			"m.contact.confirm(m.round)",
+			"m.primary.contact.confirm(round)",
+			"m.primary.contact.confirm(m.primary.readRound)",
 		},
 	},
 	{
