--- a/cmd/molepaddle-fleet/show.go
+++ b/cmd/molepaddle-fleet/show.go
@@ -70,7 +70,7 @@
 	for i := range routes {
 		r := &routes[i]
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%d\t%d\t%s\n",
-			quoteName(r.Name), quoteName(r.Hostname), quoteName(r.Prefix), r.Kind, strings.Join(formatShares(r), " "),
+			quoteName(r.Name), quoteName(r.Hostname), quoteName(r.Prefix), r.Kind, strings.Join(formatServices(r), " "),
 			r.Deadline(), formatDuration(r.LatencyTarget()), r.Priority, r.MaxAttempts, formatRouteOptions(r))
 	}
 }
@@ -115,9 +115,9 @@
 	}
 }
 
-// formatShares are a route's services, with their parts where there are several. The weights of a valid route add up
+// formatServices are a route's services, with their parts where there are several. The weights of a valid route add up
 // to more than 0.
-func formatShares(r *routingconfig.RouteSpec) []string {
+func formatServices(r *routingconfig.RouteSpec) []string {
 	if len(r.Split) == 0 {
 		return []string{quoteName(r.ServiceName)}
 	}
--- a/internal/fleet/controlplane/driver.go
+++ b/internal/fleet/controlplane/driver.go
@@ -30,7 +30,7 @@
 		case <-next.C:
 			out = s.replica.Tick(time.Since(s.start))
 		}
-		if began, ok := s.replica.LastQuorumContact(); ok {
+		if began, ok := s.replica.LastBackupContact(); ok {
 			s.contact.renew(s.replica.Status().Epoch, s.start.Add(began))
 		}
 		s.processOutput(ctx, &out)
--- a/internal/fleet/replication/quorumcontact.go
+++ b/internal/fleet/replication/backupcontact.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// quorumContact remembers when the newest round of confirmations began that all backups of a view have answered.
-type quorumContact struct {
+// backupContact remembers when the newest round of confirmations began that all backups of a view have answered.
+type backupContact struct {
 	open      uint64        // the round that is followed; 0: none
 	opened    time.Duration // when it began
 	confirmed time.Duration // when the newest confirmed one began
@@ -12,23 +12,23 @@
 
 // begin notes that a round began. One that is open stays so until it is confirmed: its confirmation is then a lower
 // bound.
-func (c *quorumContact) begin(round uint64, now time.Duration) {
+func (c *backupContact) begin(round uint64, now time.Duration) {
 	if c.open == 0 {
 		c.open, c.opened = round, now
 	}
 }
 
 // confirm notes that all backups have answered all rounds up to one.
-func (c *quorumContact) confirm(round uint64) {
+func (c *backupContact) confirm(round uint64) {
 	if c.open != 0 && c.open <= round {
 		c.confirmed, c.known, c.open = c.opened, true, 0
 	}
 }
 
-// LastQuorumContact returns since when this primary's view may have been superseded: up to that time, on the clock of
+// LastBackupContact returns since when this primary's view may have been superseded: up to that time, on the clock of
 // the inputs, no view of a later epoch was decided, so nothing newer was acknowledged elsewhere. ok is false when this
 // machine isn't a ready primary or its view has not been confirmed yet. A view without backups needs no confirmation.
-func (m *Machine) LastQuorumContact() (began time.Duration, ok bool) {
+func (m *Machine) LastBackupContact() (began time.Duration, ok bool) {
 	if !m.ready() {
 		return 0, false
 	}
--- a/internal/fleet/replication/quorumcontact_test.go
+++ b/internal/fleet/replication/backupcontact_test.go
@@ -91,7 +91,7 @@
 		if b.m == nil {
 			continue
 		}
-		if began, ok := b.m.LastQuorumContact(); ok {
+		if began, ok := b.m.LastBackupContact(); ok {
 			w.claims++
 			w.check(b, b.started+began)
 		}
--- a/internal/fleet/replication/install.go
+++ b/internal/fleet/replication/install.go
@@ -96,7 +96,7 @@
 		}
 	}
 	p.viewStartSeq, p.readRound, p.heartbeatAt = m.log.seq, 0, m.now
-	p.contact = quorumContact{}
+	p.contact = backupContact{}
 	p.progress = map[ID]*progress{}
 	for _, id := range m.view.Backups {
 		p.progress[id] = &progress{stalledSince: m.now}
--- a/internal/fleet/replication/state.go
+++ b/internal/fleet/replication/state.go
@@ -39,7 +39,7 @@
 	learnerSendAt time.Duration // no changes for learners before this
 	progress      map[ID]*progress
 	readRound     uint64 // the newest round of heartbeats that confirms reads
-	contact       quorumContact
+	contact       backupContact
 	pendingWrites []pendingRequest   // at: the change's Seq
 	pendingReads  []pendingRequest   // at: the read round that confirms it, 0 until one begins
 	joiners       map[string]*joiner // by address
