--- a/cmd/molepaddle-fleet/core_test.go
+++ b/cmd/molepaddle-fleet/core_test.go
@@ -52,8 +52,8 @@
 	for o := range outcomes {
 		f.Assert(o.err, qt.IsNil)
 		f.Assert(o.rep.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", o.rep.Body))
-		if o.rep.Tries > 1 {
-			t.Logf("version %d took %d tries, %v after the kill", o.rep.Version, o.rep.Tries, o.rep.At.Sub(at))
+		if o.rep.Attempts > 1 {
+			t.Logf("version %d took %d tries, %v after the kill", o.rep.Version, o.rep.Attempts, o.rep.At.Sub(at))
 		}
 		acked, f.version, at = append(acked, o.rep.Version), o.rep.Version, o.rep.At
 	}
--- a/cmd/molepaddle-fleet/demo.go
+++ b/cmd/molepaddle-fleet/demo.go
@@ -150,11 +150,11 @@
 		d.Fatalf("POST /chat/: status %d, %d of %d tokens, %v: %s", r.Status, len(r.Events), out, r.Err, r.AnswerBody)
 	}
 	if e, ok := d.entryOf(r.Attempt, simulation.KindPrefill); ok {
-		d.printLine("   read at %s: %d tokens in %v, %d were kept from before", e.Engine, e.ReadTokens,
-			roundDuration(e.Ended.Sub(e.Began)), e.KeptTokens)
+		d.printLine("   read at %s: %d tokens in %v, %d were kept from before", e.Engine, e.PrefillTokens,
+			roundDuration(e.Ended.Sub(e.Began)), e.CachedTokens)
 	}
 	if e, ok := d.entryOf(r.Attempt, simulation.KindRequest); ok {
-		d.printLine("   made at %s: %d tokens, on the memory of %d taken over", e.Engine, len(r.Events), e.MovedTokens)
+		d.printLine("   made at %s: %d tokens, on the memory of %d taken over", e.Engine, len(r.Events), e.TransferredTokens)
 	}
 	d.printLine("   the first token came after %v, the last after %v", roundDuration(r.Events[0].At.Sub(r.SentAt)),
 		roundDuration(r.EndedAt.Sub(r.SentAt)))
--- a/cmd/molepaddle-fleet/demofleet.go
+++ b/cmd/molepaddle-fleet/demofleet.go
@@ -159,15 +159,15 @@
 // startEngines starts a zone's backends: one that prefills, one that decodes, and one of the plain service.
 func (f *demoFleet) startEngines(number int, zone string) {
 	prefill := simulation.EngineSettings{
-		ID:        fmt.Sprintf("prefill-%d", number),
-		Service:   demoModel,
-		Zone:      zone,
-		Region:    "kanto",
-		Phase:     simulation.PhasePrefill,
-		Capacity:  16,
-		Step:      5 * time.Millisecond,
-		TokenRead: 20 * time.Microsecond,
-		Fencing:   true,
+		ID:              fmt.Sprintf("prefill-%d", number),
+		Service:         demoModel,
+		Zone:            zone,
+		Region:          "kanto",
+		Phase:           simulation.PhasePrefill,
+		Capacity:        16,
+		Step:            5 * time.Millisecond,
+		PrefillPerToken: 20 * time.Microsecond,
+		Fencing:         true,
 	}
 	decode := prefill
 	decode.ID = fmt.Sprintf("decode-%d", number)
@@ -188,7 +188,7 @@
 // forwardPulls has a port of each core machine lead to the one where it serves node agents.
 func (f *demoFleet) forwardPulls(coreIPs []string, from, to int) {
 	for _, ip := range coreIPs {
-		simulation.PassOn(f, net.JoinHostPort(ip, strconv.Itoa(from)), net.JoinHostPort(ip, strconv.Itoa(to)))
+		simulation.ForwardPort(f, net.JoinHostPort(ip, strconv.Itoa(from)), net.JoinHostPort(ip, strconv.Itoa(to)))
 	}
 }
 
--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -161,7 +161,7 @@
 		f.awaitReady(m)
 		f.clients = append(f.clients, &simulation.Client{Edge: m.boot.Edge, Keep: true})
 	}
-	c.Logf("first configuration taken after %v, at the try %d; proxies ready after %v", rep.At.Sub(began), rep.Tries,
+	c.Logf("first configuration taken after %v, at the try %d; proxies ready after %v", rep.At.Sub(began), rep.Attempts,
 		time.Since(began))
 	// The core serves as soon as two of its machines are there. What it promises to survive counts from when all are
 	// in: one that is no member knows no primary to send a caller to.
@@ -177,13 +177,13 @@
 func (f *fleet) startBackends(options fleetOptions) {
 	// A token takes 4 us to be read at a prefill backend: 250 are read in a ms.
 	prefill := simulation.EngineSettings{
-		Service:   model,
-		Phase:     simulation.PhasePrefill,
-		Capacity:  16,
-		Step:      2 * time.Millisecond,
-		TokenRead: 4 * time.Microsecond,
-		Fencing:   true,
-		NoReport:  options.noReport,
+		Service:         model,
+		Phase:           simulation.PhasePrefill,
+		Capacity:        16,
+		Step:            2 * time.Millisecond,
+		PrefillPerToken: 4 * time.Microsecond,
+		Fencing:         true,
+		NoReport:        options.noReport,
 	}
 	decode := prefill
 	decode.Phase = simulation.PhaseDecode
@@ -251,7 +251,7 @@
 			// one gets ports of its own, and finds the control servers there by way of relays.
 			set.Ports = simulation.ChoosePorts(f.C, machinePorts, all...)
 			for _, core := range coreIPs {
-				simulation.PassOn(f.C, net.JoinHostPort(core, strconv.Itoa(set.Ports.First+1)),
+				simulation.ForwardPort(f.C, net.JoinHostPort(core, strconv.Itoa(set.Ports.First+1)),
 					net.JoinHostPort(core, strconv.Itoa(ports.First+1)))
 			}
 		}
--- a/cmd/molepaddle-fleet/retries_test.go
+++ b/cmd/molepaddle-fleet/retries_test.go
@@ -146,7 +146,7 @@
 		silence := time.Duration(300+200*((round+3*i)%8)) * time.Microsecond
 		both.Go(func() {
 			change := rivalRoute(i, base+1)
-			hasty := &simulation.Operator{Ctl: ctl, Silence: silence, Tries: 1}
+			hasty := &simulation.Operator{Ctl: ctl, Timeout: silence, MaxAttempts: 1}
 			replies[i], errs[i] = hasty.Update(f.withTimeout(testTimeout), base, change)
 			if errs[i] == nil {
 				return
--- a/cmd/molepaddle-fleet/traffic_test.go
+++ b/cmd/molepaddle-fleet/traffic_test.go
@@ -52,10 +52,10 @@
 			if en.KVFrom != "" {
 				apart++
 				f.Check(en.HandleOwner, qt.Equals, en.Attempt)
-				f.Check(en.ReadTokens, qt.Equals, 0)
-				f.Check(en.MovedTokens, qt.Equals, r.Tokens[0])
+				f.Check(en.PrefillTokens, qt.Equals, 0)
+				f.Check(en.TransferredTokens, qt.Equals, r.Tokens[0])
 			} else {
-				f.Check(en.ReadTokens+en.KeptTokens, qt.Equals, r.Tokens[0])
+				f.Check(en.PrefillTokens+en.CachedTokens, qt.Equals, r.Tokens[0])
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 
 // whileSilent sends requests at once while some backends don't answer, and returns the results in their order.
 func (p *faultPlay) whileSilent(es []*simulation.Engine, rs ...simulation.Request) (out []simulation.Result) {
-	p.setFaults(es, simulation.Faults{Silent: true})
+	p.setFaults(es, simulation.Faults{Unresponsive: true})
 	var open []<-chan simulation.Result
 	for i, r := range rs {
 		open = append(open, p.doAsync(i%len(p.clients), r))
@@ -491,7 +491,7 @@
 		return n
 	}
 	silent := f.decode[slices.IndexFunc(f.decode, func(e *simulation.Engine) bool { return asked(e) > 0 })]
-	silent.SetFaults(simulation.Faults{Silent: true})
+	silent.SetFaults(simulation.Faults{Unresponsive: true})
 	began := time.Now()
 	// Clients leave before their deadline, from which a proxy learns nothing about the backend.
 	r := hazard()
--- a/cmd/molepaddle-fleet/upgrade_test.go
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -277,7 +277,7 @@
 			return false
 		}
 		l.longest = max(l.longest, time.Since(began))
-		if rep.Tries > 1 {
+		if rep.Attempts > 1 {
 			l.retried++
 		}
 		return true
--- a/internal/fleet/controlplane/partition_test.go
+++ b/internal/fleet/controlplane/partition_test.go
@@ -80,7 +80,7 @@
 		cut   func(c *cluster, primary, other string)
 		hears bool
 	}{
-		{"whole", func(c *cluster, primary, other string) { c.network.Part([]string{primary}, []string{other}) }, false},
+		{"whole", func(c *cluster, primary, other string) { c.network.Partition([]string{primary}, []string{other}) }, false},
 		{"it is not heard", func(c *cluster, primary, other string) { c.network.Cut(primary, other) }, true},
 		{"it hears nothing", func(c *cluster, primary, other string) { c.network.Cut(other, primary) }, false},
 	} {
@@ -101,7 +101,7 @@
 			// Of two changes under one number one was sent to the old primary alone: its backups may have it from
 			// there.
 			in := c.showConfig(others...)
-			t.Logf("shown elsewhere %v after the cut, at try %d", in.At.Sub(cut), in.Tries)
+			t.Logf("shown elsewhere %v after the cut, at try %d", in.At.Sub(cut), in.Attempts)
 			c.replaceConfig(in.Version, in.Version+2, others...)
 			c.eventually("the cut is known", func() bool {
 				st := c.servers[old].status.Load()
@@ -147,7 +147,7 @@
 			c := newCluster(t, net, 3, 1, nil)
 			c.replaceConfig(0, 5, c.ips...)
 			old := c.primary(c.ips...)
-			c.network.Part([]string{old}, c.others(old))
+			c.network.Partition([]string{old}, c.others(old))
 			got := ask(c, old)
 			c.Check(got.status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s %s", got.location, got.body))
 			c.Check(got.took < callerTimeout, qt.IsTrue, qt.Commentf("%v", got.took))
@@ -198,7 +198,7 @@
 	c.replaceConfig(0, 5, c.ips...)
 	old := c.primary(c.ips...)
 	others := c.others(old)
-	c.network.Part([]string{old}, others)
+	c.network.Partition([]string{old}, others)
 	c.replaceConfig(5, 7, others...)
 	set := c.servers[old].set
 	c.servers[old].stop()
@@ -210,7 +210,7 @@
 	for _, ip := range others {
 		c.servers[ip].stop()
 	}
-	c.network.Part(others[:1], others[1:])
+	c.network.Partition(others[:1], others[1:])
 	for _, ip := range others {
 		set := c.servers[ip].set
 		set.Bootstrap = false
@@ -327,10 +327,10 @@
 				order = append(order, lost)
 			}
 			if one.silent {
-				c.network.Part([]string{lost}, c.others(lost))
+				c.network.Partition([]string{lost}, c.others(lost))
 			}
 			c.servers[lost].stop()
-			c.network.Drop(lost)
+			c.network.CloseConns(lost)
 			killed := time.Now()
 			if one.silent {
 				c.acceptSilently(c.control(lost))
@@ -342,7 +342,7 @@
 			}
 			rep := c.replaceConfig(5, 7, order...)
 			took := rep.At.Sub(killed)
-			t.Logf("acknowledged %v after the loss, at try %d", took, rep.Tries)
+			t.Logf("acknowledged %v after the loss, at try %d", took, rep.Attempts)
 			c.Assert(took < one.within+callerTimeout/2, qt.IsTrue, qt.Commentf("%v", took))
 		})
 	}
--- a/internal/fleet/controlplane/phasecontroller_test.go
+++ b/internal/fleet/controlplane/phasecontroller_test.go
@@ -49,7 +49,7 @@
 		c.Assert(backup.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse,
 			qt.Commentf("%s isn't the primary", other))
 	}
-	c.network.Part([]string{holder}, c.others(holder))
+	c.network.Partition([]string{holder}, c.others(holder))
 	began := time.Now()
 	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("nobody confirms the epoch"))
 	c.Assert(time.Since(began) < confirmAndOrderTimeout+promptAnswer, qt.IsTrue)
@@ -151,7 +151,7 @@
 	}
 	old := c.primary(c.ips...)
 	reaches(old, 2)
-	c.network.Part([]string{old}, c.others(old))
+	c.network.Partition([]string{old}, c.others(old))
 	next := c.primary(c.others(old)...)
 	c.eventually("the cut is known", func() bool { return !c.servers[old].isLeader(c.servers[old].status.Load()) }, old)
 	reaches(next, 1)
--- a/internal/fleet/nodeagent/partition_test.go
+++ b/internal/fleet/nodeagent/partition_test.go
@@ -213,7 +213,7 @@
 		cut              func(c *testCore, followed string) (majority []string)
 	}
 	isolate := func(c *testCore, followed string) []string {
-		c.network.Part([]string{followed}, c.others(followed))
+		c.network.Partition([]string{followed}, c.others(followed))
 		return c.others(followed)
 	}
 	for i, tc := range []situation{
@@ -233,7 +233,7 @@
 		{"the primary", 3, 1, (*testCore).primary, isolate},
 		{"two of five", 5, 2, backup, func(c *testCore, followed string) []string {
 			lost := append([]string{followed}, c.others(followed, c.primary())[0])
-			c.network.Part(lost, c.others(lost...))
+			c.network.Partition(lost, c.others(lost...))
 			return c.others(lost...)
 		}},
 	} {
@@ -261,7 +261,7 @@
 	c := newTestCore(t, 62, 3, 1, 2*time.Second, 0)
 	c.replaceConfig(0, 5, c.ips...)
 	lone := c.others(c.primary())[0]
-	c.network.Part([]string{lone}, c.others(lone))
+	c.network.Partition([]string{lone}, c.others(lone))
 	c.replaceConfig(5, 7, c.others(lone)...)
 	began := time.Now()
 	a := c.startAgent(lone)
--- a/internal/fleet/proxy/residencycheck_test.go
+++ b/internal/fleet/proxy/residencycheck_test.go
@@ -65,7 +65,7 @@
 		},
 		"handles lapse": func(r *rig) {
 			for _, e := range r.engines {
-				e.HandlesLapse()
+				e.ExpireHandles()
 			}
 		},
 	}
@@ -247,7 +247,7 @@
 	}
 	moved := 0
 	for _, en := range r.engines[1].Log.Entries() {
-		moved += en.MovedTokens
+		moved += en.TransferredTokens
 	}
 	r.Assert(moved > 0, qt.IsTrue)
 	r.clean()
--- a/internal/fleet/proxy/rig_test.go
+++ b/internal/fleet/proxy/rig_test.go
@@ -247,7 +247,7 @@
 
 // clean ends the proxy and judges all that happened: nothing outside, every request answered once and in its time. It
 // returns the cached prefixes that were left.
-func (r *rig) clean() []simulation.Rest {
+func (r *rig) clean() []simulation.Residence {
 	r.Helper()
 	r.server.Close() // waits for the requests, and the next for the handles that they left to be released
 	r.proxy.background.Wait()
@@ -285,13 +285,13 @@
 // engineAt is an engine of the service llm in a zone, for so many requests at once.
 func engineAt(zone string, phase simulation.Phase, capacity int) simulation.EngineSettings {
 	return simulation.EngineSettings{
-		Service:  "llm",
-		Zone:     zone,
-		Region:   testZones[zone],
-		Phase:    phase,
-		Capacity: capacity,
-		Queue:    4,
-		KVRef:    time.Minute,
+		Service:   "llm",
+		Zone:      zone,
+		Region:    testZones[zone],
+		Phase:     phase,
+		Capacity:  capacity,
+		Queue:     4,
+		HandleTTL: time.Minute,
 	}
 }
 
--- a/internal/fleet/simulation/engine_handle.go
+++ b/internal/fleet/simulation/engine_handle.go
@@ -24,7 +24,7 @@
 	ic.e.Log.add(en)
 	defer ic.e.Log.edit(func() {}) // wakes tests that wait for what the handler changed outside of the Log
 	defer ic.recordEnd(en)
-	if rw.faults.Silent {
+	if rw.faults.Unresponsive {
 		rw.keepAlive = false
 		<-ctx.Done()
 		return
--- a/internal/fleet/simulation/engine_prefill.go
+++ b/internal/fleet/simulation/engine_prefill.go
@@ -15,7 +15,7 @@
 		return
 	}
 	ic.recordStart(en, "")
-	if ic.readPrompt(ctx, rw, en, rs, ic.e.s.TokenRead) != nil {
+	if ic.readPrompt(ctx, rw, en, rs, ic.e.s.PrefillPerToken) != nil {
 		ic.releaseSlot(rs)
 		ic.recordEnd(en)
 		ic.abort(ctx, rw, en, false)
--- a/internal/fleet/simulation/engine_run.go
+++ b/internal/fleet/simulation/engine_run.go
@@ -42,8 +42,8 @@
 	ctx context.Context, rw *responseWriter, en *Entry, rs *reservation, each time.Duration,
 ) error {
 	ic.e.Log.edit(func() {
-		en.ReadTokens = rs.uncachedTokens
-		en.KeptTokens = rs.cachedTokens
+		en.PrefillTokens = rs.uncachedTokens
+		en.CachedTokens = rs.cachedTokens
 	})
 	if err := ic.step(ctx, rw, time.Duration(rs.uncachedTokens)*each); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	}
 	ic.recordStart(en, ic.seal())
 	if rs != nil {
-		each := ic.e.s.TokenRead
+		each := ic.e.s.PrefillPerToken
 		if ic.Phase() == PhaseDecode {
 			each *= 2
 		}
@@ -130,7 +130,7 @@
 	ic.e.Log.edit(func() {
 		en.Handle = h.id
 		en.HandleOwner = h.owner
-		en.MovedTokens = h.tokens
+		en.TransferredTokens = h.tokens
 	})
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/fleet/simulation/engine_test.go
+++ b/internal/fleet/simulation/engine_test.go
@@ -131,7 +131,7 @@
 	c.Assert([]int{got.Events[0].Tokens, got.Events[2].Tokens}, qt.DeepEquals, []int{2, 1})
 	en := last(d)
 	c.Assert(en.HandleOwner, qt.Equals, "9c41")
-	c.Assert([]int{en.MovedTokens, en.ReadTokens}, qt.DeepEquals, []int{160, 0})
+	c.Assert([]int{en.TransferredTokens, en.PrefillTokens}, qt.DeepEquals, []int{160, 0})
 	c.Assert(d.Log.CachedParts(), qt.HasLen, 3)
 	c.Assert(d.Log.CachedParts()[0].Transferred, qt.IsTrue)
 	c.Assert(reported(c, p).InUse, qt.Equals, 0)
@@ -140,13 +140,13 @@
 
 	next := prompt("77")
 	c.Assert(do(c, d, next).OK(), qt.IsTrue)
-	c.Assert([]int{last(d).KeptTokens, last(d).ReadTokens}, qt.DeepEquals, []int{120, 40})
+	c.Assert([]int{last(d).CachedTokens, last(d).PrefillTokens}, qt.DeepEquals, []int{120, 40})
 }
 
 func TestHandlesEnd(t *testing.T) {
 	c := qt.New(t)
 	k := &clock{}
-	p := StartEngine(t, EngineSettings{Phase: PhasePrefill, KVRef: time.Hour, Now: k.now})
+	p := StartEngine(t, EngineSettings{Phase: PhasePrefill, HandleTTL: time.Hour, Now: k.now})
 	d := StartEngine(t, EngineSettings{Phase: PhaseDecode})
 	r := prompt("e440")
 
@@ -156,7 +156,7 @@
 	assertNotRun(c, d, do(c, d, with(r, HeaderKVFrom, freed)), 503)
 
 	lapsed := prefillAt(c, p, r)
-	p.HandlesLapse()
+	p.ExpireHandles()
 	assertNotRun(c, d, do(c, d, with(r, HeaderKVFrom, lapsed)), 503)
 
 	late := prefillAt(c, p, r)
@@ -183,7 +183,7 @@
 // TestTransfersOneAtATime: a transfer that would have to wait longer than two seconds is not started; its handle stays.
 func TestTransfersOneAtATime(t *testing.T) {
 	c := qt.New(t)
-	p := StartEngine(t, EngineSettings{Phase: PhasePrefill, KVRef: time.Hour})
+	p := StartEngine(t, EngineSettings{Phase: PhasePrefill, HandleTTL: time.Hour})
 	d := StartEngine(t, EngineSettings{Phase: PhaseDecode, Bandwidth: 1, KVTokenBytes: 1_000_000})
 	first, second := prompt("a"), prompt("b")
 	from := []string{prefillAt(c, p, first), prefillAt(c, p, second)}
@@ -221,7 +221,7 @@
 	c.Assert(do(c, d, with(r, HeaderTarget, d.ID(), HeaderExpect, "1")).OK(), qt.IsTrue)
 	d.SetVersion("m", 2)
 	c.Assert(do(c, d, with(r, HeaderExpect, "2")).OK(), qt.IsTrue)
-	c.Assert(last(d).KeptTokens, qt.Equals, 0, qt.Commentf("parts are kept for their weights"))
+	c.Assert(last(d).CachedTokens, qt.Equals, 0, qt.Commentf("parts are kept for their weights"))
 }
 
 // TestFull: slots, then the queue, then 503; more urgent requests are admitted first.
@@ -313,7 +313,7 @@
 	got = at(Faults{LoseAnswer: true})
 	c.Assert([]any{got.Status, got.Malformed, last(e).Ran}, qt.DeepEquals, []any{0, false, true})
 
-	e.SetFaults(Faults{Silent: true})
+	e.SetFaults(Faults{Unresponsive: true})
 	ctx, cancel := context.WithTimeout(c.Context(), 10*time.Second)
 	defer cancel()
 	clientCtx, leave := context.WithCancel(ctx)
--- a/internal/fleet/simulation/forward.go
+++ b/internal/fleet/simulation/forward.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// forwardDialTimeout bounds the connect to the target of PassOn.
+// forwardDialTimeout bounds the connect to the target of ForwardPort.
 const forwardDialTimeout = time.Second
 
-// PassOn forwards connections from one address to another until the test ends, as if what listens at to
+// ForwardPort forwards connections from one address to another until the test ends, as if what listens at to
 // listened at from: for machines that share 127.0.0.1 and so need ports of their own.
-func PassOn(tb TB, from, to string) {
+func ForwardPort(tb TB, from, to string) {
 	tb.Helper()
 	ln, err := net.Listen("tcp", from)
 	if err != nil {
--- a/internal/fleet/simulation/handles.go
+++ b/internal/fleet/simulation/handles.go
@@ -29,12 +29,12 @@
 	regionTransferFactor = 10
 )
 
-// issueHandle adds a handle, which expires after KVRef. ic.mu is held.
+// issueHandle adds a handle, which expires after HandleTTL. ic.mu is held.
 func (ic *incarnation) issueHandle(h *handle) {
 	h.id = randomHex(6)
-	h.expires = ic.e.s.Now().Add(ic.e.s.KVRef)
+	h.expires = ic.e.s.Now().Add(ic.e.s.HandleTTL)
 	ic.handles[h.id] = h
-	time.AfterFunc(ic.e.s.KVRef, func() {
+	time.AfterFunc(ic.e.s.HandleTTL, func() {
 		ic.mu.Lock()
 		defer ic.mu.Unlock()
 		ic.expireHandles()
@@ -59,8 +59,8 @@
 	ic.e.Log.edit(func() {}) // wakes tests that wait for Handles
 }
 
-// HandlesLapse makes all handles expire at once.
-func (e *Engine) HandlesLapse() {
+// ExpireHandles makes all handles expire at once.
+func (e *Engine) ExpireHandles() {
 	ic := e.incarnation()
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/fleet/simulation/judge_residency.go
+++ b/internal/fleet/simulation/judge_residency.go
@@ -19,8 +19,8 @@
 	ResidenceCached  ResidenceKind = "kept"   // a part of its prompt was cached there
 )
 
-// Rest is data of one request that was at one backend, by the backend's own record.
-type Rest struct {
+// Residence is data of one request that was at one backend, by the backend's own record.
+type Residence struct {
 	Attempt string
 	Kind    ResidenceKind
 	Engine  string // id
@@ -31,7 +31,7 @@
 }
 
 // String returns the kind, attempt, engine and region in a few words.
-func (r Rest) String() string {
+func (r Residence) String() string {
 	return fmt.Sprintf("%s of %s at %s in %s", r.Kind, r.Attempt, r.Engine, r.Region)
 }
 
@@ -47,8 +47,8 @@
 
 // Residences returns everywhere that data of requests was, by the Engines' own record, in order of time. It doesn't use
 // what the proxies under test recorded about their choice.
-func (j *Judge) Residences() []Rest {
-	var out []Rest
+func (j *Judge) Residences() []Residence {
+	var out []Residence
 	for _, e := range j.Engines {
 		entries := e.Log.Entries()
 		removed := j.handleRemovals(entries)
@@ -59,12 +59,12 @@
 			}
 			out = append(out, r)
 			if en.Kind == KindPrefill && en.Handle != "" {
-				out = append(out, handleResidence(r, en, e.s.KVRef, removed))
+				out = append(out, handleResidence(r, en, e.s.HandleTTL, removed))
 			}
 		}
 	}
 	for _, part := range j.CachedParts() {
-		out = append(out, Rest{
+		out = append(out, Residence{
 			Attempt: part.Attempt,
 			Kind:    ResidenceCached,
 			Engine:  part.Engine,
@@ -74,7 +74,7 @@
 			Until:   part.EvictedAt,
 		})
 	}
-	slices.SortStableFunc(out, func(a, b Rest) int { return cmp.Compare(a.From.UnixNano(), b.From.UnixNano()) })
+	slices.SortStableFunc(out, func(a, b Residence) int { return cmp.Compare(a.From.UnixNano(), b.From.UnixNano()) })
 	return out
 }
 
@@ -98,8 +98,8 @@
 }
 
 // runResidence returns the residence of a request's run or prefill; ok is false when there was none.
-func runResidence(en Entry) (r Rest, ok bool) {
-	r = Rest{
+func runResidence(en Entry) (r Residence, ok bool) {
+	r = Residence{
 		Attempt: en.Attempt,
 		Engine:  en.Engine,
 		Zone:    en.Zone,
@@ -122,7 +122,7 @@
 
 // handleResidence returns the residence of the handle that a prefill made: until it was removed, or at the latest
 // expired.
-func handleResidence(prefill Rest, en Entry, ttl time.Duration, removed map[string]time.Time) Rest {
+func handleResidence(prefill Residence, en Entry, ttl time.Duration, removed map[string]time.Time) Residence {
 	r := prefill
 	r.Kind = ResidenceHandle
 	if !r.Until.IsZero() {
@@ -147,7 +147,7 @@
 // (none: it may be anywhere). Leaked are the residences that began outside the terms in force, or went on outside them
 // for longer than slack after a change. Cached parts that were there before a change can't be removed by the protocol:
 // they are returned as lingering. A request without a Result is judged by the terms of the zero Result.
-func (j *Judge) Leaks(terms func(Result) []Term, slack time.Duration) (leaking, lingering []Rest) {
+func (j *Judge) Leaks(terms func(Result) []Term, slack time.Duration) (leaking, lingering []Residence) {
 	o := j.observe()
 	for _, r := range j.Residences() {
 		var of Result
@@ -166,7 +166,7 @@
 
 // judge compares a residence with its request's terms, the oldest first. Each term but the first is in force only slack
 // after its change, and each until the next one's change.
-func (r Rest) judge(history []Term, slack time.Duration) verdict {
+func (r Residence) judge(history []Term, slack time.Duration) verdict {
 	end := r.Until
 	if end.IsZero() {
 		end = time.Now()
--- a/internal/fleet/simulation/log.go
+++ b/internal/fleet/simulation/log.go
@@ -54,12 +54,12 @@
 	Priority int
 	Deadline time.Duration // X-Molepaddle-Deadline-Ms; 0 when absent
 
-	KVFrom      string // Kv-From
-	Handle      string // kv_ref issued (prefill), fetched (request) or freed
-	HandleOwner string // attempt whose prefill issued the handle that was fetched
-	ReadTokens  int    // prompt tokens prefilled here
-	KeptTokens  int    // prompt tokens found in the cache here
-	MovedTokens int    // prompt tokens transferred from another Engine
+	KVFrom            string // Kv-From
+	Handle            string // kv_ref issued (prefill), fetched (request) or freed
+	HandleOwner       string // attempt whose prefill issued the handle that was fetched
+	PrefillTokens     int    // prompt tokens prefilled here
+	CachedTokens      int    // prompt tokens found in the cache here
+	TransferredTokens int    // prompt tokens transferred from another Engine
 
 	Owner string // owner of an order
 	Gen   int64  // gen of an order
--- a/internal/fleet/simulation/network.go
+++ b/internal/fleet/simulation/network.go
@@ -38,8 +38,8 @@
 // Cut holds up whatever one machine sends to another.
 func (n *Network) Cut(from, to string) { n.cutDirections(direction{from, to}) }
 
-// Part partitions the network: it cuts the machines of one side from those of the other, in both directions.
-func (n *Network) Part(one, other []string) {
+// Partition partitions the network: it cuts the machines of one side from those of the other, in both directions.
+func (n *Network) Partition(one, other []string) {
 	for _, a := range one {
 		for _, b := range other {
 			n.cutDirections(direction{a, b}, direction{b, a})
@@ -47,8 +47,8 @@
 	}
 }
 
-// Drop closes the connections that a machine has opened, as the end of its process would.
-func (n *Network) Drop(from string) {
+// CloseConns closes the connections that a machine has opened, as the end of its process would.
+func (n *Network) CloseConns(from string) {
 	n.mu.Lock()
 	var all []*networkConn
 	for c := range n.conns {
--- a/internal/fleet/simulation/operator.go
+++ b/internal/fleet/simulation/operator.go
@@ -28,20 +28,20 @@
 // Operator calls the operator's API at the ctl addresses. Its fields are not to be changed during a call; it is safe
 // for concurrent use otherwise.
 type Operator struct {
-	Ctl     []string      // IP:PORT; called in turn
-	Silence time.Duration // bounds each call; 1 s, and 1 s more for each MiB of its body, when 0
-	Backoff time.Duration // first pause between calls, doubled up to 1 s; 20 ms when 0
-	Tries   int           // most calls, 307s not counted; 0 for as many as ctx allows
+	Ctl         []string      // IP:PORT; called in turn
+	Timeout     time.Duration // bounds each call; 1 s, and 1 s more for each MiB of its body, when 0
+	Backoff     time.Duration // first pause between calls, doubled up to 1 s; 20 ms when 0
+	MaxAttempts int           // most calls, 307s not counted; 0 for as many as ctx allows
 }
 
 // Reply is the outcome of one of the operator's calls.
 type Reply struct {
-	Status  int    // of the answer that ended the call; 0 when none did
-	Version uint64 // acknowledged (replace, update) or shown; 0 otherwise
-	Body    []byte
-	From    string    // URL that answered
-	Tries   int       // calls made, 307s not counted
-	At      time.Time // of the answer
+	Status   int    // of the answer that ended the call; 0 when none did
+	Version  uint64 // acknowledged (replace, update) or shown; 0 otherwise
+	Body     []byte
+	From     string    // URL that answered
+	Attempts int       // calls made, 307s not counted
+	At       time.Time // of the answer
 }
 
 // Replace sends a complete configuration based on the version base, and blocks until an answer ends the call, or
@@ -102,7 +102,7 @@
 	if len(o.Ctl) == 0 {
 		return Reply{}, errors.New("no ctl address")
 	}
-	timeout := o.Silence
+	timeout := o.Timeout
 	if timeout == 0 {
 		timeout = defaultCallTimeout + time.Duration(len(body)>>20)*time.Second
 	}
@@ -112,7 +112,7 @@
 	for n := 1; ; n++ {
 		url := "http://" + o.Ctl[(n-1)%len(o.Ctl)] + path
 		rep, err := o.callOnce(ctx, timeout, method, url, body, h)
-		rep.Tries = n
+		rep.Attempts = n
 		if err != nil {
 			lastErr = err
 		} else {
@@ -124,11 +124,11 @@
 			}
 			lastErr = errors.Errorf("status %d from %s", rep.Status, rep.From)
 		}
-		if o.Tries > 0 && n >= o.Tries {
-			return Reply{Tries: n}, errors.Wrapf(lastErr, "%s %s: %d tries", method, path, n)
+		if o.MaxAttempts > 0 && n >= o.MaxAttempts {
+			return Reply{Attempts: n}, errors.Wrapf(lastErr, "%s %s: %d tries", method, path, n)
 		}
 		if err := sleep(ctx, pause); err != nil {
-			return Reply{Tries: n}, errors.Wrapf(lastErr, "%s %s: %v", method, path, err)
+			return Reply{Attempts: n}, errors.Wrapf(lastErr, "%s %s: %v", method, path, err)
 		}
 		pause = min(2*pause, longestBackoff)
 	}
--- a/internal/fleet/simulation/operator_test.go
+++ b/internal/fleet/simulation/operator_test.go
@@ -42,12 +42,12 @@
 	})
 	op := &Operator{
 		Ctl:     []string{serveCtl(c, status(503)), serveCtl(c, status(429)), unresponsive, three, two},
-		Silence: time.Second,
+		Timeout: time.Second,
 		Backoff: time.Millisecond,
 	}
 	rep, err := op.Replace(c.Context(), 5, []byte(doc))
 	c.Assert(err, qt.IsNil)
-	c.Assert([]any{rep.Status, rep.Version, rep.Tries}, qt.DeepEquals, []any{200, uint64(7), 5})
+	c.Assert([]any{rep.Status, rep.Version, rep.Attempts}, qt.DeepEquals, []any{200, uint64(7), 5})
 	c.Assert(rep.From, qt.Equals, "http://"+primary+PathReplace)
 }
 
@@ -58,7 +58,7 @@
 		op := &Operator{Backoff: time.Millisecond, Ctl: []string{ctl}}
 		rep, err := op.Update(c.Context(), 1, map[string]any{"ver": 2})
 		c.Assert(err, qt.IsNil)
-		c.Assert([]int{rep.Status, rep.Tries}, qt.DeepEquals, []int{tc.status, tc.tries})
+		c.Assert([]int{rep.Status, rep.Attempts}, qt.DeepEquals, []int{tc.status, tc.tries})
 	}
 	ctl := serveCtl(c, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"ver":9}`) })
 	show := &Operator{Ctl: []string{ctl}}
--- a/internal/fleet/simulation/settings.go
+++ b/internal/fleet/simulation/settings.go
@@ -46,14 +46,14 @@
 	Stream       bool          // answer with streams although Phase is none
 	Stride       int           // tokens in one event; 1 when 0
 	Models       []Model       // [{m 1 []}] when nil and Phase is set
-	KVRef        time.Duration // kv_ref_s: how long a handle is kept; 5 s when 0
+	HandleTTL    time.Duration // kv_ref_s: how long a handle is kept; 5 s when 0
 	Swap         time.Duration // swap_s: how long a phase order takes after the last request ended
 	Fencing      bool          // reject orders with a lower gen than one seen, with 412
 
-	Step      time.Duration // time of one event, or the work of a plain request; 0 for none
-	TokenRead time.Duration // time to prefill one token; doubled at a decode backend; 0 for none
-	BodyBytes int           // length of a plain answer's body; 64 when 0
-	Tokens    int           // tokens of a stream when X-Molepaddle-Token-Count is absent; 3 strides when 0
+	Step            time.Duration // time of one event, or the work of a plain request; 0 for none
+	PrefillPerToken time.Duration // time to prefill one token; doubled at a decode backend; 0 for none
+	BodyBytes       int           // length of a plain answer's body; 64 when 0
+	Tokens          int           // tokens of a stream when X-Molepaddle-Token-Count is absent; 3 strides when 0
 
 	Now func() time.Time // clock for expiry and delays; time.Now when nil
 }
@@ -68,7 +68,7 @@
 	s.KVTokens = cmp.Or(s.KVTokens, 1_000_000)
 	s.KVTokenBytes = cmp.Or(s.KVTokenBytes, 163_840)
 	s.Stride = cmp.Or(s.Stride, 1)
-	s.KVRef = cmp.Or(s.KVRef, 5*time.Second)
+	s.HandleTTL = cmp.Or(s.HandleTTL, 5*time.Second)
 	s.BodyBytes = cmp.Or(s.BodyBytes, 64)
 	s.Tokens = cmp.Or(s.Tokens, 3*s.Stride)
 	if s.Models == nil && s.Phase != PhaseNone {
@@ -88,7 +88,7 @@
 	Garble           bool          // send bytes that are no answer
 	Extra            bool          // send another complete answer, with another attempt's id, after each answer
 	LoseAnswer       bool          // run the request and close without an answer
-	Silent           bool          // read requests and never answer; nothing runs
+	Unresponsive     bool          // read requests and never answer; nothing runs
 	Refuse           bool          // reset each new connection
 	Draining         bool          // Connection: close in answers, 503 to probes
 	TransferSlowdown float64       // factor on the time of transfers; 0 means 1
