--- a/cmd/molepaddle-fleet/demo.go
+++ b/cmd/molepaddle-fleet/demo.go
@@ -154,7 +154,8 @@
 			roundDuration(e.Ended.Sub(e.Began)), e.CachedTokens)
 	}
 	if e, ok := d.entryOf(r.Attempt, simulation.KindRequest); ok {
-		d.printLine("   made at %s: %d tokens, on the memory of %d taken over", e.Engine, len(r.Events), e.TransferredTokens)
+		d.printLine("   made at %s: %d tokens, on the memory of %d taken over",
+			e.Engine, len(r.Events), e.TransferredTokens)
 	}
 	d.printLine("   the first token came after %v, the last after %v", roundDuration(r.Events[0].At.Sub(r.SentAt)),
 		roundDuration(r.EndedAt.Sub(r.SentAt)))
