--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -241,7 +241,7 @@
 // TurnTo turns to the roster at another address.
 func (c *Core) TurnTo(addr string) { c.post(input{kind: inTurn, addr: addr}) }
 
-// Turner is a Decider that can take other settings while it is at work, as policy.Balancer.Turn does.
+// Turner is a Decider that can take other settings while it is at work, as policy.Balancer.UpdateSettings does.
 type Turner interface {
 	UpdateSettings(set settings.Settings, from []int)
 }
@@ -249,7 +249,7 @@
 // ErrSettled is why settings can't be changed.
 var ErrSettled = errors.New("what decides takes no other settings")
 
-// UpdateSettings takes another version of the settings and returns when its classes are known: requests that
+// Turn takes another version of the settings and returns when its classes are known: requests that
 // have come keep their numbers, which mean the same. An error has changed nothing.
 func (c *Core) Turn(t *settings.Table) error {
 	if _, able := c.bal.(Turner); !able {
