--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -124,8 +124,8 @@
 	return b, nil
 }
 
-// UpdateSettings replaces the settings, which are valid, from the next event on. Classes and tenants that are known
-// keep their numbers; a new class i is taken for one like class from[i], if there is one.
+// UpdateSettings replaces the settings, which are valid, from the next event on. Classes and tenants that
+// are known keep their numbers; a new class i is taken for one like class from[i], if there is one.
 func (b *Balancer) UpdateSettings(set settings.Settings, from []int) {
 	b.set = set
 	b.minLatencyTarget = math.Inf(1)
