--- a/cmd/molepaddle/main_test.go
+++ b/cmd/molepaddle/main_test.go
@@ -3,12 +3,14 @@
 import (
 	"bytes"
 	"fmt"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -94,15 +96,28 @@
 	}
 }
 
-// freeAddress is one that nothing listens on.
+// Ports of addresses that processes under test bind again later: below the range from which the system takes the local ports
+// of outgoing connections, since one of those would be in the way.
+const (
+	firstFreePort = 16000
+	freePorts     = 16000
+	freeTries     = 100
+)
+
+// freeAddress returns an address of loopback at which nobody listens now.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	for range freeTries {
+		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(firstFreePort+rand.IntN(freePorts)))
+		free, err := net.Listen("tcp", address)
+		if err != nil {
+			continue
+		}
+		free.Close()
+		return address
 	}
-	defer free.Close()
-	return free.Addr().String()
+	t.Fatal("no port is free")
+	return ""
 }
 
 // wholeConfig lists one backend.
