--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -251,21 +251,27 @@
 			}
 		}
 	}
-	for _, decl := range f.syntax.Decls {
+	visitNames(f.syntax, report)
+	return findings
+}
+
+// visitNames calls visit for each name that a file declares, but for local ones; owner is the type that a field or
+// method belongs to.
+func visitNames(file *ast.File, visit func(owner string, name *ast.Ident)) {
+	for _, decl := range file.Decls {
 		switch d := decl.(type) {
 		case *ast.FuncDecl:
 			owner := ""
 			if d.Recv != nil {
 				owner = receiverType(d)
 			}
-			report(owner, d.Name)
+			visit(owner, d.Name)
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
-				visitSpec(spec, report)
+				visitSpec(spec, visit)
 			}
 		}
 	}
-	return findings
 }
 
 // visitSpec calls visit for each name that a specification declares; owner is the type that a field or method belongs to.
--- a/internal/codestyle/pages_test.go
+++ b/internal/codestyle/pages_test.go
@@ -59,32 +59,15 @@
 		if !strings.HasPrefix(file.path, "internal/fleet/") && !strings.HasPrefix(file.path, "policy/") {
 			continue
 		}
-		d.packages[file.syntax.Name.Name] = true
-		for _, decl := range file.syntax.Decls {
-			d.add(file.syntax.Name.Name, decl)
-		}
+		pkg := file.syntax.Name.Name
+		d.packages[pkg] = true
+		visitNames(file.syntax, func(owner string, name *ast.Ident) {
+			full := pkg + "." + name.Name
+			if owner != "" {
+				full = pkg + "." + owner + "." + name.Name
+			}
+			d.names[full] = true
+		})
 	}
 	return d
 }
-
-func (d *declarations) add(pkg string, decl ast.Decl) {
-	put := func(owner string, name *ast.Ident) {
-		if owner == "" {
-			d.names[pkg+"."+name.Name] = true
-			return
-		}
-		d.names[pkg+"."+owner+"."+name.Name] = true
-	}
-	switch x := decl.(type) {
-	case *ast.FuncDecl:
-		owner := ""
-		if x.Recv != nil {
-			owner = receiverType(x)
-		}
-		put(owner, x.Name)
-	case *ast.GenDecl:
-		for _, spec := range x.Specs {
-			visitSpec(spec, put)
-		}
-	}
-}
