--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -604,7 +604,7 @@
 	c.tried(a, res)
 	r.ran = r.ran || !res.Status.NeverRan()
 	r.spent += res.Spent
-	if res.Status == policy.NoWay && r.most < policy.MostTries {
+	if res.Status == policy.NoConnection && r.most < policy.MaxUnconnectedAttempts {
 		r.most++ // as the module counts
 	}
 	if res.Status == policy.OK {
@@ -730,7 +730,7 @@
 	r.open++
 	if !b.usable || r.answered {
 		// The module sends to what is listed as ready only; should it not, nothing goes out.
-		c.stop(a, nil, policy.Moot)
+		c.stop(a, nil, policy.Abandoned)
 		return
 	}
 	b.attempts = append(b.attempts, a)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -206,7 +206,7 @@
 	}
 	late := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
 	late.lapses = time.Now()
-	if late.Begin() || late.Broken(io.EOF, false).Status != policy.Moot {
+	if late.Begin() || late.Broken(io.EOF, false).Status != policy.Abandoned {
 		t.Fatal("began after its time")
 	}
 }
@@ -280,8 +280,8 @@
 		want  policy.Status
 	}{
 		"drained":  {true, func(a *Attempt) { a.Withdraw(ErrDrained) }, policy.Full},
-		"lapsed":   {true, func(a *Attempt) { a.lapses = time.Now() }, policy.Moot},
-		"shut":     {false, func(*Attempt) {}, policy.Moot},
+		"lapsed":   {true, func(a *Attempt) { a.lapses = time.Now() }, policy.Abandoned},
+		"shut":     {false, func(*Attempt) {}, policy.Abandoned},
 		"and open": {true, func(*Attempt) {}, policy.Reset},
 	} {
 		var a *Attempt
@@ -733,7 +733,7 @@
 	}
 	late := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
 	late.deadline = time.Now().Add(900 * time.Microsecond)
-	if _, ok := late.Tell(0); ok || late.Begin() || late.Broken(io.EOF, false).Status != policy.Moot {
+	if _, ok := late.Tell(0); ok || late.Begin() || late.Broken(io.EOF, false).Status != policy.Abandoned {
 		t.Error("something may be written with no time left")
 	}
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -22,7 +22,7 @@
 	b := c.byAddr[addr]
 	if b == nil || !b.usable {
 		c.todo = append(c.todo, input{kind: inProbed, att: &Attempt{backend: &backend{addr: addr}},
-			res: Result{Status: policy.Moot}})
+			res: Result{Status: policy.Abandoned}})
 		return
 	}
 	r := &Request{Message: Message{Method: "GET", Target: probeTarget, Host: "backend.local"}}
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -118,7 +118,7 @@
 func neverRan(err error) policy.Status {
 	switch {
 	case errors.Is(err, ErrNoWay):
-		return policy.NoWay
+		return policy.NoConnection
 	case errors.Is(err, ErrNoSocket):
 		return policy.Full // its server is not to blame
 	}
@@ -235,7 +235,7 @@
 	status := policy.Reset
 	switch {
 	case never && errors.Is(cause, errLapsed):
-		status = policy.Moot
+		status = policy.Abandoned
 	case never && errors.Is(cause, ErrDrained):
 		status = policy.Full
 	case never && neverRan(err) != policy.ConnectFailed:
--- a/internal/fleet/proxy/prefill.go
+++ b/internal/fleet/proxy/prefill.go
@@ -206,6 +206,6 @@
 	cr.svc.generationEnded(generationEnd{
 		backendID:    pl.decode.ID,
 		promptTokens: pl.promptTokens,
-		status:       policy.Moot,
+		status:       policy.Abandoned,
 	}, nil)
 }
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -33,7 +33,7 @@
 		if pl.prefill != nil {
 			count[pl.prefill.ID]++
 		}
-		s.attemptEnded(pl.decode.ID, policy.Moot)
+		s.attemptEnded(pl.decode.ID, policy.Abandoned)
 		s.engines.RequestEnded(pl.decode.ID)
 	}
 	return count
@@ -81,7 +81,7 @@
 		at, ok := s.selectPlain(1, true, map[string]bool{}, residency.Terms{})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(at.ID(), qt.Not(qt.Equals), "d0")
-		s.attemptEnded(at.ID(), policy.Moot)
+		s.attemptEnded(at.ID(), policy.Abandoned)
 	}
 }
 
--- a/internal/fleet/ranking/ranker_test.go
+++ b/internal/fleet/ranking/ranker_test.go
@@ -98,7 +98,7 @@
 
 func TestRejectionDoesNotDemote(t *testing.T) {
 	c := qt.New(t)
-	for _, how := range []policy.Status{policy.Full, policy.Moot, policy.Cancelled, policy.NoWay} {
+	for _, how := range []policy.Status{policy.Full, policy.Abandoned, policy.Cancelled, policy.NoConnection} {
 		r := ranked(RankerSettings{}, 3)
 		first := r.ranking(0, 7)
 		attempted(r, 10, first[0], how)
@@ -237,7 +237,7 @@
 
 // allStatuses are the ways in which an attempt may end.
 var allStatuses = []policy.Status{policy.OK, policy.Full, policy.Error, policy.Timeout, policy.ConnectFailed,
-	policy.Reset, policy.Moot, policy.Cancelled, policy.NoWay}
+	policy.Reset, policy.Abandoned, policy.Cancelled, policy.NoConnection}
 
 func anyUnhealthy(r *Ranker) bool {
 	return slices.ContainsFunc(r.all, func(b *backend) bool { return b.State() == policy.Unhealthy })
--- a/internal/protocol/transport/attempt.go
+++ b/internal/protocol/transport/attempt.go
@@ -129,7 +129,7 @@
 		case left:
 			_ = c.SetReadDeadline(time.Unix(1, 0))
 			l.wait()
-			return core.Result{Status: policy.Moot}, nil // its client broke off: no server is to blame
+			return core.Result{Status: policy.Abandoned}, nil // its client broke off: no server is to blame
 		case !l.wait():
 			return res, err
 		default:
--- a/internal/protocol/transport/early_test.go
+++ b/internal/protocol/transport/early_test.go
@@ -124,7 +124,7 @@
 	rest := window.New(window.NewBudget(1 << 20))
 	a.Request.Message = core.Message{Method: http.MethodPost, Target: "/order/u1", Host: "b", Body: []byte("some"), Length: 1 << 20, Rest: rest}
 	rest.End(fmt.Errorf("broke off"))
-	if res := a.run(); res.Status != policy.Moot {
+	if res := a.run(); res.Status != policy.Abandoned {
 		t.Errorf("ended %d", res.Status)
 	}
 }
--- a/internal/rig/lab/choose/choose.go
+++ b/internal/rig/lab/choose/choose.go
@@ -268,7 +268,7 @@
 	switch st {
 	case policy.OK:
 		t.errors = 0
-	case policy.Cancelled, policy.Moot, policy.NoWay:
+	case policy.Cancelled, policy.Abandoned, policy.NoConnection:
 		return
 	default:
 		t.errors++
--- a/internal/rig/lab/model/model.go
+++ b/internal/rig/lab/model/model.go
@@ -594,7 +594,7 @@
 		return // its process has gone meanwhile, or says nothing
 	}
 	if att.beginBy > 0 && w.now >= att.beginBy {
-		w.outcome(att, policy.Moot)
+		w.outcome(att, policy.Abandoned)
 		w.rest(att)
 		return
 	}
@@ -687,7 +687,7 @@
 	case policy.OK, policy.Error, policy.Full:
 		w.rest(att)
 	case policy.ConnectFailed:
-	case policy.Moot:
+	case policy.Abandoned:
 	default:
 		w.hangUp(att)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -191,7 +191,7 @@
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[17:])), getF64(raw[19:])
 		ev.Final = raw[27] != 0
 		ev.Report, err = report("verdict: report", raw[28:])
-		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.Moot)) {
+		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.Abandoned)) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
 	case codeFlowing:
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -8,12 +8,13 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// retryAfterJitter is the part of the advised time until a retry that is left to chance.
+// retryAfterJitter is the random part of the retry-after time.
 const retryAfterJitter = 0.5
 
-// maySend guards all attempts: a request goes to usable servers only, one attempt at a time, within its
-// deadline and its number of attempts, and again to the same server only where there is no other. What may
-// have run goes again only as mayRepeat allows. Capacity is hasCapacity's.
+// maySend reports whether an attempt of the request at the server is allowed. Every attempt must pass: the
+// server is usable, no other attempt is in flight, the deadline and the number of attempts are kept, a server
+// is used twice only if there are no more servers than attempts, and a request that may have run is repeated
+// only as mayRepeat allows. Capacity is checked by hasCapacity.
 func (b *Balancer) maySend(r *request, s *server) bool {
 	if !s.usable || r.closed || r.started || r.inFlight > 0 || b.now >= r.deadline || b.now < r.retryAt ||
 		len(r.attempts) >= r.maxAttempts {
@@ -21,7 +22,7 @@
 	}
 	for _, a := range r.attempts {
 		if a.s == s && len(b.servers) > len(r.attempts) {
-			return false // further attempts go elsewhere
+			return false // retries go to other servers
 		}
 	}
 	if r.maybeRan == 0 {
@@ -30,8 +31,9 @@
 	return b.mayRepeat(r, s)
 }
 
-// mayRepeat tells whether a request that may have run may run again, at this server. What has a key guards
-// itself, within the time and among the servers that share the key's memory; all else would run twice.
+// mayRepeat reports whether a request that may have run may run again at this server. A request with an
+// idempotency key is deduplicated by the servers of its group while they remember the key; any other that is
+// not idempotent would run twice.
 func (b *Balancer) mayRepeat(r *request, s *server) bool {
 	c := &b.set.Classes[r.class]
 	switch c.Effect {
@@ -47,31 +49,31 @@
 	return false
 }
 
-// send makes an attempt of the request at the server; false where maySend forbids it.
+// send starts an attempt of the request at the server; it returns false if maySend forbids it.
 func (b *Balancer) send(r *request, s *server) bool {
 	if !b.maySend(r, s) {
 		return false
 	}
 	a := &attempt{
-		r:      r,
-		s:      s,
-		index:  len(r.attempts),
-		alone:  len(s.inFlight) == 0,
-		sentAt: b.now,
-		cost:   b.cost(r),
+		r:            r,
+		s:            s,
+		index:        len(r.attempts),
+		soleInFlight: len(s.inFlight) == 0,
+		sentAt:       b.now,
+		cost:         b.cost(r),
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	begin := b.latestUseful(r) - b.minRemaining(s, r) // connecting may take all that is left
+	begin := b.latestUseful(r) - b.minRemaining(s, r) // latest start, as connecting may be slow
 	if r.maybeRan == 0 {
 		r.ranAt = b.now
 		r.ranOn = s
 	} else if c := &b.set.Classes[r.class]; c.Effect == settings.Guarded {
-		begin = min(begin, r.ranAt+c.KeyTTLMs-2*b.set.RoundMs) // and outlast the key's memory
+		begin = min(begin, r.ranAt+c.KeyTTLMs-2*b.set.RoundMs) // a retry must begin before the key expires
 	}
 	begin = max(begin-b.now, math.SmallestNonzeroFloat64)
 	r.maybeRan++
-	if !r.bodyPending { // a server begins when the body is complete
+	if !r.bodyPending { // the server starts work when the body is complete
 		b.beginWork(a)
 	}
 	if s.sentAt > 0 {
@@ -79,7 +81,7 @@
 	}
 	s.sentAt = b.now
 	b.zoneSuspicion.Sent(s.zone, b.now, b.minLatencyTarget)
-	if b.ramp(s) < 1 {
+	if b.slowStartFactor(s) < 1 {
 		s.slowStartCredit -= a.cost
 	}
 	b.emit(Action{
@@ -92,9 +94,9 @@
 	return true
 }
 
-// end guards all final answers but served ones: a refusal where a retry by the client is harmless, else a
-// failure.
-func (b *Balancer) end(r *request) {
+// finishUnserved closes a request with a final answer that no server gave: a refusal if a retry by the client
+// is harmless, a failure if not.
+func (b *Balancer) finishUnserved(r *request) {
 	if r.closed || r.started {
 		return
 	}
@@ -107,13 +109,13 @@
 		b.emit(Action{Kind: ActFail, Request: r.id})
 		return
 	}
-	// Those refused in one moment must not all come back in one.
+	// Clients refused at the same time must not all retry at the same time.
 	retryAfter := b.set.Limits.MaxRetryAfterMs * (1 - retryAfterJitter*b.rng.Float64())
 	b.emit(Action{Kind: ActRefuse, Request: r.id, Ms: retryAfter})
 }
 
-// close ends a request. It is forgotten once no attempt of it is in flight; those in flight are cancelled
-// where that is allowed.
+// close closes a request and removes it once none of its attempts is in flight. Attempts in flight are
+// cancelled if the settings allow it.
 func (b *Balancer) close(r *request) {
 	r.closed = true
 	if i := slices.Index(b.queue, r); i >= 0 {
@@ -137,8 +139,8 @@
 	}
 	a := r.attempts[ev.Attempt]
 	a.done = true
-	r.maxAttempts -= ev.Tries // a gateway that it went through made more of it
-	if ev.Status == NoWay && r.maxAttempts < MostTries {
+	r.maxAttempts -= ev.Tries // further attempts made by a gateway on the path
+	if ev.Status == NoConnection && r.maxAttempts < MaxUnconnectedAttempts {
 		b.allowAnother(r)
 	}
 	r.inFlight--
@@ -147,7 +149,7 @@
 		r.maybeRan--
 	}
 	b.closeIdle(a.s)
-	b.throttleBy(r, ev.Status)
+	b.updateThrottle(r, ev.Status)
 	b.recordOutcome(a, ev.Status, arith.Finite(ev.LatencyMs))
 	if r.closed || r.started || ev.Final || ev.Status == OK {
 		b.close(r)
@@ -156,41 +158,42 @@
 	}
 }
 
-// allowAnother allows a request one more attempt, since one found no connection and went nowhere: at the
-// other servers at once, and at all of them again after a pause.
+// allowAnother grants a request one more attempt in place of one that found no connection: at once during the
+// first round over the servers, then with a delay that grows with each round.
 func (b *Balancer) allowAnother(r *request) {
 	rounds := len(r.attempts) / max(len(b.servers), 1)
 	r.maxAttempts++
-	r.retryAt = b.now + b.set.Classes[r.class].AimMs/MostTries*float64(rounds)
+	r.retryAt = b.now + b.set.Classes[r.class].AimMs/MaxUnconnectedAttempts*float64(rounds)
 }
 
-// closeIdle has the idle connections to a server closed where keeping them costs more than opening others.
+// closeIdle requests the closing of the idle connections to a server if keeping them costs more than opening
+// new ones.
 func (b *Balancer) closeIdle(s *server) {
 	if len(s.inFlight) == 0 && b.requestRate.HangsUp(&b.set, b.now, s.gap, len(b.servers)) {
 		b.emit(Action{Kind: ActClose, Server: s.id})
 	}
 }
 
-// throttleBy has the throttle count the end of an attempt. With a request or two in flight at each of a
-// thousand agents no server's window holds back the load: each rejected one went on to the next, until
-// requests were sent nine times. Where nothing was tried, or a client left in time, it isn't counted: many
-// clients that left closed the throttle for seconds.
-func (b *Balancer) throttleBy(r *request, status Status) {
-	if status == NoWay || r.closed && b.now <= r.targetAt {
+// updateThrottle records the end of an attempt with the throttle. With one or two requests in flight at each
+// of a thousand agents no server's window limits the load: rejected requests moved from server to server and
+// were sent up to nine times. Attempts without a connection, and those of clients that disconnected in time,
+// are not recorded: many such disconnections closed the throttle for seconds.
+func (b *Balancer) updateThrottle(r *request, status Status) {
+	if status == NoConnection || r.closed && b.now <= r.targetAt {
 		return
 	}
 	b.throttle.Ended(b.now, b.set.Classes[r.class].Earned(status == OK, b.now <= r.targetAt))
 }
 
-// retryOrEnd queues an unanswered request for another server where class, time and retry budget allow, or
-// ends it.
+// retryOrEnd queues an unanswered request for another server if its class, the remaining time and the retry
+// budget allow, and otherwise finishes it.
 func (b *Balancer) retryOrEnd(r *request, why Status) {
 	c := &b.set.Classes[r.class]
 	repeatable := r.maybeRan == 0 || c.Effect == settings.Free || c.Effect == settings.Guarded
-	reached := why != ConnectFailed && why != NoWay // else no server had any of it
-	if !repeatable || len(r.attempts) >= r.maxAttempts || why == Moot || b.tooLate(r) ||
+	reached := why != ConnectFailed && why != NoConnection // other attempts use no retry budget
+	if !repeatable || len(r.attempts) >= r.maxAttempts || why == Abandoned || b.tooLate(r) ||
 		reached && !b.retries.Take(r.class, b.now, b.rng.Float64()) {
-		b.end(r)
+		b.finishUnserved(r)
 		return
 	}
 	b.queue = append(b.queue, r)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -20,69 +20,71 @@
 )
 
 const (
-	// loadBoundFactor is c of Cap: how far above its even share of the attempts a server may go.
+	// loadBoundFactor is c of Cap: the ratio of a server's attempts in flight to its even share that is
+	// allowed.
 	loadBoundFactor = 3.0
-	// smoothing is the weight of an answer in a server's means.
+	// smoothing is the weight of a new sample in a server's moving averages.
 	smoothing = 0.2
-	// usageDecay is the weight of what was before in the tenants' shares, a request: over about 500 of them.
+	// usageDecay is the factor by which each request decays the tenants' shares: a window of about 500
+	// requests.
 	usageDecay = 0.998
-	// throttleSpanTargets is for how many latency targets attempts that earned nothing count.
+	// throttleSpanTargets is the period, in latency targets, over which the throttle counts attempts.
 	throttleSpanTargets = 10.0
-	// maxQueued bounds the queued requests, and so the work of a decision.
+	// maxQueued bounds the queued requests, and thereby the work per event.
 	maxQueued = 512
 	// minTickMs is the least interval of the tick timer, ms.
 	minTickMs = 5
-	// membershipOnRequest is the setting with which the agent asks for the endpoint list itself.
+	// membershipOnRequest is the membership mode in which the agent itself subscribes to the endpoint list.
 	membershipOnRequest = "on_request"
 
-	// tickToken and followToken tell the two timers apart.
+	// tickToken and followToken identify the two timers.
 	tickToken   = 1
 	followToken = 2
 )
 
-// Balancer makes the decisions of one agent: it takes events and returns actions. It is not safe for
+// Balancer makes the decisions of one agent: Handle takes an event and returns actions. It is not safe for
 // concurrent use.
 type Balancer struct {
 	set settings.Settings
 	rng *rand.Rand
-	// minLatencyTarget is the least latency target of a class in use, ms.
+	// minLatencyTarget is the least latency target of the classes in use, ms.
 	minLatencyTarget float64
 
-	// The event that is being handled.
+	// The event being handled.
 	now     float64  // ms
-	actions []Action // what it calls for
+	actions []Action // resulting actions
 
 	// Endpoints.
 	servers     []*server // by list rank, then agent order
 	byAddr      map[cluster.Addr]*server
-	minServers  int     // fewest servers to send to, by the list; 0: the list doesn't say
-	epoch       uint64  // counts changes of tiers and of the list
-	refetchedAt float64 // when the list was last fetched, ms
+	minServers  int     // fewest servers to send to, by the list; 0: not given
+	epoch       uint64  // number of changes of tiers and of the list
+	refetchedAt float64 // last fetch of the list, ms
 	listPolling asking.Asking
 
 	// Requests.
 	requests   map[RequestID]*request
 	queue      []*request
-	saturated  bool // requests that would take any server find none with capacity
-	inFlight   int  // attempts, of all servers
+	saturated  bool // requests that accept any server find none with capacity
+	inFlight   int  // attempts in flight, at all servers
 	timerArmed bool
 
 	// Health.
 	probesInFlight int
 	zoneSuspicion  *doubt.Groups // zones that may be out of reach
 
-	// What was learned.
-	needs         *budget.Needs // answer times, by class and hint
-	normalLatency *calm.Calm    // answer times as parts of the latency target
-	slowStart     *cold.Share   // what servers in slow start can take
+	// Learned statistics.
+	answerTimes   *budget.Needs // answer times, by class and hint
+	normalLatency *calm.Calm    // answer times as shares of the latency target
+	slowStart     *cold.Share   // load that servers in slow start can take
 	weights       *weights.Weights
 	requestRate   pace.Pace
 	keys          hotkeys.Keys
-	usage         arith.FadingWeights // tenants' shares of the requests
-	classValue    *worth.Tally        // what another request of a class served in time is worth
+	tenantUsage   arith.FadingWeights // tenants' shares of the requests
+	classValue    *worth.Tally        // value of one more request of a class served in time
 	unserved      unserved.Memory
 
-	// Limits on what is sent.
+	// Limits on retries and sends.
 	retries  *budget.Retries
 	throttle *budget.Throttle
 
@@ -91,12 +93,13 @@
 	warmAt    float64
 	warmEpoch uint64
 
-	// Scratch, kept to allocate nothing.
+	// Scratch space, reused to avoid allocations.
 	tierScratch  []*server
 	shareScratch []float64
 }
 
-// New returns the Balancer of one agent, or an error that names a setting. Its randomness is the seed's.
+// New returns the Balancer of one agent, or an error that names the invalid setting. The seed determines its
+// random numbers.
 func New(set settings.Settings, seed uint64) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
@@ -109,23 +112,23 @@
 		listPolling:   asking.New(set.Contract.AskWithinMs),
 		requests:      map[RequestID]*request{},
 		zoneSuspicion: doubt.New(),
-		needs:         budget.NewNeeds(nil),
+		answerTimes:   budget.NewNeeds(nil),
 		normalLatency: calm.New(set.Replicas),
 		weights:       weights.New(set.Zone, set.Prices.CrossZone, set.Weights == "off"),
 		keys:          hotkeys.New(),
-		usage:         make([]float64, len(set.Tenants)),
+		tenantUsage:   make([]float64, len(set.Tenants)),
 		unserved:      unserved.New(&set, maxQueued),
 		retries:       budget.NewRetries(len(set.Classes)),
 	}
-	// These keep a pointer into the settings, which Turn replaces in place.
+	// These keep a pointer into the settings, which UpdateSettings replaces in place.
 	b.slowStart = cold.New(&b.set.Contract)
 	b.classValue = worth.New(&b.set)
 	b.UpdateSettings(set, make([]int, len(set.Classes)))
 	return b, nil
 }
 
-// UpdateSettings replaces the settings, which are valid, from the next event on. Classes and tenants that
-// are known keep their numbers; a new class i is taken for one like class from[i], if there is one.
+// UpdateSettings replaces the settings, which must be valid, from the next event on. Known classes and
+// tenants keep their numbers; a new class i starts with the statistics of class from[i], if there is one.
 func (b *Balancer) UpdateSettings(set settings.Settings, from []int) {
 	b.set = set
 	b.minLatencyTarget = math.Inf(1)
@@ -136,15 +139,15 @@
 			b.minLatencyTarget = min(b.minLatencyTarget, c.AimMs)
 		}
 	}
-	b.needs.Fit(first, from)
+	b.answerTimes.Fit(first, from)
 	b.retries.Fit(from)
 	b.classValue.Fit(from)
 	b.unserved.Fit(&b.set)
-	b.usage = append(b.usage, make([]float64, len(set.Tenants)-len(b.usage))...)
+	b.tenantUsage = append(b.tenantUsage, make([]float64, len(set.Tenants)-len(b.tenantUsage))...)
 	b.throttle = b.throttle.Over(throttleSpanTargets * b.minLatencyTarget)
 }
 
-// Start appends the first actions of a new agent to out. It is called once, before Handle.
+// Start appends the first actions of a new agent to out and returns it. It is called once, before Handle.
 func (b *Balancer) Start(now float64, out []Action) []Action {
 	b.now = now
 	b.actions = out
@@ -156,8 +159,8 @@
 	return b.actions
 }
 
-// Handle takes one event and appends the actions that it calls for to out, in their order. What the event
-// names and the Balancer doesn't know is ignored. now is in ms on a clock that doesn't go back.
+// Handle handles one event, appends the resulting actions to out in order, and returns it. An event that
+// names an unknown request, attempt or server is ignored. now is in ms on a clock that does not go back.
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
 	b.now = now
 	b.actions = out
@@ -186,7 +189,7 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// armTimer keeps one tick timer running while there is something to watch.
+// armTimer keeps one tick timer running while requests are queued or attempts are in flight.
 func (b *Balancer) armTimer() {
 	if b.timerArmed || len(b.queue) == 0 && b.inFlight == 0 {
 		return
@@ -206,5 +209,5 @@
 	}
 }
 
-// Reach returns what the Balancer believes of its way to whole zones; the caller must not change it.
+// Reach returns the Balancer's view of the reachability of zones; the caller must not change it.
 func (b *Balancer) Reach() *doubt.Groups { return b.zoneSuspicion }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -53,10 +53,10 @@
 	// Output: send request 1 to [10 0 0 1 31 144]
 }
 
-// Legal but odd values must not spoil what is learned, and each request is answered once.
+// Valid but unusual values must not corrupt the learned statistics, and each request is answered once.
 func TestOddValues(t *testing.T) {
 	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300}
-	r := newRig(t, testSettings(), 3)
+	r := newHarness(t, testSettings(), 3)
 	r.list(cluster.ListDelta,
 		cluster.Entry{Server: addr(9), Health: cluster.Gone},
 		cluster.Entry{Server: addr(1), Health: cluster.Draining})
@@ -72,7 +72,7 @@
 		r.list(cluster.ListDelta, cluster.Entry{Server: addr(2), Health: cluster.Ready, Weight: x, SinceMs: x})
 		for _, class := range []int{-1, 0, 1, 2, 3, 1 << 16} {
 			r.id++
-			actions := r.do(Event{
+			actions := r.handle(Event{
 				Kind:    EvRequest,
 				Request: r.id,
 				Class:   class,
@@ -95,8 +95,8 @@
 	}
 	for range 300 {
 		r.now += 10
-		count(r.do(Event{Kind: EvTimer, Token: tickToken}))
-		for id := RequestID(1); id <= r.id; id++ { // retries end too
+		count(r.handle(Event{Kind: EvTimer, Token: tickToken}))
+		for id := RequestID(1); id <= r.id; id++ { // end the retries as well
 			if q := r.b.requests[id]; q != nil && q.inFlight > 0 {
 				a := q.attempts[len(q.attempts)-1]
 				count(r.outcome(id, a.index, a.s.id, Timeout, 10))
@@ -108,29 +108,29 @@
 			t.Errorf("request %d has %d final answers", id, final[id])
 		}
 	}
-	latency, needs := r.b.normalLatency, r.b.needs
-	x := latency.Fleet + needs.MeanHint + needs.Of(0, 5) + latency.Least + needs.Mean(0)
+	latency, answerTimes := r.b.normalLatency, r.b.answerTimes
+	x := latency.Fleet + answerTimes.MeanHint + answerTimes.Of(0, 5) + latency.Least + answerTimes.Mean(0)
 	if math.IsNaN(x) || math.IsInf(x, 0) {
-		t.Errorf("odd values poisoned the means: %v", x)
+		t.Errorf("unusual values made the means %v", x)
 	}
 }
 
-// The clock may start anywhere, and a request may come with no time left: it is still
-// answered, once, and ordinary ones are served as ever.
+// The clock may start at any value. A request without time left is answered exactly once, and others are
+// served as usual.
 func TestClockStartsAnywhereAndNoTimeLeft(t *testing.T) {
 	for _, start := range []float64{-1e7, 0, 1e13} {
 		b, err := New(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, b: b, now: start}
+		r := &harness{t: t, b: b, now: start}
 		b.Start(start, nil)
 		r.list(cluster.ListCached,
 			cluster.Entry{Server: addr(0), Health: cluster.Ready, Weight: 1},
 			cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1})
 		for _, left := range []float64{0, -5, 600} {
 			r.id++
-			finals, actions := 0, r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, LeftMs: left})
+			finals, actions := 0, r.handle(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, LeftMs: left})
 			a := find(actions, ActSend)
 			if (a != nil) != (left > 0) {
 				t.Fatalf("clock %v, %v ms left: sent %v", start, left, a != nil)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -4,23 +4,23 @@
 	"molepaddle/internal/decide/cold"
 )
 
-// maxSlowStartCredit is what a server's slow-start credit adds up to at the most: all agents may spend theirs
-// at once.
+// maxSlowStartCredit bounds a server's slow-start credit, since all agents may spend theirs at once.
 const maxSlowStartCredit = 1.0
 
-// hasCapacity tells whether a server may get another attempt of the request: its window bounds what is in
-// flight, to one until it is validated, and in slow start its credit does.
+// hasCapacity reports whether the server may get another attempt, for this request. Attempts in flight are
+// bounded by the server's window, and by one until it is validated; in slow start its credit is a further
+// bound.
 func (b *Balancer) hasCapacity(s *server, r *request) bool {
 	if s.state >= UnhealthyPending {
 		if len(s.inFlight) > 0 {
 			return false
 		}
 	} else if len(s.inFlight) >= max(int(s.window), 1) || s.window < 1 && b.now-s.sentAt < s.rtt/s.window {
-		// A window under one is kept by pausing: of many agents even one attempt each can be too much.
+		// A window below one spaces attempts out: with many agents even one attempt each can be too much.
 		return false
 	}
 	switch {
-	case b.ramp(s) == 1 || s.slowStartCredit >= b.cost(r):
+	case b.slowStartFactor(s) == 1 || s.slowStartCredit >= b.cost(r):
 		return true
 	case b.warmWeight() > 0:
 		return false
@@ -30,7 +30,7 @@
 			Window:        s.window,
 			Draw:          s.slowStartCredit,
 			Rtt:           s.rtt,
-			Mean:          b.needs.Mean(r.class),
+			Mean:          b.answerTimes.Mean(r.class),
 			LatencyTarget: b.set.Classes[r.class].AimMs,
 			Replicas:      b.set.Replicas,
 			Listed:        b.now - s.since,
@@ -39,33 +39,34 @@
 		}
 		return v.Room()
 	}
-	return b.slowStart.Earned(b.now-s.sentAt, s.weight, b.ramp(s)) >= b.cost(r)
+	return b.slowStart.Earned(b.now-s.sentAt, s.weight, b.slowStartFactor(s)) >= b.cost(r)
 }
 
-// ramp returns the part of its capacity, 0 to 1, that a server has by contract in slow start; 1 after it.
-func (b *Balancer) ramp(s *server) float64 {
+// slowStartFactor returns the share of its capacity, 0 to 1, that a server in slow start has by the
+// contract; 1 after slow start.
+func (b *Balancer) slowStartFactor(s *server) float64 {
 	age := b.now - s.startedAt
 	return cold.Ramp(&b.set.Contract, age, s.startedAt, s.listedAt)
 }
 
-// earnSlowStartCredit takes the work that a server past slow start has served, and gives those in slow start
-// credit for their share of as much, by weight and ramp, so that all agents together keep to what they can
-// do. What was rejected earns nothing: in a storm it made their shares ninefold (i86bcad).
+// earnSlowStartCredit records work served by a server past slow start and gives each server in slow start
+// credit for its share of that work, by weight and slow-start factor, so that all agents together stay within
+// its capacity. Rejected attempts earn no credit: in a retry storm they raised the shares ninefold (i86bcad).
 func (b *Balancer) earnSlowStartCredit(s *server, cost float64) {
-	if b.ramp(s) < 1 {
+	if b.slowStartFactor(s) < 1 {
 		return
 	}
-	warm := b.warmWeight() * float64(b.subset()) / float64(len(b.servers)) // of its subset
+	warm := b.warmWeight() * float64(b.subset()) / float64(len(b.servers)) // of the agent's subset
 	b.slowStart.Served(b.now, cost, warm)
 	for _, o := range b.servers {
-		if ramp := b.ramp(o); ramp < 1 && warm > 0 {
-			earned := cost * b.slowStart.Of(ramp) * o.weight / warm
+		if slowStartFactor := b.slowStartFactor(o); slowStartFactor < 1 && warm > 0 {
+			earned := cost * b.slowStart.Of(slowStartFactor) * o.weight / warm
 			o.slowStartCredit = min(o.slowStartCredit+earned, maxSlowStartCredit)
 		}
 	}
 }
 
-// warmWeight returns the weight of the top tier's servers past slow start, summed up once a moment.
+// warmWeight returns the total weight of the top tier's servers past slow start, cached by time and epoch.
 func (b *Balancer) warmWeight() float64 {
 	if b.warmAt == b.now && b.warmEpoch == b.epoch {
 		return b.warm
@@ -74,7 +75,7 @@
 	b.warmAt = b.now
 	b.warmEpoch = b.epoch
 	for _, s := range b.servers {
-		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
+		if s.usable && s.state <= Unknown && b.slowStartFactor(s) == 1 {
 			b.warm += s.weight
 		}
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,59 +9,59 @@
 )
 
 const (
-	// firstWindow is how many attempts an unmeasured server may have in flight.
+	// firstWindow is the initial window of a newly listed server.
 	firstWindow = 2.0
-	// restartWindow is the same of one whose process is new.
+	// restartWindow is the initial window of a known server whose process is new.
 	restartWindow = 1.0
-	// minRefetchMs is the least time between two calls for the whole list, ms.
+	// minRefetchMs is the least time between two fetches of the complete list, ms.
 	minRefetchMs = 1000
 )
 
-// server is what the agent knows of one listed server.
+// server is the agent's state of one listed server.
 type server struct {
 	Health
 	id   cluster.Addr
 	hash uint64
 
-	// By the endpoint list.
+	// From the endpoint list.
 	listRank   float64 // position in the list
-	agentOrder uint64  // position in an order of this agent's own, among equal list ranks
+	agentOrder uint64  // position among equal list ranks, in an order that differs by agent
 	weight     float64
 	zone       int
 	cell       int
-	kind       int     // of machine
-	listedAt   float64 // start of its process, ms
+	kind       int     // machine type
+	listedAt   float64 // start of its process by the list, ms
 	usable     bool    // listed as ready
 
 	// Health.
-	unresponsive      bool    // demoted since it didn't answer, not for an answer
-	connectFailedAt   float64 // first failed connect since it last answered, ms; 0: none
-	lastContact       float64 // when it last answered anything, ms
-	strikes           int     // failures of late; they lengthen its time in Unhealthy
+	unresponsive      bool    // demoted for a missing answer, not for an error
+	connectFailedAt   float64 // first failed connect since the last answer, ms; 0: none
+	lastContact       float64 // last answer of any kind, ms
+	strikes           int     // recent failures; each after the first doubles the time in Unhealthy
 	servedSinceStrike int     // answers since strikes last changed
-	failureShare      float64 // share of its attempts that failed of late, after they may have run
+	failureShare      float64 // recent share of attempts that failed and may have run
 	probing           bool    // a probe of it is in flight
 
 	// Load.
-	inFlight    []*attempt // the oldest first
-	window      float64    // attempts of this agent that it may have in flight
-	windowCutAt float64    // ms
-	sentAt      float64    // last attempt, ms
+	inFlight    []*attempt // oldest first
+	window      float64    // limit of this agent's attempts in flight
+	windowCutAt float64    // last reduction of window, ms
+	sentAt      float64    // last attempt, ms; 0: none
 	gap         float64    // mean time between attempts, ms; 0: unknown
 
 	// Latency.
 	rtt          float64 // mean answer time, ms
-	latencyRatio float64 // mean answer time as a part of the latency target
+	latencyRatio float64 // mean answer time as a share of the latency target
 	samples      int     // answers in latencyRatio
 
 	// Slow start.
 	startedAt       float64 // listedAt, or later where a restart is assumed, ms
-	slowStartCredit float64 // work that it may still be sent in slow start
+	slowStartCredit float64 // work that may still be sent in slow start
 
-	score float64 // in the order of the request being selected for; lower is nearer
+	score float64 // for the request being selected for; lower is nearer
 }
 
-// refetch asks for the whole list, but seldom: every call loads discovery.
+// refetch requests the complete list, at a bounded rate: every fetch loads discovery.
 func (b *Balancer) refetch() {
 	if b.now-b.refetchedAt >= max(b.set.Contract.AskWithinMs, minRefetchMs) {
 		b.refetchedAt = b.now
@@ -69,7 +69,7 @@
 	}
 }
 
-// onList handles an endpoint list, a change of it, or that it couldn't be had.
+// onList handles an endpoint list, a change of it, or a failed fetch.
 func (b *Balancer) onList(ev *Event) {
 	if ev.List == cluster.ListFailed {
 		if b.set.Membership == membershipOnRequest {
@@ -103,7 +103,7 @@
 	})
 }
 
-// update takes one entry of the list.
+// update applies one entry of the list.
 func (b *Balancer) update(e *cluster.Entry) {
 	since := arith.Finite(e.SinceMs)
 	s := b.byAddr[e.Server]
@@ -137,9 +137,9 @@
 	return s
 }
 
-// resetServer takes a new process of a known server: nothing known of the old one holds, and it is in slow
-// start. Its credit starts at random: as many agents send it an attempt as the parts that each earns it add
-// up to.
+// resetServer resets the state of a known server that has a new process, which is in slow start. Its credit
+// starts at random in [0, 1), so that the number of agents that send it an attempt matches the sum of the
+// fractions that the agents earn it.
 func (b *Balancer) resetServer(s *server, e *cluster.Entry, since float64) {
 	s.Health = NewHealth(b.now)
 	s.listedAt = since
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
+	r := newHarness(t, testSettings(), 2)
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(0), Health: cluster.Draining, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
+		id, s := r.mustSend(0, key+1)
 		if s == addr(0) {
 			t.Fatal("sent to a draining server")
 		}
@@ -18,7 +18,7 @@
 	}
 	r.list(cluster.ListFull, cluster.Entry{Server: addr(0), Health: cluster.Ready, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
+		id, s := r.mustSend(0, key+1)
 		if s == addr(1) {
 			t.Fatal("sent to a server that left the list")
 		}
@@ -27,8 +27,8 @@
 }
 
 func TestEmptyListIsAnsweredInTime(t *testing.T) {
-	r := newRig(t, testSettings(), 0)
-	id, actions := r.ask(1, 1)
+	r := newHarness(t, testSettings(), 0)
+	id, actions := r.startRequest(1, 1)
 	for range 130 {
 		if a := find(actions, ActRefuse); a != nil {
 			if a.Request != id {
@@ -53,12 +53,12 @@
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
 	if find(b.Handle(first.Ms, &Event{Kind: EvTimer, Token: first.Token}, nil), ActFollow) == nil {
-		t.Fatal("the timer did not subscribe")
+		t.Fatal("the timer caused no subscription")
 	}
 	for range 8 {
 		again := find(b.Handle(first.Ms, &Event{Kind: EvList, List: cluster.ListFailed}, nil), ActTimer)
 		if again == nil || again.Ms > set.Contract.AskWithinMs {
-			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
+			t.Fatalf("a failed call was not retried within the contract's time: %+v", again)
 		}
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The design's way through the four states: demoted, refreshed, validated, and the entry times with them.
+// The transitions through the four states (demoted, refreshed, validated) and their entry times.
 func TestHealth(t *testing.T) {
 	c := qt.New(t)
 	s := NewHealth(5)
@@ -20,7 +20,7 @@
 	c.Assert(s.Demote(20), qt.IsTrue)
 	c.Assert(s.Demote(25), qt.IsFalse)
 	c.Assert(s, qt.Equals, Health{Unhealthy, 20})
-	c.Assert(s.Probed(26, true), qt.IsFalse) // nobody awaits it
+	c.Assert(s.Probed(26, true), qt.IsFalse) // not pending
 	c.Assert(s.Refresh(29, 10), qt.IsFalse)
 	c.Assert(s, qt.Equals, Health{Unhealthy, 20})
 	c.Assert(s.Refresh(30, 10), qt.IsTrue)
@@ -37,33 +37,33 @@
 func TestHealthTier(t *testing.T) {
 	c := qt.New(t)
 	for _, x := range []struct {
-		state State
-		age   float64
-		lapse float64
-		tier  int
+		state   State
+		age     float64
+		timeout float64
+		tier    int
 	}{
 		{Connected, 0, 100, 0}, {Unknown, 0, 100, 0}, {UnhealthyPending, 0, 100, 1}, {UnhealthyPending, 99, 100, 1},
 		{UnhealthyPending, 100, 100, 0}, {UnhealthyPending, 0, 0, 0}, {UnhealthyPending, 0, -1, 0},
 		{Unhealthy, 0, 100, 2}, {Unhealthy, 1e9, 100, 2}, {Unhealthy, 0, 0, 2},
 	} {
 		s := Health{x.state, 7}
-		c.Check(s.Tier(7+x.age, x.lapse), qt.Equals, x.tier, qt.Commentf("%+v", x))
+		c.Check(s.Tier(7+x.age, x.timeout), qt.Equals, x.tier, qt.Commentf("%+v", x))
 	}
 }
 
-// Whatever happens: a transition that says the tier stays keeps it, a failed attempt leaves the last tier,
-// and from any state a refresh with a validation or a lapse leads back to the first.
+// For any sequence of transitions: one that reports no tier change keeps the tier, a failed attempt leads to the
+// last tier, and from any state a refresh followed by a validation or by the pending time-out leads to the first.
 func TestHealthProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, lapse := 0.0, rapid.Float64Range(0, 100).Draw(t, "lapse")
+		now, timeout := 0.0, rapid.Float64Range(0, 100).Draw(t, "timeout")
 		s := NewHealth(now)
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 50).Draw(t, "ms"))
-			was, tier := s, s.Tier(now, lapse)
+			was, tier := s, s.Tier(now, timeout)
 			var moved bool
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				if moved = s.Demote(now); s.Tier(now, lapse) != 2 {
+				if moved = s.Demote(now); s.Tier(now, timeout) != 2 {
 					t.Fatalf("demoted: %+v", s)
 				}
 			case 1:
@@ -75,8 +75,8 @@
 			case 3:
 				moved = s.Probed(now, rapid.Bool().Draw(t, "ok"))
 			}
-			if !moved && s.Tier(now, lapse) != tier {
-				t.Fatalf("%+v became %+v and says its tier is the same", was, s)
+			if !moved && s.Tier(now, timeout) != tier {
+				t.Fatalf("%+v became %+v without reporting a tier change", was, s)
 			}
 			if s.state == was.state && s.since != was.since || s.state != was.state && s.since != now {
 				t.Fatalf("%+v became %+v at %v", was, s, now)
@@ -86,8 +86,8 @@
 		validated.Refresh(now, 0)
 		validated.Probed(now, true)
 		s.Refresh(now, 0)
-		if validated.Tier(now, lapse) != 0 || s.Tier(now+lapse+1, lapse) != 0 {
-			t.Fatalf("does not come back: %+v, %+v", validated, s)
+		if validated.Tier(now, timeout) != 0 || s.Tier(now+timeout+1, timeout) != 0 {
+			t.Fatalf("does not return to the first tier: %+v, %+v", validated, s)
 		}
 	})
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// maxLineWidth is how wide a line of the package may be, a tab counted as four columns.
+// maxLineWidth is the maximum width of a line of the package, a tab counting as four columns.
 const maxLineWidth = 110
 
-// The files of the package that are no tests keep to the agreed width.
+// The non-test files of the package keep to maxLineWidth.
 func TestPolicyLineWidth(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
--- a/policy/passive_health.go
+++ b/policy/passive_health.go
@@ -3,48 +3,49 @@
 import "molepaddle/internal/decide/arith"
 
 const (
-	// failureSmoothing is an attempt's weight in its server's share of failures.
+	// failureSmoothing is an attempt's weight in its server's failure share.
 	failureSmoothing = 0.05
-	// fleetFailureShare is the least median of these shares with which failures are the fleet's.
+	// fleetFailureShare is the least median failure share at which failures are attributed to the fleet.
 	fleetFailureShare = 0.01
-	// fleetFailureFactor is how far above that median a server's share may be.
+	// fleetFailureFactor is the ratio of a server's failure share to that median up to which its failures
+	// are attributed to the fleet.
 	fleetFailureFactor = 3
 	// maxStrikes bounds the doubling of a failing server's time in Unhealthy.
 	maxStrikes = 5
-	// strikeAnswers is how many answers take one of a server's strikes away, for each that it has.
+	// strikeAnswers times the number of a server's strikes is the number of answers that removes one strike.
 	strikeAnswers = 16
-	// maxProbes bounds the probes in flight at once.
+	// maxProbes bounds the probes in flight.
 	maxProbes = 2
-	// unresponsiveTimes is how many mean answer times a server may stay silent with one attempt in flight;
-	// with more, up to unresponsiveAttempts, it is that many times fewer.
+	// unresponsiveTimes is the time-out of a server with one attempt in flight, in mean answer times. It is
+	// divided by the number of attempts in flight, up to unresponsiveAttempts.
 	unresponsiveTimes    = 8
 	unresponsiveAttempts = 3
 
-	// rejectedWindowFactor is what a server's window shrinks by when it rejects an attempt, and
-	// slowWindowFactor when it is slow.
+	// rejectedWindowFactor multiplies a server's window when it rejects an attempt, slowWindowFactor when it
+	// is slow.
 	rejectedWindowFactor = 0.7
 	slowWindowFactor     = 0.85
-	// leastWindow is what a window shrinks to.
+	// leastWindow is the smallest window of a server that is not overloaded.
 	leastWindow = 1.0
-	// minWindow is what it shrinks to at the most crowded server: enough to see when it no longer is.
+	// minWindow is the smallest window of an overloaded server: enough attempts to notice its recovery.
 	minWindow = 0.1
-	// crowdedFactor is how far above its limit the latency of the most crowded servers is.
-	crowdedFactor = 2.5
-	// maxAnswerTargets is how many latency targets an answer time counts as at the most.
+	// overloadedFactor is the ratio of a server's latency to its limit above which it counts as overloaded.
+	overloadedFactor = 2.5
+	// maxAnswerTargets caps a recorded answer time, in latency targets.
 	maxAnswerTargets = 2
 )
 
-// noteTierChange counts a transition that may have changed tiers.
+// noteTierChange increments the epoch if a transition may have changed tiers.
 func (b *Balancer) noteTierChange(tiers bool) {
 	if tiers {
 		b.epoch++
 	}
 }
 
-// enter puts a server into a state.
+// enter sets a server's state.
 func (b *Balancer) enter(s *server, to State) { b.noteTierChange(s.enter(b.now, to)) }
 
-// recordOutcome takes what the end of an attempt says of its server.
+// recordOutcome updates the state of the server from the result of an attempt.
 func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
 	s := a.s
 	if st == OK || st == Error || st == Full {
@@ -74,44 +75,44 @@
 			b.demote(s, true)
 			break
 		}
-		// One that answered others meanwhile is not to blame; it counts as slow.
-		b.needs.Took(a.r.hint, rtt)
-		b.learnLatency(s, b.needs.Part(a.r.hint, rtt/b.set.Classes[a.r.class].AimMs))
+		// A server that answered other attempts in the meantime counts as slow, not as failed.
+		b.answerTimes.Took(a.r.hint, rtt)
+		b.learnLatency(s, b.answerTimes.Part(a.r.hint, rtt/b.set.Classes[a.r.class].AimMs))
 	case Full:
 		s.lastContact = b.now
 		b.shrinkWindow(s, rejectedWindowFactor, leastWindow)
 	}
 }
 
-// recordServed takes an answer that came after rtt ms.
+// recordServed records an answer that took rtt ms.
 func (b *Balancer) recordServed(a *attempt, rtt float64) {
 	s, r := a.s, a.r
 	s.failureShare -= failureSmoothing * s.failureShare
-	b.needs.Took(r.hint, rtt)
+	b.answerTimes.Took(r.hint, rtt)
 	b.recordContact(s)
 	s.rtt = arith.Mean(s.rtt, rtt, smoothing)
 	c := &b.set.Classes[r.class]
-	b.needs.Served(r.class, rtt, maxAnswerTargets*c.AimMs)
+	b.answerTimes.Served(r.class, rtt, maxAnswerTargets*c.AimMs)
 	if b.now <= r.targetAt {
 		b.classValue.Won(r.class)
 	}
-	ratio := b.needs.Part(r.hint, rtt/c.AimMs)
-	b.normalLatency.Answered(ratio, a.alone)
+	ratio := b.answerTimes.Part(r.hint, rtt/c.AimMs)
+	b.normalLatency.Answered(ratio, a.soleInFlight)
 	b.learnLatency(s, ratio)
-	limit := b.normalLatency.Limit(b.ramp(s))
-	if b.ramp(s) < 1 {
+	limit := b.normalLatency.Limit(b.slowStartFactor(s))
+	if b.slowStartFactor(s) < 1 {
 		b.slowStart.Answered(ratio < limit)
 	}
 	if s.state == Unhealthy && a.sentAt < s.since && !s.unresponsive {
-		return // sent before the failure: says nothing of what came after
+		return // sent before the failure, so its answer is no sign of recovery
 	}
 	b.noteTierChange(s.Served(b.now))
 	s.forgiveStrikes()
 	b.resizeWindow(s, limit, rtt)
 }
 
-// forgiveStrikes takes an answer, of which enough take a strike away, as does one after the server was
-// unresponsive.
+// forgiveStrikes records an answer. Enough answers remove a strike, and so does the first answer after the
+// server was unresponsive.
 func (s *server) forgiveStrikes() {
 	if s.unresponsive {
 		s.unresponsive = false
@@ -124,13 +125,13 @@
 	}
 }
 
-// resizeWindow shrinks the window of a server whose latency is above the limit, but not twice for what was in
-// flight at once, and widens it where it is below and the window is nearly full.
+// resizeWindow shrinks the window of a server whose latency is above the limit, at most once per rtt, so that
+// attempts in flight together count once. It widens a nearly full window of a server below the limit.
 func (b *Balancer) resizeWindow(s *server, limit, rtt float64) {
 	switch {
 	case s.latencyRatio > limit && b.now-s.windowCutAt > rtt:
 		least := leastWindow
-		if s.latencyRatio > crowdedFactor*limit {
+		if s.latencyRatio > overloadedFactor*limit {
 			least = minWindow
 		}
 		b.shrinkWindow(s, slowWindowFactor, least)
@@ -139,8 +140,9 @@
 	}
 }
 
-// recordContact takes that a server answered. One that no connect reached for long may be a new process that
-// isn't listed yet: it is in slow start as if it had started now. Time-outs alone don't tell (i228a10).
+// recordContact records that a server answered. After a long period of failed connects it may be a new
+// process that the list does not show yet, so it enters slow start now. Time-outs alone are no sign of a
+// restart (i228a10).
 func (b *Balancer) recordContact(s *server) {
 	if s.connectFailedAt > 0 && b.now-s.connectFailedAt > b.set.Contract.TipAfterMs {
 		s.startedAt = b.now
@@ -151,22 +153,22 @@
 	s.connectFailedAt = 0
 }
 
-// learnLatency takes an answer time as a part of the latency target.
+// learnLatency records an answer time, given as a share of the latency target.
 func (b *Balancer) learnLatency(s *server, ratio float64) {
 	s.samples++
 	s.latencyRatio = arith.Mean(s.latencyRatio, ratio, max(smoothing, 1/float64(s.samples)))
 	b.weights.Answered(s.zone, s.kind, ratio)
 }
 
-// shrinkWindow shrinks a server's window by a factor, to least at the most.
+// shrinkWindow multiplies a server's window by factor, without reducing it below least.
 func (b *Balancer) shrinkWindow(s *server, factor, least float64) {
 	s.window = min(s.window, max(s.window*factor, least))
 	s.windowCutAt = b.now
 }
 
-// failsLikeFleet tells whether the server fails no more than the fleet does (the median of the usable ones'
-// shares), as when a network breaks connections at random: with a strike for each failure all of them were
-// Unhealthy at once.
+// failsLikeFleet reports whether the server fails at about the rate of the fleet (the median failure share of
+// the usable servers), as when a network breaks connections at random. With a strike for each such failure
+// all servers were Unhealthy at once.
 func (b *Balancer) failsLikeFleet(s *server) bool {
 	b.shareScratch = b.shareScratch[:0]
 	for _, o := range b.servers {
@@ -178,7 +180,7 @@
 	return median >= fleetFailureShare && s.failureShare <= fleetFailureFactor*median
 }
 
-// recheck demotes a server without a strike and has it await validation at once.
+// recheck demotes a server without a strike and makes it UnhealthyPending at once.
 func (b *Balancer) recheck(s *server) {
 	if s.state != Unhealthy {
 		b.noteTierChange(s.Demote(b.now))
@@ -189,8 +191,8 @@
 	b.refetch()
 }
 
-// demote makes a server Unhealthy; unresponsive tells that it didn't answer. Failures of one moment count as
-// one strike.
+// demote makes a server Unhealthy and adds a strike; unresponsive means that it didn't answer. Further
+// failures while it is Unhealthy add no strike.
 func (b *Balancer) demote(s *server, unresponsive bool) {
 	if s.state != Unhealthy {
 		s.strikes = min(s.strikes+1, maxStrikes)
@@ -204,10 +206,10 @@
 	b.refetch()
 }
 
-// unhealthyHold returns how long a server stays Unhealthy before it is validated again, ms: the least latency
-// target, or the time in which the agent sends to each server once if that is longer and a check costs a
-// request (id753de), doubled with each further strike. While the others have no capacity it is no time, but
-// for one that is unresponsive.
+// unhealthyHold returns the time, in ms, that a server stays Unhealthy before it is validated again. It is
+// the least latency target or, if validation takes a request and this is longer, the time in which the agent
+// sends to each server once (id753de), doubled for each strike after the first. It is 0 while the other
+// servers have no capacity, unless the server is unresponsive.
 func (b *Balancer) unhealthyHold(s *server) float64 {
 	if b.saturated && !s.unresponsive {
 		return 0
@@ -219,8 +221,9 @@
 	return hold * float64(int(1)<<max(s.strikes-1, 0))
 }
 
-// demoteUnresponsive demotes servers that have attempts in flight and have answered nothing for several
-// answer times: they would stay Connected. Whole zones of them are suspected to be out of reach.
+// demoteUnresponsive demotes servers that have attempts in flight and have not answered for several mean
+// answer times; without this a hung server would stay Connected. Zones with several such servers are
+// suspected to be unreachable.
 func (b *Balancer) demoteUnresponsive() {
 	for _, s := range b.servers {
 		if len(s.inFlight) == 0 {
@@ -229,17 +232,17 @@
 		oldest := s.inFlight[0]
 		mean := b.expectedAnswerMs(oldest.r)
 		b.zoneSuspicion.Waits(s.zone, oldest.sentAt, (b.now-oldest.sentAt)/mean)
-		quiet := b.now - max(s.lastContact, oldest.sentAt)
+		silent := b.now - max(s.lastContact, oldest.sentAt)
 		attempts := float64(min(len(s.inFlight), unresponsiveAttempts))
-		if s.state != Unhealthy && quiet >= mean*unresponsiveTimes/attempts {
+		if s.state != Unhealthy && silent >= mean*unresponsiveTimes/attempts {
 			b.demote(s, true)
 		}
 	}
 	b.noteTierChange(b.zoneSuspicion.Judge(b.now, b.minLatencyTarget))
 }
 
-// liftSuspicion takes that a zone has answered: while it was suspected its servers were silent because of the
-// path to them.
+// liftSuspicion records that a zone has answered. If the zone was suspected, the path to it was at fault, so
+// its servers that became unresponsive since shortly before the suspicion are validated at once.
 func (b *Balancer) liftSuspicion(zone int) {
 	since, lifted := b.zoneSuspicion.Answered(zone, b.now)
 	if !lifted {
@@ -252,8 +255,8 @@
 	}
 }
 
-// revalidate has servers that were Unhealthy long enough await validation, and probes them where that is
-// allowed. It runs with each request.
+// revalidate makes servers UnhealthyPending that were Unhealthy long enough, and probes pending servers if
+// the settings allow it. It runs with each request.
 func (b *Balancer) revalidate() {
 	for _, s := range b.servers {
 		if s.state == Unhealthy && s.usable && len(s.inFlight) == 0 && s.Refresh(b.now, b.unhealthyHold(s)) {
@@ -269,7 +272,7 @@
 	}
 }
 
-// onProbed handles the end of a probe. One that the server rejected says nothing of its health.
+// onProbed handles the result of a probe. A rejected probe leaves the state as it is.
 func (b *Balancer) onProbed(ev *Event) {
 	s := b.byAddr[ev.Server]
 	if s == nil || !s.probing {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -11,23 +11,23 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// world plays random clients, servers and lists against one Balancer and
-// checks the rules from outside, on the actions alone.
-type world struct {
+// simulation runs random clients, servers and lists against one Balancer and
+// checks the invariants on its actions alone.
+type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
 	set      settings.Settings
 	b        *Balancer
 	now      float64
 	next     RequestID
-	reqs     map[RequestID]*worldReq
-	timers   []worldTimer
+	reqs     map[RequestID]*simulatedRequest
+	timers   []simulatedTimer
 	list     map[cluster.Addr]cluster.Entry
-	badSince map[cluster.Addr]float64 // when it was listed as draining or gone
+	badSince map[cluster.Addr]float64 // since when a server is listed as draining or gone
 	history  []Action
 }
 
-type worldTry struct {
+type simulatedAttempt struct {
 	server cluster.Addr
 	sentAt float64
 	endsAt float64
@@ -35,14 +35,14 @@
 	ended  bool
 }
 
-type worldReq struct {
+type simulatedRequest struct {
 	class    int
 	deadline float64
-	tries    []*worldTry
+	tries    []*simulatedAttempt
 	final    int
 }
 
-type worldTimer struct {
+type simulatedTimer struct {
 	at    float64
 	token uint32
 }
@@ -70,7 +70,7 @@
 	return s
 }
 
-func (w *world) apply(actions []Action) {
+func (w *simulation) apply(actions []Action) {
 	w.history = append(w.history, actions...)
 	for _, a := range actions {
 		r := w.reqs[a.Request]
@@ -82,7 +82,7 @@
 			if st == Timeout {
 				ends = w.now + a.Ms
 			}
-			r.tries = append(r.tries, &worldTry{
+			r.tries = append(r.tries, &simulatedAttempt{
 				server: a.Server,
 				sentAt: w.now,
 				endsAt: min(ends, w.now+a.Ms),
@@ -112,16 +112,16 @@
 				w.t.Fatal("probed where it is not allowed")
 			}
 		case ActTimer:
-			w.timers = append(w.timers, worldTimer{w.now + a.Ms, a.Token})
+			w.timers = append(w.timers, simulatedTimer{w.now + a.Ms, a.Token})
 		}
 	}
 }
 
-func (r *worldReq) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NeverRan() })
+func (r *simulatedRequest) mayHaveRun() bool {
+	return slices.ContainsFunc(r.tries, func(t *simulatedAttempt) bool { return !t.ended || !t.status.NeverRan() })
 }
 
-func (w *world) checkSend(r *worldReq, a *Action) {
+func (w *simulation) checkSend(r *simulatedRequest, a *Action) {
 	c := w.set.Classes[r.class]
 	if r.final > 0 || w.now > r.deadline {
 		w.t.Fatalf("request %d sent after its end", a.Request)
@@ -130,11 +130,11 @@
 		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.tries)+1, w.set.Limits.MaxAttempts)
 	}
 	if since, bad := w.badSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
-		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
+		w.t.Fatalf("sent to %v %.0f ms after it was listed as draining or gone", a.Server, w.now-since)
 	}
 	for _, t := range r.tries {
 		if !t.ended && !w.set.Limits.ParallelTries {
-			w.t.Fatalf("request %d: two attempts out at once", a.Request)
+			w.t.Fatalf("request %d: two attempts in flight at once", a.Request)
 		}
 		if t.ended && t.status.NeverRan() {
 			continue
@@ -152,9 +152,9 @@
 	}
 }
 
-func (w *world) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
+func (w *simulation) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += w.set.RoundMs
 	for i := 0; i < len(w.timers); i++ {
 		if t := w.timers[i]; t.at <= w.now {
@@ -179,7 +179,7 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.final++ // a second copy's answer changes nothing
+				r.final++ // a second answer changes nothing
 				r.final = min(r.final, 1)
 			}
 			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
@@ -195,7 +195,7 @@
 	}
 }
 
-func (w *world) changeList() {
+func (w *simulation) changeList() {
 	s := addr(w.rng.IntN(8))
 	e := cluster.Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
 		Health: []cluster.Health{cluster.Ready, cluster.Ready, cluster.Draining, cluster.Gone}[w.rng.IntN(4)]}
@@ -205,15 +205,15 @@
 	w.list[s] = e
 	if e.Health == cluster.Ready {
 		delete(w.badSince, s)
-	} else if _, told := w.badSince[s]; !told {
+	} else if _, listed := w.badSince[s]; !listed {
 		w.badSince[s] = w.now
 	}
 	w.handle(Event{Kind: EvList, List: cluster.ListDelta, Entries: []cluster.Entry{e}})
 }
 
-func play(t *testing.T, seed uint64) []Action {
+func simulate(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{t: t, rng: rng, set: randomSettings(rng), now: 5000, reqs: map[RequestID]*worldReq{},
+	w := &simulation{t: t, rng: rng, set: randomSettings(rng), now: 5000, reqs: map[RequestID]*simulatedRequest{},
 		list: map[cluster.Addr]cluster.Entry{}, badSince: map[cluster.Addr]float64{}}
 	var err error
 	if w.b, err = New(w.set, seed); err != nil {
@@ -229,7 +229,7 @@
 			w.next++
 			left := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.set.Classes))
-			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
+			w.reqs[w.next] = &simulatedRequest{class: class, deadline: w.now + left}
 			w.handle(Event{
 				Kind:    EvRequest,
 				Request: w.next,
@@ -250,7 +250,7 @@
 				r.final = 1
 				w.handle(Event{Kind: EvDropped, Request: w.next})
 			}
-		case 2: // what is unknown or over is ignored
+		case 2: // unknown and finished requests are ignored
 			w.handle(Event{Kind: EvOutcome, Request: 1 << 30, Server: addr(1), Status: OK})
 			w.handle(Event{Kind: EvDropped, Request: 1 << 30})
 			w.handle(Event{Kind: EvTimer, Token: 99})
@@ -258,7 +258,7 @@
 		}
 	}
 	if n := len(w.b.requests); n != 0 || len(w.b.queue) != 0 || w.b.inFlight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queue), w.b.inFlight)
+		t.Errorf("seed %d: %d requests, %d queued, %d in flight left at the end", seed, n, len(w.b.queue), w.b.inFlight)
 	}
 	for _, s := range w.b.servers {
 		if len(s.inFlight) != 0 {
@@ -266,21 +266,21 @@
 		}
 	}
 	if w.b.unserved.Len() > maxQueued {
-		t.Errorf("seed %d: %d past requests remembered", seed, w.b.unserved.Len())
+		t.Errorf("seed %d: %d unserved requests remembered, above the limit", seed, w.b.unserved.Len())
 	}
 	return w.history
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestInvariantsUnderRandomLoad(t *testing.T) {
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, seed) })
 	}
 }
 
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(5) {
-		if !reflect.DeepEqual(play(t, seed), play(t, seed)) {
-			t.Errorf("seed %d: two runs differ", seed)
+		if !reflect.DeepEqual(simulate(t, seed), simulate(t, seed)) {
+			t.Errorf("seed %d: two runs gave different actions", seed)
 		}
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// maxFailures is after how many requests that found no server the rest of the queue isn't looked at.
+// maxFailures is the number of requests without an available server after which dispatch stops.
 const maxFailures = 4
 
-// dispatch sends queued requests as far as there is capacity: the most valuable first, of equals the newest.
+// dispatch sends queued requests while there is capacity: the most valuable first, newest first among equals.
 func (b *Balancer) dispatch() {
 	b.sortQueue()
 	b.saturated = false
 	for i, failures := 0, 0; i < len(b.queue) && failures < maxFailures && b.throttle.Open(b.now); {
 		r := b.queue[i]
-		// One whose key's servers are known to be full is passed over; of others a few failures tell.
+		// Requests whose affinity servers are full are skipped; among the others a few failures show that
+		// there is no capacity.
 		if b.affinityFull(r) {
 			i++
 			continue
@@ -30,7 +31,7 @@
 		b.saturated = failures > 0
 	}
 	for b.overfull() {
-		b.end(b.queue[len(b.queue)-1])
+		b.finishUnserved(b.queue[len(b.queue)-1])
 	}
 }
 
@@ -47,15 +48,16 @@
 	})
 }
 
-// affinityFull tells whether the request waits for its key's servers, and these are still the ones of its
-// last selection and at their caps.
+// affinityFull reports whether the request waits for its affinity servers, these are unchanged since its last
+// selection, and they are at their caps.
 func (b *Balancer) affinityFull(r *request) bool {
 	near := r.affinityServers
 	return b.waitsForAffinity(r) && near[0] != nil && r.epoch == b.epoch &&
 		!b.underCap(near[0], r) && !b.underCap(near[1], r)
 }
 
-// overfull tells whether there are more requests than the agent may have: queued ones, or open ones in all.
+// overfull reports whether the queue exceeds maxQueued, or queued requests and attempts in flight exceed
+// OpenCap.
 func (b *Balancer) overfull() bool {
 	if len(b.queue) > maxQueued {
 		return true
@@ -64,11 +66,11 @@
 	return len(b.queue) > 0 && most > 0 && len(b.queue)+b.inFlight > most
 }
 
-// expire ends queued requests that can no longer earn anything.
+// expire rejects queued requests that the mean answer time would make useless, and those past their deadline.
 func (b *Balancer) expire() {
 	for _, r := range slices.Clone(b.queue) {
 		if b.now+b.expectedAnswerMs(r) > b.latestUseful(r) || b.now >= r.deadline {
-			b.end(r)
+			b.finishUnserved(r)
 		}
 	}
 }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -6,37 +6,36 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// i7e1314: the class of least value was starved though the worst served class counts.
+// i7e1314: the class of least value was starved although the objective counts the worst-served class.
 func TestWorstServedClassCountsInTheQueue(t *testing.T) {
 	set := testSettings()
 	set.Objective = settings.Objective{Whole: 0.5, WorstClass: 0.5}
-	r := newRig(t, set, 2)
+	r := newHarness(t, set, 2)
 	once, free := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
-	for range 500 { // of class 1 all are served, of class 0 none
+	for range 500 { // all requests of class 1 are served, none of class 0
 		r.b.classValue.Asked(0)
 		r.b.classValue.Asked(1)
 		r.b.classValue.Won(1)
 	}
 	with := r.b.value(free) / r.b.value(once)
-	for range 2000 { // and now the other way round
+	for range 2000 { // the reverse
 		r.b.classValue.Asked(0)
 		r.b.classValue.Asked(1)
 		r.b.classValue.Won(0)
 	}
 	if without := r.b.value(free) / r.b.value(once); with <= without {
-		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
+		t.Errorf("relative value of class 0: %.2f while starved, %.2f while served", with, without)
 	}
 }
 
-// An agent that may have few requests open refuses at once what is beyond that, the least valuable first, and
-// never what is already in flight.
+// Requests beyond OpenCap are refused at once, the least valuable first; requests in flight are never refused.
 func TestOpenCapRefusesAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Limits.OpenCap = 4
-	r := newRig(t, s, 1)
+	r := newHarness(t, s, 1)
 	sent, refused := 0, 0
 	for range 10 {
-		_, actions := r.ask(0, 0)
+		_, actions := r.startRequest(0, 0)
 		for _, a := range actions {
 			switch a.Kind {
 			case ActSend:
@@ -44,7 +43,7 @@
 			case ActRefuse:
 				refused++
 			case ActFail:
-				t.Error("failed what never ran")
+				t.Error("a request that never ran was failed, want it refused")
 			}
 		}
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,60 +7,61 @@
 	"molepaddle/internal/decide/arith"
 )
 
-// minHintedTimeShare is the least part of its expected time that a hinted request must have left.
+// minHintedTimeShare is the least time that a hinted request must have left, as a share of its expected
+// answer time.
 const minHintedTimeShare = 0.7
 
-// overShareFactor is how far above its portion a tenant's share of the requests may be before they are worth
-// less.
+// overShareFactor is the ratio of a tenant's share of the requests to its portion above which its requests
+// lose value.
 const overShareFactor = 1.1
 
-// maxSlowdown bounds how many times as long as elsewhere an answer is believed to take at a server.
+// maxSlowdown bounds the assumed ratio of a server's answer time to the fleet's.
 const maxSlowdown = 8.0
 
-// attempt is one send of a request.
+// attempt is one send of a request to a server.
 type attempt struct {
-	r      *request
-	s      *server
-	index  int
-	sentAt float64 // ms
-	cost   float64
-	alone  bool // no other attempt of this agent was in flight at its server
-	done   bool
+	r            *request
+	s            *server
+	index        int
+	sentAt       float64 // ms
+	cost         float64
+	soleInFlight bool // no other attempt of this agent was in flight at its server
+	done         bool
 }
 
-// request is one try of a client, kept until it is answered and no attempt is in flight.
+// request is one request of a client, kept until it is answered and none of its attempts is in flight.
 type request struct {
 	id     RequestID
 	class  int
 	tenant int
-	key    uint64  // of the client; 0: none
-	hash   uint64  // orders the servers for it
+	key    uint64  // affinity key of the client; 0: none
+	hash   uint64  // orders the servers for this request
 	hint   float64 // expected work, ms; 0: none
 
 	// Times, ms.
-	first    float64 // when the client's first try came, as far as known
+	first    float64 // arrival of the client's first request for the same work, as far as known
 	arrived  float64
-	targetAt float64 // when its answer must have come to count as in time
-	deadline float64 // with a margin taken off
+	targetAt float64 // latest answer that counts as in time
+	deadline float64 // less a margin
 
 	// Attempts.
 	attempts    []*attempt
 	maxAttempts int
-	retryAt     float64 // when it may be sent again, having found no connection, ms
+	retryAt     float64 // earliest next attempt after one that found no connection, ms
 	inFlight    int     // attempts in flight
-	maybeRan    int     // attempts whose request a server may have executed
+	maybeRan    int     // attempts that a server may have executed
 	ranAt       float64 // when the first of these was sent, ms
-	ranOn       *server // and where
+	ranOn       *server // server of the first of these
 
-	// Its last selection.
-	affinityServers [affinityServers]*server // nearest to its key, as of epoch
+	// Last selection.
+	affinityServers [affinityServers]*server // nearest to the key, as of epoch
 	epoch           uint64
-	tierWeight      float64 // of the tier
-	value           float64 // what a unit of server time spent on it earns
+	tierWeight      float64 // total weight of the tier
+	value           float64 // value per unit of server time
 
 	closed      bool
-	started     bool // a streamed answer has begun and is the client's now
-	bodyPending bool // its body is incomplete: its time has not begun
+	started     bool // a streamed answer is being relayed to the client
+	bodyPending bool // the body is incomplete: the request's time has not begun
 }
 
 func (b *Balancer) onRequest(ev *Event) {
@@ -68,22 +69,22 @@
 		return
 	}
 	if ev.Class < 0 || ev.Class >= len(b.set.Classes) {
-		b.end(&request{id: ev.Request}) // still owed an answer; nothing of it ran
+		b.finishUnserved(&request{id: ev.Request}) // every request gets an answer; this one never ran
 		return
 	}
 	r := b.newRequest(ev)
-	b.needs.Asked(r.hint)
+	b.answerTimes.Asked(r.hint)
 	b.startClock(r, ev.LeftMs, ev.Retry)
 	r.hash = b.affinityHash(r.key)
 	b.requests[r.id] = r
 	b.requestRate.Asked(b.now, b.set.Limits.KeepaliveMs)
-	b.usage.Add(r.tenant, usageDecay)
+	b.tenantUsage.Add(r.tenant, usageDecay)
 	b.classValue.Asked(r.class)
 	b.retries.Asked(r.class, b.now)
 	b.revalidate()
 	b.queue = append(b.queue, r)
 	if b.tooLate(r) || b.hintTooLong(r) {
-		b.end(r)
+		b.finishUnserved(r)
 	}
 }
 
@@ -103,14 +104,14 @@
 	return r
 }
 
-// hintTooLong tells whether a request's hinted work can't be done in time anywhere, and an answer after its
-// target earns nothing: it would only keep others waiting.
+// hintTooLong reports whether the hinted work of a request is too long to meet its latency target on any
+// server, in a class in which a late answer has no value. Such a request would only delay others.
 func (b *Balancer) hintTooLong(r *request) bool {
 	return r.hint > 0 && b.set.Classes[r.class].LateShare == 0 &&
-		minHintedTimeShare*b.needs.Hinted(r.hint) > r.targetAt-b.now
+		minHintedTimeShare*b.answerTimes.Hinted(r.hint) > r.targetAt-b.now
 }
 
-// onStarted handles that a streamed answer has begun.
+// onStarted handles the start of a streamed answer.
 func (b *Balancer) onStarted(ev *Event) {
 	a := b.openAttempt(ev)
 	if a == nil {
@@ -119,14 +120,14 @@
 	r := a.r
 	r.started = true
 	a.s.lastContact = b.now
-	r.targetAt = arith.Met(b.now, r.targetAt) // an answer counts from its first byte
-	b.endWork(a)                              // how slowly the rest is read says nothing of its server
+	r.targetAt = arith.Met(b.now, r.targetAt) // the first byte decides whether an answer is in time
+	b.endWork(a)                              // the client sets the pace of the remaining bytes
 	if !r.bodyPending {
-		b.recordServed(a, b.now-a.sentAt) // else nothing says how long it took
+		b.recordServed(a, b.now-a.sentAt) // with a pending body the answer time is unknown
 	}
 }
 
-// onBodyComplete handles that the body of a request, which was sent on while it came, is complete.
+// onBodyComplete handles the end of a request body that was forwarded while it was received.
 func (b *Balancer) onBodyComplete(ev *Event) {
 	a := b.openAttempt(ev)
 	if a == nil || !a.r.bodyPending {
@@ -138,8 +139,7 @@
 	b.beginWork(a)
 }
 
-// openAttempt returns the attempt that an event names, of a request that isn't closed; nil where there is
-// none.
+// openAttempt returns the attempt that an event names, or nil if it is unknown or its request is closed.
 func (b *Balancer) openAttempt(ev *Event) *attempt {
 	r := b.requests[ev.Request]
 	if r == nil || r.closed || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
@@ -148,7 +148,7 @@
 	return r.attempts[ev.Attempt]
 }
 
-// onDropped handles that the client left.
+// onDropped handles the disconnection of the client.
 func (b *Balancer) onDropped(ev *Event) {
 	r := b.requests[ev.Request]
 	if r == nil || r.closed {
@@ -158,7 +158,7 @@
 	b.close(r)
 }
 
-// startClock has a request's time, of which so many ms are left, begin now.
+// startClock starts the request's time now, with left ms until its deadline.
 func (b *Balancer) startClock(r *request, left float64, retry bool) {
 	c := &b.set.Classes[r.class]
 	left = arith.Finite(left)
@@ -172,13 +172,13 @@
 	r.targetAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
 }
 
-// beginWork counts an attempt among those that its server works on.
+// beginWork adds an attempt to the load of its server.
 func (b *Balancer) beginWork(a *attempt) {
 	a.s.inFlight = append(a.s.inFlight, a)
 	b.inFlight++
 }
 
-// endWork ends that; an attempt that isn't counted is ignored.
+// endWork removes an attempt from the load of its server, if it is part of it.
 func (b *Balancer) endWork(a *attempt) {
 	if i := slices.Index(a.s.inFlight, a); i >= 0 {
 		a.s.inFlight = slices.Delete(a.s.inFlight, i, i+1)
@@ -186,24 +186,25 @@
 	}
 }
 
-// value returns what a unit of server time spent on the request earns.
+// value returns the value of the request per unit of server time.
 func (b *Balancer) value(r *request) float64 {
 	c := &b.set.Classes[r.class]
 	v := b.classValue.Of(r.class)
 	if b.now+b.expectedAnswerMs(r) > r.targetAt {
 		v *= c.LateShare + b.set.Prices.LateFail
 	}
-	// A tenant that sends more than its portion of the requests.
-	if t := r.tenant; t >= 0 && t < len(b.usage) && b.usage[t] > overShareFactor*b.set.Tenants[t].Portion {
+	// The tenant sends more than its portion of the requests.
+	if t := r.tenant; t >= 0 && t < len(b.tenantUsage) &&
+		b.tenantUsage[t] > overShareFactor*b.set.Tenants[t].Portion {
 		v *= b.set.OverShareWorth
 	}
 	if b.set.WorthBy != "work" {
-		v /= b.needs.Mean(r.class)
+		v /= b.answerTimes.Mean(r.class)
 	}
 	return v
 }
 
-// latestUseful returns until when an answer to the request earns something, ms.
+// latestUseful returns the time until which an answer to the request has any value, ms.
 func (b *Balancer) latestUseful(r *request) float64 {
 	if b.set.Classes[r.class].LateShare > 0 {
 		return r.deadline
@@ -211,29 +212,29 @@
 	return r.targetAt
 }
 
-// tooLate tells whether no server can answer the request in time, by half of what an answer takes on the
-// mean.
+// tooLate reports whether no server can answer the request in time, assuming that an answer takes at least
+// half of the expected time.
 func (b *Balancer) tooLate(r *request) bool {
 	return b.now+b.expectedAnswerMs(r)/2 > b.latestUseful(r)
 }
 
-// minRemaining returns the least time, ms, with which the request is begun at the server: half of what an
-// answer there takes on the mean. At the whole mean as much was given up as was saved.
+// minRemaining returns the least remaining time, in ms, with which the request may begin at the server: half
+// of the mean answer time there. With the full mean, the rejected requests cost as much as was saved.
 func (b *Balancer) minRemaining(s *server, r *request) float64 {
 	if r.bodyPending {
-		return 0 // its time begins when its body is complete
+		return 0 // the time begins when the body is complete
 	}
 	slow := max(s.latencyRatio/max(b.normalLatency.Fleet, s.latencyRatio/maxSlowdown, 1e-9), 1)
 	return slow * b.expectedAnswerMs(r) / 2
 }
 
-// expectedAnswerMs returns how long an answer to the request takes on the mean, ms.
-func (b *Balancer) expectedAnswerMs(r *request) float64 { return b.needs.Of(r.class, r.hint) }
+// expectedAnswerMs returns the mean answer time for the request, ms.
+func (b *Balancer) expectedAnswerMs(r *request) float64 { return b.answerTimes.Of(r.class, r.hint) }
 
-// cost returns the work of a request in units of the mean one, and never less: hints are rough (i299663).
+// cost returns the work of a request in units of the mean request, at least 1: hints are rough (i299663).
 func (b *Balancer) cost(r *request) float64 {
-	if r.hint > b.needs.MeanHint {
-		return r.hint / b.needs.MeanHint
+	if r.hint > b.answerTimes.MeanHint {
+		return r.hint / b.answerTimes.MeanHint
 	}
 	return 1
 }
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -7,8 +7,8 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// rig drives one Balancer by hand.
-type rig struct {
+// harness drives one Balancer event by event.
+type harness struct {
 	t   *testing.T
 	b   *Balancer
 	now float64
@@ -58,13 +58,13 @@
 	return s
 }
 
-func newRig(t *testing.T, s settings.Settings, servers int) *rig {
+func newHarness(t *testing.T, s settings.Settings, servers int) *harness {
 	t.Helper()
 	b, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: 1e6}
+	r := &harness{t: t, b: b, now: 1e6}
 	b.Start(r.now, nil)
 	entries := make([]cluster.Entry, servers)
 	for i := range entries {
@@ -74,19 +74,19 @@
 	return r
 }
 
-func (r *rig) do(ev Event) []Action { return r.b.Handle(r.now, &ev, nil) }
+func (r *harness) handle(ev Event) []Action { return r.b.Handle(r.now, &ev, nil) }
 
-func (r *rig) list(kind cluster.ListKind, entries ...cluster.Entry) []Action {
-	return r.do(Event{Kind: EvList, List: kind, Entries: entries})
+func (r *harness) list(kind cluster.ListKind, entries ...cluster.Entry) []Action {
+	return r.handle(Event{Kind: EvList, List: kind, Entries: entries})
 }
 
-func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
+func (r *harness) startRequest(class int, key uint64) (RequestID, []Action) {
 	r.id++
-	return r.id, r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, LeftMs: 600})
+	return r.id, r.handle(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, LeftMs: 600})
 }
 
-func (r *rig) outcome(id RequestID, try int, s cluster.Addr, st Status, rtt float64) []Action {
-	return r.do(Event{
+func (r *harness) outcome(id RequestID, try int, s cluster.Addr, st Status, rtt float64) []Action {
+	return r.handle(Event{
 		Kind:      EvOutcome,
 		Request:   id,
 		Attempt:   try,
@@ -106,10 +106,10 @@
 	return nil
 }
 
-// sent asks once and returns where the request went.
-func (r *rig) sent(class int, key uint64) (RequestID, cluster.Addr) {
+// mustSend starts one request and returns its id and the server that it was sent to.
+func (r *harness) mustSend(class int, key uint64) (RequestID, cluster.Addr) {
 	r.t.Helper()
-	id, actions := r.ask(class, key)
+	id, actions := r.startRequest(class, key)
 	a := find(actions, ActSend)
 	if a == nil {
 		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
@@ -117,14 +117,14 @@
 	return id, a.Server
 }
 
-// tick fires the running timer after ms.
-func (r *rig) tick(ms float64) []Action {
+// tick advances the clock by ms and fires the tick timer.
+func (r *harness) tick(ms float64) []Action {
 	r.now += ms
-	return r.do(Event{Kind: EvTimer, Token: tickToken})
+	return r.handle(Event{Kind: EvTimer, Token: tickToken})
 }
 
-// seededRig is one of many agents, with the entries of ten servers past slow start that aren't listed yet.
-func seededRig(t *testing.T, seed uint64) (*rig, []cluster.Entry) {
+// newSeededHarness returns a harness with an empty endpoint list, and the entries of ten servers past slow start.
+func newSeededHarness(t *testing.T, seed uint64) (*harness, []cluster.Entry) {
 	t.Helper()
 	b, err := New(testSettings(), seed)
 	if err != nil {
@@ -134,14 +134,14 @@
 	for i := range entries {
 		entries[i] = cluster.Entry{Server: addr(i), Health: cluster.Ready, Weight: 1}
 	}
-	return &rig{t: t, b: b, now: 1e6}, entries
+	return &harness{t: t, b: b, now: 1e6}, entries
 }
 
-// learned has a rig know that an answer takes 10 ms.
-func learned(t *testing.T, servers int) *rig {
-	r := newRig(t, testSettings(), servers)
+// newWarmHarness returns a harness whose Balancer has learned an answer time of 10 ms.
+func newWarmHarness(t *testing.T, servers int) *harness {
+	r := newHarness(t, testSettings(), servers)
 	for i := range 300 {
-		id, s := r.sent(i%3, uint64(r.b.rng.Int64()))
+		id, s := r.mustSend(i%3, uint64(r.b.rng.Int64()))
 		r.now += 10
 		r.outcome(id, 0, s, OK, 10)
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// affinityWaitShare is the part of the time to its target that a request may wait for the
-	// affinityServers nearest its key.
+	// affinityWaitShare is the share of the time to its target that a request may wait for the
+	// affinityServers nearest to its key.
 	affinityWaitShare = 0.25
 	affinityServers   = 2
-	// tierCount is how many tiers of health there are.
+	// tierCount is the number of health tiers.
 	tierCount = 3
-	// slowStartHashFactor is how many times its part of an even share a server in slow start weighs in the
-	// hash, up to its whole weight: its credit is what limits it.
+	// slowStartHashFactor multiplies the hash weight of a server in slow start, up to its full weight, since
+	// its credit is the effective limit.
 	slowStartHashFactor = 4
 	// minSubset is the smallest number of servers that an agent sends to.
 	minSubset = pace.LeastServers
 )
 
-// Cap returns how many attempts in flight bound a backend, as in consistent hashing with bounded loads: c
-// times its share (its part of the tier: 1/size of equals) of those in flight and the one to be sent, rounded
-// up. A backend that has as many is passed over.
+// Cap returns the limit of a backend's attempts in flight, as in consistent hashing with bounded loads: c
+// times its share of inflight plus the attempt to be sent, rounded up. share is the backend's share of its
+// tier, 1/n for n equal backends. A backend that has reached its cap is skipped.
 func Cap(c float64, inflight int, share float64) float64 {
 	return math.Ceil(c * float64(inflight+1) * share)
 }
 
-// Rendezvous returns a backend's score in the order of a key, lower first, by weighted rendezvous (highest
-// random weight) hashing: all callers find one order, and the part of the keys that has a backend first goes
-// by its weight (above 0). Both hashes must be well mixed.
+// Rendezvous returns a backend's score for a key by weighted rendezvous (highest random weight) hashing; the
+// backend with the lowest score comes first. All callers compute the same order, and a backend comes first
+// for a share of the keys in proportion to its weight, which must be above 0. Both hashes must be well mixed.
 func Rendezvous(key, backend uint64, weight float64) float64 {
 	u := float64(arith.Mix(key^backend)>>11) / (1 << 53)
 	return -math.Log(u+1e-18) / weight
@@ -39,9 +39,9 @@
 
 // tierOf returns the server's tier for the request, 0 the best.
 func (b *Balancer) tierOf(s *server, r *request) int {
-	// What must not run twice does not check a server, or a zone, while others are healthy.
+	// A request that must not run twice is not used to validate a server or a zone while others are healthy.
 	once := b.set.Classes[r.class].Effect == settings.SingleShot
-	pendingTimeout := 0.0 // without probes the first send checks
+	pendingTimeout := 0.0 // without probes the first request validates the server
 	if once {
 		pendingTimeout = math.Inf(1)
 	} else if b.set.Limits.Probing {
@@ -54,15 +54,15 @@
 	return tier
 }
 
-// selectServer returns the first server by the key's hash, of the best tier that has any, that is under its
-// cap and has capacity; nil where there is none.
+// selectServer returns the first server, in the order of the request's hash, of the best non-empty tier that
+// is under its cap and has capacity, or nil.
 func (b *Balancer) selectServer(r *request) *server {
 	waits := b.waitsForAffinity(r)
 	for tier := range tierCount {
 		candidates, nearest := b.candidates(r, tier, waits)
 		b.tierScratch = candidates
 		if r.tierWeight == 0 {
-			continue // an empty tier passes down
+			continue // the tier is empty
 		}
 		if waits && len(candidates) > affinityServers {
 			r.affinityServers = nearest
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// candidates returns the servers of a tier that the request may go to, scored, in scratch space, and the
-// nearest of them to its key. It also sums up the tier's weight. A request that waits for its key's servers
-// has candidates without capacity as well.
+// candidates returns the scored servers of a tier that the request may be sent to, in scratch space, and
+// those nearest to its key. It sets r.tierWeight to the tier's weight. For a request that waits for its
+// affinity servers, servers without capacity are candidates as well.
 func (b *Balancer) candidates(r *request, tier int, waits bool) (all []*server,
 	nearest [affinityServers]*server) {
 	all = b.tierScratch[:0]
@@ -90,7 +90,7 @@
 		if count > subset && len(all) > 0 {
 			break
 		}
-		r.tierWeight += s.weight * b.ramp(s)
+		r.tierWeight += s.weight * b.slowStartFactor(s)
 		if !waits && !b.hasCapacity(s, r) || b.now+b.minRemaining(s, r) > b.latestUseful(r) {
 			continue
 		}
@@ -101,7 +101,7 @@
 	return all, nearest
 }
 
-// insertNearest keeps the servers of the lowest scores, in their order.
+// insertNearest inserts s into nearest, which holds the servers with the lowest scores in order.
 func insertNearest(nearest *[affinityServers]*server, s *server) {
 	for i := range nearest {
 		if nearest[i] == nil || s.score < nearest[i].score {
@@ -113,8 +113,7 @@
 	}
 }
 
-// best returns the server of the lowest score that is under its cap and has capacity; nil where there is
-// none.
+// best returns the candidate with the lowest score that is under its cap and has capacity, or nil.
 func (b *Balancer) best(r *request, candidates []*server) *server {
 	var best *server
 	for _, s := range candidates {
@@ -125,17 +124,17 @@
 	return best
 }
 
-// subset returns how many servers of a tier the agent sends to.
+// subset returns the number of servers of a tier that the agent sends to.
 func (b *Balancer) subset() int {
 	return b.requestRate.Subset(&b.set, b.minServers, len(b.servers))
 }
 
-// waitsForAffinity tells whether the request still waits for its key's servers.
+// waitsForAffinity reports whether the request is still limited to its affinity servers.
 func (b *Balancer) waitsForAffinity(r *request) bool {
 	return r.key != 0 && len(r.attempts) == 0 && b.now-r.arrived < affinityWaitShare*(r.targetAt-r.arrived)
 }
 
-// affinityHash returns the hash that orders the servers for a key; a random one without a key.
+// affinityHash returns the hash that orders the servers for a key, or a random one for key 0.
 func (b *Balancer) affinityHash(key uint64) uint64 {
 	if key == 0 {
 		return b.rng.Uint64()
@@ -145,14 +144,14 @@
 	return b.keys.Split(key, servers, blind, b.rng.Float64())
 }
 
-// score orders servers by weighted rendezvous hashing: every agent of a zone finds the same order.
+// score returns the server's weighted rendezvous score; all agents of a zone compute the same order.
 func (b *Balancer) score(r *request, s *server) float64 {
-	starting := min(slowStartHashFactor*b.slowStart.Of(b.ramp(s)), 1)
+	starting := min(slowStartHashFactor*b.slowStart.Of(b.slowStartFactor(s)), 1)
 	return Rendezvous(r.hash, s.hash, s.weight*b.weights.Of(s.zone, s.kind)*starting)
 }
 
-// underCap tells whether the server is under its cap in the tier of the last selection and has capacity.
+// underCap reports whether the server is under its cap in the tier of the last selection and has capacity.
 func (b *Balancer) underCap(s *server, r *request) bool {
-	share := s.weight * b.ramp(s) / r.tierWeight
+	share := s.weight * b.slowStartFactor(s) / r.tierWeight
 	return float64(len(s.inFlight)) < Cap(loadBoundFactor, b.inFlight, share) && b.hasCapacity(s, r)
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -2,27 +2,28 @@
 
 import "molepaddle/internal/decide/event"
 
-// What goes in and comes out; package event says which fields of each count.
+// The inputs and outputs of a Balancer; package event documents which fields each kind uses.
 type (
-	// RequestID names one try of a client; an id is never used twice.
+	// RequestID identifies one request of a client, retries of the client being new requests; it is never
+	// reused.
 	RequestID = event.RequestID
-	// Status is how an attempt or a probe ended.
+	// Status is the result of an attempt or a probe.
 	Status = event.Status
-	// EventKind says which fields of an Event count.
+	// EventKind is the kind of an Event; it determines which fields are set.
 	EventKind = event.EventKind
-	// Event is something that happened to one agent.
+	// Event is an input of the Balancer: a client request, the end of an attempt, a list update, a timer.
 	Event = event.Event
-	// ActionKind says which fields of an Action count.
+	// ActionKind is the kind of an Action; it determines which fields are set.
 	ActionKind = event.ActionKind
-	// Action is something that the agent is to do, in the order given.
+	// Action is an operation that the agent carries out, in the order returned.
 	Action = event.Action
 )
 
-// The statuses, the kinds of events and those of actions; package event documents each.
+// The statuses, event kinds and action kinds; package event documents each.
 const (
-	OK, Error, Full, Timeout        = event.OK, event.Error, event.Full, event.Timeout
-	ConnectFailed, Reset, Cancelled = event.ConnectFailed, event.Reset, event.Cancelled
-	Moot, NoWay, MostTries          = event.Moot, event.NoWay, event.MostTries
+	OK, Error, Full, Timeout                        = event.OK, event.Error, event.Full, event.Timeout
+	ConnectFailed, Reset, Cancelled                 = event.ConnectFailed, event.Reset, event.Cancelled
+	Abandoned, NoConnection, MaxUnconnectedAttempts = event.Moot, event.NoWay, event.MostTries
 
 	EvRequest, EvOutcome, EvStarted = event.EvRequest, event.EvOutcome, event.EvStarted
 	EvDropped, EvList, EvProbed     = event.EvDropped, event.EvList, event.EvProbed
