--- a/internal/core/account.go
+++ b/internal/core/account.go
@@ -11,72 +11,72 @@
 // This file keeps the account of what earned less than it could, where somebody wants it. The core's goroutine owns
 // all of it.
 
-// kept is what the account needs of a request; nobody wants it: it stays empty.
-type kept struct {
-	came    time.Time
-	ended   time.Time
-	outcome Outcome
+// requestTiming is what the account needs of a request; nobody wants it: it stays empty.
+type requestTiming struct {
+	arrivedAt time.Time
+	endedAt   time.Time
+	outcome   Outcome
 }
 
-// settled notes when and how a request was answered, or that its client waits no more.
-func (c *Core) settled(r *Request, o Outcome) {
-	if c.account == nil || !r.kept.ended.IsZero() {
+// recordEnd notes when and how a request was answered, or that its client waits no more.
+func (c *Core) recordEnd(r *Request, o Outcome) {
+	if c.reportLoss == nil || !r.timing.endedAt.IsZero() {
 		return
 	}
-	r.kept.ended, r.kept.outcome = time.Now(), o
+	r.timing.endedAt, r.timing.outcome = time.Now(), o
 }
 
-// tried notes how an attempt has ended.
-func (c *Core) tried(a *Attempt, res *Result) {
-	if c.account == nil {
+// recordAttempt notes how an attempt has ended.
+func (c *Core) recordAttempt(a *Attempt, res *Result) {
+	if c.reportLoss == nil {
 		return
 	}
 	b := a.backend
-	a.took = res.took
+	a.duration = res.duration
 	switch res.Status {
 	case policy.OK:
-		a.how = loss.Answered
+		a.ending = loss.Answered
 	case policy.Error, policy.Reset:
-		a.how = loss.Broken
+		a.ending = loss.Broken
 	case policy.Timeout:
-		a.how = loss.Silent
+		a.ending = loss.Silent
 	case policy.ConnectFailed:
-		if a.how = loss.Full; res.took >= ms(c.set.Limits.ConnectTimeoutMs*0.9) && c.set.Limits.ConnectTimeoutMs > 0 {
-			a.how = loss.Silent
+		if a.ending = loss.Full; res.duration >= ms(c.set.Limits.ConnectTimeoutMs*0.9) && c.set.Limits.ConnectTimeoutMs > 0 {
+			a.ending = loss.Silent
 		}
 	case policy.Cancelled:
-		if a.how = loss.Unspent; !b.heard.After(a.started) && a.stage.Load() == sending {
-			a.how = loss.Silent // until nobody waited any more
+		if a.ending = loss.Unspent; !b.lastAnswer.After(a.started) && a.stage.Load() == sending {
+			a.ending = loss.Silent // until nobody waited any more
 		}
 	default:
-		a.how = loss.Full
+		a.ending = loss.Full
 	}
 }
 
-// accounted tells of a request that is over, if it earned less than it could.
-func (c *Core) accounted(r *Request) {
-	if c.account == nil || r.kept.came.IsZero() || r.kept.ended.IsZero() {
+// reportIfLoss tells of a request that is over, if it earned less than it could.
+func (c *Core) reportIfLoss(r *Request) {
+	if c.reportLoss == nil || r.timing.arrivedAt.IsZero() || r.timing.endedAt.IsZero() {
 		return
 	}
-	since := func(t time.Time) float64 { return float64(t.Sub(r.kept.came).Microseconds()) / 1000 }
+	since := func(t time.Time) float64 { return float64(t.Sub(r.timing.arrivedAt).Microseconds()) / 1000 }
 	k := &c.set.Classes[min(max(r.Class, 0), len(c.set.Classes)-1)]
-	rec := loss.Record{Class: k.Name, At: r.kept.came.UnixMilli(), Worth: k.Credit, Aim: k.AimMs + k.AimStretch*r.HintMs, Ended: since(r.kept.ended),
-		Outcome: [...]string{"failed", "served", "refused", "repeated", "overdue", "gone"}[r.kept.outcome]}
-	if r.kept.outcome == Gone && !r.kept.ended.Before(r.Deadline.Add(-2*guardMargin)) {
+	rec := loss.Record{Class: k.Name, At: r.timing.arrivedAt.UnixMilli(), Worth: k.Credit, Aim: k.AimMs + k.AimStretch*r.HintMs, Ended: since(r.timing.endedAt),
+		Outcome: [...]string{"failed", "served", "refused", "repeated", "overdue", "gone"}[r.timing.outcome]}
+	if r.timing.outcome == ClientGone && !r.timing.endedAt.Before(r.Deadline.Add(-2*guardMargin)) {
 		rec.Outcome = "overdue"
 	}
 	switch {
-	case r.kept.outcome == Repeated, r.kept.outcome == Served && rec.Ended <= rec.Aim:
+	case r.timing.outcome == Duplicate, r.timing.outcome == Served && rec.Ended <= rec.Aim:
 		return
-	case r.kept.outcome == Served:
+	case r.timing.outcome == Served:
 		rec.Earned = k.Credit * min(max(k.LateShare, 0), 1)
 	}
 	for _, a := range r.attempts {
-		how := a.how
+		how := a.ending
 		if !a.ended { // it goes on, and nobody waits
 			how = loss.Unspent
 		}
-		rec.Tries = append(rec.Tries, loss.Try{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone, At: since(a.started), Took: float64(a.took.Microseconds()) / 1000, How: how})
+		rec.Tries = append(rec.Tries, loss.Try{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone, At: since(a.started), Took: float64(a.duration.Microseconds()) / 1000, How: how})
 	}
-	c.account(&rec)
+	c.reportLoss(&rec)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -42,26 +42,26 @@
 
 // Options is what a Core is made of.
 type Options struct {
-	Settings   settings.Settings
-	Seed       uint64
-	Known      cluster.List // as last had, perhaps old
-	MaxOpen    int          // requests that may be held at once; the module refuses what is over it
-	Queue      int          // room for what may happen at once, a few times the descriptors
-	Transport  Transport
-	RosterAddr string
+	Settings    settings.Settings
+	Seed        uint64
+	InitialList cluster.List // as last had, perhaps old
+	MaxOpen     int          // requests that may be held at once; the module refuses what is over it
+	QueueLength int          // room for what may happen at once, a few times the descriptors
+	Transport   Transport
+	RosterAddr  string
 	// NewRoster makes the client of the roster at an address.
-	NewRoster func(addr string, tell func(News)) Roster
+	NewRoster func(addr string, tell func(Update)) Roster
 	Log       *slog.Logger
 	// NewDecider makes what decides; nil: policy.New. The lab puts baselines there.
 	NewDecider func(set settings.Settings, seed uint64) (Decider, error)
 	// IDs is shared with other cores; nil: the core has its own.
 	IDs *IDs
 	// Fleet is what the operator has set for very many agents; nil: there are few.
-	Fleet *fleet.Options
-	Zones map[string]int // numbers of zones by their names, for the log
-	// Account is told each request that earned less than it could, once nothing of it is out, by the core's
+	Fleet       *fleet.Options
+	ZoneNumbers map[string]int // numbers of zones by their names, for the log
+	// ReportLoss is told each request that earned less than it could, once nothing of it is out, by the core's
 	// goroutine, which it must not hold up; nil: nobody is.
-	Account func(*loss.Record)
+	ReportLoss func(*loss.Record)
 }
 
 // Decider is what decides for a core; policy.Balancer is the one in service.
@@ -70,48 +70,48 @@
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// inKind tells what happened.
-type inKind uint8
+// inputKind tells what happened.
+type inputKind uint8
 
 // What may come in.
 const (
-	inRequest   inKind = iota // req
-	inDropped                 // req: nobody waits for its answer any more
-	inWithdrawn               // req: the same, of one that was brought by Take
-	inOutcome                 // att, res
-	inTimer                   // token
-	inNews                    // news, gen
-	inTurn                    // addr: another roster's
-	inLoad                    // load
-	inProbed                  // att, res
-	inFollow                  // a pushed list is to be followed again
-	inWatch                   // gen: what was put off
-	inProbe                   // server
-	inPlan                    // the agent's part in the fleet is to be settled anew
-	inCrowd                   // how many agents there are
-	inAlone                   // alone, done
-	inSettings                // table, done
-	inKnown                   // known
-	inWhole                   // att
-	inStarted                 // att, res
+	inRequest      inputKind = iota // req
+	inDropped                       // req: nobody waits for its answer any more
+	inWithdrawn                     // req: the same, of one that was brought by Take
+	inOutcome                       // att, res
+	inTimer                         // token
+	inUpdate                        // news, gen
+	inSwitchRoster                  // addr: another roster's
+	inLoad                          // load
+	inProbed                        // att, res
+	inFollow                        // a pushed list is to be followed again
+	inWatch                         // gen: what was put off
+	inProbe                         // server
+	inReplan                        // the agent's part in the fleet is to be settled anew
+	inFleetSize                     // how many agents there are
+	inExclude                       // alone, done
+	inSettings                      // table, done
+	inEndpoints                     // known
+	inBodyComplete                  // att
+	inStarted                       // att, res
 )
 
 // input is one thing that happened, on its way to Run.
 type input struct {
-	kind         inKind
+	kind         inputKind
 	req          *Request
 	att          *Attempt
 	res          Result
 	token        uint32
-	news         News
+	update       Update
 	gen          int // of the roster that was asked
 	addr         string
 	load         chan<- Load
 	table        *settings.Table
 	done         chan<- struct{}
-	known        chan<- Known
+	endpoints    chan<- EndpointSnapshot
 	agents, rank int
-	alone        map[cluster.Addr]bool
+	excluded     map[cluster.Addr]bool
 
 	server cluster.Addr
 }
@@ -125,51 +125,51 @@
 
 // Core is the requests, servers and decisions of one agent.
 type Core struct {
-	ctx       context.Context
-	log       *slog.Logger
-	account   func(*loss.Record)
-	zoneNames map[string]int
-	maxOpen   int
-	classes   atomic.Pointer[[]settings.Class] // those in set
-	transport Transport
-	newRoster func(addr string, tell func(News)) Roster
-	in        chan *input  // an agent that is idle holds none, so they are not kept by value
-	waiting   atomic.Int64 // inputs that are queued or taken from the queue, and not handled
-	running   atomic.Bool  // Run works
-	ready     atomic.Bool  // a server can be sent to
-	asked     atomic.Int64 // requests that have come
+	ctx          context.Context
+	log          *slog.Logger
+	reportLoss   func(*loss.Record)
+	zoneNames    map[string]int
+	maxOpen      int
+	classes      atomic.Pointer[[]settings.Class] // those in set
+	transport    Transport
+	newRoster    func(addr string, dispatch func(Update)) Roster
+	inputs       chan *input  // an agent that is idle holds none, so they are not kept by value
+	queued       atomic.Int64 // inputs that are queued or taken from the queue, and not handled
+	running      atomic.Bool  // Run works
+	ready        atomic.Bool  // a server can be sent to
+	requestCount atomic.Int64 // requests that have come
 
 	// The lock guards what stands below.
-	mu         sync.Mutex
-	set        settings.Settings
-	told       int // agents, as the settings say
-	agents     int // as a view of the fleet says; 0: there is none
-	bal        Decider
-	todo       []input // what Run itself gave rise to, to be handled next
-	base       time.Time
-	baseMs     float64
-	requests   map[policy.RequestID]*Request
-	nextID     policy.RequestID
-	ids        *IDs
-	backends   []*backend // in the order in which they came to be listed
-	byAddr     map[cluster.Addr]*backend
-	roster     Roster
-	rosterAddr string
-	rosterGen  int
-	seq        int64                 // version of the list at hand; 0 after a change of roster
-	list       cluster.List          // whole, as the rosters told it
-	alone      map[cluster.Addr]bool // servers that get nothing, whatever the roster says
-	watching   bool
-	actions    []policy.Action
-	part       *part         // in a fleet; nil: in none
-	reach      *doubt.Groups // of the module; nil: it doubts no zones
-	changes    int           // of that, as last told
+	mu                  sync.Mutex
+	set                 settings.Settings
+	configuredAgents    int // agents, as the settings say
+	observedAgents      int // as a view of the fleet says; 0: there is none
+	decider             Decider
+	pending             []input // what Run itself gave rise to, to be handled next
+	base                time.Time
+	baseMs              float64
+	requests            map[policy.RequestID]*Request
+	nextID              policy.RequestID
+	ids                 *IDs
+	backends            []*backend // in the order in which they came to be listed
+	byAddr              map[cluster.Addr]*backend
+	roster              Roster
+	rosterAddr          string
+	rosterGen           int
+	seq                 int64                 // version of the list at hand; 0 after a change of roster
+	list                cluster.List          // whole, as the rosters told it
+	excluded            map[cluster.Addr]bool // servers that get nothing, whatever the roster says
+	watching            bool
+	actions             []policy.Action
+	fleet               *fleetState   // in a fleet; nil: in none
+	reachability        *doubt.Groups // of the module; nil: it doubts no zones
+	reachabilityChanges int           // of that, as last told
 }
 
 // New makes a core that ends with the context; its settings are validated. It is told
 // the list in the options before it returns.
 func New(ctx context.Context, o Options) (*Core, error) {
-	set := capped(o.Settings, o.MaxOpen)
+	set := withOpenCap(o.Settings, o.MaxOpen)
 	var bal Decider
 	var err error
 	if o.NewDecider != nil {
@@ -183,8 +183,8 @@
 	// The module's clock is the Unix time of the start, then monotonic: starts of servers
 	// need no translation, and steps of the system's clock don't show.
 	base := time.Now()
-	c := &Core{ctx: ctx, set: set, told: set.Replicas, maxOpen: o.MaxOpen, log: o.Log, account: o.Account, zoneNames: o.Zones, transport: o.Transport, newRoster: o.NewRoster,
-		in: make(chan *input, o.Queue), bal: bal, base: base, baseMs: float64(base.UnixMicro()) / 1000,
+	c := &Core{ctx: ctx, set: set, configuredAgents: set.Replicas, maxOpen: o.MaxOpen, log: o.Log, reportLoss: o.ReportLoss, zoneNames: o.ZoneNumbers, transport: o.Transport, newRoster: o.NewRoster,
+		inputs: make(chan *input, o.QueueLength), decider: bal, base: base, baseMs: float64(base.UnixMicro()) / 1000,
 		requests: map[policy.RequestID]*Request{}, byAddr: map[cluster.Addr]*backend{},
 		ids: o.IDs}
 	if c.ids == nil {
@@ -192,33 +192,33 @@
 	}
 	c.classes.Store(&c.set.Classes)
 	if r, able := bal.(interface{ Reach() *doubt.Groups }); able {
-		c.reach = r.Reach()
+		c.reachability = r.Reach()
 	}
 	if o.Fleet != nil {
-		if c.part, err = newPart(*o.Fleet, &c.set, o.Seed, c.baseMs); err != nil {
+		if c.fleet, err = newFleetState(*o.Fleet, &c.set, o.Seed, c.baseMs); err != nil {
 			return nil, err
 		}
 	}
 	c.openRoster(o.RosterAddr)
-	c.actions = c.bal.Start(c.clock(), c.actions[:0])
-	c.act()
-	c.learn(cluster.ListCached, &o.Known)
+	c.actions = c.decider.Start(c.clock(), c.actions[:0])
+	c.execute()
+	c.updateList(cluster.ListCached, &o.InitialList)
 	if c.pushed() {
 		c.follow()
 	}
 	return c, nil
 }
 
-// capped has the settings allow no more open requests than the agent has room for.
-func capped(set settings.Settings, most int) settings.Settings {
+// withOpenCap has the settings allow no more open requests than the agent has room for.
+func withOpenCap(set settings.Settings, most int) settings.Settings {
 	if set.Limits.OpenCap <= 0 || set.Limits.OpenCap > most {
 		set.Limits.OpenCap = most
 	}
 	return set
 }
 
-// Longest is how long a request of any class may be open.
-func Longest(set *settings.Settings) time.Duration {
+// MaxRequestDuration is how long a request of any class may be open.
+func MaxRequestDuration(set *settings.Settings) time.Duration {
 	longest := 0.0
 	for _, class := range set.Classes {
 		longest = max(longest, class.GiveUpMs)
@@ -232,28 +232,28 @@
 	return c.baseMs + float64(time.Since(c.base))/float64(time.Millisecond)
 }
 
-// Asked is how many requests have come since the start.
-func (c *Core) Asked() int64 { return c.asked.Load() }
+// RequestCount is how many requests have come since the start.
+func (c *Core) RequestCount() int64 { return c.requestCount.Load() }
 
 // Ready tells whether there is a server to send to.
 func (c *Core) Ready() bool { return c.ready.Load() }
 
-// TurnTo turns to the roster at another address.
-func (c *Core) TurnTo(addr string) { c.post(input{kind: inTurn, addr: addr}) }
+// SwitchRoster turns to the roster at another address.
+func (c *Core) SwitchRoster(addr string) { c.post(input{kind: inSwitchRoster, addr: addr}) }
 
-// Turner is a Decider that can take other settings while it is at work, as policy.Balancer.UpdateSettings does.
-type Turner interface {
+// SettingsUpdater is a Decider that can take other settings while it is at work, as policy.Balancer.UpdateSettings does.
+type SettingsUpdater interface {
 	UpdateSettings(set settings.Settings, from []int)
 }
 
-// ErrSettled is why settings can't be changed.
-var ErrSettled = errors.New("what decides takes no other settings")
+// ErrFixedSettings is why settings can't be changed.
+var ErrFixedSettings = errors.New("what decides takes no other settings")
 
-// Turn takes another version of the settings and returns when its classes are known: requests that
+// UpdateSettings takes another version of the settings and returns when its classes are known: requests that
 // have come keep their numbers, which mean the same. An error has changed nothing.
-func (c *Core) Turn(t *settings.Table) error {
-	if _, able := c.bal.(Turner); !able {
-		return ErrSettled
+func (c *Core) UpdateSettings(t *settings.Table) error {
+	if _, able := c.decider.(SettingsUpdater); !able {
+		return ErrFixedSettings
 	}
 	done := make(chan struct{})
 	c.post(input{kind: inSettings, table: t, done: done})
@@ -265,23 +265,23 @@
 	}
 }
 
-// Known is the list at hand, and the roster whose versions it counts in.
-type Known struct {
-	Roster string
-	List   cluster.List   // Seq is 0 where the roster has not told it yet
-	Silent []cluster.Addr `json:"-"` // those that have not answered this agent's last attempt
-	ColdMs float64        `json:"-"` // how long a server is cold, by the settings
+// EndpointSnapshot is the list at hand, and the roster whose versions it counts in.
+type EndpointSnapshot struct {
+	Roster       string
+	List         cluster.List   // Seq is 0 where the roster has not told it yet
+	Unresponsive []cluster.Addr `json:"-"` // those that have not answered this agent's last attempt
+	SlowStartMs  float64        `json:"-"` // how long a server is cold, by the settings
 }
 
-// Known tells the list at hand; none, once the core has ended.
-func (c *Core) Known() Known {
-	known := make(chan Known, 1)
-	c.post(input{kind: inKnown, known: known})
+// Endpoints tells the list at hand; none, once the core has ended.
+func (c *Core) Endpoints() EndpointSnapshot {
+	known := make(chan EndpointSnapshot, 1)
+	c.post(input{kind: inEndpoints, endpoints: known})
 	select {
 	case k := <-known:
 		return k
 	case <-c.ctx.Done():
-		return Known{}
+		return EndpointSnapshot{}
 	}
 }
 
@@ -309,8 +309,8 @@
 	abandon := func() {
 		select {
 		case a := <-answers:
-			if a.Rest != nil {
-				a.Rest.Leave()
+			if a.Stream != nil {
+				a.Stream.Leave()
 			}
 		default:
 		}
@@ -322,21 +322,21 @@
 	}
 	guard := time.NewTimer(time.Until(r.Deadline) - guardMargin)
 	defer guard.Stop()
-	if r.Message.Rest != nil {
-		r.complete = make(chan time.Time, 1) // all comes once
+	if r.Message.Stream != nil {
+		r.bodyComplete = make(chan time.Time, 1) // all comes once
 	}
-	c.asked.Add(1)
+	c.requestCount.Add(1)
 	c.post(input{kind: inRequest, req: r})
-	end := Answer{Outcome: Overdue}
+	end := Answer{Outcome: DeadlineExceeded}
 	for waiting := true; waiting; {
 		select {
 		case ans := <-answers:
 			return ans
-		case deadline := <-r.complete:
+		case deadline := <-r.bodyComplete:
 			guard.Reset(time.Until(deadline) - guardMargin)
 			continue
 		case <-ctx.Done():
-			end.Outcome = Gone
+			end.Outcome = ClientGone
 		case <-guard.C:
 		}
 		waiting = false
@@ -349,7 +349,7 @@
 	gone.Store(true)
 	abandon()
 	// The guard is for a core that is stuck, perhaps with its queue full.
-	if drop := (input{kind: inDropped, req: r}); !c.offer(drop) {
+	if drop := (input{kind: inDropped, req: r}); !c.tryPost(drop) {
 		go c.post(drop)
 	}
 	return end
@@ -362,20 +362,20 @@
 // soon as nothing of the request is out any more, unless it was told an answer before. Answers are
 // whole, and so at most MaxBody.
 func (c *Core) Take(r *Request, done func(Answer)) (drop func()) {
-	r.reply, r.held = done, true
-	c.asked.Add(1)
+	r.reply, r.buffered = done, true
+	c.requestCount.Add(1)
 	c.post(input{kind: inRequest, req: r})
 	return func() { c.post(input{kind: inWithdrawn, req: r}) }
 }
 
-// here handles an input in its bringer's goroutine, if that is free to do: it saves two
+// tryHandle handles an input in its bringer's goroutine, if that is free to do: it saves two
 // changes of goroutine a request each.
-func (c *Core) here(in input) bool {
+func (c *Core) tryHandle(in input) bool {
 	if !c.running.Load() || !c.mu.TryLock() {
 		return false
 	}
 	defer c.mu.Unlock()
-	if c.waiting.Load() != 0 || c.ctx.Err() != nil {
+	if c.queued.Load() != 0 || c.ctx.Err() != nil {
 		return false
 	}
 	c.handle(in)
@@ -385,31 +385,31 @@
 // post brings something that happened. It waits while the queue is full and returns at
 // once when the core has ended.
 func (c *Core) post(in input) {
-	if c.here(in) {
+	if c.tryHandle(in) {
 		return
 	}
-	c.waiting.Add(1)
+	c.queued.Add(1)
 	queued := new(input)
 	*queued = in
 	select {
-	case c.in <- queued:
+	case c.inputs <- queued:
 	case <-c.ctx.Done():
 	}
 }
 
-// offer is post, but that it does not wait; it reports whether there was room.
-func (c *Core) offer(in input) bool {
-	if c.here(in) {
+// tryPost is post, but that it does not wait; it reports whether there was room.
+func (c *Core) tryPost(in input) bool {
+	if c.tryHandle(in) {
 		return true
 	}
-	c.waiting.Add(1)
+	c.queued.Add(1)
 	queued := new(input)
 	*queued = in
 	select {
-	case c.in <- queued:
+	case c.inputs <- queued:
 		return true
 	default:
-		c.waiting.Add(-1)
+		c.queued.Add(-1)
 		return false
 	}
 }
@@ -419,10 +419,10 @@
 	c.running.Store(true)
 	for {
 		select {
-		case in := <-c.in:
+		case in := <-c.inputs:
 			c.mu.Lock()
 			c.handle(*in)
-			c.waiting.Add(-1)
+			c.queued.Add(-1)
 			c.mu.Unlock()
 		case <-c.ctx.Done():
 			return
@@ -432,16 +432,16 @@
 
 // handle takes one input and all that it gives rise to.
 func (c *Core) handle(in input) {
-	c.one(in)
-	for len(c.todo) > 0 {
-		in, c.todo = c.todo[0], c.todo[1:]
-		c.one(in)
+	c.handleOne(in)
+	for len(c.pending) > 0 {
+		in, c.pending = c.pending[0], c.pending[1:]
+		c.handleOne(in)
 	}
 }
 
-// one takes one input. A panic costs the request at hand its decision, and its guard
-// answers it: one bad event must not take down all that the agent holds.
-func (c *Core) one(in input) {
+// handleOne takes handleOne input. A panic costs the request at hand its decision, and its guard
+// answers it: handleOne bad event must not take down all that the agent holds.
+func (c *Core) handleOne(in input) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.Error("panic in the core", "input", in.kind, "panic", p, "stack", string(debug.Stack()))
@@ -452,22 +452,22 @@
 		c.onRequest(in.req)
 	case inDropped, inWithdrawn:
 		if r := in.req; r.id != 0 && !r.answered {
-			c.settled(r, Gone)
+			c.recordEnd(r, ClientGone)
 			r.answered, r.dropped = true, in.kind == inWithdrawn
-			c.tell(&policy.Event{Kind: policy.EvDropped, Request: r.id})
-			c.unsend(r)
-			c.forget(r)
+			c.dispatch(&policy.Event{Kind: policy.EvDropped, Request: r.id})
+			c.stopUnsent(r)
+			c.removeIfDone(r)
 		}
 	case inOutcome:
 		c.onOutcome(in.att, &in.res)
-	case inWhole:
-		c.onWhole(in.att)
+	case inBodyComplete:
+		c.onBodyComplete(in.att)
 	case inStarted:
 		c.onStarted(in.att, &in.res)
 	case inTimer:
-		c.tell(&policy.Event{Kind: policy.EvTimer, Token: in.token})
-	case inTurn:
-		c.turnTo(in.addr)
+		c.dispatch(&policy.Event{Kind: policy.EvTimer, Token: in.token})
+	case inSwitchRoster:
+		c.switchRoster(in.addr)
 	case inFollow:
 		c.follow()
 	case inWatch:
@@ -476,54 +476,54 @@
 		}
 	case inProbe:
 		c.probe(in.server)
-	case inCrowd:
-		c.crowd(in.agents, in.rank)
-	case inAlone:
-		c.leaveAlone(in.alone)
+	case inFleetSize:
+		c.setFleetSize(in.agents, in.rank)
+	case inExclude:
+		c.exclude(in.excluded)
 		close(in.done)
-	case inPlan:
+	case inReplan:
 		c.replan()
 	case inSettings:
-		c.set = capped(in.table.Settings, c.maxOpen)
-		c.told = c.set.Replicas
-		c.set.Replicas = max(c.told, c.agents)
+		c.set = withOpenCap(in.table.Settings, c.maxOpen)
+		c.configuredAgents = c.set.Replicas
+		c.set.Replicas = max(c.configuredAgents, c.observedAgents)
 		c.classes.Store(&c.set.Classes)
-		c.ids.keep(Longest(&c.set) + idMargin)
-		c.bal.(Turner).UpdateSettings(c.set, in.table.From)
+		c.ids.extendRetention(MaxRequestDuration(&c.set) + idMargin)
+		c.decider.(SettingsUpdater).UpdateSettings(c.set, in.table.From)
 		close(in.done)
-	case inKnown:
-		in.known <- Known{Roster: c.rosterAddr, List: cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)}, Silent: c.silent(), ColdMs: c.set.Contract.ColdMs}
+	case inEndpoints:
+		in.endpoints <- EndpointSnapshot{Roster: c.rosterAddr, List: cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)}, Unresponsive: c.unresponsiveServers(), SlowStartMs: c.set.Contract.ColdMs}
 	case inProbed:
 		c.onProbed(in.att, &in.res)
 	case inLoad:
 		l := Load{Requests: len(c.requests), Servers: len(c.backends)}
 		for _, r := range c.requests {
-			l.Attempts += r.open
+			l.Attempts += r.inFlight
 		}
 		in.load <- l
-	case inNews:
+	case inUpdate:
 		if in.gen == c.rosterGen { // else of a roster that is asked no more
-			c.onNews(&in.news)
+			c.onUpdate(&in.update)
 		}
 	}
 }
 
-// tell hands the module one event and carries out what it decides.
-func (c *Core) tell(ev *policy.Event) {
-	c.actions = c.bal.Handle(c.clock(), ev, c.actions[:0])
-	if c.reach != nil && c.reach.Changes() != c.changes {
-		c.changes = c.reach.Changes()
-		if zones, all := c.reach.Doubted(); all {
+// dispatch hands the module one event and carries out what it decides.
+func (c *Core) dispatch(ev *policy.Event) {
+	c.actions = c.decider.Handle(c.clock(), ev, c.actions[:0])
+	if c.reachability != nil && c.reachability.Changes() != c.reachabilityChanges {
+		c.reachabilityChanges = c.reachability.Changes()
+		if zones, all := c.reachability.Doubted(); all {
 			c.log.Warn("no zone answers: this agent's own way may be cut")
 		} else {
-			c.log.Warn("zones that answer nothing come last", "zones", c.zones(zones))
+			c.log.Warn("zones that answer nothing come last", "zones", c.namesOfZones(zones))
 		}
 	}
-	c.act()
+	c.execute()
 }
 
-// zones names zones, as far as the core was told how.
-func (c *Core) zones(of []int) []string {
+// namesOfZones names namesOfZones, as far as the core was told how.
+func (c *Core) namesOfZones(of []int) []string {
 	names := []string{}
 	for _, zone := range of {
 		name := strconv.Itoa(zone)
@@ -538,8 +538,8 @@
 }
 
 func (c *Core) onRequest(r *Request) {
-	if !r.Crossed && !c.ids.add(r.ID, time.Now()) {
-		c.answer(r, Answer{Outcome: Repeated})
+	if !r.Deduplicated && !c.ids.add(r.ID, time.Now()) {
+		c.answer(r, Answer{Outcome: Duplicate})
 		return
 	}
 	c.nextID++
@@ -547,21 +547,21 @@
 		c.nextID++
 	}
 	r.id = c.nextID
-	r.most = c.set.Limits.MaxAttempts
-	if r.Tries > 0 {
-		r.most = min(r.most, r.Tries)
+	r.attemptLimit = c.set.Limits.MaxAttempts
+	if r.MaxAttempts > 0 {
+		r.attemptLimit = min(r.attemptLimit, r.MaxAttempts)
 	}
 	c.requests[r.id] = r
-	if c.account != nil {
-		r.kept.came = time.Now()
+	if c.reportLoss != nil {
+		r.timing.arrivedAt = time.Now()
 	}
-	c.tell(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
+	c.dispatch(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Key: r.Key, LeftMs: float64(time.Until(r.Deadline)) / float64(time.Millisecond),
-		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.Tries, Coming: r.Message.Rest != nil})
+		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.MaxAttempts, Coming: r.Message.Stream != nil})
 }
 
-// onWhole has a request's time begin: its server has all of it.
-func (c *Core) onWhole(a *Attempt) {
+// onBodyComplete has a request's time begin: its server has all of it.
+func (c *Core) onBodyComplete(a *Attempt) {
 	r := a.Request
 	if a.ended || r.answered {
 		return
@@ -569,22 +569,22 @@
 	r.Deadline = a.deadline
 	a.timer.Reset(time.Until(r.Deadline))
 	select {
-	case r.complete <- r.Deadline:
+	case r.bodyComplete <- r.Deadline:
 	default: // nobody waits any more
 	}
-	c.tell(&policy.Event{Kind: policy.EvBodyComplete, Request: r.id, Attempt: a.index, LeftMs: float64(r.Left) / float64(time.Millisecond)})
+	c.dispatch(&policy.Event{Kind: policy.EvBodyComplete, Request: r.id, Attempt: a.index, LeftMs: float64(r.TimeAfterBody) / float64(time.Millisecond)})
 }
 
 // onStarted gives a request the answer that begins, unless it has one.
 func (c *Core) onStarted(a *Attempt, res *Result) {
 	r := a.Request
 	if a.ended || r.answered {
-		res.Rest.Leave()
+		res.Stream.Leave()
 		return
 	}
-	c.tell(&policy.Event{Kind: policy.EvStarted, Request: r.id, Attempt: a.index, Server: a.backend.addr})
-	r.ran = true
-	c.answer(r, Answer{Outcome: Served, Body: res.Body, Rest: res.Rest, Length: res.Length, ContentType: res.ContentType})
+	c.dispatch(&policy.Event{Kind: policy.EvStarted, Request: r.id, Attempt: a.index, Server: a.backend.addr})
+	r.mayHaveRun = true
+	c.answer(r, Answer{Outcome: Served, Body: res.Body, Stream: res.Stream, Length: res.Length, ContentType: res.ContentType})
 }
 
 func (c *Core) onOutcome(a *Attempt, res *Result) {
@@ -594,18 +594,18 @@
 	a.ended = true
 	r, b := a.Request, a.backend
 	b.attempts = slices.DeleteFunc(b.attempts, func(o *Attempt) bool { return o == a })
-	c.drop(b)
-	r.open--
+	c.removeIfUnused(b)
+	r.inFlight--
 	if res.panicked != nil {
 		c.log.Error("attempt ended", "err", res.panicked)
 	}
-	c.crowded(a, res)
-	b.heed(res.Status)
-	c.tried(a, res)
-	r.ran = r.ran || !res.Status.NeverRan()
-	r.spent += res.Spent
-	if res.Status == policy.NoConnection && r.most < policy.MaxUnconnectedAttempts {
-		r.most++ // as the module counts
+	c.checkConnectFailure(a, res)
+	b.recordStatus(res.Status)
+	c.recordAttempt(a, res)
+	r.mayHaveRun = r.mayHaveRun || !res.Status.NeverRan()
+	r.extraAttempts += res.ExtraAttempts
+	if res.Status == policy.NoConnection && r.attemptLimit < policy.MaxUnconnectedAttempts {
+		r.attemptLimit++ // as the module counts
 	}
 	if res.Status == policy.OK {
 		c.answer(r, Answer{Outcome: Served, Body: res.Body, Length: res.Length, ContentType: res.ContentType})
@@ -614,49 +614,49 @@
 		// The machine may have vanished; its other connections would be as silent.
 		b.endpoint.CloseIdle()
 	}
-	c.tell(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
-		Status: res.Status, LatencyMs: float64(res.took) / float64(time.Millisecond),
-		Final: r.answered, Tries: r.unrepeatable(res.Spent), Report: report(res.Load, c.set.Report.Names)})
-	c.forget(r)
+	c.dispatch(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
+		Status: res.Status, LatencyMs: float64(res.duration) / float64(time.Millisecond),
+		Final: r.answered, Tries: r.spentAttempts(res.ExtraAttempts), Report: report(res.Load, c.set.Report.Names)})
+	c.removeIfDone(r)
 }
 
 // answer gives a request its final answer, unless it has one.
 func (c *Core) answer(r *Request, a Answer) {
 	if !r.answered {
-		c.settled(r, a.Outcome)
+		c.recordEnd(r, a.Outcome)
 		r.answered = true
-		a.Ran, a.Attempts = r.ran || r.begun(), len(r.attempts)+r.spent
+		a.Ran, a.Attempts = r.mayHaveRun || r.hasStartedAttempt(), len(r.attempts)+r.extraAttempts
 		r.reply(a)
-		c.unsend(r)
+		c.stopUnsent(r)
 	}
 }
 
-// unsend stops what of a request that is over has not begun, here or behind a gateway, whether
+// stopUnsent stops what of a request that is over has not begun, here or behind a gateway, whether
 // or not the settings allow to cancel what has: it would be work that nobody waits for.
-func (c *Core) unsend(r *Request) {
+func (c *Core) stopUnsent(r *Request) {
 	for _, a := range r.attempts {
-		if !c.stop(a, ErrCancelled, policy.Cancelled) && !a.ended && a.Unwanted != nil && a.ctx.Err() == nil {
-			go a.Unwanted()
+		if !c.stop(a, ErrCancelled, policy.Cancelled) && !a.ended && a.OnAbandoned != nil && a.ctx.Err() == nil {
+			go a.OnAbandoned()
 		}
 	}
 }
 
-// forget drops a request that is answered and has no attempt out.
-func (c *Core) forget(r *Request) {
-	if r.answered && r.open == 0 {
+// removeIfDone drops a request that is answered and has no attempt out.
+func (c *Core) removeIfDone(r *Request) {
+	if r.answered && r.inFlight == 0 {
 		if c.requests[r.id] == r {
-			c.accounted(r)
+			c.reportIfLoss(r)
 		}
 		delete(c.requests, r.id)
 		if r.dropped {
 			r.dropped = false
-			r.reply(Answer{Outcome: Gone, Ran: r.ran, Attempts: len(r.attempts) + r.spent})
+			r.reply(Answer{Outcome: ClientGone, Ran: r.mayHaveRun, Attempts: len(r.attempts) + r.extraAttempts})
 		}
 	}
 }
 
-// act carries out the module's actions in their order.
-func (c *Core) act() {
+// execute carries out the module's actions in their order.
+func (c *Core) execute() {
 	for i := range c.actions {
 		act := &c.actions[i]
 		r := c.requests[act.Request]
@@ -674,17 +674,17 @@
 		case policy.ActRefuse:
 			if r != nil {
 				c.answer(r, Answer{Outcome: Refused, RetryAfter: ms(act.Ms)})
-				c.forget(r)
-				c.refused()
+				c.removeIfDone(r)
+				c.recordRefusal()
 			}
 		case policy.ActFail:
 			if r != nil {
 				c.answer(r, Answer{Outcome: Failed})
-				c.forget(r)
+				c.removeIfDone(r)
 			}
 		case policy.ActProbe:
 			server := act.Server
-			c.later(c.part.probe(), input{kind: inProbe, server: server}, func() { c.probe(server) })
+			c.runAfter(c.fleet.probeDelay(), input{kind: inProbe, server: server}, func() { c.probe(server) })
 		case policy.ActTimer:
 			token := act.Token
 			time.AfterFunc(ms(act.Ms), func() { c.post(input{kind: inTimer, token: token}) })
@@ -712,7 +712,7 @@
 	var a *Attempt
 	a = NewAttempt(c.ctx, r, ms(act.Ms), func(res Result) { c.post(input{kind: inOutcome, att: a, res: res}) })
 	a.index, a.backend = len(r.attempts), b
-	a.tell = func(kind inKind, res *Result) {
+	a.notify = func(kind inputKind, res *Result) {
 		in := input{kind: kind, att: a}
 		if res != nil {
 			in.res = *res
@@ -720,14 +720,14 @@
 		c.post(in)
 	}
 	if act.BeginMs > 0 {
-		a.lapses = a.started.Add(ms(act.BeginMs))
+		a.beginBy = a.started.Add(ms(act.BeginMs))
 	}
-	if !r.BeginBy.IsZero() && (a.lapses.IsZero() || r.BeginBy.Before(a.lapses)) {
-		a.lapses = r.BeginBy
+	if !r.BeginBy.IsZero() && (a.beginBy.IsZero() || r.BeginBy.Before(a.beginBy)) {
+		a.beginBy = r.BeginBy
 	}
-	a.Left = r.most - len(r.attempts) - r.spent
+	a.AttemptsLeft = r.attemptLimit - len(r.attempts) - r.extraAttempts
 	r.attempts = append(r.attempts, a)
-	r.open++
+	r.inFlight++
 	if !b.usable || r.answered {
 		// The module sends to what is listed as ready only; should it not, nothing goes out.
 		c.stop(a, nil, policy.Abandoned)
@@ -735,6 +735,6 @@
 	}
 	b.attempts = append(b.attempts, a)
 	if err := b.endpoint.Start(a); err != nil {
-		c.stop(a, err, neverRan(err))
+		c.stop(a, err, startErrorStatus(err))
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -31,9 +31,9 @@
 }
 
 type fakeEndpoint struct {
-	t                *fakeTransport
-	dial             string
-	idleShut, retire int
+	t                   *fakeTransport
+	dial                string
+	idleClosed, retired int
 }
 
 func (f *fakeTransport) Endpoint(s *cluster.Server) Endpoint {
@@ -43,13 +43,13 @@
 	e.t.started = append(e.t.started, a)
 	return e.t.err
 }
-func (e *fakeEndpoint) CloseIdle() { e.idleShut++ }
-func (e *fakeEndpoint) Retire()    { e.retire++ }
+func (e *fakeEndpoint) CloseIdle() { e.idleClosed++ }
+func (e *fakeEndpoint) Retire()    { e.retired++ }
 
 // fakeRoster notes what it is asked.
 type fakeRoster struct {
 	addr   string
-	tell   func(News)
+	tell   func(Update)
 	asked  []string
 	closed bool
 }
@@ -58,8 +58,8 @@
 func (f *fakeRoster) Watch(int64, bool) { f.asked = append(f.asked, "watch") }
 func (f *fakeRoster) Close()            { f.closed = true }
 
-// rig is a core that a test drives by hand; Run does not run.
-type rig struct {
+// harness is a core that a test drives by hand; Run does not run.
+type harness struct {
 	*Core
 	transport *fakeTransport
 	rosters   []*fakeRoster
@@ -75,7 +75,7 @@
 	return cluster.List{Seq: seq, Complete: whole, Servers: servers}
 }
 
-func newRig(t *testing.T, servers ...cluster.Server) *rig {
+func newHarness(t *testing.T, servers ...cluster.Server) *harness {
 	t.Helper()
 	class := func(name string, effect settings.Effect) settings.Class {
 		return settings.Class{Name: name, AimMs: 20000, GiveUpMs: 30000, Credit: 1, Effect: effect, Group: settings.GroupAll, KeyTTLMs: 20000}
@@ -85,13 +85,13 @@
 		Limits:  settings.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, KeepaliveMs: 30000},
 		Contract: settings.Contract{AskWithinMs: 10000, ColdFrom: 0.3, ColdMs: 8000, DrainGraceMs: 250,
 			FallMultiple: 2.5, TipAfterMs: 1000}}
-	r := &rig{transport: &fakeTransport{}}
+	r := &harness{transport: &fakeTransport{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var err error
-	r.Core, err = New(ctx, Options{Settings: set, Seed: 1, Known: listOf(1, true, servers...), MaxOpen: 100, Queue: 16,
+	r.Core, err = New(ctx, Options{Settings: set, Seed: 1, InitialList: listOf(1, true, servers...), MaxOpen: 100, QueueLength: 16,
 		Transport: r.transport, RosterAddr: "first", Log: slog.New(slog.DiscardHandler),
-		NewRoster: func(addr string, tell func(News)) Roster {
+		NewRoster: func(addr string, tell func(Update)) Roster {
 			f := &fakeRoster{addr: addr, tell: tell}
 			r.rosters = append(r.rosters, f)
 			return f
@@ -102,29 +102,29 @@
 	return r
 }
 
-// answersOf holds where the answers to the tests' requests come.
-var answersOf sync.Map
+// answerChannels holds where the answers to the tests' requests come.
+var answerChannels sync.Map
 
-func answers(q *Request) chan Answer {
-	c, _ := answersOf.Load(q)
+func answersTo(q *Request) chan Answer {
+	c, _ := answerChannels.Load(q)
 	return c.(chan Answer)
 }
 
-// ask takes a request as Do does.
-func (r *rig) ask(class int, id string) *Request {
+// startRequest takes a request as Do does.
+func (r *harness) startRequest(class int, id string) *Request {
 	q := &Request{ID: id, Class: class, Deadline: time.Now().Add(time.Hour)}
 	answers := make(chan Answer, 1)
 	q.reply = func(a Answer) { answers <- a }
-	answersOf.Store(q, answers)
+	answerChannels.Store(q, answers)
 	r.handle(input{kind: inRequest, req: q})
 	return q
 }
 
-// told is the answer that a request has; there must be one.
-func told(t *testing.T, q *Request) Answer {
+// mustAnswer is the answer that a request has; there must be one.
+func mustAnswer(t *testing.T, q *Request) Answer {
 	t.Helper()
 	select {
-	case a := <-answers(q):
+	case a := <-answersTo(q):
 		return a
 	default:
 		t.Fatal("no answer")
@@ -132,13 +132,13 @@
 	}
 }
 
-// end lets an attempt end as its transport would, and the core hear of it.
-func (r *rig) end(a *Attempt, res Result) {
+// endAttempt lets an attempt endAttempt as its transport would, and the core hear of it.
+func (r *harness) endAttempt(a *Attempt, res Result) {
 	a.End(res)
-	r.handle(*<-r.in)
+	r.handle(*<-r.inputs)
 }
 
-func (r *rig) news(n News) { r.handle(input{kind: inNews, news: n, gen: r.rosterGen}) }
+func (r *harness) sendUpdate(n Update) { r.handle(input{kind: inUpdate, update: n, gen: r.rosterGen}) }
 
 // The core speaks no protocol.
 func TestImportsNoHTTP(t *testing.T) {
@@ -186,7 +186,7 @@
 		if c.cause != nil {
 			a.Cancel(c.cause)
 		}
-		if got := a.Broken(c.err, c.cut).Status; got != c.want {
+		if got := a.FailedResult(c.err, c.cut).Status; got != c.want {
 			t.Errorf("%s: ended %d, want %d", c.name, got, c.want)
 		}
 		if a.Begin() {
@@ -198,37 +198,37 @@
 
 // A repeat that may begin for a while only does not begin after it, never ran, and is of
 // no use for a further try.
-func TestLapsed(t *testing.T) {
+func TestBeginAfterTimeLimit(t *testing.T) {
 	a := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
-	a.lapses = time.Now().Add(time.Hour)
+	a.beginBy = time.Now().Add(time.Hour)
 	if !a.Begin() {
 		t.Fatal("may not begin in time")
 	}
 	late := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
-	late.lapses = time.Now()
-	if late.Begin() || late.Broken(io.EOF, false).Status != policy.Abandoned {
+	late.beginBy = time.Now()
+	if late.Begin() || late.FailedResult(io.EOF, false).Status != policy.Abandoned {
 		t.Fatal("began after its time")
 	}
 }
 
 // The account has a request that earned less than it could, once nothing of it is out, with what became of each of its
 // attempts; none that was served in time, and none where nobody wants it.
-func TestAccount(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
+func TestLossRecords(t *testing.T) {
+	r := newHarness(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
 	var got []loss.Record
-	r.ask(2, "nobody wants it")
-	r.account = func(rec *loss.Record) { got = append(got, *rec) }
+	r.startRequest(2, "nobody wants it")
+	r.reportLoss = func(rec *loss.Record) { got = append(got, *rec) }
 	done := func(id string, how ...Result) {
 		t.Helper()
 		from := len(r.transport.started)
-		r.ask(2, id)
+		r.startRequest(2, id)
 		for i, res := range how {
 			a := r.transport.started[from+i]
 			a.Begin()
 			if res.Status == policy.Cancelled {
 				a.Cancel(ErrCancelled)
 			}
-			r.end(a, res)
+			r.endAttempt(a, res)
 		}
 	}
 	done("in time", Result{Status: policy.OK})
@@ -243,28 +243,28 @@
 }
 
 // A zone that the module comes to doubt is told once, by its name, and again when it is doubted no more.
-func TestDoubtsAreTold(t *testing.T) {
-	r := newRig(t)
+func TestSuspectedZonesAreLogged(t *testing.T) {
+	r := newHarness(t)
 	var lines strings.Builder
 	r.log, r.zoneNames = slog.New(slog.NewTextHandler(&lines, nil)), map[string]int{"east": 0, "west": 1}
-	r.reach.Answered(0, 1)
+	r.reachability.Answered(0, 1)
 	look := func(answered bool) {
 		if answered {
-			r.reach.Answered(1, 2)
+			r.reachability.Answered(1, 2)
 		}
 		for range 3 {
-			r.reach.Waits(1, 1, 4)
+			r.reachability.Waits(1, 1, 4)
 		}
-		r.reach.Judge(3, 100)
+		r.reachability.Judge(3, 100)
 		r.handle(input{kind: inTimer})
 	}
 	for _, answered := range []bool{false, false, true} {
 		look(answered)
 	}
 	for _, zone := range []int{0, 0, 0, 1, 1, 1} {
-		r.reach.Waits(zone, 3, 4)
+		r.reachability.Waits(zone, 3, 4)
 	}
-	r.reach.Judge(4, 100)
+	r.reachability.Judge(4, 100)
 	r.handle(input{kind: inTimer})
 	if got := lines.String(); strings.Count(got, "own way may be cut") != 1 || strings.Count(got, "come last") != 2 || !strings.Contains(got, "zones=[west]") || !strings.Contains(got, "zones=[]") {
 		t.Errorf("the log says %s", got)
@@ -273,14 +273,14 @@
 
 // A gate takes its time: what is withdrawn meanwhile, or lapses, does not begin though the gate opens in the end, and
 // never ran; a gate that stays shut keeps it in.
-func TestGateTakesItsTime(t *testing.T) {
+func TestSlowGate(t *testing.T) {
 	for name, c := range map[string]struct {
 		opens bool
 		while func(a *Attempt)
 		want  policy.Status
 	}{
 		"drained":  {true, func(a *Attempt) { a.Withdraw(ErrDrained) }, policy.Full},
-		"lapsed":   {true, func(a *Attempt) { a.lapses = time.Now() }, policy.Abandoned},
+		"lapsed":   {true, func(a *Attempt) { a.beginBy = time.Now() }, policy.Abandoned},
 		"shut":     {false, func(*Attempt) {}, policy.Abandoned},
 		"and open": {true, func(*Attempt) {}, policy.Reset},
 	} {
@@ -289,7 +289,7 @@
 		if began := a.Begin(); began != (c.want == policy.Reset) {
 			t.Errorf("%s: began %v", name, began)
 		}
-		if got := a.Broken(io.EOF, false).Status; got != c.want {
+		if got := a.FailedResult(io.EOF, false).Status; got != c.want {
 			t.Errorf("%s: it ended %d", name, got)
 		}
 	}
@@ -297,79 +297,79 @@
 
 // The last guard answers should Run never do, and its request is given up; a full queue
 // does not hold the answer back.
-func TestGuard(t *testing.T) {
-	r := newRig(t)
-	for len(r.in) < cap(r.in)-1 {
-		r.in <- &input{kind: inTimer}
+func TestDoReturnsWithoutRun(t *testing.T) {
+	r := newHarness(t)
+	for len(r.inputs) < cap(r.inputs)-1 {
+		r.inputs <- &input{kind: inTimer}
 	}
-	if got := r.Do(t.Context(), &Request{ID: "a", Deadline: time.Now().Add(20 * time.Millisecond)}); got.Outcome != Overdue {
+	if got := r.Do(t.Context(), &Request{ID: "a", Deadline: time.Now().Add(20 * time.Millisecond)}); got.Outcome != DeadlineExceeded {
 		t.Fatalf("answered %+v", got)
 	}
-	for n := cap(r.in) - 1; n > 0; n-- {
-		<-r.in
+	for n := cap(r.inputs) - 1; n > 0; n-- {
+		<-r.inputs
 	}
-	if first, second := <-r.in, <-r.in; first.kind != inRequest || second.kind != inDropped {
+	if first, second := <-r.inputs, <-r.inputs; first.kind != inRequest || second.kind != inDropped {
 		t.Fatalf("the core was told %d, %d", first.kind, second.kind)
 	}
 }
 
 // Do returns at once when the client leaves, and the attempt is given up.
-func TestClientLeaves(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0))
+func TestClientDisconnects(t *testing.T) {
+	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	ctx, leave := context.WithCancel(t.Context())
 	done := make(chan Answer)
 	go func() { done <- r.Do(ctx, &Request{ID: "a", Class: 2, Deadline: time.Now().Add(time.Hour)}) }()
-	r.handle(*<-r.in)
+	r.handle(*<-r.inputs)
 	a := r.transport.started[0]
 	a.Begin()
 	leave()
-	if got := <-done; got.Outcome != Gone {
+	if got := <-done; got.Outcome != ClientGone {
 		t.Fatalf("answered %+v", got)
 	}
-	r.handle(*<-r.in)
+	r.handle(*<-r.inputs)
 	if context.Cause(a.Context()) != ErrCancelled {
 		t.Fatal("its attempt goes on")
 	}
-	r.end(a, a.Broken(io.EOF, false))
+	r.endAttempt(a, a.FailedResult(io.EOF, false))
 	if len(r.requests) != 0 || len(r.byAddr[addr(1)].attempts) != 0 {
 		t.Fatal("something of the request is left")
 	}
 }
 
 // A panic costs its one input.
-func TestPanic(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0))
+func TestPanicLosesOneInput(t *testing.T) {
+	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	r.handle(input{kind: inRequest, req: nil})
-	r.ask(0, "a")
+	r.startRequest(0, "a")
 	if len(r.transport.started) != 1 {
 		t.Fatal("nothing goes on after a panic")
 	}
 }
 
 // One final answer each, also where the outcome comes after it.
-func TestOneAnswer(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0))
-	q := r.ask(2, "a")
+func TestSingleAnswer(t *testing.T) {
+	r := newHarness(t, server(1, "a", cluster.Ready, 0))
+	q := r.startRequest(2, "a")
 	a := r.transport.started[0]
 	a.Begin()
-	r.end(a, Result{Status: policy.OK, Body: []byte("done"), ContentType: "x"})
-	if got := told(t, q); got.Outcome != Served || string(got.Body) != "done" || got.ContentType != "x" {
+	r.endAttempt(a, Result{Status: policy.OK, Body: []byte("done"), ContentType: "x"})
+	if got := mustAnswer(t, q); got.Outcome != Served || string(got.Body) != "done" || got.ContentType != "x" {
 		t.Fatalf("answered %+v", got)
 	}
-	if again := r.ask(2, "a"); told(t, again).Outcome != Repeated || len(r.transport.started) != 1 {
+	if again := r.startRequest(2, "a"); mustAnswer(t, again).Outcome != Duplicate || len(r.transport.started) != 1 {
 		t.Fatal("an id that came before was sent again")
 	}
-	late := r.ask(2, "b")
+	late := r.startRequest(2, "b")
 	r.handle(input{kind: inDropped, req: late})
-	r.end(r.transport.started[1], Result{Status: policy.OK})
-	if len(answers(late)) != 0 || len(r.requests) != 0 {
+	r.endAttempt(r.transport.started[1], Result{Status: policy.OK})
+	if len(answersTo(late)) != 0 || len(r.requests) != 0 {
 		t.Fatal("an answer after its client had left")
 	}
-	lost := r.ask(2, "c")
+	lost := r.startRequest(2, "c")
 	a = r.transport.started[2]
 	a.Begin()
-	r.end(a, a.Broken(io.EOF, false))
-	if got := told(t, lost); got.Outcome != Failed {
+	r.endAttempt(a, a.FailedResult(io.EOF, false))
+	if got := mustAnswer(t, lost); got.Outcome != Failed {
 		t.Fatalf("what may have run was answered %+v", got)
 	}
 }
@@ -377,39 +377,39 @@
 // A drained server is sent nothing that had not begun: those attempts end at once, in
 // their order, and go elsewhere; what their transport tells later changes nothing.
 func TestDrainEndsWhatHasNotBegun(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0))
-	q := r.ask(2, "a")
+	r := newHarness(t, server(1, "a", cluster.Ready, 0))
+	q := r.startRequest(2, "a")
 	first := r.transport.started[0]
-	r.news(News{Kind: Changed, List: listOf(2, false, server(1, "a", cluster.Draining, 0), server(2, "b", cluster.Ready, 0))})
+	r.sendUpdate(Update{Kind: Changed, List: listOf(2, false, server(1, "a", cluster.Draining, 0), server(2, "b", cluster.Ready, 0))})
 	if first.Begin() || !errors.Is(context.Cause(first.Context()), ErrDrained) {
 		t.Fatal("the attempt may still go to the drained server")
 	}
 	if len(r.transport.started) != 2 || r.transport.started[1].backend.addr != addr(2) {
 		t.Fatal("it did not go on to the other server")
 	}
-	r.end(first, first.Broken(io.EOF, false))
+	r.endAttempt(first, first.FailedResult(io.EOF, false))
 	second := r.transport.started[1]
 	second.Begin()
-	r.end(second, Result{Status: policy.OK})
-	if told(t, q).Outcome != Served || len(r.backends) != 1 || len(r.requests) != 0 {
+	r.endAttempt(second, Result{Status: policy.OK})
+	if mustAnswer(t, q).Outcome != Served || len(r.backends) != 1 || len(r.requests) != 0 {
 		t.Fatal("not served by the other, or something is left of the first")
 	}
 }
 
 // A server that is to be left alone gets nothing, though the roster calls it ready; what it lists later changes nothing
 // in that; it is sent to again when it may be, unless the roster's word stands against it.
-func TestLeftAlone(t *testing.T) {
+func TestExclude(t *testing.T) {
 	for _, many := range []bool{false, true} {
-		r := newRig(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
+		r := newHarness(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
 		if many {
 			var err error
-			if r.part, err = newPart(fleetOptions(), &r.set, 1, r.clock()); err != nil {
+			if r.fleet, err = newFleetState(fleetOptions(), &r.set, 1, r.clock()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		go r.Run()
 		to := func() map[cluster.Addr]bool {
-			r.Known() // what came before has been handled
+			r.Endpoints() // what came before has been handled
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			usable := map[cluster.Addr]bool{}
@@ -428,21 +428,21 @@
 			}
 		}
 		news := func(l cluster.List) {
-			r.post(input{kind: inNews, news: News{Kind: Changed, List: l}, gen: r.rosterGen})
+			r.post(input{kind: inUpdate, update: Update{Kind: Changed, List: l}, gen: r.rosterGen})
 		}
-		r.LeaveAlone([]cluster.Addr{addr(1)})
+		r.Exclude([]cluster.Addr{addr(1)})
 		holds("one is left alone", 2)
 		news(listOf(2, false, server(1, "a", cluster.Ready, 0)))
 		holds("the roster says again that it is ready", 2)
 		news(listOf(3, true, server(1, "a", cluster.Ready, 5), server(2, "b", cluster.Ready, 0)))
 		holds("a whole list has it as another process", 2)
-		r.LeaveAlone(nil)
+		r.Exclude(nil)
 		holds("nobody is", 1, 2)
 		news(listOf(4, false, server(2, "b", cluster.Draining, 0)))
-		r.LeaveAlone([]cluster.Addr{addr(2)})
-		r.LeaveAlone(nil)
+		r.Exclude([]cluster.Addr{addr(2)})
+		r.Exclude(nil)
 		holds("the roster's drain holds beside", 1)
-		if k := r.Known(); len(k.List.Servers) != 2 || k.List.Servers[0].Health != cluster.Ready {
+		if k := r.Endpoints(); len(k.List.Servers) != 2 || k.List.Servers[0].Health != cluster.Ready {
 			t.Errorf("what is told of the list is not the roster's: %+v", k.List)
 		}
 	}
@@ -451,12 +451,12 @@
 func fleetOptions() fleet.Options { o := fleet.Default(); o.Agents = 1; return o }
 
 // What can't be carried has ended before anything else happens, and never ran.
-func TestNotCarried(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0))
+func TestStartError(t *testing.T) {
+	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	r.transport.err = ErrNoSocket
-	q := r.ask(2, "a")
+	q := r.startRequest(2, "a")
 	for range 1000 {
-		if len(answers(q)) > 0 {
+		if len(answersTo(q)) > 0 {
 			break
 		}
 		r.handle(input{kind: inTimer, token: 1})
@@ -474,7 +474,7 @@
 // A probe goes out once as a request without an id, the module hears how it ended, and a
 // drained server's is given up.
 func TestProbes(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0))
+	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	r.probe(addr(1))
 	r.probe(addr(2)) // not listed: told at once
 	r.handle(input{kind: inTimer})
@@ -486,13 +486,13 @@
 		t.Fatalf("sent %+v", a.Request)
 	}
 	a.Begin()
-	r.end(a, Result{Status: policy.OK})
+	r.endAttempt(a, Result{Status: policy.OK})
 	b := r.byAddr[addr(1)]
 	if len(b.probes) != 0 || len(b.attempts) != 0 {
 		t.Fatal("a probe is left")
 	}
 	r.probe(addr(1))
-	r.news(News{Kind: Changed, List: listOf(2, false, server(1, "a", cluster.Draining, 0))})
+	r.sendUpdate(Update{Kind: Changed, List: listOf(2, false, server(1, "a", cluster.Draining, 0))})
 	if second := r.transport.started[1]; second.Begin() || !errors.Is(context.Cause(second.Context()), ErrDrained) {
 		t.Fatal("a drained server is probed")
 	}
@@ -500,15 +500,15 @@
 
 // A fleet whose servers fail asks its roster for nothing but the watches: one each, whatever the
 // Balancer wishes to be refreshed, and none beside one that is out or due.
-func TestFailuresAskTheRosterForNothing(t *testing.T) {
+func TestFailuresCauseNoFetch(t *testing.T) {
 	for _, watching := range []bool{true, false} {
-		r := newRig(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
+		r := newHarness(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
 		if !watching {
-			r.news(News{Kind: WatchEnded, Err: errors.New("overbooked")})
+			r.sendUpdate(Update{Kind: WatchEnded, Err: errors.New("overbooked")})
 		}
 		asked := len(r.rosters[0].asked)
 		r.actions = append(r.actions[:0], policy.Action{Kind: policy.ActFetch}, policy.Action{Kind: policy.ActFetch})
-		r.act()
+		r.execute()
 		if got := r.rosters[0].asked[asked:]; len(got) != 0 {
 			t.Errorf("watched %v: it was asked %q", watching, got)
 		}
@@ -517,26 +517,26 @@
 
 // Lists apply in the order of their versions, whichever way they come.
 func TestListOrder(t *testing.T) {
-	r := newRig(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
+	r := newHarness(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
 	usable := func(i int) bool { b := r.byAddr[addr(i)]; return b != nil && b.usable }
-	r.news(News{Kind: Changed, List: listOf(5, false, server(0, "a", cluster.Draining, 0))})
+	r.sendUpdate(Update{Kind: Changed, List: listOf(5, false, server(0, "a", cluster.Draining, 0))})
 	if usable(0) || !usable(1) {
 		t.Fatal("the change of version 5 was not applied")
 	}
 	ready := server(0, "a", cluster.Ready, 0)
-	r.news(News{Kind: Changed, List: listOf(4, false, ready)})
-	r.news(News{Kind: Fetched, List: listOf(3, true, ready)})
+	r.sendUpdate(Update{Kind: Changed, List: listOf(4, false, ready)})
+	r.sendUpdate(Update{Kind: Fetched, List: listOf(3, true, ready)})
 	if usable(0) || !usable(1) {
 		t.Fatal("an older version was applied")
 	}
-	r.news(News{Kind: Fetched, List: listOf(6, true, ready)})
+	r.sendUpdate(Update{Kind: Fetched, List: listOf(6, true, ready)})
 	if !usable(0) || usable(1) || r.seq != 6 {
 		t.Fatal("the whole list of version 6 was not applied")
 	}
 	if len(r.backends) != 1 || len(r.byAddr) != 1 {
 		t.Fatalf("%d servers kept, one is listed", len(r.backends))
 	}
-	r.news(News{Kind: Changed, List: listOf(7, false, server(0, "", cluster.Gone, 0))})
+	r.sendUpdate(Update{Kind: Changed, List: listOf(7, false, server(0, "", cluster.Gone, 0))})
 	if len(r.backends) != 0 || r.Ready() {
 		t.Fatal("the server that is gone was kept")
 	}
@@ -544,19 +544,19 @@
 
 // A new process or address gets new connections; the server stays the same.
 func TestNewProcessNewConnections(t *testing.T) {
-	r := newRig(t, server(0, "a", cluster.Ready, 0))
+	r := newHarness(t, server(0, "a", cluster.Ready, 0))
 	b := r.byAddr[addr(0)]
 	before := b.endpoint.(*fakeEndpoint)
-	r.news(News{Kind: Changed, List: listOf(2, false, server(0, "a", cluster.Ready, 0))})
+	r.sendUpdate(Update{Kind: Changed, List: listOf(2, false, server(0, "a", cluster.Ready, 0))})
 	if b.endpoint != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
-	r.ask(2, "a")
+	r.startRequest(2, "a")
 	waits := r.transport.started[0]
 	for i, s := range []cluster.Server{server(0, "b", cluster.Ready, 0), server(0, "b", cluster.Ready, 7)} {
-		r.news(News{Kind: Changed, List: listOf(int64(3+i), false, s)})
+		r.sendUpdate(Update{Kind: Changed, List: listOf(int64(3+i), false, s)})
 		now := b.endpoint.(*fakeEndpoint)
-		if r.byAddr[addr(0)] != b || now == before || now.dial != s.Dial || before.retire != 1 {
+		if r.byAddr[addr(0)] != b || now == before || now.dial != s.Dial || before.retired != 1 {
 			t.Fatal("the old connections were kept")
 		}
 		before = now
@@ -569,43 +569,43 @@
 // A machine that vanished is silent on all its connections: after a time-out none that
 // stands idle is used again.
 func TestTimeoutDropsIdle(t *testing.T) {
-	r := newRig(t, server(0, "a", cluster.Ready, 0))
-	r.ask(2, "a")
+	r := newHarness(t, server(0, "a", cluster.Ready, 0))
+	r.startRequest(2, "a")
 	a := r.transport.started[0]
 	a.Begin()
-	r.end(a, Result{Status: policy.Timeout})
-	if n := r.byAddr[addr(0)].endpoint.(*fakeEndpoint).idleShut; n != 1 {
+	r.endAttempt(a, Result{Status: policy.Timeout})
+	if n := r.byAddr[addr(0)].endpoint.(*fakeEndpoint).idleClosed; n != 1 {
 		t.Fatalf("idle connections closed %d times", n)
 	}
 }
 
 // A new roster is watched and asked at once, late words of the old one change nothing,
 // and its versions may start lower. Servers stay known meanwhile.
-func TestTurnTo(t *testing.T) {
-	r := newRig(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
+func TestSwitchRoster(t *testing.T) {
+	r := newHarness(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
 	r.seq = 41
 	before := r.byAddr[addr(0)].endpoint
-	r.handle(input{kind: inTurn, addr: "second"})
+	r.handle(input{kind: inSwitchRoster, addr: "second"})
 	old, next := r.rosters[0], r.rosters[1]
 	if !old.closed || next.addr != "second" || len(next.asked) != 2 {
 		t.Fatalf("asked %v", next.asked)
 	}
 	drains := server(0, "a", cluster.Draining, 0)
-	old.tell(News{Kind: Changed, List: listOf(42, false, drains)})
-	old.tell(News{Kind: WatchEnded, Err: io.EOF})
-	old.tell(News{Kind: Fetched, List: listOf(42, true, drains)})
+	old.tell(Update{Kind: Changed, List: listOf(42, false, drains)})
+	old.tell(Update{Kind: WatchEnded, Err: io.EOF})
+	old.tell(Update{Kind: Fetched, List: listOf(42, true, drains)})
 	for range 3 {
-		r.handle(*<-r.in)
+		r.handle(*<-r.inputs)
 	}
 	if !r.watching || !r.byAddr[addr(0)].usable || r.byAddr[addr(0)].endpoint != before {
 		t.Fatal("a late word of the old roster counted")
 	}
-	next.tell(News{Kind: Changed, List: listOf(3, false, drains)})
-	r.handle(*<-r.in)
+	next.tell(Update{Kind: Changed, List: listOf(3, false, drains)})
+	r.handle(*<-r.inputs)
 	if r.byAddr[addr(0)] != nil || r.seq != 3 {
 		t.Fatal("the new roster was not heard")
 	}
-	if r.handle(input{kind: inTurn, addr: "second"}); len(r.rosters) != 2 {
+	if r.handle(input{kind: inSwitchRoster, addr: "second"}); len(r.rosters) != 2 {
 		t.Fatal("the same roster was taken for a new one")
 	}
 }
@@ -625,12 +625,12 @@
 }
 
 // Ids are forgotten in time, but not before.
-func TestIDMemory(t *testing.T) {
-	m, now := newIDMemory(time.Second), time.Now()
+func TestIDExpiry(t *testing.T) {
+	m, now := newIDSet(time.Second), time.Now()
 	if !m.add("a", now) || m.add("a", now.Add(900*time.Millisecond)) || m.add("a", now.Add(1500*time.Millisecond)) {
 		t.Fatal("an id that is known was taken for new")
 	}
-	if !m.add("b", now.Add(2*time.Second)) || !m.add("a", now.Add(4*time.Second)) || len(m.now)+len(m.before) > 2 {
+	if !m.add("b", now.Add(2*time.Second)) || !m.add("a", now.Add(4*time.Second)) || len(m.recent)+len(m.older) > 2 {
 		t.Fatal("an old id was kept")
 	}
 }
@@ -656,36 +656,36 @@
 
 // A request that was taken and dropped is told so when nothing of it is out any more, and
 // once; its gate has the last word on every first byte, and its attempts are its own number.
-func TestTake(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
+func TestTakeAndDrop(t *testing.T) {
+	r := newHarness(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
 	open := true
 	var told []Answer
 	take := func(id string, tries int) (*Request, func()) {
-		q := &Request{ID: id, Class: 2, Deadline: time.Now().Add(time.Hour), Tries: tries, Crossed: true, Gate: func() bool { return open }}
+		q := &Request{ID: id, Class: 2, Deadline: time.Now().Add(time.Hour), MaxAttempts: tries, Deduplicated: true, Gate: func() bool { return open }}
 		drop := r.Take(q, func(a Answer) { told = append(told, a) })
-		r.handle(*<-r.in)
-		return q, func() { drop(); r.handle(*<-r.in) }
+		r.handle(*<-r.inputs)
+		return q, func() { drop(); r.handle(*<-r.inputs) }
 	}
 	_, drop := take("a", 0)
 	a := r.transport.started[0]
-	if !a.Begin() || a.Left != 3 {
-		t.Fatalf("an open gate holds it, or %d attempts are left", a.Left)
+	if !a.Begin() || a.AttemptsLeft != 3 {
+		t.Fatalf("an open gate holds it, or %d attempts are left", a.AttemptsLeft)
 	}
 	drop()
 	if len(told) != 0 {
 		t.Fatalf("told %+v while an attempt is out", told)
 	}
-	r.end(a, a.Broken(io.EOF, false))
-	if len(told) != 1 || told[0].Outcome != Gone || !told[0].Ran || told[0].Attempts != 1 {
+	r.endAttempt(a, a.FailedResult(io.EOF, false))
+	if len(told) != 1 || told[0].Outcome != ClientGone || !told[0].Ran || told[0].Attempts != 1 {
 		t.Fatalf("told %+v at its end", told)
 	}
 	told, open = nil, false
 	_, _ = take("a", 1) // the same id again: who brings it knows
 	a = r.transport.started[1]
-	if a.Begin() || a.Left != 1 {
-		t.Fatalf("a closed gate lets it out, or %d attempts are left", a.Left)
+	if a.Begin() || a.AttemptsLeft != 1 {
+		t.Fatalf("a closed gate lets it out, or %d attempts are left", a.AttemptsLeft)
 	}
-	r.end(a, a.Broken(io.EOF, false))
+	r.endAttempt(a, a.FailedResult(io.EOF, false))
 	if len(told) != 1 || told[0].Ran || told[0].Outcome != Refused {
 		t.Fatalf("told %+v of what never ran", told)
 	}
@@ -693,7 +693,7 @@
 	_, _ = take("b", 3)
 	a = r.transport.started[2]
 	a.Begin()
-	r.end(a, Result{Status: policy.Full, Spent: 2}) // a gateway made three attempts of it
+	r.endAttempt(a, Result{Status: policy.Full, ExtraAttempts: 2}) // a gateway made three attempts of it
 	if len(told) != 1 || told[0].Outcome != Refused || told[0].Attempts != 3 || len(r.transport.started) != 3 {
 		t.Fatalf("told %+v after as many attempts as there may be", told)
 	}
@@ -701,8 +701,8 @@
 
 // What is known when the time is up or the client leaves in the same moment is told: no request that
 // was answered counts as overdue or gone.
-func TestKnownAnswersAreTold(t *testing.T) {
-	r := newRig(t)
+func TestAnswerWinsOverTimeout(t *testing.T) {
+	r := newHarness(t)
 	go r.Run()
 	for !r.running.Load() {
 		runtime.Gosched()
@@ -718,7 +718,7 @@
 		r.mu.Lock()
 		r.ids.add(q.ID, time.Now()) // it came before: answered as it comes
 		r.mu.Unlock()
-		if got := r.Do(ctx, q); got.Outcome != Repeated {
+		if got := r.Do(ctx, q); got.Outcome != Duplicate {
 			t.Fatalf("try %d: %+v", i, got)
 		}
 	}
@@ -726,29 +726,29 @@
 
 // A server is told less than the attempt's time by the way back; with less than a millisecond for it
 // the attempt is withdrawn, and never ran.
-func TestTell(t *testing.T) {
+func TestServerTimeout(t *testing.T) {
 	a := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
-	if left, ok := a.Tell(10 * time.Minute); !ok || left > 50*time.Minute || left < 49*time.Minute || !a.Begin() {
+	if left, ok := a.ServerTimeout(10 * time.Minute); !ok || left > 50*time.Minute || left < 49*time.Minute || !a.Begin() {
 		t.Errorf("told %v, %v", left, ok)
 	}
 	late := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
 	late.deadline = time.Now().Add(900 * time.Microsecond)
-	if _, ok := late.Tell(0); ok || late.Begin() || late.Broken(io.EOF, false).Status != policy.Abandoned {
+	if _, ok := late.ServerTimeout(0); ok || late.Begin() || late.FailedResult(io.EOF, false).Status != policy.Abandoned {
 		t.Error("something may be written with no time left")
 	}
 }
 
 // Where cancels are not allowed, what has begun goes on, and its transport is told once that nobody
 // waits; what it was cancelled for or has ended is not.
-func TestUnwanted(t *testing.T) { synctest.Test(t, unwanted) }
+func TestOnAbandoned(t *testing.T) { synctest.Test(t, testOnAbandoned) }
 
-func unwanted(t *testing.T) {
-	r := newRig(t, server(1, "a", cluster.Ready, 0))
+func testOnAbandoned(t *testing.T) {
+	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	told := make(chan int, 9)
 	for i, c := range []struct{ begun, cancelled bool }{{true, false}, {true, true}} {
-		q := r.ask(2, strconv.Itoa(i))
+		q := r.startRequest(2, strconv.Itoa(i))
 		a := r.transport.started[len(r.transport.started)-1]
-		a.Unwanted = func() { told <- i }
+		a.OnAbandoned = func() { told <- i }
 		if c.begun {
 			a.Begin()
 		}
@@ -756,9 +756,9 @@
 			a.Cancel(ErrCancelled)
 		}
 		q.answered = true
-		r.unsend(q)
+		r.stopUnsent(q)
 		q.answered = false
-		r.todo = nil
+		r.pending = nil
 	}
 	synctest.Wait()
 	if got := <-told; got != 0 {
@@ -771,7 +771,7 @@
 
 // What one process knows of ids another knows too, also what is noted after it was copied; and each
 // is forgotten in its time.
-func TestIDsOfAnotherProcess(t *testing.T) {
+func TestIDHandover(t *testing.T) {
 	set := settings.Settings{Classes: []settings.Class{{GiveUpMs: 1000}}}
 	old, next, at := NewIDs(&set), NewIDs(&set), time.Now()
 	for _, id := range []string{"a", "b", "a-longer-id-of-more-than-eight"} {
@@ -779,19 +779,19 @@
 	}
 	at = at.Add(2 * time.Second)
 	old.add("c", at)
-	next.Adopt(old.Copy(at), at)
+	next.Restore(old.Copy(at), at)
 	old.add("d", at)
-	next.Note(old.Since(), at)
+	next.AddHashes(old.TakeRecorded(), at)
 	for _, id := range []string{"a", "b", "a-longer-id-of-more-than-eight", "c", "d"} {
 		if next.add(id, at) {
 			t.Errorf("%q is new to the second process", id)
 		}
 	}
-	if !next.add("e", at) || !next.add("a-longer-id-of-more-than-eighu", at) || len(old.Since()) != 0 {
+	if !next.add("e", at) || !next.add("a-longer-id-of-more-than-eighu", at) || len(old.TakeRecorded()) != 0 {
 		t.Error("what nobody has sent is known")
 	}
-	old.Unfollow()
-	if old.add("f", at); len(old.Since()) != 0 {
+	old.StopRecording()
+	if old.add("f", at); len(old.TakeRecorded()) != 0 {
 		t.Error("noted for nobody")
 	}
 	next.add("g", at.Add(3*time.Second))
--- a/internal/core/ids.go
+++ b/internal/core/ids.go
@@ -16,21 +16,23 @@
 // more than one of them.
 type IDs struct {
 	mu sync.Mutex
-	m  *idMemory
+	m  *idSet
 }
 
 // NewIDs makes a memory that knows an id for as long as a request of these settings may be
 // open, and longer.
-func NewIDs(set *settings.Settings) *IDs { return &IDs{m: newIDMemory(Longest(set) + idMargin)} }
+func NewIDs(set *settings.Settings) *IDs {
+	return &IDs{m: newIDSet(MaxRequestDuration(set) + idMargin)}
+}
 
 // idMargin is how much longer than any request may be open its id is known.
 const idMargin = time.Second
 
-// keep has ids known for so long, unless they are for longer.
-func (s *IDs) keep(atLeast time.Duration) {
+// extendRetention has ids known for so long, unless they are for longer.
+func (s *IDs) extendRetention(atLeast time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.m.keep = max(s.m.keep, atLeast)
+	s.m.retention = max(s.m.retention, atLeast)
 }
 
 // Add notes an id that a request comes with now, and reports whether it is new. A core notes
@@ -43,104 +45,104 @@
 	return s.m.add(id, at)
 }
 
-// Memory is what is known of ids, in a form that another process understands.
-type Memory struct {
+// IDSnapshot is what is known of ids, in a form that another process understands.
+type IDSnapshot struct {
 	Key    uint64   // of the sums
 	Recent []uint64 // sums of ids that are known for longer than those in Older
 	Older  []uint64
 }
 
 // Copy gives all that is known at the time given; from now on what is noted is also kept for Since.
-func (s *IDs) Copy(at time.Time) Memory {
+func (s *IDs) Copy(at time.Time) IDSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.m.turn(at)
-	s.m.noting, s.m.noted = true, nil
-	return Memory{Key: s.m.key, Recent: slices.Collect(maps.Keys(s.m.now)), Older: slices.Collect(maps.Keys(s.m.before))}
+	s.m.rotate(at)
+	s.m.recording, s.m.recorded = true, nil
+	return IDSnapshot{Key: s.m.key, Recent: slices.Collect(maps.Keys(s.m.recent)), Older: slices.Collect(maps.Keys(s.m.older))}
 }
 
-// Since gives the sums of the ids noted since Copy or Since was called last.
-func (s *IDs) Since() []uint64 {
+// TakeRecorded gives the sums of the ids noted since Copy or TakeRecorded was called last.
+func (s *IDs) TakeRecorded() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	noted := s.m.noted
-	s.m.noted = nil
+	noted := s.m.recorded
+	s.m.recorded = nil
 	return noted
 }
 
-// Unfollow ends what Copy began.
-func (s *IDs) Unfollow() {
+// StopRecording ends what Copy began.
+func (s *IDs) StopRecording() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.m.noting, s.m.noted = false, nil
+	s.m.recording, s.m.recorded = false, nil
 }
 
-// Adopt takes over another process's memory in the place of this one's, which has noted nothing yet.
-func (s *IDs) Adopt(o Memory, at time.Time) {
+// Restore takes over another process's memory in the place of this one's, which has noted nothing yet.
+func (s *IDs) Restore(o IDSnapshot, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.m.key, s.m.turned, s.m.before = o.Key, at, map[uint64]struct{}{}
-	s.m.now = make(map[uint64]struct{}, len(o.Recent))
+	s.m.key, s.m.rotatedAt, s.m.older = o.Key, at, map[uint64]struct{}{}
+	s.m.recent = make(map[uint64]struct{}, len(o.Recent))
 	for _, sum := range o.Older {
-		s.m.before[sum] = struct{}{}
+		s.m.older[sum] = struct{}{}
 	}
 	for _, sum := range o.Recent {
-		s.m.now[sum] = struct{}{}
+		s.m.recent[sum] = struct{}{}
 	}
 }
 
-// Note takes over sums that another process has noted since.
-func (s *IDs) Note(sums []uint64, at time.Time) {
+// AddHashes takes over sums that another process has noted since.
+func (s *IDs) AddHashes(sums []uint64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.m.turn(at)
+	s.m.rotate(at)
 	for _, sum := range sums {
-		s.m.now[sum] = struct{}{}
+		s.m.recent[sum] = struct{}{}
 	}
 }
 
-// idMemory knows the ids of the requests that came of late, in two generations. An id
+// idSet knows the ids of the requests that came of late, in two generations. An id
 // comes once, so one that is known is another client's or a copy: sent on while the
 // first is open it would be a second attempt that nobody decided.
-type idMemory struct {
-	keep        time.Duration // how long an id is known at the least
-	key         uint64        // drawn at the start, so that nobody can choose ids that collide
-	now, before map[uint64]struct{}
-	turned      time.Time
-	noting      bool
-	noted       []uint64
+type idSet struct {
+	retention     time.Duration // how long an id is known at the least
+	key           uint64        // drawn at the start, so that nobody can choose ids that collide
+	recent, older map[uint64]struct{}
+	rotatedAt     time.Time
+	recording     bool
+	recorded      []uint64
 }
 
-func newIDMemory(keep time.Duration) *idMemory {
-	return &idMemory{keep: keep, key: rand.Uint64(), now: map[uint64]struct{}{}}
+func newIDSet(keep time.Duration) *idSet {
+	return &idSet{retention: keep, key: rand.Uint64(), recent: map[uint64]struct{}{}}
 }
 
-// turn forgets what is old at the time given.
-func (m *idMemory) turn(at time.Time) {
-	if at.Sub(m.turned) >= m.keep {
-		m.before, m.now, m.turned = m.now, make(map[uint64]struct{}, len(m.now)), at
+// rotate forgets what is old at the time given.
+func (m *idSet) rotate(at time.Time) {
+	if at.Sub(m.rotatedAt) >= m.retention {
+		m.older, m.recent, m.rotatedAt = m.recent, make(map[uint64]struct{}, len(m.recent)), at
 	}
 }
 
 // add notes an id that comes at the time given, and reports whether it is new.
-func (m *idMemory) add(id string, at time.Time) bool {
-	m.turn(at)
-	sum := sumOf(m.key, id)
-	if _, known := m.now[sum]; known {
+func (m *idSet) add(id string, at time.Time) bool {
+	m.rotate(at)
+	sum := hashID(m.key, id)
+	if _, known := m.recent[sum]; known {
 		return false
 	}
-	if _, known := m.before[sum]; known {
+	if _, known := m.older[sum]; known {
 		return false
 	}
-	m.now[sum] = struct{}{}
-	if m.noting {
-		m.noted = append(m.noted, sum)
+	m.recent[sum] = struct{}{}
+	if m.recording {
+		m.recorded = append(m.recorded, sum)
 	}
 	return true
 }
 
-// sumOf is a hash of an id, the same for the same key in every process.
-func sumOf(key uint64, id string) uint64 {
+// hashID is a hash of an id, the same for the same key in every process.
+func hashID(key uint64, id string) uint64 {
 	sum := key
 	for i := 0; i < len(id); i += 8 {
 		var word [8]byte
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -11,8 +11,8 @@
 const (
 	// probeTarget is what a server is asked to tell whether it is well: any 200 says so.
 	probeTarget = "/health"
-	// leastProbe is the least time that a probe has, however short connects are bounded.
-	leastProbe = 250 * time.Millisecond
+	// minProbeTimeout is the least time that a probe has, however short connects are bounded.
+	minProbeTimeout = 250 * time.Millisecond
 )
 
 // probe asks a server whether it is well. To a transport it is an attempt of a request
@@ -21,20 +21,20 @@
 func (c *Core) probe(addr cluster.Addr) {
 	b := c.byAddr[addr]
 	if b == nil || !b.usable {
-		c.todo = append(c.todo, input{kind: inProbed, att: &Attempt{backend: &backend{addr: addr}},
+		c.pending = append(c.pending, input{kind: inProbed, att: &Attempt{backend: &backend{addr: addr}},
 			res: Result{Status: policy.Abandoned}})
 		return
 	}
 	r := &Request{Message: Message{Method: "GET", Target: probeTarget, Host: "backend.local"}}
 	var a *Attempt
-	a = NewAttempt(c.ctx, r, max(2*ms(c.set.Limits.ConnectTimeoutMs), leastProbe), func(res Result) {
+	a = NewAttempt(c.ctx, r, max(2*ms(c.set.Limits.ConnectTimeoutMs), minProbeTimeout), func(res Result) {
 		c.post(input{kind: inProbed, att: a, res: res})
 	})
 	a.backend = b
 	b.probes = append(b.probes, a)
 	if b.endpoint.Start(a) != nil {
 		a.Withdraw(ErrNoSocket)
-		c.todo = append(c.todo, input{kind: inProbed, att: a, res: Result{Status: policy.Full}})
+		c.pending = append(c.pending, input{kind: inProbed, att: a, res: Result{Status: policy.Full}})
 	}
 }
 
@@ -42,12 +42,12 @@
 func (c *Core) onProbed(a *Attempt, res *Result) {
 	b := a.backend
 	b.probes = slices.DeleteFunc(b.probes, func(o *Attempt) bool { return o == a })
-	c.tell(&policy.Event{Kind: policy.EvProbed, Server: b.addr, Status: res.Status,
-		LatencyMs: float64(res.took) / float64(time.Millisecond), Report: report(res.Load, c.set.Report.Names)})
+	c.dispatch(&policy.Event{Kind: policy.EvProbed, Server: b.addr, Status: res.Status,
+		LatencyMs: float64(res.duration) / float64(time.Millisecond), Report: report(res.Load, c.set.Report.Names)})
 }
 
-// unprobe gives up the probes of a server that is not to be sent to any more.
-func (b *backend) unprobe() {
+// cancelProbes gives up the probes of a server that is not to be sent to any more.
+func (b *backend) cancelProbes() {
 	for _, a := range b.probes {
 		if !a.Withdraw(ErrDrained) {
 			a.Cancel(ErrDrained)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -21,9 +21,9 @@
 	ContentType    string // empty: none
 	IdempotencyKey string // empty: none
 	Body           []byte // at most MaxBody; where there is a Rest, the first part
-	// Rest is what comes after Body and has not all come yet; nil: nothing. Length is then that of
-	// the whole, -1 where it is not known. Whoever fills in a Rest also fills in the request's Left.
-	Rest   *window.Pipe
+	// Stream is what comes after Body and has not all come yet; nil: nothing. Length is then that of
+	// the whole, -1 where it is not known. Whoever fills in a Stream also fills in the request's Left.
+	Stream *window.Pipe
 	Length int64
 }
 
@@ -40,33 +40,33 @@
 	Retry    bool      // the client has asked for the same before
 	Deadline time.Time // when the client stops waiting
 	Message  Message
-	// Left is how long the client waits from when the last byte of its body has come, where that has a
+	// TimeAfterBody is how long the client waits from when the last byte of its body has come, where that has a
 	// Rest; Deadline then reckons with the longest that it may take to come.
-	Left time.Duration
+	TimeAfterBody time.Duration
 
 	// What came over a link brings more with it; all of it may be zero.
-	Tries   int         // attempts it may have at the most; 0: as many as the settings allow
-	BeginBy time.Time   // when the last moment is for an attempt to begin
-	Gate    func() bool // asked before the first byte of each attempt; false: none goes out
-	Crossed bool        // its id may come again: whoever brings it knows repeats by other means
+	MaxAttempts  int         // attempts it may have at the most; 0: as many as the settings allow
+	BeginBy      time.Time   // when the last moment is for an attempt to begin
+	Gate         func() bool // asked before the first byte of each attempt; false: none goes out
+	Deduplicated bool        // its id may come again: whoever brings it knows repeats by other means
 
 	// What stands below belongs to the core's goroutine.
-	reply    func(Answer)   // called once, and does not block
-	held     bool           // its answer has to be whole
-	complete chan time.Time // Do's guard: when the time is up, now that all has come
-	id       policy.RequestID
-	answered bool
-	dropped  bool // reply is owed a Gone when nothing is out any more
-	ran      bool // an attempt may have run
-	spent    int  // attempts that others made for it
-	most     int  // attempts it may have, by the settings it came under
-	attempts []*Attempt
-	open     int // attempts out
-	kept     kept
+	reply         func(Answer)   // called once, and does not block
+	buffered      bool           // its answer has to be whole
+	bodyComplete  chan time.Time // Do's guard: when the time is up, now that all has come
+	id            policy.RequestID
+	answered      bool
+	dropped       bool // reply is owed a Gone when nothing is out any more
+	mayHaveRun    bool // an attempt may have run
+	extraAttempts int  // attempts that others made for it
+	attemptLimit  int  // attempts it may have, by the settings it came under
+	attempts      []*Attempt
+	inFlight      int // attempts out
+	timing        requestTiming
 }
 
-// begun tells whether an attempt is out of which a byte may have been written.
-func (r *Request) begun() bool {
+// hasStartedAttempt tells whether an attempt is out of which a byte may have been written.
+func (r *Request) hasStartedAttempt() bool {
 	for _, a := range r.attempts {
 		if !a.ended && a.stage.Load() == sending {
 			return true
@@ -75,11 +75,11 @@
 	return false
 }
 
-// unrepeatable is what the module is told to have been spent of a request's attempts: all, once a part
+// spentAttempts is what the module is told to have been spent of a request's attempts: all, once a part
 // of its body is no longer to be had.
-func (r *Request) unrepeatable(spent int) int {
-	if r.Message.Rest != nil && r.Message.Rest.Taken() {
-		return max(spent, r.most)
+func (r *Request) spentAttempts(spent int) int {
+	if r.Message.Stream != nil && r.Message.Stream.Taken() {
+		return max(spent, r.attemptLimit)
 	}
 	return spent
 }
@@ -89,19 +89,19 @@
 
 // The outcomes.
 const (
-	Failed   Outcome = iota // it may have run
-	Served                  // Body, Rest and ContentType are a server's
-	Refused                 // asking again is harmless; RetryAfter says when
-	Repeated                // not taken: its id came before
-	Overdue                 // its time is up; it may have run
-	Gone                    // its client has left: nobody is to be told
+	Failed           Outcome = iota // it may have run
+	Served                          // Body, Rest and ContentType are a server's
+	Refused                         // asking again is harmless; RetryAfter says when
+	Duplicate                       // not taken: its id came before
+	DeadlineExceeded                // its time is up; it may have run
+	ClientGone                      // its client has left: nobody is to be told
 )
 
 // Answer is the final answer to a request: there is one for each.
 type Answer struct {
 	Outcome Outcome
 	Body    []byte
-	Rest    *window.Pipe // of a served one, what comes after Body; whoever takes the answer leaves it at the end
+	Stream  *window.Pipe // of a served one, what comes after Body; whoever takes the answer leaves it at the end
 	// Of a served one, where there is a Rest or the method is HEAD: of the whole; -1: not known.
 	Length      int64
 	ContentType string
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -20,55 +20,55 @@
 	Close()
 }
 
-// NewsKind tells what a roster's news is.
-type NewsKind uint8
+// UpdateKind tells what a roster's news is.
+type UpdateKind uint8
 
 // The kinds of news.
 const (
-	Fetched    NewsKind = iota // List, or Err
-	Changed                    // List
-	WatchEnded                 // Err
+	Fetched    UpdateKind = iota // List, or Err
+	Changed                      // List
+	WatchEnded                   // Err
 )
 
-// News is what comes of a call to the roster.
-type News struct {
-	Kind NewsKind
+// Update is what comes of a call to the roster.
+type Update struct {
+	Kind UpdateKind
 	List cluster.List
 	Err  error
 }
 
-// onNews applies what a roster tells, in the order of the lists' versions.
-func (c *Core) onNews(n *News) {
-	c.part.told(c.clock())
+// onUpdate applies what a roster tells, in the order of the lists' versions.
+func (c *Core) onUpdate(n *Update) {
+	c.fleet.recordUpdate(c.clock())
 	switch n.Kind {
 	case Fetched:
 		switch {
 		case n.Err != nil:
 			c.log.Warn("roster: fetch failed", "err", n.Err)
-			c.tell(&policy.Event{Kind: policy.EvList, List: cluster.ListFailed})
+			c.dispatch(&policy.Event{Kind: policy.EvList, List: cluster.ListFailed})
 		case n.List.Seq >= c.seq: // the watch may have told more meanwhile
-			c.learn(cluster.ListFull, &n.List)
+			c.updateList(cluster.ListFull, &n.List)
 		}
 	case Changed:
 		switch {
 		case n.List.Complete:
-			c.learn(cluster.ListFull, &n.List)
+			c.updateList(cluster.ListFull, &n.List)
 		case n.List.Seq > c.seq:
-			c.learn(cluster.ListDelta, &n.List)
+			c.updateList(cluster.ListDelta, &n.List)
 		}
 	case WatchEnded:
 		c.watching = false
 		c.log.Warn("roster: watch ended", "err", n.Err)
-		c.tell(&policy.Event{Kind: policy.EvList, List: cluster.ListFailed})
+		c.dispatch(&policy.Event{Kind: policy.EvList, List: cluster.ListFailed})
 		if c.pushed() {
-			again := min(refollow, ms(c.set.Contract.AskWithinMs/2))
+			again := min(watchRetryDelay, ms(c.set.Contract.AskWithinMs/2))
 			time.AfterFunc(again, func() { c.post(input{kind: inFollow}) })
 		}
 	}
 }
 
-// refollow is how long after its end a watch of a pushed list is begun again, at the most.
-const refollow = 250 * time.Millisecond
+// watchRetryDelay is how long after its end a watch of a pushed list is begun again, at the most.
+const watchRetryDelay = 250 * time.Millisecond
 
 // pushed tells whether lists come unasked. The module, to which a simulator hands them,
 // does not ask to follow them then; on real sockets they come by a watch all the same, at
@@ -83,15 +83,15 @@
 	c.watching = true
 	wait := time.Duration(0)
 	if !c.pushed() {
-		wait = c.part.follow(c.clock())
+		wait = c.fleet.followDelay(c.clock())
 	}
-	c.later(wait, input{kind: inWatch, gen: c.rosterGen}, func() { c.roster.Watch(c.seq, false) })
+	c.runAfter(wait, input{kind: inWatch, gen: c.rosterGen}, func() { c.roster.Watch(c.seq, false) })
 }
 
-// turnTo turns to another roster: the old one's calls end and what they tell no longer
+// switchRoster turns to another roster: the old one's calls end and what they tell no longer
 // counts, the new one is asked for all that it knows, at once. Until it tells, the list
 // at hand and all connections stay. Its versions have nothing to do with the old.
-func (c *Core) turnTo(addr string) {
+func (c *Core) switchRoster(addr string) {
 	if addr == c.rosterAddr {
 		return
 	}
@@ -108,7 +108,7 @@
 	c.rosterGen++
 	gen := c.rosterGen
 	c.rosterAddr = addr
-	c.roster = c.newRoster(addr, func(n News) {
-		c.post(input{kind: inNews, news: n, gen: gen})
+	c.roster = c.newRoster(addr, func(n Update) {
+		c.post(input{kind: inUpdate, update: n, gen: gen})
 	})
 }
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -10,68 +10,68 @@
 
 // backend is one listed server. The core's goroutine owns it.
 type backend struct {
-	addr     cluster.Addr
-	dial     string
-	bornMs   float64
-	usable   bool // listed as ready
-	endpoint Endpoint
-	heard    time.Time  // when it answered anything last, known in a fleet or for an account only
-	attempts []*Attempt // out now, in the order of their start
-	probes   []*Attempt // the same of probes
-	silent   bool       // it has not answered the last attempt that told anything of it
-	zone     int
+	addr         cluster.Addr
+	dial         string
+	startMs      float64
+	usable       bool // listed as ready
+	endpoint     Endpoint
+	lastAnswer   time.Time  // when it answered anything last, known in a fleet or for an account only
+	attempts     []*Attempt // out now, in the order of their start
+	probes       []*Attempt // the same of probes
+	unresponsive bool       // it has not answered the last attempt that told anything of it
+	zone         int
 }
 
-// heed notes what an attempt's end says of the server. One unanswered attempt is enough: the module
+// recordStatus notes what an attempt's end says of the server. One unanswered attempt is enough: the module
 // sends it nothing more then until it is checked, so there may be no second for long.
-func (b *backend) heed(s policy.Status) {
+func (b *backend) recordStatus(s policy.Status) {
 	switch s {
 	case policy.Timeout, policy.ConnectFailed:
-		b.silent = true
+		b.unresponsive = true
 	case policy.OK, policy.Error, policy.Full:
-		b.silent = false
+		b.unresponsive = false
 	}
 }
 
-// silent is the servers that are.
-func (c *Core) silent() (all []cluster.Addr) {
+// unresponsiveServers is the servers that are.
+func (c *Core) unresponsiveServers() (all []cluster.Addr) {
 	for _, b := range c.backends {
-		if b.silent {
+		if b.unresponsive {
 			all = append(all, b.addr)
 		}
 	}
 	return all
 }
 
-// learn takes a list, and applies what of it is this agent's.
-func (c *Core) learn(kind cluster.ListKind, list *cluster.List) {
+// updateList takes a list, and applies what of it is this agent's.
+func (c *Core) updateList(kind cluster.ListKind, list *cluster.List) {
 	c.seq = list.Seq
-	merge(&c.list, kind, list)
-	if c.part != nil {
+	mergeList(&c.list, kind, list)
+	if c.fleet != nil {
 		c.replan()
 		return
 	}
-	c.apply(kind, c.veiled(list), 0)
+	c.apply(kind, c.withExclusions(list), 0)
 }
 
-// LeaveAlone has the servers named be treated as draining, and no others for another reason than the
+// Exclude has the servers named be treated as draining, and no others for another reason than the
 // roster's word, which holds beside this: none becomes ready by it. It returns once that is in force:
 // nothing new begins at them from then on.
-func (c *Core) LeaveAlone(servers []cluster.Addr) {
+func (c *Core) Exclude(servers []cluster.Addr) {
 	alone, done := map[cluster.Addr]bool{}, make(chan struct{})
 	for _, s := range servers {
 		alone[s] = true
 	}
-	c.post(input{kind: inAlone, alone: alone, done: done})
+	c.post(input{kind: inExclude, excluded: alone, done: done})
 	select {
 	case <-done:
 	case <-c.ctx.Done():
 	}
 }
 
-func (c *Core) leaveAlone(alone map[cluster.Addr]bool) {
-	was := c.alone
-	if c.alone = alone; c.part != nil {
+func (c *Core) exclude(alone map[cluster.Addr]bool) {
+	was := c.excluded
+	if c.excluded = alone; c.fleet != nil {
 		c.replan()
 		return
 	}
@@ -82,19 +82,19 @@
 		}
 	}
 	if len(change.Servers) > 0 {
-		c.apply(cluster.ListDelta, c.veiled(change), 0)
+		c.apply(cluster.ListDelta, c.withExclusions(change), 0)
 	}
 }
 
-// veiled is a list with those that are to be left alone as draining.
-func (c *Core) veiled(list *cluster.List) *cluster.List {
-	if len(c.alone) == 0 {
+// withExclusions is a list with those that are to be left alone as draining.
+func (c *Core) withExclusions(list *cluster.List) *cluster.List {
+	if len(c.excluded) == 0 {
 		return list
 	}
 	mine := *list
 	mine.Servers = slices.Clone(list.Servers)
 	for i := range mine.Servers {
-		if s := &mine.Servers[i]; s.Health == cluster.Ready && c.alone[s.Server] {
+		if s := &mine.Servers[i]; s.Health == cluster.Ready && c.excluded[s.Server] {
 			s.Health = cluster.Draining
 		}
 	}
@@ -119,14 +119,14 @@
 			c.byAddr[addr] = b
 			c.backends = append(c.backends, b)
 		}
-		if s.Health != cluster.Gone && (b.endpoint == nil || b.dial != s.Dial || b.bornMs != s.SinceMs) {
+		if s.Health != cluster.Gone && (b.endpoint == nil || b.dial != s.Dial || b.startMs != s.SinceMs) {
 			// Connections to another address or to the process before are of no use, and
 			// what has not begun there must not.
 			if b.endpoint != nil {
 				c.withdraw(b)
 				b.endpoint.Retire()
 			}
-			b.dial, b.bornMs, b.endpoint = s.Dial, s.SinceMs, c.transport.Endpoint(s)
+			b.dial, b.startMs, b.endpoint = s.Dial, s.SinceMs, c.transport.Endpoint(s)
 		}
 		b.usable, b.zone = s.Health == cluster.Ready, s.Zone
 	}
@@ -139,9 +139,9 @@
 			c.withdraw(b)
 		}
 		usable = usable || b.usable
-		c.drop(b)
+		c.removeIfUnused(b)
 	}
-	c.tell(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries, Least: least})
+	c.dispatch(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries, Least: least})
 	c.ready.Store(usable)
 }
 
@@ -151,7 +151,7 @@
 	for _, a := range b.attempts {
 		c.stop(a, ErrDrained, policy.Full)
 	}
-	b.unprobe()
+	b.cancelProbes()
 	b.endpoint.CloseIdle()
 }
 
@@ -161,12 +161,12 @@
 	if !a.Withdraw(cause) {
 		return false
 	}
-	c.todo = append(c.todo, input{kind: inOutcome, att: a, res: Result{Status: as, took: time.Since(a.started)}})
+	c.pending = append(c.pending, input{kind: inOutcome, att: a, res: Result{Status: as, duration: time.Since(a.started)}})
 	return true
 }
 
-// drop forgets a server that is not to be sent to and has no attempt out.
-func (c *Core) drop(b *backend) {
+// removeIfUnused forgets a server that is not to be sent to and has no attempt out.
+func (c *Core) removeIfUnused(b *backend) {
 	if !b.usable && len(b.attempts) == 0 {
 		b.endpoint.Retire()
 		if c.byAddr[b.addr] == b {
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -38,17 +38,17 @@
 	Retire()
 }
 
-// Crowder is an Endpoint that can be told that its server has more connections than it takes:
+// OverloadObserver is an Endpoint that can be told that its server has more connections than it takes:
 // for so long, those that stand idle are given back sooner.
-type Crowder interface {
+type OverloadObserver interface {
 	Crowded(until time.Time)
 }
 
 // The stages of an attempt.
 const (
-	waiting int32 = iota // no byte was written
-	sending              // a byte may have been written
-	over                 // withdrawn before a byte was written: none will be
+	notStarted int32 = iota // no byte was written
+	sending                 // a byte may have been written
+	withdrawn               // withdrawn before a byte was written: none will be
 )
 
 // Attempt is one send of a request to a server. The core makes it; the transport carries
@@ -64,30 +64,30 @@
 // more, or where the server has said so. In doubt it may have run. Broken tells the first
 // two apart from the rest.
 type Attempt struct {
-	Request *Request // not to be changed
-	Left    int      // attempts that the request may still have, this one included
-	// Unwanted is called, in a goroutine of its own, when nobody waits for the answer any more and
+	Request      *Request // not to be changed
+	AttemptsLeft int      // attempts that the request may still have, this one included
+	// OnAbandoned is called, in a goroutine of its own, when nobody waits for the answer any more and
 	// the attempt, which has begun, is let run: what the transport has handed on may not have begun
 	// there. Start may set it; nil: there is no such place.
-	Unwanted func()
+	OnAbandoned func()
 
-	end      func(Result)
-	tell     func(inKind, *Result) // what comes before the end; nil: nobody is told
-	timer    *time.Timer           // of the time-out
-	started  time.Time
-	first    time.Time // when its answer began; zero: it is not passed on
-	deadline time.Time
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	stage    atomic.Int32
-	lapses   time.Time // when it may no longer begin; zero: while the context lasts
+	end           func(Result)
+	notify        func(inputKind, *Result) // what comes before the end; nil: nobody is told
+	timer         *time.Timer              // of the time-out
+	started       time.Time
+	answerStarted time.Time // when its answer began; zero: it is not passed on
+	deadline      time.Time
+	ctx           context.Context
+	cancel        context.CancelCauseFunc
+	stage         atomic.Int32
+	beginBy       time.Time // when it may no longer begin; zero: while the context lasts
 
 	// What stands below belongs to the core's goroutine.
-	index   int
-	backend *backend
-	ended   bool // its outcome was taken
-	how     loss.How
-	took    time.Duration
+	index    int
+	backend  *backend
+	ended    bool // its outcome was taken
+	ending   loss.How
+	duration time.Duration
 }
 
 // NewAttempt makes an attempt that ends with the context or, at the latest, after the
@@ -110,14 +110,14 @@
 // blame. Transports wrap it in what they hand to Broken.
 var ErrNoSocket = errors.New("no socket left for a new connection")
 
-// ErrNoWay is why an attempt never ran where the way to its server is closed for now, which
+// ErrNoConnection is why an attempt never ran where the way to its server is closed for now, which
 // says nothing of the server.
-var ErrNoWay = errors.New("no way to the server for now")
+var ErrNoConnection = errors.New("no way to the server for now")
 
-// neverRan is how an attempt ended that could not begin because of err.
-func neverRan(err error) policy.Status {
+// startErrorStatus is how an attempt ended that could not begin because of err.
+func startErrorStatus(err error) policy.Status {
 	switch {
-	case errors.Is(err, ErrNoWay):
+	case errors.Is(err, ErrNoConnection):
 		return policy.NoConnection
 	case errors.Is(err, ErrNoSocket):
 		return policy.Full // its server is not to blame
@@ -130,7 +130,7 @@
 	ErrCancelled = errors.New("attempt cancelled")
 	ErrDrained   = errors.New("server drains or is gone")
 
-	errLapsed = errors.New("the time to begin in is over")
+	errBeginTimeout = errors.New("the time to begin in is over")
 )
 
 // Context ends when the attempt is over: at its time-out, when it is cancelled or when
@@ -144,34 +144,34 @@
 // repeat may begin within the window of its key only, however long connecting took. The request's Gate may take
 // its time: until it has spoken the attempt can still be withdrawn, and its time to begin in goes on.
 func (a *Attempt) Begin() bool {
-	if g := a.Request.Gate; a.late() || g != nil && (a.stage.Load() != waiting || !g() || a.late()) {
-		a.Withdraw(errLapsed)
+	if g := a.Request.Gate; a.pastBeginBy() || g != nil && (a.stage.Load() != notStarted || !g() || a.pastBeginBy()) {
+		a.Withdraw(errBeginTimeout)
 		return false
 	}
-	return a.stage.CompareAndSwap(waiting, sending)
+	return a.stage.CompareAndSwap(notStarted, sending)
 }
 
-// late tells whether the time to begin in is over.
-func (a *Attempt) late() bool { return !a.lapses.IsZero() && !time.Now().Before(a.lapses) }
+// pastBeginBy tells whether the time to begin in is over.
+func (a *Attempt) pastBeginBy() bool { return !a.beginBy.IsZero() && !time.Now().Before(a.beginBy) }
 
-// Tell is what the server is to be told of the time that is left, where its answer takes so long
+// ServerTimeout is what the server is to be told of the time that is left, where its answer takes so long
 // back. False means that it is too little for anything: then the attempt is withdrawn, unless it had
 // begun, and nothing may be written.
-func (a *Attempt) Tell(back time.Duration) (time.Duration, bool) {
+func (a *Attempt) ServerTimeout(back time.Duration) (time.Duration, bool) {
 	left, ok := budget.Hop(time.Until(a.deadline), back)
 	if !ok {
-		a.Withdraw(errLapsed)
+		a.Withdraw(errBeginTimeout)
 	}
 	return left, ok
 }
 
 // BeginBy is the last moment for Begin; zero: while the context lasts.
-func (a *Attempt) BeginBy() time.Time { return a.lapses }
+func (a *Attempt) BeginBy() time.Time { return a.beginBy }
 
 // Withdraw stops an attempt of which no byte went out, for the cause given, and reports
 // whether it did: one that had begun or was stopped before it leaves alone.
 func (a *Attempt) Withdraw(cause error) bool {
-	if !a.stage.CompareAndSwap(waiting, over) {
+	if !a.stage.CompareAndSwap(notStarted, withdrawn) {
 		return false
 	}
 	a.cancel(cause)
@@ -185,21 +185,21 @@
 // begins, and the time that the client waits.
 func (a *Attempt) BodyComplete() {
 	a.started = time.Now()
-	a.deadline = a.started.Add(a.Request.Left)
-	if a.tell != nil {
-		a.tell(inWhole, nil)
+	a.deadline = a.started.Add(a.Request.TimeAfterBody)
+	if a.notify != nil {
+		a.notify(inBodyComplete, nil)
 	}
 }
 
-// Passes tells whether an answer may be passed on as it comes. Else it is taken whole or not at all.
-func (a *Attempt) Passes() bool { return a.tell != nil && !a.Request.held }
+// CanStream tells whether an answer may be passed on as it comes. Else it is taken whole or not at all.
+func (a *Attempt) CanStream() bool { return a.notify != nil && !a.Request.buffered }
 
-// Begun hands on an answer that Passes: the Rest of res is written to after that, and the attempt ends
+// StartStream hands on an answer that Passes: the Rest of res is written to after that, and the attempt ends
 // when all of it was, or can't be. There is no time-out from now on.
-func (a *Attempt) Begun(res Result) {
-	a.first = time.Now()
+func (a *Attempt) StartStream(res Result) {
+	a.answerStarted = time.Now()
 	a.timer.Stop()
-	a.tell(inStarted, &res)
+	a.notify(inStarted, &res)
 }
 
 // Go carries the attempt in a goroutine of its own and ends it with what it returns. A
@@ -209,7 +209,7 @@
 		var res Result
 		defer func() {
 			if p := recover(); p != nil {
-				res = a.Broken(nil, false)
+				res = a.FailedResult(nil, false)
 				res.panicked = fmt.Errorf("panic in an attempt: %v\n%s", p, debug.Stack())
 			}
 			a.End(res)
@@ -221,25 +221,25 @@
 // End tells the core how the attempt ended. It is called once.
 func (a *Attempt) End(res Result) {
 	a.cancel(nil)
-	if res.took = time.Since(a.started); !a.first.IsZero() {
-		res.took = a.first.Sub(a.started)
+	if res.duration = time.Since(a.started); !a.answerStarted.IsZero() {
+		res.duration = a.answerStarted.Sub(a.started)
 	}
 	a.end(res)
 }
 
-// Broken is the result of an attempt that got no whole answer, because of err. cut says
+// FailedResult is the result of an attempt that got no whole answer, because of err. cut says
 // that a part of the request was not written and can't be any more.
-func (a *Attempt) Broken(err error, cut bool) Result {
-	never := a.stage.CompareAndSwap(waiting, over) || a.stage.Load() == over
+func (a *Attempt) FailedResult(err error, cut bool) Result {
+	never := a.stage.CompareAndSwap(notStarted, withdrawn) || a.stage.Load() == withdrawn
 	cause := context.Cause(a.ctx)
 	status := policy.Reset
 	switch {
-	case never && errors.Is(cause, errLapsed):
+	case never && errors.Is(cause, errBeginTimeout):
 		status = policy.Abandoned
 	case never && errors.Is(cause, ErrDrained):
 		status = policy.Full
-	case never && neverRan(err) != policy.ConnectFailed:
-		status = neverRan(err)
+	case never && startErrorStatus(err) != policy.ConnectFailed:
+		status = startErrorStatus(err)
 	case errors.Is(cause, ErrCancelled):
 		status = policy.Cancelled
 	case never || cut:
@@ -252,14 +252,14 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Status      policy.Status
-	Body        []byte       // of a served one, whole, or what comes before Rest
-	Rest        *window.Pipe // of one that has Begun
-	Length      int64        // as Answer has it
-	ContentType string
-	Load        string // the server's load report, as it came; empty: none
-	Spent       int    // attempts that were made for it beyond the one, by a gateway it went through
+	Status        policy.Status
+	Body          []byte       // of a served one, whole, or what comes before Rest
+	Stream        *window.Pipe // of one that has Begun
+	Length        int64        // as Answer has it
+	ContentType   string
+	Load          string // the server's load report, as it came; empty: none
+	ExtraAttempts int    // attempts that were made for it beyond the one, by a gateway it went through
 
-	took     time.Duration
+	duration time.Duration
 	panicked error
 }
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -184,17 +184,17 @@
 		}
 	}
 	k, err := core.New(ctx, core.Options{
-		IDs:        ids,
-		Account:    account,
-		Zones:      c.Words.Sites,
-		NewDecider: decide,
-		Fleet:      o.Fleet.Options(),
-		Settings:   table.Settings, Seed: c.Seed, Known: c.Known, MaxOpen: openRequests(sockets) + more,
+		IDs:         ids,
+		ReportLoss:  account,
+		ZoneNumbers: c.Words.Sites,
+		NewDecider:  decide,
+		Fleet:       o.Fleet.Options(),
+		Settings:    table.Settings, Seed: c.Seed, InitialList: c.Known, MaxOpen: openRequests(sockets) + more,
 		// Room for all that can be under way at once: a front end must not wait there.
-		Queue:      4 * (sockets + more),
-		Transport:  servers,
-		RosterAddr: c.Discovery,
-		NewRoster: func(addr string, tell func(core.News)) core.Roster {
+		QueueLength: 4 * (sockets + more),
+		Transport:   servers,
+		RosterAddr:  c.Discovery,
+		NewRoster: func(addr string, tell func(core.Update)) core.Roster {
 			return roster.New(ctx, addr, c.Words, network.Dial, tell)
 		},
 		Log: log,
@@ -206,7 +206,7 @@
 	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: k, stop: stop, transport: servers, table: table, latest: c.Settings, log: log, life: lifecycle.New(), gateway: o.Gateway.On()}
 	var handler httpfront.Handler = k
 	if o.Promises.On {
-		if longest := core.Longest(&c.Settings); time.Duration(o.Promises.Remember) < 2*longest {
+		if longest := core.MaxRequestDuration(&c.Settings); time.Duration(o.Promises.Remember) < 2*longest {
 			stop()
 			return nil, fmt.Errorf("operator: promises.remember: %v is under twice the %v that an order may be open", time.Duration(o.Promises.Remember), longest)
 		}
@@ -267,7 +267,7 @@
 		if err != nil {
 			return fmt.Errorf("config: %w", err)
 		}
-		if err := a.core.Turn(next); err != nil {
+		if err := a.core.UpdateSettings(next); err != nil {
 			return fmt.Errorf("config: settings: %w", err)
 		}
 		for _, f := range a.fronts {
@@ -276,7 +276,7 @@
 		a.table, a.latest = next, c.Settings
 		a.log.Info("settings: changed", "version", next.Version, "classes", len(next.Classes))
 	}
-	a.core.TurnTo(c.Discovery)
+	a.core.SwitchRoster(c.Discovery)
 	if a.fleet != nil && a.fleet.keys != nil {
 		if err := a.fleet.keys.Reload(); err != nil {
 			return fmt.Errorf("operator: peers.keys: %w", err)
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -41,7 +41,7 @@
 }
 
 func newGate(ctx context.Context, c *config.Config, o *operator.Gateway, network Network, own *core.Core, ids *core.IDs, promised gateway.Promises, log *slog.Logger) (*gate, error) {
-	g := &gate{name: o.Name, own: own, ids: ids, sites: map[string]*farSite{}, links: network, last: core.Longest(&c.Settings)}
+	g := &gate{name: o.Name, own: own, ids: ids, sites: map[string]*farSite{}, links: network, last: core.MaxRequestDuration(&c.Settings)}
 	if c.Settings.Limits.RetryAfter {
 		g.advice = ms(c.Settings.Limits.MaxRetryAfterMs)
 	}
@@ -83,8 +83,8 @@
 		if err != nil {
 			return nil, err
 		}
-		k, err := core.New(ctx, core.Options{Settings: site.Settings(), Seed: c.Seed ^ uint64(i+1), Known: site.Known(),
-			MaxOpen: openRequests(c.Limits.Sockets), Queue: 4 * c.Limits.Sockets, Transport: site, RosterAddr: s.Name,
+		k, err := core.New(ctx, core.Options{Settings: site.Settings(), Seed: c.Seed ^ uint64(i+1), InitialList: site.Known(),
+			MaxOpen: openRequests(c.Limits.Sockets), QueueLength: 4 * c.Limits.Sockets, Transport: site, RosterAddr: s.Name,
 			NewRoster: site.NewRoster, Log: log.With("site", s.Name), IDs: ids})
 		if err != nil {
 			return nil, err
@@ -210,7 +210,7 @@
 	site, err := routes.First(g.table.Load().Sites(class, r.Message.Target, r.ID), func(s string) bool { return g.at(s).Ready() })
 	if err != nil {
 		if !g.ids.Add(r.ID) {
-			return core.Answer{Outcome: core.Repeated}
+			return core.Answer{Outcome: core.Duplicate}
 		}
 		return core.Answer{Outcome: core.Refused, RetryAfter: g.advice}
 	}
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -75,7 +75,7 @@
 			}
 			return a.life.State(a.Ready()).String(), load
 		},
-		Count: a.core.Crowd,
+		Count: a.core.SetFleetSize,
 	}
 	if a.gate != nil {
 		po.Avoid = a.gate.avoid
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -17,7 +17,7 @@
 	if half {
 		part = 2
 	} else {
-		a.core.IDs().Unfollow() // nobody asks for them any more
+		a.core.IDs().StopRecording() // nobody asks for them any more
 	}
 	sockets := a.sockets / part
 	a.transport.Bound(backendSockets(sockets))
@@ -30,7 +30,7 @@
 
 // State is what a second process is told; from now on Since tells what ids are noted.
 func (a *Agent) State() handover.State {
-	return handover.State{Known: a.core.Known(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.life.Evacuated()}
+	return handover.State{Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.life.Evacuated()}
 }
 
 // HandOver leaves what comes to another process.
@@ -46,22 +46,22 @@
 }
 
 // Since are the ids noted since State or Since was called last.
-func (a *Agent) Since() []uint64 { return a.core.IDs().Since() }
+func (a *Agent) Since() []uint64 { return a.core.IDs().TakeRecorded() }
 
 // Adopt takes over what the first process knew, before the agent serves.
 func (a *Agent) Adopt(s handover.State) {
-	a.core.IDs().Adopt(s.IDs, time.Now())
+	a.core.IDs().Restore(s.IDs, time.Now())
 	if s.Evacuated {
 		_ = a.life.Evacuate()
 	}
 }
 
 // Note takes over ids that the first process has noted since.
-func (a *Agent) Note(sums []uint64) { a.core.IDs().Note(sums, time.Now()) }
+func (a *Agent) Note(sums []uint64) { a.core.IDs().AddHashes(sums, time.Now()) }
 
 // Newer is the configuration with the first process's list in the place of the file's, which may be
 // old. Its version counts only where both ask the same roster.
-func Newer(c *config.Config, k core.Known) *config.Config {
+func Newer(c *config.Config, k core.EndpointSnapshot) *config.Config {
 	if len(k.List.Servers) == 0 {
 		return c
 	}
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -89,7 +89,7 @@
 	for _, h := range hosts {
 		servers = append(servers, roster.AddrOf(h))
 	}
-	a.core.LeaveAlone(servers)
+	a.core.Exclude(servers)
 }
 
 // run runs the seat until stop, which waits for it. Another run than the first does nothing, nor does
@@ -109,11 +109,11 @@
 	if w.ours.Hear(orders.Reported(&view)) {
 		w.a.log.Info("work: left alone by the council's word", "machines", w.ours.Machines())
 	}
-	known := w.a.core.Known()
+	known := w.a.core.Endpoints()
 	v := w.ours.Apply(known.List.Servers)
 	if !slices.Equal(v.Alone, w.alone) {
 		w.alone = v.Alone
-		w.a.core.LeaveAlone(v.Alone) // in force when it returns
+		w.a.core.Exclude(v.Alone) // in force when it returns
 	}
 	if v.Why != w.said {
 		if w.said = v.Why; v.Why != "" {
@@ -130,11 +130,11 @@
 		w.a.log.Info("work: this machine is at work again")
 	}
 	if w.periods++; w.periods%rateOver == 0 {
-		asked, now := w.a.core.Asked(), time.Now()
+		asked, now := w.a.core.RequestCount(), time.Now()
 		w.rate = coarse(float64(asked-w.asked) / now.Sub(w.at).Seconds())
 		w.asked, w.at = asked, now
 	}
-	rate, silent := w.rate, w.look.Word(known.Silent, view.Doubts != "")
+	rate, silent := w.rate, w.look.Word(known.Unresponsive, view.Doubts != "")
 	w.peers.Set(func(i *members.Info) {
 		i.Rate, i.Silent = rate, silent
 		if v.Version != 0 {
@@ -159,7 +159,7 @@
 	for _, m := range w.set.Machines {
 		s.Places = append(s.Places, work.Place{Name: m.Name, Zone: m.Zone, Kind: m.Kind, Capacity: m.Capacity})
 	}
-	known, heard := w.a.core.Known(), hearsay.Gather(&view)
+	known, heard := w.a.core.Endpoints(), hearsay.Gather(&view)
 	now := float64(time.Now().UnixMilli())
 	for _, v := range known.List.Servers {
 		machine := w.of[v.Server]
@@ -170,14 +170,14 @@
 			Machine:      machine,
 			Capacity:     v.Weight,
 			Ready:        v.Health == cluster.Ready,
-			Unresponsive: slices.Contains(known.Silent, v.Server) || heard.Silent(v.Server),
+			Unresponsive: slices.Contains(known.Unresponsive, v.Server) || heard.Silent(v.Server),
 			Warmth:       1,
 		}
 		if !(one.Capacity > 0 && one.Capacity < 1e9) {
 			one.Capacity = 1
 		}
-		if v.SinceMs > 0 && known.ColdMs > 0 {
-			one.Warmth = (now - v.SinceMs) / known.ColdMs
+		if v.SinceMs > 0 && known.SlowStartMs > 0 {
+			one.Warmth = (now - v.SinceMs) / known.SlowStartMs
 		}
 		s.Servers = append(s.Servers, one)
 	}
--- a/internal/process/handover/handover.go
+++ b/internal/process/handover/handover.go
@@ -42,8 +42,8 @@
 
 // State is what the second process is told. All of it may be missing.
 type State struct {
-	Known     core.Known
-	IDs       core.Memory
+	Known     core.EndpointSnapshot
+	IDs       core.IDSnapshot
 	Evacuated bool // clients are being sent away
 }
 
--- a/internal/process/handover/handover_test.go
+++ b/internal/process/handover/handover_test.go
@@ -57,8 +57,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	f := &first{state: State{Known: core.Known{Roster: "r", List: cluster.List{Seq: 7, Servers: []cluster.Server{{Dial: "d", Entry: cluster.Entry{Server: cluster.Addr{1, 2}, SinceMs: 1.5}}}}},
-		IDs: core.Memory{Key: 1 << 63, Recent: []uint64{1<<64 - 1}}, Evacuated: true}}
+	f := &first{state: State{Known: core.EndpointSnapshot{Roster: "r", List: cluster.List{Seq: 7, Servers: []cluster.Server{{Dial: "d", Entry: cluster.Entry{Server: cluster.Addr{1, 2}, SinceMs: 1.5}}}}},
+		IDs: core.IDSnapshot{Key: 1 << 63, Recent: []uint64{1<<64 - 1}}, Evacuated: true}}
 	path := Path(t.TempDir(), ln.Addr().String())
 	o, err := NewOffer(path, f, []net.Listener{ln})
 	if err != nil {
--- a/internal/protocol/fcgifront/conn.go
+++ b/internal/protocol/fcgifront/conn.go
@@ -483,7 +483,7 @@
 	}
 	q.req.Message.Body, q.req.Message.Length = q.body[:len(q.body):len(q.body)], q.told
 	flow = newFlow(q.c.f.opt.Budget)
-	q.req.Message.Rest = flow.pipe
+	q.req.Message.Stream = flow.pipe
 	q.wait.Count(q.req, time.Now(), q.c.f.pace())
 	q.c.mu.Lock()
 	q.flow = flow
@@ -600,10 +600,10 @@
 	}
 	answered = true
 	switch ans.Outcome {
-	case core.Gone:
+	case core.ClientGone:
 		q.finish(nil, 0) // its client has aborted it
 	case core.Served:
-		if ans.Rest != nil {
+		if ans.Stream != nil {
 			q.pass(ans)
 			return
 		}
@@ -618,9 +618,9 @@
 			more = "Retry-After: " + strconv.FormatFloat(ans.RetryAfter.Seconds(), 'f', -1, 64) + "\r\n"
 		}
 		q.finish(q.stdout(word(http.StatusServiceUnavailable)+more+"\r\n", nil), 0)
-	case core.Repeated:
+	case core.Duplicate:
 		q.answerBad(&intake.Problem{Status: http.StatusConflict, Text: "Request-Id: came before"})
-	case core.Overdue:
+	case core.DeadlineExceeded:
 		q.finish(q.stdout(word(http.StatusGatewayTimeout)+"\r\n", nil), 0)
 	default:
 		q.finish(q.stdout(word(http.StatusBadGateway)+"\r\n", nil), 0)
@@ -642,20 +642,20 @@
 // pass passes on an answer as it comes. One that breaks ends with an application status, and where that is all
 // by which its client could tell, and nobody shares the connection, with the connection.
 func (q *request) pass(ans core.Answer) {
-	defer ans.Rest.Leave()
+	defer ans.Stream.Leave()
 	c := q.c
 	out := fcgi.AppendStream(nil, fcgi.Stdout, q.id, append([]byte(head(ans.ContentType, ans.Length)), ans.Body...))
 	buf := pieces.Get().(*[]byte)
 	defer pieces.Put(buf)
 	for {
-		if !ans.Rest.Waiting() && len(out) > 0 { // nothing that is here is held back
+		if !ans.Stream.Waiting() && len(out) > 0 { // nothing that is here is held back
 			if c.write(out) != nil {
 				q.finish(nil, 1)
 				return
 			}
 			out = out[:0]
 		}
-		n, err := ans.Rest.Read(q.ctx, *buf)
+		n, err := ans.Stream.Read(q.ctx, *buf)
 		out = fcgi.AppendStream(out, fcgi.Stdout, q.id, (*buf)[:n])
 		switch {
 		case err == io.EOF:
--- a/internal/protocol/fcgifront/front.go
+++ b/internal/protocol/fcgifront/front.go
@@ -205,7 +205,7 @@
 		ln.Close()
 	}
 	settled := time.Now().Add(intake.SettleFor)
-	end := time.Now().Add(core.Longest(f.view.Load().Settings) + intake.SettleFor)
+	end := time.Now().Add(core.MaxRequestDuration(f.view.Load().Settings) + intake.SettleFor)
 	for ; time.Now().Before(end); time.Sleep(intake.LeaveEvery) {
 		f.each(func(c *conn) { c.look(time.Now()) })
 		if f.Connections() == 0 || f.working.Load() == 0 && time.Now().After(settled) && !f.coming() {
--- a/internal/protocol/fcgifront/front_test.go
+++ b/internal/protocol/fcgifront/front_test.go
@@ -263,7 +263,7 @@
 			return served(ctx, r)
 		case <-ctx.Done():
 			gone <- r.ID
-			return core.Answer{Outcome: core.Gone}
+			return core.Answer{Outcome: core.ClientGone}
 		}
 	})
 	c := dial(t, addr)
@@ -316,7 +316,7 @@
 		if string(r.Message.Body) == "short" {
 			return served(ctx, r)
 		}
-		return core.Answer{Outcome: core.Served, Body: []byte("begun"), Rest: window.New(budget), Length: -1}
+		return core.Answer{Outcome: core.Served, Body: []byte("begun"), Stream: window.New(budget), Length: -1}
 	})
 	c := dial(t, addr)
 	c.send(whole(1, order(0, nil), ""), fcgi.Append(nil, fcgi.AbortRequest, 1, nil), whole(2, order(5, nil), "short"))
@@ -361,11 +361,11 @@
 // all reads a request's body to its end.
 func all(ctx context.Context, r *core.Request) (string, error) {
 	out := bytes.NewBuffer(bytes.Clone(r.Message.Body))
-	if r.Message.Rest == nil {
+	if r.Message.Stream == nil {
 		return out.String(), nil
 	}
 	for buf := make([]byte, 5000); ; {
-		n, err := r.Message.Rest.Read(ctx, buf)
+		n, err := r.Message.Stream.Read(ctx, buf)
 		out.Write(buf[:n])
 		if err == io.EOF {
 			return out.String(), nil
@@ -392,7 +392,7 @@
 		if r.ID == "r3" {
 			length = -1
 		}
-		return core.Answer{Outcome: core.Served, Body: []byte("long:"), Rest: rest, Length: length}
+		return core.Answer{Outcome: core.Served, Body: []byte("long:"), Stream: rest, Length: length}
 	})
 	c := dial(t, addr)
 	want := map[uint16]string{}
@@ -498,7 +498,7 @@
 		if r.ID == "untold" {
 			length = -1
 		}
-		return core.Answer{Outcome: core.Served, Body: []byte("begun"), Rest: rest, Length: length}
+		return core.Answer{Outcome: core.Served, Body: []byte("begun"), Stream: rest, Length: length}
 	})
 	c := dial(t, addr)
 	c.send(whole(1, order(0, nil), ""))
--- a/internal/protocol/gateway/far.go
+++ b/internal/protocol/gateway/far.go
@@ -541,7 +541,7 @@
 		return nil, false
 	}
 	r := &core.Request{ID: o.ID, Class: class, Key: o.Key, HintMs: float64(o.HintUs) / 1000, HasHint: o.HintUs > 0, Retry: o.Retry,
-		Tries: int(o.Tries), Crossed: true, Deadline: time.Now().Add(time.Duration(c.GiveUpMs * float64(time.Millisecond))),
+		MaxAttempts: int(o.Tries), Deduplicated: true, Deadline: time.Now().Add(time.Duration(c.GiveUpMs * float64(time.Millisecond))),
 		Message: core.Message{Method: o.Method, Target: o.Target, Host: o.Host, ContentType: o.ContentType, IdempotencyKey: o.Idempotency, Body: o.Body}}
 	if len(f.opt.Tenants) > 0 {
 		if r.Tenant, known = f.opt.Tenants[o.Tenant]; !known {
--- a/internal/protocol/gateway/near.go
+++ b/internal/protocol/gateway/near.go
@@ -193,21 +193,21 @@
 // listing is a core's client of the list.
 type listing struct {
 	s    *Site
-	tell func(core.News)
+	tell func(core.Update)
 }
 
 // NewRoster makes the client of the list; its address has no meaning.
-func (s *Site) NewRoster(_ string, tell func(core.News)) core.Roster { return &listing{s, tell} }
+func (s *Site) NewRoster(_ string, tell func(core.Update)) core.Roster { return &listing{s, tell} }
 
 func (l *listing) Fetch(bool) {
-	go func() { l.tell(core.News{Kind: core.Fetched, List: l.s.list()}) }()
+	go func() { l.tell(core.Update{Kind: core.Fetched, List: l.s.list()}) }()
 }
 
 func (l *listing) Watch(int64, bool) {
 	l.s.mu.Lock()
 	l.s.watches[l] = true
 	l.s.mu.Unlock()
-	go func() { l.tell(core.News{Kind: core.Changed, List: l.s.list()}) }()
+	go func() { l.tell(core.Update{Kind: core.Changed, List: l.s.list()}) }()
 }
 
 func (l *listing) Close() {
@@ -229,14 +229,14 @@
 		p.since = float64(time.Now().UnixMicro()) / 1000
 	}
 	s.seq++
-	var tell []func(core.News)
+	var tell []func(core.Update)
 	for l := range s.watches {
 		tell = append(tell, l.tell)
 	}
 	s.mu.Unlock()
 	s.opt.Log.Info("gateway", "site", s.opt.Site, "peer", p.Name, "reachable", ready)
 	for _, t := range tell {
-		t(core.News{Kind: core.Changed, List: s.list()})
+		t(core.Update{Kind: core.Changed, List: s.list()})
 	}
 }
 
@@ -321,8 +321,8 @@
 
 var (
 	errClosed      = errors.New("this end is closing")
-	errUnreachable = fmt.Errorf("no link to the far gateway: %w", core.ErrNoWay)
-	errNoRoom      = fmt.Errorf("as many crossings as there may be: %w", core.ErrNoWay)
+	errUnreachable = fmt.Errorf("no link to the far gateway: %w", core.ErrNoConnection)
+	errNoRoom      = fmt.Errorf("as many crossings as there may be: %w", core.ErrNoConnection)
 )
 
 // keep holds one connection open until the site ends.
@@ -567,26 +567,26 @@
 		}
 	}
 	var res core.Result
-	spent := func(tries uint64) int { return min(max(int(tries)-1, 0), max(x.a.Left-1, 0)) }
+	spent := func(tries uint64) int { return min(max(int(tries)-1, 0), max(x.a.AttemptsLeft-1, 0)) }
 	switch v {
 	case crossing.Answer:
 		f := word.(*linkwire.Ended)
-		res = core.Result{Status: policy.Error, Spent: spent(f.Tries)}
+		res = core.Result{Status: policy.Error, ExtraAttempts: spent(f.Tries)}
 		if f.Result == linkwire.Served {
 			res.Status, res.Body, res.ContentType = policy.OK, f.Body, f.ContentType
 		}
 	case crossing.NeverIn:
 		if f, ok := word.(*linkwire.Never); ok {
-			res = core.Result{Status: policy.Full, Spent: spent(f.Tries)}
+			res = core.Result{Status: policy.Full, ExtraAttempts: spent(f.Tries)}
 			if x.m.Cancelled {
 				res.Status = policy.Cancelled // barred for its client's sake: the far end has room
 			}
 		} else {
-			res = x.a.Broken(why, true)
+			res = x.a.FailedResult(why, true)
 		}
 	default:
-		res = x.a.Broken(why, false)
-		res.Spent = max(x.a.Left-1, 0)
+		res = x.a.FailedResult(why, false)
+		res.ExtraAttempts = max(x.a.AttemptsLeft-1, 0)
 	}
 	a, detach, timer := x.a, x.detach, x.timer
 	return func() {
@@ -807,7 +807,7 @@
 	p.open[x.num] = x
 	c.out++
 	x.detach = context.AfterFunc(a.Context(), x.given)
-	a.Unwanted = x.unwanted
+	a.OnAbandoned = x.unwanted
 	p.mu.Unlock()
 	c.link.Bulk(x.write)
 	return nil
@@ -920,7 +920,7 @@
 // offer words the request.
 func (x *nearCrossing) offer(l linkwire.Lease) *linkwire.Offer {
 	r, set := x.a.Request, x.p.site.opt.Settings
-	f := &linkwire.Offer{Number: x.num, Lease: l, Tries: uint64(max(x.a.Left, 1)), Class: set.Classes[r.Class].Name,
+	f := &linkwire.Offer{Number: x.num, Lease: l, Tries: uint64(max(x.a.AttemptsLeft, 1)), Class: set.Classes[r.Class].Name,
 		Effect: string(set.Classes[r.Class].Effect), Key: r.Key, Retry: r.Retry, ID: r.ID, Method: r.Message.Method,
 		Target: r.Message.Target, Host: r.Message.Host, ContentType: r.Message.ContentType, Idempotency: r.Message.IdempotencyKey,
 		Size: uint64(len(r.Message.Body)), Body: r.Message.Body[:min(len(r.Message.Body), linkwire.MaxPart)]}
--- a/internal/protocol/httpfront/bodies.go
+++ b/internal/protocol/httpfront/bodies.go
@@ -123,7 +123,7 @@
 	}
 	r.Message.Body = body[:n:n]
 	if !whole {
-		r.Message.Length, r.Message.Rest = hr.ContentLength, window.New(a.opt.Budget)
+		r.Message.Length, r.Message.Stream = hr.ContentLength, window.New(a.opt.Budget)
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 
 func (a *Front) startUpload(w http.ResponseWriter, hr *http.Request, r *core.Request) *upload {
 	ctx, stop := context.WithCancel(context.Background())
-	u := &upload{control: http.NewResponseController(w), rest: r.Message.Rest, stop: stop, done: make(chan struct{})}
+	u := &upload{control: http.NewResponseController(w), rest: r.Message.Stream, stop: stop, done: make(chan struct{})}
 	go func() {
 		var why error
 		if u.bad = u.pump(ctx, a.pace(), hr, int64(len(r.Message.Body))); u.bad != nil {
@@ -242,7 +242,7 @@
 // pass passes on an answer as it comes. One that breaks ends its connection with a reset, so that the
 // client can tell, whatever framing it has.
 func (a *Front) pass(w http.ResponseWriter, hr *http.Request, ans core.Answer) {
-	rest := ans.Rest
+	rest := ans.Stream
 	defer rest.Leave()
 	control := http.NewResponseController(w)
 	abort := func() {
--- a/internal/protocol/httpfront/bodies_test.go
+++ b/internal/protocol/httpfront/bodies_test.go
@@ -20,11 +20,11 @@
 func whole(ctx context.Context, r *core.Request) (string, error) {
 	var text strings.Builder
 	text.Write(r.Message.Body)
-	if r.Message.Rest == nil {
+	if r.Message.Stream == nil {
 		return text.String(), nil
 	}
 	for buf := make([]byte, 5000); ; {
-		n, err := r.Message.Rest.Read(ctx, buf)
+		n, err := r.Message.Stream.Read(ctx, buf)
 		text.Write(buf[:n])
 		if err == io.EOF {
 			return text.String(), nil
@@ -51,7 +51,7 @@
 		_ = rest.Write(context.Background(), []byte(text[10:]))
 		rest.End(nil)
 	}()
-	return core.Answer{Outcome: core.Served, Body: []byte(text[:10]), Rest: rest, Length: int64(len(text))*int64(1-len(text)%2*2) - int64(len(text)%2)}
+	return core.Answer{Outcome: core.Served, Body: []byte(text[:10]), Stream: rest, Length: int64(len(text))*int64(1-len(text)%2*2) - int64(len(text)%2)}
 }
 
 // All forms of HTTP/1.1 are taken, also in pieces of one byte, and answered with what they brought.
@@ -179,7 +179,7 @@
 	}{"a length": {1000, "1.1"}, "chunks": {-1, "1.1"}, "to the end": {-1, "1.0"}} {
 		rest := window.New(window.NewBudget(0))
 		_, _, base, _, _ := start(t, 20, func(context.Context, *core.Request) core.Answer {
-			return core.Answer{Outcome: core.Served, Body: []byte("begin"), Rest: rest, Length: c.length}
+			return core.Answer{Outcome: core.Served, Body: []byte("begin"), Stream: rest, Length: c.length}
 		})
 		conn, err := testkit.Dial("tcp", strings.TrimPrefix(base, "http://"))
 		if err != nil {
--- a/internal/protocol/httpfront/front.go
+++ b/internal/protocol/httpfront/front.go
@@ -143,7 +143,7 @@
 	for _, ln := range listeners {
 		ln.Close()
 	}
-	longest := core.Longest(a.view.Load().Settings)
+	longest := core.MaxRequestDuration(a.view.Load().Settings)
 	settled := time.Now().Add(intake.SettleFor)
 	for end := time.Now().Add(longest + intake.SettleFor); time.Now().Before(end); time.Sleep(intake.LeaveEvery) {
 		coming := a.places.closeWaiting(time.Now().Add(-intake.SettleFor))
@@ -226,7 +226,7 @@
 	defer a.working.Add(-1)
 	defer a.opt.Budget.Give(int64(len(r.Message.Body)))
 	var up *upload
-	if r.Message.Rest != nil {
+	if r.Message.Stream != nil {
 		up = a.startUpload(w, hr, r)
 	}
 	ans := a.core.Do(hr.Context(), r)
@@ -245,14 +245,14 @@
 	}
 	answered = true
 	switch ans.Outcome {
-	case core.Repeated:
+	case core.Duplicate:
 		a.reject(w, hr, &problem{Status: http.StatusConflict, Text: "Request-Id: came before"})
-	case core.Gone:
+	case core.ClientGone:
 		// Nothing written would go out as 200 with no body, and a client that has only
 		// ended its sending still reads.
 		w.Header().Set("Connection", "close")
 		a.write(w, http.StatusBadGateway, "", nil)
-	case core.Overdue:
+	case core.DeadlineExceeded:
 		a.write(w, http.StatusGatewayTimeout, "", nil)
 	default:
 		a.answer(w, hr, ans, keep)
@@ -322,7 +322,7 @@
 	}
 	switch ans.Outcome {
 	case core.Served:
-		if ans.Rest != nil {
+		if ans.Stream != nil {
 			a.pass(w, hr, ans)
 			return
 		}
--- a/internal/protocol/httpfront/front_test.go
+++ b/internal/protocol/httpfront/front_test.go
@@ -134,7 +134,7 @@
 // How outcomes are worded.
 func TestOutcomes(t *testing.T) {
 	for outcome, want := range map[core.Outcome]int{core.Served: 200, core.Failed: 502, core.Refused: 503,
-		core.Overdue: 504, core.Repeated: 409} {
+		core.DeadlineExceeded: 504, core.Duplicate: 409} {
 		_, _, base, _, _ := start(t, 10, func(context.Context, *core.Request) core.Answer {
 			return core.Answer{Outcome: outcome, RetryAfter: 600 * time.Millisecond}
 		})
@@ -150,7 +150,7 @@
 func TestHalfClosedClient(t *testing.T) {
 	_, f, base, _, _ := start(t, 10, func(ctx context.Context, _ *core.Request) core.Answer {
 		<-ctx.Done()
-		return core.Answer{Outcome: core.Gone}
+		return core.Answer{Outcome: core.ClientGone}
 	})
 	c := dial(t, base)
 	io.WriteString(c, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n")
--- a/internal/protocol/intake/intake.go
+++ b/internal/protocol/intake/intake.go
@@ -86,7 +86,7 @@
 // Read makes a request of what was read, but for its body and its deadline. patient says that a client which
 // does not say how long it waits waits for as long as its class allows; else it is told to say so.
 func Read(v *View, f *Fields, patient bool) (*core.Request, Patience, *Problem) {
-	r := &core.Request{ID: f.ID, Tries: v.Settings.Limits.MaxAttempts, Retry: f.Retry == "1",
+	r := &core.Request{ID: f.ID, MaxAttempts: v.Settings.Limits.MaxAttempts, Retry: f.Retry == "1",
 		Message: core.Message{Method: f.Method, Target: f.Target, Host: f.Host, ContentType: f.ContentType, IdempotencyKey: f.IdempotencyKey}}
 	var p Patience
 	if !strings.HasPrefix(f.Target, "/") || !strings.HasPrefix(f.Path, "/") {
@@ -141,15 +141,15 @@
 // the longest that the rest may take to come, and its time begins when all of it has.
 func (p Patience) Count(r *core.Request, came time.Time, pace window.Pace) {
 	r.Deadline = budget.From(came, p.Told, p.GiveUp).Deadline
-	if r.Message.Rest == nil {
+	if r.Message.Stream == nil {
 		return
 	}
-	r.Left = min(p.Told, p.GiveUp)
+	r.TimeAfterBody = min(p.Told, p.GiveUp)
 	most := r.Message.Length
 	if most < 0 {
 		most = window.Most
 	}
-	r.Deadline = time.Now().Add(pace.Longest(most) + r.Left)
+	r.Deadline = time.Now().Add(pace.Longest(most) + r.TimeAfterBody)
 }
 
 // Plain tells whether an id or a name can be sent on as it is.
--- a/internal/protocol/roster/roster.go
+++ b/internal/protocol/roster/roster.go
@@ -126,7 +126,7 @@
 	addr    string
 	words   Words
 	dial    DialFunc
-	tell    func(core.News)
+	tell    func(core.Update)
 	silence time.Duration
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -136,7 +136,7 @@
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // New makes the client of the service at addr; its calls end with the context.
-func New(ctx context.Context, addr string, words Words, dial DialFunc, tell func(core.News)) *Client {
+func New(ctx context.Context, addr string, words Words, dial DialFunc, tell func(core.Update)) *Client {
 	d := &Client{addr: addr, words: words, dial: dial, tell: tell, silence: watchSilence}
 	d.ctx, d.cancel = context.WithCancel(ctx)
 	return d
@@ -189,7 +189,7 @@
 		l, err = d.words.Parse(text)
 		return err
 	})
-	d.tell(core.News{Kind: core.Fetched, List: l, Err: err})
+	d.tell(core.Update{Kind: core.Fetched, List: l, Err: err})
 }
 
 func (d *Client) watch(since int64, eager bool) {
@@ -201,7 +201,7 @@
 		}
 		return err
 	})
-	d.tell(core.News{Kind: core.WatchEnded, Err: err})
+	d.tell(core.Update{Kind: core.WatchEnded, Err: err})
 }
 
 // follow is one watch; it reports whether a list came and why it ended.
@@ -232,7 +232,7 @@
 			return told, fmt.Errorf("line: %w", err)
 		}
 		told = true
-		d.tell(core.News{Kind: core.Changed, List: l})
+		d.tell(core.Update{Kind: core.Changed, List: l})
 	}
 	if err := lines.Err(); err != nil {
 		return told, err
--- a/internal/protocol/roster/roster_test.go
+++ b/internal/protocol/roster/roster_test.go
@@ -17,7 +17,7 @@
 const never = time.Hour // for what a test does not let run out
 
 // scripted is a service whose watch writes lines and then stays open or ends.
-func scripted(t *testing.T, stay bool, lines ...string) (*Client, chan core.News) {
+func scripted(t *testing.T, stay bool, lines ...string) (*Client, chan core.Update) {
 	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for _, line := range lines {
@@ -32,9 +32,9 @@
 		}
 	}))
 	t.Cleanup(func() { close(release); s.Close() })
-	told := make(chan core.News, 100)
+	told := make(chan core.Update, 100)
 	dial := (&net.Dialer{}).DialContext
-	return New(context.Background(), s.Listener.Addr().String(), Words{}, dial, func(in core.News) { told <- in }), told
+	return New(context.Background(), s.Listener.Addr().String(), Words{}, dial, func(in core.Update) { told <- in }), told
 }
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
@@ -87,9 +87,9 @@
 		fmt.Fprintln(w, change)
 	}))
 	t.Cleanup(s.Close)
-	told := make(chan core.News, 10)
+	told := make(chan core.Update, 10)
 	dial := (&net.Dialer{}).DialContext
-	d := New(t.Context(), s.Listener.Addr().String(), Words{}, dial, func(in core.News) { told <- in })
+	d := New(t.Context(), s.Listener.Addr().String(), Words{}, dial, func(in core.Update) { told <- in })
 	d.watch(0, true)
 	if in := <-told; in.Kind != core.Changed || in.List.Seq != 2 {
 		t.Fatalf("told %+v", in)
@@ -107,7 +107,7 @@
 		<-ctx.Done()
 		close(ended)
 		return nil, ctx.Err()
-	}, func(core.News) {})
+	}, func(core.Update) {})
 	d.Watch(0, false)
 	<-dialling
 	d.Close()
--- a/internal/protocol/transport/answer.go
+++ b/internal/protocol/transport/answer.go
@@ -32,10 +32,10 @@
 // moment on that window.Hold gives it up, and passed is true.
 func (x *arriving) receive() (body []byte, passed bool, err error) {
 	length := x.length
-	if !x.a.Passes() && length > maxBody {
+	if !x.a.CanStream() && length > maxBody {
 		return nil, false, errTooLong
 	}
-	if !x.a.Passes() || length >= 0 && window.Hold(length, 0, 0) {
+	if !x.a.CanStream() || length >= 0 && window.Hold(length, 0, 0) {
 		body, err = readBody(x.body, length)
 		return body, false, err
 	}
@@ -47,7 +47,7 @@
 		if pipe == nil {
 			pipe = window.New(x.budget)
 			pipe.OnLeave(func() { x.a.Cancel(core.ErrCancelled) }) // its client has gone, and the server may be silent
-			x.a.Begun(core.Result{Body: held, Rest: pipe, Length: length, ContentType: x.kind})
+			x.a.StartStream(core.Result{Body: held, Stream: pipe, Length: length, ContentType: x.kind})
 		}
 	}
 	timer := time.AfterFunc(window.HoldFor, func() {
--- a/internal/protocol/transport/attempt.go
+++ b/internal/protocol/transport/attempt.go
@@ -40,12 +40,12 @@
 func (e *endpoint) carry(a *core.Attempt, c *conn) core.Result {
 	c, err := e.ready(a.Context(), a.Request.ID, c)
 	if err != nil {
-		return a.Broken(err, false)
+		return a.FailedResult(err, false)
 	}
 	x := exchange{a: a, c: c, e: e}
 	res, err := x.roundTrip()
 	if err != nil {
-		return a.Broken(err, x.cut)
+		return a.FailedResult(err, x.cut)
 	}
 	return res
 }
@@ -73,7 +73,7 @@
 			c.Close()
 		}
 	}()
-	left, timely := a.Tell(x.e.back())
+	left, timely := a.ServerTimeout(x.e.back())
 	if !timely {
 		keep = true // nothing was written
 		return res, errWithdrawn
@@ -86,8 +86,8 @@
 	}()
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
-	if a.Request.Message.Rest != nil {
-		left = min(left, a.Request.Left) // it is told of what follows its begin
+	if a.Request.Message.Stream != nil {
+		left = min(left, a.Request.TimeAfterBody) // it is told of what follows its begin
 	}
 	out, begins, err := x.e.wire.request((*buf)[:0], a, left)
 	if err != nil {
@@ -102,7 +102,7 @@
 	c.left = maxAnswerHead
 	if n, err := c.Write(out); err != nil {
 		x.e.pool.used(c, ctx.Err() == nil)
-		x.cut = a.Request.Message.Rest != nil || n < len(out) // the last byte can no longer follow
+		x.cut = a.Request.Message.Stream != nil || n < len(out) // the last byte can no longer follow
 		if begins >= 0 {
 			x.cut = n < begins
 		}
@@ -115,7 +115,7 @@
 		readers.Put(r)
 	}()
 	early := false
-	if a.Request.Message.Rest != nil {
+	if a.Request.Message.Stream != nil {
 		x.cut = begins < 0 // until the last byte has been written
 		l := x.listen(r)
 		left, err := x.sendRest(l.ctx)
@@ -210,7 +210,7 @@
 	buf := windows.Get().(*[]byte)
 	defer windows.Put(buf)
 	for sent := int64(len(m.Body)); ; {
-		n, err := m.Rest.Read(ctx, (*buf)[before:len(*buf)-after])
+		n, err := m.Stream.Read(ctx, (*buf)[before:len(*buf)-after])
 		if n > 0 {
 			sent += int64(n)
 			if _, err := x.c.Write(x.e.wire.piece(m, *buf, n)); err != nil {
@@ -350,7 +350,7 @@
 	out = strconv.AppendInt(out, left.Milliseconds(), 10)
 	out = append(out, "m\r\n"...)
 	length := int64(len(m.Body))
-	if m.Rest != nil {
+	if m.Stream != nil {
 		length = m.Length
 	}
 	switch {
--- a/internal/protocol/transport/attempt_test.go
+++ b/internal/protocol/transport/attempt_test.go
@@ -54,7 +54,7 @@
 
 func (t *try) run() core.Result {
 	if err := t.e.Start(t.Attempt); err != nil {
-		return t.Broken(err, false)
+		return t.FailedResult(err, false)
 	}
 	return <-t.done
 }
--- a/internal/protocol/transport/early_test.go
+++ b/internal/protocol/transport/early_test.go
@@ -91,8 +91,8 @@
 			}))
 			a := newTry(e, http.MethodPost, never)
 			rest := window.New(p.opt.Budget)
-			a.Request.Message = core.Message{Method: http.MethodPost, Target: "/order/u1", Host: "b", Body: make([]byte, 2000), Length: size, Rest: rest}
-			a.Request.Left = never
+			a.Request.Message = core.Message{Method: http.MethodPost, Target: "/order/u1", Host: "b", Body: make([]byte, 2000), Length: size, Stream: rest}
+			a.Request.TimeAfterBody = never
 			go func() { // the client sends on only where it is all read
 				<-told
 				if c.whole {
@@ -122,7 +122,7 @@
 	e := p.endpoint(testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }))
 	a := newTry(e, http.MethodPost, never)
 	rest := window.New(window.NewBudget(1 << 20))
-	a.Request.Message = core.Message{Method: http.MethodPost, Target: "/order/u1", Host: "b", Body: []byte("some"), Length: 1 << 20, Rest: rest}
+	a.Request.Message = core.Message{Method: http.MethodPost, Target: "/order/u1", Host: "b", Body: []byte("some"), Length: 1 << 20, Stream: rest}
 	rest.End(fmt.Errorf("broke off"))
 	if res := a.run(); res.Status != policy.Abandoned {
 		t.Errorf("ended %d", res.Status)
--- a/internal/protocol/transport/fastcgi.go
+++ b/internal/protocol/transport/fastcgi.go
@@ -69,7 +69,7 @@
 		host, port = m.Host, "80"
 	}
 	length := int64(len(m.Body))
-	if m.Rest != nil {
+	if m.Stream != nil {
 		length = m.Length
 	}
 	out = fcgi.AppendBegin(out, theID, fcgi.Begin{Role: fcgi.Responder, Keep: true})
@@ -104,7 +104,7 @@
 		begins = len(out)
 	}
 	out = fcgi.AppendStream(out, fcgi.Stdin, theID, m.Body)
-	if m.Rest == nil {
+	if m.Stream == nil {
 		out = fcgi.Append(out, fcgi.Stdin, theID, nil)
 	}
 	return out, begins, nil
