--- a/internal/core/account.go
+++ b/internal/core/account.go
@@ -8,17 +8,17 @@
 	"molepaddle/policy"
 )
 
-// This file keeps the account of what earned less than it could, where somebody wants it. The core's goroutine owns
-// all of it.
+// This file records requests that earned less than their full value, if Options.ReportLoss is set. The core's
+// goroutine owns all of its state.
 
-// requestTiming is what the account needs of a request; nobody wants it: it stays empty.
+// requestTiming holds what the loss record of a request needs. It is empty if losses are not reported.
 type requestTiming struct {
 	arrivedAt time.Time
 	endedAt   time.Time
 	outcome   Outcome
 }
 
-// recordEnd notes when and how a request was answered, or that its client waits no more.
+// recordEnd records when and how a request was answered or dropped by its client.
 func (c *Core) recordEnd(r *Request, o Outcome) {
 	if c.reportLoss == nil || !r.timing.endedAt.IsZero() {
 		return
@@ -26,7 +26,7 @@
 	r.timing.endedAt, r.timing.outcome = time.Now(), o
 }
 
-// recordAttempt notes how an attempt has ended.
+// recordAttempt records how an attempt ended.
 func (c *Core) recordAttempt(a *Attempt, res *Result) {
 	if c.reportLoss == nil {
 		return
@@ -41,26 +41,28 @@
 	case policy.Timeout:
 		a.ending = loss.Silent
 	case policy.ConnectFailed:
-		if a.ending = loss.Full; res.duration >= ms(c.set.Limits.ConnectTimeoutMs*0.9) && c.set.Limits.ConnectTimeoutMs > 0 {
+		if a.ending = loss.Full; res.duration >= ms(c.set.Limits.ConnectTimeoutMs*0.9) &&
+			c.set.Limits.ConnectTimeoutMs > 0 {
 			a.ending = loss.Silent
 		}
 	case policy.Cancelled:
 		if a.ending = loss.Unspent; !b.lastAnswer.After(a.started) && a.stage.Load() == sending {
-			a.ending = loss.Silent // until nobody waited any more
+			a.ending = loss.Silent // no answer until the request was over
 		}
 	default:
 		a.ending = loss.Full
 	}
 }
 
-// reportIfLoss tells of a request that is over, if it earned less than it could.
+// reportIfLoss reports a finished request if it earned less than its full value.
 func (c *Core) reportIfLoss(r *Request) {
 	if c.reportLoss == nil || r.timing.arrivedAt.IsZero() || r.timing.endedAt.IsZero() {
 		return
 	}
 	since := func(t time.Time) float64 { return float64(t.Sub(r.timing.arrivedAt).Microseconds()) / 1000 }
 	k := &c.set.Classes[min(max(r.Class, 0), len(c.set.Classes)-1)]
-	rec := loss.Record{Class: k.Name, At: r.timing.arrivedAt.UnixMilli(), Worth: k.Credit, Aim: k.AimMs + k.AimStretch*r.HintMs, Ended: since(r.timing.endedAt),
+	rec := loss.Record{Class: k.Name, At: r.timing.arrivedAt.UnixMilli(), Worth: k.Credit,
+		Aim: k.AimMs + k.AimStretch*r.HintMs, Ended: since(r.timing.endedAt),
 		Outcome: [...]string{"failed", "served", "refused", "repeated", "overdue", "gone"}[r.timing.outcome]}
 	if r.timing.outcome == ClientGone && !r.timing.endedAt.Before(r.Deadline.Add(-2*guardMargin)) {
 		rec.Outcome = "overdue"
@@ -73,10 +75,11 @@
 	}
 	for _, a := range r.attempts {
 		how := a.ending
-		if !a.ended { // it goes on, and nobody waits
+		if !a.ended { // still in flight after the request was over
 			how = loss.Unspent
 		}
-		rec.Tries = append(rec.Tries, loss.Try{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone, At: since(a.started), Took: float64(a.duration.Microseconds()) / 1000, How: how})
+		rec.Tries = append(rec.Tries, loss.Try{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone,
+			At: since(a.started), Took: float64(a.duration.Microseconds()) / 1000, How: how})
 	}
 	c.reportLoss(&rec)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,20 +1,20 @@
-// Package core is the agent between a front end, which brings clients' requests, and a
-// transport, which carries attempts to servers; it knows neither one's protocol. It owns
-// the Balancer and does what that decides; it decides nothing about where, when or
-// whether a request is sent.
+// Package core connects front ends, which receive client requests, with a transport, which
+// sends attempts to servers; it is independent of the protocols of both. A Core owns a
+// Decider, usually a policy.Balancer, feeds it events and carries out its actions. The core
+// itself does not decide where, when or whether a request is sent.
 //
-// Each request that Do takes gets exactly one final answer. What happens reaches the core
-// as inputs, which are handled one by one, and nothing in their handling blocks. One lock
-// guards the Balancer, the requests taken, the servers, their attempts and the memory of
-// ids: whoever brings an input while nobody holds the lock and no input waits handles it
-// there and then; else it goes into a queue, which Run works through in its order. So an
-// input that comes after another, for whoever saw both, is handled after it. Do runs in
-// its caller's goroutine and shares with the rest one channel for the answer. An attempt's
-// stage is the only other thing that both sides change: it settles whether a byte may
-// still go out. What is said elsewhere to belong to the core's goroutine belongs to the
-// one that handles an input.
+// Do and Take may be called from any goroutine. Each request passed to Do gets exactly one
+// final answer. Events reach the core as inputs, which are handled one at a time and without
+// blocking. One lock guards the Decider, the open requests, the servers, their attempts and
+// the known request ids. If the lock is free and no input is queued, the goroutine that posts
+// an input handles it itself; otherwise the input is queued, and Run handles the queue in
+// order. Inputs that were posted one after the other are therefore handled in that order.
+// Do runs in its caller's goroutine and shares only the answer channel with the core. An
+// attempt's stage is the only other state that both sides change: it decides whether a byte
+// may still be written. State documented as owned by the core's goroutine is owned by the
+// goroutine that handles the current input.
 //
-// All time comes from the standard library's clock.
+// All times come from the standard library's clock.
 package core
 
 import (
@@ -36,67 +36,67 @@
 	"molepaddle/policy"
 )
 
-// guardMargin is how long before the client's time is up the last guard answers: later
-// than the module's own last word.
+// guardMargin is how long before a request's deadline the guard timer in Do fires. It is
+// shorter than the Decider's own margin, so the Decider answers first.
 const guardMargin = 2 * time.Millisecond
 
-// Options is what a Core is made of.
+// Options configures a Core.
 type Options struct {
 	Settings    settings.Settings
 	Seed        uint64
-	InitialList cluster.List // as last had, perhaps old
-	MaxOpen     int          // requests that may be held at once; the module refuses what is over it
-	QueueLength int          // room for what may happen at once, a few times the descriptors
+	InitialList cluster.List // last known endpoint list, possibly outdated
+	MaxOpen     int          // limit of open requests; the Decider refuses requests beyond it
+	QueueLength int          // capacity of the input queue, a few times the number of descriptors
 	Transport   Transport
 	RosterAddr  string
-	// NewRoster makes the client of the roster at an address.
-	NewRoster func(addr string, tell func(Update)) Roster
+	// NewRoster returns a client of the roster at addr, which reports results by notify.
+	NewRoster func(addr string, notify func(Update)) Roster
 	Log       *slog.Logger
-	// NewDecider makes what decides; nil: policy.New. The lab puts baselines there.
+	// NewDecider returns the Decider; nil: policy.New. The lab uses it for baselines.
 	NewDecider func(set settings.Settings, seed uint64) (Decider, error)
-	// IDs is shared with other cores; nil: the core has its own.
+	// IDs may be shared with other cores; nil: the core creates its own.
 	IDs *IDs
-	// Fleet is what the operator has set for very many agents; nil: there are few.
+	// Fleet configures the agent for a fleet of very many agents; nil: there are few agents.
 	Fleet       *fleet.Options
-	ZoneNumbers map[string]int // numbers of zones by their names, for the log
-	// ReportLoss is told each request that earned less than it could, once nothing of it is out, by the core's
-	// goroutine, which it must not hold up; nil: nobody is.
+	ZoneNumbers map[string]int // zone numbers by name, for log messages
+	// ReportLoss is called for each request that earned less than its full value, once none of its attempts is in
+	// flight. It runs in the core's goroutine and must not block; nil: not called.
 	ReportLoss func(*loss.Record)
 }
 
-// Decider is what decides for a core; policy.Balancer is the one in service.
+// Decider turns events into actions for a Core; policy.Balancer implements it.
 type Decider interface {
 	Start(now float64, out []policy.Action) []policy.Action
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// inputKind tells what happened.
+// inputKind is the kind of an input; it determines which fields are set.
 type inputKind uint8
 
-// What may come in.
+// The kinds of inputs and the fields that each sets.
 const (
 	inRequest      inputKind = iota // req
-	inDropped                       // req: nobody waits for its answer any more
-	inWithdrawn                     // req: the same, of one that was brought by Take
+	inDropped                       // req: its client no longer waits for an answer
+	inWithdrawn                     // req: as inDropped, for a request passed to Take
 	inOutcome                       // att, res
 	inTimer                         // token
-	inUpdate                        // news, gen
-	inSwitchRoster                  // addr: another roster's
+	inUpdate                        // update, gen
+	inSwitchRoster                  // addr: of the new roster
 	inLoad                          // load
 	inProbed                        // att, res
-	inFollow                        // a pushed list is to be followed again
-	inWatch                         // gen: what was put off
+	inFollow                        // start watching a pushed list again
+	inWatch                         // gen: start a delayed watch
 	inProbe                         // server
-	inReplan                        // the agent's part in the fleet is to be settled anew
-	inFleetSize                     // how many agents there are
-	inExclude                       // alone, done
+	inReplan                        // compute this agent's plan in the fleet again
+	inFleetSize                     // agents, rank
+	inExclude                       // excluded, done
 	inSettings                      // table, done
-	inEndpoints                     // known
+	inEndpoints                     // endpoints
 	inBodyComplete                  // att
 	inStarted                       // att, res
 )
 
-// input is one thing that happened, on its way to Run.
+// input is one event to be handled by the core.
 type input struct {
 	kind         inputKind
 	req          *Request
@@ -104,7 +104,7 @@
 	res          Result
 	token        uint32
 	update       Update
-	gen          int // of the roster that was asked
+	gen          int // generation of the roster client
 	addr         string
 	load         chan<- Load
 	table        *settings.Table
@@ -116,58 +116,58 @@
 	server cluster.Addr
 }
 
-// Load is what a core holds.
+// Load is the current load of a Core.
 type Load struct {
-	Requests int // not yet answered, or with an attempt out
-	Attempts int // out
-	Servers  int // known
+	Requests int // requests that are unanswered or have an attempt in flight
+	Attempts int // attempts in flight
+	Servers  int // known servers
 }
 
-// Core is the requests, servers and decisions of one agent.
+// Core holds the requests, the servers and the Decider of one agent.
 type Core struct {
 	ctx          context.Context
 	log          *slog.Logger
 	reportLoss   func(*loss.Record)
 	zoneNames    map[string]int
 	maxOpen      int
-	classes      atomic.Pointer[[]settings.Class] // those in set
+	classes      atomic.Pointer[[]settings.Class] // set.Classes
 	transport    Transport
-	newRoster    func(addr string, dispatch func(Update)) Roster
-	inputs       chan *input  // an agent that is idle holds none, so they are not kept by value
-	queued       atomic.Int64 // inputs that are queued or taken from the queue, and not handled
-	running      atomic.Bool  // Run works
-	ready        atomic.Bool  // a server can be sent to
-	requestCount atomic.Int64 // requests that have come
-
-	// The lock guards what stands below.
+	newRoster    func(addr string, notify func(Update)) Roster
+	inputs       chan *input  // pointers, so that the empty queue of an idle agent takes little memory
+	queued       atomic.Int64 // inputs that are queued, or taken from the queue but not handled yet
+	running      atomic.Bool  // Run has started
+	ready        atomic.Bool  // at least one server is usable
+	requestCount atomic.Int64 // requests received since the start
+
+	// mu guards the fields below.
 	mu                  sync.Mutex
 	set                 settings.Settings
-	configuredAgents    int // agents, as the settings say
-	observedAgents      int // as a view of the fleet says; 0: there is none
+	configuredAgents    int // number of agents by the settings
+	observedAgents      int // number of agents by the view of the fleet; 0: there is none
 	decider             Decider
-	pending             []input // what Run itself gave rise to, to be handled next
+	pending             []input // inputs created while handling one, to be handled next
 	base                time.Time
 	baseMs              float64
 	requests            map[policy.RequestID]*Request
 	nextID              policy.RequestID
 	ids                 *IDs
-	backends            []*backend // in the order in which they came to be listed
+	backends            []*backend // in the order in which they were first listed
 	byAddr              map[cluster.Addr]*backend
 	roster              Roster
 	rosterAddr          string
 	rosterGen           int
-	seq                 int64                 // version of the list at hand; 0 after a change of roster
-	list                cluster.List          // whole, as the rosters told it
-	excluded            map[cluster.Addr]bool // servers that get nothing, whatever the roster says
+	seq                 int64                 // version of the current list; 0 after a change of roster
+	list                cluster.List          // complete list as received from the rosters
+	excluded            map[cluster.Addr]bool // servers treated as draining, whatever the roster lists
 	watching            bool
 	actions             []policy.Action
-	fleet               *fleetState   // in a fleet; nil: in none
-	reachability        *doubt.Groups // of the module; nil: it doubts no zones
-	reachabilityChanges int           // of that, as last told
+	fleet               *fleetState   // nil: not part of a fleet of very many agents
+	reachability        *doubt.Groups // zone suspicions of the Decider; nil: it has none
+	reachabilityChanges int           // count of changes last logged
 }
 
-// New makes a core that ends with the context; its settings are validated. It is told
-// the list in the options before it returns.
+// New returns a Core that ends with the context, or an error if the settings are invalid.
+// The list in the options is applied before New returns.
 func New(ctx context.Context, o Options) (*Core, error) {
 	set := withOpenCap(o.Settings, o.MaxOpen)
 	var bal Decider
@@ -180,10 +180,11 @@
 	if err != nil {
 		return nil, err
 	}
-	// The module's clock is the Unix time of the start, then monotonic: starts of servers
-	// need no translation, and steps of the system's clock don't show.
+	// The Decider's clock starts at the Unix time and is monotonic from then on: start times of servers
+	// need no conversion, and steps of the system clock have no effect.
 	base := time.Now()
-	c := &Core{ctx: ctx, set: set, configuredAgents: set.Replicas, maxOpen: o.MaxOpen, log: o.Log, reportLoss: o.ReportLoss, zoneNames: o.ZoneNumbers, transport: o.Transport, newRoster: o.NewRoster,
+	c := &Core{ctx: ctx, set: set, configuredAgents: set.Replicas, maxOpen: o.MaxOpen, log: o.Log,
+		reportLoss: o.ReportLoss, zoneNames: o.ZoneNumbers, transport: o.Transport, newRoster: o.NewRoster,
 		inputs: make(chan *input, o.QueueLength), decider: bal, base: base, baseMs: float64(base.UnixMicro()) / 1000,
 		requests: map[policy.RequestID]*Request{}, byAddr: map[cluster.Addr]*backend{},
 		ids: o.IDs}
@@ -209,7 +210,7 @@
 	return c, nil
 }
 
-// withOpenCap has the settings allow no more open requests than the agent has room for.
+// withOpenCap returns the settings with OpenCap set to at most most, the agent's limit of open requests.
 func withOpenCap(set settings.Settings, most int) settings.Settings {
 	if set.Limits.OpenCap <= 0 || set.Limits.OpenCap > most {
 		set.Limits.OpenCap = most
@@ -217,7 +218,7 @@
 	return set
 }
 
-// MaxRequestDuration is how long a request of any class may be open.
+// MaxRequestDuration returns the longest time that a request of any class may be open.
 func MaxRequestDuration(set *settings.Settings) time.Duration {
 	longest := 0.0
 	for _, class := range set.Classes {
@@ -226,31 +227,34 @@
 	return ms(longest)
 }
 
+// ms converts milliseconds to a Duration.
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
+// clock returns the Decider's time, ms.
 func (c *Core) clock() float64 {
 	return c.baseMs + float64(time.Since(c.base))/float64(time.Millisecond)
 }
 
-// RequestCount is how many requests have come since the start.
+// RequestCount returns the number of requests received since the start.
 func (c *Core) RequestCount() int64 { return c.requestCount.Load() }
 
-// Ready tells whether there is a server to send to.
+// Ready reports whether at least one server is usable.
 func (c *Core) Ready() bool { return c.ready.Load() }
 
-// SwitchRoster turns to the roster at another address.
+// SwitchRoster replaces the roster by the one at addr. It returns before the change is made.
 func (c *Core) SwitchRoster(addr string) { c.post(input{kind: inSwitchRoster, addr: addr}) }
 
-// SettingsUpdater is a Decider that can take other settings while it is at work, as policy.Balancer.UpdateSettings does.
+// SettingsUpdater is implemented by a Decider whose settings can be replaced at run time; see
+// policy.Balancer.UpdateSettings.
 type SettingsUpdater interface {
 	UpdateSettings(set settings.Settings, from []int)
 }
 
-// ErrFixedSettings is why settings can't be changed.
-var ErrFixedSettings = errors.New("what decides takes no other settings")
+// ErrFixedSettings is returned by UpdateSettings if the Decider is no SettingsUpdater.
+var ErrFixedSettings = errors.New("decider does not support a change of settings")
 
-// UpdateSettings takes another version of the settings and returns when its classes are known: requests that
-// have come keep their numbers, which mean the same. An error has changed nothing.
+// UpdateSettings replaces the settings and returns when the new classes are in effect. Class numbers of open
+// requests stay valid. If it returns ErrFixedSettings, nothing has changed.
 func (c *Core) UpdateSettings(t *settings.Table) error {
 	if _, able := c.decider.(SettingsUpdater); !able {
 		return ErrFixedSettings
@@ -265,15 +269,15 @@
 	}
 }
 
-// EndpointSnapshot is the list at hand, and the roster whose versions it counts in.
+// EndpointSnapshot is a copy of the current endpoint list and the roster that its versions belong to.
 type EndpointSnapshot struct {
-	Roster       string
-	List         cluster.List   // Seq is 0 where the roster has not told it yet
-	Unresponsive []cluster.Addr `json:"-"` // those that have not answered this agent's last attempt
-	SlowStartMs  float64        `json:"-"` // how long a server is cold, by the settings
+	Roster       string         // address
+	List         cluster.List   // Seq is 0 until the roster has sent a list
+	Unresponsive []cluster.Addr `json:"-"` // servers that did not answer this agent's last attempt
+	SlowStartMs  float64        `json:"-"` // duration of slow start by the settings, ms
 }
 
-// Endpoints tells the list at hand; none, once the core has ended.
+// Endpoints returns the current endpoint list, or a zero snapshot once the core has ended.
 func (c *Core) Endpoints() EndpointSnapshot {
 	known := make(chan EndpointSnapshot, 1)
 	c.post(input{kind: inEndpoints, endpoints: known})
@@ -285,10 +289,10 @@
 	}
 }
 
-// IDs is the core's memory of ids.
+// IDs returns the core's memory of request ids.
 func (c *Core) IDs() *IDs { return c.ids }
 
-// Load tells what is held now; nothing, once the core has ended.
+// Load returns the current load, or a zero Load once the core has ended.
 func (c *Core) Load() Load {
 	load := make(chan Load, 1)
 	c.post(input{kind: inLoad, load: load})
@@ -300,12 +304,12 @@
 	}
 }
 
-// Do takes a request and returns its final answer. It returns at the latest shortly
-// before the request's deadline, and at once when ctx ends: then the client has gone, and
-// work on its behalf is given up as far as the settings allow.
+// Do handles a request and returns its final answer. It returns shortly before the
+// request's deadline at the latest, and at once when ctx ends: the client has then
+// disconnected, and its attempts are cancelled as far as the settings allow.
 func (c *Core) Do(ctx context.Context, r *Request) Answer {
 	answers := make(chan Answer, 1)
-	var gone atomic.Bool // whoever asked; an answer that begins then is nobody's
+	var abandoned atomic.Bool // Do has given up: a streamed answer that begins later must be closed
 	abandon := func() {
 		select {
 		case a := <-answers:
@@ -316,14 +320,14 @@
 		}
 	}
 	r.reply = func(a Answer) {
-		if answers <- a; gone.Load() {
+		if answers <- a; abandoned.Load() {
 			abandon()
 		}
 	}
 	guard := time.NewTimer(time.Until(r.Deadline) - guardMargin)
 	defer guard.Stop()
 	if r.Message.Stream != nil {
-		r.bodyComplete = make(chan time.Time, 1) // all comes once
+		r.bodyComplete = make(chan time.Time, 1) // the body is completed once
 	}
 	c.requestCount.Add(1)
 	c.post(input{kind: inRequest, req: r})
@@ -342,25 +346,24 @@
 		waiting = false
 	}
 	select {
-	case ans := <-answers: // both in one moment: what is known is told
+	case ans := <-answers: // an answer that arrived at the same time takes precedence
 		return ans
 	default:
 	}
-	gone.Store(true)
+	abandoned.Store(true)
 	abandon()
-	// The guard is for a core that is stuck, perhaps with its queue full.
+	// The guard also covers a stuck core, whose queue may be full: don't block.
 	if drop := (input{kind: inDropped, req: r}); !c.tryPost(drop) {
 		go c.post(drop)
 	}
 	return end
 }
 
-// Take takes a request as Do does and returns at once; done is told the final answer, once.
-// It is called in whatever goroutine brings the input that settles it, with the core's lock
-// held: it may neither block nor come back to the core. It sets no timer of its own: whoever
-// takes a request so drops it at its deadline at the latest. After that done is told Gone as
-// soon as nothing of the request is out any more, unless it was told an answer before. Answers are
-// whole, and so at most MaxBody.
+// Take starts a request and returns at once; done is called once with the final answer. done runs
+// with the core's lock held, in the goroutine that handles the deciding input: it must neither
+// block nor call the core. Take sets no timer: the caller must call drop at the request's deadline
+// at the latest. After drop, done is called with ClientGone once no attempt is in flight, unless it
+// was called before. Answers are not streamed, so their bodies have at most MaxBody bytes.
 func (c *Core) Take(r *Request, done func(Answer)) (drop func()) {
 	r.reply, r.buffered = done, true
 	c.requestCount.Add(1)
@@ -368,8 +371,8 @@
 	return func() { c.post(input{kind: inWithdrawn, req: r}) }
 }
 
-// tryHandle handles an input in its bringer's goroutine, if that is free to do: it saves two
-// changes of goroutine a request each.
+// tryHandle handles an input in the calling goroutine if no other input is queued or being handled,
+// and reports whether it did. Each call that succeeds saves two goroutine switches.
 func (c *Core) tryHandle(in input) bool {
 	if !c.running.Load() || !c.mu.TryLock() {
 		return false
@@ -382,8 +385,8 @@
 	return true
 }
 
-// post brings something that happened. It waits while the queue is full and returns at
-// once when the core has ended.
+// post handles or queues an input. It blocks while the queue is full and returns at once
+// when the core has ended.
 func (c *Core) post(in input) {
 	if c.tryHandle(in) {
 		return
@@ -397,7 +400,7 @@
 	}
 }
 
-// tryPost is post, but that it does not wait; it reports whether there was room.
+// tryPost is like post but does not block; it reports whether the input was handled or queued.
 func (c *Core) tryPost(in input) bool {
 	if c.tryHandle(in) {
 		return true
@@ -414,7 +417,7 @@
 	}
 }
 
-// Run handles what is queued until the context ends. Before it runs all is queued.
+// Run handles queued inputs until the context ends. Until Run is called, all inputs are queued.
 func (c *Core) Run() {
 	c.running.Store(true)
 	for {
@@ -430,7 +433,7 @@
 	}
 }
 
-// handle takes one input and all that it gives rise to.
+// handle handles one input and all inputs that this creates.
 func (c *Core) handle(in input) {
 	c.handleOne(in)
 	for len(c.pending) > 0 {
@@ -439,8 +442,8 @@
 	}
 }
 
-// handleOne takes handleOne input. A panic costs the request at hand its decision, and its guard
-// answers it: handleOne bad event must not take down all that the agent holds.
+// handleOne handles one input. A panic is recovered, so that one bad event does not end all requests
+// of the agent; the guard of the affected request answers it.
 func (c *Core) handleOne(in input) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -492,7 +495,9 @@
 		c.decider.(SettingsUpdater).UpdateSettings(c.set, in.table.From)
 		close(in.done)
 	case inEndpoints:
-		in.endpoints <- EndpointSnapshot{Roster: c.rosterAddr, List: cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)}, Unresponsive: c.unresponsiveServers(), SlowStartMs: c.set.Contract.ColdMs}
+		in.endpoints <- EndpointSnapshot{Roster: c.rosterAddr,
+			List:         cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)},
+			Unresponsive: c.unresponsiveServers(), SlowStartMs: c.set.Contract.ColdMs}
 	case inProbed:
 		c.onProbed(in.att, &in.res)
 	case inLoad:
@@ -502,27 +507,27 @@
 		}
 		in.load <- l
 	case inUpdate:
-		if in.gen == c.rosterGen { // else of a roster that is asked no more
+		if in.gen == c.rosterGen { // ignore updates of a former roster
 			c.onUpdate(&in.update)
 		}
 	}
 }
 
-// dispatch hands the module one event and carries out what it decides.
+// dispatch passes an event to the Decider, logs changes of zone suspicion and executes the actions.
 func (c *Core) dispatch(ev *policy.Event) {
 	c.actions = c.decider.Handle(c.clock(), ev, c.actions[:0])
 	if c.reachability != nil && c.reachability.Changes() != c.reachabilityChanges {
 		c.reachabilityChanges = c.reachability.Changes()
 		if zones, all := c.reachability.Doubted(); all {
-			c.log.Warn("no zone answers: this agent's own way may be cut")
+			c.log.Warn("no zone answers: this agent may be cut off from the network")
 		} else {
-			c.log.Warn("zones that answer nothing come last", "zones", c.namesOfZones(zones))
+			c.log.Warn("zones suspected of being unreachable are used last", "zones", c.namesOfZones(zones))
 		}
 	}
 	c.execute()
 }
 
-// namesOfZones names namesOfZones, as far as the core was told how.
+// namesOfZones returns the names of zones, or their numbers where the name is not known.
 func (c *Core) namesOfZones(of []int) []string {
 	names := []string{}
 	for _, zone := range of {
@@ -560,7 +565,7 @@
 		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.MaxAttempts, Coming: r.Message.Stream != nil})
 }
 
-// onBodyComplete has a request's time begin: its server has all of it.
+// onBodyComplete starts a request's time once its server has the complete body.
 func (c *Core) onBodyComplete(a *Attempt) {
 	r := a.Request
 	if a.ended || r.answered {
@@ -570,12 +575,13 @@
 	a.timer.Reset(time.Until(r.Deadline))
 	select {
 	case r.bodyComplete <- r.Deadline:
-	default: // nobody waits any more
+	default: // Do has returned
 	}
-	c.dispatch(&policy.Event{Kind: policy.EvBodyComplete, Request: r.id, Attempt: a.index, LeftMs: float64(r.TimeAfterBody) / float64(time.Millisecond)})
+	c.dispatch(&policy.Event{Kind: policy.EvBodyComplete, Request: r.id, Attempt: a.index,
+		LeftMs: float64(r.TimeAfterBody) / float64(time.Millisecond)})
 }
 
-// onStarted gives a request the answer that begins, unless it has one.
+// onStarted answers a request with a streamed answer that begins, unless it is answered already.
 func (c *Core) onStarted(a *Attempt, res *Result) {
 	r := a.Request
 	if a.ended || r.answered {
@@ -584,12 +590,13 @@
 	}
 	c.dispatch(&policy.Event{Kind: policy.EvStarted, Request: r.id, Attempt: a.index, Server: a.backend.addr})
 	r.mayHaveRun = true
-	c.answer(r, Answer{Outcome: Served, Body: res.Body, Stream: res.Stream, Length: res.Length, ContentType: res.ContentType})
+	c.answer(r, Answer{Outcome: Served, Body: res.Body, Stream: res.Stream, Length: res.Length,
+		ContentType: res.ContentType})
 }
 
 func (c *Core) onOutcome(a *Attempt, res *Result) {
 	if a.ended {
-		return // stopped before its first byte, which its transport tells only now
+		return // stopped before its first byte; its transport reports the end only now
 	}
 	a.ended = true
 	r, b := a.Request, a.backend
@@ -605,13 +612,13 @@
 	r.mayHaveRun = r.mayHaveRun || !res.Status.NeverRan()
 	r.extraAttempts += res.ExtraAttempts
 	if res.Status == policy.NoConnection && r.attemptLimit < policy.MaxUnconnectedAttempts {
-		r.attemptLimit++ // as the module counts
+		r.attemptLimit++ // the Decider grants one more attempt as well
 	}
 	if res.Status == policy.OK {
 		c.answer(r, Answer{Outcome: Served, Body: res.Body, Length: res.Length, ContentType: res.ContentType})
 	}
 	if res.Status == policy.Timeout {
-		// The machine may have vanished; its other connections would be as silent.
+		// The machine may be gone, and with it the peer of all other connections.
 		b.endpoint.CloseIdle()
 	}
 	c.dispatch(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
@@ -620,7 +627,7 @@
 	c.removeIfDone(r)
 }
 
-// answer gives a request its final answer, unless it has one.
+// answer gives a request its final answer, unless it is answered already.
 func (c *Core) answer(r *Request, a Answer) {
 	if !r.answered {
 		c.recordEnd(r, a.Outcome)
@@ -631,8 +638,8 @@
 	}
 }
 
-// stopUnsent stops what of a request that is over has not begun, here or behind a gateway, whether
-// or not the settings allow to cancel what has: it would be work that nobody waits for.
+// stopUnsent stops the attempts of a finished request that have not begun, here or behind a gateway,
+// since no client waits for them. It does so even if the settings forbid cancelling begun attempts.
 func (c *Core) stopUnsent(r *Request) {
 	for _, a := range r.attempts {
 		if !c.stop(a, ErrCancelled, policy.Cancelled) && !a.ended && a.OnAbandoned != nil && a.ctx.Err() == nil {
@@ -641,7 +648,7 @@
 	}
 }
 
-// removeIfDone drops a request that is answered and has no attempt out.
+// removeIfDone removes a request that is answered and has no attempt in flight.
 func (c *Core) removeIfDone(r *Request) {
 	if r.answered && r.inFlight == 0 {
 		if c.requests[r.id] == r {
@@ -655,7 +662,7 @@
 	}
 }
 
-// execute carries out the module's actions in their order.
+// execute carries out the Decider's actions in order.
 func (c *Core) execute() {
 	for i := range c.actions {
 		act := &c.actions[i]
@@ -691,10 +698,10 @@
 		case policy.ActFollow:
 			c.follow()
 		case policy.ActFetch:
-			// The watch brings all that a fetch would, and while there is none its next start is
-			// due at this agent's own moment. Failures come to all agents at once: as many
-			// fetches beside the watches kept a roster that can take each agent's call every
-			// few seconds from answering any (herd+vast 217607910183).
+			// Ignored: the watch delivers all that a fetch would, and if none is running, its next start is
+			// scheduled at a time of this agent's own. Failures reach all agents at once, and their fetches,
+			// on top of the watches, kept a roster that can handle one call per agent every few seconds from
+			// answering at all (herd+vast 217607910183).
 		case policy.ActClose:
 			if b := c.byAddr[act.Server]; b != nil {
 				b.endpoint.CloseIdle()
@@ -729,7 +736,7 @@
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if !b.usable || r.answered {
-		// The module sends to what is listed as ready only; should it not, nothing goes out.
+		// The Decider sends to usable servers only. This guards against a fault in it: nothing is sent.
 		c.stop(a, nil, policy.Abandoned)
 		return
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -266,7 +266,8 @@
 	}
 	r.reachability.Judge(4, 100)
 	r.handle(input{kind: inTimer})
-	if got := lines.String(); strings.Count(got, "own way may be cut") != 1 || strings.Count(got, "come last") != 2 || !strings.Contains(got, "zones=[west]") || !strings.Contains(got, "zones=[]") {
+	if got := lines.String(); strings.Count(got, "agent may be cut off from the network") != 1 ||
+		strings.Count(got, "unreachable are used last") != 2 || !strings.Contains(got, "zones=[west]") || !strings.Contains(got, "zones=[]") {
 		t.Errorf("the log says %s", got)
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -10,15 +10,16 @@
 	"molepaddle/policy"
 )
 
-// fleetState is the agent's fleetState in a fleet of very many: the agent's own order of the list, which the
-// module is handed, and what is put off so that all do not come at once. The core's
-// goroutine owns it. A nil fleetState puts nothing off.
+// fleetState is the agent's state in a fleet of very many agents. It computes the agent's own order of the
+// endpoint list, which the Decider gets, and delays watches and probes so that the agents' calls are spread
+// out. The core's goroutine owns it. A nil fleetState delays nothing.
 type fleetState struct {
 	machine     *fleet.Machine
-	lastUpdate  float64 // when it told anything last, or was asked to
-	replanTimer *time.Timer
+	lastUpdate  float64     // last update from the roster, or start of the next watch if later, ms
+	replanTimer *time.Timer // nil: none is running
 }
 
+// newFleetState returns the state of an agent that starts now.
 func newFleetState(o fleet.Options, set *settings.Settings, seed uint64, now float64) (*fleetState, error) {
 	m, err := fleet.New(o, set, seed, now)
 	if err != nil {
@@ -27,30 +28,32 @@
 	return &fleetState{machine: m, lastUpdate: now}, nil
 }
 
-// mergeList keeps a whole list up to date.
-func mergeList(whole *cluster.List, kind cluster.ListKind, list *cluster.List) {
+// mergeList applies a list or a change of it to the complete list, and removes servers that are gone.
+func mergeList(complete *cluster.List, kind cluster.ListKind, list *cluster.List) {
 	if kind != cluster.ListDelta {
-		*whole = cluster.List{Servers: slices.Clone(list.Servers)}
+		*complete = cluster.List{Servers: slices.Clone(list.Servers)}
 	} else {
 		for _, s := range list.Servers {
-			i := slices.IndexFunc(whole.Servers, func(o cluster.Server) bool { return o.Server == s.Server })
+			i := slices.IndexFunc(complete.Servers, func(o cluster.Server) bool { return o.Server == s.Server })
 			if i < 0 {
-				whole.Servers = append(whole.Servers, s)
+				complete.Servers = append(complete.Servers, s)
 			} else {
-				whole.Servers[i] = s
+				complete.Servers[i] = s
 			}
 		}
 	}
-	whole.Servers = slices.DeleteFunc(whole.Servers, func(s cluster.Server) bool { return s.Health == cluster.Gone })
-	whole.Seq = list.Seq
+	complete.Servers = slices.DeleteFunc(complete.Servers, func(s cluster.Server) bool { return s.Health == cluster.Gone })
+	complete.Seq = list.Seq
 }
 
+// recordUpdate records an update from the roster.
 func (p *fleetState) recordUpdate(now float64) {
 	if p != nil {
 		p.lastUpdate = now
 	}
 }
 
+// followDelay returns how long to delay the next watch.
 func (p *fleetState) followDelay(now float64) time.Duration {
 	if p == nil {
 		return 0
@@ -60,6 +63,7 @@
 	return ms(wait)
 }
 
+// probeDelay returns how long to delay a probe.
 func (p *fleetState) probeDelay() time.Duration {
 	if p == nil {
 		return 0
@@ -67,13 +71,14 @@
 	return ms(p.machine.Probe())
 }
 
-// SetFleetSize tells how many agents share the fleet's bounds and which of them this one is, from 0.
+// SetFleetSize sets the number of agents that share the fleet's limits, and this agent's rank among them,
+// from 0.
 func (c *Core) SetFleetSize(agents, rank int) {
 	c.post(input{kind: inFleetSize, agents: agents, rank: rank})
 }
 
-// setFleetSize takes the greater of that number and the one that was told into what is shared by all agents
-// together: the part in the fleet, and what each sends to cold servers.
+// setFleetSize applies the greater of the given and the configured number of agents to this agent's part of the
+// fleet's limits: its plan, and the load that it sends to servers in slow start.
 func (c *Core) setFleetSize(agents, rank int) {
 	if c.fleet != nil && c.fleet.machine.Crowd(agents, rank) {
 		c.replan()
@@ -90,7 +95,7 @@
 	}
 }
 
-// runAfter does something now, or has it come as an input after a while.
+// runAfter calls now if wait is not positive, and otherwise posts in after wait.
 func (c *Core) runAfter(wait time.Duration, in input, now func()) {
 	if wait <= 0 {
 		now()
@@ -99,7 +104,7 @@
 	time.AfterFunc(wait, func() { c.post(in) })
 }
 
-// replan settles the agent's part anew and applies it.
+// replan computes the agent's plan again and applies the resulting list.
 func (c *Core) replan() {
 	p := c.fleet
 	now := c.clock()
@@ -124,20 +129,20 @@
 	}
 }
 
-// recordRefusal notes that a request found no room.
+// recordRefusal records a refused request, which may require a new plan.
 func (c *Core) recordRefusal() {
 	if c.fleet != nil && c.fleet.machine.Refused(c.clock()) {
 		c.pending = append(c.pending, input{kind: inReplan})
 	}
 }
 
-// overloadDuration is how long a server that refused a connection while it answered others is taken for
-// one with as many connections as it bears.
+// overloadDuration is how long a server that refused a connection while it answered other requests is
+// treated as at its connection limit.
 const overloadDuration = 30 * time.Second
 
-// checkConnectFailure settles what a connection that did not come up says. Where the server has answered
-// others since the attempt began it runs, and is full: nobody is demoted for that, and idle
-// connections to it are given back sooner.
+// checkConnectFailure reinterprets a failed connect. If the server has answered since the attempt began, it is
+// running and has reached its connection limit: the status becomes Full, which does not demote the server, and
+// the endpoint is notified so that it closes idle connections sooner.
 func (c *Core) checkConnectFailure(a *Attempt, res *Result) {
 	if c.fleet == nil && c.reportLoss == nil {
 		return
--- a/internal/core/ids.go
+++ b/internal/core/ids.go
@@ -12,31 +12,31 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// IDs is the memory of ids that several cores share, where one front end brings requests to
-// more than one of them.
+// IDs remembers the ids of recent requests, to detect duplicates. Several cores share one if a front
+// end passes requests to more than one of them. It is safe for concurrent use.
 type IDs struct {
 	mu sync.Mutex
 	m  *idSet
 }
 
-// NewIDs makes a memory that knows an id for as long as a request of these settings may be
-// open, and longer.
+// NewIDs returns an IDs that remembers an id for longer than a request of these settings may be
+// open.
 func NewIDs(set *settings.Settings) *IDs {
 	return &IDs{m: newIDSet(MaxRequestDuration(set) + idMargin)}
 }
 
-// idMargin is how much longer than any request may be open its id is known.
+// idMargin is how much longer than the longest request an id is remembered.
 const idMargin = time.Second
 
-// extendRetention has ids known for so long, unless they are for longer.
+// extendRetention makes ids remembered for atLeast or longer.
 func (s *IDs) extendRetention(atLeast time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.m.retention = max(s.m.retention, atLeast)
 }
 
-// Add notes an id that a request comes with now, and reports whether it is new. A core notes
-// those of the requests that it takes itself.
+// Add records the id of a request that arrives now, and reports whether it is new. A core itself
+// records the ids of the requests passed to it.
 func (s *IDs) Add(id string) bool { return s.add(id, time.Now()) }
 
 func (s *IDs) add(id string, at time.Time) bool {
@@ -45,23 +45,24 @@
 	return s.m.add(id, at)
 }
 
-// IDSnapshot is what is known of ids, in a form that another process understands.
+// IDSnapshot is a copy of the remembered ids that is passed to another process.
 type IDSnapshot struct {
-	Key    uint64   // of the sums
-	Recent []uint64 // sums of ids that are known for longer than those in Older
-	Older  []uint64
+	Key    uint64   // hash key
+	Recent []uint64 // hashes of the current generation, which expire after those in Older
+	Older  []uint64 // hashes of the previous generation
 }
 
-// Copy gives all that is known at the time given; from now on what is noted is also kept for Since.
+// Copy returns the ids remembered at the given time and starts recording new ids for TakeRecorded.
 func (s *IDs) Copy(at time.Time) IDSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.m.rotate(at)
 	s.m.recording, s.m.recorded = true, nil
-	return IDSnapshot{Key: s.m.key, Recent: slices.Collect(maps.Keys(s.m.recent)), Older: slices.Collect(maps.Keys(s.m.older))}
+	return IDSnapshot{Key: s.m.key, Recent: slices.Collect(maps.Keys(s.m.recent)),
+		Older: slices.Collect(maps.Keys(s.m.older))}
 }
 
-// TakeRecorded gives the sums of the ids noted since Copy or TakeRecorded was called last.
+// TakeRecorded returns the hashes of the ids added since the last call of Copy or TakeRecorded.
 func (s *IDs) TakeRecorded() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,14 +71,14 @@
 	return noted
 }
 
-// StopRecording ends what Copy began.
+// StopRecording ends the recording started by Copy.
 func (s *IDs) StopRecording() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.m.recording, s.m.recorded = false, nil
 }
 
-// Restore takes over another process's memory in the place of this one's, which has noted nothing yet.
+// Restore replaces the remembered ids, which must be empty, by another process's snapshot.
 func (s *IDs) Restore(o IDSnapshot, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// AddHashes takes over sums that another process has noted since.
+// AddHashes adds hashes that another process has recorded since its snapshot.
 func (s *IDs) AddHashes(sums []uint64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,30 +102,30 @@
 	}
 }
 
-// idSet knows the ids of the requests that came of late, in two generations. An id
-// comes once, so one that is known is another client's or a copy: sent on while the
-// first is open it would be a second attempt that nobody decided.
+// idSet holds the ids of recent requests in two generations. Each request has a new id, so a
+// known id is a collision or a duplicate: forwarded while the first request is open, it would be
+// an attempt that the Decider did not decide on.
 type idSet struct {
-	retention     time.Duration // how long an id is known at the least
-	key           uint64        // drawn at the start, so that nobody can choose ids that collide
+	retention     time.Duration // least time that an id is remembered
+	key           uint64        // random, so that clients can't choose ids that collide
 	recent, older map[uint64]struct{}
 	rotatedAt     time.Time
 	recording     bool
 	recorded      []uint64
 }
 
-func newIDSet(keep time.Duration) *idSet {
-	return &idSet{retention: keep, key: rand.Uint64(), recent: map[uint64]struct{}{}}
+func newIDSet(retention time.Duration) *idSet {
+	return &idSet{retention: retention, key: rand.Uint64(), recent: map[uint64]struct{}{}}
 }
 
-// rotate forgets what is old at the time given.
+// rotate discards the older generation if the retention time has passed since the last rotation.
 func (m *idSet) rotate(at time.Time) {
 	if at.Sub(m.rotatedAt) >= m.retention {
 		m.older, m.recent, m.rotatedAt = m.recent, make(map[uint64]struct{}, len(m.recent)), at
 	}
 }
 
-// add notes an id that comes at the time given, and reports whether it is new.
+// add adds an id at the given time and reports whether it is new.
 func (m *idSet) add(id string, at time.Time) bool {
 	m.rotate(at)
 	sum := hashID(m.key, id)
@@ -141,13 +142,13 @@
 	return true
 }
 
-// hashID is a hash of an id, the same for the same key in every process.
+// hashID returns the hash of an id, which is the same in every process with the same key.
 func hashID(key uint64, id string) uint64 {
 	sum := key
 	for i := 0; i < len(id); i += 8 {
-		var word [8]byte
-		copy(word[:], id[i:])
-		sum = arith.Mix(sum ^ arith.Mix(binary.LittleEndian.Uint64(word[:])+key))
+		var chunk [8]byte
+		copy(chunk[:], id[i:])
+		sum = arith.Mix(sum ^ arith.Mix(binary.LittleEndian.Uint64(chunk[:])+key))
 	}
 	return arith.Mix(sum + uint64(len(id)))
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// probeTarget is what a server is asked to tell whether it is well: any 200 says so.
+	// probeTarget is the request target of health checks; a server is healthy if it answers 200.
 	probeTarget = "/health"
-	// minProbeTimeout is the least time that a probe has, however short connects are bounded.
+	// minProbeTimeout is the minimum time-out of a probe, however short the connect time-out is.
 	minProbeTimeout = 250 * time.Millisecond
 )
 
-// probe asks a server whether it is well. To a transport it is an attempt of a request
-// without an id, which no client has asked; it counts as none. The module bounds how many
-// are out, and hears of each how it ended.
+// probe starts a health check of a server. For the transport it is an attempt of a request
+// without an id. It counts neither as a request nor as an attempt. The Decider limits the
+// number of probes in flight and gets the result of each.
 func (c *Core) probe(addr cluster.Addr) {
 	b := c.byAddr[addr]
 	if b == nil || !b.usable {
@@ -38,7 +38,7 @@
 	}
 }
 
-// onProbed tells the module how a probe ended.
+// onProbed passes the result of a probe to the Decider.
 func (c *Core) onProbed(a *Attempt, res *Result) {
 	b := a.backend
 	b.probes = slices.DeleteFunc(b.probes, func(o *Attempt) bool { return o == a })
@@ -46,7 +46,7 @@
 		LatencyMs: float64(res.duration) / float64(time.Millisecond), Report: report(res.Load, c.set.Report.Names)})
 }
 
-// cancelProbes gives up the probes of a server that is not to be sent to any more.
+// cancelProbes cancels the probes in flight of a server that is no longer usable.
 func (b *backend) cancelProbes() {
 	for _, a := range b.probes {
 		if !a.Withdraw(ErrDrained) {
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// report reads the values that the settings name from a load report of the form
-// 'TEXT name=value, name=value'. It is taken whole or not at all: a value that is
-// missing or makes no sense would look like an idle server.
+// report returns the values of the given names from a load report of the form
+// 'TEXT name=value, name=value'. It returns nil if a value is missing, repeated, negative
+// or not a finite number, because a default value would make the server look idle.
 func report(text string, names []string) []float32 {
 	text, found := strings.CutPrefix(text, "TEXT ")
 	if !found || len(names) == 0 {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -8,64 +8,64 @@
 	"molepaddle/policy"
 )
 
-// MaxBody bounds what is held of a body of a request and of an answer, in bytes. What is longer goes
-// through a window.Pipe, where front end and transport have one, and is at most window.Most.
+// MaxBody is the maximum size, in bytes, of a request or answer body that is buffered. A longer body is
+// streamed through a window.Pipe, if front end and transport support it, and has at most window.Most bytes.
 const MaxBody = window.Short
 
-// Message is what goes on to a server unchanged, whatever protocol brought it and
-// whatever carries it on.
+// Message is the part of a request that is forwarded to a server unchanged, independent of the
+// protocols of front end and transport.
 type Message struct {
 	Method         string
-	Target         string // path and query, as they came
+	Target         string // path and query as received
 	Host           string
 	ContentType    string // empty: none
 	IdempotencyKey string // empty: none
-	Body           []byte // at most MaxBody; where there is a Rest, the first part
-	// Stream is what comes after Body and has not all come yet; nil: nothing. Length is then that of
-	// the whole, -1 where it is not known. Whoever fills in a Stream also fills in the request's Left.
+	Body           []byte // at most MaxBody bytes; with a Stream, the first part of the body
+	// Stream is the part of the body after Body, which is still being received; nil: none. Length is then
+	// the length of the complete body, -1 if unknown. With a Stream, the request's TimeAfterBody must be set.
 	Stream *window.Pipe
 	Length int64
 }
 
-// Request is one request of a client. A front end fills in the exported fields, hands it
-// to Do once, and neither changes it nor the body until nothing of it can be out any
-// more, which it can't know: it never uses them again.
+// Request is one request of a client. A front end sets the exported fields and passes it to Do
+// or Take once. It must not change or reuse the request or its body afterwards, since attempts
+// may use them for an unknown time.
 type Request struct {
-	ID       string // the client's, new with every request; goes on to the server
-	Class    int    // index into the settings' classes
-	Tenant   int    // index into the settings' tenants; -1: none of them
-	Key      uint64 // what the request is about; 0: nothing
-	HintMs   float64
-	HasHint  bool
-	Retry    bool      // the client has asked for the same before
+	ID       string    // set by the client, new for every request; forwarded to the server
+	Class    int       // index into the settings' classes
+	Tenant   int       // index into the settings' tenants; -1: none
+	Key      uint64    // affinity key; 0: none
+	HintMs   float64   // expected work, ms
+	HasHint  bool      // HintMs is set
+	Retry    bool      // the client has sent the same request before
 	Deadline time.Time // when the client stops waiting
 	Message  Message
-	// TimeAfterBody is how long the client waits from when the last byte of its body has come, where that has a
-	// Rest; Deadline then reckons with the longest that it may take to come.
+	// TimeAfterBody is how long the client waits after the last byte of a body that has a Stream. Deadline
+	// then allows for the longest time that the body may take.
 	TimeAfterBody time.Duration
 
-	// What came over a link brings more with it; all of it may be zero.
-	MaxAttempts  int         // attempts it may have at the most; 0: as many as the settings allow
-	BeginBy      time.Time   // when the last moment is for an attempt to begin
-	Gate         func() bool // asked before the first byte of each attempt; false: none goes out
-	Deduplicated bool        // its id may come again: whoever brings it knows repeats by other means
+	// Set for requests received over a link; all may be zero.
+	MaxAttempts  int         // limit of attempts; 0: as the settings say
+	BeginBy      time.Time   // latest start of an attempt; zero: none
+	Gate         func() bool // called before the first byte of each attempt; false: the attempt must not begin
+	Deduplicated bool        // the caller detects duplicates, so the core does not check the id
 
-	// What stands below belongs to the core's goroutine.
-	reply         func(Answer)   // called once, and does not block
-	buffered      bool           // its answer has to be whole
-	bodyComplete  chan time.Time // Do's guard: when the time is up, now that all has come
+	// The fields below are owned by the core's goroutine.
+	reply         func(Answer)   // receives the final answer; must not block
+	buffered      bool           // the answer must not be streamed
+	bodyComplete  chan time.Time // receives the deadline for Do's guard once the body is complete
 	id            policy.RequestID
 	answered      bool
-	dropped       bool // reply is owed a Gone when nothing is out any more
+	dropped       bool // reply is to be called with ClientGone once no attempt is in flight
 	mayHaveRun    bool // an attempt may have run
-	extraAttempts int  // attempts that others made for it
-	attemptLimit  int  // attempts it may have, by the settings it came under
+	extraAttempts int  // further attempts made by gateways
+	attemptLimit  int  // by the settings at its arrival and MaxAttempts
 	attempts      []*Attempt
-	inFlight      int // attempts out
+	inFlight      int // attempts in flight
 	timing        requestTiming
 }
 
-// hasStartedAttempt tells whether an attempt is out of which a byte may have been written.
+// hasStartedAttempt reports whether an attempt is in flight of which a byte may have been written.
 func (r *Request) hasStartedAttempt() bool {
 	for _, a := range r.attempts {
 		if !a.ended && a.stage.Load() == sending {
@@ -75,8 +75,8 @@
 	return false
 }
 
-// spentAttempts is what the module is told to have been spent of a request's attempts: all, once a part
-// of its body is no longer to be had.
+// spentAttempts returns the number of further attempts to report to the Decider: spent, or the limit of
+// attempts once a part of the body was consumed, since the request can't be sent again.
 func (r *Request) spentAttempts(spent int) int {
 	if r.Message.Stream != nil && r.Message.Stream.Taken() {
 		return max(spent, r.attemptLimit)
@@ -84,31 +84,32 @@
 	return spent
 }
 
-// Outcome is what became of a request.
+// Outcome is the result of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Failed           Outcome = iota // it may have run
-	Served                          // Body, Rest and ContentType are a server's
-	Refused                         // asking again is harmless; RetryAfter says when
-	Duplicate                       // not taken: its id came before
-	DeadlineExceeded                // its time is up; it may have run
-	ClientGone                      // its client has left: nobody is to be told
+	Failed           Outcome = iota // the request may have run
+	Served                          // Body, Stream and ContentType are from a server
+	Refused                         // the client may safely retry, after RetryAfter
+	Duplicate                       // rejected: the id was used before
+	DeadlineExceeded                // the deadline has passed; the request may have run
+	ClientGone                      // the client has disconnected
 )
 
-// Answer is the final answer to a request: there is one for each.
+// Answer is the final answer to a request.
 type Answer struct {
 	Outcome Outcome
 	Body    []byte
-	Stream  *window.Pipe // of a served one, what comes after Body; whoever takes the answer leaves it at the end
-	// Of a served one, where there is a Rest or the method is HEAD: of the whole; -1: not known.
+	Stream  *window.Pipe // the body after Body if Served, nil: none; the receiver must call Leave when done
+	// Length is the length of the complete body, -1 if unknown. It is set if Served, with a Stream or for the
+	// method HEAD.
 	Length      int64
 	ContentType string
-	RetryAfter  time.Duration // 0: no advice
+	RetryAfter  time.Duration // 0: none
 	Ran         bool          // an attempt may have run
-	Attempts    int           // that were made
+	Attempts    int           // attempts made
 }
 
-// Classes are the classes of requests that the core knows, by their numbers.
+// Classes returns the classes of requests by number.
 func (c *Core) Classes() []settings.Class { return *c.classes.Load() }
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -7,37 +7,40 @@
 	"molepaddle/policy"
 )
 
-// Roster asks the service that lists the servers. Its methods return at once; what comes
-// of a call is told as News, from whatever goroutine. The core has one call of each kind
-// out at a time.
+// Roster is a client of the service that lists the servers. Its methods return at once and
+// report results as Updates, from any goroutine. The core has at most one call of each kind
+// in progress.
 type Roster interface {
-	// Fetch asks for the whole list once and tells Fetched. An eager call is tried again
-	// for a while if it fails: a new roster is to be heard soon. Only a new one is asked so.
+	// Fetch requests the complete list once and reports Fetched. If eager, a failed call is
+	// retried for a while, so that a new roster answers soon; the core sets it after a change
+	// of roster only.
 	Fetch(eager bool)
-	// Watch follows the changes after a version: Changed for each, WatchEnded at its end.
+	// Watch follows the changes after a version. It reports Changed for each and WatchEnded
+	// at its end. eager is as for Fetch.
 	Watch(since int64, eager bool)
-	// Close ends all calls. What they still tell is not listened to.
+	// Close ends all calls. The core ignores Updates that still arrive.
 	Close()
 }
 
-// UpdateKind tells what a roster's news is.
+// UpdateKind is the kind of an Update; it determines which fields are set.
 type UpdateKind uint8
 
-// The kinds of news.
+// The kinds of updates.
 const (
 	Fetched    UpdateKind = iota // List, or Err
 	Changed                      // List
 	WatchEnded                   // Err
 )
 
-// Update is what comes of a call to the roster.
+// Update is a result of a call to the roster.
 type Update struct {
 	Kind UpdateKind
 	List cluster.List
 	Err  error
 }
 
-// onUpdate applies what a roster tells, in the order of the lists' versions.
+// onUpdate applies an update from the roster. Fetched lists and changes that are older than the current
+// version are ignored; a complete list from a watch always applies.
 func (c *Core) onUpdate(n *Update) {
 	c.fleet.recordUpdate(c.clock())
 	switch n.Kind {
@@ -46,7 +49,7 @@
 		case n.Err != nil:
 			c.log.Warn("roster: fetch failed", "err", n.Err)
 			c.dispatch(&policy.Event{Kind: policy.EvList, List: cluster.ListFailed})
-		case n.List.Seq >= c.seq: // the watch may have told more meanwhile
+		case n.List.Seq >= c.seq: // the watch may have delivered a newer list in the meantime
 			c.updateList(cluster.ListFull, &n.List)
 		}
 	case Changed:
@@ -67,15 +70,15 @@
 	}
 }
 
-// watchRetryDelay is how long after its end a watch of a pushed list is begun again, at the most.
+// watchRetryDelay is the maximum delay until an ended watch of a pushed list is restarted.
 const watchRetryDelay = 250 * time.Millisecond
 
-// pushed tells whether lists come unasked. The module, to which a simulator hands them,
-// does not ask to follow them then; on real sockets they come by a watch all the same, at
-// no cost to a service that stands on the agent's own machine.
+// pushed reports whether lists are pushed. The Decider, which gets them from the simulator in
+// that case, does not request a watch then. On real sockets they still arrive by a watch that the
+// core starts itself, which costs little since the service runs on the agent's own machine.
 func (c *Core) pushed() bool { return c.set.Membership == "pushed" }
 
-// follow watches the list from the version at hand on.
+// follow starts to watch the list from the current version, unless a watch is running or scheduled.
 func (c *Core) follow() {
 	if c.watching {
 		return
@@ -88,9 +91,9 @@
 	c.runAfter(wait, input{kind: inWatch, gen: c.rosterGen}, func() { c.roster.Watch(c.seq, false) })
 }
 
-// switchRoster turns to another roster: the old one's calls end and what they tell no longer
-// counts, the new one is asked for all that it knows, at once. Until it tells, the list
-// at hand and all connections stay. Its versions have nothing to do with the old.
+// switchRoster replaces the roster. The calls to the old one end and their updates are ignored;
+// the new one is asked for the complete list at once. Until it answers, the current list and all
+// connections stay in use. The versions of the two rosters are unrelated.
 func (c *Core) switchRoster(addr string) {
 	if addr == c.rosterAddr {
 		return
@@ -103,7 +106,7 @@
 	c.roster.Watch(0, true)
 }
 
-// openRoster makes the client of a roster, the news of which count from now on.
+// openRoster creates the client of a roster; only its updates are applied from now on.
 func (c *Core) openRoster(addr string) {
 	c.rosterGen++
 	gen := c.rosterGen
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -11,19 +11,19 @@
 // backend is one listed server. The core's goroutine owns it.
 type backend struct {
 	addr         cluster.Addr
-	dial         string
-	startMs      float64
-	usable       bool // listed as ready
+	dial         string  // address to connect to
+	startMs      float64 // start of its process by the list, ms
+	usable       bool    // listed as ready
 	endpoint     Endpoint
-	lastAnswer   time.Time  // when it answered anything last, known in a fleet or for an account only
-	attempts     []*Attempt // out now, in the order of their start
-	probes       []*Attempt // the same of probes
-	unresponsive bool       // it has not answered the last attempt that told anything of it
+	lastAnswer   time.Time  // last answer of any kind; kept only in a fleet or if losses are reported
+	attempts     []*Attempt // attempts in flight, in the order of their start
+	probes       []*Attempt // probes in flight, in the order of their start
+	unresponsive bool       // the last conclusive attempt got no answer
 	zone         int
 }
 
-// recordStatus notes what an attempt's end says of the server. One unanswered attempt is enough: the module
-// sends it nothing more then until it is checked, so there may be no second for long.
+// recordStatus updates unresponsive from the end of an attempt. One unanswered attempt is enough, since the
+// Decider then sends the server nothing until it is validated, so a second one may take long.
 func (b *backend) recordStatus(s policy.Status) {
 	switch s {
 	case policy.Timeout, policy.ConnectFailed:
@@ -33,7 +33,7 @@
 	}
 }
 
-// unresponsiveServers is the servers that are.
+// unresponsiveServers returns the addresses of the unresponsive servers.
 func (c *Core) unresponsiveServers() (all []cluster.Addr) {
 	for _, b := range c.backends {
 		if b.unresponsive {
@@ -43,7 +43,7 @@
 	return all
 }
 
-// updateList takes a list, and applies what of it is this agent's.
+// updateList merges a list into the current one and applies it as this agent is to use it.
 func (c *Core) updateList(kind cluster.ListKind, list *cluster.List) {
 	c.seq = list.Seq
 	mergeList(&c.list, kind, list)
@@ -54,30 +54,30 @@
 	c.apply(kind, c.withExclusions(list), 0)
 }
 
-// Exclude has the servers named be treated as draining, and no others for another reason than the
-// roster's word, which holds beside this: none becomes ready by it. It returns once that is in force:
-// nothing new begins at them from then on.
+// Exclude replaces the set of excluded servers, which are treated as draining even if the roster
+// lists them as ready. It never makes a server ready that the roster lists otherwise. When it
+// returns, the set is in effect: no new attempts begin at excluded servers.
 func (c *Core) Exclude(servers []cluster.Addr) {
-	alone, done := map[cluster.Addr]bool{}, make(chan struct{})
+	excluded, done := map[cluster.Addr]bool{}, make(chan struct{})
 	for _, s := range servers {
-		alone[s] = true
+		excluded[s] = true
 	}
-	c.post(input{kind: inExclude, excluded: alone, done: done})
+	c.post(input{kind: inExclude, excluded: excluded, done: done})
 	select {
 	case <-done:
 	case <-c.ctx.Done():
 	}
 }
 
-func (c *Core) exclude(alone map[cluster.Addr]bool) {
+func (c *Core) exclude(excluded map[cluster.Addr]bool) {
 	was := c.excluded
-	if c.excluded = alone; c.fleet != nil {
+	if c.excluded = excluded; c.fleet != nil {
 		c.replan()
 		return
 	}
 	change := &cluster.List{Seq: c.list.Seq}
 	for _, s := range c.list.Servers {
-		if was[s.Server] != alone[s.Server] {
+		if was[s.Server] != excluded[s.Server] {
 			change.Servers = append(change.Servers, s)
 		}
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-// withExclusions is a list with those that are to be left alone as draining.
+// withExclusions returns the list with excluded servers marked as draining.
 func (c *Core) withExclusions(list *cluster.List) *cluster.List {
 	if len(c.excluded) == 0 {
 		return list
@@ -101,7 +101,8 @@
 	return &mine
 }
 
-// apply applies a list: to the connections first, then the module is told.
+// apply applies a list to the connections and then passes it to the Decider. least is the least number of
+// servers to send to; 0: not given.
 func (c *Core) apply(kind cluster.ListKind, list *cluster.List, least int) {
 	entries := make([]cluster.Entry, len(list.Servers))
 	named := map[cluster.Addr]bool{}
@@ -120,8 +121,8 @@
 			c.backends = append(c.backends, b)
 		}
 		if s.Health != cluster.Gone && (b.endpoint == nil || b.dial != s.Dial || b.startMs != s.SinceMs) {
-			// Connections to another address or to the process before are of no use, and
-			// what has not begun there must not.
+			// Connections to the former address or process are useless, and attempts that
+			// have not begun there must not begin.
 			if b.endpoint != nil {
 				c.withdraw(b)
 				b.endpoint.Retire()
@@ -131,7 +132,7 @@
 		b.usable, b.zone = s.Health == cluster.Ready, s.Zone
 	}
 	usable := false
-	for _, b := range slices.Clone(c.backends) { // drop takes out of it
+	for _, b := range slices.Clone(c.backends) { // removeIfUnused modifies c.backends
 		if kind != cluster.ListDelta && !named[b.addr] {
 			b.usable = false
 		}
@@ -145,8 +146,8 @@
 	c.ready.Store(usable)
 }
 
-// withdraw stops the attempts of which no byte has gone out, and closes the connections
-// that stand idle: a server that drains, is gone or is another now gets nothing more.
+// withdraw stops the attempts at a server of which no byte was written, and closes its idle
+// connections, since the server is draining, gone or replaced.
 func (c *Core) withdraw(b *backend) {
 	for _, a := range b.attempts {
 		c.stop(a, ErrDrained, policy.Full)
@@ -155,17 +156,18 @@
 	b.endpoint.CloseIdle()
 }
 
-// stop gives an attempt up if no byte of it went out; then it has ended, in the order in
-// which attempts are stopped, whenever its transport comes to know.
+// stop stops an attempt of which no byte was written, and reports whether it did. Its end is then
+// handled in the order of the calls to stop, independently of when its transport reports it.
 func (c *Core) stop(a *Attempt, cause error, as policy.Status) bool {
 	if !a.Withdraw(cause) {
 		return false
 	}
-	c.pending = append(c.pending, input{kind: inOutcome, att: a, res: Result{Status: as, duration: time.Since(a.started)}})
+	c.pending = append(c.pending, input{kind: inOutcome, att: a,
+		res: Result{Status: as, duration: time.Since(a.started)}})
 	return true
 }
 
-// removeIfUnused forgets a server that is not to be sent to and has no attempt out.
+// removeIfUnused removes a server that is not usable and has no attempt in flight.
 func (c *Core) removeIfUnused(b *backend) {
 	if !b.usable && len(b.attempts) == 0 {
 		b.endpoint.Retire()
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -15,32 +15,34 @@
 	"molepaddle/policy"
 )
 
-// Transport carries attempts to servers. It is used by the core's goroutine only.
+// Transport sends attempts to servers. It is used by the core's goroutine only.
 type Transport interface {
-	// Endpoint is one process of a server, as the list has it; with no address, it is of none.
-	// It opens nothing yet. The core has one at a time for a server, and retires it when
-	// the server is gone, has another address or is a new process.
+	// Endpoint returns an endpoint for one process of a listed server; a server without an
+	// address has no process. It opens no connection yet. The core uses one endpoint at a
+	// time for a server, and retires it when the server is gone, its address changes or its
+	// process is new.
 	Endpoint(s *cluster.Server) Endpoint
 }
 
-// Endpoint is the way to one process of a server, with the connections that are kept to
-// it. The core's goroutine calls its methods, and none of them may block: what waits goes
-// into goroutines of the transport, such as Attempt.Go starts.
+// Endpoint is a connection pool to one process of a server. The core's goroutine calls its
+// methods, and none of them may block: blocking work belongs into goroutines of the
+// transport, such as those started by Attempt.Go.
 type Endpoint interface {
-	// Start carries the attempt, and ends it by Attempt.End or Go exactly once. What of
-	// its connections an attempt uses is settled before Start returns, so that attempts
-	// started one after the other find them in that order. An error means that it can't
-	// be carried: nothing of it goes out, and the transport is done with it.
+	// Start sends the attempt, and ends it by Attempt.End or Attempt.Go exactly once. The
+	// connection that an attempt uses is chosen before Start returns, so that attempts
+	// get connections in the order of their start. An error means that the attempt can't
+	// be sent: nothing of it was written, and the transport no longer uses it.
 	Start(a *Attempt) error
 	// CloseIdle closes the connections that carry no attempt.
 	CloseIdle()
-	// Retire does the same, and closes the others when their attempts end.
+	// Retire closes the idle connections, and the others when their attempts end.
 	Retire()
 }
 
-// OverloadObserver is an Endpoint that can be told that its server has more connections than it takes:
-// for so long, those that stand idle are given back sooner.
+// OverloadObserver is implemented by an Endpoint that closes idle connections sooner while its server is
+// at its connection limit.
 type OverloadObserver interface {
+	// Crowded notifies the endpoint that its server is at its connection limit until the given time.
 	Crowded(until time.Time)
 }
 
@@ -48,51 +50,51 @@
 const (
 	notStarted int32 = iota // no byte was written
 	sending                 // a byte may have been written
-	withdrawn               // withdrawn before a byte was written: none will be
+	withdrawn               // no byte was written, and none will be
 )
 
-// Attempt is one send of a request to a server. The core makes it; the transport carries
-// it, and may use it until it has ended it.
+// Attempt is one send of a request to a server. The core creates it; the transport carries
+// it out, and may use it until it has ended it.
 //
-// What a transport owes: it writes nothing of the request before Begin has said true, and
-// nothing at all if it says false. It stops when the Context ends, and before it ends the
-// attempt the connection is closed or otherwise such that no byte of the attempt follows:
-// the core may start another at once.
+// A transport writes nothing of the request before Begin has returned true, and nothing at
+// all if Begin returns false. It stops when Context ends. Before it ends the attempt, it
+// closes the connection or makes sure otherwise that no further byte of the attempt is
+// written, because the core may start another attempt at once.
 //
-// When it may say that an attempt never ran (Status.NeverRan): where Begin was not asked
-// or said false, where the last byte of the request was not written and can't be any
-// more, or where the server has said so. In doubt it may have run. Broken tells the first
-// two apart from the rest.
+// A transport may report that an attempt never ran (Status.NeverRan) only if Begin was not
+// called or returned false, if the last byte of the request was not written and never will
+// be, or if the server has said so. In any other case it may have run. FailedResult detects
+// the first case; its caller reports the second.
 type Attempt struct {
-	Request      *Request // not to be changed
-	AttemptsLeft int      // attempts that the request may still have, this one included
-	// OnAbandoned is called, in a goroutine of its own, when nobody waits for the answer any more and
-	// the attempt, which has begun, is let run: what the transport has handed on may not have begun
-	// there. Start may set it; nil: there is no such place.
+	Request      *Request // must not be changed
+	AttemptsLeft int      // attempts that the request may still have, including this one
+	// OnAbandoned is called in its own goroutine when the client no longer waits for the answer and the attempt,
+	// which has begun, is not cancelled: a gateway behind the transport may not have begun it yet. Start may set
+	// it; nil: not called.
 	OnAbandoned func()
 
 	end           func(Result)
-	notify        func(inputKind, *Result) // what comes before the end; nil: nobody is told
+	notify        func(inputKind, *Result) // reports events before the end; nil: not called
 	timer         *time.Timer              // of the time-out
 	started       time.Time
-	answerStarted time.Time // when its answer began; zero: it is not passed on
+	answerStarted time.Time // start of a streamed answer; zero: not streamed
 	deadline      time.Time
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
 	stage         atomic.Int32
-	beginBy       time.Time // when it may no longer begin; zero: while the context lasts
+	beginBy       time.Time // latest start; zero: no limit but the context
 
-	// What stands below belongs to the core's goroutine.
+	// The fields below are owned by the core's goroutine.
 	index    int
 	backend  *backend
-	ended    bool // its outcome was taken
+	ended    bool // its result was handled
 	ending   loss.How
 	duration time.Duration
 }
 
-// NewAttempt makes an attempt that ends with the context or, at the latest, after the
-// time-out; end is told how, once. The core makes its attempts so, and so may whoever
-// drives a transport without a core, as its tests do.
+// NewAttempt returns an attempt that ends with the context, or after the time-out at the
+// latest; end is called once with its result. It is used by the core, and by code that
+// uses a transport without a core, such as the transports' tests.
 func NewAttempt(ctx context.Context, r *Request, timeout time.Duration, end func(Result)) *Attempt {
 	a := &Attempt{Request: r, end: end, started: time.Now()}
 	a.deadline = a.started.Add(timeout)
@@ -106,43 +108,46 @@
 	return a
 }
 
-// ErrNoSocket is why an attempt never ran for want of a descriptor: its server is not to
-// blame. Transports wrap it in what they hand to Broken.
+// ErrNoSocket means that an attempt never ran because no file descriptor was available, which
+// is no fault of the server. Transports wrap it in the error passed to FailedResult.
 var ErrNoSocket = errors.New("no socket left for a new connection")
 
-// ErrNoConnection is why an attempt never ran where the way to its server is closed for now, which
-// says nothing of the server.
-var ErrNoConnection = errors.New("no way to the server for now")
+// ErrNoConnection means that an attempt never ran because no connection to its server is available
+// at present, which is no sign of a fault of the server.
+var ErrNoConnection = errors.New("no connection to the server available")
 
-// startErrorStatus is how an attempt ended that could not begin because of err.
+// startErrorStatus returns the status of an attempt that could not begin because of err.
 func startErrorStatus(err error) policy.Status {
 	switch {
 	case errors.Is(err, ErrNoConnection):
 		return policy.NoConnection
 	case errors.Is(err, ErrNoSocket):
-		return policy.Full // its server is not to blame
+		return policy.Full // does not demote the server
 	}
 	return policy.ConnectFailed
 }
 
-// Why attempts are given up, as the cause of their contexts' end.
+// The causes with which the contexts of attempts are cancelled.
 var (
+	// ErrCancelled is the cause if the request is over or the Decider cancelled the attempt.
 	ErrCancelled = errors.New("attempt cancelled")
-	ErrDrained   = errors.New("server drains or is gone")
+	// ErrDrained is the cause if the server is no longer usable.
+	ErrDrained = errors.New("server is draining or gone")
 
-	errBeginTimeout = errors.New("the time to begin in is over")
+	errBeginTimeout = errors.New("attempt did not begin in time")
 )
 
-// Context ends when the attempt is over: at its time-out, when it is cancelled or when
-// the agent ends. Its cause tells which; it carries no deadline of its own.
+// Context returns a context that ends with the attempt: at its time-out, when it is cancelled
+// or when the agent ends; its cause tells these apart. The context has no deadline of its own.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
-// Deadline is when the agent stops waiting for the attempt.
+// Deadline returns the time at which the agent stops waiting for the attempt.
 func (a *Attempt) Deadline() time.Time { return a.deadline }
 
-// Begin is asked before the first byte is written; false means that none may be. A keyed
-// repeat may begin within the window of its key only, however long connecting took. The request's Gate may take
-// its time: until it has spoken the attempt can still be withdrawn, and its time to begin in goes on.
+// Begin must be called before the first byte is written; if it returns false, no byte may be
+// written. It enforces the latest start of the attempt, such as the end of a retry's idempotency
+// window, however long connecting took. The request's Gate may block: until it returns, the
+// attempt can be withdrawn and its time to begin can run out.
 func (a *Attempt) Begin() bool {
 	if g := a.Request.Gate; a.pastBeginBy() || g != nil && (a.stage.Load() != notStarted || !g() || a.pastBeginBy()) {
 		a.Withdraw(errBeginTimeout)
@@ -151,12 +156,12 @@
 	return a.stage.CompareAndSwap(notStarted, sending)
 }
 
-// pastBeginBy tells whether the time to begin in is over.
+// pastBeginBy reports whether the latest start of the attempt has passed.
 func (a *Attempt) pastBeginBy() bool { return !a.beginBy.IsZero() && !time.Now().Before(a.beginBy) }
 
-// ServerTimeout is what the server is to be told of the time that is left, where its answer takes so long
-// back. False means that it is too little for anything: then the attempt is withdrawn, unless it had
-// begun, and nothing may be written.
+// ServerTimeout returns the time-out to send to the server: the time left less back, the time that its
+// answer takes to return. It returns false if too little time is left; the attempt is then withdrawn,
+// unless it has begun, and nothing may be written.
 func (a *Attempt) ServerTimeout(back time.Duration) (time.Duration, bool) {
 	left, ok := budget.Hop(time.Until(a.deadline), back)
 	if !ok {
@@ -165,11 +170,11 @@
 	return left, ok
 }
 
-// BeginBy is the last moment for Begin; zero: while the context lasts.
+// BeginBy returns the latest start of the attempt; zero: no limit but the context.
 func (a *Attempt) BeginBy() time.Time { return a.beginBy }
 
-// Withdraw stops an attempt of which no byte went out, for the cause given, and reports
-// whether it did: one that had begun or was stopped before it leaves alone.
+// Withdraw cancels an attempt of which no byte was written, with the given cause, and reports
+// whether it did. It has no effect on an attempt that has begun or was withdrawn before.
 func (a *Attempt) Withdraw(cause error) bool {
 	if !a.stage.CompareAndSwap(notStarted, withdrawn) {
 		return false
@@ -178,11 +183,11 @@
 	return true
 }
 
-// Cancel ends the attempt's context for the cause given, whatever has gone out.
+// Cancel cancels the attempt's context with the given cause, whether or not the attempt has begun.
 func (a *Attempt) Cancel(cause error) { a.cancel(cause) }
 
-// BodyComplete is called when the last byte of a request whose body has a Rest was written: the server
-// begins, and the time that the client waits.
+// BodyComplete must be called when the last byte of a request whose body has a Stream was written. The
+// server's work and the client's time (Request.TimeAfterBody) begin then.
 func (a *Attempt) BodyComplete() {
 	a.started = time.Now()
 	a.deadline = a.started.Add(a.Request.TimeAfterBody)
@@ -191,19 +196,20 @@
 	}
 }
 
-// CanStream tells whether an answer may be passed on as it comes. Else it is taken whole or not at all.
+// CanStream reports whether the answer may be streamed. If not, only a complete answer is accepted.
 func (a *Attempt) CanStream() bool { return a.notify != nil && !a.Request.buffered }
 
-// StartStream hands on an answer that Passes: the Rest of res is written to after that, and the attempt ends
-// when all of it was, or can't be. There is no time-out from now on.
+// StartStream passes on the beginning of a streamed answer; CanStream must be true. The transport then writes
+// to the Stream of res, and ends the attempt when the answer is complete or has failed. The attempt has no
+// time-out from now on.
 func (a *Attempt) StartStream(res Result) {
 	a.answerStarted = time.Now()
 	a.timer.Stop()
 	a.notify(inStarted, &res)
 }
 
-// Go carries the attempt in a goroutine of its own and ends it with what it returns. A
-// panic must not end the process with all that it holds: what had begun may have run.
+// Go runs carry in a new goroutine and ends the attempt with its result. A panic in carry is
+// recovered, so that it does not end the process: an attempt that had begun may have run.
 func (a *Attempt) Go(carry func() Result) {
 	go func() {
 		var res Result
@@ -218,7 +224,7 @@
 	}()
 }
 
-// End tells the core how the attempt ended. It is called once.
+// End reports the result of the attempt to the core. It must be called exactly once.
 func (a *Attempt) End(res Result) {
 	a.cancel(nil)
 	if res.duration = time.Since(a.started); !a.answerStarted.IsZero() {
@@ -227,9 +233,9 @@
 	a.end(res)
 }
 
-// FailedResult is the result of an attempt that got no whole answer, because of err. cut says
-// that a part of the request was not written and can't be any more.
-func (a *Attempt) FailedResult(err error, cut bool) Result {
+// FailedResult returns the result of an attempt that got no complete answer because of err. incomplete
+// means that a part of the request was not written and never will be.
+func (a *Attempt) FailedResult(err error, incomplete bool) Result {
 	never := a.stage.CompareAndSwap(notStarted, withdrawn) || a.stage.Load() == withdrawn
 	cause := context.Cause(a.ctx)
 	status := policy.Reset
@@ -242,7 +248,7 @@
 		status = startErrorStatus(err)
 	case errors.Is(cause, ErrCancelled):
 		status = policy.Cancelled
-	case never || cut:
+	case never || incomplete:
 		status = policy.ConnectFailed
 	case cause != nil:
 		status = policy.Timeout
@@ -250,15 +256,15 @@
 	return Result{Status: status}
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Status        policy.Status
-	Body          []byte       // of a served one, whole, or what comes before Rest
-	Stream        *window.Pipe // of one that has Begun
-	Length        int64        // as Answer has it
+	Body          []byte       // if served, the complete body or the part before Stream
+	Stream        *window.Pipe // if started by StartStream
+	Length        int64        // see Answer.Length
 	ContentType   string
-	Load          string // the server's load report, as it came; empty: none
-	ExtraAttempts int    // attempts that were made for it beyond the one, by a gateway it went through
+	Load          string // the server's load report as received; empty: none
+	ExtraAttempts int    // further attempts made by a gateway on the path
 
 	duration time.Duration
 	panicked error
--- a/internal/rig/world/mutants_test.go
+++ b/internal/rig/world/mutants_test.go
@@ -176,7 +176,7 @@
 	{"a body that was cut goes on", "internal/protocol/httpfront/bodies.go",
 		"		case err != nil:\n			return n, false, broken(err)\n		case n == len", "		case err != nil:\n			return n, true, nil\n		case n == len"},
 	{"in a fleet, a change of a server is not taken over", "internal/core/fleet.go",
-		"				whole.Servers[i] = s\n", "				p.list.Servers[i].Weight = s.Weight\n"},
+		"				complete.Servers[i] = s\n", "				complete.Servers[i].Weight = s.Weight\n"},
 	{"in a fleet, the watch is put off for too long", "internal/decide/fleet/fleet.go",
 		"math.Max(math.Min(every, left), 0) * m.rng.Float64()", "math.Max(left, 0) + 20*every"},
 	{"in a fleet, a draining server is as good as another", "internal/decide/fleet/fleet.go",
