--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -24,10 +24,10 @@
 	"molepaddle/policy"
 )
 
-// fakeTransport holds what it was told to carry.
+// fakeTransport records the attempts that it is given.
 type fakeTransport struct {
 	started []*Attempt
-	err     error // why nothing can be carried
+	err     error // returned by Start
 }
 
 type fakeEndpoint struct {
@@ -46,7 +46,7 @@
 func (e *fakeEndpoint) CloseIdle() { e.idleClosed++ }
 func (e *fakeEndpoint) Retire()    { e.retired++ }
 
-// fakeRoster notes what it is asked.
+// fakeRoster records the calls that it gets.
 type fakeRoster struct {
 	addr   string
 	tell   func(Update)
@@ -58,7 +58,7 @@
 func (f *fakeRoster) Watch(int64, bool) { f.asked = append(f.asked, "watch") }
 func (f *fakeRoster) Close()            { f.closed = true }
 
-// harness is a core that a test drives by hand; Run does not run.
+// harness is a core whose inputs a test handles one by one, without Run.
 type harness struct {
 	*Core
 	transport *fakeTransport
@@ -78,19 +78,22 @@
 func newHarness(t *testing.T, servers ...cluster.Server) *harness {
 	t.Helper()
 	class := func(name string, effect settings.Effect) settings.Class {
-		return settings.Class{Name: name, AimMs: 20000, GiveUpMs: 30000, Credit: 1, Effect: effect, Group: settings.GroupAll, KeyTTLMs: 20000}
+		return settings.Class{Name: name, AimMs: 20000, GiveUpMs: 30000, Credit: 1, Effect: effect,
+			Group: settings.GroupAll, KeyTTLMs: 20000}
 	}
 	set := settings.Settings{Membership: "pushed", Replicas: 1, RoundMs: 5, Weights: "nominal",
-		Classes: []settings.Class{class("look", settings.Free), class("send", settings.Guarded), class("order", settings.SingleShot)},
-		Limits:  settings.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, KeepaliveMs: 30000},
+		Classes: []settings.Class{class("look", settings.Free), class("send", settings.Guarded),
+			class("order", settings.SingleShot)},
+		Limits: settings.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, KeepaliveMs: 30000},
 		Contract: settings.Contract{AskWithinMs: 10000, ColdFrom: 0.3, ColdMs: 8000, DrainGraceMs: 250,
 			FallMultiple: 2.5, TipAfterMs: 1000}}
 	r := &harness{transport: &fakeTransport{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var err error
-	r.Core, err = New(ctx, Options{Settings: set, Seed: 1, InitialList: listOf(1, true, servers...), MaxOpen: 100, QueueLength: 16,
-		Transport: r.transport, RosterAddr: "first", Log: slog.New(slog.DiscardHandler),
+	r.Core, err = New(ctx, Options{Settings: set, Seed: 1, InitialList: listOf(1, true, servers...), MaxOpen: 100,
+		QueueLength: 16,
+		Transport:   r.transport, RosterAddr: "first", Log: slog.New(slog.DiscardHandler),
 		NewRoster: func(addr string, tell func(Update)) Roster {
 			f := &fakeRoster{addr: addr, tell: tell}
 			r.rosters = append(r.rosters, f)
@@ -102,7 +105,7 @@
 	return r
 }
 
-// answerChannels holds where the answers to the tests' requests come.
+// answerChannels maps each request of a test to the channel of its answer.
 var answerChannels sync.Map
 
 func answersTo(q *Request) chan Answer {
@@ -110,7 +113,7 @@
 	return c.(chan Answer)
 }
 
-// startRequest takes a request as Do does.
+// startRequest starts a request as Do does.
 func (r *harness) startRequest(class int, id string) *Request {
 	q := &Request{ID: id, Class: class, Deadline: time.Now().Add(time.Hour)}
 	answers := make(chan Answer, 1)
@@ -120,7 +123,7 @@
 	return q
 }
 
-// mustAnswer is the answer that a request has; there must be one.
+// mustAnswer returns the answer of a request, which must exist.
 func mustAnswer(t *testing.T, q *Request) Answer {
 	t.Helper()
 	select {
@@ -132,7 +135,7 @@
 	}
 }
 
-// endAttempt lets an attempt endAttempt as its transport would, and the core hear of it.
+// endAttempt ends an attempt as its transport would, and lets the core handle the result.
 func (r *harness) endAttempt(a *Attempt, res Result) {
 	a.End(res)
 	r.handle(*<-r.inputs)
@@ -140,7 +143,7 @@
 
 func (r *harness) sendUpdate(n Update) { r.handle(input{kind: inUpdate, update: n, gen: r.rosterGen}) }
 
-// The core speaks no protocol.
+// The core must not depend on a protocol.
 func TestImportsNoHTTP(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -151,7 +154,7 @@
 	}
 }
 
-// An attempt goes out once, and what began is not withdrawn.
+// An attempt begins at most once, and can't be withdrawn after it began.
 func TestAttemptBeginsOnce(t *testing.T) {
 	a := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
 	defer a.Cancel(nil)
@@ -160,7 +163,7 @@
 	}
 }
 
-// What an attempt that got no answer says of itself, by its stage and the cause.
+// The status of an attempt without an answer depends on its stage and on the cause.
 func TestBroken(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -175,7 +178,7 @@
 		{"drained before it began", false, ErrDrained, io.EOF, false, policy.Full},
 		{"drained after it began", true, ErrDrained, io.EOF, false, policy.Timeout},
 		{"cancelled", true, ErrCancelled, io.EOF, false, policy.Cancelled},
-		{"cut", true, nil, io.EOF, true, policy.ConnectFailed},
+		{"incomplete request", true, nil, io.EOF, true, policy.ConnectFailed},
 		{"timed out", true, context.DeadlineExceeded, io.EOF, false, policy.Timeout},
 		{"broken", true, nil, io.EOF, false, policy.Reset},
 	} {
@@ -187,36 +190,35 @@
 			a.Cancel(c.cause)
 		}
 		if got := a.FailedResult(c.err, c.cut).Status; got != c.want {
-			t.Errorf("%s: ended %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: status %d, want %d", c.name, got, c.want)
 		}
 		if a.Begin() {
-			t.Errorf("%s: a byte may still go out after the end", c.name)
+			t.Errorf("%s: the attempt may begin after its end", c.name)
 		}
 		a.Cancel(nil)
 	}
 }
 
-// A repeat that may begin for a while only does not begin after it, never ran, and is of
-// no use for a further try.
+// An attempt does not begin after its latest start. It then never ran and is not retried.
 func TestBeginAfterTimeLimit(t *testing.T) {
 	a := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
 	a.beginBy = time.Now().Add(time.Hour)
 	if !a.Begin() {
-		t.Fatal("may not begin in time")
+		t.Fatal("the attempt may not begin before its latest start")
 	}
 	late := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
 	late.beginBy = time.Now()
 	if late.Begin() || late.FailedResult(io.EOF, false).Status != policy.Abandoned {
-		t.Fatal("began after its time")
+		t.Fatal("the attempt began after its latest start, or its status is wrong")
 	}
 }
 
-// The account has a request that earned less than it could, once nothing of it is out, with what became of each of its
-// attempts; none that was served in time, and none where nobody wants it.
+// A request that earned less than its full value is reported, once none of its attempts is in flight, with the result
+// of each attempt. Requests served in time are not reported, and none is without a ReportLoss function.
 func TestLossRecords(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
 	var got []loss.Record
-	r.startRequest(2, "nobody wants it")
+	r.startRequest(2, "not reported")
 	r.reportLoss = func(rec *loss.Record) { got = append(got, *rec) }
 	done := func(id string, how ...Result) {
 		t.Helper()
@@ -233,16 +235,18 @@
 	}
 	done("in time", Result{Status: policy.OK})
 	done("broken", Result{Status: policy.Error})
-	done("elsewhere", Result{Status: policy.Full}, Result{Status: policy.Timeout})
-	if len(got) != 2 || got[0].Outcome != "failed" || loss.Of(&got[0]) != loss.Struck || got[0].Worth != got[1].Worth || loss.Of(&got[1]) != loss.Unreached || len(got[1].Tries) != 2 {
+	done("retried", Result{Status: policy.Full}, Result{Status: policy.Timeout})
+	if len(got) != 2 || got[0].Outcome != "failed" || loss.Of(&got[0]) != loss.Struck || got[0].Worth != got[1].Worth ||
+		loss.Of(&got[1]) != loss.Unreached || len(got[1].Tries) != 2 {
 		t.Fatalf("%+v", got)
 	}
-	if how := got[1].Tries[0].How; how != loss.Full || got[1].Tries[0].Server == got[1].Tries[1].Server || got[0].Valid() != nil {
+	if how := got[1].Tries[0].How; how != loss.Full || got[1].Tries[0].Server == got[1].Tries[1].Server ||
+		got[0].Valid() != nil {
 		t.Errorf("%+v", got[1])
 	}
 }
 
-// A zone that the module comes to doubt is told once, by its name, and again when it is doubted no more.
+// A zone that becomes suspected is logged once, by its name, and the end of the suspicion is logged as well.
 func TestSuspectedZonesAreLogged(t *testing.T) {
 	r := newHarness(t)
 	var lines strings.Builder
@@ -267,13 +271,14 @@
 	r.reachability.Judge(4, 100)
 	r.handle(input{kind: inTimer})
 	if got := lines.String(); strings.Count(got, "agent may be cut off from the network") != 1 ||
-		strings.Count(got, "unreachable are used last") != 2 || !strings.Contains(got, "zones=[west]") || !strings.Contains(got, "zones=[]") {
+		strings.Count(got, "unreachable are used last") != 2 || !strings.Contains(got, "zones=[west]") ||
+		!strings.Contains(got, "zones=[]") {
 		t.Errorf("the log says %s", got)
 	}
 }
 
-// A gate takes its time: what is withdrawn meanwhile, or lapses, does not begin though the gate opens in the end, and
-// never ran; a gate that stays shut keeps it in.
+// An attempt that is withdrawn, or whose latest start passes, while its gate blocks does not begin even if the gate
+// opens, and never ran. Neither does one whose gate returns false.
 func TestSlowGate(t *testing.T) {
 	for name, c := range map[string]struct {
 		opens bool
@@ -281,40 +286,42 @@
 		want  policy.Status
 	}{
 		"drained":  {true, func(a *Attempt) { a.Withdraw(ErrDrained) }, policy.Full},
-		"lapsed":   {true, func(a *Attempt) { a.beginBy = time.Now() }, policy.Abandoned},
-		"shut":     {false, func(*Attempt) {}, policy.Abandoned},
-		"and open": {true, func(*Attempt) {}, policy.Reset},
+		"too late": {true, func(a *Attempt) { a.beginBy = time.Now() }, policy.Abandoned},
+		"closed":   {false, func(*Attempt) {}, policy.Abandoned},
+		"open":     {true, func(*Attempt) {}, policy.Reset},
 	} {
 		var a *Attempt
-		a = NewAttempt(t.Context(), &Request{Gate: func() bool { c.while(a); return c.opens }}, time.Hour, func(Result) {})
+		a = NewAttempt(t.Context(), &Request{Gate: func() bool { c.while(a); return c.opens }}, time.Hour,
+			func(Result) {})
 		if began := a.Begin(); began != (c.want == policy.Reset) {
 			t.Errorf("%s: began %v", name, began)
 		}
 		if got := a.FailedResult(io.EOF, false).Status; got != c.want {
-			t.Errorf("%s: it ended %d", name, got)
+			t.Errorf("%s: wrong status %d", name, got)
 		}
 	}
 }
 
-// The last guard answers should Run never do, and its request is given up; a full queue
-// does not hold the answer back.
+// Do returns at the deadline even if Run never runs, and drops its request; a full queue
+// does not delay it.
 func TestDoReturnsWithoutRun(t *testing.T) {
 	r := newHarness(t)
 	for len(r.inputs) < cap(r.inputs)-1 {
 		r.inputs <- &input{kind: inTimer}
 	}
-	if got := r.Do(t.Context(), &Request{ID: "a", Deadline: time.Now().Add(20 * time.Millisecond)}); got.Outcome != DeadlineExceeded {
+	if got := r.Do(t.Context(), &Request{ID: "a",
+		Deadline: time.Now().Add(20 * time.Millisecond)}); got.Outcome != DeadlineExceeded {
 		t.Fatalf("answered %+v", got)
 	}
 	for n := cap(r.inputs) - 1; n > 0; n-- {
 		<-r.inputs
 	}
 	if first, second := <-r.inputs, <-r.inputs; first.kind != inRequest || second.kind != inDropped {
-		t.Fatalf("the core was told %d, %d", first.kind, second.kind)
+		t.Fatalf("the inputs are of kinds %d and %d, want a request and its drop", first.kind, second.kind)
 	}
 }
 
-// Do returns at once when the client leaves, and the attempt is given up.
+// Do returns at once when the client disconnects, and the attempt is cancelled.
 func TestClientDisconnects(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	ctx, leave := context.WithCancel(t.Context())
@@ -329,25 +336,25 @@
 	}
 	r.handle(*<-r.inputs)
 	if context.Cause(a.Context()) != ErrCancelled {
-		t.Fatal("its attempt goes on")
+		t.Fatal("the attempt was not cancelled")
 	}
 	r.endAttempt(a, a.FailedResult(io.EOF, false))
 	if len(r.requests) != 0 || len(r.byAddr[addr(1)].attempts) != 0 {
-		t.Fatal("something of the request is left")
+		t.Fatal("the request or its attempt was not removed")
 	}
 }
 
-// A panic costs its one input.
+// A panic affects only the input that caused it.
 func TestPanicLosesOneInput(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	r.handle(input{kind: inRequest, req: nil})
 	r.startRequest(0, "a")
 	if len(r.transport.started) != 1 {
-		t.Fatal("nothing goes on after a panic")
+		t.Fatal("the request after a panic was not sent")
 	}
 }
 
-// One final answer each, also where the outcome comes after it.
+// Each request gets exactly one final answer, even if an attempt ends later.
 func TestSingleAnswer(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	q := r.startRequest(2, "a")
@@ -358,47 +365,48 @@
 		t.Fatalf("answered %+v", got)
 	}
 	if again := r.startRequest(2, "a"); mustAnswer(t, again).Outcome != Duplicate || len(r.transport.started) != 1 {
-		t.Fatal("an id that came before was sent again")
+		t.Fatal("a duplicate id was sent")
 	}
 	late := r.startRequest(2, "b")
 	r.handle(input{kind: inDropped, req: late})
 	r.endAttempt(r.transport.started[1], Result{Status: policy.OK})
 	if len(answersTo(late)) != 0 || len(r.requests) != 0 {
-		t.Fatal("an answer after its client had left")
+		t.Fatal("a request was answered after its client had disconnected, or was not removed")
 	}
 	lost := r.startRequest(2, "c")
 	a = r.transport.started[2]
 	a.Begin()
 	r.endAttempt(a, a.FailedResult(io.EOF, false))
 	if got := mustAnswer(t, lost); got.Outcome != Failed {
-		t.Fatalf("what may have run was answered %+v", got)
+		t.Fatalf("a request that may have run was answered %+v", got)
 	}
 }
 
-// A drained server is sent nothing that had not begun: those attempts end at once, in
-// their order, and go elsewhere; what their transport tells later changes nothing.
+// Attempts that have not begun when their server drains end at once, in order, and their
+// requests go to other servers. A later report of their transport changes nothing.
 func TestDrainEndsWhatHasNotBegun(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	q := r.startRequest(2, "a")
 	first := r.transport.started[0]
-	r.sendUpdate(Update{Kind: Changed, List: listOf(2, false, server(1, "a", cluster.Draining, 0), server(2, "b", cluster.Ready, 0))})
+	r.sendUpdate(Update{Kind: Changed, List: listOf(2, false, server(1, "a", cluster.Draining, 0),
+		server(2, "b", cluster.Ready, 0))})
 	if first.Begin() || !errors.Is(context.Cause(first.Context()), ErrDrained) {
-		t.Fatal("the attempt may still go to the drained server")
+		t.Fatal("the attempt may still begin at the drained server")
 	}
 	if len(r.transport.started) != 2 || r.transport.started[1].backend.addr != addr(2) {
-		t.Fatal("it did not go on to the other server")
+		t.Fatal("the request was not retried at the other server")
 	}
 	r.endAttempt(first, first.FailedResult(io.EOF, false))
 	second := r.transport.started[1]
 	second.Begin()
 	r.endAttempt(second, Result{Status: policy.OK})
 	if mustAnswer(t, q).Outcome != Served || len(r.backends) != 1 || len(r.requests) != 0 {
-		t.Fatal("not served by the other, or something is left of the first")
+		t.Fatal("not served by the other server, or the first server or the request was not removed")
 	}
 }
 
-// A server that is to be left alone gets nothing, though the roster calls it ready; what it lists later changes nothing
-// in that; it is sent to again when it may be, unless the roster's word stands against it.
+// An excluded server gets no requests although the roster lists it as ready, now or later. When the exclusion ends it
+// is used again, unless the roster lists it as draining.
 func TestExclude(t *testing.T) {
 	for _, many := range []bool{false, true} {
 		r := newHarness(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
@@ -410,7 +418,7 @@
 		}
 		go r.Run()
 		to := func() map[cluster.Addr]bool {
-			r.Endpoints() // what came before has been handled
+			r.Endpoints() // returns when all earlier inputs are handled
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			usable := map[cluster.Addr]bool{}
@@ -419,7 +427,7 @@
 			}
 			return usable
 		}
-		holds := func(when string, want ...int) {
+		expectUsable := func(when string, want ...int) {
 			t.Helper()
 			usable := to()
 			for i := 1; i <= 2; i++ {
@@ -432,26 +440,26 @@
 			r.post(input{kind: inUpdate, update: Update{Kind: Changed, List: l}, gen: r.rosterGen})
 		}
 		r.Exclude([]cluster.Addr{addr(1)})
-		holds("one is left alone", 2)
+		expectUsable("server 1 excluded", 2)
 		news(listOf(2, false, server(1, "a", cluster.Ready, 0)))
-		holds("the roster says again that it is ready", 2)
+		expectUsable("listed as ready again", 2)
 		news(listOf(3, true, server(1, "a", cluster.Ready, 5), server(2, "b", cluster.Ready, 0)))
-		holds("a whole list has it as another process", 2)
+		expectUsable("complete list with a new process", 2)
 		r.Exclude(nil)
-		holds("nobody is", 1, 2)
+		expectUsable("no server excluded", 1, 2)
 		news(listOf(4, false, server(2, "b", cluster.Draining, 0)))
 		r.Exclude([]cluster.Addr{addr(2)})
 		r.Exclude(nil)
-		holds("the roster's drain holds beside", 1)
+		expectUsable("draining by the roster", 1)
 		if k := r.Endpoints(); len(k.List.Servers) != 2 || k.List.Servers[0].Health != cluster.Ready {
-			t.Errorf("what is told of the list is not the roster's: %+v", k.List)
+			t.Errorf("the snapshot differs from the roster's list: %+v", k.List)
 		}
 	}
 }
 
 func fleetOptions() fleet.Options { o := fleet.Default(); o.Agents = 1; return o }
 
-// What can't be carried has ended before anything else happens, and never ran.
+// An attempt for which Start returns an error has ended before any other input is handled, and never ran.
 func TestStartError(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	r.transport.err = ErrNoSocket
@@ -467,17 +475,17 @@
 	}
 	for _, a := range r.transport.started {
 		if a.Begin() || a.Context().Err() == nil || !a.ended {
-			t.Fatal("an attempt goes on")
+			t.Fatal("an attempt has not ended")
 		}
 	}
 }
 
-// A probe goes out once as a request without an id, the module hears how it ended, and a
-// drained server's is given up.
+// A probe is sent once as a request without an id, the Decider gets its result, and the probe
+// of a drained server is cancelled.
 func TestProbes(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0))
 	r.probe(addr(1))
-	r.probe(addr(2)) // not listed: told at once
+	r.probe(addr(2)) // not listed: ends at once
 	r.handle(input{kind: inTimer})
 	if len(r.transport.started) != 1 {
 		t.Fatalf("%d probes sent", len(r.transport.started))
@@ -490,17 +498,17 @@
 	r.endAttempt(a, Result{Status: policy.OK})
 	b := r.byAddr[addr(1)]
 	if len(b.probes) != 0 || len(b.attempts) != 0 {
-		t.Fatal("a probe is left")
+		t.Fatal("the probe was not removed")
 	}
 	r.probe(addr(1))
 	r.sendUpdate(Update{Kind: Changed, List: listOf(2, false, server(1, "a", cluster.Draining, 0))})
 	if second := r.transport.started[1]; second.Begin() || !errors.Is(context.Cause(second.Context()), ErrDrained) {
-		t.Fatal("a drained server is probed")
+		t.Fatal("the probe of a drained server was not cancelled")
 	}
 }
 
-// A fleet whose servers fail asks its roster for nothing but the watches: one each, whatever the
-// Balancer wishes to be refreshed, and none beside one that is out or due.
+// Fetches that the Balancer requests after failures are not made, whether a watch is running or scheduled: the
+// fetches of all agents would overload the roster.
 func TestFailuresCauseNoFetch(t *testing.T) {
 	for _, watching := range []bool{true, false} {
 		r := newHarness(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
@@ -511,12 +519,12 @@
 		r.actions = append(r.actions[:0], policy.Action{Kind: policy.ActFetch}, policy.Action{Kind: policy.ActFetch})
 		r.execute()
 		if got := r.rosters[0].asked[asked:]; len(got) != 0 {
-			t.Errorf("watched %v: it was asked %q", watching, got)
+			t.Errorf("watching %v: unexpected calls %q", watching, got)
 		}
 	}
 }
 
-// Lists apply in the order of their versions, whichever way they come.
+// Lists apply in the order of their versions, from fetches and watches alike.
 func TestListOrder(t *testing.T) {
 	r := newHarness(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
 	usable := func(i int) bool { b := r.byAddr[addr(i)]; return b != nil && b.usable }
@@ -532,25 +540,25 @@
 	}
 	r.sendUpdate(Update{Kind: Fetched, List: listOf(6, true, ready)})
 	if !usable(0) || usable(1) || r.seq != 6 {
-		t.Fatal("the whole list of version 6 was not applied")
+		t.Fatal("the complete list of version 6 was not applied")
 	}
 	if len(r.backends) != 1 || len(r.byAddr) != 1 {
 		t.Fatalf("%d servers kept, one is listed", len(r.backends))
 	}
 	r.sendUpdate(Update{Kind: Changed, List: listOf(7, false, server(0, "", cluster.Gone, 0))})
 	if len(r.backends) != 0 || r.Ready() {
-		t.Fatal("the server that is gone was kept")
+		t.Fatal("the removed server was kept")
 	}
 }
 
-// A new process or address gets new connections; the server stays the same.
+// A new process or address of a server gets new connections; the server's state is kept.
 func TestNewProcessNewConnections(t *testing.T) {
 	r := newHarness(t, server(0, "a", cluster.Ready, 0))
 	b := r.byAddr[addr(0)]
 	before := b.endpoint.(*fakeEndpoint)
 	r.sendUpdate(Update{Kind: Changed, List: listOf(2, false, server(0, "a", cluster.Ready, 0))})
 	if b.endpoint != before {
-		t.Fatal("connections thrown away though nothing changed")
+		t.Fatal("connections were closed although nothing changed")
 	}
 	r.startRequest(2, "a")
 	waits := r.transport.started[0]
@@ -563,12 +571,12 @@
 		before = now
 	}
 	if !errors.Is(context.Cause(waits.Context()), ErrDrained) || waits.Begin() {
-		t.Fatal("an attempt that had not begun may still go to the old address")
+		t.Fatal("an attempt that had not begun may still begin at the old address")
 	}
 }
 
-// A machine that vanished is silent on all its connections: after a time-out none that
-// stands idle is used again.
+// A machine that is gone answers on none of its connections: after a time-out the idle
+// connections to it are closed.
 func TestTimeoutDropsIdle(t *testing.T) {
 	r := newHarness(t, server(0, "a", cluster.Ready, 0))
 	r.startRequest(2, "a")
@@ -580,8 +588,8 @@
 	}
 }
 
-// A new roster is watched and asked at once, late words of the old one change nothing,
-// and its versions may start lower. Servers stay known meanwhile.
+// A new roster is watched and fetched from at once. Late updates of the old one are ignored, the
+// new one's versions may be lower, and servers stay known in the meantime.
 func TestSwitchRoster(t *testing.T) {
 	r := newHarness(t, server(0, "a", cluster.Ready, 0), server(1, "b", cluster.Ready, 0))
 	r.seq = 41
@@ -589,7 +597,7 @@
 	r.handle(input{kind: inSwitchRoster, addr: "second"})
 	old, next := r.rosters[0], r.rosters[1]
 	if !old.closed || next.addr != "second" || len(next.asked) != 2 {
-		t.Fatalf("asked %v", next.asked)
+		t.Fatalf("calls to the new roster: %v", next.asked)
 	}
 	drains := server(0, "a", cluster.Draining, 0)
 	old.tell(Update{Kind: Changed, List: listOf(42, false, drains)})
@@ -599,19 +607,19 @@
 		r.handle(*<-r.inputs)
 	}
 	if !r.watching || !r.byAddr[addr(0)].usable || r.byAddr[addr(0)].endpoint != before {
-		t.Fatal("a late word of the old roster counted")
+		t.Fatal("a late update of the old roster was applied")
 	}
 	next.tell(Update{Kind: Changed, List: listOf(3, false, drains)})
 	r.handle(*<-r.inputs)
 	if r.byAddr[addr(0)] != nil || r.seq != 3 {
-		t.Fatal("the new roster was not heard")
+		t.Fatal("the update of the new roster was not applied")
 	}
 	if r.handle(input{kind: inSwitchRoster, addr: "second"}); len(r.rosters) != 2 {
 		t.Fatal("the same roster was taken for a new one")
 	}
 }
 
-// A load report is believed whole or not at all.
+// A load report with a missing or invalid value is rejected completely.
 func TestReport(t *testing.T) {
 	got := report("TEXT util=0.61, qps=7, eps=0, other=x", []string{"qps", "util", "eps"})
 	if len(got) != 3 || got[0] != 7 || got[1] != 0.61 || got[2] != 0 {
@@ -625,21 +633,21 @@
 	}
 }
 
-// Ids are forgotten in time, but not before.
+// Ids are remembered for the retention time and removed afterwards.
 func TestIDExpiry(t *testing.T) {
 	m, now := newIDSet(time.Second), time.Now()
 	if !m.add("a", now) || m.add("a", now.Add(900*time.Millisecond)) || m.add("a", now.Add(1500*time.Millisecond)) {
-		t.Fatal("an id that is known was taken for new")
+		t.Fatal("a known id was taken for new")
 	}
 	if !m.add("b", now.Add(2*time.Second)) || !m.add("a", now.Add(4*time.Second)) || len(m.recent)+len(m.older) > 2 {
-		t.Fatal("an old id was kept")
+		t.Fatal("an expired id was kept")
 	}
 }
 
-// Whatever a server says of its load is all of the values that were asked for, each finite
-// and not negative, or nothing.
+// Any load report yields either all requested values, each finite and not negative, or nil.
 func FuzzReport(f *testing.F) {
-	for _, text := range []string{"TEXT qps=1, util=0.5", "TEXT qps=1e39, util=1", "TEXT util=-0,qps=0x1p4", "TEXT ,=,qps", "qps=1"} {
+	for _, text := range []string{"TEXT qps=1, util=0.5", "TEXT qps=1e39, util=1", "TEXT util=-0,qps=0x1p4",
+		"TEXT ,=,qps", "qps=1"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
@@ -655,53 +663,54 @@
 	})
 }
 
-// A request that was taken and dropped is told so when nothing of it is out any more, and
-// once; its gate has the last word on every first byte, and its attempts are its own number.
+// After a request passed to Take is dropped, done is called once, when none of its attempts is in
+// flight. Its gate decides whether an attempt begins, and MaxAttempts limits its attempts.
 func TestTakeAndDrop(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0), server(2, "b", cluster.Ready, 0))
 	open := true
-	var told []Answer
+	var answers []Answer
 	take := func(id string, tries int) (*Request, func()) {
-		q := &Request{ID: id, Class: 2, Deadline: time.Now().Add(time.Hour), MaxAttempts: tries, Deduplicated: true, Gate: func() bool { return open }}
-		drop := r.Take(q, func(a Answer) { told = append(told, a) })
+		q := &Request{ID: id, Class: 2, Deadline: time.Now().Add(time.Hour), MaxAttempts: tries, Deduplicated: true,
+			Gate: func() bool { return open }}
+		drop := r.Take(q, func(a Answer) { answers = append(answers, a) })
 		r.handle(*<-r.inputs)
 		return q, func() { drop(); r.handle(*<-r.inputs) }
 	}
 	_, drop := take("a", 0)
 	a := r.transport.started[0]
 	if !a.Begin() || a.AttemptsLeft != 3 {
-		t.Fatalf("an open gate holds it, or %d attempts are left", a.AttemptsLeft)
+		t.Fatalf("the attempt does not begin with an open gate, or %d attempts are left, want 3", a.AttemptsLeft)
 	}
 	drop()
-	if len(told) != 0 {
-		t.Fatalf("told %+v while an attempt is out", told)
+	if len(answers) != 0 {
+		t.Fatalf("answered %+v while an attempt is in flight", answers)
 	}
 	r.endAttempt(a, a.FailedResult(io.EOF, false))
-	if len(told) != 1 || told[0].Outcome != ClientGone || !told[0].Ran || told[0].Attempts != 1 {
-		t.Fatalf("told %+v at its end", told)
+	if len(answers) != 1 || answers[0].Outcome != ClientGone || !answers[0].Ran || answers[0].Attempts != 1 {
+		t.Fatalf("answered %+v at the end of the attempt", answers)
 	}
-	told, open = nil, false
-	_, _ = take("a", 1) // the same id again: who brings it knows
+	answers, open = nil, false
+	_, _ = take("a", 1) // the same id again: Deduplicated is set
 	a = r.transport.started[1]
 	if a.Begin() || a.AttemptsLeft != 1 {
-		t.Fatalf("a closed gate lets it out, or %d attempts are left", a.AttemptsLeft)
+		t.Fatalf("the attempt begins with a closed gate, or %d attempts are left, want 1", a.AttemptsLeft)
 	}
 	r.endAttempt(a, a.FailedResult(io.EOF, false))
-	if len(told) != 1 || told[0].Ran || told[0].Outcome != Refused {
-		t.Fatalf("told %+v of what never ran", told)
+	if len(answers) != 1 || answers[0].Ran || answers[0].Outcome != Refused {
+		t.Fatalf("a request that never ran was answered %+v", answers)
 	}
-	told, open = nil, true
+	answers, open = nil, true
 	_, _ = take("b", 3)
 	a = r.transport.started[2]
 	a.Begin()
 	r.endAttempt(a, Result{Status: policy.Full, ExtraAttempts: 2}) // a gateway made three attempts of it
-	if len(told) != 1 || told[0].Outcome != Refused || told[0].Attempts != 3 || len(r.transport.started) != 3 {
-		t.Fatalf("told %+v after as many attempts as there may be", told)
+	if len(answers) != 1 || answers[0].Outcome != Refused || answers[0].Attempts != 3 || len(r.transport.started) != 3 {
+		t.Fatalf("answered %+v after the maximum number of attempts", answers)
 	}
 }
 
-// What is known when the time is up or the client leaves in the same moment is told: no request that
-// was answered counts as overdue or gone.
+// An answer that arrives at the deadline, or as the client disconnects, is returned: an answered
+// request never counts as DeadlineExceeded or ClientGone.
 func TestAnswerWinsOverTimeout(t *testing.T) {
 	r := newHarness(t)
 	go r.Run()
@@ -717,39 +726,41 @@
 		}
 		q := &Request{ID: strconv.Itoa(i), Deadline: time.Now().Add(left)}
 		r.mu.Lock()
-		r.ids.add(q.ID, time.Now()) // it came before: answered as it comes
+		r.ids.add(q.ID, time.Now()) // a duplicate, which is answered at once
 		r.mu.Unlock()
 		if got := r.Do(ctx, q); got.Outcome != Duplicate {
-			t.Fatalf("try %d: %+v", i, got)
+			t.Fatalf("request %d: %+v", i, got)
 		}
 	}
 }
 
-// A server is told less than the attempt's time by the way back; with less than a millisecond for it
-// the attempt is withdrawn, and never ran.
+// The time-out sent to a server is the attempt's time left less the time for the way back. With less than
+// a millisecond for the server the attempt is withdrawn and never ran.
 func TestServerTimeout(t *testing.T) {
 	a := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
-	if left, ok := a.ServerTimeout(10 * time.Minute); !ok || left > 50*time.Minute || left < 49*time.Minute || !a.Begin() {
-		t.Errorf("told %v, %v", left, ok)
+	if left, ok := a.ServerTimeout(10 * time.Minute); !ok || left > 50*time.Minute || left < 49*time.Minute ||
+		!a.Begin() {
+		t.Errorf("server time-out %v, %v", left, ok)
 	}
 	late := NewAttempt(t.Context(), &Request{}, time.Hour, func(Result) {})
 	late.deadline = time.Now().Add(900 * time.Microsecond)
-	if _, ok := late.ServerTimeout(0); ok || late.Begin() || late.FailedResult(io.EOF, false).Status != policy.Abandoned {
-		t.Error("something may be written with no time left")
+	if _, ok := late.ServerTimeout(0); ok || late.Begin() ||
+		late.FailedResult(io.EOF, false).Status != policy.Abandoned {
+		t.Error("the attempt may begin with no time left, or its status is wrong")
 	}
 }
 
-// Where cancels are not allowed, what has begun goes on, and its transport is told once that nobody
-// waits; what it was cancelled for or has ended is not.
+// If the settings forbid cancelling, an attempt that has begun continues, and OnAbandoned is called once
+// when its request is over. It is not called for a cancelled attempt.
 func TestOnAbandoned(t *testing.T) { synctest.Test(t, testOnAbandoned) }
 
 func testOnAbandoned(t *testing.T) {
 	r := newHarness(t, server(1, "a", cluster.Ready, 0))
-	told := make(chan int, 9)
+	called := make(chan int, 9)
 	for i, c := range []struct{ begun, cancelled bool }{{true, false}, {true, true}} {
 		q := r.startRequest(2, strconv.Itoa(i))
 		a := r.transport.started[len(r.transport.started)-1]
-		a.OnAbandoned = func() { told <- i }
+		a.OnAbandoned = func() { called <- i }
 		if c.begun {
 			a.Begin()
 		}
@@ -762,16 +773,16 @@
 		r.pending = nil
 	}
 	synctest.Wait()
-	if got := <-told; got != 0 {
-		t.Errorf("attempt %d is told that nobody waits", got)
+	if got := <-called; got != 0 {
+		t.Errorf("OnAbandoned was called for attempt %d, want 0", got)
 	}
-	if len(told) != 0 {
-		t.Errorf("attempt %d too", <-told)
+	if len(called) != 0 {
+		t.Errorf("OnAbandoned was called for attempt %d as well", <-called)
 	}
 }
 
-// What one process knows of ids another knows too, also what is noted after it was copied; and each
-// is forgotten in its time.
+// A second process that restores a snapshot knows the same ids, including those recorded after the snapshot,
+// and each id expires in time.
 func TestIDHandover(t *testing.T) {
 	set := settings.Settings{Classes: []settings.Class{{GiveUpMs: 1000}}}
 	old, next, at := NewIDs(&set), NewIDs(&set), time.Now()
@@ -789,14 +800,14 @@
 		}
 	}
 	if !next.add("e", at) || !next.add("a-longer-id-of-more-than-eighu", at) || len(old.TakeRecorded()) != 0 {
-		t.Error("what nobody has sent is known")
+		t.Error("an id that was never added is known, or a hash was recorded twice")
 	}
 	old.StopRecording()
 	if old.add("f", at); len(old.TakeRecorded()) != 0 {
-		t.Error("noted for nobody")
+		t.Error("an id was recorded after StopRecording")
 	}
 	next.add("g", at.Add(3*time.Second))
 	if !next.add("a", at.Add(6*time.Second)) {
-		t.Error("known for ever")
+		t.Error("an id did not expire")
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -42,7 +42,8 @@
 			}
 		}
 	}
-	complete.Servers = slices.DeleteFunc(complete.Servers, func(s cluster.Server) bool { return s.Health == cluster.Gone })
+	complete.Servers = slices.DeleteFunc(complete.Servers,
+		func(s cluster.Server) bool { return s.Health == cluster.Gone })
 	complete.Seq = list.Seq
 }
 
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -224,7 +224,8 @@
 			}
 			acts = r.tick(5)
 		}
-		if aim := testSettings().Classes[0].AimMs; refused < aim/2 || refused > aim || asked < 4 || asked > MaxUnconnectedAttempts {
+		if aim := testSettings().Classes[0].AimMs; refused < aim/2 || refused > aim || asked < 4 ||
+			asked > MaxUnconnectedAttempts {
 			t.Errorf("%d servers: %d attempts, refused after %v ms of %v", servers, asked, refused, aim)
 		}
 	}
