--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -145,21 +145,21 @@
 	configuredAgents    int // number of agents by the settings
 	observedAgents      int // number of agents by the view of the fleet; 0: there is none
 	decider             Decider
-	pending             []input // inputs created while handling one, to be handled next
-	base                time.Time
-	baseMs              float64
+	pending             []input   // inputs created while handling one, to be handled next
+	base                time.Time // start of the Decider's clock
+	baseMs              float64   // base as Unix time, ms
 	requests            map[policy.RequestID]*Request
-	nextID              policy.RequestID
+	nextID              policy.RequestID // last request id used
 	ids                 *IDs
 	backends            []*backend // in the order in which they were first listed
 	byAddr              map[cluster.Addr]*backend
 	roster              Roster
 	rosterAddr          string
-	rosterGen           int
+	rosterGen           int                   // number of roster clients opened; updates of older ones are ignored
 	seq                 int64                 // version of the current list; 0 after a change of roster
 	list                cluster.List          // complete list as received from the rosters
 	excluded            map[cluster.Addr]bool // servers treated as draining, whatever the roster lists
-	watching            bool
+	watching            bool                  // a watch is running or scheduled
 	actions             []policy.Action
 	fleet               *fleetState   // nil: not part of a fleet of very many agents
 	reachability        *doubt.Groups // zone suspicions of the Decider; nil: it has none
@@ -170,12 +170,12 @@
 // The list in the options is applied before New returns.
 func New(ctx context.Context, o Options) (*Core, error) {
 	set := withOpenCap(o.Settings, o.MaxOpen)
-	var bal Decider
+	var decider Decider
 	var err error
 	if o.NewDecider != nil {
-		bal, err = o.NewDecider(set, o.Seed)
+		decider, err = o.NewDecider(set, o.Seed)
 	} else {
-		bal, err = policy.New(set, o.Seed)
+		decider, err = policy.New(set, o.Seed)
 	}
 	if err != nil {
 		return nil, err
@@ -185,14 +185,14 @@
 	base := time.Now()
 	c := &Core{ctx: ctx, set: set, configuredAgents: set.Replicas, maxOpen: o.MaxOpen, log: o.Log,
 		reportLoss: o.ReportLoss, zoneNames: o.ZoneNumbers, transport: o.Transport, newRoster: o.NewRoster,
-		inputs: make(chan *input, o.QueueLength), decider: bal, base: base, baseMs: float64(base.UnixMicro()) / 1000,
+		inputs: make(chan *input, o.QueueLength), decider: decider, base: base, baseMs: float64(base.UnixMicro()) / 1000,
 		requests: map[policy.RequestID]*Request{}, byAddr: map[cluster.Addr]*backend{},
 		ids: o.IDs}
 	if c.ids == nil {
 		c.ids = NewIDs(&set)
 	}
 	c.classes.Store(&c.set.Classes)
-	if r, able := bal.(interface{ Reach() *doubt.Groups }); able {
+	if r, able := decider.(interface{ Reach() *doubt.Groups }); able {
 		c.reachability = r.Reach()
 	}
 	if o.Fleet != nil {
@@ -542,6 +542,7 @@
 	return names
 }
 
+// onRequest passes a new request to the Decider, or rejects a duplicate.
 func (c *Core) onRequest(r *Request) {
 	if !r.Deduplicated && !c.ids.add(r.ID, time.Now()) {
 		c.answer(r, Answer{Outcome: Duplicate})
@@ -594,6 +595,7 @@
 		ContentType: res.ContentType})
 }
 
+// onOutcome handles the end of an attempt.
 func (c *Core) onOutcome(a *Attempt, res *Result) {
 	if a.ended {
 		return // stopped before its first byte; its transport reports the end only now
@@ -604,7 +606,7 @@
 	c.removeIfUnused(b)
 	r.inFlight--
 	if res.panicked != nil {
-		c.log.Error("attempt ended", "err", res.panicked)
+		c.log.Error("attempt ended by a panic", "err", res.panicked)
 	}
 	c.checkConnectFailure(a, res)
 	b.recordStatus(res.Status)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -71,8 +71,8 @@
 	return cluster.Server{Dial: dial, Entry: cluster.Entry{Server: addr(i), Health: health, SinceMs: born, Weight: 1}}
 }
 
-func listOf(seq int64, whole bool, servers ...cluster.Server) cluster.List {
-	return cluster.List{Seq: seq, Complete: whole, Servers: servers}
+func listOf(seq int64, complete bool, servers ...cluster.Server) cluster.List {
+	return cluster.List{Seq: seq, Complete: complete, Servers: servers}
 }
 
 func newHarness(t *testing.T, servers ...cluster.Server) *harness {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// exclude applies a new set of excluded servers.
 func (c *Core) exclude(excluded map[cluster.Addr]bool) {
 	was := c.excluded
 	if c.excluded = excluded; c.fleet != nil {
--- a/internal/rig/world/mutants_test.go
+++ b/internal/rig/world/mutants_test.go
@@ -140,7 +140,7 @@
 	{"any 503 is taken for turned away", "internal/protocol/transport/attempt.go",
 		" &&\n		resp.Header.Get(\"Not-Started\") == \"1\"", ""},
 	{"one attempt more than allowed", "internal/core/core.go",
-		"	var bal Decider\n", "	set.Limits.MaxAttempts++\n	var bal Decider\n"},
+		"	var decider Decider\n", "	set.Limits.MaxAttempts++\n	var decider Decider\n"},
 	{"keyed repeats go anywhere", "policy/attempts.go",
 		"return c.Group == settings.GroupAll ||", "return true || c.Group == settings.GroupAll ||"},
 	{"the window of a key is not looked at", "policy/attempts.go",
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -207,15 +207,15 @@
 	for _, servers := range []int{1, 3} {
 		r := newHarness(t, testSettings(), servers)
 		id, s := r.mustSend(0, 0)
-		came, asked, refused := r.now, 1, 0.0
+		came, attempts, refused := r.now, 1, 0.0
 		acts := r.outcome(id, 0, s, NoConnection, 0)
 		for refused == 0 {
 			if a := find(acts, ActSend); a != nil {
-				asked++
-				if at := r.now - came; (asked <= servers) != (at == 0) {
-					t.Fatalf("%d servers: attempt %d after %v ms", servers, asked, at)
+				attempts++
+				if at := r.now - came; (attempts <= servers) != (at == 0) {
+					t.Fatalf("%d servers: attempt %d after %v ms", servers, attempts, at)
 				}
-				acts = r.outcome(id, asked-1, a.Server, NoConnection, 0)
+				acts = r.outcome(id, attempts-1, a.Server, NoConnection, 0)
 				continue
 			}
 			if find(acts, ActRefuse) != nil {
@@ -224,9 +224,9 @@
 			}
 			acts = r.tick(5)
 		}
-		if aim := testSettings().Classes[0].AimMs; refused < aim/2 || refused > aim || asked < 4 ||
-			asked > MaxUnconnectedAttempts {
-			t.Errorf("%d servers: %d attempts, refused after %v ms of %v", servers, asked, refused, aim)
+		if target := testSettings().Classes[0].AimMs; refused < target/2 || refused > target || attempts < 4 ||
+			attempts > MaxUnconnectedAttempts {
+			t.Errorf("%d servers: %d attempts, refused after %v ms of %v", servers, attempts, refused, target)
 		}
 	}
 }
@@ -238,14 +238,14 @@
 		id, s := r.mustSend(0, 0)
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
-		lat, calm := r.b.servers[0].latencyRatio, *r.b.normalLatency
+		lat, normalLatency := r.b.servers[0].latencyRatio, *r.b.normalLatency
 		slow, _ := r.mustSendIncomplete(1)
 		r.now += 60_000
 		if started {
 			r.handle(Event{Kind: EvStarted, Request: slow, Attempt: 0})
 		}
 		r.outcome(slow, 0, s, OK, 60_000)
-		if r.b.servers[0].latencyRatio != lat || *r.b.normalLatency != calm || r.b.requests[slow] != nil {
+		if r.b.servers[0].latencyRatio != lat || *r.b.normalLatency != normalLatency || r.b.requests[slow] != nil {
 			t.Errorf("started %v: latency ratio %v, was %v", started, r.b.servers[0].latencyRatio, lat)
 		}
 	}
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -34,13 +34,13 @@
 func TestRejectedAttemptsEarnNoSlowStartCredit(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(4), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
-	cold := r.b.byAddr[addr(4)]
+	starting := r.b.byAddr[addr(4)]
 	for _, st := range []Status{Full, OK} {
-		cold.slowStartCredit = -1
+		starting.slowStartCredit = -1
 		id, s := r.mustSend(1, 7)
 		r.outcome(id, 0, s, st, 20)
-		if earned := cold.slowStartCredit > -1; earned != (st == OK) {
-			t.Errorf("status %d: slow-start credit went from -1 to %.3f", st, cold.slowStartCredit)
+		if earned := starting.slowStartCredit > -1; earned != (st == OK) {
+			t.Errorf("status %d: slow-start credit went from -1 to %.3f", st, starting.slowStartCredit)
 		}
 	}
 }
@@ -139,13 +139,13 @@
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
 		r := newHarness(t, set, 64)
 		r.list(cluster.ListDelta, cluster.Entry{Server: addr(99), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
-		cold := r.b.byAddr[addr(99)]
-		cold.slowStartCredit = 0
+		starting := r.b.byAddr[addr(99)]
+		starting.slowStartCredit = 0
 		r.b.earnSlowStartCredit(r.b.byAddr[addr(0)], 1)
-		return cold.slowStartCredit
+		return starting.slowStartCredit
 	}
-	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
-		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", whole, part)
+	if all, subset := earned(0), earned(10000); subset < 3.5*all || all <= 0 {
+		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", all, subset)
 	}
 }
 
