--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,20 +1,20 @@
-// Package core is the agent between a front end, which brings clients' requests, and a
-// transport, which carries attempts to servers; it knows neither one's protocol. It owns
-// the Balancer and does what that decides; it decides nothing about where, when or
-// whether a request is sent.
+// Package core connects front ends, which receive client requests, with a transport, which
+// sends attempts to servers; it is independent of the protocols of both. A Core owns a
+// Decider, usually a policy.Balancer, feeds it events and carries out its actions. The core
+// itself does not decide where, when or whether a request is sent.
 //
-// Each request that Do takes gets exactly one final answer. What happens reaches the core
-// as inputs, which are handled one by one, and nothing in their handling blocks. One lock
-// guards the Balancer, the requests taken, the servers, their attempts and the memory of
-// ids: whoever brings an input while nobody holds the lock and no input waits handles it
-// there and then; else it goes into a queue, which Run works through in its order. So an
-// input that comes after another, for whoever saw both, is handled after it. Do runs in
-// its caller's goroutine and shares with the rest one channel for the answer. An attempt's
-// stage is the only other thing that both sides change: it settles whether a byte may
-// still go out. What is said elsewhere to belong to the core's goroutine belongs to the
-// one that handles an input.
+// Do and Take may be called from any goroutine. Each request passed to Do gets exactly one
+// final answer. Events reach the core as inputs, which are handled one at a time and without
+// blocking. One lock guards the Decider, the open requests, the servers, their attempts and
+// the known request ids. If the lock is free and no input is queued, the goroutine that posts
+// an input handles it itself; otherwise the input is queued, and Run handles the queue in
+// order. Inputs that were posted one after the other are therefore handled in that order.
+// Do runs in its caller's goroutine and shares only the answer channel with the core. An
+// attempt's stage is the only other state that both sides change: it decides whether a byte
+// may still be written. State documented as owned by the core's goroutine is owned by the
+// goroutine that handles the current input.
 //
-// All time comes from the standard library's clock.
+// All times come from the standard library's clock.
 package core
 
 import (
@@ -36,189 +36,190 @@
 	"molepaddle/policy"
 )
 
-// guardMargin is how long before the client's time is up the last guard answers: later
-// than the module's own last word.
+// guardMargin is how long before a request's deadline the guard timer in Do fires. It is
+// shorter than the Decider's own margin, so the Decider answers first.
 const guardMargin = 2 * time.Millisecond
 
-// Options is what a Core is made of.
+// Options configures a Core.
 type Options struct {
-	Settings   settings.Settings
-	Seed       uint64
-	Known      cluster.List // as last had, perhaps old
-	MaxOpen    int          // requests that may be held at once; the module refuses what is over it
-	Queue      int          // room for what may happen at once, a few times the descriptors
-	Transport  Transport
-	RosterAddr string
-	// NewRoster makes the client of the roster at an address.
-	NewRoster func(addr string, tell func(News)) Roster
+	Settings    settings.Settings
+	Seed        uint64
+	InitialList cluster.List // last known endpoint list, possibly outdated
+	MaxOpen     int          // limit of open requests; the Decider refuses requests beyond it
+	QueueLength int          // capacity of the input queue, a few times the number of descriptors
+	Transport   Transport
+	RosterAddr  string
+	// NewRoster returns a client of the roster at addr, which reports results by notify.
+	NewRoster func(addr string, notify func(Update)) Roster
 	Log       *slog.Logger
-	// NewDecider makes what decides; nil: policy.New. The lab puts baselines there.
+	// NewDecider returns the Decider; nil: policy.New. The lab uses it for baselines.
 	NewDecider func(set settings.Settings, seed uint64) (Decider, error)
-	// IDs is shared with other cores; nil: the core has its own.
+	// IDs may be shared with other cores; nil: the core creates its own.
 	IDs *IDs
-	// Fleet is what the operator has set for very many agents; nil: there are few.
-	Fleet *fleet.Options
-	Zones map[string]int // numbers of zones by their names, for the log
-	// Account is told each request that earned less than it could, once nothing of it is out, by the core's
-	// goroutine, which it must not hold up; nil: nobody is.
-	Account func(*loss.Record)
+	// Fleet configures the agent for a fleet of very many agents; nil: there are few agents.
+	Fleet       *fleet.Options
+	ZoneNumbers map[string]int // zone numbers by name, for log messages
+	// ReportLoss is called for each request that earned less than its full value, once none of its attempts is in
+	// flight. It runs in the core's goroutine and must not block; nil: not called.
+	ReportLoss func(*loss.Record)
 }
 
-// Decider is what decides for a core; policy.Balancer is the one in service.
+// Decider turns events into actions for a Core; policy.Balancer implements it.
 type Decider interface {
 	Start(now float64, out []policy.Action) []policy.Action
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// inKind tells what happened.
-type inKind uint8
+// inputKind is the kind of an input; it determines which fields are set.
+type inputKind uint8
 
-// What may come in.
+// The kinds of inputs and the fields that each sets.
 const (
-	inRequest   inKind = iota // req
-	inDropped                 // req: nobody waits for its answer any more
-	inWithdrawn               // req: the same, of one that was brought by Take
-	inOutcome                 // att, res
-	inTimer                   // token
-	inNews                    // news, gen
-	inTurn                    // addr: another roster's
-	inLoad                    // load
-	inProbed                  // att, res
-	inFollow                  // a pushed list is to be followed again
-	inWatch                   // gen: what was put off
-	inProbe                   // server
-	inPlan                    // the agent's part in the fleet is to be settled anew
-	inCrowd                   // how many agents there are
-	inAlone                   // alone, done
-	inSettings                // table, done
-	inKnown                   // known
-	inWhole                   // att
-	inStarted                 // att, res
+	inRequest      inputKind = iota // req
+	inDropped                       // req: its client no longer waits for an answer
+	inWithdrawn                     // req: as inDropped, for a request passed to Take
+	inOutcome                       // att, res
+	inTimer                         // token
+	inUpdate                        // update, gen
+	inSwitchRoster                  // addr: of the new roster
+	inLoad                          // load
+	inProbed                        // att, res
+	inFollow                        // start watching a pushed list again
+	inWatch                         // gen: start a delayed watch
+	inProbe                         // server
+	inReplan                        // compute this agent's plan in the fleet again
+	inFleetSize                     // agents, rank
+	inExclude                       // excluded, done
+	inSettings                      // table, done
+	inEndpoints                     // endpoints
+	inBodyComplete                  // att
+	inStarted                       // att, res
 )
 
-// input is one thing that happened, on its way to Run.
+// input is one event to be handled by the core.
 type input struct {
-	kind         inKind
+	kind         inputKind
 	req          *Request
 	att          *Attempt
 	res          Result
 	token        uint32
-	news         News
-	gen          int // of the roster that was asked
+	update       Update
+	gen          int // generation of the roster client
 	addr         string
 	load         chan<- Load
 	table        *settings.Table
 	done         chan<- struct{}
-	known        chan<- Known
+	endpoints    chan<- EndpointSnapshot
 	agents, rank int
-	alone        map[cluster.Addr]bool
+	excluded     map[cluster.Addr]bool
 
 	server cluster.Addr
 }
 
-// Load is what a core holds.
+// Load is the current load of a Core.
 type Load struct {
-	Requests int // not yet answered, or with an attempt out
-	Attempts int // out
-	Servers  int // known
+	Requests int // requests that are unanswered or have an attempt in flight
+	Attempts int // attempts in flight
+	Servers  int // known servers
 }
 
-// Core is the requests, servers and decisions of one agent.
+// Core holds the requests, the servers and the Decider of one agent.
 type Core struct {
-	ctx       context.Context
-	log       *slog.Logger
-	account   func(*loss.Record)
-	zoneNames map[string]int
-	maxOpen   int
-	classes   atomic.Pointer[[]settings.Class] // those in set
-	transport Transport
-	newRoster func(addr string, tell func(News)) Roster
-	in        chan *input  // an agent that is idle holds none, so they are not kept by value
-	waiting   atomic.Int64 // inputs that are queued or taken from the queue, and not handled
-	running   atomic.Bool  // Run works
-	ready     atomic.Bool  // a server can be sent to
-	asked     atomic.Int64 // requests that have come
-
-	// The lock guards what stands below.
-	mu         sync.Mutex
-	set        settings.Settings
-	told       int // agents, as the settings say
-	agents     int // as a view of the fleet says; 0: there is none
-	bal        Decider
-	todo       []input // what Run itself gave rise to, to be handled next
-	base       time.Time
-	baseMs     float64
-	requests   map[policy.RequestID]*Request
-	nextID     policy.RequestID
-	ids        *IDs
-	backends   []*backend // in the order in which they came to be listed
-	byAddr     map[cluster.Addr]*backend
-	roster     Roster
-	rosterAddr string
-	rosterGen  int
-	seq        int64                 // version of the list at hand; 0 after a change of roster
-	list       cluster.List          // whole, as the rosters told it
-	alone      map[cluster.Addr]bool // servers that get nothing, whatever the roster says
-	watching   bool
-	actions    []policy.Action
-	part       *part         // in a fleet; nil: in none
-	reach      *doubt.Groups // of the module; nil: it doubts no zones
-	changes    int           // of that, as last told
-}
-
-// New makes a core that ends with the context; its settings are validated. It is told
-// the list in the options before it returns.
+	ctx          context.Context
+	log          *slog.Logger
+	reportLoss   func(*loss.Record)
+	zoneNames    map[string]int
+	maxOpen      int
+	classes      atomic.Pointer[[]settings.Class] // set.Classes
+	transport    Transport
+	newRoster    func(addr string, notify func(Update)) Roster
+	inputs       chan *input  // pointers, so that the empty queue of an idle agent takes little memory
+	queued       atomic.Int64 // inputs that are queued, or taken from the queue but not handled yet
+	running      atomic.Bool  // Run has started
+	ready        atomic.Bool  // at least one server is usable
+	requestCount atomic.Int64 // requests received since the start
+
+	// mu guards the fields below.
+	mu                  sync.Mutex
+	set                 settings.Settings
+	configuredAgents    int // number of agents by the settings
+	observedAgents      int // number of agents by the view of the fleet; 0: there is none
+	decider             Decider
+	pending             []input   // inputs created while handling one, to be handled next
+	base                time.Time // start of the Decider's clock
+	baseMs              float64   // base as Unix time, ms
+	requests            map[policy.RequestID]*Request
+	nextID              policy.RequestID // last request id used
+	ids                 *IDs
+	backends            []*backend // in the order in which they were first listed
+	byAddr              map[cluster.Addr]*backend
+	roster              Roster
+	rosterAddr          string
+	rosterGen           int                   // number of roster clients opened; updates of older ones are ignored
+	seq                 int64                 // version of the current list; 0 after a change of roster
+	list                cluster.List          // complete list as received from the rosters
+	excluded            map[cluster.Addr]bool // servers treated as draining, whatever the roster lists
+	watching            bool                  // a watch is running or scheduled
+	actions             []policy.Action
+	fleet               *fleetState   // nil: not part of a fleet of very many agents
+	reachability        *doubt.Groups // zone suspicions of the Decider; nil: it has none
+	reachabilityChanges int           // count of changes last logged
+}
+
+// New returns a Core that ends with the context, or an error if the settings are invalid.
+// The list in the options is applied before New returns.
 func New(ctx context.Context, o Options) (*Core, error) {
-	set := capped(o.Settings, o.MaxOpen)
-	var bal Decider
+	set := withOpenCap(o.Settings, o.MaxOpen)
+	var decider Decider
 	var err error
 	if o.NewDecider != nil {
-		bal, err = o.NewDecider(set, o.Seed)
+		decider, err = o.NewDecider(set, o.Seed)
 	} else {
-		bal, err = policy.New(set, o.Seed)
+		decider, err = policy.New(set, o.Seed)
 	}
 	if err != nil {
 		return nil, err
 	}
-	// The module's clock is the Unix time of the start, then monotonic: starts of servers
-	// need no translation, and steps of the system's clock don't show.
+	// The Decider's clock starts at the Unix time and is monotonic from then on: start times of servers
+	// need no conversion, and steps of the system clock have no effect.
 	base := time.Now()
-	c := &Core{ctx: ctx, set: set, told: set.Replicas, maxOpen: o.MaxOpen, log: o.Log, account: o.Account, zoneNames: o.Zones, transport: o.Transport, newRoster: o.NewRoster,
-		in: make(chan *input, o.Queue), bal: bal, base: base, baseMs: float64(base.UnixMicro()) / 1000,
+	c := &Core{ctx: ctx, set: set, configuredAgents: set.Replicas, maxOpen: o.MaxOpen, log: o.Log,
+		reportLoss: o.ReportLoss, zoneNames: o.ZoneNumbers, transport: o.Transport, newRoster: o.NewRoster,
+		inputs: make(chan *input, o.QueueLength), decider: decider, base: base, baseMs: float64(base.UnixMicro()) / 1000,
 		requests: map[policy.RequestID]*Request{}, byAddr: map[cluster.Addr]*backend{},
 		ids: o.IDs}
 	if c.ids == nil {
 		c.ids = NewIDs(&set)
 	}
 	c.classes.Store(&c.set.Classes)
-	if r, able := bal.(interface{ Reach() *doubt.Groups }); able {
-		c.reach = r.Reach()
+	if r, able := decider.(interface{ Reach() *doubt.Groups }); able {
+		c.reachability = r.Reach()
 	}
 	if o.Fleet != nil {
-		if c.part, err = newPart(*o.Fleet, &c.set, o.Seed, c.baseMs); err != nil {
+		if c.fleet, err = newFleetState(*o.Fleet, &c.set, o.Seed, c.baseMs); err != nil {
 			return nil, err
 		}
 	}
 	c.openRoster(o.RosterAddr)
-	c.actions = c.bal.Start(c.clock(), c.actions[:0])
-	c.act()
-	c.learn(cluster.ListCached, &o.Known)
+	c.actions = c.decider.Start(c.clock(), c.actions[:0])
+	c.execute()
+	c.updateList(cluster.ListCached, &o.InitialList)
 	if c.pushed() {
 		c.follow()
 	}
 	return c, nil
 }
 
-// capped has the settings allow no more open requests than the agent has room for.
-func capped(set settings.Settings, most int) settings.Settings {
+// withOpenCap returns the settings with OpenCap set to at most most, the agent's limit of open requests.
+func withOpenCap(set settings.Settings, most int) settings.Settings {
 	if set.Limits.OpenCap <= 0 || set.Limits.OpenCap > most {
 		set.Limits.OpenCap = most
 	}
 	return set
 }
 
-// Longest is how long a request of any class may be open.
-func Longest(set *settings.Settings) time.Duration {
+// MaxRequestDuration returns the longest time that a request of any class may be open.
+func MaxRequestDuration(set *settings.Settings) time.Duration {
 	longest := 0.0
 	for _, class := range set.Classes {
 		longest = max(longest, class.GiveUpMs)
@@ -226,34 +227,37 @@
 	return ms(longest)
 }
 
+// ms converts milliseconds to a Duration.
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
+// clock returns the Decider's time, ms.
 func (c *Core) clock() float64 {
 	return c.baseMs + float64(time.Since(c.base))/float64(time.Millisecond)
 }
 
-// Asked is how many requests have come since the start.
-func (c *Core) Asked() int64 { return c.asked.Load() }
+// RequestCount returns the number of requests received since the start.
+func (c *Core) RequestCount() int64 { return c.requestCount.Load() }
 
-// Ready tells whether there is a server to send to.
+// Ready reports whether at least one server is usable.
 func (c *Core) Ready() bool { return c.ready.Load() }
 
-// TurnTo turns to the roster at another address.
-func (c *Core) TurnTo(addr string) { c.post(input{kind: inTurn, addr: addr}) }
+// SwitchRoster replaces the roster by the one at addr. It returns before the change is made.
+func (c *Core) SwitchRoster(addr string) { c.post(input{kind: inSwitchRoster, addr: addr}) }
 
-// Turner is a Decider that can take other settings while it is at work, as policy.Balancer.UpdateSettings does.
-type Turner interface {
+// SettingsUpdater is implemented by a Decider whose settings can be replaced at run time; see
+// policy.Balancer.UpdateSettings.
+type SettingsUpdater interface {
 	UpdateSettings(set settings.Settings, from []int)
 }
 
-// ErrSettled is why settings can't be changed.
-var ErrSettled = errors.New("what decides takes no other settings")
+// ErrFixedSettings is returned by UpdateSettings if the Decider is no SettingsUpdater.
+var ErrFixedSettings = errors.New("decider does not support a change of settings")
 
-// Turn takes another version of the settings and returns when its classes are known: requests that
-// have come keep their numbers, which mean the same. An error has changed nothing.
-func (c *Core) Turn(t *settings.Table) error {
-	if _, able := c.bal.(Turner); !able {
-		return ErrSettled
+// UpdateSettings replaces the settings and returns when the new classes are in effect. Class numbers of open
+// requests stay valid. If it returns ErrFixedSettings, nothing has changed.
+func (c *Core) UpdateSettings(t *settings.Table) error {
+	if _, able := c.decider.(SettingsUpdater); !able {
+		return ErrFixedSettings
 	}
 	done := make(chan struct{})
 	c.post(input{kind: inSettings, table: t, done: done})
@@ -265,30 +269,30 @@
 	}
 }
 
-// Known is the list at hand, and the roster whose versions it counts in.
-type Known struct {
-	Roster string
-	List   cluster.List   // Seq is 0 where the roster has not told it yet
-	Silent []cluster.Addr `json:"-"` // those that have not answered this agent's last attempt
-	ColdMs float64        `json:"-"` // how long a server is cold, by the settings
+// EndpointSnapshot is a copy of the current endpoint list and the roster that its versions belong to.
+type EndpointSnapshot struct {
+	Roster       string         // address
+	List         cluster.List   // Seq is 0 until the roster has sent a list
+	Unresponsive []cluster.Addr `json:"-"` // servers that did not answer this agent's last attempt
+	SlowStartMs  float64        `json:"-"` // duration of slow start by the settings, ms
 }
 
-// Known tells the list at hand; none, once the core has ended.
-func (c *Core) Known() Known {
-	known := make(chan Known, 1)
-	c.post(input{kind: inKnown, known: known})
+// Endpoints returns the current endpoint list, or a zero snapshot once the core has ended.
+func (c *Core) Endpoints() EndpointSnapshot {
+	known := make(chan EndpointSnapshot, 1)
+	c.post(input{kind: inEndpoints, endpoints: known})
 	select {
 	case k := <-known:
 		return k
 	case <-c.ctx.Done():
-		return Known{}
+		return EndpointSnapshot{}
 	}
 }
 
-// IDs is the core's memory of ids.
+// IDs returns the core's memory of request ids.
 func (c *Core) IDs() *IDs { return c.ids }
 
-// Load tells what is held now; nothing, once the core has ended.
+// Load returns the current load, or a zero Load once the core has ended.
 func (c *Core) Load() Load {
 	load := make(chan Load, 1)
 	c.post(input{kind: inLoad, load: load})
@@ -300,129 +304,128 @@
 	}
 }
 
-// Do takes a request and returns its final answer. It returns at the latest shortly
-// before the request's deadline, and at once when ctx ends: then the client has gone, and
-// work on its behalf is given up as far as the settings allow.
+// Do handles a request and returns its final answer. It returns shortly before the
+// request's deadline at the latest, and at once when ctx ends: the client has then
+// disconnected, and its attempts are cancelled as far as the settings allow.
 func (c *Core) Do(ctx context.Context, r *Request) Answer {
 	answers := make(chan Answer, 1)
-	var gone atomic.Bool // whoever asked; an answer that begins then is nobody's
+	var abandoned atomic.Bool // Do has given up: a streamed answer that begins later must be closed
 	abandon := func() {
 		select {
 		case a := <-answers:
-			if a.Rest != nil {
-				a.Rest.Leave()
+			if a.Stream != nil {
+				a.Stream.Leave()
 			}
 		default:
 		}
 	}
 	r.reply = func(a Answer) {
-		if answers <- a; gone.Load() {
+		if answers <- a; abandoned.Load() {
 			abandon()
 		}
 	}
 	guard := time.NewTimer(time.Until(r.Deadline) - guardMargin)
 	defer guard.Stop()
-	if r.Message.Rest != nil {
-		r.complete = make(chan time.Time, 1) // all comes once
+	if r.Message.Stream != nil {
+		r.bodyComplete = make(chan time.Time, 1) // the body is completed once
 	}
-	c.asked.Add(1)
+	c.requestCount.Add(1)
 	c.post(input{kind: inRequest, req: r})
-	end := Answer{Outcome: Overdue}
+	end := Answer{Outcome: DeadlineExceeded}
 	for waiting := true; waiting; {
 		select {
 		case ans := <-answers:
 			return ans
-		case deadline := <-r.complete:
+		case deadline := <-r.bodyComplete:
 			guard.Reset(time.Until(deadline) - guardMargin)
 			continue
 		case <-ctx.Done():
-			end.Outcome = Gone
+			end.Outcome = ClientGone
 		case <-guard.C:
 		}
 		waiting = false
 	}
 	select {
-	case ans := <-answers: // both in one moment: what is known is told
+	case ans := <-answers: // an answer that arrived at the same time takes precedence
 		return ans
 	default:
 	}
-	gone.Store(true)
+	abandoned.Store(true)
 	abandon()
-	// The guard is for a core that is stuck, perhaps with its queue full.
-	if drop := (input{kind: inDropped, req: r}); !c.offer(drop) {
+	// The guard also covers a stuck core, whose queue may be full: don't block.
+	if drop := (input{kind: inDropped, req: r}); !c.tryPost(drop) {
 		go c.post(drop)
 	}
 	return end
 }
 
-// Take takes a request as Do does and returns at once; done is told the final answer, once.
-// It is called in whatever goroutine brings the input that settles it, with the core's lock
-// held: it may neither block nor come back to the core. It sets no timer of its own: whoever
-// takes a request so drops it at its deadline at the latest. After that done is told Gone as
-// soon as nothing of the request is out any more, unless it was told an answer before. Answers are
-// whole, and so at most MaxBody.
+// Take starts a request and returns at once; done is called once with the final answer. done runs
+// with the core's lock held, in the goroutine that handles the deciding input: it must neither
+// block nor call the core. Take sets no timer: the caller must call drop at the request's deadline
+// at the latest. After drop, done is called with ClientGone once no attempt is in flight, unless it
+// was called before. Answers are not streamed, so their bodies have at most MaxBody bytes.
 func (c *Core) Take(r *Request, done func(Answer)) (drop func()) {
-	r.reply, r.held = done, true
-	c.asked.Add(1)
+	r.reply, r.buffered = done, true
+	c.requestCount.Add(1)
 	c.post(input{kind: inRequest, req: r})
 	return func() { c.post(input{kind: inWithdrawn, req: r}) }
 }
 
-// here handles an input in its bringer's goroutine, if that is free to do: it saves two
-// changes of goroutine a request each.
-func (c *Core) here(in input) bool {
+// tryHandle handles an input in the calling goroutine if no other input is queued or being handled,
+// and reports whether it did. Each call that succeeds saves two goroutine switches.
+func (c *Core) tryHandle(in input) bool {
 	if !c.running.Load() || !c.mu.TryLock() {
 		return false
 	}
 	defer c.mu.Unlock()
-	if c.waiting.Load() != 0 || c.ctx.Err() != nil {
+	if c.queued.Load() != 0 || c.ctx.Err() != nil {
 		return false
 	}
 	c.handle(in)
 	return true
 }
 
-// post brings something that happened. It waits while the queue is full and returns at
-// once when the core has ended.
+// post handles or queues an input. It blocks while the queue is full and returns at once
+// when the core has ended.
 func (c *Core) post(in input) {
-	if c.here(in) {
+	if c.tryHandle(in) {
 		return
 	}
-	c.waiting.Add(1)
+	c.queued.Add(1)
 	queued := new(input)
 	*queued = in
 	select {
-	case c.in <- queued:
+	case c.inputs <- queued:
 	case <-c.ctx.Done():
 	}
 }
 
-// offer is post, but that it does not wait; it reports whether there was room.
-func (c *Core) offer(in input) bool {
-	if c.here(in) {
+// tryPost is like post but does not block; it reports whether the input was handled or queued.
+func (c *Core) tryPost(in input) bool {
+	if c.tryHandle(in) {
 		return true
 	}
-	c.waiting.Add(1)
+	c.queued.Add(1)
 	queued := new(input)
 	*queued = in
 	select {
-	case c.in <- queued:
+	case c.inputs <- queued:
 		return true
 	default:
-		c.waiting.Add(-1)
+		c.queued.Add(-1)
 		return false
 	}
 }
 
-// Run handles what is queued until the context ends. Before it runs all is queued.
+// Run handles queued inputs until the context ends. Until Run is called, all inputs are queued.
 func (c *Core) Run() {
 	c.running.Store(true)
 	for {
 		select {
-		case in := <-c.in:
+		case in := <-c.inputs:
 			c.mu.Lock()
 			c.handle(*in)
-			c.waiting.Add(-1)
+			c.queued.Add(-1)
 			c.mu.Unlock()
 		case <-c.ctx.Done():
 			return
@@ -430,18 +433,18 @@
 	}
 }
 
-// handle takes one input and all that it gives rise to.
+// handle handles one input and all inputs that this creates.
 func (c *Core) handle(in input) {
-	c.one(in)
-	for len(c.todo) > 0 {
-		in, c.todo = c.todo[0], c.todo[1:]
-		c.one(in)
+	c.handleOne(in)
+	for len(c.pending) > 0 {
+		in, c.pending = c.pending[0], c.pending[1:]
+		c.handleOne(in)
 	}
 }
 
-// one takes one input. A panic costs the request at hand its decision, and its guard
-// answers it: one bad event must not take down all that the agent holds.
-func (c *Core) one(in input) {
+// handleOne handles one input. A panic is recovered, so that one bad event does not end all requests
+// of the agent; the guard of the affected request answers it.
+func (c *Core) handleOne(in input) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.Error("panic in the core", "input", in.kind, "panic", p, "stack", string(debug.Stack()))
@@ -452,22 +455,22 @@
 		c.onRequest(in.req)
 	case inDropped, inWithdrawn:
 		if r := in.req; r.id != 0 && !r.answered {
-			c.settled(r, Gone)
+			c.recordEnd(r, ClientGone)
 			r.answered, r.dropped = true, in.kind == inWithdrawn
-			c.tell(&policy.Event{Kind: policy.EvDropped, Request: r.id})
-			c.unsend(r)
-			c.forget(r)
+			c.dispatch(&policy.Event{Kind: policy.EvDropped, Request: r.id})
+			c.stopUnsent(r)
+			c.removeIfDone(r)
 		}
 	case inOutcome:
 		c.onOutcome(in.att, &in.res)
-	case inWhole:
-		c.onWhole(in.att)
+	case inBodyComplete:
+		c.onBodyComplete(in.att)
 	case inStarted:
 		c.onStarted(in.att, &in.res)
 	case inTimer:
-		c.tell(&policy.Event{Kind: policy.EvTimer, Token: in.token})
-	case inTurn:
-		c.turnTo(in.addr)
+		c.dispatch(&policy.Event{Kind: policy.EvTimer, Token: in.token})
+	case inSwitchRoster:
+		c.switchRoster(in.addr)
 	case inFollow:
 		c.follow()
 	case inWatch:
@@ -476,54 +479,56 @@
 		}
 	case inProbe:
 		c.probe(in.server)
-	case inCrowd:
-		c.crowd(in.agents, in.rank)
-	case inAlone:
-		c.leaveAlone(in.alone)
+	case inFleetSize:
+		c.setFleetSize(in.agents, in.rank)
+	case inExclude:
+		c.exclude(in.excluded)
 		close(in.done)
-	case inPlan:
+	case inReplan:
 		c.replan()
 	case inSettings:
-		c.set = capped(in.table.Settings, c.maxOpen)
-		c.told = c.set.Replicas
-		c.set.Replicas = max(c.told, c.agents)
+		c.set = withOpenCap(in.table.Settings, c.maxOpen)
+		c.configuredAgents = c.set.Replicas
+		c.set.Replicas = max(c.configuredAgents, c.observedAgents)
 		c.classes.Store(&c.set.Classes)
-		c.ids.keep(Longest(&c.set) + idMargin)
-		c.bal.(Turner).UpdateSettings(c.set, in.table.From)
+		c.ids.extendRetention(MaxRequestDuration(&c.set) + idMargin)
+		c.decider.(SettingsUpdater).UpdateSettings(c.set, in.table.From)
 		close(in.done)
-	case inKnown:
-		in.known <- Known{Roster: c.rosterAddr, List: cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)}, Silent: c.silent(), ColdMs: c.set.Contract.ColdMs}
+	case inEndpoints:
+		in.endpoints <- EndpointSnapshot{Roster: c.rosterAddr,
+			List:         cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)},
+			Unresponsive: c.unresponsiveServers(), SlowStartMs: c.set.Contract.ColdMs}
 	case inProbed:
 		c.onProbed(in.att, &in.res)
 	case inLoad:
 		l := Load{Requests: len(c.requests), Servers: len(c.backends)}
 		for _, r := range c.requests {
-			l.Attempts += r.open
+			l.Attempts += r.inFlight
 		}
 		in.load <- l
-	case inNews:
-		if in.gen == c.rosterGen { // else of a roster that is asked no more
-			c.onNews(&in.news)
+	case inUpdate:
+		if in.gen == c.rosterGen { // ignore updates of a former roster
+			c.onUpdate(&in.update)
 		}
 	}
 }
 
-// tell hands the module one event and carries out what it decides.
-func (c *Core) tell(ev *policy.Event) {
-	c.actions = c.bal.Handle(c.clock(), ev, c.actions[:0])
-	if c.reach != nil && c.reach.Changes() != c.changes {
-		c.changes = c.reach.Changes()
-		if zones, all := c.reach.Doubted(); all {
-			c.log.Warn("no zone answers: this agent's own way may be cut")
+// dispatch passes an event to the Decider, logs changes of zone suspicion and executes the actions.
+func (c *Core) dispatch(ev *policy.Event) {
+	c.actions = c.decider.Handle(c.clock(), ev, c.actions[:0])
+	if c.reachability != nil && c.reachability.Changes() != c.reachabilityChanges {
+		c.reachabilityChanges = c.reachability.Changes()
+		if zones, all := c.reachability.Doubted(); all {
+			c.log.Warn("no zone answers: this agent may be cut off from the network")
 		} else {
-			c.log.Warn("zones that answer nothing come last", "zones", c.zones(zones))
+			c.log.Warn("zones suspected of being unreachable are used last", "zones", c.namesOfZones(zones))
 		}
 	}
-	c.act()
+	c.execute()
 }
 
-// zones names zones, as far as the core was told how.
-func (c *Core) zones(of []int) []string {
+// namesOfZones returns the names of zones, or their numbers where the name is not known.
+func (c *Core) namesOfZones(of []int) []string {
 	names := []string{}
 	for _, zone := range of {
 		name := strconv.Itoa(zone)
@@ -537,9 +542,10 @@
 	return names
 }
 
+// onRequest passes a new request to the Decider, or rejects a duplicate.
 func (c *Core) onRequest(r *Request) {
-	if !r.Crossed && !c.ids.add(r.ID, time.Now()) {
-		c.answer(r, Answer{Outcome: Repeated})
+	if !r.Deduplicated && !c.ids.add(r.ID, time.Now()) {
+		c.answer(r, Answer{Outcome: Duplicate})
 		return
 	}
 	c.nextID++
@@ -547,21 +553,21 @@
 		c.nextID++
 	}
 	r.id = c.nextID
-	r.most = c.set.Limits.MaxAttempts
-	if r.Tries > 0 {
-		r.most = min(r.most, r.Tries)
+	r.attemptLimit = c.set.Limits.MaxAttempts
+	if r.MaxAttempts > 0 {
+		r.attemptLimit = min(r.attemptLimit, r.MaxAttempts)
 	}
 	c.requests[r.id] = r
-	if c.account != nil {
-		r.kept.came = time.Now()
+	if c.reportLoss != nil {
+		r.timing.arrivedAt = time.Now()
 	}
-	c.tell(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
+	c.dispatch(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Key: r.Key, LeftMs: float64(time.Until(r.Deadline)) / float64(time.Millisecond),
-		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.Tries, Coming: r.Message.Rest != nil})
+		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.MaxAttempts, Coming: r.Message.Stream != nil})
 }
 
-// onWhole has a request's time begin: its server has all of it.
-func (c *Core) onWhole(a *Attempt) {
+// onBodyComplete starts a request's time once its server has the complete body.
+func (c *Core) onBodyComplete(a *Attempt) {
 	r := a.Request
 	if a.ended || r.answered {
 		return
@@ -569,94 +575,97 @@
 	r.Deadline = a.deadline
 	a.timer.Reset(time.Until(r.Deadline))
 	select {
-	case r.complete <- r.Deadline:
-	default: // nobody waits any more
+	case r.bodyComplete <- r.Deadline:
+	default: // Do has returned
 	}
-	c.tell(&policy.Event{Kind: policy.EvBodyComplete, Request: r.id, Attempt: a.index, LeftMs: float64(r.Left) / float64(time.Millisecond)})
+	c.dispatch(&policy.Event{Kind: policy.EvBodyComplete, Request: r.id, Attempt: a.index,
+		LeftMs: float64(r.TimeAfterBody) / float64(time.Millisecond)})
 }
 
-// onStarted gives a request the answer that begins, unless it has one.
+// onStarted answers a request with a streamed answer that begins, unless it is answered already.
 func (c *Core) onStarted(a *Attempt, res *Result) {
 	r := a.Request
 	if a.ended || r.answered {
-		res.Rest.Leave()
+		res.Stream.Leave()
 		return
 	}
-	c.tell(&policy.Event{Kind: policy.EvStarted, Request: r.id, Attempt: a.index, Server: a.backend.addr})
-	r.ran = true
-	c.answer(r, Answer{Outcome: Served, Body: res.Body, Rest: res.Rest, Length: res.Length, ContentType: res.ContentType})
+	c.dispatch(&policy.Event{Kind: policy.EvStarted, Request: r.id, Attempt: a.index, Server: a.backend.addr})
+	r.mayHaveRun = true
+	c.answer(r, Answer{Outcome: Served, Body: res.Body, Stream: res.Stream, Length: res.Length,
+		ContentType: res.ContentType})
 }
 
+// onOutcome handles the end of an attempt.
 func (c *Core) onOutcome(a *Attempt, res *Result) {
 	if a.ended {
-		return // stopped before its first byte, which its transport tells only now
+		return // stopped before its first byte; its transport reports the end only now
 	}
 	a.ended = true
 	r, b := a.Request, a.backend
 	b.attempts = slices.DeleteFunc(b.attempts, func(o *Attempt) bool { return o == a })
-	c.drop(b)
-	r.open--
+	c.removeIfUnused(b)
+	r.inFlight--
 	if res.panicked != nil {
-		c.log.Error("attempt ended", "err", res.panicked)
+		c.log.Error("attempt ended by a panic", "err", res.panicked)
 	}
-	c.crowded(a, res)
-	b.heed(res.Status)
-	c.tried(a, res)
-	r.ran = r.ran || !res.Status.NeverRan()
-	r.spent += res.Spent
-	if res.Status == policy.NoWay && r.most < policy.MostTries {
-		r.most++ // as the module counts
+	c.checkConnectFailure(a, res)
+	b.recordStatus(res.Status)
+	c.recordAttempt(a, res)
+	r.mayHaveRun = r.mayHaveRun || !res.Status.NeverRan()
+	r.extraAttempts += res.ExtraAttempts
+	if res.Status == policy.NoConnection && r.attemptLimit < policy.MaxUnconnectedAttempts {
+		r.attemptLimit++ // the Decider grants one more attempt as well
 	}
 	if res.Status == policy.OK {
 		c.answer(r, Answer{Outcome: Served, Body: res.Body, Length: res.Length, ContentType: res.ContentType})
 	}
 	if res.Status == policy.Timeout {
-		// The machine may have vanished; its other connections would be as silent.
+		// The machine may be gone, and with it the peer of all other connections.
 		b.endpoint.CloseIdle()
 	}
-	c.tell(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
-		Status: res.Status, LatencyMs: float64(res.took) / float64(time.Millisecond),
-		Final: r.answered, Tries: r.unrepeatable(res.Spent), Report: report(res.Load, c.set.Report.Names)})
-	c.forget(r)
+	c.dispatch(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
+		Status: res.Status, LatencyMs: float64(res.duration) / float64(time.Millisecond),
+		Final: r.answered, Tries: r.spentAttempts(res.ExtraAttempts), Report: report(res.Load, c.set.Report.Names)})
+	c.removeIfDone(r)
 }
 
-// answer gives a request its final answer, unless it has one.
+// answer gives a request its final answer, unless it is answered already.
 func (c *Core) answer(r *Request, a Answer) {
 	if !r.answered {
-		c.settled(r, a.Outcome)
+		c.recordEnd(r, a.Outcome)
 		r.answered = true
-		a.Ran, a.Attempts = r.ran || r.begun(), len(r.attempts)+r.spent
+		a.Ran, a.Attempts = r.mayHaveRun || r.hasStartedAttempt(), len(r.attempts)+r.extraAttempts
 		r.reply(a)
-		c.unsend(r)
+		c.stopUnsent(r)
 	}
 }
 
-// unsend stops what of a request that is over has not begun, here or behind a gateway, whether
-// or not the settings allow to cancel what has: it would be work that nobody waits for.
-func (c *Core) unsend(r *Request) {
+// stopUnsent stops the attempts of a finished request that have not begun, here or behind a gateway,
+// since no client waits for them. It does so even if the settings forbid cancelling begun attempts.
+func (c *Core) stopUnsent(r *Request) {
 	for _, a := range r.attempts {
-		if !c.stop(a, ErrCancelled, policy.Cancelled) && !a.ended && a.Unwanted != nil && a.ctx.Err() == nil {
-			go a.Unwanted()
+		if !c.stop(a, ErrCancelled, policy.Cancelled) && !a.ended && a.OnAbandoned != nil && a.ctx.Err() == nil {
+			go a.OnAbandoned()
 		}
 	}
 }
 
-// forget drops a request that is answered and has no attempt out.
-func (c *Core) forget(r *Request) {
-	if r.answered && r.open == 0 {
+// removeIfDone removes a request that is answered and has no attempt in flight.
+func (c *Core) removeIfDone(r *Request) {
+	if r.answered && r.inFlight == 0 {
 		if c.requests[r.id] == r {
-			c.accounted(r)
+			c.reportIfLoss(r)
 		}
 		delete(c.requests, r.id)
 		if r.dropped {
 			r.dropped = false
-			r.reply(Answer{Outcome: Gone, Ran: r.ran, Attempts: len(r.attempts) + r.spent})
+			r.reply(Answer{Outcome: ClientGone, Ran: r.mayHaveRun, Attempts: len(r.attempts) + r.extraAttempts})
 		}
 	}
 }
 
-// act carries out the module's actions in their order.
-func (c *Core) act() {
+// execute carries out the Decider's actions in order.
+func (c *Core) execute() {
 	for i := range c.actions {
 		act := &c.actions[i]
 		r := c.requests[act.Request]
@@ -674,27 +683,27 @@
 		case policy.ActRefuse:
 			if r != nil {
 				c.answer(r, Answer{Outcome: Refused, RetryAfter: ms(act.Ms)})
-				c.forget(r)
-				c.refused()
+				c.removeIfDone(r)
+				c.recordRefusal()
 			}
 		case policy.ActFail:
 			if r != nil {
 				c.answer(r, Answer{Outcome: Failed})
-				c.forget(r)
+				c.removeIfDone(r)
 			}
 		case policy.ActProbe:
 			server := act.Server
-			c.later(c.part.probe(), input{kind: inProbe, server: server}, func() { c.probe(server) })
+			c.runAfter(c.fleet.probeDelay(), input{kind: inProbe, server: server}, func() { c.probe(server) })
 		case policy.ActTimer:
 			token := act.Token
 			time.AfterFunc(ms(act.Ms), func() { c.post(input{kind: inTimer, token: token}) })
 		case policy.ActFollow:
 			c.follow()
 		case policy.ActFetch:
-			// The watch brings all that a fetch would, and while there is none its next start is
-			// due at this agent's own moment. Failures come to all agents at once: as many
-			// fetches beside the watches kept a roster that can take each agent's call every
-			// few seconds from answering any (herd+vast 217607910183).
+			// Ignored: the watch delivers all that a fetch would, and if none is running, its next start is
+			// scheduled at a time of this agent's own. Failures reach all agents at once, and their fetches,
+			// on top of the watches, kept a roster that can handle one call per agent every few seconds from
+			// answering at all (herd+vast 217607910183).
 		case policy.ActClose:
 			if b := c.byAddr[act.Server]; b != nil {
 				b.endpoint.CloseIdle()
@@ -712,7 +721,7 @@
 	var a *Attempt
 	a = NewAttempt(c.ctx, r, ms(act.Ms), func(res Result) { c.post(input{kind: inOutcome, att: a, res: res}) })
 	a.index, a.backend = len(r.attempts), b
-	a.tell = func(kind inKind, res *Result) {
+	a.notify = func(kind inputKind, res *Result) {
 		in := input{kind: kind, att: a}
 		if res != nil {
 			in.res = *res
@@ -720,21 +729,21 @@
 		c.post(in)
 	}
 	if act.BeginMs > 0 {
-		a.lapses = a.started.Add(ms(act.BeginMs))
+		a.beginBy = a.started.Add(ms(act.BeginMs))
 	}
-	if !r.BeginBy.IsZero() && (a.lapses.IsZero() || r.BeginBy.Before(a.lapses)) {
-		a.lapses = r.BeginBy
+	if !r.BeginBy.IsZero() && (a.beginBy.IsZero() || r.BeginBy.Before(a.beginBy)) {
+		a.beginBy = r.BeginBy
 	}
-	a.Left = r.most - len(r.attempts) - r.spent
+	a.AttemptsLeft = r.attemptLimit - len(r.attempts) - r.extraAttempts
 	r.attempts = append(r.attempts, a)
-	r.open++
+	r.inFlight++
 	if !b.usable || r.answered {
-		// The module sends to what is listed as ready only; should it not, nothing goes out.
-		c.stop(a, nil, policy.Moot)
+		// The Decider sends to usable servers only. This guards against a fault in it: nothing is sent.
+		c.stop(a, nil, policy.Abandoned)
 		return
 	}
 	b.attempts = append(b.attempts, a)
 	if err := b.endpoint.Start(a); err != nil {
-		c.stop(a, err, neverRan(err))
+		c.stop(a, err, startErrorStatus(err))
 	}
 }
