--- a/internal/decide/hearsay/hearsay.go
+++ b/internal/decide/hearsay/hearsay.go
@@ -84,7 +84,7 @@
 	machines := map[string]bool{}
 	for i := range v.Members {
 		m := &v.Members[i]
-		if m.State != members.Alive || len(m.Doubts) > 0 || m.Twin || m.Info.Left {
+		if m.State != members.Alive || len(m.SuspectedBy) > 0 || m.Twin || m.Info.Left {
 			continue
 		}
 		machines[m.Info.Machine] = true
--- a/internal/decide/hearsay/hearsay_test.go
+++ b/internal/decide/hearsay/hearsay_test.go
@@ -84,7 +84,7 @@
 	for name, change := range map[string]func(m *members.Member){
 		"dead":     func(m *members.Member) { m.State = members.Dead },
 		"suspect":  func(m *members.Member) { m.State = members.Suspect },
-		"doubted":  func(m *members.Member) { m.Doubts = []string{"n4"} },
+		"doubted":  func(m *members.Member) { m.SuspectedBy = []string{"n4"} },
 		"twin":     func(m *members.Member) { m.Twin = true },
 		"leaving":  func(m *members.Member) { m.Info.Left = true },
 		"neighbor": func(m *members.Member) { m.Info.Machine = "h0" },
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -1,10 +1,11 @@
-// Package members is one agent's view of all the others: who is there, what each says of itself,
-// who can't be heard and by whom; who is watched by this agent, and with whom it keeps a link. It
-// is a state machine: messages, links that come and go and one Tick a period go in; messages,
-// links that are wanted and changes come out. The same inputs give the same outputs.
-// docs/design/members.md says why it is made so.
+// Package members implements the membership view of one agent: which processes are in the fleet, what
+// each publishes about itself, which are suspected of having failed and by whom, which this agent
+// observes, and to which it keeps a link. It is a deterministic state machine. Its inputs are messages,
+// links that come up or go down, and one Tick a period; its outputs are messages, links to open or
+// close, and membership changes. docs/design/members.md explains the design.
 //
-// There is no I/O, no clock and no goroutine here. A Machine belongs to whoever drives it.
+// The package does no I/O, reads no clock and starts no goroutines. A Machine isn't safe for concurrent
+// use: its owner calls it from one goroutine at a time.
 package members
 
 import (
@@ -18,31 +19,38 @@
 	"molepaddle/internal/decide/arith"
 )
 
-// Rings is how many observers a member has where there are so many members.
+// Rings is the number of observers of each member, if the fleet has enough members.
 const Rings = 5
 
-// Options is what a machine is made of. What is 0 is as Default has it.
+// Options configures a Machine. Numbers and durations that are 0 take their value from Default.
 type Options struct {
-	ID     ID
-	Info   Info
-	Seeds  []string      // addresses that are dialled by who knows nobody
-	Period time.Duration // between two ticks
-	Silent int           // periods without a word after which an observer speaks
-	Grace  int           // periods that a quorum's words stand unanswered before a death
-	Hold   int           // periods that a death waits at the most for others to fall with it
-	Proven int           // periods that a member goes undoubted before it is a witness
-	Forget time.Duration // how long the dead and those who left are remembered, and then barred
-}
-
-// Default is the figures of an operator's file that says nothing.
+	ID              ID
+	Info            Info
+	Seeds           []string      // addresses to dial while no other member is known
+	Period          time.Duration // interval between two ticks
+	SuspectAfter    int           // periods without contact after which an observer suspects a subject
+	Grace           int           // periods that a quorum's suspicions stay unrefuted before a member is declared dead
+	CoalescePeriods int           // maximum periods that a death is delayed, to report it together with others
+	WitnessAfter    int           // periods without open suspicions after which a member's own suspicions count
+	ForgetAfter     time.Duration // how long members that died or left are kept, and afterwards barred from returning
+}
+
+// Default returns the options that apply when the operator's settings file sets none.
 func Default() Options {
-	return Options{Period: 500 * time.Millisecond, Silent: 3, Grace: 3, Hold: 1, Proven: 8, Forget: 10 * time.Minute}
+	return Options{
+		Period:          500 * time.Millisecond,
+		SuspectAfter:    3,
+		Grace:           3,
+		CoalescePeriods: 1,
+		WitnessAfter:    8,
+		ForgetAfter:     10 * time.Minute,
+	}
 }
 
-// State is what is believed of a member.
+// State is the state of a member as this agent believes it to be.
 type State uint8
 
-// The states.
+// The states of a member.
 const (
 	Joining State = iota
 	Alive
@@ -53,320 +61,339 @@
 
 func (s State) String() string { return [...]string{"joining", "alive", "suspect", "dead", "left"}[s] }
 
-// Change is what an agent has come to believe of one member, or of several that fell as one.
+// Change is a change of the state of one member, or of several that were declared dead together.
 type Change struct {
-	At    time.Duration
-	State State
-	Who   []ID
-	Why   string
+	At     time.Duration
+	State  State
+	IDs    []ID
+	Reason string
 }
 
-// Send is a message to a link.
+// Send is a message to be sent over a link.
 type Send struct {
 	To      ID
 	Message Message
 }
 
-// Target is somebody to be dialled: a member, or a seed of which only the address is known.
+// Target is a process to dial: a member, or a seed of which only the address is known.
 type Target struct {
 	ID      ID
 	Address string
 }
 
-// Out is what an input has brought.
-type Out struct {
+// Output is the result of one input.
+type Output struct {
 	Send    []Send
-	Dial    []Target // links that are wanted and not up; one under way need not be dialled again
-	Drop    []ID     // links that nobody needs any more
+	Dial    []Target // wanted links that aren't up; a dial in progress need not be repeated
+	Drop    []ID     // links that are no longer needed
 	Changes []Change
 }
 
-// node is what is held of one process.
+// node is the state kept for one process.
 type node struct {
-	id     ID
-	hash   uint64
-	rings  [Rings]uint64
-	self   *Record // nil: only its Watch is known
-	watch  *Record
-	orders *Record
-
-	state   State
-	decided bool // state has been told
-	since   time.Duration
-	proven  int // periods undoubted; from Options.Proven on it is a witness
-
-	// As this agent's subject.
-	subject bool
-	watched int    // periods
-	heard   uint64 // a bit a period, the last one lowest
-	strikes int    // words that were answered without its being heard
-	next    int    // the tick before which no word is spoken again
-	fresh   bool   // it has said something anew since it was doubted, and is worth a dial
-
-	// Worked out each period.
-	doubts    []string // names of observers whose words stand, answered or not
-	open      int      // of them whose words are not answered
-	witnesses int      // of those that count towards a death
-	counted   string   // the last name among the witnesses
-	due       int      // periods that a quorum has stood
-	band      int      // periods that some have stood, and no quorum
-}
-
-// record is where a record of the kind is held.
-func (n *node) record(k Kind) **Record {
+	id         ID
+	hash       uint64
+	positions  [Rings]uint64
+	self       *Record // nil: no Self record has arrived
+	suspicions *Record
+	orders     *Record
+
+	state              State
+	reported           bool // a Change has been reported for it
+	since              time.Duration
+	unsuspectedPeriods int // a witness from Options.WitnessAfter on
+
+	// The following fields matter if this agent observes the process.
+	subject               bool
+	watchedPeriods        int
+	contactHistory        uint64 // one bit a period, the latest lowest; set: there was contact
+	refutations           int    // suspicions that were refuted though no contact was made
+	suspectNotBefore      int    // tick before which it isn't suspected again
+	updatedSinceSuspected bool   // it has published a newer Self record since, so dialling it may succeed
+
+	// The following fields are computed each period.
+	suspectedBy        []string // names of observers that suspect it, refuted or not
+	openSuspicions     int      // number of suspicions that aren't refuted
+	witnesses          int      // number of names among the open suspicions that count towards a death
+	lastWitness        string   // name that was counted last as a witness
+	quorumPeriods      int      // consecutive periods with a quorum of witnesses
+	belowQuorumPeriods int      // consecutive periods with open suspicions but no quorum
+}
+
+// recordSlot returns the field that holds the record of the given kind.
+func (n *node) recordSlot(k Kind) **Record {
 	switch k {
-	case Watch:
-		return &n.watch
+	case Suspects:
+		return &n.suspicions
 	case Orders:
 		return &n.orders
 	}
 	return &n.self
 }
 
-// here tells whether it is one of the fleet as far as is known.
-func (n *node) here() bool { return n.self != nil && !n.self.Info.Left && n.state != Dead }
+// present reports whether the process is believed to be in the fleet: it has neither left nor died.
+func (n *node) present() bool { return n.self != nil && !n.self.Info.Left && n.state != Dead }
 
-// link is one that is up.
+// link is the state of a link that is up.
 type link struct {
-	heard  bool            // since the last tick
-	digest uint64          // the other end's, as last told
-	since  int             // tick
-	asked  int             // tick of the last sums sent
-	last   int             // tick at which it was heard last
-	stamp  uint64          // the last that came
-	echo   uint64          // the last of one's own that came back
-	owed   map[uint64]bool // keys of records that the next Flush sends
+	heard       bool            // a message arrived since the last tick
+	digest      uint64          // of the peer's view, from its latest message
+	upSince     int             // tick at which it came up
+	sumsSentAt  int             // tick at which sums were last sent
+	lastContact int             // tick at which the latest message arrived
+	lastStamp   uint64          // the latest Stamp received
+	lastEcho    uint64          // the latest of this agent's own stamps that was echoed
+	pending     map[uint64]bool // keys of records to send with the next Flush
 }
 
-// Machine is one agent's view.
+// Machine is the membership view of one agent.
 type Machine struct {
-	opt    Options
-	rng    *rand.Rand
-	now    time.Duration
-	last   time.Duration // the last tick
-	ticks  int
-	nodes  map[uint64]*node // by hash
-	order  []*node          // by name and incarnation
-	view   view
-	links  map[ID]*link
-	bars   map[uint64]time.Duration // forgotten processes, until when
-	me     *node
-	mine   map[uint64]uint64 // words of this agent: versions by hash
-	dirty  bool              // who watches whom has to be worked out anew
-	watch  map[ID]bool       // members that watch this one
-	wishes []string          // names with which the driver wants a link
-	forged [kinds]uint64     // versions, by kind, that this one's records have to go beyond: forged ones, and those of words to answer
-	// Doubt of oneself.
-	starved int // ticks for which it counts as starved
-	deaf    bool
-	still   int    // ticks without a word from anybody
-	lame    int    // the tick until which it doubts its ears
-	quiet   int    // ticks without a change of the records
-	orders  string // the last that were published
-	out     *Out
-}
-
-// New makes a machine of one process; the seed settles which dead member is tried next.
+	options        Options
+	rng            *rand.Rand
+	now            time.Duration
+	lastTick       time.Duration // time of the last tick
+	ticks          int
+	nodes          map[uint64]*node // by hash
+	order          []*node          // sorted by name and incarnation
+	view           view
+	links          map[ID]*link
+	barredUntil    map[uint64]time.Duration // by hash of forgotten processes: the end of their bar
+	local          *node
+	suspected      map[uint64]uint64 // this agent's suspicions: version of the Self record, by hash
+	observersStale bool              // observers have to be assigned anew
+	observers      map[ID]bool       // members that observe this one
+	requestedLinks []string          // names to which the caller wants a link
+	// overruled has, by kind, the versions that this process's next records have to exceed: those of forged
+	// records and of suspicions to refute.
+	overruled [kinds]uint64
+	// The following fields say whether this agent itself may be at fault.
+	starvedTicks        int // remaining ticks for which it counts as starved of CPU time
+	isolated            bool
+	ticksWithoutContact int    // ticks without a message from any peer
+	selfSuspectUntil    int    // tick until which it takes missing contact for its own fault
+	unchangedTicks      int    // ticks since a record of the view changed
+	orders              string // the latest published
+	out                 *Output
+}
+
+// New returns the machine of one process. The seed determines the random choices: which dead members and
+// which seed addresses are dialled.
 func New(o Options, seed uint64) *Machine {
 	d := Default()
-	for _, v := range []struct{ x, d *int }{{&o.Silent, &d.Silent}, {&o.Grace, &d.Grace}, {&o.Hold, &d.Hold}, {&o.Proven, &d.Proven}} {
+	for _, v := range []struct{ x, d *int }{
+		{&o.SuspectAfter, &d.SuspectAfter},
+		{&o.Grace, &d.Grace},
+		{&o.CoalescePeriods, &d.CoalescePeriods},
+		{&o.WitnessAfter, &d.WitnessAfter},
+	} {
 		if *v.x == 0 {
 			*v.x = *v.d
 		}
 	}
-	for _, v := range []struct{ x, d *time.Duration }{{&o.Period, &d.Period}, {&o.Forget, &d.Forget}} {
+	for _, v := range []struct{ x, d *time.Duration }{
+		{&o.Period, &d.Period},
+		{&o.ForgetAfter, &d.ForgetAfter},
+	} {
 		if *v.x == 0 {
 			*v.x = *v.d
 		}
 	}
-	m := &Machine{opt: o, rng: rand.New(rand.NewPCG(seed, 0x6d656d62657273)), bars: map[uint64]time.Duration{}}
-	m.begin()
+	m := &Machine{
+		options:     o,
+		rng:         rand.New(rand.NewPCG(seed, 0x6d656d62657273)),
+		barredUntil: map[uint64]time.Duration{},
+	}
+	m.reset()
 	return m
 }
 
-// begin starts with nobody but oneself.
-func (m *Machine) begin() {
-	m.nodes, m.order, m.forged = map[uint64]*node{}, nil, [kinds]uint64{}
+// reset starts a view that holds this process only.
+func (m *Machine) reset() {
+	m.nodes, m.order, m.overruled = map[uint64]*node{}, nil, [kinds]uint64{}
 	m.view = view{records: map[uint64]*Record{}}
-	m.links, m.mine, m.watch, m.dirty = map[ID]*link{}, map[uint64]uint64{}, map[ID]bool{}, true
-	info := m.opt.Info
+	m.links, m.suspected, m.observers, m.observersStale = map[ID]*link{}, map[uint64]uint64{}, map[ID]bool{}, true
+	info := m.options.Info
 	info.Joined, info.Left, info.Twin = false, false, false
-	m.me = m.node(m.opt.ID)
-	m.store(m.me, &Record{ID: m.opt.ID, Kind: Self, Version: 1, Info: info})
+	m.local = m.node(m.options.ID)
+	m.store(m.local, &Record{ID: m.options.ID, Kind: Self, Version: 1, Info: info})
 }
 
-// node finds or makes what is held of a process.
+// node returns the node of a process, and creates it if there is none.
 func (m *Machine) node(id ID) *node {
 	h := id.Hash()
 	n := m.nodes[h]
 	if n == nil {
 		n = &node{id: id, hash: h, since: m.now}
-		for r := range n.rings {
-			n.rings[r] = arith.Mix(h ^ arith.Mix(uint64(r)+1))
+		for r := range n.positions {
+			n.positions[r] = arith.Mix(h ^ arith.Mix(uint64(r)+1))
 		}
 		m.nodes[h] = n
-		at, _ := slices.BinarySearchFunc(m.order, n, byID)
+		at, _ := slices.BinarySearchFunc(m.order, n, compareID)
 		m.order = slices.Insert(m.order, at, n)
 	}
 	return n
 }
 
-func byID(a, b *node) int { return a.id.compare(b.id) }
+func compareID(a, b *node) int { return a.id.compare(b.id) }
 
-// on orders members on a ring.
-func on(r int) func(a, b *node) int {
-	return func(a, b *node) int { return cmp.Compare(a.rings[r], b.rings[r]) }
+// comparePosition returns a comparison of nodes by their position on a ring.
+func comparePosition(r int) func(a, b *node) int {
+	return func(a, b *node) int { return cmp.Compare(a.positions[r], b.positions[r]) }
 }
 
-// store takes a record into the view.
+// store puts a record into the view.
 func (m *Machine) store(n *node, r *Record) {
 	m.view.put(r)
-	m.quiet = 0
+	m.unchangedTicks = 0
 	if r.Kind != Self {
-		*n.record(r.Kind) = r
+		*n.recordSlot(r.Kind) = r
 		return
 	}
-	if n.self == nil || n.self.Info.Zone != r.Info.Zone || n.self.Info.Machine != r.Info.Machine || n.self.Info.Joined != r.Info.Joined || n.self.Info.Left != r.Info.Left {
-		m.dirty = true
+	if n.self == nil || n.self.Info.Zone != r.Info.Zone || n.self.Info.Machine != r.Info.Machine ||
+		n.self.Info.Joined != r.Info.Joined || n.self.Info.Left != r.Info.Left {
+		m.observersStale = true
 	}
-	n.fresh = n.state == Dead || n.state == Suspect
+	n.updatedSinceSuspected = n.state == Dead || n.state == Suspect
 	n.self = r
 }
 
-// drop forgets a process.
-func (m *Machine) drop(n *node) {
-	for _, r := range []*Record{n.self, n.watch, n.orders} {
+// removeNode deletes a process and its records from the view.
+func (m *Machine) removeNode(n *node) {
+	for _, r := range []*Record{n.self, n.suspicions, n.orders} {
 		if r != nil {
 			m.view.remove(r.key())
 		}
 	}
 	delete(m.nodes, n.hash)
-	if at, ok := slices.BinarySearchFunc(m.order, n, byID); ok {
+	if at, ok := slices.BinarySearchFunc(m.order, n, compareID); ok {
 		m.order = slices.Delete(m.order, at, at+1)
 	}
-	m.dirty, m.quiet = true, 0
+	m.observersStale, m.unchangedTicks = true, 0
 }
 
-// ID is the process that the view is of.
-func (m *Machine) ID() ID { return m.opt.ID }
+// ID returns the ID of this process.
+func (m *Machine) ID() ID { return m.options.ID }
 
-// Set changes what the process says of itself.
-func (m *Machine) Set(now time.Duration, change func(*Info)) Out {
-	return m.input(now, func() {
-		info := m.me.self.Info
+// Set changes the Info that this process publishes about itself.
+func (m *Machine) Set(now time.Duration, change func(*Info)) Output {
+	return m.apply(now, func() {
+		info := m.local.self.Info
 		change(&info)
-		if info.Left = info.Left || m.me.self.Info.Left; info != m.me.self.Info {
-			m.say(info)
+		if info.Left = info.Left || m.local.self.Info.Left; info != m.local.self.Info {
+			m.publishInfo(info)
 		}
 	})
 }
 
-// Leave says that the process ends, to all links; nothing it says later counts.
-func (m *Machine) Leave(now time.Duration) Out {
-	return m.input(now, func() {
-		if info := m.me.self.Info; !info.Left {
+// Leave announces on all links that this process ends. Later versions of its Self record are ignored.
+func (m *Machine) Leave(now time.Duration) Output {
+	return m.apply(now, func() {
+		if info := m.local.self.Info; !info.Left {
 			info.Left = true
-			m.say(info)
+			m.publishInfo(info)
 			m.flush()
 		}
 	})
 }
 
-// say writes the process's own record anew. What it says stands also after a begin.
-func (m *Machine) say(info Info) {
-	r := &Record{ID: m.opt.ID, Kind: Self, Version: max(m.me.self.Version, m.forged[Self]) + 1, Info: info}
-	m.forged[Self] = 0
-	m.opt.Info = info
-	m.store(m.me, r)
-	m.spread([]Record{*r}, ID{})
+// publishInfo writes a new version of this process's Self record. The Info is kept across a reset.
+func (m *Machine) publishInfo(info Info) {
+	r := &Record{ID: m.options.ID, Kind: Self, Version: max(m.local.self.Version, m.overruled[Self]) + 1, Info: info}
+	m.overruled[Self] = 0
+	m.options.Info = info
+	m.store(m.local, r)
+	m.enqueue([]Record{*r}, ID{})
 }
 
-// speak writes the process's words anew.
-func (m *Machine) speak() {
-	r := &Record{ID: m.opt.ID, Kind: Watch, Version: m.forged[Watch] + 1}
-	if m.me.watch != nil {
-		r.Version = max(m.me.watch.Version, m.forged[Watch]) + 1
+// publishSuspicions writes a new version of this process's Suspects record.
+func (m *Machine) publishSuspicions() {
+	r := &Record{ID: m.options.ID, Kind: Suspects, Version: m.overruled[Suspects] + 1}
+	if m.local.suspicions != nil {
+		r.Version = max(m.local.suspicions.Version, m.overruled[Suspects]) + 1
 	}
-	m.forged[Watch] = 0
-	for of, version := range m.mine {
-		r.Words = append(r.Words, Word{of, version})
+	m.overruled[Suspects] = 0
+	for of, version := range m.suspected {
+		r.Suspicions = append(r.Suspicions, Suspicion{of, version})
 	}
-	slices.SortFunc(r.Words, func(a, b Word) int { return cmp.Compare(a.Of, b.Of) })
-	m.store(m.me, r)
-	m.spread([]Record{*r}, ID{})
+	slices.SortFunc(r.Suspicions, func(a, b Suspicion) int { return cmp.Compare(a.Target, b.Target) })
+	m.store(m.local, r)
+	m.enqueue([]Record{*r}, ID{})
 }
 
-// Publish writes the process's orders; the same again change nothing. They are at most MaxOrders bytes.
-func (m *Machine) Publish(now time.Duration, orders string) Out {
-	return m.input(now, func() { m.publish(orders) })
+// Publish publishes this process's orders, at most MaxOrders bytes. Publishing the same orders again
+// changes nothing.
+func (m *Machine) Publish(now time.Duration, orders string) Output {
+	return m.apply(now, func() { m.publishOrders(orders) })
 }
 
-func (m *Machine) publish(orders string) {
-	old := m.me.orders
+func (m *Machine) publishOrders(orders string) {
+	old := m.local.orders
 	m.orders = orders
-	if m.forged[Orders] == 0 && (old != nil && old.Raw == orders || old == nil && orders == "") {
+	if m.overruled[Orders] == 0 && (old != nil && old.Raw == orders || old == nil && orders == "") {
 		return
 	}
-	r := &Record{ID: m.opt.ID, Kind: Orders, Version: m.forged[Orders] + 1, Raw: orders}
+	r := &Record{ID: m.options.ID, Kind: Orders, Version: m.overruled[Orders] + 1, Raw: orders}
 	if old != nil {
-		r.Version = max(old.Version, m.forged[Orders]) + 1
+		r.Version = max(old.Version, m.overruled[Orders]) + 1
 	}
-	m.forged[Orders] = 0
-	m.store(m.me, r)
-	m.spread([]Record{*r}, ID{})
+	m.overruled[Orders] = 0
+	m.store(m.local, r)
+	m.enqueue([]Record{*r}, ID{})
 }
 
-// Wish names members with which a link is wanted, beside those that the view itself needs.
-func (m *Machine) Wish(names []string) { m.wishes = slices.Clone(names) }
+// RequestLinks sets the names of members to which the caller wants a link, besides those that the view
+// itself needs.
+func (m *Machine) RequestLinks(names []string) { m.requestedLinks = slices.Clone(names) }
 
-// spread owes records to all links but one. What changes again before the next Flush goes once.
-func (m *Machine) spread(records []Record, but ID) {
+// enqueue marks records as pending on all links except one. A record that changes several times before
+// the next Flush is sent once.
+func (m *Machine) enqueue(records []Record, except ID) {
 	for id, l := range m.links {
-		if id != but {
+		if id != except {
 			for i := range records {
-				l.owed[records[i].key()] = true
+				l.pending[records[i].key()] = true
 			}
 		}
 	}
 }
 
-// Owes tells whether Flush has anything to send.
-func (m *Machine) Owes() bool {
+// HasPending reports whether Flush has records to send.
+func (m *Machine) HasPending() bool {
 	for _, l := range m.links {
-		if len(l.owed) > 0 {
+		if len(l.pending) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Flush sends what has changed. Whoever drives the machine calls it a small part of a period after
-// an input that left Owes true; a Tick does it too.
-func (m *Machine) Flush(now time.Duration) Out { return m.input(now, m.flush) }
+// Flush sends the pending records. The caller calls it a small part of a period after an input that left
+// HasPending true; Tick flushes as well.
+func (m *Machine) Flush(now time.Duration) Output { return m.apply(now, m.flush) }
 
 func (m *Machine) flush() {
-	for _, id := range m.linked() {
+	for _, id := range m.linkedIDs() {
 		l := m.links[id]
 		var records []Record
-		for key := range l.owed {
+		for key := range l.pending {
 			if r := m.view.records[key]; r != nil {
 				records = append(records, *r)
 			}
 		}
-		clear(l.owed)
+		clear(l.pending)
 		slices.SortFunc(records, func(a, b Record) int { return cmp.Compare(a.key(), b.key()) })
 		m.send(id, records)
 	}
 }
 
 func (m *Machine) send(to ID, records []Record) {
-	for part := range slices.Chunk(records, MaxRecords) {
-		m.out.Send = append(m.out.Send, Send{to, Message{Records: part}})
+	for chunk := range slices.Chunk(records, MaxRecords) {
+		m.out.Send = append(m.out.Send, Send{to, Message{Records: chunk}})
 	}
 }
 
-// linked is the links that are up, in order.
-func (m *Machine) linked() []ID {
+// linkedIDs returns the IDs of the links that are up, sorted.
+func (m *Machine) linkedIDs() []ID {
 	ids := make([]ID, 0, len(m.links))
 	for id := range m.links {
 		ids = append(ids, id)
@@ -375,10 +402,10 @@
 	return ids
 }
 
-// input runs one input; the digests of what is sent are those after it.
-func (m *Machine) input(now time.Duration, do func()) Out {
+// apply runs one input. The messages that it sends carry the digest of the view after the input.
+func (m *Machine) apply(now time.Duration, do func()) Output {
 	m.now = max(m.now, now)
-	m.out = &Out{}
+	m.out = &Output{}
 	do()
 	out := *m.out
 	for i := range out.Send {
@@ -388,55 +415,62 @@
 	return out
 }
 
-// Up tells that there is a link to a process, whoever dialled it. Both ends compare their views.
-func (m *Machine) Up(now time.Duration, id ID) Out {
-	return m.input(now, func() {
-		if id == m.opt.ID {
+// LinkUp notes that a link to a process is up, no matter which end dialled it. Both ends compare views.
+func (m *Machine) LinkUp(now time.Duration, id ID) Output {
+	return m.apply(now, func() {
+		if id == m.options.ID {
 			return
 		}
-		delete(m.bars, id.Hash()) // it is there, whatever was believed
-		m.links[id] = &link{since: m.ticks, heard: true, asked: -1, last: m.ticks, owed: map[uint64]bool{}}
-		m.send(id, []Record{*m.me.self})
-		m.compare(id)
+		delete(m.barredUntil, id.Hash()) // the process is evidently running
+		m.links[id] = &link{
+			upSince:     m.ticks,
+			heard:       true,
+			sumsSentAt:  -1,
+			lastContact: m.ticks,
+			pending:     map[uint64]bool{},
+		}
+		m.send(id, []Record{*m.local.self})
+		m.sendSums(id)
 	})
 }
 
-// Down tells that a link has ended. It accuses nobody: only silence does.
-func (m *Machine) Down(now time.Duration, id ID) Out {
-	return m.input(now, func() { delete(m.links, id) })
+// LinkDown notes that a link has ended. That raises no suspicion by itself: only missing contact does.
+func (m *Machine) LinkDown(now time.Duration, id ID) Output {
+	return m.apply(now, func() { delete(m.links, id) })
 }
 
-// compare sends the sums of one's view.
-func (m *Machine) compare(id ID) {
-	m.links[id].asked = m.ticks
+// sendSums sends the bucket sums of this agent's view.
+func (m *Machine) sendSums(id ID) {
+	m.links[id].sumsSentAt = m.ticks
 	m.out.Send = append(m.out.Send, Send{id, Message{Sums: slices.Clone(m.view.sums[:])}})
 }
 
-// Hear takes a message of a link that is up. What can't be is ignored.
-func (m *Machine) Hear(now time.Duration, from ID, msg Message) Out {
-	return m.input(now, func() {
+// Receive processes a message that arrived over a link that is up. Invalid parts are ignored.
+func (m *Machine) Receive(now time.Duration, from ID, msg Message) Output {
+	return m.apply(now, func() {
 		l := m.links[from]
 		if l == nil {
 			return
 		}
-		l.heard, l.last, l.digest = true, m.ticks, msg.Digest
+		l.heard, l.lastContact, l.digest = true, m.ticks, msg.Digest
 		if msg.Stamp > 0 {
-			l.stamp, l.echo = msg.Stamp, min(max(l.echo, msg.Echo), uint64(m.ticks)) // 0 until one of its own is back
+			// lastEcho is 0 until the first echo.
+			l.lastStamp, l.lastEcho = msg.Stamp, min(max(l.lastEcho, msg.Echo), uint64(m.ticks))
 		}
-		var news []Record
+		var changed []Record
 		for i := range msg.Records {
 			if r := &msg.Records[i]; m.merge(r) {
-				news = append(news, *r)
+				changed = append(changed, *r)
 			}
 		}
-		if len(news) > 0 {
-			m.spread(news, from)
+		if len(changed) > 0 {
+			m.enqueue(changed, from)
 		}
 		if len(msg.Sums) == Buckets {
-			m.heads(from, msg.Sums)
+			m.answerSums(from, msg.Sums)
 		}
 		if msg.Mask != 0 {
-			m.differ(from, &msg)
+			m.answerKeyVersions(from, &msg)
 		}
 		var wanted []Record
 		for _, k := range msg.Want {
@@ -445,56 +479,59 @@
 			}
 		}
 		m.send(from, wanted)
-		// One of the two asks, once a period, and only where nothing else is under way.
-		if msg.Digest != m.view.digest && l.asked < m.ticks && len(l.owed) == 0 && from.Hash() < m.me.hash && len(msg.Records)+len(msg.Sums)+len(msg.Want) == 0 && msg.Mask == 0 {
-			m.compare(from)
+		// Only one end of the link asks, once a period, and only if no other exchange is in progress.
+		if msg.Digest != m.view.digest && l.sumsSentAt < m.ticks && len(l.pending) == 0 &&
+			from.Hash() < m.local.hash &&
+			len(msg.Records)+len(msg.Sums)+len(msg.Want) == 0 && msg.Mask == 0 {
+			m.sendSums(from)
 		}
 	})
 }
 
-// heads answers sums with the heads of the buckets that differ.
-func (m *Machine) heads(to ID, sums []uint64) {
-	var parts [Buckets][]Head
+// answerSums answers sums with the keys and versions of the records in buckets whose sums differ.
+func (m *Machine) answerSums(to ID, sums []uint64) {
+	var byBucket [Buckets][]KeyVersion
 	for k, r := range m.view.records {
 		if b := bucket(k); sums[b] != m.view.sums[b] {
-			parts[b] = append(parts[b], Head{k, r.Version})
+			byBucket[b] = append(byBucket[b], KeyVersion{k, r.Version})
 		}
 	}
 	msg := Message{}
-	for b := range parts {
+	for b := range byBucket {
 		if sums[b] == m.view.sums[b] {
 			continue
 		}
-		heads := parts[b]
-		slices.SortFunc(heads, func(a, b Head) int { return cmp.Compare(a.Key, b.Key) })
-		if len(heads) > MaxHeads {
-			heads = heads[:MaxHeads]
+		heads := byBucket[b]
+		slices.SortFunc(heads, func(a, b KeyVersion) int { return cmp.Compare(a.Key, b.Key) })
+		if len(heads) > MaxKeyVersions {
+			heads = heads[:MaxKeyVersions]
 		}
-		if msg.Mask != 0 && len(msg.Heads)+len(heads) > MaxHeads {
+		if msg.Mask != 0 && len(msg.KeyVersions)+len(heads) > MaxKeyVersions {
 			m.out.Send = append(m.out.Send, Send{to, msg})
 			msg = Message{}
 		}
 		msg.Mask |= 1 << b
-		msg.Heads = append(msg.Heads, heads...)
+		msg.KeyVersions = append(msg.KeyVersions, heads...)
 	}
 	if msg.Mask != 0 {
 		m.out.Send = append(m.out.Send, Send{to, msg})
 	}
 }
 
-// differ answers heads with what is newer here, and wants what is newer there.
-func (m *Machine) differ(to ID, msg *Message) {
-	theirs := map[uint64]uint64{}
+// answerKeyVersions answers keys and versions with the records that are newer in this view, and requests
+// those that are newer in the peer's.
+func (m *Machine) answerKeyVersions(to ID, msg *Message) {
+	remoteVersions := map[uint64]uint64{}
 	var want []uint64
-	for _, h := range msg.Heads {
-		theirs[h.Key] = h.Version
+	for _, h := range msg.KeyVersions {
+		remoteVersions[h.Key] = h.Version
 		if r := m.view.records[h.Key]; r == nil || r.Version < h.Version {
 			want = append(want, h.Key)
 		}
 	}
 	var newer []Record
 	for k, r := range m.view.records {
-		if msg.Mask&(1<<bucket(k)) != 0 && r.Version > theirs[k] {
+		if msg.Mask&(1<<bucket(k)) != 0 && r.Version > remoteVersions[k] {
 			newer = append(newer, *r)
 		}
 	}
@@ -505,60 +542,63 @@
 	}
 }
 
-// merge takes a record that came, and reports whether it is news.
+// merge puts a received record into the view, and reports whether the view changed.
 func (m *Machine) merge(r *Record) bool {
-	if !r.sound() {
+	if !r.valid() {
 		return false
 	}
-	if r.ID == m.opt.ID {
-		m.own(r)
+	if r.ID == m.options.ID {
+		m.receiveOwn(r)
 		return false
 	}
 	h := r.ID.Hash()
 	n := m.nodes[h]
 	if n != nil {
-		if old := *n.record(r.Kind); old != nil && (old.Version >= r.Version || old.Info.Left) {
+		if old := *n.recordSlot(r.Kind); old != nil && (old.Version >= r.Version || old.Info.Left) {
 			return false
 		}
 	}
-	if _, barred := m.bars[h]; barred {
+	if _, barred := m.barredUntil[h]; barred {
 		return false
 	}
 	if r.Kind == Self {
-		if !m.names(r) {
+		if !m.resolveName(r) {
 			return false
 		}
 		n = m.node(r.ID)
 	} else if n == nil || n.self == nil {
-		return false // its Self comes first, or with the next comparison
+		return false // its Self record has to arrive first; the next comparison brings both
 	}
 	c := *r
 	m.store(n, &c)
 	return true
 }
 
-// names settles a record beside others of its name, and reports whether it counts.
-func (m *Machine) names(r *Record) bool {
-	for _, o := range m.named(r.ID.Name) {
-		switch { // deaths that rest on the words of one that is dropped rest on the others' from then on
+// resolveName resolves a Self record against other processes of the same name, and reports whether the
+// record is accepted.
+func (m *Machine) resolveName(r *Record) bool {
+	for _, o := range m.nodesNamed(r.ID.Name) {
+		switch { // a death that relied on suspicions of a removed process relies on the others' from then on
 		case o.self == nil || o.id == r.ID:
 		case o.id.Incarnation > r.ID.Incarnation && !r.Info.Twin:
-			return false // another has taken its place
-		case o.id.Incarnation < r.ID.Incarnation && !o.self.Info.Twin && o != m.me:
-			m.drop(o)
+			return false // superseded by a later incarnation
+		case o.id.Incarnation < r.ID.Incarnation && !o.self.Info.Twin && o != m.local:
+			m.removeNode(o)
 		}
 	}
-	if r.ID.Name == m.opt.ID.Name && r.ID.Incarnation > m.opt.ID.Incarnation && !m.me.self.Info.Twin {
-		info := m.me.self.Info
-		info.Twin = true // the other may be a forgery; then it is silent
-		m.say(info)
+	if r.ID.Name == m.options.ID.Name && r.ID.Incarnation > m.options.ID.Incarnation && !m.local.self.Info.Twin {
+		info := m.local.self.Info
+		info.Twin = true // if the other is forged, it never shows up
+		m.publishInfo(info)
 	}
 	return true
 }
 
-// named is all processes of a name.
-func (m *Machine) named(name string) []*node {
-	at, _ := slices.BinarySearchFunc(m.order, name, func(n *node, name string) int { return strings.Compare(n.id.Name, name) })
+// nodesNamed returns all processes with a name.
+func (m *Machine) nodesNamed(name string) []*node {
+	at, _ := slices.BinarySearchFunc(m.order, name, func(n *node, name string) int {
+		return strings.Compare(n.id.Name, name)
+	})
 	end := at
 	for end < len(m.order) && m.order[end].id.Name == name {
 		end++
@@ -566,16 +606,17 @@
 	return slices.Clone(m.order[at:end])
 }
 
-// own reads what goes round in this process's name. What it never wrote is overruled, at the next
-// tick, by a higher version of the truth.
-func (m *Machine) own(r *Record) {
-	have := *m.me.record(r.Kind)
-	same := have != nil && r.Version == have.Version && r.Info == have.Info && slices.Equal(r.Words, have.Words) && (r.Kind != Orders || r.Raw == have.Raw)
-	if same || have != nil && r.Version < have.Version {
+// receiveOwn processes a record in this process's own name. If this process did not write it, the next
+// tick overrules it with the true record in a higher version.
+func (m *Machine) receiveOwn(r *Record) {
+	current := *m.local.recordSlot(r.Kind)
+	same := current != nil && r.Version == current.Version && r.Info == current.Info &&
+		slices.Equal(r.Suspicions, current.Suspicions) && (r.Kind != Orders || r.Raw == current.Raw)
+	if same || current != nil && r.Version < current.Version {
 		return
 	}
-	m.forged[r.Kind] = max(m.forged[r.Kind], r.Version)
+	m.overruled[r.Kind] = max(m.overruled[r.Kind], r.Version)
 }
 
-// ones counts a history's last periods in which somebody was heard.
-func ones(x uint64, last int) int { return bits.OnesCount64(x & (1<<last - 1)) }
+// contactPeriods returns the number of periods with contact among the last ones of a contact history.
+func contactPeriods(x uint64, last int) int { return bits.OnesCount64(x & (1<<last - 1)) }
--- a/internal/decide/members/race_off_test.go
+++ b/internal/decide/members/race_off_test.go
@@ -2,4 +2,4 @@
 
 package members
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/decide/members/race_on_test.go
+++ b/internal/decide/members/race_on_test.go
@@ -2,4 +2,4 @@
 
 package members
 
-const raceOn = true
+const raceEnabled = true
--- a/internal/decide/members/records.go
+++ b/internal/decide/members/records.go
@@ -10,8 +10,8 @@
 	"molepaddle/internal/decide/arith"
 )
 
-// ID is one process: a name, and an incarnation that is greater than those of all processes that
-// had the name before.
+// ID identifies a process by its name and its incarnation. The incarnation is greater than those of all
+// earlier processes of that name.
 type ID struct {
 	Name        string
 	Incarnation uint64 // not 0
@@ -21,7 +21,7 @@
 	return cmp.Or(strings.Compare(id.Name, o.Name), cmp.Compare(id.Incarnation, o.Incarnation))
 }
 
-// Hash spreads processes evenly; it is the same at every agent.
+// Hash returns a hash of the ID that is the same at every agent.
 func (id ID) Hash() uint64 {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], id.Incarnation)
@@ -31,114 +31,116 @@
 	return d.Sum64()
 }
 
-// Info is what a process says of itself. All words are bounded by whoever reads them off a wire.
+// Info is what a process publishes about itself. Package linkwire converts it by its field names and
+// bounds the length of its strings.
 type Info struct {
 	Machine  string
 	Zone     string
-	Role     string // agent, or gateway
+	Role     string // "agent" or "gateway"
 	Build    string
-	Settings string // a digest of its settings
-	Process  string // what its lifecycle says it is
-	Address  string // where peers reach it
+	Settings string // digest of its settings
+	Process  string // name of its lifecycle.State
+	Address  string // address for links from its peers
 	Load     float64
-	Seat     uint64  // of the council: the id of its disk; 0: it has none to sit with
-	Stopped  uint64  // the version of the council's orders that it has put into effect
-	Rate     float64 // requests a second that it takes
-	Holds    bool    // it holds promises for others
-	Silent   string  // servers that it hears nothing of, as package hearsay words them
-	Joined   bool    // it has exchanged views with somebody, or is alone
-	Left     bool    // it ends; final
-	Twin     bool    // it has read of a later process under its name, and still runs
+	Seat     uint64  // its disk's ID as a member of the council; 0: it has none
+	Stopped  uint64  // version of the council's orders that it has applied
+	Rate     float64 // requests per second that it receives
+	Holds    bool    // it stores promises for other processes
+	Silent   string  // unresponsive servers, as encoded by package hearsay
+	Joined   bool    // its view has been equal to a peer's, or it has waited long enough for one
+	Left     bool    // it is ending; can't be revoked
+	Twin     bool    // it has learned of a later process of the same name, and still runs
 }
 
-// Kind is what a record is about.
+// Kind is the kind of a record.
 type Kind uint8
 
-// The kinds.
+// The kinds of records.
 const (
-	Self   Kind = iota // what the process says of itself
-	Watch              // whom it watches and can't hear
-	Orders             // which machines the council has everybody leave alone; Raw, and never read here
+	Self     Kind = iota // the process's Info
+	Suspects             // the members that it observes and suspects
+	Orders               // which machines the council excludes from work; kept in Raw and not decoded here
 	kinds
 )
 
-// Word is an observer's word that it can't hear somebody.
-type Word struct {
-	Of      uint64 // the hash of its ID
-	Version uint64 // of its Self record that the observer had
+// Suspicion states that an observer has no contact with a member. A newer Self record refutes it.
+type Suspicion struct {
+	Target  uint64 // hash of the member's ID
+	Version uint64 // of the member's Self record, as the observer had it
 }
 
-// Record is one of the records that a process writes. Of two of the same ID and kind the
-// higher version stands. It is a value: nobody changes one that has been handed on.
+// Record is a versioned record that a process publishes. Of two with the same ID and kind the one with
+// the higher version is valid. A record isn't modified after it has been stored or sent.
 type Record struct {
-	ID      ID
-	Kind    Kind
-	Version uint64 // from 1
-	Info    Info   // of a Self
-	Words   []Word // of a Watch, by Of
-	Raw     string // as it came, for those who pass it on; empty: it was written here; all of an Orders
+	ID         ID
+	Kind       Kind
+	Version    uint64      // from 1
+	Info       Info        // of a Self
+	Suspicions []Suspicion // of kind Suspects, sorted by Target
+	Raw        string      // encoded form as received, for forwarding; empty: written here. All of an Orders
 }
 
-// key names a record whatever its version.
+// key identifies a record irrespective of its version.
 func (r *Record) key() uint64 { return arith.Mix(r.ID.Hash() + uint64(r.Kind)) }
 
-// sum is the record's part in a digest.
+// sum returns the record's contribution to a digest.
 func (r *Record) sum() uint64 { return arith.Mix(r.key() ^ arith.Mix(r.Version)) }
 
-// Buckets is how many sums a view is compared by.
+// Buckets is the number of sums by which two views are compared.
 const Buckets = 32
 
 func bucket(key uint64) int { return int(key >> 59) }
 
-// Head is a record's key and version.
-type Head struct {
+// KeyVersion is the key and the version of a record.
+type KeyVersion struct {
 	Key     uint64
 	Version uint64
 }
 
-// Message is what goes over a link. Each has the digest of the sender's view; the rest may be
-// missing.
+// Message is a message between two members. Each carries the digest of the sender's view; all other
+// fields are optional.
 type Message struct {
-	Digest  uint64
-	Stamp   uint64   // of a beat: the sender's ticks
-	Echo    uint64   // and the last Stamp that it has had of the receiver
-	Sums    []uint64 // of the sender's Buckets: the receiver answers with heads where its own differ
-	Mask    uint32   // the buckets that Heads is about
-	Heads   []Head   // all that the sender has there: the receiver answers with what is newer, and wants the rest
-	Want    []uint64 // keys of records that the sender lacks
-	Records []Record
+	Digest      uint64
+	Stamp       uint64       // of a heartbeat: the sender's tick count
+	Echo        uint64       // of a heartbeat: the latest Stamp from the receiver
+	Sums        []uint64     // of the sender's buckets; the receiver answers with KeyVersions of those that differ
+	Mask        uint32       // bit set of the buckets that KeyVersions covers
+	KeyVersions []KeyVersion // the sender's records in these buckets; the receiver sends newer ones and requests others
+	Want        []uint64     // keys of records that the sender requests
+	Records     []Record
 }
 
-// MaxRecords is how many records one message holds; MaxWords how many words one Watch holds;
-// MaxHeads how many heads or wants a message holds; MaxOrders how many bytes an Orders has.
+// MaxRecords is the maximum number of records in a message, MaxSuspicions that of suspicions in a record,
+// MaxKeyVersions that of KeyVersions or Want in a message; MaxOrders is the maximum size of orders in bytes.
 const (
-	MaxRecords = 24
-	MaxWords   = 48
-	MaxHeads   = 1000
-	MaxOrders  = 1024
+	MaxRecords     = 24
+	MaxSuspicions  = 48
+	MaxKeyVersions = 1000
+	MaxOrders      = 1024
 )
 
-// maxVersion bounds versions: whoever writes a hundred a second gets there after the sun.
+// maxVersion is the highest valid version. At a hundred versions a second it takes over a billion years
+// to get there.
 const maxVersion = 1 << 62
 
-// sound tells whether a record can be one of anybody's.
-func (r *Record) sound() bool {
+// valid reports whether a record is well-formed and within the bounds.
+func (r *Record) valid() bool {
 	ok := r.ID.Name != "" && r.ID.Incarnation != 0 && r.Version != 0 && r.Version <= maxVersion && r.Kind < kinds &&
-		len(r.Words) <= MaxWords
-	for _, w := range r.Words {
+		len(r.Suspicions) <= MaxSuspicions
+	for _, w := range r.Suspicions {
 		ok = ok && w.Version <= maxVersion
 	}
 	return ok
 }
 
-// view is the records of one agent, and the sums over them.
+// view holds the records that an agent has, with sums over them.
 type view struct {
 	records map[uint64]*Record
 	sums    [Buckets]uint64
 	digest  uint64
 }
 
-// put takes a record in the place of the one before it.
+// put stores a record, replacing the earlier version.
 func (v *view) put(r *Record) {
 	k := r.key()
 	v.remove(k)
--- a/internal/decide/members/tick.go
+++ b/internal/decide/members/tick.go
@@ -7,198 +7,199 @@
 	"time"
 )
 
-// Tick is one period: whoever drives the machine calls it once in each, and once after a pause,
-// however long. Silence is counted in ticks, so that who was stopped accuses nobody for it.
-func (m *Machine) Tick(now time.Duration) Out {
-	return m.input(now, func() {
-		gap := m.now - m.last
-		if m.last = m.now; m.ticks > 0 && gap > m.opt.Forget {
-			m.anew()
+// Tick ends a period. The caller calls it once per period, and once after a pause of any length: missing
+// contact is counted in ticks, so that a process that was paused suspects no member because of the pause.
+func (m *Machine) Tick(now time.Duration) Output {
+	return m.apply(now, func() {
+		gap := m.now - m.lastTick
+		if m.lastTick = m.now; m.ticks > 0 && gap > m.options.ForgetAfter {
+			m.rejoin()
 		}
 		m.ticks++
-		m.quiet++
-		if m.starved > 0 {
-			m.starved--
-		}
-		if m.ticks > 1 && gap > 5*m.opt.Period/2 {
-			m.starved = 2 * m.opt.Silent
-		}
-		m.listen()
-		if m.dirty {
-			m.assign()
-		}
-		m.accuse()
-		m.judge()
-		m.confess()
-		m.forget()
-		m.reach()
+		m.unchangedTicks++
+		if m.starvedTicks > 0 {
+			m.starvedTicks--
+		}
+		if m.ticks > 1 && gap > 5*m.options.Period/2 {
+			m.starvedTicks = 2 * m.options.SuspectAfter
+		}
+		m.recordContacts()
+		if m.observersStale {
+			m.assignObservers()
+		}
+		m.updateSuspicions()
+		m.updateStates()
+		m.updateOwnRecords()
+		m.expire()
+		m.planLinks()
 		m.flush()
-		for _, id := range m.linked() {
-			m.out.Send = append(m.out.Send, Send{id, Message{Stamp: uint64(m.ticks), Echo: m.links[id].stamp}})
+		for _, id := range m.linkedIDs() {
+			m.out.Send = append(m.out.Send, Send{id, Message{Stamp: uint64(m.ticks), Echo: m.links[id].lastStamp}})
 		}
 	})
 }
 
-// anew drops a view that may be older than what others have forgotten, and joins as a later process.
-func (m *Machine) anew() {
-	m.out.Drop = append(m.out.Drop, m.linked()...)
-	m.opt.ID.Incarnation++
-	m.begin()
+// rejoin discards the view, which may hold records that others have already forgotten, and joins again
+// under a higher incarnation.
+func (m *Machine) rejoin() {
+	m.out.Drop = append(m.out.Drop, m.linkedIDs()...)
+	m.options.ID.Incarnation++
+	m.reset()
 }
 
-// listen notes who was heard in the period that ends.
-func (m *Machine) listen() {
+// recordContacts notes which observed members were heard from in the period that ends.
+func (m *Machine) recordContacts() {
 	for _, n := range m.order {
-		if n.subject || m.mine[n.hash] != 0 {
-			n.heard <<= 1
-			n.watched++
-			if l := m.links[n.id]; l != nil && l.heard || m.starved == 2*m.opt.Silent {
-				n.heard |= 1
+		if n.subject || m.suspected[n.hash] != 0 {
+			n.contactHistory <<= 1
+			n.watchedPeriods++
+			if l := m.links[n.id]; l != nil && l.heard || m.starvedTicks == 2*m.options.SuspectAfter {
+				n.contactHistory |= 1
 			}
 		}
 	}
-	m.still++
+	m.ticksWithoutContact++
 	for _, l := range m.links {
 		if l.heard {
-			m.still = 0
+			m.ticksWithoutContact = 0
 		}
 		l.heard = false
 	}
 }
 
-// near is how many members before another on a ring are looked at for one in another zone.
-const near = 4
+// zoneSearchLength is how many of a member's predecessors on a ring are searched for one in another zone.
+const zoneSearchLength = 4
 
-// assign works out who watches whom: on each ring the nearest before a member that is on another
-// machine, in another zone if one of the nearest is, and no observer of it yet.
-func (m *Machine) assign() {
-	m.dirty = false
-	var able, all []*node
+// assignObservers computes which member observes which: on each ring the nearest predecessor of a member
+// that is on another machine and doesn't observe it yet, preferably in another zone.
+func (m *Machine) assignObservers() {
+	m.observersStale = false
+	var candidates, all []*node
 	for _, n := range m.order {
 		if n.self == nil || n.self.Info.Left {
 			n.subject = false
 			continue
 		}
 		all = append(all, n)
-		if n == m.me || n.here() && n.self.Info.Joined && n.open == 0 {
-			able = append(able, n)
+		if n == m.local || n.present() && n.self.Info.Joined && n.openSuspicions == 0 {
+			candidates = append(candidates, n)
 		}
 	}
 	var rings [Rings][]*node
 	for r := range rings {
-		rings[r] = slices.Clone(able)
-		slices.SortFunc(rings[r], on(r))
+		rings[r] = slices.Clone(candidates)
+		slices.SortFunc(rings[r], comparePosition(r))
 	}
-	clear(m.watch)
+	clear(m.observers)
 	for _, s := range all {
 		var taken [Rings]*node
 		for r := range rings {
 			taken[r] = observer(rings[r], r, s, taken[:r])
 		}
 		was := s.subject
-		if s.subject = s != m.me && slices.Contains(taken[:], m.me); s.subject && !was {
-			s.heard, s.watched = 0, 0
+		if s.subject = s != m.local && slices.Contains(taken[:], m.local); s.subject && !was {
+			s.contactHistory, s.watchedPeriods = 0, 0
 		}
-		if s == m.me {
+		if s == m.local {
 			for _, o := range taken {
 				if o != nil {
-					m.watch[o.id] = true
+					m.observers[o.id] = true
 				}
 			}
 		}
 	}
 }
 
-// observer is a member's on one ring; nil: there is none left.
+// observer returns the observer of a member on one ring, or nil if no candidate is left.
 func observer(ring []*node, r int, s *node, taken []*node) *node {
-	at, _ := slices.BinarySearchFunc(ring, s, on(r))
-	var other, any *node // on another machine; of another name
+	at, _ := slices.BinarySearchFunc(ring, s, comparePosition(r))
+	var otherMachine, fallback *node // first candidate on another machine; first candidate of another name
 	seen := 0
 	for i := range ring {
 		o := ring[(at-1-i+2*len(ring))%len(ring)]
 		if o.id.Name == s.id.Name || slices.Contains(taken, o) {
 			continue
 		}
-		if any == nil {
-			any = o
+		if fallback == nil {
+			fallback = o
 		}
 		if o.self.Info.Machine != s.self.Info.Machine {
 			if o.self.Info.Zone != s.self.Info.Zone {
 				return o
 			}
-			if other == nil {
-				other = o
+			if otherMachine == nil {
+				otherMachine = o
 			}
 		}
-		if seen++; seen >= near && other != nil || seen >= 4*near {
+		if seen++; seen >= zoneSearchLength && otherMachine != nil || seen >= 4*zoneSearchLength {
 			break
 		}
 	}
-	if other != nil {
-		return other
+	if otherMachine != nil {
+		return otherMachine
 	}
-	return any
+	return fallback
 }
 
-// accuse speaks about subjects that are silent, and takes words back.
-func (m *Machine) accuse() {
-	// Those who fell silent together did so within a period of each other.
-	m.deaf = m.still >= m.opt.Silent-1 && len(m.links)+len(m.watch) > 1
-	if m.deaf {
-		m.lame = m.ticks + m.opt.Silent // when it ends, they are not all heard again at once
-	}
-	patience := m.opt.Silent
-	if m.ticks < m.lame || m.starved > 0 {
-		patience *= 3 // the fault may be here
-	}
-	changed, trip := false, m.trip()
+// updateSuspicions suspects subjects without contact, and withdraws suspicions that no longer apply.
+func (m *Machine) updateSuspicions() {
+	// Peers that become unreachable together do so within a period of each other, hence one period less.
+	m.isolated = m.ticksWithoutContact >= m.options.SuspectAfter-1 && len(m.links)+len(m.observers) > 1
+	if m.isolated {
+		m.selfSuspectUntil = m.ticks + m.options.SuspectAfter // contact with all peers doesn't return at once
+	}
+	timeout := m.options.SuspectAfter
+	if m.ticks < m.selfSuspectUntil || m.starvedTicks > 0 {
+		timeout *= 3 // the fault may be this agent's own
+	}
+	changed, trip := false, m.extraRoundTrip()
 	for _, n := range m.order {
-		patience := patience
-		if n.heard == 0 { // never yet: a link has to come up
-			patience += 3 * trip
+		timeout := timeout
+		if n.contactHistory == 0 { // no contact yet: the link has to come up first
+			timeout += 3 * trip
 		}
-		version, spoken := m.mine[n.hash]
+		suspectedVersion, alreadySuspected := m.suspected[n.hash]
 		switch {
 		case n.self == nil || n.self.Info.Left:
-			if spoken {
-				delete(m.mine, n.hash)
+			if alreadySuspected {
+				delete(m.suspected, n.hash)
 				changed = true
 			}
-		case spoken && ones(n.heard, 2) == 2:
-			delete(m.mine, n.hash)
-			n.strikes, n.next, changed = 0, 0, true
-		case spoken && n.self.Version <= version: // it stands
-		case spoken && !n.subject:
-			delete(m.mine, n.hash)
+		case alreadySuspected && contactPeriods(n.contactHistory, 2) == 2:
+			delete(m.suspected, n.hash)
+			n.refutations, n.suspectNotBefore, changed = 0, 0, true
+		case alreadySuspected && n.self.Version <= suspectedVersion: // not refuted: the suspicion stays
+		case alreadySuspected && !n.subject:
+			delete(m.suspected, n.hash)
 			changed = true
-		case n.subject && ones(n.heard, patience) == 0 && n.watched >= patience:
-			if spoken && n.next == 0 { // answered: wait, longer each time
-				n.strikes = min(n.strikes+1, 3)
-				n.next = m.ticks + m.opt.Silent<<n.strikes
+		case n.subject && contactPeriods(n.contactHistory, timeout) == 0 && n.watchedPeriods >= timeout:
+			if alreadySuspected && n.suspectNotBefore == 0 { // refuted: back off, longer each time
+				n.refutations = min(n.refutations+1, 3)
+				n.suspectNotBefore = m.ticks + m.options.SuspectAfter<<n.refutations
 			}
-			if spoken && m.ticks < n.next || !spoken && len(m.mine) >= MaxWords {
+			if alreadySuspected && m.ticks < n.suspectNotBefore || !alreadySuspected && len(m.suspected) >= MaxSuspicions {
 				continue
 			}
-			m.mine[n.hash] = n.self.Version
-			n.next, changed = 0, true
+			m.suspected[n.hash] = n.self.Version
+			n.suspectNotBefore, changed = 0, true
 		}
 	}
-	for h := range m.mine {
+	for h := range m.suspected {
 		if m.nodes[h] == nil {
-			delete(m.mine, h)
+			delete(m.suspected, h)
 			changed = true
 		}
 	}
 	if changed {
-		m.speak()
+		m.publishSuspicions()
 	}
 }
 
-// quorum is how many witnesses a death needs.
+// quorum returns how many witnesses it takes to declare a member dead.
 func (m *Machine) quorum() int {
 	n := 0
 	for _, o := range m.order {
-		if o.here() {
+		if o.present() {
 			n++
 		}
 	}
@@ -208,13 +209,13 @@
 	return 2
 }
 
-// trip is by how many periods the round trip to the middle one of the peers is longer than the two that
-// a beat and its echo may wait. The middle one, so that no single peer can put deaths off.
-func (m *Machine) trip() int {
+// extraRoundTrip returns by how many periods the median round trip to the peers exceeds the two periods
+// that a heartbeat and its echo may wait. It is the median so that no single peer can delay deaths.
+func (m *Machine) extraRoundTrip() int {
 	var trips []int
 	for _, l := range m.links {
-		if m.ticks-l.last <= m.opt.Silent && l.echo > 0 {
-			trips = append(trips, m.ticks-int(l.echo))
+		if m.ticks-l.lastContact <= m.options.SuspectAfter && l.lastEcho > 0 {
+			trips = append(trips, m.ticks-int(l.lastEcho))
 		}
 	}
 	if len(trips) == 0 {
@@ -224,132 +225,136 @@
 	return max(trips[len(trips)/2]-2, 0)
 }
 
-// judge works out what is believed of everybody.
-func (m *Machine) judge() {
+// updateStates computes the state of each member, and reports the changes.
+func (m *Machine) updateStates() {
 	for _, n := range m.order {
-		n.doubts, n.witnesses, n.counted = nil, 0, ""
+		n.suspectedBy, n.witnesses, n.lastWitness = nil, 0, ""
 	}
 	was := map[*node]int{}
 	for _, n := range m.order {
-		if n.open > 0 {
-			was[n] = n.open
+		if n.openSuspicions > 0 {
+			was[n] = n.openSuspicions
 		}
-		n.open = 0
+		n.openSuspicions = 0
 	}
 	for _, o := range m.order {
-		if o.watch == nil {
+		if o.suspicions == nil {
 			continue
 		}
-		for _, w := range o.watch.Words {
-			t := m.nodes[w.Of]
+		for _, w := range o.suspicions.Suspicions {
+			t := m.nodes[w.Target]
 			if t == nil || t.self == nil || t.self.Info.Left || t.id.Name == o.id.Name {
 				continue
 			}
-			answered := w.Version < t.self.Version
-			if (!answered || o == m.me || o.here()) && !slices.Contains(t.doubts, o.id.Name) {
-				t.doubts = append(t.doubts, o.id.Name)
+			refuted := w.Version < t.self.Version
+			if (!refuted || o == m.local || o.present()) && !slices.Contains(t.suspectedBy, o.id.Name) {
+				t.suspectedBy = append(t.suspectedBy, o.id.Name)
 			}
-			if answered {
+			if refuted {
 				continue
 			}
-			if t == m.me { // whatever version it had, the sign of life is a higher one
-				m.forged[Self] = max(m.forged[Self], w.Version)
+			if t == m.local { // refuted by publishing a higher version
+				m.overruled[Self] = max(m.overruled[Self], w.Version)
 			}
-			t.open++
-			if (o == m.me || o.proven >= m.opt.Proven) && t.counted != o.id.Name {
-				t.counted = o.id.Name
+			t.openSuspicions++
+			if (o == m.local || o.unsuspectedPeriods >= m.options.WitnessAfter) && t.lastWitness != o.id.Name {
+				t.lastWitness = o.id.Name
 				t.witnesses++
 			}
 		}
 	}
-	// Words and answers go over several links: where these are slow, both are.
-	quorum, grace, pending := m.quorum(), m.opt.Grace+5*m.trip(), false
+	// Suspicions and refutations travel over several links, so slow links delay both.
+	quorum, grace, pending := m.quorum(), m.options.Grace+5*m.extraRoundTrip(), false
 	for _, n := range m.order {
-		if n == m.me || n.self == nil {
+		if n == m.local || n.self == nil {
 			continue
 		}
-		if (n.open > 0) != (was[n] > 0) {
-			m.dirty = true // who is doubted observes nobody
+		if (n.openSuspicions > 0) != (was[n] > 0) {
+			m.observersStale = true // a suspected member doesn't observe others
 		}
-		if n.open == 0 && n.self.Info.Joined && n.proven < m.opt.Proven {
-			n.proven++
-		} else if n.open > 0 && n.proven < m.opt.Proven {
-			n.proven = 0
+		if n.openSuspicions == 0 && n.self.Info.Joined && n.unsuspectedPeriods < m.options.WitnessAfter {
+			n.unsuspectedPeriods++
+		} else if n.openSuspicions > 0 && n.unsuspectedPeriods < m.options.WitnessAfter {
+			n.unsuspectedPeriods = 0
 		}
 		switch {
-		case n.state == Dead && n.open > 0: // more have joined since, or a witness has started anew
-		case n.witnesses >= quorum && (m.ticks < m.lame || m.starved > 0): // an answer may be what is not heard
+		case n.state == Dead && n.openSuspicions > 0: // stays dead, also if the quorum has grown or a witness restarted
+		case n.witnesses >= quorum && (m.ticks < m.selfSuspectUntil || m.starvedTicks > 0):
+			// This agent may have missed a refutation.
 		case n.witnesses >= quorum:
-			n.due++
-			n.band = 0
-		case n.open > 0:
-			n.due = 0
-			n.band++
+			n.quorumPeriods++
+			n.belowQuorumPeriods = 0
+		case n.openSuspicions > 0:
+			n.quorumPeriods = 0
+			n.belowQuorumPeriods++
 		default:
-			n.due, n.band = 0, 0
+			n.quorumPeriods, n.belowQuorumPeriods = 0, 0
 		}
-		if n.state != Dead && (n.band > 0 && n.band <= m.opt.Hold || n.due > 0 && n.due <= grace) {
+		if n.state != Dead && (n.belowQuorumPeriods > 0 && n.belowQuorumPeriods <= m.options.CoalescePeriods ||
+			n.quorumPeriods > 0 && n.quorumPeriods <= grace) {
 			pending = true
 		}
 	}
-	var fell []*node
+	var newlyDead []*node
 	for _, n := range m.order {
-		if n == m.me || n.self == nil {
+		if n == m.local || n.self == nil {
 			continue
 		}
 		state := Alive
 		switch {
 		case n.self.Info.Left:
 			state = Left
-		case n.state == Dead && n.open > 0, n.due > grace && (!pending || n.due > grace+m.opt.Hold):
+		case n.state == Dead && n.openSuspicions > 0,
+			n.quorumPeriods > grace && (!pending || n.quorumPeriods > grace+m.options.CoalescePeriods):
 			state = Dead
-		case len(n.doubts) > 0:
+		case len(n.suspectedBy) > 0:
 			state = Suspect
 		case !n.self.Info.Joined:
 			state = Joining
 		}
-		if state == n.state && n.decided {
+		if state == n.state && n.reported {
 			continue
 		}
 		if (state == Dead) != (n.state == Dead) {
-			m.dirty = true
+			m.observersStale = true
 		}
 		was := n.state
-		if !n.decided {
+		if !n.reported {
 			was = Joining
 		}
-		n.state, n.decided, n.since = state, true, m.now
+		n.state, n.reported, n.since = state, true, m.now
 		if state == Dead {
-			fell = append(fell, n)
+			newlyDead = append(newlyDead, n)
 			continue
 		}
-		m.tell(state, why(n, was), n)
+		m.reportChange(state, stateReason(n, was), n)
 	}
-	if len(fell) > 0 {
-		m.tell(Dead, cut(fell), fell...)
+	if len(newlyDead) > 0 {
+		m.reportChange(Dead, deathReason(newlyDead), newlyDead...)
 	}
 }
 
-// why words a change of one member.
-func why(n *node, was State) string {
+// stateReason returns the reason of a change of one member, for operators.
+func stateReason(n *node, was State) string {
 	switch n.state {
 	case Left:
 		return "it has said so"
 	case Suspect:
-		return strings.Join(n.doubts, ", ") + " can't hear it"
+		return strings.Join(n.suspectedBy, ", ") + " reported no contact with it"
 	case Joining:
-		return "it has shown itself"
+		return "its first record has arrived"
 	}
 	if was == Suspect || was == Dead {
-		return "it is heard again"
+		return "no observer suspects it any more"
 	}
 	return "it has joined"
 }
 
-// cut words deaths, as a whole machine or zone where they are all of one.
-func cut(fell []*node) string {
-	zone, machine := fell[0].self.Info.Zone, fell[0].self.Info.Machine
-	for _, n := range fell {
+// deathReason returns the reason of deaths, for operators; it names the machine or zone that all have in
+// common.
+func deathReason(dead []*node) string {
+	zone, machine := dead[0].self.Info.Zone, dead[0].self.Info.Machine
+	for _, n := range dead {
 		if n.self.Info.Zone != zone {
 			zone = ""
 		}
@@ -359,82 +364,83 @@
 	}
 	where := ""
 	switch {
-	case len(fell) == 1:
+	case len(dead) == 1:
 	case machine != "":
 		where = "all on machine " + machine + "; "
 	case zone != "":
 		where = "all in zone " + zone + "; "
 	}
-	return where + "not heard by " + strings.Join(fell[0].doubts, ", ") + ", nor has it answered them"
+	return where + "suspected by " + strings.Join(dead[0].suspectedBy, ", ") + ", and it has not refuted the suspicions"
 }
 
-// tell notes a change.
-func (m *Machine) tell(s State, why string, who ...*node) {
-	c := Change{At: m.now, State: s, Why: why}
-	for _, n := range who {
-		c.Who = append(c.Who, n.id)
+// reportChange adds a change to the output.
+func (m *Machine) reportChange(s State, why string, nodes ...*node) {
+	c := Change{At: m.now, State: s, Reason: why}
+	for _, n := range nodes {
+		c.IDs = append(c.IDs, n.id)
 	}
 	m.out.Changes = append(m.out.Changes, c)
 }
 
-// confess answers words about this process, and says when it has joined.
-func (m *Machine) confess() {
-	if m.forged[Watch] > 0 {
-		m.speak()
+// updateOwnRecords refutes suspicions of this process, overrules forged records, and publishes when the
+// process has joined.
+func (m *Machine) updateOwnRecords() {
+	if m.overruled[Suspects] > 0 {
+		m.publishSuspicions()
 	}
-	if m.forged[Orders] > 0 {
-		m.publish(m.orders)
+	if m.overruled[Orders] > 0 {
+		m.publishOrders(m.orders)
 	}
-	info, say := m.me.self.Info, m.forged[Self] > 0 // also a sign of life
+	info, publish := m.local.self.Info, m.overruled[Self] > 0 // a new version also refutes suspicions
 	if !info.Joined && !info.Left {
-		same := false
+		converged := false
 		for _, l := range m.links {
-			same = same || l.digest == m.view.digest
+			converged = converged || l.digest == m.view.digest
 		}
-		if same || m.ticks >= 3*m.opt.Silent {
-			info.Joined, say = true, true
+		if converged || m.ticks >= 3*m.options.SuspectAfter {
+			info.Joined, publish = true, true
 		}
 	}
 	if !info.Twin {
-		for _, o := range m.named(m.opt.ID.Name) {
-			if o != m.me && o.self != nil && o.self.Info.Twin && o.here() {
-				info.Twin, say = true, true
+		for _, o := range m.nodesNamed(m.options.ID.Name) {
+			if o != m.local && o.self != nil && o.self.Info.Twin && o.present() {
+				info.Twin, publish = true, true
 			}
 		}
 	}
-	if say {
-		m.say(info)
+	if publish {
+		m.publishInfo(info)
 	}
 }
 
-// forget lets go of who was dead, gone or doubted for long.
-func (m *Machine) forget() {
-	for h, until := range m.bars {
+// expire removes members that have been suspect, dead or left for long, and ends bars.
+func (m *Machine) expire() {
+	for h, until := range m.barredUntil {
 		if m.now > until {
-			delete(m.bars, h)
+			delete(m.barredUntil, h)
 		}
 	}
 	for _, n := range slices.Clone(m.order) {
 		switch {
-		case n == m.me:
-		case n.state >= Suspect && m.now-n.since > m.opt.Forget:
-			m.bars[n.hash] = m.now + m.opt.Forget
-			m.drop(n)
+		case n == m.local:
+		case n.state >= Suspect && m.now-n.since > m.options.ForgetAfter:
+			m.barredUntil[n.hash] = m.now + m.options.ForgetAfter
+			m.removeNode(n)
 		}
 	}
 }
 
-// lasts is how many ticks a link stands that nobody has asked for.
-const lasts = 6
+// idleLinkTicks is how many ticks a link that isn't needed is kept.
+const idleLinkTicks = 6
 
-// reach says which links are wanted: to those that are watched, one at a time of the dead, and to
-// a seed where that is not one of the fleet.
-func (m *Machine) reach() {
-	var dead []*node
+// planLinks decides which links to dial and which to drop. It dials subjects and requested members, up to
+// two unreachable ones a tick, and now and then a seed that isn't a known member.
+func (m *Machine) planLinks() {
+	var unreachable []*node
 	live := 0
-	known := map[string]bool{m.me.self.Info.Address: true}
+	known := map[string]bool{m.local.self.Info.Address: true}
 	for _, n := range m.order {
-		if n == m.me || n.self == nil || n.self.Info.Left {
+		if n == m.local || n.self == nil || n.self.Info.Left {
 			continue
 		}
 		up := m.links[n.id] != nil
@@ -443,21 +449,21 @@
 			known[n.self.Info.Address] = true
 		}
 		switch {
-		case up || !n.subject && !slices.Contains(m.wishes, n.id.Name):
-		case !n.fresh && (n.state == Dead || n.state == Suspect && m.mine[n.hash] != 0):
-			dead = append(dead, n)
+		case up || !n.subject && !slices.Contains(m.requestedLinks, n.id.Name):
+		case !n.updatedSinceSuspected && (n.state == Dead || n.state == Suspect && m.suspected[n.hash] != 0):
+			unreachable = append(unreachable, n)
 		default:
-			n.fresh = false
+			n.updatedSinceSuspected = false
 			m.out.Dial = append(m.out.Dial, Target{n.id, n.self.Info.Address})
 		}
 	}
-	for range min(len(dead), 2) {
-		at := m.rng.IntN(len(dead))
-		m.out.Dial = append(m.out.Dial, Target{dead[at].id, dead[at].self.Info.Address})
-		dead = slices.Delete(dead, at, at+1)
+	for range min(len(unreachable), 2) {
+		at := m.rng.IntN(len(unreachable))
+		m.out.Dial = append(m.out.Dial, Target{unreachable[at].id, unreachable[at].self.Info.Address})
+		unreachable = slices.Delete(unreachable, at, at+1)
 	}
 	var seeds []string
-	for _, s := range m.opt.Seeds {
+	for _, s := range m.options.Seeds {
 		if !known[s] {
 			seeds = append(seeds, s)
 		}
@@ -465,57 +471,58 @@
 	if len(seeds) > 0 && (live == 0 || m.rng.IntN(4) == 0) {
 		m.out.Dial = append(m.out.Dial, Target{Address: seeds[m.rng.IntN(len(seeds))]})
 	}
-	for _, id := range m.linked() {
+	for _, id := range m.linkedIDs() {
 		l := m.links[id]
 		n := m.nodes[id.Hash()]
-		if m.ticks-l.since > lasts && l.digest == m.view.digest && (n == nil || !n.subject) && !m.watch[id] && !slices.Contains(m.wishes, id.Name) {
+		if m.ticks-l.upSince > idleLinkTicks && l.digest == m.view.digest && (n == nil || !n.subject) &&
+			!m.observers[id] && !slices.Contains(m.requestedLinks, id.Name) {
 			m.out.Drop = append(m.out.Drop, id)
 		}
 	}
 }
 
-// Member is what is believed of one process.
+// Member is one process in a View.
 type Member struct {
-	ID      ID
-	Info    Info
-	State   State
-	Since   time.Duration // when the state began, by the driver's clock
-	Doubts  []string      // names of observers that can't hear it
-	Watched bool          // by this agent
-	Linked  bool
-	Twin    bool // another process runs under its name
-	Version uint64
-	Orders  string // that it has published; empty: none
+	ID          ID
+	Info        Info
+	State       State
+	Since       time.Duration // start of the state, by the caller's clock
+	SuspectedBy []string      // names of observers that suspect it
+	Watched     bool          // this agent observes it
+	Linked      bool
+	Twin        bool // another process runs under the same name
+	Version     uint64
+	Orders      string // its published orders; empty: none
 }
 
-// View is what an agent believes of the fleet.
+// View is an agent's view of the fleet.
 type View struct {
-	Self    ID
-	Settled bool
-	Why     string // why it is not settled
-	Digest  uint64
-	Doubts  string // why it doubts itself; empty: it does not
-	Sees    int    // members that can be heard of, itself among them
-	Knows   int    // members that are not known to have left
-	Members []Member
+	Self              ID
+	Converged         bool
+	UnconvergedReason string // why it hasn't converged; empty: it has
+	Digest            uint64
+	SelfSuspicion     string // why this agent may be at fault itself; empty: no sign of that
+	Reachable         int    // members that are joining or alive, itself included
+	Known             int    // members that haven't left
+	Members           []Member
 }
 
-// View tells what is believed now.
+// View returns the current view.
 func (m *Machine) View() View {
-	v := View{Self: m.opt.ID, Digest: m.view.digest}
+	v := View{Self: m.options.ID, Digest: m.view.digest}
 	names := map[string]int{}
 	for _, n := range m.order {
-		if n.here() {
+		if n.present() {
 			names[n.id.Name]++
 		}
 	}
-	waits := ""
+	undecided := ""
 	for _, n := range m.order {
 		if n.self == nil {
 			continue
 		}
 		state := n.state
-		if n == m.me {
+		if n == m.local {
 			switch {
 			case n.self.Info.Left:
 				state = Left
@@ -523,101 +530,111 @@
 				state = Alive
 			}
 		}
-		b := Member{ID: n.id, Info: n.self.Info, State: state, Since: n.since, Doubts: n.doubts, Watched: n.subject, Linked: m.links[n.id] != nil,
-			Version: n.self.Version, Twin: names[n.id.Name] > 1}
+		b := Member{
+			ID:          n.id,
+			Info:        n.self.Info,
+			State:       state,
+			Since:       n.since,
+			SuspectedBy: n.suspectedBy,
+			Watched:     n.subject,
+			Linked:      m.links[n.id] != nil,
+			Version:     n.self.Version,
+			Twin:        names[n.id.Name] > 1,
+		}
 		if n.orders != nil {
 			b.Orders = n.orders.Raw
 		}
 		v.Members = append(v.Members, b)
 		if state != Left {
-			v.Knows++
+			v.Known++
 			if state <= Alive {
-				v.Sees++
+				v.Reachable++
 			}
 		}
 		if state == Suspect || state == Joining {
-			waits = fmt.Sprintf("%s is %s", n.id.Name, state)
+			undecided = fmt.Sprintf("%s is %s", n.id.Name, state)
 		}
 	}
 	switch {
-	case m.starved > 0:
-		v.Doubts = "it was stopped or starved"
-	case m.deaf:
-		v.Doubts = fmt.Sprintf("it hears nobody: I may be the one who is cut off: I see %d of %d", v.Sees, v.Knows)
-	case 2*v.Sees <= v.Knows && v.Knows > 1:
-		v.Doubts = fmt.Sprintf("I may be the one who is cut off: I see %d of %d", v.Sees, v.Knows)
-	}
-	apart := ""
-	for _, id := range m.linked() {
+	case m.starvedTicks > 0:
+		v.SelfSuspicion = "this process was paused or starved of CPU time"
+	case m.isolated:
+		v.SelfSuspicion = fmt.Sprintf("no peer is reachable; this agent may be partitioned: I see %d of %d",
+			v.Reachable, v.Known)
+	case 2*v.Reachable <= v.Known && v.Known > 1:
+		v.SelfSuspicion = fmt.Sprintf("this agent may be partitioned: I see %d of %d", v.Reachable, v.Known)
+	}
+	diverged := ""
+	for _, id := range m.linkedIDs() {
 		if m.links[id].digest != m.view.digest {
-			apart = id.Name
+			diverged = id.Name
 		}
 	}
 	switch {
-	case v.Doubts != "":
-		v.Why = v.Doubts
-	case waits != "":
-		v.Why = waits
-	case apart != "":
-		v.Why = "the view of " + apart + " is another"
-	case m.quiet < 2:
-		v.Why = "it has just changed"
-	}
-	v.Settled = v.Why == ""
+	case v.SelfSuspicion != "":
+		v.UnconvergedReason = v.SelfSuspicion
+	case undecided != "":
+		v.UnconvergedReason = undecided
+	case diverged != "":
+		v.UnconvergedReason = "the view of " + diverged + " differs"
+	case m.unchangedTicks < 2:
+		v.UnconvergedReason = "the view has just changed"
+	}
+	v.Converged = v.UnconvergedReason == ""
 	return v
 }
 
-// Digest is that of the view: equal where all records are.
+// Digest returns the digest of the view. Two views with the same records have the same digest.
 func (m *Machine) Digest() uint64 { return m.view.digest }
 
-// Believes is what is believed of a process; ok: it is known.
-func (m *Machine) Believes(id ID) (s State, info Info, ok bool) {
+// StateOf returns the state and the Info of a process, and whether it is known.
+func (m *Machine) StateOf(id ID) (s State, info Info, ok bool) {
 	n := m.nodes[id.Hash()]
 	if n == nil || n.self == nil {
 		return s, info, false
 	}
 	s = n.state
-	if n == m.me && n.self.Info.Joined {
+	if n == m.local && n.self.Info.Joined {
 		s = Alive
 	}
 	return s, n.self.Info, true
 }
 
-// Published is the orders of a process; empty: it has none, or is not known.
-func (m *Machine) Published(id ID) string {
+// OrdersOf returns the orders that a process has published, or "" if it has none or isn't known.
+func (m *Machine) OrdersOf(id ID) string {
 	if n := m.nodes[id.Hash()]; n != nil && n.orders != nil {
 		return n.orders.Raw
 	}
 	return ""
 }
 
-// Avoid is the names of members of a role to which nothing new should go where there is another: those
-// that are dead or gone, that say they are leaving work, or that two others at the least can't hear. Who
-// doubts itself avoids nobody.
+// Avoid returns the names of the members of a role that should get no new requests if there are others:
+// those that are dead or have left, are evacuating or ending, or are suspected by at least two observers.
+// It returns none while this agent suspects itself.
 func (v *View) Avoid(role string) (names []string) {
-	if v.Doubts != "" {
+	if v.SelfSuspicion != "" {
 		return nil
 	}
 	for _, m := range v.Members {
 		leaving := m.Info.Process == "evacuating" || m.Info.Process == "ending"
-		if m.Info.Role == role && !m.Twin && (m.State >= Dead || leaving || len(m.Doubts) > 1) {
+		if m.Info.Role == role && !m.Twin && (m.State >= Dead || leaving || len(m.SuspectedBy) > 1) {
 			names = append(names, m.ID.Name)
 		}
 	}
 	return names
 }
 
-// Count is how many agents share what all of them share, and which of them this one is by name,
-// from 0. Whoever is not known to have left counts, also where it is believed dead: that belief makes
-// nobody bolder, until it is forgotten.
-func (m *Machine) Count() (agents, rank int) {
+// AgentRank returns the number of agents among which fleet-wide limits are divided, and this agent's rank
+// among them by name, from 0. Members believed dead count until they are forgotten, so that a false
+// belief doesn't raise an agent's portion.
+func (m *Machine) AgentRank() (agents, rank int) {
 	last := ""
 	for _, n := range m.order {
 		if n.self == nil || n.self.Info.Left || n.id.Name == last {
 			continue
 		}
 		last = n.id.Name
-		if n.id.Name < m.opt.ID.Name {
+		if n.id.Name < m.options.ID.Name {
 			rank++
 		}
 		agents++
--- a/internal/decide/work/facts.go
+++ b/internal/decide/work/facts.go
@@ -41,7 +41,7 @@
 // Facts words them. Who is believed dead or can't be heard by two counts as broken, and an agent that
 // doubts itself words none: ok is false.
 func (s *Sight) Facts() (f Facts, ok bool) {
-	if s.View.Doubts != "" {
+	if s.View.SelfSuspicion != "" {
 		return f, false
 	}
 	f = Facts{Needs: s.Needs, Seats: s.Seats, Bounds: &s.Bounds, Orders: s.Orders}
@@ -81,7 +81,7 @@
 			continue
 		}
 		known, running = true, running || b.State < members.Dead
-		broken := b.State == members.Dead || len(b.Doubts) > 1
+		broken := b.State == members.Dead || len(b.SuspectedBy) > 1
 		gone := b.State >= members.Dead // who is only doubted may hold requests: its machine is not empty
 		m.Agent = m.Agent || b.Info.Role == "agent"
 		m.Gateway = m.Gateway || b.Info.Role == "gateway"
--- a/internal/decide/work/facts_test.go
+++ b/internal/decide/work/facts_test.go
@@ -10,7 +10,7 @@
 
 func TestFacts(t *testing.T) {
 	member := func(name, machine, role, process string, load float64, s members.State, doubts ...string) members.Member {
-		return members.Member{ID: members.ID{Name: name, Incarnation: 1}, Info: members.Info{Machine: machine, Role: role, Process: process, Load: load}, State: s, Doubts: doubts}
+		return members.Member{ID: members.ID{Name: name, Incarnation: 1}, Info: members.Info{Machine: machine, Role: role, Process: process, Load: load}, State: s, SuspectedBy: doubts}
 	}
 	s := Sight{Seats: 3, Voters: []uint64{7}, Moving: []uint64{9}, Orders: 5, Needs: []Need{{Amount: 5}},
 		Places: []Place{{Name: "servers"}, {Name: "half"}, {Name: "lost"}, {Name: "cold"}, {Name: "agents"}, {Name: "emptied"}, {Name: "crashed"}, {Name: "gone"}, {Name: "doubted"}, {Name: "sits"}, {Name: "rated", Capacity: 90}},
@@ -51,7 +51,7 @@
 	if got := s.Missing("servers"); got != nil {
 		t.Errorf("all have stopped, but %v", got)
 	}
-	s.View.Doubts = "I may be cut off"
+	s.View.SelfSuspicion = "I may be cut off"
 	if _, ok := s.Facts(); ok {
 		t.Error("who doubts itself words facts")
 	}
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -65,7 +65,7 @@
 		role = "gateway"
 	}
 	po := peers.Options{Seed: c.Seed ^ uint64(time.Now().UnixNano()), Conns: p.Connections, Queue: p.QueueKB << 10, Log: log,
-		Members: members.Options{ID: members.ID{Name: p.Name, Incarnation: uint64(time.Now().UnixMicro())}, Period: time.Duration(p.Period), Forget: time.Duration(p.Forget),
+		Members: members.Options{ID: members.ID{Name: p.Name, Incarnation: uint64(time.Now().UnixMicro())}, Period: time.Duration(p.Period), ForgetAfter: time.Duration(p.Forget),
 			Info: members.Info{Machine: p.Machine, Zone: p.Zone, Role: role, Build: buildVersion(), Settings: digestOf(c), Process: lifecycle.Starting.String(), Address: p.Reach()}},
 		Self: func() (string, float64) {
 			// As powers of two, so that the fleet is not told of each request; none is none.
@@ -210,10 +210,10 @@
 		return f, false
 	}
 	v, start := a.fleet.View()
-	f = FleetView{Self: v.Self.Name, Settled: v.Settled, Why: v.Why, Digest: fmt.Sprintf("%016x", v.Digest), Doubts: v.Doubts, Sees: v.Sees, Knows: v.Knows,
+	f = FleetView{Self: v.Self.Name, Settled: v.Converged, Why: v.UnconvergedReason, Digest: fmt.Sprintf("%016x", v.Digest), Doubts: v.SelfSuspicion, Sees: v.Reachable, Knows: v.Known,
 		Members: []FleetMember{}, Observed: time.Now()}
 	for _, m := range v.Members {
-		by := m.Doubts
+		by := m.SuspectedBy
 		if by == nil {
 			by = []string{}
 		}
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -134,7 +134,7 @@
 		w.rate = coarse(float64(asked-w.asked) / now.Sub(w.at).Seconds())
 		w.asked, w.at = asked, now
 	}
-	rate, silent := w.rate, w.look.Word(known.Silent, view.Doubts != "")
+	rate, silent := w.rate, w.look.Word(known.Silent, view.SelfSuspicion != "")
 	w.peers.Set(func(i *members.Info) {
 		i.Rate, i.Silent = rate, silent
 		if v.Version != 0 {
--- a/internal/process/operator/peers.go
+++ b/internal/process/operator/peers.go
@@ -38,7 +38,7 @@
 
 func defaultPeers() Peers {
 	d := members.Default()
-	return Peers{Connections: 64, QueueKB: 256, Period: Duration(d.Period), Forget: Duration(d.Forget)}
+	return Peers{Connections: 64, QueueKB: 256, Period: Duration(d.Period), Forget: Duration(d.ForgetAfter)}
 }
 
 // On tells whether the agent keeps a view.
--- a/internal/process/promise/promise.go
+++ b/internal/process/promise/promise.go
@@ -305,7 +305,7 @@
 	for i := range p.view.Members {
 		m := &p.view.Members[i]
 		if m.ID != p.view.Self && m.Info.Holds && m.State < members.Dead && !m.Twin {
-			all = append(all, promises.Candidate{ID: m.ID, Machine: m.Info.Machine, Zone: m.Info.Zone, Well: m.State == members.Alive && len(m.Doubts) == 0 && m.Info.Process != "ending"})
+			all = append(all, promises.Candidate{ID: m.ID, Machine: m.Info.Machine, Zone: m.Info.Zone, Well: m.State == members.Alive && len(m.SuspectedBy) == 0 && m.Info.Process != "ending"})
 		}
 	}
 	p.do(p.holder.Tick(p.now(), council, all))
--- a/internal/process/seat/seat.go
+++ b/internal/process/seat/seat.go
@@ -339,13 +339,13 @@
 	var all []seats.Candidate
 	for _, m := range s.view.Members {
 		if m.Info.Seat != 0 && m.State != members.Left && !m.Info.Left {
-			all = append(all, seats.Candidate{Seat: m.Info.Seat, Machine: m.Info.Machine, Zone: m.Info.Zone, Well: m.State == members.Alive && len(m.Doubts) == 0,
+			all = append(all, seats.Candidate{Seat: m.Info.Seat, Machine: m.Info.Machine, Zone: m.Info.Zone, Well: m.State == members.Alive && len(m.SuspectedBy) == 0,
 				Out: slices.Contains(alone, m.Info.Machine)})
 		}
 	}
 	sits := append(slices.Clone(st.Voters), st.Learners...)
 	want := sits
-	if s.view.Doubts == "" {
+	if s.view.SelfSuspicion == "" {
 		want = s.chooser.Next(sits, all)
 		s.machine.Want(want)
 	}
@@ -607,8 +607,8 @@
 		return Answer{Error: "found: this agent belongs to a council already"}
 	case len(s.told) > 0:
 		return Answer{Error: fmt.Sprintf("found: there is a council; %s is of it", s.nameOf(s.told[0].Seat))}
-	case s.view.Doubts != "":
-		return Answer{Error: "found: " + s.view.Doubts}
+	case s.view.SelfSuspicion != "":
+		return Answer{Error: "found: " + s.view.SelfSuspicion}
 	}
 	if err := s.disk.Found(time.Now()); err != nil {
 		return Answer{Error: err.Error()}
--- a/internal/process/seat/seat_test.go
+++ b/internal/process/seat/seat_test.go
@@ -31,7 +31,7 @@
 }
 
 func (e end) View() (members.View, time.Time) {
-	return members.View{Self: e.r.members[e.i].ID, Settled: true, Members: slices.Clone(e.r.members)}, time.Time{}
+	return members.View{Self: e.r.members[e.i].ID, Converged: true, Members: slices.Clone(e.r.members)}, time.Time{}
 }
 
 func (e end) Say(to members.ID, w peers.Word) error {
--- a/internal/protocol/gateway/avoid_test.go
+++ b/internal/protocol/gateway/avoid_test.go
@@ -52,7 +52,7 @@
 // Belief that one agent alone holds is not enough, nor any of one that doubts itself.
 func TestWhomAViewAvoids(t *testing.T) {
 	m := func(name, role, process string, s members.State, doubts ...string) members.Member {
-		return members.Member{ID: members.ID{Name: name, Incarnation: 1}, Info: members.Info{Role: role, Process: process}, State: s, Doubts: doubts}
+		return members.Member{ID: members.ID{Name: name, Incarnation: 1}, Info: members.Info{Role: role, Process: process}, State: s, SuspectedBy: doubts}
 	}
 	v := members.View{Members: []members.Member{m("a", "gateway", "ready", members.Alive), m("b", "gateway", "ready", members.Suspect, "x"),
 		m("c", "gateway", "ready", members.Suspect, "x", "y"), m("d", "gateway", "ready", members.Dead, "x", "y", "z"), m("e", "gateway", "evacuating", members.Alive),
@@ -61,7 +61,7 @@
 	if len(got) != 4 || got[0] != "c" || got[1] != "d" || got[2] != "e" || got[3] != "g" {
 		t.Errorf("%v", got)
 	}
-	if v.Doubts = "I may be cut off"; v.Avoid("gateway") != nil {
+	if v.SelfSuspicion = "I may be cut off"; v.Avoid("gateway") != nil {
 		t.Error("who doubts itself avoids others")
 	}
 }
--- a/internal/protocol/peers/peers.go
+++ b/internal/protocol/peers/peers.go
@@ -226,7 +226,7 @@
 		}
 		periods++
 		p.act(p.view.Tick(p.now()))
-		agents, rank := p.view.Count()
+		agents, rank := p.view.AgentRank()
 		var avoid []string
 		if p.opt.Avoid != nil {
 			view := p.view.View()
@@ -253,10 +253,10 @@
 }
 
 // act does what the view wants, under the lock.
-func (p *Peers) act(out members.Out) {
+func (p *Peers) act(out members.Output) {
 	for _, c := range out.Changes {
-		e := Event{At: p.start.Add(c.At), State: c.State.String(), Why: c.Why}
-		for _, id := range c.Who {
+		e := Event{At: p.start.Add(c.At), State: c.State.String(), Why: c.Reason}
+		for _, id := range c.IDs {
 			e.Who = append(e.Who, id.Name)
 		}
 		if p.events = append(p.events, e); len(p.events) > kept {
@@ -279,7 +279,7 @@
 	for _, t := range out.Dial {
 		p.reach(t)
 	}
-	if p.flush == nil && !p.closed && p.view.Owes() {
+	if p.flush == nil && !p.closed && p.view.HasPending() {
 		p.flush = time.AfterFunc(p.opt.Members.Period/20, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -434,7 +434,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.links[l.id] == l {
-			p.act(p.view.Hear(p.now(), l.id, msg))
+			p.act(p.view.Receive(p.now(), l.id, msg))
 		}
 		return nil
 	})
@@ -442,7 +442,7 @@
 	defer p.mu.Unlock()
 	if p.links[l.id] == l {
 		delete(p.links, l.id)
-		p.act(p.view.Down(p.now(), l.id))
+		p.act(p.view.LinkDown(p.now(), l.id))
 	}
 	p.opt.Log.Debug("fleet: link ended", "peer", l.id.Name, "err", err)
 	return err
@@ -462,10 +462,10 @@
 		}
 		delete(p.links, l.id)
 		old.conn.Close(errors.New("another link has taken its place"))
-		p.act(p.view.Down(p.now(), l.id))
+		p.act(p.view.LinkDown(p.now(), l.id))
 	}
 	p.links[l.id] = l
-	p.act(p.view.Up(p.now(), l.id))
+	p.act(p.view.LinkUp(p.now(), l.id))
 	return nil
 }
 
@@ -545,7 +545,7 @@
 	for _, names := range p.wishes {
 		all = append(all, names...)
 	}
-	p.view.Wish(all)
+	p.view.RequestLinks(all)
 }
 
 // Set changes what the process says of itself.
--- a/internal/protocol/peers/peers_test.go
+++ b/internal/protocol/peers/peers_test.go
@@ -48,7 +48,7 @@
 
 func sees(p *Peers) (n int) {
 	v, _ := p.View()
-	return v.Sees
+	return v.Reachable
 }
 
 // A peer that says what can't be is cut, and harms nobody; what a newer build says of itself goes
@@ -122,7 +122,7 @@
 	settled := func(n int) func() bool {
 		return func() bool {
 			for _, p := range ends[:n] {
-				if v, _ := p.View(); !v.Settled || v.Sees != n {
+				if v, _ := p.View(); !v.Converged || v.Reachable != n {
 					return false
 				}
 			}
@@ -181,8 +181,8 @@
 		}
 		machine := members.New(members.Options{ID: members.ID{Name: "me", Incarnation: 1}}, 1)
 		from := members.ID{Name: "you", Incarnation: 1}
-		machine.Up(0, from)
-		machine.Hear(0, from, m)
+		machine.LinkUp(0, from)
+		machine.Receive(0, from, m)
 		machine.Tick(0)
 	})
 }
--- a/internal/protocol/peers/wire.go
+++ b/internal/protocol/peers/wire.go
@@ -15,7 +15,7 @@
 		Mask:   uint64(m.Mask),
 		Want:   m.Want,
 	}
-	for _, h := range m.Heads {
+	for _, h := range m.KeyVersions {
 		f.Heads = append(f.Heads, linkwire.Head{Key: h.Key, Version: h.Version})
 	}
 	for i := range m.Records {
@@ -33,9 +33,9 @@
 				s := linkwire.Self(r.Info)
 				e.Body, err = linkwire.AppendSelf(&s)
 			} else {
-				words := make([]linkwire.Head, len(r.Words))
-				for k, w := range r.Words {
-					words[k] = linkwire.Head{Key: w.Of, Version: w.Version}
+				words := make([]linkwire.Head, len(r.Suspicions))
+				for k, w := range r.Suspicions {
+					words[k] = linkwire.Head{Key: w.Target, Version: w.Version}
 				}
 				e.Body, err = linkwire.AppendWords(words)
 			}
@@ -59,7 +59,7 @@
 		Want:   f.Want,
 	}
 	for _, h := range f.Heads {
-		m.Heads = append(m.Heads, members.Head{Key: h.Key, Version: h.Version})
+		m.KeyVersions = append(m.KeyVersions, members.KeyVersion{Key: h.Key, Version: h.Version})
 	}
 	for i := range f.Records {
 		e := &f.Records[i]
@@ -76,13 +76,13 @@
 				return m, err
 			}
 			r.Info = members.Info(s)
-		case members.Watch:
+		case members.Suspects:
 			words, err := linkwire.ReadWords(e.Body)
 			if err != nil {
 				return m, err
 			}
 			for _, w := range words {
-				r.Words = append(r.Words, members.Word{Of: w.Key, Version: w.Version})
+				r.Suspicions = append(r.Suspicions, members.Suspicion{Target: w.Key, Version: w.Version})
 			}
 		}
 		m.Records = append(m.Records, r)
--- a/internal/rig/demo/fleet.go
+++ b/internal/rig/demo/fleet.go
@@ -32,10 +32,10 @@
 		}
 	}
 	line = strings.Join(states, ", ")
-	if view.Doubts != "" {
-		line += "; " + view.Doubts
+	if view.SelfSuspicion != "" {
+		line += "; " + view.SelfSuspicion
 	}
-	return line, view.Settled
+	return line, view.Converged
 }
 
 // views plays the third scene: five agents with a network between; one is cut off and comes back, one
@@ -114,7 +114,7 @@
 		return func() bool {
 			for _, i := range these {
 				view, _ := all[i].end.View()
-				if !view.Settled || view.Sees != n {
+				if !view.Converged || view.Reachable != n {
 					return false
 				}
 			}
@@ -137,7 +137,7 @@
 		{"one joins", func() error { return start(4) }, []int{4}, agree(5, 0, 1, 2, 3, 4)},
 		{"agent-2 is cut off", func() error { mesh.Split(0, 1, 0, 0, 0); return nil }, []int{0, 1}, func() bool {
 			view, _ := all[1].end.View()
-			return agree(4, 0, 2, 3, 4)() && strings.Contains(view.Doubts, "I see 1 of 5")
+			return agree(4, 0, 2, 3, 4)() && strings.Contains(view.SelfSuspicion, "I see 1 of 5")
 		}},
 		{"it is back", func() error { mesh.Split(0, 0, 0, 0, 0); return nil }, []int{1}, agree(5, 0, 1, 2, 3, 4)},
 		{"agent-3 is killed", func() error { kill(all[2]); return nil }, []int{1}, agree(4, 0, 1, 3, 4)},
--- a/internal/rig/many/hard_test.go
+++ b/internal/rig/many/hard_test.go
@@ -29,7 +29,7 @@
 	all := map[string]int{}
 	for _, c := range v.Changes {
 		if c.State == members.Dead {
-			for _, id := range c.Who {
+			for _, id := range c.IDs {
 				all[id.Name]++
 			}
 		}
@@ -61,7 +61,7 @@
 			case m.State <= members.Alive:
 			case m.ID.Name == v.Name(7):
 				doubted++
-			case len(m.Doubts) != 1 || m.Doubts[0] != v.Name(7):
+			case len(m.SuspectedBy) != 1 || m.SuspectedBy[0] != v.Name(7):
 				others++
 			}
 		}
@@ -155,11 +155,11 @@
 		}
 	}
 	v.Run(10 * time.Second)
-	if s := v.At(1).Machine.View(); s.Sees != 1 || !s.Settled {
-		t.Errorf("with its seed dead it sees %d, settled: %v %s", s.Sees, s.Settled, s.Why)
+	if s := v.At(1).Machine.View(); s.Reachable != 1 || !s.Converged {
+		t.Errorf("with its seed dead it sees %d, settled: %v %s", s.Reachable, s.Converged, s.UnconvergedReason)
 	}
-	if s := v.At(6).Machine.View(); s.Sees != 5 {
-		t.Errorf("the other group sees %d", s.Sees)
+	if s := v.At(6).Machine.View(); s.Reachable != 5 {
+		t.Errorf("the other group sees %d", s.Reachable)
 	}
 	v.Start(0)
 	within(t, v, "the seed is up", 6*time.Second, func() bool { return v.Agreed(span(0, 6)) })
@@ -170,10 +170,10 @@
 	v.Kill(6, false)
 	rest := []int{1, 2, 3, 4, 5, 7, 8, 9, 10, 11}
 	within(t, v, "the seeds die", 6*time.Second, func() bool { return v.Believes(rest, 0, dead) == 10 && v.Believes(rest, 6, dead) == 10 })
-	if !v.At(3).Machine.View().Settled {
+	if !v.At(3).Machine.View().Converged {
 		v.Run(2 * time.Second)
-		if s := v.At(3).Machine.View(); !s.Settled {
-			t.Errorf("without seeds: %s", s.Why)
+		if s := v.At(3).Machine.View(); !s.Converged {
+			t.Errorf("without seeds: %s", s.UnconvergedReason)
 		}
 	}
 }
--- a/internal/rig/many/schedule.go
+++ b/internal/rig/many/schedule.go
@@ -114,10 +114,10 @@
 			if c.State != members.Dead || wrong != nil || !v.all[c.By].Up {
 				continue
 			}
-			for _, id := range c.Who {
+			for _, id := range c.IDs {
 				for of, a := range v.all {
 					if a.Up && a.Machine.ID() == id && reached.since[c.By*n+of] >= 0 && v.now-reached.since[c.By*n+of] > stale(v) {
-						wrong = fmt.Errorf("at %v %s believes %s dead, who could be reached for %v: %s", c.At, v.Name(c.By), v.Name(of), v.now-reached.since[c.By*n+of], c.Why)
+						wrong = fmt.Errorf("at %v %s believes %s dead, who could be reached for %v: %s", c.At, v.Name(c.By), v.Name(of), v.now-reached.since[c.By*n+of], c.Reason)
 					}
 				}
 			}
--- a/internal/rig/many/views.go
+++ b/internal/rig/many/views.go
@@ -228,13 +228,13 @@
 	a := v.all[i]
 	if a.links[p.id] == p {
 		delete(a.links, p.id)
-		v.carry(i, a.Machine.Down(v.now, p.id))
+		v.carry(i, a.Machine.LinkDown(v.now, p.id))
 	}
 	v.reset(p)
 }
 
 // carry does what a machine wants.
-func (v *Views) carry(i int, out members.Out) {
+func (v *Views) carry(i int, out members.Output) {
 	a := v.all[i]
 	for _, c := range out.Changes {
 		v.Changes = append(v.Changes, Seen{i, c})
@@ -252,7 +252,7 @@
 	for _, t := range out.Dial {
 		v.dial(i, t)
 	}
-	if life := a.life; !a.flush && a.Machine.Owes() {
+	if life := a.life; !a.flush && a.Machine.HasPending() {
 		a.flush = true
 		v.at(v.now+v.opt.Machine.Period/20, func() {
 			if a.life == life {
@@ -285,7 +285,7 @@
 				return
 			}
 			q.heard = v.now
-			v.carry(p.to, v.all[p.to].Machine.Hear(v.now, q.id, msg))
+			v.carry(p.to, v.all[p.to].Machine.Receive(v.now, q.id, msg))
 		})
 	})
 }
@@ -314,8 +314,8 @@
 		x, y := &pipe{to: to, id: theirs, heard: v.now}, &pipe{to: i, id: mine, heard: v.now}
 		x.peer, y.peer = y, x
 		a.links[theirs], b.links[mine] = x, y
-		v.carry(i, a.Machine.Up(v.now, theirs))
-		v.carry(to, b.Machine.Up(v.now, mine))
+		v.carry(i, a.Machine.LinkUp(v.now, theirs))
+		v.carry(to, b.Machine.LinkUp(v.now, mine))
 	})
 }
 
@@ -373,7 +373,7 @@
 func (v *Views) Believes(these []int, of int, is func(s members.State, i members.Info) bool) (n int) {
 	id := v.all[of].Machine.ID()
 	for _, i := range these {
-		if s, info, ok := v.all[i].Machine.Believes(id); ok && is(s, info) {
+		if s, info, ok := v.all[i].Machine.StateOf(id); ok && is(s, info) {
 			n++
 		}
 	}
--- a/internal/rig/many/views_test.go
+++ b/internal/rig/many/views_test.go
@@ -51,8 +51,8 @@
 		links := 0
 		for i := range n {
 			links += len(v.At(i).links)
-			if s := v.At(i).Machine.View(); !s.Settled {
-				t.Errorf("%d is not settled: %s", i, s.Why)
+			if s := v.At(i).Machine.View(); !s.Converged {
+				t.Errorf("%d is not settled: %s", i, s.UnconvergedReason)
 			}
 		}
 		if mean := float64(links) / float64(n); mean > 2*members.Rings+1 {
@@ -171,13 +171,13 @@
 				v.carry(0, v.At(0).Machine.Publish(v.Now(), "orders"))
 				until(3, func() bool {
 					for _, i := range rest {
-						if m := v.At(i).Machine; m.Published(from) != "" {
+						if m := v.At(i).Machine; m.OrdersOf(from) != "" {
 							v.carry(i, m.Set(v.Now(), func(i *members.Info) { i.Stopped = 1 }))
 						}
 					}
 					acknowledged := 0
 					for _, i := range rest {
-						if _, info, _ := v.At(0).Machine.Believes(v.At(i).Machine.ID()); info.Stopped == 1 {
+						if _, info, _ := v.At(0).Machine.StateOf(v.At(i).Machine.ID()); info.Stopped == 1 {
 							acknowledged++
 						}
 					}
@@ -224,7 +224,7 @@
 		died, doubted := 0, 0
 		for _, c := range v.Changes {
 			if c.State == members.Dead {
-				died += len(c.Who)
+				died += len(c.IDs)
 			}
 		}
 		for _, m := range v.At(0).Machine.View().Members {
