--- a/cmd/molepaddle/promises.go
+++ b/cmd/molepaddle/promises.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		left, lost := 0, 0
-		for _, c := range h.Copies {
+		for _, c := range h.Replicas {
 			switch m := members[fmt.Sprint(c.Name, c.Incarnation)]; {
 			case m.alive && (machine == "" || m.machine != machine):
 				left++
@@ -93,7 +93,7 @@
 		case left == 0:
 			all = append(all, fmt.Sprintf("%s would have no copy: what it has begun would be lost with it", h.Holder.Name))
 		default:
-			all = append(all, fmt.Sprintf("%s would have %d of %d copies until it has another", h.Holder.Name, left, len(h.Copies)))
+			all = append(all, fmt.Sprintf("%s would have %d of %d copies until it has another", h.Holder.Name, left, len(h.Replicas)))
 		}
 	}
 	return all
@@ -128,7 +128,7 @@
 			state = "sealed"
 		}
 		var names []string
-		for _, c := range h.Copies {
+		for _, c := range h.Replicas {
 			names = append(names, c.Name)
 		}
 		fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\t%s\n", h.Holder.Name, h.Holder.Incarnation, h.Epoch, strings.Join(names, ", "), time.Unix(h.At, 0).Format("01-02 15:04:05"), state)
--- a/internal/decide/council/council.go
+++ b/internal/decide/council/council.go
@@ -88,7 +88,7 @@
 	Work    work.Snapshot
 	Done    []done // the oldest first
 	Council uint64 // drawn when it was founded
-	Holds   []promises.Hold
+	Holds   []promises.ReplicaSet
 }
 
 // Machine is one member.
--- a/internal/decide/promises/copies.go
+++ b/internal/decide/promises/copies.go
@@ -9,46 +9,46 @@
 
 func (k Key) compare(o Key) int {
 	return cmp.Or(
-		strings.Compare(k.Near, o.Near),
+		strings.Compare(k.Origin, o.Origin),
 		cmp.Compare(k.Incarnation, o.Incarnation),
 		cmp.Compare(k.Number, o.Number),
 	)
 }
 
-// Verdict is what a copy says of a crossing.
+// Verdict is a replica's answer to the question whether a request has begun.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Unsure  Verdict = iota // nothing can be proven
-	Pending                // the holder has to be sealed first
-	Never                  // it never began and never will
-	Over                   // it may have run, and its holder begins nothing more
-	Replied                // it ran, and here is the answer
+	Unknown    Verdict = iota // the replica can prove nothing
+	Pending                   // the holder has to be sealed first
+	NeverBegun                // it has not begun and never will
+	MayHaveRun                // it was promised and may have run; the holder begins nothing more
+	Replied                   // it ran; its reply is known
 )
 
-// copied is what is held for one holder.
-type copied struct {
-	from    Peer   // its process in the fleet
-	as      []Peer // as which processes this agent has joined, the latest last
-	read    bool   // from a disk, and it has not joined since: nothing more is taken
-	epoch   uint64
-	begun   map[Key]time.Duration
-	replies map[Key]Reply
-	asked   bool // the council is to seal it
-	sealed  bool // nothing more of it is taken
-	last    time.Duration
+// replica is the state that is kept for one holder.
+type replica struct {
+	process    Peer   // the holder's process in the fleet
+	identities []Peer // this agent's processes that have joined, the latest last
+	fromDisk   bool   // read from disk and not joined since: accepts no batches
+	epoch      uint64
+	begun      map[Key]time.Duration
+	replies    map[Key]Reply
+	sealWanted bool // the council is to be asked to seal the holder
+	sealed     bool // accepts no joins and no batches
+	lastUpdate time.Duration
 }
 
-// Row is what a disk keeps of one holder beside its keys.
+// Row is what is stored on disk of one holder, besides its keys.
 type Row struct {
-	_     struct{} `cbor:",toarray"`
-	From  Peer
-	As    []Peer
-	Epoch uint64
+	_          struct{} `cbor:",toarray"`
+	Process    Peer
+	Identities []Peer
+	Epoch      uint64
 }
 
-// Record is what a disk keeps of one message: keys that have begun, or an answer to the one key.
+// Record is what is stored on disk of one message: keys that begin, or one key and its reply.
 type Record struct {
 	_      struct{} `cbor:",toarray"`
 	Holder Holder
@@ -56,41 +56,44 @@
 	Reply  *Reply
 }
 
-// maxAs is how many processes one disk stands for at the most: who was one before those can't be sealed by it.
-const maxAs = 8
+// maxIdentities is the maximum number of this agent's processes that are remembered per holder. A holder whose
+// replica set names an earlier process can't be sealed by this agent.
+const maxIdentities = 8
 
-// Copies is what an agent holds for others.
-type Copies struct {
-	remember time.Duration
-	of       map[Holder]*copied
-	bytes    int // of replies
-	most     int
+// ReplicaStore holds the replicas that an agent keeps for other processes.
+type ReplicaStore struct {
+	retention time.Duration
+	replicas  map[Holder]*replica
+	bytes     int // size of all reply bodies
+	maxBytes  int
 }
 
-// NewCopies holds nothing; answers take up to so many bytes.
-func NewCopies(remember time.Duration, bytes int) *Copies {
-	return &Copies{remember: remember, of: map[Holder]*copied{}, most: bytes}
+// NewReplicaStore returns an empty store. It forgets keys after retention, and stores reply bodies of up to
+// so many bytes in total.
+func NewReplicaStore(retention time.Duration, bytes int) *ReplicaStore {
+	return &ReplicaStore{retention: retention, replicas: map[Holder]*replica{}, maxBytes: bytes}
 }
 
-// Hear takes a holder's message as the process me and words the reply; ok: there is one. Where a disk is kept, the
-// reply goes out once Row and Record of the message are on it.
-func (c *Copies) Hear(now time.Duration, me, from Peer, m *Msg) (reply Msg, ok bool) {
-	h := c.of[m.Holder]
+// Receive processes a holder's message as the process me. It returns the reply, and whether there is one. If the
+// store is kept on disk, the reply must be sent only after the Row and Record of the message are written.
+func (c *ReplicaStore) Receive(now time.Duration, me, from Peer, m *Msg) (reply Msg, ok bool) {
+	h := c.replicas[m.Holder]
 	reply = Msg{Kind: Nack, Holder: m.Holder, Epoch: m.Epoch, Seq: m.Seq}
 	switch m.Kind {
 	case Join:
 		switch {
 		case h == nil:
-			h = &copied{begun: map[Key]time.Duration{}, replies: map[Key]Reply{}}
-			c.of[m.Holder] = h
+			h = &replica{begun: map[Key]time.Duration{}, replies: map[Key]Reply{}}
+			c.replicas[m.Holder] = h
 		case h.sealed:
 			return reply, true
 		case m.Epoch < h.epoch:
 			return reply, false
 		}
-		h.from, h.epoch, h.last, h.read = from, m.Epoch, now, false
-		if !slices.Contains(h.as, me) {
-			h.as = append(h.as[max(len(h.as)+1-maxAs, 0):len(h.as):len(h.as)], me)
+		h.process, h.epoch, h.lastUpdate, h.fromDisk = from, m.Epoch, now, false
+		if !slices.Contains(h.identities, me) {
+			h.identities = append(
+				h.identities[max(len(h.identities)+1-maxIdentities, 0):len(h.identities):len(h.identities)], me)
 		}
 		for i, k := range m.Keys {
 			at := now - time.Duration(m.Ages[i])*time.Millisecond
@@ -100,19 +103,19 @@
 		}
 		reply.Kind = Joined
 	case Batch:
-		if h == nil || h.sealed || h.read || h.epoch != m.Epoch || h.from != from ||
+		if h == nil || h.sealed || h.fromDisk || h.epoch != m.Epoch || h.process != from ||
 			len(h.begun)+len(m.Keys) > 2*MaxKeys {
 			return reply, true
 		}
 		for _, k := range m.Keys {
 			h.begun[k] = now
 		}
-		h.last = now
+		h.lastUpdate = now
 		reply.Kind = Ack
 	case Answered:
-		// An answer is true whenever it comes, also after a seal.
-		if h != nil && h.from == from {
-			c.answer(h, m.Keys[0], m.Reply)
+		// A reply is valid at any time, also after a seal.
+		if h != nil && h.process == from {
+			c.storeReply(h, m.Keys[0], m.Reply)
 		}
 		return reply, false
 	default:
@@ -121,42 +124,49 @@
 	return reply, true
 }
 
-func (c *Copies) answer(h *copied, k Key, r *Reply) {
-	if _, begun := h.begun[k]; begun && c.bytes+len(r.Body) <= c.most {
-		c.forget(h, k)
+func (c *ReplicaStore) storeReply(h *replica, k Key, r *Reply) {
+	if _, begun := h.begun[k]; begun && c.bytes+len(r.Body) <= c.maxBytes {
+		c.dropReply(h, k)
 		h.replies[k] = *r
 		c.bytes += len(r.Body)
 	}
 }
 
-// Row is what a disk is to keep of a holder.
-func (c *Copies) Row(h Holder) Row {
-	d := c.of[h]
-	return Row{From: d.from, As: d.as, Epoch: d.epoch}
+// Row returns the row of a holder to be stored on disk.
+func (c *ReplicaStore) Row(h Holder) Row {
+	d := c.replicas[h]
+	return Row{Process: d.process, Identities: d.identities, Epoch: d.epoch}
 }
 
-// Read takes a row that a disk has kept, before its records. What was joined in the meantime stands.
-func (c *Copies) Read(now time.Duration, h Holder, r *Row) {
-	d := c.of[h]
-	if len(r.As) == 0 || h.Name == "" {
-		return // nobody wrote it
+// RestoreRow restores a row from disk, before its records. A Join that was received in the meantime takes
+// precedence.
+func (c *ReplicaStore) RestoreRow(now time.Duration, h Holder, r *Row) {
+	d := c.replicas[h]
+	if len(r.Identities) == 0 || h.Name == "" {
+		return // not a valid row
 	}
 	if d == nil {
-		d = &copied{begun: map[Key]time.Duration{}, replies: map[Key]Reply{}, from: r.From, epoch: r.Epoch, read: true}
-		c.of[h] = d
+		d = &replica{
+			begun:    map[Key]time.Duration{},
+			replies:  map[Key]Reply{},
+			process:  r.Process,
+			epoch:    r.Epoch,
+			fromDisk: true,
+		}
+		c.replicas[h] = d
 	}
-	d.as = append(slices.Clone(r.As), d.as...)
-	d.as, d.last = d.as[max(len(d.as)-maxAs, 0):], now
+	d.identities = append(slices.Clone(r.Identities), d.identities...)
+	d.identities, d.lastUpdate = d.identities[max(len(d.identities)-maxIdentities, 0):], now
 }
 
-// ReadRecord takes a record that a disk has kept. Its keys are as new as this process: nobody knows how long the disk
-// was read by nobody.
-func (c *Copies) ReadRecord(now time.Duration, r *Record) {
-	d := c.of[r.Holder]
+// RestoreRecord restores a record from disk. Its keys count as begun now, because it isn't known how long the
+// agent was down.
+func (c *ReplicaStore) RestoreRecord(now time.Duration, r *Record) {
+	d := c.replicas[r.Holder]
 	switch {
-	case d == nil: // it went with its row
+	case d == nil: // its row was deleted
 	case r.Reply != nil && len(r.Keys) == 1:
-		c.answer(d, r.Keys[0], r.Reply)
+		c.storeReply(d, r.Keys[0], r.Reply)
 	case r.Reply == nil:
 		for _, k := range r.Keys {
 			d.begun[k] = now
@@ -164,83 +174,85 @@
 	}
 }
 
-// As is the processes as which this agent may seal a holder, the latest first.
-func (c *Copies) As(h Holder) []Peer {
-	d := c.of[h]
+// Identities returns this agent's processes that may seal a holder, the latest first.
+func (c *ReplicaStore) Identities(h Holder) []Peer {
+	d := c.replicas[h]
 	if d == nil {
 		return nil
 	}
-	as := slices.Clone(d.as)
-	slices.Reverse(as)
-	return as
+	identities := slices.Clone(d.identities)
+	slices.Reverse(identities)
+	return identities
 }
 
-func (c *Copies) forget(h *copied, k Key) {
+func (c *ReplicaStore) dropReply(h *replica, k Key) {
 	if r, held := h.replies[k]; held {
 		c.bytes -= len(r.Body)
 		delete(h.replies, k)
 	}
 }
 
-// Query asks for a verdict on a crossing that was offered so long ago, by the clock of whoever asks. Pending
-// says that the holder has to be sealed first, and Sealed told what came of it. Only what the
-// holder can't say any more itself may be asked.
-func (c *Copies) Query(h Holder, k Key, since time.Duration) (Verdict, Reply) {
-	d := c.of[h]
+// Query returns the verdict on a request that was offered to the holder since ago, by the clock of the origin
+// gateway. Pending means that the holder has to be sealed first, and the result passed to Sealed. It must only
+// be called for requests whose fate the holder itself can no longer report.
+func (c *ReplicaStore) Query(h Holder, k Key, since time.Duration) (Verdict, Reply) {
+	d := c.replicas[h]
 	switch {
 	case d == nil:
-		return Unsure, Reply{}
+		return Unknown, Reply{}
 	case !d.sealed:
-		d.asked = true
+		d.sealWanted = true
 		return Pending, Reply{}
 	}
 	if r, known := d.replies[k]; known {
 		return Replied, r
 	}
 	if _, begun := d.begun[k]; begun {
-		return Over, Reply{}
+		return MayHaveRun, Reply{}
 	}
-	if since < 0 || since >= c.remember*9/10 {
-		return Unsure, Reply{}
+	if since < 0 || since >= c.retention*9/10 {
+		return Unknown, Reply{}
 	}
-	return Never, Reply{}
+	return NeverBegun, Reply{}
 }
 
-// From is the process of a holder that this agent holds for; ok: it does, and has not sealed it.
-func (c *Copies) From(h Holder) (from Peer, ok bool) {
-	d := c.of[h]
+// ProcessOf returns the fleet process of a holder. ok reports whether this agent keeps a replica of the holder
+// that isn't sealed.
+func (c *ReplicaStore) ProcessOf(h Holder) (process Peer, ok bool) {
+	d := c.replicas[h]
 	if d == nil || d.sealed {
-		return from, false
+		return process, false
 	}
-	return d.from, true
+	return d.process, true
 }
 
-// Sealed tells what the council has said to the seal by all of As; an error that is none of this package's: it is not
-// known, and has to be asked again. dropped: nothing is held for it any more.
-func (c *Copies) Sealed(h Holder, err error) (dropped bool) {
-	d := c.of[h]
+// Sealed passes in the council's result of the seal by the holder's Identities. After an error that isn't one of
+// this package the result is unknown, and the council has to be asked again. dropped reports whether the
+// replica was deleted.
+func (c *ReplicaStore) Sealed(h Holder, err error) (dropped bool) {
+	d := c.replicas[h]
 	switch {
 	case d == nil:
 	case err == nil:
 		d.sealed = true
-	case err == ErrNoCopy: // others hold for it now
+	case err == ErrNoCopy: // the holder has other replicas now
 		c.drop(h)
 		return true
 	}
 	return false
 }
 
-func (c *Copies) drop(h Holder) {
-	for _, r := range c.of[h].replies {
+func (c *ReplicaStore) drop(h Holder) {
+	for _, r := range c.replicas[h].replies {
 		c.bytes -= len(r.Body)
 	}
-	delete(c.of, h)
+	delete(c.replicas, h)
 }
 
-// Asked is the holders that wait for a seal, in order.
-func (c *Copies) Asked() (all []Holder) {
-	for h, d := range c.of {
-		if d.asked && !d.sealed {
+// SealsWanted returns the holders that wait for a seal, sorted.
+func (c *ReplicaStore) SealsWanted() (all []Holder) {
+	for h, d := range c.replicas {
+		if d.sealWanted && !d.sealed {
 			all = append(all, h)
 		}
 	}
@@ -248,17 +260,17 @@
 	return all
 }
 
-// Expire forgets what counts no more, and tells of whom nothing is held now; runs tells whether a process is known to
-// run.
-func (c *Copies) Expire(now time.Duration, runs func(Peer) bool) (dropped []Holder) {
-	for h, d := range c.of {
+// Expire deletes keys past their retention, and the replicas that are no longer needed; it returns the holders of
+// the latter. runs reports whether a process is known to be running.
+func (c *ReplicaStore) Expire(now time.Duration, runs func(Peer) bool) (dropped []Holder) {
+	for h, d := range c.replicas {
 		for k, at := range d.begun {
-			if now-at > c.remember {
+			if now-at > c.retention {
 				delete(d.begun, k)
-				c.forget(d, k)
+				c.dropReply(d, k)
 			}
 		}
-		if len(d.begun) == 0 && now-d.last > c.remember && (d.sealed || !runs(d.from)) {
+		if len(d.begun) == 0 && now-d.lastUpdate > c.retention && (d.sealed || !runs(d.process)) {
 			c.drop(h)
 			dropped = append(dropped, h)
 		}
@@ -266,20 +278,20 @@
 	return dropped
 }
 
-// Held is one line of what an agent holds.
-type Held struct {
+// ReplicaStatus describes one replica to operators.
+type ReplicaStatus struct {
 	Holder Holder
 	Epoch  uint64
 	Keys   int
 	Sealed bool
-	Read   bool // from a disk: it can be proven with, and nothing more is taken
+	Read   bool // read from disk: gives verdicts, but accepts no batches
 }
 
-// All is what the agent holds, in order.
-func (c *Copies) All() (all []Held) {
-	for h, d := range c.of {
-		all = append(all, Held{h, d.epoch, len(d.begun), d.sealed, d.read})
+// All returns the status of all replicas, sorted by holder.
+func (c *ReplicaStore) All() (all []ReplicaStatus) {
+	for h, d := range c.replicas {
+		all = append(all, ReplicaStatus{h, d.epoch, len(d.begun), d.sealed, d.fromDisk})
 	}
-	slices.SortFunc(all, func(a, b Held) int { return a.Holder.compare(b.Holder) })
+	slices.SortFunc(all, func(a, b ReplicaStatus) int { return a.Holder.compare(b.Holder) })
 	return all
 }
--- a/internal/decide/promises/wire_test.go
+++ b/internal/decide/promises/wire_test.go
@@ -6,7 +6,7 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// Messages are sent, rows and records are stored, under the holder as their key.
+// TestWireBytes checks the encoding of messages, and of rows and records as they are stored under their holder.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.CBOR(t, "holder", &Holder{})
 	goldenbytes.CBOR(t, "message", &Msg{})
--- a/internal/process/journal/journal_test.go
+++ b/internal/process/journal/journal_test.go
@@ -15,7 +15,7 @@
 	"molepaddle/internal/process/store"
 )
 
-func key(n uint64) promises.Key { return promises.Key{Near: "near", Incarnation: 1, Number: n} }
+func key(n uint64) promises.Key { return promises.Key{Origin: "near", Incarnation: 1, Number: n} }
 
 // contents is what a file hands on.
 type contents struct {
@@ -64,7 +64,7 @@
 		t.Errorf("a second process: %v", err)
 	}
 	end := runs(j)
-	row := &promises.Row{From: promises.Peer{Name: "n1", Incarnation: 3}, As: []promises.Peer{{Name: "n2", Incarnation: 4}}, Epoch: 7}
+	row := &promises.Row{Process: promises.Peer{Name: "n1", Incarnation: 3}, Identities: []promises.Peer{{Name: "n2", Incarnation: 4}}, Epoch: 7}
 	for i, err := range []error{add(t, j, "a", row), add(t, j, "b", row), add(t, j, "a", nil, key(1), key(2)), add(t, j, "a", nil, key(3)), add(t, j, "a", nil)} {
 		if err != nil {
 			t.Error(i, err)
@@ -74,7 +74,7 @@
 	j.Drop(promises.Holder{Name: "b", Incarnation: 1})
 	end()
 	j, c, err := open(t, dir, time.Hour)
-	if err != nil || len(c.rows) != 1 || c.rows["a"].Epoch != 7 || c.rows["a"].As[0] != row.As[0] || len(c.records) != 3 {
+	if err != nil || len(c.rows) != 1 || c.rows["a"].Epoch != 7 || c.rows["a"].Identities[0] != row.Identities[0] || len(c.records) != 3 {
 		t.Fatalf("%v, read %+v", err, c)
 	}
 	if r := c.records; !slices.Equal(r[0].Keys, []promises.Key{key(1), key(2)}) || r[1].Keys[0] != key(3) || string(r[2].Reply.Body) != "done" {
--- a/internal/process/journal/stored_test.go
+++ b/internal/process/journal/stored_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	end := runs(j)
-	row := &promises.Row{From: promises.Peer{Name: "n1", Incarnation: 3}, As: []promises.Peer{{Name: "n2", Incarnation: 1 << 63}}, Epoch: 7}
+	row := &promises.Row{Process: promises.Peer{Name: "n1", Incarnation: 3}, Identities: []promises.Peer{{Name: "n2", Incarnation: 1 << 63}}, Epoch: 7}
 	for _, name := range []string{"a", "b"} {
 		if err := add(t, j, name, row, key(1), key(1<<63)); err != nil {
 			t.Fatal(err)
--- a/internal/process/operator/promises.go
+++ b/internal/process/operator/promises.go
@@ -29,8 +29,8 @@
 // validate reports the first key that makes no sense; folder is where the agent keeps what lasts.
 func (p *Promises) validate(work bool, folder string) (key string, err error) {
 	switch r := time.Duration(p.Remember); {
-	case p.Copies < 0 || p.Copies > promises.MaxCopies:
-		return "copies", fmt.Errorf("must be from 0 to %d, is %d", promises.MaxCopies, p.Copies)
+	case p.Copies < 0 || p.Copies > promises.MaxReplicas:
+		return "copies", fmt.Errorf("must be from 0 to %d, is %d", promises.MaxReplicas, p.Copies)
 	case p.Without != "refuse" && p.Without != "fewer":
 		return "without", fmt.Errorf("must be \"refuse\" or \"fewer\", is %q", p.Without)
 	case r < time.Second || r > 10*time.Minute:
--- a/internal/process/promise/promise.go
+++ b/internal/process/promise/promise.go
@@ -96,16 +96,16 @@
 	holder  *promises.Machine // nil: this agent is no far gateway, or has not begun to be
 	own     promises.Holder
 	far     Far
-	copies  *promises.Copies
+	copies  *promises.ReplicaStore
 	waits   map[promises.Key]chan bool
 	view    members.View
 	ticks   int
 	number  uint64
 	asked   map[uint64]question
 	sealing map[promises.Holder][]sealed
-	settled []promises.Hold // as the council had them
-	held    time.Time       // when
-	asking  []func()        // questions that wait for that
+	settled []promises.ReplicaSet // as the council had them
+	held    time.Time             // when
+	asking  []func()              // questions that wait for that
 	short   int
 }
 
@@ -132,7 +132,7 @@
 
 // New makes a part; Run drives it.
 func New(o Options) *Part {
-	return &Part{opt: o, in: make(chan func(), 4096), ended: make(chan struct{}), start: time.Now(), copies: promises.NewCopies(o.Remember, o.Bytes),
+	return &Part{opt: o, in: make(chan func(), 4096), ended: make(chan struct{}), start: time.Now(), copies: promises.NewReplicaStore(o.Remember, o.Bytes),
 		waits: map[promises.Key]chan bool{}, asked: map[uint64]question{}, sealing: map[promises.Holder][]sealed{}}
 }
 
@@ -164,14 +164,14 @@
 }
 
 func (p *Part) renew() {
-	p.holder = promises.NewHolder(promises.Options{Me: p.own, Machine: p.opt.Machine, Zone: p.opt.Zone, Copies: p.opt.Copies, Fewer: p.opt.Fewer,
-		Remember: p.opt.Remember, Patience: 5})
+	p.holder = promises.NewHolder(promises.Options{Me: p.own, Machine: p.opt.Machine, Zone: p.opt.Zone, Replicas: p.opt.Copies, AllowFewer: p.opt.Fewer,
+		Retention: p.opt.Remember, TimeoutTicks: 5})
 }
 
 // Begin promises that a crossing which was offered to an incarnation of the far end begins, and waits for that at the most until the time given; false: it must
 // not begin.
 func (p *Part) Begin(hinc uint64, near string, inc, number uint64, until time.Time) bool {
-	k := promises.Key{Near: near, Incarnation: inc, Number: number}
+	k := promises.Key{Origin: near, Incarnation: inc, Number: number}
 	may := make(chan bool, 1)
 	if !p.post(func() {
 		if p.holder == nil || p.own.Incarnation != hinc {
@@ -195,7 +195,7 @@
 	p.post(func() {
 		if p.waits[k] == may {
 			delete(p.waits, k)
-			p.holder.Drop(k)
+			p.holder.Cancel(k)
 		}
 	})
 	return false
@@ -205,7 +205,7 @@
 func (p *Part) Answered(near string, inc, number uint64, r promises.Reply) {
 	p.post(func() {
 		if p.holder != nil {
-			p.send(p.holder.Answer(promises.Key{Near: near, Incarnation: inc, Number: number}, r))
+			p.send(p.holder.ReplicateReply(promises.Key{Origin: near, Incarnation: inc, Number: number}, r))
 		}
 	})
 }
@@ -213,10 +213,10 @@
 // Query finds out what can be said of a crossing that was offered to another gateway so long ago. tell is
 // called once, in another goroutine, and must not wait.
 func (p *Part) Query(holder string, hinc uint64, near string, inc, number uint64, since time.Duration, tell func(promises.Verdict, *promises.Reply)) {
-	h, k := promises.Holder{Name: holder, Incarnation: hinc}, promises.Key{Near: near, Incarnation: inc, Number: number}
+	h, k := promises.Holder{Name: holder, Incarnation: hinc}, promises.Key{Origin: near, Incarnation: inc, Number: number}
 	answer := func(v verdict) { tell(v.Word, v.Reply) }
 	if !p.post(func() {
-		if _, held := p.copies.From(h); held || p.sealedHere(h) {
+		if _, held := p.copies.ProcessOf(h); held || p.sealedHere(h) {
 			p.question(h, k, since, answer)
 			return
 		}
@@ -227,7 +227,7 @@
 }
 
 func (p *Part) sealedHere(h promises.Holder) bool {
-	return slices.ContainsFunc(p.copies.All(), func(o promises.Held) bool { return o.Holder == h && o.Sealed })
+	return slices.ContainsFunc(p.copies.All(), func(o promises.ReplicaStatus) bool { return o.Holder == h && o.Sealed })
 }
 
 // Hear takes a word of a peer, where it is one of this package's; it does not wait.
@@ -305,7 +305,7 @@
 	for i := range p.view.Members {
 		m := &p.view.Members[i]
 		if m.ID != p.view.Self && m.Info.Holds && m.State < members.Dead && !m.Twin {
-			all = append(all, promises.Candidate{ID: m.ID, Machine: m.Info.Machine, Zone: m.Info.Zone, Well: m.State == members.Alive && len(m.SuspectedBy) == 0 && m.Info.Process != "ending"})
+			all = append(all, promises.Candidate{ID: m.ID, Machine: m.Info.Machine, Zone: m.Info.Zone, Healthy: m.State == members.Alive && len(m.SuspectedBy) == 0 && m.Info.Process != "ending"})
 		}
 	}
 	p.do(p.holder.Tick(p.now(), council, all))
@@ -316,7 +316,7 @@
 		}
 	}
 	for _, h := range p.copies.All() { // so that a question can be passed on
-		if from, held := p.copies.From(h.Holder); held {
+		if from, held := p.copies.ProcessOf(h.Holder); held {
 			names = append(names, from.Name)
 		}
 	}
@@ -349,10 +349,10 @@
 				return
 			}
 			for _, k := range rows {
-				p.copies.Read(p.now(), k.of, k.row)
+				p.copies.RestoreRow(p.now(), k.of, k.row)
 			}
 			for _, r := range records {
-				p.copies.ReadRecord(p.now(), r)
+				p.copies.RestoreRecord(p.now(), r)
 			}
 			p.disk, p.journal, p.closed = open, j, closed
 			p.opt.Log.Info("promises: what was held before is read", "holders", len(rows), "records", len(records))
@@ -390,7 +390,7 @@
 			return
 		}
 	}
-	reply, ok := p.copies.Hear(p.now(), p.view.Self, from, m)
+	reply, ok := p.copies.Receive(p.now(), p.view.Self, from, m)
 	word := []promises.Send{{To: from, Msg: reply}}
 	if !ok {
 		word = nil
@@ -418,12 +418,12 @@
 }
 
 // do carries out what the holder wants.
-func (p *Part) do(out promises.Out) {
+func (p *Part) do(out promises.Output) {
 	p.send(out.Send)
 	for _, k := range out.Begin {
 		p.tellWaits(k, true)
 	}
-	for _, k := range out.Refuse {
+	for _, k := range out.Reject {
 		p.tellWaits(k, false)
 	}
 	if out.Short > 0 {
@@ -434,12 +434,12 @@
 	if out.Short >= 0 {
 		p.short = out.Short
 	}
-	if e := out.Settle; e != nil {
+	if e := out.Propose; e != nil {
 		holder := p.holder
 		p.settle(e, func(err error) {
 			if p.holder == holder {
 				was, _, _ := holder.Epoch()
-				p.do(holder.Settled(e, err))
+				p.do(holder.ProposalResult(e, err))
 				if epoch, copies, _ := holder.Epoch(); epoch != was {
 					p.opt.Log.Info("promises: an epoch is settled", "epoch", epoch, "copies", names(copies))
 				}
@@ -516,7 +516,7 @@
 			p.hold(from, &m)
 		default:
 			if p.holder != nil {
-				p.do(p.holder.Hear(p.now(), from, &m))
+				p.do(p.holder.Receive(p.now(), from, &m))
 			}
 		}
 	case peers.TopicAsk:
@@ -549,7 +549,7 @@
 			tell(verdict{}) // it is another process by now, and that one's word is no proof of the earlier's
 			return
 		}
-		word, reply := p.far.Own(a.Key.Near, a.Key.Incarnation, a.Key.Number)
+		word, reply := p.far.Own(a.Key.Origin, a.Key.Incarnation, a.Key.Number)
 		tell(verdict{Word: word, Reply: reply, Alive: true})
 		return
 	}
@@ -576,7 +576,7 @@
 // question is asked of this agent as a copy: of the holder, while that is heard, else of what is held here
 // once it is sealed.
 func (p *Part) question(h promises.Holder, k promises.Key, since time.Duration, tell func(verdict)) {
-	from, open := p.copies.From(h)
+	from, open := p.copies.ProcessOf(h)
 	if !open {
 		v, reply := p.copies.Query(h, k, since)
 		tell(word(v, reply))
@@ -603,7 +603,7 @@
 		return verdict{Word: v, Reply: &reply}
 	}
 	if v == promises.Pending {
-		v = promises.Unsure
+		v = promises.Unknown
 	}
 	return verdict{Word: v}
 }
@@ -619,7 +619,7 @@
 	if len(p.sealing[h]) > 1 {
 		return
 	}
-	p.sealAs(h, p.copies.As(h))
+	p.sealAs(h, p.copies.Identities(h))
 }
 
 // sealAs has the council seal a holder by the first of these processes that is of its epoch, and answers then.
@@ -654,7 +654,7 @@
 				continue
 			}
 			ask.SinceUs = uint64((since + p.now() - began).Microseconds())
-			if id, there := p.stands(hold.Copies); there {
+			if id, there := p.stands(hold.Replicas); there {
 				p.opt.Fleet.Wish("question", []string{id.Name})
 				p.bring(id, ask, 40, tell)
 				return
@@ -710,14 +710,14 @@
 
 // Report is what an agent has of promises.
 type Report struct {
-	Journal  string          `json:"journal"`          // where it holds for others, in words
-	Holder   string          `json:"holder,omitempty"` // this gateway; empty: it promises nothing
-	Epoch    uint64          `json:"epoch,omitempty"`
-	Copies   []string        `json:"copies,omitempty"`
-	Settled  bool            `json:"settled"`
-	Promised int             `json:"promised"` // that count
-	Waits    int             `json:"waits"`
-	Held     []promises.Held `json:"held"` // for others
+	Journal  string                   `json:"journal"`          // where it holds for others, in words
+	Holder   string                   `json:"holder,omitempty"` // this gateway; empty: it promises nothing
+	Epoch    uint64                   `json:"epoch,omitempty"`
+	Copies   []string                 `json:"copies,omitempty"`
+	Settled  bool                     `json:"settled"`
+	Promised int                      `json:"promised"` // that count
+	Waits    int                      `json:"waits"`
+	Held     []promises.ReplicaStatus `json:"held"` // for others
 }
 
 // Report tells what the agent has; ok: in time.
@@ -727,7 +727,7 @@
 		r := Report{Journal: p.disk.String(), Held: p.copies.All()}
 		if p.holder != nil {
 			epoch, copies, settled := p.holder.Epoch()
-			r.Holder, r.Epoch, r.Copies, r.Settled, r.Promised, r.Waits = p.own.Name, epoch, names(copies), settled, p.holder.Held(), p.holder.Waits()
+			r.Holder, r.Epoch, r.Copies, r.Settled, r.Promised, r.Waits = p.own.Name, epoch, names(copies), settled, p.holder.PromisedCount(), p.holder.WaitingCount()
 		}
 		out <- r
 	}) {
--- a/internal/process/promise/promise_test.go
+++ b/internal/process/promise/promise_test.go
@@ -24,8 +24,10 @@
 
 type far struct{}
 
-func (far) Own(string, uint64, uint64) (promises.Verdict, *promises.Reply) { return promises.Over, nil }
-func (far) Renew() uint64                                                  { return 8 }
+func (far) Own(string, uint64, uint64) (promises.Verdict, *promises.Reply) {
+	return promises.MayHaveRun, nil
+}
+func (far) Renew() uint64 { return 8 }
 
 // What was offered to an earlier process begins no more, whatever is promised now; nobody who waits waits longer
 // than he says; a question that nobody can answer is answered so.
@@ -46,7 +48,7 @@
 		}
 		words := make(chan promises.Verdict, 1)
 		p.Query("n9", 3, "near", 1, 1, time.Second, func(v promises.Verdict, _ *promises.Reply) { words <- v })
-		if v := <-words; v != promises.Unsure {
+		if v := <-words; v != promises.Unknown {
 			t.Errorf("of a holder that nobody knows: %v", v)
 		}
 		p.answer(&ask{Holder: promises.Holder{Name: "n0", Incarnation: 6}, Own: true}, func(v verdict) {
--- a/internal/process/seat/calls.go
+++ b/internal/process/seat/calls.go
@@ -84,21 +84,21 @@
 
 // Report is what a member of the council has.
 type Report struct {
-	From     string            `json:"from"`   // who tells
-	Leader   string            `json:"leader"` // empty: it hears none
-	Voters   []string          `json:"voters"`
-	Learners []string          `json:"learners,omitempty"`
-	Term     uint64            `json:"term"`
-	Applied  uint64            `json:"applied"`
-	AgeMs    int64             `json:"age_ms"` // since it has heard a leader: what stands here may be older than that, never newer
-	Now      int64             `json:"now"`    // the log's time
-	Orders   uint64            `json:"orders"` // the version of the list of machines that are left alone
-	Alone    []string          `json:"left_alone,omitempty"`
-	Requests []Request         `json:"requests"`
-	Plan     []Step            `json:"plan,omitempty"`
-	Waits    map[string]string `json:"waits,omitempty"` // of the plan: why these never go
-	Record   []string          `json:"record,omitempty"`
-	Holds    []promises.Hold   `json:"holds,omitempty"`
+	From     string                `json:"from"`   // who tells
+	Leader   string                `json:"leader"` // empty: it hears none
+	Voters   []string              `json:"voters"`
+	Learners []string              `json:"learners,omitempty"`
+	Term     uint64                `json:"term"`
+	Applied  uint64                `json:"applied"`
+	AgeMs    int64                 `json:"age_ms"` // since it has heard a leader: what stands here may be older than that, never newer
+	Now      int64                 `json:"now"`    // the log's time
+	Orders   uint64                `json:"orders"` // the version of the list of machines that are left alone
+	Alone    []string              `json:"left_alone,omitempty"`
+	Requests []Request             `json:"requests"`
+	Plan     []Step                `json:"plan,omitempty"`
+	Waits    map[string]string     `json:"waits,omitempty"` // of the plan: why these never go
+	Record   []string              `json:"record,omitempty"`
+	Holds    []promises.ReplicaSet `json:"holds,omitempty"`
 }
 
 // Request is one as a report tells it.
--- a/internal/process/store/stored_test.go
+++ b/internal/process/store/stored_test.go
@@ -41,7 +41,7 @@
 		text += fmt.Sprintf("machine %s in %s of %s: %v, %v\n", machine.Name, machine.Zone, machine.Kind, machine.Capacity, machine.Health)
 	}
 	for _, h := range m.Register().All() {
-		text += fmt.Sprintf("holder %s/%d: epoch %d, %v, sealed %v\n", h.Holder.Name, h.Holder.Incarnation, h.Epoch, h.Copies, h.Sealed)
+		text += fmt.Sprintf("holder %s/%d: epoch %d, %v, sealed %v\n", h.Holder.Name, h.Holder.Incarnation, h.Epoch, h.Replicas, h.Sealed)
 	}
 	goldenbytes.Check(t, "stored/council.txt", []byte(text))
 	if err := agree(t, s, m, 1000, work.Entry{Kind: work.Cancel, At: 1000, ID: "r0"}); err != nil {
@@ -77,7 +77,7 @@
 			t.Fatal(err)
 		}
 	}
-	hold := &promises.Entry{Holder: promises.Holder{Name: "gw", Incarnation: 7}, Epoch: 1, Copies: []promises.Peer{members.ID{Name: "n1", Incarnation: 8}}}
+	hold := &promises.Entry{Holder: promises.Holder{Name: "gw", Incarnation: 7}, Epoch: 1, Replicas: []promises.Peer{members.ID{Name: "n1", Incarnation: 8}}}
 	if err := m.ProposeHold(500, 60, hold); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/gateway/far.go
+++ b/internal/protocol/gateway/far.go
@@ -115,7 +115,7 @@
 	s := f.sessions[sessionKey{near, inc}]
 	f.mu.Unlock()
 	if s == nil {
-		return promises.Unsure, nil
+		return promises.Unknown, nil
 	}
 	var later todo
 	defer func() { later.do() }()
@@ -123,7 +123,7 @@
 	defer s.mu.Unlock()
 	x := s.open[number]
 	if x == nil || x.inc != f.inc.Load() {
-		return promises.Unsure, nil
+		return promises.Unknown, nil
 	}
 	if x.m.State == crossing.Taken {
 		x.why = linkwire.WhyBarred
@@ -133,14 +133,14 @@
 	switch {
 	case m == crossing.Never:
 		s.reply(x, m) // whoever asked may wait no longer: the near end hears it by its own link too
-		return promises.Never, nil
+		return promises.NeverBegun, nil
 	case m == crossing.Ended && x.ended != nil:
 		if r, short := reply(x.ended); short {
 			return promises.Replied, &r
 		}
-		return promises.Over, nil
+		return promises.MayHaveRun, nil
 	}
-	return promises.Unsure, nil // it runs: the answer, or its lease, settles it
+	return promises.Unknown, nil // it runs: the answer, or its lease, settles it
 }
 
 // reply is an answer as copies hold it; false: it is too long.
@@ -429,9 +429,9 @@
 	s.far.opt.Promises.Query(f.Holder, f.Incarnation, s.key.peer, s.key.inc, f.Number, time.Duration(f.SinceUs)*time.Microsecond,
 		func(word promises.Verdict, r *promises.Reply) {
 			switch word {
-			case promises.Never:
+			case promises.NeverBegun:
 				v.Word = linkwire.VerdictNever
-			case promises.Over:
+			case promises.MayHaveRun:
 				v.Word = linkwire.VerdictOver
 			case promises.Replied:
 				v.Word, v.Result, v.ContentType, v.Body = linkwire.VerdictReplied, r.Result, r.ContentType, r.Body
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -118,7 +118,7 @@
 	h := hello("gw-a")
 	l := lie(t, ln.Addr().String(), h)
 	l.say(t, l.offer(1))
-	for v, _ := far.Own("gw-a", h.Incarnation, 1); v != promises.Never; v, _ = far.Own("gw-a", h.Incarnation, 1) {
+	for v, _ := far.Own("gw-a", h.Incarnation, 1); v != promises.NeverBegun; v, _ = far.Own("gw-a", h.Incarnation, 1) {
 		runtime.Gosched() // the offer is still on its way
 	}
 	if f, ok := l.next(t).(*linkwire.Never); !ok || f.Number != 1 || f.Why != linkwire.WhyBarred {
--- a/internal/rig/world/fellows.go
+++ b/internal/rig/world/fellows.go
@@ -215,7 +215,7 @@
 			w.note("g%d has %s sealed", f.p.index, c.c.Hold.Holder.Name)
 		} else {
 			w.check.count("epochs")
-			w.note("epoch %d of %s is settled, with %v", c.c.Hold.Epoch, c.c.Hold.Holder.Name, c.c.Hold.Copies)
+			w.note("epoch %d of %s is settled, with %v", c.c.Hold.Epoch, c.c.Hold.Holder.Name, c.c.Hold.Replicas)
 		}
 		back := wait
 		if y := w.day.draw("back", w.callsMade); y < 0.15 { // the word comes late, perhaps after it was asked for again
