--- a/internal/fleet/proxy/accounts.go
+++ b/internal/fleet/proxy/accounts.go
@@ -72,7 +72,7 @@
 func (p *Proxy) authenticate(
 	r *http.Request, snapshot *routingSnapshot, route *routingconfig.Route, arrivedAt, confirmedAt time.Time,
 ) (*routingconfig.Account, error) {
-	key, hasKey := takeKey(r.Header, snapshot.index.KeysRequired())
+	key, hasKey := extractKey(r.Header, snapshot.index.KeysRequired())
 	r.Header.Del(externalapi.HeaderTenant)
 	if !hasKey && (route.Public || !snapshot.index.KeysRequired()) {
 		return nil, nil
@@ -108,9 +108,9 @@
 	}
 }
 
-// takeKey returns the API key of a request: that of its only Authorization field. Where keys are required it takes the
+// extractKey returns the API key of a request: that of its only Authorization field. Where keys are required it takes the
 // field off the request; otherwise the field is the backends'.
-func takeKey(header http.Header, required bool) (key string, ok bool) {
+func extractKey(header http.Header, required bool) (key string, ok bool) {
 	values := header[externalapi.HeaderAuthorization]
 	if required {
 		delete(header, externalapi.HeaderAuthorization)
@@ -125,8 +125,8 @@
 	return strings.Trim(key, " "), true
 }
 
-// nameTenant puts the name of a request's account into the header that backends get.
-func nameTenant(header http.Header, account *routingconfig.Account) {
+// setTenantHeader puts the name of a request's account into the header that backends get.
+func setTenantHeader(header http.Header, account *routingconfig.Account) {
 	if account == nil {
 		delete(header, externalapi.HeaderTenant)
 		return
@@ -134,8 +134,8 @@
 	header[externalapi.HeaderTenant] = []string{account.Name}
 }
 
-// takeQuota takes a request from its account's quota. Its errors are rejections.
-func (p *Proxy) takeQuota(
+// acquireQuota takes a request from its account's quota. Its errors are rejections.
+func (p *Proxy) acquireQuota(
 	ctx context.Context, account *routingconfig.Account, route *routingconfig.Route,
 ) (quota.Slot, error) {
 	if account == nil || !account.Limited() {
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -81,7 +81,7 @@
 	}
 	if !relayable(e.resp) {
 		e.finish(false)
-		return a.fail(policy.Error, errForeignAnswer)
+		return a.fail(policy.Error, errUnrelatedAnswer)
 	}
 	return a.relay(ctx, e)
 }
@@ -108,7 +108,7 @@
 		}
 		return a.fail(attemptStatus(true, err), err)
 	}
-	if saysNotRun(resp) {
+	if reportsNotRun(resp) {
 		return a.rejected(resp)
 	}
 	cr.mayHaveRun = true
--- a/internal/fleet/proxy/decode.go
+++ b/internal/fleet/proxy/decode.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return a.fail(attemptStatus(true, err), err)
 	}
-	if saysNotRun(resp) {
+	if reportsNotRun(resp) {
 		cr.svc.recordShed(a.pl.decode.ID, true)
 		a.recordTransfer(false)
 		return a.rejected(resp)
--- a/internal/fleet/proxy/drain.go
+++ b/internal/fleet/proxy/drain.go
@@ -13,14 +13,14 @@
 	// notReadyLag is how long after a proxy's answer that it isn't ready the platform still sends it clients, at the
 	// most: two misses, a second apart, and some time for the way.
 	notReadyLag = 2200 * time.Millisecond
-	// firstShare is the share of the proxies that close first where all drain at once, to be back before the others
+	// earlyCloseShare is the share of the proxies that close first where all drain at once, to be back before the others
 	// close. Each draws whether it is one of them. The others take what can't wait meanwhile.
-	firstShare = 2.0 / 3
-	// firstAcceptWindow takes the place of acceptWindow for the first ones.
-	firstAcceptWindow = 600 * time.Millisecond
-	// secondDelay is how much later than acceptWindow the others close where the control plane can't tell that all
+	earlyCloseShare = 2.0 / 3
+	// earlyAcceptWindow takes the place of acceptWindow for the first ones.
+	earlyAcceptWindow = 600 * time.Millisecond
+	// lateCloseDelay is how much later than acceptWindow the others close where the control plane can't tell that all
 	// drain, but clients still come.
-	secondDelay = 1600 * time.Millisecond
+	lateCloseDelay = 1600 * time.Millisecond
 	// lastAcceptMargin is how long before open connections are closed the listener is closed at the latest: what comes
 	// in after that has no time to be answered.
 	lastAcceptMargin = 200 * time.Millisecond
@@ -63,9 +63,9 @@
 	}
 }
 
-// away reports whether the platform sends clients of this zone to draining proxies too. It does where fewer than half
+// routedWhileDraining reports whether the platform sends clients of this zone to draining proxies too. It does where fewer than half
 // of the zone's proxies are ready, but goes to other zones where none is. False where nothing is known.
-func (ps peers) away() bool {
+func (ps peers) routedWhileDraining() bool {
 	if ps.total == 0 {
 		return false
 	}
@@ -84,7 +84,7 @@
 type drainState struct {
 	began   time.Time
 	closeAt time.Time // when open connections are closed
-	first   bool      // this proxy is one of those that close first where all drain at once
+	closesEarly   bool      // this proxy is one of those that close first where all drain at once
 	phase   drainPhase
 
 	peers       peers
@@ -93,18 +93,18 @@
 
 // newDrainState begins a drain after which open connections are closed at closeAt. first says that this proxy is one of
 // those that close first where all drain at once.
-func newDrainState(now, closeAt time.Time, first bool, known peers) drainState {
+func newDrainState(now, closeAt time.Time, closesEarly bool, known peers) drainState {
 	return drainState{
 		began:   now,
 		closeAt: closeAt,
-		first:   first,
+		closesEarly:   closesEarly,
 		peers:   known,
 	}
 }
 
-// peersAway reports whether clients that are sent elsewhere may meet this proxy or another draining one: the control
+// clientsReachDraining reports whether clients that are sent elsewhere may meet this proxy or another draining one: the control
 // plane says so, or clients still come when the platform would have sent them to others.
-func (d *drainState) peersAway() bool { return d.peers.away() || d.lateClients }
+func (d *drainState) clientsReachDraining() bool { return d.peers.routedWhileDraining() || d.lateClients }
 
 // connected tells that a new connection has come.
 func (d *drainState) connected(now time.Time) {
@@ -138,22 +138,22 @@
 func (d *drainState) earliestClose() time.Time {
 	window := d.window()
 	switch {
-	case d.peers.away() && d.first:
-		window = min(firstAcceptWindow, window)
-	case d.peers.away():
-	case d.lateClients && !d.first:
-		window += secondDelay
+	case d.peers.routedWhileDraining() && d.closesEarly:
+		window = min(earlyAcceptWindow, window)
+	case d.peers.routedWhileDraining():
+	case d.lateClients && !d.closesEarly:
+		window += lateCloseDelay
 	}
-	return d.earlier(d.began.Add(window))
+	return d.capAtCloseTime(d.began.Add(window))
 }
 
 // latestClose is when the listener is closed at the latest.
 func (d *drainState) latestClose() time.Time {
-	return d.earlier(d.closeAt.Add(-lastAcceptMargin))
+	return d.capAtCloseTime(d.closeAt.Add(-lastAcceptMargin))
 }
 
-// earlier bounds a time by that at which all connections are closed.
-func (d *drainState) earlier(t time.Time) time.Time {
+// capAtCloseTime bounds a time by that at which all connections are closed.
+func (d *drainState) capAtCloseTime(t time.Time) time.Time {
 	if t.After(d.closeAt) {
 		return d.closeAt
 	}
@@ -173,7 +173,7 @@
 // retryAfter is when a rejected client is to retry: at once in a zone of many proxies, else when the platform sends
 // clients to the other ones only. While it sends them to draining ones that is when all of those are back.
 func (d *drainState) retryAfter(now time.Time, proxiesInZone int) time.Duration {
-	if d.peersAway() {
+	if d.clientsReachDraining() {
 		back := d.closeAt.Add(restartDelay)
 		return max(back.Sub(now), minRetryAfter)
 	}
--- a/internal/fleet/proxy/drain_test.go
+++ b/internal/fleet/proxy/drain_test.go
@@ -38,7 +38,7 @@
 		{"all drain", allDrain, true},
 		{"the only one drains", peers{total: 1, zoneTotal: 1}, true},
 	} {
-		qt.Check(t, tc.of.away(), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+		qt.Check(t, tc.of.routedWhileDraining(), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
 
@@ -67,15 +67,15 @@
 		{"nothing under way", allServe, true, 0, 0, acceptWindow},
 		{"early requests end later", allServe, false, 0, 5 * time.Second, 5 * time.Second},
 		{"early requests never end", allServe, false, 0, time.Minute, latest},
-		{"all drain, one of the first", allDrain, true, 0, 0, firstAcceptWindow},
+		{"all drain, one of the first", allDrain, true, 0, 0, earlyAcceptWindow},
 		{"all drain, one of the first with a stream", allDrain, true, 0, 2 * time.Second, 2 * time.Second},
 		{"all drain, one of the others", allDrain, false, 0, 0, acceptWindow},
-		{"few serve, one of the first", fewServe, true, 0, 0, firstAcceptWindow},
+		{"few serve, one of the first", fewServe, true, 0, 0, earlyAcceptWindow},
 		{"nothing is known", unknownPeers, true, 0, 0, acceptWindow},
 		{"nothing is known, a client in time", unknownPeers, false, notReadyLag, 0, acceptWindow},
 		{"nothing is known, a late client, one of the first", unknownPeers, true, notReadyLag + 1, 0, acceptWindow},
 		{"nothing is known, a late client, one of the others", unknownPeers, false, notReadyLag + 1, 0,
-			acceptWindow + secondDelay},
+			acceptWindow + lateCloseDelay},
 	} {
 		qt.Check(t, closesAfter(tc.known, tc.first, tc.client, tc.ended), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
@@ -161,19 +161,19 @@
 		return fmt.Errorf("it accepts what it can't finish")
 	case phase == drainAccepting && (!wake.After(now) || wake.After(d.closeAt)):
 		return fmt.Errorf("steps again at %v", wake.Sub(d.began))
-	case phase == drainAccepting && early == 0 && age >= acceptWindow+secondDelay:
+	case phase == drainAccepting && early == 0 && age >= acceptWindow+lateCloseDelay:
 		return fmt.Errorf("it stays though it needn't")
 	case d.phase == drainFinishing || phase == drainAccepting || age >= latest:
 		return nil
 	case early > 0:
 		return fmt.Errorf("the listener is closed while the proxy has to stay anyway")
-	case age < firstAcceptWindow:
+	case age < earlyAcceptWindow:
 		return fmt.Errorf("it closes before the others know")
-	case age < acceptWindow && !d.peers.away():
+	case age < acceptWindow && !d.peers.routedWhileDraining():
 		return fmt.Errorf("it closes while the platform still sends it clients")
-	case age < acceptWindow && !d.first:
+	case age < acceptWindow && !d.closesEarly:
 		return fmt.Errorf("all close at once")
-	case age < acceptWindow+secondDelay && !d.first && d.lateClients && !d.peers.away():
+	case age < acceptWindow+lateCloseDelay && !d.closesEarly && d.lateClients && !d.peers.routedWhileDraining():
 		return fmt.Errorf("all close at once though clients still come")
 	}
 	return nil
@@ -219,12 +219,12 @@
 	},
 	{
 		Name:  "all that drain at once close at once",
-		Texts: []string{"case d.peers.away() && d.first:", "case d.peers.away():", "	case d.peers.away():\n	case", "	case"},
+		Texts: []string{"case d.peers.routedWhileDraining() && d.closesEarly:", "case d.peers.routedWhileDraining():", "	case d.peers.routedWhileDraining():\n	case", "	case"},
 		Tests: drainTests,
 	},
 	{
 		Name:  "nobody closes first",
-		Texts: []string{"case d.peers.away() && d.first:", "case false:"},
+		Texts: []string{"case d.peers.routedWhileDraining() && d.closesEarly:", "case false:"},
 		Tests: drainTests,
 	},
 	{
@@ -244,7 +244,7 @@
 	},
 	{
 		Name:  "clients are sent to others that drain too",
-		Texts: []string{"	if d.peersAway() {\n		back", "	if false {\n		back"},
+		Texts: []string{"	if d.clientsReachDraining() {\n		back", "	if false {\n		back"},
 		Tests: drainTests,
 	},
 }
--- a/internal/fleet/proxy/errors.go
+++ b/internal/fleet/proxy/errors.go
@@ -15,7 +15,7 @@
 
 // Errors of an attempt.
 var (
-	errForeignAnswer    = errors.New("the answer belongs to no request of ours")
+	errUnrelatedAnswer    = errors.New("the answer belongs to no request of ours")
 	errAnswerTimeout    = errors.New("no answer in time")
 	errConnect          = errors.New("no connection")
 	errIncompleteAnswer = errors.New("the answer is not whole")
@@ -72,7 +72,7 @@
 func (cr *clientRequest) rejectionFor(err error) *rejection {
 	reason := err.Error()
 	if terms := cr.terms(); terms.Restricted() {
-		reason = cr.svc.residencyText(cr.subject, terms) + ": " + reason
+		reason = cr.svc.describeResidency(cr.subject, terms) + ": " + reason
 	}
 	switch {
 	case cr.mayHaveRun && time.Until(cr.deadline) <= 0:
--- a/internal/fleet/proxy/errors_test.go
+++ b/internal/fleet/proxy/errors_test.go
@@ -109,10 +109,10 @@
 				deadline:       time.Now().Add(one.left),
 				retryAfter:     one.advice,
 			}
-			got := cr.rejectionFor(attemptFailure(errForeignAnswer))
+			got := cr.rejectionFor(attemptFailure(errUnrelatedAnswer))
 			c.Check(got.status, qt.Equals, one.status)
 			c.Check(got.retryAfter, qt.Equals, one.retryAfter)
-			c.Check(got.reason, qt.Equals, "backend: "+errForeignAnswer.Error())
+			c.Check(got.reason, qt.Equals, "backend: "+errUnrelatedAnswer.Error())
 			c.Check(impliesNotRun(got.status), qt.Equals, !one.mayHaveRun)
 		})
 	}
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -69,7 +69,7 @@
 		return nil, false, err
 	}
 	dial, cancel := context.WithDeadline(ctx, connectDeadline)
-	conn, err := cr.lendConn(dial, permit, out)
+	conn, err := cr.acquireConn(dial, permit, out)
 	cancel()
 	if err != nil {
 		tracked.end(false)
@@ -97,7 +97,7 @@
 		}
 		return nil, wrote, err
 	}
-	tracked.answered(!saysNotRun(e.resp))
+	tracked.answered(!reportsNotRun(e.resp))
 	return e, true, nil
 }
 
@@ -141,7 +141,7 @@
 		}
 		if resp.StatusCode < http.StatusOK {
 			if interim++; interim > maxInterim || resp.StatusCode == http.StatusSwitchingProtocols {
-				return errForeignAnswer
+				return errUnrelatedAnswer
 			}
 			continue
 		}
@@ -156,23 +156,23 @@
 				e.resp = resp
 				return nil
 			}
-			return errForeignAnswer
+			return errUnrelatedAnswer
 		case ownerAmbiguous:
-			return errForeignAnswer
+			return errUnrelatedAnswer
 		}
 		// Of an answer to a HEAD, or to who knows what on a connection that carries one, the end can't be found.
 		if resp.Close || out.method == http.MethodHead {
-			return errForeignAnswer
+			return errUnrelatedAnswer
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSurplusBody+1))
 		if err != nil || n > maxSurplusBody {
-			return errForeignAnswer
+			return errUnrelatedAnswer
 		}
 		surplus++
 		fresh = false
 		e.conn.Bound(maxAnswerHead)
 	}
-	return errForeignAnswer
+	return errUnrelatedAnswer
 }
 
 // owner is which request an answer belongs to, by the attempt ids in its head.
--- a/internal/fleet/proxy/placement.go
+++ b/internal/fleet/proxy/placement.go
@@ -17,7 +17,7 @@
 	prefillPermit residency.Permit // for prefill
 	promptTokens  int              // of the prompt, that decode is to read, as the estimator counts them
 	prefillMs     float64          // expected until the prompt is read, with the queue before it
-	atHome        bool             // the prompt is read at its preferred backend, which has its shared prefix cached
+	atPreferred        bool             // the prompt is read at its preferred backend, which has its shared prefix cached
 }
 
 // acquirePermits fills in the permits under the terms; false: the terms don't allow a backend. The service's lock is
@@ -75,7 +75,7 @@
 	now := s.now()
 	s.reserveDedicated(now)
 	req := newPlacementRequest(now, prompt, target, retryable, tried, terms)
-	if s.decodesLong(kind, &req) {
+	if s.isLongDecode(kind, &req) {
 		pl.decode = s.chooseDedicatedDecoder(&req)
 	} else {
 		s.choosePrefill(&req, split, &pl)
@@ -85,7 +85,7 @@
 	}
 	id := pl.decode.ID
 	if pl.prefill == nil {
-		pl.promptTokens = s.engines.PrefillStarted(id, prompt, pl.atHome)
+		pl.promptTokens = s.engines.PrefillStarted(id, prompt, pl.atPreferred)
 	} else {
 		s.engines.DecodeStarted(id)
 	}
@@ -93,9 +93,9 @@
 	return pl, true
 }
 
-// decodesLong reports whether a request is served by one decode backend: its answer is long, and its prompt is so short
+// isLongDecode reports whether a request is served by one decode backend: its answer is long, and its prompt is so short
 // that reading it there hardly slows the tokens of others. The lock is held.
-func (s *service) decodesLong(kind string, req *placementRequest) bool {
+func (s *service) isLongDecode(kind string, req *placementRequest) bool {
 	return s.engines.LongDecode(kind, req.prompt) &&
 		s.engines.DecodeLocalPrefillMs(req.prompt) <= shortPrefillShare*req.prefillTargetMs
 }
--- a/internal/fleet/proxy/placement_test.go
+++ b/internal/fleet/proxy/placement_test.go
@@ -64,7 +64,7 @@
 		one := clientRequest{svc: s, deadline: time.Now().Add(2 * time.Second)}
 		late = one.prefillTooLate(&pl)
 		if !late {
-			s.engines.PrefillStarted(pl.prefill.ID, prompt, pl.atHome)
+			s.engines.PrefillStarted(pl.prefill.ID, prompt, pl.atPreferred)
 		}
 	}
 	c.Assert(late, qt.IsTrue)
--- a/internal/fleet/proxy/prefill.go
+++ b/internal/fleet/proxy/prefill.go
@@ -55,7 +55,7 @@
 	b := pl.prefill
 	svc := cr.svc
 	svc.mu.Lock()
-	tokens := svc.engines.PrefillStarted(b.ID, prompt, pl.atHome)
+	tokens := svc.engines.PrefillStarted(b.ID, prompt, pl.atPreferred)
 	svc.ranker.AttemptStarted(b.ID)
 	svc.mu.Unlock()
 	threshold := cr.slowThresholdMs(pl.prefillMs)
@@ -107,7 +107,7 @@
 		Weights int64  `json:"ver"`
 	}
 	switch {
-	case saysNotRun(resp):
+	case reportsNotRun(resp):
 		a.status = policy.Full
 		return nil, errors.Errorf("prefill: status %d", resp.StatusCode)
 	case resp.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || !validID(answer.Ref):
--- a/internal/fleet/proxy/requestbody.go
+++ b/internal/fleet/proxy/requestbody.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// bodyStep is how much memory a body of known length gets at first, in bytes: what is held grows with what comes, not
+// initialBodyBytes is how much memory a body of known length gets at first, in bytes: what is held grows with what comes, not
 // with what a length claims.
-const bodyStep = 64 << 10
+const initialBodyBytes = 64 << 10
 
 // readBodyUntil reads a request's body, of at most limit bytes, until deadline: a client that stops within its body
 // gets its answer all the same. A body that is announced longer isn't read at all. The error is errBodyTooLarge, or
@@ -33,7 +33,7 @@
 // readBody reads a request's body, of at most limit bytes.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > 0 {
-		return readBodyOf(r.Body, r.ContentLength)
+		return readSizedBody(r.Body, r.ContentLength)
 	}
 	b, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
@@ -45,9 +45,9 @@
 	return b, nil
 }
 
-// readBodyOf reads a body of a known length, in bytes, into memory that grows with what has come.
-func readBodyOf(body io.Reader, length int64) ([]byte, error) {
-	b := make([]byte, 0, min(length, bodyStep))
+// readSizedBody reads a body of a known length, in bytes, into memory that grows with what has come.
+func readSizedBody(body io.Reader, length int64) ([]byte, error) {
+	b := make([]byte, 0, min(length, initialBodyBytes))
 	for int64(len(b)) < length {
 		if len(b) == cap(b) {
 			b = append(b, make([]byte, min(length-int64(len(b)), int64(len(b))))...)[:len(b)]
--- a/internal/fleet/proxy/residencycheck.go
+++ b/internal/fleet/proxy/residencycheck.go
@@ -82,10 +82,10 @@
 	return nil
 }
 
-// lendConn acquires a connection for an attempt. The error is residency.ErrOutside where the terms don't allow the
+// acquireConn acquires a connection for an attempt. The error is residency.ErrOutside where the terms don't allow the
 // backend, and for a permit that only releases unless the request carries nothing of the client's: neither body nor
 // header.
-func (cr *clientRequest) lendConn(ctx context.Context, permit residency.Permit,
+func (cr *clientRequest) acquireConn(ctx context.Context, permit residency.Permit,
 	out *outboundRequest) (*transport.Lent, error) {
 	if !permit.ReleaseOnly() {
 		return permit.AcquireConn(ctx, cr.terms(), out.id)
--- a/internal/fleet/proxy/residencyterms.go
+++ b/internal/fleet/proxy/residencyterms.go
@@ -73,8 +73,8 @@
 	return s.arrivalTerms
 }
 
-// residencyText says how many backends of a service the terms allow, for an answer that rejects a request.
-func (s *service) residencyText(of subject, terms residency.Terms) string {
+// describeResidency says how many backends of a service the terms allow, for an answer that rejects a request.
+func (s *service) describeResidency(of subject, terms residency.Terms) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	inside, unknown := 0, 0
--- a/internal/fleet/proxy/responses.go
+++ b/internal/fleet/proxy/responses.go
@@ -18,9 +18,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// saysNotRun reports whether an answer's head says that the backend did not run the request. A success that says so
+// reportsNotRun reports whether an answer's head says that the backend did not run the request. A success that says so
 // contradicts itself, and proves nothing.
-func saysNotRun(resp *http.Response) bool {
+func reportsNotRun(resp *http.Response) bool {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return true
 	}
--- a/internal/fleet/proxy/resume.go
+++ b/internal/fleet/proxy/resume.go
@@ -72,7 +72,7 @@
 	}
 	if !resumes(e.resp) {
 		a.status = policy.Error
-		if saysNotRun(e.resp) {
+		if reportsNotRun(e.resp) {
 			a.status = policy.Full
 		}
 		e.setReadDeadline(time.Now().Add(rejectionTimeout))
--- a/internal/fleet/proxy/retries_test.go
+++ b/internal/fleet/proxy/retries_test.go
@@ -118,7 +118,7 @@
 	c.Check(cr.retryAfter, qt.Equals, 2*time.Second)
 	c.Check(cr.mayHaveRun, qt.IsFalse)
 	a := attempt{cr: cr}
-	c.Check(a.fail(policy.Reset, errForeignAnswer), qt.Equals, errForeignAnswer)
+	c.Check(a.fail(policy.Reset, errUnrelatedAnswer), qt.Equals, errUnrelatedAnswer)
 	c.Check(cr.mayHaveRun, qt.IsTrue)
 	c.Check(a.status, qt.Equals, policy.Reset)
 }
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	slot, err := p.takeQuota(r.Context(), account, route)
+	slot, err := p.acquireQuota(r.Context(), account, route)
 	if err != nil {
 		return nil, err
 	}
@@ -157,7 +157,7 @@
 		return err
 	}
 	dropHopByHop(r.Header)
-	nameTenant(r.Header, cr.account) // after what a client's Connection field names was dropped
+	setTenantHeader(r.Header, cr.account) // after what a client's Connection field names was dropped
 	cr.outbound.method = r.Method
 	cr.outbound.target = r.RequestURI
 	cr.outbound.host = r.Host
@@ -183,7 +183,7 @@
 			prompt = &p // which stays on the stack
 		}
 	}
-	if cr.rejectIfLeaving(prompt) {
+	if cr.rejectIfOutlastsDrain(prompt) {
 		return
 	}
 	var err error
--- a/internal/fleet/proxy/selectionpolicies.go
+++ b/internal/fleet/proxy/selectionpolicies.go
@@ -18,9 +18,9 @@
 	prefillTargetShare = 0.4
 	// minPrefillTargetMs is the least prefill target, in milliseconds: waits are divided by it.
 	minPrefillTargetMs = 1
-	// homeWaitFactor is how many prefill targets a prompt waits at its preferred backend. Elsewhere all of it is read
+	// preferredWaitFactor is how many prefill targets a prompt waits at its preferred backend. Elsewhere all of it is read
 	// again, which under load adds to the very queues that it avoids.
-	homeWaitFactor = 1
+	preferredWaitFactor = 1
 	// shortPrefillShare is how long a prompt may take to be read at a decode backend, in prefill targets: that slows
 	// the tokens of all that run there.
 	shortPrefillShare = 0.25
@@ -155,30 +155,30 @@
 // behind, or none is left, or split is false. The lock is held.
 func (s *service) choosePrefill(req *placementRequest, split bool, pl *placement) {
 	prefillers := func(id string) bool { return s.canPrefill(req, id) }
-	home := s.ranker.PreferredBackend(req.now, req.key, prefillers)
+	preferred := s.ranker.PreferredBackend(req.now, req.key, prefillers)
 	leastWaitMs := s.leastPrefillWaitMs(req)
-	readers := func(id string) bool { return split && s.canPrefill(req, id) || s.canDecode(req, id) }
-	cost := func(id string) float64 { return s.prefillCostMs(req, id, home, leastWaitMs) }
-	s.ranked = s.ranker.Rank(req.now, req.key, readers, engineLoadFactor, cost, s.ranked[:0])
-	reader := s.topRanked()
+	candidates := func(id string) bool { return split && s.canPrefill(req, id) || s.canDecode(req, id) }
+	cost := func(id string) float64 { return s.prefillCostMs(req, id, preferred, leastWaitMs) }
+	s.ranked = s.ranker.Rank(req.now, req.key, candidates, engineLoadFactor, cost, s.ranked[:0])
+	chosen := s.topRanked()
 	if split {
 		// A prefill that fails loses nothing that another backend couldn't read.
 		onTrial := s.dueTrial(req, externalapi.PhasePrefill, outlier.Risk{Idempotent: true})
 		if onTrial != nil {
-			reader = onTrial
+			chosen = onTrial
 		}
 	}
-	if reader == nil {
+	if chosen == nil {
 		return
 	}
-	pl.atHome = reader.ID == home
-	pl.prefillMs = s.engines.ExpectedPrefillMs(req.now, reader.ID, req.prompt, pl.atHome)
-	if reader.Phase == externalapi.PhaseDecode {
-		pl.decode = reader
+	pl.atPreferred = chosen.ID == preferred
+	pl.prefillMs = s.engines.ExpectedPrefillMs(req.now, chosen.ID, req.prompt, pl.atPreferred)
+	if chosen.Phase == externalapi.PhaseDecode {
+		pl.decode = chosen
 		return
 	}
-	pl.prefill = reader
-	pl.decode = s.chooseDecoder(req, reader)
+	pl.prefill = chosen
+	pl.decode = s.chooseDecoder(req, chosen)
 }
 
 // prefillWaitMs is how long a prompt waits at a backend until it is read, and its KV cache longer than usual until it
@@ -204,15 +204,15 @@
 
 // prefillCostMs is the cost of reading a prompt at a backend: the wait beyond the least, what has to be read again away
 // from the preferred backend, and penalties. Up to homeWaitFactor it counts as none. The lock is held.
-func (s *service) prefillCostMs(req *placementRequest, id, home string, leastWaitMs float64) float64 {
+func (s *service) prefillCostMs(req *placementRequest, id, preferred string, leastWaitMs float64) float64 {
 	e, target := s.engines, req.prefillTargetMs
 	cost := s.prefillWaitMs(req.now, id) - leastWaitMs
-	if id != home && home != "" {
+	if id != preferred && preferred != "" {
 		// What is read again holds up all that wait: the more, the more of them there are.
 		recomputeFactor := 1 + leastWaitMs/target
-		cost += max(e.PrefillMs(id, req.prompt, false)-e.PrefillMs(home, req.prompt, true), 0) * recomputeFactor
+		cost += max(e.PrefillMs(id, req.prompt, false)-e.PrefillMs(preferred, req.prompt, true), 0) * recomputeFactor
 	}
-	if cost < homeWaitFactor*target {
+	if cost < preferredWaitFactor*target {
 		cost = 0
 	}
 	if s.byID[id].Phase == externalapi.PhaseDecode {
--- a/internal/fleet/proxy/shutdown.go
+++ b/internal/fleet/proxy/shutdown.go
@@ -45,10 +45,10 @@
 }
 
 // begin begins the shutdown: what is open is closed at the time given. first is as newDrainState has it.
-func (gs *gracefulShutdown) begin(now, closeAt time.Time, first bool) {
+func (gs *gracefulShutdown) begin(now, closeAt time.Time, closesEarly bool) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
-	gs.state = newDrainState(now, closeAt, first, gs.state.peers)
+	gs.state = newDrainState(now, closeAt, closesEarly, gs.state.peers)
 	gs.changed = make(chan struct{}, 1)
 	gs.closeAt.Store(&closeAt)
 }
@@ -166,9 +166,9 @@
 	return gap
 }
 
-// rejectIfLeaving rejects a request whose answer may outlast a draining proxy, and reports whether it did. No backend
+// rejectIfOutlastsDrain rejects a request whose answer may outlast a draining proxy, and reports whether it did. No backend
 // has seen the request, and its client has time to retry at a proxy that stays.
-func (cr *clientRequest) rejectIfLeaving(prompt *scheduler.Prompt) bool {
+func (cr *clientRequest) rejectIfOutlastsDrain(prompt *scheduler.Prompt) bool {
 	shutdown := &cr.proxy.shutdown
 	if !shutdown.began() {
 		return false
@@ -195,7 +195,7 @@
 	began := time.Now()
 	grace := p.settings.Bounds.Grace
 	closeAt := began.Add(grace - forceCloseMargin)
-	p.shutdown.begin(began, closeAt, rand.Float64() < firstShare)
+	p.shutdown.begin(began, closeAt, rand.Float64() < earlyCloseShare)
 	p.lifecycle.End()
 	p.announceDraining()
 	p.log.Info("draining", zap.Int64("open", p.inFlight.Load()), zap.Duration("grace", grace))
