--- a/internal/fleet/proxy/accounts.go
+++ b/internal/fleet/proxy/accounts.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// bearerScheme is how a client sends its API key in the Authorization field; its case doesn't count.
+	// bearerScheme is the scheme of an API key in the Authorization field. It is compared case-insensitively.
 	bearerScheme = "Bearer"
-	// revokeMargin is how long before a key that may have been taken away could break the rule its requests are
-	// rejected: the steady clocks of two machines don't run alike to the last millisecond.
+	// revokeMargin is how long before the revocation bound requests are rejected if their key may have been revoked,
+	// since the monotonic clocks of two machines differ slightly in rate.
 	revokeMargin = 50 * time.Millisecond
-	// unconfirmedRetryAfter is the Retry-After of a request whose key can't be checked now.
+	// unconfirmedRetryAfter is the Retry-After of a request whose key cannot be checked at present.
 	unconfirmedRetryAfter = 200 * time.Millisecond
-	// quotaWaitShare: a request waits for one in so many of its route's latency target until it is known whether its
-	// tenant's quota has room, so that it is rejected early if it has to be.
+	// quotaWaitShare is the divisor of a route's latency target that gives how long a request waits for a decision on
+	// its tenant's quota. Beyond that it is rejected early.
 	quotaWaitShare = 5
-	// defaultQuotaWait is that time on routes without a latency target.
+	// defaultQuotaWait is that wait on routes without a latency target.
 	defaultQuotaWait = 40 * time.Millisecond
-	// quotaRetryAfter is the Retry-After of a request beyond its tenant's quota.
+	// quotaRetryAfter is the Retry-After of a request above its tenant's quota.
 	quotaRetryAfter = 250 * time.Millisecond
-	// noAllocatorRetryAfter is the Retry-After of a request when no control server hands out quotas: about as long as a
-	// takeover lasts.
+	// noAllocatorRetryAfter is the Retry-After of a request while no control server allocates quotas: about the
+	// duration of a failover.
 	noAllocatorRetryAfter = 600 * time.Millisecond
 )
 
-// configConfirmation says as of when the configuration in force here was the newest that was acknowledged.
+// configConfirmation records the latest time at which the configuration in force was confirmed as the newest
+// acknowledged one.
 type configConfirmation struct {
-	at time.Time // by the steady clock; zero: never
+	at time.Time // monotonic; zero: never
 }
 
 // confirmConfig records that the configuration in force was the newest acknowledged one at a time. It must be called
-// once that configuration is in the routing snapshot.
+// after that configuration has been published in the routing snapshot.
 func (p *Proxy) confirmConfig(at time.Time) {
 	if last := p.confirmed.Load(); last == nil || at.After(last.at) {
 		p.confirmed.Store(&configConfirmation{at: at})
 	}
 }
 
-// confirmedAt returns as of when the configuration in force was the newest acknowledged one. A snapshot that is loaded
-// afterwards is that configuration or a newer one.
+// confirmedAt returns the latest time at which the configuration in force was confirmed as the newest acknowledged one.
+// A snapshot that is loaded afterwards has that configuration or a newer one.
 func (p *Proxy) confirmedAt() time.Time {
 	if last := p.confirmed.Load(); last != nil {
 		return last.at
@@ -56,19 +57,19 @@
 	return time.Time{}
 }
 
-// clientAccount is the account that a request is of.
+// clientAccount is the account that a request belongs to.
 type clientAccount struct {
-	account *routingconfig.Account // nil: of none
-	slot    quota.Slot             // of its quota
+	account *routingconfig.Account // nil: none
+	slot    quota.Slot             // taken from the account's quota
 }
 
-// authenticate returns the account of a request's key; nil where the request needs none. It takes the key and what the
-// client says of its tenant off the request, and names the account's tenant instead. Its errors are rejections.
+// authenticate returns the account of a request's key; nil if the request needs none. It removes the key from the
+// request, and the client's tenant header. Its errors are rejections.
 //
-// Safety: a key that an acknowledged configuration took away must not run a request that was sent Revoke later. The
-// request was sent before arrivedAt, and as of confirmedAt no such configuration was acknowledged that isn't in the
-// snapshot. So one check is enough, whatever the request waits for afterwards. confirmedAt has to be read before the
-// snapshot, and the clock after the head of the request was read.
+// Safety: a key that an acknowledged configuration revoked must not admit a request that was sent Bounds.Revoke later.
+// The request was sent before arrivedAt, and as of confirmedAt no such configuration had been acknowledged that is not
+// in the snapshot. So one check is enough, however long the request waits afterwards. confirmedAt has to be read before
+// the snapshot, and the clock after the head of the request has been read.
 func (p *Proxy) authenticate(
 	r *http.Request, snapshot *routingSnapshot, route *routingconfig.Route, arrivedAt, confirmedAt time.Time,
 ) (*routingconfig.Account, error) {
@@ -97,8 +98,8 @@
 	return nil, &rejection{status: http.StatusUnauthorized, reason: "the API key is not known"}
 }
 
-// rejectUnconfirmed returns the rejection of a request whose key can't be checked, since no control server has told for
-// long that the configuration here is the newest.
+// rejectUnconfirmed returns the rejection of a request whose key cannot be checked, because the configuration has not
+// been confirmed as the newest by a control server recently enough.
 func (p *Proxy) rejectUnconfirmed() *rejection {
 	p.countRejection(unconfirmedConfig)
 	return &rejection{
@@ -108,8 +109,8 @@
 	}
 }
 
-// extractKey returns the API key of a request: that of its only Authorization field. Where keys are required it takes the
-// field off the request; otherwise the field is the backends'.
+// extractKey returns the API key of a request, taken from its only Authorization field. If keys are required it also
+// removes the field from the request; otherwise the field is meant for the backends.
 func extractKey(header http.Header, required bool) (key string, ok bool) {
 	values := header[externalapi.HeaderAuthorization]
 	if required {
@@ -125,7 +126,7 @@
 	return strings.Trim(key, " "), true
 }
 
-// setTenantHeader puts the name of a request's account into the header that backends get.
+// setTenantHeader sets the tenant header that backends receive to the name of a request's account, or removes it.
 func setTenantHeader(header http.Header, account *routingconfig.Account) {
 	if account == nil {
 		delete(header, externalapi.HeaderTenant)
@@ -134,7 +135,7 @@
 	header[externalapi.HeaderTenant] = []string{account.Name}
 }
 
-// acquireQuota takes a request from its account's quota. Its errors are rejections.
+// acquireQuota acquires a slot of the account's quota for a request. Its errors are rejections.
 func (p *Proxy) acquireQuota(
 	ctx context.Context, account *routingconfig.Account, route *routingconfig.Route,
 ) (quota.Slot, error) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// rank returns the request's rank: its account's, or else its route's. 0 is the highest.
+// rank returns the request's rank: that of its account, or else of its route. 0 is the highest.
 func (cr *clientRequest) rank() int {
 	if cr.account != nil && cr.account.Priority != nil {
 		return *cr.account.Priority
@@ -173,14 +174,14 @@
 	return cr.route.Priority
 }
 
-// releaseUnused gives the quota back of a request that no backend has run or will run.
+// releaseUnused releases the quota slot of a request that no backend has run or will run.
 func (cr *clientRequest) releaseUnused() {
 	if !cr.mayHaveRun && !cr.prefilled && cr.sends == 0 {
 		cr.slot.Release()
 	}
 }
 
-// rejectionReason is why a request was rejected for its key or its tenant.
+// rejectionReason is why a request was rejected because of its key or its tenant.
 type rejectionReason int
 
 const (
@@ -189,7 +190,7 @@
 	overQuota
 	unknownQuota
 
-	rejectionReasons // how many there are
+	rejectionReasons // number of reasons
 )
 
 // String returns the name of the reason's counter.
@@ -197,10 +198,10 @@
 	return [...]string{"unknown_key", "unconfirmed_configuration", "over_quota", "unknown_quota"}[r]
 }
 
-// countRejection counts a request that is rejected for its key or its tenant.
+// countRejection counts a request that is rejected because of its key or its tenant.
 func (p *Proxy) countRejection(reason rejectionReason) { p.rejections[reason].Add(1) }
 
-// quotaAddr returns the address at which the primary hands out quotas; empty while none is known.
+// quotaAddr returns the address at which the primary allocates quotas; empty while no primary is known.
 func (p *Proxy) quotaAddr() string {
 	if addr := p.primaryHost.Load(); addr != nil && *addr != "" {
 		return distribution.QuotaAddr(*addr, p.settings.Ports)
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -11,17 +11,18 @@
 	"molepaddle/policy"
 )
 
-// attempt is one send of a client's request to one backend that is to answer it, with what it is to be counted as. The
-// goroutine that serves the request has it.
+// attempt is one send of a client's request to one backend, with the state from which its outcome is recorded. It
+// belongs to the goroutine that serves the request.
 type attempt struct {
 	cr     *clientRequest
 	permit residency.Permit
 	opts   attemptOptions
 	sent   bool          // a byte of the request may have gone out
-	status policy.Status // how it ended, for the ranking of backends; OK until it failed
+	status policy.Status // outcome, for the ranking of backends; OK until it fails
 }
 
-// send sends the request and waits for the head of the answer. On an error the attempt has ended; it says how.
+// send sends the request and waits for the head of the response. After an error the attempt has ended, and its status
+// is set.
 func (a *attempt) send(ctx context.Context) (*exchange, error) {
 	cr := a.cr
 	e, wrote, err := cr.startExchange(
@@ -45,22 +46,22 @@
 	return err
 }
 
-// rejected ends an attempt whose backend said that it has not run the request, and keeps the backend's advice.
+// rejected ends an attempt whose backend reported that it has not run the request, and keeps the backend's Retry-After.
 func (a *attempt) rejected(resp *http.Response) error {
 	a.status = policy.Full
 	a.cr.retryAfter = max(a.cr.retryAfter, backendRetryAfter(resp))
 	return errBackendFull
 }
 
-// plainAttempt is an attempt whose answer is relayed once it is complete.
+// plainAttempt is an attempt whose response is relayed once it is complete.
 type plainAttempt struct {
 	attempt
-	usualMs     float64 // how long such an answer usually takes
-	thresholdMs float64 // beyond which it counts as slow
+	usualMs     float64 // usual duration of such a response, ms
+	thresholdMs float64 // duration above which it counts as slow, ms
 	record      *attemptRecord
 }
 
-// sendPlain sends the request to one backend; nil: the client has its answer.
+// sendPlain sends the request to one backend. It returns nil once a response has been written to the client.
 func (cr *clientRequest) sendPlain(ctx context.Context, permit residency.Permit) error {
 	usual, threshold := cr.svc.completeThresholdMs(cr)
 	a := plainAttempt{
@@ -86,8 +87,8 @@
 	return a.relay(ctx, e)
 }
 
-// relayable reports whether an answer can be a backend's: a success carries the backend's seal, and no answer is
-// encoded.
+// relayable reports whether a response may be relayed: a success must carry the backend's seal, and no response may be
+// content-encoded.
 func relayable(resp *http.Response) bool {
 	if resp.Header.Get("Content-Encoding") != "" {
 		return false
@@ -95,7 +96,7 @@
 	return resp.StatusCode >= http.StatusMultipleChoices || resp.Header.Get(externalapi.HeaderBackendSeal) != ""
 }
 
-// relay reads the answer and gives it to the client; an error: the client has none yet.
+// relay reads the response and writes it to the client. After an error nothing has been written to the client.
 func (a *plainAttempt) relay(ctx context.Context, e *exchange) error {
 	cr := a.cr
 	e.setReadDeadline(cr.deadline)
@@ -104,7 +105,7 @@
 	body, err := e.readAll(maxBufferedAnswer)
 	if err != nil {
 		if errors.Is(ctx.Err(), context.Canceled) {
-			err = ctx.Err() // the client has left: the backend is not to blame
+			err = ctx.Err() // the client has disconnected: not a fault of the backend
 		}
 		return a.fail(attemptStatus(true, err), err)
 	}
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// recordEnd counts how the attempt ended and how fast it was.
+// recordEnd records the outcome of the attempt and its duration.
 func (a *plainAttempt) recordEnd() {
 	svc := a.cr.svc
 	took := a.record.headerReceived()
--- a/internal/fleet/proxy/attemptrecord.go
+++ b/internal/fleet/proxy/attemptrecord.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// slowFactor is how many times as long as usual an attempt must last to count as slow.
+	// slowFactor is the multiple of the usual duration above which an attempt may count as slow.
 	slowFactor = 3
-	// minSlowTargetShare is how long it must last besides, in parts of its route's latency target: usual durations
-	// may be very short.
+	// minSlowTargetShare is added to that, as a fraction of the route's latency target, since usual durations may be
+	// very short.
 	minSlowTargetShare = 0.5
-	// minSlowGapMs is how much longer than slowFactor times usual the gaps of a stream must be for it to count as
-	// slow, in milliseconds.
+	// minSlowGapMs is added to slowFactor times the usual gap between events of a stream, in milliseconds; above the
+	// sum the stream counts as slow.
 	minSlowGapMs = 20
-	// clearFactor is up to how many times as long as usual an answer shows its backend to be as fast as usual, which
-	// ends an ejection.
+	// clearFactor is the multiple of the usual duration up to which a response shows its backend to be as fast as
+	// usual, which ends an ejection.
 	clearFactor = 2
 	// meanWeight is the weight of a new sample in a running mean.
 	meanWeight = 0.05
 	// maxSampleFactor bounds a sample, in multiples of the mean.
 	maxSampleFactor = 3
-	// maxRouteMeans bounds the routes that have a mean of their own. On further ones an attempt counts as slow by the
-	// latency target alone.
+	// maxRouteMeans bounds the number of routes that have a mean of their own. On further routes an attempt counts as
+	// slow by the latency target alone.
 	maxRouteMeans = 4096
 )
 
-// runningMean is a mean of recent durations, in milliseconds; 0: there were none. What takes far longer moves it
-// little, so that bad backends don't become the measure.
+// runningMean is a mean of recent durations, in milliseconds; 0: there are no samples. Outliers have little influence,
+// so that slow backends do not become the reference.
 type runningMean struct{ ms float64 }
 
 // update adds a sample, in milliseconds.
@@ -41,22 +41,23 @@
 	m.ms += (min(ms, maxSampleFactor*m.ms) - m.ms) * meanWeight
 }
 
-// slowThresholdMs is how long an attempt may last before it counts as slow, where it usually lasts so long; both in
+// slowThresholdMs returns the duration above which an attempt counts as slow, given its usual duration; both in
 // milliseconds.
 func (cr *clientRequest) slowThresholdMs(usualMs float64) float64 {
 	return slowFactor*usualMs + minSlowTargetShare*float64(cr.route.LatencyTarget().Milliseconds())
 }
 
-// attemptRecord is an attempt at a backend as the outlier detection counts it. Its owner calls finish once.
+// attemptRecord is the outlier detection's record of an attempt at a backend. Its owner calls finish once.
 type attemptRecord struct {
 	svc         *service
-	id          string // of the backend
+	id          string // backend id
 	recorded    *outlier.Attempt
-	startedMs   float64 // on the service's clock
-	thresholdMs float64 // after which it counts as slow
+	startedMs   float64 // on the service's clock, ms
+	thresholdMs float64 // duration above which it counts as slow, ms
 }
 
-// beginAttempt begins the record of an attempt that counts as overdue if no response header comes within thresholdMs.
+// beginAttempt starts the record of an attempt, which counts as overdue if no response header arrives within
+// thresholdMs.
 func (s *service) beginAttempt(id string, thresholdMs float64) *attemptRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,8 +71,8 @@
 	}
 }
 
-// headerReceived records that the response has begun, after which the attempt can't be overdue any more. It returns how
-// long that took, in milliseconds.
+// headerReceived records that the response has started, after which the attempt can no longer become overdue. It
+// returns the time since the start of the attempt, in milliseconds.
 func (ar *attemptRecord) headerReceived() float64 {
 	ar.svc.mu.Lock()
 	defer ar.svc.mu.Unlock()
@@ -79,18 +80,18 @@
 	return ar.svc.now() - ar.startedMs
 }
 
-// attemptSpeed is how fast a complete answer came, compared with what is usual.
+// attemptSpeed classifies how fast a complete response arrived, compared with the usual duration.
 type attemptSpeed int
 
 const (
 	speedUsual   attemptSpeed = iota
 	speedUnclear              // neither as fast as usual nor slow
-	speedLate                 // it took long to begin
-	speedSlow                 // it came slowly once it had begun
+	speedLate                 // slow to start
+	speedSlow                 // slow after it had started
 )
 
-// speedOf is the speed of an answer that took so long, where it usually takes so long and counts as late beyond the
-// threshold; all in milliseconds.
+// speedOf returns the speed of a response that took tookMs, where usualMs is usual and above thresholdMs it counts as
+// late; all in milliseconds.
 func speedOf(tookMs, usualMs, thresholdMs float64) attemptSpeed {
 	switch {
 	case tookMs > thresholdMs:
@@ -101,15 +102,16 @@
 	return speedUsual
 }
 
-// finish records how the attempt ended. paced says that its answer came as a stream whose gaps showed its speed.
+// finish records the outcome of the attempt. paced means that the response was a stream whose event gaps showed its
+// speed.
 func (ar *attemptRecord) finish(how policy.Status, speed attemptSpeed, paced bool) {
 	ar.svc.mu.Lock()
 	defer ar.svc.mu.Unlock()
 	ar.svc.recorder.End(ar.recorded, ar.result(how, speed, paced))
 }
 
-// result is the attempt's end in the terms of the outlier detection. An ejected backend has to show that it is as
-// fast as usual: there an answer of unclear speed is inconclusive. The service's lock is held.
+// result returns the outcome of the attempt for the outlier detection. An ejected backend has to prove that it is as
+// fast as usual: a response of unclear speed is inconclusive for it. The service's lock is held.
 func (ar *attemptRecord) result(how policy.Status, speed attemptSpeed, paced bool) outlier.Result {
 	switch how {
 	case policy.OK:
@@ -131,8 +133,8 @@
 	return outlier.Inconclusive
 }
 
-// firstEventThresholdMs is how long a stream's first event may take before it counts as slow, in milliseconds: by the
-// expected prefill, or, where the prompt was prefilled elsewhere, by the usual time.
+// firstEventThresholdMs returns the time to a stream's first event above which it counts as slow, in milliseconds: by
+// the expected prefill, or by the usual time if the prompt was prefilled elsewhere.
 func (s *service) firstEventThresholdMs(cr *clientRequest, prefilled bool, prefillMs float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,8 +144,8 @@
 	return cr.slowThresholdMs(s.recent.firstEvent.ms)
 }
 
-// recordStream records how a stream came and returns its speed, and whether its gaps showed that. first is the time to
-// its first event, which is late beyond the threshold.
+// recordStream records the timing of a stream and returns its speed, and whether its event gaps determined that. first
+// is the time to its first event, which is late above the threshold.
 func (s *service) recordStream(cr *clientRequest, prefilled bool, thresholdMs float64, first time.Duration,
 	r *streamRelay) (speed attemptSpeed, paced bool) {
 	s.mu.Lock()
@@ -173,7 +175,8 @@
 }
 
 // asFastAsUsual reports whether a stream shows its backend to be as fast as usual, by the mean gap between its events
-// and the time to the first. A stream without a gap shows little where others have some. The lock is held.
+// and the time to the first. A stream without gaps is not sufficient evidence once other streams have had gaps. The
+// lock is held.
 func (s *service) asFastAsUsual(gapMs, firstMs float64) bool {
 	if s.recent.gap.ms == 0 && firstMs < clearFactor*s.recent.firstEvent.ms {
 		return true
@@ -181,10 +184,11 @@
 	return gapMs > 0 && gapMs < clearFactor*s.recent.gap.ms
 }
 
-// slowGapMs is the mean gap of a sample of a stream beyond which it counts as slow, in milliseconds. The lock is held.
+// slowGapMs returns the mean event gap above which a sample of a stream counts as slow, in milliseconds. The lock is
+// held.
 func (s *service) slowGapMs() float64 { return slowFactor*s.recent.gap.ms + minSlowGapMs }
 
-// paceSampleComplete reports whether a sample of a stream suffices to tell whether its backend is slow: it has enough
+// paceSampleComplete reports whether a sample of a stream suffices to decide whether its backend is slow: it has enough
 // events, or has lasted longer than a slow stream takes for them.
 func (s *service) paceSampleComplete(lasted time.Duration, events int) bool {
 	if events >= paceSampleEvents {
@@ -195,8 +199,8 @@
 	return s.recent.gap.ms > 0 && float64(lasted.Milliseconds()) > paceSampleEvents*s.slowGapMs()
 }
 
-// completeThresholdMs is how long an answer that comes as one usually takes on the request's route, and how long it may
-// take before it counts as slow, in milliseconds.
+// completeThresholdMs returns the usual duration of a non-streamed response on the request's route, and the duration
+// above which it counts as slow, in milliseconds.
 func (s *service) completeThresholdMs(cr *clientRequest) (usualMs, thresholdMs float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +208,7 @@
 	return usualMs, cr.slowThresholdMs(usualMs)
 }
 
-// recordComplete records how long an answer took that came as one, in milliseconds.
+// recordComplete records the duration of a non-streamed response, in milliseconds.
 func (s *service) recordComplete(cr *clientRequest, ms float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/proxy/clientconn.go
+++ b/internal/fleet/proxy/clientconn.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// defaultHeaderTimeout is how long a client may take to send a request's head, where the configuration doesn't say.
+	// defaultHeaderTimeout is how long a client may take to send a request's head if the configuration sets no limit.
 	defaultHeaderTimeout = 3 * time.Second
-	// defaultIdleTimeout is how long a client may leave a connection idle, where the configuration doesn't say.
+	// defaultIdleTimeout is how long a client may leave a connection idle if the configuration sets no limit.
 	defaultIdleTimeout = 15 * time.Second
 	// maxHeaderBytes bounds a request's head, in bytes.
 	maxHeaderBytes = 32 << 10
 )
 
-// clientTimeouts returns how long clients may take for a request's head and leave a connection idle.
+// clientTimeouts returns the time-outs for reading a request's head and for idle client connections.
 type clientTimeouts func() (header, idle time.Duration)
 
-// clientServer returns the server for clients. Its connections are to come from a clientListener.
+// clientServer returns the server for clients. Its connections must come from a clientListener.
 func (p *Proxy) clientServer() *http.Server {
 	return &http.Server{
 		Handler:           p,
@@ -49,11 +49,11 @@
 	return header, idle
 }
 
-// clientListener gives clients' connections the time-outs that are in force at the time.
+// clientListener applies the time-outs in force to client connections.
 type clientListener struct {
 	net.Listener
 	timeouts clientTimeouts
-	accepted func(now time.Time) // told of each connection
+	accepted func(now time.Time) // called for each connection
 }
 
 // Accept waits for the next connection.
@@ -66,12 +66,12 @@
 	return &clientConn{Conn: c, timeouts: l.timeouts}, nil
 }
 
-// clientConn is a client's connection. The time-outs of http.Server are fixed once it serves, while those of the
-// configuration change: where the server sets a deadline by its own time-outs, this sets it by the ones in force.
+// clientConn is a client's connection. The time-outs of http.Server are fixed once it serves, while the configured ones
+// change: where the server sets a deadline by its own time-outs, clientConn sets it by those in force.
 type clientConn struct {
 	net.Conn
 	timeouts clientTimeouts
-	idle     bool // between requests; the goroutine that serves the connection has it
+	idle     bool // between requests; used only by the goroutine that serves the connection
 }
 
 // markIdle is the server's ConnState hook. For an idle connection the server calls it right before it sets the
@@ -82,8 +82,8 @@
 	}
 }
 
-// SetReadDeadline sets the deadline; one that is to come is moved to what the time-outs in force give for the
-// connection's stage.
+// SetReadDeadline sets the read deadline. A deadline in the future is replaced by the one that the time-outs in force
+// give for the connection's state.
 func (c *clientConn) SetReadDeadline(at time.Time) error {
 	now := time.Now()
 	if !at.After(now) {
@@ -99,7 +99,7 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// CloseWrite lets the server end its side first, so that a client that still sends reads its answer.
+// CloseWrite lets the server close its side first, so that a client that is still sending can read the response.
 func (c *clientConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/fleet/proxy/configwatch.go
+++ b/internal/fleet/proxy/configwatch.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// minWatchBackoff and maxWatchBackoff bound the wait before the node agent is connected to again. It is on the same
-	// machine, and a proxy without it gets no new endpoint list: the wait is short.
+	// minWatchBackoff and maxWatchBackoff bound the wait before reconnecting to the node agent. The wait is short
+	// because the agent is on the same machine, and a proxy without it gets no new endpoint list.
 	minWatchBackoff = 5 * time.Millisecond
 	maxWatchBackoff = 100 * time.Millisecond
-	// confirmationsPerRevoke is how often in Bounds.Revoke the node agent is asked how old its configuration is.
+	// confirmationsPerRevoke is how often within Bounds.Revoke the node agent is asked for the age of its
+	// configuration.
 	confirmationsPerRevoke = 10
-	// watchReadTimeout is how much longer than the wait that a pull asks for its response may take.
+	// watchReadTimeout is how much longer than its requested wait the response to a pull may take.
 	watchReadTimeout = time.Second
 )
 
-// errMissingBase says that a configuration update changes a version that this proxy doesn't have.
-var errMissingBase = errors.New("changes of a version that is not had")
+// errMissingBase means that a configuration update is based on a version that this proxy does not have.
+var errMissingBase = errors.New("delta update is based on a version that this proxy does not have")
 
-// configState is what the proxy has received from the node agent. It belongs to the goroutine of followNodeAgent; all
-// others see the routing snapshot that is built of it.
+// configState is the state received from the node agent. It belongs to the goroutine of followNodeAgent; all others see
+// the routing snapshot that is built from it.
 type configState struct {
-	versions map[string]distribution.Version // of the resources applied, by type
+	versions map[string]distribution.Version // versions of the resources applied, by type
 
-	doc      *routingconfig.Document // the configuration in force; nil: none has come
+	doc      *routingconfig.Document // configuration in force; nil: none received
 	docSince time.Time               // when it came into force
 
-	index      *routingconfig.Index    // of indexedDoc
+	index      *routingconfig.Index    // built from indexedDoc
 	indexedDoc *routingconfig.Document // nil: none yet
 
 	services     map[string]*service // by name; they outlive snapshots
@@ -46,11 +47,11 @@
 
 	quotaRule quota.Rule
 
-	proxies     int // of the fleet
-	zoneProxies int // of those, in this proxy's zone
+	proxies     int // number of proxies in the fleet
+	zoneProxies int // number of proxies in this proxy's zone
 }
 
-// followNodeAgent applies what the node agent sends, and reconnects to it with backoff, until ctx ends.
+// followNodeAgent applies the updates of the node agent, and reconnects with backoff, until ctx ends.
 func (p *Proxy) followNodeAgent(ctx context.Context) {
 	backoff := distribution.Backoff{Min: minWatchBackoff, Max: maxWatchBackoff}
 	for ctx.Err() == nil {
@@ -64,7 +65,8 @@
 	}
 }
 
-// nodeAgentWatcher says what each pull from the node agent carries and what is done with its response.
+// nodeAgentWatcher returns the watcher that defines the contents of each pull from the node agent and applies the
+// response.
 func (p *Proxy) nodeAgentWatcher() *distribution.Watcher {
 	w := &distribution.Watcher{
 		Name:           p.settings.NodeName,
@@ -82,13 +84,13 @@
 	}
 	w.Apply = func(response *distribution.Response) []string {
 		p.apply(response, w.ReceivedAt())
-		return nil // what was rejected has no version any more, which asks for it again
+		return nil // a rejected resource has no version any more, so the next pull requests it again
 	}
 	return w
 }
 
-// watchWait is how long a pull may wait for an update. What it tells of the configuration's age is as old as the pull
-// when the next one is answered, which is a part of the time in which keys may be used.
+// watchWait returns how long a pull may wait for an update. By the time the next pull is answered, the configuration
+// age of the last response is one wait older, and that counts against the time in which keys are accepted.
 func (p *Proxy) watchWait() time.Duration {
 	if !p.settings.Bounds.StrictRevoke {
 		return p.settings.Heartbeat
@@ -96,7 +98,7 @@
 	return min(p.settings.Heartbeat, p.settings.Bounds.Revoke/confirmationsPerRevoke)
 }
 
-// renewLease describes this proxy for the renewal of its lease.
+// renewLease returns this proxy's member record for the renewal of its lease.
 func (p *Proxy) renewLease(now time.Time) distribution.Member {
 	m := distribution.Member{
 		Name:               p.settings.NodeName,
@@ -112,7 +114,8 @@
 	return m
 }
 
-// lastLease describes this proxy as in its last pull, but for whether it drains. It may be called from any goroutine.
+// lastLease returns the member record of the last pull with the current draining state; nil: the proxy has no lease
+// yet. It may be called from any goroutine.
 func (p *Proxy) lastLease() []distribution.Member {
 	last := p.lease.Load()
 	if last == nil {
@@ -123,7 +126,7 @@
 	return []distribution.Member{m}
 }
 
-// announceDraining has the fleet told at once that this proxy drains.
+// announceDraining triggers an immediate push of this proxy's draining state to the fleet.
 func (p *Proxy) announceDraining() {
 	select {
 	case p.drainingAnnounced <- struct{}{}:
@@ -131,8 +134,8 @@
 	}
 }
 
-// apply applies the resources of a response that was received at a time. One that can't be used is logged, and asked
-// for again as a complete one with the next pull.
+// apply applies the resources of a response that was received at a time. A resource that cannot be applied is logged,
+// and the next pull requests a complete one.
 func (p *Proxy) apply(response *distribution.Response, receivedAt time.Time) {
 	routingChanged, configApplied := false, true
 	for i := range response.Resources {
@@ -161,8 +164,8 @@
 	}
 }
 
-// applyResource applies one resource. A type that this build doesn't know is passed over, so that a newer control plane
-// may send more.
+// applyResource applies one resource. Types unknown to this build are ignored, so that a newer control plane may send
+// more.
 func (p *Proxy) applyResource(resource *distribution.Resource) error {
 	switch resource.Type {
 	case distribution.ConfigType:
@@ -179,8 +182,8 @@
 	return nil
 }
 
-// applyConfig puts a configuration in force: a complete one or changes of the one in force, which is kept if the result
-// isn't newer or any of it is invalid.
+// applyConfig applies a configuration: a complete one, or changes to the one in force. The one in force is kept if the
+// result is not newer or any part of the update is invalid.
 func (p *Proxy) applyConfig(resource *distribution.Resource) error {
 	doc := p.doc
 	if resource.Snapshot != nil {
@@ -203,7 +206,8 @@
 		}
 		doc = d
 	}
-	// A node agent that has been away may offer an older one: what clients have seen in force doesn't go back.
+	// A node agent that was disconnected may deliver an older configuration. The version that clients have seen in
+	// force must not go back.
 	if doc.Version() > p.doc.Version() {
 		p.doc = doc
 		p.docSince = time.Now()
@@ -213,7 +217,7 @@
 	return nil
 }
 
-// applyBackendList takes the complete endpoint list.
+// applyBackendList replaces the endpoint list.
 func (p *Proxy) applyBackendList(resource *distribution.Resource) error {
 	var list distribution.BackendList
 	if _, err := list.UnmarshalMsg(resource.Snapshot); err != nil {
@@ -224,7 +228,7 @@
 	return nil
 }
 
-// applyMembershipSize takes the number of proxies, in all and in this one's zone: at least this one.
+// applyMembershipSize applies the number of proxies, in total and in this proxy's zone; both are at least 1.
 func (p *Proxy) applyMembershipSize(resource *distribution.Resource) error {
 	var size distribution.MembershipSize
 	if _, err := size.UnmarshalMsg(resource.Snapshot); err != nil {
@@ -236,7 +240,7 @@
 	return nil
 }
 
-// applyLoadReport hands the loads that the control plane polled to the services.
+// applyLoadReport passes the loads that the control plane polled to the services.
 func (p *Proxy) applyLoadReport(resource *distribution.Resource) error {
 	var report distribution.LoadReport
 	if _, err := report.UnmarshalMsg(resource.Snapshot); err != nil {
@@ -248,7 +252,7 @@
 	return nil
 }
 
-// applyEjections hands the ejections of the fleet's outlier detection to the services.
+// applyEjections passes the ejections of the fleet's outlier detection to the services.
 func (p *Proxy) applyEjections(resource *distribution.Resource) error {
 	var ejections distribution.Ejections
 	if _, err := ejections.UnmarshalMsg(resource.Snapshot); err != nil {
--- a/internal/fleet/proxy/decode.go
+++ b/internal/fleet/proxy/decode.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// maxBufferedAnswer bounds an answer that is relayed once it is complete, in bytes.
+	// maxBufferedAnswer bounds a response that is buffered before it is relayed, in bytes.
 	maxBufferedAnswer = 8 << 20
-	// rejectionTimeout bounds the rest of an answer that is no stream.
+	// rejectionTimeout bounds the time to read the rest of a response that is not a stream.
 	rejectionTimeout = time.Second
 )
 
-// decodeAttempt is an attempt at a decode backend, whose answer is a stream.
+// decodeAttempt is an attempt at a decode backend whose response is a stream.
 type decodeAttempt struct {
 	attempt
 	pl          placement
-	handle      *kvHandle // that the backend is to take over; nil: it prefills the prompt itself
+	handle      *kvHandle // for the backend to take over; nil: it prefills the prompt itself
 	relay       streamRelay
-	thresholdMs float64 // beyond which the first event counts as slow
+	thresholdMs float64 // time to the first event above which it counts as slow, ms
 	record      *attemptRecord
 
 	startedAt    time.Time
 	firstEventAt time.Time
 	gotEvent     bool
-	prefillMs    float64 // that the backend's own prefill took; 0: there was none
+	prefillMs    float64 // duration of the backend's own prefill, ms; 0: none
 }
 
-// priority returns the urgency that goes to a backend. A request whose KV cache waits elsewhere goes first: that cache
-// is lost to others meanwhile, expires, and its prefill was paid for. Then the operator's rank decides.
+// priority returns the priority that is sent to a backend. A request whose KV cache is held elsewhere comes first,
+// since that cache occupies capacity meanwhile, expires, and its prefill has been paid for. After that the operator's
+// rank decides.
 func (cr *clientRequest) priority(staged bool) int {
 	if staged {
 		return 0
@@ -43,9 +44,9 @@
 	return min(cr.rank()+1, maxPriority)
 }
 
-// streamFrom sends a generation to the decode backend of its placement and relays the stream; nil: the client has its
-// answer. A stream that breaks off within its answer goes on from another backend, or panics with
-// http.ErrAbortHandler.
+// streamFrom sends a generation to the decode backend of its placement and relays the stream. It returns nil once the
+// client has its response. If a stream breaks off after its response has started, it is resumed from another backend,
+// or streamFrom panics with http.ErrAbortHandler.
 func (cr *clientRequest) streamFrom(
 	ctx context.Context,
 	pl *placement,
@@ -69,7 +70,7 @@
 	return a.relayStream(ctx, e, prompt)
 }
 
-// newDecodeAttempt begins an attempt as the outlier detection counts it.
+// newDecodeAttempt starts an attempt and its record for the outlier detection.
 func (cr *clientRequest) newDecodeAttempt(pl *placement, handle *kvHandle) decodeAttempt {
 	staged := handle != nil
 	startedAt := time.Now()
@@ -90,7 +91,7 @@
 	}
 }
 
-// relayRejection reads an answer that is no stream; nil: the client has it.
+// relayRejection handles a response that is not a stream. It returns nil if the response was written to the client.
 func (a *decodeAttempt) relayRejection(e *exchange) error {
 	cr := a.cr
 	resp := e.resp
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// relayStream relays the stream; an error: the client has nothing of it.
+// relayStream relays the stream. After an error nothing has been written to the client.
 func (a *decodeAttempt) relayStream(ctx context.Context, e *exchange, prompt *scheduler.Prompt) error {
 	cr := a.cr
 	err := a.relay.copyEvents(ctx, e, a.firstEvent)
@@ -131,10 +132,10 @@
 		}
 	}
 	cr.proxy.countAnswer(0)
-	panic(http.ErrAbortHandler) // an answer that ends early must not look complete
+	panic(http.ErrAbortHandler) // a truncated response must not look complete
 }
 
-// firstEvent notes that the first event has come.
+// firstEvent records the arrival of the first event.
 func (a *decodeAttempt) firstEvent() {
 	a.gotEvent = true
 	a.firstEventAt = time.Now()
@@ -144,7 +145,8 @@
 	}
 }
 
-// recordTransfer counts whether the decode backend took over a KV handle, for the ranking of the one that holds it.
+// recordTransfer records whether the decode backend took over a KV handle, for the ranking of the prefill backend that
+// holds it.
 func (a *decodeAttempt) recordTransfer(taken bool) {
 	if a.handle == nil {
 		return
@@ -155,7 +157,7 @@
 	svc.mu.Unlock()
 }
 
-// recordDecoded counts how long the decode of such a prompt took.
+// recordDecoded records the decode duration of the prompt.
 func (a *decodeAttempt) recordDecoded(prompt *scheduler.Prompt) {
 	svc := a.cr.svc
 	svc.mu.Lock()
@@ -163,7 +165,7 @@
 	svc.mu.Unlock()
 }
 
-// recordEnd counts how the attempt ended and how fast it was.
+// recordEnd records the outcome of the attempt and its speed.
 func (a *decodeAttempt) recordEnd(prompt *scheduler.Prompt) {
 	svc := a.cr.svc
 	id := a.pl.decode.ID
--- a/internal/fleet/proxy/errors.go
+++ b/internal/fleet/proxy/errors.go
@@ -15,43 +15,43 @@
 
 // Errors of an attempt.
 var (
-	errUnrelatedAnswer    = errors.New("the answer belongs to no request of ours")
+	errUnrelatedAnswer  = errors.New("the answer belongs to no request of ours")
 	errAnswerTimeout    = errors.New("no answer in time")
 	errConnect          = errors.New("no connection")
 	errIncompleteAnswer = errors.New("the answer is not whole")
-	// errBackendFull ends an attempt whose backend said that it did not run the request.
+	// errBackendFull ends an attempt whose backend reported that it did not run the request.
 	errBackendFull = errors.New("backends are full")
-	// errClientGone ends a stream that its client no longer reads: nobody needs the rest of it. It counts as
-	// cancelled, which says nothing about the backend.
+	// errClientGone ends a stream whose client has disconnected, as the rest is not needed. It counts as cancelled,
+	// which is no evidence against the backend.
 	errClientGone = errors.Wrap(context.Canceled, "the client has left")
 )
 
-// Errors of a choice of backends.
+// Errors of backend selection.
 var (
 	errNoBackend      = errors.New("no backend")
 	errPrefillTooLate = errors.New("all that read prompts have too much to read")
 )
 
-// errBodyTooLarge is the error of a body above the limit in force.
+// errBodyTooLarge is the error for a body above the limit in force.
 var errBodyTooLarge = errors.New("body too large")
 
-// rejection is the error of a request that the proxy answers itself. The status says whether the client may send the
-// request again: see impliesNotRun.
+// rejection is the error for a request that the proxy answers itself. The status decides whether the client may safely
+// send the request again: see impliesNotRun.
 type rejection struct {
 	status int
-	// retryAfter is when the client should come back, in the answer's Retry-After; 0: not said.
+	// retryAfter is the response's Retry-After; 0: none.
 	retryAfter time.Duration
-	// reason is the body of the answer.
+	// reason is the body of the response.
 	reason string
-	// closeConn closes the client's connection after the answer, where the rest of a body is still to come.
+	// closeConn closes the client's connection after the response, if the rest of a body is still to come.
 	closeConn bool
 }
 
-// Error returns the reason, which is the body of the answer.
+// Error returns the reason, which is the body of the response.
 func (e *rejection) Error() string { return e.reason }
 
-// writeError answers a request with an error: a rejection with the status and the advice that it carries, any other
-// with 500. It counts the answer.
+// writeError answers a request with an error: a rejection with its own status and Retry-After, any other error with
+// 500. It counts the response.
 func (p *Proxy) writeError(w http.ResponseWriter, err error) {
 	var r *rejection
 	if !errors.As(err, &r) {
@@ -67,8 +67,8 @@
 	http.Error(w, r.reason, r.status)
 }
 
-// rejectionFor returns the rejection of a request that no backend has answered. Its status is one that lets the client
-// send the request again only where no backend may have run it, now or later.
+// rejectionFor returns the rejection of a request that no backend has answered. Its status lets the client send the
+// request again only if no backend may have run it, now or later.
 func (cr *clientRequest) rejectionFor(err error) *rejection {
 	reason := err.Error()
 	if terms := cr.terms(); terms.Restricted() {
@@ -87,7 +87,7 @@
 	}
 }
 
-// attemptFailure is the error that a request ends with after its last attempt ended with err.
+// attemptFailure returns the error of a request whose last attempt ended with err.
 func attemptFailure(err error) error {
 	if errors.Is(err, errBackendFull) {
 		return err
@@ -95,8 +95,8 @@
 	return errors.Wrap(err, "backend")
 }
 
-// attemptStatus classifies the end of an attempt for the ranking of backends; wrote: a byte of the request may have
-// gone out.
+// attemptStatus classifies the outcome of an attempt for the ranking of backends; wrote: a byte of the request may have
+// been sent.
 func attemptStatus(wrote bool, err error) policy.Status {
 	switch {
 	case err == nil:
@@ -111,7 +111,7 @@
 	return policy.Reset
 }
 
-// isTimeout reports whether a deadline, a connection's or a context's, ended an operation.
+// isTimeout reports whether an operation was ended by the deadline of a connection or context.
 func isTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// maxSurplus bounds the answers to earlier requests that are read past on a connection, and maxSurplusBody the body
+	// maxSurplus bounds the responses to earlier requests that are skipped on a connection, and maxSurplusBody the body
 	// of each, in bytes.
 	maxSurplus     = 3
 	maxSurplusBody = 1 << 20
-	// maxInterim bounds the 1xx answers ahead of an answer.
+	// maxInterim bounds the 1xx responses ahead of a response.
 	maxInterim = 8
-	// maxAnswerHead bounds the head of an answer, with the 1xx answers ahead of it, in bytes.
+	// maxAnswerHead bounds the head of a response, including the 1xx responses ahead of it, in bytes.
 	maxAnswerHead = 64 << 10
 )
 
-// pastDeadline is a deadline that has passed: it wakes who reads or writes.
+// pastDeadline is a deadline in the past: setting it unblocks pending reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
 // exchange is one request to one backend, and its response, on one connection. It belongs to the goroutine that serves
-// the client's request; when ctx ends, that goroutine is woken from its reads and writes.
+// the client's request; when ctx ends, its blocked reads and writes are interrupted.
 type exchange struct {
 	ctx       context.Context
-	conn      *transport.Lent // nil once it has been given back or closed
+	conn      *transport.Lent // nil once it has been returned or closed
 	write     *requestWrite
 	resp      *http.Response
-	stopWatch func() bool // ends the watch over ctx
+	stopWatch func() bool // stops watching ctx
 	permit    residency.Permit
-	tracked   *trackedSend // nil where the request may go to any region
+	tracked   *trackedSend // nil if the request is not bound to regions
 }
 
-// setReadDeadline bounds the reads that follow. A send that has ended stays so: its end may have come between two
-// reads, and a new bound would undo what is to wake the next.
+// setReadDeadline bounds the reads that follow. If ctx has ended the deadline stays in the past: ctx may have ended
+// between two reads, and a new deadline would undo the interruption of the next one.
 func (e *exchange) setReadDeadline(by time.Time) {
 	_ = e.conn.SetReadDeadline(by)
 	if e.ctx.Err() != nil {
@@ -49,13 +49,13 @@
 	}
 }
 
-// startExchange sends a request to the backend of the permit and reads the head of its answer. wrote reports whether a
-// byte may have gone out: a backend may act on a request before it has all of it, and has not run it only where none
-// went. The connection is looked for until connectDeadline, the head waited for until headerDeadline; when ctx ends,
-// whoever reads from the connection is woken.
+// startExchange sends a request to the backend of the permit and reads the head of its response. wrote reports whether
+// a byte may have been sent: a backend may act on a request before it has all of it, so that it has certainly not run
+// it only if no byte was sent. A connection is awaited until connectDeadline, and the head until headerDeadline; when
+// ctx ends, blocked reads are interrupted.
 //
 // The residency terms are checked here again, for the backend and for the one that holds a KV handle, and are watched
-// until the exchange ends: between the choice of the backend and now the configuration may have changed.
+// until the exchange ends: the configuration may have changed since the backend was selected.
 func (cr *clientRequest) startExchange(
 	ctx context.Context,
 	permit residency.Permit,
@@ -101,7 +101,7 @@
 	return e, true, nil
 }
 
-// roundTrip sends the request and reads the head of its answer; wrote: a byte of the request may have gone out.
+// roundTrip sends the request and reads the head of its response; wrote: a byte of the request may have been sent.
 func (e *exchange) roundTrip(
 	out *outboundRequest,
 	opts *attemptOptions,
@@ -127,11 +127,11 @@
 	return true, nil
 }
 
-// receiveHeader reads the head of the answer to the request, past 1xx answers and surplus answers to earlier
-// requests of the connection. What can't be shown to be the answer to this very request is errForeignAnswer: passed
-// on, it would give one client the data of another.
+// receiveHeader reads the head of the response to the request. It skips 1xx responses and surplus responses to earlier
+// requests of the connection. A response that cannot be proven to belong to this request is errUnrelatedAnswer:
+// relaying it would give one client the data of another.
 func (e *exchange) receiveHeader(out *outboundRequest) error {
-	fresh := !e.conn.Reused // nothing but this request was ever sent on the connection
+	fresh := !e.conn.Reused // no other request was ever sent on the connection
 	interim := 0
 	e.conn.Bound(maxAnswerHead)
 	for surplus := 0; surplus <= maxSurplus; {
@@ -151,7 +151,8 @@
 			e.resp = resp
 			return nil
 		case ownerUnnamed:
-			// A failure that names no request is ours only where there is no other that it could be for.
+			// An error response without an attempt id belongs to this request only if no other was sent on the
+			// connection.
 			if fresh && resp.StatusCode >= http.StatusMultipleChoices {
 				e.resp = resp
 				return nil
@@ -160,7 +161,8 @@
 		case ownerAmbiguous:
 			return errUnrelatedAnswer
 		}
-		// Of an answer to a HEAD, or to who knows what on a connection that carries one, the end can't be found.
+		// The end of a response to a HEAD cannot be found, nor can that of a response to an unknown request on a
+		// connection that has carried a HEAD.
 		if resp.Close || out.method == http.MethodHead {
 			return errUnrelatedAnswer
 		}
@@ -175,21 +177,21 @@
 	return errUnrelatedAnswer
 }
 
-// owner is which request an answer belongs to, by the attempt ids in its head.
+// owner classifies which request a response belongs to, by the attempt ids in its head.
 type owner int
 
 const (
-	// ownerThisRequest is an answer to the request that was sent.
+	// ownerThisRequest is a response to the request that was sent.
 	ownerThisRequest owner = iota
-	// ownerOther is an answer to another request.
+	// ownerOther is a response to another request.
 	ownerOther
-	// ownerUnnamed is an answer that names no request.
+	// ownerUnnamed is a response without an attempt id.
 	ownerUnnamed
-	// ownerAmbiguous is an answer that names several requests.
+	// ownerAmbiguous is a response with different attempt ids.
 	ownerAmbiguous
 )
 
-// ownerOf returns which request an answer belongs to, seen from the request with the attempt id.
+// ownerOf returns which request a response belongs to, relative to the request with the attempt id.
 func ownerOf(resp *http.Response, id string) owner {
 	ids := resp.Header[externalapi.HeaderAttemptID]
 	if len(ids) == 0 {
@@ -206,8 +208,8 @@
 	return ownerThisRequest
 }
 
-// finish gives the connection back if the answer was read completely and all of the request has gone out, else closes
-// it. Later calls do nothing.
+// finish returns the connection to the pool if the response was read completely and the whole request has been sent,
+// else closes it. Later calls do nothing.
 func (e *exchange) finish(complete bool) {
 	if e.conn == nil {
 		return
@@ -222,14 +224,14 @@
 	e.tracked.end(true)
 }
 
-// reusable reports whether another request may follow on the connection. Where a part of this one is still to go out,
-// the backend would take the next for that part. A surplus answer to a HEAD has no end that could be found.
+// reusable reports whether another request may follow on the connection. If part of this one has not been sent yet, the
+// backend would take the next request for that part. A surplus response to a HEAD has no end that could be found.
 func (e *exchange) reusable() bool {
 	return !e.resp.Close && e.resp.Request.Method != http.MethodHead && e.write.complete()
 }
 
-// abort closes the connection; when it returns, no byte of the request goes out any more. noAnswer says that no answer
-// came, which the pool counts against the backend's connections.
+// abort closes the connection. After it returns, no further byte of the request is sent. noAnswer means that no
+// response arrived, which the pool counts against the backend's connections.
 func (e *exchange) abort(noAnswer bool) {
 	e.conn.Drop(noAnswer)
 	e.conn = nil
@@ -238,8 +240,8 @@
 	}
 }
 
-// readAll reads an answer completely, of at most limit bytes, and finishes the exchange. The error is
-// errResidencyWithdrawn where the exchange was cancelled for that, else errIncompleteAnswer with its cause.
+// readAll reads a response of at most limit bytes completely, and finishes the exchange. The error is
+// errResidencyWithdrawn if the exchange was cancelled for that reason, else errIncompleteAnswer with its cause.
 func (e *exchange) readAll(limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(e.resp.Body, limit+1))
 	if err == nil && int64(len(b)) > limit {
--- a/internal/fleet/proxy/generation.go
+++ b/internal/fleet/proxy/generation.go
@@ -8,24 +8,25 @@
 	"molepaddle/internal/fleet/scheduler"
 )
 
-// maxPrefills is how often the prompt of one request is prefilled apart from its decode: after that, where it fails,
-// the decode backend prefills it.
+// maxPrefills is how often the prompt of one request is prefilled separately from its decode. If that fails as often,
+// the decode backend prefills the prompt.
 const maxPrefills = 2
 
-// generation is the serving of one request whose tokens come as a stream: its prompt is prefilled at one backend and
-// decoded at another, or both at one. The prompt is handed from step to step rather than kept here: beside what
-// outlives the request it would have to be allocated.
+// generation serves one request whose tokens are streamed: its prompt is prefilled at one backend and decoded at
+// another, or both at one. The prompt is passed from step to step rather than stored here, as it would be allocated on
+// the heap beside values that outlive the request.
 type generation struct {
 	cr *clientRequest
-	// handle names the prompt's KV cache that waits for its decode backend; nil: there is none.
+	// handle names the prompt's KV cache while it awaits its decode backend; nil: there is none.
 	handle *kvHandle
-	// split says that the prompt may be prefilled apart from its decode, and prefills how often that came to nothing.
+	// split means that the prompt may be prefilled separately from its decode; prefills counts the separate prefills
+	// that failed or went unused.
 	split    bool
 	prefills int
 }
 
-// serveGeneration serves a request whose tokens come as a stream, from one placement after another until one answers.
-// The error is why none did.
+// serveGeneration serves a request whose tokens are streamed, trying one placement after another until one answers. The
+// error is why none did.
 func (cr *clientRequest) serveGeneration(ctx context.Context, prompt *scheduler.Prompt) error {
 	g := generation{cr: cr, split: true}
 	defer g.releaseHandle()
@@ -86,8 +87,8 @@
 	return pl, nil
 }
 
-// prefill has the placement's prefill backend prefill the prompt. On an error, retry reports whether the prompt may be
-// placed anew.
+// prefill runs the prefill at the placement's prefill backend. After an error, retry reports whether the prompt may be
+// placed again.
 func (g *generation) prefill(
 	ctx context.Context,
 	pl *placement,
@@ -108,7 +109,7 @@
 }
 
 // takePrefillRetry reports whether another backend may prefill the prompt after one failed to. A call that reached a
-// backend is a send beyond the request's first, and is taken from the retry budget as such.
+// backend counts as a send beyond the request's first, and is taken from the retry budget.
 func (g *generation) takePrefillRetry(ctx context.Context, pl *placement, reached bool) bool {
 	cr := g.cr
 	cr.abortIfClientGone(ctx)
@@ -126,9 +127,9 @@
 	return len(cr.tried) <= maxBackendsTried
 }
 
-// takeRetry reports whether the request may be sent to another decode backend, and takes that from the retry budget.
-// The attempt has spoilt a KV handle that went with it, whether or not it came to anything: prefilling the prompt apart
-// once more takes one send more than prefilling it where it is decoded.
+// takeRetry reports whether the request may be sent to another decode backend, and takes that from the retry budget. A
+// KV handle that was part of the failed attempt cannot be used again, whether or not it was taken over. Prefilling the
+// prompt separately once more takes one send more than prefilling it at the decode backend.
 func (g *generation) takeRetry() bool {
 	cr := g.cr
 	if g.handle == nil {
@@ -140,8 +141,8 @@
 	return g.split || cr.takeRetry()
 }
 
-// dropWithdrawnHandle gives up a KV handle whose region was withdrawn from the terms while it waited: the prompt is
-// prefilled anew, inside them.
+// dropWithdrawnHandle discards a KV handle whose region was withdrawn from the terms while the handle was pending: the
+// prompt is prefilled again, within the terms.
 func (g *generation) dropWithdrawnHandle(terms residency.Terms) {
 	if g.handle == nil || g.handle.permit.Check(terms) == nil {
 		return
@@ -150,14 +151,14 @@
 	g.split = g.prefills < maxPrefills && g.cr.takeExtraSend()
 }
 
-// discardHandle releases the KV handle; its prefill has come to nothing.
+// discardHandle releases the KV handle, and counts its prefill as unused.
 func (g *generation) discardHandle() {
 	g.cr.releaseHandle(g.handle)
 	g.handle = nil
 	g.prefills++
 }
 
-// releaseHandle releases a KV handle that is left when the request ends.
+// releaseHandle releases a KV handle that is still pending when the request ends.
 func (g *generation) releaseHandle() {
 	if g.handle != nil {
 		g.cr.releaseHandle(g.handle)
--- a/internal/fleet/proxy/loadreports.go
+++ b/internal/fleet/proxy/loadreports.go
@@ -13,15 +13,15 @@
 	"molepaddle/policy"
 )
 
-// attemptEnded counts the end of an attempt, as its selection counted its beginning.
+// attemptEnded records the end of an attempt, whose start was recorded by its selection.
 func (s *service) attemptEnded(id string, how policy.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ranker.AttemptEnded(s.now(), id, how)
 }
 
-// parseLoad reads the load that a backend reports in a response header, "active,waiting" with more fields to come;
-// false: it isn't one.
+// parseLoad parses the load that a backend reports in a response header, "active,waiting", ignoring further fields; ok
+// is false if it is malformed.
 func parseLoad(load string) (active, waiting int, ok bool) {
 	activeText, rest, found := strings.Cut(load, ",")
 	waitingText, _, _ := strings.Cut(rest, ",")
@@ -30,7 +30,7 @@
 	return active, waiting, found && activeErr == nil && waitingErr == nil
 }
 
-// recordLoad records the load that a backend reported with a response. Anything else is ignored.
+// recordLoad records the load that a backend reported with a response. Malformed values are ignored.
 func (s *service) recordLoad(id, load string) {
 	active, waiting, ok := parseLoad(load)
 	if !ok {
@@ -43,8 +43,8 @@
 	}
 }
 
-// awaitHeader records that a request waits for the response header of a backend. The caller calls done when that ends,
-// and says whether a header came.
+// awaitHeader records that a request waits for the response header of a backend. The caller calls done when the wait
+// ends, and passes whether a header arrived.
 func (s *service) awaitHeader(id string) (done func(came bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	s.recorder.ObservePart(id, result)
 }
 
-// slowestPace is the slowest mean time per event of recent streams; 0: there were none.
+// slowestPace returns the slowest mean time per event of recent streams; 0: there were none.
 func (s *service) slowestPace() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// recordPrefill records how long a prefill took that was expected to take so many milliseconds.
+// recordPrefill records the expected and the actual duration of a prefill.
 func (s *service) recordPrefill(expectedMs float64, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +95,8 @@
 }
 
 // applyPolledLoad applies the loads that the control plane polled: the requests at decode backends by id, and the ids
-// of backends that did not respond. A report that is cut off at its maximum names the most loaded ones: decode
-// backends that it doesn't name have the least load named, at the most, and count as having it.
+// of backends that did not respond. A report that reached its maximum size names the most loaded backends only: decode
+// backends that it omits have at most the least load in it, and are counted as having that.
 func (s *service) applyPolledLoad(active map[string]int, unresponsive []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/proxy/outboundrequest.go
+++ b/internal/fleet/proxy/outboundrequest.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// usualHeadBytes is the space for the head of an ordinary outbound request, in bytes, so that encoding allocates
+	// usualHeadBytes is the capacity reserved for the head of an outbound request, in bytes, so that encoding allocates
 	// once.
 	usualHeadBytes = 768
-	// noPriority is the priority of what has none: it isn't a generation.
+	// noPriority is the priority of a request that is not a generation.
 	noPriority = -1
-	// maxPriority is the least urgent priority that the wire has.
+	// maxPriority is the least urgent priority on the wire.
 	maxPriority = 9
 )
 
-// outboundRequest is a client's request as every backend gets it.
+// outboundRequest is the part of a client's request that is the same for every backend.
 type outboundRequest struct {
 	id     string
 	method string
-	target string // as it came
+	target string // as received
 	host   string
-	header http.Header // of the client, without what concerns one connection
+	header http.Header // of the client, without hop-by-hop fields
 	body   []byte
 }
 
-// attemptOptions is what one attempt adds to the outbound request.
+// attemptOptions holds the fields that one attempt adds to the outbound request.
 type attemptOptions struct {
-	target   string    // id of the backend, the permit's
-	deadline time.Time // when the work is of no use any more
+	target   string    // id of the permit's backend
+	deadline time.Time // after which the result is of no use
 	stage    string
-	handle   *kvHandle // that the backend is to take over; nil: none
-	lastID   string    // of the event after which a stream is to go on
+	handle   *kvHandle // for the backend to take over; nil: none
+	lastID   string    // id of the event after which a stream resumes
 	priority int       // noPriority: none
 }
 
-// hopByHopHeaders are the header fields that concern one connection only (RFC 9110, 7.6.1).
+// hopByHopHeaders are the hop-by-hop header fields (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection",
 	"Proxy-Connection",
@@ -53,7 +53,7 @@
 	"Content-Length",
 }
 
-// dropHopByHop removes what concerns one connection only.
+// dropHopByHop removes the hop-by-hop header fields and those named by the Connection field.
 func dropHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -65,7 +65,7 @@
 	}
 }
 
-// encode returns the request with its body as it goes to a backend.
+// encode returns the request with its body, as sent to a backend.
 func (o *outboundRequest) encode(opts *attemptOptions) []byte {
 	b := make([]byte, 0, usualHeadBytes+len(o.body))
 	b = append(b, o.method...)
@@ -83,7 +83,7 @@
 	return append(b, o.body...)
 }
 
-// appendClientHeader appends the client's header fields but for those that the proxy sets itself.
+// appendClientHeader appends the client's header fields except for those that the proxy sets itself.
 func (o *outboundRequest) appendClientHeader(b []byte, opts *attemptOptions) []byte {
 	for key, values := range o.header {
 		switch key {
@@ -102,7 +102,7 @@
 	return b
 }
 
-// appendHeader appends the attempt's own header fields. The deadline is what is left of the client's, at least 1 ms.
+// appendHeader appends the attempt's own header fields. The deadline is the remaining time, at least 1 ms.
 func (o *attemptOptions) appendHeader(b []byte) []byte {
 	left := max(time.Until(o.deadline).Milliseconds(), 1)
 	b = appendField(b, externalapi.HeaderDeadlineMs, strconv.FormatInt(left, 10))
@@ -113,7 +113,8 @@
 	if o.handle != nil {
 		b = appendField(b, externalapi.HeaderKVFrom, o.handle.permit.Address()+"/"+o.handle.ref)
 		if o.handle.weights > 0 {
-			// Tokens of other weights don't follow on this KV cache: such a backend is to reject the request.
+			// Decoding with other weights cannot continue from this KV cache: a backend with other weights has to
+			// reject the request.
 			b = appendField(b, externalapi.HeaderExpectVersion, strconv.FormatInt(o.handle.weights, 10))
 		}
 	}
--- a/internal/fleet/proxy/outcomereport.go
+++ b/internal/fleet/proxy/outcomereport.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// overdueInterval is how often overdue attempts are looked for and adverse outcomes reported: an ejection is to
-	// come before many requests have been lost.
+	// overdueInterval is how often overdue attempts are detected and adverse outcomes reported: a backend should be
+	// ejected before many requests have failed.
 	overdueInterval = 100 * time.Millisecond
-	// outcomeInterval is how often outcomes are reported where none is adverse.
+	// outcomeInterval is how often outcomes are reported if none is adverse.
 	outcomeInterval = time.Second
 )
 
 // takeOutcomes counts overdue attempts and returns the outcomes since the last report, if there is an adverse one or
-// all are asked for; else nil.
+// all is set; else nil.
 func (s *service) takeOutcomes(all bool) []distribution.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,8 +28,8 @@
 	return s.recorder.Drain()
 }
 
-// reportOutcomes puts the outcomes of attempts into the queue to the fleet's outlier detection, until ctx ends: those
-// of a service with an adverse one every overdueInterval, all every outcomeInterval.
+// reportOutcomes queues the outcomes of attempts for the fleet's outlier detection, until ctx ends: those of services
+// with an adverse one every overdueInterval, all every outcomeInterval.
 func (p *Proxy) reportOutcomes(ctx context.Context) {
 	tick := time.NewTicker(overdueInterval)
 	defer tick.Stop()
@@ -53,8 +53,8 @@
 	}
 }
 
-// reportOutcomesOf reports the outcomes of a snapshot's services, of all or of those with an adverse one. The queue
-// drops what it has no capacity for; it doesn't block.
+// reportOutcomesOf queues the outcomes of a snapshot's services: of all, or of those with an adverse one. It does not
+// block; the queue drops reports beyond its capacity.
 func (p *Proxy) reportOutcomesOf(snapshot *routingSnapshot, all bool) {
 	var outcomes []distribution.Outcome
 	for s := range maps.Values(snapshot.services) {
--- a/internal/fleet/proxy/placement.go
+++ b/internal/fleet/proxy/placement.go
@@ -9,19 +9,20 @@
 	"molepaddle/internal/fleet/scheduler"
 )
 
-// placement is where a generation goes. Where prefill is nil, the decode backend reads the prompt itself.
+// placement is the set of backends selected for a generation. If prefill is nil, the decode backend prefills the prompt
+// itself.
 type placement struct {
-	prefill       *backend         // reads the prompt and keeps its KV cache for decode
-	decode        *backend         // makes the tokens
+	prefill       *backend         // prefills the prompt and holds its KV cache for decode
+	decode        *backend         // generates the tokens
 	decodePermit  residency.Permit // for decode
 	prefillPermit residency.Permit // for prefill
-	promptTokens  int              // of the prompt, that decode is to read, as the estimator counts them
-	prefillMs     float64          // expected until the prompt is read, with the queue before it
-	atPreferred        bool             // the prompt is read at its preferred backend, which has its shared prefix cached
+	promptTokens  int              // tokens of the prompt that decode has to prefill, as estimated
+	prefillMs     float64          // expected time until the prompt is prefilled, with queueing, ms
+	atPreferred   bool             // the prompt is prefilled at its preferred backend, which has its shared prefix cached
 }
 
-// acquirePermits fills in the permits under the terms; false: the terms don't allow a backend. The service's lock is
-// held.
+// acquirePermits sets the permits under the terms; false: the terms do not allow one of the backends. The service's
+// lock is held.
 func (pl *placement) acquirePermits(terms residency.Terms) bool {
 	var err error
 	if pl.decodePermit, err = pl.decode.endpoint.Permit(terms); err != nil {
@@ -33,20 +34,21 @@
 	return err == nil
 }
 
-// placementRequest is what a placement is made for.
+// placementRequest holds the inputs of a placement.
 type placementRequest struct {
 	now             float64 // on the service's clock, ms
-	key             uint64  // of the prefix that the prompt shares with others, or of its first segment
+	key             uint64  // hash of the shared prefix of the prompt, or of its first segment
 	prompt          *scheduler.Prompt
-	prefillTargetMs float64         // within which the prompt should be read, ms
-	tried           map[string]bool // ids that are not to be chosen again
+	prefillTargetMs float64         // prefill target, ms
+	tried           map[string]bool // backend ids to exclude
 	terms           residency.Terms
-	restricted      bool // the terms restrict at all
-	// retryable: another backend can serve it if its next attempt fails, so that it may go to one that is on trial.
+	restricted      bool // the terms restrict the regions
+	// retryable: another backend can serve the request if its next attempt fails, so that it may be sent to one on
+	// trial.
 	retryable bool
 }
 
-// newPlacementRequest returns the request of a prompt whose route has the latency target given.
+// newPlacementRequest returns the placement request of a prompt on a route with the given latency target.
 func newPlacementRequest(now float64, prompt *scheduler.Prompt, target time.Duration, retryable bool,
 	tried map[string]bool, terms residency.Terms) placementRequest {
 	key := prompt.SharedPrefixKey()
@@ -65,9 +67,9 @@
 	}
 }
 
-// selectPlacement chooses where a prompt is read and its tokens are made, under the terms, among the backends that are
-// not in tried, and counts the attempt as started at the decode backend. kind is the route, by which the length of
-// answers is estimated; split allows a prefill backend. false: there is no backend.
+// selectPlacement selects where a prompt is prefilled and decoded, under the terms, among the backends that are not in
+// tried, and records the start of the attempt at the decode backend. kind is the route name, by which the length of
+// responses is estimated; split allows a separate prefill backend. ok is false if no backend is available.
 func (s *service) selectPlacement(kind string, retryable bool, prompt *scheduler.Prompt, target time.Duration,
 	tried map[string]bool, split bool, terms residency.Terms) (pl placement, ok bool) {
 	s.mu.Lock()
@@ -93,15 +95,15 @@
 	return pl, true
 }
 
-// isLongDecode reports whether a request is served by one decode backend: its answer is long, and its prompt is so short
-// that reading it there hardly slows the tokens of others. The lock is held.
+// isLongDecode reports whether a request is served by one decode backend: its output is expected to be long, and its
+// prompt is so short that prefilling it there hardly slows the decoding of others. The lock is held.
 func (s *service) isLongDecode(kind string, req *placementRequest) bool {
 	return s.engines.LongDecode(kind, req.prompt) &&
 		s.engines.DecodeLocalPrefillMs(req.prompt) <= shortPrefillShare*req.prefillTargetMs
 }
 
-// selectDecoder chooses another decode backend for a KV cache that is held at from, under the terms, and counts the
-// attempt as started there; false: there is none.
+// selectDecoder selects another decode backend for a KV cache that is held at from, under the terms, and records the
+// start of the attempt there. ok is false if there is none.
 func (s *service) selectDecoder(from *backend, retryable bool, prompt *scheduler.Prompt, target time.Duration,
 	tried map[string]bool, terms residency.Terms) (pl placement, ok bool) {
 	s.mu.Lock()
@@ -117,8 +119,8 @@
 	return pl, true
 }
 
-// selectPlain chooses a backend for a plain request under the terms, among those that are not in tried, and counts the
-// attempt as started there; false: there is none. A retryable request may go to a backend that is on trial.
+// selectPlain selects a backend for a plain request under the terms, among those that are not in tried, and records the
+// start of the attempt there. ok is false if there is none. A retryable request may go to a backend on trial.
 func (s *service) selectPlain(key uint64, retryable bool, tried map[string]bool,
 	terms residency.Terms) (permit residency.Permit, ok bool) {
 	s.mu.Lock()
@@ -145,17 +147,17 @@
 	return permit, true
 }
 
-// eligible reports whether a backend may be chosen for a phase. The lock is held.
+// eligible reports whether a backend may be selected for a phase. The lock is held.
 func (s *service) eligible(req *placementRequest, id, phase string) bool {
 	return s.byID[id].Phase == phase && !req.tried[id] && (!req.restricted || s.withinTerms(id, req.terms))
 }
 
-// canDecode reports whether a backend may be chosen to make tokens. The lock is held.
+// canDecode reports whether a backend may be selected for decode. The lock is held.
 func (s *service) canDecode(req *placementRequest, id string) bool {
 	return s.eligible(req, id, externalapi.PhaseDecode)
 }
 
-// canPrefill reports whether a backend may be chosen to read a prompt and hand its KV cache on. The lock is held.
+// canPrefill reports whether a backend may be selected to prefill a prompt and transfer its KV cache. The lock is held.
 func (s *service) canPrefill(req *placementRequest, id string) bool {
 	return s.eligible(req, id, externalapi.PhasePrefill)
 }
--- a/internal/fleet/proxy/plain.go
+++ b/internal/fleet/proxy/plain.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// servePlain serves a request whose answer is relayed once it is complete: it sends it to one backend after another
-// until one answers. The error is why no backend did.
+// servePlain serves a request whose response is relayed once it is complete: it tries one backend after another until
+// one answers. The error is why none did.
 func (cr *clientRequest) servePlain(ctx context.Context) error {
 	key := xxhash.Sum64String(cr.outbound.id)
 	for {
--- a/internal/fleet/proxy/prefill.go
+++ b/internal/fleet/proxy/prefill.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// prefillOverrun is how many times as long as expected a prefill may take.
+	// prefillOverrun is the multiple of its expected duration that a prefill may take.
 	prefillOverrun = 2
-	// maxHandleAnswerBytes bounds the answer that names a KV handle, and the one to its release.
+	// maxHandleAnswerBytes bounds the response that contains a KV handle, and the response to its release.
 	maxHandleAnswerBytes = 64 << 10
 	// releaseTimeout bounds the call that releases a KV handle.
 	releaseTimeout = time.Second
-	// releaseOverrun is how much longer than its request's time the release of a KV handle may take.
+	// releaseOverrun is how long after its request's deadline the release of a KV handle may end.
 	releaseOverrun = 400 * time.Millisecond
 )
 
@@ -32,25 +32,25 @@
 	from   *backend
 	permit residency.Permit // for from
 	tokens int
-	// weights is the version of the weights that made it; 0: not told.
+	// weights is the version of the weights that computed it; 0: not reported.
 	weights int64
 }
 
-// prefillAttempt is a call that has a backend prefill a prompt, with what it is to be counted as.
+// prefillAttempt is a prefill call to a backend, with the state from which its outcome is recorded.
 type prefillAttempt struct {
 	cr           *clientRequest
 	backend      *backend
 	permit       residency.Permit
 	expectedMs   float64
-	thresholdMs  float64 // beyond which it counts as slow
-	promptTokens int     // that are to be prefilled, as the scheduler counts them
-	reached      bool    // the call may have come to the backend
+	thresholdMs  float64 // duration above which it counts as slow, ms
+	promptTokens int     // tokens to prefill, as estimated by the scheduler
+	reached      bool    // the call may have reached the backend
 	tookMs       float64 // 0: it failed
 	status       policy.Status
 	record       *attemptRecord
 }
 
-// newPrefillAttempt begins the prefill of a placement, as the scheduler and the outlier detection count it.
+// newPrefillAttempt starts the prefill of a placement, and records that for the scheduler and the outlier detection.
 func (cr *clientRequest) newPrefillAttempt(pl *placement, prompt *scheduler.Prompt) prefillAttempt {
 	b := pl.prefill
 	svc := cr.svc
@@ -71,8 +71,8 @@
 	}
 }
 
-// run has the backend prefill the prompt and keep its KV cache for a decode backend. It waits until deadline for the
-// head of the answer.
+// run has the backend prefill the prompt and hold its KV cache for a decode backend. It waits until deadline for the
+// head of the response.
 func (a *prefillAttempt) run(ctx context.Context, prompt *scheduler.Prompt, deadline time.Time) (*kvHandle, error) {
 	defer a.recordEnd(prompt)
 	cr := a.cr
@@ -92,7 +92,7 @@
 	return handle, nil
 }
 
-// readHandle reads the KV handle that the backend answers with.
+// readHandle reads the KV handle from the response.
 func (a *prefillAttempt) readHandle(e *exchange) (*kvHandle, error) {
 	resp := e.resp
 	a.cr.svc.recordLoad(a.backend.ID, resp.Header.Get(externalapi.HeaderBackendLoad))
@@ -124,7 +124,7 @@
 	}, nil
 }
 
-// recordEnd counts how the prefill ended and how fast it was.
+// recordEnd records the outcome of the prefill and its duration.
 func (a *prefillAttempt) recordEnd(prompt *scheduler.Prompt) {
 	a.record.finish(a.status, speedOf(a.tookMs, a.expectedMs, a.thresholdMs), false)
 	evicted := prompt
@@ -139,16 +139,16 @@
 	}, evicted)
 }
 
-// generationEnd is the end of a prefill or a decode at a backend.
+// generationEnd describes the end of a prefill or a decode at a backend.
 type generationEnd struct {
 	backendID    string
-	promptTokens int     // that were to be prefilled there
-	prefillMs    float64 // 0: they were not
+	promptTokens int     // tokens that were to be prefilled there
+	prefillMs    float64 // duration of the prefill, ms; 0: it was not completed
 	status       policy.Status
 }
 
-// generationEnded counts the end of a prefill or a decode, as its choice counted its beginning. evicted is the prompt
-// that the backend's prefix cache is not to be counted on for; nil: there is none.
+// generationEnded records the end of a prefill or a decode, whose start was recorded by its selection. evicted is the
+// prompt that is no longer assumed to be in the backend's prefix cache; nil: none.
 func (s *service) generationEnded(end generationEnd, evicted *scheduler.Prompt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +160,7 @@
 	s.ranker.AttemptEnded(s.now(), end.backendID, end.status)
 }
 
-// releaseHandle tells the prefill backend that nobody will take over the KV cache. It doesn't wait for the answer;
+// releaseHandle tells the prefill backend that the KV cache will not be taken over. It does not wait for the response;
 // Proxy.background does.
 func (cr *clientRequest) releaseHandle(handle *kvHandle) {
 	proxy := cr.proxy
@@ -175,7 +175,7 @@
 		}
 		deadline := time.Now().Add(releaseTimeout)
 		if latest := cr.deadline.Add(releaseOverrun); latest.Before(deadline) {
-			deadline = latest // no backend gets much more time than the client gave
+			deadline = latest // a backend gets little more time than the client allowed
 		}
 		opts := attemptOptions{deadline: deadline, priority: noPriority}
 		permit := handle.from.endpoint.ReleasePermit()
@@ -188,20 +188,20 @@
 	})
 }
 
-// prefillDeadline is until when a prefill is waited for: half of what is left, in case the backend is silent; longer
-// where a long wait is expected, since one that is given up begins again from nothing elsewhere.
+// prefillDeadline returns how long a prefill is waited for: half of the remaining time, in case the backend does not
+// respond, or longer if a long prefill is expected, since an abandoned prefill starts from scratch elsewhere.
 func (cr *clientRequest) prefillDeadline(expectedMs float64) time.Time {
 	left := time.Until(cr.deadline)
 	return time.Now().Add(min(max(left/2, time.Duration(expectedMs*prefillOverrun)*time.Millisecond), left))
 }
 
-// prefillTooLate reports whether the prompt can't be prefilled in the time left: begun all the same, it would hold up
-// the others for nothing.
+// prefillTooLate reports whether the prompt cannot be prefilled in the remaining time: starting it would delay other
+// requests for no benefit.
 func (cr *clientRequest) prefillTooLate(pl *placement) bool {
 	return pl.prefill != nil && pl.prefillMs > float64(time.Until(cr.deadline).Milliseconds())
 }
 
-// undoPlacement takes back a decode placement that was not used.
+// undoPlacement reverts the records of a decode placement that was not used.
 func (cr *clientRequest) undoPlacement(pl *placement) {
 	cr.svc.generationEnded(generationEnd{
 		backendID:    pl.decode.ID,
--- a/internal/fleet/proxy/proxy.go
+++ b/internal/fleet/proxy/proxy.go
@@ -1,13 +1,14 @@
-// Package proxy is the fleet's proxy, the data plane: it accepts clients' requests, finds their route, has `policy` and
-// `scheduler` choose the backend, and copies the response back. It retries within the limits of the route and of the
-// retry budget, and keeps residency-bound data inside its regions.
+// Package proxy implements the fleet's reverse proxy, the data plane. It accepts client requests, finds their route,
+// selects a backend with `policy` and `scheduler`, and copies the response back. It retries within the limits of the
+// route and of the retry budget, and keeps residency-bound data inside its regions.
 //
-// It decides nothing about the fleet. Configuration, endpoint list, loads and ejections come from the node agent on the
-// same machine, over loopback; while nothing comes, the proxy serves on with what it has.
+// The proxy makes no decisions for the fleet. Configuration, endpoint list, loads and ejections come from the node
+// agent on the same machine, over loopback. While the node agent is unreachable, the proxy keeps serving with the state
+// that it has.
 //
-// ServeHTTP may be called from any goroutine. A request keeps the routing snapshot that it began with; only its
-// residency terms follow newer ones. A service's state is guarded by that service's lock. What the proxy has received
-// from the node agent belongs to the goroutine of the configuration watch, which publishes it as one routing snapshot.
+// ServeHTTP may be called from any goroutine. A request keeps the routing snapshot that it started with; only its
+// residency terms follow newer ones. The state of a service is guarded by that service's lock. The state received from
+// the node agent belongs to the goroutine of the configuration watch, which publishes it as one routing snapshot.
 package proxy
 
 import (
@@ -34,33 +35,34 @@
 )
 
 const (
-	// assumedProxies stands for the number of proxies until the control plane has reported it. It is on the high side,
+	// assumedProxies is the assumed number of proxies until the control plane has reported it. It is on the high side,
 	// as the retry budget is divided by it.
 	assumedProxies = 16
-	// defaultFiles is the limit of file descriptors where the settings give none.
+	// defaultFiles is the limit of file descriptors if the settings specify none.
 	defaultFiles = 1024
-	// reservedFiles is how many descriptors are kept for what is no connection to a backend or client (DEPLOY: 200 for
-	// files).
+	// reservedFiles is the number of descriptors reserved for uses other than connections to backends and clients
+	// (DEPLOY: 200 for files).
 	reservedFiles = 260
-	// minConnSlots is how many connections there may be, however low the limit of descriptors.
+	// minConnSlots is the least number of connections allowed, however low the descriptor limit.
 	minConnSlots = 64
-	// backendIdleTimeout is how long a connection to a backend is kept without use.
+	// backendIdleTimeout is how long an unused connection to a backend is kept.
 	backendIdleTimeout = 10 * time.Second
-	// backendReuseDelay is how long a connection rests before its next use: surplus bytes of a response come right
-	// behind it and are seen by then.
+	// backendReuseDelay is how long a returned connection waits before it is reused. Surplus bytes of a response arrive
+	// right behind it, and are detected by then.
 	backendReuseDelay = time.Millisecond
-	// maxSettlingConns is how many connections to one backend may rest before an attempt waits for one of them rather
-	// than opens another.
+	// maxSettlingConns is how many connections to one backend may be within backendReuseDelay before an attempt waits
+	// for one of them instead of opening another.
 	maxSettlingConns = 4
-	// readinessHeaderTimeout bounds the time in which the platform sends the header of a readiness check.
+	// readinessHeaderTimeout bounds the time that the platform may take to send the header of a readiness check.
 	readinessHeaderTimeout = 2 * time.Second
-	// counterInterval is the time between two log lines of the counters.
+	// counterInterval is the time between two log lines with the counters.
 	counterInterval = 10 * time.Second
 )
 
-// Proxy is one proxy process. Its fields are set by New and not replaced; what changes is guarded as said with each.
+// Proxy is one proxy process. Its fields are set by New and not replaced. configState belongs to the goroutine of the
+// configuration watch; all other state may be accessed from any goroutine.
 type Proxy struct {
-	ctx      context.Context // of the process: calls that outlive their request end with it
+	ctx      context.Context // process lifetime: calls that outlive their request end with it
 	settings settings.Settings
 	log      *zap.Logger
 
@@ -68,36 +70,36 @@
 	pool       interface{ Close() }
 	gate       *residency.Gate
 	snapshot   atomic.Pointer[routingSnapshot] // nil until the first configuration
-	inFlight   atomic.Int64                    // requests under way
+	inFlight   atomic.Int64                    // requests in flight
 	background sync.WaitGroup                  // calls that release KV handles
 
 	// Start and end of the process.
 	lifecycle   *lifecycle.Machine
-	ready       atomic.Bool   // a configuration and an endpoint list have come
+	ready       atomic.Bool   // a configuration and an endpoint list have been received
 	becameReady chan struct{} // closed when ready is first set
 	shutdown    gracefulShutdown
 
 	// Accounts.
-	confirmed   atomic.Pointer[configConfirmation] // nil: never
-	primaryHost atomic.Pointer[string]             // of the control plane; nil: not known
+	confirmed   atomic.Pointer[configConfirmation] // nil: never confirmed
+	primaryHost atomic.Pointer[string]             // host of the primary control server; nil: unknown
 	quota       *quota.Client
 	rejections  [rejectionReasons]atomic.Int64
 
 	// Membership.
-	lease             atomic.Pointer[distribution.Member] // as last renewed; nil before
-	drainingAnnounced chan struct{}                       // holds a value until the push that says so
+	lease             atomic.Pointer[distribution.Member] // as last renewed; nil before the first renewal
+	drainingAnnounced chan struct{}                       // holds a value until the draining state has been pushed
 
 	// Reports.
-	answersByStatus  *xsync.Map[int, *xsync.Counter] // final answers; 0: broken off
+	answersByStatus  *xsync.Map[int, *xsync.Counter] // final responses; status 0: aborted
 	residency        *residencyTracker
-	residencyReports *distribution.ResidencyOutbox // batches of the residency log, until they are acknowledged
-	outcomes         *distribution.OutcomeQueue    // results of attempts for the fleet's outlier detection
+	residencyReports *distribution.ResidencyOutbox // batches of the residency log awaiting acknowledgement
+	outcomes         *distribution.OutcomeQueue    // attempt results for the fleet's outlier detection
 
 	configState
 }
 
-// New returns a proxy that has no configuration yet. It opens no socket; Run does. The context is that of the process,
-// not of its service: what goes on while the proxy drains ends with it, calls that release KV handles among it.
+// New returns a proxy that has no configuration yet. It opens no socket; Run does. ctx is the lifetime of the process,
+// not of serving: work that continues while the proxy drains, such as calls that release KV handles, ends with ctx.
 func New(ctx context.Context, set settings.Settings, log *zap.Logger) *Proxy {
 	files := set.Limits.Files
 	if files <= 0 {
@@ -105,7 +107,7 @@
 	}
 	connSlots := max(files-reservedFiles, minConnSlots)
 	dialer := &net.Dialer{
-		KeepAlive: -1, // the user time-out finds dead machines, sooner
+		KeepAlive: -1, // TCP_USER_TIMEOUT detects unreachable hosts sooner
 		Control:   sockets.UserTimeout(set.Bounds.Contact),
 	}
 	pool := transport.New(transport.Options{
@@ -140,22 +142,22 @@
 			quotaRule:   quotaRule,
 		},
 	}
-	// An incarnation is never 0; nobody guesses it, since nobody gains by it.
+	// An incarnation is never 0. It need not be unpredictable, as guessing it gives no advantage.
 	holder := quota.NewHolder(quotaRule, set.NodeName, rand.Uint64()|1)
 	p.quota = quota.NewClient(holder, p.quotaAddr, distribution.Dial)
 	return p
 }
 
-// Ready reports whether requests can be served: a configuration and an endpoint list have come, and the proxy isn't
-// draining.
+// Ready reports whether requests can be served: a configuration and an endpoint list have been received, and the proxy
+// is not draining.
 func (p *Proxy) Ready() bool {
 	return p.ready.Load() && !p.lifecycle.Leaving()
 }
 
 // Run serves clients and readiness checks until ctx ends, then drains within the platform's grace period. It follows
-// the node agent to its end, so that a region that is withdrawn meanwhile reaches the streams under way, and returns
-// once all that it began has ended. It returns an error if the settings name no address, if it can't listen, or if the
-// listener of clients fails.
+// the node agent until the drain has ended, so that the withdrawal of a region still reaches streams in flight, and
+// returns once everything that it started has ended. It returns an error if the settings specify no address, if it
+// cannot listen, or if serving clients fails.
 func (p *Proxy) Run(ctx context.Context) error {
 	listeners, err := p.listen(ctx)
 	if err != nil {
@@ -188,17 +190,17 @@
 	case <-ctx.Done():
 	}
 	p.drainAndClose(server)
-	stop() // the last residency reports have a watch of their own
+	stop() // flushReports sends the last residency reports over a watch of its own
 	p.background.Wait()
 	p.flushReports()
 	p.pool.Close()
 	return nil
 }
 
-// listeners are a proxy's sockets.
+// listeners holds a proxy's listening sockets.
 type listeners struct {
-	edge  net.Listener // clients'
-	ready net.Listener // of readiness checks
+	edge  net.Listener // for clients
+	ready net.Listener // for readiness checks
 }
 
 // listen opens the proxy's sockets: all of them, or none and an error.
@@ -219,8 +221,8 @@
 	return listeners{edge: edge, ready: ready}, nil
 }
 
-// readinessServer answers the platform's readiness checks: 200 if the proxy is ready, else 503. It serves on while the
-// proxy drains, so that the platform sees it as not ready rather than as dead.
+// readinessServer returns the server for the platform's readiness checks: 200 if the proxy is ready, else 503. It keeps
+// serving while the proxy drains, so that the platform sees the proxy as not ready rather than as down.
 func (p *Proxy) readinessServer() *http.Server {
 	answer := func(w http.ResponseWriter, _ *http.Request) {
 		if !p.lifecycle.AnswerReady(p.Ready()) {
@@ -233,7 +235,7 @@
 	}
 }
 
-// countAnswer counts a final answer by its status; 0: it was broken off.
+// countAnswer counts a final response by its status; 0: it was aborted.
 func (p *Proxy) countAnswer(status int) {
 	newCounter := func() (*xsync.Counter, bool) { return xsync.NewCounter(), false }
 	counter, _ := p.answersByStatus.LoadOrCompute(status, newCounter)
@@ -255,7 +257,7 @@
 	}
 }
 
-// counters returns the log fields of the requests under way and of the answers by status.
+// counters returns log fields for the requests in flight, the responses by status and the rejections by reason.
 func (p *Proxy) counters() []zap.Field {
 	fields := []zap.Field{zap.Int64("open", p.inFlight.Load())}
 	p.answersByStatus.Range(func(status int, c *xsync.Counter) bool {
@@ -270,7 +272,7 @@
 	return fields
 }
 
-// statusName is the status as it stands in the name of a counter; "cut": the answer was broken off.
+// statusName returns the status as used in counter names; "cut" for an aborted response.
 func statusName(status int) string {
 	if status == 0 {
 		return "cut"
--- a/internal/fleet/proxy/requestbody.go
+++ b/internal/fleet/proxy/requestbody.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// initialBodyBytes is how much memory a body of known length gets at first, in bytes: what is held grows with what comes, not
-// with what a length claims.
+// initialBodyBytes is the initial buffer for a body of known length, in bytes: memory grows with the bytes received,
+// not with the announced length.
 const initialBodyBytes = 64 << 10
 
-// readBodyUntil reads a request's body, of at most limit bytes, until deadline: a client that stops within its body
-// gets its answer all the same. A body that is announced longer isn't read at all. The error is errBodyTooLarge, or
-// that of the connection.
+// readBodyUntil reads a request's body, of at most limit bytes, until deadline, so that a client that stops sending
+// within its body still gets its response. A body whose announced length exceeds the limit is not read at all. The
+// error is errBodyTooLarge, or that of the connection.
 func readBodyUntil(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -45,7 +45,7 @@
 	return b, nil
 }
 
-// readSizedBody reads a body of a known length, in bytes, into memory that grows with what has come.
+// readSizedBody reads a body of a known length, in bytes, into memory that grows with the bytes received.
 func readSizedBody(body io.Reader, length int64) ([]byte, error) {
 	b := make([]byte, 0, min(length, initialBodyBytes))
 	for int64(len(b)) < length {
--- a/internal/fleet/proxy/requestwrite.go
+++ b/internal/fleet/proxy/requestwrite.go
@@ -6,23 +6,24 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// maxSyncWrite is up to how many bytes a request is written before its answer is looked for: so much fits into the
-// buffers of a connection. While a longer one goes out its answer may come, and the backend may read no more.
+// maxSyncWrite is the largest request, in bytes, that is written completely before its response is read: it fits into
+// the buffers of a connection. While a longer one is being sent its response may arrive, and the backend may stop
+// reading.
 const maxSyncWrite = 16 << 10
 
 // requestWrite is the write of a request. The goroutine of a long one ends with the write, which abort and the
-// context's deadline end; whoever gives the connection back waits for it.
+// context's deadline end; the goroutine that returns the connection waits for it.
 type requestWrite struct {
 	length int
-	done   chan struct{} // closed when no further byte goes out
+	done   chan struct{} // closed when no further byte is sent
 
 	// Valid once done is closed.
 	written int
 	err     error
 }
 
-// sendRequest writes a request: a short one before it returns, a long one beside the caller, who reads the answer
-// meanwhile. The write of a long one is bounded by the context's deadline rather than by the time for the answer's
+// sendRequest writes a request: a short one before it returns, a long one concurrently, while the caller reads the
+// response. The write of a long one is bounded by the context's deadline rather than by the deadline for the response
 // head.
 func sendRequest(ctx context.Context, to *transport.Lent, request []byte) *requestWrite {
 	rw := &requestWrite{length: len(request), done: make(chan struct{})}
@@ -37,15 +38,15 @@
 	if by, ok := ctx.Deadline(); ok {
 		_ = to.SetWriteDeadline(by)
 		if ctx.Err() != nil {
-			_ = to.SetWriteDeadline(pastDeadline) // its end may have come just before
+			_ = to.SetWriteDeadline(pastDeadline) // ctx may have ended just before
 		}
 	}
 	go write()
 	return rw
 }
 
-// failed returns the error of a short request's write, and whether a byte of it may have gone out. A long one's
-// shows in the reading of its answer.
+// failed returns the error of a short request's write, and whether a byte of it may have been sent. The error of a long
+// one appears when its response is read.
 func (rw *requestWrite) failed() (wrote bool, err error) {
 	if rw.length > maxSyncWrite {
 		return false, nil
@@ -53,13 +54,13 @@
 	return rw.wait() > 0, rw.err
 }
 
-// wait waits until no further byte goes out, and returns how many did.
+// wait blocks until no further byte is sent, and returns the number of bytes written.
 func (rw *requestWrite) wait() int {
 	<-rw.done
 	return rw.written
 }
 
-// complete reports whether all of the request has gone out by now. It doesn't wait.
+// complete reports whether the whole request has been sent by now. It does not wait.
 func (rw *requestWrite) complete() bool {
 	select {
 	case <-rw.done:
--- a/internal/fleet/proxy/residencycheck.go
+++ b/internal/fleet/proxy/residencycheck.go
@@ -13,21 +13,21 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// errResidencyWithdrawn ends an attempt whose backend's region was withdrawn from the request's terms while it was
-// under way. It is a context.Canceled, which says nothing of the backend.
+// errResidencyWithdrawn ends an attempt whose backend's region was withdrawn from the request's terms during the
+// attempt. It wraps context.Canceled, which is no evidence against the backend.
 var errResidencyWithdrawn = errors.Wrap(context.Canceled, "the region was withdrawn")
 
 // residencyCheck keeps one request's data inside the regions that its terms allow. The terms are those of the newest
-// configuration, also while the request is under way. It belongs to the request's goroutine.
+// configuration, also while the request is in flight. It belongs to the request's goroutine.
 //
-// What is sent is checked three times, as each check alone has a gap: when a backend is chosen, when a connection to
-// it is acquired, and, for attempts under way, by the tracker with each new configuration or endpoint list.
+// Each send is checked three times, as each check alone has a gap: when a backend is selected, when a connection to it
+// is acquired, and, for attempts in flight, by the tracker with each new configuration or endpoint list.
 type residencyCheck struct {
 	latest  *atomic.Pointer[routingSnapshot]
 	tracker *residencyTracker
 
-	snapshot       *routingSnapshot // that residencyTerms are from
-	subject        subject          // whose data the request carries
+	snapshot       *routingSnapshot // source of residencyTerms
+	subject        subject          // route or tenant whose data the request carries
 	residencyTerms residency.Terms
 }
 
@@ -46,18 +46,18 @@
 	if bound := snapshot.residencyByRoute[route.Name]; bound != nil {
 		rc.residencyTerms = bound.terms
 	} else {
-		rc.residencyTerms = residency.Within() // a residency-bound route without terms can't be: nothing is allowed
+		rc.residencyTerms = residency.Within() // unreachable for a valid snapshot; fails closed, with no region allowed
 	}
 	rc.subject.arrivalTerms = rc.residencyTerms
 	return rc
 }
 
-// bindResidency binds the request to the residency terms that it arrives under.
+// bindResidency binds the request to the residency terms in force at its arrival.
 func (cr *clientRequest) bindResidency(snapshot *routingSnapshot) {
 	cr.residencyCheck = newResidencyCheck(cr.proxy, cr.route, snapshot)
 }
 
-// terms returns the request's terms by the newest configuration.
+// terms returns the request's terms under the newest configuration.
 func (rc *residencyCheck) terms() residency.Terms {
 	if snapshot := rc.latest.Load(); snapshot != rc.snapshot {
 		rc.snapshot = snapshot
@@ -66,9 +66,9 @@
 	return rc.residencyTerms
 }
 
-// checkResidency returns nil while an exchange may go on under the newest terms, else errResidencyWithdrawn. The
-// tracker cancels the attempts of requests that arrived under terms; this finds those of requests whose route got
-// terms since.
+// checkResidency returns nil while an exchange may continue under the newest terms, else errResidencyWithdrawn. The
+// tracker cancels the attempts of requests that arrived under terms; this check covers requests whose route got terms
+// afterwards.
 func (rc *residencyCheck) checkResidency(e *exchange) error {
 	if e.tracked != nil {
 		return e.tracked.withdrawn()
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// acquireConn acquires a connection for an attempt. The error is residency.ErrOutside where the terms don't allow the
-// backend, and for a permit that only releases unless the request carries nothing of the client's: neither body nor
+// acquireConn acquires a connection for an attempt. The error is residency.ErrOutside if the terms do not allow the
+// backend. A release-only permit gets a connection only for a request without client data: no body and no client
 // header.
 func (cr *clientRequest) acquireConn(ctx context.Context, permit residency.Permit,
 	out *outboundRequest) (*transport.Lent, error) {
@@ -97,10 +97,10 @@
 }
 
 // track registers an attempt of a residency-bound request with the tracker and returns the context that it has to run
-// under, which is cancelled if its region is withdrawn. The attempt is registered before its terms are looked at, so
-// that a configuration which comes at this moment either is seen here or sees the attempt. The tracked send is nil,
-// and the context the one given, where there is nothing to track: the request is not bound, or the attempt carries
-// nothing of it.
+// under, which is cancelled if its region is withdrawn. The attempt is registered before its terms are checked, so that
+// a configuration that arrives at the same time is either seen by that check or cancels the attempt. The tracked send
+// is nil, and the context the given one, if the request is not bound to regions, or the attempt carries none of its
+// data.
 func (rc *residencyCheck) track(ctx context.Context, permit residency.Permit,
 	opts *attemptOptions) (context.Context, *trackedSend, error) {
 	if permit.ReleaseOnly() || !rc.terms().Restricted() {
@@ -128,14 +128,14 @@
 	return send.ctx, send, nil
 }
 
-// purposeOf is what an attempt is for, by its options.
+// purposeOf returns the purpose of an attempt, by its options.
 func purposeOf(opts *attemptOptions) sendPurpose {
 	switch {
 	case opts.stage != "":
 		return purposePrefill
 	case opts.lastID != "":
 		return purposeResume
-	case opts.priority >= 0: // only generations have one
+	case opts.priority >= 0: // only generations have a priority
 		return purposeDecode
 	}
 	return purposePlain
--- a/internal/fleet/proxy/residencylog.go
+++ b/internal/fleet/proxy/residencylog.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// maxLogEntries bounds the entries of the log. Further pairs count under the region alone, without a subject.
+	// maxLogEntries bounds the entries of the log. Further subject and region pairs are counted by region alone.
 	maxLogEntries = 1 << 16
 	// batchInterval is the time between two batches, so that a busy pair costs the control plane little.
 	batchInterval = 5 * time.Second
-	// newPairDelay is the time between two batches where the later one reports a pair for the first time: where data is
-	// held is to be known soon.
+	// newPairDelay is the time between two batches if the later one reports a pair for the first time, as the places
+	// where data is held have to be known soon.
 	newPairDelay = time.Second
-	// flushTimeout bounds the last report to the node agent: the process is about to end.
+	// flushTimeout bounds the last report to the node agent before the process ends.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// sendPurpose is what an attempt is for.
+// sendPurpose is the purpose of an attempt.
 type sendPurpose int
 
 const (
 	purposePlain   sendPurpose = iota // a plain request
-	purposePrefill                    // reads a prompt for a decode backend
-	purposeDecode                     // makes tokens
-	purposeResume                     // continues a stream that another backend began
+	purposePrefill                    // prefills a prompt for a decode backend
+	purposeDecode                     // generates tokens
+	purposeResume                     // continues a stream that another backend started
 	numPurposes
 )
 
 // purposeCounts counts attempts by purpose.
 type purposeCounts [numPurposes]int64
 
-// minus returns the counts less those of other.
+// minus returns the difference of the counts and other.
 func (c purposeCounts) minus(other purposeCounts) residencyreport.Counts {
 	d := c
 	for i := range d {
@@ -52,28 +52,28 @@
 	}
 }
 
-// residencyEntry is when a subject's data was at backends of a region, by what this proxy sent there. A cached prefix
-// or a KV handle that was not released may be held for longer; docs/design/regions.md says how long.
+// residencyEntry records when a subject's data was at backends of a region, as far as this proxy sent it there. A
+// cached prefix or an unreleased KV handle may be held for longer; docs/design/regions.md says for how long.
 type residencyEntry struct {
 	first, last time.Time
-	counts      purposeCounts // of attempts that ran or may have run
+	counts      purposeCounts // attempts that ran or may have run
 
-	changes        int64         // how often the entry has changed
-	logged         int64         // changes when it was last logged
-	reported       int64         // changes when it was last put into a batch
-	reportedCounts purposeCounts // counts that are in batches
+	changes        int64         // number of changes to the entry
+	logged         int64         // value of changes when it was last logged
+	reported       int64         // value of changes when it was last put into a batch
+	reportedCounts purposeCounts // counts already in batches
 }
 
-// residencyLog is where data was held, by subject and region, and how much of that has been put into batches for the
-// control plane. The lock of its tracker guards it.
+// residencyLog records where data was held, by subject and region, and how much of that has been put into batches for
+// the control plane. It is guarded by the lock of its tracker.
 type residencyLog struct {
-	process residencyreport.Process // names this run of the process: counts begin anew with each
+	process residencyreport.Process // identifies this run of the process: counts start at 0 with each
 	entries map[residencyreport.Pair]*residencyEntry
 
-	batches       uint64    // put so far; each has the next number
-	nextBatch     time.Time // no batch before, unless there is a new pair
-	earliestBatch time.Time // no batch before at all
-	newPair       bool      // a pair is in no batch yet
+	batches       uint64    // number of batches put so far; each has the next number
+	nextBatch     time.Time // time of the next batch, unless there is a new pair
+	earliestBatch time.Time // time before which no batch is put at all
+	newPair       bool      // a pair has not been put into a batch yet
 	changed       bool      // since the last batch
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// pair is the key of the log for a subject's data in a region.
+// pair returns the key of the log entry for a subject's data in a region.
 func (s *subject) pair(region string) residencyreport.Pair {
 	if s.tenant != "" {
 		return residencyreport.Pair{Tenant: s.tenant, Region: region}
@@ -93,7 +93,7 @@
 	return residencyreport.Pair{Route: s.route, Region: region}
 }
 
-// pairSubject is the name of a pair's subject; empty: the pair counts those beyond maxLogEntries.
+// pairSubject returns the name of a pair's subject; empty if the pair counts those beyond maxLogEntries.
 func pairSubject(p residencyreport.Pair) string {
 	if p.Tenant == "" && p.Route == "" {
 		return ""
@@ -102,7 +102,7 @@
 	return s.name()
 }
 
-// entry returns the entry of a pair, or that of its region where the log is full; a new one begins at first.
+// entry returns the entry of a pair, or that of its region if the log is full. A new entry starts at first.
 func (l *residencyLog) entry(key residencyreport.Pair, first time.Time) *residencyEntry {
 	if r := l.entries[key]; r != nil {
 		return r
@@ -137,7 +137,7 @@
 	}
 }
 
-// logLine is an entry as it is logged.
+// logLine is a log line for one entry.
 type logLine struct {
 	subject, region string
 	entry           residencyEntry
@@ -163,7 +163,7 @@
 	return lines
 }
 
-// logChanges logs the entries that have changed since the last call, a line each.
+// logChanges logs the entries that have changed since the last call, one line each.
 func (rt *residencyTracker) logChanges(log *zap.Logger) {
 	lines := rt.changedLines()
 	slices.SortFunc(lines, compareLogLines)
@@ -180,8 +180,8 @@
 	}
 }
 
-// report puts the changed entries into a batch of the outbox, where one is due or the process ends. While the control
-// plane acknowledges nothing and the outbox is full, changes wait in the log, so that none is lost.
+// report puts the changed entries into a batch of the outbox, if one is due or the process is ending. While the control
+// plane acknowledges no batches and the outbox is full, changes stay in the log, so that none is lost.
 func (rt *residencyTracker) report(now time.Time, out *distribution.ResidencyOutbox, ending bool) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -203,7 +203,7 @@
 	l.changed, l.newPair = more, more
 }
 
-// due reports whether there is something to report, and it is time for that.
+// due reports whether there are changes, and a batch with them is due.
 func (l *residencyLog) due(now time.Time, ending bool) bool {
 	switch {
 	case !l.changed:
@@ -216,8 +216,8 @@
 	return l.newPair || !now.Before(l.nextBatch)
 }
 
-// nextChanges returns a batch of changed entries with what changed since they were last reported, those entries, and
-// whether there are more than a batch takes. It changes nothing: the batch may be refused.
+// nextChanges returns a batch with the changes of entries since they were last reported, those entries, and whether
+// there are more than fit into a batch. It does not modify the log, as the outbox may refuse the batch.
 func (l *residencyLog) nextChanges() (batch residencyreport.Batch, reported []*residencyEntry, more bool) {
 	batch = residencyreport.Batch{Process: l.process, N: l.batches + 1}
 	for key, r := range l.entries {
@@ -239,8 +239,8 @@
 	return batch, reported, false
 }
 
-// flushReports tells the node agent that the process ends, with what is left in the residency log. It blocks for
-// flushTimeout at the most; what the node agent doesn't take by then is lost.
+// flushReports sends the remaining changes of the residency log to the node agent and announces the end of the process.
+// It blocks for at most flushTimeout; reports that are not accepted by then are lost.
 func (p *Proxy) flushReports() {
 	p.residency.report(time.Now(), p.residencyReports, true)
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
--- a/internal/fleet/proxy/residencyterms.go
+++ b/internal/fleet/proxy/residencyterms.go
@@ -7,14 +7,14 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// subject says whose data a request carries, as it was when the request arrived.
+// subject identifies the route or tenant whose data a request carries, as of the request's arrival.
 type subject struct {
 	route        string
 	tenant       string          // empty: the route has terms of its own, or none
 	arrivalTerms residency.Terms // the terms at arrival
 }
 
-// name is what answers and the residency log call the subject.
+// name returns the subject's name in responses and in the residency log.
 func (s *subject) name() string {
 	if s.tenant != "" {
 		return "tenant " + strconv.Quote(s.tenant)
@@ -22,14 +22,14 @@
 	return "route " + strconv.Quote(s.route)
 }
 
-// routeResidency is what the configuration says of a residency-bound route.
+// routeResidency is the tenant and the terms of a residency-bound route.
 type routeResidency struct {
 	tenant string // empty: none
 	terms  residency.Terms
 }
 
-// computeResidency fills in the residency terms of a configuration. A tenant that it doesn't list allows no region,
-// since what is not known to be allowed is refused.
+// computeResidency sets the residency terms of a configuration. A tenant that it does not list is allowed no region, as
+// terms fail closed.
 func (rs *routingSnapshot) computeResidency(d *routingconfig.Document) {
 	routes := d.RoutesWithResidencyTerms()
 	if len(routes) == 0 {
@@ -56,9 +56,9 @@
 	}
 }
 
-// termsOf returns the terms of a request by this configuration, which may be newer than the request: those of its route
-// while that belongs to the same tenant; else its tenant's, as far as the terms at arrival allow; else, where the
-// configuration says nothing any more, the terms at arrival.
+// termsOf returns the terms of a request under this configuration, which may be newer than the request: those of its
+// route while the route belongs to the same tenant; else those of its tenant, restricted to the terms at arrival; else,
+// if the configuration contains neither any more, the terms at arrival.
 func (rs *routingSnapshot) termsOf(s *subject) residency.Terms {
 	bound := rs.residencyByRoute[s.route]
 	switch {
@@ -73,7 +73,8 @@
 	return s.arrivalTerms
 }
 
-// describeResidency says how many backends of a service the terms allow, for an answer that rejects a request.
+// describeResidency returns how many backends of a service the terms allow, as text for the response that rejects a
+// request.
 func (s *service) describeResidency(of subject, terms residency.Terms) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/proxy/residencytracker.go
+++ b/internal/fleet/proxy/residencytracker.go
@@ -11,15 +11,15 @@
 	"molepaddle/internal/fleet/residency"
 )
 
-// residencyTracker knows of a proxy's residency-bound requests the attempts under way, which it cancels where a
-// region is withdrawn, and the log of where data was held. It may be used from any goroutine.
+// residencyTracker holds the attempts in flight of a proxy's residency-bound requests, which it cancels if a region is
+// withdrawn, and the log of where data was held. It may be used from any goroutine.
 type residencyTracker struct {
 	mu      sync.Mutex
 	sends   map[*trackedSend]struct{}
 	history residencyLog
 }
 
-// newResidencyTracker returns a tracker of no attempts, with an empty log.
+// newResidencyTracker returns a tracker without attempts and with an empty log.
 func newResidencyTracker() *residencyTracker {
 	return &residencyTracker{
 		sends:   map[*trackedSend]struct{}{},
@@ -34,15 +34,15 @@
 	rt.sends[send] = struct{}{}
 }
 
-// remove forgets an attempt that has ended.
+// remove removes an attempt that has ended.
 func (rt *residencyTracker) remove(send *trackedSend) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	delete(rt.sends, send)
 }
 
-// cancelWithdrawn cancels the attempts that a new configuration or endpoint list no longer allows. The snapshot has
-// to be published before: an attempt that is registered later looks at it itself.
+// cancelWithdrawn cancels the attempts that a new configuration or endpoint list no longer allows. The snapshot has to
+// be published before the call: attempts registered later check it themselves.
 func (rt *residencyTracker) cancelWithdrawn(snapshot *routingSnapshot) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -55,19 +55,19 @@
 	}
 }
 
-// trackedSend is an attempt of a residency-bound request under way. All its methods do nothing for nil, which stands
-// for an attempt that is not tracked.
+// trackedSend is an attempt in flight of a residency-bound request. A nil trackedSend stands for an attempt that is not
+// tracked; all methods accept it and do nothing.
 type trackedSend struct {
 	tracker *residencyTracker
 	subject subject
-	permits []residency.Permit // where its data is held: the backend, then the one that holds its KV cache, if any
+	permits []residency.Permit // of the backends that hold its data: the receiver, then the holder of its KV cache, if any
 	purpose sendPurpose
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 	since   time.Time
 }
 
-// answered records that a response header has come, and whether the request may have run.
+// answered records that a response header has arrived, and whether the request may have run.
 func (s *trackedSend) answered(ran bool) {
 	if s == nil {
 		return
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// end ends the tracking. wrote says that data may have gone out, which is recorded then.
+// end ends the tracking. wrote means that data may have been sent, which is then recorded.
 func (s *trackedSend) end(wrote bool) {
 	if s == nil {
 		return
--- a/internal/fleet/proxy/responses.go
+++ b/internal/fleet/proxy/responses.go
@@ -8,18 +8,18 @@
 	"molepaddle/internal/fleet/externalapi"
 )
 
-// maxBackendRetryAfter bounds the advice of a backend on when to come back, in seconds: more is no advice.
+// maxBackendRetryAfter bounds the Retry-After of a backend, in seconds; larger values are ignored.
 const maxBackendRetryAfter = 60
 
-// abortClient ends a request whose client has gone, with its connection: a handler that returns without an answer would
-// give an empty 200, which a client that has closed only its half takes for its answer.
+// abortClient aborts the connection of a client that has disconnected: a handler that returns without a response would
+// send an empty 200, which a client that has closed only its sending side takes for its response.
 func (cr *clientRequest) abortClient() {
 	cr.proxy.countAnswer(0)
 	panic(http.ErrAbortHandler)
 }
 
-// reportsNotRun reports whether an answer's head says that the backend did not run the request. A success that says so
-// contradicts itself, and proves nothing.
+// reportsNotRun reports whether the head of a response states that the backend did not run the request. A success that
+// states so is contradictory, and is not believed.
 func reportsNotRun(resp *http.Response) bool {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return true
@@ -27,7 +27,7 @@
 	return resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(externalapi.HeaderNotRun) != ""
 }
 
-// backendRetryAfter returns when a backend asks to be tried again; 0: it does not say.
+// backendRetryAfter returns the Retry-After of a backend's response; 0: none, or out of range.
 func backendRetryAfter(resp *http.Response) time.Duration {
 	s, err := strconv.ParseFloat(resp.Header.Get(externalapi.HeaderRetryAfter), 64)
 	if err != nil || s < 0 || s > maxBackendRetryAfter {
@@ -49,7 +49,7 @@
 	return false
 }
 
-// copyHeader copies the head of a backend's answer to the client's.
+// copyHeader copies the head of a backend's response to the client's.
 func (cr *clientRequest) copyHeader(resp *http.Response) {
 	dropHopByHop(resp.Header)
 	h := cr.w.Header()
@@ -62,8 +62,8 @@
 	}
 }
 
-// writeAnswer gives the client a backend's complete answer. One that promises what the backend has not said is not
-// passed on: the failure in its place is this proxy's own, without the backend's head.
+// writeAnswer writes a backend's complete response to the client. A status that promises that the request has not run
+// is not relayed if it may have run: the client gets a 502 of the proxy's own instead, without the backend's head.
 func (cr *clientRequest) writeAnswer(resp *http.Response, body []byte) {
 	if cr.mayHaveRun && impliesNotRun(resp.StatusCode) {
 		cr.proxy.writeError(cr.w, &rejection{
@@ -75,7 +75,7 @@
 	cr.copyHeader(resp)
 	length := int64(len(body))
 	if cr.outbound.method == http.MethodHead {
-		length = resp.ContentLength // of what is not sent; -1: the backend did not say
+		length = resp.ContentLength // length of the omitted body; -1: not given by the backend
 	}
 	if length >= 0 {
 		cr.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
--- a/internal/fleet/proxy/resume.go
+++ b/internal/fleet/proxy/resume.go
@@ -11,8 +11,8 @@
 	"molepaddle/policy"
 )
 
-// resume goes on with a stream that broke off, inside the same answer and after its last event, at one backend after
-// another; false: it could not.
+// resume continues a stream that broke off, within the same response and after its last event, trying one backend after
+// another; false: none could continue it.
 func (cr *clientRequest) resume(ctx context.Context, r *streamRelay, prompt *scheduler.Prompt) bool {
 	for ctx.Err() == nil && r.lastID != "" {
 		if !cr.takeRetry() {
@@ -37,7 +37,7 @@
 	return false
 }
 
-// resumeFrom goes on with a stream at the decode backend of a placement; nil: it has come to its end.
+// resumeFrom continues a stream at the decode backend of a placement. It returns nil once the stream is complete.
 func (cr *clientRequest) resumeFrom(
 	ctx context.Context,
 	pl *placement,
@@ -64,7 +64,7 @@
 	return err
 }
 
-// relayRest relays the rest of a stream; first is called when the first event has come.
+// relayRest relays the rest of a stream; first is called when the first event has arrived.
 func (a *attempt) relayRest(ctx context.Context, r *streamRelay, first func()) error {
 	e, err := a.send(ctx)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// resumes reports whether an answer can be the rest of a stream.
+// resumes reports whether a response can be the rest of a stream.
 func resumes(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusOK && relayable(resp) && isEventStream(resp)
 }
--- a/internal/fleet/proxy/retries.go
+++ b/internal/fleet/proxy/retries.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// minRetryTime is the least time before its deadline at which a request is sent again.
+	// minRetryTime is the least remaining time before its deadline for a request to be sent again.
 	minRetryTime = 5 * time.Millisecond
-	// maxBackendsTried bounds the backends to which a connection is looked for.
+	// maxBackendsTried bounds the number of backends to which a connection is attempted.
 	maxBackendsTried = 4
-	// headerTimeoutTargets is how many times its latency target an idempotent request waits for a first byte before it
-	// goes to another backend, and minHeaderTimeout how long at the least.
+	// headerTimeoutTargets is how many latency targets an idempotent request waits for a first byte before it is
+	// retried at another backend, and minHeaderTimeout the least such wait.
 	headerTimeoutTargets = 3
 	minHeaderTimeout     = 200 * time.Millisecond
-	// connectTimeout bounds a connect from above, minConnectTimeout from below: round trips are some milliseconds
-	// anywhere.
+	// connectTimeout is the upper bound of a connect time-out and minConnectTimeout the lower bound: round trips take
+	// some milliseconds everywhere.
 	connectTimeout    = 200 * time.Millisecond
 	minConnectTimeout = 50 * time.Millisecond
 )
 
-// countRequest fills the service's retry budget with a request that came at now. It reports whether the service's
+// countRequest adds a request that arrived at now to the service's retry budget. It reports whether the service's
 // backends run models.
 func (s *service) countRequest(now time.Time) (runsModels bool) {
 	s.mu.Lock()
@@ -30,7 +30,7 @@
 }
 
 // retryPossible reports whether the request itself allows another send, by its kind, its number of attempts and its
-// time. What may have run and is not idempotent is never sent again.
+// remaining time. A request that may have run and is not idempotent is never sent again.
 func (cr *clientRequest) retryPossible() bool {
 	return (!cr.mayHaveRun || cr.route.Idempotent()) &&
 		cr.sends < max(cr.route.MaxAttempts, 1) &&
@@ -47,7 +47,7 @@
 		time.Until(cr.deadline) > cr.route.LatencyTarget()
 }
 
-// retryAvailable is takeRetry without taking from the retry budget.
+// retryAvailable reports whether takeRetry would succeed, without taking from the retry budget.
 func (cr *clientRequest) retryAvailable() bool {
 	if !cr.retryPossible() {
 		return false
@@ -57,7 +57,7 @@
 	return cr.svc.retryBudget.available(time.Now(), 1)
 }
 
-// takeExtraSend takes one send beyond a request's first from the retry budget; false: it is spent.
+// takeExtraSend takes one send beyond a request's first from the retry budget; false: the budget is exhausted.
 func (cr *clientRequest) takeExtraSend() bool { return cr.takeExtraSends(1) }
 
 // takeExtraSends takes n sends beyond a request's first from the retry budget, or none.
@@ -67,23 +67,25 @@
 	return cr.svc.retryBudget.take(time.Now(), n)
 }
 
-// canReroute reports whether the request can go to another backend for free after an attempt before which it had been
-// sent so many times: that attempt found no connection, so that no backend has seen it.
+// canReroute reports whether the request can be sent to another backend without charge to the retry budget. sendsBefore
+// is the number of sends before the last attempt: if it is unchanged, that attempt got no connection, and no backend
+// has seen the request.
 func (cr *clientRequest) canReroute(sendsBefore int) bool {
 	return cr.sends == sendsBefore &&
 		len(cr.tried) < maxBackendsTried &&
 		time.Until(cr.deadline) > connectTimeout
 }
 
-// abortIfClientGone ends the request where its context ended before its deadline: then the client has left.
+// abortIfClientGone aborts the request if its context ended before its deadline, which means that the client has
+// disconnected.
 func (cr *clientRequest) abortIfClientGone(ctx context.Context) {
 	if ctx.Err() != nil && time.Until(cr.deadline) > 0 {
 		cr.abortClient()
 	}
 }
 
-// connectDeadline is until when a connection has to stand: half of the latency target, since one that takes longer is
-// of no use, and from a backend without power nothing ever comes.
+// connectDeadline returns by when a connection has to be established: within half of the latency target, since a slower
+// one is of no use, and a host without power never responds.
 func (cr *clientRequest) connectDeadline() time.Time {
 	within := connectTimeout
 	if target := cr.route.LatencyTarget(); target > 0 {
@@ -92,8 +94,8 @@
 	return time.Now().Add(within)
 }
 
-// headerDeadline is until when an attempt waits for the head of its answer: to the request's deadline, or less where
-// another backend could still serve it.
+// headerDeadline returns until when an attempt waits for the head of its response: until the request's deadline, or
+// less if another backend could still serve it.
 func (cr *clientRequest) headerDeadline() time.Time {
 	target := cr.route.LatencyTarget()
 	if !cr.route.Idempotent() || target <= 0 || cr.sends+1 >= cr.route.MaxAttempts {
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -16,25 +16,26 @@
 )
 
 const (
-	// defaultBodyLimit bounds a request's body, in bytes, where the configuration does not.
+	// defaultBodyLimit bounds a request's body, in bytes, if the configuration sets no limit.
 	defaultBodyLimit = 4 << 20
-	// maxAttemptIDBytes bounds a client's attempt id, which goes into headers and onto the wire to backends.
+	// maxAttemptIDBytes bounds a client's attempt id, which is copied into headers and sent to backends.
 	maxAttemptIDBytes = 256
 	// minRetryAfter is the least Retry-After of a request that was not run.
 	minRetryAfter = 50 * time.Millisecond
 	// unconfiguredRetryAfter is the Retry-After of a proxy without a configuration.
 	unconfiguredRetryAfter = 200 * time.Millisecond
-	// startupWait is for how long a request waits for the first configuration and endpoint list of a process that has
-	// just started.
+	// startupWait is how long a request waits for the first configuration and endpoint list of a process that has just
+	// started.
 	startupWait = 300 * time.Millisecond
-	// unreadBodyTimeout bounds the wait for the body of a request that is rejected without it, as net/http reads that
-	// body before it sends the answer, and for a client to read its answer after its time.
+	// unreadBodyTimeout bounds the wait for the body of a request that is rejected before its body was read, as
+	// net/http reads that body before it sends the response. It also bounds the time for a client to read its response
+	// after the deadline.
 	unreadBodyTimeout = 500 * time.Millisecond
-	// returnMargin is what is kept of the time for the way back to the client.
+	// returnMargin is the part of the time limit that is reserved for the response's way back to the client.
 	returnMargin = 10 * time.Millisecond
 )
 
-// clientRequest is one request of a client under way. It belongs to the goroutine that serves the request.
+// clientRequest is one client request in flight. It belongs to the goroutine that serves the request.
 type clientRequest struct {
 	proxy    *Proxy
 	w        http.ResponseWriter
@@ -43,22 +44,22 @@
 	svc      *service
 
 	residencyCheck // where its data may be held
-	clientAccount  // whose request it is
+	clientAccount  // the account that it belongs to
 
 	arrivedAt time.Time
-	deadline  time.Time // by when the answer has to be complete
+	deadline  time.Time // by when the response has to be complete
 
-	// What its attempts have come to.
+	// Results of its attempts.
 	mayHaveRun bool // a backend may have begun to execute it
 	prefilled  bool // a backend may have prefilled its prompt
 	tried      map[string]bool
 	sends      int
-	retryAfter time.Duration // the longest that backends asked for which did not run it
+	retryAfter time.Duration // the longest Retry-After of the backends that did not run it
 }
 
-// ServeHTTP serves one request of a client. It admits the request, reads its body and finds its route, sends it to
-// backends until one answers, relays that answer, and records how each attempt ended. It returns when the client has
-// its answer, and panics with http.ErrAbortHandler where an answer must not look complete.
+// ServeHTTP serves one client request. It admits the request, reads its body and finds its route, sends it to backends
+// until one answers, relays that response, and records the outcome of each attempt. It returns once the client has its
+// response, and panics with http.ErrAbortHandler if a truncated response must not look complete.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	p.inFlight.Add(1)
@@ -74,7 +75,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), cr.deadline)
 	defer cancel()
-	// A client that reads nothing must not hold a backend: the write of the answer is bounded as well.
+	// A client that does not read must not occupy a backend: the write of the response is bounded as well.
 	conn := http.NewResponseController(w)
 	_ = conn.SetWriteDeadline(cr.deadline.Add(unreadBodyTimeout))
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }()
@@ -82,7 +83,7 @@
 	cr.serve(ctx)
 }
 
-// requestEnded counts a request that is over.
+// requestEnded records the end of a request.
 func (p *Proxy) requestEnded() {
 	p.inFlight.Add(-1)
 	p.shutdown.requestEnded()
@@ -157,7 +158,7 @@
 		return err
 	}
 	dropHopByHop(r.Header)
-	setTenantHeader(r.Header, cr.account) // after what a client's Connection field names was dropped
+	setTenantHeader(r.Header, cr.account) // after the removal of fields that the client's Connection field lists
 	cr.outbound.method = r.Method
 	cr.outbound.target = r.RequestURI
 	cr.outbound.host = r.Host
@@ -175,12 +176,12 @@
 	return nil
 }
 
-// serve sends an admitted request to backends until one answers, and answers the client.
+// serve sends an admitted request to backends until one answers, and writes the response.
 func (cr *clientRequest) serve(ctx context.Context) {
 	var prompt *scheduler.Prompt
 	if cr.svc.countRequest(cr.arrivedAt) {
 		if p, ok := parsePrompt(cr.outbound.header); ok {
-			prompt = &p // which stays on the stack
+			prompt = &p // p stays on the stack
 		}
 	}
 	if cr.rejectIfOutlastsDrain(prompt) {
@@ -197,8 +198,8 @@
 	}
 }
 
-// awaitSnapshot waits for the first routing snapshot, for startupWait at the most: a process that has just started has
-// it in a moment, and the requests that come before it need not fail.
+// awaitSnapshot waits for the first routing snapshot, for at most startupWait: a process that has just started receives
+// it soon, and requests that arrive earlier need not fail.
 func (p *Proxy) awaitSnapshot(ctx context.Context) {
 	t := time.NewTimer(startupWait)
 	defer t.Stop()
@@ -209,7 +210,7 @@
 	}
 }
 
-// findRoute returns the route of a request. A nil snapshot has none. Its errors are rejections.
+// findRoute returns the route of a request. A nil snapshot has no routes. Its errors are rejections.
 func (rs *routingSnapshot) findRoute(r *http.Request) (*routingconfig.Route, error) {
 	if rs == nil || rs.index == nil {
 		return nil, &rejection{
@@ -232,7 +233,7 @@
 	return route, nil
 }
 
-// bodyLimit returns the most bytes that a request's body may have.
+// bodyLimit returns the maximum size of a request's body, in bytes.
 func (rs *routingSnapshot) bodyLimit() int64 {
 	if l := rs.limits; l != nil && l.MaxBodyBytes > 0 {
 		return l.MaxBodyBytes
@@ -240,7 +241,7 @@
 	return defaultBodyLimit
 }
 
-// attemptID returns the client's id of a request, of which there has to be exactly one. Its errors are rejections.
+// attemptID returns the client's attempt id of a request, which has to occur exactly once. Its errors are rejections.
 func attemptID(header http.Header) (string, error) {
 	id := header.Get(externalapi.HeaderAttemptID)
 	if !validID(id) || len(header[externalapi.HeaderAttemptID]) != 1 {
@@ -252,7 +253,7 @@
 	return id, nil
 }
 
-// validID reports whether an id can be forwarded as it is: printable ASCII without spaces, of at most
+// validID reports whether an id can be forwarded unchanged: printable ASCII without spaces, of at most
 // maxAttemptIDBytes.
 func validID(id string) bool {
 	if id == "" || len(id) > maxAttemptIDBytes {
@@ -266,8 +267,8 @@
 	return true
 }
 
-// timeToAnswer returns how long the answer to a request may take: what its route allows, or less where the client asks
-// for less. Its errors are rejections.
+// timeToAnswer returns the time limit of the response: that of the route, or that of the client if it is shorter. Its
+// errors are rejections.
 func timeToAnswer(route *routingconfig.Route, header http.Header) (time.Duration, error) {
 	wait := route.Deadline()
 	text := header.Get(externalapi.HeaderDeadlineMs)
@@ -303,7 +304,7 @@
 	return nil, &rejection{status: http.StatusBadRequest, reason: "body not whole", closeConn: true}
 }
 
-// parsePrompt returns what the headers of a request say of its prompt; false: they say nothing that can be used.
+// parsePrompt returns the description of the prompt in a request's headers; false: it is missing or invalid.
 func parsePrompt(header http.Header) (scheduler.Prompt, bool) {
 	return scheduler.ParsePrompt(
 		header.Get(externalapi.HeaderModel),
--- a/internal/fleet/proxy/routingsnapshot.go
+++ b/internal/fleet/proxy/routingsnapshot.go
@@ -6,21 +6,22 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// routingSnapshot is what requests are served by. It is immutable but for the services, which have locks of their own,
-// and is replaced as one value.
+// routingSnapshot is the routing state that requests are served with. It is immutable except for the services, which
+// have locks of their own, and is replaced as a whole.
 type routingSnapshot struct {
 	index    *routingconfig.Index
 	limits   *routingconfig.Limits
 	services map[string]*service // by name
 	version  int64               // of the configuration
-	proxies  int                 // of the fleet, as the control plane counts them
+	proxies  int                 // number of proxies in the fleet, as reported by the control plane
 
 	residencyByRoute map[string]*routeResidency // of residency-bound routes, by name
 	termsByTenant    map[string]residency.Terms // by name
 }
 
-// rebuildSnapshot publishes a routing snapshot of the configuration and the endpoint list received so far. Attempts
-// under way that the new residency terms no longer allow are cancelled. It does nothing before the first configuration.
+// rebuildSnapshot publishes a routing snapshot built from the configuration and the endpoint list received so far, and
+// cancels attempts in flight that the new residency terms no longer allow. It does nothing before the first
+// configuration.
 func (p *Proxy) rebuildSnapshot() {
 	if p.doc == nil {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// indexOf returns the route table of the configuration in force, which is made anew only with another configuration.
+// indexOf returns the route table of a configuration, which is rebuilt only when the configuration changes.
 func (p *Proxy) indexOf(doc *routingconfig.Document) *routingconfig.Index {
 	if p.indexedDoc != doc {
 		p.index = routingconfig.NewIndex(doc)
@@ -50,8 +51,8 @@
 	return p.index
 }
 
-// updateServices brings the services to the configuration and the endpoint list received, adds them to current and
-// forgets those that are no longer configured. Requests that hold a forgotten one finish with it.
+// updateServices applies the configuration and the endpoint list received to the services, adds the configured services
+// to current, and removes those that are no longer configured. Requests that use a removed service finish with it.
 func (p *Proxy) updateServices(current map[string]*service) {
 	backends := map[string][]distribution.Backend{}
 	for _, b := range p.list.Backends {
--- a/internal/fleet/proxy/selectionpolicies.go
+++ b/internal/fleet/proxy/selectionpolicies.go
@@ -8,95 +8,98 @@
 	"molepaddle/internal/fleet/outlier"
 )
 
-// What the choices of a backend are made by. A share is a part of 1; a factor multiplies what is named with it.
+// Parameters of backend selection. A share is a fraction; a factor is a multiple of the value named with it.
 //
-// Most are measured against the prefill target: the part of a route's latency target within which a prompt should be
-// read.
+// Most are relative to the prefill target: the part of a route's latency target within which a prompt should be
+// prefilled.
 const (
-	// prefillTargetShare is the prefill target in parts of the latency target. A prompt's preferred backend may be that
-	// far behind before another one, which has none of the prompt cached, is considered.
+	// prefillTargetShare is the prefill target as a fraction of the latency target. The wait at a prompt's preferred
+	// backend may be that much longer before another one, which has none of the prompt cached, is considered.
 	prefillTargetShare = 0.4
-	// minPrefillTargetMs is the least prefill target, in milliseconds: waits are divided by it.
+	// minPrefillTargetMs is the least prefill target, in milliseconds, since waits are divided by it.
 	minPrefillTargetMs = 1
-	// preferredWaitFactor is how many prefill targets a prompt waits at its preferred backend. Elsewhere all of it is read
-	// again, which under load adds to the very queues that it avoids.
+	// preferredWaitFactor is how many prefill targets a prompt waits at its preferred backend. Any other backend has to
+	// compute the whole prompt, which under load adds to the very queues that are to be avoided.
 	preferredWaitFactor = 1
-	// shortPrefillShare is how long a prompt may take to be read at a decode backend, in prefill targets: that slows
-	// the tokens of all that run there.
+	// shortPrefillShare is the longest prefill at a decode backend, in prefill targets, that counts as short: a prefill
+	// there slows the decoding of all requests in the batch.
 	shortPrefillShare = 0.25
 
-	// engineLoadFactor is c of the design's bounded-load hash at engines, at least 1: how far above its share a backend
-	// may be loaded before a key goes on to the next. A batch holds many, and a prompt read away from its preferred
-	// backend costs more than a longer batch.
+	// engineLoadFactor is the load factor c, at least 1, of the bounded-load hash for engines: how far above its fair
+	// share a backend may be loaded before a key moves on to the next. It is high since a batch holds many requests,
+	// and a prefill away from the preferred backend costs more than a longer batch.
 	engineLoadFactor = 8
-	// plainLoadFactor is the same for plain requests. A proxy has few of them in flight, so that a factor near 1 would
-	// scatter keys.
+	// plainLoadFactor is the load factor for plain requests. A proxy has few of them in flight, so that a factor near 1
+	// would scatter keys.
 	plainLoadFactor = 3
 
-	// Penalties of a backend that reads a prompt, in prefill targets.
+	// Penalties of a backend for a prefill, in prefill targets.
 
-	// decodePhasePenalty keeps prompts from decode backends, where reading slows the tokens of all that run and so
-	// fills the batches: they read where a prefill backend would cost that much more, or there is none.
+	// decodePhasePenalty keeps prefills away from decode backends, where they slow the decoding of all requests in the
+	// batch and so fill the batches. A decode backend is used where a prefill backend would cost that much more, or
+	// there is none.
 	decodePhasePenalty = 10
-	// longPromptPenalty comes on top where reading there takes longer than shortPrefillShare: above all else, so that
-	// it is done only where no prefill backend is left.
+	// longPromptPenalty is added if the prefill at a decode backend takes longer than shortPrefillShare. It exceeds all
+	// other costs, so that this happens only if no prefill backend is left.
 	longPromptPenalty = 1000
-	// dedicatedPenalty comes on top at backends that are kept for long answers.
+	// dedicatedPenalty is added for backends dedicated to long outputs.
 	dedicatedPenalty = 10
-	// unavailablePenalty is for backends that are full or were found unresponsive: above what a decode backend costs
-	// that reads a short prompt, below what it costs with a long one.
+	// unavailablePenalty is for backends that are full or were found unresponsive. It lies between the penalties of a
+	// decode backend for a short and for a long prompt.
 	unavailablePenalty = 30
 
-	// Utilization of decode backends: requests in parts of a backend's capacity.
+	// Utilization of decode backends: requests as a fraction of a backend's capacity.
 
-	// reservedShare is the part of their capacity that backends which are not kept for long answers leave free for
-	// prompts read elsewhere, while others have capacity.
+	// reservedShare is the fraction of their capacity that decode backends not dedicated to long outputs reserve for
+	// prompts prefilled elsewhere, while others have capacity.
 	reservedShare = 0.5
-	// longFillLimit is up to which utilization dedicated backends are filled with long answers, and any with prompts
-	// read elsewhere, while others have capacity.
+	// longFillLimit is the utilization up to which dedicated backends are filled with long outputs, and any backend
+	// with prompts prefilled elsewhere, while others have capacity.
 	longFillLimit = 0.9
-	// minFreeShare bounds the free capacity by which backends are weighted from below, as a weight is above 0.
+	// minFreeShare is the lower bound of the free capacity from which a backend's weight is computed, since a weight
+	// must be above 0.
 	minFreeShare = 0.05
-	// slowTransferShare is from which delay on, in prefill targets, transfers to a backend count as slow.
+	// slowTransferShare is the delay above which transfers to a backend count as slow, in prefill targets.
 	slowTransferShare = 0.5
 
-	// classWeight separates classes of backends in a ranking by cost: it is above all scores within a class.
+	// classWeight separates classes of backends in a ranking by cost: it exceeds all scores within a class.
 	classWeight = 1e9
-	// dedicatedKey orders the decode backends for reserveDedicated, alike at all proxies ("molepadd" in ASCII).
+	// dedicatedKey is the hash key that orders the decode backends for reserveDedicated in the same way at all proxies
+	// ("molepadd" in ASCII).
 	dedicatedKey = 0x6d6f6c6570616464
 )
 
-// Classes of decode backends for a long answer: those of a lower class are chosen first.
+// Classes of decode backends for a long output: backends of a lower class are chosen first.
 const (
-	dedicatedClass   = 0 // kept for long answers
-	sharedClass      = 1 // for prompts read elsewhere, which find capacity there while reservedShare is free
-	filledClass      = 2 // either, filled to its limit
+	dedicatedClass   = 0 // dedicated to long outputs
+	sharedClass      = 1 // for prompts prefilled elsewhere, which find capacity there while reservedShare is free
+	filledClass      = 2 // dedicated or shared, filled to its limit
 	unavailableClass = 3 // full, or unresponsive
 )
 
-// Classes of decode backends for a KV cache. A backend is in the sum of those that apply, so that each outweighs all
-// before it.
+// Classes of decode backends for a KV cache. The class of a backend is the sum of those that apply; each outweighs the
+// sum of all before it.
 const (
-	dedicatedDecoderClass   = 1 // kept for long answers
-	otherZoneClass          = 2 // not in the zone of the KV cache: a transfer takes longer, and is paid for
+	dedicatedDecoderClass   = 1 // dedicated to long outputs
+	otherZoneClass          = 2 // in another zone than the KV cache: a transfer takes longer, and costs money
 	slowDecoderClass        = 4 // nearly full, or transfers to it are slow
 	unavailableDecoderClass = 8 // full, or unresponsive
 )
 
-// prefillTargetMs is the prefill target of a latency target, in milliseconds.
+// prefillTargetMs returns the prefill target for a latency target, in milliseconds.
 func prefillTargetMs(target time.Duration) float64 {
 	return max(prefillTargetShare*float64(target.Milliseconds()), minPrefillTargetMs)
 }
 
-// freeWeight is the weight of a backend in a hash, by its utilization.
+// freeWeight returns the weight of a backend in a weighted hash, by its utilization.
 func freeWeight(utilization float64) float64 {
 	free := max(1-utilization, minFreeShare)
 	return free * free
 }
 
-// reserveDedicated chooses the decode backends that are kept for long answers. The others keep capacity for prompts
-// read elsewhere, also when a burst of long answers fills the dedicated ones: spread over all, long answers left KV
-// caches without a decode backend on large fleets. The lock is held.
+// reserveDedicated selects the decode backends dedicated to long outputs. The others keep capacity for prompts
+// prefilled elsewhere, also when a burst of long outputs fills the dedicated ones: when long outputs were spread over
+// all backends, KV caches found no decode backend on large fleets. The lock is held.
 func (s *service) reserveDedicated(now float64) {
 	decoders := func(id string) bool { return s.byID[id].Phase == externalapi.PhaseDecode }
 	s.ranked = s.ranker.Rank(now, dedicatedKey, decoders, math.Inf(1), nil, s.ranked[:0])
@@ -106,7 +109,7 @@
 	}
 }
 
-// topRanked is the backend that the last ranking put first; nil: it had none. The lock is held.
+// topRanked returns the first backend of the last ranking; nil: it was empty. The lock is held.
 func (s *service) topRanked() *backend {
 	if len(s.ranked) == 0 {
 		return nil
@@ -114,15 +117,16 @@
 	return s.byID[s.ranked[0]]
 }
 
-// chooseDedicatedDecoder chooses the decode backend that serves a long answer, prompt and all: one at which few prompts
-// are read, by free capacity; nil: there is none. Loads are known a second late, and alike at all proxies: were it
-// strictly the emptiest, it would get the requests of all of them, so the choice is a weighted hash. The lock is held.
+// chooseDedicatedDecoder selects the decode backend that serves a request with a long output, including its prefill:
+// one at which few prompts are prefilled, by free capacity; nil: there is none. Loads are known a second late, and are
+// the same at all proxies. If the emptiest backend were always selected it would get the requests of all proxies, so
+// the choice is a weighted hash. The lock is held.
 func (s *service) chooseDedicatedDecoder(req *placementRequest) *backend {
 	risk := outlier.Risk{Idempotent: req.retryable, LongDecode: true}
 	if onTrial := s.dueTrial(req, externalapi.PhaseDecode, risk); onTrial != nil {
 		return onTrial
 	}
-	key := req.prompt.PromptKey() // of all of it: what it shares is short, so requests are spread, not kept together
+	key := req.prompt.PromptKey() // of the whole prompt: shared prefixes are short here, so requests are spread rather than grouped
 	decoders := func(id string) bool { return s.canDecode(req, id) }
 	cost := func(id string) float64 {
 		utilization := s.engines.Utilization(id)
@@ -134,7 +138,7 @@
 	return s.topRanked()
 }
 
-// longDecodeClass is the class of a decode backend for a long answer. The lock is held.
+// longDecodeClass returns the class of a decode backend for a long output. The lock is held.
 func (s *service) longDecodeClass(req *placementRequest, id string, utilization float64) float64 {
 	switch {
 	case s.engines.Full(req.now, id) || s.engines.Unresponsive(req.now, id, req.prefillTargetMs):
@@ -149,10 +153,10 @@
 	return dedicatedClass
 }
 
-// choosePrefill chooses the backend that reads a prompt, and the one that makes its tokens, and fills in pl; pl.decode
-// stays nil where there is none. The prompt is read at the key's preferred backend, which has the shared prefix cached,
-// unless too much waits there; by a prefill backend, whose reading slows no tokens down, unless all of those are far
-// behind, or none is left, or split is false. The lock is held.
+// choosePrefill selects the backends that prefill and decode a prompt, and sets them in pl; pl.decode stays nil if
+// there is none. The prompt is prefilled at the key's preferred backend, which has the shared prefix cached, unless the
+// wait there is too long. It is prefilled at a prefill backend, which slows no decoding, unless the waits at all of
+// those are long, none is left, or split is false. The lock is held.
 func (s *service) choosePrefill(req *placementRequest, split bool, pl *placement) {
 	prefillers := func(id string) bool { return s.canPrefill(req, id) }
 	preferred := s.ranker.PreferredBackend(req.now, req.key, prefillers)
@@ -162,7 +166,7 @@
 	s.ranked = s.ranker.Rank(req.now, req.key, candidates, engineLoadFactor, cost, s.ranked[:0])
 	chosen := s.topRanked()
 	if split {
-		// A prefill that fails loses nothing that another backend couldn't read.
+		// A failed prefill can be repeated by another backend without loss.
 		onTrial := s.dueTrial(req, externalapi.PhasePrefill, outlier.Risk{Idempotent: true})
 		if onTrial != nil {
 			chosen = onTrial
@@ -181,14 +185,14 @@
 	pl.decode = s.chooseDecoder(req, chosen)
 }
 
-// prefillWaitMs is how long a prompt waits at a backend until it is read, and its KV cache longer than usual until it
-// is transferred. The lock is held.
+// prefillWaitMs returns the wait of a prompt at a backend: in the prefill queue, and beyond the usual time for the
+// transfer of its KV cache. The lock is held.
 func (s *service) prefillWaitMs(now float64, id string) float64 {
 	return s.engines.QueueMs(now, id) + s.engines.OutboundDelayMs(now, id)
 }
 
-// leastPrefillWaitMs is the shortest wait at a prefill backend; 0: there is none. Where all are behind, nothing is won
-// elsewhere: costs count from the least. The lock is held.
+// leastPrefillWaitMs returns the shortest wait at a prefill backend; 0: there is none. Costs are relative to it: if all
+// backends have long waits, another one is no better. The lock is held.
 func (s *service) leastPrefillWaitMs(req *placementRequest) float64 {
 	least := math.Inf(1)
 	for id := range s.byID {
@@ -202,13 +206,14 @@
 	return least
 }
 
-// prefillCostMs is the cost of reading a prompt at a backend: the wait beyond the least, what has to be read again away
-// from the preferred backend, and penalties. Up to homeWaitFactor it counts as none. The lock is held.
+// prefillCostMs returns the cost of prefilling a prompt at a backend: the wait beyond the least, the computation of
+// tokens that the preferred backend has cached, and penalties. Up to preferredWaitFactor, wait and computation count as
+// 0. The lock is held.
 func (s *service) prefillCostMs(req *placementRequest, id, preferred string, leastWaitMs float64) float64 {
 	e, target := s.engines, req.prefillTargetMs
 	cost := s.prefillWaitMs(req.now, id) - leastWaitMs
 	if id != preferred && preferred != "" {
-		// What is read again holds up all that wait: the more, the more of them there are.
+		// Recomputed tokens delay all queued prompts: the cost grows with the queue.
 		recomputeFactor := 1 + leastWaitMs/target
 		cost += max(e.PrefillMs(id, req.prompt, false)-e.PrefillMs(preferred, req.prompt, true), 0) * recomputeFactor
 	}
@@ -230,9 +235,8 @@
 	return cost + weightsPenalties[s.weightsAge(req.now, id)]*target
 }
 
-// chooseDecoder chooses the decode backend that makes the tokens of a prompt whose KV cache is held at from: one with
-// much free capacity, if possible in the same zone, and to which transfers have not been slow of late; nil: there is
-// none. The lock is held.
+// chooseDecoder selects the decode backend for a prompt whose KV cache is held at from: one with much free capacity, in
+// the same zone if possible, and without slow transfers recently; nil: there is none. The lock is held.
 func (s *service) chooseDecoder(req *placementRequest, from *backend) *backend {
 	onTrial := s.dueTrial(req, externalapi.PhaseDecode, outlier.Risk{Idempotent: req.retryable})
 	if onTrial != nil {
@@ -251,8 +255,8 @@
 	return s.topRanked()
 }
 
-// decoderClass is the class of a decode backend for a KV cache that is held at from. delay is how much longer than
-// usual transfers there take, in prefill targets. The lock is held.
+// decoderClass returns the class of a decode backend for a KV cache that is held at from. delay is the time of
+// transfers to it beyond the usual, in prefill targets. The lock is held.
 func (s *service) decoderClass(req *placementRequest, id string, from *backend, utilization, delay float64) float64 {
 	class := 0.0
 	if s.dedicated[id] {
--- a/internal/fleet/proxy/service.go
+++ b/internal/fleet/proxy/service.go
@@ -13,8 +13,8 @@
 	"molepaddle/internal/fleet/settings"
 )
 
-// service is one service's backends as this proxy sees them. Name, gate and start don't change; mu guards all the rest.
-// Times are in milliseconds since start, as now gives them.
+// service is this proxy's view of one service's backends. name, gate and start do not change; mu guards all other
+// fields. Times are in milliseconds since start, as returned by now.
 type service struct {
 	name  string
 	gate  *residency.Gate
@@ -22,31 +22,31 @@
 
 	mu          sync.Mutex
 	byID        map[string]*backend // the endpoint list
-	ranker      *ranking.Ranker     // health states and order of the backends
+	ranker      *ranking.Ranker     // health and order of the backends
 	retryBudget retryBudget
 
-	// Services whose backends run models.
-	runsModels bool                 // by the configuration in force
-	engines    *scheduler.Estimator // nil until it first runs models; kept afterwards, for requests under way
-	weights    listedWeights        // that the backends have
-	dedicated  map[string]bool      // decode backends kept for long answers, as reserveDedicated last chose
+	// State of services whose backends run models.
+	runsModels bool                 // under the configuration in force
+	engines    *scheduler.Estimator // nil until the service first runs models; kept afterwards, for requests in flight
+	weights    listedWeights        // versions of the backends' weights
+	dedicated  map[string]bool      // decode backends dedicated to long outputs, as last selected by reserveDedicated
 	pace       scheduler.StreamPace // of recent streams
 
-	// Outlier detection: what is reported to the fleet, and the trials of what it ejected.
+	// Outlier detection: reports to the fleet, and trials of ejected backends.
 	recorder *outlier.Recorder
 	trials   *outlier.Trials
 	recent   recentMeans
 
 	weightsBoundMs float64 // Bounds.Version; 0: none
 
-	ranked []string // scratch of the last ranking, so that none allocates
+	ranked []string // buffer of the last ranking, reused to avoid allocations
 }
 
-// recentMeans are the usual durations by which an attempt counts as slow.
+// recentMeans holds the usual durations, relative to which an attempt counts as slow.
 type recentMeans struct {
 	gap        runningMean            // between two events of a stream
-	firstEvent runningMean            // of a stream whose prompt was prefilled elsewhere, from its request on
-	complete   map[string]runningMean // of an answer that comes as one, by route
+	firstEvent runningMean            // to the first event of a stream whose prompt was prefilled elsewhere
+	complete   map[string]runningMean // of a non-streamed response, by route
 }
 
 // newService returns a service without backends. A backend that failed is tried again after pendingTimeout.
@@ -68,14 +68,14 @@
 	}
 }
 
-// now is the time since start in milliseconds; it doesn't go back.
+// now returns the time since start, in milliseconds, from the monotonic clock.
 func (s *service) now() float64 { return milliseconds(time.Since(s.start)) }
 
-// milliseconds is a duration in milliseconds, to the microsecond.
+// milliseconds converts a duration to milliseconds, truncated to the microsecond.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// configure applies the configuration of the service. Where it runs models no more, what is known of its engines is
-// kept: requests under way still report to it.
+// configure applies the configuration of the service. If the service no longer runs models, its estimator is kept:
+// requests in flight still report to it.
 func (s *service) configure(c *routingconfig.Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,8 +97,8 @@
 	s.syncEngines()
 }
 
-// configureRetries sets the retry budget to this proxy's part of the fleet's, by the number of proxies, and the other
-// bounds that the service needs.
+// configureRetries sets the retry budget to this proxy's share of the fleet's, by the number of proxies, and the bound
+// on outdated weights.
 func (s *service) configureRetries(bounds *settings.Bounds, proxies int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/proxy/shutdown.go
+++ b/internal/fleet/proxy/shutdown.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	// forceCloseMargin is how long before the end of the grace period what is still open is closed: the process has to
-	// end before it is killed.
+	// forceCloseMargin is how long before the end of the grace period open connections are closed: the process has to
+	// exit before it is killed.
 	forceCloseMargin = 300 * time.Millisecond
-	// firstByteTargets is how many latency targets of its route an answer may take to its first byte.
+	// firstByteTargets is how many latency targets of its route a response may take to its first byte.
 	firstByteTargets = 4
-	// paceFactor is how many times as slowly as in recent streams the events of a stream may come.
+	// paceFactor is the multiple of the event gap in recent streams that is assumed for a stream.
 	paceFactor = 2
-	// retryElsewhereAfter is the least Retry-After of a draining proxy: a client that retries then meets another one.
+	// retryElsewhereAfter is the least Retry-After of a draining proxy, for a client whose retry reaches another proxy.
 	retryElsewhereAfter = 10 * time.Millisecond
-	// manyProxiesPerZone is how many proxies a zone has to have for a client that retries at once to meet another one
-	// nearly always. With fewer it meets the draining one too often, and most clients retry but once.
+	// manyProxiesPerZone is the number of proxies in a zone from which an immediate retry nearly always reaches another
+	// proxy. With fewer it reaches the draining one too often, and most clients retry only once.
 	manyProxiesPerZone = 5
 )
 
-// gracefulShutdown is a proxy's shutdown: when its listener and its connections are closed, and the requests that
-// arrived since it began. Its zero value is that of a proxy that serves on. It may be used from any goroutine.
+// gracefulShutdown is the state of a proxy's shutdown: when its listener and its connections are closed, and the
+// requests that arrived since it began. The zero value is that of a proxy that is not shutting down. It may be used
+// from any goroutine.
 type gracefulShutdown struct {
 	mu    sync.Mutex
 	state drainState // guarded by mu
 
-	closeAt  atomic.Pointer[time.Time] // when open connections are closed; nil: the proxy serves on
-	accepted atomic.Int64              // requests that arrived since it began
-	inFlight atomic.Int64              // those of them that are under way
-	late     atomic.Int64              // those of these that came after the acceptWindow
-	rejected atomic.Int64              // those that were rejected as they might outlast the proxy
+	closeAt  atomic.Pointer[time.Time] // when open connections are closed; nil: not shutting down
+	accepted atomic.Int64              // requests that arrived since the shutdown began
+	inFlight atomic.Int64              // those of them in flight
+	late     atomic.Int64              // those in flight that arrived after the acceptWindow
+	rejected atomic.Int64              // those rejected because they might outlast the proxy
 
-	changed chan struct{} // signalled, without waiting, when the state is to be stepped
+	changed chan struct{} // signalled, without blocking, when step has to be called again
 }
 
-// begin begins the shutdown: what is open is closed at the time given. first is as newDrainState has it.
+// begin starts the shutdown; open connections are closed at closeAt. For closesEarly see newDrainState.
 func (gs *gracefulShutdown) begin(now, closeAt time.Time, closesEarly bool) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
@@ -56,17 +57,17 @@
 // began reports whether the shutdown has begun.
 func (gs *gracefulShutdown) began() bool { return gs.closeAt.Load() != nil }
 
-// setPeers records which proxies serve.
+// setPeers records the number of serving proxies.
 func (gs *gracefulShutdown) setPeers(now peers) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
 	gs.state.peers = now
 	if gs.began() {
-		gs.signal() // who serves decides when this proxy may close
+		gs.signal() // the number of serving proxies decides when this one may close
 	}
 }
 
-// connected tells of a new connection.
+// connected records a new connection.
 func (gs *gracefulShutdown) connected(now time.Time) {
 	if !gs.began() {
 		return
@@ -76,15 +77,15 @@
 	gs.state.connected(now)
 }
 
-// step steps the state, where so many requests are under way in all.
+// step advances the drain, given the number of requests in flight.
 func (gs *gracefulShutdown) step(now time.Time, open int64) (phase drainPhase, next time.Time) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
 	return gs.state.step(now, open-gs.late.Load())
 }
 
-// outlasts reports whether an answer that may take so long, and has to be complete by the deadline, may come after the
-// proxy has closed its connections.
+// outlasts reports whether a response that takes up to longest, and has to be complete by the deadline, may end after
+// the proxy has closed its connections.
 func (gs *gracefulShutdown) outlasts(now, deadline time.Time, longest time.Duration) bool {
 	end := gs.closeAt.Load()
 	if end == nil || !deadline.After(*end) {
@@ -93,7 +94,7 @@
 	return now.Add(longest).After(*end)
 }
 
-// track counts a request that arrives during the shutdown. The caller calls ended when it is over.
+// track counts a request that arrives during the shutdown. The caller calls ended when the request has ended.
 func (gs *gracefulShutdown) track(now time.Time) (ended func()) {
 	gs.mu.Lock()
 	late := gs.began() && !gs.state.inWindow(now)
@@ -111,14 +112,14 @@
 	}
 }
 
-// requestEnded has the state stepped, as a request that it may wait for is over.
+// requestEnded triggers a step, as the drain may have been waiting for the request.
 func (gs *gracefulShutdown) requestEnded() {
 	if gs.began() {
 		gs.signal()
 	}
 }
 
-// signal has the state stepped.
+// signal triggers a step.
 func (gs *gracefulShutdown) signal() {
 	select {
 	case gs.changed <- struct{}{}:
@@ -126,17 +127,17 @@
 	}
 }
 
-// retryAfter is when a rejected client is to retry.
+// retryAfter returns when a rejected client should retry.
 func (gs *gracefulShutdown) retryAfter(now time.Time, proxiesInZone int) time.Duration {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
 	return gs.state.retryAfter(now, proxiesInZone)
 }
 
-// longestAnswer is how long an answer may take, at most the time left to the deadline: firstByteTargets latency
-// targets to its first byte, and for a stream as long from there on as all of its tokens take one by one, each with
-// the longest gap that the route allows, or paceFactor times the gap of recent streams if that is less. Where the
-// route or the prompt doesn't bound it, it is the time left.
+// longestAnswer returns the longest duration of the response, at most the time left to the deadline. It allows
+// firstByteTargets latency targets to the first byte, and for a stream in addition the time for all of its tokens one
+// by one, each with the longest gap that the route allows, or paceFactor times the gap of recent streams if that is
+// less. If the route or the prompt sets no bound, it is the time left.
 func (cr *clientRequest) longestAnswer(now time.Time, prompt *scheduler.Prompt) time.Duration {
 	remaining := cr.deadline.Sub(now)
 	first := firstByteTargets * cr.route.LatencyTarget()
@@ -150,13 +151,13 @@
 		return remaining
 	}
 	tokens := time.Duration(prompt.MaxOutputTokens)
-	if tokens > remaining/gap { // compared before it is multiplied: a client may name any number
+	if tokens > remaining/gap { // divided rather than multiplied, against overflow: a client may send any number
 		return remaining
 	}
 	return min(first+tokens*gap, remaining)
 }
 
-// longestEventGap is the longest time that is expected between two events of a stream; 0: nothing bounds it.
+// longestEventGap returns the longest expected time between two events of a stream; 0: unbounded.
 func (cr *clientRequest) longestEventGap() time.Duration {
 	gap := cr.route.EventGapTarget()
 	pace := paceFactor * cr.svc.slowestPace()
@@ -166,8 +167,8 @@
 	return gap
 }
 
-// rejectIfOutlastsDrain rejects a request whose answer may outlast a draining proxy, and reports whether it did. No backend
-// has seen the request, and its client has time to retry at a proxy that stays.
+// rejectIfOutlastsDrain rejects a request whose response may outlast a draining proxy, and reports whether it did. No
+// backend has seen the request, and its client has time to retry at another proxy.
 func (cr *clientRequest) rejectIfOutlastsDrain(prompt *scheduler.Prompt) bool {
 	shutdown := &cr.proxy.shutdown
 	if !shutdown.began() {
@@ -187,10 +188,10 @@
 	return true
 }
 
-// drainAndClose shuts the proxy down and blocks until that is done, for the platform's grace period at the most. From
-// its call on, the proxy isn't ready, and answers close their connections. New requests are still served while clients
-// have nowhere else to go (drainState); then the listener and idle connections are closed, and the requests under way
-// have the rest of the grace period.
+// drainAndClose shuts the proxy down and blocks until that is done, for at most the platform's grace period. From the
+// call on, the proxy is not ready, and responses close their connections. New requests are still served while the
+// platform may send clients here (see drainState); then the listener and idle connections are closed, and the requests
+// in flight have the rest of the grace period.
 func (p *Proxy) drainAndClose(server *http.Server) {
 	began := time.Now()
 	grace := p.settings.Bounds.Grace
@@ -217,7 +218,7 @@
 		zap.Duration("took", time.Since(began)))...)
 }
 
-// awaitListenerClose blocks until the listener is to be closed.
+// awaitListenerClose blocks until the listener has to be closed.
 func (p *Proxy) awaitListenerClose() {
 	for {
 		now := time.Now()
--- a/internal/fleet/proxy/streaming.go
+++ b/internal/fleet/proxy/streaming.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream, in bytes: the buffer doesn't grow beyond it.
+	// maxEventBytes bounds one event of a stream, and with it the buffer, in bytes.
 	maxEventBytes = 1 << 20
-	// eventBufferBytes is the buffer of a stream at first, in bytes.
+	// eventBufferBytes is the initial buffer of a stream, in bytes.
 	eventBufferBytes = 4 << 10
-	// paceSampleEvents is how many events a pace sample has.
+	// paceSampleEvents is the number of events in a pace sample.
 	paceSampleEvents = 16
 )
 
-// streamRelay relays a stream to the client in complete events only, so that another backend can go on with it after
-// the last one. It belongs to the goroutine that serves the request.
+// streamRelay relays a stream to the client in complete events only, so that another backend can continue after the
+// last one. It belongs to the goroutine that serves the request.
 type streamRelay struct {
 	cr        *clientRequest
-	backendID string // of the backend that the stream comes from
+	backendID string // id of the backend that sends the stream
 
-	// What the client has: with headerSent its answer has begun, and lastID names its last event.
+	// State at the client: headerSent means that its response has started, and lastID is the id of its last event.
 	headerSent bool
 	lastID     string
 
-	// The pace sample under way, which begins with the first events: what is before them is the wait for a batch slot.
+	// The current pace sample. It starts with the first events, as the time before them is the wait for a batch slot.
 	sampleEvents int
 	sampleStart  time.Time // zero: no sample has begun
 
-	// All events, of all backends.
+	// Totals over all backends.
 	totalEvents  int
 	firstEventAt time.Time
 	lastEventAt  time.Time
 }
 
-// meanGapMs returns the mean time between two events, ms; 0: fewer than two came.
+// meanGapMs returns the mean time between two events, ms; 0: fewer than two arrived.
 func (r *streamRelay) meanGapMs() float64 {
 	if r.totalEvents < 2 {
 		return 0
@@ -48,14 +48,14 @@
 	return float64(r.lastEventAt.Sub(r.firstEventAt).Microseconds()) / 1000 / float64(r.totalEvents-1)
 }
 
-// resumeAt has the stream go on from another backend.
+// resumeAt records that another backend continues the stream.
 func (r *streamRelay) resumeAt(backendID string) {
 	r.backendID = backendID
 	r.sampleStart = time.Time{}
 }
 
 // copyEvents relays events until the stream ends, and finishes the exchange. first is called once, when the first event
-// has come. An error says that the stream broke off; what was relayed until then stays relayed.
+// has arrived. An error means that the stream broke off; events relayed before remain sent.
 func (r *streamRelay) copyEvents(ctx context.Context, e *exchange, first func()) error {
 	in := eventReader{body: e.resp.Body, isEvents: isEventStream(e.resp), buf: make([]byte, 0, eventBufferBytes)}
 	flush := http.NewResponseController(r.cr.w)
@@ -100,8 +100,8 @@
 	}
 }
 
-// eventDeadline is until when an event is waited for. A first event has a time of its own; between events only the
-// request's deadline bounds the wait.
+// eventDeadline returns until when the next event is awaited. The first event has a deadline of its own; between events
+// only the request's deadline bounds the wait.
 func (r *streamRelay) eventDeadline(gotEvent bool) time.Time {
 	if !gotEvent && !r.headerSent {
 		return r.cr.headerDeadline()
@@ -109,7 +109,7 @@
 	return r.cr.deadline
 }
 
-// sendHeader sends the head of the answer, once.
+// sendHeader sends the head of the response, once.
 func (r *streamRelay) sendHeader(resp *http.Response) {
 	if r.headerSent {
 		return
@@ -119,7 +119,7 @@
 	r.cr.w.WriteHeader(resp.StatusCode)
 }
 
-// write gives complete events to the client. The error is errClientGone.
+// write writes complete events to the client. The error is errClientGone.
 func (r *streamRelay) write(resp *http.Response, events []byte, isEvents bool) error {
 	r.sendHeader(resp)
 	if isEvents {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// scanEvents keeps the id of the last event, and counts the events.
+// scanEvents records the id of the last event, and counts the events.
 func (r *streamRelay) scanEvents(events []byte) {
 	count := 0
 	for line := range bytes.Lines(events) {
@@ -143,7 +143,7 @@
 	r.countEvents(count)
 }
 
-// countEvents counts events that came now, and records the pace of a sample that is complete.
+// countEvents counts newly arrived events, and records the pace of a complete sample.
 func (r *streamRelay) countEvents(events int) {
 	now := time.Now()
 	if r.totalEvents == 0 {
@@ -171,11 +171,12 @@
 // eventReader reads a stream and finds the ends of its events.
 type eventReader struct {
 	body     io.Reader
-	isEvents bool   // else every read is complete by itself
-	buf      []byte // what has come and is not relayed yet
+	isEvents bool   // false: each read is complete by itself
+	buf      []byte // received and not relayed yet
 }
 
-// grow makes space for more of an event that has filled the buffer. The error is that of an event over maxEventBytes.
+// grow makes space for the rest of an event that has filled the buffer. It returns an error if the event is longer than
+// maxEventBytes.
 func (er *eventReader) grow() error {
 	if len(er.buf) < cap(er.buf) {
 		return nil
@@ -189,14 +190,14 @@
 	return nil
 }
 
-// read reads what has come, as io.Reader does. There has to be space.
+// read reads the available bytes into the free space of the buffer, as io.Reader does. The buffer must not be full.
 func (er *eventReader) read() error {
 	n, err := er.body.Read(er.buf[len(er.buf):cap(er.buf)])
 	er.buf = er.buf[:len(er.buf)+n]
 	return err
 }
 
-// complete returns what may be relayed: complete events, or, at the end of the stream, all there is.
+// complete returns the bytes that may be relayed: complete events, or everything at the end of the stream.
 func (er *eventReader) complete(ended bool) []byte {
 	if !er.isEvents || ended {
 		return er.buf
@@ -211,12 +212,12 @@
 // drop removes the first n bytes, which have been relayed.
 func (er *eventReader) drop(n int) { er.buf = append(er.buf[:0], er.buf[n:]...) }
 
-// isEventStream reports whether an answer is a stream of server-sent events.
+// isEventStream reports whether a response is a stream of server-sent events.
 func isEventStream(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// streamError is the error of a stream that broke off in a read.
+// streamError returns the error of a stream that broke off in a read.
 func streamError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/internal/fleet/proxy/trials.go
+++ b/internal/fleet/proxy/trials.go
@@ -6,7 +6,7 @@
 )
 
 // applyEjections applies the ejections in force, as far as they concern proxies of the zone: an ejected backend gets
-// trials only. One that is no longer ejected is restored.
+// only trial requests. A backend that is no longer ejected is restored.
 func (s *service) applyEjections(ejections []distribution.Ejection, zone string, proxies outlier.ProxyCount) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,14 +21,14 @@
 	}
 }
 
-// dueTrial is the ejected backend of a phase that the request is to try, which counts as tried then; nil: there is
-// none. The lock is held.
+// dueTrial returns the ejected backend of a phase that should get the request as its trial, and records the trial; nil:
+// none is due. The lock is held.
 func (s *service) dueTrial(req *placementRequest, phase string, risk outlier.Risk) *backend {
 	among := func(id string) bool { return s.triable(id) && s.eligible(req, id, phase) }
 	return s.byID[s.trials.NextTrial(req.now, risk, among)]
 }
 
-// triable reports whether an ejected backend may be sent to at all: it is listed and not draining. The lock is held.
+// triable reports whether an ejected backend may get a trial request: it is listed and not draining. The lock is held.
 func (s *service) triable(id string) bool {
 	b := s.byID[id]
 	return b != nil && !b.Draining
--- a/internal/fleet/proxy/upstreams.go
+++ b/internal/fleet/proxy/upstreams.go
@@ -8,15 +8,15 @@
 	"molepaddle/internal/fleet/scheduler"
 )
 
-// backend is a listed backend with its endpoint, which holds the connections to it. It is immutable: a changed entry of
-// the list makes a new one.
+// backend is a listed backend with its endpoint, which owns the connections to it. It is immutable: a changed list
+// entry creates a new one.
 type backend struct {
 	distribution.Backend
 	endpoint *residency.Endpoint
 }
 
-// updateEndpoints applies the service's part of the endpoint list. Of an id that is listed twice the first entry
-// counts. A backend with a new address is a new one: what is held of connections to the old address is closed.
+// updateEndpoints applies the service's part of the endpoint list. If an id is listed twice the first entry counts. A
+// changed address makes a new backend: connections to the old address are closed.
 func (s *service) updateEndpoints(list []distribution.Backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +47,8 @@
 	s.syncEngines()
 }
 
-// updateBackend returns the backend for an entry of the list. It keeps the connections to one whose address stays. The
-// lock is held.
+// updateBackend returns the backend for a list entry. It keeps the connections if the address has not changed. The lock
+// is held.
 func (s *service) updateBackend(b distribution.Backend) *backend {
 	old := s.byID[b.ID]
 	if old != nil && old.Address == b.Address {
@@ -61,7 +61,7 @@
 	return &backend{Backend: b, endpoint: s.gate.Endpoint(b.ID, b.Address, b.Zone)}
 }
 
-// syncEngines gives the estimator the list of backends. The lock is held.
+// syncEngines passes the list of backends to the estimator. The lock is held.
 func (s *service) syncEngines() {
 	if s.engines == nil {
 		return
@@ -73,8 +73,8 @@
 	s.engines.SetBackends(all)
 }
 
-// withinTerms reports whether a listed backend may hold data under the terms. Callers ask only for requests that have
-// terms, so that the others don't pay for the check. The lock is held.
+// withinTerms reports whether a listed backend may hold data under the terms. It is called only for requests that have
+// terms, to save the cost of the check for others. The lock is held.
 func (s *service) withinTerms(id string, terms residency.Terms) bool {
 	return s.byID[id].endpoint.Allowed(terms)
 }
--- a/internal/fleet/proxy/weights.go
+++ b/internal/fleet/proxy/weights.go
@@ -1,28 +1,28 @@
 package proxy
 
 const (
-	// olderWeightsPenalty is what a prompt may wait longer, in prefill targets, to be read by the newest weights that
-	// are listed: an answer by older ones is worth less, but a late one as well.
+	// olderWeightsPenalty is the additional wait, in prefill targets, that is accepted for a prefill with the newest
+	// listed weights: a response from older weights has less value, but so has a late one.
 	olderWeightsPenalty = 2
-	// outdatedWeightsPenalty takes its place once the newest have been listed for Bounds.Version: an answer by older
-	// ones is worth nothing then, so that they serve only where nothing else is left.
+	// outdatedWeightsPenalty replaces it once the newest weights have been listed for Bounds.Version: a response from
+	// older ones has no value then, so that they are used only if no other backend is left.
 	outdatedWeightsPenalty = longPromptPenalty
 
-	// Classes of decode backends, added to those of a long answer.
+	// Classes of decode backends, added to those of a long output.
 
 	olderWeightsClass    = 1
 	outdatedWeightsClass = 10
-	// otherWeightsClass is added for a KV cache that other weights made: the backend would reject it.
+	// otherWeightsClass is added for a KV cache that was computed with other weights: the backend would reject it.
 	otherWeightsClass = 16
 )
 
-// listedWeights is the newest version of weights that a service's backends have, by the list.
+// listedWeights is the newest version of weights among a service's listed backends.
 type listedWeights struct {
 	newest int64
-	since  float64 // when it was first listed, ms; 0 for what was there at first
+	since  float64 // when it was first listed, ms; 0 for the version of the first list
 }
 
-// observe takes the versions of a list.
+// observe updates the newest version from an endpoint list.
 func (w *listedWeights) observe(now float64, newest int64) {
 	if newest > w.newest && w.newest != 0 {
 		w.since = now
@@ -30,7 +30,8 @@
 	w.newest = newest
 }
 
-// outdated reports whether backends with older weights have been outdated for longer than a bound, ms; 0: never.
+// outdated reports whether the newest version has been listed for longer than a bound, in milliseconds, so that older
+// weights are outdated; a bound of 0 disables the check.
 func (w *listedWeights) outdated(now, boundMs float64) bool {
 	return boundMs > 0 && w.since > 0 && now-w.since > boundMs
 }
@@ -38,16 +39,16 @@
 // hasOlderWeights reports whether a backend has older weights than others of its service. The lock is held.
 func (s *service) hasOlderWeights(id string) bool { return s.byID[id].Weights < s.weights.newest }
 
-// weightsAge says how a backend's weights compare with the newest that are listed.
+// weightsAge compares a backend's weights with the newest that are listed.
 type weightsAge uint8
 
 const (
 	newestWeights   weightsAge = iota
-	olderWeights               // an answer by them is worth less
-	outdatedWeights            // it is worth nothing any more
+	olderWeights               // a response from them has less value
+	outdatedWeights            // a response from them has no value any more
 )
 
-// weightsAge returns that of a backend. The lock is held.
+// weightsAge returns the age of a backend's weights. The lock is held.
 func (s *service) weightsAge(now float64, id string) weightsAge {
 	switch {
 	case !s.hasOlderWeights(id):
@@ -58,14 +59,14 @@
 	return olderWeights
 }
 
-// weightsPenalties are those for reading a prompt at a backend, in prefill targets.
+// weightsPenalties are the penalties for a prefill at a backend, in prefill targets.
 var weightsPenalties = [...]float64{
 	newestWeights:   0,
 	olderWeights:    olderWeightsPenalty,
 	outdatedWeights: outdatedWeightsPenalty,
 }
 
-// weightsClasses are added to the class of a decode backend for a long answer.
+// weightsClasses are added to the class of a decode backend for a long output.
 var weightsClasses = [...]float64{
 	newestWeights:   0,
 	olderWeights:    olderWeightsClass,
