--- a/internal/fleet/proxy/accountheaders_test.go
+++ b/internal/fleet/proxy/accountheaders_test.go
@@ -47,19 +47,19 @@
 func newAccountsRig(tb testing.TB, engines ...simulation.EngineSettings) *rig {
 	tb.Helper()
 	r := newRig(tb, engines...)
-	r.proxy.settings.Bounds.Apply = testPatience // for as long as these tests take no newer version can bind
+	r.proxy.settings.Bounds.Apply = testTimeout // for as long as these tests take no newer version can bind
 	doc := withAccounts(r.document())
 	applyResource(r.proxy, distribution.ConfigType, uint64(r.version), doc)
 	r.Assert(r.proxy.snapshot.Load().version, qt.Equals, int64(r.version))
-	r.history = append(r.history, simulation.Term{From: time.Now()})
+	r.termsHistory = append(r.termsHistory, simulation.Term{From: time.Now()})
 	return r
 }
 
 // bearer is an Authorization field with a key.
 func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
-// merged returns the fields of several headers.
-func merged(headers ...http.Header) http.Header {
+// mergeHeaders returns the fields of several headers.
+func mergeHeaders(headers ...http.Header) http.Header {
 	out := http.Header{}
 	for _, h := range headers {
 		for name, values := range h {
@@ -69,9 +69,9 @@
 	return out
 }
 
-// askWith returns a request to a route with further fields.
-func askWith(route string, own int, tokens [2]int, header http.Header) simulation.Request {
-	q := ask(route, own, own, tokens)
+// routeRequestWith returns a request to a route with further fields.
+func routeRequestWith(route string, own int, tokens [2]int, header http.Header) simulation.Request {
+	q := routeRequest(route, own, own, tokens)
 	q.Header = header
 	return q
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// checkAccounts judges all that happened by the accounts, beside what clean does. Call it before.
-func (r *rig) checkAccounts() {
+// checkAccountFindings judges all that happened by the accounts, beside what clean does. Call it before.
+func (r *rig) checkAccountFindings() {
 	r.Helper()
 	j := &simulation.Judge{Engines: r.engines, Clients: []*simulation.Client{r.client}, Tenants: accountKeys}
 	r.Check(j.Findings(), qt.HasLen, 0)
@@ -114,7 +114,7 @@
 // TestForgedTenantReachesNoBackend has clients send a tenant's name in every way that a field can be sent, with a key
 // and on a public route without one or with one that nobody has: backends get the name of the key's tenant, or none.
 func TestForgedTenantReachesNoBackend(t *testing.T) {
-	r := newAccountsRig(t, everywhere(nil)...)
+	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	forgeries := map[string]http.Header{
 		"none":             nil,
 		"once":             {"X-Molepaddle-Tenant": {"urgent"}},
@@ -151,20 +151,20 @@
 			{publicRoute, "", http.Header{"Authorization": {"Bearer " + plainKey, "Bearer " + urgentKey}}},
 		} {
 			what := fmt.Sprintf("%s, %s with %v", name, one.route, one.key)
-			got := r.client.Do(r.Context(), askWith(one.route, i, [2]int{220, 4}, merged(forged, one.key)))
+			got := r.client.Do(r.Context(), routeRequestWith(one.route, i, [2]int{220, 4}, mergeHeaders(forged, one.key)))
 			r.Check(got.OK(), qt.IsTrue, qt.Commentf("%s: %d %v", what, got.Status, got.Err))
 			r.checkTenant(got, one.tenant, what)
 		}
 	}
-	r.checkAccounts()
-	r.clean()
+	r.checkAccountFindings()
+	r.closeAndCheck()
 }
 
-// TestKeysByWording has clients word their key in many ways: one Authorization field with the scheme in any case and
+// TestAuthorizationFieldForms has clients word their key in many ways: one Authorization field with the scheme in any case and
 // the very key counts; anything else is answered with 401 and reaches no backend, and on a public route it runs for no
 // tenant.
-func TestKeysByWording(t *testing.T) {
-	r := newAccountsRig(t, everywhere(nil)...)
+func TestAuthorizationFieldForms(t *testing.T) {
+	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	authorization := func(values ...string) http.Header { return http.Header{"Authorization": values} }
 	for _, one := range []struct {
 		name   string
@@ -179,7 +179,7 @@
 		{"spaces around", authorization("  Bearer " + plainKey + "  "), true},
 		{"the same twice", authorization("Bearer "+plainKey, "Bearer "+plainKey), false},
 		{"two", authorization("Bearer "+plainKey, "Bearer "+urgentKey), false},
-		{"twice, in two cases", merged(bearer(plainKey), http.Header{"AUTHORIZATION": {"Bearer x"}}), false},
+		{"twice, in two cases", mergeHeaders(bearer(plainKey), http.Header{"AUTHORIZATION": {"Bearer x"}}), false},
 		{"two in one field", authorization("Bearer " + plainKey + ", Bearer " + urgentKey), false},
 		{"another scheme", authorization("Basic " + plainKey), false},
 		{"no scheme", authorization(plainKey), false},
@@ -200,12 +200,12 @@
 		if one.known {
 			tenant = "plain"
 		}
-		open := r.client.Do(r.Context(), askWith(publicRoute, 0, [2]int{}, one.header))
+		open := r.client.Do(r.Context(), routeRequestWith(publicRoute, 0, [2]int{}, one.header))
 		r.Check(open.OK(), qt.IsTrue, qt.Commentf("%s, public: %d %v", one.name, open.Status, open.Err))
 		r.checkTenant(open, tenant, one.name+", public")
 		for _, route := range []string{"read", "post", "once"} {
 			what := one.name + ", " + route
-			got := r.client.Do(r.Context(), askWith(route, 0, [2]int{220, 4}, one.header))
+			got := r.client.Do(r.Context(), routeRequestWith(route, 0, [2]int{220, 4}, one.header))
 			if one.known {
 				r.Check(got.OK(), qt.IsTrue, qt.Commentf("%s: %d %v", what, got.Status, got.Err))
 				r.checkTenant(got, tenant, what)
@@ -215,19 +215,19 @@
 			r.Check(r.arrivals(got.Attempt), qt.HasLen, 0, qt.Commentf("%s came to a backend", what))
 		}
 	}
-	r.checkAccounts()
-	r.clean()
+	r.checkAccountFindings()
+	r.closeAndCheck()
 }
 
 // TestFieldNamesWithSpaceAreRejected has a client put a space into the name of a field, so that it is neither the
 // tenant's nor the key's by the letter and may be to a backend that is lenient: no backend gets such a request.
 func TestFieldNamesWithSpaceAreRejected(t *testing.T) {
-	r := newAccountsRig(t, everywhere(nil)...)
+	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	for _, field := range []string{"X-Molepaddle-Tenant : urgent", " X-Molepaddle-Tenant: urgent",
 		"Authorization : Bearer " + urgentKey, "X-Molepaddle-Tenant\t: urgent", "X-Molepaddle-Tenant\x00: urgent"} {
 		conn, err := net.Dial("tcp", r.client.Edge)
 		r.Assert(err, qt.IsNil)
-		_ = conn.SetDeadline(time.Now().Add(testPatience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		_, err = fmt.Fprintf(conn, "GET /%s/x HTTP/1.1\r\n%s\r\nHost: h\r\nX-Molepaddle-Attempt-Id: spaced\r\n"+
 			"Authorization: Bearer %s\r\nConnection: close\r\n\r\n", publicRoute, field, plainKey)
 		r.Assert(err, qt.IsNil)
@@ -242,11 +242,11 @@
 
 // TestTrailersReachNoBackend has a client send a tenant and a key after its body: they are no fields of the request.
 func TestTrailersReachNoBackend(t *testing.T) {
-	r := newAccountsRig(t, everywhere(nil)...)
+	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	conn, err := net.Dial("tcp", r.client.Edge)
 	r.Assert(err, qt.IsNil)
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testPatience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	_, err = fmt.Fprintf(conn, "POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Molepaddle-Attempt-Id: trailed\r\n"+
 		"Trailer: X-Molepaddle-Tenant, Authorization\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"+
 		"4\r\ndata\r\n0\r\nX-Molepaddle-Tenant: urgent\r\nAuthorization: Bearer %s\r\n\r\n", publicRoute, plainKey)
@@ -258,20 +258,20 @@
 	r.checkTenant(simulation.Result{Request: simulation.Request{Attempt: "trailed"}}, "", "trailers")
 }
 
-// TestTenantOfARequestIsThatOfItsReceipt has a key go to another tenant, and its account away, while a stream is under
+// TestTenantIsFixedAtArrival has a key go to another tenant, and its account away, while a stream is under
 // way that breaks off later: the stream is resumed for the tenant under which it was received, and the next request is
 // the new tenant's.
-func TestTenantOfARequestIsThatOfItsReceipt(t *testing.T) {
-	r := newAccountsRig(t, everywhere(nil)...)
+func TestTenantIsFixedAtArrival(t *testing.T) {
+	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	var moved sync.Once
-	r.at = func() {
+	r.onStreamStart = func() {
 		moved.Do(func() {
 			doc := strings.Replace(string(withAccounts(r.document())), `{"name":"plain",`, `{"name":"heir",`, 1)
 			applyResource(r.proxy, distribution.ConfigType, uint64(r.version), []byte(doc))
 		})
 	}
 	setFaults(r.engines, simulation.Faults{CutAfter: 2})
-	q := askWith("free", 0, [2]int{220, 8}, bearer(plainKey))
+	q := routeRequestWith("free", 0, [2]int{220, 8}, bearer(plainKey))
 	got := r.client.Do(r.Context(), q)
 	r.checkTenant(got, "plain", "the stream")
 	resumed := slices.ContainsFunc(r.arrivals(got.Attempt), func(en simulation.Entry) bool {
@@ -280,8 +280,8 @@
 	r.Check(resumed, qt.IsTrue, qt.Commentf("the stream wasn't resumed"))
 
 	setFaults(r.engines, simulation.Faults{})
-	r.checkTenant(r.client.Do(r.Context(), askWith("read", 0, [2]int{}, bearer(plainKey))), "heir", "the next request")
-	r.checkTenant(r.client.Do(r.Context(), askWith("read", 0, [2]int{}, bearer(lateKey))), "late", "another's")
+	r.checkTenant(r.client.Do(r.Context(), routeRequestWith("read", 0, [2]int{}, bearer(plainKey))), "heir", "the next request")
+	r.checkTenant(r.client.Do(r.Context(), routeRequestWith("read", 0, [2]int{}, bearer(lateKey))), "late", "another's")
 }
 
 // countCalls counts the calls that a request came to, by what they are.
@@ -324,7 +324,7 @@
 	seen := map[string]int{}
 	play := func(route string, tokens [2]int, lastEvent int) {
 		for own := range 6 {
-			q := askWith(route, own, tokens, merged(bearer(plainKey), http.Header{"X-Molepaddle-Tenant": {"urgent"}}))
+			q := routeRequestWith(route, own, tokens, mergeHeaders(bearer(plainKey), http.Header{"X-Molepaddle-Tenant": {"urgent"}}))
 			q.LastEvent = lastEvent
 			got := r.client.Do(r.Context(), q)
 			r.checkTenant(got, "plain", fmt.Sprintf("%s of %d tokens", route, tokens[0]))
@@ -348,15 +348,15 @@
 		r.Check(seen[what] > 0, qt.IsTrue, qt.Commentf("%s: none of %v", what, seen))
 	}
 	t.Logf("calls seen: %v", seen)
-	r.checkAccounts()
-	r.clean()
+	r.checkAccountFindings()
+	r.closeAndCheck()
 }
 
-// TestAccountPriorityGoesBeforeTheRoutes has accounts with and without a priority send prompts, along with a Priority
+// TestAccountPriorityOverridesRoutePriority has accounts with and without a priority send prompts, along with a Priority
 // of their own: backends get the account's where there is one, and the route's else; 0 is left for prompts whose KV
 // cache waits.
-func TestAccountPriorityGoesBeforeTheRoutes(t *testing.T) {
-	r := newAccountsRig(t, everywhere(nil)...)
+func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
+	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	for _, one := range []struct {
 		key  string
 		want string
@@ -366,8 +366,8 @@
 		{lateKey, "9"},
 	} {
 		for _, tokens := range [][2]int{{220, 4}, {6000, 2}} {
-			header := merged(bearer(one.key), http.Header{"Priority": {"3"}})
-			got := r.client.Do(r.Context(), askWith("once", 0, tokens, header))
+			header := mergeHeaders(bearer(one.key), http.Header{"Priority": {"3"}})
+			got := r.client.Do(r.Context(), routeRequestWith("once", 0, tokens, header))
 			r.Check(got.OK(), qt.IsTrue, qt.Commentf("%s: %d %v", one.key, got.Status, got.Err))
 			came := r.arrivals(got.Attempt)
 			r.Check(len(came) > 0, qt.IsTrue)
@@ -381,22 +381,22 @@
 			}
 		}
 	}
-	r.checkAccounts()
-	r.clean()
+	r.checkAccountFindings()
+	r.closeAndCheck()
 }
 
-// TestWithoutAccountsAuthorizationIsPassedOn has a configuration without accounts: an Authorization field is the
+// TestAuthorizationIsForwardedWithoutAccounts has a configuration without accounts: an Authorization field is the
 // service's own business, and reaches it as it was sent; a tenant that a client names doesn't. With accounts in the
 // next version, and without them in the one after it, it is as that version has it.
-func TestWithoutAccountsAuthorizationIsPassedOn(t *testing.T) {
-	r := newRig(t, everywhere(nil)...)
-	r.proxy.settings.Bounds.Apply = testPatience
+func TestAuthorizationIsForwardedWithoutAccounts(t *testing.T) {
+	r := newRig(t, enginesInAllRegions(nil)...)
+	r.proxy.settings.Bounds.Apply = testTimeout
 	check := func(when string, passed bool) {
 		for _, route := range []string{"read", "post", "once", publicRoute} {
 			for _, values := range [][]string{{"Bearer " + plainKey}, {"Basic dTpw"}, {"Bearer a", "Digest b"}, {""}} {
 				what := fmt.Sprintf("%s, %s, %q", when, route, values)
 				header := http.Header{"Authorization": values, "x-molepaddle-tenant": {"urgent"}}
-				got := r.client.Do(r.Context(), askWith(route, 0, [2]int{220, 4}, header))
+				got := r.client.Do(r.Context(), routeRequestWith(route, 0, [2]int{220, 4}, header))
 				came := r.arrivals(got.Attempt)
 				if passed {
 					r.Check(got.OK(), qt.IsTrue, qt.Commentf("%s: %d %v", what, got.Status, got.Err))
@@ -420,5 +420,5 @@
 	check("while there are", false)
 	r.configure()
 	check("after", true)
-	r.clean()
+	r.closeAndCheck()
 }
--- a/internal/fleet/proxy/authenticate_planted_test.go
+++ b/internal/fleet/proxy/authenticate_planted_test.go
@@ -10,7 +10,7 @@
 var keyFaultsPlanted = flag.Bool("proxy.keyfaults", false,
 	"plant each fault of TestPlantedKeyFaults in turn and run the tests that have to find it")
 
-// keyFaults are errors by which a request may run with a key that was taken away, or is refused for one that was added.
+// keyFaults are faults by which a request may run with a revoked key, or is rejected with a newly added one.
 var keyFaults = []plantedfault.Fault{
 	{
 		Name:  "the confirmation is read after the snapshot",
@@ -82,8 +82,8 @@
 	},
 }
 
-// TestPlantedKeyFaults: the faults still fit the sources; with -proxy.keyfaults each is planted, and the tests named
-// have to find it.
+// TestPlantedKeyFaults checks that the planted texts match the sources; with -proxy.keyfaults it plants each fault, and
+// the named tests have to detect it.
 func TestPlantedKeyFaults(t *testing.T) {
 	if !*keyFaultsPlanted {
 		plantedfault.Fit(t, keyFaults)
--- a/internal/fleet/proxy/clientconn_test.go
+++ b/internal/fleet/proxy/clientconn_test.go
@@ -19,42 +19,42 @@
 
 // memoryListener gives connections in memory until it is closed.
 type memoryListener struct {
-	conns chan net.Conn
-	over  chan struct{}
+	conns  chan net.Conn
+	closed chan struct{}
 }
 
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
-	case <-l.over:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *memoryListener) Close() error {
 	select {
-	case <-l.over:
+	case <-l.closed:
 	default:
-		close(l.over)
+		close(l.closed)
 	}
 	return nil
 }
 
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// cappedEdge is the client listener of a proxy with the given limits (JSON; "" for no configuration), in a bubble with
+// clientListenerRig is the client listener of a proxy with the given limits (JSON; "" for no configuration), in a bubble with
 // its own time.
-type cappedEdge struct {
+type clientListenerRig struct {
 	*qt.C
 	proxy    *Proxy
 	listener *memoryListener
 }
 
-func startCappedEdge(c *qt.C, caps string) *cappedEdge {
+func startClientListenerRig(c *qt.C, caps string) *clientListenerRig {
 	v := New(context.Background(), settings.Settings{}, zap.NewNop())
 	v.ready.Store(true)
-	e := &cappedEdge{C: c, proxy: v, listener: &memoryListener{conns: make(chan net.Conn), over: make(chan struct{})}}
+	e := &clientListenerRig{C: c, proxy: v, listener: &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}}
 	e.configure(caps)
 	server := v.clientServer()
 	done := make(chan struct{})
@@ -69,7 +69,7 @@
 	return e
 }
 
-func (e *cappedEdge) configure(caps string) {
+func (e *clientListenerRig) configure(caps string) {
 	if caps == "" {
 		return
 	}
@@ -83,15 +83,15 @@
 }
 
 // dial opens a connection of a client.
-func (e *cappedEdge) dial() (net.Conn, *bufio.Reader) {
+func (e *clientListenerRig) dial() (net.Conn, *bufio.Reader) {
 	client, server := net.Pipe()
 	e.listener.conns <- server
 	e.Cleanup(func() { client.Close() })
 	return client, bufio.NewReader(client)
 }
 
-// ask sends a request whose head has a pause in it, and tells whether it was answered on this connection.
-func (e *cappedEdge) ask(c net.Conn, r *bufio.Reader, within time.Duration) bool {
+// served sends a request whose head has a pause in it, and tells whether it was answered on this connection.
+func (e *clientListenerRig) served(c net.Conn, r *bufio.Reader, within time.Duration) bool {
 	if _, err := io.WriteString(c, "GET /none HTTP/1.1\r\nHost: b\r\n"); err != nil {
 		return false
 	}
@@ -120,20 +120,20 @@
 		{`{"idle_timeout_ms":2000}`, 2 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			e := startCappedEdge(qt.New(t), one.caps)
+			e := startClientListenerRig(qt.New(t), one.caps)
 			c, r := e.dial()
 			for i := range 3 {
-				e.Assert(e.ask(c, r, 0), qt.IsTrue, qt.Commentf("caps %s, request %d", one.caps, i))
+				e.Assert(e.served(c, r, 0), qt.IsTrue, qt.Commentf("caps %s, request %d", one.caps, i))
 				time.Sleep(one.rest * 4 / 5)
 			}
-			e.Assert(e.ask(c, r, 0), qt.IsTrue, qt.Commentf("caps %s", one.caps))
+			e.Assert(e.served(c, r, 0), qt.IsTrue, qt.Commentf("caps %s", one.caps))
 			time.Sleep(one.rest + time.Second)
-			e.Assert(e.ask(c, r, 0), qt.IsFalse, qt.Commentf("caps %s", one.caps))
+			e.Assert(e.served(c, r, 0), qt.IsFalse, qt.Commentf("caps %s", one.caps))
 			e.configure(`{"idle_timeout_ms":90000}`)
 			c, r = e.dial()
-			e.Assert(e.ask(c, r, 0), qt.IsTrue)
+			e.Assert(e.served(c, r, 0), qt.IsTrue)
 			time.Sleep(89 * time.Second)
-			e.Assert(e.ask(c, r, 0), qt.IsTrue)
+			e.Assert(e.served(c, r, 0), qt.IsTrue)
 		})
 	}
 }
@@ -150,14 +150,14 @@
 		{`{"hdr_timeout_ms":500,"idle_timeout_ms":2000}`, 500 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			e := startCappedEdge(qt.New(t), one.caps)
+			e := startClientListenerRig(qt.New(t), one.caps)
 			c, r := e.dial()
-			e.Assert(e.ask(c, r, one.head*9/10), qt.IsTrue, qt.Commentf("caps %s", one.caps))
+			e.Assert(e.served(c, r, one.head*9/10), qt.IsTrue, qt.Commentf("caps %s", one.caps))
 			time.Sleep(time.Second)
-			e.Assert(e.ask(c, r, one.head*9/10), qt.IsTrue, qt.Commentf("caps %s", one.caps))
-			e.Assert(e.ask(c, r, one.head+time.Second), qt.IsFalse, qt.Commentf("caps %s", one.caps))
+			e.Assert(e.served(c, r, one.head*9/10), qt.IsTrue, qt.Commentf("caps %s", one.caps))
+			e.Assert(e.served(c, r, one.head+time.Second), qt.IsFalse, qt.Commentf("caps %s", one.caps))
 			c, r = e.dial()
-			e.Assert(e.ask(c, r, one.head+time.Second), qt.IsFalse, qt.Commentf("caps %s", one.caps))
+			e.Assert(e.served(c, r, one.head+time.Second), qt.IsFalse, qt.Commentf("caps %s", one.caps))
 		})
 	}
 }
--- a/internal/fleet/proxy/drain_test.go
+++ b/internal/fleet/proxy/drain_test.go
@@ -11,10 +11,10 @@
 	"molepaddle/internal/plantedfault"
 )
 
-// drainGrace is the time from the beginning of a drain to the end of all connections in these tests.
+// drainGrace is the time from the start of a drain until all connections are closed in these tests.
 const drainGrace = 7700 * time.Millisecond
 
-// What the control plane may say of the other proxies of these tests.
+// Peer counts that the control plane may report in these tests.
 var (
 	unknownPeers = peers{}
 	allServe     = peers{total: 8, serving: 7, zoneTotal: 4, zoneServing: 3}
@@ -22,9 +22,9 @@
 	fewServe     = peers{total: 8, serving: 5, zoneTotal: 4, zoneServing: 1}
 )
 
-// TestPeersAway: clients meet draining proxies where fewer than half of a zone's serve, but not where none does while
-// others do, and not where nothing is known.
-func TestPeersAway(t *testing.T) {
+// TestRoutedWhileDraining: clients reach draining proxies if fewer than half of a zone's proxies serve, but not if none
+// of the zone does while others do, and not if nothing has been reported.
+func TestRoutedWhileDraining(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		of   peers
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestPeersOfMembership counts by zone.
+// TestPeersOfMembership checks the counts by zone.
 func TestPeersOfMembership(t *testing.T) {
 	size := distribution.MembershipSize{
 		Proxies:  7,
@@ -53,15 +53,15 @@
 	qt.Check(t, peersOf(&size, "c"), qt.Equals, peers{total: 7, serving: 4})
 }
 
-// TestListenerCloses says when a draining proxy closes its listener, given when the last of its early requests ends.
+// TestListenerCloses checks when a draining proxy closes its listener, given when the last of its early requests ends.
 func TestListenerCloses(t *testing.T) {
 	latest := drainGrace - lastAcceptMargin
 	for _, tc := range []struct {
 		name   string
 		known  peers
 		first  bool
-		client time.Duration // when a new connection comes; 0: none does
-		ended  time.Duration // of the early requests
+		client time.Duration // when a new connection arrives; 0: none does
+		ended  time.Duration // when the early requests end
 		want   time.Duration
 	}{
 		{"nothing under way", allServe, true, 0, 0, acceptWindow},
@@ -81,8 +81,8 @@
 	}
 }
 
-// closesAfter plays a drain and returns when its listener is closed. It steps whenever something happens, or the drain
-// asks for it.
+// closesAfter simulates a drain and returns when its listener is closed. It steps at each event, and when the drain
+// requests it.
 func closesAfter(known peers, first bool, client, ended time.Duration) time.Duration {
 	began := time.Unix(1000, 0)
 	d := newDrainState(began, began.Add(drainGrace), first, known)
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestDrainSearch tries every order of a few events at every step of time: what the control plane says, clients that
-// come, early requests that end. Its rules hold after each.
+// TestDrainSearch tries every order of a few events at every time step: reports of the control plane, new connections,
+// and the end of early requests. The rules are checked after each step.
 func TestDrainSearch(t *testing.T) {
 	const stepTime, depth = 700 * time.Millisecond, 6
 	events := []func(d *drainState, now time.Time, early *int64){
@@ -150,36 +150,36 @@
 	t.Logf("%d steps", states)
 }
 
-// checkDrainStep says which rule a step of a drain broke.
+// checkDrainStep returns the rule that a step of a drain violates.
 func checkDrainStep(d *drainState, now time.Time, early int64, phase drainPhase, wake time.Time) error {
 	age := now.Sub(d.began)
 	latest := drainGrace - lastAcceptMargin
 	switch {
 	case d.phase == drainFinishing && phase != drainFinishing:
-		return fmt.Errorf("the listener is opened again")
+		return fmt.Errorf("the closed listener was reopened")
 	case phase == drainAccepting && age >= latest:
-		return fmt.Errorf("it accepts what it can't finish")
+		return fmt.Errorf("the proxy accepts requests that it cannot finish")
 	case phase == drainAccepting && (!wake.After(now) || wake.After(d.closeAt)):
-		return fmt.Errorf("steps again at %v", wake.Sub(d.began))
+		return fmt.Errorf("next step at %v, outside the drain", wake.Sub(d.began))
 	case phase == drainAccepting && early == 0 && age >= acceptWindow+lateCloseDelay:
-		return fmt.Errorf("it stays though it needn't")
+		return fmt.Errorf("the listener is still open without early requests")
 	case d.phase == drainFinishing || phase == drainAccepting || age >= latest:
 		return nil
 	case early > 0:
-		return fmt.Errorf("the listener is closed while the proxy has to stay anyway")
+		return fmt.Errorf("the listener is closed while early requests are in flight")
 	case age < earlyAcceptWindow:
-		return fmt.Errorf("it closes before the others know")
+		return fmt.Errorf("the listener is closed before earlyAcceptWindow")
 	case age < acceptWindow && !d.peers.routedWhileDraining():
-		return fmt.Errorf("it closes while the platform still sends it clients")
+		return fmt.Errorf("the listener is closed while the platform still sends clients")
 	case age < acceptWindow && !d.closesEarly:
-		return fmt.Errorf("all close at once")
+		return fmt.Errorf("all proxies close at once")
 	case age < acceptWindow+lateCloseDelay && !d.closesEarly && d.lateClients && !d.peers.routedWhileDraining():
-		return fmt.Errorf("all close at once though clients still come")
+		return fmt.Errorf("all proxies close at once while clients still arrive")
 	}
 	return nil
 }
 
-// TestRetryAfterWhileAllDrain: clients that can't be served come back when the draining proxies are back.
+// TestRetryAfterWhileAllDrain: clients that cannot be served are told to retry once the draining proxies are back.
 func TestRetryAfterWhileAllDrain(t *testing.T) {
 	c := qt.New(t)
 	began := time.Unix(1000, 0)
@@ -194,9 +194,9 @@
 	c.Check(d.retryAfter(closeAt, manyProxiesPerZone), qt.Equals, restartDelay, qt.Commentf("clients still come"))
 }
 
-const drainTests = "^(TestListenerCloses|TestDrainSearch|TestPeersAway|TestRetryAfterWhileAllDrain)$"
+const drainTests = "^(TestListenerCloses|TestDrainSearch|TestRoutedWhileDraining|TestRetryAfterWhileAllDrain)$"
 
-var plantedInDrain = []plantedfault.Fault{
+var drainFaults = []plantedfault.Fault{
 	{
 		Name:  "the listener closes while earlier requests last",
 		Texts: []string{"	case early > 0:\n		return drainAccepting, latest\n", ""},
@@ -249,5 +249,5 @@
 	},
 }
 
-// TestPlantedInDrain: each deliberate error of the drain is found.
-func TestPlantedInDrain(t *testing.T) { plantedfault.Find(t, plantedInDrain) }
+// TestPlantedDrainFaults checks that each planted fault of the drain is detected.
+func TestPlantedDrainFaults(t *testing.T) { plantedfault.Find(t, drainFaults) }
--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -39,14 +39,14 @@
 type nodeFault int
 
 const (
-	fine    nodeFault = iota
+	noFault nodeFault = iota
 	down              // takes no connection
 	resets            // reads a request and breaks off
 	fails             // answers 500
 	full              // has not run it
 	garbles           // answers without a seal
 	cuts              // breaks off within its answer
-	mishaps
+	numNodeFaults
 )
 
 // node is a backend of the drawn days, in memory.
@@ -55,36 +55,36 @@
 	zone               int // as the platform lists it
 	address            string
 	draining, listed   bool
-	trouble            nodeFault
+	fault              nodeFault
 }
 
 func (n *node) region() string { return drawnRegion(n.zone) }
 
-// drawn is one day: a proxy before nodes in memory, and all that happened. Its lock guards everything, since nodes
+// simulatedDay is one day: a proxy before nodes in memory, and all that happened. Its lock guards everything, since nodes
 // answer in goroutines of their own; a change may come while the proxy waits for one of them.
-type drawn struct {
+type simulatedDay struct {
 	tb    testing.TB
 	seed  uint64
 	proxy *Proxy
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	nodes   []*node
-	at      map[string]*node // who listens at an address
-	tenants map[string][]int // regions of each
-	narrow  map[string][]int // regions of a tenant's stream, where it has some of its own
-	version int
-	count   uint64
-	changes int  // of terms, list and troubles
-	midway  bool // changes may come while a request is under way
-	runs    map[string]int
-	dials   int
-	handles map[string]handleAt
-	found   []string
-	counts  map[string]int
+	mu             sync.Mutex
+	rng            *rand.Rand
+	nodes          []*node
+	nodesByAddress map[string]*node // who listens at an address
+	tenants        map[string][]int // regions of each
+	routeRegions   map[string][]int // regions of a tenant's stream, where it has some of its own
+	version        int
+	count          uint64
+	changes        int  // of terms, list and troubles
+	changeInFlight bool // changes may come while a request is under way
+	runs           map[string]int
+	dials          int
+	handles        map[string]heldHandle
+	findings       []string
+	counts         map[string]int
 }
 
-type handleAt struct {
+type heldHandle struct {
 	n     *node
 	route string
 }
@@ -92,22 +92,22 @@
 // drawnTenants are those with terms; routes are named by a letter for what they are and the tenant.
 var drawnTenants = []string{"a", "b", "c"}
 
-// newDrawn returns the day of a seed: its nodes, some of them listed, and a proxy that is configured.
-func newDrawn(tb testing.TB, seed uint64) *drawn {
+// newSimulatedDay returns the day of a seed: its nodes, some of them listed, and a proxy that is configured.
+func newSimulatedDay(tb testing.TB, seed uint64) *simulatedDay {
 	zones := map[string]string{}
 	for z := range drawnZones {
 		zones[drawnZoneName(z)] = drawnRegion(z)
 	}
-	d := &drawn{
-		tb:      tb,
-		seed:    seed,
-		rng:     rand.New(rand.NewPCG(seed, 0)),
-		at:      map[string]*node{},
-		tenants: map[string][]int{},
-		narrow:  map[string][]int{},
-		runs:    map[string]int{},
-		handles: map[string]handleAt{},
-		counts:  map[string]int{},
+	d := &simulatedDay{
+		tb:             tb,
+		seed:           seed,
+		rng:            rand.New(rand.NewPCG(seed, 0)),
+		nodesByAddress: map[string]*node{},
+		tenants:        map[string][]int{},
+		routeRegions:   map[string][]int{},
+		runs:           map[string]int{},
+		handles:        map[string]heldHandle{},
+		counts:         map[string]int{},
 	}
 	d.proxy = New(context.Background(), testSettings(zones), zap.NewNop())
 	d.proxy.pool.Close()
@@ -132,7 +132,7 @@
 			n.address = fmt.Sprintf("10.%d.0.%d:80", len(n.phase), z+1)
 			n.listed = d.rng.IntN(8) > 0
 			d.nodes = append(d.nodes, n)
-			d.at[n.address] = n
+			d.nodesByAddress[n.address] = n
 		}
 	}
 	for _, t := range drawnTenants {
@@ -143,16 +143,16 @@
 	return d
 }
 
-// find records a finding, by which the day fails.
-func (d *drawn) find(format string, args ...any) {
-	d.found = append(d.found, fmt.Sprintf(format, args...))
+// addFinding records a finding, by which the day fails.
+func (d *simulatedDay) addFinding(format string, args ...any) {
+	d.findings = append(d.findings, fmt.Sprintf(format, args...))
 }
 
 // someRegions draws one to three regions.
-func (d *drawn) someRegions() []int { return d.rng.Perm(drawnRegions)[:1+d.rng.IntN(3)] }
+func (d *simulatedDay) someRegions() []int { return d.rng.Perm(drawnRegions)[:1+d.rng.IntN(3)] }
 
-// names are the names of regions.
-func names(regions []int) []string {
+// regionNames are the regionNames of regions.
+func regionNames(regions []int) []string {
 	out := []string{}
 	for _, r := range regions {
 		out = append(out, drawnRegion(r))
@@ -161,30 +161,30 @@
 }
 
 // terms are the regions in which a route's data may be held now; false: in any.
-func (d *drawn) terms(route string) ([]int, bool) {
+func (d *simulatedDay) terms(route string) ([]int, bool) {
 	tenant := route[1:]
 	regions, ok := d.tenants[tenant]
-	if own := d.narrow[tenant]; ok && route[0] == 's' && own != nil {
+	if own := d.routeRegions[tenant]; ok && route[0] == 's' && own != nil {
 		return own, true
 	}
 	return regions, ok
 }
 
 // allowed reports whether a node may hold a route's data now.
-func (d *drawn) allowed(n *node, route string) bool {
+func (d *simulatedDay) allowed(n *node, route string) bool {
 	regions, bound := d.terms(route)
 	return !bound || slices.Contains(regions, n.zone%drawnRegions)
 }
 
 // configure gives the proxy the terms as they are.
-func (d *drawn) configure() {
+func (d *simulatedDay) configure() {
 	d.version++
 	var routes, tenants []string
 	for _, t := range append(slices.Clone(drawnTenants), "free") {
 		regions, bound := d.tenants[t]
 		of := ""
 		if bound {
-			b, _ := json.Marshal(names(regions))
+			b, _ := json.Marshal(regionNames(regions))
 			tenants = append(tenants, fmt.Sprintf(`{"name":%q,"regions":%s}`, t, b))
 			of = fmt.Sprintf(`,"tenant":%q`, t)
 		}
@@ -196,12 +196,12 @@
 		d.version, strings.Join(routes, ","), strings.Join(tenants, ","))
 	applyResource(d.proxy, distribution.ConfigType, uint64(d.version), []byte(doc))
 	if got := d.proxy.snapshot.Load(); got == nil || got.version != int64(d.version) {
-		d.find("the proxy didn't take version %d: %s", d.version, doc)
+		d.addFinding("the proxy didn't take version %d: %s", d.version, doc)
 	}
 }
 
 // routesOf are the four routes of a tenant, with its item.
-func (d *drawn) routesOf(tenant, item string) []string {
+func (d *simulatedDay) routesOf(tenant, item string) []string {
 	var routes []string
 	for _, r := range []struct{ letter, kind, svc, more string }{
 		{"r", "readonly", "obs", ""},
@@ -209,8 +209,8 @@
 		{"s", "stream", "llm", `,"resumable":true`},
 		{"o", "stream", "llm", ""},
 	} {
-		if own := d.narrow[tenant]; r.letter == "s" && own != nil {
-			b, _ := json.Marshal(names(own))
+		if own := d.routeRegions[tenant]; r.letter == "s" && own != nil {
+			b, _ := json.Marshal(regionNames(own))
 			r.more += `,"regions":` + string(b)
 		}
 		routes = append(routes, fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,`+
@@ -221,7 +221,7 @@
 }
 
 // relist gives the proxy the platform's list as it is.
-func (d *drawn) relist() {
+func (d *simulatedDay) relist() {
 	var list distribution.BackendList
 	for _, n := range d.nodes {
 		if n.listed {
@@ -243,33 +243,33 @@
 }
 
 // change has one thing happen.
-func (d *drawn) change() {
+func (d *simulatedDay) change() {
 	d.changes++
 	n := d.nodes[d.rng.IntN(len(d.nodes))]
 	switch d.rng.IntN(11) {
 	case 0, 1:
-		n.trouble = nodeFault(d.rng.IntN(int(mishaps)))
+		n.fault = nodeFault(d.rng.IntN(int(numNodeFaults)))
 	case 2: // a whole region, in one way
 		region, how := d.rng.IntN(drawnRegions), []nodeFault{down, down, resets, fails, full}[d.rng.IntN(5)]
 		for _, one := range d.nodes {
 			if one.zone%drawnRegions == region {
-				one.trouble = how
+				one.fault = how
 			}
 		}
 	case 3: // and all of it, or everything, is back
 		region := d.rng.IntN(drawnRegions + 1)
 		for _, one := range d.nodes {
 			if region == drawnRegions || one.zone%drawnRegions == region {
-				one.trouble = fine
+				one.fault = noFault
 			}
 		}
 	case 4, 5, 6:
 		t := drawnTenants[d.rng.IntN(len(drawnTenants))]
 		if d.rng.IntN(3) > 0 {
 			d.tenants[t] = d.someRegions()
-			d.narrow[t] = nil
-		} else if d.narrow[t] = nil; d.rng.IntN(2) == 0 {
-			d.narrow[t] = d.tenants[t][:1]
+			d.routeRegions[t] = nil
+		} else if d.routeRegions[t] = nil; d.rng.IntN(2) == 0 {
+			d.routeRegions[t] = d.tenants[t][:1]
 		}
 		d.configure()
 	case 7:
@@ -282,9 +282,9 @@
 		}
 	case 9: // others have the address by now, and the list lags
 		o := d.nodes[d.rng.IntN(len(d.nodes))]
-		d.at[n.address], d.at[o.address] = d.at[o.address], d.at[n.address]
+		d.nodesByAddress[n.address], d.nodesByAddress[o.address] = d.nodesByAddress[o.address], d.nodesByAddress[n.address]
 		if d.rng.IntN(2) == 0 {
-			for addr, who := range d.at {
+			for addr, who := range d.nodesByAddress {
 				who.address = addr
 			}
 			d.relist()
@@ -300,10 +300,10 @@
 	}
 }
 
-// meanwhile has something happen while a request is under way, now and then. It is called where the proxy waits: a
+// maybeChange has something happen while a request is under way, now and then. It is called where the proxy waits: a
 // change that comes between its last look at the terms and the node's first comes while the attempt is under way.
-func (d *drawn) meanwhile() bool {
-	if d.midway && d.rng.IntN(6) == 0 {
+func (d *simulatedDay) maybeChange() bool {
+	if d.changeInFlight && d.rng.IntN(6) == 0 {
 		d.change()
 		return true
 	}
@@ -312,29 +312,29 @@
 
 var errDown = errors.New("nobody listens there")
 
-// asked marks the context of a client's request: handles are released in the background, beside a request, and
+// clientRequestKey marks the context of a client's request: handles are released in the background, beside a request, and
 // nothing is to change at a time that an attempt can't know of.
-type asked struct{}
+type clientRequestKey struct{}
 
 // dial connects to the node at an address.
-func (d *drawn) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+func (d *simulatedDay) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.at[addr]
+	n := d.nodesByAddress[addr]
 	d.dials++
-	if n == nil || n.trouble == down {
+	if n == nil || n.fault == down {
 		return nil, errDown
 	}
-	if ctx.Value(asked{}) != nil {
-		d.meanwhile()
+	if ctx.Value(clientRequestKey{}) != nil {
+		d.maybeChange()
 	}
-	near, far := net.Pipe()
-	go d.serve(far, addr)
-	return near, nil
+	clientEnd, serverEnd := net.Pipe()
+	go d.serve(serverEnd, addr)
+	return clientEnd, nil
 }
 
 // serve answers on one connection until a request is answered that ends it.
-func (d *drawn) serve(c net.Conn, addr string) {
+func (d *simulatedDay) serve(c net.Conn, addr string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -363,34 +363,34 @@
 
 // event is a later event of a stream: something may happen before it, and data made outside by then is marked. over:
 // something has happened, and the proxy may be elsewhere with the request.
-func (d *drawn) event(addr string, req *http.Request, e string, over *bool) string {
+func (d *simulatedDay) event(addr string, req *http.Request, e string, over *bool) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	*over = *over || d.meanwhile()
-	n := d.at[addr]
-	if n.id == req.Header.Get(externalapi.HeaderTargetBackend) && !d.allowed(n, routeOf(req)) {
+	*over = *over || d.maybeChange()
+	n := d.nodesByAddress[addr]
+	if n.id == req.Header.Get(externalapi.HeaderTargetBackend) && !d.allowed(n, requestRoute(req)) {
 		return strings.Replace(e, "inside ", "outside", 1)
 	}
 	return e
 }
 
-// routeOf is the route of a request, by its path.
-func routeOf(r *http.Request) string {
+// requestRoute is the route of a request, by its path.
+func requestRoute(r *http.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return name
 }
 
 // answer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events;
 // over is as for event.
-func (d *drawn) answer(addr string, r *http.Request) (head string, events []string, rest string, over bool) {
+func (d *simulatedDay) answer(addr string, r *http.Request) (head string, events []string, rest string, over bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, id, route := d.at[addr], r.Header.Get(externalapi.HeaderAttemptID), routeOf(r)
+	n, id, route := d.nodesByAddress[addr], r.Header.Get(externalapi.HeaderAttemptID), requestRoute(r)
 	say := func(status int, body string, more ...string) string {
 		return fmt.Sprintf("HTTP/1.1 %d x\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s",
 			status, externalapi.HeaderAttemptID, id, strings.Join(append(more, ""), "\r\n"), len(body), body)
 	}
-	if n.trouble == down {
+	if n.fault == down {
 		return "", nil, "", over
 	}
 	if n.id != r.Header.Get(externalapi.HeaderTargetBackend) {
@@ -404,14 +404,14 @@
 	switch {
 	case n.service == "llm" && (stage != "") != (n.phase == externalapi.PhasePrefill):
 		return say(http.StatusMisdirectedRequest, ""), nil, "on", over
-	case n.trouble == full:
+	case n.fault == full:
 		notRun := say(http.StatusServiceUnavailable, "",
 			externalapi.HeaderNotRun+": 1", externalapi.HeaderRetryAfter+": 0.05")
 		return notRun, nil, "on", over
 	}
 	// It runs: its data is held here.
 	if !d.allowed(n, route) {
-		d.find("%s of %s runs at %s in %s", id, route, n.id, n.region())
+		d.addFinding("%s of %s runs at %s in %s", id, route, n.id, n.region())
 	}
 	if from != "" && !d.takeHandle(id, route, from) {
 		return say(http.StatusServiceUnavailable, "", externalapi.HeaderNotRun+": 1"), nil, "on", over
@@ -419,9 +419,9 @@
 	if stage == "" {
 		d.runs[id]++
 	}
-	over = d.meanwhile()
+	over = d.maybeChange()
 	seal := externalapi.HeaderBackendSeal + ": s"
-	switch n.trouble {
+	switch n.fault {
 	case resets:
 		return "", nil, "", over
 	case fails:
@@ -433,18 +433,18 @@
 	switch {
 	case stage != "":
 		ref := strconv.Itoa(len(d.handles)+d.changes) + "-" + id
-		d.handles[n.id+ref] = handleAt{n, route}
+		d.handles[n.id+ref] = heldHandle{n, route}
 		return say(http.StatusOK, fmt.Sprintf(`{"kv_ref":%q,"ntok":10}`, ref), seal), nil, "on", over
 	case n.service == "llm":
 		events = drawnStream(r.Header.Get(externalapi.HeaderLastEventID), body)
 		head = fmt.Sprintf("HTTP/1.1 200 x\r\n%s: %s\r\n%s\r\n"+
 			"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 			externalapi.HeaderAttemptID, id, seal)
-		if n.trouble == cuts {
+		if n.fault == cuts {
 			return head, events[:len(events)/2], "cut", over
 		}
 		return head, append(events, "0\r\n\r\n"), "on", over
-	case n.trouble == cuts:
+	case n.fault == cuts:
 		complete := say(http.StatusOK, body, seal)
 		return complete[:len(complete)-3], nil, "", over
 	}
@@ -453,18 +453,18 @@
 
 // takeHandle takes the handle that a request names, and finds one that is another route's or lies outside; false: there
 // is none.
-func (d *drawn) takeHandle(id, route, from string) bool {
+func (d *simulatedDay) takeHandle(id, route, from string) bool {
 	at, ref, _ := strings.Cut(from, "/")
-	h, ok := d.handles[d.at[at].id+ref]
+	h, ok := d.handles[d.nodesByAddress[at].id+ref]
 	switch {
 	case !ok:
 		return false
 	case h.route != route:
-		d.find("%s of %s takes what %s left", id, route, h.route)
+		d.addFinding("%s of %s takes what %s left", id, route, h.route)
 	case !d.allowed(h.n, route):
-		d.find("%s of %s takes what lies at %s in %s", id, route, h.n.id, h.n.region())
+		d.addFinding("%s of %s takes what lies at %s in %s", id, route, h.n.id, h.n.region())
 	}
-	delete(d.handles, d.at[at].id+ref)
+	delete(d.handles, d.nodesByAddress[at].id+ref)
 	return true
 }
 
--- a/internal/fleet/proxy/drawn_test.go
+++ b/internal/fleet/proxy/drawn_test.go
@@ -21,55 +21,55 @@
 	drawnDays = flag.Uint64("drawn.days", 1000, "so many drawn days are played")
 )
 
-// once counts the answers that a request is given.
-type once struct {
+// countingRecorder counts the answers that a request is given.
+type countingRecorder struct {
 	*httptest.ResponseRecorder
-	answers int
+	responses int
 }
 
 // WriteHeader counts a header.
-func (o *once) WriteHeader(status int) {
-	o.answers++
+func (o *countingRecorder) WriteHeader(status int) {
+	o.responses++
 	o.ResponseRecorder.WriteHeader(status)
 }
 
 // Write counts a header that is implied.
-func (o *once) Write(b []byte) (int, error) {
-	if o.answers == 0 {
-		o.answers++
+func (o *countingRecorder) Write(b []byte) (int, error) {
+	if o.responses == 0 {
+		o.responses++
 	}
 	return o.ResponseRecorder.Write(b)
 }
 
-// promptly is within what a refusal comes: nodes answer at once, so that there is nothing to wait for.
-const promptly = 10 * time.Millisecond
+// rejectionBound is within what a refusal comes: nodes answer at once, so that there is nothing to wait for.
+const rejectionBound = 10 * time.Millisecond
 
 // drawnRequest is one request, what stood when it was made, and what it came to.
 type drawnRequest struct {
-	d       *drawn
-	id      string
-	route   string // its first letter is its kind
-	stream  bool
-	usable  bool // a backend may serve it, by the list
-	calm    bool // none of its backends is in trouble
-	changes int  // before it
-	dials   int  // before it
+	day             *simulatedDay
+	id              string
+	route           string // its first letter is its kind
+	stream          bool
+	usable          bool // a backend may serve it, by the list
+	backendsHealthy bool // none of its backends is in trouble
+	changes         int  // before it
+	dials           int  // before it
 
-	w      *once
+	w      *countingRecorder
 	broken bool // the answer was broken off
 	took   time.Duration
 }
 
-// ask makes one request and judges its answer.
-func (d *drawn) ask(number int) {
+// runRequest makes one request and judges its answer.
+func (d *simulatedDay) runRequest(number int) {
 	d.mu.Lock()
-	q := &drawnRequest{d: d, id: fmt.Sprintf("%d-%d", d.seed, number), calm: true}
+	q := &drawnRequest{day: d, id: fmt.Sprintf("%d-%d", d.seed, number), backendsHealthy: true}
 	r := q.draw()
-	d.midway = d.rng.IntN(2) == 0
-	q.lookAround()
+	d.changeInFlight = d.rng.IntN(2) == 0
+	q.recordState()
 	d.mu.Unlock()
 
-	q.w = &once{ResponseRecorder: httptest.NewRecorder()}
+	q.w = &countingRecorder{ResponseRecorder: httptest.NewRecorder()}
 	began := time.Now()
 	q.broken = serveUntilAborted(d.proxy, q.w, r)
 	q.took = time.Since(began)
@@ -77,21 +77,21 @@
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.midway = false
-	q.calm = q.calm && d.changes == q.changes
-	q.judge()
-	q.judgeAnswer()
-	q.judgeByBackends()
-	q.count()
+	d.changeInFlight = false
+	q.backendsHealthy = q.backendsHealthy && d.changes == q.changes
+	q.checkInvariants()
+	q.checkAnswer()
+	q.checkAgainstBackends()
+	q.countKind()
 }
 
 // draw draws the request.
 func (q *drawnRequest) draw() *http.Request {
-	d := q.d
+	d := q.day
 	q.route = string("rpso"[d.rng.IntN(4)]) + append(drawnTenants, "free")[d.rng.IntN(len(drawnTenants)+1)]
 	q.stream = q.route[0] == 's' || q.route[0] == 'o'
 	r := httptest.NewRequest(http.MethodPost, "http://h/"+q.route+"/x", strings.NewReader("data"))
-	r = r.WithContext(context.WithValue(r.Context(), asked{}, true))
+	r = r.WithContext(context.WithValue(r.Context(), clientRequestKey{}, true))
 	r.RequestURI = "/" + q.route + "/x"
 	r.Header.Set(externalapi.HeaderAttemptID, q.id)
 	if q.stream {
@@ -105,9 +105,9 @@
 	return r
 }
 
-// lookAround notes which backends there are for the request, and what has happened before it.
-func (q *drawnRequest) lookAround() {
-	d := q.d
+// recordState notes which backends there are for the request, and what has happened before it.
+func (q *drawnRequest) recordState() {
+	d := q.day
 	service := "obs"
 	if q.stream {
 		service = "llm"
@@ -115,101 +115,101 @@
 	for _, n := range d.nodes {
 		if n.service == service && n.listed && !n.draining && d.allowed(n, q.route) {
 			q.usable = q.usable || n.phase != externalapi.PhasePrefill
-			q.calm = q.calm && n.trouble == fine && d.at[n.address] == n
+			q.backendsHealthy = q.backendsHealthy && n.fault == noFault && d.nodesByAddress[n.address] == n
 		}
 	}
 	q.changes = d.changes
 	q.dials = d.dials
 }
 
-// bad records a finding on the request.
-func (q *drawnRequest) bad(format string, args ...any) {
-	q.d.find("%s of %s: status %d, broken off %v, %d runs, %q: %s",
-		q.id, q.route, q.w.Code, q.broken, q.d.runs[q.id], q.w.Body, fmt.Sprintf(format, args...))
+// addFinding records a finding on the request.
+func (q *drawnRequest) addFinding(format string, args ...any) {
+	q.day.addFinding("%s of %s: status %d, broken off %v, %d runs, %q: %s",
+		q.id, q.route, q.w.Code, q.broken, q.day.runs[q.id], q.w.Body, fmt.Sprintf(format, args...))
 }
 
-// judge looks at what holds for every request: one answer, in its time, and run once at most where that is asked for.
-func (q *drawnRequest) judge() {
-	if q.w.answers != 1 {
-		q.bad("%d answers", q.w.answers)
+// checkInvariants looks at what holds for every request: one answer, in its time, and run once at most where that is asked for.
+func (q *drawnRequest) checkInvariants() {
+	if q.w.responses != 1 {
+		q.addFinding("%d answers", q.w.responses)
 	}
 	if q.took > testDeadline {
-		q.bad("after %v", q.took)
+		q.addFinding("after %v", q.took)
 	}
-	if q.w.Code == http.StatusServiceUnavailable && q.took > promptly {
-		q.bad("refused after %v", q.took)
+	if q.w.Code == http.StatusServiceUnavailable && q.took > rejectionBound {
+		q.addFinding("refused after %v", q.took)
 	}
-	if (q.route[0] == 'p' || q.route[0] == 'o') && q.d.runs[q.id] > 1 {
-		q.bad("run more than once")
+	if (q.route[0] == 'p' || q.route[0] == 'o') && q.day.runs[q.id] > 1 {
+		q.addFinding("run more than once")
 	}
 }
 
-// judgeAnswer looks at the answer by its status.
-func (q *drawnRequest) judgeAnswer() {
+// checkAnswer looks at the answer by its status.
+func (q *drawnRequest) checkAnswer() {
 	switch {
 	case q.broken && (!q.stream || q.w.Code != http.StatusOK):
-		q.bad("broken off before it began")
+		q.addFinding("broken off before it began")
 	case q.w.Code == http.StatusOK && q.stream:
-		q.judgeEvents()
+		q.checkEvents()
 	case q.w.Code == http.StatusOK:
 		if q.w.Body.String() != "answer to "+q.id {
-			q.bad("another body")
+			q.addFinding("another body")
 		}
 	case q.w.Code == http.StatusServiceUnavailable:
-		if q.d.runs[q.id] > 0 {
-			q.bad("it has run")
+		if q.day.runs[q.id] > 0 {
+			q.addFinding("it has run")
 		}
 		if q.w.Header().Get(externalapi.HeaderRetryAfter) == "" {
-			q.bad("no time to come back")
+			q.addFinding("no time to come back")
 		}
 	case q.w.Code != http.StatusBadGateway && q.w.Code != http.StatusInternalServerError:
-		q.bad("another status")
+		q.addFinding("another status")
 	}
 }
 
-// judgeEvents looks at a stream: it is complete or broken off, and in order.
-func (q *drawnRequest) judgeEvents() {
+// checkEvents looks at a stream: it is complete or broken off, and in order.
+func (q *drawnRequest) checkEvents() {
 	got := strings.Split(strings.TrimSuffix(q.w.Body.String(), "\n\n"), "\n\n")
 	for i, e := range got {
 		if e != fmt.Sprintf("id: %d\ndata: inside  answer to %s", i+1, q.id) {
-			q.bad("event %d", i+1)
+			q.addFinding("event %d", i+1)
 		}
 	}
 	if !q.broken && len(got) != drawnEvents || len(got) > drawnEvents {
-		q.bad("%d events", len(got))
+		q.addFinding("%d events", len(got))
 	}
 }
 
-// judgeByBackends looks at the answer by the backends that there were: none, or only well ones.
-func (q *drawnRequest) judgeByBackends() {
-	d := q.d
+// checkAgainstBackends looks at the answer by the backends that there were: none, or only well ones.
+func (q *drawnRequest) checkAgainstBackends() {
+	d := q.day
 	switch {
 	case !q.usable && d.changes == q.changes:
-		d.counts["nowhere"]++
+		d.counts["no backend"]++
 		if q.w.Code != http.StatusServiceUnavailable || d.runs[q.id] > 0 || d.dials != q.dials {
-			q.bad("there is no backend inside, and %d connections were asked for", d.dials-q.dials)
+			q.addFinding("there is no backend inside, and %d connections were asked for", d.dials-q.dials)
 		}
-	case q.usable && q.calm:
-		d.counts["calm"]++
+	case q.usable && q.backendsHealthy:
+		d.counts["all healthy"]++
 		if q.w.Code != http.StatusOK || q.broken {
-			q.bad("all is well inside")
+			q.addFinding("all is well inside")
 		}
 	}
 }
 
-// count counts the request among its kinds.
-func (q *drawnRequest) count() {
-	if q.d.changes != q.changes {
-		q.d.counts["changed under way"]++
+// countKind counts the request among its kinds.
+func (q *drawnRequest) countKind() {
+	if q.day.changes != q.changes {
+		q.day.counts["changed in flight"]++
 	}
 	if q.broken {
-		q.d.counts["broken off"]++
+		q.day.counts["aborted"]++
 	}
-	q.d.counts[fmt.Sprint(q.w.Code)]++
+	q.day.counts[fmt.Sprint(q.w.Code)]++
 }
 
-// play plays the day and ends it.
-func (d *drawn) play() {
+// run plays the day and ends it.
+func (d *simulatedDay) run() {
 	const steps = 30
 	for i := range steps {
 		d.mu.Lock()
@@ -222,7 +222,7 @@
 		}
 		d.mu.Unlock()
 		time.Sleep(passes)
-		d.ask(i)
+		d.runRequest(i)
 	}
 	d.proxy.pool.Close()
 }
@@ -242,9 +242,9 @@
 	counts := map[string]int{}
 	for seed := from; seed <= to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			d := newDrawn(t, seed)
-			d.play()
-			for _, f := range d.found {
+			d := newSimulatedDay(t, seed)
+			d.run()
+			for _, f := range d.findings {
 				t.Errorf("seed %d: %s", seed, f)
 			}
 			for k, n := range d.counts {
@@ -257,7 +257,7 @@
 	}
 	t.Logf("%d days: %v", to-from+1, counts)
 	if *drawnSeed == 0 && *drawnDays >= 100 {
-		kinds := []string{"200", "500", "502", "503", "nowhere", "calm", "changed under way", "broken off"}
+		kinds := []string{"200", "500", "502", "503", "no backend", "all healthy", "changed in flight", "aborted"}
 		for _, k := range kinds {
 			c.Check(counts[k] > 0, qt.IsTrue, qt.Commentf("no request of the kind %q: the days are too tame", k))
 		}
--- a/internal/fleet/proxy/errors_test.go
+++ b/internal/fleet/proxy/errors_test.go
@@ -16,9 +16,9 @@
 	"molepaddle/policy"
 )
 
-// TestErrorsAreWorded has errors answer a request: the status, the body, when to come back, and whether the connection
+// TestWriteError has errors answer a request: the status, the body, when to come back, and whether the connection
 // ends.
-func TestErrorsAreWorded(t *testing.T) {
+func TestWriteError(t *testing.T) {
 	for _, one := range []struct {
 		name       string
 		err        error
--- a/internal/fleet/proxy/exchange_client_test.go
+++ b/internal/fleet/proxy/exchange_client_test.go
@@ -16,44 +16,44 @@
 	"molepaddle/internal/fleet/externalapi"
 )
 
-// goneWithin is in what time a backend's connection has to end once its client has gone.
-const goneWithin = 500 * time.Millisecond
+// disconnectBound is the time within which a backend's connection has to be closed after its client has disconnected.
+const disconnectBound = 500 * time.Millisecond
 
-// clientRig is a proxy that clients reach over loopback, before a scripted backend.
+// clientRig is a proxy in front of scripted backends that clients reach over loopback.
 type clientRig struct {
 	*qt.C
 	*exchangeRig
-	server  *httptest.Server
-	arrived chan string // ids of the requests that have come to the backend
+	server      *httptest.Server
+	receivedIDs chan string // ids of the requests that reached a backend
 }
 
 func newClientRig(t *testing.T, kind requestKind) *clientRig {
-	r := &clientRig{C: qt.New(t), exchangeRig: newExchangeRig(kind, breakage{}), arrived: make(chan string, 100)}
-	r.struck = &scriptedConn{} // no fault strikes but what a script says
-	r.came, r.deadline = time.Now(), exchangeDeadline
+	r := &clientRig{C: qt.New(t), exchangeRig: newExchangeRig(kind, injectedFault{}), receivedIDs: make(chan string, 100)}
+	r.faultedConn = &scriptedConn{} // no fault occurs except those of the test's script
+	r.arrivedAt, r.deadline = time.Now(), exchangeDeadline
 	r.server = httptest.NewServer(r.proxy)
 	t.Cleanup(func() {
 		r.server.Close()
 		r.proxy.background.Wait()
 		r.proxy.pool.Close()
-		r.Check(r.found, qt.HasLen, 0)
+		r.Check(r.findings, qt.HasLen, 0)
 	})
 	return r
 }
 
-// silent has the backend say this much and then nothing.
-func (r *clientRig) silent(after func(a *validAnswer) []byte) {
+// replyWith has the backends send these bytes and then nothing.
+func (r *clientRig) replyWith(after func(a *validAnswer) []byte) {
 	r.script = func(a *validAnswer) reply {
-		r.arrived <- a.id
-		return reply{taken: -1, bytes: after(a)}
+		r.receivedIDs <- a.id
+		return reply{accepted: -1, bytes: after(a)}
 	}
 }
 
-// connect opens a client's connection, whose use is bounded.
+// connect opens a client's connection with a deadline.
 func (r *clientRig) connect() (*net.TCPConn, *bufio.Reader) {
 	c, err := net.Dial("tcp", r.server.Listener.Addr().String())
 	r.Assert(err, qt.IsNil)
-	r.Assert(c.SetDeadline(time.Now().Add(testPatience)), qt.IsNil)
+	r.Assert(c.SetDeadline(time.Now().Add(testTimeout)), qt.IsNil)
 	r.Cleanup(func() { c.Close() })
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
@@ -75,19 +75,19 @@
 		path, externalapi.HeaderAttemptID, id, externalapi.HeaderDeadlineMs, more, len(body), body)
 }
 
-// await waits for a signal that has to come, and tells how long it took.
+// await waits for an expected signal and returns how long that took.
 func await[T any](r *clientRig, what string, signal <-chan T) time.Duration {
 	r.Helper()
 	began := time.Now()
 	select {
 	case <-signal:
-	case <-time.After(testPatience):
-		r.Fatalf("%s does not come", what)
+	case <-time.After(testTimeout):
+		r.Fatalf("%s: not seen in time", what)
 	}
 	return time.Since(began)
 }
 
-// conn is the backend's connection that was opened last.
+// conn returns the most recent connection to a backend.
 func (r *clientRig) conn() *scriptedConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// answer reads a complete answer.
-func (r *clientRig) answer(in *bufio.Reader) (*http.Response, string) {
+// readAnswer reads a complete response.
+func (r *clientRig) readAnswer(in *bufio.Reader) (*http.Response, string) {
 	r.Helper()
 	resp, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
 	r.Assert(err, qt.IsNil)
@@ -109,9 +109,10 @@
 	return resp, string(body)
 }
 
-// TestClientLeaves has clients close their connection, or their half of it, before and within an answer: the backend's
-// connection ends at once, and who has closed only its half gets no answer in place of its own.
-func TestClientLeaves(t *testing.T) {
+// TestClientDisconnects has clients close their connection, or only its sending side, before and within a response: the
+// backend's connection is closed at once, and a client that closed only its sending side gets no response in place of
+// its own.
+func TestClientDisconnects(t *testing.T) {
 	nothing := func(*validAnswer) []byte { return nil }
 	half := func(a *validAnswer) []byte { return a.framed()[:len(a.framed())/2] }
 	for _, tc := range []struct {
@@ -129,28 +130,28 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newClientRig(t, tc.kind)
-			r.silent(tc.after)
+			r.replyWith(tc.after)
 			c, in := r.connect()
 			r.send(c, "/"+tc.kind.route+"/x", "one", "data")
-			await(r, "the request", r.arrived)
+			await(r, "the request", r.receivedIDs)
 			if tc.half {
 				r.Assert(c.CloseWrite(), qt.IsNil)
 			} else {
 				r.Assert(c.Close(), qt.IsNil)
 			}
-			r.Check(await(r, "the end of the backend's connection", r.conn().gone) < goneWithin, qt.IsTrue)
+			r.Check(await(r, "the end of the backend's connection", r.conn().closedCh) < disconnectBound, qt.IsTrue)
 			if tc.half {
 				got, err := io.ReadAll(in)
 				r.Check(err, qt.IsNil)
 				r.Check(string(got), qt.Equals, "")
 			}
-			r.Check(r.arrived, qt.HasLen, 0, qt.Commentf("it was sent again"))
+			r.Check(r.receivedIDs, qt.HasLen, 0, qt.Commentf("it was sent again"))
 		})
 	}
 }
 
-// TestClientStopsWithinItsBody has clients stop within a body: the request has its final answer within half a second of
-// its deadline, a rejection that needs no body at once, and nothing of it reaches a backend.
+// TestClientStopsWithinItsBody has clients stop sending within a body: the request gets its final response within half
+// a second of its deadline, or at once if it is rejected without its body, and no part of it reaches a backend.
 func TestClientStopsWithinItsBody(t *testing.T) {
 	const deadline = 200 * time.Millisecond
 	for path, status := range map[string]int{"/post/x": http.StatusRequestTimeout, "/nowhere/x": http.StatusNotFound} {
@@ -159,31 +160,32 @@
 			"Transfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n5",
 		} {
 			r := newClientRig(t, requestKind{route: "post"})
-			r.silent(func(a *validAnswer) []byte { return a.framed() })
+			r.replyWith(func(a *validAnswer) []byte { return a.framed() })
 			c, in := r.connect()
 			began := time.Now()
 			_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: one\r\n%s: %d\r\n%s",
 				path, externalapi.HeaderAttemptID, externalapi.HeaderDeadlineMs, deadline.Milliseconds(), framing)
 			r.Assert(err, qt.IsNil)
-			resp, _ := r.answer(in)
+			resp, _ := r.readAnswer(in)
 			took := time.Since(began)
-			r.Check(took < max(deadline, unreadBodyTimeout)+goneWithin, qt.IsTrue, qt.Commentf("after %v", took))
+			r.Check(took < max(deadline, unreadBodyTimeout)+disconnectBound, qt.IsTrue, qt.Commentf("after %v", took))
 			r.Check(resp.StatusCode, qt.Equals, status)
 			r.Check(resp.Header.Get(externalapi.HeaderAttemptID), qt.Equals, "one")
 			_, err = in.ReadByte()
 			r.Check(err, qt.Equals, io.EOF)
-			r.Check(r.arrived, qt.HasLen, 0)
+			r.Check(r.receivedIDs, qt.HasLen, 0)
 		}
 	}
 }
 
-// TestClientReadsNothing has a client leave its stream unread: once its time is over the backend's connection ends.
+// TestClientReadsNothing has a client not read its stream: the backend's connection is closed once the deadline has
+// passed.
 func TestClientReadsNothing(t *testing.T) {
 	r := newClientRig(t, requestKind{route: "free"})
-	// More than the buffers on the way hold, the client's being small; and little enough to be framed long before the
-	// proxy would take the backend for silent and go elsewhere.
+	// More than the buffers on the path hold, with a small one at the client; but little enough to be encoded long
+	// before the proxy would consider the backend unresponsive and retry elsewhere.
 	more := strings.Repeat("data: "+strings.Repeat("more ", 10<<10)+"\n\n", 1<<8)
-	r.silent(func(a *validAnswer) []byte {
+	r.replyWith(func(a *validAnswer) []byte {
 		a.body = more
 		return a.framed()
 	})
@@ -191,19 +193,19 @@
 	r.Assert(c.SetReadBuffer(4<<10), qt.IsNil)
 	_, err := io.WriteString(c, strings.Replace(requestText("/free/x", "one", "data"), "Ms: 2000", "Ms: 1000", 1))
 	r.Assert(err, qt.IsNil)
-	await(r, "the request", r.arrived)
-	took := await(r, "the end of the backend's connection", r.conn().gone)
-	r.Check(took < time.Second+unreadBodyTimeout+goneWithin, qt.IsTrue)
+	await(r, "the request", r.receivedIDs)
+	took := await(r, "the end of the backend's connection", r.conn().closedCh)
+	r.Check(took < time.Second+unreadBodyTimeout+disconnectBound, qt.IsTrue)
 }
 
-// TestRequestsInARow sends requests without waiting for answers, among them some that are rejected with their bodies
-// unread, which hold what looks like a request: each answer is the next request's, and nothing within a body is taken
-// for one.
-func TestRequestsInARow(t *testing.T) {
+// TestPipelinedRequests sends requests without waiting for responses. Some are rejected with their bodies unread, and
+// those contain text that looks like a request: the responses come in the order of the requests, and nothing within a
+// body is taken for a request.
+func TestPipelinedRequests(t *testing.T) {
 	r := newClientRig(t, requestKind{route: "freeread"})
 	r.script = func(a *validAnswer) reply {
-		r.arrived <- a.id
-		return reply{taken: -1, bytes: a.framed()}
+		r.receivedIDs <- a.id
+		return reply{accepted: -1, bytes: a.framed()}
 	}
 	c, in := r.connect()
 	forged := requestText("/freeread/x", "forged", "data")
@@ -217,7 +219,7 @@
 		id     string
 		status int
 	}{{"one", 200}, {"two", 404}, {"three", 200}, {"two words", 400}, {"twice", 400}, {"four", 200}} {
-		resp, body := r.answer(in)
+		resp, body := r.readAnswer(in)
 		r.Check(resp.StatusCode, qt.Equals, want.status)
 		r.Check(resp.Header.Get(externalapi.HeaderAttemptID), qt.Equals, want.id)
 		if want.status == http.StatusOK {
@@ -225,13 +227,13 @@
 		}
 	}
 	for _, id := range []string{"one", "three", "four"} {
-		r.Check(<-r.arrived, qt.Equals, id)
+		r.Check(<-r.receivedIDs, qt.Equals, id)
 	}
-	r.Check(r.arrived, qt.HasLen, 0)
+	r.Check(r.receivedIDs, qt.HasLen, 0)
 }
 
-// TestAmbiguousRequests sends what can be read in two ways: it is rejected, and nothing after it is taken for a
-// request.
+// TestAmbiguousRequests sends requests that can be parsed in two ways: they are rejected, and no bytes after them are
+// taken for a request.
 func TestAmbiguousRequests(t *testing.T) {
 	forged := requestText("/freeread/x", "forged", "data")
 	for name, head := range map[string]string{
@@ -243,16 +245,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newClientRig(t, requestKind{route: "freeread"})
-			r.silent(func(a *validAnswer) []byte { return a.framed() })
+			r.replyWith(func(a *validAnswer) []byte { return a.framed() })
 			c, in := r.connect()
 			_, err := io.WriteString(c, "POST /freeread/x HTTP/1.1\r\nHost: h\r\n"+
 				externalapi.HeaderAttemptID+": one\r\n"+head+"\r\ndata")
 			r.Assert(err, qt.IsNil)
-			resp, _ := r.answer(in)
+			resp, _ := r.readAnswer(in)
 			rejected := resp.StatusCode/100 == 4 || resp.StatusCode == http.StatusNotImplemented
 			r.Check(rejected, qt.IsTrue, qt.Commentf("%d", resp.StatusCode))
-			_, _ = io.WriteString(c, forged) // it may be closed by now
-			r.Check(r.arrived, qt.HasLen, 0)
+			_, _ = io.WriteString(c, forged) // the connection may be closed by now
+			r.Check(r.receivedIDs, qt.HasLen, 0)
 		})
 	}
 }
--- a/internal/fleet/proxy/exchange_conn_test.go
+++ b/internal/fleet/proxy/exchange_conn_test.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// errReset is what the end of a connection that is reset says.
+// errReset is the read error of a reset connection.
 var errReset = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 
-// scriptedConn is a proxy's end of a connection in memory. What is at the other end is a script: it is called with
-// each request that the proxy writes, and says how many bytes of it are taken and what comes back.
+// scriptedConn is a proxy's end of an in-memory connection. The other end is a script: it is called with each request
+// that the proxy writes, and returns how many bytes of it are accepted and what is sent back.
 type scriptedConn struct {
 	backend *scriptedBackend
 
-	mu       sync.Mutex
-	changed  *sync.Cond
-	incoming []byte
-	inEnd    error // what follows the incoming bytes; nil: silence
-	late     []byte
-	carried  int  // requests
-	owed     bool // a part of a request is still to come
-	closed   bool
-	closedAt time.Time
-	gone     chan struct{} // closed as the proxy closes the connection
-	readBy   time.Time
-	writeBy  time.Time
+	mu                sync.Mutex
+	changed           *sync.Cond
+	incoming          []byte
+	readErr           error // after the incoming bytes; nil: reads block
+	late              []byte
+	requests          int  // number of requests
+	incompleteRequest bool // part of a request is still to be sent
+	closed            bool
+	closedAt          time.Time
+	closedCh          chan struct{} // closed when the proxy closes the connection
+	readBy            time.Time
+	writeBy           time.Time
 
 	readTimer, writeTimer *time.Timer
 }
 
 func newScriptedConn(b *scriptedBackend) *scriptedConn {
-	c := &scriptedConn{backend: b, gone: make(chan struct{})}
+	c := &scriptedConn{backend: b, closedCh: make(chan struct{})}
 	c.changed = sync.NewCond(&c.mu)
 	return c
 }
 
-func passed(by time.Time) bool { return !by.IsZero() && !time.Now().Before(by) }
+func deadlinePassed(by time.Time) bool { return !by.IsZero() && !time.Now().Before(by) }
 
 func (c *scriptedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
@@ -47,57 +47,57 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case passed(c.readBy):
+		case deadlinePassed(c.readBy):
 			return 0, os.ErrDeadlineExceeded
 		case len(c.incoming) > 0:
 			n := copy(p, c.incoming)
 			c.incoming = c.incoming[n:]
 			return n, nil
-		case c.inEnd != nil:
-			return 0, c.inEnd
+		case c.readErr != nil:
+			return 0, c.readErr
 		}
 		c.changed.Wait()
 	}
 }
 
-// Write takes one whole request, as the proxy writes each at once.
+// Write accepts one complete request, as the proxy writes each with one call.
 func (c *scriptedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.closed:
 		return 0, net.ErrClosed
-	case passed(c.writeBy):
+	case deadlinePassed(c.writeBy):
 		return 0, os.ErrDeadlineExceeded
-	case c.inEnd != nil:
+	case c.readErr != nil:
 		return 0, errReset
 	}
-	owed := c.owed
+	incomplete := c.incompleteRequest
 	c.incoming = append(c.incoming, c.late...)
 	c.late = nil
 	c.mu.Unlock()
-	if owed {
-		c.backend.rig.note("%s gets another request where the rest of one is due", c.backend.id)
+	if incomplete {
+		c.backend.rig.lockAndAddFinding("%s received a request within an incomplete one", c.backend.id)
 	}
-	says := c.backend.request(c, p)
+	answer := c.backend.request(c, p)
 	c.mu.Lock()
-	c.owed = says.taken >= 0 && says.taken < len(p)
-	c.carried++
-	c.incoming = append(c.incoming, says.bytes...)
-	c.inEnd, c.late = says.end, says.late
+	c.incompleteRequest = answer.accepted >= 0 && answer.accepted < len(p)
+	c.requests++
+	c.incoming = append(c.incoming, answer.bytes...)
+	c.readErr, c.late = answer.readErr, answer.late
 	c.changed.Broadcast()
-	if says.taken < 0 || says.taken >= len(p) {
+	if answer.accepted < 0 || answer.accepted >= len(p) {
 		return len(p), nil
 	}
-	if says.writeEnd != nil {
-		return says.taken, says.writeEnd
+	if answer.writeErr != nil {
+		return answer.accepted, answer.writeErr
 	}
-	for { // no more is taken
+	for { // no further bytes are accepted
 		switch {
 		case c.closed:
-			return says.taken, net.ErrClosed
-		case passed(c.writeBy):
-			return says.taken, os.ErrDeadlineExceeded
+			return answer.accepted, net.ErrClosed
+		case deadlinePassed(c.writeBy):
+			return answer.accepted, os.ErrDeadlineExceeded
 		}
 		c.changed.Wait()
 	}
@@ -108,33 +108,33 @@
 	defer c.mu.Unlock()
 	if !c.closed {
 		c.closed, c.closedAt = true, time.Now()
-		close(c.gone)
+		close(c.closedCh)
 		c.wakeAt(time.Time{}, &c.readTimer)
 		c.wakeAt(time.Time{}, &c.writeTimer)
 	}
 	return nil
 }
 
-// Pending is what the pool looks at before it uses a connection again.
+// Pending implements the check that the pool does before it reuses a connection.
 func (c *scriptedConn) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case len(c.incoming) > 0:
 		return 1
-	case c.inEnd != nil || c.closed:
+	case c.readErr != nil || c.closed:
 		return -1
 	}
 	return 0
 }
 
-// wakeAt wakes who waits once a deadline has passed; timer is that of the deadline before.
+// wakeAt wakes blocked calls when a deadline passes; timer is that of the previous deadline.
 func (c *scriptedConn) wakeAt(by time.Time, timer **time.Timer) {
 	if *timer != nil {
 		(*timer).Stop()
 		*timer = nil
 	}
-	if !by.IsZero() && !passed(by) {
+	if !by.IsZero() && !deadlinePassed(by) {
 		*timer = time.AfterFunc(time.Until(by), func() {
 			c.mu.Lock()
 			c.changed.Broadcast()
--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// The tests of exchanges, as patterns.
+// Patterns of the tests that detect the faults.
 const (
-	answerEnds  = "^TestAnswerEndsAtEveryByte$"
-	requestEnds = "^TestRequestEndsAtItsBytes$"
-	beforeBody  = "^TestAnswerBeforeTheBody$"
-	odd         = "^TestOddAnswers$"
+	answerEndsTest        = "^TestAnswerEndsAtEveryByte$"
+	requestEndsTest       = "^TestRequestEndsAtItsBytes$"
+	beforeBodyTest        = "^TestAnswerBeforeTheBody$"
+	unexpectedAnswersTest = "^TestUnexpectedAnswers$"
 )
 
 const (
@@ -27,11 +27,12 @@
 	fileClient       = "../operatorclient/exchange.go"
 )
 
-// exchangeFaults are faults by which an answer goes to the wrong caller, or what may run once is sent twice.
-var exchangeFaults = []leak{
+// exchangeFaults are faults by which a response goes to the wrong client, or a request that may run only once is sent
+// twice.
+var exchangeFaults = []plantedLeak{
 	{
-		name: "a request cut off on its way out counts as not sent",
-		by:   requestEnds,
+		name:     "a request cut off on its way out counts as not sent",
+		detector: requestEndsTest,
 		changes: map[string][]string{
 			fileRequestWrite: {
 				"return rw.wait() > 0, rw.err",
@@ -40,8 +41,8 @@
 		},
 	},
 	{
-		name: "a long request cut off on its way out counts as not sent",
-		by:   requestEnds,
+		name:     "a long request cut off on its way out counts as not sent",
+		detector: requestEndsTest,
 		changes: map[string][]string{
 			fileExchange: {
 				"return e.write.wait() > 0, errors",
@@ -50,8 +51,8 @@
 		},
 	},
 	{
-		name: "the next request goes where the rest of one is due",
-		by:   beforeBody,
+		name:     "the next request goes where the rest of one is due",
+		detector: beforeBodyTest,
 		changes: map[string][]string{
 			fileExchange: {
 				"e.resp.Request.Method != http.MethodHead && e.write.complete()",
@@ -60,8 +61,8 @@
 		},
 	},
 	{
-		name: "ids are not compared",
-		by:   odd,
+		name:     "ids are not compared",
+		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileExchange: {
 				"if ids[0] != id {",
@@ -70,8 +71,8 @@
 		},
 	},
 	{
-		name: "one of several ids is enough",
-		by:   odd,
+		name:     "one of several ids is enough",
+		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileExchange: {
 				"if one != ids[0] {",
@@ -80,8 +81,8 @@
 		},
 	},
 	{
-		name: "a failure without an id is believed on a used connection",
-		by:   odd,
+		name:     "a failure without an id is believed on a used connection",
+		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileExchange: {
 				"if fresh && resp.StatusCode",
@@ -90,8 +91,8 @@
 		},
 	},
 	{
-		name: "a surplus answer longer than what is read past",
-		by:   odd,
+		name:     "a surplus answer longer than what is read past",
+		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileExchange: {
 				"io.LimitReader(resp.Body, maxSurplusBody+1)",
@@ -100,8 +101,8 @@
 		},
 	},
 	{
-		name: "a success may say that it has not run",
-		by:   odd,
+		name:     "a success may say that it has not run",
+		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileResponses: {
 				"resp.StatusCode >= http.StatusBadRequest && resp.Header",
@@ -110,8 +111,8 @@
 		},
 	},
 	{
-		name: "a backend's word is passed on as a promise",
-		by:   odd,
+		name:     "a backend's word is passed on as a promise",
+		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileResponses: {
 				"if cr.mayHaveRun && impliesNotRun(resp.StatusCode) {",
@@ -120,8 +121,8 @@
 		},
 	},
 	{
-		name: "a stream that is reset counts as whole",
-		by:   answerEnds,
+		name:     "a stream that is reset counts as whole",
+		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileStreaming: {
 				"\t\tif err == io.EOF {\n\t\t\tr.sendHeader",
@@ -130,8 +131,8 @@
 		},
 	},
 	{
-		name: "an answer that is reset counts as whole",
-		by:   answerEnds,
+		name:     "an answer that is reset counts as whole",
+		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileExchange: {
 				"err := io.ReadAll(io.LimitReader(e.resp.Body, limit+1))",
@@ -140,8 +141,8 @@
 		},
 	},
 	{
-		name: "a handle is sent to a second taker",
-		by:   answerEnds,
+		name:     "a handle is sent to a second taker",
+		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileGenerate: {
 				"\tg.discardHandle()\n\tg.split = g.prefills < maxPrefills && cr.retryPossible()",
@@ -150,8 +151,8 @@
 		},
 	},
 	{
-		name: "a client that has left gets an empty success",
-		by:   "^TestClientLeaves$",
+		name:     "a client that has left gets an empty success",
+		detector: "^TestClientDisconnects$",
 		changes: map[string][]string{
 			fileRetries: {
 				"\t\tcr.abortClient()\n",
@@ -160,8 +161,8 @@
 		},
 	},
 	{
-		name: "a backend is given the time that the client had at first",
-		by:   answerEnds,
+		name:     "a backend is given the time that the client had at first",
+		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileOutbound: {
 				"max(time.Until(o.deadline).Milliseconds(), 1)",
@@ -170,8 +171,8 @@
 		},
 	},
 	{
-		name: "a client that stops within its body is waited for",
-		by:   "^TestClientStopsWithinItsBody$",
+		name:     "a client that stops within its body is waited for",
+		detector: "^TestClientStopsWithinItsBody$",
 		changes: map[string][]string{
 			fileRequestBody: {
 				"_ = conn.SetReadDeadline(deadline) //",
@@ -180,8 +181,8 @@
 		},
 	},
 	{
-		name: "a client that reads nothing is waited for",
-		by:   "^TestClientReadsNothing$",
+		name:     "a client that reads nothing is waited for",
+		detector: "^TestClientReadsNothing$",
 		changes: map[string][]string{
 			fileProxy: {
 				"SetWriteDeadline(cr.deadline.Add(unreadBodyTimeout))",
@@ -190,8 +191,8 @@
 		},
 	},
 	{
-		name: "a stream is taken up for a client that has left",
-		by:   "^TestUnreadStreamIsNotResumed$",
+		name:     "a stream is taken up for a client that has left",
+		detector: "^TestUnreadStreamIsNotResumed$",
 		changes: map[string][]string{
 			fileDecode: {
 				"ctx.Err() == nil && !errors.Is(err, errClientGone) && cr.route",
@@ -200,8 +201,8 @@
 		},
 	},
 	{
-		name: "an id goes twice over one connection",
-		by:   "^TestReusedID$",
+		name:     "an id goes twice over one connection",
+		detector: "^TestReusedID$",
 		changes: map[string][]string{
 			fileLend: {
 				"if c.carried == requestID {",
@@ -210,8 +211,8 @@
 		},
 	},
 	{
-		name: "orders share the connections of reports",
-		by:   "^TestOrderTakesNoOtherCallsResponse$|^TestOrderIsSentOnce$",
+		name:     "orders share the connections of reports",
+		detector: "^TestOrderTakesNoOtherCallsResponse$|^TestOrderIsSentOnce$",
 		changes: map[string][]string{
 			fileBackend: {
 				"b.orders.Do(req)",
@@ -220,8 +221,8 @@
 		},
 	},
 	{
-		name: "orders are sent on",
-		by:   "^TestRedirectsAreNotFollowed$",
+		name:     "orders are sent on",
+		detector: "^TestRedirectsAreNotFollowed$",
 		changes: map[string][]string{
 			fileBackend: {
 				"\treq.GetBody = nil // nothing that could be sent again\n",
@@ -232,8 +233,8 @@
 		},
 	},
 	{
-		name: "an order that was given up may still arrive",
-		by:   "^TestTimedOutOrderIsReset$",
+		name:     "an order that was given up may still arrive",
+		detector: "^TestTimedOutOrderIsReset$",
 		changes: map[string][]string{
 			fileBackend: {
 				"tcp.SetLinger(0)",
@@ -242,8 +243,8 @@
 		},
 	},
 	{
-		name: "an order is for whoever has the address",
-		by:   "^TestOrderReturnsTheStatus$",
+		name:     "an order is for whoever has the address",
+		detector: "^TestOrderReturnsTheStatus$",
 		changes: map[string][]string{
 			fileBackend: {
 				"req.Header.Set(HeaderTargetBackend, o.BackendID)",
@@ -252,8 +253,8 @@
 		},
 	},
 	{
-		name: "an order that is cut off has been answered",
-		by:   "^TestOrderIsSentOnce$",
+		name:     "an order that is cut off has been answered",
+		detector: "^TestOrderIsSentOnce$",
 		changes: map[string][]string{
 			fileBackend: {
 				"io.LimitReader(resp.Body, maxReportBytes)); err != nil {",
@@ -262,8 +263,8 @@
 		},
 	},
 	{
-		name: "a frame that is cut off is taken",
-		by:   "^TestTruncatedResponses$",
+		name:     "a frame that is cut off is taken",
+		detector: "^TestTruncatedResponses$",
 		changes: map[string][]string{
 			fileFrame: {
 				"io.ReadFull(r, b[at:]); err != nil {",
@@ -272,8 +273,8 @@
 		},
 	},
 	{
-		name: "a link goes on after a frame that is cut off",
-		by:   "^TestTruncatedResponses$",
+		name:     "a link goes on after a frame that is cut off",
+		detector: "^TestTruncatedResponses$",
 		changes: map[string][]string{
 			fileWatcher: {
 				"ReadFrame(s.r, &response); err != nil {\n\t\treturn err\n",
@@ -282,8 +283,8 @@
 		},
 	},
 	{
-		name: "a change that is cut off has been acknowledged",
-		by:   "^TestTruncatedResponses$",
+		name:     "a change that is cut off has been acknowledged",
+		detector: "^TestTruncatedResponses$",
 		changes: map[string][]string{
 			fileClient: {
 				"if errors.Is(err, io.EOF) {",
@@ -292,8 +293,8 @@
 		},
 	},
 	{
-		name: "tries share a connection",
-		by:   "^TestSurplusResponsesAreIgnored$",
+		name:     "tries share a connection",
+		detector: "^TestSurplusResponsesAreIgnored$",
 		changes: map[string][]string{
 			fileClient: {
 				"\t\tDisableKeepAlives:  true,\n",
@@ -303,7 +304,7 @@
 	},
 }
 
-// TestPlantedExchangeFaults plants each of them in turn.
+// TestPlantedExchangeFaults plants each fault in turn.
 func TestPlantedExchangeFaults(t *testing.T) {
 	for _, one := range exchangeFaults {
 		t.Run(strings.ReplaceAll(one.name, " ", "_"), one.plant)
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -22,22 +22,22 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// reply is what a script says to a request.
+// reply defines a scripted backend's reaction to a request.
 type reply struct {
-	taken    int   // bytes of the request that are taken; below 0: all
-	writeEnd error // what the write of more gets; nil: it waits
-	bytes    []byte
-	end      error  // after the bytes: io.EOF, errReset, or nil for silence
-	late     []byte // comes in the place of the next answer on the connection
-	proves   bool   // it proves that the request has not run
+	accepted     int   // bytes of the request that are read; below 0: all
+	writeErr     error // error for writing more; nil: the write blocks
+	bytes        []byte
+	readErr      error  // after the bytes: io.EOF, errReset, or nil for no further bytes
+	late         []byte // arrives in place of the next response on the connection
+	provesNotRun bool   // the response proves that the request has not run
 }
 
-// validAnswer is the answer of a healthy backend, in parts.
+// validAnswer is the response of a healthy backend, in parts.
 type validAnswer struct {
-	id   string
-	head string // without the empty line at its end, and without its framing
-	body string // unframed
-	bare bool   // it answers a HEAD: the body is not sent
+	id       string
+	head     string // without the final empty line and the framing fields
+	body     string // unframed
+	headOnly bool   // it answers a HEAD: the body is not sent
 }
 
 func (a *validAnswer) framed() []byte {
@@ -45,13 +45,13 @@
 		return a.chunked("")
 	}
 	framed := fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n", a.head, len(a.body))
-	if a.bare {
+	if a.headOnly {
 		return framed
 	}
 	return append(framed, a.body...)
 }
 
-// chunked frames the body in chunks of an event each, with trailers.
+// chunked encodes the body with one chunk per event, and with trailers.
 func (a *validAnswer) chunked(trailers string) []byte {
 	b := []byte(a.head + "Transfer-Encoding: chunked\r\n\r\n")
 	for part := range strings.SplitAfterSeq(a.body, "\n\n") {
@@ -64,38 +64,39 @@
 
 func (a *validAnswer) unframed() []byte { return []byte(a.head + "\r\n" + a.body) }
 
-// script is what a backend does with a request, as far as it has come, that would get the answer.
+// script returns a backend's reaction to a request, of which it has the bytes received so far, given the response that
+// a healthy backend would send.
 type script func(r *exchangeRig, c *scriptedConn, request []byte, answer *validAnswer) reply
 
-// breakage is what a backend does to the victim's request.
-type breakage struct {
-	name string
-	does script
+// injectedFault is a backend's faulty reaction to the victim's request.
+type injectedFault struct {
+	name   string
+	script script
 }
 
-// onAnswer is a script that needs the answer alone.
-func onAnswer(does func(answer *validAnswer) reply) script {
-	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, answer *validAnswer) reply { return does(answer) }
+// answerScript returns a script that depends on the response only.
+func answerScript(script func(answer *validAnswer) reply) script {
+	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, answer *validAnswer) reply { return script(answer) }
 }
 
-// always is a script that says the same to every request.
-func always(says reply) script {
-	return func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply { return says }
+// constantScript returns a script that reacts to every request in the same way.
+func constantScript(answer reply) script {
+	return func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply { return answer }
 }
 
-// requestKind is a kind of request, and the call of it that is struck.
+// requestKind is a kind of request, and the call of it that meets the fault.
 type requestKind struct {
-	name   string
-	route  string
-	staged bool   // its prompt is read at one backend, its tokens are made at another
-	stage  string // the call that is struck, where it is staged
-	body   string
-	method string
+	name            string
+	route           string
+	separatePrefill bool   // its prompt is prefilled at one backend and decoded at another
+	stage           string // the call that meets the fault, if it is prefilled separately
+	body            string
+	method          string
 }
 
 func (k *requestKind) stream() bool { return k.route != "freeread" && k.route != "post" }
 
-// idempotent tells whether the request may run more than once, or the struck call is one that does not run it.
+// idempotent reports whether the request may run more than once.
 func (k *requestKind) idempotent() bool { return k.route == "freeread" || k.route == "free" }
 
 // scriptedBackend is a backend whose connections are scripted.
@@ -106,45 +107,45 @@
 	conns              []*scriptedConn
 }
 
-// arrival is a request, or a part of one, that has come to a backend.
+// arrival is a complete or partial request that reached a backend.
 type arrival struct {
 	id, backend, stage, handle string
-	proved                     bool // that it has not run
+	provedNotRun               bool // the response proves that it has not run
 	at                         time.Time
 }
 
-// exchangeRig is one proxy before scripted backends, for one victim's request that meets a fault and those before and
-// after it.
+// exchangeRig is a proxy in front of scripted backends, for one victim request that meets a fault and the requests
+// before and after it.
 type exchangeRig struct {
 	proxy    *Proxy
 	kind     requestKind
-	breakage breakage
+	fault    injectedFault
 	backends []*scriptedBackend
 	version  uint64
-	script   func(a *validAnswer) reply // what all requests get; nil: their answers
+	script   func(a *validAnswer) reply // for all requests; nil: they get their healthy responses
 
-	mu       sync.Mutex
-	struck   *scriptedConn // where the fault struck
-	asking   string        // id of the request under way
-	cancel   context.CancelFunc
-	left     time.Time // when the victim's client left
-	came     time.Time
-	deadline time.Duration // of the request under way
-	reaches  []arrival
-	handles  map[string]string // whose a handle is, by address and reference
-	spent    map[string]bool   // handles that were sent to a decode backend
-	found    []string
+	mu           sync.Mutex
+	faultedConn  *scriptedConn // connection on which the fault occurred
+	currentID    string        // id of the request in flight
+	cancel       context.CancelFunc
+	clientLeftAt time.Time // when the victim's client disconnected
+	arrivedAt    time.Time
+	deadline     time.Duration // of the request in flight
+	arrivals     []arrival
+	handles      map[string]string // id of each handle's request, by address and reference
+	usedHandles  map[string]bool   // handles that were sent to a decode backend
+	findings     []string
 }
 
 const (
 	victimID = "victim"
-	// exchangeDeadline is what the clients of these tests wait.
+	// exchangeDeadline is the deadline of the clients in these tests.
 	exchangeDeadline = 2 * time.Second
 	exchangeEvents   = 4
 )
 
-func newExchangeRig(kind requestKind, breakage breakage) *exchangeRig {
-	r := &exchangeRig{kind: kind, breakage: breakage, handles: map[string]string{}, spent: map[string]bool{}}
+func newExchangeRig(kind requestKind, fault injectedFault) *exchangeRig {
+	r := &exchangeRig{kind: kind, fault: fault, handles: map[string]string{}, usedHandles: map[string]bool{}}
 	zones := map[string]string{"e1": "east"}
 	r.proxy = New(context.Background(), testSettings(zones), zap.NewNop())
 	r.proxy.pool.Close()
@@ -173,7 +174,7 @@
 	return r
 }
 
-// applyResource gives a proxy a complete resource of the version.
+// applyResource applies a complete resource of the version to a proxy.
 func applyResource(p *Proxy, kind string, version uint64, snapshot []byte) {
 	p.apply(&distribution.Response{Resources: []distribution.Resource{{
 		Type:     kind,
@@ -182,7 +183,7 @@
 	}}}, time.Now())
 }
 
-// exchangeDocument is the configuration of these tests.
+// exchangeDocument returns the configuration of these tests.
 func exchangeDocument() []byte {
 	route := func(name, kind, svc, more string) string {
 		return fmt.Sprintf(`{"name":%[1]q,"hostname":"h","pfx":"/%[1]s/","kind":%[2]q,"deadline_ms":3000,`+
@@ -198,25 +199,25 @@
 		}, ","))
 }
 
-// struckBackend is the backend whose role is the one that the fault strikes.
-func (r *exchangeRig) struckBackend() string {
+// faultedBackend returns the backend that meets the fault.
+func (r *exchangeRig) faultedBackend() string {
 	switch {
 	case !r.kind.stream():
 		return "obs-a"
-	case r.kind.staged && r.kind.stage == externalapi.PhasePrefill:
+	case r.kind.separatePrefill && r.kind.stage == externalapi.PhasePrefill:
 		return "prefill-a"
 	}
 	return "decode-a"
 }
 
-// list has the proxy know the backends that the request's kind needs; alone: of the role that the fault strikes only
-// the one.
+// list applies an endpoint list with the backends that the request's kind needs. With alone, it has only the backend
+// that meets the fault among those of its role.
 func (r *exchangeRig) list(alone bool) {
-	struck := r.struckBackend()
+	struck := r.faultedBackend()
 	var list distribution.BackendList
 	for _, b := range r.backends {
 		role, _, _ := strings.Cut(b.id, "-")
-		if role == "prefill" && !r.kind.staged || alone && strings.HasPrefix(struck, role) && b.id != struck {
+		if role == "prefill" && !r.kind.separatePrefill || alone && strings.HasPrefix(struck, role) && b.id != struck {
 			continue
 		}
 		list.Backends = append(list.Backends, distribution.Backend{
@@ -247,64 +248,64 @@
 	return nil, errDown
 }
 
-func (r *exchangeRig) find(format string, args ...any) {
-	r.found = append(r.found, fmt.Sprintf(format, args...))
+func (r *exchangeRig) addFinding(format string, args ...any) {
+	r.findings = append(r.findings, fmt.Sprintf(format, args...))
 }
 
-// note is find for who has not locked the rig.
-func (r *exchangeRig) note(format string, args ...any) {
+// lockAndAddFinding is addFinding for callers that do not hold the lock.
+func (r *exchangeRig) lockAndAddFinding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.find(format, args...)
+	r.addFinding(format, args...)
 }
 
-// request is what a backend says to a request on a connection.
+// request returns the backend's reaction to a request on a connection.
 func (b *scriptedBackend) request(c *scriptedConn, raw []byte) reply {
 	r := b.rig
 	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 	if err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.find("%s gets what is no request: %v", b.id, err)
-		return reply{taken: -1, end: errReset}
+		r.addFinding("%s received an invalid request: %v", b.id, err)
+		return reply{accepted: -1, readErr: errReset}
 	}
-	well := b.answerTo(req)
-	strikes := b.strikes(req)
-	says := reply{taken: -1, bytes: well.framed()}
+	healthy := b.healthyAnswer(req)
+	strikes := b.faultApplies(req)
+	answer := reply{accepted: -1, bytes: healthy.framed()}
 	if r.script != nil {
-		says = r.script(well)
+		answer = r.script(healthy)
 	}
 	if strikes {
 		r.mu.Lock()
-		r.struck = c
+		r.faultedConn = c
 		r.mu.Unlock()
-		r.list(false) // from now on there is another
-		says = r.breakage.does(r, c, raw, well)
+		r.list(false) // from now on there is another backend
+		answer = r.fault.script(r, c, raw, healthy)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b.judge(req, says)
-	return says
+	b.recordArrival(req, answer)
+	return answer
 }
 
-// strikes tells whether a request is the victim's call that meets the fault.
-func (b *scriptedBackend) strikes(req *http.Request) bool {
+// faultApplies reports whether a request is the victim's call that meets the fault.
+func (b *scriptedBackend) faultApplies(req *http.Request) bool {
 	r := b.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.struck == nil &&
+	return r.faultedConn == nil &&
 		req.Header.Get(externalapi.HeaderAttemptID) == victimID &&
-		b.id == r.struckBackend() &&
+		b.id == r.faultedBackend() &&
 		req.Method != externalapi.CallFreeKVHandle.Method
 }
 
-// answerTo is the answer that a request gets where all is well.
-func (b *scriptedBackend) answerTo(req *http.Request) *validAnswer {
+// healthyAnswer returns the response that a request gets without a fault.
+func (b *scriptedBackend) healthyAnswer(req *http.Request) *validAnswer {
 	id := req.Header.Get(externalapi.HeaderAttemptID)
 	a := &validAnswer{
-		id:   id,
-		bare: req.Method == http.MethodHead,
-		head: "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n",
+		id:       id,
+		headOnly: req.Method == http.MethodHead,
+		head:     "HTTP/1.1 200 OK\r\n" + externalapi.HeaderAttemptID + ": " + id + "\r\n",
 	}
 	switch {
 	case req.Method == externalapi.CallFreeKVHandle.Method:
@@ -324,7 +325,7 @@
 	return a
 }
 
-// newHandle makes a handle of a request's at an address.
+// newHandle creates a KV handle for a request at an address.
 func (r *exchangeRig) newHandle(address, id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -333,68 +334,69 @@
 	return ref
 }
 
-// judge notes a request that has come, and what no request may do. The rig is locked.
-func (b *scriptedBackend) judge(req *http.Request, says reply) {
+// recordArrival records a request that reached a backend, and checks what is forbidden for any request. The rig is
+// locked.
+func (b *scriptedBackend) recordArrival(req *http.Request, answer reply) {
 	r := b.rig
 	id := req.Header.Get(externalapi.HeaderAttemptID)
 	at := arrival{
-		id:      id,
-		backend: b.id,
-		stage:   req.Header.Get(externalapi.HeaderStage),
-		handle:  req.Header.Get(externalapi.HeaderKVFrom),
-		proved:  says.proves,
-		at:      time.Now(),
+		id:           id,
+		backend:      b.id,
+		stage:        req.Header.Get(externalapi.HeaderStage),
+		handle:       req.Header.Get(externalapi.HeaderKVFrom),
+		provedNotRun: answer.provesNotRun,
+		at:           time.Now(),
 	}
 	freeing := req.Method == externalapi.CallFreeKVHandle.Method
 	if freeing {
 		at.stage = "free"
 	}
 	if ids := req.Header[externalapi.HeaderAttemptID]; len(ids) != 1 && !freeing {
-		r.find("a request with the ids %q", ids)
+		r.addFinding("request with attempt ids %q, want exactly one", ids)
 	}
-	b.judgeDeadline(req, freeing)
-	if says.taken == 0 {
+	b.checkDeadline(req, freeing)
+	if answer.accepted == 0 {
 		return
 	}
-	r.reaches = append(r.reaches, at)
+	r.arrivals = append(r.arrivals, at)
 	switch {
 	case freeing:
 		ref := b.address + "/" + strings.TrimPrefix(req.URL.Path, externalapi.CallFreeKVHandle.Path)
-		if owner := r.handles[ref]; owner != r.asking {
-			r.find("%s's handle %s is freed as %s ends", owner, ref, r.asking)
+		if owner := r.handles[ref]; owner != r.currentID {
+			r.addFinding("handle %[2]s of %[1]s is released at the end of %[3]s", owner, ref, r.currentID)
 		}
 	case at.handle != "":
 		if r.handles[at.handle] != id {
-			r.find("%s takes the handle %s of %q", id, at.handle, r.handles[at.handle])
+			r.addFinding("%s uses the handle %s of %q", id, at.handle, r.handles[at.handle])
 		}
-		if r.spent[at.handle] {
-			r.find("%s takes the handle %s a second time", id, at.handle)
+		if r.usedHandles[at.handle] {
+			r.addFinding("%s uses the handle %s a second time", id, at.handle)
 		}
-		r.spent[at.handle] = true
+		r.usedHandles[at.handle] = true
 	}
-	if id == victimID && !r.left.IsZero() && !freeing && time.Since(r.left) > 500*time.Millisecond {
-		r.find("sent to %s %v after its client left", b.id, time.Since(r.left))
+	if id == victimID && !r.clientLeftAt.IsZero() && !freeing && time.Since(r.clientLeftAt) > 500*time.Millisecond {
+		r.addFinding("sent to %s %v after its client disconnected", b.id, time.Since(r.clientLeftAt))
 	}
 }
 
-// judgeDeadline looks at how much time a backend is given. The rig is locked.
-func (b *scriptedBackend) judgeDeadline(req *http.Request, freeing bool) {
+// checkDeadline checks the deadline that a backend receives. The rig is locked.
+func (b *scriptedBackend) checkDeadline(req *http.Request, freeing bool) {
 	r := b.rig
 	given, err := strconv.Atoi(req.Header.Get(externalapi.HeaderDeadlineMs))
 	if err != nil || len(req.Header[externalapi.HeaderDeadlineMs]) != 1 {
-		r.find("%s is given the deadline %q", b.id, req.Header[externalapi.HeaderDeadlineMs])
+		r.addFinding("%s received the invalid deadline %q", b.id, req.Header[externalapi.HeaderDeadlineMs])
 		return
 	}
-	left := r.deadline - time.Since(r.came)
+	left := r.deadline - time.Since(r.arrivedAt)
 	if freeing {
 		left += 500 * time.Millisecond
 	}
 	if time.Duration(given)*time.Millisecond > max(left, time.Millisecond) {
-		r.find("%s is given %d ms, %v are left", b.id, given, left)
+		r.addFinding("%s received a deadline of %d ms, remaining time %v", b.id, given, left)
 	}
 }
 
-// outcome is what a client has got.
+// outcome is the response that a client received.
 type outcome struct {
 	status int
 	header http.Header
@@ -403,7 +405,7 @@
 	took   time.Duration
 }
 
-// newRequest makes a request of the rig's kind.
+// newRequest returns a request of the rig's kind.
 func (r *exchangeRig) newRequest(ctx context.Context, id string) *http.Request {
 	body, method := "", r.method(id)
 	if method == http.MethodPost {
@@ -424,29 +426,29 @@
 	return req
 }
 
-// ask makes one request of the rig's kind.
-func (r *exchangeRig) ask(id string) outcome {
+// do serves one request of the rig's kind.
+func (r *exchangeRig) do(id string) outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	req := r.newRequest(ctx, id)
 	r.mu.Lock()
-	r.asking, r.cancel, r.came, r.deadline = id, cancel, time.Now(), exchangeDeadline
+	r.currentID, r.cancel, r.arrivedAt, r.deadline = id, cancel, time.Now(), exchangeDeadline
 	r.mu.Unlock()
-	w := &once{ResponseRecorder: httptest.NewRecorder()}
+	w := &countingRecorder{ResponseRecorder: httptest.NewRecorder()}
 	began := time.Now()
 	broken := serveUntilAborted(r.proxy, w, req)
 	out := outcome{w.Code, w.Header(), w.Body.String(), broken, time.Since(began)}
-	if w.answers == 0 && !broken {
-		out.status = http.StatusOK // what the library makes of a handler that says nothing
+	if w.responses == 0 && !broken {
+		out.status = http.StatusOK // net/http's status for a handler that writes no response
 	}
-	if w.answers == 0 && broken {
+	if w.responses == 0 && broken {
 		out.status = 0
 	}
 	r.proxy.background.Wait()
 	return out
 }
 
-// method is that of a request: only the victim's is not the usual one.
+// method returns the method of a request: only the victim's may differ from POST.
 func (r *exchangeRig) method(id string) string {
 	if id == victimID && r.kind.method != "" {
 		return r.kind.method
@@ -454,7 +456,7 @@
 	return http.MethodPost
 }
 
-// serveUntilAborted has a proxy serve a request; aborted: it broke the answer off.
+// serveUntilAborted serves a request with a proxy, and reports whether the response was aborted.
 func serveUntilAborted(p *Proxy, w http.ResponseWriter, req *http.Request) (aborted bool) {
 	defer func() {
 		switch e := recover(); e {
@@ -469,18 +471,18 @@
 	return false
 }
 
-// ran is how many times a request has come to backends without proof that it did not run; prefills don't count.
-func (r *exchangeRig) ran(id string) int {
+// runCount returns how often a request reached backends without proof that it did not run; prefills do not count.
+func (r *exchangeRig) runCount(id string) int {
 	n := 0
-	for _, at := range r.reaches {
-		if at.id == id && at.stage == "" && !at.proved {
+	for _, at := range r.arrivals {
+		if at.id == id && at.stage == "" && !at.provedNotRun {
 			n++
 		}
 	}
 	return n
 }
 
-// completeAnswer is the body of a complete answer to a request.
+// completeAnswer returns the body of a complete response to a request.
 func (r *exchangeRig) completeAnswer(id string) string {
 	if !r.kind.stream() {
 		return "answer to " + id
@@ -492,23 +494,23 @@
 	return b.String()
 }
 
-// judgeOutcome holds what a client has got against what it may get: its own answer, or none.
-func (r *exchangeRig) judgeOutcome(id string, o outcome) {
+// checkOutcome checks that a client received its own response, or none.
+func (r *exchangeRig) checkOutcome(id string, o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	bad := func(format string, args ...any) {
-		r.find("%s: status %d, broken off %v, after %v, %q, reached %v: %s",
-			id, o.status, o.broken, o.took, o.body, r.reaches, fmt.Sprintf(format, args...))
+		r.addFinding("%s: status %d, aborted %v, after %v, %q, reached %v: %s",
+			id, o.status, o.broken, o.took, o.body, r.arrivals, fmt.Sprintf(format, args...))
 	}
 	if o.took > exchangeDeadline {
-		bad("too late")
+		bad("deadline exceeded")
 	}
 	if got := o.header[externalapi.HeaderAttemptID]; o.status != 0 && !slices.Equal(got, []string{id}) {
-		bad("it bears the ids %q", got)
+		bad("response has the attempt ids %q", got)
 	}
 	seal := o.header.Get(externalapi.HeaderBackendSeal)
 	if seal != "" && seal != "of-"+id {
-		bad("it bears the seal %q", seal)
+		bad("response has the seal %q", seal)
 	}
 	switch {
 	case o.status == 0:
@@ -516,111 +518,111 @@
 		bad("a success without a seal")
 	case o.status == http.StatusOK && o.broken:
 		if !strings.HasPrefix(r.completeAnswer(id), o.body) {
-			bad("another's bytes")
+			bad("response has bytes of another request")
 		}
 	case o.status == http.StatusOK:
 		if o.body != r.completeAnswer(id) && r.method(id) != http.MethodHead {
-			bad("not its answer")
+			bad("response belongs to another request")
 		}
 	case impliesNotRun(o.status):
-		if r.ran(id) > 0 {
-			bad("promises that it has not run")
+		if r.runCount(id) > 0 {
+			bad("status implies that the request has not run, but it may have")
 		}
 		if seal != "" {
-			bad("a promise of the proxy's own with a seal")
+			bad("response of the proxy has a backend's seal")
 		}
 	case strings.Contains(o.body, "answer to "):
-		bad("a failure with an answer")
+		bad("error response has the body of a success")
 	}
-	if !r.kind.idempotent() && r.ran(id) > 1 {
-		bad("it has come to backends %d times", r.ran(id))
+	if !r.kind.idempotent() && r.runCount(id) > 1 {
+		bad("request reached backends %d times, want at most once", r.runCount(id))
 	}
 }
 
-// play plays one case: a request before, where the connection is to be one that has been used, the victim's, and others
-// after it on what it left behind. It returns what the victim got, and what was found.
-func (r *exchangeRig) play(pooled bool) (victim outcome, found []string) {
+// run runs one case: a request before the victim's if the connection is to be reused, the victim's, and two after it on
+// the state that it left. It returns the victim's outcome and the findings.
+func (r *exchangeRig) run(pooled bool) (victim outcome, found []string) {
 	defer r.proxy.pool.Close()
 	if pooled {
-		r.judgeServed("before")
-		settle()
+		r.checkServed("before")
+		waitUntilReusable()
 	}
-	victim = r.ask(victimID)
-	r.judgeOutcome(victimID, victim)
-	if r.struck == nil {
-		r.find("the fault did not strike")
-		return victim, r.found
+	victim = r.do(victimID)
+	r.checkOutcome(victimID, victim)
+	if r.faultedConn == nil {
+		r.addFinding("the fault did not occur")
+		return victim, r.findings
 	}
-	if pooled != (r.struck.carried > 1) {
-		r.find("the connection that breaks has carried %d requests", r.struck.carried)
+	if pooled != (r.faultedConn.requests > 1) {
+		r.addFinding("the faulted connection had %d requests", r.faultedConn.requests)
 	}
-	if !r.left.IsZero() {
-		r.judgeLeft()
+	if !r.clientLeftAt.IsZero() {
+		r.checkDisconnect()
 	}
-	r.list(true) // what follows goes where the fault struck
+	r.list(true) // later requests go to the backend that met the fault
 	for _, id := range []string{"after", "after-that"} {
-		settle()
-		r.judgeServed(id)
+		waitUntilReusable()
+		r.checkServed(id)
 	}
-	return victim, r.found
+	return victim, r.findings
 }
 
-// settle lets the pool's rest of a connection pass, on the clock of the test.
-func settle() { time.Sleep(5 * time.Millisecond) }
+// waitUntilReusable waits, on the clock of the test, until the pool may reuse a returned connection.
+func waitUntilReusable() { time.Sleep(5 * time.Millisecond) }
 
-// judgeServed makes a request that has to be served.
-func (r *exchangeRig) judgeServed(id string) {
-	o := r.ask(id)
-	r.judgeOutcome(id, o)
+// checkServed sends a request that has to be served.
+func (r *exchangeRig) checkServed(id string) {
+	o := r.do(id)
+	r.checkOutcome(id, o)
 	if o.status != http.StatusOK || o.broken {
-		r.find("%s is not served: %d %q", id, o.status, o.body)
+		r.addFinding("%s was not served: %d %q", id, o.status, o.body)
 	}
 }
 
-// judgeLeft looks at what remains of a request half a second after its client left.
-func (r *exchangeRig) judgeLeft() {
+// checkDisconnect checks that the backend's connection was closed within half a second of the client's disconnect.
+func (r *exchangeRig) checkDisconnect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.struck
+	c := r.faultedConn
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.closed || c.closedAt.Sub(r.left) > 500*time.Millisecond {
-		r.find("the backend's connection outlives the client's by %v", c.closedAt.Sub(r.left))
+	if !c.closed || c.closedAt.Sub(r.clientLeftAt) > 500*time.Millisecond {
+		r.addFinding("the backend's connection was closed %v after the client's", c.closedAt.Sub(r.clientLeftAt))
 	}
 }
 
-// framedUntil gives the bytes of an answer up to k, and then the end given.
-func framedUntil(k int, end error) func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
+// truncatedAnswer returns a script that sends the first k bytes of a response, followed by the error.
+func truncatedAnswer(k int, end error) func(*exchangeRig, *scriptedConn, []byte, *validAnswer) reply {
 	return func(_ *exchangeRig, _ *scriptedConn, _ []byte, a *validAnswer) reply {
 		b := a.framed()
-		return reply{taken: -1, bytes: b[:min(k, len(b)-1)], end: end}
+		return reply{accepted: -1, bytes: b[:min(k, len(b)-1)], readErr: end}
 	}
 }
 
-// sample is the struck call as it is where all is well: the request as it goes out, and its answer.
-type sample struct {
+// healthyExchange is the call that meets the fault as it is without one: the request as sent, and its response.
+type healthyExchange struct {
 	request []byte
 	answer  *validAnswer
 }
 
-// sampleExchange gives the sample of a kind of request.
-func sampleExchange(kind requestKind) (s sample) {
-	r := newExchangeRig(kind, breakage{"sample", func(_ *exchangeRig, _ *scriptedConn, raw []byte, a *validAnswer) reply {
-		s = sample{bytes.Clone(raw), a}
-		return reply{taken: -1, bytes: a.framed()}
+// recordHealthyExchange returns the healthy exchange of a kind of request.
+func recordHealthyExchange(kind requestKind) (s healthyExchange) {
+	r := newExchangeRig(kind, injectedFault{"sample", func(_ *exchangeRig, _ *scriptedConn, raw []byte, a *validAnswer) reply {
+		s = healthyExchange{bytes.Clone(raw), a}
+		return reply{accepted: -1, bytes: a.framed()}
 	}})
-	if o, found := r.play(false); s.answer == nil || o.status != http.StatusOK || len(found) > 0 {
+	if o, found := r.run(false); s.answer == nil || o.status != http.StatusOK || len(found) > 0 {
 		panic(fmt.Sprintf("%s without a fault: %d %q, %v", kind.name, o.status, o.body, found))
 	}
 	return s
 }
 
-// clientLeaves has the victim's client leave once what its backend says now has been read.
-func (r *exchangeRig) clientLeaves(c *scriptedConn) {
+// disconnectClient disconnects the victim's client once the proxy has read the bytes that its backend sends now.
+func (r *exchangeRig) disconnectClient(c *scriptedConn) {
 	go func() {
-		time.Sleep(time.Millisecond) // on the clock of the test: all that can be read until then is read
+		time.Sleep(time.Millisecond) // on the clock of the test: all available bytes are read by then
 		r.mu.Lock()
-		r.left = time.Now()
+		r.clientLeftAt = time.Now()
 		r.cancel()
 		r.mu.Unlock()
 	}()
--- a/internal/fleet/proxy/generation_test.go
+++ b/internal/fleet/proxy/generation_test.go
@@ -21,7 +21,7 @@
 		r.configure()
 		setFaults(r.engines[1:2], fault)
 		for own := range 20 {
-			got := r.client.Do(r.Context(), ask("free", own%3, own, [2]int{6000, 2}))
+			got := r.client.Do(r.Context(), routeRequest("free", own%3, own, [2]int{6000, 2}))
 			r.Check(got.OK(), qt.IsTrue, qt.Commentf("%+v: %d %v", fault, got.Status, got.Err))
 		}
 		r.Check(r.proxy.services["llm"].retryBudget.tokens >= 0, qt.IsTrue)
--- a/internal/fleet/proxy/leaks_test.go
+++ b/internal/fleet/proxy/leaks_test.go
@@ -11,12 +11,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// leak is a fault planted in a copy of the sources: each old text once, replaced. The compiler or the tests of
-// residency-bound requests, most of them by the auditor (simulation.Judge's Leaks), have to find it.
-type leak struct {
-	name    string
-	by      string              // what finds it: "compiler", or the tests that are run
-	changes map[string][]string // by file: old, new, old, new ...
+// plantedLeak is a fault that is planted in a copy of the sources by replacing each old text, which must occur exactly
+// once. The compiler or the tests of residency-bound requests have to detect it, most of them through
+// simulation.Judge's Leaks.
+type plantedLeak struct {
+	name     string
+	detector string              // "compiler", or the pattern of the tests that detect it
+	changes  map[string][]string // by file: old, new, old, new ...
 }
 
 const (
@@ -25,17 +26,17 @@
 	drawnDaysTests = "^TestDrawnDays$"
 )
 
-// noCheck takes the check at the send away, so that only the choice is left.
-var noCheck = []string{
+// withoutSendCheck removes the check when a connection is acquired, so that only the one at selection is left.
+var withoutSendCheck = []string{
 	"if p.endpoint == nil || p.releaseOnly || !p.endpoint.Allowed(t) {",
 	"if p.endpoint == nil || p.releaseOnly {",
 }
 
-// noGate takes the check of the chosen backend away as well.
-var noGate = []string{"if !e.Allowed(t) {\n\t\treturn Permit{}, ErrOutside\n\t}\n", ""}
+// withoutSelectionCheck also removes the check of the selected backend.
+var withoutSelectionCheck = []string{"if !e.Allowed(t) {\n\t\treturn Permit{}, ErrOutside\n\t}\n", ""}
 
-// anyDecoder has the decode backend for a KV cache chosen without terms.
-var anyDecoder = []string{
+// unrestrictedDecoder selects the decode backend for a KV cache without regard to the terms.
+var unrestrictedDecoder = []string{
 	"decoders := func(id string) bool { return s.canDecode(req, id) }\n" +
 		"\tcost := func(id string) float64 {\n\t\tutilization := s.engines.Utilization(id)\n\t\tdelay",
 	"decoders := func(id string) bool { return !req.tried[id] && s.byID[id].Phase == externalapi.PhaseDecode }\n" +
@@ -60,11 +61,11 @@
 	fileResume         = "resume.go"
 )
 
-var residencyLeaks = []leak{
-	// Types that can't be confused.
+var residencyLeaks = []plantedLeak{
+	// Prevented by the type system.
 	{
-		name: "a send without a permit",
-		by:   "compiler",
+		name:     "a send without a permit",
+		detector: "compiler",
 		changes: map[string][]string{
 			filePrefill: {
 				"cr.startExchange(ctx, a.permit, &cr.outbound, &opts, cr.connectDeadline(), deadline)",
@@ -73,8 +74,8 @@
 		},
 	},
 	{
-		name: "a permit made by hand",
-		by:   "compiler",
+		name:     "a permit made by hand",
+		detector: "compiler",
 		changes: map[string][]string{
 			filePlacement: {
 				"pl.decodePermit, err = pl.decode.endpoint.Permit(terms)",
@@ -83,8 +84,8 @@
 		},
 	},
 	{
-		name: "a connection past the permit",
-		by:   "compiler",
+		name:     "a connection past the permit",
+		detector: "compiler",
 		changes: map[string][]string{
 			fileResidencyCheck: {
 				"return permit.AcquireConn(ctx, cr.terms(), out.id)",
@@ -93,8 +94,8 @@
 		},
 	},
 	{
-		name: "a connection from the pool",
-		by:   "compiler",
+		name:     "a connection from the pool",
+		detector: "compiler",
 		changes: map[string][]string{
 			fileResidencyCheck: {
 				"return permit.AcquireConn(ctx, cr.terms(), out.id)",
@@ -103,8 +104,8 @@
 		},
 	},
 	{
-		name: "a handle without a permit",
-		by:   "compiler",
+		name:     "a handle without a permit",
+		detector: "compiler",
 		changes: map[string][]string{
 			filePrefill: {
 				"\t\tpermit: a.permit,\n\t\ttokens:",
@@ -112,10 +113,10 @@
 			},
 		},
 	},
-	// The choice alone: the send would refuse, so that requests are lost.
+	// Faults of the selection only: the check at the send rejects the request, so that requests are lost.
 	{
-		name: "plain requests are chosen anywhere",
-		by:   placementTests,
+		name:     "plain requests are chosen anywhere",
+		detector: placementTests,
 		changes: map[string][]string{
 			filePlacement: {
 				"return !tried[id] && (!restricted || s.withinTerms(id, terms))\n",
@@ -124,8 +125,8 @@
 		},
 	},
 	{
-		name: "prompts are placed anywhere",
-		by:   placementTests,
+		name:     "prompts are placed anywhere",
+		detector: placementTests,
 		changes: map[string][]string{
 			filePolicies: {
 				"return split && s.canPrefill(req, id) || s.canDecode(req, id)",
@@ -135,16 +136,16 @@
 		},
 	},
 	{
-		name: "KV caches go to any decode backend",
-		by:   placementTests,
+		name:     "KV caches go to any decode backend",
+		detector: placementTests,
 		changes: map[string][]string{
-			filePolicies: anyDecoder,
+			filePolicies: unrestrictedDecoder,
 		},
 	},
-	// The terms.
+	// Faults of the terms.
 	{
-		name: "an unknown region is allowed",
-		by:   placementTests,
+		name:     "an unknown region is allowed",
+		detector: placementTests,
 		changes: map[string][]string{
 			fileResidency: {
 				`return region != "" && slices.Contains(t.regions, region)`,
@@ -153,8 +154,8 @@
 		},
 	},
 	{
-		name: "nothing in common is anywhere",
-		by:   "^TestTermsOf$",
+		name:     "nothing in common is anywhere",
+		detector: "^TestTermsOf$",
 		changes: map[string][]string{
 			fileResidency: {
 				"return Terms{restricted: true, regions: both}",
@@ -163,8 +164,8 @@
 		},
 	},
 	{
-		name: "a tenant's routes carry no terms",
-		by:   residencyTests + "Steady",
+		name:     "a tenant's routes carry no terms",
+		detector: residencyTests + "Steady",
 		changes: map[string][]string{
 			fileTerms: {
 				"bound.terms = tenantTerms\n",
@@ -173,8 +174,8 @@
 		},
 	},
 	{
-		name: "terms are those of the route when the request came",
-		by:   residencyTests + "Withdrawn",
+		name:     "terms are those of the route when the request came",
+		detector: residencyTests + "Withdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
 				"if snapshot := rc.latest.Load(); snapshot != rc.snapshot {",
@@ -187,8 +188,8 @@
 		},
 	},
 	{
-		name: "sends under way are not cut",
-		by:   residencyTests + "Withdrawn",
+		name:     "sends under way are not cut",
+		detector: residencyTests + "Withdrawn",
 		changes: map[string][]string{
 			fileSnapshot: {
 				"p.residency.cancelWithdrawn(snapshot)",
@@ -197,8 +198,8 @@
 		},
 	},
 	{
-		name: "streams that got terms go on",
-		by:   residencyTests + "TermsAppear",
+		name:     "streams that got terms go on",
+		detector: residencyTests + "TermsAppear",
 		changes: map[string][]string{
 			fileResidencyCheck: {
 				"if terms := rc.terms(); terms.Restricted() && e.permit.Check(terms) != nil {",
@@ -207,8 +208,8 @@
 		},
 	},
 	{
-		name: "the source of a handle is not watched",
-		by:   residencyTests + "HandleWithdrawn",
+		name:     "the source of a handle is not watched",
+		detector: residencyTests + "HandleWithdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
 				"send.permits = append(send.permits, opts.handle.permit)",
@@ -217,8 +218,8 @@
 		},
 	},
 	{
-		name: "a handle outside is not freed",
-		by:   residencyTests + "HandleWithdrawn",
+		name:     "a handle outside is not freed",
+		detector: residencyTests + "HandleWithdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
 				"return permit.AcquireReleaseConn(ctx, out.id)",
@@ -227,8 +228,8 @@
 		},
 	},
 	{
-		name: "a corrected zone is not taken over",
-		by:   residencyTests + "Relisted",
+		name:     "a corrected zone is not taken over",
+		detector: residencyTests + "Relisted",
 		changes: map[string][]string{
 			fileUpstreams: {
 				"old.endpoint.SetZone(b.Zone)",
@@ -236,12 +237,12 @@
 			},
 		},
 	},
-	// Both checks gone: the auditor sees what is held outside then.
+	// Both checks removed: data is held outside the terms, which the judge detects.
 	{
-		name: "no check at all",
-		by:   residencyTests + "Steady",
+		name:     "no check at all",
+		detector: residencyTests + "Steady",
 		changes: map[string][]string{
-			fileResidency: append(append([]string{}, noCheck...), noGate...),
+			fileResidency: append(append([]string{}, withoutSendCheck...), withoutSelectionCheck...),
 			fileUpstreams: {
 				"return s.byID[id].endpoint.Allowed(terms)",
 				"return true",
@@ -249,10 +250,10 @@
 		},
 	},
 	{
-		name: "spills over when nothing is left inside",
-		by:   residencyTests + "Overload$",
+		name:     "spills over when nothing is left inside",
+		detector: residencyTests + "Overload$",
 		changes: map[string][]string{
-			fileResidency: append(append([]string{}, noCheck...), noGate...),
+			fileResidency: append(append([]string{}, withoutSendCheck...), withoutSelectionCheck...),
 			filePlacement: {
 				"if len(s.ranked) == 0 {\n\t\t\treturn permit, false\n\t\t}\n\t\tid = s.ranked[0]",
 				"if len(s.ranked) == 0 {\n" +
@@ -263,10 +264,10 @@
 		},
 	},
 	{
-		name: "retries go anywhere",
-		by:   residencyTests + "UnderFaults$/^[a-z_]+$",
+		name:     "retries go anywhere",
+		detector: residencyTests + "UnderFaults$/^[a-z_]+$",
 		changes: map[string][]string{
-			fileResidency: noCheck,
+			fileResidency: withoutSendCheck,
 			filePlain: {
 				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())",
 				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, " +
@@ -277,10 +278,10 @@
 		},
 	},
 	{
-		name: "streams are resumed anywhere",
-		by:   residencyTests + "Resumes$",
+		name:     "streams are resumed anywhere",
+		detector: residencyTests + "Resumes$",
 		changes: map[string][]string{
-			fileResidency: noCheck,
+			fileResidency: withoutSendCheck,
 			fileResume: {
 				"cr.tried, false, cr.terms())",
 				"cr.tried, false, residency.Terms{})",
@@ -290,16 +291,16 @@
 		},
 	},
 	{
-		name: "KV caches go to any decode backend, unchecked",
-		by:   residencyTests + "Decoders$",
+		name:     "KV caches go to any decode backend, unchecked",
+		detector: residencyTests + "Decoders$",
 		changes: map[string][]string{
-			fileResidency: append(append([]string{}, noCheck...), noGate...),
-			filePolicies:  anyDecoder,
+			fileResidency: append(append([]string{}, withoutSendCheck...), withoutSelectionCheck...),
+			filePolicies:  unrestrictedDecoder,
 		},
 	},
 	{
-		name: "the send looks at other terms",
-		by:   residencyTests + "Withdrawn",
+		name:     "the send looks at other terms",
+		detector: residencyTests + "Withdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
 				"return permit.AcquireConn(ctx, cr.terms(), out.id)",
@@ -319,10 +320,10 @@
 			},
 		},
 	},
-	// And what the drawn days find, most of them by what is lost where it need not be.
+	// Faults that TestDrawnDays detects, most of them by requests that are lost needlessly.
 	{
-		name: "plain requests are chosen anywhere, on drawn days",
-		by:   drawnDaysTests,
+		name:     "plain requests are chosen anywhere, on drawn days",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
 			filePlacement: {
 				"return !tried[id] && (!restricted || s.withinTerms(id, terms))\n",
@@ -331,8 +332,8 @@
 		},
 	},
 	{
-		name: "sends under way are not cut, on drawn days",
-		by:   drawnDaysTests,
+		name:     "sends under way are not cut, on drawn days",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileSnapshot: {
 				"p.residency.cancelWithdrawn(snapshot)",
@@ -341,10 +342,10 @@
 		},
 	},
 	{
-		name: "nothing is checked, on drawn days",
-		by:   drawnDaysTests,
+		name:     "nothing is checked, on drawn days",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
-			fileResidency: append(append([]string{}, noCheck...), noGate...),
+			fileResidency: append(append([]string{}, withoutSendCheck...), withoutSelectionCheck...),
 			fileUpstreams: {
 				"return s.byID[id].endpoint.Allowed(terms)",
 				"return true",
@@ -352,10 +353,10 @@
 		},
 	},
 	{
-		name: "retries go anywhere, on drawn days",
-		by:   drawnDaysTests,
+		name:     "retries go anywhere, on drawn days",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
-			fileResidency: noCheck,
+			fileResidency: withoutSendCheck,
 			filePlain: {
 				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, cr.terms())",
 				"cr.svc.selectPlain(key, cr.retryable(), cr.tried, " +
@@ -366,10 +367,10 @@
 		},
 	},
 	{
-		name: "streams are resumed anywhere, on drawn days",
-		by:   drawnDaysTests,
+		name:     "streams are resumed anywhere, on drawn days",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
-			fileResidency: noCheck,
+			fileResidency: withoutSendCheck,
 			fileResume: {
 				"cr.tried, false, cr.terms())",
 				"cr.tried, false, residency.Terms{})",
@@ -379,8 +380,8 @@
 		},
 	},
 	{
-		name: "a corrected zone is not taken over, on drawn days",
-		by:   drawnDaysTests,
+		name:     "a corrected zone is not taken over, on drawn days",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileUpstreams: {
 				"old.endpoint.SetZone(b.Zone)",
@@ -389,8 +390,8 @@
 		},
 	},
 	{
-		name: "an address is taken for the backend that had it",
-		by:   drawnDaysTests,
+		name:     "an address is taken for the backend that had it",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileOutbound: {
 				"b = appendField(b, externalapi.HeaderTargetBackend, o.target)",
@@ -399,8 +400,8 @@
 		},
 	},
 	{
-		name: "what may have run is refused",
-		by:   drawnDaysTests,
+		name:     "what may have run is refused",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileErrors: {
 				"case cr.mayHaveRun:\n\t\treturn &rejection{status: http.StatusBadGateway, reason: reason}",
@@ -411,8 +412,8 @@
 		},
 	},
 	{
-		name: "what may have run is sent again",
-		by:   drawnDaysTests,
+		name:     "what may have run is sent again",
+		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileRetries: {
 				"(!cr.mayHaveRun || cr.route.Idempotent()) &&\n\t\tcr.sends",
@@ -422,47 +423,47 @@
 	},
 }
 
-// TestPlantedLeaks plants each leak in turn, by the compiler's overlay: nothing in the tree is changed.
+// TestPlantedLeaks plants each leak in turn through the compiler's overlay; the source tree is not changed.
 func TestPlantedLeaks(t *testing.T) {
 	for _, one := range residencyLeaks {
 		t.Run(strings.ReplaceAll(one.name, " ", "_"), one.plant)
 	}
 }
 
-// plant builds the tests with the leak in, and has them fail.
-func (one leak) plant(t *testing.T) {
+// plant builds the tests with the leak, and checks that they fail.
+func (one plantedLeak) plant(t *testing.T) {
 	c := qt.New(t)
 	overlay := one.overlay(c, t.TempDir())
 	cmd := exec.CommandContext(t.Context(), "go", "test", "-vet=off", "-p=2", "-count=1",
-		"-overlay", overlay, "-run", one.tests(), one.in())
-	if one.in() == "." {
+		"-overlay", overlay, "-run", one.testPattern(), one.testPackage())
+	if one.testPackage() == "." {
 		cmd.Args = append(cmd.Args, "-rapid.nofailfile", "-rapid.shrinktime=0s")
 	}
 	out, err := cmd.CombinedOutput()
-	c.Assert(err, qt.IsNotNil, qt.Commentf("it was not found:\n%s", out))
+	c.Assert(err, qt.IsNotNil, qt.Commentf("the planted leak was not detected:\n%s", out))
 	built := !strings.Contains(string(out), "[build failed]")
-	c.Assert(built, qt.Equals, one.by != "compiler", qt.Commentf("%s", out))
+	c.Assert(built, qt.Equals, one.detector != "compiler", qt.Commentf("%s", out))
 	for line := range strings.Lines(string(out)) {
 		tellsWhy := strings.Contains(line, "error:") ||
 			strings.Contains(line, ".go:") && !built ||
 			strings.Contains(line, "--- FAIL")
 		if tellsWhy {
-			t.Logf("found: %s", strings.TrimSpace(line))
+			t.Logf("detected: %s", strings.TrimSpace(line))
 			break
 		}
 	}
 }
 
-// tests is the pattern of the tests that have to find the leak.
-func (one leak) tests() string {
-	if one.by == "compiler" {
+// testPattern returns the pattern of the tests that have to detect the leak.
+func (one plantedLeak) testPattern() string {
+	if one.detector == "compiler" {
 		return "^$"
 	}
-	return one.by
+	return one.detector
 }
 
-// in is the package whose tests are run: that of the changed files where they are in another one's tests' care.
-func (one leak) in() string {
+// testPackage returns the package whose tests are run: that of the changed files if it has tests of its own for them.
+func (one plantedLeak) testPackage() string {
 	for file := range one.changes {
 		switch dir := filepath.Dir(file); dir {
 		case "../externalapi", "../operatorclient", "../distribution":
@@ -472,8 +473,8 @@
 	return "."
 }
 
-// overlay writes the changed files and the compiler's list of them, and gives that list's name.
-func (one leak) overlay(c *qt.C, dir string) string {
+// overlay writes the changed files and the compiler's overlay file, and returns the path of that file.
+func (one plantedLeak) overlay(c *qt.C, dir string) string {
 	here, err := os.Getwd()
 	c.Assert(err, qt.IsNil)
 	overlay := struct{ Replace map[string]string }{map[string]string{}}
@@ -482,7 +483,7 @@
 		c.Assert(err, qt.IsNil)
 		src := string(b)
 		for i := 0; i < len(texts); i += 2 {
-			comment := qt.Commentf("the leak is to be planted anew: %s: %s", file, texts[i])
+			comment := qt.Commentf("source text not found exactly once, plant the leak anew: %s: %s", file, texts[i])
 			c.Assert(strings.Count(src, texts[i]), qt.Equals, 1, comment)
 			src = strings.Replace(src, texts[i], texts[i+1], 1)
 		}
--- a/internal/fleet/proxy/placement_residency_test.go
+++ b/internal/fleet/proxy/placement_residency_test.go
@@ -20,9 +20,9 @@
 	"molepaddle/policy"
 )
 
-// casesEach is how many requests are placed over one list: with the twenty lists that rapid tries in a short run, over
+// casesPerList is how many requests are placed over one list: with the twenty lists that rapid tries in a short run, over
 // 10,000 cases, with the hundred of a usual one 50,000.
-const casesEach = 530
+const casesPerList = 530
 
 // testGate returns a gate whose backends can't be connected to.
 func testGate(zones map[string]string) *residency.Gate {
@@ -56,10 +56,10 @@
 func TestPlacementWithinTerms(t *testing.T) {
 	cases := 0
 	rapid.Check(t, func(r *rapid.T) {
-		p := newPlacementPlay(r)
-		for range casesEach {
+		p := newPlacementModel(r)
+		for range casesPerList {
 			cases++
-			p.change()
+			p.changeState()
 			p.place(p.request())
 		}
 	})
@@ -69,17 +69,17 @@
 	t.Logf("%d cases", cases)
 }
 
-// placementPlay places requests over a service whose list and load change.
-type placementPlay struct {
+// placementModel places requests over a service whose list and load change.
+type placementModel struct {
 	*rapid.T
 	svc  *service
 	list []distribution.Backend
 	seed uint64
 }
 
-// newPlacementPlay returns a play over a drawn list.
-func newPlacementPlay(r *rapid.T) *placementPlay {
-	p := &placementPlay{T: r, svc: newService("llm", testGate(testZones), time.Second)}
+// newPlacementModel returns a play over a drawn list.
+func newPlacementModel(r *rapid.T) *placementModel {
+	p := &placementModel{T: r, svc: newService("llm", testGate(testZones), time.Second)}
 	p.svc.configure(runtimeOf(rapid.IntRange(1, 8).Draw(r, "capacity")))
 	p.relist()
 	p.seed = rapid.Uint64().Draw(r, "seed")
@@ -87,7 +87,7 @@
 }
 
 // relist draws another list.
-func (p *placementPlay) relist() {
+func (p *placementModel) relist() {
 	zoneNames := []string{"e1", "e2", "m1", "m2", "w1", "w2", "nowhere", ""}
 	phases := []string{
 		externalapi.PhasePrefill, externalapi.PhaseDecode, externalapi.PhaseDecode, distribution.PhaseChanging,
@@ -105,81 +105,81 @@
 	p.svc.updateEndpoints(p.list)
 }
 
-// next is a number below n, by a small generator of our own: rapid's draws would take most of the time.
-func (p *placementPlay) next(n int) int {
+// randInt is a number below n, by a small generator of our own: rapid's draws would take most of the time.
+func (p *placementModel) randInt(n int) int {
 	p.seed = p.seed*6364136223846793005 + 1442695040888963407
 	return int(p.seed>>33) % n
 }
 
-// change has the list change now and then, and more often an attempt end somewhere and a load be reported.
-func (p *placementPlay) change() {
+// changeState has the list changeState now and then, and more often an attempt end somewhere and a load be reported.
+func (p *placementModel) changeState() {
 	endings := []policy.Status{
 		policy.OK, policy.Error, policy.Timeout, policy.Reset, policy.ConnectFailed, policy.Full,
 	}
-	switch p.next(12) {
+	switch p.randInt(12) {
 	case 0:
 		p.relist()
 	case 1, 2, 3:
 		if len(p.list) > 0 {
-			id := p.list[p.next(len(p.list))].ID
+			id := p.list[p.randInt(len(p.list))].ID
 			p.svc.ranker.AttemptStarted(id)
-			p.svc.attemptEnded(id, endings[p.next(len(endings))])
-			p.svc.recordLoad(id, fmt.Sprintf("%d,%d,8", p.next(9), p.next(3)))
+			p.svc.attemptEnded(id, endings[p.randInt(len(endings))])
+			p.svc.recordLoad(id, fmt.Sprintf("%d,%d,8", p.randInt(9), p.randInt(3)))
 		}
 	}
 }
 
-// playedRequest is a request and what may serve it.
-type playedRequest struct {
-	terms    residency.Terms
-	regions  []string // that the terms allow
-	tried    map[string]bool
-	byID     map[string]distribution.Backend
-	anywhere bool // a backend may serve it
-	decodes  bool // a decode backend may
-	prompt   *scheduler.Prompt
+// placementCase is a request and what may serve it.
+type placementCase struct {
+	terms     residency.Terms
+	regions   []string // that the terms allow
+	tried     map[string]bool
+	byID      map[string]distribution.Backend
+	servable  bool // a backend may serve it
+	decodable bool // a decode backend may
+	prompt    *scheduler.Prompt
 }
 
 // permitted reports whether a backend may hold the request's data, independent of what the package makes of it.
-func (q *playedRequest) permitted(b distribution.Backend) bool {
+func (q *placementCase) permitted(b distribution.Backend) bool {
 	region := testZones[b.Zone]
 	return !q.terms.Restricted() || region != "" && slices.Contains(q.regions, region)
 }
 
 // request makes a request with terms of some regions, or none, that some backends were tried for.
-func (p *placementPlay) request() *playedRequest {
-	q := &playedRequest{tried: map[string]bool{}, byID: map[string]distribution.Backend{}}
+func (p *placementModel) request() *placementCase {
+	q := &placementCase{tried: map[string]bool{}, byID: map[string]distribution.Backend{}}
 	for _, region := range []string{"east", "mid", "west", "else"} {
-		if p.next(2) == 0 {
+		if p.randInt(2) == 0 {
 			q.regions = append(q.regions, region)
 		}
 	}
 	q.terms = residency.Within(q.regions...)
-	if p.next(8) == 0 {
+	if p.randInt(8) == 0 {
 		q.terms = residency.Terms{}
 	}
 	for _, b := range p.list {
-		if p.next(6) == 0 {
+		if p.randInt(6) == 0 {
 			q.tried[b.ID] = true
 		}
 		q.byID[b.ID] = b
 		usable := !b.Draining && !q.tried[b.ID] && q.permitted(b)
-		q.anywhere = q.anywhere || usable
-		q.decodes = q.decodes || usable && b.Phase == externalapi.PhaseDecode
+		q.servable = q.servable || usable
+		q.decodable = q.decodable || usable && b.Phase == externalapi.PhaseDecode
 	}
 	q.prompt = &scheduler.Prompt{
-		InputTokens:     1 + p.next(8000),
+		InputTokens:     1 + p.randInt(8000),
 		MaxOutputTokens: 4,
 		Segments: []scheduler.Segment{
-			{PrefixHash: uint64(p.next(4) + 1), Tokens: 100},
+			{PrefixHash: uint64(p.randInt(4) + 1), Tokens: 100},
 			{PrefixHash: p.seed, Tokens: 10},
 		},
 	}
 	return q
 }
 
-// check fails where a permit is for a backend outside the terms.
-func (p *placementPlay) check(what string, q *playedRequest, permit residency.Permit) {
+// checkPermit fails where a permit is for a backend outside the terms.
+func (p *placementModel) checkPermit(what string, q *placementCase, permit residency.Permit) {
 	b := q.byID[permit.ID()]
 	if !q.permitted(b) || permit.Check(q.terms) != nil {
 		p.Fatalf("%s in %q under %v", what, b.Zone, q.terms)
@@ -187,34 +187,34 @@
 }
 
 // place chooses backends for the request as a plain one, and as a generation with a second decode backend.
-func (p *placementPlay) place(q *playedRequest) {
-	plain, ok := p.svc.selectPlain(p.seed, p.next(2) == 0, q.tried, q.terms)
-	if ok != q.anywhere {
-		p.Fatalf("selectPlain found one: %v, there is one: %v, under %v", ok, q.anywhere, q.terms)
+func (p *placementModel) place(q *placementCase) {
+	plain, ok := p.svc.selectPlain(p.seed, p.randInt(2) == 0, q.tried, q.terms)
+	if ok != q.servable {
+		p.Fatalf("selectPlain found one: %v, there is one: %v, under %v", ok, q.servable, q.terms)
 	}
 	if ok {
-		p.check("selectPlain", q, plain)
+		p.checkPermit("selectPlain", q, plain)
 		p.svc.attemptEnded(plain.ID(), policy.OK)
 	}
-	retryable := p.next(2) == 0
-	target := time.Duration(p.next(300)) * time.Millisecond
-	pl, ok := p.svc.selectPlacement("k", retryable, q.prompt, target, q.tried, p.next(2) == 0, q.terms)
-	if ok != q.decodes {
-		p.Fatalf("selectPlacement found one: %v, there is one: %v, under %v", ok, q.decodes, q.terms)
+	retryable := p.randInt(2) == 0
+	target := time.Duration(p.randInt(300)) * time.Millisecond
+	pl, ok := p.svc.selectPlacement("k", retryable, q.prompt, target, q.tried, p.randInt(2) == 0, q.terms)
+	if ok != q.decodable {
+		p.Fatalf("selectPlacement found one: %v, there is one: %v, under %v", ok, q.decodable, q.terms)
 	}
 	if !ok {
 		return
 	}
-	p.check("decode", q, pl.decodePermit)
+	p.checkPermit("decode", q, pl.decodePermit)
 	if pl.decodePermit.ID() != pl.decode.ID {
 		p.Fatal("the permit is for another backend")
 	}
 	if pl.prefill != nil {
-		p.check("prefill", q, pl.prefillPermit)
+		p.checkPermit("prefill", q, pl.prefillPermit)
 		q.tried[pl.decode.ID] = true
-		again, ok := p.svc.selectDecoder(pl.prefill, p.next(2) == 0, q.prompt, time.Millisecond, q.tried, q.terms)
+		again, ok := p.svc.selectDecoder(pl.prefill, p.randInt(2) == 0, q.prompt, time.Millisecond, q.tried, q.terms)
 		if ok {
-			p.check("selectDecoder", q, again.decodePermit)
+			p.checkPermit("selectDecoder", q, again.decodePermit)
 			p.svc.attemptEnded(again.decode.ID, policy.OK)
 		}
 	}
--- a/internal/fleet/proxy/quotaslots_test.go
+++ b/internal/fleet/proxy/quotaslots_test.go
@@ -50,16 +50,16 @@
 	r := newRig(t, engine("llm", simulation.PhasePrefill), engine("llm", simulation.PhaseDecode),
 		engine("obs", simulation.PhaseNone))
 	startAllocator(r, "plain")
-	r.proxy.settings.Bounds.Apply = testPatience
+	r.proxy.settings.Bounds.Apply = testTimeout
 	doc := strings.Replace(string(withAccounts(r.document())), `"name":"plain",`, `"name":"plain","rate_s":1,`, 1)
 	applyResource(r.proxy, distribution.ConfigType, uint64(r.version), []byte(doc))
-	r.history = append(r.history, simulation.Term{From: time.Now()})
+	r.termsHistory = append(r.termsHistory, simulation.Term{From: time.Now()})
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	r.Assert(err, qt.IsNil)
 	closed.Close()
 	var backends []distribution.Backend
 	for _, e := range r.engines {
-		b := entry(e)
+		b := listEntry(e)
 		if b.Phase == string(simulation.PhaseDecode) {
 			b.Address = closed.Addr().String() // refuses connections
 		}
@@ -68,7 +68,7 @@
 	r.relist(backends)
 	ran, overQuota := 0, 0
 	for own := range 4 * prefillSlots {
-		got := r.client.Do(r.Context(), askWith("free", own, [2]int{6000, 4}, bearer(plainKey)))
+		got := r.client.Do(r.Context(), routeRequestWith("free", own, [2]int{6000, 4}, bearer(plainKey)))
 		if got.Status == http.StatusTooManyRequests {
 			overQuota++
 		}
--- a/internal/fleet/proxy/residencycheck_test.go
+++ b/internal/fleet/proxy/residencycheck_test.go
@@ -18,15 +18,15 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-var allHeld = []string{"held", "once", "read", "post"}
+var restrictedRoutes = []string{"held", "once", "read", "post"}
 
 // TestResidencySteady serves a tenant inside its regions while others go anywhere, and keeps the residency log of it.
 func TestResidencySteady(t *testing.T) {
-	r := newRig(t, everywhere(nil)...)
+	r := newRig(t, enginesInAllRegions(nil)...)
 	r.configure("east", "mid")
-	got := r.burst(12, [2]int{600, 4}, append(allHeld, "free", "freeread")...)
-	r.Assert(answers(got)[200] >= len(got)*3/4, qt.IsTrue, qt.Commentf("%v", answers(got)))
-	r.clean()
+	got := r.burst(12, [2]int{600, 4}, append(restrictedRoutes, "free", "freeread")...)
+	r.Assert(countByStatus(got)[200] >= len(got)*3/4, qt.IsTrue, qt.Commentf("%v", countByStatus(got)))
+	r.closeAndCheck()
 
 	tracker := r.proxy.residency
 	tracker.mu.Lock()
@@ -49,21 +49,21 @@
 // is held outside; without them the same faults spill over.
 func TestResidencyUnderFaults(t *testing.T) {
 	faults := map[string]func(r *rig){
-		"near region dies": func(r *rig) { crash(r.in("east")) },
-		"all inside die": func(r *rig) {
-			crash(r.in("east"))
-			crash(r.in("mid"))
+		"local region crashes": func(r *rig) { crash(r.enginesIn("east")) },
+		"all allowed regions crash": func(r *rig) {
+			crash(r.enginesIn("east"))
+			crash(r.enginesIn("mid"))
 		},
-		"near garbles":       func(r *rig) { setFaults(r.in("east"), simulation.Faults{Garble: true}) },
-		"near loses answers": func(r *rig) { setFaults(r.in("east"), simulation.Faults{LoseAnswer: true}) },
-		"near cuts streams":  func(r *rig) { setFaults(r.in("east"), simulation.Faults{CutAfter: 2}) },
-		"near fails":         func(r *rig) { setFaults(r.in("east"), simulation.Faults{Fail: 500}) },
-		"near refuses":       func(r *rig) { setFaults(r.in("east"), simulation.Faults{Refuse: true}) },
-		"inside refuse": func(r *rig) {
-			setFaults(r.in("east"), simulation.Faults{Refuse: true})
-			setFaults(r.in("mid"), simulation.Faults{Refuse: true})
+		"local region sends invalid answers": func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Garble: true}) },
+		"local region loses answers":         func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{LoseAnswer: true}) },
+		"local region cuts streams":          func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{CutAfter: 2}) },
+		"local region fails":                 func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Fail: 500}) },
+		"local region rejects":               func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Refuse: true}) },
+		"all allowed regions reject": func(r *rig) {
+			setFaults(r.enginesIn("east"), simulation.Faults{Refuse: true})
+			setFaults(r.enginesIn("mid"), simulation.Faults{Refuse: true})
 		},
-		"handles lapse": func(r *rig) {
+		"handles expire": func(r *rig) {
 			for _, e := range r.engines {
 				e.ExpireHandles()
 			}
@@ -71,27 +71,27 @@
 	}
 	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, everywhere(nil)...)
+			r := newRig(t, enginesInAllRegions(nil)...)
 			r.configure("east", "mid")
-			first := r.burst(4, [2]int{400, 4}, allHeld...)
+			first := r.burst(4, [2]int{400, 4}, restrictedRoutes...)
 			done := make(chan []simulation.Result)
-			go func() { done <- r.burst(12, [2]int{400, 12}, append(allHeld, "free")...) }()
+			go func() { done <- r.burst(12, [2]int{400, 12}, append(restrictedRoutes, "free")...) }()
 			inject(r)
 			got := append(first, <-done...)
-			got = append(got, r.burst(8, [2]int{400, 4}, allHeld...)...)
-			t.Logf("answers: %v", answers(got))
-			r.clean()
+			got = append(got, r.burst(8, [2]int{400, 4}, restrictedRoutes...)...)
+			t.Logf("answers: %v", countByStatus(got))
+			r.closeAndCheck()
 		})
 		t.Run(name+", no terms", func(t *testing.T) {
-			r := newRig(t, everywhere(nil)...)
+			r := newRig(t, enginesInAllRegions(nil)...)
 			r.configure()
 			done := make(chan []simulation.Result)
-			go func() { done <- r.burst(12, [2]int{400, 12}, allHeld...) }()
+			go func() { done <- r.burst(12, [2]int{400, 12}, restrictedRoutes...) }()
 			inject(r)
 			<-done
-			got := r.burst(8, [2]int{400, 4}, allHeld...)
-			t.Logf("answers: %v, %d outside", answers(got), r.outside("east", "mid"))
-			r.Assert(r.outside("east", "mid") > 0, qt.IsTrue)
+			got := r.burst(8, [2]int{400, 4}, restrictedRoutes...)
+			t.Logf("answers: %v, %d outside", countByStatus(got), r.runsOutside("east", "mid"))
+			r.Assert(r.runsOutside("east", "mid") > 0, qt.IsTrue)
 		})
 	}
 }
@@ -118,28 +118,28 @@
 		s.Queue = 1
 		s.Step = 20 * time.Millisecond
 	}
-	r := newRig(t, everywhere(small)...)
+	r := newRig(t, enginesInAllRegions(small)...)
 	r.configure("east")
 	got := r.burst(40, [2]int{400, 8}, "held", "once", "read", "post")
-	by := answers(got)
+	by := countByStatus(got)
 	t.Logf("answers: %v", by)
 	r.Assert(by[200] > 0 && by[503] > 0, qt.IsTrue, qt.Commentf("%v", by))
-	r.clean()
-	r.Assert(r.outside("east"), qt.Equals, 0)
+	r.closeAndCheck()
+	r.Assert(r.runsOutside("east"), qt.Equals, 0)
 
-	free := newRig(t, everywhere(small)...)
+	free := newRig(t, enginesInAllRegions(small)...)
 	free.configure()
 	free.burst(40, [2]int{400, 8}, "held", "once", "read", "post")
-	r.Assert(free.outside("east") > 0, qt.IsTrue)
+	r.Assert(free.runsOutside("east") > 0, qt.IsTrue)
 }
 
 // TestResidencyWithdrawn withdraws a region while streams run there and KV handles wait there.
 func TestResidencyWithdrawn(t *testing.T) {
-	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
+	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.configure("east")
 	done := make(chan []simulation.Result)
 	go func() { done <- r.burst(3, [2]int{400, 100}, "held", "once") }()
-	r.awaitBegun(6)
+	r.awaitStreamStarts(6)
 	r.configure("mid")
 	got := <-done
 	resumed := 0
@@ -154,19 +154,19 @@
 		}
 	}
 	r.Check(resumed, qt.Equals, 3)
-	got = r.burst(8, [2]int{400, 4}, allHeld...)
-	r.Check(answers(got)[200] > 0, qt.IsTrue, qt.Commentf("%v", answers(got)))
-	lingering := r.clean()
+	got = r.burst(8, [2]int{400, 4}, restrictedRoutes...)
+	r.Check(countByStatus(got)[200] > 0, qt.IsTrue, qt.Commentf("%v", countByStatus(got)))
+	lingering := r.closeAndCheck()
 	t.Logf("%d cached prefixes are left", len(lingering))
 }
 
 // TestResidencyWithdrawnBetweenReads withdraws a region as the proxy passes an event on, where the next does not
 // come: the attempt is cancelled all the same, long before its deadline, and the stream resumed inside.
 func TestResidencyWithdrawnBetweenReads(t *testing.T) {
-	r := newRig(t, everywhere(nil)...)
+	r := newRig(t, enginesInAllRegions(nil)...)
 	r.configure("east")
-	setFaults(r.in("east"), simulation.Faults{StallAfter: 1})
-	r.at = sync.OnceFunc(func() {
+	setFaults(r.enginesIn("east"), simulation.Faults{StallAfter: 1})
+	r.onStreamStart = sync.OnceFunc(func() {
 		r.configure("mid")
 		for range 1000 {
 			runtime.Gosched() // the cancellation is made beside this: let it come before the next read
@@ -174,7 +174,7 @@
 	})
 	got := r.burst(1, [2]int{400, 5}, "held")
 	r.Check(got[0].OK(), qt.IsTrue, qt.Commentf("%d %v", got[0].Status, got[0].Err))
-	r.clean()
+	r.closeAndCheck()
 }
 
 // cutOff reports whether an answer can't be taken for a complete one: it was broken off, or, before its first event,
@@ -186,18 +186,18 @@
 // TestResidencyTermsAppear puts a route under terms while its streams run elsewhere: they are resumed inside at their
 // next event.
 func TestResidencyTermsAppear(t *testing.T) {
-	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
-	r.list(r.in("west")...)
+	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
+	r.list(r.enginesIn("west")...)
 	r.configure()
 	done := make(chan []simulation.Result)
 	go func() { done <- r.burst(3, [2]int{400, 100}, "held") }()
-	r.awaitBegun(3)
+	r.awaitStreamStarts(3)
 	r.list(r.engines...)
 	r.configure("east")
 	for _, res := range <-done {
 		r.Check(res.OK(), qt.IsTrue, qt.Commentf("%d %v", res.Status, res.Err)) // resumed inside
 	}
-	r.clean()
+	r.closeAndCheck()
 }
 
 // TestResidencyHandleWithdrawn withdraws the region where a KV cache waits for a decode backend that is full: its
@@ -231,7 +231,7 @@
 	release()
 	<-done
 	<-done
-	r.clean()
+	r.closeAndCheck()
 }
 
 // TestResidencyDecoders has KV caches transferred to another region of the tenant, with an idle decode backend outside.
@@ -250,7 +250,7 @@
 		moved += en.TransferredTokens
 	}
 	r.Assert(moved > 0, qt.IsTrue)
-	r.clean()
+	r.closeAndCheck()
 }
 
 // TestResidencyResumes has every stream cut off half way: they are resumed at the other backend of the tenant's
@@ -269,7 +269,7 @@
 	setFaults(r.engines[:2], simulation.Faults{CutAfter: 2})
 	r.configure("east", "mid")
 	for i := range 24 {
-		q := ask("held", i, i, [2]int{400, 4})
+		q := routeRequest("held", i, i, [2]int{400, 4})
 		r.Check(r.client.Do(r.Context(), q).OK(), qt.IsTrue)
 	}
 	resumed := 0
@@ -281,19 +281,19 @@
 		}
 	}
 	r.Check(resumed, qt.Equals, 24)
-	r.clean()
+	r.closeAndCheck()
 }
 
 // TestResidencyUnknownZone fails closed where the region of a backend is not known.
 func TestResidencyUnknownZone(t *testing.T) {
-	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Zone = "x-" + s.Zone })...)
+	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Zone = "x-" + s.Zone })...)
 	r.configure("east", "mid", "west")
-	for _, res := range r.burst(3, [2]int{400, 4}, allHeld...) {
+	for _, res := range r.burst(3, [2]int{400, 4}, restrictedRoutes...) {
 		r.Check(res.Status, qt.Equals, 503)
 		r.Check(string(res.AnswerBody), qt.Contains, "of no known region: ")
 		r.Check(res.EndedAt.Sub(res.SentAt) < testDeadline, qt.IsTrue)
 	}
-	r.Check(answers(r.burst(3, [2]int{400, 4}, "free", "freeread")), qt.DeepEquals, map[int]int{200: 6})
+	r.Check(countByStatus(r.burst(3, [2]int{400, 4}, "free", "freeread")), qt.DeepEquals, map[int]int{200: 6})
 	for _, e := range r.engines {
 		for _, en := range e.Log.Entries() {
 			r.Check(string(en.Body), qt.Contains, "data of free")
@@ -303,11 +303,11 @@
 
 // TestResidencyRelisted has the platform correct the region of a backend while a stream runs there.
 func TestResidencyRelisted(t *testing.T) {
-	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
+	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.configure("east")
 	done := make(chan []simulation.Result)
 	go func() { done <- r.burst(2, [2]int{400, 100}, "once") }()
-	r.awaitBegun(2)
+	r.awaitStreamStarts(2)
 	list := append([]distribution.Backend{}, r.listed...)
 	for i := range list {
 		if list[i].Zone == "e1" {
@@ -318,7 +318,7 @@
 	for _, res := range <-done {
 		r.Check(cutOff(res), qt.IsTrue, qt.Commentf("%d", res.Status))
 	}
-	for _, res := range r.burst(2, [2]int{400, 4}, allHeld...) {
+	for _, res := range r.burst(2, [2]int{400, 4}, restrictedRoutes...) {
 		r.Check(res.Status, qt.Equals, 503)
 	}
 }
@@ -343,8 +343,8 @@
 		r.engines = append(r.engines, simulation.StartEngine(t, s))
 	}
 	got := r.burst(6, [2]int{400, 4}, "held", "once")
-	r.Check(answers(got), qt.DeepEquals, map[int]int{503: 12})
-	r.Check(r.outside("east"), qt.Equals, 0)
+	r.Check(countByStatus(got), qt.DeepEquals, map[int]int{503: 12})
+	r.Check(r.runsOutside("east"), qt.Equals, 0)
 	misdirected := 0
 	for _, e := range r.engines[2:] {
 		for _, en := range e.Log.Entries() {
@@ -354,15 +354,15 @@
 		}
 	}
 	r.Check(misdirected > 0, qt.IsTrue)
-	r.clean()
+	r.closeAndCheck()
 }
 
 // TestResidencyThroughNodeAgent has terms reach a proxy as in service: pulled from the node agent beside it.
 func TestResidencyThroughNodeAgent(t *testing.T) {
-	r := newRig(t, everywhere(nil)...)
+	r := newRig(t, enginesInAllRegions(nil)...)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	r.Assert(err, qt.IsNil)
-	ctx, cancel := context.WithTimeout(context.Background(), testPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	defer ln.Close()
 	store := distribution.NewCache()
@@ -381,7 +381,7 @@
 	watcher := &distribution.Watcher{
 		Name:        "edge-1",
 		MaxWait:     time.Second,
-		ReadTimeout: testPatience,
+		ReadTimeout: testTimeout,
 		Members:     func() []distribution.Member { return nil },
 		Versions:    func() map[string]distribution.Version { return maps.Clone(p.versions) },
 		Apply: func(response *distribution.Response) []string {
--- a/internal/fleet/proxy/residencytracker_test.go
+++ b/internal/fleet/proxy/residencytracker_test.go
@@ -64,8 +64,8 @@
 	c.Check(p.residency.sends, qt.HasLen, 0)
 }
 
-// TestEndedSendIsNoWithdrawal: an attempt that has ended otherwise isn't taken for one that was cancelled.
-func TestEndedSendIsNoWithdrawal(t *testing.T) {
+// TestEndedSendIsNotWithdrawn: an attempt that has ended otherwise isn't taken for one that was cancelled.
+func TestEndedSendIsNotWithdrawn(t *testing.T) {
 	c := qt.New(t)
 	p, rc, east := trackedRequest(c)
 	ctx, send, err := rc.track(context.Background(), east, &attemptOptions{priority: -1})
--- a/internal/fleet/proxy/rig_test.go
+++ b/internal/fleet/proxy/rig_test.go
@@ -19,69 +19,69 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// The deployment of these tests: three regions, two zones each; what is asked for comes from east.
+// The deployment of these tests: three regions with two zones each; the proxy is in east.
 var testZones = map[string]string{"e1": "east", "e2": "east", "m1": "mid", "m2": "mid", "w1": "west", "w2": "west"}
 
 const (
 	testDeadline = 3 * time.Second
-	// testPatience bounds the wait for what has to come.
-	testPatience = 20 * time.Second
-	// testSlack is how long after a proxy has new terms what was under way may still be seen at a backend.
-	testSlack = 500 * time.Millisecond
+	// testTimeout bounds the wait for an expected event.
+	testTimeout = 20 * time.Second
+	// withdrawalSlack is how long after a proxy got new terms attempts in flight may still be observed at a backend.
+	withdrawalSlack = 500 * time.Millisecond
 )
 
-// rig is one proxy before engines, fed by the test.
+// rig is a proxy in front of simulated engines. The test supplies its configuration and endpoint list.
 type rig struct {
 	*qt.C
-	proxy   *Proxy
-	server  *httptest.Server
-	engines []*simulation.Engine
-	listed  []distribution.Backend
-	client  *simulation.Client
-	count   uint64 // versions of the list
-	version int
-	history []simulation.Term // of the tenant "held"
-	begun   chan struct{}     // one for each stream whose first event has gone to its client
-	at      func()            // called as a stream begins, before the proxy reads on; nil: nothing
+	proxy         *Proxy
+	server        *httptest.Server
+	engines       []*simulation.Engine
+	listed        []distribution.Backend
+	client        *simulation.Client
+	listVersion   uint64 // version of the endpoint list
+	version       int
+	termsHistory  []simulation.Term // of the tenant "held"
+	streamStarted chan struct{}     // one value per stream whose first event has been written to its client
+	onStreamStart func()            // called when a stream starts, before the proxy reads on; nil: none
 }
 
-// watched tells when a stream has begun.
-type watched struct {
+// streamStartWriter signals when a stream has started.
+type streamStartWriter struct {
 	http.ResponseWriter
-	begun chan<- struct{}
-	at    func()
-	seen  bool
+	started  chan<- struct{}
+	onStart  func()
+	notified bool
 }
 
-func (w *watched) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *streamStartWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *watched) Write(b []byte) (int, error) {
+func (w *streamStartWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
-	if !w.seen && strings.HasPrefix(w.Header().Get("Content-Type"), "text/event-stream") {
-		w.seen = true
-		w.begun <- struct{}{}
-		if w.at != nil {
-			w.at()
+	if !w.notified && strings.HasPrefix(w.Header().Get("Content-Type"), "text/event-stream") {
+		w.notified = true
+		w.started <- struct{}{}
+		if w.onStart != nil {
+			w.onStart()
 		}
 	}
 	return n, err
 }
 
-// awaitBegun waits until so many more streams have begun.
-func (r *rig) awaitBegun(n int) {
+// awaitStreamStarts waits until n more streams have started.
+func (r *rig) awaitStreamStarts(n int) {
 	r.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for range n {
 		select {
-		case <-r.begun:
+		case <-r.streamStarted:
 		case <-ctx.Done():
-			r.Fatal("the streams don't begin")
+			r.Fatal("the streams did not start in time")
 		}
 	}
 }
 
-// testSettings are those of a proxy in zone e1.
+// testSettings returns the settings of a proxy in zone e1.
 func testSettings(zones map[string]string) settings.Settings {
 	return settings.Settings{
 		NodeName:  "edge-1",
@@ -100,15 +100,15 @@
 	}
 }
 
-// newRig starts engines and a proxy that has them listed, and ends all when the test does.
+// newRig starts engines and a proxy that has them in its endpoint list, and stops all at the end of the test.
 func newRig(tb testing.TB, engines ...simulation.EngineSettings) *rig {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &rig{C: qt.New(tb), proxy: New(ctx, testSettings(testZones), zap.NewNop())}
 	r.proxy.lifecycle.Open()
-	r.begun = make(chan struct{}, 10_000)
+	r.streamStarted = make(chan struct{}, 10_000)
 	r.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.proxy.ServeHTTP(&watched{ResponseWriter: w, begun: r.begun, at: r.at}, q)
+		r.proxy.ServeHTTP(&streamStartWriter{ResponseWriter: w, started: r.streamStarted, onStart: r.onStreamStart}, q)
 	}))
 	r.client = &simulation.Client{Edge: r.server.Listener.Addr().String()}
 	for _, s := range engines {
@@ -124,8 +124,8 @@
 	return r
 }
 
-// entry is an engine as the platform lists it.
-func entry(e *simulation.Engine) distribution.Backend {
+// listEntry returns the endpoint list entry of an engine.
+func listEntry(e *simulation.Engine) distribution.Backend {
 	s := e.Settings()
 	return distribution.Backend{
 		ID:       e.ID(),
@@ -138,25 +138,25 @@
 	}
 }
 
-// list gives the proxy an endpoint list of these engines.
+// list applies an endpoint list with these engines to the proxy.
 func (r *rig) list(engines ...*simulation.Engine) {
 	var all []distribution.Backend
 	for _, e := range engines {
-		all = append(all, entry(e))
+		all = append(all, listEntry(e))
 	}
 	r.relist(all)
 }
 
-// relist gives the proxy another endpoint list.
+// relist applies an endpoint list to the proxy.
 func (r *rig) relist(all []distribution.Backend) {
 	r.listed = all
 	snapshot, err := (&distribution.BackendList{Backends: all}).MarshalMsg(nil)
 	r.Assert(err, qt.IsNil)
-	r.count++
-	applyResource(r.proxy, distribution.BackendListType, r.count, snapshot)
+	r.listVersion++
+	applyResource(r.proxy, distribution.BackendListType, r.listVersion, snapshot)
 }
 
-// document is the next configuration, in which the tenant may be held in the regions given; none: there is no tenant.
+// document returns the next configuration, in which the tenant is restricted to the regions; nil: there is no tenant.
 func (r *rig) document(regions ...string) []byte {
 	r.version++
 	tenant, tenants := "", ""
@@ -184,17 +184,17 @@
 	return fmt.Appendf(nil, `{"ver":%d,"routing":[%s],"svcs":[%s]%s}`, r.version, routes, services, tenants)
 }
 
-// configure gives the proxy a configuration in which the tenant may be held in the regions given; none: there is no
+// configure applies a configuration to the proxy in which the tenant is restricted to the regions; nil: there is no
 // tenant.
 func (r *rig) configure(regions ...string) {
 	doc := r.document(regions...)
 	applyResource(r.proxy, distribution.ConfigType, uint64(r.version), doc)
 	r.Assert(r.proxy.snapshot.Load().version, qt.Equals, int64(r.version))
-	r.history = append(r.history, simulation.Term{From: time.Now(), Regions: regions})
+	r.termsHistory = append(r.termsHistory, simulation.Term{From: time.Now(), Regions: regions})
 }
 
-// ask returns a request to a route; prompts of the same family share a prefix.
-func ask(route string, family, own int, tokens [2]int) simulation.Request {
+// routeRequest returns a request to a route; prompts of the same family share a prefix.
+func routeRequest(route string, family, own int, tokens [2]int) simulation.Request {
 	q := simulation.Request{
 		Host:     "h",
 		Path:     "/" + route + "/x",
@@ -221,40 +221,40 @@
 	return q
 }
 
-// burst sends n requests of each route at once, and gives their results when all have ended.
+// burst sends n requests to each route at once, and returns their results when all have ended.
 func (r *rig) burst(n int, tokens [2]int, routes ...string) []simulation.Result {
 	var wg sync.WaitGroup
 	out := make([]simulation.Result, n*len(routes))
 	for k, route := range routes {
 		for i := range n {
-			wg.Go(func() { out[k*n+i] = r.client.Do(r.Context(), ask(route, i%5, k*n+i, tokens)) })
+			wg.Go(func() { out[k*n+i] = r.client.Do(r.Context(), routeRequest(route, i%5, k*n+i, tokens)) })
 		}
 	}
 	wg.Wait()
 	return out
 }
 
-// Context is that of the requests: they end by their deadlines.
+// Context returns the context for requests, which are bounded by their deadlines.
 func (r *rig) Context() context.Context { return context.Background() }
 
-// terms are those of a request over the whole history.
-func (r *rig) terms(of simulation.Result) []simulation.Term {
+// termsOf returns the terms of a request over the whole history.
+func (r *rig) termsOf(of simulation.Result) []simulation.Term {
 	if strings.HasPrefix(of.Path, "/free") {
 		return nil
 	}
-	return r.history
+	return r.termsHistory
 }
 
-// clean ends the proxy and judges all that happened: nothing outside, every request answered once and in its time. It
-// returns the cached prefixes that were left.
-func (r *rig) clean() []simulation.Residence {
+// closeAndCheck stops the proxy and checks the recorded events: no data outside the terms, and one response per
+// request, within its deadline. It returns the cached prefixes that remain at the engines.
+func (r *rig) closeAndCheck() []simulation.Residence {
 	r.Helper()
-	r.server.Close() // waits for the requests, and the next for the handles that they left to be released
+	r.server.Close() // waits for the requests; the next line waits for the release of their handles
 	r.proxy.background.Wait()
 	j := &simulation.Judge{Engines: r.engines, Clients: []*simulation.Client{r.client}}
-	leaked, lingering := j.Leaks(r.terms, testSlack)
+	leaked, lingering := j.Leaks(r.termsOf, withdrawalSlack)
 	for _, one := range leaked {
-		last := r.history[len(r.history)-1].From
+		last := r.termsHistory[len(r.termsHistory)-1].From
 		r.Errorf("leaked: %v, from %v to %v after the last terms", one, one.From.Sub(last), one.Until.Sub(last))
 	}
 	r.Check(j.Findings(), qt.HasLen, 0)
@@ -269,8 +269,8 @@
 	return lingering
 }
 
-// answers counts results by status; 0: broken off.
-func answers(all []simulation.Result) map[int]int {
+// countByStatus counts results by status; 0: aborted.
+func countByStatus(all []simulation.Result) map[int]int {
 	out := map[int]int{}
 	for _, res := range all {
 		if res.Status == 200 && !res.OK() {
@@ -282,7 +282,7 @@
 	return out
 }
 
-// engineAt is an engine of the service llm in a zone, for so many requests at once.
+// engineAt returns the settings of an engine of the service llm in a zone, for capacity concurrent requests.
 func engineAt(zone string, phase simulation.Phase, capacity int) simulation.EngineSettings {
 	return simulation.EngineSettings{
 		Service:   "llm",
@@ -295,8 +295,9 @@
 	}
 }
 
-// everywhere is a prefill, a decode and a plain backend in each region.
-func everywhere(change func(s *simulation.EngineSettings)) (all []simulation.EngineSettings) {
+// enginesInAllRegions returns a prefill, a decode and a plain backend in each region, each modified by change if it is
+// not nil.
+func enginesInAllRegions(change func(s *simulation.EngineSettings)) (all []simulation.EngineSettings) {
 	phases := []simulation.Phase{simulation.PhasePrefill, simulation.PhaseDecode, simulation.PhaseNone}
 	for _, zone := range []string{"e1", "m1", "w1"} {
 		for _, phase := range phases {
@@ -313,8 +314,8 @@
 	return all
 }
 
-// in gives the engines of a region.
-func (r *rig) in(region string) (out []*simulation.Engine) {
+// enginesIn returns the engines in a region.
+func (r *rig) enginesIn(region string) (out []*simulation.Engine) {
 	for _, e := range r.engines {
 		if e.Settings().Region == region {
 			out = append(out, e)
@@ -323,8 +324,8 @@
 	return out
 }
 
-// outside counts what ran or was read outside the regions given.
-func (r *rig) outside(regions ...string) int {
+// runsOutside counts the requests and prefills that ran outside the regions.
+func (r *rig) runsOutside(regions ...string) int {
 	n := 0
 	for _, e := range r.engines {
 		for _, en := range e.Log.Entries() {
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -24,7 +24,7 @@
 // TestBackendsGetTheClientsRequest encodes requests for backends: what describes the prompt is the client's; what is
 // the proxy's to set never comes from the client; each send tells the time left, and no more.
 func TestBackendsGetTheClientsRequest(t *testing.T) {
-	synctest.Test(t, testBackendsGetTheClientsRequest)
+	synctest.Test(t, checkBackendRequests)
 }
 
 // promptRequest is a client's request with a prompt, which names fields that are the proxy's to set.
@@ -61,9 +61,9 @@
 	}
 }
 
-// testBackendsGetTheClientsRequest runs where the clock stands still, so that the time left is known to the
+// checkBackendRequests runs where the clock stands still, so that the time left is known to the
 // millisecond.
-func testBackendsGetTheClientsRequest(t *testing.T) {
+func checkBackendRequests(t *testing.T) {
 	c := qt.New(t)
 	out := promptRequest()
 	read := func(x attemptOptions) *http.Request {
@@ -118,11 +118,11 @@
 	}
 }
 
-// TestClientGone has clients leave streams and a plain request under way: the backends' work ends within half a
+// TestClientDisconnectEndsBackendWork has clients leave streams and a plain request under way: the backends' work ends within half a
 // second, and nothing of these requests reaches a backend later.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnectEndsBackendWork(t *testing.T) {
 	const bound = 500 * time.Millisecond
-	r := newRig(t, everywhere(func(s *simulation.EngineSettings) { s.Step = 50 * time.Millisecond })...)
+	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 50 * time.Millisecond })...)
 	r.configure()
 	for _, e := range r.engines {
 		if e.Settings().Service == "obs" {
@@ -133,11 +133,11 @@
 	ctx, leave := context.WithCancel(context.Background())
 	results := make(chan simulation.Result, streams+1)
 	for i := range streams {
-		go func() { results <- r.client.Do(ctx, ask("free", i, i, [2]int{200, 1000})) }()
+		go func() { results <- r.client.Do(ctx, routeRequest("free", i, i, [2]int{200, 1000})) }()
 	}
-	go func() { results <- r.client.Do(ctx, ask("freeread", 0, 0, [2]int{})) }()
-	r.awaitBegun(streams)
-	wait, cancel := context.WithTimeout(context.Background(), testPatience)
+	go func() { results <- r.client.Do(ctx, routeRequest("freeread", 0, 0, [2]int{})) }()
+	r.awaitStreamStarts(streams)
+	wait, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	working := func() (all []simulation.Entry) {
 		for _, e := range r.engines {
@@ -177,28 +177,28 @@
 // TestUnconfiguredProxyRejects has a proxy without a configuration answer 503 to everything, and never that there is no
 // such route.
 func TestUnconfiguredProxyRejects(t *testing.T) {
-	r := newRig(t, everywhere(nil)...)
+	r := newRig(t, enginesInAllRegions(nil)...)
 	for _, route := range []string{"freeread", "post", "unheard"} {
-		got := r.client.Do(context.Background(), ask(route, 0, 0, [2]int{}))
+		got := r.client.Do(context.Background(), routeRequest(route, 0, 0, [2]int{}))
 		r.Check(got.Status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s: %v", route, got.Err))
 		r.Check(got.RetryAfter > 0, qt.IsTrue)
 	}
 	r.configure()
-	got := r.client.Do(context.Background(), ask("unheard", 0, 0, [2]int{}))
+	got := r.client.Do(context.Background(), routeRequest("unheard", 0, 0, [2]int{}))
 	r.Check(got.Status, qt.Equals, http.StatusNotFound)
-	got = r.client.Do(context.Background(), ask("freeread", 0, 0, [2]int{}))
+	got = r.client.Do(context.Background(), routeRequest("freeread", 0, 0, [2]int{}))
 	r.Check(got.Status, qt.Equals, http.StatusOK)
 }
 
-// TestEarlyAnswerLeavesTheBodyComplete has a long body and an early answer: a backend that answers before it has read
+// TestEarlyAnswerDoesNotTruncateBody has a long body and an early answer: a backend that answers before it has read
 // a long body, and reads on later, gets all of that body and then the next request, whether that comes on this
 // connection or another.
-func TestEarlyAnswerLeavesTheBodyComplete(t *testing.T) {
+func TestEarlyAnswerDoesNotTruncateBody(t *testing.T) {
 	const bodySize, requests = 3 << 20, 4
 	r := newRig(t)
 	seen := make(chan string, requests) // what was wrong with each request as it came
 	addr := testkit.Raw(t, func(conn net.Conn, in *bufio.Reader) {
-		_ = conn.SetDeadline(time.Now().Add(testPatience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		for {
 			req, err := http.ReadRequest(in)
 			if err != nil {
@@ -227,14 +227,14 @@
 	r.configure()
 	for i := range requests {
 		id := fmt.Sprintf("early-%d", i)
-		q := ask("post", 0, 0, [2]int{})
+		q := routeRequest("post", 0, 0, [2]int{})
 		q.Attempt, q.Body = id, bytes.Repeat([]byte(id+"."), bodySize/(len(id)+1))
 		got := r.client.Do(context.Background(), q)
 		r.Check(got.Status, qt.Equals, http.StatusOK, qt.Commentf("%s: %v", id, got.Err))
 		select {
 		case wrong := <-seen:
 			r.Check(wrong, qt.Equals, "")
-		case <-time.After(testPatience):
+		case <-time.After(testTimeout):
 			t.Fatal("the backend gets no whole request")
 		}
 	}
@@ -244,12 +244,12 @@
 // backend; one that just fits is served.
 func TestBodyLimitOfTheConfiguration(t *testing.T) {
 	const most = 10_000
-	r := newRig(t, everywhere(nil)...)
+	r := newRig(t, enginesInAllRegions(nil)...)
 	doc := strings.Replace(string(r.document()), `"svcs":`, fmt.Sprintf(`"caps":{"body_max_bytes":%d},"svcs":`, most), 1)
 	applyResource(r.proxy, distribution.ConfigType, 1, []byte(doc))
 	for _, chunked := range []bool{false, true} {
 		for _, size := range []int{most, most + 1, 3 << 20} {
-			q := ask("post", 0, 0, [2]int{})
+			q := routeRequest("post", 0, 0, [2]int{})
 			q.Body, q.Chunked = bytes.Repeat([]byte("x"), size), chunked
 			got := r.client.Do(context.Background(), q)
 			runs := 0
@@ -276,7 +276,7 @@
 // request's id, and then ends its connection: with a reset, or in order.
 func rawAnswers(t *testing.T, text string, reset bool) string {
 	return testkit.Raw(t, func(conn net.Conn, in *bufio.Reader) {
-		_ = conn.SetDeadline(time.Now().Add(testPatience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		req, err := testkit.ReadRequest(in)
 		if err != nil {
 			return
--- a/internal/fleet/proxy/weights_test.go
+++ b/internal/fleet/proxy/weights_test.go
@@ -25,9 +25,9 @@
 	s.updateEndpoints(list)
 }
 
-// TestKVCachesStayWithTheirWeights: the tokens of a prompt are made by the weights that read it, as long as any backend
+// TestKVCachesAreDecodedWithTheirWeights: the tokens of a prompt are made by the weights that read it, as long as any backend
 // with them is left.
-func TestKVCachesStayWithTheirWeights(t *testing.T) {
+func TestKVCachesAreDecodedWithTheirWeights(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 2, 4)
 	relistWeights(s, map[string]int64{"p1": 2, "d1": 2, "d3": 2})
@@ -86,8 +86,8 @@
 	c.Check(weightsClasses[outdatedWeights] > unavailableClass, qt.IsTrue)
 }
 
-// TestWeightsAtFirst: what is listed at first isn't newer than anything.
-func TestWeightsAtFirst(t *testing.T) {
+// TestInitialWeightsAreNotOutdated: what is listed at first isn't newer than anything.
+func TestInitialWeightsAreNotOutdated(t *testing.T) {
 	c := qt.New(t)
 	var w listedWeights
 	w.observe(100, 3)
