--- a/internal/fleet/proxy/accountheaders_test.go
+++ b/internal/fleet/proxy/accountheaders_test.go
@@ -18,21 +18,21 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// The accounts of these tests: "plain" goes by its routes' priority, "urgent" and "late" have their own. publicRoute
-// takes requests without a key.
+// The accounts of these tests: "plain" has the priority of its routes, "urgent" and "late" have their own. publicRoute
+// accepts requests without a key.
 const (
 	plainKey      = "key-of-plain"
 	urgentKey     = "key-of-urgent"
 	lateKey       = "key-of-late"
-	unknownKey64K = 64 << 10 // length of a key that is in no configuration
+	unknownKey64K = 64 << 10 // length of a key that is not configured
 	publicRoute   = "freeread"
 	routePriority = 4
 )
 
-// accountKeys are the keys of these tests with their tenants, as the judge takes them.
+// accountKeys are the keys of these tests with their tenants, for simulation.Judge.
 var accountKeys = map[string][]string{plainKey: {"plain"}, urgentKey: {"urgent"}, lateKey: {"late"}}
 
-// withAccounts returns a configuration with the accounts of these tests, a public route and a priority of all routes.
+// withAccounts returns a configuration with the accounts of these tests, a public route and a priority for all routes.
 func withAccounts(doc []byte) []byte {
 	accounts := fmt.Sprintf(`"accounts":[{"name":"plain","apikeys":[%q]},{"name":"urgent","apikeys":[%q],"prio":0},`+
 		`{"name":"late","apikeys":[%q],"prio":30}],"routing":`, plainKey, urgentKey, lateKey)
@@ -47,7 +47,7 @@
 func newAccountsRig(tb testing.TB, engines ...simulation.EngineSettings) *rig {
 	tb.Helper()
 	r := newRig(tb, engines...)
-	r.proxy.settings.Bounds.Apply = testTimeout // for as long as these tests take no newer version can bind
+	r.proxy.settings.Bounds.Apply = testTimeout // no newer version can be required during these tests
 	doc := withAccounts(r.document())
 	applyResource(r.proxy, distribution.ConfigType, uint64(r.version), doc)
 	r.Assert(r.proxy.snapshot.Load().version, qt.Equals, int64(r.version))
@@ -55,7 +55,7 @@
 	return r
 }
 
-// bearer is an Authorization field with a key.
+// bearer returns an Authorization field with a key.
 func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
 // mergeHeaders returns the fields of several headers.
@@ -69,14 +69,14 @@
 	return out
 }
 
-// routeRequestWith returns a request to a route with further fields.
+// routeRequestWith returns a request to a route with additional fields.
 func routeRequestWith(route string, own int, tokens [2]int, header http.Header) simulation.Request {
 	q := routeRequest(route, own, own, tokens)
 	q.Header = header
 	return q
 }
 
-// arrivals returns what came to backends of a request, runs and prefills.
+// arrivals returns the runs and prefills of a request at backends.
 func (r *rig) arrivals(attempt string) (all []simulation.Entry) {
 	for _, e := range r.engines {
 		for _, en := range e.Log.Entries() {
@@ -88,8 +88,8 @@
 	return all
 }
 
-// checkTenant checks that a request came to backends, each time without a key and with the name of its tenant, or none
-// where that is "".
+// checkTenant checks that a request reached backends, each time without a key and with the name of its tenant, or
+// without a tenant if that is "".
 func (r *rig) checkTenant(of simulation.Result, tenant, what string) {
 	r.Helper()
 	var want []string
@@ -104,15 +104,16 @@
 	}
 }
 
-// checkAccountFindings judges all that happened by the accounts, beside what clean does. Call it before.
+// checkAccountFindings checks the recorded events against the accounts, in addition to closeAndCheck. It must be called
+// before that.
 func (r *rig) checkAccountFindings() {
 	r.Helper()
 	j := &simulation.Judge{Engines: r.engines, Clients: []*simulation.Client{r.client}, Tenants: accountKeys}
 	r.Check(j.Findings(), qt.HasLen, 0)
 }
 
-// TestForgedTenantReachesNoBackend has clients send a tenant's name in every way that a field can be sent, with a key
-// and on a public route without one or with one that nobody has: backends get the name of the key's tenant, or none.
+// TestForgedTenantReachesNoBackend has clients send a tenant header in every form, with a key, and on a public route
+// without one or with an unknown one: backends receive the name of the key's tenant, or none.
 func TestForgedTenantReachesNoBackend(t *testing.T) {
 	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	forgeries := map[string]http.Header{
@@ -160,9 +161,9 @@
 	r.closeAndCheck()
 }
 
-// TestAuthorizationFieldForms has clients word their key in many ways: one Authorization field with the scheme in any case and
-// the very key counts; anything else is answered with 401 and reaches no backend, and on a public route it runs for no
-// tenant.
+// TestAuthorizationFieldForms has clients send their key in many forms. Only a single Authorization field with the
+// scheme in any case and the exact key is accepted. Anything else gets 401 and reaches no backend, and runs without a
+// tenant on a public route.
 func TestAuthorizationFieldForms(t *testing.T) {
 	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	authorization := func(values ...string) http.Header { return http.Header{"Authorization": values} }
@@ -219,8 +220,8 @@
 	r.closeAndCheck()
 }
 
-// TestFieldNamesWithSpaceAreRejected has a client put a space into the name of a field, so that it is neither the
-// tenant's nor the key's by the letter and may be to a backend that is lenient: no backend gets such a request.
+// TestFieldNamesWithSpaceAreRejected has a client send a field name with a space, which does not match the tenant's or
+// the key's exactly, but might at a lenient backend: no backend receives such a request.
 func TestFieldNamesWithSpaceAreRejected(t *testing.T) {
 	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	for _, field := range []string{"X-Molepaddle-Tenant : urgent", " X-Molepaddle-Tenant: urgent",
@@ -240,7 +241,8 @@
 	}
 }
 
-// TestTrailersReachNoBackend has a client send a tenant and a key after its body: they are no fields of the request.
+// TestTrailersReachNoBackend has a client send a tenant and a key in trailers: they do not become header fields of the
+// request.
 func TestTrailersReachNoBackend(t *testing.T) {
 	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	conn, err := net.Dial("tcp", r.client.Edge)
@@ -258,9 +260,8 @@
 	r.checkTenant(simulation.Result{Request: simulation.Request{Attempt: "trailed"}}, "", "trailers")
 }
 
-// TestTenantIsFixedAtArrival has a key go to another tenant, and its account away, while a stream is under
-// way that breaks off later: the stream is resumed for the tenant under which it was received, and the next request is
-// the new tenant's.
+// TestTenantIsFixedAtArrival moves a key to another tenant, and removes its account, during a stream that breaks off
+// later: the stream is resumed for the tenant at its arrival, and the next request belongs to the new tenant.
 func TestTenantIsFixedAtArrival(t *testing.T) {
 	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	var moved sync.Once
@@ -284,7 +285,7 @@
 	r.checkTenant(r.client.Do(r.Context(), routeRequestWith("read", 0, [2]int{}, bearer(lateKey))), "late", "another's")
 }
 
-// countCalls counts the calls that a request came to, by what they are.
+// countCalls counts the backend calls of a request by kind.
 func (r *rig) countCalls(of simulation.Result, seen map[string]int) {
 	runs, prefills := 0, 0
 	for _, en := range r.arrivals(of.Attempt) {
@@ -311,7 +312,7 @@
 
 // TestEveryAttemptNamesTheTenant has prompts prefilled at one backend and decoded at another, backends that fail or
 // break off their streams, and clients that send a tenant and resume a stream themselves: every call of every attempt
-// names the key's tenant, and none has the key.
+// has the name of the key's tenant, and none has the key.
 func TestEveryAttemptNamesTheTenant(t *testing.T) {
 	engine := func(service string, phase simulation.Phase) simulation.EngineSettings {
 		return simulation.EngineSettings{Service: service, Zone: "e1", Region: "east", Phase: phase, Capacity: 8}
@@ -333,7 +334,7 @@
 	}
 	play("free", [2]int{6000, 4}, 0)
 	play("free", [2]int{220, 8}, 3)
-	setFaults(decoders, simulation.Faults{CutAfter: 2}) // all, so that those that were tried don't matter
+	setFaults(decoders, simulation.Faults{CutAfter: 2}) // at all, so that the choice among them does not matter
 	play("free", [2]int{6000, 8}, 0)
 	play("free", [2]int{220, 8}, 0)
 	setFaults(decoders, simulation.Faults{Fail: 500})
@@ -352,9 +353,9 @@
 	r.closeAndCheck()
 }
 
-// TestAccountPriorityOverridesRoutePriority has accounts with and without a priority send prompts, along with a Priority
-// of their own: backends get the account's where there is one, and the route's else; 0 is left for prompts whose KV
-// cache waits.
+// TestAccountPriorityOverridesRoutePriority sends prompts with a Priority field for accounts with and without a
+// priority: backends receive the account's priority, or else the route's; 0 is reserved for prompts with a pending KV
+// cache.
 func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	r := newAccountsRig(t, enginesInAllRegions(nil)...)
 	for _, one := range []struct {
@@ -385,9 +386,9 @@
 	r.closeAndCheck()
 }
 
-// TestAuthorizationIsForwardedWithoutAccounts has a configuration without accounts: an Authorization field is the
-// service's own business, and reaches it as it was sent; a tenant that a client names doesn't. With accounts in the
-// next version, and without them in the one after it, it is as that version has it.
+// TestAuthorizationIsForwardedWithoutAccounts uses a configuration without accounts: an Authorization field is
+// forwarded to the service unchanged, a tenant header from a client is not. The rule follows the configuration when
+// accounts are added, and removed again.
 func TestAuthorizationIsForwardedWithoutAccounts(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(nil)...)
 	r.proxy.settings.Bounds.Apply = testTimeout
--- a/internal/fleet/proxy/authenticate_test.go
+++ b/internal/fleet/proxy/authenticate_test.go
@@ -21,13 +21,13 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// Bounds of the tests of keys.
+// Bounds for the tests of API keys.
 const (
 	testRevoke = 5 * time.Second
 	testApply  = 2500 * time.Millisecond
 )
 
-// strictSettings are those of a proxy that keeps the rule of keys that were taken away.
+// strictSettings returns the settings of a proxy that enforces the revocation bound.
 func strictSettings() settings.Settings {
 	set := testSettings(testZones)
 	set.Bounds.StrictRevoke = true
@@ -36,7 +36,7 @@
 	return set
 }
 
-// newStrictProxy returns a proxy that serves nobody and has no configuration.
+// newStrictProxy returns a proxy without a listener and without a configuration.
 func newStrictProxy(tb testing.TB) *Proxy {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := New(ctx, strictSettings(), zap.NewNop())
@@ -48,7 +48,7 @@
 	return p
 }
 
-// accountsDocument is a configuration in which the account "lab" has the keys given.
+// accountsDocument returns a configuration in which the account "lab" has the given keys.
 func accountsDocument(version int, keys ...string) []byte {
 	list := ""
 	for i, key := range keys {
@@ -64,7 +64,8 @@
 		version, list)
 }
 
-// configResponse is a node agent's response with a complete configuration, and contact of an age; below 0: none.
+// configResponse returns a node agent's response with a complete configuration, if doc is not nil. age is the time
+// since the last contact with the control plane; below 0: none.
 func configResponse(version int, age time.Duration, doc []byte) *distribution.Response {
 	response := &distribution.Response{LastContactMs: age.Milliseconds()}
 	if doc != nil {
@@ -77,7 +78,7 @@
 	return response
 }
 
-// keyedRequest is a request with a key; none with an empty one.
+// keyedRequest returns a request with a key; without one if key is empty.
 func keyedRequest(path, key string) *http.Request {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	r.Host = "h"
@@ -89,7 +90,7 @@
 	return r
 }
 
-// admitStatus is the status with which a proxy rejects a request that arrived at a time; 200 where it admits it.
+// admitStatus returns the status with which a proxy rejects a request that arrived at a time, or 200 if it admits it.
 func admitStatus(p *Proxy, r *http.Request, arrivedAt time.Time) int {
 	_, err := p.admit(httptest.NewRecorder(), r, arrivedAt)
 	var rejected *rejection
@@ -102,8 +103,8 @@
 	return http.StatusInternalServerError
 }
 
-// TestAuthenticate: a key counts while the configuration is known to have been the newest less than revoke_ms ago, less
-// the margin; that a key is not known is said only while nothing can have been added apply_ms ago.
+// TestAuthenticate: a key is accepted while the configuration was confirmed as the newest less than revoke_ms ago, less
+// the margin; an unknown key is rejected with 401 only while no key can have been added more than apply_ms ago.
 func TestAuthenticate(t *testing.T) {
 	const (
 		limit   = testRevoke - revokeMargin
@@ -113,7 +114,7 @@
 	)
 	for _, tc := range []struct {
 		name, path, key string
-		age             time.Duration // of the confirmation as the request arrives; below 0: none came
+		age             time.Duration // of the confirmation when the request arrives; below 0: no confirmation
 		lenient         bool          // strict_revoke is false
 		want            int
 		tenant          string
@@ -162,8 +163,8 @@
 	}
 }
 
-// TestNoConfigurationYet: a proxy without a configuration answers 503 to each request, whatever its key, and also where
-// the control plane is in contact.
+// TestNoConfigurationYet: a proxy without a configuration answers every request with 503, whatever its key, even if the
+// control plane is in contact.
 func TestNoConfigurationYet(t *testing.T) {
 	p := newStrictProxy(t)
 	p.ready.Store(true) // no wait
@@ -175,8 +176,8 @@
 	qt.Check(t, admitStatus(p, keyedRequest("/keyed/x", "k1"), time.Now()), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// TestConfirmationNeedsTheConfiguration: what a response says of the newest configuration is taken for the one in force
-// only where all that it brings of the configuration was put in force, and never makes a confirmation older.
+// TestConfirmationNeedsTheConfiguration: a response confirms the configuration in force only if all configuration
+// updates in it were applied, and never makes a confirmation older.
 func TestConfirmationNeedsTheConfiguration(t *testing.T) {
 	change := distribution.Resource{
 		Type:        distribution.ConfigType,
@@ -210,7 +211,7 @@
 		if tc.want {
 			continue
 		}
-		// The rejected one is asked for again, and what comes then is confirmed with it.
+		// The rejected update is requested again, and the configuration that then arrives is confirmed with it.
 		_, had := p.versions[distribution.ConfigType]
 		c.Check(had, qt.Equals, tc.response.Resources == nil, qt.Commentf("%s", tc.name))
 		last := next.Add(time.Second)
@@ -219,9 +220,9 @@
 	}
 }
 
-// TestConfirmationIsReadBeforeTheSnapshot: requests arrive while a configuration takes a key away and is confirmed. Each
-// sees the old configuration with its old confirmation, or the new one; none the old one with the new confirmation. The
-// times are made up: 10 s lie between two confirmations.
+// TestConfirmationIsReadBeforeTheSnapshot: requests arrive while a configuration that revokes a key is applied and
+// confirmed. Each sees the old configuration with its old confirmation, or the new one, but never the old configuration
+// with the new confirmation. The times are artificial: 10 s between two confirmations.
 func TestConfirmationIsReadBeforeTheSnapshot(t *testing.T) {
 	const rounds, clients, step = 400, 4, 10 * time.Second
 	p := newStrictProxy(t)
@@ -253,15 +254,15 @@
 		asking.Wait()
 		select {
 		case round := <-served:
-			t.Fatalf("round %d: a request ran with a key that was taken away", round)
+			t.Fatalf("round %d: a request was admitted with a revoked key", round)
 		default:
 		}
 		at = next
 	}
 }
 
-// TestClockIsReadAfterTheHead: a request whose head arrives in two parts counts as of its end. Between the two the
-// confirmation grows too old, also where the connection was accepted, and the head began, before.
+// TestClockIsReadAfterTheHead: a request whose head arrives in two parts counts as arrived at its end. Between the two
+// parts the confirmation expires; that the connection was accepted, and the head started, before does not matter.
 func TestClockIsReadAfterTheHead(t *testing.T) {
 	c := qt.New(t)
 	const left = 300 * time.Millisecond // of the confirmation as the connection is opened
--- a/internal/fleet/proxy/clientconn_test.go
+++ b/internal/fleet/proxy/clientconn_test.go
@@ -17,7 +17,7 @@
 	"molepaddle/internal/fleet/settings"
 )
 
-// memoryListener gives connections in memory until it is closed.
+// memoryListener returns in-memory connections until it is closed.
 type memoryListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -43,8 +43,8 @@
 
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// clientListenerRig is the client listener of a proxy with the given limits (JSON; "" for no configuration), in a bubble with
-// its own time.
+// clientListenerRig is the client listener of a proxy with the given limits (JSON; "" for no configuration), in a
+// synctest bubble.
 type clientListenerRig struct {
 	*qt.C
 	proxy    *Proxy
@@ -82,7 +82,7 @@
 	})
 }
 
-// dial opens a connection of a client.
+// dial opens a client's connection.
 func (e *clientListenerRig) dial() (net.Conn, *bufio.Reader) {
 	client, server := net.Pipe()
 	e.listener.conns <- server
@@ -90,7 +90,7 @@
 	return client, bufio.NewReader(client)
 }
 
-// served sends a request whose head has a pause in it, and tells whether it was answered on this connection.
+// served sends a request with a pause within its head, and reports whether it was answered on this connection.
 func (e *clientListenerRig) served(c net.Conn, r *bufio.Reader, within time.Duration) bool {
 	if _, err := io.WriteString(c, "GET /none HTTP/1.1\r\nHost: b\r\n"); err != nil {
 		return false
@@ -107,8 +107,8 @@
 	return err == nil && (resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusServiceUnavailable)
 }
 
-// TestIdleTimeoutOfTheConfiguration leaves connections idle: after four fifths of the idle time-out one still serves,
-// after more than all of it one is closed; that holds of limits that come into force later, too.
+// TestIdleTimeoutOfTheConfiguration leaves connections idle: after four fifths of the idle time-out a connection is
+// still served, after more than all of it it is closed. The same holds for limits that are configured later.
 func TestIdleTimeoutOfTheConfiguration(t *testing.T) {
 	for _, one := range []struct {
 		caps string
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestHeaderTimeoutOfTheConfiguration sends heads slowly: one may take as long as the configuration says, of a first
-// request and of a further one, and no longer.
+// TestHeaderTimeoutOfTheConfiguration sends request heads slowly: a head may take as long as configured, for a first
+// and for a later request, and no longer.
 func TestHeaderTimeoutOfTheConfiguration(t *testing.T) {
 	for _, one := range []struct {
 		caps string
--- a/internal/fleet/proxy/drawn_rig_test.go
+++ b/internal/fleet/proxy/drawn_rig_test.go
@@ -25,7 +25,7 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// The deployment of the drawn days: six regions with 21 zones, a plain and a model backend in each zone.
+// The deployment of the simulated days: six regions with 21 zones, with a plain and a model backend in each zone.
 const (
 	drawnRegions = 6
 	drawnZones   = 21
@@ -35,24 +35,24 @@
 
 func drawnZoneName(zone int) string { return fmt.Sprintf("z%02d", zone) }
 
-// nodeFault is what a node does to whoever calls it.
+// nodeFault is a fault of a node.
 type nodeFault int
 
 const (
 	noFault nodeFault = iota
-	down              // takes no connection
-	resets            // reads a request and breaks off
+	down              // refuses connections
+	resets            // reads a request and closes the connection
 	fails             // answers 500
-	full              // has not run it
-	garbles           // answers without a seal
-	cuts              // breaks off within its answer
+	full              // reports that it has not run the request
+	garbles           // responds without a seal
+	cuts              // closes the connection within its response
 	numNodeFaults
 )
 
-// node is a backend of the drawn days, in memory.
+// node is an in-memory backend.
 type node struct {
 	id, service, phase string
-	zone               int // as the platform lists it
+	zone               int // as listed
 	address            string
 	draining, listed   bool
 	fault              nodeFault
@@ -60,8 +60,9 @@
 
 func (n *node) region() string { return drawnRegion(n.zone) }
 
-// simulatedDay is one day: a proxy before nodes in memory, and all that happened. Its lock guards everything, since nodes
-// answer in goroutines of their own; a change may come while the proxy waits for one of them.
+// simulatedDay is one random scenario: a proxy with in-memory nodes, and everything recorded about it. Its lock guards
+// all fields, since nodes respond in goroutines of their own; a change may happen while the proxy waits for one of
+// them.
 type simulatedDay struct {
 	tb    testing.TB
 	seed  uint64
@@ -70,13 +71,13 @@
 	mu             sync.Mutex
 	rng            *rand.Rand
 	nodes          []*node
-	nodesByAddress map[string]*node // who listens at an address
+	nodesByAddress map[string]*node // the node that listens at an address
 	tenants        map[string][]int // regions of each
-	routeRegions   map[string][]int // regions of a tenant's stream, where it has some of its own
+	routeRegions   map[string][]int // regions of a tenant's stream route, if it has some of its own
 	version        int
 	count          uint64
-	changes        int  // of terms, list and troubles
-	changeInFlight bool // changes may come while a request is under way
+	changes        int  // number of changes to terms, list and faults
+	changeInFlight bool // changes may happen while a request is in flight
 	runs           map[string]int
 	dials          int
 	handles        map[string]heldHandle
@@ -89,10 +90,10 @@
 	route string
 }
 
-// drawnTenants are those with terms; routes are named by a letter for what they are and the tenant.
+// drawnTenants are the tenants with terms. A route is named by a letter for its kind and the tenant.
 var drawnTenants = []string{"a", "b", "c"}
 
-// newSimulatedDay returns the day of a seed: its nodes, some of them listed, and a proxy that is configured.
+// newSimulatedDay returns the scenario of a seed: its nodes, some of them listed, and a configured proxy.
 func newSimulatedDay(tb testing.TB, seed uint64) *simulatedDay {
 	zones := map[string]string{}
 	for z := range drawnZones {
@@ -148,10 +149,10 @@
 	d.findings = append(d.findings, fmt.Sprintf(format, args...))
 }
 
-// someRegions draws one to three regions.
+// someRegions returns one to three random regions.
 func (d *simulatedDay) someRegions() []int { return d.rng.Perm(drawnRegions)[:1+d.rng.IntN(3)] }
 
-// regionNames are the regionNames of regions.
+// regionNames returns the names of regions.
 func regionNames(regions []int) []string {
 	out := []string{}
 	for _, r := range regions {
@@ -160,7 +161,7 @@
 	return out
 }
 
-// terms are the regions in which a route's data may be held now; false: in any.
+// terms returns the regions in which a route's data may be held now; false: any.
 func (d *simulatedDay) terms(route string) ([]int, bool) {
 	tenant := route[1:]
 	regions, ok := d.tenants[tenant]
@@ -176,7 +177,7 @@
 	return !bound || slices.Contains(regions, n.zone%drawnRegions)
 }
 
-// configure gives the proxy the terms as they are.
+// configure applies the current terms to the proxy.
 func (d *simulatedDay) configure() {
 	d.version++
 	var routes, tenants []string
@@ -196,11 +197,11 @@
 		d.version, strings.Join(routes, ","), strings.Join(tenants, ","))
 	applyResource(d.proxy, distribution.ConfigType, uint64(d.version), []byte(doc))
 	if got := d.proxy.snapshot.Load(); got == nil || got.version != int64(d.version) {
-		d.addFinding("the proxy didn't take version %d: %s", d.version, doc)
+		d.addFinding("the proxy did not apply version %d: %s", d.version, doc)
 	}
 }
 
-// routesOf are the four routes of a tenant, with its item.
+// routesOf returns the four routes of a tenant, with its JSON field.
 func (d *simulatedDay) routesOf(tenant, item string) []string {
 	var routes []string
 	for _, r := range []struct{ letter, kind, svc, more string }{
@@ -220,7 +221,7 @@
 	return routes
 }
 
-// relist gives the proxy the platform's list as it is.
+// relist applies the current endpoint list to the proxy.
 func (d *simulatedDay) relist() {
 	var list distribution.BackendList
 	for _, n := range d.nodes {
@@ -242,21 +243,21 @@
 	applyResource(d.proxy, distribution.BackendListType, d.count, snapshot)
 }
 
-// change has one thing happen.
+// change makes one random change.
 func (d *simulatedDay) change() {
 	d.changes++
 	n := d.nodes[d.rng.IntN(len(d.nodes))]
 	switch d.rng.IntN(11) {
 	case 0, 1:
 		n.fault = nodeFault(d.rng.IntN(int(numNodeFaults)))
-	case 2: // a whole region, in one way
+	case 2: // a whole region gets one fault
 		region, how := d.rng.IntN(drawnRegions), []nodeFault{down, down, resets, fails, full}[d.rng.IntN(5)]
 		for _, one := range d.nodes {
 			if one.zone%drawnRegions == region {
 				one.fault = how
 			}
 		}
-	case 3: // and all of it, or everything, is back
+	case 3: // a region, or everything, recovers
 		region := d.rng.IntN(drawnRegions + 1)
 		for _, one := range d.nodes {
 			if region == drawnRegions || one.zone%drawnRegions == region {
@@ -275,12 +276,12 @@
 	case 7:
 		n.listed, n.draining = d.rng.IntN(4) > 0, d.rng.IntN(8) == 0
 		d.relist()
-	case 8: // the zone was wrong; of who left the list, no list tells it
+	case 8: // the zone is corrected, for listed nodes only
 		if zone := d.rng.IntN(drawnZones); n.listed {
 			n.zone = zone
 			d.relist()
 		}
-	case 9: // others have the address by now, and the list lags
+	case 9: // addresses are reassigned, and the list may lag
 		o := d.nodes[d.rng.IntN(len(d.nodes))]
 		d.nodesByAddress[n.address], d.nodesByAddress[o.address] = d.nodesByAddress[o.address], d.nodesByAddress[n.address]
 		if d.rng.IntN(2) == 0 {
@@ -289,7 +290,7 @@
 			}
 			d.relist()
 		}
-	case 10: // a whole region leaves the list, or is there again
+	case 10: // a whole region leaves the list, or returns
 		region, listed := d.rng.IntN(drawnRegions), d.rng.IntN(2) == 0
 		for _, one := range d.nodes {
 			if one.zone%drawnRegions == region {
@@ -300,8 +301,9 @@
 	}
 }
 
-// maybeChange has something happen while a request is under way, now and then. It is called where the proxy waits: a
-// change that comes between its last look at the terms and the node's first comes while the attempt is under way.
+// maybeChange makes a change in one of six calls, if changes may happen while a request is in flight, and reports
+// whether it did. It is called where the proxy waits: a change between the proxy's last check of the terms and the
+// node's first counts as one during the attempt.
 func (d *simulatedDay) maybeChange() bool {
 	if d.changeInFlight && d.rng.IntN(6) == 0 {
 		d.change()
@@ -310,10 +312,10 @@
 	return false
 }
 
-var errDown = errors.New("nobody listens there")
+var errDown = errors.New("connection refused by the test")
 
-// clientRequestKey marks the context of a client's request: handles are released in the background, beside a request, and
-// nothing is to change at a time that an attempt can't know of.
+// clientRequestKey marks the context of a client's request. Handles are released in the background, concurrently with a
+// request, and no change may happen at a time that an attempt cannot detect.
 type clientRequestKey struct{}
 
 // dial connects to the node at an address.
@@ -333,7 +335,7 @@
 	return clientEnd, nil
 }
 
-// serve answers on one connection until a request is answered that ends it.
+// serve responds on one connection until a response ends it.
 func (d *simulatedDay) serve(c net.Conn, addr string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -361,8 +363,8 @@
 	}
 }
 
-// event is a later event of a stream: something may happen before it, and data made outside by then is marked. over:
-// something has happened, and the proxy may be elsewhere with the request.
+// event returns a later event of a stream. A change may happen before it, and data that is then generated outside the
+// terms is marked. over means that a change happened, and the proxy may have moved the request to another node.
 func (d *simulatedDay) event(addr string, req *http.Request, e string, over *bool) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -374,14 +376,14 @@
 	return e
 }
 
-// requestRoute is the route of a request, by its path.
+// requestRoute returns the route of a request, by its path.
 func requestRoute(r *http.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return name
 }
 
-// answer is what a node says: a head, the events after it, and how it goes on: "" ends at once, "cut" after the events;
-// over is as for event.
+// answer returns a node's response: a head, the events after it, and how it continues: "" ends the connection at once,
+// "cut" after the events. For over see event.
 func (d *simulatedDay) answer(addr string, r *http.Request) (head string, events []string, rest string, over bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -409,9 +411,9 @@
 			externalapi.HeaderNotRun+": 1", externalapi.HeaderRetryAfter+": 0.05")
 		return notRun, nil, "on", over
 	}
-	// It runs: its data is held here.
+	// The request runs: its data is held here.
 	if !d.allowed(n, route) {
-		d.addFinding("%s of %s runs at %s in %s", id, route, n.id, n.region())
+		d.addFinding("%s of %s runs at %s in %s, outside its terms", id, route, n.id, n.region())
 	}
 	if from != "" && !d.takeHandle(id, route, from) {
 		return say(http.StatusServiceUnavailable, "", externalapi.HeaderNotRun+": 1"), nil, "on", over
@@ -451,8 +453,8 @@
 	return say(http.StatusOK, body, seal), nil, "on", over
 }
 
-// takeHandle takes the handle that a request names, and finds one that is another route's or lies outside; false: there
-// is none.
+// takeHandle removes the handle that a request names, and records a finding if it belongs to another route or lies
+// outside the terms; false: there is no such handle.
 func (d *simulatedDay) takeHandle(id, route, from string) bool {
 	at, ref, _ := strings.Cut(from, "/")
 	h, ok := d.handles[d.nodesByAddress[at].id+ref]
@@ -460,18 +462,18 @@
 	case !ok:
 		return false
 	case h.route != route:
-		d.addFinding("%s of %s takes what %s left", id, route, h.route)
+		d.addFinding("%s of %s uses a handle of %s", id, route, h.route)
 	case !d.allowed(h.n, route):
-		d.addFinding("%s of %s takes what lies at %s in %s", id, route, h.n.id, h.n.region())
+		d.addFinding("%s of %s uses a handle held at %s in %s, outside its terms", id, route, h.n.id, h.n.region())
 	}
 	delete(d.handles, d.nodesByAddress[at].id+ref)
 	return true
 }
 
-// drawnEvents is how many events a stream has.
+// drawnEvents is the number of events of a stream.
 const drawnEvents = 4
 
-// drawnStream is the events of a stream after the last one that its client has, as chunks.
+// drawnStream returns the events of a stream after the client's last one, as chunks.
 func drawnStream(lastID, body string) (events []string) {
 	last, _ := strconv.Atoi(lastID)
 	for i := last + 1; i <= drawnEvents; i++ {
--- a/internal/fleet/proxy/drawn_test.go
+++ b/internal/fleet/proxy/drawn_test.go
@@ -21,19 +21,19 @@
 	drawnDays = flag.Uint64("drawn.days", 1000, "so many drawn days are played")
 )
 
-// countingRecorder counts the answers that a request is given.
+// countingRecorder counts the responses that a request receives.
 type countingRecorder struct {
 	*httptest.ResponseRecorder
 	responses int
 }
 
-// WriteHeader counts a header.
+// WriteHeader counts an explicit header.
 func (o *countingRecorder) WriteHeader(status int) {
 	o.responses++
 	o.ResponseRecorder.WriteHeader(status)
 }
 
-// Write counts a header that is implied.
+// Write counts an implicit header.
 func (o *countingRecorder) Write(b []byte) (int, error) {
 	if o.responses == 0 {
 		o.responses++
@@ -41,26 +41,27 @@
 	return o.ResponseRecorder.Write(b)
 }
 
-// rejectionBound is within what a refusal comes: nodes answer at once, so that there is nothing to wait for.
+// rejectionBound is the time within which a request is rejected: nodes respond at once, so there is nothing to wait
+// for.
 const rejectionBound = 10 * time.Millisecond
 
-// drawnRequest is one request, what stood when it was made, and what it came to.
+// drawnRequest is one random request, the state when it was sent, and its result.
 type drawnRequest struct {
 	day             *simulatedDay
 	id              string
 	route           string // its first letter is its kind
 	stream          bool
-	usable          bool // a backend may serve it, by the list
-	backendsHealthy bool // none of its backends is in trouble
-	changes         int  // before it
-	dials           int  // before it
+	usable          bool // a listed backend may serve it
+	backendsHealthy bool // none of its backends has a fault
+	changes         int  // number of changes before it
+	dials           int  // number of dials before it
 
 	w      *countingRecorder
-	broken bool // the answer was broken off
+	broken bool // the response was aborted
 	took   time.Duration
 }
 
-// runRequest makes one request and judges its answer.
+// runRequest sends one request and checks its response.
 func (d *simulatedDay) runRequest(number int) {
 	d.mu.Lock()
 	q := &drawnRequest{day: d, id: fmt.Sprintf("%d-%d", d.seed, number), backendsHealthy: true}
@@ -73,7 +74,7 @@
 	began := time.Now()
 	q.broken = serveUntilAborted(d.proxy, q.w, r)
 	q.took = time.Since(began)
-	d.proxy.background.Wait() // the handles released after it
+	d.proxy.background.Wait() // for the release of its handles
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,7 +86,7 @@
 	q.countKind()
 }
 
-// draw draws the request.
+// draw returns a random request.
 func (q *drawnRequest) draw() *http.Request {
 	d := q.day
 	q.route = string("rpso"[d.rng.IntN(4)]) + append(drawnTenants, "free")[d.rng.IntN(len(drawnTenants)+1)]
@@ -105,7 +106,7 @@
 	return r
 }
 
-// recordState notes which backends there are for the request, and what has happened before it.
+// recordState records the backends available for the request, and the counters before it.
 func (q *drawnRequest) recordState() {
 	d := q.day
 	service := "obs"
@@ -124,11 +125,12 @@
 
 // addFinding records a finding on the request.
 func (q *drawnRequest) addFinding(format string, args ...any) {
-	q.day.addFinding("%s of %s: status %d, broken off %v, %d runs, %q: %s",
+	q.day.addFinding("%s of %s: status %d, aborted %v, %d runs, %q: %s",
 		q.id, q.route, q.w.Code, q.broken, q.day.runs[q.id], q.w.Body, fmt.Sprintf(format, args...))
 }
 
-// checkInvariants looks at what holds for every request: one answer, in its time, and run once at most where that is asked for.
+// checkInvariants checks the rules for every request: one response, within its deadline, and at most one run unless the
+// request is idempotent.
 func (q *drawnRequest) checkInvariants() {
 	if q.w.responses != 1 {
 		q.addFinding("%d answers", q.w.responses)
@@ -137,37 +139,37 @@
 		q.addFinding("after %v", q.took)
 	}
 	if q.w.Code == http.StatusServiceUnavailable && q.took > rejectionBound {
-		q.addFinding("refused after %v", q.took)
+		q.addFinding("rejected after %v", q.took)
 	}
 	if (q.route[0] == 'p' || q.route[0] == 'o') && q.day.runs[q.id] > 1 {
 		q.addFinding("run more than once")
 	}
 }
 
-// checkAnswer looks at the answer by its status.
+// checkAnswer checks the response by its status.
 func (q *drawnRequest) checkAnswer() {
 	switch {
 	case q.broken && (!q.stream || q.w.Code != http.StatusOK):
-		q.addFinding("broken off before it began")
+		q.addFinding("aborted before the response started")
 	case q.w.Code == http.StatusOK && q.stream:
 		q.checkEvents()
 	case q.w.Code == http.StatusOK:
 		if q.w.Body.String() != "answer to "+q.id {
-			q.addFinding("another body")
+			q.addFinding("unexpected body")
 		}
 	case q.w.Code == http.StatusServiceUnavailable:
 		if q.day.runs[q.id] > 0 {
-			q.addFinding("it has run")
+			q.addFinding("rejected, but it has run")
 		}
 		if q.w.Header().Get(externalapi.HeaderRetryAfter) == "" {
-			q.addFinding("no time to come back")
+			q.addFinding("no Retry-After")
 		}
 	case q.w.Code != http.StatusBadGateway && q.w.Code != http.StatusInternalServerError:
-		q.addFinding("another status")
+		q.addFinding("unexpected status")
 	}
 }
 
-// checkEvents looks at a stream: it is complete or broken off, and in order.
+// checkEvents checks that a stream is in order, and complete or aborted.
 func (q *drawnRequest) checkEvents() {
 	got := strings.Split(strings.TrimSuffix(q.w.Body.String(), "\n\n"), "\n\n")
 	for i, e := range got {
@@ -180,24 +182,24 @@
 	}
 }
 
-// checkAgainstBackends looks at the answer by the backends that there were: none, or only well ones.
+// checkAgainstBackends checks the response against the backends available: none, or only healthy ones.
 func (q *drawnRequest) checkAgainstBackends() {
 	d := q.day
 	switch {
 	case !q.usable && d.changes == q.changes:
 		d.counts["no backend"]++
 		if q.w.Code != http.StatusServiceUnavailable || d.runs[q.id] > 0 || d.dials != q.dials {
-			q.addFinding("there is no backend inside, and %d connections were asked for", d.dials-q.dials)
+			q.addFinding("not rejected at once though no allowed backend is listed; %d dials", d.dials-q.dials)
 		}
 	case q.usable && q.backendsHealthy:
 		d.counts["all healthy"]++
 		if q.w.Code != http.StatusOK || q.broken {
-			q.addFinding("all is well inside")
+			q.addFinding("not served though all allowed backends are healthy")
 		}
 	}
 }
 
-// countKind counts the request among its kinds.
+// countKind counts the request by kind.
 func (q *drawnRequest) countKind() {
 	if q.day.changes != q.changes {
 		q.day.counts["changed in flight"]++
@@ -208,7 +210,7 @@
 	q.day.counts[fmt.Sprint(q.w.Code)]++
 }
 
-// run plays the day and ends it.
+// run runs the day and closes the proxy's connections.
 func (d *simulatedDay) run() {
 	const steps = 30
 	for i := range steps {
@@ -216,7 +218,7 @@
 		for range d.rng.IntN(3) {
 			d.change()
 		}
-		passes := time.Duration(0) // so that who failed is tried again
+		passes := time.Duration(0) // lets failed backends be tried again
 		if d.rng.IntN(4) == 0 {
 			passes = time.Duration(d.rng.Int64N(int64(4 * time.Second)))
 		}
@@ -227,12 +229,12 @@
 	d.proxy.pool.Close()
 }
 
-// TestDrawnDays plays days of six regions with 21 zones before nodes in memory, on a clock of their own: nodes and
-// whole regions fail in many ways, the list changes, lags and is corrected, addresses come to others, and tenants'
-// terms change, between requests and under them. Nothing runs and nothing is taken outside of the terms of that
-// moment; each request has exactly one answer, in its time: where no backend inside is listed, 503 at once without a
-// connection asked for; where all is well inside, success. What was refused never runs, what may run once does so at
-// most once, and streams are complete or broken off, never out of order.
+// TestDrawnDays simulates a proxy with random in-memory nodes in six regions with 21 zones, in synctest bubbles: nodes
+// and whole regions fail in many ways, the endpoint list changes, lags and is corrected, addresses are reassigned, and
+// tenants' terms change, between requests and during them. No request runs and no handle is used outside the terms in
+// force. Each request gets exactly one response within its deadline: 503 at once, without a connection attempt, if no
+// allowed backend is listed; success if all allowed backends are healthy. Rejected requests never run, requests that
+// may run once run at most once, and streams are complete or aborted, never out of order.
 func TestDrawnDays(t *testing.T) {
 	c := qt.New(t)
 	from, to := uint64(1), *drawnDays
@@ -259,7 +261,7 @@
 	if *drawnSeed == 0 && *drawnDays >= 100 {
 		kinds := []string{"200", "500", "502", "503", "no backend", "all healthy", "changed in flight", "aborted"}
 		for _, k := range kinds {
-			c.Check(counts[k] > 0, qt.IsTrue, qt.Commentf("no request of the kind %q: the days are too tame", k))
+			c.Check(counts[k] > 0, qt.IsTrue, qt.Commentf("no request of the kind %q in all days", k))
 		}
 	}
 }
--- a/internal/fleet/proxy/errors_test.go
+++ b/internal/fleet/proxy/errors_test.go
@@ -16,8 +16,8 @@
 	"molepaddle/policy"
 )
 
-// TestWriteError has errors answer a request: the status, the body, when to come back, and whether the connection
-// ends.
+// TestWriteError checks how errors are written to a client: the status, the body, Retry-After, and whether the
+// connection is closed.
 func TestWriteError(t *testing.T) {
 	for _, one := range []struct {
 		name       string
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestRejectionAfterAttempts has a request end without an answer: only one that no backend may have run gets a status
-// after which its client may send it again.
+// TestRejectionAfterAttempts ends requests without a response from a backend: only if no backend may have run it, the
+// status lets the client send the request again.
 func TestRejectionAfterAttempts(t *testing.T) {
 	for _, one := range []struct {
 		name       string
@@ -120,7 +120,7 @@
 	c.Check(attemptFailure(errBackendFull).Error(), qt.Equals, "backends are full")
 }
 
-// TestAttemptStatus classifies the ends of attempts.
+// TestAttemptStatus checks the classification of attempt outcomes.
 func TestAttemptStatus(t *testing.T) {
 	for _, one := range []struct {
 		err   error
--- a/internal/fleet/proxy/generation_test.go
+++ b/internal/fleet/proxy/generation_test.go
@@ -8,9 +8,9 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestStagedPromptsAreRetried has eighty proxies, each of which may save little more than one extra send. A staged
-// prompt whose decode backend failed asked for two, one to prefill it again and one to send it again, and was never
-// served.
+// TestStagedPromptsAreRetried guards against a retry budget that is too small for separately prefilled prompts. With
+// eighty proxies, each can save little more than one extra send; if the decode backend failed, such a prompt needed
+// two, one for the prefill and one for the decode, and was never served.
 func TestStagedPromptsAreRetried(t *testing.T) {
 	for _, fault := range []simulation.Faults{{Fail: 500}, {LoseAnswer: true}, {Garble: true}, {Refuse: true}} {
 		engine := func(phase simulation.Phase) simulation.EngineSettings {
--- a/internal/fleet/proxy/placement_residency_test.go
+++ b/internal/fleet/proxy/placement_residency_test.go
@@ -20,11 +20,11 @@
 	"molepaddle/policy"
 )
 
-// casesPerList is how many requests are placed over one list: with the twenty lists that rapid tries in a short run, over
-// 10,000 cases, with the hundred of a usual one 50,000.
+// casesPerList is how many requests are placed per endpoint list: over 10,000 cases with the twenty lists of a short
+// rapid run, 50,000 with the hundred of a usual one.
 const casesPerList = 530
 
-// testGate returns a gate whose backends can't be connected to.
+// testGate returns a gate whose backends cannot be connected to.
 func testGate(zones map[string]string) *residency.Gate {
 	dial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no network here") }
 	pool := transport.New(transport.Options{
@@ -38,7 +38,7 @@
 	return residency.NewGate(pool, zones)
 }
 
-// runtimeOf returns a service whose backends run models, so many requests at once each.
+// runtimeOf returns a service whose backends run models, with a capacity in concurrent requests.
 func runtimeOf(capacity int) *routingconfig.Service {
 	return &routingconfig.Service{
 		Name: "llm",
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestPlacementWithinTerms places requests over random lists, zones, phases, health, load and terms: never outside, and
-// always somewhere while a permitted usable backend is there.
+// TestPlacementWithinTerms places requests over random lists, zones, phases, health states, loads and terms: never
+// outside the terms, and always somewhere while an allowed usable backend is listed.
 func TestPlacementWithinTerms(t *testing.T) {
 	cases := 0
 	rapid.Check(t, func(r *rapid.T) {
@@ -77,7 +77,7 @@
 	seed uint64
 }
 
-// newPlacementModel returns a play over a drawn list.
+// newPlacementModel returns a model with a random list.
 func newPlacementModel(r *rapid.T) *placementModel {
 	p := &placementModel{T: r, svc: newService("llm", testGate(testZones), time.Second)}
 	p.svc.configure(runtimeOf(rapid.IntRange(1, 8).Draw(r, "capacity")))
@@ -86,7 +86,7 @@
 	return p
 }
 
-// relist draws another list.
+// relist applies another random list.
 func (p *placementModel) relist() {
 	zoneNames := []string{"e1", "e2", "m1", "m2", "w1", "w2", "nowhere", ""}
 	phases := []string{
@@ -105,13 +105,14 @@
 	p.svc.updateEndpoints(p.list)
 }
 
-// randInt is a number below n, by a small generator of our own: rapid's draws would take most of the time.
+// randInt returns a random number below n. It uses a simple generator of its own, as rapid's draws would take most of
+// the time.
 func (p *placementModel) randInt(n int) int {
 	p.seed = p.seed*6364136223846793005 + 1442695040888963407
 	return int(p.seed>>33) % n
 }
 
-// changeState has the list changeState now and then, and more often an attempt end somewhere and a load be reported.
+// changeState sometimes replaces the list, and more often ends an attempt at a backend and reports a load.
 func (p *placementModel) changeState() {
 	endings := []policy.Status{
 		policy.OK, policy.Error, policy.Timeout, policy.Reset, policy.ConnectFailed, policy.Full,
@@ -129,24 +130,24 @@
 	}
 }
 
-// placementCase is a request and what may serve it.
+// placementCase is a request and the expected results of its placement.
 type placementCase struct {
 	terms     residency.Terms
 	regions   []string // that the terms allow
 	tried     map[string]bool
 	byID      map[string]distribution.Backend
 	servable  bool // a backend may serve it
-	decodable bool // a decode backend may
+	decodable bool // a decode backend may serve it
 	prompt    *scheduler.Prompt
 }
 
-// permitted reports whether a backend may hold the request's data, independent of what the package makes of it.
+// permitted reports whether a backend may hold the request's data, computed independently of the package.
 func (q *placementCase) permitted(b distribution.Backend) bool {
 	region := testZones[b.Zone]
 	return !q.terms.Restricted() || region != "" && slices.Contains(q.regions, region)
 }
 
-// request makes a request with terms of some regions, or none, that some backends were tried for.
+// request returns a request with terms of some regions, or none, for which some backends have been tried.
 func (p *placementModel) request() *placementCase {
 	q := &placementCase{tried: map[string]bool{}, byID: map[string]distribution.Backend{}}
 	for _, region := range []string{"east", "mid", "west", "else"} {
@@ -178,7 +179,7 @@
 	return q
 }
 
-// checkPermit fails where a permit is for a backend outside the terms.
+// checkPermit fails if a permit is for a backend outside the terms.
 func (p *placementModel) checkPermit(what string, q *placementCase, permit residency.Permit) {
 	b := q.byID[permit.ID()]
 	if !q.permitted(b) || permit.Check(q.terms) != nil {
@@ -186,7 +187,7 @@
 	}
 }
 
-// place chooses backends for the request as a plain one, and as a generation with a second decode backend.
+// place selects backends for the request as a plain one, and as a generation with a second decode backend.
 func (p *placementModel) place(q *placementCase) {
 	plain, ok := p.svc.selectPlain(p.seed, p.randInt(2) == 0, q.tried, q.terms)
 	if ok != q.servable {
--- a/internal/fleet/proxy/placement_test.go
+++ b/internal/fleet/proxy/placement_test.go
@@ -14,7 +14,7 @@
 	"molepaddle/policy"
 )
 
-// engineService returns a service of prefill backends p0, p1 ... and decode backends d0, d1 ...
+// engineService returns a service with prefill backends p0, p1 ... and decode backends d0, d1 ...
 func engineService(capacity, prefill, decode int) *service {
 	s := newService("llm", testGate(testZones), time.Second)
 	s.configure(runtimeOf(capacity))
@@ -35,7 +35,7 @@
 	return s
 }
 
-// sharedPrefixPrompt returns a prompt with a prefix that others share, and a segment of its own.
+// sharedPrefixPrompt returns a prompt with a shared prefix, and a segment of its own.
 func sharedPrefixPrompt(key, own uint64) *scheduler.Prompt {
 	return &scheduler.Prompt{
 		InputTokens:     9000,
@@ -44,15 +44,16 @@
 	}
 }
 
-// place selects a placement of a request that isn't retryable, may be split, and has no terms; it has to be there.
+// place selects the placement of a request that is not retryable, may be prefilled separately, and has no terms. It
+// fails if there is none.
 func place(c *qt.C, s *service, kind string, prompt *scheduler.Prompt, target time.Duration) placement {
 	pl, ok := s.selectPlacement(kind, false, prompt, target, map[string]bool{}, true, residency.Terms{})
 	c.Assert(ok, qt.IsTrue)
 	return pl
 }
 
-// A prefill that can't be done in the time left is not begun: in a burst of twice the capacity, prefills that were
-// begun all the same held up the others, and nearly all were late.
+// TestLatePrefillIsRejectedAtOnce: a prefill that cannot complete in the remaining time is not started. In a burst of
+// twice the capacity, such prefills delayed the others, and nearly all missed their deadlines.
 func TestLatePrefillIsRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 2, 2)
@@ -72,14 +73,14 @@
 	one := clientRequest{svc: s, deadline: time.Now().Add(time.Minute)}
 	pl := place(c, s, "k", sharedPrefixPrompt(1, 1), 150*time.Millisecond)
 	c.Assert(one.prefillTooLate(&pl), qt.IsFalse, qt.Commentf("who has time waits"))
-	// A prefill that is expected to wait long is not given up halfway; another is, in case the backend is unresponsive.
+	// A prefill with a long expected wait is not abandoned halfway; any other is, in case the backend is unresponsive.
 	c.Assert(time.Until(one.prefillDeadline(10)) < 31*time.Second, qt.IsTrue)
 	c.Assert(time.Until(one.prefillDeadline(20_000)) > 39*time.Second, qt.IsTrue)
 	c.Assert(time.Until(one.prefillDeadline(1e6)) < 61*time.Second, qt.IsTrue)
 }
 
-// Where all prefill backends are behind, a prompt stays at its preferred one: reading it anew elsewhere adds to the
-// queues.
+// TestPreferredBackendKeptUnderLoad: if all prefill backends have long queues, a prompt stays at its preferred one, as
+// recomputing it elsewhere adds to the queues.
 func TestPreferredBackendKeptUnderLoad(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 4, 2)
@@ -107,7 +108,7 @@
 	c.Assert(chosen(), qt.Not(qt.Equals), home, qt.Commentf("it alone is far behind"))
 }
 
-// longAnswerPrompt returns a short prompt whose answer may be long.
+// longAnswerPrompt returns a short prompt with a long output.
 func longAnswerPrompt() *scheduler.Prompt {
 	return &scheduler.Prompt{
 		InputTokens:     100,
@@ -116,7 +117,8 @@
 	}
 }
 
-// Long answers go to decode backends with free capacity, by the loads that the control plane polled.
+// TestLongDecodesGoToFreeBackends: requests with long outputs go to decode backends with free capacity, by the loads
+// that the control plane polled.
 func TestLongDecodesGoToFreeBackends(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(8, 1, 4)
@@ -131,7 +133,8 @@
 		c.Assert(pl.prefill, qt.IsNil)
 		c.Assert(pl.decode.ID, qt.Equals, "d3")
 	}
-	// A request that waits long for its response header keeps others away from a backend that is reported to be free.
+	// A request that has waited long for its response header keeps others away from a backend, though it is reported as
+	// free.
 	s.start = s.start.Add(-time.Second) // a second later
 	s.applyPolledLoad(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, nil)
 	ended := s.awaitHeader("d0")
@@ -144,9 +147,9 @@
 	c.Assert(pl.decode.ID, qt.Equals, "d0", qt.Commentf("the control plane did not hear the other"))
 }
 
-// Whether a prompt is read by a prefill backend follows from how long reading it at the decode backend would hold up
-// others, however long its answer is: as answers grew from two tokens to four, all long prompts of a kind went over to
-// being read between the tokens of others.
+// TestLongPromptsAreSplitWhateverTheirOutput: whether a prompt is prefilled separately depends on how long its prefill
+// would delay others at the decode backend, not on the length of its output. When outputs grew from two tokens to four,
+// all long prompts of a kind were prefilled at decode backends.
 func TestLongPromptsAreSplitWhateverTheirOutput(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
--- a/internal/fleet/proxy/quotaslots_test.go
+++ b/internal/fleet/proxy/quotaslots_test.go
@@ -15,10 +15,10 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// prefillSlots are the slots of the account of TestPrefilledPromptsCountAgainstTheQuota.
+// prefillSlots is the quota of the account in TestPrefilledPromptsCountAgainstTheQuota.
 const prefillSlots = 8
 
-// startAllocator starts an allocator of one account's slots, which the rig's proxy asks from then on.
+// startAllocator starts a quota allocator for one account, and points the rig's proxy to it.
 func startAllocator(r *rig, account string) {
 	rule := quota.Rule{Window: time.Minute, Lease: time.Minute}
 	server := quota.NewServer(rule, 0, func(uint64) bool { return true })
@@ -41,8 +41,8 @@
 	go r.proxy.quota.Run(ctx)
 }
 
-// TestPrefilledPromptsCountAgainstTheQuota: QUOTA, a prompt that was prefilled and then found no decode backend gave its
-// slot back, so that a tenant had any number of prompts prefilled.
+// TestPrefilledPromptsCountAgainstTheQuota (QUOTA) guards against a prompt that was prefilled but found no decode
+// backend releasing its slot: a tenant could then have any number of prompts prefilled.
 func TestPrefilledPromptsCountAgainstTheQuota(t *testing.T) {
 	engine := func(service string, phase simulation.Phase) simulation.EngineSettings {
 		return simulation.EngineSettings{Service: service, Zone: "e1", Region: "east", Phase: phase, Capacity: 8}
--- a/internal/fleet/proxy/residencycheck_test.go
+++ b/internal/fleet/proxy/residencycheck_test.go
@@ -20,7 +20,8 @@
 
 var restrictedRoutes = []string{"held", "once", "read", "post"}
 
-// TestResidencySteady serves a tenant inside its regions while others go anywhere, and keeps the residency log of it.
+// TestResidencySteady serves a tenant inside its regions while unrestricted requests go anywhere, and checks the
+// residency log.
 func TestResidencySteady(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(nil)...)
 	r.configure("east", "mid")
@@ -45,8 +46,8 @@
 	r.Check(decodes > 0 && plains > 0, qt.IsTrue, counts)
 }
 
-// TestResidencyUnderFaults has the near region fail in every way at once, with terms and without: with them no data
-// is held outside; without them the same faults spill over.
+// TestResidencyUnderFaults injects faults into the proxy's own region, or all allowed ones, with terms and without:
+// with them no data is held outside; without them requests spill over to other regions under the same faults.
 func TestResidencyUnderFaults(t *testing.T) {
 	faults := map[string]func(r *rig){
 		"local region crashes": func(r *rig) { crash(r.enginesIn("east")) },
@@ -96,22 +97,22 @@
 	}
 }
 
-// crash ends engines at once.
+// crash stops engines abruptly.
 func crash(all []*simulation.Engine) {
 	for _, e := range all {
 		e.Crash()
 	}
 }
 
-// setFaults has engines fail in the ways given.
+// setFaults sets the faults of engines.
 func setFaults(all []*simulation.Engine, f simulation.Faults) {
 	for _, e := range all {
 		e.SetFaults(f)
 	}
 }
 
-// TestResidencyOverload sends several times the capacity inside: what exceeds it is rejected at once, and none goes
-// outside although the other region is idle.
+// TestResidencyOverload sends several times the capacity of the allowed region: the excess is rejected at once, and
+// nothing goes outside although the other regions are idle.
 func TestResidencyOverload(t *testing.T) {
 	small := func(s *simulation.EngineSettings) {
 		s.Capacity = 2
@@ -133,7 +134,7 @@
 	r.Assert(free.runsOutside("east") > 0, qt.IsTrue)
 }
 
-// TestResidencyWithdrawn withdraws a region while streams run there and KV handles wait there.
+// TestResidencyWithdrawn withdraws a region during streams there and while KV handles are pending there.
 func TestResidencyWithdrawn(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.configure("east")
@@ -150,7 +151,7 @@
 				resumed++
 			}
 		} else {
-			r.Check(cutOff(res), qt.IsTrue, qt.Commentf("%d", res.Status)) // what may not be resumed
+			r.Check(cutOff(res), qt.IsTrue, qt.Commentf("%d", res.Status)) // not resumable
 		}
 	}
 	r.Check(resumed, qt.Equals, 3)
@@ -160,8 +161,8 @@
 	t.Logf("%d cached prefixes are left", len(lingering))
 }
 
-// TestResidencyWithdrawnBetweenReads withdraws a region as the proxy passes an event on, where the next does not
-// come: the attempt is cancelled all the same, long before its deadline, and the stream resumed inside.
+// TestResidencyWithdrawnBetweenReads withdraws a region while the proxy relays an event and the next one does not
+// arrive: the attempt is still cancelled long before its deadline, and the stream is resumed inside the terms.
 func TestResidencyWithdrawnBetweenReads(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(nil)...)
 	r.configure("east")
@@ -169,7 +170,7 @@
 	r.onStreamStart = sync.OnceFunc(func() {
 		r.configure("mid")
 		for range 1000 {
-			runtime.Gosched() // the cancellation is made beside this: let it come before the next read
+			runtime.Gosched() // lets the concurrent cancellation happen before the next read
 		}
 	})
 	got := r.burst(1, [2]int{400, 5}, "held")
@@ -177,13 +178,13 @@
 	r.closeAndCheck()
 }
 
-// cutOff reports whether an answer can't be taken for a complete one: it was broken off, or, before its first event,
-// rejected with a status that doesn't imply that nothing ran.
+// cutOff reports whether a response cannot be mistaken for a complete one: it was aborted, or rejected before its first
+// event with a status that does not imply that the request has not run.
 func cutOff(res simulation.Result) bool {
 	return res.Status == 502 || res.Status == 200 && !res.Complete
 }
 
-// TestResidencyTermsAppear puts a route under terms while its streams run elsewhere: they are resumed inside at their
+// TestResidencyTermsAppear adds terms to a route while its streams run outside them: they are resumed inside at their
 // next event.
 func TestResidencyTermsAppear(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
@@ -200,7 +201,7 @@
 	r.closeAndCheck()
 }
 
-// TestResidencyHandleWithdrawn withdraws the region where a KV cache waits for a decode backend that is full: its
+// TestResidencyHandleWithdrawn withdraws the region in which a KV cache waits for a decode backend that is full: its
 // handle is released.
 func TestResidencyHandleWithdrawn(t *testing.T) {
 	r := newRig(t, engineAt("e1", simulation.PhasePrefill, 1), engineAt("m1", simulation.PhaseDecode, 1))
@@ -211,8 +212,8 @@
 	done := make(chan []simulation.Result, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testDeadline)
 	defer cancel()
-	// Another's request fills the backend; the tenant's waits behind it, its KV cache still where it was read.
-	// Neither is retryable, so that the response header is awaited until the deadline.
+	// A request without terms fills the backend; the tenant's waits behind it, while its KV cache is still at the
+	// prefill backend. Neither is retryable, so that the response header is awaited until the deadline.
 	for _, one := range []struct {
 		route            string
 		running, waiting int
@@ -234,7 +235,7 @@
 	r.closeAndCheck()
 }
 
-// TestResidencyDecoders has KV caches transferred to another region of the tenant, with an idle decode backend outside.
+// TestResidencyDecoders has KV caches transferred to another region of the tenant, with idle decode backends outside.
 func TestResidencyDecoders(t *testing.T) {
 	r := newRig(t,
 		engineAt("e1", simulation.PhasePrefill, 8),
@@ -253,8 +254,8 @@
 	r.closeAndCheck()
 }
 
-// TestResidencyResumes has every stream cut off half way: they are resumed at the other backend of the tenant's
-// regions, although more are idle outside.
+// TestResidencyResumes cuts every stream halfway: streams are resumed at the other backend in the tenant's regions,
+// although more backends are idle outside.
 func TestResidencyResumes(t *testing.T) {
 	at := func(zone string) simulation.EngineSettings {
 		return simulation.EngineSettings{
@@ -284,7 +285,7 @@
 	r.closeAndCheck()
 }
 
-// TestResidencyUnknownZone fails closed where the region of a backend is not known.
+// TestResidencyUnknownZone: requests with terms are rejected if the region of a backend is unknown.
 func TestResidencyUnknownZone(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Zone = "x-" + s.Zone })...)
 	r.configure("east", "mid", "west")
@@ -301,7 +302,7 @@
 	}
 }
 
-// TestResidencyRelisted has the platform correct the region of a backend while a stream runs there.
+// TestResidencyRelisted corrects the region of a backend in the endpoint list while a stream runs there.
 func TestResidencyRelisted(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 10 * time.Millisecond })...)
 	r.configure("east")
@@ -311,7 +312,7 @@
 	list := append([]distribution.Backend{}, r.listed...)
 	for i := range list {
 		if list[i].Zone == "e1" {
-			list[i].Zone = "w1" // where it was all along
+			list[i].Zone = "w1" // its actual zone
 		}
 	}
 	r.relist(list)
@@ -323,8 +324,8 @@
 	}
 }
 
-// TestResidencyAddressReused sends to an address that belongs to a backend of another region by now, which the endpoint
-// list doesn't say yet: bytes reach it, no data is held there.
+// TestResidencyAddressReused sends to an address that now belongs to a backend of another region, while the endpoint
+// list is out of date: bytes reach that backend, but it holds no data.
 func TestResidencyAddressReused(t *testing.T) {
 	at := func(zone string, phase simulation.Phase, address string) simulation.EngineSettings {
 		return simulation.EngineSettings{
@@ -357,7 +358,7 @@
 	r.closeAndCheck()
 }
 
-// TestResidencyThroughNodeAgent has terms reach a proxy as in service: pulled from the node agent beside it.
+// TestResidencyThroughNodeAgent delivers terms to a proxy as in production: the proxy pulls them from its node agent.
 func TestResidencyThroughNodeAgent(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(nil)...)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -388,7 +389,7 @@
 			p.apply(response, time.Now())
 			select {
 			case applied <- struct{}{}:
-			case <-ctx.Done(): // nobody listens any more; pulls are answered at once until the connection is closed
+			case <-ctx.Done(): // no receiver any more; pulls are answered at once until the connection is closed
 			}
 			return nil
 		},
--- a/internal/fleet/proxy/residencylog_test.go
+++ b/internal/fleet/proxy/residencylog_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/internal/fleet/residencyreport"
 )
 
-// residencyRecorder records attempts by hand, for tests of the log.
+// residencyRecorder records attempts directly, for tests of the log.
 type residencyRecorder struct{ *residencyTracker }
 
 func (n residencyRecorder) send(tenant string, at residency.Permit, purpose sendPurpose, since, until time.Time) {
@@ -27,7 +27,7 @@
 	n.record(send, until, true)
 }
 
-// newResidencyRecorder returns an empty log, and permits for a backend in the east and one in the west.
+// newResidencyRecorder returns an empty log, and permits for a backend in east and one in west.
 func newResidencyRecorder(c *qt.C) (recorder residencyRecorder, east, west residency.Permit) {
 	p := New(c.Context(), testSettings(testZones), zap.NewNop())
 	c.Cleanup(p.pool.Close)
@@ -38,8 +38,8 @@
 	return residencyRecorder{p.residency}, east, west
 }
 
-// Batches hold what changed, each count once, however often the log is asked; nothing is reported where nothing
-// changed.
+// TestResidencyLogReportsChanges: batches contain changes only, and each count once, however often a report is made;
+// without changes nothing is reported.
 func TestResidencyLogReportsChanges(t *testing.T) {
 	c := qt.New(t)
 	recorder, east, west := newResidencyRecorder(c)
@@ -65,7 +65,7 @@
 	}
 	c.Assert(pending(), qt.DeepEquals, []residencyreport.Batch{first})
 
-	// More of the same waits for some seconds, a region that was not reported yet for one.
+	// Changes of a reported pair wait for batchInterval, a new pair for newPairDelay.
 	recorder.send("labs", east, purposePrefill, at(3), at(4))
 	recorder.report(at(4), out, false)
 	c.Assert(pending(), qt.HasLen, 1)
@@ -89,7 +89,7 @@
 	}
 	recorder.report(at(100), out, false)
 	c.Assert(pending(), qt.HasLen, 2, qt.Commentf("nothing changed"))
-	// The process ends: all that is left goes at once.
+	// At the end of the process the remaining changes are reported at once.
 	recorder.send("labs", east, purposePlain, at(101), at(102))
 	recorder.report(at(102), out, false)
 	c.Assert(pending(), qt.HasLen, 3)
@@ -100,8 +100,8 @@
 	c.Assert(pending(), qt.HasLen, 4)
 }
 
-// While nothing is acknowledged, changes wait in the log, and all are reported once the outbox takes batches again;
-// many pairs go in several batches.
+// TestResidencyLogWaitsForAcknowledgement: without acknowledgements changes stay in the log, and all are reported once
+// the outbox accepts batches again; many pairs are split into several batches.
 func TestResidencyLogWaitsForAcknowledgement(t *testing.T) {
 	c := qt.New(t)
 	recorder, east, _ := newResidencyRecorder(c)
--- a/internal/fleet/proxy/residencyterms_test.go
+++ b/internal/fleet/proxy/residencyterms_test.go
@@ -8,7 +8,7 @@
 	"molepaddle/internal/fleet/residency"
 )
 
-// TestTermsOf looks at the terms of requests under way by newer configurations.
+// TestTermsOf checks the terms of requests in flight under newer configurations.
 func TestTermsOf(t *testing.T) {
 	c := qt.New(t)
 	in := residency.Within
@@ -21,19 +21,19 @@
 	alone := &subject{route: "a", arrivalTerms: in("east")}
 	free := &subject{route: "r"}
 	c.Check(old.termsOf(bound).Equal(in("east", "mid")), qt.IsTrue)
-	// Its route is gone: the tenant's terms, as far as those at arrival allow.
+	// The route was removed: the tenant's terms apply, restricted to those at arrival.
 	c.Check(old.termsOf(narrow).Equal(in("east")), qt.IsTrue)
 	c.Check(old.termsOf(alone).Equal(in("east")), qt.IsTrue)
-	// The route got terms since.
+	// The route got terms after the request arrived.
 	c.Check(old.termsOf(free).Equal(in("east", "mid")), qt.IsTrue)
 	c.Check((&routingSnapshot{}).termsOf(free).Restricted(), qt.IsFalse)
-	// The configuration says nothing any more: the terms at arrival.
+	// The configuration has neither route nor tenant any more: the terms at arrival apply.
 	c.Check((&routingSnapshot{}).termsOf(bound).Equal(in("east", "mid")), qt.IsTrue)
 	moved := &routingSnapshot{
 		residencyByRoute: map[string]*routeResidency{"r": {"u", in("west")}},
 		termsByTenant:    map[string]residency.Terms{"t": in("mid"), "u": in("west")},
 	}
-	// The route belongs to another tenant now, the data doesn't.
+	// The route belongs to another tenant now, but the data does not.
 	c.Check(moved.termsOf(bound).Equal(in("mid")), qt.IsTrue)
 	c.Check(moved.termsOf(narrow).Equal(in()), qt.IsTrue)
 }
--- a/internal/fleet/proxy/residencytracker_test.go
+++ b/internal/fleet/proxy/residencytracker_test.go
@@ -11,7 +11,7 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// trackedRequest returns the residency check of a request to a route whose tenant may be held in the east, and a permit
+// trackedRequest returns the residency check of a request to a route whose tenant is restricted to east, and a permit
 // for a backend there.
 func trackedRequest(c *qt.C) (p *Proxy, rc residencyCheck, east residency.Permit) {
 	p = New(c.Context(), testSettings(testZones), zap.NewNop())
@@ -24,7 +24,7 @@
 	return p, rc, east
 }
 
-// snapshotWithin returns a snapshot in which the tenant t of the route r may be held in the regions given.
+// snapshotWithin returns a snapshot in which the tenant t of the route r is restricted to the regions.
 func snapshotWithin(regions ...string) *routingSnapshot {
 	terms := residency.Within(regions...)
 	return &routingSnapshot{
@@ -57,14 +57,14 @@
 	send.end(true)
 	c.Check(p.residency.sends, qt.HasLen, 0)
 	c.Check(p.residency.history.entries, qt.HasLen, 1)
-	// The next attempt there isn't begun.
+	// The next attempt there is not started.
 	_, send, err = rc.track(context.Background(), east, &attemptOptions{priority: -1})
 	c.Check(err, qt.Equals, residency.ErrOutside)
 	c.Check(send, qt.IsNil)
 	c.Check(p.residency.sends, qt.HasLen, 0)
 }
 
-// TestEndedSendIsNotWithdrawn: an attempt that has ended otherwise isn't taken for one that was cancelled.
+// TestEndedSendIsNotWithdrawn: an attempt that ended for another reason is not reported as withdrawn.
 func TestEndedSendIsNotWithdrawn(t *testing.T) {
 	c := qt.New(t)
 	p, rc, east := trackedRequest(c)
--- a/internal/fleet/proxy/retries_test.go
+++ b/internal/fleet/proxy/retries_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/policy"
 )
 
-// testRoute is a route of three attempts, with the kind and the latency target.
+// testRoute returns a route with three attempts, a kind and a latency target.
 func testRoute(kind string, target time.Duration) *routingconfig.Route {
 	return &routingconfig.Route{RouteSpec: &routingconfig.RouteSpec{
 		Kind:            kind,
@@ -22,8 +22,8 @@
 	}}
 }
 
-// TestRetriesNeedTimeAttemptsAndBudget has a request ask for a further send: what may have run and is not idempotent
-// never gets one, nor does a request without time, attempts or tokens.
+// TestRetriesNeedTimeAttemptsAndBudget: a request that may have run and is not idempotent is never retried, nor is one
+// without remaining time, attempts or tokens.
 func TestRetriesNeedTimeAttemptsAndBudget(t *testing.T) {
 	for _, one := range []struct {
 		name       string
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestHeaderDeadlines has attempts wait for a head: to the request's deadline, or for some latency targets where
-// another backend could still serve the request.
+// TestHeaderDeadlines: an attempt waits for the response head until the request's deadline, or for some latency targets
+// if another backend could still serve the request.
 func TestHeaderDeadlines(t *testing.T) {
 	for _, one := range []struct {
 		name   string
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestRejectedAttempt has a backend say that it did not run a request: the request keeps the longest advice, and may be
+// TestRejectedAttempt: if backends report that they did not run a request, it keeps the longest Retry-After, and may be
 // sent again.
 func TestRejectedAttempt(t *testing.T) {
 	c := qt.New(t)
--- a/internal/fleet/proxy/retrybudget_test.go
+++ b/internal/fleet/proxy/retrybudget_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRetryBudgetBoundsExtraSends has proxies spend all that they may, whatever the requests: no window has more extra
-// sends than the rule allows, a ratio of the requests of that window or the one before it, and a sum.
+// TestRetryBudgetBoundsExtraSends has proxies use their whole budgets under random load: no window has more extra sends
+// than the rule allows, a ratio of the requests of that window or the one before it, plus a sum.
 func TestRetryBudgetBoundsExtraSends(t *testing.T) {
 	const ratio, window = 0.2, 10 * time.Second
 	rapid.Check(t, func(r *rapid.T) {
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestRetryBudgetCoversAStagedPrompt has eighty proxies, each of which could never save more than one send, while a
-// staged prompt whose decode backend failed takes two: none was ever retried.
+// TestRetryBudgetCoversAStagedPrompt guards against a budget with eighty proxies that could never save more than one
+// send at each: a separately prefilled prompt whose decode backend failed takes two, and was never retried.
 func TestRetryBudgetCoversAStagedPrompt(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
@@ -71,7 +71,7 @@
 	}
 	c.Assert(a.take(now, 2), qt.IsTrue)
 	c.Assert(a.take(now, 2), qt.IsTrue)
-	// And what is saved is forgotten with the requests that gave it.
+	// Saved tokens expire with the requests that added them.
 	now = now.Add(time.Minute)
 	c.Assert(a.available(now, 1), qt.IsTrue)
 	c.Assert(a.available(now, 2), qt.IsFalse)
--- a/internal/fleet/proxy/rules_test.go
+++ b/internal/fleet/proxy/rules_test.go
@@ -21,13 +21,13 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// TestBackendsGetTheClientsRequest encodes requests for backends: what describes the prompt is the client's; what is
-// the proxy's to set never comes from the client; each send tells the time left, and no more.
+// TestBackendsGetTheClientsRequest encodes requests for backends: the prompt's description is the client's, the proxy's
+// own fields are never taken from the client, and each send has the remaining time as its deadline.
 func TestBackendsGetTheClientsRequest(t *testing.T) {
 	synctest.Test(t, checkBackendRequests)
 }
 
-// promptRequest is a client's request with a prompt, which names fields that are the proxy's to set.
+// promptRequest returns a client's request with a prompt, which also contains fields that only the proxy may set.
 func promptRequest() outboundRequest {
 	client := http.Header{}
 	for key, value := range map[string]string{
@@ -61,8 +61,7 @@
 	}
 }
 
-// checkBackendRequests runs where the clock stands still, so that the time left is known to the
-// millisecond.
+// checkBackendRequests runs in a synctest bubble, so that the remaining time is known to the millisecond.
 func checkBackendRequests(t *testing.T) {
 	c := qt.New(t)
 	out := promptRequest()
@@ -118,15 +117,15 @@
 	}
 }
 
-// TestClientDisconnectEndsBackendWork has clients leave streams and a plain request under way: the backends' work ends within half a
-// second, and nothing of these requests reaches a backend later.
+// TestClientDisconnectEndsBackendWork disconnects clients during streams and a plain request: the backends' work ends
+// within half a second, and nothing of these requests reaches a backend later.
 func TestClientDisconnectEndsBackendWork(t *testing.T) {
 	const bound = 500 * time.Millisecond
 	r := newRig(t, enginesInAllRegions(func(s *simulation.EngineSettings) { s.Step = 50 * time.Millisecond })...)
 	r.configure()
 	for _, e := range r.engines {
 		if e.Settings().Service == "obs" {
-			e.SetFaults(simulation.Faults{SlowBy: time.Minute}) // only its client's leaving ends the request
+			e.SetFaults(simulation.Faults{SlowBy: time.Minute}) // only the client's disconnect ends the request
 		}
 	}
 	const streams = 6
@@ -174,8 +173,7 @@
 	}
 }
 
-// TestUnconfiguredProxyRejects has a proxy without a configuration answer 503 to everything, and never that there is no
-// such route.
+// TestUnconfiguredProxyRejects: a proxy without a configuration answers every request with 503, never with 404.
 func TestUnconfiguredProxyRejects(t *testing.T) {
 	r := newRig(t, enginesInAllRegions(nil)...)
 	for _, route := range []string{"freeread", "post", "unheard"} {
@@ -190,13 +188,12 @@
 	r.Check(got.Status, qt.Equals, http.StatusOK)
 }
 
-// TestEarlyAnswerDoesNotTruncateBody has a long body and an early answer: a backend that answers before it has read
-// a long body, and reads on later, gets all of that body and then the next request, whether that comes on this
-// connection or another.
+// TestEarlyAnswerDoesNotTruncateBody has a backend answer before it has read a long body, and read on later: it
+// receives the whole body and then the next request, on this connection or another.
 func TestEarlyAnswerDoesNotTruncateBody(t *testing.T) {
 	const bodySize, requests = 3 << 20, 4
 	r := newRig(t)
-	seen := make(chan string, requests) // what was wrong with each request as it came
+	seen := make(chan string, requests) // an error text per request, or ""
 	addr := testkit.Raw(t, func(conn net.Conn, in *bufio.Reader) {
 		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		for {
@@ -235,13 +232,13 @@
 		case wrong := <-seen:
 			r.Check(wrong, qt.Equals, "")
 		case <-time.After(testTimeout):
-			t.Fatal("the backend gets no whole request")
+			t.Fatal("the backend did not receive a complete request")
 		}
 	}
 }
 
-// TestBodyLimitOfTheConfiguration sends a body over body_max_bytes: it is rejected, framed either way, and reaches no
-// backend; one that just fits is served.
+// TestBodyLimitOfTheConfiguration sends bodies over body_max_bytes in both framings: they are rejected and reach no
+// backend; a body of exactly that size is served.
 func TestBodyLimitOfTheConfiguration(t *testing.T) {
 	const most = 10_000
 	r := newRig(t, enginesInAllRegions(nil)...)
@@ -264,7 +261,7 @@
 				r.Check(got.Status, qt.Equals, http.StatusOK, qt.Commentf("%d bytes, chunked %v: %v", size, chunked, got.Err))
 				continue
 			}
-			// A client that is still sending may see its connection end in place of the answer.
+			// A client that is still sending may see its connection closed instead of the response.
 			r.Check(got.Status == http.StatusRequestEntityTooLarge || got.Status == 0, qt.IsTrue,
 				qt.Commentf("%d bytes, chunked %v: %d", size, chunked, got.Status))
 			r.Check(runs, qt.Equals, 0, qt.Commentf("%d bytes, chunked %v", size, chunked))
@@ -272,8 +269,8 @@
 	}
 }
 
-// rawAnswers is a backend of the service that answers each request by the text given, with ID in place of the
-// request's id, and then ends its connection: with a reset, or in order.
+// rawAnswers starts a backend that answers each request with the text, with ID replaced by the request's id, and then
+// ends its connection: with a reset, or in order. It returns the backend's address.
 func rawAnswers(t *testing.T, text string, reset bool) string {
 	return testkit.Raw(t, func(conn net.Conn, in *bufio.Reader) {
 		_ = conn.SetDeadline(time.Now().Add(testTimeout))
@@ -288,8 +285,8 @@
 	})
 }
 
-// TestUnframedAnswers has answers without a length: one is complete where its connection ends in order, and never taken
-// for complete where that is reset.
+// TestUnframedAnswers: a response without a length is complete if its connection is closed in order, and never taken
+// for complete if it is reset.
 func TestUnframedAnswers(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\n" +
 		externalapi.HeaderAttemptID + ": ID\r\n" +
@@ -324,8 +321,7 @@
 	}
 }
 
-// TestVersionsAreRelayed shows that a stream's versions, in its head and within an event, reach the client as they
-// came.
+// TestVersionsAreRelayed checks that the versions in a stream's head and within an event reach the client unchanged.
 func TestVersionsAreRelayed(t *testing.T) {
 	const events = "id: 1\ndata: a\n\nversions: 10\nid: 2\ndata: b\n\n"
 	text := "HTTP/1.1 200 OK\r\n" +
@@ -359,7 +355,7 @@
 	r.Check(string(body), qt.Equals, events)
 }
 
-// eventuallyTrue asks again and again until done holds or ctx ends.
+// eventuallyTrue polls done until it returns true or ctx ends.
 func eventuallyTrue(r *rig, ctx context.Context, what string, done func() bool) {
 	r.Helper()
 	tick := time.NewTicker(2 * time.Millisecond)
@@ -368,7 +364,7 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			r.Fatalf("never: %s", what)
+			r.Fatalf("not reached in time: %s", what)
 		}
 	}
 }
--- a/internal/fleet/proxy/service_test.go
+++ b/internal/fleet/proxy/service_test.go
@@ -9,8 +9,8 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// TestServiceWithoutRuntimeKeepsEstimator: a change may take the models from a service while requests of it are under
-// way; what they report at their end is still taken.
+// TestServiceWithoutRuntimeKeepsEstimator: a configuration may remove the runtime of a service while requests are in
+// flight; their reports are still recorded.
 func TestServiceWithoutRuntimeKeepsEstimator(t *testing.T) {
 	c := qt.New(t)
 	s := newService("s", nil, time.Second)
--- a/internal/fleet/proxy/shutdown_test.go
+++ b/internal/fleet/proxy/shutdown_test.go
@@ -11,8 +11,7 @@
 	"molepaddle/internal/fleet/scheduler"
 )
 
-// TestAnswersThatOutlastShutdown asks of requests of several kinds, with so much time left to the proxy's end, whether
-// they are rejected.
+// TestAnswersThatOutlastShutdown checks which kinds of requests are rejected, by the time left until the proxy's end.
 func TestAnswersThatOutlastShutdown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	stream := routingconfig.RouteSpec{
@@ -35,8 +34,8 @@
 		name   string
 		route  routingconfig.RouteSpec
 		prompt *scheduler.Prompt
-		stays  time.Duration // until the proxy's end; 0: it does not leave
-		pace   time.Duration // of the streams of late; 0: none came
+		stays  time.Duration // until the proxy's end; 0: it is not shutting down
+		pace   time.Duration // event gap of recent streams; 0: there were none
 		want   bool
 	}{
 		{"a proxy that stays", stream, tokens(1000), 0, 0, false},
@@ -64,8 +63,8 @@
 	}
 }
 
-// mayOutlast reports whether a request to a route may outlast a proxy that stays so long, where recent streams had so
-// much time between two events; 0: the proxy doesn't shut down, there were no streams.
+// mayOutlast reports whether a request to a route may outlast a proxy that ends after stays, where recent streams had
+// the event gap pace. A value of 0 means that the proxy is not shutting down, or that there were no streams.
 func mayOutlast(now time.Time, stays, pace time.Duration, route *routingconfig.RouteSpec,
 	prompt *scheduler.Prompt) bool {
 	p := new(Proxy)
@@ -85,8 +84,8 @@
 	return p.shutdown.outlasts(now, cr.deadline, cr.longestAnswer(now, prompt))
 }
 
-// TestRetryAfterDuringShutdown: clients retry at once where another proxy takes them, else when the platform sends
-// them to others only.
+// TestRetryAfterDuringShutdown: clients retry at once if another proxy is likely to receive them, else when the
+// platform sends them to serving proxies only.
 func TestRetryAfterDuringShutdown(t *testing.T) {
 	c := qt.New(t)
 	began := time.Unix(1000, 0)
--- a/internal/fleet/proxy/streaming_test.go
+++ b/internal/fleet/proxy/streaming_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestEventReaderFindsCompleteEvents reads a stream byte by byte: what may be relayed ends with an event, and is all
-// there is once the stream has ended.
+// TestEventReaderFindsCompleteEvents reads a stream byte by byte: the relayed bytes end with an event, and include the
+// rest once the stream has ended.
 func TestEventReaderFindsCompleteEvents(t *testing.T) {
 	const stream = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3"
 	for _, one := range []struct {
@@ -46,8 +46,7 @@
 	}
 }
 
-// TestEventReaderBoundsEvents reads an event that never ends: it fails once a buffer of maxEventBytes is full, which is
-// its one bound.
+// TestEventReaderBoundsEvents reads an endless event: it fails once a buffer of maxEventBytes is full.
 func TestEventReaderBoundsEvents(t *testing.T) {
 	c := qt.New(t)
 	in := eventReader{body: zeros{}, isEvents: true, buf: make([]byte, 0, eventBufferBytes)}
@@ -63,7 +62,7 @@
 	c.Check(cap(in.buf), qt.Equals, maxEventBytes)
 }
 
-// zeros is a stream without an end.
+// zeros is an endless stream of zeros.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) {
@@ -71,8 +70,8 @@
 	return len(p), nil
 }
 
-// TestRelayResumesAtLastEvent scans the events of two backends: the last id is kept, and the pace sample begins anew
-// with the second backend.
+// TestRelayResumesAtLastEvent scans the events of two backends: the last id is kept, and a new pace sample starts with
+// the second backend.
 func TestRelayResumesAtLastEvent(t *testing.T) {
 	c := qt.New(t)
 	r := streamRelay{cr: &clientRequest{svc: newService("llm", testGate(nil), 0)}, backendID: "b1"}
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/policy"
 )
 
-// ejections returns ejections of the backends named, for all proxies.
+// ejections returns ejections of backends by id, for all proxies.
 func ejections(ids ...string) (all []distribution.Ejection) {
 	for _, id := range ids {
 		all = append(all, distribution.Ejection{Backend: id})
@@ -21,7 +21,7 @@
 	return all
 }
 
-// countPlacements counts by backend where so many requests are prefilled and decoded.
+// countPlacements counts by backend where a number of requests are prefilled and decoded.
 func countPlacements(c *qt.C, s *service, requests int, retryable bool) map[string]int {
 	count := map[string]int{}
 	for i := range requests {
@@ -39,14 +39,15 @@
 	return count
 }
 
-// TestEjectedBackendsGetTrialsOnly: an ejected backend is chosen neither for prefill nor for decode, but for trials.
+// TestEjectedBackendsGetTrialsOnly: an ejected backend is selected for trials only, neither for prefill nor for decode
+// otherwise.
 func TestEjectedBackendsGetTrialsOnly(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 4, 12)
 	s.applyEjections(ejections("p1", "d2", "d3"), "e1", outlier.ProxyCount{All: 60, InZone: 20})
 	count := countPlacements(c, s, 300, false)
 	c.Assert(count["p1"]+count["d2"]+count["d3"] <= 3, qt.IsTrue, qt.Commentf("%v", count))
-	// Alone in its fleet a proxy makes all the trials.
+	// A proxy that is alone in its fleet makes all the trials.
 	s.start = s.start.Add(-20 * time.Second)
 	s.applyEjections(nil, "e1", outlier.ProxyCount{})
 	s.applyEjections(ejections("p1", "d2"), "e1", outlier.ProxyCount{All: 1, InZone: 1})
@@ -62,7 +63,7 @@
 	c.Assert(countPlacements(c, s, 500, false)["p1"] > 0, qt.IsTrue)
 }
 
-// TestDrainingBackendsGetNoTrial: a backend that drains gets no trial.
+// TestDrainingBackendsGetNoTrial: a draining backend gets no trial.
 func TestDrainingBackendsGetNoTrial(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
@@ -85,7 +86,7 @@
 	}
 }
 
-// TestSlowStreamsAreReported: streams that come several times as slowly as usual are reported as slow, others as good.
+// TestSlowStreamsAreReported: streams several times slower than usual are reported as slow, others as good.
 func TestSlowStreamsAreReported(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 2)
@@ -124,7 +125,7 @@
 	c.Assert(s.takeOutcomes(true), qt.IsNil, qt.Commentf("a client that left tells nothing of a backend"))
 }
 
-// TestTrialsOfLongDecodes: long answers don't try what is only slow.
+// TestTrialsOfLongDecodes: requests with long outputs are not used as trials of backends ejected as slow.
 func TestTrialsOfLongDecodes(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(12, 1, 4)
--- a/internal/fleet/proxy/weights_test.go
+++ b/internal/fleet/proxy/weights_test.go
@@ -11,7 +11,7 @@
 	"molepaddle/internal/fleet/settings"
 )
 
-// relistWeights lists the backends of a service anew, each with the version of weights given by id; 1 where none is.
+// relistWeights applies a list of the same backends with the given versions of weights by id; 1 if none is given.
 func relistWeights(s *service, versions map[string]int64) {
 	var list []distribution.Backend
 	for id, b := range s.byID {
@@ -25,8 +25,8 @@
 	s.updateEndpoints(list)
 }
 
-// TestKVCachesAreDecodedWithTheirWeights: the tokens of a prompt are made by the weights that read it, as long as any backend
-// with them is left.
+// TestKVCachesAreDecodedWithTheirWeights: a prompt is decoded with the weights that prefilled it, as long as a backend
+// with them is available.
 func TestKVCachesAreDecodedWithTheirWeights(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 2, 4)
@@ -48,8 +48,8 @@
 	c.Assert(pl.decode.Weights, qt.Equals, int64(1))
 }
 
-// TestNewerWeightsFirst: requests go to the newest weights that are listed; to older ones where those have too much to
-// do, and no more once an answer of older ones is worth nothing.
+// TestNewerWeightsFirst: requests go to the newest weights that are listed, to older ones if those have long queues,
+// and not to older ones once they are outdated.
 func TestNewerWeightsFirst(t *testing.T) {
 	c := qt.New(t)
 	s := engineService(64, 2, 2)
@@ -86,7 +86,7 @@
 	c.Check(weightsClasses[outdatedWeights] > unavailableClass, qt.IsTrue)
 }
 
-// TestInitialWeightsAreNotOutdated: what is listed at first isn't newer than anything.
+// TestInitialWeightsAreNotOutdated: the first listed version does not count as newer than another.
 func TestInitialWeightsAreNotOutdated(t *testing.T) {
 	c := qt.New(t)
 	var w listedWeights
