--- a/internal/fleet/proxy/drawn_test.go
+++ b/internal/fleet/proxy/drawn_test.go
@@ -21,77 +21,78 @@
 	drawnDays = flag.Uint64("drawn.days", 1000, "so many drawn days are played")
 )
 
-// once counts the answers that a request is given.
-type once struct {
+// countingRecorder counts the responses that a request receives.
+type countingRecorder struct {
 	*httptest.ResponseRecorder
-	answers int
+	responses int
 }
 
-// WriteHeader counts a header.
-func (o *once) WriteHeader(status int) {
-	o.answers++
+// WriteHeader counts an explicit header.
+func (o *countingRecorder) WriteHeader(status int) {
+	o.responses++
 	o.ResponseRecorder.WriteHeader(status)
 }
 
-// Write counts a header that is implied.
-func (o *once) Write(b []byte) (int, error) {
-	if o.answers == 0 {
-		o.answers++
+// Write counts an implicit header.
+func (o *countingRecorder) Write(b []byte) (int, error) {
+	if o.responses == 0 {
+		o.responses++
 	}
 	return o.ResponseRecorder.Write(b)
 }
 
-// promptly is within what a refusal comes: nodes answer at once, so that there is nothing to wait for.
-const promptly = 10 * time.Millisecond
+// rejectionBound is the time within which a request is rejected: nodes respond at once, so there is nothing to wait
+// for.
+const rejectionBound = 10 * time.Millisecond
 
-// drawnRequest is one request, what stood when it was made, and what it came to.
+// drawnRequest is one random request, the state when it was sent, and its result.
 type drawnRequest struct {
-	d       *drawn
-	id      string
-	route   string // its first letter is its kind
-	stream  bool
-	usable  bool // a backend may serve it, by the list
-	calm    bool // none of its backends is in trouble
-	changes int  // before it
-	dials   int  // before it
+	day             *simulatedDay
+	id              string
+	route           string // its first letter is its kind
+	stream          bool
+	usable          bool // a listed backend may serve it
+	backendsHealthy bool // none of its backends has a fault
+	changes         int  // number of changes before it
+	dials           int  // number of dials before it
 
-	w      *once
-	broken bool // the answer was broken off
+	w      *countingRecorder
+	broken bool // the response was aborted
 	took   time.Duration
 }
 
-// ask makes one request and judges its answer.
-func (d *drawn) ask(number int) {
+// runRequest sends one request and checks its response.
+func (d *simulatedDay) runRequest(number int) {
 	d.mu.Lock()
-	q := &drawnRequest{d: d, id: fmt.Sprintf("%d-%d", d.seed, number), calm: true}
+	q := &drawnRequest{day: d, id: fmt.Sprintf("%d-%d", d.seed, number), backendsHealthy: true}
 	r := q.draw()
-	d.midway = d.rng.IntN(2) == 0
-	q.lookAround()
+	d.changeInFlight = d.rng.IntN(2) == 0
+	q.recordState()
 	d.mu.Unlock()
 
-	q.w = &once{ResponseRecorder: httptest.NewRecorder()}
+	q.w = &countingRecorder{ResponseRecorder: httptest.NewRecorder()}
 	began := time.Now()
 	q.broken = serveUntilAborted(d.proxy, q.w, r)
 	q.took = time.Since(began)
-	d.proxy.background.Wait() // the handles released after it
+	d.proxy.background.Wait() // for the release of its handles
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.midway = false
-	q.calm = q.calm && d.changes == q.changes
-	q.judge()
-	q.judgeAnswer()
-	q.judgeByBackends()
-	q.count()
+	d.changeInFlight = false
+	q.backendsHealthy = q.backendsHealthy && d.changes == q.changes
+	q.checkInvariants()
+	q.checkAnswer()
+	q.checkAgainstBackends()
+	q.countKind()
 }
 
-// draw draws the request.
+// draw returns a random request.
 func (q *drawnRequest) draw() *http.Request {
-	d := q.d
+	d := q.day
 	q.route = string("rpso"[d.rng.IntN(4)]) + append(drawnTenants, "free")[d.rng.IntN(len(drawnTenants)+1)]
 	q.stream = q.route[0] == 's' || q.route[0] == 'o'
 	r := httptest.NewRequest(http.MethodPost, "http://h/"+q.route+"/x", strings.NewReader("data"))
-	r = r.WithContext(context.WithValue(r.Context(), asked{}, true))
+	r = r.WithContext(context.WithValue(r.Context(), clientRequestKey{}, true))
 	r.RequestURI = "/" + q.route + "/x"
 	r.Header.Set(externalapi.HeaderAttemptID, q.id)
 	if q.stream {
@@ -105,9 +106,9 @@
 	return r
 }
 
-// lookAround notes which backends there are for the request, and what has happened before it.
-func (q *drawnRequest) lookAround() {
-	d := q.d
+// recordState records the backends available for the request, and the counters before it.
+func (q *drawnRequest) recordState() {
+	d := q.day
 	service := "obs"
 	if q.stream {
 		service = "llm"
@@ -115,124 +116,125 @@
 	for _, n := range d.nodes {
 		if n.service == service && n.listed && !n.draining && d.allowed(n, q.route) {
 			q.usable = q.usable || n.phase != externalapi.PhasePrefill
-			q.calm = q.calm && n.trouble == fine && d.at[n.address] == n
+			q.backendsHealthy = q.backendsHealthy && n.fault == noFault && d.nodesByAddress[n.address] == n
 		}
 	}
 	q.changes = d.changes
 	q.dials = d.dials
 }
 
-// bad records a finding on the request.
-func (q *drawnRequest) bad(format string, args ...any) {
-	q.d.find("%s of %s: status %d, broken off %v, %d runs, %q: %s",
-		q.id, q.route, q.w.Code, q.broken, q.d.runs[q.id], q.w.Body, fmt.Sprintf(format, args...))
+// addFinding records a finding on the request.
+func (q *drawnRequest) addFinding(format string, args ...any) {
+	q.day.addFinding("%s of %s: status %d, aborted %v, %d runs, %q: %s",
+		q.id, q.route, q.w.Code, q.broken, q.day.runs[q.id], q.w.Body, fmt.Sprintf(format, args...))
 }
 
-// judge looks at what holds for every request: one answer, in its time, and run once at most where that is asked for.
-func (q *drawnRequest) judge() {
-	if q.w.answers != 1 {
-		q.bad("%d answers", q.w.answers)
+// checkInvariants checks the rules for every request: one response, within its deadline, and at most one run unless the
+// request is idempotent.
+func (q *drawnRequest) checkInvariants() {
+	if q.w.responses != 1 {
+		q.addFinding("%d answers", q.w.responses)
 	}
 	if q.took > testDeadline {
-		q.bad("after %v", q.took)
+		q.addFinding("after %v", q.took)
 	}
-	if q.w.Code == http.StatusServiceUnavailable && q.took > promptly {
-		q.bad("refused after %v", q.took)
+	if q.w.Code == http.StatusServiceUnavailable && q.took > rejectionBound {
+		q.addFinding("rejected after %v", q.took)
 	}
-	if (q.route[0] == 'p' || q.route[0] == 'o') && q.d.runs[q.id] > 1 {
-		q.bad("run more than once")
+	if (q.route[0] == 'p' || q.route[0] == 'o') && q.day.runs[q.id] > 1 {
+		q.addFinding("run more than once")
 	}
 }
 
-// judgeAnswer looks at the answer by its status.
-func (q *drawnRequest) judgeAnswer() {
+// checkAnswer checks the response by its status.
+func (q *drawnRequest) checkAnswer() {
 	switch {
 	case q.broken && (!q.stream || q.w.Code != http.StatusOK):
-		q.bad("broken off before it began")
+		q.addFinding("aborted before the response started")
 	case q.w.Code == http.StatusOK && q.stream:
-		q.judgeEvents()
+		q.checkEvents()
 	case q.w.Code == http.StatusOK:
 		if q.w.Body.String() != "answer to "+q.id {
-			q.bad("another body")
+			q.addFinding("unexpected body")
 		}
 	case q.w.Code == http.StatusServiceUnavailable:
-		if q.d.runs[q.id] > 0 {
-			q.bad("it has run")
+		if q.day.runs[q.id] > 0 {
+			q.addFinding("rejected, but it has run")
 		}
 		if q.w.Header().Get(externalapi.HeaderRetryAfter) == "" {
-			q.bad("no time to come back")
+			q.addFinding("no Retry-After")
 		}
 	case q.w.Code != http.StatusBadGateway && q.w.Code != http.StatusInternalServerError:
-		q.bad("another status")
+		q.addFinding("unexpected status")
 	}
 }
 
-// judgeEvents looks at a stream: it is complete or broken off, and in order.
-func (q *drawnRequest) judgeEvents() {
+// checkEvents checks that a stream is in order, and complete or aborted.
+func (q *drawnRequest) checkEvents() {
 	got := strings.Split(strings.TrimSuffix(q.w.Body.String(), "\n\n"), "\n\n")
 	for i, e := range got {
 		if e != fmt.Sprintf("id: %d\ndata: inside  answer to %s", i+1, q.id) {
-			q.bad("event %d", i+1)
+			q.addFinding("event %d", i+1)
 		}
 	}
 	if !q.broken && len(got) != drawnEvents || len(got) > drawnEvents {
-		q.bad("%d events", len(got))
+		q.addFinding("%d events", len(got))
 	}
 }
 
-// judgeByBackends looks at the answer by the backends that there were: none, or only well ones.
-func (q *drawnRequest) judgeByBackends() {
-	d := q.d
+// checkAgainstBackends checks the response against the backends available: none, or only healthy ones.
+func (q *drawnRequest) checkAgainstBackends() {
+	d := q.day
 	switch {
 	case !q.usable && d.changes == q.changes:
-		d.counts["nowhere"]++
+		d.counts["no backend"]++
 		if q.w.Code != http.StatusServiceUnavailable || d.runs[q.id] > 0 || d.dials != q.dials {
-			q.bad("there is no backend inside, and %d connections were asked for", d.dials-q.dials)
+			q.addFinding("not rejected at once though no allowed backend is listed; %d dials", d.dials-q.dials)
 		}
-	case q.usable && q.calm:
-		d.counts["calm"]++
+	case q.usable && q.backendsHealthy:
+		d.counts["all healthy"]++
 		if q.w.Code != http.StatusOK || q.broken {
-			q.bad("all is well inside")
+			q.addFinding("not served though all allowed backends are healthy")
 		}
 	}
 }
 
-// count counts the request among its kinds.
-func (q *drawnRequest) count() {
-	if q.d.changes != q.changes {
-		q.d.counts["changed under way"]++
+// countKind counts the request by kind.
+func (q *drawnRequest) countKind() {
+	if q.day.changes != q.changes {
+		q.day.counts["changed in flight"]++
 	}
 	if q.broken {
-		q.d.counts["broken off"]++
+		q.day.counts["aborted"]++
 	}
-	q.d.counts[fmt.Sprint(q.w.Code)]++
+	q.day.counts[fmt.Sprint(q.w.Code)]++
 }
 
-// play plays the day and ends it.
-func (d *drawn) play() {
+// run runs the day and closes the proxy's connections.
+func (d *simulatedDay) run() {
 	const steps = 30
 	for i := range steps {
 		d.mu.Lock()
 		for range d.rng.IntN(3) {
 			d.change()
 		}
-		passes := time.Duration(0) // so that who failed is tried again
+		passes := time.Duration(0) // lets failed backends be tried again
 		if d.rng.IntN(4) == 0 {
 			passes = time.Duration(d.rng.Int64N(int64(4 * time.Second)))
 		}
 		d.mu.Unlock()
 		time.Sleep(passes)
-		d.ask(i)
+		d.runRequest(i)
 	}
 	d.proxy.pool.Close()
 }
 
-// TestDrawnDays plays days of six regions with 21 zones before nodes in memory, on a clock of their own: nodes and
-// whole regions fail in many ways, the list changes, lags and is corrected, addresses come to others, and tenants'
-// terms change, between requests and under them. Nothing runs and nothing is taken outside of the terms of that
-// moment; each request has exactly one answer, in its time: where no backend inside is listed, 503 at once without a
-// connection asked for; where all is well inside, success. What was refused never runs, what may run once does so at
-// most once, and streams are complete or broken off, never out of order.
+// TestDrawnDays simulates a proxy with random in-memory nodes in six regions with 21 zones, in synctest bubbles: nodes
+// and whole regions fail in many ways, the endpoint list changes, lags and is corrected, addresses are reassigned, and
+// tenants' terms change, between requests and during them. No request runs and no handle is used outside the terms in
+// force. Each request gets exactly one response within its deadline: 503 at once, without a connection attempt, if no
+// allowed backend is listed; success if all allowed backends are healthy. Rejected requests never run, requests that
+// may run once run at most once, and streams are complete or aborted, never out of order.
 func TestDrawnDays(t *testing.T) {
 	c := qt.New(t)
 	from, to := uint64(1), *drawnDays
@@ -242,9 +244,9 @@
 	counts := map[string]int{}
 	for seed := from; seed <= to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			d := newDrawn(t, seed)
-			d.play()
-			for _, f := range d.found {
+			d := newSimulatedDay(t, seed)
+			d.run()
+			for _, f := range d.findings {
 				t.Errorf("seed %d: %s", seed, f)
 			}
 			for k, n := range d.counts {
@@ -257,9 +259,9 @@
 	}
 	t.Logf("%d days: %v", to-from+1, counts)
 	if *drawnSeed == 0 && *drawnDays >= 100 {
-		kinds := []string{"200", "500", "502", "503", "nowhere", "calm", "changed under way", "broken off"}
+		kinds := []string{"200", "500", "502", "503", "no backend", "all healthy", "changed in flight", "aborted"}
 		for _, k := range kinds {
-			c.Check(counts[k] > 0, qt.IsTrue, qt.Commentf("no request of the kind %q: the days are too tame", k))
+			c.Check(counts[k] > 0, qt.IsTrue, qt.Commentf("no request of the kind %q in all days", k))
 		}
 	}
 }
--- a/internal/fleet/proxy/quotaslots_test.go
+++ b/internal/fleet/proxy/quotaslots_test.go
@@ -15,10 +15,10 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// prefillSlots are the slots of the account of TestPrefilledPromptsCountAgainstTheQuota.
+// prefillSlots is the quota of the account in TestPrefilledPromptsCountAgainstTheQuota.
 const prefillSlots = 8
 
-// startAllocator starts an allocator of one account's slots, which the rig's proxy asks from then on.
+// startAllocator starts a quota allocator for one account, and points the rig's proxy to it.
 func startAllocator(r *rig, account string) {
 	rule := quota.Rule{Window: time.Minute, Lease: time.Minute}
 	server := quota.NewServer(rule, 0, func(uint64) bool { return true })
@@ -41,8 +41,8 @@
 	go r.proxy.quota.Run(ctx)
 }
 
-// TestPrefilledPromptsCountAgainstTheQuota: QUOTA, a prompt that was prefilled and then found no decode backend gave its
-// slot back, so that a tenant had any number of prompts prefilled.
+// TestPrefilledPromptsCountAgainstTheQuota (QUOTA) guards against a prompt that was prefilled but found no decode
+// backend releasing its slot: a tenant could then have any number of prompts prefilled.
 func TestPrefilledPromptsCountAgainstTheQuota(t *testing.T) {
 	engine := func(service string, phase simulation.Phase) simulation.EngineSettings {
 		return simulation.EngineSettings{Service: service, Zone: "e1", Region: "east", Phase: phase, Capacity: 8}
@@ -50,16 +50,16 @@
 	r := newRig(t, engine("llm", simulation.PhasePrefill), engine("llm", simulation.PhaseDecode),
 		engine("obs", simulation.PhaseNone))
 	startAllocator(r, "plain")
-	r.proxy.settings.Bounds.Apply = testPatience
+	r.proxy.settings.Bounds.Apply = testTimeout
 	doc := strings.Replace(string(withAccounts(r.document())), `"name":"plain",`, `"name":"plain","rate_s":1,`, 1)
 	applyResource(r.proxy, distribution.ConfigType, uint64(r.version), []byte(doc))
-	r.history = append(r.history, simulation.Term{From: time.Now()})
+	r.termsHistory = append(r.termsHistory, simulation.Term{From: time.Now()})
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	r.Assert(err, qt.IsNil)
 	closed.Close()
 	var backends []distribution.Backend
 	for _, e := range r.engines {
-		b := entry(e)
+		b := listEntry(e)
 		if b.Phase == string(simulation.PhaseDecode) {
 			b.Address = closed.Addr().String() // refuses connections
 		}
@@ -68,7 +68,7 @@
 	r.relist(backends)
 	ran, overQuota := 0, 0
 	for own := range 4 * prefillSlots {
-		got := r.client.Do(r.Context(), askWith("free", own, [2]int{6000, 4}, bearer(plainKey)))
+		got := r.client.Do(r.Context(), routeRequestWith("free", own, [2]int{6000, 4}, bearer(plainKey)))
 		if got.Status == http.StatusTooManyRequests {
 			overQuota++
 		}
