--- a/cmd/molepaddle/loss.go
+++ b/cmd/molepaddle/loss.go
@@ -51,7 +51,7 @@
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
-		switch r, ok, err := loss.Line(lines.Bytes()); {
+		switch r, ok, err := loss.ParseLine(lines.Bytes()); {
 		case err != nil:
 			bad++
 		case ok:
--- a/internal/core/account.go
+++ b/internal/core/account.go
@@ -37,19 +37,19 @@
 	case policy.OK:
 		a.how = loss.Answered
 	case policy.Error, policy.Reset:
-		a.how = loss.Broken
+		a.how = loss.Errored
 	case policy.Timeout:
-		a.how = loss.Silent
+		a.how = loss.TimedOut
 	case policy.ConnectFailed:
-		if a.how = loss.Full; res.took >= ms(c.set.Limits.ConnectTimeoutMs*0.9) && c.set.Limits.ConnectTimeoutMs > 0 {
-			a.how = loss.Silent
+		if a.how = loss.Rejected; res.took >= ms(c.set.Limits.ConnectTimeoutMs*0.9) && c.set.Limits.ConnectTimeoutMs > 0 {
+			a.how = loss.TimedOut
 		}
 	case policy.Cancelled:
-		if a.how = loss.Unspent; !b.heard.After(a.started) && a.stage.Load() == sending {
-			a.how = loss.Silent // until nobody waited any more
+		if a.how = loss.Abandoned; !b.heard.After(a.started) && a.stage.Load() == sending {
+			a.how = loss.TimedOut // until nobody waited any more
 		}
 	default:
-		a.how = loss.Full
+		a.how = loss.Rejected
 	}
 }
 
@@ -60,13 +60,13 @@
 	}
 	since := func(t time.Time) float64 { return float64(t.Sub(r.kept.came).Microseconds()) / 1000 }
 	k := &c.set.Classes[min(max(r.Class, 0), len(c.set.Classes)-1)]
-	rec := loss.Record{Class: k.Name, At: r.kept.came.UnixMilli(), Worth: k.Credit, Aim: k.AimMs + k.AimStretch*r.HintMs, Ended: since(r.kept.ended),
+	rec := loss.Record{Class: k.Name, At: r.kept.came.UnixMilli(), Value: k.Credit, TargetMs: k.AimMs + k.AimStretch*r.HintMs, EndedMs: since(r.kept.ended),
 		Outcome: [...]string{"failed", "served", "refused", "repeated", "overdue", "gone"}[r.kept.outcome]}
 	if r.kept.outcome == Gone && !r.kept.ended.Before(r.Deadline.Add(-2*guardMargin)) {
 		rec.Outcome = "overdue"
 	}
 	switch {
-	case r.kept.outcome == Repeated, r.kept.outcome == Served && rec.Ended <= rec.Aim:
+	case r.kept.outcome == Repeated, r.kept.outcome == Served && rec.EndedMs <= rec.TargetMs:
 		return
 	case r.kept.outcome == Served:
 		rec.Earned = k.Credit * min(max(k.LateShare, 0), 1)
@@ -74,9 +74,9 @@
 	for _, a := range r.attempts {
 		how := a.how
 		if !a.ended { // it goes on, and nobody waits
-			how = loss.Unspent
+			how = loss.Abandoned
 		}
-		rec.Tries = append(rec.Tries, loss.Try{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone, At: since(a.started), Took: float64(a.took.Microseconds()) / 1000, How: how})
+		rec.Attempts = append(rec.Attempts, loss.Attempt{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone, At: since(a.started), DurationMs: float64(a.took.Microseconds()) / 1000, Ending: how})
 	}
 	c.account(&rec)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -557,7 +557,7 @@
 	}
 	c.tell(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Key: r.Key, LeftMs: float64(time.Until(r.Deadline)) / float64(time.Millisecond),
-		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.Tries, Coming: r.Message.Rest != nil})
+		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.Tries, BodyIncomplete: r.Message.Rest != nil})
 }
 
 // onWhole has a request's time begin: its server has all of it.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -234,10 +234,10 @@
 	done("in time", Result{Status: policy.OK})
 	done("broken", Result{Status: policy.Error})
 	done("elsewhere", Result{Status: policy.Full}, Result{Status: policy.Timeout})
-	if len(got) != 2 || got[0].Outcome != "failed" || loss.Of(&got[0]) != loss.Struck || got[0].Worth != got[1].Worth || loss.Of(&got[1]) != loss.Unreached || len(got[1].Tries) != 2 {
+	if len(got) != 2 || got[0].Outcome != "failed" || loss.CauseOf(&got[0]) != loss.ErroredOnce || got[0].Value != got[1].Value || loss.CauseOf(&got[1]) != loss.TimedOutOnce || len(got[1].Attempts) != 2 {
 		t.Fatalf("%+v", got)
 	}
-	if how := got[1].Tries[0].How; how != loss.Full || got[1].Tries[0].Server == got[1].Tries[1].Server || got[0].Valid() != nil {
+	if how := got[1].Attempts[0].Ending; how != loss.Rejected || got[1].Attempts[0].Server == got[1].Attempts[1].Server || got[0].Validate() != nil {
 		t.Errorf("%+v", got[1])
 	}
 }
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -141,7 +141,7 @@
 		usable = usable || b.usable
 		c.drop(b)
 	}
-	c.tell(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries, Least: least})
+	c.tell(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries, MinServers: least})
 	c.ready.Store(usable)
 }
 
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -86,7 +86,7 @@
 	index   int
 	backend *backend
 	ended   bool // its outcome was taken
-	how     loss.How
+	how     loss.Ending
 	took    time.Duration
 }
 
--- a/internal/decide/arith/arith.go
+++ b/internal/decide/arith/arith.go
@@ -17,8 +17,8 @@
 	return min(x, 1e15)
 }
 
-// Met is the limit that is left once something has come: none where it was in time, else the same.
-func Met(now, limit float64) float64 {
+// RemainingDeadline is the limit that is left once something has come: none where it was in time, else the same.
+func RemainingDeadline(now, limit float64) float64 {
 	if now <= limit {
 		return math.Inf(1)
 	}
@@ -33,8 +33,8 @@
 	return old + weight*(x-old)
 }
 
-// Nudge moves a weight by one step, as a part of it, down or up within its bounds.
-func Nudge(w, step float64, down bool, least, most float64) float64 {
+// StepWeight moves a weight by one step, as a part of it, down or up within its bounds.
+func StepWeight(w, step float64, down bool, least, most float64) float64 {
 	if down {
 		return max(w/(1+step), least)
 	}
@@ -59,15 +59,15 @@
 	return x ^ x>>31
 }
 
-// Line is a straight line through points that come one by one, older ones fading: each
-// new one has a weight of at least Least. The zero Line has seen none.
-type Line struct {
+// LinearFit is a straight line through points that come one by one, older ones fading: each
+// new one has a weight of at least Least. The zero LinearFit has seen none.
+type LinearFit struct {
 	n                       float64
 	meanX, meanY, varX, cov float64
 }
 
 // Add takes one more point, of the weight given or, while there are few, of an even share.
-func (l *Line) Add(x, y, weight float64) {
+func (l *LinearFit) Add(x, y, weight float64) {
 	l.n++
 	w := max(weight, 1/l.n)
 	dx, dy := x-l.meanX, y-l.meanY
@@ -79,28 +79,28 @@
 
 // At is the line's value at x, never below 0; it is 0 while fewer than least points came
 // or all of them had the same x.
-func (l *Line) At(x, least float64) float64 {
+func (l *LinearFit) At(x, least float64) float64 {
 	if l.n < least || l.varX <= 0 {
 		return 0
 	}
 	return max(l.meanY+l.cov/l.varX*(x-l.meanX), 0)
 }
 
-// Recent counts how often each value came among the last so many.
-type Recent struct {
+// RecentCounts counts how often each value came among the last so many.
+type RecentCounts struct {
 	last  []uint64
 	next  int
 	total int
 	count map[uint64]int
 }
 
-// NewRecent counts over the last n values; n must be above 0.
-func NewRecent(n int) *Recent {
-	return &Recent{last: make([]uint64, n), count: make(map[uint64]int, n)}
+// NewRecentCounts counts over the last n values; n must be above 0.
+func NewRecentCounts(n int) *RecentCounts {
+	return &RecentCounts{last: make([]uint64, n), count: make(map[uint64]int, n)}
 }
 
 // Add counts one more value and returns its share of those that are remembered.
-func (r *Recent) Add(v uint64) float64 {
+func (r *RecentCounts) Add(v uint64) float64 {
 	if r.total == len(r.last) {
 		old := r.last[r.next]
 		if r.count[old]--; r.count[old] == 0 {
--- a/internal/decide/arith/arith_test.go
+++ b/internal/decide/arith/arith_test.go
@@ -17,11 +17,11 @@
 	}
 }
 
-func TestMeanAndNudge(t *testing.T) {
+func TestMeanAndStepWeight(t *testing.T) {
 	if Mean(0, 8, 0.1) != 8 || Mean(8, 4, 0.25) != 7 {
 		t.Error("the first value is taken whole, the next by its weight")
 	}
-	if Nudge(1, 0.05, false, 0, 1) != 1 || Nudge(0.5, 0.05, true, 0.49, 1) != 0.49 {
+	if StepWeight(1, 0.05, false, 0, 1) != 1 || StepWeight(0.5, 0.05, true, 0.49, 1) != 0.49 {
 		t.Error("a weight left its bounds")
 	}
 }
@@ -33,8 +33,8 @@
 }
 
 // Points on a line give the line, whatever their order.
-func TestLine(t *testing.T) {
-	var l Line
+func TestLinearFit(t *testing.T) {
+	var l LinearFit
 	if l.At(3, 0) != 0 {
 		t.Error("no points, no line")
 	}
@@ -54,9 +54,9 @@
 }
 
 // The shares of the last n are what a plain count of them gives.
-func TestRecent(t *testing.T) {
+func TestRecentCounts(t *testing.T) {
 	const n = 16
-	r := NewRecent(n)
+	r := NewRecentCounts(n)
 	rng := rand.New(rand.NewPCG(3, 4))
 	var all []uint64
 	for range 500 {
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestShares(t *testing.T) {
+func TestFadingWeights(t *testing.T) {
 	s := make(FadingWeights, 2)
 	for range 2000 {
 		s.Add(0, 0.99)
--- a/internal/decide/budget/needs.go
+++ b/internal/decide/budget/needs.go
@@ -14,7 +14,7 @@
 	MeanHint float64 // 0: none came
 
 	mean []float64
-	line arith.Line // answer time over hinted work: the network's share does not grow with it
+	line arith.LinearFit // answer time over hinted work: the network's share does not grow with it
 }
 
 // NewNeeds takes for granted a mean for each class, until answers say better.
--- a/internal/decide/council/council.go
+++ b/internal/decide/council/council.go
@@ -26,27 +26,27 @@
 // Options is what a member is made of. Ticks are the driver's, some fifth of the time in which a new
 // leader is wanted.
 type Options struct {
-	ID       uint64 // of its disk: drawn when that is made, so that a lost disk is another member
-	Seed     uint64
-	Election int // ticks without a leader after which a member stands; up to twice that, by the seed
-	Keep     int // entries that stay behind a snapshot for those who lag
-	Bounds   work.Bounds
+	ID              uint64 // of its disk: drawn when that is made, so that a lost disk is another member
+	Seed            uint64
+	ElectionTicks   int // ticks without a leader after which a member stands; up to twice that, by the seed
+	RetainedEntries int // entries that stay behind a snapshot for those who lag
+	Bounds          work.Bounds
 }
 
-// Save is what must be durable before anything of the same Ready is sent.
-type Save struct {
-	Hard     *pb.HardState // nil: as it was
-	Snapshot *pb.Snapshot  // nil: none
-	Compact  uint64        // with a Snapshot: entries up to that one go; it is at the most the snapshot's
-	Whole    bool          // with a Snapshot: it came from another, and all entries go
-	Entries  []*pb.Entry   // take the place of all from the first of them on
+// DurableUpdate is what must be durable before anything of the same Ready is sent.
+type DurableUpdate struct {
+	HardState *pb.HardState // nil: as it was
+	Snapshot  *pb.Snapshot  // nil: none
+	CompactTo uint64        // with a Snapshot: entries up to that one go; it is at the most the snapshot's
+	FromPeer  bool          // with a Snapshot: it came from another, and all entries go
+	Entries   []*pb.Entry   // take the place of all from the first of them on
 }
 
-// Saved is what a disk holds.
-type Saved struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry
+// StoredState is what a disk holds.
+type StoredState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry
 }
 
 // Message is one to another member.
@@ -74,148 +74,148 @@
 	Hold  *promises.Entry // in the entry's place, at its time; nil: none
 }
 
-// done is an entry that was applied, and what became of it; every member keeps the same last ones.
-type done struct {
+// appliedEntry is an entry that was applied, and what became of it; every member keeps the same last ones.
+type appliedEntry struct {
 	Token uint64
 	Err   string // empty: it was taken
 }
 
-// remembered is how many of them are kept. Who proposes again after so many others must look first.
-const remembered = 4096
+// keptResults is how many of them are kept. Who proposes again after so many others must look first.
+const keptResults = 4096
 
-// contents is what a snapshot holds.
-type contents struct {
+// snapshotData is what a snapshot holds.
+type snapshotData struct {
 	Work    work.Snapshot
-	Done    []done // the oldest first
-	Council uint64 // drawn when it was founded
+	Done    []appliedEntry // the oldest first
+	Council uint64         // drawn when it was founded
 	Holds   []promises.Hold
 }
 
-// Machine is one member.
-type Machine struct {
-	opt     Options
-	rng     *rand.Rand
-	node    *raft.RawNode
-	mem     *raft.MemoryStorage
-	state   *work.State
-	conf    *pb.ConfState
-	applied uint64
-	snapped uint64
-	ticks   int
-	heard   int // the tick at which a leader was heard, or it led
-	quiet   int // ticks since then, or since it stood
-	patient int // ticks until it stands
-	ready   *raft.Ready
-	cut     Save           // of a snapshot that was made here, for the next Ready
-	active  map[uint64]int // as it leads: the tick at which each other member was last known to be active
-	joined  bool           // members have changed since the last snapshot: who comes in can't be sent an older one
-	target  []uint64
-	council uint64
-	holds   *promises.Register
-	done    []done // the last that were applied, the oldest first
-	told    map[uint64]string
+// Member is one member.
+type Member struct {
+	options            Options
+	rng                *rand.Rand
+	node               *raft.RawNode
+	storage            *raft.MemoryStorage
+	state              *work.State
+	conf               *pb.ConfState
+	appliedIndex       uint64
+	snapshotIndex      uint64
+	ticks              int
+	lastLeaderTick     int // the tick at which a leader was heard, or it led
+	ticksWithoutLeader int // ticks since then, or since it stood
+	electionTimeout    int // ticks until it stands
+	pendingReady       *raft.Ready
+	pendingSnapshot    DurableUpdate  // of a snapshot that was made here, for the next Ready
+	lastActive         map[uint64]int // as it leads: the tick at which each other member was last known to be active
+	membersChanged     bool           // members have changed since the last snapshot: who comes in can't be sent an older one
+	wantedMembers      []uint64
+	councilID          uint64
+	register           *promises.Register
+	applied            []appliedEntry // the last that were applied, the oldest first
+	resultByToken      map[uint64]string
 }
 
-// Found is the disk of the member that founds a council: it is the only one, until it takes others in.
+// Bootstrap is the disk of the member that founds a council: it is the only one, until it takes others in.
 // It is done once in an installation's life, by a person; a council that is founded since all disks of the one
 // before were lost begins its orders beyond that one's, by the time in seconds.
-func Found(id, council uint64, now int64) Saved {
+func Bootstrap(id, council uint64, now int64) StoredState {
 	first := work.New(work.DefaultBounds()).Snapshot()
-	first.Orders = uint64(max(now, 0)) << 20
-	data, _ := cbor.Marshal(contents{Work: first, Council: council}) // values only
-	return Saved{Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
-		ConfState: &pb.ConfState{Voters: []uint64{id}}}}, Hard: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}}
+	first.ExclusionVersion = uint64(max(now, 0)) << 20
+	data, _ := cbor.Marshal(snapshotData{Work: first, Council: council}) // values only
+	return StoredState{Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
+		ConfState: &pb.ConfState{Voters: []uint64{id}}}}, HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}}
 }
 
 // New makes a member from what its disk holds; nothing: it waits until a council takes it in. An
 // error says what on the disk makes no sense.
-func New(o Options, disk Saved) (*Machine, error) {
-	if o.ID == 0 || o.Election < 5 || o.Keep < 1 {
-		return nil, fmt.Errorf("council: id, election or keep: %d, %d, %d", o.ID, o.Election, o.Keep)
+func New(o Options, disk StoredState) (*Member, error) {
+	if o.ID == 0 || o.ElectionTicks < 5 || o.RetainedEntries < 1 {
+		return nil, fmt.Errorf("council: id, election or keep: %d, %d, %d", o.ID, o.ElectionTicks, o.RetainedEntries)
 	}
-	m := &Machine{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 0x636f756e63696c)), mem: raft.NewMemoryStorage(), state: work.New(o.Bounds), conf: &pb.ConfState{}, told: map[uint64]string{}, holds: promises.NewRegister()}
+	m := &Member{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x636f756e63696c)), storage: raft.NewMemoryStorage(), state: work.New(o.Bounds), conf: &pb.ConfState{}, resultByToken: map[uint64]string{}, register: promises.NewRegister()}
 	if disk.Snapshot != nil {
-		if err := m.mem.ApplySnapshot(disk.Snapshot); err != nil {
+		if err := m.storage.ApplySnapshot(disk.Snapshot); err != nil {
 			return nil, fmt.Errorf("council: snapshot: %w", err)
 		}
 		if err := m.restore(disk.Snapshot); err != nil {
 			return nil, err
 		}
 	}
-	if disk.Hard != nil {
-		if err := m.mem.SetHardState(disk.Hard); err != nil {
+	if disk.HardState != nil {
+		if err := m.storage.SetHardState(disk.HardState); err != nil {
 			return nil, fmt.Errorf("council: votes: %w", err)
 		}
 	}
-	next, _ := m.mem.LastIndex() // of memory: there is no error
+	next, _ := m.storage.LastIndex() // of memory: there is no error
 	for _, e := range disk.Entries {
 		if e.GetIndex() > next+1 {
 			return nil, fmt.Errorf("council: log: entry %d follows %d", e.GetIndex(), next)
 		}
 		next = e.GetIndex()
 	}
-	if err := m.mem.Append(disk.Entries); err != nil {
+	if err := m.storage.Append(disk.Entries); err != nil {
 		return nil, fmt.Errorf("council: log: %w", err)
 	}
-	if last, _ := m.mem.LastIndex(); disk.Hard.GetCommit() > last {
-		return nil, fmt.Errorf("council: log: ends at %d, and %d is agreed on", last, disk.Hard.GetCommit())
+	if last, _ := m.storage.LastIndex(); disk.HardState.GetCommit() > last {
+		return nil, fmt.Errorf("council: log: ends at %d, and %d is agreed on", last, disk.HardState.GetCommit())
 	}
 	var err error
-	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.Election, HeartbeatTick: 1, Storage: m.mem, Applied: m.applied,
+	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.ElectionTicks, HeartbeatTick: 1, Storage: m.storage, Applied: m.appliedIndex,
 		MaxSizePerMsg: 16 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 1 << 20, CheckQuorum: true, PreVote: true,
-		DisableProposalForwarding: true, Logger: silent{}})
+		DisableProposalForwarding: true, Logger: discardLogger{}})
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
-	m.wait()
+	m.resetElectionTimeout()
 	return m, nil
 }
 
-// wait draws how long it waits for a leader before it stands itself.
-func (m *Machine) wait() {
-	m.quiet, m.patient = 0, m.opt.Election+m.rng.IntN(m.opt.Election)
+// resetElectionTimeout draws how long it waits for a leader before it stands itself.
+func (m *Member) resetElectionTimeout() {
+	m.ticksWithoutLeader, m.electionTimeout = 0, m.options.ElectionTicks+m.rng.IntN(m.options.ElectionTicks)
 }
 
-func (m *Machine) restore(s *pb.Snapshot) error {
-	var n contents
+func (m *Member) restore(s *pb.Snapshot) error {
+	var n snapshotData
 	if err := cbor.Unmarshal(s.GetData(), &n); err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
-	state, err := work.Restore(m.opt.Bounds, n.Work)
+	state, err := work.Restore(m.options.Bounds, n.Work)
 	if err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
-	if m.holds, err = promises.RestoreRegister(n.Holds); err != nil {
+	if m.register, err = promises.RestoreRegister(n.Holds); err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
-	m.done, m.told, m.council = n.Done, map[uint64]string{}, n.Council
-	for _, d := range m.done {
-		m.told[d.Token] = d.Err
+	m.applied, m.resultByToken, m.councilID = n.Done, map[uint64]string{}, n.Council
+	for _, d := range m.applied {
+		m.resultByToken[d.Token] = d.Err
 	}
 	m.state, m.conf = state, s.GetMetadata().GetConfState()
-	m.applied, m.snapped = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
+	m.appliedIndex, m.snapshotIndex = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
 	return nil
 }
 
-func (m *Machine) leads() bool { return m.node.BasicStatus().RaftState == raft.StateLeader }
+func (m *Member) isLeader() bool { return m.node.BasicStatus().RaftState == raft.StateLeader }
 
 // Tick is the passing of a tick.
-func (m *Machine) Tick() {
+func (m *Member) Tick() {
 	m.ticks++
-	if m.leads() {
-		m.noteActive() // before raft, at its own pace, forgets it
+	if m.isLeader() {
+		m.recordActive() // before raft, at its own pace, forgets it
 		m.node.Tick()
-		m.quiet, m.heard = 0, m.ticks
-		if m.compose(); !m.leads() { // it has led nobody for as long as that
-			m.heard -= m.opt.Election
+		m.ticksWithoutLeader, m.lastLeaderTick = 0, m.ticks
+		if m.changeMembers(); !m.isLeader() { // it has led nobody for as long as that
+			m.lastLeaderTick -= m.options.ElectionTicks
 		}
 		return
 	}
-	m.active = nil
+	m.lastActive = nil
 	// Raft's own clock draws from no seed: it only counts here, and standing is this machine's.
 	m.node.TickQuiesced()
-	if m.quiet++; m.quiet >= m.patient {
-		m.wait()
+	if m.ticksWithoutLeader++; m.ticksWithoutLeader >= m.electionTimeout {
+		m.resetElectionTimeout()
 		_ = m.node.Campaign() // who may not stand stays as it was
 	}
 }
@@ -230,18 +230,18 @@
 }
 
 // Step takes a message of another member. One that can't be read is an error, and changes nothing.
-func (m *Machine) Step(data []byte) error {
+func (m *Member) Step(data []byte) error {
 	var msg pb.Message
 	if err := proto.Unmarshal(data, &msg); err != nil {
 		return fmt.Errorf("council: message: %w", err)
 	}
-	if msg.GetTo() != m.opt.ID {
+	if msg.GetTo() != m.options.ID {
 		return fmt.Errorf("council: message: for %x", msg.GetTo())
 	}
 	switch msg.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		if msg.GetTerm() >= m.node.BasicStatus().GetTerm() {
-			m.quiet, m.heard = 0, m.ticks
+			m.ticksWithoutLeader, m.lastLeaderTick = 0, m.ticks
 		}
 	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum, pb.MsgProp, pb.MsgReadIndex, pb.MsgTransferLeader, pb.MsgForgetLeader:
 		return fmt.Errorf("council: message: %v is nobody else's to send", msg.GetType())
@@ -255,20 +255,20 @@
 // Propose has the council agree on an entry. The token, which its proposer draws and is not 0, comes
 // back in a Result on every member that applies it, perhaps after a crash, perhaps never: who does not hear
 // proposes again under the same token, and it counts once, with the same result.
-func (m *Machine) Propose(token uint64, e work.Entry) error {
+func (m *Member) Propose(token uint64, e work.Entry) error {
 	return m.propose(proposal{Token: token, Entry: e})
 }
 
-// ProposeHold does so with an entry of the register of promises, at a time of its proposer's in seconds.
-func (m *Machine) ProposeHold(token uint64, now int64, e *promises.Entry) error {
+// ProposePromise does so with an entry of the register of promises, at a time of its proposer's in seconds.
+func (m *Member) ProposePromise(token uint64, now int64, e *promises.Entry) error {
 	return m.propose(proposal{Token: token, Entry: work.Entry{At: now}, Hold: e})
 }
 
-func (m *Machine) propose(p proposal) error {
+func (m *Member) propose(p proposal) error {
 	if p.Token == 0 {
 		return errors.New("council: an entry without a token")
 	}
-	if !m.leads() {
+	if !m.isLeader() {
 		return ErrNotLeader
 	}
 	data, err := cbor.Marshal(p)
@@ -281,35 +281,35 @@
 	return nil
 }
 
-// Want names the members that the council should have. The leader goes there one safe step at a time.
-func (m *Machine) Want(ids []uint64) { m.target = slices.Clone(ids) }
+// SetMembers names the members that the council should have. The leader goes there one safe step at a time.
+func (m *Member) SetMembers(ids []uint64) { m.wantedMembers = slices.Clone(ids) }
 
-// noteActive notes which members raft has heard of.
-func (m *Machine) noteActive() {
-	if m.active == nil {
-		m.active = map[uint64]int{}
+// recordActive notes which members raft has heard of.
+func (m *Member) recordActive() {
+	if m.lastActive == nil {
+		m.lastActive = map[uint64]int{}
 	}
 	for id, p := range m.node.Status().Progress {
 		if p.RecentActive {
-			m.active[id] = m.ticks
+			m.lastActive[id] = m.ticks
 		}
 	}
 }
 
 // isActive tells whether a member was heard of lately. Raft's own word is of no use for that by itself: once in Election ticks it
 // forgets everybody, so that for a moment all would seem gone.
-func (m *Machine) isActive(id uint64) bool {
-	at, known := m.active[id]
-	return id == m.opt.ID || known && m.ticks-at <= 2*m.opt.Election
+func (m *Member) isActive(id uint64) bool {
+	at, known := m.lastActive[id]
+	return id == m.options.ID || known && m.ticks-at <= 2*m.options.ElectionTicks
 }
 
-// compose is the next step towards the members that are wanted: take one in to learn, let it vote once
+// changeMembers is the next step towards the members that are wanted: take one in to learn, let it vote once
 // it has caught up, let one go that is not wanted. Never two at once, and nobody goes before enough
 // others vote.
-func (m *Machine) compose() {
+func (m *Member) changeMembers() {
 	// Raft forgets who was active once in Election ticks: at the same pace it could be asked just after
 	// that each time, and nobody would ever be taken in.
-	if len(m.target) == 0 || m.ticks%(m.opt.Election/2+1) != 0 {
+	if len(m.wantedMembers) == 0 || m.ticks%(m.options.ElectionTicks/2+1) != 0 {
 		return
 	}
 	change := func(t pb.ConfChangeType, id uint64) {
@@ -318,13 +318,13 @@
 	}
 	status := m.node.Status()
 	complete := true // all that are wanted vote
-	for _, id := range m.target {
+	for _, id := range m.wantedMembers {
 		switch p, known := status.Progress[id]; {
 		case !known:
 			change(pb.ConfChangeAddLearnerNode, id)
 			return
 		case !p.IsLearner:
-		case m.isActive(id) && p.Match > 0 && p.Match+uint64(m.opt.Keep)/2 >= status.GetCommit():
+		case m.isActive(id) && p.Match > 0 && p.Match+uint64(m.options.RetainedEntries)/2 >= status.GetCommit():
 			change(pb.ConfChangeAddNode, id)
 			return
 		case m.isActive(id):
@@ -334,16 +334,16 @@
 		}
 	}
 	for _, id := range append(slices.Clone(m.conf.GetLearners()), m.conf.GetVoters()...) {
-		if !slices.Contains(m.target, id) && id != m.opt.ID {
-			if m.mayGo(id, complete) {
+		if !slices.Contains(m.wantedMembers, id) && id != m.options.ID {
+			if m.canRemove(id, complete) {
 				change(pb.ConfChangeRemoveNode, id)
 			}
 			return
 		}
 	}
-	if !slices.Contains(m.target, m.opt.ID) { // its own machine is to go: another leads from here on
+	if !slices.Contains(m.wantedMembers, m.options.ID) { // its own machine is to go: another leads from here on
 		for _, id := range m.conf.GetVoters() {
-			if id != m.opt.ID && status.Progress[id].RecentActive {
+			if id != m.options.ID && status.Progress[id].RecentActive {
 				m.node.TransferLeader(id)
 				return
 			}
@@ -351,9 +351,9 @@
 	}
 }
 
-// mayGo tells whether a member that is not wanted may go: who only learns may at any time; one that votes and is active stays
+// canRemove tells whether a member that is not wanted may go: who only learns may at any time; one that votes and is active stays
 // until all that are wanted vote; and the rest has to be able to go on without it.
-func (m *Machine) mayGo(id uint64, complete bool) bool {
+func (m *Member) canRemove(id uint64, complete bool) bool {
 	if slices.Contains(m.conf.GetLearners(), id) {
 		return true
 	}
@@ -371,13 +371,13 @@
 }
 
 // Resign has another member lead, where this one does and one has caught up; it goes on as a member.
-func (m *Machine) Resign() {
-	if !m.leads() {
+func (m *Member) Resign() {
+	if !m.isLeader() {
 		return
 	}
 	status := m.node.Status()
 	for _, id := range m.conf.GetVoters() {
-		if p := status.Progress[id]; id != m.opt.ID && p.RecentActive && p.Match >= status.GetCommit() {
+		if p := status.Progress[id]; id != m.options.ID && p.RecentActive && p.Match >= status.GetCommit() {
 			m.node.TransferLeader(id)
 			return
 		}
@@ -386,19 +386,19 @@
 
 // Ready is what is to be made durable and then sent; ok: there is something. Nothing else may be put in
 // before Advance.
-func (m *Machine) Ready() (save Save, send []Message, ok bool) {
-	if m.ready != nil {
+func (m *Member) Ready() (save DurableUpdate, send []Message, ok bool) {
+	if m.pendingReady != nil {
 		return save, nil, false
 	}
-	save, m.cut = m.cut, Save{}
+	save, m.pendingSnapshot = m.pendingSnapshot, DurableUpdate{}
 	if !m.node.HasReady() {
 		return save, nil, save.Snapshot != nil
 	}
 	r := m.node.Ready()
-	m.ready = &r
-	save.Hard, save.Entries = r.HardState, r.Entries
+	m.pendingReady = &r
+	save.HardState, save.Entries = r.HardState, r.Entries
 	if !raft.IsEmptySnap(r.Snapshot) {
-		save.Snapshot, save.Whole, save.Compact = r.Snapshot, true, 0
+		save.Snapshot, save.FromPeer, save.CompactTo = r.Snapshot, true, 0
 	}
 	for _, msg := range r.Messages {
 		data, err := proto.Marshal(msg)
@@ -415,13 +415,13 @@
 
 // Advance tells that the last Ready's Save is durable and its messages are sent. It applies what is
 // agreed on. An error is a fault of this program or its disk: the member must stop.
-func (m *Machine) Advance() ([]Result, error) {
-	r := m.ready
-	if m.ready = nil; r == nil {
+func (m *Member) Advance() ([]Result, error) {
+	r := m.pendingReady
+	if m.pendingReady = nil; r == nil {
 		return nil, nil
 	}
 	if !raft.IsEmptySnap(r.Snapshot) {
-		if err := m.mem.ApplySnapshot(r.Snapshot); err != nil {
+		if err := m.storage.ApplySnapshot(r.Snapshot); err != nil {
 			return nil, err
 		}
 		if err := m.restore(r.Snapshot); err != nil {
@@ -429,11 +429,11 @@
 		}
 	}
 	if r.HardState != nil {
-		if err := m.mem.SetHardState(r.HardState); err != nil {
+		if err := m.storage.SetHardState(r.HardState); err != nil {
 			return nil, err
 		}
 	}
-	if err := m.mem.Append(r.Entries); err != nil {
+	if err := m.storage.Append(r.Entries); err != nil {
 		return nil, err
 	}
 	var results []Result
@@ -448,15 +448,15 @@
 	return results, m.snapshot()
 }
 
-func (m *Machine) apply(e *pb.Entry) ([]Result, error) {
-	m.applied = e.GetIndex()
+func (m *Member) apply(e *pb.Entry) ([]Result, error) {
+	m.appliedIndex = e.GetIndex()
 	switch {
 	case e.GetType() == pb.EntryConfChangeV2:
 		var c pb.ConfChangeV2
 		if err := proto.Unmarshal(e.GetData(), &c); err != nil {
 			return nil, err
 		}
-		m.conf, m.joined = m.node.ApplyConfChange(&c), true
+		m.conf, m.membersChanged = m.node.ApplyConfChange(&c), true
 	case e.GetType() != pb.EntryNormal:
 		return nil, fmt.Errorf("council: entry %d: a change of members of another form", e.GetIndex())
 	case len(e.GetData()) > 0:
@@ -464,29 +464,29 @@
 		if err := cbor.Unmarshal(e.GetData(), &p); err != nil {
 			return nil, fmt.Errorf("council: entry %d: %w", e.GetIndex(), err)
 		}
-		return []Result{{p.Token, m.once(&p)}}, nil
+		return []Result{{p.Token, m.applyOnce(&p)}}, nil
 	}
 	return nil, nil
 }
 
-// once applies an entry, unless it was applied before: then its result is the one that it had.
-func (m *Machine) once(p *proposal) error {
-	was, again := m.told[p.Token]
+// applyOnce applies an entry, unless it was applied before: then its result is the one that it had.
+func (m *Member) applyOnce(p *proposal) error {
+	was, again := m.resultByToken[p.Token]
 	if !again {
 		var err error
 		if p.Hold != nil {
-			err = m.holds.Apply(p.Entry.At, p.Hold)
+			err = m.register.Apply(p.Entry.At, p.Hold)
 		} else {
 			err = m.state.Apply(p.Entry)
 		}
 		if err != nil {
 			was = err.Error()
 		}
-		m.told[p.Token] = was
-		m.done = append(m.done, done{p.Token, was})
-		if len(m.done) > remembered {
-			delete(m.told, m.done[0].Token)
-			m.done = m.done[1:]
+		m.resultByToken[p.Token] = was
+		m.applied = append(m.applied, appliedEntry{p.Token, was})
+		if len(m.applied) > keptResults {
+			delete(m.resultByToken, m.applied[0].Token)
+			m.applied = m.applied[1:]
 		}
 	}
 	if was != "" {
@@ -496,71 +496,71 @@
 }
 
 // snapshot makes one where the log has grown enough, or the members have changed.
-func (m *Machine) snapshot() error {
-	if m.applied < m.snapped+2*uint64(m.opt.Keep) && !m.joined || m.applied == m.snapped {
+func (m *Member) snapshot() error {
+	if m.appliedIndex < m.snapshotIndex+2*uint64(m.options.RetainedEntries) && !m.membersChanged || m.appliedIndex == m.snapshotIndex {
 		return nil
 	}
-	m.joined = false
-	data, err := cbor.Marshal(contents{m.state.Snapshot(), m.done, m.council, m.holds.All()})
+	m.membersChanged = false
+	data, err := cbor.Marshal(snapshotData{m.state.Snapshot(), m.applied, m.councilID, m.register.All()})
 	if err != nil {
 		return err
 	}
-	s, err := m.mem.CreateSnapshot(m.applied, m.conf, data)
+	s, err := m.storage.CreateSnapshot(m.appliedIndex, m.conf, data)
 	if err != nil {
 		return err
 	}
-	m.snapped = m.applied
-	m.cut = Save{Snapshot: s}
-	if first, _ := m.mem.FirstIndex(); m.applied > first+uint64(m.opt.Keep) {
-		m.cut.Compact = m.applied - uint64(m.opt.Keep)
-		return m.mem.Compact(m.cut.Compact)
+	m.snapshotIndex = m.appliedIndex
+	m.pendingSnapshot = DurableUpdate{Snapshot: s}
+	if first, _ := m.storage.FirstIndex(); m.appliedIndex > first+uint64(m.options.RetainedEntries) {
+		m.pendingSnapshot.CompactTo = m.appliedIndex - uint64(m.options.RetainedEntries)
+		return m.storage.Compact(m.pendingSnapshot.CompactTo)
 	}
 	return nil
 }
 
-// silent is raft's log, which nobody reads: what it says of a member a Status says too.
-type silent struct{}
+// discardLogger is raft's log, which nobody reads: what it says of a member a Status says too.
+type discardLogger struct{}
 
-func (silent) Debug(...any)            {}
-func (silent) Debugf(string, ...any)   {}
-func (silent) Info(...any)             {}
-func (silent) Infof(string, ...any)    {}
-func (silent) Warning(...any)          {}
-func (silent) Warningf(string, ...any) {}
-func (silent) Error(...any)            {}
-func (silent) Errorf(string, ...any)   {}
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
 
 // What raft can't go on after ends the process: its disk or its program is broken.
-func (silent) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silent) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (silent) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silent) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
 // Council is the council that the member belongs to; 0: none yet. Messages of another one must not reach
 // Step: two councils know nothing of each other's terms.
-func (m *Machine) Council() uint64 { return m.council }
+func (m *Member) Council() uint64 { return m.councilID }
 
 // Status is what a person is told.
 type Status struct {
-	ID       uint64
-	Council  uint64
-	Leader   uint64 // 0: none is known
-	Term     uint64
-	Voters   []uint64
-	Learners []uint64
-	Applied  uint64
-	Age      int // ticks since a leader was heard; what State tells may be older than that, never newer
+	ID        uint64
+	Council   uint64
+	Leader    uint64 // 0: none is known
+	Term      uint64
+	Voters    []uint64
+	Learners  []uint64
+	Applied   uint64
+	LeaderAge int // ticks since a leader was heard; what State tells may be older than that, never newer
 }
 
 // Status tells how the member stands.
-func (m *Machine) Status() Status {
+func (m *Member) Status() Status {
 	s := m.node.BasicStatus()
-	return Status{ID: m.opt.ID, Council: m.council, Leader: s.Lead, Term: s.GetTerm(), Voters: slices.Clone(m.conf.GetVoters()), Learners: slices.Clone(m.conf.GetLearners()),
-		Applied: m.applied, Age: m.ticks - m.heard}
+	return Status{ID: m.options.ID, Council: m.councilID, Leader: s.Lead, Term: s.GetTerm(), Voters: slices.Clone(m.conf.GetVoters()), Learners: slices.Clone(m.conf.GetLearners()),
+		Applied: m.appliedIndex, LeaderAge: m.ticks - m.lastLeaderTick}
 }
 
 // Register is who holds promises for whom. It is the machine's: to read, and not for long.
-func (m *Machine) Register() *promises.Register { return m.holds }
+func (m *Member) Register() *promises.Register { return m.register }
 
 // State is what the member has applied. It is the machine's: to read, and not for long.
-func (m *Machine) State() *work.State { return m.state }
+func (m *Member) State() *work.State { return m.state }
--- a/internal/decide/council/history_test.go
+++ b/internal/decide/council/history_test.go
@@ -11,8 +11,8 @@
 	"molepaddle/internal/decide/work"
 )
 
-// order is the order of work as one machine would keep it: what histories are held against.
-func order(t *testing.T) porcupine.Model {
+// referenceModel is the referenceModel of work as one machine would keep it: what histories are held against.
+func referenceModel(t *testing.T) porcupine.Model {
 	text := func(s any) string { return fmt.Sprint(s.(*work.State).Snapshot()) }
 	return porcupine.Model{
 		Init: func() any { return work.New(bounds) },
@@ -31,17 +31,17 @@
 // Clients that ask whoever says that it leads, also one in a smaller part, under cuts, losses and crashes:
 // what they are told could have been told by one machine that did one thing after the other, each
 // between its asking and its answer.
-func TestHistories(t *testing.T) {
+func TestHistoriesAreLinearizable(t *testing.T) {
 	days := uint64(15)
 	if testing.Short() {
 		days = 5
 	}
 	known, open := 0, 0
 	for seed := range days {
-		r := newRig(t, 3+2*int(seed%2), seed+1000)
-		n := len(r.all)
-		r.want()
-		r.until("all vote", 4000, r.whole)
+		r := newTestCluster(t, 3+2*int(seed%2), seed+1000)
+		n := len(r.members)
+		r.setMembers()
+		r.waitFor("all vote", 4000, r.allVote)
 		type call struct {
 			entry work.Entry
 			token uint64
@@ -60,20 +60,20 @@
 			switch x := r.rng.IntN(40); {
 			case x == 0:
 				part := r.rng.IntN(1 << n)
-				r.cut = func(a, b int) bool { return part>>a&1 != part>>b&1 }
+				r.partitioned = func(a, b int) bool { return part>>a&1 != part>>b&1 }
 			case x == 1:
-				r.cut = func(int, int) bool { return false }
+				r.partitioned = func(int, int) bool { return false }
 			case x == 2:
-				r.loss = 0.2 * r.rng.Float64()
+				r.lossRate = 0.2 * r.rng.Float64()
 			case x == 3:
-				if i := r.rng.IntN(n); r.all[i] != nil {
-					r.carry(i, true)
-					r.all[i] = nil
+				if i := r.rng.IntN(n); r.members[i] != nil {
+					r.processReady(i, true)
+					r.members[i] = nil
 				}
 			case x < 8:
-				if i := r.rng.IntN(n); r.all[i] == nil {
+				if i := r.rng.IntN(n); r.members[i] == nil {
 					r.start(i)
-					r.want()
+					r.setMembers()
 				}
 			}
 			for who := range clients {
@@ -81,22 +81,22 @@
 				if c == nil && len(history) < 30 {
 					token++
 					e := work.Entry{Kind: work.Kind(r.rng.IntN(6)), At: now, ID: fmt.Sprint("r", r.rng.IntN(6)), Permit: uint64(1 + r.rng.IntN(4))}
-					if e.Kind == work.See {
-						e.Facts = facts(4)
+					if e.Kind == work.UpdateFleet {
+						e.Fleet = facts(4)
 					}
-					if e.Kind == work.Want {
+					if e.Kind == work.Submit {
 						e.Ask = &work.Ask{ID: e.ID, Machine: "m" + e.ID[1:], Seconds: 10}
 					}
 					// Whoever says that it leads, also wrongly.
 					i := r.rng.IntN(n)
-					if m := r.all[i]; m != nil && m.Propose(token, e) == nil {
+					if m := r.members[i]; m != nil && m.Propose(token, e) == nil {
 						clients[who] = &call{e, token, now, now + 200}
-						r.carry(i, false)
+						r.processReady(i, false)
 					}
 				} else if c != nil {
-					if i := r.rng.IntN(n); r.rng.IntN(4) == 0 && r.all[i] != nil { // it asks again, perhaps though it has counted
-						_ = r.all[i].Propose(c.token, c.entry)
-						r.carry(i, false)
+					if i := r.rng.IntN(n); r.rng.IntN(4) == 0 && r.members[i] != nil { // it asks again, perhaps though it has counted
+						_ = r.members[i].Propose(c.token, c.entry)
+						r.processReady(i, false)
 					}
 					if err, told := r.results[c.token]; told {
 						known++
@@ -109,7 +109,7 @@
 			}
 			r.step()
 		}
-		if got := porcupine.CheckOperationsTimeout(order(t), history, 20*time.Second); got == porcupine.Illegal {
+		if got := porcupine.CheckOperationsTimeout(referenceModel(t), history, 20*time.Second); got == porcupine.Illegal {
 			t.Fatalf("seed %d: no order of these explains what was told: %+v", seed, history)
 		} else if got == porcupine.Unknown {
 			t.Logf("seed %d: not decided in time", seed)
--- a/internal/decide/event/event.go
+++ b/internal/decide/event/event.go
@@ -20,15 +20,15 @@
 	Reset         Status = 305
 	Cancelled     Status = 306
 	Moot          Status = 307
-	NoWay         Status = 308 // the way to the server had no room: says nothing of the server
+	NoConnection  Status = 308 // the way to the server had no room: says nothing of the server
 )
 
-// MostTries bounds a request's attempts, spread over its aim, that found no way and are not its tries.
-const MostTries = 32
+// MaxAttemptsWithoutConnection bounds a request's attempts, spread over its aim, that found no way and are not its tries.
+const MaxAttemptsWithoutConnection = 32
 
 // NeverRan tells whether the ending proves that the attempt did not run.
 func (s Status) NeverRan() bool {
-	return s == Full || s == ConnectFailed || s == Moot || s == NoWay
+	return s == Full || s == ConnectFailed || s == Moot || s == NoConnection
 }
 
 // EventKind tells which fields of an Event count.
@@ -49,27 +49,27 @@
 
 // Event is something that happened to one agent.
 type Event struct {
-	Kind      EventKind
-	Request   RequestID
-	Class     int
-	Tenant    int
-	Key       uint64 // 0: none
-	LeftMs    float64
-	HintMs    float64
-	HasHint   bool
-	Retry     bool
-	Coming    bool // a part of the body has not come; LeftMs reckons with that
-	Tries     int  // of a request: those it may have, 0: as set; of an outcome: spent beyond the one
-	Attempt   int
-	Server    cluster.Addr
-	Status    Status
-	LatencyMs float64
-	Final     bool // the request is finished
-	Report    []float32
-	List      cluster.ListKind
-	Entries   []cluster.Entry // not changed and not kept by the Balancer
-	Least     int             // servers to keep to while nothing is wrong; 0: the Balancer's own figure
-	Token     uint32
+	Kind           EventKind
+	Request        RequestID
+	Class          int
+	Tenant         int
+	Key            uint64 // 0: none
+	LeftMs         float64
+	HintMs         float64
+	HasHint        bool
+	Retry          bool
+	BodyIncomplete bool // a part of the body has not come; LeftMs reckons with that
+	Tries          int  // of a request: those it may have, 0: as set; of an outcome: spent beyond the one
+	Attempt        int
+	Server         cluster.Addr
+	Status         Status
+	LatencyMs      float64
+	Final          bool // the request is finished
+	Report         []float32
+	List           cluster.ListKind
+	Entries        []cluster.Entry // not changed and not kept by the Balancer
+	MinServers     int             // servers to keep to while nothing is wrong; 0: the Balancer's own figure
+	Token          uint32
 }
 
 // ActionKind tells which fields of an Action count.
--- a/internal/decide/hotkeys/hotkeys.go
+++ b/internal/decide/hotkeys/hotkeys.go
@@ -9,10 +9,10 @@
 const memory, spread = 128, 4.0
 
 // Keys counts the keys of late.
-type Keys struct{ recent *arith.Recent }
+type Keys struct{ recent *arith.RecentCounts }
 
 // New makes a count of none.
-func New() Keys { return Keys{arith.NewRecent(memory)} }
+func New() Keys { return Keys{arith.NewRecentCounts(memory)} }
 
 // Split counts a key and gives the hash that orders so many servers for it. A popular key is split
 // into parts, each with its own order: one was twenty times what its server can do (id753de), and
--- a/internal/decide/orders/orders.go
+++ b/internal/decide/orders/orders.go
@@ -30,12 +30,12 @@
 	Seat     uint64 // of who tells it
 	Version  uint64
 	Seats    uint64 // of the council
-	Leads    bool
+	IsLeader bool
 	Machines []uint64 // Hash of their names, in order
 }
 
-// Hash is a machine's name as lists have it.
-func Hash(machine string) uint64 { return xxhash.Sum64String(machine) }
+// MachineHash is a machine's name as lists have it.
+func MachineHash(machine string) uint64 { return xxhash.Sum64String(machine) }
 
 var dec = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
@@ -50,8 +50,8 @@
 	return m
 }()
 
-// Append words a list.
-func (l *List) Append() string {
+// Encode words a list.
+func (l *List) Encode() string {
 	text, err := cbor.Marshal(l)
 	if err != nil {
 		panic(err) // values only
@@ -59,8 +59,8 @@
 	return string(text)
 }
 
-// Read reads one. What makes no sense is an error.
-func Read(text string) (l List, err error) {
+// Decode reads one. What makes no sense is an error.
+func Decode(text string) (l List, err error) {
 	if err := dec.Unmarshal([]byte(text), &l); err != nil {
 		return l, err
 	}
@@ -74,49 +74,49 @@
 	return l, nil
 }
 
-// Reported is the lists that a view holds, each of somebody who sits where he says.
-func Reported(v *members.View) (told []List) {
+// PublishedLists is the lists that a view holds, each of somebody who sits where he says.
+func PublishedLists(v *members.View) (told []List) {
 	for i := range v.Members {
 		m := &v.Members[i]
 		if m.Orders == "" || m.State == members.Dead || m.State == members.Left {
 			continue
 		}
-		if l, err := Read(m.Orders); err == nil && l.Seat == m.Info.Seat {
+		if l, err := Decode(m.Orders); err == nil && l.Seat == m.Info.Seat {
 			told = append(told, l)
 		}
 	}
 	return told
 }
 
-// Place is a machine and its servers, as the operator's file has them.
-type Place struct {
+// MachineServers is a machine and its servers, as the operator's file has them.
+type MachineServers struct {
 	Name    string
 	Servers []cluster.Addr
 }
 
-// Machine is one agent's part.
-type Machine struct {
-	own    string
-	places map[uint64]Place
-	agreed List // that a majority told
-	stop   bool // its own machine is on it
+// Agent is one agent's part.
+type Agent struct {
+	ownMachine  string
+	machines    map[uint64]MachineServers
+	agreed      List // that a majority told
+	ownExcluded bool // its own machine is on it
 }
 
 // New makes the part of an agent on a machine. Names that can't be told apart are an error.
-func New(own string, places []Place) (*Machine, error) {
-	m := &Machine{own: own, places: map[uint64]Place{}}
+func New(own string, places []MachineServers) (*Agent, error) {
+	m := &Agent{ownMachine: own, machines: map[uint64]MachineServers{}}
 	for _, p := range places {
-		if o, twice := m.places[Hash(p.Name)]; twice {
+		if o, twice := m.machines[MachineHash(p.Name)]; twice {
 			return nil, fmt.Errorf("machine %q: twice, or not to be told from %q", p.Name, o.Name)
 		}
-		m.places[Hash(p.Name)] = p
+		m.machines[MachineHash(p.Name)] = p
 	}
 	return m, nil
 }
 
-// Hear takes what members tell now; it reports whether another list has been agreed on. A list counts
+// Update takes what members tell now; it reports whether another list has been agreed on. A list counts
 // that most of the seats which it speaks of tell alike, each seat once, and never an older one.
-func (m *Machine) Hear(told []List) bool {
+func (m *Agent) Update(told []List) bool {
 	type key struct {
 		council, version, seats uint64
 		machines                string
@@ -134,44 +134,44 @@
 	}
 	changed := best.Version != m.agreed.Version
 	m.agreed = best
-	m.stop = slices.Contains(best.Machines, Hash(m.own))
+	m.ownExcluded = slices.Contains(best.Machines, MachineHash(m.ownMachine))
 	return changed
 }
 
-// Leaves tells whether the agent's own machine is to be left.
-func (m *Machine) Leaves() bool { return m.stop }
+// OwnExcluded tells whether the agent's own machine is to be left.
+func (m *Agent) OwnExcluded() bool { return m.ownExcluded }
 
-// Verdict is what follows from the list that is agreed on.
-type Verdict struct {
-	Alone   []cluster.Addr // servers that get nothing, in order
+// Exclusion is what follows from the list that is agreed on.
+type Exclusion struct {
+	Servers []cluster.Addr // servers that get nothing, in order
 	Version uint64         // that may be acknowledged once Alone is in force; 0: none
-	Why     string         // why it may not be; empty: it may
+	Reason  string         // why it may not be; empty: it may
 }
 
 // Apply settles that for the servers that the roster tells. More than half of those that are ready are
 // never left alone, and a machine that the agent does not know is not acknowledged.
-func (m *Machine) Apply(list []cluster.Server) Verdict {
+func (m *Agent) Apply(list []cluster.Server) Exclusion {
 	ready := map[cluster.Addr]bool{}
 	for _, s := range list {
 		if s.Health == cluster.Ready {
 			ready[s.Server] = true
 		}
 	}
-	v := Verdict{Version: m.agreed.Version}
+	v := Exclusion{Version: m.agreed.Version}
 	most, unknown, kept := len(ready)/2, 0, []string{}
 	if m.agreed.Council == 0 {
 		v.Version = 0
 	}
-	places := make([]Place, 0, len(m.agreed.Machines))
+	places := make([]MachineServers, 0, len(m.agreed.Machines))
 	for _, h := range m.agreed.Machines {
-		p, known := m.places[h]
+		p, known := m.machines[h]
 		if !known {
 			unknown++
 			continue
 		}
 		places = append(places, p)
 	}
-	slices.SortFunc(places, func(a, b Place) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(places, func(a, b MachineServers) int { return cmp.Compare(a.Name, b.Name) })
 	for _, p := range places {
 		n := 0
 		for _, s := range p.Servers {
@@ -184,25 +184,25 @@
 			continue
 		}
 		most -= n
-		v.Alone = append(v.Alone, p.Servers...)
+		v.Servers = append(v.Servers, p.Servers...)
 	}
-	slices.SortFunc(v.Alone, func(a, b cluster.Addr) int { return cmp.Compare(a.Hash(), b.Hash()) })
+	slices.SortFunc(v.Servers, func(a, b cluster.Addr) int { return cmp.Compare(a.Hash(), b.Hash()) })
 	switch {
 	case unknown > 0:
-		v.Why = fmt.Sprintf("%d machines on the council's list are not in this agent's file", unknown)
+		v.Reason = fmt.Sprintf("%d machines on the council's list are not in this agent's file", unknown)
 	case len(kept) > 0:
-		v.Why = fmt.Sprintf("without %s less than half of the ready servers would be left", strings.Join(kept, ", "))
+		v.Reason = fmt.Sprintf("without %s less than half of the ready servers would be left", strings.Join(kept, ", "))
 	}
-	if v.Why != "" {
+	if v.Reason != "" {
 		v.Version = 0
 	}
 	return v
 }
 
-// Machines is the names on the list that is agreed on, in order; what is not known has none.
-func (m *Machine) Machines() (names []string) {
+// ExcludedMachines is the names on the list that is agreed on, in order; what is not known has none.
+func (m *Agent) ExcludedMachines() (names []string) {
 	for _, h := range m.agreed.Machines {
-		if p, known := m.places[h]; known {
+		if p, known := m.machines[h]; known {
 			names = append(names, p.Name)
 		}
 	}
@@ -215,7 +215,7 @@
 func Leader(told []List) (leader uint64, seats []uint64) {
 	all := map[uint64]bool{}
 	for _, l := range told {
-		if all[l.Seat] = true; l.Leads {
+		if all[l.Seat] = true; l.IsLeader {
 			if leader != 0 && leader != l.Seat {
 				leader = 1<<64 - 1
 			} else {
--- a/internal/decide/orders/orders_test.go
+++ b/internal/decide/orders/orders_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-func machine(t *testing.T) *Machine {
-	m, err := New("m0", []Place{{"m0", []cluster.Addr{addr(0), addr(1)}}, {"m1", []cluster.Addr{addr(2)}}, {"m2", []cluster.Addr{addr(3)}}})
+func machine(t *testing.T) *Agent {
+	m, err := New("m0", []MachineServers{{"m0", []cluster.Addr{addr(0), addr(1)}}, {"m1", []cluster.Addr{addr(2)}}, {"m2", []cluster.Addr{addr(3)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,14 +28,14 @@
 func list(seat, version uint64, machines ...string) List {
 	l := List{Council: 5, Seat: seat, Version: version, Seats: 3}
 	for _, name := range machines {
-		l.Machines = append(l.Machines, Hash(name))
+		l.Machines = append(l.Machines, MachineHash(name))
 	}
 	slices.Sort(l.Machines)
 	return l
 }
 
 // A list counts once most of the seats tell it; an older one never; one seat counts once.
-func TestHear(t *testing.T) {
+func TestMajorityDecidesTheList(t *testing.T) {
 	m := machine(t)
 	for i, c := range []struct {
 		told    []List
@@ -51,69 +51,69 @@
 		{[]List{list(1, 8), list(2, 8), list(3, 9, "m0")}, true, ""},
 		{[]List{list(1, 9, "m0"), list(2, 9, "m0")}, true, "m0"},
 	} {
-		if changed := m.Hear(c.told); changed != c.changed || strings.Join(m.Machines(), " ") != c.names || m.Leaves() != (c.names == "m0") {
-			t.Errorf("%d: %v, %v, leaves %v", i, changed, m.Machines(), m.Leaves())
+		if changed := m.Update(c.told); changed != c.changed || strings.Join(m.ExcludedMachines(), " ") != c.names || m.OwnExcluded() != (c.names == "m0") {
+			t.Errorf("%d: %v, %v, leaves %v", i, changed, m.ExcludedMachines(), m.OwnExcluded())
 		}
 	}
 	other := list(1, 10, "m1")
 	other.Council = 6
-	if m.Hear([]List{other, list(2, 10, "m1")}) {
+	if m.Update([]List{other, list(2, 10, "m1")}) {
 		t.Error("two councils were added up")
 	}
 }
 
 // What follows: never more than half of the ready servers, nothing acknowledged that is not in force.
-func TestApply(t *testing.T) {
+func TestExcludedServers(t *testing.T) {
 	m := machine(t)
-	if v := m.Apply(ready(8)); v.Version != 0 || v.Alone != nil {
+	if v := m.Apply(ready(8)); v.Version != 0 || v.Servers != nil {
 		t.Errorf("%+v before anything was told", v)
 	}
 	say := func(version uint64, names ...string) {
-		m.Hear([]List{list(1, version, names...), list(2, version, names...)})
+		m.Update([]List{list(1, version, names...), list(2, version, names...)})
 	}
 	say(3, "m0", "m2")
-	if v := m.Apply(ready(8)); v.Version != 3 || !slices.Equal(v.Alone, []cluster.Addr{addr(0), addr(1), addr(3)}) {
+	if v := m.Apply(ready(8)); v.Version != 3 || !slices.Equal(v.Servers, []cluster.Addr{addr(0), addr(1), addr(3)}) {
 		t.Errorf("%+v", v)
 	}
 	few := ready(4)
-	if v := m.Apply(few); v.Version != 0 || !slices.Equal(v.Alone, []cluster.Addr{addr(0), addr(1)}) || !strings.Contains(v.Why, "m2") {
+	if v := m.Apply(few); v.Version != 0 || !slices.Equal(v.Servers, []cluster.Addr{addr(0), addr(1)}) || !strings.Contains(v.Reason, "m2") {
 		t.Errorf("two of four, and one more: %+v", v)
 	}
 	few[3].Health = cluster.Draining // by the roster: nobody needs the agent's word for it
-	if v := m.Apply(few); v.Version != 0 || !slices.Equal(v.Alone, []cluster.Addr{addr(3)}) {
+	if v := m.Apply(few); v.Version != 0 || !slices.Equal(v.Servers, []cluster.Addr{addr(3)}) {
 		t.Errorf("two of three ready: %+v", v)
 	}
 	say(4, "m1", "elsewhere")
-	if v := m.Apply(ready(8)); v.Version != 0 || len(v.Alone) != 1 || !strings.Contains(v.Why, "1 machines") {
+	if v := m.Apply(ready(8)); v.Version != 0 || len(v.Servers) != 1 || !strings.Contains(v.Reason, "1 machines") {
 		t.Errorf("%+v", v)
 	}
-	if _, err := New("m", []Place{{Name: "a"}, {Name: "a"}}); err == nil {
+	if _, err := New("m", []MachineServers{{Name: "a"}, {Name: "a"}}); err == nil {
 		t.Error("one name twice")
 	}
 }
 
 func TestLeader(t *testing.T) {
 	a, b := list(1, 1), list(2, 1)
-	a.Leads = true
+	a.IsLeader = true
 	if l, seats := Leader([]List{a, b}); l != 1 || len(seats) != 2 {
 		t.Error(l, seats)
 	}
-	b.Leads = true
+	b.IsLeader = true
 	if l, _ := Leader([]List{a, b}); l != 0 {
 		t.Error(l, "of two that say they lead")
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	l := list(1, 7, "m1", "m2")
-	f.Add(l.Append())
+	f.Add(l.Encode())
 	f.Add("\x86\x00")
 	f.Fuzz(func(t *testing.T, text string) {
-		l, err := Read(text)
+		l, err := Decode(text)
 		if err != nil {
 			return
 		}
-		again, err := Read(l.Append())
+		again, err := Decode(l.Encode())
 		if err != nil || again.Version != l.Version || !slices.Equal(again.Machines, l.Machines) {
 			t.Fatalf("%+v, then %+v, %v", l, again, err)
 		}
--- a/internal/decide/orders/wire_test.go
+++ b/internal/decide/orders/wire_test.go
@@ -9,6 +9,6 @@
 // A list is published in an agent's record, and read by agents of other builds.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.CBOR(t, "list", &List{})
-	l := List{Council: 1 << 60, Seat: 2, Version: 3, Seats: 3, Leads: true, Machines: []uint64{Hash("h1")}}
-	goldenbytes.Check(t, "wire/list.example.cbor", []byte(l.Append()))
+	l := List{Council: 1 << 60, Seat: 2, Version: 3, Seats: 3, IsLeader: true, Machines: []uint64{MachineHash("h1")}}
+	goldenbytes.Check(t, "wire/list.example.cbor", []byte(l.Encode()))
 }
--- a/internal/decide/seats/seats_test.go
+++ b/internal/decide/seats/seats_test.go
@@ -11,23 +11,23 @@
 
 func candidates(n int) (all []Candidate) {
 	for i := range n {
-		all = append(all, Candidate{Seat: uint64(i + 1), Machine: fmt.Sprint("m", i), Zone: string(rune('a' + i%3)), Well: true})
+		all = append(all, Candidate{Seat: uint64(i + 1), Machine: fmt.Sprint("m", i), Zone: string(rune('a' + i%3)), Healthy: true})
 	}
 	return all
 }
 
-func settle(c *Chooser, sits []uint64, all []Candidate) []uint64 {
-	for range 3 * (c.After + 3) {
+func runUntilStable(c *Chooser, sits []uint64, all []Candidate) []uint64 {
+	for range 3 * (c.ReplaceAfter + 3) {
 		sits = c.Next(sits, all)
 	}
 	slices.Sort(sits)
 	return sits
 }
 
-func TestSeats(t *testing.T) {
-	c := &Chooser{Size: 3, After: 5}
+func TestSeatSelection(t *testing.T) {
+	c := &Chooser{Size: 3, ReplaceAfter: 5}
 	all := candidates(9)
-	sits := settle(c, []uint64{4}, all)
+	sits := runUntilStable(c, []uint64{4}, all)
 	zone := map[string]bool{}
 	for _, id := range sits {
 		zone[all[id-1].Zone] = true
@@ -36,53 +36,53 @@
 		t.Fatalf("%v", sits)
 	}
 	gone := sits[0]
-	all[gone-1].Well = false
-	for range c.After {
+	all[gone-1].Healthy = false
+	for range c.ReplaceAfter {
 		if next := c.Next(sits, all); !slices.Contains(next, gone) {
 			t.Fatal("a seat was given away at once")
 		}
 	}
-	after := settle(c, sits, all)
+	after := runUntilStable(c, sits, all)
 	if len(after) != 3 || slices.Contains(after, gone) || !slices.Contains(after, sits[1]) || !slices.Contains(after, sits[2]) {
 		t.Errorf("%v, then %v", sits, after)
 	}
-	all[gone-1].Well = true
-	if again := settle(c, after, all); !slices.Equal(again, after) {
+	all[gone-1].Healthy = true
+	if again := runUntilStable(c, after, all); !slices.Equal(again, after) {
 		t.Errorf("who came back took a seat: %v, then %v", after, again)
 	}
 	out := after[1]
-	all[out-1].Out = true
+	all[out-1].Excluded = true
 	if next := c.Next(after, all); slices.Contains(next, out) || len(next) != 3 {
 		t.Errorf("%v while %d is out", next, out)
 	}
 	// Nobody to take it: it keeps its seat.
 	few := candidates(3)
-	few[1].Out, few[2].Well = true, false
-	if next := settle(&Chooser{Size: 3, After: 1}, []uint64{1, 2, 3}, few); len(next) != 3 {
+	few[1].Excluded, few[2].Healthy = true, false
+	if next := runUntilStable(&Chooser{Size: 3, ReplaceAfter: 1}, []uint64{1, 2, 3}, few); len(next) != 3 {
 		t.Errorf("%v", next)
 	}
 	// Two of one machine, and more than are wanted.
 	same := candidates(6)
 	same[1].Machine = "m0"
-	if next := settle(&Chooser{Size: 3}, []uint64{1, 2, 3}, same); slices.Contains(next, 1) && slices.Contains(next, 2) || len(next) != 3 {
+	if next := runUntilStable(&Chooser{Size: 3}, []uint64{1, 2, 3}, same); slices.Contains(next, 1) && slices.Contains(next, 2) || len(next) != 3 {
 		t.Errorf("%v", next)
 	}
-	if next := settle(&Chooser{Size: 1}, []uint64{1, 2, 3, 77}, same); len(next) != 1 || next[0] == 77 {
+	if next := runUntilStable(&Chooser{Size: 1}, []uint64{1, 2, 3, 77}, same); len(next) != 1 || next[0] == 77 {
 		t.Errorf("%v", next)
 	}
-	if next := settle(&Chooser{Size: 3}, []uint64{1, 4, 6}, candidates(6)); len(next) != 3 || slices.Contains(next, 1) == slices.Contains(next, 4) {
+	if next := runUntilStable(&Chooser{Size: 3}, []uint64{1, 4, 6}, candidates(6)); len(next) != 3 || slices.Contains(next, 1) == slices.Contains(next, 4) {
 		t.Errorf("two in zone a, and it stays so: %v", next)
 	}
 }
 
 // Whatever happens to candidates: one seat at most changes in a step, nobody comes who is not well or on a
 // machine of another who sits, the order of candidates does not matter, and it comes to rest.
-func TestAlways(t *testing.T) {
+func TestSelectionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		size := 1 + 2*rng.IntN(3)
-		one, two := &Chooser{Size: size, After: rng.IntN(4)}, &Chooser{Size: size}
-		two.After = one.After
+		one, two := &Chooser{Size: size, ReplaceAfter: rng.IntN(4)}, &Chooser{Size: size}
+		two.ReplaceAfter = one.ReplaceAfter
 		all := candidates(1 + rng.IntN(9))
 		for i := range all {
 			all[i].Machine, all[i].Zone = fmt.Sprint(rng.IntN(8)), fmt.Sprint(rng.IntN(3))
@@ -90,7 +90,7 @@
 		sits := []uint64{1}
 		for range 40 {
 			o := &all[rng.IntN(len(all))]
-			o.Well, o.Out = rng.IntN(3) > 0, rng.IntN(4) == 0
+			o.Healthy, o.Excluded = rng.IntN(3) > 0, rng.IntN(4) == 0
 			next := one.Next(sits, all)
 			rng.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
 			if other := two.Next(sits, all); !slices.Equal(next, other) {
@@ -103,7 +103,7 @@
 				}
 				came++
 				at := slices.IndexFunc(all, func(c Candidate) bool { return c.Seat == id })
-				if !all[at].Well || all[at].Out {
+				if !all[at].Healthy || all[at].Excluded {
 					t.Fatalf("%+v comes", all[at])
 				}
 				for _, o := range all {
@@ -117,8 +117,8 @@
 			}
 			sits = next
 		}
-		rest := settle(one, sits, all)
-		if again := settle(one, rest, all); !slices.Equal(rest, again) {
+		rest := runUntilStable(one, sits, all)
+		if again := runUntilStable(one, rest, all); !slices.Equal(rest, again) {
 			t.Fatalf("no rest: %v, then %v", rest, again)
 		}
 	})
--- a/internal/decide/unserved/unserved.go
+++ b/internal/decide/unserved/unserved.go
@@ -11,12 +11,12 @@
 
 // Memory is the unserved requests of late. The zero Memory keeps none.
 type Memory struct {
-	classes []settings.Class
-	most    int
-	pasts   []past
+	classes  []settings.Class
+	limit    int
+	requests []unservedRequest
 }
 
-type past struct {
+type unservedRequest struct {
 	class int
 	key   uint64
 	first float64
@@ -28,36 +28,36 @@
 	if !set.Clients.MarksRetry {
 		most = 0
 	}
-	return Memory{classes: set.Classes, most: most}
+	return Memory{classes: set.Classes, limit: most}
 }
 
-// Fit follows a change of the settings, in which classes keep their numbers.
-func (m *Memory) Fit(set *settings.Settings) { m.classes = set.Classes }
+// UpdateSettings follows a change of the settings, in which classes keep their numbers.
+func (m *Memory) UpdateSettings(set *settings.Settings) { m.classes = set.Classes }
 
 // Add notes at the time now (ms) a request that first came at first and was not served.
 func (m *Memory) Add(class int, key uint64, first, now float64) {
-	if m.most == 0 {
+	if m.limit == 0 {
 		return
 	}
-	m.pasts = slices.DeleteFunc(m.pasts, func(p past) bool {
+	m.requests = slices.DeleteFunc(m.requests, func(p unservedRequest) bool {
 		return now-p.first > m.classes[p.class].GiveUpMs
 	})
-	if len(m.pasts) < m.most {
-		m.pasts = append(m.pasts, past{class, key, first})
+	if len(m.requests) < m.limit {
+		m.requests = append(m.requests, unservedRequest{class, key, first})
 	}
 }
 
-// Recall tells when the request first came of which this is the retry, and forgets it;
+// TakeFirstArrival tells when the request first came of which this is the retry, and forgets it;
 // arrived if none is known.
-func (m *Memory) Recall(class int, key uint64, arrived float64) float64 {
-	i := slices.IndexFunc(m.pasts, func(p past) bool { return p.class == class && p.key == key })
+func (m *Memory) TakeFirstArrival(class int, key uint64, arrived float64) float64 {
+	i := slices.IndexFunc(m.requests, func(p unservedRequest) bool { return p.class == class && p.key == key })
 	if i < 0 {
 		return arrived
 	}
-	first := m.pasts[i].first
-	m.pasts = slices.Delete(m.pasts, i, i+1)
+	first := m.requests[i].first
+	m.requests = slices.Delete(m.requests, i, i+1)
 	return first
 }
 
 // Len is how many requests are remembered.
-func (m *Memory) Len() int { return len(m.pasts) }
+func (m *Memory) Len() int { return len(m.requests) }
--- a/internal/decide/weights/weights.go
+++ b/internal/decide/weights/weights.go
@@ -59,12 +59,12 @@
 		lat = &w.homeLat
 	}
 	*lat = arith.Mean(*lat, x, step)
-	w.Home = arith.Nudge(w.Home, step, w.homeLat > w.awayLat*(1+w.price), ownZone, max(ownPrice*w.price, ownZone))
+	w.Home = arith.StepWeight(w.Home, step, w.homeLat > w.awayLat*(1+w.price), ownZone, max(ownPrice*w.price, ownZone))
 	if w.kinds == nil {
 		return
 	}
 	w.allLat = arith.Mean(w.allLat, x, step)
 	k := &w.kinds[kind&255]
 	k.lat = arith.Mean(k.lat, x, step)
-	k.weight = arith.Nudge(k.weight, step, k.lat > w.allLat, leastKind, 1)
+	k.weight = arith.StepWeight(k.weight, step, k.lat > w.allLat, leastKind, 1)
 }
--- a/internal/decide/work/bounds.go
+++ b/internal/decide/work/bounds.go
@@ -7,54 +7,55 @@
 	"slices"
 )
 
-// broken is the first bound that does not hold with these machines away, worded for a person with what
-// would mend it; empty: all hold. Only the bounds that the named machine has a part in count, so that what
-// is broken elsewhere holds nobody up.
-func (s *State) broken(away map[string]bool, name string) string {
-	one := s.machines[name]
-	for _, check := range []func(map[string]bool, *Machine) string{s.capacities, s.shares, s.majority, s.groups} {
-		if why := check(away, one); why != "" {
+// violation returns a message about the first bound that would be violated with the given machines out,
+// and what would help; empty: none. Only the bounds that cover the named machine are checked, so that a
+// violation elsewhere doesn't block it.
+func (s *State) violation(away map[string]bool, name string) string {
+	target := s.machines[name]
+	for _, check := range []func(map[string]bool, *Machine) string{s.checkCapacity, s.checkShares, s.checkMajority, s.checkGroups} {
+		if why := check(away, target); why != "" {
 			return why
 		}
 	}
 	return ""
 }
 
-// names is the machines in order, so that sums and words are the same at everybody.
-func (s *State) names() []string { return slices.Sorted(maps.Keys(s.machines)) }
+// machineNames returns the sorted machine names. The fixed order makes sums and messages the same at every
+// agent.
+func (s *State) machineNames() []string { return slices.Sorted(maps.Keys(s.machines)) }
 
-// capacities holds what is left against the need, in all and in each zone.
-func (s *State) capacities(away map[string]bool, one *Machine) string {
+// checkCapacity compares the remaining capacity with the need, in total and in the machine's zone.
+func (s *State) checkCapacity(away map[string]bool, target *Machine) string {
 	left, total := map[string]float64{}, 0.0
-	for _, name := range s.names() {
-		if c := s.capacity(name); !away[name] || s.machines[name].Health == Cold && s.returning(name) {
+	for _, name := range s.machineNames() {
+		if c := s.capacity(name); !away[name] || s.machines[name].Health == Warming && s.returning(name) {
 			left[s.machines[name].Zone] += c
 			total += c
 		}
 	}
 	need, all := map[string]float64{}, 0.0
-	for _, n := range s.facts.Needs {
+	for _, n := range s.fleet.Needs {
 		all += n.Amount * (1 + s.bounds.Reserve)
 		if n.Zone != "" {
 			need[n.Zone] += n.Amount * (1 + s.bounds.Reserve)
 		}
 	}
-	if s.capacity(one.Name) == 0 {
-		return "" // it gives nothing now
+	if s.capacity(target.Name) == 0 {
+		return "" // it has no capacity now, so taking it out loses none
 	}
 	const dust = 1e-9
 	if all > total*(1+dust) {
 		return fmt.Sprintf("%.4g of capacity would be left for a need of %.4g with its reserve: %.4g more, or as much less asked, would do", total, all, all-total)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(need)) {
-		if one.Zone == zone && need[zone] > left[zone]*(1+dust) {
+		if target.Zone == zone && need[zone] > left[zone]*(1+dust) {
 			return fmt.Sprintf("%.4g of capacity would be left in zone %s for a need of %.4g there with its reserve: %.4g more would do", left[zone], zone, need[zone], need[zone]-left[zone])
 		}
 	}
 	return ""
 }
 
-// returning tells whether a machine's work is done.
+// returning reports whether a machine's work is done and it has not been observed up yet.
 func (s *State) returning(name string) bool {
 	for _, r := range s.order {
 		if r.Machine == name && r.Phase == Returning {
@@ -64,21 +65,21 @@
 	return false
 }
 
-// shares holds how many are out or broken against the part that may be. One that is down has its part
-// in that already.
-func (s *State) shares(away map[string]bool, one *Machine) string {
-	if one.Health == Down {
+// checkShares checks the share of machines that may be out or down. A machine that is down is counted
+// already, so taking it out is always allowed.
+func (s *State) checkShares(away map[string]bool, target *Machine) string {
+	if target.Health == Down {
 		return ""
 	}
 	for _, of := range []struct {
 		what  string
 		share float64
-		key   func(m *Machine) string // empty: it is none of them
+		key   func(m *Machine) string // empty: the bound doesn't cover it
 	}{
 		{"of zone", s.bounds.ZoneShare, func(m *Machine) string { return m.Zone }},
 		{"of kind", s.bounds.KindShare, func(m *Machine) string { return m.Kind }},
-		{"with agents", s.bounds.AgentShare, func(m *Machine) string { return when(m.Agent, "all") }},
-		{"with gateways", s.bounds.Gateways, func(m *Machine) string { return when(m.Gateway, "all") }},
+		{"with agents", s.bounds.AgentShare, func(m *Machine) string { return textIf(m.Agent, "all") }},
+		{"with gateways", s.bounds.GatewayShare, func(m *Machine) string { return textIf(m.Gateway, "all") }},
 	} {
 		all, gone, out := map[string]int{}, map[string]int{}, map[string]int{}
 		for name, m := range s.machines {
@@ -93,7 +94,7 @@
 			}
 		}
 		for _, k := range slices.Sorted(maps.Keys(all)) {
-			if of.key(one) != k || out[k] == 0 {
+			if of.key(target) != k || out[k] == 0 {
 				continue
 			}
 			if most := max(int(math.Floor(of.share*float64(all[k])+1e-9)), 1); gone[k] > most {
@@ -104,16 +105,16 @@
 	return ""
 }
 
-func when(x bool, text string) string {
+func textIf(x bool, text string) string {
 	if x {
 		return text
 	}
 	return ""
 }
 
-// majority holds the council's members that are left against a majority of its seats.
-func (s *State) majority(away map[string]bool, one *Machine) string {
-	if s.facts.Seats == 0 || !one.Council || one.Health == Down {
+// checkMajority checks that the remaining voting members of the council are a majority of its seats.
+func (s *State) checkMajority(away map[string]bool, target *Machine) string {
+	if s.fleet.Seats == 0 || !target.Council || target.Health == Down {
 		return ""
 	}
 	left := 0
@@ -122,18 +123,18 @@
 			left++
 		}
 	}
-	if least := s.facts.Seats/2 + 1; left < least {
-		return fmt.Sprintf("%d members of the council would be left, of %d seats; %d are a majority", left, s.facts.Seats, least)
+	if least := s.fleet.Seats/2 + 1; left < least {
+		return fmt.Sprintf("%d members of the council would be left, of %d seats; %d are a majority", left, s.fleet.Seats, least)
 	}
 	return ""
 }
 
-// groups holds that no two of one group are away.
-func (s *State) groups(away map[string]bool, one *Machine) string {
+// checkGroups checks that no two machines of one group are out.
+func (s *State) checkGroups(away map[string]bool, target *Machine) string {
 	first := map[string]string{}
-	for _, name := range s.names() {
+	for _, name := range s.machineNames() {
 		m := s.machines[name]
-		if m.Group == "" || !away[name] || one.Group != m.Group {
+		if m.Group == "" || !away[name] || target.Group != m.Group {
 			continue
 		}
 		if other := first[m.Group]; other != "" {
--- a/internal/decide/work/compare_test.go
+++ b/internal/decide/work/compare_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-var deep = flag.Bool("work.deep", false, "search deeper and compare over more plays, for a minute")
+var deep = flag.Bool("work.deep", false, "explore deeper and compare over more runs; takes a minute")
 
-// estate is a day of 60 machines with 200 servers, some of which crash, under a load that has a peak; all
-// machines are asked for at the start.
-type estate struct {
+// simulatedFleet is a fleet of 60 machines with some 200 servers, of which some machines crash, under a load
+// with a daily peak. A maintenance request for each machine is submitted at the start.
+type simulatedFleet struct {
 	rng      *rand.Rand
 	capacity []float64
 	zone     []int
@@ -23,12 +23,12 @@
 
 const (
 	repair = 25 // minutes that a crashed machine is down
-	warms  = 10 // minutes that a machine is cold for
+	warms  = 10 // minutes that a machine warms up
 	days   = 4
 )
 
-func newEstate(seed uint64) *estate {
-	e := &estate{rng: rand.New(rand.NewPCG(seed, 0x657374617465))}
+func newSimulatedFleet(seed uint64) *simulatedFleet {
+	e := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 0x657374617465))}
 	total := 0.0
 	for i := range 60 {
 		c := float64(2 + e.rng.IntN(3))
@@ -48,22 +48,22 @@
 	return e
 }
 
-// need is the load at a minute, from ten in the morning on: a third of its peak at midnight.
-func (e *estate) need(minute int) float64 {
+// need returns the load at a minute, counted from 10:00: about a third of its peak at midnight.
+func (e *simulatedFleet) need(minute int) float64 {
 	return e.peak * (0.67 - 0.33*math.Cos(2*math.Pi*float64(minute+600)/(24*60)))
 }
 
-// outcome is what came of an order.
-type outcome struct {
-	hours   float64 // until all are done
-	lost    float64 // share of the need that had no capacity
+// result is the result of one scheduling rule.
+type result struct {
+	hours   float64 // until the work on all machines is done
+	lost    float64 // share of the need without capacity
 	under   int     // minutes with less than the need and its reserve, because of work
 	mostOut int
 }
 
-// play has a rule say who goes at each minute: it is told who waits, who is out or cold again, who is
-// down, and the need.
-func (e *estate) play(next func(minute int, health []Health, phase []Phase) []int) (o outcome) {
+// simulate runs a scheduling rule: at each minute next gets the health and phase of each machine, and
+// returns the machines to take out.
+func (e *simulatedFleet) simulate(next func(minute int, health []Health, phase []Phase) []int) (o result) {
 	n := len(e.capacity)
 	phase, until := make([]Phase, n), make([]int, n)
 	asked, missed := 0.0, 0.0
@@ -78,14 +78,14 @@
 			}
 			health[i] = Up
 			if c := e.crash[i]; c >= 0 && minute >= c && minute < c+repair+warms {
-				health[i] = Cold
+				health[i] = Warming
 				if minute < c+repair {
 					health[i] = Down
 				}
 			}
 			switch {
 			case phase[i] == Returning:
-				health[i] = min(health[i], Cold)
+				health[i] = min(health[i], Warming)
 			case phase[i] == Done:
 				done++
 			}
@@ -97,7 +97,7 @@
 		}
 		left, without, out := 0.0, 0.0, 0
 		for i, c := range e.capacity {
-			give := c * map[Health]float64{Up: 1, Cold: 0.5}[health[i]]
+			give := c * map[Health]float64{Up: 1, Warming: 0.5}[health[i]]
 			self := c
 			if x := e.crash[i]; x >= 0 && minute >= x && minute < x+repair+warms {
 				self = c / 2
@@ -127,7 +127,7 @@
 	return o
 }
 
-// waiting is who has not been out yet, in order.
+// waiting returns the machines that have not been out yet, in order.
 func waiting(phase []Phase) (all []int) {
 	for i, p := range phase {
 		if p == Asked {
@@ -146,9 +146,9 @@
 	return n
 }
 
-// rules are the orders that are compared.
-func (e *estate) rules() map[string]func(int, []Health, []Phase) []int {
-	state := New(Bounds{Reserve: 0.1, ZoneShare: 0.34, KindShare: 1, AgentShare: 1, Gateways: 1, PassedOver: 8})
+// rules returns the scheduling rules that are compared.
+func (e *simulatedFleet) rules() map[string]func(int, []Health, []Phase) []int {
+	state := New(Bounds{Reserve: 0.1, ZoneShare: 0.34, KindShare: 1, AgentShare: 1, GatewayShare: 1, MaxOvertaken: 8})
 	return map[string]func(int, []Health, []Phase) []int{
 		"one at a time": func(_ int, _ []Health, phase []Phase) []int {
 			if w := waiting(phase); away(phase) == 0 && len(w) > 0 {
@@ -177,11 +177,11 @@
 			}
 			return go_
 		},
-		"ours": func(minute int, health []Health, phase []Phase) (go_ []int) {
-			f := &Facts{Orders: 1 << 62}
+		"this package": func(minute int, health []Health, phase []Phase) (go_ []int) {
+			f := &FleetState{ExclusionVersion: 1 << 62}
 			for i, c := range e.capacity {
-				// The load is told as the most of the time that work takes and its return.
-				m := Machine{Name: fmt.Sprintf("m%02d", i), Zone: fmt.Sprint("z", e.zone[i]), Kind: "k", Capacity: c, Health: health[i], Warmth: 1, Empty: true}
+				// The need is the maximum of the load over the next 90 minutes, which cover most work and its warm-up.
+				m := Machine{Name: fmt.Sprintf("m%02d", i), Zone: fmt.Sprint("z", e.zone[i]), Kind: "k", Capacity: c, Health: health[i], Warmth: 1, Drained: true}
 				if phase[i] == Out {
 					m.Health = Down
 				}
@@ -198,17 +198,17 @@
 					panic(err)
 				}
 			}
-			must(Entry{Kind: See, At: at, Facts: f})
+			must(Entry{Kind: UpdateFleet, At: at, Fleet: f})
 			if minute == 0 {
 				for i := range e.capacity {
-					must(Entry{Kind: Want, At: at, Ask: &Ask{ID: fmt.Sprint("r", i), Machine: f.Machines[i].Name, Seconds: int64(e.work[i]) * 60}})
+					must(Entry{Kind: Submit, At: at, Ask: &Ask{ID: fmt.Sprint("r", i), Machine: f.Machines[i].Name, Seconds: int64(e.work[i]) * 60}})
 				}
-				must(Entry{Kind: See, At: at, Facts: f})
+				must(Entry{Kind: UpdateFleet, At: at, Fleet: f})
 			}
 			for i := range e.capacity {
 				r := state.requests[fmt.Sprint("r", i)]
 				if phase[i] == Returning && r.Phase == Out {
-					must(Entry{Kind: Back, At: at, ID: r.ID})
+					must(Entry{Kind: Complete, At: at, ID: r.ID})
 				}
 				if r.Phase == Granted {
 					must(Entry{Kind: Take, At: at, ID: r.ID, Permit: r.Permit})
@@ -220,26 +220,26 @@
 	}
 }
 
-// Ours is next to never under the reserve for the sake of work, loses nothing, and is done first. The
-// table of the design note is this one's log, with -work.deep.
-func TestOrdersCompared(t *testing.T) {
+// The rule of this package takes the fleet below the reserve almost never and loses next to no capacity.
+// With -work.deep the log is the table in docs/design/work.md.
+func TestSchedulingRulesCompared(t *testing.T) {
 	seeds := uint64(1)
 	if *deep {
 		seeds = 20
 	}
-	for _, name := range []string{"one at a time", "batches of six", "two a zone", "ours"} {
-		var sum outcome
+	for _, name := range []string{"one at a time", "batches of six", "two a zone", "this package"} {
+		var sum result
 		for seed := range seeds {
-			e := newEstate(seed)
-			o := e.play(e.rules()[name])
+			e := newSimulatedFleet(seed)
+			o := e.simulate(e.rules()[name])
 			sum.hours, sum.lost, sum.under, sum.mostOut = sum.hours+o.hours, sum.lost+o.lost, sum.under+o.under, max(sum.mostOut, o.mostOut)
 		}
 		hours, lost, under := sum.hours/float64(seeds), sum.lost/float64(seeds), float64(sum.under)/float64(seeds)
 		t.Logf("| %s | %.1f | %.4f | %.1f | %d |", name, hours, 100*lost, under, sum.mostOut)
-		// A crash while others are out may take it under for as long as they are: a minute a play is less
-		// than any of the others' by a hundred times.
-		if name == "ours" && (under > 1 || lost > 0.005) {
-			t.Errorf("%.1f minutes a play under the reserve, %.4f lost", under, lost)
+		// A crash while other machines are out may take the fleet below the reserve until they are back. One
+		// minute per run is a hundredth of what any other rule has.
+		if name == "this package" && (under > 1 || lost > 0.005) {
+			t.Errorf("%.1f minutes per run under the reserve, %.4f of the need lost", under, lost)
 		}
 	}
 }
--- a/internal/decide/work/facts.go
+++ b/internal/decide/work/facts.go
@@ -8,52 +8,53 @@
 	"molepaddle/internal/decide/members"
 )
 
-// Place is a machine as the operator's file has it.
-type Place struct {
+// MachineSpec is a machine as configured in the operator's file.
+type MachineSpec struct {
 	Name, Zone, Kind string
-	Group            string  // holders of one group are never out together
-	Capacity         float64 // 0: what its servers have by the list
+	Group            string  // machines of one group are never out together; empty: none
+	Capacity         float64 // 0: the sum of its servers' capacity on the endpoint list
 }
 
-// Server is what is known of one server: by the list, and by what the agents see of it.
+// Server is the state of one server, from the endpoint list and from the agents' observations.
 type Server struct {
 	Machine      string
 	Capacity     float64
-	Ready        bool    // the list says so; one that it calls draining or gone gives nothing
-	Unresponsive bool    // the agents hear nothing of it
-	Warmth       float64 // from 0 up to 1; 1: warm
+	Ready        bool    // per the endpoint list; a draining or removed server has no capacity
+	Unresponsive bool    // gets no response, as observed by the agents
+	Warmth       float64 // slow-start progress from 0 to 1; 1: warm
 }
 
-// Sight is what the member of the council that leads sees when it words facts.
-type Sight struct {
-	Places  []Place
-	View    members.View
-	Servers []Server
-	Needs   []Need
-	Seats   int
-	Bounds  Bounds
-	Voters  []uint64          // seats of the council
-	Moving  []uint64          // of them, those that go elsewhere
-	Orders  uint64            // the version of the orders
-	Alone   map[string]uint64 // machines on that list, with the version from which on they are
+// Observation is the data from which the council's leader builds a FleetState.
+type Observation struct {
+	Specs            []MachineSpec
+	View             members.View
+	Servers          []Server
+	Needs            []Need
+	Seats            int
+	Bounds           Bounds
+	Voters           []uint64          // seats of the council's voting members
+	Moving           []uint64          // of those, the seats that are being moved to another machine
+	ExclusionVersion uint64            // the version of the exclusion list that is in force
+	Excluded         map[string]uint64 // machines on that list, with the first version that has them
 }
 
-// Facts words them. Who is believed dead or can't be heard by two counts as broken, and an agent that
-// doubts itself words none: ok is false.
-func (s *Sight) Facts() (f Facts, ok bool) {
+// FleetState builds a fleet state. A machine without servers counts as down if one of its members is
+// believed dead or is suspected by two or more others. ok is false while the observer suspects that it is
+// itself the one that is partitioned.
+func (s *Observation) FleetState() (f FleetState, ok bool) {
 	if s.View.Doubts != "" {
 		return f, false
 	}
-	f = Facts{Needs: s.Needs, Seats: s.Seats, Bounds: &s.Bounds, Orders: s.Orders}
-	for _, p := range s.Places {
+	f = FleetState{Needs: s.Needs, Seats: s.Seats, Bounds: &s.Bounds, ExclusionVersion: s.ExclusionVersion}
+	for _, p := range s.Specs {
 		f.Machines = append(f.Machines, s.machine(&p))
 	}
 	slices.SortFunc(f.Machines, func(a, b Machine) int { return cmp.Compare(a.Name, b.Name) })
 	return f, true
 }
 
-func (s *Sight) machine(p *Place) Machine {
-	m := Machine{Name: p.Name, Zone: p.Zone, Kind: p.Kind, Group: p.Group, Health: Up, Empty: true}
+func (s *Observation) machine(p *MachineSpec) Machine {
+	m := Machine{Name: p.Name, Zone: p.Zone, Kind: p.Kind, Group: p.Group, Health: Up, Drained: true}
 	good, warm, all, servers := 0.0, 0.0, 0.0, 0
 	for _, v := range s.Servers {
 		if v.Machine != p.Name {
@@ -72,8 +73,8 @@
 	if servers > 0 && good == 0 {
 		m.Health = Down
 	} else if good > 0 && warm < good {
-		// In tenths, so that the log is not written with each moment.
-		m.Health, m.Warmth = Cold, math.Floor(10*warm/good)/10
+		// In tenths, so that the warm-up doesn't append to the log continuously.
+		m.Health, m.Warmth = Warming, math.Floor(10*warm/good)/10
 	}
 	known, running := false, false
 	for _, b := range s.View.Members {
@@ -82,7 +83,7 @@
 		}
 		known, running = true, running || b.State < members.Dead
 		broken := b.State == members.Dead || len(b.Doubts) > 1
-		gone := b.State >= members.Dead // who is only doubted may hold requests: its machine is not empty
+		gone := b.State >= members.Dead // a member that is only suspected may have requests in flight: its machine is not drained
 		m.Agent = m.Agent || b.Info.Role == "agent"
 		m.Gateway = m.Gateway || b.Info.Role == "gateway"
 		m.Council = m.Council || b.Info.Seat != 0 && slices.Contains(s.Voters, b.Info.Seat)
@@ -91,35 +92,36 @@
 		}
 		leaving := b.Info.Process == "evacuating" || b.Info.Process == "ending"
 		if !gone && (!leaving || b.Info.Load > 0 || slices.Contains(s.Moving, b.Info.Seat)) {
-			m.Empty = false
+			m.Drained = false
 		}
 	}
 	if servers == 0 && known && !running {
-		m.Health = Down // also where they have left: it is not seen up
+		m.Health = Down // also if its members have left: the machine is not observed up
 	}
-	if servers > 0 { // of a machine without servers nobody needs to say anything
-		who := s.Missing(p.Name)
-		m.Missing = len(who)
-		m.Who = who[:min(len(who), maxWho)]
+	if servers > 0 { // a machine without servers needs no acknowledgements
+		who := s.Unacknowledged(p.Name)
+		m.Unacknowledged = len(who)
+		m.UnacknowledgedNames = who[:min(len(who), maxNames)]
 	}
 	return m
 }
 
-// Missing is who runs and has not said that it sends a machine's servers nothing any more.
-func (s *Sight) Missing(machine string) (names []string) {
-	since := s.Alone[machine]
+// Unacknowledged returns the names of the running members that have not acknowledged that they send no
+// requests to the machine's servers any more.
+func (s *Observation) Unacknowledged(machine string) (unacknowledged []string) {
+	since := s.Excluded[machine]
 	for _, b := range s.View.Members {
-		// Who is believed dead may be alive and cut off: what it still sends meets a machine that is up or
-		// refuses, so no permit waits for it.
+		// A member that is believed dead may be alive behind a partition. Its requests reach a machine that
+		// is still up, or are refused, so no permit waits for it.
 		if b.State != members.Dead && b.State != members.Left && (since == 0 || b.Info.Stopped < since) {
-			names = append(names, b.ID.Name)
+			unacknowledged = append(unacknowledged, b.ID.Name)
 		}
 	}
-	return names
+	return unacknowledged
 }
 
-// Taken is the requests a second that all agents together say that they take.
-func Taken(v *members.View) (rate float64) {
+// RequestRate returns the requests per second that all agents together report.
+func RequestRate(v *members.View) (rate float64) {
 	for _, b := range v.Members {
 		if b.State != members.Left {
 			rate += b.Info.Rate
@@ -128,16 +130,16 @@
 	return rate
 }
 
-// Peak is the most of a figure over the last day, by the hour. The zero Peak knows nothing; it is its
-// owner's.
+// Peak tracks the maximum of a value over the last 24 hours, with one bucket per hour. The zero Peak is
+// empty and ready to use. It isn't safe for concurrent use.
 type Peak struct {
 	hours [24]float64
-	last  int64 // the hour that was written last
+	last  int64 // the latest hour that was added to
 }
 
-// Note takes the figure at a time in seconds, and returns the peak in two digits, so that what is told
-// changes seldom. A time that goes back counts as the last.
-func (p *Peak) Note(now int64, figure float64) float64 {
+// Add records the value at the time now, in seconds, and returns the peak rounded up to two digits, so
+// that the reported value changes rarely. A time before the latest hour counts as the latest hour.
+func (p *Peak) Add(now int64, figure float64) float64 {
 	hour := max(now/3600, p.last)
 	for h := max(p.last+1, hour-23); h <= hour; h++ {
 		p.hours[h%24] = 0
--- a/internal/decide/work/plan.go
+++ b/internal/decide/work/plan.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// Step is when a request is expected to begin and end, in seconds of the log's time.
+// Step is the expected begin and end of a request, in seconds of the log's time.
 type Step struct {
 	ID, Machine string
 	Begin, End  int64
-	With        []string // machines that are out or on their way at its beginning
-	Late        bool     // it would end after it is due
+	With        []string // other machines that count as out when it begins
+	Late        bool     // it would end after DueBy
 }
 
-// Plan is the rule played on from now: whoever is emptying is empty at once, each takes as long as was
-// asked and comes back warm, nothing breaks. It is what to expect, and nothing depends on it. waits is
-// why the rest never goes, by id.
-func (s *State) Plan() (steps []Step, waits map[string]string) {
+// Plan simulates the schedule from now on, assuming that machines drain at once, that each work takes its
+// expected duration, that machines come back warm and that nothing fails. It is a forecast only: no
+// decision depends on it. blocked holds, by request ID, the reasons of the requests that never start.
+func (s *State) Plan() (steps []Step, blocked map[string]string) {
 	p := s.clone()
-	p.facts.Orders = 1 << 63 // they are of every time
+	p.fleet.ExclusionVersion = 1 << 63 // the fleet state counts as newer than any exclusion
 	for _, m := range p.machines {
-		m.Empty, m.Missing = true, 0
-		if m.Health == Cold {
+		m.Drained, m.Unacknowledged = true, 0
+		if m.Health == Warming {
 			m.Health = Up
 		}
 	}
 	ends, begun := map[*Request]int64{}, map[*Request]bool{}
 	for _, r := range p.order {
-		if r.Phase.away() {
+		if r.Phase.countsAsOut() {
 			begun[r] = true
 			ends[r] = max(r.Since+r.Seconds, p.now+1)
 			if r.Phase < Out {
@@ -39,14 +39,14 @@
 		}
 	}
 	for range 4*len(p.order) + 4 {
-		p.settle()
+		p.advance()
 		for _, r := range p.order {
 			if r.Phase == Emptying || r.Phase == Granted {
-				p.move(r, Out, "planned")
+				p.transition(r, Out, "planned")
 				if !begun[r] {
 					begun[r] = true
 					ends[r] = p.now + r.Seconds
-					away := p.away()
+					away := p.machinesOut()
 					delete(away, r.Machine)
 					steps = append(steps, Step{r.ID, r.Machine, p.now, ends[r], slices.Sorted(maps.Keys(away)), r.DueBy > 0 && ends[r] > r.DueBy})
 				}
@@ -72,23 +72,23 @@
 		p.now = next
 		for _, r := range p.order {
 			if (r.Phase == Out || r.Phase == Returning) && ends[r] <= p.now {
-				p.move(r, Done, "planned")
+				p.transition(r, Done, "planned")
 				if m := p.machines[r.Machine]; m != nil {
 					m.Health = Up
 				}
 			}
 		}
 	}
-	waits = map[string]string{}
+	blocked = map[string]string{}
 	for _, r := range p.order {
 		if r.Phase == Asked {
-			waits[r.ID] = r.Note
+			blocked[r.ID] = r.Note
 		}
 	}
-	return steps, waits
+	return steps, blocked
 }
 
-// clone is a copy that shares nothing.
+// clone returns a copy that can be changed without changing s.
 func (s *State) clone() *State {
 	c := *s
 	c.machines, c.requests, c.order, c.record = map[string]*Machine{}, map[string]*Request{}, nil, slices.Clone(s.record)
@@ -104,62 +104,62 @@
 	return &c
 }
 
-// Snapshot is a state as a value, for those who have not read the log.
+// Snapshot is a serializable State, for members that have not applied the log.
 type Snapshot struct {
-	Now      int64
-	Facts    Facts
-	Requests []Request
-	Permits  uint64
-	Places   uint64
-	Seen     uint64
-	Orders   uint64
-	Record   []string
+	Now              int64
+	Fleet            FleetState `cbor:"Facts"`
+	Requests         []Request
+	LastPermit       uint64 `cbor:"Permits"`
+	LastSequence     uint64 `cbor:"Places"`
+	FleetUpdates     uint64 `cbor:"Seen"`
+	ExclusionVersion uint64 `cbor:"Orders"`
+	Record           []string
 }
 
-// Snapshot gives the state as a value.
+// Snapshot returns the state as a Snapshot.
 func (s *State) Snapshot() Snapshot {
-	n := Snapshot{Now: s.now, Facts: s.facts, Permits: s.permits, Places: s.places, Seen: s.seen, Orders: s.orders, Record: slices.Clone(s.record)}
+	n := Snapshot{Now: s.now, Fleet: s.fleet, LastPermit: s.lastPermit, LastSequence: s.lastSequence, FleetUpdates: s.fleetUpdates, ExclusionVersion: s.exclusionVersion, Record: slices.Clone(s.record)}
 	for _, r := range s.order {
 		n.Requests = append(n.Requests, *r)
 	}
 	return n
 }
 
-// Restore is the state of a snapshot, under the bounds of the log. An error says what in it makes no
-// sense.
+// Restore returns the state of a snapshot. The bounds b apply if the snapshot's fleet state has none. It
+// returns an error if the snapshot is invalid.
 func Restore(b Bounds, n Snapshot) (*State, error) {
 	s := New(b)
-	if err := s.see(&n.Facts); err != nil {
+	if err := s.setFleet(&n.Fleet); err != nil {
 		return nil, err
 	}
-	s.now, s.permits, s.places, s.seen, s.orders, s.record = n.Now, n.Permits, n.Places, n.Seen, n.Orders, slices.Clone(n.Record)
+	s.now, s.lastPermit, s.lastSequence, s.fleetUpdates, s.exclusionVersion, s.record = n.Now, n.LastPermit, n.LastSequence, n.FleetUpdates, n.ExclusionVersion, slices.Clone(n.Record)
 	for i := range n.Requests {
 		r := n.Requests[i]
-		if r.ID == "" || s.requests[r.ID] != nil || r.Phase > Cancelled || r.Permit > n.Permits || r.Place > n.Places {
-			return nil, fmt.Errorf("snapshot: request %q: missing, twice, or beyond what was given", r.ID)
+		if r.ID == "" || s.requests[r.ID] != nil || r.Phase > Cancelled || r.Permit > n.LastPermit || r.Sequence > n.LastSequence {
+			return nil, fmt.Errorf("snapshot: request %q: id missing or repeated, or phase, permit or place out of range", r.ID)
 		}
 		s.requests[r.ID] = &r
 		s.order = append(s.order, &r)
-		if r.Phase.leftAlone() {
-			s.alone = append(s.alone, r.Machine)
+		if r.Phase.excluded() {
+			s.excluded = append(s.excluded, r.Machine)
 		}
 	}
-	slices.Sort(s.alone)
+	slices.Sort(s.excluded)
 	return s, nil
 }
 
-// Requests is all that is held, in the order of asking.
+// Requests returns the stored requests, in the order of submission.
 func (s *State) Requests() []Request { return s.Snapshot().Requests }
 
-// Overdue tells whether a request has taken longer than was asked. It changes nothing: only somebody's
-// word or the machine's being seen back does.
+// Overdue reports whether a request's work has taken longer than expected. It has no effect on the
+// request, which stays out until a Complete or Fail entry.
 func (s *State) Overdue(r *Request) bool { return r.Phase == Out && s.now > r.Since+r.Seconds }
 
-// Record is what was settled, a line each, the oldest first.
+// Record returns the recorded phase changes, one line each, the oldest first.
 func (s *State) Record() []string { return slices.Clone(s.record) }
 
-// Why says in a sentence where a request stands and why.
-func (s *State) Why(id string) string {
+// Explain returns a sentence for operators about the phase of a request and its reason.
+func (s *State) Explain(id string) string {
 	r := s.requests[id]
 	if r == nil {
 		return fmt.Sprintf("no request %q", id)
@@ -178,9 +178,9 @@
 			text += "; before it: " + strings.Join(before, ", ")
 		}
 	case r.Phase == Emptying:
-		if m := s.machines[r.Machine]; m != nil && m.Missing > 0 {
-			text += "; not yet said that they send it nothing: " + m.missing()
-		} else if m != nil && !m.Empty {
+		if m := s.machines[r.Machine]; m != nil && m.Unacknowledged > 0 {
+			text += "; not yet said that they send it nothing: " + m.unacknowledgedText()
+		} else if m != nil && !m.Drained {
 			text += "; its agents or its seat are still at work"
 		}
 	case s.Overdue(r):
--- a/internal/decide/work/work.go
+++ b/internal/decide/work/work.go
@@ -1,9 +1,11 @@
-// Package work settles in which order machines are taken out for work: who may go now, who waits and
-// why, who has to come back. It is a state machine that is replayed from a log: the same entries
-// give the same state at every agent. docs/design/work.md says why it is made so.
+// Package work schedules machine maintenance: which machines may be taken out of service now, which
+// requests wait and why, and when a machine counts as back. State is a deterministic state machine that
+// is replayed from a log: the same entries give the same state at every agent. It doesn't stop or start
+// machines itself. docs/design/work.md explains the design.
 //
-// There is no I/O, no clock and no goroutine here; times come with entries, in seconds of any clock
-// that the log's writer has. A State belongs to whoever applies the log.
+// The package does no I/O, reads no clock and starts no goroutines; times come with the entries, in
+// seconds of the log writer's clock. A State isn't safe for concurrent use: only the goroutine that
+// applies the log may call it.
 package work
 
 import (
@@ -14,109 +16,109 @@
 	"strings"
 )
 
-// Bounds is what an installation allows. They come with the facts, so that everybody replays the log under
-// the same ones.
+// Bounds limits how many machines may be out of service at once. The bounds are part of the log (in
+// FleetState), so that every agent replays the log under the same ones.
 type Bounds struct {
-	Reserve    float64 // share of the need that is to be left over
-	ZoneShare  float64 // of a zone's machines that may be out or broken at once; never under one machine
-	KindShare  float64 // of a kind's
-	AgentShare float64 // of the machines that agents run on
-	Gateways   float64 // of those that gateways run on
-	PassedOver int     // how often others may go before one
-	Patience   int64   // seconds that a permit waits for others than the machine's own agents
+	Reserve            float64 // share of the need that must remain as spare capacity
+	ZoneShare          float64 // share of a zone's machines that may be out or down at once; at least one machine
+	KindShare          float64 // the same, of the machines of one kind
+	AgentShare         float64 // the same, of the machines that run agents
+	GatewayShare       float64 `cbor:"Gateways"`   // the same, of the machines that run gateways
+	MaxOvertaken       int     `cbor:"PassedOver"` // times that other requests may start before a waiting one
+	AcknowledgeTimeout int64   `cbor:"Patience"`   // seconds that a permit waits for agents on other machines to acknowledge
 }
 
-// DefaultBounds is what an operator's file need not say.
+// DefaultBounds returns the bounds that apply where the operator's file sets none.
 func DefaultBounds() Bounds {
-	return Bounds{Reserve: 0.1, ZoneShare: 0.34, KindShare: 0.34, AgentShare: 0.34, Gateways: 0.5, PassedOver: 8, Patience: 30}
+	return Bounds{Reserve: 0.1, ZoneShare: 0.34, KindShare: 0.34, AgentShare: 0.34, GatewayShare: 0.5, MaxOvertaken: 8, AcknowledgeTimeout: 30}
 }
 
-// Validate reports the first key that makes no sense.
+// Validate returns the key and the error of the first bound that is out of range.
 func (b *Bounds) Validate() (key string, err error) {
 	for _, v := range []struct {
 		key        string
 		value, top float64
-	}{{"reserve", b.Reserve, 10}, {"zone_share", b.ZoneShare, 1}, {"kind_share", b.KindShare, 1}, {"agent_share", b.AgentShare, 1}, {"gateways", b.Gateways, 1}} {
+	}{{"reserve", b.Reserve, 10}, {"zone_share", b.ZoneShare, 1}, {"kind_share", b.KindShare, 1}, {"agent_share", b.AgentShare, 1}, {"gateways", b.GatewayShare, 1}} {
 		if !(v.value >= 0 && v.value <= v.top) {
 			return v.key, fmt.Errorf("must be from 0 to %v, is %v", v.top, v.value)
 		}
 	}
-	if b.PassedOver < 1 || b.PassedOver > 1000 {
-		return "passed_over", fmt.Errorf("must be from 1 to 1000, is %d", b.PassedOver)
+	if b.MaxOvertaken < 1 || b.MaxOvertaken > 1000 {
+		return "passed_over", fmt.Errorf("must be from 1 to 1000, is %d", b.MaxOvertaken)
 	}
-	if b.Patience < 0 || b.Patience > 86400 {
-		return "patience", fmt.Errorf("must be from 0 to 86400 s, is %d", b.Patience)
+	if b.AcknowledgeTimeout < 0 || b.AcknowledgeTimeout > 86400 {
+		return "patience", fmt.Errorf("must be from 0 to 86400 s, is %d", b.AcknowledgeTimeout)
 	}
 	return "", nil
 }
 
-// Health is how a machine fares, as the council has seen it.
+// Health is the health of a machine as observed by the council.
 type Health uint8
 
-// The healths. A machine that drains by the list of servers, is silent or has crashed is Down.
+// The health states. A machine whose servers are draining, unresponsive or crashed is Down.
 const (
 	Down Health = iota
-	Cold
+	Warming
 	Up
 )
 
 func (h Health) String() string { return [...]string{"down", "cold", "up"}[h] }
 
-// Machine is what is known of a machine.
+// Machine is the observed state of a machine.
 type Machine struct {
-	Name     string
-	Zone     string
-	Kind     string
-	Capacity float64 // of its servers, in units that Need has too
-	Health   Health
-	Warmth   float64 // of a cold one, from 0 up to 1; it counts for half at the most
-	Agent    bool    // an agent runs there
-	Gateway  bool
-	Council  bool     // a member of the council does
-	Group    string   // holders of one group are never out together; empty: none
-	Empty    bool     // its agents hold nothing
-	Missing  int      // agents that have not said that they send it nothing
-	Who      []string // the first of them
-}
-
-// Need is what has to be served; Zone is where that has to be, empty: anywhere.
+	Name                string
+	Zone                string
+	Kind                string
+	Capacity            float64 // of its servers, in the units of Need.Amount
+	Health              Health
+	Warmth              float64  // of a Warming machine, from 0 to 1; such a machine counts with at most half its capacity
+	Agent               bool     // runs an agent
+	Gateway             bool     // runs a gateway
+	Council             bool     // runs a voting member of the council
+	Group               string   // machines of one group are never out together; empty: none
+	Drained             bool     `cbor:"Empty"`   // its agents are shutting down, with no requests in flight and no council seat to move
+	Unacknowledged      int      `cbor:"Missing"` // agents that have not acknowledged that they send it no requests
+	UnacknowledgedNames []string `cbor:"Who"`     // the first of those agents
+}
+
+// Need is capacity that must stay available for a class, in a zone or, with an empty Zone, anywhere.
 type Need struct {
 	Class  string
 	Zone   string
 	Amount float64
 }
 
-// Facts is what the council has seen of the fleet, whole.
-type Facts struct {
-	Machines []Machine
-	Needs    []Need
-	Seats    int     // of the council
-	Bounds   *Bounds // what whoever has seen this keeps to; nil: as before
-	Orders   uint64  // the version of the orders that whoever has seen this knew
+// FleetState is a complete observation of the fleet by the council.
+type FleetState struct {
+	Machines         []Machine
+	Needs            []Need
+	Seats            int     // seats of the council
+	Bounds           *Bounds // the observer's bounds; nil: unchanged
+	ExclusionVersion uint64  `cbor:"Orders"` // the version of the exclusion list that the observer had applied
 }
 
-// Ask is a machine that somebody wants out.
+// Ask describes a maintenance request: a machine to be taken out of service.
 type Ask struct {
-	ID        string // the asker's; one asked twice counts once
+	ID        string // chosen by the requester; a repeated request counts once
 	Machine   string
-	Seconds   int64 // that the work takes
-	NotBefore int64
-	DueBy     int64 // 0: whenever
+	Seconds   int64 // expected duration of the work
+	NotBefore int64 // earliest start, in the log's time
+	DueBy     int64 // latest end, in the log's time; 0: none
 	Urgent    bool
 	Why       string
 	By        string
 }
 
-// Phase is what has become of a request.
+// Phase is the state of a request.
 type Phase uint8
 
 // The phases.
 const (
-	Asked Phase = iota
-	Emptying
-	Granted
-	Out
-	Returning
+	Asked     Phase = iota // queued
+	Emptying               // the machine is draining
+	Granted                // a permit has been issued
+	Out                    // the machine is out of service
+	Returning              // the work is done; the machine has not been observed up yet
 	Done
 	Failed
 	Cancelled
@@ -126,124 +128,124 @@
 	return [...]string{"asked", "emptying", "granted", "out", "returning", "done", "failed", "cancelled"}[p]
 }
 
-// over tells whether nothing more comes of it.
-func (p Phase) over() bool { return p >= Done }
+// finished reports whether the phase is final.
+func (p Phase) finished() bool { return p >= Done }
 
-// leftAlone tells whether its machine's servers get nothing.
-func (p Phase) leftAlone() bool { return p >= Emptying && p <= Out }
+// excluded reports whether agents send no requests to the machine's servers in this phase.
+func (p Phase) excluded() bool { return p >= Emptying && p <= Out }
 
-// away tells whether its machine counts as out.
-func (p Phase) away() bool { return p >= Emptying && p <= Returning }
+// countsAsOut reports whether the machine counts as out of service for the bounds.
+func (p Phase) countsAsOut() bool { return p >= Emptying && p <= Returning }
 
-// Request is an Ask and what has become of it.
+// Request is an Ask with its state.
 type Request struct {
 	Ask
-	Phase  Phase
-	Permit uint64 // its number, from Granted on; 0: none
-	Since  int64  // when the phase began
-	Passed int    // how often others went before it
-	Place  uint64 // in the order of asking
-	Seen   uint64 // how many facts had come when the phase began: older ones say nothing of it
-	Note   string // why it is where it is
-	Order  uint64 // the version of the orders from which on its machine is left alone; 0: it is not
+	Phase            Phase
+	Permit           uint64 // number of the permit, from Granted on; 0: none
+	Since            int64  // when the phase began, in the log's time
+	Overtaken        int    `cbor:"Passed"` // times that another request started before this one
+	Sequence         uint64 `cbor:"Place"`  // position in the order of submission
+	FleetUpdates     uint64 `cbor:"Seen"`   // fleet states applied when the phase began; only later ones count for it
+	Note             string // why the request is in its phase
+	ExclusionVersion uint64 `cbor:"Order"` // the first version of the exclusion list with the machine; 0: not excluded
 }
 
-// Kind is what an entry does.
+// Kind is the kind of an entry.
 type Kind uint8
 
 // The kinds of entries.
 const (
-	See    Kind = iota // Facts
-	Want               // Ask
-	Take               // the machine of the permit is out from here on
-	Back               // the work is done
-	Cancel             // of what is not out
-	Fail               // the work of what is out will not end; its machine still counts until it is seen up
+	UpdateFleet Kind = iota // applies Fleet
+	Submit                  // submits Ask
+	Take                    // uses a permit: the machine is out from now on
+	Complete                // the work is done
+	Cancel                  // cancels a request whose machine is not out
+	Fail                    // the work has failed; the machine counts as out until it is observed up
 )
 
-// Entry is one line of the log. What Kind does not speak of is left alone.
+// Entry is one entry of the log. Fields that Kind doesn't use are ignored.
 type Entry struct {
 	Kind   Kind
-	At     int64 // by the writer's clock; one that goes back is read as the latest
-	Facts  *Facts
+	At     int64       // the writer's clock, in seconds; a value before the log's time counts as the log's time
+	Fleet  *FleetState `cbor:"Facts"`
 	Ask    *Ask
 	ID     string // of the request
-	Permit uint64 // of a Take
+	Permit uint64 // of a Take entry
 }
 
-// bounds of what is held.
+// Limits of the stored state.
 const (
-	maxMachines = 10000
-	maxRequests = 10000
-	maxWord     = 200
-	maxAway     = 100 // machines that are left alone at once
-	maxWho      = 8
-	keptOver    = 1000 // requests that are over and remembered
+	maxMachines  = 10000
+	maxRequests  = 10000
+	maxTextBytes = 200
+	maxExcluded  = 100  // machines on the exclusion list
+	maxNames     = 8    // names in Machine.UnacknowledgedNames
+	keptFinished = 1000 // finished requests that are kept
 )
 
-// State is what the log has come to.
+// State is the result of applying the log.
 type State struct {
-	bounds   Bounds
-	now      int64
-	facts    Facts
-	machines map[string]*Machine
-	requests map[string]*Request
-	order    []*Request // by place
-	permits  uint64     // the last number given
-	places   uint64
-	seen     uint64   // facts that have come
-	orders   uint64   // the version of the list of machines that are left alone
-	alone    []string // that list, by name
-	record   []string // what was settled, for people
-}
-
-// New is the state before the first entry.
+	bounds           Bounds
+	now              int64
+	fleet            FleetState
+	machines         map[string]*Machine
+	requests         map[string]*Request
+	order            []*Request // by Sequence
+	lastPermit       uint64     // the last permit number issued
+	lastSequence     uint64
+	fleetUpdates     uint64   // number of fleet states applied
+	exclusionVersion uint64   // version of the exclusion list
+	excluded         []string // the exclusion list: machine names, sorted
+	record           []string // phase changes, for operators
+}
+
+// New returns the state before the first entry.
 func New(b Bounds) *State {
 	return &State{bounds: b, machines: map[string]*Machine{}, requests: map[string]*Request{}}
 }
 
-// Apply takes the next entry. An error says why it was turned down; the state is then as it was, but
-// that its time has moved on.
+// Apply applies the next entry. If the entry is rejected, Apply returns the reason, and only the log's
+// time has changed.
 func (s *State) Apply(e Entry) error {
 	s.now = max(s.now, e.At)
-	if err := s.take(&e); err != nil {
+	if err := s.applyEntry(&e); err != nil {
 		return err
 	}
-	s.settle()
+	s.advance()
 	return nil
 }
 
-func (s *State) take(e *Entry) error {
+func (s *State) applyEntry(e *Entry) error {
 	switch e.Kind {
-	case See:
-		return s.see(e.Facts)
-	case Want:
-		return s.want(e.Ask)
+	case UpdateFleet:
+		return s.setFleet(e.Fleet)
+	case Submit:
+		return s.submit(e.Ask)
 	}
 	r := s.requests[e.ID]
 	if r == nil {
 		return fmt.Errorf("no request %q", e.ID)
 	}
 	switch {
-	case e.Kind == Take && r.Phase == Out && e.Permit == r.Permit, e.Kind == Back && r.Phase == Returning, e.Kind == Cancel && r.Phase == Cancelled:
-		return nil // said twice
+	case e.Kind == Take && r.Phase == Out && e.Permit == r.Permit, e.Kind == Complete && r.Phase == Returning, e.Kind == Cancel && r.Phase == Cancelled:
+		return nil // a repeated entry
 	case e.Kind == Take && r.Phase == Granted && e.Permit == r.Permit:
-		s.move(r, Out, fmt.Sprintf("taken under permit %d", r.Permit))
+		s.transition(r, Out, fmt.Sprintf("taken under permit %d", r.Permit))
 	case e.Kind == Take && e.Permit != r.Permit:
 		return fmt.Errorf("permit %d is not one of %q: it is %s (%s)", e.Permit, r.ID, r.Phase, r.Note)
-	case e.Kind == Back && r.Phase == Out:
-		s.move(r, Returning, "its work is done; not seen warm yet")
+	case e.Kind == Complete && r.Phase == Out:
+		s.transition(r, Returning, "its work is done; not seen warm yet")
 	case e.Kind == Fail && (r.Phase == Out || r.Phase == Returning):
-		s.move(r, Failed, "somebody said that it failed")
+		s.transition(r, Failed, "somebody said that it failed")
 	case e.Kind == Cancel && r.Phase <= Granted:
-		s.move(r, Cancelled, "somebody cancelled it")
+		s.transition(r, Cancelled, "somebody cancelled it")
 	default:
 		return fmt.Errorf("%q is %s: %s", r.ID, r.Phase, r.Note)
 	}
 	return nil
 }
 
-func (s *State) see(f *Facts) error {
+func (s *State) setFleet(f *FleetState) error {
 	if f == nil || len(f.Machines) > maxMachines || len(f.Needs) > maxMachines {
 		return fmt.Errorf("facts: none, or over %d machines", maxMachines)
 	}
@@ -253,8 +255,8 @@
 		if m.Name == "" || seen[m.Name] != nil || !(m.Capacity >= 0 && m.Capacity < 1e12) || !(m.Warmth >= 0 && m.Warmth <= 1) || m.Health > Up {
 			return fmt.Errorf("facts: machine %q: missing, twice, or with a figure that makes no sense", m.Name)
 		}
-		if len(m.Who) > maxWho || m.Missing < len(m.Who) {
-			return fmt.Errorf("facts: machine %q: over %d names, or more than are missing", m.Name, maxWho)
+		if len(m.UnacknowledgedNames) > maxNames || m.Unacknowledged < len(m.UnacknowledgedNames) {
+			return fmt.Errorf("facts: machine %q: over %d names, or more than are missing", m.Name, maxNames)
 		}
 		seen[m.Name] = &m
 	}
@@ -269,17 +271,17 @@
 		}
 		s.bounds = *f.Bounds
 	}
-	s.facts, s.machines = *f, seen
-	s.seen++
+	s.fleet, s.machines = *f, seen
+	s.fleetUpdates++
 	return nil
 }
 
-func (s *State) want(a *Ask) error {
+func (s *State) submit(a *Ask) error {
 	switch {
 	case a == nil || a.ID == "" || a.Machine == "" || a.Seconds <= 0:
 		return fmt.Errorf("a request needs an id, a machine and how long")
-	case len(a.ID) > maxWord || len(a.Machine) > maxWord || len(a.Why) > maxWord || len(a.By) > maxWord:
-		return fmt.Errorf("a word is over %d bytes", maxWord)
+	case len(a.ID) > maxTextBytes || len(a.Machine) > maxTextBytes || len(a.Why) > maxTextBytes || len(a.By) > maxTextBytes:
+		return fmt.Errorf("a word is over %d bytes", maxTextBytes)
 	}
 	if r := s.requests[a.ID]; r != nil {
 		if r.Ask != *a {
@@ -291,68 +293,69 @@
 		return fmt.Errorf("no machine %q is known", a.Machine)
 	}
 	for _, r := range s.order {
-		if r.Machine == a.Machine && !r.Phase.over() {
+		if r.Machine == a.Machine && !r.Phase.finished() {
 			return fmt.Errorf("%q is asked for as %q already", a.Machine, r.ID)
 		}
 	}
 	if len(s.requests) >= maxRequests {
 		return fmt.Errorf("%d requests are held already", maxRequests)
 	}
-	s.places++
-	r := &Request{Ask: *a, Since: s.now, Place: s.places, Seen: s.seen, Note: "just asked"}
+	s.lastSequence++
+	r := &Request{Ask: *a, Since: s.now, Sequence: s.lastSequence, FleetUpdates: s.fleetUpdates, Note: "just asked"}
 	s.requests[a.ID] = r
 	s.order = append(s.order, r)
 	return nil
 }
 
-// move changes a request's phase and writes it into the record.
-func (s *State) move(r *Request, to Phase, why string) {
+// transition changes a request's phase and adds a line to the record.
+func (s *State) transition(r *Request, to Phase, why string) {
 	s.record = append(s.record, fmt.Sprintf("%d %s %s: %s -> %s: %s", s.now, r.ID, r.Machine, r.Phase, to, why))
-	if len(s.record) > 4*keptOver {
-		s.record = slices.Clone(s.record[keptOver:])
+	if len(s.record) > 4*keptFinished {
+		s.record = slices.Clone(s.record[keptFinished:])
 	}
-	r.Phase, r.Since, r.Note, r.Seen = to, s.now, why, s.seen
+	r.Phase, r.Since, r.Note, r.FleetUpdates = to, s.now, why, s.fleetUpdates
 	if to < Granted || to == Cancelled {
 		r.Permit = 0
 	}
-	if !to.leftAlone() {
-		r.Order = 0
+	if !to.excluded() {
+		r.ExclusionVersion = 0
 	}
 }
 
-// settle moves on all that the bounds allow, and back what they no longer do.
-func (s *State) settle() {
+// advance moves requests to the next phase where the bounds allow it, and back to the queue where they
+// no longer do.
+func (s *State) advance() {
 	for _, r := range s.order {
 		m := s.machines[r.Machine]
 		switch {
-		case r.Phase == Returning && m != nil && m.Health == Up && s.seen > r.Seen:
-			s.move(r, Done, "its machine is seen up and warm")
+		case r.Phase == Returning && m != nil && m.Health == Up && s.fleetUpdates > r.FleetUpdates:
+			s.transition(r, Done, "its machine is seen up and warm")
 		case m == nil && r.Phase <= Granted:
-			s.move(r, Cancelled, "its machine is no longer known")
+			s.transition(r, Cancelled, "its machine is no longer known")
 		}
 	}
 	s.withdraw()
 	for _, r := range s.order {
-		if m := s.machines[r.Machine]; r.Phase == Emptying && m.Empty && s.known(r) && (m.Missing == 0 || s.now >= r.Since+s.bounds.Patience) {
+		if m := s.machines[r.Machine]; r.Phase == Emptying && m.Drained && s.observedSinceExclusion(r) && (m.Unacknowledged == 0 || s.now >= r.Since+s.bounds.AcknowledgeTimeout) {
 			why := "its agents are empty, and nobody sends to it"
-			if m.Missing > 0 {
-				why = fmt.Sprintf("its agents are empty; %s have not said that they send it nothing", m.missing())
+			if m.Unacknowledged > 0 {
+				why = fmt.Sprintf("its agents are empty; %s have not said that they send it nothing", m.unacknowledgedText())
 			}
-			s.permits++
-			s.move(r, Granted, why)
-			r.Permit = s.permits
+			s.lastPermit++
+			s.transition(r, Granted, why)
+			r.Permit = s.lastPermit
 		}
 	}
-	s.begin()
-	s.command()
+	s.startNext()
+	s.updateExcluded()
 	over := 0
 	for _, r := range s.order {
-		if r.Phase.over() {
+		if r.Phase.finished() {
 			over++
 		}
 	}
-	for i := 0; over > keptOver && i < len(s.order); {
-		if r := s.order[i]; r.Phase.over() {
+	for i := 0; over > keptFinished && i < len(s.order); {
+		if r := s.order[i]; r.Phase.finished() {
 			delete(s.requests, r.ID)
 			s.order = slices.Delete(s.order, i, i+1)
 			over--
@@ -362,87 +365,93 @@
 	}
 }
 
-// known tells whether the facts are of a time at which the request's machine was to be left alone.
-func (s *State) known(r *Request) bool { return s.seen > r.Seen && s.facts.Orders >= r.Order }
+// observedSinceExclusion reports whether the current fleet state was observed after the request's machine
+// was put on the exclusion list.
+func (s *State) observedSinceExclusion(r *Request) bool {
+	return s.fleetUpdates > r.FleetUpdates && s.fleet.ExclusionVersion >= r.ExclusionVersion
+}
 
-// missing names who has not said that it sends a machine nothing.
-func (m *Machine) missing() string {
-	text := strings.Join(m.Who, ", ")
-	if more := m.Missing - len(m.Who); more > 0 {
+// unacknowledgedText returns the names of the agents that have not acknowledged the machine's exclusion.
+func (m *Machine) unacknowledgedText() string {
+	text := strings.Join(m.UnacknowledgedNames, ", ")
+	if more := m.Unacknowledged - len(m.UnacknowledgedNames); more > 0 {
 		text += fmt.Sprintf(" and %d more", more)
 	}
 	return text
 }
 
-// command counts the list of machines that are left alone, where it is another.
-func (s *State) command() {
+// updateExcluded recomputes the exclusion list, and increases its version if it has changed.
+func (s *State) updateExcluded() {
 	var names []string
 	for _, r := range s.order {
-		if r.Phase.leftAlone() {
+		if r.Phase.excluded() {
 			names = append(names, r.Machine)
 		}
 	}
 	slices.Sort(names)
-	if !slices.Equal(names, s.alone) {
-		s.alone = names
-		s.orders++
+	if !slices.Equal(names, s.excluded) {
+		s.excluded = names
+		s.exclusionVersion++
 	}
 	for _, r := range s.order {
-		if r.Phase.leftAlone() && r.Order == 0 {
-			r.Order = s.orders
+		if r.Phase.excluded() && r.ExclusionVersion == 0 {
+			r.ExclusionVersion = s.exclusionVersion
 		}
 	}
 }
 
-// Alone is the machines that everybody leaves alone, by name, and the version of that list.
-func (s *State) Alone() (version uint64, names []string) { return s.orders, slices.Clone(s.alone) }
+// Excluded returns the exclusion list, which holds the sorted names of the machines that get no requests
+// from any agent, and its version.
+func (s *State) Excluded() (version uint64, names []string) {
+	return s.exclusionVersion, slices.Clone(s.excluded)
+}
 
-// Awaits tells whether a request waits for new facts, or for a time that has come: then facts are due
-// also where nothing has changed.
-func (s *State) Awaits(now int64) bool {
+// NeedsFleetUpdate reports whether a request waits for a new fleet state, or for a time that has come by
+// now: then a fleet state must be proposed even if the fleet has not changed.
+func (s *State) NeedsFleetUpdate(now int64) bool {
 	due := func(at int64) bool { return s.now < at && at <= now }
 	for _, r := range s.order {
 		switch {
-		case r.Phase == Emptying && (!s.known(r) || due(r.Since+s.bounds.Patience)), r.Phase == Returning && s.seen <= r.Seen, r.Phase == Asked && due(r.NotBefore):
+		case r.Phase == Emptying && (!s.observedSinceExclusion(r) || due(r.Since+s.bounds.AcknowledgeTimeout)), r.Phase == Returning && s.fleetUpdates <= r.FleetUpdates, r.Phase == Asked && due(r.NotBefore):
 			return true
 		}
 	}
 	return false
 }
 
-// Facts are the last that came.
-func (s *State) Facts() Facts { return s.facts }
+// FleetState returns the last fleet state that was applied.
+func (s *State) FleetState() FleetState { return s.fleet }
 
-// Now is the log's time, in seconds.
+// Now returns the log's time, in seconds.
 func (s *State) Now() int64 { return s.now }
 
-// withdraw sends back to work what is not out yet, the youngest first, as long as a bound does not
-// hold in which it has a part.
+// withdraw returns requests whose machines are not out yet to the queue, the latest first, as long as a
+// bound that covers their machine is violated.
 func (s *State) withdraw() {
 	for {
-		away := s.away()
+		away := s.machinesOut()
 		var last *Request
 		broken := ""
 		for _, r := range s.order {
-			if r.Phase != Emptying && r.Phase != Granted || last != nil && (r.Since < last.Since || r.Since == last.Since && r.Place < last.Place) {
+			if r.Phase != Emptying && r.Phase != Granted || last != nil && (r.Since < last.Since || r.Since == last.Since && r.Sequence < last.Sequence) {
 				continue
 			}
-			if why := s.broken(away, r.Machine); why != "" {
+			if why := s.violation(away, r.Machine); why != "" {
 				last, broken = r, why
 			}
 		}
 		if last == nil {
 			return
 		}
-		s.move(last, Asked, "withdrawn: "+broken)
+		s.transition(last, Asked, "withdrawn: "+broken)
 	}
 }
 
-// away is the machines that count as out.
-func (s *State) away() map[string]bool {
+// machinesOut returns the machines that count as out of service.
+func (s *State) machinesOut() map[string]bool {
 	out := map[string]bool{}
 	for _, r := range s.order {
-		if r.Phase.away() || r.Phase == Failed && !s.up(r.Machine) {
+		if r.Phase.countsAsOut() || r.Phase == Failed && !s.up(r.Machine) {
 			out[r.Machine] = true
 		}
 	}
@@ -454,34 +463,35 @@
 	return m != nil && m.Health == Up
 }
 
-// begin lets requests begin, in order, as long as one may.
-func (s *State) begin() {
+// startNext starts queued requests, in order, as long as the bounds allow one.
+func (s *State) startNext() {
 	for {
 		queue := s.queue()
-		away := s.away()
+		away := s.machinesOut()
 		var first *Request
 		for i, r := range queue {
-			why := s.against(r, away)
+			why := s.blockedBy(r, away)
 			if why == "" {
 				first = r
-				// Passed over is who stands before it or has asked before it; who may not go yet, or never, is not.
+				// Requests ahead of it in the queue or submitted before it count as overtaken, unless
+				// they are not due yet or impossible.
 				for k, o := range queue {
-					if (k < i || o.Place < r.Place) && s.now >= o.NotBefore && s.never(o) == "" {
-						o.Passed++
+					if (k < i || o.Sequence < r.Sequence) && s.now >= o.NotBefore && s.impossibleBecause(o) == "" {
+						o.Overtaken++
 					}
 				}
 				break
 			}
 			r.Note = why
-			if r.Passed >= s.bounds.PassedOver && s.now >= r.NotBefore && s.never(r) == "" {
+			if r.Overtaken >= s.bounds.MaxOvertaken && s.now >= r.NotBefore && s.impossibleBecause(r) == "" {
 				for _, o := range queue[i+1:] {
 					if !o.Urgent {
-						o.Note = fmt.Sprintf("%s has been passed over %d times and goes first", r.Machine, r.Passed)
+						o.Note = fmt.Sprintf("%s has been passed over %d times and goes first", r.Machine, r.Overtaken)
 					}
 				}
 				queue = slices.DeleteFunc(slices.Clone(queue[i+1:]), func(o *Request) bool { return !o.Urgent })
 				for _, o := range queue {
-					if why := s.against(o, away); why != "" {
+					if why := s.blockedBy(o, away); why != "" {
 						o.Note = why
 					} else if first == nil {
 						first = o
@@ -493,18 +503,18 @@
 		if first == nil {
 			return
 		}
-		s.move(first, Emptying, "its turn: within all bounds with "+together(away))
+		s.transition(first, Emptying, "its turn: within all bounds with "+outText(away))
 	}
 }
 
-func together(away map[string]bool) string {
+func outText(away map[string]bool) string {
 	if len(away) == 0 {
 		return "nobody else out"
 	}
 	return strings.Join(slices.Sorted(maps.Keys(away)), ", ") + " out"
 }
 
-// queue is who waits, in the order of their turns.
+// queue returns the queued requests in the order in which they are tried.
 func (s *State) queue() (queue []*Request) {
 	for _, r := range s.order {
 		if r.Phase == Asked {
@@ -513,23 +523,23 @@
 	}
 	slices.SortStableFunc(queue, func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(s.rank(a), s.rank(b)), cmp.Compare(s.slack(a), s.slack(b)),
-			cmp.Compare(s.capacity(a.Machine), s.capacity(b.Machine)), cmp.Compare(a.Place, b.Place))
+			cmp.Compare(s.capacity(a.Machine), s.capacity(b.Machine)), cmp.Compare(a.Sequence, b.Sequence))
 	})
 	return queue
 }
 
-// rank puts what is urgent first, then what has been passed over too often.
+// rank orders urgent requests first, then those that were overtaken too often.
 func (s *State) rank(r *Request) int {
 	switch {
 	case r.Urgent:
 		return 0
-	case r.Passed >= s.bounds.PassedOver:
+	case r.Overtaken >= s.bounds.MaxOvertaken:
 		return 1
 	}
 	return 2
 }
 
-// slack is how long a request can still wait, in seconds.
+// slack returns how long a request can still wait, in seconds.
 func (s *State) slack(r *Request) int64 {
 	if r.DueBy == 0 {
 		return 1 << 62
@@ -537,43 +547,44 @@
 	return r.DueBy - r.Seconds - s.now
 }
 
-// capacity is what a machine gives now.
+// capacity returns the capacity that a machine has now.
 func (s *State) capacity(name string) float64 {
 	m := s.machines[name]
 	switch {
 	case m == nil || m.Health == Down:
 		return 0
-	case m.Health == Cold:
+	case m.Health == Warming:
 		return m.Capacity * m.Warmth / 2
 	}
 	return m.Capacity
 }
 
-// against is what stands against a request now; empty: nothing.
-func (s *State) against(r *Request, away map[string]bool) string {
+// blockedBy returns the reason why a request can't start now; empty: it can.
+func (s *State) blockedBy(r *Request, away map[string]bool) string {
 	if s.now < r.NotBefore {
 		return fmt.Sprintf("not before %d", r.NotBefore)
 	}
-	if why := s.never(r); why != "" {
+	if why := s.impossibleBecause(r); why != "" {
 		return why
 	}
-	if len(away) >= maxAway {
+	if len(away) >= maxExcluded {
 		return fmt.Sprintf("%d machines are out, and no more can be told to everybody", len(away))
 	}
 	with := maps.Clone(away)
 	with[r.Machine] = true
-	return s.broken(with, r.Machine)
+	return s.violation(with, r.Machine)
 }
 
-// never is why no state of the fleet could allow a request, and what would mend it; empty: one could.
-func (s *State) never(r *Request) string {
-	best := State{bounds: s.bounds, facts: s.facts, machines: map[string]*Machine{}}
+// impossibleBecause returns the reason why a request would be blocked even with all machines up and no
+// other machine out, and what would help; empty: it could start then.
+func (s *State) impossibleBecause(r *Request) string {
+	best := State{bounds: s.bounds, fleet: s.fleet, machines: map[string]*Machine{}}
 	for name, m := range s.machines {
 		well := *m
 		well.Health = Up
 		best.machines[name] = &well
 	}
-	if why := best.broken(map[string]bool{r.Machine: true}, r.Machine); why != "" {
+	if why := best.violation(map[string]bool{r.Machine: true}, r.Machine); why != "" {
 		return "never, as the fleet is: " + why
 	}
 	return ""
--- a/internal/decide/work/work_test.go
+++ b/internal/decide/work/work_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is n machines of a capacity of 10 in two zones.
-func fleet(n int, change func(i int, m *Machine)) *Facts {
-	f := &Facts{Orders: 1 << 62} // of a time at which all is known
+// fleet returns n machines with a capacity of 10 each, in two zones.
+func fleet(n int, change func(i int, m *Machine)) *FleetState {
+	f := &FleetState{ExclusionVersion: 1 << 62} // newer than any exclusion
 	for i := range n {
 		m := Machine{Name: fmt.Sprint("m", i), Zone: string(rune('a' + i%2)), Kind: "k", Capacity: 10, Health: Up}
 		if change != nil {
@@ -46,61 +46,61 @@
 	return strings.Join(all, ", ")
 }
 
-var wide = Bounds{Reserve: 0, ZoneShare: 1, KindShare: 1, AgentShare: 1, Gateways: 1, PassedOver: 3}
+var permissive = Bounds{Reserve: 0, ZoneShare: 1, KindShare: 1, AgentShare: 1, GatewayShare: 1, MaxOvertaken: 3}
 
-// From asking to done, with what is said twice, crossed and too late.
-func TestOne(t *testing.T) {
-	s := New(wide)
-	apply(t, s, Entry{Kind: See, At: 100, Facts: fleet(4, nil)}, Entry{Kind: Want, At: 101, Ask: ask("r", "m1", 60)}, Entry{Kind: Want, At: 102, Ask: ask("r", "m1", 60)})
+// A request from submission to its end, with repeated, conflicting and late entries.
+func TestRequestLifecycle(t *testing.T) {
+	s := New(permissive)
+	apply(t, s, Entry{Kind: UpdateFleet, At: 100, Fleet: fleet(4, nil)}, Entry{Kind: Submit, At: 101, Ask: ask("r", "m1", 60)}, Entry{Kind: Submit, At: 102, Ask: ask("r", "m1", 60)})
 	if got := phases(s); got != "m1 emptying" {
 		t.Fatal(got)
 	}
-	for _, e := range []Entry{{Kind: Take, ID: "r", Permit: 1}, {Kind: Take, ID: "r"}, {Kind: Back, ID: "r"}, {Kind: Fail, ID: "r"}, {Kind: Cancel, ID: "q"},
-		{Kind: Want, Ask: ask("r", "m2", 60)}, {Kind: Want, Ask: ask("other", "m1", 60)}, {Kind: Want, Ask: ask("z", "m9", 60)}, {Kind: Want, Ask: ask("z", "m2", 0)},
-		{Kind: See}, {Kind: See, Facts: &Facts{Machines: []Machine{{Name: "m", Capacity: math.NaN()}}}}, {Kind: See, Facts: &Facts{Needs: []Need{{Amount: -1}}}}} {
+	for _, e := range []Entry{{Kind: Take, ID: "r", Permit: 1}, {Kind: Take, ID: "r"}, {Kind: Complete, ID: "r"}, {Kind: Fail, ID: "r"}, {Kind: Cancel, ID: "q"},
+		{Kind: Submit, Ask: ask("r", "m2", 60)}, {Kind: Submit, Ask: ask("other", "m1", 60)}, {Kind: Submit, Ask: ask("z", "m9", 60)}, {Kind: Submit, Ask: ask("z", "m2", 0)},
+		{Kind: UpdateFleet}, {Kind: UpdateFleet, Fleet: &FleetState{Machines: []Machine{{Name: "m", Capacity: math.NaN()}}}}, {Kind: UpdateFleet, Fleet: &FleetState{Needs: []Need{{Amount: -1}}}}} {
 		if e.Kind == Take && e.Permit == 0 {
-			continue // nothing was granted: nothing to take, by whatever number
+			continue // no permit was issued yet
 		}
 		if err := s.Apply(e); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%+v: %v", e, err)
 		}
 	}
-	empty := fleet(4, func(i int, m *Machine) { m.Empty = i == 1 })
-	apply(t, s, Entry{Kind: See, At: 103, Facts: empty})
+	empty := fleet(4, func(i int, m *Machine) { m.Drained = i == 1 })
+	apply(t, s, Entry{Kind: UpdateFleet, At: 103, Fleet: empty})
 	if r := s.Requests()[0]; r.Phase != Granted || r.Permit != 1 {
 		t.Fatalf("%+v", r)
 	}
 	apply(t, s, Entry{Kind: Take, At: 104, ID: "r", Permit: 1}, Entry{Kind: Take, At: 104, ID: "r", Permit: 1})
 	if err := s.Apply(Entry{Kind: Cancel, ID: "r"}); err == nil {
-		t.Error("what is out was cancelled")
+		t.Error("a request whose machine is out was cancelled")
 	}
-	apply(t, s, Entry{Kind: See, At: 5000, Facts: empty})
-	if r := s.Requests()[0]; r.Phase != Out || !s.Overdue(&r) || !strings.Contains(s.Why("r"), "overdue by 4836 s") {
-		t.Errorf("%+v; %s", r, s.Why("r"))
+	apply(t, s, Entry{Kind: UpdateFleet, At: 5000, Fleet: empty})
+	if r := s.Requests()[0]; r.Phase != Out || !s.Overdue(&r) || !strings.Contains(s.Explain("r"), "overdue by 4836 s") {
+		t.Errorf("%+v; %s", r, s.Explain("r"))
 	}
-	down := fleet(4, func(i int, m *Machine) { m.Health = map[bool]Health{true: Cold, false: Up}[i == 1] })
-	apply(t, s, Entry{Kind: See, Facts: fleet(4, nil)}, Entry{Kind: Back, At: 10, ID: "r"})
+	down := fleet(4, func(i int, m *Machine) { m.Health = map[bool]Health{true: Warming, false: Up}[i == 1] })
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: fleet(4, nil)}, Entry{Kind: Complete, At: 10, ID: "r"})
 	if got := phases(s); got != "m1 returning" {
-		t.Errorf("what was seen before says nothing: %s", got)
+		t.Errorf("a fleet state from before the return counted: %s", got)
 	}
-	apply(t, s, Entry{Kind: See, At: 11, Facts: down}) // a clock that went back
+	apply(t, s, Entry{Kind: UpdateFleet, At: 11, Fleet: down}) // a clock that was set back
 	if got := phases(s); got != "m1 returning" || s.now != 5000 {
 		t.Errorf("%s at %d", got, s.now)
 	}
-	apply(t, s, Entry{Kind: See, Facts: fleet(4, nil)})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: fleet(4, nil)})
 	if got := phases(s); got != "m1 done" {
 		t.Error(got)
 	}
 }
 
-func TestBadBounds(t *testing.T) {
+func TestInvalidBounds(t *testing.T) {
 	good := DefaultBounds()
 	if key, err := good.Validate(); err != nil {
 		t.Error(key, err)
 	}
 	for key, change := range map[string]func(b *Bounds){
 		"reserve": func(b *Bounds) { b.Reserve = math.NaN() }, "zone_share": func(b *Bounds) { b.ZoneShare = 1.5 }, "kind_share": func(b *Bounds) { b.KindShare = -1 },
-		"agent_share": func(b *Bounds) { b.AgentShare = 2 }, "gateways": func(b *Bounds) { b.Gateways = 2 }, "passed_over": func(b *Bounds) { b.PassedOver = 0 },
+		"agent_share": func(b *Bounds) { b.AgentShare = 2 }, "gateways": func(b *Bounds) { b.GatewayShare = 2 }, "passed_over": func(b *Bounds) { b.MaxOvertaken = 0 },
 	} {
 		b := DefaultBounds()
 		change(&b)
@@ -110,17 +110,17 @@
 	}
 }
 
-// Every bound holds one back, with a sentence that says which and what would mend it.
-func TestBounds(t *testing.T) {
-	one := func(change func(i int, m *Machine)) *Facts { return fleet(6, change) }
-	need := func(f *Facts, zone string, amount float64) *Facts {
+// Each bound blocks a second request, with a reason that says which bound and what would help.
+func TestEachBoundBlocks(t *testing.T) {
+	one := func(change func(i int, m *Machine)) *FleetState { return fleet(6, change) }
+	need := func(f *FleetState, zone string, amount float64) *FleetState {
 		f.Needs = []Need{{Class: "order", Zone: zone, Amount: amount}}
 		return f
 	}
 	for name, c := range map[string]struct {
-		facts  *Facts
+		facts  *FleetState
 		bounds func(b *Bounds)
-		want   string // against the second of m0 and m2, both of zone a; empty: it goes too
+		want   string // the reason against m2, submitted after m0 of the same zone a; empty: it starts too
 	}{
 		"nothing":      {one(nil), nil, ""},
 		"capacity":     {need(one(nil), "", 45), nil, "40 of capacity would be left for a need of 45 with its reserve: 5 more"},
@@ -132,28 +132,28 @@
 		"zone":         {one(nil), func(b *Bounds) { b.ZoneShare = 0.4 }, "2 machines of zone a would be out or broken, of 1"},
 		"kind":         {one(nil), func(b *Bounds) { b.KindShare = 0.2 }, "2 machines of kind k"},
 		"agents":       {one(func(i int, m *Machine) { m.Agent = true }), func(b *Bounds) { b.AgentShare = 0.1 }, "2 machines with agents"},
-		"gateways":     {one(func(i int, m *Machine) { m.Gateway = i < 3 }), func(b *Bounds) { b.Gateways = 0.5 }, "2 machines with gateways"},
+		"gateways":     {one(func(i int, m *Machine) { m.Gateway = i < 3 }), func(b *Bounds) { b.GatewayShare = 0.5 }, "2 machines with gateways"},
 		"council":      {council(one(func(i int, m *Machine) { m.Council = i < 3 })), nil, "1 members of the council would be left, of 3 seats; 2 are a majority"},
 		"promises":     {one(func(i int, m *Machine) { m.Group = "g" }), nil, "m0 and m2 hold the same promises"},
 	} {
-		b := wide
+		b := permissive
 		if c.bounds != nil {
 			c.bounds(&b)
 		}
 		s := New(b)
-		apply(t, s, Entry{Kind: See, Facts: c.facts}, Entry{Kind: Want, Ask: ask("r0", "m0", 60)}, Entry{Kind: Want, Ask: ask("r2", "m2", 60)})
+		apply(t, s, Entry{Kind: UpdateFleet, Fleet: c.facts}, Entry{Kind: Submit, Ask: ask("r0", "m0", 60)}, Entry{Kind: Submit, Ask: ask("r2", "m2", 60)})
 		if got := phases(s); (got == "m0 emptying, m2 emptying") != (c.want == "") || !strings.HasPrefix(got, "m0 emptying") {
 			t.Errorf("%s: %s", name, got)
 		}
-		if !strings.Contains(s.Why("r2"), c.want) {
-			t.Errorf("%s: %s", name, s.Why("r2"))
+		if !strings.Contains(s.Explain("r2"), c.want) {
+			t.Errorf("%s: %s", name, s.Explain("r2"))
 		}
 	}
 }
 
 func cold(m *Machine, is bool) {
 	if is {
-		m.Health, m.Warmth = Cold, 1 // just short of warm: counts for half
+		m.Health, m.Warmth = Warming, 1 // almost warm: counts with half its capacity
 	}
 }
 
@@ -163,66 +163,67 @@
 	}
 }
 
-func council(f *Facts) *Facts {
+func council(f *FleetState) *FleetState {
 	f.Seats = 3
 	return f
 }
 
-// Something breaks: what is not out comes back, the youngest first, its number is void for ever; what
-// is out stays. What is down already may go.
-func TestWithdrawn(t *testing.T) {
-	facts := func(broken ...int) *Facts {
-		f := fleet(6, func(i int, m *Machine) { m.Empty = i < 3; down(m, slices.Contains(broken, i)) })
+// When machines fail, requests whose machines are not out return to the queue, the latest first, and their
+// permit numbers are never valid again; machines that are out stay out. A machine that is down already may
+// be taken out.
+func TestPermitsAreWithdrawn(t *testing.T) {
+	facts := func(broken ...int) *FleetState {
+		f := fleet(6, func(i int, m *Machine) { m.Drained = i < 3; down(m, slices.Contains(broken, i)) })
 		f.Needs = []Need{{Amount: 30}}
 		return f
 	}
-	s := New(wide)
-	apply(t, s, Entry{Kind: See, Facts: facts()})
+	s := New(permissive)
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: facts()})
 	for i := range 3 {
-		apply(t, s, Entry{Kind: Want, At: int64(i), Ask: ask(fmt.Sprint("r", i), fmt.Sprint("m", i), 60)})
+		apply(t, s, Entry{Kind: Submit, At: int64(i), Ask: ask(fmt.Sprint("r", i), fmt.Sprint("m", i), 60)})
 	}
-	apply(t, s, Entry{Kind: See, Facts: facts()}, Entry{Kind: Take, ID: "r0", Permit: 1})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: facts()}, Entry{Kind: Take, ID: "r0", Permit: 1})
 	if got := phases(s); got != "m0 out, m1 granted, m2 granted" {
 		t.Fatal(got)
 	}
-	apply(t, s, Entry{Kind: See, Facts: facts(4)})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: facts(4)})
 	if got := phases(s); got != "m0 out, m1 granted, m2 asked" {
 		t.Fatal(got)
 	}
 	if err := s.Apply(Entry{Kind: Take, ID: "r2", Permit: 3}); err == nil || !strings.Contains(err.Error(), "withdrawn") && !strings.Contains(err.Error(), "capacity") {
-		t.Errorf("a permit that was withdrawn: %v", err)
+		t.Errorf("a withdrawn permit was accepted, or the wrong error: %v", err)
 	}
-	apply(t, s, Entry{Kind: See, Facts: facts(4, 5)})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: facts(4, 5)})
 	if got := phases(s); got != "m0 out, m1 asked, m2 asked" {
 		t.Fatal(got)
 	}
-	apply(t, s, Entry{Kind: See, Facts: facts()})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: facts()})
 	if r := s.Requests()[1]; r.Phase != Granted && r.Phase != Emptying {
 		t.Fatalf("%+v", r)
 	}
-	apply(t, s, Entry{Kind: See, Facts: facts()})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: facts()})
 	for _, r := range s.Requests()[1:] {
 		if r.Permit <= 3 {
-			t.Errorf("a number was given twice: %+v", r)
+			t.Errorf("a permit number was reused: %+v", r)
 		}
 	}
-	apply(t, s, Entry{Kind: See, Facts: facts(3)}, Entry{Kind: Want, Ask: ask("r3", "m3", 60)})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: facts(3)}, Entry{Kind: Submit, Ask: ask("r3", "m3", 60)})
 	if got := phases(s); !strings.HasSuffix(got, "m3 emptying") {
-		t.Errorf("one that is down may go at once: %s: %s", got, s.Why("r3"))
+		t.Errorf("a machine that is down did not start at once: %s: %s", got, s.Explain("r3"))
 	}
 }
 
-// The order: urgent, by slack, by what it takes away; nobody starves; what can never go is in nobody's way.
-func TestOrder(t *testing.T) {
-	b := wide
+// The queue is ordered by urgency, then slack, then the capacity lost; an impossible request blocks no other.
+func TestQueueOrder(t *testing.T) {
+	b := permissive
 	b.KindShare = 0.01 // one at a time
 	s := New(b)
-	f := fleet(12, func(i int, m *Machine) { m.Empty = true; m.Capacity = float64(10 + i) })
+	f := fleet(12, func(i int, m *Machine) { m.Drained = true; m.Capacity = float64(10 + i) })
 	f.Machines[11].Capacity = 1000
 	f.Needs = []Need{{Amount: 300}}
-	big := func(id string, i int) Entry { return Entry{Kind: Want, Ask: ask(id, fmt.Sprint("m", i), 60)} }
-	apply(t, s, Entry{Kind: See, Facts: f}, big("first", 0), big("never", 11), big("small", 1), big("smaller", 2))
-	if w := s.Why("never"); !strings.Contains(w, "never, as the fleet is") || !strings.Contains(w, "of capacity would be left") {
+	big := func(id string, i int) Entry { return Entry{Kind: Submit, Ask: ask(id, fmt.Sprint("m", i), 60)} }
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: f}, big("first", 0), big("never", 11), big("small", 1), big("smaller", 2))
+	if w := s.Explain("never"); !strings.Contains(w, "never, as the fleet is") || !strings.Contains(w, "of capacity would be left") {
 		t.Error(w)
 	}
 	due := ask("due", "m3", 60)
@@ -232,15 +233,15 @@
 	later := ask("later", "m5", 60)
 	later.NotBefore = 100000
 	for _, a := range []*Ask{due, urgent, later} {
-		apply(t, s, Entry{Kind: Want, Ask: a})
+		apply(t, s, Entry{Kind: Submit, Ask: a})
 	}
 	var went []string
 	for range 5 {
-		apply(t, s, Entry{Kind: See, Facts: f})
+		apply(t, s, Entry{Kind: UpdateFleet, Fleet: f})
 		for _, r := range s.Requests() {
 			if r.Phase == Granted {
 				went = append(went, r.ID)
-				apply(t, s, Entry{Kind: Take, ID: r.ID, Permit: r.Permit}, Entry{Kind: Back, ID: r.ID}, Entry{Kind: See, Facts: f})
+				apply(t, s, Entry{Kind: Take, ID: r.ID, Permit: r.Permit}, Entry{Kind: Complete, ID: r.ID}, Entry{Kind: UpdateFleet, Fleet: f})
 				break
 			}
 		}
@@ -250,48 +251,48 @@
 	}
 }
 
-// One that the bounds hold back while others pass goes first in the end, and then nothing else begins.
-func TestNobodyStarves(t *testing.T) {
-	s := New(wide)
+// A blocked request that was overtaken MaxOvertaken times goes first: no other request starts before it.
+func TestOvertakingIsBounded(t *testing.T) {
+	s := New(permissive)
 	f := fleet(8, func(i int, m *Machine) {
-		m.Empty = true
+		m.Drained = true
 		if i == 0 {
-			m.Capacity = 40 // it needs nearly all the room there is
+			m.Capacity = 40 // can be out only while nearly all other machines are up
 		}
 	})
 	f.Needs = []Need{{Amount: 65}}
-	apply(t, s, Entry{Kind: See, Facts: f}, Entry{Kind: Want, Ask: ask("s1", "m1", 60)}, Entry{Kind: Want, Ask: ask("large", "m0", 60)})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: f}, Entry{Kind: Submit, Ask: ask("s1", "m1", 60)}, Entry{Kind: Submit, Ask: ask("large", "m0", 60)})
 	began := func(id string) bool { return s.requests[id].Phase != Asked }
-	for k := 2; k < 40; k++ { // one small one after the other, always one of them out
-		apply(t, s, Entry{Kind: Want, Ask: ask(fmt.Sprint("s", k), fmt.Sprint("m", 1+k%6), 60)})
-		apply(t, s, Entry{Kind: See, Facts: f})
+	for k := 2; k < 40; k++ { // a steady stream of small requests, one of them always out
+		apply(t, s, Entry{Kind: Submit, Ask: ask(fmt.Sprint("s", k), fmt.Sprint("m", 1+k%6), 60)})
+		apply(t, s, Entry{Kind: UpdateFleet, Fleet: f})
 		for _, r := range s.Requests() {
 			if r.Phase == Granted {
 				apply(t, s, Entry{Kind: Take, ID: r.ID, Permit: r.Permit})
 			} else if r.Phase == Out {
-				apply(t, s, Entry{Kind: Back, ID: r.ID}, Entry{Kind: See, Facts: f})
+				apply(t, s, Entry{Kind: Complete, ID: r.ID}, Entry{Kind: UpdateFleet, Fleet: f})
 			}
 		}
 		if began("large") {
-			if s.requests["large"].Passed > wide.PassedOver {
-				t.Errorf("passed over %d times", s.requests["large"].Passed)
+			if s.requests["large"].Overtaken > permissive.MaxOvertaken {
+				t.Errorf("overtaken %d times", s.requests["large"].Overtaken)
 			}
 			return
 		}
 	}
-	t.Errorf("the large one starves: %s", s.Why("large"))
+	t.Errorf("the large request never started: %s", s.Explain("large"))
 }
 
-// The plan is the rule played on, and says who never goes.
+// Plan forecasts the schedule without changing the state, and returns the requests that never start.
 func TestPlan(t *testing.T) {
-	s := New(wide)
+	s := New(permissive)
 	f := fleet(5, nil)
 	f.Needs = []Need{{Amount: 30}}
-	apply(t, s, Entry{Kind: See, At: 1000, Facts: f})
+	apply(t, s, Entry{Kind: UpdateFleet, At: 1000, Fleet: f})
 	for i := range 5 {
 		a := ask(fmt.Sprint("r", i), fmt.Sprint("m", i), 100)
 		a.DueBy = 1150
-		apply(t, s, Entry{Kind: Want, Ask: a})
+		apply(t, s, Entry{Kind: Submit, Ask: a})
 	}
 	before := phases(s)
 	steps, waits := s.Plan()
@@ -304,21 +305,21 @@
 		t.Errorf("%v, want %s; waits %v; %s", text, want, waits, phases(s))
 	}
 	f.Needs[0].Amount = 45
-	apply(t, s, Entry{Kind: See, Facts: f})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: f})
 	if _, waits = s.Plan(); len(waits) != 5 || !strings.Contains(waits["r0"], "never") {
 		t.Errorf("%v", waits)
 	}
 }
 
-// search walks all that a short alphabet of entries can come to, and checks each step.
-func search(t *testing.T, depth int, facts []*Facts, entries []Entry, b Bounds) (states int) {
+// explore visits all states that up to depth of the given entries lead to, and checks each step.
+func explore(t *testing.T, depth int, facts []*FleetState, entries []Entry, b Bounds) (states int) {
 	type at struct {
 		s   *State
 		log []Entry
 	}
 	seen := map[string]bool{}
 	todo := []at{{s: New(b)}}
-	apply(t, todo[0].s, Entry{Kind: See, Facts: facts[0]})
+	apply(t, todo[0].s, Entry{Kind: UpdateFleet, Fleet: facts[0]})
 	for len(todo) > 0 {
 		x := todo[0]
 		todo = todo[1:]
@@ -327,18 +328,18 @@
 		}
 		next := slices.Clone(entries)
 		for _, f := range facts {
-			next = append(next, Entry{Kind: See, Facts: f})
+			next = append(next, Entry{Kind: UpdateFleet, Fleet: f})
 		}
 		for _, r := range x.s.Requests() {
-			for p := uint64(1); p <= x.s.permits; p++ {
+			for p := uint64(1); p <= x.s.lastPermit; p++ {
 				next = append(next, Entry{Kind: Take, ID: r.ID, Permit: p})
 			}
-			next = append(next, Entry{Kind: Back, ID: r.ID}, Entry{Kind: Cancel, ID: r.ID}, Entry{Kind: Fail, ID: r.ID})
+			next = append(next, Entry{Kind: Complete, ID: r.ID}, Entry{Kind: Cancel, ID: r.ID}, Entry{Kind: Fail, ID: r.ID})
 		}
 		for _, e := range next {
 			s := x.s.clone()
 			err := s.Apply(e)
-			if why := sound(x.s, s, &e, err); why != "" {
+			if why := violatedInvariant(x.s, s, &e, err); why != "" {
 				t.Fatalf("%s\nafter %+v\nthen %+v (%v)\n%v", why, x.log, e, err, s.record)
 			}
 			snap := s.Snapshot()
@@ -356,58 +357,59 @@
 	return len(seen)
 }
 
-// sound holds one step against what must always be; empty: all holds.
-func sound(before, after *State, e *Entry, err error) string {
+// violatedInvariant checks one step against the invariants, and returns a message; empty: all hold.
+func violatedInvariant(before, after *State, e *Entry, err error) string {
 	numbers := map[uint64]string{}
 	for _, r := range after.Requests() {
 		was := before.requests[r.ID]
 		if r.Permit > 0 {
-			if numbers[r.Permit] != "" || r.Permit > after.permits {
-				return fmt.Sprintf("permit %d is %s's and %s's", r.Permit, numbers[r.Permit], r.ID)
+			if numbers[r.Permit] != "" || r.Permit > after.lastPermit {
+				return fmt.Sprintf("permit %d belongs to both %s and %s", r.Permit, numbers[r.Permit], r.ID)
 			}
 			numbers[r.Permit] = r.ID
-			if (was == nil || was.Permit != r.Permit) && r.Permit <= before.permits {
-				return fmt.Sprintf("permit %d is given again", r.Permit)
+			if (was == nil || was.Permit != r.Permit) && r.Permit <= before.lastPermit {
+				return fmt.Sprintf("permit %d is issued again", r.Permit)
 			}
 		}
 		switch {
 		case was == nil:
-		case was.Phase == Out && r.Phase != Out && !(e.Kind == Back || e.Kind == Fail):
-			return r.ID + " came back by itself"
+		case was.Phase == Out && r.Phase != Out && !(e.Kind == Complete || e.Kind == Fail):
+			return r.ID + " left Out without a Complete or Fail entry"
 		case was.Phase != Out && r.Phase == Out && !(e.Kind == Take && was.Phase == Granted && e.Permit == was.Permit):
 			return r.ID + " went out without its permit"
-		case was.Phase.over() && r.Phase != was.Phase:
-			return r.ID + " came back from the dead"
+		case was.Phase.finished() && r.Phase != was.Phase:
+			return r.ID + " left a final phase"
 		}
-		// Whoever begins does so within all bounds, with all that are away counted.
+		// A request starts only within all bounds, with all machines counted that are out.
 		if began := r.Phase == Emptying && (was == nil || was.Phase == Asked); began {
-			if why := after.broken(after.away(), r.Machine); why != "" {
+			if why := after.violation(after.machinesOut(), r.Machine); why != "" {
 				return r.ID + " has begun, though " + why
 			}
 		}
-		// And what is emptying or granted is held to them after each step.
+		// The bounds also hold for Emptying and Granted requests after each step.
 		if r.Phase == Emptying || r.Phase == Granted {
-			if why := after.broken(after.away(), r.Machine); why != "" {
+			if why := after.violation(after.machinesOut(), r.Machine); why != "" {
 				return r.ID + " is not withdrawn, though " + why
 			}
 		}
 	}
 	if err != nil && !reflect.DeepEqual(before.Requests(), after.Requests()) {
-		return "an entry that was turned down changed something"
+		return "a rejected entry changed a request"
 	}
 	return ""
 }
 
-// Everything that four machines, three requests and the crashes of one can come to in seven entries.
-func TestSearch(t *testing.T) {
-	b := wide
+// All states of four machines and three requests, with a crash of one machine, in up to five entries (seven
+// with -work.deep).
+func TestExploreStates(t *testing.T) {
+	b := permissive
 	b.ZoneShare = 0.5
-	need := func(f *Facts) *Facts { f.Needs = []Need{{Amount: 20}}; f.Seats = 3; return f }
+	need := func(f *FleetState) *FleetState { f.Needs = []Need{{Amount: 20}}; f.Seats = 3; return f }
 	grouped := func(i int, m *Machine) { m.Council = i < 3; m.Group = map[bool]string{true: "g"}[i == 0 || i == 3] }
-	facts := []*Facts{
+	facts := []*FleetState{
 		need(fleet(4, grouped)),
-		need(fleet(4, func(i int, m *Machine) { grouped(i, m); m.Empty = true })),
-		need(fleet(4, func(i int, m *Machine) { grouped(i, m); m.Empty = true; down(m, i == 1) })),
+		need(fleet(4, func(i int, m *Machine) { grouped(i, m); m.Drained = true })),
+		need(fleet(4, func(i int, m *Machine) { grouped(i, m); m.Drained = true; down(m, i == 1) })),
 		need(fleet(4, func(i int, m *Machine) { grouped(i, m); cold(m, i == 0) })),
 	}
 	urgent := ask("c", "m3", 30)
@@ -416,14 +418,14 @@
 	if *deep {
 		depth = 7
 	}
-	states := search(t, depth, facts, []Entry{{Kind: Want, At: 1, Ask: ask("a", "m0", 60)}, {Kind: Want, At: 2, Ask: ask("b", "m1", 60)}, {Kind: Want, At: 3, Ask: urgent}}, b)
+	states := explore(t, depth, facts, []Entry{{Kind: Submit, At: 1, Ask: ask("a", "m0", 60)}, {Kind: Submit, At: 2, Ask: ask("b", "m1", 60)}, {Kind: Submit, At: 3, Ask: urgent}}, b)
 	t.Logf("%d states", states)
 	if states < 500 {
-		t.Error("it went nowhere")
+		t.Error("fewer than 500 states were explored")
 	}
 }
 
-// A log replayed, and one restored from a snapshot in its middle, come to the same.
+// A State that is restored from a snapshot in the middle of a log ends like one that applied the whole log.
 func TestReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []Entry
@@ -431,27 +433,27 @@
 			e := Entry{Kind: Kind(rapid.IntRange(0, 5).Draw(t, "kind")), At: rapid.Int64Range(0, 500).Draw(t, "at")}
 			id := fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "id"))
 			switch e.Kind {
-			case See:
+			case UpdateFleet:
 				bits := rapid.IntRange(0, 1<<12-1).Draw(t, "health")
-				e.Facts = fleet(6, func(i int, m *Machine) {
+				e.Fleet = fleet(6, func(i int, m *Machine) {
 					m.Health = Health(min(bits>>(2*i)&3, 2))
 					m.Warmth = 0.5
-					m.Empty = bits>>i&1 == 1
+					m.Drained = bits>>i&1 == 1
 				})
-				e.Facts.Needs = []Need{{Amount: rapid.Float64Range(0, 60).Draw(t, "need")}}
-			case Want:
+				e.Fleet.Needs = []Need{{Amount: rapid.Float64Range(0, 60).Draw(t, "need")}}
+			case Submit:
 				e.Ask = ask(id, "m"+id[1:], 50)
 			default:
 				e.ID, e.Permit = id, rapid.Uint64Range(0, 8).Draw(t, "permit")
 			}
 			log = append(log, e)
 		}
-		one, other := New(wide), New(wide)
+		one, other := New(permissive), New(permissive)
 		half := rapid.IntRange(0, len(log)).Draw(t, "half")
 		for i, e := range log {
 			before := one.clone()
 			err := one.Apply(e)
-			if why := sound(before, one, &e, err); why != "" {
+			if why := violatedInvariant(before, one, &e, err); why != "" {
 				t.Fatal(why)
 			}
 			if i == half {
@@ -461,7 +463,7 @@
 					t.Fatal(err)
 				}
 				var err error
-				if other, err = Restore(wide, n); err != nil {
+				if other, err = Restore(permissive, n); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -476,8 +478,8 @@
 	})
 }
 
-// best is the shortest time for all, by trying every order with the same bounds.
-func best(s *State, ids []string, now int64, ends map[string]int64) int64 {
+// shortestMakespan returns the earliest end of all requests, by trying every order under the same bounds.
+func shortestMakespan(s *State, ids []string, now int64, ends map[string]int64) int64 {
 	least := int64(math.MaxInt64)
 	away := map[string]bool{}
 	for m, end := range ends {
@@ -493,27 +495,27 @@
 	}
 	for i, id := range ids {
 		r := s.requests[id]
-		if s.against(r, away) != "" {
+		if s.blockedBy(r, away) != "" {
 			continue
 		}
 		ends[r.Machine] = now + r.Seconds
-		least = min(least, best(s, slices.Delete(slices.Clone(ids), i, i+1), now, ends))
+		least = min(least, shortestMakespan(s, slices.Delete(slices.Clone(ids), i, i+1), now, ends))
 		delete(ends, r.Machine)
 	}
-	next := int64(math.MaxInt64) // or wait for the next to come back
+	next := int64(math.MaxInt64) // or wait until the next machine is back
 	for _, end := range ends {
 		if end > now {
 			next = min(next, end)
 		}
 	}
 	if next < math.MaxInt64 {
-		least = min(least, best(s, ids, next, ends))
+		least = min(least, shortestMakespan(s, ids, next, ends))
 	}
 	return least
 }
 
-// Against the best order at small sizes: the time for all, over drawn fleets and durations.
-func TestAgainstTheBest(t *testing.T) {
+// For small random fleets the time for all requests is close to the optimum, which is found by brute force.
+func TestMakespanAgainstOptimal(t *testing.T) {
 	worst, sum, n := 0.0, 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(3, 4).Draw(t, "size")
@@ -524,13 +526,13 @@
 			large = max(large, m.Capacity)
 		}
 		f.Needs = []Need{{Amount: (total - large) * rapid.Float64Range(0.3, 0.9).Draw(t, "need")}}
-		s := New(wide)
-		s.see(f)
+		s := New(permissive)
+		s.setFleet(f)
 		var ids []string
 		for i := range size {
 			a := ask(fmt.Sprint("r", i), fmt.Sprint("m", i), int64(rapid.IntRange(10, 100).Draw(t, "seconds")))
-			a.DueBy = 1 // all due at once: the longest has the least slack
-			if err := s.want(a); err != nil {
+			a.DueBy = 1 // all have the same deadline, so the longest has the least slack
+			if err := s.submit(a); err != nil {
 				t.Fatal(err)
 			}
 			ids = append(ids, a.ID)
@@ -543,67 +545,67 @@
 		for _, x := range steps {
 			all = max(all, x.End)
 		}
-		ratio := float64(all) / float64(best(s, ids, 0, map[string]int64{}))
+		ratio := float64(all) / float64(shortestMakespan(s, ids, 0, map[string]int64{}))
 		worst, sum, n = max(worst, ratio), sum+ratio, n+1
 	})
-	t.Logf("%d fleets: %.3f of the best in the mean, %.3f at worst", n, sum/float64(n), worst)
+	t.Logf("%d fleets: %.3f of the optimum on average, %.3f at worst", n, sum/float64(n), worst)
 	if mean := sum / float64(n); mean > 1.2 {
-		t.Errorf("%.3f of the best in the mean", mean)
+		t.Errorf("%.3f of the optimum on average", mean)
 	}
 }
 
-// The orders name who is left alone, under a version that each change counts; facts of an older one grant
-// nothing; a permit waits for the word of those who still send there until patience is over, and then
-// names them.
-func TestOrders(t *testing.T) {
-	b := wide
-	b.Patience = 30
+// The exclusion list has a version that increases with each change. A fleet state with an older version
+// grants no permit. A permit waits for the missing acknowledgements until AcknowledgeTimeout, and then its
+// note names the agents.
+func TestExclusionVersions(t *testing.T) {
+	b := permissive
+	b.AcknowledgeTimeout = 30
 	s := New(b)
 	holds := func(when string, version uint64, names ...string) {
 		t.Helper()
 		for _, o := range []*State{s, must(Restore(b, s.Snapshot()))} {
-			if v, alone := o.Alone(); v != version || !slices.Equal(alone, names) {
+			if v, alone := o.Excluded(); v != version || !slices.Equal(alone, names) {
 				t.Errorf("%s: version %d of %v, want %d of %v", when, v, alone, version, names)
 			}
 		}
 	}
-	f := func(orders uint64, missing int) *Facts {
-		f := fleet(4, func(i int, m *Machine) { m.Empty, m.Missing = true, missing })
+	f := func(orders uint64, missing int) *FleetState {
+		f := fleet(4, func(i int, m *Machine) { m.Drained, m.Unacknowledged = true, missing })
 		for i := range f.Machines {
-			f.Machines[i].Who = []string{"a1", "a2"}[:min(missing, 2)]
+			f.Machines[i].UnacknowledgedNames = []string{"a1", "a2"}[:min(missing, 2)]
 		}
-		f.Orders = orders
+		f.ExclusionVersion = orders
 		return f
 	}
-	apply(t, s, Entry{Kind: See, At: 10, Facts: f(0, 0)})
-	holds("nobody asked", 0)
-	apply(t, s, Entry{Kind: Want, At: 11, Ask: ask("r0", "m0", 60)})
-	holds("one empties", 1, "m0")
-	apply(t, s, Entry{Kind: See, At: 12, Facts: f(0, 0)})
-	if got := phases(s); got != "m0 emptying" || !s.Awaits(12) {
-		t.Errorf("granted by facts of before: %s", got)
-	}
-	apply(t, s, Entry{Kind: See, At: 13, Facts: f(1, 3)})
-	if got := phases(s); got != "m0 emptying" || s.Awaits(40) || !strings.Contains(s.Why("r0"), "a1, a2 and 1 more") {
-		t.Errorf("%s; %s", got, s.Why("r0"))
-	}
-	apply(t, s, Entry{Kind: Cancel, At: 14, ID: "r0"}, Entry{Kind: Want, At: 15, Ask: ask("r1", "m0", 60)})
-	holds("off the list and on it", 3, "m0")
-	apply(t, s, Entry{Kind: See, At: 16, Facts: f(1, 0)})
+	apply(t, s, Entry{Kind: UpdateFleet, At: 10, Fleet: f(0, 0)})
+	holds("no request", 0)
+	apply(t, s, Entry{Kind: Submit, At: 11, Ask: ask("r0", "m0", 60)})
+	holds("one machine drains", 1, "m0")
+	apply(t, s, Entry{Kind: UpdateFleet, At: 12, Fleet: f(0, 0)})
+	if got := phases(s); got != "m0 emptying" || !s.NeedsFleetUpdate(12) {
+		t.Errorf("granted by a fleet state from before the exclusion: %s", got)
+	}
+	apply(t, s, Entry{Kind: UpdateFleet, At: 13, Fleet: f(1, 3)})
+	if got := phases(s); got != "m0 emptying" || s.NeedsFleetUpdate(40) || !strings.Contains(s.Explain("r0"), "a1, a2 and 1 more") {
+		t.Errorf("%s; %s", got, s.Explain("r0"))
+	}
+	apply(t, s, Entry{Kind: Cancel, At: 14, ID: "r0"}, Entry{Kind: Submit, At: 15, Ask: ask("r1", "m0", 60)})
+	holds("removed and added again", 3, "m0")
+	apply(t, s, Entry{Kind: UpdateFleet, At: 16, Fleet: f(1, 0)})
 	if got := phases(s); got != "m0 cancelled, m0 emptying" {
-		t.Errorf("granted by what was said of the time before: %s", got)
+		t.Errorf("granted by acknowledgements of an earlier exclusion: %s", got)
 	}
-	if !s.Awaits(45) {
-		t.Error("nobody is told that patience is over")
+	if !s.NeedsFleetUpdate(45) {
+		t.Error("no fleet update is due when the acknowledge time-out is over")
 	}
-	apply(t, s, Entry{Kind: See, At: 45, Facts: f(3, 3)})
+	apply(t, s, Entry{Kind: UpdateFleet, At: 45, Fleet: f(3, 3)})
 	if r := s.Requests()[1]; r.Phase != Granted || r.Permit != 1 || !strings.Contains(r.Note, "a1, a2 and 1 more have not said") {
 		t.Errorf("%+v", r)
 	}
-	apply(t, s, Entry{Kind: Take, ID: "r1", Permit: 1}, Entry{Kind: Back, ID: "r1"})
+	apply(t, s, Entry{Kind: Take, ID: "r1", Permit: 1}, Entry{Kind: Complete, ID: "r1"})
 	holds("back", 4)
-	if s.Apply(Entry{Kind: See, Facts: &Facts{Machines: []Machine{{Name: "m", Who: []string{"a"}}}}}) == nil {
-		t.Error("more are named than are missing")
+	if s.Apply(Entry{Kind: UpdateFleet, Fleet: &FleetState{Machines: []Machine{{Name: "m", UnacknowledgedNames: []string{"a"}}}}}) == nil {
+		t.Error("a fleet state with more names than unacknowledged agents was accepted")
 	}
 }
 
@@ -614,31 +616,31 @@
 	return s
 }
 
-// What was seen before a machine was to empty says nothing of it; one that returns still counts.
-func TestSeenSince(t *testing.T) {
-	b := wide
+// A fleet state from before a phase began doesn't count for it, and a returning machine still counts as out.
+func TestOnlyNewerFleetStatesCount(t *testing.T) {
+	b := permissive
 	b.KindShare = 0.01
 	s := New(b)
-	empty := fleet(4, func(_ int, m *Machine) { m.Empty = true })
-	apply(t, s, Entry{Kind: See, Facts: empty}, Entry{Kind: Want, Ask: ask("r0", "m0", 60)}, Entry{Kind: Want, Ask: ask("r1", "m1", 60)})
+	empty := fleet(4, func(_ int, m *Machine) { m.Drained = true })
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: empty}, Entry{Kind: Submit, Ask: ask("r0", "m0", 60)}, Entry{Kind: Submit, Ask: ask("r1", "m1", 60)})
 	if got := phases(s); got != "m0 emptying, m1 asked" {
 		t.Fatal(got)
 	}
-	apply(t, s, Entry{Kind: See, Facts: empty}, Entry{Kind: Take, ID: "r0", Permit: 1}, Entry{Kind: Back, ID: "r0"})
-	apply(t, s, Entry{Kind: See, Facts: fleet(4, func(i int, m *Machine) { cold(m, i == 0) })})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: empty}, Entry{Kind: Take, ID: "r0", Permit: 1}, Entry{Kind: Complete, ID: "r0"})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: fleet(4, func(i int, m *Machine) { cold(m, i == 0) })})
 	if got := phases(s); got != "m0 returning, m1 asked" {
 		t.Error(got)
 	}
-	apply(t, s, Entry{Kind: See, Facts: empty})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: empty})
 	if got := phases(s); got != "m0 done, m1 emptying" {
 		t.Error(got)
 	}
 }
 
-// Who was passed over and then can never go, is in nobody's way.
-func TestNeverIsInNobodysWay(t *testing.T) {
-	s := New(wide)
-	f := func(need float64) *Facts {
+// A request that was overtaken too often and has become impossible doesn't block others.
+func TestImpossibleRequestBlocksNothing(t *testing.T) {
+	s := New(permissive)
+	f := func(need float64) *FleetState {
 		f := fleet(6, func(i int, m *Machine) {
 			if i == 0 {
 				m.Capacity = 50
@@ -647,23 +649,23 @@
 		f.Needs = []Need{{Amount: need}}
 		return f
 	}
-	apply(t, s, Entry{Kind: See, Facts: f(50)}, Entry{Kind: Want, Ask: ask("large", "m0", 60)})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: f(50)}, Entry{Kind: Submit, Ask: ask("large", "m0", 60)})
 	if got := phases(s); got != "m0 emptying" {
 		t.Fatal(got)
 	}
-	apply(t, s, Entry{Kind: See, Facts: f(60)})
-	s.requests["large"].Passed = wide.PassedOver
-	apply(t, s, Entry{Kind: Want, Ask: ask("small", "m1", 60)})
-	if got := phases(s); got != "m0 asked, m1 emptying" || !strings.Contains(s.Why("large"), "never") {
-		t.Errorf("%s; %s", got, s.Why("large"))
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: f(60)})
+	s.requests["large"].Overtaken = permissive.MaxOvertaken
+	apply(t, s, Entry{Kind: Submit, Ask: ask("small", "m1", 60)})
+	if got := phases(s); got != "m0 asked, m1 emptying" || !strings.Contains(s.Explain("large"), "never") {
+		t.Errorf("%s; %s", got, s.Explain("large"))
 	}
 }
 
-// A machine that is no longer known ends what was asked of it, and holds nobody else up.
-func TestMachineGone(t *testing.T) {
-	s := New(wide)
-	apply(t, s, Entry{Kind: See, Facts: fleet(4, nil)}, Entry{Kind: Want, Ask: ask("r3", "m3", 60)}, Entry{Kind: Want, Ask: ask("r0", "m0", 60)})
-	apply(t, s, Entry{Kind: See, Facts: fleet(2, func(_ int, m *Machine) { m.Empty = true })})
+// A request is cancelled when its machine is no longer configured, and doesn't block others.
+func TestUnknownMachineCancelsItsRequest(t *testing.T) {
+	s := New(permissive)
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: fleet(4, nil)}, Entry{Kind: Submit, Ask: ask("r3", "m3", 60)}, Entry{Kind: Submit, Ask: ask("r0", "m0", 60)})
+	apply(t, s, Entry{Kind: UpdateFleet, Fleet: fleet(2, func(_ int, m *Machine) { m.Drained = true })})
 	if got := phases(s); got != "m3 cancelled, m0 granted" {
 		t.Error(got)
 	}
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -179,7 +179,7 @@
 	if o.Log.Account {
 		account = func(r *loss.Record) {
 			if text, err := json.Marshal(r); err == nil { // values only
-				log.Info(loss.Mark, "record", string(text))
+				log.Info(loss.LogMessage, "record", string(text))
 			}
 		}
 	}
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -32,7 +32,7 @@
 	a    *Agent
 	set  *operator.Work
 	seat *seat.Seat
-	ours *orders.Machine
+	ours *orders.Agent
 	ctx  context.Context // ends the seat
 	end  context.CancelFunc
 	// of is which machine a server is on, by its host's address. It does not change.
@@ -106,21 +106,21 @@
 // heartbeat is once a period: what the council has everybody do is done here, and said.
 func (w *workPart) heartbeat() {
 	view, _ := w.peers.View()
-	if w.ours.Hear(orders.Reported(&view)) {
-		w.a.log.Info("work: left alone by the council's word", "machines", w.ours.Machines())
+	if w.ours.Update(orders.PublishedLists(&view)) {
+		w.a.log.Info("work: left alone by the council's word", "machines", w.ours.ExcludedMachines())
 	}
 	known := w.a.core.Known()
 	v := w.ours.Apply(known.List.Servers)
-	if !slices.Equal(v.Alone, w.alone) {
-		w.alone = v.Alone
-		w.a.core.LeaveAlone(v.Alone) // in force when it returns
+	if !slices.Equal(v.Servers, w.alone) {
+		w.alone = v.Servers
+		w.a.core.LeaveAlone(v.Servers) // in force when it returns
 	}
-	if v.Why != w.said {
-		if w.said = v.Why; v.Why != "" {
-			w.a.log.Warn("work: this agent does not do all that the council says", "why", v.Why)
+	if v.Reason != w.said {
+		if w.said = v.Reason; v.Reason != "" {
+			w.a.log.Warn("work: this agent does not do all that the council says", "why", v.Reason)
 		}
 	}
-	switch leaves := w.ours.Leaves(); {
+	switch leaves := w.ours.OwnExcluded(); {
 	case leaves && !w.left && !w.a.life.Evacuated():
 		w.left = w.a.life.Evacuate() == nil
 		w.a.log.Info("work: this machine is to be left; clients are sent away")
@@ -154,10 +154,10 @@
 }
 
 // sight is what the agent sees of servers and needs, for the member that leads.
-func (w *workPart) sight(view members.View) work.Sight {
-	s := work.Sight{Bounds: w.set.Bounds()}
+func (w *workPart) sight(view members.View) work.Observation {
+	s := work.Observation{Bounds: w.set.Bounds()}
 	for _, m := range w.set.Machines {
-		s.Places = append(s.Places, work.Place{Name: m.Name, Zone: m.Zone, Kind: m.Kind, Capacity: m.Capacity})
+		s.Specs = append(s.Specs, work.MachineSpec{Name: m.Name, Zone: m.Zone, Kind: m.Kind, Capacity: m.Capacity})
 	}
 	known, heard := w.a.core.Known(), hearsay.Gather(&view)
 	now := float64(time.Now().UnixMilli())
@@ -187,7 +187,7 @@
 		total += n.Amount
 	}
 	if w.set.Measured {
-		if more := w.peak.Note(time.Now().Unix(), work.Taken(&view)) - total; more > 0 {
+		if more := w.peak.Add(time.Now().Unix(), work.RequestRate(&view)) - total; more > 0 {
 			s.Needs = append(s.Needs, work.Need{Class: "measured", Amount: more})
 		}
 	}
--- a/internal/process/operator/work.go
+++ b/internal/process/operator/work.go
@@ -50,7 +50,7 @@
 func defaultWork() Work {
 	b := work.DefaultBounds()
 	return Work{Seats: 3, ReplaceAfter: Duration(time.Minute), Reserve: b.Reserve, ZoneShare: b.ZoneShare, KindShare: b.KindShare, AgentShare: b.AgentShare,
-		Gateways: b.Gateways, PassedOver: b.PassedOver, Patience: Duration(time.Duration(b.Patience) * time.Second)}
+		Gateways: b.GatewayShare, PassedOver: b.MaxOvertaken, Patience: Duration(time.Duration(b.AcknowledgeTimeout) * time.Second)}
 }
 
 // On tells whether machines can be taken out.
@@ -58,14 +58,14 @@
 
 // Bounds are those of package work.
 func (w *Work) Bounds() work.Bounds {
-	return work.Bounds{Reserve: w.Reserve, ZoneShare: w.ZoneShare, KindShare: w.KindShare, AgentShare: w.AgentShare, Gateways: w.Gateways,
-		PassedOver: w.PassedOver, Patience: int64(time.Duration(w.Patience) / time.Second)}
+	return work.Bounds{Reserve: w.Reserve, ZoneShare: w.ZoneShare, KindShare: w.KindShare, AgentShare: w.AgentShare, GatewayShare: w.Gateways,
+		MaxOvertaken: w.PassedOver, AcknowledgeTimeout: int64(time.Duration(w.Patience) / time.Second)}
 }
 
 // Places are the machines as package orders has them.
-func (w *Work) Places() (places []orders.Place) {
+func (w *Work) Places() (places []orders.MachineServers) {
 	for _, m := range w.Machines {
-		p := orders.Place{Name: m.Name}
+		p := orders.MachineServers{Name: m.Name}
 		for _, host := range m.Servers {
 			p.Servers = append(p.Servers, roster.AddrOf(host))
 		}
--- a/internal/process/seat/calls.go
+++ b/internal/process/seat/calls.go
@@ -47,7 +47,7 @@
 	if c.Do == Hold {
 		return e, true
 	}
-	kind, ok := map[Do]work.Kind{Ask: work.Want, Take: work.Take, Back: work.Back, Cancel: work.Cancel, Fail: work.Fail}[c.Do]
+	kind, ok := map[Do]work.Kind{Ask: work.Submit, Take: work.Take, Back: work.Complete, Cancel: work.Cancel, Fail: work.Fail}[c.Do]
 	return work.Entry{Kind: kind, At: now, ID: c.ID, Permit: c.Permit, Ask: c.Ask}, ok
 }
 
@@ -146,10 +146,10 @@
 func (s *Seat) report(do Do) *Report {
 	st, state := s.machine.Status(), s.machine.State()
 	r := &Report{From: s.opt.Name, Leader: s.nameOf(st.Leader), Voters: s.namesOf(st.Voters), Learners: s.namesOf(st.Learners), Term: st.Term,
-		Applied: st.Applied, AgeMs: int64(time.Duration(st.Age) * s.opt.Tick / time.Millisecond), Now: state.Now(), Requests: []Request{}}
-	r.Orders, r.Alone = state.Alone()
+		Applied: st.Applied, AgeMs: int64(time.Duration(st.LeaderAge) * s.opt.Tick / time.Millisecond), Now: state.Now(), Requests: []Request{}}
+	r.Orders, r.Alone = state.Excluded()
 	facts := map[string]*work.Machine{}
-	f := state.Facts()
+	f := state.FleetState()
 	for i := range f.Machines {
 		facts[f.Machines[i].Name] = &f.Machines[i]
 	}
@@ -163,9 +163,9 @@
 			}
 		}
 		one := Request{ID: q.ID, Machine: q.Machine, Phase: q.Phase.String(), Permit: q.Permit, Since: q.Since, Seconds: q.Seconds, NotBefore: q.NotBefore,
-			DueBy: q.DueBy, Urgent: q.Urgent, Overdue: state.Overdue(q), By: q.By, For: q.Ask.Why, Why: state.Why(q.ID)}
+			DueBy: q.DueBy, Urgent: q.Urgent, Overdue: state.Overdue(q), By: q.By, For: q.Ask.Why, Why: state.Explain(q.ID)}
 		if m := facts[q.Machine]; m != nil && q.Phase == work.Emptying {
-			one.Missing = m.Who
+			one.Missing = m.UnacknowledgedNames
 		}
 		r.Requests = append(r.Requests, one)
 	}
--- a/internal/process/seat/seat.go
+++ b/internal/process/seat/seat.go
@@ -47,7 +47,7 @@
 	Seed         uint64
 	Fleet        Fleet
 	// Sight is what the agent sees, but for what the council itself knows; asked by the member that leads.
-	Sight func(v members.View) work.Sight
+	Sight func(v members.View) work.Observation
 	Log   *slog.Logger
 }
 
@@ -83,7 +83,7 @@
 
 	// Run's.
 	disk    *store.Store
-	machine *council.Machine // nil: it does not sit, or its disk is another process's still
+	machine *council.Member // nil: it does not sit, or its disk is another process's still
 	chooser seats.Chooser
 	ticks   int
 	number  uint64 // of the last call that was brought to another
@@ -105,7 +105,7 @@
 // New makes a part; Run drives it. An error is of a folder that can't be used; one whose contents are
 // damaged is told, and the agent sits nowhere.
 func New(o Options) (*Seat, error) {
-	s := &Seat{opt: o, in: make(chan input, 1024), ended: make(chan struct{}), chooser: seats.Chooser{Size: o.Seats, After: int(o.ReplaceAfter / (sights * o.Tick))},
+	s := &Seat{opt: o, in: make(chan input, 1024), ended: make(chan struct{}), chooser: seats.Chooser{Size: o.Seats, ReplaceAfter: int(o.ReplaceAfter / (sights * o.Tick))},
 		agreed: map[uint64][]waiting{}, brought: map[uint64]waiting{}, asks: map[string]int{}, rng: rand.New(rand.NewPCG(o.Seed, 0x73656174))}
 	if err := s.open(); errors.Is(err, errContents) {
 		s.opt.Log.Error("work: the agent serves without its seat; its folder has to be emptied, and it comes in as a new member", "err", err)
@@ -135,7 +135,7 @@
 	}
 	saved, err := s.disk.Load()
 	if err == nil {
-		s.machine, err = council.New(council.Options{ID: s.disk.ID(), Seed: s.rng.Uint64(), Election: election, Keep: keep, Bounds: work.DefaultBounds()}, saved)
+		s.machine, err = council.New(council.Options{ID: s.disk.ID(), Seed: s.rng.Uint64(), ElectionTicks: election, RetainedEntries: keep, Bounds: work.DefaultBounds()}, saved)
 	}
 	if err != nil {
 		err = fmt.Errorf("%w: %w", errContents, errors.Join(err, s.disk.Close()))
@@ -250,7 +250,7 @@
 	if st := s.machine.Status(); st.Leader == st.ID {
 		s.lead(&st)
 	} else {
-		s.machine.Want(nil) // what it wanted as it led: when it leads again, others may be out
+		s.machine.SetMembers(nil) // what it wanted as it led: when it leads again, others may be out
 	}
 	s.publish()
 }
@@ -258,7 +258,7 @@
 // look takes the view anew: who sits, who says that it leads, with whom links are wanted.
 func (s *Seat) look() {
 	s.view, _ = s.opt.Fleet.View()
-	s.told, s.byseat, s.names = orders.Reported(&s.view), map[uint64][]members.ID{}, map[uint64]string{}
+	s.told, s.byseat, s.names = orders.PublishedLists(&s.view), map[uint64][]members.ID{}, map[uint64]string{}
 	for _, m := range s.view.Members {
 		if m.State == members.Left || m.Info.Left {
 			continue
@@ -335,19 +335,19 @@
 		return
 	}
 	state := s.machine.State()
-	_, alone := state.Alone()
+	_, alone := state.Excluded()
 	var all []seats.Candidate
 	for _, m := range s.view.Members {
 		if m.Info.Seat != 0 && m.State != members.Left && !m.Info.Left {
-			all = append(all, seats.Candidate{Seat: m.Info.Seat, Machine: m.Info.Machine, Zone: m.Info.Zone, Well: m.State == members.Alive && len(m.Doubts) == 0,
-				Out: slices.Contains(alone, m.Info.Machine)})
+			all = append(all, seats.Candidate{Seat: m.Info.Seat, Machine: m.Info.Machine, Zone: m.Info.Zone, Healthy: m.State == members.Alive && len(m.Doubts) == 0,
+				Excluded: slices.Contains(alone, m.Info.Machine)})
 		}
 	}
 	sits := append(slices.Clone(st.Voters), st.Learners...)
 	want := sits
 	if s.view.Doubts == "" {
 		want = s.chooser.Next(sits, all)
-		s.machine.Want(want)
+		s.machine.SetMembers(want)
 	}
 	for _, id := range want { // who is to come in has to be heard of
 		if name := s.names[id]; name != "" && id != st.ID {
@@ -359,11 +359,11 @@
 	}
 	now := time.Now().Unix()
 	sight := s.opt.Sight(s.view)
-	sight.View, sight.Seats, sight.Voters, sight.Alone = s.view, len(st.Voters), st.Voters, map[string]uint64{}
-	sight.Orders, _ = state.Alone()
+	sight.View, sight.Seats, sight.Voters, sight.Excluded = s.view, len(st.Voters), st.Voters, map[string]uint64{}
+	sight.ExclusionVersion, _ = state.Excluded()
 	for _, r := range state.Requests() {
-		if r.Order != 0 {
-			sight.Alone[r.Machine] = r.Order
+		if r.ExclusionVersion != 0 {
+			sight.Excluded[r.Machine] = r.ExclusionVersion
 		}
 	}
 	for _, id := range st.Voters {
@@ -371,18 +371,18 @@
 			sight.Moving = append(sight.Moving, id)
 		}
 	}
-	f, ok := sight.Facts()
-	if !ok || same(f, state.Facts()) && !state.Awaits(now) {
+	f, ok := sight.FleetState()
+	if !ok || same(f, state.FleetState()) && !state.NeedsFleetUpdate(now) {
 		return
 	}
-	if token := s.token(); s.machine.Propose(token, work.Entry{Kind: work.See, At: now, Facts: &f}) == nil {
+	if token := s.token(); s.machine.Propose(token, work.Entry{Kind: work.UpdateFleet, At: now, Fleet: &f}) == nil {
 		s.facts, s.since = token, s.ticks
 	}
 }
 
 // same tells whether two facts are the same but for the version of the orders that was known.
-func same(a, b work.Facts) bool {
-	a.Orders, b.Orders = 0, 0
+func same(a, b work.FleetState) bool {
+	a.ExclusionVersion, b.ExclusionVersion = 0, 0
 	x, err1 := cbor.Marshal(a)
 	y, err2 := cbor.Marshal(b)
 	return err1 == nil && err2 == nil && bytes.Equal(x, y)
@@ -397,14 +397,14 @@
 		s.opt.Fleet.Publish("")
 		return
 	}
-	l := orders.List{Council: st.Council, Seat: st.ID, Seats: uint64(len(st.Voters)), Leads: st.Leader == st.ID}
+	l := orders.List{Council: st.Council, Seat: st.ID, Seats: uint64(len(st.Voters)), IsLeader: st.Leader == st.ID}
 	var names []string
-	l.Version, names = s.machine.State().Alone()
+	l.Version, names = s.machine.State().Excluded()
 	for _, name := range names {
-		l.Machines = append(l.Machines, orders.Hash(name))
+		l.Machines = append(l.Machines, orders.MachineHash(name))
 	}
 	slices.Sort(l.Machines)
-	s.opt.Fleet.Publish(l.Append())
+	s.opt.Fleet.Publish(l.Encode())
 }
 
 // carry makes durable what the member has ready, sends it, and answers whose entries were applied.
@@ -534,7 +534,7 @@
 	case changes && sits:
 		propose := func() error { return s.machine.Propose(c.Token, e) }
 		if c.Do == Hold {
-			propose = func() error { return s.machine.ProposeHold(c.Token, now, c.Hold) }
+			propose = func() error { return s.machine.ProposePromise(c.Token, now, c.Hold) }
 		}
 		if err := propose(); err == nil {
 			s.agreed[c.Token] = append(s.agreed[c.Token], waiting{answer, s.ticks + patience, c.Do})
@@ -544,7 +544,7 @@
 			return
 		}
 		s.bring(c, answer, bring)
-	case !changes && sits && s.machine.Status().Age < 2*election, !changes && sits && !bring:
+	case !changes && sits && s.machine.Status().LeaderAge < 2*election, !changes && sits && !bring:
 		answer(Answer{Report: s.report(c.Do)})
 	case !changes && sits:
 		// It has heard no leader for long; somebody else may have.
@@ -567,7 +567,7 @@
 	}
 	leader, all := orders.Leader(s.told)
 	if s.machine != nil {
-		if st := s.machine.Status(); st.Leader != 0 && st.Leader != st.ID && st.Age < 2*election {
+		if st := s.machine.Status(); st.Leader != 0 && st.Leader != st.ID && st.LeaderAge < 2*election {
 			leader = st.Leader // it knows better than the view
 		}
 		all = slices.DeleteFunc(all, func(id uint64) bool { return id == s.disk.ID() })
--- a/internal/process/seat/seat_test.go
+++ b/internal/process/seat/seat_test.go
@@ -19,7 +19,7 @@
 	t       *testing.T
 	seats   []*Seat
 	members []members.Member
-	ours    []*orders.Machine
+	ours    []*orders.Agent
 	leaders []int // who led, each time that it was another
 	calls   uint64
 }
@@ -50,17 +50,17 @@
 // newRig makes n seats; the clock of the one with number i is so many ticks ahead.
 func newRig(t *testing.T, ahead ...int) *rig {
 	r := &rig{t: t}
-	var places []work.Place
+	var places []work.MachineSpec
 	for i := range ahead {
 		r.members = append(r.members, members.Member{ID: members.ID{Name: fmt.Sprint("n", i), Incarnation: 1}, State: members.Alive,
 			Info: members.Info{Machine: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%3), Role: "agent", Process: "ready"}})
-		places = append(places, work.Place{Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%3)})
+		places = append(places, work.MachineSpec{Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%3)})
 	}
 	bounds := work.DefaultBounds()
 	bounds.AgentShare = 0.5
 	for i := range ahead {
 		s, err := New(Options{Name: fmt.Sprint("n", i), Folder: t.TempDir(), Seats: 3, ReplaceAfter: 3 * time.Second, Tick: 20 * time.Millisecond, Seed: uint64(i) + 1,
-			Fleet: end{r, i}, Log: slog.New(slog.DiscardHandler), Sight: func(members.View) work.Sight { return work.Sight{Places: places, Bounds: bounds} }})
+			Fleet: end{r, i}, Log: slog.New(slog.DiscardHandler), Sight: func(members.View) work.Observation { return work.Observation{Specs: places, Bounds: bounds} }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,8 +101,8 @@
 		s.carry()
 		r.hear()
 		view, _ := end{r, i}.View()
-		r.ours[i].Hear(orders.Reported(&view))
-		r.members[i].Info.Process = map[bool]string{false: "ready", true: "evacuating"}[r.ours[i].Leaves()]
+		r.ours[i].Update(orders.PublishedLists(&view))
+		r.members[i].Info.Process = map[bool]string{false: "ready", true: "evacuating"}[r.ours[i].OwnExcluded()]
 		if st := s.machine.Status(); st.Leader == st.ID && (len(r.leaders) == 0 || r.leaders[len(r.leaders)-1] != i) {
 			r.leaders = append(r.leaders, i)
 		}
--- a/internal/process/store/store.go
+++ b/internal/process/store/store.go
@@ -124,7 +124,7 @@
 func at(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // Load reads all that is kept.
-func (s *Store) Load() (saved council.Saved, err error) {
+func (s *Store) Load() (saved council.StoredState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		m := tx.Bucket(meta)
 		for _, v := range []struct {
@@ -143,7 +143,7 @@
 			}
 			switch x := v.into.(type) {
 			case *pb.HardState:
-				saved.Hard = x
+				saved.HardState = x
 			case *pb.Snapshot:
 				saved.Snapshot = x
 			}
@@ -177,27 +177,27 @@
 	if err != nil {
 		return err
 	}
-	if saved.Hard != nil || saved.Snapshot != nil {
+	if saved.HardState != nil || saved.Snapshot != nil {
 		return fmt.Errorf("store: %s: %w: it belongs to a council", s.db.Path(), os.ErrExist)
 	}
 	id := make([]byte, 8)
 	if _, err := rand.Read(id); err != nil {
 		return fmt.Errorf("store: %s: %w", s.db.Path(), err)
 	}
-	first := council.Found(s.id, binary.BigEndian.Uint64(id)|1, now.Unix())
-	return s.Save(council.Save{Hard: first.Hard, Snapshot: first.Snapshot})
+	first := council.Bootstrap(s.id, binary.BigEndian.Uint64(id)|1, now.Unix())
+	return s.Save(council.DurableUpdate{HardState: first.HardState, Snapshot: first.Snapshot})
 }
 
 // Save makes it durable, all or nothing. After an error (a full disk, a broken one) nothing of it is
 // there, and the member must not say that it is.
-func (s *Store) Save(v council.Save) error {
-	if v.Hard == nil && v.Snapshot == nil && len(v.Entries) == 0 {
+func (s *Store) Save(v council.DurableUpdate) error {
+	if v.HardState == nil && v.Snapshot == nil && len(v.Entries) == 0 {
 		return nil
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		m, l := tx.Bucket(meta), tx.Bucket(entries)
-		if v.Hard != nil {
-			if err := write(m, keyHard, v.Hard); err != nil {
+		if v.HardState != nil {
+			if err := write(m, keyHard, v.HardState); err != nil {
 				return err
 			}
 		}
@@ -206,8 +206,8 @@
 			if err := write(m, keySnap, v.Snapshot); err != nil {
 				return err
 			}
-			upTo := v.Compact
-			if v.Whole {
+			upTo := v.CompactTo
+			if v.FromPeer {
 				upTo = 1<<64 - 1
 			}
 			for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= upTo; k, _ = c.Next() {
--- a/internal/process/store/store_test.go
+++ b/internal/process/store/store_test.go
@@ -41,7 +41,7 @@
 			os.Exit(1)
 		}
 		for i := uint64(len(saved.Entries)) + 1; i < 1<<20; i++ {
-			if err := s.Save(council.Save{Hard: hard(i), Entries: []*pb.Entry{entry(i, 1)}}); err != nil {
+			if err := s.Save(council.DurableUpdate{HardState: hard(i), Entries: []*pb.Entry{entry(i, 1)}}); err != nil {
 				fmt.Println(err)
 				os.Exit(1)
 			}
@@ -129,7 +129,7 @@
 	}
 }
 
-func load(t *testing.T, s *Store) council.Saved {
+func load(t *testing.T, s *Store) council.StoredState {
 	t.Helper()
 	saved, err := s.Load()
 	if err != nil {
@@ -150,7 +150,7 @@
 	if err := s.Found(time.Now()); !errors.Is(err, os.ErrExist) {
 		t.Errorf("founded twice: %v", err)
 	}
-	save := func(v council.Save) {
+	save := func(v council.DurableUpdate) {
 		t.Helper()
 		if err := s.Save(v); err != nil {
 			t.Fatal(err)
@@ -160,22 +160,22 @@
 	for i := uint64(2); i < 40; i++ {
 		all = append(all, entry(i, 1))
 	}
-	save(council.Save{Hard: hard(30), Entries: all})
-	save(council.Save{Entries: []*pb.Entry{entry(35, 2)}})
+	save(council.DurableUpdate{HardState: hard(30), Entries: all})
+	save(council.DurableUpdate{Entries: []*pb.Entry{entry(35, 2)}})
 	s.Close()
 	s = open(t, dir)
 	saved := load(t, s)
-	if s.ID() != id || len(saved.Entries) != 34 || saved.Entries[33].GetTerm() != 2 || saved.Hard.GetCommit() != 30 || saved.Hard.GetVote() != 7 {
-		t.Fatalf("id %x and %x; %d entries, %v", id, s.ID(), len(saved.Entries), saved.Hard)
+	if s.ID() != id || len(saved.Entries) != 34 || saved.Entries[33].GetTerm() != 2 || saved.HardState.GetCommit() != 30 || saved.HardState.GetVote() != 7 {
+		t.Fatalf("id %x and %x; %d entries, %v", id, s.ID(), len(saved.Entries), saved.HardState)
 	}
 	snap := func(i uint64) *pb.Snapshot {
 		return &pb.Snapshot{Data: []byte("state"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(i), Term: proto.Uint64(1)}}
 	}
-	save(council.Save{Snapshot: snap(30), Compact: 20})
+	save(council.DurableUpdate{Snapshot: snap(30), CompactTo: 20})
 	if saved = load(t, s); len(saved.Entries) != 5 || saved.Entries[0].GetIndex() != 31 {
 		t.Errorf("%d entries behind the snapshot", len(saved.Entries))
 	}
-	save(council.Save{Snapshot: snap(100), Whole: true, Entries: []*pb.Entry{entry(101, 3)}})
+	save(council.DurableUpdate{Snapshot: snap(100), FromPeer: true, Entries: []*pb.Entry{entry(101, 3)}})
 	if saved = load(t, s); len(saved.Entries) != 1 || saved.Entries[0].GetIndex() != 101 || saved.Snapshot.GetMetadata().GetIndex() != 100 {
 		t.Errorf("%+v", saved.Entries)
 	}
@@ -200,7 +200,7 @@
 		if err := s.Found(time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Save(council.Save{Entries: []*pb.Entry{entry(2, 1), entry(3, 1)}}); err != nil {
+		if err := s.Save(council.DurableUpdate{Entries: []*pb.Entry{entry(2, 1), entry(3, 1)}}); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.db.Update(func(tx *bbolt.Tx) error { return damage(tx.Bucket(meta), tx.Bucket(entries)) }); err != nil {
@@ -253,8 +253,8 @@
 		}
 		s := open(t, dir)
 		saved := load(t, s)
-		if n := len(saved.Entries); n < said || n > said+1 || saved.Hard.GetCommit() != uint64(n) {
-			t.Fatalf("it said %d, %d are there, %v", said, n, saved.Hard)
+		if n := len(saved.Entries); n < said || n > said+1 || saved.HardState.GetCommit() != uint64(n) {
+			t.Fatalf("it said %d, %d are there, %v", said, n, saved.HardState)
 		}
 		for i, e := range saved.Entries {
 			if want := entry(uint64(i+1), 1); !proto.Equal(e, want) {
@@ -285,8 +285,8 @@
 		t.Fatal(err)
 	}
 	saved := load(t, open(t, dir))
-	if len(saved.Entries) != said || saved.Hard.GetCommit() != uint64(said) {
-		t.Errorf("it said %d, %d are there; %v", said, len(saved.Entries), saved.Hard)
+	if len(saved.Entries) != said || saved.HardState.GetCommit() != uint64(said) {
+		t.Errorf("it said %d, %d are there; %v", said, len(saved.Entries), saved.HardState)
 	}
 	t.Logf("%d entries, then: %s", said, strings.TrimPrefix(last, "store: "+dir))
 }
--- a/internal/process/store/stored_test.go
+++ b/internal/process/store/stored_test.go
@@ -30,14 +30,14 @@
 	saved := load(t, s)
 	m := newMember(t, s, saved)
 	text := fmt.Sprintf("council %x, %d entries behind the snapshot at %d, commit %d\n", m.Council(), len(saved.Entries),
-		saved.Snapshot.GetMetadata().GetIndex(), saved.Hard.GetCommit())
+		saved.Snapshot.GetMetadata().GetIndex(), saved.HardState.GetCommit())
 	lead(t, s, m)
 	for _, r := range m.State().Requests() {
 		text += fmt.Sprintf("request %s of %s by %s: %v, permit %d, %d s, urgent %v, %q\n", r.ID, r.Machine, r.By, r.Phase, r.Permit, r.Seconds, r.Urgent, r.Why)
 	}
-	version, alone := m.State().Alone()
+	version, alone := m.State().Excluded()
 	text += fmt.Sprintf("orders %d: %v\n", version, alone)
-	for _, machine := range m.State().Facts().Machines {
+	for _, machine := range m.State().FleetState().Machines {
 		text += fmt.Sprintf("machine %s in %s of %s: %v, %v\n", machine.Name, machine.Zone, machine.Kind, machine.Capacity, machine.Health)
 	}
 	for _, h := range m.Register().All() {
@@ -60,17 +60,17 @@
 	}
 	m := newMember(t, s, load(t, s))
 	lead(t, s, m)
-	facts := &work.Facts{Orders: 1 << 62, Seats: 1}
+	facts := &work.FleetState{ExclusionVersion: 1 << 62, Seats: 1}
 	for i := range 6 {
-		facts.Machines = append(facts.Machines, work.Machine{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Kind: "k", Capacity: 1.5, Health: work.Up, Empty: true})
+		facts.Machines = append(facts.Machines, work.Machine{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Kind: "k", Capacity: 1.5, Health: work.Up, Drained: true})
 	}
-	entries := []work.Entry{{Kind: work.See, At: 1, Facts: facts}}
+	entries := []work.Entry{{Kind: work.UpdateFleet, At: 1, Fleet: facts}}
 	for i := range 5 {
-		entries = append(entries, work.Entry{Kind: work.Want, At: int64(2 + i), Ask: &work.Ask{ID: fmt.Sprint("r", i), Machine: fmt.Sprint("m", i), Seconds: 60, By: "operator",
+		entries = append(entries, work.Entry{Kind: work.Submit, At: int64(2 + i), Ask: &work.Ask{ID: fmt.Sprint("r", i), Machine: fmt.Sprint("m", i), Seconds: 60, By: "operator",
 			Why: "kernel", Urgent: i == 1, NotBefore: 3, DueBy: 900}})
 	}
 	for i := range 40 {
-		entries = append(entries, work.Entry{Kind: work.See, At: int64(10 + i), Facts: facts})
+		entries = append(entries, work.Entry{Kind: work.UpdateFleet, At: int64(10 + i), Fleet: facts})
 	}
 	for i, e := range entries {
 		if err := agree(t, s, m, uint64(i+1), e); err != nil {
@@ -78,7 +78,7 @@
 		}
 	}
 	hold := &promises.Entry{Holder: promises.Holder{Name: "gw", Incarnation: 7}, Epoch: 1, Copies: []promises.Peer{members.ID{Name: "n1", Incarnation: 8}}}
-	if err := m.ProposeHold(500, 60, hold); err != nil {
+	if err := m.ProposePromise(500, 60, hold); err != nil {
 		t.Fatal(err)
 	}
 	advance(t, s, m)
@@ -88,9 +88,9 @@
 	copyFile(t, filepath.Join(dir, file), storedCouncil)
 }
 
-func newMember(t *testing.T, s *Store, saved council.Saved) *council.Machine {
+func newMember(t *testing.T, s *Store, saved council.StoredState) *council.Member {
 	t.Helper()
-	m, err := council.New(council.Options{ID: s.ID(), Seed: 1, Election: 8, Keep: 8, Bounds: work.DefaultBounds()}, saved)
+	m, err := council.New(council.Options{ID: s.ID(), Seed: 1, ElectionTicks: 8, RetainedEntries: 8, Bounds: work.DefaultBounds()}, saved)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 }
 
 // lead lets the only member of a council become its leader.
-func lead(t *testing.T, s *Store, m *council.Machine) {
+func lead(t *testing.T, s *Store, m *council.Member) {
 	t.Helper()
 	for range 100 {
 		m.Tick()
@@ -111,7 +111,7 @@
 }
 
 // advance saves and applies what the member has ready.
-func advance(t *testing.T, s *Store, m *council.Machine) (results []council.Result) {
+func advance(t *testing.T, s *Store, m *council.Member) (results []council.Result) {
 	t.Helper()
 	for {
 		save, _, ok := m.Ready()
@@ -130,7 +130,7 @@
 }
 
 // agree proposes an entry and returns what became of it.
-func agree(t *testing.T, s *Store, m *council.Machine, token uint64, e work.Entry) error {
+func agree(t *testing.T, s *Store, m *council.Member, token uint64, e work.Entry) error {
 	t.Helper()
 	if err := m.Propose(token, e); err != nil {
 		t.Fatal(err)
--- a/internal/rig/lab/model/estate.go
+++ b/internal/rig/lab/model/estate.go
@@ -141,7 +141,7 @@
 		return cmp.Compare(w.byAddr[x.Server].num, w.byAddr[y.Server].num)
 	})
 	least, wake := a.part.Plan(now, entries)
-	w.tell(a, &policy.Event{Kind: policy.EvList, List: cluster.ListFull, Entries: entries, Least: least})
+	w.tell(a, &policy.Event{Kind: policy.EvList, List: cluster.ListFull, Entries: entries, MinServers: least})
 	a.planGen++
 	if gen := a.planGen; wake > 0 {
 		w.after(max(wake-now, 1), func() {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -139,7 +139,7 @@
 	b.needs.Fit(first, from)
 	b.retries.Fit(from)
 	b.classValue.Fit(from)
-	b.unserved.Fit(&b.set)
+	b.unserved.UpdateSettings(&b.set)
 	b.usage = append(b.usage, make([]float64, len(set.Tenants)-len(b.usage))...)
 	b.throttle = b.throttle.Over(throttleSpanTargets * b.minLatencyTarget)
 }
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -10,7 +10,7 @@
 func (r *rig) coming(class int) (RequestID, Action) {
 	r.t.Helper()
 	r.id++
-	a := find(r.do(Event{Kind: EvRequest, Request: r.id, Class: class, LeftMs: 500_000, Coming: true}), ActSend)
+	a := find(r.do(Event{Kind: EvRequest, Request: r.id, Class: class, LeftMs: 500_000, BodyIncomplete: true}), ActSend)
 	if a == nil {
 		r.t.Fatal("not sent")
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -80,7 +80,7 @@
 	}
 	b.listPolling.Received()
 	b.epoch++
-	b.minServers = max(ev.Least, 0)
+	b.minServers = max(ev.MinServers, 0)
 	listed := map[cluster.Addr]bool{}
 	for i := range ev.Entries {
 		listed[ev.Entries[i].Server] = true
--- a/policy/request.go
+++ b/policy/request.go
@@ -94,7 +94,7 @@
 		class:       ev.Class,
 		tenant:      ev.Tenant,
 		key:         ev.Key,
-		bodyPending: ev.Coming,
+		bodyPending: ev.BodyIncomplete,
 		maxAttempts: cmp.Or(min(max(ev.Tries, 0), limit), limit),
 	}
 	if ev.HasHint {
@@ -119,8 +119,8 @@
 	r := a.r
 	r.started = true
 	a.s.lastContact = b.now
-	r.targetAt = arith.Met(b.now, r.targetAt) // an answer counts from its first byte
-	b.endWork(a)                              // how slowly the rest is read says nothing of its server
+	r.targetAt = arith.RemainingDeadline(b.now, r.targetAt) // an answer counts from its first byte
+	b.endWork(a)                                            // how slowly the rest is read says nothing of its server
 	if !r.bodyPending {
 		b.recordServed(a, b.now-a.sentAt) // else nothing says how long it took
 	}
@@ -167,7 +167,7 @@
 	r.retryAt = b.now
 	r.deadline = b.now + left - min(b.set.RoundMs, left/4)
 	if retry {
-		r.first = b.unserved.Recall(r.class, r.key, r.arrived)
+		r.first = b.unserved.TakeFirstArrival(r.class, r.key, r.arrived)
 	}
 	r.targetAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -22,7 +22,7 @@
 const (
 	OK, Error, Full, Timeout        = event.OK, event.Error, event.Full, event.Timeout
 	ConnectFailed, Reset, Cancelled = event.ConnectFailed, event.Reset, event.Cancelled
-	Moot, NoWay, MostTries          = event.Moot, event.NoWay, event.MostTries
+	Moot, NoWay, MostTries          = event.Moot, event.NoConnection, event.MaxAttemptsWithoutConnection
 
 	EvRequest, EvOutcome, EvStarted = event.EvRequest, event.EvOutcome, event.EvStarted
 	EvDropped, EvList, EvProbed     = event.EvDropped, event.EvList, event.EvProbed
