--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -557,7 +557,7 @@
 	}
 	c.tell(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Key: r.Key, LeftMs: float64(time.Until(r.Deadline)) / float64(time.Millisecond),
-		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.Tries, BodyIncomplete: r.Message.Rest != nil})
+		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Attempts: r.Tries, BodyIncomplete: r.Message.Rest != nil})
 }
 
 // onWhole has a request's time begin: its server has all of it.
@@ -616,7 +616,7 @@
 	}
 	c.tell(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
 		Status: res.Status, LatencyMs: float64(res.took) / float64(time.Millisecond),
-		Final: r.answered, Tries: r.unrepeatable(res.Spent), Report: report(res.Load, c.set.Report.Names)})
+		Final: r.answered, Attempts: r.unrepeatable(res.Spent), Report: report(res.Load, c.set.Report.Names)})
 	c.forget(r)
 }
 
--- a/internal/decide/arith/arith.go
+++ b/internal/decide/arith/arith.go
@@ -1,6 +1,6 @@
-// Package arith is the plain arithmetic under the decisions: running means, counts over
-// the last so many, a straight line through points, mixing of hashes. Values only; each
-// belongs to whoever holds it.
+// Package arith has the arithmetic that the deciding packages share: running means, counts
+// over a sliding window, linear regression, mixing of hashes. It has no state of its own;
+// its values aren't safe for concurrent use.
 package arith
 
 import (
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Finite makes what came from outside safe to calculate with: not a number and negative
-// become 0, infinite and huge the largest number that leaves room for sums and squares.
+// Finite makes an untrusted number safe to calculate with. NaN and negative numbers become
+// 0; infinity and large numbers become 1e15, which leaves room for sums and squares.
 func Finite(x float64) float64 {
 	if !(x > 0) {
 		return 0
@@ -17,7 +17,8 @@
 	return min(x, 1e15)
 }
 
-// RemainingDeadline is the limit that is left once something has come: none where it was in time, else the same.
+// RemainingDeadline returns the deadline limit after an event at now: infinity if the event was in time, else
+// limit itself.
 func RemainingDeadline(now, limit float64) float64 {
 	if now <= limit {
 		return math.Inf(1)
@@ -25,7 +26,7 @@
 	return limit
 }
 
-// Mean moves a running mean towards x by weight; the first value is taken whole.
+// Mean returns the running mean old moved towards x by weight. If old is 0, it returns x.
 func Mean(old, x, weight float64) float64 {
 	if old == 0 {
 		return x
@@ -33,7 +34,8 @@
 	return old + weight*(x-old)
 }
 
-// StepWeight moves a weight by one step, as a part of it, down or up within its bounds.
+// StepWeight returns w moved by one step down or up, within its bounds. The step is a
+// fraction of w.
 func StepWeight(w, step float64, down bool, least, most float64) float64 {
 	if down {
 		return max(w/(1+step), least)
@@ -41,8 +43,8 @@
 	return min(w*(1+step), most)
 }
 
-// Median is the middle one of the values, which it sorts; of fewer than three it tells
-// nothing, and is 0.
+// Median sorts the values and returns the middle one. It returns 0 for fewer than three
+// values.
 func Median(values []float64) float64 {
 	if len(values) < 3 {
 		return 0
@@ -51,7 +53,7 @@
 	return values[len(values)/2]
 }
 
-// Mix is the finalizer of splitmix64.
+// Mix returns x mixed by the finalizer of splitmix64.
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -59,14 +61,15 @@
 	return x ^ x>>31
 }
 
-// LinearFit is a straight line through points that come one by one, older ones fading: each
-// new one has a weight of at least Least. The zero LinearFit has seen none.
+// LinearFit is a linear regression over a stream of points with exponentially decaying
+// weights. The zero LinearFit has no points.
 type LinearFit struct {
 	n                       float64
 	meanX, meanY, varX, cov float64
 }
 
-// Add takes one more point, of the weight given or, while there are few, of an even share.
+// Add adds a point with the given weight, or with an equal share of the weight while there
+// are few points.
 func (l *LinearFit) Add(x, y, weight float64) {
 	l.n++
 	w := max(weight, 1/l.n)
@@ -77,8 +80,8 @@
 	l.cov += w * (dx*dy*(1-w) - l.cov)
 }
 
-// At is the line's value at x, never below 0; it is 0 while fewer than least points came
-// or all of them had the same x.
+// At returns the line's value at x, or 0 if that is negative. It returns 0 while there are
+// fewer than least points or all points have the same x.
 func (l *LinearFit) At(x, least float64) float64 {
 	if l.n < least || l.varX <= 0 {
 		return 0
@@ -86,7 +89,7 @@
 	return max(l.meanY+l.cov/l.varX*(x-l.meanX), 0)
 }
 
-// RecentCounts counts how often each value came among the last so many.
+// RecentCounts counts the occurrences of each value among the last n values.
 type RecentCounts struct {
 	last  []uint64
 	next  int
@@ -94,12 +97,12 @@
 	count map[uint64]int
 }
 
-// NewRecentCounts counts over the last n values; n must be above 0.
+// NewRecentCounts returns a RecentCounts over the last n values; n must be above 0.
 func NewRecentCounts(n int) *RecentCounts {
 	return &RecentCounts{last: make([]uint64, n), count: make(map[uint64]int, n)}
 }
 
-// Add counts one more value and returns its share of those that are remembered.
+// Add adds a value and returns its share of the values in the window.
 func (r *RecentCounts) Add(v uint64) float64 {
 	if r.total == len(r.last) {
 		old := r.last[r.next]
@@ -115,11 +118,11 @@
 	return float64(r.count[v]) / float64(r.total)
 }
 
-// FadingWeights are the parts that each of a few kinds has of what came, the older counting
-// less: each new one fades the rest by the factor given.
+// FadingWeights holds the share of each kind in a stream of events, with exponentially
+// decaying weights: each new event multiplies the older shares by the given factor.
 type FadingWeights []float64
 
-// Add counts one more of a kind; a number that names none is not counted.
+// Add counts an event of a kind. A kind out of range is ignored.
 func (s FadingWeights) Add(kind int, fade float64) {
 	if kind < 0 || kind >= len(s) {
 		return
--- a/internal/decide/arith/arith_test.go
+++ b/internal/decide/arith/arith_test.go
@@ -19,10 +19,10 @@
 
 func TestMeanAndStepWeight(t *testing.T) {
 	if Mean(0, 8, 0.1) != 8 || Mean(8, 4, 0.25) != 7 {
-		t.Error("the first value is taken whole, the next by its weight")
+		t.Error("want the first value itself, and the next by its weight")
 	}
 	if StepWeight(1, 0.05, false, 0, 1) != 1 || StepWeight(0.5, 0.05, true, 0.49, 1) != 0.49 {
-		t.Error("a weight left its bounds")
+		t.Error("a weight is outside of its bounds")
 	}
 }
 
@@ -32,11 +32,11 @@
 	}
 }
 
-// Points on a line give the line, whatever their order.
+// Points on a line yield that line, in any order.
 func TestLinearFit(t *testing.T) {
 	var l LinearFit
 	if l.At(3, 0) != 0 {
-		t.Error("no points, no line")
+		t.Error("a fit without points is not 0")
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -49,11 +49,11 @@
 		}
 	}
 	if l.At(4, 201) != 0 || l.At(-100, 0) != 0 {
-		t.Error("too few points or below 0")
+		t.Error("not 0 with too few points, or below 0")
 	}
 }
 
-// The shares of the last n are what a plain count of them gives.
+// The shares equal those of a plain count over the last n values.
 func TestRecentCounts(t *testing.T) {
 	const n = 16
 	r := NewRecentCounts(n)
@@ -74,7 +74,7 @@
 		}
 	}
 	if len(r.count) > 6 {
-		t.Errorf("%d counts kept of 6 values", len(r.count))
+		t.Errorf("%d counts are kept for 6 distinct values", len(r.count))
 	}
 }
 
@@ -86,6 +86,6 @@
 		s.Add(5, 0.99)
 	}
 	if math.Abs(s[0]-0.5) > 0.01 || math.Abs(s[1]-0.5) > 0.01 {
-		t.Errorf("shares %v of two equal kinds", s)
+		t.Errorf("weights %v of two equally frequent kinds", s)
 	}
 }
--- a/internal/decide/council/council.go
+++ b/internal/decide/council/council.go
@@ -1,11 +1,11 @@
-// Package council agrees on the log of package work: one member of three or five agents that decide by
-// majority. It drives etcd's raft, which has no I/O, and adds what that leaves open: elections from a
-// seed, the log applied to the order of work, snapshots of it, and members that come and go one step at a
-// time. docs/design/work.md says why it is made so.
+// Package council replicates the log of package work among the three or five agents that are members of the
+// council. It drives etcd's raft library, which does no I/O, and adds election time-outs that are drawn from
+// a seed, the application of the log to the work state and the register of promises, snapshots, and
+// membership changes one step at a time. docs/design/work.md explains the design.
 //
-// There is no I/O, no clock and no goroutine here. After each input the driver asks Ready, makes Save
-// durable, sends what is to be sent, and calls Advance, until nothing is ready. A Machine belongs to
-// its driver.
+// The package does no I/O, reads no clock and starts no goroutines. After each input the driver calls
+// Ready, makes the DurableUpdate durable, sends the messages, and calls Advance, until Ready returns
+// nothing. A Member isn't safe for concurrent use: only its driver's goroutine may call it.
 package council
 
 import (
@@ -23,75 +23,76 @@
 	"molepaddle/internal/decide/work"
 )
 
-// Options is what a member is made of. Ticks are the driver's, some fifth of the time in which a new
-// leader is wanted.
+// Options configures a Member. A tick is the interval at which the driver calls Tick, about a fifth of the
+// time within which a new leader is to be elected.
 type Options struct {
-	ID              uint64 // of its disk: drawn when that is made, so that a lost disk is another member
-	Seed            uint64
-	ElectionTicks   int // ticks without a leader after which a member stands; up to twice that, by the seed
-	RetainedEntries int // entries that stay behind a snapshot for those who lag
-	Bounds          work.Bounds
+	ID              uint64      // drawn with a new disk, so that a member that lost its disk comes back as another
+	Seed            uint64      // of the election time-outs
+	ElectionTicks   int         // least ticks without a leader before a member campaigns; the most is twice that
+	RetainedEntries int         // log entries that are kept before a snapshot, for lagging members
+	Bounds          work.Bounds // until a fleet state has others
 }
 
-// DurableUpdate is what must be durable before anything of the same Ready is sent.
+// DurableUpdate must be made durable before the messages of the same Ready are sent.
 type DurableUpdate struct {
-	HardState *pb.HardState // nil: as it was
+	HardState *pb.HardState // nil: unchanged
 	Snapshot  *pb.Snapshot  // nil: none
-	CompactTo uint64        // with a Snapshot: entries up to that one go; it is at the most the snapshot's
-	FromPeer  bool          // with a Snapshot: it came from another, and all entries go
-	Entries   []*pb.Entry   // take the place of all from the first of them on
+	CompactTo uint64        // with a Snapshot: entries up to this index are removed; at most the snapshot's index
+	FromPeer  bool          // with a Snapshot: it came from another member, and all entries are removed
+	Entries   []*pb.Entry   // replace all stored entries from the first index on
 }
 
-// StoredState is what a disk holds.
+// StoredState is the durable state of a member.
 type StoredState struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
 	Entries   []*pb.Entry
 }
 
-// Message is one to another member.
+// Message is a message to another member.
 type Message struct {
 	To   uint64
 	Data []byte
 }
 
-// Result is what became of an entry, on every member that applies it.
+// Result is the result of an entry, which is the same on every member that applies it.
 type Result struct {
 	Token uint64
 	Err   error
 }
 
-// Errors of Propose.
+// Errors of Propose and ProposePromise.
 var (
 	ErrNotLeader = errors.New("another member leads, or none does")
-	ErrBusy      = errors.New("too much waits to be agreed on")
+	ErrBusy      = errors.New("too many uncommitted proposals")
 )
 
-// proposal is an entry with the token by which its proposer knows it.
+// proposal is a log entry with the token that identifies it.
 type proposal struct {
 	Token uint64
 	Entry work.Entry
-	Hold  *promises.Entry // in the entry's place, at its time; nil: none
+	Hold  *promises.Entry // applied in place of Entry, at Entry.At; nil: none
 }
 
-// appliedEntry is an entry that was applied, and what became of it; every member keeps the same last ones.
+// appliedEntry is the result of an applied entry. Every member keeps the same latest ones.
 type appliedEntry struct {
 	Token uint64
-	Err   string // empty: it was taken
+	Err   string // empty: it was accepted
 }
 
-// keptResults is how many of them are kept. Who proposes again after so many others must look first.
+// keptResults is the number of results that are kept. A proposer that retries after so many other entries
+// must check first whether its entry was applied.
 const keptResults = 4096
 
-// snapshotData is what a snapshot holds.
+// snapshotData is the content of a snapshot.
 type snapshotData struct {
 	Work    work.Snapshot
 	Done    []appliedEntry // the oldest first
-	Council uint64         // drawn when it was founded
+	Council uint64         // the council's ID, chosen at Bootstrap
 	Holds   []promises.Hold
 }
 
-// Member is one member.
+// Member is one member of the council.
 type Member struct {
 	options            Options
 	rng                *rand.Rand
@@ -102,23 +103,24 @@
 	appliedIndex       uint64
 	snapshotIndex      uint64
 	ticks              int
-	lastLeaderTick     int // the tick at which a leader was heard, or it led
-	ticksWithoutLeader int // ticks since then, or since it stood
-	electionTimeout    int // ticks until it stands
+	lastLeaderTick     int // the last tick with a message of a leader, or as leader
+	ticksWithoutLeader int // ticks since the last message of a leader, or since its own campaign
+	electionTimeout    int // ticks without a leader until it campaigns
 	pendingReady       *raft.Ready
-	pendingSnapshot    DurableUpdate  // of a snapshot that was made here, for the next Ready
-	lastActive         map[uint64]int // as it leads: the tick at which each other member was last known to be active
-	membersChanged     bool           // members have changed since the last snapshot: who comes in can't be sent an older one
+	pendingSnapshot    DurableUpdate  // of a local snapshot, for the next Ready
+	lastActive         map[uint64]int // while leading: last tick at which raft reported a member active
+	membersChanged     bool           // since the last snapshot: a new member can't be sent an older one
 	wantedMembers      []uint64
 	councilID          uint64
 	register           *promises.Register
-	applied            []appliedEntry // the last that were applied, the oldest first
+	applied            []appliedEntry // the latest results, the oldest first
 	resultByToken      map[uint64]string
 }
 
-// Bootstrap is the disk of the member that founds a council: it is the only one, until it takes others in.
-// It is done once in an installation's life, by a person; a council that is founded since all disks of the one
-// before were lost begins its orders beyond that one's, by the time in seconds.
+// Bootstrap returns the stored state of the first member of a new council, which is its only member until
+// others are added. An operator bootstraps a council once per installation. If a new council replaces one
+// whose disks were all lost, its exclusion list must have a higher version than that one's had; the first
+// version is therefore derived from now, in seconds.
 func Bootstrap(id, council uint64, now int64) StoredState {
 	first := work.New(work.DefaultBounds()).Snapshot()
 	first.ExclusionVersion = uint64(max(now, 0)) << 20
@@ -127,11 +129,12 @@
 		ConfState: &pb.ConfState{Voters: []uint64{id}}}}, HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}}
 }
 
-// New makes a member from what its disk holds; nothing: it waits until a council takes it in. An
-// error says what on the disk makes no sense.
+// New returns a member with the stored state of its disk. With an empty state it waits until a council adds
+// it. It returns an error if the options or the stored state are invalid.
 func New(o Options, disk StoredState) (*Member, error) {
 	if o.ID == 0 || o.ElectionTicks < 5 || o.RetainedEntries < 1 {
-		return nil, fmt.Errorf("council: id, election or keep: %d, %d, %d", o.ID, o.ElectionTicks, o.RetainedEntries)
+		return nil, fmt.Errorf("council: options out of range: id %d (not 0), election ticks %d (at least 5), retained entries %d (at least 1)",
+			o.ID, o.ElectionTicks, o.RetainedEntries)
 	}
 	m := &Member{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x636f756e63696c)), storage: raft.NewMemoryStorage(), state: work.New(o.Bounds), conf: &pb.ConfState{}, resultByToken: map[uint64]string{}, register: promises.NewRegister()}
 	if disk.Snapshot != nil {
@@ -144,13 +147,13 @@
 	}
 	if disk.HardState != nil {
 		if err := m.storage.SetHardState(disk.HardState); err != nil {
-			return nil, fmt.Errorf("council: votes: %w", err)
+			return nil, fmt.Errorf("council: hard state: %w", err)
 		}
 	}
-	next, _ := m.storage.LastIndex() // of memory: there is no error
+	next, _ := m.storage.LastIndex() // in memory, so it never fails
 	for _, e := range disk.Entries {
 		if e.GetIndex() > next+1 {
-			return nil, fmt.Errorf("council: log: entry %d follows %d", e.GetIndex(), next)
+			return nil, fmt.Errorf("council: log: entry %d follows %d: entries are missing", e.GetIndex(), next)
 		}
 		next = e.GetIndex()
 	}
@@ -158,7 +161,7 @@
 		return nil, fmt.Errorf("council: log: %w", err)
 	}
 	if last, _ := m.storage.LastIndex(); disk.HardState.GetCommit() > last {
-		return nil, fmt.Errorf("council: log: ends at %d, and %d is agreed on", last, disk.HardState.GetCommit())
+		return nil, fmt.Errorf("council: log: ends at %d before the committed index %d", last, disk.HardState.GetCommit())
 	}
 	var err error
 	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.ElectionTicks, HeartbeatTick: 1, Storage: m.storage, Applied: m.appliedIndex,
@@ -171,7 +174,7 @@
 	return m, nil
 }
 
-// resetElectionTimeout draws how long it waits for a leader before it stands itself.
+// resetElectionTimeout draws the next election time-out and restarts its count.
 func (m *Member) resetElectionTimeout() {
 	m.ticksWithoutLeader, m.electionTimeout = 0, m.options.ElectionTicks+m.rng.IntN(m.options.ElectionTicks)
 }
@@ -199,28 +202,28 @@
 
 func (m *Member) isLeader() bool { return m.node.BasicStatus().RaftState == raft.StateLeader }
 
-// Tick is the passing of a tick.
+// Tick advances the member's clock by one tick.
 func (m *Member) Tick() {
 	m.ticks++
 	if m.isLeader() {
-		m.recordActive() // before raft, at its own pace, forgets it
+		m.recordActive() // before raft resets its activity flags
 		m.node.Tick()
 		m.ticksWithoutLeader, m.lastLeaderTick = 0, m.ticks
-		if m.changeMembers(); !m.isLeader() { // it has led nobody for as long as that
+		if m.changeMembers(); !m.isLeader() { // raft stepped down: it had no quorum for an election time-out
 			m.lastLeaderTick -= m.options.ElectionTicks
 		}
 		return
 	}
 	m.lastActive = nil
-	// Raft's own clock draws from no seed: it only counts here, and standing is this machine's.
+	// Raft's election time-out can't be seeded. TickQuiesced only counts ticks, and the campaign starts here.
 	m.node.TickQuiesced()
 	if m.ticksWithoutLeader++; m.ticksWithoutLeader >= m.electionTimeout {
 		m.resetElectionTimeout()
-		_ = m.node.Campaign() // who may not stand stays as it was
+		_ = m.node.Campaign() // a member that may not campaign stays a follower
 	}
 }
 
-// Sender is the member that a message says it is of.
+// Sender returns the ID of the member that a message claims to be from.
 func Sender(data []byte) (uint64, error) {
 	var msg pb.Message
 	if err := proto.Unmarshal(data, &msg); err != nil {
@@ -229,14 +232,14 @@
 	return msg.GetFrom(), nil
 }
 
-// Step takes a message of another member. One that can't be read is an error, and changes nothing.
+// Step processes a message of another member. An invalid message returns an error and changes nothing.
 func (m *Member) Step(data []byte) error {
 	var msg pb.Message
 	if err := proto.Unmarshal(data, &msg); err != nil {
 		return fmt.Errorf("council: message: %w", err)
 	}
 	if msg.GetTo() != m.options.ID {
-		return fmt.Errorf("council: message: for %x", msg.GetTo())
+		return fmt.Errorf("council: message: addressed to member %x", msg.GetTo())
 	}
 	switch msg.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
@@ -244,7 +247,7 @@
 			m.ticksWithoutLeader, m.lastLeaderTick = 0, m.ticks
 		}
 	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum, pb.MsgProp, pb.MsgReadIndex, pb.MsgTransferLeader, pb.MsgForgetLeader:
-		return fmt.Errorf("council: message: %v is nobody else's to send", msg.GetType())
+		return fmt.Errorf("council: message: %v is a local type, not valid from another member", msg.GetType())
 	}
 	if err := m.node.Step(&msg); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) {
 		return fmt.Errorf("council: message: %w", err)
@@ -252,14 +255,15 @@
 	return nil
 }
 
-// Propose has the council agree on an entry. The token, which its proposer draws and is not 0, comes
-// back in a Result on every member that applies it, perhaps after a crash, perhaps never: who does not hear
-// proposes again under the same token, and it counts once, with the same result.
+// Propose proposes an entry to the council. The token is drawn by the proposer and must not be 0. It is
+// returned in a Result on every member that applies the entry, perhaps after a crash, perhaps never. A
+// proposer without a result proposes again under the same token: the entry is applied once, with one result.
 func (m *Member) Propose(token uint64, e work.Entry) error {
 	return m.propose(proposal{Token: token, Entry: e})
 }
 
-// ProposePromise does so with an entry of the register of promises, at a time of its proposer's in seconds.
+// ProposePromise is like Propose for an entry of the register of promises; now is the proposer's time in
+// seconds.
 func (m *Member) ProposePromise(token uint64, now int64, e *promises.Entry) error {
 	return m.propose(proposal{Token: token, Entry: work.Entry{At: now}, Hold: e})
 }
@@ -281,10 +285,11 @@
 	return nil
 }
 
-// SetMembers names the members that the council should have. The leader goes there one safe step at a time.
+// SetMembers sets the members that the council should have. The leader changes the membership accordingly,
+// one safe step at a time.
 func (m *Member) SetMembers(ids []uint64) { m.wantedMembers = slices.Clone(ids) }
 
-// recordActive notes which members raft has heard of.
+// recordActive records which members raft reports as active.
 func (m *Member) recordActive() {
 	if m.lastActive == nil {
 		m.lastActive = map[uint64]int{}
@@ -296,28 +301,28 @@
 	}
 }
 
-// isActive tells whether a member was heard of lately. Raft's own word is of no use for that by itself: once in Election ticks it
-// forgets everybody, so that for a moment all would seem gone.
+// isActive reports whether a member was active recently. Raft's RecentActive flag alone isn't enough: raft
+// resets it for all members once in ElectionTicks ticks, so that for a moment all would seem inactive.
 func (m *Member) isActive(id uint64) bool {
 	at, known := m.lastActive[id]
 	return id == m.options.ID || known && m.ticks-at <= 2*m.options.ElectionTicks
 }
 
-// changeMembers is the next step towards the members that are wanted: take one in to learn, let it vote once
-// it has caught up, let one go that is not wanted. Never two at once, and nobody goes before enough
-// others vote.
+// changeMembers proposes the next step towards the wanted members: add one as a learner, promote a learner
+// that has caught up, or remove a member that is not wanted. There is never more than one change at a time,
+// and a voter is removed only when enough others vote.
 func (m *Member) changeMembers() {
-	// Raft forgets who was active once in Election ticks: at the same pace it could be asked just after
-	// that each time, and nobody would ever be taken in.
+	// Raft resets its activity flags once in ElectionTicks ticks. Checks at the same interval could always
+	// come just after that, and no member would ever be added.
 	if len(m.wantedMembers) == 0 || m.ticks%(m.options.ElectionTicks/2+1) != 0 {
 		return
 	}
 	change := func(t pb.ConfChangeType, id uint64) {
-		// One that is under way turns this one down; it comes again.
+		// Raft rejects it while another change is pending; it is proposed again later.
 		_ = m.node.ProposeConfChange(&pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{{Type: t.Enum(), NodeId: proto.Uint64(id)}}})
 	}
 	status := m.node.Status()
-	complete := true // all that are wanted vote
+	complete := true // all wanted members vote
 	for _, id := range m.wantedMembers {
 		switch p, known := status.Progress[id]; {
 		case !known:
@@ -328,7 +333,7 @@
 			change(pb.ConfChangeAddNode, id)
 			return
 		case m.isActive(id):
-			return // it catches up, and nobody goes before it votes
+			return // it is catching up, and no voter is removed before it votes
 		default:
 			complete = false
 		}
@@ -341,7 +346,7 @@
 			return
 		}
 	}
-	if !slices.Contains(m.wantedMembers, m.options.ID) { // its own machine is to go: another leads from here on
+	if !slices.Contains(m.wantedMembers, m.options.ID) { // the leader itself is to be removed: transfer leadership first
 		for _, id := range m.conf.GetVoters() {
 			if id != m.options.ID && status.Progress[id].RecentActive {
 				m.node.TransferLeader(id)
@@ -351,8 +356,8 @@
 	}
 }
 
-// canRemove tells whether a member that is not wanted may go: who only learns may at any time; one that votes and is active stays
-// until all that are wanted vote; and the rest has to be able to go on without it.
+// canRemove reports whether a member that is not wanted may be removed. A learner may at any time. An active
+// voter stays until all wanted members vote. The active voters that remain must be a majority without it.
 func (m *Member) canRemove(id uint64, complete bool) bool {
 	if slices.Contains(m.conf.GetLearners(), id) {
 		return true
@@ -370,7 +375,8 @@
 	return active >= left/2+1
 }
 
-// Resign has another member lead, where this one does and one has caught up; it goes on as a member.
+// Resign transfers leadership to an active, caught-up voter, if this member leads and there is one. It stays
+// a member.
 func (m *Member) Resign() {
 	if !m.isLeader() {
 		return
@@ -384,8 +390,8 @@
 	}
 }
 
-// Ready is what is to be made durable and then sent; ok: there is something. Nothing else may be put in
-// before Advance.
+// Ready returns the update to make durable and the messages to send after that; ok reports whether there is
+// anything. No other input may be given before Advance.
 func (m *Member) Ready() (save DurableUpdate, send []Message, ok bool) {
 	if m.pendingReady != nil {
 		return save, nil, false
@@ -403,18 +409,18 @@
 	for _, msg := range r.Messages {
 		data, err := proto.Marshal(msg)
 		if err != nil {
-			continue // raft's own words can be written
+			continue // never: raft's messages can be encoded
 		}
 		send = append(send, Message{msg.GetTo(), data})
 		if msg.GetType() == pb.MsgSnap {
-			m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish) // if it is lost the next probe finds so
+			m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish) // if it is lost, raft's next probe finds out
 		}
 	}
 	return save, send, true
 }
 
-// Advance tells that the last Ready's Save is durable and its messages are sent. It applies what is
-// agreed on. An error is a fault of this program or its disk: the member must stop.
+// Advance confirms that the last Ready's update is durable and its messages are sent, and applies the
+// committed entries. An error is a fault of this program or its disk: the member must stop.
 func (m *Member) Advance() ([]Result, error) {
 	r := m.pendingReady
 	if m.pendingReady = nil; r == nil {
@@ -458,7 +464,7 @@
 		}
 		m.conf, m.membersChanged = m.node.ApplyConfChange(&c), true
 	case e.GetType() != pb.EntryNormal:
-		return nil, fmt.Errorf("council: entry %d: a change of members of another form", e.GetIndex())
+		return nil, fmt.Errorf("council: entry %d: unsupported entry type", e.GetIndex())
 	case len(e.GetData()) > 0:
 		var p proposal
 		if err := cbor.Unmarshal(e.GetData(), &p); err != nil {
@@ -469,7 +475,7 @@
 	return nil, nil
 }
 
-// applyOnce applies an entry, unless it was applied before: then its result is the one that it had.
+// applyOnce applies an entry. If its token was applied before, it returns the earlier result.
 func (m *Member) applyOnce(p *proposal) error {
 	was, again := m.resultByToken[p.Token]
 	if !again {
@@ -495,7 +501,7 @@
 	return nil
 }
 
-// snapshot makes one where the log has grown enough, or the members have changed.
+// snapshot takes a snapshot if the log has grown enough or the membership has changed.
 func (m *Member) snapshot() error {
 	if m.appliedIndex < m.snapshotIndex+2*uint64(m.options.RetainedEntries) && !m.membersChanged || m.appliedIndex == m.snapshotIndex {
 		return nil
@@ -518,7 +524,7 @@
 	return nil
 }
 
-// discardLogger is raft's log, which nobody reads: what it says of a member a Status says too.
+// discardLogger discards raft's log, whose information on a member is also in Status.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
@@ -530,37 +536,39 @@
 func (discardLogger) Error(...any)            {}
 func (discardLogger) Errorf(string, ...any)   {}
 
-// What raft can't go on after ends the process: its disk or its program is broken.
+// Raft logs Fatal and Panic where it can't continue, because of a corrupt disk or a bug: the process ends.
 func (discardLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
 func (discardLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 func (discardLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-// Council is the council that the member belongs to; 0: none yet. Messages of another one must not reach
-// Step: two councils know nothing of each other's terms.
+// Council returns the ID of the council that the member belongs to; 0: none yet. The caller must not pass
+// messages of another council to Step, since the terms of two councils are unrelated.
 func (m *Member) Council() uint64 { return m.councilID }
 
-// Status is what a person is told.
+// Status is the status of a member, for operators.
 type Status struct {
 	ID        uint64
 	Council   uint64
-	Leader    uint64 // 0: none is known
+	Leader    uint64 // 0: unknown
 	Term      uint64
 	Voters    []uint64
 	Learners  []uint64
 	Applied   uint64
-	LeaderAge int // ticks since a leader was heard; what State tells may be older than that, never newer
+	LeaderAge int // ticks since the last message of a leader; State may be older than that, never newer
 }
 
-// Status tells how the member stands.
+// Status returns the status of the member.
 func (m *Member) Status() Status {
 	s := m.node.BasicStatus()
 	return Status{ID: m.options.ID, Council: m.councilID, Leader: s.Lead, Term: s.GetTerm(), Voters: slices.Clone(m.conf.GetVoters()), Learners: slices.Clone(m.conf.GetLearners()),
 		Applied: m.appliedIndex, LeaderAge: m.ticks - m.lastLeaderTick}
 }
 
-// Register is who holds promises for whom. It is the machine's: to read, and not for long.
+// Register returns the register of promises. It is the member's own: the caller may only read it, and only
+// until the next call of a method that changes the member.
 func (m *Member) Register() *promises.Register { return m.register }
 
-// State is what the member has applied. It is the machine's: to read, and not for long.
+// State returns the work state that the member has applied. It is the member's own: the caller may only read
+// it, and only until the next call of a method that changes the member.
 func (m *Member) State() *work.State { return m.state }
--- a/internal/decide/council/council_test.go
+++ b/internal/decide/council/council_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/internal/decide/work"
 )
 
-// testDisk is what a member has made durable; it survives its process.
+// testDisk holds the durable state of a member. It survives a crash of the member.
 type testDisk struct {
 	id uint64
 	StoredState
@@ -38,7 +38,7 @@
 	}
 }
 
-// testCluster is members with a network that loses, delays and cuts.
+// testCluster runs members over a simulated network that loses and delays messages and can be partitioned.
 type testCluster struct {
 	t           testing.TB
 	rng         *rand.Rand
@@ -48,7 +48,7 @@
 	partitioned func(from, to int) bool
 	lossRate    float64
 	nextID      uint64
-	results     map[uint64]error // by token: the first result
+	results     map[uint64]error // the first result by token
 	granted     map[uint64]string
 }
 
@@ -78,7 +78,7 @@
 	r.members[i] = m
 }
 
-// loseDisk takes a member's disk: whoever stands in its place is another.
+// loseDisk replaces a member's disk by an empty one with another ID.
 func (r *testCluster) loseDisk(i int) {
 	r.nextID++
 	r.disks[i] = &testDisk{id: r.nextID}
@@ -89,7 +89,7 @@
 	return slices.IndexFunc(r.disks, func(d *testDisk) bool { return d.id == id })
 }
 
-// processReady does what a member has ready. crash: it dies in between, after the disk or before.
+// processReady processes what a member has ready. With crash the member crashes before or after the write.
 func (r *testCluster) processReady(i int, crash bool) {
 	m := r.members[i]
 	for m != nil {
@@ -116,7 +116,7 @@
 			r.t.Fatalf("member %d: %v", i, err)
 		}
 		for _, x := range results {
-			if _, known := r.results[x.Token]; !known { // it may be agreed on twice
+			if _, known := r.results[x.Token]; !known { // an entry may be committed twice
 				r.results[x.Token] = x.Err
 			}
 		}
@@ -124,20 +124,20 @@
 	}
 }
 
-// checkPermits holds what must always be: a permit's number is one request's, for ever.
+// checkPermits checks that a permit number is never used for two requests.
 func (r *testCluster) checkPermits(m *Member) {
 	for _, q := range m.State().Requests() {
 		if q.Permit == 0 {
 			continue
 		}
 		if was := r.granted[q.Permit]; was != "" && was != q.ID {
-			r.t.Fatalf("permit %d is %s's and %s's", q.Permit, was, q.ID)
+			r.t.Fatalf("permit %d belongs to both %s and %s", q.Permit, was, q.ID)
 		}
 		r.granted[q.Permit] = q.ID
 	}
 }
 
-// step is a tick of all, and the delivery of most of what is under way, in any order.
+// step advances all members by a tick and delivers most messages in flight, in random order.
 func (r *testCluster) step() {
 	for i, m := range r.members {
 		if m != nil {
@@ -164,7 +164,7 @@
 	return slices.IndexFunc(r.members, func(m *Member) bool { return m != nil && m.isLeader() })
 }
 
-// waitFor steps waitFor something holds; it must, in that many ticks.
+// waitFor steps until a condition holds, and fails the test if it doesn't within that many ticks.
 func (r *testCluster) waitFor(what string, most int, holds func() bool) int {
 	r.t.Helper()
 	for n := range most {
@@ -178,11 +178,11 @@
 			r.t.Logf("%d: %+v", i, m.Status())
 		}
 	}
-	r.t.Fatalf("never: %s", what)
+	r.t.Fatalf("timed out waiting until %s", what)
 	return 0
 }
 
-// setMembers tells all which members there should be.
+// setMembers sets the wanted members at all running members.
 func (r *testCluster) setMembers() {
 	var ids []uint64
 	for _, d := range r.disks {
@@ -195,7 +195,7 @@
 	}
 }
 
-// allVote tells whether all are voters by the leader's word, and no others.
+// allVote reports whether the leader lists exactly the members of the test as voters.
 func (r *testCluster) allVote() bool {
 	l := r.leader()
 	if l < 0 {
@@ -213,15 +213,15 @@
 	return true
 }
 
-// commit proposes until an entry has a result.
+// commit proposes an entry until it has a result.
 func (r *testCluster) commit(token uint64, e work.Entry) error {
 	r.t.Helper()
-	r.waitFor(fmt.Sprintf("token %d is agreed on", token), 400, func() bool {
+	r.waitFor(fmt.Sprintf("token %d is committed", token), 400, func() bool {
 		if _, known := r.results[token]; known {
 			return true
 		}
 		if l := r.leader(); l >= 0 && r.rng.IntN(5) == 0 {
-			_ = r.members[l].Propose(token, e) // it comes again
+			_ = r.members[l].Propose(token, e) // a lost proposal is repeated
 			r.processReady(l, false)
 		}
 		return false
@@ -237,8 +237,8 @@
 	return f
 }
 
-// One founds, four come in, one at a time; the log is cut, who was away catches up by a snapshot; the
-// leader dies and another leads; a member that lost its disk comes in as another.
+// A bootstrapped council grows to five members; the log is compacted and a member that was down catches up
+// by a snapshot; the leader crashes and another is elected; a member that lost its disk joins as a new one.
 func TestBootstrapCatchUpAndFailover(t *testing.T) {
 	r := newTestCluster(t, 5, 1)
 	r.setMembers()
@@ -258,37 +258,37 @@
 	}
 	lead := r.leader()
 	if first, _ := r.members[lead].storage.FirstIndex(); first < 40 || len(r.disks[lead].Entries) > 80 {
-		t.Errorf("the log is not cut: it begins at %d, %d entries on the disk", first, len(r.disks[lead].Entries))
+		t.Errorf("the log is not compacted: it begins at %d, %d entries on the disk", first, len(r.disks[lead].Entries))
 	}
 	r.start(away)
 	r.setMembers()
-	r.waitFor("the one that was away has caught up", 400, func() bool {
+	r.waitFor("the restarted member has caught up", 400, func() bool {
 		return r.members[away].Status().Applied >= r.members[lead].Status().Applied
 	})
 	r.members[lead] = nil
-	took := r.waitFor("another leads", 400, func() bool { return r.leader() >= 0 })
-	t.Logf("another leads after %d ticks of a tenth of the time in which a member stands", took)
+	took := r.waitFor("another leader is elected", 400, func() bool { return r.leader() >= 0 })
+	t.Logf("another leader after %d ticks; the election time-out is 10 ticks or more", took)
 	if q := r.members[r.leader()].State().Requests(); len(q) != 1 || q[0].Phase != work.Granted {
-		t.Errorf("what was granted is forgotten: %+v", q)
+		t.Errorf("the granted permit is lost: %+v", q)
 	}
 	r.loseDisk(lead)
 	r.start(lead)
 	r.setMembers()
-	r.waitFor("it has come in as another", 3000, r.allVote)
+	r.waitFor("it has joined as a new member", 3000, r.allVote)
 	if err := r.commit(500, work.Entry{Kind: work.Take, ID: "r", Permit: 1}); err != nil {
 		t.Error(err)
 	}
 	if err := r.commit(501, work.Entry{Kind: work.Take, ID: "r", Permit: 2}); err == nil {
-		t.Error("a permit that was never given was taken")
+		t.Error("a permit that was never issued was accepted")
 	}
 }
 
-// Who has not caught up does not vote: it would only weaken those who do.
+// A learner that has not caught up isn't promoted, since it would only weaken the quorum.
 func TestLearnerCatchesUpBeforeVoting(t *testing.T) {
 	r := newTestCluster(t, 3, 4)
 	r.members[2] = nil
 	r.setMembers()
-	r.waitFor("two vote and one learns", 2000, func() bool {
+	r.waitFor("there are two voters and one learner", 2000, func() bool {
 		l := r.leader()
 		return l >= 0 && len(r.members[l].Status().Voters) == 2 && len(r.members[l].Status().Learners) == 1
 	})
@@ -296,15 +296,15 @@
 		r.step()
 	}
 	if s := r.members[r.leader()].Status(); len(s.Voters) != 2 {
-		t.Errorf("it votes and has heard nothing: %+v", s)
+		t.Errorf("a member that got no entries was promoted: %+v", s)
 	}
 	r.start(2)
 	r.setMembers()
-	r.waitFor("three vote", 2000, r.allVote)
+	r.waitFor("there are three voters", 2000, r.allVote)
 }
 
-// Who votes and is well stays until the one that is to take the seat votes, also where that one isn't there yet, and whenever
-// raft forgets for a moment who was active.
+// An active voter that is to be replaced stays until its replacement votes, even if that isn't running yet, and
+// even while raft has just reset its activity flags.
 func TestVoterStaysUntilReplaced(t *testing.T) {
 	for seed := range uint64(30) {
 		r := newTestCluster(t, 4, seed)
@@ -323,13 +323,13 @@
 			return nil
 		}
 		want(1, 2, 3)
-		r.waitFor("three vote", 2000, func() bool { return len(voters()) == 3 })
+		r.waitFor("there are three voters", 2000, func() bool { return len(voters()) == 3 })
 		leaves := r.disks[(r.leader()+1)%3].id
 		next := slices.DeleteFunc([]uint64{1, 2, 3, 4}, func(id uint64) bool { return id == leaves })
 		want(next...)
 		kept := func() {
 			if v := voters(); v != nil && len(v) < 3 {
-				t.Fatalf("seed %d: only %v vote", seed, v)
+				t.Fatalf("seed %d: only %v are voters", seed, v)
 			}
 		}
 		for range 100 + seed {
@@ -338,7 +338,7 @@
 		}
 		r.start(3)
 		r.lossRate = 0.2
-		r.waitFor("the seat has gone over", 3000, func() bool {
+		r.waitFor("the voter is replaced", 3000, func() bool {
 			kept()
 			v := slices.Clone(voters())
 			slices.Sort(v)
@@ -347,7 +347,7 @@
 	}
 }
 
-// The smaller part grants nothing, and says how old what it shows is.
+// The minority side of a partition commits nothing, and reports the age of its state.
 func TestMinorityPartition(t *testing.T) {
 	r := newTestCluster(t, 5, 2)
 	r.setMembers()
@@ -358,32 +358,32 @@
 	r.inFlight = nil
 	_ = r.members[lead].Propose(7, work.Entry{Kind: work.UpdateFleet, Fleet: facts(3)})
 	r.processReady(lead, false)
-	r.waitFor("the old leader knows that it leads nobody", 100, func() bool { return !r.members[lead].isLeader() })
+	r.waitFor("the old leader has stepped down", 100, func() bool { return !r.members[lead].isLeader() })
 	if _, known := r.results[7]; known {
-		t.Error("two of five agreed")
+		t.Error("two of five members committed an entry")
 	}
 	if err := r.members[lead].Propose(8, work.Entry{Kind: work.UpdateFleet, Fleet: facts(3)}); !errors.Is(err, ErrNotLeader) {
 		t.Error(err)
 	}
-	r.waitFor("the greater part has a leader", 200, func() bool { return r.leader() >= 0 })
+	r.waitFor("the majority has a leader", 200, func() bool { return r.leader() >= 0 })
 	if err := r.commit(9, work.Entry{Kind: work.UpdateFleet, Fleet: facts(4)}); err != nil {
 		t.Fatal(err)
 	}
 	if age := r.members[lead].Status().LeaderAge; age < 5 {
-		t.Errorf("the smaller part says that it has heard a leader %d ticks ago", age)
+		t.Errorf("the minority reports that a leader was active %d ticks ago", age)
 	}
 	r.partitioned = func(int, int) bool { return false }
-	r.waitFor("all are level", 400, func() bool {
+	r.waitFor("the old leader has caught up", 400, func() bool {
 		return r.members[lead].Status().Applied == r.members[r.leader()].Status().Applied
 	})
 	if n := len(r.members[lead].State().Snapshot().Fleet.Machines); n != 4 {
-		t.Errorf("what the smaller part was told counts: %d machines", n)
+		t.Errorf("an entry of the minority was applied: %d machines", n)
 	}
 }
 
-// Drawn days of losses, cuts, crashes in the middle of a write, lost disks (never a majority's) and
-// operators: no number is two requests', nothing that was agreed on is forgotten, and in the end all
-// have the same state.
+// Random message loss, partitions, crashes during a write, lost disks (never a majority's) and operator calls:
+// no permit number is used for two requests, no committed entry is lost, and in the end all members have the
+// same state.
 func TestRandomFaults(t *testing.T) {
 	days := uint64(40)
 	if testing.Short() {
@@ -393,7 +393,7 @@
 		n := 3 + 2*int(seed%2)
 		r := newTestCluster(t, n, seed+10)
 		r.setMembers()
-		r.waitFor("all vote", 4000, r.allVote)
+		r.waitFor("all members are voters", 4000, r.allVote)
 		if err := r.commit(1, work.Entry{Kind: work.UpdateFleet, Fleet: facts(9)}); err != nil {
 			t.Fatal(err)
 		}
@@ -410,7 +410,7 @@
 			case x < 12:
 				if i := r.rng.IntN(n); r.members[i] != nil {
 					r.members[i].Tick()
-					r.processReady(i, true) // dies before the disk has it, or after
+					r.processReady(i, true) // crashes before or after the write
 					r.members[i] = nil
 				}
 			case x < 20:
@@ -419,7 +419,7 @@
 					r.setMembers()
 				}
 			case x < 21:
-				// A disk is lost only while all the others are well and level, as one machine's.
+				// A disk is lost only while all members run and have applied the same, as if one machine failed.
 				if l := r.leader(); l >= 0 && r.allVote() && !slices.Contains(r.members, nil) {
 					level := true
 					for _, m := range r.members {
@@ -431,7 +431,7 @@
 						r.loseDisk(i)
 						r.start(i)
 						r.setMembers()
-						r.waitFor("the lost one has come in", 4000, r.allVote)
+						r.waitFor("the member with the lost disk has joined", 4000, r.allVote)
 					}
 				}
 			case x < 70:
@@ -462,7 +462,7 @@
 			}
 		}
 		r.setMembers()
-		r.waitFor(fmt.Sprintf("seed %d: all are level", seed), 4000, func() bool {
+		r.waitFor(fmt.Sprintf("seed %d: all members have applied the same", seed), 4000, func() bool {
 			l := r.leader()
 			if l < 0 || !r.allVote() {
 				return false
@@ -483,30 +483,30 @@
 	}
 }
 
-// Messages that nobody else may send, or that can't be read, change nothing.
+// Messages of local types, for another member or that can't be decoded are rejected, and so are invalid states.
 func TestInvalidMessages(t *testing.T) {
 	r := newTestCluster(t, 1, 3)
-	r.waitFor("one leads itself", 100, func() bool { return r.leader() == 0 })
+	r.waitFor("the only member leads", 100, func() bool { return r.leader() == 0 })
 	for what, msg := range map[string]*pb.Message{
 		"for another": {To: proto.Uint64(99), Type: pb.MsgApp.Enum()},
-		"stand":       {To: proto.Uint64(1), Type: pb.MsgHup.Enum()},
+		"campaign":    {To: proto.Uint64(1), Type: pb.MsgHup.Enum()},
 		"propose":     {To: proto.Uint64(1), Type: pb.MsgProp.Enum(), Entries: []*pb.Entry{{Data: []byte("x")}}},
 	} {
 		data, _ := proto.Marshal(msg)
 		if r.members[0].Step(data) == nil {
-			t.Errorf("%s is taken", what)
+			t.Errorf("%s is accepted", what)
 		}
 	}
 	if r.members[0].Propose(0, work.Entry{}) == nil {
-		t.Error("an entry without a token is proposed")
+		t.Error("an entry without a token was accepted")
 	}
 	if r.members[0].Step([]byte{0xff}) == nil {
-		t.Error("noise is taken")
+		t.Error("an undecodable message was accepted")
 	}
 	if _, err := New(Options{ID: 1, ElectionTicks: 10, RetainedEntries: 1, Bounds: bounds}, StoredState{Entries: []*pb.Entry{{Index: proto.Uint64(5), Term: proto.Uint64(1)}}}); err == nil {
-		t.Error("a log with a hole is taken")
+		t.Error("a log with a gap was accepted")
 	}
 	if _, err := New(Options{ID: 1, ElectionTicks: 10, RetainedEntries: 1, Bounds: bounds}, StoredState{HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(9)}}); err == nil {
-		t.Error("a log that has lost what was agreed on is taken")
+		t.Error("a log that ends before the committed index was accepted")
 	}
 }
--- a/internal/decide/council/history_test.go
+++ b/internal/decide/council/history_test.go
@@ -11,7 +11,7 @@
 	"molepaddle/internal/decide/work"
 )
 
-// referenceModel is the referenceModel of work as one machine would keep it: what histories are held against.
+// referenceModel returns the sequential specification of the work state against which histories are checked.
 func referenceModel(t *testing.T) porcupine.Model {
 	text := func(s any) string { return fmt.Sprint(s.(*work.State).Snapshot()) }
 	return porcupine.Model{
@@ -28,9 +28,9 @@
 	}
 }
 
-// Clients that ask whoever says that it leads, also one in a smaller part, under cuts, losses and crashes:
-// what they are told could have been told by one machine that did one thing after the other, each
-// between its asking and its answer.
+// Clients propose to any member that claims to lead, also on the minority side of a partition, under
+// partitions, message loss and crashes. Their results must be linearizable: a single machine that executes
+// each call at some time between its start and its result could have given them.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	days := uint64(15)
 	if testing.Short() {
@@ -41,7 +41,7 @@
 		r := newTestCluster(t, 3+2*int(seed%2), seed+1000)
 		n := len(r.members)
 		r.setMembers()
-		r.waitFor("all vote", 4000, r.allVote)
+		r.waitFor("all members are voters", 4000, r.allVote)
 		type call struct {
 			entry work.Entry
 			token uint64
@@ -87,21 +87,21 @@
 					if e.Kind == work.Submit {
 						e.Ask = &work.Ask{ID: e.ID, Machine: "m" + e.ID[1:], Seconds: 10}
 					}
-					// Whoever says that it leads, also wrongly.
+					// Any member that claims to lead, even if it doesn't.
 					i := r.rng.IntN(n)
 					if m := r.members[i]; m != nil && m.Propose(token, e) == nil {
 						clients[who] = &call{e, token, now, now + 200}
 						r.processReady(i, false)
 					}
 				} else if c != nil {
-					if i := r.rng.IntN(n); r.rng.IntN(4) == 0 && r.members[i] != nil { // it asks again, perhaps though it has counted
+					if i := r.rng.IntN(n); r.rng.IntN(4) == 0 && r.members[i] != nil { // a retry, perhaps of an entry that was applied
 						_ = r.members[i].Propose(c.token, c.entry)
 						r.processReady(i, false)
 					}
 					if err, told := r.results[c.token]; told {
 						known++
 						end(c, who, fmt.Sprint(err), now)
-					} else if now > c.until { // it never knows: it may have counted, or may yet
+					} else if now > c.until { // no result: the entry may have been applied, or may yet be
 						open++
 						end(c, who, "unknown", math.MaxInt64)
 					}
@@ -110,13 +110,13 @@
 			r.step()
 		}
 		if got := porcupine.CheckOperationsTimeout(referenceModel(t), history, 20*time.Second); got == porcupine.Illegal {
-			t.Fatalf("seed %d: no order of these explains what was told: %+v", seed, history)
+			t.Fatalf("seed %d: not linearizable: %+v", seed, history)
 		} else if got == porcupine.Unknown {
-			t.Logf("seed %d: not decided in time", seed)
+			t.Logf("seed %d: the linearizability check timed out", seed)
 		}
 	}
-	t.Logf("%d calls with an answer, %d without", known, open)
+	t.Logf("%d calls with a result, %d without", known, open)
 	if known < 10*int(days) {
-		t.Error("too few answers to tell anything")
+		t.Error("too few results for the check to be meaningful")
 	}
 }
--- a/internal/decide/council/wire_test.go
+++ b/internal/decide/council/wire_test.go
@@ -6,7 +6,8 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// The log's entries and snapshots are stored and sent: a member of an older build must read them, and be read.
+// Log entries and snapshots are stored and sent: members of older builds must be able to decode them, and the
+// reverse.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.CBOR(t, "proposal", &proposal{})
 	goldenbytes.CBOR(t, "contents", &snapshotData{})
--- a/internal/decide/event/event.go
+++ b/internal/decide/event/event.go
@@ -1,16 +1,16 @@
-// Package event names what goes into the decisions of an agent and what comes out. Values only; times
-// are in ms.
+// Package event defines the input events and output actions of an agent's Balancer (package policy). It
+// has only values and no state; times are in ms.
 package event
 
 import "molepaddle/internal/decide/cluster"
 
-// RequestID names one try of a client; an id is never used twice.
+// RequestID identifies one request of a client. A retry by the client has another ID; an ID is never reused.
 type RequestID uint32
 
-// Status is how an attempt or a probe ended.
+// Status is the result of an attempt or of a health check.
 type Status uint16
 
-// The endings.
+// The statuses.
 const (
 	OK            Status = 100
 	Error         Status = 301
@@ -20,34 +20,35 @@
 	Reset         Status = 305
 	Cancelled     Status = 306
 	Moot          Status = 307
-	NoConnection  Status = 308 // the way to the server had no room: says nothing of the server
+	NoConnection  Status = 308 // no free connection to the server: says nothing about the server
 )
 
-// MaxAttemptsWithoutConnection bounds a request's attempts, spread over its aim, that found no way and are not its tries.
+// MaxAttemptsWithoutConnection limits the attempts of a request that ended with NoConnection, which are
+// spread over its latency target and don't count as its attempts.
 const MaxAttemptsWithoutConnection = 32
 
-// NeverRan tells whether the ending proves that the attempt did not run.
+// NeverRan reports whether the status proves that the server did not run the attempt.
 func (s Status) NeverRan() bool {
 	return s == Full || s == ConnectFailed || s == Moot || s == NoConnection
 }
 
-// EventKind tells which fields of an Event count.
+// EventKind is the kind of an Event. It determines which fields of the Event are used.
 type EventKind uint8
 
-// The events.
+// The kinds of events, with the fields that each uses.
 const (
 	EvRequest      EventKind = iota + 1 // all from Class to Tries
 	EvOutcome                           // Request, Attempt, Server, Status, LatencyMs, Final, Report, Tries
 	EvStarted                           // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EvDropped                           // Request: the client left
+	EvDropped                           // Request: the client disconnected
 	EvList                              // List, Entries, Least
 	EvProbed                            // Server, Status, LatencyMs, Report
 	EvTimer                             // Token
-	EvPeer                              // a message of another agent; carries nothing that is used
-	EvBodyComplete                      // Request, Attempt, LeftMs: a body that was Coming is whole
+	EvPeer                              // a message of another agent; no field is used
+	EvBodyComplete                      // Request, Attempt, LeftMs: the body is complete (see BodyIncomplete)
 )
 
-// Event is something that happened to one agent.
+// Event is an input of the Balancer.
 type Event struct {
 	Kind           EventKind
 	Request        RequestID
@@ -58,8 +59,8 @@
 	HintMs         float64
 	HasHint        bool
 	Retry          bool
-	BodyIncomplete bool // a part of the body has not come; LeftMs reckons with that
-	Tries          int  // of a request: those it may have, 0: as set; of an outcome: spent beyond the one
+	BodyIncomplete bool // part of the request's body has not arrived; LeftMs takes that into account
+	Attempts       int  // of a request: attempts allowed, 0: as configured; of an outcome: attempts spent beyond this one
 	Attempt        int
 	Server         cluster.Addr
 	Status         Status
@@ -67,34 +68,34 @@
 	Final          bool // the request is finished
 	Report         []float32
 	List           cluster.ListKind
-	Entries        []cluster.Entry // not changed and not kept by the Balancer
-	MinServers     int             // servers to keep to while nothing is wrong; 0: the Balancer's own figure
+	Entries        []cluster.Entry // the Balancer neither changes nor retains the slice
+	MinServers     int             // size of the server subset while there are no faults; 0: the Balancer's default
 	Token          uint32
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is the kind of an Action. It determines which fields of the Action are used.
 type ActionKind uint8
 
-// The actions.
+// The kinds of actions, with the fields that each uses.
 const (
 	ActSend   ActionKind = iota + 1 // Request, Server, Ms: time-out, BeginMs
 	ActCancel                       // Request, Attempt
-	ActRefuse                       // Request, Ms: advice
+	ActRefuse                       // Request, Ms: retry-after advice
 	ActFail                         // Request
 	ActProbe                        // Server
 	ActTimer                        // Ms, Token
-	ActFollow                       // subscribe to the list
-	ActFetch                        // ask for the whole list once
+	ActFollow                       // subscribe to the endpoint list
+	ActFetch                        // request the complete endpoint list once
 	ActClose                        // Server: close idle connections to it
 )
 
-// Action is something the agent is to do, in the order given.
+// Action is an output of the Balancer. The agent executes actions in the given order.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
 	Server  cluster.Addr
 	Attempt int
 	Ms      float64
-	BeginMs float64 // of a send: within which its first byte goes out, or none; above 0
+	BeginMs float64 // of a send: time limit for the first byte to be sent, or nothing is sent; above 0
 	Token   uint32
 }
--- a/internal/decide/loss/loss.go
+++ b/internal/decide/loss/loss.go
@@ -1,7 +1,8 @@
-// Package loss tells why requests of a fleet earned less than they could: each is put to exactly one cause, from
-// the record that its agent wrote, and the causes sum to the whole loss. docs/design/thin.md has the causes.
+// Package loss attributes the value that requests lost, because they were late or not served, to causes. Each
+// request has exactly one cause, which follows from the record that its agent logged, so the causes sum to the
+// total loss. docs/design/thin.md lists the causes.
 //
-// There is no I/O and no clock here. A Tally belongs to whoever fills it.
+// The package does no I/O but Print's output, and reads no clock. A Tally isn't safe for concurrent use.
 package loss
 
 import (
@@ -16,23 +17,23 @@
 	"text/tabwriter"
 )
 
-// LogMessage is the message of a log's line that holds a record, under the key "record".
+// LogMessage is the message of log lines with a record, which is under the key "record".
 const LogMessage = "account"
 
-// Record is one request that earned less than it could. Times are in milliseconds; but for At they count from when
-// the request came.
+// Record describes one request that earned less than its full value. Times are in milliseconds; all but At
+// count from the arrival of the request.
 type Record struct {
 	Class    string    `json:"c"`
-	At       int64     `json:"at"`  // when it came, Unix time
-	Value    float64   `json:"w"`   // that it could have earned
-	Earned   float64   `json:"e"`   // and has
-	TargetMs float64   `json:"aim"` // until when it could have earned all of it
-	EndedMs  float64   `json:"end"` // when it was answered, or left
+	At       int64     `json:"at"`  // arrival, Unix time
+	Value    float64   `json:"w"`   // full value
+	Earned   float64   `json:"e"`   // value that it has earned
+	TargetMs float64   `json:"aim"` // latency target: until then it would have earned its full value
+	EndedMs  float64   `json:"end"` // when it was answered, or its client left
 	Outcome  string    `json:"o"`   // served, refused, failed, overdue or gone
 	Attempts []Attempt `json:"t,omitempty"`
 }
 
-// Attempt is one attempt.
+// Attempt is one attempt of a request at a server.
 type Attempt struct {
 	Server     string  `json:"s"`
 	Zone       int     `json:"z"`
@@ -44,16 +45,17 @@
 // Ending is how an attempt ended.
 type Ending string
 
-// The ways in which one ends.
+// The endings of an attempt.
 const (
 	Answered  Ending = "ok"
-	TimedOut  Ending = "silent" // nothing came, until it was given up
-	Errored   Ending = "broken" // an error or a reset: it may have run
-	Rejected  Ending = "full"   // turned away, or no way to it: it never ran
+	TimedOut  Ending = "silent" // no response until it was given up
+	Errored   Ending = "broken" // an error or a reset: the request may have run
+	Rejected  Ending = "full"   // rejected by the server, or no connection: the request never ran
 	Abandoned Ending = "unspent"
 )
 
-// ParseLine reads the record of a log's line, in text or JSON; ok: it has one. An error: it has one that makes no sense.
+// ParseLine parses the record of a log line in slog's text or JSON format. ok reports whether the line has a
+// valid record. It returns an error if the line has an invalid one.
 func ParseLine(line []byte) (r Record, ok bool, err error) {
 	text := ""
 	if _, rest, found := bytes.Cut(line, []byte(`msg=`+LogMessage+` `)); found {
@@ -76,25 +78,25 @@
 		err = r.Validate()
 	}
 	if err != nil {
-		return Record{}, false, fmt.Errorf("loss: a line of an account: %w", err)
+		return Record{}, false, fmt.Errorf("loss: invalid record in a log line: %w", err)
 	}
 	return r, true, nil
 }
 
-// Cause is why.
+// Cause is the cause of a loss.
 type Cause uint8
 
-// The causes, in the order in which they are asked.
+// The causes.
 const (
-	TimedOutOnce           Cause = iota // silent
-	TimedOutAndFailedAgain              // silent again
-	ErroredOnce                         // broken
-	ErroredAgain                        // bad again
-	AllRejected
-	Slow
-	NoCapacity
-	RefusedEarly
-	ClientLeft
+	TimedOutOnce           Cause = iota // an attempt got no response
+	TimedOutAndFailedAgain              // an attempt got no response, and another got none or failed
+	ErroredOnce                         // an attempt failed
+	ErroredAgain                        // several attempts failed
+	AllRejected                         // no attempt timed out or failed, and at least one was rejected
+	Slow                                // the attempts had no fault: the answer was late
+	NoCapacity                          // no attempt was made until more than half of the latency target had passed
+	RefusedEarly                        // no attempt, and ended within half of the latency target
+	ClientLeft                          // no attempt until the client left
 	causeCount
 )
 
@@ -102,7 +104,7 @@
 	return [...]string{"silent", "silent again", "broken", "bad again", "turned away", "slow", "no room", "refused early", "gone"}[c]
 }
 
-// CauseOf is the cause of a record's loss.
+// CauseOf returns the cause of a record's loss.
 func CauseOf(r *Record) Cause {
 	bad, silent, broken, full := 0, 0, 0, 0
 	for _, t := range r.Attempts {
@@ -138,39 +140,39 @@
 	return NoCapacity
 }
 
-// total is what a cause has taken.
+// total is the number of requests and the lost value of one cause.
 type total struct {
 	requests int
 	value    float64
 }
 
-// Tally is losses by cause, class, zone and second.
+// Tally sums losses by cause, class, zone, second and server.
 type Tally struct {
 	all     [causeCount]total
 	classes map[string]*[causeCount]total
 	zones   map[int]*[causeCount]total
 	seconds map[int64]*[causeCount]total
-	servers map[string]*[causeCount]total // by the last that was tried
+	servers map[string]*[causeCount]total // by the server of the last attempt
 	total   total
 }
 
-// NewTally has none.
+// NewTally returns an empty Tally.
 func NewTally() *Tally {
 	return &Tally{classes: map[string]*[causeCount]total{}, zones: map[int]*[causeCount]total{}, seconds: map[int64]*[causeCount]total{}, servers: map[string]*[causeCount]total{}}
 }
 
-// Validate reports what is wrong with a record that was read.
+// Validate returns an error if the record is out of range.
 func (r *Record) Validate() error {
 	switch {
 	case len(r.Class) > 256 || len(r.Attempts) > 64:
-		return fmt.Errorf("loss: a record with %d tries of a class of %d bytes", len(r.Attempts), len(r.Class))
+		return fmt.Errorf("loss: record with %d attempts and a class name of %d bytes, at most 64 and 256", len(r.Attempts), len(r.Class))
 	case !(r.Value >= 0) || !(r.Earned >= 0) || r.Earned > r.Value:
-		return fmt.Errorf("loss: a record that earned %v of %v", r.Earned, r.Value)
+		return fmt.Errorf("loss: record with earned value %v of %v, must be from 0 to the full value", r.Earned, r.Value)
 	}
 	return nil
 }
 
-// Add takes a valid record.
+// Add adds the loss of a valid record.
 func (t *Tally) Add(r *Record) {
 	c, lost := CauseOf(r), r.Value-r.Earned
 	add := func(p *total) { p.requests, p.value = p.requests+1, p.value+lost }
@@ -193,13 +195,14 @@
 	return m[k]
 }
 
-// Total is the whole loss, in requests and in worth.
-func (t *Tally) Total() (n int, worth float64) { return t.total.requests, t.total.value }
+// Total returns the total loss, as the number of requests and the lost value.
+func (t *Tally) Total() (n int, value float64) { return t.total.requests, t.total.value }
 
-// Cause is what a cause has taken.
-func (t *Tally) Cause(c Cause) (n int, worth float64) { return t.all[c].requests, t.all[c].value }
+// Cause returns the number of requests and the lost value of a cause.
+func (t *Tally) Cause(c Cause) (n int, value float64) { return t.all[c].requests, t.all[c].value }
 
-// Print writes the tables for a person: causes, then those of each class, zone and second, in worth.
+// Print writes the tables for operators: the causes, then the lost value per cause for each class, zone and
+// second, and for the ten servers with the largest losses.
 func (t *Tally) Print(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "cause\trequests\tworth\tof all\t")
@@ -221,11 +224,11 @@
 	printTable(out, "server", worst, strings.Compare)
 }
 
-func sum(p *[causeCount]total) (worth float64) {
+func sum(p *[causeCount]total) (value float64) {
 	for _, x := range p {
-		worth += x.value
+		value += x.value
 	}
-	return worth
+	return value
 }
 
 func largestLosses(m map[string]*[causeCount]total, n int) (names []string) {
@@ -236,7 +239,7 @@
 	return names[:min(n, len(names))]
 }
 
-// printTable prints the losses of one kind, a line each.
+// printTable prints the lost value per cause, with one line for each key of m.
 func printTable[K comparable](out io.Writer, name string, m map[K]*[causeCount]total, compare func(a, b K) int) {
 	keys := []K{}
 	for k := range m {
--- a/internal/decide/loss/loss_test.go
+++ b/internal/decide/loss/loss_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Each record has the cause that the table of the design note says.
+// Each record has the cause that docs/design/thin.md lists for it.
 func TestCauses(t *testing.T) {
 	try := func(how ...Ending) (all []Attempt) {
 		for _, h := range how {
@@ -43,7 +43,7 @@
 	}
 }
 
-// A record is read again from either form of log; other lines are passed over, and one that makes no sense is told.
+// Records are parsed from text and JSON logs, other lines are skipped, and invalid records are errors.
 func FuzzParseLine(f *testing.F) {
 	want := Record{Class: "order", At: 5, Value: 5, Earned: 1, TargetMs: 300, EndedMs: 400, Outcome: "served", Attempts: []Attempt{{Server: "ab", Zone: 1, At: 1, DurationMs: 399, Ending: Answered}}}
 	text, err := json.Marshal(&want)
@@ -61,12 +61,12 @@
 	}
 	for _, bad := range []string{`msg=account record="{"`, `msg=account record="{\"w\":-1}"`, `msg=account agent=n1`, `{"msg":"account"}`, `{"msg":"account","record":"x"}`} {
 		if _, ok, err := ParseLine([]byte(bad)); ok || err == nil {
-			f.Errorf("%s is taken", bad)
+			f.Errorf("%s is accepted", bad)
 		}
 		f.Add([]byte(bad))
 	}
 	if _, ok, err := ParseLine([]byte(`level=INFO msg=started`)); ok || err != nil {
-		f.Error("another line is taken for one")
+		f.Error("a line without a record was parsed as one")
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if r, ok, err := ParseLine(line); ok && (err != nil || r.Validate() != nil) {
@@ -75,7 +75,7 @@
 	})
 }
 
-// The causes sum to the whole loss, and so do those of classes, zones, seconds and servers.
+// The losses by cause sum to the total loss, and so do those by class, zone, second and server.
 func TestCausesSumToTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tally, want, n := NewTally(), 0.0, rapid.IntRange(1, 60).Draw(t, "n")
@@ -124,7 +124,7 @@
 	})
 	for _, r := range []Record{{Value: -1}, {Value: 1, Earned: 2}, {Value: math.NaN()}, {Class: strings.Repeat("x", 300)}, {Attempts: make([]Attempt, 65)}} {
 		if r.Validate() == nil {
-			t.Errorf("%+v is taken", r)
+			t.Errorf("%+v is accepted", r)
 		}
 	}
 }
--- a/internal/decide/loss/wire_test.go
+++ b/internal/decide/loss/wire_test.go
@@ -6,7 +6,7 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// Records are written to logs, which the lab of another build reads.
+// Records are written to logs, which other builds parse.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.JSON(t, "record", &Record{})
 }
--- a/internal/decide/orders/orders.go
+++ b/internal/decide/orders/orders.go
@@ -1,8 +1,10 @@
-// Package orders settles at one agent which servers it leaves alone because their machines are taken out
-// for work: what members of the council have told, held against each other and against the agent's own
-// list. docs/design/work.md says why it is made so.
+// Package orders decides at one agent which servers it excludes from balancing because their machines are
+// taken out for maintenance. It compares the exclusion lists that members of the council publish, and checks
+// the result against the agent's own endpoint list. It does not decide which machines are taken out: package
+// work does. docs/design/work.md explains the design.
 //
-// There is no I/O and no clock here. A Machine belongs to whoever drives it.
+// The package does no I/O and reads no clock. An Agent isn't safe for concurrent use: only the goroutine that
+// drives it may call it.
 package orders
 
 import (
@@ -20,21 +22,21 @@
 	"molepaddle/internal/decide/members"
 )
 
-// MaxMachines bounds a list.
+// MaxMachines is the maximum number of machines on a list.
 const MaxMachines = 100
 
-// List is what a member of the council tells of the machines that are to be left alone.
+// List is an exclusion list as published by one member of the council: the machines that get no requests.
 type List struct {
 	_        struct{} `cbor:",toarray"`
-	Council  uint64
-	Seat     uint64 // of who tells it
+	Council  uint64   // the council's ID
+	Seat     uint64   // of the publishing member
 	Version  uint64
-	Seats    uint64 // of the council
-	IsLeader bool
-	Machines []uint64 // Hash of their names, in order
+	Seats    uint64   // number of seats of the council
+	IsLeader bool     // the publishing member leads the council
+	Machines []uint64 // MachineHash of their names, sorted
 }
 
-// MachineHash is a machine's name as lists have it.
+// MachineHash returns the hash of a machine's name that lists contain.
 func MachineHash(machine string) uint64 { return xxhash.Sum64String(machine) }
 
 var dec = func() cbor.DecMode {
@@ -50,7 +52,7 @@
 	return m
 }()
 
-// Encode words a list.
+// Encode returns the CBOR encoding of a list.
 func (l *List) Encode() string {
 	text, err := cbor.Marshal(l)
 	if err != nil {
@@ -59,71 +61,74 @@
 	return string(text)
 }
 
-// Decode reads one. What makes no sense is an error.
+// Decode decodes a list. It returns an error if the list is invalid.
 func Decode(text string) (l List, err error) {
 	if err := dec.Unmarshal([]byte(text), &l); err != nil {
 		return l, err
 	}
 	switch {
 	case l.Seat == 0 || l.Seats == 0 || l.Seats > 9:
-		return l, errors.New("orders: without a seat, or with too many")
+		return l, errors.New("orders: seat 0, or number of seats not from 1 to 9")
 	case len(l.Machines) > MaxMachines, !slices.IsSorted(l.Machines),
 		len(slices.Compact(slices.Clone(l.Machines))) != len(l.Machines):
-		return l, errors.New("orders: machines twice, out of order or too many")
+		return l, errors.New("orders: machines not sorted, repeated or too many")
 	}
 	return l, nil
 }
 
-// PublishedLists is the lists that a view holds, each of somebody who sits where he says.
-func PublishedLists(v *members.View) (told []List) {
+// PublishedLists returns the valid lists that the running members of a view publish. A list counts only if
+// its seat is the seat of the member that publishes it.
+func PublishedLists(v *members.View) (lists []List) {
 	for i := range v.Members {
 		m := &v.Members[i]
 		if m.Orders == "" || m.State == members.Dead || m.State == members.Left {
 			continue
 		}
 		if l, err := Decode(m.Orders); err == nil && l.Seat == m.Info.Seat {
-			told = append(told, l)
+			lists = append(lists, l)
 		}
 	}
-	return told
+	return lists
 }
 
-// MachineServers is a machine and its servers, as the operator's file has them.
+// MachineServers is a machine with its servers, as configured in the operator's file.
 type MachineServers struct {
 	Name    string
 	Servers []cluster.Addr
 }
 
-// Agent is one agent's part.
+// Agent holds the exclusion list that is in force at one agent.
 type Agent struct {
 	ownMachine  string
 	machines    map[uint64]MachineServers
-	agreed      List // that a majority told
-	ownExcluded bool // its own machine is on it
+	agreed      List // the list that a majority of the seats published
+	ownExcluded bool // ownMachine is on the agreed list
 }
 
-// New makes the part of an agent on a machine. Names that can't be told apart are an error.
+// New returns the Agent for an agent on the machine own. It returns an error if two machines have the same
+// name or name hash.
 func New(own string, places []MachineServers) (*Agent, error) {
 	m := &Agent{ownMachine: own, machines: map[uint64]MachineServers{}}
 	for _, p := range places {
 		if o, twice := m.machines[MachineHash(p.Name)]; twice {
-			return nil, fmt.Errorf("machine %q: twice, or not to be told from %q", p.Name, o.Name)
+			return nil, fmt.Errorf("machine %q: its name or the hash of it equals that of machine %q", p.Name, o.Name)
 		}
 		m.machines[MachineHash(p.Name)] = p
 	}
 	return m, nil
 }
 
-// Update takes what members tell now; it reports whether another list has been agreed on. A list counts
-// that most of the seats which it speaks of tell alike, each seat once, and never an older one.
-func (m *Agent) Update(told []List) bool {
+// Update processes the lists that members publish now, and reports whether the agreed list has changed. A list
+// is agreed on when a majority of its council's seats publish the same list, with one vote per seat. A list
+// with an older version is never agreed on.
+func (m *Agent) Update(lists []List) bool {
 	type key struct {
 		council, version, seats uint64
 		machines                string
 	}
 	seats := map[key]map[uint64]bool{}
 	best := m.agreed
-	for _, l := range told {
+	for _, l := range lists {
 		k := key{l.Council, l.Version, l.Seats, fmt.Sprint(l.Machines)}
 		if seats[k] == nil {
 			seats[k] = map[uint64]bool{}
@@ -138,18 +143,19 @@
 	return changed
 }
 
-// OwnExcluded tells whether the agent's own machine is to be left.
+// OwnExcluded reports whether the agent's own machine is on the agreed list, so that the agent has to
+// evacuate it.
 func (m *Agent) OwnExcluded() bool { return m.ownExcluded }
 
-// Exclusion is what follows from the list that is agreed on.
+// Exclusion is the effect of the agreed list at this agent.
 type Exclusion struct {
-	Servers []cluster.Addr // servers that get nothing, in order
-	Version uint64         // that may be acknowledged once Alone is in force; 0: none
-	Reason  string         // why it may not be; empty: it may
+	Servers []cluster.Addr // servers that get no requests, sorted by hash
+	Version uint64         // version to acknowledge once Servers are excluded; 0: none
+	Reason  string         // why the version must not be acknowledged; empty: it may be
 }
 
-// Apply settles that for the servers that the roster tells. More than half of those that are ready are
-// never left alone, and a machine that the agent does not know is not acknowledged.
+// Apply returns the effect of the agreed list on the given servers. It never excludes more than half of the
+// ready servers. A list with a machine that is not configured at this agent must not be acknowledged.
 func (m *Agent) Apply(list []cluster.Server) Exclusion {
 	ready := map[cluster.Addr]bool{}
 	for _, s := range list {
@@ -158,7 +164,7 @@
 		}
 	}
 	v := Exclusion{Version: m.agreed.Version}
-	most, unknown, kept := len(ready)/2, 0, []string{}
+	most, unknown, tooLarge := len(ready)/2, 0, []string{}
 	if m.agreed.Council == 0 {
 		v.Version = 0
 	}
@@ -180,7 +186,7 @@
 			}
 		}
 		if n > most {
-			kept = append(kept, p.Name)
+			tooLarge = append(tooLarge, p.Name)
 			continue
 		}
 		most -= n
@@ -190,8 +196,8 @@
 	switch {
 	case unknown > 0:
 		v.Reason = fmt.Sprintf("%d machines on the council's list are not in this agent's file", unknown)
-	case len(kept) > 0:
-		v.Reason = fmt.Sprintf("without %s less than half of the ready servers would be left", strings.Join(kept, ", "))
+	case len(tooLarge) > 0:
+		v.Reason = fmt.Sprintf("without %s less than half of the ready servers would be left", strings.Join(tooLarge, ", "))
 	}
 	if v.Reason != "" {
 		v.Version = 0
@@ -199,7 +205,8 @@
 	return v
 }
 
-// ExcludedMachines is the names on the list that is agreed on, in order; what is not known has none.
+// ExcludedMachines returns the sorted names of the machines on the agreed list. Machines that are not
+// configured at this agent are left out.
 func (m *Agent) ExcludedMachines() (names []string) {
 	for _, h := range m.agreed.Machines {
 		if p, known := m.machines[h]; known {
@@ -210,11 +217,11 @@
 	return names
 }
 
-// Leader is the seat that leads by what members tell, and all that tell anything; 0: nobody says so, or
-// several do.
-func Leader(told []List) (leader uint64, seats []uint64) {
+// Leader returns the seat whose list claims leadership, and all seats that publish a list. leader is 0 if none
+// or several claim it.
+func Leader(lists []List) (leader uint64, seats []uint64) {
 	all := map[uint64]bool{}
-	for _, l := range told {
+	for _, l := range lists {
 		if all[l.Seat] = true; l.IsLeader {
 			if leader != 0 && leader != l.Seat {
 				leader = 1<<64 - 1
--- a/internal/decide/orders/orders_test.go
+++ b/internal/decide/orders/orders_test.go
@@ -34,7 +34,7 @@
 	return l
 }
 
-// A list counts once most of the seats tell it; an older one never; one seat counts once.
+// A list is agreed on once a majority of the seats publish it, with one vote per seat; an older one never is.
 func TestMajorityDecidesTheList(t *testing.T) {
 	m := machine(t)
 	for i, c := range []struct {
@@ -52,21 +52,21 @@
 		{[]List{list(1, 9, "m0"), list(2, 9, "m0")}, true, "m0"},
 	} {
 		if changed := m.Update(c.told); changed != c.changed || strings.Join(m.ExcludedMachines(), " ") != c.names || m.OwnExcluded() != (c.names == "m0") {
-			t.Errorf("%d: %v, %v, leaves %v", i, changed, m.ExcludedMachines(), m.OwnExcluded())
+			t.Errorf("%d: %v, %v, own machine excluded %v", i, changed, m.ExcludedMachines(), m.OwnExcluded())
 		}
 	}
 	other := list(1, 10, "m1")
 	other.Council = 6
 	if m.Update([]List{other, list(2, 10, "m1")}) {
-		t.Error("two councils were added up")
+		t.Error("votes for lists of two councils were counted together")
 	}
 }
 
-// What follows: never more than half of the ready servers, nothing acknowledged that is not in force.
+// At most half of the ready servers are excluded, and a list is acknowledged only if it is fully in force.
 func TestExcludedServers(t *testing.T) {
 	m := machine(t)
 	if v := m.Apply(ready(8)); v.Version != 0 || v.Servers != nil {
-		t.Errorf("%+v before anything was told", v)
+		t.Errorf("%+v before any list was published", v)
 	}
 	say := func(version uint64, names ...string) {
 		m.Update([]List{list(1, version, names...), list(2, version, names...)})
@@ -77,18 +77,18 @@
 	}
 	few := ready(4)
 	if v := m.Apply(few); v.Version != 0 || !slices.Equal(v.Servers, []cluster.Addr{addr(0), addr(1)}) || !strings.Contains(v.Reason, "m2") {
-		t.Errorf("two of four, and one more: %+v", v)
+		t.Errorf("two of four servers may be excluded: %+v", v)
 	}
-	few[3].Health = cluster.Draining // by the roster: nobody needs the agent's word for it
+	few[3].Health = cluster.Draining // per the endpoint list, so it isn't counted as ready
 	if v := m.Apply(few); v.Version != 0 || !slices.Equal(v.Servers, []cluster.Addr{addr(3)}) {
-		t.Errorf("two of three ready: %+v", v)
+		t.Errorf("three servers are ready, so at most one may be excluded: %+v", v)
 	}
 	say(4, "m1", "elsewhere")
 	if v := m.Apply(ready(8)); v.Version != 0 || len(v.Servers) != 1 || !strings.Contains(v.Reason, "1 machines") {
 		t.Errorf("%+v", v)
 	}
 	if _, err := New("m", []MachineServers{{Name: "a"}, {Name: "a"}}); err == nil {
-		t.Error("one name twice")
+		t.Error("a repeated machine name was accepted")
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 	b.IsLeader = true
 	if l, _ := Leader([]List{a, b}); l != 0 {
-		t.Error(l, "of two that say they lead")
+		t.Error(l, "with two lists that claim leadership")
 	}
 }
 
--- a/internal/decide/seats/seats.go
+++ b/internal/decide/seats/seats.go
@@ -1,8 +1,10 @@
-// Package seats chooses which agents sit in the council: on different machines always, in different zones
-// where there are, and the same ones for as long as they can. It is asked once a tick by the member that
-// leads, with what that sees. docs/design/work.md says why it is made so.
+// Package seats chooses which agents are members of the council: always on different machines, in different
+// zones where possible, and with as few changes as possible. The council's leader calls it once a tick with its
+// view of the agents. The package only chooses: package council changes the membership. docs/design/work.md
+// explains the design.
 //
-// There is no I/O and no clock here. A Chooser belongs to whoever asks it.
+// The package does no I/O and reads no clock. A Chooser isn't safe for concurrent use: only the goroutine that
+// owns it may call it.
 package seats
 
 import (
@@ -12,25 +14,26 @@
 	"molepaddle/internal/decide/arith"
 )
 
-// Candidate is an agent that has a disk to sit with.
+// Candidate is an agent with a disk, which can be a member of the council.
 type Candidate struct {
-	Seat     uint64 // the disk's id; not 0
+	Seat     uint64 // the ID of its disk; not 0
 	Machine  string
 	Zone     string
-	Healthy  bool // it is there, and nobody doubts it
-	Excluded bool // its machine is to be left alone
+	Healthy  bool // it is running and not suspected by any other agent
+	Excluded bool // its machine is on the exclusion list
 }
 
-// Chooser remembers for how long somebody who sits has been away.
+// Chooser chooses the members of the council. It counts for how long each member has been unhealthy.
 type Chooser struct {
 	Size         int // seats: 1, 3 or 5
-	ReplaceAfter int // ticks that somebody is away before another takes the seat
+	ReplaceAfter int // ticks that a member is unhealthy before it is replaced
 
 	absentTicks map[uint64]int
 }
 
-// Next is who should sit, given who does: at most one seat is another's than before, and one that is to
-// be left stays until another is there to take it. The same candidates in any order give the same.
+// Next returns the members that the council should have, given the current ones. At most one seat changes per
+// call, and a member that should be replaced stays until a replacement is available. The result doesn't
+// depend on the order of the candidates.
 func (c *Chooser) Next(seated []uint64, candidates []Candidate) []uint64 {
 	bySeat := map[uint64]*Candidate{}
 	for i := range candidates {
@@ -43,7 +46,7 @@
 	next := slices.Clone(seated)
 	slices.Sort(next)
 	next = slices.Compact(next)
-	var worst uint64 // of those that should give way
+	var worst uint64 // the member that should be replaced first; 0: none
 	grade := 0
 	for _, id := range next {
 		g := 0
@@ -78,9 +81,9 @@
 			next = append(next, best)
 		}
 	case worst != 0:
-		rest := without(worst)
-		if best := c.best(rest, bySeat); best != 0 {
-			return append(rest, best)
+		remaining := without(worst)
+		if best := c.best(remaining, bySeat); best != 0 {
+			return append(remaining, best)
 		}
 	default:
 		return c.rebalanceZones(next, bySeat)
@@ -88,22 +91,23 @@
 	return next
 }
 
-// countByZone counts seats by zone.
-func countByZone(sits []uint64, known map[uint64]*Candidate) map[string]int {
+// countByZone counts the seats per zone.
+func countByZone(seated []uint64, bySeat map[uint64]*Candidate) map[string]int {
 	n := map[string]int{}
-	for _, id := range sits {
-		if o := known[id]; o != nil {
+	for _, id := range seated {
+		if o := bySeat[id]; o != nil {
 			n[o.Zone]++
 		}
 	}
 	return n
 }
 
-// best is who should come to those who sit; 0: nobody can.
+// best returns the candidate that should be added to the members; 0: none is suitable.
 func (c *Chooser) best(seated []uint64, bySeat map[uint64]*Candidate) (best uint64) {
 	taken := countByZone(seated, bySeat)
 	order := func(a, b uint64) int {
-		return cmp.Or(cmp.Compare(taken[bySeat[a].Zone], taken[bySeat[b].Zone]), cmp.Compare(arith.Mix(a), arith.Mix(b)))
+		return cmp.Or(cmp.Compare(taken[bySeat[a].Zone], taken[bySeat[b].Zone]),
+			cmp.Compare(arith.Mix(a), arith.Mix(b)))
 	}
 	for id, o := range bySeat {
 		if !o.Healthy || o.Excluded || slices.Contains(seated, id) || slices.ContainsFunc(seated,
@@ -117,31 +121,31 @@
 	return best
 }
 
-// surplus is who goes where there are more than are wanted: one in the zone with the most.
-func (c *Chooser) surplus(sits []uint64, known map[uint64]*Candidate) uint64 {
-	taken := countByZone(sits, known)
-	return slices.MaxFunc(sits, func(a, b uint64) int {
-		za, zb := 1<<20, 1<<20 // who is not known goes first
-		if known[a] != nil {
-			za = taken[known[a].Zone]
+// surplus returns the member to remove if there are too many: one of the zone with the most members.
+func (c *Chooser) surplus(seated []uint64, bySeat map[uint64]*Candidate) uint64 {
+	taken := countByZone(seated, bySeat)
+	return slices.MaxFunc(seated, func(a, b uint64) int {
+		za, zb := 1<<20, 1<<20 // a member that is not a candidate is removed first
+		if bySeat[a] != nil {
+			za = taken[bySeat[a].Zone]
 		}
-		if known[b] != nil {
-			zb = taken[known[b].Zone]
+		if bySeat[b] != nil {
+			zb = taken[bySeat[b].Zone]
 		}
 		return cmp.Or(cmp.Compare(za, zb), cmp.Compare(arith.Mix(a), arith.Mix(b)))
 	})
 }
 
-// rebalanceZones moves one seat to a zone that has none, out of one that has several.
-func (c *Chooser) rebalanceZones(sits []uint64, known map[uint64]*Candidate) []uint64 {
-	taken := countByZone(sits, known)
-	gives := c.surplus(sits, known)
-	if known[gives] == nil || taken[known[gives].Zone] < 2 {
-		return sits
+// rebalanceZones moves one seat from a zone with several to a zone with none.
+func (c *Chooser) rebalanceZones(seated []uint64, bySeat map[uint64]*Candidate) []uint64 {
+	taken := countByZone(seated, bySeat)
+	from := c.surplus(seated, bySeat)
+	if bySeat[from] == nil || taken[bySeat[from].Zone] < 2 {
+		return seated
 	}
-	rest := slices.DeleteFunc(slices.Clone(sits), func(o uint64) bool { return o == gives })
-	if best := c.best(rest, known); best != 0 && taken[known[best].Zone] == 0 {
-		return append(rest, best)
+	remaining := slices.DeleteFunc(slices.Clone(seated), func(o uint64) bool { return o == from })
+	if best := c.best(remaining, bySeat); best != 0 && taken[bySeat[best].Zone] == 0 {
+		return append(remaining, best)
 	}
-	return sits
+	return seated
 }
--- a/internal/decide/seats/seats_test.go
+++ b/internal/decide/seats/seats_test.go
@@ -39,7 +39,7 @@
 	all[gone-1].Healthy = false
 	for range c.ReplaceAfter {
 		if next := c.Next(sits, all); !slices.Contains(next, gone) {
-			t.Fatal("a seat was given away at once")
+			t.Fatal("an unhealthy member was replaced before ReplaceAfter ticks")
 		}
 	}
 	after := runUntilStable(c, sits, all)
@@ -48,20 +48,20 @@
 	}
 	all[gone-1].Healthy = true
 	if again := runUntilStable(c, after, all); !slices.Equal(again, after) {
-		t.Errorf("who came back took a seat: %v, then %v", after, again)
+		t.Errorf("a member that came back took a seat: %v, then %v", after, again)
 	}
 	out := after[1]
 	all[out-1].Excluded = true
 	if next := c.Next(after, all); slices.Contains(next, out) || len(next) != 3 {
-		t.Errorf("%v while %d is out", next, out)
+		t.Errorf("%v while the machine of %d is excluded", next, out)
 	}
-	// Nobody to take it: it keeps its seat.
+	// Without a replacement the member keeps its seat.
 	few := candidates(3)
 	few[1].Excluded, few[2].Healthy = true, false
 	if next := runUntilStable(&Chooser{Size: 3, ReplaceAfter: 1}, []uint64{1, 2, 3}, few); len(next) != 3 {
 		t.Errorf("%v", next)
 	}
-	// Two of one machine, and more than are wanted.
+	// Two members on one machine, and more members than wanted.
 	same := candidates(6)
 	same[1].Machine = "m0"
 	if next := runUntilStable(&Chooser{Size: 3}, []uint64{1, 2, 3}, same); slices.Contains(next, 1) && slices.Contains(next, 2) || len(next) != 3 {
@@ -71,12 +71,13 @@
 		t.Errorf("%v", next)
 	}
 	if next := runUntilStable(&Chooser{Size: 3}, []uint64{1, 4, 6}, candidates(6)); len(next) != 3 || slices.Contains(next, 1) == slices.Contains(next, 4) {
-		t.Errorf("two in zone a, and it stays so: %v", next)
+		t.Errorf("two members remain in zone a: %v", next)
 	}
 }
 
-// Whatever happens to candidates: one seat at most changes in a step, nobody comes who is not well or on a
-// machine of another who sits, the order of candidates does not matter, and it comes to rest.
+// However the candidates change, at most one seat changes per step, an added member is healthy, not excluded
+// and on a machine without another member, the order of the candidates doesn't matter, and the selection
+// becomes stable.
 func TestSelectionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -94,7 +95,7 @@
 			next := one.Next(sits, all)
 			rng.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
 			if other := two.Next(sits, all); !slices.Equal(next, other) {
-				t.Fatalf("%v or %v, by the order of candidates", next, other)
+				t.Fatalf("%v or %v, depending on the order of candidates", next, other)
 			}
 			came := 0
 			for _, id := range next {
@@ -104,11 +105,11 @@
 				came++
 				at := slices.IndexFunc(all, func(c Candidate) bool { return c.Seat == id })
 				if !all[at].Healthy || all[at].Excluded {
-					t.Fatalf("%+v comes", all[at])
+					t.Fatalf("%+v was added", all[at])
 				}
 				for _, o := range all {
 					if o.Seat != id && o.Machine == all[at].Machine && slices.Contains(next, o.Seat) {
-						t.Fatalf("%+v sits with %+v", all[at], o)
+						t.Fatalf("%+v was added on the machine of %+v", all[at], o)
 					}
 				}
 			}
@@ -119,7 +120,7 @@
 		}
 		rest := runUntilStable(one, sits, all)
 		if again := runUntilStable(one, rest, all); !slices.Equal(rest, again) {
-			t.Fatalf("no rest: %v, then %v", rest, again)
+			t.Fatalf("not stable: %v, then %v", rest, again)
 		}
 	})
 }
--- a/internal/decide/unserved/unserved.go
+++ b/internal/decide/unserved/unserved.go
@@ -1,6 +1,7 @@
-// Package unserved remembers for a while the requests that were not served, so that a
-// client's retry is judged by the time that has passed for the client and not by its
-// own. A Memory is a value of whoever holds it and has no lock.
+// Package unserved remembers recent requests that were not served, so that the age of a
+// client's retry counts from the arrival of the first attempt and not from its own. It
+// recognizes retries, but doesn't make any. A Memory isn't safe for concurrent use: only
+// the goroutine that owns it may call it.
 package unserved
 
 import (
@@ -9,7 +10,7 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// Memory is the unserved requests of late. The zero Memory keeps none.
+// Memory holds recent unserved requests. The zero Memory keeps none.
 type Memory struct {
 	classes  []settings.Class
 	limit    int
@@ -22,8 +23,8 @@
 	first float64
 }
 
-// New makes a memory of at most so many requests, each kept for as long as its class
-// lets a client wait. Where clients don't mark their retries it keeps none.
+// New returns a Memory for at most most requests. Each is kept until the give-up time of
+// its class has passed. If clients don't mark their retries, it keeps none.
 func New(set *settings.Settings, most int) Memory {
 	if !set.Clients.MarksRetry {
 		most = 0
@@ -31,10 +32,10 @@
 	return Memory{classes: set.Classes, limit: most}
 }
 
-// UpdateSettings follows a change of the settings, in which classes keep their numbers.
+// UpdateSettings applies changed settings, in which each class keeps its index.
 func (m *Memory) UpdateSettings(set *settings.Settings) { m.classes = set.Classes }
 
-// Add notes at the time now (ms) a request that first came at first and was not served.
+// Add records at the time now (ms) an unserved request that first arrived at first (ms).
 func (m *Memory) Add(class int, key uint64, first, now float64) {
 	if m.limit == 0 {
 		return
@@ -47,8 +48,8 @@
 	}
 }
 
-// TakeFirstArrival tells when the request first came of which this is the retry, and forgets it;
-// arrived if none is known.
+// TakeFirstArrival returns when the request first arrived of which this is a retry, and
+// removes it. It returns arrived if there is no such request.
 func (m *Memory) TakeFirstArrival(class int, key uint64, arrived float64) float64 {
 	i := slices.IndexFunc(m.requests, func(p unservedRequest) bool { return p.class == class && p.key == key })
 	if i < 0 {
@@ -59,5 +60,5 @@
 	return first
 }
 
-// Len is how many requests are remembered.
+// Len returns the number of requests in the Memory.
 func (m *Memory) Len() int { return len(m.requests) }
--- a/internal/decide/work/bounds.go
+++ b/internal/decide/work/bounds.go
@@ -43,12 +43,12 @@
 	if s.capacity(target.Name) == 0 {
 		return "" // it has no capacity now, so taking it out loses none
 	}
-	const dust = 1e-9
-	if all > total*(1+dust) {
+	const tolerance = 1e-9
+	if all > total*(1+tolerance) {
 		return fmt.Sprintf("%.4g of capacity would be left for a need of %.4g with its reserve: %.4g more, or as much less asked, would do", total, all, all-total)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(need)) {
-		if target.Zone == zone && need[zone] > left[zone]*(1+dust) {
+		if target.Zone == zone && need[zone] > left[zone]*(1+tolerance) {
 			return fmt.Sprintf("%.4g of capacity would be left in zone %s for a need of %.4g there with its reserve: %.4g more would do", left[zone], zone, need[zone], need[zone]-left[zone])
 		}
 	}
@@ -81,12 +81,12 @@
 		{"with agents", s.bounds.AgentShare, func(m *Machine) string { return textIf(m.Agent, "all") }},
 		{"with gateways", s.bounds.GatewayShare, func(m *Machine) string { return textIf(m.Gateway, "all") }},
 	} {
-		all, gone, out := map[string]int{}, map[string]int{}, map[string]int{}
+		all, unavailable, out := map[string]int{}, map[string]int{}, map[string]int{}
 		for name, m := range s.machines {
 			if k := of.key(m); k != "" {
 				all[k]++
 				if away[name] || m.Health == Down {
-					gone[k]++
+					unavailable[k]++
 				}
 				if away[name] {
 					out[k]++
@@ -97,8 +97,8 @@
 			if of.key(target) != k || out[k] == 0 {
 				continue
 			}
-			if most := max(int(math.Floor(of.share*float64(all[k])+1e-9)), 1); gone[k] > most {
-				return fmt.Sprintf("%d machines %s %s would be out or broken, of %d at the most", gone[k], of.what, k, most)
+			if most := max(int(math.Floor(of.share*float64(all[k])+1e-9)), 1); unavailable[k] > most {
+				return fmt.Sprintf("%d machines %s %s would be out or broken, of %d at the most", unavailable[k], of.what, k, most)
 			}
 		}
 	}
--- a/internal/decide/work/compare_test.go
+++ b/internal/decide/work/compare_test.go
@@ -220,7 +220,8 @@
 	}
 }
 
-// The rule of this package takes the fleet below the reserve almost never and loses next to no capacity.
+// The rule of this package takes the fleet below the reserve almost never, leaves next to no need without
+// capacity, and finishes before the other rules.
 // With -work.deep the log is the table in docs/design/work.md.
 func TestSchedulingRulesCompared(t *testing.T) {
 	seeds := uint64(1)
--- a/internal/decide/work/facts.go
+++ b/internal/decide/work/facts.go
@@ -83,7 +83,8 @@
 		}
 		known, running = true, running || b.State < members.Dead
 		broken := b.State == members.Dead || len(b.Doubts) > 1
-		gone := b.State >= members.Dead // a member that is only suspected may have requests in flight: its machine is not drained
+		// A member that is only suspected may have requests in flight: its machine is not drained.
+		gone := b.State >= members.Dead
 		m.Agent = m.Agent || b.Info.Role == "agent"
 		m.Gateway = m.Gateway || b.Info.Role == "gateway"
 		m.Council = m.Council || b.Info.Seat != 0 && slices.Contains(s.Voters, b.Info.Seat)
--- a/internal/decide/work/plan.go
+++ b/internal/decide/work/plan.go
@@ -93,8 +93,8 @@
 	c := *s
 	c.machines, c.requests, c.order, c.record = map[string]*Machine{}, map[string]*Request{}, nil, slices.Clone(s.record)
 	for name, m := range s.machines {
-		well := *m
-		c.machines[name] = &well
+		copied := *m
+		c.machines[name] = &copied
 	}
 	for _, r := range s.order {
 		q := *r
--- a/internal/decide/work/work.go
+++ b/internal/decide/work/work.go
@@ -431,19 +431,19 @@
 	for {
 		away := s.machinesOut()
 		var last *Request
-		broken := ""
+		reason := ""
 		for _, r := range s.order {
 			if r.Phase != Emptying && r.Phase != Granted || last != nil && (r.Since < last.Since || r.Since == last.Since && r.Sequence < last.Sequence) {
 				continue
 			}
 			if why := s.violation(away, r.Machine); why != "" {
-				last, broken = r, why
+				last, reason = r, why
 			}
 		}
 		if last == nil {
 			return
 		}
-		s.transition(last, Asked, "withdrawn: "+broken)
+		s.transition(last, Asked, "withdrawn: "+reason)
 	}
 }
 
@@ -580,9 +580,9 @@
 func (s *State) impossibleBecause(r *Request) string {
 	best := State{bounds: s.bounds, fleet: s.fleet, machines: map[string]*Machine{}}
 	for name, m := range s.machines {
-		well := *m
-		well.Health = Up
-		best.machines[name] = &well
+		copied := *m
+		copied.Health = Up
+		best.machines[name] = &copied
 	}
 	if why := best.violation(map[string]bool{r.Machine: true}, r.Machine); why != "" {
 		return "never, as the fleet is: " + why
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -137,7 +137,7 @@
 	}
 	a := r.attempts[ev.Attempt]
 	a.done = true
-	r.maxAttempts -= ev.Tries // a gateway that it went through made more of it
+	r.maxAttempts -= ev.Attempts // a gateway that it went through made more of it
 	if ev.Status == NoWay && r.maxAttempts < MostTries {
 		b.allowAnother(r)
 	}
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -72,7 +72,7 @@
 			r.do(Event{Kind: EvBodyComplete, Request: id, LeftMs: 600})
 			st = Reset
 		}
-		got := r.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Status: st, Tries: c.spent})
+		got := r.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Status: st, Attempts: c.spent})
 		if find(got, c.want) == nil {
 			t.Errorf("%+v: %+v", c, got)
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -95,7 +95,7 @@
 		tenant:      ev.Tenant,
 		key:         ev.Key,
 		bodyPending: ev.BodyIncomplete,
-		maxAttempts: cmp.Or(min(max(ev.Tries, 0), limit), limit),
+		maxAttempts: cmp.Or(min(max(ev.Attempts, 0), limit), limit),
 	}
 	if ev.HasHint {
 		r.hint = arith.Finite(ev.HintMs)
