--- a/internal/decide/arith/arith.go
+++ b/internal/decide/arith/arith.go
@@ -17,9 +17,9 @@
 	return min(x, 1e15)
 }
 
-// RemainingDeadline returns the deadline limit after an event at now: infinity if the event was in time, else
-// limit itself.
-func RemainingDeadline(now, limit float64) float64 {
+// Unmet returns limit if now is past it. Otherwise the limit has been met and no longer
+// applies: Unmet returns infinity.
+func Unmet(now, limit float64) float64 {
 	if now <= limit {
 		return math.Inf(1)
 	}
--- a/internal/decide/council/council.go
+++ b/internal/decide/council/council.go
@@ -125,18 +125,23 @@
 	first := work.New(work.DefaultBounds()).Snapshot()
 	first.ExclusionVersion = uint64(max(now, 0)) << 20
 	data, _ := cbor.Marshal(snapshotData{Work: first, Council: council}) // values only
-	return StoredState{Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
-		ConfState: &pb.ConfState{Voters: []uint64{id}}}}, HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}}
+	return StoredState{
+		Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
+			ConfState: &pb.ConfState{Voters: []uint64{id}}}},
+		HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
+	}
 }
 
 // New returns a member with the stored state of its disk. With an empty state it waits until a council adds
 // it. It returns an error if the options or the stored state are invalid.
 func New(o Options, disk StoredState) (*Member, error) {
 	if o.ID == 0 || o.ElectionTicks < 5 || o.RetainedEntries < 1 {
-		return nil, fmt.Errorf("council: options out of range: id %d (not 0), election ticks %d (at least 5), retained entries %d (at least 1)",
+		return nil, fmt.Errorf("council: id %d, election ticks %d or retained entries %d: below 1, 5 or 1",
 			o.ID, o.ElectionTicks, o.RetainedEntries)
 	}
-	m := &Member{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x636f756e63696c)), storage: raft.NewMemoryStorage(), state: work.New(o.Bounds), conf: &pb.ConfState{}, resultByToken: map[uint64]string{}, register: promises.NewRegister()}
+	m := &Member{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x636f756e63696c)),
+		storage: raft.NewMemoryStorage(), state: work.New(o.Bounds), conf: &pb.ConfState{},
+		resultByToken: map[uint64]string{}, register: promises.NewRegister()}
 	if disk.Snapshot != nil {
 		if err := m.storage.ApplySnapshot(disk.Snapshot); err != nil {
 			return nil, fmt.Errorf("council: snapshot: %w", err)
@@ -161,11 +166,13 @@
 		return nil, fmt.Errorf("council: log: %w", err)
 	}
 	if last, _ := m.storage.LastIndex(); disk.HardState.GetCommit() > last {
-		return nil, fmt.Errorf("council: log: ends at %d before the committed index %d", last, disk.HardState.GetCommit())
+		return nil, fmt.Errorf("council: log: ends at %d before the committed index %d",
+			last, disk.HardState.GetCommit())
 	}
 	var err error
-	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.ElectionTicks, HeartbeatTick: 1, Storage: m.storage, Applied: m.appliedIndex,
-		MaxSizePerMsg: 16 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 1 << 20, CheckQuorum: true, PreVote: true,
+	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.ElectionTicks, HeartbeatTick: 1,
+		Storage: m.storage, Applied: m.appliedIndex, MaxSizePerMsg: 16 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 1 << 20,
+		CheckQuorum: true, PreVote: true,
 		DisableProposalForwarding: true, Logger: discardLogger{}})
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
@@ -246,7 +253,8 @@
 		if msg.GetTerm() >= m.node.BasicStatus().GetTerm() {
 			m.ticksWithoutLeader, m.lastLeaderTick = 0, m.ticks
 		}
-	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum, pb.MsgProp, pb.MsgReadIndex, pb.MsgTransferLeader, pb.MsgForgetLeader:
+	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum,
+		pb.MsgProp, pb.MsgReadIndex, pb.MsgTransferLeader, pb.MsgForgetLeader:
 		return fmt.Errorf("council: message: %v is a local type, not valid from another member", msg.GetType())
 	}
 	if err := m.node.Step(&msg); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) {
@@ -319,7 +327,8 @@
 	}
 	change := func(t pb.ConfChangeType, id uint64) {
 		// Raft rejects it while another change is pending; it is proposed again later.
-		_ = m.node.ProposeConfChange(&pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{{Type: t.Enum(), NodeId: proto.Uint64(id)}}})
+		_ = m.node.ProposeConfChange(&pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{
+			{Type: t.Enum(), NodeId: proto.Uint64(id)}}})
 	}
 	status := m.node.Status()
 	complete := true // all wanted members vote
@@ -346,7 +355,7 @@
 			return
 		}
 	}
-	if !slices.Contains(m.wantedMembers, m.options.ID) { // the leader itself is to be removed: transfer leadership first
+	if !slices.Contains(m.wantedMembers, m.options.ID) { // the leader is to be removed: transfer leadership first
 		for _, id := range m.conf.GetVoters() {
 			if id != m.options.ID && status.Progress[id].RecentActive {
 				m.node.TransferLeader(id)
@@ -503,7 +512,8 @@
 
 // snapshot takes a snapshot if the log has grown enough or the membership has changed.
 func (m *Member) snapshot() error {
-	if m.appliedIndex < m.snapshotIndex+2*uint64(m.options.RetainedEntries) && !m.membersChanged || m.appliedIndex == m.snapshotIndex {
+	if m.appliedIndex < m.snapshotIndex+2*uint64(m.options.RetainedEntries) && !m.membersChanged ||
+		m.appliedIndex == m.snapshotIndex {
 		return nil
 	}
 	m.membersChanged = false
@@ -561,7 +571,8 @@
 // Status returns the status of the member.
 func (m *Member) Status() Status {
 	s := m.node.BasicStatus()
-	return Status{ID: m.options.ID, Council: m.councilID, Leader: s.Lead, Term: s.GetTerm(), Voters: slices.Clone(m.conf.GetVoters()), Learners: slices.Clone(m.conf.GetLearners()),
+	return Status{ID: m.options.ID, Council: m.councilID, Leader: s.Lead, Term: s.GetTerm(),
+		Voters: slices.Clone(m.conf.GetVoters()), Learners: slices.Clone(m.conf.GetLearners()),
 		Applied: m.appliedIndex, LeaderAge: m.ticks - m.lastLeaderTick}
 }
 
--- a/internal/decide/event/event.go
+++ b/internal/decide/event/event.go
@@ -60,7 +60,7 @@
 	HasHint        bool
 	Retry          bool
 	BodyIncomplete bool // part of the request's body has not arrived; LeftMs takes that into account
-	Attempts       int  // of a request: attempts allowed, 0: as configured; of an outcome: attempts spent beyond this one
+	Attempts       int  // of a request: allowed attempts, 0: as configured; of an outcome: attempts beyond this one
 	Attempt        int
 	Server         cluster.Addr
 	Status         Status
--- a/internal/decide/loss/loss.go
+++ b/internal/decide/loss/loss.go
@@ -101,7 +101,8 @@
 )
 
 func (c Cause) String() string {
-	return [...]string{"silent", "silent again", "broken", "bad again", "turned away", "slow", "no room", "refused early", "gone"}[c]
+	return [...]string{"silent", "silent again", "broken", "bad again", "turned away", "slow", "no room",
+		"refused early", "gone"}[c]
 }
 
 // CauseOf returns the cause of a record's loss.
@@ -158,16 +159,19 @@
 
 // NewTally returns an empty Tally.
 func NewTally() *Tally {
-	return &Tally{classes: map[string]*[causeCount]total{}, zones: map[int]*[causeCount]total{}, seconds: map[int64]*[causeCount]total{}, servers: map[string]*[causeCount]total{}}
+	return &Tally{classes: map[string]*[causeCount]total{}, zones: map[int]*[causeCount]total{},
+		seconds: map[int64]*[causeCount]total{}, servers: map[string]*[causeCount]total{}}
 }
 
 // Validate returns an error if the record is out of range.
 func (r *Record) Validate() error {
 	switch {
 	case len(r.Class) > 256 || len(r.Attempts) > 64:
-		return fmt.Errorf("loss: record with %d attempts and a class name of %d bytes, at most 64 and 256", len(r.Attempts), len(r.Class))
+		return fmt.Errorf("loss: record with %d attempts and a class name of %d bytes, at most 64 and 256",
+			len(r.Attempts), len(r.Class))
 	case !(r.Value >= 0) || !(r.Earned >= 0) || r.Earned > r.Value:
-		return fmt.Errorf("loss: record with earned value %v of %v, must be from 0 to the full value", r.Earned, r.Value)
+		return fmt.Errorf("loss: record with earned value %v of %v, must be from 0 to the full value",
+			r.Earned, r.Value)
 	}
 	return nil
 }
@@ -208,7 +212,8 @@
 	fmt.Fprintln(table, "cause\trequests\tworth\tof all\t")
 	for c := range causeCount {
 		if p := t.all[c]; p.requests > 0 {
-			fmt.Fprintf(table, "%v\t%d\t%.1f\t%.1f %%\t\n", c, p.requests, p.value, 100*p.value/max(t.total.value, 1e-9))
+			fmt.Fprintf(table, "%v\t%d\t%.1f\t%.1f %%\t\n", c, p.requests, p.value,
+				100*p.value/max(t.total.value, 1e-9))
 		}
 	}
 	fmt.Fprintf(table, "all\t%d\t%.1f\t\t\n", t.total.requests, t.total.value)
@@ -235,7 +240,9 @@
 	for k := range m {
 		names = append(names, k)
 	}
-	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(sum(m[b]), sum(m[a])), strings.Compare(a, b)) })
+	slices.SortFunc(names, func(a, b string) int {
+		return cmp.Or(cmp.Compare(sum(m[b]), sum(m[a])), strings.Compare(a, b))
+	})
 	return names[:min(n, len(names))]
 }
 
--- a/internal/decide/orders/orders.go
+++ b/internal/decide/orders/orders.go
@@ -197,7 +197,8 @@
 	case unknown > 0:
 		v.Reason = fmt.Sprintf("%d machines on the council's list are not in this agent's file", unknown)
 	case len(tooLarge) > 0:
-		v.Reason = fmt.Sprintf("without %s less than half of the ready servers would be left", strings.Join(tooLarge, ", "))
+		v.Reason = fmt.Sprintf("without %s less than half of the ready servers would be left",
+			strings.Join(tooLarge, ", "))
 	}
 	if v.Reason != "" {
 		v.Version = 0
--- a/internal/decide/work/bounds.go
+++ b/internal/decide/work/bounds.go
@@ -12,7 +12,9 @@
 // violation elsewhere doesn't block it.
 func (s *State) violation(away map[string]bool, name string) string {
 	target := s.machines[name]
-	for _, check := range []func(map[string]bool, *Machine) string{s.checkCapacity, s.checkShares, s.checkMajority, s.checkGroups} {
+	for _, check := range []func(map[string]bool, *Machine) string{
+		s.checkCapacity, s.checkShares, s.checkMajority, s.checkGroups,
+	} {
 		if why := check(away, target); why != "" {
 			return why
 		}
@@ -45,11 +47,15 @@
 	}
 	const tolerance = 1e-9
 	if all > total*(1+tolerance) {
-		return fmt.Sprintf("%.4g of capacity would be left for a need of %.4g with its reserve: %.4g more, or as much less asked, would do", total, all, all-total)
+		return fmt.Sprintf(
+			"%.4g of capacity would be left for a need of %.4g with its reserve: %.4g more, or as much less asked, would do",
+			total, all, all-total)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(need)) {
 		if target.Zone == zone && need[zone] > left[zone]*(1+tolerance) {
-			return fmt.Sprintf("%.4g of capacity would be left in zone %s for a need of %.4g there with its reserve: %.4g more would do", left[zone], zone, need[zone], need[zone]-left[zone])
+			return fmt.Sprintf(
+				"%.4g of capacity would be left in zone %s for a need of %.4g there with its reserve: %.4g more would do",
+				left[zone], zone, need[zone], need[zone]-left[zone])
 		}
 	}
 	return ""
@@ -98,7 +104,8 @@
 				continue
 			}
 			if most := max(int(math.Floor(of.share*float64(all[k])+1e-9)), 1); unavailable[k] > most {
-				return fmt.Sprintf("%d machines %s %s would be out or broken, of %d at the most", unavailable[k], of.what, k, most)
+				return fmt.Sprintf("%d machines %s %s would be out or broken, of %d at the most",
+					unavailable[k], of.what, k, most)
 			}
 		}
 	}
@@ -124,7 +131,8 @@
 		}
 	}
 	if least := s.fleet.Seats/2 + 1; left < least {
-		return fmt.Sprintf("%d members of the council would be left, of %d seats; %d are a majority", left, s.fleet.Seats, least)
+		return fmt.Sprintf("%d members of the council would be left, of %d seats; %d are a majority",
+			left, s.fleet.Seats, least)
 	}
 	return ""
 }
--- a/internal/decide/work/plan.go
+++ b/internal/decide/work/plan.go
@@ -35,7 +35,8 @@
 			if r.Phase < Out {
 				ends[r] = p.now + r.Seconds
 			}
-			steps = append(steps, Step{ID: r.ID, Machine: r.Machine, Begin: r.Since, End: ends[r], Late: r.DueBy > 0 && ends[r] > r.DueBy})
+			steps = append(steps, Step{ID: r.ID, Machine: r.Machine, Begin: r.Since, End: ends[r],
+				Late: r.DueBy > 0 && ends[r] > r.DueBy})
 		}
 	}
 	for range 4*len(p.order) + 4 {
@@ -48,7 +49,8 @@
 					ends[r] = p.now + r.Seconds
 					away := p.machinesOut()
 					delete(away, r.Machine)
-					steps = append(steps, Step{r.ID, r.Machine, p.now, ends[r], slices.Sorted(maps.Keys(away)), r.DueBy > 0 && ends[r] > r.DueBy})
+					steps = append(steps, Step{r.ID, r.Machine, p.now, ends[r],
+						slices.Sorted(maps.Keys(away)), r.DueBy > 0 && ends[r] > r.DueBy})
 				}
 			}
 		}
@@ -91,7 +93,8 @@
 // clone returns a copy that can be changed without changing s.
 func (s *State) clone() *State {
 	c := *s
-	c.machines, c.requests, c.order, c.record = map[string]*Machine{}, map[string]*Request{}, nil, slices.Clone(s.record)
+	c.machines, c.requests, c.order, c.record =
+		map[string]*Machine{}, map[string]*Request{}, nil, slices.Clone(s.record)
 	for name, m := range s.machines {
 		copied := *m
 		c.machines[name] = &copied
@@ -118,7 +121,8 @@
 
 // Snapshot returns the state as a Snapshot.
 func (s *State) Snapshot() Snapshot {
-	n := Snapshot{Now: s.now, Fleet: s.fleet, LastPermit: s.lastPermit, LastSequence: s.lastSequence, FleetUpdates: s.fleetUpdates, ExclusionVersion: s.exclusionVersion, Record: slices.Clone(s.record)}
+	n := Snapshot{Now: s.now, Fleet: s.fleet, LastPermit: s.lastPermit, LastSequence: s.lastSequence,
+		FleetUpdates: s.fleetUpdates, ExclusionVersion: s.exclusionVersion, Record: slices.Clone(s.record)}
 	for _, r := range s.order {
 		n.Requests = append(n.Requests, *r)
 	}
@@ -132,11 +136,14 @@
 	if err := s.setFleet(&n.Fleet); err != nil {
 		return nil, err
 	}
-	s.now, s.lastPermit, s.lastSequence, s.fleetUpdates, s.exclusionVersion, s.record = n.Now, n.LastPermit, n.LastSequence, n.FleetUpdates, n.ExclusionVersion, slices.Clone(n.Record)
+	s.now, s.lastPermit, s.lastSequence, s.fleetUpdates, s.exclusionVersion, s.record =
+		n.Now, n.LastPermit, n.LastSequence, n.FleetUpdates, n.ExclusionVersion, slices.Clone(n.Record)
 	for i := range n.Requests {
 		r := n.Requests[i]
-		if r.ID == "" || s.requests[r.ID] != nil || r.Phase > Cancelled || r.Permit > n.LastPermit || r.Sequence > n.LastSequence {
-			return nil, fmt.Errorf("snapshot: request %q: id missing or repeated, or phase, permit or place out of range", r.ID)
+		if r.ID == "" || s.requests[r.ID] != nil || r.Phase > Cancelled ||
+			r.Permit > n.LastPermit || r.Sequence > n.LastSequence {
+			return nil, fmt.Errorf("snapshot: request %q: id missing or repeated, or phase, permit or place invalid",
+				r.ID)
 		}
 		s.requests[r.ID] = &r
 		s.order = append(s.order, &r)
--- a/internal/decide/work/work.go
+++ b/internal/decide/work/work.go
@@ -25,12 +25,13 @@
 	AgentShare         float64 // the same, of the machines that run agents
 	GatewayShare       float64 `cbor:"Gateways"`   // the same, of the machines that run gateways
 	MaxOvertaken       int     `cbor:"PassedOver"` // times that other requests may start before a waiting one
-	AcknowledgeTimeout int64   `cbor:"Patience"`   // seconds that a permit waits for agents on other machines to acknowledge
+	AcknowledgeTimeout int64   `cbor:"Patience"`   // seconds that a permit waits for acknowledgements of agents
 }
 
 // DefaultBounds returns the bounds that apply where the operator's file sets none.
 func DefaultBounds() Bounds {
-	return Bounds{Reserve: 0.1, ZoneShare: 0.34, KindShare: 0.34, AgentShare: 0.34, GatewayShare: 0.5, MaxOvertaken: 8, AcknowledgeTimeout: 30}
+	return Bounds{Reserve: 0.1, ZoneShare: 0.34, KindShare: 0.34, AgentShare: 0.34, GatewayShare: 0.5,
+		MaxOvertaken: 8, AcknowledgeTimeout: 30}
 }
 
 // Validate returns the key and the error of the first bound that is out of range.
@@ -38,7 +39,8 @@
 	for _, v := range []struct {
 		key        string
 		value, top float64
-	}{{"reserve", b.Reserve, 10}, {"zone_share", b.ZoneShare, 1}, {"kind_share", b.KindShare, 1}, {"agent_share", b.AgentShare, 1}, {"gateways", b.GatewayShare, 1}} {
+	}{{"reserve", b.Reserve, 10}, {"zone_share", b.ZoneShare, 1}, {"kind_share", b.KindShare, 1},
+		{"agent_share", b.AgentShare, 1}, {"gateways", b.GatewayShare, 1}} {
 		if !(v.value >= 0 && v.value <= v.top) {
 			return v.key, fmt.Errorf("must be from 0 to %v, is %v", v.top, v.value)
 		}
@@ -71,12 +73,12 @@
 	Kind                string
 	Capacity            float64 // of its servers, in the units of Need.Amount
 	Health              Health
-	Warmth              float64  // of a Warming machine, from 0 to 1; such a machine counts with at most half its capacity
+	Warmth              float64  // of a Warming machine, from 0 to 1; it counts with at most half its capacity
 	Agent               bool     // runs an agent
 	Gateway             bool     // runs a gateway
 	Council             bool     // runs a voting member of the council
 	Group               string   // machines of one group are never out together; empty: none
-	Drained             bool     `cbor:"Empty"`   // its agents are shutting down, with no requests in flight and no council seat to move
+	Drained             bool     `cbor:"Empty"`   // its agents are stopping, with no requests and no seat being moved
 	Unacknowledged      int      `cbor:"Missing"` // agents that have not acknowledged that they send it no requests
 	UnacknowledgedNames []string `cbor:"Who"`     // the first of those agents
 }
@@ -227,7 +229,8 @@
 		return fmt.Errorf("no request %q", e.ID)
 	}
 	switch {
-	case e.Kind == Take && r.Phase == Out && e.Permit == r.Permit, e.Kind == Complete && r.Phase == Returning, e.Kind == Cancel && r.Phase == Cancelled:
+	case e.Kind == Take && r.Phase == Out && e.Permit == r.Permit, e.Kind == Complete && r.Phase == Returning,
+		e.Kind == Cancel && r.Phase == Cancelled:
 		return nil // a repeated entry
 	case e.Kind == Take && r.Phase == Granted && e.Permit == r.Permit:
 		s.transition(r, Out, fmt.Sprintf("taken under permit %d", r.Permit))
@@ -252,7 +255,8 @@
 	seen := map[string]*Machine{}
 	for i := range f.Machines {
 		m := f.Machines[i]
-		if m.Name == "" || seen[m.Name] != nil || !(m.Capacity >= 0 && m.Capacity < 1e12) || !(m.Warmth >= 0 && m.Warmth <= 1) || m.Health > Up {
+		if m.Name == "" || seen[m.Name] != nil || !(m.Capacity >= 0 && m.Capacity < 1e12) ||
+			!(m.Warmth >= 0 && m.Warmth <= 1) || m.Health > Up {
 			return fmt.Errorf("facts: machine %q: missing, twice, or with a figure that makes no sense", m.Name)
 		}
 		if len(m.UnacknowledgedNames) > maxNames || m.Unacknowledged < len(m.UnacknowledgedNames) {
@@ -280,7 +284,8 @@
 	switch {
 	case a == nil || a.ID == "" || a.Machine == "" || a.Seconds <= 0:
 		return fmt.Errorf("a request needs an id, a machine and how long")
-	case len(a.ID) > maxTextBytes || len(a.Machine) > maxTextBytes || len(a.Why) > maxTextBytes || len(a.By) > maxTextBytes:
+	case len(a.ID) > maxTextBytes || len(a.Machine) > maxTextBytes ||
+		len(a.Why) > maxTextBytes || len(a.By) > maxTextBytes:
 		return fmt.Errorf("a word is over %d bytes", maxTextBytes)
 	}
 	if r := s.requests[a.ID]; r != nil {
@@ -336,10 +341,12 @@
 	}
 	s.withdraw()
 	for _, r := range s.order {
-		if m := s.machines[r.Machine]; r.Phase == Emptying && m.Drained && s.observedSinceExclusion(r) && (m.Unacknowledged == 0 || s.now >= r.Since+s.bounds.AcknowledgeTimeout) {
+		if m := s.machines[r.Machine]; r.Phase == Emptying && m.Drained && s.observedSinceExclusion(r) &&
+			(m.Unacknowledged == 0 || s.now >= r.Since+s.bounds.AcknowledgeTimeout) {
 			why := "its agents are empty, and nobody sends to it"
 			if m.Unacknowledged > 0 {
-				why = fmt.Sprintf("its agents are empty; %s have not said that they send it nothing", m.unacknowledgedText())
+				why = fmt.Sprintf("its agents are empty; %s have not said that they send it nothing",
+					m.unacknowledgedText())
 			}
 			s.lastPermit++
 			s.transition(r, Granted, why)
@@ -412,7 +419,8 @@
 	due := func(at int64) bool { return s.now < at && at <= now }
 	for _, r := range s.order {
 		switch {
-		case r.Phase == Emptying && (!s.observedSinceExclusion(r) || due(r.Since+s.bounds.AcknowledgeTimeout)), r.Phase == Returning && s.fleetUpdates <= r.FleetUpdates, r.Phase == Asked && due(r.NotBefore):
+		case r.Phase == Emptying && (!s.observedSinceExclusion(r) || due(r.Since+s.bounds.AcknowledgeTimeout)),
+			r.Phase == Returning && s.fleetUpdates <= r.FleetUpdates, r.Phase == Asked && due(r.NotBefore):
 			return true
 		}
 	}
@@ -433,7 +441,8 @@
 		var last *Request
 		reason := ""
 		for _, r := range s.order {
-			if r.Phase != Emptying && r.Phase != Granted || last != nil && (r.Since < last.Since || r.Since == last.Since && r.Sequence < last.Sequence) {
+			if r.Phase != Emptying && r.Phase != Granted ||
+				last != nil && (r.Since < last.Since || r.Since == last.Since && r.Sequence < last.Sequence) {
 				continue
 			}
 			if why := s.violation(away, r.Machine); why != "" {
--- a/policy/request.go
+++ b/policy/request.go
@@ -119,8 +119,8 @@
 	r := a.r
 	r.started = true
 	a.s.lastContact = b.now
-	r.targetAt = arith.RemainingDeadline(b.now, r.targetAt) // an answer counts from its first byte
-	b.endWork(a)                                            // how slowly the rest is read says nothing of its server
+	r.targetAt = arith.Unmet(b.now, r.targetAt) // an answer counts from its first byte
+	b.endWork(a)                                // how slowly the rest is read says nothing of its server
 	if !r.bodyPending {
 		b.recordServed(a, b.now-a.sentAt) // else nothing says how long it took
 	}
