--- a/internal/decide/council/council.go
+++ b/internal/decide/council/council.go
@@ -171,8 +171,9 @@
 	}
 	var err error
 	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.ElectionTicks, HeartbeatTick: 1,
-		Storage: m.storage, Applied: m.appliedIndex, MaxSizePerMsg: 16 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 1 << 20,
-		CheckQuorum: true, PreVote: true,
+		Storage: m.storage, Applied: m.appliedIndex, MaxSizePerMsg: 16 << 10, MaxInflightMsgs: 64,
+		MaxUncommittedEntriesSize: 1 << 20,
+		CheckQuorum:               true, PreVote: true,
 		DisableProposalForwarding: true, Logger: discardLogger{}})
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
--- a/internal/decide/loss/loss.go
+++ b/internal/decide/loss/loss.go
@@ -92,7 +92,7 @@
 	TimedOutAndFailedAgain              // an attempt got no response, and another got none or failed
 	ErroredOnce                         // an attempt failed
 	ErroredAgain                        // several attempts failed
-	AllRejected                         // no attempt timed out or failed, and at least one was rejected
+	RejectedByServer                    // no attempt timed out or failed, and at least one was rejected
 	Slow                                // the attempts had no fault: the answer was late
 	NoCapacity                          // no attempt was made until more than half of the latency target had passed
 	RefusedEarly                        // no attempt, and ended within half of the latency target
@@ -100,6 +100,7 @@
 	causeCount
 )
 
+// String returns the name of the cause as printed in tables.
 func (c Cause) String() string {
 	return [...]string{"silent", "silent again", "broken", "bad again", "turned away", "slow", "no room",
 		"refused early", "gone"}[c]
@@ -130,7 +131,7 @@
 	case broken > 0:
 		return ErroredOnce
 	case full > 0:
-		return AllRejected
+		return RejectedByServer
 	case tried:
 		return Slow
 	case r.Outcome == "gone":
--- a/internal/decide/loss/loss_test.go
+++ b/internal/decide/loss/loss_test.go
@@ -30,7 +30,7 @@
 		{Record{Outcome: "failed", Attempts: try(Errored)}, ErroredOnce},
 		{Record{Outcome: "served", Attempts: try(Rejected, Errored, Answered)}, ErroredOnce},
 		{Record{Outcome: "failed", Attempts: try(Errored, Errored)}, ErroredAgain},
-		{Record{Outcome: "refused", Attempts: try(Rejected, Abandoned)}, AllRejected},
+		{Record{Outcome: "refused", Attempts: try(Rejected, Abandoned)}, RejectedByServer},
 		{Record{Outcome: "served", Attempts: try(Answered)}, Slow},
 		{Record{Outcome: "gone", Attempts: try(TimedOut)}, TimedOutOnce},
 		{Record{Outcome: "gone", TargetMs: 100, EndedMs: 10}, ClientLeft},
--- a/internal/decide/orders/orders.go
+++ b/internal/decide/orders/orders.go
@@ -111,7 +111,7 @@
 	m := &Agent{ownMachine: own, machines: map[uint64]MachineServers{}}
 	for _, p := range places {
 		if o, twice := m.machines[MachineHash(p.Name)]; twice {
-			return nil, fmt.Errorf("machine %q: its name or the hash of it equals that of machine %q", p.Name, o.Name)
+			return nil, fmt.Errorf("machine %q: twice, or with the same name hash as %q", p.Name, o.Name)
 		}
 		m.machines[MachineHash(p.Name)] = p
 	}
--- a/internal/decide/work/bounds.go
+++ b/internal/decide/work/bounds.go
@@ -13,7 +13,7 @@
 func (s *State) violation(away map[string]bool, name string) string {
 	target := s.machines[name]
 	for _, check := range []func(map[string]bool, *Machine) string{
-		s.checkCapacity, s.checkShares, s.checkMajority, s.checkGroups,
+		s.checkCapacity, s.checkUnavailable, s.checkMajority, s.checkGroups,
 	} {
 		if why := check(away, target); why != "" {
 			return why
@@ -71,9 +71,9 @@
 	return false
 }
 
-// checkShares checks the share of machines that may be out or down. A machine that is down is counted
+// checkUnavailable checks the share of machines that may be out or down. A machine that is down is counted
 // already, so taking it out is always allowed.
-func (s *State) checkShares(away map[string]bool, target *Machine) string {
+func (s *State) checkUnavailable(away map[string]bool, target *Machine) string {
 	if target.Health == Down {
 		return ""
 	}
--- a/internal/decide/work/work.go
+++ b/internal/decide/work/work.go
@@ -64,6 +64,7 @@
 	Up
 )
 
+// String returns the name of the health as shown to operators.
 func (h Health) String() string { return [...]string{"down", "cold", "up"}[h] }
 
 // Machine is the observed state of a machine.
@@ -126,6 +127,7 @@
 	Cancelled
 )
 
+// String returns the name of the phase as shown to operators and recorded.
 func (p Phase) String() string {
 	return [...]string{"asked", "emptying", "granted", "out", "returning", "done", "failed", "cancelled"}[p]
 }
--- a/internal/decide/work/work_test.go
+++ b/internal/decide/work/work_test.go
@@ -251,7 +251,8 @@
 	}
 }
 
-// A blocked request that was overtaken MaxOvertaken times goes first: no other request starts before it.
+// A blocked request that was overtaken MaxOvertaken times goes first: no other request
+// that isn't urgent starts before it.
 func TestOvertakingIsBounded(t *testing.T) {
 	s := New(permissive)
 	f := fleet(8, func(i int, m *Machine) {
