--- a/internal/core/account.go
+++ b/internal/core/account.go
@@ -37,20 +37,20 @@
 	case policy.OK:
 		a.ending = loss.Answered
 	case policy.Error, policy.Reset:
-		a.ending = loss.Broken
+		a.ending = loss.Errored
 	case policy.Timeout:
-		a.ending = loss.Silent
+		a.ending = loss.TimedOut
 	case policy.ConnectFailed:
-		if a.ending = loss.Full; res.duration >= ms(c.set.Limits.ConnectTimeoutMs*0.9) &&
+		if a.ending = loss.Rejected; res.duration >= ms(c.set.Limits.ConnectTimeoutMs*0.9) &&
 			c.set.Limits.ConnectTimeoutMs > 0 {
-			a.ending = loss.Silent
+			a.ending = loss.TimedOut
 		}
 	case policy.Cancelled:
-		if a.ending = loss.Unspent; !b.lastAnswer.After(a.started) && a.stage.Load() == sending {
-			a.ending = loss.Silent // no answer until the request was over
+		if a.ending = loss.Abandoned; !b.lastAnswer.After(a.started) && a.stage.Load() == sending {
+			a.ending = loss.TimedOut // no answer until the request was over
 		}
 	default:
-		a.ending = loss.Full
+		a.ending = loss.Rejected
 	}
 }
 
@@ -61,14 +61,14 @@
 	}
 	since := func(t time.Time) float64 { return float64(t.Sub(r.timing.arrivedAt).Microseconds()) / 1000 }
 	k := &c.set.Classes[min(max(r.Class, 0), len(c.set.Classes)-1)]
-	rec := loss.Record{Class: k.Name, At: r.timing.arrivedAt.UnixMilli(), Worth: k.Credit,
-		Aim: k.AimMs + k.AimStretch*r.HintMs, Ended: since(r.timing.endedAt),
+	rec := loss.Record{Class: k.Name, At: r.timing.arrivedAt.UnixMilli(), Value: k.Credit,
+		TargetMs: k.AimMs + k.AimStretch*r.HintMs, EndedMs: since(r.timing.endedAt),
 		Outcome: [...]string{"failed", "served", "refused", "repeated", "overdue", "gone"}[r.timing.outcome]}
 	if r.timing.outcome == ClientGone && !r.timing.endedAt.Before(r.Deadline.Add(-2*guardMargin)) {
 		rec.Outcome = "overdue"
 	}
 	switch {
-	case r.timing.outcome == Duplicate, r.timing.outcome == Served && rec.Ended <= rec.Aim:
+	case r.timing.outcome == Duplicate, r.timing.outcome == Served && rec.EndedMs <= rec.TargetMs:
 		return
 	case r.timing.outcome == Served:
 		rec.Earned = k.Credit * min(max(k.LateShare, 0), 1)
@@ -76,10 +76,10 @@
 	for _, a := range r.attempts {
 		how := a.ending
 		if !a.ended { // still in flight after the request was over
-			how = loss.Unspent
+			how = loss.Abandoned
 		}
-		rec.Tries = append(rec.Tries, loss.Try{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone,
-			At: since(a.started), Took: float64(a.duration.Microseconds()) / 1000, How: how})
+		rec.Attempts = append(rec.Attempts, loss.Attempt{Server: fmt.Sprintf("%x", a.backend.addr), Zone: a.backend.zone,
+			At: since(a.started), DurationMs: float64(a.duration.Microseconds()) / 1000, Ending: how})
 	}
 	c.reportLoss(&rec)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -563,7 +563,7 @@
 	}
 	c.dispatch(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Key: r.Key, LeftMs: float64(time.Until(r.Deadline)) / float64(time.Millisecond),
-		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Tries: r.MaxAttempts, Coming: r.Message.Stream != nil})
+		HintMs: r.HintMs, HasHint: r.HasHint, Retry: r.Retry, Attempts: r.MaxAttempts, BodyIncomplete: r.Message.Stream != nil})
 }
 
 // onBodyComplete starts a request's time once its server has the complete body.
@@ -625,7 +625,7 @@
 	}
 	c.dispatch(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
 		Status: res.Status, LatencyMs: float64(res.duration) / float64(time.Millisecond),
-		Final: r.answered, Tries: r.spentAttempts(res.ExtraAttempts), Report: report(res.Load, c.set.Report.Names)})
+		Final: r.answered, Attempts: r.spentAttempts(res.ExtraAttempts), Report: report(res.Load, c.set.Report.Names)})
 	c.removeIfDone(r)
 }
 
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -143,7 +143,7 @@
 		usable = usable || b.usable
 		c.removeIfUnused(b)
 	}
-	c.dispatch(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries, Least: least})
+	c.dispatch(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries, MinServers: least})
 	c.ready.Store(usable)
 }
 
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -88,7 +88,7 @@
 	index    int
 	backend  *backend
 	ended    bool // its result was handled
-	ending   loss.How
+	ending   loss.Ending
 	duration time.Duration
 }
 
--- a/internal/decide/unserved/unserved.go
+++ b/internal/decide/unserved/unserved.go
@@ -1,6 +1,7 @@
-// Package unserved remembers for a while the requests that were not served, so that a
-// client's retry is judged by the time that has passed for the client and not by its
-// own. A Memory is a value of whoever holds it and has no lock.
+// Package unserved remembers recent requests that were not served, so that the age of a
+// client's retry counts from the arrival of the first attempt and not from its own. It
+// recognizes retries, but doesn't make any. A Memory isn't safe for concurrent use: only
+// the goroutine that owns it may call it.
 package unserved
 
 import (
@@ -9,55 +10,55 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// Memory is the unserved requests of late. The zero Memory keeps none.
+// Memory holds recent unserved requests. The zero Memory keeps none.
 type Memory struct {
-	classes []settings.Class
-	most    int
-	pasts   []past
+	classes  []settings.Class
+	limit    int
+	requests []unservedRequest
 }
 
-type past struct {
+type unservedRequest struct {
 	class int
 	key   uint64
 	first float64
 }
 
-// New makes a memory of at most so many requests, each kept for as long as its class
-// lets a client wait. Where clients don't mark their retries it keeps none.
+// New returns a Memory for at most most requests. Each is kept until the give-up time of
+// its class has passed. If clients don't mark their retries, it keeps none.
 func New(set *settings.Settings, most int) Memory {
 	if !set.Clients.MarksRetry {
 		most = 0
 	}
-	return Memory{classes: set.Classes, most: most}
+	return Memory{classes: set.Classes, limit: most}
 }
 
-// Fit follows a change of the settings, in which classes keep their numbers.
-func (m *Memory) Fit(set *settings.Settings) { m.classes = set.Classes }
+// UpdateSettings applies changed settings, in which each class keeps its index.
+func (m *Memory) UpdateSettings(set *settings.Settings) { m.classes = set.Classes }
 
-// Add notes at the time now (ms) a request that first came at first and was not served.
+// Add records at the time now (ms) an unserved request that first arrived at first (ms).
 func (m *Memory) Add(class int, key uint64, first, now float64) {
-	if m.most == 0 {
+	if m.limit == 0 {
 		return
 	}
-	m.pasts = slices.DeleteFunc(m.pasts, func(p past) bool {
+	m.requests = slices.DeleteFunc(m.requests, func(p unservedRequest) bool {
 		return now-p.first > m.classes[p.class].GiveUpMs
 	})
-	if len(m.pasts) < m.most {
-		m.pasts = append(m.pasts, past{class, key, first})
+	if len(m.requests) < m.limit {
+		m.requests = append(m.requests, unservedRequest{class, key, first})
 	}
 }
 
-// Recall tells when the request first came of which this is the retry, and forgets it;
-// arrived if none is known.
-func (m *Memory) Recall(class int, key uint64, arrived float64) float64 {
-	i := slices.IndexFunc(m.pasts, func(p past) bool { return p.class == class && p.key == key })
+// TakeFirstArrival returns when the request first arrived of which this is a retry, and
+// removes it. It returns arrived if there is no such request.
+func (m *Memory) TakeFirstArrival(class int, key uint64, arrived float64) float64 {
+	i := slices.IndexFunc(m.requests, func(p unservedRequest) bool { return p.class == class && p.key == key })
 	if i < 0 {
 		return arrived
 	}
-	first := m.pasts[i].first
-	m.pasts = slices.Delete(m.pasts, i, i+1)
+	first := m.requests[i].first
+	m.requests = slices.Delete(m.requests, i, i+1)
 	return first
 }
 
-// Len is how many requests are remembered.
-func (m *Memory) Len() int { return len(m.pasts) }
+// Len returns the number of requests in the Memory.
+func (m *Memory) Len() int { return len(m.requests) }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -139,7 +139,7 @@
 	}
 	a := r.attempts[ev.Attempt]
 	a.done = true
-	r.maxAttempts -= ev.Tries // further attempts made by a gateway on the path
+	r.maxAttempts -= ev.Attempts // further attempts made by a gateway on the path
 	if ev.Status == NoConnection && r.maxAttempts < MaxUnconnectedAttempts {
 		b.allowAnother(r)
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -142,7 +142,7 @@
 	b.answerTimes.Fit(first, from)
 	b.retries.Fit(from)
 	b.classValue.Fit(from)
-	b.unserved.Fit(&b.set)
+	b.unserved.UpdateSettings(&b.set)
 	b.tenantUsage = append(b.tenantUsage, make([]float64, len(set.Tenants)-len(b.tenantUsage))...)
 	b.throttle = b.throttle.Over(throttleSpanTargets * b.minLatencyTarget)
 }
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -10,7 +10,7 @@
 func (r *harness) mustSendIncomplete(class int) (RequestID, Action) {
 	r.t.Helper()
 	r.id++
-	a := find(r.handle(Event{Kind: EvRequest, Request: r.id, Class: class, LeftMs: 500_000, Coming: true}), ActSend)
+	a := find(r.handle(Event{Kind: EvRequest, Request: r.id, Class: class, LeftMs: 500_000, BodyIncomplete: true}), ActSend)
 	if a == nil {
 		r.t.Fatal("not sent")
 	}
@@ -73,7 +73,7 @@
 			r.handle(Event{Kind: EvBodyComplete, Request: id, LeftMs: 600})
 			st = Reset
 		}
-		got := r.handle(Event{Kind: EvOutcome, Request: id, Server: a.Server, Status: st, Tries: c.spent})
+		got := r.handle(Event{Kind: EvOutcome, Request: id, Server: a.Server, Status: st, Attempts: c.spent})
 		if find(got, c.want) == nil {
 			t.Errorf("%+v: %+v", c, got)
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -95,8 +95,8 @@
 		class:       ev.Class,
 		tenant:      ev.Tenant,
 		key:         ev.Key,
-		bodyPending: ev.Coming,
-		maxAttempts: cmp.Or(min(max(ev.Tries, 0), limit), limit),
+		bodyPending: ev.BodyIncomplete,
+		maxAttempts: cmp.Or(min(max(ev.Attempts, 0), limit), limit),
 	}
 	if ev.HasHint {
 		r.hint = arith.Finite(ev.HintMs)
@@ -120,8 +120,8 @@
 	r := a.r
 	r.started = true
 	a.s.lastContact = b.now
-	r.targetAt = arith.Met(b.now, r.targetAt) // the first byte decides whether an answer is in time
-	b.endWork(a)                              // the client sets the pace of the remaining bytes
+	r.targetAt = arith.Unmet(b.now, r.targetAt) // the first byte decides whether an answer is in time
+	b.endWork(a)                                // the client sets the pace of the remaining bytes
 	if !r.bodyPending {
 		b.recordServed(a, b.now-a.sentAt) // with a pending body the answer time is unknown
 	}
@@ -167,7 +167,7 @@
 	r.retryAt = b.now
 	r.deadline = b.now + left - min(b.set.RoundMs, left/4)
 	if retry {
-		r.first = b.unserved.Recall(r.class, r.key, r.arrived)
+		r.first = b.unserved.TakeFirstArrival(r.class, r.key, r.arrived)
 	}
 	r.targetAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
 }
