--- a/internal/core/account.go
+++ b/internal/core/account.go
@@ -60,7 +60,7 @@
 	}
 	since := func(t time.Time) float64 { return float64(t.Sub(r.kept.came).Microseconds()) / 1000 }
 	k := &c.set.Classes[min(max(r.Class, 0), len(c.set.Classes)-1)]
-	rec := loss.Record{Class: k.Name, At: r.kept.came.UnixMilli(), Worth: k.Credit, Aim: k.AimMs + k.AimStretch*r.HintMs, Ended: since(r.kept.ended),
+	rec := loss.Record{Class: k.Name, At: r.kept.came.UnixMilli(), Worth: k.Value, Aim: k.LatencyTargetMs + k.LatencyTargetStretch*r.HintMs, Ended: since(r.kept.ended),
 		Outcome: [...]string{"failed", "served", "refused", "repeated", "overdue", "gone"}[r.kept.outcome]}
 	if r.kept.outcome == Gone && !r.kept.ended.Before(r.Deadline.Add(-2*guardMargin)) {
 		rec.Outcome = "overdue"
@@ -69,7 +69,7 @@
 	case r.kept.outcome == Repeated, r.kept.outcome == Served && rec.Ended <= rec.Aim:
 		return
 	case r.kept.outcome == Served:
-		rec.Earned = k.Credit * min(max(k.LateShare, 0), 1)
+		rec.Earned = k.Value * min(max(k.LateValueFraction, 0), 1)
 	}
 	for _, a := range r.attempts {
 		how := a.how
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -221,7 +221,7 @@
 func Longest(set *settings.Settings) time.Duration {
 	longest := 0.0
 	for _, class := range set.Classes {
-		longest = max(longest, class.GiveUpMs)
+		longest = max(longest, class.ClientTimeoutMs)
 	}
 	return ms(longest)
 }
@@ -489,10 +489,10 @@
 		c.set.Replicas = max(c.told, c.agents)
 		c.classes.Store(&c.set.Classes)
 		c.ids.keep(Longest(&c.set) + idMargin)
-		c.bal.(Turner).UpdateSettings(c.set, in.table.From)
+		c.bal.(Turner).UpdateSettings(c.set, in.table.PreviousClass)
 		close(in.done)
 	case inKnown:
-		in.known <- Known{Roster: c.rosterAddr, List: cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)}, Silent: c.silent(), ColdMs: c.set.Contract.ColdMs}
+		in.known <- Known{Roster: c.rosterAddr, List: cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)}, Silent: c.silent(), ColdMs: c.set.Contract.SlowStartMs}
 	case inProbed:
 		c.onProbed(in.att, &in.res)
 	case inLoad:
@@ -616,7 +616,7 @@
 	}
 	c.tell(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
 		Status: res.Status, LatencyMs: float64(res.took) / float64(time.Millisecond),
-		Final: r.answered, Tries: r.unrepeatable(res.Spent), Report: report(res.Load, c.set.Report.Names)})
+		Final: r.answered, Tries: r.unrepeatable(res.Spent), Report: report(res.Load, c.set.LoadReport.Names)})
 	c.forget(r)
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -77,14 +77,14 @@
 
 func newRig(t *testing.T, servers ...cluster.Server) *rig {
 	t.Helper()
-	class := func(name string, effect settings.Effect) settings.Class {
-		return settings.Class{Name: name, AimMs: 20000, GiveUpMs: 30000, Credit: 1, Effect: effect, Group: settings.GroupAll, KeyTTLMs: 20000}
+	class := func(name string, effect settings.Idempotency) settings.Class {
+		return settings.Class{Name: name, LatencyTargetMs: 20000, ClientTimeoutMs: 30000, Value: 1, Idempotency: effect, DedupScope: settings.DedupAll, DedupTTLMs: 20000}
 	}
 	set := settings.Settings{Membership: "pushed", Replicas: 1, RoundMs: 5, Weights: "nominal",
-		Classes: []settings.Class{class("look", settings.Free), class("send", settings.Guarded), class("order", settings.SingleShot)},
-		Limits:  settings.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, KeepaliveMs: 30000},
-		Contract: settings.Contract{AskWithinMs: 10000, ColdFrom: 0.3, ColdMs: 8000, DrainGraceMs: 250,
-			FallMultiple: 2.5, TipAfterMs: 1000}}
+		Classes: []settings.Class{class("look", settings.Idempotent), class("send", settings.Deduplicated), class("order", settings.NonIdempotent)},
+		Limits:  settings.Limits{Cancellation: true, MaxAttempts: 3, MaxRetryAfterMs: 600, KeepaliveMs: 30000},
+		Contract: settings.Contract{MaxPollIntervalMs: 10000, SlowStartFraction: 0.3, SlowStartMs: 8000, DrainGraceMs: 250,
+			OverloadFactor: 2.5, OverloadAfterMs: 1000}}
 	r := &rig{transport: &fakeTransport{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -772,7 +772,7 @@
 // What one process knows of ids another knows too, also what is noted after it was copied; and each
 // is forgotten in its time.
 func TestIDsOfAnotherProcess(t *testing.T) {
-	set := settings.Settings{Classes: []settings.Class{{GiveUpMs: 1000}}}
+	set := settings.Settings{Classes: []settings.Class{{ClientTimeoutMs: 1000}}}
 	old, next, at := NewIDs(&set), NewIDs(&set), time.Now()
 	for _, id := range []string{"a", "b", "a-longer-id-of-more-than-eight"} {
 		old.add(id, at)
--- a/internal/core/part.go
+++ b/internal/core/part.go
@@ -14,7 +14,7 @@
 // module is handed, and what is put off so that all do not come at once. The core's
 // goroutine owns it. A nil part puts nothing off.
 type part struct {
-	machine *fleet.Machine
+	machine *fleet.Planner
 	heard   float64 // when it told anything last, or was asked to
 	wake    *time.Timer
 }
@@ -55,7 +55,7 @@
 	if p == nil {
 		return 0
 	}
-	wait := p.machine.Follow(now, p.heard)
+	wait := p.machine.PollDelay(now, p.heard)
 	p.heard = now + wait
 	return ms(wait)
 }
@@ -64,7 +64,7 @@
 	if p == nil {
 		return 0
 	}
-	return ms(p.machine.Probe())
+	return ms(p.machine.ProbeDelay())
 }
 
 // Crowd tells how many agents share the fleet's bounds and which of them this one is, from 0.
@@ -73,7 +73,7 @@
 // crowd takes the greater of that number and the one that was told into what is shared by all agents
 // together: the part in the fleet, and what each sends to cold servers.
 func (c *Core) crowd(agents, rank int) {
-	if c.part != nil && c.part.machine.Crowd(agents, rank) {
+	if c.part != nil && c.part.machine.SetFleetSize(agents, rank) {
 		c.replan()
 	}
 	c.agents = agents
@@ -101,7 +101,7 @@
 func (c *Core) replan() {
 	p := c.part
 	now := c.clock()
-	p.machine.Calm(now)
+	p.machine.Tick(now)
 	list := c.veiled(&c.list)
 	entries := make([]cluster.Entry, len(list.Servers))
 	for i := range entries {
@@ -124,7 +124,7 @@
 
 // refused notes that a request found no room.
 func (c *Core) refused() {
-	if c.part != nil && c.part.machine.Refused(c.clock()) {
+	if c.part != nil && c.part.machine.ObserveRejection(c.clock()) {
 		c.todo = append(c.todo, input{kind: inPlan})
 	}
 }
--- a/internal/core/part_test.go
+++ b/internal/core/part_test.go
@@ -151,7 +151,7 @@
 			t.Errorf("%d agents by the view: shared by %d, want %d", c.agents, r.set.Replicas, c.want)
 		}
 	}
-	if r.part.machine.Crowd(70, 3) || !r.part.machine.Crowd(5, 3) || r.part.machine.Crowd(9, 4) {
+	if r.part.machine.SetFleetSize(70, 3) || !r.part.machine.SetFleetSize(5, 3) || r.part.machine.SetFleetSize(9, 4) {
 		t.Error("the part in the fleet has not followed")
 	}
 	done := make(chan struct{})
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -43,7 +43,7 @@
 	b := a.backend
 	b.probes = slices.DeleteFunc(b.probes, func(o *Attempt) bool { return o == a })
 	c.tell(&policy.Event{Kind: policy.EvProbed, Server: b.addr, Status: res.Status,
-		LatencyMs: float64(res.took) / float64(time.Millisecond), Report: report(res.Load, c.set.Report.Names)})
+		LatencyMs: float64(res.took) / float64(time.Millisecond), Report: report(res.Load, c.set.LoadReport.Names)})
 }
 
 // unprobe gives up the probes of a server that is not to be sent to any more.
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -61,7 +61,7 @@
 		c.log.Warn("roster: watch ended", "err", n.Err)
 		c.tell(&policy.Event{Kind: policy.EvList, List: cluster.ListFailed})
 		if c.pushed() {
-			again := min(refollow, ms(c.set.Contract.AskWithinMs/2))
+			again := min(refollow, ms(c.set.Contract.MaxPollIntervalMs/2))
 			time.AfterFunc(again, func() { c.post(input{kind: inFollow}) })
 		}
 	}
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -158,7 +158,7 @@
 // back. False means that it is too little for anything: then the attempt is withdrawn, unless it had
 // begun, and nothing may be written.
 func (a *Attempt) Tell(back time.Duration) (time.Duration, bool) {
-	left, ok := budget.Hop(time.Until(a.deadline), back)
+	left, ok := budget.NextHop(time.Until(a.deadline), back)
 	if !ok {
 		a.Withdraw(errLapsed)
 	}
--- a/internal/decide/asking/asking.go
+++ b/internal/decide/asking/asking.go
@@ -1,39 +1,44 @@
-// Package asking settles when one of many agents asks the roster, which serves all of them: at its
-// start, and again after a call that failed. It knows neither how many agents there are nor what the
-// roster bears, only the time within which the contract wants each to have asked. No I/O, no clock.
+// Package asking decides when one of many agents polls the registry that serves all of them: at its
+// start, and again after a failed call. It knows neither the number of agents nor the capacity of the
+// registry, only the interval within which the contract requires each agent to poll. It has no I/O and
+// no clock.
 package asking
 
 import "math"
 
 const (
-	// spread is the part of the contract's time over which starts are spread: most agents may have
-	// been started in one moment, and a roster that takes a call of each within that time is to
-	// answer them all. Over an eighth of it half of a fleet of 80 had no watch after five seconds.
-	spread = 0.5
-	// After a failed call the next is put off by firstWait ms, doubled with each further one, up to the
-	// contract's time; the last half of it by chance. A call that waited out its time has cost the
-	// roster as much as one that was answered.
-	firstWait = 2000.0
+	// startSpread is the fraction of the interval over which first polls are spread. Most agents may
+	// be started at the same moment, and a registry that can take one call of each agent within the
+	// interval must be able to answer all of them. Over an eighth of it, half of a fleet of 80 had no
+	// watch after five seconds.
+	startSpread = 0.5
+	// After a failed call the next is delayed by initialBackoff ms, doubled with each further failure
+	// up to the interval; the second half of the delay is random. A call that timed out has cost the
+	// registry as much as one that it answered.
+	initialBackoff = 2000.0
 )
 
-// Asking is one agent's.
-type Asking struct {
-	within float64 // the contract's time in ms
-	failed int     // calls in a row
+// Backoff computes the poll delays of one agent.
+type Backoff struct {
+	interval float64 // the interval of the contract, in ms
+	failures int     // consecutive failed calls
 }
 
-// New makes the asking of an agent that has to ask, or be told something, every so many ms.
-func New(within float64) Asking { return Asking{within: within} }
+// New returns the Backoff of an agent that must poll or receive an update within the given time, in
+// ms.
+func New(interval float64) Backoff { return Backoff{interval: interval} }
 
-// First is how long after its start an agent asks first, in ms; draw is from 0 up to 1.
-func (a *Asking) First(draw float64) float64 { return a.within * spread * draw }
+// StartDelay returns how long after its start an agent first polls, in ms; draw is random, from 0 up
+// to 1.
+func (a *Backoff) StartDelay(draw float64) float64 { return a.interval * startSpread * draw }
 
-// Failed takes a call that has failed, and is how long the next is put off, in ms.
-func (a *Asking) Failed(draw float64) float64 {
-	wait := min(firstWait*math.Pow(2, float64(a.failed)), a.within)
-	a.failed++
+// RetryDelay records a failed call and returns the delay of the next one, in ms; draw is random, from
+// 0 up to 1.
+func (a *Backoff) RetryDelay(draw float64) float64 {
+	wait := min(initialBackoff*math.Pow(2, float64(a.failures)), a.interval)
+	a.failures++
 	return wait * (0.5 + 0.5*draw)
 }
 
-// Received takes a list or a change.
-func (a *Asking) Received() { a.failed = 0 }
+// Reset records a list or an update that was received.
+func (a *Backoff) Reset() { a.failures = 0 }
--- a/internal/decide/budget/needs.go
+++ b/internal/decide/budget/needs.go
@@ -3,30 +3,31 @@
 import "molepaddle/internal/decide/arith"
 
 const (
-	classWeight = 0.02  // of an answer in its class's mean
-	hintWeight  = 0.005 // of an answer in the line over hints, of a hint in their mean
-	hintsLeast  = 50    // answers before the line says anything
+	classWeight    = 0.02  // of an answer in the mean of its class
+	hintWeight     = 0.005 // of a sample in the line fit, and of a hint in their mean
+	minHintSamples = 50    // samples before the line is used
 )
 
-// Needs is how long answers to requests of each class take, and how that grows with the work that
-// their clients hint at. Times are in milliseconds, hints in whatever the clients count in.
-type Needs struct {
-	MeanHint float64 // 0: none came
+// LatencyEstimates estimates the latency of each class and how it grows with the work that clients
+// hint at. Times are in milliseconds, hints in a unit chosen by the clients.
+type LatencyEstimates struct {
+	MeanHint float64 // 0: no hint was received
 
 	mean []float64
-	line arith.Line // answer time over hinted work: the network's share does not grow with it
+	line arith.Line // latency over hinted work; the intercept is the share of the network
 }
 
-// NewNeeds takes for granted a mean for each class, until answers say better.
-func NewNeeds(first []float64) *Needs { return &Needs{mean: first} }
+// NewLatencyEstimates returns estimates with an assumed mean for each class, until answers are
+// observed.
+func NewLatencyEstimates(first []float64) *LatencyEstimates { return &LatencyEstimates{mean: first} }
 
-// Fit follows other settings: first is what each class is taken for until its answers say better, and
-// a class from[i], where that is one that is known, has said what class i takes.
-func (n *Needs) Fit(first []float64, from []int) { n.mean = Fit(n.mean, first, from) }
+// Remap follows a change of the settings: first holds the assumed mean of each class, and class i
+// takes over the estimate of class from[i], if that is a valid number.
+func (n *LatencyEstimates) Remap(first []float64, from []int) { n.mean = Remap(n.mean, first, from) }
 
-// Fit is what is known of the classes by their numbers, after their settings have changed: of class i
-// it is old[from[i]], or first[i] where from[i] is no number of old.
-func Fit[T any](old, first []T, from []int) []T {
+// Remap returns per-class state after a change of the settings: that of class i is old[from[i]], or
+// first[i] if from[i] is not an index of old. It modifies first.
+func Remap[T any](old, first []T, from []int) []T {
 	for i := range first {
 		if i < len(from) && from[i] >= 0 && from[i] < len(old) {
 			first[i] = old[from[i]]
@@ -35,49 +36,50 @@
 	return first
 }
 
-// Asked takes the hint of a request that has come; 0 is none.
-func (n *Needs) Asked(hint float64) {
+// ObserveHint records the hint of a received request; 0 is none.
+func (n *LatencyEstimates) ObserveHint(hint float64) {
 	if hint > 0 {
 		n.MeanHint = arith.Mean(n.MeanHint, hint, hintWeight)
 	}
 }
 
-// Served takes the answer time of a request that was served, counted up to most.
-func (n *Needs) Served(class int, took, most float64) {
-	n.mean[class] = arith.Mean(n.mean[class], min(took, most), classWeight)
+// ObserveServed records the latency of a served request, capped at maxLatency.
+func (n *LatencyEstimates) ObserveServed(class int, latency, maxLatency float64) {
+	n.mean[class] = arith.Mean(n.mean[class], min(latency, maxLatency), classWeight)
 }
 
-// Took takes how long a hinted request took, served or given up.
-func (n *Needs) Took(hint, took float64) {
+// ObserveHinted records how long a request with a hint took, whether it was served or given up.
+func (n *LatencyEstimates) ObserveHinted(hint, latency float64) {
 	if hint > 0 {
-		n.line.Add(hint, took, hintWeight)
+		n.line.Add(hint, latency, hintWeight)
 	}
 }
 
-// Part is an answer time, as a part of the aim, to judge servers by: by hints a costly request counts as
-// one of mean work, and none for more than 2.
-func (n *Needs) Part(hint, x float64) float64 {
+// NormalizedLatency returns a latency, as a fraction of the latency target, by which servers are
+// compared: a request with a hint above the mean is scaled down to mean work, and the result is at
+// most 2.
+func (n *LatencyEstimates) NormalizedLatency(hint, latency float64) float64 {
 	if hint > 0 {
-		x *= min(n.MeanHint/hint, 1)
+		latency *= min(n.MeanHint/hint, 1)
 	}
-	return min(x, 2)
+	return min(latency, 2)
 }
 
-// Mean is a class's mean answer time.
-func (n *Needs) Mean(class int) float64 { return n.mean[class] }
+// Mean returns the mean latency of a class.
+func (n *LatencyEstimates) Mean(class int) float64 { return n.mean[class] }
 
-// Hinted is what the line says for a hint; 0 while little is known, or without one.
-func (n *Needs) Hinted(hint float64) float64 {
+// HintedLatency returns the latency estimated from a hint; 0 without a hint or with too few samples.
+func (n *LatencyEstimates) HintedLatency(hint float64) float64 {
 	if hint <= 0 {
 		return 0
 	}
-	return n.line.At(hint, hintsLeast)
+	return n.line.At(hint, minHintSamples)
 }
 
-// Of is how long an answer to a request takes, on the mean: by its hint where that tells, but no
-// less than a quarter of its class's.
-func (n *Needs) Of(class int, hint float64) float64 {
-	if t := n.Hinted(hint); t > 0 {
+// Expected returns the mean latency expected of a request: by its hint if there is an estimate, but at
+// least a quarter of the mean of its class.
+func (n *LatencyEstimates) Expected(class int, hint float64) float64 {
+	if t := n.HintedLatency(hint); t > 0 {
 		return max(t, n.mean[class]/4)
 	}
 	return n.mean[class]
--- a/internal/decide/budget/time.go
+++ b/internal/decide/budget/time.go
@@ -1,10 +1,11 @@
-// Package budget says what a request may still spend: time at each hop, and attempts of its class.
+// Package budget tracks what a request may still spend: time at each hop, and retries of its class.
 //
-// A Time is a value: when the request came and when its client stops waiting. Whoever passes the
-// request on tells the next hop what Hop leaves, less the way back, which a Margin learns from round
-// trips. Needs is what work of each class has taken; Retries is what share of a class's requests
-// may be tried again, and Throttle whether attempts still earn anything. Nothing here reads a clock
-// or has a lock: each value belongs to whoever holds it.
+// A Time is the time budget of a request: when it was received and when its client stops waiting.
+// Whoever forwards the request grants the next hop what NextHop returns: the time left, less the time
+// of the way back, which a Margin estimates from round trips. LatencyEstimates holds the latency of
+// each class, RetryBudget bounds retries to a fraction of the requests of a class, and Throttle blocks
+// attempts that are not worthwhile. The package has no clock and no locks: each value is used by one
+// goroutine at a time.
 package budget
 
 import (
@@ -12,46 +13,46 @@
 	"time"
 )
 
-// Time is a request's time budget.
+// Time is the time budget of a request.
 type Time struct {
-	Came     time.Time // its first byte
+	Received time.Time // when its first byte arrived
 	Deadline time.Time // when its client stops waiting
 }
 
-// From is the budget of a request that came at a time and whose client waits for as long as it told,
-// counted from when it sent it. No request is kept for longer than most. A time that is not above 0
-// leaves nothing.
-func From(came time.Time, told, most time.Duration) Time {
-	return Time{Came: came, Deadline: came.Add(max(min(told, most), 0))}
+// From returns the budget of a request that was received at the given time and whose client waits for
+// timeout, counted from when it sent the request. The budget is at most maxTimeout; it is empty if
+// timeout is not above 0.
+func From(received time.Time, timeout, maxTimeout time.Duration) Time {
+	return Time{Received: received, Deadline: received.Add(max(min(timeout, maxTimeout), 0))}
 }
 
-// Least is the least time that a hop is told: what a request begun with less could end in is lost on
-// the way.
-const Least = time.Millisecond
+// MinHopTime is the shortest time granted to a hop: the answer to a request with less would be too
+// late after the way back.
+const MinHopTime = time.Millisecond
 
-// Hop is what the next hop is told of the time that is left: less the way back, but never less than
-// three quarters of what is left, and never more than it. False means that less than Least is left
-// for it: nothing is to be begun.
-func Hop(left, back time.Duration) (time.Duration, bool) {
-	told := left - min(max(back, 0), left/4)
-	return max(told, 0), told >= Least
+// NextHop returns how much of the time left the next hop is granted: less the time of the way back,
+// but at least three quarters of it and never more than all of it. It reports false if that is below
+// MinHopTime: then no attempt must begin.
+func NextHop(left, returnTime time.Duration) (time.Duration, bool) {
+	given := left - min(max(returnTime, 0), left/4)
+	return max(given, 0), given >= MinHopTime
 }
 
 // The bounds of a Margin.
 const (
-	leastMargin = 100 * time.Microsecond
-	mostMargin  = 100 * time.Millisecond
+	minMargin = 100 * time.Microsecond
+	maxMargin = 100 * time.Millisecond
 )
 
-// Margin learns how long the way back from a hop takes, from round trips that held no work: the
-// smoothed trip and its mean deviation by the rules of RFC 6298, section 2, halved. The zero Margin
-// has seen none.
+// Margin estimates the time of the way back from a hop, from round trips that involve no work: the
+// smoothed round trip and its mean deviation by RFC 6298, section 2, halved. The zero Margin has no
+// samples.
 type Margin struct {
 	smoothed, deviation float64 // microseconds
 }
 
-// Learn takes one round trip. What is not above 0 or longer than a minute is left out.
-func (m *Margin) Learn(trip time.Duration) {
+// Observe records one round trip. Trips that are not above 0 or longer than a minute are ignored.
+func (m *Margin) Observe(trip time.Duration) {
 	x := float64(trip) / float64(time.Microsecond)
 	switch {
 	case trip <= 0 || trip > time.Minute:
@@ -63,8 +64,8 @@
 	}
 }
 
-// Back is the time that the way back takes, seldom exceeded; from 0.1 to 100 ms.
-func (m *Margin) Back() time.Duration {
+// ReturnTime returns an upper estimate of the time of the way back, between 0.1 and 100 ms.
+func (m *Margin) ReturnTime() time.Duration {
 	half := time.Duration((m.smoothed + 4*m.deviation) / 2 * float64(time.Microsecond))
-	return min(max(half, leastMargin), mostMargin)
+	return min(max(half, minMargin), maxMargin)
 }
--- a/internal/decide/calm/calm.go
+++ b/internal/decide/calm/calm.go
@@ -1,6 +1,8 @@
-// Package calm tells crowded servers from busy ones by answer times alone: how long answers take
-// while nothing is crowded, and from which answer time on a server counts as crowded. Times are
-// parts of their class's aim. No I/O, no time; a Calm belongs to whoever holds it.
+// Package calm distinguishes overloaded servers from busy ones by latency alone. It estimates the
+// latency without queueing and derives the mean latency above which a server counts as overloaded.
+// Latencies are fractions of the latency target of their class.
+//
+// The package has no I/O, no clock and no locks: a Baseline is used by one goroutine at a time.
 package calm
 
 import (
@@ -10,54 +12,59 @@
 )
 
 const (
-	// CrowdShare is the part of the aim that a server's mean answer time may take.
-	CrowdShare = 0.5
-	// crowdFactor is how many times the fleet's calm answer time a calm server's may be.
-	crowdFactor = 1.5
-	// learnFor is the number of answers that make the first measure of calm.
-	learnFor = 50
-	// slow is the weight of an answer in the fleet's mean.
-	slow = 0.005
+	// MaxTargetFraction is the fraction of the latency target that the mean latency of a server may
+	// reach.
+	MaxTargetFraction = 0.5
+	// overloadFactor is the multiple of the unloaded latency that a server may reach without counting
+	// as overloaded.
+	overloadFactor = 1.5
+	// warmupSamples is the number of answers that make up the first baseline.
+	warmupSamples = 50
+	// meanWeight is the weight of one answer in the mean of the fleet.
+	meanWeight = 0.005
 )
 
-// Calm is the measure that one of so many agents has.
-type Calm struct {
-	Fleet    float64 // mean answer time of all servers
-	Least    float64 // the same when nothing is crowded
-	replicas float64
-	answers  float64
+// Baseline is the estimate of one agent.
+type Baseline struct {
+	FleetMean float64 // mean latency of all servers
+	Unloaded  float64 // mean latency without overload
+	replicas  float64 // number of agents, this one included
+	answers   float64
 }
 
-// New starts without a measure. replicas is the number of agents, this one included.
-func New(replicas int) *Calm { return &Calm{replicas: float64(replicas)} }
+// New returns a Baseline without samples. replicas is the number of agents, this one included.
+func New(replicas int) *Baseline { return &Baseline{replicas: float64(replicas)} }
 
-// Learnt tells whether there is a measure: until then no server's window grows, so that a start does
-// not crowd what it measures.
-func (c *Calm) Learnt() bool { return c.answers > learnFor }
+// Ready reports whether there are enough samples. Until then no server's window grows, so that the
+// load at a start does not distort the estimate.
+func (c *Baseline) Ready() bool { return c.answers > warmupSamples }
 
-// Answered takes an answer that took x; alone tells that no other of this agent was out on its server.
-func (c *Calm) Answered(x float64, alone bool) {
+// Observe records an answer with latency x; alone reports whether it was the only request of this
+// agent in flight to its server.
+func (c *Baseline) Observe(x float64, alone bool) {
 	c.answers++
-	c.Fleet = arith.Mean(c.Fleet, x, max(slow, 1/c.answers))
+	c.FleetMean = arith.Mean(c.FleetMean, x, max(meanWeight, 1/c.answers))
 	switch {
-	case !c.Learnt():
-		// One quick answer must not set the measure, nor a crowd at the start (id08146).
-		c.Least = min(c.Fleet, CrowdShare/2)
-	case c.Fleet < c.Least:
-		c.Least = arith.Mean(c.Least, c.Fleet, slow)
+	case !c.Ready():
+		// Neither one quick answer nor an overload at the start may set the baseline (id08146).
+		c.Unloaded = min(c.FleetMean, MaxTargetFraction/2)
+	case c.FleetMean < c.Unloaded:
+		c.Unloaded = arith.Mean(c.Unloaded, c.FleetMean, meanWeight)
 	case alone:
-		// One that was alone tells more the fewer agents there are: a lone agent that took quick
-		// first answers for calm would leave its servers idle.
-		c.Least = arith.Mean(c.Least, c.Fleet, slow/min(2*math.Pow(max(c.replicas, 1), 3), 250))
-	default: // hardly, or a crowd would become the measure
-		c.Least = arith.Mean(c.Least, c.Fleet, slow/250)
+		// The fewer agents there are, the more an answer to a lone request says about the unloaded
+		// latency: a single agent that took its first quick answers as the baseline would leave its
+		// servers idle.
+		c.Unloaded = arith.Mean(c.Unloaded, c.FleetMean, meanWeight/min(2*math.Pow(max(c.replicas, 1), 3), 250))
+	default: // very slowly, or an overload would become the baseline
+		c.Unloaded = arith.Mean(c.Unloaded, c.FleetMean, meanWeight/250)
 	}
 }
 
-// Limit is the mean answer time from which a server counts as crowded that has the part ramp of its
-// capacity, above 0: a cold one is slow before it is crowded (i5d0607). A few agents see most of the
-// load and need not fear to crowd a server that answers well within the aim.
-func (c *Calm) Limit(ramp float64) float64 {
-	least := 2 * CrowdShare / (2 + c.replicas)
-	return min(CrowdShare, max(crowdFactor*c.Least, least)) / ramp
+// OverloadLimit returns the mean latency above which a server counts as overloaded. ramp, above 0, is
+// the fraction of its capacity that the server has: one that is warming up is slow before it is
+// overloaded (i5d0607). A few agents observe most of the load themselves, so their limit is higher:
+// they need not avoid a server that answers well within the target.
+func (c *Baseline) OverloadLimit(ramp float64) float64 {
+	least := 2 * MaxTargetFraction / (2 + c.replicas)
+	return min(MaxTargetFraction, max(overloadFactor*c.Unloaded, least)) / ramp
 }
--- a/internal/decide/calm/calm_test.go
+++ b/internal/decide/calm/calm_test.go
@@ -2,33 +2,33 @@
 
 import "testing"
 
-// The first answers make the measure, at most half of what a server may take; after that it follows
-// quicker answers, and longer ones hardly.
-func TestMeasure(t *testing.T) {
+// The first answers set the baseline, at most to half of MaxTargetFraction; after that it follows
+// lower latencies quickly and higher ones hardly.
+func TestBaseline(t *testing.T) {
 	c := New(20)
-	for range learnFor {
-		if c.Learnt() {
-			t.Fatal("learnt too soon")
+	for range warmupSamples {
+		if c.Ready() {
+			t.Fatal("ready after fewer than warmupSamples answers")
 		}
-		c.Answered(0.9, true)
+		c.Observe(0.9, true)
 	}
-	if c.Least != CrowdShare/2 {
-		t.Errorf("a crowd at the start is taken for calm: %v", c.Least)
+	if c.Unloaded != MaxTargetFraction/2 {
+		t.Errorf("an overload at the start sets the baseline: %v", c.Unloaded)
 	}
 	for range 2000 {
-		c.Answered(0.05, false)
+		c.Observe(0.05, false)
 	}
-	if c.Least > 0.1 || c.Fleet < 0.049 || c.Fleet > 0.06 {
-		t.Errorf("answers of 0.05: calm %v, fleet %v", c.Least, c.Fleet)
+	if c.Unloaded > 0.1 || c.FleetMean < 0.049 || c.FleetMean > 0.06 {
+		t.Errorf("answers of 0.05: baseline %v, fleet mean %v", c.Unloaded, c.FleetMean)
 	}
-	low := c.Least
+	low := c.Unloaded
 	for range 200 {
-		c.Answered(0.9, false)
+		c.Observe(0.9, false)
 	}
-	if c.Least > low*1.1 {
-		t.Errorf("a crowd of 200 answers moves calm from %v to %v", low, c.Least)
+	if c.Unloaded > low*1.1 {
+		t.Errorf("an overload of 200 answers moves the baseline from %v to %v", low, c.Unloaded)
 	}
-	if cold, warm := c.Limit(0.25), c.Limit(1); cold != 4*warm || warm < 0.09*crowdFactor*low || warm > CrowdShare {
+	if cold, warm := c.OverloadLimit(0.25), c.OverloadLimit(1); cold != 4*warm || warm < 0.09*overloadFactor*low || warm > MaxTargetFraction {
 		t.Errorf("limits: warm %v, cold %v", warm, cold)
 	}
 }
--- a/internal/decide/crossing/crossing.go
+++ b/internal/decide/crossing/crossing.go
@@ -1,75 +1,74 @@
-// Package crossing holds the two state machines of a crossing: a request on its way over a
-// link from a near gateway to a far one. It has no I/O, no time and no goroutine of its
-// own. Who owns a machine calls it from one goroutine or under one lock: the near
-// transport for each Near, the far session for each Far.
+// Package crossing implements the two state machines of a crossing: a request that is forwarded over a
+// link from one gateway, the sender, to another, the receiver. It has no I/O, no clock and no
+// goroutines. A machine is called from one goroutine or under one lock: a Sender by the forwarding
+// transport, a Receiver by the session of the remote gateway.
 //
-// What the two settle together: the near end may send a request again or refuse it only
-// with proof that its crossing never began. The proof is the far end's word Never, which
-// it says where it turned the crossing away, ended it without a begin, or bars it because
-// the near end asks (a fence, or a cancel). A crossing that is barred can't begin, whatever
-// of it still lies in a link. Where no proof comes the crossing is Lost: it may have run,
-// but nothing of it is under way any more, since the far end ends all work on it at the end
-// of its lease, which the near end outwaits.
+// The protocol guarantees that the sender retries or rejects a request only with proof that the
+// crossing never started. The proof is the receiver's message NotStarted, sent when it rejected the
+// crossing, ended it before it started, or fenced it on a Query or Cancel of the sender. A fenced
+// crossing can't start, whatever messages of it are still in flight. Without proof the crossing is
+// Lost: it may have run, but no work on it continues, because the receiver ends all work at the end of
+// the lease and the sender waits for longer than that.
 //
-// The same machines are searched exhaustively in the tests, over networks that delay,
-// overtake, cut and stall, and driven by package gateway; there is no copy.
+// The tests search the state space of these machines exhaustively, over networks that delay, reorder
+// between connections, cut and stall. Package gateway uses the same code.
 package crossing
 
-// Conn numbers a connection of a link at one end; 0 is none.
+// Conn is the number of a connection of a link at one end; 0 is none.
 type Conn uint32
 
-// Msg is a message about one crossing, without its contents.
+// Msg is the type of a message about one crossing.
 type Msg uint8
 
-// The messages. Offer, Fence and Cancel go to the far end, the others to the near one.
+// The messages. Offer, Query and Cancel go to the receiver, the others to the sender.
 const (
-	None   Msg = iota
-	Offer      // here is a request
-	Fence      // what has become of it? if it has not begun, bar it
-	Cancel     // nobody waits for it any more: bar it, or end it
-	Ended      // it began and has ended; the answer is with it
-	Never      // it never began and never will
-	Begun      // it has begun; Ended will follow
-	Unsure     // the far end knows nothing of it and can't bar it
+	None          Msg = iota
+	Offer             // forwards a request
+	Query             // asks for the state of the crossing and fences it if it has not started
+	Cancel            // the client has left: fence the crossing, or end its work
+	Completed         // it ran and has ended; carries the answer
+	NotStarted        // it has not started and never will
+	Started           // it has started; Completed will follow
+	Indeterminate     // the receiver does not know it and cannot fence it
 )
 
-// String is the name of a message, as logs and tests have it.
+// String returns the name of a message, as used in logs.
 func (m Msg) String() string {
 	return [...]string{"none", "offer", "fence", "cancel", "ended", "never", "begun", "unsure"}[m]
 }
 
-// Verdict is what a crossing has come to for the near end.
-type Verdict uint8
+// Outcome is the result of a crossing for the sender.
+type Outcome uint8
 
-// The verdicts.
+// The values of Outcome.
 const (
-	Open    Verdict = iota // nothing yet
-	Answer                 // it ran; the answer is at hand
-	NeverIn                // it never ran, and never will: it may be sent again or refused
-	Lost                   // it may have run, and nothing of it is under way any more
+	Pending  Outcome = iota // no result yet
+	Answered                // it ran; the answer is available
+	NeverRan                // it never ran and never will: it may be retried or rejected
+	Lost                    // it may have run, but no work on it continues
 )
 
-// NearState is where a crossing stands at the near end.
-type NearState uint8
+// SenderState is the state of a crossing at the sender.
+type SenderState uint8
 
-// The near end's states.
+// The values of SenderState.
 const (
-	Queued  NearState = iota // not a byte of it was written
-	Offered                  // written to a connection that is thought to be up
-	Asking                   // its connection is lost: the far end is to be asked
-	Closed                   // it has its verdict
+	Queued   SenderState = iota // nothing was written
+	Offered                     // written to a connection that is assumed to be up
+	Querying                    // its connection is lost or it was cancelled: the receiver must be asked
+	Closed                      // it has an outcome
 )
 
-// Near is a crossing at the near end. The zero Near is queued.
-type Near struct {
-	State     NearState
-	Cancelled bool // nobody waits for it
-	keep      bool // but what has begun of it is let run
-	On        Conn // where the last word of it went out; 0: that is lost, or there is none
+// Sender is the state machine of a crossing at the forwarding gateway. The zero Sender is queued.
+type Sender struct {
+	State     SenderState
+	Cancelled bool // the client has left
+	letRun    bool // but work that has started may finish
+	On        Conn // connection of the last message sent; 0: lost, or none
 }
 
-// Write asks to write the offer to a connection; false means that nothing may be written.
-func (n *Near) Write(on Conn) bool {
+// Write records that the offer is to be written to a connection, and reports whether it may be.
+func (n *Sender) Write(on Conn) bool {
 	if n.State != Queued || on == 0 {
 		return false
 	}
@@ -77,244 +76,243 @@
 	return true
 }
 
-// Lose tells that a connection is lost, and other is one that is up, or 0. It returns what
-// is to be written to that one.
-func (n *Near) Lose(lost, other Conn) Msg {
-	if n.On != lost || n.State != Offered && n.State != Asking {
+// ConnLost handles the loss of a connection; other is one that is up, or 0. It returns the message to
+// write to that one.
+func (n *Sender) ConnLost(lost, other Conn) Msg {
+	if n.On != lost || n.State != Offered && n.State != Querying {
 		return None
 	}
-	n.State, n.On = Asking, 0
-	return n.Up(other)
+	n.State, n.On = Querying, 0
+	return n.ConnUp(other)
 }
 
-// Up tells that a connection to the process that was offered the crossing is up, and
-// returns what is to be written to it.
-func (n *Near) Up(on Conn) Msg {
-	if n.State != Asking || n.On != 0 || on == 0 {
+// ConnUp handles a new connection to the process that was offered the crossing, and returns the
+// message to write to it.
+func (n *Sender) ConnUp(on Conn) Msg {
+	if n.State != Querying || n.On != 0 || on == 0 {
 		return None
 	}
 	n.On = on
-	return n.word()
+	return n.query()
 }
 
-// word is what the far end is asked.
-func (n *Near) word() Msg {
-	if n.Cancelled && !n.keep {
+// query returns the message that asks the receiver for the state.
+func (n *Sender) query() Msg {
+	if n.Cancelled && !n.letRun {
 		return Cancel
 	}
-	return Fence
+	return Query
 }
 
-// Cancel tells that nobody waits any more; on is a connection that is up, or 0. What was
-// not written is over at once; of the rest the far end has the word: it bars what has not
-// begun there, and ends what has, unless that is to be kept.
-func (n *Near) Cancel(on Conn, keep bool) (Msg, Verdict) {
+// Cancel handles a client that has left; on is a connection that is up, or 0. A queued crossing ends
+// at once. Otherwise the receiver decides: it fences a crossing that has not started, and ends one
+// that has unless keep is set. Cancel returns the message to write and the outcome.
+func (n *Sender) Cancel(on Conn, letRun bool) (Msg, Outcome) {
 	switch {
 	case n.State == Queued:
 		n.State = Closed
-		return None, NeverIn
+		return None, NeverRan
 	case n.State == Closed || n.Cancelled:
-		return None, Open
+		return None, Pending
 	}
-	n.Cancelled, n.keep = true, keep
+	n.Cancelled, n.letRun = true, letRun
 	if on == 0 {
-		n.State, n.On = Asking, 0
-		return None, Open
+		n.State, n.On = Querying, 0
+		return None, Pending
 	}
-	n.State, n.On = Asking, on
-	return n.word(), Open
+	n.State, n.On = Querying, on
+	return n.query(), Pending
 }
 
-// Got takes the far end's word.
-func (n *Near) Got(m Msg) Verdict {
+// Receive handles a message of the receiver and returns the outcome.
+func (n *Sender) Receive(msg Msg) Outcome {
 	if n.State == Closed || n.State == Queued {
-		return Open
+		return Pending
 	}
-	switch m {
-	case Ended:
+	switch msg {
+	case Completed:
 		n.State = Closed
-		return Answer
-	case Never:
+		return Answered
+	case NotStarted:
 		n.State = Closed
-		return NeverIn
+		return NeverRan
 	}
-	// Begun and Unsure settle nothing: an answer follows, or the end of the lease.
-	return Open
+	// Started and Indeterminate decide nothing: an answer follows, or the end of the lease.
+	return Pending
 }
 
-// Gone tells that the process that was offered the crossing is no more: another stands in
-// its place. What had begun there is over.
-func (n *Near) Gone() Verdict { return n.Expire() }
+// PeerRestarted handles the end of the process that was offered the crossing: work that it had started
+// is over.
+func (n *Sender) PeerRestarted() Outcome { return n.ExpireLease() }
 
-// Expire tells that the lease is over at the far end, whatever its clock says: nothing of
-// the crossing can begin or go on there.
-func (n *Near) Expire() Verdict {
+// ExpireLease handles the end of the lease at the receiver, by any clock: the crossing can neither
+// start nor continue there.
+func (n *Sender) ExpireLease() Outcome {
 	switch n.State {
 	case Closed:
-		return Open
+		return Pending
 	case Queued:
 		n.State = Closed
-		return NeverIn
+		return NeverRan
 	}
 	n.State = Closed
 	return Lost
 }
 
-// FarState is where a crossing stands at the far end.
-type FarState uint8
+// ReceiverState is the state of a crossing at the receiver.
+type ReceiverState uint8
 
-// The far end's states.
+// The values of ReceiverState.
 const (
-	Unknown FarState = iota // nothing has come of it
-	Taken                   // it waits for its first attempt
-	Running                 // its first attempt's first byte may have been written
-	Done                    // it ran and has ended
-	Barred                  // it never began and never will
+	Unknown  ReceiverState = iota // no message was received
+	Accepted                      // waiting for its first attempt
+	Running                       // the first byte of its first attempt may have been written
+	Done                          // it ran and has ended
+	Fenced                        // it never started and never will
 )
 
-// Act is what the far end is to do besides its reply.
-type Act uint8
+// Action is what the receiver must do besides its reply.
+type Action uint8
 
-// The acts.
+// The values of Action.
 const (
-	Nothing  Act = iota
-	Run          // hand it to the core
-	Stop         // end the work on it, also what waits
-	Violates     // the peer breaks the protocol: its connection is to be closed
+	NoAction      Action = iota
+	Run                  // pass it to the core
+	Stop                 // end the work on it, including queued work
+	ProtocolError        // the peer violates the protocol: close its connection
 )
 
-// Terms is under what an offer comes.
-type Terms struct {
-	Lapsed   bool // its lease is over
-	Draining bool // the far end takes nothing new
-	Full     bool // or can't hold more
+// Conditions are the circumstances at the receiver under which a message arrives.
+type Conditions struct {
+	LeaseExpired bool // the lease of the crossing is over
+	Draining     bool // the receiver accepts no new requests
+	Full         bool // the receiver has no capacity for another crossing
 }
 
-// Far is a crossing at the far end. The zero Far is unknown.
-type Far struct {
-	State   FarState
-	On      Conn // where the last word of it came; 0: that is lost
-	Offered bool // its offer has come
+// Receiver is the state machine of a crossing at the remote gateway. The zero Receiver is unknown.
+type Receiver struct {
+	State   ReceiverState
+	On      Conn // connection of the last message received; 0: lost
+	Offered bool // its offer was received
 }
 
-// Offer takes a whole offer.
-func (f *Far) Offer(on Conn, t Terms) (Msg, Act) {
+// Offer handles a complete offer.
+func (f *Receiver) Offer(on Conn, t Conditions) (Msg, Action) {
 	if f.Offered {
-		return None, Violates // a number is used once
+		return None, ProtocolError // the number of a crossing is used only once
 	}
 	f.Offered = true
 	switch f.State {
 	case Unknown:
 		f.On = on
-		if t.Lapsed || t.Draining || t.Full {
-			f.State = Barred
-			return Never, Nothing
+		if t.LeaseExpired || t.Draining || t.Full {
+			f.State = Fenced
+			return NotStarted, NoAction
 		}
-		f.State = Taken
+		f.State = Accepted
 		return None, Run
-	case Barred: // a fence or a cancel has overtaken it
+	case Fenced: // a query or a cancel has overtaken it
 		f.On = on
-		return Never, Nothing
+		return NotStarted, NoAction
 	}
-	return None, Violates
+	return None, ProtocolError
 }
 
-// Begin asks to write the first byte of an attempt.
-func (f *Far) Begin(t Terms) bool {
+// Start reports whether the first byte of an attempt may be written.
+func (f *Receiver) Start(t Conditions) bool {
 	switch f.State {
-	case Taken:
-		if t.Lapsed {
+	case Accepted:
+		if t.LeaseExpired {
 			return false
 		}
 		f.State = Running
 		return true
 	case Running:
-		return !t.Lapsed
+		return !t.LeaseExpired
 	}
 	return false
 }
 
-// Finish tells that the core has given its one final answer; ran says that an attempt may
-// have run. The returned message goes to On, if that is up.
-func (f *Far) Finish(ran bool) Msg {
+// Finish handles the one final answer of the core; ran reports whether an attempt may have run. The
+// returned message goes to On, if that is up.
+func (f *Receiver) Finish(ran bool) Msg {
 	switch f.State {
 	case Running:
 		if ran {
 			f.State = Done
-			return Ended
+			return Completed
 		}
-		f.State = Barred // all that began was turned away by the servers
-		return Never
-	case Taken:
-		f.State = Barred
-		return Never
+		f.State = Fenced // all attempts were rejected by the servers
+		return NotStarted
+	case Accepted:
+		f.State = Fenced
+		return NotStarted
 	}
 	return None
 }
 
-// Fence answers a near end that has lost a connection. Of an unknown number whose lease is
-// over it may have been told once and have forgotten; one that it has no room to remember
-// it can't bar.
-func (f *Far) Fence(on Conn, t Terms) (Msg, Act) {
+// Query handles the Query of a sender that has lost a connection. A crossing that is unknown and whose
+// lease is over may have been known and forgotten, and one that can't be recorded for lack of capacity
+// can't be fenced: the answer is Indeterminate for both.
+func (f *Receiver) Query(on Conn, t Conditions) (Msg, Action) {
 	f.On = on
 	switch f.State {
 	case Unknown:
-		if t.Lapsed || t.Full {
-			return Unsure, Nothing
+		if t.LeaseExpired || t.Full {
+			return Indeterminate, NoAction
 		}
-		f.State = Barred
-		return Never, Nothing
-	case Taken:
-		f.State = Barred
-		return Never, Stop
+		f.State = Fenced
+		return NotStarted, NoAction
+	case Accepted:
+		f.State = Fenced
+		return NotStarted, Stop
 	case Running:
-		return Begun, Nothing
+		return Started, NoAction
 	case Done:
-		return Ended, Nothing
+		return Completed, NoAction
 	}
-	return Never, Nothing
+	return NotStarted, NoAction
 }
 
-// Cancel is a fence that ends running work as well; Finish follows.
-func (f *Far) Cancel(on Conn, t Terms) (Msg, Act) {
-	m, act := f.Fence(on, t)
+// Cancel handles a Cancel: like a Query, but it also ends running work; Finish follows.
+func (f *Receiver) Cancel(on Conn, t Conditions) (Msg, Action) {
+	m, act := f.Query(on, t)
 	if f.State == Running {
 		return None, Stop
 	}
 	return m, act
 }
 
-// Lose tells that a connection is lost; last says that it was the near end's last one.
-// Then nothing can be heard of it for a while, and what has not begun is better sent again
-// by who can see to it.
-func (f *Far) Lose(lost Conn, last bool) Act {
+// ConnLost handles the loss of a connection; last reports whether it was the last one of the sender.
+// Then the receiver is unreachable for a while, and a crossing that has not started is fenced, so that
+// the sender can forward it elsewhere.
+func (f *Receiver) ConnLost(lost Conn, last bool) Action {
 	if f.On == lost {
 		f.On = 0
 	}
-	if last && f.State == Taken {
-		f.State = Barred
+	if last && f.State == Accepted {
+		f.State = Fenced
 		return Stop
 	}
-	return Nothing
+	return NoAction
 }
 
-// Lapse tells that the lease is over: what waits is barred, what runs is ended, and Finish
+// ExpireLease handles the end of the lease: waiting work is fenced, running work is ended, and Finish
 // follows.
-func (f *Far) Lapse() (Msg, Act) {
+func (f *Receiver) ExpireLease() (Msg, Action) {
 	switch f.State {
-	case Taken:
-		f.State = Barred
-		return Never, Stop
+	case Accepted:
+		f.State = Fenced
+		return NotStarted, Stop
 	case Running:
 		return None, Stop
 	}
-	return None, Nothing
+	return None, NoAction
 }
 
-// Forget tells whether the crossing may be forgotten: it is over, and its lease as well, so
-// that an offer which still lies in a link is turned away for its age. Where the offer has
-// come and the near end has its verdict, which it acknowledges, nothing that could still come
-// does any harm.
-func (f *Far) Forget(lapsed, acked bool) bool {
-	return (lapsed || acked && f.Offered) && (f.State == Done || f.State == Barred)
+// CanForget reports whether the state of the crossing may be dropped: it is over, and so is its lease,
+// so that an offer still in flight is rejected for its age. If the offer was received and the sender
+// has acknowledged the outcome, no message that may still arrive can do harm.
+func (f *Receiver) CanForget(lapsed, acked bool) bool {
+	return (lapsed || acked && f.Offered) && (f.State == Done || f.State == Fenced)
 }
--- a/internal/decide/crossing/search_test.go
+++ b/internal/decide/crossing/search_test.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// The search runs the machines of both ends against a network that may do what networks
-// do, breadth first, and holds the rules in every state that can be reached. A state is
-// known by its 64-bit hash.
+// The tests of this file search the state space of both machines breadth first, over a network that
+// may cut and delay connections, and check the invariants in each reachable state. States are
+// identified by their 64-bit hash.
 
-var deep = flag.Bool("crossing.deep", false, "search with all budgets at once, which takes minutes")
+var deep = flag.Bool("crossing.deep", false, "search with all fault budgets at once; takes minutes")
 
-// shape is a setting of the search.
-type shape struct {
-	name    string
-	resend  bool // slot 1 is the same request, offered again; else another request
-	repeats bool // the request may run more than once, though never twice at a time
-	budget  budget
+// searchConfig configures a search.
+type searchConfig struct {
+	name        string
+	retry       bool // slot 1 is the request of slot 0, retried; else another request
+	idempotent  bool // the request may run more than once, though never twice at a time
+	faultBudget faultBudget
 }
 
-// budget is what may still go wrong.
-type budget struct{ cuts, nearEnds, farEnds, drains, cancels, lapses, leaves uint8 }
+// faultBudget is how many faults of each kind may still happen.
+type faultBudget struct{ cuts, senderCrashes, receiverCrashes, drains, cancels, leaseExpiries, departures uint8 }
 
 type packet struct {
 	m    Msg
 	slot uint8
 }
 
-const depth = 3 // packets that may lie in one direction of a connection
+const maxInFlight = 3 // packets in flight in one direction of a connection
 
 type pipe struct {
-	p [depth]packet
+	p [maxInFlight]packet
 	n uint8
 }
 
 func (q *pipe) push(p packet) bool {
-	if q.n == depth {
+	if q.n == maxInFlight {
 		return false
 	}
 	q.p[q.n] = p
@@ -55,67 +55,68 @@
 	return p
 }
 
-// wire is a connection; what lies in it may still come when it is cut, until its end sees.
-type wire struct {
-	nearUp, farUp bool // as each end sees it
-	cut           bool
-	there, back   pipe
+// connection is a connection of a link. After a cut, packets in flight may still arrive until their
+// end detects the loss.
+type connection struct {
+	senderUp, receiverUp bool // as seen by the sender and by the receiver
+	cut                  bool
+	toReceiver, toSender pipe
 }
 
-// nearSlot is a crossing at the near end, with what its client was told.
-type nearSlot struct {
-	m       Near
-	used    bool
-	inc     uint8 // of the far process that was offered it
-	verdict Verdict
-	told    bool // its request was answered by this verdict
-	acked   bool // the far end was told that it has its verdict
-	broken  bool // its process has ended: nobody can be told
+// senderSlot is a crossing at the sender, with the answer to its client.
+type senderSlot struct {
+	m            Sender
+	used         bool
+	incarnation  uint8 // incarnation of the receiver that was offered it
+	outcome      Outcome
+	responded    bool // its request was answered with this outcome
+	acknowledged bool // the receiver was notified that the sender has the outcome
+	crashed      bool // the process of the sender has ended
 }
 
-// farSlot is a crossing at the far end, with what its core does.
-type farSlot struct {
-	m       Far
-	core    bool // the core holds it
-	out     bool // an attempt is out
-	stopped bool
-	lapsed  bool
-	begins  uint8 // over all processes
+// receiverSlot is a crossing at the receiver, with the state of its core.
+type receiverSlot struct {
+	m            Receiver
+	inCore       bool // the core works on it
+	inFlight     bool // an attempt is in flight
+	stopped      bool
+	leaseExpired bool
+	starts       uint8 // over all incarnations
 }
 
 type state struct {
-	wires    [2]wire
-	near     [2]nearSlot
-	far      [2]farSlot
-	left     budget
-	nearGen  uint8
-	farGen   uint8
-	knows    uint8 // the far process that the near end knows of
-	draining bool
-	heard    bool // the near end knows that the far end drains
-	breach   string
-}
-
-// machines are the machines' steps, so that a test can break one.
+	connections      [2]connection
+	senders          [2]senderSlot
+	receivers        [2]receiverSlot
+	left             faultBudget
+	senderGen        uint8
+	receiverGen      uint8
+	knownReceiverGen uint8 // the incarnation of the receiver that the sender knows
+	draining         bool
+	knowsDrain       bool // the sender knows that the receiver drains
+	violation        string
+}
+
+// machines holds the functions of both state machines, so that a test can replace one by a faulty one.
 type machines struct {
-	write  func(*Near, Conn) bool
-	lose   func(*Near, Conn, Conn) Msg
-	got    func(*Near, Msg) Verdict
-	expire func(*Near) Verdict
-	offer  func(*Far, Conn, Terms) (Msg, Act)
-	begin  func(*Far, Terms) bool
-	fence  func(*Far, Conn, Terms) (Msg, Act)
-	cancel func(*Far, Conn, Terms) (Msg, Act)
-	forget func(*Far, bool, bool) bool
+	write     func(*Sender, Conn) bool
+	connLost  func(*Sender, Conn, Conn) Msg
+	receive   func(*Sender, Msg) Outcome
+	expire    func(*Sender) Outcome
+	offer     func(*Receiver, Conn, Conditions) (Msg, Action)
+	start     func(*Receiver, Conditions) bool
+	query     func(*Receiver, Conn, Conditions) (Msg, Action)
+	cancel    func(*Receiver, Conn, Conditions) (Msg, Action)
+	canForget func(*Receiver, bool, bool) bool
 }
 
-func whole() machines {
-	return machines{(*Near).Write, (*Near).Lose, (*Near).Got, (*Near).Expire, (*Far).Offer, (*Far).Begin,
-		(*Far).Fence, (*Far).Cancel, (*Far).Forget}
+func correctMachines() machines {
+	return machines{(*Sender).Write, (*Sender).ConnLost, (*Sender).Receive, (*Sender).ExpireLease, (*Receiver).Offer, (*Receiver).Start,
+		(*Receiver).Query, (*Receiver).Cancel, (*Receiver).CanForget}
 }
 
 type search struct {
-	shape
+	searchConfig
 	x     machines
 	seed  maphash.Seed
 	next  []state
@@ -127,381 +128,381 @@
 	s.label = append(s.label, fmt.Sprintf(format, args...))
 }
 
-// request is which request a slot carries.
+// request returns the number of the request that a slot carries.
 func (s *search) request(slot int) int {
-	if s.resend {
+	if s.retry {
 		return 0
 	}
 	return slot
 }
 
 func (st *state) other(not Conn) Conn {
-	for i := range st.wires {
-		if c := Conn(i + 1); st.wires[i].nearUp && c != not {
+	for i := range st.connections {
+		if c := Conn(i + 1); st.connections[i].senderUp && c != not {
 			return c
 		}
 	}
 	return 0
 }
 
-// toFar writes a message of the near end; false: there is no room now.
-func (st *state) toFar(on Conn, m Msg, slot int) bool {
-	w := &st.wires[on-1]
-	return w.cut || w.there.push(packet{m, uint8(slot)})
+// writeToReceiver writes a message of the sender and reports false if there is no room.
+func (st *state) writeToReceiver(on Conn, m Msg, slot int) bool {
+	w := &st.connections[on-1]
+	return w.cut || w.toReceiver.push(packet{m, uint8(slot)})
 }
 
-func (st *state) toNear(on Conn, m Msg, slot int) bool {
-	if m == None || on == 0 || !st.wires[on-1].farUp || st.wires[on-1].cut {
+func (st *state) writeToSender(on Conn, m Msg, slot int) bool {
+	if m == None || on == 0 || !st.connections[on-1].receiverUp || st.connections[on-1].cut {
 		return true
 	}
-	return st.wires[on-1].back.push(packet{m, uint8(slot)})
+	return st.connections[on-1].toSender.push(packet{m, uint8(slot)})
 }
 
-func (s *search) breach(st *state, text string) {
-	if st.breach == "" {
-		st.breach = text
+func (s *search) violation(st *state, text string) {
+	if st.violation == "" {
+		st.violation = text
 	}
 }
 
-// verdict notes what a crossing has come to, and answers or leaves it to a resend.
-func (s *search) verdict(st *state, slot int, v Verdict) {
-	n := &st.near[slot]
-	if v == Open {
+// outcome records the outcome of a crossing, and answers the request unless it is left to a retry.
+func (s *search) outcome(st *state, slot int, v Outcome) {
+	n := &st.senders[slot]
+	if v == Pending {
 		return
 	}
-	n.verdict = v
+	n.outcome = v
 	switch {
-	case v == Answer || v == Lost && !s.repeats || n.m.Cancelled || slot == 1 || !s.resend:
-		s.tell(st, slot)
+	case v == Answered || v == Lost && !s.idempotent || n.m.Cancelled || slot == 1 || !s.retry:
+		s.respond(st, slot)
 	}
 }
 
-// tell gives the request of a slot its final answer.
-func (s *search) tell(st *state, slot int) {
-	for i := range st.near {
-		if i != slot && s.request(i) == s.request(slot) && st.near[i].told {
-			s.breach(st, "two final answers")
+// respond gives the request of a slot its final answer.
+func (s *search) respond(st *state, slot int) {
+	for i := range st.senders {
+		if i != slot && s.request(i) == s.request(slot) && st.senders[i].responded {
+			s.violation(st, "two final answers")
 		}
 	}
-	if st.near[slot].told {
-		s.breach(st, "two final answers")
+	if st.senders[slot].responded {
+		s.violation(st, "two final answers")
 	}
-	st.near[slot].told = true
-	if st.near[slot].verdict != NeverIn || s.repeats || st.near[slot].m.Cancelled { // who left is told nothing
+	st.senders[slot].responded = true
+	if st.senders[slot].outcome != NeverRan || s.idempotent || st.senders[slot].m.Cancelled { // a client that has left gets no answer
 		return
 	}
-	for i := range st.far {
-		if s.request(i) == s.request(slot) && st.far[i].begins > 0 {
-			s.breach(st, "refused what may have run")
+	for i := range st.receivers {
+		if s.request(i) == s.request(slot) && st.receivers[i].starts > 0 {
+			s.violation(st, "rejected a request that may have run")
 		}
 	}
 }
 
 func (s *search) finish(st *state, slot int) {
-	f := &st.far[slot]
+	f := &st.receivers[slot]
 	ran := f.m.State == Running
 	m := f.m.Finish(ran)
-	f.core, f.out, f.stopped = false, false, false
-	st.toNear(f.m.On, m, slot)
+	f.inCore, f.inFlight, f.stopped = false, false, false
+	st.writeToSender(f.m.On, m, slot)
 }
 
-func (s *search) acts(st *state, slot int, a Act) {
-	f := &st.far[slot]
+func (s *search) apply(st *state, slot int, a Action) {
+	f := &st.receivers[slot]
 	switch a {
 	case Run:
-		f.core = true
+		f.inCore = true
 		if st.draining {
-			s.breach(st, "taken while it drains")
+			s.violation(st, "accepted while draining")
 		}
 	case Stop:
-		f.stopped = f.core
-	case Violates:
-		s.breach(st, "an honest peer breaks the protocol")
+		f.stopped = f.inCore
+	case ProtocolError:
+		s.violation(st, "a correct peer violates the protocol")
 	}
 }
 
-// steps lists all that may happen next.
+// steps lists all possible next states.
 func (s *search) steps(st state) {
 	s.next, s.label = s.next[:0], s.label[:0]
-	for slot := range st.near {
-		n := st.near[slot]
-		// The near end offers a crossing; the second one again, after proof that the first
-		// never began, or, of what may be repeated, that nothing of it goes on.
-		first := st.near[0]
-		may := !n.used && st.nearGen == 0 && (slot == 0 || !s.resend ||
-			first.used && !first.told && !first.m.Cancelled && (first.verdict == NeverIn || first.verdict == Lost && s.repeats))
+	for slot := range st.senders {
+		n := st.senders[slot]
+		// The sender offers a crossing. The retry in slot 1 needs proof that the first never started,
+		// or, if the request is idempotent, that no work on it continues.
+		first := st.senders[0]
+		may := !n.used && st.senderGen == 0 && (slot == 0 || !s.retry ||
+			first.used && !first.responded && !first.m.Cancelled && (first.outcome == NeverRan || first.outcome == Lost && s.idempotent))
 		if may {
-			for i := range st.wires {
+			for i := range st.connections {
 				to := st
 				c := Conn(i + 1)
-				if !to.wires[i].nearUp || to.heard || !s.x.write(&to.near[slot].m, c) || !to.toFar(c, Offer, slot) {
+				if !to.connections[i].senderUp || to.knowsDrain || !s.x.write(&to.senders[slot].m, c) || !to.writeToReceiver(c, Offer, slot) {
 					continue
 				}
-				to.near[slot].used, to.near[slot].inc = true, to.knows
-				s.add(to, "near offers %d on connection %d", slot, c)
+				to.senders[slot].used, to.senders[slot].incarnation = true, to.knownReceiverGen
+				s.add(to, "sender offers %d on connection %d", slot, c)
 			}
 		}
-		if n.used && !n.told && !n.broken && n.verdict != Open && s.resend && slot == 0 && !st.near[1].used {
+		if n.used && !n.responded && !n.crashed && n.outcome != Pending && s.retry && slot == 0 && !st.senders[1].used {
 			to := st
-			s.tell(&to, slot)
-			s.add(to, "near refuses the request instead of offering it again")
+			s.respond(&to, slot)
+			s.add(to, "sender rejects the request instead of retrying it")
 		}
-		if n.used && n.verdict == Open && !n.broken {
+		if n.used && n.outcome == Pending && !n.crashed {
 			for _, keep := range []bool{false, true} {
 				to := st
 				left := &to.left.cancels
-				if keep { // who leaves where what has begun is let run
-					left = &to.left.leaves
+				if keep { // the client leaves, but running work may finish
+					left = &to.left.departures
 				}
 				if *left == 0 || n.m.Cancelled {
 					continue
 				}
 				*left--
 				on := to.other(0)
-				m, v := to.near[slot].m.Cancel(on, keep)
-				s.verdict(&to, slot, v)
-				if m == None || to.toFar(on, m, slot) {
-					s.add(to, "the client of %d leaves: near writes %v on %d", slot, m, on)
+				m, v := to.senders[slot].m.Cancel(on, keep)
+				s.outcome(&to, slot, v)
+				if m == None || to.writeToReceiver(on, m, slot) {
+					s.add(to, "client of %d leaves: sender writes %v on %d", slot, m, on)
 				}
 			}
-			// The near end outwaits the lease, at the far end's clock or that process's end.
-			if st.far[slot].lapsed && !st.far[slot].out && !st.far[slot].core || n.inc != st.farGen {
+			// The sender waits until the lease is over at the receiver, or until that process has ended.
+			if st.receivers[slot].leaseExpired && !st.receivers[slot].inFlight && !st.receivers[slot].inCore || n.incarnation != st.receiverGen {
 				to := st
-				s.verdict(&to, slot, s.x.expire(&to.near[slot].m))
-				s.add(to, "near: the time of %d is up, %v", slot, to.near[slot].m.State)
+				s.outcome(&to, slot, s.x.expire(&to.senders[slot].m))
+				s.add(to, "sender: lease of %d is over, %v", slot, to.senders[slot].m.State)
 			}
 		}
-		f := st.far[slot]
-		if f.core && !f.out && !f.stopped {
+		f := st.receivers[slot]
+		if f.inCore && !f.inFlight && !f.stopped {
 			to := st
-			if s.x.begin(&to.far[slot].m, Terms{Lapsed: f.lapsed}) {
-				s.begun(&to, slot)
-				s.add(to, "far begins %d", slot)
+			if s.x.start(&to.receivers[slot].m, Conditions{LeaseExpired: f.leaseExpired}) {
+				s.recordStart(&to, slot)
+				s.add(to, "receiver starts %d", slot)
 			}
 		}
-		if f.core {
+		if f.inCore {
 			to := st
 			s.finish(&to, slot)
-			s.add(to, "far's core ends %d", slot)
+			s.add(to, "receiver's core ends %d", slot)
 		}
-		if !f.lapsed && n.used && st.left.lapses > 0 {
+		if !f.leaseExpired && n.used && st.left.leaseExpiries > 0 {
 			to := st
-			to.left.lapses--
-			to.far[slot].lapsed = true
-			m, a := to.far[slot].m.Lapse()
-			s.acts(&to, slot, a)
-			to.far[slot].stopped = to.far[slot].core
-			if to.toNear(to.far[slot].m.On, m, slot) {
-				s.add(to, "the lease of %d is over at the far end", slot)
+			to.left.leaseExpiries--
+			to.receivers[slot].leaseExpired = true
+			m, a := to.receivers[slot].m.ExpireLease()
+			s.apply(&to, slot, a)
+			to.receivers[slot].stopped = to.receivers[slot].inCore
+			if to.writeToSender(to.receivers[slot].m.On, m, slot) {
+				s.add(to, "lease of %d is over at the receiver", slot)
 			}
 		}
-		if f.m.State != Unknown && !f.core && s.x.forget(&f.m, f.lapsed, n.acked) {
+		if f.m.State != Unknown && !f.inCore && s.x.canForget(&f.m, f.leaseExpired, n.acknowledged) {
 			to := st
-			to.far[slot].m = Far{}
-			s.add(to, "far forgets %d", slot)
+			to.receivers[slot].m = Receiver{}
+			s.add(to, "receiver forgets %d", slot)
 		}
 	}
-	s.network(st)
-	s.ends(st)
+	s.networkEvents(st)
+	s.processEvents(st)
 }
 
-// begun notes the begin of an attempt, and holds the rules on it.
-func (s *search) begun(st *state, slot int) {
-	f := &st.far[slot]
-	for i := range st.far {
+// recordStart records the start of an attempt and checks the invariants on it.
+func (s *search) recordStart(st *state, slot int) {
+	f := &st.receivers[slot]
+	for i := range st.receivers {
 		if s.request(i) != s.request(slot) {
 			continue
 		}
 		switch {
-		case !s.repeats && st.far[i].begins > 0:
-			s.breach(st, "an effect twice")
-		case i != slot && st.far[i].out:
-			s.breach(st, "two attempts at once")
-		case st.near[i].told && !st.near[i].m.Cancelled:
-			s.breach(st, "begun after the near end has answered")
+		case !s.idempotent && st.receivers[i].starts > 0:
+			s.violation(st, "executed twice")
+		case i != slot && st.receivers[i].inFlight:
+			s.violation(st, "two attempts at the same time")
+		case st.senders[i].responded && !st.senders[i].m.Cancelled:
+			s.violation(st, "started after the sender has answered")
 		}
 	}
-	f.begins++
-	f.out = true
+	f.starts++
+	f.inFlight = true
 }
 
-// network is what may happen to connections.
-func (s *search) network(st state) {
-	for i := range st.wires {
-		w, c := st.wires[i], Conn(i+1)
-		if w.farUp && w.there.n > 0 {
+// networkEvents lists the possible events of connections.
+func (s *search) networkEvents(st state) {
+	for i := range st.connections {
+		w, c := st.connections[i], Conn(i+1)
+		if w.receiverUp && w.toReceiver.n > 0 {
 			to := st
-			p := to.wires[i].there.pop()
-			f := &to.far[p.slot]
+			p := to.connections[i].toReceiver.pop()
+			f := &to.receivers[p.slot]
 			var m Msg
-			var a Act
-			terms := Terms{Lapsed: f.lapsed, Draining: to.draining}
+			var a Action
+			terms := Conditions{LeaseExpired: f.leaseExpired, Draining: to.draining}
 			switch p.m {
 			case Offer:
 				m, a = s.x.offer(&f.m, c, terms)
-			case Fence:
-				m, a = s.x.fence(&f.m, c, terms)
+			case Query:
+				m, a = s.x.query(&f.m, c, terms)
 			case Cancel:
 				m, a = s.x.cancel(&f.m, c, terms)
 			}
-			s.acts(&to, int(p.slot), a)
-			if to.toNear(f.m.On, m, int(p.slot)) {
-				s.add(to, "far reads %v of %d on %d: %v", p.m, p.slot, c, m)
+			s.apply(&to, int(p.slot), a)
+			if to.writeToSender(f.m.On, m, int(p.slot)) {
+				s.add(to, "receiver reads %v of %d on %d: %v", p.m, p.slot, c, m)
 			}
 		}
-		if w.nearUp && w.back.n > 0 {
+		if w.senderUp && w.toSender.n > 0 {
 			to := st
-			p := to.wires[i].back.pop()
-			v := s.x.got(&to.near[p.slot].m, p.m)
-			s.verdict(&to, int(p.slot), v)
-			to.near[p.slot].acked = to.near[p.slot].acked || v != Open
-			s.add(to, "near reads %v of %d on %d", p.m, p.slot, c)
+			p := to.connections[i].toSender.pop()
+			v := s.x.receive(&to.senders[p.slot].m, p.m)
+			s.outcome(&to, int(p.slot), v)
+			to.senders[p.slot].acknowledged = to.senders[p.slot].acknowledged || v != Pending
+			s.add(to, "sender reads %v of %d on %d", p.m, p.slot, c)
 		}
-		if !w.cut && w.nearUp && w.farUp && st.left.cuts > 0 {
+		if !w.cut && w.senderUp && w.receiverUp && st.left.cuts > 0 {
 			to := st
 			to.left.cuts--
-			to.wires[i].cut = true
+			to.connections[i].cut = true
 			s.add(to, "connection %d is cut", c)
 		}
-		if w.cut && w.nearUp {
+		if w.cut && w.senderUp {
 			to := st
-			s.nearLoses(&to, i)
-			s.add(to, "near sees that connection %d is lost", c)
+			s.senderLosesConn(&to, i)
+			s.add(to, "sender detects that connection %d is lost", c)
 		}
-		if w.cut && w.farUp {
+		if w.cut && w.receiverUp {
 			to := st
-			s.farLoses(&to, i)
-			s.add(to, "far sees that connection %d is lost", c)
+			s.receiverLosesConn(&to, i)
+			s.add(to, "receiver detects that connection %d is lost", c)
 		}
-		if w.cut && !w.nearUp && !w.farUp && st.nearGen == 0 {
+		if w.cut && !w.senderUp && !w.receiverUp && st.senderGen == 0 {
 			to := st
-			to.wires[i] = wire{nearUp: true, farUp: true}
+			to.connections[i] = connection{senderUp: true, receiverUp: true}
 			s.up(&to, c)
 			s.add(to, "connection %d is up again", c)
 		}
 	}
 }
 
-func (s *search) nearLoses(st *state, i int) {
+func (s *search) senderLosesConn(st *state, i int) {
 	c := Conn(i + 1)
-	st.wires[i].nearUp = false
-	st.wires[i].back = pipe{}
-	for slot := range st.near {
-		if n := &st.near[slot]; n.used && !n.broken {
+	st.connections[i].senderUp = false
+	st.connections[i].toSender = pipe{}
+	for slot := range st.senders {
+		if n := &st.senders[slot]; n.used && !n.crashed {
 			other := st.other(c)
-			if m := s.x.lose(&n.m, c, other); m != None && !st.toFar(other, m, slot) {
-				n.m.On = 0 // no room: asked when one is up again
+			if m := s.x.connLost(&n.m, c, other); m != None && !st.writeToReceiver(other, m, slot) {
+				n.m.On = 0 // no room: the receiver is asked when another connection is up
 			}
 		}
 	}
 }
 
-func (s *search) farLoses(st *state, i int) {
+func (s *search) receiverLosesConn(st *state, i int) {
 	c := Conn(i + 1)
-	st.wires[i].farUp = false
-	st.wires[i].there = pipe{}
-	last := !st.wires[0].farUp && !st.wires[1].farUp
-	for slot := range st.far {
-		s.acts(st, slot, st.far[slot].m.Lose(c, last))
+	st.connections[i].receiverUp = false
+	st.connections[i].toReceiver = pipe{}
+	last := !st.connections[0].receiverUp && !st.connections[1].receiverUp
+	for slot := range st.receivers {
+		s.apply(st, slot, st.receivers[slot].m.ConnLost(c, last))
 	}
 }
 
-// up tells the near end of a connection, and of the process at its other end.
+// up notifies the sender of a connection and of the incarnation of the receiver at its other end.
 func (s *search) up(st *state, c Conn) {
-	st.knows, st.heard = st.farGen, st.draining
-	for slot := range st.near {
-		n := &st.near[slot]
-		if !n.used || n.broken || n.verdict != Open {
+	st.knownReceiverGen, st.knowsDrain = st.receiverGen, st.draining
+	for slot := range st.senders {
+		n := &st.senders[slot]
+		if !n.used || n.crashed || n.outcome != Pending {
 			continue
 		}
-		if n.inc != st.farGen {
-			s.verdict(st, slot, n.m.Gone())
-		} else if m := n.m.Up(c); m != None && !st.toFar(c, m, slot) {
+		if n.incarnation != st.receiverGen {
+			s.outcome(st, slot, n.m.PeerRestarted())
+		} else if m := n.m.ConnUp(c); m != None && !st.writeToReceiver(c, m, slot) {
 			n.m.On = 0
 		}
 	}
 }
 
-// ends is what may happen to the processes.
-func (s *search) ends(st state) {
-	if st.left.nearEnds > 0 {
+// processEvents lists the possible events of processes.
+func (s *search) processEvents(st state) {
+	if st.left.senderCrashes > 0 {
 		to := st
-		to.left.nearEnds--
-		to.nearGen++
-		for i := range to.wires {
-			to.wires[i].cut, to.wires[i].nearUp, to.wires[i].back = true, false, pipe{}
+		to.left.senderCrashes--
+		to.senderGen++
+		for i := range to.connections {
+			to.connections[i].cut, to.connections[i].senderUp, to.connections[i].toSender = true, false, pipe{}
 		}
-		for slot := range to.near {
-			to.near[slot].broken = to.near[slot].used && !to.near[slot].told
+		for slot := range to.senders {
+			to.senders[slot].crashed = to.senders[slot].used && !to.senders[slot].responded
 		}
-		s.add(to, "the near gateway is killed")
+		s.add(to, "sender is killed")
 	}
-	if st.left.farEnds > 0 {
+	if st.left.receiverCrashes > 0 {
 		to := st
-		to.left.farEnds--
-		to.farGen++
+		to.left.receiverCrashes--
+		to.receiverGen++
 		to.draining = false
-		for i := range to.wires {
-			to.wires[i].cut, to.wires[i].farUp, to.wires[i].there = true, false, pipe{}
+		for i := range to.connections {
+			to.connections[i].cut, to.connections[i].receiverUp, to.connections[i].toReceiver = true, false, pipe{}
 		}
-		for slot := range to.far {
-			f := &to.far[slot]
-			*f = farSlot{lapsed: f.lapsed, begins: f.begins}
+		for slot := range to.receivers {
+			f := &to.receivers[slot]
+			*f = receiverSlot{leaseExpired: f.leaseExpired, starts: f.starts}
 		}
-		s.add(to, "the far gateway is killed, another comes up in its place")
+		s.add(to, "receiver is killed and restarted")
 	}
 	if st.left.drains > 0 {
 		to := st
 		to.left.drains--
 		to.draining = true
-		s.add(to, "the far gateway drains")
+		s.add(to, "receiver starts draining")
 	}
-	if st.draining && !st.heard && st.other(0) != 0 && st.knows == st.farGen {
+	if st.draining && !st.knowsDrain && st.other(0) != 0 && st.knownReceiverGen == st.receiverGen {
 		to := st
-		to.heard = true
-		s.add(to, "near hears that the far gateway drains")
+		to.knowsDrain = true
+		s.add(to, "sender learns that the receiver drains")
 	}
 }
 
-// final tells whether nothing is owed or under way any more.
+// final reports whether no answer is owed and no work is in progress.
 func (s *search) final(st *state) bool {
-	for slot := range st.near {
-		n, f := &st.near[slot], &st.far[slot]
-		if f.core || n.used && !n.told && !n.broken && n.verdict == Open {
+	for slot := range st.senders {
+		n, f := &st.senders[slot], &st.receivers[slot]
+		if f.inCore || n.used && !n.responded && !n.crashed && n.outcome == Pending {
 			return false
 		}
 	}
 	return true
 }
 
-// found is what a search came to.
-type found struct {
-	states int
-	edges  int
-	took   time.Duration
-	breach string
-	trace  []string
-	stuck  int // states from which no final one can be reached
+// searchResult is the result of a search.
+type searchResult struct {
+	states    int
+	edges     int
+	took      time.Duration
+	violation string
+	trace     []string
+	stuck     int // states from which no final one can be reached
 }
 
-func (f *found) String() string {
+func (f *searchResult) String() string {
 	return fmt.Sprintf("%d states, %d steps, %v", f.states, f.edges, f.took.Round(time.Millisecond))
 }
 
-// run searches until all states are known, or a rule is broken.
-func (s *search) run() found {
+// run searches until all states are known or an invariant is violated.
+func (s *search) run() searchResult {
 	began := time.Now()
 	s.seed = maphash.MakeSeed()
-	first := state{left: s.budget}
-	for i := range first.wires {
-		first.wires[i] = wire{nearUp: true, farUp: true}
+	first := state{left: s.faultBudget}
+	for i := range first.connections {
+		first.connections[i] = connection{senderUp: true, receiverUp: true}
 	}
 	index := map[uint64]uint32{maphash.Comparable(s.seed, first): 0}
 	front := []state{first}
 	parents := []uint32{0}
 	var from, into []uint32
 	var ends []bool
-	var res found
+	var res searchResult
 	ends = append(ends, s.final(&first))
 	for at := uint32(0); len(front) > 0; at++ {
 		st := front[0]
@@ -519,8 +520,8 @@
 				front = append(front, to)
 			}
 			from, into = append(from, at), append(into, id)
-			if to.breach != "" {
-				res.breach = to.breach
+			if to.violation != "" {
+				res.violation = to.violation
 				res.trace = append(s.path(first, parents, at), s.label[k])
 				res.states, res.took = len(parents), time.Since(began)
 				return res
@@ -533,14 +534,14 @@
 	return res
 }
 
-// path plays the way to a state again and words it.
+// path repeats the search and returns the labels of the steps to a state.
 func (s *search) path(st state, parents []uint32, to uint32) (trace []string) {
 	way := []uint32{to}
 	for way[0] != 0 {
 		way = append([]uint32{parents[way[0]]}, way...)
 	}
-	// The numbers of states follow from the order of the search: the same search finds them.
-	again := &search{shape: s.shape, x: s.x, seed: s.seed}
+	// States are numbered in the order of the search, so the same search reproduces the numbers.
+	again := &search{searchConfig: s.searchConfig, x: s.x, seed: s.seed}
 	index := map[uint64]uint32{maphash.Comparable(s.seed, st): 0}
 	wanted := map[uint32]int{}
 	for i, id := range way {
@@ -587,109 +588,109 @@
 	return n
 }
 
-func shapes() []shape {
-	list := []shape{
-		{"an order offered again", true, false, budget{cuts: 2, farEnds: 1, cancels: 1, lapses: 2}},
-		{"an order, both ends restart", true, false, budget{cuts: 1, nearEnds: 1, farEnds: 1, drains: 1, lapses: 1}},
-		{"what may be repeated", true, true, budget{cuts: 2, farEnds: 1, lapses: 2}},
-		{"two orders", false, false, budget{cuts: 1, nearEnds: 1, farEnds: 1, lapses: 1}},
-		{"an order whose client leaves", true, false, budget{cuts: 1, farEnds: 1, leaves: 1, lapses: 2}},
+func searchConfigs() []searchConfig {
+	list := []searchConfig{
+		{"retry of a non-idempotent request", true, false, faultBudget{cuts: 2, receiverCrashes: 1, cancels: 1, leaseExpiries: 2}},
+		{"non-idempotent request, both ends restart", true, false, faultBudget{cuts: 1, senderCrashes: 1, receiverCrashes: 1, drains: 1, leaseExpiries: 1}},
+		{"idempotent request", true, true, faultBudget{cuts: 2, receiverCrashes: 1, leaseExpiries: 2}},
+		{"two non-idempotent requests", false, false, faultBudget{cuts: 1, senderCrashes: 1, receiverCrashes: 1, leaseExpiries: 1}},
+		{"non-idempotent request whose client leaves", true, false, faultBudget{cuts: 1, receiverCrashes: 1, departures: 1, leaseExpiries: 2}},
 	}
 	if *deep {
-		all := budget{cuts: 2, nearEnds: 1, farEnds: 1, drains: 1, cancels: 1, leaves: 1, lapses: 2}
-		list = []shape{{"an order offered again", true, false, all}, {"what may be repeated", true, true, all}, {"two orders", false, false, all}}
+		all := faultBudget{cuts: 2, senderCrashes: 1, receiverCrashes: 1, drains: 1, cancels: 1, departures: 1, leaseExpiries: 2}
+		list = []searchConfig{{"retry of a non-idempotent request", true, false, all}, {"idempotent request", true, true, all}, {"two non-idempotent requests", false, false, all}}
 	}
 	return list
 }
 
-// No state that both ends, the network and the clock can come to breaks a rule, and from
-// each of them all can come to an end.
-func TestSearch(t *testing.T) {
-	for _, sh := range shapes() {
+// No reachable state of both ends, the network and the clock violates an invariant, and from each of
+// them a final state can be reached.
+func TestSearchFindsNoViolation(t *testing.T) {
+	for _, sh := range searchConfigs() {
 		t.Run(sh.name, func(t *testing.T) {
 			t.Parallel()
-			res := (&search{shape: sh, x: whole()}).run()
+			res := (&search{searchConfig: sh, x: correctMachines()}).run()
 			t.Logf("%s: %v", sh.name, &res)
-			if res.breach != "" {
-				t.Fatalf("%s:\n  %s", res.breach, strings.Join(res.trace, "\n  "))
+			if res.violation != "" {
+				t.Fatalf("%s:\n  %s", res.violation, strings.Join(res.trace, "\n  "))
 			}
 			if res.stuck > 0 {
-				t.Errorf("%d states have no way to an end", res.stuck)
+				t.Errorf("%d states from which no final state can be reached", res.stuck)
 			}
 		})
 	}
 }
 
-// A machine that is broken in any of these ways shows it by a short trace.
-func TestBrokenMachines(t *testing.T) {
+// Each of these faults in a machine is detected, with a short trace.
+func TestFaultyMachinesAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		spoil      func(*machines)
 	}{
-		{"a lost connection is taken for proof", "refused what may have run", func(x *machines) {
-			x.lose = func(n *Near, lost, other Conn) Msg {
-				m := n.Lose(lost, other)
-				if n.State == Asking {
-					n.State = Queued // and offered again
+		{"lost connection treated as proof", "rejected a request that may have run", func(x *machines) {
+			x.connLost = func(n *Sender, lost, other Conn) Msg {
+				m := n.ConnLost(lost, other)
+				if n.State == Querying {
+					n.State = Queued // and offered a second time
 				}
 				return m
 			}
-			x.expire = func(n *Near) Verdict {
-				v := n.Expire()
+			x.expire = func(n *Sender) Outcome {
+				v := n.ExpireLease()
 				if v == Lost {
-					return NeverIn
+					return NeverRan
 				}
 				return v
 			}
 		}},
-		{"an offer is taken after its lease", "begun after the near end has answered", func(x *machines) {
-			x.offer = func(f *Far, on Conn, t Terms) (Msg, Act) { t.Lapsed = false; return f.Offer(on, t) }
-			x.begin = func(f *Far, t Terms) bool { t.Lapsed = false; return f.Begin(t) }
+		{"offer accepted after its lease", "started after the sender has answered", func(x *machines) {
+			x.offer = func(f *Receiver, on Conn, t Conditions) (Msg, Action) { t.LeaseExpired = false; return f.Offer(on, t) }
+			x.start = func(f *Receiver, t Conditions) bool { t.LeaseExpired = false; return f.Start(t) }
 		}},
-		{"a fence says never and bars nothing", "refused what may have run", func(x *machines) {
-			x.fence = func(f *Far, on Conn, terms Terms) (Msg, Act) {
+		{"query answered not started without fencing", "rejected a request that may have run", func(x *machines) {
+			x.query = func(f *Receiver, on Conn, terms Conditions) (Msg, Action) {
 				if f.State == Unknown {
 					f.On = on
-					return Never, Nothing
+					return NotStarted, NoAction
 				}
-				return f.Fence(on, terms)
+				return f.Query(on, terms)
 			}
 		}},
-		{"a fence takes what waits for ended and leaves it", "refused what may have run", func(x *machines) {
-			x.fence = func(f *Far, on Conn, terms Terms) (Msg, Act) {
-				if f.State == Taken {
+		{"query leaves accepted work running", "rejected a request that may have run", func(x *machines) {
+			x.query = func(f *Receiver, on Conn, terms Conditions) (Msg, Action) {
+				if f.State == Accepted {
 					f.On = on
-					return Never, Nothing
+					return NotStarted, NoAction
 				}
-				return f.Fence(on, terms)
+				return f.Query(on, terms)
 			}
 		}},
-		{"what is barred is forgotten before its lease", "refused what may have run", func(x *machines) {
-			x.forget = func(f *Far, _, _ bool) bool { return f.State == Barred }
+		{"fenced crossing forgotten before its lease ends", "rejected a request that may have run", func(x *machines) {
+			x.canForget = func(f *Receiver, _, _ bool) bool { return f.State == Fenced }
 		}},
-		{"what is forgotten is taken for what never came", "refused what may have run", func(x *machines) {
-			x.fence = func(f *Far, on Conn, terms Terms) (Msg, Act) { return f.Fence(on, Terms{}) }
+		{"forgotten crossing treated as never received", "rejected a request that may have run", func(x *machines) {
+			x.query = func(f *Receiver, on Conn, terms Conditions) (Msg, Action) { return f.Query(on, Conditions{}) }
 		}},
-		{"what is barred is forgotten when it is acknowledged", "begun after the near end has answered", func(x *machines) {
-			x.forget = func(f *Far, lapsed, acked bool) bool { return (lapsed || acked) && f.State == Barred }
+		{"fenced crossing forgotten when acknowledged", "started after the sender has answered", func(x *machines) {
+			x.canForget = func(f *Receiver, lapsed, acked bool) bool { return (lapsed || acked) && f.State == Fenced }
 		}},
-		{"begun is taken for never", "refused what may have run", func(x *machines) {
-			x.got = func(n *Near, m Msg) Verdict {
-				if m == Begun {
-					m = Never
+		{"started treated as not started", "rejected a request that may have run", func(x *machines) {
+			x.receive = func(n *Sender, m Msg) Outcome {
+				if m == Started {
+					m = NotStarted
 				}
-				return n.Got(m)
+				return n.Receive(m)
 			}
 		}},
-		{"a draining gateway takes what comes", "taken while it drains", func(x *machines) {
-			x.offer = func(f *Far, on Conn, t Terms) (Msg, Act) { t.Draining = false; return f.Offer(on, t) }
+		{"draining gateway accepts offers", "accepted while draining", func(x *machines) {
+			x.offer = func(f *Receiver, on Conn, t Conditions) (Msg, Action) { t.Draining = false; return f.Offer(on, t) }
 		}},
-		{"a verdict is given twice", "two final answers", func(x *machines) {
-			x.got = func(n *Near, m Msg) Verdict {
+		{"outcome returned twice", "two final answers", func(x *machines) {
+			x.receive = func(n *Sender, m Msg) Outcome {
 				was := n.State
-				v := n.Got(m)
-				if was == Closed && m == Ended {
-					return Answer
+				v := n.Receive(m)
+				if was == Closed && m == Completed {
+					return Answered
 				}
 				return v
 			}
@@ -697,23 +698,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			x := whole()
+			x := correctMachines()
 			c.spoil(&x)
-			for _, sh := range shapes() {
-				res := (&search{shape: sh, x: x}).run()
-				if res.breach == "" {
+			for _, sh := range searchConfigs() {
+				res := (&search{searchConfig: sh, x: x}).run()
+				if res.violation == "" {
 					continue
 				}
-				if res.breach != c.want {
-					t.Errorf("shows as %q, want %q", res.breach, c.want)
+				if res.violation != c.want {
+					t.Errorf("detected as %q, want %q", res.violation, c.want)
 				}
-				t.Logf("%s, found with %q after %v:\n  %s", res.breach, sh.name, &res, strings.Join(res.trace, "\n  "))
+				t.Logf("%s, found with %q after %v:\n  %s", res.violation, sh.name, &res, strings.Join(res.trace, "\n  "))
 				if len(res.trace) > 14 {
-					t.Errorf("%d steps are no short trace", len(res.trace))
+					t.Errorf("trace of %d steps, want at most 14", len(res.trace))
 				}
 				return
 			}
-			t.Error("not found")
+			t.Error("fault not detected")
 		})
 	}
 }
--- a/internal/decide/hotkeys/hotkeys_test.go
+++ b/internal/decide/hotkeys/hotkeys_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A key among many keeps its order whatever is drawn; one that is all there is has as many as its
-// share needs, and one order still where the cap sees all.
+// A key that is rare keeps its order for any draw. A key that makes up all requests gets as many
+// orders as its share needs, and a single one if the cap sees all requests.
 func TestSplit(t *testing.T) {
 	orders := func(same bool, blind float64) int {
 		k, seen := New(), map[uint64]bool{}
@@ -13,10 +13,10 @@
 				key = 7
 			}
 			h := k.Split(key, 10, blind, float64(i%100)/100)
-			if same && i > memory {
+			if same && i > window {
 				seen[h] = true
 			} else if !same && h != key {
-				t.Fatalf("key %d among many has the order %d", key, h)
+				t.Fatalf("rare key %d has the order %d", key, h)
 			}
 		}
 		return len(seen)
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -1,16 +1,16 @@
-// Package limit decides how much may be out to a far gateway at once: how many crossings and
-// bytes, of them all and of each class. It follows what the far end bears by its answers, and
-// knows neither links nor servers.
+// Package limit limits the requests that a gateway has in flight to a remote gateway: how many, and
+// how many bytes of bodies, in total and per class. It adapts the limit to the latency of the answers
+// and knows neither connections nor servers.
 //
-// It has no I/O, no clock and no goroutine of its own. Whoever owns a Limits calls it from one
-// goroutine or under one lock; here the near end of a link, under the lock of its peer.
+// The package has no I/O, no clock and no goroutines. A Limiter is called from one goroutine or under
+// one lock; the sending end of a link calls it under the lock of its peer.
 //
-// Two laws move the window. Gradient is after Netflix's Gradient2 (concurrency-limits, 2018): the
-// window follows how far answers are from their calm time, and grows by a part of its root; other
-// than there it does not grow while answers are slow, and grows by the whole root while they are
-// calm. AIMD is Chiu and Jain's (1989): one more a round, a tenth less where a round was slow or
-// turned away. Answer times are compared within their class only, so that a change
-// of the mix is not taken for a change of the far end.
+// Two algorithms move the window. Gradient follows Netflix's Gradient2 (concurrency-limits, 2018): the
+// window is scaled by the ratio of baseline to current latency and grows by a fraction of its square
+// root. Unlike Gradient2 it does not grow while answers are slow, and grows by the full square root
+// while latency is at its baseline. AIMD is that of Chiu and Jain (1989): one more per round, a tenth
+// less after a round that was slow or had a rejection. Latencies are compared only within their class,
+// so that a change in the mix of classes is not mistaken for a change of the peer.
 package limit
 
 import (
@@ -19,267 +19,275 @@
 	"time"
 )
 
-// The laws by their names in an operator's file.
+// The names of the algorithms in the operator's configuration file.
 const (
-	Fixed    = "fixed"    // the window stays at what the two ends have agreed
-	AIMD     = "aimd"     // one more, or a tenth less
-	Gradient = "gradient" // by the ratio of calm and present answer times
+	Fixed    = "fixed"    // the window stays at the limit that both ends agreed on
+	AIMD     = "aimd"     // additive increase by one, multiplicative decrease by a tenth
+	Gradient = "gradient" // by the ratio of baseline and current latency
 )
 
 const (
-	// tolerance is how many times its calm time a class's mean answer may take.
+	// tolerance is the multiple of its baseline up to which a class's mean latency does not shrink the
+	// window.
 	tolerance = 1.5
-	// steepest is the least factor of one round, backOff that of a round with a drop.
-	steepest, backOff = 0.5, 0.9
-	// step is the weight of a round's new window; calmRatio is what counts as calm.
-	step, calmRatio = 0.2, 1.1
-	// meanWeight is the weight of one answer in its class's mean.
+	// minFactor is the lowest factor that latency applies to the window in one round, backOff the
+	// factor after a round with a rejection or a time-out.
+	minFactor, backOff = 0.5, 0.9
+	// smoothing is the weight of a round's new window; below steadyRatio latency counts as at its
+	// baseline.
+	smoothing, steadyRatio = 0.2, 1.1
+	// meanWeight is the weight of one answer in the mean of its class.
 	meanWeight = 1.0 / 16
-	// calmRise is in how many seconds calm grows e-fold towards a mean above it, while the window
-	// can't be what makes answers slow: it is at its least, or was not reached. Were calm to rise
-	// under a full window, a queue that lasts would become the measure and the window grow on it.
-	calmRise = 5.0
-	// roundAnswers are the least answers of a round, learnAnswers a class's first ones, which
-	// set its calm and move nothing.
-	roundAnswers, learnAnswers = 8, 16
-	// spare is the part of what the far end takes that a class over its own part leaves free.
-	spare = 1.0 / 8
+	// baselineRise is the time constant, in seconds, with which the baseline rises towards a higher
+	// mean while the window can't be the cause of slow answers: it is at its minimum or was not
+	// saturated. If the baseline rose under a full window, a standing queue would become the baseline
+	// and the window would grow because of it.
+	baselineRise = 5.0
+	// minRoundSamples is the minimum number of answers in a round; warmupSamples is the number of
+	// first answers of a class that only set its baseline and do not move the window.
+	minRoundSamples, warmupSamples = 8, 16
+	// reserveFraction is the fraction of the peer's limit that a class over its own share leaves free.
+	reserveFraction = 1.0 / 8
 )
 
-// Class is what one class may count on.
+// Class configures one class of requests.
 type Class struct {
-	Part float64 // of the window and the bytes that is its own, 0 to 1
+	Share float64 // guaranteed fraction of the window and of the bytes, 0 to 1
 }
 
-// Options is what a Limits is made of.
+// Options configures a Limiter. Windows are in requests.
 type Options struct {
-	Law     string
-	Start   int // crossings, before anything is known
-	Least   int // crossings that the law leaves
-	Most    int // crossings that the law may let out
-	Classes []Class
+	Law           string
+	InitialWindow int // before any answer
+	MinWindow     int // lower bound of the adaptive algorithms
+	MaxWindow     int // upper bound of all algorithms
+	Classes       []Class
 }
 
-// Result is how a crossing ended, as far as it tells of the far end.
+// Result is how a request ended, as far as it says something about the peer.
 type Result uint8
 
-// The results.
+// The values of Result.
 const (
-	Answered Result = iota // with an answer, good or not
-	Turned                 // turned away: the far end has no room
-	Overdue                // no answer came in its time
-	Silent                 // nothing is known: it was withdrawn, or its link is lost
+	Answered Result = iota // answered, successfully or not
+	Rejected               // rejected by the peer for lack of capacity
+	TimedOut               // no answer within its time-out
+	Ignored                // no information: it was cancelled, or its connection was lost
 )
 
-// Limits is the window of one far gateway.
-type Limits struct {
-	law       string
-	least     float64
-	most      float64 // of the options
-	agreed    float64 // what the far end takes
-	bytesMost int64   // what it holds; 0: not told
-	window    float64
-	all       use
-	classes   []class
+// Limiter holds the window of one remote gateway and the requests in flight to it.
+type Limiter struct {
+	law        string
+	minWindow  float64
+	maxWindow  float64 // from Options
+	peerWindow float64 // requests that the peer accepts at once
+	peerBytes  int64   // bytes that the peer buffers; 0: unknown
+	window     float64
+	total      usage
+	classes    []class
 
-	// The round under way.
-	began   time.Duration
-	answers int
-	dropped bool
-	full    bool    // the window was reached in it
-	lasting bool    // the one before: slow answers are not the window's doing
-	worst   float64 // weighted sum of classes' ratios
+	// The current round.
+	roundStart      time.Duration
+	samples         int
+	dropped         bool
+	saturated       bool    // the window was reached in this round
+	baselineMayRise bool    // the window did not cause the slow answers of the previous round
+	ratioSum        float64 // sum over answers of mean latency / baseline of their class
 }
 
-// use is what is out.
-type use struct {
-	n     int
-	bytes int64
+// usage counts requests in flight and their bytes.
+type usage struct {
+	requests int
+	bytes    int64
 }
 
 type class struct {
-	use
-	part  float64
-	seen  int
-	mean  float64       // answer time, of late; seconds
-	calm  float64       // the same while nothing is crowded
-	at    time.Duration // its last answer
-	turns int           // turned away here for want of room
+	usage
+	share       float64
+	samples     int
+	meanLatency float64       // moving average, seconds
+	baseline    float64       // mean latency without queueing, seconds
+	lastAnswer  time.Duration // time of the last answer
+	rejected    int           // rejected here for lack of room
 }
 
-// New makes the limits of a far gateway that has told nothing yet.
-func New(o Options) (*Limits, error) {
+// New returns the Limiter of a peer whose own limits are not yet known.
+func New(o Options) (*Limiter, error) {
 	if o.Law != Fixed && o.Law != AIMD && o.Law != Gradient {
-		return nil, fmt.Errorf("no law %q: %s, %s or %s", o.Law, Gradient, AIMD, Fixed)
+		return nil, fmt.Errorf("no law %q: must be %s, %s or %s", o.Law, Gradient, AIMD, Fixed)
 	}
-	l := &Limits{law: o.Law, least: math.Max(float64(o.Least), 1), most: math.Max(float64(o.Most), 1), agreed: math.Inf(1)}
+	l := &Limiter{law: o.Law, minWindow: math.Max(float64(o.MinWindow), 1),
+		maxWindow: math.Max(float64(o.MaxWindow), 1), peerWindow: math.Inf(1)}
 	sum := 0.0
 	for _, c := range o.Classes {
-		if !(c.Part >= 0 && c.Part <= 1) {
-			return nil, fmt.Errorf("a part must be from 0 to 1, is %v", c.Part)
+		if !(c.Share >= 0 && c.Share <= 1) {
+			return nil, fmt.Errorf("class share must be from 0 to 1, is %v", c.Share)
 		}
-		sum += c.Part
-		l.classes = append(l.classes, class{part: c.Part})
+		sum += c.Share
+		l.classes = append(l.classes, class{share: c.Share})
 	}
 	if sum > 1+1e-9 {
-		return nil, fmt.Errorf("the parts add up to %v, more than 1", sum)
+		return nil, fmt.Errorf("class shares add up to %v, must be at most 1", sum)
 	}
-	l.least = math.Min(l.least, l.most)
-	l.window = l.clamp(float64(o.Start))
+	l.minWindow = math.Min(l.minWindow, l.maxWindow)
+	l.window = l.clamp(float64(o.InitialWindow))
 	if o.Law == Fixed {
-		l.window = l.most
+		l.window = l.maxWindow
 	}
 	return l, nil
 }
 
-func (l *Limits) clamp(w float64) float64 {
-	return math.Max(math.Min(w, math.Min(l.most, l.agreed)), math.Min(l.least, l.agreed))
+func (l *Limiter) clamp(w float64) float64 {
+	return math.Max(math.Min(w, math.Min(l.maxWindow, l.peerWindow)), math.Min(l.minWindow, l.peerWindow))
 }
 
-// Agree takes what the far end says that it takes: crossings and bytes of bodies.
-func (l *Limits) Agree(crossings int, bytes int64) {
-	l.agreed, l.bytesMost = math.Max(float64(crossings), 1), max(bytes, 0)
+// SetPeerLimits applies the limits that the peer announces: requests, and bytes of bodies.
+func (l *Limiter) SetPeerLimits(crossings int, bytes int64) {
+	l.peerWindow, l.peerBytes = math.Max(float64(crossings), 1), max(bytes, 0)
 	l.window = l.clamp(l.window)
 	if l.law == Fixed {
-		l.window = l.clamp(l.most)
+		l.window = l.clamp(l.maxWindow)
 	}
 }
 
-// Window is how many crossings may be out.
-func (l *Limits) Window() int { return int(l.window) }
+// Window returns how many requests may be in flight.
+func (l *Limiter) Window() int { return int(l.window) }
 
-// Out is how many crossings and bytes are out.
-func (l *Limits) Out() (n int, bytes int64) { return l.all.n, l.all.bytes }
+// InFlight returns how many requests and bytes are in flight.
+func (l *Limiter) InFlight() (requests int, bytes int64) { return l.total.requests, l.total.bytes }
 
-// OutOf is how many crossings of a class are out, and how many have found no room.
-func (l *Limits) OutOf(c int) (n, turned int) {
+// ClassInFlight returns how many requests of class c are in flight, and how many Acquire has rejected.
+func (l *Limiter) ClassInFlight(c int) (requests, turned int) {
 	if c < 0 || c >= len(l.classes) {
 		return 0, 0
 	}
-	return l.classes[c].n, l.classes[c].turns
+	return l.classes[c].requests, l.classes[c].rejected
 }
 
-// Take asks to let a crossing out and counts it if that may be. A class within its own part
-// has room even where others have filled the window: those find none until the window holds
-// again. So all together stay under the window and the parts that were not in use, and never
-// over what the far end takes.
-func (l *Limits) Take(c int, bytes int64) bool {
+// Acquire counts a request of class c as in flight and reports whether it may be sent. A class within
+// its own share is admitted even if other classes have filled the window; those are rejected until the
+// total is below the window again. So the total stays below the window plus the unused shares, and
+// never exceeds the limits of the peer.
+func (l *Limiter) Acquire(c int, bytes int64) bool {
 	if c < 0 || c >= len(l.classes) || bytes < 0 {
 		return false
 	}
 	k := &l.classes[c]
 	w := math.Floor(l.window)
-	own := float64(k.n) < math.Ceil(w*k.part)
-	room := float64(l.all.n) < w || own
-	hard := math.Min(l.most, l.agreed)
-	if !own {
-		hard -= math.Floor(hard * spare * (1 - k.part))
+	withinShare := float64(k.requests) < math.Ceil(w*k.share)
+	room := float64(l.total.requests) < w || withinShare
+	hardLimit := math.Min(l.maxWindow, l.peerWindow)
+	if !withinShare {
+		hardLimit -= math.Floor(hardLimit * reserveFraction * (1 - k.share))
 	}
-	room = room && float64(l.all.n) < hard
-	l.full = l.full || !room || float64(l.all.n+1) >= w
-	if l.bytesMost > 0 {
-		left := float64(l.bytesMost - l.all.bytes - bytes)
-		if ownBytes := float64(k.bytes+bytes) <= float64(l.bytesMost)*k.part; !ownBytes {
-			left -= spare * float64(l.bytesMost) * (1 - k.part)
+	room = room && float64(l.total.requests) < hardLimit
+	l.saturated = l.saturated || !room || float64(l.total.requests+1) >= w
+	if l.peerBytes > 0 {
+		left := float64(l.peerBytes - l.total.bytes - bytes)
+		if withinShareBytes := float64(k.bytes+bytes) <= float64(l.peerBytes)*k.share; !withinShareBytes {
+			left -= reserveFraction * float64(l.peerBytes) * (1 - k.share)
 		}
-		// One that is alone is let out whatever its size: the far end has the last word.
-		room = room && (left >= 0 || l.all.n == 0)
+		// A request is always admitted when nothing else is in flight, whatever its size: the peer
+		// decides whether to accept it.
+		room = room && (left >= 0 || l.total.requests == 0)
 	}
 	if !room {
-		k.turns++
+		k.rejected++
 		return false
 	}
-	k.n++
+	k.requests++
 	k.bytes += bytes
-	l.all.n++
-	l.all.bytes += bytes
+	l.total.requests++
+	l.total.bytes += bytes
 	return true
 }
 
-// Done gives back what Take let out and learns from how it ended. now is since any fixed
-// moment and does not run backwards; took is from its offer to its end.
-func (l *Limits) Done(c int, bytes int64, now, took time.Duration, res Result) {
-	if c < 0 || c >= len(l.classes) || l.classes[c].n == 0 {
+// Release counts a request admitted by Acquire as finished and updates the window by its result. now
+// is the time since a fixed moment and never decreases; took is the time from the offer of the request
+// to its end.
+func (l *Limiter) Release(c int, bytes int64, now, took time.Duration, res Result) {
+	if c < 0 || c >= len(l.classes) || l.classes[c].requests == 0 {
 		return
 	}
 	k := &l.classes[c]
-	k.n--
+	k.requests--
 	k.bytes -= bytes
-	l.all.n--
-	l.all.bytes -= bytes
-	if l.law == Fixed || res == Silent {
+	l.total.requests--
+	l.total.bytes -= bytes
+	if l.law == Fixed || res == Ignored {
 		return
 	}
 	switch res {
-	case Turned:
+	case Rejected:
 		l.dropped = true
-	case Overdue:
+	case TimedOut:
 		l.dropped = true
-		if k.seen >= learnAnswers { // it would have taken longer still
-			l.time(k, now, max(took, 0))
+		if k.samples >= warmupSamples { // the full latency would have been higher still
+			l.observe(k, now, max(took, 0))
 		}
 	case Answered:
-		l.time(k, now, max(took, 0))
+		l.observe(k, now, max(took, 0))
 	}
-	l.round(now)
+	l.endRound(now)
 }
 
-// time notes an answer time.
-func (l *Limits) time(k *class, now, took time.Duration) {
+// observe records one latency sample of class k.
+func (l *Limiter) observe(k *class, now, took time.Duration) {
 	t := math.Max(took.Seconds(), 1e-6)
-	passed := math.Min(math.Max((now-k.at).Seconds(), 0), 1)
-	k.at = now
-	if k.seen++; k.seen <= learnAnswers {
-		k.mean += (t - k.mean) / float64(k.seen)
-		k.calm = k.mean
+	passed := math.Min(math.Max((now-k.lastAnswer).Seconds(), 0), 1)
+	k.lastAnswer = now
+	if k.samples++; k.samples <= warmupSamples {
+		k.meanLatency += (t - k.meanLatency) / float64(k.samples)
+		k.baseline = k.meanLatency
 		return
 	}
-	k.mean += meanWeight * (t - k.mean)
+	k.meanLatency += meanWeight * (t - k.meanLatency)
 	switch {
-	case k.mean < k.calm:
-		k.calm += meanWeight * (k.mean - k.calm)
-	case l.lasting:
-		k.calm = math.Min(k.calm*math.Exp(passed/calmRise), k.mean)
+	case k.meanLatency < k.baseline:
+		k.baseline += meanWeight * (k.meanLatency - k.baseline)
+	case l.baselineMayRise:
+		k.baseline = math.Min(k.baseline*math.Exp(passed/baselineRise), k.meanLatency)
 	}
-	l.answers++
-	l.worst += k.mean / k.calm
+	l.samples++
+	l.ratioSum += k.meanLatency / k.baseline
 }
 
-// round ends the round under way if it has lasted for an answer time, and moves the window.
-func (l *Limits) round(now time.Duration) {
+// endRound ends the current round once it has lasted for the longest mean latency, and moves the
+// window.
+func (l *Limiter) endRound(now time.Duration) {
 	longest := 0.0
 	for i := range l.classes {
-		longest = math.Max(longest, l.classes[i].mean)
+		longest = math.Max(longest, l.classes[i].meanLatency)
 	}
-	if now-l.began < time.Duration(longest*float64(time.Second)) || l.answers < roundAnswers && !l.dropped {
+	if now-l.roundStart < time.Duration(longest*float64(time.Second)) || l.samples < minRoundSamples && !l.dropped {
 		return
 	}
 	ratio := 1.0
-	if l.answers > 0 {
-		ratio = l.worst / float64(l.answers)
+	if l.samples > 0 {
+		ratio = l.ratioSum / float64(l.samples)
 	}
 	next := l.window
 	switch {
 	case l.law == AIMD && (l.dropped || ratio > tolerance):
 		next *= backOff
 	case l.law == AIMD:
-		if l.full {
+		if l.saturated {
 			next++
 		}
 	default:
-		switch slope := math.Max(tolerance/ratio, steepest); {
+		switch slope := math.Max(tolerance/ratio, minFactor); {
 		case slope < 1:
-			next *= 1 - step*(1-slope)
-		case l.full && ratio < calmRatio:
+			next *= 1 - smoothing*(1-slope)
+		case l.saturated && ratio < steadyRatio:
 			next += math.Sqrt(next)
-		case l.full: // else more room would tell nothing
-			next += step * math.Sqrt(next)
+		case l.saturated: // growing an unsaturated window would have no observable effect
+			next += smoothing * math.Sqrt(next)
 		}
 		if l.dropped {
 			next = math.Min(next, l.window*backOff)
 		}
 	}
-	l.lasting = !l.full || l.window <= l.least
+	l.baselineMayRise = !l.saturated || l.window <= l.minWindow
 	l.window = l.clamp(next)
-	l.began, l.answers, l.dropped, l.full, l.worst = now, 0, false, false, 0
+	l.roundStart, l.samples, l.dropped, l.saturated, l.ratioSum = now, 0, false, false, 0
 }
--- a/internal/decide/limit/slow_test.go
+++ b/internal/decide/limit/slow_test.go
@@ -11,110 +11,110 @@
 	"time"
 )
 
-var measure = flag.Bool("limit.measure", false, "print what each law makes of a far end that slows to a tenth")
+var measure = flag.Bool("limit.measure", false, "print how each algorithm copes with a peer that slows down tenfold")
 
-// far is a far end in virtual time: some workers behind a queue, a network of a fixed trip.
-// Requests come at random, in two classes; each is given up after its time, and work on it
-// ends then.
-type far struct {
-	law       string
-	load      float64 // of what the far end can do
-	part      float64 // of the load that is the second class's
-	queue     int     // that the far end holds; more is turned away
-	slow      float64 // factor of the work, from 20 s to 40 s
-	workers   int     // that are left meanwhile
-	least     int
-	forSecond float64 // part of the second class
+// peerModel simulates a peer in virtual time: workers behind a queue, and a network with a fixed
+// delay. Requests arrive at random, in two classes. Each is cancelled after its client's time-out, and
+// work on it ends then.
+type peerModel struct {
+	law         string
+	totalLoad   float64 // fraction of the peer's capacity
+	secondLoad  float64 // fraction of the load that belongs to the second class
+	queueLimit  int     // requests that the peer queues; more are rejected
+	slowFactor  float64 // factor of the service time from slowAt to slowEnd
+	slowWorkers int     // number of workers meanwhile
+	minWindow   int
+	secondShare float64 // guaranteed share of the second class
 }
 
 const (
 	workers     = 48
-	trip        = 8 * time.Millisecond
+	oneWayDelay = 8 * time.Millisecond
 	slowAt      = 20 * time.Second
 	slowEnd     = 40 * time.Second
 	end         = 60 * time.Second
-	betweenDues = time.Second
+	bucket      = time.Second
 )
 
 var (
-	aim    = [2]time.Duration{300 * time.Millisecond, 500 * time.Millisecond}
-	giveUp = [2]time.Duration{600 * time.Millisecond, 1200 * time.Millisecond}
-	worth  = [2]float64{2, 5}
-	work   = [2]float64{0.051, 0.076} // seconds, on the mean
+	latencyTarget = [2]time.Duration{300 * time.Millisecond, 500 * time.Millisecond}
+	clientTimeout = [2]time.Duration{600 * time.Millisecond, 1200 * time.Millisecond}
+	classValue    = [2]float64{2, 5}
+	serviceTime   = [2]float64{0.051, 0.076} // mean, in seconds
 )
 
-// result is what came of it in one of the three thirds: before, while slow, after.
-type result struct {
-	asked, inTime, late, refused, overdue float64
-	worthAsked, worth                     float64
-	second, secondInTime                  float64
-	wasted, worked                        float64 // seconds of work, and of those for nothing
-	took                                  []time.Duration
-	window                                float64
+// phaseResult holds the counts of one of three phases: before, during and after the slowdown.
+type phaseResult struct {
+	requests, inTime, late, rejected, timedOut float64
+	valueAsked, valueInTime                    float64
+	secondRequests, secondInTime               float64
+	wastedSeconds, workedSeconds               float64 // service time spent in vain, and in total
+	latencies                                  []time.Duration
+	windowSum                                  float64
 }
 
-type happening struct {
-	at time.Duration
-	n  int
-	do func()
+type simEvent struct {
+	at  time.Duration
+	seq int
+	run func()
 }
 
-type happenings []happening
+type simEventQueue []simEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
+func (h simEventQueue) Len() int { return len(h) }
+func (h simEventQueue) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any     { x := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; return x }
+func (h simEventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *simEventQueue) Push(x any)   { *h = append(*h, x.(simEvent)) }
+func (h *simEventQueue) Pop() any     { x := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; return x }
 
-// play plays a minute and gives its thirds, and how long after the end of the slowness the
-// worth in time is back within 2 % of before.
-func (f far) play(seed uint64) (thirds [3]result, back time.Duration) {
+// simulate simulates a minute. It returns the results of its phases, and how long after the end of the
+// slowdown the value served in time is back within 2 % of before.
+func (p peerModel) simulate(seed uint64) (phases [3]phaseResult, recovery time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	l, err := New(Options{Law: f.law, Start: 64, Least: f.least, Most: 1024, Classes: []Class{{1 - f.forSecond}, {f.forSecond}}})
+	l, err := New(Options{Law: p.law, InitialWindow: 64, MinWindow: p.minWindow, MaxWindow: 1024, Classes: []Class{{1 - p.secondShare}, {p.secondShare}}})
 	if err != nil {
 		panic(err)
 	}
-	var todo happenings
+	var events simEventQueue
 	count := 0
-	after := func(at time.Duration, do func()) { count++; heap.Push(&todo, happening{at, count, do}) }
+	after := func(at time.Duration, run func()) { count++; heap.Push(&events, simEvent{at, count, run}) }
 	now, busy := time.Duration(0), 0
 	var queue []func()
-	staff := func() int {
+	activeWorkers := func() int {
 		if now >= slowAt && now < slowEnd {
-			return f.workers
+			return p.slowWorkers
 		}
 		return workers
 	}
 	next := func() {
 		busy--
-		for busy < staff() && len(queue) > 0 {
+		for busy < activeWorkers() && len(queue) > 0 {
 			q := queue[0]
 			queue = queue[1:]
 			q()
 		}
 	}
-	mean := work[0]*(1-f.part) + work[1]*f.part
-	rate := f.load * workers / mean
+	mean := serviceTime[0]*(1-p.secondLoad) + serviceTime[1]*p.secondLoad
+	rate := p.totalLoad * workers / mean
 	var perSecond [60]struct{ asked, won float64 }
-	ask := func() {
+	sendRequest := func() {
 		c := 0
-		if rng.Float64() < f.part {
+		if rng.Float64() < p.secondLoad {
 			c = 1
 		}
-		r, at := &thirds[min(int(now/slowAt), 2)], now
-		second := &perSecond[min(int(now/betweenDues), 59)]
-		r.asked++
-		r.worthAsked += worth[c]
-		second.asked += worth[c]
+		r, at := &phases[min(int(now/slowAt), 2)], now
+		second := &perSecond[min(int(now/bucket), 59)]
+		r.requests++
+		r.valueAsked += classValue[c]
+		second.asked += classValue[c]
 		if c == 1 {
-			r.second++
+			r.secondRequests++
 		}
-		r.window += l.window
-		if !l.Take(c, 0) {
-			r.refused++
+		r.windowSum += l.window
+		if !l.Acquire(c, 0) {
+			r.rejected++
 			return
 		}
 		over := false
@@ -124,56 +124,56 @@
 			}
 			over = true
 			took := now - at
-			l.Done(c, 0, now, took, res)
+			l.Release(c, 0, now, took, res)
 			switch {
-			case res == Turned:
-				r.refused++
-			case res == Overdue:
-				r.overdue++
-			case took > aim[c]:
+			case res == Rejected:
+				r.rejected++
+			case res == TimedOut:
+				r.timedOut++
+			case took > latencyTarget[c]:
 				r.late++
 			default:
 				r.inTime++
-				r.worth += worth[c]
-				second.won += worth[c]
+				r.valueInTime += classValue[c]
+				second.won += classValue[c]
 				if c == 1 {
 					r.secondInTime++
 				}
 			}
 			if res == Answered {
-				r.took = append(r.took, took)
+				r.latencies = append(r.latencies, took)
 			}
 		}
-		after(at+giveUp[c], func() { done(Overdue) })
-		seconds := work[c] * math.Exp(0.3*rng.NormFloat64()-0.045)
+		after(at+clientTimeout[c], func() { done(TimedOut) })
+		seconds := serviceTime[c] * math.Exp(0.3*rng.NormFloat64()-0.045)
 		begin := func() {
 			busy++
-			if over || now >= at+giveUp[c]-trip {
+			if over || now >= at+clientTimeout[c]-oneWayDelay {
 				next()
 				return
 			}
 			took := time.Duration(seconds * float64(time.Second))
 			if now >= slowAt && now < slowEnd {
-				took = time.Duration(float64(took) * f.slow)
+				took = time.Duration(float64(took) * p.slowFactor)
 			}
-			if dead := at + giveUp[c] - trip - now; took > dead { // nobody waits any more
-				r.worked += dead.Seconds()
-				r.wasted += dead.Seconds()
-				after(now+dead, next)
+			if remaining := at + clientTimeout[c] - oneWayDelay - now; took > remaining { // the client gives up first
+				r.workedSeconds += remaining.Seconds()
+				r.wastedSeconds += remaining.Seconds()
+				after(now+remaining, next)
 				return
 			}
-			r.worked += took.Seconds()
+			r.workedSeconds += took.Seconds()
 			after(now+took, func() {
 				next()
-				after(now+trip, func() { done(Answered) })
+				after(now+oneWayDelay, func() { done(Answered) })
 			})
 		}
-		after(at+trip, func() {
+		after(at+oneWayDelay, func() {
 			switch {
-			case busy < staff():
+			case busy < activeWorkers():
 				begin()
-			case len(queue) >= f.queue:
-				after(now+trip, func() { done(Turned) })
+			case len(queue) >= p.queueLimit:
+				after(now+oneWayDelay, func() { done(Rejected) })
 			default:
 				queue = append(queue, begin)
 			}
@@ -181,60 +181,60 @@
 	}
 	var arrive func()
 	arrive = func() {
-		ask()
+		sendRequest()
 		if at := now + time.Duration(rng.ExpFloat64()/rate*float64(time.Second)); at < end {
 			after(at, arrive)
 		}
 	}
 	after(0, arrive)
-	for len(todo) > 0 {
-		h := heap.Pop(&todo).(happening)
+	for len(events) > 0 {
+		h := heap.Pop(&events).(simEvent)
 		now = h.at
-		h.do()
+		h.run()
 	}
-	before := thirds[0].worth / thirds[0].worthAsked
-	back = end
+	before := phases[0].valueInTime / phases[0].valueAsked
+	recovery = end
 	for s := int(slowEnd / time.Second); s < 60; s++ {
 		if perSecond[s].won >= perSecond[s].asked*(before-0.02) {
-			back = time.Duration(s)*time.Second - slowEnd
+			recovery = time.Duration(s)*time.Second - slowEnd
 			break
 		}
 	}
-	return thirds, back
+	return phases, recovery
 }
 
-func (r *result) p99() time.Duration {
-	slices.Sort(r.took)
-	if len(r.took) == 0 {
+func (r *phaseResult) p99() time.Duration {
+	slices.Sort(r.latencies)
+	if len(r.latencies) == 0 {
 		return 0
 	}
-	return r.took[len(r.took)*99/100]
+	return r.latencies[len(r.latencies)*99/100]
 }
 
-// While the far end is slow a law that follows it must waste less than a fixed window, answer
-// sooner and serve more; before and after it may cost next to nothing.
-func TestAFarEndThatSlowsToATenth(t *testing.T) {
-	var of [3][3]result
+// During the slowdown an adaptive algorithm wastes less work than a fixed window and has fewer
+// time-outs; before and after it the cost is small.
+func TestPeerSlowsDownTenfold(t *testing.T) {
+	var of [3][3]phaseResult
 	for i, law := range []string{Fixed, AIMD, Gradient} {
-		of[i], _ = far{law: law, load: 0.8, part: 0.31, queue: 1000, slow: 10, workers: workers, least: 16, forSecond: 0.5}.play(7)
+		of[i], _ = peerModel{law: law, totalLoad: 0.8, secondLoad: 0.31, queueLimit: 1000, slowFactor: 10, slowWorkers: workers, minWindow: 16, secondShare: 0.5}.simulate(7)
 	}
 	for i, law := range []string{Fixed, AIMD, Gradient} {
 		for third := range 3 {
 			r, fixed := &of[i][third], &of[0][third]
-			if law != AIMD && third != 1 && r.worth/r.worthAsked < fixed.worth/fixed.worthAsked-0.03 { // AIMD comes back slowly
-				t.Errorf("%s, third %d: worth %.3f, with a fixed window %.3f", law, third, r.worth/r.worthAsked, fixed.worth/fixed.worthAsked)
+			if law != AIMD && third != 1 && r.valueInTime/r.valueAsked < fixed.valueInTime/fixed.valueAsked-0.03 { // AIMD recovers slowly
+				t.Errorf("%s, phase %d: value %.3f, with a fixed window %.3f", law, third, r.valueInTime/r.valueAsked, fixed.valueInTime/fixed.valueAsked)
 			}
 		}
 		r, fixed := &of[i][1], &of[0][1]
-		if i > 0 && (r.overdue > fixed.overdue*0.6 || r.wasted > fixed.wasted*0.9) {
-			t.Errorf("%s: %.0f overdue and %.0f s wasted, with a fixed window %.0f and %.0f", law, r.overdue, r.wasted, fixed.overdue, fixed.wasted)
+		if i > 0 && (r.timedOut > fixed.timedOut*0.6 || r.wastedSeconds > fixed.wastedSeconds*0.9) {
+			t.Errorf("%s: %.0f time-outs and %.0f s wasted, with a fixed window %.0f and %.0f", law, r.timedOut, r.wastedSeconds, fixed.timedOut, fixed.wastedSeconds)
 		}
 	}
 }
 
 func TestMeasureLaws(t *testing.T) {
 	if !*measure {
-		t.Skip("no measure is asked for")
+		t.Skip("needs -limit.measure")
 	}
 	for _, load := range []float64{0.5, 0.8, 1.1} {
 		for _, how := range []struct {
@@ -242,36 +242,36 @@
 			workers int
 		}{{3, workers}, {10, workers}, {1, workers / 10}} {
 			for _, queue := range []int{96, 1000} {
-				fmt.Printf("\nload %.1f, work takes %.0f times as long, %d of %d workers, the far end's queue %d; five seeds\n\n", load, how.slow, how.workers, workers, queue)
-				fmt.Println("| law | least | before: worth | slow: worth | in time, late, refused, overdue | wasted of worked | 99 % | window | after: worth | back after |")
+				fmt.Printf("\nload %.1f, service time times %.0f, %d of %d workers, queue limit %d; five seeds\n\n", load, how.slow, how.workers, workers, queue)
+				fmt.Println("| algorithm | min window | before: value | slow: value | in time, late, rejected, timed out | wasted work | p99 | window | after: value | recovery |")
 				fmt.Println("|---|---|---|---|---|---|---|---|---|---|")
 				for _, l := range []struct {
 					law   string
 					least int
 				}{{Fixed, 0}, {AIMD, 16}, {AIMD, 8}, {Gradient, 16}, {Gradient, 8}} {
-					var sum [3]result
+					var sum [3]phaseResult
 					var back time.Duration
 					for seed := range uint64(5) {
-						r, b := far{law: l.law, load: load, part: 0.31, queue: queue, slow: how.slow, workers: how.workers, least: l.least, forSecond: 0.5}.play(seed + 1)
+						r, b := peerModel{law: l.law, totalLoad: load, secondLoad: 0.31, queueLimit: queue, slowFactor: how.slow, slowWorkers: how.workers, minWindow: l.least, secondShare: 0.5}.simulate(seed + 1)
 						back += b / 5
 						for i := range r {
-							sum[i].asked += r[i].asked
+							sum[i].requests += r[i].requests
 							sum[i].inTime += r[i].inTime
 							sum[i].late += r[i].late
-							sum[i].refused += r[i].refused
-							sum[i].overdue += r[i].overdue
-							sum[i].worth += r[i].worth
-							sum[i].worthAsked += r[i].worthAsked
-							sum[i].wasted += r[i].wasted
-							sum[i].worked += r[i].worked
-							sum[i].window += r[i].window
-							sum[i].took = append(sum[i].took, r[i].took...)
+							sum[i].rejected += r[i].rejected
+							sum[i].timedOut += r[i].timedOut
+							sum[i].valueInTime += r[i].valueInTime
+							sum[i].valueAsked += r[i].valueAsked
+							sum[i].wastedSeconds += r[i].wastedSeconds
+							sum[i].workedSeconds += r[i].workedSeconds
+							sum[i].windowSum += r[i].windowSum
+							sum[i].latencies = append(sum[i].latencies, r[i].latencies...)
 						}
 					}
 					s := &sum[1]
 					fmt.Printf("| %s | %d | %.3f | %.3f | %.0f, %.0f, %.0f, %.0f %% | %.0f %% | %v | %.0f | %.3f | %v |\n", l.law, l.least,
-						sum[0].worth/sum[0].worthAsked, s.worth/s.worthAsked, 100*s.inTime/s.asked, 100*s.late/s.asked, 100*s.refused/s.asked, 100*s.overdue/s.asked,
-						100*s.wasted/s.worked, s.p99().Round(time.Millisecond), s.window/s.asked, sum[2].worth/sum[2].worthAsked, back)
+						sum[0].valueInTime/sum[0].valueAsked, s.valueInTime/s.valueAsked, 100*s.inTime/s.requests, 100*s.late/s.requests, 100*s.rejected/s.requests, 100*s.timedOut/s.requests,
+						100*s.wastedSeconds/s.workedSeconds, s.p99().Round(time.Millisecond), s.windowSum/s.requests, sum[2].valueInTime/sum[2].valueAsked, back)
 				}
 			}
 		}
--- a/internal/decide/pace/pace.go
+++ b/internal/decide/pace/pace.go
@@ -1,6 +1,6 @@
-// Package pace counts an agent's requests, and says what connections that pace is worth: how many servers
-// the agent keeps them to, and when an idle one costs more than it saves. No I/O, no clock: times in ms
-// come from outside. A Pace belongs to whoever holds it.
+// Package pace measures an agent's request rate and derives from it how many servers the agent
+// connects to and when an idle connection costs more than it saves. It has no I/O, no clock and no
+// locks: callers pass times in milliseconds, and a RequestRate is used by one goroutine at a time.
 package pace
 
 import (
@@ -10,53 +10,55 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// LeastServers is the smallest subset of the fleet an agent sends to.
-const LeastServers = 16
+// MinServers is the smallest subset of the fleet that an agent sends to.
+const MinServers = 16
 
-// Pace is one agent's.
-type Pace struct {
-	recent   float64 // requests of late, over the keepalive time, as of recentAt
+// RequestRate counts the requests of one agent.
+type RequestRate struct {
+	recent   float64 // recent requests, decaying over the keepalive time, as of recentAt
 	recentAt float64
-	began    float64
-	seen     float64 // requests since
+	start    float64
+	total    float64 // requests since start
 }
 
-// New counts from now on.
-func New(now float64) Pace { return Pace{began: now, recentAt: now} }
+// New returns a RequestRate that starts at now.
+func New(now float64) RequestRate { return RequestRate{start: now, recentAt: now} }
 
-// Asked counts a request; older ones count less over the keepalive time.
-func (p *Pace) Asked(now, keepalive float64) {
-	p.seen++
+// ObserveRequest counts a request; the weight of older ones decays over the keepalive time.
+func (p *RequestRate) ObserveRequest(now, keepalive float64) {
+	p.total++
 	p.recent = p.recent*math.Exp((p.recentAt-now)/max(keepalive, 1)) + 1
 	p.recentAt = now
 }
 
-// Subset is how many servers of a tier, in an order of its own, an agent sends to: those it can
-// meet every few seconds, to know which are slow or hung (id753de). Orders differ, so each server
-// keeps its share. Where connections have no price, more servers keep more keys warm. least is the
-// fewest by the list, 0: none is told; servers is how many there are.
-func (p *Pace) Subset(set *settings.Settings, least, servers int) int {
+// SubsetSize returns how many servers of a tier an agent sends to, in its own order: as many as it
+// reaches every few seconds, so that it knows which are slow or hung (id753de). Orders differ between
+// agents, so each server keeps its share. Where connections have no price, a larger subset keeps more
+// keys in caches. least is the minimum from the endpoint list, 0: none; servers is the number of
+// servers.
+func (p *RequestRate) SubsetSize(set *settings.Settings, least, servers int) int {
 	n := p.recent
 	if set.Limits.KeepaliveMs <= 0 {
 		n = math.Inf(1)
 	} else if set.Prices.Handshake > 0 || least > 0 {
 		n /= 4
 	}
-	least = cmp.Or(least, LeastServers)
+	least = cmp.Or(least, MinServers)
 	return int(min(max(n, float64(least)), float64(servers)))
 }
 
-// Round is the time in which the agent comes by each of so many servers.
-func (p *Pace) Round(keepalive float64, subset int) float64 {
+// RoundTime returns the time in which the agent sends to each server of a subset once.
+func (p *RequestRate) RoundTime(keepalive float64, subset int) float64 {
 	return keepalive * float64(subset) / max(p.recent, 1)
 }
 
-// HangsUp tells whether keeping a server's idle connections costs more than opening one again, at the
-// pace of the last sends there: gap is the mean time between them, 0: unknown. All agents' requests are
-// taken for this one's times their number: a thousand agents kept 400 connections a server open (i5db14f).
-func (p *Pace) HangsUp(set *settings.Settings, now, gap float64, servers int) bool {
-	all := p.seen / max(now-p.began, 1) * float64(set.Replicas) // requests a ms
+// ShouldCloseIdle reports whether keeping the idle connections to a server costs more than opening one
+// again, at the rate of the last requests to it: gap is the mean time between them, 0: unknown. The
+// rate of all agents is estimated as this agent's times their number: a thousand agents kept 400
+// connections per server open (i5db14f).
+func (p *RequestRate) ShouldCloseIdle(set *settings.Settings, now, gap float64, servers int) bool {
+	fleetRate := p.total / max(now-p.start, 1) * float64(set.Replicas) // requests per ms
 	price := &set.Prices
 	return price.Connection > 0 &&
-		(gap == 0 || gap*all*price.Connection > 100*float64(servers)*price.Handshake)
+		(gap == 0 || gap*fleetRate*price.Connection > 100*float64(servers)*price.Handshake)
 }
--- a/internal/decide/routes/routes.go
+++ b/internal/decide/routes/routes.go
@@ -1,9 +1,9 @@
-// Package routes says to which site a request goes first, and where next: a table of
-// prefixes, ranges and shares, longest match first. It is values and arithmetic, without
-// I/O; a Table is not changed once it is made, and is replaced whole.
+// Package routes selects the site to which a request is sent first, and the sites to fall back to, by
+// a table of path prefixes, key ranges and shares; the longest match wins. It has no I/O. A Table is
+// immutable and safe for concurrent use; a new configuration replaces it as a whole.
 //
-// What the table does not say: which server or gateway of a site gets the request, whether
-// it is tried again, what is refused. That stays with policy.
+// Which server or gateway of a site gets the request, whether it is retried and what is rejected is
+// decided by package policy.
 package routes
 
 import (
@@ -16,25 +16,25 @@
 	"strings"
 )
 
-// Own is the name of the site that the program stands in.
-const Own = "own"
+// OwnSite is the name of the site in which the program runs.
+const OwnSite = "own"
 
-// Route is one line of the table. What it leaves empty matches everything.
+// Route is one entry of the table. Empty fields match everything.
 type Route struct {
 	Class   string   // name of a class
-	Path    string   // what the path begins with
-	KeyFrom string   // the key (the path's last part) is not below this, byte by byte
-	KeyTo   string   // and below this
-	Share   float64  // of what matches, by a hash of the key; 0: all of it
-	To      []string // sites, first choice first
+	Path    string   // path prefix
+	KeyFrom string   // lower bound, inclusive, of the key (the last segment of the path), compared bytewise
+	KeyTo   string   // upper bound, exclusive
+	Share   float64  // fraction of the matching requests, by a hash of the key; 0: all
+	To      []string // sites by preference
 }
 
-// Table is the routes, in the order in which they are looked at.
+// Table holds the routes in the order in which they are matched.
 type Table struct{ routes []Route }
 
-// New makes a table: longer paths come first, of equals those that name a class, then a range
-// of keys, then a share, then as they were given. sites are the names that may be
-// routed to besides Own, classes those that there are; an error names the route and its key.
+// New returns a table. Longer paths come first; among equals those with a class, then those with a key
+// range, then those with a share, then in the given order. sites are the sites that may be named
+// besides OwnSite, classes the configured classes. An error names the route and its key.
 func New(given []Route, sites, classes []string) (*Table, error) {
 	for i, r := range given {
 		at := func(key, format string, args ...any) error {
@@ -42,7 +42,7 @@
 		}
 		switch {
 		case r.Class != "" && len(classes) > 0 && !slices.Contains(classes, r.Class):
-			return nil, at("class", "%q is no class of this deployment", r.Class)
+			return nil, at("class", "%q is not a class of this deployment", r.Class)
 		case r.Path != "" && !strings.HasPrefix(r.Path, "/"):
 			return nil, at("path", "%q does not begin with /", r.Path)
 		case r.KeyTo != "" && r.KeyFrom >= r.KeyTo:
@@ -53,11 +53,11 @@
 			return nil, at("to", "missing")
 		}
 		for k, site := range r.To {
-			if site != Own && !slices.Contains(sites, site) {
-				return nil, at("to", "%q is no site of this file", site)
+			if site != OwnSite && !slices.Contains(sites, site) {
+				return nil, at("to", "%q is not a configured site", site)
 			}
 			if slices.Contains(r.To[:k], site) {
-				return nil, at("to", "%q stands twice", site)
+				return nil, at("to", "%q is listed twice", site)
 			}
 		}
 	}
@@ -76,51 +76,51 @@
 	return t, nil
 }
 
-var own = []string{Own}
+var ownSites = []string{OwnSite}
 
-// Sites is where a request goes, first choice first: never empty, and not to be changed.
-// path is its path, with or without a query; id settles the shares of what has no key.
+// Sites returns the sites of a request by preference. The slice is never empty and must not be
+// modified. path may contain a query; id replaces the key for requests without one.
 func (t *Table) Sites(class, path, id string) []string {
 	path, _, _ = strings.Cut(path, "?")
 	key := path[strings.LastIndexByte(path, '/')+1:]
 	if strings.Count(path, "/") < 2 {
-		key = "" // only the class
+		key = "" // the path has only the class
 	}
 	for i := range t.routes {
 		r := &t.routes[i]
 		if r.Class != "" && r.Class != class || !strings.HasPrefix(path, r.Path) ||
 			key < r.KeyFrom || r.KeyTo != "" && key >= r.KeyTo ||
-			r.Share > 0 && part(key, id) >= r.Share {
+			r.Share > 0 && keyFraction(key, id) >= r.Share {
 			continue
 		}
 		return r.To
 	}
-	return own
+	return ownSites
 }
 
-// part is a key's place from 0 up to 1, the same at every gateway.
-func part(key, id string) float64 {
+// keyFraction maps a key to a number from 0 up to 1, the same at every gateway.
+func keyFraction(key, id string) float64 {
 	if key == "" {
 		key = id
 	}
 	h := fnv.New64a()
 	io.WriteString(h, key)
 	x := h.Sum64()
-	x ^= x >> 33 // the high bits of FNV hardly depend on a text's last bytes
+	x ^= x >> 33 // the high bits of FNV hardly depend on the last bytes of its input
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
 	return float64(x>>11) / (1 << 53)
 }
 
-// ErrNone says that no site of a request's route can be reached.
-var ErrNone = errors.New("no site can be reached")
+// ErrNoSite reports that no site of a request's route is ready.
+var ErrNoSite = errors.New("no site can be reached")
 
-// First is the first of the sites that is ready; an error: none is.
-func First(sites []string, ready func(string) bool) (string, error) {
+// FirstReady returns the first of the sites that is ready, or ErrNoSite.
+func FirstReady(sites []string, ready func(string) bool) (string, error) {
 	for _, s := range sites {
 		if ready(s) {
 			return s, nil
 		}
 	}
-	return "", ErrNone
+	return "", ErrNoSite
 }
--- a/internal/decide/routes/routes_test.go
+++ b/internal/decide/routes/routes_test.go
@@ -33,12 +33,13 @@
 			t.Errorf("%s %s goes to %s, want %s", c.class, c.path, got, c.want)
 		}
 	}
-	if got := table(t).Sites("order", "/order/u1", "id"); !slices.Equal(got, []string{Own}) {
+	if got := table(t).Sites("order", "/order/u1", "id"); !slices.Equal(got, []string{OwnSite}) {
 		t.Errorf("an empty table sends to %v", got)
 	}
 }
 
-// A share is that part of the keys, the same ones each time; of what has no key, of the ids.
+// A share matches that fraction of the keys, always the same ones, and of the ids for requests without
+// a key.
 func TestShare(t *testing.T) {
 	for _, share := range []float64{0.05, 0.3, 0.9} {
 		x := table(t, Route{Share: share, To: []string{"b"}})
@@ -54,28 +55,28 @@
 					n++
 				}
 				if again := x.Sites("order", p, fmt.Sprint("id", i)); !slices.Equal(again, sites) {
-					t.Fatal("a key goes elsewhere the second time")
+					t.Fatal("a key is routed differently the second time")
 				}
 			}
 			if got := float64(n) / 20000; math.Abs(got-share) > 0.015 {
-				t.Errorf("%s: %.3f of the keys go there, want %.2f", path, got, share)
+				t.Errorf("%s: %.3f of the keys match, want %.2f", path, got, share)
 			}
 		}
 	}
 }
 
-func TestFirst(t *testing.T) {
+func TestFirstReady(t *testing.T) {
 	up := map[string]bool{"c": true}
 	ready := func(s string) bool { return up[s] }
-	if got, err := First([]string{"b", "c"}, ready); got != "c" || err != nil {
+	if got, err := FirstReady([]string{"b", "c"}, ready); got != "c" || err != nil {
 		t.Error(got, err)
 	}
-	if got, err := First([]string{"b"}, ready); got != "" || err != ErrNone {
+	if got, err := FirstReady([]string{"b"}, ready); got != "" || err != ErrNoSite {
 		t.Error(got, err)
 	}
 }
 
-func TestBadRoutes(t *testing.T) {
+func TestNewRejectsInvalidRoutes(t *testing.T) {
 	for want, r := range map[string]Route{
 		"route[0].class":  {Class: "nothing", To: []string{"b"}},
 		"route[0].path":   {Path: "order", To: []string{"b"}},
@@ -89,10 +90,10 @@
 	}
 	for _, to := range [][]string{nil, {"b", "own", "b"}} {
 		if _, err := New([]Route{{To: to}}, []string{"b"}, nil); err == nil {
-			t.Errorf("%v is taken", to)
+			t.Errorf("%v was accepted", to)
 		}
 	}
 	if _, err := New([]Route{{Share: math.NaN(), To: []string{"b"}}}, []string{"b"}, nil); err == nil {
-		t.Error("a share that is no number is taken")
+		t.Error("a share of NaN was accepted")
 	}
 }
--- a/internal/decide/settings/settings.go
+++ b/internal/decide/settings/settings.go
@@ -1,123 +1,127 @@
-// Package settings is what a deployment tells an agent at its start: the classes of
-// requests, what is allowed, the figures of the rules and the prices. Values only; they
-// are read once, validated, and not changed after.
+// Package settings defines the configuration that an agent receives at start: request classes,
+// tenants, limits, the figures of the server contract and the prices of the objective. The types are
+// plain values without locks or I/O: they are decoded from JSON, validated once and not changed
+// afterwards.
 package settings
 
-// Effect tells whether a request of a class may run more than once.
-type Effect string
+// Idempotency defines whether a request of a class may run more than once.
+type Idempotency string
 
-// The effects a class may have.
+// The values of Idempotency.
 const (
-	Free       Effect = "free"        // safe to repeat
-	Guarded    Effect = "guarded"     // repeats are dropped within a group of servers, for a time
-	SingleShot Effect = "single_shot" // must never run twice
+	Idempotent    Idempotency = "free"        // safe to repeat
+	Deduplicated  Idempotency = "guarded"     // a group of servers drops duplicates for Class.DedupTTLMs
+	NonIdempotent Idempotency = "single_shot" // must not run twice
 )
 
-// Group tells which servers drop repeats of a guarded request.
-type Group string
+// DedupScope names the servers among which duplicates of a request are dropped.
+type DedupScope string
 
-// The groups a guarded class may have.
+// The values of DedupScope, for classes that are Deduplicated.
 const (
-	GroupAll  Group = "all"
-	GroupZone Group = "zone"
-	GroupCell Group = "cell"
+	DedupAll  DedupScope = "all"
+	DedupZone DedupScope = "zone"
+	DedupCell DedupScope = "cell"
 )
 
-// Class is one class of requests.
+// Class configures one class of requests.
 type Class struct {
-	Name       string  `json:"name"`
-	AimMs      float64 `json:"aimMs"`
-	AimStretch float64 `json:"aimStretch"`
-	GiveUpMs   float64 `json:"giveUpMs"`
-	Effect     Effect  `json:"effect"`
-	Group      Group   `json:"group"`
-	KeyTTLMs   float64 `json:"keyTtlMs"`
-	Credit     float64 `json:"credit"`
-	LateShare  float64 `json:"lateShare"`
-	Streamed   bool    `json:"streamed"`
-	// Retired is of a class that no request names any more; those that are open keep it. See Table.
+	Name                 string      `json:"name"`
+	LatencyTargetMs      float64     `json:"aimMs"`
+	LatencyTargetStretch float64     `json:"aimStretch"`
+	ClientTimeoutMs      float64     `json:"giveUpMs"`
+	Idempotency          Idempotency `json:"effect"`
+	DedupScope           DedupScope  `json:"group"`
+	DedupTTLMs           float64     `json:"keyTtlMs"`
+	Value                float64     `json:"credit"`
+	LateValueFraction    float64     `json:"lateShare"`
+	Streamed             bool        `json:"streamed"`
+	// Retired is set for a class that the current settings no longer name. Requests that are still
+	// open keep it; see Table.
 	Retired bool `json:"-"`
 }
 
-// Earned is the part of its worth that an ended attempt has earned.
-func (c *Class) Earned(ok, inTime bool) float64 {
+// EarnedFraction returns the fraction of a request's value that a completed attempt has earned: 0 on
+// failure, 1 in time, LateValueFraction if late.
+func (c *Class) EarnedFraction(ok, inTime bool) float64 {
 	switch {
 	case !ok:
 		return 0
 	case inTime:
 		return 1
 	}
-	return c.LateShare
+	return c.LateValueFraction
 }
 
-// Tenant is a customer with a share of what the servers can do.
+// Tenant configures a customer that has a share of the server capacity.
 type Tenant struct {
-	Name      string  `json:"name"`
-	QuotaPerS float64 `json:"quotaPerS"`
-	Portion   float64 `json:"portion"`
+	Name       string  `json:"name"`
+	QuotaPerS  float64 `json:"quotaPerS"`
+	QuotaShare float64 `json:"portion"`
 }
 
-// Limits is what a deployment permits an agent.
+// Limits holds what a deployment permits its agents to do.
 type Limits struct {
-	Cancelling       bool    `json:"cancelling"`
+	Cancellation     bool    `json:"cancelling"`
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
 	KeepaliveMs      float64 `json:"keepaliveMs"`
 	MaxAttempts      int     `json:"maxAttempts"`
 	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	ParallelTries    bool    `json:"parallelTries"`
-	Probing          bool    `json:"probing"`
+	HedgedRequests   bool    `json:"parallelTries"`
+	HealthChecks     bool    `json:"probing"`
 	RetryAfter       bool    `json:"retryAfter"`
 	OpenCap          int     `json:"openCap"`
-	// PeerMessages tells whether agents may talk to each other; nil: nothing is said of it.
+	// PeerMessages reports whether agents may send messages to each other; nil if it is not specified.
 	PeerMessages *bool `json:"peerMessages"`
 }
 
-// Contract holds the figures of the four rules.
+// Contract holds the parameters that the servers guarantee or require: polling, slow start, draining
+// and overload.
 type Contract struct {
-	AnswerSlackMs float64 `json:"answerSlackMs"`
-	AskWithinMs   float64 `json:"askWithinMs"`
-	ColdFrom      float64 `json:"coldFrom"`
-	ColdMs        float64 `json:"coldMs"`
-	DrainGraceMs  float64 `json:"drainGraceMs"`
-	FallMultiple  float64 `json:"fallMultiple"`
-	TipAfterMs    float64 `json:"tipAfterMs"`
+	AnswerSlackMs     float64 `json:"answerSlackMs"`
+	MaxPollIntervalMs float64 `json:"askWithinMs"`
+	SlowStartFraction float64 `json:"coldFrom"`
+	SlowStartMs       float64 `json:"coldMs"`
+	DrainGraceMs      float64 `json:"drainGraceMs"`
+	OverloadFactor    float64 `json:"fallMultiple"`
+	OverloadAfterMs   float64 `json:"tipAfterMs"`
 }
 
-// Prices are points taken off the result, each times its share or rate.
+// Prices are the points subtracted from the result, each multiplied by its share or rate.
 type Prices struct {
-	CrossZone  float64 `json:"crossZone"`
-	Handshake  float64 `json:"handshake"`
-	Connection float64 `json:"connection"`
-	LateFail   float64 `json:"lateFail"`
-	Probe      float64 `json:"probe"`
-	Waste      float64 `json:"waste"`
-	List       float64 `json:"membershipMode"`
+	CrossZone      float64 `json:"crossZone"`
+	Handshake      float64 `json:"handshake"`
+	Connection     float64 `json:"connection"`
+	LateFail       float64 `json:"lateFail"`
+	Probe          float64 `json:"probe"`
+	Waste          float64 `json:"waste"`
+	MembershipMode float64 `json:"membershipMode"`
 }
 
-// Objective holds the weights of the result's components.
+// Objective holds the weights of the components of the result.
 type Objective struct {
-	Whole       float64 `json:"whole"`
+	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
 	WorstClass  float64 `json:"worstClass"`
 	WorstTenant float64 `json:"worstTenant"`
 }
 
-// Report names the values of the servers' load reports.
-type Report struct {
-	How   string   `json:"how"`
+// LoadReport configures the load reports of the servers and names their values.
+type LoadReport struct {
+	Mode  string   `json:"how"`
 	Names []string `json:"names"`
 }
 
-// Settings is what an agent is told at its start.
+// Settings is the configuration that an agent receives at start.
 type Settings struct {
-	Classes    []Class   `json:"classes"`
-	Tenants    []Tenant  `json:"tenants"`
-	Limits     Limits    `json:"limits"`
-	Contract   Contract  `json:"contract"`
-	Prices     Prices    `json:"prices"`
-	Objective  Objective `json:"objectiveMix"`
-	Report     Report    `json:"report"`
-	Membership string    `json:"membershipMode"` // "pushed" or "on_request"
+	Classes    []Class    `json:"classes"`
+	Tenants    []Tenant   `json:"tenants"`
+	Limits     Limits     `json:"limits"`
+	Contract   Contract   `json:"contract"`
+	Prices     Prices     `json:"prices"`
+	Objective  Objective  `json:"objectiveMix"`
+	LoadReport LoadReport `json:"report"`
+	Membership string     `json:"membershipMode"` // "pushed" or "on_request"
 	Clients    struct {
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clients"`
@@ -126,9 +130,9 @@
 	} `json:"familyInfo"`
 	Index          int     `json:"index"`
 	Replicas       int     `json:"replicasOfMe"`
-	OverShareWorth float64 `json:"overShareWorth"`
+	OverQuotaValue float64 `json:"overShareWorth"`
 	RoundMs        float64 `json:"roundMs"`
 	Weights        string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	WorthBy        string  `json:"worthBy"` // "request" or "work"
+	ValueBy        string  `json:"worthBy"` // "request" or "work"
 	Zone           int     `json:"zone"`
 }
--- a/internal/decide/settings/table.go
+++ b/internal/decide/settings/table.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// MostClasses bounds a table's classes, those that are retired included.
-	MostClasses = 512
-	// keptFor is how long the number of a class that was dropped is not given to another: longer
-	// than any request of it can be read, open and answered.
-	keptFor = 5 * time.Minute
+	// MaxClasses is the maximum number of classes in a table, retired ones included.
+	MaxClasses = 512
+	// classRetention is how long the number of a retired class is not reused. It is longer than a
+	// request of that class can take to be read, served and answered.
+	classRetention = 5 * time.Minute
 )
 
-// Table is the classes and tenants of all versions of the settings that requests may still be
-// under, each with a number that is its own. It is not changed once it is made: another version
-// makes another.
+// Table holds the classes and tenants of every version of the settings that open requests may still
+// refer to, each under a stable number. A Table is immutable; Next returns the table of the following
+// version.
 type Table struct {
-	Settings                 // with all classes and tenants, by number
-	Classes   map[string]int // numbers that classes' names have in this version
-	Tenants   map[string]int // the same of tenants
-	From      []int          // for each class the one of the version before that tells most of it; -1: none
-	Version   int            // counts from 1
-	retiredAt []time.Time    // by class; zero: named, or never used
+	Settings                     // all classes and tenants, indexed by number
+	Classes       map[string]int // number of each class named by this version
+	Tenants       map[string]int // number of each tenant named by this version
+	PreviousClass []int          // class of the previous version whose statistics a class inherits; -1: none
+	Version       int            // starts at 1
+	retiredAt     []time.Time    // by class; zero: in use or never used
 }
 
-// NewTable is the first version; its settings are validated.
+// NewTable returns the table of the first version. The settings must have been validated.
 func NewTable(first Settings) *Table {
 	t := &Table{Settings: first, Classes: map[string]int{}, Tenants: map[string]int{}, Version: 1}
 	t.Settings.Classes, t.Settings.Tenants = slices.Clone(first.Classes), slices.Clone(first.Tenants)
 	for i, c := range first.Classes {
 		t.Classes[c.Name] = i
-		t.From = append(t.From, -1)
+		t.PreviousClass = append(t.PreviousClass, -1)
 	}
 	for i, c := range first.Tenants {
 		t.Tenants[c.Name] = i
@@ -41,14 +41,15 @@
 	return t
 }
 
-// Next is the version after this one, from validated settings, at the time now. An error means that
-// it would hold more classes than a table may.
+// Next returns the table of the following version, from validated settings; now is the time of the
+// change. A class that is unchanged keeps its number, a changed one gets another. Next fails if the
+// table would hold more classes or tenants than it may.
 func (t *Table) Next(next Settings, now time.Time) (*Table, error) {
 	n := &Table{Settings: next, Classes: map[string]int{}, Tenants: map[string]int{}, Version: t.Version + 1,
 		retiredAt: slices.Clone(t.retiredAt)}
 	n.Settings.Classes, n.Settings.Tenants = slices.Clone(t.Settings.Classes), slices.Clone(t.Settings.Tenants)
 	for i := range n.Settings.Classes {
-		n.From = append(n.From, i)
+		n.PreviousClass = append(n.PreviousClass, i)
 	}
 	for _, c := range next.Classes {
 		old, known := t.Classes[c.Name]
@@ -58,23 +59,24 @@
 		}
 		at := slices.IndexFunc(n.retiredAt, func(since time.Time) bool {
 			return !since.IsZero() &&
-				now.Sub(since) >= keptFor
+				now.Sub(since) >= classRetention
 		})
 		if at < 0 {
-			if at = len(n.Settings.Classes); at >= MostClasses {
-				return nil, fmt.Errorf("settings: classes: more than %d in all versions of late", MostClasses)
+			if at = len(n.Settings.Classes); at >= MaxClasses {
+				return nil, fmt.Errorf("settings: classes: more than %d active and recently retired classes",
+					MaxClasses)
 			}
-			n.Settings.Classes, n.From = append(n.Settings.Classes, c), append(n.From, -1)
+			n.Settings.Classes, n.PreviousClass = append(n.Settings.Classes, c), append(n.PreviousClass, -1)
 			n.retiredAt = append(n.retiredAt, time.Time{})
 		}
-		n.Settings.Classes[at], n.From[at], n.retiredAt[at] = c, -1, time.Time{}
+		n.Settings.Classes[at], n.PreviousClass[at], n.retiredAt[at] = c, -1, time.Time{}
 		if known {
-			n.From[at] = old
+			n.PreviousClass[at] = old
 		}
 		n.Classes[c.Name] = at
 	}
 	for name, i := range t.Classes {
-		if n.Classes[name] != i || !named(next.Classes, name) {
+		if n.Classes[name] != i || !hasClass(next.Classes, name) {
 			n.Settings.Classes[i].Retired, n.retiredAt[i] = true, now
 		}
 	}
@@ -88,12 +90,12 @@
 		}
 		n.Settings.Tenants[at], n.Tenants[c.Name] = c, at
 	}
-	if len(n.Settings.Tenants) > 16*MostClasses {
-		return nil, fmt.Errorf("settings: tenants: more than %d in all versions", 16*MostClasses)
+	if len(n.Settings.Tenants) > 16*MaxClasses {
+		return nil, fmt.Errorf("settings: tenants: more than %d tenants over all versions", 16*MaxClasses)
 	}
 	return n, nil
 }
 
-func named(classes []Class, name string) bool {
+func hasClass(classes []Class, name string) bool {
 	return slices.ContainsFunc(classes, func(c Class) bool { return c.Name == name })
 }
--- a/internal/decide/settings/table_test.go
+++ b/internal/decide/settings/table_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-func class(name string, effect Effect, giveUp float64) Class {
-	return Class{Name: name, Effect: effect, GiveUpMs: giveUp, AimMs: giveUp / 2, Group: GroupAll}
+func class(name string, effect Idempotency, giveUp float64) Class {
+	return Class{Name: name, Idempotency: effect, ClientTimeoutMs: giveUp, LatencyTargetMs: giveUp / 2, DedupScope: DedupAll}
 }
 
-// Over versions drawn at random, a number means one class for as long as a request of it may be
-// open, names mean what the newest file says, and the table stays bounded.
-func TestNumbersKeepTheirMeaning(t *testing.T) {
+// Over random sequences of versions, a number refers to the same class for as long as a request of it
+// may be open, each name resolves to the newest settings, and the table stays bounded.
+func TestClassNumbersStayStable(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		draw := func() (s Settings) {
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
 				if len(s.Classes) == 0 || rng.IntN(3) > 0 {
-					s.Classes = append(s.Classes, class(name, []Effect{Free, Guarded, SingleShot}[rng.IntN(3)], float64(100+100*rng.IntN(3))))
+					s.Classes = append(s.Classes, class(name, []Idempotency{Idempotent, Deduplicated, NonIdempotent}[rng.IntN(3)], float64(100+100*rng.IntN(3))))
 				}
 			}
 			for i := range rng.IntN(4) {
-				s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Portion: rng.Float64()})
+				s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), QuotaShare: rng.Float64()})
 			}
 			return s
 		}
@@ -50,8 +50,8 @@
 				if next.Settings.Classes[i] != c {
 					t.Fatalf("seed %d: %q is %+v, want %+v", seed, c.Name, next.Settings.Classes[i], c)
 				}
-				if old, known := table.Classes[c.Name]; known && next.From[i] != old {
-					t.Fatalf("seed %d: %q learns from %d, was %d", seed, c.Name, next.From[i], old)
+				if old, known := table.Classes[c.Name]; known && next.PreviousClass[i] != old {
+					t.Fatalf("seed %d: %q inherits from class %d, want %d", seed, c.Name, next.PreviousClass[i], old)
 				}
 			}
 			if len(next.Classes) != len(set.Classes) || len(next.Tenants) != len(set.Tenants) {
@@ -77,21 +77,22 @@
 	}
 }
 
-// What never ends is turned down before it holds too much, and nothing has changed then.
-func TestTableIsBounded(t *testing.T) {
-	table, now := NewTable(Settings{Classes: []Class{class("a", Free, 1)}}), time.Unix(1e9, 0)
-	for i := range 2 * MostClasses {
-		next, err := table.Next(Settings{Classes: []Class{class("a", Free, float64(i+2))}}, now)
+// Next fails once MaxClasses is reached and leaves the table unchanged; numbers become free again
+// after classRetention.
+func TestTableRejectsTooManyClasses(t *testing.T) {
+	table, now := NewTable(Settings{Classes: []Class{class("a", Idempotent, 1)}}), time.Unix(1e9, 0)
+	for i := range 2 * MaxClasses {
+		next, err := table.Next(Settings{Classes: []Class{class("a", Idempotent, float64(i+2))}}, now)
 		if err != nil {
-			if len(table.Settings.Classes) != MostClasses || table.Settings.Classes[table.Classes["a"]].GiveUpMs != float64(i+1) {
+			if len(table.Settings.Classes) != MaxClasses || table.Settings.Classes[table.Classes["a"]].ClientTimeoutMs != float64(i+1) {
 				t.Fatal(i, len(table.Settings.Classes))
 			}
-			if _, err = table.Next(Settings{Classes: []Class{class("a", Free, 1)}}, now.Add(keptFor)); err != nil {
-				t.Fatal("numbers are not free again:", err)
+			if _, err = table.Next(Settings{Classes: []Class{class("a", Idempotent, 1)}}, now.Add(classRetention)); err != nil {
+				t.Fatal("class numbers are not reused after classRetention:", err)
 			}
 			return
 		}
 		table = next
 	}
-	t.Fatal("no bound")
+	t.Fatal("Next never rejects a class")
 }
--- a/internal/decide/settings/validate.go
+++ b/internal/decide/settings/validate.go
@@ -5,42 +5,43 @@
 	"math"
 )
 
-// Validate reports the first setting that makes no sense, by its key.
+// Validate reports the first invalid setting, by its key.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("settings: classes: none given")
+		return fmt.Errorf("settings: classes: must not be empty")
 	}
 	for i, c := range s.Classes {
 		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
 		switch {
-		case !(c.AimMs > 0) || math.IsInf(c.AimMs, 0):
-			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("aimMs"), c.AimMs)
-		case !(c.GiveUpMs > 0) || math.IsInf(c.GiveUpMs, 0):
-			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("giveUpMs"), c.GiveUpMs)
-		case !(c.Credit >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("credit"), c.Credit)
-		case c.Effect != Free && c.Effect != Guarded && c.Effect != SingleShot:
-			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == Guarded && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
-			return fmt.Errorf("%s: unknown group %q", at("group"), c.Group)
-		case c.Effect == Guarded && !(c.KeyTTLMs >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("keyTtlMs"), c.KeyTTLMs)
+		case !(c.LatencyTargetMs > 0) || math.IsInf(c.LatencyTargetMs, 0):
+			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("aimMs"), c.LatencyTargetMs)
+		case !(c.ClientTimeoutMs > 0) || math.IsInf(c.ClientTimeoutMs, 0):
+			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("giveUpMs"), c.ClientTimeoutMs)
+		case !(c.Value >= 0):
+			return fmt.Errorf("%s: must be 0 or above, is %v", at("credit"), c.Value)
+		case c.Idempotency != Idempotent && c.Idempotency != Deduplicated && c.Idempotency != NonIdempotent:
+			return fmt.Errorf("%s: must be free, guarded or single_shot, is %q", at("effect"), c.Idempotency)
+		case c.Idempotency == Deduplicated && c.DedupScope != DedupAll && c.DedupScope != DedupZone &&
+			c.DedupScope != DedupCell:
+			return fmt.Errorf("%s: must be all, zone or cell, is %q", at("group"), c.DedupScope)
+		case c.Idempotency == Deduplicated && !(c.DedupTTLMs >= 0):
+			return fmt.Errorf("%s: must be 0 or above, is %v", at("keyTtlMs"), c.DedupTTLMs)
 		}
 	}
 	if s.Membership != "pushed" && s.Membership != "on_request" {
-		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.Membership)
+		return fmt.Errorf("settings: membershipMode: must be pushed or on_request, is %q", s.Membership)
 	}
 	for _, f := range []struct {
 		key   string
 		value float64
 	}{
 		{"contract.answerSlackMs", s.Contract.AnswerSlackMs},
-		{"contract.askWithinMs", s.Contract.AskWithinMs},
-		{"contract.coldFrom", s.Contract.ColdFrom},
-		{"contract.coldMs", s.Contract.ColdMs},
+		{"contract.askWithinMs", s.Contract.MaxPollIntervalMs},
+		{"contract.coldFrom", s.Contract.SlowStartFraction},
+		{"contract.coldMs", s.Contract.SlowStartMs},
 		{"contract.drainGraceMs", s.Contract.DrainGraceMs},
-		{"contract.fallMultiple", s.Contract.FallMultiple},
-		{"contract.tipAfterMs", s.Contract.TipAfterMs},
+		{"contract.fallMultiple", s.Contract.OverloadFactor},
+		{"contract.tipAfterMs", s.Contract.OverloadAfterMs},
 		{"limits.keepaliveMs", s.Limits.KeepaliveMs},
 		{"limits.maxAttempts", float64(s.Limits.MaxAttempts)},
 		{"limits.maxRetryAfterMs", s.Limits.MaxRetryAfterMs},
--- a/internal/decide/settings/wire_test.go
+++ b/internal/decide/settings/wire_test.go
@@ -6,7 +6,7 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// The platform's configuration and status answers have the same keys in all builds.
+// The JSON keys of the settings are the same in all builds.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.Keys(t, "settings", Settings{}, "json")
 }
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/sharing/sharing.go
@@ -1,206 +1,210 @@
-// Package sharing decides about a connection on which several requests are open at once, as FastCGI has it:
-// what each record means by what came before, which are taken, what a body may hold whose server is slow,
-// and when the connection ends. No I/O, no clock; a Conn belongs to whoever calls it.
+// Package sharing decides about a connection that multiplexes several requests, as FastCGI allows:
+// what each record means given the records before it, which requests are accepted, how much of a body
+// is buffered whose server is slow, and when the connection is closed.
+//
+// It has no I/O, no clock and no locks: a Conn is called by one goroutine at a time.
 package sharing
 
 import "time"
 
-// Limits bound one connection.
+// Limits bounds one connection.
 type Limits struct {
 	Requests int // open at once, at least 1
-	Params   int // bytes of one request's params
+	Params   int // bytes of the params of one request
 }
 
-// Verdict is what is to be done with a record.
-type Verdict uint8
+// Action is what the caller does with a record.
+type Action uint8
 
-// The verdicts.
+// The values of Action.
 const (
-	Ignore     Verdict = iota // nothing: it belongs to no open request
-	Begin                     // a request begins
-	TakeParams                // its content belongs to the request's params
-	Asked                     // the params have come whole
-	TakeBody                  // its content belongs to the request's body
-	Whole                     // the body has come whole
-	Abort                     // the client gives the request up; its end is still owed
-	TooMany                   // rejected: OVERLOADED
-	BadRole                   // rejected: UNKNOWN_ROLE
-	TooLong                   // the params are over their bound: the request is answered so, and what follows of it ignored
-	Values                    // values of the application are asked for
-	NotKnown                  // a management record of no known type
-	Break                     // what follows can't be told apart: the connection ends
+	Ignore           Action = iota // nothing: the record belongs to no open request
+	Begin                          // start a request
+	AppendParams                   // append the content to the params of the request
+	ParamsComplete                 // the params are complete
+	AppendBody                     // append the content to the body of the request
+	BodyComplete                   // the body is complete
+	Abort                          // the client aborts the request; its FCGI_END_REQUEST must still be sent
+	RejectOverloaded               // reject with FCGI_OVERLOADED
+	RejectRole                     // reject with FCGI_UNKNOWN_ROLE
+	ParamsTooLong                  // the params exceed Limits.Params: answer with an error, ignore further input
+	ReplyValues                    // answer FCGI_GET_VALUES
+	ReplyUnknownType               // answer a management record of unknown type
+	CloseConnection                // the records that follow are ambiguous: close the connection
 )
 
-// Record is what a Conn is told of one.
+// Record describes one record that was received.
 type Record struct {
 	ID        uint16
 	Kind      Kind
-	Length    int  // of its content, bytes
-	Responder bool // of a Beginning: the role is the one that is served
-	Keep      bool // of a Beginning: the connection is to stay open
+	Length    int  // of its content, in bytes
+	Responder bool // for BeginRequest: the role is Responder, the only one served
+	KeepConn  bool // for BeginRequest: the client sets FCGI_KEEP_CONN
 }
 
-// Kind is a record's type, as far as it matters to an application.
+// Kind is the type of a record, as far as an application distinguishes them.
 type Kind uint8
 
-// The kinds.
+// The values of Kind.
 const (
-	Beginning Kind = iota
-	Aborting
-	Param
-	Input
-	Extra  // a stream of a role that is not served
-	Asking // for values
-	Other  // what only an application sends, or nobody
+	BeginRequest Kind = iota
+	AbortRequest
+	ParamsStream
+	StdinStream
+	ExtraStream // a stream of a role that is not served
+	ValuesQuery // FCGI_GET_VALUES
+	Other       // a type that only applications send, or an unknown one
 )
 
-// request is one that is open: it has begun and its end was not sent.
+// request is an open request: it has begun and its end has not been sent.
 type request struct {
-	params  int // bytes of them
-	asked   bool
-	whole   bool
-	aborted bool
-	over    bool // answered before it came whole: what comes of it is ignored
+	paramBytes     int // received so far
+	paramsComplete bool
+	bodyComplete   bool
+	aborted        bool
+	answered       bool // answered before it was complete: further input is ignored
 }
 
-// Conn is one connection's requests.
+// Conn tracks the open requests of one connection.
 type Conn struct {
-	limits Limits
-	open   map[uint16]*request
-	last   bool // it ends when nothing is open
+	limits        Limits
+	open          map[uint16]*request
+	closeWhenIdle bool // close once no request is open
 }
 
-// New starts a connection.
+// New returns a Conn without open requests.
 func New(l Limits) *Conn { return &Conn{limits: l, open: map[uint16]*request{}} }
 
-// Record says what a record means, and notes it.
-func (c *Conn) Record(r Record) Verdict {
+// Record updates the state by a received record and returns what to do with it.
+func (c *Conn) Record(r Record) Action {
 	if r.ID == 0 {
 		switch r.Kind {
-		case Asking:
-			return Values
-		case Beginning:
-			return Break
+		case ValuesQuery:
+			return ReplyValues
+		case BeginRequest:
+			return CloseConnection
 		}
-		return NotKnown
+		return ReplyUnknownType
 	}
 	q := c.open[r.ID]
-	if r.Kind == Beginning {
+	if r.Kind == BeginRequest {
 		switch {
 		case q != nil:
-			return Break // of which of the two is what follows?
+			return CloseConnection // the following records could belong to either request
 		case !r.Responder:
-			c.keep(r.Keep)
-			return BadRole
+			c.keepConn(r.KeepConn)
+			return RejectRole
 		case len(c.open) >= c.limits.Requests:
-			c.keep(r.Keep)
-			return TooMany
+			c.keepConn(r.KeepConn)
+			return RejectOverloaded
 		}
-		c.keep(r.Keep)
+		c.keepConn(r.KeepConn)
 		c.open[r.ID] = &request{}
 		return Begin
 	}
-	if q == nil || q.over && r.Kind != Aborting {
+	if q == nil || q.answered && r.Kind != AbortRequest {
 		return Ignore
 	}
 	switch r.Kind {
-	case Aborting:
+	case AbortRequest:
 		if q.aborted {
 			return Ignore
 		}
-		q.aborted, q.over = true, true
+		q.aborted, q.answered = true, true
 		return Abort
-	case Param:
+	case ParamsStream:
 		switch {
-		case q.asked:
+		case q.paramsComplete:
 			return Ignore
 		case r.Length == 0:
-			q.asked = true
-			return Asked
-		case q.params+r.Length > c.limits.Params:
-			q.over = true
-			return TooLong
+			q.paramsComplete = true
+			return ParamsComplete
+		case q.paramBytes+r.Length > c.limits.Params:
+			q.answered = true
+			return ParamsTooLong
 		}
-		q.params += r.Length
-		return TakeParams
-	case Input:
+		q.paramBytes += r.Length
+		return AppendParams
+	case StdinStream:
 		switch {
-		case q.whole:
+		case q.bodyComplete:
 			return Ignore
 		case r.Length == 0:
-			q.whole = true
-			return Whole
+			q.bodyComplete = true
+			return BodyComplete
 		}
-		return TakeBody
+		return AppendBody
 	}
 	return Ignore
 }
 
-// keep notes whether the connection is to stay. One request that says no has it end when all have.
-func (c *Conn) keep(keep bool) { c.last = c.last || !keep }
+// keepConn records whether a request lets the connection stay open. If one does not, the
+// connection is closed once all requests have ended.
+func (c *Conn) keepConn(keepConn bool) { c.closeWhenIdle = c.closeWhenIdle || !keepConn }
 
-// Over has what still comes of a request ignored: it has its answer before it came whole.
-func (c *Conn) Over(id uint16) {
+// DiscardInput makes further input of a request be ignored: it was answered before it was complete.
+func (c *Conn) DiscardInput(id uint16) {
 	if q := c.open[id]; q != nil {
-		q.over = true
+		q.answered = true
 	}
 }
 
-// End notes that a request's end is about to be sent: its id is free. It reports whether it was open.
+// End frees the id of a request whose end is about to be sent, and reports whether it was open.
 func (c *Conn) End(id uint16) bool {
 	_, open := c.open[id]
 	delete(c.open, id)
 	return open
 }
 
-// Last has the connection end when nothing is open any more.
-func (c *Conn) Last() { c.last = true }
+// CloseWhenIdle makes the connection close once no request is open.
+func (c *Conn) CloseWhenIdle() { c.closeWhenIdle = true }
 
-// Open is how many requests are open.
+// Open returns the number of open requests.
 func (c *Conn) Open() int { return len(c.open) }
 
-// Ending tells whether the connection is to end now.
-func (c *Conn) Ending() bool { return c.last && len(c.open) == 0 }
+// ShouldClose reports whether the connection must be closed now.
+func (c *Conn) ShouldClose() bool { return c.closeWhenIdle && len(c.open) == 0 }
 
 const (
-	// HoldMost is how much of one body is held beside its window, in bytes.
-	HoldMost = 256 << 10
-	// WaitFor is how long in all one body may keep its connection from being read while others share it, and
-	// WaitRate, in bytes a second, what its server has to take of it for more: what is slower gives way.
-	WaitFor, WaitRate = 500 * time.Millisecond, 4 << 20
+	// MaxBuffered is how much of one body is buffered beyond its window, in bytes.
+	MaxBuffered = 256 << 10
+	// MaxPause is how long in total one body may pause reading from a connection that other requests
+	// share. A body whose server takes more than MinDrainRate bytes per second may pause longer; a
+	// slower one is terminated.
+	MaxPause, MinDrainRate = 500 * time.Millisecond, 4 << 20
 )
 
-// Hold is what becomes of a piece of a body that its window has no room for.
-type Hold uint8
+// Backpressure is what happens to a chunk of a body that does not fit into its window.
+type Backpressure uint8
 
-// The ways.
+// The values of Backpressure.
 const (
-	Keep    Hold = iota // hold it beside the window
-	Wait                // read nothing more from the connection until there is room
-	GiveWay             // end this request, for the others' sake
+	Buffer    Backpressure = iota // buffer it beyond the window
+	Pause                         // stop reading from the connection until the window has room
+	Terminate                     // end this request, so that the others can continue
 )
 
-// Body is what HoldOf is told of a body.
+// Body describes a body whose window is full.
 type Body struct {
-	Held   int           // bytes beside its window
-	Came   int64         // bytes of it, what is held included
-	Waited time.Duration // with nothing read from the connection, for its sake
-	Others int           // requests that share the connection
-	Room   bool          // the budget of all bodies has room for the piece
+	Buffered      int           // bytes buffered beyond its window
+	Received      int64         // bytes received, buffered ones included
+	Paused        time.Duration // total time that reading was paused because of it
+	OtherRequests int           // open requests that share the connection
+	HasBudget     bool          // the memory budget of all bodies has room for the chunk
 }
 
-// HoldOf says what becomes of a piece of n bytes, and for how long it may be waited with at the most; 0: as
-// long as it takes.
-func HoldOf(n int, b Body) (Hold, time.Duration) {
+// BackpressureFor returns what to do with a chunk of n bytes, and for Pause the maximum time to wait;
+// 0: no limit.
+func BackpressureFor(n int, b Body) (Backpressure, time.Duration) {
 	switch {
-	case b.Held+n <= HoldMost && b.Room:
-		return Keep, 0
-	case b.Others == 0:
-		return Wait, 0
+	case b.Buffered+n <= MaxBuffered && b.HasBudget:
+		return Buffer, 0
+	case b.OtherRequests == 0:
+		return Pause, 0
 	}
-	passed := max(b.Came-int64(b.Held), 0)
-	if left := WaitFor + time.Duration(float64(passed)/WaitRate*float64(time.Second)) - b.Waited; left > 0 {
-		return Wait, left
+	passed := max(b.Received-int64(b.Buffered), 0)
+	if left := MaxPause + time.Duration(float64(passed)/MinDrainRate*float64(time.Second)) - b.Paused; left > 0 {
+		return Pause, left
 	}
-	return GiveWay, 0
+	return Terminate, 0
 }
--- a/internal/decide/sharing/sharing_test.go
+++ b/internal/decide/sharing/sharing_test.go
@@ -7,34 +7,36 @@
 	"pgregory.net/rapid"
 )
 
-func begin(id uint16) Record               { return Record{ID: id, Kind: Beginning, Responder: true, Keep: true} }
-func part(id uint16, k Kind, n int) Record { return Record{ID: id, Kind: k, Length: n} }
+func beginRecord(id uint16) Record {
+	return Record{ID: id, Kind: BeginRequest, Responder: true, KeepConn: true}
+}
+func record(id uint16, k Kind, n int) Record { return Record{ID: id, Kind: k, Length: n} }
 
-// What each record means by what came before it.
-func TestRecords(t *testing.T) {
-	end := Record{ID: 999} // stands for End(1)
+// The action for each record depends on the records before it.
+func TestRecordSequences(t *testing.T) {
+	end := Record{ID: 999} // represents a call of End(1)
 	for name, c := range map[string]struct {
 		came []Record
-		want []Verdict
+		want []Action
 	}{
-		"plain":                            {[]Record{begin(1), part(1, Param, 9), part(1, Param, 0), part(1, Input, 5), part(1, Input, 0)}, []Verdict{Begin, TakeParams, Asked, TakeBody, Whole}},
-		"body before params end":           {[]Record{begin(1), part(1, Input, 5), part(1, Param, 9), part(1, Input, 0), part(1, Param, 0)}, []Verdict{Begin, TakeBody, TakeParams, Whole, Asked}},
-		"two at once, and a third":         {[]Record{begin(1), begin(2), part(2, Param, 1), part(1, Param, 1), begin(3), part(3, Param, 4)}, []Verdict{Begin, Begin, TakeParams, TakeParams, TooMany, Ignore}},
-		"never begun":                      {[]Record{part(1, Param, 9), part(1, Input, 0), part(7, Aborting, 0)}, []Verdict{Ignore, Ignore, Ignore}},
-		"begun twice":                      {[]Record{begin(1), begin(1)}, []Verdict{Begin, Break}},
-		"ended and begun again":            {[]Record{begin(1), part(1, Param, 0), end, part(1, Input, 3), part(1, Aborting, 0), begin(1), part(1, Param, 3)}, []Verdict{Begin, Asked, 0, Ignore, Ignore, Begin, TakeParams}},
-		"aborted, twice":                   {[]Record{begin(1), part(1, Param, 2), part(1, Aborting, 0), part(1, Aborting, 0), part(1, Param, 2), begin(1)}, []Verdict{Begin, TakeParams, Abort, Ignore, Ignore, Break}},
-		"after their ends":                 {[]Record{begin(1), part(1, Param, 0), part(1, Param, 4), part(1, Input, 0), part(1, Input, 4)}, []Verdict{Begin, Asked, Ignore, Whole, Ignore}},
-		"too many params":                  {[]Record{begin(1), part(1, Param, 100), part(1, Param, 1), part(1, Param, 0), part(1, Input, 0), part(1, Aborting, 0)}, []Verdict{Begin, TakeParams, TooLong, Ignore, Ignore, Abort}},
-		"another role":                     {[]Record{{ID: 1, Kind: Beginning, Keep: true}, part(1, Param, 3)}, []Verdict{BadRole, Ignore}},
-		"of the connection":                {[]Record{part(0, Asking, 9), part(0, Other, 0), part(0, Param, 0), {ID: 0, Kind: Beginning, Responder: true}}, []Verdict{Values, NotKnown, NotKnown, Break}},
-		"data, and what only answers have": {[]Record{begin(1), part(1, Extra, 9), part(1, Other, 3)}, []Verdict{Begin, Ignore, Ignore}},
+		"plain":                        {[]Record{beginRecord(1), record(1, ParamsStream, 9), record(1, ParamsStream, 0), record(1, StdinStream, 5), record(1, StdinStream, 0)}, []Action{Begin, AppendParams, ParamsComplete, AppendBody, BodyComplete}},
+		"body before params end":       {[]Record{beginRecord(1), record(1, StdinStream, 5), record(1, ParamsStream, 9), record(1, StdinStream, 0), record(1, ParamsStream, 0)}, []Action{Begin, AppendBody, AppendParams, BodyComplete, ParamsComplete}},
+		"third request over the limit": {[]Record{beginRecord(1), beginRecord(2), record(2, ParamsStream, 1), record(1, ParamsStream, 1), beginRecord(3), record(3, ParamsStream, 4)}, []Action{Begin, Begin, AppendParams, AppendParams, RejectOverloaded, Ignore}},
+		"unknown request":              {[]Record{record(1, ParamsStream, 9), record(1, StdinStream, 0), record(7, AbortRequest, 0)}, []Action{Ignore, Ignore, Ignore}},
+		"duplicate begin":              {[]Record{beginRecord(1), beginRecord(1)}, []Action{Begin, CloseConnection}},
+		"id reused after its end":      {[]Record{beginRecord(1), record(1, ParamsStream, 0), end, record(1, StdinStream, 3), record(1, AbortRequest, 0), beginRecord(1), record(1, ParamsStream, 3)}, []Action{Begin, ParamsComplete, 0, Ignore, Ignore, Begin, AppendParams}},
+		"aborted, twice":               {[]Record{beginRecord(1), record(1, ParamsStream, 2), record(1, AbortRequest, 0), record(1, AbortRequest, 0), record(1, ParamsStream, 2), beginRecord(1)}, []Action{Begin, AppendParams, Abort, Ignore, Ignore, CloseConnection}},
+		"data after end of stream":     {[]Record{beginRecord(1), record(1, ParamsStream, 0), record(1, ParamsStream, 4), record(1, StdinStream, 0), record(1, StdinStream, 4)}, []Action{Begin, ParamsComplete, Ignore, BodyComplete, Ignore}},
+		"too many params":              {[]Record{beginRecord(1), record(1, ParamsStream, 100), record(1, ParamsStream, 1), record(1, ParamsStream, 0), record(1, StdinStream, 0), record(1, AbortRequest, 0)}, []Action{Begin, AppendParams, ParamsTooLong, Ignore, Ignore, Abort}},
+		"unsupported role":             {[]Record{{ID: 1, Kind: BeginRequest, KeepConn: true}, record(1, ParamsStream, 3)}, []Action{RejectRole, Ignore}},
+		"management records":           {[]Record{record(0, ValuesQuery, 9), record(0, Other, 0), record(0, ParamsStream, 0), {ID: 0, Kind: BeginRequest, Responder: true}}, []Action{ReplyValues, ReplyUnknownType, ReplyUnknownType, CloseConnection}},
+		"streams of other roles":       {[]Record{beginRecord(1), record(1, ExtraStream, 9), record(1, Other, 3)}, []Action{Begin, Ignore, Ignore}},
 	} {
 		conn := New(Limits{Requests: 2, Params: 100})
 		for i, r := range c.came {
 			if r == end {
 				if !conn.End(1) || conn.End(1) {
-					t.Errorf("%s: ended not once", name)
+					t.Errorf("%s: End must report true exactly once", name)
 				}
 				continue
 			}
@@ -45,74 +47,74 @@
 	}
 }
 
-// However records come, an id is open from its Begin to its End and at no other time, never are more open
-// than may be, each request is begun, asked and whole once at the most, and the connection ends only when
-// nothing is open.
-func TestAnyRecords(t *testing.T) {
+// For any sequence of records, an id is open from its Begin to its End only, no more requests are open
+// than allowed, the params and the body of a request complete at most once, and the connection closes
+// only when no request is open.
+func TestRandomRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 3).Draw(t, "most")
 		c := New(Limits{Requests: most, Params: 50})
-		open, said := map[uint16]bool{}, map[uint16]map[Verdict]int{}
+		open, said := map[uint16]bool{}, map[uint16]map[Action]int{}
 		last := false
 		for range rapid.IntRange(0, 60).Draw(t, "records") {
 			id := uint16(rapid.IntRange(0, 4).Draw(t, "id"))
 			if rapid.IntRange(0, 6).Draw(t, "end") == 0 {
 				if c.End(id) != open[id] {
-					t.Fatal("ended though it was not open, or the reverse")
+					t.Fatal("End does not report whether the request was open")
 				}
 				delete(open, id)
 				continue
 			}
 			r := Record{ID: id, Kind: Kind(rapid.IntRange(0, int(Other)).Draw(t, "kind")), Length: rapid.IntRange(0, 30).Draw(t, "length"),
-				Responder: rapid.IntRange(0, 9).Draw(t, "role") > 0, Keep: rapid.IntRange(0, 9).Draw(t, "keep") > 0}
+				Responder: rapid.IntRange(0, 9).Draw(t, "role") > 0, KeepConn: rapid.IntRange(0, 9).Draw(t, "keep") > 0}
 			v := c.Record(r)
 			switch v {
 			case Begin:
 				if open[id] || len(open) >= most || id == 0 {
-					t.Fatal("begun where none may be")
+					t.Fatal("request begun with an invalid id, a duplicate id or over the limit")
 				}
-				open[id], said[id] = true, map[Verdict]int{}
-			case TakeParams, Asked, TakeBody, Whole, Abort, TooLong:
+				open[id], said[id] = true, map[Action]int{}
+			case AppendParams, ParamsComplete, AppendBody, BodyComplete, Abort, ParamsTooLong:
 				if !open[id] {
-					t.Fatalf("%d of what is not open", v)
+					t.Fatalf("action %d for a request that is not open", v)
 				}
 				said[id][v]++
-				if over := said[id][Abort] + said[id][TooLong]; v != Abort && over > 0 && v != TooLong || said[id][v] > 1 && v != TakeParams && v != TakeBody {
-					t.Fatalf("%d after its end, or twice", v)
+				if over := said[id][Abort] + said[id][ParamsTooLong]; v != Abort && over > 0 && v != ParamsTooLong || said[id][v] > 1 && v != AppendParams && v != AppendBody {
+					t.Fatalf("action %d after its end, or twice", v)
 				}
-				if v == TakeParams && said[id][Asked] > 0 || v == TakeBody && said[id][Whole] > 0 {
-					t.Fatal("a stream goes on after its end")
+				if v == AppendParams && said[id][ParamsComplete] > 0 || v == AppendBody && said[id][BodyComplete] > 0 {
+					t.Fatal("data accepted after the end of its stream")
 				}
 			}
-			if r.Kind == Beginning && id != 0 && v != Break {
-				last = last || !r.Keep
+			if r.Kind == BeginRequest && id != 0 && v != CloseConnection {
+				last = last || !r.KeepConn
 			}
-			if c.Open() != len(open) || c.Ending() != (last && len(open) == 0) {
-				t.Fatalf("%d open, want %d; ending %v", c.Open(), len(open), c.Ending())
+			if c.Open() != len(open) || c.ShouldClose() != (last && len(open) == 0) {
+				t.Fatalf("%d open, want %d; ending %v", c.Open(), len(open), c.ShouldClose())
 			}
 		}
 	})
 }
 
-// A body alone on its connection is never given up for room; beside others it holds no more than its part,
-// and waits as long as its server takes enough of it.
-func TestHold(t *testing.T) {
+// A body that is alone on its connection is never terminated. Beside other requests it buffers at most
+// MaxBuffered, and may pause for as long as its server drains it fast enough.
+func TestBackpressure(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
 		n    int
 		b    Body
-		want Hold
+		want Backpressure
 		wait time.Duration
 	}{
-		{1, Body{Room: true}, Keep, 0}, {1, Body{Held: HoldMost - 1, Others: 5, Room: true}, Keep, 0},
-		{1, Body{Held: HoldMost, Room: true, Waited: 100 * s}, Wait, 0}, {1, Body{}, Wait, 0},
-		{1, Body{Held: HoldMost, Others: 5, Room: true, Came: HoldMost}, Wait, WaitFor},
-		{1, Body{Held: HoldMost, Others: 5, Room: true, Came: HoldMost, Waited: WaitFor}, GiveWay, 0},
-		{1, Body{Held: HoldMost, Others: 5, Room: true, Came: HoldMost + 2*WaitRate, Waited: WaitFor + s}, Wait, s},
-		{1, Body{Held: HoldMost, Others: 5, Room: true, Came: HoldMost + 2*WaitRate, Waited: WaitFor + 2*s}, GiveWay, 0},
-		{1, Body{Others: 1, Waited: WaitFor}, GiveWay, 0}, {HoldMost + 1, Body{Others: 1, Room: true, Waited: s}, GiveWay, 0},
+		{1, Body{HasBudget: true}, Buffer, 0}, {1, Body{Buffered: MaxBuffered - 1, OtherRequests: 5, HasBudget: true}, Buffer, 0},
+		{1, Body{Buffered: MaxBuffered, HasBudget: true, Paused: 100 * s}, Pause, 0}, {1, Body{}, Pause, 0},
+		{1, Body{Buffered: MaxBuffered, OtherRequests: 5, HasBudget: true, Received: MaxBuffered}, Pause, MaxPause},
+		{1, Body{Buffered: MaxBuffered, OtherRequests: 5, HasBudget: true, Received: MaxBuffered, Paused: MaxPause}, Terminate, 0},
+		{1, Body{Buffered: MaxBuffered, OtherRequests: 5, HasBudget: true, Received: MaxBuffered + 2*MinDrainRate, Paused: MaxPause + s}, Pause, s},
+		{1, Body{Buffered: MaxBuffered, OtherRequests: 5, HasBudget: true, Received: MaxBuffered + 2*MinDrainRate, Paused: MaxPause + 2*s}, Terminate, 0},
+		{1, Body{OtherRequests: 1, Paused: MaxPause}, Terminate, 0}, {MaxBuffered + 1, Body{OtherRequests: 1, HasBudget: true, Paused: s}, Terminate, 0},
 	} {
-		if got, wait := HoldOf(c.n, c.b); got != c.want || wait != c.wait {
+		if got, wait := BackpressureFor(c.n, c.b); got != c.want || wait != c.wait {
 			t.Errorf("%+v: %d, %v", c, got, wait)
 		}
 	}
--- a/internal/decide/unserved/unserved.go
+++ b/internal/decide/unserved/unserved.go
@@ -40,7 +40,7 @@
 		return
 	}
 	m.pasts = slices.DeleteFunc(m.pasts, func(p past) bool {
-		return now-p.first > m.classes[p.class].GiveUpMs
+		return now-p.first > m.classes[p.class].ClientTimeoutMs
 	})
 	if len(m.pasts) < m.most {
 		m.pasts = append(m.pasts, past{class, key, first})
--- a/internal/decide/unserved/unserved_test.go
+++ b/internal/decide/unserved/unserved_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRetryCountsFromTheFirstTry(t *testing.T) {
-	set := settings.Settings{Classes: []settings.Class{{GiveUpMs: 100}, {GiveUpMs: 500}}}
+	set := settings.Settings{Classes: []settings.Class{{ClientTimeoutMs: 100}, {ClientTimeoutMs: 500}}}
 	if none := New(&set, 8); true {
 		none.Add(0, 7, 1, 2)
 		if none.Len() != 0 {
--- a/internal/decide/weights/weights.go
+++ b/internal/decide/weights/weights.go
@@ -1,33 +1,36 @@
-// Package weights lets answer times set the weights of servers that the list does not tell: of the
-// agent's own zone and of each kind of machine. No I/O, no time; Weights belong to whoever holds them.
+// Package weights adapts the weights of servers that the endpoint list does not specify to latency:
+// that of the agent's own zone and that of each machine type. It has no I/O, no clock and no locks: a
+// Weights is used by one goroutine at a time.
 package weights
 
 import "molepaddle/internal/decide/arith"
 
 const (
-	// ownZone is how much more a server of the own zone weighs at the least, ownPrice the most for
-	// the whole worth as the price of crossing.
-	ownZone, ownPrice = 1.5, 100.0
-	// leastKind is what a slow kind of machine keeps, step how fast weights follow.
-	leastKind, step = 0.25, 0.05
+	// minOwnZone is the minimum weight of servers in the own zone, relative to others; ownZonePerPrice
+	// is the maximum, per unit of the price of crossing zones (where 1 is the full value of a
+	// request).
+	minOwnZone, ownZonePerPrice = 1.5, 100.0
+	// minKindWeight is the minimum weight of a slow machine type; step is the rate at which weights
+	// adapt.
+	minKindWeight, step = 0.25, 0.05
 )
 
-// Weights are one agent's.
+// Weights holds the weights of one agent.
 type Weights struct {
-	Home  float64 // of a server in the own zone
-	zone  int
-	price float64 // of a request that crosses zones, as a part of its worth
-	kinds *[256]kind
+	OwnZone float64 // of a server in the own zone
+	zone    int
+	price   float64 // of a request that crosses zones, as a fraction of its value
+	kinds   *[256]kind
 
-	homeLat, awayLat, allLat float64
+	ownLatency, otherLatency, meanLatency float64
 }
 
-type kind struct{ lat, weight float64 }
+type kind struct{ latency, weight float64 }
 
-// New makes the weights of an agent in a zone, where crossing has a price; byKind tells whether
-// kinds of machines are to be weighed, as where the list says no weights.
+// New returns the Weights of an agent in a zone, with the given price of crossing zones; byKind
+// enables weights by machine type, for lists without weights.
 func New(zone int, price float64, byKind bool) *Weights {
-	w := &Weights{Home: ownZone, zone: zone, price: price}
+	w := &Weights{OwnZone: minOwnZone, zone: zone, price: price}
 	if byKind {
 		w.kinds = new([256]kind)
 		for i := range w.kinds {
@@ -37,34 +40,36 @@
 	return w
 }
 
-// Of is the weight of a server of a zone and a kind, beside what the list says of it.
+// Of returns the weight of a server by its zone and machine type, by which its weight in the list is
+// multiplied.
 func (w *Weights) Of(zone, kind int) float64 {
 	x := 1.0
 	if w.kinds != nil {
 		x = w.kinds[kind&255].weight
 	}
 	if zone == w.zone {
-		x *= w.Home
+		x *= w.OwnZone
 	}
 	return x
 }
 
-// Answered takes an answer time, as a part of the aim, of a server of a zone and a kind. Where
-// crossing has a price the own zone gets more in proportion, as long as it answers no slower than
-// the rest: what has more traffic than it can carry gets slower. A kind that answers later than all
-// gets less: equal shares choke the small ones (i5db14f).
-func (w *Weights) Answered(zone, kind int, x float64) {
-	lat := &w.awayLat
+// Observe records a latency, as a fraction of the latency target, of a server by its zone and machine
+// type. Where crossing zones has a price, the own zone gets a higher weight for as long as it answers
+// no slower than the others; with more traffic than it can carry it gets slower. A machine type that
+// is slower than the mean gets a lower weight: equal shares overload the small machines (i5db14f).
+func (w *Weights) Observe(zone, kind int, x float64) {
+	latency := &w.otherLatency
 	if zone == w.zone {
-		lat = &w.homeLat
+		latency = &w.ownLatency
 	}
-	*lat = arith.Mean(*lat, x, step)
-	w.Home = arith.Nudge(w.Home, step, w.homeLat > w.awayLat*(1+w.price), ownZone, max(ownPrice*w.price, ownZone))
+	*latency = arith.Mean(*latency, x, step)
+	w.OwnZone = arith.Nudge(w.OwnZone, step, w.ownLatency > w.otherLatency*(1+w.price),
+		minOwnZone, max(ownZonePerPrice*w.price, minOwnZone))
 	if w.kinds == nil {
 		return
 	}
-	w.allLat = arith.Mean(w.allLat, x, step)
+	w.meanLatency = arith.Mean(w.meanLatency, x, step)
 	k := &w.kinds[kind&255]
-	k.lat = arith.Mean(k.lat, x, step)
-	k.weight = arith.Nudge(k.weight, step, k.lat > w.allLat, leastKind, 1)
+	k.latency = arith.Mean(k.latency, x, step)
+	k.weight = arith.Nudge(k.weight, step, k.latency > w.meanLatency, minKindWeight, 1)
 }
--- a/internal/decide/worth/worth.go
+++ b/internal/decide/worth/worth.go
@@ -1,5 +1,6 @@
-// Package worth says what a request served in time adds to the objective: a part of the whole, and
-// all of the worst class if it is of it. No I/O, no time; a Tally belongs to whoever holds it.
+// Package worth computes what a request served in time adds to the objective: its part of the overall
+// result, plus that of the worst class if it belongs to it. It has no I/O, no clock and no locks: a
+// Tally is used by one goroutine at a time.
 package worth
 
 import (
@@ -9,57 +10,57 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// fade lets requests count less with age, over about 500.
+// fade is the decay per request: requests are counted over about the last 500.
 const fade = 0.998
 
-// Tally keeps the classes' shares of requests and of those served in time.
+// Tally holds, for each class, its share of the requests and of those served in time.
 type Tally struct {
-	set        *settings.Settings
-	asked, won []float64
-	worst      int     // the class served worst
-	credit     float64 // mean worth of a request
+	set              *settings.Settings
+	requests, inTime []float64
+	worstClass       int     // the class with the lowest ratio of requests served in time
+	meanValue        float64 // of a request
 }
 
-// New takes all classes for served alike.
+// New returns a Tally in which all classes are served equally well.
 func New(set *settings.Settings) *Tally {
 	t := &Tally{set: set}
-	t.Fit(make([]int, len(set.Classes)))
+	t.Remap(make([]int, len(set.Classes)))
 	return t
 }
 
-// Fit follows a change of the settings: class i has been served as class from[i] was, where that is
-// the number of one.
-func (t *Tally) Fit(from []int) {
+// Remap follows a change of the settings: class i takes over the counts of class from[i], if that is a
+// valid number.
+func (t *Tally) Remap(from []int) {
 	ones := func() []float64 { return slices.Repeat([]float64{1}, len(from)) }
-	t.asked, t.won = budget.Fit(t.asked, ones(), from), budget.Fit(t.won, ones(), from)
-	t.worst = max(slices.IndexFunc(t.set.Classes, func(c settings.Class) bool { return !c.Retired }), 0)
+	t.requests, t.inTime = budget.Remap(t.requests, ones(), from), budget.Remap(t.inTime, ones(), from)
+	t.worstClass = max(slices.IndexFunc(t.set.Classes, func(c settings.Class) bool { return !c.Retired }), 0)
 }
 
-// Asked counts a request of a class.
-func (t *Tally) Asked(class int) {
-	t.credit = 0
+// ObserveRequest counts a request of a class.
+func (t *Tally) ObserveRequest(class int) {
+	t.meanValue = 0
 	for i, c := range t.set.Classes {
-		t.asked[i] *= fade
-		t.won[i] *= fade
+		t.requests[i] *= fade
+		t.inTime[i] *= fade
 		if i == class {
-			t.asked[i] += 1 - fade
+			t.requests[i] += 1 - fade
 		}
-		t.credit += t.asked[i] * c.Credit
-		if !c.Retired && t.won[i]*t.asked[t.worst] < t.won[t.worst]*t.asked[i] {
-			t.worst = i
+		t.meanValue += t.requests[i] * c.Value
+		if !c.Retired && t.inTime[i]*t.requests[t.worstClass] < t.inTime[t.worstClass]*t.requests[i] {
+			t.worstClass = i
 		}
 	}
 }
 
-// Won counts one that was served in time.
-func (t *Tally) Won(class int) { t.won[class] += 1 - fade }
+// ObserveInTime counts a request of a class that was served in time.
+func (t *Tally) ObserveInTime(class int) { t.inTime[class] += 1 - fade }
 
-// Of is the worth of another of a class.
-func (t *Tally) Of(class int) float64 {
+// MarginalValue returns what serving another request of a class adds to the objective.
+func (t *Tally) MarginalValue(class int) float64 {
 	o := &t.set.Objective
-	v := t.set.Classes[class].Credit * (o.Whole + o.WorstWindow)
-	if class == t.worst {
-		v += o.WorstClass * t.credit / t.asked[class]
+	v := t.set.Classes[class].Value * (o.Overall + o.WorstWindow)
+	if class == t.worstClass {
+		v += o.WorstClass * t.meanValue / t.requests[class]
 	}
 	return v
 }
--- a/internal/decide/worth/worth_test.go
+++ b/internal/decide/worth/worth_test.go
@@ -6,25 +6,25 @@
 	"molepaddle/internal/decide/settings"
 )
 
-// The class that is served worst is worth more by its part of the objective, the less of it comes
-// the more, and another that is served worse takes its place.
-func TestWorstClass(t *testing.T) {
-	set := &settings.Settings{Classes: []settings.Class{{Credit: 2}, {Credit: 5}},
-		Objective: settings.Objective{Whole: 0.5, WorstWindow: 0.1, WorstClass: 0.4}}
+// A request of the class that is served worst has a higher value by its part of the objective, and the
+// worst class changes when another is served worse.
+func TestWorstClassIsWorthMore(t *testing.T) {
+	set := &settings.Settings{Classes: []settings.Class{{Value: 2}, {Value: 5}},
+		Objective: settings.Objective{Overall: 0.5, WorstWindow: 0.1, WorstClass: 0.4}}
 	tally := New(set)
 	serve := func(won int) {
 		for range 2000 {
-			tally.Asked(0)
-			tally.Asked(1)
-			tally.Won(won)
+			tally.ObserveRequest(0)
+			tally.ObserveRequest(1)
+			tally.ObserveInTime(won)
 		}
 	}
 	serve(1)
-	if a, b := tally.Of(0), tally.Of(1); a <= 0.6*2 || b != 0.6*5 {
-		t.Errorf("class 0 is starved and worth %v, class 1 %v", a, b)
+	if a, b := tally.MarginalValue(0), tally.MarginalValue(1); a <= 0.6*2 || b != 0.6*5 {
+		t.Errorf("class 0 is starved: value %v, class 1 %v", a, b)
 	}
 	serve(0)
-	if a, b := tally.Of(0), tally.Of(1); a != 0.6*2 || b <= 0.6*5 {
-		t.Errorf("class 1 is starved and worth %v, class 0 %v", b, a)
+	if a, b := tally.MarginalValue(0), tally.MarginalValue(1); a != 0.6*2 || b <= 0.6*5 {
+		t.Errorf("class 1 is starved: value %v, class 0 %v", b, a)
 	}
 }
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -207,7 +207,7 @@
 	if set := g.own.Classes(); r.Class < len(set) {
 		class = set[r.Class].Name
 	}
-	site, err := routes.First(g.table.Load().Sites(class, r.Message.Target, r.ID), func(s string) bool { return g.at(s).Ready() })
+	site, err := routes.FirstReady(g.table.Load().Sites(class, r.Message.Target, r.ID), func(s string) bool { return g.at(s).Ready() })
 	if err != nil {
 		if !g.ids.Add(r.ID) {
 			return core.Answer{Outcome: core.Repeated}
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -76,8 +76,8 @@
 		return fmt.Errorf("config: settings: limits.maxAttempts: must be from 1 to %d, is %d", mostAttempts, n)
 	}
 	for i, class := range c.Settings.Classes {
-		if class.GiveUpMs > mostGiveUpMs {
-			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v", i, mostGiveUpMs, class.GiveUpMs)
+		if class.ClientTimeoutMs > mostGiveUpMs {
+			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v", i, mostGiveUpMs, class.ClientTimeoutMs)
 		}
 	}
 	return nil
--- a/internal/process/operator/gateway.go
+++ b/internal/process/operator/gateway.go
@@ -96,7 +96,7 @@
 // Limits are those of the window of one far gateway; classes are the deployment's, in its
 // order. Classes that the file does not name share evenly what the named ones leave.
 func (g *Gateway) Limits(classes []string) (limit.Options, error) {
-	o := limit.Options{Law: g.Law, Start: g.Window, Least: g.Least, Most: g.Crossings}
+	o := limit.Options{Law: g.Law, InitialWindow: g.Window, MinWindow: g.Least, MaxWindow: g.Crossings}
 	named, left := map[string]float64{}, 1.0
 	for i, c := range g.Classes {
 		if _, twice := named[c.Name]; twice || c.Name == "" {
@@ -118,7 +118,7 @@
 		if !ok {
 			part = max(left, 0) / float64(len(classes)-len(named))
 		}
-		o.Classes = append(o.Classes, limit.Class{Part: part})
+		o.Classes = append(o.Classes, limit.Class{Share: part})
 	}
 	_, err := limit.New(o)
 	if err != nil {
@@ -194,11 +194,11 @@
 			return "gateway.listen", fmt.Errorf("no address with a port: %q", g.Listen)
 		}
 	}
-	seen, names := map[string]bool{routes.Own: true}, map[string]bool{}
+	seen, names := map[string]bool{routes.OwnSite: true}, map[string]bool{}
 	for i, s := range g.Sites {
 		at := fmt.Sprintf("gateway.site[%d]", i)
 		if s.Name == "" || seen[s.Name] {
-			return at + ".name", fmt.Errorf("missing, twice, or %q, which is this site", routes.Own)
+			return at + ".name", fmt.Errorf("missing, twice, or %q, which is this site", routes.OwnSite)
 		}
 		seen[s.Name] = true
 		if w := time.Duration(s.ProofWithin); w < 0 || w > time.Minute {
--- a/internal/process/operator/operator.go
+++ b/internal/process/operator/operator.go
@@ -90,12 +90,12 @@
 	if !f.On {
 		return nil
 	}
-	return &fleet.Options{Agents: f.Agents, Connections: f.Connections, Least: f.Least, Most: f.Most, Connects: f.Connects, Questions: f.Questions, Probes: f.Probes}
+	return &fleet.Options{Agents: f.Agents, Connections: f.Connections, MinServers: f.Least, MaxServers: f.Most, ConnectRate: f.Connects, PollRate: f.Questions, ProbeRate: f.Probes}
 }
 
 func defaultFleet() Fleet {
 	o := fleet.Default()
-	return Fleet{Agents: o.Agents, Connections: o.Connections, Least: o.Least, Most: o.Most, Connects: o.Connects, Questions: o.Questions, Probes: o.Probes,
+	return Fleet{Agents: o.Agents, Connections: o.Connections, Least: o.MinServers, Most: o.MaxServers, Connects: o.ConnectRate, Questions: o.PollRate, Probes: o.ProbeRate,
 		KeepIdle: Duration(5 * time.Second)}
 }
 
--- a/internal/process/operator/operator_test.go
+++ b/internal/process/operator/operator_test.go
@@ -99,8 +99,8 @@
 		t.Fatal(err)
 	}
 	o, err := s.Gateway.Limits([]string{"look", "order", "send"})
-	if err != nil || o.Law != limit.Gradient || o.Least != 20 || len(o.Classes) != 3 ||
-		math.Abs(o.Classes[0].Part-0.2) > 1e-9 || o.Classes[1].Part != 0.6 || math.Abs(o.Classes[2].Part-0.2) > 1e-9 {
+	if err != nil || o.Law != limit.Gradient || o.MinWindow != 20 || len(o.Classes) != 3 ||
+		math.Abs(o.Classes[0].Share-0.2) > 1e-9 || o.Classes[1].Share != 0.6 || math.Abs(o.Classes[2].Share-0.2) > 1e-9 {
 		t.Errorf("%+v, %v", o, err)
 	}
 	if _, err := s.Gateway.Limits([]string{"look"}); err == nil || err.Error() != `class[0].name: no class "order"` {
