--- a/internal/protocol/fcgifront/conn.go
+++ b/internal/protocol/fcgifront/conn.go
@@ -104,13 +104,13 @@
 		}
 		if now.After(due) {
 			q.bad = &intake.Problem{Status: http.StatusRequestTimeout, Text: "did not come whole"}
-			c.state.Over(q.id)
+			c.state.DiscardInput(q.id)
 			late = append(late, q)
 		}
 	}
 	leaving := c.f.life.Leaving()
 	if leaving {
-		c.state.Last()
+		c.state.CloseWhenIdle()
 	}
 	over := len(c.open) == 0 && !c.ending && (leaving || now.Sub(c.since) > c.f.opt.KeepIdle)
 	c.mu.Unlock()
@@ -123,8 +123,8 @@
 }
 
 // kinds are the records' types as sharing has them.
-var kinds = map[fcgi.Type]sharing.Kind{fcgi.BeginRequest: sharing.Beginning, fcgi.AbortRequest: sharing.Aborting, fcgi.Params: sharing.Param,
-	fcgi.Stdin: sharing.Input, fcgi.Data: sharing.Extra, fcgi.GetValues: sharing.Asking}
+var kinds = map[fcgi.Type]sharing.Kind{fcgi.BeginRequest: sharing.BeginRequest, fcgi.AbortRequest: sharing.AbortRequest, fcgi.Params: sharing.ParamsStream,
+	fcgi.Stdin: sharing.StdinStream, fcgi.Data: sharing.ExtraStream, fcgi.GetValues: sharing.ValuesQuery}
 
 // read reads the connection to its end, and ends what is open on it then.
 func (c *conn) read() {
@@ -140,7 +140,7 @@
 			kind = sharing.Other
 		}
 		rec := sharing.Record{ID: h.ID, Kind: kind, Length: h.Length}
-		if kind == sharing.Beginning {
+		if kind == sharing.BeginRequest {
 			var content [fcgi.HeaderLen]byte
 			raw, err := in.Content(content[:])
 			if err != nil {
@@ -150,7 +150,7 @@
 			if err != nil {
 				return
 			}
-			rec.Responder, rec.Keep = b.Role == fcgi.Responder, b.Keep
+			rec.Responder, rec.KeepConn = b.Role == fcgi.Responder, b.Keep
 		}
 		if !c.record(in, rec, h) {
 			return
@@ -173,37 +173,37 @@
 		q = &request{c: c, id: rec.ID, told: -1, began: now, last: now}
 		q.ctx, q.cancel = context.WithCancel(context.Background())
 		c.open[rec.ID] = q
-	case sharing.TakeBody, sharing.TakeParams:
+	case sharing.AppendBody, sharing.AppendParams:
 		q.last = now
-	case sharing.Asked:
+	case sharing.ParamsComplete:
 		q.began, q.last, q.asked = now, now, true // its body's time begins
-	case sharing.Whole:
+	case sharing.BodyComplete:
 		q.whole = true
 	}
 	c.mu.Unlock()
 	switch v {
-	case sharing.TakeParams:
+	case sharing.AppendParams:
 		return q.takeParams(in, rec.Length)
-	case sharing.Asked:
+	case sharing.ParamsComplete:
 		q.read()
-	case sharing.TakeBody:
+	case sharing.AppendBody:
 		return q.takeBody(in)
-	case sharing.Whole:
+	case sharing.BodyComplete:
 		q.complete()
 	case sharing.Abort:
 		q.cancel()
 		q.refuse(&intake.Problem{}) // nobody reads its answer
-	case sharing.TooLong:
+	case sharing.ParamsTooLong:
 		q.refuse(&intake.Problem{Status: http.StatusRequestHeaderFieldsTooLarge, Text: "params: above 32 KiB"})
-	case sharing.TooMany:
+	case sharing.RejectOverloaded:
 		return c.reject(rec.ID, fcgi.Overloaded)
-	case sharing.BadRole:
+	case sharing.RejectRole:
 		return c.reject(rec.ID, fcgi.UnknownRole)
-	case sharing.Values:
+	case sharing.ReplyValues:
 		return c.values(in)
-	case sharing.NotKnown:
+	case sharing.ReplyUnknownType:
 		return c.write(fcgi.AppendUnknown(nil, h.Type)) == nil
-	case sharing.Break:
+	case sharing.CloseConnection:
 		return false
 	}
 	return true
@@ -250,7 +250,7 @@
 		return false
 	}
 	c.mu.Lock()
-	ending := c.state.Ending()
+	ending := c.state.ShouldClose()
 	c.mu.Unlock()
 	if ending {
 		c.linger()
@@ -307,9 +307,9 @@
 	taken := q.taken
 	q.taken, q.over, c.since = 0, true, time.Now()
 	if c.f.life.Leaving() {
-		c.state.Last()
+		c.state.CloseWhenIdle()
 	}
-	ending := c.state.Ending()
+	ending := c.state.ShouldClose()
 	c.mu.Unlock()
 	c.f.opt.Budget.Give(taken)
 	if c.write(fcgi.AppendEnd(out, q.id, fcgi.End{App: app})) == nil && ending {
@@ -332,7 +332,7 @@
 	if q.bad == nil {
 		q.bad = bad
 	}
-	c.state.Over(q.id)
+	c.state.DiscardInput(q.id)
 	c.mu.Unlock()
 	q.fail()
 }
@@ -502,12 +502,12 @@
 		c.mu.Lock()
 		others := len(c.open) - 1
 		c.mu.Unlock()
-		hold, most := sharing.HoldOf(len(piece), sharing.Body{Held: flow.held(), Came: q.came, Waited: q.waited, Others: others, Room: room})
+		hold, most := sharing.BackpressureFor(len(piece), sharing.Body{Buffered: flow.held(), Received: q.came, Paused: q.waited, OtherRequests: others, HasBudget: room})
 		switch hold {
-		case sharing.Keep:
+		case sharing.Buffer:
 			flow.put(piece) // and gives back what was taken
 			return
-		case sharing.GiveWay:
+		case sharing.Terminate:
 			budget.Give(int64(len(piece)))
 			q.refuse(&intake.Problem{Status: http.StatusServiceUnavailable, Text: "body: its server is too slow for a shared connection"})
 			return
@@ -590,7 +590,7 @@
 		q.flow.leave()
 		q.c.mu.Lock()
 		bad := q.bad
-		q.c.state.Over(q.id) // what still comes of it is nobody's
+		q.c.state.DiscardInput(q.id) // what still comes of it is nobody's
 		q.c.mu.Unlock()
 		if bad != nil && ans.Outcome != core.Served && bad.Status != http.StatusServiceUnavailable {
 			answered = true
--- a/internal/protocol/fcgifront/front_test.go
+++ b/internal/protocol/fcgifront/front_test.go
@@ -39,14 +39,14 @@
 
 func start(t *testing.T, answer func(context.Context, *core.Request) core.Answer, change ...func(*Options)) (*Front, *fake, string, func()) {
 	t.Helper()
-	class := func(name string, effect settings.Effect) settings.Class {
-		return settings.Class{Name: name, AimMs: 20000, GiveUpMs: 30000, Effect: effect}
+	class := func(name string, effect settings.Idempotency) settings.Class {
+		return settings.Class{Name: name, LatencyTargetMs: 20000, ClientTimeoutMs: 30000, Idempotency: effect}
 	}
 	h := &fake{came: make(chan *core.Request, 1000), answer: answer}
 	o := Options{Connections: 8, Requests: 60, Budget: window.NewBudget(8 << 20), Log: slog.New(slog.DiscardHandler),
 		HeadWithin: 20 * time.Second, BodyWithin: 20 * time.Second, KeepIdle: time.Minute,
 		View: intake.View{Classes: map[string]int{"look": 0, "send": 1, "order": 2}, Settings: &settings.Settings{Classes: []settings.Class{
-			class("look", settings.Free), class("send", settings.Guarded), class("order", settings.SingleShot)}}}}
+			class("look", settings.Idempotent), class("send", settings.Deduplicated), class("order", settings.NonIdempotent)}}}}
 	for _, c := range change {
 		c(&o)
 	}
@@ -459,7 +459,7 @@
 	shared.send(begun(2, order(4, nil), "")) // shares it, and comes slowly
 	go shared.Write(whole(1, order(size, vars{"HTTP_REQUEST_ID": "slow"}), text(size)))
 	<-h.came
-	if used := f.opt.Budget.Used(); used > 2*(sharing.HoldMost+core.MaxBody+window.Size)+4096 {
+	if used := f.opt.Budget.Used(); used > 2*(sharing.MaxBuffered+core.MaxBody+window.Size)+4096 {
 		t.Errorf("%d bytes are held", used)
 	}
 	shared.send(fcgi.Append(nil, fcgi.Stdin, 2, []byte("fine")), fcgi.Append(nil, fcgi.Stdin, 2, nil))
@@ -580,7 +580,7 @@
 	f.Add(fcgi.Append(nil, fcgi.GetValues, 0, fcgi.AppendPair(nil, fcgi.MaxReqs, "")))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		budget := window.NewBudget(1 << 20)
-		class := settings.Class{Name: "order", AimMs: 1, GiveUpMs: 1, Effect: settings.SingleShot}
+		class := settings.Class{Name: "order", LatencyTargetMs: 1, ClientTimeoutMs: 1, Idempotency: settings.NonIdempotent}
 		front := New(&fake{came: make(chan *core.Request, 1000), answer: served}, Options{Connections: 1, Requests: 4, Budget: budget, Log: slog.New(slog.DiscardHandler),
 			HeadWithin: time.Minute, BodyWithin: time.Minute, KeepIdle: time.Minute,
 			View: intake.View{Classes: map[string]int{"order": 0}, Settings: &settings.Settings{Classes: []settings.Class{class}}}})
--- a/internal/protocol/gateway/far.go
+++ b/internal/protocol/gateway/far.go
@@ -125,16 +125,16 @@
 	if x == nil || x.inc != f.inc.Load() {
 		return promises.Unsure, nil
 	}
-	if x.m.State == crossing.Taken {
+	if x.m.State == crossing.Accepted {
 		x.why = linkwire.WhyBarred
 	}
-	m, act := x.m.Fence(x.m.On, crossing.Terms{})
+	m, act := x.m.Query(x.m.On, crossing.Conditions{})
 	s.act(x, act, &later)
 	switch {
-	case m == crossing.Never:
+	case m == crossing.NotStarted:
 		s.reply(x, m) // whoever asked may wait no longer: the near end hears it by its own link too
 		return promises.Never, nil
-	case m == crossing.Ended && x.ended != nil:
+	case m == crossing.Completed && x.ended != nil:
 		if r, short := reply(x.ended); short {
 			return promises.Replied, &r
 		}
@@ -347,7 +347,7 @@
 	num     uint64
 	inc     uint64 // of the far end that it was offered to
 	promise bool   // it begins once others know that it does
-	m       crossing.Far
+	m       crossing.Receiver
 	begin   time.Time // the last moment to begin in
 	lease   time.Time // nothing of it goes on after that
 	timer   *time.Timer
@@ -397,9 +397,9 @@
 		o.f.Body = o.body
 		return s.offer(c, o.f)
 	case *linkwire.Fence:
-		return s.ask(c, f.Number, &f.Lease, (*crossing.Far).Fence)
+		return s.ask(c, f.Number, &f.Lease, (*crossing.Receiver).Query)
 	case *linkwire.Cancel:
-		return s.ask(c, f.Number, &f.Lease, (*crossing.Far).Cancel)
+		return s.ask(c, f.Number, &f.Lease, (*crossing.Receiver).Cancel)
 	case *linkwire.Ack:
 		s.mu.Lock()
 		for _, n := range f.Numbers {
@@ -474,14 +474,14 @@
 		x = s.add(f.Number, &f.Lease)
 	}
 	x.begin = s.at(&f.Lease, f.Lease.Begin)
-	x.promise = known && far.opt.Promises != nil && far.opt.Settings.Classes[r.Class].Effect != settings.Free
+	x.promise = known && far.opt.Promises != nil && far.opt.Settings.Classes[r.Class].Idempotency != settings.Idempotent
 	held := int64(len(f.Body))
-	terms := crossing.Terms{Lapsed: s.lapsed(&f.Lease, x.begin), Draining: draining,
+	terms := crossing.Conditions{LeaseExpired: s.lapsed(&f.Lease, x.begin), Draining: draining,
 		Full: !known || s.running >= far.opt.Crossings || far.bytes.Load()+held > far.opt.Bytes || len(s.open) > 8*far.opt.Crossings}
 	switch { // the first that holds is told
-	case x.m.State == crossing.Barred:
+	case x.m.State == crossing.Fenced:
 		x.why = linkwire.WhyBarred
-	case terms.Lapsed:
+	case terms.LeaseExpired:
 		x.why = linkwire.WhyLapsed
 	case draining:
 		x.why = linkwire.WhyDraining
@@ -500,7 +500,7 @@
 	s.reply(x, m)
 	s.mu.Unlock()
 	switch act {
-	case crossing.Violates:
+	case crossing.ProtocolError:
 		return errors.New("a number is used twice")
 	case crossing.Run:
 		r.Deadline = sooner(r.Deadline, x.lease)
@@ -534,14 +534,14 @@
 	}
 	c := &f.opt.Settings.Classes[class]
 	method := http.MethodPost
-	if c.Effect == settings.Free {
+	if c.Idempotency == settings.Idempotent {
 		method = http.MethodGet
 	}
-	if string(c.Effect) != o.Effect || o.Method != method || c.Effect == settings.Guarded && o.Idempotency == "" || o.Tries == 0 {
+	if string(c.Idempotency) != o.Effect || o.Method != method || c.Idempotency == settings.Deduplicated && o.Idempotency == "" || o.Tries == 0 {
 		return nil, false
 	}
 	r := &core.Request{ID: o.ID, Class: class, Key: o.Key, HintMs: float64(o.HintUs) / 1000, HasHint: o.HintUs > 0, Retry: o.Retry,
-		Tries: int(o.Tries), Crossed: true, Deadline: time.Now().Add(time.Duration(c.GiveUpMs * float64(time.Millisecond))),
+		Tries: int(o.Tries), Crossed: true, Deadline: time.Now().Add(time.Duration(c.ClientTimeoutMs * float64(time.Millisecond))),
 		Message: core.Message{Method: o.Method, Target: o.Target, Host: o.Host, ContentType: o.ContentType, IdempotencyKey: o.Idempotency, Body: o.Body}}
 	if len(f.opt.Tenants) > 0 {
 		if r.Tenant, known = f.opt.Tenants[o.Tenant]; !known {
@@ -566,7 +566,7 @@
 func (x *farCrossing) mayBegin() bool {
 	if x.promise {
 		x.s.mu.Lock()
-		first := x.m.State == crossing.Taken && time.Now().Before(x.begin)
+		first := x.m.State == crossing.Accepted && time.Now().Before(x.begin)
 		x.s.mu.Unlock()
 		if first && !x.s.far.opt.Promises.Begin(x.inc, x.s.key.peer, x.s.key.inc, x.num, x.begin) {
 			return false
@@ -574,7 +574,7 @@
 	}
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
-	return x.m.Begin(crossing.Terms{Lapsed: !time.Now().Before(x.begin)})
+	return x.m.Start(crossing.Conditions{LeaseExpired: !time.Now().Before(x.begin)})
 }
 
 // done takes the core's final answer. The core's lock is held.
@@ -625,28 +625,28 @@
 		return
 	}
 	switch m {
-	case crossing.Ended:
+	case crossing.Completed:
 		c.link.Bulk(x.ended.Item())
-	case crossing.Never:
+	case crossing.NotStarted:
 		f := x.never
 		f.Number, f.Why = x.num, x.why
 		c.link.Bulk(linkwire.One(&f)) // in the order of the verdicts
-	case crossing.Begun:
+	case crossing.Started:
 		c.link.Urgent(&linkwire.Begun{Number: x.num})
-	case crossing.Unsure:
+	case crossing.Indeterminate:
 		c.link.Urgent(&linkwire.Unsure{Number: x.num})
 	}
 }
 
 // ask answers a fence or a cancel.
-func (s *session) ask(c *farConn, num uint64, l *linkwire.Lease, step func(*crossing.Far, crossing.Conn, crossing.Terms) (crossing.Msg, crossing.Act)) error {
+func (s *session) ask(c *farConn, num uint64, l *linkwire.Lease, step func(*crossing.Receiver, crossing.Conn, crossing.Conditions) (crossing.Msg, crossing.Action)) error {
 	var later todo
 	s.mu.Lock()
 	x := s.open[num]
 	if x == nil {
-		terms := crossing.Terms{Lapsed: s.lapsed(l, s.at(l, l.Life)), Full: len(s.open) > 8*s.far.opt.Crossings}
-		if terms.Lapsed || terms.Full {
-			var none crossing.Far
+		terms := crossing.Conditions{LeaseExpired: s.lapsed(l, s.at(l, l.Life)), Full: len(s.open) > 8*s.far.opt.Crossings}
+		if terms.LeaseExpired || terms.Full {
+			var none crossing.Receiver
 			m, _ := step(&none, c.id, terms)
 			s.reply(&farCrossing{s: s, num: num, m: none}, m)
 			s.mu.Unlock()
@@ -654,10 +654,10 @@
 		}
 		x = s.add(num, l)
 	}
-	if x.m.State == crossing.Unknown || x.m.State == crossing.Taken {
+	if x.m.State == crossing.Unknown || x.m.State == crossing.Accepted {
 		x.why = linkwire.WhyBarred
 	}
-	m, act := step(&x.m, c.id, crossing.Terms{})
+	m, act := step(&x.m, c.id, crossing.Conditions{})
 	s.act(x, act, &later)
 	s.reply(x, m)
 	s.mu.Unlock()
@@ -666,7 +666,7 @@
 }
 
 // act carries out what a machine asks for.
-func (s *session) act(x *farCrossing, act crossing.Act, later *todo) {
+func (s *session) act(x *farCrossing, act crossing.Action, later *todo) {
 	if act != crossing.Stop || x.stopped {
 		return
 	}
@@ -681,10 +681,10 @@
 	var later todo
 	s := x.s
 	s.mu.Lock()
-	if x.m.State == crossing.Taken {
+	if x.m.State == crossing.Accepted {
 		x.why = linkwire.WhyLapsed
 	}
-	m, act := x.m.Lapse()
+	m, act := x.m.ExpireLease()
 	s.act(x, act, &later)
 	s.reply(x, m)
 	s.forget(x)
@@ -695,7 +695,7 @@
 
 // forget forgets a crossing that is over and whose lease is.
 func (s *session) forget(x *farCrossing) {
-	if x.m.Forget(!time.Now().Before(x.lease), x.acked) && s.open[x.num] == x {
+	if x.m.CanForget(!time.Now().Before(x.lease), x.acked) && s.open[x.num] == x {
 		delete(s.open, x.num)
 		s.release(x)
 		x.timer.Stop()
@@ -717,10 +717,10 @@
 	slices.Sort(numbers)
 	for _, n := range numbers {
 		x := s.open[n]
-		if x.m.State == crossing.Taken {
+		if x.m.State == crossing.Accepted {
 			x.why = linkwire.WhyBarred
 		}
-		s.act(x, x.m.Lose(c.id, len(s.conns) == 0), &later)
+		s.act(x, x.m.ConnLost(c.id, len(s.conns) == 0), &later)
 	}
 	s.mu.Unlock()
 	later.do()
--- a/internal/protocol/gateway/near.go
+++ b/internal/protocol/gateway/near.go
@@ -93,7 +93,7 @@
 	s.inc = incarnation(o.Seed)
 	if len(o.Limits.Classes) == 0 {
 		for range o.Settings.Classes {
-			o.Limits.Classes = append(o.Limits.Classes, limit.Class{Part: 1 / float64(len(o.Settings.Classes))})
+			o.Limits.Classes = append(o.Limits.Classes, limit.Class{Share: 1 / float64(len(o.Settings.Classes))})
 		}
 	}
 	for _, p := range o.Peers {
@@ -145,14 +145,14 @@
 func nearSettings(set settings.Settings) settings.Settings {
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
-		if c := &set.Classes[i]; c.Effect == settings.Guarded && c.Group != settings.GroupAll {
-			c.Effect = settings.SingleShot
+		if c := &set.Classes[i]; c.Idempotency == settings.Deduplicated && c.DedupScope != settings.DedupAll {
+			c.Idempotency = settings.NonIdempotent
 		}
 	}
 	set.Membership = "pushed" // this program is the roster
-	set.Limits.Probing = false
-	set.Contract.ColdMs = 0 // a gateway has no cold start: its servers are its own site's to spare
-	set.Report = settings.Report{}
+	set.Limits.HealthChecks = false
+	set.Contract.SlowStartMs = 0 // a gateway has no cold start: its servers are its own site's to spare
+	set.LoadReport = settings.LoadReport{}
 	return set
 }
 
@@ -185,7 +185,7 @@
 		}
 		l.Servers = append(l.Servers, cluster.Server{Dial: p.Name, Entry: cluster.Entry{Server: roster.AddrOf(p.Name),
 			Zone: s.opt.Settings.Zone, Cell: i, Health: health, Weight: 1, SinceMs: p.since,
-			Window: float64(s.opt.Limits.Start)}})
+			Window: float64(s.opt.Limits.InitialWindow)}})
 	}
 	return l
 }
@@ -286,7 +286,7 @@
 	inc     uint64 // the far process that was met last
 	number  uint64
 	open    map[uint64]*nearCrossing
-	limits  *limit.Limits
+	limits  *limit.Limiter
 	acks    []uint64
 	lostFor string // why the last connection was lost
 }
@@ -304,7 +304,7 @@
 type nearCrossing struct {
 	p      *peer
 	num    uint64
-	m      crossing.Near
+	m      crossing.Sender
 	a      *core.Attempt
 	conn   *nearConn // it is queued at, or was offered on
 	inc    uint64
@@ -412,11 +412,11 @@
 	c.id = p.last
 	p.conns[c.id] = c
 	p.inc = c.inc
-	p.limits.Agree(int(min(c.link.Peer.Crossings, math.MaxInt32)), int64(min(c.link.Peer.Bytes, math.MaxInt64)))
+	p.limits.SetPeerLimits(int(min(c.link.Peer.Crossings, math.MaxInt32)), int64(min(c.link.Peer.Bytes, math.MaxInt64)))
 	for _, x := range p.sorted() {
 		switch {
 		case x.inc == c.inc:
-			p.say(x, x.m.Up(c.id), c)
+			p.say(x, x.m.ConnUp(c.id), c)
 		case x.m.State != crossing.Queued && x.single() && p.connOf(x.inc, nil) == nil:
 			// Another process stands there and no connection to the old one is left: no word
 			// will come. What must not run twice has failed, unless another gateway knows more. The
@@ -433,7 +433,7 @@
 func (x *nearCrossing) single() bool {
 	classes := x.p.site.opt.Settings.Classes
 	i := x.a.Request.Class
-	return i < 0 || i >= len(classes) || classes[i].Effect == settings.SingleShot
+	return i < 0 || i >= len(classes) || classes[i].Idempotency == settings.NonIdempotent
 }
 
 // sorted is what is open, in the order of the numbers.
@@ -460,7 +460,7 @@
 // say writes a machine's word about a crossing.
 func (p *peer) say(x *nearCrossing, m crossing.Msg, c *nearConn) {
 	switch m {
-	case crossing.Fence:
+	case crossing.Query:
 		c.link.Urgent(&linkwire.Fence{Number: x.num, Lease: x.lease})
 	case crossing.Cancel:
 		c.link.Urgent(&linkwire.Cancel{Number: x.num, Lease: x.lease})
@@ -475,7 +475,7 @@
 	for _, x := range p.sorted() {
 		if x.m.State == crossing.Queued {
 			if x.conn == c {
-				ends = append(ends, p.end(x, x.m.Expire(), nil, errUnreachable))
+				ends = append(ends, p.end(x, x.m.ExpireLease(), nil, errUnreachable))
 			}
 			continue
 		}
@@ -484,7 +484,7 @@
 		if other != nil {
 			id = other.id
 		}
-		p.say(x, x.m.Lose(c.id, id), other)
+		p.say(x, x.m.ConnLost(c.id, id), other)
 	}
 	p.mu.Unlock()
 	ends.tell()
@@ -501,13 +501,13 @@
 	case *linkwire.Ended:
 		switch x := p.of(f.Number, c); {
 		case uint64(len(f.Body)) < f.Size:
-			if len(c.partial) >= p.site.opt.Limits.Most {
+			if len(c.partial) >= p.site.opt.Limits.MaxWindow {
 				err = errors.New("more answers at once than crossings")
 				break
 			}
 			c.partial[f.Number] = f
 		case x != nil:
-			ends = append(ends, p.end(x, x.m.Got(crossing.Ended), f, nil))
+			ends = append(ends, p.end(x, x.m.Receive(crossing.Completed), f, nil))
 		}
 	case *linkwire.Part:
 		whole := c.partial[f.Number]
@@ -518,12 +518,12 @@
 		if whole.Body = append(whole.Body, f.Body...); uint64(len(whole.Body)) == whole.Size {
 			delete(c.partial, f.Number)
 			if x := p.of(f.Number, c); x != nil {
-				ends = append(ends, p.end(x, x.m.Got(crossing.Ended), whole, nil))
+				ends = append(ends, p.end(x, x.m.Receive(crossing.Completed), whole, nil))
 			}
 		}
 	case *linkwire.Never:
 		if x := p.of(f.Number, c); x != nil {
-			ends = append(ends, p.end(x, x.m.Got(crossing.Never), f, nil))
+			ends = append(ends, p.end(x, x.m.Receive(crossing.NotStarted), f, nil))
 		}
 	case *linkwire.Begun, *linkwire.Unsure, *linkwire.Drain:
 	case *linkwire.Verdict:
@@ -552,15 +552,15 @@
 
 // end closes a crossing by its verdict; word is the far end's, or nil, why says what else
 // ended it. The function that it returns tells the core.
-func (p *peer) end(x *nearCrossing, v crossing.Verdict, word linkwire.Frame, why error) func() {
-	if v == crossing.Open || x.over {
+func (p *peer) end(x *nearCrossing, v crossing.Outcome, word linkwire.Frame, why error) func() {
+	if v == crossing.Pending || x.over {
 		return func() {}
 	}
 	x.over = true
 	delete(p.open, x.num)
 	x.conn.out--
 	now := time.Now()
-	p.limits.Done(x.a.Request.Class, size(x.a), now.Sub(p.site.began), now.Sub(x.began), x.told(v, word, why, now))
+	p.limits.Release(x.a.Request.Class, size(x.a), now.Sub(p.site.began), now.Sub(x.began), x.told(v, word, why, now))
 	if word != nil {
 		if p.acks = append(p.acks, x.num); len(p.acks) >= ackAt {
 			p.ack()
@@ -569,13 +569,13 @@
 	var res core.Result
 	spent := func(tries uint64) int { return min(max(int(tries)-1, 0), max(x.a.Left-1, 0)) }
 	switch v {
-	case crossing.Answer:
+	case crossing.Answered:
 		f := word.(*linkwire.Ended)
 		res = core.Result{Status: policy.Error, Spent: spent(f.Tries)}
 		if f.Result == linkwire.Served {
 			res.Status, res.Body, res.ContentType = policy.OK, f.Body, f.ContentType
 		}
-	case crossing.NeverIn:
+	case crossing.NeverRan:
 		if f, ok := word.(*linkwire.Never); ok {
 			res = core.Result{Status: policy.Full, Spent: spent(f.Tries)}
 			if x.m.Cancelled {
@@ -604,23 +604,23 @@
 func size(a *core.Attempt) int64 { return int64(len(a.Request.Message.Body)) }
 
 // told is what a crossing's end tells of how much the far end bears.
-func (x *nearCrossing) told(v crossing.Verdict, word linkwire.Frame, why error, now time.Time) limit.Result {
+func (x *nearCrossing) told(v crossing.Outcome, word linkwire.Frame, why error, now time.Time) limit.Result {
 	switch f := word.(type) {
 	case *linkwire.Ended:
 		return limit.Answered
 	case *linkwire.Never:
 		if f.Why == linkwire.WhyFull {
-			return limit.Turned
+			return limit.Rejected
 		}
-		return limit.Silent // what its Balancer refuses, this end's Balancer hears of
+		return limit.Ignored // what its Balancer refuses, this end's Balancer hears of
 	}
 	late := v == crossing.Lost && errors.Is(why, context.DeadlineExceeded) && x.m.On != 0
 	if c := x.p.conns[x.conn.id]; late && c != nil {
 		if st := c.link.State(); !st.Stalled(now, x.p.site.opt.Times.StallAfter) {
-			return limit.Overdue
+			return limit.TimedOut
 		}
 	}
-	return limit.Silent // of a link that stalls or is lost the far end is not to blame
+	return limit.Ignored // of a link that stalls or is lost the far end is not to blame
 }
 
 // look settles whether the gateway can be sent to.
@@ -708,7 +708,7 @@
 		}
 		if len(able) == 0 {
 			if x.hopeless(now) {
-				ends = append(ends, p.end(x, x.m.Gone(), nil, nil))
+				ends = append(ends, p.end(x, x.m.PeerRestarted(), nil, nil))
 			}
 			continue
 		}
@@ -733,7 +733,7 @@
 func (x *nearCrossing) promised() bool {
 	classes := x.p.site.opt.Settings.Classes
 	i := x.a.Request.Class
-	return i >= 0 && i < len(classes) && classes[i].Effect != settings.Free
+	return i >= 0 && i < len(classes) && classes[i].Idempotency != settings.Idempotent
 }
 
 // verdict takes what another gateway knows of a crossing that was offered to this one.
@@ -743,17 +743,17 @@
 	if x := p.open[f.Number]; x != nil && x.inc == f.Incarnation && x.m.State != crossing.Queued {
 		switch f.Word {
 		case linkwire.VerdictNever:
-			ends = append(ends, p.end(x, x.m.Got(crossing.Never), &linkwire.Never{Number: f.Number, Why: linkwire.WhyBarred}, nil))
+			ends = append(ends, p.end(x, x.m.Receive(crossing.NotStarted), &linkwire.Never{Number: f.Number, Why: linkwire.WhyBarred}, nil))
 		case linkwire.VerdictReplied:
-			ends = append(ends, p.end(x, x.m.Got(crossing.Ended), &linkwire.Ended{Number: f.Number, Result: f.Result, Tries: 1, ContentType: f.ContentType,
+			ends = append(ends, p.end(x, x.m.Receive(crossing.Completed), &linkwire.Ended{Number: f.Number, Result: f.Result, Tries: 1, ContentType: f.ContentType,
 				Size: uint64(len(f.Body)), Body: f.Body}, nil))
 		case linkwire.VerdictOver:
 			if x.single() { // what may be repeated waits: the process may be alive, and at work on it
-				ends = append(ends, p.end(x, x.m.Gone(), nil, nil))
+				ends = append(ends, p.end(x, x.m.PeerRestarted(), nil, nil))
 			}
 		case linkwire.VerdictUnsure:
 			if x.turn >= asksOfGone && x.hopeless(time.Now()) {
-				ends = append(ends, p.end(x, x.m.Gone(), nil, nil))
+				ends = append(ends, p.end(x, x.m.PeerRestarted(), nil, nil))
 			}
 		}
 	}
@@ -798,7 +798,7 @@
 	case c == nil:
 		p.mu.Unlock()
 		return errUnreachable
-	case !p.limits.Take(a.Request.Class, size(a)):
+	case !p.limits.Acquire(a.Request.Class, size(a)):
 		p.mu.Unlock()
 		return errNoRoom
 	}
@@ -823,7 +823,7 @@
 		return
 	}
 	if cause := context.Cause(x.a.Context()); errors.Is(cause, context.DeadlineExceeded) || p.site.ctx.Err() != nil || x.m.State == crossing.Queued {
-		end = p.end(x, x.m.Expire(), nil, cause)
+		end = p.end(x, x.m.ExpireLease(), nil, cause)
 	} else {
 		// Until the far end has the word, or its lease is over, something may be under way.
 		x.tell(false)
@@ -859,7 +859,7 @@
 // expire takes that the attempt's time is up, and its lease with it.
 func (x *nearCrossing) expire() {
 	x.p.mu.Lock()
-	end := x.p.end(x, x.m.Expire(), nil, context.DeadlineExceeded)
+	end := x.p.end(x, x.m.ExpireLease(), nil, context.DeadlineExceeded)
 	x.p.mu.Unlock()
 	end()
 }
@@ -872,7 +872,7 @@
 // left for it.
 func leaseOf(a *core.Attempt, st link.State, inc uint64) (linkwire.Lease, bool) {
 	left := time.Until(a.Deadline())
-	told, _ := budget.Hop(left, st.Back)
+	told, _ := budget.NextHop(left, st.Back)
 	life := a.Deadline().Sub(st.QuoteAt) - (left - told)
 	life -= life/1000 + leaseMargin
 	begin := life
@@ -907,7 +907,7 @@
 	out, err := linkwire.Append(buf, f)
 	if err != nil || !timely || !x.a.Begin() || !x.m.Write(c.id) {
 		// Too late, withdrawn, or such that it can't cross: nothing went out.
-		end := p.end(x, x.m.Expire(), nil, err)
+		end := p.end(x, x.m.ExpireLease(), nil, err)
 		p.mu.Unlock()
 		end()
 		return buf, false
@@ -921,7 +921,7 @@
 func (x *nearCrossing) offer(l linkwire.Lease) *linkwire.Offer {
 	r, set := x.a.Request, x.p.site.opt.Settings
 	f := &linkwire.Offer{Number: x.num, Lease: l, Tries: uint64(max(x.a.Left, 1)), Class: set.Classes[r.Class].Name,
-		Effect: string(set.Classes[r.Class].Effect), Key: r.Key, Retry: r.Retry, ID: r.ID, Method: r.Message.Method,
+		Effect: string(set.Classes[r.Class].Idempotency), Key: r.Key, Retry: r.Retry, ID: r.ID, Method: r.Message.Method,
 		Target: r.Message.Target, Host: r.Message.Host, ContentType: r.Message.ContentType, Idempotency: r.Message.IdempotencyKey,
 		Size: uint64(len(r.Message.Body)), Body: r.Message.Body[:min(len(r.Message.Body), linkwire.MaxPart)]}
 	if r.Tenant >= 0 && r.Tenant < len(set.Tenants) {
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -107,7 +107,7 @@
 // What is asked about by way of another gateway and had not begun is barred. The near end hears so by its own link
 // as well: whoever asked may have given up waiting, and nobody asks again while that link is up.
 func TestOwnWordReachesTheNearEnd(t *testing.T) {
-	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Effect: settings.SingleShot, GiveUpMs: 10_000}}}
+	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Idempotency: settings.NonIdempotent, ClientTimeoutMs: 10_000}}}
 	took := idle{make(chan string, 1)}
 	far := gateway.NewFar(gateway.FarOptions{Name: "far", Core: took, Settings: set, Classes: map[string]int{"order": 0}, Peers: []string{"gw-a"}, Crossings: 10, Bytes: 1 << 20,
 		Conns: 4, PerSecond: 100, Times: gateway.DefaultTimes(), Log: slog.New(slog.DiscardHandler)})
--- a/internal/protocol/gateway/status.go
+++ b/internal/protocol/gateway/status.go
@@ -59,7 +59,7 @@
 			q.Crossings[[...]string{"queued", "offered", "asking", "closed"}[x.m.State]]++
 		}
 		for i, c := range s.opt.Settings.Classes {
-			out, turned := p.limits.OutOf(i)
+			out, turned := p.limits.ClassInFlight(i)
 			q.Classes = append(q.Classes, ClassStatus{c.Name, out, turned})
 		}
 		p.mu.Unlock()
@@ -95,6 +95,6 @@
 	return all
 }
 
-func farState(s crossing.FarState) string {
+func farState(s crossing.ReceiverState) string {
 	return [...]string{"unknown", "taken", "running", "done", "barred"}[s]
 }
--- a/internal/protocol/httpfront/front_test.go
+++ b/internal/protocol/httpfront/front_test.go
@@ -70,15 +70,15 @@
 }
 
 func newFront(places int, answer func(context.Context, *core.Request) core.Answer) (*Front, *fakeCore) {
-	class := func(name string, effect settings.Effect) settings.Class {
-		return settings.Class{Name: name, AimMs: 20000, GiveUpMs: 30000, Effect: effect}
+	class := func(name string, effect settings.Idempotency) settings.Class {
+		return settings.Class{Name: name, LatencyTargetMs: 20000, ClientTimeoutMs: 30000, Idempotency: effect}
 	}
 	f := &fakeCore{came: make(chan *core.Request, 1000), answer: answer}
 	return New(f, Options{Places: places, Kept: places, Budget: window.NewBudget(1 << 20), Streams: true, Log: slog.New(slog.DiscardHandler),
 		HeadWithin: headFor, BodyWithin: bodyFor, KeepIdle: 15 * time.Second,
 		View: View{Classes: map[string]int{"look": 0, "send": 1, "order": 2},
-			Settings: &settings.Settings{Classes: []settings.Class{class("look", settings.Free),
-				class("send", settings.Guarded), class("order", settings.SingleShot)}}}}), f
+			Settings: &settings.Settings{Classes: []settings.Class{class("look", settings.Idempotent),
+				class("send", settings.Deduplicated), class("order", settings.NonIdempotent)}}}}), f
 }
 
 // Bad input gets a 4xx that promises nothing of a retry, and reaches no backend.
--- a/internal/protocol/intake/intake.go
+++ b/internal/protocol/intake/intake.go
@@ -100,11 +100,11 @@
 	r.Class = class
 	set := &v.Settings.Classes[class]
 	want := http.MethodPost
-	if set.Effect == settings.Free {
+	if set.Idempotency == settings.Idempotent {
 		want = http.MethodGet
 	}
 	// A client may wait for longer than its class is worth anything, the agent does not.
-	p.GiveUp = time.Duration(set.GiveUpMs * float64(time.Millisecond))
+	p.GiveUp = time.Duration(set.ClientTimeoutMs * float64(time.Millisecond))
 	var err error
 	if p.Told = p.GiveUp; f.Timeout != "" || !patient {
 		p.Told, err = ParseTimeout(f.Timeout)
@@ -118,7 +118,7 @@
 		return nil, p, &Problem{http.StatusBadRequest, "Host: missing or no plain word"}
 	case !Plain(f.ID):
 		return nil, p, &Problem{http.StatusBadRequest, "Request-Id: missing or no plain word"}
-	case set.Effect == settings.Guarded && f.IdempotencyKey == "":
+	case set.Idempotency == settings.Deduplicated && f.IdempotencyKey == "":
 		return nil, p, &Problem{http.StatusBadRequest, "Idempotency-Key: missing"}
 	case err != nil:
 		return nil, p, &Problem{http.StatusBadRequest, "Request-Timeout: " + err.Error()}
--- a/internal/protocol/link/link.go
+++ b/internal/protocol/link/link.go
@@ -268,8 +268,8 @@
 		}
 		if trip := int64(mine-f.Echo) - int64(f.Held); trip >= 0 {
 			s.RTT = time.Duration(trip) * time.Microsecond
-			c.way.Learn(s.RTT)
-			s.Back = c.way.Back()
+			c.way.Observe(s.RTT)
+			s.Back = c.way.ReturnTime()
 		}
 	}
 }
--- a/internal/protocol/transport/attempt_test.go
+++ b/internal/protocol/transport/attempt_test.go
@@ -508,10 +508,10 @@
 		t.Fatal(res.Status)
 	}
 	if e.way == (budget.Margin{}) || <-got < "3590000m" {
-		t.Error("a handshake teaches", e.way.Back())
+		t.Error("a handshake teaches", e.way.ReturnTime())
 	}
 	for range 50 {
-		e.way.Learn(100 * time.Millisecond)
+		e.way.Observe(100 * time.Millisecond)
 	}
 	if res := newTry(e, http.MethodGet, 10*time.Second).run(); res.Status != policy.OK {
 		t.Fatal(res.Status)
@@ -519,7 +519,7 @@
 	text := <-got
 	left, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
 	if err != nil || left > 9950 || left < 5000 {
-		t.Errorf("told %q of 10 s with a way back of %v", text, e.way.Back())
+		t.Errorf("told %q of 10 s with a way back of %v", text, e.way.ReturnTime())
 	}
 	if res := newTry(e, http.MethodGet, 900*time.Microsecond).run(); !res.Status.NeverRan() {
 		t.Errorf("ended %d, which may have run", res.Status)
--- a/internal/protocol/transport/pool.go
+++ b/internal/protocol/transport/pool.go
@@ -123,7 +123,7 @@
 func (e *endpoint) back() time.Duration {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	return e.way.Back()
+	return e.way.ReturnTime()
 }
 
 // conn is a connection to a server, for one attempt at a time.
@@ -249,7 +249,7 @@
 		return nil, err
 	}
 	e.pool.mu.Lock()
-	e.way.Learn(time.Since(start)) // a handshake is a round trip
+	e.way.Observe(time.Since(start)) // a handshake is a round trip
 	e.pool.mu.Unlock()
 	return &conn{Conn: up, end: e}, nil
 }
--- a/internal/rig/lab/choose/choose.go
+++ b/internal/rig/lab/choose/choose.go
@@ -134,7 +134,7 @@
 // Start asks to follow the list.
 func (p *Plain) Start(now float64, out []policy.Action) []policy.Action {
 	if p.set.Membership == "on_request" {
-		out = append(out, policy.Action{Kind: policy.ActTimer, Ms: p.rng.Float64() * p.set.Contract.AskWithinMs / 8, Token: followToken})
+		out = append(out, policy.Action{Kind: policy.ActTimer, Ms: p.rng.Float64() * p.set.Contract.MaxPollIntervalMs / 8, Token: followToken})
 	}
 	return out
 }
@@ -145,7 +145,7 @@
 	switch ev.Kind {
 	case policy.EvRequest:
 		c := &p.set.Classes[ev.Class]
-		r := &Request{ID: ev.Request, Class: ev.Class, Key: ev.Key, Deadline: now + ev.LeftMs - min(p.set.RoundMs, ev.LeftMs/4), AimAt: now + c.AimMs}
+		r := &Request{ID: ev.Request, Class: ev.Class, Key: ev.Key, Deadline: now + ev.LeftMs - min(p.set.RoundMs, ev.LeftMs/4), AimAt: now + c.LatencyTargetMs}
 		p.requests[r.ID] = r
 		p.try(r)
 	case policy.EvOutcome:
@@ -194,8 +194,8 @@
 	begin := 0.0
 	if r.risky == 0 {
 		r.ranAt = p.now
-	} else if c := &p.set.Classes[r.Class]; c.Effect == settings.Guarded {
-		begin = r.ranAt + c.KeyTTLMs - 2*p.set.RoundMs - p.now
+	} else if c := &p.set.Classes[r.Class]; c.Idempotency == settings.Deduplicated {
+		begin = r.ranAt + c.DedupTTLMs - 2*p.set.RoundMs - p.now
 	}
 	r.tries = append(r.tries, t.Addr)
 	r.out, r.outAt, r.on = true, p.now, t
@@ -207,13 +207,13 @@
 // may tells whether the class allows an attempt after those before.
 func (p *Plain) may(r *Request) bool {
 	c := &p.set.Classes[r.Class]
-	return r.risky == 0 || c.Effect == settings.Free ||
-		c.Effect == settings.Guarded && c.Group == settings.GroupAll && p.now-r.ranAt <= c.KeyTTLMs-2*p.set.RoundMs
+	return r.risky == 0 || c.Idempotency == settings.Idempotent ||
+		c.Idempotency == settings.Deduplicated && c.DedupScope == settings.DedupAll && p.now-r.ranAt <= c.DedupTTLMs-2*p.set.RoundMs
 }
 
 func (p *Plain) end(r *Request) {
 	c := &p.set.Classes[r.Class]
-	if r.risky == 0 || c.Effect == settings.Free || c.Effect == settings.Guarded && c.Group == settings.GroupAll {
+	if r.risky == 0 || c.Idempotency == settings.Idempotent || c.Idempotency == settings.Deduplicated && c.DedupScope == settings.DedupAll {
 		p.out = append(p.out, policy.Action{Kind: policy.ActRefuse, Request: r.ID, Ms: p.set.Limits.MaxRetryAfterMs})
 	} else {
 		p.out = append(p.out, policy.Action{Kind: policy.ActFail, Request: r.ID})
@@ -223,7 +223,7 @@
 
 func (p *Plain) close(r *Request) {
 	r.closed = true
-	if r.out && p.set.Limits.Cancelling {
+	if r.out && p.set.Limits.Cancellation {
 		p.out = append(p.out, policy.Action{Kind: policy.ActCancel, Request: r.ID, Attempt: len(r.tries) - 1})
 	}
 	if !r.out {
@@ -298,7 +298,7 @@
 
 func (p *Plain) learn(ev *policy.Event) {
 	if ev.List == cluster.ListFailed {
-		p.out = append(p.out, policy.Action{Kind: policy.ActTimer, Ms: p.set.Contract.AskWithinMs / 8 * (0.5 + p.rng.Float64()), Token: followToken})
+		p.out = append(p.out, policy.Action{Kind: policy.ActTimer, Ms: p.set.Contract.MaxPollIntervalMs / 8 * (0.5 + p.rng.Float64()), Token: followToken})
 		return
 	}
 	if ev.List != cluster.ListDelta {
@@ -410,14 +410,14 @@
 	}
 	most := 0.0
 	for i, class := range c.set.Classes {
-		most = max(most, class.Credit/c.truth.MeanWork(i))
+		most = max(most, class.Value/c.truth.MeanWork(i))
 	}
 	class := &c.set.Classes[r.Class]
 	last, mean := r.AimAt, c.truth.MeanWork(r.Class)
 	switch {
-	case line > 0 && line+mean > (r.AimAt-now)*class.Credit/mean/most:
+	case line > 0 && line+mean > (r.AimAt-now)*class.Value/mean/most:
 		return nil
-	case line == 0 && class.LateShare > 0:
+	case line == 0 && class.LateValueFraction > 0:
 		last = r.Deadline
 	}
 	if now+at > last {
--- a/internal/rig/lab/choose/choose_test.go
+++ b/internal/rig/lab/choose/choose_test.go
@@ -21,8 +21,8 @@
 func start(t *testing.T, name string, servers int) *world {
 	t.Helper()
 	var set settings.Settings
-	for _, e := range []settings.Effect{settings.Free, settings.Guarded, settings.SingleShot} {
-		set.Classes = append(set.Classes, settings.Class{Name: string(e), AimMs: 100, GiveUpMs: 1000, Effect: e, Group: settings.GroupAll, KeyTTLMs: 300, Credit: 1})
+	for _, e := range []settings.Idempotency{settings.Idempotent, settings.Deduplicated, settings.NonIdempotent} {
+		set.Classes = append(set.Classes, settings.Class{Name: string(e), LatencyTargetMs: 100, ClientTimeoutMs: 1000, Idempotency: e, DedupScope: settings.DedupAll, DedupTTLMs: 300, Value: 1})
 	}
 	set.Membership, set.RoundMs, set.Limits.MaxAttempts = "pushed", 5, 3
 	d, err := New(name, set, 1, nil)
--- a/internal/rig/lab/model/cost_test.go
+++ b/internal/rig/lab/model/cost_test.go
@@ -21,10 +21,10 @@
 
 func decide(b *testing.B, servers, open int) {
 	var set settings.Settings
-	set.Classes = []settings.Class{{Name: "x", AimMs: 1e9, GiveUpMs: 2e9, Effect: settings.Free, Credit: 1}}
-	set.Membership, set.Weights, set.WorthBy, set.RoundMs = "pushed", "nominal", "request", 5
-	set.Limits = settings.Limits{MaxAttempts: 3, ConnectTimeoutMs: 150, KeepaliveMs: 30000, Cancelling: true}
-	set.Contract = settings.Contract{AskWithinMs: 10000, ColdFrom: 0.3, ColdMs: 8000, DrainGraceMs: 250, FallMultiple: 2.5, TipAfterMs: 1000}
+	set.Classes = []settings.Class{{Name: "x", LatencyTargetMs: 1e9, ClientTimeoutMs: 2e9, Idempotency: settings.Idempotent, Value: 1}}
+	set.Membership, set.Weights, set.ValueBy, set.RoundMs = "pushed", "nominal", "request", 5
+	set.Limits = settings.Limits{MaxAttempts: 3, ConnectTimeoutMs: 150, KeepaliveMs: 30000, Cancellation: true}
+	set.Contract = settings.Contract{MaxPollIntervalMs: 10000, SlowStartFraction: 0.3, SlowStartMs: 8000, DrainGraceMs: 250, OverloadFactor: 2.5, OverloadAfterMs: 1000}
 	set.Replicas = 1
 	bal, err := policy.New(set, 1)
 	if err != nil {
--- a/internal/rig/lab/model/estate.go
+++ b/internal/rig/lab/model/estate.go
@@ -63,7 +63,7 @@
 	a.watching = true
 	wait := 0.0
 	if a.part != nil && !w.s.Roster.Pushed {
-		wait = a.part.Follow(clockBase+w.now, clockBase+a.heard)
+		wait = a.part.PollDelay(clockBase+w.now, clockBase+a.heard)
 		a.heard = w.now + wait
 	}
 	w.after(wait+w.rosterTrip(), func() {
@@ -131,7 +131,7 @@
 		return
 	}
 	now := clockBase + w.now
-	a.part.Calm(now)
+	a.part.Tick(now)
 	entries := make([]cluster.Entry, 0, len(a.list))
 	for _, e := range a.list {
 		entries = append(entries, e)
--- a/internal/rig/lab/model/model.go
+++ b/internal/rig/lab/model/model.go
@@ -149,7 +149,7 @@
 	watching    bool
 	gone        bool
 	told        []float64 // by server: since when it wants nothing new; -1: it does
-	part        *fleet.Machine
+	part        *fleet.Planner
 	list        map[int]cluster.Entry // whole, in a fleet only
 	heard       float64
 	planGen     int
@@ -473,12 +473,12 @@
 				w.final(t, o, act.Ms)
 				w.unsend(t)
 				w.forget(t)
-				if a.part != nil && o == measure.Refused && a.part.Refused(clockBase+w.now) {
+				if a.part != nil && o == measure.Refused && a.part.ObserveRejection(clockBase+w.now) {
 					w.after(0, func() { w.replan(a) })
 				}
 			}
 		case policy.ActProbe:
-			w.later(a, a.part, func() float64 { return a.part.Probe() }, func() { w.probe(a, act.Server) })
+			w.later(a, a.part, func() float64 { return a.part.ProbeDelay() }, func() { w.probe(a, act.Server) })
 		case policy.ActTimer:
 			w.after(act.Ms, func() {
 				if !a.gone || len(a.tries) > 0 {
@@ -495,7 +495,7 @@
 	}
 }
 
-func (w *world) later(a *agent, part *fleet.Machine, wait func() float64, do func()) {
+func (w *world) later(a *agent, part *fleet.Planner, wait func() float64, do func()) {
 	if part == nil {
 		do()
 		return
--- a/internal/rig/scenario/settings.go
+++ b/internal/rig/scenario/settings.go
@@ -10,10 +10,10 @@
 var ReportNames = []string{"qps", "util", "eps"}
 
 // effects are those of the classes, by the words of a scenario.
-var effects = map[string]settings.Effect{
-	"safe":   settings.Free,
-	"keyed":  settings.Guarded,
-	"unsafe": settings.SingleShot,
+var effects = map[string]settings.Idempotency{
+	"safe":   settings.Idempotent,
+	"keyed":  settings.Deduplicated,
+	"unsafe": settings.NonIdempotent,
 }
 
 // Settings are what an agent is told of the deployment; index counts the agents.
@@ -22,42 +22,42 @@
 	for _, c := range s.Classes {
 		effect := effects[c.Effect]
 		t.Classes = append(t.Classes, settings.Class{
-			Name:      c.Name,
-			AimMs:     c.Aim.Ms(),
-			GiveUpMs:  c.GiveUp.Ms(),
-			Effect:    effect,
-			Group:     settings.GroupAll,
-			KeyTTLMs:  c.KeyWindow.Ms(),
-			Credit:    c.Worth,
-			LateShare: c.LateWorth,
+			Name:              c.Name,
+			LatencyTargetMs:   c.Aim.Ms(),
+			ClientTimeoutMs:   c.GiveUp.Ms(),
+			Idempotency:       effect,
+			DedupScope:        settings.DedupAll,
+			DedupTTLMs:        c.KeyWindow.Ms(),
+			Value:             c.Worth,
+			LateValueFraction: c.LateWorth,
 		})
 	}
 	l, r := &s.Limits, &s.Rules
 	t.Limits = settings.Limits{
-		Cancelling:       l.Cancelling,
+		Cancellation:     l.Cancelling,
 		ConnectTimeoutMs: l.Connect.Ms(),
 		KeepaliveMs:      l.KeepIdle.Ms(),
 		MaxAttempts:      l.Attempts,
 		MaxRetryAfterMs:  l.RetryAfter.Ms(),
-		Probing:          l.Probing,
+		HealthChecks:     l.Probing,
 		RetryAfter:       l.RetryAfter > 0,
 	}
 	t.Contract = settings.Contract{
-		AnswerSlackMs: 20,
-		AskWithinMs:   r.AskWithin.Ms(),
-		ColdFrom:      r.ColdFrom,
-		ColdMs:        r.Cold.Ms(),
-		DrainGraceMs:  r.DrainGrace.Ms(),
-		FallMultiple:  r.FallMultiple,
-		TipAfterMs:    r.FallAfter.Ms(),
+		AnswerSlackMs:     20,
+		MaxPollIntervalMs: r.AskWithin.Ms(),
+		SlowStartFraction: r.ColdFrom,
+		SlowStartMs:       r.Cold.Ms(),
+		DrainGraceMs:      r.DrainGrace.Ms(),
+		OverloadFactor:    r.FallMultiple,
+		OverloadAfterMs:   r.FallAfter.Ms(),
 	}
 	t.Prices = settings.Prices{CrossZone: 0.02, Waste: 0.05, LateFail: 0.03}
-	t.Objective = settings.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.3}
-	t.Report = settings.Report{How: "off"}
+	t.Objective = settings.Objective{Overall: 0.55, WorstWindow: 0.15, WorstClass: 0.3}
+	t.LoadReport = settings.LoadReport{Mode: "off"}
 	for _, k := range s.Servers {
 		t.FamilyInfo.WarmKeys = t.FamilyInfo.WarmKeys || k.KeySaves > 0
 		if k.ReportEvery > 0 {
-			t.Report = settings.Report{How: "inline", Names: ReportNames}
+			t.LoadReport = settings.LoadReport{Mode: "inline", Names: ReportNames}
 		}
 	}
 	t.Membership = "on_request"
@@ -65,8 +65,8 @@
 		t.Membership = "pushed"
 	}
 	t.Clients.MarksRetry = true
-	t.Index, t.Replicas, t.OverShareWorth = index, s.Agents(), 0.1
-	t.RoundMs, t.Weights, t.WorthBy, t.Zone = 5, s.Agent.Weights, "request", zone
+	t.Index, t.Replicas, t.OverQuotaValue = index, s.Agents(), 0.1
+	t.RoundMs, t.Weights, t.ValueBy, t.Zone = 5, s.Agent.Weights, "request", zone
 	return t
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -180,7 +180,7 @@
 
 func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
-	if err != nil || len(s.Classes) != 1 || s.Classes[0].AimMs != 5 || s.RoundMs != 5 {
+	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyTargetMs != 5 || s.RoundMs != 5 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -34,15 +34,16 @@
 // itself, within the time and among the servers that share the key's memory; all else would run twice.
 func (b *Balancer) mayRepeat(r *request, s *server) bool {
 	c := &b.set.Classes[r.class]
-	switch c.Effect {
-	case settings.Free:
+	switch c.Idempotency {
+	case settings.Idempotent:
 		return true
-	case settings.Guarded:
-		if b.now-r.ranAt > c.KeyTTLMs-2*b.set.RoundMs {
+	case settings.Deduplicated:
+		if b.now-r.ranAt > c.DedupTTLMs-2*b.set.RoundMs {
 			return false
 		}
-		return c.Group == settings.GroupAll || c.Group == settings.GroupZone && s.zone == r.ranOn.zone ||
-			c.Group == settings.GroupCell && s.cell == r.ranOn.cell
+		return c.DedupScope == settings.DedupAll ||
+			c.DedupScope == settings.DedupZone && s.zone == r.ranOn.zone ||
+			c.DedupScope == settings.DedupCell && s.cell == r.ranOn.cell
 	}
 	return false
 }
@@ -66,8 +67,8 @@
 	if r.maybeRan == 0 {
 		r.ranAt = b.now
 		r.ranOn = s
-	} else if c := &b.set.Classes[r.class]; c.Effect == settings.Guarded {
-		begin = min(begin, r.ranAt+c.KeyTTLMs-2*b.set.RoundMs) // and outlast the key's memory
+	} else if c := &b.set.Classes[r.class]; c.Idempotency == settings.Deduplicated {
+		begin = min(begin, r.ranAt+c.DedupTTLMs-2*b.set.RoundMs) // and outlast the key's memory
 	}
 	begin = max(begin-b.now, math.SmallestNonzeroFloat64)
 	r.maybeRan++
@@ -100,8 +101,8 @@
 	}
 	b.unserved.Add(r.class, r.key, r.first, b.now)
 	c := &b.set.Classes[r.class]
-	harmless := r.maybeRan == 0 || c.Effect == settings.Free ||
-		c.Effect == settings.Guarded && c.Group == settings.GroupAll
+	harmless := r.maybeRan == 0 || c.Idempotency == settings.Idempotent ||
+		c.Idempotency == settings.Deduplicated && c.DedupScope == settings.DedupAll
 	b.close(r)
 	if !harmless {
 		b.emit(Action{Kind: ActFail, Request: r.id})
@@ -120,7 +121,7 @@
 		b.queue = slices.Delete(b.queue, i, i+1)
 	}
 	for _, a := range r.attempts {
-		if !a.done && b.set.Limits.Cancelling {
+		if !a.done && b.set.Limits.Cancellation {
 			b.emit(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
 		}
 	}
@@ -161,12 +162,12 @@
 func (b *Balancer) allowAnother(r *request) {
 	rounds := len(r.attempts) / max(len(b.servers), 1)
 	r.maxAttempts++
-	r.retryAt = b.now + b.set.Classes[r.class].AimMs/MostTries*float64(rounds)
+	r.retryAt = b.now + b.set.Classes[r.class].LatencyTargetMs/MostTries*float64(rounds)
 }
 
 // closeIdle has the idle connections to a server closed where keeping them costs more than opening others.
 func (b *Balancer) closeIdle(s *server) {
-	if len(s.inFlight) == 0 && b.requestRate.HangsUp(&b.set, b.now, s.gap, len(b.servers)) {
+	if len(s.inFlight) == 0 && b.requestRate.ShouldCloseIdle(&b.set, b.now, s.gap, len(b.servers)) {
 		b.emit(Action{Kind: ActClose, Server: s.id})
 	}
 }
@@ -179,17 +180,18 @@
 	if status == NoWay || r.closed && b.now <= r.targetAt {
 		return
 	}
-	b.throttle.Ended(b.now, b.set.Classes[r.class].Earned(status == OK, b.now <= r.targetAt))
+	b.throttle.ObserveAttempt(b.now, b.set.Classes[r.class].EarnedFraction(status == OK, b.now <= r.targetAt))
 }
 
 // retryOrEnd queues an unanswered request for another server where class, time and retry budget allow, or
 // ends it.
 func (b *Balancer) retryOrEnd(r *request, why Status) {
 	c := &b.set.Classes[r.class]
-	repeatable := r.maybeRan == 0 || c.Effect == settings.Free || c.Effect == settings.Guarded
+	repeatable := r.maybeRan == 0 || c.Idempotency == settings.Idempotent ||
+		c.Idempotency == settings.Deduplicated
 	reached := why != ConnectFailed && why != NoWay // else no server had any of it
 	if !repeatable || len(r.attempts) >= r.maxAttempts || why == Moot || b.tooLate(r) ||
-		reached && !b.retries.Take(r.class, b.now, b.rng.Float64()) {
+		reached && !b.retries.Acquire(r.class, b.now, b.rng.Float64()) {
 		b.end(r)
 		return
 	}
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -137,7 +137,7 @@
 func TestRetriesHaveALatestBegin(t *testing.T) {
 	for class, want := range []bool{false, false, true} {
 		set := testSettings()
-		set.Classes[2].KeyTTLMs = 200
+		set.Classes[2].DedupTTLMs = 200
 		r := newRig(t, set, 4)
 		id, first := r.sent(class, 5)
 		r.now += 100
@@ -153,7 +153,7 @@
 		}
 		req := r.b.requests[id]
 		inTime := r.b.latestUseful(req) - r.b.minRemaining(req.attempts[1].s, req) - r.now
-		left := set.Classes[2].KeyTTLMs - 100 - 2*set.RoundMs
+		left := set.Classes[2].DedupTTLMs - 100 - 2*set.RoundMs
 		if (a.BeginMs == left) != want || !want && a.BeginMs != inTime || left >= inTime {
 			t.Errorf("class %d: to begin within %v ms, %v are left of the key's memory, %v of the time",
 				class, a.BeginMs, left, inTime)
@@ -186,7 +186,7 @@
 	set := testSettings()
 	r := newRig(t, set, 2)
 	a, b := r.b.byAddr[addr(0)], r.b.byAddr[addr(1)]
-	r.b.normalLatency.Fleet, a.latencyRatio, b.latencyRatio = 0.1, 0.1, 0.9
+	r.b.normalLatency.FleetMean, a.latencyRatio, b.latencyRatio = 0.1, 0.1, 0.9
 	b.window, a.window = 9, 9
 	need := r.b.needs.Mean(0) / 2
 	for range 20 {
@@ -203,7 +203,7 @@
 			t.Fatalf("may begin within %v ms, want %v", send.BeginMs, want)
 		}
 		r.outcome(r.id, 0, a.id, OK, need)
-		a.latencyRatio, b.latencyRatio, r.b.normalLatency.Fleet = 0.1, 0.9, 0.1
+		a.latencyRatio, b.latencyRatio, r.b.normalLatency.FleetMean = 0.1, 0.9, 0.1
 		need = r.b.needs.Mean(0) / 2
 	}
 }
@@ -248,7 +248,7 @@
 func TestUnreachedServersCostNoRetry(t *testing.T) {
 	for _, st := range []Status{ConnectFailed, NoWay, Full} {
 		r := newRig(t, testSettings(), 4)
-		for r.b.retries.Take(0, r.now, 0) {
+		for r.b.retries.Acquire(0, r.now, 0) {
 		}
 		id, s := r.sent(0, 5)
 		acts := r.outcome(id, 0, s, st, 1)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -58,7 +58,7 @@
 	minServers  int     // fewest servers to send to, by the list; 0: the list doesn't say
 	epoch       uint64  // counts changes of tiers and of the list
 	refetchedAt float64 // when the list was last fetched, ms
-	listPolling asking.Asking
+	listPolling asking.Backoff
 
 	// Requests.
 	requests   map[RequestID]*request
@@ -72,18 +72,18 @@
 	zoneSuspicion  *doubt.Groups // zones that may be out of reach
 
 	// What was learned.
-	needs         *budget.Needs // answer times, by class and hint
-	normalLatency *calm.Calm    // answer times as parts of the latency target
-	slowStart     *cold.Share   // what servers in slow start can take
+	needs         *budget.LatencyEstimates // answer times, by class and hint
+	normalLatency *calm.Baseline           // answer times as parts of the latency target
+	slowStart     *cold.Share              // what servers in slow start can take
 	weights       *weights.Weights
-	requestRate   pace.Pace
-	keys          hotkeys.Keys
+	requestRate   pace.RequestRate
+	keys          hotkeys.Splitter
 	usage         arith.FadingWeights // tenants' shares of the requests
 	classValue    *worth.Tally        // what another request of a class served in time is worth
 	unserved      unserved.Memory
 
 	// Limits on what is sent.
-	retries  *budget.Retries
+	retries  *budget.RetryBudget
 	throttle *budget.Throttle
 
 	// warm is the weight of the servers past slow start, as of warmAt and warmEpoch.
@@ -106,16 +106,16 @@
 		rng:           rand.New(rand.NewPCG(seed, arith.Mix(seed))),
 		byAddr:        map[cluster.Addr]*server{},
 		refetchedAt:   math.Inf(-1),
-		listPolling:   asking.New(set.Contract.AskWithinMs),
+		listPolling:   asking.New(set.Contract.MaxPollIntervalMs),
 		requests:      map[RequestID]*request{},
 		zoneSuspicion: doubt.New(),
-		needs:         budget.NewNeeds(nil),
+		needs:         budget.NewLatencyEstimates(nil),
 		normalLatency: calm.New(set.Replicas),
 		weights:       weights.New(set.Zone, set.Prices.CrossZone, set.Weights == "off"),
 		keys:          hotkeys.New(),
 		usage:         make([]float64, len(set.Tenants)),
 		unserved:      unserved.New(&set, maxQueued),
-		retries:       budget.NewRetries(len(set.Classes)),
+		retries:       budget.NewRetryBudget(len(set.Classes)),
 	}
 	// These keep a pointer into the settings, which Turn replaces in place.
 	b.slowStart = cold.New(&b.set.Contract)
@@ -131,17 +131,17 @@
 	b.minLatencyTarget = math.Inf(1)
 	var first []float64
 	for _, c := range set.Classes {
-		first = append(first, c.AimMs*calm.CrowdShare/2)
+		first = append(first, c.LatencyTargetMs*calm.MaxTargetFraction/2)
 		if !c.Retired {
-			b.minLatencyTarget = min(b.minLatencyTarget, c.AimMs)
+			b.minLatencyTarget = min(b.minLatencyTarget, c.LatencyTargetMs)
 		}
 	}
-	b.needs.Fit(first, from)
-	b.retries.Fit(from)
-	b.classValue.Fit(from)
+	b.needs.Remap(first, from)
+	b.retries.Remap(from)
+	b.classValue.Remap(from)
 	b.unserved.Fit(&b.set)
 	b.usage = append(b.usage, make([]float64, len(set.Tenants)-len(b.usage))...)
-	b.throttle = b.throttle.Over(throttleSpanTargets * b.minLatencyTarget)
+	b.throttle = b.throttle.WithSpan(throttleSpanTargets * b.minLatencyTarget)
 }
 
 // Start appends the first actions of a new agent to out. It is called once, before Handle.
@@ -150,7 +150,7 @@
 	b.actions = out
 	b.requestRate = pace.New(now)
 	if b.set.Membership == membershipOnRequest {
-		wait := b.listPolling.First(b.rng.Float64())
+		wait := b.listPolling.StartDelay(b.rng.Float64())
 		b.emit(Action{Kind: ActTimer, Ms: wait, Token: followToken})
 	}
 	return b.actions
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -12,11 +12,11 @@
 func TestInvalidSettings(t *testing.T) {
 	for key, spoil := range map[string]func(*settings.Settings){
 		"classes":             func(s *settings.Settings) { s.Classes = nil },
-		"classes[0].aimMs":    func(s *settings.Settings) { s.Classes[0].AimMs = math.NaN() },
-		"classes[1].giveUpMs": func(s *settings.Settings) { s.Classes[1].GiveUpMs = -1 },
-		"classes[0].effect":   func(s *settings.Settings) { s.Classes[0].Effect = "maybe" },
-		"classes[2].group":    func(s *settings.Settings) { s.Classes[2].Group = "moon" },
-		"contract.coldMs":     func(s *settings.Settings) { s.Contract.ColdMs = -5 },
+		"classes[0].aimMs":    func(s *settings.Settings) { s.Classes[0].LatencyTargetMs = math.NaN() },
+		"classes[1].giveUpMs": func(s *settings.Settings) { s.Classes[1].ClientTimeoutMs = -1 },
+		"classes[0].effect":   func(s *settings.Settings) { s.Classes[0].Idempotency = "maybe" },
+		"classes[2].group":    func(s *settings.Settings) { s.Classes[2].DedupScope = "moon" },
+		"contract.coldMs":     func(s *settings.Settings) { s.Contract.SlowStartMs = -5 },
 		"prices.handshake":    func(s *settings.Settings) { s.Prices.Handshake = math.NaN() },
 		"limits.keepaliveMs":  func(s *settings.Settings) { s.Limits.KeepaliveMs = math.Inf(1) },
 		"membershipMode":      func(s *settings.Settings) { s.Membership = "" },
@@ -31,7 +31,7 @@
 
 func ExampleBalancer() {
 	settings := settings.Settings{
-		Classes:    []settings.Class{{Name: "read", AimMs: 200, GiveUpMs: 800, Effect: settings.Free, Credit: 1}},
+		Classes:    []settings.Class{{Name: "read", LatencyTargetMs: 200, ClientTimeoutMs: 800, Idempotency: settings.Idempotent, Value: 1}},
 		Limits:     settings.Limits{MaxAttempts: 3},
 		Membership: "pushed",
 		RoundMs:    5,
@@ -109,7 +109,7 @@
 		}
 	}
 	latency, needs := r.b.normalLatency, r.b.needs
-	x := latency.Fleet + needs.MeanHint + needs.Of(0, 5) + latency.Least + needs.Mean(0)
+	x := latency.FleetMean + needs.MeanHint + needs.Expected(0, 5) + latency.Unloaded + needs.Mean(0)
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		t.Errorf("odd values poisoned the means: %v", x)
 	}
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -64,7 +64,7 @@
 		{0, false, 3, ActRefuse}, {2, false, 3, ActRefuse}, {2, true, 3, ActFail},
 	} {
 		set := testSettings()
-		set.Classes[2].Group = settings.GroupCell
+		set.Classes[2].DedupScope = settings.DedupCell
 		r := newRig(t, set, 5)
 		id, a := r.coming(c.class)
 		st := ConnectFailed
@@ -133,13 +133,13 @@
 	mean := r.b.needs.Mean(1)
 	next := set
 	next.Classes = []settings.Class{set.Classes[0], set.Classes[1]}
-	next.Classes[1].Effect = settings.Free
+	next.Classes[1].Idempotency = settings.Idempotent
 	next.Limits.MaxAttempts = 2
 	table, err := table.Next(next, time.Unix(1e9, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.b.UpdateSettings(table.Settings, table.From)
+	r.b.UpdateSettings(table.Settings, table.PreviousClass)
 	number := table.Classes["once"]
 	if number == 1 || r.b.needs.Mean(number) != mean || r.b.needs.Mean(1) != mean {
 		t.Errorf("class %d takes %v, was %v", number, r.b.needs.Mean(number), mean)
@@ -197,7 +197,7 @@
 		r.outcome(id, 0, s, OK, 250)
 	}
 	r.now += 1000
-	if _, a := r.coming(1); a.BeginMs < testSettings().Classes[1].AimMs {
+	if _, a := r.coming(1); a.BeginMs < testSettings().Classes[1].LatencyTargetMs {
 		t.Errorf("it has to begin within %v ms", a.BeginMs)
 	}
 }
@@ -225,7 +225,7 @@
 			}
 			acts = r.tick(5)
 		}
-		if aim := testSettings().Classes[0].AimMs; refused < aim/2 || refused > aim || asked < 4 || asked > MostTries {
+		if aim := testSettings().Classes[0].LatencyTargetMs; refused < aim/2 || refused > aim || asked < 4 || asked > MostTries {
 			t.Errorf("%d servers: asked %d times, refused after %v ms of %v", servers, asked, refused, aim)
 		}
 	}
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -24,28 +24,28 @@
 		return true
 	case b.warmWeight() > 0:
 		return false
-	case !b.slowStart.Known():
-		v := cold.Unmeasured{
-			Out:           len(s.inFlight),
-			Window:        s.window,
-			Draw:          s.slowStartCredit,
-			Rtt:           s.rtt,
-			Mean:          b.needs.Mean(r.class),
-			LatencyTarget: b.set.Classes[r.class].AimMs,
-			Replicas:      b.set.Replicas,
-			Listed:        b.now - s.since,
-			Sent:          b.now - s.sentAt,
-			New:           s.sentAt == 0,
+	case !b.slowStart.HasBaseline():
+		v := cold.UnmeasuredServer{
+			InFlight:        len(s.inFlight),
+			Window:          s.window,
+			Jitter:          s.slowStartCredit,
+			MeanLatency:     s.rtt,
+			ExpectedLatency: b.needs.Mean(r.class),
+			LatencyTarget:   b.set.Classes[r.class].LatencyTargetMs,
+			Replicas:        b.set.Replicas,
+			SinceListed:     b.now - s.since,
+			SinceSent:       b.now - s.sentAt,
+			Untried:         s.sentAt == 0,
 		}
-		return v.Room()
+		return v.HasCapacity()
 	}
-	return b.slowStart.Earned(b.now-s.sentAt, s.weight, b.ramp(s)) >= b.cost(r)
+	return b.slowStart.WorkBudget(b.now-s.sentAt, s.weight, b.ramp(s)) >= b.cost(r)
 }
 
 // ramp returns the part of its capacity, 0 to 1, that a server has by contract in slow start; 1 after it.
 func (b *Balancer) ramp(s *server) float64 {
 	age := b.now - s.startedAt
-	return cold.Ramp(&b.set.Contract, age, s.startedAt, s.listedAt)
+	return cold.CapacityFraction(&b.set.Contract, age, s.startedAt, s.listedAt)
 }
 
 // earnSlowStartCredit takes the work that a server past slow start has served, and gives those in slow start
@@ -56,10 +56,10 @@
 		return
 	}
 	warm := b.warmWeight() * float64(b.subset()) / float64(len(b.servers)) // of its subset
-	b.slowStart.Served(b.now, cost, warm)
+	b.slowStart.ObserveServed(b.now, cost, warm)
 	for _, o := range b.servers {
 		if ramp := b.ramp(o); ramp < 1 && warm > 0 {
-			earned := cost * b.slowStart.Of(ramp) * o.weight / warm
+			earned := cost * b.slowStart.Fraction(ramp) * o.weight / warm
 			o.slowStartCredit = min(o.slowStartCredit+earned, maxSlowStartCredit)
 		}
 	}
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -24,7 +24,7 @@
 	}
 	even := float64(all) / 4
 	// Its answers are quick, so it earns more than at first: half of what would push it over.
-	if limit := even * 0.36 * r.b.set.Contract.FallMultiple / 2 * 1.1; float64(got) > limit || got == 0 {
+	if limit := even * 0.36 * r.b.set.Contract.OverloadFactor / 2 * 1.1; float64(got) > limit || got == 0 {
 		t.Errorf("a cold server got %d of %d sends; want some, and at most %.0f", got, all, limit)
 	}
 }
@@ -74,7 +74,7 @@
 		}
 	}
 	c := testSettings().Contract
-	share := float64(agents*each) / 9 * c.ColdFrom * c.FallMultiple / 4
+	share := float64(agents*each) / 9 * c.SlowStartFraction * c.OverloadFactor / 4
 	if float64(got) > share*1.3 || float64(got) < share*0.2 {
 		t.Errorf("%d agents sent a cold server %d requests, want up to about %.0f", agents, got, share)
 	}
@@ -181,7 +181,7 @@
 				}
 			}
 		}
-		expect := 300 * calm.CrowdShare / 2 // the mean answer time that is taken for granted at first
+		expect := 300 * calm.MaxTargetFraction / 2 // the mean answer time that is taken for granted at first
 		if most := 3 * servers * 1000 / expect * 2; sent == 0 || float64(sent) > most {
 			t.Errorf("%d agents: %d sent in a second, want some and at most %.0f", agents, sent, most)
 		}
@@ -232,7 +232,7 @@
 			r.do(Event{Kind: EvDropped, Request: id})
 			r.outcome(id, 0, addr(1), Cancelled, 1)
 		}
-		if most := int(3000/cmp.Or(rtt/2, set.Classes[0].AimMs)) + 1; sent > most || sent < most/3 {
+		if most := int(3000/cmp.Or(rtt/2, set.Classes[0].LatencyTargetMs)) + 1; sent > most || sent < most/3 {
 			t.Errorf("answer time %v: %d sent in 3 s, at most %d", rtt, sent, most)
 		}
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -63,7 +63,7 @@
 
 // refetch asks for the whole list, but seldom: every call loads discovery.
 func (b *Balancer) refetch() {
-	if b.now-b.refetchedAt >= max(b.set.Contract.AskWithinMs, minRefetchMs) {
+	if b.now-b.refetchedAt >= max(b.set.Contract.MaxPollIntervalMs, minRefetchMs) {
 		b.refetchedAt = b.now
 		b.emit(Action{Kind: ActFetch})
 	}
@@ -73,12 +73,12 @@
 func (b *Balancer) onList(ev *Event) {
 	if ev.List == cluster.ListFailed {
 		if b.set.Membership == membershipOnRequest {
-			wait := b.listPolling.Failed(b.rng.Float64())
+			wait := b.listPolling.RetryDelay(b.rng.Float64())
 			b.emit(Action{Kind: ActTimer, Ms: wait, Token: followToken})
 		}
 		return
 	}
-	b.listPolling.Received()
+	b.listPolling.Reset()
 	b.epoch++
 	b.minServers = max(ev.Least, 0)
 	listed := map[cluster.Addr]bool{}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	first := find(b.Start(0, nil), ActTimer)
-	if first == nil || first.Ms > set.Contract.AskWithinMs {
+	if first == nil || first.Ms > set.Contract.MaxPollIntervalMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
 	if find(b.Handle(first.Ms, &Event{Kind: EvTimer, Token: first.Token}, nil), ActFollow) == nil {
@@ -57,7 +57,7 @@
 	}
 	for range 8 {
 		again := find(b.Handle(first.Ms, &Event{Kind: EvList, List: cluster.ListFailed}, nil), ActTimer)
-		if again == nil || again.Ms > set.Contract.AskWithinMs {
+		if again == nil || again.Ms > set.Contract.MaxPollIntervalMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
 		}
 	}
--- a/policy/passive_health.go
+++ b/policy/passive_health.go
@@ -75,8 +75,8 @@
 			break
 		}
 		// One that answered others meanwhile is not to blame; it counts as slow.
-		b.needs.Took(a.r.hint, rtt)
-		b.learnLatency(s, b.needs.Part(a.r.hint, rtt/b.set.Classes[a.r.class].AimMs))
+		b.needs.ObserveHinted(a.r.hint, rtt)
+		b.learnLatency(s, b.needs.NormalizedLatency(a.r.hint, rtt/b.set.Classes[a.r.class].LatencyTargetMs))
 	case Full:
 		s.lastContact = b.now
 		b.shrinkWindow(s, rejectedWindowFactor, leastWindow)
@@ -87,20 +87,20 @@
 func (b *Balancer) recordServed(a *attempt, rtt float64) {
 	s, r := a.s, a.r
 	s.failureShare -= failureSmoothing * s.failureShare
-	b.needs.Took(r.hint, rtt)
+	b.needs.ObserveHinted(r.hint, rtt)
 	b.recordContact(s)
 	s.rtt = arith.Mean(s.rtt, rtt, smoothing)
 	c := &b.set.Classes[r.class]
-	b.needs.Served(r.class, rtt, maxAnswerTargets*c.AimMs)
+	b.needs.ObserveServed(r.class, rtt, maxAnswerTargets*c.LatencyTargetMs)
 	if b.now <= r.targetAt {
-		b.classValue.Won(r.class)
+		b.classValue.ObserveInTime(r.class)
 	}
-	ratio := b.needs.Part(r.hint, rtt/c.AimMs)
-	b.normalLatency.Answered(ratio, a.alone)
+	ratio := b.needs.NormalizedLatency(r.hint, rtt/c.LatencyTargetMs)
+	b.normalLatency.Observe(ratio, a.alone)
 	b.learnLatency(s, ratio)
-	limit := b.normalLatency.Limit(b.ramp(s))
+	limit := b.normalLatency.OverloadLimit(b.ramp(s))
 	if b.ramp(s) < 1 {
-		b.slowStart.Answered(ratio < limit)
+		b.slowStart.Observe(ratio < limit)
 	}
 	if s.state == Unhealthy && a.sentAt < s.since && !s.unresponsive {
 		return // sent before the failure: says nothing of what came after
@@ -134,7 +134,7 @@
 			least = minWindow
 		}
 		b.shrinkWindow(s, slowWindowFactor, least)
-	case s.latencyRatio < limit && float64(len(s.inFlight)+2) > s.window && b.normalLatency.Learnt():
+	case s.latencyRatio < limit && float64(len(s.inFlight)+2) > s.window && b.normalLatency.Ready():
 		s.window += min(1/s.window, s.window)
 	}
 }
@@ -142,7 +142,7 @@
 // recordContact takes that a server answered. One that no connect reached for long may be a new process that
 // isn't listed yet: it is in slow start as if it had started now. Time-outs alone don't tell (i228a10).
 func (b *Balancer) recordContact(s *server) {
-	if s.connectFailedAt > 0 && b.now-s.connectFailedAt > b.set.Contract.TipAfterMs {
+	if s.connectFailedAt > 0 && b.now-s.connectFailedAt > b.set.Contract.OverloadAfterMs {
 		s.startedAt = b.now
 		s.window = restartWindow
 		s.slowStartCredit = b.rng.Float64()
@@ -155,7 +155,7 @@
 func (b *Balancer) learnLatency(s *server, ratio float64) {
 	s.samples++
 	s.latencyRatio = arith.Mean(s.latencyRatio, ratio, max(smoothing, 1/float64(s.samples)))
-	b.weights.Answered(s.zone, s.kind, ratio)
+	b.weights.Observe(s.zone, s.kind, ratio)
 }
 
 // shrinkWindow shrinks a server's window by a factor, to least at the most.
@@ -213,8 +213,8 @@
 		return 0
 	}
 	hold := b.minLatencyTarget
-	if !b.set.Limits.Probing {
-		hold = max(hold, b.requestRate.Round(b.set.Limits.KeepaliveMs, b.subset()))
+	if !b.set.Limits.HealthChecks {
+		hold = max(hold, b.requestRate.RoundTime(b.set.Limits.KeepaliveMs, b.subset()))
 	}
 	return hold * float64(int(1)<<max(s.strikes-1, 0))
 }
@@ -261,7 +261,7 @@
 			b.refetch()
 		}
 		pending := s.state == UnhealthyPending && s.usable
-		if pending && b.set.Limits.Probing && !s.probing && b.probesInFlight < maxProbes {
+		if pending && b.set.Limits.HealthChecks && !s.probing && b.probesInFlight < maxProbes {
 			s.probing = true
 			b.probesInFlight++
 			b.emit(Action{Kind: ActProbe, Server: s.id})
--- a/policy/passive_health_test.go
+++ b/policy/passive_health_test.go
@@ -66,7 +66,7 @@
 
 func TestProbesValidateWhereAllowed(t *testing.T) {
 	set := testSettings()
-	set.Limits.Probing = true
+	set.Limits.HealthChecks = true
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
 	r.outcome(id, 0, s, Error, 5)
@@ -106,9 +106,9 @@
 			r.now += rtt
 			r.outcome(id, 0, s, OK, rtt)
 		}
-		if grown := r.b.normalLatency.Least > 0.15; grown != (agents == 1) {
+		if grown := r.b.normalLatency.Unloaded > 0.15; grown != (agents == 1) {
 			t.Errorf("%d agents: after 2400 answers in 0.2 of the target, one at a time, normal latency is %.3f",
-				agents, r.b.normalLatency.Least)
+				agents, r.b.normalLatency.Unloaded)
 		}
 	}
 }
@@ -120,19 +120,19 @@
 		set := testSettings()
 		set.Replicas = agents
 		r := newRig(t, set, 1)
-		r.b.normalLatency.Least = least
-		return r.b.normalLatency.Limit(1)
+		r.b.normalLatency.Unloaded = least
+		return r.b.normalLatency.OverloadLimit(1)
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
 		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
 	}
-	if l := limit(1, 0.9); l != calm.CrowdShare {
-		t.Errorf("limit %.2f with a high calm, want %.2f", l, calm.CrowdShare)
+	if l := limit(1, 0.9); l != calm.MaxTargetFraction {
+		t.Errorf("limit %.2f with a high calm, want %.2f", l, calm.MaxTargetFraction)
 	}
 	r := newRig(t, testSettings(), 1)
 	r.list(cluster.ListDelta, cluster.Entry{Server: addr(1), Health: cluster.Ready, Weight: 1, SinceMs: r.now})
-	r.b.normalLatency.Least = 0.2
-	limitOf := func(i int) float64 { return r.b.normalLatency.Limit(r.b.ramp(r.b.byAddr[addr(i)])) }
+	r.b.normalLatency.Unloaded = 0.2
+	limitOf := func(i int) float64 { return r.b.normalLatency.OverloadLimit(r.b.ramp(r.b.byAddr[addr(i)])) }
 	if starting, started := limitOf(1), limitOf(0); starting < 2*started {
 		t.Errorf("limit %.2f of a starting server, %.2f of a started one", starting, started)
 	}
@@ -146,8 +146,8 @@
 		r.now += 270
 		r.outcome(id, 0, s, OK, 270)
 	}
-	if r.b.normalLatency.Least > calm.CrowdShare/2 {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.normalLatency.Least)
+	if r.b.normalLatency.Unloaded > calm.MaxTargetFraction/2 {
+		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.normalLatency.Unloaded)
 	}
 }
 
@@ -156,7 +156,7 @@
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(0, 9)
 	r.outcome(id, 0, s, ConnectFailed, 100)
-	r.now += r.b.set.Contract.TipAfterMs + 500
+	r.now += r.b.set.Contract.OverloadAfterMs + 500
 	for key := uint64(9); ; key++ {
 		id, to := r.sent(0, 9)
 		r.now += 20
@@ -404,7 +404,7 @@
 func TestQuietAgentHoldsAFailedServerLonger(t *testing.T) {
 	for _, probing := range []bool{false, true} {
 		set := testSettings()
-		set.Limits.KeepaliveMs, set.Limits.Probing = 10000, probing
+		set.Limits.KeepaliveMs, set.Limits.HealthChecks = 10000, probing
 		r := newRig(t, set, 20)
 		var s cluster.Addr
 		for range 60 {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -49,22 +49,22 @@
 
 func randomSettings(rng *rand.Rand) settings.Settings {
 	s := testSettings()
-	s.Limits.ParallelTries = rng.IntN(2) == 0
-	s.Limits.Cancelling = rng.IntN(2) == 0
-	s.Limits.Probing = rng.IntN(2) == 0
+	s.Limits.HedgedRequests = rng.IntN(2) == 0
+	s.Limits.Cancellation = rng.IntN(2) == 0
+	s.Limits.HealthChecks = rng.IntN(2) == 0
 	s.Limits.MaxAttempts = 1 + rng.IntN(5)
-	s.Classes[2].Group = []settings.Group{settings.GroupAll, settings.GroupZone, settings.GroupCell}[rng.IntN(3)]
-	s.Classes[2].KeyTTLMs = 100 + 900*rng.Float64()
+	s.Classes[2].DedupScope = []settings.DedupScope{settings.DedupAll, settings.DedupZone, settings.DedupCell}[rng.IntN(3)]
+	s.Classes[2].DedupTTLMs = 100 + 900*rng.Float64()
 	for i := range s.Classes {
-		s.Classes[i].AimMs = 50 + 400*rng.Float64()
-		s.Classes[i].LateShare = []float64{0, 0.2}[rng.IntN(2)]
+		s.Classes[i].LatencyTargetMs = 50 + 400*rng.Float64()
+		s.Classes[i].LateValueFraction = []float64{0, 0.2}[rng.IntN(2)]
 	}
 	if rng.IntN(2) == 0 {
 		s.Membership = "on_request"
 	}
 	if rng.IntN(2) == 0 {
-		s.Tenants = []settings.Tenant{{Name: "a", Portion: 0.7}, {Name: "b", Portion: 0.3}}
-		s.OverShareWorth = 0.1
+		s.Tenants = []settings.Tenant{{Name: "a", QuotaShare: 0.7}, {Name: "b", QuotaShare: 0.3}}
+		s.OverQuotaValue = 0.1
 	}
 	s.Clients.MarksRetry = rng.IntN(2) == 0
 	return s
@@ -96,19 +96,19 @@
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := w.set.Classes[r.class]
-			unsafe := c.Effect == settings.SingleShot || c.Effect == settings.Guarded && c.Group != settings.GroupAll
+			unsafe := c.Idempotency == settings.NonIdempotent || c.Idempotency == settings.Deduplicated && c.DedupScope != settings.DedupAll
 			if a.Kind == ActRefuse && r.mayHaveRun() && unsafe {
-				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
+				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Idempotency)
 			}
 		case ActCancel:
-			if !w.set.Limits.Cancelling {
+			if !w.set.Limits.Cancellation {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
 			if try := r.tries[a.Attempt]; !try.ended {
 				try.status, try.endsAt = Cancelled, w.now+5
 			}
 		case ActProbe:
-			if !w.set.Limits.Probing {
+			if !w.set.Limits.HealthChecks {
 				w.t.Fatal("probed where it is not allowed")
 			}
 		case ActTimer:
@@ -133,7 +133,7 @@
 		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
 	}
 	for _, t := range r.tries {
-		if !t.ended && !w.set.Limits.ParallelTries {
+		if !t.ended && !w.set.Limits.HedgedRequests {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
 		if t.ended && t.status.NeverRan() {
@@ -141,12 +141,12 @@
 		}
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
-		case c.Effect == settings.SingleShot:
+		case c.Idempotency == settings.NonIdempotent:
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
-		case c.Effect == settings.Guarded && w.now-t.sentAt > c.KeyTTLMs:
+		case c.Idempotency == settings.Deduplicated && w.now-t.sentAt > c.DedupTTLMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
-		case c.Effect == settings.Guarded &&
-			(c.Group == settings.GroupZone && x.Zone != y.Zone || c.Group == settings.GroupCell && x.Cell != y.Cell):
+		case c.Idempotency == settings.Deduplicated &&
+			(c.DedupScope == settings.DedupZone && x.Zone != y.Zone || c.DedupScope == settings.DedupCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -9,19 +9,19 @@
 // i7e1314: the class of least value was starved though the worst served class counts.
 func TestWorstServedClassCountsInTheQueue(t *testing.T) {
 	set := testSettings()
-	set.Objective = settings.Objective{Whole: 0.5, WorstClass: 0.5}
+	set.Objective = settings.Objective{Overall: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
 	once, free := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
-		r.b.classValue.Asked(0)
-		r.b.classValue.Asked(1)
-		r.b.classValue.Won(1)
+		r.b.classValue.ObserveRequest(0)
+		r.b.classValue.ObserveRequest(1)
+		r.b.classValue.ObserveInTime(1)
 	}
 	with := r.b.value(free) / r.b.value(once)
 	for range 2000 { // and now the other way round
-		r.b.classValue.Asked(0)
-		r.b.classValue.Asked(1)
-		r.b.classValue.Won(0)
+		r.b.classValue.ObserveRequest(0)
+		r.b.classValue.ObserveRequest(1)
+		r.b.classValue.ObserveInTime(0)
 	}
 	if without := r.b.value(free) / r.b.value(once); with <= without {
 		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
--- a/policy/request.go
+++ b/policy/request.go
@@ -72,14 +72,14 @@
 		return
 	}
 	r := b.newRequest(ev)
-	b.needs.Asked(r.hint)
+	b.needs.ObserveHint(r.hint)
 	b.startClock(r, ev.LeftMs, ev.Retry)
 	r.hash = b.affinityHash(r.key)
 	b.requests[r.id] = r
-	b.requestRate.Asked(b.now, b.set.Limits.KeepaliveMs)
+	b.requestRate.ObserveRequest(b.now, b.set.Limits.KeepaliveMs)
 	b.usage.Add(r.tenant, usageDecay)
-	b.classValue.Asked(r.class)
-	b.retries.Asked(r.class, b.now)
+	b.classValue.ObserveRequest(r.class)
+	b.retries.ObserveRequest(r.class, b.now)
 	b.revalidate()
 	b.queue = append(b.queue, r)
 	if b.tooLate(r) || b.hintTooLong(r) {
@@ -106,8 +106,8 @@
 // hintTooLong tells whether a request's hinted work can't be done in time anywhere, and an answer after its
 // target earns nothing: it would only keep others waiting.
 func (b *Balancer) hintTooLong(r *request) bool {
-	return r.hint > 0 && b.set.Classes[r.class].LateShare == 0 &&
-		minHintedTimeShare*b.needs.Hinted(r.hint) > r.targetAt-b.now
+	return r.hint > 0 && b.set.Classes[r.class].LateValueFraction == 0 &&
+		minHintedTimeShare*b.needs.HintedLatency(r.hint) > r.targetAt-b.now
 }
 
 // onStarted handles that a streamed answer has begun.
@@ -169,7 +169,7 @@
 	if retry {
 		r.first = b.unserved.Recall(r.class, r.key, r.arrived)
 	}
-	r.targetAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
+	r.targetAt = min(r.first+c.LatencyTargetMs+c.LatencyTargetStretch*r.hint, r.deadline)
 }
 
 // beginWork counts an attempt among those that its server works on.
@@ -189,15 +189,15 @@
 // value returns what a unit of server time spent on the request earns.
 func (b *Balancer) value(r *request) float64 {
 	c := &b.set.Classes[r.class]
-	v := b.classValue.Of(r.class)
+	v := b.classValue.MarginalValue(r.class)
 	if b.now+b.expectedAnswerMs(r) > r.targetAt {
-		v *= c.LateShare + b.set.Prices.LateFail
+		v *= c.LateValueFraction + b.set.Prices.LateFail
 	}
 	// A tenant that sends more than its portion of the requests.
-	if t := r.tenant; t >= 0 && t < len(b.usage) && b.usage[t] > overShareFactor*b.set.Tenants[t].Portion {
-		v *= b.set.OverShareWorth
+	if t := r.tenant; t >= 0 && t < len(b.usage) && b.usage[t] > overShareFactor*b.set.Tenants[t].QuotaShare {
+		v *= b.set.OverQuotaValue
 	}
-	if b.set.WorthBy != "work" {
+	if b.set.ValueBy != "work" {
 		v /= b.needs.Mean(r.class)
 	}
 	return v
@@ -205,7 +205,7 @@
 
 // latestUseful returns until when an answer to the request earns something, ms.
 func (b *Balancer) latestUseful(r *request) float64 {
-	if b.set.Classes[r.class].LateShare > 0 {
+	if b.set.Classes[r.class].LateValueFraction > 0 {
 		return r.deadline
 	}
 	return r.targetAt
@@ -223,12 +223,12 @@
 	if r.bodyPending {
 		return 0 // its time begins when its body is complete
 	}
-	slow := max(s.latencyRatio/max(b.normalLatency.Fleet, s.latencyRatio/maxSlowdown, 1e-9), 1)
+	slow := max(s.latencyRatio/max(b.normalLatency.FleetMean, s.latencyRatio/maxSlowdown, 1e-9), 1)
 	return slow * b.expectedAnswerMs(r) / 2
 }
 
 // expectedAnswerMs returns how long an answer to the request takes on the mean, ms.
-func (b *Balancer) expectedAnswerMs(r *request) float64 { return b.needs.Of(r.class, r.hint) }
+func (b *Balancer) expectedAnswerMs(r *request) float64 { return b.needs.Expected(r.class, r.hint) }
 
 // cost returns the work of a request in units of the mean one, and never less: hints are rough (i299663).
 func (b *Balancer) cost(r *request) float64 {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -19,7 +19,7 @@
 	// hash, up to its whole weight: its credit is what limits it.
 	slowStartHashFactor = 4
 	// minSubset is the smallest number of servers that an agent sends to.
-	minSubset = pace.LeastServers
+	minSubset = pace.MinServers
 )
 
 // Cap returns how many attempts in flight bound a backend, as in consistent hashing with bounded loads: c
@@ -40,11 +40,11 @@
 // tierOf returns the server's tier for the request, 0 the best.
 func (b *Balancer) tierOf(s *server, r *request) int {
 	// What must not run twice does not check a server, or a zone, while others are healthy.
-	once := b.set.Classes[r.class].Effect == settings.SingleShot
+	once := b.set.Classes[r.class].Idempotency == settings.NonIdempotent
 	pendingTimeout := 0.0 // without probes the first send checks
 	if once {
 		pendingTimeout = math.Inf(1)
-	} else if b.set.Limits.Probing {
+	} else if b.set.Limits.HealthChecks {
 		pendingTimeout = b.minLatencyTarget
 	}
 	tier := s.Tier(b.now, pendingTimeout)
@@ -127,7 +127,7 @@
 
 // subset returns how many servers of a tier the agent sends to.
 func (b *Balancer) subset() int {
-	return b.requestRate.Subset(&b.set, b.minServers, len(b.servers))
+	return b.requestRate.SubsetSize(&b.set, b.minServers, len(b.servers))
 }
 
 // waitsForAffinity tells whether the request still waits for its key's servers.
@@ -147,7 +147,7 @@
 
 // score orders servers by weighted rendezvous hashing: every agent of a zone finds the same order.
 func (b *Balancer) score(r *request, s *server) float64 {
-	starting := min(slowStartHashFactor*b.slowStart.Of(b.ramp(s)), 1)
+	starting := min(slowStartHashFactor*b.slowStart.Fraction(b.ramp(s)), 1)
 	return Rendezvous(r.hash, s.hash, s.weight*b.weights.Of(s.zone, s.kind)*starting)
 }
 
