--- a/internal/core/account.go
+++ b/internal/core/account.go
@@ -61,8 +61,8 @@
 	}
 	since := func(t time.Time) float64 { return float64(t.Sub(r.timing.arrivedAt).Microseconds()) / 1000 }
 	k := &c.set.Classes[min(max(r.Class, 0), len(c.set.Classes)-1)]
-	rec := loss.Record{Class: k.Name, At: r.timing.arrivedAt.UnixMilli(), Value: k.Credit,
-		TargetMs: k.AimMs + k.AimStretch*r.HintMs, EndedMs: since(r.timing.endedAt),
+	rec := loss.Record{Class: k.Name, At: r.timing.arrivedAt.UnixMilli(), Value: k.Value,
+		TargetMs: k.LatencyTargetMs + k.LatencyTargetStretch*r.HintMs, EndedMs: since(r.timing.endedAt),
 		Outcome: [...]string{"failed", "served", "refused", "repeated", "overdue", "gone"}[r.timing.outcome]}
 	if r.timing.outcome == ClientGone && !r.timing.endedAt.Before(r.Deadline.Add(-2*guardMargin)) {
 		rec.Outcome = "overdue"
@@ -71,7 +71,7 @@
 	case r.timing.outcome == Duplicate, r.timing.outcome == Served && rec.EndedMs <= rec.TargetMs:
 		return
 	case r.timing.outcome == Served:
-		rec.Earned = k.Credit * min(max(k.LateShare, 0), 1)
+		rec.Earned = k.Value * min(max(k.LateValueFraction, 0), 1)
 	}
 	for _, a := range r.attempts {
 		how := a.ending
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -212,8 +212,8 @@
 
 // withOpenCap returns the settings with OpenCap set to at most most, the agent's limit of open requests.
 func withOpenCap(set settings.Settings, most int) settings.Settings {
-	if set.Limits.OpenCap <= 0 || set.Limits.OpenCap > most {
-		set.Limits.OpenCap = most
+	if set.Limits.MaxOpenRequests <= 0 || set.Limits.MaxOpenRequests > most {
+		set.Limits.MaxOpenRequests = most
 	}
 	return set
 }
@@ -222,7 +222,7 @@
 func MaxRequestDuration(set *settings.Settings) time.Duration {
 	longest := 0.0
 	for _, class := range set.Classes {
-		longest = max(longest, class.GiveUpMs)
+		longest = max(longest, class.ClientTimeoutMs)
 	}
 	return ms(longest)
 }
@@ -492,12 +492,12 @@
 		c.set.Replicas = max(c.configuredAgents, c.observedAgents)
 		c.classes.Store(&c.set.Classes)
 		c.ids.extendRetention(MaxRequestDuration(&c.set) + idMargin)
-		c.decider.(SettingsUpdater).UpdateSettings(c.set, in.table.From)
+		c.decider.(SettingsUpdater).UpdateSettings(c.set, in.table.PreviousClass)
 		close(in.done)
 	case inEndpoints:
 		in.endpoints <- EndpointSnapshot{Roster: c.rosterAddr,
 			List:         cluster.List{Seq: c.seq, Complete: true, Servers: slices.Clone(c.list.Servers)},
-			Unresponsive: c.unresponsiveServers(), SlowStartMs: c.set.Contract.ColdMs}
+			Unresponsive: c.unresponsiveServers(), SlowStartMs: c.set.Contract.SlowStartMs}
 	case inProbed:
 		c.onProbed(in.att, &in.res)
 	case inLoad:
@@ -625,7 +625,7 @@
 	}
 	c.dispatch(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
 		Status: res.Status, LatencyMs: float64(res.duration) / float64(time.Millisecond),
-		Final: r.answered, Attempts: r.spentAttempts(res.ExtraAttempts), Report: report(res.Load, c.set.Report.Names)})
+		Final: r.answered, Attempts: r.spentAttempts(res.ExtraAttempts), Report: report(res.Load, c.set.LoadReport.Names)})
 	c.removeIfDone(r)
 }
 
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -14,7 +14,7 @@
 // endpoint list, which the Decider gets, and delays watches and probes so that the agents' calls are spread
 // out. The core's goroutine owns it. A nil fleetState delays nothing.
 type fleetState struct {
-	machine     *fleet.Machine
+	machine     *fleet.Planner
 	lastUpdate  float64     // last update from the roster, or start of the next watch if later, ms
 	replanTimer *time.Timer // nil: none is running
 }
@@ -59,7 +59,7 @@
 	if p == nil {
 		return 0
 	}
-	wait := p.machine.Follow(now, p.lastUpdate)
+	wait := p.machine.PollDelay(now, p.lastUpdate)
 	p.lastUpdate = now + wait
 	return ms(wait)
 }
@@ -69,7 +69,7 @@
 	if p == nil {
 		return 0
 	}
-	return ms(p.machine.Probe())
+	return ms(p.machine.ProbeDelay())
 }
 
 // SetFleetSize sets the number of agents that share the fleet's limits, and this agent's rank among them,
@@ -81,7 +81,7 @@
 // setFleetSize applies the greater of the given and the configured number of agents to this agent's part of the
 // fleet's limits: its plan, and the load that it sends to servers in slow start.
 func (c *Core) setFleetSize(agents, rank int) {
-	if c.fleet != nil && c.fleet.machine.Crowd(agents, rank) {
+	if c.fleet != nil && c.fleet.machine.SetFleetSize(agents, rank) {
 		c.replan()
 	}
 	c.observedAgents = agents
@@ -109,7 +109,7 @@
 func (c *Core) replan() {
 	p := c.fleet
 	now := c.clock()
-	p.machine.Calm(now)
+	p.machine.Tick(now)
 	list := c.withExclusions(&c.list)
 	entries := make([]cluster.Entry, len(list.Servers))
 	for i := range entries {
@@ -132,7 +132,7 @@
 
 // recordRefusal records a refused request, which may require a new plan.
 func (c *Core) recordRefusal() {
-	if c.fleet != nil && c.fleet.machine.Refused(c.clock()) {
+	if c.fleet != nil && c.fleet.machine.ObserveRejection(c.clock()) {
 		c.pending = append(c.pending, input{kind: inReplan})
 	}
 }
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -158,7 +158,7 @@
 			t.Errorf("%d agents by the view: %d replicas, want %d", c.agents, r.set.Replicas, c.want)
 		}
 	}
-	if r.fleet.machine.Crowd(70, 3) || !r.fleet.machine.Crowd(5, 3) || r.fleet.machine.Crowd(9, 4) {
+	if r.fleet.machine.SetFleetSize(70, 3) || !r.fleet.machine.SetFleetSize(5, 3) || r.fleet.machine.SetFleetSize(9, 4) {
 		t.Error("the fleet state has another size or rank")
 	}
 	done := make(chan struct{})
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -43,7 +43,7 @@
 	b := a.backend
 	b.probes = slices.DeleteFunc(b.probes, func(o *Attempt) bool { return o == a })
 	c.dispatch(&policy.Event{Kind: policy.EvProbed, Server: b.addr, Status: res.Status,
-		LatencyMs: float64(res.duration) / float64(time.Millisecond), Report: report(res.Load, c.set.Report.Names)})
+		LatencyMs: float64(res.duration) / float64(time.Millisecond), Report: report(res.Load, c.set.LoadReport.Names)})
 }
 
 // cancelProbes cancels the probes in flight of a server that is no longer usable.
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -64,7 +64,7 @@
 		c.log.Warn("roster: watch ended", "err", n.Err)
 		c.dispatch(&policy.Event{Kind: policy.EvList, List: cluster.ListFailed})
 		if c.pushed() {
-			again := min(watchRetryDelay, ms(c.set.Contract.AskWithinMs/2))
+			again := min(watchRetryDelay, ms(c.set.Contract.MaxPollIntervalMs/2))
 			time.AfterFunc(again, func() { c.post(input{kind: inFollow}) })
 		}
 	}
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -163,7 +163,7 @@
 // answer takes to return. It returns false if too little time is left; the attempt is then withdrawn,
 // unless it has begun, and nothing may be written.
 func (a *Attempt) ServerTimeout(back time.Duration) (time.Duration, bool) {
-	left, ok := budget.Hop(time.Until(a.deadline), back)
+	left, ok := budget.NextHop(time.Until(a.deadline), back)
 	if !ok {
 		a.Withdraw(errBeginTimeout)
 	}
--- a/internal/decide/unserved/unserved.go
+++ b/internal/decide/unserved/unserved.go
@@ -41,7 +41,7 @@
 		return
 	}
 	m.requests = slices.DeleteFunc(m.requests, func(p unservedRequest) bool {
-		return now-p.first > m.classes[p.class].GiveUpMs
+		return now-p.first > m.classes[p.class].ClientTimeoutMs
 	})
 	if len(m.requests) < m.limit {
 		m.requests = append(m.requests, unservedRequest{class, key, first})
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -60,7 +60,7 @@
 	minServers  int     // fewest servers to send to, by the list; 0: not given
 	epoch       uint64  // number of changes of tiers and of the list
 	refetchedAt float64 // last fetch of the list, ms
-	listPolling asking.Asking
+	listPolling asking.Backoff
 
 	// Requests.
 	requests   map[RequestID]*request
@@ -74,18 +74,18 @@
 	zoneSuspicion  *doubt.Groups // zones that may be out of reach
 
 	// Learned statistics.
-	answerTimes   *budget.Needs // answer times, by class and hint
-	normalLatency *calm.Calm    // answer times as shares of the latency target
-	slowStart     *cold.Share   // load that servers in slow start can take
+	answerTimes   *budget.LatencyEstimates // answer times, by class and hint
+	normalLatency *calm.Baseline           // answer times as shares of the latency target
+	slowStart     *cold.Share              // load that servers in slow start can take
 	weights       *weights.Weights
-	requestRate   pace.Pace
-	keys          hotkeys.Keys
+	requestRate   pace.RequestRate
+	keys          hotkeys.Splitter
 	tenantUsage   arith.FadingWeights // tenants' shares of the requests
 	classValue    *worth.Tally        // value of one more request of a class served in time
 	unserved      unserved.Memory
 
 	// Limits on retries and sends.
-	retries  *budget.Retries
+	retries  *budget.RetryBudget
 	throttle *budget.Throttle
 
 	// warm is the weight of the servers past slow start, as of warmAt and warmEpoch.
@@ -109,16 +109,16 @@
 		rng:           rand.New(rand.NewPCG(seed, arith.Mix(seed))),
 		byAddr:        map[cluster.Addr]*server{},
 		refetchedAt:   math.Inf(-1),
-		listPolling:   asking.New(set.Contract.AskWithinMs),
+		listPolling:   asking.New(set.Contract.MaxPollIntervalMs),
 		requests:      map[RequestID]*request{},
 		zoneSuspicion: doubt.New(),
-		answerTimes:   budget.NewNeeds(nil),
+		answerTimes:   budget.NewLatencyEstimates(nil),
 		normalLatency: calm.New(set.Replicas),
 		weights:       weights.New(set.Zone, set.Prices.CrossZone, set.Weights == "off"),
 		keys:          hotkeys.New(),
 		tenantUsage:   make([]float64, len(set.Tenants)),
 		unserved:      unserved.New(&set, maxQueued),
-		retries:       budget.NewRetries(len(set.Classes)),
+		retries:       budget.NewRetryBudget(len(set.Classes)),
 	}
 	// These keep a pointer into the settings, which UpdateSettings replaces in place.
 	b.slowStart = cold.New(&b.set.Contract)
@@ -134,17 +134,17 @@
 	b.minLatencyTarget = math.Inf(1)
 	var first []float64
 	for _, c := range set.Classes {
-		first = append(first, c.AimMs*calm.CrowdShare/2)
+		first = append(first, c.LatencyTargetMs*calm.MaxTargetFraction/2)
 		if !c.Retired {
-			b.minLatencyTarget = min(b.minLatencyTarget, c.AimMs)
+			b.minLatencyTarget = min(b.minLatencyTarget, c.LatencyTargetMs)
 		}
 	}
-	b.answerTimes.Fit(first, from)
-	b.retries.Fit(from)
-	b.classValue.Fit(from)
+	b.answerTimes.Remap(first, from)
+	b.retries.Remap(from)
+	b.classValue.Remap(from)
 	b.unserved.UpdateSettings(&b.set)
 	b.tenantUsage = append(b.tenantUsage, make([]float64, len(set.Tenants)-len(b.tenantUsage))...)
-	b.throttle = b.throttle.Over(throttleSpanTargets * b.minLatencyTarget)
+	b.throttle = b.throttle.WithSpan(throttleSpanTargets * b.minLatencyTarget)
 }
 
 // Start appends the first actions of a new agent to out and returns it. It is called once, before Handle.
@@ -153,7 +153,7 @@
 	b.actions = out
 	b.requestRate = pace.New(now)
 	if b.set.Membership == membershipOnRequest {
-		wait := b.listPolling.First(b.rng.Float64())
+		wait := b.listPolling.StartDelay(b.rng.Float64())
 		b.emit(Action{Kind: ActTimer, Ms: wait, Token: followToken})
 	}
 	return b.actions
--- a/policy/bodies_test.go
+++ b/policy/bodies_test.go
@@ -65,7 +65,7 @@
 		{0, false, 3, ActRefuse}, {2, false, 3, ActRefuse}, {2, true, 3, ActFail},
 	} {
 		set := testSettings()
-		set.Classes[2].Group = settings.GroupCell
+		set.Classes[2].DedupScope = settings.DedupCell
 		r := newHarness(t, set, 5)
 		id, a := r.mustSendIncomplete(c.class)
 		st := ConnectFailed
@@ -133,13 +133,13 @@
 	mean := r.b.answerTimes.Mean(1)
 	next := set
 	next.Classes = []settings.Class{set.Classes[0], set.Classes[1]}
-	next.Classes[1].Effect = settings.Free
+	next.Classes[1].Idempotency = settings.Idempotent
 	next.Limits.MaxAttempts = 2
 	table, err := table.Next(next, time.Unix(1e9, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.b.UpdateSettings(table.Settings, table.From)
+	r.b.UpdateSettings(table.Settings, table.PreviousClass)
 	number := table.Classes["once"]
 	if number == 1 || r.b.answerTimes.Mean(number) != mean || r.b.answerTimes.Mean(1) != mean {
 		t.Errorf("class %d takes %v, was %v", number, r.b.answerTimes.Mean(number), mean)
@@ -196,7 +196,7 @@
 		r.outcome(id, 0, s, OK, 250)
 	}
 	r.now += 1000
-	if _, a := r.mustSendIncomplete(1); a.BeginMs < testSettings().Classes[1].AimMs {
+	if _, a := r.mustSendIncomplete(1); a.BeginMs < testSettings().Classes[1].LatencyTargetMs {
 		t.Errorf("must begin within %v ms, want at least the latency target", a.BeginMs)
 	}
 }
@@ -224,7 +224,7 @@
 			}
 			acts = r.tick(5)
 		}
-		if target := testSettings().Classes[0].AimMs; refused < target/2 || refused > target || attempts < 4 ||
+		if target := testSettings().Classes[0].LatencyTargetMs; refused < target/2 || refused > target || attempts < 4 ||
 			attempts > MaxUnconnectedAttempts {
 			t.Errorf("%d servers: %d attempts, refused after %v ms of %v", servers, attempts, refused, target)
 		}
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -24,29 +24,29 @@
 		return true
 	case b.warmWeight() > 0:
 		return false
-	case !b.slowStart.Known():
-		v := cold.Unmeasured{
-			Out:           len(s.inFlight),
-			Window:        s.window,
-			Draw:          s.slowStartCredit,
-			Rtt:           s.rtt,
-			Mean:          b.answerTimes.Mean(r.class),
-			LatencyTarget: b.set.Classes[r.class].AimMs,
-			Replicas:      b.set.Replicas,
-			Listed:        b.now - s.since,
-			Sent:          b.now - s.sentAt,
-			New:           s.sentAt == 0,
+	case !b.slowStart.HasBaseline():
+		v := cold.UnmeasuredServer{
+			InFlight:        len(s.inFlight),
+			Window:          s.window,
+			Jitter:          s.slowStartCredit,
+			MeanLatency:     s.rtt,
+			ExpectedLatency: b.answerTimes.Mean(r.class),
+			LatencyTarget:   b.set.Classes[r.class].LatencyTargetMs,
+			Replicas:        b.set.Replicas,
+			SinceListed:     b.now - s.since,
+			SinceSent:       b.now - s.sentAt,
+			Untried:         s.sentAt == 0,
 		}
-		return v.Room()
+		return v.HasCapacity()
 	}
-	return b.slowStart.Earned(b.now-s.sentAt, s.weight, b.slowStartFactor(s)) >= b.cost(r)
+	return b.slowStart.WorkBudget(b.now-s.sentAt, s.weight, b.slowStartFactor(s)) >= b.cost(r)
 }
 
 // slowStartFactor returns the share of its capacity, 0 to 1, that a server in slow start has by the
 // contract; 1 after slow start.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	age := b.now - s.startedAt
-	return cold.Ramp(&b.set.Contract, age, s.startedAt, s.listedAt)
+	return cold.CapacityFraction(&b.set.Contract, age, s.startedAt, s.listedAt)
 }
 
 // earnSlowStartCredit records work served by a server past slow start and gives each server in slow start
@@ -57,10 +57,10 @@
 		return
 	}
 	warm := b.warmWeight() * float64(b.subset()) / float64(len(b.servers)) // of the agent's subset
-	b.slowStart.Served(b.now, cost, warm)
+	b.slowStart.ObserveServed(b.now, cost, warm)
 	for _, o := range b.servers {
 		if slowStartFactor := b.slowStartFactor(o); slowStartFactor < 1 && warm > 0 {
-			earned := cost * b.slowStart.Of(slowStartFactor) * o.weight / warm
+			earned := cost * b.slowStart.Fraction(slowStartFactor) * o.weight / warm
 			o.slowStartCredit = min(o.slowStartCredit+earned, maxSlowStartCredit)
 		}
 	}
--- a/policy/passive_health.go
+++ b/policy/passive_health.go
@@ -76,8 +76,8 @@
 			break
 		}
 		// A server that answered other attempts in the meantime counts as slow, not as failed.
-		b.answerTimes.Took(a.r.hint, rtt)
-		b.learnLatency(s, b.answerTimes.Part(a.r.hint, rtt/b.set.Classes[a.r.class].AimMs))
+		b.answerTimes.ObserveHinted(a.r.hint, rtt)
+		b.learnLatency(s, b.answerTimes.NormalizedLatency(a.r.hint, rtt/b.set.Classes[a.r.class].LatencyTargetMs))
 	case Full:
 		s.lastContact = b.now
 		b.shrinkWindow(s, rejectedWindowFactor, leastWindow)
@@ -88,20 +88,20 @@
 func (b *Balancer) recordServed(a *attempt, rtt float64) {
 	s, r := a.s, a.r
 	s.failureShare -= failureSmoothing * s.failureShare
-	b.answerTimes.Took(r.hint, rtt)
+	b.answerTimes.ObserveHinted(r.hint, rtt)
 	b.recordContact(s)
 	s.rtt = arith.Mean(s.rtt, rtt, smoothing)
 	c := &b.set.Classes[r.class]
-	b.answerTimes.Served(r.class, rtt, maxAnswerTargets*c.AimMs)
+	b.answerTimes.ObserveServed(r.class, rtt, maxAnswerTargets*c.LatencyTargetMs)
 	if b.now <= r.targetAt {
-		b.classValue.Won(r.class)
+		b.classValue.ObserveInTime(r.class)
 	}
-	ratio := b.answerTimes.Part(r.hint, rtt/c.AimMs)
-	b.normalLatency.Answered(ratio, a.soleInFlight)
+	ratio := b.answerTimes.NormalizedLatency(r.hint, rtt/c.LatencyTargetMs)
+	b.normalLatency.Observe(ratio, a.soleInFlight)
 	b.learnLatency(s, ratio)
-	limit := b.normalLatency.Limit(b.slowStartFactor(s))
+	limit := b.normalLatency.OverloadLimit(b.slowStartFactor(s))
 	if b.slowStartFactor(s) < 1 {
-		b.slowStart.Answered(ratio < limit)
+		b.slowStart.Observe(ratio < limit)
 	}
 	if s.state == Unhealthy && a.sentAt < s.since && !s.unresponsive {
 		return // sent before the failure, so its answer is no sign of recovery
@@ -135,7 +135,7 @@
 			least = minWindow
 		}
 		b.shrinkWindow(s, slowWindowFactor, least)
-	case s.latencyRatio < limit && float64(len(s.inFlight)+2) > s.window && b.normalLatency.Learnt():
+	case s.latencyRatio < limit && float64(len(s.inFlight)+2) > s.window && b.normalLatency.Ready():
 		s.window += min(1/s.window, s.window)
 	}
 }
@@ -144,7 +144,7 @@
 // process that the list does not show yet, so it enters slow start now. Time-outs alone are no sign of a
 // restart (i228a10).
 func (b *Balancer) recordContact(s *server) {
-	if s.connectFailedAt > 0 && b.now-s.connectFailedAt > b.set.Contract.TipAfterMs {
+	if s.connectFailedAt > 0 && b.now-s.connectFailedAt > b.set.Contract.OverloadAfterMs {
 		s.startedAt = b.now
 		s.window = restartWindow
 		s.slowStartCredit = b.rng.Float64()
@@ -157,7 +157,7 @@
 func (b *Balancer) learnLatency(s *server, ratio float64) {
 	s.samples++
 	s.latencyRatio = arith.Mean(s.latencyRatio, ratio, max(smoothing, 1/float64(s.samples)))
-	b.weights.Answered(s.zone, s.kind, ratio)
+	b.weights.Observe(s.zone, s.kind, ratio)
 }
 
 // shrinkWindow multiplies a server's window by factor, without reducing it below least.
@@ -215,8 +215,8 @@
 		return 0
 	}
 	hold := b.minLatencyTarget
-	if !b.set.Limits.Probing {
-		hold = max(hold, b.requestRate.Round(b.set.Limits.KeepaliveMs, b.subset()))
+	if !b.set.Limits.HealthChecks {
+		hold = max(hold, b.requestRate.RoundTime(b.set.Limits.KeepaliveMs, b.subset()))
 	}
 	return hold * float64(int(1)<<max(s.strikes-1, 0))
 }
@@ -264,7 +264,7 @@
 			b.refetch()
 		}
 		pending := s.state == UnhealthyPending && s.usable
-		if pending && b.set.Limits.Probing && !s.probing && b.probesInFlight < maxProbes {
+		if pending && b.set.Limits.HealthChecks && !s.probing && b.probesInFlight < maxProbes {
 			s.probing = true
 			b.probesInFlight++
 			b.emit(Action{Kind: ActProbe, Server: s.id})
--- a/policy/request.go
+++ b/policy/request.go
@@ -73,14 +73,14 @@
 		return
 	}
 	r := b.newRequest(ev)
-	b.answerTimes.Asked(r.hint)
+	b.answerTimes.ObserveHint(r.hint)
 	b.startClock(r, ev.LeftMs, ev.Retry)
 	r.hash = b.affinityHash(r.key)
 	b.requests[r.id] = r
-	b.requestRate.Asked(b.now, b.set.Limits.KeepaliveMs)
+	b.requestRate.ObserveRequest(b.now, b.set.Limits.KeepaliveMs)
 	b.tenantUsage.Add(r.tenant, usageDecay)
-	b.classValue.Asked(r.class)
-	b.retries.Asked(r.class, b.now)
+	b.classValue.ObserveRequest(r.class)
+	b.retries.ObserveRequest(r.class, b.now)
 	b.revalidate()
 	b.queue = append(b.queue, r)
 	if b.tooLate(r) || b.hintTooLong(r) {
@@ -107,8 +107,8 @@
 // hintTooLong reports whether the hinted work of a request is too long to meet its latency target on any
 // server, in a class in which a late answer has no value. Such a request would only delay others.
 func (b *Balancer) hintTooLong(r *request) bool {
-	return r.hint > 0 && b.set.Classes[r.class].LateShare == 0 &&
-		minHintedTimeShare*b.answerTimes.Hinted(r.hint) > r.targetAt-b.now
+	return r.hint > 0 && b.set.Classes[r.class].LateValueFraction == 0 &&
+		minHintedTimeShare*b.answerTimes.HintedLatency(r.hint) > r.targetAt-b.now
 }
 
 // onStarted handles the start of a streamed answer.
@@ -169,7 +169,7 @@
 	if retry {
 		r.first = b.unserved.TakeFirstArrival(r.class, r.key, r.arrived)
 	}
-	r.targetAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
+	r.targetAt = min(r.first+c.LatencyTargetMs+c.LatencyTargetStretch*r.hint, r.deadline)
 }
 
 // beginWork adds an attempt to the load of its server.
@@ -189,16 +189,16 @@
 // value returns the value of the request per unit of server time.
 func (b *Balancer) value(r *request) float64 {
 	c := &b.set.Classes[r.class]
-	v := b.classValue.Of(r.class)
+	v := b.classValue.MarginalValue(r.class)
 	if b.now+b.expectedAnswerMs(r) > r.targetAt {
-		v *= c.LateShare + b.set.Prices.LateFail
+		v *= c.LateValueFraction + b.set.Prices.LateFail
 	}
 	// The tenant sends more than its portion of the requests.
 	if t := r.tenant; t >= 0 && t < len(b.tenantUsage) &&
-		b.tenantUsage[t] > overShareFactor*b.set.Tenants[t].Portion {
-		v *= b.set.OverShareWorth
+		b.tenantUsage[t] > overShareFactor*b.set.Tenants[t].QuotaShare {
+		v *= b.set.OverQuotaValue
 	}
-	if b.set.WorthBy != "work" {
+	if b.set.ValueBy != "work" {
 		v /= b.answerTimes.Mean(r.class)
 	}
 	return v
@@ -206,7 +206,7 @@
 
 // latestUseful returns the time until which an answer to the request has any value, ms.
 func (b *Balancer) latestUseful(r *request) float64 {
-	if b.set.Classes[r.class].LateShare > 0 {
+	if b.set.Classes[r.class].LateValueFraction > 0 {
 		return r.deadline
 	}
 	return r.targetAt
@@ -224,12 +224,14 @@
 	if r.bodyPending {
 		return 0 // the time begins when the body is complete
 	}
-	slow := max(s.latencyRatio/max(b.normalLatency.Fleet, s.latencyRatio/maxSlowdown, 1e-9), 1)
+	slow := max(s.latencyRatio/max(b.normalLatency.FleetMean, s.latencyRatio/maxSlowdown, 1e-9), 1)
 	return slow * b.expectedAnswerMs(r) / 2
 }
 
 // expectedAnswerMs returns the mean answer time for the request, ms.
-func (b *Balancer) expectedAnswerMs(r *request) float64 { return b.answerTimes.Of(r.class, r.hint) }
+func (b *Balancer) expectedAnswerMs(r *request) float64 {
+	return b.answerTimes.Expected(r.class, r.hint)
+}
 
 // cost returns the work of a request in units of the mean request, at least 1: hints are rough (i299663).
 func (b *Balancer) cost(r *request) float64 {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -19,7 +19,7 @@
 	// its credit is the effective limit.
 	slowStartHashFactor = 4
 	// minSubset is the smallest number of servers that an agent sends to.
-	minSubset = pace.LeastServers
+	minSubset = pace.MinServers
 )
 
 // Cap returns the limit of a backend's attempts in flight, as in consistent hashing with bounded loads: c
@@ -40,11 +40,11 @@
 // tierOf returns the server's tier for the request, 0 the best.
 func (b *Balancer) tierOf(s *server, r *request) int {
 	// A request that must not run twice is not used to validate a server or a zone while others are healthy.
-	once := b.set.Classes[r.class].Effect == settings.SingleShot
+	once := b.set.Classes[r.class].Idempotency == settings.NonIdempotent
 	pendingTimeout := 0.0 // without probes the first request validates the server
 	if once {
 		pendingTimeout = math.Inf(1)
-	} else if b.set.Limits.Probing {
+	} else if b.set.Limits.HealthChecks {
 		pendingTimeout = b.minLatencyTarget
 	}
 	tier := s.Tier(b.now, pendingTimeout)
@@ -126,7 +126,7 @@
 
 // subset returns the number of servers of a tier that the agent sends to.
 func (b *Balancer) subset() int {
-	return b.requestRate.Subset(&b.set, b.minServers, len(b.servers))
+	return b.requestRate.SubsetSize(&b.set, b.minServers, len(b.servers))
 }
 
 // waitsForAffinity reports whether the request is still limited to its affinity servers.
@@ -146,7 +146,7 @@
 
 // score returns the server's weighted rendezvous score; all agents of a zone compute the same order.
 func (b *Balancer) score(r *request, s *server) float64 {
-	starting := min(slowStartHashFactor*b.slowStart.Of(b.slowStartFactor(s)), 1)
+	starting := min(slowStartHashFactor*b.slowStart.Fraction(b.slowStartFactor(s)), 1)
 	return Rendezvous(r.hash, s.hash, s.weight*b.weights.Of(s.zone, s.kind)*starting)
 }
 
