--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -518,7 +518,7 @@
 	c.actions = c.decider.Handle(c.clock(), ev, c.actions[:0])
 	if c.reachability != nil && c.reachability.Changes() != c.reachabilityChanges {
 		c.reachabilityChanges = c.reachability.Changes()
-		if zones, all := c.reachability.Doubted(); all {
+		if zones, all := c.reachability.Suspected(); all {
 			c.log.Warn("no zone answers: this agent may be cut off from the network")
 		} else {
 			c.log.Warn("zones suspected of being unreachable are used last", "zones", c.namesOfZones(zones))
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -257,18 +257,18 @@
 			r.reachability.Answered(1, 2)
 		}
 		for range 3 {
-			r.reachability.Waits(1, 1, 4)
+			r.reachability.AddWaiting(1, 1, 4)
 		}
-		r.reachability.Judge(3, 100)
+		r.reachability.Evaluate(3, 100)
 		r.handle(input{kind: inTimer})
 	}
 	for _, answered := range []bool{false, false, true} {
 		look(answered)
 	}
 	for _, zone := range []int{0, 0, 0, 1, 1, 1} {
-		r.reachability.Waits(zone, 3, 4)
+		r.reachability.AddWaiting(zone, 3, 4)
 	}
-	r.reachability.Judge(4, 100)
+	r.reachability.Evaluate(4, 100)
 	r.handle(input{kind: inTimer})
 	if got := lines.String(); strings.Count(got, "agent may be cut off from the network") != 1 ||
 		strings.Count(got, "unreachable are used last") != 2 || !strings.Contains(got, "zones=[west]") ||
