--- a/internal/decide/settings/settings.go
+++ b/internal/decide/settings/settings.go
@@ -27,14 +27,14 @@
 // Class configures one class of requests.
 type Class struct {
 	Name                 string      `json:"name"`
-	LatencyTargetMs      float64     `json:"aimMs"`
-	LatencyTargetStretch float64     `json:"aimStretch"`
+	LatencyTargetMs      float64     `json:"aimMs"`      // of a request without a hint
+	LatencyTargetStretch float64     `json:"aimStretch"` // added per unit of the hint, in ms
 	ClientTimeoutMs      float64     `json:"giveUpMs"`
 	Idempotency          Idempotency `json:"effect"`
 	DedupScope           DedupScope  `json:"group"`
-	DedupTTLMs           float64     `json:"keyTtlMs"`
-	Value                float64     `json:"credit"`
-	LateValueFraction    float64     `json:"lateShare"`
+	DedupTTLMs           float64     `json:"keyTtlMs"`  // how long duplicates are dropped
+	Value                float64     `json:"credit"`    // of a request served in time
+	LateValueFraction    float64     `json:"lateShare"` // of Value, for a late answer
 	Streamed             bool        `json:"streamed"`
 	// Retired is set for a class that the current settings no longer name. Requests that are still
 	// open keep it; see Table.
@@ -57,7 +57,7 @@
 type Tenant struct {
 	Name       string  `json:"name"`
 	QuotaPerS  float64 `json:"quotaPerS"`
-	QuotaShare float64 `json:"portion"`
+	QuotaShare float64 `json:"portion"` // fraction of the requests of all tenants
 }
 
 // Limits holds what a deployment permits its agents to do.
@@ -70,7 +70,7 @@
 	HedgedRequests   bool    `json:"parallelTries"`
 	HealthChecks     bool    `json:"probing"`
 	RetryAfter       bool    `json:"retryAfter"`
-	MaxOpenRequests  int     `json:"openCap"`
+	MaxOpenRequests  int     `json:"openCap"` // queued and in flight; 0: no limit
 	// PeerMessages reports whether agents may send messages to each other; nil if it is not specified.
 	PeerMessages *bool `json:"peerMessages"`
 }
@@ -79,11 +79,11 @@
 // and overload.
 type Contract struct {
 	AnswerSlackMs     float64 `json:"answerSlackMs"`
-	MaxPollIntervalMs float64 `json:"askWithinMs"`
-	SlowStartFraction float64 `json:"coldFrom"`
-	SlowStartMs       float64 `json:"coldMs"`
+	MaxPollIntervalMs float64 `json:"askWithinMs"` // between updates of the endpoint list
+	SlowStartFraction float64 `json:"coldFrom"`    // of its capacity that a new server has
+	SlowStartMs       float64 `json:"coldMs"`      // until a new server has its full capacity
 	DrainGraceMs      float64 `json:"drainGraceMs"`
-	OverloadFactor    float64 `json:"fallMultiple"`
+	OverloadFactor    float64 `json:"fallMultiple"` // multiple of its present capacity at which a new server fails
 	OverloadAfterMs   float64 `json:"tipAfterMs"`
 }
 
@@ -130,7 +130,7 @@
 	} `json:"familyInfo"`
 	Index          int     `json:"index"`
 	Replicas       int     `json:"replicasOfMe"`
-	OverQuotaValue float64 `json:"overShareWorth"`
+	OverQuotaValue float64 `json:"overShareWorth"` // factor of the value of requests of tenants over their quota
 	RoundMs        float64 `json:"roundMs"`
 	Weights        string  `json:"weights"` // "off", "nominal", "rough" or "live"
 	ValueBy        string  `json:"worthBy"` // "request" or "work"
