--- a/internal/fleet/proxy/accountheaders_test.go
+++ b/internal/fleet/proxy/accountheaders_test.go
@@ -281,7 +281,8 @@
 	r.Check(resumed, qt.IsTrue, qt.Commentf("the stream wasn't resumed"))
 
 	setFaults(r.engines, simulation.Faults{})
-	r.checkTenant(r.client.Do(r.Context(), routeRequestWith("read", 0, [2]int{}, bearer(plainKey))), "heir", "the next request")
+	r.checkTenant(r.client.Do(r.Context(), routeRequestWith("read", 0, [2]int{}, bearer(plainKey))),
+		"heir", "the next request")
 	r.checkTenant(r.client.Do(r.Context(), routeRequestWith("read", 0, [2]int{}, bearer(lateKey))), "late", "another's")
 }
 
@@ -325,7 +326,8 @@
 	seen := map[string]int{}
 	play := func(route string, tokens [2]int, lastEvent int) {
 		for own := range 6 {
-			q := routeRequestWith(route, own, tokens, mergeHeaders(bearer(plainKey), http.Header{"X-Molepaddle-Tenant": {"urgent"}}))
+			q := routeRequestWith(route, own, tokens,
+				mergeHeaders(bearer(plainKey), http.Header{"X-Molepaddle-Tenant": {"urgent"}}))
 			q.LastEvent = lastEvent
 			got := r.client.Do(r.Context(), q)
 			r.checkTenant(got, "plain", fmt.Sprintf("%s of %d tokens", route, tokens[0]))
--- a/internal/fleet/proxy/authenticate_planted_test.go
+++ b/internal/fleet/proxy/authenticate_planted_test.go
@@ -17,7 +17,7 @@
 		Tests: "^TestConfirmationIsReadBeforeTheSnapshot$",
 		Texts: []string{
 			"\tconfirmedAt := p.confirmedAt() // before the snapshot: see authenticate\n\tsnapshot := p.snapshot.Load()\n",
-			// With the freeze that may come between any two lines.
+			// With a pause, as the process may be suspended between any two lines.
 			"\tsnapshot := p.snapshot.Load()\n\ttime.Sleep(50 * time.Microsecond)\n\tconfirmedAt := p.confirmedAt()\n",
 		},
 	},
@@ -49,7 +49,7 @@
 		},
 	},
 	{
-		Name:  "keys count without a margin",
+		Name:  "keys are accepted without a margin",
 		Tests: "^TestAuthenticate$",
 		Texts: []string{
 			"age > p.settings.Bounds.Revoke-revokeMargin",
@@ -57,7 +57,7 @@
 		},
 	},
 	{
-		Name:  "keys count whenever they were confirmed",
+		Name:  "keys are accepted however old the confirmation is",
 		Tests: "^TestAuthenticate$",
 		Texts: []string{
 			"p.settings.Bounds.StrictRevoke && age >",
@@ -65,7 +65,7 @@
 		},
 	},
 	{
-		Name:  "a key that may have been added is refused for good",
+		Name:  "a key that may have been added is rejected for good",
 		Tests: "^TestAuthenticate$",
 		Texts: []string{
 			"case age > p.settings.Bounds.Apply:",
--- a/internal/fleet/proxy/drain_test.go
+++ b/internal/fleet/proxy/drain_test.go
@@ -64,7 +64,7 @@
 		ended  time.Duration // when the early requests end
 		want   time.Duration
 	}{
-		{"nothing under way", allServe, true, 0, 0, acceptWindow},
+		{"no requests in flight", allServe, true, 0, 0, acceptWindow},
 		{"early requests end later", allServe, false, 0, 5 * time.Second, 5 * time.Second},
 		{"early requests never end", allServe, false, 0, time.Minute, latest},
 		{"all drain, one of the first", allDrain, true, 0, 0, earlyAcceptWindow},
@@ -191,7 +191,7 @@
 	d.peers = allServe
 	c.Check(d.retryAfter(began, manyProxiesPerZone), qt.Equals, retryElsewhereAfter)
 	d.connected(began.Add(notReadyLag + time.Millisecond))
-	c.Check(d.retryAfter(closeAt, manyProxiesPerZone), qt.Equals, restartDelay, qt.Commentf("clients still come"))
+	c.Check(d.retryAfter(closeAt, manyProxiesPerZone), qt.Equals, restartDelay, qt.Commentf("clients still arrive"))
 }
 
 const drainTests = "^(TestListenerCloses|TestDrainSearch|TestRoutedWhileDraining|TestRetryAfterWhileAllDrain)$"
@@ -203,7 +203,7 @@
 		Tests: drainTests,
 	},
 	{
-		Name:  "the listener closes before the platform knows",
+		Name:  "the listener closes before the platform stops sending clients",
 		Texts: []string{"case now.Before(earliest):", "case now.Before(d.began):"},
 		Tests: drainTests,
 	},
@@ -218,17 +218,20 @@
 		Tests: drainTests,
 	},
 	{
-		Name:  "all that drain at once close at once",
-		Texts: []string{"case d.peers.routedWhileDraining() && d.closesEarly:", "case d.peers.routedWhileDraining():", "	case d.peers.routedWhileDraining():\n	case", "	case"},
+		Name: "all that drain at once close at once",
+		Texts: []string{
+			"case d.peers.routedWhileDraining() && d.closesEarly:", "case d.peers.routedWhileDraining():",
+			"	case d.peers.routedWhileDraining():\n	case", "	case",
+		},
 		Tests: drainTests,
 	},
 	{
-		Name:  "nobody closes first",
+		Name:  "no proxy closes first",
 		Texts: []string{"case d.peers.routedWhileDraining() && d.closesEarly:", "case false:"},
 		Tests: drainTests,
 	},
 	{
-		Name:  "a late client counts for nothing",
+		Name:  "a late client is ignored",
 		Texts: []string{"		d.lateClients = true\n", "		_ = now\n"},
 		Tests: drainTests,
 	},
@@ -243,7 +246,7 @@
 		Tests: drainTests,
 	},
 	{
-		Name:  "clients are sent to others that drain too",
+		Name:  "clients are sent to other draining proxies",
 		Texts: []string{"	if d.clientsReachDraining() {\n		back", "	if false {\n		back"},
 		Tests: drainTests,
 	},
--- a/internal/fleet/proxy/drawn_test.go
+++ b/internal/fleet/proxy/drawn_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	drawnSeed = flag.Uint64("drawn.seed", 0, "play this drawn day alone")
-	drawnDays = flag.Uint64("drawn.days", 1000, "so many drawn days are played")
+	drawnSeed = flag.Uint64("drawn.seed", 0, "simulate only the day of this seed")
+	drawnDays = flag.Uint64("drawn.days", 1000, "number of drawn days to simulate")
 )
 
 // countingRecorder counts the responses that a request receives.
--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -51,7 +51,7 @@
 		},
 	},
 	{
-		name:     "the next request goes where the rest of one is due",
+		name:     "a request is sent on a connection with an incomplete one",
 		detector: beforeBodyTest,
 		changes: map[string][]string{
 			fileExchange: {
@@ -81,7 +81,7 @@
 		},
 	},
 	{
-		name:     "a failure without an id is believed on a used connection",
+		name:     "an error response without an id is accepted on a reused connection",
 		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileExchange: {
@@ -91,7 +91,7 @@
 		},
 	},
 	{
-		name:     "a surplus answer longer than what is read past",
+		name:     "a surplus response longer than the limit",
 		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileExchange: {
@@ -101,7 +101,7 @@
 		},
 	},
 	{
-		name:     "a success may say that it has not run",
+		name:     "a success may state that it has not run",
 		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileResponses: {
@@ -111,7 +111,7 @@
 		},
 	},
 	{
-		name:     "a backend's word is passed on as a promise",
+		name:     "a backend's unproven not-run status is relayed",
 		detector: unexpectedAnswersTest,
 		changes: map[string][]string{
 			fileResponses: {
@@ -121,7 +121,7 @@
 		},
 	},
 	{
-		name:     "a stream that is reset counts as whole",
+		name:     "a stream that is reset counts as complete",
 		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileStreaming: {
@@ -131,7 +131,7 @@
 		},
 	},
 	{
-		name:     "an answer that is reset counts as whole",
+		name:     "a response that is reset counts as complete",
 		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileExchange: {
@@ -141,7 +141,7 @@
 		},
 	},
 	{
-		name:     "a handle is sent to a second taker",
+		name:     "a handle is sent to a second decode backend",
 		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileGenerate: {
@@ -151,7 +151,7 @@
 		},
 	},
 	{
-		name:     "a client that has left gets an empty success",
+		name:     "a disconnected client gets an empty success",
 		detector: "^TestClientDisconnects$",
 		changes: map[string][]string{
 			fileRetries: {
@@ -161,7 +161,7 @@
 		},
 	},
 	{
-		name:     "a backend is given the time that the client had at first",
+		name:     "a backend receives the client's original deadline",
 		detector: answerEndsTest,
 		changes: map[string][]string{
 			fileOutbound: {
@@ -171,7 +171,7 @@
 		},
 	},
 	{
-		name:     "a client that stops within its body is waited for",
+		name:     "a client that stops within its body delays its response",
 		detector: "^TestClientStopsWithinItsBody$",
 		changes: map[string][]string{
 			fileRequestBody: {
@@ -181,7 +181,7 @@
 		},
 	},
 	{
-		name:     "a client that reads nothing is waited for",
+		name:     "a client that does not read holds its backend",
 		detector: "^TestClientReadsNothing$",
 		changes: map[string][]string{
 			fileProxy: {
@@ -191,7 +191,7 @@
 		},
 	},
 	{
-		name:     "a stream is taken up for a client that has left",
+		name:     "a stream is resumed for a disconnected client",
 		detector: "^TestUnreadStreamIsNotResumed$",
 		changes: map[string][]string{
 			fileDecode: {
@@ -201,7 +201,7 @@
 		},
 	},
 	{
-		name:     "an id goes twice over one connection",
+		name:     "an id is sent twice on one connection",
 		detector: "^TestReusedID$",
 		changes: map[string][]string{
 			fileLend: {
@@ -221,7 +221,7 @@
 		},
 	},
 	{
-		name:     "orders are sent on",
+		name:     "redirects of orders are followed",
 		detector: "^TestRedirectsAreNotFollowed$",
 		changes: map[string][]string{
 			fileBackend: {
@@ -233,7 +233,7 @@
 		},
 	},
 	{
-		name:     "an order that was given up may still arrive",
+		name:     "an abandoned order may still arrive",
 		detector: "^TestTimedOutOrderIsReset$",
 		changes: map[string][]string{
 			fileBackend: {
@@ -243,7 +243,7 @@
 		},
 	},
 	{
-		name:     "an order is for whoever has the address",
+		name:     "an order does not name its backend",
 		detector: "^TestOrderReturnsTheStatus$",
 		changes: map[string][]string{
 			fileBackend: {
@@ -253,7 +253,7 @@
 		},
 	},
 	{
-		name:     "an order that is cut off has been answered",
+		name:     "a truncated response to an order counts as complete",
 		detector: "^TestOrderIsSentOnce$",
 		changes: map[string][]string{
 			fileBackend: {
@@ -263,7 +263,7 @@
 		},
 	},
 	{
-		name:     "a frame that is cut off is taken",
+		name:     "a truncated frame is accepted",
 		detector: "^TestTruncatedResponses$",
 		changes: map[string][]string{
 			fileFrame: {
@@ -273,7 +273,7 @@
 		},
 	},
 	{
-		name:     "a link goes on after a frame that is cut off",
+		name:     "a connection is kept after a truncated frame",
 		detector: "^TestTruncatedResponses$",
 		changes: map[string][]string{
 			fileWatcher: {
@@ -283,7 +283,7 @@
 		},
 	},
 	{
-		name:     "a change that is cut off has been acknowledged",
+		name:     "a truncated response to a change counts as an acknowledgement",
 		detector: "^TestTruncatedResponses$",
 		changes: map[string][]string{
 			fileClient: {
@@ -293,7 +293,7 @@
 		},
 	},
 	{
-		name:     "tries share a connection",
+		name:     "attempts share a connection",
 		detector: "^TestSurplusResponsesAreIgnored$",
 		changes: map[string][]string{
 			fileClient: {
--- a/internal/fleet/proxy/exchange_test.go
+++ b/internal/fleet/proxy/exchange_test.go
@@ -140,7 +140,7 @@
 				name:   fmt.Sprintf("reset after %d bytes of the request", k),
 				script: constantScript(reply{accepted: k, writeErr: errReset, readErr: errReset}),
 			}, injectedFault{
-				name:   fmt.Sprintf("nothing taken after %d bytes of the request", k),
+				name:   fmt.Sprintf("no bytes accepted after %d bytes of the request", k),
 				script: constantScript(reply{accepted: k}),
 			})
 		}
@@ -194,7 +194,7 @@
 	forEachExchange(t, func(_ *requestKind, well healthyExchange) (all []injectedFault) {
 		for _, k := range everyByte(len(well.answer.framed()) - 1) {
 			for _, rest := range []bool{false, true} {
-				name := fmt.Sprintf("the client leaves after %d bytes, the rest comes %v", k, rest)
+				name := fmt.Sprintf("the client disconnects after %d bytes, the rest arrives %v", k, rest)
 				all = append(all, injectedFault{name, func(r *exchangeRig, c *scriptedConn, _ []byte, a *validAnswer) reply {
 					says := reply{accepted: -1, bytes: a.framed()[:k]}
 					if rest {
--- a/internal/fleet/proxy/leaks_test.go
+++ b/internal/fleet/proxy/leaks_test.go
@@ -74,7 +74,7 @@
 		},
 	},
 	{
-		name:     "a permit made by hand",
+		name:     "a permit constructed directly",
 		detector: "compiler",
 		changes: map[string][]string{
 			filePlacement: {
@@ -84,7 +84,7 @@
 		},
 	},
 	{
-		name:     "a connection past the permit",
+		name:     "a connection that bypasses the permit",
 		detector: "compiler",
 		changes: map[string][]string{
 			fileResidencyCheck: {
@@ -154,7 +154,7 @@
 		},
 	},
 	{
-		name:     "nothing in common is anywhere",
+		name:     "an empty intersection allows any region",
 		detector: "^TestTermsOf$",
 		changes: map[string][]string{
 			fileResidency: {
@@ -174,7 +174,7 @@
 		},
 	},
 	{
-		name:     "terms are those of the route when the request came",
+		name:     "terms are those of the route at arrival",
 		detector: residencyTests + "Withdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
@@ -188,7 +188,7 @@
 		},
 	},
 	{
-		name:     "sends under way are not cut",
+		name:     "attempts in flight are not cancelled",
 		detector: residencyTests + "Withdrawn",
 		changes: map[string][]string{
 			fileSnapshot: {
@@ -198,7 +198,7 @@
 		},
 	},
 	{
-		name:     "streams that got terms go on",
+		name:     "streams whose route got terms continue",
 		detector: residencyTests + "TermsAppear",
 		changes: map[string][]string{
 			fileResidencyCheck: {
@@ -208,7 +208,7 @@
 		},
 	},
 	{
-		name:     "the source of a handle is not watched",
+		name:     "the source of a handle is not tracked",
 		detector: residencyTests + "HandleWithdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
@@ -218,7 +218,7 @@
 		},
 	},
 	{
-		name:     "a handle outside is not freed",
+		name:     "a handle outside the terms is not released",
 		detector: residencyTests + "HandleWithdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
@@ -228,7 +228,7 @@
 		},
 	},
 	{
-		name:     "a corrected zone is not taken over",
+		name:     "a corrected zone is not applied",
 		detector: residencyTests + "Relisted",
 		changes: map[string][]string{
 			fileUpstreams: {
@@ -250,7 +250,7 @@
 		},
 	},
 	{
-		name:     "spills over when nothing is left inside",
+		name:     "requests spill over when no allowed backend is left",
 		detector: residencyTests + "Overload$",
 		changes: map[string][]string{
 			fileResidency: append(append([]string{}, withoutSendCheck...), withoutSelectionCheck...),
@@ -299,7 +299,7 @@
 		},
 	},
 	{
-		name:     "the send looks at other terms",
+		name:     "the send checks other terms",
 		detector: residencyTests + "Withdrawn",
 		changes: map[string][]string{
 			fileResidencyCheck: {
@@ -332,7 +332,7 @@
 		},
 	},
 	{
-		name:     "sends under way are not cut, on drawn days",
+		name:     "attempts in flight are not cancelled, on drawn days",
 		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileSnapshot: {
@@ -380,7 +380,7 @@
 		},
 	},
 	{
-		name:     "a corrected zone is not taken over, on drawn days",
+		name:     "a corrected zone is not applied, on drawn days",
 		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileUpstreams: {
@@ -390,7 +390,7 @@
 		},
 	},
 	{
-		name:     "an address is taken for the backend that had it",
+		name:     "an address is assumed to belong to its former backend",
 		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileOutbound: {
@@ -400,7 +400,7 @@
 		},
 	},
 	{
-		name:     "what may have run is refused",
+		name:     "a request that may have run is rejected as not run",
 		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileErrors: {
@@ -412,7 +412,7 @@
 		},
 	},
 	{
-		name:     "what may have run is sent again",
+		name:     "a request that may have run is sent again",
 		detector: drawnDaysTests,
 		changes: map[string][]string{
 			fileRetries: {
--- a/internal/fleet/proxy/placement.go
+++ b/internal/fleet/proxy/placement.go
@@ -18,7 +18,7 @@
 	prefillPermit residency.Permit // for prefill
 	promptTokens  int              // tokens of the prompt that decode has to prefill, as estimated
 	prefillMs     float64          // expected time until the prompt is prefilled, with queueing, ms
-	atPreferred   bool             // the prompt is prefilled at its preferred backend, which has its shared prefix cached
+	atPreferred   bool             // the prompt is prefilled at its preferred backend, with its shared prefix cached
 }
 
 // acquirePermits sets the permits under the terms; false: the terms do not allow one of the backends. The service's
--- a/internal/fleet/proxy/placement_test.go
+++ b/internal/fleet/proxy/placement_test.go
@@ -72,7 +72,7 @@
 	c.Assert(n > 100, qt.IsTrue, qt.Commentf("after %d", n))
 	one := clientRequest{svc: s, deadline: time.Now().Add(time.Minute)}
 	pl := place(c, s, "k", sharedPrefixPrompt(1, 1), 150*time.Millisecond)
-	c.Assert(one.prefillTooLate(&pl), qt.IsFalse, qt.Commentf("who has time waits"))
+	c.Assert(one.prefillTooLate(&pl), qt.IsFalse, qt.Commentf("a request with enough time waits"))
 	// A prefill with a long expected wait is not abandoned halfway; any other is, in case the backend is unresponsive.
 	c.Assert(time.Until(one.prefillDeadline(10)) < 31*time.Second, qt.IsTrue)
 	c.Assert(time.Until(one.prefillDeadline(20_000)) > 39*time.Second, qt.IsTrue)
@@ -103,9 +103,9 @@
 		load(id, 30)
 	}
 	load(home, 5)
-	c.Assert(chosen(), qt.Equals, home, qt.Commentf("all are behind"))
+	c.Assert(chosen(), qt.Equals, home, qt.Commentf("all have long queues"))
 	load(home, 60)
-	c.Assert(chosen(), qt.Not(qt.Equals), home, qt.Commentf("it alone is far behind"))
+	c.Assert(chosen(), qt.Not(qt.Equals), home, qt.Commentf("only it has a long queue"))
 }
 
 // longAnswerPrompt returns a short prompt with a long output.
@@ -144,7 +144,7 @@
 	ended(true)
 	s.applyPolledLoad(map[string]int{"d0": 0, "d1": 0, "d2": 8, "d3": 8}, []string{"d1"})
 	pl = place(c, s, "talk", talk, 120*time.Millisecond)
-	c.Assert(pl.decode.ID, qt.Equals, "d0", qt.Commentf("the control plane did not hear the other"))
+	c.Assert(pl.decode.ID, qt.Equals, "d0", qt.Commentf("the other did not respond to the control plane"))
 }
 
 // TestLongPromptsAreSplitWhateverTheirOutput: whether a prompt is prefilled separately depends on how long its prefill
@@ -159,6 +159,6 @@
 			s.engines.ObserveDecode("verdict", verdict, makingMs)
 		}
 		pl := place(c, s, "verdict", verdict, 200*time.Millisecond)
-		c.Assert(pl.prefill, qt.IsNotNil, qt.Commentf("answers that are made for %v ms", makingMs))
+		c.Assert(pl.prefill, qt.IsNotNil, qt.Commentf("decode of %v ms", makingMs))
 	}
 }
--- a/internal/fleet/proxy/residencycheck_test.go
+++ b/internal/fleet/proxy/residencycheck_test.go
@@ -50,17 +50,17 @@
 // with them no data is held outside; without them requests spill over to other regions under the same faults.
 func TestResidencyUnderFaults(t *testing.T) {
 	faults := map[string]func(r *rig){
-		"local region crashes": func(r *rig) { crash(r.enginesIn("east")) },
-		"all allowed regions crash": func(r *rig) {
+		"local crashes": func(r *rig) { crash(r.enginesIn("east")) },
+		"allowed crash": func(r *rig) {
 			crash(r.enginesIn("east"))
 			crash(r.enginesIn("mid"))
 		},
-		"local region sends invalid answers": func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Garble: true}) },
-		"local region loses answers":         func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{LoseAnswer: true}) },
-		"local region cuts streams":          func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{CutAfter: 2}) },
-		"local region fails":                 func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Fail: 500}) },
-		"local region rejects":               func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Refuse: true}) },
-		"all allowed regions reject": func(r *rig) {
+		"local garbles":       func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Garble: true}) },
+		"local loses answers": func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{LoseAnswer: true}) },
+		"local cuts streams":  func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{CutAfter: 2}) },
+		"local fails":         func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Fail: 500}) },
+		"local rejects":       func(r *rig) { setFaults(r.enginesIn("east"), simulation.Faults{Refuse: true}) },
+		"allowed reject": func(r *rig) {
 			setFaults(r.enginesIn("east"), simulation.Faults{Refuse: true})
 			setFaults(r.enginesIn("mid"), simulation.Faults{Refuse: true})
 		},
@@ -403,9 +403,9 @@
 					return
 				}
 			case err := <-ended:
-				t.Fatal("the node agent was lost: ", err)
+				t.Fatal("the node agent connection ended: ", err)
 			case <-ctx.Done():
-				t.Fatal("the terms don't come")
+				t.Fatal("the terms were not applied in time")
 			}
 		}
 	}
--- a/internal/fleet/proxy/residencytracker.go
+++ b/internal/fleet/proxy/residencytracker.go
@@ -60,7 +60,7 @@
 type trackedSend struct {
 	tracker *residencyTracker
 	subject subject
-	permits []residency.Permit // of the backends that hold its data: the receiver, then the holder of its KV cache, if any
+	permits []residency.Permit // of the backends that hold its data: receiver, then KV cache holder, if any
 	purpose sendPurpose
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
--- a/internal/fleet/proxy/selectionpolicies.go
+++ b/internal/fleet/proxy/selectionpolicies.go
@@ -126,7 +126,7 @@
 	if onTrial := s.dueTrial(req, externalapi.PhaseDecode, risk); onTrial != nil {
 		return onTrial
 	}
-	key := req.prompt.PromptKey() // of the whole prompt: shared prefixes are short here, so requests are spread rather than grouped
+	key := req.prompt.PromptKey() // of the whole prompt: its shared prefix is short, so requests are spread
 	decoders := func(id string) bool { return s.canDecode(req, id) }
 	cost := func(id string) float64 {
 		utilization := s.engines.Utilization(id)
--- a/internal/fleet/proxy/shutdown_test.go
+++ b/internal/fleet/proxy/shutdown_test.go
@@ -38,23 +38,23 @@
 		pace   time.Duration // event gap of recent streams; 0: there were none
 		want   bool
 	}{
-		{"a proxy that stays", stream, tokens(1000), 0, 0, false},
+		{"no shutdown", stream, tokens(1000), 0, 0, false},
 		{"a long stream", stream, tokens(124), 7 * time.Second, 0, true},
 		{"a short stream", stream, tokens(30), 7 * time.Second, 0, false},
 		{"just within", stream, tokens(10), 1980 * time.Millisecond, 0, false},
 		{"just over", stream, tokens(10), 1979 * time.Millisecond, 0, true},
-		{"more tokens than any time holds", stream, tokens(math.MaxInt), 7 * time.Second, 0, true},
-		{"a stream that tells no tokens", stream, nil, 7 * time.Second, 0, true},
-		{"tokens without a number to come", stream, tokens(0), 7 * time.Second, 0, true},
-		{"streams were fast of late", stream, tokens(124), 7 * time.Second, 20 * time.Millisecond, false},
-		{"streams were slow of late", stream, tokens(124), 7 * time.Second, 40 * time.Millisecond, true},
+		{"more tokens than any duration", stream, tokens(math.MaxInt), 7 * time.Second, 0, true},
+		{"a stream without a token count", stream, nil, 7 * time.Second, 0, true},
+		{"no output token count", stream, tokens(0), 7 * time.Second, 0, true},
+		{"recent streams were fast", stream, tokens(124), 7 * time.Second, 20 * time.Millisecond, false},
+		{"recent streams were slow", stream, tokens(124), 7 * time.Second, 40 * time.Millisecond, true},
 		{"slower than the longest pause", stream, tokens(30), 7 * time.Second, time.Second, false},
 		{"no longest pause, but a pace", noGap, tokens(124), 7 * time.Second, 20 * time.Millisecond, false},
 		{"no longest pause", noGap, tokens(3), 7 * time.Second, 0, true},
 		{"a deadline before the end", short, tokens(1000), 2 * time.Second, 0, false},
 		{"a deadline after the end", short, tokens(1000), 1999 * time.Millisecond, 0, true},
-		{"a plain answer", lookup, nil, 600 * time.Millisecond, 0, false},
-		{"a plain answer with the end near", lookup, nil, 599 * time.Millisecond, 0, true},
+		{"a plain response", lookup, nil, 600 * time.Millisecond, 0, false},
+		{"a plain response just over", lookup, nil, 599 * time.Millisecond, 0, true},
 		{"a plain answer without a latency target", noTarget, nil, 7 * time.Second, 0, true},
 	} {
 		c := qt.New(t)
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -98,7 +98,7 @@
 	s.recordPace("d0", paceSampleEvents*60*time.Millisecond, paceSampleEvents)
 	s.recordPace("d1", paceSampleEvents*400*time.Millisecond, paceSampleEvents)
 	c.Assert(s.paceSampleComplete(time.Second, 3), qt.IsFalse)
-	slow := qt.Commentf("what is that slow needs no complete sample")
+	slow := qt.Commentf("so slow a stream needs no complete sample")
 	c.Assert(s.paceSampleComplete(4*time.Second, 3), qt.IsTrue, slow)
 	reported := map[string]distribution.Outcome{}
 	for _, o := range s.takeOutcomes(true) {
@@ -122,7 +122,7 @@
 	waiting.finish(policy.OK, speedSlow, true)
 	c.Assert(s.takeOutcomes(true), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Late: 1}})
 	s.beginAttempt("d1", 100).finish(policy.Cancelled, speedUsual, false)
-	c.Assert(s.takeOutcomes(true), qt.IsNil, qt.Commentf("a client that left tells nothing of a backend"))
+	c.Assert(s.takeOutcomes(true), qt.IsNil, qt.Commentf("a client's disconnect is no evidence about a backend"))
 }
 
 // TestTrialsOfLongDecodes: requests with long outputs are not used as trials of backends ejected as slow.
--- a/internal/fleet/proxy/unexpected_answers_test.go
+++ b/internal/fleet/proxy/unexpected_answers_test.go
@@ -222,7 +222,7 @@
 // failuresWithoutProof returns error responses that do not state that the request has not run.
 func failuresWithoutProof() (all []injectedFault) {
 	for _, status := range []int{400, 404, 408, 413, 429, 500, 502, 503, 504} {
-		name := fmt.Sprintf("status %d, without a word of not having run", status)
+		name := fmt.Sprintf("status %d, not marked as not run", status)
 		all = append(all, unexpectedAnswer(name, func(*validAnswer, bool) reply {
 			return reply{bytes: failureOf(status, sealLine)}
 		}))
--- a/internal/fleet/proxy/weights_test.go
+++ b/internal/fleet/proxy/weights_test.go
@@ -44,7 +44,7 @@
 	only := sharedPrefixPrompt(1, 1)
 	from := s.byID["p1"]
 	pl, ok := s.selectDecoder(from, false, only, time.Second, map[string]bool{"d1": true, "d3": true}, residency.Terms{})
-	c.Assert(ok, qt.IsTrue, qt.Commentf("the backend says itself that it can't"))
+	c.Assert(ok, qt.IsTrue, qt.Commentf("that backend rejects the request itself"))
 	c.Assert(pl.decode.Weights, qt.Equals, int64(1))
 }
 
@@ -73,7 +73,7 @@
 			older++
 		}
 	}
-	c.Assert(older > 0, qt.IsTrue, qt.Commentf("a late answer is worth less, too"))
+	c.Assert(older > 0, qt.IsTrue, qt.Commentf("a late response has less value, too"))
 	c.Check(s.weightsAge(s.now(), "d1"), qt.Equals, olderWeights)
 	s.weights.since = 1
 	s.weightsBoundMs = 1e-6
@@ -96,5 +96,5 @@
 	c.Check(w.outdated(201, 1), qt.IsFalse)
 	c.Check(w.outdated(202, 1), qt.IsTrue)
 	w.observe(300, 3)
-	c.Check(w.newest, qt.Equals, int64(3), qt.Commentf("taken back"))
+	c.Check(w.newest, qt.Equals, int64(3), qt.Commentf("after a roll-back"))
 }
