--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -161,8 +161,8 @@
 		case ownerAmbiguous:
 			return errUnrelatedAnswer
 		}
-		// The end of a response to a HEAD cannot be found, nor can that of a response to an unknown request on a
-		// connection that has carried a HEAD.
+		// No response follows one that closes the connection. The end of a surplus response cannot be found if this
+		// request is a HEAD, as the response is then parsed without a body.
 		if resp.Close || out.method == http.MethodHead {
 			return errUnrelatedAnswer
 		}
--- a/internal/fleet/proxy/exchange_rig_test.go
+++ b/internal/fleet/proxy/exchange_rig_test.go
@@ -213,11 +213,11 @@
 // list applies an endpoint list with the backends that the request's kind needs. With alone, it has only the backend
 // that meets the fault among those of its role.
 func (r *exchangeRig) list(alone bool) {
-	struck := r.faultedBackend()
+	faulted := r.faultedBackend()
 	var list distribution.BackendList
 	for _, b := range r.backends {
 		role, _, _ := strings.Cut(b.id, "-")
-		if role == "prefill" && !r.kind.separatePrefill || alone && strings.HasPrefix(struck, role) && b.id != struck {
+		if role == "prefill" && !r.kind.separatePrefill || alone && strings.HasPrefix(faulted, role) && b.id != faulted {
 			continue
 		}
 		list.Backends = append(list.Backends, distribution.Backend{
