--- a/internal/fleet/controlplane/admission.go
+++ b/internal/fleet/controlplane/admission.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	// callTimeout bounds how long a call of the operator waits: callers turn elsewhere after a second without an
-	// answer.
+	// callTimeout bounds an operator call: clients move to another core machine after one second without an answer.
 	callTimeout = 850 * time.Millisecond
-	// maxCallTimeout is that bound for the largest bodies, for whose answer callers wait longer.
+	// maxCallTimeout bounds a call with the largest body: clients wait longer for its answer.
 	maxCallTimeout = 3 * time.Second
-	// bodyBytesPerSecond is how many bytes of a body lengthen that bound by a second.
+	// bodyBytesPerSecond is the number of body bytes that extend the time-out of a call by one second.
 	bodyBytesPerSecond = 1 << 20
 
-	// leaderContactTimeout is how old the contact of a primary with its backups may be for it to answer calls and to do
-	// singleton work: beyond it the others may have elected the next one.
+	// leaderContactTimeout is the greatest age of the primary's last contact with its backups at which it still answers
+	// calls and performs singleton work: after that the other members may have elected a new primary.
 	leaderContactTimeout = electionTimeout
-	// partitionTimeout is how long after its last contact, or its start, a machine answers all calls with 503 at once.
-	// Until then a new view may be on its way: calls wait for it, as a quick 503 has a caller's backoff grow beyond the
-	// takeover.
+	// partitionTimeout is the time after its last contact, or its start, from which a machine answers all calls with
+	// 503 at once. Until then a new view may be about to arrive and calls wait for it: an immediate 503 would let the
+	// client's backoff grow beyond the duration of a takeover.
 	partitionTimeout = 2 * time.Second
 )
 
-// callTimeoutFor bounds the time of a call with a body of so many bytes.
+// callTimeoutFor returns the time-out of a call with a body of the given size.
 func callTimeoutFor(bodyBytes int) time.Duration {
 	return min(callTimeout+time.Duration(bodyBytes)*time.Second/bodyBytesPerSecond, maxCallTimeout)
 }
 
-// admission says who answers a call.
+// admission is the decision about where a call is answered.
 type admission int
 
 const (
-	// admitHere: this machine, which is the primary, and its backups confirmed that a moment ago.
+	// admitHere: this machine is the primary and its backups confirmed that within leaderContactTimeout.
 	admitHere admission = iota
-	// redirectToPrimary: another machine, which has contacted this one, a member, as the primary since the call came.
+	// redirectToPrimary: another machine has contacted this member as the primary since the call arrived.
 	redirectToPrimary
-	// awaitPrimary: nobody yet; a new view may be on its way.
+	// awaitPrimary: no primary is known yet; a new view may be about to arrive.
 	awaitPrimary
-	// rejectPartitioned: nobody here; this machine is partitioned from the core or was frozen.
+	// rejectPartitioned: this machine is partitioned from the core or its process was suspended.
 	rejectPartitioned
 )
 
-// decideAdmission decides who answers a call that came at a time, as things stand now.
+// decideAdmission decides where a call that arrived at receivedAt is answered, given the state at now.
 //
-// Safety: a machine without contact says nothing about the state, it only tells callers to go on elsewhere: the
-// others may have moved on (TestCutOffPrimary). One that isn't the primary waits for a heartbeat before it redirects
-// a caller to who may be gone: that would cost the caller a second without an answer.
-func decideAdmission(st *replication.Status, c contactState, came, now time.Time) admission {
+// Safety: a machine without contact reveals nothing about the state and refers callers to other machines, because the
+// others may have accepted changes since (TestPartitionedPrimary). A machine that isn't the primary waits for a
+// heartbeat before it redirects a caller: a redirect to a failed primary would cost the caller a second without an
+// answer.
+func decideAdmission(st *replication.Status, c contactState, receivedAt, now time.Time) admission {
 	switch {
 	case st.Role == replication.Primary && st.Ready && now.Sub(c.at) < leaderContactTimeout:
 		return admitHere
-	case st.Role != replication.Primary && st.Ready && c.at.After(came):
+	case st.Role != replication.Primary && st.Ready && c.at.After(receivedAt):
 		return redirectToPrimary
 	case now.Sub(c.last) < partitionTimeout:
 		return awaitPrimary
@@ -76,14 +76,14 @@
 	return st.Epoch == epoch && s.isLeader(st)
 }
 
-// admit waits until it is clear who answers a call, until ctx ends or this machine is found to be partitioned. It
-// returns nil where this machine goes on, else what the caller is answered.
+// admit waits until it is decided where a call is answered, until ctx ends, or until this machine is found to be
+// partitioned. It returns nil if this machine is to answer the call, else the error for the caller.
 func (s *Server) admit(ctx context.Context, r *http.Request) error {
-	came := time.Now()
+	receivedAt := time.Now()
 	for {
 		st, changed := s.watch()
 		contact := s.contact.forEpoch(st.Epoch)
-		switch decideAdmission(st, contact, came, time.Now()) {
+		switch decideAdmission(st, contact, receivedAt, time.Now()) {
 		case admitHere:
 			return nil
 		case redirectToPrimary:
@@ -97,9 +97,9 @@
 	}
 }
 
-// redirect returns the error that sends a caller to the primary. It has contacted this machine in the epoch that is
-// known here, so it knows that epoch too: redirects lead from epoch to later epoch and never in a loop
-// (TestRedirectsNeverLoop).
+// redirect returns the error that redirects a caller to the primary. The primary has contacted this machine in the
+// epoch known here, so it knows at least that epoch: redirects lead only to the same or later epochs and never form a
+// loop (TestRedirectsNeverLoop).
 func (s *Server) redirect(r *http.Request, primaryAddr string) error {
 	addr := s.controlAddr(primaryAddr)
 	if addr == "" {
@@ -109,8 +109,8 @@
 	return &redirectError{location: location.String()}
 }
 
-// controlAddr returns where a core machine takes the operator's calls, from the address where it hears the core; ""
-// when that is no address.
+// controlAddr returns the address at which a core machine serves operator calls, derived from its address within the
+// core; "" if that address is invalid.
 func (s *Server) controlAddr(coreAddr string) string {
 	host, _, err := net.SplitHostPort(coreAddr)
 	_, port, err2 := net.SplitHostPort(s.settings.Bind.Control)
@@ -120,7 +120,7 @@
 	return net.JoinHostPort(host, port)
 }
 
-// withContact returns a context that ends after a time, or when this machine has been without contact for
+// withContact returns a context that ends after timeout, or once this machine has been without contact for
 // partitionTimeout.
 func (s *Server) withContact(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, timeout)
--- a/internal/fleet/controlplane/callerror.go
+++ b/internal/fleet/controlplane/callerror.go
@@ -9,31 +9,32 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// retryAfter is the value of Retry-After, in seconds, where a caller is to ask again, here or at another core machine.
+// retryAfter is the value of the Retry-After header in seconds, after which a client may retry at this or another core
+// machine.
 const retryAfter = "0.2"
 
-// callError is the answer to a call of the operator that isn't carried out here.
+// callError is the error response to an operator call that was not carried out.
 type callError struct {
-	status   int    // of HTTP; 503: no clear answer can be given
-	reason   string // for the operator
+	status   int    // HTTP status; 503: the outcome is unknown
+	reason   string // shown to the operator
 	findings routingconfig.Findings
 }
 
 // Error returns the reason.
 func (e *callError) Error() string { return e.reason }
 
-// unavailable is the error of a call to which no clear answer can be given now: the caller sends it again.
+// unavailable returns the error of a call whose outcome can't be determined now: the client retries it.
 func unavailable(reason string) error {
 	return &callError{status: http.StatusServiceUnavailable, reason: reason}
 }
 
-// redirectError sends a caller to another machine.
+// redirectError redirects a caller to another machine.
 type redirectError struct{ location string }
 
-// Error returns where the caller is sent.
+// Error returns the target of the redirect.
 func (e *redirectError) Error() string { return "redirected to " + e.location }
 
-// handle adapts a handler that returns an error in place of answering.
+// handle adapts a handler that returns an error to http.HandlerFunc.
 func handle(h func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := h(w, r); err != nil {
@@ -42,7 +43,7 @@
 	}
 }
 
-// writeError words the answer to a call from its error: status, headers and body.
+// writeError writes the response for an error: status, headers and body.
 func writeError(w http.ResponseWriter, err error) {
 	var redirect *redirectError
 	if errors.As(err, &redirect) {
@@ -50,15 +51,15 @@
 		w.WriteHeader(http.StatusTemporaryRedirect)
 		return
 	}
-	var refused *callError
-	if !errors.As(err, &refused) {
-		refused = &callError{status: http.StatusInternalServerError, reason: err.Error()}
+	var callErr *callError
+	if !errors.As(err, &callErr) {
+		callErr = &callError{status: http.StatusInternalServerError, reason: err.Error()}
 	}
-	if refused.status == http.StatusServiceUnavailable {
+	if callErr.status == http.StatusServiceUnavailable {
 		w.Header().Set(externalapi.HeaderRetryAfter, retryAfter)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(refused.status)
+	w.WriteHeader(callErr.status)
 	type finding struct {
 		Place string `json:"place"`
 		Text  string `json:"text"`
@@ -66,14 +67,14 @@
 	body := struct {
 		Error    string    `json:"err"`
 		Findings []finding `json:"findings,omitempty"`
-	}{Error: refused.reason}
-	for _, f := range refused.findings {
+	}{Error: callErr.reason}
+	for _, f := range callErr.findings {
 		body.Findings = append(body.Findings, finding{f.Path, f.Message})
 	}
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// writeJSON answers a call with a value.
+// writeJSON answers a call with value encoded as JSON.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -46,8 +46,8 @@
 	return b
 }
 
-// loneOptions are those of a core of one machine.
-func loneOptions() replication.Options {
+// singleMemberOptions are those of a core of one machine.
+func singleMemberOptions() replication.Options {
 	n := uint64(0)
 	return replication.Options{
 		Self:              replication.Member{Addr: "10.0.0.1:7000", Zone: "z", Region: "r"},
@@ -83,7 +83,7 @@
 	store, state, err := statestore.Open(dir)
 	c.Assert(err, qt.IsNil)
 	rec := &controlState{}
-	machine, err := replication.New(loneOptions(), state, rec)
+	machine, err := replication.New(singleMemberOptions(), state, rec)
 	c.Assert(err, qt.IsNil)
 	now := time.Duration(0)
 	carry := func(out replication.Output) {
@@ -112,7 +112,7 @@
 	store, state, err = statestore.Open(dir)
 	c.Assert(err, qt.IsNil)
 	again := &controlState{}
-	machine, err = replication.New(loneOptions(), state, again)
+	machine, err = replication.New(singleMemberOptions(), state, again)
 	c.Assert(err, qt.IsNil)
 	took, log := time.Since(began), len(state.Changes)
 	used := heapInUse() - before
@@ -123,9 +123,9 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestChangesPublishedFollow: whatever many changes become known to be committed at once, those that pull come to the
+// TestPublishedChangesAreContiguous: whatever many changes become known to be committed at once, those that pull come to the
 // newest configuration; none is sent a change that doesn't follow on what it has.
-func TestChangesPublishedFollow(t *testing.T) {
+func TestPublishedChangesAreContiguous(t *testing.T) {
 	for _, batch := range []int{1, 2, maxRecent, maxRecent + 1, 5 * maxRecent} {
 		c := qt.New(t)
 		server := &Server{
@@ -174,7 +174,7 @@
 	plantedfault.Find(t, []plantedfault.Fault{
 		{Name: "the state after each change is kept", Tests: "^TestRestartAfterManyChanges$", Texts: []string{
 			"const maxRecent = 64", "const maxRecent = 4096"}},
-		{Name: "a change is published as following on another one", Tests: "^TestChangesPublishedFollow$", Texts: []string{
+		{Name: "a change is published as following on another one", Tests: "^TestPublishedChangesAreContiguous$", Texts: []string{
 			" || next.prevDocSeq != was.docSeq", ""}},
 	})
 }
--- a/internal/fleet/controlplane/change.go
+++ b/internal/fleet/controlplane/change.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// maxConfigBytes bounds a configuration.
+	// maxConfigBytes bounds the size of a change's body in bytes.
 	maxConfigBytes = 16 << 20
-	// changeTimeout is how long a proposed change keeps others from being judged after its caller has left: longer
-	// than a takeover, so that the next change mostly finds its fate decided.
+	// changeTimeout bounds how long a proposed change whose caller has left blocks later changes: longer than a
+	// takeover, so that the outcome is usually known when the next change is evaluated.
 	changeTimeout = 12 * time.Second
 )
 
-// change answers a change of the configuration.
+// change handles a configuration change: a complete configuration if replace is set, else an update.
 func (s *Server) change(w http.ResponseWriter, r *http.Request, replace bool) error {
 	command, err := readCommand(w, r, replace)
 	if err != nil {
@@ -39,7 +39,7 @@
 	case <-ctx.Done():
 		return unavailable("another change is under way")
 	}
-	// The change goes on when its caller has left: the next one waits for its end.
+	// The change continues after its caller has left: the next one waits until it has finished.
 	done := make(chan *verdict, 1)
 	go func() {
 		defer func() { <-s.changeSlot }()
@@ -53,20 +53,20 @@
 	}
 }
 
-// logUnanswered logs a change that gets 503, and returns its error: the operator sends it again, but who reads the log
-// has to see why it took long.
+// logUnanswered logs a change that gets status 503, and returns its error. The operator's client retries such a change;
+// the log entry explains the delay.
 func (s *Server) logUnanswered(r *http.Request, err error) error {
-	var refused *callError
-	if errors.As(err, &refused) && refused.status == http.StatusServiceUnavailable {
-		s.log.Info("change got no clear answer",
-			zap.String("reason", refused.reason),
+	var callErr *callError
+	if errors.As(err, &callErr) && callErr.status == http.StatusServiceUnavailable {
+		s.log.Info("configuration change answered with 503, client will retry",
+			zap.String("reason", callErr.reason),
 			zap.String("base", r.Header.Get(externalapi.HeaderBaseVersion)))
 	}
 	return err
 }
 
-// readCommand reads a change. What is wrong with a call as such is an error whatever the state: a header that is no
-// number, a body that is too long or was cut short.
+// readCommand reads a change from a request. A malformed request is an error whatever the state: a header that isn't a
+// number, a body that is too long or incomplete.
 func readCommand(w http.ResponseWriter, r *http.Request, replace bool) (*Command, error) {
 	base, err := strconv.ParseInt(r.Header.Get(externalapi.HeaderBaseVersion), 10, 64)
 	if err != nil || base < 0 {
@@ -87,16 +87,16 @@
 	return &Command{Replace: replace, Base: base, Body: body}, nil
 }
 
-// commitChange has a change judged, and proposed unless the verdict says otherwise. It blocks until its fate is known,
-// changeTimeout at most, and returns what its caller is answered.
+// commitChange evaluates a change and proposes it unless it already has a verdict. It blocks until the outcome is
+// known, for changeTimeout at most, and returns the answer for the caller.
 func (s *Server) commitChange(command *Command) *verdict {
 	wait, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
 	judged := make(chan *verdict, 1)
-	// What is judged and what is proposed belong together: both happen in the driver's goroutine.
+	// Evaluation and proposal must see the same state, so both run in one input of the driver's goroutine.
 	answer, err := s.submitAndWait(wait, func(now time.Duration, token uint64) replication.Output {
 		if st := s.replica.Status(); st.Role != replication.Primary || !st.Ready {
-			cancel() // nothing is proposed that might wait for long
+			cancel() // not the primary: the proposal could stay pending for long
 			return s.replica.Tick(now)
 		}
 		v, out := s.state.submit(s.replica, now, token, command, routingconfig.KnownRegions(s.settings.Zones))
@@ -109,8 +109,7 @@
 	return outcome(<-judged, answer)
 }
 
-// answerChange tells the caller of a change what became of it. What isn't certain is no clear answer: the caller
-// sends it again.
+// answerChange answers the caller of a change. If the outcome is uncertain the answer is 503, and the client retries.
 func (s *Server) answerChange(w http.ResponseWriter, v *verdict) error {
 	switch v.status {
 	case http.StatusOK:
@@ -119,7 +118,7 @@
 	case http.StatusServiceUnavailable:
 		return unavailable(v.reason)
 	}
-	s.log.Info("change refused",
+	s.log.Info("configuration change rejected",
 		zap.Int("status", v.status),
 		zap.String("reason", v.reason),
 		zap.Stringer("findings", v.findings))
--- a/internal/fleet/controlplane/command.go
+++ b/internal/fleet/controlplane/command.go
@@ -2,13 +2,13 @@
 
 import "molepaddle/internal/fleet/routingconfig"
 
-// Operations as they enter a digest, which is stored: they don't change.
+// Names of the operations in a command's digest. Digests are stored, so these names must not change.
 const (
 	operationUpdate  = "update"
 	operationReplace = "replace"
 )
 
-// digest names a command by its operation, its base and the bytes of its body.
+// digest returns a hash of a command's operation, base version and body, by which a resubmitted command is recognised.
 func (c *Command) digest() uint64 {
 	operation := operationUpdate
 	if c.Replace {
@@ -17,7 +17,7 @@
 	return routingconfig.Digest(operation, c.Base, c.Body)
 }
 
-// applyTo returns what a command makes of a document, which stays as it is, or what is wrong with it.
+// applyTo returns the document that results from a command, or the findings that make it invalid. doc is not modified.
 func (c *Command) applyTo(
 	doc *routingconfig.Document, checks ...routingconfig.Check,
 ) (*routingconfig.Document, routingconfig.Findings) {
--- a/internal/fleet/controlplane/contact.go
+++ b/internal/fleet/controlplane/contact.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// contact is what this machine knows of the primary of its view. At the primary: when the newest round of heartbeats
-// began that all backups acknowledged. Elsewhere: when the last message of the primary came. It is safe for
-// concurrent use.
+// contact records the contact with the primary of the current view. On the primary it is the start of the newest
+// heartbeat round that all backups acknowledged; on other members, the receipt of the primary's last message. It is
+// safe for concurrent use.
 type contact struct {
 	mu      sync.Mutex
 	epoch   uint64
-	at      time.Time     // in this epoch; zero: never, or the primary is suspected
-	last    time.Time     // of any epoch, or when the newest view became known, or the start
-	renewed chan struct{} // closed and made anew with each renewal
+	at      time.Time     // last contact in this epoch; zero: none, or the primary is suspected
+	last    time.Time     // last contact in any epoch, entry into the newest view, or the start
+	renewed chan struct{} // closed and replaced at each renewal
 }
 
-// newContact returns that of a process that starts: its disk names a primary that has sent it nothing yet.
+// newContact returns the contact of a process that has just started: the primary that its disk names has sent nothing
+// to this process.
 func newContact(start time.Time) *contact {
 	return &contact{last: start, renewed: make(chan struct{})}
 }
 
-// renew records contact in an epoch. Contact of an older epoch, or an older one, changes nothing.
+// renew records contact in an epoch. Contact in an earlier epoch, or earlier contact in the same epoch, is ignored.
 func (c *contact) renew(epoch uint64, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +38,7 @@
 	c.renewed = make(chan struct{})
 }
 
-// enterEpoch records a new view, whose primary has sent nothing so far.
+// enterEpoch records a new view, whose primary hasn't contacted this machine yet.
 func (c *contact) enterEpoch(epoch uint64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,21 +49,21 @@
 	c.last = now
 }
 
-// suspect forgets the contact with the primary, but not how long ago there was contact.
+// suspect clears the contact with the primary but keeps the time of the last contact.
 func (c *contact) suspect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = time.Time{}
 }
 
-// contactState is a contact at one moment.
+// contactState is a snapshot of a contact.
 type contactState struct {
-	at      time.Time // in the epoch asked for; zero: none
-	last    time.Time // in any, or the start
+	at      time.Time // last contact in the requested epoch; zero: none
+	last    time.Time // last contact in any epoch, entry into the newest view, or the start
 	renewed <-chan struct{}
 }
 
-// forEpoch returns the contact in an epoch.
+// forEpoch returns the state of the contact with respect to an epoch.
 func (c *contact) forEpoch(epoch uint64) contactState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/controlplane/controlstate.go
+++ b/internal/fleet/controlplane/controlstate.go
@@ -8,37 +8,38 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// controlState is the replicated state: the operator's configuration, which commands brought it there, the residency
-// record, and the ceilings of tenants' quotas. It is replication's state machine and belongs to the driver's goroutine.
-// Documents, totals and ceilings are never changed in place, so those of each change can be kept until that is
-// committed, and read by others then.
+// controlState is the replicated state: the operator's configuration, the accepted changes that led to it, the
+// residency record, and the ceilings of tenants' quotas. It implements replication's application state machine and
+// belongs to the driver's goroutine. Documents, totals and ceilings are immutable, so those of each change can be kept
+// until it is committed and then read by other goroutines.
 type controlState struct {
 	seq       uint64 // newest applied change
 	doc       *routingconfig.Document
-	docSeq    uint64 // the change that led to doc
+	docSeq    uint64 // sequence number of the change that led to doc
 	accepted  acceptedChanges
 	residency *residencyreport.Totals
-	quota     *quota.Ceilings // nil: none was ever committed
-	recent    []appliedState  // not yet known to be committed, and the last committed one
+	quota     *quota.Ceilings // nil: none was ever applied
+	recent    []appliedState  // the last committed state and those not yet known to be committed
 }
 
-// maxRecent bounds the states that are kept until they are known to be committed. With 10,000 routes each holds some
-// 80 kB, and a restart applies all changes of the log before it learns what is committed. Older ones are committed
-// along with a later one.
+// maxRecent bounds the states kept until they are known to be committed. With 10,000 routes each takes some 80 kB, and
+// a restart applies the complete log before it learns what is committed. States dropped here become committed along
+// with a later one.
 const maxRecent = 64
 
-// appliedState is the state after one change. It is not changed once it is made.
+// appliedState is the state after one change. It is immutable.
 type appliedState struct {
 	seq        uint64
 	doc        *routingconfig.Document
 	docSeq     uint64
 	prevDocSeq uint64   // docSeq before this change
-	command    *Command // nil: not known, or none of the configuration
+	command    *Command // nil: unknown, or not a configuration change
 	residency  *residencyreport.Totals
 	quota      *quota.Ceilings
 }
 
-// Apply applies a change that the primary has checked: it can't fail, and is left out everywhere if it does.
+// Apply applies a change that the primary has validated. A change that can't be applied nevertheless has no effect, on
+// this and on every other replica.
 func (cs *controlState) Apply(seq uint64, body []byte) {
 	prevDocSeq := cs.docSeq
 	cs.seq = seq
@@ -70,7 +71,7 @@
 	}
 }
 
-// applyWrite applies a command that leaves the configuration as it is.
+// applyWrite applies a command that doesn't affect the configuration.
 func (cs *controlState) applyWrite(c *Command) {
 	if c.Quota != nil {
 		cs.quota = c.Quota
@@ -79,7 +80,8 @@
 	cs.residency = cs.residency.Apply(c.Residency)
 }
 
-// takeCommitted forgets what lies before the committed change, and returns that and the ones since the last time.
+// takeCommitted returns the newest state committed before this call and those committed since, up to the given change,
+// and drops all but the newest of them. It returns nil if no state is committed.
 func (cs *controlState) takeCommitted(committed uint64) []appliedState {
 	n := 0
 	for n < len(cs.recent) && cs.recent[n].seq <= committed {
@@ -93,7 +95,7 @@
 	return done
 }
 
-// Snapshot returns all that was applied, as Restore takes it.
+// Snapshot returns the encoded state, for Restore.
 func (cs *controlState) Snapshot() []byte {
 	s := StoredState{Residency: cs.residency.Snapshot(), Quota: cs.quota}
 	if cs.docSeq != cs.seq {
@@ -103,11 +105,11 @@
 		s.Document = cs.doc.Show()
 	}
 	cs.accepted.store(&s)
-	b, _ := s.MarshalMsg(nil) // it has no way to fail
+	b, _ := s.MarshalMsg(nil) // never fails
 	return b
 }
 
-// Restore replaces everything by a snapshot, or nothing where that can't be read.
+// Restore replaces the state with a snapshot. If the snapshot can't be decoded the state stays unchanged.
 func (cs *controlState) Restore(seq uint64, body []byte) error {
 	next := controlState{seq: seq, docSeq: seq}
 	if len(body) > 0 {
--- a/internal/fleet/controlplane/controlstate_test.go
+++ b/internal/fleet/controlplane/controlstate_test.go
@@ -34,9 +34,9 @@
 	return b
 }
 
-// TestStateKeepsResidency: residency writes leave the configuration and its version as they are, and outlive a snapshot
+// TestStateWithResidency: residency writes leave the configuration and its version as they are, and outlive a snapshot
 // with it.
-func TestStateKeepsResidency(t *testing.T) {
+func TestStateWithResidency(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
 	for seq, body := range [][]byte{
--- a/internal/fleet/controlplane/distribution.go
+++ b/internal/fleet/controlplane/distribution.go
@@ -10,14 +10,15 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// followRetry is the pause before the primary is asked again after a connection to it has ended.
+// followRetry is the pause before the next connection to the primary after one has ended.
 const followRetry = 50 * time.Millisecond
 
-// memberLease is how long a member counts without a renewal.
+// memberLease returns how long a member's lease is valid without a renewal.
 func (s *Server) memberLease() time.Duration { return 3*s.settings.Heartbeat + time.Second }
 
-// servePulls answers node agents and, at the primary, the other control servers, until ctx ends. An answer's contact is
-// that of this machine with its backups; elsewhere, that which came from the primary.
+// servePulls serves configuration pulls of node agents and, on the primary, of the other control servers, until ctx
+// ends. A response carries the time of the last contact: on the primary its contact with the backups, on other machines
+// the contact received from the primary.
 func (s *Server) servePulls(ctx context.Context, ln net.Listener) {
 	distribution.Serve(ctx, ln, s.settings.NodeName, s.cache, s.memberLease(), func() (time.Time, string) {
 		st := s.status.Load()
@@ -28,8 +29,8 @@
 	})
 }
 
-// publishCoreMembers publishes where the members of a view answer pulls. Every machine knows a decided view by
-// itself, so that this needs no primary: agents that reach only partitioned machines learn of the others.
+// publishCoreMembers publishes the pull addresses of a view's members. Every machine publishes the decided view without
+// involving the primary, so node agents that reach only partitioned machines learn of the others.
 func (s *Server) publishCoreMembers(st *replication.Status) {
 	servers := distribution.ControlServers{}
 	for _, m := range st.View.Members {
@@ -40,12 +41,12 @@
 	if len(servers.PullAddrs) == 0 {
 		return
 	}
-	b, _ := servers.MarshalMsg(nil) // it has no way to fail
+	b, _ := servers.MarshalMsg(nil) // never fails
 	s.cache.SetSnapshot(distribution.ControlServersType, distribution.Version{Epoch: st.Epoch}, b)
 }
 
-// followPrimary keeps a control server that isn't the primary up to date by pulls from the primary, as node agents are,
-// until ctx ends.
+// followPrimary keeps a control server that isn't the primary up to date by pulling from the primary, as node agents
+// do, until ctx ends.
 func (s *Server) followPrimary(ctx context.Context) {
 	for ctx.Err() == nil {
 		st, changed := s.watch()
@@ -64,8 +65,8 @@
 	}
 }
 
-// cancelWithPrimary cancels term once this machine knows of another primary, or is it itself: what was asked of the
-// former one is of no use then.
+// cancelWithPrimary cancels term once this machine becomes the primary or learns of another one: a pending pull from
+// the former primary is then useless.
 func (s *Server) cancelWithPrimary(term context.Context, cancel context.CancelFunc, primaryAddr string) {
 	for {
 		st, changed := s.watch()
@@ -80,7 +81,7 @@
 	}
 }
 
-// watcher takes what the primary publishes into the cache of this machine.
+// watcher returns a watcher that applies the primary's resources to this machine's cache.
 func (s *Server) watcher() *distribution.Watcher {
 	maxWait, readTimeout := distribution.PullTimeouts(s.settings.Bounds.Apply, s.settings.Heartbeat)
 	w := &distribution.Watcher{
@@ -100,7 +101,7 @@
 	return w
 }
 
-// pullingMembers returns the members behind this control server whose leases stand.
+// pullingMembers returns the members that pull from this control server and whose leases are valid.
 func (s *Server) pullingMembers() []distribution.Member {
 	return s.cache.Members(time.Now(), 3*s.settings.Heartbeat)
 }
--- a/internal/fleet/controlplane/driver.go
+++ b/internal/fleet/controlplane/driver.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// saveRetryMin and saveRetryMax bound the backoff of a write that the disk refuses, which doubles.
+	// saveRetryMin and saveRetryMax bound the exponential backoff after a failed write to the disk.
 	saveRetryMin = 50 * time.Millisecond
 	saveRetryMax = time.Second
 )
 
-// drive executes inputs one by one until ctx ends. What is to be on disk is there before anything is sent or
-// answered: a vote or an acknowledgement that a crash could take back would break what others build on it.
+// drive executes inputs one by one until ctx ends. State is synced to the disk before anything that depends on it is
+// sent or answered: a vote or an acknowledgement lost in a crash would break the guarantees given to other members.
 func (s *Server) drive(ctx context.Context) {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -33,8 +33,8 @@
 		if !s.processOutput(ctx, &out) {
 			continue
 		}
-		// Only now is all published that was acknowledged before that contact, by whatever primary: who pulls takes the
-		// age of the contact for that of the configuration (TestContactFollowsPublication).
+		// Renewed only after everything acknowledged before that contact, by any primary, is published: pulling clients
+		// take the age of the contact for that of the configuration (TestContactFollowsPublication).
 		if began, ok := s.replica.LastBackupContact(); ok {
 			s.contact.renew(s.replica.Status().Epoch, s.start.Add(began))
 		}
@@ -42,8 +42,8 @@
 	}
 }
 
-// processOutput saves, sends, publishes and answers what the replica hands out, in this order. It returns false, and
-// has done nothing, where ctx ended before all was saved.
+// processOutput saves, sends, publishes and answers the replica's output, in this order. It returns false, without
+// sending or answering anything, if ctx ends before the write is saved.
 func (s *Server) processOutput(ctx context.Context, out *replication.Output) bool {
 	if !s.save(ctx, out.Write) {
 		return false
@@ -64,15 +64,15 @@
 	return true
 }
 
-// save blocks until a write is on the disk, or until ctx ends: then it returns false. While the disk refuses writes
-// this machine neither hears nor says anything, and the others replace it.
+// save blocks until a write is on the disk and returns true, or returns false when ctx ends. While the disk rejects
+// writes this machine processes no inputs and sends no messages, so the other members replace it.
 func (s *Server) save(ctx context.Context, w *replication.Write) bool {
 	for pause := saveRetryMin; !w.Empty(); {
 		err := s.storage.Save(w)
 		if err == nil {
 			break
 		}
-		s.log.Error("the disk takes no write; tried again", zap.Error(err))
+		s.log.Error("state store write failed, retrying", zap.Error(err))
 		select {
 		case <-ctx.Done():
 			return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-// publishStatus publishes the replica's status and wakes who watches it.
+// publishStatus publishes the replica's status and wakes the goroutines that wait for a change of it.
 func (s *Server) publishStatus() {
 	st := s.replica.Status()
 	was := s.status.Swap(&st)
@@ -108,8 +108,8 @@
 		zap.Int("backups", len(st.View.Backups)))
 }
 
-// receive hands the driver a message of another core machine. It doesn't block: a message that finds the queue full is
-// lost, as it may be on the network.
+// receive passes a message of another core machine to the driver. It doesn't block: if the input queue is full the
+// message is dropped, as it could be on the network.
 func (s *Server) receive(from string, m *replication.Message) {
 	at := time.Now()
 	s.recordContact(from, at)
@@ -127,7 +127,7 @@
 	}
 }
 
-// fromPrimary reports whether the primary of the view that is known here sent a message as its primary.
+// fromPrimary reports whether a message was sent by the primary of the current view in that role.
 func fromPrimary(m *replication.Message, st *replication.Status) bool {
 	switch m.Kind {
 	case replication.KindHeartbeat, replication.KindAppend, replication.KindSnapshot:
@@ -136,16 +136,16 @@
 	return false
 }
 
-// peerDisconnected records that a core machine's connection to this one has ended: its process may be gone, so that no
-// caller is redirected there before its next message.
+// peerDisconnected records that a core machine's connection to this one has ended. Its process may have exited, so no
+// caller is redirected to it before its next message.
 func (s *Server) peerDisconnected(from string) {
 	if s.status.Load().PrimaryAddr == from {
 		s.contact.suspect()
 	}
 }
 
-// submitAndWait has the driver execute an input with a token of its own, and waits until the replica answers that
-// token or ctx ends, whose error it then returns: what became of the input is not known.
+// submitAndWait has the driver execute an input with a new token, and waits for the replica's answer to that token. If
+// ctx ends first it returns ctx's error, and the outcome of the input is unknown.
 func (s *Server) submitAndWait(
 	ctx context.Context, input func(now time.Duration, token uint64) replication.Output,
 ) (replication.Answer, error) {
@@ -170,8 +170,8 @@
 	}
 }
 
-// forgetAnswer has the driver forget an answer that nobody waits for any more. It doesn't block: with a full queue the
-// entry stays until the answer comes.
+// forgetAnswer has the driver drop a pending answer whose caller has left. It doesn't block: if the input queue is full
+// the entry stays until the answer arrives.
 func (s *Server) forgetAnswer(token uint64) {
 	forget := func(now time.Duration) replication.Output {
 		delete(s.pendingAnswers, token)
@@ -183,7 +183,7 @@
 	}
 }
 
-// confirmView asks the backups whether this machine's view still stands, and returns the answer.
+// confirmView asks the backups to confirm that this machine's view is current, and returns the answer.
 func (s *Server) confirmView(ctx context.Context) (replication.Answer, error) {
 	return s.submitAndWait(ctx, func(now time.Duration, token uint64) replication.Output {
 		return s.replica.Read(now, token)
--- a/internal/fleet/controlplane/handler.go
+++ b/internal/fleet/controlplane/handler.go
@@ -8,9 +8,9 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// handler serves the operator's calls. Only the primary says anything about the state, after its backups have
-// confirmed its view in a round that began after the call came: an answer of a machine that was replaced meanwhile
-// could be out of date.
+// handler returns the HTTP handler of the operator's calls. Only the primary reveals the state, and only after its
+// backups have confirmed its view in a round that began after the call arrived: the answer of a machine that was
+// replaced meanwhile could be out of date.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	register := func(call externalapi.Call, h func(w http.ResponseWriter, r *http.Request) error) {
@@ -28,7 +28,7 @@
 	return mux
 }
 
-// showConfig answers with the newest acknowledged configuration.
+// showConfig answers with the newest committed configuration.
 func (s *Server) showConfig(w http.ResponseWriter, r *http.Request) error {
 	applied, seq, err := s.linearizableRead(r)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// linearizableRead returns the newest state once the view is confirmed, and the change that it is at least as new as;
-// a nil state: there is no change yet.
+// linearizableRead returns the newest committed state once the view is confirmed, and the sequence number of a change
+// that the state includes. The state is nil if there is no change yet.
 func (s *Server) linearizableRead(r *http.Request) (applied *appliedState, seq uint64, err error) {
 	ctx, cancel := s.withContact(r.Context(), callTimeout)
 	defer cancel()
@@ -56,7 +56,8 @@
 	return s.confirmedState(ctx)
 }
 
-// confirmedState returns the newest state, as linearizableRead does, of a machine that is the primary.
+// confirmedState confirms the view and returns the newest committed state, as linearizableRead does. This machine must
+// be the primary.
 func (s *Server) confirmedState(ctx context.Context) (applied *appliedState, seq uint64, err error) {
 	ans, err := s.confirmView(ctx)
 	if err != nil || ans.Result != replication.Confirmed {
--- a/internal/fleet/controlplane/handler_test.go
+++ b/internal/fleet/controlplane/handler_test.go
@@ -71,9 +71,9 @@
 	c.Check(w.Body.String(), qt.Contains, "the body is not whole")
 }
 
-// TestSameChangeAtOnce: a change that comes many times at once, and whose first caller leaves, is accepted once, and
+// TestConcurrentDuplicateChanges: a change that comes many times at once, and whose first caller leaves, is accepted once, and
 // nobody is refused.
-func TestSameChangeAtOnce(t *testing.T) {
+func TestConcurrentDuplicateChanges(t *testing.T) {
 	c := qt.New(t)
 	server := newSoloServer(c)
 	first := replaceCommand(0, "5", "a")
--- a/internal/fleet/controlplane/histories_test.go
+++ b/internal/fleet/controlplane/histories_test.go
@@ -39,29 +39,29 @@
 	version int64 // shown
 }
 
-// acceptedLine is what a single machine has accepted: the newest change on top of those before. Equal lines are the
+// changeChain is what a single machine has accepted: the newest change on top of those before. Equal lines are the
 // same value.
-type acceptedLine struct {
+type changeChain struct {
 	version int64
 	key     string
-	before  *acceptedLine
-	next    map[string]*acceptedLine
+	before  *changeChain
+	next    map[string]*changeChain
 }
 
-// with is the line with a change more.
-func (l *acceptedLine) with(r request) *acceptedLine {
+// withChange is the line withChange a change more.
+func (l *changeChain) withChange(r request) *changeChain {
 	key := r.call.key()
 	if l.next[key] == nil {
 		if l.next == nil {
-			l.next = map[string]*acceptedLine{}
+			l.next = map[string]*changeChain{}
 		}
-		l.next[key] = &acceptedLine{version: r.version, key: key, before: l}
+		l.next[key] = &changeChain{version: r.version, key: key, before: l}
 	}
 	return l.next[key]
 }
 
-// has reports whether a call is in the line.
-func (l *acceptedLine) has(call *Command) bool {
+// contains reports whether a call is in the line.
+func (l *changeChain) contains(call *Command) bool {
 	key := call.key()
 	for ; l != nil; l = l.before {
 		if l.key == key {
@@ -74,17 +74,17 @@
 // singleMachine is one machine that answers as the operator's protocol says.
 func singleMachine() porcupine.Model {
 	return porcupine.Model{
-		Init: func() any { return &acceptedLine{} },
+		Init: func() any { return &changeChain{} },
 		Step: func(state, in, out any) (bool, any) {
-			line, asked, answer := state.(*acceptedLine), in.(request), out.(historyReply)
+			line, asked, answer := state.(*changeChain), in.(request), out.(historyReply)
 			if asked.call == nil {
 				return answer.status == 0 || answer.version == line.version, line
 			}
-			known := line.has(asked.call)
+			known := line.contains(asked.call)
 			acceptable := !known && asked.call.Base == line.version && asked.version > line.version
 			switch {
 			case answer.status == http.StatusOK && acceptable, answer.status == 0 && acceptable:
-				return true, line.with(asked)
+				return true, line.withChange(asked)
 			case answer.status == http.StatusOK:
 				return known, line
 			case answer.status == 0:
@@ -99,13 +99,13 @@
 // history is a core with its operators and all that they asked and were answered.
 type history struct {
 	*simulatedCore
-	ops       []porcupine.Operation
-	asked     []request   // changes that had a clear answer, or will
-	lossy     float64     // share of answers that are lost
-	statuses  map[int]int // clear answers, by status
-	again     int         // acknowledged calls of long ago
-	ending    bool        // no new requests
-	operators int
+	ops            []porcupine.Operation
+	asked          []request   // changes that had a clear answer, or will
+	answerLossRate float64     // share of answers that are lost
+	statuses       map[int]int // clear answers, by status
+	resubmitted    int         // acknowledged calls of long ago
+	stopping       bool        // no new requests
+	operators      int
 }
 
 // target is the member that an operator turns to: mostly one that leads.
@@ -168,10 +168,10 @@
 	}
 	deliver := func() {
 		answered := func(answer historyReply) {
-			if answer.status == http.StatusServiceUnavailable || h.rng.Float64() < h.lossy {
+			if answer.status == http.StatusServiceUnavailable || h.rng.Float64() < h.answerLossRate {
 				return
 			}
-			h.after(h.upTo(5*time.Millisecond), func() { end(answer) })
+			h.after(h.randomUpTo(5*time.Millisecond), func() { end(answer) })
 		}
 		if r.call == nil {
 			h.show(h.target(), answered)
@@ -184,11 +184,11 @@
 		if ended {
 			return
 		}
-		h.after(h.upTo(5*time.Millisecond), deliver)
+		h.after(h.randomUpTo(5*time.Millisecond), deliver)
 		if h.rng.IntN(8) == 0 { // a copy that comes late, perhaps after the answer
-			h.after(h.upTo(6*time.Second), deliver)
+			h.after(h.randomUpTo(6*time.Second), deliver)
 		}
-		h.after(100*time.Millisecond+h.upTo(time.Second), try)
+		h.after(100*time.Millisecond+h.randomUpTo(time.Second), try)
 	}
 	try()
 }
@@ -211,9 +211,9 @@
 func (h *history) operator(client int) {
 	var known int64
 	var next func()
-	again := func() { h.after(h.upTo(100*time.Millisecond), next) }
+	again := func() { h.after(h.randomUpTo(100*time.Millisecond), next) }
 	next = func() {
-		if h.ending {
+		if h.stopping {
 			return
 		}
 		switch draw := h.rng.IntN(10); {
@@ -225,7 +225,7 @@
 		case draw <= 2 && len(h.asked) > 0: // a call of long ago
 			h.operate(client, h.asked[h.rng.IntN(len(h.asked))], func(answer historyReply) {
 				if answer.status == http.StatusOK {
-					h.again++
+					h.resubmitted++
 				}
 				again()
 			})
@@ -254,12 +254,12 @@
 	next()
 }
 
-// play runs a history and judges it.
-func (h *history) play(seed uint64) error {
-	h.loss = 0.03 * float64(seed%3)
-	h.lossy = 0.15 * float64(seed%4)
+// run runs a history and judges it.
+func (h *history) run(seed uint64) error {
+	h.messageLossRate = 0.03 * float64(seed%3)
+	h.answerLossRate = 0.15 * float64(seed%4)
 	for _, m := range h.members {
-		h.after(h.upTo(300*time.Millisecond), func() { h.start(m) })
+		h.after(h.randomUpTo(300*time.Millisecond), func() { h.start(m) })
 	}
 	h.operators = 2 + int(seed%4)
 	for client := range h.operators {
@@ -269,12 +269,12 @@
 	faults = func() {
 		if h.now < faultsEnd {
 			h.fault()
-			h.after(100*time.Millisecond+h.upTo(3*time.Second), faults)
+			h.after(100*time.Millisecond+h.randomUpTo(3*time.Second), faults)
 		}
 	}
 	h.after(2*time.Second, faults)
 	h.runUntil(faultsEnd, nil)
-	h.ending, h.lossy = true, 0
+	h.stopping, h.answerLossRate = true, 0
 	h.endFaults()
 	h.runUntil(faultsEnd+15*time.Second, nil)
 	if h.err != nil {
@@ -329,13 +329,13 @@
 			statuses, again, longest := map[int]int{}, 0, 0
 			for seed := uint64(1); seed <= *historySeeds; seed++ {
 				h := &history{simulatedCore: newSimulatedCore(seed, size.members, size.survive), statuses: map[int]int{}}
-				if err := h.play(seed); err != nil {
+				if err := h.run(seed); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
 				}
 				for status, n := range h.statuses {
 					statuses[status] += n
 				}
-				again += h.again
+				again += h.resubmitted
 				for _, m := range h.members {
 					longest = max(longest, len(m.state.accepted.versions))
 				}
--- a/internal/fleet/controlplane/idempotency.go
+++ b/internal/fleet/controlplane/idempotency.go
@@ -7,47 +7,49 @@
 )
 
 const (
-	// rememberedBytes bounds what the remembered changes take in a snapshot.
+	// rememberedBytes bounds the size of the remembered changes in a snapshot, in bytes.
 	rememberedBytes = 96 << 10
-	// rememberedChangeBytes is the most that one of them takes there: a version and a digest of 9 bytes each.
+	// rememberedChangeBytes is the maximum size of one of them: a version and a digest of 9 bytes each.
 	rememberedChangeBytes = 9 + 9
-	// maxRemembered is how many accepted changes are remembered.
+	// maxRemembered is the maximum number of accepted changes that are remembered.
 	maxRemembered = rememberedBytes / rememberedChangeBytes
 )
 
-// unknownBase stands for a base version that an older build's snapshot doesn't contain.
+// unknownBase is the value of oldestBase if the snapshot was written by an older build that didn't store it.
 const unknownBase = -1
 
-// errRemembered is the error of a snapshot whose remembered changes can't have been accepted one after the other.
-var errRemembered = errors.New("the remembered changes do not follow each other")
+// errVersionOrder is returned for a snapshot whose remembered changes can't have been accepted one after the other.
+var errVersionOrder = errors.New("the versions of the accepted changes are inconsistent")
 
-// acceptedChanges remembers the newest accepted changes, so that one that is sent again is recognised. The version of
-// each is the base of the next one, and versions rise: at most one change is ever accepted on a base.
+// acceptedChanges holds the versions and digests of the newest accepted changes, so that a resubmitted change is
+// recognised. The version of each is the base of the next one, and versions rise: at most one change is ever accepted
+// on a base.
 type acceptedChanges struct {
-	oldestBase int64 // what the oldest remembered change was built on, or unknownBase
+	oldestBase int64 // base version of the oldest remembered change, or unknownBase
 	versions   []int64
 	digests    []uint64
 }
 
-// recollection says what is remembered of changes on one base.
-type recollection uint8
+// lookupResult says how a change relates to the accepted changes.
+type lookupResult uint8
 
 const (
-	notBuiltOn  recollection = iota // no change on that base was accepted, and one may be
-	sameChange                      // that very change was accepted
-	otherChange                     // another one was accepted, or the base was passed over: this one never can be
-	forgotten                       // the base lies before all that is remembered: it may have been accepted
+	notBuiltOn  lookupResult = iota // no change on that base was accepted, and one still can be
+	sameChange                      // this change was accepted
+	otherChange                     // another change was accepted on the base or the base was skipped: never acceptable
+	forgotten                       // the base is older than all remembered changes: this one may have been accepted
 )
 
-// add remembers a change that was accepted on top of the newest one, and forgets the oldest when there are too many.
+// add records a change accepted on top of the newest one, and drops the oldest if there are more than maxRemembered.
 func (a *acceptedChanges) add(version int64, digest uint64) {
 	a.versions = append(a.versions, version)
 	a.digests = append(a.digests, digest)
-	a.forgetDownTo(maxRemembered)
+	a.trimTo(maxRemembered)
 }
 
-// forgetDownTo keeps the newest changes, so many at most. Nothing is copied: append drops what is before, in time.
-func (a *acceptedChanges) forgetDownTo(most int) {
+// trimTo keeps at most the given number of newest changes. Nothing is copied: a later append reallocates without the
+// dropped entries.
+func (a *acceptedChanges) trimTo(most int) {
 	excess := len(a.versions) - most
 	if excess <= 0 {
 		return
@@ -57,8 +59,8 @@
 	a.digests = a.digests[excess:]
 }
 
-// lookup returns what is remembered of a command.
-func (a *acceptedChanges) lookup(c *Command) recollection {
+// lookup returns how a command relates to the accepted changes.
+func (a *acceptedChanges) lookup(c *Command) lookupResult {
 	following := sort.Search(len(a.versions), func(i int) bool { return a.versions[i] > c.Base })
 	base := a.oldestBase
 	if following > 0 {
@@ -80,7 +82,7 @@
 	return otherChange
 }
 
-// store puts the remembered changes into a snapshot.
+// store writes the remembered changes into a snapshot.
 func (a *acceptedChanges) store(s *StoredState) {
 	s.Versions = a.versions
 	s.Digests = a.digests
@@ -89,12 +91,11 @@
 	}
 }
 
-// restoreAccepted returns the remembered changes of a snapshot whose document has the version given. A snapshot of a
-// build that kept no OldestBase doesn't say what its oldest change was built on, nor whether there were others
-// before.
+// restoreAccepted returns the remembered changes of a snapshot whose document has the given version. If the snapshot's
+// build didn't store OldestBase, the base of its oldest change is unknown, and so is whether other changes came before.
 func restoreAccepted(s *StoredState, version int64) (a acceptedChanges, err error) {
 	if len(s.Versions) != len(s.Digests) {
-		return a, errors.New("as many versions as digests are due")
+		return a, errors.New("the accepted changes have unequal numbers of versions and digests")
 	}
 	a = acceptedChanges{oldestBase: unknownBase, versions: s.Versions, digests: s.Digests}
 	if len(a.versions) == 0 {
@@ -106,13 +107,13 @@
 	newest := a.oldestBase
 	for _, v := range a.versions {
 		if v <= newest {
-			return a, errRemembered
+			return a, errVersionOrder
 		}
 		newest = v
 	}
 	if newest != version {
-		return a, errRemembered
+		return a, errVersionOrder
 	}
-	a.forgetDownTo(maxRemembered)
+	a.trimTo(maxRemembered)
 	return a, nil
 }
--- a/internal/fleet/controlplane/idempotency_bench_test.go
+++ b/internal/fleet/controlplane/idempotency_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// remembering is a state that accepted so many changes.
-func remembering(tb testing.TB, changes int) *controlState {
+// stateWithChanges is a state that accepted so many changes.
+func stateWithChanges(tb testing.TB, changes int) *controlState {
 	r := &controlState{}
 	apply(tb, r, replaceCommand(0, "1", "a"))
 	acceptMore(tb, r, changes-1)
@@ -19,7 +19,7 @@
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := remembering(b, n)
+			r := stateWithChanges(b, n)
 			call := replaceCommand(0, "1", "a")
 			b.ReportAllocs()
 			for b.Loop() {
@@ -33,7 +33,7 @@
 func BenchmarkApply(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := remembering(b, n)
+			r := stateWithChanges(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
 				acceptMore(b, r, 1)
@@ -56,7 +56,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := remembering(b, n)
+			r := stateWithChanges(b, n)
 			whole := len(r.Snapshot())
 			s := storedBy(b, r)
 			s.Versions, s.Digests, s.OldestBase = nil, nil, nil
--- a/internal/fleet/controlplane/idempotency_model_test.go
+++ b/internal/fleet/controlplane/idempotency_model_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// line is the model of a state: the calls that it accepted, oldest first.
-type line struct {
+// acceptedLog is the model of a state: the calls that it accepted, oldest first.
+type acceptedLog struct {
 	calls     []*Command
 	versions  []int64
 	committed int // so many can't be lost any more
@@ -18,20 +18,20 @@
 	firstBase int // what this one and later ones were built on is known, too
 }
 
-func (l *line) current() int64 {
+func (l *acceptedLog) current() int64 {
 	if len(l.versions) == 0 {
 		return 0
 	}
 	return l.versions[len(l.versions)-1]
 }
 
-// at is the position of a call in the line, or -1.
-func (l *line) at(call *Command) int {
+// indexOf is the position of a call in the line, or -1.
+func (l *acceptedLog) indexOf(call *Command) int {
 	return slices.IndexFunc(l.calls, func(c *Command) bool { return c == call || c.key() == call.key() })
 }
 
 // truncate takes away all but the first calls.
-func (l *line) truncate(keep int) {
+func (l *acceptedLog) truncate(keep int) {
 	l.calls = l.calls[:keep:keep]
 	l.versions = l.versions[:keep:keep]
 }
@@ -39,10 +39,10 @@
 // maxBulk bounds the changes of a run that are made many at a time.
 const maxBulk = 12_000
 
-// lineTest holds a state against its model.
-type lineTest struct {
+// acceptedLogTest holds a state against its model.
+type acceptedLogTest struct {
 	state     *controlState
-	model     line
+	model     acceptedLog
 	sent      []*Command        // all calls ever sent: each may come again
 	refused   map[*Command]bool // those whose refusal may have been answered
 	snapshots map[int][]byte    // by length of the line
@@ -50,7 +50,7 @@
 }
 
 // accept has the state and the model accept a call.
-func (lt *lineTest) accept(t *rapid.T, call *Command) {
+func (lt *acceptedLogTest) accept(t *rapid.T, call *Command) {
 	b, err := call.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -62,9 +62,9 @@
 }
 
 // judge has the state judge a call, and judges the verdict.
-func (lt *lineTest) judge(t *rapid.T, call *Command) {
+func (lt *acceptedLogTest) judge(t *rapid.T, call *Command) {
 	v := lt.state.judge(call)
-	at := lt.model.at(call)
+	at := lt.model.indexOf(call)
 	switch {
 	case v == nil:
 		lt.judgeProposal(t, call, at)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (lt *lineTest) judgeProposal(t *rapid.T, call *Command, at int) {
+func (lt *acceptedLogTest) judgeProposal(t *rapid.T, call *Command, at int) {
 	if at >= 0 || call.Base != lt.model.current() {
 		t.Fatalf("proposed on %d at version %d, accepted at %d", call.Base, lt.model.current(), at)
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (lt *lineTest) judgeUnclear(t *rapid.T, call *Command, at int) {
+func (lt *acceptedLogTest) judgeUnclear(t *rapid.T, call *Command, at int) {
 	forgotten := len(lt.model.calls) - maxRemembered
 	if at >= 0 && at >= max(forgotten, lt.model.firstKept) {
 		t.Fatalf("no clear answer though %d of %d is remembered", at, len(lt.model.calls))
@@ -112,7 +112,7 @@
 }
 
 // newCall sends a call on the current version or one near by, valid or not.
-func (lt *lineTest) newCall(t *rapid.T) {
+func (lt *acceptedLogTest) newCall(t *rapid.T) {
 	base := lt.model.current()
 	if rapid.IntRange(0, 3).Draw(t, "guess") == 0 {
 		base = rapid.Int64Range(max(0, base-9), base+4).Draw(t, "base")
@@ -126,15 +126,15 @@
 	}
 }
 
-// copyComes delivers a call that was sent at some time.
-func (lt *lineTest) copyComes(t *rapid.T) {
+// duplicateArrives delivers a call that was sent at some time.
+func (lt *acceptedLogTest) duplicateArrives(t *rapid.T) {
 	if len(lt.sent) > 0 {
 		lt.judge(t, rapid.SampledFrom(lt.sent).Draw(t, "copy"))
 	}
 }
 
 // rival sends a call that differs from another in its operation or base, or in nothing.
-func (lt *lineTest) rival(t *rapid.T) {
+func (lt *acceptedLogTest) rival(t *rapid.T) {
 	if len(lt.sent) == 0 {
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 // baseReached has a change accepted that brings the version which a call builds on that came too early.
-func (lt *lineTest) baseReached(t *rapid.T) {
+func (lt *acceptedLogTest) baseReached(t *rapid.T) {
 	early := slices.DeleteFunc(slices.Clone(lt.sent), func(c *Command) bool { return c.Base <= lt.model.current() })
 	if len(early) == 0 || lt.state.doc == nil {
 		return
@@ -157,7 +157,7 @@
 	lt.judge(t, call)
 }
 
-func (lt *lineTest) manyChanges(t *rapid.T) {
+func (lt *acceptedLogTest) manyChanges(t *rapid.T) {
 	n := rapid.SampledFrom([]int{1, 70, 1000, 5000}).Draw(t, "changes")
 	if lt.bulk += n; lt.bulk > maxBulk || lt.state.doc == nil {
 		return
@@ -167,20 +167,22 @@
 	}
 }
 
-func (lt *lineTest) allCommitted(*rapid.T) {
+func (lt *acceptedLogTest) allCommitted(*rapid.T) {
 	lt.model.committed = len(lt.model.calls)
 	lt.state.takeCommitted(lt.state.seq)
 }
 
-func (lt *lineTest) snapshot(*rapid.T) { lt.snapshots[len(lt.model.calls)] = lt.state.Snapshot() }
+func (lt *acceptedLogTest) snapshot(*rapid.T) {
+	lt.snapshots[len(lt.model.calls)] = lt.state.Snapshot()
+}
 
-func (lt *lineTest) snapshotRead(t *rapid.T) {
+func (lt *acceptedLogTest) snapshotRead(t *rapid.T) {
 	s := storedBy(t, lt.state)
 	lt.state = fromStored(t, lt.state.seq, &s)
 }
 
 // takeover restores a snapshot that lacks what isn't committed.
-func (lt *lineTest) takeover(t *rapid.T) {
+func (lt *acceptedLogTest) takeover(t *rapid.T) {
 	keep := rapid.IntRange(lt.model.committed, len(lt.model.calls)).Draw(t, "keep")
 	s, ok := lt.snapshots[keep]
 	if !ok {
@@ -198,7 +200,7 @@
 }
 
 // olderBuild has the state go through the snapshot of a build that remembers fewer changes, or none, and no base.
-func (lt *lineTest) olderBuild(t *rapid.T) {
+func (lt *acceptedLogTest) olderBuild(t *rapid.T) {
 	if lt.state.doc == nil {
 		return
 	}
@@ -216,7 +218,7 @@
 }
 
 // check holds the state's version and position against the model's.
-func (lt *lineTest) check(t *rapid.T) {
+func (lt *acceptedLogTest) check(t *rapid.T) {
 	if lt.state.doc.Version() != lt.model.current() || lt.state.seq != uint64(len(lt.model.calls)) {
 		t.Fatalf("version %d at %d, expected %d at %d",
 			lt.state.doc.Version(), lt.state.seq, lt.model.current(), len(lt.model.calls))
@@ -229,10 +231,10 @@
 // remembered or ahead of the state.
 func TestResubmittedAtAnyTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lt := &lineTest{state: &controlState{}, refused: map[*Command]bool{}, snapshots: map[int][]byte{0: nil}}
+		lt := &acceptedLogTest{state: &controlState{}, refused: map[*Command]bool{}, snapshots: map[int][]byte{0: nil}}
 		t.Repeat(map[string]func(*rapid.T){
 			"a new call":                       lt.newCall,
-			"a copy comes":                     lt.copyComes,
+			"a copy comes":                     lt.duplicateArrives,
 			"a rival of a call":                lt.rival,
 			"the base of a call is reached":    lt.baseReached,
 			"many changes":                     lt.manyChanges,
--- a/internal/fleet/controlplane/idempotency_test.go
+++ b/internal/fleet/controlplane/idempotency_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestResubmittedMuchLater: a change that comes again after thousands of others is acknowledged again; one that lies
+// TestResubmittedAfterManyChanges: a change that comes again after thousands of others is acknowledged again; one that lies
 // before all that is remembered gets no clear answer, and neither does another one on its base.
-func TestResubmittedMuchLater(t *testing.T) {
+func TestResubmittedAfterManyChanges(t *testing.T) {
 	qt.Assert(t, maxRemembered >= 4096, qt.IsTrue)
 	r := &controlState{}
 	first, rival := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b")
@@ -247,15 +247,23 @@
 		{
 			"a digest is missing",
 			func(s *StoredState) { s.Digests = s.Digests[:1] },
-			"record: as many versions as digests are due",
+			"record: the accepted changes have unequal numbers of versions and digests",
 		},
 		{
 			"the newest is missing",
 			func(s *StoredState) { s.Versions, s.Digests = s.Versions[:1], s.Digests[:1] },
-			"record: .* do not follow .*",
+			"record: the versions of .* are inconsistent",
+		},
+		{
+			"versions fall",
+			func(s *StoredState) { slices.Reverse(s.Versions) },
+			"record: the versions of .* are inconsistent",
+		},
+		{
+			"the base is not below",
+			func(s *StoredState) { s.OldestBase = &s.Versions[0] },
+			"record: the versions of .* are inconsistent",
 		},
-		{"versions fall", func(s *StoredState) { slices.Reverse(s.Versions) }, "record: .* do not follow .*"},
-		{"the base is not below", func(s *StoredState) { s.OldestBase = &s.Versions[0] }, "record: .* do not follow .*"},
 		{"the document is damaged", func(s *StoredState) { s.Document = s.Document[1:] }, "record: configuration: .*"},
 		{"the residency is damaged", func(s *StoredState) { s.Residency = []byte{0} }, "record: .*"},
 	} {
--- a/internal/fleet/controlplane/outlierejector.go
+++ b/internal/fleet/controlplane/outlierejector.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// detectionInterval is the time between two judgements of the backends.
+	// detectionInterval is the time between two evaluations of the backends.
 	detectionInterval = 100 * time.Millisecond
-	// ejectionRefresh is how often ejections in force are sent again, so that they don't lapse.
+	// ejectionRefresh is the time after which active ejections are published again, so that they don't expire.
 	ejectionRefresh = time.Second
 )
 
-// outlierEjector ejects backends by what all proxies report of them, while this machine is the primary. It belongs to
-// the goroutine of detectOutliers.
+// outlierEjector ejects outlier backends according to the outcomes that all proxies report, while this machine is the
+// primary. It belongs to the goroutine of detectOutliers.
 type outlierEjector struct {
 	server   *Server
-	epoch    uint64 // of the view in which the fields below were learned
-	count    uint64 // of what was published in it
+	epoch    uint64 // epoch to which the fields below belong
+	count    uint64 // number of publications in that epoch
 	detector *outlier.Detector
-	ejected  []distribution.Ejection // as published last
-	sent     time.Time               // when
+	ejected  []distribution.Ejection // last published
+	sent     time.Time               // time of the last publication
 }
 
-// detectOutliers runs until ctx ends.
+// detectOutliers evaluates the backends at detectionInterval until ctx ends.
 func (s *Server) detectOutliers(ctx context.Context) {
 	e := &outlierEjector{server: s}
 	for ; ctx.Err() == nil; sleep(ctx, detectionInterval) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// step judges as the primary of an epoch, and publishes what is ejected.
+// step evaluates the backends as the primary of an epoch, and publishes the ejections.
 func (e *outlierEjector) step(epoch uint64, now time.Time) {
 	if e.detector == nil || e.epoch != epoch {
 		e.reset(epoch)
@@ -66,7 +66,7 @@
 	}
 }
 
-// reset forgets what an earlier primary's term knew.
+// reset clears the state of an earlier epoch.
 func (e *outlierEjector) reset(epoch uint64) {
 	e.epoch = epoch
 	e.count = 0
@@ -74,7 +74,8 @@
 	e.ejected = nil
 }
 
-// outlierPeers returns the listed backends, in groups that serve the same requests.
+// outlierPeers returns the active backends of a list, grouped by service and phase, as those of one group serve the
+// same kind of requests.
 func outlierPeers(list *distribution.BackendList) []outlier.Peer {
 	peers := make([]outlier.Peer, 0, len(list.Backends))
 	for _, b := range list.Backends {
@@ -86,12 +87,12 @@
 	return peers
 }
 
-// publish publishes ejections under the next version of the term.
+// publish publishes ejections under the next version of the epoch.
 func (e *outlierEjector) publish(ejected []distribution.Ejection, now time.Time) {
 	e.count++
 	e.ejected = ejected
 	e.sent = now
 	all := distribution.Ejections{Ejected: ejected}
-	b, _ := all.MarshalMsg(nil) // it has no way to fail
+	b, _ := all.MarshalMsg(nil) // never fails
 	e.server.cache.SetSnapshot(distribution.EjectionsType, distribution.Version{Epoch: e.epoch, Count: e.count}, b)
 }
--- a/internal/fleet/controlplane/partition_test.go
+++ b/internal/fleet/controlplane/partition_test.go
@@ -19,8 +19,8 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// verdictsOf are calls whose answers say something of the state: none of them may be given without contact.
-func verdictsOf(version uint64) map[string]func(c *cluster, ip string) reply {
+// stateCalls are calls whose answers say something of the state: none of them may be given without contact.
+func stateCalls(version uint64) map[string]func(c *cluster, ip string) reply {
 	replace := func(base string, body []byte) func(c *cluster, ip string) reply {
 		return func(c *cluster, ip string) reply {
 			return c.call(ip, externalapi.CallReplace.Method, externalapi.CallReplace.Path, base, body)
@@ -47,7 +47,7 @@
 func (c *cluster) expectUnavailable(ip string, version uint64, within time.Duration, heard ...string) {
 	c.Helper()
 	var all sync.WaitGroup
-	for name, ask := range verdictsOf(version) {
+	for name, ask := range stateCalls(version) {
 		all.Go(func() {
 			got := ask(c, ip)
 			c.Check(got.took < within, qt.IsTrue, qt.Commentf("%s at %s took %v", name, ip, got.took))
@@ -71,10 +71,10 @@
 // callerTimeout is how long the operator waits for an answer.
 const callerTimeout = time.Second
 
-// TestCutOffPrimary: a primary that is cut off, both ways or one way, gives no verdict from the cut on: calls that are
+// TestPartitionedPrimary: a primary that is cut off, both ways or one way, gives no verdict from the cut on: calls that are
 // parked and those that come soon are answered before their caller moves on, later ones at once. The others go on.
 // Healed, it says what they acknowledged, or sends callers there.
-func TestCutOffPrimary(t *testing.T) {
+func TestPartitionedPrimary(t *testing.T) {
 	for i, one := range []struct {
 		name  string
 		cut   func(c *cluster, primary, other string)
@@ -137,11 +137,11 @@
 	return rep
 }
 
-// TestNoVerdictRightAfterTheCut: each call by itself, as the first that comes after the cut, when the primary doesn't
+// TestNoAnswerRightAfterPartition: each call by itself, as the first that comes after the cut, when the primary doesn't
 // know of it yet.
-func TestNoVerdictRightAfterTheCut(t *testing.T) {
+func TestNoAnswerRightAfterPartition(t *testing.T) {
 	net := 80
-	for name, ask := range verdictsOf(5) {
+	for name, ask := range stateCalls(5) {
 		t.Run(name, func(t *testing.T) {
 			net++
 			c := newCluster(t, net, 3, 1, nil)
@@ -191,9 +191,9 @@
 	}, c.ips...)
 }
 
-// TestRestartedOnWrongSide: machines that start while they are cut off say nothing and send nobody anywhere, the
+// TestRestartWhilePartitioned: machines that start while they are cut off say nothing and send nobody anywhere, the
 // former primary not to itself.
-func TestRestartedOnWrongSide(t *testing.T) {
+func TestRestartWhilePartitioned(t *testing.T) {
 	c := newCluster(t, 45, 3, 1, nil)
 	c.replaceConfig(0, 5, c.ips...)
 	old := c.primary(c.ips...)
@@ -205,7 +205,7 @@
 	set.Bootstrap = false
 	c.start(set)
 	c.expectUnavailable(old, 5, callerTimeout)
-	c.Assert(c.pulls(old), qt.HasLen, 3, qt.Commentf("who pulls here learns of the others"))
+	c.Assert(c.publishedControlServers(old), qt.HasLen, 3, qt.Commentf("who pulls here learns of the others"))
 	// Both halves at once: the others know their view from their disks only.
 	for _, ip := range others {
 		c.servers[ip].stop()
@@ -221,8 +221,8 @@
 	c.replaceConfig(7, 9, c.ips...)
 }
 
-// pulls are the control servers that one tells those that pull of.
-func (c *cluster) pulls(ip string) []string {
+// publishedControlServers are the control servers that one tells those that pull of.
+func (c *cluster) publishedControlServers(ip string) []string {
 	var core distribution.ControlServers
 	for _, r := range c.servers[ip].cache.Fetch(c.Context(), ip, &distribution.Request{}).Resources {
 		if r.Type == distribution.ControlServersType {
@@ -298,10 +298,10 @@
 	}()
 }
 
-// TestNextAcknowledgementAfterALoss: after the loss of the primary a caller at a survivor gets the next
+// TestAcknowledgementAfterPrimaryLoss: after the loss of the primary a caller at a survivor gets the next
 // acknowledgement in its first call, which waits for the takeover; one that turns to the lost machine first has it a
 // second of silence later.
-func TestNextAcknowledgementAfterALoss(t *testing.T) {
+func TestAcknowledgementAfterPrimaryLoss(t *testing.T) {
 	for i, one := range []struct {
 		name   string
 		silent bool // no reset from its addresses
--- a/internal/fleet/controlplane/phasecontroller.go
+++ b/internal/fleet/controlplane/phasecontroller.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// reportInterval is the time between two rounds of reports; they are priced as health checks.
+	// reportInterval is the time between two rounds of reports. Reports are priced like health checks.
 	reportInterval = 1500 * time.Millisecond
-	// maxConcurrentReports bounds the backends that are asked at once.
+	// maxConcurrentReports bounds the concurrent report requests.
 	maxConcurrentReports = 16
-	// unresponsiveDivisor is one in how many backends of a service may be unresponsive for that to be believed: where
-	// more are, this machine may be the one that is partitioned.
+	// unresponsiveDivisor is the divisor of the greatest share of a service's backends that are published as
+	// unresponsive: if more than 1/unresponsiveDivisor of them are, this machine itself may be partitioned.
 	unresponsiveDivisor = 3
 )
 
-// phaseController has backends change between prefill and decode. It is a singleton role: it comes with the primary's
-// view, whose epoch is the fencing token of its orders. It is safe for concurrent use, but rounds don't run beside
-// each other.
+// phaseController orders backends to change between prefill and decode. This is a singleton role of the primary; the
+// epoch of its view is the fencing token of its orders. It is safe for concurrent use, but rounds must not run
+// concurrently.
 type phaseController struct {
 	server *Server
 	client *externalapi.BackendClient
 
 	mu           sync.Mutex
 	planners     map[string]*scheduler.PhasePlanner // by service
-	changing     map[string]bool                    // ids to which nobody should send
-	active       map[string]int                     // requests by id of decode backends, as of the last round
-	unresponsive []string                           // ids whose report did not come then
+	changing     map[string]bool                    // ids of backends that are about to change phase
+	active       map[string]int                     // requests of decode backends by id, in the last round
+	unresponsive []string                           // ids of backends without a report in the last round
 
-	// fencedEpoch is the newest epoch whose orders a backend rejected since it had seen a higher one; 0: none. No
-	// order is given in its name, or that of an earlier one, again.
+	// fencedEpoch is the newest epoch whose orders a backend rejected because it had seen a higher one; 0: none. No
+	// more orders are sent for it or an earlier epoch.
 	fencedEpoch uint64
 }
 
-// newPhaseController returns one that has given no orders yet.
+// newPhaseController returns a controller that has sent no orders yet.
 func newPhaseController(server *Server) *phaseController {
 	return &phaseController{
 		server:   server,
@@ -52,7 +52,7 @@
 	}
 }
 
-// reset forgets what an earlier term of the role began.
+// reset clears the state of an earlier epoch, except fencedEpoch.
 func (p *phaseController) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,8 @@
 	p.unresponsive = nil
 }
 
-// loadReport returns how many requests the decode backends had when they were last asked: those with the most.
+// loadReport returns the number of requests of the decode backends in the last round. If there are more than
+// distribution.MaxLoadReportBackends, it contains the backends with the most requests.
 func (p *phaseController) loadReport() distribution.LoadReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +80,7 @@
 	return report
 }
 
-// markChanging has a list say which backends are about to change, so that proxies send nothing there.
+// markChanging marks the backends of a list that are about to change phase, so that proxies send them no requests.
 func (p *phaseController) markChanging(list *distribution.BackendList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,15 +91,16 @@
 	}
 }
 
-// round is one round of reports and orders.
+// round holds the parameters of one round of reports and orders.
 type round struct {
-	now      time.Duration // since the start of the server
+	now      time.Duration // time since the start of the server
 	epoch    uint64
 	mayOrder bool
 }
 
-// run asks the backends of all services for their reports and, where it may, gives the orders that follow. It blocks
-// until all were asked, and reports whether what markChanging does has changed.
+// run requests reports from the backends of all services and, if r.mayOrder is set, sends the resulting orders. It
+// blocks until all backends were asked, and reports whether the set of backends that are about to change phase has
+// changed.
 func (p *phaseController) run(ctx context.Context, r round, list *distribution.BackendList) bool {
 	committed := p.server.committed.Load()
 	if committed == nil || committed.doc == nil {
@@ -115,7 +117,7 @@
 	return !maps.Equal(before, p.changingNow())
 }
 
-// runService is the part of a round of one service, whose backends take capacity requests each.
+// runService runs a round for one service, whose backends take capacity concurrent requests each.
 func (p *phaseController) runService(
 	ctx context.Context, r round, service string, capacity int, list *distribution.BackendList,
 ) {
@@ -135,7 +137,7 @@
 	p.sendOrders(ctx, r.epoch, planner, transitions, backends, reports)
 }
 
-// resetReports forgets the reports of the round before.
+// resetReports clears the results of the previous round.
 func (p *phaseController) resetReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,8 +145,8 @@
 	p.unresponsive = nil
 }
 
-// fetchReports asks all backends at once for their reports, and blocks until each has answered or failed. The report
-// of a backend that gave none isn't usable.
+// fetchReports requests reports from all backends concurrently, and blocks until each has answered or failed. The
+// result contains an unusable report for a backend that gave none.
 func (p *phaseController) fetchReports(ctx context.Context, backends []distribution.Backend) []scheduler.BackendReport {
 	reports := make([]scheduler.BackendReport, len(backends))
 	var wait sync.WaitGroup
@@ -172,8 +174,8 @@
 	return reports
 }
 
-// recordReports records how many requests the backends of a service have and which were unresponsive, and returns the
-// planner of the service.
+// recordReports records the number of requests of a service's backends and which of them were unresponsive, and returns
+// the service's planner.
 func (p *phaseController) recordReports(
 	service string, backends []distribution.Backend, reports []scheduler.BackendReport,
 ) *scheduler.PhasePlanner {
@@ -198,7 +200,7 @@
 	return planner
 }
 
-// plan returns the transitions of a service, of which those that are due are to be ordered.
+// plan returns the pending transitions of a service; orders are sent for those that are due.
 func (p *phaseController) plan(
 	planner *scheduler.PhasePlanner, now time.Duration, capacity int, reports []scheduler.BackendReport,
 ) []scheduler.Transition {
@@ -207,8 +209,8 @@
 	return planner.Step(float64(now.Milliseconds()), capacity, reports)
 }
 
-// updateChanging records which backends of a service are about to change, also by an order of an earlier owner of the
-// role.
+// updateChanging records which backends of a service are about to change phase, including those ordered by a previous
+// primary.
 func (p *phaseController) updateChanging(
 	planner *scheduler.PhasePlanner, backends []distribution.Backend, reports []scheduler.BackendReport,
 ) {
@@ -227,7 +229,7 @@
 	}
 }
 
-// changingNow returns a copy of the ids of the backends that are about to change.
+// changingNow returns a copy of the set of backends that are about to change phase.
 func (p *phaseController) changingNow() map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/controlplane/phasecontroller_test.go
+++ b/internal/fleet/controlplane/phasecontroller_test.go
@@ -71,9 +71,9 @@
 	c.Assert(orders.Load(), qt.Equals, int64(2))
 }
 
-// TestOrderIsTooLateAfterAFreeze: an order whose time is over, as it is after a freeze behind the confirmation, is
+// TestOrderDroppedAfterFreeze: an order whose time is over, as it is after a freeze behind the confirmation, is
 // not sent.
-func TestOrderIsTooLateAfterAFreeze(t *testing.T) {
+func TestOrderDroppedAfterFreeze(t *testing.T) {
 	c := qt.New(t)
 	backend, orders := countingBackend(c)
 	p := newPhaseController(newSoloServer(c))
@@ -83,9 +83,9 @@
 	c.Assert(orders.Load(), qt.Equals, int64(1))
 }
 
-// TestOrderGivenUpIsReset: an order without an answer is taken back by a reset, so that what a cut held up doesn't
+// TestTimedOutOrderResetsConnection: an order without an answer is taken back by a reset, so that what a cut held up doesn't
 // come later.
-func TestOrderGivenUpIsReset(t *testing.T) {
+func TestTimedOutOrderResetsConnection(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -135,8 +135,8 @@
 	c.Assert(p.fenced(epoch), qt.IsTrue)
 }
 
-// TestOrderIsTakenOrNot: an order counts as acknowledged only where the backend says that it holds to it.
-func TestOrderIsTakenOrNot(t *testing.T) {
+// TestOrderAcknowledgement: an order counts as acknowledged only where the backend says that it holds to it.
+func TestOrderAcknowledgement(t *testing.T) {
 	c := qt.New(t)
 	for status, want := range map[int]bool{
 		http.StatusOK:                  true,
@@ -156,17 +156,17 @@
 	}
 }
 
-// TestPhaseOwnersKeepALeaseApart: the last order of an owner of the role is given up before a lease begins after
+// TestPhaseTakeoverWaitsForLease: the last order of an owner of the role is given up before a lease begins after
 // which the next may give one.
-func TestPhaseOwnersKeepALeaseApart(t *testing.T) {
+func TestPhaseTakeoverWaitsForLease(t *testing.T) {
 	for _, lease := range []time.Duration{0, time.Second, 3 * time.Second} {
 		server := &Server{settings: settings.Settings{Bounds: settings.Bounds{Lease: lease}}}
 		qt.Check(t, server.phaseTakeoverWait()-confirmAndOrderTimeout > lease, qt.IsTrue)
 	}
 }
 
-// TestCutOffPrimaryDoesNotPoll: the platform is asked by the primary alone, and by none that is cut off.
-func TestCutOffPrimaryDoesNotPoll(t *testing.T) {
+// TestPartitionedPrimaryDoesNotPoll: the platform is asked by the primary alone, and by none that is cut off.
+func TestPartitionedPrimaryDoesNotPoll(t *testing.T) {
 	var mu sync.Mutex
 	polls := map[string]int{}
 	asked := make(chan struct{}, 1000)
--- a/internal/fleet/controlplane/phaseorder.go
+++ b/internal/fleet/controlplane/phaseorder.go
@@ -19,18 +19,19 @@
 	orderTimeout = 300 * time.Millisecond
 	// confirmAndOrderTimeout bounds the confirmation before an order and the order together.
 	confirmAndOrderTimeout = 2 * orderTimeout
-	// orderTransitBound is more than an order takes from its sender to the backend.
+	// orderTransitBound is an upper bound of the time that an order takes from its sender to the backend.
 	orderTransitBound = orderTimeout
 )
 
-// phaseTakeoverWait is how long a new owner of the role gives no orders: owners don't take turns within a lease, and
-// the last order of an earlier one may be sent confirmAndOrderTimeout after that one's view was last confirmed.
+// phaseTakeoverWait returns how long a new owner of the role sends no orders. The role must not change its active owner
+// twice within a lease, and a previous owner may send its last order up to confirmAndOrderTimeout after its view was
+// last confirmed.
 func (s *Server) phaseTakeoverWait() time.Duration {
 	return s.settings.Bounds.Lease + confirmAndOrderTimeout + orderTransitBound
 }
 
-// fence ends the role of the primary of an epoch: a backend has seen a higher fencing token. The role comes back with a
-// newer view only.
+// fence ends the role for the primary of an epoch because a backend has seen a higher fencing token. The role resumes
+// only with a newer view.
 func (p *phaseController) fence(epoch uint64, backend string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,19 +39,20 @@
 		return
 	}
 	p.fencedEpoch = epoch
-	p.server.log.Warn("phase orders fenced, given up until there is a newer view",
+	p.server.log.Warn("phase orders stopped until the next view: a backend has seen a higher fencing token",
 		zap.String("backend", backend),
 		zap.Uint64("fence", epoch))
 }
 
-// fenced reports whether the role of the primary of an epoch has ended.
+// fenced reports whether the role has ended for the primary of an epoch.
 func (p *phaseController) fenced(epoch uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return epoch <= p.fencedEpoch
 }
 
-// sendOrders gives the orders of the transitions that are due; one that was not acknowledged is given again later.
+// sendOrders sends the orders of the transitions that are due. An order that is not acknowledged is sent again in a
+// later round.
 func (p *phaseController) sendOrders(
 	ctx context.Context,
 	epoch uint64,
@@ -75,34 +77,34 @@
 	}
 }
 
-// confirmAndOrder gives one order, if the view that gives the role still stands, to a backend that has taken so many
-// orders. It returns false when the order was not sent, its answer didn't come, or the backend doesn't hold to it: it
-// has taken another since its report, has one under way, is another backend, or has failed.
+// confirmAndOrder confirms the view of the epoch and sends one order to a backend, which must have taken expectedOrders
+// orders so far. It returns false if the order was not sent or not answered, or if the backend rejects it: the backend
+// has taken another order since its report, has one in progress, has another identity, or has failed.
 //
-// Safety: it is sent within confirmAndOrderTimeout of when the confirmation of the view was asked for, and given up
-// at that time. The next owner of the role, which was chosen after that, gives no order before phaseTakeoverWait: a
-// lease lies between the two (TestPhaseOwnersKeepALeaseApart). After a freeze in between the time is over, and
-// nothing is sent (TestOrderIsTooLateAfterAFreeze).
+// Safety: the order is sent within confirmAndOrderTimeout of the request for the view's confirmation, and given up at
+// that time. The next owner of the role is chosen after the confirmation and sends no order before phaseTakeoverWait,
+// so a lease lies between the two (TestPhaseTakeoverWaitsForLease). If the process is suspended in between, the
+// deadline has passed and nothing is sent (TestOrderDroppedAfterFreeze).
 func (p *phaseController) confirmAndOrder(
-	ctx context.Context, b *distribution.Backend, prefill bool, taken, epoch uint64,
+	ctx context.Context, b *distribution.Backend, prefill bool, expectedOrders, epoch uint64,
 ) (acknowledged bool) {
-	by := time.Now().Add(confirmAndOrderTimeout)
-	ctx, cancel := context.WithDeadline(ctx, by)
+	deadline := time.Now().Add(confirmAndOrderTimeout)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	if !p.confirmEpoch(ctx, epoch) {
-		p.server.log.Info("phase order withheld: the view is not confirmed",
+		p.server.log.Info("phase order not sent: the view is not confirmed",
 			zap.String("backend", b.ID),
 			zap.Uint64("fence", epoch))
 		return false
 	}
-	return p.sendOrder(ctx, by, b, prefill, taken, epoch)
+	return p.sendOrder(ctx, deadline, b, prefill, expectedOrders, epoch)
 }
 
-// sendOrder sends an order, unless it is too late for that; see confirmAndOrder.
+// sendOrder sends an order unless the deadline has passed; see confirmAndOrder.
 func (p *phaseController) sendOrder(
-	ctx context.Context, by time.Time, b *distribution.Backend, prefill bool, taken, epoch uint64,
+	ctx context.Context, deadline time.Time, b *distribution.Backend, prefill bool, expectedOrders, epoch uint64,
 ) (acknowledged bool) {
-	if !time.Now().Before(by) {
+	if !time.Now().Before(deadline) {
 		return false
 	}
 	phase := externalapi.PhaseDecode
@@ -114,7 +116,7 @@
 		Phase:          phase,
 		Owner:          p.server.settings.NodeName,
 		FencingToken:   epoch,
-		ExpectedOrders: taken,
+		ExpectedOrders: expectedOrders,
 	})
 	p.server.log.Info("phase order sent",
 		zap.String("backend", b.ID),
@@ -128,7 +130,7 @@
 	return err == nil && externalapi.OrderTaken(status)
 }
 
-// confirmEpoch reports whether all backups confirm that the view of an epoch stands, with this machine as its primary.
+// confirmEpoch reports whether all backups confirm the view of an epoch, with this machine as its primary.
 func (p *phaseController) confirmEpoch(ctx context.Context, epoch uint64) bool {
 	ans, err := p.server.confirmView(ctx)
 	st := p.server.status.Load()
--- a/internal/fleet/controlplane/plantedfault_idempotency_test.go
+++ b/internal/fleet/controlplane/plantedfault_idempotency_test.go
@@ -139,7 +139,7 @@
 	{
 		Name: "a verdict is told before it was confirmed",
 		Texts: []string{
-			"case v != nil && v.holds(a):",
+			"case v != nil && v.confirmedBy(a):",
 			"case v != nil:",
 		},
 	},
--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -27,7 +27,7 @@
 var partitionFaults = []plantedfault.Fault{
 	{
 		Name:  "a refusal is told without contact",
-		Tests: "^TestNoVerdictRightAfterTheCut$",
+		Tests: "^TestNoAnswerRightAfterPartition$",
 		Texts: []string{
 			"\t\tjudged <- v\n\t\treturn out\n",
 			"\t\tjudged <- v\n\t\tif v != nil {\n\t\t\tcancel()\n\t\t\treturn s.replica.Tick(now)\n" +
@@ -39,7 +39,7 @@
 	},
 	{
 		Name:  "a configuration is shown without contact",
-		Tests: "^TestNoVerdictRightAfterTheCut$",
+		Tests: "^TestNoAnswerRightAfterPartition$",
 		Texts: []string{
 			"\tans, err := s.confirmView(ctx)\n\tif err != nil || ans.Result != replication.Confirmed {\n",
 			"\tvar ans replication.Answer\n\tif ctx == nil {\n",
@@ -55,7 +55,7 @@
 	},
 	{
 		Name:  "calls are parked for as long as a change may take",
-		Tests: "^TestCutOffPrimary$",
+		Tests: "^TestPartitionedPrimary$",
 		Texts: []string{
 			"\tcallTimeout = 850 * time.Millisecond",
 			"\tcallTimeout = 3 * time.Second",
@@ -65,9 +65,9 @@
 	},
 	{
 		Name:  "callers are sent to whom the disk names",
-		Tests: "^TestRe(startedOnWrongSide|directsNeverLoop)$",
+		Tests: "^Test(RestartWhilePartitioned|RedirectsNeverLoop)$",
 		Texts: []string{
-			"st.Ready && c.at.After(came):",
+			"st.Ready && c.at.After(receivedAt):",
 			"st.Ready:",
 		},
 	},
@@ -75,7 +75,7 @@
 		Name:  "callers are sent to a primary that may be gone",
 		Tests: "^TestRedirectsNeverLoop$",
 		Texts: []string{
-			"st.Ready && c.at.After(came):",
+			"st.Ready && c.at.After(receivedAt):",
 			"st.Ready && now.Sub(c.at) < leaderContactTimeout:",
 		},
 	},
@@ -83,7 +83,7 @@
 		Name:  "a message to a process that was replaced is lost",
 		Tests: "^TestMessageToAReplacedProcess$",
 		Texts: []string{
-			"if made || errors.Is(err, os.ErrDeadlineExceeded) {",
+			"if dialed || errors.Is(err, os.ErrDeadlineExceeded) {",
 			"if true || errors.Is(err, os.ErrDeadlineExceeded) {",
 		},
 	},
@@ -138,7 +138,7 @@
 	},
 	{
 		Name:  "a cut-off primary polls on",
-		Tests: "^TestCutOffPrimaryDoesNotPoll$",
+		Tests: "^TestPartitionedPrimaryDoesNotPoll$",
 		Texts: []string{
 			`s.settings.Provider.Address != "" && s.isLeader(st)`,
 			`s.settings.Provider.Address != "" && st.View.Primary == st.ID`,
@@ -146,7 +146,7 @@
 	},
 	{
 		Name:  "the members are told by the primary alone",
-		Tests: "^TestRestartedOnWrongSide$",
+		Tests: "^TestRestartWhilePartitioned$",
 		Texts: []string{
 			"\ts.status.Store(&st)\n\ts.publishCoreMembers(&st)\n",
 			"\ts.status.Store(&st)\n",
@@ -167,7 +167,7 @@
 	},
 	{
 		Name:  "an answer of any status counts as an acknowledgement",
-		Tests: "^TestOrderIsTakenOrNot$",
+		Tests: "^TestOrderAcknowledgement$",
 		Texts: []string{"return err == nil && externalapi.OrderTaken(status)", "return err == nil"},
 	},
 	{
@@ -180,15 +180,15 @@
 	},
 	{
 		Name:  "an order goes out after a freeze",
-		Tests: "^TestOrderIsTooLateAfterAFreeze$",
+		Tests: "^TestOrderDroppedAfterFreeze$",
 		Texts: []string{
-			"\tif !time.Now().Before(by) {\n\t\treturn false\n\t}\n",
+			"\tif !time.Now().Before(deadline) {\n\t\treturn false\n\t}\n",
 			"",
 		},
 	},
 	{
 		Name:      "an order that was given up may come later",
-		Tests:     "^TestOrderGivenUpIsReset$",
+		Tests:     "^TestTimedOutOrderResetsConnection$",
 		Dir:       ".",
 		SourceDir: externalAPIDir,
 		Texts: []string{
--- a/internal/fleet/controlplane/poller.go
+++ b/internal/fleet/controlplane/poller.go
@@ -15,62 +15,63 @@
 )
 
 const (
-	// pollInterval is the least time between two polls of the platform's list: it lags by Provider.Delay anyway.
+	// pollInterval is the minimum time between two polls of the platform's list, which lags by Provider.Delay anyway.
 	pollInterval = 500 * time.Millisecond
-	// pollerTick is how often the poller looks for something to do.
+	// pollerTick is the interval at which the poller checks for due work.
 	pollerTick = 100 * time.Millisecond
-	// platformTimeout bounds a call of the platform.
+	// platformTimeout bounds a call to the platform.
 	platformTimeout = time.Second
-	// callsPerPollShare is how many times the calls of a poll its interval has to allow: polls take half of what the
-	// platform takes a second, the other half is left to node agents that poll by themselves.
+	// callsPerPollShare is the number of times that the platform's rate limit must allow the calls of one poll within
+	// the poll interval: polls use half of the rate, and the other half is left to node agents that poll directly.
 	callsPerPollShare = 2
-	// aheadNotice is for how long a node agent has to be ahead of a primary for that to be told: a new primary may not
-	// have applied its newest change yet.
-	aheadNotice = 5 * time.Second
-	// minPlatformRate bounds that interval where the settings give no rate, in calls a second.
+	// clientAheadThreshold is how long a node agent must have a newer configuration than the primary before that is
+	// logged: a new primary may not have applied its newest change yet.
+	clientAheadThreshold = 5 * time.Second
+	// minPlatformRate is the lower bound of the platform's rate in that computation, in calls per second, also used if
+	// the settings give no rate.
 	minPlatformRate = 0.1
 )
 
-// poller polls the platform's list for all machines of the fleet, while this machine is the primary, and publishes what
-// changes; the orders to backends follow from the list. It belongs to the goroutine of Server.poll.
+// poller polls the platform's list for all machines of the fleet while this machine is the primary, publishes changes,
+// and runs the phase controller on the list. It belongs to the goroutine of Server.poll.
 type poller struct {
 	server   *Server
 	client   *externalapi.PlatformClient
 	phases   *phaseController
-	interval time.Duration // between two polls
-	lastPoll time.Time     // when the last one began
+	interval time.Duration // minimum time between two polls
+	lastPoll time.Time     // start of the last poll
 	term     term
 }
 
-// term is what a poller knows and has published as the primary of one epoch.
+// term is the poller's state as the primary of one epoch.
 type term struct {
 	epoch       uint64
-	count       uint64    // of what was published
-	since       time.Time // when it began
-	lastAnswer  time.Time // when the platform last answered
-	lastReports time.Time // when backends were last asked for their reports
+	count       uint64    // number of publications
+	since       time.Time // start of the term
+	lastAnswer  time.Time // time of the platform's last answer
+	lastReports time.Time // start of the last round of backend reports
 
-	platformList *distribution.BackendList // as the platform gave it
-	ahead        map[string]bool           // node agents that were told to be ahead of the record
-	dirty        bool                      // platformList or the changing backends have changed since list was made
+	platformList *distribution.BackendList // as received from the platform
+	ahead        map[string]bool           // node agents already logged as being ahead
+	dirty        bool                      // platformList or the set of changing backends differs from that in list
 
-	// As published last.
-	list           *distribution.BackendList // with the backends that are about to change
+	// Last published values.
+	list           *distribution.BackendList // with the changing backends marked
 	membershipSize *distribution.MembershipSize
 	loadReport     distribution.LoadReport
 }
 
-// pollStatus is what the poller of a term last did. It is not changed once it is made, nor is its list.
+// pollStatus is the result of the poller's last activity in a term. It is immutable, and so is its list.
 type pollStatus struct {
 	epoch uint64
-	since time.Time // when the term began
-	at    time.Time // of the last answer; zero: none in this term
+	since time.Time // start of the term
+	at    time.Time // time of the platform's last answer; zero: none in this term
 	list  *distribution.BackendList
 
-	fenced bool // a backend has seen a higher fencing token: no orders are given in this term
+	fenced bool // a backend has seen a higher fencing token: no more orders are sent in this term
 }
 
-// poll runs a poller until ctx ends.
+// poll runs the poller until ctx ends.
 func (s *Server) poll(ctx context.Context) {
 	p := &poller{
 		server:   s,
@@ -85,7 +86,7 @@
 	}
 }
 
-// step does what is due as the primary of an epoch.
+// step performs the work that is due, as the primary of an epoch.
 func (p *poller) step(ctx context.Context, epoch uint64) {
 	now := time.Now()
 	if p.term.epoch != epoch {
@@ -106,9 +107,9 @@
 	p.reportClientsAhead(now)
 }
 
-// reportClientsAhead logs which node agents have a newer configuration than the record, each once a term.
+// reportClientsAhead logs the node agents that have a newer configuration than this primary, each once per term.
 func (p *poller) reportClientsAhead(now time.Time) {
-	for _, client := range p.server.cache.ClientsAhead(aheadNotice, now) {
+	for _, client := range p.server.cache.ClientsAhead(clientAheadThreshold, now) {
 		if p.term.ahead[client] {
 			continue
 		}
@@ -116,15 +117,15 @@
 			p.term.ahead = map[string]bool{}
 		}
 		p.term.ahead[client] = true
-		p.server.log.Warn("node agent is ahead of the record, restart it", zap.String("agent", client))
+		p.server.log.Warn("node agent has a newer configuration than the primary, restart it", zap.String("agent", client))
 	}
 }
 
-// pollPlatform asks the platform for its list.
+// pollPlatform fetches the platform's list.
 func (p *poller) pollPlatform(ctx context.Context) {
 	list, calls, err := p.client.List(ctx)
 	if err != nil {
-		p.server.log.Debug("platform list failed", zap.Error(err))
+		p.server.log.Debug("fetching the platform's backend list failed", zap.Error(err))
 		return
 	}
 	p.term.lastAnswer = time.Now()
@@ -136,14 +137,16 @@
 	p.interval = intervalFor(calls, p.server.settings.Provider.Rate)
 }
 
-// intervalFor returns the time between polls of so many calls each, at a platform that takes rate calls a second.
+// intervalFor returns the poll interval for polls of the given number of calls, at a platform that allows rate calls
+// per second.
 func intervalFor(calls int, rate float64) time.Duration {
 	seconds := callsPerPollShare * float64(calls) / max(rate, minPlatformRate)
 	return max(pollInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// runPhases asks the backends for their reports and gives orders. Owners of the role don't take turns within a lease;
-// what an earlier one began is learnt at once.
+// runPhases runs a round of reports and phase orders, and publishes the load report if it has changed. Orders are sent
+// only phaseTakeoverWait after the start of the term, so that the role doesn't alternate between owners within a lease;
+// reports are fetched from the start.
 func (p *poller) runPhases(ctx context.Context, now time.Time) {
 	r := round{
 		now:      time.Since(p.server.start),
@@ -161,14 +164,14 @@
 	}
 }
 
-// publish publishes the snapshot of a type under the next version of the term: receivers prefer later epochs.
+// publish publishes the snapshot of a resource type under the next version of the term; receivers prefer later epochs.
 func (p *poller) publish(resourceType string, snapshot msgp.Marshaler) {
 	p.term.count++
-	b, _ := snapshot.MarshalMsg(nil) // it has no way to fail
+	b, _ := snapshot.MarshalMsg(nil) // never fails
 	p.server.cache.SetSnapshot(resourceType, distribution.Version{Epoch: p.term.epoch, Count: p.term.count}, b)
 }
 
-// publishList publishes the list with the backends that are about to change, where it differs from the last.
+// publishList publishes the list, with the changing backends marked, if it differs from the last published one.
 func (p *poller) publishList() {
 	if p.term.platformList == nil || !p.term.dirty {
 		return
@@ -182,7 +185,7 @@
 	}
 }
 
-// recordPoll makes what was done known to the status and to the outlier detection.
+// recordPoll publishes the poller's state for the fleet status and the outlier detection.
 func (p *poller) recordPoll() {
 	t := &p.term
 	was := p.server.lastPoll.Load()
@@ -198,7 +201,7 @@
 	}
 }
 
-// publishMembershipSize publishes how many proxies hold a lease, and how many of them drain, where that has changed.
+// publishMembershipSize publishes the number of proxies that hold a lease and of those that are draining, if changed.
 func (p *poller) publishMembershipSize() {
 	size := distribution.MembershipSize{Zones: map[string]int{}}
 	for _, m := range p.server.cache.Members(time.Now(), p.server.memberLease()) {
--- a/internal/fleet/controlplane/publish.go
+++ b/internal/fleet/controlplane/publish.go
@@ -9,8 +9,8 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// publishCommitted publishes the state up to a committed change: to readers here, and at the primary to those that
-// pull.
+// publishCommitted publishes the state up to a committed change to local readers and to the clients that pull from this
+// machine.
 func (s *Server) publishCommitted(committed uint64) {
 	done := s.state.takeCommitted(committed)
 	if len(done) == 0 {
@@ -22,19 +22,19 @@
 		return
 	}
 	s.quota.SetCeilings(last.quota)
-	// Readers see the state after those that pull may: a caller who reads a version here finds it there.
+	// Local readers see the state only after pulling clients can: a version that a caller reads here is available there.
 	defer s.committed.Store(last)
 	configs := newConfigs(was, done)
 	if len(configs) == 0 {
-		return // residency writes, say
+		return // for example, only residency writes
 	}
-	s.quota.SetLimits(s.quotaRule.LimitsOf(last.doc.Accounts())) // before a proxy can know of them
+	s.quota.SetLimits(s.quotaRule.LimitsOf(last.doc.Accounts())) // before a proxy can learn of them
 	s.publishConfigs(was, configs)
 	s.recordConfigCommit(last, time.Now())
 	s.log.Info("configuration committed", zap.Uint64("seq", last.docSeq), zap.Int64("version", versionOf(last.doc)))
 }
 
-// newConfigs returns those of the states that brought a configuration newer than was; nil: there was none.
+// newConfigs returns those of the states that contain a configuration newer than that of was; nil if there is none.
 func newConfigs(was *appliedState, states []appliedState) []*appliedState {
 	newest := uint64(0)
 	if was != nil {
@@ -50,8 +50,8 @@
 	return configs
 }
 
-// publishConfigs publishes configurations that follow on each other, as changes where that is possible. The last is
-// published complete otherwise, and then the ones before needn't be.
+// publishConfigs publishes consecutive configurations, as incremental changes where possible. If the last one can't be
+// published as a change, it is published as a snapshot, and the ones before are not needed.
 func (s *Server) publishConfigs(was *appliedState, configs []*appliedState) {
 	for i, config := range configs {
 		if !s.publishChange(was, config) && i == len(configs)-1 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// publishChange publishes a committed change. It returns false where the change isn't known or doesn't follow on what
-// was published before: then the complete configuration is due.
+// publishChange publishes a committed change incrementally. It returns false if the change is unknown or doesn't follow
+// the last published configuration: the complete configuration must then be published.
 func (s *Server) publishChange(was, next *appliedState) bool {
 	if was == nil || next.command == nil || next.prevDocSeq != was.docSeq {
 		return false
@@ -74,21 +74,22 @@
 	return s.cache.AppendChange(distribution.ConfigType, from, to, change, next.doc.Show)
 }
 
-// configCommit says when the newest configuration was found committed here, by which change.
+// configCommit records the version and sequence number of the newest committed configuration, and when this machine
+// found it committed.
 type configCommit struct {
 	version int64
 	seq     uint64
 	at      time.Time
 }
 
-// recordConfigCommit records when a committed state came, where it brings another configuration.
+// recordConfigCommit records the time of a committed state if it contains a new configuration.
 func (s *Server) recordConfigCommit(state *appliedState, now time.Time) {
 	if was := s.committedConfig.Load(); was == nil || was.version != versionOf(state.doc) {
 		s.committedConfig.Store(&configCommit{version: versionOf(state.doc), seq: state.docSeq, at: now})
 	}
 }
 
-// versionOf returns the version of a configuration, 0 where there is none.
+// versionOf returns the version of a configuration; 0 if there is none.
 func versionOf(doc *routingconfig.Document) int64 {
 	if doc == nil {
 		return 0
--- a/internal/fleet/controlplane/residency.go
+++ b/internal/fleet/controlplane/residency.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// DefaultResidencyInterval is the least time between two writes of the residency record: each costs a write on the
-	// disks of the primary and its backups.
+	// DefaultResidencyInterval is the minimum time between two writes of the residency record: each costs a disk write
+	// on the primary and its backups.
 	DefaultResidencyInterval = 30 * time.Second
-	// minResidencyInterval is that time where a pair of tenant and region is new, not all batches fitted, or the last
-	// write failed.
+	// minResidencyInterval is the minimum time if a pair of tenant and region is new, not all batches fitted into the
+	// last write, or that write failed.
 	minResidencyInterval = 2 * time.Second
-	// residencyTick is how often the pending batches are looked at for a new pair.
+	// residencyTick is the interval at which the pending batches are checked for new pairs.
 	residencyTick = time.Second
-	// residencyWriteTimeout bounds how long a write of the residency record may take to be committed.
+	// residencyWriteTimeout bounds the wait for a write of the residency record to be committed.
 	residencyWriteTimeout = 3 * time.Second
 )
 
-// recordResidency commits the batches that node agents handed on, while this machine is the primary, until ctx ends. It
-// sleeps while there are none, and calls of the operator don't wait for it.
+// recordResidency commits the batches received from node agents, while this machine is the primary, until ctx ends. It
+// sleeps while there are none. Operator calls don't wait for it.
 func (s *Server) recordResidency(ctx context.Context) {
 	var last time.Time
-	hurry := false
+	urgent := false
 	for ctx.Err() == nil {
 		pending, arrived := s.cache.Residency.Pending()
 		st, changed := s.watch()
@@ -42,7 +42,7 @@
 			continue
 		}
 		interval := s.ResidencyInterval
-		if hurry || s.hasNewPairs(pending) {
+		if urgent || s.hasNewPairs(pending) {
 			interval = min(interval, minResidencyInterval)
 		}
 		if wait := interval - time.Since(last); wait > 0 {
@@ -50,11 +50,11 @@
 			continue
 		}
 		last = time.Now()
-		hurry = s.commitResidency(ctx, pending)
+		urgent = s.commitResidency(ctx, pending)
 	}
 }
 
-// hasNewPairs reports whether batches have something of a pair that the committed residency record doesn't have.
+// hasNewPairs reports whether the batches contain a pair that the committed residency record doesn't have.
 func (s *Server) hasNewPairs(batches []residencyreport.Batch) bool {
 	committed := s.committed.Load()
 	if committed == nil {
@@ -74,9 +74,9 @@
 	return false
 }
 
-// commitResidency has batches committed and acknowledges those that are on all disks that they have to be on. It blocks
-// for residencyWriteTimeout at most, and reports whether there is more to be done soon.
-func (s *Server) commitResidency(ctx context.Context, batches []residencyreport.Batch) (soon bool) {
+// commitResidency proposes the merged batches, and acknowledges those that are in the committed state. It blocks for
+// residencyWriteTimeout at most, and reports whether another write should follow soon.
+func (s *Server) commitResidency(ctx context.Context, batches []residencyreport.Batch) (urgent bool) {
 	ctx, cancel := context.WithTimeout(ctx, residencyWriteTimeout)
 	defer cancel()
 	var base *residencyreport.Totals
@@ -84,8 +84,8 @@
 		base = committed.residency
 	}
 	update, more := base.Merge(batches)
-	body, _ := (&Command{Residency: &update}).MarshalMsg(nil) // it has no way to fail
-	// What was merged and what is proposed belong together: in the driver's goroutine nothing comes between.
+	body, _ := (&Command{Residency: &update}).MarshalMsg(nil) // never fails
+	// The update is valid only on the state it was merged with: the check and the proposal are one input of the driver.
 	ans, err := s.submitAndWait(ctx, func(now time.Duration, token uint64) replication.Output {
 		if update.Empty() || s.state.residency != base {
 			return s.replica.Read(now, token)
@@ -110,7 +110,7 @@
 	return more || len(acks) < len(batches)
 }
 
-// showResidency answers where data was stored: of one tenant, of one route that has regions without a tenant, or of
+// showResidency answers with the residency record: of one tenant, of one route that has regions without a tenant, or of
 // all.
 func (s *Server) showResidency(w http.ResponseWriter, r *http.Request) error {
 	applied, seq, err := s.linearizableRead(r)
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// residencyRow returns an entry as the operator is shown it.
+// residencyRow returns an entry in the form shown to the operator.
 func residencyRow(entry *residencyreport.Entry) externalapi.ResidencyRow {
 	return externalapi.ResidencyRow{
 		Tenant:   entry.Pair.Tenant,
@@ -153,7 +153,7 @@
 	}
 }
 
-// isConfigured reports whether the configuration has the tenant or the route that is asked for; true where none is.
+// isConfigured reports whether the configuration contains the requested tenant or route; true if neither is requested.
 func isConfigured(applied *appliedState, tenant, route string) bool {
 	if tenant == "" && route == "" {
 		return true
--- a/internal/fleet/controlplane/residency_test.go
+++ b/internal/fleet/controlplane/residency_test.go
@@ -181,19 +181,19 @@
 	// The state is ahead of what is known to be committed: nothing is proposed on top of that, and nothing
 	// acknowledged.
 	var committed *residencyreport.Totals
-	onDriver(server, func() { committed, server.state.residency = server.state.residency, nil })
+	runInDriver(server, func() { committed, server.state.residency = server.state.residency, nil })
 	second := batchOf(1, 2, labs)
 	server.cache.Residency.Put(second)
 	c.Assert(server.commitResidency(c.Context(), []residencyreport.Batch{second}), qt.IsTrue)
 	c.Assert(server.cache.Residency.PendingOf(1), qt.Equals, 1)
-	onDriver(server, func() { server.state.residency = committed })
+	runInDriver(server, func() { server.state.residency = committed })
 	c.Assert(server.commitResidency(c.Context(), []residencyreport.Batch{second}), qt.IsFalse)
 	c.Assert(server.cache.Residency.PendingOf(1), qt.Equals, 0)
 	c.Assert(server.committed.Load().residency.Report(nil)[0].Counts.Decodes, qt.Equals, int64(4))
 }
 
-// onDriver does something in the driver's goroutine, which the state belongs to.
-func onDriver(server *Server, do func()) {
+// runInDriver does something in the driver's goroutine, which the state belongs to.
+func runInDriver(server *Server, do func()) {
 	done := make(chan struct{})
 	server.inputs <- func(now time.Duration) replication.Output {
 		do()
--- a/internal/fleet/controlplane/simulatedcore_test.go
+++ b/internal/fleet/controlplane/simulatedcore_test.go
@@ -50,16 +50,16 @@
 
 // simulatedCore is a core in virtual time.
 type simulatedCore struct {
-	rng     *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	events  int
-	members []*member
-	seeds   []string
-	survive int
-	loss    float64                     // share of messages that are lost
-	cuts    map[[2]string]time.Duration // until, by direction
-	err     error
+	rng             *rand.Rand
+	now             time.Duration
+	queue           eventQueue
+	events          int
+	members         []*member
+	seeds           []string
+	survive         int
+	messageLossRate float64                     // share of messages that are lost
+	cuts            map[[2]string]time.Duration // until, by direction
+	err             error
 }
 
 // bootstrapUntil is when the first start of the whole system is over.
@@ -81,7 +81,7 @@
 	heap.Push(&c.queue, event{at: c.now + max(d, 0), order: c.events, run: run})
 }
 
-func (c *simulatedCore) upTo(d time.Duration) time.Duration {
+func (c *simulatedCore) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
 
@@ -142,7 +142,7 @@
 // restart kills a process and starts it again a little later.
 func (c *simulatedCore) restart(m *member) {
 	c.kill(m)
-	c.after(c.upTo(time.Second), func() { c.start(m) })
+	c.after(c.randomUpTo(time.Second), func() { c.start(m) })
 }
 
 // input has a member take an input when it is free, if the process lives so long.
@@ -165,7 +165,7 @@
 		return
 	}
 	m.writing = &out
-	m.busy = c.now + time.Millisecond + c.upTo(4*time.Millisecond)
+	m.busy = c.now + time.Millisecond + c.randomUpTo(4*time.Millisecond)
 	c.after(m.busy-c.now, func() {
 		if m.incarnation == life {
 			m.writing = nil
@@ -222,12 +222,12 @@
 		return
 	}
 	i := slices.IndexFunc(c.members, func(m *member) bool { return m.addr == e.To })
-	if i < 0 || c.rng.Float64() < c.loss {
+	if i < 0 || c.rng.Float64() < c.messageLossRate {
 		return
 	}
-	delay := 500*time.Microsecond + c.upTo(10*time.Millisecond)
-	if c.loss > 0 && c.rng.IntN(50) == 0 {
-		delay += c.upTo(3 * time.Second)
+	delay := 500*time.Microsecond + c.randomUpTo(10*time.Millisecond)
+	if c.messageLossRate > 0 && c.rng.IntN(50) == 0 {
+		delay += c.randomUpTo(3 * time.Second)
 	}
 	direction := [2]string{from, e.To}
 	c.after(delay, func() {
@@ -244,8 +244,8 @@
 	})
 }
 
-// allInStep reports whether all members are in one view whose primary serves: another disk may be lost.
-func (c *simulatedCore) allInStep() bool {
+// allInSync reports whether all members are in one view whose primary serves: another disk may be lost.
+func (c *simulatedCore) allInSync() bool {
 	for _, p := range c.members {
 		if p.replica == nil {
 			return false
@@ -273,22 +273,22 @@
 	case 0, 1:
 		c.restart(m)
 	case 2:
-		if c.survive > 0 && c.allInStep() {
+		if c.survive > 0 && c.allInSync() {
 			c.kill(m)
 			m.disk = replication.PersistentState{}
-			c.after(c.upTo(time.Second), func() { c.start(m) })
+			c.after(c.randomUpTo(time.Second), func() { c.start(m) })
 		}
 	case 3:
 		if m.replica != nil {
-			m.busy = max(m.busy, c.now+c.upTo(4*time.Second))
+			m.busy = max(m.busy, c.now+c.randomUpTo(4*time.Second))
 		}
 	case 4:
 		for _, peer := range c.members {
 			if c.rng.IntN(2) == 0 {
-				c.cuts[[2]string{m.addr, peer.addr}] = c.now + c.upTo(3*time.Second)
+				c.cuts[[2]string{m.addr, peer.addr}] = c.now + c.randomUpTo(3*time.Second)
 			}
 			if c.rng.IntN(2) == 0 {
-				c.cuts[[2]string{peer.addr, m.addr}] = c.now + c.upTo(3*time.Second)
+				c.cuts[[2]string{peer.addr, m.addr}] = c.now + c.randomUpTo(3*time.Second)
 			}
 		}
 	case 5:
@@ -300,7 +300,7 @@
 
 // endFaults ends all troubles, and starts what is down.
 func (c *simulatedCore) endFaults() {
-	c.loss = 0
+	c.messageLossRate = 0
 	clear(c.cuts)
 	for _, m := range c.members {
 		c.start(m)
--- a/internal/fleet/controlplane/stored_test.go
+++ b/internal/fleet/controlplane/stored_test.go
@@ -52,14 +52,14 @@
 	run := func(what string, until func() bool) {
 		c.Assert(core.runUntil(core.now+time.Minute, until), qt.IsTrue, qt.Commentf("%s, %v", what, core.err))
 	}
-	run("a primary", func() bool { return primary() != nil && core.allInStep() })
+	run("a primary", func() bool { return primary() != nil && core.allInSync() })
 	for i, body := range storedChanges(c) {
 		if i == 6 {
 			first := primary()
 			core.kill(first)
 			run("another primary", func() bool { return primary() != nil })
 			core.start(first)
-			run("all three in one view", core.allInStep)
+			run("all three in one view", core.allInSync)
 		}
 		done := false
 		core.ask(primary(), func(now time.Duration, token uint64) replication.Output {
--- a/internal/fleet/controlplane/transport.go
+++ b/internal/fleet/controlplane/transport.go
@@ -111,8 +111,8 @@
 // twice. It returns the connection for the next message, and blocks for a dial and two writes at most.
 func (t *transport) deliver(c net.Conn, to string, m *replication.Message) (net.Conn, error) {
 	for {
-		made := c == nil
-		if made {
+		dialed := c == nil
+		if dialed {
 			var err error
 			if c, err = t.dial(to, peerTimeout); err != nil {
 				return nil, err
@@ -126,7 +126,7 @@
 		}
 		c.Close()
 		c = nil
-		if made || errors.Is(err, os.ErrDeadlineExceeded) {
+		if dialed || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 	}
--- a/internal/fleet/controlplane/transport_test.go
+++ b/internal/fleet/controlplane/transport_test.go
@@ -48,7 +48,7 @@
 	ended := make(chan struct{}, 10)
 	p := newTransport(func(addr string, within time.Duration) (net.Conn, error) {
 		conn, err := distribution.Dial(addr, within)
-		return endNoted{conn, ended}, err
+		return closeRecorder{conn, ended}, err
 	})
 	receive := func(ln net.Listener) (conn net.Conn, r *bufio.Reader) {
 		conn, err := ln.Accept()
@@ -82,13 +82,13 @@
 	c.Assert(round(r), qt.Equals, uint64(2), qt.Commentf("the first message is not lost"))
 }
 
-// endNoted tells when a connection is closed.
-type endNoted struct {
+// closeRecorder tells when a connection is closed.
+type closeRecorder struct {
 	net.Conn
 	ended chan<- struct{}
 }
 
-func (e endNoted) Close() error {
+func (e closeRecorder) Close() error {
 	defer func() { e.ended <- struct{}{} }()
 	return e.Conn.Close()
 }
--- a/internal/fleet/controlplane/verdict.go
+++ b/internal/fleet/controlplane/verdict.go
@@ -50,9 +50,9 @@
 	return &verdict{seq: cs.seq, status: status, reason: fmt.Sprintf(format, args...)}
 }
 
-// holds reports whether a verdict may be given after this answer to a Read that came with it: the view still stands,
+// confirmedBy reports whether a verdict may be given after this answer to a Read that came with it: the view still stands,
 // and what the verdict is about is committed, as the end of a log may yet be lost.
-func (v *verdict) holds(a replication.Answer) bool {
+func (v *verdict) confirmedBy(a replication.Answer) bool {
 	return a.Result == replication.Confirmed && a.Seq >= v.seq
 }
 
@@ -74,7 +74,7 @@
 // outcome is what the caller is answered about a command that was submitted, once the replica has answered.
 func outcome(v *verdict, a replication.Answer) *verdict {
 	switch {
-	case v != nil && v.holds(a):
+	case v != nil && v.confirmedBy(a):
 		return v
 	case v == nil && a.Result == replication.Committed:
 		return &verdict{status: http.StatusOK, seq: a.Seq}
--- a/internal/fleet/controlplane/verdict_test.go
+++ b/internal/fleet/controlplane/verdict_test.go
@@ -50,8 +50,8 @@
 	for _, one := range []*Command{replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "4", "a")} {
 		v := r.judge(one)
 		c.Assert(v, qt.IsNotNil)
-		c.Assert(v.holds(replication.Answer{Result: replication.Confirmed, Seq: 0}), qt.IsFalse)
-		c.Assert(v.holds(replication.Answer{Result: replication.Confirmed, Seq: 1}), qt.IsTrue)
-		c.Assert(v.holds(replication.Answer{Result: replication.LostPrimacy, Seq: 1}), qt.IsFalse)
+		c.Assert(v.confirmedBy(replication.Answer{Result: replication.Confirmed, Seq: 0}), qt.IsFalse)
+		c.Assert(v.confirmedBy(replication.Answer{Result: replication.Confirmed, Seq: 1}), qt.IsTrue)
+		c.Assert(v.confirmedBy(replication.Answer{Result: replication.LostPrimacy, Seq: 1}), qt.IsFalse)
 	}
 }
--- a/internal/fleet/statestore/load.go
+++ b/internal/fleet/statestore/load.go
@@ -25,14 +25,14 @@
 // could break a promise that this machine has given.
 func (s *Store) load(ctx context.Context, path string) (replication.PersistentState, error) {
 	l := &loader{path: path, found: map[string]bool{}}
-	if err := s.query(ctx, path, "SELECT name, body, sum FROM part", l.takePart); err != nil {
+	if err := s.query(ctx, path, "SELECT name, body, sum FROM part", l.scanPart); err != nil {
 		return replication.PersistentState{}, err
 	}
 	if l.found[snapshotKey] {
 		l.state.Snapshot = &l.snapshot
 		l.last.Seq, l.last.Digest = l.snapshot.Seq, l.snapshot.Digest
 	}
-	if err := s.query(ctx, path, "SELECT seq, digest, body, sum FROM change ORDER BY seq", l.takeChange); err != nil {
+	if err := s.query(ctx, path, "SELECT seq, digest, body, sum FROM change ORDER BY seq", l.scanChange); err != nil {
 		return replication.PersistentState{}, err
 	}
 	if err := l.checkComplete(); err != nil {
@@ -42,14 +42,14 @@
 }
 
 // query hands each row of a query to take, until that fails.
-func (s *Store) query(ctx context.Context, path, query string, take func(*sql.Rows) error) error {
+func (s *Store) query(ctx context.Context, path, query string, scan func(*sql.Rows) error) error {
 	rows, err := s.conn.QueryContext(ctx, query)
 	if err != nil {
 		return classify(path, errors.Wrap(err, query))
 	}
 	defer func() { _ = rows.Close() }()
 	for rows.Next() {
-		if err := take(rows); err != nil {
+		if err := scan(rows); err != nil {
 			return err
 		}
 	}
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// takePart takes a row of the table part.
-func (l *loader) takePart(rows *sql.Rows) error {
+// scanPart takes a row of the table part.
+func (l *loader) scanPart(rows *sql.Rows) error {
 	var key string
 	var body []byte
 	var sum int64
@@ -91,15 +91,15 @@
 	if target == nil {
 		return l.unusable(row, errors.New("unknown name"))
 	}
-	if rest, err := target.UnmarshalMsg(body); err != nil || len(rest) > 0 {
-		return l.unusable(row, errors.Errorf("decode: %v, %d bytes left", err, len(rest)))
+	if trailing, err := target.UnmarshalMsg(body); err != nil || len(trailing) > 0 {
+		return l.unusable(row, errors.Errorf("decode: %v, %d bytes left", err, len(trailing)))
 	}
 	l.found[key] = true
 	return nil
 }
 
-// takeChange takes a row of the table change, which follows on the one before.
-func (l *loader) takeChange(rows *sql.Rows) error {
+// scanChange takes a row of the table change, which follows on the one before.
+func (l *loader) scanChange(rows *sql.Rows) error {
 	var seq, digest, sum int64
 	var body []byte
 	if err := rows.Scan(&seq, &digest, &body, &sum); err != nil {
--- a/internal/fleet/statestore/powerloss_test.go
+++ b/internal/fleet/statestore/powerloss_test.go
@@ -61,9 +61,9 @@
 	return out
 }
 
-// TestPowerLost: whatever sectors of a Save that is under way reach the disk, the store is as before it or as after it;
+// TestPowerLossDuringSave: whatever sectors of a Save that is under way reach the disk, the store is as before it or as after it;
 // also while the log goes back into the file, and when the log begins anew.
-func TestPowerLost(t *testing.T) {
+func TestPowerLossDuringSave(t *testing.T) {
 	c := qt.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	dir := c.TempDir()
@@ -122,8 +122,8 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestPowerLostAtFirst: what a loss of power leaves of a store that was being made is an empty disk, not a lost one.
-func TestPowerLostAtFirst(t *testing.T) {
+// TestPowerLossDuringCreation: what a loss of power leaves of a store that was being made is an empty disk, not a lost one.
+func TestPowerLossDuringCreation(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	store, _ := mustOpen(c, dir)
@@ -150,9 +150,9 @@
 	})
 }
 
-// TestFoldersSynced: each new folder is synced in the one above, and what an earlier process left is synced before it
+// TestDirectoriesSynced: each new folder is synced in the one above, and what an earlier process left is synced before it
 // is read, as it may have been killed between a write and its sync.
-func TestFoldersSynced(t *testing.T) {
+func TestDirectoriesSynced(t *testing.T) {
 	c := qt.New(t)
 	top := c.TempDir()
 	dir := filepath.Join(top, "a", "b")
@@ -172,9 +172,9 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestSetAsideInOrder: the logs of a broken file are there until its new name is on the disk, as without them it
+// TestSetAsideRemovesJournalsLast: the logs of a broken file are there until its new name is on the disk, as without them it
 // might be read completely as it was before.
-func TestSetAsideInOrder(t *testing.T) {
+func TestSetAsideRemovesJournalsLast(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	store, _ := mustOpen(c, dir)
--- a/internal/fleet/statestore/setaside_test.go
+++ b/internal/fleet/statestore/setaside_test.go
@@ -47,9 +47,9 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestFilesApart: a store of which one file is missing or is of another time is a state that was saved once, or a
+// TestMismatchedFiles: a store of which one file is missing or is of another time is a state that was saved once, or a
 // lost or empty disk; never a mixture.
-func TestFilesApart(t *testing.T) {
+func TestMismatchedFiles(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	store, _ := mustOpen(c, dir)
--- a/internal/fleet/statestore/statestore_test.go
+++ b/internal/fleet/statestore/statestore_test.go
@@ -81,8 +81,8 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestKilled: what was saved is there when the process dies without closing; no shared memory file is used.
-func TestKilled(t *testing.T) {
+// TestSaveSurvivesKill: what was saved is there when the process dies without closing; no shared memory file is used.
+func TestSaveSurvivesKill(t *testing.T) {
 	c := qt.New(t)
 	dir, copied := c.TempDir(), c.TempDir()
 	store, _ := mustOpen(c, dir)
@@ -194,8 +194,8 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestSize: many snapshots of one size don't grow the files beyond some times that size.
-func TestSize(t *testing.T) {
+// TestFileSizeBound: many snapshots of one size don't grow the files beyond some times that size.
+func TestFileSizeBound(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	store, _ := mustOpen(c, dir)
@@ -230,8 +230,8 @@
 	c.Assert(err, qt.ErrorMatches, ".*newer.*")
 }
 
-// TestMachine: a replication.Machine goes on from what was saved of it.
-func TestMachine(t *testing.T) {
+// TestReplicaRestart: a replication.Machine goes on from what was saved of it.
+func TestReplicaRestart(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	store, st := mustOpen(c, dir)
