--- a/internal/fleet/controlplane/poller.go
+++ b/internal/fleet/controlplane/poller.go
@@ -125,7 +125,7 @@
 func (p *poller) pollPlatform(ctx context.Context) {
 	list, calls, err := p.client.List(ctx)
 	if err != nil {
-		p.server.log.Debug("fetching the platform's backend list failed", zap.Error(err))
+		p.server.log.Debug("platform list failed", zap.Error(err))
 		return
 	}
 	p.term.lastAnswer = time.Now()
--- a/internal/fleet/controlplane/server.go
+++ b/internal/fleet/controlplane/server.go
@@ -1,14 +1,14 @@
-// Package controlplane is the program of a core machine. The core machines replicate the control state (the
-// operator's configuration and the residency record), poll the platform's list of backends for all machines of the
-// fleet, answer the pulls of node agents and the operator's calls.
+// Package controlplane implements the control server of a core machine. The core machines replicate the control state
+// (the operator's configuration, the residency record and the quota ceilings), poll the platform's list of backends for
+// all machines of the fleet, and serve configuration pulls of node agents and operator calls.
 //
-// It decides nothing about replication: package replication is a state machine without I/O, and Server.drive is its
-// driver, which saves, sends and answers what that machine hands out, in this order. Nor does it route requests: that
-// is package proxy, from what is published here.
+// It makes no replication decisions: package replication is a state machine without I/O, and Server.drive is its
+// driver, which saves, sends, publishes and answers that machine's output, in this order. Nor does it route requests:
+// package proxy does that, from what this package publishes.
 //
 // New and Run are called once each, in this order, by one goroutine; everything else is internal. Within a Server the
-// replica, its state and the state store belong to the driver's goroutine; what others read of them is published by
-// atomic pointers (see the groups of Server's fields).
+// replica, its state and the state store belong to the driver's goroutine; what other goroutines read is published
+// through atomic pointers (see the groups of Server's fields).
 package controlplane
 
 import (
@@ -32,37 +32,38 @@
 )
 
 const (
-	// heartbeatInterval is the time from one heartbeat of the primary to the next.
+	// heartbeatInterval is the time between two heartbeats of the primary.
 	heartbeatInterval = 150 * time.Millisecond
-	// electionTimeout is how long a primary or backup may be silent before it counts as lost: some heartbeats.
+	// electionTimeout is how long a primary or backup may be silent before it is considered failed: several heartbeats.
 	electionTimeout = 700 * time.Millisecond
-	// electionStagger is how much longer each further backup waits, so that they don't compete for the next view.
+	// electionStagger is the additional time that each further backup waits, so that backups don't compete for the next
+	// view.
 	electionStagger = 250 * time.Millisecond
-	// writeTimeout is how long a backup may take to acknowledge a change before the next view leaves it out.
+	// writeTimeout is how long a backup may take to acknowledge a change before the next view excludes it.
 	writeTimeout = 600 * time.Millisecond
 
-	// inputQueueLength bounds the inputs that wait for the driver; messages beyond it are lost, calls wait.
+	// inputQueueLength bounds the driver's input queue. If it is full messages are dropped and calls wait.
 	inputQueueLength = 1024
 
-	// headerTimeout and idleTimeout bound a connection of the operator, shutdownTimeout the end of those that are open.
+	// headerTimeout and idleTimeout bound an operator's connection; shutdownTimeout bounds the shutdown of open ones.
 	headerTimeout   = 3 * time.Second
 	idleTimeout     = 10 * time.Second
 	shutdownTimeout = time.Second
 )
 
-// Server is one core machine's program.
+// Server is the control server of one core machine.
 type Server struct {
-	// ResidencyInterval is the least time between two writes of the residency record; New sets
-	// DefaultResidencyInterval. It may be set before Run.
+	// ResidencyInterval is the minimum time between two writes of the residency record; New sets
+	// DefaultResidencyInterval. It may be changed before Run.
 	ResidencyInterval time.Duration
-	// Dial connects to other core machines; New sets distribution.Dial. Tests put a network of their own between. It
-	// may be set before Run.
+	// Dial connects to other core machines; New sets distribution.Dial. Tests replace it to simulate network faults. It
+	// may be changed before Run.
 	Dial distribution.DialFunc
 
-	// Set by New and not changed since; each part guards itself.
+	// Set by New and not reassigned; each value is safe for concurrent use.
 	settings  settings.Settings
 	log       *zap.Logger
-	start     time.Time // zero of the replica's clock
+	start     time.Time // origin of the replica's clock
 	cache     *distribution.Cache
 	transport *transport
 	inputs    chan func(now time.Duration) replication.Output // executed one by one by the driver
@@ -74,24 +75,24 @@
 	pendingAnswers map[uint64]chan<- replication.Answer // by token
 	lastToken      uint64
 
-	// Published by the driver for all. A status is stored before the channel that announced it is closed.
+	// Published by the driver for other goroutines. A status is stored before the channel that announces it is closed.
 	status          atomic.Pointer[replication.Status]
 	changed         atomic.Pointer[chan struct{}] // closed when the status next changes
 	committed       atomic.Pointer[appliedState]  // newest committed state
-	committedConfig atomic.Pointer[configCommit]  // which configuration that has, and since when
+	committedConfig atomic.Pointer[configCommit]  // newest committed configuration and its time
 
-	// Other state that several goroutines share.
-	contact     *contact                      // with the primary, or as primary with the backups
-	lastContact *xsync.Map[string, time.Time] // with each other core machine, by its address among the core
-	lastPoll    atomic.Pointer[pollStatus]    // what the poller did last, as primary
-	changeSlot  chan struct{}                 // one change at a time; holds one value
-	quota       *quota.Server                 // hands out tenants' quotas, as primary
+	// Other state shared between goroutines.
+	contact     *contact                      // contact with the primary or, on the primary, with the backups
+	lastContact *xsync.Map[string, time.Time] // last message of each other core machine, by its address within the core
+	lastPoll    atomic.Pointer[pollStatus]    // result of the poller's last activity as primary
+	changeSlot  chan struct{}                 // semaphore: one change at a time
+	quota       *quota.Server                 // allocates tenants' quotas on the primary
 	quotaRule   quota.Rule
 }
 
-// New opens the state store in set.DataDir, which blocks until the disk has synced it, and makes the program. A state
-// store that can't be used counts as a lost disk. random gives identities, which must differ between machines and
-// starts. An error for which statestore.Transient is true may be gone at a later attempt.
+// New opens the state store in set.DataDir, which blocks until its files are synced, and returns a server. An unusable
+// state store is treated as a lost disk. random generates member identities, which must differ between machines and
+// starts. If statestore.Transient reports true for the error, a later attempt may succeed.
 func New(set settings.Settings, log *zap.Logger, random func() uint64) (*Server, error) {
 	if set.DataDir == "" {
 		return nil, errors.New("datadir: a core machine needs a disk")
@@ -102,7 +103,7 @@
 		return nil, errors.Wrap(err, "open state store")
 	}
 	if persisted.DiskLost {
-		log.Warn("the disk's content can't be trusted and counts as lost", zap.Error(storage.SetAsideCause()))
+		log.Warn("state store is unusable and was set aside, treating the disk as lost", zap.Error(storage.SetAsideCause()))
 	}
 	s := &Server{
 		ResidencyInterval: DefaultResidencyInterval,
@@ -121,7 +122,7 @@
 	}
 	s.replica, err = replication.New(replicaOptions(&set, self, random), persisted, s.state)
 	if err != nil {
-		return nil, errors.Wrap(err, "record")
+		return nil, errors.Wrap(err, "start replica")
 	}
 	s.quotaRule = quota.NewRule(&set.Bounds)
 	s.quota = quota.NewServer(s.quotaRule, leaderContactTimeout, s.leadsEpoch)
@@ -135,7 +136,7 @@
 	return s, nil
 }
 
-// replicaOptions are replication's settings for a machine.
+// replicaOptions returns a machine's options for package replication.
 func replicaOptions(set *settings.Settings, self replication.Member, random func() uint64) replication.Options {
 	var seeds []string
 	for _, seed := range set.Seeds {
@@ -161,31 +162,31 @@
 	}
 }
 
-// watch returns the status, and a channel that is closed when it next changes.
+// watch returns the current status, and a channel that is closed at the next change of the status.
 func (s *Server) watch() (*replication.Status, <-chan struct{}) {
 	changed := s.changed.Load()
 	return s.status.Load(), *changed
 }
 
-// listeners are the sockets of a running server.
+// listeners are the listening sockets of a running server.
 type listeners struct {
-	core    net.Listener // messages of the other core machines
+	core    net.Listener // messages of other core machines
 	pulls   net.Listener // pulls of node agents and other control servers
-	control net.Listener // the operator's calls
-	quota   net.Listener // reports of proxies on tenants' quotas
+	control net.Listener // operator calls
+	quota   net.Listener // proxies' reports on tenants' quotas
 }
 
-// close closes the sockets that are open.
+// close closes the open sockets.
 func (l *listeners) close() {
 	for _, ln := range []net.Listener{l.core, l.pulls, l.control, l.quota} {
 		if ln != nil {
-			_ = ln.Close() // at worst it was closed before
+			_ = ln.Close() // it may already be closed
 		}
 	}
 }
 
-// listen opens the sockets: all of them, or none and an error. It waits sockets.ListenWithin for an address that is
-// still taken.
+// listen opens all sockets, or returns an error and leaves none open. If an address is in use it retries for
+// sockets.ListenWithin.
 func (s *Server) listen(ctx context.Context) (l listeners, err error) {
 	if s.settings.Bind.Control == "" {
 		return l, errors.New("bind: ctl must be given")
@@ -214,9 +215,9 @@
 	return l, nil
 }
 
-// Run serves until ctx ends and the core has taken over what this machine does, at most handOverTimeout later. It
-// returns when what it began has ended, shutdownTimeout later at the most, with an error when a socket can't be opened
-// or the state store can't be closed.
+// Run serves until ctx ends and the core has taken over this machine's roles, handOverTimeout later at most. It returns
+// when its goroutines have ended, or shutdownTimeout later, with an error if a socket can't be opened or the state
+// store can't be closed.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, stopServing := s.serveUntilReleased(ctx)
 	defer stopServing()
@@ -253,7 +254,7 @@
 	defer cancel()
 	_ = server.Shutdown(end)
 	if !waitTasks(end, &tasks) {
-		s.log.Warn("ended before all that was under way")
+		s.log.Warn("shutdown timed out with tasks still running")
 	}
 	if err := s.storage.Close(); err != nil {
 		return errors.Wrap(err, "close state store")
@@ -261,7 +262,7 @@
 	return nil
 }
 
-// waitTasks waits until all tasks have ended, and reports whether they have before ctx did.
+// waitTasks waits until all tasks have ended, and reports whether they ended before ctx did.
 func waitTasks(ctx context.Context, tasks *sync.WaitGroup) bool {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/fleet/controlplane/shutdown.go
+++ b/internal/fleet/controlplane/shutdown.go
@@ -9,12 +9,12 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// handOverTimeout bounds how long a program that is to end waits until the core has taken over its roles; half of
-// the time until SIGKILL bounds it too.
+// handOverTimeout bounds how long a terminating program waits until the core has taken over its roles. It is also
+// bounded by half of the time until SIGKILL.
 const handOverTimeout = 2 * time.Second
 
-// serveUntilReleased returns a context that outlives ctx until the core has released this machine, or handOverTimeout
-// is over.
+// serveUntilReleased returns a context that outlives ctx until the core has released this machine, or until
+// handOverTimeout has passed.
 func (s *Server) serveUntilReleased(ctx context.Context) (context.Context, context.CancelFunc) {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	go func() {
@@ -28,7 +28,7 @@
 	return serving, stop
 }
 
-// handOverRoles gives this machine's roles up and waits until the core has taken them over, or until the time is over.
+// handOverRoles gives up this machine's roles and waits until the core has taken them over or the time-out has passed.
 func (s *Server) handOverRoles(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, min(handOverTimeout, s.settings.Bounds.Grace/2))
 	defer cancel()
@@ -46,7 +46,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			s.log.Warn("ends without a release: nobody took over what this machine holds",
+			s.log.Warn("shutting down without a release: no other machine took over the roles in time",
 				zap.Stringer("role", status.Role))
 			return
 		}
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// statusTimeout bounds how long a status waits for the view to be confirmed: callers turn elsewhere after a second.
+	// statusTimeout bounds how long a status call waits for the view's confirmation: clients move to another machine
+	// after one second.
 	statusTimeout = 700 * time.Millisecond
-	// maxContacts bounds the core machines whose last contact is remembered: members change, and there are 64 at the
-	// most.
+	// maxContacts bounds the core machines whose last contact is recorded. There are 64 members at most, but membership
+	// changes over time.
 	maxContacts = 256
-	// neverMs is an age of what has not happened yet.
+	// neverMs is the age of an event that has not happened yet.
 	neverMs = -1
 )
 
-// recordContact records a message of a core machine.
+// recordContact records the time of a message from a core machine.
 func (s *Server) recordContact(from string, at time.Time) {
 	if _, known := s.lastContact.Load(from); known || s.lastContact.Size() < maxContacts {
 		s.lastContact.Store(from, at)
 	}
 }
 
-// showStatus answers a call for the status; a caller is redirected to the primary unless it asks for what this machine
-// itself knows.
+// showStatus answers a status call. The caller is redirected to the primary unless it requests this machine's local
+// view.
 func (s *Server) showStatus(w http.ResponseWriter, r *http.Request) error {
 	local := r.URL.Query().Has(externalapi.QueryLocal)
 	ctx, cancel := s.withContact(r.Context(), statusTimeout)
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// fleetStatus gathers the status of the fleet, as far as this machine knows it.
+// fleetStatus returns the fleet's status as known to this machine.
 func (s *Server) fleetStatus(st *replication.Status, now time.Time) *status.Fleet {
 	fleet := &status.Fleet{
 		From:             s.settings.NodeName,
@@ -84,14 +85,14 @@
 	return fleet
 }
 
-// ageMs returns how many milliseconds ago something was, 0 for what lies ahead.
+// ageMs returns the time from at to now in milliseconds; 0 if at is in the future.
 func ageMs(now, at time.Time) int64 { return max(now.Sub(at), 0).Milliseconds() }
 
 func listVersion(v distribution.Version) status.ListVersion {
 	return status.ListVersion{Epoch: v.Epoch, Count: v.Count}
 }
 
-// viewStatus returns the core's view, and when the last message of each member came.
+// viewStatus returns the core's view and the age of each member's last message.
 func (s *Server) viewStatus(st *replication.Status, now time.Time) status.View {
 	view := status.View{
 		Epoch:   st.Epoch,
@@ -144,7 +145,7 @@
 	return agents
 }
 
-// singletonRoles returns who does what for all: nobody while the view has no primary that is ready.
+// singletonRoles returns the holders of the singleton roles; they have no holder while there is no ready primary.
 func (s *Server) singletonRoles(st *replication.Status, now time.Time) []status.SingletonRole {
 	poll := status.SingletonRole{Name: status.SingletonPoll}
 	phases := status.SingletonRole{Name: status.SingletonPhases}
@@ -163,7 +164,7 @@
 	return []status.SingletonRole{poll, phases}
 }
 
-// serviceStatus counts the backends of each service that the configuration or the list names.
+// serviceStatus returns the backend counts of each service in the configuration or the list.
 func serviceStatus(list *distribution.BackendList, committed *appliedState) []status.Service {
 	services := map[string]*status.Service{}
 	service := func(name string) *status.Service {
--- a/internal/fleet/controlplane/transport.go
+++ b/internal/fleet/controlplane/transport.go
@@ -14,26 +14,26 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// transport carries messages to the other core machines and back, on one connection each way. A message that can't be
-// sent is lost: replication sends again what matters. It is safe for concurrent use.
+// transport exchanges messages with the other core machines, on one connection per direction. A message that can't be
+// sent is dropped: replication resends what is necessary. It is safe for concurrent use.
 type transport struct {
 	dial distribution.DialFunc
 
 	mu     sync.Mutex
-	queues map[string]chan replication.Message // by address; one writeLoop each
+	queues map[string]chan replication.Message // by peer address; each has one writeLoop
 }
 
 const (
-	// peerQueueLength bounds the messages that wait for one peer.
+	// peerQueueLength bounds the messages queued for one peer.
 	peerQueueLength = 64
-	// peerTimeout bounds a dial and a write to a peer.
+	// peerTimeout bounds a dial to, and a write to, a peer.
 	peerTimeout = 500 * time.Millisecond
-	// peerIdleTimeout is how long a connection without messages is kept.
+	// peerIdleTimeout is how long an idle outgoing connection is kept open.
 	peerIdleTimeout = 10 * time.Second
-	// peerReadTimeout is how long a peer may send nothing before its connection is closed here: it closes it itself
-	// before.
+	// peerReadTimeout is how long an incoming connection may be idle before it is closed; the peer normally closes it
+	// earlier.
 	peerReadTimeout = 3 * peerIdleTimeout
-	// acceptRetry is the pause after a failed accept: the process may be out of descriptors.
+	// acceptRetry is the pause after a failed accept, for example when the process is out of file descriptors.
 	acceptRetry = 20 * time.Millisecond
 )
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// send queues a message for a peer. It doesn't block: with a full queue the message is lost.
+// send queues a message for a peer. It doesn't block: if the queue is full the message is dropped.
 func (t *transport) send(to string, m replication.Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// writeLoop sends what is queued for one peer, and ends when nothing has been for peerIdleTimeout.
+// writeLoop sends the messages queued for one peer, and ends after peerIdleTimeout without messages.
 func (t *transport) writeLoop(to string, q chan replication.Message) {
 	var c net.Conn
 	idle := time.NewTimer(peerIdleTimeout)
@@ -88,14 +88,14 @@
 	}
 }
 
-// discardQueued drops what waited while a message could not be sent: it is out of date.
+// discardQueued drops the messages queued while a message could not be sent: they are out of date.
 func discardQueued(q <-chan replication.Message) {
 	for len(q) > 0 {
 		<-q
 	}
 }
 
-// removeQueue ends the use of a queue, unless there is a message in it.
+// removeQueue removes an empty queue and reports whether it did; a queue with messages is kept.
 func (t *transport) removeQueue(to string, q <-chan replication.Message) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,9 +106,9 @@
 	return true
 }
 
-// deliver sends one message on a connection, or on a new one where there is none or it has ended: the peer's process
-// may have been replaced by another, which is not to miss the first message. A peer that doesn't answer isn't tried
-// twice. It returns the connection for the next message, and blocks for a dial and two writes at most.
+// deliver sends one message on c, or on a new connection if c is nil or broken: if the peer's process was replaced, the
+// new process must receive the first message. A peer that times out isn't tried again. It returns the connection for
+// the next message, and blocks for one dial and two writes at most.
 func (t *transport) deliver(c net.Conn, to string, m *replication.Message) (net.Conn, error) {
 	for {
 		dialed := c == nil
@@ -132,16 +132,16 @@
 	}
 }
 
-// closeOnEOF closes a connection once the peer has ended it. Nothing is ever read from it: without this a first
-// message to a process that is gone would be taken by the kernel and lost.
+// closeOnEOF closes a connection once the peer has closed it. Nothing is ever read from the connection: without this,
+// the kernel would accept the first message to an exited process and the message would be lost.
 func closeOnEOF(c net.Conn) {
 	_, _ = io.Copy(io.Discard, c)
 	c.Close()
 }
 
-// serve accepts connections of the other core machines until ctx ends, hands their messages to receive, and calls ended
-// with the address of a machine whose connection has ended ("": it had sent nothing). It returns when all of that is
-// done.
+// serve accepts connections of the other core machines until ctx ends, and passes their messages to receive. When a
+// connection has ended it calls ended with the peer's address, "" if the peer had sent nothing. It returns once all
+// connections have ended.
 func (t *transport) serve(
 	ctx context.Context, ln net.Listener, receive func(from string, m *replication.Message), ended func(from string),
 ) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// readMessages reads a connection to its end; see serve.
+// readMessages reads messages from a connection until it ends; see serve.
 func readMessages(
 	ctx context.Context, c net.Conn, receive func(from string, m *replication.Message), ended func(from string),
 ) {
--- a/internal/fleet/controlplane/verdict.go
+++ b/internal/fleet/controlplane/verdict.go
@@ -9,19 +9,19 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// verdict is the answer to a command that isn't proposed, as the state stood at seq.
+// verdict is the answer to a command that isn't proposed, based on the state at seq.
 type verdict struct {
-	status   int // of HTTP; 503: no clear answer can be given
+	status   int // HTTP status; 503: the outcome is unknown
 	reason   string
 	findings routingconfig.Findings
 	seq      uint64
 }
 
-// judge answers a command that was accepted already, can't be accepted any more, or whose fate isn't known; nil: it
-// is to be proposed.
+// judge returns the verdict on a command that was already accepted, can't be accepted any more, or whose outcome is
+// unknown. It returns nil if the command is to be proposed.
 //
-// Safety: a command is refused only if it was not accepted and never can be, as a copy of it may still be on its way:
-// versions rise, so that a base that was built on or passed over is never current again (TestHistories).
+// Safety: a command is rejected only if it was not accepted and can never be, because a copy of it may still be in
+// transit: versions rise, so a base that was built on or skipped is never current again (TestHistories).
 func (cs *controlState) judge(c *Command, checks ...routingconfig.Check) *verdict {
 	current := cs.doc.Version()
 	switch cs.accepted.lookup(c) {
@@ -45,33 +45,34 @@
 	return nil
 }
 
-// verdict returns a verdict on the state as it stands.
+// verdict returns a verdict based on the current state.
 func (cs *controlState) verdict(status int, format string, args ...any) *verdict {
 	return &verdict{seq: cs.seq, status: status, reason: fmt.Sprintf(format, args...)}
 }
 
-// confirmedBy reports whether a verdict may be given after this answer to a Read that came with it: the view still stands,
-// and what the verdict is about is committed, as the end of a log may yet be lost.
+// confirmedBy reports whether the verdict may be returned to the caller, given the answer to the Read that was
+// submitted with it: the view is still current, and the state that the verdict is based on is committed. An uncommitted
+// end of the log may still be lost.
 func (v *verdict) confirmedBy(a replication.Answer) bool {
 	return a.Result == replication.Confirmed && a.Seq >= v.seq
 }
 
-// submit hands a command to the replica whose state this is, by one input: the command is proposed, or a Read is
-// asked for that has to confirm the verdict which is returned.
+// submit passes a command to the replica in a single input: it either proposes the command, or requests a Read that
+// must confirm the returned verdict.
 func (cs *controlState) submit(
 	m *replication.Machine, now time.Duration, token uint64, c *Command, checks ...routingconfig.Check,
 ) (*verdict, replication.Output) {
 	if m.Status().Role != replication.Primary {
-		return nil, m.Propose(now, token, nil) // refused: NotPrimary
+		return nil, m.Propose(now, token, nil) // rejected as NotPrimary
 	}
 	if v := cs.judge(c, checks...); v != nil {
 		return v, m.Read(now, token)
 	}
-	body, _ := c.MarshalMsg(nil) // it has no way to fail
+	body, _ := c.MarshalMsg(nil) // never fails
 	return nil, m.Propose(now, token, body)
 }
 
-// outcome is what the caller is answered about a command that was submitted, once the replica has answered.
+// outcome returns the answer for the caller of a submitted command, given the replica's answer.
 func outcome(v *verdict, a replication.Answer) *verdict {
 	switch {
 	case v != nil && v.confirmedBy(a):
--- a/internal/fleet/controlplane/wait.go
+++ b/internal/fleet/controlplane/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sleep blocks for a time or until ctx ends.
+// sleep blocks for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -15,7 +15,7 @@
 	}
 }
 
-// waitFor blocks until an event or until ctx ends.
+// waitFor blocks until event is closed or ctx ends.
 func waitFor(ctx context.Context, event <-chan struct{}) {
 	select {
 	case <-event:
@@ -23,7 +23,7 @@
 	}
 }
 
-// waitForEither blocks until one of two events, for a time at most, and returns false when ctx ended before.
+// waitForEither blocks until one of two events, for atMost at most. It returns false if ctx ended first.
 func waitForEither(ctx context.Context, atMost time.Duration, one, other <-chan struct{}) bool {
 	timer := time.NewTimer(atMost)
 	defer timer.Stop()
--- a/internal/fleet/statestore/errors.go
+++ b/internal/fleet/statestore/errors.go
@@ -9,15 +9,15 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// UnusableError says why a file was set aside: its content is damaged, or it belongs to another machine. The disk then
-// counts as lost.
+// UnusableError is the reason why a file was set aside: its content is damaged, or it belongs to another machine. The
+// disk is then treated as lost.
 type UnusableError struct {
 	File string // path
-	Row  string // table and key; "" when it isn't one row
+	Row  string // table and key; "" if the error isn't about a single row
 	Err  error
 }
 
-// Error returns file, row and cause.
+// Error returns the file, the row and the cause.
 func (e *UnusableError) Error() string {
 	if e.Row == "" {
 		return fmt.Sprintf("%s: %v", e.File, e.Err)
@@ -28,8 +28,8 @@
 // Unwrap returns the cause.
 func (e *UnusableError) Unwrap() error { return e.Err }
 
-// transientErrnos are what the system answers while a disk is full, refuses writes or fails, and while a process is
-// short of descriptors or memory.
+// transientErrnos are the errors of the operating system while a disk is full, read-only or failing, and while the
+// process lacks file descriptors or memory.
 var transientErrnos = []syscall.Errno{
 	syscall.ENOSPC,
 	syscall.EDQUOT,
@@ -45,7 +45,7 @@
 	syscall.ENOMEM,
 }
 
-// transientCodes are SQLite's answers for the same.
+// transientCodes are SQLite's codes for the same conditions.
 var transientCodes = []sqlite3.ErrNo{
 	sqlite3.ErrFull,
 	sqlite3.ErrIoErr,
@@ -56,16 +56,16 @@
 	sqlite3.ErrNomem,
 }
 
-// corruptionCodes are SQLite's answers for a file whose content is damaged.
+// corruptionCodes are SQLite's codes for a file with damaged content.
 var corruptionCodes = []sqlite3.ErrNo{
 	sqlite3.ErrCorrupt,
 	sqlite3.ErrNotADB,
 	sqlite3.ErrFormat,
 }
 
-// Transient reports whether an error of Open or Save comes from a failing disk, which may succeed at a later attempt: a
-// process waits for it in place of ending. An error that stays until an operator acts is not transient: a schema of a
-// newer version, a path that may not be entered.
+// Transient reports whether an error of Open or Save comes from a failing disk, so that a later attempt may succeed: a
+// process retries instead of exiting. Errors that persist until an operator acts are not transient: a newer schema
+// version, a directory without permission.
 func Transient(err error) bool {
 	var code sqlite3.Error
 	if errors.As(err, &code) {
@@ -75,8 +75,8 @@
 	return errors.As(err, &number) && slices.Contains(transientErrnos, number)
 }
 
-// classify makes an *UnusableError of an error about the file's content. An error of the disk itself stays what it
-// is: the content may be fine.
+// classify wraps an error about the file's content in an *UnusableError. Other errors, such as those of the disk
+// itself, are returned as they are: the content may be intact.
 func classify(path string, err error) error {
 	var e sqlite3.Error
 	if errors.As(err, &e) && slices.Contains(corruptionCodes, e.Code) {
@@ -85,7 +85,7 @@
 	return err
 }
 
-// wrap is errors.Wrap for an error that may be nil, which errors.Wrap would make one of.
+// wrap is errors.Wrap for an error that may be nil; errors.Wrap would turn nil into an error.
 func wrap(err error, text string) error {
 	if err == nil {
 		return nil
--- a/internal/fleet/statestore/errors_test.go
+++ b/internal/fleet/statestore/errors_test.go
@@ -11,11 +11,12 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// TestTransient: the errors of a failing disk are transient, those that stay until an operator acts are not.
+// TestTransient checks that errors of a failing disk are transient, and those that persist until an operator acts are
+// not.
 func TestTransient(t *testing.T) {
 	c := qt.New(t)
 	refused := func(number syscall.Errno) error {
-		return errors.Wrap(&os.PathError{Op: "open", Path: "control.db", Err: number}, "statestore: make folder")
+		return errors.Wrap(&os.PathError{Op: "open", Path: "control.db", Err: number}, "statestore: create directory")
 	}
 	for _, err := range []error{
 		refused(syscall.ENOSPC),
@@ -38,7 +39,7 @@
 	}
 }
 
-// TestOpenIsTransientUntilTheFileCanBeMade opens a store where its file can't be made, then where it can.
+// TestOpenIsTransientUntilTheFileCanBeMade opens a store while a directory has its file's name, and again without it.
 func TestOpenIsTransientUntilTheFileCanBeMade(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
@@ -54,7 +55,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestOpenNewerSchema: a newer schema is an error that no waiting mends.
+// TestOpenNewerSchema checks that the error for a newer schema is not transient.
 func TestOpenNewerSchema(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
--- a/internal/fleet/statestore/files.go
+++ b/internal/fleet/statestore/files.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-// syncPath syncs a file or directory to the disk; a variable for tests alone.
+// syncPath syncs a file or directory to the disk. It is a variable so that tests can replace it.
 var syncPath = func(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -17,7 +17,7 @@
 	return wrap(f.Sync(), "sync")
 }
 
-// makeDirDurable makes dir and its missing parents, each on the disk before the next.
+// makeDirDurable creates dir and its missing parents, and syncs each before it creates the next.
 func makeDirDurable(dir string) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -37,11 +37,11 @@
 	return syncPath(filepath.Dir(dir))
 }
 
-// journalSuffixes name SQLite's files beside the database.
+// journalSuffixes are the suffixes of SQLite's files beside the database.
 var journalSuffixes = []string{"-wal", "-shm", "-journal"}
 
-// syncExistingFiles syncs what an earlier process left, before it is read: closing a file that SQLite has open would
-// give up its locks.
+// syncExistingFiles syncs the files left by an earlier process before they are read. It must run before SQLite opens
+// them: closing a file that SQLite has open would release its locks.
 func syncExistingFiles(dir string) error {
 	path := filepath.Join(dir, fileName)
 	for _, suffix := range append([]string{""}, journalSuffixes...) {
@@ -52,9 +52,9 @@
 	return wrap(syncPath(dir), dir)
 }
 
-// setAside renames the file, over an older one that was set aside, and removes its journals. The new name is on the
-// disk before they go: without them the file might be read completely as it was earlier, and votes would be
-// forgotten.
+// setAside renames the database file, replacing one that was set aside earlier, and removes its journals. The rename is
+// synced before the journals are removed: without them the file might load as a complete but older state, and votes
+// would be lost.
 func setAside(dir string) error {
 	path := filepath.Join(dir, fileName)
 	if err := os.Rename(path, filepath.Join(dir, brokenName)); err != nil {
--- a/internal/fleet/statestore/load.go
+++ b/internal/fleet/statestore/load.go
@@ -11,18 +11,18 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// loader gathers the rows of a file and checks that they belong together.
+// loader collects the rows of a file and checks that they are consistent.
 type loader struct {
 	path     string
 	state    replication.PersistentState
 	snapshot replication.Snapshot
-	head     replication.Snapshot // stored newest change, without body
-	found    map[string]bool      // keys of the table part
-	last     replication.Snapshot // newest change so far, without body
+	head     replication.Snapshot // stored head of the log: newest change, without body
+	found    map[string]bool      // keys found in the table part
+	last     replication.Snapshot // newest change loaded so far, without body
 }
 
-// load reads everything. A row that is missing, damaged or unknown is an *UnusableError: acting on a state with holes
-// could break a promise that this machine has given.
+// load reads the complete state. A missing, damaged or unknown row is an *UnusableError: acting on an incomplete state
+// could violate a promise given by this machine.
 func (s *Store) load(ctx context.Context, path string) (replication.PersistentState, error) {
 	l := &loader{path: path, found: map[string]bool{}}
 	if err := s.query(ctx, path, "SELECT name, body, sum FROM part", l.scanPart); err != nil {
@@ -41,7 +41,7 @@
 	return l.state, nil
 }
 
-// query hands each row of a query to take, until that fails.
+// query passes each row of a query to scan, until scan fails.
 func (s *Store) query(ctx context.Context, path, query string, scan func(*sql.Rows) error) error {
 	rows, err := s.conn.QueryContext(ctx, query)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return classify(path, wrap(rows.Err(), query))
 }
 
-// target returns where the value of a key is decoded, nil for a key that is not known.
+// target returns the value into which the row with a key is decoded; nil for an unknown key.
 func (l *loader) target(key string) msgp.Unmarshaler {
 	switch key {
 	case identityKey:
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// scanPart takes a row of the table part.
+// scanPart loads a row of the table part.
 func (l *loader) scanPart(rows *sql.Rows) error {
 	var key string
 	var body []byte
@@ -89,7 +89,7 @@
 	}
 	target := l.target(key)
 	if target == nil {
-		return l.unusable(row, errors.New("unknown name"))
+		return l.unusable(row, errors.New("unknown key"))
 	}
 	if trailing, err := target.UnmarshalMsg(body); err != nil || len(trailing) > 0 {
 		return l.unusable(row, errors.Errorf("decode: %v, %d bytes left", err, len(trailing)))
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// scanChange takes a row of the table change, which follows on the one before.
+// scanChange loads a row of the table change, which must follow the previous one.
 func (l *loader) scanChange(rows *sql.Rows) error {
 	var seq, digest, sum int64
 	var body []byte
@@ -111,20 +111,20 @@
 		return l.unusable(row, errors.New("checksum differs"))
 	}
 	if c.Seq != l.last.Seq+1 || c.Digest != replication.ChainDigest(l.last.Digest, c.Seq, body) {
-		return l.unusable(row, errors.Errorf("doesn't follow %d", l.last.Seq))
+		return l.unusable(row, errors.Errorf("does not follow change %d", l.last.Seq))
 	}
 	l.last.Seq, l.last.Digest = c.Seq, c.Digest
 	l.state.Changes = append(l.state.Changes, c)
 	return nil
 }
 
-// checkComplete finds what the rows by themselves don't show: the end of the log or a key that is missing.
+// checkComplete detects missing rows: the end of the log, or a required key.
 func (l *loader) checkComplete() error {
 	if l.last.Seq != l.head.Seq || l.last.Digest != l.head.Digest {
-		return l.unusable("", errors.Errorf("the record ends at %d instead of %d", l.last.Seq, l.head.Seq))
+		return l.unusable("", errors.Errorf("the log ends at change %d instead of %d", l.last.Seq, l.head.Seq))
 	}
 	if len(l.found) == 0 {
-		return nil // nothing was saved yet
+		return nil // nothing saved yet
 	}
 	for _, key := range []string{identityKey, viewKey, voteKey, replicaStateKey} {
 		if !l.found[key] {
--- a/internal/fleet/statestore/plantedfault_test.go
+++ b/internal/fleet/statestore/plantedfault_test.go
@@ -6,7 +6,7 @@
 	"molepaddle/internal/plantedfault"
 )
 
-// TestPlantedFaults lays errors into what counts as this machine's state.
+// TestPlantedFaults plants faults in what is accepted as this machine's state; the named tests must detect them.
 func TestPlantedFaults(t *testing.T) {
 	plantedfault.Find(t, []plantedfault.Fault{
 		{
--- a/internal/fleet/statestore/powerloss_test.go
+++ b/internal/fleet/statestore/powerloss_test.go
@@ -14,9 +14,9 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-const sector = 512 // bytes that a disk writes as one, in any order, until it syncs
+const sector = 512 // bytes that a disk writes atomically; sectors may be written in any order until a sync
 
-// files is what is in a folder.
+// files holds the contents of the files in a directory by name.
 type files map[string][]byte
 
 func readFiles(c *qt.C, dir string) files {
@@ -31,7 +31,7 @@
 	return f
 }
 
-// openFiles opens a store that has these files and gives its state.
+// openFiles opens a store with the given files and returns its state.
 func openFiles(c *qt.C, f files) replication.PersistentState {
 	dir := c.TempDir()
 	for name, b := range f {
@@ -43,8 +43,8 @@
 	return st
 }
 
-// torn is what a loss of power leaves of a file on its way from one content to another: of each sector the old or the
-// new, nothing (zeros) where the file grew but a sector didn't come, and some length between.
+// torn returns a possible content of a file after a loss of power between two contents: each sector is old or new, or
+// zeros where the file grew but the sector wasn't written, and the length is between the two.
 func torn(r *rand.Rand, before, after []byte) []byte {
 	size := len(before)
 	if d := len(after) - size; d > 0 {
@@ -52,7 +52,7 @@
 	}
 	out := make([]byte, size)
 	copy(out, before)
-	odds := r.IntN(4) // few come, many, all or none
+	odds := r.IntN(4) // share of sectors written: none, few, many or all
 	for at := 0; at < size; at += sector {
 		if at < len(after) && r.IntN(3) < odds {
 			copy(out[at:min(at+sector, size)], after[at:])
@@ -61,23 +61,23 @@
 	return out
 }
 
-// TestPowerLossDuringSave: whatever sectors of a Save that is under way reach the disk, the store is as before it or as after it;
-// also while the log goes back into the file, and when the log begins anew.
+// TestPowerLossDuringSave checks that, whichever sectors of an interrupted Save reach the disk, the loaded state is
+// that before or after the Save; also during a checkpoint, and when the write-ahead log restarts.
 func TestPowerLossDuringSave(t *testing.T) {
 	c := qt.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	dir := c.TempDir()
 	store, _ := mustOpen(c, dir)
 	fill(c, store)
-	// Checkpoints come often, so that files stay small.
+	// Frequent checkpoints keep the files small.
 	_, err := store.conn.ExecContext(context.Background(), "PRAGMA wal_autocheckpoint=16")
 	c.Assert(err, qt.IsNil)
-	var level int // the copies below can't tell whether a commit is synced
+	var level int // the copies below don't show whether a commit is synced
 	c.Assert(store.conn.QueryRowContext(context.Background(), "PRAGMA synchronous").Scan(&level), qt.IsNil)
 	c.Assert(level, qt.Equals, 2)
 	before := readFiles(c, dir)
 	last := openFiles(c, before)
-	// Each sixth Save is a snapshot, else a change and a vote.
+	// Every sixth Save writes a snapshot, the others a change; each also writes a vote.
 	seq, digest := last.Changes[1].Seq, last.Changes[1].Digest
 	moved, anew, taken := 0, 0, 0
 	for i := range 24 {
@@ -105,7 +105,7 @@
 				c.Assert(st, qt.DeepEquals, last)
 			}
 		}
-		if !bytes.Equal(before[fileName], after[fileName]) { // the log was synced, then its pages went into the file
+		if !bytes.Equal(before[fileName], after[fileName]) { // checkpoint: the log was synced, then its pages were copied into the file
 			moved++
 			for range 4 {
 				f := files{fileName: torn(r, before[fileName], after[fileName]), wal: after[wal]}
@@ -117,12 +117,13 @@
 		}
 		before, last = after, next
 	}
-	t.Logf("%d times the log went back, %d times it began anew, %d torn Saves count as done", moved, anew, taken)
+	t.Logf("%d checkpoints, %d restarts of the log, %d torn saves loaded as complete", moved, anew, taken)
 	c.Assert(moved > 1 && anew > 1 && taken > 1, qt.IsTrue)
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestPowerLossDuringCreation: what a loss of power leaves of a store that was being made is an empty disk, not a lost one.
+// TestPowerLossDuringCreation checks that a loss of power while the store is created leaves an empty disk, not a lost
+// one.
 func TestPowerLossDuringCreation(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -139,7 +140,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// watchSyncs calls see for what the store itself syncs.
+// watchSyncs calls see for each path that the store itself syncs.
 func watchSyncs(c *qt.C, see func(path string)) {
 	c.Patch(&syncPath, func(path string) error {
 		if _, err := os.Stat(path); err != nil {
@@ -150,8 +151,8 @@
 	})
 }
 
-// TestDirectoriesSynced: each new folder is synced in the one above, and what an earlier process left is synced before it
-// is read, as it may have been killed between a write and its sync.
+// TestDirectoriesSynced checks that each new directory is synced in its parent, and that the files of an earlier
+// process are synced before they are read, as that process may have been killed between a write and its sync.
 func TestDirectoriesSynced(t *testing.T) {
 	c := qt.New(t)
 	top := c.TempDir()
@@ -163,7 +164,7 @@
 	fill(c, store)
 	left := readFiles(c, dir)
 	c.Assert(store.Close(), qt.IsNil)
-	for name, b := range left { // as a killed process leaves it
+	for name, b := range left { // as left by a killed process
 		c.Assert(os.WriteFile(filepath.Join(dir, name), b, 0o644), qt.IsNil)
 	}
 	synced = nil
@@ -172,8 +173,8 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestSetAsideRemovesJournalsLast: the logs of a broken file are there until its new name is on the disk, as without them it
-// might be read completely as it was before.
+// TestSetAsideRemovesJournalsLast checks that the journals of a broken file are removed only after its rename is
+// synced: without them the file might load as an older state.
 func TestSetAsideRemovesJournalsLast(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
--- a/internal/fleet/statestore/save.go
+++ b/internal/fleet/statestore/save.go
@@ -11,9 +11,9 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// Save writes w in one transaction and returns when it is synced. After an error nothing of w counts as written, and
-// the same w may be saved again; saving it twice equals once. A full or failing disk is an error for which Transient
-// is true.
+// Save writes w in one transaction and returns once it is synced. After an error nothing of w is written, and w may be
+// saved again; saving it twice has the same effect as once. If the disk is full or failing, Transient reports true for
+// the error.
 func (s *Store) Save(w *replication.Write) error {
 	if w.Empty() {
 		return nil
@@ -35,7 +35,7 @@
 		}
 		err = errors.Wrap(err, "commit")
 	}
-	// Some errors have rolled back already; this one then fails, which is fine.
+	// After some errors SQLite has already rolled back, and ROLLBACK fails without harm.
 	_, _ = s.conn.ExecContext(ctx, "ROLLBACK")
 	return err
 }
@@ -50,7 +50,7 @@
 	if err := s.putReplicaState(ctx, w); err != nil {
 		return err
 	}
-	var head *replication.Snapshot // of the log after this write, without body; nil: as it was
+	var head *replication.Snapshot // newest change of the log after this write, without body; nil: unchanged
 	if snapshot := w.Snapshot; snapshot != nil {
 		if err := s.replaceSnapshot(ctx, snapshot); err != nil {
 			return err
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// putReplicaState writes what w has beside the log: who this machine is, its view, its vote and its replica state.
+// putReplicaState writes the parts of w outside the log: identity, view, vote and replica state.
 func (s *Store) putReplicaState(ctx context.Context, w *replication.Write) error {
 	if w.Identity != nil {
 		if err := s.put(ctx, identityKey, w.Identity); err != nil {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// put writes one row of the table part.
+// put writes a row of the table part.
 func (s *Store) put(ctx context.Context, key string, value msgp.Marshaler) error {
 	body, err := value.MarshalMsg(nil)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return wrap(err, key)
 }
 
-// replaceSnapshot writes a snapshot, which takes the place of all changes.
+// replaceSnapshot writes a snapshot, which replaces all changes.
 func (s *Store) replaceSnapshot(ctx context.Context, snapshot *replication.Snapshot) error {
 	if _, err := s.conn.ExecContext(ctx, "DELETE FROM change"); err != nil {
 		return errors.Wrap(err, "drop changes")
@@ -112,11 +112,11 @@
 	return s.put(ctx, snapshotKey, snapshot)
 }
 
-// putChange writes one row of the table change.
+// putChange writes a row of the table change.
 func (s *Store) putChange(ctx context.Context, c *replication.Change) error {
 	body := c.Body
 	if body == nil {
-		body = []byte{} // the column takes no NULL
+		body = []byte{} // the column is NOT NULL
 	}
 	_, err := s.conn.ExecContext(ctx, "INSERT OR REPLACE INTO change (seq, digest, body, sum) VALUES (?, ?, ?, ?)",
 		int64(c.Seq), int64(c.Digest), body, changeChecksum(c.Seq, c.Digest, body))
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// partChecksum is the column sum of the table part.
+// partChecksum returns the checksum of a row of the table part, its column sum.
 func partChecksum(key string, body []byte) int64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
@@ -135,7 +135,7 @@
 	return int64(d.Sum64())
 }
 
-// changeChecksum is the column sum of the table change.
+// changeChecksum returns the checksum of a row of the table change, its column sum.
 func changeChecksum(seq, digest uint64, body []byte) int64 {
 	var head [16]byte
 	binary.LittleEndian.PutUint64(head[:8], seq)
--- a/internal/fleet/statestore/schema.go
+++ b/internal/fleet/statestore/schema.go
@@ -11,10 +11,10 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// schemaVersion is SQLite's user_version of the files that this program writes.
+// schemaVersion is SQLite's user_version in files written by this build.
 const schemaVersion = 1
 
-// Keys of the rows in the table part. They are stored, so they don't change.
+// Keys of the rows in the table part. They are stored and must not change.
 const (
 	identityKey     = "identity"
 	viewKey         = "view"
@@ -24,9 +24,9 @@
 	headKey         = "head" // sequence number and digest of the newest change
 )
 
-// connectionSettings are executed on the connection in this order.
+// connectionSettings are the statements executed, in this order, on a new connection.
 var connectionSettings = []string{
-	"PRAGMA locking_mode=EXCLUSIVE", // before WAL: no shared memory then
+	"PRAGMA locking_mode=EXCLUSIVE", // before WAL, so that no shared memory is used
 	"PRAGMA journal_mode=WAL",
 	"PRAGMA synchronous=FULL",
 	"PRAGMA wal_autocheckpoint=256",
@@ -35,7 +35,7 @@
 	"PRAGMA temp_store=MEMORY",
 }
 
-// schema makes the tables of an empty file.
+// schema are the statements that create the tables of an empty file.
 var schema = []string{
 	"CREATE TABLE part (name TEXT PRIMARY KEY, body BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID",
 	"CREATE TABLE change (seq INTEGER PRIMARY KEY, digest INTEGER NOT NULL, body BLOB NOT NULL, " +
@@ -43,7 +43,7 @@
 	fmt.Sprintf("PRAGMA user_version=%d", schemaVersion),
 }
 
-// open opens or creates the file at path and loads its content. Content that can't be used is an *UnusableError.
+// open opens or creates the file at path and loads its content. Unusable content is an *UnusableError.
 func open(path string) (_ *Store, st replication.PersistentState, rerr error) {
 	db, err := sql.Open("sqlite3", (&url.URL{Scheme: "file", Opaque: (&url.URL{Path: path}).EscapedPath()}).String())
 	if err != nil {
@@ -110,7 +110,7 @@
 	return false, &UnusableError{File: path, Err: errors.Errorf("schema %d with %d tables", version, tables)}
 }
 
-// execAll executes statements one after the other.
+// execAll executes statements in order.
 func (s *Store) execAll(ctx context.Context, statements []string) error {
 	for _, statement := range statements {
 		if _, err := s.conn.ExecContext(ctx, statement); err != nil {
--- a/internal/fleet/statestore/setaside_test.go
+++ b/internal/fleet/statestore/setaside_test.go
@@ -10,8 +10,8 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// TestOtherAddress: what a machine at another address left is no state of this one. It is set aside complete, and this
-// machine has a lost disk, at its next start too.
+// TestOtherAddress checks that the state of a machine at another address is set aside completely, and that this machine
+// has a lost disk, also at its next start.
 func TestOtherAddress(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -47,8 +47,8 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestMismatchedFiles: a store of which one file is missing or is of another time is a state that was saved once, or a
-// lost or empty disk; never a mixture.
+// TestMismatchedFiles checks that a store with a missing file, or a log from another time, loads as a state that was
+// saved once or as a lost or empty disk, never as a mixture.
 func TestMismatchedFiles(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -84,7 +84,7 @@
 	}
 }
 
-// openEither opens a store that has these files, complete or not.
+// openEither opens a store with the given files, which may be incomplete.
 func openEither(c *qt.C, f files) replication.PersistentState {
 	dir := c.TempDir()
 	for name, b := range f {
--- a/internal/fleet/statestore/statestore.go
+++ b/internal/fleet/statestore/statestore.go
@@ -1,29 +1,30 @@
-// Package statestore keeps what replication must not forget (replication.PersistentState) on a core machine's disk,
+// Package statestore stores the persistent state of replication (replication.PersistentState) on a core machine's disk,
 // in one SQLite file.
 //
-// It knows nothing of what the state means: replication decides what is written, the control plane's driver calls
-// Save with it. A Store belongs to one goroutine at a time: in the control plane, Open and Close to the one that
-// starts and ends the program, Save to the driver's.
+// It does not interpret the state: replication decides what is written, and the control plane's driver passes that to
+// Save. A Store belongs to one goroutine at a time: in the control plane, Open and Close are called by the goroutine
+// that starts and ends the program, Save by the driver's.
 //
 // # Integrity
 //
-// A Save is one transaction, synced when Save returns (WAL, synchronous=FULL). The file is locked for this process,
-// so that there is no shared memory file. Each row carries a checksum; the changes also chain from the snapshot to
-// the stored head, so that a missing row is noticed. A file that can't be read completely counts as a lost disk: it
-// is renamed to control.db.broken (one at most, an older one is replaced) and PersistentState.DiskLost is set, also
-// at later openings, until something was saved.
+// A Save is one transaction, synced when Save returns (WAL, synchronous=FULL). The file is locked for this process, so
+// that there is no shared memory file. Each row carries a checksum; the changes also form a digest chain from the
+// snapshot to the stored head, so that a missing row is detected. A file that can't be read completely is treated as a
+// lost disk: it is renamed to control.db.broken (at most one is kept, an older one is replaced) and
+// PersistentState.DiskLost is set, also by later calls of Open, until something is saved.
 //
 // # Loss of power
 //
-// What Save and Open have returned survives it. SQLite syncs the directory after it has made its files; directories
-// made here are synced in their parents. A process that was killed may leave writes that only the system's memory
-// has: Open syncs the files before it reads them, as what is read is acted upon without being written again.
+// State that Save or Open has returned survives a loss of power. SQLite syncs the directory after creating its files;
+// directories created here are synced in their parents. A killed process may leave writes that are only in the system's
+// page cache: Open syncs the files before it reads them, because the loaded state is acted upon without being written
+// again.
 //
 // # Size
 //
-// The file holds one snapshot and the changes since, which replication bounds; while a snapshot is replaced, the old
-// and the new one and the log (WAL) of the new one are there, about four times a snapshot in all. The log goes back
-// into the file every 256 pages of 4,096 bytes and is cut to 1 MiB.
+// The file holds one snapshot and the changes since, which replication bounds. While a snapshot is replaced, the disk
+// holds the old and the new one and the new one's write-ahead log, about four times a snapshot in all. The write-ahead
+// log is checkpointed every 256 pages of 4,096 bytes and truncated to 1 MiB.
 package statestore
 
 import (
@@ -36,25 +37,25 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// Names in the data directory; they are stored, so they don't change.
+// File names in the data directory. They must not change, as earlier builds left such files.
 const (
 	fileName   = "control.db"
 	brokenName = fileName + ".broken"
 )
 
-// Store is an open store. It is not safe for concurrent use.
+// Store is an open state store. It is not safe for concurrent use.
 type Store struct {
 	db            *sql.DB
-	conn          *sql.Conn      // the one connection: locks and settings are per connection
-	setAsideCause *UnusableError // nil: Open found a usable file, or none
+	conn          *sql.Conn      // the only connection, as locks and settings are per connection
+	setAsideCause *UnusableError // nil if Open found a usable file, or none
 }
 
-// Open opens or creates the store in dir and loads what it holds. A file that can't be read completely is set aside
-// and the state comes back empty with DiskLost set; SetAsideCause then says why. It blocks until the files of an
-// earlier process are synced. It fails when the directory can't be used at all, see Transient.
+// Open opens or creates the store in dir and loads its state. A file that can't be read completely is set aside, and
+// the returned state is empty with DiskLost set; SetAsideCause then returns the reason. Open blocks until the files of
+// an earlier process are synced. It fails if the directory can't be used; see Transient.
 func Open(dir string) (*Store, replication.PersistentState, error) {
 	if err := makeDirDurable(dir); err != nil {
-		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore: make folder")
+		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore: create directory")
 	}
 	if err := syncExistingFiles(dir); err != nil {
 		return nil, replication.PersistentState{}, errors.Wrap(err, "statestore")
@@ -73,7 +74,7 @@
 	}
 	store.setAsideCause = unusable
 	if st.Identity.ID == "" {
-		// Nothing was saved since: a file that was set aside earlier still means that this machine lost its disk.
+		// Nothing has been saved since a file was set aside, so the disk is still treated as lost.
 		st = replication.PersistentState{}
 		if _, err := os.Stat(filepath.Join(dir, brokenName)); err == nil {
 			st.DiskLost = true
@@ -82,9 +83,9 @@
 	return store, st, nil
 }
 
-// OpenFor opens the store of the machine at an address, as Open does. What another address left is set aside as an
-// unusable file is: its identity is a member at that address and answers nothing here, so that this machine begins as
-// one that lost its disk, and nothing of the old content is destroyed.
+// OpenFor opens the store of the machine at addr, as Open does. The state of another address is set aside like an
+// unusable file: its identity is that of a member at the other address and can't be used here. This machine then starts
+// as one that has lost its disk, and none of the old content is destroyed.
 func OpenFor(dir, addr string) (*Store, replication.PersistentState, error) {
 	store, st, err := Open(dir)
 	if err != nil || st.Identity.ID == "" || st.Identity.Addr == addr {
@@ -106,7 +107,7 @@
 	return store, st, err
 }
 
-// SetAsideCause returns what was wrong with the file that Open set aside (a *UnusableError), nil when nothing was.
+// SetAsideCause returns why Open or OpenFor set a file aside (an *UnusableError); nil if none was set aside.
 func (s *Store) SetAsideCause() error {
 	if s.setAsideCause == nil {
 		return nil
@@ -114,7 +115,7 @@
 	return s.setAsideCause
 }
 
-// Close closes the file. What Save has returned is on the disk whether Close is called or not.
+// Close closes the file. State that Save has returned is on the disk whether or not Close is called.
 func (s *Store) Close() error {
 	var err error
 	if s.conn != nil {
--- a/internal/fleet/statestore/statestore_test.go
+++ b/internal/fleet/statestore/statestore_test.go
@@ -12,7 +12,7 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// fill saves a first start, a snapshot at 2 and two changes, and returns what must be loaded.
+// fill saves an initial state, a snapshot at change 2 and two changes, and returns the state expected from Open.
 func fill(c *qt.C, store *Store) replication.PersistentState {
 	st := replication.PersistentState{
 		Identity: replication.Identity{ID: "a1", Addr: "10.0.0.1:7000", Joined: true},
@@ -41,7 +41,7 @@
 	return st
 }
 
-// mustOpen opens a store that has to open.
+// mustOpen opens a store and fails the test on an error.
 func mustOpen(c *qt.C, dir string) (*Store, replication.PersistentState) {
 	store, st, err := Open(dir)
 	c.Assert(err, qt.IsNil)
@@ -59,7 +59,7 @@
 	c.Assert(store.SetAsideCause(), qt.IsNil)
 	c.Assert(st, qt.DeepEquals, want)
 
-	// The same write again equals once; a reset drops all.
+	// Repeating a write has no further effect; a reset drops everything.
 	again := &replication.Write{Changes: want.Changes[1:], Replica: &replication.ReplicaState{RecordEpoch: 9}}
 	c.Assert(store.Save(again), qt.IsNil)
 	c.Assert(store.Save(again), qt.IsNil)
@@ -81,7 +81,8 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestSaveSurvivesKill: what was saved is there when the process dies without closing; no shared memory file is used.
+// TestSaveSurvivesKill checks that saved state survives a process that ends without Close, and that no shared memory
+// file is used.
 func TestSaveSurvivesKill(t *testing.T) {
 	c := qt.New(t)
 	dir, copied := c.TempDir(), c.TempDir()
@@ -101,15 +102,15 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestBrokenRow: a row that was changed, one that is missing and one that nobody knows are reported by name, and the
-// disk counts as lost until something is saved.
+// TestBrokenRow checks that a modified, missing or unknown row is reported by name, and that the disk is treated as
+// lost until something is saved.
 func TestBrokenRow(t *testing.T) {
 	for query, report := range map[string]string{
 		"UPDATE change SET body = zeroblob(100) WHERE seq = 4":  ".*control.db: row change 4: checksum differs",
 		"UPDATE part SET body = x'80' WHERE name = 'vote'":      ".*control.db: row part vote: checksum differs",
 		"UPDATE part SET sum = sum + 1 WHERE name = 'snapshot'": ".*control.db: row part snapshot: checksum differs",
-		"DELETE FROM change WHERE seq = 3":                      ".*control.db: row change 4: doesn't follow 2",
-		"DELETE FROM change WHERE seq = 4":                      ".*control.db: the record ends at 3 instead of 4",
+		"DELETE FROM change WHERE seq = 3":                      ".*control.db: row change 4: does not follow change 2",
+		"DELETE FROM change WHERE seq = 4":                      ".*control.db: the log ends at change 3 instead of 4",
 		"DELETE FROM part WHERE name = 'vote'":                  ".*control.db: row part vote: missing",
 		"INSERT INTO part VALUES ('other', x'', 0)":             ".*control.db: row part other: .*",
 		"PRAGMA user_version = 0":                               ".*control.db: schema 0 with 2 tables",
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestTornFile: a file that is cut or overwritten counts as lost; one broken file is kept at most.
+// TestTornFile checks that a truncated or overwritten file is treated as a lost disk, and that at most one broken file
+// is kept.
 func TestTornFile(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -166,7 +168,7 @@
 	}
 }
 
-// TestFullDisk: a full disk shows as an error, nothing of the write is there, and the same write succeeds later.
+// TestFullDisk checks that Save fails on a full disk without writing anything, and that the same write succeeds later.
 func TestFullDisk(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -194,7 +196,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestFileSizeBound: many snapshots of one size don't grow the files beyond some times that size.
+// TestFileSizeBound checks that replacing a snapshot many times keeps the files below four times its size plus 1 MiB.
 func TestFileSizeBound(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -218,7 +220,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestNewerSchema: a file of a newer program isn't taken for broken.
+// TestNewerSchema checks that a file with a newer schema is an error and is not treated as broken.
 func TestNewerSchema(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -230,7 +232,7 @@
 	c.Assert(err, qt.ErrorMatches, ".*newer.*")
 }
 
-// TestReplicaRestart: a replication.Machine goes on from what was saved of it.
+// TestReplicaRestart checks that a replication.Machine resumes from its saved state.
 func TestReplicaRestart(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
--- a/internal/fleet/statestore/stored_test.go
+++ b/internal/fleet/statestore/stored_test.go
@@ -11,7 +11,7 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// storedState is what the file testdata/stored/control.db holds: every field of every part, a snapshot and the changes
+// storedState returns the content of testdata/stored/control.db: every field of every part, a snapshot and the changes
 // after it.
 func storedState() replication.PersistentState {
 	members := []replication.Member{
@@ -43,8 +43,7 @@
 	return st
 }
 
-// TestStoredFolder reads the folder that an earlier build left, and writes to it. With -update the folder is written
-// anew.
+// TestStoredFolder reads the state file of an earlier build and writes to it. With -update the file is generated anew.
 func TestStoredFolder(t *testing.T) {
 	c := qt.New(t)
 	want := storedState()
@@ -72,7 +71,7 @@
 	c.Assert(store.SetAsideCause(), qt.IsNil)
 	c.Assert(st, qt.DeepEquals, want)
 
-	// A newer replica state and the next change are kept beside all that was there.
+	// A newer replica state and another change are added to the existing state.
 	last := st.Changes[len(st.Changes)-1]
 	added := []byte("new")
 	next := replication.Change{Seq: 44, Digest: replication.ChainDigest(last.Digest, 44, added), Body: added}
@@ -84,7 +83,7 @@
 	c.Check(store.SetAsideCause(), qt.IsNil)
 	c.Check(st, qt.DeepEquals, want)
 
-	// A snapshot takes the place of the changes.
+	// A snapshot replaces the changes.
 	snapshot := &replication.Snapshot{Seq: 44, Digest: next.Digest, Body: []byte("the record at 44")}
 	c.Assert(store.Save(&replication.Write{Snapshot: snapshot}), qt.IsNil)
 	c.Assert(store.Close(), qt.IsNil)
--- a/internal/fleet/status/status.go
+++ b/internal/fleet/status/status.go
@@ -1,9 +1,9 @@
-// Package status is the state of the fleet as a control server reports it to the operator: the JSON on the wire, and
-// what can be derived from it. It has neither I/O nor a clock. All ages are in milliseconds, counted by the server
-// that reports them, so that no clocks have to agree. The JSON keys must not change: they are on the wire and in the
-// output of molepaddle-fleet status --json.
+// Package status defines the fleet status that a control server reports to the operator: its JSON form, and values
+// derived from it. It has neither I/O nor a clock. All ages are in milliseconds and computed by the reporting server,
+// so clocks need not be synchronised. The JSON keys must not change: they are on the wire and in the output of
+// molepaddle-fleet status --json.
 //
-// Its values have no locks: whoever decodes a Fleet or makes one owns it.
+// Its values are not safe for concurrent use: a Fleet belongs to the goroutine that decoded or created it.
 package status
 
 import (
@@ -14,81 +14,82 @@
 	"github.com/go-faster/errors"
 )
 
-// Fleet is the state of the fleet as one control server knows it.
+// Fleet is the state of the fleet as known to one control server.
 type Fleet struct {
-	// From is the name of the core machine that reports.
+	// From is the name of the reporting core machine.
 	From string `json:"from"`
-	// Confirmed says that all backups confirmed the view for this report.
+	// Confirmed reports whether all backups confirmed the view for this report.
 	Confirmed bool `json:"confirmed"`
-	// CollectingLeases says that the primary has led for less than a lease, so that Agents may lack some that haven't
-	// renewed theirs with it yet.
+	// CollectingLeases reports whether the primary has led for less than a lease, so that Agents may lack some that
+	// haven't renewed their lease with it yet.
 	CollectingLeases bool            `json:"learning"`
 	View             View            `json:"view"`
 	SingletonRoles   []SingletonRole `json:"duties"`
 	Configuration    Configuration   `json:"configuration"`
 	BackendList      BackendList     `json:"list"`
-	// Agents are in the order of their names.
+	// Agents are sorted by name.
 	Agents []Agent `json:"agents"`
-	// Services are in the order of their names.
+	// Services are sorted by name.
 	Services []Service `json:"services"`
 }
 
-// View is the control plane's: which machines replicate its state, and which of them leads.
+// View is the view of the control plane: the machines that replicate its state, and which of them is the primary.
 type View struct {
 	// Epoch is the number of the view; each new view has a higher one.
 	Epoch uint64 `json:"epoch"`
-	// Primary is the control address of the primary; empty: not known.
+	// Primary is the control address of the primary; empty if unknown.
 	Primary string `json:"primary"`
-	// Ready says that changes and reads are answered.
+	// Ready reports whether changes and reads are answered.
 	Ready bool `json:"ready"`
-	// Members are in the order of their addresses.
+	// Members are sorted by address.
 	Members []Member `json:"members"`
 }
 
 // Member is a core machine.
 type Member struct {
-	// Address is its control address.
+	// Address is the member's control address.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
 	// Role is "primary", "backup" or "witness".
 	Role string `json:"role"`
-	// Self is set on the machine that reports.
+	// Self is set for the reporting machine.
 	Self bool `json:"self"`
-	// LastContactMs is the age of the last contact with it; -1: none since the reporting machine's start, or that
-	// machine itself.
+	// LastContactMs is the age of the last contact with the member; -1: none since the start of the reporting machine,
+	// or the member is that machine itself.
 	LastContactMs int64 `json:"heard_ms"`
 }
 
 // Names of the singleton roles. They are on the wire.
 const (
-	// SingletonPoll is polling the platform for its backend list.
+	// SingletonPoll polls the platform for its backend list.
 	SingletonPoll = "poll"
-	// SingletonPhases is telling the backends which phase to serve.
+	// SingletonPhases orders the backends which phase to serve.
 	SingletonPhases = "phases"
 )
 
-// SingletonRole is work that at most one core machine at a time does for the fleet.
+// SingletonRole is a role that at most one core machine holds at a time for the whole fleet.
 type SingletonRole struct {
 	// Name is SingletonPoll or SingletonPhases.
 	Name string `json:"name"`
-	// Holder is the control address of the holder; empty: nobody.
+	// Holder is the control address of the holder; empty if there is none.
 	Holder string `json:"holder"`
-	// FencingToken is the epoch in whose name the holder acts: a later one supersedes it.
+	// FencingToken is the epoch of the holder; a later epoch supersedes it.
 	FencingToken uint64 `json:"fence"`
-	// StandbyMs is for how long the holder won't act yet, so that holders don't alternate within a lease; 0: it acts.
+	// StandbyMs is the remaining time in which the holder does not act yet, so that holders don't alternate within a
+	// lease; 0 if it acts.
 	StandbyMs int64 `json:"wait_ms"`
-	// Fenced says that the holder gave the role up, as a higher fencing token was seen; left out otherwise.
+	// Fenced reports whether the holder gave the role up because a higher fencing token was seen; left out otherwise.
 	Fenced bool `json:"fenced,omitempty"`
 }
 
-// Configuration is the newest committed one.
+// Configuration describes the newest committed configuration.
 type Configuration struct {
-	// Version is the operator's; 0: none yet.
+	// Version is the operator's version number; 0 if there is none yet.
 	Version int64 `json:"ver"`
-	// Seq is the number of the replicated change that brought it, as this machine committed it.
+	// Seq is the sequence number of the replicated change that led to it, as committed on this machine.
 	Seq uint64 `json:"seq"`
-	// AgeMs is for how long this machine has had it.
+	// AgeMs is the time since this machine found it committed.
 	AgeMs int64 `json:"age_ms"`
 }
 
@@ -98,10 +99,10 @@
 	Count uint64 `json:"count"`
 }
 
-// BackendList is the platform's list as last distributed.
+// BackendList describes the platform's list as last distributed.
 type BackendList struct {
 	ListVersion
-	// AgeMs is that of the last poll that was answered; -1: none was.
+	// AgeMs is the age of the platform's last answer; -1 if there is none.
 	AgeMs int64 `json:"age_ms"`
 }
 
@@ -111,42 +112,43 @@
 	Zone string `json:"zone"`
 	// LeaseAgeMs is the age of the last renewal.
 	LeaseAgeMs int64 `json:"lease_ms"`
-	// ConfigVersion is that of the configuration in force there; 0: none.
+	// ConfigVersion is the version of the configuration in force on the proxy; 0 if there is none.
 	ConfigVersion int64 `json:"ver"`
-	// ConfigAgeMs is for how long that has been in force.
+	// ConfigAgeMs is how long that configuration has been in force.
 	ConfigAgeMs int64 `json:"since_ms"`
-	// BackendListVersion is that of the list in force there; zero: none, or one that its node agent polled itself.
+	// BackendListVersion is the version of the backend list in force on the proxy; zero if there is none or its node
+	// agent polled the list itself.
 	BackendListVersion ListVersion `json:"list"`
-	// Draining says that the proxy is shutting down; left out otherwise.
+	// Draining reports whether the proxy is shutting down; left out otherwise.
 	Draining bool `json:"draining,omitempty"`
 }
 
-// Service counts a service's backends in the list as last distributed.
+// Service contains the backend counts of a service in the list as last distributed.
 type Service struct {
 	Name     string `json:"name"`
 	Backends int    `json:"backends"`
 	Draining int    `json:"draining"`
-	// Phases counts the backends in each phase; those without a phase are left out.
+	// Phases contains the number of backends in each phase; backends without a phase are not counted.
 	Phases map[string]int `json:"phases"`
 }
 
-// Decode returns the report in the body of a control server's answer. Fields that it doesn't know are ignored.
+// Decode decodes a report from the body of a control server's response. Unknown fields are ignored.
 func Decode(body []byte) (*Fleet, error) {
 	var f Fleet
 	if err := json.Unmarshal(body, &f); err != nil {
-		return nil, errors.Wrap(err, "status")
+		return nil, errors.Wrap(err, "status: decode report")
 	}
 	return &f, nil
 }
 
-// Sort puts agents and services in the order of their names, and members in that of their addresses.
+// Sort sorts agents and services by name and members by address.
 func (f *Fleet) Sort() {
 	slices.SortFunc(f.Agents, func(a, b Agent) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.Services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.View.Members, func(a, b Member) int { return cmp.Compare(a.Address, b.Address) })
 }
 
-// Behind returns the agents whose configuration is older than a version.
+// Behind returns the agents whose configuration is older than version.
 func (f *Fleet) Behind(version int64) []Agent {
 	var behind []Agent
 	for _, a := range f.Agents {
@@ -157,9 +159,9 @@
 	return behind
 }
 
-// AppliedEverywhere returns whether every agent with a lease has a version of the configuration or a newer one in
-// force. It is false while nobody holds a lease, the primary may lack some agents, or the report isn't confirmed: the
-// operator takes true as leave to rely on the version.
+// AppliedEverywhere reports whether every agent with a lease has the given version of the configuration or a newer one
+// in force. It is false if there are no leases, if Agents may be incomplete, or if the report isn't confirmed: the
+// operator relies on the version once it is true.
 func (f *Fleet) AppliedEverywhere(version int64) bool {
 	return f.Confirmed && !f.CollectingLeases && len(f.Agents) > 0 && len(f.Behind(version)) == 0
 }
--- a/internal/fleet/status/wire_test.go
+++ b/internal/fleet/status/wire_test.go
@@ -12,19 +12,19 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestWireBytes holds the status as control servers send it and as the operator's program prints it.
+// TestWireBytes checks the JSON of the status as control servers send it and the operator's program prints it.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.JSON(t, "fleet", new(Fleet))
 }
 
-// TestWireNames holds the names of the duties.
+// TestWireNames checks the names of the singleton roles.
 func TestWireNames(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]string{SingletonPoll, SingletonPhases}, qt.DeepEquals, []string{"poll", "phases"})
 }
 
-// TestWireBytesWithoutDraining holds the status of releases before it told who drains and which role is fenced. It is
-// read, and written alike as long as nobody and none is.
+// TestWireBytesWithoutDraining checks that the status of releases without the fields Draining and Fenced is decoded,
+// and encoded in the same form while no agent drains and no role is fenced.
 func TestWireBytesWithoutDraining(t *testing.T) {
 	c := qt.New(t)
 	old, err := os.ReadFile(filepath.Join("testdata", "wire", "fleet.without-draining.json"))
