--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -18,7 +18,7 @@
 	"molepaddle/internal/plantedfault"
 )
 
-// manyRoutes is a configuration with so many routes.
+// manyRoutes returns a configuration with the given number of routes.
 func manyRoutes(version int64, routes int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"ver":%d,"routing":[`, version)
@@ -34,7 +34,7 @@
 	return []byte(b.String())
 }
 
-// oneRoute is a change of one route.
+// oneRoute returns an update of a single route.
 func oneRoute(version int64) []byte {
 	return fmt.Appendf(nil, `{"ver":%d,"upsert":{"routing":[{"name":"r-%07d","hostname":"x.example","pfx":"/q%d/",`+
 		`"kind":"stream","deadline_ms":20000,"target_ms":120,"svc":"huvo11a","tries":1}]}}`,
@@ -46,7 +46,7 @@
 	return b
 }
 
-// singleMemberOptions are those of a core of one machine.
+// singleMemberOptions returns the options of a core with one member.
 func singleMemberOptions() replication.Options {
 	n := uint64(0)
 	return replication.Options{
@@ -65,7 +65,7 @@
 	}
 }
 
-// heapInUse is what is on the heap after all garbage is gone.
+// heapInUse returns the bytes on the heap after a garbage collection.
 func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -74,8 +74,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestRestartAfterManyChanges: a machine with 10,000 routes and a log of 2,000 changes starts again with bounded
-// memory, and has all of them.
+// TestRestartAfterManyChanges checks that a machine with 10,000 routes and a log of 2,000 changes restarts with bounded
+// memory and restores all of them.
 func TestRestartAfterManyChanges(t *testing.T) {
 	c := qt.New(t)
 	const routes, changes, bound = 10_000, 2_000, 64 << 20
@@ -123,8 +123,8 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestPublishedChangesAreContiguous: whatever many changes become known to be committed at once, those that pull come to the
-// newest configuration; none is sent a change that doesn't follow on what it has.
+// TestPublishedChangesAreContiguous checks that, however many changes become committed at once, pulling clients get to
+// the newest configuration and are never sent a change that doesn't follow the version they have.
 func TestPublishedChangesAreContiguous(t *testing.T) {
 	for _, batch := range []int{1, 2, maxRecent, maxRecent + 1, 5 * maxRecent} {
 		c := qt.New(t)
@@ -153,7 +153,7 @@
 	}
 }
 
-// configurationOf is what a proxy makes of an update, with what it has.
+// configurationOf returns the configuration that a proxy derives from an update and its cached resources.
 func configurationOf(c *qt.C, news distribution.Resource, had *distribution.Cache) string {
 	if news.Snapshot == nil {
 		all := had.Fetch(c.Context(), "had", &distribution.Request{}).Resources[0]
@@ -169,12 +169,12 @@
 	return string(doc.Show())
 }
 
-// TestPlantedCatchUpFaults lays errors into what a machine does after many changes.
+// TestPlantedCatchUpFaults plants faults in the handling of many changes.
 func TestPlantedCatchUpFaults(t *testing.T) {
 	plantedfault.Find(t, []plantedfault.Fault{
 		{Name: "the state after each change is kept", Tests: "^TestRestartAfterManyChanges$", Texts: []string{
 			"const maxRecent = 64", "const maxRecent = 4096"}},
-		{Name: "a change is published as following on another one", Tests: "^TestPublishedChangesAreContiguous$", Texts: []string{
+		{Name: "a change is published as following another one", Tests: "^TestPublishedChangesAreContiguous$", Texts: []string{
 			" || next.prevDocSeq != was.docSeq", ""}},
 	})
 }
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -21,7 +21,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// cluster is a core of real control servers over loopback, with a network between them that can be cut.
+// cluster is a core of real control servers on loopback addresses, with a network between them that can be partitioned.
 type cluster struct {
 	*qt.C
 	network *simulation.Network
@@ -31,7 +31,7 @@
 	changed func(*settings.Settings)
 }
 
-// running is one control server.
+// running is a running control server.
 type running struct {
 	*Server
 	set  settings.Settings
@@ -39,7 +39,7 @@
 	done chan struct{}
 }
 
-// newCluster starts a core at 127.0.net.1 and on, and waits until it has a primary.
+// newCluster starts a core with the addresses 127.0.net.1 and following, and waits until it has a primary.
 func newCluster(t *testing.T, net, members, survive int, change func(*settings.Settings)) *cluster {
 	c := &cluster{C: qt.New(t), network: simulation.NewNetwork(t), servers: map[string]*running{}, changed: change}
 	for i := range members {
@@ -74,12 +74,12 @@
 	return c
 }
 
-// control is where a machine takes the operator's calls.
+// control returns the address of a machine's operator calls.
 func (c *cluster) control(ip string) string {
 	return net.JoinHostPort(ip, fmt.Sprint(c.ports[0]+4))
 }
 
-// start starts a control server, which is stopped with the test.
+// start starts a control server, which is stopped when the test ends.
 func (c *cluster) start(set settings.Settings) {
 	server, err := New(set, zap.NewNop(), rand.Uint64)
 	c.Assert(err, qt.IsNil)
@@ -96,21 +96,21 @@
 	select {
 	case <-begun:
 	case <-time.After(testTimeout):
-		c.Fatalf("%s does not start", set.IP)
+		c.Fatalf("control server %s did not start", set.IP)
 	}
 }
 
-// stop ends a control server; it may be called again.
+// stop stops a control server; it may be called more than once.
 func (r *running) stop() {
 	r.end()
 	<-r.done
 }
 
-// conditionInterval is how often a condition is looked at that time alone may bring about.
+// conditionInterval is the interval at which conditions are checked that depend on time alone.
 const conditionInterval = 50 * time.Millisecond
 
-// eventually waits until a condition holds, which is looked at after each change of one of the servers' status, after
-// each renewal of their contact, and every conditionInterval.
+// eventually waits until a condition holds. It is checked after each change of one of the servers' status, after each
+// renewal of their contact, and every conditionInterval.
 func (c *cluster) eventually(what string, holds func() bool, ips ...string) {
 	c.Helper()
 	over := time.After(testTimeout)
@@ -141,12 +141,12 @@
 			close(stop)
 		case <-over:
 			close(stop)
-			c.Fatalf("never: %s", what)
+			c.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
-// primary waits until one of some machines leads and has confirmed it, and gives its address.
+// primary waits until one of the given machines is a confirmed primary, and returns its address.
 func (c *cluster) primary(among ...string) string {
 	c.Helper()
 	found := ""
@@ -162,12 +162,12 @@
 	return found
 }
 
-// others are all machines but some.
+// others returns all machines except the given ones.
 func (c *cluster) others(than ...string) []string {
 	return slices.DeleteFunc(slices.Clone(c.ips), func(ip string) bool { return slices.Contains(than, ip) })
 }
 
-// reply is the answer to a call.
+// reply is the response to a call.
 type reply struct {
 	status   int
 	location string
@@ -176,7 +176,7 @@
 	took     time.Duration
 }
 
-// call makes a call to one machine and follows nothing.
+// call sends a call to one machine and doesn't follow redirects.
 func (c *cluster) call(ip, method, path string, base string, body []byte) reply {
 	c.Helper()
 	w := httptest.NewRecorder()
@@ -195,7 +195,7 @@
 	}
 }
 
-// operator calls some machines as the operator does.
+// operator returns an operator client for the given machines.
 func (c *cluster) operator(ips ...string) *simulation.Operator {
 	operator := &simulation.Operator{}
 	for _, ip := range ips {
@@ -204,7 +204,7 @@
 	return operator
 }
 
-// replaceConfig has a configuration acknowledged by some machines.
+// replaceConfig replaces the configuration through the given machines and checks that the change is acknowledged.
 func (c *cluster) replaceConfig(base, version uint64, ips ...string) simulation.Reply {
 	c.Helper()
 	ctx, cancel := context.WithTimeout(c.Context(), testTimeout)
@@ -215,13 +215,13 @@
 	return rep
 }
 
-// configDocument is a complete configuration.
+// configDocument returns a complete configuration.
 func configDocument(version uint64) []byte {
 	return fmt.Appendf(nil, `{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly",`+
 		`"deadline_ms":1000,"svc":"s"}],"svcs":[{"name":"s","probe":"/healthz"}],"caps":{}}`, version)
 }
 
-// pauseDriver has a server's driver sleep, as in a freeze of its process, until the function given back is called.
+// pauseDriver blocks a server's driver, as if its process were suspended, until resume is called.
 func (r *running) pauseDriver() (resume func()) {
 	asleep, awake := make(chan struct{}), make(chan struct{})
 	r.inputs <- func(now time.Duration) replication.Output {
--- a/internal/fleet/controlplane/contact_test.go
+++ b/internal/fleet/controlplane/contact_test.go
@@ -14,10 +14,10 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// stallAtTakeover has a server's driver go on input by input, until it learns that this machine is a confirmed primary
-// and that a change which isn't published yet is committed. That output then gets a write that the disk never takes.
-// onAppend is called, before anything is sent, after each input that made the record longer. The channel given back is
-// closed as the output is handed to the driver.
+// stallAtTakeover takes over a server's driver loop until this machine is a confirmed primary and a change that isn't
+// published yet is committed. It then adds a write that never succeeds to the driver's output. onAppend is called,
+// before anything is sent, after each input that extended the log. The returned channel is closed when that output is
+// passed to the driver.
 func (r *running) stallAtTakeover(ctx context.Context, onAppend func()) (stalled <-chan struct{}) {
 	c := make(chan struct{})
 	r.inputs <- func(now time.Duration) replication.Output {
@@ -48,8 +48,8 @@
 	return c
 }
 
-// pulledConfig pulls all from a control server as a node agent would that has nothing. It returns the version of the
-// configuration, and as of when that is said to be the newest; zero: never.
+// pulledConfig pulls all resources from a control server, as a node agent with an empty cache does. It returns the
+// version of the configuration and the time at which the response claims it to be the newest; zero: never.
 func (c *cluster) pulledConfig(ip string) (version int64, contact time.Time) {
 	c.Helper()
 	conn, err := net.Dial("tcp", distribution.PullAddr(ip, c.ports))
@@ -79,10 +79,10 @@
 	return version, contact
 }
 
-// TestContactFollowsPublication: a backup knows a change that was acknowledged but not yet that it was, becomes the
-// primary, and its disk stalls between the confirmation of its view and the publication of that change. What it answers
-// to pulls meanwhile must not say that the older configuration was the newest later than the acknowledgement: a proxy
-// would go on taking the keys that the change took away.
+// TestContactFollowsPublication guards against a new primary that claims fresh contact before it has published all
+// acknowledged changes: a backup has a change but doesn't know that it is committed, becomes the primary, and its disk
+// stalls between the view's confirmation and the publication. Its responses must not claim that the older configuration
+// was the newest after the acknowledgement: proxies would continue to accept keys that the change removed.
 func TestContactFollowsPublication(t *testing.T) {
 	c := newCluster(t, 46, 3, 1, nil)
 	c.replaceConfig(0, 5, c.ips...)
@@ -101,19 +101,19 @@
 		committed := c.servers[next].committed.Load()
 		return committed != nil && versionOf(committed.doc) == 5
 	}, next)
-	// Nothing of the primary arrives at the backup after the change: neither that it is committed nor what it publishes.
+	// After the change the backup receives nothing more from the primary: neither the commit nor publications.
 	stalled := c.servers[next].stallAtTakeover(c.Context(), func() { c.network.Cut(old, next) })
 	c.replaceConfig(5, 7, old)
 	acknowledged := time.Now()
 	select {
 	case <-stalled:
 	case <-time.After(testTimeout):
-		c.Fatal("the backup takes nothing over")
+		c.Fatal("the backup did not take over in time")
 	}
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		version, contact := c.pulledConfig(next)
-		c.Assert(version, qt.Equals, int64(5), qt.Commentf("the disk doesn't stall"))
+		c.Assert(version, qt.Equals, int64(5), qt.Commentf("the disk did not stall"))
 		c.Assert(contact.Before(acknowledged), qt.IsTrue, qt.Commentf(
-			"version 5 is said to be the newest %v after version 7 was acknowledged", contact.Sub(acknowledged)))
+			"version 5 is claimed to be the newest %v after version 7 was acknowledged", contact.Sub(acknowledged)))
 	}
 }
--- a/internal/fleet/controlplane/controlstate_test.go
+++ b/internal/fleet/controlplane/controlstate_test.go
@@ -9,7 +9,7 @@
 	"molepaddle/internal/fleet/residencyreport"
 )
 
-// configCommand is a call that has a version in force.
+// configCommand returns an encoded command that replaces the configuration.
 func configCommand(base, version int64) []byte {
 	body := fmt.Appendf(nil, `{"ver":%d,"routing":[{"name":"r","hostname":"h","pfx":"/","kind":"readonly",`+
 		`"deadline_ms":1000,"svc":"s","tenant":"labs"}],`+
@@ -18,7 +18,7 @@
 	return b
 }
 
-// residencyCommand is one that a process's batch amounts to.
+// residencyCommand returns the encoded command for a batch of a process.
 func residencyCommand(p residencyreport.Process, n uint64, plain int64) []byte {
 	entry := residencyreport.Entry{
 		Pair:   residencyreport.Pair{Tenant: "labs", Region: "east"},
@@ -34,8 +34,8 @@
 	return b
 }
 
-// TestStateWithResidency: residency writes leave the configuration and its version as they are, and outlive a snapshot
-// with it.
+// TestStateWithResidency checks that residency writes don't affect the configuration and its version, and that both are
+// restored from a snapshot.
 func TestStateWithResidency(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
@@ -73,8 +73,8 @@
 	c.Assert(back.Restore(9, []byte{0x81, 0xa1, 'g', 0xc4, 1, 0}), qt.IsNotNil, qt.Commentf("a damaged report"))
 }
 
-// TestStateWithoutResidency: without residency writes the state and its changes have the bytes that they had before
-// there were any.
+// TestStateWithoutResidency checks that without residency writes the state and its changes are encoded as by builds
+// that had no residency record.
 func TestStateWithoutResidency(t *testing.T) {
 	c := qt.New(t)
 	b, err := (&Command{Replace: true, Base: 3, Body: []byte("x")}).MarshalMsg(nil)
@@ -90,7 +90,7 @@
 	c.Assert(b, qt.DeepEquals, []byte("\x83\xa1d\xc4\x01d\xa1v\x91\x03\xa1x\x91\x04"))
 	c.Assert(s.Residency, qt.IsNil)
 	c.Assert(s.DocumentSeq, qt.Equals, uint64(0))
-	// A snapshot of a build that knows of no readings is read as before.
+	// A snapshot of a build without the residency record is still read.
 	c.Assert(r.Restore(6, b[:0]), qt.IsNil)
 	old, err := (&StoredState{}).MarshalMsg(nil)
 	c.Assert(err, qt.IsNil)
--- a/internal/fleet/controlplane/handler_test.go
+++ b/internal/fleet/controlplane/handler_test.go
@@ -18,7 +18,7 @@
 	"molepaddle/internal/fleet/externalapi"
 )
 
-// sendChange has a server answer a change whose body is read from a reader.
+// sendChange sends a change with the given body to a server and returns the response.
 func sendChange(ctx context.Context, server *Server, c *Command, body io.Reader) *httptest.ResponseRecorder {
 	target := externalapi.CallUpdate
 	if c.Replace {
@@ -31,7 +31,7 @@
 	return w
 }
 
-// TestChangeIsAnswered: what a server that leads tells the operator of each kind of change.
+// TestChangeIsAnswered checks the response of a primary to each kind of change.
 func TestChangeIsAnswered(t *testing.T) {
 	c := qt.New(t)
 	server := newSoloServer(c)
@@ -42,13 +42,13 @@
 		want int
 		told string
 	}{
-		{"ahead of the first", second, http.StatusServiceUnavailable, "version 0 is in place; version 5 is not known yet"},
+		{"on a base ahead of the first", second, http.StatusServiceUnavailable, "version 0 is in place; version 5 is not known yet"},
 		{"the first", first, http.StatusOK, ""},
 		{"the next", second, http.StatusOK, ""},
 		{"the first again", first, http.StatusOK, ""},
-		{"a rival of the first", replaceCommand(0, "5", "b"), http.StatusPreconditionFailed, "version 7 is in place"},
+		{"another change on the first base", replaceCommand(0, "5", "b"), http.StatusPreconditionFailed, "version 7 is in place"},
 		{"an invalid one", updateCommand(7, 7), http.StatusBadRequest, "the configuration is invalid"},
-		{"ahead", updateCommand(8, 9), http.StatusServiceUnavailable, "version 7 is in place; version 8 is not known yet"},
+		{"on a base ahead of the current version", updateCommand(8, 9), http.StatusServiceUnavailable, "version 7 is in place; version 8 is not known yet"},
 	} {
 		w := sendChange(c.Context(), server, tc.call, bytes.NewReader(tc.call.Body))
 		c.Check(w.Code, qt.Equals, tc.want, qt.Commentf("%s: %s", tc.name, w.Body))
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestIncompleteBody: a body that ends before it is complete is no change that could have been accepted: it is
-// malformed, whatever the state.
+// TestIncompleteBody checks that a truncated body is rejected as malformed whatever the state, as such a change can't
+// have been accepted.
 func TestIncompleteBody(t *testing.T) {
 	c := qt.New(t)
 	server := newSoloServer(c)
@@ -71,8 +71,8 @@
 	c.Check(w.Body.String(), qt.Contains, "the body is not whole")
 }
 
-// TestConcurrentDuplicateChanges: a change that comes many times at once, and whose first caller leaves, is accepted once, and
-// nobody is refused.
+// TestConcurrentDuplicateChanges checks that a change that is submitted many times at once, and whose first caller
+// leaves, is accepted once and acknowledged to every caller.
 func TestConcurrentDuplicateChanges(t *testing.T) {
 	c := qt.New(t)
 	server := newSoloServer(c)
--- a/internal/fleet/controlplane/histories_test.go
+++ b/internal/fleet/controlplane/histories_test.go
@@ -15,32 +15,32 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-var historySeeds = flag.Uint64("controlplane.seeds", 60, "operators' histories to be played of each core")
+var historySeeds = flag.Uint64("controlplane.seeds", 60, "number of random histories for each core size")
 
-// Operators send changes to a simulated core, amid faults, and send each again until it has a clear answer; copies
-// come late, also after that answer, and calls of long ago come again. Their answers are judged together: one machine
-// that did one thing after the other could have given them.
+// Operators send changes to a simulated core with faults, and retry each until the answer is clear (not 503). Duplicates
+// arrive late, also after that answer, and old calls are resubmitted. The history of calls and answers must be
+// linearizable: a single machine that processes the calls one by one could have given the same answers.
 
-// faultsEnd is when the faults of a history end.
+// faultsEnd is the time at which the faults of a history end.
 const faultsEnd = 25 * time.Second
 
-// key names a call by its content: equal calls of two operators are the same change.
+// key identifies a call by its content: equal calls of two operators are the same change.
 func (c *Command) key() string { return fmt.Sprintf("%v %d %s", c.Replace, c.Base, c.Body) }
 
-// request is an operator's call in a history: a change, or a look at the newest configuration.
+// request is an operator's call in a history: a change, or a read of the newest configuration.
 type request struct {
-	call    *Command // nil: a look
-	version int64    // that the call would bring
+	call    *Command // nil: a read
+	version int64    // version that the call would set
 }
 
-// historyReply is how it was answered; status 0: no clear answer.
+// historyReply is the answer to a request; status 0: no clear answer.
 type historyReply struct {
 	status  int
-	version int64 // shown
+	version int64 // version read
 }
 
-// changeChain is what a single machine has accepted: the newest change on top of those before. Equal lines are the
-// same value.
+// changeChain is the sequence of changes accepted by a single machine: the newest change, linked to those before. Equal
+// sequences are the same pointer.
 type changeChain struct {
 	version int64
 	key     string
@@ -48,7 +48,7 @@
 	next    map[string]*changeChain
 }
 
-// withChange is the line withChange a change more.
+// withChange returns the chain with one more change.
 func (l *changeChain) withChange(r request) *changeChain {
 	key := r.call.key()
 	if l.next[key] == nil {
@@ -60,7 +60,7 @@
 	return l.next[key]
 }
 
-// contains reports whether a call is in the line.
+// contains reports whether the chain contains a call.
 func (l *changeChain) contains(call *Command) bool {
 	key := call.key()
 	for ; l != nil; l = l.before {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// singleMachine is one machine that answers as the operator's protocol says.
+// singleMachine returns the sequential model: one machine that answers according to the operator's protocol.
 func singleMachine() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return &changeChain{} },
@@ -96,19 +96,19 @@
 	}
 }
 
-// history is a core with its operators and all that they asked and were answered.
+// history is a simulated core with its operators, and their requests and answers.
 type history struct {
 	*simulatedCore
 	ops            []porcupine.Operation
-	asked          []request   // changes that had a clear answer, or will
-	answerLossRate float64     // share of answers that are lost
-	statuses       map[int]int // clear answers, by status
-	resubmitted    int         // acknowledged calls of long ago
-	stopping       bool        // no new requests
+	asked          []request   // changes sent so far
+	answerLossRate float64     // probability that an answer is lost
+	statuses       map[int]int // number of clear answers by status
+	resubmitted    int         // number of acknowledged old calls
+	stopping       bool        // no new requests are made
 	operators      int
 }
 
-// target is the member that an operator turns to: mostly one that leads.
+// target returns the member that an operator calls: usually a primary.
 func (h *history) target() *member {
 	var leaders []*member
 	for _, m := range h.members {
@@ -131,7 +131,7 @@
 	}, func(a replication.Answer) { deliver(historyReply{status: outcome(judged, a).status}) })
 }
 
-// show has a member answer with the newest configuration as the server does.
+// show has a member answer a read of the newest configuration as the server does.
 func (h *history) show(m *member, deliver func(historyReply)) {
 	read := func(now time.Duration, token uint64) replication.Output { return m.replica.Read(now, token) }
 	h.ask(m, read, func(a replication.Answer) {
@@ -185,7 +185,7 @@
 			return
 		}
 		h.after(h.randomUpTo(5*time.Millisecond), deliver)
-		if h.rng.IntN(8) == 0 { // a copy that comes late, perhaps after the answer
+		if h.rng.IntN(8) == 0 { // a duplicate that arrives late, possibly after the answer
 			h.after(h.randomUpTo(6*time.Second), deliver)
 		}
 		h.after(100*time.Millisecond+h.randomUpTo(time.Second), try)
@@ -193,8 +193,8 @@
 	try()
 }
 
-// change draws a call on the version that an operator knows. Numbers and contents are few, so that calls of
-// different operators collide.
+// change returns a random call based on the version known to an operator. There are few different versions and
+// contents, so that calls of different operators collide.
 func (h *history) change(known int64) request {
 	version := known + 1 + int64(h.rng.IntN(2))
 	if h.rng.IntN(12) == 0 {
@@ -206,8 +206,8 @@
 	return request{replaceCommand(known, fmt.Sprint(version), string(rune('a'+h.rng.IntN(4)))), version}
 }
 
-// operator asks one thing after the other: new changes, at times two on top of each other at once, old ones again,
-// and looks.
+// operator sends one request after another: new changes, sometimes two on top of each other at once, old ones again,
+// and reads.
 func (h *history) operator(client int) {
 	var known int64
 	var next func()
@@ -222,7 +222,7 @@
 				known = answer.version
 				again()
 			})
-		case draw <= 2 && len(h.asked) > 0: // a call of long ago
+		case draw <= 2 && len(h.asked) > 0: // an old call
 			h.operate(client, h.asked[h.rng.IntN(len(h.asked))], func(answer historyReply) {
 				if answer.status == http.StatusOK {
 					h.resubmitted++
@@ -232,7 +232,7 @@
 		default:
 			r := h.change(known)
 			h.asked = append(h.asked, r)
-			if draw == 3 && r.version > known { // one more on top, at once
+			if draw == 3 && r.version > known { // another one on top of it, at once
 				h.operators++
 				ahead := h.change(r.version)
 				h.asked = append(h.asked, ahead)
@@ -254,7 +254,7 @@
 	next()
 }
 
-// run runs a history and judges it.
+// run runs a history and checks it.
 func (h *history) run(seed uint64) error {
 	h.messageLossRate = 0.03 * float64(seed%3)
 	h.answerLossRate = 0.15 * float64(seed%4)
@@ -286,20 +286,20 @@
 	for _, op := range h.ops {
 		r, answer := op.Input.(request), op.Output.(historyReply)
 		if answer.status == 0 && (r.call == nil || r.call.Base <= last) {
-			return fmt.Errorf("%v has no clear answer long after calm", r)
+			return fmt.Errorf("request %v has no clear answer long after the faults ended", r)
 		}
 	}
 	return h.check()
 }
 
-// check judges the answers: together by porcupine, and each refusal by the state at the end.
+// check checks the answers: all together with porcupine, and each rejection against the final state.
 func (h *history) check() error {
 	i := slices.IndexFunc(h.members, func(m *member) bool {
 		st := m.replica.Status()
 		return st.Role == replication.Primary && st.Ready
 	})
 	if i < 0 {
-		return fmt.Errorf("nobody leads long after calm")
+		return fmt.Errorf("no ready primary long after the faults ended")
 	}
 	for _, op := range h.ops {
 		r, answer := op.Input.(request), op.Output.(historyReply)
@@ -308,20 +308,20 @@
 		}
 		accepted := h.members[i].state.accepted.lookup(r.call) == sameChange
 		if accepted != (answer.status == http.StatusOK) {
-			return fmt.Errorf("%v was told %d, accepted in the end: %v", r.call.key(), answer.status, accepted)
+			return fmt.Errorf("call %v was answered with %d, but accepted in the final state: %v", r.call.key(), answer.status, accepted)
 		}
 	}
 	switch porcupine.CheckOperationsTimeout(singleMachine(), h.ops, 20*time.Second) {
 	case porcupine.Illegal:
-		return fmt.Errorf("no order of %d requests explains their answers", len(h.ops))
+		return fmt.Errorf("the history of %d requests is not linearizable", len(h.ops))
 	case porcupine.Unknown:
-		return fmt.Errorf("%d requests weren't judged in time", len(h.ops))
+		return fmt.Errorf("checking the history of %d requests timed out", len(h.ops))
 	}
 	return nil
 }
 
-// TestHistories: what operators are answered is linearizable and lasting, over kills, lost disks, freezes, cuts and
-// losses of power, with lost answers, late copies and calls of long ago.
+// TestHistories checks that the answers to operators are linearizable and durable, with kills, lost disks, suspended
+// processes, partitions and losses of power, and with lost answers, late duplicates and resubmitted old calls.
 func TestHistories(t *testing.T) {
 	for _, size := range []struct{ members, survive int }{{1, 0}, {3, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d-%d", size.members, size.survive), func(t *testing.T) {
@@ -340,7 +340,7 @@
 					longest = max(longest, len(m.state.accepted.versions))
 				}
 			}
-			t.Logf("clear answers by status: %v; %d calls of long ago acknowledged again; up to %d changes accepted",
+			t.Logf("clear answers by status: %v; %d old calls acknowledged again; up to %d changes accepted",
 				statuses, again, longest)
 			for _, status := range []int{http.StatusOK, http.StatusPreconditionFailed, http.StatusBadRequest} {
 				qt.Check(t, statuses[status] > 0, qt.IsTrue, qt.Commentf("status %d", status))
--- a/internal/fleet/controlplane/idempotency_bench_test.go
+++ b/internal/fleet/controlplane/idempotency_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// stateWithChanges is a state that accepted so many changes.
+// stateWithChanges returns a state that accepted the given number of changes.
 func stateWithChanges(tb testing.TB, changes int) *controlState {
 	r := &controlState{}
 	apply(tb, r, replaceCommand(0, "1", "a"))
@@ -15,7 +15,7 @@
 
 var rememberedCounts = []int{64, 1000, 4096, maxRemembered}
 
-// BenchmarkJudge judges the oldest remembered change, which comes again.
+// BenchmarkJudge judges the oldest remembered change, resubmitted.
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// BenchmarkApply applies a change that raises the version alone.
+// BenchmarkApply applies a change that only raises the version.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkRemember remembers a change more, as a part of Apply.
+// BenchmarkRemember records one more change, as Apply does.
 func BenchmarkRemember(b *testing.B) {
 	var a acceptedChanges
 	b.ReportAllocs()
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkSnapshot makes and reads a snapshot, and tells the bytes that the remembered changes take there and in
+// BenchmarkSnapshot encodes and decodes a snapshot, and reports the bytes of the remembered changes in it and in
 // memory.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range rememberedCounts {
--- a/internal/fleet/controlplane/idempotency_model_test.go
+++ b/internal/fleet/controlplane/idempotency_model_test.go
@@ -13,9 +13,9 @@
 type acceptedLog struct {
 	calls     []*Command
 	versions  []int64
-	committed int // so many can't be lost any more
-	firstKept int // older ones may be forgotten, as an older build led
-	firstBase int // what this one and later ones were built on is known, too
+	committed int // number of calls that can't be lost any more
+	firstKept int // calls before this one may be forgotten, after an older build's snapshot
+	firstBase int // the base is known for this call and later ones
 }
 
 func (l *acceptedLog) current() int64 {
@@ -25,27 +25,27 @@
 	return l.versions[len(l.versions)-1]
 }
 
-// indexOf is the position of a call in the line, or -1.
+// indexOf returns the index of a call in the log, or -1.
 func (l *acceptedLog) indexOf(call *Command) int {
 	return slices.IndexFunc(l.calls, func(c *Command) bool { return c == call || c.key() == call.key() })
 }
 
-// truncate takes away all but the first calls.
+// truncate drops all but the first keep calls.
 func (l *acceptedLog) truncate(keep int) {
 	l.calls = l.calls[:keep:keep]
 	l.versions = l.versions[:keep:keep]
 }
 
-// maxBulk bounds the changes of a run that are made many at a time.
+// maxBulk bounds the number of changes of a run that are made in bulk.
 const maxBulk = 12_000
 
-// acceptedLogTest holds a state against its model.
+// acceptedLogTest compares a state with its model.
 type acceptedLogTest struct {
 	state     *controlState
 	model     acceptedLog
-	sent      []*Command        // all calls ever sent: each may come again
-	refused   map[*Command]bool // those whose refusal may have been answered
-	snapshots map[int][]byte    // by length of the line
+	sent      []*Command        // all calls ever sent: each may be resubmitted
+	refused   map[*Command]bool // calls that may have been answered with a rejection
+	snapshots map[int][]byte    // by length of the log
 	bulk      int
 }
 
@@ -61,7 +61,7 @@
 	lt.model.versions = append(lt.model.versions, lt.state.doc.Version())
 }
 
-// judge has the state judge a call, and judges the verdict.
+// judge has the state judge a call, and checks the verdict against the model.
 func (lt *acceptedLogTest) judge(t *rapid.T, call *Command) {
 	v := lt.state.judge(call)
 	at := lt.model.indexOf(call)
@@ -111,7 +111,7 @@
 	}
 }
 
-// newCall sends a call on the current version or one near by, valid or not.
+// newCall sends a call on the current version or one close to it, valid or not.
 func (lt *acceptedLogTest) newCall(t *rapid.T) {
 	base := lt.model.current()
 	if rapid.IntRange(0, 3).Draw(t, "guess") == 0 {
@@ -126,14 +126,14 @@
 	}
 }
 
-// duplicateArrives delivers a call that was sent at some time.
+// duplicateArrives delivers a call that was sent earlier.
 func (lt *acceptedLogTest) duplicateArrives(t *rapid.T) {
 	if len(lt.sent) > 0 {
 		lt.judge(t, rapid.SampledFrom(lt.sent).Draw(t, "copy"))
 	}
 }
 
-// rival sends a call that differs from another in its operation or base, or in nothing.
+// rival sends a call that may differ from another only in its operation or base.
 func (lt *acceptedLogTest) rival(t *rapid.T) {
 	if len(lt.sent) == 0 {
 		return
@@ -144,7 +144,7 @@
 	lt.sent = append(lt.sent, &call)
 }
 
-// baseReached has a change accepted that brings the version which a call builds on that came too early.
+// baseReached has a change accepted whose version is the base of a call that arrived too early.
 func (lt *acceptedLogTest) baseReached(t *rapid.T) {
 	early := slices.DeleteFunc(slices.Clone(lt.sent), func(c *Command) bool { return c.Base <= lt.model.current() })
 	if len(early) == 0 || lt.state.doc == nil {
@@ -181,7 +181,7 @@
 	lt.state = fromStored(t, lt.state.seq, &s)
 }
 
-// takeover restores a snapshot that lacks what isn't committed.
+// takeover restores a snapshot that may lack uncommitted changes.
 func (lt *acceptedLogTest) takeover(t *rapid.T) {
 	keep := rapid.IntRange(lt.model.committed, len(lt.model.calls)).Draw(t, "keep")
 	s, ok := lt.snapshots[keep]
@@ -199,7 +199,8 @@
 	}
 }
 
-// olderBuild has the state go through the snapshot of a build that remembers fewer changes, or none, and no base.
+// olderBuild restores the state from the snapshot of an older build, which has fewer changes, or none, and no
+// OldestBase.
 func (lt *acceptedLogTest) olderBuild(t *rapid.T) {
 	if lt.state.doc == nil {
 		return
@@ -217,7 +218,7 @@
 	clear(lt.snapshots)
 }
 
-// check holds the state's version and position against the model's.
+// check compares the state's version and sequence number with the model's.
 func (lt *acceptedLogTest) check(t *rapid.T) {
 	if lt.state.doc.Version() != lt.model.current() || lt.state.seq != uint64(len(lt.model.calls)) {
 		t.Fatalf("version %d at %d, expected %d at %d",
@@ -225,25 +226,25 @@
 	}
 }
 
-// TestResubmittedAtAnyTime: over changes by some operators, copies that come at any time, snapshots, takeovers that
-// lose what isn't committed, older builds, and up to thousands of changes between, a call is acknowledged only if it
-// was accepted, refused only if it never is, and left without a clear answer only if it is older than all that is
-// remembered or ahead of the state.
+// TestResubmittedAtAnyTime checks that a call is acknowledged only if it was accepted, rejected only if it never will
+// be, and otherwise answered with 503 only if it is older than all remembered changes or ahead of the state. It runs
+// random changes, duplicates at any time, snapshots, takeovers that lose uncommitted changes, older builds, and up to
+// thousands of changes between.
 func TestResubmittedAtAnyTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lt := &acceptedLogTest{state: &controlState{}, refused: map[*Command]bool{}, snapshots: map[int][]byte{0: nil}}
 		t.Repeat(map[string]func(*rapid.T){
-			"a new call":                       lt.newCall,
-			"a copy comes":                     lt.duplicateArrives,
-			"a rival of a call":                lt.rival,
-			"the base of a call is reached":    lt.baseReached,
-			"many changes":                     lt.manyChanges,
-			"all is committed":                 lt.allCommitted,
-			"a snapshot":                       lt.snapshot,
-			"a snapshot is read":               lt.snapshotRead,
-			"another takes over with less":     lt.takeover,
-			"an older build leads for a while": lt.olderBuild,
-			"":                                 lt.check,
+			"a new call":                           lt.newCall,
+			"a duplicate arrives":                  lt.duplicateArrives,
+			"another call on the same base":        lt.rival,
+			"the base of a call is reached":        lt.baseReached,
+			"many changes":                         lt.manyChanges,
+			"all is committed":                     lt.allCommitted,
+			"a snapshot":                           lt.snapshot,
+			"a snapshot is read":                   lt.snapshotRead,
+			"a takeover loses uncommitted changes": lt.takeover,
+			"an older build's snapshot is read":    lt.olderBuild,
+			"":                                     lt.check,
 		})
 	})
 }
--- a/internal/fleet/controlplane/idempotency_test.go
+++ b/internal/fleet/controlplane/idempotency_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// proposed stands for a call that judge would have proposed.
+// proposed is the result of judged for a call without a verdict, which is to be proposed.
 const proposed = 0
 
-// judged is the status of the verdict on a call.
+// judged returns the status of the verdict on a call.
 func judged(r *controlState, call *Command) int {
 	if v := r.judge(call); v != nil {
 		return v.status
@@ -22,19 +22,19 @@
 	return proposed
 }
 
-// updateCommand is an update that changes the version alone.
+// updateCommand returns an update that only changes the version.
 func updateCommand(base, version int64) *Command {
 	return &Command{Base: base, Body: fmt.Appendf(nil, `{"ver":%d}`, version)}
 }
 
-// accept has a state accept a call.
+// accept checks that a call is to be proposed, and applies it.
 func accept(tb testing.TB, r *controlState, call *Command) {
 	tb.Helper()
 	qt.Assert(tb, judged(r, call), qt.Equals, proposed, qt.Commentf("%d %s", call.Base, call.Body))
 	apply(tb, r, call)
 }
 
-// apply has a state apply a call.
+// apply applies a call to a state.
 func apply(tb testing.TB, r *controlState, call *Command) {
 	tb.Helper()
 	b, err := call.MarshalMsg(nil)
@@ -51,7 +51,7 @@
 	}
 }
 
-// restored is a state that was read from the snapshot of another.
+// restored returns a state restored from the snapshot of another.
 func restored(tb testing.TB, r *controlState) *controlState {
 	tb.Helper()
 	next := &controlState{}
@@ -59,7 +59,7 @@
 	return next
 }
 
-// storedBy is the decoded snapshot of a state.
+// storedBy returns the decoded snapshot of a state.
 func storedBy(tb rapid.TB, r *controlState) (s StoredState) {
 	tb.Helper()
 	if _, err := s.UnmarshalMsg(r.Snapshot()); err != nil {
@@ -68,7 +68,7 @@
 	return s
 }
 
-// fromStored is a state read from a snapshot.
+// fromStored returns a state restored from a snapshot.
 func fromStored(tb rapid.TB, seq uint64, s *StoredState) *controlState {
 	tb.Helper()
 	b, err := s.MarshalMsg(nil)
@@ -82,7 +82,7 @@
 	return r
 }
 
-// TestVerdicts: how a change is answered on each kind of base, also after a snapshot.
+// TestVerdicts checks the answer to a change on each kind of base, also after a restore.
 func TestVerdicts(t *testing.T) {
 	r := &controlState{}
 	first, second, third := replaceCommand(0, "5", "a"), replaceCommand(5, "7", "a"), updateCommand(7, 12)
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestResubmittedAfterManyChanges: a change that comes again after thousands of others is acknowledged again; one that lies
-// before all that is remembered gets no clear answer, and neither does another one on its base.
+// TestResubmittedAfterManyChanges checks that a change resubmitted after thousands of others is acknowledged again. If
+// it is older than all remembered changes the answer is 503, also for another change on its base.
 func TestResubmittedAfterManyChanges(t *testing.T) {
 	qt.Assert(t, maxRemembered >= 4096, qt.IsTrue)
 	r := &controlState{}
@@ -149,7 +149,8 @@
 	qt.Check(t, judged(r, updateCommand(oldest-1, oldest)), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// TestRememberedBytes: the remembered changes stay within their bound in a snapshot, also with the longest versions.
+// TestRememberedBytes checks that the remembered changes stay within their size bound in a snapshot, also with the
+// longest versions.
 func TestRememberedBytes(t *testing.T) {
 	a := acceptedChanges{}
 	for i := range int64(maxRemembered + 10) {
@@ -165,8 +166,8 @@
 	qt.Check(t, len(b)-len(empty) <= rememberedBytes+oldestBase+arrayHeads, qt.IsTrue, qt.Commentf("%d bytes", len(b)))
 }
 
-// TestOlderBuildsSnapshot: the snapshot of a build that doesn't tell what its oldest change was built on is read;
-// nothing is refused that may have been accepted before it.
+// TestOlderBuildsSnapshot checks that the snapshot of a build that didn't store the oldest base is read, and that no
+// change is rejected that may have been accepted before it.
 func TestOlderBuildsSnapshot(t *testing.T) {
 	r := &controlState{}
 	first, second, third := replaceCommand(0, "5", "a"), replaceCommand(5, "7", "a"), updateCommand(7, 12)
@@ -198,7 +199,7 @@
 	qt.Check(t, judged(back, second), qt.Equals, http.StatusServiceUnavailable)
 	qt.Check(t, back.accepted.oldestBase, qt.Equals, int64(7), qt.Commentf("known, as the change before was"))
 
-	// Still older ones remembered nothing.
+	// Even older builds stored no accepted changes.
 	older.Versions, older.Digests = nil, nil
 	back = fromStored(t, r.seq, &older)
 	for _, call := range []*Command{first, second, third} {
@@ -209,7 +210,7 @@
 	qt.Check(t, judged(back, updateCommand(12, 13)), qt.Equals, http.StatusOK)
 	qt.Check(t, judged(back, third), qt.Equals, http.StatusServiceUnavailable)
 
-	// One that remembers more than this build does.
+	// A build that stores more changes than this one.
 	more := storedBy(t, r)
 	more.Versions, more.Digests = nil, nil
 	for i := range int64(maxRemembered + 7) {
@@ -221,7 +222,8 @@
 	qt.Check(t, back.accepted.oldestBase, qt.Equals, int64(7))
 }
 
-// TestOlderBuildsRead: older builds find the document, the versions and the digests where they look for them.
+// TestOlderBuildsRead checks that older builds find the document, the versions and the digests under the keys they
+// expect.
 func TestOlderBuildsRead(t *testing.T) {
 	r := &controlState{}
 	accept(t, r, replaceCommand(0, "5", "a"))
@@ -233,7 +235,8 @@
 	qt.Check(t, fields["x"], qt.DeepEquals, any([]any{r.accepted.digests[0], r.accepted.digests[1]}))
 }
 
-// TestDamagedSnapshot: a snapshot whose remembered changes can't be right is refused, and the state stays as it is.
+// TestDamagedSnapshot checks that a snapshot with inconsistent remembered changes is rejected, and that the state stays
+// unchanged.
 func TestDamagedSnapshot(t *testing.T) {
 	r := &controlState{}
 	accept(t, r, replaceCommand(0, "5", "a"))
@@ -279,8 +282,8 @@
 	}
 }
 
-// TestLostLogTail: a change that was applied but lost with the end of its log is proposed again, unless another
-// one took its base.
+// TestLostLogTail checks that a change that was applied but lost with the end of the log is proposed again, unless
+// another change was accepted on its base.
 func TestLostLogTail(t *testing.T) {
 	r := &controlState{}
 	accept(t, r, replaceCommand(0, "5", "a"))
--- a/internal/fleet/controlplane/outlierejector_test.go
+++ b/internal/fleet/controlplane/outlierejector_test.go
@@ -12,8 +12,8 @@
 	"molepaddle/internal/fleet/externalapi"
 )
 
-// reportOutcomes has eight proxies report on the backends of a list: so many of four attempts failed at the third and
-// at those that are draining.
+// reportOutcomes adds reports of eight proxies on the backends of a list: failed is the number of failures out of four
+// attempts at the third backend and at draining ones.
 func reportOutcomes(server *Server, list *distribution.BackendList, failed int) {
 	for p := range 8 {
 		all := make([]distribution.Outcome, 0, len(list.Backends))
@@ -28,7 +28,7 @@
 	}
 }
 
-// publishedEjections returns what a server has published; zero: nothing.
+// publishedEjections returns the ejections that a server has published; zero values if none.
 func publishedEjections(c *qt.C, server *Server) (distribution.Version, []distribution.Ejection) {
 	for _, r := range server.cache.Fetch(c.Context(), "n", &distribution.Request{}).Resources {
 		var all distribution.Ejections
@@ -39,9 +39,9 @@
 	return distribution.Version{}, nil
 }
 
-// TestOutliersArePublished: what proxies report of a backend that fails leads to its ejection, which is sent again
-// every second while it stands, and to an end of it once trials succeed; nothing is sent while there is nothing to
-// say.
+// TestOutliersArePublished checks that reported failures of a backend lead to its ejection, which is published again
+// every second while it is active, and to its end once trial requests succeed; and that nothing is published while
+// there are no ejections.
 func TestOutliersArePublished(t *testing.T) {
 	c := qt.New(t)
 	server := &Server{cache: distribution.NewCache(), start: time.Now(), log: zap.NewNop()}
--- a/internal/fleet/controlplane/partition_test.go
+++ b/internal/fleet/controlplane/partition_test.go
@@ -19,7 +19,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// stateCalls are calls whose answers say something of the state: none of them may be given without contact.
+// stateCalls returns calls whose answers reveal something about the state; none may be answered without contact.
 func stateCalls(version uint64) map[string]func(c *cluster, ip string) reply {
 	replace := func(base string, body []byte) func(c *cluster, ip string) reply {
 		return func(c *cluster, ip string) reply {
@@ -42,8 +42,9 @@
 	}
 }
 
-// expectUnavailable asks a machine that is cut off for everything: it says nothing of the state, soon, and tells
-// callers to go on elsewhere. Where it still hears others it may send callers to one of those given.
+// expectUnavailable makes every call to a partitioned machine and checks that it reveals nothing about the state,
+// answers in time, and refers callers to other machines. If it still receives messages, it may redirect callers to one
+// of the machines in heard.
 func (c *cluster) expectUnavailable(ip string, version uint64, within time.Duration, heard ...string) {
 	c.Helper()
 	var all sync.WaitGroup
@@ -65,24 +66,24 @@
 	all.Wait()
 }
 
-// promptAnswer is more than an answer takes that waits for nothing.
+// promptAnswer is more than the duration of an answer that waits for nothing.
 const promptAnswer = 300 * time.Millisecond
 
 // callerTimeout is how long the operator waits for an answer.
 const callerTimeout = time.Second
 
-// TestPartitionedPrimary: a primary that is cut off, both ways or one way, gives no verdict from the cut on: calls that are
-// parked and those that come soon are answered before their caller moves on, later ones at once. The others go on.
-// Healed, it says what they acknowledged, or sends callers there.
+// TestPartitionedPrimary checks that a primary that is partitioned, in both directions or in one, gives no answer about
+// the state from then on: pending and early calls are answered before the caller moves on, later ones at once. The
+// other members continue, and after the partition heals the machine shows what they acknowledged or redirects there.
 func TestPartitionedPrimary(t *testing.T) {
 	for i, one := range []struct {
 		name  string
 		cut   func(c *cluster, primary, other string)
 		hears bool
 	}{
-		{"whole", func(c *cluster, primary, other string) { c.network.Partition([]string{primary}, []string{other}) }, false},
-		{"it is not heard", func(c *cluster, primary, other string) { c.network.Cut(primary, other) }, true},
-		{"it hears nothing", func(c *cluster, primary, other string) { c.network.Cut(other, primary) }, false},
+		{"both directions", func(c *cluster, primary, other string) { c.network.Partition([]string{primary}, []string{other}) }, false},
+		{"outgoing", func(c *cluster, primary, other string) { c.network.Cut(primary, other) }, true},
+		{"incoming", func(c *cluster, primary, other string) { c.network.Cut(other, primary) }, false},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			c := newCluster(t, 40+i, 3, 1, nil)
@@ -98,12 +99,11 @@
 				heard = others
 			}
 			c.expectUnavailable(old, 5, callerTimeout, heard...)
-			// Of two changes under one number one was sent to the old primary alone: its backups may have it from
-			// there.
+			// One of two changes with the same version was sent to the old primary only; its backups may have received it.
 			in := c.showConfig(others...)
-			t.Logf("shown elsewhere %v after the cut, at try %d", in.At.Sub(cut), in.Attempts)
+			t.Logf("shown by the other members %v after the partition, at attempt %d", in.At.Sub(cut), in.Attempts)
 			c.replaceConfig(in.Version, in.Version+2, others...)
-			c.eventually("the cut is known", func() bool {
+			c.eventually("the machine knows that it is partitioned", func() bool {
 				st := c.servers[old].status.Load()
 				now := time.Now()
 				where := decideAdmission(st, c.servers[old].contact.forEpoch(st.Epoch), now.Add(-heartbeatInterval), now)
@@ -112,21 +112,21 @@
 			c.expectUnavailable(old, 5, promptAnswer, heard...)
 			bad := c.call(old, externalapi.CallReplace.Method, externalapi.CallReplace.Path, "x", configDocument(9))
 			c.Assert(bad.status, qt.Equals, http.StatusBadRequest,
-				qt.Commentf("what is wrong with a call as such doesn't depend on the state"))
+				qt.Commentf("a malformed call is an error whatever the state"))
 			c.network.Heal()
 			healed := time.Now()
-			c.eventually("in touch again", func() bool {
+			c.eventually("in contact again", func() bool {
 				got := c.call(old, http.MethodGet, externalapi.CallShow.Path, "", nil)
 				c.Assert(got.status != http.StatusOK || got.body == string(c.showConfig(others...).Body), qt.IsTrue,
 					qt.Commentf("%d %s", got.status, got.body))
 				return got.status == http.StatusOK || got.status == http.StatusTemporaryRedirect
 			}, c.ips...)
-			t.Logf("in touch again %v after the cut healed", time.Since(healed))
+			t.Logf("in contact again %v after the partition healed", time.Since(healed))
 		})
 	}
 }
 
-// showConfig is the configuration that some machines show.
+// showConfig returns the configuration shown by the given machines.
 func (c *cluster) showConfig(ips ...string) simulation.Reply {
 	c.Helper()
 	ctx, cancel := context.WithTimeout(c.Context(), testTimeout)
@@ -137,8 +137,8 @@
 	return rep
 }
 
-// TestNoAnswerRightAfterPartition: each call by itself, as the first that comes after the cut, when the primary doesn't
-// know of it yet.
+// TestNoAnswerRightAfterPartition checks each call separately as the first one after the partition, when the primary
+// hasn't detected it yet.
 func TestNoAnswerRightAfterPartition(t *testing.T) {
 	net := 80
 	for name, ask := range stateCalls(5) {
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestPrimaryAfterAFreeze: a primary whose process slept while another took over says nothing of the state, nor
-// that its configuration is fresh, before it has asked.
+// TestPrimaryAfterAFreeze checks that a primary whose process was suspended while another took over reveals nothing
+// about the state, and doesn't claim that its configuration is fresh, before its view is confirmed.
 func TestPrimaryAfterAFreeze(t *testing.T) {
 	c := newCluster(t, 44, 3, 1, nil)
 	c.replaceConfig(0, 5, c.ips...)
@@ -167,7 +167,7 @@
 	slept := time.Now()
 	c.replaceConfig(5, 7, others...)
 	next := c.primary(others...)
-	// Nothing that the others said meanwhile arrives: what the machine says, it says by itself.
+	// Nothing that the others sent meanwhile arrives: the machine answers from its own state only.
 	for _, other := range others {
 		c.network.Cut(other, old)
 	}
@@ -175,13 +175,13 @@
 	resume()
 	c.expectUnavailable(old, 5, callerTimeout)
 	c.Assert(c.servers[old].isLeader(c.servers[old].status.Load()), qt.IsFalse)
-	// It may have learnt of the next view from what came while it slept; in its own it has had no contact since.
+	// It may know the next view from messages received while suspended; in its own it has had no contact since.
 	contact := c.servers[old].contact.forEpoch(led)
 	c.Assert(contact.at.Before(slept.Add(heartbeatInterval)), qt.IsTrue,
-		qt.Commentf("in contact %v after it slept", contact.at.Sub(slept)))
+		qt.Commentf("in contact %v after the suspension began", contact.at.Sub(slept)))
 	fresh, _ := c.servers[old].cache.LastContact()
 	c.Assert(fresh.Before(slept.Add(heartbeatInterval)), qt.IsTrue,
-		qt.Commentf("fresh %v after it slept", fresh.Sub(slept)))
+		qt.Commentf("fresh %v after the suspension began", fresh.Sub(slept)))
 	c.network.Heal()
 	c.eventually("the next primary is known", func() bool {
 		got := c.call(old, http.MethodGet, externalapi.CallShow.Path, "", nil)
@@ -191,8 +191,8 @@
 	}, c.ips...)
 }
 
-// TestRestartWhilePartitioned: machines that start while they are cut off say nothing and send nobody anywhere, the
-// former primary not to itself.
+// TestRestartWhilePartitioned checks that machines that start while partitioned reveal nothing and redirect no caller,
+// and that the former primary doesn't redirect to itself.
 func TestRestartWhilePartitioned(t *testing.T) {
 	c := newCluster(t, 45, 3, 1, nil)
 	c.replaceConfig(0, 5, c.ips...)
@@ -205,8 +205,8 @@
 	set.Bootstrap = false
 	c.start(set)
 	c.expectUnavailable(old, 5, callerTimeout)
-	c.Assert(c.publishedControlServers(old), qt.HasLen, 3, qt.Commentf("who pulls here learns of the others"))
-	// Both halves at once: the others know their view from their disks only.
+	c.Assert(c.publishedControlServers(old), qt.HasLen, 3, qt.Commentf("pulling clients learn of the other members"))
+	// The others restart partitioned from each other too: they know their view only from their disks.
 	for _, ip := range others {
 		c.servers[ip].stop()
 	}
@@ -221,7 +221,7 @@
 	c.replaceConfig(7, 9, c.ips...)
 }
 
-// publishedControlServers are the control servers that one tells those that pull of.
+// publishedControlServers returns the addresses of control servers that a machine publishes to pulling clients.
 func (c *cluster) publishedControlServers(ip string) []string {
 	var core distribution.ControlServers
 	for _, r := range c.servers[ip].cache.Fetch(c.Context(), ip, &distribution.Request{}).Resources {
@@ -233,8 +233,8 @@
 	return core.PullAddrs
 }
 
-// TestRedirectsNeverLoop: a machine sends callers only to a primary that it has heard since the call came, in the
-// epoch that both know, so following redirects never leads back to a machine of the same or an older epoch.
+// TestRedirectsNeverLoop checks that a machine redirects callers only to a primary that has contacted it since the call
+// arrived, in the epoch known to both, so that redirects never lead back to a machine of the same or an earlier epoch.
 func TestRedirectsNeverLoop(t *testing.T) {
 	now := time.Now()
 	came := now.Add(-heartbeatInterval)
@@ -253,20 +253,20 @@
 		name     string
 		role     replication.Role
 		ready    bool
-		at, last time.Duration // ago
+		at, last time.Duration // before now
 		want     admission
 	}{
 		{"a primary that was confirmed", replication.Primary, true, recent, recent, admitHere},
-		{"a primary that wasn't for long", replication.Primary, true, stale, stale, awaitPrimary},
-		{"a primary whose backups aren't in step", replication.Primary, false, 0, 0, awaitPrimary},
-		{"a primary that was cut off", replication.Primary, true, partitionTimeout, partitionTimeout, rejectPartitioned},
+		{"a primary whose confirmation is stale", replication.Primary, true, stale, stale, awaitPrimary},
+		{"a primary whose backups aren't in sync", replication.Primary, false, 0, 0, awaitPrimary},
+		{"a partitioned primary", replication.Primary, true, partitionTimeout, partitionTimeout, rejectPartitioned},
 		{"a primary that stopped long ago", replication.Primary, false, longAgo, longAgo, rejectPartitioned},
-		{"a backup that has heard its primary since", replication.Backup, true, recent / 2, recent / 2, redirectToPrimary},
-		{"a backup that heard its primary before", replication.Backup, true, recent, recent, awaitPrimary},
+		{"a backup contacted by its primary since", replication.Backup, true, recent / 2, recent / 2, redirectToPrimary},
+		{"a backup contacted by its primary before", replication.Backup, true, recent, recent, awaitPrimary},
 		{"a backup that is ready by its disk alone", replication.Backup, true, never, longAgo, rejectPartitioned},
-		{"a backup of a view whose primary wasn't heard", replication.Backup, true, never, recent, awaitPrimary},
-		{"a witness that is cut off", replication.Witness, false, longAgo, longAgo, rejectPartitioned},
-		{"a machine that is no member but hears the primary", replication.NonMember, false, 0, 0, awaitPrimary},
+		{"a backup not yet contacted by its primary", replication.Backup, true, never, recent, awaitPrimary},
+		{"a partitioned witness", replication.Witness, false, longAgo, longAgo, rejectPartitioned},
+		{"a non-member contacted by the primary", replication.NonMember, false, 0, 0, awaitPrimary},
 		{"a machine that has just started", replication.Backup, true, never, 0, awaitPrimary},
 	} {
 		got := decideAdmission(status(one.role, one.ready), state(one.at, one.last), came, now)
@@ -274,14 +274,15 @@
 	}
 	contact := newContact(now)
 	contact.renew(4, now)
-	contact.renew(3, now.Add(time.Hour)) // a late message of an older primary
+	contact.renew(3, now.Add(time.Hour)) // a late message of an earlier primary
 	qt.Check(t, contact.forEpoch(4).at, qt.Equals, now)
 	qt.Check(t, contact.forEpoch(3).at.IsZero(), qt.IsTrue)
 	contact.enterEpoch(5, now)
-	qt.Check(t, contact.forEpoch(5).at.IsZero(), qt.IsTrue, qt.Commentf("of the new primary nothing was heard"))
+	qt.Check(t, contact.forEpoch(5).at.IsZero(), qt.IsTrue, qt.Commentf("no contact with the new primary"))
 }
 
-// acceptSilently takes connections at an address and says nothing, as a machine without power does for a caller.
+// acceptSilently accepts connections at an address and never answers, which to a caller looks like a machine without
+// power.
 func (c *cluster) acceptSilently(addr string) {
 	c.Helper()
 	ln, err := net.Listen("tcp", addr)
@@ -298,15 +299,15 @@
 	}()
 }
 
-// TestAcknowledgementAfterPrimaryLoss: after the loss of the primary a caller at a survivor gets the next
-// acknowledgement in its first call, which waits for the takeover; one that turns to the lost machine first has it a
-// second of silence later.
+// TestAcknowledgementAfterPrimaryLoss checks that after the loss of the primary a caller at a surviving member gets its
+// change acknowledged in the first call, which waits for the takeover; a caller that tries the lost machine first gets
+// it after one more time-out.
 func TestAcknowledgementAfterPrimaryLoss(t *testing.T) {
 	for i, one := range []struct {
 		name   string
-		silent bool // no reset from its addresses
-		back   bool // its process starts again at once, with its disk
-		first  bool // the caller turns to the lost machine first
+		silent bool // its addresses don't reset connections
+		back   bool // its process restarts at once, with its disk
+		first  bool // the caller tries the lost machine first
 		within time.Duration
 	}{
 		{"killed", false, false, false, callerTimeout},
@@ -342,7 +343,7 @@
 			}
 			rep := c.replaceConfig(5, 7, order...)
 			took := rep.At.Sub(killed)
-			t.Logf("acknowledged %v after the loss, at try %d", took, rep.Attempts)
+			t.Logf("acknowledged %v after the loss, at attempt %d", took, rep.Attempts)
 			c.Assert(took < one.within+callerTimeout/2, qt.IsTrue, qt.Commentf("%v", took))
 		})
 	}
--- a/internal/fleet/controlplane/phasecontroller_test.go
+++ b/internal/fleet/controlplane/phasecontroller_test.go
@@ -20,12 +20,12 @@
 	"molepaddle/internal/fleet/settings"
 )
 
-// countingBackend is a backend that takes all orders, and counts them.
+// countingBackend starts a backend that accepts all orders and counts them.
 func countingBackend(c *qt.C) (*distribution.Backend, *atomic.Int64) {
 	return answeringBackend(c, http.StatusAccepted)
 }
 
-// answeringBackend is a backend that answers each order with a status, and counts them.
+// answeringBackend starts a backend that answers each order with a status and counts the orders.
 func answeringBackend(c *qt.C, status int) (*distribution.Backend, *atomic.Int64) {
 	var orders atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,8 +38,8 @@
 	return &distribution.Backend{ID: "b", Address: server.Listener.Addr().String()}, &orders
 }
 
-// TestOrdersNeedContact: the owner of the role gives an order only after all backups have confirmed the epoch that
-// is its fencing token.
+// TestOrdersNeedContact checks that the owner of the role sends an order only after all backups have confirmed the
+// epoch that is its fencing token.
 func TestOrdersNeedContact(t *testing.T) {
 	c := newCluster(t, 47, 3, 1, nil)
 	holder := c.primary(c.ips...)
@@ -57,7 +57,7 @@
 	}
 	c.network.Partition([]string{holder}, c.others(holder))
 	began := time.Now()
-	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("nobody confirms the epoch"))
+	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("the epoch is not confirmed"))
 	c.Assert(time.Since(began) < confirmAndOrderTimeout+promptAnswer, qt.IsTrue)
 	next := c.primary(c.others(holder)...)
 	later := c.servers[next].status.Load().Epoch
@@ -71,8 +71,8 @@
 	c.Assert(orders.Load(), qt.Equals, int64(2))
 }
 
-// TestOrderDroppedAfterFreeze: an order whose time is over, as it is after a freeze behind the confirmation, is
-// not sent.
+// TestOrderDroppedAfterFreeze checks that an order whose deadline has passed, as after a suspension of the process
+// following the confirmation, is not sent.
 func TestOrderDroppedAfterFreeze(t *testing.T) {
 	c := qt.New(t)
 	backend, orders := countingBackend(c)
@@ -83,8 +83,8 @@
 	c.Assert(orders.Load(), qt.Equals, int64(1))
 }
 
-// TestTimedOutOrderResetsConnection: an order without an answer is taken back by a reset, so that what a cut held up doesn't
-// come later.
+// TestTimedOutOrderResetsConnection checks that an order without an answer resets its connection, so that data delayed
+// by a partition doesn't arrive later.
 func TestTimedOutOrderResetsConnection(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,8 +110,8 @@
 	c.Assert(<-ended, qt.ErrorIs, syscall.ECONNRESET)
 }
 
-// TestFencedOwnerGivesNoMoreOrders: once a backend has seen a higher fencing token, the owner of the role gives no
-// order in the name of its epoch again, at whichever backend. An owner of a newer epoch does.
+// TestFencedOwnerGivesNoMoreOrders checks that once a backend has seen a higher fencing token, the owner of the role
+// sends no more orders for its epoch to any backend, while a newer epoch is not fenced.
 func TestFencedOwnerGivesNoMoreOrders(t *testing.T) {
 	c := newCluster(t, 49, 3, 1, nil)
 	holder := c.primary(c.ips...)
@@ -130,12 +130,13 @@
 	c.Assert(p.fenced(epoch), qt.IsTrue)
 	c.Assert(p.fenced(epoch+1), qt.IsFalse)
 	c.Assert(rejected.Load(), qt.Equals, int64(1))
-	c.Assert(orders.Load(), qt.Equals, int64(0), qt.Commentf("an order in the name of a fenced epoch"))
-	p.fence(epoch-1, "late") // what an earlier epoch hears changes nothing
+	c.Assert(orders.Load(), qt.Equals, int64(0), qt.Commentf("an order with the token of a fenced epoch"))
+	p.fence(epoch-1, "late") // a rejection for an earlier epoch has no effect
 	c.Assert(p.fenced(epoch), qt.IsTrue)
 }
 
-// TestOrderAcknowledgement: an order counts as acknowledged only where the backend says that it holds to it.
+// TestOrderAcknowledgement checks that an order counts as acknowledged only if the backend answers that it has taken
+// it.
 func TestOrderAcknowledgement(t *testing.T) {
 	c := qt.New(t)
 	for status, want := range map[int]bool{
@@ -156,8 +157,8 @@
 	}
 }
 
-// TestPhaseTakeoverWaitsForLease: the last order of an owner of the role is given up before a lease begins after
-// which the next may give one.
+// TestPhaseTakeoverWaitsForLease checks that more than a lease lies between the last order of one owner of the role and
+// the first order of the next.
 func TestPhaseTakeoverWaitsForLease(t *testing.T) {
 	for _, lease := range []time.Duration{0, time.Second, 3 * time.Second} {
 		server := &Server{settings: settings.Settings{Bounds: settings.Bounds{Lease: lease}}}
@@ -165,7 +166,7 @@
 	}
 }
 
-// TestPartitionedPrimaryDoesNotPoll: the platform is asked by the primary alone, and by none that is cut off.
+// TestPartitionedPrimaryDoesNotPoll checks that only the primary polls the platform, and not while it is partitioned.
 func TestPartitionedPrimaryDoesNotPoll(t *testing.T) {
 	var mu sync.Mutex
 	polls := map[string]int{}
@@ -197,7 +198,7 @@
 			select {
 			case <-asked:
 			case <-over:
-				c.Fatalf("%s polls %d times", ip, count(ip))
+				c.Fatalf("%s polled the platform only %d times", ip, count(ip))
 			}
 		}
 	}
@@ -205,12 +206,12 @@
 	reaches(old, 2)
 	c.network.Partition([]string{old}, c.others(old))
 	next := c.primary(c.others(old)...)
-	c.eventually("the cut is known", func() bool { return !c.servers[old].isLeader(c.servers[old].status.Load()) }, old)
+	c.eventually("the primary knows that it is partitioned", func() bool { return !c.servers[old].isLeader(c.servers[old].status.Load()) }, old)
 	reaches(next, 1)
 	before := count(old)
 	reaches(next, 4)
 	c.Assert(count(old)-before <= 1, qt.IsTrue,
-		qt.Commentf("%d polls of one that is cut off; one may have been under way", count(old)-before))
+		qt.Commentf("%d polls by the partitioned primary; one may have been in flight", count(old)-before))
 	c.Assert(count(c.others(old, next)[0]), qt.Equals, 0)
 	st := c.servers[old].status.Load()
 	at, _ := c.servers[next].cache.Version(distribution.BackendListType)
--- a/internal/fleet/controlplane/plantedfault_idempotency_test.go
+++ b/internal/fleet/controlplane/plantedfault_idempotency_test.go
@@ -6,7 +6,7 @@
 	"molepaddle/internal/plantedfault"
 )
 
-// idempotencyFaults are errors in which changes are accepted, remembered and acknowledged again.
+// idempotencyFaults are faults in how changes are accepted, remembered and acknowledged again.
 var idempotencyFaults = []plantedfault.Fault{
 	{
 		Name: "few changes are remembered",
@@ -30,14 +30,14 @@
 		},
 	},
 	{
-		Name: "whatever was built on a base counts as the same",
+		Name: "any change on the same base counts as the same",
 		Texts: []string{
 			"same := a.digests[following] == c.digest()",
 			"same := true",
 		},
 	},
 	{
-		Name: "the operation is no part of a call",
+		Name: "the operation is not part of the digest",
 		Texts: []string{
 			"operation := operationUpdate\n\tif c.Replace {\n",
 			"operation := operationUpdate\n\tif false {\n",
@@ -114,7 +114,7 @@
 		},
 	},
 	{
-		Name: "validity goes before what was accepted",
+		Name: "validity is checked before the accepted changes",
 		Texts: []string{
 			"\tswitch cs.accepted.lookup(c) {\n",
 			"\tif _, found := c.applyTo(cs.doc, checks...); found.Err() != nil {\n" +
@@ -123,7 +123,7 @@
 		},
 	},
 	{
-		Name: "a verdict is told before what it is about is committed",
+		Name: "a verdict is returned before its state is committed",
 		Texts: []string{
 			" && a.Seq >= v.seq",
 			"",
@@ -137,14 +137,14 @@
 		},
 	},
 	{
-		Name: "a verdict is told before it was confirmed",
+		Name: "a verdict is returned before it is confirmed",
 		Texts: []string{
 			"case v != nil && v.confirmedBy(a):",
 			"case v != nil:",
 		},
 	},
 	{
-		Name: "what was accepted is proposed again",
+		Name: "an accepted change is proposed again",
 		Texts: []string{
 			"\tcase sameChange:\n\t\treturn &verdict{seq: cs.seq, status: http.StatusOK}\n",
 			"\tcase sameChange:\n",
@@ -160,7 +160,7 @@
 		},
 	},
 	{
-		Name: "a verdict is told by one that leads no more",
+		Name: "a verdict is returned by a former primary",
 		Texts: []string{
 			"a.Result == replication.Confirmed && a.Seq",
 			"a.Seq",
@@ -168,8 +168,7 @@
 	},
 }
 
-// TestPlantedIdempotencyFaults plants each fault in turn; the tests that the flag -controlplane.finders names have to
-// find it.
+// TestPlantedIdempotencyFaults plants each fault; the tests matched by the flag -controlplane.finders must detect it.
 func TestPlantedIdempotencyFaults(t *testing.T) {
 	faults := make([]plantedfault.Fault, 0, len(idempotencyFaults))
 	for _, f := range idempotencyFaults {
--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -23,10 +23,10 @@
 	replicationDir  = "../replication"
 )
 
-// partitionFaults are errors in what a machine says and does without contact.
+// partitionFaults are faults in the behaviour of a machine without contact.
 var partitionFaults = []plantedfault.Fault{
 	{
-		Name:  "a refusal is told without contact",
+		Name:  "a change is rejected without contact",
 		Tests: "^TestNoAnswerRightAfterPartition$",
 		Texts: []string{
 			"\t\tjudged <- v\n\t\treturn out\n",
@@ -46,7 +46,7 @@
 		},
 	},
 	{
-		Name:  "a primary that was cut off takes up calls",
+		Name:  "a partitioned primary answers calls",
 		Tests: "^TestRedirectsNeverLoop$",
 		Texts: []string{
 			"st.Ready && now.Sub(c.at) < leaderContactTimeout",
@@ -54,7 +54,7 @@
 		},
 	},
 	{
-		Name:  "calls are parked for as long as a change may take",
+		Name:  "calls wait for as long as a change may take",
 		Tests: "^TestPartitionedPrimary$",
 		Texts: []string{
 			"\tcallTimeout = 850 * time.Millisecond",
@@ -64,7 +64,7 @@
 		},
 	},
 	{
-		Name:  "callers are sent to whom the disk names",
+		Name:  "callers are redirected to the primary on the disk",
 		Tests: "^Test(RestartWhilePartitioned|RedirectsNeverLoop)$",
 		Texts: []string{
 			"st.Ready && c.at.After(receivedAt):",
@@ -72,7 +72,7 @@
 		},
 	},
 	{
-		Name:  "callers are sent to a primary that may be gone",
+		Name:  "callers are redirected to a primary that may have failed",
 		Tests: "^TestRedirectsNeverLoop$",
 		Texts: []string{
 			"st.Ready && c.at.After(receivedAt):",
@@ -106,7 +106,7 @@
 		},
 	},
 	{
-		Name:  "contact is told before what it stands for is published",
+		Name:  "contact is renewed before the committed state is published",
 		Tests: "^TestContactFollowsPublication$",
 		Texts: []string{
 			"\t\tif !s.processOutput(ctx, &out) {\n\t\t\tcontinue\n\t\t}\n",
@@ -137,7 +137,7 @@
 		},
 	},
 	{
-		Name:  "a cut-off primary polls on",
+		Name:  "a partitioned primary continues to poll",
 		Tests: "^TestPartitionedPrimaryDoesNotPoll$",
 		Texts: []string{
 			`s.settings.Provider.Address != "" && s.isLeader(st)`,
@@ -145,7 +145,7 @@
 		},
 	},
 	{
-		Name:  "the members are told by the primary alone",
+		Name:  "only the primary publishes the members",
 		Tests: "^TestRestartWhilePartitioned$",
 		Texts: []string{
 			"\ts.status.Store(&st)\n\ts.publishCoreMembers(&st)\n",
@@ -161,7 +161,7 @@
 		},
 	},
 	{
-		Name:  "a fenced owner goes on",
+		Name:  "a fenced owner continues to send orders",
 		Tests: "^TestFencedOwnerGivesNoMoreOrders$",
 		Texts: []string{"\tp.fencedEpoch = epoch\n", ""},
 	},
@@ -187,7 +187,7 @@
 		},
 	},
 	{
-		Name:      "an order that was given up may come later",
+		Name:      "an order that timed out may arrive later",
 		Tests:     "^TestTimedOutOrderResetsConnection$",
 		Dir:       ".",
 		SourceDir: externalAPIDir,
@@ -243,7 +243,7 @@
 		},
 	},
 	{
-		Name:  "the wait for news counts as age",
+		Name:  "the wait for an update counts as age",
 		Tests: "^TestLastContactIncludesTransitTime$",
 		Dir:   distributionDir,
 		Texts: []string{
@@ -252,7 +252,7 @@
 		},
 	},
 	{
-		Name:  "a control server that is cut off is kept",
+		Name:  "a partitioned control server is kept",
 		Tests: "^TestPartitionedServerIsLeftInTime$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -261,7 +261,7 @@
 		},
 	},
 	{
-		Name:  "each control server is followed for a wait",
+		Name:  "each control server is followed for a complete wait",
 		Tests: "^TestPartitionedServerIsLeftInTime$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -270,7 +270,7 @@
 		},
 	},
 	{
-		Name:  "a core without a primary is pressed",
+		Name:  "a core without a primary is polled without a pause",
 		Tests: "^TestPullRateIsBoundedWithoutPrimary$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -279,7 +279,7 @@
 		},
 	},
 	{
-		Name:  "the list of a control server that is cut off replaces a newer one",
+		Name:  "the list of a partitioned control server replaces a newer one",
 		Tests: "^TestDirectlyPolledListIsKept$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -298,8 +298,8 @@
 	},
 }
 
-// TestPlantedFaults: the faults still fit the sources; with -controlplane.planted each is planted, and the tests
-// named have to find it.
+// TestPlantedFaults checks that the faults still match the sources. With -controlplane.planted it plants each fault,
+// and the named tests must detect it.
 func TestPlantedFaults(t *testing.T) {
 	if !*planted {
 		plantedfault.Fit(t, partitionFaults)
--- a/internal/fleet/controlplane/residency_test.go
+++ b/internal/fleet/controlplane/residency_test.go
@@ -18,10 +18,10 @@
 	"molepaddle/internal/fleet/settings"
 )
 
-// testTimeout bounds what is waited for that has to come.
+// testTimeout bounds the wait for events that must happen.
 const testTimeout = 20 * time.Second
 
-// newSoloServer is a control server that is all of the core, without its network.
+// newSoloServer returns a control server that is the only member of its core, without its network.
 func newSoloServer(c *qt.C) *Server {
 	n := uint64(0)
 	set := settings.Settings{
@@ -63,12 +63,12 @@
 		select {
 		case <-changed:
 		case <-over:
-			c.Fatal("no primary")
+			c.Fatal("the server did not become primary in time")
 		}
 	}
 }
 
-// call makes a call of the operator.
+// call makes an operator call.
 func call(server *Server, method, target string, body []byte) (int, http.Header, externalapi.ResidencyReport) {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(context.Background(), method, target, bytes.NewReader(body))
@@ -94,7 +94,7 @@
 	road = residencyreport.Pair{Route: "r/1", Region: "east"}
 )
 
-// awaitRows waits until a server shows so many rows of the residency record.
+// awaitRows waits until a server shows the given number of rows of the residency record.
 func awaitRows(c *qt.C, server *Server, rows int) externalapi.ResidencyReport {
 	over := time.After(testTimeout)
 	for {
@@ -104,14 +104,14 @@
 		}
 		select {
 		case <-over:
-			c.Fatal("the residency record isn't written")
+			c.Fatal("the residency record was not written in time")
 		default:
 		}
 	}
 }
 
-// TestResidencyIsRecordedAndShown: what arrives is committed, shown and acknowledged, and leaves no trace in what the
-// operator changes.
+// TestResidencyIsRecordedAndShown checks that received batches are committed, shown and acknowledged, and don't affect
+// the operator's configuration.
 func TestResidencyIsRecordedAndShown(t *testing.T) {
 	c := qt.New(t)
 	server := newSoloServer(c)
@@ -122,7 +122,7 @@
 		server.recordResidency(ctx)
 	}()
 	defer func() { cancel(); <-ended }()
-	server.ResidencyInterval = testTimeout // before anything arrives
+	server.ResidencyInterval = testTimeout // before the first batch arrives
 
 	status, _, report := call(server, http.MethodGet, "/molepaddle/residency", nil)
 	c.Assert(status, qt.Equals, http.StatusOK)
@@ -166,7 +166,7 @@
 	c.Assert(report.Rows, qt.HasLen, 0)
 }
 
-// TestResidencyNotCommitted: a batch is acknowledged only where a committed state has it.
+// TestResidencyNotCommitted checks that a batch is acknowledged only if a committed state contains it.
 func TestResidencyNotCommitted(t *testing.T) {
 	c := qt.New(t)
 	server := newSoloServer(c)
@@ -178,8 +178,7 @@
 	c.Assert(server.hasNewPairs([]residencyreport.Batch{first, batchOf(1, 2, labs)}), qt.IsFalse)
 	c.Assert(server.hasNewPairs([]residencyreport.Batch{first, batchOf(1, 2, road)}), qt.IsTrue)
 
-	// The state is ahead of what is known to be committed: nothing is proposed on top of that, and nothing
-	// acknowledged.
+	// The state is ahead of the committed one: nothing is proposed on top of it, and nothing is acknowledged.
 	var committed *residencyreport.Totals
 	runInDriver(server, func() { committed, server.state.residency = server.state.residency, nil })
 	second := batchOf(1, 2, labs)
@@ -192,7 +191,7 @@
 	c.Assert(server.committed.Load().residency.Report(nil)[0].Counts.Decodes, qt.Equals, int64(4))
 }
 
-// runInDriver does something in the driver's goroutine, which the state belongs to.
+// runInDriver runs a function in the driver's goroutine, to which the state belongs.
 func runInDriver(server *Server, do func()) {
 	done := make(chan struct{})
 	server.inputs <- func(now time.Duration) replication.Output {
@@ -203,8 +202,8 @@
 	<-done
 }
 
-// TestResidencyIsRedirected: whoever isn't the primary redirects callers, with what they ask for, once it has heard the
-// primary of its view.
+// TestResidencyIsRedirected checks that a machine that isn't the primary redirects callers, including the query, once
+// the primary of its view has contacted it.
 func TestResidencyIsRedirected(t *testing.T) {
 	c := qt.New(t)
 	server := newSoloServer(c)
@@ -216,8 +215,8 @@
 		PrimaryAddr: "127.0.0.2:7",
 	})
 	status, _, _ := call(server, http.MethodGet, "/molepaddle/residency?tenant=a%2Fb+c", nil)
-	c.Assert(status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("its primary has not been heard"))
-	server.contact.renew(epoch, time.Now().Add(time.Minute)) // since the call came
+	c.Assert(status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("its primary has not contacted it"))
+	server.contact.renew(epoch, time.Now().Add(time.Minute)) // after the call arrives
 	status, header, _ := call(server, http.MethodGet, "/molepaddle/residency?tenant=a%2Fb+c", nil)
 	c.Assert(status, qt.Equals, http.StatusTemporaryRedirect)
 	c.Assert(header.Get("Location"), qt.Equals, "http://127.0.0.2:9/molepaddle/residency?tenant=a%2Fb+c")
--- a/internal/fleet/controlplane/simulatedcore_test.go
+++ b/internal/fleet/controlplane/simulatedcore_test.go
@@ -10,7 +10,7 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// member is one machine of a simulated core: the real replication machine over the real state, and a disk in memory.
+// member is a machine of a simulated core: the real replication machine with the real state, and a disk in memory.
 type member struct {
 	addr, zone     string
 	disk           replication.PersistentState
@@ -19,14 +19,14 @@
 	committed      *appliedState // newest committed state
 	incarnation    int
 	started        time.Duration
-	busy           time.Duration       // until: a write is under way, or the process is frozen
-	writing        *replication.Output // not yet on the disk
-	ticks          int                 // numbers the planned ticks: the newest counts
+	busy           time.Duration       // end of the current write or suspension
+	writing        *replication.Output // output whose write is not on the disk yet
+	ticks          int                 // number of the newest scheduled tick; earlier ones are void
 	pendingAnswers map[uint64]func(replication.Answer)
 	token          uint64
 }
 
-// event is something that happens at a time.
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at    time.Duration
 	order int
@@ -48,7 +48,7 @@
 	return last
 }
 
-// simulatedCore is a core in virtual time.
+// simulatedCore is a core that runs in virtual time.
 type simulatedCore struct {
 	rng             *rand.Rand
 	now             time.Duration
@@ -57,8 +57,8 @@
 	members         []*member
 	seeds           []string
 	survive         int
-	messageLossRate float64                     // share of messages that are lost
-	cuts            map[[2]string]time.Duration // until, by direction
+	messageLossRate float64                     // probability that a message is lost
+	cuts            map[[2]string]time.Duration // end of each cut, by direction
 	err             error
 }
 
@@ -85,7 +85,7 @@
 	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
 
-// runUntil plays events up to a time, or until stop says so.
+// runUntil runs events up to a time, or until stop returns true.
 func (c *simulatedCore) runUntil(end time.Duration, stop func() bool) (stopped bool) {
 	for c.err == nil && len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(event)
@@ -127,7 +127,7 @@
 	c.tick(m)
 }
 
-// kill ends a process. A write under way gets to the disk or not.
+// kill ends a process. A write in progress may or may not reach the disk.
 func (c *simulatedCore) kill(m *member) {
 	if m.replica == nil {
 		return
@@ -139,13 +139,13 @@
 	m.incarnation++
 }
 
-// restart kills a process and starts it again a little later.
+// restart kills a process and starts it again after a short time.
 func (c *simulatedCore) restart(m *member) {
 	c.kill(m)
 	c.after(c.randomUpTo(time.Second), func() { c.start(m) })
 }
 
-// input has a member take an input when it is free, if the process lives so long.
+// input has a member execute an input once it is idle, unless its process ends before.
 func (c *simulatedCore) input(m *member, do func(now time.Duration) replication.Output) {
 	if m.replica == nil {
 		return
@@ -175,7 +175,7 @@
 	})
 }
 
-// processOutput does what the server's driver does once an output's write is on the disk.
+// processOutput does what the server's driver does once the write of an output is on the disk.
 func (c *simulatedCore) processOutput(m *member, out *replication.Output) {
 	if done := m.state.takeCommitted(out.Committed); len(done) > 0 {
 		if last := &done[len(done)-1]; m.committed == nil || last.seq > m.committed.seq {
@@ -204,7 +204,7 @@
 	c.input(m, func(now time.Duration) replication.Output { return m.replica.Tick(now) })
 }
 
-// ask hands a member an input with a token, and gives its answer to deliver unless the process ends before.
+// ask gives a member an input with a token, and passes its answer to deliver unless the process ends before.
 func (c *simulatedCore) ask(
 	m *member, do func(now time.Duration, token uint64) replication.Output, deliver func(replication.Answer),
 ) {
@@ -244,7 +244,7 @@
 	})
 }
 
-// allInSync reports whether all members are in one view whose primary serves: another disk may be lost.
+// allInSync reports whether all members are in one view with a ready primary, so that another disk may be lost.
 func (c *simulatedCore) allInSync() bool {
 	for _, p := range c.members {
 		if p.replica == nil {
@@ -298,7 +298,7 @@
 	}
 }
 
-// endFaults ends all troubles, and starts what is down.
+// endFaults ends all faults and starts the stopped members.
 func (c *simulatedCore) endFaults() {
 	c.messageLossRate = 0
 	clear(c.cuts)
@@ -307,7 +307,7 @@
 	}
 }
 
-// save carries a write out on a disk in memory.
+// save applies a write to a disk in memory.
 func save(d *replication.PersistentState, w *replication.Write) {
 	if w.Reset {
 		*d = replication.PersistentState{}
--- a/internal/fleet/controlplane/stored_test.go
+++ b/internal/fleet/controlplane/stored_test.go
@@ -15,11 +15,11 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// storedFile is the state of a control server that an earlier build left.
+// storedFile is the state of a control server left by an earlier build.
 const storedFile = "testdata/stored/control.db"
 
-// storedChanges are the changes that led to storedFile, as they were proposed: configurations, where data rested, and
-// a change of named items.
+// storedChanges returns the changes that led to storedFile, as proposed: configurations, residency writes, and an
+// update of named items.
 func storedChanges(c *qt.C) (bodies [][]byte) {
 	for version := int64(1); version <= 12; version++ {
 		bodies = append(bodies, configCommand(version-1, version))
@@ -33,8 +33,8 @@
 	return append(bodies, residencyCommand(9, 2, 5), body, residencyCommand(1<<63, 1, 6))
 }
 
-// writeStored writes storedFile: three servers in virtual time take the changes, the first primary is restarted on the
-// way, and the state of the last one is kept.
+// writeStored writes storedFile: three servers in virtual time commit the changes, the first primary is restarted on
+// the way, and the state of the last one is saved.
 func writeStored(c *qt.C) {
 	core := newSimulatedCore(5, 3, 1)
 	for _, m := range core.members {
@@ -84,9 +84,9 @@
 	c.Assert(os.WriteFile(storedFile, file, 0o644), qt.IsNil)
 }
 
-// TestStoredFolder reads the state that a control server of an earlier build left: the members it knew, the record
-// with its configuration, the changes that it recognises and where data rested. A machine of this build takes it over,
-// and what is written to it afterwards is kept. With -update the state is written anew.
+// TestStoredFolder checks that the state left by a control server of an earlier build is read: its members, the
+// configuration, the accepted changes and the residency record. A machine of this build takes over the state and adds
+// to it. With -update the state is generated anew.
 func TestStoredFolder(t *testing.T) {
 	c := qt.New(t)
 	if goldenbytes.Updating() {
@@ -117,7 +117,7 @@
 	c.Check(st.Snapshot.Seq, qt.Equals, uint64(10))
 	c.Check(st.Changes, qt.HasLen, 6)
 
-	// A machine of this build takes the record over.
+	// A machine of this build takes over the state.
 	r := &controlState{}
 	_, err = replication.New(replication.Options{
 		Self:              replication.Member{Addr: "10.0.2.1:7000", Zone: "z2", Region: "r"},
@@ -153,7 +153,7 @@
 	c.Check(r.residency.AckedUpTo(9), qt.Equals, uint64(2))
 	c.Check(r.residency.AckedUpTo(1<<63), qt.Equals, uint64(1))
 
-	// A change that is written afterwards is there beside the others when the server starts again.
+	// A change written afterwards is present with the others after a restart.
 	last := st.Changes[len(st.Changes)-1]
 	next := replication.Change{Seq: 17, Body: configCommand(20, 21)}
 	next.Digest = replication.ChainDigest(last.Digest, next.Seq, next.Body)
--- a/internal/fleet/controlplane/transport_test.go
+++ b/internal/fleet/controlplane/transport_test.go
@@ -13,8 +13,8 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// TestRestartedPeerGetsTheNextMessage: a peer's process ends and its successor listens at the same address; the first
-// message after that reaches the successor and isn't written to the connection of the old one.
+// TestRestartedPeerGetsTheNextMessage checks that the first message after a peer's restart at the same address reaches
+// the new process and isn't written to the connection of the old one.
 func TestRestartedPeerGetsTheNextMessage(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 		r := bufio.NewReader(conn)
 		c.Assert(distribution.ReadFrame(r, &got), qt.IsNil)
 		c.Assert(got.Round, qt.Equals, round)
-		// The end of this side is seen, and answered by the end of the other.
+		// The sender detects that this side has closed, and closes its own side.
 		c.Assert(conn.(*net.TCPConn).CloseWrite(), qt.IsNil)
 		_, err = r.ReadByte()
 		c.Assert(err, qt.Equals, io.EOF)
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestMessageToAReplacedProcess: the first message to a process that replaced another at the same address
-// arrives: a takeover that waits for one reply isn't held up by the end of the process that it would have gone to.
+// TestMessageToAReplacedProcess checks that the first message to a process that replaced another at the same address
+// arrives. A takeover that waits for a single reply would be delayed if that message were lost.
 func TestMessageToAReplacedProcess(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,16 +64,16 @@
 	p.send(addr, replication.Message{Round: 1})
 	conn, r := receive(ln)
 	c.Assert(round(r), qt.Equals, uint64(1))
-	// The process ends, and the next one listens.
+	// The process ends and its replacement listens.
 	ln.Close()
 	conn.Close()
 	next, err := net.Listen("tcp", addr)
 	c.Assert(err, qt.IsNil)
 	defer next.Close()
 	select {
-	case <-ended: // the end was noticed without a message
-	case <-time.After(peerIdleTimeout / 2): // before an idle connection is closed anyhow
-		c.Fatal("the end of a connection is not noticed")
+	case <-ended: // the end was detected without a message
+	case <-time.After(peerIdleTimeout / 2): // before an idle connection is closed in any case
+		c.Fatal("the end of the connection was not detected")
 	}
 	p.send(addr, replication.Message{Round: 2})
 	_ = next.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
@@ -82,7 +82,7 @@
 	c.Assert(round(r), qt.Equals, uint64(2), qt.Commentf("the first message is not lost"))
 }
 
-// closeRecorder tells when a connection is closed.
+// closeRecorder is a connection that sends to ended when it is closed.
 type closeRecorder struct {
 	net.Conn
 	ended chan<- struct{}
--- a/internal/fleet/controlplane/verdict_test.go
+++ b/internal/fleet/controlplane/verdict_test.go
@@ -22,8 +22,9 @@
 	r.Apply(r.seq+1, b)
 }
 
-// TestResubmittedChange: a change that was accepted is acknowledged again, also after others, after a snapshot and
-// where another change carries its number; one that wasn't is refused once another change was made.
+// TestResubmittedChange checks that an accepted change is acknowledged again, also after other changes, after a restore
+// and if another change has the same version; and that a change that wasn't accepted is rejected once another was
+// accepted on its base.
 func TestResubmittedChange(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestVerdictWaitsForCommit: an answer about changes that aren't committed yet is not told, as they may be lost.
+// TestVerdictWaitsForCommit checks that a verdict based on uncommitted changes is withheld, as they may be lost.
 func TestVerdictWaitsForCommit(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
--- a/internal/fleet/controlplane/wire_test.go
+++ b/internal/fleet/controlplane/wire_test.go
@@ -13,8 +13,8 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestStoredBytes holds the changes and the snapshots of the record. The current build must write and read them as all
-// builds before it.
+// TestStoredBytes checks the encoding of commands and snapshots, which this build must read and write like all earlier
+// ones.
 func TestStoredBytes(t *testing.T) {
 	goldenbytes.Messages(t, map[string]goldenbytes.Message{
 		"call":   new(Command),
@@ -22,8 +22,8 @@
 	})
 }
 
-// TestStoredBytesWithoutQuota holds the changes and snapshots of builds before the record had the ceilings of quotas. They
-// are read, and written as they were.
+// TestStoredBytesWithoutQuota checks that commands and snapshots of builds without quota ceilings are read, and written
+// in the same form.
 func TestStoredBytesWithoutQuota(t *testing.T) {
 	for name, m := range map[string]goldenbytes.Message{"call": new(Command), "stored": new(StoredState)} {
 		t.Run(name, func(t *testing.T) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestStoredDigests holds the digests by which a change that is sent again is recognised, also by another build than
-// the one that accepted it.
+// TestStoredDigests checks the digests by which a resubmitted change is recognised, also by another build than the one
+// that accepted it.
 func TestStoredDigests(t *testing.T) {
 	c := qt.New(t)
 	body := []byte(`{"ver":8}`)
@@ -49,7 +49,7 @@
 	c.Check((&Command{Base: 7, Body: body}).digest(), qt.Equals, uint64(4198221720812242868))
 }
 
-// TestWireBytesOfRefusal holds the body with which a call is refused.
+// TestWireBytesOfRefusal checks the body of the response to a rejected call.
 func TestWireBytesOfRefusal(t *testing.T) {
 	c := qt.New(t)
 	w := httptest.NewRecorder()
--- a/internal/fleet/statestore/files.go
+++ b/internal/fleet/statestore/files.go
@@ -17,7 +17,7 @@
 	return wrap(f.Sync(), "sync")
 }
 
-// makeDirDurable creates dir and its missing parents, and syncs each before it creates the next.
+// makeDirDurable creates dir and its missing parents, and syncs each in its parent before it creates the next.
 func makeDirDurable(dir string) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
--- a/internal/fleet/statestore/schema.go
+++ b/internal/fleet/statestore/schema.go
@@ -68,7 +68,7 @@
 	return store, st, err
 }
 
-// connect takes the file's lock and has SQLite check that the file is no ruin.
+// connect opens the connection, locks the file, and has SQLite check the file's integrity.
 func (s *Store) connect(ctx context.Context, path string) (err error) {
 	if s.conn, err = s.db.Conn(ctx); err != nil {
 		return classify(path, errors.Wrap(err, "connect"))
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// ensureSchema makes the tables of an empty file and refuses the schema of another version. A newer one is an error
-// that no waiting mends and not an *UnusableError: the file of a newer program is kept where it is.
+// ensureSchema creates the tables of an empty file and rejects other schema versions. A newer version is a permanent
+// error and not an *UnusableError: the file of a newer build stays in place.
 func (s *Store) ensureSchema(ctx context.Context, path string) (created bool, err error) {
 	var version, tables int
 	if err := s.conn.QueryRowContext(ctx, "PRAGMA user_version").Scan(&version); err != nil {
