--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -174,7 +174,7 @@
 	plantedfault.Find(t, []plantedfault.Fault{
 		{Name: "the state after each change is kept", Tests: "^TestRestartAfterManyChanges$", Texts: []string{
 			"const maxRecent = 64", "const maxRecent = 4096"}},
-		{Name: "a change is published as following another one", Tests: "^TestPublishedChangesAreContiguous$", Texts: []string{
+		{Name: "a change is published after the wrong one", Tests: "^TestPublishedChangesAreContiguous$", Texts: []string{
 			" || next.prevDocSeq != was.docSeq", ""}},
 	})
 }
--- a/internal/fleet/controlplane/handler_test.go
+++ b/internal/fleet/controlplane/handler_test.go
@@ -42,13 +42,13 @@
 		want int
 		told string
 	}{
-		{"on a base ahead of the first", second, http.StatusServiceUnavailable, "version 0 is in place; version 5 is not known yet"},
+		{"ahead of the first", second, http.StatusServiceUnavailable, "version 0 is in place; version 5 is not known yet"},
 		{"the first", first, http.StatusOK, ""},
 		{"the next", second, http.StatusOK, ""},
 		{"the first again", first, http.StatusOK, ""},
-		{"another change on the first base", replaceCommand(0, "5", "b"), http.StatusPreconditionFailed, "version 7 is in place"},
+		{"another on its base", replaceCommand(0, "5", "b"), http.StatusPreconditionFailed, "version 7 is in place"},
 		{"an invalid one", updateCommand(7, 7), http.StatusBadRequest, "the configuration is invalid"},
-		{"on a base ahead of the current version", updateCommand(8, 9), http.StatusServiceUnavailable, "version 7 is in place; version 8 is not known yet"},
+		{"ahead", updateCommand(8, 9), http.StatusServiceUnavailable, "version 7 is in place; version 8 is not known yet"},
 	} {
 		w := sendChange(c.Context(), server, tc.call, bytes.NewReader(tc.call.Body))
 		c.Check(w.Code, qt.Equals, tc.want, qt.Commentf("%s: %s", tc.name, w.Body))
--- a/internal/fleet/controlplane/histories_test.go
+++ b/internal/fleet/controlplane/histories_test.go
@@ -17,8 +17,8 @@
 
 var historySeeds = flag.Uint64("controlplane.seeds", 60, "number of random histories for each core size")
 
-// Operators send changes to a simulated core with faults, and retry each until the answer is clear (not 503). Duplicates
-// arrive late, also after that answer, and old calls are resubmitted. The history of calls and answers must be
+// Operators send changes to a simulated core with faults, and retry each until the answer is clear (not 503).
+// Duplicates arrive late, also after that answer, and old calls are resubmitted. The history of calls and answers must be
 // linearizable: a single machine that processes the calls one by one could have given the same answers.
 
 // faultsEnd is the time at which the faults of a history end.
@@ -308,7 +308,8 @@
 		}
 		accepted := h.members[i].state.accepted.lookup(r.call) == sameChange
 		if accepted != (answer.status == http.StatusOK) {
-			return fmt.Errorf("call %v was answered with %d, but accepted in the final state: %v", r.call.key(), answer.status, accepted)
+			return fmt.Errorf("call %v was answered with %d, but accepted in the final state: %v",
+				r.call.key(), answer.status, accepted)
 		}
 	}
 	switch porcupine.CheckOperationsTimeout(singleMachine(), h.ops, 20*time.Second) {
--- a/internal/fleet/controlplane/partition_test.go
+++ b/internal/fleet/controlplane/partition_test.go
@@ -81,7 +81,7 @@
 		cut   func(c *cluster, primary, other string)
 		hears bool
 	}{
-		{"both directions", func(c *cluster, primary, other string) { c.network.Partition([]string{primary}, []string{other}) }, false},
+		{"both ways", func(c *cluster, primary, other string) { c.network.Partition([]string{primary}, []string{other}) }, false},
 		{"outgoing", func(c *cluster, primary, other string) { c.network.Cut(primary, other) }, true},
 		{"incoming", func(c *cluster, primary, other string) { c.network.Cut(other, primary) }, false},
 	} {
@@ -99,7 +99,8 @@
 				heard = others
 			}
 			c.expectUnavailable(old, 5, callerTimeout, heard...)
-			// One of two changes with the same version was sent to the old primary only; its backups may have received it.
+			// One of two changes with the same version was sent to the old primary only; its backups may have received
+			// it.
 			in := c.showConfig(others...)
 			t.Logf("shown by the other members %v after the partition, at attempt %d", in.At.Sub(cut), in.Attempts)
 			c.replaceConfig(in.Version, in.Version+2, others...)
--- a/internal/fleet/controlplane/phasecontroller_test.go
+++ b/internal/fleet/controlplane/phasecontroller_test.go
@@ -57,7 +57,7 @@
 	}
 	c.network.Partition([]string{holder}, c.others(holder))
 	began := time.Now()
-	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("the epoch is not confirmed"))
+	c.Assert(p.confirmAndOrder(c.Context(), backend, true, 0, epoch), qt.IsFalse, qt.Commentf("unconfirmed epoch"))
 	c.Assert(time.Since(began) < confirmAndOrderTimeout+promptAnswer, qt.IsTrue)
 	next := c.primary(c.others(holder)...)
 	later := c.servers[next].status.Load().Epoch
@@ -206,7 +206,7 @@
 	reaches(old, 2)
 	c.network.Partition([]string{old}, c.others(old))
 	next := c.primary(c.others(old)...)
-	c.eventually("the primary knows that it is partitioned", func() bool { return !c.servers[old].isLeader(c.servers[old].status.Load()) }, old)
+	c.eventually("the cut is detected", func() bool { return !c.servers[old].isLeader(c.servers[old].status.Load()) }, old)
 	reaches(next, 1)
 	before := count(old)
 	reaches(next, 4)
--- a/internal/fleet/controlplane/poller.go
+++ b/internal/fleet/controlplane/poller.go
@@ -117,7 +117,8 @@
 			p.term.ahead = map[string]bool{}
 		}
 		p.term.ahead[client] = true
-		p.server.log.Warn("node agent has a newer configuration than the primary, restart it", zap.String("agent", client))
+		p.server.log.Warn("node agent has a newer configuration than the primary, restart it",
+			zap.String("agent", client))
 	}
 }
 
--- a/internal/fleet/controlplane/publish.go
+++ b/internal/fleet/controlplane/publish.go
@@ -22,7 +22,8 @@
 		return
 	}
 	s.quota.SetCeilings(last.quota)
-	// Local readers see the state only after pulling clients can: a version that a caller reads here is available there.
+	// Local readers see the state only after pulling clients can: a version that a caller reads here is available to
+	// them.
 	defer s.committed.Store(last)
 	configs := newConfigs(was, done)
 	if len(configs) == 0 {
--- a/internal/fleet/controlplane/server.go
+++ b/internal/fleet/controlplane/server.go
@@ -103,7 +103,8 @@
 		return nil, errors.Wrap(err, "open state store")
 	}
 	if persisted.DiskLost {
-		log.Warn("state store is unusable and was set aside, treating the disk as lost", zap.Error(storage.SetAsideCause()))
+		log.Warn("state store is unusable and was set aside, treating the disk as lost",
+			zap.Error(storage.SetAsideCause()))
 	}
 	s := &Server{
 		ResidencyInterval: DefaultResidencyInterval,
