--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -175,6 +175,6 @@
 		{Name: "the state after each change is kept", Tests: "^TestRestartAfterManyChanges$", Texts: []string{
 			"const maxRecent = 64", "const maxRecent = 4096"}},
 		{Name: "a change is published after the wrong one", Tests: "^TestPublishedChangesAreContiguous$", Texts: []string{
-			" || next.prevDocSeq != was.docSeq", ""}},
+			" || next.prevDocSeq != previous.docSeq", ""}},
 	})
 }
--- a/internal/fleet/controlplane/controlstate.go
+++ b/internal/fleet/controlplane/controlstate.go
@@ -90,9 +90,9 @@
 	if n == 0 {
 		return nil
 	}
-	done := cs.recent[:n:n]
+	states := cs.recent[:n:n]
 	cs.recent = cs.recent[n-1:]
-	return done
+	return states
 }
 
 // Snapshot returns the encoded state, for Restore.
--- a/internal/fleet/controlplane/driver.go
+++ b/internal/fleet/controlplane/driver.go
@@ -86,17 +86,17 @@
 // publishStatus publishes the replica's status and wakes the goroutines that wait for a change of it.
 func (s *Server) publishStatus() {
 	st := s.replica.Status()
-	was := s.status.Swap(&st)
+	previous := s.status.Swap(&st)
 	next := make(chan struct{})
 	close(*s.changed.Swap(&next))
-	if was.Epoch != st.Epoch {
+	if previous.Epoch != st.Epoch {
 		s.contact.enterEpoch(st.Epoch, time.Now())
 		s.publishCoreMembers(&st)
 	}
-	if st.Role == replication.Primary && st.Ready && (was.Epoch != st.Epoch || !was.Ready) {
+	if st.Role == replication.Primary && st.Ready && (previous.Epoch != st.Epoch || !previous.Ready) {
 		s.quota.Lead(st.Epoch, s.state.quota)
 	}
-	if was.Epoch == st.Epoch && was.Role == st.Role && was.Ready == st.Ready {
+	if previous.Epoch == st.Epoch && previous.Role == st.Role && previous.Ready == st.Ready {
 		return
 	}
 	s.log.Info("view changed",
--- a/internal/fleet/controlplane/handler_test.go
+++ b/internal/fleet/controlplane/handler_test.go
@@ -37,10 +37,10 @@
 	server := newSoloServer(c)
 	first, second := replaceCommand(0, "5", "a"), updateCommand(5, 7)
 	for _, tc := range []struct {
-		name string
-		call *Command
-		want int
-		told string
+		name   string
+		call   *Command
+		want   int
+		reason string
 	}{
 		{"ahead of the first", second, http.StatusServiceUnavailable, "version 0 is in place; version 5 is not known yet"},
 		{"the first", first, http.StatusOK, ""},
@@ -52,7 +52,7 @@
 	} {
 		w := sendChange(c.Context(), server, tc.call, bytes.NewReader(tc.call.Body))
 		c.Check(w.Code, qt.Equals, tc.want, qt.Commentf("%s: %s", tc.name, w.Body))
-		c.Check(strings.Contains(w.Body.String(), tc.told), qt.IsTrue, qt.Commentf("%s: %s", tc.name, w.Body))
+		c.Check(strings.Contains(w.Body.String(), tc.reason), qt.IsTrue, qt.Commentf("%s: %s", tc.name, w.Body))
 		retry := w.Header().Get(externalapi.HeaderRetryAfter) != ""
 		c.Check(retry, qt.Equals, tc.want == http.StatusServiceUnavailable, qt.Commentf("%s", tc.name))
 	}
--- a/internal/fleet/controlplane/histories_test.go
+++ b/internal/fleet/controlplane/histories_test.go
@@ -211,7 +211,7 @@
 func (h *history) operator(client int) {
 	var known int64
 	var next func()
-	again := func() { h.after(h.randomUpTo(100*time.Millisecond), next) }
+	continueLater := func() { h.after(h.randomUpTo(100*time.Millisecond), next) }
 	next = func() {
 		if h.stopping {
 			return
@@ -220,14 +220,14 @@
 		case draw == 0:
 			h.operate(client, request{}, func(answer historyReply) {
 				known = answer.version
-				again()
+				continueLater()
 			})
 		case draw <= 2 && len(h.asked) > 0: // an old call
 			h.operate(client, h.asked[h.rng.IntN(len(h.asked))], func(answer historyReply) {
 				if answer.status == http.StatusOK {
 					h.resubmitted++
 				}
-				again()
+				continueLater()
 			})
 		default:
 			r := h.change(known)
@@ -241,12 +241,12 @@
 			h.operate(client, r, func(answer historyReply) {
 				if answer.status == http.StatusOK {
 					known = r.version
-					again()
+					continueLater()
 					return
 				}
 				h.operate(client, request{}, func(answer historyReply) {
 					known = answer.version
-					again()
+					continueLater()
 				})
 			})
 		}
--- a/internal/fleet/controlplane/idempotency_bench_test.go
+++ b/internal/fleet/controlplane/idempotency_bench_test.go
@@ -57,7 +57,7 @@
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := stateWithChanges(b, n)
-			whole := len(r.Snapshot())
+			encodedSize := len(r.Snapshot())
 			s := storedBy(b, r)
 			s.Versions, s.Digests, s.OldestBase = nil, nil, nil
 			rest, err := s.MarshalMsg(nil)
@@ -70,7 +70,7 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(whole-len(rest)), "snapshot-bytes")
+			b.ReportMetric(float64(encodedSize-len(rest)), "snapshot-bytes")
 			b.ReportMetric(float64(8*(cap(r.accepted.versions)+cap(r.accepted.digests))), "memory-bytes")
 		})
 	}
--- a/internal/fleet/controlplane/idempotency_model_test.go
+++ b/internal/fleet/controlplane/idempotency_model_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// rival sends a call that may differ from another only in its operation or base.
-func (lt *acceptedLogTest) rival(t *rapid.T) {
+// conflictingCall sends a call that may differ from another only in its operation or base.
+func (lt *acceptedLogTest) conflictingCall(t *rapid.T) {
 	if len(lt.sent) == 0 {
 		return
 	}
@@ -236,7 +236,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"a new call":                           lt.newCall,
 			"a duplicate arrives":                  lt.duplicateArrives,
-			"another call on the same base":        lt.rival,
+			"another call on the same base":        lt.conflictingCall,
 			"the base of a call is reached":        lt.baseReached,
 			"many changes":                         lt.manyChanges,
 			"all is committed":                     lt.allCommitted,
--- a/internal/fleet/controlplane/idempotency_test.go
+++ b/internal/fleet/controlplane/idempotency_test.go
@@ -101,7 +101,7 @@
 		{"other content under the same number", replaceCommand(5, "7", "b"), http.StatusPreconditionFailed},
 		{"another number on the same base", replaceCommand(5, "9", "a"), http.StatusPreconditionFailed},
 		{"the same content on the base before", replaceCommand(0, "7", "a"), http.StatusPreconditionFailed},
-		{"the same content on a base that was passed over", replaceCommand(6, "7", "a"), http.StatusPreconditionFailed},
+		{"the same content on a skipped base", replaceCommand(6, "7", "a"), http.StatusPreconditionFailed},
 		{"the same content on the newest base", replaceCommand(12, "7", "a"), http.StatusBadRequest},
 		{"the same body as another operation", asReplace(third), http.StatusPreconditionFailed},
 		{"an invalid change on an older base", &Command{Base: 5, Body: []byte("{")}, http.StatusPreconditionFailed},
@@ -121,7 +121,7 @@
 func TestResubmittedAfterManyChanges(t *testing.T) {
 	qt.Assert(t, maxRemembered >= 4096, qt.IsTrue)
 	r := &controlState{}
-	first, rival := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b")
+	first, conflicting := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b")
 	accept(t, r, first)
 	after := 0
 	for _, upTo := range []int{1, 63, 64, 200, 1000, 4095, maxRemembered - 1} {
@@ -129,12 +129,12 @@
 		after = upTo
 		for _, one := range []*controlState{r, restored(t, r)} {
 			qt.Check(t, judged(one, first), qt.Equals, http.StatusOK, qt.Commentf("after %d changes", upTo))
-			qt.Check(t, judged(one, rival), qt.Equals, http.StatusPreconditionFailed, qt.Commentf("after %d changes", upTo))
+			qt.Check(t, judged(one, conflicting), qt.Equals, http.StatusPreconditionFailed, qt.Commentf("after %d changes", upTo))
 		}
 	}
 	acceptMore(t, r, 1)
 	for _, one := range []*controlState{r, restored(t, r)} {
-		for _, call := range []*Command{first, rival, updateCommand(4, 5), {Base: 0, Body: []byte("{")}} {
+		for _, call := range []*Command{first, conflicting, updateCommand(4, 5), {Base: 0, Body: []byte("{")}} {
 			qt.Check(t, judged(one, call), qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%d %s", call.Base, call.Body))
 		}
 		qt.Check(t, judged(one, updateCommand(5, 6)), qt.Equals, http.StatusOK)
@@ -293,10 +293,10 @@
 	accept(t, r, after)
 	v := r.judge(lost)
 	qt.Assert(t, v.status, qt.Equals, http.StatusOK)
-	qt.Assert(t, v.seq, qt.Equals, r.seq, qt.Commentf("not told before all of this is committed"))
+	qt.Assert(t, v.seq, qt.Equals, r.seq, qt.Commentf("withheld until the state is committed"))
 	qt.Assert(t, r.Restore(seq, committed), qt.IsNil)
 	qt.Check(t, judged(r, after), qt.Equals, http.StatusServiceUnavailable,
-		qt.Commentf("it can be accepted once the one before comes again"))
+		qt.Commentf("acceptable once the previous change is resubmitted"))
 	qt.Check(t, judged(r, lost), qt.Equals, proposed)
 	accept(t, r, replaceCommand(5, "8", "b"))
 	qt.Check(t, judged(r, lost), qt.Equals, http.StatusPreconditionFailed)
--- a/internal/fleet/controlplane/partition_test.go
+++ b/internal/fleet/controlplane/partition_test.go
@@ -31,14 +31,14 @@
 	}
 	current := fmt.Sprint(version)
 	return map[string]func(c *cluster, ip string) reply{
-		"a change":                    replace(current, configDocument(version+1)),
-		"a change sent again":         replace("0", configDocument(version)),
-		"a change on another base":    replace(fmt.Sprint(version+5), configDocument(version+6)),
-		"an invalid change":           replace(current, []byte(`{"ver":1}`)),
-		"show":                        get(externalapi.CallShow.Path),
-		"status":                      get(externalapi.CallStatus.Path),
-		"residency":                   get(externalapi.CallResidency.Path),
-		"residency of an unknown one": get(externalapi.CallResidency.Path + "?tenant=nobody"),
+		"a change":                       replace(current, configDocument(version+1)),
+		"a change sent again":            replace("0", configDocument(version)),
+		"a change on another base":       replace(fmt.Sprint(version+5), configDocument(version+6)),
+		"an invalid change":              replace(current, []byte(`{"ver":1}`)),
+		"show":                           get(externalapi.CallShow.Path),
+		"status":                         get(externalapi.CallStatus.Path),
+		"residency":                      get(externalapi.CallResidency.Path),
+		"residency of an unknown tenant": get(externalapi.CallResidency.Path + "?tenant=nobody"),
 	}
 }
 
--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -171,7 +171,7 @@
 		Texts: []string{"return err == nil && externalapi.OrderTaken(status)", "return err == nil"},
 	},
 	{
-		Name:  "an order goes out under the fence of an earlier epoch",
+		Name:  "an order is sent with the fencing token of an earlier epoch",
 		Tests: "^TestOrdersNeedContact$",
 		Texts: []string{
 			"ans.Result == replication.Confirmed && st.Epoch == epoch",
@@ -179,7 +179,7 @@
 		},
 	},
 	{
-		Name:  "an order goes out after a freeze",
+		Name:  "an order is sent after a freeze",
 		Tests: "^TestOrderDroppedAfterFreeze$",
 		Texts: []string{
 			"\tif !time.Now().Before(deadline) {\n\t\treturn false\n\t}\n",
--- a/internal/fleet/controlplane/poller.go
+++ b/internal/fleet/controlplane/poller.go
@@ -189,9 +189,10 @@
 // recordPoll publishes the poller's state for the fleet status and the outlier detection.
 func (p *poller) recordPoll() {
 	t := &p.term
-	was := p.server.lastPoll.Load()
+	previous := p.server.lastPoll.Load()
 	fenced := p.phases.fenced(t.epoch)
-	if was == nil || was.epoch != t.epoch || was.at != t.lastAnswer || was.list != t.list || was.fenced != fenced {
+	if previous == nil || previous.epoch != t.epoch || previous.at != t.lastAnswer ||
+		previous.list != t.list || previous.fenced != fenced {
 		p.server.lastPoll.Store(&pollStatus{
 			epoch:  t.epoch,
 			since:  t.since,
--- a/internal/fleet/controlplane/publish.go
+++ b/internal/fleet/controlplane/publish.go
@@ -12,34 +12,35 @@
 // publishCommitted publishes the state up to a committed change to local readers and to the clients that pull from this
 // machine.
 func (s *Server) publishCommitted(committed uint64) {
-	done := s.state.takeCommitted(committed)
-	if len(done) == 0 {
+	states := s.state.takeCommitted(committed)
+	if len(states) == 0 {
 		return
 	}
-	last := &done[len(done)-1]
-	was := s.committed.Load()
-	if was != nil && was.seq >= last.seq {
+	last := &states[len(states)-1]
+	previous := s.committed.Load()
+	if previous != nil && previous.seq >= last.seq {
 		return
 	}
 	s.quota.SetCeilings(last.quota)
 	// Local readers see the state only after pulling clients can: a version that a caller reads here is available to
 	// them.
 	defer s.committed.Store(last)
-	configs := newConfigs(was, done)
+	configs := newConfigs(previous, states)
 	if len(configs) == 0 {
 		return // for example, only residency writes
 	}
 	s.quota.SetLimits(s.quotaRule.LimitsOf(last.doc.Accounts())) // before a proxy can learn of them
-	s.publishConfigs(was, configs)
+	s.publishConfigs(previous, configs)
 	s.recordConfigCommit(last, time.Now())
 	s.log.Info("configuration committed", zap.Uint64("seq", last.docSeq), zap.Int64("version", versionOf(last.doc)))
 }
 
-// newConfigs returns those of the states that contain a configuration newer than that of was; nil if there is none.
-func newConfigs(was *appliedState, states []appliedState) []*appliedState {
+// newConfigs returns those of the states that contain a configuration newer than that of previous; nil if there is
+// none.
+func newConfigs(previous *appliedState, states []appliedState) []*appliedState {
 	newest := uint64(0)
-	if was != nil {
-		newest = was.docSeq
+	if previous != nil {
+		newest = previous.docSeq
 	}
 	var configs []*appliedState
 	for i := range states {
@@ -53,23 +54,23 @@
 
 // publishConfigs publishes consecutive configurations, as incremental changes where possible. If the last one can't be
 // published as a change, it is published as a snapshot, and the ones before are not needed.
-func (s *Server) publishConfigs(was *appliedState, configs []*appliedState) {
+func (s *Server) publishConfigs(previous *appliedState, configs []*appliedState) {
 	for i, config := range configs {
-		if !s.publishChange(was, config) && i == len(configs)-1 {
+		if !s.publishChange(previous, config) && i == len(configs)-1 {
 			version := distribution.Version{Count: config.docSeq}
 			s.cache.SetSnapshot(distribution.ConfigType, version, config.doc.Show())
 		}
-		was = config
+		previous = config
 	}
 }
 
 // publishChange publishes a committed change incrementally. It returns false if the change is unknown or doesn't follow
 // the last published configuration: the complete configuration must then be published.
-func (s *Server) publishChange(was, next *appliedState) bool {
-	if was == nil || next.command == nil || next.prevDocSeq != was.docSeq {
+func (s *Server) publishChange(previous, next *appliedState) bool {
+	if previous == nil || next.command == nil || next.prevDocSeq != previous.docSeq {
 		return false
 	}
-	from := distribution.Version{Count: was.docSeq}
+	from := distribution.Version{Count: previous.docSeq}
 	to := distribution.Version{Count: next.docSeq}
 	change := distribution.Change{Version: to, Replace: next.command.Replace, Body: next.command.Body}
 	return s.cache.AppendChange(distribution.ConfigType, from, to, change, next.doc.Show)
@@ -85,7 +86,7 @@
 
 // recordConfigCommit records the time of a committed state if it contains a new configuration.
 func (s *Server) recordConfigCommit(state *appliedState, now time.Time) {
-	if was := s.committedConfig.Load(); was == nil || was.version != versionOf(state.doc) {
+	if previous := s.committedConfig.Load(); previous == nil || previous.version != versionOf(state.doc) {
 		s.committedConfig.Store(&configCommit{version: versionOf(state.doc), seq: state.docSeq, at: now})
 	}
 }
--- a/internal/fleet/controlplane/simulatedcore_test.go
+++ b/internal/fleet/controlplane/simulatedcore_test.go
@@ -62,7 +62,7 @@
 	err             error
 }
 
-// bootstrapUntil is when the first start of the whole system is over.
+// bootstrapUntil is the end of the initial bootstrap of the core.
 const bootstrapUntil = 2 * time.Second
 
 func newSimulatedCore(seed uint64, size, survive int) *simulatedCore {
--- a/internal/fleet/controlplane/verdict_test.go
+++ b/internal/fleet/controlplane/verdict_test.go
@@ -28,15 +28,15 @@
 func TestResubmittedChange(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
-	first, rival, second := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "7", "a")
+	first, conflicting, second := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "7", "a")
 	acceptReplace(c, r, first)
 	for range 2 {
 		c.Assert(r.judge(first).status, qt.Equals, http.StatusOK)
-		c.Assert(r.judge(rival).status, qt.Equals, http.StatusPreconditionFailed)
+		c.Assert(r.judge(conflicting).status, qt.Equals, http.StatusPreconditionFailed)
 		acceptReplace(c, r, second)
 		c.Assert(r.judge(first).status, qt.Equals, http.StatusOK)
 		c.Assert(r.judge(second).status, qt.Equals, http.StatusOK)
-		c.Assert(r.judge(rival).status, qt.Equals, http.StatusPreconditionFailed)
+		c.Assert(r.judge(conflicting).status, qt.Equals, http.StatusPreconditionFailed)
 		again := &controlState{}
 		c.Assert(again.Restore(r.seq, r.Snapshot()), qt.IsNil)
 		r, second = again, replaceCommand(7, "8", "c")
