--- a/internal/fleet/controlplane/phaseorder.go
+++ b/internal/fleet/controlplane/phaseorder.go
@@ -23,8 +23,8 @@
 	orderTransitBound = orderTimeout
 )
 
-// phaseTakeoverWait returns how long a new owner of the role sends no orders. The role must not change its active owner
-// twice within a lease, and a previous owner may send its last order up to confirmAndOrderTimeout after its view was
+// phaseTakeoverWait returns how long a new owner of the role sends no orders. At least a lease must lie between the
+// orders of two owners, and a previous owner may send its last order up to confirmAndOrderTimeout after its view was
 // last confirmed.
 func (s *Server) phaseTakeoverWait() time.Duration {
 	return s.settings.Bounds.Lease + confirmAndOrderTimeout + orderTransitBound
@@ -82,9 +82,9 @@
 // has taken another order since its report, has one in progress, has another identity, or has failed.
 //
 // Safety: the order is sent within confirmAndOrderTimeout of the request for the view's confirmation, and given up at
-// that time. The next owner of the role is chosen after the confirmation and sends no order before phaseTakeoverWait,
-// so a lease lies between the two (TestPhaseTakeoverWaitsForLease). If the process is suspended in between, the
-// deadline has passed and nothing is sent (TestOrderDroppedAfterFreeze).
+// that time. The next owner of the role is chosen after that request and sends no order before phaseTakeoverWait, so a
+// lease lies between the two (TestPhaseTakeoverWaitsForLease). If the process is suspended in between, the deadline has
+// passed and nothing is sent (TestOrderDroppedAfterFreeze).
 func (p *phaseController) confirmAndOrder(
 	ctx context.Context, b *distribution.Backend, prefill bool, expectedOrders, epoch uint64,
 ) (acknowledged bool) {
