--- a/internal/fleet/controlplane/idempotency_model_test.go
+++ b/internal/fleet/controlplane/idempotency_model_test.go
@@ -70,16 +70,16 @@
 		lt.judgeProposal(t, call, at)
 	case v.status == http.StatusOK:
 		if at < 0 {
-			t.Fatalf("acknowledged though it was not accepted: on %d %s", call.Base, call.Body)
+			t.Fatalf("call on base %d was acknowledged but never accepted: %s", call.Base, call.Body)
 		}
 	case v.status == http.StatusServiceUnavailable:
 		lt.judgeUnclear(t, call, at)
 	default:
 		if at >= 0 {
-			t.Fatalf("refused with %d though it was accepted at %d of %d", v.status, at, len(lt.model.calls))
+			t.Fatalf("rejected with status %d but accepted as change %d of %d", v.status, at, len(lt.model.calls))
 		}
 		if v.seq != uint64(len(lt.model.calls)) {
-			t.Fatalf("judged by %d of %d changes", v.seq, len(lt.model.calls))
+			t.Fatalf("verdict is based on %d of %d changes", v.seq, len(lt.model.calls))
 		}
 		if lt.model.committed == len(lt.model.calls) {
 			lt.refused[call] = true
@@ -89,25 +89,25 @@
 
 func (lt *acceptedLogTest) judgeProposal(t *rapid.T, call *Command, at int) {
 	if at >= 0 || call.Base != lt.model.current() {
-		t.Fatalf("proposed on %d at version %d, accepted at %d", call.Base, lt.model.current(), at)
+		t.Fatalf("proposed on base %d at version %d, accepted at index %d", call.Base, lt.model.current(), at)
 	}
 	if lt.refused[call] {
-		t.Fatalf("accepted after it was refused: on %d", call.Base)
+		t.Fatalf("accepted after a rejection: base %d", call.Base)
 	}
 	lt.accept(t, call)
 	if lt.state.doc.Version() == call.Base {
-		t.Fatalf("proposed though it is invalid: on %d %s", call.Base, call.Body)
+		t.Fatalf("invalid call was proposed: base %d, body %s", call.Base, call.Body)
 	}
 }
 
 func (lt *acceptedLogTest) judgeUnclear(t *rapid.T, call *Command, at int) {
 	forgotten := len(lt.model.calls) - maxRemembered
 	if at >= 0 && at >= max(forgotten, lt.model.firstKept) {
-		t.Fatalf("no clear answer though %d of %d is remembered", at, len(lt.model.calls))
+		t.Fatalf("no clear answer although change %d of %d is remembered", at, len(lt.model.calls))
 	}
 	first := max(forgotten, lt.model.firstBase)
 	if at < 0 && call.Base <= lt.model.current() && (first <= 0 || call.Base >= lt.model.versions[first-1]) {
-		t.Fatalf("no clear answer on %d, though all from there on is remembered", call.Base)
+		t.Fatalf("no clear answer on base %d, although all later changes are remembered", call.Base)
 	}
 }
 
