--- a/internal/fleet/controlplane/idempotency_model_test.go
+++ b/internal/fleet/controlplane/idempotency_model_test.go
@@ -76,7 +76,7 @@
 		lt.judgeUnclear(t, call, at)
 	default:
 		if at >= 0 {
-			t.Fatalf("rejected with status %d but accepted as change %d of %d", v.status, at, len(lt.model.calls))
+			t.Fatalf("rejected with status %d but accepted at index %d of %d changes", v.status, at, len(lt.model.calls))
 		}
 		if v.seq != uint64(len(lt.model.calls)) {
 			t.Fatalf("verdict is based on %d of %d changes", v.seq, len(lt.model.calls))
@@ -103,7 +103,7 @@
 func (lt *acceptedLogTest) judgeUnclear(t *rapid.T, call *Command, at int) {
 	forgotten := len(lt.model.calls) - maxRemembered
 	if at >= 0 && at >= max(forgotten, lt.model.firstKept) {
-		t.Fatalf("no clear answer although change %d of %d is remembered", at, len(lt.model.calls))
+		t.Fatalf("no clear answer although index %d of %d changes is remembered", at, len(lt.model.calls))
 	}
 	first := max(forgotten, lt.model.firstBase)
 	if at < 0 && call.Base <= lt.model.current() && (first <= 0 || call.Base >= lt.model.versions[first-1]) {
