--- a/internal/fleet/controlplane/catchup_test.go
+++ b/internal/fleet/controlplane/catchup_test.go
@@ -18,7 +18,7 @@
 	"molepaddle/internal/plantedfault"
 )
 
-// manyRoutes is a configuration with so many routes.
+// manyRoutes returns a configuration with the given number of routes.
 func manyRoutes(version int64, routes int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"ver":%d,"routing":[`, version)
@@ -34,7 +34,7 @@
 	return []byte(b.String())
 }
 
-// oneRoute is a change of one route.
+// oneRoute returns an update of a single route.
 func oneRoute(version int64) []byte {
 	return fmt.Appendf(nil, `{"ver":%d,"upsert":{"routing":[{"name":"r-%07d","hostname":"x.example","pfx":"/q%d/",`+
 		`"kind":"stream","deadline_ms":20000,"target_ms":120,"svc":"huvo11a","tries":1}]}}`,
@@ -46,8 +46,8 @@
 	return b
 }
 
-// loneOptions are those of a core of one machine.
-func loneOptions() replication.Options {
+// singleMemberOptions returns the options of a core with one member.
+func singleMemberOptions() replication.Options {
 	n := uint64(0)
 	return replication.Options{
 		Self:              replication.Member{Addr: "10.0.0.1:7000", Zone: "z", Region: "r"},
@@ -65,7 +65,7 @@
 	}
 }
 
-// heapInUse is what is on the heap after all garbage is gone.
+// heapInUse returns the bytes on the heap after a garbage collection.
 func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -74,8 +74,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestRestartAfterManyChanges: a machine with 10,000 routes and a log of 2,000 changes starts again with bounded
-// memory, and has all of them.
+// TestRestartAfterManyChanges checks that a machine with 10,000 routes and a log of 2,000 changes restarts with bounded
+// memory and restores all of them.
 func TestRestartAfterManyChanges(t *testing.T) {
 	c := qt.New(t)
 	const routes, changes, bound = 10_000, 2_000, 64 << 20
@@ -83,7 +83,7 @@
 	store, state, err := statestore.Open(dir)
 	c.Assert(err, qt.IsNil)
 	rec := &controlState{}
-	machine, err := replication.New(loneOptions(), state, rec)
+	machine, err := replication.New(singleMemberOptions(), state, rec)
 	c.Assert(err, qt.IsNil)
 	now := time.Duration(0)
 	carry := func(out replication.Output) {
@@ -112,7 +112,7 @@
 	store, state, err = statestore.Open(dir)
 	c.Assert(err, qt.IsNil)
 	again := &controlState{}
-	machine, err = replication.New(loneOptions(), state, again)
+	machine, err = replication.New(singleMemberOptions(), state, again)
 	c.Assert(err, qt.IsNil)
 	took, log := time.Since(began), len(state.Changes)
 	used := heapInUse() - before
@@ -123,9 +123,9 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// TestChangesPublishedFollow: whatever many changes become known to be committed at once, those that pull come to the
-// newest configuration; none is sent a change that doesn't follow on what it has.
-func TestChangesPublishedFollow(t *testing.T) {
+// TestPublishedChangesAreContiguous checks that, however many changes become committed at once, pulling clients get to
+// the newest configuration and are never sent a change that doesn't follow the version they have.
+func TestPublishedChangesAreContiguous(t *testing.T) {
 	for _, batch := range []int{1, 2, maxRecent, maxRecent + 1, 5 * maxRecent} {
 		c := qt.New(t)
 		server := &Server{
@@ -153,7 +153,7 @@
 	}
 }
 
-// configurationOf is what a proxy makes of an update, with what it has.
+// configurationOf returns the configuration that a proxy derives from an update and its cached resources.
 func configurationOf(c *qt.C, news distribution.Resource, had *distribution.Cache) string {
 	if news.Snapshot == nil {
 		all := had.Fetch(c.Context(), "had", &distribution.Request{}).Resources[0]
@@ -169,12 +169,12 @@
 	return string(doc.Show())
 }
 
-// TestPlantedCatchUpFaults lays errors into what a machine does after many changes.
+// TestPlantedCatchUpFaults plants faults in the handling of many changes.
 func TestPlantedCatchUpFaults(t *testing.T) {
 	plantedfault.Find(t, []plantedfault.Fault{
 		{Name: "the state after each change is kept", Tests: "^TestRestartAfterManyChanges$", Texts: []string{
 			"const maxRecent = 64", "const maxRecent = 4096"}},
-		{Name: "a change is published as following on another one", Tests: "^TestChangesPublishedFollow$", Texts: []string{
-			" || next.prevDocSeq != was.docSeq", ""}},
+		{Name: "a change is published after the wrong one", Tests: "^TestPublishedChangesAreContiguous$", Texts: []string{
+			" || next.prevDocSeq != previous.docSeq", ""}},
 	})
 }
--- a/internal/fleet/controlplane/idempotency_bench_test.go
+++ b/internal/fleet/controlplane/idempotency_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// remembering is a state that accepted so many changes.
-func remembering(tb testing.TB, changes int) *controlState {
+// stateWithChanges returns a state that accepted the given number of changes.
+func stateWithChanges(tb testing.TB, changes int) *controlState {
 	r := &controlState{}
 	apply(tb, r, replaceCommand(0, "1", "a"))
 	acceptMore(tb, r, changes-1)
@@ -15,11 +15,11 @@
 
 var rememberedCounts = []int{64, 1000, 4096, maxRemembered}
 
-// BenchmarkJudge judges the oldest remembered change, which comes again.
+// BenchmarkJudge judges the oldest remembered change, resubmitted.
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := remembering(b, n)
+			r := stateWithChanges(b, n)
 			call := replaceCommand(0, "1", "a")
 			b.ReportAllocs()
 			for b.Loop() {
@@ -29,11 +29,11 @@
 	}
 }
 
-// BenchmarkApply applies a change that raises the version alone.
+// BenchmarkApply applies a change that only raises the version.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := remembering(b, n)
+			r := stateWithChanges(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
 				acceptMore(b, r, 1)
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkRemember remembers a change more, as a part of Apply.
+// BenchmarkRemember records one more change, as Apply does.
 func BenchmarkRemember(b *testing.B) {
 	var a acceptedChanges
 	b.ReportAllocs()
@@ -51,13 +51,13 @@
 	}
 }
 
-// BenchmarkSnapshot makes and reads a snapshot, and tells the bytes that the remembered changes take there and in
+// BenchmarkSnapshot encodes and decodes a snapshot, and reports the bytes of the remembered changes in it and in
 // memory.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range rememberedCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := remembering(b, n)
-			whole := len(r.Snapshot())
+			r := stateWithChanges(b, n)
+			encodedSize := len(r.Snapshot())
 			s := storedBy(b, r)
 			s.Versions, s.Digests, s.OldestBase = nil, nil, nil
 			rest, err := s.MarshalMsg(nil)
@@ -70,7 +70,7 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(whole-len(rest)), "snapshot-bytes")
+			b.ReportMetric(float64(encodedSize-len(rest)), "snapshot-bytes")
 			b.ReportMetric(float64(8*(cap(r.accepted.versions)+cap(r.accepted.digests))), "memory-bytes")
 		})
 	}
--- a/internal/fleet/controlplane/idempotency_model_test.go
+++ b/internal/fleet/controlplane/idempotency_model_test.go
@@ -9,48 +9,48 @@
 	"pgregory.net/rapid"
 )
 
-// line is the model of a state: the calls that it accepted, oldest first.
-type line struct {
+// acceptedLog is the model of a state: the calls that it accepted, oldest first.
+type acceptedLog struct {
 	calls     []*Command
 	versions  []int64
-	committed int // so many can't be lost any more
-	firstKept int // older ones may be forgotten, as an older build led
-	firstBase int // what this one and later ones were built on is known, too
+	committed int // number of calls that can't be lost any more
+	firstKept int // calls before this one may be forgotten, after an older build's snapshot
+	firstBase int // the base is known for this call and later ones
 }
 
-func (l *line) current() int64 {
+func (l *acceptedLog) current() int64 {
 	if len(l.versions) == 0 {
 		return 0
 	}
 	return l.versions[len(l.versions)-1]
 }
 
-// at is the position of a call in the line, or -1.
-func (l *line) at(call *Command) int {
+// indexOf returns the index of a call in the log, or -1.
+func (l *acceptedLog) indexOf(call *Command) int {
 	return slices.IndexFunc(l.calls, func(c *Command) bool { return c == call || c.key() == call.key() })
 }
 
-// truncate takes away all but the first calls.
-func (l *line) truncate(keep int) {
+// truncate drops all but the first keep calls.
+func (l *acceptedLog) truncate(keep int) {
 	l.calls = l.calls[:keep:keep]
 	l.versions = l.versions[:keep:keep]
 }
 
-// maxBulk bounds the changes of a run that are made many at a time.
+// maxBulk bounds the number of changes of a run that are made in bulk.
 const maxBulk = 12_000
 
-// lineTest holds a state against its model.
-type lineTest struct {
+// acceptedLogTest compares a state with its model.
+type acceptedLogTest struct {
 	state     *controlState
-	model     line
-	sent      []*Command        // all calls ever sent: each may come again
-	refused   map[*Command]bool // those whose refusal may have been answered
-	snapshots map[int][]byte    // by length of the line
+	model     acceptedLog
+	sent      []*Command        // all calls ever sent: each may be resubmitted
+	refused   map[*Command]bool // calls that may have been answered with a rejection
+	snapshots map[int][]byte    // by length of the log
 	bulk      int
 }
 
 // accept has the state and the model accept a call.
-func (lt *lineTest) accept(t *rapid.T, call *Command) {
+func (lt *acceptedLogTest) accept(t *rapid.T, call *Command) {
 	b, err := call.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -61,25 +61,25 @@
 	lt.model.versions = append(lt.model.versions, lt.state.doc.Version())
 }
 
-// judge has the state judge a call, and judges the verdict.
-func (lt *lineTest) judge(t *rapid.T, call *Command) {
+// judge has the state judge a call, and checks the verdict against the model.
+func (lt *acceptedLogTest) judge(t *rapid.T, call *Command) {
 	v := lt.state.judge(call)
-	at := lt.model.at(call)
+	at := lt.model.indexOf(call)
 	switch {
 	case v == nil:
 		lt.judgeProposal(t, call, at)
 	case v.status == http.StatusOK:
 		if at < 0 {
-			t.Fatalf("acknowledged though it was not accepted: on %d %s", call.Base, call.Body)
+			t.Fatalf("call on base %d was acknowledged but never accepted: %s", call.Base, call.Body)
 		}
 	case v.status == http.StatusServiceUnavailable:
 		lt.judgeUnclear(t, call, at)
 	default:
 		if at >= 0 {
-			t.Fatalf("refused with %d though it was accepted at %d of %d", v.status, at, len(lt.model.calls))
+			t.Fatalf("rejected with status %d but accepted at index %d of %d changes", v.status, at, len(lt.model.calls))
 		}
 		if v.seq != uint64(len(lt.model.calls)) {
-			t.Fatalf("judged by %d of %d changes", v.seq, len(lt.model.calls))
+			t.Fatalf("verdict is based on %d of %d changes", v.seq, len(lt.model.calls))
 		}
 		if lt.model.committed == len(lt.model.calls) {
 			lt.refused[call] = true
@@ -87,32 +87,32 @@
 	}
 }
 
-func (lt *lineTest) judgeProposal(t *rapid.T, call *Command, at int) {
+func (lt *acceptedLogTest) judgeProposal(t *rapid.T, call *Command, at int) {
 	if at >= 0 || call.Base != lt.model.current() {
-		t.Fatalf("proposed on %d at version %d, accepted at %d", call.Base, lt.model.current(), at)
+		t.Fatalf("proposed on base %d at version %d, accepted at index %d", call.Base, lt.model.current(), at)
 	}
 	if lt.refused[call] {
-		t.Fatalf("accepted after it was refused: on %d", call.Base)
+		t.Fatalf("accepted after a rejection: base %d", call.Base)
 	}
 	lt.accept(t, call)
 	if lt.state.doc.Version() == call.Base {
-		t.Fatalf("proposed though it is invalid: on %d %s", call.Base, call.Body)
+		t.Fatalf("invalid call was proposed: base %d, body %s", call.Base, call.Body)
 	}
 }
 
-func (lt *lineTest) judgeUnclear(t *rapid.T, call *Command, at int) {
+func (lt *acceptedLogTest) judgeUnclear(t *rapid.T, call *Command, at int) {
 	forgotten := len(lt.model.calls) - maxRemembered
 	if at >= 0 && at >= max(forgotten, lt.model.firstKept) {
-		t.Fatalf("no clear answer though %d of %d is remembered", at, len(lt.model.calls))
+		t.Fatalf("no clear answer although index %d of %d changes is remembered", at, len(lt.model.calls))
 	}
 	first := max(forgotten, lt.model.firstBase)
 	if at < 0 && call.Base <= lt.model.current() && (first <= 0 || call.Base >= lt.model.versions[first-1]) {
-		t.Fatalf("no clear answer on %d, though all from there on is remembered", call.Base)
+		t.Fatalf("no clear answer on base %d, although all later changes are remembered", call.Base)
 	}
 }
 
-// newCall sends a call on the current version or one near by, valid or not.
-func (lt *lineTest) newCall(t *rapid.T) {
+// newCall sends a call on the current version or one close to it, valid or not.
+func (lt *acceptedLogTest) newCall(t *rapid.T) {
 	base := lt.model.current()
 	if rapid.IntRange(0, 3).Draw(t, "guess") == 0 {
 		base = rapid.Int64Range(max(0, base-9), base+4).Draw(t, "base")
@@ -126,15 +126,15 @@
 	}
 }
 
-// copyComes delivers a call that was sent at some time.
-func (lt *lineTest) copyComes(t *rapid.T) {
+// duplicateArrives delivers a call that was sent earlier.
+func (lt *acceptedLogTest) duplicateArrives(t *rapid.T) {
 	if len(lt.sent) > 0 {
 		lt.judge(t, rapid.SampledFrom(lt.sent).Draw(t, "copy"))
 	}
 }
 
-// rival sends a call that differs from another in its operation or base, or in nothing.
-func (lt *lineTest) rival(t *rapid.T) {
+// conflictingCall sends a call that may differ from another only in its operation or base.
+func (lt *acceptedLogTest) conflictingCall(t *rapid.T) {
 	if len(lt.sent) == 0 {
 		return
 	}
@@ -144,8 +144,8 @@
 	lt.sent = append(lt.sent, &call)
 }
 
-// baseReached has a change accepted that brings the version which a call builds on that came too early.
-func (lt *lineTest) baseReached(t *rapid.T) {
+// baseReached has a change accepted whose version is the base of a call that arrived too early.
+func (lt *acceptedLogTest) baseReached(t *rapid.T) {
 	early := slices.DeleteFunc(slices.Clone(lt.sent), func(c *Command) bool { return c.Base <= lt.model.current() })
 	if len(early) == 0 || lt.state.doc == nil {
 		return
@@ -157,7 +157,7 @@
 	lt.judge(t, call)
 }
 
-func (lt *lineTest) manyChanges(t *rapid.T) {
+func (lt *acceptedLogTest) manyChanges(t *rapid.T) {
 	n := rapid.SampledFrom([]int{1, 70, 1000, 5000}).Draw(t, "changes")
 	if lt.bulk += n; lt.bulk > maxBulk || lt.state.doc == nil {
 		return
@@ -167,20 +167,22 @@
 	}
 }
 
-func (lt *lineTest) allCommitted(*rapid.T) {
+func (lt *acceptedLogTest) allCommitted(*rapid.T) {
 	lt.model.committed = len(lt.model.calls)
 	lt.state.takeCommitted(lt.state.seq)
 }
 
-func (lt *lineTest) snapshot(*rapid.T) { lt.snapshots[len(lt.model.calls)] = lt.state.Snapshot() }
+func (lt *acceptedLogTest) snapshot(*rapid.T) {
+	lt.snapshots[len(lt.model.calls)] = lt.state.Snapshot()
+}
 
-func (lt *lineTest) snapshotRead(t *rapid.T) {
+func (lt *acceptedLogTest) snapshotRead(t *rapid.T) {
 	s := storedBy(t, lt.state)
 	lt.state = fromStored(t, lt.state.seq, &s)
 }
 
-// takeover restores a snapshot that lacks what isn't committed.
-func (lt *lineTest) takeover(t *rapid.T) {
+// takeover restores a snapshot that may lack uncommitted changes.
+func (lt *acceptedLogTest) takeover(t *rapid.T) {
 	keep := rapid.IntRange(lt.model.committed, len(lt.model.calls)).Draw(t, "keep")
 	s, ok := lt.snapshots[keep]
 	if !ok {
@@ -197,8 +199,9 @@
 	}
 }
 
-// olderBuild has the state go through the snapshot of a build that remembers fewer changes, or none, and no base.
-func (lt *lineTest) olderBuild(t *rapid.T) {
+// olderBuild restores the state from the snapshot of an older build, which has fewer changes, or none, and no
+// OldestBase.
+func (lt *acceptedLogTest) olderBuild(t *rapid.T) {
 	if lt.state.doc == nil {
 		return
 	}
@@ -215,33 +218,33 @@
 	clear(lt.snapshots)
 }
 
-// check holds the state's version and position against the model's.
-func (lt *lineTest) check(t *rapid.T) {
+// check compares the state's version and sequence number with the model's.
+func (lt *acceptedLogTest) check(t *rapid.T) {
 	if lt.state.doc.Version() != lt.model.current() || lt.state.seq != uint64(len(lt.model.calls)) {
 		t.Fatalf("version %d at %d, expected %d at %d",
 			lt.state.doc.Version(), lt.state.seq, lt.model.current(), len(lt.model.calls))
 	}
 }
 
-// TestResubmittedAtAnyTime: over changes by some operators, copies that come at any time, snapshots, takeovers that
-// lose what isn't committed, older builds, and up to thousands of changes between, a call is acknowledged only if it
-// was accepted, refused only if it never is, and left without a clear answer only if it is older than all that is
-// remembered or ahead of the state.
+// TestResubmittedAtAnyTime checks that a call is acknowledged only if it was accepted, rejected only if it never will
+// be, and otherwise answered with 503 only if it is older than all remembered changes or ahead of the state. It runs
+// random changes, duplicates at any time, snapshots, takeovers that lose uncommitted changes, older builds, and up to
+// thousands of changes between.
 func TestResubmittedAtAnyTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lt := &lineTest{state: &controlState{}, refused: map[*Command]bool{}, snapshots: map[int][]byte{0: nil}}
+		lt := &acceptedLogTest{state: &controlState{}, refused: map[*Command]bool{}, snapshots: map[int][]byte{0: nil}}
 		t.Repeat(map[string]func(*rapid.T){
-			"a new call":                       lt.newCall,
-			"a copy comes":                     lt.copyComes,
-			"a rival of a call":                lt.rival,
-			"the base of a call is reached":    lt.baseReached,
-			"many changes":                     lt.manyChanges,
-			"all is committed":                 lt.allCommitted,
-			"a snapshot":                       lt.snapshot,
-			"a snapshot is read":               lt.snapshotRead,
-			"another takes over with less":     lt.takeover,
-			"an older build leads for a while": lt.olderBuild,
-			"":                                 lt.check,
+			"a new call":                           lt.newCall,
+			"a duplicate arrives":                  lt.duplicateArrives,
+			"another call on the same base":        lt.conflictingCall,
+			"the base of a call is reached":        lt.baseReached,
+			"many changes":                         lt.manyChanges,
+			"all is committed":                     lt.allCommitted,
+			"a snapshot":                           lt.snapshot,
+			"a snapshot is read":                   lt.snapshotRead,
+			"a takeover loses uncommitted changes": lt.takeover,
+			"an older build's snapshot is read":    lt.olderBuild,
+			"":                                     lt.check,
 		})
 	})
 }
--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -23,11 +23,11 @@
 	replicationDir  = "../replication"
 )
 
-// partitionFaults are errors in what a machine says and does without contact.
+// partitionFaults are faults in the behaviour of a machine without contact.
 var partitionFaults = []plantedfault.Fault{
 	{
-		Name:  "a refusal is told without contact",
-		Tests: "^TestNoVerdictRightAfterTheCut$",
+		Name:  "a change is rejected without contact",
+		Tests: "^TestNoAnswerRightAfterPartition$",
 		Texts: []string{
 			"\t\tjudged <- v\n\t\treturn out\n",
 			"\t\tjudged <- v\n\t\tif v != nil {\n\t\t\tcancel()\n\t\t\treturn s.replica.Tick(now)\n" +
@@ -39,14 +39,14 @@
 	},
 	{
 		Name:  "a configuration is shown without contact",
-		Tests: "^TestNoVerdictRightAfterTheCut$",
+		Tests: "^TestNoAnswerRightAfterPartition$",
 		Texts: []string{
 			"\tans, err := s.confirmView(ctx)\n\tif err != nil || ans.Result != replication.Confirmed {\n",
 			"\tvar ans replication.Answer\n\tif ctx == nil {\n",
 		},
 	},
 	{
-		Name:  "a primary that was cut off takes up calls",
+		Name:  "a partitioned primary answers calls",
 		Tests: "^TestRedirectsNeverLoop$",
 		Texts: []string{
 			"st.Ready && now.Sub(c.at) < leaderContactTimeout",
@@ -54,8 +54,8 @@
 		},
 	},
 	{
-		Name:  "calls are parked for as long as a change may take",
-		Tests: "^TestCutOffPrimary$",
+		Name:  "calls wait for as long as a change may take",
+		Tests: "^TestPartitionedPrimary$",
 		Texts: []string{
 			"\tcallTimeout = 850 * time.Millisecond",
 			"\tcallTimeout = 3 * time.Second",
@@ -64,18 +64,18 @@
 		},
 	},
 	{
-		Name:  "callers are sent to whom the disk names",
-		Tests: "^TestRe(startedOnWrongSide|directsNeverLoop)$",
+		Name:  "callers are redirected to the primary on the disk",
+		Tests: "^Test(RestartWhilePartitioned|RedirectsNeverLoop)$",
 		Texts: []string{
-			"st.Ready && c.at.After(came):",
+			"st.Ready && c.at.After(receivedAt):",
 			"st.Ready:",
 		},
 	},
 	{
-		Name:  "callers are sent to a primary that may be gone",
+		Name:  "callers are redirected to a primary that may have failed",
 		Tests: "^TestRedirectsNeverLoop$",
 		Texts: []string{
-			"st.Ready && c.at.After(came):",
+			"st.Ready && c.at.After(receivedAt):",
 			"st.Ready && now.Sub(c.at) < leaderContactTimeout:",
 		},
 	},
@@ -83,7 +83,7 @@
 		Name:  "a message to a process that was replaced is lost",
 		Tests: "^TestMessageToAReplacedProcess$",
 		Texts: []string{
-			"if made || errors.Is(err, os.ErrDeadlineExceeded) {",
+			"if dialed || errors.Is(err, os.ErrDeadlineExceeded) {",
 			"if true || errors.Is(err, os.ErrDeadlineExceeded) {",
 		},
 	},
@@ -106,7 +106,7 @@
 		},
 	},
 	{
-		Name:  "contact is told before what it stands for is published",
+		Name:  "contact is renewed before the committed state is published",
 		Tests: "^TestContactFollowsPublication$",
 		Texts: []string{
 			"\t\tif !s.processOutput(ctx, &out) {\n\t\t\tcontinue\n\t\t}\n",
@@ -137,16 +137,16 @@
 		},
 	},
 	{
-		Name:  "a cut-off primary polls on",
-		Tests: "^TestCutOffPrimaryDoesNotPoll$",
+		Name:  "a partitioned primary continues to poll",
+		Tests: "^TestPartitionedPrimaryDoesNotPoll$",
 		Texts: []string{
 			`s.settings.Provider.Address != "" && s.isLeader(st)`,
 			`s.settings.Provider.Address != "" && st.View.Primary == st.ID`,
 		},
 	},
 	{
-		Name:  "the members are told by the primary alone",
-		Tests: "^TestRestartedOnWrongSide$",
+		Name:  "only the primary publishes the members",
+		Tests: "^TestRestartWhilePartitioned$",
 		Texts: []string{
 			"\ts.status.Store(&st)\n\ts.publishCoreMembers(&st)\n",
 			"\ts.status.Store(&st)\n",
@@ -161,17 +161,17 @@
 		},
 	},
 	{
-		Name:  "a fenced owner goes on",
+		Name:  "a fenced owner continues to send orders",
 		Tests: "^TestFencedOwnerGivesNoMoreOrders$",
 		Texts: []string{"\tp.fencedEpoch = epoch\n", ""},
 	},
 	{
 		Name:  "an answer of any status counts as an acknowledgement",
-		Tests: "^TestOrderIsTakenOrNot$",
+		Tests: "^TestOrderAcknowledgement$",
 		Texts: []string{"return err == nil && externalapi.OrderTaken(status)", "return err == nil"},
 	},
 	{
-		Name:  "an order goes out under the fence of an earlier epoch",
+		Name:  "an order is sent with the fencing token of an earlier epoch",
 		Tests: "^TestOrdersNeedContact$",
 		Texts: []string{
 			"ans.Result == replication.Confirmed && st.Epoch == epoch",
@@ -179,16 +179,16 @@
 		},
 	},
 	{
-		Name:  "an order goes out after a freeze",
-		Tests: "^TestOrderIsTooLateAfterAFreeze$",
+		Name:  "an order is sent after a freeze",
+		Tests: "^TestOrderDroppedAfterFreeze$",
 		Texts: []string{
-			"\tif !time.Now().Before(by) {\n\t\treturn false\n\t}\n",
+			"\tif !time.Now().Before(deadline) {\n\t\treturn false\n\t}\n",
 			"",
 		},
 	},
 	{
-		Name:      "an order that was given up may come later",
-		Tests:     "^TestOrderGivenUpIsReset$",
+		Name:      "an order that timed out may arrive later",
+		Tests:     "^TestTimedOutOrderResetsConnection$",
 		Dir:       ".",
 		SourceDir: externalAPIDir,
 		Texts: []string{
@@ -243,7 +243,7 @@
 		},
 	},
 	{
-		Name:  "the wait for news counts as age",
+		Name:  "the wait for an update counts as age",
 		Tests: "^TestLastContactIncludesTransitTime$",
 		Dir:   distributionDir,
 		Texts: []string{
@@ -252,7 +252,7 @@
 		},
 	},
 	{
-		Name:  "a control server that is cut off is kept",
+		Name:  "a partitioned control server is kept",
 		Tests: "^TestPartitionedServerIsLeftInTime$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -261,7 +261,7 @@
 		},
 	},
 	{
-		Name:  "each control server is followed for a wait",
+		Name:  "each control server is followed for a complete wait",
 		Tests: "^TestPartitionedServerIsLeftInTime$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -270,7 +270,7 @@
 		},
 	},
 	{
-		Name:  "a core without a primary is pressed",
+		Name:  "a core without a primary is polled without a pause",
 		Tests: "^TestPullRateIsBoundedWithoutPrimary$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -279,7 +279,7 @@
 		},
 	},
 	{
-		Name:  "the list of a control server that is cut off replaces a newer one",
+		Name:  "the list of a partitioned control server replaces a newer one",
 		Tests: "^TestDirectlyPolledListIsKept$",
 		Dir:   nodeAgentDir,
 		Texts: []string{
@@ -298,8 +298,8 @@
 	},
 }
 
-// TestPlantedFaults: the faults still fit the sources; with -controlplane.planted each is planted, and the tests
-// named have to find it.
+// TestPlantedFaults checks that the faults still match the sources. With -controlplane.planted it plants each fault,
+// and the named tests must detect it.
 func TestPlantedFaults(t *testing.T) {
 	if !*planted {
 		plantedfault.Fit(t, partitionFaults)
--- a/internal/fleet/controlplane/publish.go
+++ b/internal/fleet/controlplane/publish.go
@@ -9,36 +9,38 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// publishCommitted publishes the state up to a committed change: to readers here, and at the primary to those that
-// pull.
+// publishCommitted publishes the state up to a committed change to local readers and to the clients that pull from this
+// machine.
 func (s *Server) publishCommitted(committed uint64) {
-	done := s.state.takeCommitted(committed)
-	if len(done) == 0 {
+	states := s.state.takeCommitted(committed)
+	if len(states) == 0 {
 		return
 	}
-	last := &done[len(done)-1]
-	was := s.committed.Load()
-	if was != nil && was.seq >= last.seq {
+	last := &states[len(states)-1]
+	previous := s.committed.Load()
+	if previous != nil && previous.seq >= last.seq {
 		return
 	}
 	s.quota.SetCeilings(last.quota)
-	// Readers see the state after those that pull may: a caller who reads a version here finds it there.
+	// Local readers see the state only after pulling clients can: a version that a caller reads here is available to
+	// them.
 	defer s.committed.Store(last)
-	configs := newConfigs(was, done)
+	configs := newConfigs(previous, states)
 	if len(configs) == 0 {
-		return // residency writes, say
+		return // for example, only residency writes
 	}
-	s.quota.SetLimits(s.quotaRule.LimitsOf(last.doc.Accounts())) // before a proxy can know of them
-	s.publishConfigs(was, configs)
+	s.quota.SetLimits(s.quotaRule.LimitsOf(last.doc.Accounts())) // before a proxy can learn of them
+	s.publishConfigs(previous, configs)
 	s.recordConfigCommit(last, time.Now())
 	s.log.Info("configuration committed", zap.Uint64("seq", last.docSeq), zap.Int64("version", versionOf(last.doc)))
 }
 
-// newConfigs returns those of the states that brought a configuration newer than was; nil: there was none.
-func newConfigs(was *appliedState, states []appliedState) []*appliedState {
+// newConfigs returns those of the states that contain a configuration newer than that of previous; nil if there is
+// none.
+func newConfigs(previous *appliedState, states []appliedState) []*appliedState {
 	newest := uint64(0)
-	if was != nil {
-		newest = was.docSeq
+	if previous != nil {
+		newest = previous.docSeq
 	}
 	var configs []*appliedState
 	for i := range states {
@@ -50,45 +52,46 @@
 	return configs
 }
 
-// publishConfigs publishes configurations that follow on each other, as changes where that is possible. The last is
-// published complete otherwise, and then the ones before needn't be.
-func (s *Server) publishConfigs(was *appliedState, configs []*appliedState) {
+// publishConfigs publishes consecutive configurations, as incremental changes where possible. If the last one can't be
+// published as a change, it is published as a snapshot, and the ones before are not needed.
+func (s *Server) publishConfigs(previous *appliedState, configs []*appliedState) {
 	for i, config := range configs {
-		if !s.publishChange(was, config) && i == len(configs)-1 {
+		if !s.publishChange(previous, config) && i == len(configs)-1 {
 			version := distribution.Version{Count: config.docSeq}
 			s.cache.SetSnapshot(distribution.ConfigType, version, config.doc.Show())
 		}
-		was = config
+		previous = config
 	}
 }
 
-// publishChange publishes a committed change. It returns false where the change isn't known or doesn't follow on what
-// was published before: then the complete configuration is due.
-func (s *Server) publishChange(was, next *appliedState) bool {
-	if was == nil || next.command == nil || next.prevDocSeq != was.docSeq {
+// publishChange publishes a committed change incrementally. It returns false if the change is unknown or doesn't follow
+// the last published configuration: the complete configuration must then be published.
+func (s *Server) publishChange(previous, next *appliedState) bool {
+	if previous == nil || next.command == nil || next.prevDocSeq != previous.docSeq {
 		return false
 	}
-	from := distribution.Version{Count: was.docSeq}
+	from := distribution.Version{Count: previous.docSeq}
 	to := distribution.Version{Count: next.docSeq}
 	change := distribution.Change{Version: to, Replace: next.command.Replace, Body: next.command.Body}
 	return s.cache.AppendChange(distribution.ConfigType, from, to, change, next.doc.Show)
 }
 
-// configCommit says when the newest configuration was found committed here, by which change.
+// configCommit records the version and sequence number of the newest committed configuration, and when this machine
+// found it committed.
 type configCommit struct {
 	version int64
 	seq     uint64
 	at      time.Time
 }
 
-// recordConfigCommit records when a committed state came, where it brings another configuration.
+// recordConfigCommit records the time of a committed state if it contains a new configuration.
 func (s *Server) recordConfigCommit(state *appliedState, now time.Time) {
-	if was := s.committedConfig.Load(); was == nil || was.version != versionOf(state.doc) {
+	if previous := s.committedConfig.Load(); previous == nil || previous.version != versionOf(state.doc) {
 		s.committedConfig.Store(&configCommit{version: versionOf(state.doc), seq: state.docSeq, at: now})
 	}
 }
 
-// versionOf returns the version of a configuration, 0 where there is none.
+// versionOf returns the version of a configuration; 0 if there is none.
 func versionOf(doc *routingconfig.Document) int64 {
 	if doc == nil {
 		return 0
--- a/internal/fleet/controlplane/verdict_test.go
+++ b/internal/fleet/controlplane/verdict_test.go
@@ -22,27 +22,28 @@
 	r.Apply(r.seq+1, b)
 }
 
-// TestResubmittedChange: a change that was accepted is acknowledged again, also after others, after a snapshot and
-// where another change carries its number; one that wasn't is refused once another change was made.
+// TestResubmittedChange checks that an accepted change is acknowledged again, also after other changes, after a restore
+// and if another change has the same version; and that a change that wasn't accepted is rejected once another was
+// accepted on its base.
 func TestResubmittedChange(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
-	first, rival, second := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "7", "a")
+	first, conflicting, second := replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "7", "a")
 	acceptReplace(c, r, first)
 	for range 2 {
 		c.Assert(r.judge(first).status, qt.Equals, http.StatusOK)
-		c.Assert(r.judge(rival).status, qt.Equals, http.StatusPreconditionFailed)
+		c.Assert(r.judge(conflicting).status, qt.Equals, http.StatusPreconditionFailed)
 		acceptReplace(c, r, second)
 		c.Assert(r.judge(first).status, qt.Equals, http.StatusOK)
 		c.Assert(r.judge(second).status, qt.Equals, http.StatusOK)
-		c.Assert(r.judge(rival).status, qt.Equals, http.StatusPreconditionFailed)
+		c.Assert(r.judge(conflicting).status, qt.Equals, http.StatusPreconditionFailed)
 		again := &controlState{}
 		c.Assert(again.Restore(r.seq, r.Snapshot()), qt.IsNil)
 		r, second = again, replaceCommand(7, "8", "c")
 	}
 }
 
-// TestVerdictWaitsForCommit: an answer about changes that aren't committed yet is not told, as they may be lost.
+// TestVerdictWaitsForCommit checks that a verdict based on uncommitted changes is withheld, as they may be lost.
 func TestVerdictWaitsForCommit(t *testing.T) {
 	c := qt.New(t)
 	r := &controlState{}
@@ -50,8 +51,8 @@
 	for _, one := range []*Command{replaceCommand(0, "5", "a"), replaceCommand(0, "5", "b"), replaceCommand(5, "4", "a")} {
 		v := r.judge(one)
 		c.Assert(v, qt.IsNotNil)
-		c.Assert(v.holds(replication.Answer{Result: replication.Confirmed, Seq: 0}), qt.IsFalse)
-		c.Assert(v.holds(replication.Answer{Result: replication.Confirmed, Seq: 1}), qt.IsTrue)
-		c.Assert(v.holds(replication.Answer{Result: replication.LostPrimacy, Seq: 1}), qt.IsFalse)
+		c.Assert(v.confirmedBy(replication.Answer{Result: replication.Confirmed, Seq: 0}), qt.IsFalse)
+		c.Assert(v.confirmedBy(replication.Answer{Result: replication.Confirmed, Seq: 1}), qt.IsTrue)
+		c.Assert(v.confirmedBy(replication.Answer{Result: replication.LostPrimacy, Seq: 1}), qt.IsFalse)
 	}
 }
--- a/internal/fleet/statestore/load.go
+++ b/internal/fleet/statestore/load.go
@@ -11,28 +11,28 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// loader gathers the rows of a file and checks that they belong together.
+// loader collects the rows of a file and checks that they are consistent.
 type loader struct {
 	path     string
 	state    replication.PersistentState
 	snapshot replication.Snapshot
-	head     replication.Snapshot // stored newest change, without body
-	found    map[string]bool      // keys of the table part
-	last     replication.Snapshot // newest change so far, without body
+	head     replication.Snapshot // stored head of the log: newest change, without body
+	found    map[string]bool      // keys found in the table part
+	last     replication.Snapshot // newest change loaded so far, without body
 }
 
-// load reads everything. A row that is missing, damaged or unknown is an *UnusableError: acting on a state with holes
-// could break a promise that this machine has given.
+// load reads the complete state. A missing, damaged or unknown row is an *UnusableError: acting on an incomplete state
+// could violate a promise given by this machine.
 func (s *Store) load(ctx context.Context, path string) (replication.PersistentState, error) {
 	l := &loader{path: path, found: map[string]bool{}}
-	if err := s.query(ctx, path, "SELECT name, body, sum FROM part", l.takePart); err != nil {
+	if err := s.query(ctx, path, "SELECT name, body, sum FROM part", l.scanPart); err != nil {
 		return replication.PersistentState{}, err
 	}
 	if l.found[snapshotKey] {
 		l.state.Snapshot = &l.snapshot
 		l.last.Seq, l.last.Digest = l.snapshot.Seq, l.snapshot.Digest
 	}
-	if err := s.query(ctx, path, "SELECT seq, digest, body, sum FROM change ORDER BY seq", l.takeChange); err != nil {
+	if err := s.query(ctx, path, "SELECT seq, digest, body, sum FROM change ORDER BY seq", l.scanChange); err != nil {
 		return replication.PersistentState{}, err
 	}
 	if err := l.checkComplete(); err != nil {
@@ -41,22 +41,22 @@
 	return l.state, nil
 }
 
-// query hands each row of a query to take, until that fails.
-func (s *Store) query(ctx context.Context, path, query string, take func(*sql.Rows) error) error {
+// query passes each row of a query to scan, until scan fails.
+func (s *Store) query(ctx context.Context, path, query string, scan func(*sql.Rows) error) error {
 	rows, err := s.conn.QueryContext(ctx, query)
 	if err != nil {
 		return classify(path, errors.Wrap(err, query))
 	}
 	defer func() { _ = rows.Close() }()
 	for rows.Next() {
-		if err := take(rows); err != nil {
+		if err := scan(rows); err != nil {
 			return err
 		}
 	}
 	return classify(path, wrap(rows.Err(), query))
 }
 
-// target returns where the value of a key is decoded, nil for a key that is not known.
+// target returns the value into which the row with a key is decoded; nil for an unknown key.
 func (l *loader) target(key string) msgp.Unmarshaler {
 	switch key {
 	case identityKey:
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// takePart takes a row of the table part.
-func (l *loader) takePart(rows *sql.Rows) error {
+// scanPart loads a row of the table part.
+func (l *loader) scanPart(rows *sql.Rows) error {
 	var key string
 	var body []byte
 	var sum int64
@@ -89,17 +89,17 @@
 	}
 	target := l.target(key)
 	if target == nil {
-		return l.unusable(row, errors.New("unknown name"))
+		return l.unusable(row, errors.New("unknown key"))
 	}
-	if rest, err := target.UnmarshalMsg(body); err != nil || len(rest) > 0 {
-		return l.unusable(row, errors.Errorf("decode: %v, %d bytes left", err, len(rest)))
+	if trailing, err := target.UnmarshalMsg(body); err != nil || len(trailing) > 0 {
+		return l.unusable(row, errors.Errorf("decode: %v, %d bytes left", err, len(trailing)))
 	}
 	l.found[key] = true
 	return nil
 }
 
-// takeChange takes a row of the table change, which follows on the one before.
-func (l *loader) takeChange(rows *sql.Rows) error {
+// scanChange loads a row of the table change, which must follow the previous one.
+func (l *loader) scanChange(rows *sql.Rows) error {
 	var seq, digest, sum int64
 	var body []byte
 	if err := rows.Scan(&seq, &digest, &body, &sum); err != nil {
@@ -111,20 +111,20 @@
 		return l.unusable(row, errors.New("checksum differs"))
 	}
 	if c.Seq != l.last.Seq+1 || c.Digest != replication.ChainDigest(l.last.Digest, c.Seq, body) {
-		return l.unusable(row, errors.Errorf("doesn't follow %d", l.last.Seq))
+		return l.unusable(row, errors.Errorf("does not follow change %d", l.last.Seq))
 	}
 	l.last.Seq, l.last.Digest = c.Seq, c.Digest
 	l.state.Changes = append(l.state.Changes, c)
 	return nil
 }
 
-// checkComplete finds what the rows by themselves don't show: the end of the log or a key that is missing.
+// checkComplete detects missing rows: the end of the log, or a required key.
 func (l *loader) checkComplete() error {
 	if l.last.Seq != l.head.Seq || l.last.Digest != l.head.Digest {
-		return l.unusable("", errors.Errorf("the record ends at %d instead of %d", l.last.Seq, l.head.Seq))
+		return l.unusable("", errors.Errorf("the log ends at change %d instead of %d", l.last.Seq, l.head.Seq))
 	}
 	if len(l.found) == 0 {
-		return nil // nothing was saved yet
+		return nil // nothing saved yet
 	}
 	for _, key := range []string{identityKey, viewKey, voteKey, replicaStateKey} {
 		if !l.found[key] {
