--- a/internal/fleet/replication/acceptor.go
+++ b/internal/fleet/replication/acceptor.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// A member is the acceptor of the ballots for the epoch after its own. It keeps the highest ballot that it promised and
-// what it accepted on its disk before it says so (TestPromisesAreKept): a majority that promised a ballot accepts none
-// below it, so no two views of one epoch are decided.
+// Each member is an acceptor of the ballots for the epoch after its own. It stores the highest promised ballot and the
+// accepted value on disk before it answers (TestPromisesAreKept): a majority that promised a ballot accepts none below
+// it, so no two views of one epoch are decided.
 
-// handlePrepare promises a ballot that isn't below the one promised, and says what was accepted.
+// handlePrepare promises a ballot that isn't below the promised one, and answers with the accepted value.
 func (m *Machine) handlePrepare(msg *Message) {
 	if m.voter() == "" || m.senderVoter(msg) == "" || msg.Ballot.ID != msg.From.ID {
 		return
@@ -36,7 +36,7 @@
 	})
 }
 
-// handleAccept accepts a view under a ballot that isn't below the one promised.
+// handleAccept accepts a view under a ballot that isn't below the promised one.
 func (m *Machine) handleAccept(msg *Message) {
 	if m.voter() == "" || m.senderVoter(msg) == "" {
 		return
@@ -57,7 +57,7 @@
 	m.send(msg.From.Addr, Message{Kind: KindAccepted, Ballot: msg.Ballot})
 }
 
-// yieldTo gives up a candidacy below ballot b for some time.
+// yieldTo abandons a candidacy whose ballot is below b, and begins no other for the time wait.
 func (m *Machine) yieldTo(b Ballot, wait time.Duration) {
 	if m.candidacy != nil && m.candidacy.ballot.less(b) {
 		m.candidacy = nil
--- a/internal/fleet/replication/backup.go
+++ b/internal/fleet/replication/backup.go
@@ -1,16 +1,17 @@
 package replication
 
-// inSync reports whether this backup's record is a prefix of its primary's and it still answers in its view.
+// inSync reports whether this backup's record is a prefix of its primary's and the backup is not stopped in its view.
 func (m *Machine) inSync() bool {
 	return m.view.Epoch > 0 && m.holdsRecord() && !m.stopped() && m.replica.InSyncEpoch == m.view.Epoch
 }
 
-// fromPrimary reports whether the primary of this machine's view, another machine, sent a message.
+// fromPrimary reports whether a message was sent by the primary of this machine's view, and that is another machine.
 func (m *Machine) fromPrimary(msg *Message) bool {
 	return m.view.Epoch > 0 && msg.From.ID == m.view.Primary && m.view.Primary != m.identity.ID
 }
 
-// sendHeartbeatAck sends the primary where this machine's record ends. round is the read round it answers, 0 for none.
+// sendHeartbeatAck sends the end of this machine's record to the primary. round is the read round that it answers, 0
+// for none.
 func (m *Machine) sendHeartbeatAck(to string, round uint64) {
 	holder := m.holdsRecord()
 	m.send(to, Message{
@@ -24,7 +25,7 @@
 	})
 }
 
-// markInSync notes on the disk that the record is a prefix of the primary's in this epoch.
+// markInSync persists that the record is a prefix of the primary's in this epoch.
 func (m *Machine) markInSync() {
 	if m.replica.InSyncEpoch != m.view.Epoch {
 		m.replica.InSyncEpoch = m.view.Epoch
@@ -32,8 +33,8 @@
 	}
 }
 
-// learnCommit takes over the primary's commit index as far as this record goes. Only in sync are the changes up to
-// there the primary's.
+// learnCommit advances the commit index to the primary's, at most to the end of this record. Only a record in sync is
+// known to contain the primary's changes up to there.
 func (m *Machine) learnCommit(msg *Message) {
 	if m.inSync() {
 		m.log.committed = max(m.log.committed, min(msg.Committed, m.log.seq))
@@ -41,7 +42,7 @@
 }
 
 // handleHeartbeat answers the primary's heartbeat. A record of the same length and digest as the primary's is in sync;
-// one that is longer may differ in what is beyond (TestAppendToAnotherRecord).
+// a longer one may contain changes that the primary lacks (TestAppendToAnotherRecord).
 func (m *Machine) handleHeartbeat(msg *Message) {
 	if !m.fromPrimary(msg) {
 		return
@@ -58,7 +59,7 @@
 	m.sendHeartbeatAck(msg.From.Addr, msg.Round)
 }
 
-// handleAppend appends changes of the primary's record. A stopped backup takes nothing more and says so.
+// handleAppend appends changes of the primary's record. A stopped backup appends nothing; its answer has Stopped set.
 func (m *Machine) handleAppend(msg *Message) {
 	if !m.fromPrimary(msg) {
 		return
@@ -77,7 +78,7 @@
 	m.sendHeartbeatAck(msg.From.Addr, 0)
 }
 
-// handleSnapshot takes chunks of the primary's record.
+// handleSnapshot receives a chunk of the primary's record, and installs the record once it is complete.
 func (m *Machine) handleSnapshot(msg *Message) {
 	if !m.fromPrimary(msg) {
 		return
@@ -87,8 +88,8 @@
 		return
 	}
 	m.election.lastHeartbeat = m.now
-	// Once in sync, what was acknowledged in this epoch never goes back: an older snapshot may come late
-	// (TestLateSnapshotIsNotTaken).
+	// Once in sync, the record never becomes shorter in this epoch, as its changes were acknowledged: a snapshot that
+	// is delayed may be older than the record (TestLateSnapshotIsNotTaken).
 	if !m.stopped() && (m.replica.InSyncEpoch != m.view.Epoch || msg.Seq > m.log.seq) {
 		body, complete := m.receiveChunk(msg)
 		if !complete {
--- a/internal/fleet/replication/backupcontact.go
+++ b/internal/fleet/replication/backupcontact.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// backupContact remembers when the newest round of confirmations began that all backups of a view have answered.
+// backupContact records when the newest read round began that all backups of the view have answered.
 type backupContact struct {
-	open      uint64        // the round that is followed; 0: none
-	opened    time.Duration // when it began
-	confirmed time.Duration // when the newest confirmed one began
+	open      uint64        // the round whose answers are awaited; 0: none
+	opened    time.Duration // when the open round began
+	confirmed time.Duration // when the newest confirmed round began
 	known     bool          // a round was confirmed
 }
 
-// begin notes that a round began. One that is open stays so until it is confirmed: its confirmation is then a lower
-// bound.
+// begin records the start of a round. While an earlier round is open the new one is ignored, so confirmed is a lower
+// bound of the last contact.
 func (c *backupContact) begin(round uint64, now time.Duration) {
 	if c.open == 0 {
 		c.open, c.opened = round, now
 	}
 }
 
-// confirm notes that all backups have answered all rounds up to one.
+// confirm records that all backups have answered all rounds up to the given one.
 func (c *backupContact) confirm(round uint64) {
 	if c.open != 0 && c.open <= round {
 		c.confirmed, c.known, c.open = c.opened, true, 0
 	}
 }
 
-// LastBackupContact returns since when this primary's view may have been superseded: up to that time, on the clock of
-// the inputs, no view of a later epoch was decided, so nothing newer was acknowledged elsewhere. ok is false when this
-// machine isn't a ready primary or its view has not been confirmed yet. A view without backups needs no confirmation.
+// LastBackupContact returns the time, on the clock of the inputs, up to which this primary's view is known to have been
+// the newest: no view of a later epoch was decided before it, so nothing newer was acknowledged elsewhere. ok is false
+// when this machine isn't a ready primary or no read round of the view has been confirmed yet. A view without backups
+// needs no confirmation.
 func (m *Machine) LastBackupContact() (began time.Duration, ok bool) {
 	if !m.ready() {
 		return 0, false
--- a/internal/fleet/replication/candidacy.go
+++ b/internal/fleet/replication/candidacy.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// phase is how far a candidacy has come.
+// phase is the phase of a candidacy.
 type phase uint8
 
 const (
-	preparing phase = iota // it asks the members to promise its ballot
-	staging                // it brings the record to the coming backups
-	accepting              // it asks the members to accept its view
+	preparing phase = iota // asks the members to promise the ballot
+	staging                // transfers the record to future backups that lack it
+	accepting              // asks the members to accept the view
 )
 
 // promise is a member's promise of the candidacy's ballot.
 type promise struct {
 	member      Member
-	accepted    Ballot // under which it accepted value
-	value       *View  // nil: it accepted nothing
+	accepted    Ballot // ballot under which it accepted value
+	value       *View  // accepted view; nil: none
 	holdsRecord bool
-	at          time.Duration // when the promise came
-	stageFailed bool          // it didn't take the record in time
-	seq         uint64        // the end of its record
+	at          time.Duration // when the promise was received
+	stageFailed bool          // it didn't store the staged record in time
+	seq         uint64        // last Seq of its record
 }
 
 // candidacy is this machine's proposal for the next epoch.
@@ -27,18 +27,19 @@
 	ballot   Ballot
 	phase    phase
 	since    time.Duration   // when the phase began
-	resendAt time.Duration   // when what isn't answered is sent again
+	resendAt time.Duration   // when unanswered requests are sent again
 	promises map[ID]*promise // by identity in the view
 	value    *View           // the proposed view; nil while preparing
-	staged   map[ID]bool     // coming backups that have the record on disk
+	staged   map[ID]bool     // future backups that have the staged record on disk
 	accepted map[ID]bool     // by identity in the view
 }
 
-// campaign begins a candidacy: this holder of the record stops answering in its view and asks for promises.
+// campaign begins a candidacy: this holder of the record stops acknowledging in its view and asks for promises.
 //
-// The stop is on disk with the first prepare and is never taken back in this epoch. The primary of the view needs the
-// answers of all its backups, so from then on nothing is acknowledged in the view that this record lacks: whatever view
-// is decided next, its primary has all that was (TestStoppedBackupDoesNotAnswer).
+// The stop is on disk before the first prepare is sent and is never undone in this epoch. The primary of the view needs
+// the answers of all its backups, so from then on no change that this record lacks is acknowledged in the view. The
+// primary of the next view, whichever is decided, therefore has all acknowledged changes
+// (TestStoppedBackupDoesNotAnswer).
 func (m *Machine) campaign() {
 	if m.candidacy != nil || m.now < m.election.campaignNotBefore || !m.holdsRecord() {
 		return
@@ -46,7 +47,7 @@
 	if !m.stopped() {
 		m.replica.StoppedEpoch = m.view.Epoch + 1
 		m.saveReplica()
-		m.dropTransfers() // what is staged holds all that was acknowledged until now
+		m.dropTransfers() // a staged record must contain all changes acknowledged before the stop
 	}
 	b := Ballot{N: max(m.vote.Promised.N, m.election.highestRejection) + 1, ID: m.identity.ID}
 	m.vote.Promised = b
@@ -68,7 +69,8 @@
 	m.runPhase(true)
 }
 
-// runPhase does what the candidacy's phase allows; with again it also sends (again) what isn't answered yet.
+// runPhase advances the candidacy as far as the answers allow. With again it also sends the requests of the phase that
+// are not answered yet.
 func (m *Machine) runPhase(again bool) {
 	switch m.candidacy.phase {
 	case preparing:
@@ -80,8 +82,9 @@
 	}
 }
 
-// prepare waits for the promises of a majority, and then proposes the view that was accepted under the highest ballot
-// among them: it may be decided (TestNewestAcceptanceIsProposed). Only where none was accepted the choice is free.
+// prepare waits for the promises of a majority and then proposes the view that was accepted under the highest ballot
+// among them, as it may already be decided (TestNewestAcceptanceIsProposed). Only if none was accepted does it choose
+// a view itself.
 func (m *Machine) prepare(again bool) {
 	c := m.candidacy
 	if again {
@@ -106,7 +109,7 @@
 	}
 }
 
-// newestAccepted is the promise that names the acceptance under the highest ballot; nil when nothing was accepted.
+// newestAccepted returns the promise with the view accepted under the highest ballot, nil if none accepted a view.
 func (c *candidacy) newestAccepted() *promise {
 	var newest *promise
 	for _, p := range c.promises {
@@ -117,7 +120,7 @@
 	return newest
 }
 
-// enterPhase goes on to a phase with the view to propose.
+// enterPhase enters a phase with the view to propose.
 func (m *Machine) enterPhase(p phase, v *View) {
 	c := m.candidacy
 	c.phase, c.value = p, v
@@ -126,7 +129,8 @@
 	m.runPhase(true)
 }
 
-// proposedView is the view to propose; nil while too few machines answer, or while a better choice may come soon.
+// proposedView returns the view to propose, nil while too few machines have answered or a better choice of backups may
+// still become possible.
 func (m *Machine) proposedView() *View {
 	c := m.candidacy
 	members := m.proposedMembers()
@@ -144,7 +148,7 @@
 	return &View{Epoch: m.view.Epoch + 1, Members: members, Primary: m.identity.ID, Backups: best.backups}
 }
 
-// proposedMembers are the members of the view to propose: in view 0 the founders that promised.
+// proposedMembers returns the members of the view to propose: in view 0 the founders that promised.
 func (m *Machine) proposedMembers() []Member {
 	if m.view.Epoch > 0 {
 		return m.nextMembers().members
@@ -157,8 +161,8 @@
 	return members
 }
 
-// promisedCandidates are those of the members that may become backups: who promised lately and took the record in time,
-// and joiners, which answered lately and promise nothing.
+// promisedCandidates returns the members that may become backups: those that promised recently and whose staging didn't
+// fail, and joiners, which answered recently but don't vote.
 func (m *Machine) promisedCandidates(members []Member) []candidate {
 	var cs []candidate
 	for _, o := range members {
@@ -180,15 +184,15 @@
 	return cs
 }
 
-// retryFailedStages lets those be chosen again that didn't take the record in time: there are too few without them.
+// retryFailedStages makes members whose staging failed eligible again; there are too few candidates without them.
 func (c *candidacy) retryFailedStages() {
 	for _, p := range c.promises {
 		p.stageFailed = false
 	}
 }
 
-// accept asks the members to accept the view. A majority of the members of the view before decides, not of those it
-// names (TestOldMembersDecide).
+// accept asks the members to accept the view. It is decided by a majority of the members of the current view, not of
+// the proposed one (TestOldMembersDecide).
 func (m *Machine) accept(again bool) {
 	c := m.candidacy
 	if !c.accepted[m.voter()] {
@@ -215,7 +219,7 @@
 	m.installView(v)
 	notified := map[string]bool{}
 	for _, o := range append(append([]Member{}, old.Members...), v.Members...) {
-		if notified[o.Addr] || m.primary.active && v.has(o.ID) { // those get the heartbeat
+		if notified[o.Addr] || m.primary.active && v.has(o.ID) { // members of the new view get the heartbeat
 			continue
 		}
 		notified[o.Addr] = true
@@ -223,7 +227,7 @@
 	}
 }
 
-// handlePromise counts a promise. One that came again takes the older one's place.
+// handlePromise counts a promise. A repeated promise replaces the older one.
 func (m *Machine) handlePromise(msg *Message) {
 	c, id := m.candidacy, m.senderVoter(msg)
 	if c == nil || id == "" || c.ballot != msg.Ballot || c.phase != preparing {
@@ -257,7 +261,7 @@
 	m.runPhase(false)
 }
 
-// handleReject gives up a candidacy whose ballot is below one that was promised, for a time that grows with the
+// handleReject abandons a candidacy whose ballot is below a promised one, with a backoff that grows with the number of
 // rejections.
 func (m *Machine) handleReject(msg *Message) {
 	if m.candidacy == nil || m.senderVoter(msg) == "" || !m.candidacy.ballot.less(msg.Ballot) {
--- a/internal/fleet/replication/catchupfaults_test.go
+++ b/internal/fleet/replication/catchupfaults_test.go
@@ -19,7 +19,7 @@
 		{Name: "a backup whose record is on its way counts as late", Tests: "^TestSlowLinkTakesRecord$", Texts: []string{
 			"if p := m.primary.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {\n\t\t\tp.stalledSince = m.now\n\t\t}", ""}},
 		{Name: "what is staged may be older than the stop", Tests: "^TestStagedRecordIsCurrent$", Texts: []string{
-			"\t\tm.dropTransfers() // what is staged", "\t\t// what is staged"}},
+			"\t\tm.dropTransfers() // a staged record", "\t\t// a staged record"}},
 		{Name: "some of the changes make a holder", Tests: "^TestPartialChangesMakeNoHolder$", Texts: []string{
 			"!m.appendChanges(msg) || m.log.seq < msg.Total", "!m.appendChanges(msg)"}},
 		{Name: "changes that don't follow make a holder", Tests: "^TestPartialChangesMakeNoHolder$", Texts: []string{
--- a/internal/fleet/replication/departure.go
+++ b/internal/fleet/replication/departure.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Graceful shutdown: a primary hands its role to a backup in sync, a backup is replaced by another machine that takes
-// the record first, and the primary removes a departing member at once where the membership tolerates as much without
-// it. Nothing here is needed for safety: a departing machine is one that may soon be lost.
+// Graceful shutdown: a primary hands its role to a backup in sync, a backup is replaced by a machine that first
+// receives the record, and the primary removes a departing member immediately if the remaining members tolerate the
+// required losses. Safety doesn't depend on it: a departing machine is treated as one that may soon be lost.
 
 // departure is the graceful shutdown of this machine.
 type departure struct {
@@ -15,9 +15,9 @@
 	releasedEpoch uint64 // the epoch in which the primary released this machine
 }
 
-// Leave begins the graceful shutdown of this machine. It goes on serving meanwhile; Status.Released says when its end
-// costs the others nothing. Whether it comes back is not known, so it gives up its role and not its membership: the
-// primary removes it where the quorum falls with it.
+// Leave begins the graceful shutdown of this machine. It keeps serving until Status.Released reports that the others no
+// longer need it. As it may come back, it gives up its role but not its membership: the primary removes it only where
+// that lowers the quorum.
 func (m *Machine) Leave(now time.Duration) Output {
 	before := m.Status()
 	m.beginInput(now)
@@ -30,8 +30,8 @@
 	return m.endInput(before)
 }
 
-// released reports whether this departing machine has no role left that others would miss. While it holds the record it
-// isn't: it may have one of too few replicas (TestDepartingMemberHoldsNoOnlyReplica).
+// released reports whether the others no longer need this departing machine. A holder of the record is not released, as
+// there may be too few replicas without it (TestDepartingMemberHoldsNoOnlyReplica).
 func (m *Machine) released() bool {
 	switch {
 	case !m.departure.begun:
@@ -44,7 +44,7 @@
 	return m.departure.releasedEpoch == m.view.Epoch
 }
 
-// recordDeparture notes whether the sender, a member, is departing.
+// recordDeparture records whether the sender, if it is a member, is departing.
 func (m *Machine) recordDeparture(msg *Message) {
 	if m.peers.departing[msg.From.ID] == msg.Leaving || !m.view.has(msg.From.ID) {
 		return
@@ -52,14 +52,14 @@
 	m.setDeparting(msg.From.ID, msg.Leaving)
 }
 
-// rejectJoiner forgets a joiner that is departing. A view that takes it in may be under way: it goes out of that at
-// once.
+// rejectJoiner removes a joiner that is departing. A view that admits it may already be proposed; marking it as
+// departing has the view after that remove it immediately.
 func (m *Machine) rejectJoiner(j *joiner) {
 	delete(m.primary.joiners, j.Addr)
 	m.setDeparting(j.ID, true)
 }
 
-// setDeparting replaces the set of departing members: a copy of the machine may share the older one.
+// setDeparting replaces the set of departing members instead of changing it, as a copy of the machine may share it.
 func (m *Machine) setDeparting(id ID, leaving bool) {
 	if leaving && len(m.peers.departing) >= maxMembers+maxJoiners {
 		return
@@ -76,7 +76,7 @@
 	m.peers.departing = departing
 }
 
-// pruneDeparting forgets departing machines that are no members any more.
+// pruneDeparting removes departing machines that are no longer members.
 func (m *Machine) pruneDeparting() {
 	departing := map[ID]bool{}
 	for id := range m.peers.departing {
@@ -87,7 +87,7 @@
 	m.peers.departing = departing
 }
 
-// handOver asks a backup in sync, which stays and has the complete record, to take over.
+// handOver asks a backup in sync that is not departing and has the complete record to take over.
 func (m *Machine) handOver() {
 	if !m.departure.begun || !m.ready() || m.candidacy != nil {
 		return
@@ -113,7 +113,7 @@
 	m.campaign()
 }
 
-// hasSuccessor reports whether a backup may take over from this primary and stay.
+// hasSuccessor reports whether there is a responsive backup that is not departing and may take over from this primary.
 func (m *Machine) hasSuccessor() bool {
 	for _, id := range m.view.Backups {
 		if m.alive(id) && !m.peers.departing[id] {
@@ -123,7 +123,8 @@
 	return false
 }
 
-// requiredTolerance is what the next view must tolerate: a departing primary needs a backup to hand over to.
+// requiredTolerance returns the losses that the next view must tolerate: a departing primary needs at least one backup
+// to hand over to.
 func (m *Machine) requiredTolerance() FailureTolerance {
 	s := m.opt.Tolerance
 	if m.departure.begun {
--- a/internal/fleet/replication/discovery.go
+++ b/internal/fleet/replication/discovery.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// helloMessage asks for the decided view, and to join where this machine is no member.
+// helloMessage returns a request for the decided view, with Join set if this machine is not a member.
 func (m *Machine) helloMessage() Message {
 	return Message{Kind: KindHello, Join: m.voter() == "" && !m.departure.begun}
 }
 
-// sendHello asks the primary, or all addresses that are known, for the decided view when there is a reason: this
-// machine is no member, or hears no primary, or as primary no quorum.
+// sendHello asks the primary, or all known addresses, for the decided view if this machine is not a member, has lost
+// contact with the primary, or is a primary without a responsive quorum.
 func (m *Machine) sendHello() {
 	nonMember := m.view.Epoch == 0 || !m.view.has(m.identity.ID)
 	noContact := m.now-m.election.lastHeartbeat >= m.opt.ElectionTimeout
@@ -41,21 +41,22 @@
 	}
 }
 
-// tellView sends the decided view to the sender of a message of an older epoch.
-func (m *Machine) tellView(msg *Message) {
+// sendView sends the decided view to the sender of a message of an older epoch.
+func (m *Machine) sendView(msg *Message) {
 	if msg.Kind != KindView {
 		m.send(msg.From.Addr, Message{Kind: KindView})
 	}
 }
 
-// askForView asks the sender of a message of a newer epoch for its view, unless another was asked just now.
+// askForView asks the sender of a message of a newer epoch for its view, unless a hello was sent very recently.
 func (m *Machine) askForView(msg *Message) {
 	if msg.Kind != KindView && m.now >= m.election.helloAt-m.opt.HeartbeatInterval/2 {
 		m.send(msg.From.Addr, m.helloMessage())
 	}
 }
 
-// handleView counts the founders that answer during a first start. A decided view was installed before.
+// handleView counts the founders that answer during the bootstrap. A decided view in the message is already installed
+// by Step.
 func (m *Machine) handleView(msg *Message) {
 	if m.view.Epoch == 0 && m.senderVoter(msg) != "" {
 		m.peers.foundersSeen[msg.From.Addr] = true
@@ -63,7 +64,7 @@
 	}
 }
 
-// handleHello tells the decided view, and takes note of who asks to become a member.
+// handleHello answers with the decided view, and records a sender that asks to become a member.
 func (m *Machine) handleHello(msg *Message) {
 	m.send(msg.From.Addr, Message{Kind: KindView})
 	if m.view.Epoch == 0 {
@@ -82,11 +83,11 @@
 		m.primary.joiners[msg.From.Addr] = j
 	}
 	j.lastActive = m.now
-	m.send(j.Addr, m.heartbeatMessage()) // its answer shows that this identity lives
+	m.send(j.Addr, m.heartbeatMessage()) // its answer confirms that the joiner still has this identity
 }
 
-// tickFounder begins the first candidacy of all: the lowest address once all founders answered, else whose turn it is
-// once a majority did.
+// tickFounder begins a candidacy of the bootstrap: the founder with the lowest address does so once all founders have
+// answered; the others follow in turn, by address, once a majority has answered.
 func (m *Machine) tickFounder() {
 	if m.view.Epoch > 0 || m.voter() == "" || m.candidacy != nil {
 		return
--- a/internal/fleet/replication/identity.go
+++ b/internal/fleet/replication/identity.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// drawIdentity begins anew with an empty record, as a machine that knows m.view and has a new identity. A machine that
-// lost its disk has forgotten what it promised, so it must not vote as who it was (TestWipedWitnessHasNoVote).
+// drawIdentity resets the machine to an empty record and a new identity; it keeps m.view. A machine that lost its disk
+// has lost its promises, so it must not vote under its former identity (TestWipedWitnessHasNoVote).
 func (m *Machine) drawIdentity(founder bool) {
 	m.identity = Identity{
 		ID:      ID(fmt.Sprintf("%016x%016x", m.opt.Rand(), m.opt.Rand())),
@@ -23,23 +23,23 @@
 	m.saveReplica()
 }
 
-// self is this machine as a member.
+// self returns this machine as a Member.
 func (m *Machine) self() Member {
 	s := m.opt.Self
 	s.ID = m.identity.ID
 	return s
 }
 
-// voter is the identity by which this machine votes in its view; "" when it has no vote.
+// voter returns the identity under which this machine votes in its view, "" if it has no vote.
 func (m *Machine) voter() ID {
 	return m.voterOf(m.self(), m.identity.Founder)
 }
 
-// senderVoter is the identity by which the sender votes in this machine's view; "" when it has no vote.
+// senderVoter returns the identity under which the sender votes in this machine's view, "" if it has no vote.
 func (m *Machine) senderVoter(msg *Message) ID { return m.voterOf(msg.From, msg.Founder) }
 
-// voterOf is the identity by which a machine votes in this machine's view: in view 0 founders alone vote, each as its
-// address.
+// voterOf returns the identity under which a machine votes in this machine's view, "" if it has no vote. In view 0 only
+// founders vote, each under its address.
 func (m *Machine) voterOf(o Member, founder bool) ID {
 	if m.view.Epoch == 0 && !founder {
 		return ""
@@ -51,7 +51,7 @@
 	return id
 }
 
-// voterID is the identity under which a machine's vote is counted in this machine's view.
+// voterID returns the identity under which a machine's vote is counted in this machine's view.
 func (m *Machine) voterID(o Member) ID {
 	if m.view.Epoch == 0 {
 		return seedID(o.Addr)
@@ -59,8 +59,8 @@
 	return o.ID
 }
 
-// holdsRecord reports whether this machine is the primary or a backup of its view and its disk has all that was
-// committed before the view. A machine that is named a backup but was never brought the record has no say
+// holdsRecord reports whether this machine is the primary or a backup of its view and its disk has all changes that
+// were committed before the view. A machine that is named as a backup but never received the record is not a holder
 // (TestStaleRecordHasNoVote).
 func (m *Machine) holdsRecord() bool {
 	if m.view.Epoch == 0 {
@@ -69,7 +69,7 @@
 	return m.view.rank(m.identity.ID) >= 0 && m.replica.RecordEpoch == m.view.Epoch
 }
 
-// rank is this machine's turn among the holders.
+// rank returns this machine's rank among the holders (in view 0 among the seeds), 0 if it has none.
 func (m *Machine) rank() int {
 	if m.view.Epoch > 0 {
 		return max(m.view.rank(m.identity.ID), 0)
--- a/internal/fleet/replication/input.go
+++ b/internal/fleet/replication/input.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Each input runs between beginInput and endInput. What it leads to is gathered in out and write; the caller writes
-// before it sends and answers, so a handler may change the state and send in any order.
+// Each input runs between beginInput and endInput. Its results are collected in out and write. The caller writes before
+// it sends and answers, so a handler may change the state and send in any order.
 
-// beginInput opens an input. Time never goes back.
+// beginInput starts an input. A time before that of the last input is replaced by the latter.
 func (m *Machine) beginInput(now time.Duration) {
 	m.out, m.write = Output{}, Write{}
 	if now < m.now {
@@ -24,7 +24,7 @@
 	}
 }
 
-// start begins the process's work at its first input.
+// start initializes the timers, and the identity if the disk is empty, at the first input of the process.
 func (m *Machine) start() {
 	m.started = true
 	m.primary.heartbeatAt = m.now
@@ -45,9 +45,9 @@
 	m.out.StatusChanged = true
 }
 
-// restartTimeouts is for a machine that was frozen: that it heard nobody says nothing of the others, so all time-outs
-// begin anew (TestThawedMachineWaits). It changes nothing else: read rounds and answers from before stay as old as they
-// are.
+// restartTimeouts restarts all time-outs after this machine was frozen: it received nothing meanwhile, which doesn't
+// mean that the others are lost (TestThawedMachineWaits). It changes nothing else: earlier read rounds and answers keep
+// their age.
 func (m *Machine) restartTimeouts() {
 	m.election.lastHeartbeat = m.now
 	for id := range m.peers.lastActive {
@@ -63,7 +63,7 @@
 	}
 }
 
-// endInput closes an input.
+// endInput ends an input and returns its Output.
 func (m *Machine) endInput(before Status) Output {
 	after := m.Status()
 	if before.ID != after.ID || before.Role != after.Role || before.Epoch != after.Epoch ||
@@ -105,8 +105,8 @@
 	m.out.Answer = append(m.out.Answer, Answer{Token: token, Result: r, Seq: seq})
 }
 
-// saveVote, saveIdentity, saveView and saveReplica add a part of the persistent state, as it is now, to the input's
-// write.
+// saveVote, saveIdentity, saveView and saveReplica add the current value of that part of the persistent state to the
+// input's Write.
 func (m *Machine) saveVote() {
 	v := m.vote
 	m.write.Vote = &v
--- a/internal/fleet/replication/install.go
+++ b/internal/fleet/replication/install.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// installView takes over a decided view that is newer than the known one. One of the same epoch is the same view, as an
-// epoch has one decree (the search's rule that no two views of an epoch are decided).
+// installView installs a decided view if it is newer than the known one. A decided view of the same epoch is the same
+// view, as only one is decided per epoch (a rule that the search checks).
 func (m *Machine) installView(v View) {
 	if v.Epoch <= m.view.Epoch || !v.valid() {
 		return
 	}
-	// Who holds the record of the epoch before, as its replica or because it was staged, holds that of the next.
+	// A machine that holds the record of the previous epoch, as a replica or because it was staged, holds that of the
+	// next one.
 	known := m.view.Epoch > 0 || m.identity.Founder
 	carriesRecord := known && v.Epoch == m.view.Epoch+1 && m.replica.RecordEpoch == m.view.Epoch
 	m.view, m.vote, m.candidacy = v, Vote{}, nil
@@ -36,8 +37,8 @@
 	m.peers.foundersSeen = map[string]bool{}
 }
 
-// saveInstalledView has the view, and what it makes of this machine's record, written. A machine that was removed
-// begins anew: the members of the view no longer count its identity, so what that holds and promised is over
+// saveInstalledView persists the view and its effect on this machine's record. A machine that was removed starts over
+// with a new identity: the members of the view no longer count the old one, so its record and promises are void
 // (TestRemovedMemberDrawsNewIdentity).
 func (m *Machine) saveInstalledView(carriesRecord bool) {
 	v := &m.view
@@ -59,7 +60,7 @@
 	m.saveVote()
 }
 
-// prunePeers forgets what is known of machines that are no members any more.
+// prunePeers removes the state of machines that are no longer members.
 func (m *Machine) prunePeers() {
 	lastActive := map[ID]time.Duration{}
 	for _, o := range m.view.Members {
@@ -76,7 +77,7 @@
 	m.pruneDeparting()
 }
 
-// becomeFollower makes this machine a backup, a witness or no member of its view.
+// becomeFollower gives this machine the role of a backup, a witness or a non-member of its view.
 func (m *Machine) becomeFollower() {
 	m.primary.active = false
 	m.primary.progress = nil
@@ -84,9 +85,9 @@
 	clear(m.primary.joiners)
 }
 
-// becomePrimary makes this machine the primary of its view. It takes no backup to be in sync before that has said so in
-// this view: what a backup acknowledged in an earlier view may have been replaced since. Reads that came before the
-// view wait for a round of this one.
+// becomePrimary makes this machine the primary of its view. It doesn't consider a backup in sync until the backup has
+// confirmed that in this view: changes that it acknowledged in an earlier view may have been replaced since. Reads
+// received before the view wait for a read round of this one.
 func (m *Machine) becomePrimary() {
 	p := &m.primary
 	p.active = true
@@ -109,7 +110,7 @@
 	m.advanceCommit()
 }
 
-// graceForUnseen gives members that this machine hasn't heard lately a time-out to answer its first heartbeat.
+// graceForUnseen gives members that were not heard from recently a full time-out to answer the first heartbeat.
 func (m *Machine) graceForUnseen() {
 	for _, o := range m.view.Members {
 		at := m.peers.lastActive[o.ID]
@@ -119,7 +120,7 @@
 	}
 }
 
-// failPending answers all that is pending: another machine is primary.
+// failPending answers all pending writes and reads with LostPrimacy.
 func (m *Machine) failPending() {
 	for _, w := range m.primary.pendingWrites {
 		m.answer(w.token, LostPrimacy, w.at)
--- a/internal/fleet/replication/learner.go
+++ b/internal/fleet/replication/learner.go
@@ -3,15 +3,14 @@
 import "time"
 
 // Learners are the members that don't hold the record, and machines that are about to join. The primary sends them the
-// record in the background, while it answers. No safety rule counts on what they have, but one that is to become a
-// backup then lacks a few changes only, and the core isn't without an answer for the time that the complete record
-// takes on a slow link.
+// record in the background while it serves. Safety doesn't depend on their records. A learner that becomes a backup
+// lacks only a few changes, so the core is not unavailable while the complete record crosses a slow link.
 
-// learnerHeartbeats is how many heartbeats lie between two messages of changes to a learner: its disk has other
-// work.
+// learnerHeartbeats is the number of heartbeat intervals between two messages of changes to a learner. It limits the
+// load on the learner's disk.
 const learnerHeartbeats = 4
 
-// learners lists who is to be brought the record in the background.
+// learners returns the machines that are sent the record in the background.
 func (m *Machine) learners() []Member {
 	var all []Member
 	for _, o := range m.view.Members {
@@ -22,7 +21,7 @@
 	return append(all, m.joining()...)
 }
 
-// catchUpLearners sends learners what they lack.
+// catchUpLearners sends all learners the changes that they lack.
 func (m *Machine) catchUpLearners() {
 	if m.now < m.primary.learnerSendAt {
 		return
@@ -38,7 +37,7 @@
 	}
 }
 
-// catchUpLearner sends one learner what it lacks: changes where they are still kept, else the complete record.
+// catchUpLearner sends one learner the changes that it lacks if they are still in the log, else the complete record.
 func (m *Machine) catchUpLearner(to Member) {
 	at, ok := m.transfers.positions[to.ID]
 	if !ok {
@@ -66,27 +65,28 @@
 	})
 }
 
-// hasPrefix reports whether a record at a position is a prefix of this machine's from which the changes are still kept.
+// hasPrefix reports whether a record that ends at the position is a prefix of this machine's and the changes after it
+// are still in the log.
 func (m *Machine) hasPrefix(at position) bool {
 	digest, known := m.log.digestAt(at.seq)
 	return known && digest == at.digest
 }
 
-// nearlyCaughtUp reports whether a machine is known to lack only changes that are still kept.
+// nearlyCaughtUp reports whether a machine is known to lack only changes that are still in the log.
 func (m *Machine) nearlyCaughtUp(id ID) bool {
 	at, ok := m.transfers.positions[id]
 	return ok && m.hasPrefix(at)
 }
 
-// transferToLearner sends the complete record to one learner at a time: heartbeats wait behind it.
+// transferToLearner sends the complete record to at most one learner at a time, as heartbeats queue behind it.
 func (m *Machine) transferToLearner(to Member) {
 	if m.transfers.outgoing[to.ID] != nil || !m.learnerTransferActive(m.opt.ElectionTimeout) {
 		m.sendRecord(KindSnapshot, to)
 	}
 }
 
-// learnerTransferActive reports whether a complete record is on its way to some learner and has moved within the time
-// given.
+// learnerTransferActive reports whether a complete record is being transferred to a learner and has made progress
+// within the given time.
 func (m *Machine) learnerTransferActive(within time.Duration) bool {
 	for id, t := range m.transfers.outgoing {
 		if m.primary.progress[id] == nil && m.now-t.movedAt < within {
@@ -96,8 +96,8 @@
 	return false
 }
 
-// awaitsLearner reports whether a choice of backups takes one that lacks more than changes while the record is on its
-// way to some learner: a view that isn't urgent waits for that.
+// awaitsLearner reports whether a choice of backups includes one that needs the complete record while a transfer of it
+// to a learner is in progress. A view that is not urgent waits for that transfer.
 func (m *Machine) awaitsLearner(c choice) bool {
 	for _, b := range c.backups {
 		if m.view.rank(b) < 0 && !m.nearlyCaughtUp(b) {
@@ -107,7 +107,7 @@
 	return false
 }
 
-// handleLearnerAppend takes changes of the primary's record.
+// handleLearnerAppend appends changes of the primary's record.
 func (m *Machine) handleLearnerAppend(msg *Message) {
 	if m.isLearner() {
 		m.appendChanges(msg)
@@ -115,7 +115,7 @@
 	m.sendHeartbeatAck(msg.From.Addr, 0)
 }
 
-// handleLearnerSnapshot takes chunks of the primary's record, unless it is a prefix of this machine's.
+// handleLearnerSnapshot receives a chunk of the primary's record, unless that is a known prefix of this machine's.
 func (m *Machine) handleLearnerSnapshot(msg *Message) {
 	digest, known := m.log.digestAt(msg.Seq)
 	if m.isLearner() && !(known && digest == msg.Digest) {
@@ -128,8 +128,8 @@
 	m.sendHeartbeatAck(msg.From.Addr, 0)
 }
 
-// isLearner reports whether this machine takes the primary's record without holding it. Once a proposer has staged its
-// record here, that is promised, and nothing may take its place (TestStagedRecordStays).
+// isLearner reports whether this machine receives the primary's record without being a holder. Once a proposer has
+// staged its record here and was answered, nothing may replace that record (TestStagedRecordStays).
 func (m *Machine) isLearner() bool {
 	return !m.holdsRecord() && m.replica.RecordEpoch != m.view.Epoch
 }
--- a/internal/fleet/replication/log.go
+++ b/internal/fleet/replication/log.go
@@ -5,37 +5,37 @@
 const (
 	// maxLogChanges bounds the changes that a restart applies one by one.
 	maxLogChanges = 1024
-	// retainedLogDivisor is which part of the log's bounds is kept in memory beyond a snapshot: one in so many.
+	// retainedLogDivisor determines the share of the log's bounds that is kept in memory beyond a snapshot (1/4).
 	retainedLogDivisor = 4
 )
 
-// recordLog is the end of the record and the newest changes that led there. The record itself is in the App.
+// recordLog is the end of the record and the newest changes before it. The record itself is in the App.
 type recordLog struct {
 	seq, digest uint64
-	base        Snapshot // what changes follow on; Body is not kept
-	changes     []Change // after base: those since the snapshot on the disk, and some before it
+	base        Snapshot // the record before the first of changes; Body is not set
+	changes     []Change // after base: those since the snapshot on disk, and some before it
 
-	diskBytes, diskCount int // of the changes since the snapshot on the disk
+	diskBytes, diskCount int // size and number of the changes since the snapshot on disk
 
-	committed uint64 // up to this Seq changes are known to be committed; never above seq
-	// reportedCommit is up to where others said that changes are committed, whatever of it this machine has.
+	committed uint64 // commit index; never above seq
+	// reportedCommit is the highest commit index that other machines reported; it may be above seq.
 	reportedCommit uint64
 }
 
-// reset makes the log that of a record without kept changes.
+// reset sets the end of the record and drops all kept changes.
 func (l *recordLog) reset(seq, digest uint64) {
 	l.seq, l.digest = seq, digest
 	l.base = Snapshot{Seq: seq, Digest: digest}
 	l.changes = nil
 }
 
-// extendedBy reports whether c comes right after the record. The digest chains all changes, so one that follows another
-// record with as many changes is told apart (TestAppendToAnotherRecord).
+// extendedBy reports whether c is the next change of this record. As the digest chains all changes, a change that
+// follows a different record of the same length is detected (TestAppendToAnotherRecord).
 func (l *recordLog) extendedBy(c Change) bool {
 	return c.Seq == l.seq+1 && c.Digest == ChainDigest(l.digest, c.Seq, c.Body)
 }
 
-// append adds c, which comes right after the record.
+// append adds c, which must be the next change of the record.
 func (l *recordLog) append(c Change) {
 	l.seq, l.digest = c.Seq, c.Digest
 	l.changes = append(l.changes, c)
@@ -43,7 +43,7 @@
 	l.diskCount++
 }
 
-// digestAt is the digest of the record at seq, if it is still known.
+// digestAt returns the digest of the record at seq, if it is still known.
 func (l *recordLog) digestAt(seq uint64) (uint64, bool) {
 	switch {
 	case seq == l.seq:
@@ -56,8 +56,8 @@
 	return 0, false
 }
 
-// changesAfter gives the changes after seq whose bodies have at most maxBytes together; none when the first one has
-// more. seq must not lie before the log's base.
+// changesAfter returns as many changes after seq as fit into maxBytes, counting their bodies; none if the first one is
+// larger. seq must not be before the log's base.
 func (l *recordLog) changesAfter(seq uint64, maxBytes int) []Change {
 	rest := l.changes[seq-l.base.Seq:]
 	n, bytes := 0, 0
@@ -68,8 +68,8 @@
 	return rest[:n:n]
 }
 
-// compact notes that a snapshot of the record replaces the changes on the disk. In memory the newest changes are kept,
-// as many as the bounds allow: who lacks only these is brought them, and not the complete record at each snapshot.
+// compact records that a snapshot replaces the changes on disk. The newest changes are kept in memory, as many as the
+// bounds allow, so that a machine that lacks only these doesn't need the complete record after each snapshot.
 func (l *recordLog) compact(maxCount, maxBytes int) {
 	l.diskBytes, l.diskCount = 0, 0
 	first, bytes := len(l.changes), 0
--- a/internal/fleet/replication/machine.go
+++ b/internal/fleet/replication/machine.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// maxJoiners bounds the machines that ask a primary to become members and aren't yet.
+	// maxJoiners bounds the number of machines that wait to become members.
 	maxJoiners = 64
-	// maxPending bounds the writes, and the reads, that wait for their answer.
+	// maxPending bounds the number of pending writes, and of pending reads.
 	maxPending = 4096
-	// defaultSnapshotBytes is Options.SnapshotBytes when that is 0.
+	// defaultSnapshotBytes is the default of Options.SnapshotBytes.
 	defaultSnapshotBytes = 1 << 20
 )
 
-// Machine is one core machine's part in the replication: a state machine whose inputs are Step, Tick, Propose, Read and
-// Leave. It is not safe for concurrent use; one goroutine owns it.
+// Machine is the replication state machine of one core machine. Its inputs are Step, Tick, Propose, Read and Leave. It
+// is not safe for concurrent use; one goroutine owns it.
 //
-// Its state is grouped by durability and role. persistentState and log are on disk; all else is gone with the process,
-// and no safety rule rests on it. primary counts while this process is primary, candidacy while it proposes a view.
+// Its state is grouped by durability and role. persistentState and log are on disk; the rest is volatile, and safety
+// doesn't depend on it. primary is valid while this process is primary, candidacy while it proposes a view.
 type Machine struct {
 	opt Options
 	app App
@@ -32,20 +32,20 @@
 	transfers transferState
 	primary   primaryState
 	candidacy *candidacy // nil: none
-	departure departure  // of this machine
+	departure departure  // graceful shutdown of this machine
 
-	// The input in the making.
-	diskLost bool // the disk was unreadable: never a first start
-	started  bool // the first input came
+	// The input being processed.
+	diskLost bool // the disk was unreadable: never bootstrap
+	started  bool // the first input was processed
 	now      time.Duration
 	tickDue  time.Duration // when Tick was due after the last input
 	out      Output
 	write    Write
 }
 
-// New makes a machine from what its disk held; the zero PersistentState is an empty disk. The app must be empty; New
-// restores the record into it. It fails on settings out of bounds, on a disk that belongs to another address, on
-// changes with a gap and when the app can't restore.
+// New returns a machine with the state read from its disk; the zero PersistentState is an empty disk. The app must be
+// empty; New restores the record into it. It fails if an option is out of range, if the disk belongs to another
+// address, if the changes have a gap or if the app can't restore the snapshot.
 func New(opt Options, from PersistentState, app App) (*Machine, error) {
 	if opt.SnapshotBytes <= 0 {
 		opt.SnapshotBytes = defaultSnapshotBytes
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if from.Identity.ID != "" && from.Identity.Addr != opt.Self.Addr {
-		return nil, errors.Errorf("replication: the disk belongs to %s, not to %s", from.Identity.Addr, opt.Self.Addr)
+		return nil, errors.Errorf("replication: disk belongs to %s, own address is %s", from.Identity.Addr, opt.Self.Addr)
 	}
 	m := &Machine{
 		opt:      opt,
@@ -91,7 +91,7 @@
 	return m, nil
 }
 
-// validate reports a setting that is out of bounds.
+// validate returns an error if an option is missing or out of range.
 func (o *Options) validate() error {
 	for _, d := range []time.Duration{
 		o.HeartbeatInterval,
@@ -101,19 +101,19 @@
 		o.MemberTimeout,
 	} {
 		if d <= 0 {
-			return errors.New("replication: a duration is not above 0")
+			return errors.New("replication: options: every duration must be above 0")
 		}
 	}
 	if o.Rand == nil || o.Self.Addr == "" {
-		return errors.New("replication: no own address or no source of random numbers")
+		return errors.New("replication: options: Self.Addr and Rand must be set")
 	}
 	if t := o.Tolerance; min(t.Nodes, t.Zones, t.Regions) < 0 || t.Replicas() > maxMembers {
-		return errors.Errorf("replication: survive out of bounds: %+v", t)
+		return errors.Errorf("replication: options: survive out of range: %+v", t)
 	}
 	return nil
 }
 
-// restore brings the record of the disk into the app.
+// restore loads the record from the disk's state into the app.
 func (m *Machine) restore(from PersistentState) error {
 	if s := from.Snapshot; s != nil {
 		if err := m.app.Restore(s.Seq, s.Body); err != nil {
@@ -123,7 +123,7 @@
 	}
 	for _, c := range from.Changes {
 		if !m.log.extendedBy(c) {
-			return errors.Errorf("replication: change %d doesn't follow %d", c.Seq, m.log.seq)
+			return errors.Errorf("replication: stored change %d doesn't follow change %d", c.Seq, m.log.seq)
 		}
 		m.applyChange(c)
 	}
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// Step takes a message. from is the address by which the transport knows the sender, "" when it knows none; a message
-// that names another is dropped. msg stays unchanged and may be kept in part.
+// Step processes a received message. from is the sender's address as the transport knows it, "" if unknown; a message
+// whose From.Addr differs is dropped. Step doesn't change msg, but may keep references to parts of it.
 func (m *Machine) Step(now time.Duration, from string, msg *Message) Output {
 	before := m.Status()
 	m.beginInput(now)
@@ -146,8 +146,8 @@
 	return m.endInput(before)
 }
 
-// step sorts a message by its epoch. Only what was sent in this machine's own epoch counts: an answer of an older one
-// may be of a member that was removed since, and of a newer one nothing is known before its view is installed.
+// step dispatches a message by its epoch. Only messages of this machine's own epoch are processed: the sender of an
+// older one may have been removed since, and a newer one can't be judged before its view is installed.
 func (m *Machine) step(msg *Message) {
 	if j := m.primary.joiners[msg.From.Addr]; j != nil && msg.Leaving {
 		m.rejectJoiner(j)
@@ -157,7 +157,7 @@
 		return
 	}
 	if msg.Epoch < m.view.Epoch {
-		m.tellView(msg)
+		m.sendView(msg)
 		return
 	}
 	if msg.Epoch > m.view.Epoch {
@@ -171,7 +171,7 @@
 	m.stepInView(msg)
 }
 
-// stepInView hands a message of this machine's epoch to its handler.
+// stepInView passes a message of this machine's epoch to its handler.
 func (m *Machine) stepInView(msg *Message) {
 	switch msg.Kind {
 	case KindView:
@@ -207,7 +207,7 @@
 	}
 }
 
-// Tick lets time pass. It is due at NextTick and may come at any time.
+// Tick processes the passage of time. It is due at NextTick, and may be called at any time.
 func (m *Machine) Tick(now time.Duration) Output {
 	before := m.Status()
 	m.beginInput(now)
@@ -235,8 +235,8 @@
 	}
 }
 
-// tickElection begins a candidacy when the primary is overdue, and goes on with one that a rejection or a restart
-// ended.
+// tickElection begins a candidacy when the primary has timed out, and begins another after a rejection or a restart
+// ended one.
 func (m *Machine) tickElection() {
 	if m.candidacy == nil && m.canCampaign() && !m.primary.active {
 		if m.campaignsAtOnce() || m.now >= m.electionDeadline() {
@@ -248,20 +248,21 @@
 	}
 }
 
-// canCampaign reports whether this machine may propose the view after a decided one.
+// canCampaign reports whether this machine may propose the next view. The bootstrap has its own trigger (tickFounder).
 func (m *Machine) canCampaign() bool { return m.holdsRecord() && m.view.Epoch > 0 }
 
-// campaignsAtOnce reports whether nothing is to be waited for: the view has no other primary, or this machine answers
-// nothing of it any more.
+// campaignsAtOnce reports whether there is no election timer to wait for: this machine is the view's primary, or it is
+// stopped in the view.
 func (m *Machine) campaignsAtOnce() bool { return m.rank() == 0 || m.stopped() }
 
-// electionDeadline is when the primary counts as lost for this backup: the backups take turns, by rank.
+// electionDeadline returns the time at which this backup considers the primary lost. It is staggered by rank, so that
+// the backups don't campaign at the same time.
 func (m *Machine) electionDeadline() time.Duration {
 	turn := time.Duration(m.rank()-1) * m.opt.ElectionStagger
 	return m.election.lastHeartbeat + m.opt.ElectionTimeout + turn
 }
 
-// NextTick tells when Tick is due. It never lies before the last input.
+// NextTick returns the time at which Tick is due. It is never before the last input.
 func (m *Machine) NextTick() time.Duration {
 	if !m.started {
 		return 0
--- a/internal/fleet/replication/membership.go
+++ b/internal/fleet/replication/membership.go
@@ -9,8 +9,8 @@
 // joiner is a machine that asks to become a member.
 type joiner struct {
 	Member
-	firstActive time.Duration // first heard
-	lastActive  time.Duration // last heard
+	firstActive time.Duration // when it was first heard from
+	lastActive  time.Duration // when it was last heard from
 	confirmed   bool          // answered a heartbeat under this identity
 }
 
@@ -18,10 +18,10 @@
 type memberPlan struct {
 	members []Member
 	changed bool
-	urgent  bool // a member that is departing goes out: it won't wait
+	urgent  bool // a departing member is removed, which can't be postponed
 }
 
-// joining lists the machines to become members, by address.
+// joining returns the joiners that may be admitted, by address, and drops those unresponsive for MemberTimeout.
 func (m *Machine) joining() []Member {
 	var js []Member
 	for a, j := range m.primary.joiners {
@@ -39,15 +39,15 @@
 	return js
 }
 
-// minMembers is the size below which no member is dropped: after the loss of all that may be lost, a majority of so
-// many is left, and a lost member that comes back with its vote may be needed.
+// minMembers returns the size below which no member is removed. After the largest tolerated loss a majority of that
+// many members remains, and a lost member that comes back may be needed for its vote.
 func (m *Machine) minMembers() int { return max(3, 2*m.opt.Tolerance.Replicas()-1) }
 
-// nextMembers plans the members of the next view. Only the primary changes them (a machine that takes over doesn't know
-// who is unresponsive): a machine that lost its disk replaces its older identity, joiners come in, members that are
-// departing or unresponsive go out. A majority of the members decides the next view with all its members, so the plan
-// may change several at once, unlike raft's single-server change; what it must keep is a quorum of the new members
-// among machines that answer without the joiners.
+// nextMembers plans the members of the next view. Only the primary changes them, as a machine that takes over doesn't
+// know which members are unresponsive. A machine that lost its disk replaces its older identity, joiners are admitted,
+// and departing or unresponsive members are removed. A majority of the current members decides the next view including
+// all its members, so the plan may change several at once, unlike raft's single-server change. It must keep a quorum of
+// the new members among the responsive machines that are not joiners.
 func (m *Machine) nextMembers() memberPlan {
 	plan := memberPlan{members: slices.Clone(m.view.Members)}
 	if !m.primary.active {
@@ -61,7 +61,7 @@
 	return plan
 }
 
-// replaceOldIdentities puts joiners in the places of their addresses' older identities and returns the others.
+// replaceOldIdentities replaces the older identities of the joiners' addresses and returns the other joiners.
 func (plan *memberPlan) replaceOldIdentities(joiners []Member) []Member {
 	return slices.DeleteFunc(joiners, func(j Member) bool {
 		i := slices.IndexFunc(plan.members, func(o Member) bool { return o.Addr == j.Addr })
@@ -73,9 +73,9 @@
 	})
 }
 
-// replaceAbsent puts joiners in the places of members that are departing or unresponsive, and returns the others. A
-// joiner that came as one more beside a lost member would raise the majority and be needed for it: the set would be
-// lost with its disk.
+// replaceAbsent replaces departing or unresponsive members by joiners, and returns the other joiners. A joiner that was
+// added beside a lost member could raise the quorum and be needed for it, so that the loss of the joiner's disk would
+// cost the quorum.
 func (m *Machine) replaceAbsent(plan *memberPlan, joiners []Member) []Member {
 	if len(plan.members) < m.minMembers() {
 		return joiners
@@ -94,7 +94,7 @@
 	})
 }
 
-// grow admits as many joiners as may come, those first whose zone has the fewest members. The others wait.
+// grow adds as many joiners as allowed, in the order of balanceZones. The others wait.
 func (m *Machine) grow(plan *memberPlan, joiners []Member) {
 	joiners = balanceZones(plan.members, joiners)
 	for n := len(joiners); n > 0; n-- {
@@ -105,9 +105,10 @@
 	}
 }
 
-// canGrow reports whether joiners may come as so many more members: without them a majority of the larger set must be
-// there, and it must tolerate what the smaller one does. Where the majority rises each joiner must have been heard for
-// a while, so that who is unresponsive by now is known to be, and must have been heard just now.
+// canGrow reports whether the joiners may be added. Below minMembers they always may, up to maxMembers. Otherwise the
+// larger set must tolerate the required losses if the smaller one does. Where the quorum rises, the responsive members
+// must be a quorum of the larger set without the joiners, and each joiner must have been active for ElectionTimeout, so
+// that unresponsive members are known as such by now, and within the last two heartbeat intervals.
 func (m *Machine) canGrow(members, joiners []Member) bool {
 	grown := append(slices.Clone(members), joiners...)
 	switch {
@@ -127,12 +128,12 @@
 	return !slices.ContainsFunc(joiners, unsure) && m.countPresent(members) >= quorumSize(len(grown))
 }
 
-// reducesTolerance reports whether the members tolerate the required losses before a change and not after it.
+// reducesTolerance reports whether the members tolerate the required losses before a change but not after it.
 func (m *Machine) reducesTolerance(before, after []Member) bool {
 	return m.opt.Tolerance.toleratedBy(before) && !m.opt.Tolerance.toleratedBy(after)
 }
 
-// removeAbsent takes out of the plan members that are departing or were unresponsive for MemberTimeout, where that
+// removeAbsent removes members from the plan that are departing or were unresponsive for MemberTimeout, where that
 // lowers the quorum (TestUnresponsiveMembersStay).
 func (m *Machine) removeAbsent(plan *memberPlan) {
 	m.removeMembers(plan, m.absent(plan.members, m.opt.MemberTimeout), m.minMembers())
@@ -140,7 +141,8 @@
 	m.removeMembers(plan, departing, 2*m.opt.Tolerance.Replicas()-1)
 }
 
-// removeMembers takes the first of these members out of the plan, down to so many, where that lowers the majority.
+// removeMembers removes the first of the absent members from the plan, keeping at least the given number of members, if
+// that lowers the quorum and doesn't reduce the tolerance.
 func (m *Machine) removeMembers(plan *memberPlan, absent []Member, least int) {
 	absent = absent[:max(0, min(len(absent), len(plan.members)-least))]
 	rest := without(plan.members, absent...)
@@ -151,8 +153,8 @@
 	plan.urgent = plan.urgent || slices.ContainsFunc(absent, func(o Member) bool { return m.departsAsWitness(o.ID) })
 }
 
-// absent lists those of the members that are departing or were unresponsive for so long: the former first, then by how
-// long they have been so.
+// absent returns the members that are departing or were unresponsive for the given time: departing ones first, then the
+// longest unresponsive.
 func (m *Machine) absent(members []Member, timeout time.Duration) []Member {
 	var absent []Member
 	for _, o := range members {
@@ -176,11 +178,11 @@
 	return absent
 }
 
-// departsAsWitness reports whether a member is departing and holds no record of the view. One that holds it first
-// becomes a witness: whoever is left out drops its record, and by then the holders of the next view must know of it.
+// departsAsWitness reports whether a member is departing and doesn't hold the record of the view. A holder first
+// becomes a witness: a removed machine drops its record, and by then the holders of the next view must know that view.
 func (m *Machine) departsAsWitness(id ID) bool { return m.peers.departing[id] && m.view.rank(id) < 0 }
 
-// countPresent counts the members of the view among these that answer and stay.
+// countPresent counts the given members that belong to the view, are responsive and not departing.
 func (m *Machine) countPresent(members []Member) int {
 	n := 0
 	for _, o := range members {
@@ -191,12 +193,13 @@
 	return n
 }
 
-// without are the members but for some.
+// without returns the members except some.
 func without(members []Member, some ...Member) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(o Member) bool { return slices.Contains(some, o) })
 }
 
-// balanceZones orders joiners so that each in turn stands in the zone with the fewest members.
+// balanceZones orders joiners so that each one is in the zone that has the fewest members, counting the joiners before
+// it.
 func balanceZones(members, joiners []Member) []Member {
 	inZone := map[[2]string]int{}
 	for _, o := range members {
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Propose asks for a change. It is answered at once with NotPrimary or Busy, or later with Committed or LostPrimacy.
-// body must not be changed afterwards. While too few machines answer it waits without a bound: the caller may give up
-// on its token, which stays pending until the answer.
+// Propose requests a change. It is answered immediately with NotPrimary or Busy, or later with Committed or
+// LostPrimacy. body must not be changed afterwards. While too few machines answer it stays pending without a time
+// limit: the caller may stop waiting for its token, which remains pending until it is answered.
 func (m *Machine) Propose(now time.Duration, token uint64, body []byte) Output {
 	before := m.Status()
 	m.beginInput(now)
@@ -17,7 +17,7 @@
 	return m.endInput(before)
 }
 
-// admits reports whether a write or read is taken beside so many pending ones; else it answers it at once.
+// admits reports whether a write or read is accepted, given the number of pending ones; if not, it answers it.
 func (m *Machine) admits(token uint64, pending int) bool {
 	switch {
 	case !m.primary.active:
@@ -30,8 +30,8 @@
 	return true
 }
 
-// appendProposal appends a change to the record and sends it to the backups that are close enough to take it now. The
-// primary's own disk counts like a backup's: the change is written before the answer goes out.
+// appendProposal appends a change to the record and sends it to the backups in sync that lag by no more than the
+// pending writes. The primary's own disk counts like a backup's: the change is written before the answer is sent.
 func (m *Machine) appendProposal(token uint64, body []byte) {
 	prev := Message{Kind: KindAppend, Seq: m.log.seq, Digest: m.log.digest, Committed: m.log.committed}
 	c := Change{Seq: m.log.seq + 1, Digest: ChainDigest(m.log.digest, m.log.seq+1, body), Body: body}
@@ -39,7 +39,7 @@
 	m.saveChanges(c)
 	m.primary.pendingWrites = append(m.primary.pendingWrites, pendingRequest{token: token, at: c.Seq})
 	if !m.leading() {
-		return // a new view is on its way and takes it along
+		return // this machine proposes a new view, which will include the change
 	}
 	prev.Changes = []Change{c}
 	for _, b := range m.view.Backups {
@@ -60,8 +60,8 @@
 	m.advanceCommit()
 }
 
-// Read asks for a point of the record that is at least as new as all that was answered before. It is answered at once
-// with NotPrimary or Busy, or later with Confirmed or LostPrimacy.
+// Read requests a Seq up to which the record contains all changes acknowledged before the Read (a linearizable read).
+// It is answered immediately with NotPrimary or Busy, or later with Confirmed or LostPrimacy.
 func (m *Machine) Read(now time.Duration, token uint64) Output {
 	before := m.Status()
 	m.beginInput(now)
@@ -72,9 +72,10 @@
 	return m.endInput(before)
 }
 
-// advanceCommit moves the commit index to what all backups have, answers what that allows, and begins a read round for
-// reads that came since. All backups count, not a majority of them: the one left out may be the only holder that
-// stopped and proposes (the search's rules that nothing acknowledged is lost and no read is stale).
+// advanceCommit advances the commit index to the last change that all backups have, answers the writes and reads that
+// this allows, and begins a read round for newer reads. All backups count, not a majority of them: the one left out may
+// be the only holder that stopped and proposes a view (the search checks that no acknowledged change is lost and no
+// read is stale).
 func (m *Machine) advanceCommit() {
 	if !m.ready() {
 		return
@@ -102,8 +103,8 @@
 	}
 }
 
-// answerReads answers the reads whose round all backups have answered, as in raft's ReadIndex: a round that began after
-// the read came. An answer to an older round says nothing, as another view may have been decided since.
+// answerReads answers the reads whose round all backups have answered, as in raft's ReadIndex: the round must begin
+// after the read was received. An answer to an older round proves nothing, as another view may have been decided since.
 func (m *Machine) answerReads(round uint64) {
 	asked := false
 	m.primary.pendingReads = slices.DeleteFunc(m.primary.pendingReads, func(w pendingRequest) bool {
@@ -124,7 +125,7 @@
 	}
 }
 
-// beginReadRound begins a round of heartbeats that confirms all reads which came before it.
+// beginReadRound begins a round of heartbeats that confirms all reads received before it.
 func (m *Machine) beginReadRound() {
 	m.primary.readRound++
 	m.primary.contact.begin(m.primary.readRound, m.now)
@@ -148,8 +149,8 @@
 	}
 }
 
-// broadcastHeartbeat sends a heartbeat to all members. Departing ones are released when no next view would replace
-// them.
+// broadcastHeartbeat sends a heartbeat to all members. Departing witnesses are released unless a next view would still
+// take a role or the membership from a departing machine.
 func (m *Machine) broadcastHeartbeat() {
 	m.primary.heartbeatAt = m.now + m.opt.HeartbeatInterval
 	m.beginReadRound()
@@ -161,7 +162,7 @@
 	}
 }
 
-// resend sends again what backups in sync lack.
+// resend retransmits the changes that backups in sync lack.
 func (m *Machine) resend() {
 	for _, b := range m.view.Backups {
 		p := m.primary.progress[b]
@@ -172,8 +173,8 @@
 	}
 }
 
-// catchUp sends a backup whose record ends at (seq, digest) what it lacks: changes where they are still kept, else a
-// snapshot.
+// catchUp sends a backup whose record ends at (seq, digest) the changes that it lacks if they are still in the log,
+// else a snapshot. known is whether that record is a known prefix of this machine's.
 func (m *Machine) catchUp(p *progress, id ID, seq, digest uint64, known bool) {
 	var changes []Change
 	if known {
@@ -202,7 +203,7 @@
 	m.sendRecord(KindSnapshot, to)
 }
 
-// handleHeartbeatAck admits where a member's record ends and, for a backup, what it has answered.
+// handleHeartbeatAck records the end of a member's or joiner's record and, for a backup, its progress.
 func (m *Machine) handleHeartbeatAck(msg *Message) {
 	if !m.primary.active {
 		return
@@ -231,7 +232,7 @@
 	m.advanceCommit()
 }
 
-// updateProgress admits the answer of a backup that is in sync.
+// updateProgress records the answer of a backup that is in sync.
 func (m *Machine) updateProgress(p *progress, msg *Message) {
 	if !p.inSync || msg.Seq > p.match {
 		p.stalledSince = m.now
@@ -248,7 +249,8 @@
 	}
 }
 
-// recordStoppedBackup notes that a backup proposes a view of its own; it gets time before this machine does the same.
+// recordStoppedBackup records that a backup proposes a view, and delays this machine's own candidacy so that the
+// backup's can finish.
 func (m *Machine) recordStoppedBackup(p *progress) {
 	if !p.stopped {
 		p.stopped = true
@@ -257,16 +259,17 @@
 	}
 }
 
-// stopped reports whether this machine answers nothing of its view any more (is fenced). It is kept on the disk: a
-// holder that proposed must not answer again after a restart, as the view it proposed may be decided
+// stopped reports whether this machine is fenced in its view: it acknowledges nothing more. This is stored on disk: a
+// holder that proposed must not acknowledge again after a restart, as the view that it proposed may be decided
 // (TestStoppedBackupDoesNotAnswer).
 func (m *Machine) stopped() bool { return m.replica.StoppedEpoch == m.view.Epoch+1 }
 
-// leading reports whether this machine answers as primary.
+// leading reports whether this machine is the primary and not stopped.
 func (m *Machine) leading() bool { return m.primary.active && !m.stopped() }
 
-// ready reports whether all backups are in sync and have the record up to where it ended when the view began. Before
-// that nothing is answered: a backup's record may differ, and what earlier primaries committed may be on too few disks.
+// ready reports whether this machine leads, and all backups are in sync and have the record up to its end at the
+// beginning of the view. Before that nothing is answered: a backup's record may differ, and changes that earlier
+// primaries committed may be on too few disks.
 func (m *Machine) ready() bool {
 	if !m.leading() {
 		return false
@@ -279,7 +282,7 @@
 	return true
 }
 
-// jitter is a random time below d.
+// jitter returns a random duration below d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.opt.Rand() % uint64(d))
 }
--- a/internal/fleet/replication/reconfigure.go
+++ b/internal/fleet/replication/reconfigure.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// alive reports whether a member answered lately.
+// alive reports whether a member answered within ElectionTimeout.
 func (m *Machine) alive(id ID) bool {
 	at, ok := m.peers.lastActive[id]
 	return id == m.identity.ID || ok && m.now-at < m.opt.ElectionTimeout
@@ -18,13 +18,13 @@
 	return n >= m.view.quorum()
 }
 
-// laggedRecently reports whether a member was replaced not long ago as it lagged.
+// laggedRecently reports whether a member was replaced within MemberTimeout because it lagged.
 func (m *Machine) laggedRecently(id ID) bool {
 	at, ok := m.peers.laggedAt[id]
 	return ok && m.now-at < m.opt.MemberTimeout
 }
 
-// backupCandidates are the machines among members that may become backups now.
+// backupCandidates returns the members that may become backups now.
 func (m *Machine) backupCandidates(members []Member, except func(ID) bool) []candidate {
 	var cs []candidate
 	for _, o := range members {
@@ -39,7 +39,7 @@
 	return cs
 }
 
-// newCandidate is a machine that may become a backup, but for whether it holds the record.
+// newCandidate returns the candidate for a member, without holdsRecord.
 func (m *Machine) newCandidate(o Member) candidate {
 	return candidate{
 		Member:         o,
@@ -49,7 +49,7 @@
 	}
 }
 
-// reconfigure proposes a next view, led by this machine again, when a backup is lost or the view can be better.
+// reconfigure proposes a next view with this machine as primary when a backup is lost or the view can be improved.
 func (m *Machine) reconfigure() {
 	if !m.leading() || m.candidacy != nil || m.now < m.election.campaignNotBefore {
 		return
@@ -67,8 +67,8 @@
 	plan, c := m.nextPlan(func(id ID) bool { return bad[id] })
 	switch {
 	case !m.quorumAlive():
-		// Without answers nobody can be replaced. A backup that hears this machine, but isn't heard by it, may do
-		// better.
+		// Without a quorum no machine can be replaced. A backup that receives this machine's heartbeats but whose
+		// answers are lost would never time out: the candidacy ends the heartbeats, so that it may take over.
 		if dead {
 			m.campaign()
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-// nextPlan is what the next view should be: its members, and backups that aren't excepted.
+// nextPlan returns the members of the next view and a choice of its backups among those that aren't excepted.
 func (m *Machine) nextPlan(except func(ID) bool) (memberPlan, choice) {
 	plan := m.nextMembers()
 	return plan, choose(m.requiredTolerance(), m.self(), plan.members, m.backupCandidates(plan.members, except))
@@ -100,8 +100,8 @@
 	return c.enough && (plan.urgent || m.replacesDeparting(c))
 }
 
-// replacesDeparting reports whether a choice takes the role from a departing backup, or gives a departing primary
-// somebody to hand over to.
+// replacesDeparting reports whether a choice takes the role from a departing backup, or gives a departing primary a
+// backup to hand over to.
 func (m *Machine) replacesDeparting(c choice) bool {
 	leaves := func(id ID) bool { return m.peers.departing[id] }
 	if slices.ContainsFunc(c.backups, leaves) {
@@ -110,7 +110,8 @@
 	return slices.ContainsFunc(m.view.Backups, leaves) || m.departure.begun && len(c.backups) > 0 && !m.hasSuccessor()
 }
 
-// improvesView reports whether a choice has more backups than the view, or ones that are spread better.
+// improvesView reports whether a choice has more backups than the view, or spreads the holders over more regions or
+// zones.
 func (m *Machine) improvesView(c choice) bool {
 	holders := []Member{m.self()}
 	for _, b := range m.view.Backups {
--- a/internal/fleet/replication/record.go
+++ b/internal/fleet/replication/record.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChainDigest is the digest of a record after a change, from the digest before it; an empty record's is 0.
+// ChainDigest returns the digest of a record after a change, given the digest before it. The digest of an empty record
+// is 0.
 func ChainDigest(before, seq uint64, body []byte) uint64 {
 	var head [16]byte
 	binary.LittleEndian.PutUint64(head[:8], before)
@@ -17,14 +18,14 @@
 	return d.Sum64()
 }
 
-// applyChange applies c, which comes right after the record.
+// applyChange applies c, which must be the next change of the record.
 func (m *Machine) applyChange(c Change) {
 	m.app.Apply(c.Seq, c.Body)
 	m.log.append(c)
 }
 
-// saveChanges writes changes that were applied, as a snapshot when they are many. They are on disk before this machine
-// acknowledges them, as primary or as backup: what is acknowledged outlives a loss of power of all
+// saveChanges adds applied changes to the input's Write, as a snapshot if the log is full. They are on disk before this
+// machine acknowledges them, as primary or as backup, so that acknowledged changes survive a power loss of all machines
 // (TestPowerLossAfterAcknowledgement).
 func (m *Machine) saveChanges(cs ...Change) {
 	if m.logFull() {
@@ -34,14 +35,14 @@
 	m.write.Changes = append(m.write.Changes, cs...)
 }
 
-// saveSnapshot writes the record as it is now in place of all changes.
+// saveSnapshot adds a snapshot of the current record to the input's Write; it replaces all changes on disk.
 func (m *Machine) saveSnapshot(body []byte) {
 	m.log.compact(maxLogChanges/retainedLogDivisor, m.opt.SnapshotBytes/retainedLogDivisor)
 	m.write.Snapshot = &Snapshot{Seq: m.log.seq, Digest: m.log.digest, Body: body}
 	m.write.Changes = nil
 }
 
-// replace puts another's record in place of this machine's. It reports false when the app can't take it.
+// replace replaces this machine's record by another one. It returns false if the app can't restore it.
 func (m *Machine) replace(seq, digest uint64, body []byte) bool {
 	if err := m.app.Restore(seq, body); err != nil {
 		return false
@@ -52,8 +53,9 @@
 	return true
 }
 
-// appendChanges takes the changes of a message that come after this machine's record. It reports false when the record
-// isn't among those that the message names by Seq and digest: a change never follows another record.
+// appendChanges appends the changes of a message that follow this machine's record. It returns false if the record's
+// end is neither the message's (Seq, Digest) nor that of one of its changes: a change is never appended to a different
+// record.
 func (m *Machine) appendChanges(msg *Message) bool {
 	rest, ok := msg.Changes, msg.Seq == m.log.seq && msg.Digest == m.log.digest
 	for !ok && len(rest) > 0 {
--- a/internal/fleet/replication/restoreddisk.go
+++ b/internal/fleet/replication/restoreddisk.go
@@ -1,23 +1,24 @@
 package replication
 
-// A disk that was restored to an earlier state has forgotten changes that it acknowledged. That can't be seen on the
-// disk alone. What is here finds it out by what others remember, so that such a machine is brought what it lacks and
-// doesn't become primary with it (TestRestoredDiskNeverLeads, TestRestoredDiskCatchesUp).
+// A disk that was restored to an earlier state lacks changes that it acknowledged, which the disk alone doesn't show.
+// The functions in this file detect it by the state that other machines remember, so that such a machine receives the
+// missing changes and doesn't become primary without them (TestRestoredDiskNeverLeads, TestRestoredDiskCatchesUp).
 
-// regressed reports whether a backup's record is shorter than it was: its answer to a round was sent after the round
-// began, when it had said that it has more.
+// regressed reports whether a backup's record has become shorter: the answer to the current round was sent after the
+// round began, and by then the backup had already acknowledged more.
 func (p *progress) regressed(round uint64, msg *Message) bool {
 	return msg.Round != 0 && msg.Round == round && msg.Seq < p.matchAtRoundStart
 }
 
-// knownCommit is up to where changes were committed, as far as this machine has heard, whatever of them it has.
+// knownCommit returns the highest commit index known to this machine; its own record may end before it.
 func (m *Machine) knownCommit() uint64 { return max(m.log.committed, m.log.reportedCommit) }
 
-// hasAllCommitted reports whether this candidate has all that was committed, as far as those who promised have heard. A
-// candidate that hasn't proposes nothing: the machine that has it may come back.
+// hasAllCommitted reports whether this candidate has all changes that the members that promised know to be committed. A
+// candidate that lacks some proposes nothing, as a machine that has them may come back.
 func (m *Machine) hasAllCommitted() bool { return m.log.seq >= m.knownCommit() }
 
-// restageRegressed has holders that lack what was committed brought the record like any other machine.
+// restageRegressed clears holdsRecord of the promised holders that lack committed changes, so that they are staged like
+// any other machine.
 func (m *Machine) restageRegressed() {
 	for id, p := range m.candidacy.promises {
 		if id != m.voter() && p.seq < m.knownCommit() {
@@ -26,5 +27,5 @@
 	}
 }
 
-// lacksCommitted reports whether this machine's record is shorter than what the sender knows to be committed.
+// lacksCommitted reports whether this machine's record ends before the sender's commit index.
 func (m *Machine) lacksCommitted(msg *Message) bool { return m.log.seq < msg.Committed }
--- a/internal/fleet/replication/selection.go
+++ b/internal/fleet/replication/selection.go
@@ -8,10 +8,10 @@
 // candidate is a machine that may become a backup.
 type candidate struct {
 	Member
-	holdsRecord    bool // holds the record already
-	lagged         bool // was replaced lately as it lagged
-	nearlyCaughtUp bool // lacks a few changes only
-	leaving        bool // is departing: taken only where nobody else is there
+	holdsRecord    bool // already holds the record
+	lagged         bool // was recently replaced because it lagged
+	nearlyCaughtUp bool // lacks only a few changes
+	leaving        bool // is shutting down; chosen only if there is no other candidate
 }
 
 // spread counts the zones and regions of some machines.
@@ -23,22 +23,22 @@
 	return len(z), len(r)
 }
 
-// choice is the outcome of choose.
+// choice is the result of choose.
 type choice struct {
 	backups        []ID
-	enough         bool // as many as must be
-	full           bool // and spread as well as the members allow, none of them lagging
-	zones, regions int  // of the holders, up to what is wanted
+	enough         bool // there are as many backups as required
+	full           bool // enough, spread as well as the members allow, and none lagging or shutting down
+	zones, regions int  // number of the holders' zones and regions, at most the wanted ones
 }
 
-// staying are the members but for the candidates that are departing.
+// staying returns the members except the candidates that are departing.
 func staying(members []Member, from []candidate) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(o Member) bool {
 		return slices.ContainsFunc(from, func(c candidate) bool { return c.leaving && c.ID == o.ID })
 	})
 }
 
-// What a candidate has that another lacks, the weightiest first.
+// Weights of a candidate's properties, in rising order: each one outweighs all those before it together.
 const (
 	weightNearlyCaughtUp = 1 << iota
 	weightHoldsRecord
@@ -48,20 +48,20 @@
 	weightStays
 )
 
-// spreadWanted is over how many zones and regions the holders of the record should stand.
+// spreadWanted is the number of zones and regions over which the holders of the record should be spread.
 type spreadWanted struct{ zones, regions int }
 
 func (s FailureTolerance) spreadWanted() spreadWanted {
 	return spreadWanted{zones: max(s.Zones, 0) + 1, regions: max(s.Regions, 0) + 1}
 }
 
-// weight says how much a candidate is wanted beside these holders.
+// weight returns the preference for a candidate, given the holders chosen so far.
 func (c *candidate) weight(holders []Member, wanted spreadWanted) int {
 	zones, regions := spread(holders)
 	zonesWith, regionsWith := spread(append(slices.Clip(holders), c.Member))
 	weight := 0
 	for _, has := range []struct {
-		it     bool
+		ok     bool
 		weight int
 	}{
 		{!c.leaving, weightStays},
@@ -71,16 +71,16 @@
 		{c.holdsRecord, weightHoldsRecord},
 		{c.nearlyCaughtUp, weightNearlyCaughtUp},
 	} {
-		if has.it {
+		if has.ok {
 			weight += has.weight
 		}
 	}
 	return weight
 }
 
-// choose picks the backups beside self among the candidates, for a view with these members. Each step takes who stays,
-// then who brings a new region or zone where one is still wanted, then who doesn't lag, then who holds the record, then
-// who lacks a few changes only, then the lowest address.
+// choose chooses the backups among the candidates for a view with these members and self as primary. Each step prefers
+// candidates that aren't departing, then those in a new region or zone while one is still wanted, then those that
+// didn't lag, then holders of the record, then those that lack only a few changes, then the lowest address.
 func choose(s FailureTolerance, self Member, members []Member, from []candidate) choice {
 	need := min(s.Replicas(), len(members)) - 1
 	wanted := s.spreadWanted()
--- a/internal/fleet/replication/staging.go
+++ b/internal/fleet/replication/staging.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// position is the end of a machine's record as it last said, and when changes that were staged last moved it.
+// position is the last reported end of a machine's record, and when staged changes last advanced it.
 type position struct {
 	seq, digest uint64
 	movedAt     time.Duration
 }
 
-// recordPosition keeps where the sender's record ends, and reports whether that changed. It is a hint: the receiver of
-// what is sent by it checks that it follows.
+// recordPosition stores the end of the sender's record, and reports whether it changed. The position is only a hint:
+// the receiver of changes checks that they follow its record.
 func (m *Machine) recordPosition(msg *Message) bool {
 	was, ok := m.transfers.positions[msg.From.ID]
 	if ok && was.seq == msg.Seq && was.digest == msg.Digest {
@@ -19,8 +19,8 @@
 	return true
 }
 
-// stageRecord sends a coming backup the record: the changes that it lacks where its record is a prefix of this
-// machine's and they are still kept, else the complete record.
+// stageRecord sends the record to a future backup: only the changes that it lacks if its record is a prefix of this
+// machine's and they are still in the log, else the complete record.
 func (m *Machine) stageRecord(to Member) {
 	if at, ok := m.transfers.positions[to.ID]; ok && m.hasPrefix(at) {
 		changes := m.log.changesAfter(at.seq, m.opt.ChunkBytes)
@@ -39,9 +39,9 @@
 	m.sendRecord(KindStage, to)
 }
 
-// stage brings the record to the coming backups that don't hold it, before their view is proposed: whoever's proposal
-// is decided, a backup of it that is named a holder has all that was acknowledged (TestStagedBeforeProposed). Who
-// doesn't take it in time is left out, and the view is chosen anew.
+// stage sends the record to the future backups that don't hold it, before their view is proposed: no matter which
+// proposal is decided, a backup that becomes a holder has all acknowledged changes (TestStagedBeforeProposed). If one
+// doesn't store the record in time, the view is chosen again without it.
 func (m *Machine) stage(again bool) {
 	c := m.candidacy
 	open, late := false, false
@@ -81,7 +81,8 @@
 	}
 }
 
-// handleStage takes chunks of a proposer's record. With all of them this machine holds the record of its epoch.
+// handleStage receives a chunk of a proposer's record. Once it is complete, this machine's record is valid for the
+// epoch.
 func (m *Machine) handleStage(msg *Message) {
 	if m.view.Epoch == 0 || m.view.rank(msg.From.ID) < 0 {
 		return
@@ -100,7 +101,7 @@
 	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.log.seq, Digest: m.log.digest})
 }
 
-// handleStaged notes that a coming backup has the record on its disk.
+// handleStaged records that a future backup has the record on disk.
 func (m *Machine) handleStaged(msg *Message) {
 	if c := m.candidacy; c != nil && c.phase == staging {
 		c.staged[msg.From.ID] = true
@@ -109,8 +110,8 @@
 	}
 }
 
-// handleStageChanges takes changes of a proposer's record. Only with all of them does this machine hold the record
-// (TestPartialChangesMakeNoHolder).
+// handleStageChanges appends changes of a proposer's record. Only once all of them are there is this machine's record
+// valid for the epoch (TestPartialChangesMakeNoHolder).
 func (m *Machine) handleStageChanges(msg *Message) {
 	if m.view.Epoch == 0 || m.view.rank(msg.From.ID) < 0 {
 		return
@@ -126,7 +127,7 @@
 	m.send(msg.From.Addr, Message{Kind: KindStaged, Seq: m.log.seq, Digest: m.log.digest})
 }
 
-// handleStagePosition goes on with staging from where a coming backup stands.
+// handleStagePosition continues staging changes from the reported end of a future backup's record.
 func (m *Machine) handleStagePosition(msg *Message) {
 	c := m.candidacy
 	if c == nil || c.phase != staging {
--- a/internal/fleet/replication/tolerance.go
+++ b/internal/fleet/replication/tolerance.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Replicas is how many machines must hold the record so that one remains: one more than may be lost at once.
+// Replicas returns the required number of holders of the record: one more than may be lost at once.
 func (s FailureTolerance) Replicas() int { return max(s.Nodes, s.Zones, s.Regions, 0) + 1 }
 
-// toleratedBy reports whether a majority of the members is left after any loss that is to be survived.
+// toleratedBy reports whether a majority of the members remains after any loss within the tolerance.
 func (s FailureTolerance) toleratedBy(members []Member) bool {
 	zones, regions := map[[2]string]int{}, map[string]int{}
 	for _, m := range members {
@@ -16,10 +16,10 @@
 	return len(members)-lost >= quorumSize(len(members))
 }
 
-// largestDomains is how many members the n largest places have together.
-func largestDomains[K comparable](places map[K]int, n int) int {
+// largestDomains returns the total number of members in the n largest failure domains.
+func largestDomains[K comparable](domains map[K]int, n int) int {
 	var sizes []int
-	for _, size := range places {
+	for _, size := range domains {
 		sizes = append(sizes, size)
 	}
 	slices.Sort(sizes)
@@ -30,8 +30,8 @@
 	return sum
 }
 
-// quorumSize is how many of so many members are a majority.
+// quorumSize returns the size of a majority of the given number of members.
 func quorumSize(members int) int { return members/2 + 1 }
 
-// zone is where a member stands: zones of different regions may bear one name.
+// zone returns a member's zone qualified by its region, as zones of different regions may have the same name.
 func (m *Member) zone() [2]string { return [2]string{m.Region, m.Zone} }
--- a/internal/fleet/replication/transfer.go
+++ b/internal/fleet/replication/transfer.go
@@ -6,46 +6,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A complete record goes from one machine to another in chunks, so that a slow link delays heartbeats by two chunks at
-// most and a record that takes seconds gets through. The receiver acknowledges how much it has; the sender has at most
-// chunkWindow chunks under way and goes on from what was acknowledged. Changes that come meanwhile follow as changes.
+// A complete record is sent from one machine to another in chunks, so that on a slow link heartbeats are delayed by two
+// chunks at most and a transfer may take seconds. The receiver acknowledges the number of bytes received; the sender
+// has at most chunkWindow chunks in flight and continues from the acknowledged offset. Changes made during the transfer
+// are sent afterwards as changes.
 
 const (
-	// defaultChunkBytes bounds a chunk of a record and the changes in one message.
+	// defaultChunkBytes is the default of Options.ChunkBytes.
 	defaultChunkBytes = 64 << 10
-	// chunkWindow is how many chunks may be under way to one receiver.
+	// chunkWindow is the number of chunks that may be in flight to one receiver.
 	chunkWindow = 2
-	// transferLogFactor is how many times longer the log may be while a record is on its way.
+	// transferLogFactor is the factor by which the log may exceed its bounds while a record is being transferred.
 	transferLogFactor = 4
-	// maxRecordBytes bounds a record that is received.
+	// maxRecordBytes bounds the size of a received record.
 	maxRecordBytes = 32 << 20
 )
 
-// image is the complete record as it was at seq.
+// image is the encoded complete record at seq.
 type image struct {
 	seq, digest uint64
 	checksum    uint64 // hash of body
 	body        []byte
 }
 
-// transfer is an image on its way to one receiver.
+// transfer is the state of sending an image to one receiver.
 type transfer struct {
 	kind    Kind // KindSnapshot or KindStage
 	image   *image
-	acked   int           // bytes that the receiver acknowledged
-	next    int           // the first byte that wasn't sent since had was last set back
-	sentAt  time.Duration // the last chunk
-	movedAt time.Duration // when had last grew
+	acked   int           // bytes acknowledged by the receiver
+	next    int           // offset of the next byte to send; set back to acked for retransmission
+	sentAt  time.Duration // when the last chunk was sent
+	movedAt time.Duration // when acked last grew
 }
 
-// assembly is an image of which some chunks have come.
+// assembly is a partially received image.
 type assembly struct {
 	seq, digest, checksum uint64
 	total                 int
 	body                  []byte
-	ahead                 []byte // a chunk that overtook the one before it
+	ahead                 []byte // one chunk that was received out of order
 	aheadOffset           int
-	at                    time.Duration // the last chunk that was of use
+	at                    time.Duration // when a chunk was last added to body
 }
 
 // matches reports whether a chunk belongs to a.
@@ -53,7 +54,7 @@
 	return a.seq == msg.Seq && a.digest == msg.Digest && a.checksum == msg.Checksum && uint64(a.total) == msg.Total
 }
 
-// add adds a chunk and reports whether it was of use.
+// add adds a chunk and reports whether body grew. A chunk beyond the end of body is kept until the one before it comes.
 func (a *assembly) add(offset int, chunk []byte) bool {
 	if offset > len(a.body) {
 		a.ahead, a.aheadOffset = chunk, offset
@@ -70,7 +71,8 @@
 	return true
 }
 
-// sendRecord sends the complete record, or goes on with a transfer of it whose receiver was unresponsive for too long.
+// sendRecord begins to send the complete record. A transfer in progress is continued from the acknowledged offset if it
+// made no progress for half of WriteTimeout.
 func (m *Machine) sendRecord(kind Kind, to Member) {
 	t := m.transfers.outgoing[to.ID]
 	if t == nil || t.kind != kind || !m.reachableFrom(t.image) {
@@ -87,13 +89,13 @@
 	m.sendChunks(to.Addr, t)
 }
 
-// reachableFrom reports whether the changes that lead from an image to the record are still kept.
+// reachableFrom reports whether the changes between an image and the current record are still in the log.
 func (m *Machine) reachableFrom(img *image) bool {
 	digest, ok := m.log.digestAt(img.seq)
 	return ok && digest == img.digest
 }
 
-// currentImage is the image that transfers share while the changes since are kept, else a new one.
+// currentImage returns the image that transfers share if the changes since are still in the log, else a new one.
 func (m *Machine) currentImage() *image {
 	if m.transfers.image != nil && m.reachableFrom(m.transfers.image) {
 		return m.transfers.image
@@ -102,7 +104,7 @@
 	return &image{seq: m.log.seq, digest: m.log.digest, checksum: xxhash.Sum64(body), body: body}
 }
 
-// sendChunks sends what the window allows.
+// sendChunks sends as many chunks as the window allows.
 func (m *Machine) sendChunks(to string, t *transfer) {
 	img := t.image
 	for {
@@ -118,7 +120,7 @@
 	}
 }
 
-// handleTransferAck goes on with a transfer.
+// handleTransferAck processes the acknowledgement of a chunk, or of staged changes, and sends the next ones.
 func (m *Machine) handleTransferAck(msg *Message) {
 	if msg.Checksum == 0 {
 		m.handleStagePosition(msg)
@@ -139,7 +141,7 @@
 		if p := m.primary.progress[msg.From.ID]; p != nil && p.stalledSince >= 0 {
 			p.stalledSince = m.now
 		}
-	case had < t.acked && m.now-t.movedAt >= m.opt.HeartbeatInterval: // the receiver has begun anew
+	case had < t.acked && m.now-t.movedAt >= m.opt.HeartbeatInterval: // the receiver has started over
 		t.acked, t.next = had, had
 	default:
 		return
@@ -149,7 +151,7 @@
 	}
 }
 
-// finishTransfer notes that a receiver's record has come to seq.
+// finishTransfer ends the transfer to a receiver whose record has reached seq, if the image doesn't go beyond that.
 func (m *Machine) finishTransfer(id ID, seq uint64) {
 	if t := m.transfers.outgoing[id]; t != nil && seq >= t.image.seq {
 		m.dropTransfer(id)
@@ -168,8 +170,8 @@
 	}
 }
 
-// logFull reports whether a snapshot is to replace the changes. While a record is on its way the changes since are
-// still needed.
+// logFull reports whether a snapshot should replace the changes. While a record is being transferred the bounds are
+// larger, as the changes since its image are still needed.
 func (m *Machine) logFull() bool {
 	factor := 1
 	if len(m.transfers.outgoing) > 0 {
@@ -178,7 +180,7 @@
 	return m.log.diskBytes > factor*m.opt.SnapshotBytes || m.log.diskCount > factor*maxLogChanges
 }
 
-// stalled reports whether nothing has moved towards this receiver for the time given.
+// stalled reports whether the staging to a receiver has made no progress for the given time.
 func (m *Machine) stalled(id ID, since, within time.Duration) bool {
 	if t := m.transfers.outgoing[id]; t != nil {
 		since = max(since, t.movedAt)
@@ -189,7 +191,7 @@
 	return m.now-since >= within
 }
 
-// receiveChunk takes a chunk and acknowledges it. It gives the record's body once that is complete.
+// receiveChunk stores a chunk and acknowledges it. Once the record is complete, it returns the record's body instead.
 func (m *Machine) receiveChunk(msg *Message) (body []byte, complete bool) {
 	if msg.Offset == 0 && uint64(len(msg.Body)) >= msg.Total {
 		return msg.Body, msg.Checksum == 0 || msg.Checksum == xxhash.Sum64(msg.Body)
@@ -200,7 +202,7 @@
 	a := m.transfers.incoming
 	if a == nil || !a.matches(msg) {
 		if a != nil && m.now-a.at < 2*m.opt.HeartbeatInterval {
-			return nil, false // one at a time: memory is bounded, and two senders can't keep each other from the end
+			return nil, false // one at a time: bounds memory, and two senders can't restart each other's transfer
 		}
 		a = &assembly{seq: msg.Seq, digest: msg.Digest, checksum: msg.Checksum, total: int(msg.Total)}
 		m.transfers.incoming = a
@@ -221,7 +223,7 @@
 	return nil, false
 }
 
-// expireAssembly drops a record whose sender has become unresponsive.
+// expireAssembly drops a partially received record that made no progress for MemberTimeout.
 func (m *Machine) expireAssembly() {
 	if a := m.transfers.incoming; a != nil && m.now-a.at >= m.opt.MemberTimeout {
 		m.transfers.incoming = nil
--- a/internal/fleet/replication/view.go
+++ b/internal/fleet/replication/view.go
@@ -7,10 +7,10 @@
 
 const maxMembers = 64
 
-// seedID is the identity in view 0 of the machine at addr.
+// seedID returns the identity in view 0 of the machine at addr.
 func seedID(addr string) ID { return ID("seed:" + addr) }
 
-// firstView is view 0 among the seeds.
+// firstView returns view 0 with the seeds as members.
 func firstView(seeds []string) View {
 	addrs := slices.Clone(seeds)
 	slices.Sort(addrs)
@@ -34,7 +34,7 @@
 
 func (v *View) quorum() int { return quorumSize(len(v.Members)) }
 
-// rank is 0 for the primary, from 1 on for the backups, -1 for others.
+// rank returns 0 for the primary, 1 and up for the backups in their order, and -1 for others.
 func (v *View) rank(id ID) int {
 	if id == "" {
 		return -1
@@ -48,8 +48,8 @@
 	return -1
 }
 
-// valid reports whether v may be a decided view: every member has an identity and an address of its own, and those
-// who hold the record are members, each once.
+// valid reports whether v may be a decided view: every member has a unique identity and address, and the primary and
+// the backups are distinct members.
 func (v *View) valid() bool {
 	if v.Epoch == 0 || len(v.Members) == 0 || len(v.Members) > maxMembers || !v.has(v.Primary) {
 		return false
@@ -72,7 +72,7 @@
 	return true
 }
 
-// less orders ballots.
+// less reports whether b is a lower ballot than o.
 func (b Ballot) less(o Ballot) bool {
 	if b.N != o.N {
 		return b.N < o.N
