--- a/internal/fleet/replication/backupcontact_test.go
+++ b/internal/fleet/replication/backupcontact_test.go
@@ -8,15 +8,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestContactInStorms: whatever is lost, delayed, cut, frozen or killed, when a primary tells since when its view may
-// have been superseded, nobody knew of a later view by then, and its record has all that was acknowledged by then.
+// TestContactInStorms: under random faults, LastBackupContact of a primary never returns a time at which a machine
+// already knew a later view, and the primary has all changes acknowledged before that time.
 func TestContactInStorms(t *testing.T) {
 	c := qt.New(t)
 	claims, later := 0, 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		for _, members := range []int{1, 3, 5} {
 			w := newContactWatch(c, seed, members)
-			w.s.runUntil(40*time.Second, w.look)
+			w.s.runUntil(40*time.Second, w.checkAll)
 			c.Assert(w.s.err, qt.IsNil)
 			claims += w.claims
 			later += w.later
@@ -25,23 +25,23 @@
 			}
 		}
 	}
-	t.Logf("%d claims looked at, %d of them while a later epoch was known elsewhere", claims, later)
+	t.Logf("%d claims checked, %d of them while a later epoch was known elsewhere", claims, later)
 	c.Assert(later > 0, qt.IsTrue)
 }
 
-// contactWatch is a core in a storm whose primaries' claims of contact with a quorum are looked at after each event.
+// contactWatch checks the results of LastBackupContact in a core under random faults after each event.
 type contactWatch struct {
 	c     *qt.C
 	s     *sim
 	about string
-	known map[uint64]time.Duration // when an epoch was first known anywhere
-	acks  []ackAt                  // the newest last
+	known map[uint64]time.Duration // when an epoch was first known to any machine
+	acks  []ackAt                  // newest last
 
 	claims int
-	later  int // of them while a later epoch was known elsewhere
+	later  int // number of comparisons with a later epoch known elsewhere
 }
 
-// ackAt is when changes up to a number had been acknowledged.
+// ackAt is the time by which changes up to seq were acknowledged.
 type ackAt struct {
 	at  time.Duration
 	seq uint64
@@ -50,7 +50,7 @@
 func newContactWatch(c *qt.C, seed uint64, members int) *contactWatch {
 	s := newSim(seed, members, 3, FailureTolerance{Nodes: (members - 1) / 2})
 	s.loss, s.dup, s.delay = 0.05, 0.05, 200*ms
-	s.hard = seed%2 == 0
+	s.highLatency = seed%2 == 0
 	for _, b := range s.nodes {
 		s.start(b)
 	}
@@ -73,8 +73,8 @@
 	}
 }
 
-// look checks all claims of now; it reports whether one is wrong.
-func (w *contactWatch) look() bool {
+// checkAll checks the current claims of all machines; it reports whether one is wrong.
+func (w *contactWatch) checkAll() bool {
 	s := w.s
 	if n := len(w.acks); s.ackedMax > 0 && (n == 0 || w.acks[n-1].seq < s.ackedMax) {
 		w.acks = append(w.acks, ackAt{s.now, s.ackedMax})
@@ -99,7 +99,8 @@
 	return w.c.Failed()
 }
 
-// check holds a primary's claim against what others knew: no later epoch before it, and no change that it lacks.
+// check compares a primary's claim with the state of the others: no later epoch was known, and no change that the
+// primary lacks was acknowledged, before the claimed time.
 func (w *contactWatch) check(b *simNode, at time.Duration) {
 	for epoch, since := range w.known {
 		if epoch > b.m.view.Epoch {
--- a/internal/fleet/replication/catchup_test.go
+++ b/internal/fleet/replication/catchup_test.go
@@ -13,11 +13,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// sizedApp is a record of a given size. It knows its changes by their chained digest alone.
+// sizedApp is an App with an encoded record of a given size. It keeps only the chained digest of its changes.
 type sizedApp struct {
 	size        int
 	seq, digest uint64
-	snapshots   int // how often the whole was encoded
+	snapshots   int // number of times the complete record was encoded
 }
 
 func (a *sizedApp) Apply(seq uint64, body []byte) {
@@ -47,14 +47,15 @@
 	return nil
 }
 
-// thinCore is a core in virtual time whose machines send over thin links, in order and one message after the other, as
-// the control servers do: a message whose write takes over writeBound breaks the connection, and what waits is bounded.
-type thinCore struct {
+// slowLinkCore simulates a core in virtual time whose machines send over links of low bandwidth, in order and one
+// message after the other, as the control servers do: a message whose write takes longer than linkWriteTimeout breaks
+// the connection, and the send queue is bounded by linkQueueBound.
+type slowLinkCore struct {
 	c           *qt.C
 	now         time.Duration
 	queue       events
 	count       int
-	nodes       []*thinNode
+	nodes       []*slowLinkNode
 	survive     FailureTolerance
 	bytesPerSec float64
 	latency     time.Duration
@@ -63,57 +64,57 @@
 	logBytes    int
 	random      *rand.Rand
 
-	lost func(msg *Message) bool // messages that the links lose
+	lost func(msg *Message) bool // reports whether the link loses a message; nil: none is lost
 
-	token    uint64
-	pending  map[uint64]time.Duration // by token: since when
-	acked    uint64                   // newest change that was acknowledged
-	ackedAt  time.Duration
-	longest  time.Duration // between acknowledgements
-	bootOver bool
+	token        uint64
+	pending      map[uint64]time.Duration // start of pending writes, by token
+	acked        uint64                   // newest change that was acknowledged
+	ackedAt      time.Duration
+	longestGap   time.Duration // between acknowledgements
+	bootstrapped bool
 }
 
-type thinNode struct {
-	core     *thinCore
-	addr     string
-	disk     PersistentState
-	app      *sizedApp
-	m        *Machine
-	started  time.Duration
-	life     int
-	busy     time.Duration // until: the disk is written to
-	uplink   time.Duration // until: messages are on their way into the link
-	waiting  map[string]int
-	sent     int // bytes
-	tickAt   time.Duration
-	syncTime time.Duration // of this node's disk; 0: the core's
+type slowLinkNode struct {
+	core          *slowLinkCore
+	addr          string
+	disk          PersistentState
+	app           *sizedApp
+	m             *Machine
+	started       time.Duration
+	incarnation   int
+	diskBusyUntil time.Duration  // end of the disk write in progress
+	linkBusyUntil time.Duration  // end of the transmission of the queued messages
+	queued        map[string]int // messages in the send queue, by receiver
+	sent          int
+	tickAt        time.Duration
+	syncTime      time.Duration // sync time of this node's disk; 0: the core's
 }
 
 const (
-	thinWriteBound = 500 * time.Millisecond
-	thinQueueBound = 64
+	linkWriteTimeout = 500 * time.Millisecond
+	linkQueueBound   = 64
 )
 
-func newThinCore(c *qt.C, n int, survive FailureTolerance, size int) *thinCore {
-	core := &thinCore{
+func newSlowLinkCore(c *qt.C, n int, survive FailureTolerance, size int) *slowLinkCore {
+	core := &slowLinkCore{
 		c: c, survive: survive, size: size, bytesPerSec: 10e6 / 8, latency: 15 * time.Millisecond, sync: 3 * time.Millisecond,
 		random: rand.New(rand.NewPCG(uint64(n), uint64(size))), pending: map[uint64]time.Duration{},
 	}
 	for i := range n {
 		core.nodes = append(
-			core.nodes, &thinNode{core: core, addr: fmt.Sprintf("10.0.%d.1:7000", i), waiting: map[string]int{}},
+			core.nodes, &slowLinkNode{core: core, addr: fmt.Sprintf("10.0.%d.1:7000", i), queued: map[string]int{}},
 		)
 	}
 	return core
 }
 
-func (t *thinCore) after(d time.Duration, run func()) {
+func (t *slowLinkCore) after(d time.Duration, run func()) {
 	t.count++
 	heap.Push(&t.queue, event{at: t.now + d, n: t.count, run: run})
 }
 
-// until plays events until something holds; it reports false where that takes longer than within.
-func (t *thinCore) until(within time.Duration, holds func() bool) bool {
+// runUntil executes events until a condition holds; it returns false if that takes longer than within.
+func (t *slowLinkCore) runUntil(within time.Duration, holds func() bool) bool {
 	for end := t.now + within; len(t.queue) > 0 && t.queue[0].at <= end; {
 		if holds() {
 			return true
@@ -125,17 +126,17 @@
 	return holds()
 }
 
-func (n *thinNode) start() {
+func (n *slowLinkNode) start() {
 	t := n.core
-	n.life++
+	n.incarnation++
 	n.app = &sizedApp{size: t.size}
-	n.started, n.busy, n.tickAt = t.now, t.now, -1
+	n.started, n.diskBusyUntil, n.tickAt = t.now, t.now, -1
 	var seeds []string
 	for _, o := range t.nodes {
 		seeds = append(seeds, o.addr)
 	}
 	m, err := New(Options{
-		Self: Member{Addr: n.addr, Zone: n.addr, Region: "r"}, Tolerance: t.survive, Seeds: seeds, Bootstrap: !t.bootOver,
+		Self: Member{Addr: n.addr, Zone: n.addr, Region: "r"}, Tolerance: t.survive, Seeds: seeds, Bootstrap: !t.bootstrapped,
 		HeartbeatInterval: 150 * ms,
 		ElectionTimeout:   700 * ms,
 		ElectionStagger:   250 * ms,
@@ -148,37 +149,37 @@
 	n.input(func(now time.Duration) Output { return m.Tick(now) })
 }
 
-func (n *thinNode) stop() {
+func (n *slowLinkNode) stop() {
 	n.m = nil
-	n.life++
-	clear(n.core.pending) // its clients ask elsewhere
+	n.incarnation++
+	clear(n.core.pending) // its clients use another machine
 }
 
-// input hands the machine an input once its disk is free.
-func (n *thinNode) input(in func(now time.Duration) Output) {
-	t, life := n.core, n.life
-	t.after(max(n.busy-t.now, 0), func() {
-		if n.life != life || n.m == nil {
+// input passes an input to the machine once its disk is idle.
+func (n *slowLinkNode) input(in func(now time.Duration) Output) {
+	t, incarnation := n.core, n.incarnation
+	t.after(max(n.diskBusyUntil-t.now, 0), func() {
+		if n.incarnation != incarnation || n.m == nil {
 			return
 		}
-		if n.busy > t.now {
+		if n.diskBusyUntil > t.now {
 			n.input(in)
 			return
 		}
 		out := in(t.now - n.started)
 		if !out.Write.Empty() {
-			n.busy = t.now + max(n.syncTime, t.sync)
+			n.diskBusyUntil = t.now + max(n.syncTime, t.sync)
 		}
-		t.after(max(n.busy-t.now, 0), func() {
-			if n.life == life {
-				n.carryOut(&out)
+		t.after(max(n.diskBusyUntil-t.now, 0), func() {
+			if n.incarnation == incarnation {
+				n.completeOutput(&out)
 			}
 		})
-		n.planTick(life)
+		n.planTick(incarnation)
 	})
 }
 
-func (n *thinNode) planTick(life int) {
+func (n *slowLinkNode) planTick(incarnation int) {
 	t := n.core
 	at := max(n.m.NextTick()+n.started, t.now+ms)
 	if n.tickAt > t.now && n.tickAt <= at {
@@ -186,21 +187,21 @@
 	}
 	n.tickAt = at
 	t.after(at-t.now, func() {
-		if n.life == life && n.tickAt == at {
+		if n.incarnation == incarnation && n.tickAt == at {
 			n.tickAt = -1
 			n.input(func(now time.Duration) Output { return n.m.Tick(now) })
 		}
 	})
 }
 
-func (n *thinNode) carryOut(out *Output) {
+func (n *slowLinkNode) completeOutput(out *Output) {
 	t := n.core
 	held := n.disk.Replica.RecordEpoch
 	save(&n.disk, out.Write)
 	if now := n.disk.Replica.RecordEpoch; now > max(held, 1) {
 		t.c.Assert(
 			n.durableSeq() >= t.acked, qt.IsTrue,
-			qt.Commentf("%s holds the record for epoch %d up to %d, %d was acknowledged", n.addr, now, n.durableSeq(), t.acked),
+			qt.Commentf("%s holds the record of epoch %d up to %d, acknowledged up to %d", n.addr, now, n.durableSeq(), t.acked),
 		)
 	}
 	for _, e := range out.Send {
@@ -209,14 +210,14 @@
 	for _, a := range out.Answer {
 		delete(t.pending, a.Token)
 		if a.Result == Committed {
-			t.longest = max(t.longest, t.now-t.ackedAt)
+			t.longestGap = max(t.longestGap, t.now-t.ackedAt)
 			t.acked, t.ackedAt = max(t.acked, a.Seq), t.now
 		}
 	}
 }
 
-// durableSeq is the newest change on the disk.
-func (n *thinNode) durableSeq() uint64 {
+// durableSeq returns the Seq of the newest change on disk.
+func (n *slowLinkNode) durableSeq() uint64 {
 	if cs := n.disk.Changes; len(cs) > 0 {
 		return cs[len(cs)-1].Seq
 	}
@@ -226,23 +227,23 @@
 	return 0
 }
 
-func (n *thinNode) send(e Envelope) {
+func (n *slowLinkNode) send(e Envelope) {
 	t := n.core
 	body, err := e.Msg.MarshalMsg(nil)
 	t.c.Assert(err, qt.IsNil)
 	takes := time.Duration(float64(len(body)) / t.bytesPerSec * float64(time.Second))
-	if n.waiting[e.To] >= thinQueueBound {
+	if n.queued[e.To] >= linkQueueBound {
 		return
 	}
-	broken := takes > thinWriteBound
+	broken := takes > linkWriteTimeout
 	if broken {
-		takes = thinWriteBound
+		takes = linkWriteTimeout
 	}
-	n.uplink = max(n.uplink, t.now) + takes
+	n.linkBusyUntil = max(n.linkBusyUntil, t.now) + takes
 	n.sent += len(body)
-	n.waiting[e.To]++
-	t.after(n.uplink-t.now, func() {
-		n.waiting[e.To]--
+	n.queued[e.To]++
+	t.after(n.linkBusyUntil-t.now, func() {
+		n.queued[e.To]--
 		if broken || t.lost != nil && t.lost(&e.Msg) {
 			return
 		}
@@ -258,8 +259,8 @@
 	})
 }
 
-func (t *thinCore) primary() *thinNode {
-	var newest *thinNode
+func (t *slowLinkCore) primary() *slowLinkNode {
+	var newest *slowLinkNode
 	for _, n := range t.nodes {
 		if n.m != nil && n.m.ready() && (newest == nil || newest.m.view.Epoch < n.m.view.Epoch) {
 			newest = n
@@ -268,8 +269,8 @@
 	return newest
 }
 
-// change proposes one change of so many bytes where a primary is ready.
-func (t *thinCore) change(bytes int) {
+// change proposes one change of the given size at the ready primary, if there is one.
+func (t *slowLinkCore) change(bytes int) {
 	p := t.primary()
 	if p == nil {
 		return
@@ -282,9 +283,9 @@
 	p.input(func(now time.Duration) Output { return p.m.Propose(now, token, body) })
 }
 
-// keepChanging proposes a change every so often from now on, one at a time as the operators' door does. Who asked gives
-// up after a second without an answer.
-func (t *thinCore) keepChanging(every time.Duration, bytes int) {
+// keepChanging proposes changes at an interval from now on, one at a time as the operator API does. A client gives up
+// on a change after a second without an answer.
+func (t *slowLinkCore) keepChanging(every time.Duration, bytes int) {
 	for token, since := range t.pending {
 		if t.now-since > time.Second {
 			delete(t.pending, token)
@@ -296,7 +297,7 @@
 	t.after(every, func() { t.keepChanging(every, bytes) })
 }
 
-func (t *thinCore) settled() bool {
+func (t *slowLinkCore) converged() bool {
 	p := t.primary()
 	if p == nil {
 		return false
@@ -309,8 +310,8 @@
 	return true
 }
 
-// describe is how all stand.
-func (t *thinCore) describe() string {
+// describe returns the state of all machines.
+func (t *slowLinkCore) describe() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "acknowledged %d, last at %v of %v", t.acked, t.ackedAt, t.now)
 	for _, n := range t.nodes {
@@ -327,8 +328,8 @@
 	return b.String()
 }
 
-// byRole is the first backup, witness a member that keeps no record.
-func (t *thinCore) byRole(role Role) *thinNode {
+// byRole returns the first running machine with a role.
+func (t *slowLinkCore) byRole(role Role) *slowLinkNode {
 	for _, n := range t.nodes {
 		if n.m != nil && n.m.Status().Role == role {
 			return n
@@ -337,44 +338,44 @@
 	return nil
 }
 
-func startThinCore(c *qt.C, n int, survive FailureTolerance, size int) *thinCore {
-	return startThinCoreWith(c, n, survive, size, 0)
+func startSlowLinkCore(c *qt.C, n int, survive FailureTolerance, size int) *slowLinkCore {
+	return startSlowLinkCoreWith(c, n, survive, size, 0)
 }
 
-// startThinCoreWith starts a core whose log is bounded to so many bytes; 0: the default.
-func startThinCoreWith(c *qt.C, n int, survive FailureTolerance, size, logBytes int) *thinCore {
-	t := newThinCore(c, n, survive, size)
-	t.begin(logBytes)
+// startSlowLinkCoreWith starts a core whose log is bounded by logBytes; 0: the default.
+func startSlowLinkCoreWith(c *qt.C, n int, survive FailureTolerance, size, logBytes int) *slowLinkCore {
+	t := newSlowLinkCore(c, n, survive, size)
+	t.startWithLoad(logBytes)
 	return t
 }
 
-// beginInput has the core start, take a whole configuration and then changes.
-func (t *thinCore) begin(logBytes int) {
+// startWithLoad starts the core, commits a configuration of the record's size and then keeps proposing small changes.
+func (t *slowLinkCore) startWithLoad(logBytes int) {
 	c, size := t.c, t.size
 	t.logBytes = logBytes
 	for _, o := range t.nodes {
 		o.start()
 	}
-	c.Assert(t.until(10*time.Second, t.settled), qt.IsTrue, qt.Commentf("no start"))
-	t.bootOver, t.ackedAt = true, t.now
-	t.change(size) // the operator's first configuration, whole
+	c.Assert(t.runUntil(10*time.Second, t.converged), qt.IsTrue, qt.Commentf("no start"))
+	t.bootstrapped, t.ackedAt = true, t.now
+	t.change(size) // the operator's initial configuration
 	c.Assert(
-		t.until(20*time.Second, func() bool { return t.acked == 1 }), qt.IsTrue,
+		t.runUntil(20*time.Second, func() bool { return t.acked == 1 }), qt.IsTrue,
 		qt.Commentf("the first configuration isn't acknowledged"),
 	)
 	t.keepChanging(40*ms, 400)
-	c.Assert(t.until(5*time.Second, func() bool { return t.acked >= 40 }), qt.IsTrue, qt.Commentf("%s", t.describe()))
+	c.Assert(t.runUntil(5*time.Second, func() bool { return t.acked >= 40 }), qt.IsTrue, qt.Commentf("%s", t.describe()))
 }
 
-// syncWithin is how long a machine counts as lost after its return.
+// syncWithin is the time that a machine has to catch up after its return; until then it counts as lost.
 const syncWithin = 4 * time.Second
 
 // recordBytes is the size of a record with 10,000 routes.
 const recordBytes = 3_500_000
 
-// TestSlowLinkTakesRecord: with 10,000 routes over links of 10 Mbit/s, while changes come every 40 ms, the loss of a
-// backup and of its disk is overcome: a machine that never had the record is brought it, changes are acknowledged
-// again, and the one that lost its disk holds the record or votes once more.
+// TestSlowLinkTakesRecord: with 10,000 routes over links of 10 Mbit/s and a change every 40 ms, the core recovers from
+// the loss of a backup and its disk: a machine that never had the record receives it, changes are acknowledged again,
+// and the machine that lost its disk becomes a member again, so that the loss of the primary is tolerated afterwards.
 func TestSlowLinkTakesRecord(t *testing.T) {
 	for _, size := range []int{200_000, recordBytes} {
 		for _, members := range []struct {
@@ -383,102 +384,104 @@
 		}{{3, FailureTolerance{Nodes: 1}}, {5, FailureTolerance{Nodes: 2}}} {
 			t.Run(fmt.Sprintf("%d members, %d bytes", members.n, size), func(t *testing.T) {
 				c := qt.New(t)
-				core := startThinCore(c, members.n, members.survive, size)
+				core := startSlowLinkCore(c, members.n, members.survive, size)
 				lost := core.byRole(Backup)
 				lost.stop()
-				core.longest = 0
+				core.longestGap = 0
 				acked := core.acked
-				c.Assert(core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
+				c.Assert(core.runUntil(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
 					qt.Commentf("nothing was acknowledged after a backup was lost: %s", core.describe()))
-				t.Logf("a backup lost: no acknowledgement for %v", core.longest)
-				c.Check(core.longest < ackWithin, qt.IsTrue)
+				t.Logf("a backup lost: no acknowledgement for %v", core.longestGap)
+				c.Check(core.longestGap < ackWithin, qt.IsTrue)
 				lost.disk = PersistentState{}
 				lost.start()
 				began := core.now
-				core.longest = 0
-				c.Assert(core.until(30*time.Second, core.settled), qt.IsTrue, qt.Commentf("who lost its disk isn't a member again"))
-				t.Logf("its disk lost: a member after %v, no acknowledgement for %v", core.now-began, core.longest)
-				c.Check(core.longest < ackWithin, qt.IsTrue)
-				// It counts as lost for some seconds more. Then the primary goes: who takes its place holds all that
-				// was acknowledged.
-				core.until(syncWithin, func() bool { return false })
+				core.longestGap = 0
+				c.Assert(core.runUntil(30*time.Second, core.converged), qt.IsTrue, qt.Commentf("the machine that lost its disk isn't a member again"))
+				t.Logf("its disk lost: a member after %v, no acknowledgement for %v", core.now-began, core.longestGap)
+				c.Check(core.longestGap < ackWithin, qt.IsTrue)
+				// The machine counts as lost for syncWithin. Then the primary is lost: its successor has all
+				// acknowledged changes.
+				core.runUntil(syncWithin, func() bool { return false })
 				acked = core.acked
 				core.primary().stop()
-				core.longest = 0
+				core.longestGap = 0
 				c.Assert(
-					core.until(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
+					core.runUntil(30*time.Second, func() bool { return core.acked > acked+20 }), qt.IsTrue,
 					qt.Commentf("nothing was acknowledged after the primary was lost: %s", core.describe()),
 				)
 				c.Assert(core.primary().app.seq >= core.acked, qt.IsTrue)
-				t.Logf("the primary lost as well: no acknowledgement for %v", core.longest)
-				c.Check(core.longest < ackWithin, qt.IsTrue)
+				t.Logf("the primary lost as well: no acknowledgement for %v", core.longestGap)
+				c.Check(core.longestGap < ackWithin, qt.IsTrue)
 			})
 		}
 	}
 }
 
-// empty has a machine start again without its disk and waits until it is a member.
-func (n *thinNode) empty() {
+// wipeAndRejoin restarts a machine with an empty disk and waits until it is a member.
+func (n *slowLinkNode) wipeAndRejoin() {
 	n.stop()
 	n.disk = PersistentState{}
 	n.start()
-	n.core.c.Assert(n.core.until(5*time.Second, n.core.settled), qt.IsTrue, qt.Commentf("%s", n.core.describe()))
+	n.core.c.Assert(n.core.runUntil(5*time.Second, n.core.converged), qt.IsTrue, qt.Commentf("%s", n.core.describe()))
 }
 
-// stall has a disk take no write for some time, as one that is full or hangs: its machine neither hears nor says
-// anything then.
-func (n *thinNode) stall(for_ time.Duration) { n.busy = max(n.busy, n.core.now) + for_ }
+// stall blocks the disk's writes for a duration, like a full or hanging disk: its machine neither receives nor sends
+// anything meanwhile.
+func (n *slowLinkNode) stall(duration time.Duration) {
+	n.diskBusyUntil = max(n.diskBusyUntil, n.core.now) + duration
+}
 
-// TestStalledDisk: a machine whose disk takes no write for seconds is replaced, whatever its role, and doesn't hold the
-// others up for longer than ackWithin; when its disk works again it takes part.
+// TestStalledDisk: a machine whose disk blocks all writes is replaced, whatever its role, and doesn't delay
+// acknowledgements by more than ackWithin; once its disk works again it is a ready member.
 func TestStalledDisk(t *testing.T) {
 	for _, role := range []Role{Primary, Backup, Witness} {
 		for _, stall := range []time.Duration{300 * ms, 2 * time.Second, 20 * time.Second} {
 			t.Run(fmt.Sprintf("%v for %v", role, stall), func(t *testing.T) {
 				c := qt.New(t)
-				core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, 200_000)
+				core := startSlowLinkCore(c, 3, FailureTolerance{Nodes: 1}, 200_000)
 				stalled := core.byRole(role)
 				stalled.stall(stall)
-				core.longest, core.ackedAt = 0, core.now
+				core.longestGap, core.ackedAt = 0, core.now
 				acked := core.acked
 				c.Assert(
-					core.until(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue,
+					core.runUntil(ackWithin, func() bool { return core.acked > acked+5 }), qt.IsTrue,
 					qt.Commentf("%s", core.describe()),
 				)
-				core.until(stall, func() bool { return false })
-				t.Logf("no acknowledgement for %v", core.longest)
-				c.Check(core.longest < ackWithin, qt.IsTrue)
+				core.runUntil(stall, func() bool { return false })
+				t.Logf("no acknowledgement for %v", core.longestGap)
+				c.Check(core.longestGap < ackWithin, qt.IsTrue)
 				acked = core.acked
-				c.Assert(core.until(10*time.Second, func() bool {
-					return core.settled() && core.acked > acked+20 && stalled.m.Status().Ready
-				}), qt.IsTrue, qt.Commentf("not whole again: %s", core.describe()))
+				c.Assert(core.runUntil(10*time.Second, func() bool {
+					return core.converged() && core.acked > acked+20 && stalled.m.Status().Ready
+				}), qt.IsTrue, qt.Commentf("not converged again: %s", core.describe()))
 			})
 		}
 	}
 }
 
-// TestSlowDisks: with syncs thirty times as slow on one machine or on all of them changes are acknowledged throughout.
+// TestSlowDisks: changes keep being acknowledged while syncs are thirty times as slow on one machine or on all of them.
 func TestSlowDisks(t *testing.T) {
 	const slow = 30 * 5 * time.Millisecond
 	for _, role := range []Role{Primary, Backup, Witness, NonMember} {
 		c := qt.New(t)
-		core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, 200_000)
+		core := startSlowLinkCore(c, 3, FailureTolerance{Nodes: 1}, 200_000)
 		for _, n := range core.nodes {
-			if role == NonMember || n.m.Status().Role == role { // Outside stands for all
+			if role == NonMember || n.m.Status().Role == role { // NonMember means all machines
 				n.syncTime = slow
 			}
 		}
-		core.longest, core.ackedAt = 0, core.now
+		core.longestGap, core.ackedAt = 0, core.now
 		acked := core.acked
-		core.until(20*time.Second, func() bool { return false })
-		t.Logf("slow %v: %d changes in 20s, at most %v between two", role, core.acked-acked, core.longest)
-		c.Check(core.longest < 2*time.Second, qt.IsTrue)
+		core.runUntil(20*time.Second, func() bool { return false })
+		t.Logf("slow %v: %d changes in 20s, at most %v between acknowledgements", role, core.acked-acked, core.longestGap)
+		c.Check(core.longestGap < 2*time.Second, qt.IsTrue)
 		c.Check(core.acked-acked > 40, qt.IsTrue)
 	}
 }
 
-// TestCatchUpAfterAbsence: a machine that was away for 1, 100 and 5,000 changes has the record again within the time
-// that the record takes on its link and a second, while changes go on.
+// TestCatchUpAfterAbsence: a machine that was down during 1, 100 or 5,000 changes catches up within the transfer time
+// of the record on its link plus a second and a learner interval, while changes continue.
 func TestCatchUpAfterAbsence(t *testing.T) {
 	const (
 		routes500   = 100_000 // bytes of a record
@@ -487,12 +490,12 @@
 	for _, size := range []int{routes500, routes10000} {
 		for _, away := range []uint64{1, 100, 5000} {
 			c := qt.New(t)
-			core := startThinCore(c, 3, FailureTolerance{Nodes: 1}, size)
+			core := startSlowLinkCore(c, 3, FailureTolerance{Nodes: 1}, size)
 			n := core.byRole(Backup)
 			n.stop()
 			acked := core.acked
 			c.Assert(
-				core.until(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }),
+				core.runUntil(time.Duration(away)*50*ms+10*time.Second, func() bool { return core.acked >= acked+away }),
 				qt.IsTrue, qt.Commentf("%s", core.describe()),
 			)
 			primary := core.primary()
@@ -500,7 +503,7 @@
 			n.start()
 			link := time.Duration(float64(size) / core.bytesPerSec * float64(time.Second))
 			c.Assert(
-				core.until(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }),
+				core.runUntil(link+time.Second+learnerHeartbeats*150*ms, func() bool { return n.durableSeq() >= target }),
 				qt.IsTrue, qt.Commentf("%s", core.describe()),
 			)
 			t.Logf("%d bytes, away for %d changes: caught up after %v, %d bytes sent by the primary to all, record encoded %d times",
--- a/internal/fleet/replication/catchupfaults_test.go
+++ b/internal/fleet/replication/catchupfaults_test.go
@@ -6,7 +6,7 @@
 	"molepaddle/internal/plantedfault"
 )
 
-// TestPlantedCatchUpFaults lays errors into the ways by which a machine gets the record.
+// TestPlantedCatchUpFaults plants errors in the transfer of the record to other machines.
 func TestPlantedCatchUpFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the tests anew for each fault")
--- a/internal/fleet/replication/cells_test.go
+++ b/internal/fleet/replication/cells_test.go
@@ -10,58 +10,58 @@
 	"time"
 )
 
-// cell is one machine with its disk, as the search knows it. It never changes once it is known.
+// cell is the state of one machine and its disk in the search. It is immutable once it is interned.
 type cell struct {
-	i     int // which machine
-	m     *Machine
-	app   *logApp
-	disk  PersistentState
-	gen   int // identities drawn
-	life  int // processes ended
-	wiped []ID
-	// frozen is how far the clock of a machine that was frozen jumps at its next input, 0: it was not.
+	i           int // index of the machine
+	m           *Machine
+	app         *logApp
+	disk        PersistentState
+	identities  int // number of identities generated
+	incarnation int // number of processes ended
+	wiped       []ID
+	// frozen is the clock jump of a frozen machine at its next input; 0: not frozen.
 	frozen time.Duration
 
-	// What the rules look at.
-	status  Status
-	view    string
-	durable []string // the record on the disk
-	holds   uint64   // the epoch whose record the disk holds as one of its holders, 0: none
+	// State examined by the rules.
+	status    Status
+	view      string
+	durable   []string // the record on the disk
+	heldEpoch uint64   // the epoch of which the disk makes the machine a holder, 0: none
 }
 
-// grow makes a copy that may take a step.
-func (c *cell) grow(err *error) *cell {
-	n := &cell{i: c.i, disk: c.disk, gen: c.gen, life: c.life, wiped: c.wiped, frozen: c.frozen}
+// clone returns a copy to which a step can be applied.
+func (c *cell) clone(err *error) *cell {
+	n := &cell{i: c.i, disk: c.disk, identities: c.identities, incarnation: c.incarnation, wiped: c.wiped, frozen: c.frozen}
 	n.disk.Changes = slices.Clip(c.disk.Changes)
 	n.app = &logApp{log: slices.Clone(c.app.log), err: err}
 	n.m = cloneMachine(c.m, n.app)
-	n.draw()
+	n.seedRandom()
 	return n
 }
 
-// draw sets the source of random numbers: it gives each identity its own and is otherwise the same in all states.
-func (c *cell) draw() {
-	n := uint64(c.i+1)<<32 | uint64(c.gen)
+// seedRandom sets a deterministic source of random numbers: unique for each identity, otherwise the same in all states.
+func (c *cell) seedRandom() {
+	n := uint64(c.i+1)<<32 | uint64(c.identities)
 	c.m.opt.Rand = func() uint64 { return n }
 }
 
-// clock is the time of the next input: a machine that was frozen finds that time has passed.
+// clock returns the time of the next input, including the clock jump of a frozen machine, and ends the freeze.
 func (c *cell) clock() time.Duration {
 	now := c.m.now + c.frozen
 	c.frozen = 0
 	return now
 }
 
-// persist notes what a step led to.
-func (c *cell) done(before ID) {
+// update sets the fields derived from the machine and its disk after a step.
+func (c *cell) update(before ID) {
 	if c.m.identity.ID != before {
-		c.gen++
+		c.identities++
 	}
 	c.status = c.m.Status()
 	c.view = fmt.Sprint(c.status.View)
-	c.durable, c.holds = nil, 0
+	c.durable, c.heldEpoch = nil, 0
 	if d := &c.disk; d.View.rank(d.Identity.ID) >= 0 && d.Replica.RecordEpoch == d.View.Epoch {
-		c.holds = d.View.Epoch
+		c.heldEpoch = d.View.Epoch
 	}
 	if s := c.disk.Snapshot; s != nil && len(s.Body) > 0 {
 		c.durable = strings.Split(string(s.Body), "\n")
@@ -71,7 +71,8 @@
 	}
 }
 
-// cloneMachine copies all that inputs change. What they replace whole (views, messages' values) is shared.
+// cloneMachine copies all state that inputs modify in place. Values that they only replace (views, messages' values)
+// are shared.
 func cloneMachine(m *Machine, app *logApp) *Machine {
 	c := *m
 	c.app = app
@@ -99,7 +100,7 @@
 	return &c
 }
 
-// cloneValues copies a map and what it points to.
+// cloneValues copies a map and the values that it points to.
 func cloneValues[K comparable, V any](from map[K]*V) map[K]*V {
 	if from == nil {
 		return nil
@@ -112,20 +113,21 @@
 	return to
 }
 
-// canon writes values so that equal ones are written equally: maps sorted, pointers followed, times relative to now.
-type canon struct {
+// canonicalEncoder encodes values so that equal ones have equal encodings: maps sorted, pointers followed, times
+// relative to now.
+type canonicalEncoder struct {
 	b   []byte
 	now time.Duration
 }
 
-const longAgo = 20 * time.Second // beyond all bounds of the search's settings
+const longAgo = 20 * time.Second // longer than all time-outs in the search
 
-// key names a cell: two with one key do the same at every input.
+// key returns the cell's identity in the search: cells with equal keys behave the same at every input.
 func (c *cell) key() string {
-	w := canon{now: c.m.now}
+	w := canonicalEncoder{now: c.m.now}
 	w.num(uint64(c.i))
-	w.num(uint64(c.gen))
-	w.num(uint64(c.life))
+	w.num(uint64(c.identities))
+	w.num(uint64(c.incarnation))
 	m := reflect.ValueOf(c.m).Elem()
 	for i := range m.NumField() {
 		switch m.Type().Field(i).Name {
@@ -141,9 +143,9 @@
 	return string(w.b)
 }
 
-func (w *canon) num(n uint64) { w.b = binary.AppendUvarint(w.b, n) }
+func (w *canonicalEncoder) num(n uint64) { w.b = binary.AppendUvarint(w.b, n) }
 
-func (w *canon) value(v reflect.Value) {
+func (w *canonicalEncoder) value(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
--- a/internal/fleet/replication/histories_test.go
+++ b/internal/fleet/replication/histories_test.go
@@ -12,11 +12,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Operators order changes on top of the version that they know and read the newest one back, over the storms' faults.
-// Their answers are judged together: they must be such as one machine could have given that did one thing after the
-// other.
+// Operators submit changes based on the version that they know, and read the newest version, under random faults. The
+// history of their calls is checked for linearizability against a register.
 
-// order is a change of the configuration, as it stands in the record: its number and its author name it.
+// order is a change of the configuration as stored in the record. Its version and author identify it.
 type order struct {
 	base, ver int
 	by        string
@@ -24,7 +23,7 @@
 
 func (o order) body() string { return fmt.Sprintf("%d %d %s", o.base, o.ver, o.by) }
 
-func orderOf(body string) (o order) {
+func parseOrder(body string) (o order) {
 	f := strings.Fields(body)
 	o.base, _ = strconv.Atoi(f[0])
 	o.ver, _ = strconv.Atoi(f[1])
@@ -32,38 +31,38 @@
 	return o
 }
 
-// newest is the configuration after a record.
+// newest returns the newest configuration of a record.
 func newest(log []string) order {
 	if len(log) == 0 {
 		return order{}
 	}
-	return orderOf(log[len(log)-1])
+	return parseOrder(log[len(log)-1])
 }
 
-// verdict is what a machine of the core answers to an order.
+// verdict is the answer of a machine to an operator's call.
 type verdict uint8
 
 const (
-	unclear verdict = iota // 503, or no answer: may have been taken
+	unclear verdict = iota // 503, or no answer: the order may have been committed
 	taken                  // 200
 	refused                // 412: another version is in place
 	shown                  // 200 with a configuration
 )
 
-// operators is a storm's clients.
+// operators are the clients of a simulated core under random faults.
 type operators struct {
 	*sim
-	ops       []porcupine.Operation
-	lossy     float64 // share of answers that are lost
-	blackouts bool    // all machines lose power in the middle of acknowledgements
-	hasty     bool    // a fault: verdicts don't wait until what they are about is committed
-	count     map[verdict]int
-	again     int // orders sent again that had been taken
-	open      int
-	dark      int // blackouts
+	ops           []porcupine.Operation
+	lossy         float64 // probability that an answer is lost
+	blackouts     bool    // all machines lose power around acknowledgements
+	hasty         bool    // planted fault: verdicts don't wait for the commit of the record that they are based on
+	count         map[verdict]int
+	resent        int // retried orders that were already in the record
+	open          int
+	blackoutCount int // number of blackouts
 }
 
-// input is an operator's call in the history.
+// input is the input of an operation of the history: a read (show) or an order.
 type input struct {
 	show  bool
 	order order
@@ -74,19 +73,19 @@
 	shown   order
 }
 
-// register is one machine that does one thing after the other.
+// register is the sequential model: a single register with conditional writes.
 var register = porcupine.Model{
 	Init: func() any { return order{} },
 	Step: func(state, in, out any) (bool, any) {
 		now, call, got := state.(order), in.(input), out.(output)
 		switch {
-		case call.show: // one without an answer says nothing
+		case call.show: // a read without an answer is always legal
 			return got.verdict == unclear || got.shown == now, now
 		case got.verdict == taken:
 			return now.ver == call.order.base, call.order
 		case got.verdict == refused:
 			return now.ver != call.order.base, now
-		case now.ver == call.order.base: // no clear answer until the end: it was taken, or comes after all else
+		case now.ver == call.order.base: // no definite answer: committed now, or after all other operations
 			return true, call.order
 		}
 		return true, now
@@ -94,36 +93,37 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in, " ", out) },
 }
 
-// judge does at a box what the control server does with an order: one that was taken is acknowledged again, one on
-// another base is refused, both only when the record it was judged by is committed; else it is proposed.
-func (o *operators) judge(b *simNode, what order, tell func(verdict)) {
+// judge handles an order at a machine like the control server: an order that is already in the record is acknowledged
+// again and one on another base is refused, both only once the record that this is based on is committed. Otherwise the
+// order is proposed.
+func (o *operators) judge(b *simNode, request order, reply func(verdict)) {
 	o.token++
 	t := o.token
 	if b.m.Status().Role != Primary {
-		tell(unclear)
+		reply(unclear)
 		return
 	}
 	v, at := taken, b.m.Status().Seq
 	known := false
 	for _, body := range b.app.log {
-		known = known || body == what.body()
+		known = known || body == request.body()
 	}
 	switch {
 	case known:
-		o.again++
-	case newest(b.app.log).ver != what.base:
+		o.resent++
+	case newest(b.app.log).ver != request.base:
 		v = refused
 	default:
-		o.bodies[t] = what.body()
+		o.bodies[t] = request.body()
 		o.calls[t] = func(_ pendingOutput, a Answer) {
 			if a.Result == Committed {
-				tell(taken)
+				reply(taken)
 				return
 			}
-			tell(unclear)
+			reply(unclear)
 		}
-		o.input(b, b.m.Propose(o.clock(b), t, []byte(what.body())))
-		o.perhapsDark(20 * ms)
+		o.input(b, b.m.Propose(o.clock(b), t, []byte(request.body())))
+		o.maybeBlackout(20 * ms)
 		return
 	}
 	o.floors[t] = o.ackedMax
@@ -131,33 +131,34 @@
 		if a.Result != Confirmed || a.Seq < at && !o.hasty {
 			v = unclear
 		}
-		tell(v)
+		reply(v)
 	}
 	o.input(b, b.m.Read(o.clock(b), t))
 }
 
-func (o *operators) show(b *simNode, tell func(verdict, order)) {
+func (o *operators) show(b *simNode, reply func(verdict, order)) {
 	o.token++
 	t := o.token
 	o.floors[t] = o.ackedMax
 	o.calls[t] = func(c pendingOutput, a Answer) {
 		if a.Result != Confirmed {
-			tell(unclear, order{})
+			reply(unclear, order{})
 			return
 		}
-		tell(shown, newest(c.log[:a.Seq]))
+		reply(shown, newest(c.log[:a.Seq]))
 	}
 	o.input(b, b.m.Read(o.clock(b), t))
 }
 
-// operator calls again and again: the same call until it has a clear answer, from one machine after the other.
+// operator starts an operator, which makes one call after the other and retries each, at any machine, until it has a
+// definite answer.
 func (o *operators) operator(id int) { (&operator{o: o, id: id}).next() }
 
-// operator is one of the operators.
+// operator is the state of one operator.
 type operator struct {
 	o     *operators
 	id    int
-	known int // the version that it builds on
+	known int // the version on which it bases its next order
 	calls int
 }
 
@@ -182,15 +183,15 @@
 	op.attempt()
 }
 
-// operatorCall is one call, asked for again until it is answered.
+// operatorCall is one call, which is retried until it is answered.
 type operatorCall struct {
 	*operator
 	call  input
-	at    int // in the history
+	at    int // index in the history
 	ended bool
 }
 
-// attempt asks some machine, and again later while there is no answer.
+// attempt sends the call to a machine, and schedules a retry.
 func (p *operatorCall) attempt() {
 	if p.ended {
 		return
@@ -202,7 +203,7 @@
 		} else {
 			o.judge(b, p.call.order, func(v verdict) {
 				if v == taken {
-					o.perhapsDark(2 * ms)
+					o.maybeBlackout(2 * ms)
 				}
 				p.answer(output{verdict: v})
 			})
@@ -211,7 +212,7 @@
 	o.after(50*ms+o.upTo(time.Second), p.attempt)
 }
 
-// answer brings an answer, unless it is lost or says nothing: then the call is asked for again.
+// answer delivers an answer, unless it is lost or not definite; then the call is retried.
 func (p *operatorCall) answer(out output) {
 	o := p.o
 	if out.verdict == unclear || o.rng.Float64() < o.lossy {
@@ -220,7 +221,7 @@
 	o.after(o.upTo(5*ms), func() { p.end(out) })
 }
 
-// end ends the call; the operator goes on from what it learned.
+// end ends the call, updates the operator's known version and schedules its next call.
 func (p *operatorCall) end(out output) {
 	if p.ended {
 		return
@@ -235,7 +236,7 @@
 		p.known = p.call.order.ver
 	case shown:
 		p.known = out.shown.ver
-	case refused: // the newest version is asked for next, mostly
+	case refused: // mostly learns the newest acknowledged version
 		if o.rng.IntN(4) > 0 {
 			p.known = max(p.known, newestAcked(o))
 		}
@@ -243,7 +244,7 @@
 	o.after(o.upTo(300*ms), p.next)
 }
 
-// newestAcked is the version that was last acknowledged.
+// newestAcked returns the highest acknowledged version.
 func newestAcked(o *operators) (ver int) {
 	for _, op := range o.ops {
 		if out := op.Output.(output); out.verdict == taken {
@@ -253,16 +254,16 @@
 	return ver
 }
 
-// perhapsDark has all machines lose power soon, at times.
-func (o *operators) perhapsDark(soon time.Duration) {
+// maybeBlackout schedules a blackout within the time soon, with a probability of 1/30.
+func (o *operators) maybeBlackout(soon time.Duration) {
 	if o.blackouts && o.now > o.bootUntil && o.now < stormEnd && o.rng.IntN(30) == 0 {
-		o.after(o.upTo(soon), func() { o.dark++; o.blackout() })
+		o.after(o.upTo(soon), func() { o.blackoutCount++; o.blackout() })
 	}
 }
 
-// blackout takes the power of all machines at once.
+// blackout models a simultaneous power loss of all machines.
 func (o *operators) blackout() {
-	o.note("blackout")
+	o.logf("blackout")
 	for _, b := range o.nodes {
 		if b.m != nil {
 			o.kill(b)
@@ -278,7 +279,7 @@
 	return o
 }
 
-// play runs a storm with up to eight orders at once and judges its history.
+// play runs random faults with up to eight concurrent operators and checks their history.
 func (o *operators) play(seed uint64) error {
 	o.storm(seed, func() {
 		for id := range 1 + int(seed%8) {
@@ -289,7 +290,7 @@
 		return o.err
 	}
 	o.lossy = 0
-	// Whoever asked before this has a clear answer soon.
+	// Every call begun before this must get a definite answer.
 	stop := o.now
 	o.runUntil(stop+6*time.Second, nil)
 	if o.err != nil {
@@ -297,25 +298,26 @@
 	}
 	for _, op := range o.ops {
 		if op.Call <= int64(stop) && op.Output.(output).verdict == unclear {
-			return fmt.Errorf("%v has no clear answer long after calm", op.Input)
+			return fmt.Errorf("%v has no definite answer 6 s after the recovery", op.Input)
 		}
 	}
 	switch porcupine.CheckOperationsTimeout(register, o.ops, 20*time.Second) {
 	case porcupine.Illegal:
 		return fmt.Errorf("no order of %d calls explains their answers", len(o.ops))
 	case porcupine.Unknown:
-		return fmt.Errorf("%d calls weren't judged in time", len(o.ops))
+		return fmt.Errorf("history of %d calls was not checked within 20 s", len(o.ops))
 	}
 	return nil
 }
 
-// TestHistories: what operators are answered over storms is linearizable, also where answers are lost and orders are
-// sent again to any machine, where two build on one version, and where all machines lose power while they acknowledge.
+// TestHistories: the answers to operators under random faults are linearizable, also when answers are lost and orders
+// are retried at any machine, when two orders have the same base, and when all machines lose power around an
+// acknowledgement.
 func TestHistories(t *testing.T) {
 	for _, c := range []struct{ n, nodes int }{{1, 0}, {3, 1}, {4, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d-%d", c.n, c.nodes), func(t *testing.T) {
 			t.Parallel()
-			count, again, dark := map[verdict]int{}, 0, 0
+			count, resent, blackoutCount := map[verdict]int{}, 0, 0
 			for seed := uint64(1); seed <= uint64(*nSeeds)/2; seed++ {
 				o := newOperators(seed, c.n, c.nodes)
 				if err := o.play(seed); err != nil {
@@ -324,17 +326,17 @@
 				for v, k := range o.count {
 					count[v] += k
 				}
-				again += o.again
-				dark += o.dark
+				resent += o.resent
+				blackoutCount += o.blackoutCount
 			}
-			t.Logf("%d taken, %d refused, %d shown; %d orders were found to be taken already; %d blackouts",
-				count[taken], count[refused], count[shown], again, dark)
-			qt.Assert(t, count[taken] > 0 && count[refused] > 0 && count[shown] > 0 && again > 0 || c.n == 1, qt.IsTrue)
+			t.Logf("%d taken, %d refused, %d shown; %d retried orders were already in the record; %d blackouts",
+				count[taken], count[refused], count[shown], resent, blackoutCount)
+			qt.Assert(t, count[taken] > 0 && count[refused] > 0 && count[shown] > 0 && resent > 0 || c.n == 1, qt.IsTrue)
 		})
 	}
 }
 
-// TestHastyVerdicts: an answer about a record whose end isn't committed yet is found out.
+// TestHastyVerdicts: the linearizability check detects answers that are based on an uncommitted record.
 func TestHastyVerdicts(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		o := newOperators(seed, 3, 1)
--- a/internal/fleet/replication/liveness_test.go
+++ b/internal/fleet/replication/liveness_test.go
@@ -8,32 +8,32 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// ackWithin is how long the next acknowledgement may take once all is calm: the default of ack_ms.
+// ackWithin bounds the time to the next acknowledgement without further faults. It is the default of ack_ms.
 const ackWithin = 4 * time.Second
 
-// neverAcknowledged is longer than any bound.
+// neverAcknowledged stands for no acknowledgement; it is longer than any bound.
 const neverAcknowledged = time.Hour
 
-// A state is live when a change that is asked for from then on is acknowledged in time while all links are up and all
-// machines alive, and also while as many machines as the core must survive are cut off for good. What is in flight is
-// lost or, with shape.late, comes at once.
+// A state is live if a change that is requested from then on is acknowledged within ackWithin, while all links and
+// machines work, and also after a tolerated number of machines is permanently isolated. Messages in flight are lost or,
+// with shape.liveLate, delivered immediately.
 
-// checkLiveness is the rule that every state is live when calm.
+// checkLiveness checks that a state is live without further faults.
 func (x *explorer) checkLiveness(w *modelState) string {
-	if problem := x.checkAcknowledged(w, networkFault{}); problem != "" || !x.late {
+	if problem := x.checkAcknowledged(w, networkFault{}); problem != "" || !x.liveLate {
 		return problem
 	}
-	took := x.playCalm(w.cells, networkFault{}, w.net)
-	x.lateCalms++
+	took := x.runUntilAcknowledged(w.cells, networkFault{}, w.net)
+	x.lateRuns++
 	x.slowestLate = max(x.slowestLate, took)
 	if took <= ackWithin {
 		return ""
 	}
-	return fmt.Sprintf("nothing is acknowledged within %v from here on when all that is in flight comes", ackWithin)
+	return fmt.Sprintf("no change is acknowledged within %v after all messages in flight are delivered", ackWithin)
 }
 
-// checkLivenessAfterLoss is the rule that every state is live when calm and, where no disk is lost, after any further
-// loss that the core must survive.
+// checkLivenessAfterLoss checks that a state is live without further faults and, if no disk is lost, after any further
+// tolerated loss.
 func (x *explorer) checkLivenessAfterLoss(w *modelState) string {
 	if problem := x.checkLiveness(w); problem != "" || x.ghosts[w.ghost].wipes > 0 {
 		return problem
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// losses are the largest losses that the core must survive, each for good.
+// losses returns the largest tolerated losses, each permanent.
 func (x *explorer) losses() []networkFault {
 	kind := faultIsolated
 	if x.survive.Nodes == 2 {
@@ -61,26 +61,27 @@
 	if x.timeToAcknowledge(w.cells, lasting) <= ackWithin {
 		return ""
 	}
-	return fmt.Sprintf("nothing is acknowledged within %v from here on while %v", ackWithin, lasting)
+	return fmt.Sprintf("no change is acknowledged within %v while %v", ackWithin, lasting)
 }
 
-// timeToAcknowledge is how long the next acknowledgement takes from this state on, with a fault that lasts.
+// timeToAcknowledge returns the time to the next acknowledgement from a state on under a lasting fault.
 func (x *explorer) timeToAcknowledge(cells cellSet, lasting networkFault) time.Duration {
 	key := passOf{cells, lasting}
-	if took, ok := x.calms[key]; ok {
+	if took, ok := x.livenessRuns[key]; ok {
 		return took
 	}
-	took := x.playCalm(cells, lasting, nil)
-	x.calms[key] = took
+	took := x.runUntilAcknowledged(cells, lasting, nil)
+	x.livenessRuns[key] = took
 	return took
 }
 
-// calmToken is the token of the change that is asked for.
-const calmToken = 1 << 30
+// livenessToken is the token of the requested change.
+const livenessToken = 1 << 30
 
-// playCalm plays from a state on until a change is acknowledged. The change is asked for at the primary of the newest
-// epoch that isn't cut off, and again when a newer one appears. What is in flight comes first.
-func (x *explorer) playCalm(cells cellSet, lasting networkFault, inFlight []uint32) time.Duration {
+// runUntilAcknowledged runs a core from a state on until a change is acknowledged, and returns the time that it took.
+// The change is requested at the reachable primary of the newest epoch, and again when a newer one appears. The given
+// messages in flight are delivered first.
+func (x *explorer) runUntilAcknowledged(cells cellSet, lasting networkFault, inFlight []uint32) time.Duration {
 	r := x.newTimeline(cells, lasting)
 	for _, id := range inFlight {
 		p := &x.packets[id]
@@ -91,7 +92,7 @@
 	acknowledged := neverAcknowledged
 	r.seen = func(_ int, out Output) {
 		for _, a := range out.Answer {
-			if a.Token == calmToken && a.Result == Committed {
+			if a.Token == livenessToken && a.Result == Committed {
 				acknowledged = r.now
 			}
 		}
@@ -101,7 +102,7 @@
 	for acknowledged == neverAcknowledged {
 		if i, epoch := r.primary(); i >= 0 && epoch > askedIn {
 			askedIn = epoch
-			r.input(i, func(m *Machine, now time.Duration) Output { return m.Propose(now, calmToken, []byte("calm")) })
+			r.input(i, func(m *Machine, now time.Duration) Output { return m.Propose(now, livenessToken, []byte("calm")) })
 			continue
 		}
 		if !r.next(ackWithin) {
@@ -115,13 +116,13 @@
 func (r *timeline) startAll(cells cellSet) {
 	for i := range r.cells {
 		if r.cells[i] == nil {
-			r.cells[i] = r.x.cells[cells[i]].grow(&r.x.err)
+			r.cells[i] = r.x.cells[cells[i]].clone(&r.x.err)
 			r.input(i, func(m *Machine, now time.Duration) Output { return m.Tick(now) })
 		}
 	}
 }
 
-// primary is the primary of the newest epoch among the machines that can be asked, -1 when there is none.
+// primary returns the primary of the newest epoch among the reachable machines, -1 if there is none.
 func (r *timeline) primary() (newest int, epoch uint64) {
 	newest = -1
 	for i, c := range r.cells {
@@ -132,24 +133,25 @@
 	return newest, epoch
 }
 
-// cutOff reports whether machine i is lost to those who ask.
+// cutOff reports whether machine i is unreachable for clients.
 func (r *timeline) cutOff(i int) bool {
 	switch r.fault.kind {
 	case faultIsolated, faultFrozen:
 		return i == int(r.fault.i)
 	case faultSplit:
-		return r.fault.among(i)
+		return r.fault.involves(i)
 	}
 	return false
 }
 
-// TestAcknowledgedUnderLastingFault: from a converged core on, the next acknowledgement comes in time while one
-// directed link stays cut, one machine stays cut off or frozen, or two are that may be lost at once.
+// TestAcknowledgedUnderLastingFault: in a converged core the next change is acknowledged within ackWithin under each
+// lasting fault: one directed link cut, one machine isolated or frozen, or, if two losses are tolerated, two machines
+// partitioned.
 func TestAcknowledgedUnderLastingFault(t *testing.T) {
 	for _, core := range []struct{ members, survive int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d-%d", core.members, core.survive), func(t *testing.T) {
 			c := qt.New(t)
-			sh := shape{members: core.members, survive: core.survive, served: true}
+			sh := shape{members: core.members, survive: core.survive, controlPlaneTiming: true}
 			sh.faults = []faultKind{faultNone, faultCut, faultIsolated, faultFrozen}
 			if core.survive == 2 {
 				sh.faults = append(sh.faults, faultSplit)
@@ -163,7 +165,7 @@
 				slowest = max(slowest, took)
 			}
 			c.Assert(x.err, qt.IsNil)
-			t.Logf("%d faults, acknowledged within %v", len(x.calms), slowest)
+			t.Logf("%d faults, acknowledged within %v", len(x.livenessRuns), slowest)
 		})
 	}
 }
--- a/internal/fleet/replication/machine_test.go
+++ b/internal/fleet/replication/machine_test.go
@@ -11,9 +11,9 @@
 )
 
 var (
-	oneSeed = flag.Uint64("replication.seed", 0, "play this seed only, with a trace")
-	oneCase = flag.String("replication.case", "", "with -replication.seed: the case")
-	nSeeds  = flag.Int("replication.seeds", 60, "seeds for each case of the storm")
+	oneSeed = flag.Uint64("replication.seed", 0, "run only this seed, with a trace")
+	oneCase = flag.String("replication.case", "", "with -replication.seed: the test case")
+	nSeeds  = flag.Int("replication.seeds", 60, "number of seeds for each case of the randomized tests")
 )
 
 // restartSoon starts a machine again within 1.6 s.
@@ -22,7 +22,7 @@
 	s.after(d, func() { s.start(b) })
 }
 
-// loseDisk ends a machine and drops its disk, unless as many are lost as may be.
+// loseDisk kills a machine and erases its disk, unless that exceeds the tolerated losses.
 func (s *sim) loseDisk(b *simNode) bool {
 	if s.wiped >= s.survive.Nodes || s.now < s.bootUntil {
 		return false
@@ -30,11 +30,11 @@
 	s.wiped++
 	s.kill(b)
 	b.disk = PersistentState{}
-	s.note("wiped %s", b.addr)
+	s.logf("wiped %s", b.addr)
 	return true
 }
 
-// loseZone has a whole zone lose its disks, and at times all others lose power at the same moment.
+// loseZone erases the disks of all machines of a zone; sometimes all other machines lose power at the same time.
 func (s *sim) loseZone(zone string) {
 	all := s.rng.IntN(2) == 0
 	for _, o := range s.nodes {
@@ -43,13 +43,13 @@
 			s.restartSoon(o)
 		}
 		if o.zone == zone {
-			s.note("wiped %s", o.addr)
+			s.logf("wiped %s", o.addr)
 			o.disk = PersistentState{}
 		}
 	}
 }
 
-// losePower ends all machines, some with their disks.
+// losePower kills all machines; some also lose their disk.
 func (s *sim) losePower() {
 	for _, i := range s.rng.Perm(len(s.nodes)) {
 		o := s.nodes[i]
@@ -64,7 +64,7 @@
 	}
 }
 
-// partition cuts one machine or a half off, both ways or one.
+// partition cuts one machine or a random half off, in both directions or one.
 func (s *sim) partition(b *simNode, lasting time.Duration) {
 	side := map[string]bool{b.addr: true}
 	if s.rng.IntN(2) == 0 {
@@ -73,7 +73,7 @@
 		}
 	}
 	way := s.rng.IntN(3)
-	s.note("cut off %v way %d for %v", side, way, lasting)
+	s.logf("cut off %v way %d for %v", side, way, lasting)
 	for _, x := range s.nodes {
 		for _, y := range s.nodes {
 			if side[x.addr] != side[y.addr] && (way == 0 || side[x.addr] == (way == 1)) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// fault lets one thing go wrong at some machine.
+// fault injects one random fault at a random machine.
 func (s *sim) fault() {
 	l := s.live()
 	if len(l) == 0 {
@@ -109,28 +109,28 @@
 			s.restartSoon(b)
 		}
 	case 5:
-		s.note("freeze %s for %v", b.addr, lasting)
+		s.logf("freeze %s for %v", b.addr, lasting)
 		b.frozen = s.now + lasting
-	case 6: // one way, one pair
+	case 6: // one link, one direction
 		o := s.nodes[s.rng.IntN(len(s.nodes))]
-		s.note("cut %s to %s for %v", b.addr, o.addr, lasting)
+		s.logf("cut %s to %s for %v", b.addr, o.addr, lasting)
 		s.cuts[[2]string{b.addr, o.addr}] = s.now + lasting
 	case 7, 8:
 		s.partition(b, lasting)
 	case 9:
-		s.note("slow disk %s for %v", b.addr, lasting)
+		s.logf("slow disk %s for %v", b.addr, lasting)
 		b.slow = s.now + lasting
 	case 10: // replaced at a new address
 		if s.loseDisk(b) {
 			b.removed = true
 			n := s.add(fmt.Sprintf("10.0.%d.2:7000", len(s.nodes)), b.zone)
-			s.note("replaced by %s", n.addr)
+			s.logf("replaced by %s", n.addr)
 			s.restartSoon(n)
 		}
 	}
 }
 
-// storm plays a day of faults and then calm.
+// storm runs a schedule of random faults with random writes and reads, and checks the recovery.
 func storm(seed uint64, n, seeds int, sv FailureTolerance, trace bool) error {
 	s := newSim(seed, n, seeds, sv)
 	s.trace = trace
@@ -147,14 +147,14 @@
 	return s.err
 }
 
-// stormEnd is when the faults end and calm begins.
+// stormEnd is when the faults end.
 const stormEnd = 40 * time.Second
 
-// storm plays a day of faults with these clients, and then calm.
+// storm runs a schedule of random faults with these clients, then ends all faults and checks the recovery.
 func (s *sim) storm(seed uint64, clients func()) {
-	s.small = seed%2 == 0
+	s.smallLog = seed%2 == 0
 	s.loss, s.dup = 0.03*float64(seed%3), 0.02*float64(seed%2)
-	if s.hard = seed%4 == 3; s.hard {
+	if s.highLatency = seed%4 == 3; s.highLatency {
 		s.delay, s.loss = 150*ms, 0.15
 	}
 	for _, b := range s.nodes {
@@ -166,7 +166,7 @@
 		if s.now < end {
 			s.fault()
 			gap := 3 * time.Second
-			if s.hard {
+			if s.highLatency {
 				gap = 600 * ms
 			}
 			s.after(100*ms+s.upTo(gap), faults)
@@ -175,8 +175,8 @@
 	s.after(300*ms, clients)
 	s.after(300*ms+s.upTo(8*time.Second), faults)
 	s.runUntil(end, nil)
-	// Calm.
-	s.note("calm")
+	// End all faults.
+	s.logf("faults end")
 	s.loss, s.dup, s.delay = 0, 0, 10*ms
 	clear(s.cuts)
 	for _, b := range s.nodes {
@@ -188,23 +188,23 @@
 	if !s.runUntil(end+10*time.Second, s.converged) && s.err == nil {
 		for _, b := range s.nodes {
 			if b.m != nil {
-				s.note("%s %+v cand %+v standing %+v", b.addr, b.m.Status(), b.m.candidacy, b.m.replica)
+				s.logf("%s %+v candidacy %+v replica %+v", b.addr, b.m.Status(), b.m.candidacy, b.m.replica)
 			}
 		}
-		s.fail("not settled after calm")
+		s.fail("not converged 10 s after the faults ended")
 	}
-	s.checkAfterCalm()
+	s.checkRecovered()
 }
 
-// checkAfterCalm checks that changes and reads are answered again and that nothing acknowledged is lost.
-func (s *sim) checkAfterCalm() {
+// checkRecovered checks that writes and reads are answered again and that no acknowledged change is lost.
+func (s *sim) checkRecovered() {
 	acked, confirms := s.ackedMax, s.confirms
 	if s.err == nil && !s.runUntil(
 		s.now+5*time.Second, func() bool { return s.ackedMax > acked && s.confirms > confirms },
 	) {
-		s.fail("nothing is acknowledged or read after calm")
+		s.fail("no write and read are answered within 5 s after the faults ended")
 	}
-	// What was acknowledged is there.
+	// All acknowledged changes are in the record.
 	if s.err == nil {
 		p := s.healthyPrimary()
 		if p == nil {
@@ -212,14 +212,14 @@
 		}
 		for body, seq := range s.acked {
 			if p.app.log[seq-1] != body {
-				s.fail("%q was acknowledged as %d and is lost", body, seq)
+				s.fail("%q, acknowledged as %d, is lost", body, seq)
 			}
 		}
 	}
 }
 
-// TestStorm plays many seeds of faults: nothing acknowledged is lost, nobody but one primary commits in an epoch,
-// records never part, reads are never stale, and after calm all work again.
+// TestStorm runs random faults with many seeds: no acknowledged change is lost, only one primary commits in an epoch,
+// records never diverge, reads are never stale, and the core recovers after the faults.
 func TestStorm(t *testing.T) {
 	cases := []struct{ n, seeds, nodes, zones int }{
 		{1, 1, 0, 0}, {2, 2, 0, 0}, {3, 3, 0, 0}, {3, 3, 1, 0}, {4, 3, 1, 0}, {5, 3, 1, 0}, {5, 3, 2, 0}, {8, 3, 2, 0},
@@ -245,28 +245,28 @@
 	}
 }
 
-// calm starts machines and waits until all are members.
-func calm(t *testing.T, s *sim, order []int, gap time.Duration) {
+// startAndConverge starts the machines in an order and waits until all are members.
+func startAndConverge(t *testing.T, s *sim, order []int, gap time.Duration) {
 	t.Helper()
 	for i, j := range order {
 		s.after(time.Duration(i)*gap, func() { s.start(s.nodes[j]) })
 	}
 	ok := s.runUntil(s.now+time.Duration(len(order))*gap+10*time.Second, s.converged)
 	qt.Assert(t, s.err, qt.IsNil)
-	qt.Assert(t, ok, qt.IsTrue, qt.Commentf("not settled"))
+	qt.Assert(t, ok, qt.IsTrue, qt.Commentf("not converged"))
 }
 
 func TestStartInAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		for _, n := range []int{1, 2, 3, 4, 5, 8, 9} {
 			s := newSim(seed, n, 3, FailureTolerance{Nodes: min(1, (n-1)/2)})
-			calm(t, s, s.rng.Perm(n), s.upTo(200*ms))
+			startAndConverge(t, s, s.rng.Perm(n), s.upTo(200*ms))
 		}
 	}
 }
 
-// TestBootstrapFormsOneSystem: seeds that are restarted while the first start goes on, and one that comes up much
-// later, form one system; a machine that says bootstrap and isn't a seed joins.
+// TestBootstrapFormsOneSystem: seeds that are restarted during the bootstrap, and one that starts much later, form a
+// single system; a machine with Bootstrap set that isn't a seed joins it.
 func TestBootstrapFormsOneSystem(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(7, 4, 3, FailureTolerance{Nodes: 1})
@@ -281,7 +281,7 @@
 	s.runUntil(4*time.Second, nil)
 	s.start(s.nodes[0])
 	c.Assert(s.runUntil(8*time.Second, func() bool { return s.leader() != nil }), qt.IsTrue)
-	// The last seed comes with bootstrap still set; what was decided without it stands.
+	// The last seed starts with Bootstrap still set; the system formed without it remains.
 	s.writeTo(s.leader())
 	s.runUntil(9*time.Second, nil)
 	c.Assert(s.ackedMax, qt.Equals, uint64(1))
@@ -292,12 +292,12 @@
 	c.Assert(s.healthyPrimary().app.log, qt.HasLen, 1)
 }
 
-// TestWipedWitnessHasNoVote: with the primary lost, one of the two left wiped, the wiped one neither votes nor forms
-// anything.
+// TestWipedWitnessHasNoVote: with the primary lost and the witness's disk erased, the witness neither votes under its
+// former identity nor bootstraps a new system.
 func TestWipedWitnessHasNoVote(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(3, 3, 3, FailureTolerance{Nodes: 1})
-	calm(t, s, []int{0, 1, 2}, 0)
+	startAndConverge(t, s, []int{0, 1, 2}, 0)
 	s.bootUntil = 0
 	p := s.healthyPrimary()
 	view := p.m.Status().View
@@ -321,17 +321,18 @@
 	}
 	c.Assert(witness.m.Status().Role, qt.Equals, NonMember)
 	c.Assert(witness.disk.Vote.Promised, qt.Equals, Ballot{})
-	// The primary's disk comes back: all is well again.
+	// The core recovers once the primary is back with its disk.
 	s.start(p)
 	c.Assert(s.runUntil(s.now+10*time.Second, s.converged), qt.IsTrue)
 }
 
-// TestMemberReplaced: a machine goes for good, another comes at a new address; then the others may lose one more.
+// TestMemberReplaced: a machine is lost permanently and replaced at a new address; then the core tolerates another
+// loss.
 func TestMemberReplaced(t *testing.T) {
 	for i := range 3 {
 		c := qt.New(t)
 		s := newSim(uint64(i), 3, 3, FailureTolerance{Nodes: 1})
-		calm(t, s, []int{0, 1, 2}, 0)
+		startAndConverge(t, s, []int{0, 1, 2}, 0)
 		s.bootUntil = 0
 		s.writeTo(s.healthyPrimary())
 		s.runUntil(s.now+time.Second, nil)
@@ -360,8 +361,8 @@
 	}
 }
 
-// TestPowerLossAfterAcknowledgement: right after an acknowledgement all lose power and as many as survive allows their
-// disks.
+// TestPowerLossAfterAcknowledgement: right after an acknowledgement all machines lose power, and as many as tolerated
+// also lose their disks; the change is still there.
 func TestPowerLossAfterAcknowledgement(t *testing.T) {
 	for seed := uint64(1); seed <= 100; seed++ {
 		c := qt.New(t)
@@ -370,7 +371,7 @@
 			n, k = 5, 2
 		}
 		s := newSim(seed, n, 3, FailureTolerance{Nodes: k})
-		calm(t, s, s.rng.Perm(n), 0)
+		startAndConverge(t, s, s.rng.Perm(n), 0)
 		s.bootUntil = 0
 		s.writeTo(s.healthyPrimary())
 		c.Assert(
@@ -391,11 +392,11 @@
 	}
 }
 
-// TestZones: the holders are spread, also again after a zone was away.
+// TestZones: the holders are spread over two zones, also after the loss of a zone.
 func TestZones(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(5, 6, 6, FailureTolerance{Zones: 1})
-	calm(t, s, []int{0, 1, 2, 3, 4, 5}, 0)
+	startAndConverge(t, s, []int{0, 1, 2, 3, 4, 5}, 0)
 	spreadOver := func() int {
 		p := s.healthyPrimary()
 		if p == nil {
@@ -440,7 +441,7 @@
 	c.Assert(err, qt.ErrorMatches, ".*belongs to elsewhere.*")
 	_, err = New(o, PersistentState{Identity: Identity{ID: "x", Addr: o.Self.Addr}, Changes: []Change{{Seq: 2}}}, app)
 	c.Assert(err, qt.ErrorMatches, ".*doesn't follow.*")
-	// A lost disk never starts a system.
+	// A machine with an unreadable disk never bootstraps a system.
 	m, err := New(o, PersistentState{DiskLost: true}, app)
 	c.Assert(err, qt.IsNil)
 	m.Tick(0)
--- a/internal/fleet/replication/membership_test.go
+++ b/internal/fleet/replication/membership_test.go
@@ -9,40 +9,41 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The times of the control plane's program, and the bounds that its settings give.
+// The control plane's time-outs, and the bounds that follow from its settings.
 const (
 	progHeartbeat = 150 * ms
 	progElection  = 700 * ms
 	progStagger   = 250 * ms
 	progWrite     = 600 * ms
-	boundSync     = 4 * time.Second // a machine counts as lost for so long after its return
-	boundAck      = 4 * time.Second // a change is acknowledged within this when things are calm
-	leaveWithin   = 2 * time.Second // a process that was told to end waits no longer than this for its release
+	boundSync     = 4 * time.Second // a machine counts as lost for this long after its return
+	boundAck      = 4 * time.Second // a change is acknowledged within this time when there are no faults
+	leaveWithin   = 2 * time.Second // how long a process that shuts down waits for its release
 )
 
-// programTimes are the settings of the control plane's program.
-func programTimes(o *Options) {
+// productionOptions sets the control plane's time-outs.
+func productionOptions(o *Options) {
 	o.HeartbeatInterval, o.ElectionTimeout, o.ElectionStagger = progHeartbeat, progElection, progStagger
 	o.WriteTimeout, o.MemberTimeout = progWrite, boundSync
 }
 
-// coreCase is a core for the scripted schedules.
+// coreCase is the size and failure tolerance of a core.
 type coreCase struct{ machines, survive int }
 
 func (c coreCase) String() string { return fmt.Sprintf("%d-survive-%d", c.machines, c.survive) }
 
 var coreCases = []coreCase{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {8, 1}, {8, 2}, {9, 1}, {9, 2}}
 
-// schedule is a core in virtual time whose troubles come by script.
+// schedule is a simulated core whose faults are scripted.
 type schedule struct {
 	*sim
 	spares int
 }
 
-// newSchedule starts a core with the program's times and one acknowledged change, every machine of it long established.
+// newSchedule starts a core with the control plane's time-outs and one acknowledged change, in which every machine has
+// been a member for at least boundSync.
 func newSchedule(c *qt.C, seed uint64, of coreCase) *schedule {
 	s := newSim(seed, of.machines, 3, FailureTolerance{Nodes: of.survive})
-	s.tune, s.delay = programTimes, 5*ms
+	s.adjustOptions, s.delay = productionOptions, 5*ms
 	for _, b := range s.nodes {
 		s.after(s.upTo(300*ms), func() { s.start(b) })
 	}
@@ -53,16 +54,16 @@
 	return sc
 }
 
-// pass lets time go by.
-func (s *schedule) pass(d time.Duration) { s.runUntil(s.now+d, nil) }
+// advance runs the simulation for a duration.
+func (s *schedule) advance(d time.Duration) { s.runUntil(s.now+d, nil) }
 
-// wipe ends a machine at once and drops its disk.
+// wipe kills a machine and erases its disk.
 func (s *schedule) wipe(b *simNode) {
 	s.kill(b)
 	b.disk = PersistentState{}
 }
 
-// remove ends a machine at once, for good.
+// remove kills a machine permanently.
 func (s *schedule) remove(b *simNode) {
 	s.wipe(b)
 	b.removed = true
@@ -76,7 +77,7 @@
 	return b
 }
 
-// powerCycle ends all machines at once and starts each again within a second.
+// powerCycle kills all machines at the same time and restarts each within a second.
 func (s *schedule) powerCycle() {
 	for _, b := range s.nodes {
 		if b.m != nil {
@@ -86,14 +87,14 @@
 	}
 }
 
-// byRole lists the machines that run, the primary first, then backups, then witnesses, by the newest view.
+// byRole returns the running machines, sorted by role: primary, backups, witnesses, non-members.
 func (s *schedule) byRole() []*simNode {
 	l := s.live()
 	slices.SortStableFunc(l, func(a, b *simNode) int { return int(b.m.Status().Role) - int(a.m.Status().Role) })
 	return l
 }
 
-// acknowledges asserts that a new change is acknowledged within the bound and that all older ones are there.
+// acknowledges asserts that a new change is acknowledged within boundAck and that no acknowledged change is lost.
 func (s *schedule) acknowledges(c *qt.C, about ...any) {
 	c.Helper()
 	acked, until := s.ackedMax, s.now+boundAck
@@ -120,7 +121,7 @@
 	}
 }
 
-// eachCase plays a script for each core and several seeds; -replication.seeds plays more in proportion.
+// eachCase runs a script for each core and a number of seeds, scaled by -replication.seeds.
 func eachCase(t *testing.T, seeds uint64, play func(c *qt.C, s *schedule, of coreCase, seed uint64)) {
 	for _, of := range coreCases {
 		t.Run(of.String(), func(t *testing.T) {
@@ -132,27 +133,27 @@
 	}
 }
 
-// TestSuccessorLosesItsDisk: a machine is gone for good, and its successor loses its disk right after its first start,
-// again and again: as it counts as lost all the while, no more than may be lost ever is.
+// TestSuccessorLosesItsDisk: a machine is lost permanently, and its successor repeatedly loses its disk right after its
+// start. As the successor counts as lost all the time, the tolerated losses are never exceeded.
 func TestSuccessorLosesItsDisk(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
 		victim := l[int(seed)%len(l)]
 		s.remove(victim)
-		s.pass(time.Duration(seed%4) * 400 * ms)
+		s.advance(time.Duration(seed%4) * 400 * ms)
 		n := s.spare()
 		for range 3 {
-			s.pass(100*ms + s.upTo(1500*ms))
+			s.advance(100*ms + s.upTo(1500*ms))
 			s.wipe(n)
-			s.pass(300 * ms)
+			s.advance(300 * ms)
 			s.start(n)
 		}
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// TestSecondLossAfterReplacement: a machine is gone for good, its successor has had the time to catch up, and the next
-// one is lost at that moment.
+// TestSecondLossAfterReplacement: machines are lost permanently, their successors have had the time to catch up, and
+// the next machines are lost at that moment.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for range 3 {
@@ -160,35 +161,35 @@
 			for i := range of.survive {
 				s.remove(l[(int(seed)+i)%len(l)])
 			}
-			s.pass(s.upTo(2 * time.Second))
+			s.advance(s.upTo(2 * time.Second))
 			for range of.survive {
 				s.spare()
 			}
-			s.pass(boundSync)
+			s.advance(boundSync)
 		}
 		s.acknowledges(c, of, "seed", seed)
 		s.wipe(s.byRole()[0])
 		s.powerCycle()
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// departure tells a machine that its process is to end, and ends it when it is released or its time is over. It returns
-// how long that took.
+// depart begins the graceful shutdown of a machine, and kills it once it is released or leaveWithin has passed. It
+// returns the time that took.
 func (s *schedule) depart(b *simNode) time.Duration {
-	began, life := s.now, b.life
+	began, incarnation := s.now, b.incarnation
 	s.input(b, b.m.Leave(s.clock(b)))
 	s.runUntil(began+leaveWithin, func() bool {
-		return b.m != nil && b.life == life && b.m.Status().Released && len(b.pendingOutputs) == 0
+		return b.m != nil && b.incarnation == incarnation && b.m.Status().Released && len(b.pendingOutputs) == 0
 	})
 	s.kill(b)
 	return s.now - began
 }
 
-// recordBears reports whether the record can be gone on with from the disks alone when so many machines are lost at
-// once, any of them, and another has ended.
-func (s *schedule) recordBears(losses int, ended *simNode) bool {
+// survivesLosses reports whether the record is recoverable from the disks of the remaining machines after any loss of
+// the given number of machines besides the ended one.
+func (s *schedule) survivesLosses(losses int, ended *simNode) bool {
 	var rest []*simNode
 	for _, b := range s.nodes {
 		if b != ended && !b.removed {
@@ -210,8 +211,8 @@
 	return lose(0, losses, rest)
 }
 
-// recoverable reports whether one of these machines holds all that was acknowledged, and holds it for the newest view
-// that any of them knows and would tell.
+// recoverable reports whether one of these machines has all acknowledged changes and is a holder of the newest view
+// that any of them knows, once it has learned of that view.
 func (s *schedule) recoverable(left []*simNode) bool {
 	var newest View
 	for _, b := range left {
@@ -221,14 +222,14 @@
 	}
 	return slices.ContainsFunc(left, func(b *simNode) bool {
 		d := &b.disk
-		// Who was brought the record in the epoch before is a holder as soon as it is told of the view.
+		// A machine whose record is valid for the previous epoch becomes a holder when it learns of the view.
 		told := d.View.Epoch < newest.Epoch
 		holds := d.Replica.RecordEpoch == newest.Epoch || told && d.Replica.RecordEpoch+1 == newest.Epoch
 		return newest.rank(d.Identity.ID) >= 0 && holds && diskSeq(d) >= s.ackedMax
 	})
 }
 
-// diskSeq is the newest change on a disk.
+// diskSeq returns the Seq of the newest change on a disk.
 func diskSeq(d *PersistentState) uint64 {
 	if n := len(d.Changes); n > 0 {
 		return d.Changes[n-1].Seq
@@ -239,8 +240,8 @@
 	return 0
 }
 
-// TestDepartingMemberHoldsNoOnlyReplica: when a machine that was asked to shut down is released, whatever its role, the
-// record outlives any loss of others that must be survived.
+// TestDepartingMemberHoldsNoOnlyReplica: when a machine that shuts down is released, whatever its role, the record
+// survives any tolerated loss of the others.
 func TestDepartingMemberHoldsNoOnlyReplica(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
@@ -249,46 +250,46 @@
 		took := s.depart(b)
 		c.Assert(took < leaveWithin, qt.IsTrue, qt.Commentf("%v seed %d: the %s is not released", of, seed, role))
 		c.Assert(
-			s.recordBears(of.survive, b), qt.IsTrue,
-			qt.Commentf("%v seed %d: the %s had one of too few copies", of, seed, role),
+			s.survivesLosses(of.survive, b), qt.IsTrue,
+			qt.Commentf("%v seed %d: the %s was released with one of too few replicas", of, seed, role),
 		)
 		b.removed = true
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// TestDepartedMemberStaysOut: a machine that was asked to shut down and removed from the members doesn't come in again
-// while it lasts.
+// TestDepartedMemberStaysOut: a machine that shuts down and was removed from the members doesn't join again while its
+// process still runs.
 func TestDepartedMemberStaysOut(t *testing.T) {
 	for seed := range uint64(10) {
 		c := qt.New(t)
 		s := newSchedule(c, seed, coreCase{4, 1})
 		b := s.byRole()[int(seed)%4]
 		s.input(b, b.m.Leave(s.clock(b)))
-		s.pass(boundSync)
+		s.advance(boundSync)
 		c.Assert(b.m.Status().Released, qt.IsTrue)
 		c.Assert(b.m.Status().Role, qt.Equals, NonMember, qt.Commentf("seed %d", seed))
 		c.Assert(s.leader().m.Status().View.Members, qt.HasLen, 3)
 		epoch := s.leader().m.Status().Epoch
-		s.pass(boundSync)
+		s.advance(boundSync)
 		c.Assert(s.leader().m.Status().Epoch, qt.Equals, epoch, qt.Commentf("seed %d", seed))
 		s.kill(b)
 		s.start(b)
-		s.pass(boundSync)
+		s.advance(boundSync)
 		c.Assert(s.leader().m.Status().View.Members, qt.HasLen, 4)
 		s.acknowledges(c, "seed", seed)
 	}
 }
 
-// TestDepartingJoiner: a machine that asks to be taken in, or has just been, is asked to shut down and never comes
-// back; once it has ended the core bears the next loss.
+// TestDepartingJoiner: a machine that asks to join, or has just joined, shuts down and never comes back; afterwards the
+// core tolerates the next loss.
 func TestDepartingJoiner(t *testing.T) {
 	eachCase(t, 12, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		n := s.spare()
-		s.pass(s.upTo(1500 * ms))
+		s.advance(s.upTo(1500 * ms))
 		s.depart(n)
 		n.removed = true
-		s.pass(time.Duration(seed%3) * 300 * ms)
+		s.advance(time.Duration(seed%3) * 300 * ms)
 		l := s.byRole()
 		for i := range of.survive {
 			s.wipe(l[(int(seed)+i)%len(l)])
@@ -297,8 +298,8 @@
 	})
 }
 
-// TestPrimaryAndOnlyBackupDepart: the primary and its only backup leave at the same moment; the machines that stay take
-// over.
+// TestPrimaryAndOnlyBackupDepart: the primary and its only backup shut down at the same time; the remaining machines
+// take over.
 func TestPrimaryAndOnlyBackupDepart(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
@@ -308,7 +309,7 @@
 		s.depart(l[0])
 		s.runUntil(s.now+leaveWithin, func() bool { return l[1].m.Status().Released })
 		c.Assert(l[1].m.Status().Released, qt.IsTrue, qt.Commentf("seed %d", seed))
-		c.Assert(s.recordBears(1, l[0]), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(s.survivesLosses(1, l[0]), qt.IsTrue, qt.Commentf("seed %d", seed))
 		s.kill(l[1])
 		s.start(l[0])
 		s.start(l[1])
@@ -316,8 +317,7 @@
 	}
 }
 
-// TestSingleMemberDeparts: a machine that is the whole core, or hears nobody, isn't kept waiting for a release that
-// nobody can give.
+// TestSingleMemberDeparts: the only machine of a core is released immediately, as no other machine could release it.
 func TestSingleMemberDeparts(t *testing.T) {
 	c := qt.New(t)
 	s := newSchedule(c, 1, coreCase{1, 0})
@@ -326,15 +326,15 @@
 	s.acknowledges(c)
 }
 
-// TestOnlyMachineReplaced: the one machine of a core is asked to shut down once its successor is in; the record goes
-// over with the role.
+// TestOnlyMachineReplaced: the only machine of a core shuts down after its successor has joined; the successor takes
+// over the role with the record.
 func TestOnlyMachineReplaced(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		s := newSchedule(c, seed, coreCase{1, 0})
 		old := s.nodes[0]
 		s.spare()
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		c.Assert(s.depart(old) < leaveWithin, qt.IsTrue, qt.Commentf("seed %d", seed))
 		old.removed = true
 		s.acknowledges(c, "seed", seed)
@@ -342,14 +342,15 @@
 	}
 }
 
-// TestPlannedReplacement: the successor comes first, then the old machine is asked to shut down and never comes back.
-// Once the successor had its time to catch up, as many others as may be lost go at once, at any moment after the end.
+// TestPlannedReplacement: the successor joins first, then the old machine shuts down and never comes back. Once the
+// successor has had its time to catch up, the tolerated number of other machines is lost at once, at varying times
+// after the shutdown.
 func TestPlannedReplacement(t *testing.T) {
 	eachCase(t, 16, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for range 2 {
 			began := s.now
 			s.spare()
-			s.pass([]time.Duration{500 * ms, 2 * time.Second, boundSync, 2 * boundSync}[seed%4])
+			s.advance([]time.Duration{500 * ms, 2 * time.Second, boundSync, 2 * boundSync}[seed%4])
 			l := s.byRole()
 			old := l[int(seed/4)%len(l)]
 			s.depart(old)
@@ -364,26 +365,26 @@
 	})
 }
 
-// TestAllReplacedInTurn: every machine that began the day is replaced, the oldest disks first, each as soon as the last
-// successor had its time; then all lose power and as many as may be their disks.
+// TestAllReplacedInTurn: every original machine is replaced in turn, each as soon as the previous successor has had its
+// time to catch up; then all machines lose power and the tolerated number also lose their disks.
 func TestAllReplacedInTurn(t *testing.T) {
 	eachCase(t, 4, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for _, old := range slices.Clone(s.nodes) {
 			planned := s.rng.IntN(2) == 0
 			if planned {
 				s.spare()
-				s.pass(s.upTo(2 * time.Second))
+				s.advance(s.upTo(2 * time.Second))
 				s.depart(old)
 				old.removed = true
 			} else {
 				s.remove(old)
-				s.pass(s.upTo(time.Second))
+				s.advance(s.upTo(time.Second))
 				s.spare()
 			}
-			s.pass(boundSync)
+			s.advance(boundSync)
 			if s.rng.IntN(3) == 0 {
 				s.powerCycle()
-				s.pass(time.Second + boundSync)
+				s.advance(time.Second + boundSync)
 			}
 			if s.rng.IntN(3) == 0 {
 				s.acknowledges(c, of, "seed", seed)
@@ -395,13 +396,13 @@
 			s.after(s.upTo(time.Second), func() { s.start(l[i]) })
 		}
 		s.powerCycle()
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// TestDisksWipedInTurn: the disks go one after the other, each as soon as the last had its time, all others without
-// power at the same moment at times.
+// TestDisksWipedInTurn: the disks are lost in turn, each as soon as the previous machine has had its time to catch up;
+// sometimes all other machines lose power at the same time.
 func TestDisksWipedInTurn(t *testing.T) {
 	eachCase(t, 4, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i := range 2 * of.machines {
@@ -411,7 +412,7 @@
 				s.powerCycle()
 			}
 			s.after(s.upTo(time.Second), func() { s.start(b) })
-			s.pass(time.Second + boundSync)
+			s.advance(time.Second + boundSync)
 			if i%3 == 0 {
 				s.acknowledges(c, of, "seed", seed)
 			}
@@ -420,8 +421,8 @@
 	})
 }
 
-// TestRollingRestart: the machines are asked to shut down one after the other, a second apart, and come back with their
-// disks; with the last that may be lost gone for good.
+// TestRollingRestart: the machines shut down in turn, a second apart, and come back with their disks, except the last
+// ones, which are lost permanently, as many as tolerated.
 func TestRollingRestart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for i, b := range slices.Clone(s.nodes) {
@@ -434,13 +435,13 @@
 			}
 			s.runUntil(max(s.now, until), nil)
 		}
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// TestAllMembersDepart: every machine is asked to shut down at the same moment and ends within its time; all come back
-// with their disks.
+// TestAllMembersDepart: all machines shut down at the same time, end within leaveWithin, and come back with their
+// disks.
 func TestAllMembersDepart(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		for _, b := range s.nodes {
@@ -454,19 +455,19 @@
 		for _, b := range s.nodes {
 			s.after(s.upTo(time.Second), func() { s.start(b) })
 		}
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.acknowledges(c, of, "seed", seed)
 	})
 }
 
-// TestPrimaryDepartsWithLostBackup: a backup is lost at the moment when the primary is asked to shut down; others take
-// its place, and then the primary's.
+// TestPrimaryDepartsWithLostBackup: a backup is lost at the moment when the primary shuts down; other machines replace
+// first the backup and then the primary.
 func TestPrimaryDepartsWithLostBackup(t *testing.T) {
 	eachCase(t, 6, func(c *qt.C, s *schedule, of coreCase, seed uint64) {
 		l := s.byRole()
 		s.wipe(l[1])
 		took := s.depart(l[0])
-		if of.machines > 3 { // of three, no machine is left that could take the record
+		if of.machines > 3 { // of three, no machine is left that could become a backup
 			c.Assert(took < leaveWithin, qt.IsTrue, qt.Commentf("%v seed %d", of, seed))
 		}
 		s.start(l[0])
@@ -475,8 +476,8 @@
 	})
 }
 
-// TestStormWithDepartures plays storms in which machines are asked to shut down as well: in the middle of other
-// troubles they end when they are released or their time is over, and come back.
+// TestStormWithDepartures runs random faults including graceful shutdowns: a machine that shuts down ends once it is
+// released or leaveWithin has passed, and comes back.
 func TestStormWithDepartures(t *testing.T) {
 	for _, of := range []coreCase{{1, 0}, {3, 1}, {4, 1}, {5, 2}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
@@ -502,9 +503,9 @@
 	leaves = func() {
 		if l := s.live(); len(l) > 0 && s.now < stormEnd {
 			b := l[s.rng.IntN(len(l))]
-			s.note("%s is told to end", b.addr)
+			s.logf("%s is asked to shut down", b.addr)
 			s.input(b, b.m.Leave(s.clock(b)))
-			s.endReleased(b, b.life, s.now+leaveWithin)
+			s.endReleased(b, b.incarnation, s.now+leaveWithin)
 		}
 		s.after(500*ms+s.upTo(4*time.Second), leaves)
 	}
@@ -513,13 +514,13 @@
 	return s.err
 }
 
-// endReleased ends a machine once it is released, or at a time, and starts it again soon after.
-func (s *sim) endReleased(b *simNode, life int, until time.Duration) {
-	if b.m == nil || b.life != life {
+// endReleased kills a machine once it is released, at the latest at the time until, and restarts it soon after.
+func (s *sim) endReleased(b *simNode, incarnation int, until time.Duration) {
+	if b.m == nil || b.incarnation != incarnation {
 		return
 	}
 	if !b.m.Status().Released && s.now < until {
-		s.after(20*ms, func() { s.endReleased(b, life, until) })
+		s.after(20*ms, func() { s.endReleased(b, incarnation, until) })
 		return
 	}
 	s.kill(b)
--- a/internal/fleet/replication/membershipfaults_test.go
+++ b/internal/fleet/replication/membershipfaults_test.go
@@ -1,6 +1,7 @@
 package replication
 
-// membershipFaults are deliberate errors in how members come, leave and are replaced, laid like plantedFaults.
+// membershipFaults are deliberate errors in the admission, departure and replacement of members, planted like
+// plantedFaults.
 var membershipFaults = []plantedFault{
 	{
 		name: "the quorum may rest on a machine that just joined",
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -18,11 +18,11 @@
 
 var planted = flag.String(
 	"replication.planted", "",
-	"lay each planted fault in turn and see which of these kinds of tests find it, which takes minutes: search,hand,storms,histories",
+	"run these kinds of tests against each planted fault, which takes minutes: search,hand,storms,histories",
 )
 
-// plantedFault is an error that is laid into a copy of the sources: each old text, which the package has exactly once,
-// is replaced.
+// plantedFault is a deliberate error that is planted in a copy of the sources (mutation testing): each old text, which
+// must occur exactly once in the package, is replaced.
 type plantedFault struct {
 	name    string
 	texts   []string // old, new, old, new ...
@@ -33,7 +33,7 @@
 // testKind is a kind of tests that may find a planted fault: those whose names match run and not skip.
 type testKind struct{ name, run, skip string }
 
-// testKinds are run as CI runs them.
+// testKinds are the kinds of tests, run with CI's settings.
 var testKinds = []testKind{
 	{"search", "^TestSearch", ""},
 	{"hand", "", "^Test(Search|Storm$|Histories$|HastyVerdicts$|PlantedFaults$)"},
@@ -41,7 +41,7 @@
 	{"histories", "^TestHistories$", ""},
 }
 
-// sources are the package's files that are neither tests nor generated, by name.
+// sources returns the texts of the package's files that are neither tests nor generated, by name.
 func sources(c *qt.C) map[string]string {
 	files, err := filepath.Glob("*.go")
 	c.Assert(err, qt.IsNil)
@@ -83,7 +83,7 @@
 	return changed, nil
 }
 
-// build makes the test binary with some files replaced, by the compiler's overlay: nothing in the tree is changed.
+// build builds the test binary with some files replaced by the compiler's overlay; the tree is not changed.
 func build(c *qt.C, changed map[string]string) string {
 	here, err := os.Getwd()
 	c.Assert(err, qt.IsNil)
@@ -105,8 +105,8 @@
 	return binary
 }
 
-// finds reports whether some test of this kind fails, and what it says. A search is ended at the first state that
-// breaks a rule.
+// finds reports whether a test of this kind fails, and its first failure message. The run is ended at the first state
+// that violates a rule of the search.
 func (k *testKind) finds(c *qt.C, binary string) (found bool, reason string) {
 	ctx, cancel := context.WithCancel(c.Context())
 	defer cancel()
@@ -132,8 +132,8 @@
 	return true, reason
 }
 
-// TestPlantedFaults checks that the planted faults fit the sources. With -replication.planted each is laid, and the
-// kinds of tests that it names must find it.
+// TestPlantedFaults checks that the planted faults fit the sources. With -replication.planted each is planted, and the
+// kinds of tests that it names must fail.
 func TestPlantedFaults(t *testing.T) {
 	texts := sources(qt.New(t))
 	for _, f := range slices.Concat(plantedFaults, membershipFaults) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestPlantedFaultsFitOnce checks that a text which is there twice, or not at all, isn't laid.
+// TestPlantedFaultsFitOnce checks that a fault whose text occurs twice, or not at all, is rejected.
 func TestPlantedFaultsFitOnce(t *testing.T) {
 	c := qt.New(t)
 	texts := map[string]string{"a.go": "one two", "b.go": "two three three"}
--- a/internal/fleet/replication/quorumtable_test.go
+++ b/internal/fleet/replication/quorumtable_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var rewriteTable = flag.Bool("replication.rewrite", false, "write the table of quorums into the design page")
+var rewriteTable = flag.Bool("replication.rewrite", false, "write the quorum table into the design page")
 
 const (
 	tablePage  = "../../../docs/design/worst-days-3-membership.md"
@@ -20,11 +20,11 @@
 	tableEnd   = "<!-- end of the table of quorums -->\n"
 )
 
-// layout is a core of the table: so many machines, spread over so many places in turn, of which as many may be lost as
-// survive says.
+// layout is a core of the table: its number of machines, the number of failure domains over which they are spread in
+// turn, and its failure tolerance.
 type layout struct {
-	machines, places int
-	survive          FailureTolerance
+	machines, domains int
+	survive           FailureTolerance
 }
 
 func (l layout) String() string {
@@ -40,12 +40,12 @@
 	}
 	text := fmt.Sprintf("%d, %d %s", l.machines, count, what)
 	if l.survive.Nodes == 0 {
-		text += fmt.Sprintf(" of %d", l.places)
+		text += fmt.Sprintf(" of %d", l.domains)
 	}
 	return text
 }
 
-// layouts are all cores of the table.
+// layouts returns all cores of the table.
 func layouts() []layout {
 	all := []layout{{1, 1, FailureTolerance{}}}
 	for _, n := range []int{1, 3, 4, 5, 8, 9} {
@@ -62,20 +62,21 @@
 	return all
 }
 
-// member is the i-th machine of a layout in its generation: successors stand where their predecessor stood.
+// member returns the i-th machine of a layout. A successor has the next generation and the same failure domain.
 func (l layout) member(i, generation int) Member {
 	m := Member{ID: ID(fmt.Sprintf("m%d-%d", i, generation)), Addr: fmt.Sprintf("10.0.%d.%d:7000", i, generation)}
 	m.Zone, m.Region = "z", "r"
 	switch {
 	case l.survive.Zones > 0:
-		m.Zone = fmt.Sprint("z", i%l.places)
+		m.Zone = fmt.Sprint("z", i%l.domains)
 	case l.survive.Regions > 0:
-		m.Region = fmt.Sprint("r", i%l.places)
+		m.Region = fmt.Sprint("r", i%l.domains)
 	}
 	return m
 }
 
-// losses are all sets of machines that may be lost at once, by address: those lost already count, each in its place.
+// losses returns all sets of machines, by address, that may be lost at once. Failure domains of machines already lost
+// count towards the tolerance.
 func (l layout) losses(of []Member, lost ...Member) []map[string]bool {
 	unit := func(m Member) string {
 		switch {
@@ -119,7 +120,7 @@
 	return sets
 }
 
-// planner is the primary of a view with what it knows of the others.
+// planner returns the primary of a view, to which all members are responsive.
 func (l layout) planner(v View) *Machine {
 	m := &Machine{
 		opt: Options{
@@ -149,8 +150,8 @@
 	return m
 }
 
-// joins has a machine ask to be taken in, for longer than a suspicion takes.
-func (m *Machine) joins(o Member) {
+// addJoiner adds a joiner that has been active for the election time-out.
+func (m *Machine) addJoiner(o Member) {
 	m.primary.joiners[o.Addr] = &joiner{
 		Member:      o,
 		firstActive: m.now - progElection,
@@ -159,8 +160,8 @@
 	}
 }
 
-// next is the view that the planner would have decided; the view as it is when there is nothing to change.
-func (m *Machine) next() View {
+// nextView returns the view that the planner would propose, or the current one if there are too few backups for it.
+func (m *Machine) nextView() View {
 	plan, c := m.nextPlan(func(ID) bool { return false })
 	if !c.enough {
 		return m.view
@@ -168,7 +169,7 @@
 	return View{Epoch: m.view.Epoch + 1, Members: plan.members, Primary: m.identity.ID, Backups: c.backups}
 }
 
-// takeovers are all views of the next epoch that a backup may have decided after the primary's loss.
+// takeovers returns all views of the next epoch that a backup may propose after the primary's loss.
 func (l layout) takeovers(v View, dead ID) []View {
 	var all []View
 	for _, id := range v.Backups {
@@ -177,23 +178,23 @@
 		m := l.planner(w)
 		m.peers.lastActive[dead] = 0
 		m.primary.active = false // members stay
-		if next := m.next(); next.Epoch > v.Epoch {
-			all = append(all, next)
+		if nextView := m.nextView(); nextView.Epoch > v.Epoch {
+			all = append(all, nextView)
 		}
 	}
 	return all
 }
 
-// stage is a moment of a change of members; its rows hold the worst over all machines that the change may hit.
+// stage is a stage of a membership change, with the worst values over all machines that the change may affect.
 type stage struct {
 	name                 string
-	members              [2]int // least, most
-	quorum, copies       int    // most, least
-	spareVotes, lastCopy int    // left of the quorum and of the copies after the worst loss
+	members              [2]int // minimum, maximum
+	quorum, copies       int    // maximum, minimum
+	spareVotes, lastCopy int    // votes beyond the quorum, and replicas, left after the worst loss
 	seen                 bool
 }
 
-func (s *stage) note(v *View, votes, copies, spare, last int) {
+func (s *stage) record(v *View, votes, copies, spare, last int) {
 	n := len(v.Members)
 	if !s.seen {
 		s.seen, s.members = true, [2]int{n, n}
@@ -207,8 +208,8 @@
 
 func (s *stage) holds() bool { return s.spareVotes >= 0 && s.lastCopy >= 1 }
 
-// judge looks at a view under each of the losses; gone are those that are lost for good and no part of any loss.
-func (s *stage) judge(c *qt.C, v View, losses []map[string]bool, gone ...Member) {
+// evaluate records a view under each of the losses; the machines in gone are permanently lost and part of no loss.
+func (s *stage) evaluate(c *qt.C, v View, losses []map[string]bool, gone ...Member) {
 	c.Assert(v.valid(), qt.IsTrue, qt.Commentf("%s: %+v", s.name, v))
 	isGone := func(m Member) bool { return slices.Contains(gone, m) }
 	for _, lost := range losses {
@@ -226,11 +227,11 @@
 				last++
 			}
 		}
-		s.note(&v, votes, copies, votes-v.quorum(), last)
+		s.record(&v, votes, copies, votes-v.quorum(), last)
 	}
 }
 
-// stages plays a replacement of each machine in turn, unplanned and planned, and judges each view on the way.
+// stages runs an unplanned and a planned replacement of each machine, and evaluates each view on the way.
 func (l layout) stages(c *qt.C) []*stage {
 	whole, lostOne := &stage{name: "whole"}, &stage{name: "one machine lost"}
 	joined, synced := &stage{name: "its successor is in"}, &stage{name: "the successor has caught up"}
@@ -242,9 +243,9 @@
 	sortMembers(first.Members)
 	first.Primary = first.Members[0].ID
 	m := l.planner(first)
-	first.Backups = m.next().Backups
-	whole.judge(c, first, l.losses(first.Members))
-	if !l.bearable() {
+	first.Backups = m.nextView().Backups
+	whole.evaluate(c, first, l.losses(first.Members))
+	if !l.survivable() {
 		return []*stage{whole}
 	}
 	for i := range l.machines {
@@ -259,9 +260,9 @@
 	return []*stage{whole, lostOne, joined, synced, second, ended}
 }
 
-// unplanned: old is lost for good; successor comes, and has had its time.
+// unplanned evaluates the views after old is permanently lost, its successor joins, and the successor has caught up.
 func (l layout) unplanned(c *qt.C, first View, old, successor Member, lostOne, joined, synced *stage) {
-	lostOne.judge(c, first, l.losses(first.Members, old))
+	lostOne.evaluate(c, first, l.losses(first.Members, old))
 	views := []View{first}
 	if first.Primary == old.ID {
 		views = l.takeovers(first, old.ID)
@@ -269,56 +270,56 @@
 	for _, v := range views {
 		m := l.planner(v)
 		m.peers.lastActive[old.ID] = m.now - progElection
-		repaired := m.next() // the backups anew
-		lostOne.judge(c, repaired, l.losses(repaired.Members, old))
+		repaired := m.nextView() // with new backups
+		lostOne.evaluate(c, repaired, l.losses(repaired.Members, old))
 		m = l.planner(repaired)
 		m.peers.lastActive[old.ID] = m.now - progElection
-		m.joins(successor)
-		v = m.next()
-		joined.judge(c, v, l.losses(v.Members, old, successor))
+		m.addJoiner(successor)
+		v = m.nextView()
+		joined.evaluate(c, v, l.losses(v.Members, old, successor))
 		m = l.planner(v)
 		m.peers.lastActive[old.ID] = m.now - boundSync
-		v = m.next()
-		synced.judge(c, v, l.losses(without(v.Members, old)), old)
+		v = m.nextView()
+		synced.evaluate(c, v, l.losses(without(v.Members, old)), old)
 	}
 }
 
-// planned: the successor comes first and has its time, then old is asked to shut down and leaves in order.
+// planned evaluates the views after the successor joins and catches up, and then old shuts down gracefully.
 func (l layout) planned(c *qt.C, first View, old, successor Member, second, ended *stage) {
 	m := l.planner(first)
-	m.joins(successor)
-	v := m.next()
-	second.judge(c, v, l.losses(v.Members))
+	m.addJoiner(successor)
+	v := m.nextView()
+	second.evaluate(c, v, l.losses(v.Members))
 	views := []View{v}
 	if v.Primary == old.ID {
-		m = l.planner(v) // without a backup it takes one first
+		m = l.planner(v) // without a backup it first adds one
 		m.departure.begun = true
-		v = m.next()
+		v = m.nextView()
 		views = nil
-		for _, id := range v.Backups { // each may be handed the role
+		for _, id := range v.Backups { // each may be the target of the handover
 			w := v
 			w.Primary = id
 			m = l.planner(w)
 			m.peers.departing[old.ID] = true
 			m.primary.active = false // members stay
-			views = append(views, m.next())
+			views = append(views, m.nextView())
 		}
 	}
 	for _, v := range views {
-		for range 3 { // out of its role, out of the members
+		for range 3 { // it loses its role, then its membership
 			m = l.planner(v)
 			m.peers.departing[old.ID] = true
 			if !slices.ContainsFunc(v.Members, func(o Member) bool { return o == successor }) {
-				m.joins(successor)
+				m.addJoiner(successor)
 			}
-			v = m.next()
+			v = m.nextView()
 		}
-		ended.judge(c, v, l.losses(without(v.Members, old)), old)
+		ended.evaluate(c, v, l.losses(without(v.Members, old)), old)
 	}
 }
 
-// bearable reports whether any core of this layout could bear the loss: a majority of all its machines is left.
-func (l layout) bearable() bool {
+// survivable reports whether a core of this layout can tolerate the losses at all: a majority of its machines is left.
+func (l layout) survivable() bool {
 	var members []Member
 	for i := range l.machines {
 		members = append(members, l.member(i, 1))
@@ -337,16 +338,16 @@
 	return true
 }
 
-// TestQuorumTable enumerates cores, changes of their members and losses: wherever the whole core bears what is to be
-// survived, it does so at each moment of a change: a majority of the members is left, and a copy of the record. The
-// table in the design page is what was found.
+// TestQuorumTable enumerates cores, membership changes and losses: a core that can tolerate the required losses at all
+// tolerates them at each stage of a change: a majority of the members and a replica of the record are left. The table
+// in the design page must equal the result.
 func TestQuorumTable(t *testing.T) {
 	c := qt.New(t)
 	var table strings.Builder
 	table.WriteString("| core, to be survived | moment | members | quorum | copies | votes to spare after the worst loss | copies left | holds |\n|---|---|---|---|---|---|---|---|\n")
 	for _, l := range layouts() {
 		for _, s := range l.stages(c) {
-			if l.bearable() {
+			if l.survivable() {
 				c.Check(s.holds(), qt.IsTrue, qt.Commentf("%s: %s: %+v", l, s.name, *s))
 			}
 			members := fmt.Sprint(s.members[0])
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -7,19 +7,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// hand is a core of three in sync with two changes, whose backup is then driven by hand.
-type hand struct {
+// scriptedCore is a core of three in sync with two changes, to whose machines a test then passes single messages.
+type scriptedCore struct {
 	*qt.C
 	s                        *sim
 	primary, backup, witness *simNode
 	view                     View
 }
 
-func newHand(t *testing.T) *hand {
+func newScriptedCore(t *testing.T) *scriptedCore {
 	c := qt.New(t)
 	s := newSim(11, 3, 3, FailureTolerance{Nodes: 1})
-	calm(t, s, []int{0, 1, 2}, 0)
-	h := &hand{C: c, s: s, primary: s.healthyPrimary()}
+	startAndConverge(t, s, []int{0, 1, 2}, 0)
+	h := &scriptedCore{C: c, s: s, primary: s.healthyPrimary()}
 	s.writeTo(h.primary)
 	s.writeTo(h.primary)
 	s.runUntil(s.now+time.Second, nil)
@@ -36,14 +36,15 @@
 	return h
 }
 
-// deliver hands b a message of from in the view's epoch and returns the answers, after the disk has the write.
-func (h *hand) deliver(b, from *simNode, msg Message) []Message {
+// deliver passes b a message from another machine in the view's epoch, applies the write to b's disk and returns the
+// answers.
+func (h *scriptedCore) deliver(b, from *simNode, msg Message) []Message {
 	msg.From, _ = h.view.member(from.disk.Identity.ID)
 	msg.Epoch, msg.View = h.view.Epoch, &h.view
 	return h.persist(b, b.m.Step(h.s.clock(b), "", &msg))
 }
 
-func (h *hand) persist(b *simNode, out Output) []Message {
+func (h *scriptedCore) persist(b *simNode, out Output) []Message {
 	save(&b.disk, out.Write)
 	var ms []Message
 	for _, e := range out.Send {
@@ -52,17 +53,18 @@
 	return ms
 }
 
-// restart begins b's next life, at the very time, without its first tick.
-func (h *hand) restart(b *simNode) {
+// restart restarts b from its disk at the current time, without its first tick.
+func (h *scriptedCore) restart(b *simNode) {
 	b.app = &logApp{err: &h.s.err}
 	m, err := New(h.s.options(b), b.disk, b.app)
 	h.Assert(err, qt.IsNil)
 	b.m, b.started = m, h.s.now
 }
 
-// election lets b hear nothing until it proposes itself, a second at most, and returns what it sends then.
-func (h *hand) suspect(b *simNode) []Message {
-	for range 10 { // in steps, so that it doesn't take itself for frozen
+// timeOutPrimary advances b's time without messages until it begins a candidacy, for a second at most, and returns the
+// messages that it sends then.
+func (h *scriptedCore) timeOutPrimary(b *simNode) []Message {
+	for range 10 { // in steps, so that it doesn't detect a freeze
 		h.s.now += 100 * ms
 		if sent := h.persist(b, b.m.Tick(h.s.clock(b))); b.m.candidacy != nil {
 			return sent
@@ -71,16 +73,16 @@
 	return nil
 }
 
-func (h *hand) heartbeat() Message {
+func (h *scriptedCore) heartbeat() Message {
 	return Message{Kind: KindHeartbeat, Round: 99, Seq: 2, Digest: h.primary.m.log.digest, Committed: 2}
 }
 
 func TestStoppedBackupDoesNotAnswer(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	ack := h.deliver(h.backup, h.primary, h.heartbeat())
 	h.Assert(ack[0].InSync, qt.IsTrue)
 	h.Assert(ack[0].Round, qt.Equals, uint64(99))
-	sent := h.suspect(h.backup)
+	sent := h.timeOutPrimary(h.backup)
 	h.Assert(sent[0].Kind, qt.Equals, KindPrepare)
 	third := Change{Seq: 3, Body: []byte("3")}
 	third.Digest = ChainDigest(h.primary.m.log.digest, 3, third.Body)
@@ -102,7 +104,7 @@
 }
 
 func TestLateSnapshotIsNotTaken(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	for range 2 {
 		ack := h.deliver(h.backup, h.primary, Message{
 			Kind: KindSnapshot, Seq: 1, Digest: ChainDigest(0, 1, []byte("w1")), Body: []byte("w1"),
@@ -114,8 +116,8 @@
 }
 
 func TestAcceptedValueIsProposed(t *testing.T) {
-	h := newHand(t)
-	sent := h.suspect(h.backup)
+	h := newScriptedCore(t)
+	sent := h.timeOutPrimary(h.backup)
 	value := h.view
 	value.Epoch++
 	value.Backups = []ID{h.witness.disk.Identity.ID}
@@ -126,21 +128,22 @@
 	h.Assert(*sent[0].Value, qt.DeepEquals, value)
 }
 
-// TestStagedBeforeProposed: the coming backup has the record on its disk before its view is proposed, whether it is
-// brought all of it, as its own record isn't a part of the proposer's, or the changes that it lacks.
+// TestStagedBeforeProposed: a future backup has the record on disk before its view is proposed, both when it receives
+// the complete record, as its own record isn't a prefix of the proposer's, and when it receives the changes that it
+// lacks.
 func TestStagedBeforeProposed(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	stagedBeforeProposed(h, Message{Kind: KindPromise, Seq: 1, Digest: 99}, KindStage)
 	h.Assert(string(h.witness.disk.Snapshot.Body), qt.Equals, "w1\nw2")
-	h = newHand(t)
+	h = newScriptedCore(t)
 	stagedBeforeProposed(h, Message{Kind: KindPromise}, KindStageChanges)
 	h.Assert(h.witness.disk.Snapshot, qt.IsNil)
 	h.Assert(h.witness.disk.Changes, qt.DeepEquals, h.backup.disk.Changes)
 }
 
-func stagedBeforeProposed(h *hand, promise Message, by Kind) {
+func stagedBeforeProposed(h *scriptedCore, promise Message, by Kind) {
 	h.Helper()
-	ballot := h.suspect(h.backup)[0].Ballot
+	ballot := h.timeOutPrimary(h.backup)[0].Ballot
 	promise.Ballot = ballot
 	sent := h.deliver(h.backup, h.witness, promise)
 	h.Assert(sent, qt.HasLen, 1)
@@ -154,11 +157,11 @@
 	h.deliver(h.backup, h.witness, Message{Kind: KindAccepted, Ballot: ballot})
 	h.Assert(h.backup.disk.View.Epoch, qt.Equals, h.view.Epoch+1)
 	h.Assert(h.backup.m.Status().Role, qt.Equals, Primary)
-	h.Assert(h.backup.m.Status().Ready, qt.IsFalse) // not before the backup is in step
+	h.Assert(h.backup.m.Status().Ready, qt.IsFalse) // not before the backup is in sync
 }
 
 func TestPromisesAreKept(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	w := h.witness
 	id := h.backup.disk.Identity.ID
 	value := h.view
@@ -185,7 +188,7 @@
 		h.Assert(*promise.Value, qt.DeepEquals, value)
 		h.restart(w)
 	}
-	// Who is no member has no say.
+	// A prepare of a non-member is ignored.
 	stranger := Message{
 		Kind: KindPrepare, From: Member{ID: "stranger", Addr: "10.0.8.8:7000"}, Epoch: h.view.Epoch,
 		Ballot: Ballot{N: 99, ID: "stranger"},
@@ -193,25 +196,25 @@
 	h.Assert(h.persist(w, w.m.Step(h.s.clock(w), "", &stranger)), qt.HasLen, 0)
 }
 
-// TestStaleRecordHasNoVote: a machine that the view names, but whose record is of an older epoch, neither acknowledges
-// nor proposes.
+// TestStaleRecordHasNoVote: a machine that is a backup of the view, but whose record is valid for an older epoch only,
+// neither acknowledges nor proposes.
 func TestStaleRecordHasNoVote(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	h.backup.disk.Replica = ReplicaState{}
 	h.restart(h.backup)
 	sent := h.deliver(h.backup, h.primary, h.heartbeat())
 	h.Assert(sent[len(sent)-1].InSync, qt.IsFalse)
 	h.Assert(sent[len(sent)-1].HoldsRecord, qt.IsFalse)
-	for _, msg := range h.suspect(h.backup) {
+	for _, msg := range h.timeOutPrimary(h.backup) {
 		h.Assert(msg.Kind, qt.Not(qt.Equals), KindPrepare)
 	}
 	h.Assert(h.backup.m.candidacy, qt.IsNil)
 }
 
-// TestSlowBackupIsReplaced: a backup that sends heartbeats but doesn't acknowledge is replaced within bounds, and the
-// write that waited for it commits in the next view.
+// TestSlowBackupIsReplaced: a backup whose disk is slow and which doesn't acknowledge is replaced within 5 s, and the
+// pending write commits in the next view.
 func TestSlowBackupIsReplaced(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	s := h.s
 	h.backup.slow = s.now + time.Hour
 	h.backup.diskFree = s.now + 30*time.Second
@@ -222,9 +225,10 @@
 	h.Assert(s.err, qt.IsNil)
 }
 
-// TestTakeover: with the primary gone, another is ready within its time-out and some beats.
+// TestTakeover: after the loss of the primary another one is ready within a second, which is the election time-out and
+// some heartbeats.
 func TestTakeover(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	s := h.s
 	s.kill(h.primary)
 	began := s.now
@@ -232,9 +236,9 @@
 	h.Assert(s.now-began < time.Second, qt.IsTrue, qt.Commentf("%v", s.now-began))
 }
 
-// TestFrozenPrimary: a primary that wakes after another took over answers nothing of its old view.
+// TestFrozenPrimary: a primary that thaws after another machine took over acknowledges nothing in its old view.
 func TestFrozenPrimary(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	s := h.s
 	h.primary.frozen = s.now + 3*time.Second
 	h.Assert(s.runUntil(s.now+2900*ms, nil), qt.IsFalse)
@@ -260,11 +264,11 @@
 	h.Assert(h.primary.m.Status().Role, qt.Not(qt.Equals), Primary)
 }
 
-// TestNewestAcceptanceIsProposed: of the views that a majority has accepted under two ballots, the one under the higher
-// ballot is proposed, whichever of them the proposer accepted itself.
+// TestNewestAcceptanceIsProposed: if a majority has accepted views under two ballots, the view with the higher ballot
+// is proposed, whichever of them the proposer accepted itself.
 func TestNewestAcceptanceIsProposed(t *testing.T) {
 	for _, own := range []uint64{50, 70} {
-		h := newHand(t)
+		h := newScriptedCore(t)
 		id := h.primary.disk.Identity.ID
 		view := func(backup *simNode) *View {
 			v := h.view
@@ -275,7 +279,7 @@
 		byOwn, byOther := view(h.backup), view(h.witness)
 		sent := h.deliver(h.backup, h.primary, Message{Kind: KindAccept, Ballot: Ballot{N: own, ID: id}, Value: byOwn})
 		h.Assert(sent[len(sent)-1].Kind, qt.Equals, KindAccepted)
-		ballot := h.suspect(h.backup)[0].Ballot
+		ballot := h.timeOutPrimary(h.backup)[0].Ballot
 		sent = h.deliver(h.backup, h.witness, Message{
 			Kind: KindPromise, Ballot: ballot, Accepted: Ballot{N: 60, ID: id}, Value: byOther,
 		})
@@ -288,10 +292,10 @@
 	}
 }
 
-// TestAppendToAnotherRecord: a backup whose record isn't a prefix of the primary's takes nothing of what follows
-// another record, and doesn't say that it is in sync.
+// TestAppendToAnotherRecord: a backup whose record isn't a prefix of the primary's appends no change that follows a
+// different record, and doesn't report that it is in sync.
 func TestAppendToAnotherRecord(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	digest := h.primary.m.log.digest
 	other := Change{Seq: 3, Body: []byte("other")}
 	other.Digest = ChainDigest(digest, 3, other.Body)
@@ -307,9 +311,10 @@
 	h.Assert(h.backup.app.log, qt.DeepEquals, []string{"w1", "w2", "other"})
 }
 
-// TestRemovedMemberDrawsNewIdentity: a machine that learns of a view without it begins anew, in memory and on its disk.
+// TestRemovedMemberDrawsNewIdentity: a machine that learns of a view without it starts over with a new identity and an
+// empty record, in memory and on disk.
 func TestRemovedMemberDrawsNewIdentity(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	before := h.backup.disk.Identity.ID
 	next := h.view
 	next.Epoch++
@@ -331,11 +336,11 @@
 	h.Assert(h.backup.m.Status().Role, qt.Equals, NonMember)
 }
 
-// TestThawedMachineWaits: a machine that was frozen doesn't take the others' silence meanwhile for their loss, neither
-// a backup its primary's nor a primary its backup's.
+// TestThawedMachineWaits: a machine that was frozen doesn't consider the others lost because it received nothing
+// meanwhile: neither a backup its primary, nor a primary its backup.
 func TestThawedMachineWaits(t *testing.T) {
 	for _, role := range []Role{Backup, Primary} {
-		h := newHand(t)
+		h := newScriptedCore(t)
 		b := h.backup
 		if role == Primary {
 			b = h.primary
@@ -348,12 +353,12 @@
 	}
 }
 
-// TestOldMembersDecide: a view that leaves members out is decided by a majority of the members before, not of those
-// after.
+// TestOldMembersDecide: a view that removes members is decided by a majority of the previous members, not of the new
+// ones.
 func TestOldMembersDecide(t *testing.T) {
-	h := &hand{C: qt.New(t), s: newSim(11, 5, 5, FailureTolerance{Nodes: 1})}
+	h := &scriptedCore{C: qt.New(t), s: newSim(11, 5, 5, FailureTolerance{Nodes: 1})}
 	s := h.s
-	calm(t, s, []int{0, 1, 2, 3, 4}, 0)
+	startAndConverge(t, s, []int{0, 1, 2, 3, 4}, 0)
 	h.primary = s.healthyPrimary()
 	h.view = h.primary.m.Status().View
 	var silent, voters []*simNode
@@ -380,12 +385,12 @@
 	h.Assert(s.err, qt.IsNil)
 }
 
-// TestUnresponsiveMembersStay: members are removed only as long as a majority stays when as many as may be lost are
-// lost after that.
+// TestUnresponsiveMembersStay: unresponsive members are removed only if a majority would remain after the largest
+// tolerated loss.
 func TestUnresponsiveMembersStay(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(11, 5, 5, FailureTolerance{Nodes: 2})
-	calm(t, s, []int{0, 1, 2, 3, 4}, 0)
+	startAndConverge(t, s, []int{0, 1, 2, 3, 4}, 0)
 	p := s.healthyPrimary()
 	killed := 0
 	for _, b := range s.nodes {
@@ -400,10 +405,10 @@
 	c.Assert(s.err, qt.IsNil)
 }
 
-// TestJoinerConfirmsIdentity: who asks to be taken in is taken in only when its identity has answered a heartbeat, as
-// its request may be old and the machine have another identity by now.
+// TestJoinerConfirmsIdentity: a joiner is admitted only after its identity has answered a heartbeat, as its request may
+// be old and the machine may have another identity by now.
 func TestJoinerConfirmsIdentity(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	joiner := Message{Kind: KindHello, From: Member{ID: "joiner", Addr: "10.0.9.1:7000"}, Join: true}
 	asked := h.persist(h.primary, h.primary.m.Step(h.s.clock(h.primary), "", &joiner))
 	h.Assert(asked[len(asked)-1].Kind, qt.Equals, KindHeartbeat)
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// The search runs small cores against a network and disks that may do what networks and disks do, breadth first, and
-// holds the rules in every state that can be reached within the budgets. A message that was sent stays in flight for
-// good: it may come at any time, many times or never, so that loss, doubling and overtaking are all in. What is to be
-// on disk is there before anything is sent, so a crash with writes pending equals one before their inputs. A step of
-// a machine depends on its cell and the message alone and is worked out once.
+// The search is an explicit-state model checker: it explores the states of small cores breadth first, with faults of
+// network and disks, and checks the rules in every state that is reachable within the budgets. A sent message stays in
+// flight forever: it may be delivered at any time, many times or never, which covers loss, duplication and reordering.
+// Writes are on disk before anything is sent, so a crash with pending writes equals a crash before their inputs. A step
+// of a machine depends only on its cell and the message, and is computed once.
 //
-// The files: cells_test.go a machine with its disk, search_test.go the steps of one machine, searchtime_test.go time
-// that passes for all, searchretry_test.go changes that are asked for again, searchrules_test.go the rules,
-// searchrun_test.go the search itself, liveness_test.go what must happen when calm, searchcases_test.go the cores and
-// budgets.
+// Files: cells_test.go has the state of a machine and its disk, search_test.go the steps of one machine,
+// searchtime_test.go steps in which time passes for all machines, searchretry_test.go retried changes,
+// searchrules_test.go the rules, searchrun_test.go the search itself, liveness_test.go the liveness rules,
+// searchcases_test.go the cores and budgets.
 
-// budget is what may still happen.
+// budget is the number of steps of each kind that may still happen.
 type budget struct {
 	writes, reads uint8
-	heartbeats    uint8 // ticks of who leads
-	waits         uint8 // a machine's time passes until it does something by itself
+	heartbeats    uint8 // ticks of a primary
+	waits         uint8 // the time of one machine passes until its protocol state changes
 	crashes       uint8 // restarts with the disk
 	wipes         uint8 // restarts with an empty disk
-	starts        uint8 // machines that haven't started yet, in their order
-	retries       uint8 // a change that was asked for before is asked for again, at any primary
-	freezes       uint8 // a machine finds at its next input that it was frozen
-	passes        uint8 // time passes for all machines, with one fault of the network or none
-	leaves        uint8 // a process is told that it is about to end
+	starts        uint8 // machines that haven't started yet, started in order
+	retries       uint8 // an earlier change is proposed again, at any primary
+	freezes       uint8 // a machine detects at its next input that it was frozen
+	passes        uint8 // time passes for all machines, with one network fault or none
+	leaves        uint8 // a process is asked to shut down
 }
 
 // maxCells is the size of the largest core that is searched.
 const maxCells = 5
 
-// cellSet is the cell of each machine.
+// cellSet has the cell of each machine.
 type cellSet [maxCells]uint32
 
-// modelState is one state.
+// modelState is a state of the search.
 type modelState struct {
 	cells cellSet
 	ghost uint32
@@ -51,7 +51,7 @@
 	text     string
 }
 
-// effect is what a step led to.
+// effect is the result of a step.
 type effect struct {
 	cell      uint32
 	sent      []uint32
@@ -77,21 +77,21 @@
 )
 
 var stepNames = [...]string{
-	"gets",
-	"is to write",
-	"is to read",
-	"beats",
+	"receives",
+	"proposes",
+	"reads",
+	"sends heartbeats",
 	"waits",
 	"crashes and restarts",
 	"loses its disk and restarts",
 	"starts",
-	"is asked again for",
+	"gets a retried change",
 	"was frozen",
-	"time passes for all,",
-	"is told to end",
+	"time passes for all machines,",
+	"is asked to shut down",
 }
 
-// inSync is one thing that happens to a machine; arg is a message or a token.
+// step is an event at a machine; arg is a message, a token or a fault.
 type step struct {
 	kind stepKind
 	i    uint8
@@ -106,47 +106,47 @@
 // explorer is one search.
 type explorer struct {
 	n          int
-	founders   int // the first so many machines are there from the start, the others join
+	founders   int // number of machines that are members from the start; the others join
 	timing     timing
 	survive    FailureTolerance
-	judged     bool // changes are judged by the record, as the control plane does it
-	small      bool // snapshots at every change
-	chunkBytes int  // of a record; 0: the usual size
-	limit      int  // states
+	judged     bool // changes are compared with the record first, as in the control plane
+	small      bool // a snapshot at every change
+	chunkBytes int  // size of the chunks of a record; 0: the default
+	limit      int  // maximum number of states
 	addrs      []string
 
-	err      error
-	cells    []*cell
-	cellIDs  map[string]uint32
-	packets  []packet
-	msgIDs   map[string]uint32
-	ghosts   []ghost
-	ghostIDs map[string]uint32
-	effects  map[stepOf]*effect // of all steps but deliveries
-	gets     [][]*effect        // of deliveries, by cell and message
-	todo     []uint32
-	views    map[string]View // by their words
-	kinds    []faultKind     // of faults while time passes
-	passes   map[passOf]*passing
-	calms    map[passOf]time.Duration // how long the next acknowledgement takes, with a fault that lasts
+	err          error
+	cells        []*cell
+	cellIDs      map[string]uint32
+	packets      []packet
+	msgIDs       map[string]uint32
+	ghosts       []ghost
+	ghostIDs     map[string]uint32
+	effects      map[stepOf]*effect // of all steps except deliveries
+	deliveries   [][]*effect        // of deliveries, by cell and message
+	todo         []uint32
+	views        map[string]View // by their text
+	kinds        []faultKind     // kinds of faults while time passes
+	passes       map[passOf]*passing
+	livenessRuns map[passOf]time.Duration // time to the next acknowledgement under a lasting fault
 
-	// late has liveness tried with all that is in flight coming, too.
-	late        bool
-	lateCalms   int
+	// liveLate has liveness also checked with all messages in flight delivered.
+	liveLate    bool
+	lateRuns    int
 	slowestLate time.Duration
 
-	// check is a further rule that every state must hold, nil when there is none.
+	// check is an additional rule for every state; nil: none.
 	check func(*modelState) string
 }
 
-// timing is the part of Options that says how long things take.
+// timing has the time-outs and intervals of Options.
 type timing struct{ heartbeat, election, stagger, write, member time.Duration }
 
 var (
-	// quickTiming has round figures.
+	// quickTiming has round values.
 	quickTiming = timing{100 * ms, 500 * ms, 150 * ms, 600 * ms, 3 * time.Second}
-	// servedTiming is the control plane's, with the default of sync_s.
-	servedTiming = timing{150 * ms, 700 * ms, 250 * ms, 600 * ms, 4 * time.Second}
+	// productionTiming has the control plane's values, with the default of sync_s.
+	productionTiming = timing{150 * ms, 700 * ms, 250 * ms, 600 * ms, 4 * time.Second}
 )
 
 func newExplorer(n int, sv FailureTolerance, small bool, limit int) *explorer {
@@ -160,7 +160,7 @@
 		cellIDs:  map[string]uint32{},
 		msgIDs:   map[string]uint32{},
 		ghostIDs: map[string]uint32{}, effects: map[stepOf]*effect{}, ghosts: []ghost{{}}, views: map[string]View{},
-		passes: map[passOf]*passing{}, calms: map[passOf]time.Duration{},
+		passes: map[passOf]*passing{}, livenessRuns: map[passOf]time.Duration{},
 	}
 	for i := range n {
 		x.addrs = append(x.addrs, fmt.Sprintf("10.0.%d.1:7000", i))
@@ -182,7 +182,7 @@
 	return o
 }
 
-// boot makes a cell's next process from its disk and lets it begin.
+// boot starts a cell's next process from its disk, with the first tick.
 func (x *explorer) boot(c *cell, bootstrap bool) Output {
 	c.app = &logApp{err: &x.err}
 	m, err := New(x.options(c.i, bootstrap), c.disk, c.app)
@@ -193,7 +193,7 @@
 		return Output{}
 	}
 	c.m = m
-	c.draw()
+	c.seedRandom()
 	return m.Tick(time.Second)
 }
 
@@ -227,7 +227,7 @@
 			x.err = err
 		}
 		m := &p.msg
-		p.text = fmt.Sprintf("%s of %d: epoch %d ballot %d/%.8s seq %d round %d step %v stopped %v",
+		p.text = fmt.Sprintf("%s of %d: epoch %d ballot %d/%.8s seq %d round %d in sync %v stopped %v",
 			kindNames[m.Kind], from, m.Epoch, m.Ballot.N, m.Ballot.ID, m.Seq, m.Round, m.InSync, m.Stopped)
 		id = uint32(len(x.packets))
 		x.packets = append(x.packets, p)
@@ -237,10 +237,10 @@
 }
 
 var kindNames = map[Kind]string{
-	KindHello: "hello", KindView: "view", KindHeartbeat: "beat", KindHeartbeatAck: "ack", KindAppend: "append",
+	KindHello: "hello", KindView: "view", KindHeartbeat: "heartbeat", KindHeartbeatAck: "ack", KindAppend: "append",
 	KindSnapshot: "snapshot", KindStage: "stage", KindStaged: "staged", KindPrepare: "prepare", KindPromise: "promise",
-	KindAccept: "accept", KindAccepted: "accepted", KindReject: "refuse", KindHandover: "handover",
-	KindTransferAck: "received", KindStageChanges: "stage changes",
+	KindAccept: "accept", KindAccepted: "accepted", KindReject: "reject", KindHandover: "handover",
+	KindTransferAck: "transfer ack", KindStageChanges: "stage changes",
 }
 
 func (x *explorer) internGhost(g ghost) uint32 {
@@ -254,28 +254,28 @@
 	return id
 }
 
-// play works out what a step does to a cell; nil: nothing.
-func (x *explorer) play(id uint32, s step) *effect {
+// execute returns the effect of a step on a cell, computed once; nil if the step isn't possible.
+func (x *explorer) execute(id uint32, s step) *effect {
 	k := stepOf{s, id}
 	if s.kind == stepDeliver {
-		for len(x.gets) <= int(id) {
-			x.gets = append(x.gets, nil)
+		for len(x.deliveries) <= int(id) {
+			x.deliveries = append(x.deliveries, nil)
 		}
-		if g := x.gets[id]; int(s.arg) < len(g) && g[s.arg] != nil {
+		if g := x.deliveries[id]; int(s.arg) < len(g) && g[s.arg] != nil {
 			return g[s.arg]
 		}
 	} else if e, ok := x.effects[k]; ok {
 		return e
 	}
 	old := x.cells[id]
-	c := old.grow(&x.err)
+	c := old.clone(&x.err)
 	before := c.m.identity.ID
 	was := x.cellIDs[old.key()]
 	out, ok := x.input(c, s)
 	var e *effect
 	if ok {
 		save(&c.disk, out.Write)
-		c.done(before)
+		c.update(before)
 		e = &effect{sighting: sightingOf(c, out)}
 		e.cell = x.internCell(c)
 		for _, env := range out.Send {
@@ -297,10 +297,10 @@
 		x.effects[k] = e
 		return e
 	}
-	g := x.gets[id]
+	g := x.deliveries[id]
 	if int(s.arg) >= len(g) {
 		g = append(g, make([]*effect, int(s.arg)+1-len(g))...)
-		x.gets[id] = g
+		x.deliveries[id] = g
 	}
 	g[s.arg] = e
 	return e
@@ -341,14 +341,14 @@
 		}
 		return m.Tick(max(m.NextTick(), m.now+1, c.clock())), true
 	case stepWait:
-		return x.waitUntilMark(c)
+		return x.waitUntilTransition(c)
 	case stepCrash, stepWipe, stepStart:
 		if s.kind == stepWipe {
 			c.wiped = append(slices.Clip(c.wiped), m.identity.ID)
 			c.disk = PersistentState{}
 		}
 		if s.kind != stepStart {
-			c.life++
+			c.incarnation++
 		}
 		c.frozen = 0
 		return x.boot(c, s.kind == stepStart), true
@@ -356,13 +356,13 @@
 	return Output{}, false
 }
 
-// waitUntilMark lets a machine's time pass until it does something by itself. What it sends meanwhile is lost, but for
-// the last.
-func (x *explorer) waitUntilMark(c *cell) (Output, bool) {
-	first := markOf(c.m)
+// waitUntilTransition lets a machine's time pass until its protocol state changes. Only the messages of the last tick
+// are sent; those before are lost.
+func (x *explorer) waitUntilTransition(c *cell) (Output, bool) {
+	first := protocolStateOf(c.m)
 	for range 60 {
 		out := c.m.Tick(max(c.m.NextTick(), c.m.now+1, c.clock()))
-		if markOf(c.m) != first {
+		if protocolStateOf(c.m) != first {
 			return out, true
 		}
 		save(&c.disk, out.Write)
--- a/internal/fleet/replication/searchcases_test.go
+++ b/internal/fleet/replication/searchcases_test.go
@@ -14,47 +14,49 @@
 	deep = flag.Bool(
 		"replication.deep", false, "search with larger budgets and twenty times the states, which takes minutes",
 	)
-	trial       = flag.String("replication.trial", "", "search this shape only: 3,survive=1,joiners=1,calm,writes=1 ...")
+	trial = flag.String(
+		"replication.trial", "", "search only this shape: members=3,survive=1,joiners=1,calm,writes=1 ...",
+	)
 	searchLimit = flag.Int(
-		"replication.states", 1_500_000, "states for each search; twenty times as many with replication.deep",
+		"replication.states", 1_500_000, "maximum states of a search; twenty times as many with -replication.deep",
 	)
 )
 
-// ruleBroken begins what a search says of a state that breaks a rule.
+// ruleBroken is the prefix of a search's failure message; finds looks for it.
 const ruleBroken = "rule broken: "
 
-// shape is a setting of the search.
+// shape configures a search.
 type shape struct {
-	name       string
-	members    int         // at the beginning
-	joiners    int         // machines that are no members yet; the budget starts them
-	survive    int         // machines that may be lost at once; 1 if 0
-	first      bool        // from machines that haven't started yet; else from a settled core
-	small      bool        // a snapshot at every change
-	chunkBytes int         // of a record that goes to another machine; 0: the usual size
-	judged     bool        // changes are judged by the record first, as the control plane does it
-	served     bool        // with the control plane's timing
-	calm       bool        // every state is live when calm
-	lossy      bool        // every state is live after a further loss, too
-	late       bool        // every state is live also when all that is in flight comes
-	faults     []faultKind // while time passes
-	// before are faults with each of which time passes before the search begins; what is sent comes or is lost.
+	name               string
+	members            int         // number of members at the beginning
+	joiners            int         // machines that are not members yet; the budget starts them
+	survive            int         // machines that may be lost at once; 1 if 0
+	first              bool        // begin with machines that haven't started; else with a converged core
+	small              bool        // a snapshot at every change
+	chunkBytes         int         // size of the chunks of a record; 0: the default
+	judged             bool        // changes are compared with the record first, as in the control plane
+	controlPlaneTiming bool        // use the control plane's time-outs
+	live               bool        // every state is live without further faults
+	liveAfterLoss      bool        // every state is also live after a further loss
+	liveLate           bool        // every state is also live when all messages in flight are delivered
+	faults             []faultKind // faults while time passes
+	// before are faults under each of which beforeTime passes before the search; no message stays in flight.
 	before []networkFault
-	begun  []networkFault // then time passes with each of these until something begins, which is in flight
+	begun  []networkFault // then time passes under each until a protocol state changes
 	budget budget
 	want   reach
 }
 
-// reach is what some state must show, or the search saw nothing.
+// reach is the coverage that a search must have: values that some visited state must reach.
 type reach struct {
 	led      uint64 // the newest epoch in which a primary was ready
 	acked    uint64 // the newest epoch in which a change was acknowledged
 	joined   bool   // a machine that lost its disk held the record under its new identity
 	refused  bool   // a change was refused
-	released bool   // a process that was told to end may end
-	fewest   int    // members of a view
-	most     int    // members of a view
-	wipes    int    // disks that were lost one after the other
+	released bool   // a process that shuts down was released
+	fewest   int    // members of the smallest view
+	most     int    // members of the largest view
+	wipes    int    // disks lost on one path
 }
 
 // ciShapes are the searches that CI runs.
@@ -106,96 +108,96 @@
 		budget:  budget{writes: 1, waits: 1, starts: 3},
 		want:    reach{led: 2, acked: 2, fewest: 2},
 	},
-	// With liveness, for the control plane's timing.
-	{
-		name:    "a write and a takeover, then a loss",
-		members: 3,
-		served:  true,
-		lossy:   true,
-		late:    true,
-		budget:  budget{writes: 1, waits: 1},
-		want:    reach{led: 2, acked: 2},
-	},
-	{
-		name:    "a restart and a takeover",
-		members: 3,
-		served:  true,
-		calm:    true,
-		budget:  budget{waits: 1, crashes: 1},
-		want:    reach{led: 3, acked: 1},
-	},
-	{
-		name:    "a freeze, a read and a takeover",
-		members: 3,
-		served:  true,
-		calm:    true,
-		budget:  budget{reads: 1, waits: 1, freezes: 1},
-		want:    reach{led: 2, acked: 1},
-	},
-	{
-		name:    "links are cut in one direction",
-		members: 3,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultCut},
-		budget:  budget{passes: 2},
-		want:    reach{led: 2, acked: 1},
-	},
-	{
-		name:    "a link is cut, a write and a read",
-		members: 3,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultCut},
-		budget:  budget{writes: 1, reads: 1, passes: 1},
-		want:    reach{led: 2, acked: 2},
-	},
-	{
-		name:    "a machine is cut off or frozen",
-		members: 3,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultIsolated, faultFrozen},
-		budget:  budget{writes: 1, reads: 1, passes: 1},
-		want:    reach{led: 2, acked: 2},
-	},
-	{
-		name:    "a disk is lost after another was replaced",
-		members: 3,
-		served:  true,
-		lossy:   true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{wipes: 2, passes: 2},
-		want:    reach{led: 3, acked: 1, joined: true, wipes: 2},
-	},
-	{
-		name:    "a machine joins",
-		members: 3,
-		joiners: 1,
-		served:  true,
-		lossy:   true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{starts: 1, passes: 1},
-		want:    reach{led: 2, acked: 1, most: 4},
-	},
-	{
-		name:    "a silent member is left out",
-		members: 4,
-		served:  true,
-		lossy:   true,
-		faults:  []faultKind{faultIsolated},
-		budget:  budget{passes: 1},
-		want:    reach{led: 2, acked: 1, fewest: 3},
-	},
-	{
-		name:    "a machine leaves",
-		members: 3,
-		served:  true,
-		lossy:   true,
-		late:    true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{writes: 1, leaves: 1, passes: 1},
-		want:    reach{led: 3, acked: 2, released: true},
+	// With liveness checks, mostly with the control plane's time-outs.
+	{
+		name:               "a write and a takeover, then a loss",
+		members:            3,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		liveLate:           true,
+		budget:             budget{writes: 1, waits: 1},
+		want:               reach{led: 2, acked: 2},
+	},
+	{
+		name:               "a restart and a takeover",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		budget:             budget{waits: 1, crashes: 1},
+		want:               reach{led: 3, acked: 1},
+	},
+	{
+		name:               "a freeze, a read and a takeover",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		budget:             budget{reads: 1, waits: 1, freezes: 1},
+		want:               reach{led: 2, acked: 1},
+	},
+	{
+		name:               "links are cut in one direction",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultCut},
+		budget:             budget{passes: 2},
+		want:               reach{led: 2, acked: 1},
+	},
+	{
+		name:               "a link is cut, a write and a read",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultCut},
+		budget:             budget{writes: 1, reads: 1, passes: 1},
+		want:               reach{led: 2, acked: 2},
+	},
+	{
+		name:               "a machine is cut off or frozen",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultIsolated, faultFrozen},
+		budget:             budget{writes: 1, reads: 1, passes: 1},
+		want:               reach{led: 2, acked: 2},
+	},
+	{
+		name:               "a disk is lost after another was replaced",
+		members:            3,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{wipes: 2, passes: 2},
+		want:               reach{led: 3, acked: 1, joined: true, wipes: 2},
+	},
+	{
+		name:               "a machine joins",
+		members:            3,
+		joiners:            1,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{starts: 1, passes: 1},
+		want:               reach{led: 2, acked: 1, most: 4},
+	},
+	{
+		name:               "a silent member is left out",
+		members:            4,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		faults:             []faultKind{faultIsolated},
+		budget:             budget{passes: 1},
+		want:               reach{led: 2, acked: 1, fewest: 3},
+	},
+	{
+		name:               "a machine leaves",
+		members:            3,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		liveLate:           true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{writes: 1, leaves: 1, passes: 1},
+		want:               reach{led: 3, acked: 2, released: true},
 	},
 	{
 		name:    "a machine leaves, a takeover",
@@ -204,23 +206,23 @@
 		want:    reach{led: 3, acked: 1, released: true},
 	},
 	{
-		name:    "five, a takeover",
-		members: 5,
-		survive: 2,
-		served:  true,
-		calm:    true,
-		budget:  budget{waits: 1},
-		want:    reach{led: 2, acked: 1},
+		name:               "five, a takeover",
+		members:            5,
+		survive:            2,
+		controlPlaneTiming: true,
+		live:               true,
+		budget:             budget{waits: 1},
+		want:               reach{led: 2, acked: 1},
 	},
 	{
-		name:    "five, a machine is cut off or frozen",
-		members: 5,
-		survive: 2,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultIsolated, faultFrozen},
-		budget:  budget{passes: 1},
-		want:    reach{led: 2, acked: 1},
+		name:               "five, a machine is cut off or frozen",
+		members:            5,
+		survive:            2,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultIsolated, faultFrozen},
+		budget:             budget{passes: 1},
+		want:               reach{led: 2, acked: 1},
 	},
 	{
 		name:    "five, a read and a takeover",
@@ -244,13 +246,13 @@
 		want:    reach{led: 2, acked: 2},
 	},
 	{
-		name:    "a read at a slow primary, a takeover",
-		members: 3,
-		served:  true,
-		calm:    true,
-		before:  []networkFault{{faultSlow, 0, 0}},
-		budget:  budget{writes: 1, reads: 1, waits: 1},
-		want:    reach{led: 3, acked: 3},
+		name:               "a read at a slow primary, a takeover",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		before:             []networkFault{{faultSlow, 0, 0}},
+		budget:             budget{writes: 1, reads: 1, waits: 1},
+		want:               reach{led: 3, acked: 3},
 	},
 	{
 		name:    "five, a read at a slow primary with a slow backup",
@@ -276,7 +278,7 @@
 	},
 }
 
-// deepShapes have larger budgets and take long.
+// deepShapes are searches with larger budgets, run with -replication.deep.
 var deepShapes = []shape{
 	{
 		name:    "two writes, a takeover and a restart",
@@ -329,21 +331,21 @@
 		want:    reach{led: 2, fewest: 2},
 	},
 	{
-		name:    "a silent member is left out, a write",
-		members: 4,
-		served:  true,
-		lossy:   true,
-		faults:  []faultKind{faultIsolated},
-		budget:  budget{writes: 1, passes: 1},
-		want:    reach{led: 2, acked: 2, fewest: 3},
+		name:               "a silent member is left out, a write",
+		members:            4,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		faults:             []faultKind{faultIsolated},
+		budget:             budget{writes: 1, passes: 1},
+		want:               reach{led: 2, acked: 2, fewest: 3},
 	},
 	{
-		name:    "a freeze, a write, a read and a takeover",
-		members: 3,
-		served:  true,
-		calm:    true,
-		budget:  budget{writes: 1, reads: 1, waits: 1, freezes: 1},
-		want:    reach{led: 2, acked: 2},
+		name:               "a freeze, a write, a read and a takeover",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		budget:             budget{writes: 1, reads: 1, waits: 1, freezes: 1},
+		want:               reach{led: 2, acked: 2},
 	},
 	{
 		name:    "changes are asked for again, a takeover",
@@ -353,140 +355,140 @@
 		want:    reach{led: 2, acked: 2, refused: true},
 	},
 	{
-		name:    "two machines join",
-		members: 3,
-		joiners: 2,
-		served:  true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{starts: 2, passes: 1},
-		want:    reach{led: 2, acked: 1, most: 5},
-	},
-	{
-		name:    "a write, a restart and a takeover, then calm",
-		members: 3,
-		served:  true,
-		calm:    true,
-		budget:  budget{writes: 1, waits: 1, crashes: 1},
-		want:    reach{led: 3, acked: 2},
-	},
-	{
-		name:    "a machine joins, a write",
-		members: 3,
-		joiners: 1,
-		served:  true,
-		lossy:   true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{writes: 1, starts: 1, passes: 1},
-		want:    reach{led: 2, acked: 2, most: 4},
-	},
-	{
-		name:    "two proposals cross, then calm",
-		members: 3,
-		served:  true,
-		calm:    true,
-		budget:  budget{writes: 1, waits: 2},
-		want:    reach{led: 3, acked: 3},
-	},
-	{
-		name:    "machines are cut off and frozen",
-		members: 3,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultNone, faultIsolated, faultFrozen},
-		budget:  budget{passes: 2},
-		want:    reach{led: 3, acked: 1},
-	},
-	{
-		name:    "disks are lost one after the other",
-		members: 3,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{wipes: 2, passes: 3},
-		want:    reach{led: 4, acked: 1, joined: true, wipes: 2},
-	},
-	{
-		name:    "a machine joins, a takeover",
-		members: 3,
-		joiners: 1,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{waits: 1, starts: 1, passes: 1},
-		want:    reach{led: 3, acked: 1, most: 4},
-	},
-	{
-		name:    "silent members are left out",
-		members: 4,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultIsolated},
-		budget:  budget{passes: 2},
-		want:    reach{led: 3, acked: 1, fewest: 3},
-	},
-	{
-		name:    "five, a write and a takeover",
-		members: 5,
-		survive: 2,
-		served:  true,
-		calm:    true,
-		budget:  budget{writes: 1, waits: 1},
-		want:    reach{led: 2, acked: 2},
-	},
-	{
-		name:    "five, a takeover, then two are lost",
-		members: 5,
-		survive: 2,
-		served:  true,
-		lossy:   true,
-		budget:  budget{waits: 1},
-		want:    reach{led: 2, acked: 1},
-	},
-	{
-		name:    "two machines leave",
-		members: 3,
-		served:  true,
-		lossy:   true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{leaves: 2, passes: 1},
-		want:    reach{led: 3, acked: 1, released: true},
-	},
-	{
-		name:    "four, a machine leaves",
-		members: 4,
-		served:  true,
-		lossy:   true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{writes: 1, leaves: 1, passes: 1},
-		want:    reach{led: 3, acked: 2, fewest: 3, released: true},
-	},
-	{
-		name:    "five, a machine leaves",
-		members: 5,
-		survive: 2,
-		served:  true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{leaves: 1, passes: 1},
-		want:    reach{led: 2, acked: 1, released: true},
-	},
-	{
-		name:    "five, a disk is lost",
-		members: 5,
-		survive: 2,
-		served:  true,
-		calm:    true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{wipes: 1, passes: 1},
-		want:    reach{led: 2, acked: 1, joined: true, wipes: 1},
-	},
-	{
-		name:    "five, two disks are lost",
-		members: 5,
-		survive: 2,
-		served:  true,
-		faults:  []faultKind{faultNone},
-		budget:  budget{wipes: 2, passes: 1},
-		want:    reach{led: 2, acked: 1, joined: true, wipes: 2},
+		name:               "two machines join",
+		members:            3,
+		joiners:            2,
+		controlPlaneTiming: true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{starts: 2, passes: 1},
+		want:               reach{led: 2, acked: 1, most: 5},
+	},
+	{
+		name:               "a write, a restart and a takeover, then calm",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		budget:             budget{writes: 1, waits: 1, crashes: 1},
+		want:               reach{led: 3, acked: 2},
+	},
+	{
+		name:               "a machine joins, a write",
+		members:            3,
+		joiners:            1,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{writes: 1, starts: 1, passes: 1},
+		want:               reach{led: 2, acked: 2, most: 4},
+	},
+	{
+		name:               "two proposals cross, then calm",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		budget:             budget{writes: 1, waits: 2},
+		want:               reach{led: 3, acked: 3},
+	},
+	{
+		name:               "machines are cut off and frozen",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultNone, faultIsolated, faultFrozen},
+		budget:             budget{passes: 2},
+		want:               reach{led: 3, acked: 1},
+	},
+	{
+		name:               "disks are lost one after the other",
+		members:            3,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{wipes: 2, passes: 3},
+		want:               reach{led: 4, acked: 1, joined: true, wipes: 2},
+	},
+	{
+		name:               "a machine joins, a takeover",
+		members:            3,
+		joiners:            1,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{waits: 1, starts: 1, passes: 1},
+		want:               reach{led: 3, acked: 1, most: 4},
+	},
+	{
+		name:               "silent members are left out",
+		members:            4,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultIsolated},
+		budget:             budget{passes: 2},
+		want:               reach{led: 3, acked: 1, fewest: 3},
+	},
+	{
+		name:               "five, a write and a takeover",
+		members:            5,
+		survive:            2,
+		controlPlaneTiming: true,
+		live:               true,
+		budget:             budget{writes: 1, waits: 1},
+		want:               reach{led: 2, acked: 2},
+	},
+	{
+		name:               "five, a takeover, then two are lost",
+		members:            5,
+		survive:            2,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		budget:             budget{waits: 1},
+		want:               reach{led: 2, acked: 1},
+	},
+	{
+		name:               "two machines leave",
+		members:            3,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{leaves: 2, passes: 1},
+		want:               reach{led: 3, acked: 1, released: true},
+	},
+	{
+		name:               "four, a machine leaves",
+		members:            4,
+		controlPlaneTiming: true,
+		liveAfterLoss:      true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{writes: 1, leaves: 1, passes: 1},
+		want:               reach{led: 3, acked: 2, fewest: 3, released: true},
+	},
+	{
+		name:               "five, a machine leaves",
+		members:            5,
+		survive:            2,
+		controlPlaneTiming: true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{leaves: 1, passes: 1},
+		want:               reach{led: 2, acked: 1, released: true},
+	},
+	{
+		name:               "five, a disk is lost",
+		members:            5,
+		survive:            2,
+		controlPlaneTiming: true,
+		live:               true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{wipes: 1, passes: 1},
+		want:               reach{led: 2, acked: 1, joined: true, wipes: 1},
+	},
+	{
+		name:               "five, two disks are lost",
+		members:            5,
+		survive:            2,
+		controlPlaneTiming: true,
+		faults:             []faultKind{faultNone},
+		budget:             budget{wipes: 2, passes: 1},
+		want:               reach{led: 2, acked: 1, joined: true, wipes: 2},
 	},
 	{
 		name:    "changes are asked for again over a freeze and a restart",
@@ -497,21 +499,22 @@
 	},
 }
 
-// beforeTime is how long a shape's faults before the search last: a takeover takes less, a silent member is removed.
+// beforeTime is the duration of each fault before the search: longer than a takeover or the removal of an unresponsive
+// member.
 const beforeTime = 5 * time.Second
 
-// explorer makes the search of a shape and its first state.
+// explorer returns the search of a shape and its initial state.
 func (sh *shape) explorer(limit int) (*explorer, modelState, error) {
 	x := newExplorer(sh.members+sh.joiners, FailureTolerance{Nodes: max(sh.survive, 1)}, sh.small, limit)
 	x.founders, x.judged, x.kinds = sh.members, sh.judged, sh.faults
-	x.late, x.chunkBytes = sh.late, sh.chunkBytes
-	if sh.served {
-		x.timing = servedTiming
+	x.liveLate, x.chunkBytes = sh.liveLate, sh.chunkBytes
+	if sh.controlPlaneTiming {
+		x.timing = productionTiming
 	}
 	switch {
-	case sh.lossy:
+	case sh.liveAfterLoss:
 		x.check = x.checkLivenessAfterLoss
-	case sh.calm:
+	case sh.live:
 		x.check = x.checkLiveness
 	}
 	var w modelState
@@ -529,7 +532,7 @@
 	for _, f := range sh.begun {
 		next, violation, ok := x.applyPass(&w, step{stepPass, f.i, f.arg()})
 		if err == nil && (!ok || violation != "") {
-			err = fmt.Errorf("nothing begins while %v: %s", f, violation)
+			err = fmt.Errorf("no protocol state changes while %v: %s", f, violation)
 		}
 		w = next
 	}
@@ -571,7 +574,7 @@
 	qt.Check(t, got, qt.Equals, want)
 }
 
-// TestSearch holds the rules in every state that small cores can come to within the budgets.
+// TestSearch checks the rules in every state that small cores can reach within the budgets.
 func TestSearch(t *testing.T) {
 	list := ciShapes
 	if *deep {
--- a/internal/fleet/replication/searchretry_test.go
+++ b/internal/fleet/replication/searchretry_test.go
@@ -5,47 +5,47 @@
 	"slices"
 )
 
-// A change that is asked for, also once more, is judged by the record of the machine that leads, as the control plane
-// does it: one that is there already is acknowledged, one on another base is refused, both only when what it was judged
-// by is confirmed; else it is proposed. A change's base is how many changes were acknowledged when it was first asked
-// for.
+// A requested or retried change is compared with the primary's record first, as in the control plane: one that is
+// already in the record is acknowledged, and one on another base is refused, both only once that record is confirmed by
+// a read. Otherwise the change is proposed. A change's base is the number of changes acknowledged when it was first
+// requested.
 
-// judgement is what a record says about a change.
+// judgement is the result of comparing a change with a record.
 type judgement uint8
 
 const (
 	fits judgement = iota
 	knownAlready
-	onAnotherBase
+	staleBase
 )
 
-// judge looks a change up in a record.
+// judge compares a change with a record.
 func judge(log []string, change, base uint64) judgement {
 	switch {
 	case slices.Contains(log, changeBody(change)):
 		return knownAlready
 	case uint64(len(log)) != base:
-		return onAnotherBase
+		return staleBase
 	}
 	return fits
 }
 
 func changeBody(change uint64) string { return fmt.Sprint("w", change) }
 
-// orderArg is a step's argument: a change, its base, and a serial number that tells the attempts apart.
+// orderArg returns a step's argument: a change, its base, and a serial number that distinguishes the attempts.
 func orderArg(change, base, serial uint64) uint64 { return change | base<<8 | serial<<16 }
 
 func orderOfArg(arg uint32) (change, base uint64) { return uint64(arg & 0xff), uint64(arg >> 8 & 0xff) }
 
-const retryTokens = 1 << 20 // above those of changes and reads
+const retryTokens = 1 << 20 // above the tokens of changes and reads
 
-// retry is a judgement that waits for its confirmation.
+// retry is a judgement that awaits its confirmation by a read.
 type retry struct {
 	token, change, at uint64
 	judgement         judgement
 }
 
-// retry has a primary judge a change.
+// retry proposes a change at a primary, or begins a read that confirms the judgement of its record.
 func (x *explorer) retry(c *cell, arg uint32) (Output, bool) {
 	if !c.m.primary.active {
 		return Output{}, false
@@ -57,8 +57,8 @@
 	return c.m.Read(c.clock(), retryTokens+uint64(arg)), true
 }
 
-// ask notes that the primary in c, as it was before, is asked for a change.
-func (g *ghost) ask(c *cell, arg uint32) {
+// recordRetry records a request for a change at the primary in c, whose state is that before the request.
+func (g *ghost) recordRetry(c *cell, arg uint32) {
 	change, base := orderOfArg(arg)
 	g.asked++
 	if change > g.writes {
@@ -70,26 +70,26 @@
 	}
 }
 
-// verdict takes in the confirmation of a judgement.
-func (g *ghost) verdict(a Answer, epoch uint64) string {
+// confirmRetry processes the confirmation of judgements, and returns the rule that an acknowledgement violates, if any.
+func (g *ghost) confirmRetry(a Answer, epoch uint64) string {
 	for _, r := range g.retries {
 		if r.token != a.Token || a.Seq < r.at {
 			continue
 		}
-		if r.judgement == onAnotherBase {
+		if r.judgement == staleBase {
 			g.refused = append(slices.Clip(g.refused), r.change)
 			continue
 		}
 		at := slices.Index(g.committed, changeBody(r.change))
 		if at < 0 || uint64(at) >= a.Seq {
-			return fmt.Sprintf("w%d is acknowledged again and isn't committed", r.change)
+			return fmt.Sprintf("w%d is acknowledged again but isn't committed", r.change)
 		}
 		g.acked = append(slices.Clip(g.acked), ack{uint64(at) + 1, epoch})
 	}
 	return ""
 }
 
-// rejections tells when a change that was refused is committed.
+// refusals returns a violation if a refused change is committed.
 func (g *ghost) refusals() string {
 	for _, change := range g.refused {
 		if slices.Contains(g.committed, changeBody(change)) {
--- a/internal/fleet/replication/searchrules_test.go
+++ b/internal/fleet/replication/searchrules_test.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// ghost holds the search's ghost variables: what clients, and somebody who watches all machines, have seen.
+// ghost holds the search's ghost variables: the history as seen by clients and by an observer of all machines.
 type ghost struct {
 	committed []string
 	acked     []ack
 	leaders   []leader
-	views     []string // decided, by epoch
-	reads     []floor  // under way
-	writes    uint64   // begun
-	asked     uint64   // reads begun
+	views     []string // decided views, by epoch
+	reads     []floor  // pending reads
+	writes    uint64   // number of writes begun
+	asked     uint64   // number of reads and retries begun
 	allWipes  int      // disks lost since the beginning
-	wipes     int      // since the core was last whole
-	bases     []uint64 // how many changes were acknowledged when each was first asked for
-	retries   []retry  // under way
+	wipes     int      // disks lost since the core last had its full redundancy
+	bases     []uint64 // number of changes acknowledged when each change was first requested
+	retries   []retry  // pending retries
 	refused   []uint64 // changes that were refused
 }
 
@@ -30,23 +30,23 @@
 
 type floor struct{ token, seq uint64 }
 
-// voteViolation tells when a machine that lost its disk votes as who it was.
+// voteViolation returns a violation if a machine that lost its disk votes under its former identity.
 func voteViolation(c *cell, m *Message) string {
 	switch m.Kind {
 	case KindPrepare, KindPromise, KindAccept, KindAccepted:
 		if slices.Contains(c.wiped, m.From.ID) || m.Founder && len(c.wiped) > 0 {
-			return "a machine votes as who it was before its disk was lost"
+			return "a machine that lost its disk votes under its former identity"
 		}
 	}
 	return ""
 }
 
-// apply is the state after a step; false: the step does nothing.
+// apply returns the state after a step and the violated rule, if any; false if the step has no effect.
 func (x *explorer) apply(w *modelState, s step) (modelState, string, bool) {
 	if s.kind == stepPass {
 		return x.applyPass(w, s)
 	}
-	e := x.play(w.cells[s.i], s)
+	e := x.execute(w.cells[s.i], s)
 	if e == nil {
 		return modelState{}, "", false
 	}
@@ -69,14 +69,14 @@
 	switch s.kind {
 	case stepWrite:
 		g.writes++
-		g.bases = append(slices.Clip(g.bases), g.top())
+		g.bases = append(slices.Clip(g.bases), g.lastAcked())
 		seen = true
 	case stepRetry:
-		g.ask(x.cells[w.cells[s.i]], s.arg)
+		g.recordRetry(x.cells[w.cells[s.i]], s.arg)
 		seen = true
 	case stepRead:
 		g.asked++
-		g.reads = append(slices.Clip(g.reads), floor{uint64(s.arg), g.top()})
+		g.reads = append(slices.Clip(g.reads), floor{uint64(s.arg), g.lastAcked()})
 		seen = true
 	case stepWipe:
 		g.wipes++
@@ -98,7 +98,7 @@
 	return n, violation, true
 }
 
-// conclude notes what was seen on the way to a state, and holds the rules in it when something changed.
+// conclude stores the updated ghost variables in a state, and checks the rules in it if something changed.
 func (x *explorer) conclude(w *modelState, g *ghost, seen, moved bool, violation string) string {
 	if g.wipes > 0 && x.fullyRedundant(w, g) {
 		g.wipes, seen = 0, true
@@ -115,9 +115,10 @@
 	return violation
 }
 
-// close adds what deliveries that leave their machine as it is send, as such a step takes no other away, and drops the
-// messages that can't do anything any more: those of an epoch that their receiver has left, and those of a ballot below
-// the one it has promised. Only what goes to machines that changed, and what is new, can have more to say than before.
+// close reduces the state space. It adds the messages sent by deliveries that don't change their receiver, as such a
+// step disables no other. It drops messages that have no effect any more: those of an epoch that their receiver has
+// left, and those of a ballot below the one that it promised. Only messages to machines that changed, and new messages,
+// need to be examined.
 func (x *explorer) close(w *modelState, changed func(int) bool, sent []uint32) (violation string) {
 	todo := x.todo[:0]
 	for _, m := range w.net {
@@ -130,12 +131,12 @@
 			todo = append(todo, m)
 		}
 	}
-	own, past := false, false // the net is ours to change; some of it is past
+	own, past := false, false // w.net is a copy of its own; some of its messages are inert
 	for len(todo) > 0 {
 		m := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		p := &x.packets[m]
-		e := x.play(w.cells[p.to], step{stepDeliver, uint8(p.to), m})
+		e := x.execute(w.cells[p.to], step{stepDeliver, uint8(p.to), m})
 		if e.violation != "" {
 			violation = e.violation
 		}
@@ -145,7 +146,7 @@
 		}
 		for _, f := range e.sent {
 			at, ok := slices.BinarySearch(w.net, f)
-			if ok || x.inert(w, f) && len(x.play(
+			if ok || x.inert(w, f) && len(x.execute(
 				w.cells[x.packets[f].to], step{stepDeliver, uint8(x.packets[f].to), f},
 			).sent) == 0 {
 				continue
@@ -167,8 +168,8 @@
 	return violation
 }
 
-// inert tells whether a message is past: its epoch or ballot is, and it does nothing to its receiver as that stands.
-// What it was answered with is in flight already.
+// inert reports whether a message has no effect any more: its epoch or ballot is outdated, and its delivery doesn't
+// change the receiver. The answers to it are already in flight.
 func (x *explorer) inert(w *modelState, m uint32) bool {
 	p := &x.packets[m]
 	id := w.cells[p.to]
@@ -181,39 +182,39 @@
 	case KindPrepare, KindPromise, KindAccept, KindAccepted, KindReject:
 		past = past || p.msg.Ballot.less(c.vote.Promised)
 	}
-	return past && x.play(id, step{stepDeliver, uint8(p.to), m}).cell == id
+	return past && x.execute(id, step{stepDeliver, uint8(p.to), m}).cell == id
 }
 
-// top is the newest change that was acknowledged.
-func (g *ghost) top() (seq uint64) {
+// lastAcked returns the Seq of the newest acknowledged change.
+func (g *ghost) lastAcked() (seq uint64) {
 	for _, a := range g.acked {
 		seq = max(seq, a.seq)
 	}
 	return seq
 }
 
-// sighting is what an input of a machine showed.
+// sighting is the observable result of an input of a machine.
 type sighting struct {
-	machine, life int
-	epoch         uint64
-	view          string
-	committed     uint64
-	log           []string
-	answers       []Answer
+	machine, incarnation int
+	epoch                uint64
+	view                 string
+	committed            uint64
+	log                  []string
+	answers              []Answer
 }
 
-// sightingOf is what an input led to, with its machine as it is then.
+// sightingOf returns the observable result of an input, given the machine's state after it.
 func sightingOf(c *cell, out Output) sighting {
 	return sighting{
-		machine: c.i, life: c.life, epoch: c.status.Epoch, view: c.view,
+		machine: c.i, incarnation: c.incarnation, epoch: c.status.Epoch, view: c.view,
 		committed: out.Committed, log: slices.Clone(c.app.log), answers: out.Answer,
 	}
 }
 
-// learn takes in what a step showed.
+// learn updates the ghost variables with the result of a step, and returns a violated rule, if any.
 func (g *ghost) learn(e *sighting, seen *bool) string {
 	epoch := e.epoch
-	if epoch == 0 { // who has not joined knows the seeds or nobody
+	if epoch == 0 { // a machine that has not joined knows no decided view
 		return ""
 	}
 	for uint64(len(g.views)) <= epoch {
@@ -238,7 +239,7 @@
 		case slices.Index(e.log, e.log[i]) < int(i):
 			return fmt.Sprintf("%s is committed twice", e.log[i])
 		case g.committed[i] != e.log[i]:
-			return fmt.Sprintf("a fork: change %d is %s and %s", i+1, g.committed[i], e.log[i])
+			return fmt.Sprintf("records diverge: change %d is %s and %s", i+1, g.committed[i], e.log[i])
 		}
 	}
 	if violation := g.learnAnswers(e, seen); violation != "" {
@@ -247,22 +248,22 @@
 	return g.refusals()
 }
 
-// learnAnswers takes in the answers that a step gave.
+// learnAnswers updates the ghost variables with the answers of a step, and returns a violated rule, if any.
 func (g *ghost) learnAnswers(e *sighting, seen *bool) string {
 	epoch := e.epoch
 	for _, a := range e.answers {
 		*seen = true
 		switch a.Result {
 		case Committed:
-			who := e.machine*100 + e.life
+			who := e.machine*100 + e.incarnation
 			i := slices.IndexFunc(g.leaders, func(l leader) bool { return l.epoch == epoch })
 			if i < 0 {
 				g.leaders = append(slices.Clip(g.leaders), leader{epoch, who})
 			} else if g.leaders[i].who != who {
-				return fmt.Sprintf("two acknowledge in epoch %d", epoch)
+				return fmt.Sprintf("two processes acknowledge in epoch %d", epoch)
 			}
 			if a.Seq > uint64(len(g.committed)) || g.committed[a.Seq-1] != fmt.Sprint("w", a.Token) {
-				return fmt.Sprintf("w%d is acknowledged as %d, which is another or not committed", a.Token, a.Seq)
+				return fmt.Sprintf("w%d is acknowledged as %d, which is a different change or not committed", a.Token, a.Seq)
 			}
 			g.acked = append(slices.Clip(g.acked), ack{a.Seq, epoch})
 		case Confirmed:
@@ -271,11 +272,11 @@
 					return fmt.Sprintf("a read shows %d, older than the acknowledged %d", a.Seq, f.seq)
 				}
 			}
-			if b := g.verdict(a, epoch); b != "" {
+			if b := g.confirmRetry(a, epoch); b != "" {
 				return b
 			}
 			if a.Seq > uint64(len(e.log)) {
-				return "a read shows more than there is"
+				return "a read shows more changes than the record has"
 			}
 		}
 		g.reads = slices.DeleteFunc(slices.Clone(g.reads), func(f floor) bool { return f.token == a.Token })
@@ -284,9 +285,9 @@
 	return ""
 }
 
-// fullyRedundant reports whether as many machines may be lost as at the beginning: a primary of the newest view is
-// ready, all backups that must be are there with their disks, and a majority of the members stays when as many are lost
-// as may be.
+// fullyRedundant reports whether the core tolerates the full number of losses again: a primary of the newest view is
+// ready, all required backups hold the record on disk, and a majority of the members remains after the largest
+// tolerated loss.
 func (x *explorer) fullyRedundant(w *modelState, g *ghost) bool {
 	newest := uint64(len(g.views)) - 1
 	v := x.views[g.views[newest]]
@@ -297,7 +298,7 @@
 	for i := range x.n {
 		c := x.cells[w.cells[i]]
 		ready = ready || c.status.Role == Primary && c.status.Epoch == newest && c.status.Ready
-		if c.holds == newest {
+		if c.heldEpoch == newest {
 			holding++
 		}
 		if v.has(c.disk.Identity.ID) {
@@ -307,8 +308,9 @@
 	return ready && holding == len(v.Backups)+1 && members-x.survive.Nodes >= v.quorum()
 }
 
-// missed tells when a machine that may end is one of the last so many that hold a change.
-func (x *explorer) missed(w *modelState, has func(log []string) bool, copies int) string {
+// prematureRelease returns a violation if a machine is released while fewer than the given number of other machines
+// have an acknowledged change on disk.
+func (x *explorer) prematureRelease(w *modelState, has func(log []string) bool, copies int) string {
 	for i := range x.n {
 		if !x.cells[w.cells[i]].status.Released {
 			continue
@@ -320,13 +322,13 @@
 			}
 		}
 		if others < copies {
-			return fmt.Sprintf("%d may end while %d others hold what was acknowledged", i, others)
+			return fmt.Sprintf("%d is released while only %d others have an acknowledged change", i, others)
 		}
 	}
 	return ""
 }
 
-// rules are those on whole states.
+// rules checks the rules on a state, and returns a violation, if any.
 func (x *explorer) rules(w *modelState) string {
 	g := &x.ghosts[w.ghost]
 	for _, a := range g.acked {
@@ -337,15 +339,15 @@
 			c := x.cells[w.cells[i]]
 			if has(c.durable) {
 				disks++
-			} else if c.holds >= a.epoch {
-				return fmt.Sprintf("%d holds the record of epoch %d without %s, acknowledged in %d", i, c.holds, body, a.epoch)
+			} else if c.heldEpoch >= a.epoch {
+				return fmt.Sprintf("%d holds the record of epoch %d without %s, acknowledged in %d", i, c.heldEpoch, body, a.epoch)
 			}
 			leads := c.status.Role == Primary && (c.status.Epoch > a.epoch || c.status.Epoch == a.epoch && c.status.Ready)
 			if leads && !has(c.app.log) {
 				return fmt.Sprintf("%d leads epoch %d without %s, acknowledged in %d", i, c.status.Epoch, body, a.epoch)
 			}
 		}
-		if b := x.missed(w, has, x.survive.Replicas()-g.wipes); b != "" {
+		if b := x.prematureRelease(w, has, x.survive.Replicas()-g.wipes); b != "" {
 			return b
 		}
 		if disks < x.survive.Replicas()-g.wipes {
--- a/internal/fleet/replication/searchrun_test.go
+++ b/internal/fleet/replication/searchrun_test.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// steps lists what may happen next.
+// steps calls yield for each step that may happen next, with the budget left after it.
 func (x *explorer) steps(w *modelState, yield func(step, budget)) {
 	for _, m := range w.net {
 		yield(step{stepDeliver, uint8(x.packets[m].to), m}, w.left)
@@ -29,7 +29,7 @@
 			}
 		}
 		if x.judged {
-			spend(&l.writes, stepRetry, orderArg(g.writes+1, g.top(), g.asked))
+			spend(&l.writes, stepRetry, orderArg(g.writes+1, g.lastAcked(), g.asked))
 		} else {
 			spend(&l.writes, stepWrite, g.writes+1)
 		}
@@ -76,38 +76,38 @@
 	return xxhash.Sum64(buf), buf
 }
 
-// found is what a search came to.
-type found struct {
+// searchResult is the result of a search.
+type searchResult struct {
 	states, steps, cells, msgs int
-	depth                      int           // all states up to so many steps were seen
-	exhausted                  bool          // there are no more within the budgets
-	led                        uint64        // newest epoch in which some primary was ready
+	depth                      int           // all states up to this number of steps were visited
+	exhausted                  bool          // all states within the budgets were visited
+	led                        uint64        // newest epoch in which a primary was ready
 	acked                      uint64        // newest epoch in which a change was acknowledged
 	joined                     bool          // a machine with a new identity held the record
 	refused                    bool          // a change was refused
-	released                   bool          // a process that was told to end may end
+	released                   bool          // a process that shuts down was released
 	fewest, most               int           // members of a view
-	wipes                      int           // disks that were lost one after the other
-	calms                      int           // sets of cells from which calm was played
-	slowest                    time.Duration // the longest that an acknowledgement took when calm
+	wipes                      int           // disks lost on one path
+	livenessRuns               int           // sets of cells from which liveness was checked
+	slowest                    time.Duration // longest time to an acknowledgement without further faults
 	took                       time.Duration
 	violation                  string
 	trace                      []string
 }
 
-func (f *found) String() string {
-	all := fmt.Sprintf("all up to %d steps", f.depth)
+func (f *searchResult) String() string {
+	all := fmt.Sprintf("complete up to %d steps", f.depth)
 	if f.exhausted {
-		all = fmt.Sprintf("all there are, %d steps deep", f.depth)
+		all = fmt.Sprintf("exhausted, %d steps deep", f.depth)
 	}
 	return fmt.Sprintf("%d states (%s), %d steps, %d cells, %d messages, led up to epoch %d, acknowledged up to %d, "+
-		"%d to %d members, %d disks lost, acknowledged within %v when calm (%d tried), %v",
-		f.states, all, f.steps, f.cells, f.msgs, f.led, f.acked, f.fewest, f.most, f.wipes, f.slowest, f.calms,
+		"%d to %d members, %d disks lost, liveness: acknowledged within %v (%d runs), %v",
+		f.states, all, f.steps, f.cells, f.msgs, f.led, f.acked, f.fewest, f.most, f.wipes, f.slowest, f.livenessRuns,
 		f.took.Round(time.Millisecond))
 }
 
 // run searches from first on.
-func (x *explorer) run(first modelState) (res found) {
+func (x *explorer) run(first modelState) (res searchResult) {
 	began := time.Now()
 	type origin struct {
 		parent uint32
@@ -168,15 +168,15 @@
 	return res
 }
 
-// summarize adds what the search saw in all cells, views and ghosts.
-func (x *explorer) summarize(res *found) {
+// summarize fills in the result from all cells, views and ghosts.
+func (x *explorer) summarize(res *searchResult) {
 	res.cells, res.msgs = len(x.cells), len(x.packets)
 	for _, c := range x.cells {
 		res.released = res.released || c.status.Released
 		if c.status.Role == Primary && c.status.Ready {
 			res.led = max(res.led, c.status.Epoch)
 		}
-		res.joined = res.joined || len(c.wiped) > 0 && c.holds > 0
+		res.joined = res.joined || len(c.wiped) > 0 && c.heldEpoch > 0
 	}
 	for _, v := range x.views {
 		if v.Epoch == 0 {
@@ -187,10 +187,10 @@
 		}
 		res.most = max(res.most, len(v.Members))
 	}
-	for _, took := range x.calms {
-		res.slowest, res.calms = max(res.slowest, took), res.calms+1
+	for _, took := range x.livenessRuns {
+		res.slowest, res.livenessRuns = max(res.slowest, took), res.livenessRuns+1
 	}
-	res.calms += x.lateCalms
+	res.livenessRuns += x.lateRuns
 	res.slowest = max(res.slowest, x.slowestLate)
 	for _, g := range x.ghosts {
 		res.refused = res.refused || len(g.refused) > 0
@@ -214,8 +214,7 @@
 	return strings.TrimSpace(t)
 }
 
-// starter plays a core from its first start on, one message or tick after the other, the clocks of all machines
-// together.
+// starter runs a core from its bootstrap on, one message or tick after the other, with one clock for all machines.
 type starter struct {
 	x     *explorer
 	w     modelState
@@ -223,10 +222,10 @@
 	queue []uint32 // messages in flight
 }
 
-// take plays a step and notes what it showed.
+// take executes a step and updates the ghost variables.
 func (r *starter) take(s step) {
 	x := r.x
-	e := x.play(r.w.cells[s.i], s)
+	e := x.execute(r.w.cells[s.i], s)
 	if e == nil {
 		return
 	}
@@ -240,22 +239,22 @@
 	r.w.ghost = x.internGhost(g)
 }
 
-// deliverAll delivers what is in flight, and what that leads to.
+// deliverAll delivers all messages in flight, including those sent meanwhile.
 func (r *starter) deliverAll() {
 	x := r.x
 	for len(r.queue) > 0 {
 		m := r.queue[0]
 		r.queue = r.queue[1:]
 		to := x.packets[m].to
-		c := x.cells[r.w.cells[to]].grow(&x.err) // clocks go together here
+		c := x.cells[r.w.cells[to]].clone(&x.err) // all machines share one clock here
 		c.m.now = max(c.m.now, r.now)
-		c.done(c.m.identity.ID)
+		c.update(c.m.identity.ID)
 		r.w.cells[to] = x.internCell(c)
 		r.take(step{stepDeliver, uint8(to), m})
 	}
 }
 
-// primary is the machine that leads, -1 while the core isn't complete or not all know the view.
+// primary returns the index of the primary, -1 while not all founders are ready members of a complete view.
 func (r *starter) primary() int {
 	x := r.x
 	ready, primary := 0, -1
@@ -274,7 +273,7 @@
 	return primary
 }
 
-// allKnowCommit reports whether all that hold the record know that the change is committed.
+// allKnowCommit reports whether all holders of the record know that the change is committed.
 func (r *starter) allKnowCommit() bool {
 	known := 0
 	for i := range r.x.founders {
@@ -285,7 +284,7 @@
 	return known == r.x.founders
 }
 
-// tickNext plays the tick that is due first.
+// tickNext executes the tick that is due first.
 func (r *starter) tickNext() {
 	x := r.x
 	i := 0
@@ -295,11 +294,11 @@
 		}
 	}
 	r.now = max(r.now+1, x.cells[r.w.cells[i]].m.NextTick())
-	c := x.cells[r.w.cells[i]].grow(&x.err)
+	c := x.cells[r.w.cells[i]].clone(&x.err)
 	before := c.m.identity.ID
 	out := c.m.Tick(r.now)
 	save(&c.disk, out.Write)
-	c.done(before)
+	c.update(before)
 	r.w.cells[i] = x.internCell(c)
 	for _, e := range out.Send {
 		if m, ok := x.internMsg(i, e); ok {
@@ -308,7 +307,8 @@
 	}
 }
 
-// steadyState is a core with one acknowledged change, which all know, and nothing in flight.
+// steadyState returns a core with one acknowledged change that all holders know to be committed, and no message in
+// flight.
 func (x *explorer) steadyState() (modelState, error) {
 	r := &starter{x: x, w: x.emptyState(0), now: time.Second}
 	wrote := false
@@ -333,10 +333,10 @@
 		}
 		r.tickNext()
 	}
-	return r.w, fmt.Errorf("the core didn't settle: %v", x.err)
+	return r.w, fmt.Errorf("core didn't converge within 2000 ticks: %v", x.err)
 }
 
-// emptyState has machines that haven't started.
+// emptyState returns a state in which no machine has started.
 func (x *explorer) emptyState(starts int) modelState {
 	w := modelState{left: budget{starts: uint8(starts)}}
 	for i := range x.n {
@@ -347,8 +347,8 @@
 			return w
 		}
 		c.m = m
-		c.draw()
-		c.done("")
+		c.seedRandom()
+		c.update("")
 		w.cells[i] = x.internCell(c)
 	}
 	return w
--- a/internal/fleet/replication/searchtime_test.go
+++ b/internal/fleet/replication/searchtime_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// A message that was sent may come at any time or never, so a cut needs no step of its own for what it loses. It needs
-// one where a machine acts by what it hears from some and not from others for as long as its time-outs are: time that
-// passes for one machine alone (stepWait) is silence from all. So stepPass lets time pass for all machines alike, with
-// messages that take a millisecond, while one directed link loses everything, one machine is cut off both ways, one is
-// frozen, or all is well. It ends when a machine stops, proposes, promises or learns of a view.
+// As a sent message may be delivered at any time or never, message loss in a partition needs no step of its own. A step
+// is needed where a machine acts because it receives messages from some machines and not from others for the length of
+// its time-outs: in stepWait time passes for one machine alone, which then receives nothing from any other. stepPass
+// lets time pass for all machines at the same rate, with a message latency of a millisecond, under one network fault or
+// none. It ends when a machine stops, proposes, promises or learns of a view.
 
-// faultKind is what is wrong while time passes.
+// faultKind is the kind of a fault that lasts while time passes.
 type faultKind uint8
 
 const (
 	faultNone     faultKind = iota
-	faultCut                // what i sends to j is lost
-	faultIsolated           // all that i sends, and what is sent to i, is lost
-	faultFrozen             // i does nothing, and finds out at its next input
-	faultSplit              // i and j are cut off from all others, not from each other
-	faultSlow               // no time passes for i and j, and nothing comes to them
+	faultCut                // messages from i to j are lost
+	faultIsolated           // messages from and to i are lost
+	faultFrozen             // i processes nothing, and detects the freeze at its next input
+	faultSplit              // i and j are partitioned from the others, but not from each other
+	faultSlow               // no time passes for i and j, and they receive nothing
 )
 
-// networkFault is a faultKind with its machines.
+// networkFault is a fault with its machines.
 type networkFault struct {
 	kind faultKind
 	i, j uint8
@@ -39,23 +39,23 @@
 func (f networkFault) String() string {
 	switch f.kind {
 	case faultCut:
-		return fmt.Sprintf("%d to %d is cut", f.i, f.j)
+		return fmt.Sprintf("link from %d to %d is cut", f.i, f.j)
 	case faultIsolated:
-		return fmt.Sprintf("%d is cut off", f.i)
+		return fmt.Sprintf("%d is isolated", f.i)
 	case faultFrozen:
 		return fmt.Sprintf("%d is frozen", f.i)
 	case faultSplit:
-		return fmt.Sprintf("%d and %d are cut off together", f.i, f.j)
+		return fmt.Sprintf("%d and %d are partitioned from the others", f.i, f.j)
 	case faultSlow:
 		return fmt.Sprintf("%d and %d are slow", f.i, f.j)
 	}
-	return "all is well"
+	return "there is no fault"
 }
 
-// among reports whether a machine is one of the fault's two.
-func (f networkFault) among(i int) bool { return i == int(f.i) || i == int(f.j) }
+// involves reports whether a machine is one of the fault's two machines.
+func (f networkFault) involves(i int) bool { return i == int(f.i) || i == int(f.j) }
 
-// loses reports whether a message doesn't come.
+// loses reports whether a message between two machines is lost.
 func (f networkFault) loses(from, to int) bool {
 	switch f.kind {
 	case faultCut:
@@ -65,14 +65,14 @@
 	case faultFrozen:
 		return to == int(f.i)
 	case faultSplit:
-		return f.among(from) != f.among(to)
+		return f.involves(from) != f.involves(to)
 	case faultSlow:
-		return f.among(to)
+		return f.involves(to)
 	}
 	return false
 }
 
-// faults are those that time may pass with.
+// faults returns the faults under which time may pass.
 func (x *explorer) faults(left *budget) (list []networkFault) {
 	started := uint8(x.n) - left.starts
 	for _, kind := range x.kinds {
@@ -96,24 +96,24 @@
 	return list
 }
 
-// freezeTime is how long a frozen machine slept: longer than all time-outs.
+// freezeTime is the length of a freeze, which exceeds all time-outs.
 const freezeTime = 10 * time.Second
 
-// latency is how long messages take while time passes.
+// latency is the latency of messages while time passes.
 const latency = ms
 
-// timeline is a core whose machines' time passes together.
+// timeline simulates a core in which time passes for all machines at the same rate.
 type timeline struct {
 	x      *explorer
 	fault  networkFault
-	cells  []*cell // nil: hasn't started
+	cells  []*cell // nil: not started
 	offset []time.Duration
 	now    time.Duration
 	queue  []flight
-	seen   func(i int, out Output) // called for each input, when the disk has it
+	seen   func(i int, out Output) // called after each input, once its write is on disk
 }
 
-// flight is a message on its way.
+// flight is a message in flight.
 type flight struct {
 	at  time.Duration
 	to  int
@@ -125,25 +125,25 @@
 	r := &timeline{x: x, fault: fault, cells: make([]*cell, x.n), offset: make([]time.Duration, x.n)}
 	for i := range x.n {
 		if x.cells[cells[i]].m.started {
-			r.cells[i] = x.cells[cells[i]].grow(&x.err)
+			r.cells[i] = x.cells[cells[i]].clone(&x.err)
 			r.offset[i] = r.cells[i].clock()
 		}
 	}
 	return r
 }
 
-// clock is a machine's time.
+// clock returns a machine's time.
 func (r *timeline) clock(i int) time.Duration { return r.offset[i] + r.now }
 
-// input gives machine i an input now.
+// input passes an input to machine i at the current time.
 func (r *timeline) input(i int, do func(m *Machine, now time.Duration) Output) {
 	c := r.cells[i]
 	before := c.m.identity.ID
 	out := do(c.m, r.clock(i))
 	save(&c.disk, out.Write)
 	if c.m.identity.ID != before {
-		c.gen++
-		c.draw()
+		c.identities++
+		c.seedRandom()
 	}
 	for _, e := range out.Send {
 		if to := slices.Index(r.x.addrs, e.To); to >= 0 && r.cells[to] != nil && !r.fault.loses(i, to) {
@@ -154,22 +154,22 @@
 	r.seen(i, out)
 }
 
-// asleep reports whether machine i does nothing.
-func (r *timeline) asleep(i int) bool {
+// suspended reports whether machine i processes no ticks because of the fault.
+func (r *timeline) suspended(i int) bool {
 	switch r.fault.kind {
 	case faultFrozen:
 		return i == int(r.fault.i)
 	case faultSlow:
-		return r.fault.among(i)
+		return r.fault.involves(i)
 	}
 	return false
 }
 
-// next plays the next message or tick; it reports false when that lies beyond a bound.
+// next processes the next message or tick; it returns false if that is due after a bound.
 func (r *timeline) next(bound time.Duration) bool {
 	first, due := -1, bound+1
 	for i, c := range r.cells {
-		if c == nil || r.asleep(i) {
+		if c == nil || r.suspended(i) {
 			continue
 		}
 		if at := max(c.m.NextTick()-r.offset[i], r.now+1); at < due {
@@ -191,25 +191,25 @@
 	return true
 }
 
-// passOf is what a passing is known by.
+// passOf is the key of a passing.
 type passOf struct {
 	cells cellSet
 	fault networkFault
 }
 
-// passing is what happens while time passes.
+// passing is the result of time passing.
 type passing struct {
 	cells     cellSet
-	sent      []uint32 // by the last input
+	sent      []uint32 // messages sent by the last input
 	sightings []sighting
 	violation string
 }
 
-// passTime bounds how long time passes: what is forgotten is forgotten after it.
+// passTime bounds the time that passes in one step. It exceeds all time-outs, after which state expires.
 const passTime = 6 * time.Second
 
-// mark is what ends a passing when it changes.
-type mark struct {
+// protocolState is the part of a machine's state whose change ends a passing.
+type protocolState struct {
 	epoch   uint64
 	stopped bool
 	phase   phase
@@ -217,15 +217,15 @@
 	promise Ballot
 }
 
-func markOf(m *Machine) mark {
-	k := mark{epoch: m.view.Epoch, stopped: m.stopped(), promise: m.vote.Promised, cand: m.candidacy != nil}
+func protocolStateOf(m *Machine) protocolState {
+	k := protocolState{epoch: m.view.Epoch, stopped: m.stopped(), promise: m.vote.Promised, cand: m.candidacy != nil}
 	if k.cand {
 		k.phase = m.candidacy.phase
 	}
 	return k
 }
 
-// pass lets time pass until something happens; nil: nothing does.
+// pass lets time pass until a machine's protocol state changes; nil if none does within passTime.
 func (x *explorer) pass(cells cellSet, fault networkFault) *passing {
 	key := passOf{cells, fault}
 	if p, ok := x.passes[key]; ok {
@@ -234,10 +234,10 @@
 	r := x.newTimeline(cells, fault)
 	p := &passing{}
 	ended := false
-	marks := make([]mark, x.n)
+	marks := make([]protocolState, x.n)
 	for i, c := range r.cells {
 		if c != nil {
-			marks[i] = markOf(c.m)
+			marks[i] = protocolStateOf(c.m)
 		}
 	}
 	r.seen = func(i int, out Output) {
@@ -247,12 +247,12 @@
 				p.violation = v
 			}
 		}
-		if len(out.Answer) > 0 || out.Committed > 0 || markOf(c.m) != marks[i] {
+		if len(out.Answer) > 0 || out.Committed > 0 || protocolStateOf(c.m) != marks[i] {
 			c.status = c.m.Status()
 			c.view = fmt.Sprint(c.status.View)
 			p.sightings = append(p.sightings, sightingOf(c, out))
 		}
-		if markOf(c.m) == marks[i] {
+		if protocolStateOf(c.m) == marks[i] {
 			return
 		}
 		ended = true
@@ -276,24 +276,23 @@
 	return p
 }
 
-// close makes cells of the machines as they are now; those that did nothing find that time has passed at their next
-// input.
+// close interns the current states of the machines as cells; a frozen machine detects the freeze at its next input.
 func (r *timeline) close(from cellSet) cellSet {
 	for i, c := range r.cells {
 		if c == nil {
 			continue
 		}
 		c.frozen = 0
-		if r.fault.kind == faultFrozen && r.asleep(i) {
+		if r.fault.kind == faultFrozen && r.suspended(i) {
 			c.frozen = r.clock(i) - c.m.now
 		}
-		c.done(c.m.identity.ID)
+		c.update(c.m.identity.ID)
 		from[i] = r.x.internCell(c)
 	}
 	return from
 }
 
-// passFor is the state after so much time has passed with a fault. What was sent has come or is lost.
+// passFor returns the state after a duration under a fault. All sent messages are delivered or lost.
 func (x *explorer) passFor(w *modelState, fault networkFault, duration time.Duration) (modelState, error) {
 	r := x.newTimeline(w.cells, fault)
 	g, seen, violation := x.ghosts[w.ghost], false, ""
@@ -317,7 +316,7 @@
 	return n, x.err
 }
 
-// applyPass is the state after time has passed; false: nothing happens.
+// applyPass returns the state after a stepPass and the violated rule, if any; false if the step has no effect.
 func (x *explorer) applyPass(w *modelState, s step) (modelState, string, bool) {
 	p := x.pass(w.cells, faultOf(s))
 	if p == nil {
--- a/internal/fleet/replication/sim_test.go
+++ b/internal/fleet/replication/sim_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// logApp is a record that keeps every change.
+// logApp is an App that keeps every change.
 type logApp struct {
 	log []string
 	err *error
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// save carries a Write out on a disk in memory.
+// save applies a Write to an in-memory disk.
 func save(d *PersistentState, w *Write) {
 	if w == nil {
 		return
@@ -64,7 +64,7 @@
 	d.Changes = append(d.Changes, w.Changes...)
 }
 
-// pendingOutput is an output under way to the disk.
+// pendingOutput is an Output whose Write is not on disk yet, with the machine's state at that time.
 type pendingOutput struct {
 	out    Output
 	epoch  uint64
@@ -78,16 +78,16 @@
 	disk           PersistentState
 	m              *Machine
 	app            *logApp
-	life           int
+	incarnation    int
 	started        time.Duration
-	frozen         time.Duration // until
-	slow           time.Duration // until: syncs take long
-	removed        bool          // for good
+	frozen         time.Duration // end of the freeze
+	slow           time.Duration // end of the period with slow syncs
+	removed        bool          // permanently
 	diskFree       time.Duration
 	pendingOutputs []pendingOutput
-	ticking        time.Duration // earliest tick that is scheduled
+	ticking        time.Duration // time of the earliest scheduled tick; <0: none
 	checked        uint64
-	seen           uint64 // epoch whose view was compared
+	checkedEpoch   uint64 // epoch whose view was compared
 }
 
 type event struct {
@@ -106,7 +106,7 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
-// sim is a core in virtual time.
+// sim simulates a core in virtual time.
 type sim struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -119,26 +119,26 @@
 	zones     int
 	loss, dup float64
 	delay     time.Duration
-	cuts      map[[2]string]time.Duration // until, by direction
+	cuts      map[[2]string]time.Duration // end of a link's failure, by direction
 	err       error
 	trace     bool
-	small     bool // snapshots often
-
-	// What clients saw.
-	acked       map[string]uint64
-	ackedMax    uint64
-	committed   []string // by seq-1
-	leaders     map[uint64]string
-	floors      map[uint64]uint64 // reads under way
-	bodies      map[uint64]string // writes under way
-	calls       map[uint64]func(pendingOutput, Answer)
-	token       uint64
-	confirms    int
-	views       map[uint64]View
-	wiped       int            // since all was well
-	hard        bool           // delays near the time-outs, so that proposals cross
-	repairFirst bool           // no disk is lost before all machines are members again
-	tune        func(*Options) // changes the settings of each process, nil: nothing
+	smallLog  bool // small snapshot and chunk sizes
+
+	// Results seen by clients.
+	acked         map[string]uint64
+	ackedMax      uint64
+	committed     []string // by seq-1
+	leaders       map[uint64]string
+	floors        map[uint64]uint64 // pending reads: newest acknowledged Seq at their start, by token
+	bodies        map[uint64]string // pending writes, by token
+	calls         map[uint64]func(pendingOutput, Answer)
+	token         uint64
+	confirms      int
+	views         map[uint64]View
+	wiped         int            // disks lost since the core last had its full redundancy
+	highLatency   bool           // delays near the time-outs, so that proposals compete
+	repairFirst   bool           // no disk is lost before all machines are members again
+	adjustOptions func(*Options) // adjusts the options of each process, if set
 }
 
 func newSim(seed uint64, n, seeds int, s FailureTolerance) *sim {
@@ -147,7 +147,7 @@
 		cuts: map[[2]string]time.Duration{}, acked: map[string]uint64{}, leaders: map[uint64]string{},
 		floors: map[uint64]uint64{}, bodies: map[uint64]string{}, bootUntil: 5 * time.Second,
 		views: map[uint64]View{}, calls: map[uint64]func(pendingOutput, Answer){},
-		wiped: s.Nodes, // none before all was well once
+		wiped: s.Nodes, // no disk is lost before the core had its full redundancy once
 	}
 	for i := range n {
 		r.add(fmt.Sprintf("10.0.%d.1:7000", i), fmt.Sprint("z", i%r.zones))
@@ -177,13 +177,13 @@
 	}
 }
 
-func (s *sim) note(format string, args ...any) {
+func (s *sim) logf(format string, args ...any) {
 	if s.trace {
 		fmt.Printf("%10v %s\n", s.now, fmt.Sprintf(format, args...))
 	}
 }
 
-// runUntil plays events up to a time, or until stop says so.
+// runUntil executes events up to a time, or until stop returns true, and reports whether it did.
 func (s *sim) runUntil(end time.Duration, stop func() bool) bool {
 	for s.err == nil && len(s.q) > 0 && s.q[0].at <= end {
 		e := heap.Pop(&s.q).(event)
@@ -201,7 +201,7 @@
 
 func (s *sim) options(b *simNode) Options {
 	seeds := s.seeds
-	if s.now >= s.bootUntil { // the operator's list of now, or an older one
+	if s.now >= s.bootUntil { // seeds may be any of the machines not removed at the start of the process
 		var there []string
 		for _, b := range s.nodes {
 			if !b.removed {
@@ -216,14 +216,14 @@
 		Bootstrap: s.now < s.bootUntil, HeartbeatInterval: 100 * ms, ElectionTimeout: 500 * ms, ElectionStagger: 150 * ms,
 		WriteTimeout: 600 * ms, MemberTimeout: 3 * time.Second, Rand: s.rng.Uint64,
 	}
-	if s.hard {
+	if s.highLatency {
 		o.ElectionTimeout, o.ElectionStagger = 200*ms, 20*ms
 	}
-	if s.small {
+	if s.smallLog {
 		o.SnapshotBytes, o.ChunkBytes = 20, 64
 	}
-	if s.tune != nil {
-		s.tune(&o)
+	if s.adjustOptions != nil {
+		s.adjustOptions(&o)
 	}
 	return o
 }
@@ -238,52 +238,53 @@
 		s.fail("new %s: %v", b.addr, err)
 		return
 	}
-	b.m, b.started, b.ticking, b.frozen, b.checked, b.seen = m, s.now, -1, 0, 0, 0
-	s.note("start %s", b.addr)
-	s.tick(b, b.life)
+	b.m, b.started, b.ticking, b.frozen, b.checked, b.checkedEpoch = m, s.now, -1, 0, 0, 0
+	s.logf("start %s", b.addr)
+	s.tick(b, b.incarnation)
 }
 
-// kill ends the process, or its machine's power. Of what is on its way to the disk some may get there, in order.
+// kill ends the process, or models a power loss of its machine. Some of the pending writes may reach the disk, in
+// order.
 func (s *sim) kill(b *simNode) {
 	if b.m == nil {
 		return
 	}
-	s.note("kill %s", b.addr)
+	s.logf("kill %s", b.addr)
 	if len(b.pendingOutputs) > 0 && s.rng.IntN(2) == 0 {
 		for _, c := range b.pendingOutputs[:1+s.rng.IntN(len(b.pendingOutputs))] {
 			save(&b.disk, c.out.Write)
 		}
 	}
 	b.m, b.pendingOutputs, b.diskFree = nil, nil, s.now
-	b.life++
+	b.incarnation++
 }
 
 func (s *sim) clock(b *simNode) time.Duration { return s.now - b.started }
 
-func (s *sim) tick(b *simNode, life int) {
-	if b.m == nil || b.life != life {
+func (s *sim) tick(b *simNode, incarnation int) {
+	if b.m == nil || b.incarnation != incarnation {
 		return
 	}
 	if b.frozen > s.now {
-		s.after(b.frozen-s.now, func() { s.tick(b, life) })
+		s.after(b.frozen-s.now, func() { s.tick(b, incarnation) })
 		return
 	}
 	b.ticking = -1
 	s.input(b, b.m.Tick(s.clock(b)))
 }
 
-// input takes what an input led to and plans the next tick.
+// input processes the Output of an input and schedules the next tick.
 func (s *sim) input(b *simNode, out Output) {
 	st := b.m.Status()
 	if v, ok := s.views[st.Epoch]; !ok {
 		s.views[st.Epoch] = st.View
-	} else if st.Epoch > b.seen && !reflect.DeepEqual(v, st.View) {
+	} else if st.Epoch > b.checkedEpoch && !reflect.DeepEqual(v, st.View) {
 		s.fail("two views are decided: %+v and %+v", v, st.View)
 	}
-	b.seen = st.Epoch
+	b.checkedEpoch = st.Epoch
 	c := pendingOutput{out: out, epoch: st.Epoch, status: st, log: b.app.log}
 	b.pendingOutputs = append(b.pendingOutputs, c)
-	life := b.life
+	incarnation := b.incarnation
 	var d time.Duration
 	if !out.Write.Empty() {
 		d = 1*ms + s.upTo(4*ms)
@@ -291,24 +292,24 @@
 			d = 100*ms + s.upTo(2*time.Second)
 		}
 		if b.diskFree > s.now+time.Second {
-			d = ms // what waits is written together
+			d = ms // pending writes are batched
 		}
 	}
 	b.diskFree = max(b.diskFree, s.now) + d
-	s.after(b.diskFree-s.now, func() { s.completeOutput(b, life) })
+	s.after(b.diskFree-s.now, func() { s.completeOutput(b, incarnation) })
 	next := max(b.m.NextTick()+b.started, s.now+ms)
 	if b.ticking < 0 || next < b.ticking {
 		b.ticking = next
 		s.after(next-s.now, func() {
 			if b.ticking == next {
-				s.tick(b, life)
+				s.tick(b, incarnation)
 			}
 		})
 	}
 }
 
-func (s *sim) completeOutput(b *simNode, life int) {
-	if b.m == nil || b.life != life || len(b.pendingOutputs) == 0 {
+func (s *sim) completeOutput(b *simNode, incarnation int) {
+	if b.m == nil || b.incarnation != incarnation || len(b.pendingOutputs) == 0 {
 		return
 	}
 	c := b.pendingOutputs[0]
@@ -332,24 +333,24 @@
 	}
 	b.checked = c.out.Committed
 	for _, a := range c.out.Answer {
-		s.answered(b, c, a)
+		s.handleAnswer(b, c, a)
 	}
 	for _, e := range c.out.Send {
 		s.send(b.addr, e)
 	}
 }
 
-func (s *sim) answered(b *simNode, c pendingOutput, a Answer) {
+func (s *sim) handleAnswer(b *simNode, c pendingOutput, a Answer) {
 	switch a.Result {
 	case Committed:
-		who := fmt.Sprint(b.addr, " life ", b.life)
+		who := fmt.Sprint(b.addr, " incarnation ", b.incarnation)
 		if l, ok := s.leaders[c.epoch]; ok && l != who {
 			s.fail("epoch %d: %s and %s commit", c.epoch, l, who)
 		}
 		s.leaders[c.epoch] = who
 		body := s.bodies[a.Token]
 		if uint64(len(s.committed)) < a.Seq || s.committed[a.Seq-1] != body {
-			s.fail("%s: %q acknowledged as %d, which is another", b.addr, body, a.Seq)
+			s.fail("%s: %q acknowledged as %d, which is a different change", b.addr, body, a.Seq)
 		}
 		s.acked[body] = a.Seq
 		s.ackedMax = max(s.ackedMax, a.Seq)
@@ -364,9 +365,9 @@
 	}
 	delete(s.floors, a.Token)
 	delete(s.bodies, a.Token)
-	if told := s.calls[a.Token]; told != nil {
+	if callback := s.calls[a.Token]; callback != nil {
 		delete(s.calls, a.Token)
-		told(c, a)
+		callback(c, a)
 	}
 }
 
@@ -386,7 +387,7 @@
 	for range times {
 		d := 500*time.Microsecond + s.upTo(s.delay)
 		if s.loss > 0 && s.rng.IntN(50) == 0 {
-			d += s.upTo(3 * time.Second) // a straggler
+			d += s.upTo(3 * time.Second) // a late message
 		}
 		s.after(d, func() { s.deliver(from, e.To, body) })
 	}
@@ -402,9 +403,9 @@
 	}
 	b := s.nodes[i]
 	if b.frozen > s.now {
-		life := b.life
+		incarnation := b.incarnation
 		s.after(b.frozen-s.now+s.upTo(ms), func() {
-			if b.life == life {
+			if b.incarnation == incarnation {
 				s.deliver(from, to, body)
 			}
 		})
@@ -428,7 +429,7 @@
 	return l
 }
 
-// write has some machine take a change: mostly one that leads.
+// write proposes a change at a random machine, mostly a primary.
 func (s *sim) write() {
 	if b := s.target(); b != nil {
 		s.writeTo(b)
@@ -464,7 +465,7 @@
 	return l[s.rng.IntN(len(l))]
 }
 
-// leader is the ready primary with the highest epoch, nil if there is none.
+// leader returns the ready primary with the highest epoch, nil if there is none.
 func (s *sim) leader() *simNode {
 	var l *simNode
 	for _, b := range s.live() {
@@ -475,8 +476,8 @@
 	return l
 }
 
-// healthyPrimary finds a ready primary of a view in which as many hold the record as must, and that keeps a majority
-// when as many of the members still there by their identity are lost as may be.
+// healthyPrimary returns a ready primary whose view has the required number of holders in enough zones and keeps a
+// majority after the largest tolerated loss among the members whose identity still exists; nil if there is none.
 func (s *sim) healthyPrimary() *simNode {
 	ids := map[ID]bool{}
 	for _, b := range s.nodes {
@@ -506,7 +507,7 @@
 				there++
 			}
 		}
-		most := s.survive.Nodes // to be lost at once; a zone has a share of all machines, rounded up
+		most := s.survive.Nodes // largest tolerated loss; a zone has an equal share of all machines, rounded up
 		if s.survive.Zones > 0 {
 			most = max(most, (len(s.nodes)+s.zones-1)/s.zones*s.survive.Zones)
 		}
@@ -517,7 +518,7 @@
 	return nil
 }
 
-// converged reports whether all machines are members, one leads, and all know it.
+// converged reports whether all machines are members of the view of a healthy primary and ready in it.
 func (s *sim) converged() bool {
 	p := s.healthyPrimary()
 	if p == nil {
@@ -534,5 +535,5 @@
 			return false
 		}
 	}
-	return n/2 == len(st.View.Members)/2 // one lost for good may stay where it costs no majority
+	return n/2 == len(st.View.Members)/2 // a permanently lost member may stay if it doesn't raise the quorum
 }
