--- a/internal/fleet/replication/takeover_test.go
+++ b/internal/fleet/replication/takeover_test.go
@@ -9,15 +9,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// longestWait has one client write change after change, one at a time, and returns the longest wait between two
-// acknowledgements during so long. A change that is not acknowledged is sent again 10 ms later, or once another leads.
+// longestWait runs one client that writes one change after the other for a duration, and returns the longest time
+// between two acknowledgements. A change that fails is retried after 10 ms, and one that is pending once another
+// machine leads.
 func (s *schedule) longestWait(during time.Duration) time.Duration {
 	const retry = 10 * ms
 	end, last, longest := s.now+during, s.now, time.Duration(0)
 	for s.now < end && s.err == nil {
 		primary := s.leader()
 		if primary == nil {
-			s.pass(retry)
+			s.advance(retry)
 			continue
 		}
 		var result Result
@@ -28,7 +29,7 @@
 			return result != 0 || other != nil && other != primary
 		})
 		if result != Committed {
-			s.pass(retry)
+			s.advance(retry)
 			continue
 		}
 		longest, last = max(longest, s.now-last), s.now
@@ -36,13 +37,14 @@
 	return max(longest, s.now-last)
 }
 
-// takeovers lists how a primary may go, with the bound on the longest wait for an acknowledgement.
+// takeovers lists the ways in which a primary may be lost, with the bound on the longest wait for an acknowledgement.
 var takeovers = []struct {
 	name  string
 	bound time.Duration
 	do    func(s *schedule, primary *simNode)
 }{
-	// A backup of rank 1 waits for the time-out, its heartbeat may just have come; then a ballot, a stage and syncs.
+	// The backup of rank 1 waits for the election time-out, which a heartbeat may just have restarted; the ballot, the
+	// staging and the syncs follow.
 	{"killed", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) { s.kill(primary) }},
 	{"killed and back within half a second", progElection + progHeartbeat + 250*ms, func(s *schedule, primary *simNode) {
 		s.kill(primary)
@@ -53,11 +55,11 @@
 		func(s *schedule, primary *simNode) { primary.frozen = s.now + 20*time.Second },
 	},
 	{"told to end", progHeartbeat + 100*ms, func(s *schedule, primary *simNode) {
-		life := primary.life
+		incarnation := primary.incarnation
 		s.input(primary, primary.m.Leave(s.clock(primary)))
 		var end func()
 		end = func() {
-			if primary.m == nil || primary.life != life {
+			if primary.m == nil || primary.incarnation != incarnation {
 				return
 			}
 			if primary.m.Status().Released {
@@ -70,7 +72,7 @@
 	}},
 }
 
-// TestTakeoverTimes measures how long a client waits for an acknowledgement when the primary goes, by the way it goes.
+// TestTakeoverTimes measures how long a client waits for an acknowledgement after each way of losing the primary.
 func TestTakeoverTimes(t *testing.T) {
 	for _, how := range takeovers {
 		for _, of := range []coreCase{{3, 1}, {4, 1}, {8, 2}} {
@@ -80,7 +82,7 @@
 				var waits []time.Duration
 				for seed := range uint64(*nSeeds) {
 					s := newSchedule(c, seed, of)
-					s.pass(s.upTo(progHeartbeat))
+					s.advance(s.upTo(progHeartbeat))
 					how.do(s, s.leader())
 					waits = append(waits, s.longestWait(3*time.Second))
 					c.Assert(s.err, qt.IsNil, qt.Commentf("seed %d", seed))
@@ -97,8 +99,8 @@
 	}
 }
 
-// TestRepairTimes measures how long after its start a successor is a member of a core that is whole again: one that
-// bears the next loss. It must be whole within the time for which the successor counts as lost.
+// TestRepairTimes measures the time from the start of a successor until it is a member of a core that tolerates the
+// next loss. That must take less than boundSync, for which the successor counts as lost.
 func TestRepairTimes(t *testing.T) {
 	for _, of := range []coreCase{{3, 1}, {4, 1}, {8, 2}} {
 		t.Run(of.String(), func(t *testing.T) {
@@ -109,7 +111,7 @@
 				s := newSchedule(c, seed, of)
 				l := s.byRole()
 				s.remove(l[int(seed)%len(l)])
-				s.pass(s.upTo(2 * time.Second))
+				s.advance(s.upTo(2 * time.Second))
 				successor, began := s.spare(), s.now
 				s.runUntil(began+boundSync, func() bool {
 					p := s.healthyPrimary()
--- a/internal/fleet/replication/transfer_test.go
+++ b/internal/fleet/replication/transfer_test.go
@@ -11,11 +11,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// smallChunk has a record of two changes go in several chunks, in bytes.
+// smallChunk is a chunk size in bytes with which a record of two changes needs several chunks.
 const smallChunk = 2
 
-// TestSearchChunks holds the rules in every state where records go in chunks: a record of two changes and more takes
-// several.
+// TestSearchChunks checks the rules in every reachable state when records of two or more changes are sent in several
+// chunks.
 func TestSearchChunks(t *testing.T) {
 	for _, sh := range []shape{
 		{
@@ -50,8 +50,8 @@
 	}
 }
 
-// chunked gives a primary's chunks of a record for its backup, without sending them.
-func chunked(h *hand, body string, chunkBytes int) []Message {
+// chunked returns the messages in which a primary sends a record to its backup.
+func chunked(h *scriptedCore, body string, chunkBytes int) []Message {
 	var chunks []Message
 	seq, digest := uint64(9), uint64(99)
 	for at := 0; at < len(body); at += chunkBytes {
@@ -63,12 +63,12 @@
 	return chunks
 }
 
-// nineChanges is a record that logApp takes as that of nine changes.
+// nineChanges is a record of nine changes in the encoding of logApp.
 const nineChanges = "a\nb\nc\nd\ne\nf\ng\nh\ni"
 
-// TestDamagedRecord: a record of which a byte changed on its way isn't taken; sent again it is.
+// TestDamagedRecord: a record that was corrupted in transit is rejected; it is installed when sent again undamaged.
 func TestDamagedRecord(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	chunks := chunked(h, nineChanges, 6)
 	damaged := slices.Clone(chunks)
 	damaged[1].Body = []byte("cXdYeZ")
@@ -92,11 +92,11 @@
 	h.Assert(string(h.backup.disk.Snapshot.Body), qt.Equals, nineChanges)
 }
 
-// TestChunksInAnyOrder: chunks that come twice, late or out of order make the record, and none makes it before all are
-// there.
+// TestChunksInAnyOrder: a record is assembled from chunks that are duplicated, late or out of order, and is complete
+// only once all chunks were received.
 func TestChunksInAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
-		h := &hand{C: qt.New(t)}
+		h := &scriptedCore{C: qt.New(t)}
 		r := rand.New(rand.NewPCG(seed, 1))
 		chunks := chunked(h, nineChanges, 1+int(seed%7))
 		a := assembly{total: len(nineChanges)}
@@ -109,41 +109,41 @@
 	}
 }
 
-// TestLostChunks: a record gets through although chunks are lost.
+// TestLostChunks: a transfer completes although every third message is lost, if it is a chunk.
 func TestLostChunks(t *testing.T) {
 	c := qt.New(t)
-	core := newThinCore(c, 3, FailureTolerance{Nodes: 1}, 400_000)
+	core := newSlowLinkCore(c, 3, FailureTolerance{Nodes: 1}, 400_000)
 	sent := 0
 	core.lost = func(msg *Message) bool {
 		sent++
 		return msg.Total > 0 && sent%3 == 0
 	}
-	core.begin(0)
+	core.startWithLoad(0)
 }
 
-// TestLogIsKeptForRecord: a machine without a disk gets the record although the log would be cut several times while
-// that is on its way.
+// TestLogIsKeptForRecord: a machine that lost its disk receives the record and catches up, although the log would be
+// compacted several times during the transfer.
 func TestLogIsKeptForRecord(t *testing.T) {
 	c := qt.New(t)
 	const size = 6_000_000
-	core := startThinCoreWith(
+	core := startSlowLinkCoreWith(
 		c, 3, FailureTolerance{Nodes: 1}, size, 40_000,
 	) // 4.8 s on the link; 100 changes or 4 s in the log
 	n, primary := core.byRole(Witness), core.primary()
-	n.empty()
+	n.wipeAndRejoin()
 	sent := primary.sent
 	near := func() bool { return n.durableSeq()+20 > core.acked }
-	c.Assert(core.until(10*time.Second, near), qt.IsTrue, qt.Commentf("%s", core.describe()))
-	core.until(20*time.Second, func() bool { return false })
+	c.Assert(core.runUntil(10*time.Second, near), qt.IsTrue, qt.Commentf("%s", core.describe()))
+	core.runUntil(20*time.Second, func() bool { return false })
 	c.Assert(near(), qt.IsTrue, qt.Commentf("%s", core.describe()))
 	c.Assert(primary.sent-sent < 2*size, qt.IsTrue, qt.Commentf("%d bytes were sent", primary.sent-sent))
 }
 
-// TestPartialChangesMakeNoHolder: a machine that was sent some of the changes that it lacks, or such that don't follow
-// on its record, isn't staged.
+// TestPartialChangesMakeNoHolder: a machine that received only some of the changes that it lacks, or changes that don't
+// follow its record, doesn't report itself as staged.
 func TestPartialChangesMakeNoHolder(t *testing.T) {
-	h := newHand(t)
-	ballot := h.suspect(h.backup)[0].Ballot
+	h := newScriptedCore(t)
+	ballot := h.timeOutPrimary(h.backup)[0].Ballot
 	all := h.backup.disk.Changes
 	h.Assert(all, qt.HasLen, 2)
 	held := h.witness.disk.Replica.RecordEpoch
@@ -167,13 +167,13 @@
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
 
-// TestStagedRecordStays: once a proposer's record was staged, a late record of the primary, which may be shorter,
-// doesn't take its place.
+// TestStagedRecordStays: once a proposer's record is staged, a late snapshot of the primary, which may be shorter,
+// doesn't replace it.
 func TestStagedRecordStays(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	stagedBeforeProposed(h, Message{Kind: KindPromise, Seq: 1, Digest: 99}, KindStage)
-	h = newHand(t)
-	ballot := h.suspect(h.backup)[0].Ballot
+	h = newScriptedCore(t)
+	ballot := h.timeOutPrimary(h.backup)[0].Ballot
 	staged := h.deliver(
 		h.witness, h.backup, Message{Kind: KindStage, Ballot: ballot, Seq: 3, Digest: 33, Body: []byte("w1\nw2\nx")},
 	)
@@ -186,28 +186,28 @@
 	h.Assert(h.witness.disk.Replica.RecordEpoch, qt.Equals, h.view.Epoch)
 }
 
-// TestNearLearnerIsPreferred: of two machines that may become the backup the one that has learned the record does, and
-// changes are acknowledged again within a second and a half.
+// TestNearLearnerIsPreferred: of two candidates for backup the one that has caught up as a learner is chosen, and
+// changes are acknowledged again within 1.5 s.
 func TestNearLearnerIsPreferred(t *testing.T) {
 	c := qt.New(t)
-	core := startThinCore(c, 4, FailureTolerance{Nodes: 1}, recordBytes)
-	core.until(10*time.Second, func() bool { return false }) // all learn
-	core.byRole(Witness).empty()                             // but the first has to again
+	core := startSlowLinkCore(c, 4, FailureTolerance{Nodes: 1}, recordBytes)
+	core.runUntil(10*time.Second, func() bool { return false }) // all witnesses catch up as learners
+	core.byRole(Witness).wipeAndRejoin()                        // the first one has to start over
 	acked := core.acked
-	core.longest, core.ackedAt = 0, core.now
+	core.longestGap, core.ackedAt = 0, core.now
 	core.byRole(Backup).stop()
 	c.Assert(
-		core.until(10*time.Second, func() bool { return core.acked >= acked+10 }), qt.IsTrue,
+		core.runUntil(10*time.Second, func() bool { return core.acked >= acked+10 }), qt.IsTrue,
 		qt.Commentf("%s", core.describe()),
 	)
-	t.Logf("no acknowledgement for %v", core.longest)
-	c.Check(core.longest < 1500*ms, qt.IsTrue, qt.Commentf("%v", core.longest))
+	t.Logf("no acknowledgement for %v", core.longestGap)
+	c.Check(core.longestGap < 1500*ms, qt.IsTrue, qt.Commentf("%v", core.longestGap))
 }
 
-// TestStagedRecordIsCurrent: while an older record is on its way to a learner its primary proposes a view. What it
-// stages is the record up to its stop, not the one that was on its way.
+// TestStagedRecordIsCurrent: a primary proposes a view while it is transferring an older image to a learner. It stages
+// its record up to the stop, not the older image, which lacks acknowledged changes.
 func TestStagedRecordIsCurrent(t *testing.T) {
-	h := newHand(t)
+	h := newScriptedCore(t)
 	m := h.primary.m
 	old := &image{seq: 1, digest: ChainDigest(0, 1, []byte("w1")), checksum: 1, body: []byte("w1")}
 	h.Assert(m.reachableFrom(old), qt.IsTrue)
@@ -218,7 +218,7 @@
 	h.persist(h.primary, m.endInput(before))
 	h.Assert(m.stopped(), qt.IsTrue)
 	var staged []Message
-	// Neither is a holder, nor has a record that is a part of the primary's.
+	// Neither machine is a holder or has a prefix of the primary's record.
 	for _, b := range []*simNode{h.backup, h.witness} {
 		staged = append(
 			staged,
--- a/internal/fleet/replication/trial_test.go
+++ b/internal/fleet/replication/trial_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// trialShape reads a shape from words: "members=3,joiners=1,survive=1,calm,served,cut,writes=1".
+// trialShape parses a shape, such as "members=3,joiners=1,survive=1,calm,served,cut,writes=1".
 func trialShape(t *testing.T, words string) shape {
 	c := qt.New(t)
 	sh := shape{name: words}
@@ -27,8 +27,8 @@
 		}
 		sizes := map[string]*int{"members": &sh.members, "joiners": &sh.joiners, "survive": &sh.survive}
 		flags := map[string]*bool{
-			"first": &sh.first, "small": &sh.small, "judged": &sh.judged, "served": &sh.served, "calm": &sh.calm,
-			"lossy": &sh.lossy, "late": &sh.late,
+			"first": &sh.first, "small": &sh.small, "judged": &sh.judged, "served": &sh.controlPlaneTiming, "calm": &sh.live,
+			"lossy": &sh.liveAfterLoss, "late": &sh.liveLate,
 		}
 		kinds := map[string]faultKind{
 			"well": faultNone, "cut": faultCut, "isolated": faultIsolated, "frozen": faultFrozen, "split": faultSplit,
@@ -54,7 +54,7 @@
 	return sh
 }
 
-// trialFault reads a fault from "slow:0:1".
+// trialFault parses the machines of a fault, such as "slow:0:1".
 func trialFault(kinds map[string]faultKind, figure string) networkFault {
 	words := strings.Split(figure, ":")
 	i, _ := strconv.Atoi(words[1])
--- a/internal/fleet/replication/wire_test.go
+++ b/internal/fleet/replication/wire_test.go
@@ -8,8 +8,8 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestWireBytes holds the messages between control servers, and the parts of a record that a state store keeps. The
-// current build must write and read them as all builds before it.
+// TestWireBytes checks the encoding of the messages between control servers and of the values in a state store. The
+// current build must write and read them in the same format as all earlier builds.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.Messages(t, map[string]goldenbytes.Message{
 		"ballot":   new(Ballot),
@@ -26,7 +26,7 @@
 	})
 }
 
-// TestWireNumbers holds the numbers by which messages name their kinds.
+// TestWireNumbers checks the numbers of the message kinds on the wire.
 func TestWireNumbers(t *testing.T) {
 	c := qt.New(t)
 	for want, kind := range []Kind{
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestStoredDigest holds the digests that chain the changes of a record: servers compare theirs, and state stores keep
-// them.
+// TestStoredDigest checks the values of the digests that chain the changes of a record: servers compare them, and state
+// stores keep them.
 func TestStoredDigest(t *testing.T) {
 	c := qt.New(t)
 	first := ChainDigest(0, 1, []byte("first"))
@@ -46,7 +46,7 @@
 	c.Check(ChainDigest(first, 2, []byte("second")), qt.Equals, uint64(6382808774689899983))
 }
 
-// TestWireRoles holds the names of roles as a status gives them to the operator.
+// TestWireRoles checks the names of roles in the status that operators see.
 func TestWireRoles(t *testing.T) {
 	c := qt.New(t)
 	for role, want := range map[Role]string{NonMember: "outside", Witness: "witness", Backup: "backup", Primary: "primary"} {
