--- a/internal/fleet/replication/liveness_test.go
+++ b/internal/fleet/replication/liveness_test.go
@@ -102,7 +102,9 @@
 	for acknowledged == neverAcknowledged {
 		if i, epoch := r.primary(); i >= 0 && epoch > askedIn {
 			askedIn = epoch
-			r.input(i, func(m *Machine, now time.Duration) Output { return m.Propose(now, livenessToken, []byte("calm")) })
+			r.input(i, func(m *Machine, now time.Duration) Output {
+				return m.Propose(now, livenessToken, []byte("calm"))
+			})
 			continue
 		}
 		if !r.next(ackWithin) {
--- a/internal/fleet/replication/machine.go
+++ b/internal/fleet/replication/machine.go
@@ -57,7 +57,9 @@
 		return nil, err
 	}
 	if from.Identity.ID != "" && from.Identity.Addr != opt.Self.Addr {
-		return nil, errors.Errorf("replication: disk belongs to %s, own address is %s", from.Identity.Addr, opt.Self.Addr)
+		return nil, errors.Errorf(
+			"replication: disk belongs to %s, own address is %s", from.Identity.Addr, opt.Self.Addr,
+		)
 	}
 	m := &Machine{
 		opt:      opt,
--- a/internal/fleet/replication/membership_test.go
+++ b/internal/fleet/replication/membership_test.go
@@ -223,8 +223,8 @@
 	return slices.ContainsFunc(left, func(b *simNode) bool {
 		d := &b.disk
 		// A machine whose record is valid for the previous epoch becomes a holder when it learns of the view.
-		told := d.View.Epoch < newest.Epoch
-		holds := d.Replica.RecordEpoch == newest.Epoch || told && d.Replica.RecordEpoch+1 == newest.Epoch
+		learns := d.View.Epoch < newest.Epoch
+		holds := d.Replica.RecordEpoch == newest.Epoch || learns && d.Replica.RecordEpoch+1 == newest.Epoch
 		return newest.rank(d.Identity.ID) >= 0 && holds && diskSeq(d) >= s.ackedMax
 	})
 }
--- a/internal/fleet/replication/membershipfaults_test.go
+++ b/internal/fleet/replication/membershipfaults_test.go
@@ -4,7 +4,7 @@
 // plantedFaults.
 var membershipFaults = []plantedFault{
 	{
-		name: "the quorum may rest on a machine that just joined",
+		name: "the quorum may depend on a machine that just joined",
 		texts: []string{
 			"\tcase quorumSize(len(grown)) == quorumSize(len(members)):\n\t\treturn true\n\t}\n",
 			"\t}\n\tif true {\n\t\treturn true\n\t}\n",
@@ -14,7 +14,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a joiner doesn't take the place of a lost member",
+		name: "a joiner doesn't replace a lost member",
 		texts: []string{
 			"o := range m.absent(plan.members, m.opt.ElectionTimeout)",
 			"o := range m.absent(nil, m.opt.ElectionTimeout)",
@@ -22,7 +22,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a leaver is released while it holds the record",
+		name: "a departing machine is released while it holds the record",
 		texts: []string{
 			"m.peers.departing[o.ID] && !pending && m.view.rank(o.ID) < 0",
 			"m.peers.departing[o.ID] && !pending",
@@ -34,7 +34,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a leaver is released before the others are done",
+		name: "a departing machine is released before it is replaced",
 		texts: []string{
 			"pending := len(m.peers.departing) > 0 && (!m.ready() || m.canReplaceDeparting())",
 			"pending := false",
@@ -42,7 +42,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a leaver stays a member",
+		name: "a departing machine stays a member",
 		texts: []string{
 			"return m.peers.departing[id] && m.view.rank(id) < 0",
 			"return m.peers.departing[id] && m.view.rank(id) < -1",
@@ -50,7 +50,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a primary that leaves hands nothing over",
+		name: "a departing primary doesn't hand over",
 		texts: []string{
 			"if !m.departure.begun || !m.ready() || m.candidacy != nil {",
 			"if m.now >= 0 {",
@@ -58,7 +58,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a machine that leaves is made a backup again",
+		name: "a departing machine becomes a backup again",
 		texts: []string{
 			"\t\t{!c.leaving, weightStays},\n",
 			"",
@@ -68,7 +68,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "who was told to end asks to be taken in",
+		name: "a departing machine asks to join",
 		texts: []string{
 			`m.voter() == "" && !m.departure.begun`,
 			`m.voter() == ""`,
@@ -76,7 +76,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a zone may come to hold a majority",
+		name: "a zone may get a majority of the members",
 		texts: []string{
 			"return m.opt.Tolerance.toleratedBy(before) && !m.opt.Tolerance.toleratedBy(after)",
 			"return false",
@@ -84,7 +84,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a holder that leaves goes out of the members at once",
+		name: "a departing holder is removed from the members immediately",
 		texts: []string{
 			"return m.peers.departing[id] && m.view.rank(id) < 0",
 			"return m.peers.departing[id]",
@@ -92,7 +92,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a joiner that is about to end is taken in",
+		name: "a departing joiner is admitted",
 		texts: []string{
 			"j != nil && msg.Leaving {",
 			"j != nil && msg.Leaving && m.now < 0 {",
@@ -100,11 +100,11 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a backup takes over before it has what its primary has",
+		name: "a backup takes over without all changes of its primary",
 		texts: []string{
 			"|| m.departure.begun || msg.Seq != m.log.seq || msg.Digest != m.log.digest {",
 			"|| m.departure.begun {",
 		},
-		missed: "what it lacks was not acknowledged; the caller asks again",
+		missed: "the missing changes were not acknowledged, so the caller retries them",
 	},
 }
--- a/internal/fleet/replication/plantedfaults_test.go
+++ b/internal/fleet/replication/plantedfaults_test.go
@@ -4,7 +4,7 @@
 // with -replication.planted, that the kinds of tests named by it find it.
 var plantedFaults = []plantedFault{
 	{
-		name: "a backup acknowledges what isn't on its disk",
+		name: "a backup acknowledges changes that aren't on its disk",
 		texts: []string{
 			"\tm.saveChanges(rest[:taken]...)\n",
 			"",
@@ -36,7 +36,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "a machine without its disk votes as who it was",
+		name: "a machine that lost its disk votes under its former identity",
 		texts: []string{
 			`ID(fmt.Sprintf("%016x%016x", m.opt.Rand(), m.opt.Rand()))`,
 			`ID(fmt.Sprint("of ", m.opt.Self.Addr))`,
@@ -60,7 +60,7 @@
 		foundBy: "search",
 	},
 	{
-		name: "a view is decided by fewer than promised",
+		name: "a view is decided by one acceptance less than a majority",
 		texts: []string{
 			"len(c.accepted) >= m.view.quorum()",
 			"len(c.accepted) >= m.view.quorum()-1",
@@ -68,7 +68,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "who proposes goes on answering",
+		name: "a proposer keeps acknowledging",
 		texts: []string{
 			"\t\tm.replica.StoppedEpoch = m.view.Epoch + 1\n",
 			"",
@@ -76,7 +76,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "who proposed answers again after a restart",
+		name: "a proposer acknowledges again after a restart",
 		texts: []string{
 			"\t\tm.replica.StoppedEpoch = m.view.Epoch + 1\n\t\tm.saveReplica()\n",
 			"\t\tm.replica.StoppedEpoch = m.view.Epoch + 1\n",
@@ -120,7 +120,7 @@
 		foundBy: "search",
 	},
 	{
-		name: "what others accepted is not proposed",
+		name: "a view that others accepted is not proposed",
 		texts: []string{
 			"if newest != nil {",
 			"if newest != nil && m.now < 0 {",
@@ -152,7 +152,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "a coming backup isn't brought the record first",
+		name: "a future backup isn't staged first",
 		texts: []string{
 			"if c.staged[b] || p != nil && p.holdsRecord {",
 			"if c.staged[b] || p != nil {",
@@ -168,7 +168,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "an older snapshot is taken late",
+		name: "a late older snapshot is installed",
 		texts: []string{
 			"(m.replica.InSyncEpoch != m.view.Epoch || msg.Seq > m.log.seq)",
 			"(m.now >= 0)",
@@ -192,7 +192,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "words of an older view count",
+		name: "messages of an older view are processed",
 		texts: []string{
 			"if msg.Epoch < m.view.Epoch {",
 			"if msg.Epoch+1 < m.view.Epoch {",
@@ -200,7 +200,7 @@
 		foundBy: "search",
 	},
 	{
-		name: "who was left out keeps its identity",
+		name: "a removed machine keeps its identity",
 		texts: []string{
 			"if m.identity.Joined && !v.has(m.identity.ID) {",
 			"if m.identity.Joined && !v.has(m.identity.ID) && m.now < 0 {",
@@ -258,7 +258,7 @@
 		foundBy: "search",
 	},
 	{
-		name: "reads are served while a majority was heard lately by the own clock",
+		name: "reads are confirmed by recent contact with a majority on the local clock",
 		texts: []string{
 			"len(m.primary.progress) == 0 || w.at != 0 && w.at <= round",
 			"m.quorumAlive()",
@@ -266,7 +266,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "a new primary takes its backups to be in sync",
+		name: "a new primary assumes that its backups are in sync",
 		texts: []string{
 			"&progress{stalledSince: m.now}",
 			"&progress{stalledSince: m.now, inSync: true, match: m.log.seq}",
@@ -274,7 +274,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "a deposed primary acknowledges what waited",
+		name: "a deposed primary acknowledges pending writes",
 		texts: []string{
 			"m.answer(w.token, LostPrimacy, w.at)",
 			"m.answer(w.token, Committed, w.at)",
@@ -282,7 +282,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "a primary that proposes goes on answering",
+		name: "a primary that proposes keeps answering",
 		texts: []string{
 			"return m.primary.active && !m.stopped()",
 			"return m.primary.active",
@@ -290,7 +290,7 @@
 		foundBy: "search",
 	},
 	{
-		name: "a thawed machine takes the others' silence for their loss",
+		name: "a thawed machine considers the others lost",
 		texts: []string{
 			"\tif frozen {",
 			"\tif frozen && m.now < 0 {",
@@ -316,7 +316,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "members are left out below what may be lost",
+		name: "members are removed below the minimum for the tolerance",
 		texts: []string{
 			"return max(3, 2*m.opt.Tolerance.Replicas()-1)",
 			"return 1",
@@ -332,7 +332,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "a joiner that never answered is taken in",
+		name: "a joiner that never answered is admitted",
 		texts: []string{
 			"if j.confirmed && !m.view.has(j.ID) {",
 			"if !m.view.has(j.ID) {",
@@ -340,7 +340,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a joiner's disk doesn't say that it holds the record",
+		name: "a joiner doesn't persist that it holds the record",
 		texts: []string{
 			"\t\t\tm.replica.RecordEpoch = m.view.Epoch\n\t\t\tm.saveReplica()\n",
 			"\t\t\tm.replica.RecordEpoch = m.view.Epoch\n",
@@ -348,7 +348,7 @@
 		foundBy: "search,hand",
 	},
 	{
-		name: "who takes over leaves out whom it hasn't heard",
+		name: "a machine that takes over removes members that it hasn't heard from",
 		texts: []string{
 			"\tif !m.primary.active {\n\t\treturn plan\n\t}\n",
 			"",
--- a/internal/fleet/replication/safety_test.go
+++ b/internal/fleet/replication/safety_test.go
@@ -361,17 +361,17 @@
 	startAndConverge(t, s, []int{0, 1, 2, 3, 4}, 0)
 	h.primary = s.healthyPrimary()
 	h.view = h.primary.m.Status().View
-	var silent, voters []*simNode
+	var unresponsive, voters []*simNode
 	for _, b := range s.nodes {
 		switch {
 		case b == h.primary:
-		case b.m.Status().Role == Witness && len(silent) < 2:
-			silent = append(silent, b)
+		case b.m.Status().Role == Witness && len(unresponsive) < 2:
+			unresponsive = append(unresponsive, b)
 		default:
 			voters = append(voters, b)
 		}
 	}
-	for _, b := range silent {
+	for _, b := range unresponsive {
 		s.kill(b)
 	}
 	proposes := func() bool { return h.primary.m.candidacy != nil && h.primary.m.candidacy.phase == accepting }
--- a/internal/fleet/replication/searchcases_test.go
+++ b/internal/fleet/replication/searchcases_test.go
@@ -75,7 +75,7 @@
 		budget:  budget{writes: 3, heartbeats: 1},
 		want:    reach{led: 1, acked: 1},
 	},
-	{name: "two proposals cross", members: 3, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 3}},
+	{name: "two competing proposals", members: 3, budget: budget{writes: 1, waits: 2}, want: reach{led: 3, acked: 3}},
 	{
 		name:    "a write, a read and a takeover",
 		members: 3,
@@ -100,9 +100,9 @@
 		budget:  budget{writes: 1, waits: 1},
 		want:    reach{led: 2, acked: 2},
 	},
-	{name: "four, two proposals cross", members: 4, budget: budget{waits: 2}, want: reach{led: 3, acked: 1}},
+	{name: "four, two competing proposals", members: 4, budget: budget{waits: 2}, want: reach{led: 3, acked: 1}},
 	{
-		name:    "the first start",
+		name:    "bootstrap",
 		members: 3,
 		first:   true,
 		budget:  budget{writes: 1, waits: 1, starts: 3},
@@ -181,7 +181,7 @@
 		want:               reach{led: 2, acked: 1, most: 4},
 	},
 	{
-		name:               "a silent member is left out",
+		name:               "an unresponsive member is removed",
 		members:            4,
 		controlPlaneTiming: true,
 		liveAfterLoss:      true,
@@ -232,7 +232,7 @@
 		want:    reach{led: 2, acked: 1},
 	},
 	{
-		name:    "four, a takeover while a member is left out",
+		name:    "four, a takeover while a member is removed",
 		members: 4,
 		begun:   []networkFault{{faultIsolated, 3, 0}},
 		budget:  budget{waits: 1},
@@ -263,14 +263,14 @@
 		want:    reach{led: 2, acked: 2},
 	},
 	{
-		name:    "changes are asked for again",
+		name:    "retried changes",
 		members: 3,
 		judged:  true,
 		budget:  budget{writes: 2, retries: 1},
 		want:    reach{led: 1, acked: 1, refused: true},
 	},
 	{
-		name:    "a change is asked for again, a takeover",
+		name:    "a retried change, a takeover",
 		members: 3,
 		judged:  true,
 		budget:  budget{writes: 1, retries: 1, waits: 1},
@@ -300,7 +300,7 @@
 		want:    reach{led: 3, acked: 1},
 	},
 	{
-		name:    "two proposals cross, a restart",
+		name:    "two competing proposals, a restart",
 		members: 3,
 		budget:  budget{writes: 1, waits: 2, crashes: 1},
 		want:    reach{led: 3, acked: 2},
@@ -318,20 +318,20 @@
 		want:    reach{led: 3, acked: 3},
 	},
 	{
-		name:    "four, two proposals cross, a write",
+		name:    "four, two competing proposals, a write",
 		members: 4,
 		budget:  budget{writes: 1, waits: 2},
 		want:    reach{led: 3, acked: 2},
 	},
 	{
-		name:    "the first start, a restart",
+		name:    "bootstrap, a restart",
 		members: 3,
 		first:   true,
 		budget:  budget{waits: 1, crashes: 1, starts: 3},
 		want:    reach{led: 2, fewest: 2},
 	},
 	{
-		name:               "a silent member is left out, a write",
+		name:               "an unresponsive member is removed, a write",
 		members:            4,
 		controlPlaneTiming: true,
 		liveAfterLoss:      true,
@@ -348,7 +348,7 @@
 		want:               reach{led: 2, acked: 2},
 	},
 	{
-		name:    "changes are asked for again, a takeover",
+		name:    "retried changes, a takeover",
 		members: 3,
 		judged:  true,
 		budget:  budget{writes: 2, retries: 1, waits: 1},
@@ -364,7 +364,7 @@
 		want:               reach{led: 2, acked: 1, most: 5},
 	},
 	{
-		name:               "a write, a restart and a takeover, then calm",
+		name:               "a write, a restart and a takeover, then liveness",
 		members:            3,
 		controlPlaneTiming: true,
 		live:               true,
@@ -382,7 +382,7 @@
 		want:               reach{led: 2, acked: 2, most: 4},
 	},
 	{
-		name:               "two proposals cross, then calm",
+		name:               "two competing proposals, then liveness",
 		members:            3,
 		controlPlaneTiming: true,
 		live:               true,
@@ -418,7 +418,7 @@
 		want:               reach{led: 3, acked: 1, most: 4},
 	},
 	{
-		name:               "silent members are left out",
+		name:               "unresponsive members are removed",
 		members:            4,
 		controlPlaneTiming: true,
 		live:               true,
@@ -491,7 +491,7 @@
 		want:               reach{led: 2, acked: 1, joined: true, wipes: 2},
 	},
 	{
-		name:    "changes are asked for again over a freeze and a restart",
+		name:    "retried changes over a freeze and a restart",
 		members: 3,
 		judged:  true,
 		budget:  budget{writes: 1, retries: 1, waits: 1, freezes: 1, crashes: 1},
--- a/internal/fleet/replication/searchrules_test.go
+++ b/internal/fleet/replication/searchrules_test.go
@@ -263,7 +263,7 @@
 				return fmt.Sprintf("two processes acknowledge in epoch %d", epoch)
 			}
 			if a.Seq > uint64(len(g.committed)) || g.committed[a.Seq-1] != fmt.Sprint("w", a.Token) {
-				return fmt.Sprintf("w%d is acknowledged as %d, which is a different change or not committed", a.Token, a.Seq)
+				return fmt.Sprintf("w%d is acknowledged as %d, which is another or uncommitted change", a.Token, a.Seq)
 			}
 			g.acked = append(slices.Clip(g.acked), ack{a.Seq, epoch})
 		case Confirmed:
--- a/internal/fleet/replication/takeover_test.go
+++ b/internal/fleet/replication/takeover_test.go
@@ -54,7 +54,7 @@
 		"frozen for 20 s", progElection + progHeartbeat + 250*ms,
 		func(s *schedule, primary *simNode) { primary.frozen = s.now + 20*time.Second },
 	},
-	{"told to end", progHeartbeat + 100*ms, func(s *schedule, primary *simNode) {
+	{"graceful shutdown", progHeartbeat + 100*ms, func(s *schedule, primary *simNode) {
 		incarnation := primary.incarnation
 		s.input(primary, primary.m.Leave(s.clock(primary)))
 		var end func()
