--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -27,7 +27,7 @@
 	name    string
 	texts   []string // old, new, old, new ...
 	foundBy string   // the kinds of tests that find it, separated by commas
-	missed  string   // why none does, when foundBy is empty
+	missed  string   // why no test finds it, if foundBy is empty
 }
 
 // testKind is a kind of tests that may find a planted fault: those whose names match run and not skip.
@@ -57,9 +57,9 @@
 	return texts
 }
 
-// lay replaces the fault's texts and returns the files that change, by name. Each text must be in all sources together
-// exactly once.
-func (f *plantedFault) lay(texts map[string]string) (map[string]string, error) {
+// plant replaces the fault's texts and returns the files that change, by name. Each text must occur exactly once in all
+// sources together.
+func (f *plantedFault) plant(texts map[string]string) (map[string]string, error) {
 	changed := map[string]string{}
 	for pair := range slices.Chunk(f.texts, 2) {
 		count, in := 0, ""
@@ -90,9 +90,9 @@
 	dir := c.TempDir()
 	replace := map[string]string{}
 	for file, text := range changed {
-		laid := filepath.Join(dir, file)
-		c.Assert(os.WriteFile(laid, []byte(text), 0o600), qt.IsNil)
-		replace[filepath.Join(here, file)] = laid
+		plantedFile := filepath.Join(dir, file)
+		c.Assert(os.WriteFile(plantedFile, []byte(text), 0o600), qt.IsNil)
+		replace[filepath.Join(here, file)] = plantedFile
 	}
 	list, err := json.Marshal(map[string]map[string]string{"Replace": replace})
 	c.Assert(err, qt.IsNil)
@@ -139,7 +139,7 @@
 	for _, f := range slices.Concat(plantedFaults, membershipFaults) {
 		t.Run(strings.ReplaceAll(f.name, " ", "_"), func(t *testing.T) {
 			c := qt.New(t)
-			changed, err := f.lay(texts)
+			changed, err := f.plant(texts)
 			c.Assert(err, qt.IsNil)
 			c.Assert(
 				(f.foundBy == "") != (f.missed == ""), qt.IsTrue,
@@ -168,12 +168,12 @@
 	c := qt.New(t)
 	texts := map[string]string{"a.go": "one two", "b.go": "two three three"}
 	f := plantedFault{texts: []string{"one", "1", "1 two", "1 2"}}
-	changed, err := f.lay(texts)
+	changed, err := f.plant(texts)
 	c.Assert(err, qt.IsNil)
 	c.Assert(changed, qt.DeepEquals, map[string]string{"a.go": "1 2"})
 	for _, text := range []string{"two", "three", "four"} {
 		f = plantedFault{texts: []string{text, ""}}
-		_, err = f.lay(texts)
+		_, err = f.plant(texts)
 		c.Check(err, qt.ErrorMatches, "to be planted anew: .*")
 	}
 }
--- a/internal/fleet/replication/plantedfaults_test.go
+++ b/internal/fleet/replication/plantedfaults_test.go
@@ -1,7 +1,7 @@
 package replication
 
-// plantedFaults are deliberate errors in the protocol. TestPlantedFaults checks that each still fits the sources and,
-// with -replication.planted, that the kinds of tests named by it find it.
+// plantedFaults are deliberate errors in the protocol. TestPlantedFaults checks that each one still fits the sources
+// and, with -replication.planted, that the kinds of tests in foundBy find it.
 var plantedFaults = []plantedFault{
 	{
 		name: "a backup acknowledges changes that aren't on its disk",
