--- a/internal/fleet/replication/transfer.go
+++ b/internal/fleet/replication/transfer.go
@@ -54,7 +54,7 @@
 	return a.seq == msg.Seq && a.digest == msg.Digest && a.checksum == msg.Checksum && uint64(a.total) == msg.Total
 }
 
-// add adds a chunk and reports whether body grew. A chunk beyond the end of body is kept until the one before it comes.
+// add adds a chunk and reports whether body grew. One chunk beyond the end of body is kept until the gap is filled.
 func (a *assembly) add(offset int, chunk []byte) bool {
 	if offset > len(a.body) {
 		a.ahead, a.aheadOffset = chunk, offset
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -198,15 +198,15 @@
 	Busy                          // rejected: too many requests are pending
 )
 
-// Answer ends the Propose or Read with its token.
+// Answer is the answer to the Propose or Read with the same Token.
 type Answer struct {
 	Token  uint64
 	Result Result
-	Seq    uint64 // the change's own number, or the number that the read may show
+	Seq    uint64 // Propose: Seq of the change; Read: Seq up to which the record may be shown
 }
 
-// Output is what an input led to. It is carried out in this order: Write, then Send and Answer; outputs in the order of
-// their inputs. When the write fails, it is tried again before anything else is done.
+// Output is the result of an input. The caller carries out Write first, then Send and Answer, and Outputs in the order
+// of their inputs. A failed Write is retried before anything else is carried out.
 type Output struct {
 	Write         *Write // nil: nothing to write
 	Send          []Envelope
