--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -18,22 +18,22 @@
 
 var planted = flag.String(
 	"replication.planted", "",
-	"lay each planted fault in turn and see which of these kinds of tests find it, which takes minutes: search,hand,storms,histories",
+	"run these kinds of tests against each planted fault, which takes minutes: search,hand,storms,histories",
 )
 
-// plantedFault is an error that is laid into a copy of the sources: each old text, which the package has exactly once,
-// is replaced.
+// plantedFault is a deliberate error that is planted in a copy of the sources (mutation testing): each old text, which
+// must occur exactly once in the package, is replaced.
 type plantedFault struct {
 	name    string
 	texts   []string // old, new, old, new ...
 	foundBy string   // the kinds of tests that find it, separated by commas
-	missed  string   // why none does, when foundBy is empty
+	missed  string   // why no test finds it, if foundBy is empty
 }
 
 // testKind is a kind of tests that may find a planted fault: those whose names match run and not skip.
 type testKind struct{ name, run, skip string }
 
-// testKinds are run as CI runs them.
+// testKinds are the kinds of tests, run with CI's settings.
 var testKinds = []testKind{
 	{"search", "^TestSearch", ""},
 	{"hand", "", "^Test(Search|Storm$|Histories$|HastyVerdicts$|PlantedFaults$)"},
@@ -41,7 +41,7 @@
 	{"histories", "^TestHistories$", ""},
 }
 
-// sources are the package's files that are neither tests nor generated, by name.
+// sources returns the texts of the package's files that are neither tests nor generated, by name.
 func sources(c *qt.C) map[string]string {
 	files, err := filepath.Glob("*.go")
 	c.Assert(err, qt.IsNil)
@@ -57,9 +57,9 @@
 	return texts
 }
 
-// lay replaces the fault's texts and returns the files that change, by name. Each text must be in all sources together
-// exactly once.
-func (f *plantedFault) lay(texts map[string]string) (map[string]string, error) {
+// plant replaces the fault's texts and returns the files that change, by name. Each text must occur exactly once in all
+// sources together.
+func (f *plantedFault) plant(texts map[string]string) (map[string]string, error) {
 	changed := map[string]string{}
 	for pair := range slices.Chunk(f.texts, 2) {
 		count, in := 0, ""
@@ -83,16 +83,16 @@
 	return changed, nil
 }
 
-// build makes the test binary with some files replaced, by the compiler's overlay: nothing in the tree is changed.
+// build builds the test binary with some files replaced by the compiler's overlay; the tree is not changed.
 func build(c *qt.C, changed map[string]string) string {
 	here, err := os.Getwd()
 	c.Assert(err, qt.IsNil)
 	dir := c.TempDir()
 	replace := map[string]string{}
 	for file, text := range changed {
-		laid := filepath.Join(dir, file)
-		c.Assert(os.WriteFile(laid, []byte(text), 0o600), qt.IsNil)
-		replace[filepath.Join(here, file)] = laid
+		plantedFile := filepath.Join(dir, file)
+		c.Assert(os.WriteFile(plantedFile, []byte(text), 0o600), qt.IsNil)
+		replace[filepath.Join(here, file)] = plantedFile
 	}
 	list, err := json.Marshal(map[string]map[string]string{"Replace": replace})
 	c.Assert(err, qt.IsNil)
@@ -105,8 +105,8 @@
 	return binary
 }
 
-// finds reports whether some test of this kind fails, and what it says. A search is ended at the first state that
-// breaks a rule.
+// finds reports whether a test of this kind fails, and its first failure message. The run is ended at the first state
+// that violates a rule of the search.
 func (k *testKind) finds(c *qt.C, binary string) (found bool, reason string) {
 	ctx, cancel := context.WithCancel(c.Context())
 	defer cancel()
@@ -132,14 +132,14 @@
 	return true, reason
 }
 
-// TestPlantedFaults checks that the planted faults fit the sources. With -replication.planted each is laid, and the
-// kinds of tests that it names must find it.
+// TestPlantedFaults checks that the planted faults fit the sources. With -replication.planted each is planted, and the
+// kinds of tests that it names must fail.
 func TestPlantedFaults(t *testing.T) {
 	texts := sources(qt.New(t))
 	for _, f := range slices.Concat(plantedFaults, membershipFaults) {
 		t.Run(strings.ReplaceAll(f.name, " ", "_"), func(t *testing.T) {
 			c := qt.New(t)
-			changed, err := f.lay(texts)
+			changed, err := f.plant(texts)
 			c.Assert(err, qt.IsNil)
 			c.Assert(
 				(f.foundBy == "") != (f.missed == ""), qt.IsTrue,
@@ -163,17 +163,17 @@
 	}
 }
 
-// TestPlantedFaultsFitOnce checks that a text which is there twice, or not at all, isn't laid.
+// TestPlantedFaultsFitOnce checks that a fault whose text occurs twice, or not at all, is rejected.
 func TestPlantedFaultsFitOnce(t *testing.T) {
 	c := qt.New(t)
 	texts := map[string]string{"a.go": "one two", "b.go": "two three three"}
 	f := plantedFault{texts: []string{"one", "1", "1 two", "1 2"}}
-	changed, err := f.lay(texts)
+	changed, err := f.plant(texts)
 	c.Assert(err, qt.IsNil)
 	c.Assert(changed, qt.DeepEquals, map[string]string{"a.go": "1 2"})
 	for _, text := range []string{"two", "three", "four"} {
 		f = plantedFault{texts: []string{text, ""}}
-		_, err = f.lay(texts)
+		_, err = f.plant(texts)
 		c.Check(err, qt.ErrorMatches, "to be planted anew: .*")
 	}
 }
