--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -8,96 +8,97 @@
 )
 
 const (
-	// expiryInterval is the least time between two searches for holders whose slots are free again.
+	// expiryInterval is the minimum time between two searches for expired holders.
 	expiryInterval = 100 * time.Millisecond
-	// maxHolders bounds the holders that are known; reports of further ones are refused.
+	// maxHolders is the maximum number of tracked holders; reports of further ones are rejected.
 	maxHolders = 20_000
-	// spareDivisor: all holders of a tenant together may keep one in so many of the slots that are not held.
+	// spareDivisor limits spare slots: all holders of a tenant together may keep 1/spareDivisor of the unallocated
+	// slots.
 	spareDivisor = 2
-	// raiseDivisor: a tenant's ceiling is raised once one in so many of the slots below it, or less, is left.
+	// raiseDivisor is the threshold for raising a tenant's ceiling: at most 1/raiseDivisor of Slots.Normal is left.
 	raiseDivisor = 10
-	// lowerDivisor: it is lowered again once one in so many of them or less is held.
+	// lowerDivisor is the threshold for lowering it again: at most 1/lowerDivisor of Slots.Normal is held.
 	lowerDivisor = 2
-	// raisedFor is how long a ceiling stays raised at the least after that was last needed: each change is a write of
-	// the record.
+	// raisedFor is the minimum time for which a ceiling stays raised after it was last needed, since each change is a
+	// write to the replicated record.
 	raisedFor = 10 * time.Second
 )
 
 var (
-	// errReport is the error of a report that no holder sends.
-	errReport = errors.New("quota report: not valid")
-	// errNotFull is the error of a first report that doesn't tell all that is held.
-	errNotFull = errors.New("quota report: the first one of a process is not full")
-	// errEnded is the error of a report of a process whose successor has reported.
-	errEnded = errors.New("quota report: of a process that has ended")
+	// errInvalidReport is returned for a report without holder or incarnation, or with a negative number of slots.
+	errInvalidReport = errors.New("invalid quota report: holder or incarnation missing, or negative number of slots")
+	// errFirstReportNotFull is returned for a partial report from an incarnation that has not reported before.
+	errFirstReportNotFull = errors.New("quota report rejected: first report of an incarnation must be full")
+	// errProcessEnded is returned for a report of an incarnation whose successor has already reported.
+	errProcessEnded = errors.New("quota report rejected: a newer incarnation of the holder has reported")
 )
 
-// Allocator hands out the slots of all tenants, as one of the epochs of the control plane's primary. Times are on the
-// steady clock of its process. It has no lock of its own.
+// Allocator allocates the slots of all tenants during one or more consecutive epochs of the control plane's primary.
+// Times are on the monotonic clock of its process. It is not safe for concurrent use.
 type Allocator struct {
 	rule   Rule
 	limits Limits
 
-	// inherited are the ceilings that earlier allocators kept to, and committed those that this one may use.
+	// inherited are the ceilings under which earlier allocators worked, and committed those that this one may use.
 	inherited *Ceilings
 	committed *Ceilings
-	// proposed are the ceilings that may be committed next: a tenant that they don't raise is held to Slots.Normal.
+	// proposed are the ceilings that may be committed next. A tenant that they don't raise is limited to Slots.Normal.
 	proposed *Ceilings
-	// raised are the tenants whose ceilings this allocator needs to be raised, and when that was last so.
+	// raised maps each tenant that needs a raised ceiling to the time when it last needed it.
 	raised map[string]time.Duration
 
-	// provenAt is when all slots are known: who has not reported by then can't use a slot, and has used none within a
-	// window.
-	provenAt time.Duration
-	// unaccounted are the holders that the inherited ceilings name and that have not reported, and accountedAt is when
-	// the slots of those that have are all known.
+	// allKnownAt is when all holdings are known: a holder that has not reported by then can't use a slot, and has used
+	// none within a window.
+	allKnownAt time.Duration
+	// unaccounted are the holders named in the inherited ceilings that have not reported yet; accountedAt is when the
+	// slots of those that have reported are all known.
 	unaccounted map[string]bool
 	accountedAt time.Duration
 
 	holders map[string]*holderRecord // by name
 	tenants map[string]*tenantRecord
-	// retired are the slots of processes that have ended, until they are free.
+	// retired are the slots of ended processes and expired holders, until they are free.
 	retired  []retiredSlots
-	expireAt time.Duration // when holders are next searched
+	expireAt time.Duration // time of the next search for expired holders
 }
 
-// holderRecord is what the allocator knows of one proxy.
+// holderRecord is the allocator's state for one proxy.
 type holderRecord struct {
 	incarnation uint64
 	sequence    uint64
-	conn        uint64 // the newest connection that it has reported on
+	conn        uint64 // number of the newest connection that it has reported on
 	reportedAt  time.Duration
 	held        map[string]int // slots by tenant, each above 0
 }
 
-// tenantRecord is what the allocator knows of one tenant's slots.
+// tenantRecord is the allocator's state for one tenant.
 type tenantRecord struct {
-	held     int // by all holders known, and retired
-	holders  int // that have slots
-	recycled int // given back to this allocator and not handed out again
-	fresh    int // handed out beyond what was given back, before all holdings were known
+	held     int // slots of all known holders and retired ones
+	holders  int // number of holders with slots
+	recycled int // slots returned to this allocator and not allocated again
+	fresh    int // slots allocated beyond the returned ones before all holdings were known
 }
 
-// retiredSlots are slots that are free again at a time.
+// retiredSlots are the slots of an ended or expired process, which become free at freeAt.
 type retiredSlots struct {
 	holder string
 	freeAt time.Duration
 	held   map[string]int
 }
 
-// NewAllocator returns an allocator that knows no holdings, but the ceilings that are committed. overlap is for how
-// long after now an earlier allocator may still answer.
+// NewAllocator returns an allocator that knows the committed ceilings but no holdings. overlap is how long after now an
+// earlier allocator may still answer.
 func NewAllocator(rule Rule, limits Limits, ceilings *Ceilings, now, overlap time.Duration) *Allocator {
 	a := &Allocator{
-		rule:      rule,
-		limits:    limits,
-		inherited: ceilings,
-		committed: ceilings,
-		proposed:  ceilings,
-		raised:    map[string]time.Duration{},
-		provenAt:  now + overlap + rule.Lease + rule.Window,
-		holders:   map[string]*holderRecord{},
-		tenants:   map[string]*tenantRecord{},
+		rule:       rule,
+		limits:     limits,
+		inherited:  ceilings,
+		committed:  ceilings,
+		proposed:   ceilings,
+		raised:     map[string]time.Duration{},
+		allKnownAt: now + overlap + rule.Lease + rule.Window,
+		holders:    map[string]*holderRecord{},
+		tenants:    map[string]*tenantRecord{},
 	}
 	if ceilings != nil && ceilings.Complete {
 		a.unaccounted = make(map[string]bool, len(ceilings.Holders))
@@ -108,9 +109,9 @@
 	return a
 }
 
-// account notes that a holder of the inherited ceilings has reported. An earlier process of its name may have used
-// slots that it doesn't know until it started. Once all have reported, and the last such use is a window ago, all
-// slots are known.
+// account records that a holder named in the inherited ceilings has reported. An earlier process of the same name may
+// have used slots, unknown to this one, until this one started. All slots are known once all these holders have
+// reported and a window has passed since the youngest of their processes started.
 func (a *Allocator) account(report *Report, now time.Duration) {
 	if !a.unaccounted[report.Holder] {
 		return
@@ -119,37 +120,37 @@
 	uptime := time.Duration(report.UptimeMs) * time.Millisecond
 	a.accountedAt = max(a.accountedAt, now+a.rule.Window-uptime)
 	if len(a.unaccounted) == 0 {
-		a.provenAt = min(a.provenAt, max(a.accountedAt, now))
+		a.allKnownAt = min(a.allKnownAt, max(a.accountedAt, now))
 	}
 }
 
-// SetLimits puts the limits of a configuration in force. They must not be changed afterwards.
+// SetLimits applies the limits of a configuration. The caller must not modify them afterwards.
 func (a *Allocator) SetLimits(limits Limits) { a.limits = limits }
 
-// SetCeilings has the allocator make use of ceilings that are committed.
+// SetCeilings applies committed ceilings.
 func (a *Allocator) SetCeilings(ceilings *Ceilings) { a.committed = ceilings }
 
 // WantedCeilings returns the ceilings that this allocator needs. Before all holdings are known they raise all tenants;
-// after that, those of which most slots are held. What is returned must be committed, if at all, before anything that a
-// later call returns. A tenant that isn't raised any more is held to Slots.Normal from now on, and a proxy that isn't
-// named gets no slots.
+// after that, the tenants most of whose slots are held. Returned ceilings must be committed, if at all, before those
+// that a later call returns. From this call on, a tenant that is no longer raised is limited to Slots.Normal, and a
+// proxy that isn't named gets no slots.
 //
-// What was returned is returned again until SetCeilings tells that it is committed: a lowering whose outcome isn't
-// known may still be committed after slots were handed out under the ceilings before it, which the next allocator would
-// not know of.
+// The same ceilings are returned until SetCeilings reports them committed: a lowering with an unknown outcome may still
+// be committed after slots were allocated under the earlier ceilings, and the next allocator would not know of those
+// slots.
 func (a *Allocator) WantedCeilings(now time.Duration) *Ceilings {
 	a.expire(now)
 	if !a.proposed.Equal(a.committed) {
 		return a.proposed
 	}
-	if now < a.provenAt {
+	if now < a.allKnownAt {
 		a.proposed = &Ceilings{All: true}
 		if a.inherited != nil && a.inherited.Complete {
 			a.proposed.name(a.knownHolders())
 		}
 		return a.proposed
 	}
-	a.unaccounted = nil // who has not reported by now holds nothing
+	a.unaccounted = nil // a holder that has not reported by now holds no slots
 	for tenant, t := range a.tenants {
 		a.review(tenant, t, now)
 	}
@@ -158,7 +159,7 @@
 	return a.proposed
 }
 
-// review decides whether a tenant's ceiling is to be raised, or is raised no longer.
+// review raises a tenant's ceiling, keeps it raised or lowers it.
 func (a *Allocator) review(tenant string, t *tenantRecord, now time.Duration) {
 	slots, limited := a.limits[tenant]
 	neededAt, raised := a.raised[tenant]
@@ -172,7 +173,7 @@
 	}
 }
 
-// knownHolders returns the names of all proxies that may hold slots, or have used one within a window.
+// knownHolders returns the names of all proxies that may hold slots or have used one within the last window.
 func (a *Allocator) knownHolders() map[string]bool {
 	names := make(map[string]bool, len(a.holders))
 	for name := range a.holders {
@@ -187,16 +188,17 @@
 	return names
 }
 
-// mayUse returns how many of a tenant's slots may be handed out in all.
-func (a *Allocator) mayUse(tenant string, slots Slots) int {
+// slotLimit returns how many of a tenant's slots may be allocated in total under the committed and proposed ceilings.
+func (a *Allocator) slotLimit(tenant string, slots Slots) int {
 	if a.committed.Raised(tenant) && a.proposed.Raised(tenant) {
 		return slots.Total
 	}
 	return slots.Normal
 }
 
-// Handle takes a report and returns the slots that its holder gets. conn numbers the connection that it came on, a
-// later one higher. It returns an error for a report that must not be answered, and nothing for one that has come late.
+// Handle processes a report and returns the slots granted to its holder. conn is the number of the connection that the
+// report was received on; later connections have higher numbers. It returns an error for a report that must not be
+// answered, and no grants for an out-of-date report.
 func (a *Allocator) Handle(report *Report, conn uint64, now time.Duration) ([]Grant, error) {
 	if err := report.validate(); err != nil {
 		return nil, err
@@ -225,22 +227,23 @@
 	return grants, nil
 }
 
-// validate returns an error for a report that no holder sends.
+// validate returns errInvalidReport if a required field is missing or a number of slots is negative.
 func (r *Report) validate() error {
 	if r.Holder == "" || r.Incarnation == 0 {
-		return errReport
+		return errInvalidReport
 	}
 	for _, h := range r.Holdings {
 		if h.Held < 0 || h.Wanted < 0 {
-			return errReport
+			return errInvalidReport
 		}
 	}
 	return nil
 }
 
-// holderOf returns the record of a report's holder; nil: the report came late. Where its process is another than
-// before, the slots of the former one are free after a window: it has ended. Of two processes the one whose connection
-// is the older has ended, as the other was started, and has connected, after that: what it sent may still come.
+// holderOf returns the record of a report's holder, or nil if the report is out of date. If the incarnation differs
+// from the recorded one, the former process has ended and its slots become free after a window. Of two incarnations,
+// the one with the older connection has ended, since its successor started and connected later; reports that it sent
+// may still arrive.
 func (a *Allocator) holderOf(report *Report, conn uint64, now time.Duration) (*holderRecord, error) {
 	holder := a.holders[report.Holder]
 	switch {
@@ -251,9 +254,9 @@
 		holder.conn = max(holder.conn, conn)
 		return holder, nil
 	case holder != nil && conn <= holder.conn:
-		return nil, errEnded
+		return nil, errProcessEnded
 	case !report.Full:
-		return nil, errNotFull
+		return nil, errFirstReportNotFull
 	case holder != nil:
 		a.retire(report.Holder, now+a.rule.Window)
 	case len(a.holders) >= maxHolders:
@@ -264,7 +267,7 @@
 	return holder, nil
 }
 
-// recordAbsent records that a holder has no slots of the tenants that a full report doesn't name.
+// recordAbsent sets a holder's slots to 0 for each tenant that its full report doesn't name.
 func (a *Allocator) recordAbsent(holder *holderRecord, holdings []Holding) {
 	named := make(map[string]bool, len(holdings))
 	for _, h := range holdings {
@@ -277,7 +280,7 @@
 	}
 }
 
-// record records how many slots of a tenant a holder has. What it has given back may be handed out again.
+// record sets the number of a tenant's slots that a holder has. Returned slots may be allocated again.
 func (a *Allocator) record(holder *holderRecord, tenant string, held int) {
 	before := holder.held[tenant]
 	if before == held {
@@ -296,10 +299,10 @@
 	holder.held[tenant] = held
 }
 
-// countHolder is 1 for a holder that has slots.
+// countHolder returns 1 if the holder has slots, else 0.
 func countHolder(held int) int { return min(held, 1) }
 
-// tenant returns the record of a tenant.
+// tenant returns the record of a tenant, which it creates if there is none.
 func (a *Allocator) tenant(name string) *tenantRecord {
 	t := a.tenants[name]
 	if t == nil {
@@ -309,7 +312,7 @@
 	return t
 }
 
-// grant hands a holder the slots that it needs, and some in advance where there are many.
+// grant allocates the slots that a holder needs, and additional ones in advance if many are available.
 func (a *Allocator) grant(name string, holder *holderRecord, h *Holding, slots Slots, now time.Duration) Grant {
 	t := a.tenant(h.Tenant)
 	available := a.available(h.Tenant, t, slots, now)
@@ -317,14 +320,14 @@
 		available = 0
 	}
 	granted := min(h.Wanted, available)
-	// Spares are from the slots below which a ceiling isn't raised.
+	// A reserve is kept back, so that spare slots alone don't raise the ceiling.
 	spare := max(available-granted-slots.Normal/raiseDivisor, 0) / (spareDivisor * max(t.holders, 1))
 	if h.Wanted > 0 && granted == h.Wanted {
 		granted += min(spare, 1+h.Held/4)
 	}
 	recycled := min(granted, t.recycled)
 	t.recycled -= recycled
-	if now < a.provenAt {
+	if now < a.allKnownAt {
 		t.fresh += granted - recycled
 	}
 	if granted > 0 {
@@ -335,7 +338,7 @@
 	return Grant{Tenant: h.Tenant, Slots: granted, Spare: spare, Surplus: t.surplusOf(h.Held, slots)}
 }
 
-// surplusOf returns how many of the slots of one holder are to be given up, if all give up an equal part of theirs.
+// surplusOf returns how many of its slots a holder must give up if all holders give up the same fraction of theirs.
 func (t *tenantRecord) surplusOf(held int, slots Slots) int {
 	over := t.held - slots.Total
 	if over <= 0 || held == 0 {
@@ -344,21 +347,21 @@
 	return (held*over + t.held - 1) / t.held
 }
 
-// available returns how many of a tenant's slots are known to be free. Before all holdings are known these are the ones
-// that were given back, and those that no earlier allocator can have handed out by its ceilings.
+// available returns how many of a tenant's slots are known to be free. Before all holdings are known, these are the
+// returned ones and those that no earlier allocator can have allocated under its ceilings.
 func (a *Allocator) available(tenant string, t *tenantRecord, slots Slots, now time.Duration) int {
-	mayUse := a.mayUse(tenant, slots)
-	if now >= a.provenAt {
-		return max(mayUse-t.held, 0)
+	slotLimit := a.slotLimit(tenant, slots)
+	if now >= a.allKnownAt {
+		return max(slotLimit-t.held, 0)
 	}
 	before := slots.Normal
 	if a.inherited.Raised(tenant) {
 		before = slots.Total
 	}
-	return min(t.recycled+max(mayUse-before-t.fresh, 0), max(slots.Total-t.held, 0))
+	return min(t.recycled+max(slotLimit-before-t.fresh, 0), max(slots.Total-t.held, 0))
 }
 
-// expire frees the slots of holders that were not heard for so long that they are free, and of ended processes.
+// expire frees the slots of ended processes, and retires holders that have not reported for a lease and a window.
 func (a *Allocator) expire(now time.Duration) {
 	if now < a.expireAt {
 		return
@@ -378,7 +381,7 @@
 	})
 }
 
-// retire forgets a holder, whose slots are free after a time.
+// retire removes a holder; its slots become free after freeAt.
 func (a *Allocator) retire(name string, freeAt time.Duration) {
 	holder := a.holders[name]
 	delete(a.holders, name)
@@ -388,7 +391,7 @@
 	a.retired = append(a.retired, retiredSlots{holder: name, freeAt: freeAt, held: holder.held})
 }
 
-// free takes slots as given back.
+// free makes slots available for allocation again.
 func (a *Allocator) free(held map[string]int) {
 	for tenant, n := range held {
 		t := a.tenant(tenant)
--- a/internal/fleet/quota/allocator_test.go
+++ b/internal/fleet/quota/allocator_test.go
@@ -10,10 +10,10 @@
 // testRule has the times of a deployment.
 var testRule = Rule{Window: 5 * time.Second, Lease: 4 * time.Second}
 
-// testOverlap is for how long an earlier allocator may answer; testProven is when a new one knows all holdings.
+// testOverlap is for how long an earlier allocator may answer; testAllKnownAt is when a new one knows all holdings.
 const (
-	testOverlap = 2 * time.Second
-	testProven  = testOverlap + 9*time.Second
+	testOverlap    = 2 * time.Second
+	testAllKnownAt = testOverlap + 9*time.Second
 )
 
 // tenSlots are the limits of most tests.
@@ -30,27 +30,27 @@
 	}
 }
 
-// TestLoweringThatMayStillBeCommitted checks that a tenant isn't raised again while a lowering is under way: were it
+// TestPendingLoweringBlocksRaise checks that a tenant isn't raised again while a lowering is under way: were it
 // committed after slots beyond Slots.Normal were handed out, the next allocator would hand them out once more.
-func TestLoweringThatMayStillBeCommitted(t *testing.T) {
+func TestPendingLoweringBlocksRaise(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 1, 0, 0), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 1, 0, 0), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
-	lowered := a.WantedCeilings(testProven)
+	lowered := a.WantedCeilings(testAllKnownAt)
 	c.Assert(lowered, qt.DeepEquals, &Ceilings{Complete: true, Holders: []string{"p"}})
-	grants, err := a.Handle(fullReport("p", 1, 2, 0, 6), 1, testProven)
+	grants, err := a.Handle(fullReport("p", 1, 2, 0, 6), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 6)
-	c.Assert(a.WantedCeilings(testProven).Equal(lowered), qt.IsTrue)
-	grants, err = a.Handle(fullReport("p", 1, 3, 6, 4), 1, testProven)
+	c.Assert(a.WantedCeilings(testAllKnownAt).Equal(lowered), qt.IsTrue)
+	grants, err = a.Handle(fullReport("p", 1, 3, 6, 4), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 0)
 	a.SetCeilings(lowered)
-	raised := a.WantedCeilings(testProven)
+	raised := a.WantedCeilings(testAllKnownAt)
 	c.Assert(raised.Raised("t"), qt.IsTrue)
 	a.SetCeilings(raised)
-	grants, err = a.Handle(fullReport("p", 1, 4, 6, 4), 1, testProven)
+	grants, err = a.Handle(fullReport("p", 1, 4, 6, 4), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 4)
 }
@@ -60,7 +60,7 @@
 func TestLateReportOfAnEndedProcess(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	start := testProven
+	start := testAllKnownAt
 	for _, report := range []struct {
 		incarnation, conn uint64
 		at                time.Duration
@@ -70,8 +70,8 @@
 	}{
 		{1, 1, 0, 0, 2, nil, 3},
 		{2, 2, time.Second, 0, 7, nil, 7}, // the first one's slots are free at 6 s
-		{1, 1, 2 * time.Second, 3, 2, errEnded, 0},
-		{1, 2, 2 * time.Second, 3, 2, errEnded, 0}, // no process shares a connection with another
+		{1, 1, 2 * time.Second, 3, 2, errProcessEnded, 0},
+		{1, 2, 2 * time.Second, 3, 2, errProcessEnded, 0}, // no process shares a connection with another
 	} {
 		grants, err := a.Handle(fullReport("p", report.incarnation, uint64(report.at)+1, report.held, report.wanted),
 			report.conn, start+report.at)
@@ -103,13 +103,13 @@
 	a := NewAllocator(testRule, tenSlots(), nil, 0, testOverlap)
 	report := fullReport("p", 1, 1, 0, 1)
 	report.Full = false
-	_, err := a.Handle(report, 1, testProven)
-	c.Assert(err, qt.Equals, errNotFull)
-	_, err = a.Handle(fullReport("p", 1, 2, 0, 1), 1, testProven)
+	_, err := a.Handle(report, 1, testAllKnownAt)
+	c.Assert(err, qt.Equals, errFirstReportNotFull)
+	_, err = a.Handle(fullReport("p", 1, 2, 0, 1), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	report.Incarnation = 2
-	_, err = a.Handle(report, 2, testProven)
-	c.Assert(err, qt.Equals, errNotFull)
+	_, err = a.Handle(report, 2, testAllKnownAt)
+	c.Assert(err, qt.Equals, errFirstReportNotFull)
 }
 
 // TestAllocator plays reports to an allocator, and what is granted. All are full, each on a connection of its own.
@@ -121,7 +121,7 @@
 		held, wanted  int
 		slots, excess int // granted, and surplus
 	}
-	const sec, proven = time.Second, testProven
+	const sec, proven = time.Second, testAllKnownAt
 	all, none := &Ceilings{All: true}, (*Ceilings)(nil)
 	for _, test := range []struct {
 		name     string
@@ -209,23 +209,23 @@
 	want(8*time.Second, 4, 0, 0)
 	named := []string{"p"}
 	lowered := &Ceilings{Complete: true, Holders: named}
-	c.Assert(a.WantedCeilings(testProven), qt.DeepEquals, lowered)
-	want(testProven, 4, 6, 2) // lowered from the proposal on
+	c.Assert(a.WantedCeilings(testAllKnownAt), qt.DeepEquals, lowered)
+	want(testAllKnownAt, 4, 6, 2) // lowered from the proposal on
 	a.SetCeilings(lowered)
-	raised := a.WantedCeilings(testProven)
+	raised := a.WantedCeilings(testAllKnownAt)
 	c.Assert(raised, qt.DeepEquals, &Ceilings{Tenants: []string{"t"}, Complete: true, Holders: named})
-	want(testProven, 6, 4, 0)
+	want(testAllKnownAt, 6, 4, 0)
 	a.SetCeilings(raised)
-	want(testProven, 6, 4, 4)
-	want(testProven, 4, 0, 0)
-	c.Assert(a.WantedCeilings(testProven), qt.DeepEquals, raised) // of 6
-	want(testProven, 3, 0, 0)
+	want(testAllKnownAt, 6, 4, 4)
+	want(testAllKnownAt, 4, 0, 0)
+	c.Assert(a.WantedCeilings(testAllKnownAt), qt.DeepEquals, raised) // of 6
+	want(testAllKnownAt, 3, 0, 0)
 	for at := time.Duration(0); at <= raisedFor; at += time.Second {
-		want(testProven+at, 3, 0, 0)
-		c.Assert(a.WantedCeilings(testProven+at), qt.DeepEquals, raised)
+		want(testAllKnownAt+at, 3, 0, 0)
+		c.Assert(a.WantedCeilings(testAllKnownAt+at), qt.DeepEquals, raised)
 	}
-	want(testProven+raisedFor+time.Second, 3, 0, 0)
-	c.Assert(a.WantedCeilings(testProven+raisedFor+time.Second), qt.DeepEquals, lowered)
+	want(testAllKnownAt+raisedFor+time.Second, 3, 0, 0)
+	c.Assert(a.WantedCeilings(testAllKnownAt+raisedFor+time.Second), qt.DeepEquals, lowered)
 
 	// The next allocator reckons with all of the tenants raised when it began, and 6 of others.
 	limits := Limits{"t": {Total: 10, Normal: 6}, "u": {Total: 10, Normal: 6}}
@@ -244,14 +244,14 @@
 func TestLateReport(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 5, 0, 10), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 5, 0, 10), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	for _, sequence := range []uint64{4, 5} {
-		grants, err := a.Handle(fullReport("p", 1, sequence, 0, 0), 1, testProven)
+		grants, err := a.Handle(fullReport("p", 1, sequence, 0, 0), 1, testAllKnownAt)
 		c.Assert(err, qt.IsNil)
 		c.Assert(grants, qt.IsNil)
 	}
-	grants, err := a.Handle(fullReport("q", 2, 1, 0, 10), 1, testProven)
+	grants, err := a.Handle(fullReport("q", 2, 1, 0, 10), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 0)
 	for _, bad := range []*Report{
@@ -260,25 +260,25 @@
 		fullReport("p", 1, 9, -1, 0),
 		fullReport("p", 1, 9, 0, -1),
 	} {
-		_, err := a.Handle(bad, 1, testProven)
-		c.Check(err, qt.Equals, errReport)
+		_, err := a.Handle(bad, 1, testAllKnownAt)
+		c.Check(err, qt.Equals, errInvalidReport)
 	}
 }
 
-// TestFullReportDropsTheRest checks that a full report gives back what it doesn't name, and another one doesn't.
-func TestFullReportDropsTheRest(t *testing.T) {
+// TestFullReportReleasesUnnamedTenants checks that a full report gives back what it doesn't name, and another one doesn't.
+func TestFullReportReleasesUnnamedTenants(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 1, 0, 10), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 1, 0, 10), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	for i, step := range []struct {
 		full    bool
 		granted int
 	}{{false, 0}, {true, 10}} {
 		sequence := uint64(i) + 2
-		_, err := a.Handle(&Report{Holder: "p", Incarnation: 1, Sequence: sequence, Full: step.full}, 1, testProven)
+		_, err := a.Handle(&Report{Holder: "p", Incarnation: 1, Sequence: sequence, Full: step.full}, 1, testAllKnownAt)
 		c.Assert(err, qt.IsNil)
-		grants, err := a.Handle(fullReport("q", 2, sequence, 0, 10), 2, testProven)
+		grants, err := a.Handle(fullReport("q", 2, sequence, 0, 10), 2, testAllKnownAt)
 		c.Assert(err, qt.IsNil)
 		c.Assert(grants[0].Slots, qt.Equals, step.granted)
 	}
@@ -288,16 +288,16 @@
 func TestLimitsLowered(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 1, 6, 0), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 1, 6, 0), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
-	_, err = a.Handle(fullReport("q", 2, 1, 4, 0), 2, testProven)
+	_, err = a.Handle(fullReport("q", 2, 1, 4, 0), 2, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	a.SetLimits(Limits{"t": {Total: 5, Normal: 3}})
-	grants, err := a.Handle(fullReport("p", 1, 2, 6, 3), 1, testProven)
+	grants, err := a.Handle(fullReport("p", 1, 2, 6, 3), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants, qt.DeepEquals, []Grant{{Tenant: "t", Surplus: 3}})
 	a.SetLimits(Limits{})
-	grants, err = a.Handle(fullReport("p", 1, 3, 6, 3), 1, testProven)
+	grants, err = a.Handle(fullReport("p", 1, 3, 6, 3), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants, qt.HasLen, 0)
 }
@@ -309,8 +309,8 @@
 		a := NewAllocator(testRule, limits, nil, 0, testOverlap)
 		held := 0
 		for i := range 10 {
-			a.SetCeilings(a.WantedCeilings(testProven))
-			grants, err := a.Handle(fullReport("p", 1, uint64(i)+1, held, total-held), 1, testProven)
+			a.SetCeilings(a.WantedCeilings(testAllKnownAt))
+			grants, err := a.Handle(fullReport("p", 1, uint64(i)+1, held, total-held), 1, testAllKnownAt)
 			qt.Assert(t, err, qt.IsNil)
 			held += grants[0].Slots
 		}
@@ -318,9 +318,9 @@
 	}
 }
 
-// TestAllKnownOnceAllHaveReported checks that a new allocator knows all slots once the holders that the record names have
+// TestAllSlotsKnownOnceHoldersReport checks that a new allocator knows all slots once the holders that the record names have
 // reported, and a window has passed since the youngest of them was started; and that nobody else is granted any.
-func TestAllKnownOnceAllHaveReported(t *testing.T) {
+func TestAllSlotsKnownOnceHoldersReport(t *testing.T) {
 	const sec = time.Second
 	for _, test := range []struct {
 		name      string
@@ -329,7 +329,7 @@
 	}{
 		{"both are old", []int64{9000, 60_000}, 0},
 		{"one was restarted 2 s ago", []int64{9000, 2000}, testRule.Window - 2*sec},
-		{"one is gone", []int64{9000}, testProven},
+		{"one is gone", []int64{9000}, testAllKnownAt},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -359,16 +359,16 @@
 	}
 }
 
-// TestTheDeadAreNotNamedForGood checks that a proxy that is gone isn't waited for by each allocator in turn.
-func TestTheDeadAreNotNamedForGood(t *testing.T) {
+// TestExpiredHoldersLeaveCeilings checks that a proxy that is gone isn't waited for by each allocator in turn.
+func TestExpiredHoldersLeaveCeilings(t *testing.T) {
 	c := qt.New(t)
 	ceilings := &Ceilings{Complete: true, Holders: []string{"dead", "p"}}
 	a := NewAllocator(testRule, tenSlots(), ceilings, 0, testOverlap)
 	_, err := a.Handle(fullReport("p", 1, 1, 0, 0), 1, 0)
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.WantedCeilings(testProven-1).Holders, qt.DeepEquals, ceilings.Holders)
-	a.SetCeilings(a.WantedCeilings(testProven - 1))
-	_, err = a.Handle(fullReport("p", 1, 2, 0, 0), 1, testProven)
+	c.Assert(a.WantedCeilings(testAllKnownAt-1).Holders, qt.DeepEquals, ceilings.Holders)
+	a.SetCeilings(a.WantedCeilings(testAllKnownAt - 1))
+	_, err = a.Handle(fullReport("p", 1, 2, 0, 0), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.WantedCeilings(testProven).Holders, qt.DeepEquals, []string{"p"})
+	c.Assert(a.WantedCeilings(testAllKnownAt).Holders, qt.DeepEquals, []string{"p"})
 }
--- a/internal/fleet/quota/bench_test.go
+++ b/internal/fleet/quota/bench_test.go
@@ -47,7 +47,7 @@
 		b.Run(map[bool]string{true: "full", false: "one slot"}[full], func(b *testing.B) {
 			a := NewAllocator(testRule, limits, &Ceilings{All: true}, 0, testOverlap)
 			reports := make([]*Report, benchHolders)
-			now := testProven
+			now := testAllKnownAt
 			for i := range reports {
 				reports[i] = benchReport(names, i, 30)
 				reports[i].Sequence = 1
@@ -144,7 +144,7 @@
 	}{{0, 60}, {1, 100}, {10, 400}, {30, 1000}} {
 		report := benchReport(names, 1, test.tenants)
 		report.Sequence = uint64(test.tenants) + 1
-		grants, err := a.Handle(report, 1, testProven)
+		grants, err := a.Handle(report, 1, testAllKnownAt)
 		qt.Assert(t, err, qt.IsNil)
 		sent, err := report.MarshalMsg(nil)
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/fleet/quota/ceilings.go
+++ b/internal/fleet/quota/ceilings.go
@@ -8,25 +8,25 @@
 
 //go:generate msgp -tests=false
 
-// maxNamed bounds the tenants that Ceilings name one by one; more are told as all.
+// maxNamed is the maximum number of tenants listed in Ceilings; for more, Ceilings.All is set instead.
 const maxNamed = 64
 
-// Ceilings say of which tenants an allocator may have handed out all slots; of the others it hands out Slots.Normal at
-// the most. They are committed to the control plane's record before an allocator makes use of them, so that the next
-// one, which knows no holdings, knows how many slots can't be out. A value is not changed once it is made; the nil
-// Ceilings raise no tenant.
+// Ceilings lists the tenants of which an allocator may have allocated all slots; of the others it allocates at most
+// Slots.Normal. Ceilings are committed to the control plane's record before an allocator uses them, so that the next
+// allocator, which does not know the holdings, knows how many slots cannot have been allocated. A Ceilings value is
+// immutable; nil raises no tenant.
 type Ceilings struct {
 	// All raises every tenant.
 	All bool `msg:"a,omitempty"`
-	// Tenants are those raised, sorted.
+	// Tenants are the raised tenants, sorted.
 	Tenants []string `msg:"t,omitempty"`
-	// Complete says that Holders are all proxies that may hold slots, or have used one within a window.
+	// Complete means that Holders lists every proxy that may hold slots or has used one within a window.
 	Complete bool `msg:"c,omitempty"`
 	// Holders are names of proxies, sorted.
 	Holders []string `msg:"h,omitempty"`
 }
 
-// Raised returns whether a tenant is raised.
+// Raised reports whether a tenant's ceiling is raised.
 func (c *Ceilings) Raised(tenant string) bool {
 	if c == nil {
 		return false
@@ -38,7 +38,7 @@
 	return found
 }
 
-// mayHold returns whether a proxy may hold slots as far as these ceilings go.
+// mayHold reports whether these ceilings let a proxy hold slots.
 func (c *Ceilings) mayHold(name string) bool {
 	if c == nil || !c.Complete {
 		return true
@@ -47,7 +47,7 @@
 	return found
 }
 
-// Equal returns whether both say the same.
+// Equal reports whether both raise the same tenants and name the same holders.
 func (c *Ceilings) Equal(other *Ceilings) bool {
 	if c == nil {
 		c = &Ceilings{}
@@ -74,7 +74,7 @@
 	return c
 }
 
-// name makes the ceilings complete: the proxies given are all that may hold slots.
+// name makes the ceilings complete, with the given proxies as the only ones that may hold slots.
 func (c *Ceilings) name(holders map[string]bool) {
 	c.Complete = true
 	c.Holders = slices.Sorted(maps.Keys(holders))
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -13,49 +13,50 @@
 )
 
 const (
-	// reportsPerLease is how often a holder renews its lease in the time of one.
+	// reportsPerLease is how many times per lease duration a holder renews its lease.
 	reportsPerLease = 4
-	// giveBackInterval is how often it is looked for slots to be given back before that.
+	// giveBackInterval is the interval of the checks for slots to be returned before the next renewal.
 	giveBackInterval = 250 * time.Millisecond
-	// answerTimeout bounds the dial and each answer; a later answer isn't used.
+	// answerTimeout is the time-out of the dial and of each answer; a later answer is discarded.
 	answerTimeout = 500 * time.Millisecond
-	// minRedial and maxRedial bound the pause before the allocator is dialled again.
+	// minRedial and maxRedial are the bounds of the backoff before the allocator is dialled again.
 	minRedial = 10 * time.Millisecond
 	maxRedial = 200 * time.Millisecond
 )
 
-// Errors of Acquire.
+// Errors returned by Client.Acquire.
 var (
-	// ErrOverQuota says that the tenant has used its quota.
+	// ErrOverQuota means that the tenant has used up its quota.
 	ErrOverQuota = errors.New("over the tenant's quota")
-	// ErrNoAllocator says that it isn't known whether the tenant has used its quota.
-	ErrNoAllocator = errors.New("no control server tells how much of the tenant's quota is left")
+	// ErrNoAllocator means that no allocator has answered, so that it is unknown whether the tenant has quota left.
+	ErrNoAllocator = errors.New("no control server has answered how much of the tenant's quota is left")
 )
 
-// Client is a Holder with its connection to the allocator. It is safe for use by many goroutines.
+// Client is a Holder together with its connection to the allocator. It is safe for concurrent use.
 type Client struct {
-	allocator func() string // address of the primary's Server; empty: not known
+	allocator func() string // returns the address of the primary's Server; empty: unknown
 	dial      distribution.DialFunc
-	start     time.Time // zero of the holder's clock
+	start     time.Time // time 0 of the holder's clock
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields up to progress
 	holder   *Holder
-	built    uint64        // reports so far
-	fullAt   time.Duration // when the last full one was built
-	answered uint64        // the newest of them that an allocator has answered
+	built    uint64        // number of reports built
+	fullAt   time.Duration // when the last full report was built
+	answered uint64        // number of the newest report that an allocator has answered
 	progress chan struct{} // closed and replaced with each answer
 
-	wake chan struct{} // holds a value while a request waits for a slot
+	wake chan struct{} // signalled when a request starts to wait for a slot
 }
 
-// Slot is what Acquire has taken for a request.
+// Slot is a slot that Client.Acquire has taken for a request.
 type Slot struct {
 	client  *Client // nil: the tenant has no quota
 	tenant  string
 	takenAt time.Duration
 }
 
-// NewClient returns a client that asks the allocator at the address that the function gives. Run has to be called.
+// NewClient returns a client that reports to the allocator at the address that allocator returns. The caller must call
+// Run.
 func NewClient(holder *Holder, allocator func() string, dial distribution.DialFunc) *Client {
 	return &Client{
 		allocator: allocator,
@@ -67,18 +68,18 @@
 	}
 }
 
-// now is the holder's clock.
+// now returns the time on the holder's clock.
 func (c *Client) now() time.Duration { return time.Since(c.start) }
 
-// SetLimits puts the limits of a configuration in force. They must not be changed afterwards.
+// SetLimits applies the limits of a configuration. The caller must not modify them afterwards.
 func (c *Client) SetLimits(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.holder.SetLimits(limits, c.now())
 }
 
-// Acquire takes a slot of a tenant's quota for a request. Where none is free here it blocks until the allocator has
-// answered, for wait at the most. The error is ErrOverQuota, ErrNoAllocator where none has answered, or that of ctx.
+// Acquire takes a slot of a tenant's quota for a request. If this holder has no free slot, it blocks until the allocator
+// has answered, for at most wait. The error is ErrOverQuota, ErrNoAllocator if no allocator has answered, or ctx.Err().
 func (c *Client) Acquire(ctx context.Context, tenant string, wait time.Duration) (Slot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,14 +102,14 @@
 	return Slot{}, ErrOverQuota
 }
 
-// take takes a slot that is free here; the lock is held.
+// take tries to take one of the holder's free slots. The caller must hold c.mu.
 func (c *Client) take(tenant string) (Slot, Verdict) {
 	now := c.now()
 	return Slot{client: c, tenant: tenant, takenAt: now}, c.holder.Acquire(tenant, now)
 }
 
-// awaitAnswer waits for the answer to a report that asks for a slot, for wait at the most. The lock is held, but not
-// while it waits.
+// awaitAnswer waits for the answer to a report that requests a slot, for at most wait. The caller must hold c.mu, which
+// is released during the wait.
 func (c *Client) awaitAnswer(ctx context.Context, tenant string, wait time.Duration) error {
 	c.holder.AddWaiting(tenant, 1)
 	defer c.holder.AddWaiting(tenant, -1)
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// Release gives the slot back, for a request that no backend has run or will run.
+// Release returns the slot of a request that no backend has run or will run.
 func (s Slot) Release() {
 	if s.client == nil {
 		return
@@ -149,19 +150,19 @@
 	s.client.holder.Release(s.tenant, s.takenAt)
 }
 
-// Run reports to the allocator until ctx ends, and dials again with backoff.
+// Run reports to the allocator until ctx ends, and redials with backoff.
 func (c *Client) Run(ctx context.Context) {
 	backoff := distribution.Backoff{Min: minRedial, Max: maxRedial}
 	for ctx.Err() == nil {
 		began := time.Now()
 		if addr := c.allocator(); addr != "" && c.limited() {
-			_ = c.follow(ctx, addr) // the next connection tells why, if it fails too
+			_ = c.follow(ctx, addr) // any error is answered by a new connection
 		}
 		backoff.Wait(ctx, time.Since(began))
 	}
 }
 
-// limited returns whether any tenant has a quota: otherwise there is nothing to report.
+// limited reports whether any tenant has a quota; otherwise there is nothing to report.
 func (c *Client) limited() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,12 +180,12 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	r := bufio.NewReader(conn)
 	var greeting Answer
-	_ = conn.SetDeadline(time.Now().Add(answerTimeout)) // an error shows at the read
+	_ = conn.SetDeadline(time.Now().Add(answerTimeout)) // on failure the read below returns the error
 	if err := distribution.ReadFrame(r, &greeting); err != nil {
 		return err
 	}
 	if !c.beginReports(greeting.Epoch) {
-		return errors.Errorf("%s is no allocator", addr)
+		return errors.Errorf("control server %s is not an allocator, or one of an earlier epoch", addr)
 	}
 	for full := true; ; {
 		if err := c.report(conn, r, full); err != nil {
@@ -195,12 +196,13 @@
 			return err
 		}
 		if c.allocator() != addr {
-			return errors.Errorf("%s is no longer the primary", addr)
+			return errors.Errorf("control server %s is no longer the primary", addr)
 		}
 	}
 }
 
-// awaitDue waits until a report is due: for a request that waits, or a full one. It returns an error once ctx ends.
+// awaitDue waits until a report is due: a partial one for waiting requests, or a full one. It returns an error once ctx
+// ends.
 func (c *Client) awaitDue(ctx context.Context) (full bool, err error) {
 	tick := time.NewTicker(giveBackInterval)
 	defer tick.Stop()
@@ -218,7 +220,7 @@
 	}
 }
 
-// fullReportDue returns whether slots are to be given back or the lease is to be renewed.
+// fullReportDue reports whether slots are to be returned or the lease is to be renewed.
 func (c *Client) fullReportDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,17 +228,17 @@
 	return now-c.fullAt >= c.holder.rule.Lease/reportsPerLease || c.holder.HasSurplus(now)
 }
 
-// beginReports notes the allocator's epoch.
+// beginReports records the epoch of the allocator. It returns false if a later one has been reported to already.
 func (c *Client) beginReports(epoch uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.holder.BeginReports(epoch)
 }
 
-// report sends one report and takes its answer.
+// report sends one report, and reads and applies its answer.
 func (c *Client) report(conn net.Conn, r *bufio.Reader, full bool) error {
 	sentAt, report, number := c.buildReport(full)
-	_ = conn.SetDeadline(time.Now().Add(answerTimeout)) // an error shows at the write
+	_ = conn.SetDeadline(time.Now().Add(answerTimeout)) // on failure the write below returns the error
 	if err := distribution.WriteFrame(conn, report); err != nil {
 		return err
 	}
@@ -245,12 +247,13 @@
 		return err
 	}
 	if answer.Epoch != report.Epoch || answer.Sequence != report.Sequence {
-		return errors.New("the allocator has changed")
+		return errors.Errorf("quota answer has epoch %d and sequence %d, want %d and %d",
+			answer.Epoch, answer.Sequence, report.Epoch, report.Sequence)
 	}
 	return c.apply(&answer, sentAt, number)
 }
 
-// buildReport returns the next report, and when it was built.
+// buildReport returns the next report, when it was built, and its number on this client.
 func (c *Client) buildReport(full bool) (builtAt time.Duration, report *Report, number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -262,14 +265,14 @@
 	return builtAt, c.holder.NextReport(builtAt, full), c.built
 }
 
-// apply takes an answer, and wakes who waits for it. One that comes too late is not used: this process was frozen, and
-// the allocator may be another one by now.
+// apply applies an answer and wakes the requests that wait for it. A late answer is discarded: this process was frozen,
+// and the allocator may have been replaced in the meantime.
 func (c *Client) apply(answer *Answer, sentAt time.Duration, number uint64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	if now-sentAt > answerTimeout {
-		return errors.New("the answer came late")
+		return errors.Errorf("quota answer received %v after its report, limit %v", now-sentAt, answerTimeout)
 	}
 	c.holder.Apply(answer, sentAt, now)
 	c.answered = number
--- a/internal/fleet/quota/client_test.go
+++ b/internal/fleet/quota/client_test.go
@@ -44,7 +44,7 @@
 	s.SetLimits(limits)
 	s.SetCeilings(&Ceilings{All: true})
 	s.Lead(epoch, &Ceilings{All: true})
-	s.allocator.provenAt = 0
+	s.allocator.allKnownAt = 0
 	return s
 }
 
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// denialPause is for how long a tenant isn't asked for again after the allocator had no slots for it.
+	// denialPause is how long no slots of a tenant are requested after the allocator had too few of them.
 	denialPause = 100 * time.Millisecond
-	// reportTransit is within which time a report that is answered at all reaches an allocator that may still answer:
-	// more than answerTimeout, and than an earlier allocator goes on beside a later one.
+	// reportTransit is the maximum time within which an answered report reaches an allocator that may still answer. It
+	// is longer than answerTimeout, and than the overlap of an earlier allocator with its successor.
 	reportTransit = 2500 * time.Millisecond
 )
 
-// Verdict says what becomes of a request that needs a slot.
+// Verdict is the result of Holder.Acquire.
 type Verdict int
 
 const (
-	// Admitted requests have a slot.
+	// Admitted means that the request has taken a slot.
 	Admitted Verdict = iota
-	// NeedsSlots says that no slot is free here, and that the allocator is to be asked for one.
+	// NeedsSlots means that the holder has no free slot and is to request one from the allocator.
 	NeedsSlots
-	// OverQuota says that no slot is free here, and that the allocator had none a moment ago.
+	// OverQuota means that the holder has no free slot, and that the allocator had too few within denialPause.
 	OverQuota
-	// LeaseLapsed says that the slots held here may not be used, as no allocator has answered for the time of a lease.
+	// LeaseLapsed means that the holder's slots may not be used, as no report sent within a lease has been answered.
 	LeaseLapsed
 )
 
-// Holder is a proxy's slots. Times are on the steady clock of its process, as durations since any moment. It has no
-// lock of its own.
+// Holder manages the slots of one proxy. Times are on the monotonic clock of its process, as durations since a fixed
+// arbitrary moment. It is not safe for concurrent use.
 type Holder struct {
 	rule        Rule
 	name        string
@@ -34,33 +34,34 @@
 	limits   Limits
 	holdings map[string]*holding
 
-	// leased says that an allocator has answered a report, and usableUntil until when the slots may be used.
+	// leased is set once an allocator has answered a report; the slots may be used until usableUntil.
 	leased      bool
 	usableUntil time.Duration
 
-	epoch    uint64 // of the allocator that is reported to; it never falls
-	sequence uint64 // of the last report
+	epoch    uint64 // epoch of the allocator that receives the reports; it never decreases
+	sequence uint64 // sequence number of the last report
 
 	firstReportAt time.Duration
 }
 
-// holding is what a Holder has of one tenant's slots. The number of slots is free + used.count().
+// holding is a Holder's slots of one tenant. The number of slots is free + used.count().
 type holding struct {
 	free int
-	// used are when the slots were used that are not free yet.
+	// used are the times at which the slots that are not free yet were used.
 	used useTimes
-	// surplus is how many of the used slots are given up as soon as they are free.
+	// surplus is how many of the used slots are given up as soon as they become free.
 	surplus int
 
 	waiting int // requests that wait for a slot
-	asked   int // of them, those that the newest report has told of
-	spare   int // free slots that may be kept
+	asked   int // number of waiting requests in the newest report
+	spare   int // maximum number of free slots to keep
 	lastUse time.Duration
-	// deniedUntil is until when the allocator isn't asked.
+	// deniedUntil is the end of denialPause after the last denial.
 	deniedUntil time.Duration
 }
 
-// NewHolder returns a holder without slots. The incarnation tells the process from earlier ones of the same name.
+// NewHolder returns a holder without slots. The incarnation distinguishes the process from earlier ones of the same
+// name.
 func NewHolder(rule Rule, name string, incarnation uint64) *Holder {
 	return &Holder{
 		rule:        rule,
@@ -71,15 +72,15 @@
 	}
 }
 
-// Limited returns whether a tenant has a quota.
+// Limited reports whether a tenant has a quota.
 func (h *Holder) Limited(tenant string) bool {
 	_, ok := h.limits[tenant]
 	return ok
 }
 
-// SetLimits puts the limits of a configuration in force. Where a tenant has fewer slots than before, this holder gives
-// up its part of the difference: if all do, all together have no more than the tenant has now. The limits must not be
-// changed afterwards.
+// SetLimits applies the limits of a configuration. If a tenant has fewer slots than before, this holder gives up its
+// part of the difference, so that all holders together end up with no more slots than the tenant has now. The caller
+// must not modify the limits afterwards.
 func (h *Holder) SetLimits(limits Limits, now time.Duration) {
 	for tenant, held := range h.holdings {
 		after, limited := limits[tenant]
@@ -96,7 +97,7 @@
 	h.limits = limits
 }
 
-// Acquire takes a slot of a tenant for a request that goes to a backend from now on.
+// Acquire takes a slot of a tenant for a request that is forwarded to a backend no earlier than now.
 func (h *Holder) Acquire(tenant string, now time.Duration) Verdict {
 	if !h.leased || now >= h.usableUntil {
 		return LeaseLapsed
@@ -115,7 +116,7 @@
 	return NeedsSlots
 }
 
-// Release gives a slot back that was taken at a time, for a request that no backend has run.
+// Release frees a slot that was taken at takenAt for a request that no backend has run.
 func (h *Holder) Release(tenant string, takenAt time.Duration) {
 	held := h.holdings[tenant]
 	if held == nil {
@@ -126,13 +127,13 @@
 	}
 }
 
-// AddWaiting adds to the number of requests that wait for a slot of a tenant, or takes from it.
+// AddWaiting adds n, which may be negative, to the number of requests that wait for a slot of a tenant.
 func (h *Holder) AddWaiting(tenant string, n int) {
 	held := h.holding(tenant)
 	held.waiting = max(held.waiting+n, 0)
 }
 
-// holding returns what is held of a tenant's slots.
+// holding returns the record of a tenant's slots, which it creates if there is none.
 func (h *Holder) holding(tenant string) *holding {
 	held := h.holdings[tenant]
 	if held == nil {
@@ -142,8 +143,8 @@
 	return held
 }
 
-// BeginReports notes the epoch of an allocator that is reported to from now on. It returns false, and reports nothing,
-// where a later one has been reported to already.
+// BeginReports sets the epoch of the allocator that later reports are for. It returns false and changes nothing if the
+// epoch is 0 or earlier than that of a former allocator.
 func (h *Holder) BeginReports(epoch uint64) bool {
 	if epoch == 0 || epoch < h.epoch {
 		return false
@@ -152,11 +153,12 @@
 	return true
 }
 
-// NextReport returns a report of the tenants that need slots or, if it is to be a full one, of all that is held. A full
-// report gives back the free slots that are not to be kept.
+// NextReport returns a report of the tenants that need slots or, if full is set, of all holdings. A full report returns
+// the free slots beyond those to keep.
 //
-// Some time after the lease has lapsed all slots are given up. An allocator that doesn't hear of them hands them out to
-// others a window after the lease, and when this report reaches which allocator is not known, but for reportTransit.
+// All slots are given up a window less reportTransit after the lease has lapsed. An allocator that receives no report
+// allocates them to others a window after the lease, and this report may take up to reportTransit to reach an
+// allocator.
 func (h *Holder) NextReport(now time.Duration, full bool) *Report {
 	lapsed := h.leased && now >= h.usableUntil+max(h.rule.Window-reportTransit, 0)
 	if h.sequence == 0 {
@@ -194,7 +196,7 @@
 	return report
 }
 
-// HasSurplus returns whether a full report would give slots back.
+// HasSurplus reports whether a full report would return slots.
 func (h *Holder) HasSurplus(now time.Duration) bool {
 	for _, held := range h.holdings {
 		held.expire(now, h.rule.Window)
@@ -205,13 +207,14 @@
 	return false
 }
 
-// Apply takes what an allocator has answered to a report that was sent at a time.
+// Apply processes an allocator's answer to a report that was sent at sentAt: it extends the lease and adds the granted
+// slots.
 func (h *Holder) Apply(answer *Answer, sentAt, now time.Duration) {
 	h.leased = true
 	h.usableUntil = max(h.usableUntil, sentAt+h.rule.Lease)
 	for _, grant := range answer.Grants {
 		if !h.Limited(grant.Tenant) {
-			continue // what is granted is given back with the next full report
+			continue // the next full report returns the granted slots
 		}
 		held := h.holding(grant.Tenant)
 		held.free += grant.Slots
@@ -223,22 +226,22 @@
 	}
 }
 
-// total is how many slots are held.
+// total returns the number of slots, free and used.
 func (s *holding) total() int { return s.free + s.used.count() }
 
-// expire frees the slots that were used a window ago.
+// expire frees the slots whose last use is more than a window ago.
 func (s *holding) expire(now, window time.Duration) {
 	s.addFree(s.used.takeEarlier(now - window))
 }
 
-// addFree adds free slots, but for those that are to be given up.
+// addFree adds n free slots, less those that are to be given up.
 func (s *holding) addFree(n int) {
 	gone := min(n, s.surplus)
 	s.surplus -= gone
 	s.free += n - gone
 }
 
-// giveUp gives up slots, if the number is above 0: free ones now, others when they become free.
+// giveUp gives up n slots if n is positive: free ones now, others when they become free.
 func (s *holding) giveUp(n int) {
 	n = min(max(n, 0), s.total()-s.surplus)
 	now := min(n, s.free)
@@ -246,11 +249,11 @@
 	s.surplus += n - now
 }
 
-// giveBack gives back the free slots that are not to be kept.
+// giveBack drops the free slots beyond those to keep.
 func (s *holding) giveBack(now, window time.Duration) { s.free = min(s.free, s.keep(now, window)) }
 
-// keep is how many free slots are kept: as many as the allocator allows where the tenant is being served, and none of
-// a tenant that has not been seen for a window.
+// keep returns how many free slots to keep: up to half of the used ones and one more, limited by the allocator's spare
+// allowance, and 0 if the tenant has had no request for a window.
 func (s *holding) keep(now, window time.Duration) int {
 	if s.used.count() == 0 && now-s.lastUse > window {
 		return 0
--- a/internal/fleet/quota/holder_test.go
+++ b/internal/fleet/quota/holder_test.go
@@ -16,9 +16,9 @@
 	return n
 }
 
-// TestSlotsOfALapsedLease checks that slots are not used again which were held when the lease lapsed: whoever has been
+// TestSlotsGivenUpAfterLeaseLapses checks that slots are not used again which were held when the lease lapsed: whoever has been
 // silent for so long that its slots are handed out to others may have a report under way that tells of them.
-func TestSlotsOfALapsedLease(t *testing.T) {
+func TestSlotsGivenUpAfterLeaseLapses(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
 	silent, other := NewHolder(testRule, "p", 1), NewHolder(testRule, "q", 2)
@@ -30,7 +30,7 @@
 		h.Apply(&Answer{Grants: grants}, sentAt, takenAt)
 		h.AddWaiting("t", -wanted)
 	}
-	ms := func(n int) time.Duration { return testProven + time.Duration(n)*time.Millisecond }
+	ms := func(n int) time.Duration { return testAllKnownAt + time.Duration(n)*time.Millisecond }
 	for _, h := range []*Holder{silent, other} {
 		h.SetLimits(tenSlots(), 0)
 		c.Assert(h.BeginReports(1), qt.IsTrue)
@@ -70,9 +70,9 @@
 	c.Assert(acquireAll(h, 12*time.Second+1), qt.Equals, 2)
 }
 
-// TestWaitersAfterTheReport checks that requests that came to wait after a report was built don't make the answer to it
+// TestWaitersAfterReportAreNotDenied checks that requests that came to wait after a report was built don't make the answer to it
 // a denial.
-func TestWaitersAfterTheReport(t *testing.T) {
+func TestWaitersAfterReportAreNotDenied(t *testing.T) {
 	c := qt.New(t)
 	h := NewHolder(testRule, "p", 1)
 	h.SetLimits(tenSlots(), 0)
--- a/internal/fleet/quota/limits.go
+++ b/internal/fleet/quota/limits.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// marginShare is the share of the rule's tolerance that is made use of, without a unit. The rest is for requests
-	// that reach two backends.
+	// marginShare is the fraction of the rule's tolerance that slots may use. The remainder is for requests that reach
+	// two backends.
 	marginShare = 0.8
-	// normalShare is the share of a tenant's slots that are handed out while its ceiling isn't raised. The rest is what
-	// an allocator can hand out at once that knows no holdings.
+	// normalShare is the fraction of a tenant's slots that may be allocated while its ceiling isn't raised. A new
+	// allocator, which does not know the holdings, can allocate the remainder at once.
 	normalShare = 0.65
 )
 
-// Rule is by what a tenant's slots are counted.
+// Rule is the deployment-wide rule by which the slots of tenants are calculated.
 type Rule struct {
-	// Window is the time over which requests count.
+	// Window is the length of the window in which requests are counted.
 	Window time.Duration
-	// Excess is the fraction of a quota, and Extra the number of requests, by which a window may be above it.
+	// Excess is the fraction of a quota, and Extra the number of requests, by which the requests in a window may exceed
+	// the quota.
 	Excess float64
 	Extra  float64
-	// Lease is for how long a holder may use its slots after a report that was answered.
+	// Lease is how long a holder may use its slots after sending a report that was answered.
 	Lease time.Duration
 }
 
@@ -38,15 +39,15 @@
 	}
 }
 
-// Slots is how many slots a tenant has.
+// Slots is the number of slots of a tenant.
 type Slots struct {
-	// Total is how many all holders together may hold.
+	// Total is the maximum number of slots of all holders together.
 	Total int
-	// Normal is how many they may hold while the tenant's ceiling isn't raised.
+	// Normal is that maximum while the tenant's ceiling isn't raised.
 	Normal int
 }
 
-// SlotsOf returns how many slots an account has; ok is false where it has no quota.
+// SlotsOf returns the number of slots of an account; ok is false if it has no quota.
 func (r *Rule) SlotsOf(account *routingconfig.Account) (slots Slots, ok bool) {
 	if !account.Limited() {
 		return Slots{}, false
@@ -56,10 +57,10 @@
 	return Slots{Total: total, Normal: int(normalShare * float64(total))}, true
 }
 
-// roundDown rounds down, and bounds what no deployment reaches.
+// roundDown rounds down to an integer of at most math.MaxInt32, so that the conversion can't overflow.
 func roundDown(n float64) int { return int(min(math.Floor(n), math.MaxInt32)) }
 
-// Limits are the slots of all tenants that have a quota, by name.
+// Limits maps the name of each tenant that has a quota to its slots.
 type Limits map[string]Slots
 
 // LimitsOf returns the limits of a configuration's accounts.
--- a/internal/fleet/quota/liveness_test.go
+++ b/internal/fleet/quota/liveness_test.go
@@ -10,8 +10,8 @@
 
 var livenessSeeds = flag.Int("quota.liveness", 5, "how many seeds TestModelLiveness plays")
 
-// calmModel is a fleet without faults at half of each tenant's quota, some time after its start.
-func calmModel(seed uint64, holders int) *model {
+// faultFreeModel is a fleet without faults at half of each tenant's quota, some time after its start.
+func faultFreeModel(seed uint64, holders int) *model {
 	limits := Limits{}
 	for tenant, total := range map[string]int{"small": 20, "middle": 100, "large": 1000} {
 		limits[tenant] = Slots{Total: total, Normal: int(normalShare * float64(total))}
@@ -67,7 +67,7 @@
 			for _, holders := range []int{4, 20, 74} {
 				least, sum, most := 1.0, 0.0, 0.0
 				for seed := range uint64(*livenessSeeds) {
-					m := calmModel(seed, holders)
+					m := faultFreeModel(seed, holders)
 					test.trouble(m)
 					refused := m.refusedIn(test.within)
 					least, sum, most = min(least, refused), sum+refused, max(most, refused)
--- a/internal/fleet/quota/model_test.go
+++ b/internal/fleet/quota/model_test.go
@@ -299,11 +299,11 @@
 	h.built, h.newest, h.waiters = 0, 0, nil
 	h.frozenUntil = 0
 	h.conn++
-	m.after(m.upTo(20*time.Millisecond), m.ofConn(h, func() { m.dial(h) }))
+	m.after(m.upTo(20*time.Millisecond), m.onConn(h, func() { m.dial(h) }))
 }
 
-// ofConn returns run for later: it is called when the holder isn't frozen, unless its connection has ended by then.
-func (m *model) ofConn(h *modelHolder, run func()) func() {
+// onConn returns run for later: it is called when the holder isn't frozen, unless its connection has ended by then.
+func (m *model) onConn(h *modelHolder, run func()) func() {
 	conn := h.conn
 	var later func()
 	later = func() {
@@ -322,7 +322,7 @@
 func (m *model) disconnect(h *modelHolder) {
 	h.conn++
 	h.connected, h.reporting = false, false
-	m.after(10*time.Millisecond+m.upTo(190*time.Millisecond), m.ofConn(h, func() { m.dial(h) }))
+	m.after(10*time.Millisecond+m.upTo(190*time.Millisecond), m.onConn(h, func() { m.dial(h) }))
 }
 
 // dial connects a holder to whom it takes for the primary. What comes back is the greeting.
@@ -330,7 +330,7 @@
 	term := h.leader
 	there, lost := m.delay()
 	back, lostBack := m.delay()
-	timeout := m.ofConn(h, func() {
+	timeout := m.onConn(h, func() {
 		if !h.connected {
 			m.disconnect(h)
 		}
@@ -340,7 +340,7 @@
 		return
 	}
 	var accepted uint64
-	greet := m.ofConn(h, func() {
+	greet := m.onConn(h, func() {
 		if !h.connected && h.holder.BeginReports(term.epoch) {
 			h.connected, h.accepted = true, accepted
 			m.heartbeat(h)
@@ -369,7 +369,7 @@
 
 // heartbeat reports in full a few times in a lease.
 func (m *model) heartbeat(h *modelHolder) {
-	m.after(modelRule.Lease/reportsPerLease, m.ofConn(h, func() {
+	m.after(modelRule.Lease/reportsPerLease, m.onConn(h, func() {
 		m.heartbeat(h)
 		if !h.reporting {
 			m.report(h, h.leader, true)
@@ -388,7 +388,7 @@
 	h.built++
 	number := h.built
 	h.reporting, h.wake = true, false
-	m.after(answerTimeout, m.ofConn(h, func() {
+	m.after(answerTimeout, m.onConn(h, func() {
 		if h.newest < number {
 			m.disconnect(h)
 		}
@@ -405,7 +405,7 @@
 	}
 	var answer *Answer
 	accepted := h.accepted
-	receive := m.ofConn(h, func() { m.takeAnswer(h, answer, sentAt, number) })
+	receive := m.onConn(h, func() { m.takeAnswer(h, answer, sentAt, number) })
 	m.atTerm(term, there, func() {
 		if answer = m.handle(term, report, accepted); answer == nil {
 			return
@@ -545,17 +545,17 @@
 	m.trace("%s has %d slots from now on", tenant, total)
 	m.terms[len(m.terms)-1].allocator.SetLimits(m.limits)
 	for _, h := range m.holders {
-		m.after(m.upTo(2500*time.Millisecond), func() { m.tellLimits(h, h.incarnation) })
+		m.after(m.upTo(2500*time.Millisecond), func() { m.sendLimits(h, h.incarnation) })
 	}
 }
 
-// tellLimits tells a proxy of the limits once it can be reached, if its process lives so long.
-func (m *model) tellLimits(h *modelHolder, life uint64) {
+// sendLimits tells a proxy of the limits once it can be reached, if its process lives so long.
+func (m *model) sendLimits(h *modelHolder, life uint64) {
 	if h.dead || h.incarnation != life {
 		return
 	}
 	if away := max(h.frozenUntil, h.cutUntil); m.now < away {
-		m.after(away-m.now, func() { m.tellLimits(h, life) })
+		m.after(away-m.now, func() { m.sendLimits(h, life) })
 		return
 	}
 	h.holder.SetLimits(m.limits, m.now-h.origin)
@@ -648,11 +648,11 @@
 func TestModelNeverOverQuota(t *testing.T) {
 	var sum modelStats
 	for seed := *modelFrom; seed < *modelFrom+uint64(*modelSeeds); seed++ {
-		m := stormModel(seed)
+		m := faultyModel(seed)
 		if *modelTrace {
 			m.trace = func(format string, args ...any) { t.Logf("%v "+format, append([]any{m.now}, args...)...) }
 		}
-		m.storm(time.Duration(60+60*(m.kinds-8)) * time.Second)
+		m.injectFaults(time.Duration(60+60*(m.kinds-8)) * time.Second)
 		if m.breach != "" {
 			t.Fatalf("seed %d: %s", seed, m.breach)
 		}
@@ -669,8 +669,8 @@
 	qt.Assert(t, sum.refused > 0 && sum.refused < sum.requests && sum.takeovers > 0 && sum.late > 0, qt.IsTrue)
 }
 
-// stormModel is a small fleet whose tenants have few slots.
-func stormModel(seed uint64) *model {
+// faultyModel is a small fleet whose tenants have few slots.
+func faultyModel(seed uint64) *model {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	limits := Limits{}
 	for i := range 1 + rng.IntN(3) {
@@ -688,7 +688,7 @@
 }
 
 // storm has faults come up to a time.
-func (m *model) storm(end time.Duration) {
+func (m *model) injectFaults(end time.Duration) {
 	for m.now < end && m.breach == "" {
 		m.runUntil(min(m.now+m.upTo(m.pause), end))
 		m.fault()
--- a/internal/fleet/quota/planted_test.go
+++ b/internal/fleet/quota/planted_test.go
@@ -49,7 +49,7 @@
 	},
 	{
 		Name:  "a new allocator hands out all at once",
-		Texts: []string{"if now >= a.provenAt {\n\t\treturn", "if now >= 0 {\n\t\treturn"},
+		Texts: []string{"if now >= a.allKnownAt {\n\t\treturn", "if now >= 0 {\n\t\treturn"},
 		Tests: modelSearch,
 	},
 	{
@@ -70,7 +70,7 @@
 	{
 		Name:  "a lowering may be overtaken",
 		Texts: []string{"\tif !a.proposed.Equal(a.committed) {\n\t\treturn a.proposed\n\t}\n", ""},
-		Tests: "^TestLoweringThatMayStillBeCommitted$",
+		Tests: "^TestPendingLoweringBlocksRaise$",
 	},
 	{
 		Name:  "slots of an ended process are free at once",
@@ -95,12 +95,12 @@
 	{
 		Name:  "slots of a lapsed lease are kept",
 		Texts: []string{"h.leased && now >= h.usableUntil+max(h.rule.Window-reportTransit, 0)", "false"},
-		Tests: "^TestSlotsOfALapsedLease$",
+		Tests: "^TestSlotsGivenUpAfterLeaseLapses$",
 	},
 	{
 		Name:  "later waiters make a denial",
 		Texts: []string{"if held.asked > grant.Slots {", "if held.waiting > grant.Slots {"},
-		Tests: "^TestWaitersAfterTheReport$",
+		Tests: "^TestWaitersAfterReportAreNotDenied$",
 	},
 	{
 		Name:  "a late answer is used",
@@ -110,7 +110,7 @@
 	{
 		Name:  "what a full report doesn't name is kept",
 		Texts: []string{"\t\ta.recordAbsent(holder, report.Holdings)\n", ""},
-		Tests: "^TestFullReportDropsTheRest$",
+		Tests: "^TestFullReportReleasesUnnamedTenants$",
 	},
 }
 
--- a/internal/fleet/quota/server.go
+++ b/internal/fleet/quota/server.go
@@ -10,28 +10,29 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// acceptRetryDelay is the pause after a failed accept, which fails at once where the process is out of descriptors.
+// acceptRetryDelay is the pause after a failed accept: while the process is out of file descriptors, accept fails
+// immediately.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// Server is a control server's allocator, for as long as that server is the primary. It is safe for use by many
-// goroutines.
+// Server runs the allocator of a control server for as long as that server is the primary. It is safe for concurrent
+// use.
 type Server struct {
 	rule    Rule
 	overlap time.Duration
-	// leads returns whether this server is the primary of an epoch, and no other one was elected a moment ago.
+	// leads reports whether this server is the primary of an epoch; it may do so for overlap after another was elected.
 	leads func(epoch uint64) bool
-	start time.Time // zero of the allocator's clock
+	start time.Time // time 0 of the allocator's clock
 
-	mu        sync.Mutex // guards what follows
-	epoch     uint64     // the last one in which this server was the primary; 0: none
+	mu        sync.Mutex // guards the fields below
+	epoch     uint64     // the last epoch in which this server was the primary; 0: none
 	limits    Limits
 	ceilings  *Ceilings  // committed
-	allocator *Allocator // of that epoch; leads says whether it still is
-	conns     uint64     // accepted so far
+	allocator *Allocator // of that epoch, which may have ended (see leads)
+	conns     uint64     // number of accepted connections
 }
 
-// NewServer returns a server that is no allocator yet. leads says whether this server is still the primary of an epoch;
-// for overlap after another one was elected it may say so.
+// NewServer returns a server without an allocator. leads reports whether this server is still the primary of an epoch;
+// it may return true for up to overlap after another server was elected.
 func NewServer(rule Rule, overlap time.Duration, leads func(epoch uint64) bool) *Server {
 	return &Server{
 		rule:    rule,
@@ -42,7 +43,7 @@
 	}
 }
 
-// SetLimits puts the limits of a committed configuration in force. They must not be changed afterwards.
+// SetLimits applies the limits of a committed configuration. The caller must not modify them afterwards.
 func (s *Server) SetLimits(limits Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +53,8 @@
 	}
 }
 
-// Lead makes this server the allocator of an epoch, under the ceilings that all earlier ones kept to. Where it was that
-// of the epoch before, it goes on with what it knows: nobody else handed out slots in between.
+// Lead makes this server the allocator of an epoch, with the ceilings that limited all earlier allocators. If it was the
+// allocator of the preceding epoch, it keeps its state, since no other server allocated slots in between.
 func (s *Server) Lead(epoch uint64, ceilings *Ceilings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,7 @@
 	s.epoch = epoch
 }
 
-// SetCeilings tells of ceilings that are committed.
+// SetCeilings applies committed ceilings.
 func (s *Server) SetCeilings(ceilings *Ceilings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +74,8 @@
 	}
 }
 
-// WantedCeilings returns the ceilings that are to be committed in an epoch, in place of those that are; ok is false
-// where there is nothing to commit.
+// WantedCeilings returns the ceilings to commit in an epoch in place of the committed ones; ok is false if there is
+// nothing to commit.
 func (s *Server) WantedCeilings(epoch uint64) (wanted *Ceilings, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,7 @@
 	return wanted, !wanted.Equal(s.ceilings)
 }
 
-// Serve answers holders until ctx ends and the listener is closed, which the caller does. It returns when all of its
+// Serve answers the reports of holders until ctx ends and the caller closes the listener. It returns when all of its
 // connections have ended.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) {
 	var conns sync.WaitGroup
@@ -110,7 +111,7 @@
 	}
 }
 
-// nextConn numbers connections in the order in which they are accepted.
+// nextConn returns the number of a new connection; connections are numbered in the order in which they are accepted.
 func (s *Server) nextConn() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,15 +119,15 @@
 	return s.conns
 }
 
-// serveConn answers the reports of one holder until the connection breaks, the holder is silent for a lease, or this
-// server is no allocator any more.
+// serveConn answers the reports of one holder until the connection breaks, no report has come for a lease, or this server
+// is no longer the allocator.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn, number uint64) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	r := bufio.NewReaderSize(conn, 1024)
 	greeting := Answer{Epoch: s.currentEpoch()}
 	for answer := &greeting; ; {
-		_ = conn.SetDeadline(time.Now().Add(s.rule.Lease)) // an error shows at the write
+		_ = conn.SetDeadline(time.Now().Add(s.rule.Lease)) // on failure the write below returns the error
 		if err := distribution.WriteFrame(conn, answer); err != nil || answer.Epoch == 0 {
 			return
 		}
@@ -141,7 +142,7 @@
 	}
 }
 
-// currentEpoch is the epoch in which this server is the allocator; 0: it isn't.
+// currentEpoch returns the epoch in which this server is the allocator; 0 if it isn't.
 func (s *Server) currentEpoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +152,7 @@
 	return s.epoch
 }
 
-// handle answers one report that came on a connection.
+// handle returns the answer to one report that was received on a connection.
 func (s *Server) handle(report *Report, conn uint64) (*Answer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/quota/usetimes.go
+++ b/internal/fleet/quota/usetimes.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// useTimes are when slots were used, the earliest first. Adding and taking off the earliest cost the same however many
-// there are.
+// useTimes is a queue of the times at which slots were used, the earliest first. Adding a time and removing the earliest
+// take amortized constant time.
 type useTimes struct {
 	times []time.Duration
-	first int // index of the earliest that hasn't been taken off
+	first int // index of the earliest time that hasn't been removed
 }
 
-// count is how many there are.
+// count returns the number of times.
 func (u *useTimes) count() int { return len(u.times) - u.first }
 
-// add adds one that isn't earlier than any.
+// add appends a time that isn't earlier than any other.
 func (u *useTimes) add(at time.Duration) {
 	if len(u.times) == cap(u.times) && u.first > u.count() {
 		u.times = u.times[:copy(u.times, u.times[u.first:])]
@@ -24,7 +24,7 @@
 	u.times = append(u.times, at)
 }
 
-// takeEarlier takes off those that are earlier than a time, and returns how many there were.
+// takeEarlier removes the times before than, and returns how many it removed.
 func (u *useTimes) takeEarlier(than time.Duration) int {
 	before := u.first
 	for u.first < len(u.times) && u.times[u.first] < than {
@@ -33,7 +33,7 @@
 	return u.first - before
 }
 
-// take takes off one at a time; ok is false where there is none.
+// take removes one entry with the time at; ok is false if there is none.
 func (u *useTimes) take(at time.Duration) (ok bool) {
 	i, ok := slices.BinarySearch(u.times[u.first:], at)
 	if ok {
--- a/internal/fleet/scheduler/load.go
+++ b/internal/fleet/scheduler/load.go
@@ -151,13 +151,13 @@
 }
 
 // Unresponsive tells whether a backend is marked unresponsive, or a request has waited there for response headers for
-// longer than the patience given, ms.
-func (e *Estimator) Unresponsive(now float64, id string, patience float64) bool {
+// longer than timeoutMs.
+func (e *Estimator) Unresponsive(now float64, id string, timeoutMs float64) bool {
 	if e.MarkedUnresponsive(now, id) {
 		return true
 	}
 	b := e.byID[id]
-	return b != nil && len(b.awaitingHeaders) > 0 && now-b.awaitingHeaders[0] > patience
+	return b != nil && len(b.awaitingHeaders) > 0 && now-b.awaitingHeaders[0] > timeoutMs
 }
 
 // ObserveRejection records that a backend rejected a request for lack of capacity.
