--- a/internal/fleet/quota/allocator_test.go
+++ b/internal/fleet/quota/allocator_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// testRule has the times of a deployment.
+// testRule has the durations of a real deployment.
 var testRule = Rule{Window: 5 * time.Second, Lease: 4 * time.Second}
 
-// testOverlap is for how long an earlier allocator may answer; testAllKnownAt is when a new one knows all holdings.
+// testOverlap is how long an earlier allocator may still answer; testAllKnownAt is when a new one knows all holdings.
 const (
 	testOverlap    = 2 * time.Second
 	testAllKnownAt = testOverlap + 9*time.Second
@@ -19,7 +19,7 @@
 // tenSlots are the limits of most tests.
 func tenSlots() Limits { return Limits{"t": {Total: 10, Normal: 6}} }
 
-// fullReport is a report of one tenant's slots.
+// fullReport returns a full report with one tenant's slots.
 func fullReport(holder string, incarnation, sequence uint64, held, wanted int) *Report {
 	return &Report{
 		Holder:      holder,
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestPendingLoweringBlocksRaise checks that a tenant isn't raised again while a lowering is under way: were it
-// committed after slots beyond Slots.Normal were handed out, the next allocator would hand them out once more.
+// TestPendingLoweringBlocksRaise checks that a tenant isn't raised again while a lowering is in flight: if the lowering
+// were committed after slots beyond Slots.Normal were allocated, the next allocator would allocate them a second time.
 func TestPendingLoweringBlocksRaise(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
@@ -55,8 +55,9 @@
 	c.Assert(grants[0].Slots, qt.Equals, 4)
 }
 
-// TestLateReportOfAnEndedProcess checks that a report of a process that has ended, which comes after its successor's,
-// has no effect: the successor goes on with its slots, and they are nobody else's while its lease and a window last.
+// TestLateReportOfAnEndedProcess checks that a report of an ended process that arrives after its successor's first
+// report has no effect: the successor keeps its slots, and no other holder gets them until its lease and a window are
+// over.
 func TestLateReportOfAnEndedProcess(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
@@ -80,8 +81,8 @@
 			c.Assert(grants[0].Slots, qt.Equals, report.granted)
 		}
 	}
-	// The second one, which is not heard any more, may use its slots until 5 s, and they are free a window later. The
-	// allocator finds that at one search and hands them out from the next.
+	// The second process sends no more reports. It may use its slots until 5 s, and they are free a window later. One
+	// search for expired holders retires them, and the next one makes them available.
 	for _, at := range []struct {
 		at            time.Duration
 		held, granted int
@@ -97,7 +98,7 @@
 	}
 }
 
-// TestFirstReportIsFull checks that an allocator takes nothing of a process that hasn't told all that it holds.
+// TestFirstReportIsFull checks that an allocator rejects a partial report of an incarnation that has sent no full one.
 func TestFirstReportIsFull(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), nil, 0, testOverlap)
@@ -112,7 +113,7 @@
 	c.Assert(err, qt.Equals, errFirstReportNotFull)
 }
 
-// TestAllocator plays reports to an allocator, and what is granted. All are full, each on a connection of its own.
+// TestAllocator sends sequences of full reports, each on a connection of its own, and checks the grants.
 func TestAllocator(t *testing.T) {
 	type step struct {
 		at            time.Duration
@@ -188,7 +189,7 @@
 	}
 }
 
-// TestAllocatorCeilings checks when slots beyond Slots.Normal are handed out, and by whom.
+// TestAllocatorCeilings checks when an allocator and its successor allocate slots beyond Slots.Normal.
 func TestAllocatorCeilings(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), nil, 0, testOverlap)
@@ -227,7 +228,7 @@
 	want(testAllKnownAt+raisedFor+time.Second, 3, 0, 0)
 	c.Assert(a.WantedCeilings(testAllKnownAt+raisedFor+time.Second), qt.DeepEquals, lowered)
 
-	// The next allocator reckons with all of the tenants raised when it began, and 6 of others.
+	// The next allocator assumes that all slots of the tenants raised at its start are held, and 6 slots of others.
 	limits := Limits{"t": {Total: 10, Normal: 6}, "u": {Total: 10, Normal: 6}}
 	next := NewAllocator(testRule, limits, raised, 0, testOverlap)
 	all := next.WantedCeilings(0)
@@ -240,7 +241,7 @@
 	c.Assert([]int{grants[0].Slots, grants[1].Slots}, qt.DeepEquals, []int{0, 4})
 }
 
-// TestLateReport checks that a report which is older than one that was taken changes nothing.
+// TestLateReport checks that a report with a lower sequence number than the last one processed changes nothing.
 func TestLateReport(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
@@ -265,7 +266,8 @@
 	}
 }
 
-// TestFullReportReleasesUnnamedTenants checks that a full report gives back what it doesn't name, and another one doesn't.
+// TestFullReportReleasesUnnamedTenants checks that a full report returns the slots of tenants that it doesn't name, and
+// that a partial one doesn't.
 func TestFullReportReleasesUnnamedTenants(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
@@ -284,7 +286,8 @@
 	}
 }
 
-// TestLimitsLowered checks that holders give up what is above a lowered limit, and that a tenant without one has none.
+// TestLimitsLowered checks that holders give up the slots above a lowered limit, and that a tenant whose limit was
+// removed has none.
 func TestLimitsLowered(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
@@ -302,7 +305,7 @@
 	c.Assert(grants, qt.HasLen, 0)
 }
 
-// TestSmallQuotas checks that all slots of a tenant are handed out in the end, however few there are.
+// TestSmallQuotas checks that all slots of a tenant can be allocated, however few there are.
 func TestSmallQuotas(t *testing.T) {
 	for total := 1; total <= 40; total++ {
 		limits := Limits{"t": {Total: total, Normal: int(normalShare * float64(total))}}
@@ -318,18 +321,18 @@
 	}
 }
 
-// TestAllSlotsKnownOnceHoldersReport checks that a new allocator knows all slots once the holders that the record names have
-// reported, and a window has passed since the youngest of them was started; and that nobody else is granted any.
+// TestAllSlotsKnownOnceHoldersReport checks that a new allocator knows all slots once the holders named in the record
+// have reported and a window has passed since the youngest of them started; and that other holders get no slots.
 func TestAllSlotsKnownOnceHoldersReport(t *testing.T) {
 	const sec = time.Second
 	for _, test := range []struct {
 		name      string
-		uptimesMs []int64 // of p and of q; those that are missing don't report
+		uptimesMs []int64 // of p and q; a holder without an entry doesn't report
 		known     time.Duration
 	}{
 		{"both are old", []int64{9000, 60_000}, 0},
 		{"one was restarted 2 s ago", []int64{9000, 2000}, testRule.Window - 2*sec},
-		{"one is gone", []int64{9000}, testAllKnownAt},
+		{"one does not report", []int64{9000}, testAllKnownAt},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -359,7 +362,8 @@
 	}
 }
 
-// TestExpiredHoldersLeaveCeilings checks that a proxy that is gone isn't waited for by each allocator in turn.
+// TestExpiredHoldersLeaveCeilings checks that a stopped proxy is removed from the ceilings, so that later allocators
+// don't wait for its report.
 func TestExpiredHoldersLeaveCeilings(t *testing.T) {
 	c := qt.New(t)
 	ceilings := &Ceilings{Complete: true, Holders: []string{"dead", "p"}}
--- a/internal/fleet/quota/bench_test.go
+++ b/internal/fleet/quota/bench_test.go
@@ -14,7 +14,7 @@
 	benchTenants = 1900
 )
 
-// benchLimits are the limits of a large fleet, of which each tenant has many slots.
+// benchLimits returns the tenants and limits of a large fleet in which each tenant has many slots.
 func benchLimits() (names []string, limits Limits) {
 	limits = Limits{}
 	for i := range benchTenants {
@@ -24,7 +24,7 @@
 	return names, limits
 }
 
-// benchReport is a report of a holder that has slots of so many tenants.
+// benchReport returns a report of a holder that has slots of the given number of tenants.
 func benchReport(names []string, holder, tenants int) *Report {
 	report := &Report{
 		Holder:      fmt.Sprintf("edge-%04d", holder),
@@ -39,8 +39,8 @@
 	return report
 }
 
-// BenchmarkHandle is what an allocator takes for a full report of 30 tenants, and for one that asks for one slot, in a
-// fleet of 2,500 holders and 1,900 tenants.
+// BenchmarkHandle measures how long an allocator takes to process a full report of 30 tenants, and a report that
+// requests one slot, in a fleet of 2,500 holders and 1,900 tenants.
 func BenchmarkHandle(b *testing.B) {
 	names, limits := benchLimits()
 	for _, full := range []bool{true, false} {
@@ -72,7 +72,7 @@
 	}
 }
 
-// benchHolder has so many slots of each tenant, in steady use.
+// benchHolder returns a holder with the given number of slots of each tenant, in steady use.
 func benchHolder(slots int) (h *Holder, names []string) {
 	names, limits := benchLimits()
 	h = NewHolder(testRule, "p", 1)
@@ -85,7 +85,8 @@
 	return h, names
 }
 
-// BenchmarkAcquire is what a holder takes to admit a request, of 1,900 tenants in turn and of one that has 5,000 slots.
+// BenchmarkAcquire measures how long a holder takes to admit a request, for 1,900 tenants in turn and for one tenant
+// with 5,000 slots.
 func BenchmarkAcquire(b *testing.B) {
 	for _, test := range []struct {
 		name    string
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestAcquireAllocatesNothing checks that a request which has a slot costs no memory once its tenant has been seen.
+// TestAcquireAllocatesNothing checks that taking a free slot allocates no memory once its tenant has been seen.
 func TestAcquireAllocatesNothing(t *testing.T) {
 	h, names := benchHolder(4)
 	now := time.Duration(0)
@@ -135,7 +136,7 @@
 	}), qt.Equals, 0.0)
 }
 
-// TestReportSize holds the bytes of an ordinary report, and of the answer to it.
+// TestReportSize checks the encoded sizes of a typical report and its answer.
 func TestReportSize(t *testing.T) {
 	names, limits := benchLimits()
 	a := NewAllocator(testRule, limits, &Ceilings{All: true}, 0, testOverlap)
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -78,8 +78,9 @@
 	c.holder.SetLimits(limits, c.now())
 }
 
-// Acquire takes a slot of a tenant's quota for a request. If this holder has no free slot, it blocks until the allocator
-// has answered, for at most wait. The error is ErrOverQuota, ErrNoAllocator if no allocator has answered, or ctx.Err().
+// Acquire takes a slot of a tenant's quota for a request. If this holder has no free slot, it blocks until the
+// allocator has answered, for at most wait. The error is ErrOverQuota, ErrNoAllocator if no allocator has answered, or
+// ctx.Err().
 func (c *Client) Acquire(ctx context.Context, tenant string, wait time.Duration) (Slot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,8 +248,7 @@
 		return err
 	}
 	if answer.Epoch != report.Epoch || answer.Sequence != report.Sequence {
-		return errors.Errorf("quota answer has epoch %d and sequence %d, want %d and %d",
-			answer.Epoch, answer.Sequence, report.Epoch, report.Sequence)
+		return errors.New("quota answer does not match the report's epoch and sequence")
 	}
 	return c.apply(&answer, sentAt, number)
 }
@@ -272,7 +272,7 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	if now-sentAt > answerTimeout {
-		return errors.Errorf("quota answer received %v after its report, limit %v", now-sentAt, answerTimeout)
+		return errors.New("quota answer received after the answer time-out")
 	}
 	c.holder.Apply(answer, sentAt, now)
 	c.answered = number
--- a/internal/fleet/quota/client_test.go
+++ b/internal/fleet/quota/client_test.go
@@ -16,10 +16,10 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// testWait is for how long requests of the tests wait for a slot.
+// testWait is how long requests wait for a slot.
 const testWait = 30 * time.Millisecond
 
-// serve has a server answer on loopback until the test ends or stop is called.
+// serve runs a server on a loopback address until the test ends or stop is called.
 func serve(t *testing.T, s *Server) (addr string, stop func()) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -38,7 +38,8 @@
 	return ln.Addr().String(), stop
 }
 
-// leadingServer is the allocator of an epoch that may hand out all slots from the start, for as long as leads is set.
+// leadingServer returns the allocator of an epoch, for as long as leads is set. It may allocate all slots from the
+// start.
 func leadingServer(epoch uint64, limits Limits, leads *atomic.Bool) *Server {
 	s := NewServer(testRule, testOverlap, func(uint64) bool { return leads.Load() })
 	s.SetLimits(limits)
@@ -48,7 +49,7 @@
 	return s
 }
 
-// run has a client report until the test ends or stop is called.
+// run starts a client that reports until the test ends or stop is called.
 func run(t *testing.T, incarnation uint64, limits Limits, addr func() string) (c *Client, stop func()) {
 	c = NewClient(NewHolder(testRule, "p", incarnation), addr, distribution.Dial)
 	c.SetLimits(limits)
@@ -89,8 +90,8 @@
 
 func at(addr string) func() string { return func() string { return addr } }
 
-// TestWaitersGetSlots checks that requests which come together get slots as long as there are any, and errors after
-// that, and that a released slot is used again.
+// TestWaitersGetSlots checks that concurrent requests get slots while there are any and errors after that, and that a
+// released slot is used again.
 func TestWaitersGetSlots(t *testing.T) {
 	c := qt.New(t)
 	addr, _ := serve(t, leadingServer(1, tenSlots(), leading()))
@@ -112,7 +113,7 @@
 	}
 	requests.Wait()
 	c.Assert([]int32{admitted.Load(), refused.Load()}, qt.DeepEquals, []int32{10, 20})
-	// A burst that comes together is told to the allocator in few reports.
+	// A burst of concurrent requests takes only a few reports.
 	client.mu.Lock()
 	built := client.built
 	client.mu.Unlock()
@@ -125,7 +126,8 @@
 	Slot{}.Release()
 }
 
-// TestNoAllocator checks that requests are refused, soon, while no allocator is known, and that they end with theirs.
+// TestNoAllocator checks that requests are rejected within their wait while no allocator is known, and that a wait ends
+// with the request's context.
 func TestNoAllocator(t *testing.T) {
 	c := qt.New(t)
 	leads := &atomic.Bool{}
@@ -143,7 +145,7 @@
 	}
 }
 
-// TestAllocatorChanges checks that a client goes over to another allocator and refuses one of an earlier epoch.
+// TestAllocatorChanges checks that a client switches to another allocator and rejects one of an earlier epoch.
 func TestAllocatorChanges(t *testing.T) {
 	c := qt.New(t)
 	leadsFirst := leading()
@@ -156,7 +158,7 @@
 	_, err := client.Acquire(t.Context(), "t", testWait)
 	c.Assert(err, qt.IsNil)
 	addr.Store(&second)
-	leadsFirst.Store(false) // its next answer says that it is none
+	leadsFirst.Store(false) // its next answer has epoch 0
 	epoch := func() uint64 {
 		client.mu.Lock()
 		defer client.mu.Unlock()
@@ -173,11 +175,11 @@
 	addr.Store(&first)
 	leadsFirst.Store(true)
 	time.Sleep(testRule.Lease/reportsPerLease + 300*time.Millisecond)
-	c.Assert(epoch(), qt.Equals, uint64(2)) // the first one isn't reported to any more
+	c.Assert(epoch(), qt.Equals, uint64(2)) // the first server gets no more reports
 }
 
-// TestLateAnswerIsNotUsed checks that a process which was frozen after its report doesn't use the answer, though it is
-// there when the process goes on.
+// TestLateAnswerIsNotUsed checks that a process that was frozen after sending a report discards the answer, although it
+// can be read when the process resumes.
 func TestLateAnswerIsNotUsed(t *testing.T) {
 	c := qt.New(t)
 	client := NewClient(NewHolder(testRule, "p", 1), at(""), distribution.Dial)
@@ -195,7 +197,7 @@
 	c.Assert(verdict, qt.Equals, Admitted)
 }
 
-// TestAnswersOfAnotherReport checks that a connection ends whose answers don't belong to the client's reports.
+// TestAnswersOfAnotherReport checks that the client closes a connection on which an answer doesn't match its report.
 func TestAnswersOfAnotherReport(t *testing.T) {
 	for _, answer := range []Answer{{Epoch: 0, Sequence: 1}, {Epoch: 2, Sequence: 1}, {Epoch: 1, Sequence: 2}} {
 		ours, theirs := net.Pipe()
@@ -214,7 +216,7 @@
 	}
 }
 
-// TestNoGoroutineIsLeft checks that clients and servers end with all that they have started.
+// TestNoGoroutineIsLeft checks that clients and servers leave no goroutines behind when they end.
 func TestNoGoroutineIsLeft(t *testing.T) {
 	c := qt.New(t)
 	addr, stopServer := serve(t, leadingServer(1, tenSlots(), leading()))
--- a/internal/fleet/quota/holder_test.go
+++ b/internal/fleet/quota/holder_test.go
@@ -16,8 +16,8 @@
 	return n
 }
 
-// TestSlotsGivenUpAfterLeaseLapses checks that slots are not used again which were held when the lease lapsed: whoever has been
-// silent for so long that its slots are handed out to others may have a report under way that tells of them.
+// TestSlotsGivenUpAfterLeaseLapses checks that slots held when the lease lapsed are not used again: they may have been
+// allocated to other holders while a report that lists them is still in flight.
 func TestSlotsGivenUpAfterLeaseLapses(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
@@ -37,7 +37,7 @@
 	}
 	exchange(silent, 1, ms(0), ms(0), ms(0), 10)
 	c.Assert(acquireAll(silent, ms(3900)), qt.Equals, 10)
-	// The silent one's next report is built a little before its slots are others', and comes a little after.
+	// The next report is built shortly before the slots are allocated to others, and arrives shortly after.
 	exchange(other, 2, ms(9050), ms(9050), ms(9050), 10)
 	report := silent.NextReport(ms(8850), true)
 	exchange(other, 2, ms(9200), ms(9200), ms(9200), 10)
@@ -50,8 +50,8 @@
 	c.Assert(acquireAll(silent, ms(9400)), qt.Equals, 0)
 }
 
-// TestGrantBesideSlotsToBeGivenUp checks that slots which are granted can be used while others, that were held when a
-// lease lapsed, are not free yet.
+// TestGrantBesideSlotsToBeGivenUp checks that newly granted slots can be used while slots that were held when a lease
+// lapsed are not free yet.
 func TestGrantBesideSlotsToBeGivenUp(t *testing.T) {
 	c := qt.New(t)
 	h := NewHolder(testRule, "p", 1)
@@ -60,9 +60,9 @@
 	c.Assert(h.Acquire("t", 3*time.Second), qt.Equals, Admitted)
 	lapsed := testRule.Lease + testRule.Window/2
 	c.Assert(h.NextReport(lapsed-1, false).Holdings, qt.HasLen, 0)
-	c.Assert(h.holdings["t"].total(), qt.Equals, 4) // it may have them still
+	c.Assert(h.holdings["t"].total(), qt.Equals, 4) // slots are given up from time lapsed on
 	report := h.NextReport(lapsed, true)
-	c.Assert(report.Holdings, qt.DeepEquals, []Holding{{Tenant: "t", Held: 1}}) // the free ones are given back
+	c.Assert(report.Holdings, qt.DeepEquals, []Holding{{Tenant: "t", Held: 1}}) // the free ones are returned
 	h.Apply(&Answer{Grants: []Grant{{Tenant: "t", Slots: 2, Spare: 4}}}, lapsed, lapsed)
 	c.Assert(acquireAll(h, 7*time.Second), qt.Equals, 2)
 	c.Assert(acquireAll(h, 10*time.Second), qt.Equals, 0)
@@ -70,8 +70,8 @@
 	c.Assert(acquireAll(h, 12*time.Second+1), qt.Equals, 2)
 }
 
-// TestWaitersAfterReportAreNotDenied checks that requests that came to wait after a report was built don't make the answer to it
-// a denial.
+// TestWaitersAfterReportAreNotDenied checks that requests that start to wait after a report was built don't turn its
+// answer into a denial.
 func TestWaitersAfterReportAreNotDenied(t *testing.T) {
 	c := qt.New(t)
 	h := NewHolder(testRule, "p", 1)
@@ -90,7 +90,7 @@
 	c.Assert(h.Acquire("t", 4+denialPause), qt.Equals, NeedsSlots)
 }
 
-// leasedHolder has slots of tenant t under a lease from 0.
+// leasedHolder returns a holder with slots of tenant t and a lease that starts at 0.
 func leasedHolder(slots int) *Holder {
 	h := NewHolder(testRule, "p", 1)
 	h.SetLimits(tenSlots(), 0)
@@ -98,7 +98,7 @@
 	return h
 }
 
-// TestHolder plays what becomes of a holder's slots, step by step.
+// TestHolder runs sequences of steps on a holder and checks the verdicts after each.
 func TestHolder(t *testing.T) {
 	const window, lease = 5 * time.Second, 4 * time.Second
 	renew := func(at time.Duration) func(h *Holder) {
--- a/internal/fleet/quota/liveness_test.go
+++ b/internal/fleet/quota/liveness_test.go
@@ -10,7 +10,7 @@
 
 var livenessSeeds = flag.Int("quota.liveness", 5, "how many seeds TestModelLiveness plays")
 
-// faultFreeModel is a fleet without faults at half of each tenant's quota, some time after its start.
+// faultFreeModel returns a fleet without faults, at half of each tenant's quota, some time after its start.
 func faultFreeModel(seed uint64, holders int) *model {
 	limits := Limits{}
 	for tenant, total := range map[string]int{"small": 20, "middle": 100, "large": 1000} {
@@ -25,15 +25,15 @@
 	return m
 }
 
-// refusedIn returns the share of requests that is refused in a time from now.
+// refusedIn runs the model for d and returns the fraction of requests that are rejected.
 func (m *model) refusedIn(d time.Duration) float64 {
 	before := m.stats
 	m.runUntil(m.now + d)
 	return float64(m.stats.refused-before.refused) / float64(m.stats.requests-before.requests)
 }
 
-// TestModelLiveness holds how much of a demand of half the quota is refused, evenly spread over all holders: nothing
-// when it is calm, and not more than is stated after troubles. The limits are somewhat above the most of 40 seeds.
+// TestModelLiveness checks the fraction of requests rejected at half of the quota, spread evenly over all holders: none
+// without faults, and at most the stated limit after each fault. The limits are slightly above the maximum of 40 seeds.
 func TestModelLiveness(t *testing.T) {
 	takeOver := func(m *model) { m.takeOver(time.Second) }
 	away := func(d time.Duration) func(m *model) {
@@ -50,12 +50,12 @@
 		}
 	}
 	for _, test := range []struct {
-		name    string
-		trouble func(m *model)
-		within  time.Duration
-		most    float64
+		name   string
+		fault  func(m *model)
+		within time.Duration
+		most   float64
 	}{
-		{"calm", func(*model) {}, 20 * time.Second, 0},
+		{"no faults", func(*model) {}, 20 * time.Second, 0},
 		{"takeover", takeOver, 15 * time.Second, 0.06},
 		{"all holders restarted", restart, 15 * time.Second, 0.1},
 		{"everything restarted", func(m *model) { restart(m); takeOver(m) }, 15 * time.Second, 0.75},
@@ -68,7 +68,7 @@
 				least, sum, most := 1.0, 0.0, 0.0
 				for seed := range uint64(*livenessSeeds) {
 					m := faultFreeModel(seed, holders)
-					test.trouble(m)
+					test.fault(m)
 					refused := m.refusedIn(test.within)
 					least, sum, most = min(least, refused), sum+refused, max(most, refused)
 					m.runUntil(m.now + 15*time.Second)
--- a/internal/fleet/quota/messages.go
+++ b/internal/fleet/quota/messages.go
@@ -31,8 +31,8 @@
 	Holdings []Holding `msg:"s"`
 }
 
-// Answer is the allocator's reply to a Report. A server also sends one, without grants, when a connection opens, since a
-// holder must know the allocator's epoch before it sends a report.
+// Answer is the allocator's reply to a Report. A server also sends one, without grants, when a connection opens, since
+// a holder must know the allocator's epoch before it sends a report.
 type Answer struct {
 	// Epoch is the allocator's epoch; 0: this server is currently not the allocator and has ignored the report.
 	Epoch uint64 `msg:"e"`
--- a/internal/fleet/quota/model_test.go
+++ b/internal/fleet/quota/model_test.go
@@ -19,12 +19,12 @@
 	modelTrace = flag.Bool("quota.trace", false, "log what happens in them")
 )
 
-// modelRule is the rule of the searches, with the times of a deployment; overlap is that of its control plane.
+// modelRule is the rule of the model, with the durations of a real deployment; overlap is that of its control plane.
 var modelRule = Rule{Window: 5 * time.Second, Lease: 4 * time.Second}
 
 const modelOverlap = 2 * time.Second
 
-// modelEvent is something that happens at a time.
+// modelEvent is an event scheduled in virtual time.
 type modelEvent struct {
 	at    time.Duration
 	order int
@@ -52,19 +52,19 @@
 	now    time.Duration
 	queue  modelQueue
 	events int
-	faults bool          // links lose and delay, commits fail, processes freeze and die
-	slow   int           // one in so many messages is slow, but mostly not too late
-	pause  time.Duration // at the most, between two faults
-	kinds  int           // of faults: 8, or 9 with changes of limits
+	faults bool          // links drop and delay messages, commits fail, processes freeze and are killed
+	slow   int           // one in slow messages is delayed, mostly within the time-out
+	pause  time.Duration // maximum time between two faults
+	kinds  int           // number of kinds of faults: 8, or 9 with changes of limits
 	limits Limits
 	names  []string // of the tenants
 	demand map[string]*modelDemand
 	record *Ceilings // committed
-	// formerly are totals that were replaced, by tenant, and until when they count.
+	// formerly are replaced totals by tenant, and until when they still apply.
 	formerly map[string][]formerTotal
 	terms    []*modelTerm
 	holders  []*modelHolder
-	// admitted are when requests that weren't released were admitted, by tenant, in one window.
+	// admitted are the times of the admitted requests of one window that weren't released, by tenant.
 	admitted map[string][]time.Duration
 	stats    modelStats
 	breach   string
@@ -77,14 +77,14 @@
 	until time.Duration
 }
 
-// limitsSettle is when all proxies keep to lowered limits at the latest: they are mostly frozen and cut off for less.
+// limitsSettle is the time after which all proxies apply lowered limits: freezes and partitions are mostly shorter.
 const limitsSettle = 45 * time.Second
 
-// modelStats counts what became of requests.
+// modelStats counts the outcomes of requests, answers and reports.
 type modelStats struct {
 	requests, refused int
-	mostShare         float64 // of a quota in a window
-	lapsed, late      int     // verdicts LeaseLapsed, answers not used
+	mostShare         float64 // maximum fraction of a quota admitted in a window
+	lapsed, late      int     // verdicts LeaseLapsed, discarded late answers
 	takeovers, kills  int
 	refusedReports    int // by an allocator, with an error
 }
@@ -92,16 +92,16 @@
 // modelDemand is a tenant's demand.
 type modelDemand struct {
 	interval time.Duration // between two requests
-	home     []int         // holders that they come to
+	home     []int         // holders that receive the requests
 }
 
 // modelTerm is one allocator, the primary of an epoch.
 type modelTerm struct {
 	epoch       uint64
 	allocator   *Allocator
-	origin      time.Duration // zero of its clock
+	origin      time.Duration // time 0 of its clock
 	frozenUntil time.Duration
-	leadsUntil  time.Duration // it may answer for so long
+	leadsUntil  time.Duration // time until which it may answer
 	conns       uint64        // accepted so far
 	pending     []*modelProposal
 	lastCommit  time.Duration
@@ -123,10 +123,10 @@
 	dead        bool
 	frozenUntil time.Duration
 	cutUntil    time.Duration
-	leader      *modelTerm // whom it takes for the primary
+	leader      *modelTerm // the allocator that it believes to be the primary's
 
-	// conn numbers its connections: what belongs to an earlier one is disregarded. accepted is the number that the
-	// allocator has given to it.
+	// conn numbers its connections: events of earlier ones are ignored. accepted is the number that the allocator has
+	// assigned to the connection.
 	conn          int
 	accepted      uint64
 	reporting     bool // a report was sent and not answered
@@ -178,7 +178,7 @@
 
 func (m *model) upTo(d time.Duration) time.Duration { return time.Duration(m.rng.Int64N(int64(d) + 1)) }
 
-// runUntil plays events up to a time or a breach.
+// runUntil runs events up to a time or the first breach of a quota.
 func (m *model) runUntil(end time.Duration) {
 	for m.breach == "" && len(m.queue) > 0 && m.queue[0].at <= end {
 		e := heap.Pop(&m.queue).(modelEvent)
@@ -188,7 +188,7 @@
 	m.now = max(m.now, end)
 }
 
-// delay draws how long a message is under way; lost says that it doesn't come.
+// delay draws the delay of a message; lost means that the message is dropped.
 func (m *model) delay() (d time.Duration, lost bool) {
 	d = 200*time.Microsecond + m.upTo(2*time.Millisecond)
 	if !m.faults {
@@ -208,8 +208,8 @@
 	return d, false
 }
 
-// takeOver has a new allocator begin. Of what the one before has proposed some comes before it, in order, and the rest
-// is lost.
+// takeOver starts a new allocator. Some of its predecessor's pending proposals are committed before it, in order, and
+// the others are lost.
 func (m *model) takeOver(detection time.Duration) {
 	if len(m.terms) > 0 {
 		before := m.terms[len(m.terms)-1]
@@ -245,7 +245,7 @@
 	}
 }
 
-// commitCeilings is the control plane's loop that commits ceilings.
+// commitCeilings runs the control plane's loop that commits ceilings.
 func (m *model) commitCeilings(term *modelTerm) {
 	if m.terms[len(m.terms)-1] != term {
 		return
@@ -272,7 +272,7 @@
 	m.after(pause, func() { m.commitCeilings(term) })
 }
 
-// propose has a proposal be committed after a while, and not before an earlier one.
+// propose commits a proposal after a delay, and not before an earlier one.
 func (m *model) propose(term *modelTerm, wanted *Ceilings, took time.Duration) {
 	p := &modelProposal{ceilings: wanted}
 	term.pending = append(term.pending, p)
@@ -302,7 +302,7 @@
 	m.after(m.upTo(20*time.Millisecond), m.onConn(h, func() { m.dial(h) }))
 }
 
-// onConn returns run for later: it is called when the holder isn't frozen, unless its connection has ended by then.
+// onConn wraps run: it is called once the holder isn't frozen, unless its present connection has ended by then.
 func (m *model) onConn(h *modelHolder, run func()) func() {
 	conn := h.conn
 	var later func()
@@ -318,14 +318,14 @@
 	return later
 }
 
-// disconnect ends a holder's connection; it dials again after a pause.
+// disconnect ends a holder's connection; the holder redials after a pause.
 func (m *model) disconnect(h *modelHolder) {
 	h.conn++
 	h.connected, h.reporting = false, false
 	m.after(10*time.Millisecond+m.upTo(190*time.Millisecond), m.onConn(h, func() { m.dial(h) }))
 }
 
-// dial connects a holder to whom it takes for the primary. What comes back is the greeting.
+// dial connects a holder to the allocator that it believes to be the primary's, which sends a greeting.
 func (m *model) dial(h *modelHolder) {
 	term := h.leader
 	there, lost := m.delay()
@@ -356,7 +356,7 @@
 	})
 }
 
-// atTerm runs something at an allocator when it isn't frozen.
+// atTerm calls run at an allocator once it isn't frozen.
 func (m *model) atTerm(term *modelTerm, in time.Duration, run func()) {
 	m.after(in, func() {
 		if m.now < term.frozenUntil {
@@ -367,7 +367,7 @@
 	})
 }
 
-// heartbeat reports in full a few times in a lease.
+// heartbeat sends a full report a few times per lease.
 func (m *model) heartbeat(h *modelHolder) {
 	m.after(modelRule.Lease/reportsPerLease, m.onConn(h, func() {
 		m.heartbeat(h)
@@ -377,7 +377,7 @@
 	}))
 }
 
-// report sends a report and takes its answer, as Client does.
+// report sends a report and processes its answer, as Client does.
 func (m *model) report(h *modelHolder, term *modelTerm, full bool) {
 	if term == nil || term.epoch != h.holder.epoch {
 		m.disconnect(h) // another is the primary
@@ -398,7 +398,7 @@
 		if m.rng.IntN(2) == 0 {
 			return
 		}
-		there += h.cutUntil - m.now + m.upTo(m.upTo(time.Second)) // sent again once the cut is over
+		there += h.cutUntil - m.now + m.upTo(m.upTo(time.Second)) // retransmitted once the partition is over
 	}
 	if lost {
 		return
@@ -416,7 +416,7 @@
 	})
 }
 
-// handle answers a report, as Server does; nil: it is no allocator any more.
+// handle returns the answer to a report, as Server does; nil if the server is no longer the allocator.
 func (m *model) handle(term *modelTerm, report *Report, accepted uint64) *Answer {
 	if m.now > term.leadsUntil || report.Epoch != term.epoch {
 		return nil
@@ -431,7 +431,7 @@
 	return &Answer{Epoch: term.epoch, Sequence: report.Sequence, Grants: grants}
 }
 
-// takeAnswer applies an answer that isn't late, and has those waiters try again whose need it was told of.
+// takeAnswer applies an answer that isn't late, and retries the waiting requests that the report included.
 func (m *model) takeAnswer(h *modelHolder, answer *Answer, sentAt time.Duration, number int) {
 	now := m.now - h.origin
 	if now-sentAt > answerTimeout {
@@ -453,7 +453,7 @@
 	}
 }
 
-// arrive is a request of a tenant; the next one comes after the tenant's interval.
+// arrive handles a request of a tenant and schedules the next one after the tenant's interval.
 func (m *model) arrive(tenant string) {
 	d := m.demand[tenant]
 	m.after(d.interval/2+m.upTo(d.interval), func() { m.arrive(tenant) })
@@ -487,7 +487,7 @@
 	})
 }
 
-// retry is the second attempt of a request that has waited.
+// retry makes the second attempt of a request that has waited.
 func (m *model) retry(h *modelHolder, w *modelWaiter) {
 	w.done = true
 	if m.now < h.frozenUntil {
@@ -499,7 +499,7 @@
 	}
 }
 
-// acquire takes a slot if there is one, and checks the quota. Some slots are released a little later.
+// acquire takes a slot if there is one, and checks the quota. Some slots are released a short time later.
 func (m *model) acquire(h *modelHolder, tenant string) bool {
 	at := m.now - h.origin
 	switch h.holder.Acquire(tenant, at) {
@@ -524,7 +524,7 @@
 	return true
 }
 
-// total is how many slots a tenant has, or had a moment ago.
+// total returns the number of slots that a tenant has, or had until recently.
 func (m *model) total(tenant string) int {
 	total := m.limits[tenant].Total
 	for _, former := range m.formerly[tenant] {
@@ -535,7 +535,7 @@
 	return total
 }
 
-// changeLimits gives a tenant another quota, which the allocator keeps to at once and proxies when they hear of it.
+// changeLimits changes a tenant's quota. The allocator applies it immediately, and proxies when they receive it.
 func (m *model) changeLimits() {
 	tenant := m.names[m.rng.IntN(len(m.names))]
 	m.formerly[tenant] = append(m.formerly[tenant], formerTotal{m.limits[tenant].Total, m.now + limitsSettle})
@@ -549,7 +549,7 @@
 	}
 }
 
-// sendLimits tells a proxy of the limits once it can be reached, if its process lives so long.
+// sendLimits delivers the limits to a proxy once it is reachable, if its process is still running then.
 func (m *model) sendLimits(h *modelHolder, life uint64) {
 	if h.dead || h.incarnation != life {
 		return
@@ -561,7 +561,7 @@
 	h.holder.SetLimits(m.limits, m.now-h.origin)
 }
 
-// releaseLater has a request turn out not to have run, if its process lives so long.
+// releaseLater releases the slot of a request that was not run, if its process is still running then.
 func (m *model) releaseLater(h *modelHolder, tenant string, at, when time.Duration) {
 	life := h.incarnation
 	m.after(m.upTo(200*time.Millisecond), func() {
@@ -575,7 +575,7 @@
 	})
 }
 
-// kill ends a proxy's process, which starts again after a while.
+// kill ends a proxy's process, which restarts after a pause.
 func (m *model) kill(h *modelHolder, pause time.Duration) {
 	if h.dead {
 		return
@@ -588,8 +588,8 @@
 	m.after(pause, func() { m.startHolder(h) })
 }
 
-// killReporting kills a proxy. Half of the time a report is under way, whose packets are lost for a while, and the next
-// process is cut off a little after it has begun.
+// killReporting kills a proxy. Half of the time a report is in flight whose packets are lost for a while, and the next
+// process is partitioned shortly after its start.
 func (m *model) killReporting(h *modelHolder) {
 	idle := !h.dead && h.connected && !h.reporting
 	if m.rng.IntN(2) == 0 || !idle || h.leader == nil || h.leader.epoch != h.holder.epoch {
@@ -604,7 +604,7 @@
 	m.after(late-m.upTo(100*time.Millisecond), func() { h.cutUntil = max(h.cutUntil, m.now+m.upTo(10*time.Second)) })
 }
 
-// fault brings one trouble about.
+// fault injects one random fault.
 func (m *model) fault() {
 	h := m.holders[m.rng.IntN(len(m.holders))]
 	term := m.terms[len(m.terms)-1]
@@ -627,7 +627,7 @@
 	case 5, 6:
 		cut := m.upTo(12 * time.Second)
 		if m.rng.IntN(2) == 0 {
-			cut = modelRule.Lease + modelRule.Window - m.upTo(1500*time.Millisecond) // until it is given up, nearly
+			cut = modelRule.Lease + modelRule.Window - m.upTo(1500*time.Millisecond) // nearly until the holder expires
 		}
 		h.cutUntil = max(h.cutUntil, m.now+cut)
 		m.trace("%s is cut off until %v", h.name, h.cutUntil)
@@ -636,7 +636,7 @@
 	}
 }
 
-// spread gives a tenant another demand, from nothing to a few times its quota, at some of the holders.
+// spread changes a tenant's demand to between 0 and a few times its quota, at some of the holders.
 func (m *model) spread(tenant string) {
 	d := m.demand[tenant]
 	perWindow := m.limits[tenant].Total * (1 + m.rng.IntN(8)) / 2
@@ -669,7 +669,7 @@
 	qt.Assert(t, sum.refused > 0 && sum.refused < sum.requests && sum.takeovers > 0 && sum.late > 0, qt.IsTrue)
 }
 
-// faultyModel is a small fleet whose tenants have few slots.
+// faultyModel returns a small fleet with faults, whose tenants have few slots.
 func faultyModel(seed uint64) *model {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	limits := Limits{}
@@ -687,7 +687,7 @@
 	return m
 }
 
-// storm has faults come up to a time.
+// injectFaults runs the model with random faults until end.
 func (m *model) injectFaults(end time.Duration) {
 	for m.now < end && m.breach == "" {
 		m.runUntil(min(m.now+m.upTo(m.pause), end))
--- a/internal/fleet/quota/planted_test.go
+++ b/internal/fleet/quota/planted_test.go
@@ -48,17 +48,17 @@
 		Tests: "^Test(Holder|BeginReports)$",
 	},
 	{
-		Name:  "a new allocator hands out all at once",
+		Name:  "a new allocator allocates all slots at once",
 		Texts: []string{"if now >= a.allKnownAt {\n\t\treturn", "if now >= 0 {\n\t\treturn"},
 		Tests: modelSearch,
 	},
 	{
-		Name:  "what inherited ceilings raise is not out",
+		Name:  "inherited raised ceilings are ignored",
 		Texts: []string{"\tif a.inherited.Raised(tenant) {\n\t\tbefore = slots.Total\n\t}\n", ""},
 		Tests: modelSearch,
 	},
 	{
-		Name:  "lowered ceilings are used on",
+		Name:  "lowered ceilings stay in use",
 		Texts: []string{"a.committed.Raised(tenant) && a.proposed.Raised(tenant)", "a.committed.Raised(tenant)"},
 		Tests: "^TestAllocatorCeilings$",
 	},
@@ -68,7 +68,7 @@
 		Tests: "^TestAllocatorCeilings$",
 	},
 	{
-		Name:  "a lowering may be overtaken",
+		Name:  "a raise overtakes a pending lowering",
 		Texts: []string{"\tif !a.proposed.Equal(a.committed) {\n\t\treturn a.proposed\n\t}\n", ""},
 		Tests: "^TestPendingLoweringBlocksRaise$",
 	},
@@ -78,7 +78,7 @@
 		Tests: modelSearch,
 	},
 	{
-		Name:  "slots of a silent holder are free with its lease",
+		Name:  "slots of a silent holder are free when its lease ends",
 		Texts: []string{"> a.rule.Lease+a.rule.Window {", "> a.rule.Lease {"},
 		Tests: modelSearch,
 	},
@@ -88,7 +88,7 @@
 		Tests: "^TestLateReportOfAnEndedProcess$",
 	},
 	{
-		Name:  "a first report may be in part",
+		Name:  "a first report may be partial",
 		Texts: []string{"case !report.Full:", "case report.Holder == \"\":"},
 		Tests: "^TestFirstReportIsFull$",
 	},
@@ -98,7 +98,7 @@
 		Tests: "^TestSlotsGivenUpAfterLeaseLapses$",
 	},
 	{
-		Name:  "later waiters make a denial",
+		Name:  "requests that wait after a report make its answer a denial",
 		Texts: []string{"if held.asked > grant.Slots {", "if held.waiting > grant.Slots {"},
 		Tests: "^TestWaitersAfterReportAreNotDenied$",
 	},
@@ -108,7 +108,7 @@
 		Tests: "^TestLateAnswerIsNotUsed$",
 	},
 	{
-		Name:  "what a full report doesn't name is kept",
+		Name:  "tenants that a full report doesn't name are kept",
 		Texts: []string{"\t\ta.recordAbsent(holder, report.Holdings)\n", ""},
 		Tests: "^TestFullReportReleasesUnnamedTenants$",
 	},
--- a/internal/fleet/quota/server.go
+++ b/internal/fleet/quota/server.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Lead makes this server the allocator of an epoch, with the ceilings that limited all earlier allocators. If it was the
-// allocator of the preceding epoch, it keeps its state, since no other server allocated slots in between.
+// Lead makes this server the allocator of an epoch, with the ceilings that limited all earlier allocators. If it was
+// the allocator of the preceding epoch, it keeps its state, since no other server allocated slots in between.
 func (s *Server) Lead(epoch uint64, ceilings *Ceilings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,8 +119,8 @@
 	return s.conns
 }
 
-// serveConn answers the reports of one holder until the connection breaks, no report has come for a lease, or this server
-// is no longer the allocator.
+// serveConn answers the reports of one holder until the connection breaks, no report has come for a lease, or this
+// server is no longer the allocator.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn, number uint64) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
--- a/internal/fleet/quota/usetimes.go
+++ b/internal/fleet/quota/usetimes.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// useTimes is a queue of the times at which slots were used, the earliest first. Adding a time and removing the earliest
-// take amortized constant time.
+// useTimes is a queue of the times at which slots were used, the earliest first. Adding a time and removing the
+// earliest take amortized constant time.
 type useTimes struct {
 	times []time.Duration
 	first int // index of the earliest time that hasn't been removed
--- a/internal/fleet/quota/wire_test.go
+++ b/internal/fleet/quota/wire_test.go
@@ -6,7 +6,8 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestWireBytes holds the messages between proxies and control servers, and the ceilings in the record.
+// TestWireBytes compares the encodings of the messages between proxies and control servers, and of the ceilings in the
+// record, with golden files.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.Messages(t, map[string]goldenbytes.Message{
 		"holding":  new(Holding),
