--- a/internal/fleet/scheduler/decode.go
+++ b/internal/fleet/scheduler/decode.go
@@ -1,27 +1,27 @@
 package scheduler
 
 const (
-	// initialDecodeMs is how long decoding a request is taken to last until one of its class was seen, ms.
+	// initialDecodeMs is the assumed decode duration of a class of which no request has been observed, ms.
 	initialDecodeMs = 20
-	// maxClasses bounds the classes of requests that are told apart; further ones aren't learned.
+	// maxClasses is the maximum number of request classes that are tracked; further ones aren't learned.
 	maxClasses = 4096
-	// minLongPoolFill and maxLongPoolFill are the utilization between which the long-decode pool keeps its size:
-	// above the upper bound it grows, and it shrinks where one backend less would stay below the lower one.
+	// minLongPoolFill and maxLongPoolFill are the utilization bounds between which the long-decode pool keeps its size:
+	// it grows above the upper bound, and shrinks if with one backend less it would stay below the lower bound.
 	minLongPoolFill = 0.4
 	maxLongPoolFill = 0.65
-	// longPoolGrowAfterMs is the least time from a change of the pool to its growing, ms.
+	// longPoolGrowAfterMs is the minimum time between a change of the pool's size and its next growth, ms.
 	longPoolGrowAfterMs = 500
-	// longPoolShrinkAfterMs is the least time from a change to its shrinking, ms. It is long since each change moves
-	// preferred backends, whose prefixes are prefilled again.
+	// longPoolShrinkAfterMs is the minimum time between a change of the pool's size and its next shrinking, ms. It is
+	// long because each change moves preferred backends, and prefixes must be prefilled again.
 	longPoolShrinkAfterMs = 8000
-	// initialLongPoolDivisor is one in how many decode backends the pool starts with.
+	// initialLongPoolDivisor sets the pool's initial size: 1/initialLongPoolDivisor of the decode backends.
 	initialLongPoolDivisor = 4
 )
 
-// requestClass is what requests of a class, such as those of a route, are like on the mean.
+// requestClass has the mean values of the requests of a class, for example those of a route.
 type requestClass struct {
 	promptTokens float64
-	decodeMs     float64 // from the first token to the last
+	decodeMs     float64 // time from the first token to the last, ms
 }
 
 func (e *Estimator) class(name string, p *Prompt) requestClass {
@@ -35,14 +35,14 @@
 	return class
 }
 
-// LongDecode tells whether decoding a request of the class takes longer than the prefill of its prompt does at a
-// decode backend. Such requests and those with long prompts slow each other and are kept at separate backends.
+// LongDecode reports whether decoding a request of the class takes longer than prefilling its prompt at a decode
+// backend. Such requests and those with long prompts slow each other down, so they are kept on separate backends.
 func (e *Estimator) LongDecode(name string, p *Prompt) bool {
 	class := e.class(name, p)
 	return class.decodeMs > class.promptTokens*e.prefillMsPerToken*decodePrefillSlowdown
 }
 
-// ObserveDecode learns how long a request of the class was decoded, from its first token to its last, ms.
+// ObserveDecode records how long a request of the class was decoded, from its first token to its last, ms.
 func (e *Estimator) ObserveDecode(name string, p *Prompt, ms float64) {
 	class := e.class(name, p)
 	if _, known := e.classes[name]; !known && len(e.classes) >= maxClasses {
@@ -55,7 +55,7 @@
 
 // LongDecodePool returns how many decode backends are reserved for requests with a long decode: the first ones of
 // order, which is the same at all proxies. The size follows the utilization that these backends report, so that all
-// proxies come to much the same. 0 where there are fewer than two backends or no capacity is known.
+// proxies arrive at similar sizes. It returns 0 if there are fewer than two backends or the capacity is unknown.
 func (e *Estimator) LongDecodePool(now float64, order []string) int {
 	if len(order) < 2 || e.spec.Capacity <= 0 {
 		return 0
@@ -73,7 +73,8 @@
 	return e.longPool
 }
 
-// resizeLongPool grows or shrinks the long-decode pool by one backend, by the sum of its backends' utilization.
+// resizeLongPool grows or shrinks the long-decode pool by one backend if needed; utilization is the sum over the pool's
+// backends.
 func (e *Estimator) resizeLongPool(now, utilization float64) {
 	size := float64(e.longPool)
 	switch {
@@ -88,7 +89,7 @@
 			e.longPoolChangedAt = now
 		}
 	default:
-		// Half of the wait for shrinking counts anew whenever the size fits.
+		// Whenever the size fits, at least half of the wait before shrinking starts again.
 		e.longPoolChangedAt = max(e.longPoolChangedAt, now-longPoolShrinkAfterMs/2)
 	}
 }
--- a/internal/fleet/scheduler/decode_test.go
+++ b/internal/fleet/scheduler/decode_test.go
@@ -18,7 +18,7 @@
 	}
 	c.Assert(e.LongDecode("read", read), qt.IsFalse)
 	c.Assert(e.LongDecode("talk", talk), qt.IsTrue)
-	// The pool for them grows with the load, and doesn't take all.
+	// The long-decode pool grows with the load, but never takes all backends.
 	order := []string{"d0", "d1", "d2", "d3"}
 	c.Assert(e.LongDecodePool(0, order), qt.Equals, 1)
 	e.ObserveResponseLoad(1000, "d0", 8, 3)
--- a/internal/fleet/scheduler/estimator.go
+++ b/internal/fleet/scheduler/estimator.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// EngineSpec is what the operator's configuration says of the inference engines of a service's backends.
+// EngineSpec is the operator's configuration of the inference engines of a service's backends.
 type EngineSpec struct {
-	// Capacity is how many requests a batch holds at once; 0 where it isn't known.
+	// Capacity is the maximum batch size, in requests; 0 if unknown.
 	Capacity int
 	// KVCacheTokens is the size of the KV cache, in tokens.
 	KVCacheTokens int
-	// KVBytesPerToken is what one token takes in the KV cache, in bytes.
+	// KVBytesPerToken is the size of one token in the KV cache, in bytes.
 	KVBytesPerToken float64
-	// LinkMbps is the rate at which a backend transfers KV cache, in megabits a second; 0 where it isn't known, and
-	// transfers are then taken to cost no time.
+	// LinkMbps is the rate at which a backend transfers KV cache, in megabits per second; 0 if unknown, and transfers
+	// are then assumed to take no time.
 	LinkMbps float64
 }
 
@@ -22,31 +22,31 @@
 	byID map[string]*backendState
 
 	// Prefill, learned over all backends.
-	prefillMsPerToken  float64 // of a prefill backend
-	meanUncachedTokens float64 // of the prompts sent to be prefilled, of late
-	expectedScale      float64 // how many times as long as estimated prompts took, of late
+	prefillMsPerToken  float64 // prefill time per token at a prefill backend, ms
+	meanUncachedTokens float64 // moving mean of the uncached tokens of prompts sent to be prefilled
+	expectedScale      float64 // moving mean of the ratio of actual to estimated prefill time
 
 	// Decode, by class of requests.
 	classes           map[string]requestClass
-	longPool          int     // size of the pool for long answers; 0 before the first request
+	longPool          int     // size of the long-decode pool, in backends; 0 before the first request
 	longPoolChangedAt float64 // ms
 
-	// minTransferMs is the least time from a transfer to the first token, ms; 0: none was seen.
+	// minTransferMs is the shortest observed time from a transfer to the first token, ms; 0: none was observed.
 	minTransferMs float64
 }
 
-// backendState is what the Estimator knows of one backend.
+// backendState is the Estimator's state for one backend.
 type backendState struct {
 	id      string
 	zone    string
 	prefill bool
 	cache   *prefixCache
 
-	pendingPrefillTokens float64 // of this proxy's requests there whose prefill hasn't ended
-	inFlight             int     // this proxy's requests there
+	pendingPrefillTokens float64 // tokens of this proxy's pending prefills at the backend
+	inFlight             int     // this proxy's requests at the backend
 
-	outbound decayingMean // how much longer than usual transfers from it took, ms
-	inbound  decayingMean // and transfers to it
+	outbound decayingMean // excess duration of transfers from it, ms
+	inbound  decayingMean // excess duration of transfers to it, ms
 	load
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// UpdateSpec replaces the specification of the engines, and resizes what is known of the prefix caches of listed ones.
+// UpdateSpec replaces the specification of the engines, and resizes the modelled prefix caches of the listed backends.
 func (e *Estimator) UpdateSpec(spec EngineSpec) {
 	resized := spec.KVCacheTokens != e.spec.KVCacheTokens
 	e.spec = spec
@@ -73,18 +73,20 @@
 	}
 }
 
-// cacheTokens is the size of a backend's prefix cache, in tokens.
+// cacheTokens returns the size of a backend's prefix cache, in tokens.
 func (e *Estimator) cacheTokens() int { return max(e.spec.KVCacheTokens, 1) }
 
 // Backend is one backend on the endpoint list.
 type Backend struct {
-	ID   string
+	// ID is the backend's id.
+	ID string
+	// Zone is the name of its zone.
 	Zone string
-	// Prefill tells that the backend prefills prompts; else it decodes.
+	// Prefill is true if the backend prefills prompts, false if it decodes.
 	Prefill bool
 }
 
-// SetBackends replaces the endpoint list. What is known of backends that are no longer listed is dropped.
+// SetBackends replaces the endpoint list. The state of backends that are no longer listed is dropped.
 func (e *Estimator) SetBackends(all []Backend) {
 	listed := make(map[string]bool, len(all))
 	for _, listing := range all {
@@ -108,7 +110,7 @@
 	}
 }
 
-// DecodeStarted records a request sent to a backend to be decoded, whose prompt is prefilled elsewhere.
+// DecodeStarted records a request sent to a backend for decoding, whose prompt is prefilled at another one.
 func (e *Estimator) DecodeStarted(id string) {
 	if b := e.byID[id]; b != nil {
 		b.inFlight++
--- a/internal/fleet/scheduler/load_test.go
+++ b/internal/fleet/scheduler/load_test.go
@@ -6,7 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// On one day two of three decode backends had queues while the third was empty: what proxies knew was seconds old.
+// Guards against unbalanced decode backends: two of three had queues while the third was empty, because the load known
+// to the proxies was seconds old.
 func TestPolledLoadShowsFullBatches(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 1, 2)
@@ -22,7 +23,7 @@
 	c.Assert(e.Full(2000, "d0"), qt.IsFalse)
 	e.ObservePolledLoad(3000, "d0", 8)
 	c.Assert(e.Full(3000, "d0"), qt.IsTrue)
-	// What this proxy sent since counts as well; what ended since shows with the next report only.
+	// Requests that this proxy sent since are added; requests that ended since are subtracted only by the next report.
 	e.ObservePolledLoad(5000, "d1", 6)
 	e.DecodeStarted("d1")
 	c.Assert(e.Full(5000, "d1"), qt.IsFalse)
@@ -52,7 +53,8 @@
 	e.AwaitEnded(1000, "gone", e.AwaitHeaders(1000, "gone"), false)
 }
 
-// A client leaves a silent stream after two seconds; the next request went to the same backend and waited as long.
+// Guards against repeated waits: clients abandon a silent stream after two seconds, and without the mark the next
+// request went to the same backend and waited just as long.
 func TestUnresponsiveOutlivesTheWait(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 0, 2)
@@ -65,12 +67,12 @@
 	c.Assert(e.MarkedUnresponsive(4000+unresponsiveHoldMs, "d0"), qt.IsFalse, qt.Commentf("it is tried again"))
 	e.ObserveResponseLoad(4100, "d0", 1, 0)
 	c.Assert(e.MarkedUnresponsive(4101, "d0"), qt.IsFalse, qt.Commentf("it has answered"))
-	// Another request was answered meanwhile: it is slow, not silent.
+	// Another request was answered in the meantime, so the backend is slow but responsive.
 	since = e.AwaitHeaders(5000, "d0")
 	e.AwaitEnded(6000, "d0", e.AwaitHeaders(5500, "d0"), true)
 	e.AwaitEnded(7500, "d0", since, false)
 	c.Assert(e.MarkedUnresponsive(7501, "d0"), qt.IsFalse)
-	// The control plane's word counts unless this proxy had contact of late.
+	// The control plane's report is used unless this proxy had recent contact.
 	e.MarkUnresponsive(8000, "d0")
 	c.Assert(e.MarkedUnresponsive(8001, "d0"), qt.IsTrue)
 	e.ObserveResponseLoad(9000, "d0", 1, 0)
@@ -79,7 +81,8 @@
 	e.MarkUnresponsive(9000, "gone")
 }
 
-// A backend that changed its phase rejected staged prompts for seconds, and each proxy went on sending there.
+// Guards against requests to a backend that keeps rejecting them: one that changed its phase rejected staged prompts
+// for seconds, and each proxy kept sending to it.
 func TestRejectionCountsAsFull(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 1, 2)
--- a/internal/fleet/scheduler/phase_planner.go
+++ b/internal/fleet/scheduler/phase_planner.go
@@ -7,87 +7,88 @@
 	"slices"
 )
 
-// PhasePlanner decides how many of a service's backends prefill and how many decode. It serves the control server
-// that holds the singleton role of giving orders. It is a state machine without I/O or clock; times are in ms on a
-// clock that doesn't go back. It is not safe for concurrent use.
+// PhasePlanner decides how many of a service's backends prefill and how many decode. It runs at the control server that
+// has the singleton role of ordering phase changes. It is a state machine without I/O or clock; times are in ms of a
+// monotonic clock. It is not safe for concurrent use.
 //
-// As many decode as the requests need, and one to spare, half of all at the most; all others prefill. More are made
-// to decode at once, since a full batch has no other outlet; fewer only slowly, since a backend that changes its
-// phase first finishes what it has.
+// The number of decode backends is the number that the requests need plus one, but at most half of all; the others
+// prefill. The number of decode backends is increased immediately, since requests can't be decoded elsewhere when
+// batches are full. It is reduced slowly, since a backend must finish its requests before it changes its phase.
 type PhasePlanner struct {
 	transitions map[string]pendingTransition // by id
 
-	// Load, of late.
-	peakActive     float64 // requests at decode backends, a decaying peak
-	meanPrefilling float64 // prompts at prefill backends, a decaying mean
-	steppedAt      float64 // when both were last updated, ms
+	// Recent load.
+	peakActive     float64 // decaying peak of the requests at decode backends
+	meanPrefilling float64 // decaying mean of the prompts at prefill backends
+	steppedAt      float64 // time of the last update of both, ms
 
-	surplusSince float64 // since when more decode than need be, ms; 0: they don't
+	surplusSince float64 // time since which there are too many decode backends, ms; 0: there aren't
 }
 
-// pendingTransition is a change of phase that was announced and hasn't been seen complete.
+// pendingTransition is a phase change that was announced and hasn't been reported complete.
 type pendingTransition struct {
-	prefill     bool    // the phase that it changes to
+	prefill     bool    // target phase: prefill, else decode
 	announcedAt float64 // ms
-	ordered     bool    // the order was handed out
+	ordered     bool    // Step has returned the order
 }
 
-// BackendReport is what a backend last reported of itself.
+// BackendReport is the newest state report of a backend.
 type BackendReport struct {
 	ID       string
-	Prefill  bool   // its present phase: prefill, else decode
-	Active   int    // requests that run or wait there
-	Changing bool   // a change of its phase is under way
-	Usable   bool   // it is listed, isn't draining and its report came
-	Orders   uint64 // how many orders it has accepted
+	Prefill  bool   // current phase: prefill, else decode
+	Active   int    // running and queued requests
+	Changing bool   // a phase change is in progress
+	Usable   bool   // it is listed, isn't draining and its report was received
+	Orders   uint64 // number of orders it has accepted
 }
 
 // Transition is a change of one backend's phase.
 type Transition struct {
 	ID      string
-	Prefill bool // the phase to change to: prefill, else decode
-	// Due tells that the order is to be sent now; else the change is only announced, so that nobody sends there.
+	Prefill bool // target phase: prefill, else decode
+	// Due is true if the order is to be sent now; otherwise the change is only announced, so that proxies send no
+	// further requests to the backend.
 	Due bool
 }
 
 const (
-	// decodeFillTarget is how full the batches of decode backends may be; the rest is for bursts, crashes and uneven
-	// shares.
+	// decodeFillTarget is the target utilization of the decode backends' batches. The remainder is headroom for bursts,
+	// crashes and uneven load.
 	decodeFillTarget = 0.8
-	// decodeFillMax is how full they may be while the prefill backends are pressed.
+	// decodeFillMax is the maximum utilization while the prefill backends are overloaded.
 	decodeFillMax = 0.9
-	// pressedPrefillsPerBackend is the mean number of prompts at a prefill backend above which prefill is pressed.
+	// pressedPrefillsPerBackend is the mean number of prompts per prefill backend above which prefill is overloaded.
 	pressedPrefillsPerBackend = 1.5
-	// easyPrefillsPerBackend is how many prompts there may be at each for one of them to decode instead.
+	// easyPrefillsPerBackend is the mean number of prompts per prefill backend up to which one of them may decode
+	// instead.
 	easyPrefillsPerBackend = 1
-	// prefillHalfLifeMs is the time in which the weight of earlier prefill load halves, ms.
+	// prefillHalfLifeMs is the half-life of the mean prefill load, ms.
 	prefillHalfLifeMs = 2000
-	// peakHalfLifeMs is the time in which the peak of decode load halves, ms.
+	// peakHalfLifeMs is the half-life of the peak decode load, ms.
 	peakHalfLifeMs = 8000
-	// minPrefillDivisor is one in how many backends prefills at the least.
+	// minPrefillDivisor sets the minimum number of prefill backends: 1/minPrefillDivisor of all.
 	minPrefillDivisor = 4
-	// minDecodeBackends is how many decode at the least, where there are twice as many: one may fail while no order
-	// can be given.
+	// minDecodeBackends is the minimum number of decode backends if there are at least twice as many backends: one may
+	// fail while no order can be sent.
 	minDecodeBackends = 3
-	// initialDecodeDivisor is one in how many backends decodes before there is any load.
+	// initialDecodeDivisor sets the number of decode backends without load: 1/initialDecodeDivisor of all.
 	initialDecodeDivisor = 2
-	// surplusHoldMs is how long too many decode before one prefills instead, ms.
+	// surplusHoldMs is how long there must be too many decode backends before one changes to prefill, ms.
 	surplusHoldMs = 3000
-	// announceMs is how long a change is announced before its order is sent, ms.
+	// announceMs is the time between the announcement of a change and its order, ms.
 	announceMs = 1000
-	// transitionTimeoutMs is how long a change is believed under way, ms.
+	// transitionTimeoutMs is the time-out of a change, counted from its announcement, ms.
 	transitionTimeoutMs = 20000
-	// minPlannedBackends is the least number of backends for which there is anything to plan: of fewer, each keeps
-	// its phase.
+	// minPlannedBackends is the minimum number of backends for planning; with fewer, each keeps its phase.
 	minPlannedBackends = 3
 )
 
-// NewPhasePlanner returns a PhasePlanner that has seen no load.
+// NewPhasePlanner returns a PhasePlanner without recorded load.
 func NewPhasePlanner() *PhasePlanner {
 	return &PhasePlanner{transitions: map[string]pendingTransition{}}
 }
 
-// RetryOrder has the next step hand out an order again that was not sent or got no answer.
+// RetryOrder makes the next Step return an order again that was not sent or not answered.
 func (p *PhasePlanner) RetryOrder(id string) {
 	if t, ok := p.transitions[id]; ok {
 		t.ordered = false
@@ -95,14 +96,14 @@
 	}
 }
 
-// InTransition returns the ids, sorted, of the backends whose change is announced or under way: nobody should send
-// there.
+// InTransition returns the ids, sorted, of the backends whose phase change is announced or in progress. No requests
+// should be sent to them.
 func (p *PhasePlanner) InTransition() []string {
 	return slices.Sorted(maps.Keys(p.transitions))
 }
 
-// Step takes the reports of all backends of the service, each with a batch of so many requests, and returns the
-// changes to announce and the orders to send. Without a capacity it does nothing.
+// Step processes the reports of all backends of the service and returns the changes to announce and the orders to send.
+// capacity is the batch size of each backend, in requests; if it is not positive, Step does nothing.
 func (p *PhasePlanner) Step(now float64, capacity int, reports []BackendReport) []Transition {
 	if capacity <= 0 {
 		return nil
@@ -126,12 +127,12 @@
 	return due
 }
 
-// survey is the usable backends by the phase that they have or are changing to, and the load of each phase.
+// survey has the usable backends by their phase, or the phase that they change to, and the load of each phase.
 type survey struct {
 	decode     []*BackendReport
 	prefill    []*BackendReport
-	decoding   float64 // requests at backends that decode now
-	prefilling float64 // requests at backends that prefill now
+	decoding   float64 // requests at backends whose current phase is decode
+	prefilling float64 // requests at backends whose current phase is prefill
 }
 
 func (s *survey) total() int { return len(s.decode) + len(s.prefill) }
@@ -158,7 +159,7 @@
 	return s
 }
 
-// endTransition drops a backend's transition that is complete, has taken too long or can't go on.
+// endTransition drops a backend's transition if it is complete, has timed out or the backend is not usable.
 func (p *PhasePlanner) endTransition(now float64, r *BackendReport) {
 	t, ok := p.transitions[r.ID]
 	if !ok {
@@ -170,7 +171,7 @@
 	}
 }
 
-// targetsPrefill tells whether a backend prefills once its transition, if any, is complete.
+// targetsPrefill reports whether a backend prefills once its transition, if any, is complete.
 func (p *PhasePlanner) targetsPrefill(r *BackendReport) bool {
 	if t, ok := p.transitions[r.ID]; ok {
 		return t.prefill
@@ -194,7 +195,7 @@
 	p.steppedAt = now
 }
 
-// dueOrders hands out the orders whose announcement is old enough.
+// dueOrders returns the orders whose change was announced at least announceMs ago, and marks them as ordered.
 func (p *PhasePlanner) dueOrders(now float64) []Transition {
 	var due []Transition
 	for id, t := range p.transitions {
@@ -208,15 +209,15 @@
 	return due
 }
 
-// idle tells that there has been no decode load of late, so that a change of phase costs nothing.
+// idle reports whether there has been no recent decode load, so that a phase change has no cost.
 func (p *PhasePlanner) idle() bool { return p.peakActive < 1 }
 
-// prefillPressed tells whether the prefill backends have more to prefill than they should.
+// prefillPressed reports whether the prefill backends are overloaded.
 func (p *PhasePlanner) prefillPressed(prefillBackends int) bool {
 	return prefillBackends > 0 && p.meanPrefilling > pressedPrefillsPerBackend*float64(prefillBackends)
 }
 
-// decodeTargets returns how many of the backends should decode at the least, and at the most.
+// decodeTargets returns the minimum and maximum number of backends that should decode.
 func (p *PhasePlanner) decodeTargets(s *survey, capacity int) (need, most int) {
 	total := s.total()
 	half := (total + 1) / 2
@@ -225,7 +226,7 @@
 		return n, n
 	}
 	need = max(p.decodeNeed(s, capacity), minDecodeBackends)
-	// Prefill needs backends, too, but it can't take those that make up half of all from the requests.
+	// Prefill needs backends too, but its need doesn't reduce the decode backends to fewer than half of all.
 	prompts := max(p.meanPrefilling, s.prefilling)
 	prefillNeed := max(int(math.Ceil(prompts/easyPrefillsPerBackend)), total/minPrefillDivisor, 1)
 	need = min(need, max(total-prefillNeed, half))
@@ -235,23 +236,23 @@
 	return need, max(need, half)
 }
 
-// decodeNeed returns how many decode backends the requests call for.
+// decodeNeed returns the number of decode backends that the requests need.
 func (p *PhasePlanner) decodeNeed(s *survey, capacity int) int {
 	batch := float64(capacity)
 	need := int(math.Ceil(p.peakActive/(decodeFillMax*batch))) + 1 // one to spare
 	if !p.prefillPressed(len(s.prefill)) {
-		// Requests come at random: capacity for two standard deviations more than the peak.
+		// Arrivals are random: reserve capacity for two standard deviations above the peak.
 		burst := p.peakActive + 2*math.Sqrt(p.peakActive)
 		need = max(int(math.Ceil(burst/(decodeFillTarget*batch))), need)
 	}
 	decode := len(s.decode)
 	if s.decoding > decodeFillMax*batch*float64(max(decode, 1)) {
-		need = max(need, decode+(decode+3)/4) // full batches hide how much more would come
+		need = max(need, decode+(decode+3)/4) // demand above full batches isn't visible in the reports
 	}
 	return need
 }
 
-// growDecode announces changes to decode until so many backends decode.
+// growDecode announces changes to decode until need backends decode or will decode.
 func (p *PhasePlanner) growDecode(now float64, s *survey, need int) []Transition {
 	var announced []Transition
 	for _, r := range p.changeable(s.prefill) {
@@ -263,14 +264,14 @@
 	return announced
 }
 
-// shrinkDecode announces changes to prefill while more than so many backends decode: one at a time, with a pause,
-// unless there is no load.
+// shrinkDecode announces changes to prefill while more than most backends decode: one at a time, with a pause, unless
+// there is no load.
 func (p *PhasePlanner) shrinkDecode(now float64, s *survey, most int) []Transition {
 	if p.surplusSince == 0 {
 		p.surplusSince = now
 	}
-	// Without load all changes cost nothing; and a backend that prefills can be back at once, where one that decodes
-	// takes long to finish.
+	// Without load, changes have no cost. When prefill is overloaded there is no pause either: a prefill backend can
+	// change back quickly, whereas a decode backend takes long to finish its requests.
 	if now-p.surplusSince < surplusHoldMs && !p.idle() && !p.prefillPressed(len(s.prefill)) {
 		return nil
 	}
@@ -288,7 +289,7 @@
 	return announced
 }
 
-// changeable returns the backends that aren't changing their phase, the least loaded first.
+// changeable returns the backends without a pending phase change, the least loaded first.
 func (p *PhasePlanner) changeable(reports []*BackendReport) []*BackendReport {
 	var all []*BackendReport
 	for _, r := range reports {
--- a/internal/fleet/scheduler/phase_planner_test.go
+++ b/internal/fleet/scheduler/phase_planner_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet stands in for a service's backends: orders take a while.
+// fleet simulates a service's backends, which take a while to execute orders.
 type fleet struct {
 	reports    []BackendReport
 	until      map[string]float64
@@ -36,7 +36,7 @@
 	return
 }
 
-// step plays one round: orders take effect, active requests spread over the decode backends.
+// step simulates one round: orders take effect, and active requests spread over the decode backends.
 func (f *fleet) step(p *PhasePlanner, now float64, capacity, active int) []Transition {
 	decode, prefill := 0, 0
 	for i := range f.reports {
@@ -89,7 +89,7 @@
 	}
 }
 
-// With three of 44 decoding, full batches hid how much more would come.
+// Guards against slow growth: with 3 of 44 backends decoding, full batches hid the demand beyond them.
 func TestDecodeGrowsFromFullBatches(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(41, 3), NewPhasePlanner()
@@ -102,7 +102,7 @@
 	c.Assert(decode >= 14 && decode <= 22, qt.IsTrue, qt.Commentf("%d decode", decode))
 }
 
-// A decode backend may fail while no order can be given: one more than needed decodes.
+// A decode backend may fail while no order can be sent, so one more than needed decodes.
 func TestDecodeKeepsOneToSpareAndShrinks(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(6, 3), NewPhasePlanner()
@@ -124,7 +124,8 @@
 	c.Assert(decode, qt.Equals, 3, qt.Commentf("when prompts need them they prefill again"))
 }
 
-// Two of nine stood idle beside prefill backends with forty prompts each: both loads decide.
+// Guards against idle decode backends: two of nine were idle while prefill backends had 40 prompts each. The plan
+// depends on the load of both phases.
 func TestPhasePlannerWeighsPrefill(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(4, 5), NewPhasePlanner()
@@ -144,7 +145,7 @@
 	}
 	c.Assert(at > 0 && at <= 10000+2*prefillHalfLifeMs+announceMs+1000, qt.IsTrue,
 		qt.Commentf("pressed prefill waits for nothing but the announcement: %v", at))
-	// More decode load doesn't take prefill backends that are busy.
+	// More decode load doesn't take over busy prefill backends.
 	f, p = newFleet(5, 4), NewPhasePlanner()
 	f.prefilling = 15
 	for now := 0.0; now < 20000; now += 500 {
@@ -165,7 +166,7 @@
 	transitions = f.step(p, announceMs, 64, 0)
 	c.Assert(len(transitions), qt.Equals, 2)
 	c.Assert(transitions[0].Due && transitions[1].Due, qt.IsTrue)
-	// Backends that are gone meanwhile are forgotten; the others have changes of their own.
+	// Transitions of backends that were removed are dropped; those of the others are unaffected.
 	lost := p.InTransition()
 	f.reports = f.reports[:3]
 	f.step(p, announceMs+100, 64, 0)
@@ -174,7 +175,8 @@
 	}
 }
 
-// An order that could not be confirmed in time was not sent again: its backend got no requests for 20 s.
+// Guards against a lost order: an order that could not be confirmed in time was not sent again, and its backend got no
+// requests for 20 s.
 func TestOrderIsRetried(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(4, 5), NewPhasePlanner()
--- a/internal/fleet/scheduler/prefill_test.go
+++ b/internal/fleet/scheduler/prefill_test.go
@@ -36,7 +36,7 @@
 	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 600, qt.Commentf("what may not have been prefilled doesn't count"))
 }
 
-// TestPrefixCacheIsResized: a configuration that gives the engines less memory, or more, applies to listed ones.
+// TestPrefixCacheIsResized checks that a configuration with a smaller or larger KV cache applies to listed backends.
 func TestPrefixCacheIsResized(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 1, 0)
@@ -56,8 +56,8 @@
 	c.Assert(e.UncachedTokens("p0", third), qt.Equals, 0)
 }
 
-// Each of many proxies sees few of the prompts that share a prefix; it took the preferred backend, which has the
-// prefix cached from others' prompts, for far behind.
+// Guards against overestimates at the preferred backend: each of many proxies sees few of the prompts that share a
+// prefix, and assumed that the backend had to prefill a prefix that it had cached from other proxies' prompts.
 func TestPreferredBackendCachesSharedPrefix(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 2, 0)
@@ -73,8 +73,8 @@
 	c.Assert(odd.UnsharedTokens(), qt.Equals, 0)
 }
 
-// Under twice the load that could be prefilled, prompts that waited were given up at half of their time and prefilled
-// again elsewhere: the queue has to be estimated, and the estimate compared with what came.
+// Guards against wasted prefills: at twice the prefill capacity, queued prompts were abandoned after half of their time
+// and prefilled again at another backend. The estimate must include the queue and be corrected by actual durations.
 func TestExpectedPrefillFollowsObservations(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 1, 0)
@@ -98,7 +98,8 @@
 	c.Assert(e.expectedScale <= maxExpectedScale, qt.IsTrue)
 }
 
-// A prompt that waited must not make all others look slow: that sent prompts away from their preferred backends.
+// Guards against wrong speeds: the duration of a queued prompt made all backends appear slow, and prompts were sent
+// away from their preferred backends.
 func TestPrefillSpeedIsLearnedWhenAlone(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 1, 0)
--- a/internal/fleet/scheduler/prefix_cache.go
+++ b/internal/fleet/scheduler/prefix_cache.go
@@ -2,12 +2,11 @@
 
 import "container/list"
 
-// prefixCache is what one backend is believed to hold in its KV cache: segments of prompts, evicted least recently
-// used first, as backends do. Segments that other proxies sent are not known here, so that the backend may hold less
-// than is believed.
+// prefixCache models the KV cache of one backend: segments of prompts with least-recently-used eviction, as backends
+// do. Segments sent by other proxies are not included, so the backend may have evicted segments that are in the model.
 type prefixCache struct {
 	byHash         map[uint64]*list.Element
-	lru            *list.List // of cachedSegment, the least recently used first
+	lru            *list.List // cachedSegment values, the least recently used first
 	tokens         int
 	capacityTokens int
 }
@@ -25,7 +24,8 @@
 	}
 }
 
-// touch records that the segments of a prompt were prefilled or used now, and evicts what no longer fits.
+// touch marks the segments of a prompt as most recently used, adds missing ones, and evicts segments beyond the
+// capacity.
 func (c *prefixCache) touch(p *Prompt) {
 	for _, segment := range p.Segments {
 		if e := c.byHash[segment.PrefixHash]; e != nil {
@@ -38,13 +38,13 @@
 	c.evict()
 }
 
-// resize sets the capacity, and evicts what no longer fits.
+// resize sets the capacity, and evicts segments beyond it.
 func (c *prefixCache) resize(capacityTokens int) {
 	c.capacityTokens = capacityTokens
 	c.evict()
 }
 
-// evict removes the least recently used segments until the others fit.
+// evict removes the least recently used segments until the others fit the capacity.
 func (c *prefixCache) evict() {
 	for c.tokens > c.capacityTokens && c.lru.Len() > 0 {
 		c.remove(c.lru.Front())
@@ -66,7 +66,7 @@
 	c.tokens -= segment.tokens
 }
 
-// matchTokens returns how many tokens of the prompt are cached, from its beginning on.
+// matchTokens returns the length of the prompt's longest cached prefix, in tokens.
 func (c *prefixCache) matchTokens(p *Prompt) int {
 	n := 0
 	for _, segment := range p.Segments {
--- a/internal/fleet/scheduler/prompt.go
+++ b/internal/fleet/scheduler/prompt.go
@@ -9,30 +9,30 @@
 	"molepaddle/internal/decide/arith"
 )
 
-// Segment is a piece of a prompt as its sender cut it.
+// Segment is a segment of a prompt, as declared by its sender.
 type Segment struct {
-	// PrefixHash identifies the segment together with all segments before it: a cached segment serves only after the
-	// same prefix.
+	// PrefixHash identifies the segment and all segments before it: a cached segment can be reused only after the same
+	// prefix.
 	PrefixHash uint64
 	// Tokens is the length of the segment.
 	Tokens int
 }
 
-// Prompt is what a request's headers say of its prompt.
+// Prompt describes a request's prompt according to the request's headers.
 type Prompt struct {
-	// Segments are the pieces of the prompt, in order, maxSegments at most.
+	// Segments are the segments of the prompt, in order, at most maxSegments.
 	Segments []Segment
-	// InputTokens is the length of the prompt.
+	// InputTokens is the length of the prompt, in tokens.
 	InputTokens int
-	// MaxOutputTokens is how many tokens the answer has at the most.
+	// MaxOutputTokens is the maximum length of the answer, in tokens.
 	MaxOutputTokens int
 }
 
-// maxSegments bounds the segments of a prompt that are looked at.
+// maxSegments is the maximum number of segments of a prompt that are parsed.
 const maxSegments = 64
 
-// ParsePrompt reads the two header fields, such as `1460,80` and `5c1e07a2:800,91bd3f06:410`, of a request for a
-// model. It returns false where count can't be read; segments are read up to the first that can't be.
+// ParsePrompt parses the two header fields, such as `1460,80` and `5c1e07a2:800,91bd3f06:410`, of a request for a
+// model. It returns false if count is invalid; segments are parsed up to the first invalid one.
 func ParsePrompt(model, count, segments string) (Prompt, bool) {
 	var p Prompt
 	input, output, hasOutput := strings.Cut(count, ",")
@@ -58,14 +58,14 @@
 	return p, true
 }
 
-// parseTokens reads a number of tokens, 0 or more.
+// parseTokens parses a non-negative number of tokens.
 func parseTokens(text string) (int, bool) {
 	n, err := strconv.Atoi(text)
 	return n, err == nil && n >= 0
 }
 
-// SharedPrefixKey returns the hash of the prefix that the prompt shares with others: all segments but the last, which
-// is the request's own. 0: it shares nothing.
+// SharedPrefixKey returns the hash of the prefix that the prompt shares with others: all segments except the last,
+// which is the request's own. It returns 0 if there is no such prefix.
 func (p *Prompt) SharedPrefixKey() uint64 {
 	if len(p.Segments) < 2 {
 		return 0
@@ -73,8 +73,7 @@
 	return p.Segments[len(p.Segments)-2].PrefixHash
 }
 
-// UnsharedTokens returns how many tokens of the prompt no other prompt has: those of its last segment, or all of them
-// where it shares nothing.
+// UnsharedTokens returns the number of tokens outside the shared prefix: all of them if there is no such prefix.
 func (p *Prompt) UnsharedTokens() int {
 	if len(p.Segments) < 2 {
 		return p.InputTokens
@@ -86,7 +85,7 @@
 	return max(p.InputTokens-shared, 0)
 }
 
-// PromptKey returns the hash of the whole prompt; 0 where it has no segments.
+// PromptKey returns the hash of the entire prompt; 0 if it has no segments.
 func (p *Prompt) PromptKey() uint64 {
 	if len(p.Segments) == 0 {
 		return 0
--- a/internal/fleet/scheduler/stream_pace.go
+++ b/internal/fleet/scheduler/stream_pace.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// StreamPace is how slowly the events of streams came of late: the slowest stretch counts, and decays. The zero value
-// has seen none. It is not safe for concurrent use.
+// StreamPace tracks the slowest recent pace of stream events, which decays with time. The zero value has no
+// observation. It is not safe for concurrent use.
 type StreamPace struct {
-	slowestMs float64 // an event
-	at        float64 // when that was, ms
+	slowestMs float64 // slowest pace, ms per event
+	at        float64 // time of its observation, ms
 }
 
-// paceHalfLifeMs is the time in which the slowest pace halves, ms.
+// paceHalfLifeMs is the half-life of the slowest pace, ms.
 const paceHalfLifeMs = 10_000
 
-// Observe takes how long a stretch of a stream took, ms, and how many events were in it, 1 or more.
+// Observe records the duration of a section of a stream, ms, and its number of events, 1 or more.
 func (p *StreamPace) Observe(now, took float64, events int) {
 	msPerEvent := took / float64(events)
 	if msPerEvent >= p.Slowest(now) {
@@ -21,7 +21,7 @@
 	}
 }
 
-// Slowest returns the slowest pace of late, ms an event; 0 where none was seen.
+// Slowest returns the slowest recent pace, ms per event; 0 if there was no observation.
 func (p *StreamPace) Slowest(now float64) float64 {
 	return p.slowestMs * math.Exp2(-(now-p.at)/paceHalfLifeMs)
 }
--- a/internal/fleet/scheduler/stream_pace_test.go
+++ b/internal/fleet/scheduler/stream_pace_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Faster stretches don't hide a slow one, whose half-life is ten seconds.
+// Faster sections of a stream don't hide a slow one, whose pace decays with a half-life of 10 s.
 func TestStreamPaceIsTheSlowest(t *testing.T) {
 	c := qt.New(t)
 	var p StreamPace
--- a/internal/fleet/scheduler/transfer_test.go
+++ b/internal/fleet/scheduler/transfer_test.go
@@ -7,7 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Transfers over a slow link are charged to the backend whose link it is, and are tried again after a while.
+// The delay of transfers over a slow link is attributed to the backend with that link, and decays, so that the backend
+// is tried again.
 func TestSlowTransfersAreChargedToTheirBackend(t *testing.T) {
 	c := qt.New(t)
 	e := newTestEstimator(t, 3, 3)
