--- a/internal/fleet/outlier/assessment.go
+++ b/internal/fleet/outlier/assessment.go
@@ -3,44 +3,45 @@
 import "slices"
 
 const (
-	// minComplaints is how many proxies must have had bad ends at a backend: one that is faulty itself, or reports
-	// what isn't so, ejects nobody.
+	// minComplaints is the minimum number of proxies that must have had bad results at a backend: a single proxy that
+	// is faulty or sends wrong reports can't get a backend ejected.
 	minComplaints = 3
-	// minComplaintWeight is the least number of bad ends, after decay, that make a proxy's complaint.
+	// minComplaintWeight is the minimum number of bad results, after decay, that count as a proxy's complaint.
 	minComplaintWeight = 0.3
-	// minBadShare is the share of the attempts, on the mean over proxies, that must have ended badly.
+	// minBadShare is the minimum mean over proxies of the fraction of attempts with bad results.
 	minBadShare = 0.18
-	// minLateShare is minBadShare where answers were only late.
+	// minLateShare is the minimum instead of minBadShare if answers were only late.
 	minLateShare = 0.25
-	// peerFactor is how many times the median of its peers a backend's share of bad ends must be. Where all do alike
-	// badly it is load.
+	// peerFactor is the minimum ratio of a backend's share of bad results to the median of its peers. If all backends
+	// do equally badly, the cause is load.
 	peerFactor = 3
-	// minSlowShare is the share of slow streams at a backend that is an outlier for certain: some are slow where
-	// streams make way for more urgent ones.
+	// minSlowShare is the share of slow streams from which on a backend is conclusively an outlier. Lower shares occur
+	// where streams are preempted by more urgent ones.
 	minSlowShare = 0.6
-	// overloadAnswerRate is the part of the median answer rate above which a late backend is overloaded rather than
-	// faulty.
+	// overloadAnswerRate is the fraction of the median answer rate above which a late backend is considered overloaded
+	// rather than faulty.
 	overloadAnswerRate = 0.4
-	// normalBadShare is the share of bad ends that three in four of a group's backends stay below while the group
-	// isn't overloaded. While it is, lateness says nothing of a backend, unless it is unresponsive.
+	// normalBadShare is the share of bad results that the upper quartile of a group's backends doesn't exceed unless
+	// the group is overloaded. During overload, lateness doesn't indicate a fault of a backend, unless it is
+	// unresponsive.
 	normalBadShare = 0.05
-	// unresponsiveAnswerRate is the part of the median answer rate below which a backend is unresponsive.
+	// unresponsiveAnswerRate is the fraction of the median answer rate up to which a backend is unresponsive.
 	unresponsiveAnswerRate = 0.1
 )
 
-// assessment is what the counts say of one backend for the proxies of one zone, or of all.
+// assessment summarizes the counts of one backend over the proxies of one zone, or of all zones.
 type assessment struct {
-	complaints      int     // proxies with bad ends
-	proxies         float64 // proxies that sent there, those with less than one attempt in part
-	badShare        float64 // share of the attempts that ended badly, on the mean over proxies
-	unansweredShare float64 // the same of those that failed or got no answer
-	failedShare     float64 // the same of those that failed
-	streamedProxies float64 // proxies that saw how fast answers came, as proxies
-	slowShare       float64 // share of the streams that came slowly, on the mean over these
-	answerRate      float64 // answers, decaying
+	complaints      int     // number of proxies with a complaint
+	proxies         float64 // number of proxies with attempts; less than one attempt counts as a fraction
+	badShare        float64 // fraction of the attempts with bad results, mean over proxies
+	unansweredShare float64 // fraction of the attempts that failed or got no answer, mean over proxies
+	failedShare     float64 // fraction of the attempts that failed, mean over proxies
+	streamedProxies float64 // number of proxies with streamed answers, counted like proxies
+	slowShare       float64 // fraction of slow streams, mean over streamedProxies
+	answerRate      float64 // decaying count of answers
 }
 
-// assess sums up what the proxies of a zone, "" for all, saw of a backend.
+// assess summarizes the counts of a backend over the proxies of a zone; "" means all zones.
 func (b *backendStats) assess(now float64, zone string) assessment {
 	var a assessment
 	for _, p := range b.byProxy {
@@ -61,7 +62,7 @@
 	return a
 }
 
-// add adds one proxy's shares by their weights; the sums are yet to be divided.
+// add adds one proxy's weighted shares; assess divides the sums by the weights.
 func (a *assessment) add(p *proxyStats) {
 	weight := min(p.attempts, 1)
 	a.proxies += weight
@@ -79,22 +80,23 @@
 	}
 }
 
-// isOutlier tells whether a backend does far worse than its peers, whose median share of bad ends is given.
+// isOutlier reports whether a backend does far worse than its peers; peersBadShare is their median share of bad
+// results.
 func (a *assessment) isOutlier(peersBadShare float64) bool {
 	return a.complaints >= minComplaints && a.badShare >= max(minBadShare, peerFactor*peersBadShare)
 }
 
-// conclusive tells whether no load explains what the proxies saw: attempts failed, or nearly all streams were slow.
+// conclusive reports whether load can be excluded as the cause: attempts failed, or most streams were slow.
 func (a *assessment) conclusive() bool {
 	return a.failedShare >= minBadShare/2 || a.streamedProxies >= 1 && a.slowShare >= minSlowShare
 }
 
-// onlySlow tells whether the backend answers, but too late.
+// onlySlow reports whether the backend answers, but late or slowly.
 func (a *assessment) onlySlow() bool { return a.unansweredShare < a.badShare/2 }
 
-// findOutlier assesses a backend against the median share of bad ends of its peers. ok tells that it is an outlier,
-// and zone for whose proxies: those of one zone where proxies of others have no complaint, since the path from that
-// zone may be broken; "" for all.
+// findOutlier compares a backend with the median share of bad results of its peers. ok reports whether it is an
+// outlier, and zone for which proxies: those of one zone if only that zone has complaints, since the network path from
+// that zone may be broken; "" for all.
 func (b *backendStats) findOutlier(now, peersBadShare float64) (zone string, a assessment, ok bool) {
 	ofAll := b.assess(now, "")
 	reporting, complaining := 0, 0
@@ -127,14 +129,14 @@
 	return all
 }
 
-// groupStats is how the backends of a group do together.
+// groupStats has statistics over the backends of a group.
 type groupStats struct {
 	medianBadShare        float64
 	upperQuartileBadShare float64
 	medianAnswerRate      float64
 }
 
-// groupStats sums up the backends of a group that aren't ejected.
+// groupStats returns the statistics over the backends of a group that aren't ejected.
 func (d *Detector) groupStats(now float64, group []Peer) groupStats {
 	var badShares, answerRates []float64
 	for _, peer := range group {
@@ -154,7 +156,7 @@
 	}
 }
 
-// mayBeOverloaded tells whether load may explain that a backend is late.
+// mayBeOverloaded reports whether overload may be the reason why a backend is late.
 func (g *groupStats) mayBeOverloaded(a *assessment) bool {
 	switch {
 	case a.answerRate <= unresponsiveAnswerRate*g.medianAnswerRate:
@@ -165,7 +167,7 @@
 	return a.answerRate > overloadAnswerRate*g.medianAnswerRate
 }
 
-// quantile returns a quantile of all, the lower value where it lies between two; 0 of none. It sorts all.
+// quantile returns a quantile of all, the lower value if it lies between two, or 0 if all is empty. It sorts all.
 func quantile(all []float64, part float64) float64 {
 	if len(all) == 0 {
 		return 0
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -9,69 +9,69 @@
 )
 
 const (
-	// maxEjectedDivisor is one in how many of a group are ejected at the most.
+	// maxEjectedDivisor limits ejections to 1/maxEjectedDivisor of a group.
 	maxEjectedDivisor = 3
-	// maxLateEjectedDivisor is the same where the next one is only late.
+	// maxLateEjectedDivisor is the divisor for a backend whose assessment is not conclusive (it is only late).
 	maxLateEjectedDivisor = 6
 	// trialsToRestore is how many trials in a row must succeed to restore a backend; it doubles with each strike.
 	trialsToRestore = 4
-	// maxStrikes bounds the doubling.
+	// maxStrikes is the maximum number of doublings.
 	maxStrikes = 2
-	// strikeLifetimeMs is how long after it was restored a backend's strikes count, ms.
+	// strikeLifetimeMs is how long after its restoration a backend's strikes count, ms.
 	strikeLifetimeMs = 30_000
-	// maxTrialsPerReport bounds the successes that one report counts for.
+	// maxTrialsPerReport is the maximum number of successful trials counted per report.
 	maxTrialsPerReport = 2
-	// maxTrialShare is the part of the required trials that the reports of one proxy count for, where there are
-	// others: no single proxy restores a backend, whose trouble may be on the way to the others.
+	// maxTrialShare is the maximum fraction of the required trials that one proxy can contribute if others report: a
+	// single proxy can't restore a backend, since the fault may be on the other proxies' network paths to it.
 	maxTrialShare = 0.75
-	// reportDelayMs is how long after an ejection reported successes may be from before it, ms.
+	// reportDelayMs is the time after an ejection in which reported successes may still be from before it, ms.
 	reportDelayMs = 1500
-	// suspicionMs is how long after its last bad end a backend may be ejected, ms.
+	// suspicionMs is the time after its last bad result in which a backend may be ejected, ms.
 	suspicionMs = 2 * halfLifeMs
-	// proxyTimeoutMs is how long the counts of a proxy that reports no more are held, ms.
+	// proxyTimeoutMs is how long the counts of a proxy are kept after its last report, ms.
 	proxyTimeoutMs = 10 * halfLifeMs
-	// maxProxies bounds the proxies whose counts are told apart at one backend.
+	// maxProxies is the maximum number of proxies that are tracked, in total and for each backend.
 	maxProxies = 4096
 )
 
-// Peer is a listed backend as the Detector compares it with others of its group.
+// Peer is a listed backend, which the Detector compares with the others of its group.
 type Peer struct {
-	// ID names one incarnation of a backend.
+	// ID identifies one incarnation of a backend.
 	ID string
-	// Group is the same for all that serve the same requests: the service and the phase.
+	// Group identifies the backends that serve the same requests: the service and the phase.
 	Group string
 }
 
 // Detector decides which backends are ejected. It is not safe for concurrent use.
 type Detector struct {
 	backends  map[string]*backendStats // by id
-	reporters map[string]reporter      // proxies that reported of late, by name
+	reporters map[string]reporter      // proxies that reported within proxyTimeoutMs, by name
 }
 
 // reporter is a proxy that reports.
 type reporter struct {
 	zone string
-	at   float64 // of its last report, ms
+	at   float64 // time of its last report, ms
 }
 
-// backendStats is what is known of one backend.
+// backendStats is the Detector's state for one backend.
 type backendStats struct {
 	byProxy   map[string]*proxyStats
-	lastBadAt float64 // when a bad end was last counted, ms
+	lastBadAt float64 // time when a bad result was last counted, ms
 
-	// The present ejection.
+	// The current ejection.
 	ejected    bool
 	ejectedAt  float64        // ms
-	zone       string         // for whose proxies; "": for all
-	slow       bool           // it answers, but too late
-	goodTrials map[string]int // by proxy, since the last bad one
+	zone       string         // zone of the proxies that it applies to; "": all
+	slow       bool           // it answers, but late or slowly
+	goodTrials map[string]int // successful trials since the last bad result, by proxy
 
 	// Earlier ejections.
 	strikes    int
 	restoredAt float64 // ms
 }
 
-// NewDetector returns a Detector that has seen no report.
+// NewDetector returns a Detector without reports.
 func NewDetector() *Detector {
 	return &Detector{
 		backends:  map[string]*backendStats{},
@@ -79,7 +79,7 @@
 	}
 }
 
-// Observe takes a report of one proxy. Counts that can't be are ignored.
+// Observe processes a report of one proxy. Inconsistent counts are ignored.
 func (d *Detector) Observe(now float64, report *distribution.OutcomeReport) {
 	if _, known := d.reporters[report.Proxy]; known || len(d.reporters) < maxProxies {
 		d.reporters[report.Proxy] = reporter{zone: report.Zone, at: now}
@@ -120,8 +120,8 @@
 	}
 }
 
-// Step assesses all listed backends and returns the ejections in force, by backend id. What is known of backends that
-// aren't listed is dropped.
+// Step assesses all listed backends and returns the ejections in force, sorted by backend id. The state of backends
+// that aren't listed is dropped.
 func (d *Detector) Step(now float64, peers []Peer) []distribution.Ejection {
 	d.forget(now, peers)
 	groups := map[string][]Peer{}
@@ -146,7 +146,8 @@
 	return ejections
 }
 
-// forget drops backends that are no longer listed, and proxies that report no more.
+// forget drops the state of backends that are no longer listed, and of proxies that have not reported for
+// proxyTimeoutMs.
 func (d *Detector) forget(now float64, peers []Peer) {
 	listed := make(map[string]bool, len(peers))
 	for _, peer := range peers {
@@ -170,7 +171,7 @@
 	}
 }
 
-// stepGroup restores and ejects among the backends of a group.
+// stepGroup restores and ejects backends of a group.
 func (d *Detector) stepGroup(now float64, group []Peer) {
 	ejected := d.reviewEjections(now, group)
 	for _, c := range d.candidates(now, group) {
@@ -185,8 +186,8 @@
 	}
 }
 
-// reviewEjections restores the ejected backends of a group that have earned it, widens the ejections of others, and
-// returns how many stay ejected.
+// reviewEjections restores the ejected backends of a group that have enough successful trials, widens the ejections of
+// others if needed, and returns how many stay ejected.
 func (d *Detector) reviewEjections(now float64, group []Peer) (ejected int) {
 	for _, peer := range group {
 		b := d.backends[peer.ID]
@@ -200,7 +201,7 @@
 		ejected++
 		b.widenToAllZones(now)
 		if a := b.assess(now, ""); a.badShare > 0 {
-			b.slow = a.onlySlow() // answers that come late tell an unresponsive backend from a slow one
+			b.slow = a.onlySlow() // late answers distinguish a slow backend from an unresponsive one
 		}
 	}
 	return ejected
@@ -210,13 +211,13 @@
 type candidate struct {
 	assessment
 	backend *backendStats
-	zone    string // for whose proxies; "": for all
+	zone    string // zone of the proxies that the ejection would apply to; "": all
 }
 
 // candidates returns the backends of a group that may be ejected, the worst first.
 func (d *Detector) candidates(now float64, group []Peer) []candidate {
 	if !slices.ContainsFunc(group, func(peer Peer) bool { return d.backends[peer.ID].suspect(now) }) {
-		return nil // the usual case: nothing to compare
+		return nil // the common case: no suspect
 	}
 	var all []candidate
 	peers := d.groupStats(now, group)
@@ -235,13 +236,13 @@
 	return all
 }
 
-// suspect tells whether a backend that isn't ejected had a bad end of late; false for one of which nothing is known.
+// suspect reports whether a backend isn't ejected and had a bad result within suspicionMs; false if b is nil.
 func (b *backendStats) suspect(now float64) bool {
 	return b != nil && !b.ejected && now-b.lastBadAt < suspicionMs
 }
 
-// widenToAllZones ejects for all proxies what was ejected for those of one zone, once those of others have
-// complaints, too.
+// widenToAllZones extends an ejection for the proxies of one zone to all proxies once those of another zone have
+// complaints too.
 func (b *backendStats) widenToAllZones(now float64) {
 	if b.zone == "" {
 		return
@@ -257,10 +258,10 @@
 	}
 }
 
-// requiredTrials returns how many good trials in a row restore the backend.
+// requiredTrials returns how many successful trials in a row restore the backend.
 func (b *backendStats) requiredTrials() int { return trialsToRestore << min(b.strikes, maxStrikes) }
 
-// addGoodTrials counts trials of one proxy that succeeded.
+// addGoodTrials counts successful trials of one proxy.
 func (b *backendStats) addGoodTrials(proxy string, n int) {
 	if n == 0 {
 		return
@@ -271,8 +272,8 @@
 	b.goodTrials[proxy] += n
 }
 
-// earnedTrials returns how many good trials count, where so many proxies report: those of one proxy up to
-// maxTrialShare of what is required, unless it is the only one.
+// earnedTrials returns the number of successful trials that count. If several proxies report, one proxy contributes at
+// most maxTrialShare of the required trials.
 func (b *backendStats) earnedTrials(reporters int) int {
 	most := b.requiredTrials()
 	if reporters > 1 {
@@ -285,7 +286,7 @@
 	return earned
 }
 
-// reportersIn returns how many proxies of a zone reported of late; "": of all zones.
+// reportersIn returns the number of proxies of a zone that reported within proxyTimeoutMs; "" means all zones.
 func (d *Detector) reportersIn(zone string) int {
 	n := 0
 	for _, r := range d.reporters {
@@ -307,7 +308,7 @@
 	b.goodTrials = nil
 }
 
-// restore ends an ejection. What was counted before says nothing of the backend as it is now.
+// restore ends an ejection and drops the earlier counts, which no longer describe the backend.
 func (b *backendStats) restore(now float64) {
 	b.ejected = false
 	b.zone = ""
--- a/internal/fleet/outlier/recorder.go
+++ b/internal/fleet/outlier/recorder.go
@@ -6,53 +6,54 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// Result is how an attempt at a backend ended, as far as that says anything of the backend.
+// Result classifies how an attempt at a backend ended.
 type Result int
 
 const (
-	// Inconclusive says nothing of the backend: the client left, or the backend was full.
+	// Inconclusive is a result that doesn't indicate how healthy the backend is: the client disconnected, or the
+	// backend was full.
 	Inconclusive Result = iota
-	// Good is a served answer in the usual time.
+	// Good is an answer served in the usual time.
 	Good
-	// StreamedOnPace is a served answer that came in parts, as fast as usual.
+	// StreamedOnPace is a streamed answer at the usual pace.
 	StreamedOnPace
-	// Late is a served answer for which the proxy waited far longer than usual, be it for capacity there or for the
-	// answer itself.
+	// Late is an answer for which the proxy waited far longer than usual, for capacity at the backend or for the answer
+	// itself.
 	Late
-	// Slow is a served answer that came several times as slowly as usual once it had begun.
+	// Slow is an answer that, once begun, was streamed several times as slowly as usual.
 	Slow
-	// Failed is an error answer, a reset or a failed connect.
+	// Failed is an error response, a reset or a failed connection attempt.
 	Failed
-	// TimedOut is no answer in far longer than usual.
+	// TimedOut means that there was no answer in far longer than the usual time.
 	TimedOut
 )
 
-// Attempt is one attempt in flight. It belongs to the Recorder that began it.
+// Attempt is one attempt in flight. It belongs to the Recorder whose Begin returned it.
 type Attempt struct {
 	backend        string
-	overdueAt      float64 // when it counts as overdue although it hasn't ended, ms
+	overdueAt      float64 // time from which it counts as overdue although it hasn't ended, ms
 	counted        bool
 	countedOverdue bool
 }
 
-// Recorder counts how one proxy's attempts end, by backend, until Drain. It is not safe for concurrent use.
+// Recorder counts the results of one proxy's attempts by backend until Drain. It is not safe for concurrent use.
 type Recorder struct {
-	pending []*Attempt // watched for being overdue
+	pending []*Attempt // attempts that may become overdue
 	counts  map[string]*distribution.Outcome
-	adverse bool // a bad end is among the counts
+	adverse bool // the counts include a bad result
 }
 
 const (
-	// maxPending bounds the attempts that are watched for being overdue.
+	// maxPending is the maximum number of attempts that are checked for being overdue.
 	maxPending = 1024
-	// maxBackends bounds the backends in one report; what other proxies report of the rest is enough.
+	// maxBackends is the maximum number of backends in one report; other proxies' reports cover the others.
 	maxBackends = 512
 )
 
 // NewRecorder returns a Recorder without counts.
 func NewRecorder() *Recorder { return &Recorder{counts: map[string]*distribution.Outcome{}} }
 
-// Begin records the start of an attempt that is overdue if it has no answer by the time given, ms.
+// Begin records the start of an attempt that becomes overdue if it has no answer by overdueAt, ms.
 func (r *Recorder) Begin(backend string, overdueAt float64) *Attempt {
 	a := &Attempt{backend: backend, overdueAt: overdueAt}
 	if len(r.pending) < maxPending {
@@ -61,7 +62,7 @@
 	return a
 }
 
-// HeadersReceived records that an attempt's answer has begun: it is no longer watched for being overdue.
+// HeadersReceived records that an attempt's answer has begun: the attempt can no longer become overdue.
 func (r *Recorder) HeadersReceived(a *Attempt) {
 	r.stopWatching(a)
 	if !a.countedOverdue {
@@ -79,18 +80,18 @@
 	}
 }
 
-// ObservePart counts a part of an attempt in flight, such as a stretch of a stream, as an attempt of its own.
+// ObservePart counts a part of an attempt in flight, such as a section of a stream, as a separate attempt.
 func (r *Recorder) ObservePart(backend string, result Result) {
 	r.count(&Attempt{backend: backend}, result)
 }
 
-// End counts an attempt, unless it was counted when it became overdue. Only the first call counts.
+// End counts an attempt, unless it was already counted when it became overdue. Further calls have no effect.
 func (r *Recorder) End(a *Attempt, result Result) {
 	r.stopWatching(a)
 	r.count(a, result)
 }
 
-// CountOverdue counts the attempts that are overdue by now.
+// CountOverdue counts the attempts that are overdue at the given time, ms.
 func (r *Recorder) CountOverdue(now float64) {
 	r.pending = slices.DeleteFunc(r.pending, func(a *Attempt) bool {
 		if now < a.overdueAt {
@@ -134,7 +135,7 @@
 	}
 }
 
-// outcome returns the counts of a backend; nil where there are maxBackends others.
+// outcome returns the counts of a backend; nil if there are already counts of maxBackends others.
 func (r *Recorder) outcome(backend string) *distribution.Outcome {
 	o := r.counts[backend]
 	if o == nil && len(r.counts) < maxBackends {
@@ -144,10 +145,10 @@
 	return o
 }
 
-// Adverse tells whether a bad end is among the counts, so that they should be reported soon.
+// Adverse reports whether the counts include a bad result, so that they should be reported soon.
 func (r *Recorder) Adverse() bool { return r.adverse }
 
-// Drain returns the counts, by backend and in no order, and resets them; nil where there are none.
+// Drain returns the counts by backend, in no particular order, and resets them; nil if there are none.
 func (r *Recorder) Drain() []distribution.Outcome {
 	if len(r.counts) == 0 {
 		return nil
--- a/internal/fleet/outlier/stats.go
+++ b/internal/fleet/outlier/stats.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// halfLifeMs is the time in which half of what was counted is forgotten, ms.
+	// halfLifeMs is the half-life of the counts, ms.
 	halfLifeMs = 800
-	// answerRateHalfLifeMs is that time for the rate of answers, ms: it is compared with that of the peers now.
+	// answerRateHalfLifeMs is the half-life of the answer rate, ms. It is short, since the rate is compared with the
+	// current rate of the peers.
 	answerRateHalfLifeMs = 400
 )
 
-// proxyStats is what one proxy saw of one backend of late, decaying with time.
+// proxyStats has one proxy's recent counts of one backend, which decay with time.
 type proxyStats struct {
 	zone      string
 	decayedAt float64
 
 	attempts float64
 	failed   float64
-	streamed float64 // answers that came in parts, which shows how fast
-	slow     float64 // those of them that came far slower than usual
-	overdue  float64 // attempts not answered within far longer than usual
-	late     float64 // those of them that were answered in the end
-	answers  float64 // of all kinds, decaying faster
+	streamed float64 // streamed answers, whose pace is known
+	slow     float64 // streamed answers that were far slower than usual
+	overdue  float64 // attempts without an answer in far longer than the usual time
+	late     float64 // overdue attempts that were answered later
+	answers  float64 // answers of all kinds, decaying faster
 }
 
-// decay forgets what is old.
+// decay applies the decay since the last call.
 func (p *proxyStats) decay(now float64) {
 	factor := math.Exp2(-(now - p.decayedAt) / halfLifeMs)
 	p.attempts *= factor
@@ -51,10 +52,10 @@
 	p.answers += float64(o.Attempts - o.Failed - o.Overdue + o.Late)
 }
 
-// badEnds returns how many attempts ended badly or are overdue.
+// badEnds returns the number of attempts that failed, were slow or are overdue.
 func (p *proxyStats) badEnds() float64 { return p.failed + p.slow + p.overdue }
 
-// badShare returns the share of the attempts that ended badly or are overdue.
+// badShare returns the fraction of the attempts that failed, were slow or are overdue.
 func (p *proxyStats) badShare() float64 {
 	if p.attempts <= 0 {
 		return 0
@@ -62,7 +63,7 @@
 	return min(p.badEnds()/p.attempts, 1)
 }
 
-// failedShare returns the share of the attempts that failed.
+// failedShare returns the fraction of the attempts that failed.
 func (p *proxyStats) failedShare() float64 {
 	if p.attempts <= 0 {
 		return 0
@@ -70,7 +71,7 @@
 	return min(p.failed/p.attempts, 1)
 }
 
-// unansweredShare returns the share of the attempts that failed or got no answer.
+// unansweredShare returns the fraction of the attempts that failed or got no answer.
 func (p *proxyStats) unansweredShare() float64 {
 	if p.attempts <= 0 {
 		return 0
@@ -78,7 +79,7 @@
 	return min((p.failed+max(p.overdue-p.late, 0))/p.attempts, 1)
 }
 
-// valid tells whether the counts of a report can be true; those of a faulty proxy are ignored.
+// valid reports whether the counts of an outcome are consistent; a faulty proxy may send inconsistent ones.
 func valid(o *distribution.Outcome) bool {
 	if o.Attempts < 0 || o.Failed < 0 || o.Slow < 0 || o.Overdue < 0 || o.Late < 0 {
 		return false
--- a/internal/fleet/outlier/trials.go
+++ b/internal/fleet/outlier/trials.go
@@ -7,57 +7,57 @@
 )
 
 const (
-	// ejectionTTLMs is how long an ejection holds without being repeated, ms: the primary repeats it every second,
-	// and when the control plane is gone it must not stand for good.
+	// ejectionTTLMs is how long an ejection lasts unless it is renewed, ms. The primary renews it every second; while
+	// the control plane is unavailable, ejections must expire.
 	ejectionTTLMs = 3000
-	// trialIntervalMs is the mean time between two trials of an ejected backend, of all proxies together, ms.
+	// trialIntervalMs is the mean time between two trials of an ejected backend, over all proxies together, ms.
 	trialIntervalMs = 1500
-	// probationIntervalMs is the same once trials have succeeded, ms.
+	// probationIntervalMs is that mean time once trials have succeeded, ms.
 	probationIntervalMs = 300
-	// nonIdempotentDelayFactor is how many times as long a trial waits for an idempotent request until it takes any
-	// other.
+	// nonIdempotentDelayFactor is the factor by which the wait until a trial with a non-idempotent request is longer.
 	nonIdempotentDelayFactor = 3
-	// idempotentRareMs is how long no idempotent request must have come for others to be taken, ms.
+	// idempotentRareMs is the time without an idempotent request after which others are used for trials, ms.
 	idempotentRareMs = 30_000
 )
 
-// ProxyCount is how many proxies there are: they share the trials.
+// ProxyCount is the number of proxies that share the trials.
 type ProxyCount struct {
-	// All is how many there are in all zones.
+	// All is the number of proxies in all zones.
 	All int
-	// InZone is how many there are in the proxy's own zone.
+	// InZone is the number of proxies in the proxy's own zone.
 	InZone int
 }
 
-// Risk is what a request would lose by a trial.
+// Risk describes the cost of using a request for a trial.
 type Risk struct {
-	// Idempotent tells that another backend can serve the request if the trial fails, so that nothing is lost.
+	// Idempotent is true if another backend can serve the request when the trial fails, so that a failed trial costs
+	// nothing.
 	Idempotent bool
-	// LongDecode tells that the answer takes long to decode, so that much is lost where the backend is slow.
+	// LongDecode is true if the answer takes long to decode, so that a slow backend delays it much.
 	LongDecode bool
 }
 
-// Trials is the ejected backends of one service at one proxy, and when the proxy next tries each with a request. Each
-// proxy draws its times at random, so that all proxies together come to the intervals above. It is not safe for
-// concurrent use.
+// Trials has the ejected backends of one service at one proxy, and the times of the proxy's next trial request to each.
+// Each proxy chooses its times at random, so that all proxies together reach the mean intervals trialIntervalMs and
+// probationIntervalMs. It is not safe for concurrent use.
 type Trials struct {
-	random  func() float64    // exponentially distributed, 1 on the mean
-	ejected []*ejectedBackend // in the order of their ids
+	random  func() float64    // exponentially distributed with mean 1
+	ejected []*ejectedBackend // in the order of SetEjections, which is by id
 
 	idempotentSeen   bool
-	lastIdempotentAt float64 // when an idempotent request last came, ms
+	lastIdempotentAt float64 // time of the last idempotent request, ms
 }
 
 type ejectedBackend struct {
 	distribution.Ejection
-	until   float64 // when the ejection expires, ms
-	proxies int     // that try it
+	until   float64 // time when the ejection expires, ms
+	proxies int     // number of proxies that share its trials
 
-	nextTrialAt              float64 // when an idempotent request tries it, ms
-	nextNonIdempotentTrialAt float64 // when any request does, ms
+	nextTrialAt              float64 // time of the next trial with an idempotent request, ms
+	nextNonIdempotentTrialAt float64 // time of the next trial with any request, ms
 }
 
-// NewTrials returns a Trials without ejections; random returns exponentially distributed numbers, 1 on the mean.
+// NewTrials returns a Trials without ejections; random must return exponentially distributed numbers with mean 1.
 func NewTrials(random func() float64) *Trials { return &Trials{random: random} }
 
 func (t *Trials) scheduleTrial(now float64, b *ejectedBackend) {
@@ -70,7 +70,7 @@
 	b.nextNonIdempotentTrialAt = now + nonIdempotentDelayFactor*wait
 }
 
-// find returns the ejected backend of an id; nil where it isn't ejected.
+// find returns the ejected backend with the id; nil if there is none.
 func (t *Trials) find(id string) *ejectedBackend {
 	for _, b := range t.ejected {
 		if b.Backend == id {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// SetEjections replaces the ejections in force, as far as they concern proxies of the zone and backends that known
-// accepts. It returns the ids that are ejected, and those that no longer are.
+// SetEjections replaces the ejections in force by those that apply to proxies of the zone and to backends that known
+// accepts. It returns the ids of the ejected backends, and of those that are no longer ejected.
 func (t *Trials) SetEjections(now float64, ejections []distribution.Ejection, zone string, proxies ProxyCount,
 	known func(id string) bool) (ejected, restored []string) {
 	var next []*ejectedBackend
@@ -110,17 +110,17 @@
 	return ejected, restored
 }
 
-// EjectionExpiry returns when an ejection expires that SetEjections takes now, ms.
+// EjectionExpiry returns the time when an ejection that is set at now expires, ms.
 func EjectionExpiry(now float64) float64 { return now + ejectionTTLMs }
 
-// Ejected tells whether a backend is ejected.
+// Ejected reports whether a backend is ejected.
 func (t *Trials) Ejected(now float64, id string) bool {
 	b := t.find(id)
 	return b != nil && now < b.until
 }
 
-// NextTrial returns the ejected backend that a request is to try now, of those that among accepts, and counts it as
-// tried; "" where there is none.
+// NextTrial returns the ejected backend, of those that among accepts, that a request should try now, and schedules that
+// backend's next trial; "" if there is none.
 func (t *Trials) NextTrial(now float64, risk Risk, among func(id string) bool) string {
 	if risk.Idempotent {
 		t.idempotentSeen = true
@@ -135,7 +135,7 @@
 	return ""
 }
 
-// trialDue tells whether a request of this risk is to try a backend now.
+// trialDue reports whether a request with this risk should try a backend now.
 func (t *Trials) trialDue(now float64, b *ejectedBackend, risk Risk) bool {
 	switch {
 	case b.Slow && risk.LongDecode:
--- a/internal/fleet/ranking/health.go
+++ b/internal/fleet/ranking/health.go
@@ -13,11 +13,11 @@
 	}
 }
 
-// AttemptEnded records how an attempt that AttemptStarted counted ended; it is to be called once for each. OK makes
-// the backend Connected. Error, Timeout, ConnectFailed and Reset demote it; where it was Connected they also force a
-// refresh: all backends that are Unhealthy await validation at once, and ShouldRefetch calls for the list. Other
-// statuses say nothing of the backend. A 503 of a backend that couldn't fetch a prompt's KV cache is Full here, and
-// reported to TransferEnded.
+// AttemptEnded records the result of an attempt that AttemptStarted counted; it must be called once for each. OK makes
+// the backend Connected. Error, Timeout, ConnectFailed and Reset demote it; if it was Connected, they also force a
+// refresh: all Unhealthy backends become UnhealthyPending immediately, and ShouldRefetch requests the endpoint list.
+// Other statuses don't change the backend's health. The caller passes Full for a 503 of a backend that couldn't fetch a
+// prompt's KV cache, and reports the failed transfer to TransferEnded.
 func (r *Ranker) AttemptEnded(now float64, id string, status policy.Status) {
 	b := r.byID[id]
 	if b == nil {
@@ -32,9 +32,9 @@
 	}
 }
 
-// TransferEnded records whether the KV cache held at the source, which prefilled the prompt, could be fetched by
-// another backend. It ends no attempt. A failure demotes neither side by itself: from the third in a row on it
-// demotes the source as a failed attempt does, until a transfer succeeds.
+// TransferEnded records whether another backend could fetch the KV cache of a prompt from the source, which prefilled
+// it. It doesn't end an attempt. A single failure demotes neither backend; each failure from the third in a row on
+// demotes the source like a failed attempt, until a transfer succeeds.
 func (r *Ranker) TransferEnded(now float64, source string, ok bool) {
 	b := r.byID[source]
 	if b == nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// demote makes a backend Unhealthy, and refreshes all if it was Connected.
+// demote makes a backend Unhealthy, and refreshes all Unhealthy backends if it was Connected.
 func (r *Ranker) demote(now float64, b *backend) {
 	wasConnected := b.State() == policy.Connected
 	b.Demote(now)
@@ -59,7 +59,7 @@
 	}
 }
 
-// refresh has all backends that are Unhealthy await validation, if one of them has been so for hold ms.
+// refresh makes all Unhealthy backends UnhealthyPending if one of them has been Unhealthy for at least hold ms.
 func (r *Ranker) refresh(now, hold float64) {
 	due := slices.ContainsFunc(r.all, func(b *backend) bool {
 		return b.State() == policy.Unhealthy && now-b.Since() >= hold
@@ -75,9 +75,9 @@
 	}
 }
 
-// ShouldRefetch tells whether to fetch the endpoint list now, in the background: after a refresh, and not within
-// MinRefetchIntervalMs of the last time it said so. The caller asks after each request. Nothing waits for the list,
-// and a backend comes back without it.
+// ShouldRefetch reports whether to fetch the endpoint list now, in the background: after a refresh, and not within
+// MinRefetchIntervalMs of the last time it returned true. The caller calls it after each request. Requests don't wait
+// for the list, and backends can become healthy again without it.
 func (r *Ranker) ShouldRefetch(now float64) bool {
 	if !r.refetchDue || now-r.refetchedAt < r.settings.MinRefetchIntervalMs {
 		return false
@@ -87,9 +87,10 @@
 	return true
 }
 
-// StartProbes appends to out the ids of the backends to probe now, in the background, and counts them as in flight:
-// each once for every time it became UnhealthyPending, MaxProbes at once at the most. The caller asks after Rank,
-// AttemptEnded, TransferEnded and ProbeEnded, and reports the end of each probe to ProbeEnded.
+// StartProbes appends to out the ids of the backends to probe now, in the background, and counts these probes as in
+// flight. A backend is probed once for each time it became UnhealthyPending, and at most MaxProbes probes are in flight
+// at once. The caller calls it after Rank, AttemptEnded, TransferEnded and ProbeEnded, and reports the end of each
+// probe to ProbeEnded.
 func (r *Ranker) StartProbes(out []string) []string {
 	for _, b := range r.all {
 		if r.probesInFlight >= r.settings.MaxProbes {
@@ -106,7 +107,7 @@
 	return out
 }
 
-// ProbeEnded records the end of a probe: the backend is Connected or Unhealthy, if it still awaits validation.
+// ProbeEnded records the result of a probe: the backend becomes Connected or Unhealthy if it is still UnhealthyPending.
 func (r *Ranker) ProbeEnded(now float64, id string, ok bool) {
 	b := r.byID[id]
 	if b == nil || !b.probing {
@@ -117,8 +118,8 @@
 	b.Probed(now, ok)
 }
 
-// Eject records that the fleet's proxies together found a backend to do far worse than its peers: it is Unhealthy
-// until the time given, ms, unless Restore comes before.
+// Eject records that a backend was found to be an outlier from the reports of all proxies: it ranks as Unhealthy until
+// the given time, ms, unless Restore is called before.
 func (r *Ranker) Eject(now float64, id string, until float64) {
 	if b := r.byID[id]; b != nil {
 		b.Demote(now)
@@ -126,7 +127,7 @@
 	}
 }
 
-// Restore records that the fleet no longer ejects a backend, since trial requests were served there: it is Connected.
+// Restore records that a backend is no longer ejected, since it has served trial requests: it becomes Connected.
 func (r *Ranker) Restore(now float64, id string) {
 	if b := r.byID[id]; b != nil && b.ejectedUntil > 0 {
 		b.ejectedUntil = 0
--- a/internal/fleet/ranking/order.go
+++ b/internal/fleet/ranking/order.go
@@ -8,8 +8,8 @@
 	"molepaddle/policy"
 )
 
-// tier returns the tier of the backend, 0 the best. While the fleet ejects it, an answer that this proxy got itself
-// doesn't raise it: one proxy sees too few of them to tell.
+// tier returns the tier of the backend, 0 the best. While the backend is ejected, successful attempts of this proxy
+// don't raise its tier: a single proxy sees too few of them.
 func (b *backend) tier(now, pendingTimeout float64) int {
 	if now < b.ejectedUntil {
 		return worstTier
@@ -17,8 +17,8 @@
 	return b.Tier(now, pendingTimeout)
 }
 
-// PreferredBackend returns the usable backend, of those that among accepts, that a key's hash puts first in the best
-// tier that has any; "" where there is none.
+// PreferredBackend returns the first backend by the key's rendezvous hash in the best non-empty tier, of the usable
+// backends that among accepts; "" if there is none.
 func (r *Ranker) PreferredBackend(now float64, key uint64, among func(id string) bool) string {
 	preferred, bestScore, bestTier := "", math.Inf(1), worstTier+1
 	for _, b := range r.all {
@@ -34,8 +34,8 @@
 	return preferred
 }
 
-// HashScore returns a backend's position in a key's hash order, lower first, nearer to 0 the more weight (above 0) it
-// has; +Inf where the id isn't known.
+// HashScore returns a backend's rendezvous score for a key: lower ranks first, and a higher weight (above 0) lowers the
+// score. It returns +Inf if the id is unknown.
 func (r *Ranker) HashScore(key uint64, id string, weight float64) float64 {
 	if b := r.byID[id]; b != nil {
 		return policy.Rendezvous(key, b.hash, weight)
@@ -43,17 +43,17 @@
 	return math.Inf(1)
 }
 
-// Rank appends to out the usable backends that among accepts (nil: all), in the order in which a request of this key
-// (random if it has none) is to try them:
+// Rank appends to out the usable backends that among accepts (nil: all), in the order in which a request with this key
+// (a random one if it has none) is to try them:
 //
 //   - by tier;
-//   - within a tier, where cost is given, by cost: 0 or more, in any one unit, lower first, those within
+//   - within a tier, if cost isn't nil, by cost: 0 or more, in any one unit, lower first, those within
 //     CostTolerance of a lowest as equal;
-//   - those under policy.Cap(c, attempts in flight at all the candidates, 1/size of the tier) before the others;
+//   - those with fewer attempts in flight than policy.Cap(c, attempts at all candidates, 1/size of the tier) first;
 //   - by the key's rendezvous hash.
 //
-// Rank doesn't wait: an empty tier passes down to the next. It takes O(n log n) and, once its buffer has grown,
-// allocates nothing.
+// Rank never blocks: if a tier is empty, the next one is used. It takes O(n log n) time and, once its buffer has grown,
+// doesn't allocate.
 func (r *Ranker) Rank(now float64, key uint64, among func(id string) bool, c float64,
 	cost func(id string) float64, out []string) []string {
 	r.refresh(now, r.settings.UnhealthyHoldMs)
--- a/internal/fleet/ranking/ranker.go
+++ b/internal/fleet/ranking/ranker.go
@@ -13,11 +13,10 @@
 )
 
 const (
-	// maxFailedTransfers is how many KV cache transfers in a row must fail to demote their source. Some handles
-	// expire, and the backend that fetches may be the one that is cut off; three in a row are seldom explained by
-	// either.
+	// maxFailedTransfers is how many KV cache transfers in a row must fail to demote their source. A single failure can
+	// be due to an expired handle or to a network partition of the fetching backend; three in a row seldom are.
 	maxFailedTransfers = 3
-	// defaultPendingTimeoutMs and the others stand in for settings that are 0, ms.
+	// defaultPendingTimeoutMs and the other defaults replace settings that are 0, ms.
 	defaultPendingTimeoutMs     = 60000
 	defaultUnhealthyHoldMs      = 60000
 	defaultMinRefetchIntervalMs = 1000
@@ -25,47 +24,48 @@
 	worstTier = 2
 )
 
-// RankerSettings bound a Ranker.
+// RankerSettings configures a Ranker.
 type RankerSettings struct {
-	// MaxProbes is how many probes may be in flight at once. 0: there are none, and the next attempt validates a
+	// MaxProbes is the maximum number of probes in flight. 0 disables probes; the next attempt then validates a
 	// backend.
 	MaxProbes int
-	// PendingTimeoutMs is how long a backend stays in UnhealthyPending until it ranks as healthy again, ms. 0 stands
-	// for 60,000, below 0 for no time.
+	// PendingTimeoutMs is how long a backend stays UnhealthyPending before it ranks as healthy again, ms. 0 selects the
+	// default of 60,000; a negative value means no time.
 	PendingTimeoutMs float64
-	// UnhealthyHoldMs is how long a backend stays in Unhealthy until the next request makes it UnhealthyPending, ms.
-	// 0 stands for 60,000, below 0 for no time.
+	// UnhealthyHoldMs is how long a backend stays Unhealthy before the next request makes it UnhealthyPending, ms. 0
+	// selects the default of 60,000; a negative value means no time.
 	UnhealthyHoldMs float64
-	// MinRefetchIntervalMs is the least time between two calls for the endpoint list, ms. 0 stands for 1,000.
+	// MinRefetchIntervalMs is the minimum time between two fetches of the endpoint list, ms. 0 selects the default of
+	// 1,000.
 	MinRefetchIntervalMs float64
-	// CostTolerance is how far above the lowest a cost may be and still count as equal to it, in the unit of the
-	// costs. Default 0.
+	// CostTolerance is the maximum difference from the lowest cost at which a cost is treated as equal to it, in the
+	// unit of the costs. Default 0.
 	CostTolerance float64
 }
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	// ID names one incarnation of a backend.
+	// ID identifies one incarnation of a backend.
 	ID string
-	// Usable tells that requests may be sent there. The others keep their health state and are not ranked.
+	// Usable is true if requests may be sent to the backend. Other backends keep their health state but are not ranked.
 	Usable bool
 }
 
-// Ranker holds one proxy's own view of the listed backends and orders them for a request. Backend ids that it doesn't
-// know are ignored. It is not safe for concurrent use.
+// Ranker keeps one proxy's state of the listed backends and orders them for a request. Unknown backend ids are ignored.
+// It is not safe for concurrent use.
 type Ranker struct {
 	settings RankerSettings
 	byID     map[string]*backend
-	all      []*backend // listed, or not yet forgotten, in the order they came
+	all      []*backend // listed, or removed with an attempt or probe in flight, in the order of their addition
 
 	probesInFlight int
-	refetchDue     bool    // a failure calls for the endpoint list
-	refetchedAt    float64 // last call for it, ms
+	refetchDue     bool    // a refresh has made a fetch of the endpoint list due
+	refetchedAt    float64 // time when ShouldRefetch last returned true, ms
 
-	scratch []order.Place // of Rank, kept to allocate nothing
+	scratch []order.Place // buffer of Rank, reused to avoid allocations
 }
 
-// backend is what a Ranker knows of one.
+// backend is a Ranker's state for one backend.
 type backend struct {
 	policy.Health
 	id     string
@@ -73,16 +73,16 @@
 	listed bool
 	usable bool
 
-	inFlight        int // attempts
-	failedTransfers int // transfers from it that failed since one succeeded
+	inFlight        int // number of attempts in flight
+	failedTransfers int // number of failed transfers from it since the last success
 
-	probeDue bool // it has not been probed since it entered UnhealthyPending
+	probeDue bool // it has not been probed since it became UnhealthyPending
 	probing  bool
 
-	ejectedUntil float64 // the fleet ejected it until then, ms; 0: it isn't ejected
+	ejectedUntil float64 // end of its ejection, ms; 0: it isn't ejected
 }
 
-// NewRanker returns a Ranker of an empty list.
+// NewRanker returns a Ranker with an empty endpoint list.
 func NewRanker(settings RankerSettings) *Ranker {
 	settings.PendingTimeoutMs = cmp.Or(settings.PendingTimeoutMs, defaultPendingTimeoutMs)
 	settings.UnhealthyHoldMs = cmp.Or(settings.UnhealthyHoldMs, defaultUnhealthyHoldMs)
@@ -94,8 +94,9 @@
 	}
 }
 
-// SetEndpoints replaces the endpoint list. A new backend is Unknown; one that is gone is no longer ranked, and
-// forgotten once no attempt or probe of it is in flight. Of an id that is listed twice the last entry counts.
+// SetEndpoints replaces the endpoint list. A new backend is Unknown. A removed one is no longer ranked, and its state
+// is dropped at the first SetEndpoints at which it has no attempt or probe in flight. If an id is listed twice, the
+// last entry is used.
 func (r *Ranker) SetEndpoints(now float64, endpoints []Endpoint) {
 	for _, b := range r.all {
 		b.listed = false
--- a/internal/fleet/ranking/ranker_test.go
+++ b/internal/fleet/ranking/ranker_test.go
@@ -12,7 +12,7 @@
 	"molepaddle/policy"
 )
 
-// listed is a list of n usable backends b0, b1 ...
+// listed returns a list of n usable backends b0, b1 ...
 func listed(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{ID: fmt.Sprint("b", i), Usable: true})
@@ -20,7 +20,7 @@
 	return list
 }
 
-// healthSince is a Health that entered a state at since, by its transitions.
+// healthSince returns a Health that entered a state at since, through the regular transitions.
 func healthSince(state policy.State, since float64) policy.Health {
 	s := policy.NewHealth(since)
 	switch state {
@@ -35,7 +35,7 @@
 	return s
 }
 
-// ranked is a Ranker that has served from each of n backends at 0.
+// ranked returns a Ranker for which each of n backends has served an attempt at 0.
 func ranked(set RankerSettings, n int) *Ranker {
 	r := NewRanker(set)
 	r.SetEndpoints(0, listed(n))
@@ -61,13 +61,13 @@
 	r.SetEndpoints(1, []Endpoint{{"b1", false}, {"b2", true}})
 	c.Assert(r.ranking(1, 7), qt.DeepEquals, []string{"b2"})
 	c.Assert(r.byID["b2"].Health, qt.Equals, policy.NewHealth(1))
-	c.Assert(r.byID["b1"].State(), qt.Equals, policy.Connected) // kept though it is not usable
-	c.Assert(r.InFlight("b0"), qt.Equals, 1)                    // known until its attempt is over
+	c.Assert(r.byID["b1"].State(), qt.Equals, policy.Connected) // state kept although it is not usable
+	c.Assert(r.InFlight("b0"), qt.Equals, 1)                    // known until its attempt has ended
 	r.AttemptEnded(2, "b0", policy.OK)
 	r.SetEndpoints(2, []Endpoint{{"b1", true}})
 	c.Assert(r.all, qt.HasLen, 1)
 	c.Assert(r.byID, qt.HasLen, 1)
-	r.AttemptStarted("b9") // what is reported of an unknown one is ignored
+	r.AttemptStarted("b9") // unknown ids are ignored
 	r.AttemptEnded(2, "b9", policy.Reset)
 	r.TransferEnded(2, "b9", false)
 	r.ProbeEnded(2, "b9", true)
@@ -83,7 +83,7 @@
 		c.Assert(r.ShouldRefetch(0), qt.IsFalse)
 		first := r.ranking(0, 7)
 		attempted(r, 10, first[0], how)
-		// Connected until then: the refresh is forced at once, and it awaits validation.
+		// It was Connected: the refresh is immediate, and it becomes UnhealthyPending.
 		c.Assert(r.byID[first[0]].Health, qt.Equals, healthSince(policy.UnhealthyPending, 10))
 		c.Assert(r.ranking(10, 7), qt.DeepEquals, append(slices.Clone(first[1:]), first[0]))
 		c.Assert(r.ShouldRefetch(10), qt.IsTrue)
@@ -115,35 +115,35 @@
 	r.byID["b0"].Demote(5)
 	r.byID["b1"].Demote(5)
 	attempted(r, 10, "b2", policy.Reset)
-	c.Assert(r.StartProbes(nil), qt.DeepEquals, []string{"b0", "b1"}) // the cap
+	c.Assert(r.StartProbes(nil), qt.DeepEquals, []string{"b0", "b1"}) // limited by MaxProbes
 	c.Assert(r.StartProbes(nil), qt.HasLen, 0)
 	r.ProbeEnded(12, "b1", false)
 	c.Assert(r.StartProbes(nil), qt.DeepEquals, []string{"b2"})
 	r.ProbeEnded(13, "b0", true)
-	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // each once
+	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // each is probed once
 	c.Assert(r.byID["b0"].Health, qt.Equals, healthSince(policy.Connected, 13))
 	c.Assert(r.byID["b1"].Health, qt.Equals, healthSince(policy.Unhealthy, 12))
-	r.AttemptEnded(14, "b2", policy.OK) // while its probe is out
+	r.AttemptEnded(14, "b2", policy.OK) // while its probe is in flight
 	r.ProbeEnded(15, "b2", false)
 	c.Assert(r.byID["b2"].Health, qt.Equals, healthSince(policy.Connected, 14))
-	r.ProbeEnded(16, "b0", false) // not asked
+	r.ProbeEnded(16, "b0", false) // no probe is in flight
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Connected)
 }
 
-// After a minute in Unhealthy the next request refreshes, though no list comes; a minute in UnhealthyPending ranks as
-// healthy.
+// After a minute in Unhealthy the next request refreshes without a new endpoint list; after a minute in
+// UnhealthyPending a backend ranks as healthy.
 func TestPendingTimesOut(t *testing.T) {
 	c := qt.New(t)
 	r := NewRanker(RankerSettings{})
 	r.SetEndpoints(0, listed(2))
-	attempted(r, 0, "b0", policy.ConnectFailed) // Unknown until then: no refresh
+	attempted(r, 0, "b0", policy.ConnectFailed) // it was Unknown: no refresh
 	c.Assert(r.ranking(59999, 7), qt.DeepEquals, []string{"b1", "b0"})
 	c.Assert(r.ShouldRefetch(59999), qt.IsFalse)
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.Unhealthy)
 	c.Assert(r.ranking(60000, 7), qt.DeepEquals, []string{"b1", "b0"})
 	c.Assert(r.ShouldRefetch(60000), qt.IsTrue)
 	c.Assert(r.byID["b0"].Health, qt.Equals, healthSince(policy.UnhealthyPending, 60000))
-	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // no cap, no probe
+	c.Assert(r.StartProbes(nil), qt.HasLen, 0) // MaxProbes is 0
 	b0 := func(now float64) (first int) {
 		for key := range uint64(200) {
 			if r.ranking(now, key*0x9e3779b97f4a7c15)[0] == "b0" {
@@ -167,7 +167,7 @@
 	for range maxFailedTransfers - 1 {
 		fail(1)
 	}
-	attempted(r, 2, "b0", policy.OK) // a prefill says nothing of the transfer after it
+	attempted(r, 2, "b0", policy.OK) // a successful prefill doesn't reset the count of failed transfers
 	r.TransferEnded(2, "b0", true)
 	for range maxFailedTransfers - 1 {
 		fail(3)
@@ -176,14 +176,14 @@
 	fail(4)
 	c.Assert(r.byID["b0"].Health, qt.Equals, healthSince(policy.UnhealthyPending, 4))
 	attempted(r, 5, "b0", policy.OK)
-	fail(6) // still none has succeeded
+	fail(6) // still no transfer has succeeded
 	c.Assert(r.byID["b0"].State(), qt.Equals, policy.UnhealthyPending)
 	c.Assert(r.byID["b1"].State(), qt.Equals, policy.Connected)
 	c.Assert(r.InFlight("b1"), qt.Equals, 0)
 	c.Assert(r.InFlight("b0"), qt.Equals, 0)
 }
 
-// Costs come before the key in a tier, but not before the tier; near costs are one.
+// Within a tier, costs take precedence over the key; costs within the tolerance are equal.
 func TestRankerCosts(t *testing.T) {
 	c := qt.New(t)
 	r := ranked(RankerSettings{CostTolerance: 10}, 5)
@@ -198,7 +198,7 @@
 	c.Assert(none, qt.DeepEquals, keyed)
 }
 
-// Keys spread evenly, and only the keys of a backend that is gone move.
+// Keys spread evenly, and only the keys of a removed backend move.
 func TestRankerKeepsKeys(t *testing.T) {
 	c := qt.New(t)
 	r := ranked(RankerSettings{}, 8)
@@ -235,7 +235,7 @@
 	}
 }
 
-// allStatuses are the ways in which an attempt may end.
+// allStatuses are the possible results of an attempt.
 var allStatuses = []policy.Status{policy.OK, policy.Full, policy.Error, policy.Timeout, policy.ConnectFailed,
 	policy.Reset, policy.Moot, policy.Cancelled, policy.NoWay}
 
@@ -243,8 +243,8 @@
 	return slices.ContainsFunc(r.all, func(b *backend) bool { return b.State() == policy.Unhealthy })
 }
 
-// Whatever happens to it, a Ranker keeps the tiers in order and its caps, gives each backend once, has no
-// more validations under way than it may, and has everyone back in the first tier in bounded time.
+// Under any sequence of events, a Ranker orders by tier and respects the load cap, returns each backend once, has at
+// most MaxProbes probes in flight, and returns all backends to the first tier in bounded time.
 func TestRankerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := RankerSettings{
@@ -349,7 +349,7 @@
 			}
 			ordered(t, r, now, usable, out)
 		}
-		// It ends well: with nothing more to happen but requests, all rank first.
+		// With no further events but requests, all backends return to the first tier.
 		r.Rank(now+set.UnhealthyHoldMs, 1, nil, 1, nil, nil)
 		now += set.UnhealthyHoldMs + set.PendingTimeoutMs
 		r.Rank(now, 1, nil, 1, nil, nil)
@@ -361,7 +361,7 @@
 	})
 }
 
-// ordered ranks for some request and checks the order by the design's words.
+// ordered ranks the backends for a random request and checks the order against the rules of Rank.
 func ordered(t *rapid.T, r *Ranker, now float64, usable map[string]bool, out map[string]int) {
 	key, c := rapid.Uint64().Draw(t, "key"), rapid.Float64Range(1, 3).Draw(t, "c")
 	left := fmt.Sprint("b", rapid.IntRange(0, 9).Draw(t, "left out"))
@@ -377,7 +377,7 @@
 	}
 	for id, ok := range usable {
 		if ok && id != left && !seen[id] {
-			t.Fatalf("%s is not ranked", id) // no tier waits, the last passes down too
+			t.Fatalf("%s is not ranked", id) // each tier falls through to the next
 		}
 	}
 	over := func(id string) bool {
@@ -396,7 +396,7 @@
 			t.Fatalf("%s comes before %s, which is nearer the key", x.id, y.id)
 		}
 	}
-	// Of c of 1 and more there is always one under its cap in the first tier, if nothing is in flight elsewhere.
+	// If c is at least 1 and nothing is in flight in other tiers, the first tier always has a backend under its cap.
 	if len(size) == 1 && len(order) > 0 && over(order[0]) {
 		t.Fatal("all are at their caps")
 	}
@@ -426,8 +426,8 @@
 	}
 }
 
-// While the fleet ejects a backend, an answer that this proxy gets from it doesn't raise it; the ejection expires by
-// itself.
+// While a backend is ejected, a successful attempt of this proxy doesn't raise its tier; the ejection expires on its
+// own.
 func TestRankerEjects(t *testing.T) {
 	c := qt.New(t)
 	for _, restored := range []bool{true, false} {
