--- a/internal/fleet/outlier/detector_test.go
+++ b/internal/fleet/outlier/detector_test.go
@@ -9,7 +9,7 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// group is so many backends that serve the same.
+// group returns n backends of one group.
 func group(n int) []Peer {
 	peers := make([]Peer, n)
 	for i := range peers {
@@ -18,7 +18,7 @@
 	return peers
 }
 
-// report has a proxy of a zone report the outcomes of one backend.
+// report makes a proxy of a zone report the outcomes of one backend.
 func report(d *Detector, now float64, proxy int, zone string, o distribution.Outcome) {
 	d.Observe(now, &distribution.OutcomeReport{
 		Proxy:    fmt.Sprintf("p%d", proxy),
@@ -27,7 +27,7 @@
 	})
 }
 
-// served has many proxies of two zones report that all backends served them.
+// served makes many proxies of two zones report good results of all backends.
 func served(d *Detector, now float64, backends int) {
 	for b := range backends {
 		for p := range 8 {
@@ -50,7 +50,7 @@
 	c.Assert(d.Step(200, group(1)), qt.HasLen, 0, qt.Commentf("what is no longer listed is forgotten"))
 }
 
-// TestEjectedShareIsBounded: never more than a part of a group is ejected.
+// TestEjectedShareIsBounded checks that at most 1/maxEjectedDivisor of a group is ejected.
 func TestEjectedShareIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := NewDetector()
@@ -63,7 +63,7 @@
 	c.Assert(d.Step(100, group(9)), qt.HasLen, 9/maxEjectedDivisor)
 }
 
-// TestLoadEjectsNobody: where all do badly alike, none is ejected.
+// TestLoadEjectsNobody checks that no backend is ejected if all do equally badly.
 func TestLoadEjectsNobody(t *testing.T) {
 	c := qt.New(t)
 	d := NewDetector()
@@ -75,7 +75,8 @@
 	c.Assert(d.Step(100, group(9)), qt.HasLen, 0)
 }
 
-// TestEjectionIsWidened: a backend that failed one zone's proxies is ejected for all once another's have complaints.
+// TestEjectionIsWidened checks that a backend ejected for one zone's proxies is ejected for all proxies once those of
+// another zone have complaints.
 func TestEjectionIsWidened(t *testing.T) {
 	c := qt.New(t)
 	d := NewDetector()
@@ -90,7 +91,7 @@
 	c.Assert(d.Step(2000, group(6)), qt.DeepEquals, []distribution.Ejection{{Backend: "b01"}})
 }
 
-// ejectOne gives a Detector that has ejected b01 of six at 100 ms, as all of its attempts failed.
+// ejectOne returns a Detector that has ejected b01 of six backends at 100 ms, since all attempts there failed.
 func ejectOne(c *qt.C) *Detector {
 	d := NewDetector()
 	served(d, 0, 6)
@@ -101,7 +102,8 @@
 	return d
 }
 
-// TestLateReportsDontRestore: successes from before an ejection are reported up to a second later.
+// TestLateReportsDontRestore checks that successes from before an ejection, which are reported up to a second later,
+// don't count as trials.
 func TestLateReportsDontRestore(t *testing.T) {
 	c := qt.New(t)
 	d := ejectOne(c)
@@ -109,8 +111,8 @@
 	c.Assert(d.Step(600, group(6)), qt.HasLen, 1)
 }
 
-// TestTrialsRestore: enough trials in a row restore a backend, more of them if it was restored of late, and never
-// those of one proxy alone.
+// TestTrialsRestore checks that enough successful trials in a row restore a backend, that more are required if it was
+// restored recently, and that those of a single proxy are never enough.
 func TestTrialsRestore(t *testing.T) {
 	c := qt.New(t)
 	d := ejectOne(c)
@@ -137,7 +139,7 @@
 	c.Assert(trial(8000, 9, good), qt.Equals, 0)
 }
 
-// TestOneProxyDoesNotRestore: however many reports of good trials one proxy sends, another has to have one as well,
+// TestOneProxyDoesNotRestore: however many reports of good trials one proxy sends, another has to have one as healthy,
 // unless no other proxy reports any more.
 func TestOneProxyDoesNotRestore(t *testing.T) {
 	c := qt.New(t)
@@ -161,10 +163,10 @@
 	c.Assert(now > proxyTimeoutMs, qt.IsTrue, qt.Commentf("the others may still report"))
 }
 
-// TestOverloadedBackendStays: one that is late, and answers as many as others do, is overloaded; one that answers few
-// is faulty.
+// TestOverloadedBackendStays checks that a late backend with as many answers as its peers is considered overloaded and
+// isn't ejected, and that one with few answers is.
 func TestOverloadedBackendStays(t *testing.T) {
-	for _, ill := range []bool{false, true} {
+	for _, faulty := range []bool{false, true} {
 		c := qt.New(t)
 		d := NewDetector()
 		ejected := 0
@@ -175,7 +177,7 @@
 					if b == 1 {
 						o.Overdue, o.Late = 1, 1
 					}
-					if b == 1 && ill && int(now)%500 != 0 {
+					if b == 1 && faulty && int(now)%500 != 0 {
 						o.Late = 0
 					}
 					report(d, now, p, zoneName(p%2), o)
@@ -183,26 +185,27 @@
 			}
 			ejected = max(ejected, len(d.Step(now, group(6))))
 		}
-		c.Assert(ejected > 0, qt.Equals, ill)
+		c.Assert(ejected > 0, qt.Equals, faulty)
 	}
 }
 
-// TestSlowAnswers: a backend whose answers nearly all come slowly is ejected; where only some do, they make way for
-// urgent ones.
+// TestSlowAnswers checks that a backend is ejected if nearly all of its answers are slow, but not if only some are,
+// since streams are preempted by more urgent ones.
 func TestSlowAnswers(t *testing.T) {
 	c := qt.New(t)
-	for slow, ill := range map[int]bool{4: false, 9: true} {
+	for slow, faulty := range map[int]bool{4: false, 9: true} {
 		d := NewDetector()
 		served(d, 0, 6)
 		for p := range 8 {
 			o := distribution.Outcome{Backend: "b01", Attempts: 20, Streamed: 10, Slow: slow}
 			report(d, 100, p, zoneName(p%2), o)
 		}
-		c.Assert(d.Step(100, group(6)), qt.HasLen, map[bool]int{true: 1}[ill])
+		c.Assert(d.Step(100, group(6)), qt.HasLen, map[bool]int{true: 1}[faulty])
 	}
 }
 
-// TestLatenessUnderLoad: while many backends are late, one that is later is no outlier, unless it is unresponsive.
+// TestLatenessUnderLoad checks that while many backends are late, one that is later isn't ejected unless it is
+// unresponsive.
 func TestLatenessUnderLoad(t *testing.T) {
 	c := qt.New(t)
 	for _, silent := range []bool{false, true} {
@@ -233,22 +236,23 @@
 	}
 }
 
-// TestUnresponsiveIsNotSlow: a backend that answers nothing isn't a slow one, which only long answers keep away from.
+// TestUnresponsiveIsNotSlow checks that a backend that doesn't answer isn't marked slow: slow backends are excluded
+// from trials with long answers only.
 func TestUnresponsiveIsNotSlow(t *testing.T) {
 	c := qt.New(t)
 	for _, slow := range []bool{false, true} {
 		d := NewDetector()
 		served(d, 0, 6)
-		ill := distribution.Outcome{Backend: "b01", Attempts: 9, Overdue: 9}
+		faulty := distribution.Outcome{Backend: "b01", Attempts: 9, Overdue: 9}
 		if slow {
-			ill = distribution.Outcome{Backend: "b01", Attempts: 9, Streamed: 9, Slow: 9}
+			faulty = distribution.Outcome{Backend: "b01", Attempts: 9, Streamed: 9, Slow: 9}
 		}
 		var ejected []distribution.Ejection
 		for now := 100.0; now < 3000 && len(ejected) == 0; now += 100 {
 			for p := range 8 {
-				report(d, now, p, zoneName(p%2), ill)
-				for _, well := range []string{"b00", "b02", "b03", "b04", "b05"} {
-					report(d, now, p, zoneName(p%2), distribution.Outcome{Backend: well, Attempts: 2})
+				report(d, now, p, zoneName(p%2), faulty)
+				for _, healthy := range []string{"b00", "b02", "b03", "b04", "b05"} {
+					report(d, now, p, zoneName(p%2), distribution.Outcome{Backend: healthy, Attempts: 2})
 				}
 			}
 			ejected = d.Step(now, group(6))
@@ -257,7 +261,7 @@
 	}
 }
 
-// TestImpossibleCountsAreIgnored: counts that can't be true are ignored.
+// TestImpossibleCountsAreIgnored checks that inconsistent counts are ignored.
 func TestImpossibleCountsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	d := NewDetector()
--- a/internal/fleet/outlier/model_test.go
+++ b/internal/fleet/outlier/model_test.go
@@ -8,63 +8,63 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// illness is what a backend of the model does with requests.
-type illness int
+// faultKind is the behavior of a backend of the model.
+type faultKind int
 
 const (
-	well illness = iota
-	errs
-	grey // part of the requests fail
-	hangs
-	slows
+	healthy faultKind = iota
+	returningErrors
+	grey // a fraction of the requests fail
+	hanging
+	slowing
 )
 
-// trouble is one thing that goes wrong in a modelFleet. Times are in ms.
-type trouble struct {
+// modelFault is a fault of backends in a modelFleet. Times are in ms.
+type modelFault struct {
 	from, to float64
-	kind     illness
+	kind     faultKind
 	backends []int
-	zone     string  // only for proxies of it; "": for all
-	flap     float64 // it comes and goes in this period; 0: it stays
+	zone     string  // zone of the affected proxies; "": all
+	flap     float64 // length of the alternating phases with and without the fault; 0: it is permanent
 }
 
-// on tells whether it is going on for a proxy of a zone.
-func (t *trouble) on(now float64, backend int, zone string) bool {
+// on reports whether the fault is active for a proxy of a zone.
+func (t *modelFault) on(now float64, backend int, zone string) bool {
 	if now < t.from || now >= t.to || !slices.Contains(t.backends, backend) || t.zone != "" && t.zone != zone {
 		return false
 	}
 	return t.flap == 0 || int((now-t.from)/t.flap)%2 == 0
 }
 
-// modelSettings are a modelFleet's.
+// modelSettings configures a modelFleet.
 type modelSettings struct {
 	zones, proxies, backends int
-	perSec                   float64 // requests of a backend, on the mean
-	load                     float64 // factor on the time of all answers: they are slow alike
+	perSec                   float64 // mean number of requests per backend
+	load                     float64 // factor on the duration of all answers, equal for all backends
 	greyPart                 float64
-	liars                    int // proxies that tell of failures everywhere
+	misreporting             int // number of proxies that report failures of all backends
 	cut                      [2]float64
-	troubles                 []trouble
+	faults                   []modelFault
 	until                    float64
 }
 
 const (
 	usualMs    = 20.0
 	modelStep  = 20.0
-	modelBound = 150.0 // beyond which an answer is slow
+	modelBound = 150.0 // maximum duration of an answer that isn't slow, ms
 	slowBy     = 10
 )
 
 // modelProxy is a proxy of a modelFleet.
 type modelProxy struct {
 	name, zone string
-	lies       bool
+	misreports bool
 	recorder   *Recorder
 	trials     *Trials
-	reportedAt float64 // when it last reported all
+	reportedAt float64 // time of its last regular report
 }
 
-// modelEnd is an attempt that ends at a time.
+// modelEnd is the scheduled end of an attempt.
 type modelEnd struct {
 	at      float64
 	proxy   *modelProxy
@@ -72,7 +72,7 @@
 	how     Result
 }
 
-// modelFleet plays proxies with a Recorder and Trials each, and a Detector, in virtual time.
+// modelFleet simulates proxies with a Recorder and Trials each, and a Detector, in virtual time.
 type modelFleet struct {
 	set      modelSettings
 	random   *rand.Rand
@@ -86,7 +86,7 @@
 	history []modelView
 }
 
-// modelView is what was ejected at a time.
+// modelView has the ejections in force from a time on.
 type modelView struct {
 	at      float64
 	ejected []distribution.Ejection
@@ -102,7 +102,7 @@
 		f.proxies = append(f.proxies, &modelProxy{
 			name:       fmt.Sprintf("p%d", i),
 			zone:       zoneName(i % set.zones),
-			lies:       i < set.liars,
+			misreports: i < set.misreporting,
 			recorder:   NewRecorder(),
 			trials:     NewTrials(f.random.ExpFloat64),
 			reportedAt: -f.random.Float64() * 1000,
@@ -111,7 +111,7 @@
 	return f
 }
 
-// run plays the fleet to its end.
+// run simulates the fleet until the time in its settings.
 func (f *modelFleet) run() {
 	for ; f.now < f.set.until; f.now += modelStep {
 		f.end()
@@ -120,26 +120,26 @@
 			f.request()
 		}
 		f.report()
-		if int(f.now)%100 == 0 && !f.away() {
-			f.judge()
+		if int(f.now)%100 == 0 && !f.controlPlaneDown() {
+			f.stepDetector()
 		}
 	}
 }
 
-// away tells whether the control plane is away.
-func (f *modelFleet) away() bool { return f.now >= f.set.cut[0] && f.now < f.set.cut[1] }
+// controlPlaneDown reports whether the control plane is unreachable.
+func (f *modelFleet) controlPlaneDown() bool { return f.now >= f.set.cut[0] && f.now < f.set.cut[1] }
 
-// ill is what a backend does with a request of a proxy now.
-func (f *modelFleet) ill(backend int, zone string) illness {
-	for i := range f.set.troubles {
-		if t := &f.set.troubles[i]; t.on(f.now, backend, zone) {
+// faulty is what a backend does with a request of a proxy now.
+func (f *modelFleet) faultOf(backend int, zone string) faultKind {
+	for i := range f.set.faults {
+		if t := &f.set.faults[i]; t.on(f.now, backend, zone) {
 			return t.kind
 		}
 	}
-	return well
+	return healthy
 }
 
-// request is one request at a proxy by lot.
+// request simulates one request at a random proxy.
 func (f *modelFleet) request() {
 	p := f.proxies[f.random.IntN(len(f.proxies))]
 	chosen := p.trials.NextTrial(f.now, Risk{Idempotent: f.random.IntN(4) == 0}, func(string) bool { return true })
@@ -152,23 +152,23 @@
 	_, _ = fmt.Sscanf(chosen, "b%d", &backend)
 	took := usualMs * f.set.load * (0.5 + f.random.ExpFloat64()/2)
 	how := Good
-	switch kind := f.ill(backend, p.zone); {
-	case kind == errs, kind == grey && f.random.Float64() < f.set.greyPart:
+	switch kind := f.faultOf(backend, p.zone); {
+	case kind == returningErrors, kind == grey && f.random.Float64() < f.set.greyPart:
 		how, took = Failed, 2
-	case kind == hangs:
+	case kind == hanging:
 		how, took = Failed, 2000
-	case kind == slows:
+	case kind == slowing:
 		took *= slowBy
 	}
 	if how == Good && took > modelBound*f.set.load {
 		how = Late
 		if f.random.IntN(2) == 0 {
-			how = Slow // it comes in parts, which tells more
+			how = Slow // a streamed answer, whose pace is known
 		}
 	} else if how == Good && f.random.IntN(2) == 0 {
 		how = StreamedOnPace
 	}
-	if p.lies {
+	if p.misreports {
 		how, took = Failed, 1
 	}
 	f.ends = append(f.ends, modelEnd{
@@ -179,7 +179,7 @@
 	})
 }
 
-// end ends the attempts whose time has come.
+// end ends the attempts whose end is due.
 func (f *modelFleet) end() {
 	f.ends = slices.DeleteFunc(f.ends, func(e modelEnd) bool {
 		if e.at > f.now {
@@ -193,7 +193,7 @@
 	})
 }
 
-// report has the proxies report: bad ends soon, all in turn.
+// report makes proxies report: every second, or earlier if there are bad results.
 func (f *modelFleet) report() {
 	for _, p := range f.proxies {
 		p.recorder.CountOverdue(f.now)
@@ -204,14 +204,14 @@
 		if all {
 			p.reportedAt = f.now
 		}
-		if outcomes := p.recorder.Drain(); len(outcomes) > 0 && !f.away() {
+		if outcomes := p.recorder.Drain(); len(outcomes) > 0 && !f.controlPlaneDown() {
 			f.detector.Observe(f.now, &distribution.OutcomeReport{Proxy: p.name, Zone: p.zone, Outcomes: outcomes})
 		}
 	}
 }
 
-// assess has the Detector judge, and the proxies hear of it.
-func (f *modelFleet) judge() {
+// stepDetector runs a step of the Detector and sends the ejections to the proxies.
+func (f *modelFleet) stepDetector() {
 	peers := make([]Peer, f.set.backends)
 	for i := range peers {
 		peers[i] = Peer{ID: backendName(i), Group: "g"}
@@ -230,7 +230,7 @@
 	}
 }
 
-// ejectedAt tells what was ejected at a time, by backend: for whose proxies.
+// ejectedAt returns the backends that were ejected at a time, with the zone that each ejection applies to.
 func (f *modelFleet) ejectedAt(at float64) map[string]string {
 	all := map[string]string{}
 	for _, v := range f.history {
--- a/internal/fleet/outlier/planted_test.go
+++ b/internal/fleet/outlier/planted_test.go
@@ -10,7 +10,7 @@
 
 var planted = []plantedfault.Fault{
 	{
-		Name:  "one proxy's report is enough",
+		Name:  "one proxy's complaint is enough",
 		Texts: []string{"minComplaints = 3", "minComplaints = 1"},
 		Tests: search,
 	},
@@ -26,17 +26,17 @@
 		Tests: "^TestLoadEjectsNobody$",
 	},
 	{
-		Name:  "a broken path ejects for all",
+		Name:  "a broken network path from one zone ejects for all zones",
 		Texts: []string{"if reporting >= 2 && complaining == 1 {", "if reporting < 0 {"},
 		Tests: search,
 	},
 	{
-		Name:  "a first complaint from elsewhere doesn't widen an ejection",
+		Name:  "a first complaint from another zone doesn't widen an ejection",
 		Texts: []string{"\t\tb.widenToAllZones(now)\n", ""},
 		Tests: "^TestEjectionIsWidened$",
 	},
 	{
-		Name:  "what was counted before an ejection ends it",
+		Name:  "results from before an ejection end it",
 		Texts: []string{"afterEjection := now-b.ejectedAt > reportDelayMs", "afterEjection := true"},
 		Tests: "^TestLateReportsDontRestore$",
 	},
@@ -87,7 +87,7 @@
 		Tests: "^TestRecorder",
 	},
 	{
-		Name:  "an ejection stays without the control plane",
+		Name:  "an ejection doesn't expire without the control plane",
 		Texts: []string{"return now + ejectionTTLMs }", "return now + 1000*ejectionTTLMs }"},
 		Tests: "^TestEjectionExpires$",
 	},
@@ -103,17 +103,17 @@
 		Tests: "^TestTrialsAreRare$",
 	},
 	{
-		Name:  "long answers try what is slow",
+		Name:  "requests with long answers try slow backends",
 		Texts: []string{"case b.Slow && risk.LongDecode:", "case false:"},
 		Tests: "^TestRiskOfTrials$",
 	},
 	{
-		Name: "what isn't idempotent tries what fails",
+		Name: "non-idempotent requests try failing backends",
 		Texts: []string{"\t\treturn false // an idempotent request will come",
 			"\t\treturn now >= b.nextTrialAt"},
 		Tests: "^TestRiskOfTrials$",
 	},
 }
 
-// TestPlantedFaults plants each fault in turn; the tests named have to find it.
+// TestPlantedFaults checks that the named tests find each planted fault.
 func TestPlantedFaults(t *testing.T) { plantedfault.Find(t, planted) }
--- a/internal/fleet/outlier/recorder_test.go
+++ b/internal/fleet/outlier/recorder_test.go
@@ -24,7 +24,7 @@
 	c.Assert(r.Drain(), qt.IsNil)
 }
 
-// TestRecorderOverdue: an attempt counts while it waits for its answer, and only once.
+// TestRecorderOverdue checks that an overdue attempt is counted before its answer arrives, and only once.
 func TestRecorderOverdue(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecorder()
@@ -42,7 +42,7 @@
 	c.Assert(r.Drain(), qt.DeepEquals, []distribution.Outcome{{Backend: "a", Attempts: 1, Late: 1}})
 }
 
-// TestRecorderIsBounded: beyond the bounds nothing is counted.
+// TestRecorderIsBounded checks that attempts and backends beyond the limits aren't counted.
 func TestRecorderIsBounded(t *testing.T) {
 	c := qt.New(t)
 	r := NewRecorder()
--- a/internal/fleet/outlier/search_test.go
+++ b/internal/fleet/outlier/search_test.go
@@ -10,19 +10,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var searchSeeds = flag.Int("outlier.seeds", 120, "how many drawn days TestSearch plays")
+var searchSeeds = flag.Int("outlier.seeds", 120, "number of random scenarios that TestSearch runs")
 
-// What is required of a fleet whose backends get enough requests: a faulty one is ejected within outWithin of its
-// start and back within backWithin of its end, ms; most of the time, as both come by chance.
+// Requirements for a fleet whose backends get enough requests: a faulty backend is ejected within outWithin of the
+// start of its fault and restored within backWithin of the end, ms. As both depend on chance, this must hold for the
+// fraction minInTime of the backends.
 const (
 	outWithin, backWithin = 2000, 8000
-	troubleFrom           = 4000.0
-	troubleFor            = 14_000.0
-	leastKept             = 0.8 // of ill backends that are out, and of those back, in time
+	faultStart            = 4000.0
+	faultDuration         = 14_000.0
+	minInTime             = 0.8 // minimum fraction of faulty backends ejected, and restored, in time
 )
 
-// drawDay draws a fleet and one trouble.
-func drawDay(seed uint64) (modelSettings, string) {
+// randomScenario returns the settings of a random fleet with one fault, and the kind of the scenario.
+func randomScenario(seed uint64) (modelSettings, string) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	set := modelSettings{
 		zones:    2 + random.IntN(3),
@@ -31,48 +32,48 @@
 		perSec:   8 + 30*random.Float64(),
 		load:     1,
 		greyPart: 0.45 + 0.4*random.Float64(),
-		until:    troubleFrom + troubleFor + 12_000,
+		until:    faultStart + faultDuration + 12_000,
 	}
-	ill := random.Perm(set.backends)[:1+random.IntN(max(set.backends/7, 1))]
-	of := trouble{from: troubleFrom, to: troubleFrom + troubleFor, backends: ill}
+	faulty := random.Perm(set.backends)[:1+random.IntN(max(set.backends/7, 1))]
+	of := modelFault{from: faultStart, to: faultStart + faultDuration, backends: faulty}
 	kinds := []string{"errors", "grey", "hang", "slow", "path", "liar", "load", "flap", "away", "calm"}
 	kind := kinds[seed%uint64(len(kinds))]
 	switch kind {
 	case "errors":
-		of.kind = errs
+		of.kind = returningErrors
 	case "grey":
 		of.kind = grey
 	case "hang":
-		of.kind = hangs
+		of.kind = hanging
 	case "slow":
-		of.kind = slows
+		of.kind = slowing
 	case "path":
-		of.kind, of.zone = hangs, zoneName(random.IntN(set.zones))
+		of.kind, of.zone = hanging, zoneName(random.IntN(set.zones))
 		set.perSec += 10
 	case "liar":
-		set.liars = 2
+		set.misreporting = 2
 	case "load":
 		set.load = 4
 	case "flap":
-		of.kind, of.flap = errs, 1500
+		of.kind, of.flap = returningErrors, 1500
 	case "away":
-		of.kind = errs
-		set.cut = [2]float64{troubleFrom + 4000, troubleFrom + troubleFor - 2000}
+		of.kind = returningErrors
+		set.cut = [2]float64{faultStart + 4000, faultStart + faultDuration - 2000}
 	}
-	set.troubles = []trouble{of}
+	set.faults = []modelFault{of}
 	return set, kind
 }
 
-// tallyOf counts what a search found over all of its days.
-type tallyOf struct{ ill, outInTime, backInTime int }
+// searchStats counts faulty backends, and those ejected and restored in time, over all scenarios of a search.
+type searchStats struct{ faulty, outInTime, backInTime int }
 
-// judgeDay tells which promise a day broke.
-func judgeDay(f *modelFleet, kind string, sum *tallyOf) error {
-	bad := f.set.troubles[0]
-	ill := map[string]bool{}
-	if bad.kind != well {
+// checkScenario returns an error if a scenario violated a requirement, and adds its counts to sum.
+func checkScenario(f *modelFleet, kind string, sum *searchStats) error {
+	bad := f.set.faults[0]
+	faulty := map[string]bool{}
+	if bad.kind != healthy {
 		for _, b := range bad.backends {
-			ill[backendName(b)] = true
+			faulty[backendName(b)] = true
 		}
 	}
 	for at := 0.0; at < f.set.until; at += 100 {
@@ -81,8 +82,8 @@
 			return fmt.Errorf("%d of %d are ejected at %v", len(ejected), f.set.backends, at)
 		}
 		for id, zone := range ejected {
-			if !ill[id] {
-				return fmt.Errorf("%s is ejected at %v, and is well", id, at)
+			if !faulty[id] {
+				return fmt.Errorf("healthy backend %s is ejected at %v", id, at)
 			}
 			if kind == "path" && zone != bad.zone {
 				return fmt.Errorf("%s is ejected at %v for %q, and only the path from %q is broken",
@@ -90,12 +91,12 @@
 			}
 		}
 	}
-	if bad.kind == well || kind == "flap" {
+	if bad.kind == healthy || kind == "flap" {
 		return nil
 	}
 	out, back := f.ejectedAt(bad.from+outWithin), f.ejectedAt(bad.to+backWithin)
-	for id := range ill {
-		sum.ill++
+	for id := range faulty {
+		sum.faulty++
 		if _, gone := out[id]; gone {
 			sum.outInTime++
 		}
@@ -106,28 +107,28 @@
 	return nil
 }
 
-// searchDays plays drawn days and gives the first broken promise.
-func searchDays(n int) (sum tallyOf, err error) {
+// runScenarios runs n random scenarios and returns the first violated requirement.
+func runScenarios(n int) (sum searchStats, err error) {
 	for seed := range uint64(n) {
-		set, kind := drawDay(seed)
+		set, kind := randomScenario(seed)
 		f := newModelFleet(seed, set)
 		f.run()
-		if err := judgeDay(f, kind, &sum); err != nil {
+		if err := checkScenario(f, kind, &sum); err != nil {
 			return sum, fmt.Errorf("seed %d, %s: %w", seed, kind, err)
 		}
 	}
-	if float64(sum.outInTime) < leastKept*float64(sum.ill) || float64(sum.backInTime) < leastKept*float64(sum.ill) {
-		return sum, errors.New("too few ill backends were out or back in time")
+	if float64(sum.outInTime) < minInTime*float64(sum.faulty) || float64(sum.backInTime) < minInTime*float64(sum.faulty) {
+		return sum, errors.New("too few faulty backends were ejected or restored in time")
 	}
 	return sum, nil
 }
 
-// TestSearch plays drawn fleets with one trouble each: ill backends of each kind, a broken path, proxies that lie,
-// load that slows all alike, flapping, the control plane away.
+// TestSearch runs random fleets with one fault each: backends with each kind of fault, a broken network path, proxies
+// that report false failures, load that slows all backends equally, flapping, and an unreachable control plane.
 func TestSearch(t *testing.T) {
 	c := qt.New(t)
-	sum, err := searchDays(*searchSeeds)
+	sum, err := runScenarios(*searchSeeds)
 	t.Logf("%d faulty backends: %d ejected within %d ms, %d restored within %d ms",
-		sum.ill, sum.outInTime, outWithin, sum.backInTime, backWithin)
+		sum.faulty, sum.outInTime, outWithin, sum.backInTime, backWithin)
 	c.Assert(err, qt.IsNil)
 }
--- a/internal/fleet/outlier/trials_test.go
+++ b/internal/fleet/outlier/trials_test.go
@@ -11,10 +11,10 @@
 
 func anyBackend(string) bool { return true }
 
-// mean is a random number that is always 1.
+// mean replaces the random numbers by their mean, 1.
 func mean() float64 { return 1 }
 
-// TestEjectionExpires: an ejection that isn't repeated ends, as the control plane may be gone.
+// TestEjectionExpires checks that an ejection that isn't renewed expires, since the control plane may be unavailable.
 func TestEjectionExpires(t *testing.T) {
 	c := qt.New(t)
 	trials := NewTrials(mean)
@@ -30,7 +30,7 @@
 	c.Assert(restored, qt.DeepEquals, []string{"a"})
 }
 
-// TestTrialsAreRare: all proxies together make about one trial in the time that is set, however many they are.
+// TestTrialsAreRare checks that all proxies together make about one trial per interval, whatever their number.
 func TestTrialsAreRare(t *testing.T) {
 	c := qt.New(t)
 	for _, proxies := range []int{1, 10, 100} {
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestRiskOfTrials: requests that would lose much leave trials to others, while there are others.
+// TestRiskOfTrials checks that requests for which a failed trial is costly aren't used while there are others.
 func TestRiskOfTrials(t *testing.T) {
 	c := qt.New(t)
 	const due, latest = trialIntervalMs + 1, nonIdempotentDelayFactor*trialIntervalMs + 1
--- a/internal/fleet/residency/residency.go
+++ b/internal/fleet/residency/residency.go
@@ -1,14 +1,14 @@
-// Package residency keeps a tenant's data inside the regions that its contract names (data residency).
+// Package residency enforces data residency: it keeps a tenant's data inside the regions that its contract allows.
 //
-// A Gate hands out Endpoints: a backend, the region it is in, and the connections to it. An Endpoint issues a Permit,
-// which says that this backend may hold the data of one request. The connections don't leave the package: whoever
-// sends needs a Permit, which only an Endpoint can issue, and the Permit is checked again when a connection is
-// acquired for the send, since the terms or the region may have changed in between. What isn't known is refused.
-// docs/design/regions.md has the whole picture.
+// A Gate creates Endpoints: a backend, its region, and the connections to it. An Endpoint issues a Permit, which allows
+// this backend to store and process the data of one request. The connections are not exported: a sender needs a Permit,
+// which only an Endpoint can issue, and the Permit is checked again when a connection is acquired for the send, since
+// the terms or the region may have changed in between. An unknown region is rejected. The design is described in
+// docs/design/regions.md.
 //
-// The package decides nothing else: which backend is chosen is package proxy's business, and what is reported of
-// tenants' data is package residencyreport's. Everything here may be called from any goroutine; only the AcquireConn
-// methods block.
+// Choosing a backend is not part of this package but of package proxy; reporting where tenants' data was is part of
+// package residencyreport. Everything here may be called from any goroutine; only AcquireConn and AcquireReleaseConn
+// block.
 package residency
 
 import (
@@ -22,29 +22,29 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// ErrOutside says that a send was refused since the backend's region is not known to be one that the terms allow.
-// Nothing of the request was sent.
+// ErrOutside is returned for a send that was rejected because the backend's region is unknown or not allowed by the
+// terms. No data of the request was sent.
 var ErrOutside = errors.New("outside the regions of the tenant")
 
-// Terms are the regions that may hold a request's data. They are immutable. The zero value allows every backend, also
-// one of an unknown region: it stands for requests under no contract.
+// Terms is the set of regions that may hold a request's data. It is immutable. The zero value is for requests without a
+// contract: it allows every backend, including those in an unknown region.
 type Terms struct {
 	restricted bool
-	regions    []string // sorted, each once
+	regions    []string // sorted, without duplicates
 }
 
-// Within returns terms that allow only the regions given; with none given they allow nothing.
+// Within returns terms that allow only the given regions; without any, they allow no backend.
 func Within(regions ...string) Terms {
 	all := slices.Clone(regions)
 	slices.Sort(all)
 	return Terms{restricted: true, regions: slices.Compact(all)}
 }
 
-// Restricted tells whether there are terms at all.
+// Restricted reports whether the terms restrict the regions at all.
 func (t Terms) Restricted() bool { return t.restricted }
 
-// Allows tells whether data may be held in a region. An empty name, which stands for an unknown region, is allowed
-// only by the zero value.
+// Allows reports whether data may be held in a region. An empty name means an unknown region, which only the zero value
+// allows.
 func (t Terms) Allows(region string) bool {
 	if !t.restricted {
 		return true
@@ -52,7 +52,8 @@
 	return region != "" && slices.Contains(t.regions, region)
 }
 
-// Intersect returns the terms that allow what both allow. Where they have no region in common, these allow nothing.
+// Intersect returns the terms that allow the regions that both t and o allow. If they have no region in common, the
+// result allows no backend.
 func (t Terms) Intersect(o Terms) Terms {
 	switch {
 	case !t.restricted:
@@ -69,12 +70,12 @@
 	return Terms{restricted: true, regions: both}
 }
 
-// Equal tells whether both allow the same.
+// Equal reports whether both allow the same regions.
 func (t Terms) Equal(o Terms) bool {
 	return t.restricted == o.restricted && slices.Equal(t.regions, o.regions)
 }
 
-// String returns the regions for people to read: a list, "anywhere" or "nowhere".
+// String returns a human-readable list of the regions, "anywhere" or "nowhere".
 func (t Terms) String() string {
 	switch {
 	case !t.restricted:
@@ -85,14 +86,14 @@
 	return strings.Join(t.regions, ", ")
 }
 
-// Gate hands out endpoints. It knows the deployment's regions by zone, and the connections to backends.
+// Gate creates endpoints. It has the deployment's regions by zone, and the connections to backends.
 type Gate struct {
 	pool  *transport.Transport
 	zones map[string]string
 }
 
-// NewGate returns a Gate with the connections and the region of each zone (settings Settings.Zones), which is copied.
-// A zone that is missing, or whose region is empty, is of no known region.
+// NewGate returns a Gate with the given connections and the region of each zone (settings.Settings.Zones), which is
+// copied. The region of a zone that is missing from zones or has an empty region is unknown.
 func NewGate(pool *transport.Transport, zones map[string]string) *Gate {
 	g := &Gate{pool: pool, zones: make(map[string]string, len(zones))}
 	for zone, region := range zones {
@@ -101,7 +102,7 @@
 	return g
 }
 
-// Region returns the region of a zone; empty where it is not known.
+// Region returns the region of a zone; empty if unknown.
 func (g *Gate) Region(zone string) string { return g.zones[zone] }
 
 // Endpoint is one backend: its id, its address, its region and the connections to it.
@@ -113,7 +114,7 @@
 	conns   *transport.Way
 }
 
-// Endpoint returns the endpoint of a backend by the endpoint list: its id, its address as IP:port, and its zone.
+// Endpoint returns the endpoint of a backend, given its id, its address as IP:port, and its zone on the endpoint list.
 func (g *Gate) Endpoint(id, address, zone string) *Endpoint {
 	e := &Endpoint{
 		gate:    g,
@@ -125,8 +126,8 @@
 	return e
 }
 
-// SetZone takes the zone that the endpoint list has now. Permits issued earlier are judged by it from here on: a
-// region may have been reported wrongly before.
+// SetZone sets the zone on the current endpoint list. It also applies to permits issued earlier, since the region may
+// have been reported wrongly before.
 func (e *Endpoint) SetZone(zone string) {
 	region := e.gate.zones[zone]
 	if old := e.region.Load(); old == nil || *old != region {
@@ -134,13 +135,13 @@
 	}
 }
 
-// Region returns the region of the backend; empty where it is not known.
+// Region returns the region of the backend; empty if unknown.
 func (e *Endpoint) Region() string { return *e.region.Load() }
 
-// Allowed tells whether the terms let the backend hold data.
+// Allowed reports whether the terms allow the backend to hold data.
 func (e *Endpoint) Allowed(t Terms) bool { return !t.restricted || t.Allows(*e.region.Load()) }
 
-// Permit issues the permit for a request under the terms. The error is ErrOutside.
+// Permit issues a permit for a request under the terms. It returns ErrOutside if the terms don't allow the backend.
 func (e *Endpoint) Permit(t Terms) (Permit, error) {
 	if !e.Allowed(t) {
 		return Permit{}, ErrOutside
@@ -148,18 +149,18 @@
 	return Permit{endpoint: e}, nil
 }
 
-// ReleasePermit issues a permit for calls that carry nothing of a request and end what is held there: a handle is
-// freed also where its tenant's data may no longer be held.
+// ReleasePermit issues a permit for calls that carry no data of a request and release data held at the backend: a
+// handle must be freed even if its tenant's data may no longer be held there.
 func (e *Endpoint) ReleasePermit() Permit { return Permit{endpoint: e, releaseOnly: true} }
 
-// Retire closes the connections once they are free: the backend is gone.
+// Retire closes the connections once they are no longer in use, after the backend was removed.
 func (e *Endpoint) Retire() { e.conns.Retire() }
 
 // CloseIdle closes the connections that are not in use.
 func (e *Endpoint) CloseIdle() { e.conns.CloseIdle() }
 
-// Permit says that one backend may hold one request's data. Only an Endpoint issues one that is good for anything:
-// the zero value is refused everywhere.
+// Permit allows one backend to hold one request's data. Valid permits are issued only by an Endpoint; the zero value is
+// always rejected.
 type Permit struct {
 	endpoint    *Endpoint
 	releaseOnly bool
@@ -181,7 +182,7 @@
 	return p.endpoint.address
 }
 
-// Region returns the region of the backend by the newest endpoint list; empty where it is not known.
+// Region returns the region of the backend according to the newest endpoint list; empty if unknown.
 func (p Permit) Region() string {
 	if p.endpoint == nil {
 		return ""
@@ -189,11 +190,11 @@
 	return p.endpoint.Region()
 }
 
-// ReleaseOnly tells whether the permit is only for calls that carry nothing of a request.
+// ReleaseOnly reports whether the permit is only for calls that carry no data of a request.
 func (p Permit) ReleaseOnly() bool { return p.releaseOnly }
 
-// Check returns nil where the backend may hold data under the terms now, by the region of the newest endpoint list;
-// else ErrOutside. A permit that only releases is good for no data.
+// Check returns nil if the terms allow the backend to hold data, by its region on the newest endpoint list, and
+// ErrOutside otherwise. A release-only permit allows no data.
 func (p Permit) Check(t Terms) error {
 	if p.endpoint == nil || p.releaseOnly || !p.endpoint.Allowed(t) {
 		return ErrOutside
@@ -201,10 +202,10 @@
 	return nil
 }
 
-// AcquireConn acquires a connection to the backend for one send of a request under the terms; requestID names the
-// request and is not empty. The terms are checked here once more, since they may have changed after the permit was
-// issued: where they don't allow the send, the error is ErrOutside and no connection is made. Other errors are those
-// of transport.Way.Lend. It blocks while a connection is dialled, until the context ends.
+// AcquireConn acquires a connection to the backend for one send of a request under the terms; requestID identifies the
+// request and must not be empty. The terms are checked again, since they may have changed after the permit was issued:
+// if they don't allow the send, the error is ErrOutside and no connection is dialled. Other errors are those of
+// transport.Way.Lend. It blocks while a connection is dialled, until the context ends.
 func (p Permit) AcquireConn(ctx context.Context, t Terms, requestID string) (*transport.Lent, error) {
 	if err := p.Check(t); err != nil {
 		return nil, err
@@ -212,8 +213,8 @@
 	return p.endpoint.conns.Lend(ctx, requestID)
 }
 
-// AcquireReleaseConn acquires a connection for a call that carries nothing of a request. The error is ErrOutside
-// where the permit is not one to release, else that of transport.Way.Lend. It blocks as AcquireConn does.
+// AcquireReleaseConn acquires a connection for a call that carries no data of a request. The error is ErrOutside if the
+// permit is not release-only, otherwise that of transport.Way.Lend. It blocks like AcquireConn.
 func (p Permit) AcquireReleaseConn(ctx context.Context, requestID string) (*transport.Lent, error) {
 	if p.endpoint == nil || !p.releaseOnly {
 		return nil, ErrOutside
--- a/internal/fleet/residency/residency_test.go
+++ b/internal/fleet/residency/residency_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/internal/protocol/transport"
 )
 
-// dials counts connections that were asked for; none is made.
+// dials counts dial attempts, all of which fail.
 type dials struct{ n int }
 
 var errDial = errors.New("no network here")
@@ -42,11 +42,11 @@
 	c.Check(free.Restricted() || in().Allows("east") || in().Allows(""), qt.IsFalse)
 	c.Check(free.Allows("") && free.Allows("east") && in("west", "east").Allows("east"), qt.IsTrue)
 	c.Check(in("east").Allows(""), qt.IsFalse)
-	c.Check(in("").Allows(""), qt.IsFalse) // an empty name in a list is no region
+	c.Check(in("").Allows(""), qt.IsFalse) // an empty name in a list is not a region
 	c.Check(in("b", "a", "b").Equal(in("a", "b")), qt.IsTrue)
 	c.Check(in().Equal(free), qt.IsFalse)
 	c.Check(in("a", "b").Intersect(in("b", "c")).Equal(in("b")), qt.IsTrue)
-	c.Check(in("a").Intersect(in("b")).Equal(in()), qt.IsTrue) // nothing in common: nowhere, not anywhere
+	c.Check(in("a").Intersect(in("b")).Equal(in()), qt.IsTrue) // no common region: nowhere, not anywhere
 	c.Check(free.Intersect(in("a")).Equal(in("a")) && in("a").Intersect(free).Equal(in("a")), qt.IsTrue)
 	texts := []string{free.String(), in().String(), in("b", "a").String()}
 	c.Check(texts, qt.DeepEquals, []string{"anywhere", "nowhere", "a, b"})
@@ -79,10 +79,10 @@
 		c.Check(err, qt.ErrorIs, residency.ErrOutside)
 		free, err := endpoint.Permit(residency.Terms{})
 		c.Assert(err, qt.IsNil)
-		_, err = free.AcquireConn(ctx, in, "x") // given under other terms than those of the send
+		_, err = free.AcquireConn(ctx, in, "x") // issued under other terms than those of the send
 		c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	}
-	_, err = p.AcquireConn(ctx, residency.Within("west"), "x") // withdrawn between choice and send
+	_, err = p.AcquireConn(ctx, residency.Within("west"), "x") // the terms changed between choice and send
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	_, err = (residency.Permit{}).AcquireConn(ctx, residency.Terms{}, "x")
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
@@ -95,7 +95,7 @@
 	_, err = west.ReleasePermit().AcquireReleaseConn(ctx, "x")
 	c.Check(errors.Is(err, errDial), qt.IsTrue)
 
-	east.SetZone("w1") // reported wrongly before: permits issued earlier are judged by the new region
+	east.SetZone("w1") // reported wrongly before: the new region also applies to permits issued earlier
 	_, err = p.AcquireConn(ctx, in, "x")
 	c.Check(err, qt.ErrorIs, residency.ErrOutside)
 	c.Check(p.Region(), qt.Equals, "west")
--- a/internal/fleet/residencyreport/link.go
+++ b/internal/fleet/residencyreport/link.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// maxMessageEntries bounds the entries that go with one message, over by a batch at the most.
+	// maxMessageEntries is the number of entries from which on no further batch is added to a message; the last batch
+	// may exceed it.
 	maxMessageEntries = 1024
-	// resendAfter is how long after what was sent is sent again on the same connection.
+	// resendAfter is the time after which unacknowledged batches are sent again on the same connection.
 	resendAfter = time.Minute
 )
 
-// Sender is the sending end of one connection towards the record: each pending batch of a relay goes along once, the
-// oldest first, and again after resendAfter. The first batch of a process on a connection follows on what is
-// acknowledged. The zero value is for a new connection. It is not safe for concurrent use.
+// Sender is the sending end of one connection towards the record. It sends each pending batch of a relay once, the
+// oldest first, and again after resendAfter. The first batch of a process on a connection is the one after the last
+// acknowledged batch. The zero value is for a new connection. It is not safe for concurrent use.
 type Sender struct {
-	sent  map[Process]uint64 // the number of the last batch sent
-	since time.Time          // when sending last began anew
+	sent  map[Process]uint64 // number of the last batch sent, by process
+	since time.Time          // time when sending last restarted from the first pending batch
 }
 
-// Next returns the batches that go with the next message.
+// Next returns the batches to send with the next message.
 func (s *Sender) Next(r *Relay, now time.Time) (out []Batch) {
 	if r.Empty() {
 		s.sent = nil
@@ -45,21 +46,21 @@
 	return out
 }
 
-// Receiver is the receiving end of a Sender's connection: it puts batches into a relay, and returns which are
-// acknowledged. The zero value is for a new connection. It is not safe for concurrent use.
+// Receiver is the receiving end of a Sender's connection: it puts batches into a relay, and returns the
+// acknowledgements to send back. The zero value is for a new connection. It is not safe for concurrent use.
 type Receiver struct {
 	seen map[Process]*receiveState
 }
 
-// receiveState is what came of one process over a connection, by the numbers of batches.
+// receiveState has the batch numbers of one process on a connection.
 type receiveState struct {
-	upto    uint64 // the last that the relay took
-	acked   uint64 // the last that the sender knows to be acknowledged
-	refused uint64 // the first that the relay refused; 0: none
+	upto    uint64 // last batch that the relay accepted
+	acked   uint64 // last batch whose acknowledgement the sender has
+	refused uint64 // first batch that the relay rejected; 0: none
 }
 
-// Receive puts batches into the relay. Where it refuses one, later ones of the process are dropped until that one
-// comes again.
+// Receive puts batches into the relay. If the relay rejects one, later batches of the process are dropped until that
+// one is received again.
 func (rc *Receiver) Receive(r *Relay, batches []Batch) {
 	for _, b := range batches {
 		if b.Process == 0 || b.N == 0 {
@@ -80,8 +81,9 @@
 	}
 }
 
-// state returns what came of a batch's process so far; nil where MaxProcesses others have sent. That a process begins
-// with a batch tells that those before are acknowledged: the sender dropped them.
+// state returns the state of a batch's process on this connection; nil if there are already MaxProcesses others. If the
+// batch is the first of its process on the connection, those before it are acknowledged, since the sender has dropped
+// them.
 func (rc *Receiver) state(r *Relay, b *Batch) *receiveState {
 	if at := rc.seen[b.Process]; at != nil {
 		return at
@@ -98,10 +100,10 @@
 	return at
 }
 
-// Idle tells whether Acks could return nothing.
+// Idle reports whether no batch awaits acknowledgement, so that Acks would return nothing.
 func (rc *Receiver) Idle() bool { return len(rc.seen) == 0 }
 
-// Acks returns the acknowledgements that the sender doesn't have, by process.
+// Acks returns the acknowledgements that the sender doesn't have yet, sorted by process.
 func (rc *Receiver) Acks(r *Relay) (out []Ack) {
 	for p, at := range rc.seen {
 		if acked := r.acked[p]; acked > at.acked {
--- a/internal/fleet/residencyreport/planted_test.go
+++ b/internal/fleet/residencyreport/planted_test.go
@@ -33,7 +33,7 @@
 		Texts: []string{"max(e.Last, o.Last)", "min(e.Last, o.Last)"},
 	},
 	{
-		Name:  "one kind of sends is left out",
+		Name:  "one kind of send is not counted",
 		Tests: totals,
 		Texts: []string{"c.Resumes += o.Resumes", ""},
 	},
@@ -69,33 +69,33 @@
 		Texts: []string{"r.Acknowledge(Ack{b.Process, b.N - 1})", "r.Acknowledge(Ack{b.Process, b.N})"},
 	},
 	{
-		Name:  "a batch is dropped with the one before",
+		Name:  "a batch is dropped with the previous one",
 		Tests: relays,
 		Texts: []string{"pending[n].N <= ack.N", "pending[n].N <= ack.N+1"},
 	},
 	{
-		Name:  "a gap is taken",
+		Name:  "a batch after a gap is accepted",
 		Tests: relays,
 		Texts: []string{"b.N != last+1 || n >= MaxPendingBatches", "n >= MaxPendingBatches"},
 	},
 	{
-		Name:  "a refused batch is passed over",
+		Name:  "a rejected batch is skipped",
 		Tests: relays,
 		Texts: []string{"if at == nil || at.refused > 0 && b.N > at.refused {", "if at == nil {"},
 	},
 	{
-		Name:  "what was lost on the way is not sent again",
+		Name:  "a lost batch is not sent again",
 		Tests: relays,
 		Texts: []string{"if s.sent == nil || now.Sub(s.since) >= resendAfter {", "if s.sent == nil {"},
 	},
 	{
-		Name:  "a batch counts from the start each time",
+		Name:  "each batch has the counts since the process's start",
 		Dir:   "../proxy",
 		Tests: "^TestResidencyLog",
 		Texts: []string{"d[i] -= other[i]", "d[i] -= 0 * other[i]"},
 	},
 	{
-		Name:  "what didn't fit is not reported any more",
+		Name:  "entries that didn't fit a batch are never reported",
 		Dir:   "../proxy",
 		Tests: "^TestResidencyLog",
 		Texts: []string{"l.changed, l.newPair = more, more", "l.changed, l.newPair = more && false, false"},
@@ -113,14 +113,14 @@
 		Texts: []string{"s.DocumentSeq = cs.docSeq", ""},
 	},
 	{
-		Name:  "what was not confirmed is dropped",
+		Name:  "an uncommitted batch is acknowledged",
 		Dir:   "../controlplane",
 		Tests: "^TestResidency",
 		Texts: []string{"b.N <= committed.residency.AckedUpTo(b.Process) {\n\t\t\tacks", "b.N > 0 {\n\t\t\tacks"},
 	},
 }
 
-// TestPlantedFaults plants each fault in turn; the tests named have to find it.
+// TestPlantedFaults checks that the named tests find each planted fault.
 func TestPlantedFaults(t *testing.T) {
 	for i := range faults {
 		if faults[i].Dir == "" {
--- a/internal/fleet/residencyreport/relay.go
+++ b/internal/fleet/residencyreport/relay.go
@@ -6,26 +6,27 @@
 	"slices"
 )
 
-// Bounds of what is on its way to the record.
+// Limits of pending batches.
 const (
-	// MaxPendingBatches bounds the batches of one process that are not acknowledged.
+	// MaxPendingBatches is the maximum number of unacknowledged batches of one process.
 	MaxPendingBatches = 16
-	// MaxBatchEntries bounds the entries of a batch.
+	// MaxBatchEntries is the maximum number of entries of a batch.
 	MaxBatchEntries = 256
-	// maxRelayEntries bounds the entries that a relay holds.
+	// maxRelayEntries is the maximum number of entries in a relay's pending batches.
 	maxRelayEntries = 1 << 16
 )
 
-// Relay holds batches until they are acknowledged: at the proxy that made them, at its node agent and at the control
-// servers. The zero value is empty. It is not safe for concurrent use.
+// Relay keeps batches until they are acknowledged: at the proxy that created them, at its node agent and at the control
+// servers. The zero value is an empty relay. It is not safe for concurrent use.
 type Relay struct {
 	pending map[Process][]Batch // without gaps, the oldest first
-	acked   map[Process]uint64  // the number of the last acknowledged batch
+	acked   map[Process]uint64  // number of the last acknowledged batch
 	entries int                 // in all pending batches
 }
 
-// Put takes a batch that follows on the pending ones of its process. It returns false where it doesn't follow or
-// doesn't fit: it is to be put again, before later ones. A batch that is acknowledged or pending already is ignored.
+// Put adds a batch, which must be the next one after the pending ones of its process. It returns false if there is a
+// gap or a limit is exceeded: the caller must put the batch again later, before further ones. For a batch that is
+// already acknowledged or pending, it does nothing and returns true.
 func (r *Relay) Put(b Batch) bool {
 	if b.N <= r.acked[b.Process] {
 		return true
@@ -53,7 +54,7 @@
 	return true
 }
 
-// Acknowledge drops batches that are in the record for good.
+// Acknowledge drops batches that are committed to the record.
 func (r *Relay) Acknowledge(acks ...Ack) {
 	for _, ack := range acks {
 		if ack.N > r.acked[ack.Process] {
@@ -67,7 +68,7 @@
 		r.acked = map[Process]uint64{}
 	}
 	if len(r.acked) >= MaxProcesses {
-		// Where nothing is pending, nothing is lost: a batch that comes again is acknowledged again.
+		// Entries of processes without pending batches can be dropped: a repeated batch is acknowledged again.
 		maps.DeleteFunc(r.acked, func(p Process, _ uint64) bool { return len(r.pending[p]) == 0 })
 	}
 	r.acked[ack.Process] = ack.N
@@ -84,7 +85,7 @@
 	r.pending[ack.Process] = slices.Clone(pending[n:]) // so that the dropped ones can be freed
 }
 
-// Pending returns the pending batches, by process, in the order of their numbers.
+// Pending returns the pending batches, sorted by process and number.
 func (r *Relay) Pending() []Batch {
 	var all []Batch
 	for _, p := range slices.SortedFunc(maps.Keys(r.pending), cmp.Compare) {
@@ -93,8 +94,8 @@
 	return all
 }
 
-// PendingOf returns how many batches of a process are pending.
+// PendingOf returns the number of pending batches of a process.
 func (r *Relay) PendingOf(p Process) int { return len(r.pending[p]) }
 
-// Empty tells whether no batch is pending.
+// Empty reports whether no batch is pending.
 func (r *Relay) Empty() bool { return len(r.pending) == 0 }
--- a/internal/fleet/residencyreport/relay_test.go
+++ b/internal/fleet/residencyreport/relay_test.go
@@ -9,35 +9,37 @@
 	"pgregory.net/rapid"
 )
 
-// link is a connection from a relay to another, as distribution drives it.
+// link is a connection between two relays, used as package distribution does.
 type link struct {
 	sender   Sender
 	receiver Receiver
 }
 
-// day is a fleet whose processes crash and whose connections break: two proxies with their node agents, three control
-// servers.
-type day struct {
+// modelFleet is a fleet whose processes crash and whose connections break: two proxies with their node agents, and
+// three control servers.
+type modelFleet struct {
 	*rapid.T
-	now     time.Time
-	made    map[Process][]Batch
-	proxy   [2]Process
-	boxes   [2]*Relay // of the proxies
-	agents  [2]*Relay // node agents
-	core    [3]*Relay // control servers
-	primary int
-	follows [2]int // which control server each node agent asks
-	down    [2]link
-	up      [2]link
-	across  [3]link // control servers to the primary
-	totals  *Totals // on the disks of all that it has to be on
-	last    Process
+	now         time.Time
+	made        map[Process][]Batch
+	proxy       [2]Process
+	proxyRelays [2]*Relay // of the proxies
+	agents      [2]*Relay // node agents
+	servers     [3]*Relay // control servers
+	primary     int
+	follows     [2]int // control server that each node agent is connected to
+	down        [2]link
+	up          [2]link
+	across      [3]link // control servers to the primary
+	totals      *Totals // the committed record
+	last        Process
 }
 
-func (d *day) chance(percent int) bool { return rapid.IntRange(0, 99).Draw(d.T, "chance") < percent }
+func (d *modelFleet) chance(percent int) bool {
+	return rapid.IntRange(0, 99).Draw(d.T, "chance") < percent
+}
 
-// carry has one message go from a relay to another, and its answer back, as far as the connection lasts.
-func (d *day) carry(from, to *Relay, l *link, faults bool) {
+// exchange sends one message from a relay to another and its answer back, unless the connection breaks before.
+func (d *modelFleet) exchange(from, to *Relay, l *link, faults bool) {
 	batches := l.sender.Next(from, d.now)
 	if faults && d.chance(15) {
 		*l = link{}
@@ -52,19 +54,19 @@
 	from.Acknowledge(acks...)
 }
 
-func (d *day) startProxy(i int) {
+func (d *modelFleet) startProxy(i int) {
 	d.last++
-	d.proxy[i], d.boxes[i], d.down[i] = d.last, &Relay{}, link{}
+	d.proxy[i], d.proxyRelays[i], d.down[i] = d.last, &Relay{}, link{}
 }
 
-func (d *day) startAgent(i int) { d.agents[i], d.down[i], d.up[i] = &Relay{}, link{}, link{} }
+func (d *modelFleet) startAgent(i int) { d.agents[i], d.down[i], d.up[i] = &Relay{}, link{}, link{} }
 
-func (d *day) startCore(i int) {
-	d.core[i] = &Relay{}
-	d.breakCore(i)
+func (d *modelFleet) startServer(i int) {
+	d.servers[i] = &Relay{}
+	d.disconnectServer(i)
 }
 
-func (d *day) breakCore(i int) {
+func (d *modelFleet) disconnectServer(i int) {
 	d.across[i] = link{}
 	for j, at := range d.follows {
 		if at == i {
@@ -76,9 +78,9 @@
 	}
 }
 
-// applyUpdate is what the primary does. The outcome may stay unknown to it, or nothing may come of it.
-func (d *day) applyUpdate(faults bool) {
-	box := d.core[d.primary]
+// applyUpdate commits an update as the primary does. With faults, the commit may fail or its outcome stay unknown.
+func (d *modelFleet) applyUpdate(faults bool) {
+	box := d.servers[d.primary]
 	open := box.Pending()
 	r, _ := d.totals.Merge(open)
 	if faults && d.chance(20) {
@@ -97,10 +99,10 @@
 	}
 }
 
-// check asks that no relay takes for acknowledged what isn't, and that the record counts each batch that it applied
-// once.
-func (d *day) check() {
-	relays := append(append(d.boxes[:], d.agents[:]...), d.core[:]...)
+// check checks that no relay treats an uncommitted batch as acknowledged, that pending batches have no gaps, and that
+// the record counts each applied batch exactly once.
+func (d *modelFleet) check() {
+	relays := append(append(d.proxyRelays[:], d.agents[:]...), d.servers[:]...)
 	for _, r := range relays {
 		for p, n := range r.acked {
 			if n > d.totals.AckedUpTo(p) {
@@ -129,26 +131,26 @@
 	}
 }
 
-func (d *day) step(faults bool) {
+func (d *modelFleet) step(faults bool) {
 	d.now = d.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(d.T, "seconds")) * time.Second)
 	i := rapid.IntRange(0, 1).Draw(d.T, "edge")
 	j := rapid.IntRange(0, 2).Draw(d.T, "core")
 	switch rapid.IntRange(0, 11).Draw(d.T, "what") {
 	case 0, 1, 2:
-		if p := d.proxy[i]; faults && d.boxes[i].PendingOf(p) < MaxPendingBatches {
+		if p := d.proxy[i]; faults && d.proxyRelays[i].PendingOf(p) < MaxPendingBatches {
 			b := Batch{Process: p, N: uint64(len(d.made[p])) + 1, Entries: drawEntries(d.T)}
-			if !d.boxes[i].Put(b) {
+			if !d.proxyRelays[i].Put(b) {
 				d.Fatal("a proxy's own batch doesn't fit")
 			}
 			d.made[p] = append(d.made[p], b)
 		}
 	case 3, 4:
-		d.carry(d.boxes[i], d.agents[i], &d.down[i], faults)
+		d.exchange(d.proxyRelays[i], d.agents[i], &d.down[i], faults)
 	case 5, 6:
-		d.carry(d.agents[i], d.core[d.follows[i]], &d.up[i], faults)
+		d.exchange(d.agents[i], d.servers[d.follows[i]], &d.up[i], faults)
 	case 7:
 		if j != d.primary {
-			d.carry(d.core[j], d.core[d.primary], &d.across[j], faults)
+			d.exchange(d.servers[j], d.servers[d.primary], &d.across[j], faults)
 		}
 	case 8:
 		d.applyUpdate(faults)
@@ -164,7 +166,7 @@
 			case 1:
 				d.startAgent(i)
 			case 2:
-				d.startCore(j)
+				d.startServer(j)
 			case 3:
 				d.primary, d.across = j, [3]link{}
 			}
@@ -178,17 +180,17 @@
 	}
 }
 
-// Over days of crashes and broken connections, what the record counts is at all times exactly the batches that it
-// applied, and no relay drops one that it doesn't have; in the end it has all of every process that runs.
+// With crashes and broken connections, the record counts exactly the batches that it applied at all times, and no relay
+// drops a batch that isn't in the record; in the end the record has all batches of every running process.
 func TestRelayDeliversEachBatchOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &day{T: t, now: time.Unix(1_000_000, 0), made: map[Process][]Batch{}}
+		d := &modelFleet{T: t, now: time.Unix(1_000_000, 0), made: map[Process][]Batch{}}
 		for i := range 2 {
 			d.startProxy(i)
 			d.startAgent(i)
 		}
 		for i := range 3 {
-			d.startCore(i)
+			d.startServer(i)
 		}
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			d.step(true)
@@ -196,12 +198,12 @@
 		}
 		for range 8 { // an end without faults
 			for i := range 2 {
-				d.carry(d.boxes[i], d.agents[i], &d.down[i], false)
-				d.carry(d.agents[i], d.core[d.follows[i]], &d.up[i], false)
+				d.exchange(d.proxyRelays[i], d.agents[i], &d.down[i], false)
+				d.exchange(d.agents[i], d.servers[d.follows[i]], &d.up[i], false)
 			}
 			for j := range 3 {
 				if j != d.primary {
-					d.carry(d.core[j], d.core[d.primary], &d.across[j], false)
+					d.exchange(d.servers[j], d.servers[d.primary], &d.across[j], false)
 				}
 			}
 			d.applyUpdate(false)
@@ -209,14 +211,14 @@
 			d.now = d.now.Add(resendAfter)
 		}
 		for i, p := range d.proxy {
-			if d.totals.AckedUpTo(p) != uint64(len(d.made[p])) || !d.boxes[i].Empty() || !d.agents[i].Empty() {
+			if d.totals.AckedUpTo(p) != uint64(len(d.made[p])) || !d.proxyRelays[i].Empty() || !d.agents[i].Empty() {
 				t.Fatalf("%d of %d batches are acknowledged", d.totals.AckedUpTo(p), len(d.made[p]))
 			}
 		}
 	})
 }
 
-// Where a relay is full, what it refuses comes again before anything later; nothing is taken out of order.
+// A batch that a full relay rejects is sent again before later ones; no batch is accepted out of order.
 func TestRelayRefusesBeyondItsBounds(t *testing.T) {
 	c := qt.New(t)
 	var from, to Relay
@@ -244,7 +246,7 @@
 	carry()
 	c.Assert(from.Empty(), qt.IsTrue)
 
-	c.Assert(to.Put(batch(5, 1)), qt.IsTrue, qt.Commentf("whoever begins there knows that the fourth is acknowledged"))
+	c.Assert(to.Put(batch(5, 1)), qt.IsTrue, qt.Commentf("a sender that starts with 5 has the ack of 4"))
 	c.Assert(to.Put(batch(7, 1)), qt.IsFalse)
 	for n := uint64(6); n < 5+MaxPendingBatches; n++ {
 		c.Assert(to.Put(batch(n, 1)), qt.IsTrue)
--- a/internal/fleet/residencyreport/totals.go
+++ b/internal/fleet/residencyreport/totals.go
@@ -8,29 +8,30 @@
 	"github.com/go-faster/errors"
 )
 
-// Bounds of the totals; docs/design/regions.md says where they come from.
+// Limits of the totals; docs/design/regions.md gives the reasons.
 const (
-	// MaxPairs bounds the pairs of tenant and region in the record; further ones are counted under the zero Pair.
+	// MaxPairs is the maximum number of pairs in the record; further ones are counted under the zero Pair.
 	MaxPairs = 1 << 16
-	// MaxProcesses bounds the processes whose progress the record holds; the one that reported least recently is
-	// evicted first.
+	// MaxProcesses is the maximum number of processes whose progress is in the record; the one that reported least
+	// recently is evicted first.
 	MaxProcesses = 1 << 14
-	// MaxUpdateEntries bounds the entries of one update; a batch is never split, so that it may be over by one batch.
+	// MaxUpdateEntries is the maximum number of entries of one update. A batch is never split, so the last one may
+	// exceed it.
 	MaxUpdateEntries = 4096
 )
 
-// Totals is what the record holds: the totals of each pair, and how far the batches of each process are in them. It
-// is immutable, so that it may be read from any goroutine. nil is empty.
+// Totals is the state of the record: the totals of each pair, and the last applied batch of each process. It is
+// immutable and may be read from any goroutine. nil is an empty Totals.
 type Totals struct {
 	pairs     map[Pair]Entry
 	processes map[Process]progress
-	updates   uint64 // how many were applied
+	updates   uint64 // number of applied updates
 }
 
-// progress is the number of a process's last applied batch, and of the update that had it.
+// progress has the number of a process's last applied batch, and of the update that included it.
 type progress struct{ n, at uint64 }
 
-// merge adds to an entry what another has for the same pair.
+// merge merges another entry of the same pair into e.
 func (e *Entry) merge(o *Entry) {
 	e.First = min(e.First, o.First)
 	e.Last = max(e.Last, o.Last)
@@ -52,8 +53,8 @@
 	)
 }
 
-// mergeBounded merges an entry into totals of so many pairs at the most. Beyond that it counts under the zero Pair,
-// so that no count is lost.
+// mergeBounded merges an entry into pairs. If that would add a pair beyond most pairs, the entry is counted under the
+// zero Pair instead, so that no count is lost.
 func mergeBounded(pairs map[Pair]Entry, e Entry, most int) {
 	have, ok := pairs[e.Pair]
 	if !ok && len(pairs) >= most {
@@ -67,8 +68,7 @@
 	pairs[e.Pair] = e
 }
 
-// AckedUpTo returns the number of the last batch of a process that is in the totals; 0 where none is, or the process
-// was evicted.
+// AckedUpTo returns the number of the last applied batch of a process; 0 if there is none or the process was evicted.
 func (t *Totals) AckedUpTo(p Process) uint64 {
 	if t == nil {
 		return 0
@@ -76,7 +76,7 @@
 	return t.processes[p].n
 }
 
-// Has tells whether the totals have anything of a pair.
+// Has reports whether the totals have an entry for a pair.
 func (t *Totals) Has(p Pair) bool {
 	if t == nil {
 		return false
@@ -85,10 +85,10 @@
 	return ok
 }
 
-// Merge returns one update with what the batches add to these totals; the batches of a process come in the order of
-// their numbers, and what is in the totals already adds nothing. more tells that not all fitted. A process that isn't
-// known and doesn't begin with its first batch was evicted: nobody can tell what of it was counted, so that its times
-// are merged and its counts are not.
+// Merge returns one update with the batches that are not in these totals yet. The batches of a process must be in the
+// order of their numbers; applied ones are skipped. more is true if some batches did not fit into the update. An
+// unknown process whose first batch here isn't number 1 was evicted: which of its batches were counted is unknown, so
+// its times are merged, but not its counts.
 func (t *Totals) Merge(batches []Batch) (u Update, more bool) {
 	pairs, upto, evicted := map[Pair]Entry{}, map[Process]uint64{}, map[Process]bool{}
 	for i := range batches {
@@ -126,11 +126,11 @@
 
 func compareAcks(a, b Ack) int { return cmp.Compare(a.Process, b.Process) }
 
-// Empty tells whether the update changes nothing.
+// Empty reports whether the update includes no batch.
 func (u *Update) Empty() bool { return len(u.Upto) == 0 }
 
-// Apply returns the totals after an update, and leaves these as they are. It depends on nothing else, so that all
-// replicas of the record come to the same.
+// Apply returns the totals after an update, without changing t. The result depends only on t and the update, so that
+// all replicas of the record compute the same totals.
 func (t *Totals) Apply(u *Update) *Totals {
 	next := &Totals{
 		pairs:     map[Pair]Entry{},
@@ -155,7 +155,7 @@
 	return next
 }
 
-// evictProcesses leaves so many processes at the most, those that reported most recently.
+// evictProcesses removes all but the most processes that reported most recently; most is their maximum number.
 func (t *Totals) evictProcesses(most int) {
 	if len(t.processes) <= most {
 		return
@@ -169,7 +169,7 @@
 	}
 }
 
-// progresses returns the progress of all processes, by process.
+// progresses returns the progress of all processes, sorted by process.
 func (t *Totals) progresses() []Progress {
 	all := make([]Progress, 0, len(t.processes))
 	for process, p := range t.processes {
@@ -179,13 +179,12 @@
 	return all
 }
 
-// sorted returns the entries in the order of tenants, routes and regions.
+// sorted returns the entries sorted by tenant, route and region.
 func sorted(pairs map[Pair]Entry) []Entry {
 	return slices.SortedFunc(maps.Values(pairs), func(a, b Entry) int { return a.Pair.compare(b.Pair) })
 }
 
-// Report returns the entries whose pair matches, in the order of tenants, routes and regions; all of them where match
-// is nil.
+// Report returns the entries whose pair matches, sorted by tenant, route and region; all entries if match is nil.
 func (t *Totals) Report(match func(Pair) bool) []Entry {
 	if t == nil {
 		return nil
@@ -194,7 +193,7 @@
 	return slices.DeleteFunc(all, func(e Entry) bool { return match != nil && !match(e.Pair) })
 }
 
-// Snapshot returns the bytes from which Restore makes equal totals; nil for empty ones.
+// Snapshot returns an encoding of the totals for Restore; nil for a nil Totals.
 func (t *Totals) Snapshot() []byte {
 	if t == nil {
 		return nil
@@ -204,19 +203,19 @@
 		Processes: t.progresses(),
 		Readings:  t.updates,
 	}
-	b, _ := stored.MarshalMsg(nil) // it has no way to fail
+	b, _ := stored.MarshalMsg(nil) // encoding these types never returns an error
 	return b
 }
 
-// Restore returns the totals of a snapshot; empty ones where it has no bytes. The error says that the bytes are
-// damaged.
+// Restore decodes the totals of a snapshot; an empty snapshot gives an empty (nil) Totals. It returns an error if the
+// snapshot is corrupt.
 func Restore(snapshot []byte) (*Totals, error) {
 	if len(snapshot) == 0 {
 		return nil, nil
 	}
 	var stored StoredTotals
 	if _, err := stored.UnmarshalMsg(snapshot); err != nil {
-		return nil, errors.Wrap(err, "residency totals")
+		return nil, errors.Wrap(err, "decode residency totals")
 	}
 	t := &Totals{
 		pairs:     make(map[Pair]Entry, len(stored.Entries)),
--- a/internal/fleet/residencyreport/totals_test.go
+++ b/internal/fleet/residencyreport/totals_test.go
@@ -48,7 +48,7 @@
 	return all
 }
 
-// total is what batches amount to, worked out by hand.
+// total returns the expected entries of batches, computed independently.
 func total(batches []Batch) []Entry {
 	sum := map[Pair]Entry{}
 	for _, b := range batches {
@@ -75,15 +75,15 @@
 	return all
 }
 
-// However batches are spread over updates, whichever process comes first, whatever is offered again, and wherever
-// the record is restored from a snapshot in between: the report is the same, and right.
+// The report is correct and the same however batches are distributed over updates, in any order of processes, with any
+// repetitions, and wherever the record is restored from a snapshot in between.
 func TestTotalsAreOrderFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawBatches(t)
 		next := map[Process]uint64{}
 		var g *Totals
 		for left := true; left; {
-			// The next offer: of some processes, from before what was taken to somewhere after, without gaps.
+			// The next batches: of some processes, from before the applied ones to somewhere after, without gaps.
 			var offer []Batch
 			left = false
 			for _, p := range rapid.Permutation([]Process{1, 2, 3, 4}).Draw(t, "order") {
@@ -126,15 +126,15 @@
 		if got, want := g.Report(nil), total(all); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
 			t.Fatalf("%v\nin place of\n%v", got, want)
 		}
-		// All over again: nothing comes of it.
+		// Repeating all batches changes nothing.
 		if r, _ := g.Merge(all); !r.Empty() || len(r.Entries) > 0 {
 			t.Fatalf("what was applied is merged again: %v", r)
 		}
 	})
 }
 
-// The times of a process that was evicted, or that a record which was begun anew never knew, are merged; what it may
-// have counted before is not counted again.
+// The times of a process that was evicted, or that a newly started record doesn't know, are merged; its counts, which
+// may have been applied before, are not counted again.
 func TestEvictedProcessIsNotCountedTwice(t *testing.T) {
 	c := qt.New(t)
 	pair := Pair{Tenant: "a", Region: "east"}
@@ -158,12 +158,12 @@
 	c.Assert(g.Report(nil)[0].Counts.Plain, qt.Equals, int64(8))
 }
 
-// Pairs beyond the bound are counted under the zero Pair; the processes that reported least recently are evicted
-// first; one update is bounded and says that there is more.
+// Pairs beyond the limit are counted under the zero Pair; the processes that reported least recently are evicted first;
+// an update is limited in size, and Merge reports that there are more batches.
 func TestTotalsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	var g *Totals
-	n := 0 // entries made, each for a tenant of its own
+	n := 0 // number of entries created, each for a tenant of its own
 	batch := func(p Process, entries int) Batch {
 		b := Batch{Process: p, N: 1}
 		for range entries {
@@ -221,7 +221,7 @@
 	c.Assert(g.AckedUpTo(1+2*MaxProcesses), qt.Equals, uint64(1))
 }
 
-// Damaged snapshots are errors.
+// Restore returns an error for a corrupt snapshot.
 func TestRestoreRefusesDamage(t *testing.T) {
 	c := qt.New(t)
 	g := (*Totals)(nil).Apply(&Update{
--- a/internal/fleet/residencyreport/wire_test.go
+++ b/internal/fleet/residencyreport/wire_test.go
@@ -6,8 +6,8 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestWireBytes holds what proxies send on of where data rested, and what the record keeps of it. The current build
-// must write and read them as all builds before it.
+// TestWireBytes compares the encodings of residency batches, updates and totals with golden files. The current build
+// must write and read them like all earlier builds.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.Messages(t, map[string]goldenbytes.Message{
 		"batch":    new(Batch),
--- a/internal/fleet/scheduler/phase_planner.go
+++ b/internal/fleet/scheduler/phase_planner.go
@@ -57,8 +57,8 @@
 	decodeFillTarget = 0.8
 	// decodeFillMax is the maximum utilization while the prefill backends are overloaded.
 	decodeFillMax = 0.9
-	// pressedPrefillsPerBackend is the mean number of prompts per prefill backend above which prefill is overloaded.
-	pressedPrefillsPerBackend = 1.5
+	// overloadedPrefillsPerBackend is the mean number of prompts per prefill backend above which prefill is overloaded.
+	overloadedPrefillsPerBackend = 1.5
 	// easyPrefillsPerBackend is the mean number of prompts per prefill backend up to which one of them may decode
 	// instead.
 	easyPrefillsPerBackend = 1
@@ -212,9 +212,9 @@
 // idle reports whether there has been no recent decode load, so that a phase change has no cost.
 func (p *PhasePlanner) idle() bool { return p.peakActive < 1 }
 
-// prefillPressed reports whether the prefill backends are overloaded.
-func (p *PhasePlanner) prefillPressed(prefillBackends int) bool {
-	return prefillBackends > 0 && p.meanPrefilling > pressedPrefillsPerBackend*float64(prefillBackends)
+// prefillOverloaded reports whether the prefill backends are overloaded.
+func (p *PhasePlanner) prefillOverloaded(prefillBackends int) bool {
+	return prefillBackends > 0 && p.meanPrefilling > overloadedPrefillsPerBackend*float64(prefillBackends)
 }
 
 // decodeTargets returns the minimum and maximum number of backends that should decode.
@@ -240,7 +240,7 @@
 func (p *PhasePlanner) decodeNeed(s *survey, capacity int) int {
 	batch := float64(capacity)
 	need := int(math.Ceil(p.peakActive/(decodeFillMax*batch))) + 1 // one to spare
-	if !p.prefillPressed(len(s.prefill)) {
+	if !p.prefillOverloaded(len(s.prefill)) {
 		// Arrivals are random: reserve capacity for two standard deviations above the peak.
 		burst := p.peakActive + 2*math.Sqrt(p.peakActive)
 		need = max(int(math.Ceil(burst/(decodeFillTarget*batch))), need)
@@ -272,7 +272,7 @@
 	}
 	// Without load, changes have no cost. When prefill is overloaded there is no pause either: a prefill backend can
 	// change back quickly, whereas a decode backend takes long to finish its requests.
-	if now-p.surplusSince < surplusHoldMs && !p.idle() && !p.prefillPressed(len(s.prefill)) {
+	if now-p.surplusSince < surplusHoldMs && !p.idle() && !p.prefillOverloaded(len(s.prefill)) {
 		return nil
 	}
 	var announced []Transition
