--- a/internal/fleet/outlier/detector_test.go
+++ b/internal/fleet/outlier/detector_test.go
@@ -139,8 +139,8 @@
 	c.Assert(trial(8000, 9, good), qt.Equals, 0)
 }
 
-// TestOneProxyDoesNotRestore: however many reports of good trials one proxy sends, another has to have one as healthy,
-// unless no other proxy reports any more.
+// TestOneProxyDoesNotRestore checks that however many successful trials one proxy reports, another one must report a
+// successful trial too, unless no other proxy reports any more.
 func TestOneProxyDoesNotRestore(t *testing.T) {
 	c := qt.New(t)
 	d := ejectOne(c)
--- a/internal/fleet/outlier/model_test.go
+++ b/internal/fleet/outlier/model_test.go
@@ -129,7 +129,7 @@
 // controlPlaneDown reports whether the control plane is unreachable.
 func (f *modelFleet) controlPlaneDown() bool { return f.now >= f.set.cut[0] && f.now < f.set.cut[1] }
 
-// faulty is what a backend does with a request of a proxy now.
+// faultOf returns the behavior of a backend for the requests of a proxy in a zone.
 func (f *modelFleet) faultOf(backend int, zone string) faultKind {
 	for i := range f.set.faults {
 		if t := &f.set.faults[i]; t.on(f.now, backend, zone) {
--- a/internal/fleet/outlier/search_test.go
+++ b/internal/fleet/outlier/search_test.go
@@ -117,7 +117,8 @@
 			return sum, fmt.Errorf("seed %d, %s: %w", seed, kind, err)
 		}
 	}
-	if float64(sum.outInTime) < minInTime*float64(sum.faulty) || float64(sum.backInTime) < minInTime*float64(sum.faulty) {
+	if float64(sum.outInTime) < minInTime*float64(sum.faulty) ||
+		float64(sum.backInTime) < minInTime*float64(sum.faulty) {
 		return sum, errors.New("too few faulty backends were ejected or restored in time")
 	}
 	return sum, nil
--- a/internal/fleet/quota/client_test.go
+++ b/internal/fleet/quota/client_test.go
@@ -188,7 +188,7 @@
 	answer := &Answer{Epoch: 1, Sequence: 1, Grants: []Grant{{Tenant: "t", Slots: 1}}}
 	sentAt, _, number := client.buildReport(true)
 	client.start = client.start.Add(-answerTimeout - time.Millisecond)
-	c.Assert(client.apply(answer, sentAt, number), qt.ErrorMatches, "the answer came late")
+	c.Assert(client.apply(answer, sentAt, number), qt.ErrorMatches, "quota answer received after the answer time-out")
 	_, verdict := client.take("t")
 	c.Assert(verdict, qt.Equals, LeaseLapsed)
 	sentAt, _, number = client.buildReport(true)
@@ -212,7 +212,7 @@
 				_ = distribution.WriteFrame(theirs, &answer)
 			}
 		}()
-		qt.Check(t, client.follow(t.Context(), "a"), qt.ErrorMatches, "the allocator has changed")
+		qt.Check(t, client.follow(t.Context(), "a"), qt.ErrorMatches, "quota answer does not match the report's epoch and sequence")
 	}
 }
 
