--- a/internal/fleet/quota/client_test.go
+++ b/internal/fleet/quota/client_test.go
@@ -212,7 +212,8 @@
 				_ = distribution.WriteFrame(theirs, &answer)
 			}
 		}()
-		qt.Check(t, client.follow(t.Context(), "a"), qt.ErrorMatches, "quota answer does not match the report's epoch and sequence")
+		qt.Check(t, client.follow(t.Context(), "a"), qt.ErrorMatches,
+			"quota answer does not match the report's epoch and sequence")
 	}
 }
 
