--- a/internal/fleet/outlier/detector_test.go
+++ b/internal/fleet/outlier/detector_test.go
@@ -44,10 +44,10 @@
 	for p := range 2 {
 		report(d, 100, p, zoneName(p%2), distribution.Outcome{Backend: "b01", Attempts: 5, Failed: 5})
 	}
-	c.Assert(d.Step(100, group(6)), qt.HasLen, 0, qt.Commentf("two proxies may be faulty themselves"))
+	c.Assert(d.Step(100, group(6)), qt.HasLen, 0, qt.Commentf("two complaints are not enough"))
 	report(d, 100, 2, zoneName(0), distribution.Outcome{Backend: "b01", Attempts: 5, Failed: 5})
 	c.Assert(d.Step(100, group(6)), qt.DeepEquals, []distribution.Ejection{{Backend: "b01"}})
-	c.Assert(d.Step(200, group(1)), qt.HasLen, 0, qt.Commentf("what is no longer listed is forgotten"))
+	c.Assert(d.Step(200, group(1)), qt.HasLen, 0, qt.Commentf("backends that are no longer listed are dropped"))
 }
 
 // TestEjectedShareIsBounded checks that at most 1/maxEjectedDivisor of a group is ejected.
@@ -157,7 +157,7 @@
 	d = ejectOne(c)
 	now = 3000.0
 	for ; len(d.Step(now, group(6))) > 0; now += 500 {
-		c.Assert(now < 4*proxyTimeoutMs, qt.IsTrue, qt.Commentf("the only proxy that is left restores it"))
+		c.Assert(now < 4*proxyTimeoutMs, qt.IsTrue, qt.Commentf("the only reporting proxy restores it"))
 		report(d, now, 1, zoneName(0), distribution.Outcome{Backend: "b01", Attempts: 1})
 	}
 	c.Assert(now > proxyTimeoutMs, qt.IsTrue, qt.Commentf("the others may still report"))
--- a/internal/fleet/quota/allocator_test.go
+++ b/internal/fleet/quota/allocator_test.go
@@ -129,48 +129,48 @@
 		ceilings *Ceilings
 		steps    []step
 	}{
-		{"what is wanted and one in advance", all, []step{{proven, "p", 1, 0, 2, 3, 0}}},
-		{"nothing in advance where nothing is wanted", all, []step{{proven, "p", 1, 0, 0, 0, 0}}},
-		{"no more than there are", all, []step{
+		{"wanted slots and one in advance", all, []step{{proven, "p", 1, 0, 2, 3, 0}}},
+		{"nothing in advance if nothing is wanted", all, []step{{proven, "p", 1, 0, 0, 0, 0}}},
+		{"no more than the total", all, []step{
 			{proven, "p", 1, 0, 7, 8, 0},
 			{proven, "q", 2, 0, 7, 2, 0},
 			{proven, "q", 2, 2, 7, 0, 0},
 		}},
-		{"no more than normal under ceilings that aren't raised", none, []step{{proven, "p", 1, 0, 10, 6, 0}}},
-		{"what is given back goes to others", all, []step{
+		{"no more than normal without raised ceilings", none, []step{{proven, "p", 1, 0, 10, 6, 0}}},
+		{"returned slots are granted to others", all, []step{
 			{proven, "p", 1, 0, 10, 10, 0},
 			{proven, "p", 1, 4, 0, 0, 0},
 			{proven, "q", 2, 0, 6, 6, 0},
 		}},
-		{"a silent holder's are free after lease and window", all, []step{
+		{"slots of a silent holder are free after lease and window", all, []step{
 			{proven, "p", 1, 0, 10, 10, 0},
 			{proven + 9*sec, "q", 2, 0, 5, 0, 0},
 			{proven + 9*sec + 200*time.Millisecond, "q", 2, 0, 5, 0, 0}, // found, and counted from the next search
 			{proven + 9*sec + 400*time.Millisecond, "q", 2, 0, 5, 6, 0},
 		}},
-		{"a new process's predecessor's are free after a window", all, []step{
+		{"slots of a former incarnation are free after a window", all, []step{
 			{proven, "p", 1, 0, 10, 10, 0},
 			{proven + sec, "p", 2, 0, 5, 0, 0},
 			{proven + 6*sec, "p", 2, 0, 5, 0, 0},
 			{proven + 6*sec + 100*time.Millisecond, "p", 2, 0, 5, 6, 0},
 		}},
-		{"before all is known, nothing where all may be out", all, []step{
+		{"before all is known, nothing if all may be allocated", all, []step{
 			{0, "p", 1, 0, 5, 0, 0},
 			{proven - 1, "p", 1, 0, 5, 0, 0},
 			{proven, "p", 1, 0, 5, 6, 0},
 		}},
 		{"before all is known, nothing beyond the ceilings", none, []step{{0, "p", 1, 0, 5, 0, 0}}},
-		{"before all is known, what was given back", all, []step{
+		{"before all is known, returned slots", all, []step{
 			{0, "p", 1, 4, 0, 0, 0},
 			{sec, "p", 1, 1, 0, 0, 0},
 			{sec, "q", 2, 0, 5, 3, 0},
 		}},
-		{"before all is known, what a silent one had", all, []step{
+		{"before all is known, slots of a silent holder", all, []step{
 			{0, "p", 1, 4, 0, 0, 0},
 			{10 * sec, "q", 2, 0, 5, 0, 0},
 			{10*sec + 100*time.Millisecond, "q", 2, 0, 5, 4, 0},
 		}},
-		{"more are held than there are", all, []step{
+		{"more slots held than the total", all, []step{
 			{proven, "p", 1, 12, 0, 0, 2},
 			{proven, "q", 2, 4, 1, 0, 2},
 		}},
@@ -205,7 +205,7 @@
 	c.Assert(a.WantedCeilings(0), qt.DeepEquals, &Ceilings{All: true})
 	want(0, 0, 3, 0) // not committed yet
 	a.SetCeilings(&Ceilings{All: true})
-	want(0, 0, 5, 4) // earlier allocators handed out 6 of 10
+	want(0, 0, 5, 4) // earlier allocators may have allocated 6 of 10
 	want(0, 4, 3, 0)
 	want(8*time.Second, 4, 0, 0)
 	named := []string{"p"}
@@ -330,7 +330,7 @@
 		uptimesMs []int64 // of p and q; a holder without an entry doesn't report
 		known     time.Duration
 	}{
-		{"both are old", []int64{9000, 60_000}, 0},
+		{"both have long uptimes", []int64{9000, 60_000}, 0},
 		{"one was restarted 2 s ago", []int64{9000, 2000}, testRule.Window - 2*sec},
 		{"one does not report", []int64{9000}, testAllKnownAt},
 	} {
--- a/internal/fleet/quota/holder_test.go
+++ b/internal/fleet/quota/holder_test.go
@@ -120,7 +120,7 @@
 		slots int
 		steps []step
 	}{
-		{"no more than it has", 2, []step{{nil, 1, []Verdict{yes, yes, none, none}}}},
+		{"no more than its slots", 2, []step{{nil, 1, []Verdict{yes, yes, none, none}}}},
 		{"free strictly after a window", 1, []step{
 			{nil, 1, []Verdict{yes}},
 			{renew(lease), window + 1, []Verdict{none}},
@@ -144,17 +144,17 @@
 			{func(h *Holder) { h.Release("t", 1) }, 2, []Verdict{none}}, // it isn't taken
 			{func(h *Holder) { h.Release("other", 2) }, 2, []Verdict{none}},
 		}},
-		{"free slots are given back, used ones aren't", 6, []step{
+		{"free slots are returned, used ones aren't", 6, []step{
 			{nil, 1, []Verdict{yes, yes}},
 			{report(2), 2, []Verdict{yes, yes, none}}, // one and half as many as are used may be kept
 			{renew(lease), window + 3, []Verdict{yes, yes, yes, yes, none}},
 		}},
-		{"all are given back after a window", 6, []step{
+		{"all slots are returned after a window", 6, []step{
 			{nil, 1, []Verdict{yes}},
 			{renew(lease), lease, nil},
 			{report(window + 2), window + 2, []Verdict{none}},
 		}},
-		{"a lower limit takes a part of each", 8, []step{
+		{"a lower limit takes the same fraction of each holder", 8, []step{
 			{lower(0), 1, []Verdict{yes, yes, yes, yes, none}},
 		}},
 		{"a lower limit takes used ones as they become free", 8, []step{
@@ -162,10 +162,10 @@
 			{lower(2), 2, []Verdict{none}},
 			{renew(lease), window + 2, []Verdict{yes, yes, yes, yes, none}},
 		}},
-		{"a higher limit gives none", 2, []step{
+		{"a higher limit adds no slots", 2, []step{
 			{func(h *Holder) { h.SetLimits(Limits{"t": {Total: 50, Normal: 30}}, 0) }, 1, []Verdict{yes, yes, none}},
 		}},
-		{"a limit that is gone takes all", 2, []step{
+		{"a removed limit takes all slots", 2, []step{
 			{func(h *Holder) { h.SetLimits(Limits{}, 0); h.SetLimits(tenSlots(), 0) }, 1, []Verdict{none}},
 		}},
 		{"surplus", 4, []step{
@@ -173,7 +173,7 @@
 			{surplus, 2, []Verdict{none}},
 			{renew(lease), window + 2, []Verdict{yes, yes, none}},
 		}},
-		{"a grant without a limit is disregarded", 0, []step{
+		{"a grant without a limit is ignored", 0, []step{
 			{func(h *Holder) {
 				h.SetLimits(Limits{}, 0)
 				h.Apply(&Answer{Grants: []Grant{{Tenant: "t", Slots: 2}}}, 0, 0)
--- a/internal/fleet/quota/planted_test.go
+++ b/internal/fleet/quota/planted_test.go
@@ -30,7 +30,7 @@
 		Tests: "^Test(Holder|BeginReports)$",
 	},
 	{
-		Name: "used slots are given back",
+		Name: "used slots are returned",
 		Texts: []string{
 			"{ s.free = min(s.free, s.keep(now, window)) }",
 			"{\n\ts.free = min(s.free, s.keep(now, window))\n\ts.used.first += s.used.count() / 2\n}",
--- a/internal/fleet/ranking/ranker_test.go
+++ b/internal/fleet/ranking/ranker_test.go
@@ -280,7 +280,7 @@
 				r.SetEndpoints(now, list)
 				for x, n := range out {
 					if r.InFlight(x) != n {
-						t.Fatalf("%s has %d out after a list, not %d", x, r.InFlight(x), n)
+						t.Fatalf("%s has %d attempts in flight after a list, want %d", x, r.InFlight(x), n)
 					}
 				}
 			case 1, 2:
@@ -301,18 +301,18 @@
 				switch how {
 				case policy.OK:
 					if is != policy.Connected {
-						t.Fatalf("served and held in state %d", is)
+						t.Fatalf("served, but in state %d", is)
 					}
 				case policy.Error, policy.Timeout, policy.ConnectFailed, policy.Reset:
 					if is < policy.UnhealthyPending || was != policy.Connected && is != policy.Unhealthy {
-						t.Fatalf("failed in state %d and is in %d", was, is)
+						t.Fatalf("failed attempt led from state %d to %d", was, is)
 					}
 					if was == policy.Connected && anyUnhealthy(r) {
 						t.Fatal("a refresh leaves one Unhealthy")
 					}
 				default:
 					if is != was {
-						t.Fatalf("ending %d led from state %d to %d", how, was, is)
+						t.Fatalf("attempt status %d led from state %d to %d", how, was, is)
 					}
 				}
 			case 5:
@@ -323,7 +323,7 @@
 					probing[x] = true
 				}
 				if len(probing) > set.MaxProbes {
-					t.Fatalf("%d probes at once", len(probing))
+					t.Fatalf("%d probes in flight", len(probing))
 				}
 			case 6:
 				x := id()
@@ -334,10 +334,10 @@
 				want := map[bool]policy.State{true: policy.Connected, false: policy.Unhealthy}[ok]
 				if probing[x] && was == policy.UnhealthyPending {
 					if is != want {
-						t.Fatalf("probed %v: state %d", ok, is)
+						t.Fatalf("probe result %v led to state %d", ok, is)
 					}
 				} else if is != was {
-					t.Fatalf("a validation that nobody awaits led from state %d to %d", was, is)
+					t.Fatalf("a stale probe result led from state %d to %d", was, is)
 				}
 				delete(probing, x)
 			}
@@ -369,7 +369,7 @@
 	inflight, size, seen := 0, map[int]int{}, map[string]bool{}
 	for _, id := range order {
 		if seen[id] || id == left || !usable[id] {
-			t.Fatalf("%s is ranked", id)
+			t.Fatalf("%s is ranked, but excluded, unusable or repeated", id)
 		}
 		seen[id] = true
 		inflight += out[id]
@@ -393,7 +393,7 @@
 		case over(x.id) && !over(y.id):
 			t.Fatalf("%s is at its cap and comes before %s", x.id, y.id)
 		case over(x.id) == over(y.id) && policy.Rendezvous(key, x.hash, 1) > policy.Rendezvous(key, y.hash, 1):
-			t.Fatalf("%s comes before %s, which is nearer the key", x.id, y.id)
+			t.Fatalf("%s comes before %s, which has a lower score", x.id, y.id)
 		}
 	}
 	// If c is at least 1 and nothing is in flight in other tiers, the first tier always has a backend under its cap.
@@ -422,7 +422,7 @@
 	r.AttemptStarted("a")
 	r.AttemptEnded(0, "a", policy.Reset)
 	for key := range uint64(50) {
-		c.Assert(r.PreferredBackend(1, key, all), qt.Not(qt.Equals), "a", qt.Commentf("others find the key elsewhere"))
+		c.Assert(r.PreferredBackend(1, key, all), qt.Not(qt.Equals), "a", qt.Commentf("it is in a worse tier"))
 	}
 }
 
@@ -440,7 +440,7 @@
 			c.Assert(r.PreferredBackend(now, 7, func(id string) bool { return id != "b0" }), qt.Equals, "b2")
 		}
 		alone := r.Rank(4000, 7, func(id string) bool { return id == "b1" }, 1, nil, nil)
-		c.Assert(alone, qt.DeepEquals, []string{"b1"}, qt.Commentf("an empty tier passes down"))
+		c.Assert(alone, qt.DeepEquals, []string{"b1"}, qt.Commentf("an empty tier falls through to the next"))
 		if restored {
 			r.Restore(4500, "b1")
 			c.Assert(r.PreferredBackend(4500, 7, func(id string) bool { return id == "b1" }), qt.Equals, "b1")
--- a/internal/fleet/residencyreport/relay_test.go
+++ b/internal/fleet/residencyreport/relay_test.go
@@ -113,13 +113,13 @@
 		for p, held := range r.pending {
 			for i, b := range held {
 				if b.N != held[0].N+uint64(i) {
-					d.Fatalf("batches of %d are held with a gap: %v", p, held)
+					d.Fatalf("pending batches of %d have a gap: %v", p, held)
 				}
 				entries += len(b.Entries)
 			}
 		}
 		if entries != r.entries {
-			d.Fatalf("%d entries are held, %d counted", entries, r.entries)
+			d.Fatalf("%d entries are pending, the relay counts %d", entries, r.entries)
 		}
 	}
 	var taken []Batch
@@ -127,7 +127,7 @@
 		taken = append(taken, made[:d.totals.AckedUpTo(p)]...)
 	}
 	if got, want := d.totals.Report(nil), total(taken); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
-		d.Fatalf("%v\nin place of\n%v", got, want)
+		d.Fatalf("got %v\nwant %v", got, want)
 	}
 }
 
@@ -238,7 +238,7 @@
 	to.Acknowledge(Ack{9, 1})
 	c.Assert(from.Put(batch(3, 1)), qt.IsTrue)
 	carry()
-	c.Assert(to.PendingOf(1), qt.Equals, 0, qt.Commentf("a batch is missing before"))
+	c.Assert(to.PendingOf(1), qt.Equals, 0, qt.Commentf("the previous batch is missing"))
 	now = now.Add(resendAfter)
 	carry()
 	c.Assert(to.PendingOf(1), qt.Equals, 3)
@@ -253,5 +253,5 @@
 	}
 	c.Assert(to.Put(batch(5+MaxPendingBatches, 1)), qt.IsFalse)
 	l.receiver.Receive(&to, []Batch{{Process: 0, N: 1}, {Process: 2, N: 0}})
-	c.Assert(to.PendingOf(0)+to.PendingOf(2), qt.Equals, 0, qt.Commentf("no batch has such a number"))
+	c.Assert(to.PendingOf(0)+to.PendingOf(2), qt.Equals, 0, qt.Commentf("invalid process or batch number"))
 }
--- a/internal/fleet/residencyreport/totals_test.go
+++ b/internal/fleet/residencyreport/totals_test.go
@@ -113,7 +113,7 @@
 			if rapid.Bool().Draw(t, "restart") {
 				back, err := Restore(g.Snapshot())
 				if err != nil || !bytes.Equal(back.Snapshot(), g.Snapshot()) {
-					t.Fatalf("read back as another one: %v", err)
+					t.Fatalf("snapshot restored to different totals: %v", err)
 				}
 				g = back
 			}
@@ -124,11 +124,11 @@
 			}
 		}
 		if got, want := g.Report(nil), total(all); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%v\nin place of\n%v", got, want)
+			t.Fatalf("got %v\nwant %v", got, want)
 		}
 		// Repeating all batches changes nothing.
 		if r, _ := g.Merge(all); !r.Empty() || len(r.Entries) > 0 {
-			t.Fatalf("what was applied is merged again: %v", r)
+			t.Fatalf("applied batches are merged again: %v", r)
 		}
 	})
 }
--- a/internal/fleet/scheduler/load_test.go
+++ b/internal/fleet/scheduler/load_test.go
@@ -60,7 +60,7 @@
 	e := newTestEstimator(t, 0, 2)
 	since := e.AwaitHeaders(1000, "d0")
 	e.AwaitEnded(1000+unresponsiveAfterMs, "d0", since, false)
-	c.Assert(e.MarkedUnresponsive(2001, "d0"), qt.IsFalse, qt.Commentf("clients leave for reasons of their own"))
+	c.Assert(e.MarkedUnresponsive(2001, "d0"), qt.IsFalse, qt.Commentf("clients may disconnect early"))
 	since = e.AwaitHeaders(2000, "d0")
 	e.AwaitEnded(4000, "d0", since, false)
 	c.Assert(e.MarkedUnresponsive(4001, "d0"), qt.IsTrue)
--- a/internal/fleet/scheduler/phase_planner_test.go
+++ b/internal/fleet/scheduler/phase_planner_test.go
@@ -115,13 +115,13 @@
 		f.step(p, now, 64, 40)
 	}
 	_, decode = f.count()
-	c.Assert(decode, qt.Equals, 4, qt.Commentf("while prefill is at ease, preferred backends stay where they are"))
+	c.Assert(decode, qt.Equals, 4, qt.Commentf("without prefill overload, preferred backends keep their phase"))
 	f.prefilling = 15
 	for now := 80000.0; now < 140000; now += 500 {
 		f.step(p, now, 64, 40)
 	}
 	_, decode = f.count()
-	c.Assert(decode, qt.Equals, 3, qt.Commentf("when prompts need them they prefill again"))
+	c.Assert(decode, qt.Equals, 3, qt.Commentf("they change back to prefill when prompts need them"))
 }
 
 // Guards against idle decode backends: two of nine were idle while prefill backends had 40 prompts each. The plan
@@ -134,7 +134,7 @@
 		f.step(p, now, 64, 115)
 	}
 	_, decode := f.count()
-	c.Assert(decode, qt.Equals, 5, qt.Commentf("at ease"))
+	c.Assert(decode, qt.Equals, 5, qt.Commentf("without prefill overload"))
 	f.prefilling = 40
 	at := 0.0
 	for now := 10000.0; at == 0 && now < 20000; now += 500 {
@@ -144,7 +144,7 @@
 		}
 	}
 	c.Assert(at > 0 && at <= 10000+2*prefillHalfLifeMs+announceMs+1000, qt.IsTrue,
-		qt.Commentf("pressed prefill waits for nothing but the announcement: %v", at))
+		qt.Commentf("overloaded prefill waits only for the announcement: %v", at))
 	// More decode load doesn't take over busy prefill backends.
 	f, p = newFleet(5, 4), NewPhasePlanner()
 	f.prefilling = 15
@@ -161,7 +161,7 @@
 	transitions := f.step(p, 0, 64, 0)
 	c.Assert(len(transitions), qt.Equals, 2)
 	c.Assert(transitions[0].Due, qt.IsFalse)
-	c.Assert(p.InTransition(), qt.HasLen, 2, qt.Commentf("nobody is to send there"))
+	c.Assert(p.InTransition(), qt.HasLen, 2, qt.Commentf("no requests should be sent there"))
 	c.Assert(f.step(p, announceMs/2, 64, 0), qt.HasLen, 0)
 	transitions = f.step(p, announceMs, 64, 0)
 	c.Assert(len(transitions), qt.Equals, 2)
@@ -171,7 +171,7 @@
 	f.reports = f.reports[:3]
 	f.step(p, announceMs+100, 64, 0)
 	for _, id := range p.InTransition() {
-		c.Assert(slices.Contains(lost, id), qt.IsFalse, qt.Commentf("%s is gone", id))
+		c.Assert(slices.Contains(lost, id), qt.IsFalse, qt.Commentf("%s was removed", id))
 	}
 }
 
--- a/internal/fleet/scheduler/prefill_test.go
+++ b/internal/fleet/scheduler/prefill_test.go
@@ -25,15 +25,15 @@
 	e := newTestEstimator(t, 1, 0)
 	a, b := prompt(700, "s:400,a:300"), prompt(600, "s:400,b:200")
 	c.Assert(e.PrefillStarted("p0", a, false), qt.Equals, 700)
-	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 200, qt.Commentf("the shared segment is there"))
+	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 200, qt.Commentf("the shared segment is cached"))
 	c.Assert(e.UncachedTokens("p0", prompt(500, "x:100,s:400")), qt.Equals, 500,
-		qt.Commentf("not without the segments before it"))
+		qt.Commentf("a segment needs the segments before it"))
 	e.PrefillStarted("p0", b, false)                          // 900 cached
 	e.PrefillStarted("p0", prompt(600, "s:400,c:200"), false) // a's own segment is the least recently used
 	c.Assert(e.UncachedTokens("p0", a), qt.Equals, 300)
 	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 0)
 	e.InvalidateCache("p0", b)
-	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 600, qt.Commentf("what may not have been prefilled doesn't count"))
+	c.Assert(e.UncachedTokens("p0", b), qt.Equals, 600, qt.Commentf("invalidated segments don't count"))
 }
 
 // TestPrefixCacheIsResized checks that a configuration with a smaller or larger KV cache applies to listed backends.
@@ -66,7 +66,7 @@
 	c.Assert(e.PrefillStarted("p0", p, true), qt.Equals, 300)
 	c.Assert(e.PrefillStarted("p1", p, false), qt.Equals, 900)
 	c.Assert(e.QueueMs(0, "p0") < e.QueueMs(0, "p1"), qt.IsTrue)
-	c.Assert(e.PrefillStarted("p1", p, true), qt.Equals, 0, qt.Commentf("what is known to be cached stays so"))
+	c.Assert(e.PrefillStarted("p1", p, true), qt.Equals, 0, qt.Commentf("cached segments stay cached"))
 	alone := prompt(500, "z:500")
 	c.Assert(e.PrefillStarted("p0", alone, true), qt.Equals, 500, qt.Commentf("it shares nothing"))
 	odd := prompt(100, "s:400,a:200")
@@ -87,7 +87,7 @@
 	}
 	c.Assert(e.ExpectedPrefillMs(0, "p0", p, true) > one, qt.IsTrue)
 	e.ObservePrefill(1, 1000)
-	c.Assert(e.expectedScale, qt.Equals, 1.0, qt.Commentf("a short wait says nothing of the queue"))
+	c.Assert(e.expectedScale, qt.Equals, 1.0, qt.Commentf("short estimates are not compared"))
 	for range 500 {
 		e.ObservePrefill(100*e.expectedScale, 250)
 	}
@@ -111,7 +111,7 @@
 	e.RequestEnded("p0")
 	e.ObserveResponseLoad(1, "p0", 7, 0)
 	e.PrefillEnded("p0", m, 5000)
-	c.Assert(e.prefillMsPerToken, qt.Equals, before, qt.Commentf("others' requests were"))
+	c.Assert(e.prefillMsPerToken, qt.Equals, before, qt.Commentf("requests of other proxies were in flight"))
 	e.RequestEnded("p0")
 	e.ObserveResponseLoad(2, "p0", 1, 0)
 	for i := range 200 {
--- a/internal/fleet/scheduler/stream_pace_test.go
+++ b/internal/fleet/scheduler/stream_pace_test.go
@@ -17,7 +17,7 @@
 	c.Assert(p.Slowest(1000), qt.Equals, 40.0)
 	c.Assert(p.Slowest(11_000), qt.Equals, 20.0)
 	p.Observe(11_000, 160, 16)
-	c.Assert(p.Slowest(11_000), qt.Equals, 20.0, qt.Commentf("a faster stretch than what is left of it"))
+	c.Assert(p.Slowest(11_000), qt.Equals, 20.0, qt.Commentf("a faster section than the decayed pace"))
 	p.Observe(11_000, 480, 16)
 	c.Assert(p.Slowest(11_000), qt.Equals, 30.0)
 }
