--- a/internal/fleet/quota/allocator_test.go
+++ b/internal/fleet/quota/allocator_test.go
@@ -7,19 +7,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// testRule has the times of a deployment.
+// testRule has the durations of a real deployment.
 var testRule = Rule{Window: 5 * time.Second, Lease: 4 * time.Second}
 
-// testOverlap is for how long an earlier allocator may answer; testProven is when a new one knows all holdings.
+// testOverlap is how long an earlier allocator may still answer; testAllKnownAt is when a new one knows all holdings.
 const (
-	testOverlap = 2 * time.Second
-	testProven  = testOverlap + 9*time.Second
+	testOverlap    = 2 * time.Second
+	testAllKnownAt = testOverlap + 9*time.Second
 )
 
 // tenSlots are the limits of most tests.
 func tenSlots() Limits { return Limits{"t": {Total: 10, Normal: 6}} }
 
-// fullReport is a report of one tenant's slots.
+// fullReport returns a full report with one tenant's slots.
 func fullReport(holder string, incarnation, sequence uint64, held, wanted int) *Report {
 	return &Report{
 		Holder:      holder,
@@ -30,37 +30,38 @@
 	}
 }
 
-// TestLoweringThatMayStillBeCommitted checks that a tenant isn't raised again while a lowering is under way: were it
-// committed after slots beyond Slots.Normal were handed out, the next allocator would hand them out once more.
-func TestLoweringThatMayStillBeCommitted(t *testing.T) {
+// TestPendingLoweringBlocksRaise checks that a tenant isn't raised again while a lowering is in flight: if the lowering
+// were committed after slots beyond Slots.Normal were allocated, the next allocator would allocate them a second time.
+func TestPendingLoweringBlocksRaise(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 1, 0, 0), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 1, 0, 0), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
-	lowered := a.WantedCeilings(testProven)
+	lowered := a.WantedCeilings(testAllKnownAt)
 	c.Assert(lowered, qt.DeepEquals, &Ceilings{Complete: true, Holders: []string{"p"}})
-	grants, err := a.Handle(fullReport("p", 1, 2, 0, 6), 1, testProven)
+	grants, err := a.Handle(fullReport("p", 1, 2, 0, 6), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 6)
-	c.Assert(a.WantedCeilings(testProven).Equal(lowered), qt.IsTrue)
-	grants, err = a.Handle(fullReport("p", 1, 3, 6, 4), 1, testProven)
+	c.Assert(a.WantedCeilings(testAllKnownAt).Equal(lowered), qt.IsTrue)
+	grants, err = a.Handle(fullReport("p", 1, 3, 6, 4), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 0)
 	a.SetCeilings(lowered)
-	raised := a.WantedCeilings(testProven)
+	raised := a.WantedCeilings(testAllKnownAt)
 	c.Assert(raised.Raised("t"), qt.IsTrue)
 	a.SetCeilings(raised)
-	grants, err = a.Handle(fullReport("p", 1, 4, 6, 4), 1, testProven)
+	grants, err = a.Handle(fullReport("p", 1, 4, 6, 4), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 4)
 }
 
-// TestLateReportOfAnEndedProcess checks that a report of a process that has ended, which comes after its successor's,
-// has no effect: the successor goes on with its slots, and they are nobody else's while its lease and a window last.
+// TestLateReportOfAnEndedProcess checks that a report of an ended process that arrives after its successor's first
+// report has no effect: the successor keeps its slots, and no other holder gets them until its lease and a window are
+// over.
 func TestLateReportOfAnEndedProcess(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	start := testProven
+	start := testAllKnownAt
 	for _, report := range []struct {
 		incarnation, conn uint64
 		at                time.Duration
@@ -70,8 +71,8 @@
 	}{
 		{1, 1, 0, 0, 2, nil, 3},
 		{2, 2, time.Second, 0, 7, nil, 7}, // the first one's slots are free at 6 s
-		{1, 1, 2 * time.Second, 3, 2, errEnded, 0},
-		{1, 2, 2 * time.Second, 3, 2, errEnded, 0}, // no process shares a connection with another
+		{1, 1, 2 * time.Second, 3, 2, errProcessEnded, 0},
+		{1, 2, 2 * time.Second, 3, 2, errProcessEnded, 0}, // no process shares a connection with another
 	} {
 		grants, err := a.Handle(fullReport("p", report.incarnation, uint64(report.at)+1, report.held, report.wanted),
 			report.conn, start+report.at)
@@ -80,8 +81,8 @@
 			c.Assert(grants[0].Slots, qt.Equals, report.granted)
 		}
 	}
-	// The second one, which is not heard any more, may use its slots until 5 s, and they are free a window later. The
-	// allocator finds that at one search and hands them out from the next.
+	// The second process sends no more reports. It may use its slots until 5 s, and they are free a window later. One
+	// search for expired holders retires them, and the next one makes them available.
 	for _, at := range []struct {
 		at            time.Duration
 		held, granted int
@@ -97,22 +98,22 @@
 	}
 }
 
-// TestFirstReportIsFull checks that an allocator takes nothing of a process that hasn't told all that it holds.
+// TestFirstReportIsFull checks that an allocator rejects a partial report of an incarnation that has sent no full one.
 func TestFirstReportIsFull(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), nil, 0, testOverlap)
 	report := fullReport("p", 1, 1, 0, 1)
 	report.Full = false
-	_, err := a.Handle(report, 1, testProven)
-	c.Assert(err, qt.Equals, errNotFull)
-	_, err = a.Handle(fullReport("p", 1, 2, 0, 1), 1, testProven)
+	_, err := a.Handle(report, 1, testAllKnownAt)
+	c.Assert(err, qt.Equals, errFirstReportNotFull)
+	_, err = a.Handle(fullReport("p", 1, 2, 0, 1), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	report.Incarnation = 2
-	_, err = a.Handle(report, 2, testProven)
-	c.Assert(err, qt.Equals, errNotFull)
+	_, err = a.Handle(report, 2, testAllKnownAt)
+	c.Assert(err, qt.Equals, errFirstReportNotFull)
 }
 
-// TestAllocator plays reports to an allocator, and what is granted. All are full, each on a connection of its own.
+// TestAllocator sends sequences of full reports, each on a connection of its own, and checks the grants.
 func TestAllocator(t *testing.T) {
 	type step struct {
 		at            time.Duration
@@ -121,55 +122,55 @@
 		held, wanted  int
 		slots, excess int // granted, and surplus
 	}
-	const sec, proven = time.Second, testProven
+	const sec, proven = time.Second, testAllKnownAt
 	all, none := &Ceilings{All: true}, (*Ceilings)(nil)
 	for _, test := range []struct {
 		name     string
 		ceilings *Ceilings
 		steps    []step
 	}{
-		{"what is wanted and one in advance", all, []step{{proven, "p", 1, 0, 2, 3, 0}}},
-		{"nothing in advance where nothing is wanted", all, []step{{proven, "p", 1, 0, 0, 0, 0}}},
-		{"no more than there are", all, []step{
+		{"wanted slots and one in advance", all, []step{{proven, "p", 1, 0, 2, 3, 0}}},
+		{"nothing in advance if nothing is wanted", all, []step{{proven, "p", 1, 0, 0, 0, 0}}},
+		{"no more than the total", all, []step{
 			{proven, "p", 1, 0, 7, 8, 0},
 			{proven, "q", 2, 0, 7, 2, 0},
 			{proven, "q", 2, 2, 7, 0, 0},
 		}},
-		{"no more than normal under ceilings that aren't raised", none, []step{{proven, "p", 1, 0, 10, 6, 0}}},
-		{"what is given back goes to others", all, []step{
+		{"no more than normal without raised ceilings", none, []step{{proven, "p", 1, 0, 10, 6, 0}}},
+		{"returned slots are granted to others", all, []step{
 			{proven, "p", 1, 0, 10, 10, 0},
 			{proven, "p", 1, 4, 0, 0, 0},
 			{proven, "q", 2, 0, 6, 6, 0},
 		}},
-		{"a silent holder's are free after lease and window", all, []step{
+		{"slots of a silent holder are free after lease and window", all, []step{
 			{proven, "p", 1, 0, 10, 10, 0},
 			{proven + 9*sec, "q", 2, 0, 5, 0, 0},
 			{proven + 9*sec + 200*time.Millisecond, "q", 2, 0, 5, 0, 0}, // found, and counted from the next search
 			{proven + 9*sec + 400*time.Millisecond, "q", 2, 0, 5, 6, 0},
 		}},
-		{"a new process's predecessor's are free after a window", all, []step{
+		{"slots of a former incarnation are free after a window", all, []step{
 			{proven, "p", 1, 0, 10, 10, 0},
 			{proven + sec, "p", 2, 0, 5, 0, 0},
 			{proven + 6*sec, "p", 2, 0, 5, 0, 0},
 			{proven + 6*sec + 100*time.Millisecond, "p", 2, 0, 5, 6, 0},
 		}},
-		{"before all is known, nothing where all may be out", all, []step{
+		{"before all is known, nothing if all may be allocated", all, []step{
 			{0, "p", 1, 0, 5, 0, 0},
 			{proven - 1, "p", 1, 0, 5, 0, 0},
 			{proven, "p", 1, 0, 5, 6, 0},
 		}},
 		{"before all is known, nothing beyond the ceilings", none, []step{{0, "p", 1, 0, 5, 0, 0}}},
-		{"before all is known, what was given back", all, []step{
+		{"before all is known, returned slots", all, []step{
 			{0, "p", 1, 4, 0, 0, 0},
 			{sec, "p", 1, 1, 0, 0, 0},
 			{sec, "q", 2, 0, 5, 3, 0},
 		}},
-		{"before all is known, what a silent one had", all, []step{
+		{"before all is known, slots of a silent holder", all, []step{
 			{0, "p", 1, 4, 0, 0, 0},
 			{10 * sec, "q", 2, 0, 5, 0, 0},
 			{10*sec + 100*time.Millisecond, "q", 2, 0, 5, 4, 0},
 		}},
-		{"more are held than there are", all, []step{
+		{"more slots held than the total", all, []step{
 			{proven, "p", 1, 12, 0, 0, 2},
 			{proven, "q", 2, 4, 1, 0, 2},
 		}},
@@ -188,7 +189,7 @@
 	}
 }
 
-// TestAllocatorCeilings checks when slots beyond Slots.Normal are handed out, and by whom.
+// TestAllocatorCeilings checks when an allocator and its successor allocate slots beyond Slots.Normal.
 func TestAllocatorCeilings(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), nil, 0, testOverlap)
@@ -204,30 +205,30 @@
 	c.Assert(a.WantedCeilings(0), qt.DeepEquals, &Ceilings{All: true})
 	want(0, 0, 3, 0) // not committed yet
 	a.SetCeilings(&Ceilings{All: true})
-	want(0, 0, 5, 4) // earlier allocators handed out 6 of 10
+	want(0, 0, 5, 4) // earlier allocators may have allocated 6 of 10
 	want(0, 4, 3, 0)
 	want(8*time.Second, 4, 0, 0)
 	named := []string{"p"}
 	lowered := &Ceilings{Complete: true, Holders: named}
-	c.Assert(a.WantedCeilings(testProven), qt.DeepEquals, lowered)
-	want(testProven, 4, 6, 2) // lowered from the proposal on
+	c.Assert(a.WantedCeilings(testAllKnownAt), qt.DeepEquals, lowered)
+	want(testAllKnownAt, 4, 6, 2) // lowered from the proposal on
 	a.SetCeilings(lowered)
-	raised := a.WantedCeilings(testProven)
+	raised := a.WantedCeilings(testAllKnownAt)
 	c.Assert(raised, qt.DeepEquals, &Ceilings{Tenants: []string{"t"}, Complete: true, Holders: named})
-	want(testProven, 6, 4, 0)
+	want(testAllKnownAt, 6, 4, 0)
 	a.SetCeilings(raised)
-	want(testProven, 6, 4, 4)
-	want(testProven, 4, 0, 0)
-	c.Assert(a.WantedCeilings(testProven), qt.DeepEquals, raised) // of 6
-	want(testProven, 3, 0, 0)
+	want(testAllKnownAt, 6, 4, 4)
+	want(testAllKnownAt, 4, 0, 0)
+	c.Assert(a.WantedCeilings(testAllKnownAt), qt.DeepEquals, raised) // of 6
+	want(testAllKnownAt, 3, 0, 0)
 	for at := time.Duration(0); at <= raisedFor; at += time.Second {
-		want(testProven+at, 3, 0, 0)
-		c.Assert(a.WantedCeilings(testProven+at), qt.DeepEquals, raised)
+		want(testAllKnownAt+at, 3, 0, 0)
+		c.Assert(a.WantedCeilings(testAllKnownAt+at), qt.DeepEquals, raised)
 	}
-	want(testProven+raisedFor+time.Second, 3, 0, 0)
-	c.Assert(a.WantedCeilings(testProven+raisedFor+time.Second), qt.DeepEquals, lowered)
+	want(testAllKnownAt+raisedFor+time.Second, 3, 0, 0)
+	c.Assert(a.WantedCeilings(testAllKnownAt+raisedFor+time.Second), qt.DeepEquals, lowered)
 
-	// The next allocator reckons with all of the tenants raised when it began, and 6 of others.
+	// The next allocator assumes that all slots of the tenants raised at its start are held, and 6 slots of others.
 	limits := Limits{"t": {Total: 10, Normal: 6}, "u": {Total: 10, Normal: 6}}
 	next := NewAllocator(testRule, limits, raised, 0, testOverlap)
 	all := next.WantedCeilings(0)
@@ -240,18 +241,18 @@
 	c.Assert([]int{grants[0].Slots, grants[1].Slots}, qt.DeepEquals, []int{0, 4})
 }
 
-// TestLateReport checks that a report which is older than one that was taken changes nothing.
+// TestLateReport checks that a report with a lower sequence number than the last one processed changes nothing.
 func TestLateReport(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 5, 0, 10), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 5, 0, 10), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	for _, sequence := range []uint64{4, 5} {
-		grants, err := a.Handle(fullReport("p", 1, sequence, 0, 0), 1, testProven)
+		grants, err := a.Handle(fullReport("p", 1, sequence, 0, 0), 1, testAllKnownAt)
 		c.Assert(err, qt.IsNil)
 		c.Assert(grants, qt.IsNil)
 	}
-	grants, err := a.Handle(fullReport("q", 2, 1, 0, 10), 1, testProven)
+	grants, err := a.Handle(fullReport("q", 2, 1, 0, 10), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants[0].Slots, qt.Equals, 0)
 	for _, bad := range []*Report{
@@ -260,57 +261,59 @@
 		fullReport("p", 1, 9, -1, 0),
 		fullReport("p", 1, 9, 0, -1),
 	} {
-		_, err := a.Handle(bad, 1, testProven)
-		c.Check(err, qt.Equals, errReport)
+		_, err := a.Handle(bad, 1, testAllKnownAt)
+		c.Check(err, qt.Equals, errInvalidReport)
 	}
 }
 
-// TestFullReportDropsTheRest checks that a full report gives back what it doesn't name, and another one doesn't.
-func TestFullReportDropsTheRest(t *testing.T) {
+// TestFullReportReleasesUnnamedTenants checks that a full report returns the slots of tenants that it doesn't name, and
+// that a partial one doesn't.
+func TestFullReportReleasesUnnamedTenants(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 1, 0, 10), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 1, 0, 10), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	for i, step := range []struct {
 		full    bool
 		granted int
 	}{{false, 0}, {true, 10}} {
 		sequence := uint64(i) + 2
-		_, err := a.Handle(&Report{Holder: "p", Incarnation: 1, Sequence: sequence, Full: step.full}, 1, testProven)
+		_, err := a.Handle(&Report{Holder: "p", Incarnation: 1, Sequence: sequence, Full: step.full}, 1, testAllKnownAt)
 		c.Assert(err, qt.IsNil)
-		grants, err := a.Handle(fullReport("q", 2, sequence, 0, 10), 2, testProven)
+		grants, err := a.Handle(fullReport("q", 2, sequence, 0, 10), 2, testAllKnownAt)
 		c.Assert(err, qt.IsNil)
 		c.Assert(grants[0].Slots, qt.Equals, step.granted)
 	}
 }
 
-// TestLimitsLowered checks that holders give up what is above a lowered limit, and that a tenant without one has none.
+// TestLimitsLowered checks that holders give up the slots above a lowered limit, and that a tenant whose limit was
+// removed has none.
 func TestLimitsLowered(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(testRule, tenSlots(), &Ceilings{All: true}, 0, testOverlap)
-	_, err := a.Handle(fullReport("p", 1, 1, 6, 0), 1, testProven)
+	_, err := a.Handle(fullReport("p", 1, 1, 6, 0), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
-	_, err = a.Handle(fullReport("q", 2, 1, 4, 0), 2, testProven)
+	_, err = a.Handle(fullReport("q", 2, 1, 4, 0), 2, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	a.SetLimits(Limits{"t": {Total: 5, Normal: 3}})
-	grants, err := a.Handle(fullReport("p", 1, 2, 6, 3), 1, testProven)
+	grants, err := a.Handle(fullReport("p", 1, 2, 6, 3), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants, qt.DeepEquals, []Grant{{Tenant: "t", Surplus: 3}})
 	a.SetLimits(Limits{})
-	grants, err = a.Handle(fullReport("p", 1, 3, 6, 3), 1, testProven)
+	grants, err = a.Handle(fullReport("p", 1, 3, 6, 3), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
 	c.Assert(grants, qt.HasLen, 0)
 }
 
-// TestSmallQuotas checks that all slots of a tenant are handed out in the end, however few there are.
+// TestSmallQuotas checks that all slots of a tenant can be allocated, however few there are.
 func TestSmallQuotas(t *testing.T) {
 	for total := 1; total <= 40; total++ {
 		limits := Limits{"t": {Total: total, Normal: int(normalShare * float64(total))}}
 		a := NewAllocator(testRule, limits, nil, 0, testOverlap)
 		held := 0
 		for i := range 10 {
-			a.SetCeilings(a.WantedCeilings(testProven))
-			grants, err := a.Handle(fullReport("p", 1, uint64(i)+1, held, total-held), 1, testProven)
+			a.SetCeilings(a.WantedCeilings(testAllKnownAt))
+			grants, err := a.Handle(fullReport("p", 1, uint64(i)+1, held, total-held), 1, testAllKnownAt)
 			qt.Assert(t, err, qt.IsNil)
 			held += grants[0].Slots
 		}
@@ -318,18 +321,18 @@
 	}
 }
 
-// TestAllKnownOnceAllHaveReported checks that a new allocator knows all slots once the holders that the record names have
-// reported, and a window has passed since the youngest of them was started; and that nobody else is granted any.
-func TestAllKnownOnceAllHaveReported(t *testing.T) {
+// TestAllSlotsKnownOnceHoldersReport checks that a new allocator knows all slots once the holders named in the record
+// have reported and a window has passed since the youngest of them started; and that other holders get no slots.
+func TestAllSlotsKnownOnceHoldersReport(t *testing.T) {
 	const sec = time.Second
 	for _, test := range []struct {
 		name      string
-		uptimesMs []int64 // of p and of q; those that are missing don't report
+		uptimesMs []int64 // of p and q; a holder without an entry doesn't report
 		known     time.Duration
 	}{
-		{"both are old", []int64{9000, 60_000}, 0},
+		{"both have long uptimes", []int64{9000, 60_000}, 0},
 		{"one was restarted 2 s ago", []int64{9000, 2000}, testRule.Window - 2*sec},
-		{"one is gone", []int64{9000}, testProven},
+		{"one does not report", []int64{9000}, testAllKnownAt},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -359,16 +362,17 @@
 	}
 }
 
-// TestTheDeadAreNotNamedForGood checks that a proxy that is gone isn't waited for by each allocator in turn.
-func TestTheDeadAreNotNamedForGood(t *testing.T) {
+// TestExpiredHoldersLeaveCeilings checks that a stopped proxy is removed from the ceilings, so that later allocators
+// don't wait for its report.
+func TestExpiredHoldersLeaveCeilings(t *testing.T) {
 	c := qt.New(t)
 	ceilings := &Ceilings{Complete: true, Holders: []string{"dead", "p"}}
 	a := NewAllocator(testRule, tenSlots(), ceilings, 0, testOverlap)
 	_, err := a.Handle(fullReport("p", 1, 1, 0, 0), 1, 0)
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.WantedCeilings(testProven-1).Holders, qt.DeepEquals, ceilings.Holders)
-	a.SetCeilings(a.WantedCeilings(testProven - 1))
-	_, err = a.Handle(fullReport("p", 1, 2, 0, 0), 1, testProven)
+	c.Assert(a.WantedCeilings(testAllKnownAt-1).Holders, qt.DeepEquals, ceilings.Holders)
+	a.SetCeilings(a.WantedCeilings(testAllKnownAt - 1))
+	_, err = a.Handle(fullReport("p", 1, 2, 0, 0), 1, testAllKnownAt)
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.WantedCeilings(testProven).Holders, qt.DeepEquals, []string{"p"})
+	c.Assert(a.WantedCeilings(testAllKnownAt).Holders, qt.DeepEquals, []string{"p"})
 }
--- a/internal/fleet/scheduler/phase_planner_test.go
+++ b/internal/fleet/scheduler/phase_planner_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet stands in for a service's backends: orders take a while.
+// fleet simulates a service's backends, which take a while to execute orders.
 type fleet struct {
 	reports    []BackendReport
 	until      map[string]float64
@@ -36,7 +36,7 @@
 	return
 }
 
-// step plays one round: orders take effect, active requests spread over the decode backends.
+// step simulates one round: orders take effect, and active requests spread over the decode backends.
 func (f *fleet) step(p *PhasePlanner, now float64, capacity, active int) []Transition {
 	decode, prefill := 0, 0
 	for i := range f.reports {
@@ -89,7 +89,7 @@
 	}
 }
 
-// With three of 44 decoding, full batches hid how much more would come.
+// Guards against slow growth: with 3 of 44 backends decoding, full batches hid the demand beyond them.
 func TestDecodeGrowsFromFullBatches(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(41, 3), NewPhasePlanner()
@@ -102,7 +102,7 @@
 	c.Assert(decode >= 14 && decode <= 22, qt.IsTrue, qt.Commentf("%d decode", decode))
 }
 
-// A decode backend may fail while no order can be given: one more than needed decodes.
+// A decode backend may fail while no order can be sent, so one more than needed decodes.
 func TestDecodeKeepsOneToSpareAndShrinks(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(6, 3), NewPhasePlanner()
@@ -115,16 +115,17 @@
 		f.step(p, now, 64, 40)
 	}
 	_, decode = f.count()
-	c.Assert(decode, qt.Equals, 4, qt.Commentf("while prefill is at ease, preferred backends stay where they are"))
+	c.Assert(decode, qt.Equals, 4, qt.Commentf("without prefill overload, preferred backends keep their phase"))
 	f.prefilling = 15
 	for now := 80000.0; now < 140000; now += 500 {
 		f.step(p, now, 64, 40)
 	}
 	_, decode = f.count()
-	c.Assert(decode, qt.Equals, 3, qt.Commentf("when prompts need them they prefill again"))
+	c.Assert(decode, qt.Equals, 3, qt.Commentf("they change back to prefill when prompts need them"))
 }
 
-// Two of nine stood idle beside prefill backends with forty prompts each: both loads decide.
+// Guards against idle decode backends: two of nine were idle while prefill backends had 40 prompts each. The plan
+// depends on the load of both phases.
 func TestPhasePlannerWeighsPrefill(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(4, 5), NewPhasePlanner()
@@ -133,7 +134,7 @@
 		f.step(p, now, 64, 115)
 	}
 	_, decode := f.count()
-	c.Assert(decode, qt.Equals, 5, qt.Commentf("at ease"))
+	c.Assert(decode, qt.Equals, 5, qt.Commentf("without prefill overload"))
 	f.prefilling = 40
 	at := 0.0
 	for now := 10000.0; at == 0 && now < 20000; now += 500 {
@@ -143,8 +144,8 @@
 		}
 	}
 	c.Assert(at > 0 && at <= 10000+2*prefillHalfLifeMs+announceMs+1000, qt.IsTrue,
-		qt.Commentf("pressed prefill waits for nothing but the announcement: %v", at))
-	// More decode load doesn't take prefill backends that are busy.
+		qt.Commentf("overloaded prefill waits only for the announcement: %v", at))
+	// More decode load doesn't take over busy prefill backends.
 	f, p = newFleet(5, 4), NewPhasePlanner()
 	f.prefilling = 15
 	for now := 0.0; now < 20000; now += 500 {
@@ -160,21 +161,22 @@
 	transitions := f.step(p, 0, 64, 0)
 	c.Assert(len(transitions), qt.Equals, 2)
 	c.Assert(transitions[0].Due, qt.IsFalse)
-	c.Assert(p.InTransition(), qt.HasLen, 2, qt.Commentf("nobody is to send there"))
+	c.Assert(p.InTransition(), qt.HasLen, 2, qt.Commentf("no requests should be sent there"))
 	c.Assert(f.step(p, announceMs/2, 64, 0), qt.HasLen, 0)
 	transitions = f.step(p, announceMs, 64, 0)
 	c.Assert(len(transitions), qt.Equals, 2)
 	c.Assert(transitions[0].Due && transitions[1].Due, qt.IsTrue)
-	// Backends that are gone meanwhile are forgotten; the others have changes of their own.
+	// Transitions of backends that were removed are dropped; those of the others are unaffected.
 	lost := p.InTransition()
 	f.reports = f.reports[:3]
 	f.step(p, announceMs+100, 64, 0)
 	for _, id := range p.InTransition() {
-		c.Assert(slices.Contains(lost, id), qt.IsFalse, qt.Commentf("%s is gone", id))
+		c.Assert(slices.Contains(lost, id), qt.IsFalse, qt.Commentf("%s was removed", id))
 	}
 }
 
-// An order that could not be confirmed in time was not sent again: its backend got no requests for 20 s.
+// Guards against a lost order: an order that could not be confirmed in time was not sent again, and its backend got no
+// requests for 20 s.
 func TestOrderIsRetried(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(4, 5), NewPhasePlanner()
