--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -216,7 +216,7 @@
 	},
 	{
 		Name:  "a cache that lacks a change's base records the contact, in a chain",
-		Tests: "^TestNoContactYoungerThanTheTruth$",
+		Tests: "^TestContactIsNeverTooRecent$",
 		Dir:   distributionDir,
 		Texts: []string{
 			"!slices.Contains(lacking, ConfigType)",
@@ -234,7 +234,7 @@
 	},
 	{
 		Name:  "the contact is read after the content",
-		Tests: "^TestNoContactYoungerThanTheTruth$",
+		Tests: "^TestContactIsNeverTooRecent$",
 		Dir:   distributionDir,
 		Texts: []string{
 			"\t\tcontactAt, primary := c.contactAt, c.primary\n\t\tc.mu.Unlock()\n",
--- a/internal/fleet/distribution/addresses.go
+++ b/internal/fleet/distribution/addresses.go
@@ -5,26 +5,26 @@
 	"strconv"
 )
 
-// The fleet's own programs use the ports of the settings' range from the first on, by these offsets.
+// Offsets, from the first port of the settings' range, of the ports that the fleet's own programs use.
 const (
-	portCore      = 0 // core machines among themselves
-	portPull      = 1 // node agents at a control server
-	portNodeAgent = 2 // the proxy at its node agent, on loopback
-	portQuota     = 3 // proxies at the control server that hands out tenants' quotas
+	portCore      = 0 // between core machines
+	portPull      = 1 // node agents to a control server
+	portNodeAgent = 2 // the proxy to its node agent, on loopback
+	portQuota     = 3 // proxies to the control server that allocates tenants' quotas
 )
 
 func hostPort(host string, ports [2]int, offset int) string {
 	return net.JoinHostPort(host, strconv.Itoa(ports[0]+offset))
 }
 
-// CoreAddr returns the address at which a core machine listens for the others of the core; ports are the first and the
-// last of the settings' range.
+// CoreAddr returns the address at which a core machine listens for the other core machines; ports are the first and
+// the last of the settings' range.
 func CoreAddr(host string, ports [2]int) string { return hostPort(host, ports, portCore) }
 
 // PullAddr returns the address at which a control server answers pulls; ports are as for CoreAddr.
 func PullAddr(host string, ports [2]int) string { return hostPort(host, ports, portPull) }
 
-// QuotaAddr returns the address at which a control server hands out tenants' quotas; ports are as for CoreAddr.
+// QuotaAddr returns the address at which a control server allocates tenants' quotas; ports are as for CoreAddr.
 func QuotaAddr(host string, ports [2]int) string { return hostPort(host, ports, portQuota) }
 
 // NodeAgentAddr returns the address at which the node agent of this machine serves its proxy; ports are as for
--- a/internal/fleet/distribution/ahead.go
+++ b/internal/fleet/distribution/ahead.go
@@ -8,7 +8,7 @@
 // maxAheadClients bounds the clients that are remembered as ahead of a Cache.
 const maxAheadClients = 1024
 
-// aheadClients are the clients that asked with a newer version of the configuration than the cache has, by name, with
+// aheadClients maps the names of clients whose last request had a newer version of the configuration than the cache to
 // the time of the first such request in a row.
 type aheadClients map[string]time.Time
 
@@ -23,7 +23,7 @@
 	}
 }
 
-// longerThan returns the clients that have been ahead for a time, in the order of their names.
+// longerThan returns the clients that have been ahead for at least age, sorted by name.
 func (a aheadClients) longerThan(age time.Duration, now time.Time) []string {
 	var clients []string
 	for client, since := range a {
@@ -35,16 +35,17 @@
 	return clients
 }
 
-// ClientsAhead returns the names of the clients whose requests have told of a newer configuration than this cache has
-// for a time. At a primary, which has the newest, these are clients from before the record was started anew: they take
-// nothing until they are restarted.
+// ClientsAhead returns the names of the clients whose requests have had a newer version of the configuration than this
+// cache for at least age. At a primary, which has the newest version, these clients still have a version from before
+// the log was reset: they accept no update until they are restarted.
 func (c *Cache) ClientsAhead(age time.Duration, now time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ahead.longerThan(age, now)
 }
 
-// observeClient records whether a request tells of a newer configuration than the cache has; the cache is locked.
+// observeClient records whether a request has a newer version of the configuration than the cache. The caller holds
+// c.mu.
 func (c *Cache) observeClient(request *Request, now time.Time) {
 	had, asked := request.Versions[ConfigType]
 	own := Version{}
--- a/internal/fleet/distribution/ahead_test.go
+++ b/internal/fleet/distribution/ahead_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestClientsAhead: a client that has a newer configuration than the server is told of after a time, and no more once
-// it asks with one that the server knows.
+// TestClientsAhead: a client with a newer configuration than the server's is reported once it has been ahead for the
+// given age, and no longer after a request with a version that the server has.
 func TestClientsAhead(t *testing.T) {
 	c := qt.New(t)
 	cache := NewCache()
--- a/internal/fleet/distribution/backoff.go
+++ b/internal/fleet/distribution/backoff.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Backoff is the wait before a server is dialled again. It doubles from Min to Max, with jitter of up to half of it so
-// that clients that lost a server together don't return together, and is Min again after a connection that lasted. It
-// belongs to one goroutine.
+// Backoff is an exponential backoff between dials. The wait doubles from Min to Max, with jitter of up to half of it so
+// that clients that lost a server at the same time don't reconnect at the same time, and is reset to Min after a
+// connection that lasted. It must be used by one goroutine.
 type Backoff struct {
 	// Min is the first wait.
 	Min time.Duration
@@ -18,7 +18,7 @@
 	next time.Duration
 }
 
-// Wait blocks until it is time to dial again or ctx ends; lasted is for how long the last connection stood.
+// Wait blocks until it is time to dial again or ctx ends; lasted is how long the last connection was open.
 func (b *Backoff) Wait(ctx context.Context, lasted time.Duration) {
 	if b.next == 0 || lasted > 10*b.Max {
 		b.next = b.Min
@@ -28,7 +28,7 @@
 	sleep(ctx, wait)
 }
 
-// sleep blocks for a time or until ctx ends.
+// sleep blocks for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/fleet/distribution/cache.go
+++ b/internal/fleet/distribution/cache.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Cache holds the newest state of each resource type that a process knows, the leases of the members behind it, and the
-// last contact with the primary. It never returns to an older version, whoever offers one. It is safe for use by many
+// Cache holds the newest state that a process has of each resource type, the leases of its downstream members, and the
+// time of the last contact with the primary. The version of a resource type never decreases. It is safe for use by many
 // goroutines.
 type Cache struct {
-	// Residency holds residency reports on their way to the primary.
+	// Residency holds the pending residency reports for the primary.
 	Residency *ResidencyOutbox
-	// Outcomes holds reports of attempts at backends on their way to the primary.
+	// Outcomes holds the pending reports of attempts at backends for the primary.
 	Outcomes *OutcomeQueue
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	entries map[string]*entry
 	changed chan struct{} // closed and replaced whenever an entry changes
 	leases  leaseTable
 
-	ahead aheadClients // of the configuration here
+	ahead aheadClients // clients with a newer configuration
 
-	// drainingChanged holds a value once a member has begun or ceased to drain, until it is pushed on.
+	// drainingChanged receives a value when a member starts or stops draining; the receiver pushes the renewal.
 	drainingChanged chan struct{}
 
 	primary   string
@@ -44,7 +44,7 @@
 	}
 }
 
-// SetSnapshot replaces the state of a resource type by a snapshot. It returns false, and changes nothing, where the
+// SetSnapshot replaces the state of a resource type by a snapshot. It returns false, and changes nothing, if the
 // cache has that version or a newer one.
 func (c *Cache) SetSnapshot(resourceType string, version Version, snapshot []byte) bool {
 	c.mu.Lock()
@@ -52,9 +52,9 @@
 	return c.store(resourceType, newEntry(version, snapshot))
 }
 
-// AppendChange adds a change that leads from one version to another. It returns false, and changes nothing, where the
-// cache isn't at the version from; SetSnapshot is due then. It calls snapshot for the state at the version to, with the
-// cache locked, where there are many changes since the last snapshot.
+// AppendChange adds the change between two versions. It returns false, and changes nothing, if the cache isn't at the
+// version from; the caller then calls SetSnapshot. It calls snapshot for the state at the version to, with the cache
+// locked, if there are too many changes since the last snapshot.
 func (c *Cache) AppendChange(resourceType string, from, to Version, change Change, snapshot func() []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,8 @@
 	return c.store(resourceType, next)
 }
 
-// store puts an entry there unless the cache has its version or a newer one, and wakes those that wait for a change.
+// store replaces an entry unless the cache has its version or a newer one, and wakes the goroutines that wait for a
+// change.
 func (c *Cache) store(resourceType string, next *entry) bool {
 	if e := c.entries[resourceType]; e != nil && !e.version.Before(next.version) {
 		return false
@@ -81,7 +82,7 @@
 	return true
 }
 
-// Version returns the version of a resource type; ok is false where the cache has nothing of it.
+// Version returns the version of a resource type; ok is false if the cache has no state of it.
 func (c *Cache) Version(resourceType string) (version Version, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,19 +124,19 @@
 	}
 }
 
-// DrainingChanged returns a channel that gives a value once a member has begun or ceased to drain; for one receiver at
-// a time.
+// DrainingChanged returns a channel that receives a value when a member starts or stops draining; for one receiver at a
+// time.
 func (c *Cache) DrainingChanged() <-chan struct{} { return c.drainingChanged }
 
-// Members returns those whose lease is younger than maxAge, in no order, and drops the others.
+// Members returns the members whose lease is younger than maxAge, in no order, and removes the others.
 func (c *Cache) Members(now time.Time, maxAge time.Duration) []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leases.current(now, maxAge)
 }
 
-// RecordContact records when there was contact with the primary, and its address. An older contact than the last one
-// changes nothing.
+// RecordContact records the time of a contact with the primary, and the primary's address. It ignores a contact that is
+// older than the last one.
 func (c *Cache) RecordContact(primary string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,27 +152,27 @@
 }
 
 // LastContact returns when the chain of servers last had contact with the primary, and the primary's address. The
-// time is zero where there never was any.
+// time is zero if there was none.
 func (c *Cache) LastContact() (at time.Time, primary string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.contactAt, c.primary
 }
 
-// Fetch returns the response to a request: at once where the client lacks something, else at the next update, or
-// without resources when the request's wait is over or ctx ends.
+// Fetch returns the response to a request: at once if the client isn't up to date, else at the next update, or without
+// resources when the request's wait is over or ctx ends.
 func (c *Cache) Fetch(ctx context.Context, from string, request *Request) *Response {
 	return c.fetch(ctx, from, request, func() {})
 }
 
-// fetch calls refresh, which brings the last contact up to date, each time before it gathers the resources: a response
-// must not claim to be newer than its content.
+// fetch is Fetch with a function that updates the last contact. It calls refresh each time before it collects the
+// resources: the contact in a response must not be newer than its resources.
 func (c *Cache) fetch(ctx context.Context, from string, request *Request, refresh func()) *Response {
 	wait := time.NewTimer(time.Duration(request.WaitMs) * time.Millisecond)
 	defer wait.Stop()
 	start := time.Now()
 	for timedOut := false; ; {
-		// Read before the age, so that time between the two counts twice rather than not at all.
+		// Read before the contact's age, so that the time between the two counts twice rather than not at all.
 		waited := time.Since(start)
 		refresh()
 		c.mu.Lock()
@@ -209,7 +210,7 @@
 	return response
 }
 
-// resourcesSince returns what a client lacks that has the versions given; nil: nothing.
+// resourcesSince returns the resources that are newer than a client's versions; nil if there are none.
 func (c *Cache) resourcesSince(versions map[string]Version) []Resource {
 	var resources []Resource
 	for resourceType, e := range c.entries {
@@ -224,9 +225,10 @@
 	return resources
 }
 
-// Apply takes over what a response holds that was received at a time, to pass it on. It returns the resource types
-// whose changes don't follow on what the cache has: the next request must ask for a snapshot of them. Where the
-// configuration is one of them the contact isn't recorded: it would say that the old configuration here is the newest.
+// Apply stores the resources of a response that was received at receivedAt, to serve them. It returns the resource
+// types whose changes don't follow on the cache's version: the next request must ask for a snapshot of them. If the
+// configuration is one of them the contact isn't recorded, since it would mark the cache's old configuration as the
+// newest.
 func (c *Cache) Apply(response *Response, receivedAt time.Time) (lacking []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,8 +244,8 @@
 	return lacking
 }
 
-// applyResource takes over one resource. It returns false where a snapshot of it is needed: where its changes don't
-// follow on what the cache has, or there would be too many of them after an old snapshot.
+// applyResource stores one resource. It returns false if a snapshot of it is needed: if its changes don't follow on the
+// cache's version, or there would be too many of them after an old snapshot.
 func (c *Cache) applyResource(resource *Resource) bool {
 	if resource.Snapshot != nil {
 		e := newEntry(resource.BaseVersion, resource.Snapshot)
@@ -252,7 +254,7 @@
 	}
 	e := c.entries[resource.Type]
 	if e != nil && !e.version.Before(resource.Version) {
-		return true // it came by another way
+		return true // already received by another path
 	}
 	if e == nil || e.version != resource.BaseVersion {
 		return false
@@ -265,7 +267,7 @@
 	return true
 }
 
-// ageMs returns how old a moment is in milliseconds, rounded up: an age must not shrink as it is passed on.
+// ageMs returns the age of a time in milliseconds, rounded up: an age must not shrink when a relay forwards it.
 func ageMs(since time.Time) int64 { return roundUpMs(time.Since(since)) }
 
 // roundUpMs returns a duration in whole milliseconds, rounded up.
--- a/internal/fleet/distribution/cache_test.go
+++ b/internal/fleet/distribution/cache_test.go
@@ -8,10 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// v is a version of epoch 0.
+// v returns version n of epoch 0.
 func v(n uint64) Version { return Version{Count: n} }
 
-// fetchFrom returns what a cache answers at once to a client that has the versions given.
+// fetchFrom returns a cache's immediate response to a client that has the given versions.
 func fetchFrom(c *Cache, versions map[string]Version) *Response {
 	return c.Fetch(context.Background(), "server", &Request{Versions: versions})
 }
@@ -29,8 +29,8 @@
 	c.Assert(version, qt.Equals, Version{Epoch: 1})
 }
 
-// TestFetchReturnsMissingChanges: a client that is a few changes behind gets these; one that has nothing, or is too far
-// behind, gets the snapshot with the changes after it.
+// TestFetchReturnsMissingChanges: a client that is a few changes behind gets these changes; a client without a version,
+// or one that is too far behind, gets the snapshot with the changes after it.
 func TestFetchReturnsMissingChanges(t *testing.T) {
 	c := qt.New(t)
 	source := NewCache()
@@ -53,7 +53,7 @@
 	c.Assert(resources[0].BaseVersion, qt.Equals, v(2))
 	c.Assert(fetch(map[string]Version{"config": v(3)}), qt.HasLen, 0)
 
-	// A relay passes on the same, and returns the types whose changes don't follow.
+	// A relay serves the same state, and Apply returns the types whose changes don't follow on its version.
 	relay := NewCache()
 	apply := func(resources []Resource) (lacking []string) {
 		return relay.Apply(&Response{LastContactMs: -1, Resources: resources}, time.Now())
@@ -66,8 +66,8 @@
 	c.Assert(relay.Versions(), qt.DeepEquals, source.Versions())
 }
 
-// TestRelayRequestsSnapshot: a relay requests the snapshot where changes don't follow, or are too many after an old
-// snapshot, and has the same as its source then.
+// TestRelayRequestsSnapshot: a relay requests the snapshot if changes don't follow on its version, or are too many
+// after an old snapshot; it then has the same version as its source.
 func TestRelayRequestsSnapshot(t *testing.T) {
 	c := qt.New(t)
 	const changes, changeBytes = 200, 40_000
@@ -104,7 +104,7 @@
 	c.Assert(relay.Apply(response, time.Now()), qt.DeepEquals, []string{"config"})
 	c.Assert(relay.Versions(), qt.DeepEquals, source.Versions())
 
-	// A snapshot that is older than what the relay has changes nothing.
+	// A snapshot that is older than the relay's version changes nothing.
 	older := Resource{
 		Type:        "config",
 		BaseVersion: v(7),
--- a/internal/fleet/distribution/contact_test.go
+++ b/internal/fleet/distribution/contact_test.go
@@ -11,14 +11,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLackingBaseRecordsNoContact: a response whose changes of the configuration don't follow on what the cache has
-// records no contact, which would say that the old configuration is the newest. One that lacks another type does.
+// TestLackingBaseRecordsNoContact: a response whose changes of the configuration don't follow on the cache's version
+// records no contact, which would mark the old configuration as the newest. A response whose changes of another type
+// don't follow does record it.
 func TestLackingBaseRecordsNoContact(t *testing.T) {
 	received := time.Now()
 	for _, tc := range []struct {
 		name     string
 		resource Resource
-		want     time.Duration // the age of the contact recorded
+		want     time.Duration // age of the recorded contact
 	}{
 		{"nothing new", Resource{Type: MembershipSizeType, Version: v(2), BaseVersion: v(2), Snapshot: []byte("m")}, 0},
 		{"changes that follow", Resource{Type: ConfigType, Version: v(2), BaseVersion: v(1), Changes: []Change{{}}}, 0},
@@ -28,7 +29,7 @@
 			time.Minute},
 		{"changes beside an unknown base", Resource{Type: ConfigType, Version: v(2), BaseVersion: v(0),
 			Changes: []Change{{}}}, time.Minute},
-		{"changes up to what came by another way", Resource{Type: ConfigType, Version: v(1), BaseVersion: v(0),
+		{"changes up to a version received by another path", Resource{Type: ConfigType, Version: v(1), BaseVersion: v(0),
 			Changes: []Change{{}}}, 0},
 		{"another type's unknown base", Resource{Type: MembershipSizeType, Version: v(3), BaseVersion: v(2),
 			Changes: []Change{{}}}, 0},
@@ -46,7 +47,7 @@
 }
 
 // TestReceivedAtOutlastsAFreeze: a client that is frozen between the read of a response and its application records the
-// contact as of the read, so not as younger than it is.
+// contact as of the read, so that the contact doesn't appear more recent than it is.
 func TestReceivedAtOutlastsAFreeze(t *testing.T) {
 	c := qt.New(t)
 	const frozen = 200 * time.Millisecond
@@ -79,14 +80,14 @@
 	c.Check(contact.Sub(at) < frozen, qt.IsTrue, qt.Commentf("the contact became %v older", contact.Sub(at)))
 }
 
-// chainSource is a source whose newest version is always confirmed, with the time at which each was acknowledged.
+// chainSource is the first cache of a chain; it records when each version was acknowledged.
 type chainSource struct {
 	*Cache
 	mu           sync.Mutex
 	acknowledged []time.Time // by version
 }
 
-// publish publishes the next version, as a change where it isn't the first, and acknowledges it.
+// publish publishes the next version, as a change unless it is the first, and acknowledges it.
 func (s *chainSource) publish() {
 	n := uint64(len(s.acknowledged))
 	snapshot := func() []byte { return []byte("s") }
@@ -98,7 +99,7 @@
 	s.acknowledged = append(s.acknowledged, time.Now())
 }
 
-// supersededAt returns when the version after one was acknowledged; ok is false while there is none.
+// supersededAt returns when the version after one was acknowledged; ok is false if there is none yet.
 func (s *chainSource) supersededAt(version Version) (at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +109,7 @@
 	return s.acknowledged[version.Count+1], true
 }
 
-// claim returns the version of the configuration that a cache has, and as of when it says that this is the newest.
+// claim returns a cache's version of the configuration, and the time as of which the cache reports it as the newest.
 func claim(c *Cache) (Version, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,10 +119,10 @@
 	return Version{}, time.Time{}
 }
 
-// TestNoContactYoungerThanTheTruth: two relays in a row, with delays of requests and responses, freezes before a
-// response is applied, connections that break and changes that don't follow, while versions are published one after the
-// other. No cache ever claims a version to be the newest as of a time after the next one was acknowledged.
-func TestNoContactYoungerThanTheTruth(t *testing.T) {
+// TestContactIsNeverTooRecent runs a chain of two relays with delayed requests and responses, freezes before a response
+// is applied, broken connections, and changes that don't follow on the relay's version, while versions are published
+// one after the other. No cache ever reports a version as the newest as of a time after the next one was acknowledged.
+func TestContactIsNeverTooRecent(t *testing.T) {
 	c := qt.New(t)
 	const versions = 300
 	ctx, cancel := context.WithCancel(c.Context())
@@ -138,7 +139,7 @@
 	for i, relay := range relays {
 		random := rand.New(rand.NewPCG(uint64(i), 1))
 		addr := upstream
-		watching.Go(func() { watchBadly(ctx, addr, relay, random) })
+		watching.Go(func() { watchWithFaults(ctx, addr, relay, random) })
 		upstream = serveUntilEnd(c, ctx, relay, relay.LastContact)
 	}
 	seen := [2]map[Version]bool{{}, {}}
@@ -150,7 +151,7 @@
 				version, contact := claim(relay)
 				seen[i][version] = true
 				if at, ok := source.supersededAt(version); ok && contact.After(at) {
-					c.Fatalf("relay %d says that %v is the newest %v after the next was acknowledged", i+1, version,
+					c.Fatalf("relay %d reports %v as the newest %v after the next version was acknowledged", i+1, version,
 						contact.Sub(at))
 				}
 			}
@@ -169,9 +170,9 @@
 	return ln.Addr().String()
 }
 
-// watchBadly follows a server into a cache until ctx ends: reads and applications are delayed at times, the connection
-// breaks after some pulls, and changes may be asked for that follow on an older version.
-func watchBadly(ctx context.Context, addr string, cache *Cache, random *rand.Rand) {
+// watchWithFaults watches a server and applies its responses to a cache until ctx ends. It delays some reads and
+// applications, breaks the connection after some pulls, and sometimes requests the changes since an older version.
+func watchWithFaults(ctx context.Context, addr string, cache *Cache, random *rand.Rand) {
 	maybeSleep := func() {
 		if random.IntN(3) == 0 {
 			time.Sleep(time.Duration(random.IntN(8)) * time.Millisecond)
@@ -192,7 +193,7 @@
 			Versions: func() map[string]Version {
 				versions := cache.Versions()
 				if had, ok := versions[ConfigType]; ok && had.Count > 0 && random.IntN(4) == 0 {
-					versions[ConfigType] = v(had.Count - 1) // the changes that come won't follow on what it has
+					versions[ConfigType] = v(had.Count - 1) // the changes won't follow on the cache's version
 				}
 				maybeSleep()
 				return versions
--- a/internal/fleet/distribution/doc.go
+++ b/internal/fleet/distribution/doc.go
@@ -3,17 +3,18 @@
 // go-control-plane. Each kind of state is a resource type with a Version of its own; a Cache holds the newest
 // Resource of each type; Serve answers a Request from the Cache; Watch pulls from a server until its context ends.
 //
-// A Request names the version that the client has of each type, and the Response holds what it lacks: a snapshot, the
-// changes since the client's version, or both. A request that lacks nothing waits at the server until there is an
-// update or its wait is over. Control servers serve node agents, and each node agent serves the proxy of its machine,
-// so that a process in the middle is a client and a server over one Cache.
+// A Request names the client's version of each type, and the Response holds the newer state: a snapshot, the changes
+// since the client's version, or both. A request of a client that is up to date waits at the server until there is an
+// update or its wait is over (a long poll). Control servers serve node agents, and each node agent serves the proxy of
+// its machine, so that a relay is a client and a server over one Cache.
 //
-// Requests carry what goes the other way: lease renewals, outcomes of attempts at backends, and residency reports.
+// Requests also carry data towards the primary: lease renewals, outcomes of attempts at backends, and residency
+// reports.
 //
 // Messages are MessagePack maps whose keys are the msg tags, each in a frame of four bytes of length. A tag must not
 // change: older and newer programs run beside each other during an upgrade.
 //
-// The package doesn't decide what is distributed and doesn't decode it; that is done in controlplane, nodeagent and
-// proxy. Cache, ResidencyOutbox and OutcomeQueue are safe for use by many goroutines. A Watcher belongs to the
-// goroutine that calls Watch, a Backoff to the one that calls Wait.
+// The package neither chooses nor decodes the distributed state; controlplane, nodeagent and proxy do. Cache,
+// ResidencyOutbox and OutcomeQueue are safe for use by many goroutines. A Watcher belongs to the goroutine that calls
+// Watch, a Backoff to the one that calls Wait.
 package distribution
--- a/internal/fleet/distribution/entry.go
+++ b/internal/fleet/distribution/entry.go
@@ -2,15 +2,17 @@
 
 import "slices"
 
-// Bounds of what an entry retains. The bounds after the snapshot are on the bytes that a client without anything gets
-// beside the snapshot; the bounds of the history are on what a client that is behind may get in place of a snapshot.
+// Bounds of the changes that an entry retains. The bounds after the snapshot limit the changes that a client without a
+// version gets along with the snapshot; the bounds of the history limit the changes that a client which is behind may
+// get instead of a snapshot.
 const (
-	// maxBytesAfterSnapshot bounds the bodies of the changes after the snapshot at a source; then it takes a new one.
+	// maxBytesAfterSnapshot bounds the bodies of the changes after the snapshot at a source, which takes a new
+	// snapshot beyond it.
 	maxBytesAfterSnapshot = 256 << 10
 	// maxChangesAfterSnapshot bounds the number of changes after the snapshot at a source.
 	maxChangesAfterSnapshot = 64
 	// maxHistoryBytes bounds the bodies of all retained changes. A client that isn't further behind needs no snapshot:
-	// over 10 Mbit/s one of 10,000 routes takes seconds, in which dozens of changes may come.
+	// over 10 Mbit/s a snapshot of 10,000 routes takes seconds, during which dozens of changes may arrive.
 	maxHistoryBytes = 1 << 20
 	// maxHistoryChanges bounds the number of all retained changes.
 	maxHistoryChanges = 1024
@@ -19,21 +21,21 @@
 	maxRelayBytesAfterSnapshot = 4 * maxBytesAfterSnapshot
 )
 
-// entry is one resource type in a Cache: a snapshot at one version, the changes that lead from there to the newest
-// version, and those before it, for clients that are behind. It isn't changed once it is in the Cache, so that
-// responses share its slices.
+// entry is the state of one resource type in a Cache: a snapshot at one version, the changes since then up to the
+// newest version, and the changes before it, for clients that are behind. It is immutable once it is in the Cache, so
+// that responses can share its slices.
 type entry struct {
 	version Version // after all changes
 
 	snapshot        []byte
 	snapshotVersion Version
 
-	changes       []Change // the oldest first, without gaps
-	historyStart  Version  // what the oldest of changes follows on
+	changes       []Change // oldest first, without gaps
+	historyStart  Version  // version before the oldest of changes
 	afterSnapshot int      // index of the first change that follows on the snapshot
 
-	changeBytes        int // of the bodies of all changes
-	bytesAfterSnapshot int // of the bodies of the changes after the snapshot
+	changeBytes        int // bytes of the bodies of all changes
+	bytesAfterSnapshot int // bytes of the bodies of the changes after the snapshot
 }
 
 // newEntry returns an entry of a snapshot without changes.
@@ -46,7 +48,7 @@
 	}
 }
 
-// withChanges returns a copy of the entry with further changes, the last of which leads to version.
+// withChanges returns a copy of the entry at version, with further changes appended.
 func (e *entry) withChanges(version Version, changes ...Change) *entry {
 	next := *e
 	next.version = version
@@ -59,8 +61,8 @@
 	return &next
 }
 
-// replaceSnapshot puts a snapshot at the newest version in the place of the older one. The changes before it stay in
-// the history: a client over a slow link that is still reading the older snapshot goes on from there.
+// replaceSnapshot replaces the snapshot by one at the newest version. The changes before it stay in the history: a
+// client over a slow link that is still reading the older snapshot gets the changes since that one next.
 func (e *entry) replaceSnapshot(snapshot []byte) {
 	e.snapshot = snapshot
 	e.snapshotVersion = e.version
@@ -69,7 +71,7 @@
 	e.trimHistory()
 }
 
-// trimHistory drops the oldest changes before the snapshot where there are too many.
+// trimHistory drops the oldest changes before the snapshot while the history is over its bounds.
 func (e *entry) trimHistory() {
 	drop := 0
 	for drop < e.afterSnapshot && (e.changeBytes > maxHistoryBytes || len(e.changes)-drop > maxHistoryChanges) {
@@ -94,8 +96,8 @@
 	}
 }
 
-// resourceSince returns what a client lacks that has the version given: changes alone where they are retained, unless
-// the snapshot with its changes is smaller.
+// resourceSince returns the resource for a client at the version had: only the changes if they are retained, unless the
+// snapshot with its changes is smaller.
 func (e *entry) resourceSince(resourceType string, had Version) Resource {
 	index, bytes, ok := e.changesSince(had)
 	if !ok || index < e.afterSnapshot && bytes > len(e.snapshot)+e.bytesAfterSnapshot {
@@ -109,8 +111,8 @@
 	}
 }
 
-// changesSince returns the index of the first change after a version, and the bytes of the bodies from there on. ok is
-// false where the history doesn't have that version.
+// changesSince returns the index of the first change after a version, and the bytes of the bodies from that index on.
+// ok is false if the history doesn't have that version.
 func (e *entry) changesSince(had Version) (index, bytes int, ok bool) {
 	for i := len(e.changes) - 1; i >= 0; i-- {
 		if e.changes[i].Version == had {
--- a/internal/fleet/distribution/entry_test.go
+++ b/internal/fleet/distribution/entry_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestChangesAreBounded: a new snapshot bounds the changes after it, and the history bounds those before it. A client
-// that isn't further behind than the history gets changes alone, also across a new snapshot; any other gets the
-// snapshot.
+// TestChangesAreBounded: the changes after the snapshot are bounded by a new snapshot, and the changes before it by the
+// bounds of the history. A client at a version in the history gets only changes, also across a new snapshot; any other
+// client gets the snapshot.
 func TestChangesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{100, 1000, maxBytesAfterSnapshot / 2, 2 * maxBytesAfterSnapshot, 2 * maxHistoryBytes} {
--- a/internal/fleet/distribution/frame.go
+++ b/internal/fleet/distribution/frame.go
@@ -14,12 +14,12 @@
 	MaxFrameBytes = 32 << 20
 	// frameHeaderBytes is the length of a frame's header: the message's length, big-endian.
 	frameHeaderBytes = 4
-	// readChunkBytes bounds how much is allocated ahead of what has arrived of a frame.
+	// readChunkBytes bounds the memory that is allocated ahead of the received bytes of a frame.
 	readChunkBytes = 64 << 10
 )
 
-// WriteFrame writes one message. It returns an error, and writes nothing, where the message is over MaxFrameBytes. It
-// blocks until the writer has taken the frame; the caller sets the deadline.
+// WriteFrame writes one message. It returns an error, and writes nothing, if the message is over MaxFrameBytes. It
+// blocks until the frame is written; the caller sets the deadline.
 func WriteFrame(w io.Writer, m msgp.Marshaler) error {
 	b, err := m.MarshalMsg(make([]byte, frameHeaderBytes, 512))
 	if err != nil {
@@ -35,8 +35,8 @@
 }
 
 // ReadFrame reads one message into m. It blocks until the frame is complete; the caller sets the deadline. A frame over
-// MaxFrameBytes is an error before any of it is read. Memory grows with what has arrived, not with the length that the
-// header claims, so that a damaged header can't exhaust it.
+// MaxFrameBytes is an error before any of it is read. Memory grows with the received bytes, not with the length in the
+// header, so that a corrupt header can't exhaust it.
 func ReadFrame(r *bufio.Reader, m msgp.Unmarshaler) error {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/fleet/distribution/leases.go
+++ b/internal/fleet/distribution/leases.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// maxLeases bounds the members that may hold a lease in one Cache; further ones are ignored until a lease expires.
+// maxLeases bounds the members that may hold a lease in one Cache; renewals of further ones are ignored until a lease
+// expires.
 const maxLeases = 20_000
 
-// lease is a member as at its last renewal.
+// lease is a member with the state it reported at its last renewal.
 type lease struct {
 	Member
 	renewedAt time.Time
 }
 
-// leaseTable holds the leases by the member's name.
+// leaseTable maps the members' names to their leases.
 type leaseTable map[string]lease
 
-// renew records the renewals that a request carries. An older renewal that comes by another way changes nothing. It
-// reports whether a member has begun or ceased to drain.
+// renew records the renewals that a request carries. It ignores a renewal that is older than the recorded one, since
+// renewals may arrive by several paths. It reports whether a member started or stopped draining.
 func (t leaseTable) renew(members []Member, now time.Time) (drainingChanged bool) {
 	for _, m := range members {
 		renewedAt := now.Add(-time.Duration(m.AgeMs) * time.Millisecond)
@@ -31,7 +32,7 @@
 	return drainingChanged
 }
 
-// current returns the members whose lease is younger than maxAge, with their ages as of now, and drops the others.
+// current returns the members whose lease is younger than maxAge, with their ages as of now, and removes the others.
 func (t leaseTable) current(now time.Time, maxAge time.Duration) []Member {
 	var all []Member
 	for name, l := range t {
--- a/internal/fleet/distribution/leases_test.go
+++ b/internal/fleet/distribution/leases_test.go
@@ -18,8 +18,8 @@
 	c.Assert(cache.Members(now.Add(2*time.Second), time.Second), qt.HasLen, 0)
 }
 
-// TestLeasesCarryVersions: what a member had at its renewal is passed on with the lease, and an older renewal that
-// comes another way changes nothing.
+// TestLeasesCarryVersions: a lease carries the member's versions at its renewal, and an older renewal that arrives by
+// another path changes nothing.
 func TestLeasesCarryVersions(t *testing.T) {
 	c := qt.New(t)
 	cache, relay := NewCache(), NewCache()
--- a/internal/fleet/distribution/messages_test.go
+++ b/internal/fleet/distribution/messages_test.go
@@ -6,7 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestEncodingWithoutResidency: without residency reports, messages have the bytes that they had before there were any.
+// TestEncodingWithoutResidency: without residency reports, messages have the same bytes as in releases before residency
+// reports existed.
 func TestEncodingWithoutResidency(t *testing.T) {
 	c := qt.New(t)
 	b, err := (&Request{From: "a", WaitMs: 5}).MarshalMsg(nil)
--- a/internal/fleet/distribution/outcomepush.go
+++ b/internal/fleet/distribution/outcomepush.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// minPushInterval is the least time between two pushes of outcomes, which bounds what a busy proxy sends.
+// minPushInterval is the least time between two pushes of outcomes, which bounds the rate at which a busy proxy sends.
 const minPushInterval = 100 * time.Millisecond
 
 // pushOutcomes pushes reports, and renewals of leases that can't wait for the next pull, to a server until ctx ends,
@@ -17,7 +17,7 @@
 	backoff := Backoff{Min: minPushInterval, Max: 10 * minPushInterval}
 	for ctx.Err() == nil {
 		start := time.Now()
-		_ = w.pushOverConn(ctx, addr) // a broken connection is replaced, and later reports make up for lost ones
+		_ = w.pushOverConn(ctx, addr) // a broken connection is replaced, and later reports compensate for lost ones
 		backoff.Wait(ctx, time.Since(start))
 	}
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// push sends renewals and reports and waits until the server has taken them.
+// push sends renewals and reports and waits for the server's response.
 func (w *Watcher) push(conn net.Conn, r *bufio.Reader, members []Member, reports []OutcomeReport) error {
 	_ = conn.SetDeadline(time.Now().Add(w.ReadTimeout)) // an error shows at the write
 	request := Request{
@@ -76,8 +76,8 @@
 	return ReadFrame(r, &response)
 }
 
-// newestVersions returns versions that no server goes beyond. A server of a release before Request.Push takes a push
-// for an ordinary request, and must not send a resource in answer to it.
+// newestVersions returns versions that no server exceeds. A server of a release before Request.Push treats a push as an
+// ordinary request, and must not send a resource in its response.
 func newestVersions() map[string]Version {
 	newest := Version{Epoch: math.MaxUint64, Count: math.MaxUint64}
 	return map[string]Version{
--- a/internal/fleet/distribution/outcomepush_test.go
+++ b/internal/fleet/distribution/outcomepush_test.go
@@ -23,8 +23,8 @@
 	return ln.Addr().String()
 }
 
-// TestOutcomesReachPrimary: a proxy's outcomes reach the primary through a node agent and a control server, while a
-// pull of each waits for an update; and the response to a push carries no resources.
+// TestOutcomesReachPrimary: a proxy's outcomes reach the primary through a node agent and a control server while each
+// of them has a pull that waits for an update; the response to a push carries no resources.
 func TestOutcomesReachPrimary(t *testing.T) {
 	c := qt.New(t)
 	primary, relay, agent := NewCache(), NewCache(), NewCache()
@@ -68,7 +68,7 @@
 		}
 	}
 	c.Assert(len(applied), qt.Equals, 0, qt.Commentf("a push is no pull"))
-	// The ejections that follow from them reach the proxy as any update does.
+	// The resulting ejections reach the proxy like any other update.
 	primary.SetSnapshot(EjectionsType, v(1), []byte("ejected"))
 	for range 3 {
 		<-applied
--- a/internal/fleet/distribution/outcomequeue.go
+++ b/internal/fleet/distribution/outcomequeue.go
@@ -5,18 +5,18 @@
 // maxOutcomeReports bounds the reports that an OutcomeQueue holds; beyond it the oldest are dropped.
 const maxOutcomeReports = 4096
 
-// OutcomeQueue holds reports of outcomes until they are pushed to the next server or used. What is lost with it is
-// made up by the reports that come after. It is safe for use by many goroutines.
+// OutcomeQueue holds reports of outcomes until they are pushed to the next server or used. Reports that are lost with a
+// process are compensated by later ones. It is safe for use by many goroutines.
 type OutcomeQueue struct {
 	mu      sync.Mutex
 	reports []OutcomeReport
-	arrived chan struct{} // holds one value while reports are there
+	arrived chan struct{} // holds one value while there are reports
 }
 
 // NewOutcomeQueue returns an empty queue.
 func NewOutcomeQueue() *OutcomeQueue { return &OutcomeQueue{arrived: make(chan struct{}, 1)} }
 
-// Put adds reports.
+// Put adds reports, and drops the oldest beyond maxOutcomeReports.
 func (q *OutcomeQueue) Put(reports ...OutcomeReport) {
 	if len(reports) == 0 {
 		return
@@ -42,5 +42,5 @@
 	return reports
 }
 
-// Arrived returns a channel that gives a value once reports are there; for one receiver at a time.
+// Arrived returns a channel that receives a value when there are reports; for one receiver at a time.
 func (q *OutcomeQueue) Arrived() <-chan struct{} { return q.arrived }
--- a/internal/fleet/distribution/outcomequeue_test.go
+++ b/internal/fleet/distribution/outcomequeue_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestOutcomesAreBounded: reports that nobody takes are dropped for newer ones.
+// TestOutcomesAreBounded: reports that aren't taken are dropped in favor of newer ones.
 func TestOutcomesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	q := NewOutcomeQueue()
--- a/internal/fleet/distribution/planted_test.go
+++ b/internal/fleet/distribution/planted_test.go
@@ -6,7 +6,8 @@
 	"molepaddle/internal/plantedfault"
 )
 
-// TestPlantedFaults plants errors into what a source retains and how it is sent.
+// TestPlantedFaults plants faults into the retention of changes, at sources and at relays, and into the sending of
+// responses.
 func TestPlantedFaults(t *testing.T) {
 	plantedfault.Find(t, []plantedfault.Fault{
 		{
@@ -28,7 +29,7 @@
 			},
 		},
 		{
-			Name:  "changes before the snapshot come along with it",
+			Name:  "changes before the snapshot are sent with it",
 			Tests: "^TestChangesAreBounded$",
 			Texts: []string{"e.changes[e.afterSnapshot:],", "e.changes,"},
 		},
@@ -38,7 +39,7 @@
 			Texts: []string{"for drop < e.afterSnapshot && (", "for drop < e.afterSnapshot && false && ("},
 		},
 		{
-			Name:  "a relay takes changes that don't follow",
+			Name:  "a relay applies changes that don't follow on its version",
 			Tests: "^TestFetchReturnsMissingChanges$|^TestRelayRequestsSnapshot$",
 			Texts: []string{"if e == nil || e.version != resource.BaseVersion {", "if e == nil {"},
 		},
--- a/internal/fleet/distribution/progress.go
+++ b/internal/fleet/distribution/progress.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// writeChunkBytes is how much of a message the link must take within one time-out of a progressWriter.
+// writeChunkBytes is how much of a message must be written within one time-out of a progressWriter.
 const writeChunkBytes = 32 << 10
 
-// progressWriter writes to a connection with a deadline for each chunk instead of one for the message: a
-// configuration's snapshot over a slow link takes longer than a time-out that notices a lost reader soon enough.
+// progressWriter writes to a connection with a deadline for each chunk instead of one for the message: over a slow
+// link a configuration's snapshot takes longer than a time-out that is short enough to detect a lost reader.
 type progressWriter struct {
 	conn    net.Conn
 	timeout time.Duration
 }
 
-// Write writes p. It returns an error once the reader takes nothing for the time-out.
+// Write writes p. It returns an error if a chunk isn't written within the time-out.
 func (w *progressWriter) Write(p []byte) (written int, err error) {
 	for written < len(p) && err == nil {
 		if err = w.conn.SetWriteDeadline(time.Now().Add(w.timeout)); err != nil {
@@ -28,14 +28,14 @@
 	return written, err
 }
 
-// progressReader is a connection whose read deadline moves on with whatever arrives, for the reason that progressWriter
-// has. The caller sets the deadline for the first byte.
+// progressReader is a connection whose read deadline is extended whenever data arrives, for the same reason as
+// progressWriter's deadline. The caller sets the deadline for the first byte.
 type progressReader struct {
 	net.Conn
 	timeout time.Duration
 }
 
-// Read reads what is there, and moves the deadline on where that is anything.
+// Read reads from the connection, and extends the deadline if it read any data.
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Conn.Read(p)
 	if n > 0 {
--- a/internal/fleet/distribution/residencyoutbox.go
+++ b/internal/fleet/distribution/residencyoutbox.go
@@ -9,15 +9,15 @@
 )
 
 // ResidencyOutbox is a residencyreport.Relay for use by many goroutines. It holds batches of residency reports, which
-// go along with requests to the next server until that acknowledges them. No goroutine waits for an outbox that stays
-// empty.
+// are sent with requests to the next server until that server acknowledges them. No goroutine waits for an outbox that
+// stays empty.
 type ResidencyOutbox struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	relay   residencyreport.Relay
-	arrived chan struct{} // closed and replaced when something arrives
-	used    bool          // whether anything ever arrived
+	arrived chan struct{} // closed and replaced when a batch arrives
+	used    bool          // whether any batch ever arrived
 
-	// done says that sendersDone is closed. It is read without the lock, because each request asks for it.
+	// done is set while sendersDone is closed. It is read without the lock, because every request reads it.
 	done        atomic.Bool
 	sendersDone chan struct{}
 }
@@ -30,15 +30,15 @@
 	}
 }
 
-// Used returns whether anything ever arrived.
+// Used reports whether any batch ever arrived.
 func (o *ResidencyOutbox) Used() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.used
 }
 
-// SendersDone returns a channel that is closed once a process sent its final request and none has sent any request
-// since.
+// SendersDone returns a channel that is closed when a process has sent its final request and no process has sent a
+// request since.
 func (o *ResidencyOutbox) SendersDone() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// markSenderActive records a request of a process that goes on.
+// markSenderActive records a request that isn't final.
 func (o *ResidencyOutbox) markSenderActive() {
 	if !o.done.Load() {
 		return
@@ -66,8 +66,8 @@
 	}
 }
 
-// Put takes a batch. It returns false where the batch doesn't follow on those that wait or there is no capacity for
-// it: it is to be offered again, before later ones.
+// Put adds a batch. It returns false if the batch doesn't follow on the pending ones or there is no capacity for it:
+// the caller must put it again before later batches.
 func (o *ResidencyOutbox) Put(b residencyreport.Batch) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -75,35 +75,35 @@
 	return o.relay.Put(b)
 }
 
-// Acknowledge drops the batches that are committed.
+// Acknowledge removes the committed batches.
 func (o *ResidencyOutbox) Acknowledge(acks ...residencyreport.Ack) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.relay.Acknowledge(acks...)
 }
 
-// Pending returns the batches that wait, and a channel that is closed when more arrives.
+// Pending returns the pending batches, and a channel that is closed when more arrive.
 func (o *ResidencyOutbox) Pending() ([]residencyreport.Batch, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.relay.Pending(), o.arrived
 }
 
-// PendingOf returns how many batches of a process wait.
+// PendingOf returns the number of pending batches of a process.
 func (o *ResidencyOutbox) PendingOf(p residencyreport.Process) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.relay.PendingOf(p)
 }
 
-// signal wakes those that wait for an arrival; the outbox is locked.
+// signal wakes the goroutines that wait for an arrival. The caller holds o.mu.
 func (o *ResidencyOutbox) signal() {
 	o.used = true
 	close(o.arrived)
 	o.arrived = make(chan struct{})
 }
 
-// receive takes the batches of a request that came over the receiver's connection.
+// receive adds the batches of a request that arrived over the receiver's connection.
 func (o *ResidencyOutbox) receive(r *residencyreport.Receiver, batches []residencyreport.Batch) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -111,14 +111,14 @@
 	o.signal()
 }
 
-// acks returns what is to be acknowledged to the receiver's sender.
+// acks returns the acknowledgements for the receiver's sender.
 func (o *ResidencyOutbox) acks(r *residencyreport.Receiver) []residencyreport.Ack {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return r.Acks(&o.relay)
 }
 
-// nextBatches returns what the sender's next request takes along.
+// nextBatches returns the batches for the sender's next request.
 func (o *ResidencyOutbox) nextBatches(s *residencyreport.Sender, now time.Time) []residencyreport.Batch {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fleet/distribution/residencyoutbox_test.go
+++ b/internal/fleet/distribution/residencyoutbox_test.go
@@ -11,7 +11,7 @@
 	"molepaddle/internal/fleet/residencyreport"
 )
 
-// residencyChain is a relay and a primary that serve, and a client's outbox; the test sends reports along it.
+// residencyChain is a client's outbox, a relay's server and a primary's server, along which the test sends reports.
 type residencyChain struct {
 	*qt.C
 	ctx                    context.Context
@@ -36,7 +36,7 @@
 	return ln.Addr().String(), cache
 }
 
-// watch sends an outbox's reports to a server for as long as goOn returns true.
+// watch sends an outbox's reports to a server while goOn returns true.
 func (rc *residencyChain) watch(addr string, outbox *ResidencyOutbox, goOn func() bool) {
 	_ = Watch(rc.ctx, addr, &Watcher{
 		Name:        "client",
@@ -50,7 +50,7 @@
 	})
 }
 
-// sendFinal sends the outbox's reports to the relay with a final request, and returns how many responses came.
+// sendFinal sends the outbox's reports to the relay with a final request, and returns the number of responses.
 func (rc *residencyChain) sendFinal() (responses int) {
 	_ = Watch(rc.ctx, rc.relayAddr, &Watcher{
 		Name:        "client",
@@ -67,7 +67,7 @@
 	return responses
 }
 
-// wait waits until a channel is closed, and fails the test with a text where that takes too long.
+// wait waits until a channel is closed, and fails the test with the message otherwise after 20 s.
 func (rc *residencyChain) wait(ch <-chan struct{}, otherwise string) {
 	rc.Helper()
 	select {
@@ -86,7 +86,7 @@
 			rc.Assert(pending[0].Entries[0].Pair.Tenant, qt.Equals, "t")
 			return
 		}
-		rc.wait(arrived, "nothing arrives at the primary")
+		rc.wait(arrived, "no report arrived at the primary")
 	}
 }
 
@@ -95,8 +95,8 @@
 	return len(pending) == 0
 }
 
-// TestResidencyIsRelayedUntilAcknowledged: residency reports go along a chain of caches with the requests, and each of
-// these drops them once they are acknowledged at the end of the chain.
+// TestResidencyIsRelayedUntilAcknowledged: residency reports are forwarded along a chain of caches with the requests,
+// and each cache drops them once they are acknowledged at the end of the chain.
 func TestResidencyIsRelayedUntilAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -118,13 +118,14 @@
 	chain.awaitReport()
 	c.Assert(isEmpty(outbox), qt.IsFalse, qt.Commentf("dropped before it was acknowledged"))
 	primary.Residency.Acknowledge(residencyreport.Ack{Process: 7, N: 1})
-	chain.wait(clientEnded, "what is acknowledged is not dropped")
+	chain.wait(clientEnded, "the acknowledged report was not dropped")
 	c.Assert(isEmpty(relay.Residency) && isEmpty(primary.Residency), qt.IsTrue)
 
-	// A final request is one pull, whose sender may be gone after it; a request of another process takes its mark back.
+	// A final request is one pull, after which its sender may have ended; a later request that isn't final resets
+	// SendersDone.
 	c.Assert(outbox.Put(residencyreport.Batch{Process: 7, N: 2}), qt.IsTrue)
 	c.Assert(chain.sendFinal(), qt.Equals, 1)
-	chain.wait(relay.Residency.SendersDone(), "the final request is not recorded")
+	chain.wait(relay.Residency.SendersDone(), "the final request was not recorded")
 	requested := false
 	chain.watch(chain.relayAddr, outbox, func() bool {
 		once := !requested
@@ -133,9 +134,9 @@
 	})
 	select {
 	case <-relay.Residency.SendersDone():
-		c.Fatal("a process that goes on counts as done")
+		c.Fatal("SendersDone is closed after a request that isn't final")
 	default:
 	}
 	cancel()
-	chain.wait(relayEnded, "the relay does not end")
+	chain.wait(relayEnded, "the relay did not end")
 }
--- a/internal/fleet/distribution/server.go
+++ b/internal/fleet/distribution/server.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a failed accept, which fails at once where the process is out of descriptors.
+	// acceptRetryDelay is the pause after a failed accept, which fails at once if the process is out of descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
-	// maxWaitMs bounds the wait that a request may ask for, in milliseconds.
+	// maxWaitMs bounds the wait in a request, in milliseconds.
 	maxWaitMs = 30_000
 )
 
@@ -25,10 +25,10 @@
 	refresh     func() (time.Time, string)
 }
 
-// Serve answers requests from the cache until ctx ends and the listener is closed, which the caller does. It runs
+// Serve answers requests from the cache until ctx ends and the listener is closed, which the caller does. It serves
 // each connection in a goroutine that ends with ctx, and returns when all have ended. A connection without a request
-// for idleTimeout is closed. refresh has the cache record the last contact with the primary; it is called before each
-// look at the content of a response, and what it returns isn't used.
+// for idleTimeout is closed. refresh makes the cache record the last contact with the primary; it is called each time
+// before the resources of a response are collected, and its results aren't used.
 func Serve(
 	ctx context.Context, ln net.Listener, name string, cache *Cache, idleTimeout time.Duration,
 	refresh func() (time.Time, string),
@@ -90,12 +90,13 @@
 	return WriteFrame(&progressWriter{conn: conn, timeout: s.idleTimeout}, response)
 }
 
-// extendDeadline gives the next read or write idleTimeout. An error shows at that read or write.
+// extendDeadline sets the deadline of the next read or write to idleTimeout from now. That read or write reports an
+// error.
 func (s *server) extendDeadline(conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(s.idleTimeout))
 }
 
-// receiveResidency takes the residency reports of a request, and records whether its sender goes on.
+// receiveResidency stores the residency reports of a request, and records whether the request is its sender's last.
 func (s *server) receiveResidency(request *Request, residency *residencyreport.Receiver) {
 	if request.Residency != nil {
 		s.cache.Residency.receive(residency, request.Residency)
--- a/internal/fleet/distribution/slowlink_test.go
+++ b/internal/fleet/distribution/slowlink_test.go
@@ -9,10 +9,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// linkBufferBytes is what each side of a slow link buffers, so little that a write waits for its reader.
+// linkBufferBytes is the buffer size of each side of a slow link, small enough for a write to wait for its reader.
 const linkBufferBytes = 16 << 10
 
-// smallBuffers is a listener whose connections buffer little.
+// smallBuffers is a listener whose connections have a write buffer of linkBufferBytes.
 type smallBuffers struct{ net.Listener }
 
 func (l smallBuffers) Accept() (net.Conn, error) {
@@ -23,7 +23,7 @@
 	return conn, err
 }
 
-// slowLink relays connections to a server, its answers at a bounded rate. It returns its own address.
+// slowLink relays connections to a server, the server's responses at a bounded rate. It returns the relay's address.
 func slowLink(c *qt.C, server string, bytesPerSec int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -52,7 +52,7 @@
 	return ln.Addr().String()
 }
 
-// copyChunks copies in chunks of so many bytes at most, one each tick; nil: as fast as they come.
+// copyChunks copies in chunks of at most chunkBytes, one each tick; with a nil tick as fast as they arrive.
 func copyChunks(to, from net.Conn, chunkBytes int, tick <-chan time.Time) {
 	defer to.Close()
 	defer from.Close()
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestSlowLinkCatchesUp: a client over a slow link, for which the snapshot takes several times longer than the read
-// time-out and longer than the source takes to replace its snapshot, catches up with a source that goes on changing.
+// TestSlowLinkCatchesUp: over a slow link, where the transfer of the snapshot takes several times longer than the read
+// time-out and longer than the source takes to replace its snapshot, a client catches up with a source that keeps
+// changing.
 func TestSlowLinkCatchesUp(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -129,7 +130,7 @@
 		},
 	}
 	for links := 0; watching.Err() == nil; links++ {
-		behind := qt.Commentf("it doesn't catch up: %d links broke, %d snapshots came", links, snapshots)
+		behind := qt.Commentf("the client doesn't catch up: %d connections broke, %d snapshots arrived", links, snapshots)
 		c.Assert(links < 5 && snapshots < 4, qt.IsTrue, behind)
 		_ = Watch(watching, addr, watcher)
 	}
--- a/internal/fleet/distribution/truncation_test.go
+++ b/internal/fleet/distribution/truncation_test.go
@@ -15,13 +15,13 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// exchangeTimeout bounds what has to arrive.
+// exchangeTimeout bounds the wait for a message that must arrive.
 const exchangeTimeout = 20 * time.Second
 
 // neverRefreshed is the refresh function of a server that has no contact with a primary.
 func neverRefreshed() (time.Time, string) { return time.Time{}, "" }
 
-// responseFrame returns a response as it goes over a connection.
+// responseFrame returns the frame of a response.
 func responseFrame(c *qt.C, r *Response) []byte {
 	var b bytes.Buffer
 	c.Assert(WriteFrame(&b, r), qt.IsNil)
@@ -29,7 +29,7 @@
 }
 
 // TestTruncatedResponses cuts a response off after each of its bytes, with a complete one before it on the same
-// connection: nothing is applied of the incomplete one, and no further request is sent on that connection.
+// connection: nothing of the incomplete response is applied, and no further request is sent on that connection.
 func TestTruncatedResponses(t *testing.T) {
 	c := qt.New(t)
 	configAt := func(n uint64, body string) *Response {
@@ -73,7 +73,8 @@
 	}
 }
 
-// TestTruncatedRequests cuts a request off after each of its bytes: it is not answered, and renews nothing.
+// TestTruncatedRequests cuts a request off after each of its bytes: the server neither answers it nor
+// renews leases by it.
 func TestTruncatedRequests(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -100,7 +101,8 @@
 	c.Check(cache.Members(time.Now(), time.Hour), qt.HasLen, 0)
 }
 
-// TestResponsesArriveInOrder pulls over many connections at once: each has the responses to its own requests, in order.
+// TestResponsesArriveInOrder pulls over many connections at once: each client gets the responses to its own requests,
+// in order.
 func TestResponsesArriveInOrder(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/fleet/distribution/watcher.go
+++ b/internal/fleet/distribution/watcher.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// minDialTimeout is the least time that a dial has: round trips between regions are some tens of milliseconds.
+	// minDialTimeout is the least dial time-out: round trips between regions are some tens of milliseconds.
 	minDialTimeout = 100 * time.Millisecond
-	// minReadTimeout is the least that PullTimeouts gives a response beyond its wait, however short apply is.
+	// minReadTimeout is the least read time-out that PullTimeouts returns, however short apply is.
 	minReadTimeout = 200 * time.Millisecond
 )
 
-// PullTimeouts returns how long a request may wait at its server, and how much longer its response may take, such
-// that a change is in force everywhere within apply although one server on its way was lost. Lost with a server are
-// one wait, one read time-out, and as much for the next server.
+// PullTimeouts returns how long a request may wait at its server, and how much longer its response may take, such that
+// a change is in force everywhere within apply even if one server on its path is lost. The loss of a server costs one
+// wait, one read time-out, and as much for the next server.
 func PullTimeouts(apply, heartbeat time.Duration) (wait, readTimeout time.Duration) {
 	return min(heartbeat, apply/5), max(apply/4, minReadTimeout)
 }
@@ -27,39 +27,39 @@
 type Watcher struct {
 	// Name is the sender's name in requests.
 	Name string
-	// MaxWait is how long a request may wait at the server for an update.
+	// MaxWait is how long a request may wait at the server for an update, to the millisecond.
 	MaxWait time.Duration
-	// NextWait returns how long the next request may wait, in place of MaxWait; nil: MaxWait.
+	// NextWait returns how long the next request may wait, instead of MaxWait; nil: MaxWait.
 	NextWait func() time.Duration
-	// ReadTimeout is how much longer than the wait a response may bring nothing.
+	// ReadTimeout bounds the time beyond the wait in which no byte of a response arrives.
 	ReadTimeout time.Duration
-	// Members returns those whose leases the next request renews.
+	// Members returns the members whose leases the next request renews.
 	Members func() []Member
-	// Versions returns what the client has, by resource type, as a map that Watch may change.
+	// Versions returns the client's versions by resource type, as a map that Watch may change.
 	Versions func() map[string]Version
-	// Apply takes a response over. It returns the resource types that are to be sent as snapshots next.
+	// Apply applies a response. It returns the resource types for which the next request asks for a snapshot.
 	Apply func(response *Response) (lacking []string)
-	// Continue is asked before each request; false ends the watch. nil: it goes on as long as the connection lasts.
+	// Continue is called before each request; false ends the watch. nil: the watch lasts as long as the connection.
 	Continue func() bool
-	// Residency returns the residency reports that the next request takes along; nil: there never are any.
+	// Residency returns the outbox whose residency reports the next request carries; nil: there are never any.
 	Residency func(now time.Time) *ResidencyOutbox
-	// Final ends the watch after one request, which announces to the server that the process is shutting down.
+	// Final ends the watch after one request, which tells the server that the process is shutting down.
 	Final bool
 	// Dial opens the connections; nil: the function Dial.
 	Dial DialFunc
-	// Outcomes are pushed to the server as they come, over a connection of their own; nil: there never are any.
+	// Outcomes are pushed to the server as they arrive, over a separate connection; nil: there are never any.
 	Outcomes *OutcomeQueue
-	// MembersChanged gives a value when the leases of PushMembers are to be renewed at once, by such a push; nil: it
-	// never does.
+	// MembersChanged receives a value when the leases of PushMembers must be renewed at once, by a push over the same
+	// connection as Outcomes; nil: never.
 	MembersChanged <-chan struct{}
-	// PushMembers returns those whose leases such a push renews. It is called from a goroutine of its own.
+	// PushMembers returns the members whose leases such a push renews. It is called from a separate goroutine.
 	PushMembers func() []Member
 
-	receivedAt time.Time // of the newest response
+	receivedAt time.Time // when the newest response was received
 }
 
-// ReceivedAt returns when the response was received that Apply is called with, to be called by Apply. The ages in the
-// response are as of then: a process that is frozen before it reads the clock itself would take them for younger.
+// ReceivedAt returns the time at which Apply's response was received; only Apply may call it. The ages in the response
+// are as of that time: if the process were frozen before Apply read the clock, they would be computed as too young.
 func (w *Watcher) ReceivedAt() time.Time { return w.receivedAt }
 
 // dial connects to the server.
@@ -79,7 +79,7 @@
 	return w.NextWait()
 }
 
-// wantsRequest returns whether a further request is due after so many.
+// wantsRequest reports whether another request is to be sent after the given number.
 func (w *Watcher) wantsRequest(sent int) bool {
 	if w.Final && sent > 0 {
 		return false
@@ -87,8 +87,8 @@
 	return w.Continue == nil || w.Continue()
 }
 
-// Watch pulls from the server at an address. It blocks until the connection breaks, which is an error, ctx ends,
-// which is one too, or the watcher ends by Continue or Final, which is none.
+// Watch pulls from the server at addr. It blocks until the connection breaks or ctx ends, and returns an error then, or
+// until Continue or Final ends the watch, and returns nil then.
 func Watch(ctx context.Context, addr string, w *Watcher) error {
 	conn, err := w.dial(addr)
 	if err != nil {
@@ -107,7 +107,7 @@
 		defer func() {
 			end()
 			if ctx.Err() != nil {
-				<-pushed // the process ends; otherwise the next server must not wait for a dial
+				<-pushed // wait only at the process's end: the next server must not wait for a dial
 			}
 		}()
 	}
@@ -130,11 +130,11 @@
 	conn    net.Conn
 	r       *bufio.Reader
 
-	lacking   []string // resource types to be sent as snapshots with the next response
+	lacking   []string // resource types for which the next request asks for a snapshot
 	residency residencyreport.Sender
 }
 
-// pull sends one request and takes its response over.
+// pull sends one request and applies its response.
 func (s *watchSession) pull() error {
 	w := s.watcher
 	wait, sent := w.nextWait(), time.Now()
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// attachResidency adds residency reports to a request, and returns the outbox they come from; nil: there never are any.
+// attachResidency adds residency reports to a request, and returns their outbox; nil if the watcher has none.
 func (s *watchSession) attachResidency(request *Request) *ResidencyOutbox {
 	if s.watcher.Residency == nil {
 		return nil
@@ -177,9 +177,9 @@
 	return outbox
 }
 
-// addTransitTime adds to the age of the last contact the time from the request to its response, but for the wait at the
-// server. That counts the request's way and a freeze of either side too: a process that reads an old response late
-// must not take it for a new one.
+// addTransitTime adds the time from the request to its response, less the wait at the server, to the age of the last
+// contact. The time includes the request's transit and a freeze of either side: a process that reads an old response
+// late must not treat it as a new one.
 func (r *Response) addTransitTime(took time.Duration) {
 	if r.LastContactMs >= 0 {
 		r.LastContactMs += max(roundUpMs(took)-r.WaitedMs, 0)
--- a/internal/fleet/distribution/watcher_test.go
+++ b/internal/fleet/distribution/watcher_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// noMembers and noVersions are what a Watcher needs at the least.
+// noMembers is a Watcher.Members without members; noVersions is a Watcher.Versions without versions.
 func noMembers() []Member { return nil }
 
 func noVersions() map[string]Version { return nil }
@@ -49,8 +49,8 @@
 	c.Assert(source.Members(time.Now(), time.Minute), qt.HasLen, 1)
 }
 
-// TestReadTimeoutRestartsWithProgress: a response that takes longer than the read time-out, but goes on arriving, is
-// read to its end.
+// TestReadTimeoutRestartsWithProgress: a response that takes longer than the read time-out, but keeps arriving, is read
+// to its end.
 func TestReadTimeoutRestartsWithProgress(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,11 +101,11 @@
 		close(applied)
 	}()
 	response, ok := <-applied
-	c.Assert(ok, qt.IsTrue, qt.Commentf("given up while it arrived"))
+	c.Assert(ok, qt.IsTrue, qt.Commentf("the watch ended while the response was arriving"))
 	c.Assert(response.Resources[0].Snapshot, qt.HasLen, snapshotBytes)
 }
 
-// delayedReads is a connection of which what has arrived is read some time later, as by a process that was frozen.
+// delayedReads is a connection that returns received data after a delay, as to a process that was frozen.
 type delayedReads struct {
 	net.Conn
 	delay time.Duration
@@ -117,8 +117,8 @@
 	return n, err
 }
 
-// TestLastContactIncludesTransitTime: the time that a response took to arrive, and a freeze of its reader, count as
-// age of the last contact; the time for which it waited at its server for an update doesn't.
+// TestLastContactIncludesTransitTime: the transit time of a response, and a freeze of its reader, count towards the age
+// of the last contact; the time that the request waited at its server for an update doesn't.
 func TestLastContactIncludesTransitTime(t *testing.T) {
 	c := qt.New(t)
 	const maxWait, frozen, readTimeout = time.Second, 300 * time.Millisecond, 10 * time.Second
--- a/internal/fleet/distribution/wire_test.go
+++ b/internal/fleet/distribution/wire_test.go
@@ -12,8 +12,8 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestWireBytes holds the messages that the fleet's processes send to each other. The current build must write and
-// read them as all builds before it.
+// TestWireBytes checks the golden files of the messages between the fleet's processes. The current build must encode
+// and decode them like all builds before it.
 func TestWireBytes(t *testing.T) {
 	goldenbytes.Messages(t, map[string]goldenbytes.Message{
 		"backend":        new(Backend),
@@ -34,7 +34,7 @@
 	})
 }
 
-// TestWireBytesOfFrame holds the length before each message: four bytes, the highest first.
+// TestWireBytesOfFrame checks the frame header: the message's length in four bytes, big-endian.
 func TestWireBytesOfFrame(t *testing.T) {
 	c := qt.New(t)
 	var b bytes.Buffer
@@ -42,7 +42,7 @@
 	c.Check(b.Bytes(), qt.DeepEquals, []byte("\x00\x00\x00\x09\x82\xa1e\x03\xa1n\xcd\x01\x2c"))
 }
 
-// TestWireNames holds the names of resources and the phase that processes send to each other.
+// TestWireNames checks the resource types and the phase in messages.
 func TestWireNames(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]string{ConfigType, BackendListType, MembershipSizeType, ControlServersType, LoadReportType, EjectionsType}, qt.DeepEquals,
@@ -50,7 +50,7 @@
 	c.Check(PhaseChanging, qt.Equals, "changing")
 }
 
-// TestWirePorts holds where processes find each other: their ports, counted from the first of the settings' range.
+// TestWirePorts checks the processes' ports, as offsets from the first port of the settings' range.
 func TestWirePorts(t *testing.T) {
 	c := qt.New(t)
 	ports := [2]int{7720, 7735}
@@ -58,7 +58,7 @@
 		[]string{"10.0.0.1:7720", "10.0.0.1:7721", "127.0.0.1:7722"})
 }
 
-// TestLogBytesOfEjections holds the keys under which a control server logs ejections. The type has no JSON tags: the
+// TestLogBytesOfEjections checks the keys of the ejections that a control server logs. The type has no JSON tags: the
 // keys are the names of its Go fields.
 func TestLogBytesOfEjections(t *testing.T) {
 	c := qt.New(t)
@@ -69,8 +69,8 @@
 	goldenbytes.Check(t, "wire/ejections.log.json", append(b, '\n'))
 }
 
-// TestWireBytesWithoutDraining holds the messages of releases before a member could say that it drains. They are read,
-// and as long as nobody drains the same bytes are written.
+// TestWireBytesWithoutDraining checks the messages of releases before the draining fields. They are decoded, and
+// encoded as the same bytes while no process is draining.
 func TestWireBytesWithoutDraining(t *testing.T) {
 	for name, m := range map[string]goldenbytes.Message{
 		"crowd":   new(MembershipSize),
