--- a/internal/fleet/externalapi/backend_test.go
+++ b/internal/fleet/externalapi/backend_test.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// of returns the calls with a method.
-func (b *backend) of(method string) (all []call) {
+// callsByMethod returns the calls with a method.
+func (b *backend) callsByMethod(method string) (all []call) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range b.calls {
@@ -126,9 +126,9 @@
 				if err == nil {
 					c.Check(status, qt.Equals, http.StatusAccepted)
 				}
-				orders := b.of(http.MethodPost)
+				orders := b.callsByMethod(http.MethodPost)
 				c.Assert(orders, qt.HasLen, 1)
-				c.Check(orders[0].conn, qt.Not(qt.Equals), b.of(http.MethodGet)[0].conn)
+				c.Check(orders[0].conn, qt.Not(qt.Equals), b.callsByMethod(http.MethodGet)[0].conn)
 			})
 		}
 	}
@@ -175,7 +175,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(status, qt.Equals, http.StatusConflict)
 	}
-	c.Check(b.of(http.MethodPost), qt.HasLen, 20)
+	c.Check(b.callsByMethod(http.MethodPost), qt.HasLen, 20)
 }
 
 // TestRedirectsAreNotFollowed: the clients don't follow redirects by a backend or the platform.
--- a/internal/fleet/externalapi/clients_test.go
+++ b/internal/fleet/externalapi/clients_test.go
@@ -17,7 +17,7 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-const answerWithin = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // startServer serves h on loopback until the test ends, and returns its host:port.
 func startServer(t *testing.T, h http.HandlerFunc) string {
@@ -40,7 +40,7 @@
 		c.Check(r.Method+" "+r.URL.Path, qt.Equals, "GET /backends")
 		_, _ = io.WriteString(w, pages[r.URL.Query().Get("marker")])
 	})
-	list, calls, err := NewPlatformClient(addr, answerWithin).List(t.Context())
+	list, calls, err := NewPlatformClient(addr, testTimeout).List(t.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(calls, qt.Equals, 2)
 	SortByID(&list)
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			addr := startServer(t, func(w http.ResponseWriter, r *http.Request) { one.answer(w, r.URL.Query().Get("marker")) })
-			_, calls, err := NewPlatformClient(addr, answerWithin).List(t.Context())
+			_, calls, err := NewPlatformClient(addr, testTimeout).List(t.Context())
 			c.Assert(err, qt.ErrorMatches, one.want)
 			c.Assert(calls <= maxPages, qt.IsTrue)
 		})
@@ -108,7 +108,7 @@
 		<-release
 	})
 	defer close(release)
-	ctx, cancel := context.WithTimeout(t.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
@@ -132,7 +132,7 @@
 			bodies <- body
 			w.WriteHeader(status)
 		})
-		got, err := NewBackendClient(answerWithin).Order(t.Context(), addr, PhaseOrder{
+		got, err := NewBackendClient(testTimeout).Order(t.Context(), addr, PhaseOrder{
 			BackendID:      "b1",
 			Phase:          PhasePrefill,
 			Owner:          "core-1",
@@ -165,7 +165,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	})
-	client := NewBackendClient(answerWithin)
+	client := NewBackendClient(testTimeout)
 	// net/http only retries a request on a reused connection.
 	_, err := client.Report(t.Context(), addr, "b1")
 	c.Assert(err, qt.IsNil)
--- a/internal/fleet/externalapi/wire_test.go
+++ b/internal/fleet/externalapi/wire_test.go
@@ -27,7 +27,7 @@
 		bodies <- body
 	})
 	order := PhaseOrder{BackendID: "b-1", Phase: PhaseDecode, Owner: "control-1", FencingToken: 4, ExpectedOrders: 9}
-	_, err := NewBackendClient(answerWithin).Order(t.Context(), addr, order)
+	_, err := NewBackendClient(testTimeout).Order(t.Context(), addr, order)
 	c.Assert(err, qt.IsNil)
 	goldenbytes.Check(t, "wire/order.json", <-bodies)
 }
@@ -86,7 +86,7 @@
 		}
 		_ = json.NewEncoder(w).Encode(map[string]any{"backends": []any{entry}, "next_marker": next})
 	})
-	list, calls, err := NewPlatformClient(addr, answerWithin).List(t.Context())
+	list, calls, err := NewPlatformClient(addr, testTimeout).List(t.Context())
 	c.Assert(err, qt.IsNil)
 	c.Check(calls, qt.Equals, 2)
 	c.Check(second, qt.Equals, 1)
--- a/internal/fleet/nodeagent/partition_test.go
+++ b/internal/fleet/nodeagent/partition_test.go
@@ -123,8 +123,8 @@
 	return net.JoinHostPort(ip, fmt.Sprint(c.ports[0]+4))
 }
 
-func (c *testCore) others(than ...string) []string {
-	return slices.DeleteFunc(slices.Clone(c.ips), func(ip string) bool { return slices.Contains(than, ip) })
+func (c *testCore) others(except ...string) []string {
+	return slices.DeleteFunc(slices.Clone(c.ips), func(ip string) bool { return slices.Contains(except, ip) })
 }
 
 // replaceConfig sends a configuration to the given control servers and returns when it was acknowledged.
--- a/internal/fleet/nodeagent/selection_test.go
+++ b/internal/fleet/nodeagent/selection_test.go
@@ -21,7 +21,7 @@
 const (
 	connected   serverState = iota // connected to the primary
 	partitioned                    // answers, but has had no contact with the primary since the partition
-	dead                           // refuses or doesn't answer connections
+	unreachable                           // refuses or doesn't answer connections
 	frozen                         // accepts connections and sends no response
 )
 
@@ -39,7 +39,7 @@
 		s := servers[i%len(servers)]
 		selection.begin(start.Add(now))
 		switch s.state {
-		case dead:
+		case unreachable:
 			now += dial
 		case frozen:
 			now += roundTrip
@@ -92,7 +92,7 @@
 				switch s.state {
 				case partitioned:
 					bound += maxBackoff + 2*roundTrip
-				case dead:
+				case unreachable:
 					bound += maxBackoff + max(readTimeout/3, 100*time.Millisecond)
 				case frozen:
 					bound += maxBackoff + roundTrip + readTimeout
--- a/internal/fleet/proxy/exchange_planted_test.go
+++ b/internal/fleet/proxy/exchange_planted_test.go
@@ -224,7 +224,7 @@
 		by:   "^TestRedirectsAreNotFollowed$",
 		changes: map[string][]string{
 			fileBackend: {
-				"\treq.GetBody = nil // nothing that could be sent again\n",
+				"\treq.GetBody = nil // prevents a retry by net/http\n",
 				"",
 				"return http.ErrUseLastResponse",
 				"return nil",
--- a/internal/fleet/routingconfig/update_test.go
+++ b/internal/fleet/routingconfig/update_test.go
@@ -166,8 +166,8 @@
 
 func distinctNames(i item) string { return i["name"].(string) }
 
-// apply is the reference implementation of an update, without regard to its cost.
-func apply(old, upserts []item, removed []string) []item {
+// referenceUpdate is the reference implementation of an update, without regard to its cost.
+func referenceUpdate(old, upserts []item, removed []string) []item {
 	out := []item{}
 	for _, have := range old {
 		keep := have
@@ -214,7 +214,7 @@
 			putServices := rapid.SliceOfNDistinct(rapid.Custom(drawService), 0, 3, distinctNames).Draw(t, "services")
 			removedRoutes := rapid.SliceOfN(rapid.SampledFrom([]string{"r1", "r2", "r3", "zz"}), 0, 2).Draw(t, "gone routes")
 			removedServices := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "zz"}), 0, 1).Draw(t, "gone services")
-			newRoutes, newServices := apply(routes, putRoutes, removedRoutes), apply(services, putServices, removedServices)
+			newRoutes, newServices := referenceUpdate(routes, putRoutes, removedRoutes), referenceUpdate(services, putServices, removedServices)
 
 			before := doc.Show()
 			next, found := routingconfig.Update(doc, marshal(item{
@@ -240,8 +240,8 @@
 	})
 }
 
-// many returns the JSON of a configuration of n routes.
-func many(n int) string {
+// manyRoutes returns the JSON of a configuration of n routes.
+func manyRoutes(n int) string {
 	var b strings.Builder
 	b.WriteString(`{"ver":1,"svcs":[{"name":"a"},{"name":"b"}],"routing":[`)
 	for i := range n {
@@ -261,7 +261,7 @@
 func TestManyRoutes(t *testing.T) {
 	c := qt.New(t)
 	const n = 100_000
-	body := many(n)
+	body := manyRoutes(n)
 	began := time.Now()
 	d := decode(t, body)
 	t.Logf("decode: %v", time.Since(began))
@@ -295,7 +295,7 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	body := []byte(many(1000))
+	body := []byte(manyRoutes(1000))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, found := routingconfig.Decode(body); len(found) > 0 {
@@ -305,7 +305,7 @@
 }
 
 func BenchmarkUpdateOne(b *testing.B) {
-	d, _ := routingconfig.Decode([]byte(many(1000)))
+	d, _ := routingconfig.Decode([]byte(manyRoutes(1000)))
 	body := []byte(`{"ver":2,"upsert":{"routing":[` + route("new", `,"svc":"a"`) + `]}}`)
 	b.ReportAllocs()
 	for b.Loop() {
