--- a/internal/fleet/nodeagent/selection_test.go
+++ b/internal/fleet/nodeagent/selection_test.go
@@ -21,7 +21,7 @@
 const (
 	connected   serverState = iota // connected to the primary
 	partitioned                    // answers, but has had no contact with the primary since the partition
-	unreachable                           // refuses or doesn't answer connections
+	unreachable                    // refuses or doesn't answer connections
 	frozen                         // accepts connections and sends no response
 )
 
