--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -37,10 +37,80 @@
 	syntax *ast.File
 }
 
+// TestComments checks that comments don't hold the phrases of testdata/phrases.txt, in the files that are neither tests
+// nor in a folder of testdata/unworded.txt. A listed folder without such a phrase fails the test: the list can only
+// become shorter.
+func TestComments(t *testing.T) {
+	rules := readRetired(t, "phrases.txt")
+	unworded := map[string]bool{}
+	for _, folder := range readLines(t, "unworded.txt") {
+		unworded[folder] = true
+	}
+	clean := map[string]bool{}
+	for folder := range unworded {
+		clean[folder] = true
+	}
+	for _, file := range moduleFiles(t) {
+		folder := filepath.ToSlash(filepath.Dir(file.path))
+		for _, finding := range file.retiredPhrases(rules) {
+			clean[folder] = false
+			if !unworded[folder] {
+				t.Error(finding)
+			}
+		}
+	}
+	for folder := range unworded {
+		if clean[folder] {
+			t.Errorf("%s has no retired phrase: take it off testdata/unworded.txt", folder)
+		}
+	}
+}
+
+func TestRetiredPhrases(t *testing.T) {
+	rules := retiredNames{terms: map[string]string{"makes no sense": "name the value"}}
+	for _, test := range []struct {
+		name   string
+		source string
+		want   []string
+	}{
+		{"in a doc comment", "package p\n\n// f fails where x\n// makes no sense.\nfunc f() {}\n", []string{`p/f.go:3: "makes no sense" is retired, use name the value`}},
+		{"in a string", "package p\n\nvar x = \"makes no sense\"\n", nil},
+		{"as a part of words", "package p\n\n// It remakes no sensed value.\n", nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			file, err := parse("p/f.go", test.source)
+			qt.Assert(t, err, qt.IsNil)
+			qt.Check(t, file.retiredPhrases(rules), qt.DeepEquals, test.want)
+		})
+	}
+}
+
+// retiredPhrases returns the comments that hold a retired phrase, whatever its case and its line breaks.
+func (f *sourceFile) retiredPhrases(rules retiredNames) []string {
+	var findings []string
+	for _, group := range f.syntax.Comments {
+		text := " " + strings.Join(strings.FieldsFunc(strings.ToLower(group.Text()), func(r rune) bool {
+			return r != '\'' && !unicode.IsLetter(r) && !unicode.IsDigit(r)
+		}), " ") + " "
+		for phrase, term := range rules.terms {
+			if strings.Contains(text, " "+phrase+" ") {
+				findings = append(findings, f.at(group.Pos(), "%q is retired, use %s", phrase, term))
+			}
+		}
+	}
+	slices.Sort(findings)
+	return findings
+}
+
 // TestReadable checks every file that is not listed as legacy, and that each listed one still needs its exemption.
 func TestReadable(t *testing.T) {
 	legacy := readLegacy(t)
-	rules := readRetired(t)
+	rules := readRetired(t, "retired.txt")
+	for _, line := range readLines(t, "allowed.txt") {
+		name, reason, ok := strings.Cut(line, " ")
+		qt.Assert(t, ok && strings.TrimSpace(reason) != "", qt.IsTrue, qt.Commentf("allowed.txt: %q has no reason", line))
+		rules.allowed[name] = true
+	}
 	seen := map[string]bool{}
 	for _, file := range moduleFiles(t) {
 		seen[file.path] = true
@@ -330,19 +400,18 @@
 	allowed map[string]bool   // names that hold such a word in its ordinary sense, as folder.Name or folder.Type.Field
 }
 
-// readRetired reads testdata/retired.txt, a word and the term to use a line, and testdata/allowed.txt, a name and why a line.
-func readRetired(t *testing.T) retiredNames {
+// readRetired reads a file of testdata: on each line words in lower case, a tab or, after a single word, a space, and
+// the term to use.
+func readRetired(t *testing.T, name string) retiredNames {
 	rules := retiredNames{terms: map[string]string{}, allowed: map[string]bool{}}
-	for _, line := range readLines(t, "retired.txt") {
-		word, term, ok := strings.Cut(line, " ")
-		qt.Assert(t, ok, qt.IsTrue, qt.Commentf("retired.txt: %q has no term", line))
+	for _, line := range readLines(t, name) {
+		word, term, ok := strings.Cut(line, "\t")
+		if !ok {
+			word, term, ok = strings.Cut(line, " ")
+		}
+		qt.Assert(t, ok, qt.IsTrue, qt.Commentf("%s: %q has no term", name, line))
 		rules.terms[word] = strings.TrimSpace(term)
 	}
-	for _, line := range readLines(t, "allowed.txt") {
-		name, reason, ok := strings.Cut(line, " ")
-		qt.Assert(t, ok && strings.TrimSpace(reason) != "", qt.IsTrue, qt.Commentf("allowed.txt: %q has no reason", line))
-		rules.allowed[name] = true
-	}
 	return rules
 }
 
--- a/internal/codestyle/pages_test.go
+++ b/internal/codestyle/pages_test.go
@@ -22,6 +22,9 @@
 	"db": true, "mod": true, "toml": true,
 }
 
+// pathName is a declaration outside of the fleet's packages, written with the folder of its package.
+var pathName = regexp.MustCompile("`(internal/[a-z/]+)\\.([A-Za-z]\\w*(?:\\.[A-Za-z]\\w*)?)`")
+
 var codeName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]\\w*)(?:\\.([A-Za-z]\\w*))?`")
 
 // TestPagesNameWhatExists checks that what the pages name is declared, so that they can be relied on after a renaming.
@@ -48,6 +51,33 @@
 	}
 }
 
+// TestPagesNameDeclaredPaths checks the names that the pages give with the folder of their package.
+func TestPagesNameDeclaredPaths(t *testing.T) {
+	declared := map[string]bool{}
+	for _, file := range moduleFiles(t) {
+		folder := filepath.ToSlash(filepath.Dir(file.path))
+		visitNames(file.syntax, func(owner string, name *ast.Ident) {
+			full := folder + "." + name.Name
+			if owner != "" {
+				full = folder + "." + owner + "." + name.Name
+			}
+			declared[full] = true
+		})
+	}
+	found := 0
+	for _, page := range namingPages {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, page))
+		qt.Assert(t, err, qt.IsNil)
+		for _, name := range pathName.FindAllStringSubmatch(string(text), -1) {
+			found++
+			if full := name[1] + "." + name[2]; !declared[full] {
+				t.Errorf("%s: %s is not declared", page, full)
+			}
+		}
+	}
+	qt.Check(t, found > 5, qt.IsTrue, qt.Commentf("%d names with their folder", found))
+}
+
 // declarations are packages by their name, and what they declare, as package.Name and package.Type.Member.
 type declarations struct {
 	packages map[string]bool
