--- a/cmd/molepaddle/fleet.go
+++ b/cmd/molepaddle/fleet.go
@@ -72,7 +72,7 @@
 		if err := agent.ReadFleet(door, "/api/fleet", &f); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
-		if now := f.Digest + f.Why + f.Doubts; now != last {
+		if now := f.Digest + f.UnconvergedReason + f.SelfSuspicion; now != last {
 			last = now
 			if asJSON {
 				if err := indented(out, &f); err != nil {
--- a/cmd/molepaddle/fleet_test.go
+++ b/cmd/molepaddle/fleet_test.go
@@ -174,7 +174,7 @@
 			var b strings.Builder
 			v.Print(&b)
 			last += b.String()
-			if !v.Settled || v.Digest != digest {
+			if !v.Converged || v.Digest != digest {
 				return false
 			}
 			for k, o := range f.all {
@@ -234,7 +234,7 @@
 	for _, i := range []int{4, 5} {
 		eventually(t, "two doubt themselves", f.all[i].out, func() bool {
 			v, err := f.view(i)
-			return err == nil && !v.Settled && strings.Contains(v.Doubts, "I see 2 of 6")
+			return err == nil && !v.Converged && strings.Contains(v.SelfSuspicion, "I see 2 of 6")
 		})
 		if d := f.deaths(i); slices.Contains(d, "n0") || slices.Contains(d, "n4") {
 			t.Errorf("%s, one of two, believed %v dead", f.all[i].name, d)
--- a/cmd/molepaddle/main.go
+++ b/cmd/molepaddle/main.go
@@ -234,7 +234,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	conf, err := config.Next(old, os.Getenv("EDGE_CONFIG"))
+	conf, err := config.LoadUpdate(old, os.Getenv("EDGE_CONFIG"))
 	return conf, oper, err
 }
 
@@ -245,8 +245,8 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s listens on %s, asks the roster at %s, knows %d servers, %d classes\n",
-		conf.Name, conf.Listen, conf.Discovery, len(conf.Known.Servers), len(conf.Classes))
-	on := oper.On()
+		conf.Name, conf.Listen, conf.Discovery, len(conf.InitialList.Servers), len(conf.Classes))
+	on := oper.Describe()
 	for _, line := range on {
 		fmt.Fprintln(out, "on:", line)
 	}
@@ -303,7 +303,7 @@
 		at    []operator.Listen
 	}{{"http", oper.Front.HTTP.Listen}, {"fastcgi", oper.Front.FastCGI.Listen}} {
 		for i, l := range front.at {
-			ln, err := one(l.Where())
+			ln, err := one(l.NetworkAddress())
 			if err != nil {
 				return all, fmt.Errorf("operator: front.%s.listen[%d]: %w", front.table, i, err)
 			}
@@ -331,7 +331,7 @@
 	prior, path := predecessor(conf, log)
 	if prior != nil {
 		defer prior.Close()
-		conf = agent.Newer(conf, prior.State.Known)
+		conf = agent.WithEndpoints(conf, prior.State.Known)
 	}
 	listeners, err := listen(conf, oper, prior)
 	if err != nil {
@@ -363,7 +363,7 @@
 		if err != nil {
 			return fmt.Errorf("config: management: %w", err)
 		}
-		door := management.New(a.Life(), a.Ready, log)
+		door := management.New(a.Lifecycle(), a.Ready, log)
 		defer door.Close()
 		for pattern, h := range a.FleetHandlers() {
 			door.Handle(pattern, h)
@@ -406,8 +406,8 @@
 			defer offer.Close()
 		}
 	}
-	log.Info("started", "listen", conf.Listen, "backends", len(conf.Known.Servers))
-	for _, line := range oper.On() {
+	log.Info("started", "listen", conf.Listen, "backends", len(conf.InitialList.Servers))
+	for _, line := range oper.Describe() {
 		log.Info("on: " + line)
 	}
 	if err := a.Serve(ctx, clients...); err != nil {
@@ -445,7 +445,7 @@
 	a.Adopt(state)
 	log.Info("handover: taken over", "servers", len(state.Known.List.Servers), "ids", len(state.IDs.Recent)+len(state.IDs.Older))
 	go func() {
-		prior.Follow(a.Note)
+		prior.Follow(a.RecordIDs)
 		(&source{a, conf}).Share(false)
 	}()
 }
--- a/cmd/molepaddle/promises.go
+++ b/cmd/molepaddle/promises.go
@@ -32,7 +32,7 @@
 			}
 			var own promise.Report
 			if err := agent.ReadFleet(door, "/api/promises", &own); err != nil {
-				if errors.Is(err, agent.ErrOff) {
+				if errors.Is(err, agent.ErrNoFleetView) {
 					err = errors.New("the agent holds nothing for others: its operator's file has no [promises]")
 				}
 				return fmt.Errorf("promises: %w", err)
--- a/cmd/molepaddle/work.go
+++ b/cmd/molepaddle/work.go
@@ -44,7 +44,7 @@
 	c.Token = binary.BigEndian.Uint64(token[:]) | 1
 	ctx, cancel := context.WithTimeout(ctx, w.within)
 	defer cancel()
-	r, err := agent.AskWork(ctx, door, c)
+	r, err := agent.CallWork(ctx, door, c)
 	if err != nil {
 		return nil, fmt.Errorf("work: %w", err)
 	}
--- a/cmd/molepaddle/work_test.go
+++ b/cmd/molepaddle/work_test.go
@@ -76,7 +76,7 @@
 	if c.Token == 0 {
 		c.Token = token() | 1<<63
 	}
-	return agent.AskWork(ctx, f.all[i].door, c)
+	return agent.CallWork(ctx, f.all[i].door, c)
 }
 
 func (f *fleet) must(i int, c seat.Call) *seat.Report {
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -33,11 +33,11 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// otherSockets are kept for the roster, the listener and the runtime.
-const otherSockets = 16
+// reservedSockets are kept for the roster, the listener and the runtime.
+const reservedSockets = 16
 
-// spare is what is left of the descriptors to clients and servers.
-func spare(c *config.Config) int {
+// availableSockets is what is left of the descriptors to clients and servers.
+func availableSockets(c *config.Config) int {
 	if c.Management != "" {
 		return c.Limits.Sockets - management.Connections
 	}
@@ -46,16 +46,16 @@
 
 // backendSockets is the part of the descriptors for connections to servers;
 // clientSockets that for clients', who hold a third of all at most for requests.
-func backendSockets(all int) int { return (all - otherSockets) * 2 / 5 }
-func clientSockets(all int) int  { return all - otherSockets - backendSockets(all) }
+func backendSockets(all int) int { return (all - reservedSockets) * 2 / 5 }
+func clientSockets(all int) int  { return all - reservedSockets - backendSockets(all) }
 
-// keptSockets is how many of the clients' connections are kept between requests: half of
+// keepAliveSockets is how many of the clients' connections are kept between requests: half of
 // what the clients hold.
-func keptSockets(all int) int { return all / 6 }
+func keepAliveSockets(all int) int { return all / 6 }
 
-// openRequests is how many requests may be held at once, told to the module, which
+// maxOpenRequests is how many requests may be held at once, told to the module, which
 // refuses what is over it. The places left are for those that are told so.
-func openRequests(all int) int {
+func maxOpenRequests(all int) int {
 	places := clientSockets(all)
 	return places - max(places/8, 8)
 }
@@ -84,37 +84,37 @@
 	Close() error
 }
 
-// row is a front end with its part of what the agent has.
-type row struct {
+// boundedFrontEnd is a front end with its part of what the agent has.
+type boundedFrontEnd struct {
 	frontEnd
-	share     func(part int) // keeps to one of so many parts of the agent's bounds
+	limitTo     func(part int) // keeps to one of so many parts of the agent's bounds
 	listeners []net.Listener // nil: those that Serve is given
 }
 
-// Decide makes what decides for an agent in the place of policy.New.
-type Decide func(set settings.Settings, seed uint64) (core.Decider, error)
+// NewDecider makes what decides for an agent in the place of policy.New.
+type NewDecider func(set settings.Settings, seed uint64) (core.Decider, error)
 
 // Agent is one agent.
 type Agent struct {
 	core      *core.Core
-	fronts    []row // HTTP's first
+	frontEnds    []boundedFrontEnd // HTTP's first
 	transport *transport.Transport
 	stop      context.CancelFunc
-	gate      *gate         // nil: it is no end of links
-	fleet     *fleetView    // nil: it keeps no view of its fleet
+	gate      *gatewayEnd         // nil: it is no end of links
+	fleet     *fleetNode    // nil: it keeps no view of its fleet
 	promises  *promise.Part // nil: it holds nothing for others
 	sockets   int           // that clients and servers share
 	bodyBytes int64         // that bodies may hold
 	bodies    *window.Budget
-	gateway   bool
-	life      *lifecycle.Machine
+	isGateway   bool
+	lifecycle      *lifecycle.Machine
 	log       *slog.Logger
 	table     *settings.Table   // Reload's
 	latest    settings.Settings // in force, as they were given
 }
 
-// Life is what the agent's process is.
-func (a *Agent) Life() *lifecycle.Machine { return a.life }
+// Lifecycle is what the agent's process is.
+func (a *Agent) Lifecycle() *lifecycle.Machine { return a.lifecycle }
 
 // Ready tells whether any server can be sent to; it does not wait.
 func (a *Agent) Ready() bool {
@@ -131,7 +131,7 @@
 }
 
 // NewWith makes an agent with other decisions than its own, as the lab does; nil: its own.
-func NewWith(c *config.Config, o *operator.Settings, network Network, decide Decide, log *slog.Logger) (*Agent, error) {
+func NewWith(c *config.Config, o *operator.Settings, network Network, decide NewDecider, log *slog.Logger) (*Agent, error) {
 	if network.Dial == nil {
 		network.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
@@ -139,7 +139,7 @@
 	if connect <= 0 {
 		connect = time.Second
 	}
-	sockets, web := spare(c), &o.Front.FastCGI
+	sockets, web := availableSockets(c), &o.Front.FastCGI
 	more := 0 // requests that come over connections of several
 	if web.On() {
 		sockets -= web.Connections
@@ -158,7 +158,7 @@
 	if o.Fleet.On {
 		idle = min(idle, time.Duration(o.Fleet.KeepIdle))
 	}
-	spoken, err := o.Transport.FastCGI.Options(c.Words.Sites, c.Words.Kinds)
+	spoken, err := o.Transport.FastCGI.Options(c.RosterNames.Sites, c.RosterNames.Kinds)
 	if err != nil {
 		stop()
 		return nil, err
@@ -186,16 +186,16 @@
 	k, err := core.New(ctx, core.Options{
 		IDs:         ids,
 		ReportLoss:  account,
-		ZoneNumbers: c.Words.Sites,
+		ZoneNumbers: c.RosterNames.Sites,
 		NewDecider:  decide,
 		Fleet:       o.Fleet.Options(),
-		Settings:    table.Settings, Seed: c.Seed, InitialList: c.Known, MaxOpen: openRequests(sockets) + more,
+		Settings:    table.Settings, Seed: c.Seed, InitialList: c.InitialList, MaxOpen: maxOpenRequests(sockets) + more,
 		// Room for all that can be under way at once: a front end must not wait there.
 		QueueLength: 4 * (sockets + more),
 		Transport:   servers,
 		RosterAddr:  c.Discovery,
 		NewRoster: func(addr string, tell func(core.Update)) core.Roster {
-			return roster.New(ctx, addr, c.Words, network.Dial, tell)
+			return roster.New(ctx, addr, c.RosterNames, network.Dial, tell)
 		},
 		Log: log,
 	})
@@ -203,7 +203,7 @@
 		stop()
 		return nil, err
 	}
-	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: k, stop: stop, transport: servers, table: table, latest: c.Settings, log: log, life: lifecycle.New(), gateway: o.Gateway.On()}
+	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: k, stop: stop, transport: servers, table: table, latest: c.Settings, log: log, lifecycle: lifecycle.New(), isGateway: o.Gateway.On()}
 	var handler httpfront.Handler = k
 	if o.Promises.On {
 		if longest := core.MaxRequestDuration(&c.Settings); time.Duration(o.Promises.Remember) < 2*longest {
@@ -214,7 +214,7 @@
 		if o.Promises.Journal == "disk" {
 			folder = o.Work.Folder
 		}
-		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone, Copies: o.Promises.Copies, Fewer: o.Promises.Fewer(),
+		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone, Copies: o.Promises.Copies, Fewer: o.Promises.AllowsFewer(),
 			Remember: time.Duration(o.Promises.Remember), Bytes: o.Promises.AnswersMB << 20, Log: log})
 	}
 	if o.Gateway.On() {
@@ -222,29 +222,29 @@
 		if a.promises != nil && o.Promises.Copies > 0 {
 			promised = a.promises
 		}
-		if a.gate, err = newGate(ctx, c, &o.Gateway, network, k, ids, promised, log); err != nil {
+		if a.gate, err = newGatewayEnd(ctx, c, &o.Gateway, network, k, ids, promised, log); err != nil {
 			stop()
 			return nil, err
 		}
 		handler = a.gate
-		if network.Promises != nil && a.gate.far != nil {
-			network.Promises.Promises(o.Gateway.Name, a.gate.far.Incarnation(), a.gate.far)
+		if network.Promises != nil && a.gate.farEnd != nil {
+			network.Promises.Promises(o.Gateway.Name, a.gate.farEnd.Incarnation(), a.gate.farEnd)
 		}
 	}
 	front := httpfront.New(handler, httpfront.Options{
-		View: intake.Of(a.table), Life: a.life,
-		Places: clientSockets(sockets), Kept: keptSockets(sockets),
+		View: intake.Of(a.table), Life: a.lifecycle,
+		Places: clientSockets(sockets), Kept: keepAliveSockets(sockets),
 		Budget: bodies, Streams: !o.Gateway.On(), Log: log,
 		HeadWithin: time.Duration(o.Front.HTTP.HeadWithin), BodyWithin: time.Duration(o.Front.HTTP.BodyWithin),
 		KeepIdle: time.Duration(o.Front.HTTP.KeepIdle)})
-	a.fronts = append(a.fronts, row{frontEnd: front, share: func(part int) {
-		front.Bound(clientSockets(sockets/part), keptSockets(sockets/part))
+	a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: front, limitTo: func(part int) {
+		front.Bound(clientSockets(sockets/part), keepAliveSockets(sockets/part))
 	}})
 	if web.On() {
-		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.life, Connections: web.Connections, Requests: web.Requests,
+		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.lifecycle, Connections: web.Connections, Requests: web.Requests,
 			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log, HeadWithin: time.Duration(web.HeadWithin),
 			BodyWithin: time.Duration(web.BodyWithin), KeepIdle: time.Duration(web.KeepIdle)})
-		a.fronts = append(a.fronts, row{frontEnd: fast, share: func(part int) { fast.Bound(max(web.Connections/part, 1)) }, listeners: network.FastCGI})
+		a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: fast, limitTo: func(part int) { fast.Bound(max(web.Connections/part, 1)) }, listeners: network.FastCGI})
 	}
 	if a.fleet, err = newFleet(a, c, o, log); err != nil {
 		stop()
@@ -260,7 +260,7 @@
 // nothing of what it is about. It is called by one goroutine.
 func (a *Agent) Reload(c *config.Config, o *operator.Settings) error {
 	if !reflect.DeepEqual(c.Settings, a.latest) {
-		if a.gateway {
+		if a.isGateway {
 			return errors.New("config: settings: a gateway takes others at a restart only, as its far sites would not know them")
 		}
 		next, err := a.table.Next(c.Settings, time.Now())
@@ -270,7 +270,7 @@
 		if err := a.core.UpdateSettings(next); err != nil {
 			return fmt.Errorf("config: settings: %w", err)
 		}
-		for _, f := range a.fronts {
+		for _, f := range a.frontEnds {
 			f.Turn(intake.Of(next))
 		}
 		a.table, a.latest = next, c.Settings
@@ -301,8 +301,8 @@
 	}
 	ctx, end := context.WithCancel(ctx) // one that fails ends the others
 	defer end()
-	ended := make(chan error, len(a.fronts))
-	for i, f := range a.fronts {
+	ended := make(chan error, len(a.frontEnds))
+	for i, f := range a.frontEnds {
 		if i > 0 {
 			go func() {
 				err := f.Serve(ctx, f.listeners...)
@@ -313,9 +313,9 @@
 			}()
 		}
 	}
-	err := a.fronts[0].Serve(ctx, listeners...)
+	err := a.frontEnds[0].Serve(ctx, listeners...)
 	end()
-	for range a.fronts[1:] {
+	for range a.frontEnds[1:] {
 		err = errors.Join(err, <-ended)
 	}
 	return err
@@ -325,15 +325,15 @@
 type Load struct {
 	core.Load
 	Taken  int64 // requests that clients wait for
-	Bodies int64 // bytes of theirs
+	BodyBytes int64 // bytes of theirs
 	// Crossings are those offered and taken that have no verdict, at either end of links.
 	Crossings int
 }
 
 // Load tells what the agent holds now.
 func (a *Agent) Load() Load {
-	l := Load{Load: a.core.Load(), Bodies: a.bodies.Used()}
-	for _, f := range a.fronts {
+	l := Load{Load: a.core.Load(), BodyBytes: a.bodies.Used()}
+	for _, f := range a.frontEnds {
 		l.Taken += f.Taken()
 	}
 	if a.gate != nil {
@@ -353,7 +353,7 @@
 		a.fleet.Close()
 	}
 	var err error
-	for _, f := range a.fronts {
+	for _, f := range a.frontEnds {
 		err = errors.Join(err, f.Close())
 	}
 	return err
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -169,7 +169,7 @@
 	c["limits"].(map[string]any)["sockets"] = config.MinSockets
 	_, base, _, _ := start(t, c)
 	const over = 20
-	asked := openRequests(config.MinSockets) + over
+	asked := maxOpenRequests(config.MinSockets) + over
 	if asked <= clientSockets(config.MinSockets) {
 		t.Fatal("these fit into the places")
 	}
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -17,21 +17,21 @@
 	"molepaddle/internal/protocol/gateway"
 )
 
-// gate is what makes an agent an end of links: a core for each far site, the far end's
+// gatewayEnd is what makes an agent an end of links: a core for each far site, the far end's
 // listener, and the routes between them. It is the front end's handler.
-type gate struct {
+type gatewayEnd struct {
 	name   string
-	own    *core.Core
+	localCore    *core.Core
 	ids    *core.IDs
 	sites  map[string]*farSite
-	order  []string
-	far    *gateway.Far // nil: it is no far end
+	siteOrder  []string
+	farEnd    *gateway.Far // nil: it is no far end
 	links  Network
 	keys   *keys.Store // nil: plain
 	table  atomic.Pointer[routes.Table]
-	advice time.Duration
-	last   time.Duration // how long a request may be open
-	once   sync.Once
+	retryAfter time.Duration
+	maxRequestDuration   time.Duration // how long a request may be open
+	closeOnce   sync.Once
 }
 
 // farSite is the near end of the links to a site, with the core that sends there.
@@ -40,10 +40,10 @@
 	core *core.Core
 }
 
-func newGate(ctx context.Context, c *config.Config, o *operator.Gateway, network Network, own *core.Core, ids *core.IDs, promised gateway.Promises, log *slog.Logger) (*gate, error) {
-	g := &gate{name: o.Name, own: own, ids: ids, sites: map[string]*farSite{}, links: network, last: core.MaxRequestDuration(&c.Settings)}
+func newGatewayEnd(ctx context.Context, c *config.Config, o *operator.Gateway, network Network, own *core.Core, ids *core.IDs, promised gateway.Promises, log *slog.Logger) (*gatewayEnd, error) {
+	g := &gatewayEnd{name: o.Name, localCore: own, ids: ids, sites: map[string]*farSite{}, links: network, maxRequestDuration: core.MaxRequestDuration(&c.Settings)}
 	if c.Settings.Limits.RetryAfter {
-		g.advice = ms(c.Settings.Limits.MaxRetryAfterMs)
+		g.retryAfter = ms(c.Settings.Limits.MaxRetryAfterMs)
 	}
 	if !o.Plain {
 		var err error
@@ -60,7 +60,7 @@
 	if err := g.route(c, o); err != nil {
 		return nil, err
 	}
-	times := gateway.Times{Beat: time.Duration(o.Beat), StallAfter: time.Duration(o.StallAfter), DeadAfter: time.Duration(o.DeadAfter),
+	times := gateway.Times{Beat: time.Duration(o.HeartbeatInterval), StallAfter: time.Duration(o.StallAfter), DeadAfter: time.Duration(o.DeadAfter),
 		RedialMin: time.Duration(o.RedialMin), RedialMax: time.Duration(o.RedialMax)}
 	var names []string
 	for i := range c.Settings.Classes {
@@ -84,27 +84,27 @@
 			return nil, err
 		}
 		k, err := core.New(ctx, core.Options{Settings: site.Settings(), Seed: c.Seed ^ uint64(i+1), InitialList: site.Known(),
-			MaxOpen: openRequests(c.Limits.Sockets), QueueLength: 4 * c.Limits.Sockets, Transport: site, RosterAddr: s.Name,
+			MaxOpen: maxOpenRequests(c.Limits.Sockets), QueueLength: 4 * c.Limits.Sockets, Transport: site, RosterAddr: s.Name,
 			NewRoster: site.NewRoster, Log: log.With("site", s.Name), IDs: ids})
 		if err != nil {
 			return nil, err
 		}
 		g.sites[s.Name] = &farSite{site, k}
-		g.order = append(g.order, s.Name)
+		g.siteOrder = append(g.siteOrder, s.Name)
 	}
 	if o.Listen != "" {
 		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes, Tenants: c.Tenants, Peers: o.Peers,
-			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Conns, PerSecond: o.Greetings, Times: times, Seed: c.Seed, Log: log, Promises: promised}
+			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Connections, PerSecond: o.HandshakeRate, Times: times, Seed: c.Seed, Log: log, Promises: promised}
 		if g.keys != nil {
 			fo.TLS = func() *tls.Config { return g.keys.Server() }
 		}
-		g.far = gateway.NewFar(fo)
+		g.farEnd = gateway.NewFar(fo)
 	}
 	return g, nil
 }
 
 // route takes a routing table into use.
-func (g *gate) route(c *config.Config, o *operator.Gateway) error {
+func (g *gatewayEnd) route(c *config.Config, o *operator.Gateway) error {
 	var classes []string
 	for name := range c.Classes {
 		classes = append(classes, name)
@@ -118,7 +118,7 @@
 }
 
 // reload takes new routes and certificates. Links that are up stay up with the old ones.
-func (g *gate) reload(c *config.Config, o *operator.Gateway) error {
+func (g *gatewayEnd) reload(c *config.Config, o *operator.Gateway) error {
 	if g.keys != nil {
 		if err := g.keys.Reload(); err != nil {
 			return fmt.Errorf("operator: gateway.keys: %w", err)
@@ -129,90 +129,90 @@
 
 // run opens the links; the function that it returns ends them, when the front end has taken
 // its last request and ctx is over.
-func (g *gate) run(ctx context.Context) (end func()) {
-	for _, name := range g.order {
+func (g *gatewayEnd) run(ctx context.Context) (end func()) {
+	for _, name := range g.siteOrder {
 		s := g.sites[name]
 		go s.core.Run()
 		s.link.Run()
 	}
-	if g.far != nil && g.links.Links != nil {
-		go func() { _ = g.far.Serve(g.links.Links) }()
-		context.AfterFunc(ctx, g.far.Drain)
+	if g.farEnd != nil && g.links.Links != nil {
+		go func() { _ = g.farEnd.Serve(g.links.Links) }()
+		context.AfterFunc(ctx, g.farEnd.Drain)
 	}
 	return func() {
-		if g.far != nil {
-			wait, cancel := context.WithTimeout(context.Background(), g.last)
+		if g.farEnd != nil {
+			wait, cancel := context.WithTimeout(context.Background(), g.maxRequestDuration)
 			defer cancel()
-			g.far.Finish(wait)
+			g.farEnd.Finish(wait)
 		}
 		g.close()
 	}
 }
 
 // crossings are those that have no verdict.
-func (g *gate) crossings() (n int) {
+func (g *gatewayEnd) crossings() (n int) {
 	for _, s := range g.sites {
 		n += s.link.Open()
 	}
-	if g.far != nil {
-		n += g.far.Held()
+	if g.farEnd != nil {
+		n += g.farEnd.Held()
 	}
 	return n
 }
 
 // avoid has the near ends leave gateways alone that a view of the fleet speaks against.
-func (g *gate) avoid(names []string) {
+func (g *gatewayEnd) avoid(names []string) {
 	for _, s := range g.sites {
 		s.link.Avoid(names)
 	}
 }
 
 // close ends all links at once.
-func (g *gate) close() {
-	g.once.Do(func() {
+func (g *gatewayEnd) close() {
+	g.closeOnce.Do(func() {
 		if g.links.Links != nil {
 			g.links.Links.Close()
 		}
 		for _, s := range g.sites {
 			s.link.Close()
 		}
-		if g.far != nil {
-			g.far.Close()
+		if g.farEnd != nil {
+			g.farEnd.Close()
 		}
 	})
 }
 
-// at is the handler of a site.
-func (g *gate) at(site string) *core.Core {
+// coreFor is the handler of a site.
+func (g *gatewayEnd) coreFor(site string) *core.Core {
 	if s := g.sites[site]; s != nil {
 		return s.core
 	}
-	return g.own
+	return g.localCore
 }
 
 // Ready tells whether any site can be sent to.
-func (g *gate) Ready() bool {
+func (g *gatewayEnd) Ready() bool {
 	for _, s := range g.sites {
 		if s.core.Ready() {
 			return true
 		}
 	}
-	return g.own.Ready()
+	return g.localCore.Ready()
 }
 
 // Do brings a request to the first site of its route that can be reached; where none can,
 // it is refused at once.
-func (g *gate) Do(ctx context.Context, r *core.Request) core.Answer {
+func (g *gatewayEnd) Do(ctx context.Context, r *core.Request) core.Answer {
 	class := ""
-	if set := g.own.Classes(); r.Class < len(set) {
+	if set := g.localCore.Classes(); r.Class < len(set) {
 		class = set[r.Class].Name
 	}
-	site, err := routes.FirstReady(g.table.Load().Sites(class, r.Message.Target, r.ID), func(s string) bool { return g.at(s).Ready() })
+	site, err := routes.FirstReady(g.table.Load().Sites(class, r.Message.Target, r.ID), func(s string) bool { return g.coreFor(s).Ready() })
 	if err != nil {
 		if !g.ids.Add(r.ID) {
 			return core.Answer{Outcome: core.Duplicate}
 		}
-		return core.Answer{Outcome: core.Refused, RetryAfter: g.advice}
+		return core.Answer{Outcome: core.Refused, RetryAfter: g.retryAfter}
 	}
-	return g.at(site).Do(ctx, r)
+	return g.coreFor(site).Do(ctx, r)
 }
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -27,15 +27,15 @@
 	"molepaddle/internal/protocol/peers"
 )
 
-// fleetView is the agent's part among peers.
-type fleetView struct {
+// fleetNode is the agent's part among peers.
+type fleetNode struct {
 	*peers.Peers
 	keys *keys.Store // nil: plain
-	work *workPart   // nil: no machines are taken out
+	work *maintenance   // nil: no machines are taken out
 }
 
 // Leave has another member of the council lead, where this one does, and says that the process ends.
-func (f *fleetView) Leave() {
+func (f *fleetNode) Leave() {
 	if f.work != nil {
 		f.work.stop()
 	}
@@ -43,7 +43,7 @@
 }
 
 // Close ends it at once.
-func (f *fleetView) Close() {
+func (f *fleetNode) Close() {
 	f.Peers.Close()
 	if f.work != nil {
 		f.work.stop()
@@ -51,7 +51,7 @@
 }
 
 // newFleet makes the agent's end of its links to peers; nil where the operator's file has none.
-func newFleet(a *Agent, c *config.Config, o *operator.Settings, log *slog.Logger) (*fleetView, error) {
+func newFleet(a *Agent, c *config.Config, o *operator.Settings, log *slog.Logger) (*fleetNode, error) {
 	p := &o.Peers
 	if !p.On() {
 		return nil, nil
@@ -59,21 +59,21 @@
 	if allowed := c.Settings.Limits.PeerMessages; allowed != nil && !*allowed {
 		return nil, errors.New("operator: peers.listen: the platform's settings.limits.peerMessages forbids agents to talk to each other")
 	}
-	f := &fleetView{}
+	f := &fleetNode{}
 	role := "agent"
 	if o.Gateway.On() {
 		role = "gateway"
 	}
 	po := peers.Options{Seed: c.Seed ^ uint64(time.Now().UnixNano()), Conns: p.Connections, Queue: p.QueueKB << 10, Log: log,
 		Members: members.Options{ID: members.ID{Name: p.Name, Incarnation: uint64(time.Now().UnixMicro())}, Period: time.Duration(p.Period), ForgetAfter: time.Duration(p.Forget),
-			Info: members.Info{Machine: p.Machine, Zone: p.Zone, Role: role, Build: buildVersion(), Settings: digestOf(c), Process: lifecycle.Starting.String(), Address: p.Reach()}},
+			Info: members.Info{Machine: p.Machine, Zone: p.Zone, Role: role, Build: buildVersion(), Settings: settingsDigest(c), Process: lifecycle.Starting.String(), Address: p.AdvertisedAddress()}},
 		Self: func() (string, float64) {
 			// As powers of two, so that the fleet is not told of each request; none is none.
 			load := 0.0
 			if l := a.Load(); l.Taken+int64(l.Crossings) > 0 {
 				load = math.Exp2(math.Floor(math.Log2(float64(l.Taken + int64(l.Crossings)))))
 			}
-			return a.life.State(a.Ready()).String(), load
+			return a.lifecycle.State(a.Ready()).String(), load
 		},
 		Count: a.core.SetFleetSize,
 	}
@@ -95,33 +95,33 @@
 		po.Server = func() *tls.Config { return f.keys.Server() }
 	}
 	if o.Work.On() {
-		f.work = newWork(a, &o.Work, p)
-		po.Beaten, po.Word = f.work.heartbeat, f.work.hear
+		f.work = newMaintenance(a, &o.Work, p)
+		po.Beaten, po.Word = f.work.heartbeat, f.work.receive
 		if a.promises != nil {
 			po.Word = func(from members.ID, w peers.Word) {
 				if !a.promises.Hear(from, w) {
-					f.work.hear(from, w)
+					f.work.receive(from, w)
 				}
 			}
 		}
 	}
 	f.Peers = peers.New(po)
 	if f.work != nil {
-		if err := f.work.sit(f.Peers, c.Seed, log); err != nil {
+		if err := f.work.openSeat(f.Peers, c.Seed, log); err != nil {
 			return nil, fmt.Errorf("operator: work.folder: %w", err)
 		}
 		if a.promises != nil {
 			a.promises.Bind(f.Peers, f.work.seat.Call, time.Duration(p.Period)/5)
-			if a.gate != nil && a.gate.far != nil && o.Promises.Copies > 0 {
-				a.promises.Promises(o.Gateway.Name, a.gate.far.Incarnation(), a.gate.far)
+			if a.gate != nil && a.gate.farEnd != nil && o.Promises.Copies > 0 {
+				a.promises.Promises(o.Gateway.Name, a.gate.farEnd.Incarnation(), a.gate.farEnd)
 			}
 		}
 	}
 	return f, nil
 }
 
-// digestOf tells deployments' settings apart in a view.
-func digestOf(c *config.Config) string {
+// settingsDigest tells deployments' settings apart in a view.
+func settingsDigest(c *config.Config) string {
 	h := fnv.New32a()
 	_ = json.NewEncoder(h).Encode(&c.Settings) // values only
 	return fmt.Sprintf("%08x", h.Sum32())
@@ -146,8 +146,8 @@
 	}
 	go func() {
 		for {
-			changed := a.life.Changed()
-			if a.life.State(true) == lifecycle.HandingOver {
+			changed := a.lifecycle.Changed()
+			if a.lifecycle.State(true) == lifecycle.HandingOver {
 				a.fleet.Leave()
 				return
 			}
@@ -182,7 +182,7 @@
 	Process     string    `json:"process"`
 	Address     string    `json:"address"`
 	Load        float64   `json:"load"`
-	Silent      int       `json:"hears_nothing_of"` // servers
+	UnresponsiveServers      int       `json:"hears_nothing_of"` // servers
 	State       string    `json:"state"`
 	Since       time.Time `json:"since"`
 	SuspectedBy []string  `json:"suspected_by"`
@@ -194,12 +194,12 @@
 // FleetView is an agent's view of its fleet.
 type FleetView struct {
 	Self     string        `json:"self"`
-	Settled  bool          `json:"settled"`
-	Why      string        `json:"why,omitempty"` // it is not
+	Converged  bool          `json:"settled"`
+	UnconvergedReason      string        `json:"why,omitempty"` // it is not
 	Digest   string        `json:"digest"`
-	Doubts   string        `json:"doubts_itself"` // why; empty: it does not
-	Sees     int           `json:"sees"`
-	Knows    int           `json:"knows"`
+	SelfSuspicion   string        `json:"doubts_itself"` // why; empty: it does not
+	Reachable     int           `json:"sees"`
+	Known    int           `json:"knows"`
 	Members  []FleetMember `json:"members"`
 	Observed time.Time     `json:"at"`
 }
@@ -210,7 +210,7 @@
 		return f, false
 	}
 	v, start := a.fleet.View()
-	f = FleetView{Self: v.Self.Name, Settled: v.Converged, Why: v.UnconvergedReason, Digest: fmt.Sprintf("%016x", v.Digest), Doubts: v.SelfSuspicion, Sees: v.Reachable, Knows: v.Known,
+	f = FleetView{Self: v.Self.Name, Converged: v.Converged, UnconvergedReason: v.UnconvergedReason, Digest: fmt.Sprintf("%016x", v.Digest), SelfSuspicion: v.SelfSuspicion, Reachable: v.Reachable, Known: v.Known,
 		Members: []FleetMember{}, Observed: time.Now()}
 	for _, m := range v.Members {
 		by := m.SuspectedBy
@@ -218,7 +218,7 @@
 			by = []string{}
 		}
 		f.Members = append(f.Members, FleetMember{Name: m.ID.Name, Incarnation: m.ID.Incarnation, Machine: m.Info.Machine, Zone: m.Info.Zone, Role: m.Info.Role,
-			Build: m.Info.Build, Settings: m.Info.Settings, Process: m.Info.Process, Address: m.Info.Address, Load: m.Info.Load, Silent: hearsay.Count(m.Info.Silent), State: m.State.String(),
+			Build: m.Info.Build, Settings: m.Info.Settings, Process: m.Info.Process, Address: m.Info.Address, Load: m.Info.Load, UnresponsiveServers: hearsay.Count(m.Info.Silent), State: m.State.String(),
 			Since: start.Add(m.Since), SuspectedBy: by, Twin: m.Twin, Linked: m.Linked, Watched: m.Watched})
 	}
 	return f, true
@@ -252,8 +252,8 @@
 	return handlers
 }
 
-// ErrOff is why there is no answer: what is asked for is off there.
-var ErrOff = errors.New("the agent keeps no view of its fleet: its operator's file has no [peers]")
+// ErrNoFleetView is why there is no answer: what is asked for is off there.
+var ErrNoFleetView = errors.New("the agent keeps no view of its fleet: its operator's file has no [peers]")
 
 // ReadFleet asks the door of a running agent; path is one of FleetHandlers' that are got.
 func ReadFleet(door, path string, into any) error {
@@ -267,7 +267,7 @@
 	case http.StatusOK:
 		return json.NewDecoder(io.LimitReader(resp.Body, 64<<20)).Decode(into)
 	case http.StatusNotFound:
-		return ErrOff
+		return ErrNoFleetView
 	}
 	return fmt.Errorf("the door answers %s", resp.Status)
 }
@@ -275,12 +275,12 @@
 // Print words the view for a person, by zone and machine.
 func (f *FleetView) Print(out io.Writer) {
 	settled := "settled"
-	if !f.Settled {
-		settled = "NOT settled: " + f.Why
+	if !f.Converged {
+		settled = "NOT settled: " + f.UnconvergedReason
 	}
-	fmt.Fprintf(out, "%s sees %d of %d, %s (view %s)\n", f.Self, f.Sees, f.Knows, settled, f.Digest)
-	if f.Doubts != "" {
-		fmt.Fprintln(out, "it doubts itself:", f.Doubts)
+	fmt.Fprintf(out, "%s sees %d of %d, %s (view %s)\n", f.Self, f.Reachable, f.Known, settled, f.Digest)
+	if f.SelfSuspicion != "" {
+		fmt.Fprintln(out, "it doubts itself:", f.SelfSuspicion)
 	}
 	list := slices.Clone(f.Members)
 	slices.SortFunc(list, func(a, b FleetMember) int {
@@ -293,8 +293,8 @@
 		if len(m.SuspectedBy) > 0 {
 			notes = append(notes, "not heard by "+strings.Join(m.SuspectedBy, ", "))
 		}
-		if m.Silent > 0 {
-			notes = append(notes, fmt.Sprintf("hears nothing of %d servers", m.Silent))
+		if m.UnresponsiveServers > 0 {
+			notes = append(notes, fmt.Sprintf("hears nothing of %d servers", m.UnresponsiveServers))
 		}
 		if m.Twin {
 			notes = append(notes, "TWO PROCESSES under this name")
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -21,8 +21,8 @@
 	}
 	sockets := a.sockets / part
 	a.transport.Bound(backendSockets(sockets))
-	for _, f := range a.fronts {
-		f.share(part)
+	for _, f := range a.frontEnds {
+		f.limitTo(part)
 	}
 	a.bodies.Bound(a.bodyBytes / int64(part))
 	a.log.Info("handover: bounds", "sockets", sockets)
@@ -30,18 +30,18 @@
 
 // State is what a second process is told; from now on Since tells what ids are noted.
 func (a *Agent) State() handover.State {
-	return handover.State{Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.life.Evacuated()}
+	return handover.State{Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.lifecycle.Evacuated()}
 }
 
 // HandOver leaves what comes to another process.
 func (a *Agent) HandOver() error {
 	a.log.Info("handover: another process takes over")
-	return a.life.HandOver()
+	return a.lifecycle.HandOver()
 }
 
 // TakeBack is for another process that has gone.
 func (a *Agent) TakeBack() {
-	a.life.TakeBack()
+	a.lifecycle.TakeBack()
 	a.log.Info("handover: the other process has gone")
 }
 
@@ -52,23 +52,23 @@
 func (a *Agent) Adopt(s handover.State) {
 	a.core.IDs().Restore(s.IDs, time.Now())
 	if s.Evacuated {
-		_ = a.life.Evacuate()
+		_ = a.lifecycle.Evacuate()
 	}
 }
 
-// Note takes over ids that the first process has noted since.
-func (a *Agent) Note(sums []uint64) { a.core.IDs().AddHashes(sums, time.Now()) }
+// RecordIDs takes over ids that the first process has noted since.
+func (a *Agent) RecordIDs(sums []uint64) { a.core.IDs().AddHashes(sums, time.Now()) }
 
-// Newer is the configuration with the first process's list in the place of the file's, which may be
+// WithEndpoints is the configuration with the first process's list in the place of the file's, which may be
 // old. Its version counts only where both ask the same roster.
-func Newer(c *config.Config, k core.EndpointSnapshot) *config.Config {
+func WithEndpoints(c *config.Config, k core.EndpointSnapshot) *config.Config {
 	if len(k.List.Servers) == 0 {
 		return c
 	}
 	next := *c
-	next.Known = k.List
+	next.InitialList = k.List
 	if k.Roster != c.Discovery {
-		next.Known.Seq = 0
+		next.InitialList.Seq = 0
 	}
 	return &next
 }
--- a/internal/process/agent/service_test.go
+++ b/internal/process/agent/service_test.go
@@ -59,7 +59,7 @@
 		return status
 	}
 	awaits(t, "ready", func() bool { return ready() == 200 })
-	c := crowd.Start(addr, 16, a.Life().Accepts, "look", "send", "order")
+	c := crowd.Start(addr, 16, a.Lifecycle().Accepts, "look", "send", "order")
 	defer func() {
 		n := c.Stop()
 		if len(n.Lost) > 0 || n.Door > 0 || n.Other > 0 || n.Served < 1000 {
@@ -76,17 +76,17 @@
 			c.Hold(true)
 			awaits(t, "all wait", func() bool { return c.Asking() == 0 })
 		}
-		if err := a.Life().Evacuate(); err != nil {
+		if err := a.Lifecycle().Evacuate(); err != nil {
 			t.Fatal(err)
 		}
 		if got := ready(); got != 503 {
 			t.Fatalf("/ready answers %d in a drain", got)
 		}
 		if i%10 == 0 {
-			awaits(t, "all connections closed", func() bool { return a.fronts[0].frontEnd.(*httpfront.Front).Connections() == 0 })
+			awaits(t, "all connections closed", func() bool { return a.frontEnds[0].frontEnd.(*httpfront.Front).Connections() == 0 })
 			c.Hold(false)
 		}
-		if err := a.Life().Rejoin(); err != nil {
+		if err := a.Lifecycle().Rejoin(); err != nil {
 			t.Fatal(err)
 		}
 		if got := ready(); got != 200 {
@@ -109,7 +109,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		next, err := config.Next(now, path)
+		next, err := config.LoadUpdate(now, path)
 		if err == nil {
 			if err = a.Reload(next, operator.Default()); err == nil {
 				now = next
--- a/internal/process/agent/status.go
+++ b/internal/process/agent/status.go
@@ -33,12 +33,12 @@
 		until := g.keys.Until()
 		s.Certificate = &until
 	}
-	for _, site := range g.order {
+	for _, site := range g.siteOrder {
 		s.To = append(s.To, g.sites[site].link.Status()...)
 	}
-	if g.far != nil {
-		s.From = append(s.From, g.far.Status()...)
-		s.Draining = g.far.Draining()
+	if g.farEnd != nil {
+		s.From = append(s.From, g.farEnd.Status()...)
+		s.Draining = g.farEnd.Draining()
 	}
 	return s
 }
@@ -91,7 +91,7 @@
 			if p.Site != "" {
 				state += ", site " + p.Site + " at " + p.Address
 			}
-			fmt.Fprintf(out, "%-4s %s: %s; %s of at most %d\n", part.way, p.Name, state, counts(p.Crossings), p.Window)
+			fmt.Fprintf(out, "%-4s %s: %s; %s of at most %d\n", part.way, p.Name, state, formatCounts(p.Crossings), p.Window)
 			for _, l := range p.Links {
 				flags := ""
 				if l.Stalled {
@@ -116,8 +116,8 @@
 	}
 }
 
-// counts words numbers by their names.
-func counts(m map[string]int) string {
+// formatCounts words numbers by their names.
+func formatCounts(m map[string]int) string {
 	var parts []string
 	for name, n := range m {
 		parts = append(parts, fmt.Sprintf("%d %s", n, name))
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -26,48 +26,48 @@
 	"molepaddle/internal/protocol/roster"
 )
 
-// workPart is the agent's part in taking machines out for work: what it leaves alone, and its seat. What
+// maintenance is the agent's part in taking machines out for work: what it leaves alone, and its seat. What
 // stands below seat belongs to the goroutine that beats.
-type workPart struct {
-	a    *Agent
+type maintenance struct {
+	agent    *Agent
 	set  *operator.Work
 	seat *seat.Seat
-	ours *orders.Agent
+	exclusions *orders.Agent
 	ctx  context.Context // ends the seat
 	end  context.CancelFunc
-	// of is which machine a server is on, by its host's address. It does not change.
-	of map[cluster.Addr]string
+	// machineOf is which machine a server is on, by its host's address. It does not change.
+	machineOf map[cluster.Addr]string
 
-	running sync.Once
+	runOnce sync.Once
 	peers   *peers.Peers
-	alone   []cluster.Addr
-	said    string // why the last list was not acknowledged
-	left    bool   // the agent has evacuated because its machine is to be left
+	excluded   []cluster.Addr
+	lastReason    string // why the last list was not acknowledged
+	evacuated    bool   // the agent has evacuated because its machine is to be left
 	periods int
-	asked   int64
-	at      time.Time
+	lastCount   int64
+	lastMeasured      time.Time
 	rate    float64
-	look    hearsay.Reporter
-	peak    work.Peak // the seat's
+	reporter    hearsay.Reporter
+	peakRate    work.Peak // the seat's
 }
 
-// rateOver is the periods over which the rate of requests is taken.
-const rateOver = 10
+// ratePeriods is the periods over which the rate of requests is taken.
+const ratePeriods = 10
 
-func newWork(a *Agent, w *operator.Work, p *operator.Peers) *workPart {
-	part := &workPart{a: a, set: w, of: map[cluster.Addr]string{}, at: time.Now()}
+func newMaintenance(a *Agent, w *operator.Work, p *operator.Peers) *maintenance {
+	part := &maintenance{agent: a, set: w, machineOf: map[cluster.Addr]string{}, lastMeasured: time.Now()}
 	part.ctx, part.end = context.WithCancel(context.Background())
-	part.ours, _ = orders.New(p.Machine, w.Places()) // validated with the file
-	for _, place := range w.Places() {
+	part.exclusions, _ = orders.New(p.Machine, w.MachineServers()) // validated with the file
+	for _, place := range w.MachineServers() {
 		for _, s := range place.Servers {
-			part.of[s] = place.Name
+			part.machineOf[s] = place.Name
 		}
 	}
 	return part
 }
 
-// sit makes the seat.
-func (w *workPart) sit(p *peers.Peers, seed uint64, log *slog.Logger) (err error) {
+// openSeat makes the seat.
+func (w *maintenance) openSeat(p *peers.Peers, seed uint64, log *slog.Logger) (err error) {
 	w.peers = p
 	w.seat, err = seat.New(seat.Options{
 		Name:         p.Name(),
@@ -77,14 +77,14 @@
 		Tick:         p.Period() / 5,
 		Seed:         seed ^ uint64(time.Now().UnixNano()),
 		Fleet:        p,
-		Sight:        w.sight,
+		Sight:        w.observe,
 		Log:          log,
 	})
 	return err
 }
 
-// LeaveAlone has an agent leave servers alone, by their hosts, as the council's word does; tests say it themselves.
-func (a *Agent) LeaveAlone(hosts ...string) {
+// ExcludeServers has an agent leave servers alone, by their hosts, as the council's word does; tests say it themselves.
+func (a *Agent) ExcludeServers(hosts ...string) {
 	var servers []cluster.Addr
 	for _, h := range hosts {
 		servers = append(servers, roster.AddrOf(h))
@@ -94,47 +94,47 @@
 
 // run runs the seat until stop, which waits for it. Another run than the first does nothing, nor does
 // one after stop.
-func (w *workPart) run() { w.running.Do(func() { w.seat.Run(w.ctx) }) }
+func (w *maintenance) run() { w.runOnce.Do(func() { w.seat.Run(w.ctx) }) }
 
-func (w *workPart) stop() {
+func (w *maintenance) stop() {
 	w.end()
 	w.run()
 }
 
-func (w *workPart) hear(from members.ID, word peers.Word) { w.seat.Hear(from, word) }
+func (w *maintenance) receive(from members.ID, word peers.Word) { w.seat.Hear(from, word) }
 
 // heartbeat is once a period: what the council has everybody do is done here, and said.
-func (w *workPart) heartbeat() {
+func (w *maintenance) heartbeat() {
 	view, _ := w.peers.View()
-	if w.ours.Update(orders.PublishedLists(&view)) {
-		w.a.log.Info("work: left alone by the council's word", "machines", w.ours.ExcludedMachines())
+	if w.exclusions.Update(orders.PublishedLists(&view)) {
+		w.agent.log.Info("work: left alone by the council's word", "machines", w.exclusions.ExcludedMachines())
 	}
-	known := w.a.core.Endpoints()
-	v := w.ours.Apply(known.List.Servers)
-	if !slices.Equal(v.Servers, w.alone) {
-		w.alone = v.Servers
-		w.a.core.Exclude(v.Servers) // in force when it returns
+	known := w.agent.core.Endpoints()
+	v := w.exclusions.Apply(known.List.Servers)
+	if !slices.Equal(v.Servers, w.excluded) {
+		w.excluded = v.Servers
+		w.agent.core.Exclude(v.Servers) // in force when it returns
 	}
-	if v.Reason != w.said {
-		if w.said = v.Reason; v.Reason != "" {
-			w.a.log.Warn("work: this agent does not do all that the council says", "why", v.Reason)
+	if v.Reason != w.lastReason {
+		if w.lastReason = v.Reason; v.Reason != "" {
+			w.agent.log.Warn("work: this agent does not do all that the council says", "why", v.Reason)
 		}
 	}
-	switch leaves := w.ours.OwnExcluded(); {
-	case leaves && !w.left && !w.a.life.Evacuated():
-		w.left = w.a.life.Evacuate() == nil
-		w.a.log.Info("work: this machine is to be left; clients are sent away")
-	case !leaves && w.left:
-		w.left = false
-		_ = w.a.life.Rejoin() // one that ends does not come back
-		w.a.log.Info("work: this machine is at work again")
+	switch leaves := w.exclusions.OwnExcluded(); {
+	case leaves && !w.evacuated && !w.agent.lifecycle.Evacuated():
+		w.evacuated = w.agent.lifecycle.Evacuate() == nil
+		w.agent.log.Info("work: this machine is to be left; clients are sent away")
+	case !leaves && w.evacuated:
+		w.evacuated = false
+		_ = w.agent.lifecycle.Rejoin() // one that ends does not come back
+		w.agent.log.Info("work: this machine is at work again")
 	}
-	if w.periods++; w.periods%rateOver == 0 {
-		asked, now := w.a.core.RequestCount(), time.Now()
-		w.rate = coarse(float64(asked-w.asked) / now.Sub(w.at).Seconds())
-		w.asked, w.at = asked, now
+	if w.periods++; w.periods%ratePeriods == 0 {
+		asked, now := w.agent.core.RequestCount(), time.Now()
+		w.rate = roundRate(float64(asked-w.lastCount) / now.Sub(w.lastMeasured).Seconds())
+		w.lastCount, w.lastMeasured = asked, now
 	}
-	rate, silent := w.rate, w.look.Report(known.Unresponsive, view.SelfSuspicion != "")
+	rate, silent := w.rate, w.reporter.Report(known.Unresponsive, view.SelfSuspicion != "")
 	w.peers.Set(func(i *members.Info) {
 		i.Rate, i.Silent = rate, silent
 		if v.Version != 0 {
@@ -143,9 +143,9 @@
 	})
 }
 
-// coarse is a rate to the nearest eighth of its power of two, so that the fleet hears of changes that
+// roundRate is a rate to the nearest eighth of its power of two, so that the fleet hears of changes that
 // matter; under one in ten seconds it is none.
-func coarse(rate float64) float64 {
+func roundRate(rate float64) float64 {
 	if rate < 0.1 {
 		return 0
 	}
@@ -153,16 +153,16 @@
 	return math.Round(rate/step) * step
 }
 
-// sight is what the agent sees of servers and needs, for the member that leads.
-func (w *workPart) sight(view members.View) work.Observation {
+// observe is what the agent sees of servers and needs, for the member that leads.
+func (w *maintenance) observe(view members.View) work.Observation {
 	s := work.Observation{Bounds: w.set.Bounds()}
 	for _, m := range w.set.Machines {
 		s.Specs = append(s.Specs, work.MachineSpec{Name: m.Name, Zone: m.Zone, Kind: m.Kind, Capacity: m.Capacity})
 	}
-	known, heard := w.a.core.Endpoints(), hearsay.Collect(&view)
+	known, heard := w.agent.core.Endpoints(), hearsay.Collect(&view)
 	now := float64(time.Now().UnixMilli())
 	for _, v := range known.List.Servers {
-		machine := w.of[v.Server]
+		machine := w.machineOf[v.Server]
 		if machine == "" {
 			continue
 		}
@@ -187,18 +187,18 @@
 		total += n.Amount
 	}
 	if w.set.Measured {
-		if more := w.peak.Add(time.Now().Unix(), work.RequestRate(&view)) - total; more > 0 {
+		if more := w.peakRate.Add(time.Now().Unix(), work.RequestRate(&view)) - total; more > 0 {
 			s.Needs = append(s.Needs, work.Need{Class: "measured", Amount: more})
 		}
 	}
 	return s
 }
 
-// answerWithin is how long a call at the door waits for the council; the caller makes it again.
-const answerWithin = 1500 * time.Millisecond
+// councilTimeout is how long a call at the door waits for the council; the caller makes it again.
+const councilTimeout = 1500 * time.Millisecond
 
 // serve answers a call at the operators' door.
-func (w *workPart) serve(rw http.ResponseWriter, r *http.Request) {
+func (w *maintenance) serve(rw http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(io.LimitReader(r.Body, 64<<10))
 	var c seat.Call
 	if err == nil {
@@ -211,15 +211,15 @@
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), councilTimeout)
 	defer cancel()
 	rw.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(rw).Encode(w.seat.Call(ctx, c))
 }
 
-// AskWork makes a call at the door of an agent, under one token until the context ends or something has
+// CallWork makes a call at the door of an agent, under one token until the context ends or something has
 // come of it. A seat.Declined says why it was turned down; after any other error it may have counted, or may yet.
-func AskWork(ctx context.Context, door string, c seat.Call) (*seat.Report, error) {
+func CallWork(ctx context.Context, door string, c seat.Call) (*seat.Report, error) {
 	text, err := json.Marshal(&c)
 	if err != nil {
 		return nil, err
@@ -228,7 +228,7 @@
 	defer again.Stop()
 	var last error // the council's word, which says more than a door that is asked too late
 	for {
-		a, err := askOnce(ctx, door, text)
+		a, err := callOnce(ctx, door, text)
 		if err == nil && a.Error == "" {
 			return a.Report, nil
 		}
@@ -238,7 +238,7 @@
 			}
 			err = errors.New(a.Error)
 			last = err
-		} else if !errors.Is(err, errDoor) {
+		} else if !errors.Is(err, errUnreachable) {
 			return nil, err
 		}
 		select {
@@ -249,10 +249,10 @@
 	}
 }
 
-// errDoor is wrapped where nobody answers at a door.
-var errDoor = errors.New("the door does not answer")
+// errUnreachable is wrapped where nobody answers at a door.
+var errUnreachable = errors.New("the door does not answer")
 
-func askOnce(ctx context.Context, door string, text []byte) (a seat.Answer, err error) {
+func callOnce(ctx context.Context, door string, text []byte) (a seat.Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+door+"/api/work", bytes.NewReader(text))
@@ -261,7 +261,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return a, fmt.Errorf("%w: %w", errDoor, err)
+		return a, fmt.Errorf("%w: %w", errUnreachable, err)
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -36,31 +36,31 @@
 	Seed      uint64
 	Limits    Limits
 	Settings  settings.Settings
-	Words     roster.Words   // of lists
+	RosterNames     roster.Words   // of lists
 	Classes   map[string]int // numbers of the classes names
 	Tenants   map[string]int
-	Known     cluster.List
+	InitialList     cluster.List
 	// Management is where operators connect; empty: nowhere.
 	Management string
 
 	keys any // the file's keys, as Next compares them
 }
 
-// manageVar is the variable that names the operators' address where the file does not.
-const manageVar = "EDGE_MANAGEMENT"
+// managementVar is the variable that names the operators' address where the file does not.
+const managementVar = "EDGE_MANAGEMENT"
 
 const (
-	// mostGiveUpMs and mostAttempts bound what a file that is read while the agent runs may say.
-	mostGiveUpMs, mostAttempts = 3600e3, 1000
+	// mostGiveUpMs and maxAttempts bound what a file that is read while the agent runs may say.
+	maxClientTimeoutMs, maxAttempts = 3600e3, 1000
 )
 
-// Next reads and validates the file at path, which is to follow old while the agent runs. It is
+// LoadUpdate reads and validates the file at path, which is to follow old while the agent runs. It is
 // turned down whole if it lacks a key that old's had (but for "known"), or one of its deadlines or
 // its number of attempts is not above 0. The error names the file and the key.
-func Next(old *Config, path string) (*Config, error) {
+func LoadUpdate(old *Config, path string) (*Config, error) {
 	c, err := Load(path)
 	if err == nil {
-		err = c.follows(old)
+		err = c.checkUpdate(old)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -68,24 +68,24 @@
 	return c, nil
 }
 
-func (c *Config) follows(old *Config) error {
-	if key := missing(old.keys, c.keys); key != "" {
+func (c *Config) checkUpdate(old *Config) error {
+	if key := missingKey(old.keys, c.keys); key != "" {
 		return fmt.Errorf("config: %s: missing", key)
 	}
-	if n := c.Settings.Limits.MaxAttempts; n < 1 || n > mostAttempts {
-		return fmt.Errorf("config: settings: limits.maxAttempts: must be from 1 to %d, is %d", mostAttempts, n)
+	if n := c.Settings.Limits.MaxAttempts; n < 1 || n > maxAttempts {
+		return fmt.Errorf("config: settings: limits.maxAttempts: must be from 1 to %d, is %d", maxAttempts, n)
 	}
 	for i, class := range c.Settings.Classes {
-		if class.ClientTimeoutMs > mostGiveUpMs {
-			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v", i, mostGiveUpMs, class.ClientTimeoutMs)
+		if class.ClientTimeoutMs > maxClientTimeoutMs {
+			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v", i, maxClientTimeoutMs, class.ClientTimeoutMs)
 		}
 	}
 	return nil
 }
 
-// missing names a key that old has and now lacks; empty: there is none. Of objects in a list each
+// missingKey names a key that old has and now lacks; empty: there is none. Of objects in a list each
 // has to have those that all of old's have.
-func missing(old, now any) string {
+func missingKey(old, now any) string {
 	switch old := old.(type) {
 	case map[string]any:
 		have, is := now.(map[string]any)
@@ -93,7 +93,7 @@
 			if _, has := have[key]; !is || !has {
 				return key
 			}
-			if below := missing(old[key], have[key]); below != "" {
+			if below := missingKey(old[key], have[key]); below != "" {
 				return key + "." + below
 			}
 		}
@@ -112,7 +112,7 @@
 			maps.DeleteFunc(common, func(key string, _ any) bool { _, has := other[key]; return !has })
 		}
 		for i, n := range have {
-			if below := missing(common, n); below != "" {
+			if below := missingKey(common, n); below != "" {
 				return fmt.Sprintf("[%d].%s", i, below)
 			}
 		}
@@ -165,9 +165,9 @@
 			return nil, fmt.Errorf("config: management: %w", err)
 		}
 		c.Management = *raw.Manage
-	} else if at := os.Getenv(manageVar); at != "" {
+	} else if at := os.Getenv(managementVar); at != "" {
 		if err := roster.CheckAddress(at); err != nil {
-			return nil, fmt.Errorf("%s: %w", manageVar, err)
+			return nil, fmt.Errorf("%s: %w", managementVar, err)
 		}
 		c.Management = at
 	}
@@ -206,7 +206,7 @@
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.Words = roster.Words{Sites: index(words.Sites), Kinds: index(words.Kinds)}
+	c.RosterNames = roster.Words{Sites: numberNames(words.Sites), Kinds: numberNames(words.Kinds)}
 	c.Classes, c.Tenants = map[string]int{}, map[string]int{}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
@@ -218,14 +218,14 @@
 		c.Tenants[tenant.Name] = i
 	}
 	if len(raw.Known) > 0 {
-		if c.Known, err = c.Words.Parse(raw.Known); err != nil {
+		if c.InitialList, err = c.RosterNames.Parse(raw.Known); err != nil {
 			return nil, fmt.Errorf("config: known: %w", err)
 		}
 	}
 	return c, nil
 }
 
-func index(words []string) map[string]int {
+func numberNames(words []string) map[string]int {
 	m := make(map[string]int, len(words))
 	for i, w := range words {
 		m[w] = i
--- a/internal/process/operator/fastcgi.go
+++ b/internal/process/operator/fastcgi.go
@@ -43,7 +43,7 @@
 	}
 	var all []netip.Prefix
 	for _, p := range f.Peers {
-		prefix, _ := prefixOf(p)
+		prefix, _ := parsePrefix(p)
 		all = append(all, prefix)
 	}
 	return func(ip net.IP) bool {
@@ -52,8 +52,8 @@
 	}
 }
 
-// prefixOf reads an address or a prefix.
-func prefixOf(text string) (netip.Prefix, error) {
+// parsePrefix reads an address or a prefix.
+func parsePrefix(text string) (netip.Prefix, error) {
 	if strings.Contains(text, "/") {
 		p, err := netip.ParsePrefix(text)
 		return p.Masked(), err
@@ -65,8 +65,8 @@
 	return addr.Prefix(addr.BitLen())
 }
 
-// named is an entry of Servers that names a zone or a kind of servers.
-func named(entry string) (what, name string, ok bool) {
+// parseServerGroup is an entry of Servers that names a zone or a kind of servers.
+func parseServerGroup(entry string) (what, name string, ok bool) {
 	what, name, ok = strings.Cut(entry, ":")
 	return what, name, ok && (what == "zone" || what == "kind") && name != ""
 }
@@ -81,7 +81,7 @@
 	var prefixes []netip.Prefix
 	all, unix, exact := false, false, map[string]bool{}
 	for i, s := range t.Servers {
-		if what, name, ok := named(s); ok {
+		if what, name, ok := parseServerGroup(s); ok {
 			numbers, into := zones, inZone
 			if what == "kind" {
 				numbers, into = kindsOf, ofKind
@@ -93,7 +93,7 @@
 			into[n] = true
 			continue
 		}
-		if p, err := prefixOf(s); err == nil {
+		if p, err := parsePrefix(s); err == nil {
 			prefixes = append(prefixes, p)
 			continue
 		}
@@ -144,7 +144,7 @@
 		}
 	}
 	for i, p := range f.Peers {
-		if _, err := prefixOf(p); err != nil {
+		if _, err := parsePrefix(p); err != nil {
 			return "peers[" + strconv.Itoa(i) + "]", fmt.Errorf("no address and no prefix: %q", p)
 		}
 	}
@@ -157,11 +157,11 @@
 		return "begins", fmt.Errorf("must be \"whole\" or \"params\", is %q", t.Begins)
 	}
 	for i, s := range t.Servers {
-		_, bad := prefixOf(s)
+		_, bad := parsePrefix(s)
 		if _, port, err := net.SplitHostPort(s); err == nil && port != "" {
 			bad = nil
 		}
-		if _, _, ok := named(s); ok {
+		if _, _, ok := parseServerGroup(s); ok {
 			bad = nil
 		}
 		if bad != nil && s != "all" && s != "unix" && !strings.HasPrefix(s, "unix:/") {
@@ -178,7 +178,7 @@
 }
 
 // on tells what is on.
-func (s *Settings) onFastCGI() (on []string) {
+func (s *Settings) describeFastCGI() (on []string) {
 	f, t := &s.Front.FastCGI, &s.Transport.FastCGI
 	for _, l := range f.Listen {
 		on = append(on, "web servers over FastCGI at "+l.String()+fmt.Sprintf(", %d connections of %d requests", f.Connections, f.Requests))
--- a/internal/process/operator/fastcgi_test.go
+++ b/internal/process/operator/fastcgi_test.go
@@ -54,13 +54,13 @@
 			t.Errorf("%s: %v", ip, !want)
 		}
 	}
-	on := strings.Join(s.On(), "\n")
+	on := strings.Join(s.Describe(), "\n")
 	for _, want := range []string{"127.0.0.1:9000, 8 connections of 16", "Unix socket /run/m.sock", "only from 10.0.0.7", "may have run"} {
 		if !strings.Contains(on, want) {
 			t.Errorf("%q is not said:\n%s", want, on)
 		}
 	}
-	if d := Default(); d.Front.FastCGI.On() || len(d.Transport.FastCGI.Servers) > 0 || d.Front.FastCGI.Allowed() != nil || len(d.On()) > 0 {
+	if d := Default(); d.Front.FastCGI.On() || len(d.Transport.FastCGI.Servers) > 0 || d.Front.FastCGI.Allowed() != nil || len(d.Describe()) > 0 {
 		t.Error("on without a word")
 	}
 	for text, want := range map[string]string{
--- a/internal/process/operator/gateway.go
+++ b/internal/process/operator/gateway.go
@@ -28,11 +28,11 @@
 	Crossings  int      `toml:"crossings"`      // out to one far gateway, and taken of one near one
 	Window     int      `toml:"window"`         // out to one of which nothing is known yet
 	Law        string   `toml:"law"`            // that moves the window: see package limit
-	Least      int      `toml:"least"`          // crossings that the law leaves
+	MinWindow      int      `toml:"least"`          // crossings that the law leaves
 	BytesMB    int      `toml:"bytes_mb"`       // of bodies held by the far end
-	Conns      int      `toml:"connections"`    // that the far end takes at once
-	Greetings  float64  `toml:"greetings"`      // a second, that the far end takes
-	Beat       Duration `toml:"beat"`           // between two beats of a link
+	Connections      int      `toml:"connections"`    // that the far end takes at once
+	HandshakeRate  float64  `toml:"greetings"`      // a second, that the far end takes
+	HeartbeatInterval       Duration `toml:"beat"`           // between two beats of a link
 	StallAfter Duration `toml:"stall_after"`    // of silence a link counts as stalled
 	DeadAfter  Duration `toml:"dead_after"`     // and is closed
 	RedialMin  Duration `toml:"redial_min"`     // before a link is dialled again
@@ -45,7 +45,7 @@
 // Class is what a class may count on of a link's window.
 type Class struct {
 	Name string  `toml:"name"`
-	Part float64 `toml:"part"`
+	Share float64 `toml:"part"`
 }
 
 // Site is a far site: the gateways that stand there.
@@ -72,7 +72,7 @@
 }
 
 func defaultGateway() Gateway {
-	return Gateway{Links: 2, Crossings: 1024, Window: 64, Law: limit.Gradient, Least: 16, BytesMB: 16, Conns: 256, Greetings: 50, Beat: Duration(50 * time.Millisecond),
+	return Gateway{Links: 2, Crossings: 1024, Window: 64, Law: limit.Gradient, MinWindow: 16, BytesMB: 16, Connections: 256, HandshakeRate: 50, HeartbeatInterval: Duration(50 * time.Millisecond),
 		StallAfter: Duration(250 * time.Millisecond), DeadAfter: Duration(5 * time.Second),
 		RedialMin: Duration(100 * time.Millisecond), RedialMax: Duration(5 * time.Second)}
 }
@@ -96,7 +96,7 @@
 // Limits are those of the window of one far gateway; classes are the deployment's, in its
 // order. Classes that the file does not name share evenly what the named ones leave.
 func (g *Gateway) Limits(classes []string) (limit.Options, error) {
-	o := limit.Options{Law: g.Law, InitialWindow: g.Window, MinWindow: g.Least, MaxWindow: g.Crossings}
+	o := limit.Options{Law: g.Law, InitialWindow: g.Window, MinWindow: g.MinWindow, MaxWindow: g.Crossings}
 	named, left := map[string]float64{}, 1.0
 	for i, c := range g.Classes {
 		if _, twice := named[c.Name]; twice || c.Name == "" {
@@ -105,11 +105,11 @@
 		if classes != nil && !slices.Contains(classes, c.Name) {
 			return o, fmt.Errorf("class[%d].name: no class %q", i, c.Name)
 		}
-		if !(c.Part >= 0 && c.Part <= 1) {
-			return o, fmt.Errorf("class[%d].part: must be from 0 to 1, is %v", i, c.Part)
+		if !(c.Share >= 0 && c.Share <= 1) {
+			return o, fmt.Errorf("class[%d].part: must be from 0 to 1, is %v", i, c.Share)
 		}
-		named[c.Name] = c.Part
-		if left -= c.Part; left < -1e-9 {
+		named[c.Name] = c.Share
+		if left -= c.Share; left < -1e-9 {
 			return o, fmt.Errorf("class[%d].part: the parts add up to more than 1", i)
 		}
 	}
@@ -143,8 +143,8 @@
 		key               string
 		value, least, top float64
 	}{
-		{"links", float64(g.Links), 1, 16}, {"crossings", float64(g.Crossings), 1, 65536}, {"window", float64(g.Window), 1, 65536}, {"least", float64(g.Least), 1, 65536}, {"bytes_mb", float64(g.BytesMB), 1, 4096},
-		{"connections", float64(g.Conns), 1, 65536}, {"greetings", g.Greetings, 0.1, 1e5},
+		{"links", float64(g.Links), 1, 16}, {"crossings", float64(g.Crossings), 1, 65536}, {"window", float64(g.Window), 1, 65536}, {"least", float64(g.MinWindow), 1, 65536}, {"bytes_mb", float64(g.BytesMB), 1, 4096},
+		{"connections", float64(g.Connections), 1, 65536}, {"greetings", g.HandshakeRate, 0.1, 1e5},
 	} {
 		if !(v.value >= v.least && v.value <= v.top) {
 			return "gateway." + v.key, fmt.Errorf("must be from %v to %v, is %v", v.least, v.top, v.value)
@@ -154,8 +154,8 @@
 		key               string
 		value, least, top time.Duration
 	}{
-		{"beat", time.Duration(g.Beat), time.Millisecond, 10 * time.Second},
-		{"stall_after", time.Duration(g.StallAfter), 3 * time.Duration(g.Beat), time.Minute},
+		{"beat", time.Duration(g.HeartbeatInterval), time.Millisecond, 10 * time.Second},
+		{"stall_after", time.Duration(g.StallAfter), 3 * time.Duration(g.HeartbeatInterval), time.Minute},
 		{"dead_after", time.Duration(g.DeadAfter), time.Duration(g.StallAfter), 10 * time.Minute},
 		{"redial_min", time.Duration(g.RedialMin), time.Millisecond, time.Minute},
 		{"redial_max", time.Duration(g.RedialMax), time.Duration(g.RedialMin), time.Hour},
@@ -232,8 +232,8 @@
 	return "", nil
 }
 
-// on tells what the table switches on.
-func (g *Gateway) on() (lines []string) {
+// describe tells what the table switches describe.
+func (g *Gateway) describe() (lines []string) {
 	if g.Listen != "" {
 		lines = append(lines, fmt.Sprintf("links of %s taken at %s as %s", strings.Join(g.Peers, ", "), g.Listen, g.Name))
 	}
--- a/internal/process/operator/operator.go
+++ b/internal/process/operator/operator.go
@@ -29,8 +29,8 @@
 	Unix    string `toml:"unix"`
 }
 
-// Where is the network and the address to listen at.
-func (l Listen) Where() (network, address string) {
+// NetworkAddress is the network and the address to listen at.
+func (l Listen) NetworkAddress() (network, address string) {
 	if l.Unix != "" {
 		return "unix", l.Unix
 	}
@@ -77,11 +77,11 @@
 	On          bool     `toml:"on"`
 	Agents      int      `toml:"agents"`      // how many there are; 0: as the platform tells
 	Connections float64  `toml:"connections"` // to one server, that agents hold whether busy or not
-	Least       int      `toml:"least"`       // servers that each agent keeps to
-	Most        int      `toml:"most"`        // and at the most while nothing is wrong
-	Connects    float64  `toml:"connects"`    // to one process that has just started
-	Questions   float64  `toml:"questions"`   // to the roster
-	Probes      float64  `toml:"probes"`      // to one server
+	MinServers       int      `toml:"least"`       // servers that each agent keeps to
+	MaxServers        int      `toml:"most"`        // and at the most while nothing is wrong
+	ConnectRate    float64  `toml:"connects"`    // to one process that has just started
+	PollRate   float64  `toml:"questions"`   // to the roster
+	ProbeRate      float64  `toml:"probes"`      // to one server
 	KeepIdle    Duration `toml:"keep_idle"`   // a connection to a server without use
 }
 
@@ -90,12 +90,12 @@
 	if !f.On {
 		return nil
 	}
-	return &fleet.Options{Agents: f.Agents, Connections: f.Connections, MinServers: f.Least, MaxServers: f.Most, ConnectRate: f.Connects, PollRate: f.Questions, ProbeRate: f.Probes}
+	return &fleet.Options{Agents: f.Agents, Connections: f.Connections, MinServers: f.MinServers, MaxServers: f.MaxServers, ConnectRate: f.ConnectRate, PollRate: f.PollRate, ProbeRate: f.ProbeRate}
 }
 
 func defaultFleet() Fleet {
 	o := fleet.Default()
-	return Fleet{Agents: o.Agents, Connections: o.Connections, Least: o.MinServers, Most: o.MaxServers, Connects: o.ConnectRate, Questions: o.PollRate, Probes: o.ProbeRate,
+	return Fleet{Agents: o.Agents, Connections: o.Connections, MinServers: o.MinServers, MaxServers: o.MaxServers, ConnectRate: o.ConnectRate, PollRate: o.PollRate, ProbeRate: o.ProbeRate,
 		KeepIdle: Duration(5 * time.Second)}
 }
 
@@ -223,20 +223,20 @@
 	return "", nil
 }
 
-// On tells, line by line, what the settings switch on or change.
-func (s *Settings) On() []string {
+// Describe tells, line by line, what the settings switch on or change.
+func (s *Settings) Describe() []string {
 	var on []string
 	d, h, t := Default(), s.Front.HTTP, s.Transport.HTTP
 	for _, l := range h.Listen {
 		on = append(on, "clients also at "+l.String())
 	}
-	on = append(on, s.onFastCGI()...)
-	on = append(on, s.Gateway.on()...)
-	on = append(on, s.Peers.on()...)
-	on = append(on, s.Work.on()...)
-	on = append(on, s.Promises.on()...)
+	on = append(on, s.describeFastCGI()...)
+	on = append(on, s.Gateway.describe()...)
+	on = append(on, s.Peers.describe()...)
+	on = append(on, s.Work.describe()...)
+	on = append(on, s.Promises.describe()...)
 	if f := s.Fleet; f.On {
-		on = append(on, fmt.Sprintf("one of very many agents: %v connections to a server, %d to %d servers each, %v connects and %v questions a second", f.Connections, f.Least, f.Most, f.Connects, f.Questions))
+		on = append(on, fmt.Sprintf("one of very many agents: %v connections to a server, %d to %d servers each, %v connects and %v questions a second", f.Connections, f.MinServers, f.MaxServers, f.ConnectRate, f.PollRate))
 	}
 	for _, v := range []struct {
 		what     string
--- a/internal/process/operator/operator_test.go
+++ b/internal/process/operator/operator_test.go
@@ -15,10 +15,10 @@
 
 func TestNoFileAndAnEmptyOneAreTheDefaults(t *testing.T) {
 	s, err := Load("")
-	if err != nil || len(s.On()) != 0 {
+	if err != nil || len(s.Describe()) != 0 {
 		t.Fatalf("%v, %v", s, err)
 	}
-	if s, err = Parse("f", nil); err != nil || len(s.On()) != 0 {
+	if s, err = Parse("f", nil); err != nil || len(s.Describe()) != 0 {
 		t.Fatalf("%v, %v", s, err)
 	}
 }
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if on := s.On(); len(on) != 0 {
+	if on := s.Describe(); len(on) != 0 {
 		t.Fatalf("the shipped file switches on %q", on)
 	}
 }
@@ -59,7 +59,7 @@
 		time.Duration(s.Front.HTTP.BodyWithin) != 2*time.Second {
 		t.Fatalf("%+v", s)
 	}
-	if on := s.On(); len(on) != 4 {
+	if on := s.Describe(); len(on) != 4 {
 		t.Fatalf("on: %q", on)
 	}
 }
--- a/internal/process/operator/peers.go
+++ b/internal/process/operator/peers.go
@@ -44,22 +44,22 @@
 // On tells whether the agent keeps a view.
 func (p *Peers) On() bool { return p.Listen != "" }
 
-// Reach is where others reach it.
-func (p *Peers) Reach() string {
+// AdvertisedAddress is where others reach it.
+func (p *Peers) AdvertisedAddress() string {
 	if p.Advertise != "" {
 		return p.Advertise
 	}
 	return p.Listen
 }
 
-// maxWord bounds the words that go into each agent's view, in bytes.
-const maxWord = 64
+// maxLabel bounds the words that go into each agent's view, in bytes.
+const maxLabel = 64
 
-// plainWord tells whether a text can be shown in a table.
-func plainWord(text string) error {
-	if text == "" || len(text) > maxWord || strings.ContainsFunc(text,
+// checkLabel tells whether a text can be shown in a table.
+func checkLabel(text string) error {
+	if text == "" || len(text) > maxLabel || strings.ContainsFunc(text,
 		func(r rune) bool { return r <= ' ' || r == 0x7f }) {
-		return fmt.Errorf("missing, over %d bytes, or no plain word", maxWord)
+		return fmt.Errorf("missing, over %d bytes, or no plain word", maxLabel)
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 		return "", nil
 	}
 	for _, w := range []struct{ key, text string }{{"name", p.Name}, {"machine", p.Machine}, {"zone", p.Zone}} {
-		if err := plainWord(w.text); err != nil {
+		if err := checkLabel(w.text); err != nil {
 			return w.key, err
 		}
 	}
@@ -106,15 +106,15 @@
 	case len(p.Seeds) > 64:
 		return "seed", fmt.Errorf("at most 64, are %d", len(p.Seeds))
 	}
-	addresses := []struct{ key, at string }{{"listen", p.Listen}, {"advertise", p.Reach()}}
+	addresses := []struct{ key, at string }{{"listen", p.Listen}, {"advertise", p.AdvertisedAddress()}}
 	for i, s := range p.Seeds {
-		if err := plainWord(s.Name); err != nil {
+		if err := checkLabel(s.Name); err != nil {
 			return fmt.Sprintf("seed[%d].name", i), err
 		}
 		addresses = append(addresses, struct{ key, at string }{fmt.Sprintf("seed[%d].address", i), s.Address})
 	}
 	for _, a := range addresses {
-		if _, port, err := net.SplitHostPort(a.at); err != nil || port == "" || len(a.at) > 2*maxWord {
+		if _, port, err := net.SplitHostPort(a.at); err != nil || port == "" || len(a.at) > 2*maxLabel {
 			return a.key, fmt.Errorf("no address with a port: %q", a.at)
 		}
 		if p.Plain && !loopback(a.at) {
@@ -124,8 +124,8 @@
 	return "", nil
 }
 
-// on tells what the table switches on.
-func (p *Peers) on() []string {
+// describe tells what the table switches describe.
+func (p *Peers) describe() []string {
 	if !p.On() {
 		return nil
 	}
--- a/internal/process/operator/peers_test.go
+++ b/internal/process/operator/peers_test.go
@@ -8,12 +8,12 @@
 func TestPeers(t *testing.T) {
 	good := "[peers]\nname = \"n0\"\nmachine = \"h0\"\nzone = \"a\"\nlisten = \"127.0.0.1:9450\"\nplain = true\n"
 	o, err := Parse("o.toml", []byte(good+"[[peers.seed]]\nname = \"n1\"\naddress = \"127.0.0.1:9451\"\n"))
-	if err != nil || !o.Peers.On() || o.Peers.Reach() != "127.0.0.1:9450" || !strings.Contains(strings.Join(o.On(), "\n"), "a view of the fleet as n0") {
+	if err != nil || !o.Peers.On() || o.Peers.AdvertisedAddress() != "127.0.0.1:9450" || !strings.Contains(strings.Join(o.Describe(), "\n"), "a view of the fleet as n0") {
 		t.Fatalf("%v; %+v", err, o)
 	}
 	work := good + "[work]\nfolder = \"/x\"\n[[work.machine]]\nname = \"h0\"\nzone = \"a\"\nservers = [\"s-1\"]\n[[work.need]]\namount = 3\n"
 	o, err = Parse("o.toml", []byte(work+"[promises]\non = true\ncopies = 2\nwithout = \"fewer\"\n"))
-	if err != nil || !o.Work.On() || !o.Promises.Fewer() || !strings.Contains(strings.Join(o.On(), "\n"), "may sit in a council of 3, in /x") || len(o.Work.Places()[0].Servers) != 1 {
+	if err != nil || !o.Work.On() || !o.Promises.AllowsFewer() || !strings.Contains(strings.Join(o.Describe(), "\n"), "may sit in a council of 3, in /x") || len(o.Work.MachineServers()[0].Servers) != 1 {
 		t.Fatalf("%v; %+v", err, o)
 	}
 	for text, want := range map[string]string{
--- a/internal/process/operator/promises.go
+++ b/internal/process/operator/promises.go
@@ -13,26 +13,26 @@
 type Promises struct {
 	On        bool     `toml:"on"`
 	Copies    int      `toml:"copies"`     // that hold what a far gateway here begins; 0: nothing is promised
-	Without   string   `toml:"without"`    // as many copies: refuse, or fewer
+	OnMissingCopies   string   `toml:"without"`    // as many copies: refuse, or fewer
 	Remember  Duration `toml:"remember"`   // longer than any order may be open
 	AnswersMB int      `toml:"answers_mb"` // held for others
 	Journal   string   `toml:"journal"`    // where what others began is kept: memory, or disk (in the folder of work)
 }
 
 func defaultPromises() Promises {
-	return Promises{Copies: 1, Without: "refuse", Remember: Duration(time.Minute), AnswersMB: 16, Journal: "memory"}
+	return Promises{Copies: 1, OnMissingCopies: "refuse", Remember: Duration(time.Minute), AnswersMB: 16, Journal: "memory"}
 }
 
-// Fewer tells whether fewer copies than wanted do.
-func (p *Promises) Fewer() bool { return p.Without == "fewer" }
+// AllowsFewer tells whether fewer copies than wanted do.
+func (p *Promises) AllowsFewer() bool { return p.OnMissingCopies == "fewer" }
 
 // validate reports the first key that makes no sense; folder is where the agent keeps what lasts.
 func (p *Promises) validate(work bool, folder string) (key string, err error) {
 	switch r := time.Duration(p.Remember); {
 	case p.Copies < 0 || p.Copies > promises.MaxReplicas:
 		return "copies", fmt.Errorf("must be from 0 to %d, is %d", promises.MaxReplicas, p.Copies)
-	case p.Without != "refuse" && p.Without != "fewer":
-		return "without", fmt.Errorf("must be \"refuse\" or \"fewer\", is %q", p.Without)
+	case p.OnMissingCopies != "refuse" && p.OnMissingCopies != "fewer":
+		return "without", fmt.Errorf("must be \"refuse\" or \"fewer\", is %q", p.OnMissingCopies)
 	case r < time.Second || r > 10*time.Minute:
 		return "remember", fmt.Errorf("must be from 1s to 10m, is %v", r)
 	case p.AnswersMB < 1 || p.AnswersMB > 1024:
@@ -47,12 +47,12 @@
 	return "", nil
 }
 
-// on tells what the table switches on.
-func (p *Promises) on() []string {
+// describe tells what the table switches describe.
+func (p *Promises) describe() []string {
 	if !p.On {
 		return nil
 	}
 	const text = "holds for other agents what they have begun (%s); " +
 		"as a far gateway it has %d copies, else it does with \"%s\""
-	return []string{fmt.Sprintf(text, p.Journal, p.Copies, p.Without)}
+	return []string{fmt.Sprintf(text, p.Journal, p.Copies, p.OnMissingCopies)}
 }
--- a/internal/process/operator/work.go
+++ b/internal/process/operator/work.go
@@ -22,8 +22,8 @@
 	KindShare    float64  `toml:"kind_share"`
 	AgentShare   float64  `toml:"agent_share"`
 	Gateways     float64  `toml:"gateways"`
-	PassedOver   int      `toml:"passed_over"` // how often others may go before one
-	Patience     Duration `toml:"patience"`    // that a permit waits for other agents' word
+	MaxOvertaken   int      `toml:"passed_over"` // how often others may go before one
+	AcknowledgeTimeout     Duration `toml:"patience"`    // that a permit waits for other agents' word
 	// Measured has the need be what the agents say that they take, as the peak of a day, where that is more;
 	// capacities are requests a second then.
 	Measured bool          `toml:"measured"`
@@ -50,7 +50,7 @@
 func defaultWork() Work {
 	b := work.DefaultBounds()
 	return Work{Seats: 3, ReplaceAfter: Duration(time.Minute), Reserve: b.Reserve, ZoneShare: b.ZoneShare, KindShare: b.KindShare, AgentShare: b.AgentShare,
-		Gateways: b.GatewayShare, PassedOver: b.MaxOvertaken, Patience: Duration(time.Duration(b.AcknowledgeTimeout) * time.Second)}
+		Gateways: b.GatewayShare, MaxOvertaken: b.MaxOvertaken, AcknowledgeTimeout: Duration(time.Duration(b.AcknowledgeTimeout) * time.Second)}
 }
 
 // On tells whether machines can be taken out.
@@ -59,11 +59,11 @@
 // Bounds are those of package work.
 func (w *Work) Bounds() work.Bounds {
 	return work.Bounds{Reserve: w.Reserve, ZoneShare: w.ZoneShare, KindShare: w.KindShare, AgentShare: w.AgentShare, GatewayShare: w.Gateways,
-		MaxOvertaken: w.PassedOver, AcknowledgeTimeout: int64(time.Duration(w.Patience) / time.Second)}
+		MaxOvertaken: w.MaxOvertaken, AcknowledgeTimeout: int64(time.Duration(w.AcknowledgeTimeout) / time.Second)}
 }
 
-// Places are the machines as package orders has them.
-func (w *Work) Places() (places []orders.MachineServers) {
+// MachineServers are the machines as package orders has them.
+func (w *Work) MachineServers() (places []orders.MachineServers) {
 	for _, m := range w.Machines {
 		p := orders.MachineServers{Name: m.Name}
 		for _, host := range m.Servers {
@@ -74,8 +74,8 @@
 	return places
 }
 
-// maxPlaces bounds machines and servers.
-const maxPlaces = 2000
+// maxMachines bounds machines and servers.
+const maxMachines = 2000
 
 // validate reports the first key that makes no sense.
 func (w *Work) validate(peers bool) (key string, err error) {
@@ -83,7 +83,7 @@
 	if key, err := b.Validate(); err != nil {
 		return key, err
 	}
-	if p := time.Duration(w.Patience); p%time.Second != 0 {
+	if p := time.Duration(w.AcknowledgeTimeout); p%time.Second != 0 {
 		return "patience", fmt.Errorf("must be whole seconds, is %v", p)
 	}
 	if r := time.Duration(w.ReplaceAfter); r < time.Second || r > 24*time.Hour {
@@ -104,16 +104,16 @@
 	if w.Folder != "" && !filepath.IsAbs(w.Folder) {
 		return "folder", fmt.Errorf("no absolute path: %q", w.Folder)
 	}
-	if len(w.Machines) > maxPlaces {
-		return "machine", fmt.Errorf("at most %d, are %d", maxPlaces, len(w.Machines))
+	if len(w.Machines) > maxMachines {
+		return "machine", fmt.Errorf("at most %d, are %d", maxMachines, len(w.Machines))
 	}
 	hosts, zones := map[string]string{}, map[string]bool{}
 	for i, m := range w.Machines {
 		at := fmt.Sprintf("machine[%d].", i)
-		if err := plainWord(m.Name); err != nil {
+		if err := checkLabel(m.Name); err != nil {
 			return at + "name", err
 		}
-		if err := plainWord(m.Zone); err != nil {
+		if err := checkLabel(m.Zone); err != nil {
 			return at + "zone", err
 		}
 		if !(m.Capacity >= 0 && m.Capacity < 1e9) {
@@ -130,10 +130,10 @@
 		}
 		zones[m.Zone] = true
 	}
-	if len(hosts) > 4*maxPlaces {
-		return "machine", fmt.Errorf("at most %d servers, are %d", 4*maxPlaces, len(hosts))
+	if len(hosts) > 4*maxMachines {
+		return "machine", fmt.Errorf("at most %d servers, are %d", 4*maxMachines, len(hosts))
 	}
-	if _, err := orders.New("", w.Places()); err != nil {
+	if _, err := orders.New("", w.MachineServers()); err != nil {
 		return "machine", err
 	}
 	for i, n := range w.Needs {
@@ -148,8 +148,8 @@
 	return "", nil
 }
 
-// on tells what the table switches on.
-func (w *Work) on() []string {
+// describe tells what the table switches describe.
+func (w *Work) describe() []string {
 	if !w.On() {
 		return nil
 	}
--- a/internal/rig/world/play.go
+++ b/internal/rig/world/play.go
@@ -163,21 +163,21 @@
 		})
 	case "evacuate":
 		if !p.gone && !p.leaves {
-			_ = p.agent.Life().Evacuate()
+			_ = p.agent.Lifecycle().Evacuate()
 			w.after(o.For, func() {
 				if !p.gone && !p.leaves {
-					_ = p.agent.Life().Rejoin()
+					_ = p.agent.Lifecycle().Rejoin()
 				}
 			})
 		}
 	case "alone": // by a council's word: one agent's at a time here, as each comes to hear it
 		if !p.gone {
-			p.agent.LeaveAlone(s.host)
+			p.agent.ExcludeServers(s.host)
 			w.check.leftAlone(p, s, true)
 			w.after(o.For, func() {
 				if !p.gone {
 					w.check.leftAlone(p, s, false)
-					p.agent.LeaveAlone()
+					p.agent.ExcludeServers()
 				}
 			})
 		}
@@ -214,7 +214,7 @@
 		if p.gone {
 			continue
 		}
-		if l := p.agent.Load(); l.Requests != 0 || l.Attempts != 0 || l.Taken != 0 || l.Bodies != 0 || l.Crossings != 0 {
+		if l := p.agent.Load(); l.Requests != 0 || l.Attempts != 0 || l.Taken != 0 || l.BodyBytes != 0 || l.Crossings != 0 {
 			w.check.breach("something is left over", "a%d: %+v", p.index, l)
 		}
 		p.terminate()
