--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -1,9 +1,9 @@
-// Package agent puts one agent together: the core, its front ends (a row each) and transport, the
-// roster's client. It shares out the descriptors and the memory among them, and decides
-// nothing else.
+// Package agent assembles one agent: the core, its front ends, the transport to servers, the registry client,
+// and, where the operator's file enables them, the gateway, the view of the fleet, maintenance and promises. It
+// divides the file descriptors and the memory among them and makes no other decision.
 //
-// Serve runs the core in a goroutine that outlives the front end, which ends first; what
-// Serve and Reload touch is theirs to share.
+// Serve runs the core in a goroutine that outlives the front ends. Reload may be called while Serve runs, but
+// by one goroutine at a time.
 package agent
 
 import (
@@ -33,10 +33,10 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// reservedSockets are kept for the roster, the listener and the runtime.
+// reservedSockets is the number of descriptors reserved for the registry client, the listener and the runtime.
 const reservedSockets = 16
 
-// availableSockets is what is left of the descriptors to clients and servers.
+// availableSockets returns the number of descriptors that remain for clients and servers.
 func availableSockets(c *config.Config) int {
 	if c.Management != "" {
 		return c.Limits.Sockets - management.Connections
@@ -44,79 +44,82 @@
 	return c.Limits.Sockets
 }
 
-// backendSockets is the part of the descriptors for connections to servers;
-// clientSockets that for clients', who hold a third of all at most for requests.
+// backendSockets returns the number of descriptors for connections to servers.
 func backendSockets(all int) int { return (all - reservedSockets) * 2 / 5 }
-func clientSockets(all int) int  { return all - reservedSockets - backendSockets(all) }
 
-// keepAliveSockets is how many of the clients' connections are kept between requests: half of
-// what the clients hold.
+// clientSockets returns the number of descriptors for clients' connections. Clients hold at most a third of all
+// descriptors for requests.
+func clientSockets(all int) int { return all - reservedSockets - backendSockets(all) }
+
+// keepAliveSockets returns how many clients' connections are kept open between requests. It is half of what
+// clients hold for requests.
 func keepAliveSockets(all int) int { return all / 6 }
 
-// maxOpenRequests is how many requests may be held at once, told to the module, which
-// refuses what is over it. The places left are for those that are told so.
+// maxOpenRequests returns how many requests may be open at once. The core refuses any request over this
+// number. The remaining client connections are there to carry those refusals.
 func maxOpenRequests(all int) int {
 	places := clientSockets(all)
 	return places - max(places/8, 8)
 }
 
-// Network opens the agent's own connections; the zero Network is the machine's.
+// Network provides the agent's connections and listeners. The zero value dials over the machine's network and
+// has no listeners.
 type Network struct {
-	// Dial opens one as net.Dialer.DialContext does.
+	// Dial opens a connection as net.Dialer.DialContext does.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Links is where links of near gateways come in; nil: nowhere.
+	// Links accepts the links of near gateways; nil: none.
 	Links net.Listener
-	// FastCGI is where web servers connect, as the operator's file says.
+	// FastCGI accepts the web servers' connections, one listener for each in the operator's file.
 	FastCGI []net.Listener
-	// Promises is a part that somebody else runs, in the place of the operator's file's, for a far end that promises
-	// without peers; tests bring one.
+	// Promises replaces the promise store that the operator's file configures. Its caller runs it. Tests use it for
+	// a far end that makes promises without peers.
 	Promises *promise.Part
 }
 
-// frontEnd is what an agent needs of one, whatever it speaks.
+// frontEnd accepts clients' requests over one protocol.
 type frontEnd interface {
-	// Serve answers on the listeners until the context ends, then finishes what it holds.
+	// Serve serves the listeners until the context ends, then completes the open requests.
 	Serve(ctx context.Context, listeners ...net.Listener) error
-	// Turn has requests that are read from now on read by another version of the settings.
+	// Turn applies another version of the settings to requests that are read from now on.
 	Turn(v intake.View)
-	// Taken is how many requests are taken and not yet answered.
+	// Taken returns the number of requests that were accepted and not yet answered.
 	Taken() int64
 	Close() error
 }
 
-// boundedFrontEnd is a front end with its part of what the agent has.
+// boundedFrontEnd is a front end with its share of the agent's resources.
 type boundedFrontEnd struct {
 	frontEnd
-	limitTo     func(part int) // keeps to one of so many parts of the agent's bounds
-	listeners []net.Listener // nil: those that Serve is given
+	limitTo   func(divisor int) // reduces its bounds to one of divisor equal parts of the agent's
+	listeners []net.Listener    // nil: the listeners passed to Serve
 }
 
-// NewDecider makes what decides for an agent in the place of policy.New.
+// NewDecider creates the decider of an agent in place of policy.New.
 type NewDecider func(set settings.Settings, seed uint64) (core.Decider, error)
 
-// Agent is one agent.
+// Agent is one running agent.
 type Agent struct {
 	core      *core.Core
-	frontEnds    []boundedFrontEnd // HTTP's first
+	frontEnds []boundedFrontEnd // HTTP is first
 	transport *transport.Transport
 	stop      context.CancelFunc
-	gate      *gatewayEnd         // nil: it is no end of links
-	fleet     *fleetNode    // nil: it keeps no view of its fleet
-	promises  *promise.Part // nil: it holds nothing for others
-	sockets   int           // that clients and servers share
-	bodyBytes int64         // that bodies may hold
+	gate      *gatewayEnd   // nil: the agent is not an end of links
+	fleet     *fleetNode    // nil: the agent keeps no view of its fleet
+	promises  *promise.Part // nil: the agent stores nothing for others
+	sockets   int           // descriptors that clients and servers share
+	bodyBytes int64         // memory limit for bodies
 	bodies    *window.Budget
-	isGateway   bool
-	lifecycle      *lifecycle.Machine
+	isGateway bool
+	lifecycle *lifecycle.Machine
 	log       *slog.Logger
-	table     *settings.Table   // Reload's
-	latest    settings.Settings // in force, as they were given
+	table     *settings.Table   // replaced by Reload
+	latest    settings.Settings // settings in force, as configured
 }
 
-// Lifecycle is what the agent's process is.
+// Lifecycle returns the lifecycle of the agent's process.
 func (a *Agent) Lifecycle() *lifecycle.Machine { return a.lifecycle }
 
-// Ready tells whether any server can be sent to; it does not wait.
+// Ready reports whether any server accepts requests. It does not block.
 func (a *Agent) Ready() bool {
 	if a.gate != nil {
 		return a.gate.Ready()
@@ -124,13 +127,12 @@
 	return a.core.Ready()
 }
 
-// New makes an agent, which is told the list of its configuration, and what the operator
-// switches on.
+// New returns an agent with the endpoint list of its configuration and the features that the operator enables.
 func New(c *config.Config, o *operator.Settings, network Network, log *slog.Logger) (*Agent, error) {
 	return NewWith(c, o, network, nil, log)
 }
 
-// NewWith makes an agent with other decisions than its own, as the lab does; nil: its own.
+// NewWith returns an agent that uses another decider, as the lab does. With a nil decide it equals New.
 func NewWith(c *config.Config, o *operator.Settings, network Network, decide NewDecider, log *slog.Logger) (*Agent, error) {
 	if network.Dial == nil {
 		network.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
@@ -140,7 +142,7 @@
 		connect = time.Second
 	}
 	sockets, web := availableSockets(c), &o.Front.FastCGI
-	more := 0 // requests that come over connections of several
+	more := 0 // requests over connections that carry several at once
 	if web.On() {
 		sockets -= web.Connections
 		more = web.Connections * web.Requests
@@ -190,7 +192,7 @@
 		NewDecider:  decide,
 		Fleet:       o.Fleet.Options(),
 		Settings:    table.Settings, Seed: c.Seed, InitialList: c.InitialList, MaxOpen: maxOpenRequests(sockets) + more,
-		// Room for all that can be under way at once: a front end must not wait there.
+		// Room for all concurrent requests: a front end must not block on the queue.
 		QueueLength: 4 * (sockets + more),
 		Transport:   servers,
 		RosterAddr:  c.Discovery,
@@ -237,14 +239,14 @@
 		Budget: bodies, Streams: !o.Gateway.On(), Log: log,
 		HeadWithin: time.Duration(o.Front.HTTP.HeadWithin), BodyWithin: time.Duration(o.Front.HTTP.BodyWithin),
 		KeepIdle: time.Duration(o.Front.HTTP.KeepIdle)})
-	a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: front, limitTo: func(part int) {
-		front.Bound(clientSockets(sockets/part), keepAliveSockets(sockets/part))
+	a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: front, limitTo: func(divisor int) {
+		front.Bound(clientSockets(sockets/divisor), keepAliveSockets(sockets/divisor))
 	}})
 	if web.On() {
 		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.lifecycle, Connections: web.Connections, Requests: web.Requests,
 			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log, HeadWithin: time.Duration(web.HeadWithin),
 			BodyWithin: time.Duration(web.BodyWithin), KeepIdle: time.Duration(web.KeepIdle)})
-		a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: fast, limitTo: func(part int) { fast.Bound(max(web.Connections/part, 1)) }, listeners: network.FastCGI})
+		a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: fast, limitTo: func(divisor int) { fast.Bound(max(web.Connections/divisor, 1)) }, listeners: network.FastCGI})
 	}
 	if a.fleet, err = newFleet(a, c, o, log); err != nil {
 		stop()
@@ -255,13 +257,14 @@
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// Reload takes what may change while the agent runs from a new configuration, validated: the
-// settings, the address of the roster, the gateway's routes and certificates. An error changes
-// nothing of what it is about. It is called by one goroutine.
+// Reload applies the parts of a validated configuration that may change while the agent runs: the settings, the
+// address of the registry, the gateway's routes and the certificates. On an error the part that it names stays
+// unchanged. Only one goroutine may call Reload.
 func (a *Agent) Reload(c *config.Config, o *operator.Settings) error {
 	if !reflect.DeepEqual(c.Settings, a.latest) {
 		if a.isGateway {
-			return errors.New("config: settings: a gateway takes others at a restart only, as its far sites would not know them")
+			return errors.New(
+				"config: settings: a gateway changes them only at a restart, as its far sites would not know the new ones")
 		}
 		next, err := a.table.Next(c.Settings, time.Now())
 		if err != nil {
@@ -274,7 +277,7 @@
 			f.Turn(intake.Of(next))
 		}
 		a.table, a.latest = next, c.Settings
-		a.log.Info("settings: changed", "version", next.Version, "classes", len(next.Classes))
+		a.log.Info("settings changed", "version", next.Version, "classes", len(next.Classes))
 	}
 	a.core.SwitchRoster(c.Discovery)
 	if a.fleet != nil && a.fleet.keys != nil {
@@ -288,7 +291,7 @@
 	return nil
 }
 
-// Serve answers on the listeners until the context ends, then finishes what it holds.
+// Serve serves the listeners until the context ends, then completes the open requests.
 func (a *Agent) Serve(ctx context.Context, listeners ...net.Listener) error {
 	defer a.transport.Close()
 	defer a.stop()
@@ -297,9 +300,9 @@
 		defer a.fleet.Leave()
 	}
 	if a.gate != nil {
-		defer a.gate.run(ctx)() // first: what it finishes it may have to promise
+		defer a.gate.run(ctx)() // runs before the fleet's Leave: requests that complete may still need promises
 	}
-	ctx, end := context.WithCancel(ctx) // one that fails ends the others
+	ctx, end := context.WithCancel(ctx) // a front end that fails ends the others
 	defer end()
 	ended := make(chan error, len(a.frontEnds))
 	for i, f := range a.frontEnds {
@@ -321,16 +324,16 @@
 	return err
 }
 
-// Load is what an agent holds.
+// Load counts an agent's open requests and its memory for bodies.
 type Load struct {
 	core.Load
-	Taken  int64 // requests that clients wait for
-	BodyBytes int64 // bytes of theirs
-	// Crossings are those offered and taken that have no verdict, at either end of links.
+	Taken     int64 // requests accepted and not yet answered
+	BodyBytes int64 // bytes of bodies in memory
+	// Crossings is the number of crossings offered or accepted that have no verdict yet, at either end of links.
 	Crossings int
 }
 
-// Load tells what the agent holds now.
+// Load returns the agent's current load.
 func (a *Agent) Load() Load {
 	l := Load{Load: a.core.Load(), BodyBytes: a.bodies.Used()}
 	for _, f := range a.frontEnds {
@@ -342,7 +345,7 @@
 	return l
 }
 
-// Close ends the agent at once, with all that it holds.
+// Close stops the agent at once and abandons its open requests.
 func (a *Agent) Close() error {
 	a.stop()
 	a.transport.Close()
--- a/internal/process/agent/fastcgi_bench_test.go
+++ b/internal/process/agent/fastcgi_bench_test.go
@@ -19,9 +19,8 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// BenchmarkFastCGI compares over loopback, in one run: HTTP to HTTP and FastCGI to FastCGI through the agent,
-// and the standard library's FastCGI server asked directly, with connections kept, one for each client or one
-// shared by all.
+// BenchmarkFastCGI compares, over loopback: HTTP to HTTP and FastCGI to FastCGI through the agent, and the standard
+// library's FastCGI server without an agent, over persistent connections, one per client or one shared by all.
 func BenchmarkFastCGI(b *testing.B) {
 	for _, size := range []int{300, 1 << 20} {
 		body := []byte(strings.Repeat("x", size))
@@ -106,7 +105,7 @@
 	}
 }
 
-// each has clients ask b.N times in all.
+// each lets the clients send b.N requests in total.
 func each(b *testing.B, clients int, ask func(client int) error) (took []time.Duration) {
 	var left atomic.Int64
 	left.Store(int64(b.N))
@@ -132,7 +131,7 @@
 	return took
 }
 
-// web is a web server's connection whose requests wait for their own answers.
+// web is a web server's connection that carries concurrent requests.
 type web struct {
 	*testkit.Web
 	mu   sync.Mutex
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -8,47 +8,47 @@
 	"molepaddle/internal/process/handover"
 )
 
-// What follows is the agent as handover.Source has it, and what a second process makes of it.
+// The methods below implement handover.Source, and restore its state in a second process.
 
-// Share has the agent keep to half of the descriptors and of the memory for bodies, or to all of
-// them again. What is over a bound already ends in its own time.
+// Share limits the agent to half of the descriptors and of the memory for bodies, or restores the full bounds.
+// Connections and bodies above a new bound are not cut off; they end as usual.
 func (a *Agent) Share(half bool) {
-	part := 1
+	divisor := 1
 	if half {
-		part = 2
+		divisor = 2
 	} else {
-		a.core.IDs().StopRecording() // nobody asks for them any more
+		a.core.IDs().StopRecording() // no successor reads them any more
 	}
-	sockets := a.sockets / part
+	sockets := a.sockets / divisor
 	a.transport.Bound(backendSockets(sockets))
 	for _, f := range a.frontEnds {
-		f.limitTo(part)
+		f.limitTo(divisor)
 	}
-	a.bodies.Bound(a.bodyBytes / int64(part))
+	a.bodies.Bound(a.bodyBytes / int64(divisor))
 	a.log.Info("handover: bounds", "sockets", sockets)
 }
 
-// State is what a second process is told; from now on Since tells what ids are noted.
+// State returns the state for a second process. From then on ids are recorded for Since.
 func (a *Agent) State() handover.State {
 	return handover.State{Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.lifecycle.Evacuated()}
 }
 
-// HandOver leaves what comes to another process.
+// HandOver stops accepting connections, as another process takes them over.
 func (a *Agent) HandOver() error {
-	a.log.Info("handover: another process takes over")
+	a.log.Info("handover: another process accepts connections from now on")
 	return a.lifecycle.HandOver()
 }
 
-// TakeBack is for another process that has gone.
+// TakeBack accepts connections again, as the other process has ended.
 func (a *Agent) TakeBack() {
 	a.lifecycle.TakeBack()
-	a.log.Info("handover: the other process has gone")
+	a.log.Info("handover: the other process has ended; this one accepts connections again")
 }
 
-// Since are the ids noted since State or Since was called last.
+// Since returns the hashes of ids recorded since the last call of State or Since.
 func (a *Agent) Since() []uint64 { return a.core.IDs().TakeRecorded() }
 
-// Adopt takes over what the first process knew, before the agent serves.
+// Adopt restores the first process's state. It is called before Serve.
 func (a *Agent) Adopt(s handover.State) {
 	a.core.IDs().Restore(s.IDs, time.Now())
 	if s.Evacuated {
@@ -56,11 +56,11 @@
 	}
 }
 
-// RecordIDs takes over ids that the first process has noted since.
+// RecordIDs adds the hashes of ids that the first process has recorded since its State.
 func (a *Agent) RecordIDs(sums []uint64) { a.core.IDs().AddHashes(sums, time.Now()) }
 
-// WithEndpoints is the configuration with the first process's list in the place of the file's, which may be
-// old. Its version counts only where both ask the same roster.
+// WithEndpoints returns the configuration with the first process's endpoint list in place of the file's, which may be
+// out of date. The list's version is kept only where both processes use the same registry.
 func WithEndpoints(c *config.Config, k core.EndpointSnapshot) *config.Config {
 	if len(k.List.Servers) == 0 {
 		return c
--- a/internal/process/agent/status.go
+++ b/internal/process/agent/status.go
@@ -12,16 +12,16 @@
 	"molepaddle/internal/protocol/gateway"
 )
 
-// LinkStatus is what a gateway holds of links, as its status socket tells it.
+// LinkStatus is the state of a gateway's links, as its status socket returns it.
 type LinkStatus struct {
 	Name        string               `json:"name"`
 	Draining    bool                 `json:"draining"`
 	Certificate *time.Time           `json:"certificate_ends,omitempty"`
 	To          []gateway.PeerStatus `json:"to"`   // far gateways
-	From        []gateway.PeerStatus `json:"from"` // near ones
+	From        []gateway.PeerStatus `json:"from"` // near gateways
 }
 
-// LinkStatus tells what the agent holds of links.
+// LinkStatus returns the state of the agent's links.
 func (a *Agent) LinkStatus() LinkStatus {
 	s := LinkStatus{To: []gateway.PeerStatus{}, From: []gateway.PeerStatus{}}
 	g := a.gate
@@ -43,8 +43,8 @@
 	return s
 }
 
-// ServeStatus writes the agent's LinkStatus as JSON to each that connects, one at a time,
-// until the listener is closed.
+// ServeStatus writes the agent's LinkStatus as JSON to each connection, one at a time, until the listener is
+// closed.
 func (a *Agent) ServeStatus(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -57,7 +57,7 @@
 	}
 }
 
-// ReadStatus asks the status socket of a running gateway.
+// ReadStatus reads the status of a running gateway from its Unix socket.
 func ReadStatus(socket string) (s LinkStatus, err error) {
 	c, err := net.DialTimeout("unix", socket, time.Second)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return s, err
 }
 
-// Print words the status for a person.
+// Print writes the status as text for a person.
 func (s *LinkStatus) Print(out io.Writer) {
 	fmt.Fprintf(out, "gateway %s", s.Name)
 	if s.Draining {
@@ -116,7 +116,7 @@
 	}
 }
 
-// formatCounts words numbers by their names.
+// formatCounts formats the numbers with their names, sorted as text.
 func formatCounts(m map[string]int) string {
 	var parts []string
 	for name, n := range m {
--- a/internal/process/operator/operator_test.go
+++ b/internal/process/operator/operator_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// A client may take 2 s for a head, and a bad one is owed an end within 3 s of its connecting.
+// The defaults allow a client 2 s for a request's head, and close a bad client's connection within 3 s.
 func TestDefaultsEndBadClientsSoon(t *testing.T) {
 	h := Default().Front.HTTP
 	if head, body := time.Duration(h.HeadWithin), time.Duration(h.BodyWithin); head < 2200*time.Millisecond || max(head, body) > 2700*time.Millisecond {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Whatever the file holds, reading it ends with settings within their bounds or one line.
+// Parsing any text returns valid settings or an error of one line.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"", "[front.http]\nhead_within = \"1s\"", "[[front.http.listen]]\nunix=\"\"", "a=1\na=2", "\x00", "x.y.z = [1, {a=2}]"} {
 		f.Add([]byte(text))
--- a/internal/process/operator/promises.go
+++ b/internal/process/operator/promises.go
@@ -8,25 +8,25 @@
 	"molepaddle/internal/decide/promises"
 )
 
-// Promises is the table of agents that hold for others what those have begun; see package promises. Far
-// gateways among them promise.
+// Promises is the table of agents that store replicas of the requests that far gateways have begun; see package
+// promises. An agent that is a far gateway makes promises itself.
 type Promises struct {
-	On        bool     `toml:"on"`
-	Copies    int      `toml:"copies"`     // that hold what a far gateway here begins; 0: nothing is promised
-	OnMissingCopies   string   `toml:"without"`    // as many copies: refuse, or fewer
-	Remember  Duration `toml:"remember"`   // longer than any order may be open
-	AnswersMB int      `toml:"answers_mb"` // held for others
-	Journal   string   `toml:"journal"`    // where what others began is kept: memory, or disk (in the folder of work)
+	On              bool     `toml:"on"`
+	Copies          int      `toml:"copies"`     // replicas of what a far gateway here begins; 0: it makes no promises
+	OnMissingCopies string   `toml:"without"`    // with too few replicas: refuse, or fewer
+	Remember        Duration `toml:"remember"`   // retention; at least twice as long as an order may be open
+	AnswersMB       int      `toml:"answers_mb"` // memory for answers stored for others, in MiB
+	Journal         string   `toml:"journal"`    // storage for others: memory, or disk (in the folder of work)
 }
 
 func defaultPromises() Promises {
 	return Promises{Copies: 1, OnMissingCopies: "refuse", Remember: Duration(time.Minute), AnswersMB: 16, Journal: "memory"}
 }
 
-// AllowsFewer tells whether fewer copies than wanted do.
+// AllowsFewer reports whether a promise may have fewer replicas than Copies.
 func (p *Promises) AllowsFewer() bool { return p.OnMissingCopies == "fewer" }
 
-// validate reports the first key that makes no sense; folder is where the agent keeps what lasts.
+// validate returns the first invalid key and its error; folder is the agent's persistent folder.
 func (p *Promises) validate(work bool, folder string) (key string, err error) {
 	switch r := time.Duration(p.Remember); {
 	case p.Copies < 0 || p.Copies > promises.MaxReplicas:
@@ -42,17 +42,17 @@
 	case p.On && p.Journal == "disk" && folder == "":
 		return "journal", errors.New("disk needs work.folder")
 	case p.On && !work:
-		return "on", errors.New("needs [work]: its council settles who holds for whom")
+		return "on", errors.New("needs [work]: its council assigns the holders")
 	}
 	return "", nil
 }
 
-// describe tells what the table switches describe.
+// describe returns the lines that Settings.Describe shows for the table.
 func (p *Promises) describe() []string {
 	if !p.On {
 		return nil
 	}
-	const text = "holds for other agents what they have begun (%s); " +
-		"as a far gateway it has %d copies, else it does with \"%s\""
+	const text = "stores requests that other agents have begun (%s); " +
+		"as a far gateway it keeps %d copies, and with too few of them: \"%s\""
 	return []string{fmt.Sprintf(text, p.Journal, p.Copies, p.OnMissingCopies)}
 }
