--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -103,7 +103,7 @@
 	frontEnds []boundedFrontEnd // HTTP is first
 	transport *transport.Transport
 	stop      context.CancelFunc
-	gate      *gatewayEnd   // nil: the agent is not an end of links
+	gatewayEnd      *gatewayEnd   // nil: the agent is not an end of links
 	fleet     *fleetNode    // nil: the agent keeps no view of its fleet
 	promises  *promise.Part // nil: the agent stores nothing for others
 	sockets   int           // descriptors that clients and servers share
@@ -121,8 +121,8 @@
 
 // Ready reports whether any server accepts requests. It does not block.
 func (a *Agent) Ready() bool {
-	if a.gate != nil {
-		return a.gate.Ready()
+	if a.gatewayEnd != nil {
+		return a.gatewayEnd.Ready()
 	}
 	return a.core.Ready()
 }
@@ -137,15 +137,15 @@
 	if network.Dial == nil {
 		network.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	connect := ms(c.Settings.Limits.ConnectTimeoutMs)
-	if connect <= 0 {
-		connect = time.Second
+	connectTimeout := ms(c.Settings.Limits.ConnectTimeoutMs)
+	if connectTimeout <= 0 {
+		connectTimeout = time.Second
 	}
 	sockets, web := availableSockets(c), &o.Front.FastCGI
-	more := 0 // requests over connections that carry several at once
+	multiplexed := 0 // requests over connections that carry several at once
 	if web.On() {
 		sockets -= web.Connections
-		more = web.Connections * web.Requests
+		multiplexed = web.Connections * web.Requests
 	}
 	if o.Peers.On() {
 		sockets -= o.Peers.Connections
@@ -160,40 +160,40 @@
 	if o.Fleet.On {
 		idle = min(idle, time.Duration(o.Fleet.KeepIdle))
 	}
-	spoken, err := o.Transport.FastCGI.Options(c.RosterNames.Sites, c.RosterNames.Kinds)
+	fastCGIOptions, err := o.Transport.FastCGI.Options(c.RosterNames.Sites, c.RosterNames.Kinds)
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	if spoken != nil {
-		spoken.Log = log
+	if fastCGIOptions != nil {
+		fastCGIOptions.Log = log
 	}
-	servers := transport.New(transport.Options{Dial: network.Dial, Timeout: connect,
+	servers := transport.New(transport.Options{Dial: network.Dial, Timeout: connectTimeout,
 		Idle: idle, Most: backendSockets(sockets),
-		Budget: bodies, FastCGI: spoken,
+		Budget: bodies, FastCGI: fastCGIOptions,
 		Settle: time.Duration(o.Transport.HTTP.Settle), Resting: o.Transport.HTTP.Resting})
 	var ids *core.IDs
 	if o.Gateway.On() {
 		ids = core.NewIDs(&c.Settings)
 	}
 	table := settings.NewTable(c.Settings)
-	var account func(*loss.Record)
+	var reportLoss func(*loss.Record)
 	if o.Log.Account {
-		account = func(r *loss.Record) {
+		reportLoss = func(r *loss.Record) {
 			if text, err := json.Marshal(r); err == nil { // values only
 				log.Info(loss.LogMessage, "record", string(text))
 			}
 		}
 	}
-	k, err := core.New(ctx, core.Options{
+	agentCore, err := core.New(ctx, core.Options{
 		IDs:         ids,
-		ReportLoss:  account,
+		ReportLoss:  reportLoss,
 		ZoneNumbers: c.RosterNames.Sites,
 		NewDecider:  decide,
 		Fleet:       o.Fleet.Options(),
-		Settings:    table.Settings, Seed: c.Seed, InitialList: c.InitialList, MaxOpen: maxOpenRequests(sockets) + more,
+		Settings:    table.Settings, Seed: c.Seed, InitialList: c.InitialList, MaxOpen: maxOpenRequests(sockets) + multiplexed,
 		// Room for all concurrent requests: a front end must not block on the queue.
-		QueueLength: 4 * (sockets + more),
+		QueueLength: 4 * (sockets + multiplexed),
 		Transport:   servers,
 		RosterAddr:  c.Discovery,
 		NewRoster: func(addr string, tell func(core.Update)) core.Roster {
@@ -205,8 +205,8 @@
 		stop()
 		return nil, err
 	}
-	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: k, stop: stop, transport: servers, table: table, latest: c.Settings, log: log, lifecycle: lifecycle.New(), isGateway: o.Gateway.On()}
-	var handler httpfront.Handler = k
+	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: agentCore, stop: stop, transport: servers, table: table, latest: c.Settings, log: log, lifecycle: lifecycle.New(), isGateway: o.Gateway.On()}
+	var handler httpfront.Handler = agentCore
 	if o.Promises.On {
 		if longest := core.MaxRequestDuration(&c.Settings); time.Duration(o.Promises.Remember) < 2*longest {
 			stop()
@@ -224,13 +224,13 @@
 		if a.promises != nil && o.Promises.Copies > 0 {
 			promised = a.promises
 		}
-		if a.gate, err = newGatewayEnd(ctx, c, &o.Gateway, network, k, ids, promised, log); err != nil {
+		if a.gatewayEnd, err = newGatewayEnd(ctx, c, &o.Gateway, network, agentCore, ids, promised, log); err != nil {
 			stop()
 			return nil, err
 		}
-		handler = a.gate
-		if network.Promises != nil && a.gate.farEnd != nil {
-			network.Promises.Promises(o.Gateway.Name, a.gate.farEnd.Incarnation(), a.gate.farEnd)
+		handler = a.gatewayEnd
+		if network.Promises != nil && a.gatewayEnd.farEnd != nil {
+			network.Promises.Promises(o.Gateway.Name, a.gatewayEnd.farEnd.Incarnation(), a.gatewayEnd.farEnd)
 		}
 	}
 	front := httpfront.New(handler, httpfront.Options{
@@ -285,8 +285,8 @@
 			return fmt.Errorf("operator: peers.keys: %w", err)
 		}
 	}
-	if a.gate != nil {
-		return a.gate.reload(c, &o.Gateway)
+	if a.gatewayEnd != nil {
+		return a.gatewayEnd.reload(c, &o.Gateway)
 	}
 	return nil
 }
@@ -299,8 +299,8 @@
 	if a.fleet != nil {
 		defer a.fleet.Leave()
 	}
-	if a.gate != nil {
-		defer a.gate.run(ctx)() // runs before the fleet's Leave: requests that complete may still need promises
+	if a.gatewayEnd != nil {
+		defer a.gatewayEnd.run(ctx)() // runs before the fleet's Leave: requests that complete may still need promises
 	}
 	ctx, end := context.WithCancel(ctx) // a front end that fails ends the others
 	defer end()
@@ -339,8 +339,8 @@
 	for _, f := range a.frontEnds {
 		l.Taken += f.Taken()
 	}
-	if a.gate != nil {
-		l.Crossings = a.gate.crossings()
+	if a.gatewayEnd != nil {
+		l.Crossings = a.gatewayEnd.crossings()
 	}
 	return l
 }
@@ -349,8 +349,8 @@
 func (a *Agent) Close() error {
 	a.stop()
 	a.transport.Close()
-	if a.gate != nil {
-		a.gate.close()
+	if a.gatewayEnd != nil {
+		a.gatewayEnd.close()
 	}
 	if a.fleet != nil {
 		a.fleet.Close()
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -66,8 +66,8 @@
 	return "http://" + ln.Addr().String(), stop, ended
 }
 
-// counted starts a backend that answers each request with status and sends its id to came.
-func counted(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
+// countingBackend starts a backend that answers each request with status and sends its id to came.
+func countingBackend(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
 	came = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		came <- r.Header.Get("Request-Id")
@@ -81,12 +81,12 @@
 	return s.Listener.Addr().String(), came
 }
 
-// nowhere is a registry address that is never asked: lists are pushed in these settings.
-const nowhere = "127.0.0.1:1"
+// unusedRegistry is a registry address that is never asked: lists are pushed in these settings.
+const unusedRegistry = "127.0.0.1:1"
 
-func TestServed(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	_, base, _, _ := start(t, testkit.Config(nowhere, addr))
+func TestRequestsAreServed(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, addr))
 	for _, class := range []string{"look", "send", "order"} {
 		if status, body, _ := testkit.Do(t, testkit.Call(base, class)); status != 200 || body != "done" {
 			t.Fatalf("%s: got %d %q", class, status, body)
@@ -118,10 +118,10 @@
 			var addrs []string
 			var came []chan string
 			for range 5 {
-				addr, ids := counted(t, c.status, c.notStarted)
+				addr, ids := countingBackend(t, c.status, c.notStarted)
 				addrs, came = append(addrs, addr), append(came, ids)
 			}
-			_, base, _, _ := start(t, testkit.Config(nowhere, addrs...))
+			_, base, _, _ := start(t, testkit.Config(unusedRegistry, addrs...))
 			status, _, head := testkit.Do(t, testkit.Call(base, c.class))
 			if status != c.answer {
 				t.Errorf("answered %d, want %d", status, c.answer)
@@ -142,13 +142,13 @@
 }
 
 // A truncated answer of a backend is not forwarded, not even in part.
-func TestBrokenAnswerFails(t *testing.T) {
+func TestTruncatedAnswerFails(t *testing.T) {
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := testkit.ReadRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone")
 		}
 	})
-	_, base, _, _ := start(t, testkit.Config(nowhere, addr))
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, addr))
 	if status, body, _ := testkit.Do(t, testkit.Call(base, "order")); status != http.StatusBadGateway || body != "" {
 		t.Fatalf("got %d %q", status, body)
 	}
@@ -156,7 +156,7 @@
 
 // Requests over the number of client connections are refused at once. Requests that waited for a connection would
 // be lost.
-func TestMoreRequestsThanPlaces(t *testing.T) {
+func TestMoreRequestsThanConnections(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -165,7 +165,7 @@
 	}))
 	t.Cleanup(s.Close)
 	t.Cleanup(open) // before the backend closes, also when the test fails
-	c := testkit.Config(nowhere, s.Listener.Addr().String())
+	c := testkit.Config(unusedRegistry, s.Listener.Addr().String())
 	c["limits"].(map[string]any)["sockets"] = config.MinSockets
 	_, base, _, _ := start(t, c)
 	const over = 20
@@ -214,7 +214,7 @@
 }
 
 // The attempt of a client that has disconnected is cancelled.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := testkit.ReadRequest(r); err != nil {
@@ -224,7 +224,7 @@
 		r.ReadByte()
 		close(ended)
 	})
-	_, base, _, _ := start(t, testkit.Config(nowhere, addr))
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, addr))
 	ctx, cancel := context.WithCancel(context.Background())
 	go testkit.Client.Do(testkit.Call(base, "order").WithContext(ctx))
 	<-got
@@ -234,9 +234,9 @@
 
 // A client disconnects while it receives an answer without Content-Length, from a server that has stopped sending.
 // The attempt ends with the client, not with the server's time-out.
-func TestClientGoneWithinAnAnswer(t *testing.T) {
+func TestClientDisconnectsDuringAnswer(t *testing.T) {
 	ended := make(chan struct{})
-	_, base, _, _ := start(t, testkit.Config(nowhere, testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
 		if _, err := testkit.ReadRequest(r); err != nil {
 			return
 		}
@@ -266,7 +266,7 @@
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
 // After a watch of the registry ends, the next one is started.
-func TestWatchIsAskedAgain(t *testing.T) {
+func TestEndedWatchIsRestarted(t *testing.T) {
 	asked := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
@@ -288,7 +288,7 @@
 
 // A server that starts draining while the agent connects to it gets no request; the request goes to another.
 func TestDrainWhileDialling(t *testing.T) {
-	good, came := counted(t, 200, false)
+	good, came := countingBackend(t, 200, false)
 	release := make(chan struct{})
 	lines := make(chan string, 1)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -343,7 +343,7 @@
 		<-release
 	}))
 	t.Cleanup(s.Close)
-	_, base, _, _ := start(t, testkit.Config(nowhere, s.Listener.Addr().String()))
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, s.Listener.Addr().String()))
 	first, again := testkit.Call(base, "order"), testkit.Call(base, "order")
 	again.Header.Set("Request-Id", first.Header.Get("Request-Id"))
 	served := make(chan int, 1)
@@ -367,9 +367,9 @@
 }
 
 // Clients are served at all listeners, and all listeners close with the agent.
-func TestMoreListeners(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	a, err := New(parse(t, testkit.Config(nowhere, addr)), operator.Default(), Network{}, slog.New(slog.DiscardHandler))
+func TestSeveralListeners(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	a, err := New(parse(t, testkit.Config(unusedRegistry, addr)), operator.Default(), Network{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/agent/fastcgi_bench_test.go
+++ b/internal/process/agent/fastcgi_bench_test.go
@@ -47,7 +47,7 @@
 			}
 			oper.Front.FastCGI.Listen = []operator.Listen{{Address: web.Addr().String()}}
 			oper.Front.FastCGI.Connections, oper.Front.FastCGI.Requests = 70, 64
-			c := testkit.Config(nowhere, server)
+			c := testkit.Config(unusedRegistry, server)
 			c["settings"].(map[string]any)["roundMs"] = 1
 			c["limits"].(map[string]any)["memory_mb"] = 512
 			a, err := New(parse(b, c), oper, Network{FastCGI: []net.Listener{web}}, slog.New(slog.DiscardHandler))
--- a/internal/process/agent/pairs_test.go
+++ b/internal/process/agent/pairs_test.go
@@ -22,13 +22,13 @@
 type fault struct {
 	name   string
 	status int    // status of the answer; 0: none
-	more   string // header lines of the answer
+	header   string // header lines of the answer
 	cut    int    // bytes missing from the end of the answer before the connection closes
 	silent bool   // the connection closes without an answer
 }
 
-// speak answers the requests of a connection, over FastCGI or HTTP, as do says for each id.
-func speak(conn net.Conn, r *bufio.Reader, fast bool, do func(id string) fault) {
+// serveFaults answers the requests of a connection, over FastCGI or HTTP, as do says for each id.
+func serveFaults(conn net.Conn, r *bufio.Reader, fast bool, do func(id string) fault) {
 	for {
 		id, out := "", []byte(nil)
 		if fast {
@@ -51,7 +51,7 @@
 		if f.silent {
 			return
 		}
-		head := fmt.Sprintf("%d %s\r\n%sContent-Length: 4\r\n\r\ndone", f.status, http.StatusText(f.status), f.more)
+		head := fmt.Sprintf("%d %s\r\n%sContent-Length: 4\r\n\r\ndone", f.status, http.StatusText(f.status), f.header)
 		if fast {
 			out = testkit.FastAnswer("Status: "+head, fcgi.End{})
 		} else {
@@ -63,8 +63,8 @@
 	}
 }
 
-// fastCall sends a request over FastCGI on a connection of its own and returns the HTTP status and body.
-func fastCall(addr, class, id string, body []byte) (status int, text string, err error) {
+// fastCGICall sends a request over FastCGI on a connection of its own and returns the HTTP status and body.
+func fastCGICall(addr, class, id string, body []byte) (status int, text string, err error) {
 	c, err := testkit.Dial("tcp", addr)
 	if err != nil {
 		return 0, "", err
@@ -91,7 +91,7 @@
 // is sent twice.
 func TestFaultsOverAllPairs(t *testing.T) {
 	faults := []fault{{name: "served", status: 200}, {name: "error", status: 500}, {name: "may have run", status: 503},
-		{name: "turned away", status: 503, more: "Not-Started: 1\r\n"}, {name: "closes", silent: true}}
+		{name: "turned away", status: 503, header: "Not-Started: 1\r\n"}, {name: "closes", silent: true}}
 	for cut := 1; cut < 40; cut += 5 {
 		faults = append(faults, fault{name: fmt.Sprint("cut by ", cut), status: 200, cut: cut})
 	}
@@ -109,7 +109,7 @@
 			var addrs []string
 			for range 5 {
 				addrs = append(addrs, testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
-					speak(conn, r, pair.out, func(id string) fault {
+					serveFaults(conn, r, pair.out, func(id string) fault {
 						mu.Lock()
 						defer mu.Unlock()
 						came[id]++
@@ -130,7 +130,7 @@
 				oper.Front.FastCGI.Listen = []operator.Listen{{Address: ln.Addr().String()}}
 				network.FastCGI = []net.Listener{ln}
 			}
-			a, err := New(parse(t, testkit.Config(nowhere, addrs...)), oper, network, slog.New(slog.DiscardHandler))
+			a, err := New(parse(t, testkit.Config(unusedRegistry, addrs...)), oper, network, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -143,7 +143,7 @@
 				if class != "look" {
 					body = []byte("body")
 				}
-				if got.status, got.text, err = fastCall(network.FastCGI[0].Addr().String(), class, id, body); err != nil {
+				if got.status, got.text, err = fastCGICall(network.FastCGI[0].Addr().String(), class, id, body); err != nil {
 					t.Fatalf("%s, %s: %v", f.name, class, err)
 				}
 			} else {
@@ -153,7 +153,7 @@
 			got.attempts = came[id]
 			mu.Unlock()
 			name := f.name + ", " + class
-			if class == "order" && got.attempts > 1 && f.more == "" {
+			if class == "order" && got.attempts > 1 && f.header == "" {
 				t.Errorf("%s: sent %d times", name, got.attempts)
 			}
 			if want, known := ends[name]; !known {
@@ -170,7 +170,7 @@
 }
 
 // A long answer of another length than its Content-Length ends as an error, also after its start was forwarded.
-func TestLongAnswerOfAnotherLength(t *testing.T) {
+func TestLongAnswerWithWrongLength(t *testing.T) {
 	for _, sent := range []int{90_000, 100_000, 110_000} {
 		addr := testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
 			if _, _, err := testkit.FastRequest(r); err != nil {
@@ -187,12 +187,12 @@
 		oper := operator.Default()
 		oper.Front.FastCGI.Listen = []operator.Listen{{Address: ln.Addr().String()}}
 		oper.Transport.FastCGI.Servers = []string{"all"}
-		a, err := New(parse(t, testkit.Config(nowhere, addr)), oper, Network{FastCGI: []net.Listener{ln}}, slog.New(slog.DiscardHandler))
+		a, err := New(parse(t, testkit.Config(unusedRegistry, addr)), oper, Network{FastCGI: []net.Listener{ln}}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		serveOn(t, a)
-		if status, text, err := fastCall(ln.Addr().String(), "order", "id1", nil); (err == nil) != (sent == 100_000) || err == nil && (status != 200 || len(text) != sent) {
+		if status, text, err := fastCGICall(ln.Addr().String(), "order", "id1", nil); (err == nil) != (sent == 100_000) || err == nil && (status != 200 || len(text) != sent) {
 			t.Errorf("%d sent: %d, %d bytes, %v", sent, status, len(text), err)
 		}
 	}
@@ -227,7 +227,7 @@
 		if fast {
 			oper.Transport.FastCGI.Servers = []string{"all"}
 		}
-		a, err := New(parse(t, testkit.Config(nowhere, addr)), oper, Network{FastCGI: []net.Listener{ln}}, slog.New(slog.DiscardHandler))
+		a, err := New(parse(t, testkit.Config(unusedRegistry, addr)), oper, Network{FastCGI: []net.Listener{ln}}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -77,8 +77,8 @@
 		},
 		Count: a.core.SetFleetSize,
 	}
-	if a.gate != nil {
-		po.Avoid = a.gate.avoid
+	if a.gatewayEnd != nil {
+		po.Avoid = a.gatewayEnd.avoid
 	}
 	for _, s := range p.Seeds {
 		po.Seeds = append(po.Seeds, peers.Seed(s))
@@ -112,8 +112,8 @@
 		}
 		if a.promises != nil {
 			a.promises.Bind(f.Peers, f.work.seat.Call, time.Duration(p.Period)/5)
-			if a.gate != nil && a.gate.farEnd != nil && o.Promises.Copies > 0 {
-				a.promises.Promises(o.Gateway.Name, a.gate.farEnd.Incarnation(), a.gate.farEnd)
+			if a.gatewayEnd != nil && a.gatewayEnd.farEnd != nil && o.Promises.Copies > 0 {
+				a.promises.Promises(o.Gateway.Name, a.gatewayEnd.farEnd.Incarnation(), a.gatewayEnd.farEnd)
 			}
 		}
 	}
@@ -256,9 +256,9 @@
 var ErrNoFleetView = errors.New("the agent keeps no view of its fleet: its operator's file has no [peers]")
 
 // ReadFleet reads from the management address of a running agent. path is a GET path of FleetHandlers.
-func ReadFleet(door, path string, into any) error {
+func ReadFleet(address, path string, into any) error {
 	client := http.Client{Timeout: 2 * time.Second}
-	resp, err := client.Get("http://" + door + path)
+	resp, err := client.Get("http://" + address + path)
 	if err != nil {
 		return err
 	}
@@ -325,7 +325,7 @@
 // AvoidGateways names the far gateways that get no new requests while another one is available, as the view of the
 // fleet does. Tests and operators' tools call it directly.
 func (a *Agent) AvoidGateways(names ...string) {
-	if a.gate != nil {
-		a.gate.avoid(names)
+	if a.gatewayEnd != nil {
+		a.gatewayEnd.avoid(names)
 	}
 }
--- a/internal/process/agent/relay_bench_test.go
+++ b/internal/process/agent/relay_bench_test.go
@@ -44,7 +44,7 @@
 	proxy := httputil.NewSingleHostReverseProxy(target)
 	proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	proxied := listen(&http.Server{Handler: proxy})
-	c := testkit.Config(nowhere, direct)
+	c := testkit.Config(unusedRegistry, direct)
 	set := c["settings"].(map[string]any)
 	set["roundMs"] = 1
 	c["limits"].(map[string]any)["memory_mb"] = 512
--- a/internal/process/agent/service_test.go
+++ b/internal/process/agent/service_test.go
@@ -31,8 +31,8 @@
 	return s
 }
 
-// awaits waits until done returns true, for at most 30 s.
-func awaits(t *testing.T, what string, done func() bool) {
+// waitFor waits until done returns true, for at most 30 s.
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -47,7 +47,7 @@
 	s := server(t, time.Millisecond)
 	o := operator.Default()
 	o.Front.HTTP.KeepIdle = operator.Duration(time.Hour) // no other time-out ends a connection
-	a, err := New(parse(t, testkit.Config(nowhere, s.Addr)), o, Network{}, slog.New(slog.DiscardHandler))
+	a, err := New(parse(t, testkit.Config(unusedRegistry, s.Addr)), o, Network{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 		status, _, _ := testkit.Do(t, req)
 		return status
 	}
-	awaits(t, "ready", func() bool { return ready() == 200 })
+	waitFor(t, "ready", func() bool { return ready() == 200 })
 	c := crowd.Start(addr, 16, a.Lifecycle().Accepts, "look", "send", "order")
 	defer func() {
 		n := c.Stop()
@@ -71,10 +71,10 @@
 	}()
 	for i := range 50 {
 		served := c.Count().Served
-		awaits(t, "load", func() bool { return c.Count().Served > served+20 })
+		waitFor(t, "load", func() bool { return c.Count().Served > served+20 })
 		if i%10 == 0 { // idle connections are closed by the drain as well
 			c.Hold(true)
-			awaits(t, "all wait", func() bool { return c.Asking() == 0 })
+			waitFor(t, "all wait", func() bool { return c.Asking() == 0 })
 		}
 		if err := a.Lifecycle().Evacuate(); err != nil {
 			t.Fatal(err)
@@ -83,7 +83,7 @@
 			t.Fatalf("/ready answers %d in a drain", got)
 		}
 		if i%10 == 0 {
-			awaits(t, "all connections closed", func() bool { return a.frontEnds[0].frontEnd.(*httpfront.Front).Connections() == 0 })
+			waitFor(t, "all connections closed", func() bool { return a.frontEnds[0].frontEnd.(*httpfront.Front).Connections() == 0 })
 			c.Hold(false)
 		}
 		if err := a.Lifecycle().Rejoin(); err != nil {
@@ -99,7 +99,7 @@
 // is answered by the version of the settings that it was accepted under.
 func TestReloadsUnderLoad(t *testing.T) {
 	s := server(t, time.Millisecond)
-	whole := testkit.Config(nowhere, s.Addr)
+	whole := testkit.Config(unusedRegistry, s.Addr)
 	a, base, _, _ := start(t, whole)
 	path := filepath.Join(t.TempDir(), "config.json")
 	c := crowd.Start(strings.TrimPrefix(base, "http://"), 8, nil, "look", "send", "order")
@@ -138,7 +138,7 @@
 		if err := load(text); err != nil {
 			t.Fatal(err)
 		}
-		status, _, _ := testkit.Do(t, named(base, extra["name"].(string)))
+		status, _, _ := testkit.Do(t, postRequest(base, extra["name"].(string)))
 		if want := map[bool]int{true: 200, false: 404}[len(classes) == 4]; status != want {
 			t.Fatalf("version %d: class %v answered %d, want %d", i, extra["name"], status, want)
 		}
@@ -175,8 +175,8 @@
 	}
 }
 
-// named returns a POST request of a class with an idempotency key.
-func named(base, class string) *http.Request {
+// postRequest returns a POST request of a class with an idempotency key.
+func postRequest(base, class string) *http.Request {
 	req := testkit.Call(base, "send")
 	req.URL.Path = "/" + class + "/u1"
 	return req
@@ -202,7 +202,7 @@
 			})
 			addrs = append(addrs, addr)
 		}
-		whole := testkit.Config(nowhere, addrs...)
+		whole := testkit.Config(unusedRegistry, addrs...)
 		classes := whole["settings"].(map[string]any)["classes"].([]any)
 		classes[1].(map[string]any)["effect"] = c.before
 		a, err := New(parse(t, whole), operator.Default(), Network{}, slog.New(slog.DiscardHandler))
--- a/internal/process/agent/status.go
+++ b/internal/process/agent/status.go
@@ -24,7 +24,7 @@
 // LinkStatus returns the state of the agent's links.
 func (a *Agent) LinkStatus() LinkStatus {
 	s := LinkStatus{To: []gateway.PeerStatus{}, From: []gateway.PeerStatus{}}
-	g := a.gate
+	g := a.gatewayEnd
 	if g == nil {
 		return s
 	}
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -48,7 +48,7 @@
 	lastMeasured time.Time
 	rate         float64
 	reporter     hearsay.Reporter
-	peakRate     work.Peak // used by the seat's goroutine only
+	peakRate     work.Peak // used only by the goroutine of the seat
 }
 
 // ratePeriods is the number of periods over which the request rate is measured.
@@ -122,19 +122,19 @@
 			w.agent.log.Warn("work: the council's list is not fully applied", "why", v.Reason)
 		}
 	}
-	switch leaves := w.exclusions.OwnExcluded(); {
-	case leaves && !w.evacuated && !w.agent.lifecycle.Evacuated():
+	switch ownExcluded := w.exclusions.OwnExcluded(); {
+	case ownExcluded && !w.evacuated && !w.agent.lifecycle.Evacuated():
 		w.evacuated = w.agent.lifecycle.Evacuate() == nil
 		w.agent.log.Info("work: this machine is excluded; the agent evacuates")
-	case !leaves && w.evacuated:
+	case !ownExcluded && w.evacuated:
 		w.evacuated = false
 		_ = w.agent.lifecycle.Rejoin() // a process that ends cannot rejoin
 		w.agent.log.Info("work: this machine is no longer excluded; the agent has rejoined")
 	}
 	if w.periods++; w.periods%ratePeriods == 0 {
-		asked, now := w.agent.core.RequestCount(), time.Now()
-		w.rate = roundRate(float64(asked-w.lastCount) / now.Sub(w.lastMeasured).Seconds())
-		w.lastCount, w.lastMeasured = asked, now
+		count, now := w.agent.core.RequestCount(), time.Now()
+		w.rate = roundRate(float64(count-w.lastCount) / now.Sub(w.lastMeasured).Seconds())
+		w.lastCount, w.lastMeasured = count, now
 	}
 	rate, silent := w.rate, w.reporter.Report(known.Unresponsive, view.SelfSuspicion != "")
 	w.peers.Set(func(i *members.Info) {
@@ -161,27 +161,27 @@
 	for _, m := range w.set.Machines {
 		s.Specs = append(s.Specs, work.MachineSpec{Name: m.Name, Zone: m.Zone, Kind: m.Kind, Capacity: m.Capacity})
 	}
-	known, heard := w.agent.core.Endpoints(), hearsay.Collect(&view)
+	known, reports := w.agent.core.Endpoints(), hearsay.Collect(&view)
 	now := float64(time.Now().UnixMilli())
 	for _, v := range known.List.Servers {
 		machine := w.machineOf[v.Server]
 		if machine == "" {
 			continue
 		}
-		one := work.Server{
+		server := work.Server{
 			Machine:      machine,
 			Capacity:     v.Weight,
 			Ready:        v.Health == cluster.Ready,
-			Unresponsive: slices.Contains(known.Unresponsive, v.Server) || heard.Unresponsive(v.Server),
+			Unresponsive: slices.Contains(known.Unresponsive, v.Server) || reports.Unresponsive(v.Server),
 			Warmth:       1,
 		}
-		if !(one.Capacity > 0 && one.Capacity < 1e9) {
-			one.Capacity = 1
+		if !(server.Capacity > 0 && server.Capacity < 1e9) {
+			server.Capacity = 1
 		}
 		if v.SinceMs > 0 && known.SlowStartMs > 0 {
-			one.Warmth = (now - v.SinceMs) / known.SlowStartMs
+			server.Warmth = (now - v.SinceMs) / known.SlowStartMs
 		}
-		s.Servers = append(s.Servers, one)
+		s.Servers = append(s.Servers, server)
 	}
 	total := 0.0
 	for _, n := range w.set.Needs {
@@ -223,16 +223,16 @@
 // CallWork makes a call to the management address of an agent, and repeats it under the same token until it succeeds,
 // is declined, or the context ends. A seat.Declined has the reason of a rejection. After any other error the call may
 // have taken effect, or may do so later.
-func CallWork(ctx context.Context, door string, c seat.Call) (*seat.Report, error) {
+func CallWork(ctx context.Context, address string, c seat.Call) (*seat.Report, error) {
 	text, err := json.Marshal(&c)
 	if err != nil {
 		return nil, err
 	}
 	again := time.NewTicker(50 * time.Millisecond)
 	defer again.Stop()
-	var last error // the council's last error, which tells more than a time-out of the connection
+	var councilErr error // the council's last error, which tells more than a time-out of the connection
 	for {
-		a, err := callOnce(ctx, door, text)
+		a, err := callOnce(ctx, address, text)
 		if err == nil && a.Error == "" {
 			return a.Report, nil
 		}
@@ -241,14 +241,14 @@
 				return nil, &seat.Declined{Why: a.Error}
 			}
 			err = errors.New(a.Error)
-			last = err
+			councilErr = err
 		} else if !errors.Is(err, errUnreachable) {
 			return nil, err
 		}
 		select {
 		case <-again.C:
 		case <-ctx.Done():
-			return nil, cmp.Or(last, err)
+			return nil, cmp.Or(councilErr, err)
 		}
 	}
 }
@@ -256,10 +256,10 @@
 // errUnreachable is wrapped by errors of calls to a management address that does not answer.
 var errUnreachable = errors.New("the management address does not answer")
 
-func callOnce(ctx context.Context, door string, text []byte) (a seat.Answer, err error) {
+func callOnce(ctx context.Context, address string, text []byte) (a seat.Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+door+"/api/work", bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/api/work", bytes.NewReader(text))
 	if err != nil {
 		return a, err
 	}
@@ -274,6 +274,6 @@
 	case http.StatusNotFound:
 		return a, errors.New("the agent takes no part in maintenance: its operator's file has no [work]")
 	}
-	said, _ := io.ReadAll(io.LimitReader(resp.Body, 1000))
-	return a, fmt.Errorf("the management address answers %s: %s", resp.Status, bytes.TrimSpace(said))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, 1000))
+	return a, fmt.Errorf("the management address answers %s: %s", resp.Status, bytes.TrimSpace(body))
 }
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -146,9 +146,9 @@
 		Manage    *string         `json:"management"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		var bad *json.UnmarshalTypeError
-		if errors.As(err, &bad) {
-			return nil, fmt.Errorf("config: %s: cannot be a %s", bad.Field, bad.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("config: %s: cannot be a %s", typeErr.Field, typeErr.Value)
 		}
 		return nil, fmt.Errorf("config: not valid JSON: %w", err)
 	}
@@ -195,18 +195,18 @@
 	if c.Settings, err = wire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var words struct {
+	var names struct {
 		Sites []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
 	}
-	if err := json.Unmarshal(raw.Settings, &words); err != nil {
+	if err := json.Unmarshal(raw.Settings, &names); err != nil {
 		return nil, fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
 	}
 	// The policy validates its settings; creating one here returns its error at once.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.RosterNames = roster.Words{Sites: numberNames(words.Sites), Kinds: numberNames(words.Kinds)}
+	c.RosterNames = roster.Words{Sites: numberNames(names.Sites), Kinds: numberNames(names.Kinds)}
 	c.Classes, c.Tenants = map[string]int{}, map[string]int{}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
--- a/internal/process/config/config_test.go
+++ b/internal/process/config/config_test.go
@@ -8,7 +8,7 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-const nowhere = "127.0.0.1:1"
+const unusedRegistry = "127.0.0.1:1"
 
 // An error of an invalid configuration names the key.
 func TestConfigErrors(t *testing.T) {
@@ -35,7 +35,7 @@
 			c["known"].(map[string]any)["hosts"] = []any{testkit.Host(0, "127.0.0.1:1", "well")}
 		},
 	} {
-		c := testkit.Config(nowhere)
+		c := testkit.Config(unusedRegistry)
 		change(c)
 		text, _ := json.Marshal(c)
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
--- a/internal/process/operator/operator_test.go
+++ b/internal/process/operator/operator_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/internal/process/strict"
 )
 
-func TestNoFileAndAnEmptyOneAreTheDefaults(t *testing.T) {
+func TestDefaultsWithoutSettings(t *testing.T) {
 	s, err := Load("")
 	if err != nil || len(s.Describe()) != 0 {
 		t.Fatalf("%v, %v", s, err)
@@ -24,7 +24,7 @@
 }
 
 // The defaults allow a client 2 s for a request's head, and close a bad client's connection within 3 s.
-func TestDefaultsEndBadClientsSoon(t *testing.T) {
+func TestDefaultTimeoutsForBadClients(t *testing.T) {
 	h := Default().Front.HTTP
 	if head, body := time.Duration(h.HeadWithin), time.Duration(h.BodyWithin); head < 2200*time.Millisecond || max(head, body) > 2700*time.Millisecond {
 		t.Fatal("head or body may take too long, or not long enough")
@@ -91,10 +91,10 @@
 	}
 }
 
-const near = "[gateway]\nname = \"a\"\nplain = true\n%s[[gateway.site]]\nname = \"b\"\n[[gateway.site.peer]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n%s"
+const nearGatewayFile = "[gateway]\nname = \"a\"\nplain = true\n%s[[gateway.site]]\nname = \"b\"\n[[gateway.site.peer]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n%s"
 
 func TestGatewayLimits(t *testing.T) {
-	s, err := Parse("f", fmt.Appendf(nil, near, "least = 20\n", "[[gateway.class]]\nname = \"order\"\npart = 0.6\n"))
+	s, err := Parse("f", fmt.Appendf(nil, nearGatewayFile, "least = 20\n", "[[gateway.class]]\nname = \"order\"\npart = 0.6\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 		{"", "[[gateway.class]]\nname = \"x\"\n[[gateway.class]]\nname = \"x\"\n", "f.toml:12: gateway.class[1].name"},
 		{"", "[[gateway.class]]\nname = \"x\"\npart = 0.7\n[[gateway.class]]\nname = \"y\"\npart = 0.4\n", "f.toml:14: gateway.class[1].part"},
 	} {
-		if _, err := Parse("f.toml", fmt.Appendf(nil, near, c.more, c.classes)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+		if _, err := Parse("f.toml", fmt.Appendf(nil, nearGatewayFile, c.more, c.classes)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%q: said %v, want %s", c.more+c.classes, err, c.want)
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestFilesThatCantBeRead(t *testing.T) {
+func TestUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Load(filepath.Join(dir, "none")); err == nil {
 		t.Error("a file that is not there was read")
