--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -99,21 +99,21 @@
 
 // Agent is one running agent.
 type Agent struct {
-	core      *core.Core
-	frontEnds []boundedFrontEnd // HTTP is first
-	transport *transport.Transport
-	stop      context.CancelFunc
-	gatewayEnd      *gatewayEnd   // nil: the agent is not an end of links
-	fleet     *fleetNode    // nil: the agent keeps no view of its fleet
-	promises  *promise.Part // nil: the agent stores nothing for others
-	sockets   int           // descriptors that clients and servers share
-	bodyBytes int64         // memory limit for bodies
-	bodies    *window.Budget
-	isGateway bool
-	lifecycle *lifecycle.Machine
-	log       *slog.Logger
-	table     *settings.Table   // replaced by Reload
-	latest    settings.Settings // settings in force, as configured
+	core       *core.Core
+	frontEnds  []boundedFrontEnd // HTTP is first
+	transport  *transport.Transport
+	stop       context.CancelFunc
+	gatewayEnd *gatewayEnd   // nil: the agent is not an end of links
+	fleet      *fleetNode    // nil: the agent keeps no view of its fleet
+	promises   *promise.Part // nil: the agent stores nothing for others
+	sockets    int           // descriptors that clients and servers share
+	bodyBytes  int64         // memory limit for bodies
+	bodies     *window.Budget
+	isGateway  bool
+	lifecycle  *lifecycle.Machine
+	log        *slog.Logger
+	table      *settings.Table   // replaced by Reload
+	latest     settings.Settings // settings in force, as configured
 }
 
 // Lifecycle returns the lifecycle of the agent's process.
--- a/internal/process/agent/pairs_test.go
+++ b/internal/process/agent/pairs_test.go
@@ -22,7 +22,7 @@
 type fault struct {
 	name   string
 	status int    // status of the answer; 0: none
-	header   string // header lines of the answer
+	header string // header lines of the answer
 	cut    int    // bytes missing from the end of the answer before the connection closes
 	silent bool   // the connection closes without an answer
 }
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -30,7 +30,9 @@
 
 // State returns the state for a second process. From then on ids are recorded for Since.
 func (a *Agent) State() handover.State {
-	return handover.State{Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.lifecycle.Evacuated()}
+	return handover.State{
+		Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.lifecycle.Evacuated(),
+	}
 }
 
 // HandOver stops accepting connections, as another process takes them over.
--- a/internal/process/operator/promises.go
+++ b/internal/process/operator/promises.go
@@ -20,7 +20,9 @@
 }
 
 func defaultPromises() Promises {
-	return Promises{Copies: 1, OnMissingCopies: "refuse", Remember: Duration(time.Minute), AnswersMB: 16, Journal: "memory"}
+	return Promises{
+		Copies: 1, OnMissingCopies: "refuse", Remember: Duration(time.Minute), AnswersMB: 16, Journal: "memory",
+	}
 }
 
 // AllowsFewer reports whether a promise may have fewer replicas than Copies.
--- a/internal/rig/world/mutants_test.go
+++ b/internal/rig/world/mutants_test.go
@@ -45,7 +45,7 @@
 		"by := a.BeginBy(); !by.IsZero()", "by := a.BeginBy(); by.IsZero() && false"},
 	{"the lease outlasts the near end's wait", "internal/protocol/gateway/near.go",
 		"	life -= life/1000 + leaseMargin\n", "	life += 200 * time.Millisecond\n"},
-	{"ids that were refused at once are not known", "internal/process/agent/gateway.go",
+	{"ids that were refused at once are not known", "internal/process/agent/gate.go",
 		"		if !g.ids.Add(r.ID) {", "		if false {"},
 	{"an answer goes to the next crossing", "internal/protocol/gateway/near.go",
 		"if x := p.open[num]; x != nil", "if x := p.open[num+1]; x != nil"},
