--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -133,7 +133,9 @@
 }
 
 // NewWith returns an agent that uses another decider, as the lab does. With a nil decide it equals New.
-func NewWith(c *config.Config, o *operator.Settings, network Network, decide NewDecider, log *slog.Logger) (*Agent, error) {
+func NewWith(
+	c *config.Config, o *operator.Settings, network Network, decide NewDecider, log *slog.Logger,
+) (*Agent, error) {
 	if network.Dial == nil {
 		network.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
@@ -151,7 +153,8 @@
 		sockets -= o.Peers.Connections
 	}
 	if sockets < config.MinSockets {
-		return nil, fmt.Errorf("operator: front.fastcgi.connections, peers.connections: %d and %d of the platform's %d descriptors leave less than %d", web.Connections, o.Peers.Connections, c.Limits.Sockets, config.MinSockets)
+		return nil, fmt.Errorf("operator: front.fastcgi.connections, peers.connections: "+
+			"%d and %d of the platform's %d descriptors leave less than %d", web.Connections, o.Peers.Connections, c.Limits.Sockets, config.MinSockets)
 	}
 	bodyBytes := int64(c.Limits.MemoryMB * (1 << 20) / 8)
 	bodies := window.NewBudget(bodyBytes)
@@ -191,7 +194,8 @@
 		ZoneNumbers: c.RosterNames.Sites,
 		NewDecider:  decide,
 		Fleet:       o.Fleet.Options(),
-		Settings:    table.Settings, Seed: c.Seed, InitialList: c.InitialList, MaxOpen: maxOpenRequests(sockets) + multiplexed,
+		Settings:    table.Settings, Seed: c.Seed, InitialList: c.InitialList,
+		MaxOpen: maxOpenRequests(sockets) + multiplexed,
 		// Room for all concurrent requests: a front end must not block on the queue.
 		QueueLength: 4 * (sockets + multiplexed),
 		Transport:   servers,
@@ -205,18 +209,22 @@
 		stop()
 		return nil, err
 	}
-	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: agentCore, stop: stop, transport: servers, table: table, latest: c.Settings, log: log, lifecycle: lifecycle.New(), isGateway: o.Gateway.On()}
+	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: agentCore,
+		stop: stop, transport: servers, table: table, latest: c.Settings, log: log, lifecycle: lifecycle.New(),
+		isGateway: o.Gateway.On()}
 	var handler httpfront.Handler = agentCore
 	if o.Promises.On {
 		if longest := core.MaxRequestDuration(&c.Settings); time.Duration(o.Promises.Remember) < 2*longest {
 			stop()
-			return nil, fmt.Errorf("operator: promises.remember: %v is under twice the %v that an order may be open", time.Duration(o.Promises.Remember), longest)
+			return nil, fmt.Errorf("operator: promises.remember: %v is under twice the %v that an order may be open",
+				time.Duration(o.Promises.Remember), longest)
 		}
 		folder := ""
 		if o.Promises.Journal == "disk" {
 			folder = o.Work.Folder
 		}
-		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone, Copies: o.Promises.Copies, Fewer: o.Promises.AllowsFewer(),
+		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone,
+			Copies: o.Promises.Copies, Fewer: o.Promises.AllowsFewer(),
 			Remember: time.Duration(o.Promises.Remember), Bytes: o.Promises.AnswersMB << 20, Log: log})
 	}
 	if o.Gateway.On() {
@@ -243,10 +251,13 @@
 		front.Bound(clientSockets(sockets/divisor), keepAliveSockets(sockets/divisor))
 	}})
 	if web.On() {
-		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.lifecycle, Connections: web.Connections, Requests: web.Requests,
-			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log, HeadWithin: time.Duration(web.HeadWithin),
+		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.lifecycle,
+			Connections: web.Connections, Requests: web.Requests,
+			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log,
+			HeadWithin: time.Duration(web.HeadWithin),
 			BodyWithin: time.Duration(web.BodyWithin), KeepIdle: time.Duration(web.KeepIdle)})
-		a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: fast, limitTo: func(divisor int) { fast.Bound(max(web.Connections/divisor, 1)) }, listeners: network.FastCGI})
+		a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: fast,
+			limitTo: func(divisor int) { fast.Bound(max(web.Connections/divisor, 1)) }, listeners: network.FastCGI})
 	}
 	if a.fleet, err = newFleet(a, c, o, log); err != nil {
 		stop()
@@ -263,8 +274,8 @@
 func (a *Agent) Reload(c *config.Config, o *operator.Settings) error {
 	if !reflect.DeepEqual(c.Settings, a.latest) {
 		if a.isGateway {
-			return errors.New(
-				"config: settings: a gateway changes them only at a restart, as its far sites would not know the new ones")
+			return errors.New("config: settings: a gateway changes them only at a restart, " +
+				"as its far sites would not know the new ones")
 		}
 		next, err := a.table.Next(c.Settings, time.Now())
 		if err != nil {
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -40,8 +40,10 @@
 	core *core.Core
 }
 
-func newGatewayEnd(ctx context.Context, c *config.Config, o *operator.Gateway, network Network, own *core.Core, ids *core.IDs, promised gateway.Promises, log *slog.Logger) (*gatewayEnd, error) {
-	g := &gatewayEnd{name: o.Name, localCore: own, ids: ids, sites: map[string]*farSite{}, links: network, maxRequestDuration: core.MaxRequestDuration(&c.Settings)}
+func newGatewayEnd(ctx context.Context, c *config.Config, o *operator.Gateway, network Network, own *core.Core,
+	ids *core.IDs, promised gateway.Promises, log *slog.Logger) (*gatewayEnd, error) {
+	g := &gatewayEnd{name: o.Name, localCore: own, ids: ids, sites: map[string]*farSite{}, links: network,
+		maxRequestDuration: core.MaxRequestDuration(&c.Settings)}
 	if c.Settings.Limits.RetryAfter {
 		g.retryAfter = ms(c.Settings.Limits.MaxRetryAfterMs)
 	}
@@ -60,7 +62,8 @@
 	if err := g.route(c, o); err != nil {
 		return nil, err
 	}
-	times := gateway.Times{Beat: time.Duration(o.HeartbeatInterval), StallAfter: time.Duration(o.StallAfter), DeadAfter: time.Duration(o.DeadAfter),
+	times := gateway.Times{Beat: time.Duration(o.HeartbeatInterval), StallAfter: time.Duration(o.StallAfter),
+		DeadAfter: time.Duration(o.DeadAfter),
 		RedialMin: time.Duration(o.RedialMin), RedialMax: time.Duration(o.RedialMax)}
 	var names []string
 	for i := range c.Settings.Classes {
@@ -71,7 +74,8 @@
 		return nil, fmt.Errorf("operator: gateway.%w", err)
 	}
 	for i, s := range o.Sites {
-		so := gateway.SiteOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times, Settings: &c.Settings, ProofWithin: time.Duration(s.ProofWithin),
+		so := gateway.SiteOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times,
+			Settings: &c.Settings, ProofWithin: time.Duration(s.ProofWithin),
 			Dial: network.Dial, Seed: c.Seed + uint64(i) + 1, Log: log}
 		for _, p := range s.Peers {
 			so.Peers = append(so.Peers, gateway.Peer(p))
@@ -83,9 +87,11 @@
 		if err != nil {
 			return nil, err
 		}
-		k, err := core.New(ctx, core.Options{Settings: site.Settings(), Seed: c.Seed ^ uint64(i+1), InitialList: site.Known(),
-			MaxOpen: maxOpenRequests(c.Limits.Sockets), QueueLength: 4 * c.Limits.Sockets, Transport: site, RosterAddr: s.Name,
-			NewRoster: site.NewRoster, Log: log.With("site", s.Name), IDs: ids})
+		k, err := core.New(ctx, core.Options{Settings: site.Settings(), Seed: c.Seed ^ uint64(i+1),
+			InitialList: site.Known(),
+			MaxOpen:     maxOpenRequests(c.Limits.Sockets), QueueLength: 4 * c.Limits.Sockets, Transport: site,
+			RosterAddr: s.Name,
+			NewRoster:  site.NewRoster, Log: log.With("site", s.Name), IDs: ids})
 		if err != nil {
 			return nil, err
 		}
@@ -93,8 +99,10 @@
 		g.siteOrder = append(g.siteOrder, s.Name)
 	}
 	if o.Listen != "" {
-		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes, Tenants: c.Tenants, Peers: o.Peers,
-			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Connections, PerSecond: o.HandshakeRate, Times: times, Seed: c.Seed, Log: log, Promises: promised}
+		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes,
+			Tenants: c.Tenants, Peers: o.Peers,
+			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Connections, PerSecond: o.HandshakeRate,
+			Times: times, Seed: c.Seed, Log: log, Promises: promised}
 		if g.keys != nil {
 			fo.TLS = func() *tls.Config { return g.keys.Server() }
 		}
@@ -206,7 +214,8 @@
 	if set := g.localCore.Classes(); r.Class < len(set) {
 		class = set[r.Class].Name
 	}
-	site, err := routes.FirstReady(g.table.Load().Sites(class, r.Message.Target, r.ID), func(s string) bool { return g.coreFor(s).Ready() })
+	site, err := routes.FirstReady(g.table.Load().Sites(class, r.Message.Target, r.ID),
+		func(s string) bool { return g.coreFor(s).Ready() })
 	if err != nil {
 		if !g.ids.Add(r.ID) {
 			return core.Answer{Outcome: core.Duplicate}
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -57,16 +57,20 @@
 		return nil, nil
 	}
 	if allowed := c.Settings.Limits.PeerMessages; allowed != nil && !*allowed {
-		return nil, errors.New("operator: peers.listen: the platform's settings.limits.peerMessages forbids agents to talk to each other")
+		return nil, errors.New("operator: peers.listen: " +
+			"the platform's settings.limits.peerMessages forbids messages between agents")
 	}
 	f := &fleetNode{}
 	role := "agent"
 	if o.Gateway.On() {
 		role = "gateway"
 	}
-	po := peers.Options{Seed: c.Seed ^ uint64(time.Now().UnixNano()), Conns: p.Connections, Queue: p.QueueKB << 10, Log: log,
-		Members: members.Options{ID: members.ID{Name: p.Name, Incarnation: uint64(time.Now().UnixMicro())}, Period: time.Duration(p.Period), ForgetAfter: time.Duration(p.Forget),
-			Info: members.Info{Machine: p.Machine, Zone: p.Zone, Role: role, Build: buildVersion(), Settings: settingsDigest(c), Process: lifecycle.Starting.String(), Address: p.AdvertisedAddress()}},
+	po := peers.Options{Seed: c.Seed ^ uint64(time.Now().UnixNano()), Conns: p.Connections, Queue: p.QueueKB << 10,
+		Log: log,
+		Members: members.Options{ID: members.ID{Name: p.Name, Incarnation: uint64(time.Now().UnixMicro())},
+			Period: time.Duration(p.Period), ForgetAfter: time.Duration(p.Forget),
+			Info: members.Info{Machine: p.Machine, Zone: p.Zone, Role: role, Build: buildVersion(),
+				Settings: settingsDigest(c), Process: lifecycle.Starting.String(), Address: p.AdvertisedAddress()}},
 		Self: func() (string, float64) {
 			// Rounded down to a power of two, so that single requests do not cause updates to the fleet.
 			load := 0.0
@@ -210,15 +214,18 @@
 		return f, false
 	}
 	v, start := a.fleet.View()
-	f = FleetView{Self: v.Self.Name, Converged: v.Converged, UnconvergedReason: v.UnconvergedReason, Digest: fmt.Sprintf("%016x", v.Digest), SelfSuspicion: v.SelfSuspicion, Reachable: v.Reachable, Known: v.Known,
+	f = FleetView{Self: v.Self.Name, Converged: v.Converged, UnconvergedReason: v.UnconvergedReason,
+		Digest: fmt.Sprintf("%016x", v.Digest), SelfSuspicion: v.SelfSuspicion, Reachable: v.Reachable, Known: v.Known,
 		Members: []FleetMember{}, Observed: time.Now()}
 	for _, m := range v.Members {
 		by := m.SuspectedBy
 		if by == nil {
 			by = []string{}
 		}
-		f.Members = append(f.Members, FleetMember{Name: m.ID.Name, Incarnation: m.ID.Incarnation, Machine: m.Info.Machine, Zone: m.Info.Zone, Role: m.Info.Role,
-			Build: m.Info.Build, Settings: m.Info.Settings, Process: m.Info.Process, Address: m.Info.Address, Load: m.Info.Load, UnresponsiveServers: hearsay.Count(m.Info.Silent), State: m.State.String(),
+		f.Members = append(f.Members, FleetMember{Name: m.ID.Name, Incarnation: m.ID.Incarnation,
+			Machine: m.Info.Machine, Zone: m.Info.Zone, Role: m.Info.Role,
+			Build: m.Info.Build, Settings: m.Info.Settings, Process: m.Info.Process, Address: m.Info.Address,
+			Load: m.Info.Load, UnresponsiveServers: hearsay.Count(m.Info.Silent), State: m.State.String(),
 			Since: start.Add(m.Since), SuspectedBy: by, Twin: m.Twin, Linked: m.Linked, Watched: m.Watched})
 	}
 	return f, true
--- a/internal/process/agent/status.go
+++ b/internal/process/agent/status.go
@@ -91,7 +91,8 @@
 			if p.Site != "" {
 				state += ", site " + p.Site + " at " + p.Address
 			}
-			fmt.Fprintf(out, "%-4s %s: %s; %s of at most %d\n", part.way, p.Name, state, formatCounts(p.Crossings), p.Window)
+			fmt.Fprintf(out, "%-4s %s: %s; %s of at most %d\n", part.way, p.Name, state, formatCounts(p.Crossings),
+				p.Window)
 			for _, l := range p.Links {
 				flags := ""
 				if l.Stalled {
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -78,7 +78,8 @@
 	}
 	for i, class := range c.Settings.Classes {
 		if class.ClientTimeoutMs > maxClientTimeoutMs {
-			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v", i, maxClientTimeoutMs, class.ClientTimeoutMs)
+			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v",
+				i, maxClientTimeoutMs, class.ClientTimeoutMs)
 		}
 	}
 	return nil
--- a/internal/process/operator/fastcgi.go
+++ b/internal/process/operator/fastcgi.go
@@ -27,7 +27,7 @@
 
 // TransportFastCGI selects the servers that speak FastCGI. Without an entry in Servers it is off.
 type TransportFastCGI struct {
-	Servers []string          `toml:"servers"` // "all", "unix", "zone:NAME", "kind:NAME", prefixes, addresses with or without a port
+	Servers []string          `toml:"servers"` // "all", "unix", "zone:NAME", "kind:NAME", prefixes, addresses
 	Begins  string            `toml:"begins"`  // "whole": with the complete request; "params": with its params
 	Params  map[string]string `toml:"params"`  // added to those of each request
 }
@@ -87,7 +87,8 @@
 			}
 			n, known := numbers[name]
 			if !known {
-				return nil, fmt.Errorf("operator: transport.fastcgi.servers[%d]: the deployment has no %s %q", i, what, name)
+				return nil, fmt.Errorf("operator: transport.fastcgi.servers[%d]: the deployment has no %s %q",
+					i, what, name)
 			}
 			into[n] = true
 			continue
@@ -99,11 +100,13 @@
 		all, unix, exact[s] = all || s == "all", unix || s == "unix", true
 	}
 	o := &transport.FastCGI{Early: t.Begins == "params", Serves: func(s *cluster.Server) bool {
-		if all || exact[s.Dial] || unix && strings.HasPrefix(s.Dial, "unix:") || inZone[s.Entry.Zone] || ofKind[s.Entry.Kind] {
+		if all || exact[s.Dial] || unix && strings.HasPrefix(s.Dial, "unix:") ||
+			inZone[s.Entry.Zone] || ofKind[s.Entry.Kind] {
 			return true
 		}
 		at, err := netip.ParseAddrPort(s.Dial)
-		return err == nil && slices.ContainsFunc(prefixes, func(p netip.Prefix) bool { return p.Contains(at.Addr().Unmap()) })
+		return err == nil && slices.ContainsFunc(prefixes,
+			func(p netip.Prefix) bool { return p.Contains(at.Addr().Unmap()) })
 	}}
 	for name, value := range t.Params {
 		o.Params = append(o.Params, [2]string{name, value})
@@ -115,7 +118,8 @@
 func (s *Settings) defaultFastCGI() {
 	f := &s.Front.FastCGI
 	f.Connections, f.Requests = 32, 16
-	f.HeadWithin, f.BodyWithin, f.KeepIdle = Duration(2500*time.Millisecond), Duration(2*time.Second), Duration(time.Minute)
+	f.HeadWithin, f.BodyWithin, f.KeepIdle = Duration(2500*time.Millisecond), Duration(2*time.Second),
+		Duration(time.Minute)
 	s.Transport.FastCGI.Begins = "whole"
 }
 
@@ -126,7 +130,8 @@
 		value       Duration
 		least, most time.Duration
 	}{
-		{"head_within", f.HeadWithin, 50 * time.Millisecond, time.Minute}, {"body_within", f.BodyWithin, 50 * time.Millisecond, time.Minute},
+		{"head_within", f.HeadWithin, 50 * time.Millisecond, time.Minute},
+		{"body_within", f.BodyWithin, 50 * time.Millisecond, time.Minute},
 		{"keep_idle", f.KeepIdle, 10 * time.Millisecond, time.Hour},
 	} {
 		if v := time.Duration(d.value); v < d.least || v > d.most {
@@ -164,7 +169,8 @@
 			bad = nil
 		}
 		if bad != nil && s != "all" && s != "unix" && !strings.HasPrefix(s, "unix:/") {
-			return "servers[" + strconv.Itoa(i) + "]", fmt.Errorf("neither \"all\", \"unix\", a zone, a kind, a prefix nor an address: %q", s)
+			return "servers[" + strconv.Itoa(i) + "]",
+				fmt.Errorf("neither \"all\", \"unix\", a zone, a kind, a prefix nor an address: %q", s)
 		}
 	}
 	total := 0
@@ -180,7 +186,8 @@
 func (s *Settings) describeFastCGI() (on []string) {
 	f, t := &s.Front.FastCGI, &s.Transport.FastCGI
 	for _, l := range f.Listen {
-		on = append(on, "web servers over FastCGI at "+l.String()+fmt.Sprintf(", %d connections of %d requests", f.Connections, f.Requests))
+		on = append(on, "web servers over FastCGI at "+l.String()+
+			fmt.Sprintf(", %d connections of %d requests", f.Connections, f.Requests))
 	}
 	if len(f.Peers) > 0 && f.On() {
 		on = append(on, "FastCGI only from "+strings.Join(f.Peers, ", "))
--- a/internal/process/operator/gateway.go
+++ b/internal/process/operator/gateway.go
@@ -72,7 +72,8 @@
 }
 
 func defaultGateway() Gateway {
-	return Gateway{Links: 2, Crossings: 1024, Window: 64, Law: limit.Gradient, MinWindow: 16, BytesMB: 16, Connections: 256, HandshakeRate: 50, HeartbeatInterval: Duration(50 * time.Millisecond),
+	return Gateway{Links: 2, Crossings: 1024, Window: 64, Law: limit.Gradient, MinWindow: 16, BytesMB: 16,
+		Connections: 256, HandshakeRate: 50, HeartbeatInterval: Duration(50 * time.Millisecond),
 		StallAfter: Duration(250 * time.Millisecond), DeadAfter: Duration(5 * time.Second),
 		RedialMin: Duration(100 * time.Millisecond), RedialMax: Duration(5 * time.Second)}
 }
@@ -143,7 +144,9 @@
 		key               string
 		value, least, top float64
 	}{
-		{"links", float64(g.Links), 1, 16}, {"crossings", float64(g.Crossings), 1, 65536}, {"window", float64(g.Window), 1, 65536}, {"least", float64(g.MinWindow), 1, 65536}, {"bytes_mb", float64(g.BytesMB), 1, 4096},
+		{"links", float64(g.Links), 1, 16}, {"crossings", float64(g.Crossings), 1, 65536},
+		{"window", float64(g.Window), 1, 65536}, {"least", float64(g.MinWindow), 1, 65536},
+		{"bytes_mb", float64(g.BytesMB), 1, 4096},
 		{"connections", float64(g.Connections), 1, 65536}, {"greetings", g.HandshakeRate, 0.1, 1e5},
 	} {
 		if !(v.value >= v.least && v.value <= v.top) {
--- a/internal/process/operator/operator.go
+++ b/internal/process/operator/operator.go
@@ -90,12 +90,14 @@
 	if !f.On {
 		return nil
 	}
-	return &fleet.Options{Agents: f.Agents, Connections: f.Connections, MinServers: f.MinServers, MaxServers: f.MaxServers, ConnectRate: f.ConnectRate, PollRate: f.PollRate, ProbeRate: f.ProbeRate}
+	return &fleet.Options{Agents: f.Agents, Connections: f.Connections, MinServers: f.MinServers,
+		MaxServers: f.MaxServers, ConnectRate: f.ConnectRate, PollRate: f.PollRate, ProbeRate: f.ProbeRate}
 }
 
 func defaultFleet() Fleet {
 	o := fleet.Default()
-	return Fleet{Agents: o.Agents, Connections: o.Connections, MinServers: o.MinServers, MaxServers: o.MaxServers, ConnectRate: o.ConnectRate, PollRate: o.PollRate, ProbeRate: o.ProbeRate,
+	return Fleet{Agents: o.Agents, Connections: o.Connections, MinServers: o.MinServers, MaxServers: o.MaxServers,
+		ConnectRate: o.ConnectRate, PollRate: o.PollRate, ProbeRate: o.ProbeRate,
 		KeepIdle: Duration(5 * time.Second)}
 }
 
--- a/internal/process/operator/work.go
+++ b/internal/process/operator/work.go
@@ -49,8 +49,10 @@
 
 func defaultWork() Work {
 	b := work.DefaultBounds()
-	return Work{Seats: 3, ReplaceAfter: Duration(time.Minute), Reserve: b.Reserve, ZoneShare: b.ZoneShare, KindShare: b.KindShare, AgentShare: b.AgentShare,
-		Gateways: b.GatewayShare, MaxOvertaken: b.MaxOvertaken, AcknowledgeTimeout: Duration(time.Duration(b.AcknowledgeTimeout) * time.Second)}
+	return Work{Seats: 3, ReplaceAfter: Duration(time.Minute), Reserve: b.Reserve, ZoneShare: b.ZoneShare,
+		KindShare: b.KindShare, AgentShare: b.AgentShare,
+		Gateways: b.GatewayShare, MaxOvertaken: b.MaxOvertaken,
+		AcknowledgeTimeout: Duration(time.Duration(b.AcknowledgeTimeout) * time.Second)}
 }
 
 // On reports whether the table is in use, which it is when it lists machines.
@@ -58,7 +60,8 @@
 
 // Bounds returns the bounds for package work.
 func (w *Work) Bounds() work.Bounds {
-	return work.Bounds{Reserve: w.Reserve, ZoneShare: w.ZoneShare, KindShare: w.KindShare, AgentShare: w.AgentShare, GatewayShare: w.Gateways,
+	return work.Bounds{Reserve: w.Reserve, ZoneShare: w.ZoneShare, KindShare: w.KindShare, AgentShare: w.AgentShare,
+		GatewayShare: w.Gateways,
 		MaxOvertaken: w.MaxOvertaken, AcknowledgeTimeout: int64(time.Duration(w.AcknowledgeTimeout) / time.Second)}
 }
 
