--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -1,9 +1,9 @@
-// Package agent puts one agent together: the core, its front ends (a row each) and transport, the
-// roster's client. It shares out the descriptors and the memory among them, and decides
-// nothing else.
+// Package agent assembles one agent: the core, its front ends, the transport to servers, the registry client,
+// and, where the operator's file enables them, the gateway, the view of the fleet, maintenance and promises. It
+// divides the file descriptors and the memory among them and makes no other decision.
 //
-// Serve runs the core in a goroutine that outlives the front end, which ends first; what
-// Serve and Reload touch is theirs to share.
+// Serve runs the core in a goroutine that outlives the front ends. Reload may be called while Serve runs, but
+// by one goroutine at a time.
 package agent
 
 import (
@@ -33,123 +33,128 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// otherSockets are kept for the roster, the listener and the runtime.
-const otherSockets = 16
+// reservedSockets is the number of descriptors reserved for the registry client, the listener and the runtime.
+const reservedSockets = 16
 
-// spare is what is left of the descriptors to clients and servers.
-func spare(c *config.Config) int {
+// availableSockets returns the number of descriptors that remain for clients and servers.
+func availableSockets(c *config.Config) int {
 	if c.Management != "" {
 		return c.Limits.Sockets - management.Connections
 	}
 	return c.Limits.Sockets
 }
 
-// backendSockets is the part of the descriptors for connections to servers;
-// clientSockets that for clients', who hold a third of all at most for requests.
-func backendSockets(all int) int { return (all - otherSockets) * 2 / 5 }
-func clientSockets(all int) int  { return all - otherSockets - backendSockets(all) }
+// backendSockets returns the number of descriptors for connections to servers.
+func backendSockets(all int) int { return (all - reservedSockets) * 2 / 5 }
 
-// keptSockets is how many of the clients' connections are kept between requests: half of
-// what the clients hold.
-func keptSockets(all int) int { return all / 6 }
+// clientSockets returns the number of descriptors for clients' connections. Clients hold at most a third of all
+// descriptors for requests.
+func clientSockets(all int) int { return all - reservedSockets - backendSockets(all) }
 
-// openRequests is how many requests may be held at once, told to the module, which
-// refuses what is over it. The places left are for those that are told so.
-func openRequests(all int) int {
+// keepAliveSockets returns how many clients' connections are kept open between requests. It is half of what
+// clients hold for requests.
+func keepAliveSockets(all int) int { return all / 6 }
+
+// maxOpenRequests returns how many requests may be open at once. The core refuses any request over this
+// number. The remaining client connections are there to carry those refusals.
+func maxOpenRequests(all int) int {
 	places := clientSockets(all)
 	return places - max(places/8, 8)
 }
 
-// Network opens the agent's own connections; the zero Network is the machine's.
+// Network provides the agent's connections and listeners. The zero value dials over the machine's network and
+// has no listeners.
 type Network struct {
-	// Dial opens one as net.Dialer.DialContext does.
+	// Dial opens a connection as net.Dialer.DialContext does.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Links is where links of near gateways come in; nil: nowhere.
+	// Links accepts the links of near gateways; nil: none.
 	Links net.Listener
-	// FastCGI is where web servers connect, as the operator's file says.
+	// FastCGI accepts the web servers' connections, one listener for each in the operator's file.
 	FastCGI []net.Listener
-	// Promises is a part that somebody else runs, in the place of the operator's file's, for a far end that promises
-	// without peers; tests bring one.
+	// Promises replaces the promise store that the operator's file configures. Its caller runs it. Tests use it for
+	// a far end that makes promises without peers.
 	Promises *promise.Part
 }
 
-// frontEnd is what an agent needs of one, whatever it speaks.
+// frontEnd accepts clients' requests over one protocol.
 type frontEnd interface {
-	// Serve answers on the listeners until the context ends, then finishes what it holds.
+	// Serve serves the listeners until the context ends, then completes the open requests.
 	Serve(ctx context.Context, listeners ...net.Listener) error
-	// Turn has requests that are read from now on read by another version of the settings.
+	// Turn applies another version of the settings to requests that are read from now on.
 	Turn(v intake.View)
-	// Taken is how many requests are taken and not yet answered.
+	// Taken returns the number of requests that were accepted and not yet answered.
 	Taken() int64
 	Close() error
 }
 
-// row is a front end with its part of what the agent has.
-type row struct {
+// boundedFrontEnd is a front end with its share of the agent's resources.
+type boundedFrontEnd struct {
 	frontEnd
-	share     func(part int) // keeps to one of so many parts of the agent's bounds
-	listeners []net.Listener // nil: those that Serve is given
+	limitTo   func(divisor int) // reduces its bounds to one of divisor equal parts of the agent's
+	listeners []net.Listener    // nil: the listeners passed to Serve
 }
 
-// Decide makes what decides for an agent in the place of policy.New.
-type Decide func(set settings.Settings, seed uint64) (core.Decider, error)
+// NewDecider creates the decider of an agent in place of policy.New.
+type NewDecider func(set settings.Settings, seed uint64) (core.Decider, error)
 
-// Agent is one agent.
+// Agent is one running agent.
 type Agent struct {
-	core      *core.Core
-	fronts    []row // HTTP's first
-	transport *transport.Transport
-	stop      context.CancelFunc
-	gate      *gate         // nil: it is no end of links
-	fleet     *fleetView    // nil: it keeps no view of its fleet
-	promises  *promise.Part // nil: it holds nothing for others
-	sockets   int           // that clients and servers share
-	bodyBytes int64         // that bodies may hold
-	bodies    *window.Budget
-	gateway   bool
-	life      *lifecycle.Machine
-	log       *slog.Logger
-	table     *settings.Table   // Reload's
-	latest    settings.Settings // in force, as they were given
+	core       *core.Core
+	frontEnds  []boundedFrontEnd // HTTP is first
+	transport  *transport.Transport
+	stop       context.CancelFunc
+	gatewayEnd *gatewayEnd   // nil: the agent is not an end of links
+	fleet      *fleetNode    // nil: the agent keeps no view of its fleet
+	promises   *promise.Part // nil: the agent stores nothing for others
+	sockets    int           // descriptors that clients and servers share
+	bodyBytes  int64         // memory limit for bodies
+	bodies     *window.Budget
+	isGateway  bool
+	lifecycle  *lifecycle.Machine
+	log        *slog.Logger
+	table      *settings.Table   // replaced by Reload
+	latest     settings.Settings // settings in force, as configured
 }
 
-// Life is what the agent's process is.
-func (a *Agent) Life() *lifecycle.Machine { return a.life }
+// Lifecycle returns the lifecycle of the agent's process.
+func (a *Agent) Lifecycle() *lifecycle.Machine { return a.lifecycle }
 
-// Ready tells whether any server can be sent to; it does not wait.
+// Ready reports whether any server accepts requests. It does not block.
 func (a *Agent) Ready() bool {
-	if a.gate != nil {
-		return a.gate.Ready()
+	if a.gatewayEnd != nil {
+		return a.gatewayEnd.Ready()
 	}
 	return a.core.Ready()
 }
 
-// New makes an agent, which is told the list of its configuration, and what the operator
-// switches on.
+// New returns an agent with the endpoint list of its configuration and the features that the operator enables.
 func New(c *config.Config, o *operator.Settings, network Network, log *slog.Logger) (*Agent, error) {
 	return NewWith(c, o, network, nil, log)
 }
 
-// NewWith makes an agent with other decisions than its own, as the lab does; nil: its own.
-func NewWith(c *config.Config, o *operator.Settings, network Network, decide Decide, log *slog.Logger) (*Agent, error) {
+// NewWith returns an agent that uses another decider, as the lab does. With a nil decide it equals New.
+func NewWith(
+	c *config.Config, o *operator.Settings, network Network, decide NewDecider, log *slog.Logger,
+) (*Agent, error) {
 	if network.Dial == nil {
 		network.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	connect := ms(c.Settings.Limits.ConnectTimeoutMs)
-	if connect <= 0 {
-		connect = time.Second
+	connectTimeout := ms(c.Settings.Limits.ConnectTimeoutMs)
+	if connectTimeout <= 0 {
+		connectTimeout = time.Second
 	}
-	sockets, web := spare(c), &o.Front.FastCGI
-	more := 0 // requests that come over connections of several
+	sockets, web := availableSockets(c), &o.Front.FastCGI
+	multiplexed := 0 // requests over connections that carry several at once
 	if web.On() {
 		sockets -= web.Connections
-		more = web.Connections * web.Requests
+		multiplexed = web.Connections * web.Requests
 	}
 	if o.Peers.On() {
 		sockets -= o.Peers.Connections
 	}
 	if sockets < config.MinSockets {
-		return nil, fmt.Errorf("operator: front.fastcgi.connections, peers.connections: %d and %d of the platform's %d descriptors leave less than %d", web.Connections, o.Peers.Connections, c.Limits.Sockets, config.MinSockets)
+		return nil, fmt.Errorf("operator: front.fastcgi.connections, peers.connections: "+
+			"%d and %d of the platform's %d descriptors leave less than %d", web.Connections, o.Peers.Connections, c.Limits.Sockets, config.MinSockets)
 	}
 	bodyBytes := int64(c.Limits.MemoryMB * (1 << 20) / 8)
 	bodies := window.NewBudget(bodyBytes)
@@ -158,44 +163,45 @@
 	if o.Fleet.On {
 		idle = min(idle, time.Duration(o.Fleet.KeepIdle))
 	}
-	spoken, err := o.Transport.FastCGI.Options(c.Words.Sites, c.Words.Kinds)
+	fastCGIOptions, err := o.Transport.FastCGI.Options(c.RosterNames.Sites, c.RosterNames.Kinds)
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	if spoken != nil {
-		spoken.Log = log
+	if fastCGIOptions != nil {
+		fastCGIOptions.Log = log
 	}
-	servers := transport.New(transport.Options{Dial: network.Dial, Timeout: connect,
+	servers := transport.New(transport.Options{Dial: network.Dial, Timeout: connectTimeout,
 		Idle: idle, Most: backendSockets(sockets),
-		Budget: bodies, FastCGI: spoken,
+		Budget: bodies, FastCGI: fastCGIOptions,
 		Settle: time.Duration(o.Transport.HTTP.Settle), Resting: o.Transport.HTTP.Resting})
 	var ids *core.IDs
 	if o.Gateway.On() {
 		ids = core.NewIDs(&c.Settings)
 	}
 	table := settings.NewTable(c.Settings)
-	var account func(*loss.Record)
+	var reportLoss func(*loss.Record)
 	if o.Log.Account {
-		account = func(r *loss.Record) {
+		reportLoss = func(r *loss.Record) {
 			if text, err := json.Marshal(r); err == nil { // values only
 				log.Info(loss.LogMessage, "record", string(text))
 			}
 		}
 	}
-	k, err := core.New(ctx, core.Options{
+	agentCore, err := core.New(ctx, core.Options{
 		IDs:         ids,
-		ReportLoss:  account,
-		ZoneNumbers: c.Words.Sites,
+		ReportLoss:  reportLoss,
+		ZoneNumbers: c.RosterNames.Sites,
 		NewDecider:  decide,
 		Fleet:       o.Fleet.Options(),
-		Settings:    table.Settings, Seed: c.Seed, InitialList: c.Known, MaxOpen: openRequests(sockets) + more,
-		// Room for all that can be under way at once: a front end must not wait there.
-		QueueLength: 4 * (sockets + more),
+		Settings:    table.Settings, Seed: c.Seed, InitialList: c.InitialList,
+		MaxOpen: maxOpenRequests(sockets) + multiplexed,
+		// Room for all concurrent requests: a front end must not block on the queue.
+		QueueLength: 4 * (sockets + multiplexed),
 		Transport:   servers,
 		RosterAddr:  c.Discovery,
 		NewRoster: func(addr string, tell func(core.Update)) core.Roster {
-			return roster.New(ctx, addr, c.Words, network.Dial, tell)
+			return roster.New(ctx, addr, c.RosterNames, network.Dial, tell)
 		},
 		Log: log,
 	})
@@ -203,18 +209,22 @@
 		stop()
 		return nil, err
 	}
-	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: k, stop: stop, transport: servers, table: table, latest: c.Settings, log: log, life: lifecycle.New(), gateway: o.Gateway.On()}
-	var handler httpfront.Handler = k
+	a := &Agent{promises: network.Promises, sockets: sockets, bodyBytes: bodyBytes, bodies: bodies, core: agentCore,
+		stop: stop, transport: servers, table: table, latest: c.Settings, log: log, lifecycle: lifecycle.New(),
+		isGateway: o.Gateway.On()}
+	var handler httpfront.Handler = agentCore
 	if o.Promises.On {
 		if longest := core.MaxRequestDuration(&c.Settings); time.Duration(o.Promises.Remember) < 2*longest {
 			stop()
-			return nil, fmt.Errorf("operator: promises.remember: %v is under twice the %v that an order may be open", time.Duration(o.Promises.Remember), longest)
+			return nil, fmt.Errorf("operator: promises.remember: %v is under twice the %v that an order may be open",
+				time.Duration(o.Promises.Remember), longest)
 		}
 		folder := ""
 		if o.Promises.Journal == "disk" {
 			folder = o.Work.Folder
 		}
-		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone, Copies: o.Promises.Copies, Fewer: o.Promises.Fewer(),
+		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone,
+			Copies: o.Promises.Copies, Fewer: o.Promises.AllowsFewer(),
 			Remember: time.Duration(o.Promises.Remember), Bytes: o.Promises.AnswersMB << 20, Log: log})
 	}
 	if o.Gateway.On() {
@@ -222,29 +232,32 @@
 		if a.promises != nil && o.Promises.Copies > 0 {
 			promised = a.promises
 		}
-		if a.gate, err = newGate(ctx, c, &o.Gateway, network, k, ids, promised, log); err != nil {
+		if a.gatewayEnd, err = newGatewayEnd(ctx, c, &o.Gateway, network, agentCore, ids, promised, log); err != nil {
 			stop()
 			return nil, err
 		}
-		handler = a.gate
-		if network.Promises != nil && a.gate.far != nil {
-			network.Promises.Promises(o.Gateway.Name, a.gate.far.Incarnation(), a.gate.far)
+		handler = a.gatewayEnd
+		if network.Promises != nil && a.gatewayEnd.farEnd != nil {
+			network.Promises.Promises(o.Gateway.Name, a.gatewayEnd.farEnd.Incarnation(), a.gatewayEnd.farEnd)
 		}
 	}
 	front := httpfront.New(handler, httpfront.Options{
-		View: intake.Of(a.table), Life: a.life,
-		Places: clientSockets(sockets), Kept: keptSockets(sockets),
+		View: intake.Of(a.table), Life: a.lifecycle,
+		Places: clientSockets(sockets), Kept: keepAliveSockets(sockets),
 		Budget: bodies, Streams: !o.Gateway.On(), Log: log,
 		HeadWithin: time.Duration(o.Front.HTTP.HeadWithin), BodyWithin: time.Duration(o.Front.HTTP.BodyWithin),
 		KeepIdle: time.Duration(o.Front.HTTP.KeepIdle)})
-	a.fronts = append(a.fronts, row{frontEnd: front, share: func(part int) {
-		front.Bound(clientSockets(sockets/part), keptSockets(sockets/part))
+	a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: front, limitTo: func(divisor int) {
+		front.Bound(clientSockets(sockets/divisor), keepAliveSockets(sockets/divisor))
 	}})
 	if web.On() {
-		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.life, Connections: web.Connections, Requests: web.Requests,
-			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log, HeadWithin: time.Duration(web.HeadWithin),
+		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.lifecycle,
+			Connections: web.Connections, Requests: web.Requests,
+			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log,
+			HeadWithin: time.Duration(web.HeadWithin),
 			BodyWithin: time.Duration(web.BodyWithin), KeepIdle: time.Duration(web.KeepIdle)})
-		a.fronts = append(a.fronts, row{frontEnd: fast, share: func(part int) { fast.Bound(max(web.Connections/part, 1)) }, listeners: network.FastCGI})
+		a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: fast,
+			limitTo: func(divisor int) { fast.Bound(max(web.Connections/divisor, 1)) }, listeners: network.FastCGI})
 	}
 	if a.fleet, err = newFleet(a, c, o, log); err != nil {
 		stop()
@@ -255,13 +268,14 @@
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// Reload takes what may change while the agent runs from a new configuration, validated: the
-// settings, the address of the roster, the gateway's routes and certificates. An error changes
-// nothing of what it is about. It is called by one goroutine.
+// Reload applies the parts of a validated configuration that may change while the agent runs: the settings, the
+// address of the registry, the gateway's routes and the certificates. On an error the part that it names stays
+// unchanged. Only one goroutine may call Reload.
 func (a *Agent) Reload(c *config.Config, o *operator.Settings) error {
 	if !reflect.DeepEqual(c.Settings, a.latest) {
-		if a.gateway {
-			return errors.New("config: settings: a gateway takes others at a restart only, as its far sites would not know them")
+		if a.isGateway {
+			return errors.New("config: settings: a gateway changes them only at a restart, " +
+				"as its far sites would not know the new ones")
 		}
 		next, err := a.table.Next(c.Settings, time.Now())
 		if err != nil {
@@ -270,11 +284,11 @@
 		if err := a.core.UpdateSettings(next); err != nil {
 			return fmt.Errorf("config: settings: %w", err)
 		}
-		for _, f := range a.fronts {
+		for _, f := range a.frontEnds {
 			f.Turn(intake.Of(next))
 		}
 		a.table, a.latest = next, c.Settings
-		a.log.Info("settings: changed", "version", next.Version, "classes", len(next.Classes))
+		a.log.Info("settings changed", "version", next.Version, "classes", len(next.Classes))
 	}
 	a.core.SwitchRoster(c.Discovery)
 	if a.fleet != nil && a.fleet.keys != nil {
@@ -282,13 +296,13 @@
 			return fmt.Errorf("operator: peers.keys: %w", err)
 		}
 	}
-	if a.gate != nil {
-		return a.gate.reload(c, &o.Gateway)
+	if a.gatewayEnd != nil {
+		return a.gatewayEnd.reload(c, &o.Gateway)
 	}
 	return nil
 }
 
-// Serve answers on the listeners until the context ends, then finishes what it holds.
+// Serve serves the listeners until the context ends, then completes the open requests.
 func (a *Agent) Serve(ctx context.Context, listeners ...net.Listener) error {
 	defer a.transport.Close()
 	defer a.stop()
@@ -296,13 +310,13 @@
 	if a.fleet != nil {
 		defer a.fleet.Leave()
 	}
-	if a.gate != nil {
-		defer a.gate.run(ctx)() // first: what it finishes it may have to promise
+	if a.gatewayEnd != nil {
+		defer a.gatewayEnd.run(ctx)() // runs before the fleet's Leave: requests that complete may still need promises
 	}
-	ctx, end := context.WithCancel(ctx) // one that fails ends the others
+	ctx, end := context.WithCancel(ctx) // a front end that fails ends the others
 	defer end()
-	ended := make(chan error, len(a.fronts))
-	for i, f := range a.fronts {
+	ended := make(chan error, len(a.frontEnds))
+	for i, f := range a.frontEnds {
 		if i > 0 {
 			go func() {
 				err := f.Serve(ctx, f.listeners...)
@@ -313,47 +327,47 @@
 			}()
 		}
 	}
-	err := a.fronts[0].Serve(ctx, listeners...)
+	err := a.frontEnds[0].Serve(ctx, listeners...)
 	end()
-	for range a.fronts[1:] {
+	for range a.frontEnds[1:] {
 		err = errors.Join(err, <-ended)
 	}
 	return err
 }
 
-// Load is what an agent holds.
+// Load counts an agent's open requests and its memory for bodies.
 type Load struct {
 	core.Load
-	Taken  int64 // requests that clients wait for
-	Bodies int64 // bytes of theirs
-	// Crossings are those offered and taken that have no verdict, at either end of links.
+	Taken     int64 // requests accepted and not yet answered
+	BodyBytes int64 // bytes of bodies in memory
+	// Crossings is the number of crossings offered or accepted that have no verdict yet, at either end of links.
 	Crossings int
 }
 
-// Load tells what the agent holds now.
+// Load returns the agent's current load.
 func (a *Agent) Load() Load {
-	l := Load{Load: a.core.Load(), Bodies: a.bodies.Used()}
-	for _, f := range a.fronts {
+	l := Load{Load: a.core.Load(), BodyBytes: a.bodies.Used()}
+	for _, f := range a.frontEnds {
 		l.Taken += f.Taken()
 	}
-	if a.gate != nil {
-		l.Crossings = a.gate.crossings()
+	if a.gatewayEnd != nil {
+		l.Crossings = a.gatewayEnd.crossings()
 	}
 	return l
 }
 
-// Close ends the agent at once, with all that it holds.
+// Close stops the agent at once and abandons its open requests.
 func (a *Agent) Close() error {
 	a.stop()
 	a.transport.Close()
-	if a.gate != nil {
-		a.gate.close()
+	if a.gatewayEnd != nil {
+		a.gatewayEnd.close()
 	}
 	if a.fleet != nil {
 		a.fleet.Close()
 	}
 	var err error
-	for _, f := range a.fronts {
+	for _, f := range a.frontEnds {
 		err = errors.Join(err, f.Close())
 	}
 	return err
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// start serves an agent until the test ends; stop is its SIGTERM.
+// start serves an agent until the test ends; stop shuts it down as SIGTERM does.
 func start(t *testing.T, c map[string]any) (a *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
 	return startOn(t, c, Network{})
@@ -66,8 +66,8 @@
 	return "http://" + ln.Addr().String(), stop, ended
 }
 
-// counted is a backend that answers all it gets with status and counts it.
-func counted(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
+// countingBackend starts a backend that answers each request with status and sends its id to came.
+func countingBackend(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
 	came = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		came <- r.Header.Get("Request-Id")
@@ -81,12 +81,12 @@
 	return s.Listener.Addr().String(), came
 }
 
-// nowhere is a discovery that is never asked: lists are pushed in these settings.
-const nowhere = "127.0.0.1:1"
+// unusedRegistry is a registry address that is never asked: lists are pushed in these settings.
+const unusedRegistry = "127.0.0.1:1"
 
-func TestServed(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	_, base, _, _ := start(t, testkit.Config(nowhere, addr))
+func TestRequestsAreServed(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, addr))
 	for _, class := range []string{"look", "send", "order"} {
 		if status, body, _ := testkit.Do(t, testkit.Call(base, class)); status != 200 || body != "done" {
 			t.Fatalf("%s: got %d %q", class, status, body)
@@ -98,8 +98,8 @@
 	}
 }
 
-// What may have run is sent once more only where its class allows; what was turned
-// away may go on to another backend in any class.
+// A request that may have run is retried only where its class allows it. A request that was rejected may be sent
+// to another backend in any class.
 func TestRetries(t *testing.T) {
 	for _, c := range []struct {
 		class      string
@@ -118,10 +118,10 @@
 			var addrs []string
 			var came []chan string
 			for range 5 {
-				addr, ids := counted(t, c.status, c.notStarted)
+				addr, ids := countingBackend(t, c.status, c.notStarted)
 				addrs, came = append(addrs, addr), append(came, ids)
 			}
-			_, base, _, _ := start(t, testkit.Config(nowhere, addrs...))
+			_, base, _, _ := start(t, testkit.Config(unusedRegistry, addrs...))
 			status, _, head := testkit.Do(t, testkit.Call(base, c.class))
 			if status != c.answer {
 				t.Errorf("answered %d, want %d", status, c.answer)
@@ -141,22 +141,22 @@
 	}
 }
 
-// A backend's answer that breaks off is not passed on, whole or in part.
-func TestBrokenAnswerFails(t *testing.T) {
+// A truncated answer of a backend is not forwarded, not even in part.
+func TestTruncatedAnswerFails(t *testing.T) {
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := testkit.ReadRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone")
 		}
 	})
-	_, base, _, _ := start(t, testkit.Config(nowhere, addr))
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, addr))
 	if status, body, _ := testkit.Do(t, testkit.Call(base, "order")); status != http.StatusBadGateway || body != "" {
 		t.Fatalf("got %d %q", status, body)
 	}
 }
 
-// With more requests than places for clients those over it are refused at once; left
-// to wait for a place they would be lost.
-func TestMoreRequestsThanPlaces(t *testing.T) {
+// Requests over the number of client connections are refused at once. Requests that waited for a connection would
+// be lost.
+func TestMoreRequestsThanConnections(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -165,19 +165,19 @@
 	}))
 	t.Cleanup(s.Close)
 	t.Cleanup(open) // before the backend closes, also when the test fails
-	c := testkit.Config(nowhere, s.Listener.Addr().String())
+	c := testkit.Config(unusedRegistry, s.Listener.Addr().String())
 	c["limits"].(map[string]any)["sockets"] = config.MinSockets
 	_, base, _, _ := start(t, c)
 	const over = 20
-	asked := openRequests(config.MinSockets) + over
+	asked := maxOpenRequests(config.MinSockets) + over
 	if asked <= clientSockets(config.MinSockets) {
-		t.Fatal("these fit into the places")
+		t.Fatal("too few requests: all fit into the client connections")
 	}
 	answers := make(chan int, asked)
 	for range asked {
 		go func() {
-			// A connection on which nothing comes for 30 ms, as on a busy machine, may lose its
-			// place; its client sends again, and a request that had been taken would get 409.
+			// A connection that is silent for 30 ms, as on a busy machine, may be closed. Its client sends the
+			// request again; one that had been accepted would get 409.
 			call := testkit.Call(base, "order")
 			resp, err := new(http.Transport).RoundTrip(call)
 			for again := 0; err != nil && again < 20; again++ {
@@ -194,7 +194,7 @@
 			answers <- resp.StatusCode
 		}()
 	}
-	soon := time.After(10 * time.Second) // the module's own patience is 15 s here
+	soon := time.After(10 * time.Second) // the policy's own time-out is 15 s here
 	for range over {
 		select {
 		case status := <-answers:
@@ -213,8 +213,8 @@
 	}
 }
 
-// An attempt of a client that has gone is given up.
-func TestClientGone(t *testing.T) {
+// The attempt of a client that has disconnected is cancelled.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := testkit.ReadRequest(r); err != nil {
@@ -224,7 +224,7 @@
 		r.ReadByte()
 		close(ended)
 	})
-	_, base, _, _ := start(t, testkit.Config(nowhere, addr))
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, addr))
 	ctx, cancel := context.WithCancel(context.Background())
 	go testkit.Client.Do(testkit.Call(base, "order").WithContext(ctx))
 	<-got
@@ -232,11 +232,11 @@
 	<-ended
 }
 
-// A client that leaves while an answer of no told length is passed on to it, from a server that has fallen
-// silent: the attempt ends with it, not when the server has been silent for too long.
-func TestClientGoneWithinAnAnswer(t *testing.T) {
+// A client disconnects while it receives an answer without Content-Length, from a server that has stopped sending.
+// The attempt ends with the client, not with the server's time-out.
+func TestClientDisconnectsDuringAnswer(t *testing.T) {
 	ended := make(chan struct{})
-	_, base, _, _ := start(t, testkit.Config(nowhere, testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
 		if _, err := testkit.ReadRequest(r); err != nil {
 			return
 		}
@@ -255,7 +255,7 @@
 	resp.Body.Close()
 	select {
 	case <-ended:
-		if took := time.Since(left); took > 4*time.Second { // the server's silence ends it after five
+		if took := time.Since(left); took > 4*time.Second { // the server's time-out ends it after five
 			t.Error("the attempt went on for", took)
 		}
 	case <-time.After(20 * time.Second):
@@ -265,8 +265,8 @@
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
-// The module hears that a watch ended, and its next call goes out.
-func TestWatchIsAskedAgain(t *testing.T) {
+// After a watch of the registry ends, the next one is started.
+func TestEndedWatchIsRestarted(t *testing.T) {
 	asked := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
@@ -286,10 +286,9 @@
 	}
 }
 
-// A server that drains while the connection to it still comes up is sent nothing, and the
-// request goes on to another.
+// A server that starts draining while the agent connects to it gets no request; the request goes to another.
 func TestDrainWhileDialling(t *testing.T) {
-	good, came := counted(t, 200, false)
+	good, came := countingBackend(t, 200, false)
 	release := make(chan struct{})
 	lines := make(chan string, 1)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -336,7 +335,7 @@
 	<-came
 }
 
-// An id that is open is refused to whoever else sends it, and goes out once.
+// A second request with the id of an open one is refused, and the first is sent once.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -344,7 +343,7 @@
 		<-release
 	}))
 	t.Cleanup(s.Close)
-	_, base, _, _ := start(t, testkit.Config(nowhere, s.Listener.Addr().String()))
+	_, base, _, _ := start(t, testkit.Config(unusedRegistry, s.Listener.Addr().String()))
 	first, again := testkit.Call(base, "order"), testkit.Call(base, "order")
 	again.Header.Set("Request-Id", first.Header.Get("Request-Id"))
 	served := make(chan int, 1)
@@ -367,10 +366,10 @@
 	}
 }
 
-// Clients are served at all places where the agent listens, and all end with it.
-func TestMoreListeners(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	a, err := New(parse(t, testkit.Config(nowhere, addr)), operator.Default(), Network{}, slog.New(slog.DiscardHandler))
+// Clients are served at all listeners, and all listeners close with the agent.
+func TestSeveralListeners(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	a, err := New(parse(t, testkit.Config(unusedRegistry, addr)), operator.Default(), Network{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -17,33 +17,35 @@
 	"molepaddle/internal/protocol/gateway"
 )
 
-// gate is what makes an agent an end of links: a core for each far site, the far end's
-// listener, and the routes between them. It is the front end's handler.
-type gate struct {
-	name   string
-	own    *core.Core
-	ids    *core.IDs
-	sites  map[string]*farSite
-	order  []string
-	far    *gateway.Far // nil: it is no far end
-	links  Network
-	keys   *keys.Store // nil: plain
-	table  atomic.Pointer[routes.Table]
-	advice time.Duration
-	last   time.Duration // how long a request may be open
-	once   sync.Once
+// gatewayEnd makes an agent an end of links: it has a core for each far site, the far end's listener and the routing
+// table. It is the handler of the front ends.
+type gatewayEnd struct {
+	name               string
+	localCore          *core.Core
+	ids                *core.IDs
+	sites              map[string]*farSite
+	siteOrder          []string
+	farEnd             *gateway.Far // nil: not a far end
+	links              Network
+	keys               *keys.Store // nil: no TLS
+	table              atomic.Pointer[routes.Table]
+	retryAfter         time.Duration
+	maxRequestDuration time.Duration // longest time that a request may be open
+	closeOnce          sync.Once
 }
 
-// farSite is the near end of the links to a site, with the core that sends there.
+// farSite is the near end of the links to a site, with the core that sends requests there.
 type farSite struct {
 	link *gateway.Site
 	core *core.Core
 }
 
-func newGate(ctx context.Context, c *config.Config, o *operator.Gateway, network Network, own *core.Core, ids *core.IDs, promised gateway.Promises, log *slog.Logger) (*gate, error) {
-	g := &gate{name: o.Name, own: own, ids: ids, sites: map[string]*farSite{}, links: network, last: core.MaxRequestDuration(&c.Settings)}
+func newGatewayEnd(ctx context.Context, c *config.Config, o *operator.Gateway, network Network, own *core.Core,
+	ids *core.IDs, promised gateway.Promises, log *slog.Logger) (*gatewayEnd, error) {
+	g := &gatewayEnd{name: o.Name, localCore: own, ids: ids, sites: map[string]*farSite{}, links: network,
+		maxRequestDuration: core.MaxRequestDuration(&c.Settings)}
 	if c.Settings.Limits.RetryAfter {
-		g.advice = ms(c.Settings.Limits.MaxRetryAfterMs)
+		g.retryAfter = ms(c.Settings.Limits.MaxRetryAfterMs)
 	}
 	if !o.Plain {
 		var err error
@@ -51,16 +53,17 @@
 			return nil, fmt.Errorf("operator: gateway.keys: %w", err)
 		}
 		if g.keys.Name() != o.Name {
-			return nil, fmt.Errorf("operator: gateway.name: the certificate is %q's", g.keys.Name())
+			return nil, fmt.Errorf("operator: gateway.name: the certificate's name is %q", g.keys.Name())
 		}
 		if left := time.Until(g.keys.Until()); left < keys.Warn {
-			log.Warn("the gateway's certificate ends soon", "days", int(left.Hours()/24))
+			log.Warn("the gateway's certificate expires soon", "days", int(left.Hours()/24))
 		}
 	}
 	if err := g.route(c, o); err != nil {
 		return nil, err
 	}
-	times := gateway.Times{Beat: time.Duration(o.Beat), StallAfter: time.Duration(o.StallAfter), DeadAfter: time.Duration(o.DeadAfter),
+	times := gateway.Times{Beat: time.Duration(o.HeartbeatInterval), StallAfter: time.Duration(o.StallAfter),
+		DeadAfter: time.Duration(o.DeadAfter),
 		RedialMin: time.Duration(o.RedialMin), RedialMax: time.Duration(o.RedialMax)}
 	var names []string
 	for i := range c.Settings.Classes {
@@ -71,7 +74,8 @@
 		return nil, fmt.Errorf("operator: gateway.%w", err)
 	}
 	for i, s := range o.Sites {
-		so := gateway.SiteOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times, Settings: &c.Settings, ProofWithin: time.Duration(s.ProofWithin),
+		so := gateway.SiteOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times,
+			Settings: &c.Settings, ProofWithin: time.Duration(s.ProofWithin),
 			Dial: network.Dial, Seed: c.Seed + uint64(i) + 1, Log: log}
 		for _, p := range s.Peers {
 			so.Peers = append(so.Peers, gateway.Peer(p))
@@ -83,28 +87,32 @@
 		if err != nil {
 			return nil, err
 		}
-		k, err := core.New(ctx, core.Options{Settings: site.Settings(), Seed: c.Seed ^ uint64(i+1), InitialList: site.Known(),
-			MaxOpen: openRequests(c.Limits.Sockets), QueueLength: 4 * c.Limits.Sockets, Transport: site, RosterAddr: s.Name,
-			NewRoster: site.NewRoster, Log: log.With("site", s.Name), IDs: ids})
+		k, err := core.New(ctx, core.Options{Settings: site.Settings(), Seed: c.Seed ^ uint64(i+1),
+			InitialList: site.Known(),
+			MaxOpen:     maxOpenRequests(c.Limits.Sockets), QueueLength: 4 * c.Limits.Sockets, Transport: site,
+			RosterAddr: s.Name,
+			NewRoster:  site.NewRoster, Log: log.With("site", s.Name), IDs: ids})
 		if err != nil {
 			return nil, err
 		}
 		g.sites[s.Name] = &farSite{site, k}
-		g.order = append(g.order, s.Name)
+		g.siteOrder = append(g.siteOrder, s.Name)
 	}
 	if o.Listen != "" {
-		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes, Tenants: c.Tenants, Peers: o.Peers,
-			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Conns, PerSecond: o.Greetings, Times: times, Seed: c.Seed, Log: log, Promises: promised}
+		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes,
+			Tenants: c.Tenants, Peers: o.Peers,
+			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Connections, PerSecond: o.HandshakeRate,
+			Times: times, Seed: c.Seed, Log: log, Promises: promised}
 		if g.keys != nil {
 			fo.TLS = func() *tls.Config { return g.keys.Server() }
 		}
-		g.far = gateway.NewFar(fo)
+		g.farEnd = gateway.NewFar(fo)
 	}
 	return g, nil
 }
 
-// route takes a routing table into use.
-func (g *gate) route(c *config.Config, o *operator.Gateway) error {
+// route replaces the routing table.
+func (g *gatewayEnd) route(c *config.Config, o *operator.Gateway) error {
 	var classes []string
 	for name := range c.Classes {
 		classes = append(classes, name)
@@ -117,8 +125,8 @@
 	return nil
 }
 
-// reload takes new routes and certificates. Links that are up stay up with the old ones.
-func (g *gate) reload(c *config.Config, o *operator.Gateway) error {
+// reload applies new routes and certificates. Established links keep the old certificates.
+func (g *gatewayEnd) reload(c *config.Config, o *operator.Gateway) error {
 	if g.keys != nil {
 		if err := g.keys.Reload(); err != nil {
 			return fmt.Errorf("operator: gateway.keys: %w", err)
@@ -127,92 +135,92 @@
 	return g.route(c, o)
 }
 
-// run opens the links; the function that it returns ends them, when the front end has taken
-// its last request and ctx is over.
-func (g *gate) run(ctx context.Context) (end func()) {
-	for _, name := range g.order {
+// run opens the links. The function that it returns closes them; it is called when the front end has accepted its
+// last request and ctx has ended.
+func (g *gatewayEnd) run(ctx context.Context) (end func()) {
+	for _, name := range g.siteOrder {
 		s := g.sites[name]
 		go s.core.Run()
 		s.link.Run()
 	}
-	if g.far != nil && g.links.Links != nil {
-		go func() { _ = g.far.Serve(g.links.Links) }()
-		context.AfterFunc(ctx, g.far.Drain)
+	if g.farEnd != nil && g.links.Links != nil {
+		go func() { _ = g.farEnd.Serve(g.links.Links) }()
+		context.AfterFunc(ctx, g.farEnd.Drain)
 	}
 	return func() {
-		if g.far != nil {
-			wait, cancel := context.WithTimeout(context.Background(), g.last)
+		if g.farEnd != nil {
+			wait, cancel := context.WithTimeout(context.Background(), g.maxRequestDuration)
 			defer cancel()
-			g.far.Finish(wait)
+			g.farEnd.Finish(wait)
 		}
 		g.close()
 	}
 }
 
-// crossings are those that have no verdict.
-func (g *gate) crossings() (n int) {
+// crossings returns the number of crossings that have no verdict yet.
+func (g *gatewayEnd) crossings() (n int) {
 	for _, s := range g.sites {
 		n += s.link.Open()
 	}
-	if g.far != nil {
-		n += g.far.Held()
+	if g.farEnd != nil {
+		n += g.farEnd.Held()
 	}
 	return n
 }
 
-// avoid has the near ends leave gateways alone that a view of the fleet speaks against.
-func (g *gate) avoid(names []string) {
+// avoid makes the near ends avoid the named gateways, which the view of the fleet reports as unhealthy.
+func (g *gatewayEnd) avoid(names []string) {
 	for _, s := range g.sites {
 		s.link.Avoid(names)
 	}
 }
 
-// close ends all links at once.
-func (g *gate) close() {
-	g.once.Do(func() {
+// close closes all links at once.
+func (g *gatewayEnd) close() {
+	g.closeOnce.Do(func() {
 		if g.links.Links != nil {
 			g.links.Links.Close()
 		}
 		for _, s := range g.sites {
 			s.link.Close()
 		}
-		if g.far != nil {
-			g.far.Close()
+		if g.farEnd != nil {
+			g.farEnd.Close()
 		}
 	})
 }
 
-// at is the handler of a site.
-func (g *gate) at(site string) *core.Core {
+// coreFor returns the core that sends requests to a site.
+func (g *gatewayEnd) coreFor(site string) *core.Core {
 	if s := g.sites[site]; s != nil {
 		return s.core
 	}
-	return g.own
+	return g.localCore
 }
 
-// Ready tells whether any site can be sent to.
-func (g *gate) Ready() bool {
+// Ready reports whether any site accepts requests.
+func (g *gatewayEnd) Ready() bool {
 	for _, s := range g.sites {
 		if s.core.Ready() {
 			return true
 		}
 	}
-	return g.own.Ready()
+	return g.localCore.Ready()
 }
 
-// Do brings a request to the first site of its route that can be reached; where none can,
-// it is refused at once.
-func (g *gate) Do(ctx context.Context, r *core.Request) core.Answer {
+// Do forwards a request to the first ready site of its route. If none is ready, it refuses the request at once.
+func (g *gatewayEnd) Do(ctx context.Context, r *core.Request) core.Answer {
 	class := ""
-	if set := g.own.Classes(); r.Class < len(set) {
+	if set := g.localCore.Classes(); r.Class < len(set) {
 		class = set[r.Class].Name
 	}
-	site, err := routes.FirstReady(g.table.Load().Sites(class, r.Message.Target, r.ID), func(s string) bool { return g.at(s).Ready() })
+	site, err := routes.FirstReady(g.table.Load().Sites(class, r.Message.Target, r.ID),
+		func(s string) bool { return g.coreFor(s).Ready() })
 	if err != nil {
 		if !g.ids.Add(r.ID) {
 			return core.Answer{Outcome: core.Duplicate}
 		}
-		return core.Answer{Outcome: core.Refused, RetryAfter: g.advice}
+		return core.Answer{Outcome: core.Refused, RetryAfter: g.retryAfter}
 	}
-	return g.at(site).Do(ctx, r)
+	return g.coreFor(site).Do(ctx, r)
 }
--- a/internal/process/agent/status.go
+++ b/internal/process/agent/status.go
@@ -12,19 +12,19 @@
 	"molepaddle/internal/protocol/gateway"
 )
 
-// LinkStatus is what a gateway holds of links, as its status socket tells it.
+// LinkStatus is the state of a gateway's links, as its status socket returns it.
 type LinkStatus struct {
 	Name        string               `json:"name"`
 	Draining    bool                 `json:"draining"`
 	Certificate *time.Time           `json:"certificate_ends,omitempty"`
 	To          []gateway.PeerStatus `json:"to"`   // far gateways
-	From        []gateway.PeerStatus `json:"from"` // near ones
+	From        []gateway.PeerStatus `json:"from"` // near gateways
 }
 
-// LinkStatus tells what the agent holds of links.
+// LinkStatus returns the state of the agent's links.
 func (a *Agent) LinkStatus() LinkStatus {
 	s := LinkStatus{To: []gateway.PeerStatus{}, From: []gateway.PeerStatus{}}
-	g := a.gate
+	g := a.gatewayEnd
 	if g == nil {
 		return s
 	}
@@ -33,18 +33,18 @@
 		until := g.keys.Until()
 		s.Certificate = &until
 	}
-	for _, site := range g.order {
+	for _, site := range g.siteOrder {
 		s.To = append(s.To, g.sites[site].link.Status()...)
 	}
-	if g.far != nil {
-		s.From = append(s.From, g.far.Status()...)
-		s.Draining = g.far.Draining()
+	if g.farEnd != nil {
+		s.From = append(s.From, g.farEnd.Status()...)
+		s.Draining = g.farEnd.Draining()
 	}
 	return s
 }
 
-// ServeStatus writes the agent's LinkStatus as JSON to each that connects, one at a time,
-// until the listener is closed.
+// ServeStatus writes the agent's LinkStatus as JSON to each connection, one at a time, until the listener is
+// closed.
 func (a *Agent) ServeStatus(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -57,7 +57,7 @@
 	}
 }
 
-// ReadStatus asks the status socket of a running gateway.
+// ReadStatus reads the status of a running gateway from its Unix socket.
 func ReadStatus(socket string) (s LinkStatus, err error) {
 	c, err := net.DialTimeout("unix", socket, time.Second)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return s, err
 }
 
-// Print words the status for a person.
+// Print writes the status as text for a person.
 func (s *LinkStatus) Print(out io.Writer) {
 	fmt.Fprintf(out, "gateway %s", s.Name)
 	if s.Draining {
@@ -91,7 +91,8 @@
 			if p.Site != "" {
 				state += ", site " + p.Site + " at " + p.Address
 			}
-			fmt.Fprintf(out, "%-4s %s: %s; %s of at most %d\n", part.way, p.Name, state, counts(p.Crossings), p.Window)
+			fmt.Fprintf(out, "%-4s %s: %s; %s of at most %d\n", part.way, p.Name, state, formatCounts(p.Crossings),
+				p.Window)
 			for _, l := range p.Links {
 				flags := ""
 				if l.Stalled {
@@ -116,8 +117,8 @@
 	}
 }
 
-// counts words numbers by their names.
-func counts(m map[string]int) string {
+// formatCounts formats the numbers with their names, sorted as text.
+func formatCounts(m map[string]int) string {
 	var parts []string
 	for name, n := range m {
 		parts = append(parts, fmt.Sprintf("%d %s", n, name))
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads what the platform tells an agent at its start. Values only: a
-// Config is not changed once it is read.
+// Package config reads the platform's configuration of an agent: its file at the start, and later versions of it
+// while the agent runs. The package holds values only; a Config is not changed after it is read, so any goroutine may
+// read it.
 package config
 
 import (
@@ -18,49 +19,49 @@
 	"molepaddle/policy"
 )
 
-// MinSockets is the least number of descriptors that an agent can work with.
+// MinSockets is the minimum number of file descriptors of an agent.
 const MinSockets = 64
 
-// Limits is what the machine allows the process.
+// Limits is the resources that the machine allows the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is all that an agent is told at its start.
+// Config is the platform's configuration of an agent.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Settings  settings.Settings
-	Words     roster.Words   // of lists
-	Classes   map[string]int // numbers of the classes names
-	Tenants   map[string]int
-	Known     cluster.List
-	// Management is where operators connect; empty: nowhere.
+	Name        string
+	Listen      string
+	Discovery   string
+	Seed        uint64
+	Limits      Limits
+	Settings    settings.Settings
+	RosterNames roster.Words   // numbers of the zones and kinds in endpoint lists
+	Classes     map[string]int // class numbers by name
+	Tenants     map[string]int
+	InitialList cluster.List
+	// Management is the address for operators' calls; empty: none.
 	Management string
 
-	keys any // the file's keys, as Next compares them
+	keys any // parsed file without "known", compared by LoadUpdate
 }
 
-// manageVar is the variable that names the operators' address where the file does not.
-const manageVar = "EDGE_MANAGEMENT"
+// managementVar is the environment variable for the management address, used where the file has none.
+const managementVar = "EDGE_MANAGEMENT"
 
 const (
-	// mostGiveUpMs and mostAttempts bound what a file that is read while the agent runs may say.
-	mostGiveUpMs, mostAttempts = 3600e3, 1000
+	// mostGiveUpMs and maxAttempts bound the values of a file that is read while the agent runs.
+	maxClientTimeoutMs, maxAttempts = 3600e3, 1000
 )
 
-// Next reads and validates the file at path, which is to follow old while the agent runs. It is
-// turned down whole if it lacks a key that old's had (but for "known"), or one of its deadlines or
-// its number of attempts is not above 0. The error names the file and the key.
-func Next(old *Config, path string) (*Config, error) {
+// LoadUpdate reads and validates the file at path, which replaces old while the agent runs. The whole file is
+// rejected if it lacks a key of old's file (other than "known"), or if a deadline or the number of attempts is out of
+// range. The error names the file and the key.
+func LoadUpdate(old *Config, path string) (*Config, error) {
 	c, err := Load(path)
 	if err == nil {
-		err = c.follows(old)
+		err = c.checkUpdate(old)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -68,24 +69,25 @@
 	return c, nil
 }
 
-func (c *Config) follows(old *Config) error {
-	if key := missing(old.keys, c.keys); key != "" {
+func (c *Config) checkUpdate(old *Config) error {
+	if key := missingKey(old.keys, c.keys); key != "" {
 		return fmt.Errorf("config: %s: missing", key)
 	}
-	if n := c.Settings.Limits.MaxAttempts; n < 1 || n > mostAttempts {
-		return fmt.Errorf("config: settings: limits.maxAttempts: must be from 1 to %d, is %d", mostAttempts, n)
+	if n := c.Settings.Limits.MaxAttempts; n < 1 || n > maxAttempts {
+		return fmt.Errorf("config: settings: limits.maxAttempts: must be from 1 to %d, is %d", maxAttempts, n)
 	}
 	for i, class := range c.Settings.Classes {
-		if class.ClientTimeoutMs > mostGiveUpMs {
-			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v", i, mostGiveUpMs, class.ClientTimeoutMs)
+		if class.ClientTimeoutMs > maxClientTimeoutMs {
+			return fmt.Errorf("config: settings: classes[%d].giveUpMs: must be at most %v, is %v",
+				i, maxClientTimeoutMs, class.ClientTimeoutMs)
 		}
 	}
 	return nil
 }
 
-// missing names a key that old has and now lacks; empty: there is none. Of objects in a list each
-// has to have those that all of old's have.
-func missing(old, now any) string {
+// missingKey returns the first key that old has and now lacks; empty: none. Each object of a list must have the keys
+// that all objects of old's list have.
+func missingKey(old, now any) string {
 	switch old := old.(type) {
 	case map[string]any:
 		have, is := now.(map[string]any)
@@ -93,7 +95,7 @@
 			if _, has := have[key]; !is || !has {
 				return key
 			}
-			if below := missing(old[key], have[key]); below != "" {
+			if below := missingKey(old[key], have[key]); below != "" {
 				return key + "." + below
 			}
 		}
@@ -112,7 +114,7 @@
 			maps.DeleteFunc(common, func(key string, _ any) bool { _, has := other[key]; return !has })
 		}
 		for i, n := range have {
-			if below := missing(common, n); below != "" {
+			if below := missingKey(common, n); below != "" {
 				return fmt.Sprintf("[%d].%s", i, below)
 			}
 		}
@@ -120,8 +122,7 @@
 	return ""
 }
 
-// Load reads and validates the file at path. Its error names the key
-// that makes no sense.
+// Load reads and validates the file at path. Its error names the invalid key.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("EDGE_CONFIG: not set")
@@ -133,7 +134,7 @@
 	return Parse(text)
 }
 
-// Parse reads and validates the text of a configuration.
+// Parse parses and validates the text of a configuration.
 func Parse(text []byte) (*Config, error) {
 	var raw struct {
 		Name      string          `json:"name"`
@@ -146,11 +147,11 @@
 		Manage    *string         `json:"management"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		var bad *json.UnmarshalTypeError
-		if errors.As(err, &bad) {
-			return nil, fmt.Errorf("config: %s: cannot be a %s", bad.Field, bad.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("config: %s: cannot be a %s", typeErr.Field, typeErr.Value)
 		}
-		return nil, fmt.Errorf("config: no JSON: %w", err)
+		return nil, fmt.Errorf("config: not valid JSON: %w", err)
 	}
 	c := &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Limits: raw.Limits}
 	if err := roster.CheckAddress(raw.Listen); err != nil {
@@ -165,15 +166,15 @@
 			return nil, fmt.Errorf("config: management: %w", err)
 		}
 		c.Management = *raw.Manage
-	} else if at := os.Getenv(manageVar); at != "" {
+	} else if at := os.Getenv(managementVar); at != "" {
 		if err := roster.CheckAddress(at); err != nil {
-			return nil, fmt.Errorf("%s: %w", manageVar, err)
+			return nil, fmt.Errorf("%s: %w", managementVar, err)
 		}
 		c.Management = at
 	}
 	var keys map[string]any
 	if err := json.Unmarshal(text, &keys); err != nil {
-		return nil, fmt.Errorf("config: no JSON: %w", err)
+		return nil, fmt.Errorf("config: not valid JSON: %w", err)
 	}
 	delete(keys, "known")
 	c.keys = keys
@@ -195,18 +196,18 @@
 	if c.Settings, err = wire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var words struct {
+	var names struct {
 		Sites []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
 	}
-	if err := json.Unmarshal(raw.Settings, &words); err != nil {
+	if err := json.Unmarshal(raw.Settings, &names); err != nil {
 		return nil, fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
 	}
-	// The module validates its settings itself; one made here tells at once.
+	// The policy validates its settings; creating one here returns its error at once.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.Words = roster.Words{Sites: index(words.Sites), Kinds: index(words.Kinds)}
+	c.RosterNames = roster.Words{Sites: numberNames(names.Sites), Kinds: numberNames(names.Kinds)}
 	c.Classes, c.Tenants = map[string]int{}, map[string]int{}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
@@ -218,14 +219,14 @@
 		c.Tenants[tenant.Name] = i
 	}
 	if len(raw.Known) > 0 {
-		if c.Known, err = c.Words.Parse(raw.Known); err != nil {
+		if c.InitialList, err = c.RosterNames.Parse(raw.Known); err != nil {
 			return nil, fmt.Errorf("config: known: %w", err)
 		}
 	}
 	return c, nil
 }
 
-func index(words []string) map[string]int {
+func numberNames(words []string) map[string]int {
 	m := make(map[string]int, len(words))
 	for i, w := range words {
 		m[w] = i
--- a/internal/process/config/config_test.go
+++ b/internal/process/config/config_test.go
@@ -8,9 +8,9 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-const nowhere = "127.0.0.1:1"
+const unusedRegistry = "127.0.0.1:1"
 
-// Errors of a configuration name the key.
+// An error of an invalid configuration names the key.
 func TestConfigErrors(t *testing.T) {
 	for key, change := range map[string]func(c map[string]any){
 		"name":             func(c map[string]any) { delete(c, "name") },
@@ -35,7 +35,7 @@
 			c["known"].(map[string]any)["hosts"] = []any{testkit.Host(0, "127.0.0.1:1", "well")}
 		},
 	} {
-		c := testkit.Config(nowhere)
+		c := testkit.Config(unusedRegistry)
 		change(c)
 		text, _ := json.Marshal(c)
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
@@ -43,6 +43,6 @@
 		}
 	}
 	if _, err := Parse([]byte("{")); err == nil {
-		t.Error("half a configuration was taken")
+		t.Error("a truncated configuration was accepted")
 	}
 }
--- a/internal/process/operator/operator_test.go
+++ b/internal/process/operator/operator_test.go
@@ -13,18 +13,18 @@
 	"molepaddle/internal/process/strict"
 )
 
-func TestNoFileAndAnEmptyOneAreTheDefaults(t *testing.T) {
+func TestDefaultsWithoutSettings(t *testing.T) {
 	s, err := Load("")
-	if err != nil || len(s.On()) != 0 {
+	if err != nil || len(s.Describe()) != 0 {
 		t.Fatalf("%v, %v", s, err)
 	}
-	if s, err = Parse("f", nil); err != nil || len(s.On()) != 0 {
+	if s, err = Parse("f", nil); err != nil || len(s.Describe()) != 0 {
 		t.Fatalf("%v, %v", s, err)
 	}
 }
 
-// A client may take 2 s for a head, and a bad one is owed an end within 3 s of its connecting.
-func TestDefaultsEndBadClientsSoon(t *testing.T) {
+// The defaults allow a client 2 s for a request's head, and close a bad client's connection within 3 s.
+func TestDefaultTimeoutsForBadClients(t *testing.T) {
 	h := Default().Front.HTTP
 	if head, body := time.Duration(h.HeadWithin), time.Duration(h.BodyWithin); head < 2200*time.Millisecond || max(head, body) > 2700*time.Millisecond {
 		t.Fatal("head or body may take too long, or not long enough")
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if on := s.On(); len(on) != 0 {
+	if on := s.Describe(); len(on) != 0 {
 		t.Fatalf("the shipped file switches on %q", on)
 	}
 }
@@ -59,7 +59,7 @@
 		time.Duration(s.Front.HTTP.BodyWithin) != 2*time.Second {
 		t.Fatalf("%+v", s)
 	}
-	if on := s.On(); len(on) != 4 {
+	if on := s.Describe(); len(on) != 4 {
 		t.Fatalf("on: %q", on)
 	}
 }
@@ -91,10 +91,10 @@
 	}
 }
 
-const near = "[gateway]\nname = \"a\"\nplain = true\n%s[[gateway.site]]\nname = \"b\"\n[[gateway.site.peer]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n%s"
+const nearGatewayFile = "[gateway]\nname = \"a\"\nplain = true\n%s[[gateway.site]]\nname = \"b\"\n[[gateway.site.peer]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n%s"
 
 func TestGatewayLimits(t *testing.T) {
-	s, err := Parse("f", fmt.Appendf(nil, near, "least = 20\n", "[[gateway.class]]\nname = \"order\"\npart = 0.6\n"))
+	s, err := Parse("f", fmt.Appendf(nil, nearGatewayFile, "least = 20\n", "[[gateway.class]]\nname = \"order\"\npart = 0.6\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 		{"", "[[gateway.class]]\nname = \"x\"\n[[gateway.class]]\nname = \"x\"\n", "f.toml:12: gateway.class[1].name"},
 		{"", "[[gateway.class]]\nname = \"x\"\npart = 0.7\n[[gateway.class]]\nname = \"y\"\npart = 0.4\n", "f.toml:14: gateway.class[1].part"},
 	} {
-		if _, err := Parse("f.toml", fmt.Appendf(nil, near, c.more, c.classes)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+		if _, err := Parse("f.toml", fmt.Appendf(nil, nearGatewayFile, c.more, c.classes)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%q: said %v, want %s", c.more+c.classes, err, c.want)
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestFilesThatCantBeRead(t *testing.T) {
+func TestUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Load(filepath.Join(dir, "none")); err == nil {
 		t.Error("a file that is not there was read")
@@ -140,7 +140,7 @@
 	}
 }
 
-// Whatever the file holds, reading it ends with settings within their bounds or one line.
+// Parsing any text returns valid settings or an error of one line.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"", "[front.http]\nhead_within = \"1s\"", "[[front.http.listen]]\nunix=\"\"", "a=1\na=2", "\x00", "x.y.z = [1, {a=2}]"} {
 		f.Add([]byte(text))
--- a/internal/process/operator/promises.go
+++ b/internal/process/operator/promises.go
@@ -8,31 +8,33 @@
 	"molepaddle/internal/decide/promises"
 )
 
-// Promises is the table of agents that hold for others what those have begun; see package promises. Far
-// gateways among them promise.
+// Promises is the table of agents that store replicas of the requests that far gateways have begun; see package
+// promises. An agent that is a far gateway makes promises itself.
 type Promises struct {
-	On        bool     `toml:"on"`
-	Copies    int      `toml:"copies"`     // that hold what a far gateway here begins; 0: nothing is promised
-	Without   string   `toml:"without"`    // as many copies: refuse, or fewer
-	Remember  Duration `toml:"remember"`   // longer than any order may be open
-	AnswersMB int      `toml:"answers_mb"` // held for others
-	Journal   string   `toml:"journal"`    // where what others began is kept: memory, or disk (in the folder of work)
+	On              bool     `toml:"on"`
+	Copies          int      `toml:"copies"`     // replicas of what a far gateway here begins; 0: it makes no promises
+	OnMissingCopies string   `toml:"without"`    // with too few replicas: refuse, or fewer
+	Remember        Duration `toml:"remember"`   // retention; at least twice as long as an order may be open
+	AnswersMB       int      `toml:"answers_mb"` // memory for answers stored for others, in MiB
+	Journal         string   `toml:"journal"`    // storage for others: memory, or disk (in the folder of work)
 }
 
 func defaultPromises() Promises {
-	return Promises{Copies: 1, Without: "refuse", Remember: Duration(time.Minute), AnswersMB: 16, Journal: "memory"}
+	return Promises{
+		Copies: 1, OnMissingCopies: "refuse", Remember: Duration(time.Minute), AnswersMB: 16, Journal: "memory",
+	}
 }
 
-// Fewer tells whether fewer copies than wanted do.
-func (p *Promises) Fewer() bool { return p.Without == "fewer" }
+// AllowsFewer reports whether a promise may have fewer replicas than Copies.
+func (p *Promises) AllowsFewer() bool { return p.OnMissingCopies == "fewer" }
 
-// validate reports the first key that makes no sense; folder is where the agent keeps what lasts.
+// validate returns the first invalid key and its error; folder is the agent's persistent folder.
 func (p *Promises) validate(work bool, folder string) (key string, err error) {
 	switch r := time.Duration(p.Remember); {
 	case p.Copies < 0 || p.Copies > promises.MaxReplicas:
 		return "copies", fmt.Errorf("must be from 0 to %d, is %d", promises.MaxReplicas, p.Copies)
-	case p.Without != "refuse" && p.Without != "fewer":
-		return "without", fmt.Errorf("must be \"refuse\" or \"fewer\", is %q", p.Without)
+	case p.OnMissingCopies != "refuse" && p.OnMissingCopies != "fewer":
+		return "without", fmt.Errorf("must be \"refuse\" or \"fewer\", is %q", p.OnMissingCopies)
 	case r < time.Second || r > 10*time.Minute:
 		return "remember", fmt.Errorf("must be from 1s to 10m, is %v", r)
 	case p.AnswersMB < 1 || p.AnswersMB > 1024:
@@ -42,17 +44,17 @@
 	case p.On && p.Journal == "disk" && folder == "":
 		return "journal", errors.New("disk needs work.folder")
 	case p.On && !work:
-		return "on", errors.New("needs [work]: its council settles who holds for whom")
+		return "on", errors.New("needs [work]: its council assigns the holders")
 	}
 	return "", nil
 }
 
-// on tells what the table switches on.
-func (p *Promises) on() []string {
+// describe returns the lines that Settings.Describe shows for the table.
+func (p *Promises) describe() []string {
 	if !p.On {
 		return nil
 	}
-	const text = "holds for other agents what they have begun (%s); " +
-		"as a far gateway it has %d copies, else it does with \"%s\""
-	return []string{fmt.Sprintf(text, p.Journal, p.Copies, p.Without)}
+	const text = "stores requests that other agents have begun (%s); " +
+		"as a far gateway it keeps %d copies, and with too few of them: \"%s\""
+	return []string{fmt.Sprintf(text, p.Journal, p.Copies, p.OnMissingCopies)}
 }
