--- a/cmd/molepaddle/fleet_test.go
+++ b/cmd/molepaddle/fleet_test.go
@@ -447,7 +447,7 @@
 	f.agree("the second is one of three", 0, 1, 2)
 	f.ask(0, "r", "h2") // it sits where the first sat, with its disk
 	f.comes(2, "r", "granted")
-	if r := f.must(0, seat.Call{Do: seat.Show}); len(r.Voters) != 3 || !slices.Contains(r.Voters, "n0") {
+	if r := f.must(0, seat.Call{Operation: seat.Show}); len(r.Voters) != 3 || !slices.Contains(r.Voters, "n0") {
 		t.Errorf("%v sit", r.Voters)
 	}
 	v, _ = f.view(2)
--- a/cmd/molepaddle/main.go
+++ b/cmd/molepaddle/main.go
@@ -197,7 +197,7 @@
 	if days <= 0 {
 		return usageError{fmt.Errorf("keys make: --days must be above 0, is %d", days)}
 	}
-	if err := keys.Make(args[0], args[1:], time.Duration(days)*24*time.Hour); err != nil {
+	if err := keys.Generate(args[0], args[1:], time.Duration(days)*24*time.Hour); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "ca.pem, and for each of %s a .pem and a .key, in %s; %d days\n", strings.Join(args[1:], ", "), args[0], days)
@@ -207,7 +207,7 @@
 // showKeys tells what certificates files hold.
 func showKeys(files []string, out io.Writer) error {
 	for _, file := range files {
-		lines, err := keys.Show(file)
+		lines, err := keys.Describe(file)
 		if err != nil {
 			return err
 		}
@@ -331,7 +331,7 @@
 	prior, path := predecessor(conf, log)
 	if prior != nil {
 		defer prior.Close()
-		conf = agent.Newer(conf, prior.State.Known)
+		conf = agent.Newer(conf, prior.State.Endpoints)
 	}
 	listeners, err := listen(conf, oper, prior)
 	if err != nil {
@@ -424,8 +424,8 @@
 		return nil, ""
 	}
 	path := handover.Path(os.Getenv("TMPDIR"), conf.Listen)
-	prior, err := handover.Find(path)
-	if err != nil && !errors.Is(err, handover.ErrNobody) {
+	prior, err := handover.Connect(path)
+	if err != nil && !errors.Is(err, handover.ErrNoPredecessor) {
 		log.Warn("starting beside what may be there", "err", err)
 	}
 	return prior, path
@@ -443,7 +443,7 @@
 		state = prior.State
 	}
 	a.Adopt(state)
-	log.Info("handover: taken over", "servers", len(state.Known.List.Servers), "ids", len(state.IDs.Recent)+len(state.IDs.Older))
+	log.Info("handover: taken over", "servers", len(state.Endpoints.List.Servers), "ids", len(state.IDs.Recent)+len(state.IDs.Older))
 	go func() {
 		prior.Follow(a.Note)
 		(&source{a, conf}).Share(false)
--- a/cmd/molepaddle/promises.go
+++ b/cmd/molepaddle/promises.go
@@ -41,7 +41,7 @@
 			if err := agent.ReadFleet(door, "/api/fleet", &view); err != nil {
 				return fmt.Errorf("promises: %w", err)
 			}
-			r, err := w.call(ctx, seat.Call{Do: seat.Holds})
+			r, err := w.call(ctx, seat.Call{Operation: seat.ReplicaSets})
 			if err != nil {
 				return err
 			}
@@ -75,7 +75,7 @@
 		members[fmt.Sprint(m.Name, m.Incarnation)] = there{m.Machine, m.State == "alive"}
 	}
 	all := []string{}
-	for _, h := range r.Holds {
+	for _, h := range r.ReplicaSets {
 		if h.Sealed {
 			continue
 		}
@@ -102,15 +102,15 @@
 func (p *promiseView) print(out io.Writer, view *agent.FleetView) {
 	if o := &p.Own; o.Holder != "" {
 		state := "settled"
-		if !o.Settled {
+		if !o.EpochActive {
 			state = "NOT settled: what is to begin waits or is refused"
 		}
-		fmt.Fprintf(out, "%s promises: epoch %d, copies at %s, %s; %d count, %d wait\n", o.Holder, o.Epoch, strings.Join(o.Copies, ", "), state, o.Promised, o.Waits)
+		fmt.Fprintf(out, "%s promises: epoch %d, copies at %s, %s; %d count, %d wait\n", o.Holder, o.Epoch, strings.Join(o.HolderReplicas, ", "), state, o.PromisedCount, o.WaitingCount)
 	} else {
 		fmt.Fprintf(out, "%s promises nothing\n", view.Self)
 	}
 	fmt.Fprintln(out, "what it holds for others:", p.Own.Journal)
-	for _, h := range p.Own.Held {
+	for _, h := range p.Own.Replicas {
 		seal := ""
 		if h.Read {
 			seal = ", read from the disk: to prove with only"
@@ -122,7 +122,7 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "HOLDER\tINCARNATION\tEPOCH\tCOPIES\tSINCE\tSTATE")
-	for _, h := range p.Holds.Holds {
+	for _, h := range p.Holds.ReplicaSets {
 		state := ""
 		if h.Sealed {
 			state = "sealed"
--- a/cmd/molepaddle/promises_test.go
+++ b/cmd/molepaddle/promises_test.go
@@ -155,7 +155,7 @@
 	for _, i := range these {
 		eventually(c.t, fmt.Sprintf("n%d has an epoch", i), c.all[i].out, func() bool {
 			r := c.promised(i)
-			return r.Settled && len(r.Copies) == copies
+			return r.EpochActive && len(r.HolderReplicas) == copies
 		})
 	}
 }
@@ -164,7 +164,7 @@
 func (c *crossed) sits(i int, not ...string) {
 	c.t.Helper()
 	eventually(c.t, "three sit who are there", c.all[i].out, func() bool {
-		r, err := c.call(i, 2*time.Second, seat.Call{Do: seat.Show})
+		r, err := c.call(i, 2*time.Second, seat.Call{Operation: seat.Show})
 		return err == nil && len(r.Voters) == 3 && len(r.Learners) == 0 && !slices.ContainsFunc(r.Voters, func(name string) bool {
 			return strings.HasPrefix(name, "seat ") || slices.Contains(not, name)
 		})
@@ -232,7 +232,7 @@
 	})
 	c.signal(syscall.SIGCONT, 2)
 	eventually(t, "it wakes as another process", c.all[2].out, func() bool {
-		return strings.Contains(c.all[2].out.String(), "sealed while nobody heard this process") && c.promised(2).Settled
+		return strings.Contains(c.all[2].out.String(), "sealed while this process was unreachable") && c.promised(2).EpochActive
 	})
 	c.moves("with it back", 100)
 	c.sits(0)
@@ -241,14 +241,14 @@
 	var copies []string
 	eventually(t, "n0 has an epoch", c.all[0].out, func() bool {
 		r := c.promised(0)
-		copies = r.Copies
-		return r.Settled && len(copies) == 1
+		copies = r.HolderReplicas
+		return r.EpochActive && len(copies) == 1
 	})
 	copyOf0 := slices.IndexFunc(c.all, func(o *one) bool { return o.name == copies[0] })
 	c.signal(syscall.SIGKILL, copyOf0)
 	eventually(t, "another holds for n0", c.all[0].out, func() bool {
 		r := c.promised(0)
-		return r.Settled && len(r.Copies) == 1 && r.Copies[0] != c.all[copyOf0].name
+		return r.EpochActive && len(r.HolderReplicas) == 1 && r.HolderReplicas[0] != c.all[copyOf0].name
 	})
 	c.moves("with another copy", 100)
 	o := c.end()
@@ -260,7 +260,7 @@
 	if o.Late > 0 || o.Served < 600 || o.Failed > o.Served/10 {
 		t.Errorf("%+v", o)
 	}
-	if r, err := c.call(0, 5*time.Second, seat.Call{Do: seat.Holds}); err != nil || len(r.Holds) < 4 {
+	if r, err := c.call(0, 5*time.Second, seat.Call{Operation: seat.ReplicaSets}); err != nil || len(r.ReplicaSets) < 4 {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -278,7 +278,7 @@
 	c.moves("with all back", 200)
 	c.settled(1, all...)
 	for _, i := range all {
-		for _, h := range c.promised(i).Held {
+		for _, h := range c.promised(i).Replicas {
 			if h.Read && h.Sealed {
 				proofs++
 			}
--- a/cmd/molepaddle/upgrade_test.go
+++ b/cmd/molepaddle/upgrade_test.go
@@ -76,7 +76,7 @@
 	const attempts = 5
 	for attempt := 1; ; attempt++ {
 		permit = c.comes(at, id, "granted").Permit
-		_, err := c.call(at, 20*time.Second, seat.Call{Do: seat.Take, ID: id, Permit: permit})
+		_, err := c.call(at, 20*time.Second, seat.Call{Operation: seat.Take, ID: id, Permit: permit})
 		if err == nil {
 			break
 		}
@@ -85,7 +85,7 @@
 		}
 	}
 	c.comes(at, id, "out")
-	c.must(at, seat.Call{Do: seat.Back, ID: id})
+	c.must(at, seat.Call{Operation: seat.Complete, ID: id})
 	c.comes(at, id, "done")
 	return permit
 }
--- a/cmd/molepaddle/work.go
+++ b/cmd/molepaddle/work.go
@@ -73,9 +73,9 @@
 		cmd.AddCommand(c)
 		return c
 	}
-	one := func(do seat.Do) func(ctx context.Context, args []string) error {
+	one := func(do seat.Operation) func(ctx context.Context, args []string) error {
 		return func(ctx context.Context, args []string) error {
-			c := seat.Call{Do: do, ID: args[0]}
+			c := seat.Call{Operation: do, ID: args[0]}
 			if do == seat.Take {
 				permit, err := strconv.ParseUint(args[1], 10, 64)
 				if err != nil || permit == 0 {
@@ -100,21 +100,21 @@
 	})
 	a.flags(ask)
 	sub("show", "What is asked for, out, and overdue; who leads", noArgs, func(ctx context.Context, _ []string) error {
-		r, err := w.call(ctx, seat.Call{Do: seat.Show})
+		r, err := w.call(ctx, seat.Call{Operation: seat.Show})
 		if err != nil {
 			return err
 		}
 		return w.show(r, w.table)
 	})
 	sub("plan", "Who is expected to go when, and together with whom", noArgs, func(ctx context.Context, _ []string) error {
-		r, err := w.call(ctx, seat.Call{Do: seat.Plan})
+		r, err := w.call(ctx, seat.Call{Operation: seat.Plan})
 		if err != nil {
 			return err
 		}
 		return w.show(r, w.plan)
 	})
 	sub("why ID", "Where a request stands, and why", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
-		r, err := w.call(ctx, seat.Call{Do: seat.Show})
+		r, err := w.call(ctx, seat.Call{Operation: seat.Show})
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 		return w.show(r, func(r *seat.Report) { w.why(r, args[0]) })
 	})
 	sub("record", "What was settled, and why in that order", noArgs, func(ctx context.Context, _ []string) error {
-		r, err := w.call(ctx, seat.Call{Do: seat.Record})
+		r, err := w.call(ctx, seat.Call{Operation: seat.Record})
 		if err != nil {
 			return err
 		}
@@ -136,11 +136,11 @@
 		})
 	})
 	sub("take ID PERMIT", "Take the machine under its permit: from here on it is out", cobra.ExactArgs(2), one(seat.Take))
-	sub("done ID", "Say that the work is done, and the machine is on its way back", cobra.ExactArgs(1), one(seat.Back))
+	sub("done ID", "Say that the work is done, and the machine is on its way back", cobra.ExactArgs(1), one(seat.Complete))
 	sub("cancel ID", "Call off a request that is not out", cobra.ExactArgs(1), one(seat.Cancel))
 	sub("fail ID", "Say that the work will not end; the machine counts as out until it is seen up", cobra.ExactArgs(1), one(seat.Fail))
 	sub("found", "Make this agent the first member of a council; once, at one agent", noArgs, func(ctx context.Context, _ []string) error {
-		r, err := w.call(ctx, seat.Call{Do: seat.Found})
+		r, err := w.call(ctx, seat.Call{Operation: seat.Bootstrap})
 		if err != nil {
 			return err
 		}
@@ -206,7 +206,7 @@
 			q.By = u.Username
 		}
 	}
-	r, err = w.call(ctx, seat.Call{Do: seat.Ask, Ask: &q})
+	r, err = w.call(ctx, seat.Call{Operation: seat.Submit, Ask: &q})
 	return q.ID, r, err
 }
 
@@ -228,7 +228,7 @@
 			return fmt.Errorf("work: %s will not go: %s", id, whyOf(q))
 		case q.Phase == "granted":
 			var taken *seat.Report
-			if taken, err = w.call(ctx, seat.Call{Do: seat.Take, ID: id, Permit: q.Permit}); err == nil {
+			if taken, err = w.call(ctx, seat.Call{Operation: seat.Take, ID: id, Permit: q.Permit}); err == nil {
 				r, out = taken, true
 				continue
 			}
@@ -243,13 +243,13 @@
 		select {
 		case <-look.C:
 		case <-ctx.Done():
-			if _, err := w.call(context.WithoutCancel(ctx), seat.Call{Do: seat.Cancel, ID: id}); err != nil {
+			if _, err := w.call(context.WithoutCancel(ctx), seat.Call{Operation: seat.Cancel, ID: id}); err != nil {
 				return fmt.Errorf("%s is not called off: %w", id, err)
 			}
 			fmt.Fprintln(w.out, id, "is called off")
 			return context.Canceled
 		}
-		if next, err := w.call(ctx, seat.Call{Do: seat.Show}); err == nil {
+		if next, err := w.call(ctx, seat.Call{Operation: seat.Show}); err == nil {
 			r = next
 		} else if ctx.Err() == nil {
 			fmt.Fprintln(w.out, err)
@@ -260,11 +260,11 @@
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, w.out, os.Stderr
 	cmd.Env = append(os.Environ(), "WORK_ID="+id, "WORK_MACHINE="+machine)
 	ran := cmd.Run()
-	tell, said := seat.Back, "done"
+	tell, said := seat.Complete, "done"
 	if ran != nil {
 		tell, said = seat.Fail, "failed"
 	}
-	if _, err := w.call(context.WithoutCancel(ctx), seat.Call{Do: tell, ID: id}); err != nil {
+	if _, err := w.call(context.WithoutCancel(ctx), seat.Call{Operation: tell, ID: id}); err != nil {
 		return errors.Join(ran, fmt.Errorf("%s is still out; say 'molepaddle work %s %s': %w", machine, tell, id, err))
 	}
 	fmt.Fprintln(w.out, id, said)
@@ -288,15 +288,15 @@
 		lead = r.Leader + " leads"
 	}
 	fmt.Fprintf(w.out, "%s of the council of %s; %s", r.From, strings.Join(r.Voters, ", "), lead)
-	if r.AgeMs > 2000 {
-		fmt.Fprintf(w.out, "; this may be %v old", (time.Duration(r.AgeMs) * time.Millisecond).Round(time.Second))
+	if r.LeaderAgeMs > 2000 {
+		fmt.Fprintf(w.out, "; this may be %v old", (time.Duration(r.LeaderAgeMs) * time.Millisecond).Round(time.Second))
 	}
 	fmt.Fprintln(w.out)
 	if len(r.Learners) > 0 {
 		fmt.Fprintln(w.out, "catching up:", strings.Join(r.Learners, ", "))
 	}
-	if len(r.Alone) > 0 {
-		fmt.Fprintln(w.out, "left alone by everybody:", strings.Join(r.Alone, ", "))
+	if len(r.Excluded) > 0 {
+		fmt.Fprintln(w.out, "left alone by everybody:", strings.Join(r.Excluded, ", "))
 	}
 }
 
@@ -330,12 +330,12 @@
 	}
 	_ = table.Flush()
 	var ids []string
-	for id := range r.Waits {
+	for id := range r.Unschedulable {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		fmt.Fprintf(w.out, "%s does not go: %s\n", id, r.Waits[id])
+		fmt.Fprintf(w.out, "%s does not go: %s\n", id, r.Unschedulable[id])
 	}
 }
 
--- a/cmd/molepaddle/work_test.go
+++ b/cmd/molepaddle/work_test.go
@@ -90,7 +90,7 @@
 
 func (f *fleet) ask(i int, id, machine string) {
 	f.t.Helper()
-	f.must(i, seat.Call{Do: seat.Ask, Ask: &work.Ask{ID: id, Machine: machine, Seconds: 60, By: "test"}})
+	f.must(i, seat.Call{Operation: seat.Submit, Ask: &work.Ask{ID: id, Machine: machine, Seconds: 60, By: "test"}})
 }
 
 // comes waits until a request is in a phase, as an agent tells it.
@@ -104,7 +104,7 @@
 	}()
 	began := time.Now()
 	eventually(f.t, id+" is "+phase, f.all[i].out, func() bool {
-		r, err := f.call(i, 2*time.Second, seat.Call{Do: seat.Show})
+		r, err := f.call(i, 2*time.Second, seat.Call{Operation: seat.Show})
 		if err != nil {
 			last = err.Error()
 			return false
@@ -122,10 +122,10 @@
 // council founds one at n0 and waits until it has three members.
 func (f *fleet) council() {
 	f.t.Helper()
-	f.must(0, seat.Call{Do: seat.Found})
+	f.must(0, seat.Call{Operation: seat.Bootstrap})
 	began := time.Now()
 	eventually(f.t, "three sit", f.all[0].out, func() bool {
-		r, err := f.call(0, 2*time.Second, seat.Call{Do: seat.Show})
+		r, err := f.call(0, 2*time.Second, seat.Call{Operation: seat.Show})
 		return err == nil && len(r.Voters) == 3 && len(r.Learners) == 0
 	})
 	f.t.Logf("three sit: %v", time.Since(began).Round(10*time.Millisecond))
@@ -136,7 +136,7 @@
 	f.t.Helper()
 	eventually(f.t, "somebody leads", f.all[these[0]].out, func() bool {
 		for _, i := range these {
-			if r, err := f.call(i, time.Second, seat.Call{Do: seat.Show}); err == nil && r.Leader != "" && r.AgeMs < 1000 {
+			if r, err := f.call(i, time.Second, seat.Call{Operation: seat.Show}); err == nil && r.Leader != "" && r.LeaderAgeMs < 1000 {
 				leader = slices.IndexFunc(f.all, func(o *one) bool { return o.name == r.Leader })
 				return slices.Contains(these, leader)
 			}
@@ -182,11 +182,11 @@
 	all := []int{0, 1, 2, 3, 4, 5}
 	f.start(all...)
 	f.agree("six find each other", all...)
-	if _, err := f.call(5, 2*time.Second, seat.Call{Do: seat.Show}); err == nil || !strings.Contains(err.Error(), "work found") {
+	if _, err := f.call(5, 2*time.Second, seat.Call{Operation: seat.Show}); err == nil || !strings.Contains(err.Error(), "work found") {
 		t.Errorf("with no council: %v", err)
 	}
 	f.council()
-	if _, err := f.call(3, 5*time.Second, seat.Call{Do: seat.Found}); err == nil || !strings.Contains(err.Error(), "found: th") {
+	if _, err := f.call(3, 5*time.Second, seat.Call{Operation: seat.Bootstrap}); err == nil || !strings.Contains(err.Error(), "found: th") {
 		t.Errorf("a second council: %v", err)
 	}
 
@@ -208,22 +208,22 @@
 	parts := make([]int, 6)
 	parts[lead] = 1
 	f.mesh.Split(parts...)
-	if _, err := f.call(lead, 3*time.Second, seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit}); err == nil {
+	if _, err := f.call(lead, 3*time.Second, seat.Call{Operation: seat.Take, ID: "r2", Permit: q.Permit}); err == nil {
 		t.Error("the smaller part took a permit")
 	}
 	rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
 	f.leader(rest...)
-	f.must(rest[0], seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit})
-	if _, err := f.call(rest[1], 10*time.Second, seat.Call{Do: seat.Cancel, ID: "r2"}); err == nil {
+	f.must(rest[0], seat.Call{Operation: seat.Take, ID: "r2", Permit: q.Permit})
+	if _, err := f.call(rest[1], 10*time.Second, seat.Call{Operation: seat.Cancel, ID: "r2"}); err == nil {
 		t.Error("what is out was called off")
 	}
-	if r, err := f.call(lead, 5*time.Second, seat.Call{Do: seat.Show}); err != nil || r.Find("r2").Phase != "granted" || r.AgeMs < 200 {
+	if r, err := f.call(lead, 5*time.Second, seat.Call{Operation: seat.Show}); err != nil || r.Find("r2").Phase != "granted" || r.LeaderAgeMs < 200 {
 		t.Errorf("the smaller part shows %+v, %v", r, err)
 	}
 	f.mesh.Split(make([]int, 6)...)
 	f.agree("the parts heal", all...)
 	f.comes(lead, "r2", "out")
-	f.must(lead, seat.Call{Do: seat.Back, ID: "r2"})
+	f.must(lead, seat.Call{Operation: seat.Complete, ID: "r2"})
 	f.comes(5, "r2", "done")
 	eventually(t, "the server is sent to again", f.all[5].out, func() bool {
 		f.requests(5, 8)
@@ -242,7 +242,7 @@
 		t.Errorf("%+v", q)
 	}
 	eventually(t, "another has its seat", f.all[rest[0]].out, func() bool {
-		r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
+		r, err := f.call(rest[0], 2*time.Second, seat.Call{Operation: seat.Show})
 		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[lead].name) && len(r.Learners) == 0 &&
 			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of one that nobody has
 	})
@@ -255,7 +255,7 @@
 
 	// The machine of an agent that sits: its clients are sent away, its seat goes elsewhere, it ends and comes
 	// back, all under a command that waits for it.
-	r := f.must(5, seat.Call{Do: seat.Show})
+	r := f.must(5, seat.Call{Operation: seat.Show})
 	sits := slices.IndexFunc(f.all, func(o *one) bool { return o.name == r.Voters[0] })
 	other := rest[slices.IndexFunc(rest, func(i int) bool { return i != sits })]
 	hold := filepath.Join(f.dir, "hold")
@@ -269,12 +269,12 @@
 	if status := f.ready(sits); status != 503 {
 		t.Errorf("the agent of a machine that is out answers %d", status)
 	}
-	if r := f.must(other, seat.Call{Do: seat.Show}); slices.Contains(r.Voters, f.all[sits].name) {
+	if r := f.must(other, seat.Call{Operation: seat.Show}); slices.Contains(r.Voters, f.all[sits].name) {
 		t.Errorf("out, and %v sit, %s before", r.Voters, f.all[sits].name)
 	}
 	// A seat that an earlier step gave besides may still have to go: while the machine is out, three sit.
 	eventually(t, "three sit, none of them out", f.all[other].out, func() bool {
-		r, err := f.call(other, 2*time.Second, seat.Call{Do: seat.Show})
+		r, err := f.call(other, 2*time.Second, seat.Call{Operation: seat.Show})
 		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[sits].name)
 	})
 	f.signal(syscall.SIGTERM, sits)
@@ -324,16 +324,16 @@
 				f.requests(i, 2)
 			}
 		}
-		r := f.must(5, seat.Call{Do: seat.Show}).Find("r2")
+		r := f.must(5, seat.Call{Operation: seat.Show}).Find("r2")
 		return r.Phase == "asked" && strings.Contains(r.Why, "would be left for a need")
 	})
-	if _, err := f.call(5, 10*time.Second, seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit}); err == nil || !strings.Contains(err.Error(), "is not one of") {
+	if _, err := f.call(5, 10*time.Second, seat.Call{Operation: seat.Take, ID: "r2", Permit: q.Permit}); err == nil || !strings.Contains(err.Error(), "is not one of") {
 		t.Errorf("a permit that was withdrawn: %v", err)
 	}
-	f.must(5, seat.Call{Do: seat.Cancel, ID: "r2"})
+	f.must(5, seat.Call{Operation: seat.Cancel, ID: "r2"})
 	f.ask(5, "r3", "v3") // the one that is silent takes nothing away
 	q = f.comes(5, "r3", "granted")
-	f.must(5, seat.Call{Do: seat.Take, ID: "r3", Permit: q.Permit})
+	f.must(5, seat.Call{Operation: seat.Take, ID: "r3", Permit: q.Permit})
 
 	// All at once: what was settled is there again.
 	f.signal(syscall.SIGKILL, all...)
@@ -348,7 +348,7 @@
 	f.signal(syscall.SIGSTOP, lead)
 	rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
 	f.leader(rest...)
-	f.must(rest[0], seat.Call{Do: seat.Fail, ID: "r3"})
+	f.must(rest[0], seat.Call{Operation: seat.Fail, ID: "r3"})
 	f.signal(syscall.SIGCONT, lead)
 	f.comes(lead, "r3", "failed")
 
@@ -369,14 +369,14 @@
 	}
 	f.leader(rest...)
 	eventually(t, "another has its seat", f.all[rest[0]].out, func() bool {
-		r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
+		r, err := f.call(rest[0], 2*time.Second, seat.Call{Operation: seat.Show})
 		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[lead].name) && len(r.Learners) == 0 &&
 			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of one that nobody has
 	})
-	f.must(rest[0], seat.Call{Do: seat.Cancel, ID: "h"})
+	f.must(rest[0], seat.Call{Operation: seat.Cancel, ID: "h"})
 
 	// The machines of all that sit, at once: they go as the bounds allow, and the council stands throughout.
-	r := f.must(rest[0], seat.Call{Do: seat.Show})
+	r := f.must(rest[0], seat.Call{Operation: seat.Show})
 	var ids []string
 	for _, name := range r.Voters {
 		id := "seat-" + name
@@ -387,7 +387,7 @@
 		var id string
 		var permit uint64
 		eventually(t, fmt.Sprint("one of ", ids, " goes"), f.all[rest[0]].out, func() bool {
-			r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
+			r, err := f.call(rest[0], 2*time.Second, seat.Call{Operation: seat.Show})
 			if err != nil {
 				return false
 			}
@@ -401,8 +401,8 @@
 			}
 			return id != ""
 		})
-		f.must(rest[0], seat.Call{Do: seat.Take, ID: id, Permit: permit})
-		f.must(rest[0], seat.Call{Do: seat.Back, ID: id})
+		f.must(rest[0], seat.Call{Operation: seat.Take, ID: id, Permit: permit})
+		f.must(rest[0], seat.Call{Operation: seat.Complete, ID: id})
 		f.comes(rest[0], id, "done")
 		back, _ := strconv.Atoi(id[len("seat-n"):])
 		eventually(t, "its clients may come", f.all[back].out, func() bool { return f.ready(back) == 200 })
@@ -446,7 +446,7 @@
 			f.ask(k%n, id, "v2")
 			f.comes(k%n, id, "granted")
 			permits = append(permits, time.Since(began))
-			f.must(k%n, seat.Call{Do: seat.Cancel, ID: id})
+			f.must(k%n, seat.Call{Operation: seat.Cancel, ID: id})
 		}
 		for range 5 {
 			lead := f.leader(all...)
@@ -455,8 +455,8 @@
 			began := time.Now()
 			eventually(t, "another leads", f.all[rest[0]].out, func() bool {
 				for _, i := range rest {
-					r, err := f.call(i, 200*time.Millisecond, seat.Call{Do: seat.Show})
-					if err == nil && r.Leader != "" && r.Leader != f.all[lead].name && r.AgeMs < 1000 {
+					r, err := f.call(i, 200*time.Millisecond, seat.Call{Operation: seat.Show})
+					if err == nil && r.Leader != "" && r.Leader != f.all[lead].name && r.LeaderAgeMs < 1000 {
 						return true
 					}
 				}
--- a/cmd/molepaddle/workdrawn_test.go
+++ b/cmd/molepaddle/workdrawn_test.go
@@ -82,7 +82,7 @@
 
 // done is an operator's call, and told what came of it: "ok", "no" or "unknown".
 type done struct {
-	do     seat.Do
+	do     seat.Operation
 	id     string
 	permit uint64
 }
@@ -110,9 +110,9 @@
 		op := done{id: fmt.Sprintf("%s-%d-%d", machineOf(k), who, round)}
 		switch x := rng.IntN(10); {
 		case x < 4:
-			op.do = seat.Ask
+			op.do = seat.Submit
 		case x < 8:
-			r, err := h.f.call(i, time.Second, seat.Call{Do: seat.Show})
+			r, err := h.f.call(i, time.Second, seat.Call{Operation: seat.Show})
 			if err != nil {
 				continue
 			}
@@ -120,7 +120,7 @@
 				if q.Phase == "granted" {
 					op.do, op.id, op.permit = seat.Take, q.ID, q.Permit
 				} else if q.Phase == "out" && op.do == "" {
-					op.do, op.id = seat.Back, q.ID
+					op.do, op.id = seat.Complete, q.ID
 				}
 			}
 			if op.do == "" {
@@ -129,10 +129,10 @@
 		case x == 8:
 			op.do = seat.Cancel
 		default:
-			op.do = seat.Back
+			op.do = seat.Complete
 		}
-		c := seat.Call{Do: op.do, ID: op.id, Permit: op.permit, Token: rng.Uint64() | 1}
-		if op.do == seat.Ask {
+		c := seat.Call{Operation: op.do, ID: op.id, Permit: op.permit, Token: rng.Uint64() | 1}
+		if op.do == seat.Submit {
 			c.Ask = &work.Ask{ID: op.id, Machine: machineOf(k), Seconds: 5}
 		}
 		at := time.Since(h.began).Nanoseconds()
@@ -144,7 +144,7 @@
 // note writes down what an operator was told.
 func (h *history) note(who int, op done, at int64, err error) {
 	until, told := time.Since(h.began).Nanoseconds(), "ok"
-	var no *seat.Declined
+	var no *seat.Rejected
 	switch {
 	case errors.As(err, &no):
 		told = "no"
@@ -205,14 +205,14 @@
 		s, op, told := state.(string), input.(done), output.(string)
 		next, may := s, true // what a yes makes of it, and whether it can be one
 		switch op.do {
-		case seat.Ask:
+		case seat.Submit:
 			if s == "" {
 				next = "asked"
 			}
 		case seat.Take:
 			out := fmt.Sprint("out", op.permit)
 			next, may = out, s == "asked" || s == out
-		case seat.Back:
+		case seat.Complete:
 			next, may = "back", strings.HasPrefix(s, "out") || s == "back"
 		case seat.Cancel:
 			next, may = "cancelled", s == "asked" || s == "cancelled"
@@ -224,7 +224,7 @@
 			return may, next
 		case "no":
 			// Grants and what is seen come from elsewhere, so a no says little; it says this.
-			sure := op.do == seat.Take && s == fmt.Sprint("out", op.permit) || op.do == seat.Back && strings.HasPrefix(s, "out") || op.do == seat.Cancel && s == "asked"
+			sure := op.do == seat.Take && s == fmt.Sprint("out", op.permit) || op.do == seat.Complete && strings.HasPrefix(s, "out") || op.do == seat.Cancel && s == "asked"
 			return !sure, s
 		}
 		if may { // it never knew; one that never counted stands behind all others, as it has no end
@@ -241,8 +241,8 @@
 	var shown []*seat.Report
 	for _, i := range left {
 		eventually(t, "it shows the council's record", f.all[i].out, func() bool {
-			r, err := f.call(i, 5*time.Second, seat.Call{Do: seat.Record})
-			if err == nil && r.Leader != "" && r.AgeMs < 1000 {
+			r, err := f.call(i, 5*time.Second, seat.Call{Operation: seat.Record})
+			if err == nil && r.Leader != "" && r.LeaderAgeMs < 1000 {
 				shown = append(shown, r)
 			}
 			return err == nil && r.Leader != ""
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -39,7 +39,7 @@
 // spare is what is left of the descriptors to clients and servers.
 func spare(c *config.Config) int {
 	if c.Management != "" {
-		return c.Limits.Sockets - management.Connections
+		return c.Limits.Sockets - management.MaxConnections
 	}
 	return c.Limits.Sockets
 }
@@ -70,7 +70,7 @@
 	FastCGI []net.Listener
 	// Promises is a part that somebody else runs, in the place of the operator's file's, for a far end that promises
 	// without peers; tests bring one.
-	Promises *promise.Part
+	Promises *promise.Replicator
 }
 
 // frontEnd is what an agent needs of one, whatever it speaks.
@@ -100,11 +100,11 @@
 	fronts    []row // HTTP's first
 	transport *transport.Transport
 	stop      context.CancelFunc
-	gate      *gate         // nil: it is no end of links
-	fleet     *fleetView    // nil: it keeps no view of its fleet
-	promises  *promise.Part // nil: it holds nothing for others
-	sockets   int           // that clients and servers share
-	bodyBytes int64         // that bodies may hold
+	gate      *gate               // nil: it is no end of links
+	fleet     *fleetView          // nil: it keeps no view of its fleet
+	promises  *promise.Replicator // nil: it holds nothing for others
+	sockets   int                 // that clients and servers share
+	bodyBytes int64               // that bodies may hold
 	bodies    *window.Budget
 	gateway   bool
 	life      *lifecycle.Machine
@@ -214,8 +214,8 @@
 		if o.Promises.Journal == "disk" {
 			folder = o.Work.Folder
 		}
-		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone, Copies: o.Promises.Copies, Fewer: o.Promises.Fewer(),
-			Remember: time.Duration(o.Promises.Remember), Bytes: o.Promises.AnswersMB << 20, Log: log})
+		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone, Replicas: o.Promises.Copies, AllowFewer: o.Promises.Fewer(),
+			Retention: time.Duration(o.Promises.Remember), MaxReplyBytes: o.Promises.AnswersMB << 20, Log: log})
 	}
 	if o.Gateway.On() {
 		var promised gateway.Promises
@@ -228,7 +228,7 @@
 		}
 		handler = a.gate
 		if network.Promises != nil && a.gate.far != nil {
-			network.Promises.Promises(o.Gateway.Name, a.gate.far.Incarnation(), a.gate.far)
+			network.Promises.Attach(o.Gateway.Name, a.gate.far.Incarnation(), a.gate.far)
 		}
 	}
 	front := httpfront.New(handler, httpfront.Options{
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -53,7 +53,7 @@
 		if g.keys.Name() != o.Name {
 			return nil, fmt.Errorf("operator: gateway.name: the certificate is %q's", g.keys.Name())
 		}
-		if left := time.Until(g.keys.Until()); left < keys.Warn {
+		if left := time.Until(g.keys.NotAfter()); left < keys.ExpiryWarning {
 			log.Warn("the gateway's certificate ends soon", "days", int(left.Hours()/24))
 		}
 	}
@@ -77,7 +77,7 @@
 			so.Peers = append(so.Peers, gateway.Peer(p))
 		}
 		if g.keys != nil {
-			so.TLS = g.keys.Client
+			so.TLS = g.keys.ClientConfig
 		}
 		site, err := gateway.NewSite(ctx, so)
 		if err != nil {
@@ -96,7 +96,7 @@
 		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes, Tenants: c.Tenants, Peers: o.Peers,
 			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Conns, PerSecond: o.Greetings, Times: times, Seed: c.Seed, Log: log, Promises: promised}
 		if g.keys != nil {
-			fo.TLS = func() *tls.Config { return g.keys.Server() }
+			fo.TLS = func() *tls.Config { return g.keys.ServerConfig() }
 		}
 		g.far = gateway.NewFar(fo)
 	}
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -91,15 +91,15 @@
 		if f.keys.Name() != p.Name {
 			return nil, fmt.Errorf("operator: peers.name: the certificate is %q's", f.keys.Name())
 		}
-		po.Client = f.keys.Client
-		po.Server = func() *tls.Config { return f.keys.Server() }
+		po.Client = f.keys.ClientConfig
+		po.Server = func() *tls.Config { return f.keys.ServerConfig() }
 	}
 	if o.Work.On() {
 		f.work = newWork(a, &o.Work, p)
 		po.Beaten, po.Word = f.work.heartbeat, f.work.hear
 		if a.promises != nil {
 			po.Word = func(from members.ID, w peers.Word) {
-				if !a.promises.Hear(from, w) {
+				if !a.promises.Receive(from, w) {
 					f.work.hear(from, w)
 				}
 			}
@@ -113,7 +113,7 @@
 		if a.promises != nil {
 			a.promises.Bind(f.Peers, f.work.seat.Call, time.Duration(p.Period)/5)
 			if a.gate != nil && a.gate.far != nil && o.Promises.Copies > 0 {
-				a.promises.Promises(o.Gateway.Name, a.gate.far.Incarnation(), a.gate.far)
+				a.promises.Attach(o.Gateway.Name, a.gate.far.Incarnation(), a.gate.far)
 			}
 		}
 	}
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -30,7 +30,7 @@
 
 // State is what a second process is told; from now on Since tells what ids are noted.
 func (a *Agent) State() handover.State {
-	return handover.State{Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.life.Evacuated()}
+	return handover.State{Endpoints: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.life.Evacuated()}
 }
 
 // HandOver leaves what comes to another process.
--- a/internal/process/agent/status.go
+++ b/internal/process/agent/status.go
@@ -30,7 +30,7 @@
 	}
 	s.Name = g.name
 	if g.keys != nil {
-		until := g.keys.Until()
+		until := g.keys.NotAfter()
 		s.Certificate = &until
 	}
 	for _, site := range g.order {
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -77,7 +77,7 @@
 		Tick:         p.Period() / 5,
 		Seed:         seed ^ uint64(time.Now().UnixNano()),
 		Fleet:        p,
-		Sight:        w.sight,
+		Observe:      w.sight,
 		Log:          log,
 	})
 	return err
@@ -101,7 +101,7 @@
 	w.run()
 }
 
-func (w *workPart) hear(from members.ID, word peers.Word) { w.seat.Hear(from, word) }
+func (w *workPart) hear(from members.ID, word peers.Word) { w.seat.Receive(from, word) }
 
 // heartbeat is once a period: what the council has everybody do is done here, and said.
 func (w *workPart) heartbeat() {
@@ -204,7 +204,7 @@
 	if err == nil {
 		c, err = seat.ReadCall(text)
 	}
-	if err == nil && c.Do == seat.Hold {
+	if err == nil && c.Operation == seat.ProposePromise {
 		err = errors.New("do: who holds for whom is the agents' own to settle")
 	}
 	if err != nil {
@@ -233,8 +233,8 @@
 			return a.Report, nil
 		}
 		if err == nil {
-			if !a.Again {
-				return nil, &seat.Declined{Why: a.Error}
+			if !a.Retryable {
+				return nil, &seat.Rejected{Reason: a.Error}
 			}
 			err = errors.New(a.Error)
 			last = err
--- a/internal/process/handover/handover.go
+++ b/internal/process/handover/handover.go
@@ -1,14 +1,14 @@
-// Package handover passes an agent's work from its process to the one that replaces it, over a Unix
-// socket in a private directory: the listening sockets, what the rules rest on, and the word who
-// accepts. Whichever end breaks tells the other, so neither waits for a process that is gone.
+// Package handover passes the work of an agent's process to its successor, the process that replaces it, over a Unix
+// socket in a private directory: the listening sockets, the state that routing depends on, and the right to accept
+// connections. If either process ends, the other sees the connection close, so neither waits for one that has gone.
 //
-// Offer's goroutine serves one successor at a time; a Successor belongs to its caller until Follow,
-// which has a goroutine of its own.
+// The goroutine of Offer serves one successor at a time. A Successor belongs to its caller until Follow, which has a
+// goroutine of its own.
 //
-// On the socket each message is a length of four bytes, the highest first, and as many of JSON. The
-// successor says hello, is sent the state (with the listening sockets beside its first byte), says
-// take, is sent what has changed since, and from then on the news. Both ends name their version in
-// the first message and part if the other's is not theirs.
+// On the socket each message is a length of four bytes, big-endian, and that many bytes of JSON. The successor sends
+// hello and receives the state (with the listening sockets attached to its first byte), sends take and receives the
+// state as of then, and after that receives the sums of new ids as news. Each message has the version of its sender,
+// and a process closes the connection if the version differs from its own.
 package handover
 
 import (
@@ -30,34 +30,34 @@
 
 const (
 	version = 1
-	// mostBytes bounds a message, mostSockets the sockets passed.
-	mostBytes, mostSockets = 16 << 20, 32
-	// findWithin is how long a second process waits for the first one's state, takeWithin how long
-	// the first waits for the second to take over, and updateInterval how often it then tells what is new.
-	findWithin, takeWithin, updateInterval = 2 * time.Second, 30 * time.Second, 20 * time.Millisecond
+	// mostBytes limits a message, maxSockets the sockets passed.
+	maxMessageBytes, maxSockets = 16 << 20, 32
+	// exchangeTimeout limits each exchange of messages, takeTimeout how long the first process waits for the
+	// successor to take over, and updateInterval is the interval at which it then sends new ids.
+	exchangeTimeout, takeTimeout, updateInterval = 2 * time.Second, 30 * time.Second, 20 * time.Millisecond
 )
 
-// ErrNobody is that no process is there to take over from.
-var ErrNobody = errors.New("handover: nobody is there")
+// ErrNoPredecessor is returned if no process is there to take over from.
+var ErrNoPredecessor = errors.New("handover: no process to take over from")
 
-// State is what the second process is told. All of it may be missing.
+// State is the state passed to the successor. Any of it may be missing.
 type State struct {
-	Known     core.EndpointSnapshot
+	Endpoints core.EndpointSnapshot `json:"Known"`
 	IDs       core.IDSnapshot
 	Evacuated bool // clients are being sent away
 }
 
-// message is one of either end's.
+// message is a message of either process.
 type message struct {
-	V       int      `json:"v"`
-	Say     string   `json:"say"`
-	Sockets []string `json:"sockets,omitempty"` // what each that is passed listens on
+	Version int      `json:"v"`
+	Kind    string   `json:"say"`
+	Sockets []string `json:"sockets,omitempty"` // network and address of each socket passed
 	State   *State   `json:"state,omitempty"`
 	Sums    []uint64 `json:"sums,omitempty"`
 }
 
-// Path is where the process that listens for clients at an address is found; dir is private to the
-// agent. Empty: there is no such directory.
+// Path returns the path of the socket of the process that listens for clients at an address. dir is private to the
+// agent; without it, Path returns the empty string.
 func Path(dir, listen string) string {
 	if dir == "" {
 		return ""
@@ -68,17 +68,17 @@
 }
 
 func send(c *net.UnixConn, m *message, rights []byte) error {
-	m.V = version
+	m.Version = version
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	if len(text) > mostBytes {
-		return errors.New("handover: a message is too long")
+	if len(text) > maxMessageBytes {
+		return errors.New("handover: message exceeds 16 MiB")
 	}
 	text = append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	if rights != nil {
-		// One byte alone: a stream may take a part of more, and these go with the first.
+		// One byte alone: a write of more may be partial, and the sockets go with the first byte.
 		if _, _, err := c.WriteMsgUnix(text[:1], rights, nil); err != nil {
 			return err
 		}
@@ -94,10 +94,10 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > mostBytes {
-		return nil, fmt.Errorf("handover: a message of %d bytes", n)
+	if n > maxMessageBytes {
+		return nil, fmt.Errorf("handover: message of %d bytes exceeds the limit", n)
 	}
-	// What is said to come is not believed before it has.
+	// The announced length is not allocated before the bytes have arrived.
 	text, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err != nil {
 		return nil, err
@@ -107,29 +107,29 @@
 	}
 	m := &message{}
 	if err := json.Unmarshal(text, m); err != nil {
-		return nil, fmt.Errorf("handover: no message: %w", err)
+		return nil, fmt.Errorf("handover: invalid message: %w", err)
 	}
-	if m.V != version {
-		return nil, fmt.Errorf("handover: version %d, this process has %d", m.V, version)
+	if m.Version != version {
+		return nil, fmt.Errorf("handover: version %d, this process has %d", m.Version, version)
 	}
 	return m, nil
 }
 
 // Source is the first process, as its successors see it. Its methods are called by one goroutine.
 type Source interface {
-	// Share has the process keep to half of what it may use, or to all of it again.
+	// Share limits the process to half of its resources, or lifts that limit.
 	Share(half bool)
-	// State is what a successor is told, as of now.
+	// State returns the current state for a successor.
 	State() State
-	// HandOver ends the accepting. An error means that it goes on.
+	// HandOver stops accepting connections. After an error the process still accepts.
 	HandOver() error
-	// TakeBack begins it again, as the successor has gone.
+	// TakeBack resumes accepting, after the successor has gone.
 	TakeBack()
-	// Since are the sums of ids noted since State was called last, or Since.
+	// Since returns the sums of the ids noted since the last call of State or Since.
 	Since() []uint64
 }
 
-// Offer is a process that can be taken over from.
+// Offer serves the successors of this process.
 type Offer struct {
 	path      string
 	source    Source
@@ -137,12 +137,12 @@
 
 	mu     sync.Mutex
 	ln     *net.UnixListener
-	file   os.FileInfo // what ln is in the directory
+	file   os.FileInfo // the socket file of ln
 	closed bool
 }
 
-// NewOffer serves successors at the path, in the place of whoever did before. The listeners stay the
-// caller's.
+// NewOffer serves successors at the path, replacing any process that did so before. The listeners remain owned by the
+// caller.
 func NewOffer(path string, source Source, listeners []net.Listener) (*Offer, error) {
 	o := &Offer{path: path, source: source, listeners: listeners}
 	if err := o.listen(); err != nil {
@@ -152,10 +152,10 @@
 	return o, nil
 }
 
-// listen takes the path, whatever is there.
+// listen binds the path, replacing any file there.
 func (o *Offer) listen() error {
 	own := fmt.Sprintf("%s.%d", o.path, os.Getpid())
-	_ = os.Remove(own) // of a process that had this number
+	_ = os.Remove(own) // left by an earlier process with this pid
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Close ends the offer, and takes its socket away unless it is another process's by now.
+// Close ends the offer, and removes its socket file unless another process has replaced it.
 func (o *Offer) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -204,9 +204,9 @@
 		if err != nil {
 			return
 		}
-		if o.hand(c) {
-			// The successor had taken the path, and has gone.
-			err := o.listen() // before the old one is closed: who is refused takes the path away
+		if o.serveSuccessor(c) {
+			// The successor had replaced the socket file, and has ended.
+			err := o.listen() // before the old one is closed: a successor whose connection is refused removes the file
 			ln.Close()
 			if err != nil {
 				return
@@ -215,45 +215,45 @@
 	}
 }
 
-// hand serves one successor until it has gone, and reports whether it had taken over.
-func (o *Offer) hand(c *net.UnixConn) (taken bool) {
+// serveSuccessor serves one successor until its connection ends, and reports whether it had taken over.
+func (o *Offer) serveSuccessor(c *net.UnixConn) (taken bool) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(findWithin))
-	if m, err := receive(c); err != nil || m.Say != "hello" {
+	_ = c.SetDeadline(time.Now().Add(exchangeTimeout))
+	if m, err := receive(c); err != nil || m.Kind != "hello" {
 		return false
 	}
-	names, rights, err := passable(o.listeners)
+	names, rights, err := socketRights(o.listeners)
 	if err != nil {
 		return false
 	}
 	o.source.Share(true)
 	defer o.source.Share(false)
 	state := o.source.State()
-	if send(c, &message{Say: "state", Sockets: names, State: &state}, rights) != nil {
+	if send(c, &message{Kind: "state", Sockets: names, State: &state}, rights) != nil {
 		return false
 	}
-	_ = c.SetDeadline(time.Now().Add(takeWithin))
-	if m, err := receive(c); err != nil || m.Say != "take" {
+	_ = c.SetDeadline(time.Now().Add(takeTimeout))
+	if m, err := receive(c); err != nil || m.Kind != "take" {
 		return false
 	}
 	if o.source.HandOver() != nil {
 		return false
 	}
-	leave(o.listeners, true) // to the other process
+	setKeepSocketFiles(o.listeners, true) // they belong to the successor
 	defer func() {
-		leave(o.listeners, false)
+		setKeepSocketFiles(o.listeners, false)
 		o.source.TakeBack()
 	}()
 	state = o.source.State()
-	_ = c.SetDeadline(time.Now().Add(findWithin))
-	if send(c, &message{Say: "yours", State: &state}, nil) != nil {
+	_ = c.SetDeadline(time.Now().Add(exchangeTimeout))
+	if send(c, &message{Kind: "yours", State: &state}, nil) != nil {
 		return true
 	}
 	_ = c.SetDeadline(time.Time{})
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		_, _ = io.Copy(io.Discard, io.LimitReader(c, mostBytes)) // it says nothing more
+		_, _ = io.Copy(io.Discard, io.LimitReader(c, maxMessageBytes)) // the successor sends nothing more
 	}()
 	tick := time.NewTicker(updateInterval)
 	defer tick.Stop()
@@ -264,16 +264,17 @@
 		case <-tick.C:
 		}
 		if sums := o.source.Since(); len(sums) > 0 {
-			_ = c.SetWriteDeadline(time.Now().Add(findWithin))
-			if send(c, &message{Say: "news", Sums: sums}, nil) != nil {
+			_ = c.SetWriteDeadline(time.Now().Add(exchangeTimeout))
+			if send(c, &message{Kind: "news", Sums: sums}, nil) != nil {
 				return true
 			}
 		}
 	}
 }
 
-// passable names listeners by their addresses, with the message that carries their sockets.
-func passable(listeners []net.Listener) (names []string, rights []byte, err error) {
+// socketRights returns the names (network and address) of the listeners that have sockets, and the control message that
+// carries those sockets.
+func socketRights(listeners []net.Listener) (names []string, rights []byte, err error) {
 	var fds []int
 	for _, ln := range listeners {
 		sc, ok := ln.(syscall.Conn)
@@ -290,35 +291,35 @@
 		names = append(names, ln.Addr().Network()+" "+ln.Addr().String())
 	}
 	if len(fds) == 0 {
-		return nil, nil, errors.New("handover: nothing that can be passed")
+		return nil, nil, errors.New("handover: no listener with a socket to pass")
 	}
 	return names, syscall.UnixRights(fds...), nil
 }
 
-// Successor is the second process's end.
+// Successor is the second process's side of a handover.
 type Successor struct {
 	State     State
 	conn      *net.UnixConn
 	listeners map[string]net.Listener
-	used      []net.Listener // of those, what Listener gave
+	used      []net.Listener // returned by Listener
 }
 
-// Find takes what the process at the path tells. ErrNobody: there is none, and a socket that it may
-// have left is taken away.
-func Find(path string) (*Successor, error) {
+// Connect receives the state and the sockets of the process at the path. It returns ErrNoPredecessor if there is none,
+// and removes a socket file that such a process has left behind.
+func Connect(path string) (*Successor, error) {
 	if path == "" {
-		return nil, ErrNobody
+		return nil, ErrNoPredecessor
 	}
 	before, _ := os.Lstat(path)
-	c, err := net.DialTimeout("unix", path, findWithin)
+	c, err := net.DialTimeout("unix", path, exchangeTimeout)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		if now, err := os.Lstat(path); err == nil && before != nil && os.SameFile(before, now) {
 			_ = os.Remove(path)
 		}
-		return nil, ErrNobody
+		return nil, ErrNoPredecessor
 	case errors.Is(err, os.ErrNotExist):
-		return nil, ErrNobody
+		return nil, ErrNoPredecessor
 	case err != nil:
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -331,15 +332,15 @@
 }
 
 func (s *Successor) hello() error {
-	_ = s.conn.SetDeadline(time.Now().Add(findWithin))
-	if err := send(s.conn, &message{Say: "hello"}, nil); err != nil {
+	_ = s.conn.SetDeadline(time.Now().Add(exchangeTimeout))
+	if err := send(s.conn, &message{Kind: "hello"}, nil); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	var first [1]byte
-	room := make([]byte, syscall.CmsgSpace(4*mostSockets))
+	room := make([]byte, syscall.CmsgSpace(4*maxSockets))
 	n, got, _, _, err := s.conn.ReadMsgUnix(first[:], room)
 	if err != nil || n != 1 {
-		return fmt.Errorf("handover: no state: %w", errors.Join(err, io.ErrUnexpectedEOF))
+		return fmt.Errorf("handover: no state received: %w", errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	sockets, err := listenersOf(room[:got])
 	defer func() {
@@ -356,8 +357,8 @@
 	if err != nil {
 		return err
 	}
-	if m.Say != "state" || m.State == nil || len(m.Sockets) != len(sockets) {
-		return errors.New("handover: no state")
+	if m.Kind != "state" || m.State == nil || len(m.Sockets) != len(sockets) {
+		return errors.New("handover: message without a state or with missing sockets")
 	}
 	for i, name := range m.Sockets {
 		if s.listeners[name] == nil {
@@ -383,7 +384,7 @@
 	return 1, nil
 }
 
-// listenersOf opens the sockets that came with a message.
+// listenersOf opens the sockets that were received with a message.
 func listenersOf(control []byte) (all []net.Listener, err error) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -411,62 +412,62 @@
 	return all, nil
 }
 
-// Listener is the listening socket passed for an address; nil: there is none. It is the caller's.
+// Listener returns the listening socket received for an address, or nil if there is none. The caller owns it.
 func (s *Successor) Listener(network, address string) net.Listener {
 	name := network + " " + address
 	ln := s.listeners[name]
 	delete(s.listeners, name)
 	if ln != nil {
 		s.used = append(s.used, ln)
-		leave(s.used, true) // until they are this process's alone
+		setKeepSocketFiles(s.used, true) // until Take the first process owns the files
 	}
 	return ln
 }
 
-// leave has the files of Unix sockets stay, or go, when their listeners are closed: they are whose process
-// goes on.
-func leave(listeners []net.Listener, stay bool) {
+// setKeepSocketFiles sets whether the files of Unix sockets are kept when their listeners are closed: the files belong
+// to the process that goes on.
+func setKeepSocketFiles(listeners []net.Listener, keep bool) {
 	for _, ln := range listeners {
 		if u, ok := ln.(*net.UnixListener); ok {
-			u.SetUnlinkOnClose(!stay)
+			u.SetUnlinkOnClose(!keep)
 		}
 	}
 }
 
-// Take asks the first process to stop accepting, and returns what it knows by then. After an error
-// it goes on, or has gone.
+// Take asks the first process to stop accepting, and returns its state as of then. After an error the first process
+// still accepts, or has ended.
 func (s *Successor) Take() (State, error) {
-	leave(s.used, false) // also where the first has gone
-	_ = s.conn.SetDeadline(time.Now().Add(findWithin))
-	if err := send(s.conn, &message{Say: "take"}, nil); err != nil {
+	setKeepSocketFiles(s.used, false) // also if the first process has ended
+	_ = s.conn.SetDeadline(time.Now().Add(exchangeTimeout))
+	if err := send(s.conn, &message{Kind: "take"}, nil); err != nil {
 		return State{}, fmt.Errorf("handover: %w", err)
 	}
 	m, err := receive(s.conn)
 	if err != nil {
 		return State{}, err
 	}
-	if m.Say != "yours" || m.State == nil {
-		return State{}, errors.New("handover: not handed over")
+	if m.Kind != "yours" || m.State == nil {
+		return State{}, errors.New("handover: the first process did not hand over")
 	}
 	_ = s.conn.SetDeadline(time.Time{})
 	return *m.State, nil
 }
 
-// Follow tells news until the first process has gone.
-func (s *Successor) Follow(news func(sums []uint64)) {
+// Follow passes the sums of ids noted by the first process to the callback until that process has ended.
+func (s *Successor) Follow(noted func(sums []uint64)) {
 	for {
 		m, err := receive(s.conn)
 		if err != nil {
 			return
 		}
-		if m.Say == "news" {
-			news(m.Sums)
+		if m.Kind == "news" {
+			noted(m.Sums)
 		}
 	}
 }
 
-// Close ends the successor's part: unless the first process has gone, it takes everything back. It
-// closes the sockets that nobody asked for.
+// Close ends the handover: if the first process is still running, it takes everything back. Sockets that Listener has
+// not returned are closed.
 func (s *Successor) Close() {
 	s.conn.Close()
 	for _, ln := range s.listeners {
--- a/internal/process/handover/handover_test.go
+++ b/internal/process/handover/handover_test.go
@@ -19,45 +19,45 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// first is a first process that notes what it is told.
-type first struct {
+// fakeSource is a first process that records the calls made to it.
+type fakeSource struct {
 	mu    sync.Mutex
 	calls []string
 	sums  []uint64
 	state State
 }
 
-func (f *first) note(call string) {
+func (f *fakeSource) note(call string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, call)
 }
 
-func (f *first) Share(half bool) { f.note(map[bool]string{true: "half", false: "all"}[half]) }
-func (f *first) State() State    { f.note("state"); return f.state }
-func (f *first) HandOver() error { f.note("over"); return nil }
-func (f *first) TakeBack()       { f.note("back") }
-func (f *first) Since() (sums []uint64) {
+func (f *fakeSource) Share(half bool) { f.note(map[bool]string{true: "half", false: "all"}[half]) }
+func (f *fakeSource) State() State    { f.note("state"); return f.state }
+func (f *fakeSource) HandOver() error { f.note("over"); return nil }
+func (f *fakeSource) TakeBack()       { f.note("back") }
+func (f *fakeSource) Since() (sums []uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sums, f.sums = f.sums, nil
 	return sums
 }
 
-func (f *first) told(want ...string) bool {
+func (f *fakeSource) told(want ...string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Equal(f.calls, want)
 }
 
-func offer(t *testing.T) (*first, string, net.Listener) {
+func offer(t *testing.T) (*fakeSource, string, net.Listener) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	f := &first{state: State{Known: core.EndpointSnapshot{Roster: "r", List: cluster.List{Seq: 7, Servers: []cluster.Server{{Dial: "d", Entry: cluster.Entry{Server: cluster.Addr{1, 2}, SinceMs: 1.5}}}}},
+	f := &fakeSource{state: State{Endpoints: core.EndpointSnapshot{Roster: "r", List: cluster.List{Seq: 7, Servers: []cluster.Server{{Dial: "d", Entry: cluster.Entry{Server: cluster.Addr{1, 2}, SinceMs: 1.5}}}}},
 		IDs: core.IDSnapshot{Key: 1 << 63, Recent: []uint64{1<<64 - 1}}, Evacuated: true}}
 	path := Path(t.TempDir(), ln.Addr().String())
 	o, err := NewOffer(path, f, []net.Listener{ln})
@@ -79,16 +79,16 @@
 
 func TestTakeOver(t *testing.T) {
 	f, path, ln := offer(t)
-	s, err := Find(path)
+	s, err := Connect(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s.State, f.state) {
-		t.Errorf("told %+v", s.State)
+		t.Errorf("received state %+v", s.State)
 	}
 	mine := s.Listener("tcp", ln.Addr().String())
 	if mine == nil || s.Listener("tcp", ln.Addr().String()) != nil {
-		t.Fatal("the socket is to be had once")
+		t.Fatal("the socket must be returned exactly once")
 	}
 	go testkit.Dial("tcp", mine.Addr().String())
 	if c, err := mine.Accept(); err != nil {
@@ -109,12 +109,12 @@
 	if sums := <-got; !slices.Equal(sums, []uint64{5, 6}) {
 		t.Error(sums)
 	}
-	// The second dies: the first has everything back, and can be taken over from again.
+	// The successor ends: the first process takes everything back and accepts another successor.
 	s.Close()
 	<-followed
 	eventually(t, "back", func() bool { return f.told("half", "state", "over", "state", "back", "all") })
 	eventually(t, "another offer", func() bool {
-		again, err := Find(path)
+		again, err := Connect(path)
 		if err == nil {
 			again.Close()
 		}
@@ -122,8 +122,8 @@
 	})
 }
 
-// A second process that dies before it takes over, or speaks nonsense, costs nothing but its time.
-func TestOddSuccessors(t *testing.T) {
+// A successor that ends before it takes over, or sends invalid messages, leaves the first process as it was.
+func TestInvalidSuccessors(t *testing.T) {
 	f, path, _ := offer(t)
 	for _, say := range []string{"", "x", "\xff\xff\xff\xff", "\x00\x00\x00\x02{}", "\x00\x00\x00\x05hello"} {
 		c, err := testkit.Dial("unix", path)
@@ -133,7 +133,7 @@
 		io.WriteString(c, say)
 		c.Close()
 	}
-	s, err := Find(path)
+	s, err := Connect(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,9 +141,9 @@
 	eventually(t, "all", func() bool { return f.told("half", "state", "all") })
 }
 
-// A first process of another version, or that says nonsense, is not believed, and a path where nobody
-// is says so at once.
-func TestOddFirst(t *testing.T) {
+// A first process of another version, or one that sends invalid messages, is rejected; a path without a process gives
+// ErrNoPredecessor at once.
+func TestInvalidPredecessors(t *testing.T) {
 	dir := t.TempDir()
 	for name, say := range map[string][]byte{"nothing": nil, "noise": []byte("noise, noise"), "another version": framed(`{"v":2,"say":"state","state":{}}`),
 		"cut": framed(`{"v":1,"say":"state"}`)[:9], "endless": {0x7f, 0, 0, 0}, "no sockets": framed(`{"v":1,"say":"state","sockets":["tcp x"],"state":{}}`)} {
@@ -159,13 +159,13 @@
 				c.Close()
 			}
 		}()
-		if s, err := Find(path); err == nil || errors.Is(err, ErrNobody) {
+		if s, err := Connect(path); err == nil || errors.Is(err, ErrNoPredecessor) {
 			t.Errorf("%s: %v, %v", name, s, err)
 		}
 		ln.Close()
 	}
 	for _, path := range []string{"", filepath.Join(dir, "none")} {
-		if _, err := Find(path); !errors.Is(err, ErrNobody) {
+		if _, err := Connect(path); !errors.Is(err, ErrNoPredecessor) {
 			t.Error(path, err)
 		}
 	}
@@ -175,13 +175,13 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 }
 
-// No message makes the reader panic, believe another version or hold more than has come.
+// No input makes the reader panic, accept another version or allocate more than it has received.
 func FuzzReceive(f *testing.F) {
 	f.Add(framed(`{"v":1,"say":"news","sums":[1,18446744073709551615]}`))
 	f.Add([]byte{0, 255, 255, 255, '{'})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := receive(bytes.NewReader(data))
-		if err == nil && (m.V != version || len(data) < 4+len(`{"v":1}`)) {
+		if err == nil && (m.Version != version || len(data) < 4+len(`{"v":1}`)) {
 			t.Fatalf("%q: %+v", data, m)
 		}
 	})
--- a/internal/process/journal/journal.go
+++ b/internal/process/journal/journal.go
@@ -1,8 +1,10 @@
-// Package journal keeps on a disk what an agent holds for others, so that a process that comes after it can prove
-// with it: one bbolt file in a folder that lasts. What is added while a write is under way goes with the next one, in
-// one transaction with one fsync, and whoever added it is told then. Every value has a checksum.
+// Package journal stores the replicas that an agent holds of other agents' promises in one bbolt file in a persistent
+// folder, so that the next process can answer queries with them. Entries added while a write is in flight are written
+// together in the next transaction, with one fsync, and their callers are notified after it. Every value has a
+// checksum.
 //
-// One goroutine, Run's, writes; Add and Drop are anybody's, and never wait. The file is one process's.
+// The goroutine of Run writes; Add and Drop may be called by any goroutine and never block. Only one process may have
+// the file open.
 package journal
 
 import (
@@ -22,7 +24,7 @@
 	"molepaddle/internal/process/store"
 )
 
-// file is the name in the folder.
+// file is the name of the file in the folder.
 const file = "promises.db"
 
 var (
@@ -30,69 +32,70 @@
 	records = []byte("records")
 )
 
-// Most is how many bytes may wait to be written.
-const Most = 32 << 20
+// MaxPendingBytes limits the entries that wait to be written. A larger single entry is accepted if the queue is empty.
+const MaxPendingBytes = 32 << 20
 
-// entry is one addition.
+// entry is one addition or deletion.
 type entry struct {
 	holder promises.Holder
-	row    *promises.Row    // nil: as it was
+	row    *promises.Row    // nil: unchanged
 	record *promises.Record // nil: none
-	drop   bool             // nothing is held for it any more
-	told   func(error)      // nil: nobody waits
+	drop   bool             // delete the row of the holder
+	done   func(error)      // nil: no notification
 	size   int
 }
 
-// numbered is records that were written, and when.
-type numbered struct {
-	upTo uint64
-	at   time.Duration
+// writtenBatch is the last record of a transaction and the time of that.
+type writtenBatch struct {
+	lastRecord uint64
+	writtenAt  time.Duration
 }
 
-// Journal is an open file.
+// Journal is an open journal file.
 type Journal struct {
-	db     *bbolt.DB
-	forget time.Duration
-	start  time.Time
-	next   uint64
-	old    []numbered // Run's
+	db         *bbolt.DB
+	retention  time.Duration
+	start      time.Time
+	lastRecord uint64
+	batches    []writtenBatch // owned by Run, the oldest first
 
-	mu     sync.Mutex
-	queue  []entry
-	bytes  int
-	failed error
-	wake   chan struct{}
+	mu          sync.Mutex
+	queue       []entry
+	queuedBytes int
+	failed      error
+	wake        chan struct{}
 }
 
-// Open opens the file in a folder, or makes it, and reads it: each row, then each record in its order. Records go
-// once this process has known them for longer than forget. Errors are of one line, and name the file; store.ErrHeld is
-// wrapped where another process has it, store.ErrDamaged where nothing of it may be used.
-func Open(dir string, forget time.Duration, row func(promises.Holder, *promises.Row), record func(*promises.Record)) (*Journal, error) {
+// Open opens the journal file in a folder, or creates it, and passes its contents to the callbacks: first each row,
+// then the records in order. Records are deleted once this process has had them for longer than retention. Errors are
+// of one line and name the file; they wrap store.ErrLocked if another process has the file open, and store.ErrDamaged
+// if its contents can't be used.
+func Open(dir string, retention time.Duration, row func(promises.Holder, *promises.Row), record func(*promises.Record)) (*Journal, error) {
 	path := filepath.Join(dir, file)
 	fail := func(err error) (*Journal, error) { return nil, fmt.Errorf("journal: %s: %w", path, err) }
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 100 * time.Millisecond, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType})
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
-		return fail(store.ErrHeld)
+		return fail(store.ErrLocked)
 	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrChecksum), errors.Is(err, bolterrors.ErrVersionMismatch):
 		return fail(fmt.Errorf("%w: %w", store.ErrDamaged, err))
 	case err != nil:
 		return fail(err)
 	}
-	j := &Journal{db: db, forget: forget, start: time.Now(), wake: make(chan struct{}, 1)}
+	j := &Journal{db: db, retention: retention, start: time.Now(), wake: make(chan struct{}, 1)}
 	if err := j.read(row, record); err != nil {
 		return fail(errors.Join(err, db.Close()))
 	}
-	if j.next > 0 {
-		j.old = append(j.old, numbered{j.next, 0})
+	if j.lastRecord > 0 {
+		j.batches = append(j.batches, writtenBatch{j.lastRecord, 0})
 	}
 	return j, nil
 }
 
-// read hands on all that is there. Nothing is handed on of a file of which a part is damaged.
+// read passes all rows and records to the callbacks. If any value of the file is damaged, it passes none.
 func (j *Journal) read(row func(promises.Holder, *promises.Row), record func(*promises.Record)) (err error) {
 	defer func() {
-		if p := recover(); p != nil { // a page that makes no sense
+		if p := recover(); p != nil { // bbolt panics on a damaged page
 			err = fmt.Errorf("%w: %v", store.ErrDamaged, p)
 		}
 	}()
@@ -109,8 +112,8 @@
 		err = rows.ForEach(func(k, v []byte) error {
 			var h promises.Holder
 			var r promises.Row
-			if err := sound(k, v, &r); err != nil || cbor.Unmarshal(k, &h) != nil {
-				return fmt.Errorf("%w: a holder's row %x", store.ErrDamaged, k)
+			if err := decode(k, v, &r); err != nil || cbor.Unmarshal(k, &h) != nil {
+				return fmt.Errorf("%w: row of holder %x", store.ErrDamaged, k)
 			}
 			all = append(all, func() { row(h, &r) })
 			return nil
@@ -120,10 +123,10 @@
 		}
 		return log.ForEach(func(k, v []byte) error {
 			var r promises.Record
-			if err := sound(k, v, &r); err != nil || len(k) != 8 {
+			if err := decode(k, v, &r); err != nil || len(k) != 8 {
 				return fmt.Errorf("%w: record %x", store.ErrDamaged, k)
 			}
-			j.next = binary.BigEndian.Uint64(k)
+			j.lastRecord = binary.BigEndian.Uint64(k)
 			all = append(all, func() { record(&r) })
 			return nil
 		})
@@ -137,9 +140,9 @@
 	return nil
 }
 
-// sound reads a value.
-func sound(key, text []byte, into any) error {
-	text, err := store.Sound(key, text)
+// decode verifies and decodes a value.
+func decode(key, text []byte, into any) error {
+	text, err := store.Verify(key, text)
 	if err != nil {
 		return err
 	}
@@ -154,37 +157,38 @@
 	return store.Put(b, key, text)
 }
 
-// Add has a holder's row, a record, or both written; told is called by Run's goroutine once they are on the disk, or
-// with why they are not. false: there is no room, or the disk has failed, and told is not called.
-func (j *Journal) Add(h promises.Holder, row *promises.Row, record *promises.Record, told func(error)) bool {
-	e := entry{holder: h, row: row, record: record, told: told, size: 64}
+// Add queues a holder's row, a record or both. Run's goroutine calls done with nil once they are on disk, or with the
+// error of the write. Add returns false, and done is not called, if the queue is full or an earlier write has failed.
+func (j *Journal) Add(h promises.Holder, row *promises.Row, record *promises.Record, done func(error)) bool {
+	e := entry{holder: h, row: row, record: record, done: done, size: 64}
 	if record != nil {
 		e.size += 64 * len(record.Keys)
 		if record.Reply != nil {
 			e.size += len(record.Reply.Body)
 		}
 	}
-	return j.add(e)
+	return j.enqueue(e)
 }
 
-// Drop has a holder's row go. It need not come about: who reads it again is told by the council.
-func (j *Journal) Drop(h promises.Holder) { j.add(entry{holder: h, drop: true, size: 64}) }
+// Drop queues the deletion of a holder's row. It may be lost: a process that reads the row again learns from the
+// council that the holder is obsolete.
+func (j *Journal) Drop(h promises.Holder) { j.enqueue(entry{holder: h, drop: true, size: 64}) }
 
-// Failed is why the disk has failed; nil: it has not.
-func (j *Journal) Failed() error {
+// Err returns the error of the first write that failed, or nil.
+func (j *Journal) Err() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.failed
 }
 
-func (j *Journal) add(e entry) bool {
+func (j *Journal) enqueue(e entry) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.failed != nil || j.bytes+e.size > Most && j.bytes > 0 {
+	if j.failed != nil || j.queuedBytes+e.size > MaxPendingBytes && j.queuedBytes > 0 {
 		return false
 	}
 	j.queue = append(j.queue, e)
-	j.bytes += e.size
+	j.queuedBytes += e.size
 	select {
 	case j.wake <- struct{}{}:
 	default:
@@ -192,9 +196,9 @@
 	return true
 }
 
-// Run writes until done is closed and all that was added by then is written, and closes the file.
+// Run writes queued entries until done is closed, writes those that were queued by then, and closes the file.
 func (j *Journal) Run(done <-chan struct{}) {
-	sweep := time.NewTicker(max(j.forget/16, 10*time.Millisecond))
+	sweep := time.NewTicker(max(j.retention/16, 10*time.Millisecond))
 	defer sweep.Stop()
 	for {
 		over := false
@@ -206,7 +210,7 @@
 		}
 		j.mu.Lock()
 		all := j.queue
-		j.queue, j.bytes = nil, 0
+		j.queue, j.queuedBytes = nil, 0
 		failed := j.failed
 		j.mu.Unlock()
 		err := failed
@@ -219,21 +223,21 @@
 			j.mu.Unlock()
 		}
 		for _, e := range all {
-			if e.told != nil {
-				e.told(err)
+			if e.done != nil {
+				e.done(err)
 			}
 		}
 		if over {
-			_ = j.db.Close() // all that was said is on it
+			_ = j.db.Close() // all acknowledged entries are on disk
 			return
 		}
 	}
 }
 
-// maxForgotten is how many records go in one transaction.
-const maxForgotten = 4096
+// maxDeletesPerWrite limits the records deleted in one transaction.
+const maxDeletesPerWrite = 4096
 
-// write makes it durable, all or nothing, and forgets what is old.
+// write writes the entries in one transaction and deletes expired records.
 func (j *Journal) write(all []entry) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -241,7 +245,7 @@
 		}
 	}()
 	now := time.Since(j.start)
-	due := len(j.old) > 0 && now-j.old[0].at > j.forget
+	due := len(j.batches) > 0 && now-j.batches[0].writtenAt > j.retention
 	writes := false
 	for i := range all {
 		writes = writes || all[i].row != nil || all[i].record != nil || all[i].drop
@@ -249,10 +253,10 @@
 	if !writes && !due {
 		return nil
 	}
-	next, old := j.next, j.old
+	next, old := j.lastRecord, j.batches
 	err = j.db.Update(func(tx *bbolt.Tx) error {
 		rows, log := tx.Bucket(holders), tx.Bucket(records)
-		log.FillPercent = 1 // they come in order
+		log.FillPercent = 1 // records are appended in key order
 		for i := range all {
 			e := &all[i]
 			key, err := cbor.Marshal(e.holder)
@@ -276,20 +280,20 @@
 				}
 			}
 		}
-		if next > j.next {
-			old = append(old, numbered{next, now})
+		if next > j.lastRecord {
+			old = append(old, writtenBatch{next, now})
 		}
-		for n := 0; len(old) > 0 && now-old[0].at > j.forget && n < maxForgotten; {
+		for n := 0; len(old) > 0 && now-old[0].writtenAt > j.retention && n < maxDeletesPerWrite; {
 			c := log.Cursor()
-			last := binary.BigEndian.AppendUint64(nil, old[0].upTo)
+			last := binary.BigEndian.AppendUint64(nil, old[0].lastRecord)
 			k, _ := c.First()
-			for ; k != nil && bytes.Compare(k, last) <= 0 && n < maxForgotten; k, _ = c.Next() {
+			for ; k != nil && bytes.Compare(k, last) <= 0 && n < maxDeletesPerWrite; k, _ = c.Next() {
 				if err := c.Delete(); err != nil {
 					return err
 				}
 				n++
 			}
-			if n < maxForgotten {
+			if n < maxDeletesPerWrite {
 				old = old[1:]
 			}
 		}
@@ -298,6 +302,6 @@
 	if err != nil {
 		return fmt.Errorf("journal: %s: %w", j.db.Path(), err)
 	}
-	j.next, j.old = next, old
+	j.lastRecord, j.batches = next, old
 	return nil
 }
--- a/internal/process/journal/journal_test.go
+++ b/internal/process/journal/journal_test.go
@@ -17,7 +17,7 @@
 
 func key(n uint64) promises.Key { return promises.Key{Origin: "near", Incarnation: 1, Number: n} }
 
-// contents is what a file hands on.
+// contents collects the rows and records that Open returns.
 type contents struct {
 	rows    map[string]promises.Row
 	records []promises.Record
@@ -30,14 +30,14 @@
 	return j, c, err
 }
 
-// runs starts a journal's goroutine; the function that it returns ends it.
-func runs(j *Journal) (end func()) {
+// start starts a journal's goroutine and returns a function that ends it.
+func start(j *Journal) (end func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() { defer close(ended); j.Run(done) }()
 	return func() { close(done); <-ended }
 }
 
-// add adds and waits.
+// add adds an entry and waits for its result.
 func add(t *testing.T, j *Journal, name string, row *promises.Row, keys ...promises.Key) error {
 	t.Helper()
 	var rec *promises.Record
@@ -47,23 +47,23 @@
 	}
 	told := make(chan error, 1)
 	if !j.Add(h, row, rec, func(err error) { told <- err }) {
-		return errors.New("no room, or failed")
+		return errors.New("queue full or journal failed")
 	}
 	return <-told
 }
 
-// What was told to be on the disk is read again, in its order, by who comes after; not while another has the file. A
-// holder that is dropped goes, and what is old.
-func TestReadAgain(t *testing.T) {
+// Entries acknowledged as written are read again, in order, by the next process, which cannot open the file while
+// another has it open. Dropped rows and expired records are deleted.
+func TestReopen(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := open(t, dir, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := open(t, dir, time.Hour); !errors.Is(err, store.ErrHeld) {
-		t.Errorf("a second process: %v", err)
+	if _, _, err := open(t, dir, time.Hour); !errors.Is(err, store.ErrLocked) {
+		t.Errorf("opened a second time: error %v, want ErrLocked", err)
 	}
-	end := runs(j)
+	end := start(j)
 	row := &promises.Row{Process: promises.Peer{Name: "n1", Incarnation: 3}, Identities: []promises.Peer{{Name: "n2", Incarnation: 4}}, Epoch: 7}
 	for i, err := range []error{add(t, j, "a", row), add(t, j, "b", row), add(t, j, "a", nil, key(1), key(2)), add(t, j, "a", nil, key(3)), add(t, j, "a", nil)} {
 		if err != nil {
@@ -80,14 +80,14 @@
 	if r := c.records; !slices.Equal(r[0].Keys, []promises.Key{key(1), key(2)}) || r[1].Keys[0] != key(3) || string(r[2].Reply.Body) != "done" {
 		t.Errorf("read %+v", r)
 	}
-	runs(j)()
-	// What was read is as old as this process, whatever the file's age.
+	start(j)()
+	// The retention of records read from the file starts with this process, whatever the file's age.
 	j, c, err = open(t, dir, 50*time.Millisecond)
 	if err != nil || len(c.records) != 3 {
 		t.Fatalf("%v, read %+v", err, c)
 	}
-	end = runs(j)
-	for j.records() > 0 { // the sweep comes by itself
+	end = start(j)
+	for j.records() > 0 { // the sweep runs without additions
 		time.Sleep(time.Millisecond)
 	}
 	if err := add(t, j, "a", nil, key(9)); err != nil {
@@ -104,8 +104,8 @@
 	return n
 }
 
-// Many at once go with few writes, all are told, and all are there.
-func TestMany(t *testing.T) {
+// Many concurrent additions are written in few transactions; all are acknowledged and stored.
+func TestBatchedWrites(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := open(t, dir, time.Hour)
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 	stats := j.db.Stats()
 	before := stats.TxStats.GetWrite()
-	end := runs(j)
+	end := start(j)
 	for range 1000 {
 		if err := <-told; err != nil {
 			t.Fatal(err)
@@ -126,7 +126,7 @@
 	}
 	stats = j.db.Stats()
 	if writes := stats.TxStats.GetWrite() - before; writes > 200 {
-		t.Errorf("%d pages written for what fits in one transaction", writes)
+		t.Errorf("%d pages written for entries that fit in one transaction", writes)
 	}
 	end()
 	if _, c, err := open(t, dir, time.Hour); err != nil || len(c.records) != 1000 {
@@ -134,7 +134,8 @@
 	}
 }
 
-// Nothing of a file is believed of which any value is not as it was written, nor of one that is none; one line says so.
+// A file with any damaged value, or one of another format, is rejected with an error, and none of its contents are
+// returned.
 func TestDamaged(t *testing.T) {
 	for name, spoil := range map[string]func(tx *bbolt.Tx) error{
 		"a record": func(tx *bbolt.Tx) error {
@@ -156,7 +157,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := runs(j)
+		end := start(j)
 		_ = add(t, j, "a", &promises.Row{Epoch: 1}, key(1))
 		_ = add(t, j, "a", nil, key(2))
 		end()
@@ -177,30 +178,30 @@
 			t.Fatal(err)
 		}
 		if _, _, err := open(t, dir, time.Hour); err == nil {
-			t.Errorf("%s is opened", name)
+			t.Errorf("%s: opened without an error", name)
 		}
 	}
 }
 
-// After a write that failed nobody is told yes any more, and what waits is bounded.
-func TestFails(t *testing.T) {
+// After a failed write, no further entry is acknowledged; the queue is bounded.
+func TestWriteFailure(t *testing.T) {
 	j, _, err := open(t, t.TempDir(), time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	large := &promises.Record{Reply: &promises.Reply{Body: make([]byte, Most/2+1)}}
+	large := &promises.Record{Reply: &promises.Reply{Body: make([]byte, MaxPendingBytes/2+1)}}
 	if !j.Add(promises.Holder{Name: "a"}, nil, large, nil) || j.Add(promises.Holder{Name: "a"}, nil, large, nil) {
-		t.Error("what waits has no bound, or none fits")
+		t.Error("the queue has no bound, or rejects an entry while empty")
 	}
 	_ = j.db.Close()
-	defer runs(j)()
+	defer start(j)()
 	if err := add(t, j, "a", nil, key(1)); err == nil {
-		t.Error("it is on a disk that is gone")
+		t.Error("entry acknowledged after the database was closed")
 	}
-	for j.Failed() == nil {
+	for j.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	if err := add(t, j, "a", nil, key(2)); err == nil {
-		t.Error("it goes on after a failure")
+		t.Error("entry acknowledged after a failed write")
 	}
 }
--- a/internal/process/journal/stored_test.go
+++ b/internal/process/journal/stored_test.go
@@ -12,10 +12,10 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// storedJournal is a folder's file as an earlier build of the agent left it.
+// storedJournal is a journal file written by an earlier build of the agent.
 const storedJournal = "testdata/stored/promises.db"
 
-// A build reads the holders and the records that an earlier one has stored, in their order, and adds to them.
+// A build reads the rows and records that an earlier build has stored, in order, and appends to them.
 func TestStoredByEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	if goldenbytes.Updating() {
@@ -39,7 +39,7 @@
 		text += "\n"
 	}
 	goldenbytes.Check(t, "stored/promises.txt", []byte(text))
-	end := runs(j)
+	end := start(j)
 	if err := add(t, j, "a", nil, key(100)); err != nil {
 		t.Error(err)
 	}
@@ -50,13 +50,13 @@
 	}
 }
 
-// storeJournal writes holders and records, and copies the file to testdata.
+// storeJournal writes rows and records, and copies the file to testdata.
 func storeJournal(t *testing.T, dir string) {
 	j, _, err := open(t, dir, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := runs(j)
+	end := start(j)
 	row := &promises.Row{Process: promises.Peer{Name: "n1", Incarnation: 3}, Identities: []promises.Peer{{Name: "n2", Incarnation: 1 << 63}}, Epoch: 7}
 	for _, name := range []string{"a", "b"} {
 		if err := add(t, j, name, row, key(1), key(1<<63)); err != nil {
--- a/internal/process/keys/keys.go
+++ b/internal/process/keys/keys.go
@@ -1,8 +1,7 @@
-// Package keys holds the certificates of a gateway's links: mutual TLS 1.3 between names that
-// both ends know. It reads them, reads them again while links are up, and makes a small
-// authority of its own for a trial set-up.
+// Package keys loads the certificates of a gateway's links (mutual TLS 1.3 between configured names), reloads them
+// while links are up, and generates a small certificate authority for trials.
 //
-// A Store may be used by any goroutine; Reload replaces all that it holds at once.
+// A Store may be used by any goroutine; Reload replaces all of its contents at once.
 package keys
 
 import (
@@ -23,41 +22,41 @@
 	"time"
 )
 
-// Warn is how long before its end a certificate is warned of.
-const Warn = 30 * 24 * time.Hour
+// ExpiryWarning is how long before its expiry a warning about a certificate begins.
+const ExpiryWarning = 30 * 24 * time.Hour
 
-// Files names what a gateway's certificates are in, all PEM.
+// Files has the paths of the PEM files of a gateway.
 type Files struct {
-	CA   string // authorities that the peers' certificates must come from
-	Cert string // this gateway's, with what leads to its authority
+	CA   string // authorities that the peers' certificates must be issued by
+	Cert string // certificate of this gateway, with its chain
 	Key  string
 }
 
-type held struct {
+type certificates struct {
 	pool *x509.CertPool
 	cert tls.Certificate
 	leaf *x509.Certificate
 }
 
-// Store is the certificates of one gateway.
+// Store holds the certificates of one gateway.
 type Store struct {
-	files Files
-	now   atomic.Pointer[held]
+	files   Files
+	current atomic.Pointer[certificates]
 }
 
-// Load reads the files. An error names the one that can't be used and says why.
+// Load reads the files. An error names the file that cannot be used and the reason.
 func Load(f Files) (*Store, error) {
 	s := &Store{files: f}
 	return s, s.Reload()
 }
 
-// Reload reads the files again. Where that fails, what was held stays.
+// Reload reads the files again. After an error the earlier certificates stay in use.
 func (s *Store) Reload() error {
 	text, err := os.ReadFile(s.files.CA)
 	if err != nil {
 		return fmt.Errorf("ca: %w", err)
 	}
-	h := &held{pool: x509.NewCertPool()}
+	h := &certificates{pool: x509.NewCertPool()}
 	if !h.pool.AppendCertsFromPEM(text) {
 		return fmt.Errorf("ca: %s: no certificate in it", s.files.CA)
 	}
@@ -73,19 +72,19 @@
 	case len(h.leaf.DNSNames) == 0:
 		return fmt.Errorf("cert: %s: it holds no name", s.files.Cert)
 	}
-	s.now.Store(h)
+	s.current.Store(h)
 	return nil
 }
 
-// Name is the first name that the certificate holds; links know a gateway by it.
-func (s *Store) Name() string { return s.now.Load().leaf.DNSNames[0] }
+// Name returns the first DNS name of the certificate, which identifies the gateway on links.
+func (s *Store) Name() string { return s.current.Load().leaf.DNSNames[0] }
 
-// Until is when the certificate ends.
-func (s *Store) Until() time.Time { return s.now.Load().leaf.NotAfter }
+// NotAfter returns when the certificate expires.
+func (s *Store) NotAfter() time.Time { return s.current.Load().leaf.NotAfter }
 
-// Client is how a peer of the name is dialled. Its certificate must hold that name.
-func (s *Store) Client(peer string) *tls.Config {
-	h := s.now.Load()
+// ClientConfig returns the TLS configuration for dialling the named peer, whose certificate must have that name.
+func (s *Store) ClientConfig(peer string) *tls.Config {
+	h := s.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		ServerName:   peer,
@@ -94,18 +93,18 @@
 	}
 }
 
-// Server is how links are taken: from whoever has a certificate of the authorities. Which of
-// the names may come is for the caller to say.
-func (s *Store) Server() *tls.Config {
-	h := s.now.Load()
+// ServerConfig returns the TLS configuration for accepting links from any peer with a certificate of the authorities.
+// The caller decides which names are allowed.
+func (s *Store) ServerConfig() *tls.Config {
+	h := s.current.Load()
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: h.pool,
 		Certificates: []tls.Certificate{h.cert}, SessionTicketsDisabled: true}
 }
 
-// Make writes an authority and a certificate for each name into a folder: ca.pem and ca.key,
-// NAME.pem and NAME.key. An authority that is there is used again; a certificate that is there
-// is written anew. It is meant for trials: the authority's key lies beside the rest.
-func Make(dir string, names []string, last time.Duration) error {
+// Generate writes an authority and a certificate for each name into a folder: ca.pem and ca.key, NAME.pem and NAME.key.
+// An existing authority is used again; an existing certificate is replaced. It is meant for trials: the authority's key
+// is stored next to the certificates.
+func Generate(dir string, names []string, last time.Duration) error {
 	if len(names) == 0 {
 		return errors.New("keys: no names")
 	}
@@ -139,7 +138,7 @@
 	return nil
 }
 
-// authority finds or makes the one in a folder.
+// authority loads the authority in a folder, or creates one.
 func authority(dir string, last time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ca.key"))
 	if errors.Is(err, os.ErrNotExist) {
@@ -188,7 +187,7 @@
 		name + ".key": {Type: "PRIVATE KEY", Bytes: secret},
 	}
 	for file, block := range blocks {
-		// Whoever reads a file while it is replaced finds the old one or the new.
+		// A reader sees either the old file or the new one.
 		path := filepath.Join(dir, file)
 		if err := os.WriteFile(path+".new", pem.EncodeToMemory(block), 0o600); err != nil {
 			return err
@@ -200,9 +199,8 @@
 	return nil
 }
 
-// Show tells line by line what certificates a file holds and when each ends, with a warning
-// where that is soon.
-func Show(path string) ([]string, error) {
+// Describe returns a line for each certificate in a file, with its names and expiry, and a warning if that is near.
+func Describe(path string) ([]string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -227,7 +225,7 @@
 		switch left := time.Until(c.NotAfter); {
 		case left <= 0:
 			line += ": OVER"
-		case left < Warn:
+		case left < ExpiryWarning:
 			line += fmt.Sprintf(": in %.0f days", left.Hours()/24)
 		}
 		lines = append(lines, line)
--- a/internal/process/logging/logging.go
+++ b/internal/process/logging/logging.go
@@ -1,11 +1,9 @@
-// Package logging makes the program's structured log: log/slog with one set of keys, at a level
-// and in a form that the operator's file sets. Values only; a Logger may be used by any number of
-// goroutines.
+// Package logging creates the program's structured logger: log/slog with a fixed set of keys, at a level and in a
+// format set by the operator's file. It has no state; a Logger may be used by any goroutine.
 //
-// The keys are agent (its name, in each record), listen and backends (at the start), err, from and
-// to (of what changes), days (that a certificate lasts), record (of an account), zones (that come
-// last), and of a fault of the program itself input, panic and stack. A key that is new belongs into this list and into
-// docs/operators/commands.md.
+// The keys are agent (its name, in each record), listen and backends (at the start), err, from and to (of changes),
+// days (that a certificate lasts), record (of an account), zones (that come last), and, for a fault of the program
+// itself, input, panic and stack. A new key has to be added to this list and to docs/operators/commands.md.
 package logging
 
 import (
@@ -14,18 +12,18 @@
 	"log/slog"
 )
 
-// Options are what the operator's file says of the log.
+// Options are the log settings of the operator's file.
 type Options struct {
 	Level  string `toml:"level"`  // debug, info, warn or error
 	Format string `toml:"format"` // text or json
-	// Account has a line for each request that earned less than it could; 'molepaddle lab loss' reads them.
+	// Account enables a line for each request that earned less than it could; 'molepaddle lab loss' reads them.
 	Account bool `toml:"account"`
 }
 
-// Default is what a file need not say.
+// Default returns the settings of a file that leaves them out.
 func Default() Options { return Options{Level: "info", Format: "text"} }
 
-// Validate reports the first key that makes no sense.
+// Validate returns the first invalid key and its error.
 func (o Options) Validate() (key string, err error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(o.Level)); err != nil {
@@ -37,7 +35,7 @@
 	return "", nil
 }
 
-// New makes a logger; the options are valid.
+// New returns a logger. The options must be valid.
 func New(w io.Writer, o Options) *slog.Logger {
 	var l slog.Level
 	_ = l.UnmarshalText([]byte(o.Level)) // validated
--- a/internal/process/management/management.go
+++ b/internal/process/management/management.go
@@ -1,8 +1,8 @@
-// Package management is the operators' door: a few calls over HTTP/1.1 at an address of its own,
-// apart from clients' places and the core's lock. Each call is answered by the process's lifecycle,
-// on a connection that ends with it.
+// Package management serves the operators' management API: a few calls over HTTP/1.1 at an address of its own,
+// independent of client connections and the core's lock. Each call is answered from the lifecycle of the process, on a
+// connection that is closed after it.
 //
-// The server's goroutines, one a connection, share the list of connections, under a lock.
+// The server's goroutines, one for each connection, share the list of connections under a lock.
 package management
 
 import (
@@ -17,36 +17,36 @@
 	"molepaddle/internal/decide/lifecycle"
 )
 
-// Connections is how many the door holds at the most, and so how many descriptors are to be kept
-// for it: a new one takes the place of the one open longest.
-const Connections = 16
+// MaxConnections limits the open connections, and so the descriptors to reserve for them: a new connection replaces the
+// oldest one.
+const MaxConnections = 16
 
-// callWithin is how long a call may take to come, or its answer to be taken.
-const callWithin = 2 * time.Second
+// callTimeout limits the time for reading a call, and that for writing its answer.
+const callTimeout = 2 * time.Second
 
-// Door is the door of one process.
-type Door struct {
-	server http.Server
-	mux    *http.ServeMux
-	mu     sync.Mutex
-	open   []*conn // the one open longest first
+// Server is the management server of one process.
+type Server struct {
+	httpServer http.Server
+	mux        *http.ServeMux
+	mu         sync.Mutex
+	open       []*conn // the oldest first
 }
 
 type conn struct {
 	net.Conn
-	door *Door
+	server *Server
 }
 
-// New makes a door to a process; servers tells whether any can be sent to, and does not wait.
-func New(m *lifecycle.Machine, servers func() bool, log *slog.Logger) *Door {
-	d := &Door{}
+// New returns a Server for a process. servers reports whether any server is available, and must not block.
+func New(m *lifecycle.Machine, servers func() bool, log *slog.Logger) *Server {
+	d := &Server{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, _ *http.Request) {
 		status := http.StatusOK
 		if !m.Serving(servers()) {
 			status = http.StatusServiceUnavailable
 		}
-		say(w, status, m, servers)
+		writeState(w, status, m, servers)
 	})
 	for path, do := range map[string]func() error{"/api/evacuate": m.Evacuate, "/api/rejoin": m.Rejoin} {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, _ *http.Request) {
@@ -55,41 +55,41 @@
 				return
 			}
 			log.Info("operators: "+path, "state", m.State(servers()).String())
-			say(w, http.StatusOK, m, servers)
+			writeState(w, http.StatusOK, m, servers)
 		})
 	}
 	d.mux = mux
-	d.server = http.Server{Handler: mux, ReadTimeout: callWithin, WriteTimeout: callWithin, MaxHeaderBytes: 4 << 10,
+	d.httpServer = http.Server{Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: 4 << 10,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
-	d.server.SetKeepAlivesEnabled(false)
+	d.httpServer.SetKeepAlivesEnabled(false)
 	return d
 }
 
-// say answers with the state as a line of text.
-func say(w http.ResponseWriter, status int, m *lifecycle.Machine, servers func() bool) {
+// writeState answers with the state as a line of text.
+func writeState(w http.ResponseWriter, status int, m *lifecycle.Machine, servers func() bool) {
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
 	fmt.Fprintln(w, m.State(servers()))
 }
 
-// Handle adds a call, as http.ServeMux has it; before Serve.
-func (d *Door) Handle(pattern string, h http.Handler) { d.mux.Handle(pattern, h) }
+// Handle registers a handler under a pattern of http.ServeMux. It must be called before Serve.
+func (d *Server) Handle(pattern string, h http.Handler) { d.mux.Handle(pattern, h) }
 
-// Serve answers calls until the door is closed; then it returns nil.
-func (d *Door) Serve(ln net.Listener) error {
-	if err := d.server.Serve(&listener{ln, d}); !errors.Is(err, http.ErrServerClosed) {
+// Serve answers calls until the server is closed, and returns nil then.
+func (d *Server) Serve(ln net.Listener) error {
+	if err := d.httpServer.Serve(&listener{ln, d}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Close ends the door and all calls.
-func (d *Door) Close() error { return d.server.Close() }
+// Close closes the server and all connections.
+func (d *Server) Close() error { return d.httpServer.Close() }
 
-// listener bounds the connections.
+// listener limits the open connections.
 type listener struct {
 	net.Listener
-	door *Door
+	server *Server
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -97,11 +97,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d := l.door
+	d := l.server
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.open) >= Connections {
-		d.open[0].Conn.Close() // its goroutine takes it out once more, which does nothing
+	if len(d.open) >= MaxConnections {
+		d.open[0].Conn.Close() // the later removal by its goroutine does nothing
 		d.open = d.open[1:]
 	}
 	cc := &conn{c, d}
@@ -110,7 +110,7 @@
 }
 
 func (c *conn) Close() error {
-	d := c.door
+	d := c.server
 	d.mu.Lock()
 	for i, o := range d.open {
 		if o == c {
--- a/internal/process/management/management_test.go
+++ b/internal/process/management/management_test.go
@@ -14,8 +14,8 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// door opens one, and returns its machine and address.
-func door(t *testing.T) (*lifecycle.Machine, string) {
+// startServer starts a server, and returns its lifecycle and address.
+func startServer(t *testing.T) (*lifecycle.Machine, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return m, ln.Addr().String()
 }
 
-// call sends a text as it is, and reads the answer.
+// call sends a text unchanged, and returns the response and its body.
 func call(t *testing.T, addr, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := testkit.Dial("tcp", addr)
@@ -54,7 +54,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	m, addr := door(t)
+	m, addr := startServer(t)
 	ask := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 	for i, c := range []struct {
 		do     func()
@@ -93,10 +93,10 @@
 	}
 }
 
-// Callers that finish no call hold up nobody: far more of them than there are places.
+// Clients that never complete a call, far more than MaxConnections of them, do not block others.
 func TestSilentCallers(t *testing.T) {
-	_, addr := door(t)
-	for i := range 5 * Connections {
+	_, addr := startServer(t)
+	for i := range 5 * MaxConnections {
 		c, err := testkit.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/process/promise/promise.go
+++ b/internal/process/promise/promise.go
@@ -1,9 +1,9 @@
-// Package promise drives one agent's part in promises (package promises): as the holder where it is a far
-// gateway, as a copy of others, and as whoever brings a near end's question to a copy. Messages go over the
-// peers' links, epochs and seals to the council.
+// Package promise replicates the promises of this agent's gateway (package promises) to other agents, stores replicas
+// of other gateways' promises, and answers and forwards queries about them. Messages go over the links of the peers;
+// epochs and seals go through the council. The rules are in decide/promises.
 //
-// One goroutine, Run's, owns all state. Whoever waits for a promise waits in his own goroutine, for
-// no longer than his order has time.
+// The goroutine of Run owns all state. The exported methods may be used by any goroutine. Begin blocks its caller, at
+// most until the deadline that it is given.
 package promise
 
 import (
@@ -25,7 +25,7 @@
 	"molepaddle/internal/protocol/peers"
 )
 
-// Fleet is the agent's end among its peers; peers.Peers is.
+// Fleet is the agent's connection to its peers; peers.Peers implements it.
 type Fleet interface {
 	View() (members.View, time.Time)
 	Say(to members.ID, w peers.Word) error
@@ -33,120 +33,120 @@
 	Set(change func(*members.Info))
 }
 
-// Options is what a Part is made of.
+// Options configures a Replicator.
 type Options struct {
-	Machine  string
-	Zone     string
-	Copies   int           // of what this agent promises, if it is a far gateway
-	Fewer    bool          // fewer do, where there are no more
-	Remember time.Duration // longer than an order may be open
-	Bytes    int           // of answers held for others
-	Folder   string        // that lasts, where what is held is written before a word is given; empty: it is held in memory
-	Tick     time.Duration // some part of the view's period
-	Log      *slog.Logger
+	Machine       string
+	Zone          string
+	Replicas      int           // wanted for the promises of this agent, if it has a far end
+	AllowFewer    bool          // begin with fewer replicas if no more agents are available
+	Retention     time.Duration // of records; longer than a request may be open
+	MaxReplyBytes int           // limit of the replies held for other holders
+	Folder        string        // persistent, of the journal that is written before an acknowledgement; empty: replicas are in memory only
+	Tick          time.Duration // a fraction of the period of the view
+	Log           *slog.Logger
 	// Set before Run.
 	Fleet   Fleet
 	Council func(ctx context.Context, c seat.Call) seat.Answer
 }
 
-// ask is a near end's question on its way, and verdict what comes of it.
-type ask struct {
-	_       struct{} `cbor:",toarray"`
-	Holder  promises.Holder
-	Key     promises.Key
-	SinceUs uint64
-	Own     bool // it is the holder itself that is asked
+// query asks what is known of a crossing, and queryResult is the response.
+type query struct {
+	_        struct{} `cbor:",toarray"`
+	Holder   promises.Holder
+	Key      promises.Key
+	SinceUs  uint64
+	AtHolder bool // the receiver is asked as the holder itself
 }
 
-type verdict struct {
-	_     struct{} `cbor:",toarray"`
-	Word  promises.Verdict
-	Reply *promises.Reply
-	Alive bool // the holder itself says so, and the crossing is in its hands
+type queryResult struct {
+	_          struct{} `cbor:",toarray"`
+	Verdict    promises.Verdict
+	Reply      *promises.Reply
+	FromHolder bool // the holder itself has answered
 }
 
-// disk is how far an agent's journal is.
-type disk uint8
+// journalState is the state of an agent's journal.
+type journalState uint8
 
 const (
-	none    disk = iota // it is not wanted
-	opening             // nothing is held meanwhile
-	open
-	failed // nothing more is held; what was can still be proven with
+	journalNone    journalState = iota // no folder is configured
+	journalOpening                     // no replicas are accepted meanwhile
+	journalOpen
+	journalFailed // no more replicas are accepted; the present ones still answer queries
 )
 
-func (d disk) String() string {
+func (d journalState) String() string {
 	return [...]string{"in memory", "its disk is being opened, nothing is held", "on disk", "its disk has FAILED, nothing more is held"}[d]
 }
 
-// Part is an agent's part.
-type Part struct {
-	opt   Options
-	in    chan func()
-	ended chan struct{}
-	start time.Time
-
-	// Run's.
-	disk    disk
-	journal *journal.Journal // once it is open
-	closed  chan struct{}    // by its goroutine's end
-	tries   bool             // it is being opened
-	holds   bool             // as the view has it
-	ctx     context.Context
-	holder  *promises.Machine // nil: this agent is no far gateway, or has not begun to be
-	own     promises.Holder
-	far     Far
-	copies  *promises.ReplicaStore
-	waits   map[promises.Key]chan bool
-	view    members.View
-	ticks   int
-	number  uint64
-	asked   map[uint64]question
-	sealing map[promises.Holder][]sealed
-	settled []promises.ReplicaSet // as the council had them
-	held    time.Time             // when
-	asking  []func()              // questions that wait for that
-	short   int
-}
-
-// question is one that was brought to another.
-type question struct {
-	tell  func(verdict)
-	until int
-}
-
-// sealed is a question that waits for a seal.
-type sealed struct {
-	key   promises.Key
-	since time.Duration
-	tell  func(verdict)
-}
-
-// Far is the far end whose begun crossings are promised.
-type Far interface {
-	// Own answers for a crossing in the holder's hands, as a fence does.
+// Replicator holds an agent's promises and its replicas of others' promises.
+type Replicator struct {
+	opt    Options
+	inputs chan func()
+	ended  chan struct{}
+	start  time.Time
+
+	// Owned by Run.
+	journalState        journalState
+	journal             *journal.Journal // nil until it is open
+	closed              chan struct{}    // closed when the journal's goroutine has ended
+	openPending         bool             // an attempt to open it is in flight
+	storesForOthers     bool             // as announced to the fleet
+	ctx                 context.Context
+	holder              *promises.Machine // nil: no gateway is attached
+	own                 promises.Holder
+	gateway             Gateway
+	replicas            *promises.ReplicaStore
+	waiters             map[promises.Key]chan bool
+	view                members.View
+	ticks               int
+	queryNumber         uint64
+	pendingQueries      map[uint64]pendingQuery
+	pendingSeals        map[promises.Holder][]sealQuery
+	replicaSets         []promises.ReplicaSet // as the council last reported them
+	replicaSetsAt       time.Time             // time of that report
+	awaitingReplicaSets []func()              // queries that wait for the report
+	shortfall           int
+}
+
+// pendingQuery is a query that was sent to another agent.
+type pendingQuery struct {
+	deliver  func(queryResult)
+	deadline int
+}
+
+// sealQuery is a query that waits for a seal.
+type sealQuery struct {
+	key     promises.Key
+	since   time.Duration
+	deliver func(queryResult)
+}
+
+// Gateway is the far end of the gateway links, whose begun crossings are promised.
+type Gateway interface {
+	// Own returns the verdict on a crossing in the holder's hands, with the same effect as a fence.
 	Own(near string, inc, number uint64) (promises.Verdict, *promises.Reply)
-	// Renew makes it another process for near ends, and tells which.
+	// Renew gives the far end a new incarnation towards the near ends and returns it.
 	Renew() (inc uint64)
 }
 
-// New makes a part; Run drives it.
-func New(o Options) *Part {
-	return &Part{opt: o, in: make(chan func(), 4096), ended: make(chan struct{}), start: time.Now(), copies: promises.NewReplicaStore(o.Remember, o.Bytes),
-		waits: map[promises.Key]chan bool{}, asked: map[uint64]question{}, sealing: map[promises.Holder][]sealed{}}
+// New returns a Replicator, which Run drives.
+func New(o Options) *Replicator {
+	return &Replicator{opt: o, inputs: make(chan func(), 4096), ended: make(chan struct{}), start: time.Now(), replicas: promises.NewReplicaStore(o.Retention, o.MaxReplyBytes),
+		waiters: map[promises.Key]chan bool{}, pendingQueries: map[uint64]pendingQuery{}, pendingSeals: map[promises.Holder][]sealQuery{}}
 }
 
-// Bind says among whom the part is; before Run.
-func (p *Part) Bind(f Fleet, council func(ctx context.Context, c seat.Call) seat.Answer, tick time.Duration) {
+// Bind sets the fleet, the council and the tick; it must be called before Run.
+func (p *Replicator) Bind(f Fleet, council func(ctx context.Context, c seat.Call) seat.Answer, tick time.Duration) {
 	p.opt.Fleet, p.opt.Council, p.opt.Tick = f, council, tick
 }
 
-func (p *Part) now() time.Duration { return time.Since(p.start) }
+func (p *Replicator) now() time.Duration { return time.Since(p.start) }
 
-// post hands something to Run; false: there is no room, or Run has ended.
-func (p *Part) post(do func()) bool {
+// post passes a function to Run; it reports false if the queue is full or Run has ended.
+func (p *Replicator) post(do func()) bool {
 	select {
-	case p.in <- do:
+	case p.inputs <- do:
 		return true
 	case <-p.ended:
 		return false
@@ -155,32 +155,33 @@
 	}
 }
 
-// Promises has a far end's begins promised from now on; its first incarnation comes with it.
-func (p *Part) Promises(name string, inc uint64, far Far) {
+// Attach makes this agent the holder for a gateway: from now on its crossings are promised before they begin. inc is
+// the gateway's first incarnation.
+func (p *Replicator) Attach(name string, inc uint64, gw Gateway) {
 	p.post(func() {
-		p.far, p.own = far, promises.Holder{Name: name, Incarnation: inc}
+		p.gateway, p.own = gw, promises.Holder{Name: name, Incarnation: inc}
 		p.renew()
 	})
 }
 
-func (p *Part) renew() {
-	p.holder = promises.NewHolder(promises.Options{Me: p.own, Machine: p.opt.Machine, Zone: p.opt.Zone, Replicas: p.opt.Copies, AllowFewer: p.opt.Fewer,
-		Retention: p.opt.Remember, TimeoutTicks: 5})
+func (p *Replicator) renew() {
+	p.holder = promises.NewHolder(promises.Options{Me: p.own, Machine: p.opt.Machine, Zone: p.opt.Zone, Replicas: p.opt.Replicas, AllowFewer: p.opt.AllowFewer,
+		Retention: p.opt.Retention, TimeoutTicks: 5})
 }
 
-// Begin promises that a crossing which was offered to an incarnation of the far end begins, and waits for that at the most until the time given; false: it must
-// not begin.
-func (p *Part) Begin(hinc uint64, near string, inc, number uint64, until time.Time) bool {
+// Begin promises that a crossing offered to the incarnation hinc of the far end begins, and waits for the replicas
+// until the given time at most. It reports false if the crossing must not begin.
+func (p *Replicator) Begin(hinc uint64, near string, inc, number uint64, until time.Time) bool {
 	k := promises.Key{Origin: near, Incarnation: inc, Number: number}
 	may := make(chan bool, 1)
 	if !p.post(func() {
 		if p.holder == nil || p.own.Incarnation != hinc {
-			may <- false // what was offered to an earlier process, near ends ask that one's copies about
+			may <- false // offered to an earlier incarnation, whose replicas the near ends query
 			return
 		}
-		p.tellWaits(k, false) // an attempt that was withdrawn meanwhile, and its request goes elsewhere
-		p.waits[k] = may
-		p.do(p.holder.Begin(p.now(), k))
+		p.resolveWaiter(k, false) // an earlier attempt that was cancelled meanwhile; its request goes elsewhere
+		p.waiters[k] = may
+		p.apply(p.holder.Begin(p.now(), k))
 	}) {
 		return false
 	}
@@ -193,16 +194,16 @@
 	case <-p.ended:
 	}
 	p.post(func() {
-		if p.waits[k] == may {
-			delete(p.waits, k)
+		if p.waiters[k] == may {
+			delete(p.waiters, k)
 			p.holder.Cancel(k)
 		}
 	})
 	return false
 }
 
-// Answered has the copies know an answer. It does not wait.
-func (p *Part) Answered(near string, inc, number uint64, r promises.Reply) {
+// Answered replicates the reply of a crossing. It does not block.
+func (p *Replicator) Answered(near string, inc, number uint64, r promises.Reply) {
 	p.post(func() {
 		if p.holder != nil {
 			p.send(p.holder.ReplicateReply(promises.Key{Origin: near, Incarnation: inc, Number: number}, r))
@@ -210,46 +211,47 @@
 	})
 }
 
-// Query finds out what can be said of a crossing that was offered to another gateway so long ago. tell is
-// called once, in another goroutine, and must not wait.
-func (p *Part) Query(holder string, hinc uint64, near string, inc, number uint64, since time.Duration, tell func(promises.Verdict, *promises.Reply)) {
+// Query finds out what is known of a crossing that was offered to another gateway the duration since ago. tell is
+// called once, in another goroutine (or in the caller's if the Replicator is overloaded or has ended), and must not
+// block.
+func (p *Replicator) Query(holder string, hinc uint64, near string, inc, number uint64, since time.Duration, tell func(promises.Verdict, *promises.Reply)) {
 	h, k := promises.Holder{Name: holder, Incarnation: hinc}, promises.Key{Origin: near, Incarnation: inc, Number: number}
-	answer := func(v verdict) { tell(v.Word, v.Reply) }
+	answer := func(v queryResult) { tell(v.Verdict, v.Reply) }
 	if !p.post(func() {
-		if _, held := p.copies.ProcessOf(h); held || p.sealedHere(h) {
-			p.question(h, k, since, answer)
+		if _, held := p.replicas.ProcessOf(h); held || p.sealedHere(h) {
+			p.queryReplica(h, k, since, answer)
 			return
 		}
-		p.elsewhere(h, k, since, answer)
+		p.queryRemote(h, k, since, answer)
 	}) {
-		answer(verdict{})
+		answer(queryResult{})
 	}
 }
 
-func (p *Part) sealedHere(h promises.Holder) bool {
-	return slices.ContainsFunc(p.copies.All(), func(o promises.ReplicaStatus) bool { return o.Holder == h && o.Sealed })
+func (p *Replicator) sealedHere(h promises.Holder) bool {
+	return slices.ContainsFunc(p.replicas.All(), func(o promises.ReplicaStatus) bool { return o.Holder == h && o.Sealed })
 }
 
-// Hear takes a word of a peer, where it is one of this package's; it does not wait.
-func (p *Part) Hear(from members.ID, w peers.Word) (mine bool) {
+// Receive passes a peer's message to Run, without blocking, and reports whether its topic belongs to this package.
+func (p *Replicator) Receive(from members.ID, w peers.Word) (handled bool) {
 	if w.Topic < peers.TopicPromise || w.Topic > peers.TopicVerdict {
 		return false
 	}
-	p.post(func() { p.hear(from, &w) })
+	p.post(func() { p.handleMessage(from, &w) })
 	return true
 }
 
-// Run drives the part until the context ends.
-func (p *Part) Run(ctx context.Context) {
+// Run processes ticks and inputs until the context ends.
+func (p *Replicator) Run(ctx context.Context) {
 	defer close(p.ended)
 	p.ctx = ctx
 	p.view, _ = p.opt.Fleet.View()
 	if p.opt.Folder != "" {
-		p.disk = opening
+		p.journalState = journalOpening
 	}
 	defer func() {
 		if p.journal != nil {
-			<-p.closed // what it has acknowledged is on it, and a process that comes after may open it
+			<-p.closed // all acknowledged records are on disk, and the next process can open the file
 		}
 	}()
 	tick := time.NewTicker(p.opt.Tick)
@@ -258,7 +260,7 @@
 		select {
 		case <-tick.C:
 			p.tick()
-		case do := <-p.in:
+		case do := <-p.inputs:
 			do()
 		case <-ctx.Done():
 			return
@@ -266,14 +268,14 @@
 	}
 }
 
-// tick is the passing of a tick.
-func (p *Part) tick() {
+// tick advances the time by one tick.
+func (p *Replicator) tick() {
 	p.ticks++
 	p.view, _ = p.opt.Fleet.View()
-	for n, q := range p.asked {
-		if q.until < p.ticks {
-			delete(p.asked, n)
-			q.tell(verdict{})
+	for n, q := range p.pendingQueries {
+		if q.deadline < p.ticks {
+			delete(p.pendingQueries, n)
+			q.deliver(queryResult{})
 		}
 	}
 	runs := map[members.ID]bool{}
@@ -284,19 +286,19 @@
 		council = council || m.Orders != "" && m.State < members.Dead
 	}
 	if p.ticks%50 == 0 {
-		p.drop(p.copies.Expire(p.now(), func(id promises.Peer) bool { return runs[id] })...)
+		p.dropRows(p.replicas.Expire(p.now(), func(id promises.Peer) bool { return runs[id] })...)
 	}
-	if p.disk == opening && !p.tries && p.ticks%10 == 1 {
+	if p.journalState == journalOpening && !p.openPending && p.ticks%10 == 1 {
 		p.open()
 	}
-	if p.disk == open {
-		if err := p.journal.Failed(); err != nil {
+	if p.journalState == journalOpen {
+		if err := p.journal.Err(); err != nil {
 			p.fail(err)
 		}
 	}
-	if holds := p.disk == none || p.disk == open; holds != p.holds {
-		p.holds = holds
-		p.opt.Fleet.Set(func(i *members.Info) { i.Holds = holds })
+	if stores := p.journalState == journalNone || p.journalState == journalOpen; stores != p.storesForOthers {
+		p.storesForOthers = stores
+		p.opt.Fleet.Set(func(i *members.Info) { i.Holds = stores })
 	}
 	if p.holder == nil {
 		return
@@ -308,24 +310,24 @@
 			all = append(all, promises.Candidate{ID: m.ID, Machine: m.Info.Machine, Zone: m.Info.Zone, Healthy: m.State == members.Alive && len(m.SuspectedBy) == 0 && m.Info.Process != "ending"})
 		}
 	}
-	p.do(p.holder.Tick(p.now(), council, all))
+	p.apply(p.holder.Tick(p.now(), council, all))
 	var names []string
-	if _, copies, _ := p.holder.Epoch(); len(copies) > 0 {
-		for _, id := range copies {
+	if _, replicas, _ := p.holder.Epoch(); len(replicas) > 0 {
+		for _, id := range replicas {
 			names = append(names, id.Name)
 		}
 	}
-	for _, h := range p.copies.All() { // so that a question can be passed on
-		if from, held := p.copies.ProcessOf(h.Holder); held {
+	for _, h := range p.replicas.All() { // links to holders, so that a query can be forwarded to them
+		if from, held := p.replicas.ProcessOf(h.Holder); held {
 			names = append(names, from.Name)
 		}
 	}
 	p.opt.Fleet.Wish("promises", names)
 }
 
-// open opens the journal in a goroutine of its own: the process that wrote it may still have it.
-func (p *Part) open() {
-	p.tries = true
+// open opens the journal in a goroutine of its own: a process that ran before may still have it open.
+func (p *Replicator) open() {
+	p.openPending = true
 	go func() {
 		type kept struct {
 			of  promises.Holder
@@ -333,29 +335,29 @@
 		}
 		var rows []kept
 		var records []*promises.Record
-		j, err := journal.Open(p.opt.Folder, p.opt.Remember, func(h promises.Holder, r *promises.Row) { rows = append(rows, kept{h, r}) },
+		j, err := journal.Open(p.opt.Folder, p.opt.Retention, func(h promises.Holder, r *promises.Row) { rows = append(rows, kept{h, r}) },
 			func(r *promises.Record) { records = append(records, r) })
 		closed := make(chan struct{})
 		if err == nil {
 			go func() { defer close(closed); j.Run(p.ctx.Done()) }()
 		}
 		select {
-		case p.in <- func() {
-			switch p.tries = false; {
-			case errors.Is(err, store.ErrHeld):
-				return // again, soon
+		case p.inputs <- func() {
+			switch p.openPending = false; {
+			case errors.Is(err, store.ErrLocked):
+				return // the next attempt follows shortly
 			case err != nil:
 				p.fail(err)
 				return
 			}
 			for _, k := range rows {
-				p.copies.RestoreRow(p.now(), k.of, k.row)
+				p.replicas.RestoreRow(p.now(), k.of, k.row)
 			}
 			for _, r := range records {
-				p.copies.RestoreRecord(p.now(), r)
+				p.replicas.RestoreRecord(p.now(), r)
 			}
-			p.disk, p.journal, p.closed = open, j, closed
-			p.opt.Log.Info("promises: what was held before is read", "holders", len(rows), "records", len(records))
+			p.journalState, p.journal, p.closed = journalOpen, j, closed
+			p.opt.Log.Info("promises: journal read", "holders", len(rows), "records", len(records))
 		}:
 		case <-p.ctx.Done():
 			if err == nil {
@@ -365,90 +367,90 @@
 	}()
 }
 
-// fail takes that the journal can't be used.
-func (p *Part) fail(err error) {
-	if p.disk != failed {
-		p.disk = failed
-		p.opt.Log.Error("promises: this agent holds nothing more for others, and serves on; its folder has to be looked at", "folder", p.opt.Folder, "err", err)
+// fail records that the journal has failed.
+func (p *Replicator) fail(err error) {
+	if p.journalState != journalFailed {
+		p.journalState = journalFailed
+		p.opt.Log.Error("promises: journal failed, no more replicas are accepted and the agent serves on; check the folder", "folder", p.opt.Folder, "err", err)
 	}
 }
 
-// drop has the disk forget holders.
-func (p *Part) drop(all ...promises.Holder) {
-	if p.disk == open {
+// dropRows deletes the rows of holders from the journal.
+func (p *Replicator) dropRows(all ...promises.Holder) {
+	if p.journalState == journalOpen {
 		for _, h := range all {
 			p.journal.Drop(h)
 		}
 	}
 }
 
-// hold takes a holder's message, and gives the word once it is on the disk, where there is to be one.
-func (p *Part) hold(from members.ID, m *promises.Msg) {
-	if p.disk == opening || p.disk == failed {
+// store processes a holder's message and acknowledges it once it is written to the journal, if there is one.
+func (p *Replicator) store(from members.ID, m *promises.Msg) {
+	if p.journalState == journalOpening || p.journalState == journalFailed {
 		if m.Kind != promises.Answered {
 			p.send([]promises.Send{{To: from, Msg: promises.Msg{Kind: promises.Nack, Holder: m.Holder, Epoch: m.Epoch, Seq: m.Seq}}})
 			return
 		}
 	}
-	reply, ok := p.copies.Receive(p.now(), p.view.Self, from, m)
-	word := []promises.Send{{To: from, Msg: reply}}
+	reply, ok := p.replicas.Receive(p.now(), p.view.Self, from, m)
+	acks := []promises.Send{{To: from, Msg: reply}}
 	if !ok {
-		word = nil
+		acks = nil
 	}
-	takes := reply.Kind == promises.Joined || reply.Kind == promises.Ack || m.Kind == promises.Answered
-	if p.disk != open || !takes {
-		p.send(word)
+	writes := reply.Kind == promises.Joined || reply.Kind == promises.Ack || m.Kind == promises.Answered
+	if p.journalState != journalOpen || !writes {
+		p.send(acks)
 		return
 	}
 	var row *promises.Row
 	if m.Kind == promises.Join {
-		r := p.copies.Row(m.Holder)
+		r := p.replicas.Row(m.Holder)
 		row = &r
 	}
 	var record *promises.Record
 	if len(m.Keys) > 0 {
 		record = &promises.Record{Holder: m.Holder, Keys: m.Keys, Reply: m.Reply}
 	}
-	// What finds no room is not acknowledged, and its holder goes on without this copy.
+	// A record for which the queue has no room is not acknowledged, and its holder continues without this replica.
 	p.journal.Add(m.Holder, row, record, func(err error) {
 		if err == nil {
-			p.send(word)
+			p.send(acks)
 		}
 	})
 }
 
-// do carries out what the holder wants.
-func (p *Part) do(out promises.Output) {
+// apply carries out the output of the holder.
+func (p *Replicator) apply(out promises.Output) {
 	p.send(out.Send)
 	for _, k := range out.Begin {
-		p.tellWaits(k, true)
+		p.resolveWaiter(k, true)
 	}
 	for _, k := range out.Reject {
-		p.tellWaits(k, false)
+		p.resolveWaiter(k, false)
 	}
 	if out.Short > 0 {
-		p.opt.Log.Warn("promises: fewer copies than wanted", "short", out.Short, "begins", p.opt.Fewer)
-	} else if out.Short == 0 && p.short > 0 {
-		p.opt.Log.Info("promises: as many copies as wanted")
+		p.opt.Log.Warn("promises: fewer replicas than wanted", "short", out.Short, "begins", p.opt.AllowFewer)
+	} else if out.Short == 0 && p.shortfall > 0 {
+		p.opt.Log.Info("promises: as many replicas as wanted")
 	}
 	if out.Short >= 0 {
-		p.short = out.Short
+		p.shortfall = out.Short
 	}
 	if e := out.Propose; e != nil {
 		holder := p.holder
-		p.settle(e, func(err error) {
+		p.propose(e, func(err error) {
 			if p.holder == holder {
 				was, _, _ := holder.Epoch()
-				p.do(holder.ProposalResult(e, err))
+				p.apply(holder.ProposalResult(e, err))
 				if epoch, copies, _ := holder.Epoch(); epoch != was {
-					p.opt.Log.Info("promises: an epoch is settled", "epoch", epoch, "copies", names(copies))
+					p.opt.Log.Info("promises: epoch committed", "epoch", epoch, "copies", names(copies))
 				}
 			}
 		})
 	}
 	if out.Sealed {
-		p.opt.Log.Warn("promises: sealed while nobody heard this process: what had not begun never will, and near ends meet another process")
-		p.own.Incarnation = p.far.Renew()
+		p.opt.Log.Warn("promises: sealed while this process was unreachable: crossings not begun are rejected, continuing as a new incarnation")
+		p.own.Incarnation = p.gateway.Renew()
 		p.renew()
 	}
 }
@@ -460,51 +462,51 @@
 	return all
 }
 
-func (p *Part) tellWaits(k promises.Key, may bool) {
-	if w := p.waits[k]; w != nil {
-		delete(p.waits, k)
+func (p *Replicator) resolveWaiter(k promises.Key, may bool) {
+	if w := p.waiters[k]; w != nil {
+		delete(p.waiters, k)
 		w <- may
 	}
 }
 
-func (p *Part) send(all []promises.Send) {
+func (p *Replicator) send(all []promises.Send) {
 	for i := range all {
-		if text, err := cbor.Marshal(&all[i].Msg); err == nil { // values only
-			_ = p.opt.Fleet.Say(all[i].To, peers.Word{Topic: peers.TopicPromise, Body: text}) // what is lost is missed, and said again
+		if text, err := cbor.Marshal(&all[i].Msg); err == nil { // cannot fail: plain values only
+			_ = p.opt.Fleet.Say(all[i].To, peers.Word{Topic: peers.TopicPromise, Body: text}) // the holder repeats a message that is lost
 		}
 	}
 }
 
-// settle has the council settle an entry, in a goroutine of its own, and tells Run what came of it.
-func (p *Part) settle(e *promises.Entry, done func(error)) {
-	token := rand.Uint64() | 1 // two of one token count once: times of many that start together would do for that
+// propose proposes an entry to the council in a goroutine of its own, and passes the result to Run.
+func (p *Replicator) propose(e *promises.Entry, done func(error)) {
+	token := rand.Uint64() | 1 // random: with tokens from the clock, agents that start together would draw equal ones, and only one call would count
 	go func() {
 		ctx, cancel := context.WithTimeout(p.ctx, 40*p.opt.Tick)
 		defer cancel()
-		a := p.opt.Council(ctx, seat.Call{Token: token, Do: seat.Hold, Hold: e})
-		err := outcome(&a)
+		a := p.opt.Council(ctx, seat.Call{Token: token, Operation: seat.ProposePromise, Promise: e})
+		err := proposalError(&a)
 		select {
-		case p.in <- func() { done(err) }:
+		case p.inputs <- func() { done(err) }:
 		case <-p.ctx.Done():
 		}
 	}()
 }
 
-// outcome is what the council has said to an entry.
-func outcome(a *seat.Answer) error {
+// proposalError returns the error in the council's answer to an entry.
+func proposalError(a *seat.Answer) error {
 	for _, err := range []error{promises.ErrSealed, promises.ErrEpoch, promises.ErrNoCopy} {
-		if a.Error == err.Error() && !a.Again {
+		if a.Error == err.Error() && !a.Retryable {
 			return err
 		}
 	}
-	if a.Error != "" || a.Again {
+	if a.Error != "" || a.Retryable {
 		return errors.New(a.Error)
 	}
 	return nil
 }
 
-// hear takes a word.
-func (p *Part) hear(from members.ID, w *peers.Word) {
+// handleMessage processes a peer's message.
+func (p *Replicator) handleMessage(from members.ID, w *peers.Word) {
 	switch w.Topic {
 	case peers.TopicPromise:
 		var m promises.Msg
@@ -513,84 +515,84 @@
 		}
 		switch m.Kind {
 		case promises.Join, promises.Batch, promises.Answered:
-			p.hold(from, &m)
+			p.store(from, &m)
 		default:
 			if p.holder != nil {
-				p.do(p.holder.Receive(p.now(), from, &m))
+				p.apply(p.holder.Receive(p.now(), from, &m))
 			}
 		}
 	case peers.TopicAsk:
-		var a ask
+		var a query
 		if cbor.Unmarshal(w.Body, &a) != nil {
 			return
 		}
 		number := w.Number
-		p.answer(&a, func(v verdict) {
+		p.answerQuery(&a, func(v queryResult) {
 			if text, err := cbor.Marshal(&v); err == nil {
-				_ = p.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicVerdict, Number: number, Body: text}) // the near end asks again
+				_ = p.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicVerdict, Number: number, Body: text}) // the near end repeats the query if the response is lost
 			}
 		})
 	case peers.TopicVerdict:
-		if q, known := p.asked[w.Number]; known {
-			delete(p.asked, w.Number)
-			var v verdict
-			if cbor.Unmarshal(w.Body, &v) != nil || v.Word == promises.Replied && v.Reply == nil {
-				v = verdict{}
+		if q, known := p.pendingQueries[w.Number]; known {
+			delete(p.pendingQueries, w.Number)
+			var v queryResult
+			if cbor.Unmarshal(w.Body, &v) != nil || v.Verdict == promises.Replied && v.Reply == nil {
+				v = queryResult{}
 			}
-			q.tell(v)
+			q.deliver(v)
 		}
 	}
 }
 
-// answer answers another agent's question.
-func (p *Part) answer(a *ask, tell func(verdict)) {
-	if a.Own {
-		if p.far == nil || a.Holder != p.own {
-			tell(verdict{}) // it is another process by now, and that one's word is no proof of the earlier's
+// answerQuery answers another agent's query.
+func (p *Replicator) answerQuery(a *query, tell func(queryResult)) {
+	if a.AtHolder {
+		if p.gateway == nil || a.Holder != p.own {
+			tell(queryResult{}) // a later incarnation can't answer for the earlier one
 			return
 		}
-		word, reply := p.far.Own(a.Key.Origin, a.Key.Incarnation, a.Key.Number)
-		tell(verdict{Word: word, Reply: reply, Alive: true})
+		verdict, reply := p.gateway.Own(a.Key.Origin, a.Key.Incarnation, a.Key.Number)
+		tell(queryResult{Verdict: verdict, Reply: reply, FromHolder: true})
 		return
 	}
-	p.question(a.Holder, a.Key, time.Duration(a.SinceUs)*time.Microsecond, tell)
+	p.queryReplica(a.Holder, a.Key, time.Duration(a.SinceUs)*time.Microsecond, tell)
 }
 
-// bring asks another agent.
-func (p *Part) bring(to members.ID, a ask, ticks int, tell func(verdict)) {
+// sendQuery sends a query to another agent; without a response within ticks, the result is the zero queryResult.
+func (p *Replicator) sendQuery(to members.ID, a query, ticks int, tell func(queryResult)) {
 	text, err := cbor.Marshal(&a)
 	if err == nil {
-		p.number++
-		err = p.opt.Fleet.Say(to, peers.Word{Topic: peers.TopicAsk, Number: p.number, Body: text})
+		p.queryNumber++
+		err = p.opt.Fleet.Say(to, peers.Word{Topic: peers.TopicAsk, Number: p.queryNumber, Body: text})
 	}
 	if err != nil {
-		tell(verdict{})
+		tell(queryResult{})
 		return
 	}
-	p.asked[p.number] = question{tell, p.ticks + ticks}
+	p.pendingQueries[p.queryNumber] = pendingQuery{tell, p.ticks + ticks}
 }
 
-// patience is how many ticks a holder that is linked has to answer for itself.
-const patience = 3
+// holderTimeoutTicks is how long a linked holder has to answer a query itself.
+const holderTimeoutTicks = 3
 
-// question is asked of this agent as a copy: of the holder, while that is heard, else of what is held here
-// once it is sealed.
-func (p *Part) question(h promises.Holder, k promises.Key, since time.Duration, tell func(verdict)) {
-	from, open := p.copies.ProcessOf(h)
+// queryReplica answers from the replica of this agent: it asks the holder while that is reachable, and otherwise has
+// the holder sealed and answers from the replica.
+func (p *Replicator) queryReplica(h promises.Holder, k promises.Key, since time.Duration, tell func(queryResult)) {
+	from, open := p.replicas.ProcessOf(h)
 	if !open {
-		v, reply := p.copies.Query(h, k, since)
-		tell(word(v, reply))
+		v, reply := p.replicas.Query(h, k, since)
+		tell(resultOf(v, reply))
 		return
 	}
-	heard := slices.ContainsFunc(p.view.Members, func(m members.Member) bool {
+	reachable := slices.ContainsFunc(p.view.Members, func(m members.Member) bool {
 		return m.ID == from && m.Linked && m.State < members.Dead
 	})
-	if !heard || len(p.sealing[h]) > 0 {
+	if !reachable || len(p.pendingSeals[h]) > 0 {
 		p.seal(h, k, since, tell)
 		return
 	}
-	p.bring(from, ask{Holder: h, Key: k, Own: true}, patience, func(v verdict) {
-		if v.Alive {
+	p.sendQuery(from, query{Holder: h, Key: k, AtHolder: true}, holderTimeoutTicks, func(v queryResult) {
+		if v.FromHolder {
 			tell(v)
 			return
 		}
@@ -598,88 +600,89 @@
 	})
 }
 
-func word(v promises.Verdict, reply promises.Reply) verdict {
+func resultOf(v promises.Verdict, reply promises.Reply) queryResult {
 	if v == promises.Replied {
-		return verdict{Word: v, Reply: &reply}
+		return queryResult{Verdict: v, Reply: &reply}
 	}
 	if v == promises.Pending {
 		v = promises.Unknown
 	}
-	return verdict{Word: v}
+	return queryResult{Verdict: v}
 }
 
-// seal seals a holder and answers then.
-func (p *Part) seal(h promises.Holder, k promises.Key, since time.Duration, tell func(verdict)) {
+// seal has a holder sealed by the council and answers the query then.
+func (p *Replicator) seal(h promises.Holder, k promises.Key, since time.Duration, tell func(queryResult)) {
 	began := p.now()
-	if v, reply := p.copies.Query(h, k, since); v != promises.Pending {
-		tell(word(v, reply))
+	if v, reply := p.replicas.Query(h, k, since); v != promises.Pending {
+		tell(resultOf(v, reply))
 		return
 	}
-	p.sealing[h] = append(p.sealing[h], sealed{k, since - began, tell})
-	if len(p.sealing[h]) > 1 {
+	p.pendingSeals[h] = append(p.pendingSeals[h], sealQuery{k, since - began, tell})
+	if len(p.pendingSeals[h]) > 1 {
 		return
 	}
-	p.sealAs(h, p.copies.Identities(h))
+	p.proposeSeal(h, p.replicas.Identities(h))
 }
 
-// sealAs has the council seal a holder by the first of these processes that is of its epoch, and answers then.
-func (p *Part) sealAs(h promises.Holder, as []promises.Peer) {
-	p.settle(&promises.Entry{Holder: h, By: as[0]}, func(err error) {
+// proposeSeal proposes the seal under each of these identities, until the council accepts one as a replica of the
+// epoch, and answers the waiting queries.
+func (p *Replicator) proposeSeal(h promises.Holder, as []promises.Peer) {
+	p.propose(&promises.Entry{Holder: h, By: as[0]}, func(err error) {
 		if errors.Is(err, promises.ErrNoCopy) && len(as) > 1 {
-			p.sealAs(h, as[1:])
+			p.proposeSeal(h, as[1:])
 			return
 		}
-		if p.copies.Sealed(h, err) {
-			p.drop(h)
+		if p.replicas.Sealed(h, err) {
+			p.dropRows(h)
 		}
 		if err == nil {
-			p.opt.Log.Warn("promises: a gateway that can't be heard is sealed", "holder", h.Name, "incarnation", h.Incarnation)
+			p.opt.Log.Warn("promises: unreachable gateway sealed", "holder", h.Name, "incarnation", h.Incarnation)
 		}
-		all := p.sealing[h]
-		delete(p.sealing, h)
+		all := p.pendingSeals[h]
+		delete(p.pendingSeals, h)
 		for _, q := range all {
-			v, reply := p.copies.Query(h, q.key, q.since+p.now())
-			q.tell(word(v, reply))
+			v, reply := p.replicas.Query(h, q.key, q.since+p.now())
+			q.deliver(resultOf(v, reply))
 		}
 	})
 }
 
-// elsewhere brings a question to a copy, by the council's word of who that is.
-func (p *Part) elsewhere(h promises.Holder, k promises.Key, since time.Duration, tell func(verdict)) {
+// queryRemote sends a query to an agent that has a replica, by the replica sets that the council has committed.
+func (p *Replicator) queryRemote(h promises.Holder, k promises.Key, since time.Duration, tell func(queryResult)) {
 	began := p.now()
-	ask := ask{Holder: h, Key: k}
-	bring := func() {
-		for _, hold := range p.settled {
+	request := query{Holder: h, Key: k}
+	send := func() {
+		for _, hold := range p.replicaSets {
 			if hold.Holder != h {
 				continue
 			}
-			ask.SinceUs = uint64((since + p.now() - began).Microseconds())
-			if id, there := p.stands(hold.Replicas); there {
+			request.SinceUs = uint64((since + p.now() - began).Microseconds())
+			if id, there := p.replicaProcess(hold.Replicas); there {
 				p.opt.Fleet.Wish("question", []string{id.Name})
-				p.bring(id, ask, 40, tell)
+				p.sendQuery(id, request, 40, tell)
 				return
 			}
 		}
-		tell(verdict{})
+		tell(queryResult{})
 	}
-	if time.Since(p.held) < 10*p.opt.Tick {
-		bring()
+	if time.Since(p.replicaSetsAt) < 10*p.opt.Tick {
+		send()
 		return
 	}
-	if p.asking = append(p.asking, bring); len(p.asking) > 1 {
+	if p.awaitingReplicaSets = append(p.awaitingReplicaSets, send); len(p.awaitingReplicaSets) > 1 {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(p.ctx, 20*p.opt.Tick)
 		defer cancel()
-		a := p.opt.Council(ctx, seat.Call{Do: seat.Holds})
+		a := p.opt.Council(ctx, seat.Call{Operation: seat.ReplicaSets})
 		select {
-		case p.in <- func() {
+		case p.inputs <- func() {
 			if a.Report != nil {
-				p.settled, p.held = a.Report.Holds, time.Now()
+				p.replicaSets, p.replicaSetsAt = a.Report.ReplicaSets, time.Now()
 			}
-			all := p.asking
-			p.asking = nil
+			all := p.awaitingReplicaSets
+			p.awaitingReplicaSets = nil
 			for _, do := range all {
 				do()
 			}
@@ -689,14 +692,14 @@
 	}()
 }
 
-// stands is a process that can answer for one of these copies: itself, else one that has its name now, and may have
-// read what it has written.
-func (p *Part) stands(copies []members.ID) (id members.ID, there bool) {
+// replicaProcess returns a live process that can answer for one of these replicas: the process itself, else one that
+// has the same name now and may have read its journal.
+func (p *Replicator) replicaProcess(replicas []members.ID) (id members.ID, found bool) {
 	for _, same := range []func(a, b members.ID) bool{
 		func(a, b members.ID) bool { return a == b },
 		func(a, b members.ID) bool { return a.Name == b.Name },
 	} {
-		for _, c := range copies {
+		for _, c := range replicas {
 			i := slices.IndexFunc(p.view.Members, func(m members.Member) bool {
 				return same(m.ID, c) && m.State < members.Dead && m.Info.Holds && m.ID != p.view.Self
 			})
@@ -708,26 +711,26 @@
 	return id, false
 }
 
-// Report is what an agent has of promises.
+// Report is the state of an agent's promises.
 type Report struct {
-	Journal  string                   `json:"journal"`          // where it holds for others, in words
-	Holder   string                   `json:"holder,omitempty"` // this gateway; empty: it promises nothing
-	Epoch    uint64                   `json:"epoch,omitempty"`
-	Copies   []string                 `json:"copies,omitempty"`
-	Settled  bool                     `json:"settled"`
-	Promised int                      `json:"promised"` // that count
-	Waits    int                      `json:"waits"`
-	Held     []promises.ReplicaStatus `json:"held"` // for others
-}
-
-// Report tells what the agent has; ok: in time.
-func (p *Part) Report(ctx context.Context) (r Report, ok bool) {
+	Journal        string                   `json:"journal"`          // state of the journal, as text
+	Holder         string                   `json:"holder,omitempty"` // name of this gateway; empty: none is attached
+	Epoch          uint64                   `json:"epoch,omitempty"`
+	HolderReplicas []string                 `json:"copies,omitempty"`
+	EpochActive    bool                     `json:"settled"`
+	PromisedCount  int                      `json:"promised"` // crossings that have begun and are still retained
+	WaitingCount   int                      `json:"waits"`
+	Replicas       []promises.ReplicaStatus `json:"held"` // held for other holders
+}
+
+// Report returns the current state; ok is false if the context ended first or the queue is full.
+func (p *Replicator) Report(ctx context.Context) (r Report, ok bool) {
 	out := make(chan Report, 1)
 	if !p.post(func() {
-		r := Report{Journal: p.disk.String(), Held: p.copies.All()}
+		r := Report{Journal: p.journalState.String(), Replicas: p.replicas.All()}
 		if p.holder != nil {
 			epoch, copies, settled := p.holder.Epoch()
-			r.Holder, r.Epoch, r.Copies, r.Settled, r.Promised, r.Waits = p.own.Name, epoch, names(copies), settled, p.holder.PromisedCount(), p.holder.WaitingCount()
+			r.Holder, r.Epoch, r.HolderReplicas, r.EpochActive, r.PromisedCount, r.WaitingCount = p.own.Name, epoch, names(copies), settled, p.holder.PromisedCount(), p.holder.WaitingCount()
 		}
 		out <- r
 	}) {
@@ -741,4 +744,4 @@
 	}
 }
 
-var _ gateway.Promises = (*Part)(nil)
+var _ gateway.Promises = (*Replicator)(nil)
--- a/internal/process/promise/wire_test.go
+++ b/internal/process/promise/wire_test.go
@@ -8,7 +8,7 @@
 
 // Questions and verdicts are sent between agents; the report is what operators' tools read.
 func TestWireBytes(t *testing.T) {
-	goldenbytes.CBOR(t, "ask", &ask{})
-	goldenbytes.CBOR(t, "verdict", &verdict{})
+	goldenbytes.CBOR(t, "ask", &query{})
+	goldenbytes.CBOR(t, "verdict", &queryResult{})
 	goldenbytes.JSON(t, "report", &Report{})
 }
--- a/internal/process/seat/calls.go
+++ b/internal/process/seat/calls.go
@@ -12,114 +12,115 @@
 	"molepaddle/internal/decide/work"
 )
 
-// Call is what an operator wants of the council, at whatever agent.
+// Call is an operator's request to the council, sent to any agent.
 type Call struct {
-	// Token is drawn by whoever calls: under the same one a call counts once, however often it is made.
-	// Those that change nothing need none.
-	Token  uint64          `json:"token,string,omitempty"`
-	Do     Do              `json:"do"`
-	ID     string          `json:"id,omitempty"` // of the request
-	Permit uint64          `json:"permit,omitempty"`
-	Ask    *work.Ask       `json:"ask,omitempty"`
-	Hold   *promises.Entry `json:"hold,omitempty"`
+	// Token is drawn at random by the caller and makes the call idempotent: repeats with the same token are applied once.
+	// Read-only calls need none.
+	Token     uint64          `json:"token,string,omitempty"`
+	Operation Operation       `json:"do"`
+	ID        string          `json:"id,omitempty"` // of the request
+	Permit    uint64          `json:"permit,omitempty"`
+	Ask       *work.Ask       `json:"ask,omitempty"`
+	Promise   *promises.Entry `json:"hold,omitempty"`
 }
 
-// Do is what a call does.
-type Do string
+// Operation is the operation that a call requests.
+type Operation string
 
-// The calls.
+// The operations.
 const (
-	Ask    Do = "ask"
-	Take   Do = "take"
-	Back   Do = "done"
-	Cancel Do = "cancel"
-	Fail   Do = "fail"
-	Show   Do = "show"   // what a member has; it may be old, and says how old
-	Plan   Do = "plan"   // the same, with what is to be expected
-	Record Do = "record" // and with what was settled
-	Holds  Do = "holds"  // who holds for whom
-	Hold   Do = "hold"   // an epoch or a seal of it; agents' own, not for the door
-	Found  Do = "found"  // at the agent that is called, and nowhere else
+	Submit         Operation = "ask"
+	Take           Operation = "take"
+	Complete       Operation = "done"
+	Cancel         Operation = "cancel"
+	Fail           Operation = "fail"
+	Show           Operation = "show"   // the state of one member, possibly stale; the report has its age
+	Plan           Operation = "plan"   // the same, with the planned schedule
+	Record         Operation = "record" // the same, with the record of committed decisions
+	ReplicaSets    Operation = "holds"  // the replica sets of all promise holders
+	ProposePromise Operation = "hold"   // a promise holder's epoch or its seal; between agents only, not accepted from operators
+	Bootstrap      Operation = "found"  // makes the called agent the first member of a council; not forwarded
 )
 
-// entry is the line of the log that a call wants; ok: it wants one.
+// entry returns the log entry that a call proposes; ok is false for a read-only call. A ProposePromise call has no
+// work entry: e is empty and ok is true.
 func (c *Call) entry(now int64) (e work.Entry, ok bool) {
-	if c.Do == Hold {
+	if c.Operation == ProposePromise {
 		return e, true
 	}
-	kind, ok := map[Do]work.Kind{Ask: work.Submit, Take: work.Take, Back: work.Complete, Cancel: work.Cancel, Fail: work.Fail}[c.Do]
+	kind, ok := map[Operation]work.Kind{Submit: work.Submit, Take: work.Take, Complete: work.Complete, Cancel: work.Cancel, Fail: work.Fail}[c.Operation]
 	return work.Entry{Kind: kind, At: now, ID: c.ID, Permit: c.Permit, Ask: c.Ask}, ok
 }
 
-// check tells what is wrong with a call.
+// check returns the first error of a call that is malformed.
 func (c *Call) check() error {
 	_, changes := c.entry(0)
 	switch {
-	case !changes && !slices.Contains([]Do{Show, Plan, Record, Holds, Found}, c.Do):
-		return fmt.Errorf("do: no call %q", c.Do)
+	case !changes && !slices.Contains([]Operation{Show, Plan, Record, ReplicaSets, Bootstrap}, c.Operation):
+		return fmt.Errorf("do: no call %q", c.Operation)
 	case changes && c.Token == 0:
 		return errors.New("token: missing")
-	case c.Do == Ask && c.Ask == nil:
+	case c.Operation == Submit && c.Ask == nil:
 		return errors.New("ask: missing")
-	case c.Do == Hold && c.Hold == nil:
+	case c.Operation == ProposePromise && c.Promise == nil:
 		return errors.New("hold: missing")
-	case changes && c.Do != Ask && c.Do != Hold && c.ID == "":
+	case changes && c.Operation != Submit && c.Operation != ProposePromise && c.ID == "":
 		return errors.New("id: missing")
 	}
 	return nil
 }
 
-// Answer is what comes of a call. Error is why it was turned down; Again says that nothing is known to have
-// come of it: the same call may be made once more.
+// Answer is the response to a call. Error is why it was rejected; Retryable means that the call is not known to have
+// taken effect and may be repeated with the same token.
 type Answer struct {
-	Error  string  `json:"error,omitempty"`
-	Again  bool    `json:"again,omitempty"`
-	Report *Report `json:"report,omitempty"`
+	Error     string  `json:"error,omitempty"`
+	Retryable bool    `json:"again,omitempty"`
+	Report    *Report `json:"report,omitempty"`
 }
 
-// Declined is a call that was turned down, and counts for nothing.
-type Declined struct{ Why string }
+// Rejected is the error of a call that was rejected and has no effect.
+type Rejected struct{ Reason string }
 
-func (d *Declined) Error() string { return d.Why }
+func (d *Rejected) Error() string { return d.Reason }
 
-// Report is what a member of the council has.
+// Report is the state of the council as one member has applied it.
 type Report struct {
-	From     string                `json:"from"`   // who tells
-	Leader   string                `json:"leader"` // empty: it hears none
-	Voters   []string              `json:"voters"`
-	Learners []string              `json:"learners,omitempty"`
-	Term     uint64                `json:"term"`
-	Applied  uint64                `json:"applied"`
-	AgeMs    int64                 `json:"age_ms"` // since it has heard a leader: what stands here may be older than that, never newer
-	Now      int64                 `json:"now"`    // the log's time
-	Orders   uint64                `json:"orders"` // the version of the list of machines that are left alone
-	Alone    []string              `json:"left_alone,omitempty"`
-	Requests []Request             `json:"requests"`
-	Plan     []Step                `json:"plan,omitempty"`
-	Waits    map[string]string     `json:"waits,omitempty"` // of the plan: why these never go
-	Record   []string              `json:"record,omitempty"`
-	Holds    []promises.ReplicaSet `json:"holds,omitempty"`
+	From             string                `json:"from"`   // name of the reporting member
+	Leader           string                `json:"leader"` // empty: no leader is known
+	Voters           []string              `json:"voters"`
+	Learners         []string              `json:"learners,omitempty"`
+	Term             uint64                `json:"term"`
+	Applied          uint64                `json:"applied"`
+	LeaderAgeMs      int64                 `json:"age_ms"` // time since the last message from a leader, a lower bound for the age of this state
+	Now              int64                 `json:"now"`    // the log's time
+	ExclusionVersion uint64                `json:"orders"` // version of the list of excluded machines
+	Excluded         []string              `json:"left_alone,omitempty"`
+	Requests         []Request             `json:"requests"`
+	Plan             []Step                `json:"plan,omitempty"`
+	Unschedulable    map[string]string     `json:"waits,omitempty"` // of the plan: by request id, why it can never be scheduled
+	Record           []string              `json:"record,omitempty"`
+	ReplicaSets      []promises.ReplicaSet `json:"holds,omitempty"`
 }
 
-// Request is one as a report tells it.
+// Request is a maintenance request in a report.
 type Request struct {
 	ID        string   `json:"id"`
 	Machine   string   `json:"machine"`
 	Phase     string   `json:"phase"`
 	Permit    uint64   `json:"permit,omitempty"`
-	Since     int64    `json:"since"` // by the log's time
+	Since     int64    `json:"since"` // start of the phase, in the log's time
 	Seconds   int64    `json:"seconds"`
 	NotBefore int64    `json:"not_before,omitempty"`
 	DueBy     int64    `json:"due_by,omitempty"`
 	Urgent    bool     `json:"urgent,omitempty"`
 	Overdue   bool     `json:"overdue,omitempty"`
 	By        string   `json:"by,omitempty"`
-	For       string   `json:"for,omitempty"` // what it was asked for
-	Why       string   `json:"why"`           // in a sentence, why it is where it is
+	Purpose   string   `json:"for,omitempty"` // the reason given with the request
+	Why       string   `json:"why"`           // explanation of its phase, one sentence
 	Missing   []string `json:"missing,omitempty"`
 }
 
-// Step is one of the plan.
+// Step is one step of the plan.
 type Step struct {
 	ID      string   `json:"id"`
 	Machine string   `json:"machine"`
@@ -129,7 +130,7 @@
 	Late    bool     `json:"late,omitempty"`
 }
 
-// Find is the request of an id; nil: there is none.
+// Find returns the request with the id, or nil.
 func (r *Report) Find(id string) *Request {
 	for i := range r.Requests {
 		if r.Requests[i].ID == id {
@@ -139,35 +140,35 @@
 	return nil
 }
 
-// maxShown bounds the requests of a report that are over, the latest first.
-const maxShown = 200
+// maxReportedFinished limits the finished requests in a report; the latest are kept.
+const maxReportedFinished = 200
 
-// report words what the member has.
-func (s *Seat) report(do Do) *Report {
+// report builds a report of the member's state.
+func (s *Seat) report(do Operation) *Report {
 	st, state := s.machine.Status(), s.machine.State()
 	r := &Report{From: s.opt.Name, Leader: s.nameOf(st.Leader), Voters: s.namesOf(st.Voters), Learners: s.namesOf(st.Learners), Term: st.Term,
-		Applied: st.Applied, AgeMs: int64(time.Duration(st.LeaderAge) * s.opt.Tick / time.Millisecond), Now: state.Now(), Requests: []Request{}}
-	r.Orders, r.Alone = state.Excluded()
-	facts := map[string]*work.Machine{}
+		Applied: st.Applied, LeaderAgeMs: int64(time.Duration(st.LeaderAge) * s.opt.Tick / time.Millisecond), Now: state.Now(), Requests: []Request{}}
+	r.ExclusionVersion, r.Excluded = state.Excluded()
+	machines := map[string]*work.Machine{}
 	f := state.FleetState()
 	for i := range f.Machines {
-		facts[f.Machines[i].Name] = &f.Machines[i]
+		machines[f.Machines[i].Name] = &f.Machines[i]
 	}
 	all := state.Requests()
-	over := 0
+	finished := 0
 	for i := len(all) - 1; i >= 0; i-- {
 		q := &all[i]
 		if q.Phase >= work.Done {
-			if over++; over > maxShown {
+			if finished++; finished > maxReportedFinished {
 				continue
 			}
 		}
-		one := Request{ID: q.ID, Machine: q.Machine, Phase: q.Phase.String(), Permit: q.Permit, Since: q.Since, Seconds: q.Seconds, NotBefore: q.NotBefore,
-			DueBy: q.DueBy, Urgent: q.Urgent, Overdue: state.Overdue(q), By: q.By, For: q.Ask.Why, Why: state.Explain(q.ID)}
-		if m := facts[q.Machine]; m != nil && q.Phase == work.Emptying {
-			one.Missing = m.UnacknowledgedNames
+		request := Request{ID: q.ID, Machine: q.Machine, Phase: q.Phase.String(), Permit: q.Permit, Since: q.Since, Seconds: q.Seconds, NotBefore: q.NotBefore,
+			DueBy: q.DueBy, Urgent: q.Urgent, Overdue: state.Overdue(q), By: q.By, Purpose: q.Ask.Why, Why: state.Explain(q.ID)}
+		if m := machines[q.Machine]; m != nil && q.Phase == work.Emptying {
+			request.Missing = m.UnacknowledgedNames
 		}
-		r.Requests = append(r.Requests, one)
+		r.Requests = append(r.Requests, request)
 	}
 	slices.Reverse(r.Requests)
 	switch do {
@@ -177,22 +178,22 @@
 			r.Plan = append(r.Plan, Step(p))
 		}
 		slices.SortStableFunc(r.Plan, func(a, b Step) int { return cmp.Compare(a.Begin, b.Begin) })
-		r.Waits = waits
-	case Holds:
-		r.Holds = s.machine.Register().All()
+		r.Unschedulable = waits
+	case ReplicaSets:
+		r.ReplicaSets = s.machine.Register().All()
 	case Record:
 		r.Record = state.Record()
 	}
 	return r
 }
 
-// maxCall bounds a call's text, in bytes.
-const maxCall = 16 << 10
+// maxCallBytes limits an encoded call.
+const maxCallBytes = 16 << 10
 
-// ReadCall reads a call, and reports the first thing that is wrong with it.
+// ReadCall decodes a call and returns an error if it is malformed.
 func ReadCall(text []byte) (c Call, err error) {
-	if len(text) > maxCall {
-		return c, fmt.Errorf("call: over %d bytes", maxCall)
+	if len(text) > maxCallBytes {
+		return c, fmt.Errorf("call: over %d bytes", maxCallBytes)
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
 		return c, fmt.Errorf("call: %w", err)
--- a/internal/process/seat/seat.go
+++ b/internal/process/seat/seat.go
@@ -1,8 +1,10 @@
-// Package seat drives one agent's part in taking machines out for work: its member of the council, where it
-// has a folder that lasts, and the calls of operators, which it brings to the member that leads.
+// Package seat runs an agent's side of machine maintenance: its member of the council, if it has a persistent folder,
+// and the calls of operators, which it forwards to the council's leader. It decides nothing itself; the rules are in
+// decide/council and decide/work.
 //
-// One goroutine, Run's, owns the member, its disk and all calls; whoever else has something for it
-// hands it over and never waits for a disk. docs/design/work.md says why it is made so.
+// The goroutine of Run owns the member, its store and all calls. Receive and Call may be used by any goroutine: they
+// pass their input to Run over a channel, so that no other goroutine waits for a disk. docs/design/work.md has the
+// reasons for this design.
 package seat
 
 import (
@@ -28,7 +30,7 @@
 	"molepaddle/internal/protocol/peers"
 )
 
-// Fleet is the agent's end among its peers; peers.Peers is.
+// Fleet is the agent's connection to its peers; peers.Peers implements it.
 type Fleet interface {
 	View() (members.View, time.Time)
 	Say(to members.ID, w peers.Word) error
@@ -37,97 +39,98 @@
 	Set(change func(*members.Info))
 }
 
-// Options is what a Seat is made of.
+// Options configures a Seat.
 type Options struct {
 	Name         string
-	Folder       string // that lasts; empty: it sits nowhere, and only brings calls
-	Seats        int    // of the council
+	Folder       string // persistent; empty: the agent has no member and only forwards calls
+	Seats        int    // wanted number of voters of the council
 	ReplaceAfter time.Duration
-	Tick         time.Duration // some hundredth of what a person waits
+	Tick         time.Duration // about a hundredth of the time that a person waits for an answer
 	Seed         uint64
 	Fleet        Fleet
-	// Sight is what the agent sees, but for what the council itself knows; asked by the member that leads.
-	Sight func(v members.View) work.Observation
-	Log   *slog.Logger
+	// Observe returns what the agent observes of the fleet, without the fields that the council fills in. Only the
+	// leader calls it.
+	Observe func(v members.View) work.Observation
+	Log     *slog.Logger
 }
 
-// election is how many ticks a member waits for a leader, at the least; sights how many pass between two
-// looks at the fleet; patience how many a call waits for the one that leads.
+// electionTicks is the minimum election time-out, observationTicks the interval between two observations of the fleet,
+// and callTimeoutTicks how long a call waits for the leader.
 const (
-	election = 8
-	sights   = 5
-	patience = 20
-	keep     = 256 // entries behind a snapshot
+	electionTicks    = 8
+	observationTicks = 5
+	callTimeoutTicks = 20
+	retainedEntries  = 256 // log entries kept behind a snapshot
 )
 
-// waiting is a call whose answer is awaited.
-type waiting struct {
-	answer func(Answer)
-	until  int // tick
-	do     Do
+// pendingCall is a call that waits for its answer.
+type pendingCall struct {
+	answer    func(Answer)
+	deadline  int // tick
+	operation Operation
 }
 
-// input is what comes from other goroutines.
+// input is a message or a call passed to Run by another goroutine.
 type input struct {
-	from members.ID
-	word *peers.Word
-	call *Call
-	tell func(Answer)
+	from    members.ID
+	message *peers.Word
+	call    *Call
+	reply   func(Answer)
 }
 
-// Seat is an agent's part.
+// Seat is an agent's access to the council, with its own member if it has one.
 type Seat struct {
-	opt   Options
-	in    chan input
-	ended chan struct{}
-
-	// Run's.
-	disk    *store.Store
-	machine *council.Member // nil: it does not sit, or its disk is another process's still
-	chooser seats.Chooser
-	ticks   int
-	number  uint64 // of the last call that was brought to another
-	view    members.View
-	told    []orders.List // by members of the council
-	byseat  map[uint64][]members.ID
-	names   map[uint64]string
-	agreed  map[uint64][]waiting // calls by token, until the log has them
-	brought map[uint64]waiting   // calls by number, until another answers
-	asks    map[string]int       // whom calls are brought to, and until which tick a link is kept
-	facts   uint64               // the token of those that are under way; 0: none
-	since   int                  // the tick at which they were proposed
-	joins   uint64               // the council that spoke to this member last: until it has that one's snapshot, it belongs to none
-	logged  string               // the last line of the record that was logged
-	rng     *rand.Rand
-	dead    bool // the disk or the member has failed: it does not sit again
+	opt    Options
+	inputs chan input
+	ended  chan struct{}
+
+	// Owned by Run.
+	disk            *store.Store
+	machine         *council.Member // nil: the agent has no member, or another process still has its file open
+	chooser         seats.Chooser
+	ticks           int
+	callNumber      uint64 // of the last call that was forwarded
+	view            members.View
+	publishedLists  []orders.List // published by members of the council
+	processesBySeat map[uint64][]members.ID
+	nameBySeat      map[uint64]string
+	proposed        map[uint64][]pendingCall // calls by token, until their entries are applied
+	forwarded       map[uint64]pendingCall   // calls by number, until the other agent answers
+	linkUntil       map[string]int           // by agent that calls are forwarded to: the tick until which a link is kept
+	fleetToken      uint64                   // token of the proposed fleet update in flight; 0: none
+	fleetProposedAt int                      // tick at which it was proposed
+	joiningCouncil  uint64                   // council of the last message received; the member belongs to no council before it has that one's snapshot
+	lastLogged      string                   // last line of the record that was logged
+	rng             *rand.Rand
+	failed          bool // the store or the member has failed: it is not started again
 }
 
-// New makes a part; Run drives it. An error is of a folder that can't be used; one whose contents are
-// damaged is told, and the agent sits nowhere.
+// New returns a Seat, which Run drives. It returns an error if the folder can't be opened. If the contents of the folder
+// are damaged, it logs that and the agent runs without a member.
 func New(o Options) (*Seat, error) {
-	s := &Seat{opt: o, in: make(chan input, 1024), ended: make(chan struct{}), chooser: seats.Chooser{Size: o.Seats, ReplaceAfter: int(o.ReplaceAfter / (sights * o.Tick))},
-		agreed: map[uint64][]waiting{}, brought: map[uint64]waiting{}, asks: map[string]int{}, rng: rand.New(rand.NewPCG(o.Seed, 0x73656174))}
-	if err := s.open(); errors.Is(err, errContents) {
-		s.opt.Log.Error("work: the agent serves without its seat; its folder has to be emptied, and it comes in as a new member", "err", err)
-		s.dead = true
-	} else if err != nil && !errors.Is(err, store.ErrHeld) {
+	s := &Seat{opt: o, inputs: make(chan input, 1024), ended: make(chan struct{}), chooser: seats.Chooser{Size: o.Seats, ReplaceAfter: int(o.ReplaceAfter / (observationTicks * o.Tick))},
+		proposed: map[uint64][]pendingCall{}, forwarded: map[uint64]pendingCall{}, linkUntil: map[string]int{}, rng: rand.New(rand.NewPCG(o.Seed, 0x73656174))}
+	if err := s.open(); errors.Is(err, errUnusable) {
+		s.opt.Log.Error("work: stored council state is unusable, serving without a council member; empty the folder to join as a new one", "err", err)
+		s.failed = true
+	} else if err != nil && !errors.Is(err, store.ErrLocked) {
 		return nil, err
 	}
 	return s, nil
 }
 
-// errContents is what is wrapped where a folder can be read, and what is in it can't be used.
-var errContents = errors.New("what is kept there can't be used")
+// errUnusable is wrapped by errors of a folder that can be read but whose contents can't be used.
+var errUnusable = errors.New("stored council state can't be used")
 
-// open opens the disk and makes the member, where there is a folder.
+// open opens the store and creates the member, if a folder is configured.
 func (s *Seat) open() error {
-	if s.opt.Folder == "" || s.dead {
+	if s.opt.Folder == "" || s.failed {
 		return nil
 	}
 	if s.disk == nil {
 		disk, err := store.Open(s.opt.Folder)
 		if errors.Is(err, store.ErrDamaged) {
-			return fmt.Errorf("%w: %w", errContents, err)
+			return fmt.Errorf("%w: %w", errUnusable, err)
 		} else if err != nil {
 			return err
 		}
@@ -135,37 +138,38 @@
 	}
 	saved, err := s.disk.Load()
 	if err == nil {
-		s.machine, err = council.New(council.Options{ID: s.disk.ID(), Seed: s.rng.Uint64(), ElectionTicks: election, RetainedEntries: keep, Bounds: work.DefaultBounds()}, saved)
+		s.machine, err = council.New(council.Options{ID: s.disk.ID(), Seed: s.rng.Uint64(), ElectionTicks: electionTicks, RetainedEntries: retainedEntries, Bounds: work.DefaultBounds()}, saved)
 	}
 	if err != nil {
-		err = fmt.Errorf("%w: %w", errContents, errors.Join(err, s.disk.Close()))
+		err = fmt.Errorf("%w: %w", errUnusable, errors.Join(err, s.disk.Close()))
 		s.machine, s.disk = nil, nil
 		return err
 	}
 	return nil
 }
 
-// Hear takes a word of a peer; it does not wait. One for which there is no room is lost, as a network
-// loses it.
-func (s *Seat) Hear(from members.ID, w peers.Word) {
+// Receive passes a peer's message to Run without blocking. If the queue is full, the message is dropped, as a network
+// may drop it.
+func (s *Seat) Receive(from members.ID, w peers.Word) {
 	select {
-	case s.in <- input{from: from, word: &w}:
+	case s.inputs <- input{from: from, message: &w}:
 	default:
 	}
 }
 
-// Call brings a call to the council and waits for what comes of it, at most until the context ends.
+// Call sends a call to the council, repeats it while the answer is retryable, and returns the answer, or the last
+// retryable one when the context ends.
 func (s *Seat) Call(ctx context.Context, c Call) Answer {
 	if err := c.check(); err != nil {
 		return Answer{Error: err.Error()}
 	}
-	last := Answer{Again: true, Error: "no member of a council that leads can be reached"}
+	last := Answer{Retryable: true, Error: "no leader of a council can be reached"}
 	again := time.NewTicker(max(s.opt.Tick, time.Millisecond))
 	defer again.Stop()
 	for {
 		answers := make(chan Answer, 1)
 		select {
-		case s.in <- input{call: &c, tell: func(a Answer) { answers <- a }}:
+		case s.inputs <- input{call: &c, reply: func(a Answer) { answers <- a }}:
 		case <-ctx.Done():
 			return last
 		case <-s.ended:
@@ -173,7 +177,7 @@
 		}
 		select {
 		case a := <-answers:
-			if !a.Again {
+			if !a.Retryable {
 				return a
 			}
 			last = a
@@ -190,7 +194,7 @@
 	}
 }
 
-// Run drives the part until the context ends.
+// Run processes ticks and inputs until the context ends.
 func (s *Seat) Run(ctx context.Context) {
 	defer close(s.ended)
 	tick := time.NewTicker(s.opt.Tick)
@@ -199,21 +203,21 @@
 		select {
 		case <-tick.C:
 			s.guard(s.tick)
-		case in := <-s.in:
-			s.guard(func() { s.take(&in) })
+		case in := <-s.inputs:
+			s.guard(func() { s.handle(&in) })
 		case <-ctx.Done():
 		}
-		s.guard(s.carry)
+		s.guard(s.processReady)
 	}
 	if s.machine != nil {
-		s.guard(func() { s.machine.Resign(); s.carry() })
+		s.guard(func() { s.machine.Resign(); s.processReady() })
 	}
 	if s.disk != nil {
-		_ = s.disk.Close() // all that was said is on it
+		_ = s.disk.Close() // all acknowledged state is on disk
 	}
 }
 
-// guard keeps a fault of the member or its disk from the agent, which serves without.
+// guard recovers a panic of the member or its store, so that the agent continues without a member.
 func (s *Seat) guard(do func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -223,80 +227,80 @@
 	do()
 }
 
-// fail ends the member.
+// fail stops the member for good and withdraws it from the fleet.
 func (s *Seat) fail(err error) {
-	s.opt.Log.Error("work: this agent leaves the council, and serves on; its folder has to be looked at", "folder", s.opt.Folder, "err", err)
-	s.machine, s.dead = nil, true
+	s.opt.Log.Error("work: council member failed, the agent serves on without it; check the folder", "folder", s.opt.Folder, "err", err)
+	s.machine, s.failed = nil, true
 	s.opt.Fleet.Set(func(i *members.Info) { i.Seat = 0 })
 	s.opt.Fleet.Publish("")
 }
 
-// tick is the passing of a tick.
+// tick advances the time by one tick.
 func (s *Seat) tick() {
 	s.ticks++
-	if s.machine == nil && s.opt.Folder != "" && !s.dead && s.ticks%(2*sights) == 0 {
-		if err := s.open(); err != nil && !errors.Is(err, store.ErrHeld) {
+	if s.machine == nil && s.opt.Folder != "" && !s.failed && s.ticks%(2*observationTicks) == 0 {
+		if err := s.open(); err != nil && !errors.Is(err, store.ErrLocked) {
 			s.fail(err)
 		}
 	}
-	if s.ticks%sights == 1 {
-		s.look()
+	if s.ticks%observationTicks == 1 {
+		s.refreshView()
 	}
-	s.lapse()
+	s.expireCalls()
 	if s.machine == nil {
 		return
 	}
 	s.machine.Tick()
 	if st := s.machine.Status(); st.Leader == st.ID {
-		s.lead(&st)
+		s.leaderTick(&st)
 	} else {
-		s.machine.SetMembers(nil) // what it wanted as it led: when it leads again, others may be out
+		s.machine.SetMembers(nil) // what this member requested as leader is stale when it leads again: other machines may be excluded by then
 	}
 	s.publish()
 }
 
-// look takes the view anew: who sits, who says that it leads, with whom links are wanted.
-func (s *Seat) look() {
+// refreshView reads the view of the fleet: the members of the council, the lists they publish and the links wanted.
+func (s *Seat) refreshView() {
 	s.view, _ = s.opt.Fleet.View()
-	s.told, s.byseat, s.names = orders.PublishedLists(&s.view), map[uint64][]members.ID{}, map[uint64]string{}
+	s.publishedLists, s.processesBySeat, s.nameBySeat = orders.PublishedLists(&s.view), map[uint64][]members.ID{}, map[uint64]string{}
 	for _, m := range s.view.Members {
 		if m.State == members.Left || m.Info.Left {
 			continue
 		}
 		if m.Info.Seat != 0 {
-			s.byseat[m.Info.Seat] = append(s.byseat[m.Info.Seat], m.ID)
-			if s.names[m.Info.Seat] == "" || m.State != members.Dead {
-				s.names[m.Info.Seat] = m.ID.Name
+			s.processesBySeat[m.Info.Seat] = append(s.processesBySeat[m.Info.Seat], m.ID)
+			if s.nameBySeat[m.Info.Seat] == "" || m.State != members.Dead {
+				s.nameBySeat[m.Info.Seat] = m.ID.Name
 			}
 		}
 	}
-	var wish []string
+	var links []string
 	if s.machine != nil {
 		seat := s.disk.ID()
 		s.opt.Fleet.Set(func(i *members.Info) { i.Seat = seat })
 		st := s.machine.Status()
 		for _, id := range append(st.Voters, st.Learners...) {
-			if name := s.names[id]; name != "" && id != seat {
-				wish = append(wish, name)
+			if name := s.nameBySeat[id]; name != "" && id != seat {
+				links = append(links, name)
 			}
 		}
 	}
-	for name, until := range s.asks {
+	for name, until := range s.linkUntil {
 		if until < s.ticks {
-			delete(s.asks, name)
+			delete(s.linkUntil, name)
 		} else {
-			wish = append(wish, name)
+			links = append(links, name)
 		}
 	}
-	slices.Sort(wish)
-	s.opt.Fleet.Wish("council", slices.Compact(wish))
+	slices.Sort(links)
+	s.opt.Fleet.Wish("council", slices.Compact(links))
 }
 
 func (s *Seat) nameOf(seat uint64) string {
 	if seat == 0 {
 		return ""
 	}
-	if name := s.names[seat]; name != "" {
+	if name := s.nameBySeat[seat]; name != "" {
 		return name
 	}
 	return fmt.Sprintf("seat %x", seat)
@@ -311,77 +315,77 @@
 	return names
 }
 
-// lapse answers calls that have waited long enough.
-func (s *Seat) lapse() {
-	for token, all := range s.agreed {
-		if all[0].until < s.ticks {
+// expireCalls answers calls whose time-out has passed.
+func (s *Seat) expireCalls() {
+	for token, all := range s.proposed {
+		if all[0].deadline < s.ticks {
 			for _, w := range all {
-				w.answer(Answer{Again: true, Error: "the council has not agreed yet; it may be that most of it can't be reached"})
+				w.answer(Answer{Retryable: true, Error: "the council has not committed the call in time; a majority may be unreachable"})
 			}
-			delete(s.agreed, token)
+			delete(s.proposed, token)
 		}
 	}
-	for number, w := range s.brought {
-		if w.until < s.ticks {
-			w.answer(Answer{Again: true, Error: "the member of the council that was asked does not answer"})
-			delete(s.brought, number)
+	for number, w := range s.forwarded {
+		if w.deadline < s.ticks {
+			w.answer(Answer{Retryable: true, Error: "the council member that the call was sent to did not answer in time"})
+			delete(s.forwarded, number)
 		}
 	}
 }
 
-// lead does what the member that leads has to: who sits, and what is seen.
-func (s *Seat) lead(st *council.Status) {
-	if s.ticks%sights != 1 {
+// leaderTick does the leader's work: it chooses the council's members and proposes updates of the fleet state.
+func (s *Seat) leaderTick(st *council.Status) {
+	if s.ticks%observationTicks != 1 {
 		return
 	}
 	state := s.machine.State()
-	_, alone := state.Excluded()
+	_, excluded := state.Excluded()
 	var all []seats.Candidate
 	for _, m := range s.view.Members {
 		if m.Info.Seat != 0 && m.State != members.Left && !m.Info.Left {
 			all = append(all, seats.Candidate{Seat: m.Info.Seat, Machine: m.Info.Machine, Zone: m.Info.Zone, Healthy: m.State == members.Alive && len(m.SuspectedBy) == 0,
-				Excluded: slices.Contains(alone, m.Info.Machine)})
+				Excluded: slices.Contains(excluded, m.Info.Machine)})
 		}
 	}
-	sits := append(slices.Clone(st.Voters), st.Learners...)
-	want := sits
+	current := append(slices.Clone(st.Voters), st.Learners...)
+	wanted := current
 	if s.view.SelfSuspicion == "" {
-		want = s.chooser.Next(sits, all)
-		s.machine.SetMembers(want)
+		wanted = s.chooser.Next(current, all)
+		s.machine.SetMembers(wanted)
 	}
-	for _, id := range want { // who is to come in has to be heard of
-		if name := s.names[id]; name != "" && id != st.ID {
-			s.asks[name] = max(s.asks[name], s.ticks+10*sights)
+	for _, id := range wanted { // a wanted member has to be linked
+		if name := s.nameBySeat[id]; name != "" && id != st.ID {
+			s.linkUntil[name] = max(s.linkUntil[name], s.ticks+10*observationTicks)
 		}
 	}
-	if s.facts != 0 && s.ticks-s.since < patience {
+	if s.fleetToken != 0 && s.ticks-s.fleetProposedAt < callTimeoutTicks {
 		return
 	}
 	now := time.Now().Unix()
-	sight := s.opt.Sight(s.view)
-	sight.View, sight.Seats, sight.Voters, sight.Excluded = s.view, len(st.Voters), st.Voters, map[string]uint64{}
-	sight.ExclusionVersion, _ = state.Excluded()
+	observation := s.opt.Observe(s.view)
+	observation.View, observation.Seats, observation.Voters, observation.Excluded = s.view, len(st.Voters), st.Voters, map[string]uint64{}
+	observation.ExclusionVersion, _ = state.Excluded()
 	for _, r := range state.Requests() {
 		if r.ExclusionVersion != 0 {
-			sight.Excluded[r.Machine] = r.ExclusionVersion
+			observation.Excluded[r.Machine] = r.ExclusionVersion
 		}
 	}
 	for _, id := range st.Voters {
-		if !slices.Contains(want, id) {
-			sight.Moving = append(sight.Moving, id)
+		if !slices.Contains(wanted, id) {
+			observation.Moving = append(observation.Moving, id)
 		}
 	}
-	f, ok := sight.FleetState()
-	if !ok || same(f, state.FleetState()) && !state.NeedsFleetUpdate(now) {
+	f, ok := observation.FleetState()
+	if !ok || equalFleet(f, state.FleetState()) && !state.NeedsFleetUpdate(now) {
 		return
 	}
 	if token := s.token(); s.machine.Propose(token, work.Entry{Kind: work.UpdateFleet, At: now, Fleet: &f}) == nil {
-		s.facts, s.since = token, s.ticks
+		s.fleetToken, s.fleetProposedAt = token, s.ticks
 	}
 }
 
-// same tells whether two facts are the same but for the version of the orders that was known.
-func same(a, b work.FleetState) bool {
+// equalFleet reports whether two fleet states are equal, apart from the exclusion version that was known.
+func equalFleet(a, b work.FleetState) bool {
 	a.ExclusionVersion, b.ExclusionVersion = 0, 0
 	x, err1 := cbor.Marshal(a)
 	y, err2 := cbor.Marshal(b)
@@ -390,7 +394,7 @@
 
 func (s *Seat) token() uint64 { return s.rng.Uint64() | 1 }
 
-// publish has everybody know which machines are left alone, as far as this member votes.
+// publish announces the excluded machines to the fleet, if this member is a voter.
 func (s *Seat) publish() {
 	st := s.machine.Status()
 	if !slices.Contains(st.Voters, st.ID) {
@@ -407,8 +411,8 @@
 	s.opt.Fleet.Publish(l.Encode())
 }
 
-// carry makes durable what the member has ready, sends it, and answers whose entries were applied.
-func (s *Seat) carry() {
+// processReady saves and sends the member's pending updates, applies committed entries and answers their calls.
+func (s *Seat) processReady() {
 	for s.machine != nil {
 		save, send, ok := s.machine.Ready()
 		if !ok {
@@ -418,166 +422,167 @@
 			s.fail(err)
 			return
 		}
-		of := cmp.Or(s.machine.Council(), s.joins)
+		of := cmp.Or(s.machine.Council(), s.joiningCouncil)
 		for _, m := range send {
-			for _, id := range s.byseat[m.To] {
-				_ = s.opt.Fleet.Say(id, peers.Word{Topic: peers.TopicCouncil, Number: of, Body: m.Data}) // what is lost is said again
+			for _, id := range s.processesBySeat[m.To] {
+				_ = s.opt.Fleet.Say(id, peers.Word{Topic: peers.TopicCouncil, Number: of, Body: m.Data}) // the council repeats a message that is lost
 			}
 		}
 		results, err := s.machine.Advance()
 		for _, r := range results {
-			if r.Token == s.facts {
-				s.facts = 0
+			if r.Token == s.fleetToken {
+				s.fleetToken = 0
 			}
-			for _, w := range s.agreed[r.Token] {
+			for _, w := range s.proposed[r.Token] {
 				a := Answer{}
-				if w.do != Hold {
-					a.Report = s.report(w.do)
+				if w.operation != ProposePromise {
+					a.Report = s.report(w.operation)
 				}
 				if r.Err != nil {
 					a = Answer{Error: r.Err.Error()}
 				}
 				w.answer(a)
 			}
-			delete(s.agreed, r.Token)
+			delete(s.proposed, r.Token)
 		}
 		if err != nil {
 			s.fail(err)
 			return
 		}
-		s.log()
+		s.logRecord()
 	}
 }
 
-// log writes what was settled since the last time, where this member leads: once for all of them.
-func (s *Seat) log() {
+// logRecord logs the decisions committed since the last call, on the leader only, so that each is logged once in the
+// council.
+func (s *Seat) logRecord() {
 	record := s.machine.State().Record()
-	if len(record) == 0 || record[len(record)-1] == s.logged {
+	if len(record) == 0 || record[len(record)-1] == s.lastLogged {
 		return
 	}
 	from := len(record) - 1
-	for from > 0 && record[from-1] != s.logged && len(record)-from < 50 {
+	for from > 0 && record[from-1] != s.lastLogged && len(record)-from < 50 {
 		from--
 	}
-	if s.logged == "" {
-		from = len(record) - 1 // what was settled before this process is told by the record
+	if s.lastLogged == "" {
+		from = len(record) - 1 // earlier decisions are in the record already
 	}
 	if st := s.machine.Status(); st.Leader == st.ID {
 		for _, line := range record[from:] {
 			s.opt.Log.Info("work: " + line)
 		}
 	}
-	s.logged = record[len(record)-1]
+	s.lastLogged = record[len(record)-1]
 }
 
-// take takes an input.
-func (s *Seat) take(in *input) {
+// handle processes an input.
+func (s *Seat) handle(in *input) {
 	switch {
 	case in.call != nil:
-		s.call(in.call, in.tell, true)
-	case in.word.Topic == peers.TopicCouncil:
-		if s.machine == nil || s.machine.Council() != 0 && s.machine.Council() != in.word.Number {
-			return // another council's: its terms mean nothing here
+		s.handleCall(in.call, in.reply, true)
+	case in.message.Topic == peers.TopicCouncil:
+		if s.machine == nil || s.machine.Council() != 0 && s.machine.Council() != in.message.Number {
+			return // from another council, whose terms can't be compared
 		}
-		s.joins = in.word.Number
-		if by, err := council.Sender(in.word.Body); err != nil || !slices.Contains(s.byseat[by], in.from) {
-			return // nobody speaks for another's seat
+		s.joiningCouncil = in.message.Number
+		if by, err := council.Sender(in.message.Body); err != nil || !slices.Contains(s.processesBySeat[by], in.from) {
+			return // the sender is not the process that has this seat
 		}
-		if err := s.machine.Step(in.word.Body); err != nil {
-			s.opt.Log.Debug("work: a word of the council makes no sense", "from", in.from.Name, "err", err)
+		if err := s.machine.Step(in.message.Body); err != nil {
+			s.opt.Log.Debug("work: invalid council message", "from", in.from.Name, "err", err)
 		}
-	case in.word.Topic == peers.TopicCall:
-		from, number := in.from, in.word.Number
+	case in.message.Topic == peers.TopicCall:
+		from, number := in.from, in.message.Number
 		answer := func(a Answer) {
 			text, err := json.Marshal(&a)
 			if err != nil {
-				return // values only
+				return // cannot happen: plain values only
 			}
-			_ = s.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicAnswer, Number: number, Body: text}) // the caller asks again
+			_ = s.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicAnswer, Number: number, Body: text}) // the caller repeats the call if the answer is lost
 		}
-		c, err := ReadCall(in.word.Body)
+		c, err := ReadCall(in.message.Body)
 		if err != nil {
 			answer(Answer{Error: err.Error()})
 			return
 		}
-		s.call(&c, answer, false)
-	case in.word.Topic == peers.TopicAnswer:
-		w, known := s.brought[in.word.Number]
+		s.handleCall(&c, answer, false)
+	case in.message.Topic == peers.TopicAnswer:
+		w, known := s.forwarded[in.message.Number]
 		if !known {
 			return
 		}
-		delete(s.brought, in.word.Number)
+		delete(s.forwarded, in.message.Number)
 		var a Answer
-		if err := json.Unmarshal(in.word.Body, &a); err != nil {
-			a = Answer{Again: true, Error: "an answer makes no sense: " + err.Error()}
+		if err := json.Unmarshal(in.message.Body, &a); err != nil {
+			a = Answer{Retryable: true, Error: "invalid answer: " + err.Error()}
 		}
 		w.answer(a)
 	}
 }
 
-// call does a call here, or brings it to another; one that was brought here goes no further.
-func (s *Seat) call(c *Call, answer func(Answer), bring bool) {
-	sits := false
+// handleCall executes a call here or forwards it; a call that was forwarded to this agent is not forwarded again.
+func (s *Seat) handleCall(c *Call, answer func(Answer), mayForward bool) {
+	votes := false
 	if s.machine != nil {
 		st := s.machine.Status()
-		sits = slices.Contains(st.Voters, st.ID)
+		votes = slices.Contains(st.Voters, st.ID)
 	}
 	now := time.Now().Unix()
 	e, changes := c.entry(now)
 	switch {
-	case c.Do == Found:
-		if !bring {
+	case c.Operation == Bootstrap:
+		if !mayForward {
 			answer(Answer{Error: "found: only at the agent itself"})
 			return
 		}
-		answer(s.found())
-	case changes && sits:
+		answer(s.bootstrap())
+	case changes && votes:
 		propose := func() error { return s.machine.Propose(c.Token, e) }
-		if c.Do == Hold {
-			propose = func() error { return s.machine.ProposePromise(c.Token, now, c.Hold) }
+		if c.Operation == ProposePromise {
+			propose = func() error { return s.machine.ProposePromise(c.Token, now, c.Promise) }
 		}
 		if err := propose(); err == nil {
-			s.agreed[c.Token] = append(s.agreed[c.Token], waiting{answer, s.ticks + patience, c.Do})
+			s.proposed[c.Token] = append(s.proposed[c.Token], pendingCall{answer, s.ticks + callTimeoutTicks, c.Operation})
 			return
 		} else if !errors.Is(err, council.ErrNotLeader) {
-			answer(Answer{Again: errors.Is(err, council.ErrBusy), Error: err.Error()})
+			answer(Answer{Retryable: errors.Is(err, council.ErrBusy), Error: err.Error()})
 			return
 		}
-		s.bring(c, answer, bring)
-	case !changes && sits && s.machine.Status().LeaderAge < 2*election, !changes && sits && !bring:
-		answer(Answer{Report: s.report(c.Do)})
-	case !changes && sits:
-		// It has heard no leader for long; somebody else may have.
-		s.bring(c, func(a Answer) {
-			if a.Again && s.machine != nil {
-				a = Answer{Report: s.report(c.Do)}
+		s.forward(c, answer, mayForward)
+	case !changes && votes && s.machine.Status().LeaderAge < 2*electionTicks, !changes && votes && !mayForward:
+		answer(Answer{Report: s.report(c.Operation)})
+	case !changes && votes:
+		// This member has had no leader for long; another one may have a newer state.
+		s.forward(c, func(a Answer) {
+			if a.Retryable && s.machine != nil {
+				a = Answer{Report: s.report(c.Operation)}
 			}
 			answer(a)
-		}, bring)
+		}, mayForward)
 	default:
-		s.bring(c, answer, bring)
+		s.forward(c, answer, mayForward)
 	}
 }
 
-// bring brings a call to the member that leads, else to any that sits.
-func (s *Seat) bring(c *Call, answer func(Answer), bring bool) {
-	if !bring {
-		answer(Answer{Again: true, Error: "the member of the council that was asked does not lead it"})
+// forward sends a call to the leader, or to any member if no leader is known.
+func (s *Seat) forward(c *Call, answer func(Answer), mayForward bool) {
+	if !mayForward {
+		answer(Answer{Retryable: true, Error: "the council member that the call was sent to is not the leader"})
 		return
 	}
-	leader, all := orders.Leader(s.told)
+	leader, all := orders.Leader(s.publishedLists)
 	if s.machine != nil {
-		if st := s.machine.Status(); st.Leader != 0 && st.Leader != st.ID && st.LeaderAge < 2*election {
-			leader = st.Leader // it knows better than the view
+		if st := s.machine.Status(); st.Leader != 0 && st.Leader != st.ID && st.LeaderAge < 2*electionTicks {
+			leader = st.Leader // the member is more current than the view
 		}
 		all = slices.DeleteFunc(all, func(id uint64) bool { return id == s.disk.ID() })
 	}
 	if leader == 0 && len(all) > 0 {
 		leader = all[s.rng.IntN(len(all))]
 	}
-	ids := s.byseat[leader]
+	ids := s.processesBySeat[leader]
 	if leader == 0 || len(ids) == 0 {
-		answer(Answer{Again: true, Error: "no member of a council is known; 'molepaddle work found' makes the first"})
+		answer(Answer{Retryable: true, Error: "no council member is known; 'molepaddle work found' creates a council"})
 		return
 	}
 	text, err := json.Marshal(c)
@@ -585,32 +590,32 @@
 		answer(Answer{Error: err.Error()})
 		return
 	}
-	s.asks[s.nameOf(leader)] = s.ticks + 10*sights
-	s.number++
+	s.linkUntil[s.nameOf(leader)] = s.ticks + 10*observationTicks
+	s.callNumber++
 	for _, id := range ids {
-		if err = s.opt.Fleet.Say(id, peers.Word{Topic: peers.TopicCall, Number: s.number, Body: text}); err == nil {
-			s.brought[s.number] = waiting{answer, s.ticks + patience, c.Do}
+		if err = s.opt.Fleet.Say(id, peers.Word{Topic: peers.TopicCall, Number: s.callNumber, Body: text}); err == nil {
+			s.forwarded[s.callNumber] = pendingCall{answer, s.ticks + callTimeoutTicks, c.Operation}
 			return
 		}
 	}
-	s.look() // the wish for a link
-	answer(Answer{Again: true, Error: fmt.Sprintf("no link to %s, which leads the council, yet", s.nameOf(leader))})
+	s.refreshView() // requests the link
+	answer(Answer{Retryable: true, Error: fmt.Sprintf("no link to %s, which leads the council, yet", s.nameOf(leader))})
 }
 
-// found makes this agent the first member of a council.
-func (s *Seat) found() Answer {
-	s.look()
+// bootstrap makes this agent the first member of a new council.
+func (s *Seat) bootstrap() Answer {
+	s.refreshView()
 	switch {
 	case s.machine == nil:
-		return Answer{Error: "found: this agent has no folder to sit with (work.folder), or it can't be used"}
+		return Answer{Error: "found: this agent has no usable folder for council state (work.folder)"}
 	case s.machine.Council() != 0:
 		return Answer{Error: "found: this agent belongs to a council already"}
-	case len(s.told) > 0:
-		return Answer{Error: fmt.Sprintf("found: there is a council; %s is of it", s.nameOf(s.told[0].Seat))}
+	case len(s.publishedLists) > 0:
+		return Answer{Error: fmt.Sprintf("found: there is a council; %s is a member", s.nameOf(s.publishedLists[0].Seat))}
 	case s.view.SelfSuspicion != "":
 		return Answer{Error: "found: " + s.view.SelfSuspicion}
 	}
-	if err := s.disk.Found(time.Now()); err != nil {
+	if err := s.disk.Bootstrap(time.Now()); err != nil {
 		return Answer{Error: err.Error()}
 	}
 	if err := s.open(); err != nil {
--- a/internal/process/seat/seat_test.go
+++ b/internal/process/seat/seat_test.go
@@ -13,43 +13,43 @@
 	"molepaddle/internal/protocol/peers"
 )
 
-// rig is seats of agents on machines h0, h1, ... whose words come at once and whose views are true. Nothing in it waits for a
-// clock: step is a tick of all.
-type rig struct {
+// cluster is a set of seats of agents on machines h0, h1, ... Messages are delivered at once and views are accurate. No
+// test waits for a clock: step advances all seats by a tick.
+type cluster struct {
 	t       *testing.T
 	seats   []*Seat
 	members []members.Member
-	ours    []*orders.Agent
-	leaders []int // who led, each time that it was another
+	agents  []*orders.Agent
+	leaders []int // each change of leader
 	calls   uint64
 }
 
-// end is one agent's end among the others.
-type end struct {
-	r *rig
-	i int
+// fakeFleet is one agent's connection to the others.
+type fakeFleet struct {
+	cluster *cluster
+	index   int
 }
 
-func (e end) View() (members.View, time.Time) {
-	return members.View{Self: e.r.members[e.i].ID, Converged: true, Members: slices.Clone(e.r.members)}, time.Time{}
+func (e fakeFleet) View() (members.View, time.Time) {
+	return members.View{Self: e.cluster.members[e.index].ID, Converged: true, Members: slices.Clone(e.cluster.members)}, time.Time{}
 }
 
-func (e end) Say(to members.ID, w peers.Word) error {
-	for k, m := range e.r.members {
+func (e fakeFleet) Say(to members.ID, w peers.Word) error {
+	for k, m := range e.cluster.members {
 		if m.ID == to {
-			e.r.seats[k].Hear(e.r.members[e.i].ID, w)
+			e.cluster.seats[k].Receive(e.cluster.members[e.index].ID, w)
 		}
 	}
 	return nil
 }
 
-func (e end) Wish(string, []string)          {}
-func (e end) Publish(orders string)          { e.r.members[e.i].Orders = orders }
-func (e end) Set(change func(*members.Info)) { change(&e.r.members[e.i].Info) }
+func (e fakeFleet) Wish(string, []string)          {}
+func (e fakeFleet) Publish(orders string)          { e.cluster.members[e.index].Orders = orders }
+func (e fakeFleet) Set(change func(*members.Info)) { change(&e.cluster.members[e.index].Info) }
 
-// newRig makes n seats; the clock of the one with number i is so many ticks ahead.
-func newRig(t *testing.T, ahead ...int) *rig {
-	r := &rig{t: t}
+// newCluster makes a seat for each value of ahead, whose clock is advanced by that many ticks.
+func newCluster(t *testing.T, ahead ...int) *cluster {
+	r := &cluster{t: t}
 	var places []work.MachineSpec
 	for i := range ahead {
 		r.members = append(r.members, members.Member{ID: members.ID{Name: fmt.Sprint("n", i), Incarnation: 1}, State: members.Alive,
@@ -60,7 +60,7 @@
 	bounds.AgentShare = 0.5
 	for i := range ahead {
 		s, err := New(Options{Name: fmt.Sprint("n", i), Folder: t.TempDir(), Seats: 3, ReplaceAfter: 3 * time.Second, Tick: 20 * time.Millisecond, Seed: uint64(i) + 1,
-			Fleet: end{r, i}, Log: slog.New(slog.DiscardHandler), Sight: func(members.View) work.Observation { return work.Observation{Specs: places, Bounds: bounds} }})
+			Fleet: fakeFleet{r, i}, Log: slog.New(slog.DiscardHandler), Observe: func(members.View) work.Observation { return work.Observation{Specs: places, Bounds: bounds} }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.ours = append(r.ours, ours)
+		r.agents = append(r.agents, ours)
 	}
 	for i, n := range ahead {
 		for range n {
@@ -80,37 +80,37 @@
 	return r
 }
 
-// hear has all take what has been said, until nothing more is.
-func (r *rig) hear() {
+// deliver lets all seats process their inputs until none is left.
+func (r *cluster) deliver() {
 	for again := true; again; {
 		again = false
 		for _, s := range r.seats {
-			for len(s.in) > 0 {
-				in := <-s.in
-				s.take(&in)
-				s.carry()
+			for len(s.inputs) > 0 {
+				in := <-s.inputs
+				s.handle(&in)
+				s.processReady()
 				again = true
 			}
 		}
 	}
 }
 
-func (r *rig) step() {
+func (r *cluster) step() {
 	for i, s := range r.seats {
 		s.tick()
-		s.carry()
-		r.hear()
-		view, _ := end{r, i}.View()
-		r.ours[i].Update(orders.PublishedLists(&view))
-		r.members[i].Info.Process = map[bool]string{false: "ready", true: "evacuating"}[r.ours[i].OwnExcluded()]
+		s.processReady()
+		r.deliver()
+		view, _ := fakeFleet{r, i}.View()
+		r.agents[i].Update(orders.PublishedLists(&view))
+		r.members[i].Info.Process = map[bool]string{false: "ready", true: "evacuating"}[r.agents[i].OwnExcluded()]
 		if st := s.machine.Status(); st.Leader == st.ID && (len(r.leaders) == 0 || r.leaders[len(r.leaders)-1] != i) {
 			r.leaders = append(r.leaders, i)
 		}
 	}
 }
 
-// report is what the member that leads has; nil: none does.
-func (r *rig) report() *Report {
+// report returns the leader's report, or nil if there is no leader.
+func (r *cluster) report() *Report {
 	for _, s := range r.seats {
 		if st := s.machine.Status(); st.Leader == st.ID {
 			return s.report(Show)
@@ -119,9 +119,9 @@
 	return nil
 }
 
-func (r *rig) until(what string, holds func(*Report) bool) {
+func (r *cluster) waitFor(what string, holds func(*Report) bool) {
 	r.t.Helper()
-	for range 300 { // 6 s of the clock that a process has
+	for range 300 { // 6 s of a process's clock
 		if now := r.report(); now != nil && holds(now) {
 			return
 		}
@@ -131,8 +131,8 @@
 	r.t.Fatalf("never: %s; led %d times, at last by %v; %+v", what, len(r.leaders), r.leaders[max(len(r.leaders)-6, 0):], now)
 }
 
-// must makes a call at the member that leads until it counts.
-func (r *rig) must(c Call) {
+// mustCall repeats a call at the leader until it is applied.
+func (r *cluster) mustCall(c Call) {
 	r.t.Helper()
 	r.calls++
 	c.Token = r.calls | 1<<63
@@ -140,19 +140,19 @@
 		var got *Answer
 		for _, s := range r.seats {
 			if st := s.machine.Status(); st.Leader == st.ID {
-				s.call(&c, func(a Answer) { got = &a }, true)
-				s.carry()
-				r.hear()
+				s.handleCall(&c, func(a Answer) { got = &a }, true)
+				s.processReady()
+				r.deliver()
 				break
 			}
 		}
-		for k := 0; got == nil && k < 2*patience; k++ {
+		for k := 0; got == nil && k < 2*callTimeoutTicks; k++ {
 			r.step()
 		}
 		if got != nil && got.Error == "" {
 			return
 		}
-		if got != nil && !got.Again {
+		if got != nil && !got.Retryable {
 			r.t.Fatalf("%+v: %s", c, got.Error)
 		}
 		r.step()
@@ -160,27 +160,28 @@
 	r.t.Fatalf("%+v: never", c)
 }
 
-// The machines of all that sit are taken out one after the other, wherever in its count of ticks each member is as it begins to
-// lead: what a member wanted when it led before, with another machine out, is not where it goes now.
-func TestEachHasItsTurn(t *testing.T) {
+// The machines of all members are taken out of service one after the other, whatever the phase of each member's tick
+// count when it becomes leader. Guards against a new leader that continues towards the members it wanted in an earlier
+// term, when another machine was excluded.
+func TestEveryLeaderMachineExcludedInTurn(t *testing.T) {
 	for _, ahead := range [][]int{{0, 1, 1, 3}, {0, 2, 3, 4}, {0, 3, 0, 1}, {0, 2, 4, 0}} {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
-			r := newRig(t, ahead...)
-			r.seats[0].look()
-			if a := r.seats[0].found(); a.Error != "" {
+			r := newCluster(t, ahead...)
+			r.seats[0].refreshView()
+			if a := r.seats[0].bootstrap(); a.Error != "" {
 				t.Fatal(a.Error)
 			}
 			three := func(now *Report) bool { return len(now.Voters) == 3 && len(now.Learners) == 0 }
-			r.until("three sit", three)
+			r.waitFor("three sit", three)
 			for turn := range 4 {
 				now := r.report()
-				name := now.Leader // whoever leads has to go: so all come to have led
+				name := now.Leader // the leader's machine each time, so that every member has led
 				id := fmt.Sprint("r", turn)
-				r.must(Call{Do: Ask, Ask: &work.Ask{ID: id, Machine: "h" + name[1:], Seconds: 60}})
-				r.until(fmt.Sprintf("%s's turn", name), func(now *Report) bool { q := now.Find(id); return q != nil && q.Phase == "granted" })
-				r.must(Call{Do: Take, ID: id, Permit: r.report().Find(id).Permit})
-				r.must(Call{Do: Back, ID: id})
-				r.until(id+" is done", func(now *Report) bool { return now.Find(id).Phase == "done" && three(now) })
+				r.mustCall(Call{Operation: Submit, Ask: &work.Ask{ID: id, Machine: "h" + name[1:], Seconds: 60}})
+				r.waitFor(fmt.Sprintf("%s's turn", name), func(now *Report) bool { q := now.Find(id); return q != nil && q.Phase == "granted" })
+				r.mustCall(Call{Operation: Take, ID: id, Permit: r.report().Find(id).Permit})
+				r.mustCall(Call{Operation: Complete, ID: id})
+				r.waitFor(id+" is done", func(now *Report) bool { return now.Find(id).Phase == "done" && three(now) })
 			}
 		})
 	}
--- a/internal/process/store/store.go
+++ b/internal/process/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps what a member of the council must not forget: who it is, how it voted, its log and
-// the last snapshot. It is one bbolt file in a folder that lasts; each Save is one transaction, on the
-// disk when Save returns. Every value has a checksum, which is held against it as it is read.
+// Package store persists the state of a council member: its id, its vote and term, its log and the last snapshot. It is
+// one bbolt file in a persistent folder; each Save is one transaction, which is on disk when Save returns. Every value
+// has a checksum, which is verified when it is read.
 //
 // A Store belongs to one goroutine, and its file to one process.
 package store
@@ -23,38 +23,37 @@
 	"molepaddle/internal/decide/council"
 )
 
-// file is the name in the folder.
+// file is the name of the file in the folder.
 const file = "council.db"
 
 var (
-	meta     = []byte("meta")
-	entries  = []byte("log")
-	keyID    = []byte("id")
-	keyHard  = []byte("hard")
-	keySnap  = []byte("snapshot")
-	checksum = crc32.MakeTable(crc32.Castagnoli)
+	meta       = []byte("meta")
+	entries    = []byte("log")
+	keyID      = []byte("id")
+	keyHard    = []byte("hard")
+	keySnap    = []byte("snapshot")
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrDamaged is what is wrapped where a value is not as it was written. Such a disk must not be used: the
-// member starts anew with an empty folder, as another one.
+// ErrDamaged is wrapped by errors of values that fail their checksum or cannot be decoded. Such a store must not be
+// used: the member has to start with an empty folder, under a new id.
 var ErrDamaged = errors.New("damaged")
 
-// ErrHeld is why a file can't be opened that another process has open: it will end some time.
-var ErrHeld = errors.New("another process has it open")
+// ErrLocked is wrapped by the error of Open while another process has the file open; that process may still end.
+var ErrLocked = errors.New("another process has it open")
 
-// Store is an open file.
+// Store is a member's open file.
 type Store struct {
 	db *bbolt.DB
 	id uint64
 }
 
-// Open opens the file in a folder, or makes it with an id of its own. Errors are of one line, and name the
-// file.
+// Open opens the file in a folder, or creates it with a random id. Errors are of one line and name the file.
 func Open(dir string) (*Store, error) {
 	path := filepath.Join(dir, file)
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		err = ErrHeld
+		err = ErrLocked
 	}
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", path, err)
@@ -94,36 +93,38 @@
 	return s, nil
 }
 
-// ID is drawn when the file is made: whoever has lost it is another member.
+// ID returns the id of the member, which is drawn when the file is created: a member that loses its file returns under
+// another id.
 func (s *Store) ID() uint64 { return s.id }
 
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Put writes a value behind its checksum, which is over its key as well.
+// Put writes a value behind a checksum over its key and the value.
 func Put(b *bbolt.Bucket, key, value []byte) error {
-	sum := crc32.Update(crc32.Checksum(key, checksum), checksum, value)
+	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 	return b.Put(key, append(binary.BigEndian.AppendUint32(nil, sum), value...))
 }
 
-// get reads a value; nil: there is none.
-func get(b *bbolt.Bucket, key []byte) ([]byte, error) { return Sound(key, b.Get(key)) }
+// get reads and verifies a value; it returns nil if there is none.
+func get(b *bbolt.Bucket, key []byte) ([]byte, error) { return Verify(key, b.Get(key)) }
 
-// Sound is the value of a key that Put wrote; nil: there is none. One that is not as it was written wraps ErrDamaged.
-func Sound(key, text []byte) ([]byte, error) {
+// Verify returns the value in a text that Put wrote under the key, or nil if the text is nil. The error wraps
+// ErrDamaged if the checksum does not match.
+func Verify(key, text []byte) ([]byte, error) {
 	if text == nil {
 		return nil, nil
 	}
-	if len(text) < 4 || binary.BigEndian.Uint32(text) != crc32.Update(crc32.Checksum(key, checksum), checksum,
+	if len(text) < 4 || binary.BigEndian.Uint32(text) != crc32.Update(crc32.Checksum(key, castagnoli), castagnoli,
 		text[4:]) {
 		return nil, fmt.Errorf("%w: %q", ErrDamaged, key)
 	}
 	return append([]byte(nil), text[4:]...), nil
 }
 
-func at(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// Load reads all that is kept.
+// Load reads the stored state. Log entries up to the snapshot are left out.
 func (s *Store) Load() (saved council.StoredState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		m := tx.Bucket(meta)
@@ -150,7 +151,7 @@
 		}
 		c := tx.Bucket(entries).Cursor()
 		for k, text := c.First(); k != nil; k, text = c.Next() {
-			text, err := Sound(k, text)
+			text, err := Verify(k, text)
 			if err != nil {
 				return err
 			}
@@ -170,15 +171,15 @@
 	return saved, err
 }
 
-// Found writes, at that time, the first contents of the member that founds a council. A store that holds any is left as
-// it is, with an error.
-func (s *Store) Found(now time.Time) error {
+// Bootstrap writes the initial state of the first member of a new council, created at the given time. A store that has
+// any state is left unchanged, and the error wraps os.ErrExist.
+func (s *Store) Bootstrap(now time.Time) error {
 	saved, err := s.Load()
 	if err != nil {
 		return err
 	}
 	if saved.HardState != nil || saved.Snapshot != nil {
-		return fmt.Errorf("store: %s: %w: it belongs to a council", s.db.Path(), os.ErrExist)
+		return fmt.Errorf("store: %s: %w: the file has council state already", s.db.Path(), os.ErrExist)
 	}
 	id := make([]byte, 8)
 	if _, err := rand.Read(id); err != nil {
@@ -188,8 +189,8 @@
 	return s.Save(council.DurableUpdate{HardState: first.HardState, Snapshot: first.Snapshot})
 }
 
-// Save makes it durable, all or nothing. After an error (a full disk, a broken one) nothing of it is
-// there, and the member must not say that it is.
+// Save writes an update durably, all or nothing. After an error (such as a full disk) none of it is stored, and the
+// member must not acknowledge it.
 func (s *Store) Save(v council.DurableUpdate) error {
 	if v.HardState == nil && v.Snapshot == nil && len(v.Entries) == 0 {
 		return nil
@@ -217,14 +218,14 @@
 			}
 		}
 		if len(v.Entries) > 0 {
-			for k, _ := c.Seek(at(v.Entries[0].GetIndex())); k != nil; k, _ = c.Next() {
+			for k, _ := c.Seek(indexKey(v.Entries[0].GetIndex())); k != nil; k, _ = c.Next() {
 				if err := c.Delete(); err != nil {
 					return err
 				}
 			}
 		}
 		for _, e := range v.Entries {
-			if err := write(l, at(e.GetIndex()), e); err != nil {
+			if err := write(l, indexKey(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
