--- a/internal/process/store/store_test.go
+++ b/internal/process/store/store_test.go
@@ -20,10 +20,11 @@
 	"molepaddle/internal/decide/council"
 )
 
-// TestMain writes for ever where it is started as a child: an entry a line, once it is on the disk.
+// TestMain runs the test binary as a child process that writes until it is killed, and prints the number of each entry
+// once it is on disk.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("STORE_CHILD"); dir != "" {
-		if os.Getenv("STORE_FULL") != "" { // no file grows beyond this: a disk that is full
+		if os.Getenv("STORE_FULL") != "" { // a limit of the file size takes the place of a full disk
 			signal.Ignore(syscall.SIGXFSZ)
 			if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 128 << 10, Max: 128 << 10}); err != nil {
 				fmt.Println(err)
@@ -69,8 +70,8 @@
 	return s
 }
 
-// lockHolders tells who may hold the lock of a file: the system's table of locks where it names the file's inode, and
-// the processes that have the file open or mapped.
+// lockHolders returns a text on the processes that may hold the lock of a file: the lines of the system's lock table
+// with the file's inode, and the processes that have the file open or mapped.
 func lockHolders(path string) string {
 	var info syscall.Stat_t
 	if err := syscall.Stat(path, &info); err != nil {
@@ -99,7 +100,7 @@
 	return said.String()
 }
 
-// processOf is the name, state and parent of the process that a file below /proc/PID belongs to.
+// processOf returns the name, state and parent of the process that a file below /proc/PID belongs to.
 func processOf(name string) string {
 	pid := strings.Split(name, "/")[2]
 	text, err := os.ReadFile(filepath.Join("/proc", pid, "status"))
@@ -117,7 +118,7 @@
 	return said.String()
 }
 
-// TestLockHolders finds this process where it holds the lock itself.
+// lockHolders finds this process while it holds the lock.
 func TestLockHolders(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir)
@@ -138,17 +139,17 @@
 	return saved
 }
 
-// What was saved is there after a close; a later term's entries take the place of those from there on; a
-// snapshot of one's own cuts the log, one that came takes the place of all.
+// Saved state is read after a reopen. Entries of a later term replace those from their index on; a member's own
+// snapshot compacts the log, one from a peer replaces it.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	id := s.ID()
-	if err := s.Found(time.Now()); err != nil {
+	if err := s.Bootstrap(time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Found(time.Now()); !errors.Is(err, os.ErrExist) {
-		t.Errorf("founded twice: %v", err)
+	if err := s.Bootstrap(time.Now()); !errors.Is(err, os.ErrExist) {
+		t.Errorf("second Bootstrap: error %v, want ErrExist", err)
 	}
 	save := func(v council.DurableUpdate) {
 		t.Helper()
@@ -180,24 +181,24 @@
 		t.Errorf("%+v", saved.Entries)
 	}
 	if _, err := Open(dir); err == nil {
-		t.Error("two processes have one file")
+		t.Error("file opened twice")
 	}
 	if other := open(t, t.TempDir()); other.ID() == id {
 		t.Error("another folder has the same id")
 	}
 }
 
-// A value that is not as it was written is found, whichever it is; so is a file that is none.
+// Each kind of damaged value is detected, and so is a file of another format.
 func TestDamaged(t *testing.T) {
 	for _, damage := range []func(m, l *bbolt.Bucket) error{
 		func(m, _ *bbolt.Bucket) error { return m.Put(keyHard, append(m.Get(keyHard)[:4:4], 'x')) },
 		func(m, _ *bbolt.Bucket) error { return m.Put(keySnap, []byte("x")) },
 		func(m, _ *bbolt.Bucket) error { return m.Put(keyHard, m.Get(keySnap)) },
-		func(_, l *bbolt.Bucket) error { return l.Put(at(3), l.Get(at(2))) },
-		func(_, l *bbolt.Bucket) error { return Put(l, at(3), []byte{0xff}) },
+		func(_, l *bbolt.Bucket) error { return l.Put(indexKey(3), l.Get(indexKey(2))) },
+		func(_, l *bbolt.Bucket) error { return Put(l, indexKey(3), []byte{0xff}) },
 	} {
 		s := open(t, t.TempDir())
-		if err := s.Found(time.Now()); err != nil {
+		if err := s.Bootstrap(time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.Save(council.DurableUpdate{Entries: []*pb.Entry{entry(2, 1), entry(3, 1)}}); err != nil {
@@ -215,14 +216,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(dir); err == nil {
-		t.Error("a file of zeros is opened")
+		t.Error("file of zeros opened without an error")
 	}
 	if _, err := Open(filepath.Join(dir, "none")); err == nil {
-		t.Error("a folder that is not there")
+		t.Error("missing folder opened without an error")
 	}
 }
 
-// A process that is killed while it writes, again and again: all that it said it had written is there.
+// A process is killed while it writes, again and again: all entries that it has reported as written are stored.
 func TestKilledWhileWriting(t *testing.T) {
 	dir := t.TempDir()
 	said := 0
@@ -239,7 +240,7 @@
 		lines := bufio.NewScanner(out)
 		for range 3 + 7*round%11 {
 			if !lines.Scan() {
-				t.Fatal("the child has ended")
+				t.Fatal("child process ended early")
 			}
 		}
 		_ = cmd.Process.Kill() // in the middle of a later write
@@ -249,12 +250,12 @@
 		}
 		_ = cmd.Wait()
 		if _, err := fmt.Sscan(last, &said); err != nil {
-			t.Fatalf("it said %q", last)
+			t.Fatalf("last line of the child: %q, want a number", last)
 		}
 		s := open(t, dir)
 		saved := load(t, s)
 		if n := len(saved.Entries); n < said || n > said+1 || saved.HardState.GetCommit() != uint64(n) {
-			t.Fatalf("it said %d, %d are there, %v", said, n, saved.HardState)
+			t.Fatalf("child reported %d entries, %d are stored, %v", said, n, saved.HardState)
 		}
 		for i, e := range saved.Entries {
 			if want := entry(uint64(i+1), 1); !proto.Equal(e, want) {
@@ -266,8 +267,8 @@
 	t.Logf("%d entries over 25 kills", said)
 }
 
-// A disk that fills up: the write that finds no room says so in a line that names the file, nothing of it is
-// there, and all before it is.
+// On a full disk, the failing write returns an error that names the file, none of it is stored, and all earlier writes
+// are.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	cmd := exec.Command(os.Args[0])
@@ -286,7 +287,7 @@
 	}
 	saved := load(t, open(t, dir))
 	if len(saved.Entries) != said || saved.HardState.GetCommit() != uint64(said) {
-		t.Errorf("it said %d, %d are there; %v", said, len(saved.Entries), saved.HardState)
+		t.Errorf("child reported %d entries, %d are stored; %v", said, len(saved.Entries), saved.HardState)
 	}
 	t.Logf("%d entries, then: %s", said, strings.TrimPrefix(last, "store: "+dir))
 }
--- a/internal/process/store/stored_test.go
+++ b/internal/process/store/stored_test.go
@@ -14,10 +14,10 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// storedCouncil is a folder's file as an earlier build of the agent left it: a snapshot and a log behind it.
+// storedCouncil is a file written by an earlier build of the agent: a snapshot and a log behind it.
 const storedCouncil = "testdata/stored/council.db"
 
-// A build opens the council that an earlier one has stored, with the same requests, machines and holders, and
+// A build opens the council that an earlier build has stored, with the same requests, machines and holders, and
 // continues its log.
 func TestStoredByEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
@@ -52,10 +52,10 @@
 	}
 }
 
-// storeCouncil makes a council of one with a snapshot and entries behind it, and copies its file to testdata.
+// storeCouncil creates a council of one member with a snapshot and entries behind it, and copies its file to testdata.
 func storeCouncil(t *testing.T, dir string) {
 	s := open(t, dir)
-	if err := s.Found(time.Unix(1<<30, 0)); err != nil {
+	if err := s.Bootstrap(time.Unix(1<<30, 0)); err != nil {
 		t.Fatal(err)
 	}
 	m := newMember(t, s, load(t, s))
@@ -129,7 +129,7 @@
 	}
 }
 
-// agree proposes an entry and returns what became of it.
+// agree proposes an entry and returns the error of its application.
 func agree(t *testing.T, s *Store, m *council.Member, token uint64, e work.Entry) error {
 	t.Helper()
 	if err := m.Propose(token, e); err != nil {
--- a/internal/process/strict/strict.go
+++ b/internal/process/strict/strict.go
@@ -1,6 +1,6 @@
-// Package strict reads TOML 1.0 files strictly: a key that is not known, a value of another
-// type, or one that a file's own rules refuse is an error of one line that names the file, the
-// line and the key. Values only.
+// Package strict decodes TOML 1.0 files strictly: an unknown key, a value of the wrong type, or one that the caller's
+// validation rejects gives an error of one line with the file, the line and the key. Its functions have no state and
+// may be called from any goroutine.
 package strict
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// MaxFile bounds a file, in bytes.
+// MaxFile limits a file, in bytes.
 const MaxFile = 1 << 20
 
-// Duration is a time with its unit, such as "250ms".
+// Duration is a duration written with its unit, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads a number with a unit that time.ParseDuration knows.
+// UnmarshalText parses a duration in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -34,13 +34,13 @@
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText writes the format that UnmarshalText reads.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Ms is the time in milliseconds.
+// Ms returns the duration in milliseconds.
 func (d Duration) Ms() float64 { return float64(d) / float64(time.Millisecond) }
 
-// Read reads the file at path, at most MaxFile bytes of it.
+// Read returns the contents of the file at path; a file longer than MaxFile is an error.
 func Read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return text, nil
 }
 
-// Decode reads a text into a value and has it validated; validate reports the first key that
-// makes no sense. name is the file's, for errors.
+// Decode decodes a text into a value and validates it; validate returns the first invalid key with its error. name is
+// the file's name, for errors.
 func Decode(name string, text []byte, into any, validate func() (key string, err error)) error {
 	dec := toml.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
@@ -75,11 +75,11 @@
 			if key != "" {
 				key += ": "
 			}
-			said := oneLine(strings.TrimPrefix(bad.Error(), "toml: "))
-			if before, _, ok := strings.Cut(said, " into struct field "); ok {
-				said = before // the rest names the program's own types
+			message := oneLine(strings.TrimPrefix(bad.Error(), "toml: "))
+			if before, _, ok := strings.Cut(message, " into struct field "); ok {
+				message = before // the remainder names Go types
 			}
-			return fmt.Errorf("%s:%d: %s%s", name, row, key, said)
+			return fmt.Errorf("%s:%d: %s%s", name, row, key, message)
 		}
 		return fmt.Errorf("%s: %s", name, oneLine(err.Error()))
 	}
@@ -91,9 +91,9 @@
 
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// walk tells of each key of a text its path, entries of arrays counted in brackets, and
-// its line.
-func walk(text []byte, each func(path string, line int)) {
+// walkKeys calls each for every key of a text, with its path (elements of arrays of tables have an index in brackets)
+// and its line.
+func walkKeys(text []byte, each func(path string, line int)) {
 	p := unstable.Parser{}
 	p.Reset(text)
 	table, count := "", map[string]int{}
@@ -125,11 +125,10 @@
 	}
 }
 
-// lineOf finds the line on which a key stands; of one that is not there, the line of the
-// nearest table round it.
+// lineOf returns the line of a key, or that of the innermost enclosing table if the key is absent.
 func lineOf(text []byte, key string) int {
 	best, at := 0, 1
-	walk(text, func(path string, line int) {
+	walkKeys(text, func(path string, line int) {
 		if (key == path || strings.HasPrefix(key, path+".") || strings.HasPrefix(key, path+"[")) && len(path) > best {
 			best, at = len(path), line
 		}
@@ -137,9 +136,9 @@
 	return at
 }
 
-// keyAt is the key that stands on a line; empty: none.
+// keyAt returns the key on a line, or the empty string.
 func keyAt(text []byte, row int) (key string) {
-	walk(text, func(path string, line int) {
+	walkKeys(text, func(path string, line int) {
 		if line == row {
 			key = path
 		}
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -276,7 +276,7 @@
 			t.Fatal(err)
 		}
 	}
-	must(keys.Make(dir, []string{"gw-a", "gw-b", "gw-z"}, time.Hour))
+	must(keys.Generate(dir, []string{"gw-a", "gw-b", "gw-z"}, time.Hour))
 	tlsOf := func(name string) string {
 		return fmt.Sprintf("[gateway.keys]\nca = %q\ncert = %q\nkey = %q\n", filepath.Join(dir, "ca.pem"), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
 	}
@@ -293,7 +293,7 @@
 	stop, done := make(chan struct{}), make(chan []sites.Answer)
 	go func() { done <- load(near.Base, 5*time.Millisecond, 2*time.Second, []string{"order", "look"}, stop) }()
 	for i := range 6 {
-		must(keys.Make(dir, []string{"gw-a", "gw-b"}, time.Hour))
+		must(keys.Generate(dir, []string{"gw-a", "gw-b"}, time.Hour))
 		route := "[[gateway.route]]\nclass = \"order\"\nto = [\"b\", \"own\"]\n"
 		if i%2 == 1 {
 			route = "[[gateway.route]]\nshare = 0.5\nto = [\"b\"]\n"
@@ -319,8 +319,8 @@
 	}
 	// Who has the authority's word and not the name, or neither, is not let in.
 	other := t.TempDir()
-	must(keys.Make(other, []string{"gw-a"}, time.Hour))
-	must(keys.Make(dir, []string{"gw-old"}, time.Millisecond))
+	must(keys.Generate(other, []string{"gw-a"}, time.Hour))
+	must(keys.Generate(dir, []string{"gw-old"}, time.Millisecond))
 	for name, f := range map[string]keys.Files{
 		"another name":      {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-z.pem"), Key: filepath.Join(dir, "gw-z.key")},
 		"another authority": {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(other, "gw-a.pem"), Key: filepath.Join(other, "gw-a.key")},
@@ -329,7 +329,7 @@
 		must(err)
 		c, err := testkit.Dial("tcp", ln.Addr().String())
 		must(err)
-		secure := tls.Client(c, store.Client("gw-b"))
+		secure := tls.Client(c, store.ClientConfig("gw-b"))
 		buf, _ := linkwire.Append(nil, hello("gw-a"))
 		_, _ = secure.Write(buf)
 		_ = secure.SetReadDeadline(time.Now().Add(20 * time.Second))
--- a/internal/rig/world/fellows.go
+++ b/internal/rig/world/fellows.go
@@ -27,7 +27,7 @@
 	w    *World
 	p    *process
 	id   members.ID
-	part *promise.Part
+	part *promise.Replicator
 	end  context.CancelFunc
 	born time.Duration
 	dead time.Duration // when it ended; 0: it runs
@@ -81,7 +81,7 @@
 	case a := <-answer:
 		return a
 	case <-ctx.Done():
-		return seat.Answer{Again: true, Error: "no word from the council"}
+		return seat.Answer{Retryable: true, Error: "no word from the council"}
 	}
 }
 
@@ -92,8 +92,8 @@
 	}
 	name := fmt.Sprint("g", p.index)
 	f := &fellow{w: w, p: p, id: members.ID{Name: name, Incarnation: uint64(p.run + 1)}, born: w.now()}
-	f.part = promise.New(promise.Options{Machine: name, Zone: name, Copies: 1 + int(2*w.day.draw("copies")), Fewer: w.day.draw("fewer") < 0.5, Remember: time.Minute,
-		Bytes: 1 << 20, Log: slog.New(slog.DiscardHandler)})
+	f.part = promise.New(promise.Options{Machine: name, Zone: name, Replicas: 1 + int(2*w.day.draw("copies")), AllowFewer: w.day.draw("fewer") < 0.5, Retention: time.Minute,
+		MaxReplyBytes: 1 << 20, Log: slog.New(slog.DiscardHandler)})
 	f.part.Bind(f, f.council, 20*ms)
 	return f
 }
@@ -169,10 +169,10 @@
 }
 
 func callName(c *call) string {
-	if c.c.Hold == nil {
+	if c.c.Promise == nil {
 		return ""
 	}
-	return fmt.Sprint(c.c.Hold.Holder.Name, c.c.Hold.Holder.Incarnation, c.c.Hold.Epoch, c.c.Hold.By.Name)
+	return fmt.Sprint(c.c.Promise.Holder.Name, c.c.Promise.Holder.Incarnation, c.c.Promise.Epoch, c.c.Promise.By.Name)
 }
 
 // carry brings a word to another, if it does not get lost. Words of one to another keep their order, as a link's do.
@@ -188,7 +188,7 @@
 	w.ways[[2]members.ID{f.id, to.id}] = t
 	w.push(t, func() {
 		if !lost && to.dead == 0 && !w.apart(f.p.index, to.p.index) {
-			to.part.Hear(f.id, s.w)
+			to.part.Receive(f.id, s.w)
 		}
 	})
 }
@@ -206,16 +206,16 @@
 	}
 	w.after(wait, func() {
 		a := seat.Answer{}
-		if c.c.Do == seat.Holds {
-			a.Report = &seat.Report{Holds: w.register.All()}
-		} else if err := w.register.Apply(int64(w.now()/time.Second), c.c.Hold); err != nil {
+		if c.c.Operation == seat.ReplicaSets {
+			a.Report = &seat.Report{ReplicaSets: w.register.All()}
+		} else if err := w.register.Apply(int64(w.now()/time.Second), c.c.Promise); err != nil {
 			a.Error = err.Error()
-		} else if c.c.Hold.By.Name != "" {
+		} else if c.c.Promise.By.Name != "" {
 			w.check.count("seals")
-			w.note("g%d has %s sealed", f.p.index, c.c.Hold.Holder.Name)
+			w.note("g%d has %s sealed", f.p.index, c.c.Promise.Holder.Name)
 		} else {
 			w.check.count("epochs")
-			w.note("epoch %d of %s is settled, with %v", c.c.Hold.Epoch, c.c.Hold.Holder.Name, c.c.Hold.Replicas)
+			w.note("epoch %d of %s is settled, with %v", c.c.Promise.Epoch, c.c.Promise.Holder.Name, c.c.Promise.Replicas)
 		}
 		back := wait
 		if y := w.day.draw("back", w.callsMade); y < 0.15 { // the word comes late, perhaps after it was asked for again
