--- a/internal/process/management/management.go
+++ b/internal/process/management/management.go
@@ -59,8 +59,8 @@
 		})
 	}
 	d.mux = mux
-	d.httpServer = http.Server{Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: 4 << 10,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+	d.httpServer = http.Server{Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
+		MaxHeaderBytes: 4 << 10, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	d.httpServer.SetKeepAlivesEnabled(false)
 	return d
 }
--- a/internal/process/promise/promise.go
+++ b/internal/process/promise/promise.go
@@ -35,13 +35,13 @@
 
 // Options configures a Replicator.
 type Options struct {
-	Machine       string
-	Zone          string
+	Machine       string        // of this agent
+	Zone          string        // of this agent
 	Replicas      int           // wanted for the promises of this agent, if it has a far end
 	AllowFewer    bool          // begin with fewer replicas if no more agents are available
 	Retention     time.Duration // of records; longer than a request may be open
 	MaxReplyBytes int           // limit of the replies held for other holders
-	Folder        string        // persistent, of the journal that is written before an acknowledgement; empty: replicas are in memory only
+	Folder        string        // persistent, of the journal; empty: replicas are in memory only
 	Tick          time.Duration // a fraction of the period of the view
 	Log           *slog.Logger
 	// Set before Run.
@@ -472,14 +472,17 @@
 func (p *Replicator) send(all []promises.Send) {
 	for i := range all {
 		if text, err := cbor.Marshal(&all[i].Msg); err == nil { // cannot fail: plain values only
-			_ = p.opt.Fleet.Say(all[i].To, peers.Word{Topic: peers.TopicPromise, Body: text}) // the holder repeats a message that is lost
+			// The holder repeats a message that is lost.
+			_ = p.opt.Fleet.Say(all[i].To, peers.Word{Topic: peers.TopicPromise, Body: text})
 		}
 	}
 }
 
 // propose proposes an entry to the council in a goroutine of its own, and passes the result to Run.
 func (p *Replicator) propose(e *promises.Entry, done func(error)) {
-	token := rand.Uint64() | 1 // random: with tokens from the clock, agents that start together would draw equal ones, and only one call would count
+	// Tokens are random: with tokens from the clock, agents that start together would draw equal ones, and only one of
+	// their calls would count.
+	token := rand.Uint64() | 1
 	go func() {
 		ctx, cancel := context.WithTimeout(p.ctx, 40*p.opt.Tick)
 		defer cancel()
@@ -529,7 +532,8 @@
 		number := w.Number
 		p.answerQuery(&a, func(v queryResult) {
 			if text, err := cbor.Marshal(&v); err == nil {
-				_ = p.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicVerdict, Number: number, Body: text}) // the near end repeats the query if the response is lost
+				// The near end repeats the query if the response is lost.
+				_ = p.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicVerdict, Number: number, Body: text})
 			}
 		})
 	case peers.TopicVerdict:
--- a/internal/process/seat/calls.go
+++ b/internal/process/seat/calls.go
@@ -14,14 +14,14 @@
 
 // Call is an operator's request to the council, sent to any agent.
 type Call struct {
-	// Token is drawn at random by the caller and makes the call idempotent: repeats with the same token are applied once.
-	// Read-only calls need none.
+	// Token is drawn at random by the caller and makes the call idempotent: repeats with the same token are applied
+	// once. Read-only calls need none.
 	Token     uint64          `json:"token,string,omitempty"`
 	Operation Operation       `json:"do"`
-	ID        string          `json:"id,omitempty"` // of the request
-	Permit    uint64          `json:"permit,omitempty"`
-	Ask       *work.Ask       `json:"ask,omitempty"`
-	Promise   *promises.Entry `json:"hold,omitempty"`
+	ID        string          `json:"id,omitempty"`     // of the request
+	Permit    uint64          `json:"permit,omitempty"` // number of the permit, for Take
+	Ask       *work.Ask       `json:"ask,omitempty"`    // for Submit
+	Promise   *promises.Entry `json:"hold,omitempty"`   // for ProposePromise
 }
 
 // Operation is the operation that a call requests.
@@ -38,7 +38,7 @@
 	Plan           Operation = "plan"   // the same, with the planned schedule
 	Record         Operation = "record" // the same, with the record of committed decisions
 	ReplicaSets    Operation = "holds"  // the replica sets of all promise holders
-	ProposePromise Operation = "hold"   // a promise holder's epoch or its seal; between agents only, not accepted from operators
+	ProposePromise Operation = "hold"   // an epoch or seal of a promise holder; between agents only
 	Bootstrap      Operation = "found"  // makes the called agent the first member of a council; not forwarded
 )
 
@@ -57,7 +57,7 @@
 	_, changes := c.entry(0)
 	switch {
 	case !changes && !slices.Contains([]Operation{Show, Plan, Record, ReplicaSets, Bootstrap}, c.Operation):
-		return fmt.Errorf("do: no call %q", c.Operation)
+		return fmt.Errorf("do: unknown call %q", c.Operation)
 	case changes && c.Token == 0:
 		return errors.New("token: missing")
 	case c.Operation == Submit && c.Ask == nil:
@@ -85,20 +85,20 @@
 
 // Report is the state of the council as one member has applied it.
 type Report struct {
-	From             string                `json:"from"`   // name of the reporting member
-	Leader           string                `json:"leader"` // empty: no leader is known
-	Voters           []string              `json:"voters"`
-	Learners         []string              `json:"learners,omitempty"`
-	Term             uint64                `json:"term"`
-	Applied          uint64                `json:"applied"`
-	LeaderAgeMs      int64                 `json:"age_ms"` // time since the last message from a leader, a lower bound for the age of this state
-	Now              int64                 `json:"now"`    // the log's time
-	ExclusionVersion uint64                `json:"orders"` // version of the list of excluded machines
-	Excluded         []string              `json:"left_alone,omitempty"`
+	From             string                `json:"from"`                 // name of the reporting member
+	Leader           string                `json:"leader"`               // empty: no leader is known
+	Voters           []string              `json:"voters"`               // names, sorted
+	Learners         []string              `json:"learners,omitempty"`   // names, sorted
+	Term             uint64                `json:"term"`                 // of the member's log
+	Applied          uint64                `json:"applied"`              // index of the last applied log entry
+	LeaderAgeMs      int64                 `json:"age_ms"`               // since the last message of a leader; this state is at least as old
+	Now              int64                 `json:"now"`                  // the log's time
+	ExclusionVersion uint64                `json:"orders"`               // version of the list of excluded machines
+	Excluded         []string              `json:"left_alone,omitempty"` // names of the excluded machines
 	Requests         []Request             `json:"requests"`
 	Plan             []Step                `json:"plan,omitempty"`
-	Unschedulable    map[string]string     `json:"waits,omitempty"` // of the plan: by request id, why it can never be scheduled
-	Record           []string              `json:"record,omitempty"`
+	Unschedulable    map[string]string     `json:"waits,omitempty"`  // why requests can never be scheduled, by id
+	Record           []string              `json:"record,omitempty"` // recorded phase changes, the oldest first
 	ReplicaSets      []promises.ReplicaSet `json:"holds,omitempty"`
 }
 
@@ -107,27 +107,27 @@
 	ID        string   `json:"id"`
 	Machine   string   `json:"machine"`
 	Phase     string   `json:"phase"`
-	Permit    uint64   `json:"permit,omitempty"`
-	Since     int64    `json:"since"` // start of the phase, in the log's time
-	Seconds   int64    `json:"seconds"`
-	NotBefore int64    `json:"not_before,omitempty"`
-	DueBy     int64    `json:"due_by,omitempty"`
+	Permit    uint64   `json:"permit,omitempty"`     // number of the permit, from the grant on; 0: none
+	Since     int64    `json:"since"`                // start of the phase, in the log's time
+	Seconds   int64    `json:"seconds"`              // expected duration of the work
+	NotBefore int64    `json:"not_before,omitempty"` // earliest start, in the log's time
+	DueBy     int64    `json:"due_by,omitempty"`     // latest end, in the log's time; 0: none
 	Urgent    bool     `json:"urgent,omitempty"`
 	Overdue   bool     `json:"overdue,omitempty"`
 	By        string   `json:"by,omitempty"`
-	Purpose   string   `json:"for,omitempty"` // the reason given with the request
-	Why       string   `json:"why"`           // explanation of its phase, one sentence
-	Missing   []string `json:"missing,omitempty"`
+	Purpose   string   `json:"for,omitempty"`     // the reason given with the request
+	Why       string   `json:"why"`               // explanation of its phase, one sentence
+	Missing   []string `json:"missing,omitempty"` // first of the agents that have not acknowledged the exclusion
 }
 
 // Step is one step of the plan.
 type Step struct {
 	ID      string   `json:"id"`
 	Machine string   `json:"machine"`
-	Begin   int64    `json:"begin"`
-	End     int64    `json:"end"`
-	With    []string `json:"with,omitempty"`
-	Late    bool     `json:"late,omitempty"`
+	Begin   int64    `json:"begin"`          // in the log's time
+	End     int64    `json:"end"`            // in the log's time
+	With    []string `json:"with,omitempty"` // other machines that count as out at its begin
+	Late    bool     `json:"late,omitempty"` // would end after DueBy
 }
 
 // Find returns the request with the id, or nil.
--- a/internal/process/seat/seat.go
+++ b/internal/process/seat/seat.go
@@ -41,12 +41,12 @@
 
 // Options configures a Seat.
 type Options struct {
-	Name         string
-	Folder       string // persistent; empty: the agent has no member and only forwards calls
-	Seats        int    // wanted number of voters of the council
-	ReplaceAfter time.Duration
+	Name         string        // of the agent
+	Folder       string        // persistent; empty: the agent has no member and only forwards calls
+	Seats        int           // wanted number of voters of the council
+	ReplaceAfter time.Duration // how long a member is unhealthy before it is replaced
 	Tick         time.Duration // about a hundredth of the time that a person waits for an answer
-	Seed         uint64
+	Seed         uint64        // of the random numbers
 	Fleet        Fleet
 	// Observe returns what the agent observes of the fleet, without the fields that the council fills in. Only the
 	// leader calls it.
@@ -96,17 +96,17 @@
 	nameBySeat      map[uint64]string
 	proposed        map[uint64][]pendingCall // calls by token, until their entries are applied
 	forwarded       map[uint64]pendingCall   // calls by number, until the other agent answers
-	linkUntil       map[string]int           // by agent that calls are forwarded to: the tick until which a link is kept
+	linkUntil       map[string]int           // last tick of the wanted link, by agent name
 	fleetToken      uint64                   // token of the proposed fleet update in flight; 0: none
 	fleetProposedAt int                      // tick at which it was proposed
-	joiningCouncil  uint64                   // council of the last message received; the member belongs to no council before it has that one's snapshot
+	joiningCouncil  uint64                   // sender's council of the last message, until a snapshot is applied
 	lastLogged      string                   // last line of the record that was logged
 	rng             *rand.Rand
 	failed          bool // the store or the member has failed: it is not started again
 }
 
-// New returns a Seat, which Run drives. It returns an error if the folder can't be opened. If the contents of the folder
-// are damaged, it logs that and the agent runs without a member.
+// New returns a Seat, which Run drives. It returns an error if the folder can't be opened. If the contents of the
+// folder are damaged, it logs that and the agent runs without a member.
 func New(o Options) (*Seat, error) {
 	s := &Seat{opt: o, inputs: make(chan input, 1024), ended: make(chan struct{}), chooser: seats.Chooser{Size: o.Seats, ReplaceAfter: int(o.ReplaceAfter / (observationTicks * o.Tick))},
 		proposed: map[uint64][]pendingCall{}, forwarded: map[uint64]pendingCall{}, linkUntil: map[string]int{}, rng: rand.New(rand.NewPCG(o.Seed, 0x73656174))}
@@ -254,7 +254,8 @@
 	if st := s.machine.Status(); st.Leader == st.ID {
 		s.leaderTick(&st)
 	} else {
-		s.machine.SetMembers(nil) // what this member requested as leader is stale when it leads again: other machines may be excluded by then
+		// What this member requested as leader is stale when it leads again: other machines may be excluded by then.
+		s.machine.SetMembers(nil)
 	}
 	s.publish()
 }
@@ -425,7 +426,8 @@
 		of := cmp.Or(s.machine.Council(), s.joiningCouncil)
 		for _, m := range send {
 			for _, id := range s.processesBySeat[m.To] {
-				_ = s.opt.Fleet.Say(id, peers.Word{Topic: peers.TopicCouncil, Number: of, Body: m.Data}) // the council repeats a message that is lost
+				// The council repeats a message that is lost.
+				_ = s.opt.Fleet.Say(id, peers.Word{Topic: peers.TopicCouncil, Number: of, Body: m.Data})
 			}
 		}
 		results, err := s.machine.Advance()
@@ -498,7 +500,8 @@
 			if err != nil {
 				return // cannot happen: plain values only
 			}
-			_ = s.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicAnswer, Number: number, Body: text}) // the caller repeats the call if the answer is lost
+			// The caller repeats the call if the answer is lost.
+			_ = s.opt.Fleet.Say(from, peers.Word{Topic: peers.TopicAnswer, Number: number, Body: text})
 		}
 		c, err := ReadCall(in.message.Body)
 		if err != nil {
