--- a/internal/process/handover/handover.go
+++ b/internal/process/handover/handover.go
@@ -1,6 +1,6 @@
 // Package handover passes the work of an agent's process to its successor, the process that replaces it, over a Unix
 // socket in a private directory: the listening sockets, the state that routing depends on, and the right to accept
-// connections. If either process ends, the other sees the connection close, so neither waits for one that has gone.
+// connections. If either process ends, the other sees the connection close, so neither waits for an ended process.
 //
 // The goroutine of Offer serves one successor at a time. A Successor belongs to its caller until Follow, which has a
 // goroutine of its own.
@@ -123,7 +123,7 @@
 	State() State
 	// HandOver stops accepting connections. After an error the process still accepts.
 	HandOver() error
-	// TakeBack resumes accepting, after the successor has gone.
+	// TakeBack resumes accepting, after the successor has ended.
 	TakeBack()
 	// Since returns the sums of the ids noted since the last call of State or Since.
 	Since() []uint64
--- a/internal/process/handover/handover_test.go
+++ b/internal/process/handover/handover_test.go
@@ -44,13 +44,13 @@
 	return sums
 }
 
-func (f *fakeSource) told(want ...string) bool {
+func (f *fakeSource) recorded(want ...string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Equal(f.calls, want)
 }
 
-func offer(t *testing.T) (*fakeSource, string, net.Listener) {
+func startOffer(t *testing.T) (*fakeSource, string, net.Listener) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 
 func TestTakeOver(t *testing.T) {
-	f, path, ln := offer(t)
+	f, path, ln := startOffer(t)
 	s, err := Connect(path)
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 		c.Close()
 	}
 	mine.Close()
-	if _, err := s.Take(); err != nil || !f.told("half", "state", "over", "state") {
+	if _, err := s.Take(); err != nil || !f.recorded("half", "state", "over", "state") {
 		t.Fatal(err, f.calls)
 	}
 	f.mu.Lock()
@@ -112,7 +112,7 @@
 	// The successor ends: the first process takes everything back and accepts another successor.
 	s.Close()
 	<-followed
-	eventually(t, "back", func() bool { return f.told("half", "state", "over", "state", "back", "all") })
+	eventually(t, "back", func() bool { return f.recorded("half", "state", "over", "state", "back", "all") })
 	eventually(t, "another offer", func() bool {
 		again, err := Connect(path)
 		if err == nil {
@@ -124,7 +124,7 @@
 
 // A successor that ends before it takes over, or sends invalid messages, leaves the first process as it was.
 func TestInvalidSuccessors(t *testing.T) {
-	f, path, _ := offer(t)
+	f, path, _ := startOffer(t)
 	for _, say := range []string{"", "x", "\xff\xff\xff\xff", "\x00\x00\x00\x02{}", "\x00\x00\x00\x05hello"} {
 		c, err := testkit.Dial("unix", path)
 		if err != nil {
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	eventually(t, "all", func() bool { return f.told("half", "state", "all") })
+	eventually(t, "all", func() bool { return f.recorded("half", "state", "all") })
 }
 
 // A first process of another version, or one that sends invalid messages, is rejected; a path without a process gives
--- a/internal/process/journal/journal_test.go
+++ b/internal/process/journal/journal_test.go
@@ -23,10 +23,10 @@
 	records []promises.Record
 }
 
-func open(t *testing.T, dir string, forget time.Duration) (*Journal, *contents, error) {
+func open(t *testing.T, dir string, retention time.Duration) (*Journal, *contents, error) {
 	t.Helper()
 	c := &contents{rows: map[string]promises.Row{}}
-	j, err := Open(dir, forget, func(h promises.Holder, r *promises.Row) { c.rows[h.Name] = *r }, func(r *promises.Record) { c.records = append(c.records, *r) })
+	j, err := Open(dir, retention, func(h promises.Holder, r *promises.Row) { c.rows[h.Name] = *r }, func(r *promises.Record) { c.records = append(c.records, *r) })
 	return j, c, err
 }
 
@@ -45,11 +45,11 @@
 	if len(keys) > 0 {
 		rec = &promises.Record{Holder: h, Keys: keys}
 	}
-	told := make(chan error, 1)
-	if !j.Add(h, row, rec, func(err error) { told <- err }) {
+	done := make(chan error, 1)
+	if !j.Add(h, row, rec, func(err error) { done <- err }) {
 		return errors.New("queue full or journal failed")
 	}
-	return <-told
+	return <-done
 }
 
 // Entries acknowledged as written are read again, in order, by the next process, which cannot open the file while
@@ -111,16 +111,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan error, 1000)
+	done := make(chan error, 1000)
 	for i := range uint64(1000) {
 		h := promises.Holder{Name: fmt.Sprint("h", i%5), Incarnation: 1}
-		j.Add(h, nil, &promises.Record{Holder: h, Keys: []promises.Key{key(i)}}, func(err error) { told <- err })
+		j.Add(h, nil, &promises.Record{Holder: h, Keys: []promises.Key{key(i)}}, func(err error) { done <- err })
 	}
 	stats := j.db.Stats()
 	before := stats.TxStats.GetWrite()
 	end := start(j)
 	for range 1000 {
-		if err := <-told; err != nil {
+		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/process/keys/keys.go
+++ b/internal/process/keys/keys.go
@@ -58,7 +58,7 @@
 	}
 	h := &certificates{pool: x509.NewCertPool()}
 	if !h.pool.AppendCertsFromPEM(text) {
-		return fmt.Errorf("ca: %s: no certificate in it", s.files.CA)
+		return fmt.Errorf("ca: %s: no certificate found", s.files.CA)
 	}
 	if h.cert, err = tls.LoadX509KeyPair(s.files.Cert, s.files.Key); err != nil {
 		return fmt.Errorf("cert: %s: %w", s.files.Cert, err)
@@ -68,9 +68,9 @@
 	}
 	switch now := time.Now(); {
 	case now.After(h.leaf.NotAfter):
-		return fmt.Errorf("cert: %s: it ended on %s", s.files.Cert, h.leaf.NotAfter.UTC().Format(time.DateTime))
+		return fmt.Errorf("cert: %s: certificate expired on %s", s.files.Cert, h.leaf.NotAfter.UTC().Format(time.DateTime))
 	case len(h.leaf.DNSNames) == 0:
-		return fmt.Errorf("cert: %s: it holds no name", s.files.Cert)
+		return fmt.Errorf("cert: %s: certificate has no DNS name", s.files.Cert)
 	}
 	s.current.Store(h)
 	return nil
@@ -104,19 +104,19 @@
 // Generate writes an authority and a certificate for each name into a folder: ca.pem and ca.key, NAME.pem and NAME.key.
 // An existing authority is used again; an existing certificate is replaced. It is meant for trials: the authority's key
 // is stored next to the certificates.
-func Generate(dir string, names []string, last time.Duration) error {
+func Generate(dir string, names []string, validity time.Duration) error {
 	if len(names) == 0 {
-		return errors.New("keys: no names")
+		return errors.New("keys: no names given")
 	}
 	for _, n := range names {
 		if n != filepath.Base(n) || n == "." || n == "ca" {
-			return fmt.Errorf("keys: %q is no name", n)
+			return fmt.Errorf("keys: %q is not a valid name", n)
 		}
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	ca, caKey, err := authority(dir, last)
+	ca, caKey, err := authority(dir, validity)
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 			KeyUsage:    x509.KeyUsageDigitalSignature,
 			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		}
-		if err := write(dir, n, template, ca, caKey, key, last); err != nil {
+		if err := write(dir, n, template, ca, caKey, key, validity); err != nil {
 			return err
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // authority loads the authority in a folder, or creates one.
-func authority(dir string, last time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func authority(dir string, validity time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ca.key"))
 	if errors.Is(err, os.ErrNotExist) {
 		key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -152,10 +152,10 @@
 			BasicConstraintsValid: true,
 			KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
 		}
-		if err := write(dir, "ca", t, t, key, key, 10*last); err != nil {
+		if err := write(dir, "ca", t, t, key, key, 10*validity); err != nil {
 			return nil, nil, err
 		}
-		return authority(dir, last)
+		return authority(dir, validity)
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("keys: the authority in %s: %w", dir, err)
@@ -163,17 +163,17 @@
 	ca, err := x509.ParseCertificate(pair.Certificate[0])
 	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if err != nil || !ok || !ca.IsCA {
-		return nil, nil, fmt.Errorf("keys: %s holds no authority of this command's", dir)
+		return nil, nil, fmt.Errorf("keys: %s has no ECDSA certificate authority", dir)
 	}
 	return ca, key, nil
 }
 
-func write(dir, name string, t, parent *x509.Certificate, signer, key *ecdsa.PrivateKey, last time.Duration) error {
+func write(dir, name string, t, parent *x509.Certificate, signer, key *ecdsa.PrivateKey, validity time.Duration) error {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 100))
 	if err != nil {
 		return err
 	}
-	t.SerialNumber, t.NotBefore, t.NotAfter = serial, time.Now().Add(-time.Minute), time.Now().Add(last)
+	t.SerialNumber, t.NotBefore, t.NotAfter = serial, time.Now().Add(-time.Minute), time.Now().Add(validity)
 	cert, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, signer)
 	if err != nil {
 		return err
@@ -231,7 +231,7 @@
 		lines = append(lines, line)
 	}
 	if lines == nil {
-		return nil, fmt.Errorf("%s: no certificate in it", path)
+		return nil, fmt.Errorf("%s: no certificate found", path)
 	}
 	return lines, nil
 }
--- a/internal/process/promise/promise.go
+++ b/internal/process/promise/promise.go
@@ -97,28 +97,28 @@
 	own                 promises.Holder
 	gateway             Gateway
 	replicas            *promises.ReplicaStore
-	waiters             map[promises.Key]chan bool
+	waiters             map[promises.Key]chan bool // calls of Begin
 	view                members.View
 	ticks               int
 	queryNumber         uint64
-	pendingQueries      map[uint64]pendingQuery
-	pendingSeals        map[promises.Holder][]sealQuery
-	replicaSets         []promises.ReplicaSet // as the council last reported them
-	replicaSetsAt       time.Time             // time of that report
-	awaitingReplicaSets []func()              // queries that wait for the report
-	shortfall           int
+	pendingQueries      map[uint64]pendingQuery         // by number
+	pendingSeals        map[promises.Holder][]sealQuery // queries that wait for a proposed seal
+	replicaSets         []promises.ReplicaSet           // as the council last reported them
+	replicaSetsAt       time.Time                       // time of that report
+	awaitingReplicaSets []func()                        // queries that wait for the report
+	shortfall           int                             // replicas missing when last reported
 }
 
 // pendingQuery is a query that was sent to another agent.
 type pendingQuery struct {
 	deliver  func(queryResult)
-	deadline int
+	deadline int // tick
 }
 
 // sealQuery is a query that waits for a seal.
 type sealQuery struct {
 	key     promises.Key
-	since   time.Duration
+	since   time.Duration // age of the crossing's offer, less the Replicator's time at the query
 	deliver func(queryResult)
 }
 
@@ -164,6 +164,7 @@
 	})
 }
 
+// renew starts a new holder under the current incarnation.
 func (p *Replicator) renew() {
 	p.holder = promises.NewHolder(promises.Options{Me: p.own, Machine: p.opt.Machine, Zone: p.opt.Zone, Replicas: p.opt.Replicas, AllowFewer: p.opt.AllowFewer,
 		Retention: p.opt.Retention, TimeoutTicks: 5})
@@ -173,14 +174,14 @@
 // until the given time at most. It reports false if the crossing must not begin.
 func (p *Replicator) Begin(hinc uint64, near string, inc, number uint64, until time.Time) bool {
 	k := promises.Key{Origin: near, Incarnation: inc, Number: number}
-	may := make(chan bool, 1)
+	result := make(chan bool, 1)
 	if !p.post(func() {
 		if p.holder == nil || p.own.Incarnation != hinc {
-			may <- false // offered to an earlier incarnation, whose replicas the near ends query
+			result <- false // offered to an earlier incarnation, whose replicas the near ends query
 			return
 		}
 		p.resolveWaiter(k, false) // an earlier attempt that was cancelled meanwhile; its request goes elsewhere
-		p.waiters[k] = may
+		p.waiters[k] = result
 		p.apply(p.holder.Begin(p.now(), k))
 	}) {
 		return false
@@ -188,13 +189,13 @@
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
-	case ok := <-may:
+	case ok := <-result:
 		return ok
 	case <-timer.C:
 	case <-p.ended:
 	}
 	p.post(func() {
-		if p.waiters[k] == may {
+		if p.waiters[k] == result {
 			delete(p.waiters, k)
 			p.holder.Cancel(k)
 		}
@@ -318,7 +319,7 @@
 		}
 	}
 	for _, h := range p.replicas.All() { // links to holders, so that a query can be forwarded to them
-		if from, held := p.replicas.ProcessOf(h.Holder); held {
+		if from, found := p.replicas.ProcessOf(h.Holder); found {
 			names = append(names, from.Name)
 		}
 	}
@@ -462,13 +463,15 @@
 	return all
 }
 
-func (p *Replicator) resolveWaiter(k promises.Key, may bool) {
+// resolveWaiter passes the decision on a crossing to its Begin call, if one waits.
+func (p *Replicator) resolveWaiter(k promises.Key, begin bool) {
 	if w := p.waiters[k]; w != nil {
 		delete(p.waiters, k)
-		w <- may
+		w <- begin
 	}
 }
 
+// send sends messages to the peers.
 func (p *Replicator) send(all []promises.Send) {
 	for i := range all {
 		if text, err := cbor.Marshal(&all[i].Msg); err == nil { // cannot fail: plain values only
@@ -579,8 +582,8 @@
 // holderTimeoutTicks is how long a linked holder has to answer a query itself.
 const holderTimeoutTicks = 3
 
-// queryReplica answers from the replica of this agent: it asks the holder while that is reachable, and otherwise has
-// the holder sealed and answers from the replica.
+// queryReplica answers a query from the replica of this agent. If the holder is not sealed, it asks the holder first;
+// if that is unreachable or does not answer, it has the holder sealed and answers from the replica then.
 func (p *Replicator) queryReplica(h promises.Holder, k promises.Key, since time.Duration, tell func(queryResult)) {
 	from, open := p.replicas.ProcessOf(h)
 	if !open {
@@ -604,6 +607,7 @@
 	})
 }
 
+// resultOf returns the result for a verdict of a replica. A verdict that is still pending counts as unknown.
 func resultOf(v promises.Verdict, reply promises.Reply) queryResult {
 	if v == promises.Replied {
 		return queryResult{Verdict: v, Reply: &reply}
@@ -630,10 +634,10 @@
 
 // proposeSeal proposes the seal under each of these identities, until the council accepts one as a replica of the
 // epoch, and answers the waiting queries.
-func (p *Replicator) proposeSeal(h promises.Holder, as []promises.Peer) {
-	p.propose(&promises.Entry{Holder: h, By: as[0]}, func(err error) {
-		if errors.Is(err, promises.ErrNoCopy) && len(as) > 1 {
-			p.proposeSeal(h, as[1:])
+func (p *Replicator) proposeSeal(h promises.Holder, identities []promises.Peer) {
+	p.propose(&promises.Entry{Holder: h, By: identities[0]}, func(err error) {
+		if errors.Is(err, promises.ErrNoCopy) && len(identities) > 1 {
+			p.proposeSeal(h, identities[1:])
 			return
 		}
 		if p.replicas.Sealed(h, err) {
@@ -656,12 +660,12 @@
 	began := p.now()
 	request := query{Holder: h, Key: k}
 	send := func() {
-		for _, hold := range p.replicaSets {
-			if hold.Holder != h {
+		for _, set := range p.replicaSets {
+			if set.Holder != h {
 				continue
 			}
 			request.SinceUs = uint64((since + p.now() - began).Microseconds())
-			if id, there := p.replicaProcess(hold.Replicas); there {
+			if id, found := p.replicaProcess(set.Replicas); found {
 				p.opt.Fleet.Wish("question", []string{id.Name})
 				p.sendQuery(id, request, 40, tell)
 				return
--- a/internal/process/promise/promise_test.go
+++ b/internal/process/promise/promise_test.go
@@ -46,9 +46,9 @@
 		if p.Begin(7, "near", 1, 2, soon) != fewer {
 			t.Errorf("AllowFewer %v, without council and replicas: Begin returned the opposite", fewer)
 		}
-		words := make(chan promises.Verdict, 1)
-		p.Query("n9", 3, "near", 1, 1, time.Second, func(v promises.Verdict, _ *promises.Reply) { words <- v })
-		if v := <-words; v != promises.Unknown {
+		verdicts := make(chan promises.Verdict, 1)
+		p.Query("n9", 3, "near", 1, 1, time.Second, func(v promises.Verdict, _ *promises.Reply) { verdicts <- v })
+		if v := <-verdicts; v != promises.Unknown {
 			t.Errorf("unknown holder: verdict %v, want Unknown", v)
 		}
 		p.answerQuery(&query{Holder: promises.Holder{Name: "n0", Incarnation: 6}, AtHolder: true}, func(v queryResult) {
--- a/internal/process/seat/calls.go
+++ b/internal/process/seat/calls.go
@@ -193,7 +193,7 @@
 // ReadCall decodes a call and returns an error if it is malformed.
 func ReadCall(text []byte) (c Call, err error) {
 	if len(text) > maxCallBytes {
-		return c, fmt.Errorf("call: over %d bytes", maxCallBytes)
+		return c, fmt.Errorf("call: longer than %d bytes", maxCallBytes)
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
 		return c, fmt.Errorf("call: %w", err)
--- a/internal/process/seat/seat.go
+++ b/internal/process/seat/seat.go
@@ -297,6 +297,7 @@
 	s.opt.Fleet.Wish("council", slices.Compact(links))
 }
 
+// nameOf returns the name of the agent that has a seat, or the seat number if no such agent is known.
 func (s *Seat) nameOf(seat uint64) string {
 	if seat == 0 {
 		return ""
--- a/internal/process/seat/seat_test.go
+++ b/internal/process/seat/seat_test.go
@@ -119,16 +119,16 @@
 	return nil
 }
 
-func (r *cluster) waitFor(what string, holds func(*Report) bool) {
+func (r *cluster) waitFor(condition string, met func(*Report) bool) {
 	r.t.Helper()
 	for range 300 { // 6 s of a process's clock
-		if now := r.report(); now != nil && holds(now) {
+		if now := r.report(); now != nil && met(now) {
 			return
 		}
 		r.step()
 	}
 	now := r.report()
-	r.t.Fatalf("never: %s; led %d times, at last by %v; %+v", what, len(r.leaders), r.leaders[max(len(r.leaders)-6, 0):], now)
+	r.t.Fatalf("never: %s; led %d times, at last by %v; %+v", condition, len(r.leaders), r.leaders[max(len(r.leaders)-6, 0):], now)
 }
 
 // mustCall repeats a call at the leader until it is applied.
--- a/internal/process/store/store_test.go
+++ b/internal/process/store/store_test.go
@@ -77,27 +77,27 @@
 	if err := syscall.Stat(path, &info); err != nil {
 		return err.Error()
 	}
-	var said strings.Builder
+	var report strings.Builder
 	table, err := os.ReadFile("/proc/locks")
-	fmt.Fprintf(&said, "inode %d, %s has %d bytes (%v)\n", info.Ino, "/proc/locks", len(table), err)
+	fmt.Fprintf(&report, "inode %d, %s has %d bytes (%v)\n", info.Ino, "/proc/locks", len(table), err)
 	for line := range strings.Lines(string(table)) {
 		if strings.Contains(line, fmt.Sprintf(":%d ", info.Ino)) {
-			said.WriteString(line)
+			report.WriteString(line)
 		}
 	}
 	opened, _ := filepath.Glob("/proc/[0-9]*/fd/*")
 	for _, fd := range opened {
 		if target, err := os.Readlink(fd); err == nil && strings.HasPrefix(target, path) {
-			fmt.Fprintf(&said, "%s: %s\n%s", fd, target, processOf(fd))
+			fmt.Fprintf(&report, "%s: %s\n%s", fd, target, processOf(fd))
 		}
 	}
 	maps, _ := filepath.Glob("/proc/[0-9]*/maps")
 	for _, name := range maps {
 		if text, err := os.ReadFile(name); err == nil && strings.Contains(string(text), path) {
-			fmt.Fprintf(&said, "%s maps it\n%s", name, processOf(name))
+			fmt.Fprintf(&report, "%s maps it\n%s", name, processOf(name))
 		}
 	}
-	return said.String()
+	return report.String()
 }
 
 // processOf returns the name, state and parent of the process that a file below /proc/PID belongs to.
@@ -107,25 +107,25 @@
 	if err != nil {
 		return err.Error() + "\n"
 	}
-	var said strings.Builder
+	var report strings.Builder
 	for line := range strings.Lines(string(text)) {
 		for _, key := range []string{"Name:", "State:", "Pid:", "PPid:", "Threads:"} {
 			if strings.HasPrefix(line, key) {
-				said.WriteString("  " + line)
+				report.WriteString("  " + line)
 			}
 		}
 	}
-	return said.String()
+	return report.String()
 }
 
 // lockHolders finds this process while it holds the lock.
 func TestLockHolders(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir)
-	said := lockHolders(filepath.Join(dir, file))
+	report := lockHolders(filepath.Join(dir, file))
 	for _, want := range []string{"FLOCK", fmt.Sprint("/proc/", os.Getpid(), "/fd/"), " maps it"} {
-		if !strings.Contains(said, want) {
-			t.Errorf("%q is not in\n%s", want, said)
+		if !strings.Contains(report, want) {
+			t.Errorf("%q is not in\n%s", want, report)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 // A process is killed while it writes, again and again: all entries that it has reported as written are stored.
 func TestKilledWhileWriting(t *testing.T) {
 	dir := t.TempDir()
-	said := 0
+	written := 0
 	for round := range 25 {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "STORE_CHILD="+dir)
@@ -249,13 +249,13 @@
 			last = lines.Text()
 		}
 		_ = cmd.Wait()
-		if _, err := fmt.Sscan(last, &said); err != nil {
+		if _, err := fmt.Sscan(last, &written); err != nil {
 			t.Fatalf("last line of the child: %q, want a number", last)
 		}
 		s := open(t, dir)
 		saved := load(t, s)
-		if n := len(saved.Entries); n < said || n > said+1 || saved.HardState.GetCommit() != uint64(n) {
-			t.Fatalf("child reported %d entries, %d are stored, %v", said, n, saved.HardState)
+		if n := len(saved.Entries); n < written || n > written+1 || saved.HardState.GetCommit() != uint64(n) {
+			t.Fatalf("child reported %d entries, %d are stored, %v", written, n, saved.HardState)
 		}
 		for i, e := range saved.Entries {
 			if want := entry(uint64(i+1), 1); !proto.Equal(e, want) {
@@ -264,7 +264,7 @@
 		}
 		s.Close()
 	}
-	t.Logf("%d entries over 25 kills", said)
+	t.Logf("%d entries over 25 kills", written)
 }
 
 // On a full disk, the failing write returns an error that names the file, none of it is stored, and all earlier writes
@@ -278,16 +278,16 @@
 		t.Fatal("the disk never filled up")
 	}
 	lines := strings.Split(strings.TrimSpace(string(out)), "\n")
-	last, said := lines[len(lines)-1], 0
+	last, written := lines[len(lines)-1], 0
 	if !strings.HasPrefix(last, "store: "+filepath.Join(dir, file)+": ") || len(lines) < 10 {
 		t.Fatalf("%d lines, the last: %s", len(lines), last)
 	}
-	if _, err := fmt.Sscan(lines[len(lines)-2], &said); err != nil {
+	if _, err := fmt.Sscan(lines[len(lines)-2], &written); err != nil {
 		t.Fatal(err)
 	}
 	saved := load(t, open(t, dir))
-	if len(saved.Entries) != said || saved.HardState.GetCommit() != uint64(said) {
-		t.Errorf("child reported %d entries, %d are stored; %v", said, len(saved.Entries), saved.HardState)
+	if len(saved.Entries) != written || saved.HardState.GetCommit() != uint64(written) {
+		t.Errorf("child reported %d entries, %d are stored; %v", written, len(saved.Entries), saved.HardState)
 	}
-	t.Logf("%d entries, then: %s", said, strings.TrimPrefix(last, "store: "+dir))
+	t.Logf("%d entries, then: %s", written, strings.TrimPrefix(last, "store: "+dir))
 }
--- a/internal/process/strict/strict.go
+++ b/internal/process/strict/strict.go
@@ -28,7 +28,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time with a unit, such as \"250ms\"", text)
+		return fmt.Errorf("%q is not a duration with a unit, such as \"250ms\"", text)
 	}
 	*d = Duration(v)
 	return nil
