--- a/internal/process/keys/keys.go
+++ b/internal/process/keys/keys.go
@@ -68,7 +68,7 @@
 	}
 	switch now := time.Now(); {
 	case now.After(h.leaf.NotAfter):
-		return fmt.Errorf("cert: %s: certificate expired on %s", s.files.Cert, h.leaf.NotAfter.UTC().Format(time.DateTime))
+		return fmt.Errorf("cert: %s: expired on %s", s.files.Cert, h.leaf.NotAfter.UTC().Format(time.DateTime))
 	case len(h.leaf.DNSNames) == 0:
 		return fmt.Errorf("cert: %s: certificate has no DNS name", s.files.Cert)
 	}
