--- a/internal/process/promise/promise.go
+++ b/internal/process/promise/promise.go
@@ -644,7 +644,7 @@
 			p.dropRows(h)
 		}
 		if err == nil {
-			p.opt.Log.Warn("promises: unreachable gateway sealed", "holder", h.Name, "incarnation", h.Incarnation)
+			p.opt.Log.Warn("promises: unreachable gateway is sealed", "holder", h.Name, "incarnation", h.Incarnation)
 		}
 		all := p.pendingSeals[h]
 		delete(p.pendingSeals, h)
