--- a/internal/process/seat/seat.go
+++ b/internal/process/seat/seat.go
@@ -229,7 +229,7 @@
 
 // fail stops the member for good and withdraws it from the fleet.
 func (s *Seat) fail(err error) {
-	s.opt.Log.Error("work: council member failed, the agent serves on without it; check the folder", "folder", s.opt.Folder, "err", err)
+	s.opt.Log.Error("work: council member failed, this agent leaves the council and serves on; check the folder", "folder", s.opt.Folder, "err", err)
 	s.machine, s.failed = nil, true
 	s.opt.Fleet.Set(func(i *members.Info) { i.Seat = 0 })
 	s.opt.Fleet.Publish("")
