--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -39,7 +39,7 @@
 // availableSockets returns the number of descriptors that remain for clients and servers.
 func availableSockets(c *config.Config) int {
 	if c.Management != "" {
-		return c.Limits.Sockets - management.Connections
+		return c.Limits.Sockets - management.MaxConnections
 	}
 	return c.Limits.Sockets
 }
@@ -73,7 +73,7 @@
 	FastCGI []net.Listener
 	// Promises replaces the promise store that the operator's file configures. Its caller runs it. Tests use it for
 	// a far end that makes promises without peers.
-	Promises *promise.Part
+	Promises *promise.Replicator
 }
 
 // frontEnd accepts clients' requests over one protocol.
@@ -104,10 +104,10 @@
 	transport  *transport.Transport
 	stop       context.CancelFunc
 	gatewayEnd *gatewayEnd   // nil: the agent is not an end of links
-	fleet      *fleetNode    // nil: the agent keeps no view of its fleet
-	promises   *promise.Part // nil: the agent stores nothing for others
-	sockets    int           // descriptors that clients and servers share
-	bodyBytes  int64         // memory limit for bodies
+	fleet      *fleetNode          // nil: the agent keeps no view of its fleet
+	promises   *promise.Replicator // nil: the agent stores nothing for others
+	sockets    int                 // descriptors that clients and servers share
+	bodyBytes  int64               // memory limit for bodies
 	bodies     *window.Budget
 	isGateway  bool
 	lifecycle  *lifecycle.Machine
@@ -224,8 +224,8 @@
 			folder = o.Work.Folder
 		}
 		a.promises = promise.New(promise.Options{Folder: folder, Machine: o.Peers.Machine, Zone: o.Peers.Zone,
-			Copies: o.Promises.Copies, Fewer: o.Promises.AllowsFewer(),
-			Remember: time.Duration(o.Promises.Remember), Bytes: o.Promises.AnswersMB << 20, Log: log})
+			Replicas: o.Promises.Copies, AllowFewer: o.Promises.AllowsFewer(),
+			Retention: time.Duration(o.Promises.Remember), MaxReplyBytes: o.Promises.AnswersMB << 20, Log: log})
 	}
 	if o.Gateway.On() {
 		var promised gateway.Promises
@@ -238,7 +238,7 @@
 		}
 		handler = a.gatewayEnd
 		if network.Promises != nil && a.gatewayEnd.farEnd != nil {
-			network.Promises.Promises(o.Gateway.Name, a.gatewayEnd.farEnd.Incarnation(), a.gatewayEnd.farEnd)
+			network.Promises.Attach(o.Gateway.Name, a.gatewayEnd.farEnd.Incarnation(), a.gatewayEnd.farEnd)
 		}
 	}
 	front := httpfront.New(handler, httpfront.Options{
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -55,7 +55,7 @@
 		if g.keys.Name() != o.Name {
 			return nil, fmt.Errorf("operator: gateway.name: the certificate's name is %q", g.keys.Name())
 		}
-		if left := time.Until(g.keys.Until()); left < keys.Warn {
+		if left := time.Until(g.keys.NotAfter()); left < keys.ExpiryWarning {
 			log.Warn("the gateway's certificate expires soon", "days", int(left.Hours()/24))
 		}
 	}
@@ -81,7 +81,7 @@
 			so.Peers = append(so.Peers, gateway.Peer(p))
 		}
 		if g.keys != nil {
-			so.TLS = g.keys.Client
+			so.TLS = g.keys.ClientConfig
 		}
 		site, err := gateway.NewSite(ctx, so)
 		if err != nil {
@@ -104,7 +104,7 @@
 			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Connections, PerSecond: o.HandshakeRate,
 			Times: times, Seed: c.Seed, Log: log, Promises: promised}
 		if g.keys != nil {
-			fo.TLS = func() *tls.Config { return g.keys.Server() }
+			fo.TLS = func() *tls.Config { return g.keys.ServerConfig() }
 		}
 		g.farEnd = gateway.NewFar(fo)
 	}
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -95,15 +95,15 @@
 		if f.keys.Name() != p.Name {
 			return nil, fmt.Errorf("operator: peers.name: the certificate's name is %q", f.keys.Name())
 		}
-		po.Client = f.keys.Client
-		po.Server = func() *tls.Config { return f.keys.Server() }
+		po.Client = f.keys.ClientConfig
+		po.Server = func() *tls.Config { return f.keys.ServerConfig() }
 	}
 	if o.Work.On() {
 		f.work = newMaintenance(a, &o.Work, p)
 		po.Beaten, po.Word = f.work.heartbeat, f.work.receive
 		if a.promises != nil {
 			po.Word = func(from members.ID, w peers.Word) {
-				if !a.promises.Hear(from, w) {
+				if !a.promises.Receive(from, w) {
 					f.work.receive(from, w)
 				}
 			}
@@ -117,7 +117,7 @@
 		if a.promises != nil {
 			a.promises.Bind(f.Peers, f.work.seat.Call, time.Duration(p.Period)/5)
 			if a.gatewayEnd != nil && a.gatewayEnd.farEnd != nil && o.Promises.Copies > 0 {
-				a.promises.Promises(o.Gateway.Name, a.gatewayEnd.farEnd.Incarnation(), a.gatewayEnd.farEnd)
+				a.promises.Attach(o.Gateway.Name, a.gatewayEnd.farEnd.Incarnation(), a.gatewayEnd.farEnd)
 			}
 		}
 	}
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -31,7 +31,7 @@
 // State returns the state for a second process. From then on ids are recorded for Since.
 func (a *Agent) State() handover.State {
 	return handover.State{
-		Known: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.lifecycle.Evacuated(),
+		Endpoints: a.core.Endpoints(), IDs: a.core.IDs().Copy(time.Now()), Evacuated: a.lifecycle.Evacuated(),
 	}
 }
 
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -77,7 +77,7 @@
 		Tick:         p.Period() / 5,
 		Seed:         seed ^ uint64(time.Now().UnixNano()),
 		Fleet:        p,
-		Sight:        w.observe,
+		Observe:      w.observe,
 		Log:          log,
 	})
 	return err
@@ -102,7 +102,7 @@
 	w.run()
 }
 
-func (w *maintenance) receive(from members.ID, word peers.Word) { w.seat.Hear(from, word) }
+func (w *maintenance) receive(from members.ID, word peers.Word) { w.seat.Receive(from, word) }
 
 // heartbeat runs once a period. It applies the exclusion lists that the council publishes, and reports the result
 // and the agent's request rate to its peers.
@@ -207,7 +207,7 @@
 	if err == nil {
 		c, err = seat.ReadCall(text)
 	}
-	if err == nil && c.Do == seat.Hold {
+	if err == nil && c.Operation == seat.ProposePromise {
 		err = errors.New("do: hold: the agents assign holders among themselves")
 	}
 	if err != nil {
@@ -237,8 +237,8 @@
 			return a.Report, nil
 		}
 		if err == nil {
-			if !a.Again {
-				return nil, &seat.Declined{Why: a.Error}
+			if !a.Retryable {
+				return nil, &seat.Rejected{Reason: a.Error}
 			}
 			err = errors.New(a.Error)
 			councilErr = err
--- a/internal/process/keys/keys.go
+++ b/internal/process/keys/keys.go
@@ -1,8 +1,7 @@
-// Package keys holds the certificates of a gateway's links: mutual TLS 1.3 between names that
-// both ends know. It reads them, reads them again while links are up, and makes a small
-// authority of its own for a trial set-up.
+// Package keys loads the certificates of a gateway's links (mutual TLS 1.3 between configured names), reloads them
+// while links are up, and generates a small certificate authority for trials.
 //
-// A Store may be used by any goroutine; Reload replaces all that it holds at once.
+// A Store may be used by any goroutine; Reload replaces all of its contents at once.
 package keys
 
 import (
@@ -23,43 +22,43 @@
 	"time"
 )
 
-// Warn is how long before its end a certificate is warned of.
-const Warn = 30 * 24 * time.Hour
+// ExpiryWarning is how long before its expiry a warning about a certificate begins.
+const ExpiryWarning = 30 * 24 * time.Hour
 
-// Files names what a gateway's certificates are in, all PEM.
+// Files has the paths of the PEM files of a gateway.
 type Files struct {
-	CA   string // authorities that the peers' certificates must come from
-	Cert string // this gateway's, with what leads to its authority
+	CA   string // authorities that the peers' certificates must be issued by
+	Cert string // certificate of this gateway, with its chain
 	Key  string
 }
 
-type held struct {
+type certificates struct {
 	pool *x509.CertPool
 	cert tls.Certificate
 	leaf *x509.Certificate
 }
 
-// Store is the certificates of one gateway.
+// Store holds the certificates of one gateway.
 type Store struct {
-	files Files
-	now   atomic.Pointer[held]
+	files   Files
+	current atomic.Pointer[certificates]
 }
 
-// Load reads the files. An error names the one that can't be used and says why.
+// Load reads the files. An error names the file that cannot be used and the reason.
 func Load(f Files) (*Store, error) {
 	s := &Store{files: f}
 	return s, s.Reload()
 }
 
-// Reload reads the files again. Where that fails, what was held stays.
+// Reload reads the files again. After an error the earlier certificates stay in use.
 func (s *Store) Reload() error {
 	text, err := os.ReadFile(s.files.CA)
 	if err != nil {
 		return fmt.Errorf("ca: %w", err)
 	}
-	h := &held{pool: x509.NewCertPool()}
+	h := &certificates{pool: x509.NewCertPool()}
 	if !h.pool.AppendCertsFromPEM(text) {
-		return fmt.Errorf("ca: %s: no certificate in it", s.files.CA)
+		return fmt.Errorf("ca: %s: no certificate found", s.files.CA)
 	}
 	if h.cert, err = tls.LoadX509KeyPair(s.files.Cert, s.files.Key); err != nil {
 		return fmt.Errorf("cert: %s: %w", s.files.Cert, err)
@@ -69,23 +68,23 @@
 	}
 	switch now := time.Now(); {
 	case now.After(h.leaf.NotAfter):
-		return fmt.Errorf("cert: %s: it ended on %s", s.files.Cert, h.leaf.NotAfter.UTC().Format(time.DateTime))
+		return fmt.Errorf("cert: %s: expired on %s", s.files.Cert, h.leaf.NotAfter.UTC().Format(time.DateTime))
 	case len(h.leaf.DNSNames) == 0:
-		return fmt.Errorf("cert: %s: it holds no name", s.files.Cert)
+		return fmt.Errorf("cert: %s: certificate has no DNS name", s.files.Cert)
 	}
-	s.now.Store(h)
+	s.current.Store(h)
 	return nil
 }
 
-// Name is the first name that the certificate holds; links know a gateway by it.
-func (s *Store) Name() string { return s.now.Load().leaf.DNSNames[0] }
+// Name returns the first DNS name of the certificate, which identifies the gateway on links.
+func (s *Store) Name() string { return s.current.Load().leaf.DNSNames[0] }
 
-// Until is when the certificate ends.
-func (s *Store) Until() time.Time { return s.now.Load().leaf.NotAfter }
+// NotAfter returns when the certificate expires.
+func (s *Store) NotAfter() time.Time { return s.current.Load().leaf.NotAfter }
 
-// Client is how a peer of the name is dialled. Its certificate must hold that name.
-func (s *Store) Client(peer string) *tls.Config {
-	h := s.now.Load()
+// ClientConfig returns the TLS configuration for dialling the named peer, whose certificate must have that name.
+func (s *Store) ClientConfig(peer string) *tls.Config {
+	h := s.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		ServerName:   peer,
@@ -94,30 +93,30 @@
 	}
 }
 
-// Server is how links are taken: from whoever has a certificate of the authorities. Which of
-// the names may come is for the caller to say.
-func (s *Store) Server() *tls.Config {
-	h := s.now.Load()
+// ServerConfig returns the TLS configuration for accepting links from any peer with a certificate of the authorities.
+// The caller decides which names are allowed.
+func (s *Store) ServerConfig() *tls.Config {
+	h := s.current.Load()
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: h.pool,
 		Certificates: []tls.Certificate{h.cert}, SessionTicketsDisabled: true}
 }
 
-// Make writes an authority and a certificate for each name into a folder: ca.pem and ca.key,
-// NAME.pem and NAME.key. An authority that is there is used again; a certificate that is there
-// is written anew. It is meant for trials: the authority's key lies beside the rest.
-func Make(dir string, names []string, last time.Duration) error {
+// Generate writes an authority and a certificate for each name into a folder: ca.pem and ca.key, NAME.pem and NAME.key.
+// An existing authority is used again; an existing certificate is replaced. It is meant for trials: the authority's key
+// is stored next to the certificates.
+func Generate(dir string, names []string, validity time.Duration) error {
 	if len(names) == 0 {
-		return errors.New("keys: no names")
+		return errors.New("keys: no names given")
 	}
 	for _, n := range names {
 		if n != filepath.Base(n) || n == "." || n == "ca" {
-			return fmt.Errorf("keys: %q is no name", n)
+			return fmt.Errorf("keys: %q is not a valid name", n)
 		}
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	ca, caKey, err := authority(dir, last)
+	ca, caKey, err := authority(dir, validity)
 	if err != nil {
 		return err
 	}
@@ -132,15 +131,15 @@
 			KeyUsage:    x509.KeyUsageDigitalSignature,
 			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		}
-		if err := write(dir, n, template, ca, caKey, key, last); err != nil {
+		if err := write(dir, n, template, ca, caKey, key, validity); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// authority finds or makes the one in a folder.
-func authority(dir string, last time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+// authority loads the authority in a folder, or creates one.
+func authority(dir string, validity time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ca.key"))
 	if errors.Is(err, os.ErrNotExist) {
 		key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -153,10 +152,10 @@
 			BasicConstraintsValid: true,
 			KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
 		}
-		if err := write(dir, "ca", t, t, key, key, 10*last); err != nil {
+		if err := write(dir, "ca", t, t, key, key, 10*validity); err != nil {
 			return nil, nil, err
 		}
-		return authority(dir, last)
+		return authority(dir, validity)
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("keys: the authority in %s: %w", dir, err)
@@ -164,17 +163,17 @@
 	ca, err := x509.ParseCertificate(pair.Certificate[0])
 	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if err != nil || !ok || !ca.IsCA {
-		return nil, nil, fmt.Errorf("keys: %s holds no authority of this command's", dir)
+		return nil, nil, fmt.Errorf("keys: %s has no ECDSA certificate authority", dir)
 	}
 	return ca, key, nil
 }
 
-func write(dir, name string, t, parent *x509.Certificate, signer, key *ecdsa.PrivateKey, last time.Duration) error {
+func write(dir, name string, t, parent *x509.Certificate, signer, key *ecdsa.PrivateKey, validity time.Duration) error {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 100))
 	if err != nil {
 		return err
 	}
-	t.SerialNumber, t.NotBefore, t.NotAfter = serial, time.Now().Add(-time.Minute), time.Now().Add(last)
+	t.SerialNumber, t.NotBefore, t.NotAfter = serial, time.Now().Add(-time.Minute), time.Now().Add(validity)
 	cert, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, signer)
 	if err != nil {
 		return err
@@ -188,7 +187,7 @@
 		name + ".key": {Type: "PRIVATE KEY", Bytes: secret},
 	}
 	for file, block := range blocks {
-		// Whoever reads a file while it is replaced finds the old one or the new.
+		// A reader sees either the old file or the new one.
 		path := filepath.Join(dir, file)
 		if err := os.WriteFile(path+".new", pem.EncodeToMemory(block), 0o600); err != nil {
 			return err
@@ -200,9 +199,8 @@
 	return nil
 }
 
-// Show tells line by line what certificates a file holds and when each ends, with a warning
-// where that is soon.
-func Show(path string) ([]string, error) {
+// Describe returns a line for each certificate in a file, with its names and expiry, and a warning if that is near.
+func Describe(path string) ([]string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -227,13 +225,13 @@
 		switch left := time.Until(c.NotAfter); {
 		case left <= 0:
 			line += ": OVER"
-		case left < Warn:
+		case left < ExpiryWarning:
 			line += fmt.Sprintf(": in %.0f days", left.Hours()/24)
 		}
 		lines = append(lines, line)
 	}
 	if lines == nil {
-		return nil, fmt.Errorf("%s: no certificate in it", path)
+		return nil, fmt.Errorf("%s: no certificate found", path)
 	}
 	return lines, nil
 }
