--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -238,7 +238,7 @@
 		HeadWithin: time.Duration(o.Front.HTTP.HeadWithin), BodyWithin: time.Duration(o.Front.HTTP.BodyWithin),
 		KeepIdle: time.Duration(o.Front.HTTP.KeepIdle)})
 	a.fronts = append(a.fronts, row{frontEnd: front, share: func(part int) {
-		front.Bound(clientSockets(sockets/part), keptSockets(sockets/part))
+		front.SetLimits(clientSockets(sockets/part), keptSockets(sockets/part))
 	}})
 	if web.On() {
 		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.life, Connections: web.Connections, Requests: web.Requests,
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -20,11 +20,11 @@
 		a.core.IDs().StopRecording() // nobody asks for them any more
 	}
 	sockets := a.sockets / part
-	a.transport.Bound(backendSockets(sockets))
+	a.transport.SetMaxConns(backendSockets(sockets))
 	for _, f := range a.fronts {
 		f.share(part)
 	}
-	a.bodies.Bound(a.bodyBytes / int64(part))
+	a.bodies.SetLimit(a.bodyBytes / int64(part))
 	a.log.Info("handover: bounds", "sockets", sockets)
 }
 
--- a/internal/protocol/fcgi/fcgi.go
+++ b/internal/protocol/fcgi/fcgi.go
@@ -1,6 +1,6 @@
-// Package fcgi is the FastCGI 1.0 wire: records, name-value pairs and the bodies of the records that have
-// one. It reads from and appends to what it is given, opens nothing and keeps no time; nothing here is
-// shared between goroutines, a Reader belongs to one.
+// Package fcgi encodes and decodes FastCGI 1.0: records, name-value pairs and record contents. It does no I/O beyond
+// its Reader's source, opens no connections and sets no deadlines. Values are not safe for concurrent use; a Reader
+// belongs to one goroutine.
 //
 // Numbers are big-endian. A record holds at most MaxContent bytes of content and 255 of padding.
 package fcgi
@@ -14,9 +14,9 @@
 )
 
 const (
-	// Version is the only one there is.
+	// Version is the only protocol version.
 	Version = 1
-	// HeaderLen is the length of a record's header, MaxContent the most that a record holds, in bytes.
+	// HeaderLen is the length of a record's header, MaxContent the largest content of a record, in bytes.
 	HeaderLen, MaxContent = 8, 65535
 	// bodyLen is the length of BEGIN_REQUEST's and END_REQUEST's content.
 	bodyLen = 8
@@ -24,10 +24,10 @@
 	KeepConn = 1
 )
 
-// Type is what a record is.
+// Type is a record's type.
 type Type uint8
 
-// The types.
+// The record types, numbered as on the wire.
 const (
 	BeginRequest Type = iota + 1
 	AbortRequest
@@ -42,10 +42,10 @@
 	UnknownType
 )
 
-// Role is what a client wants of an application.
+// Role is the role that BEGIN_REQUEST asks of the application.
 type Role uint16
 
-// The roles.
+// The roles, numbered as on the wire.
 const (
 	Responder Role = iota + 1
 	Authorizer
@@ -55,15 +55,15 @@
 // Status is END_REQUEST's protocol status.
 type Status uint8
 
-// The protocol statuses.
+// The protocol statuses, numbered as on the wire.
 const (
 	Complete    Status = iota // REQUEST_COMPLETE
-	CantMux                   // CANT_MPX_CONN: rejected, one request at a time
+	CantMux                   // CANT_MPX_CONN: rejected, the connection takes one request at a time
 	Overloaded                // OVERLOADED: rejected, no resources
 	UnknownRole               // UNKNOWN_ROLE: rejected
 )
 
-// The names of the values that GET_VALUES may ask for.
+// The variables that GET_VALUES may ask for.
 const (
 	MaxConns = "FCGI_MAX_CONNS"
 	MaxReqs  = "FCGI_MAX_REQS"
@@ -73,21 +73,22 @@
 // Header is a record's header.
 type Header struct {
 	Type    Type
-	ID      uint16 // 0: of the connection, not of a request
-	Length  int    // of the content, 0 to MaxContent
-	Padding int    // behind it, 0 to 255
+	ID      uint16 // 0: about the connection, not a request
+	Length  int    // unread bytes of the content
+	Padding int    // bytes after the content, 0 to 255
 }
 
-// Management tells whether the record is about the connection.
+// Management reports whether the record is about the connection.
 func (h Header) Management() bool { return h.ID == 0 }
 
-// ErrVersion is a record of another version, or no record: nothing behind it can be read.
+// ErrVersion is returned for a header of another version, or for bytes that are no record: nothing after it can be
+// parsed.
 var ErrVersion = errors.New("fcgi: no record of version 1")
 
-// ErrShort is a content that is not as long as its type has it.
+// ErrShort is returned for a content whose length does not fit its type or the buffer.
 var ErrShort = errors.New("fcgi: content of a wrong length")
 
-// ParseHeader reads a header.
+// ParseHeader decodes a header.
 func ParseHeader(raw [HeaderLen]byte) (Header, error) {
 	if raw[0] != Version {
 		return Header{}, ErrVersion
@@ -96,7 +97,7 @@
 		Length: int(binary.BigEndian.Uint16(raw[4:])), Padding: int(raw[6])}, nil
 }
 
-// AppendHeader appends a header; Length and Padding are within their bounds.
+// AppendHeader appends a header. Length and Padding must be within their bounds.
 func AppendHeader(out []byte, h Header) []byte {
 	out = append(out, Version, byte(h.Type))
 	out = binary.BigEndian.AppendUint16(out, h.ID)
@@ -106,14 +107,14 @@
 
 var padding [8]byte
 
-// Append appends a record padded to eight bytes; content is at most MaxContent bytes.
+// Append appends a record padded to a multiple of eight bytes. content must be at most MaxContent bytes.
 func Append(out []byte, t Type, id uint16, content []byte) []byte {
 	pad := -len(content) & 7
 	out = AppendHeader(out, Header{t, id, len(content), pad})
 	return append(append(out, content...), padding[:pad]...)
 }
 
-// AppendStream appends data as records of a stream, none of them empty: an empty one ends the stream.
+// AppendStream appends data as records of a stream. None of them is empty, as an empty record ends the stream.
 func AppendStream(out []byte, t Type, id uint16, data []byte) []byte {
 	for len(data) > 0 {
 		n := min(len(data), MaxContent&^7)
@@ -139,7 +140,7 @@
 	return Append(out, BeginRequest, id, content[:])
 }
 
-// ParseBegin reads BEGIN_REQUEST's content.
+// ParseBegin decodes BEGIN_REQUEST's content.
 func ParseBegin(content []byte) (Begin, error) {
 	if len(content) != bodyLen {
 		return Begin{}, fmt.Errorf("BEGIN_REQUEST: %w", ErrShort)
@@ -149,7 +150,7 @@
 
 // End is END_REQUEST's content.
 type End struct {
-	App    uint32 // the application's status, 0: as an exit status has it
+	App    uint32 // application status, as an exit status: 0 is success
 	Status Status
 }
 
@@ -161,7 +162,7 @@
 	return Append(out, EndRequest, id, content[:])
 }
 
-// ParseEnd reads END_REQUEST's content.
+// ParseEnd decodes END_REQUEST's content.
 func ParseEnd(content []byte) (End, error) {
 	if len(content) != bodyLen {
 		return End{}, fmt.Errorf("END_REQUEST: %w", ErrShort)
@@ -169,7 +170,7 @@
 	return End{App: binary.BigEndian.Uint32(content), Status: Status(content[4])}, nil
 }
 
-// AppendUnknown appends the answer to a management record of a type that is not known.
+// AppendUnknown appends an UNKNOWN_TYPE record, the answer to a management record of unknown type t.
 func AppendUnknown(out []byte, t Type) []byte {
 	return Append(out, UnknownType, 0, []byte{byte(t), 0, 0, 0, 0, 0, 0, 0})
 }
@@ -187,10 +188,10 @@
 	return binary.BigEndian.AppendUint32(out, uint32(n)|1<<31)
 }
 
-// ErrPair is a name-value pair that its stream ends in.
+// ErrPair is returned when the stream ends within a name-value pair.
 var ErrPair = errors.New("fcgi: a name-value pair is cut short")
 
-// NextPair cuts the first name-value pair off data, which it points into. Either length form is taken for
+// NextPair splits the first name-value pair off data; the results alias data. Both length encodings are accepted for
 // any length.
 func NextPair(data []byte) (name, value, rest []byte, err error) {
 	n, data, ok := cutLength(data)
@@ -214,7 +215,7 @@
 	return 0, nil, false
 }
 
-// Reader reads records, one after the other, without holding any: the content is read in pieces.
+// Reader reads records one after the other without buffering their content.
 type Reader struct {
 	r    *bufio.Reader
 	left int // of the content
@@ -222,14 +223,14 @@
 	raw  [HeaderLen]byte
 }
 
-// NewReader reads from r, whose buffer bounds what is held.
+// NewReader returns a Reader from r, whose buffer bounds the memory used.
 func NewReader(r *bufio.Reader) *Reader { return &Reader{r: r} }
 
-// Reset has it read from another, as New does.
+// Reset makes the Reader read from another source, as if new.
 func (r *Reader) Reset(from *bufio.Reader) { *r = Reader{r: from} }
 
-// Next skips what is left of the record at hand and reads the next one's header. The error is io.EOF where
-// the input ends between two records, io.ErrUnexpectedEOF where it ends in one, or ErrVersion.
+// Next skips the rest of the current record and reads the next header. The error is io.EOF if the input ends between
+// two records, io.ErrUnexpectedEOF if it ends within one, or ErrVersion.
 func (r *Reader) Next() (Header, error) {
 	if skip := r.left + r.pad; skip > 0 {
 		n, err := r.r.Discard(skip)
@@ -259,7 +260,7 @@
 	return err
 }
 
-// Read reads from the content of the record at hand; io.EOF is its end.
+// Read reads from the content of the current record; it returns io.EOF at the end of the content.
 func (r *Reader) Read(p []byte) (int, error) {
 	if r.left == 0 {
 		return 0, io.EOF
@@ -269,7 +270,7 @@
 	return n, cutShort(err)
 }
 
-// Content reads a short content whole, into buf; what is longer than buf is an error.
+// Content reads the complete content into buf; it returns ErrShort if the content is longer than buf.
 func (r *Reader) Content(buf []byte) ([]byte, error) {
 	if r.left > len(buf) {
 		return nil, ErrShort
@@ -278,5 +279,5 @@
 	return buf[:n], err
 }
 
-// Buffered is how many bytes have come and were not read, what is left of the record at hand not counted.
+// Buffered returns the number of buffered bytes after the current record.
 func (r *Reader) Buffered() int { return max(r.r.Buffered()-r.left-r.pad, 0) }
--- a/internal/protocol/httpfront/bodies.go
+++ b/internal/protocol/httpfront/bodies.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// namesLength tells whether a head has a Content-Length in any spelling.
-func namesLength(head []byte) bool {
+// hasContentLength tells whether a head has a Content-Length in any spelling.
+func hasContentLength(head []byte) bool {
 	for line := range bytes.Lines(head) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
 		if strings.EqualFold(strings.TrimSpace(string(name)), "Content-Length") {
@@ -191,8 +191,8 @@
 }
 
 func (u *upload) pump(ctx context.Context, pace window.Pace, hr *http.Request, came int64) *problem {
-	buf := parts.Get().(*[]byte)
-	defer parts.Put(buf)
+	buf := chunkBuffers.Get().(*[]byte)
+	defer chunkBuffers.Put(buf)
 	began, last, waited := time.Now(), time.Now(), time.Duration(0)
 	for {
 		// What it waits for a server is not its client's time.
@@ -236,12 +236,12 @@
 	return nil
 }
 
-// parts are what goes through at once.
-var parts = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
+// chunkBuffers are what goes through at once.
+var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// pass passes on an answer as it comes. One that breaks ends its connection with a reset, so that the
+// streamAnswer passes on an answer as it comes. One that breaks ends its connection with a reset, so that the
 // client can tell, whatever framing it has.
-func (a *Front) pass(w http.ResponseWriter, hr *http.Request, ans core.Answer) {
+func (a *Front) streamAnswer(w http.ResponseWriter, hr *http.Request, ans core.Answer) {
 	rest := ans.Stream
 	defer rest.Leave()
 	control := http.NewResponseController(w)
@@ -269,8 +269,8 @@
 	if _, err := w.Write(ans.Body); err != nil {
 		abort()
 	}
-	buf := parts.Get().(*[]byte)
-	defer parts.Put(buf)
+	buf := chunkBuffers.Get().(*[]byte)
+	defer chunkBuffers.Put(buf)
 	for {
 		if !rest.Waiting() { // nothing that is here is held back
 			if err := control.Flush(); err != nil {
--- a/internal/protocol/httpfront/bodies_test.go
+++ b/internal/protocol/httpfront/bodies_test.go
@@ -224,7 +224,7 @@
 			t.Fatal("made up")
 		}
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(strings.ReplaceAll(raw, "chunked", "identity"))))
-		if seen && err == nil && r.Method == "POST" && r.RequestURI == "/x" && r.Header.Get("Content-Length") != "" && !namesLength(head) {
+		if seen && err == nil && r.Method == "POST" && r.RequestURI == "/x" && r.Header.Get("Content-Length") != "" && !hasContentLength(head) {
 			t.Fatalf("%q: a length is not seen", raw)
 		}
 	})
--- a/internal/protocol/httpfront/front.go
+++ b/internal/protocol/httpfront/front.go
@@ -88,9 +88,9 @@
 	return a
 }
 
-// Bound sets what New was told of places and connections kept. Connections over it are not closed, but
+// SetLimits sets what New was told of places and connections kept. Connections over it are not closed, but
 // no place is found for others before they are fewer.
-func (a *Front) Bound(places, kept int) { a.places.bound(places, kept) }
+func (a *Front) SetLimits(places, kept int) { a.places.bound(places, kept) }
 
 // Turn has requests that are read from now on read by another version of the settings.
 func (a *Front) Turn(v View) { a.view.Store(&v) }
@@ -108,7 +108,7 @@
 			failed <- a.server.Serve(&listener{Listener: ln, places: a.places, life: a.life, heads: a.opt.Streams, end: ctx.Done()})
 		}()
 	}
-	go a.tend(ctx)
+	go a.closeIdleWhileLeaving(ctx)
 	go sockets.Wake(ctx, a.life, listeners)
 	select {
 	case err := <-failed:
@@ -117,7 +117,7 @@
 		}
 	case <-ctx.Done():
 	}
-	return a.leave(listeners)
+	return a.shutdown(listeners)
 }
 
 // Taken is how many requests are taken and not yet answered.
@@ -129,11 +129,11 @@
 // Close ends all connections at once.
 func (a *Front) Close() error { return a.server.Close() }
 
-// leave ends the agent in order: clients go on coming for a while after the signal,
+// shutdown ends the agent in order: clients go on coming for a while after the signal,
 // so idle connections are closed first, while what crosses that can still come on a
 // new one; then the listener; then all that is held is answered. Connections that are
 // silent or hold half a request are not waited for.
-func (a *Front) leave(listeners []net.Listener) error {
+func (a *Front) shutdown(listeners []net.Listener) error {
 	a.life.End()
 	// From now on each answer ends its connection; the server's own way to that closes idle
 	// connections without a look at what is just being read from them.
@@ -161,12 +161,12 @@
 
 const (
 	// sendEvery is how often, while clients are sent away, their idle connections are looked
-	// through; quietFor is how long a connection may say nothing then.
-	sendEvery, quietFor = 10 * time.Millisecond, time.Second
+	// through; leaveIdleTimeout is how long a connection may say nothing then.
+	leaveInterval, leaveIdleTimeout = 10 * time.Millisecond, time.Second
 )
 
-// tend closes what clients leave idle while they are sent away.
-func (a *Front) tend(ctx context.Context) {
+// closeIdleWhileLeaving closes what clients leave idle while they are sent away.
+func (a *Front) closeIdleWhileLeaving(ctx context.Context) {
 	for {
 		changed := a.life.Changed()
 		if !a.life.Leaving() {
@@ -178,8 +178,8 @@
 			}
 		}
 		a.places.closeIdleWhile(a.life.Leaving)
-		a.places.closeSilent(time.Now().Add(-quietFor))
-		next := time.NewTimer(sendEvery)
+		a.places.closeSilent(time.Now().Add(-leaveIdleTimeout))
+		next := time.NewTimer(leaveInterval)
 		select {
 		case <-next.C:
 		case <-ctx.Done():
@@ -323,7 +323,7 @@
 	switch ans.Outcome {
 	case core.Served:
 		if ans.Stream != nil {
-			a.pass(w, hr, ans)
+			a.streamAnswer(w, hr, ans)
 			return
 		}
 		length := int64(len(ans.Body))
--- a/internal/protocol/httpfront/places.go
+++ b/internal/protocol/httpfront/places.go
@@ -90,7 +90,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	head, seen := headOf(c.raw, hr.Method, hr.RequestURI)
-	return seen && !namesLength(head)
+	return seen && !hasContentLength(head)
 }
 
 // forget drops the bytes of a request that is answered.
--- a/internal/protocol/roster/roster.go
+++ b/internal/protocol/roster/roster.go
@@ -177,7 +177,7 @@
 	err := d.eagerly(eager, func() error {
 		ctx, cancel := context.WithTimeout(d.ctx, timeout)
 		defer cancel()
-		body, err := d.get(sockets.For(ctx, "fetch"), endpoints)
+		body, err := d.get(sockets.WithPurpose(ctx, "fetch"), endpoints)
 		if err != nil {
 			return err
 		}
@@ -214,7 +214,7 @@
 	}
 	dead := time.AfterFunc(first, cancel)
 	defer dead.Stop()
-	body, err := d.get(sockets.For(ctx, "watch"), endpoints+"?follow=1&since="+strconv.FormatInt(since, 10))
+	body, err := d.get(sockets.WithPurpose(ctx, "watch"), endpoints+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
 		return false, err
 	}
--- a/internal/protocol/sockets/listen_test.go
+++ b/internal/protocol/sockets/listen_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// refusal is the error that net.Listen or Accept gives for a number.
+// refusal returns the error that net.Listen or Accept returns for an errno.
 func refusal(call string, number syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, number)}
 }
 
-// scriptedListener fails as its script says, then gives connections in memory until it is closed.
+// scriptedListener returns the scripted errors, then in-memory connections.
 type scriptedListener struct {
 	net.Listener
 	failures []error
@@ -91,7 +91,7 @@
 	})
 }
 
-// A listener on loopback gives its address, accepts, and ends its Accept when it is closed.
+// A listener on loopback reports its address, accepts, and ends its Accept when it is closed.
 func TestListen(t *testing.T) {
 	l, err := Listen(t.Context(), "127.0.0.1:0", 0)
 	if err != nil {
--- a/internal/protocol/sockets/sockets.go
+++ b/internal/protocol/sockets/sockets.go
@@ -1,4 +1,5 @@
-// Package sockets asks of connections what the standard library does not tell.
+// Package sockets provides socket operations that the standard library lacks: listening with retries, socket options,
+// looking for unread bytes, and listeners that accept only at times. Its functions may be called from any goroutine.
 package sockets
 
 import (
@@ -12,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Shared is a net.ListenConfig's Control: another process of the same user may listen at the same
-// address.
+// Shared is a Control function for net.ListenConfig that sets SO_REUSEPORT, so that another process of the same user
+// may listen on the same address.
 func Shared(_, _ string, raw syscall.RawConn) error {
 	var bad error
 	err := raw.Control(func(fd uintptr) { bad = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
@@ -22,24 +23,24 @@
 
 type purposeKey struct{}
 
-// For notes in the context of a dial what the connection is opened for, such as a
-// request's id; whoever dials may log or trace it.
-func For(ctx context.Context, what string) context.Context {
+// WithPurpose returns a context for a dial that carries what the connection is opened for, such as a request id, for
+// logs and traces.
+func WithPurpose(ctx context.Context, what string) context.Context {
 	return context.WithValue(ctx, purposeKey{}, what)
 }
 
-// Purpose is what For has noted; empty: nothing.
+// Purpose returns the purpose set by WithPurpose, or an empty string.
 func Purpose(ctx context.Context) string {
 	what, _ := ctx.Value(purposeKey{}).(string)
 	return what
 }
 
-// Peeker is a connection that can tell itself what waits unread on it, such as one that
-// is no socket. Pending is -1 at its end, 0 where nothing waits, 1 where bytes do.
+// Peeker is a connection that reports itself whether it has unread bytes, such as one that is not a socket. Pending
+// returns -1 at its end, 0 if nothing can be read, 1 if bytes can.
 type Peeker interface{ Pending() int }
 
-// Pending looks what waits unread on a connection, without waiting: -1 its end, 0 nothing,
-// 1 bytes. Of a connection that is neither a socket nor a Peeker it knows nothing: 0.
+// Pending reports without blocking what can be read from a connection: -1 its end or an error, 0 nothing, 1 bytes. It
+// returns 0 for a connection that is neither a socket nor a Peeker.
 func Pending(c net.Conn) int {
 	if p, ok := c.(Peeker); ok {
 		return p.Pending()
@@ -53,7 +54,7 @@
 		return -1
 	}
 	found := -1
-	// Control, as Read would wait for the one that reads from the connection.
+	// Control, as the raw connection's Read would wait for a concurrent reader
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -70,18 +71,17 @@
 	return found
 }
 
-// Life tells whether a process is to accept connections; a lifecycle.Machine is one.
-type Life interface {
+// AcceptState states whether a process is to accept connections; lifecycle.Machine implements it.
+type AcceptState interface {
 	Accepts() bool
 	Changed() <-chan struct{}
 }
 
-// timed is a listener that can be woken from its Accept.
-type timed interface{ SetDeadline(time.Time) error }
+// deadlineSetter is a listener whose Accept can be woken by a deadline.
+type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// Accept accepts a connection while that is for this process to do, and returns net.ErrClosed once end is
-// closed while it is not.
-func Accept(ln net.Listener, life Life, end <-chan struct{}) (net.Conn, error) {
+// Accept accepts a connection while life allows it, and returns net.ErrClosed if end is closed while life does not.
+func Accept(ln net.Listener, life AcceptState, end <-chan struct{}) (net.Conn, error) {
 	for {
 		changed := life.Changed()
 		if !life.Accepts() {
@@ -96,17 +96,16 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return c, err
 		}
-		_ = ln.(timed).SetDeadline(time.Time{}) // woken, and waits above if that still holds
+		_ = ln.(deadlineSetter).SetDeadline(time.Time{}) // woken by Wake: check life again
 	}
 }
 
-// Wake has those who wait in Accept look whether they are to accept, whenever that has changed, until the
-// context ends.
-func Wake(ctx context.Context, life Life, listeners []net.Listener) {
+// Wake interrupts blocked Accept calls whenever life changes to not accepting, until the context ends.
+func Wake(ctx context.Context, life AcceptState, listeners []net.Listener) {
 	for {
 		changed := life.Changed()
 		for _, ln := range listeners {
-			if t, able := ln.(timed); able && !life.Accepts() {
+			if t, able := ln.(deadlineSetter); able && !life.Accepts() {
 				_ = t.SetDeadline(time.Unix(1, 0))
 			}
 		}
@@ -118,8 +117,8 @@
 	}
 }
 
-// UserTimeout is a net.Dialer's Control: a connection on which bytes sent go unanswered by the other machine for
-// the time given breaks, where it would hang for minutes at a machine that says nothing.
+// UserTimeout returns a Control function for net.Dialer that sets TCP_USER_TIMEOUT: a connection whose sent bytes stay
+// unacknowledged for that long breaks, where it would hang for minutes on a machine that does not respond.
 func UserTimeout(after time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var bad error
--- a/internal/protocol/transport/ages.go
+++ b/internal/protocol/transport/ages.go
@@ -6,71 +6,69 @@
 )
 
 const (
-	// youngest is the age up to which a connection's end under a request says nothing of
-	// its age; ageSteps are the steps above it, each by a factor of √2.
-	youngest, ageSteps = 64 * time.Millisecond, 24
-	// ageMemory is after how long what was seen counts half: what then is too little to
-	// go by is tried anew.
-	ageMemory = 10 * time.Second
-	// A step is left out that ended leastEnds of its reuses and clearly more of them than
-	// young connections do.
-	leastEnds, endFactor, endShare = 3, 3, 0.1
+	// minAge is the idle time below which a broken connection is not attributed to its age; ageBuckets is the number
+	// of buckets above it, each wider than the last by a factor of √2.
+	minAge, ageBuckets = 64 * time.Millisecond, 24
+	// ageHalfLife is the half-life of the counts: once a bucket has decayed below minBreaks, its ages are used again.
+	ageHalfLife = 10 * time.Second
+	// An age is avoided if at least minBreaks of its reuses broke, and a clearly larger share than among young
+	// connections.
+	minBreaks, breakFactor, breakRatio = 3, 3, 0.1
 )
 
-// ages learns how long connections may stand idle. A backend, or what stands between,
-// may drop them long before the time in the settings without a word; the next request
-// then ends as a reset, and may have run. The pool's lock guards it.
-type ages struct {
-	young step
-	steps [ageSteps]step
-	at    time.Time
+// ageStats learns how long connections may stay idle. A backend or a middlebox may drop them silently, long before the
+// configured idle time; the next request then ends in a reset and may have been executed. The pool's lock guards it.
+type ageStats struct {
+	young   ageBucket
+	buckets [ageBuckets]ageBucket
+	at      time.Time
 }
 
-// step counts the reuses of connections of about one age, and those that broke before
-// the first byte of an answer.
-type step struct{ uses, ends float64 }
+// ageBucket counts the reuses of connections of about one idle time, and how many of them broke before the first byte
+// of an answer.
+type ageBucket struct{ uses, breaks float64 }
 
-func stepOf(age time.Duration) int {
-	return min(int(2*math.Log2(float64(age)/float64(youngest))), ageSteps-1)
+func bucketOf(age time.Duration) int {
+	return min(int(2*math.Log2(float64(age)/float64(minAge))), ageBuckets-1)
 }
 
-// learn notes how the reuse of a connection went that had stood idle for age.
-func (s *ages) learn(age time.Duration, broke bool, now time.Time) {
+// observe records whether a connection broke when it was reused after being idle for age.
+func (s *ageStats) observe(age time.Duration, broke bool, now time.Time) {
 	if s.at.IsZero() {
 		s.at = now
 	}
-	if gone := now.Sub(s.at); gone > ageMemory/10 {
-		keep := math.Exp2(-float64(gone) / float64(ageMemory))
-		s.young.fade(keep)
-		for i := range s.steps {
-			s.steps[i].fade(keep)
+	if gone := now.Sub(s.at); gone > ageHalfLife/10 {
+		keep := math.Exp2(-float64(gone) / float64(ageHalfLife))
+		s.young.decay(keep)
+		for i := range s.buckets {
+			s.buckets[i].decay(keep)
 		}
 		s.at = now
 	}
 	st := &s.young
-	if age >= youngest {
-		st = &s.steps[stepOf(age)]
+	if age >= minAge {
+		st = &s.buckets[bucketOf(age)]
 	}
 	st.uses++
 	if broke {
-		st.ends++
+		st.breaks++
 	}
 }
 
-func (s *step) fade(keep float64) {
+func (s *ageBucket) decay(keep float64) {
 	s.uses *= keep
-	s.ends *= keep
+	s.breaks *= keep
 }
 
-// limit is how long a connection may stand idle to be used again, at most most.
-func (s *ages) limit(most time.Duration) time.Duration {
+// idleLimit returns how long a connection may be idle and still be reused; it is at most most.
+func (s *ageStats) idleLimit(most time.Duration) time.Duration {
 	usual := 0.0
 	if s.young.uses > 0 {
-		usual = s.young.ends / s.young.uses
+		usual = s.young.breaks / s.young.uses
 	}
-	for i, st := range s.steps {
-		if st.ends >= leastEnds && st.ends > st.uses*(endFactor*usual+endShare) {
-			return min(most, time.Duration(float64(youngest)*math.Exp2(float64(i)/2)))
+	for i, st := range s.buckets {
+		if st.breaks >= minBreaks && st.breaks > st.uses*(breakFactor*usual+breakRatio) {
+			return min(most, time.Duration(float64(minAge)*math.Exp2(float64(i)/2)))
 		}
 	}
 	return most
--- a/internal/protocol/transport/answer.go
+++ b/internal/protocol/transport/answer.go
@@ -11,26 +11,26 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// silentFor is how long a server may send nothing of an answer that is passed on.
-const silentFor = 5 * time.Second
+// answerReadTimeout bounds the time between two reads of an answer that is streamed.
+const answerReadTimeout = 5 * time.Second
 
-// windows are what goes through at once of a long body or answer.
-var windows = sync.Pool{New: func() any { b := make([]byte, window.Size/2); return &b }}
+// chunkBuffers holds the buffers through which long bodies and answers are copied.
+var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, window.Size/2); return &b }}
 
-// arriving is an answer whose head has come, whatever protocol brings it.
-type arriving struct {
-	a      *core.Attempt
-	c      *conn
-	body   io.Reader // io.EOF: it has come whole
-	length int64     // as it was told; -1: it was not
-	kind   string    // its Content-Type
-	budget *window.Budget
-	timed  bool // the connection has a deadline for reads
+// incomingAnswer is an answer whose header has been received, over either protocol.
+type incomingAnswer struct {
+	a           *core.Attempt
+	c           *conn
+	body        io.Reader // io.EOF once the body is complete
+	length      int64     // declared length in bytes; -1: unknown
+	contentType string
+	budget      *window.Budget
+	deadlineSet bool // a read deadline was set on the connection
 }
 
-// receive reads the body of an answer: a short one whole; any other is passed on as it comes, from the
-// moment on that window.Hold gives it up, and passed is true.
-func (x *arriving) receive() (body []byte, passed bool, err error) {
+// receive reads the body of an answer. A short body is read completely and returned; any other is streamed as soon as
+// window.Hold no longer keeps it, and passed is true.
+func (x *incomingAnswer) receive() (body []byte, passed bool, err error) {
 	length := x.length
 	if !x.a.CanStream() && length > maxBody {
 		return nil, false, errTooLong
@@ -39,15 +39,15 @@
 		body, err = readBody(x.body, length)
 		return body, false, err
 	}
-	var mu sync.Mutex // guards what follows, up to the moment it is passed on
+	var mu sync.Mutex // guards held, pipe and ended until streaming begins
 	var held []byte
 	var pipe *window.Pipe
 	ended := false
 	begin := func() { // with mu held
 		if pipe == nil {
 			pipe = window.New(x.budget)
-			pipe.OnLeave(func() { x.a.Cancel(core.ErrCancelled) }) // its client has gone, and the server may be silent
-			x.a.StartStream(core.Result{Body: held, Stream: pipe, Length: length, ContentType: x.kind})
+			pipe.OnLeave(func() { x.a.Cancel(core.ErrCancelled) }) // the client has gone; the server may send nothing that would show it
+			x.a.StartStream(core.Result{Body: held, Stream: pipe, Length: length, ContentType: x.contentType})
 		}
 	}
 	timer := time.AfterFunc(window.HoldFor, func() {
@@ -59,12 +59,12 @@
 	})
 	defer timer.Stop()
 	came := time.Now()
-	buf := windows.Get().(*[]byte)
-	defer windows.Put(buf)
+	buf := chunkBuffers.Get().(*[]byte)
+	defer chunkBuffers.Put(buf)
 	ctx, total := x.a.Context(), 0
 	for {
-		x.timed = true
-		n, err := x.c.within(ctx, time.Now().Add(silentFor), x.body, *buf)
+		x.deadlineSet = true
+		n, err := x.c.within(ctx, time.Now().Add(answerReadTimeout), x.body, *buf)
 		total += n
 		if total > window.Most {
 			err = errTooLong
@@ -88,7 +88,7 @@
 		}
 		if n > 0 {
 			if left := now.Write(ctx, (*buf)[:n]); left != nil {
-				x.a.Cancel(core.ErrCancelled) // its client has gone
+				x.a.Cancel(core.ErrCancelled) // the client has gone
 				now.End(left)
 				return nil, true, left
 			}
@@ -103,16 +103,16 @@
 	}
 }
 
-// within reads what comes until the time given, or the context ends.
+// within reads once from r, with the given deadline or until the context ends.
 func (c *conn) within(ctx context.Context, until time.Time, r io.Reader, buf []byte) (int, error) {
 	_ = c.SetReadDeadline(until)
-	if ctx.Err() != nil { // its end has set the deadline, perhaps before this
+	if ctx.Err() != nil { // the context's end sets the deadline too, perhaps before this call did
 		return 0, context.Cause(ctx)
 	}
 	return r.Read(buf)
 }
 
-// readBody reads a body whole; a length below 0 is not known.
+// readBody reads a complete body; a negative length is unknown.
 func readBody(r io.Reader, length int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
--- a/internal/protocol/transport/attempt.go
+++ b/internal/protocol/transport/attempt.go
@@ -19,8 +19,8 @@
 
 const (
 	maxBody       = core.MaxBody
-	maxAnswerHead = 16 << 10 // of an answer, with the 1xx answers ahead of it
-	maxInterim    = 8        // 1xx answers ahead of an answer
+	maxAnswerHead = 16 << 10 // bytes of an answer's header, including preceding 1xx answers
+	maxInterim    = 8        // 1xx answers before the final one
 )
 
 var (
@@ -28,15 +28,14 @@
 	errUnsendable = errors.New("request: it can't be sent over HTTP as it is")
 )
 
-// buffers hold requests on their way out; one that a large body made larger than maxKept
-// bytes is not kept.
+// buffers holds encoded requests. A buffer that grew beyond maxPooledBuffer bytes for a large body is not returned to
+// the pool.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
-const maxKept = 8 << 10
+const maxPooledBuffer = 8 << 10
 
-// carry sends an attempt on the connection that was taken for it, or a new one, and waits
-// for its end. When it returns, the connection is closed or free for the next, and no
-// further byte of the attempt goes out.
+// carry sends an attempt on the given connection, or on a new one, and waits for its result. When it returns, the
+// connection is closed or idle in the pool, and no further byte of the attempt is written.
 func (e *endpoint) carry(a *core.Attempt, c *conn) core.Result {
 	c, err := e.ready(a.Context(), a.Request.ID, c)
 	if err != nil {
@@ -45,24 +44,25 @@
 	x := exchange{a: a, c: c, e: e}
 	res, err := x.roundTrip()
 	if err != nil {
-		return a.FailedResult(err, x.cut)
+		return a.FailedResult(err, x.incomplete)
 	}
 	return res
 }
 
-// exchange is an attempt on its connection.
+// exchange is one attempt on its connection.
 type exchange struct {
-	a   *core.Attempt
-	c   *conn
-	e   *endpoint
-	cut bool // a write failed: the request did not go out whole
+	a          *core.Attempt
+	c          *conn
+	e          *endpoint
+	incomplete bool // a write failed before the server could have received the complete request
 
-	timed  bool // the connection has a deadline for reads
-	noted  bool // the server has written what is no part of its answer
-	passed int  // bytes of that
+	deadlineSet  bool // a read deadline was set on the connection
+	stderrSeen   bool // the server wrote to STDERR while the body was sent
+	skippedBytes int  // bytes of records skipped while the body was sent
 }
 
-// roundTrip returns an error where no whole answer came; then the connection is closed.
+// roundTrip sends the request and reads its answer. It returns an error and closes the connection if no complete
+// answer was received.
 func (x *exchange) roundTrip() (res core.Result, err error) {
 	a, c, ctx := x.a, x.c, x.a.Context()
 	keep := false
@@ -73,7 +73,7 @@
 			c.Close()
 		}
 	}()
-	left, timely := a.ServerTimeout(x.e.back())
+	left, timely := a.ServerTimeout(x.e.returnTime())
 	if !timely {
 		keep = true // nothing was written
 		return res, errWithdrawn
@@ -81,19 +81,19 @@
 	end := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
 		if !end() {
-			keep = false // its deadline is set, or is about to be
+			keep = false // the connection's deadline was set, or is about to be
 		}
 	}()
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
 	if a.Request.Message.Stream != nil {
-		left = min(left, a.Request.TimeAfterBody) // it is told of what follows its begin
+		left = min(left, a.Request.TimeAfterBody) // the server is told the time that remains after the body
 	}
 	out, begins, err := x.e.wire.request((*buf)[:0], a, left)
 	if err != nil {
 		return res, err
 	}
-	if cap(out) <= maxKept {
+	if cap(out) <= maxPooledBuffer {
 		*buf = out
 	}
 	if !a.Begin() {
@@ -101,10 +101,10 @@
 	}
 	c.left = maxAnswerHead
 	if n, err := c.Write(out); err != nil {
-		x.e.pool.used(c, ctx.Err() == nil)
-		x.cut = a.Request.Message.Stream != nil || n < len(out) // the last byte can no longer follow
+		x.e.pool.recordUse(c, ctx.Err() == nil)
+		x.incomplete = a.Request.Message.Stream != nil || n < len(out) // the last byte can no longer be sent
 		if begins >= 0 {
-			x.cut = n < begins
+			x.incomplete = n < begins
 		}
 		return res, err
 	}
@@ -116,108 +116,109 @@
 	}()
 	early := false
 	if a.Request.Message.Stream != nil {
-		x.cut = begins < 0 // until the last byte has been written
-		l := x.listen(r)
-		left, err := x.sendRest(l.ctx)
+		x.incomplete = begins < 0 // until the last byte has been written
+		l := x.watchAnswer(r)
+		left, err := x.sendBody(l.ctx)
 		switch {
 		case err == nil:
-			x.cut = false
+			x.incomplete = false
 			a.BodyComplete()
 			if l.wait() && ctx.Err() == nil {
-				_ = c.SetWriteDeadline(time.Time{}) // the next request's
+				_ = c.SetWriteDeadline(time.Time{}) // the next request needs none
 			}
 		case left:
 			_ = c.SetReadDeadline(time.Unix(1, 0))
 			l.wait()
-			return core.Result{Status: policy.Abandoned}, nil // its client broke off: no server is to blame
+			return core.Result{Status: policy.Abandoned}, nil // the client broke off: not a server fault
 		case !l.wait():
 			return res, err
 		default:
-			early, x.cut = true, false // whoever has answered may have begun
+			early, x.incomplete = true, false // a server that has answered may have started the request
 		}
 	}
 	res, keep, err = x.e.wire.answer(x, r)
 	if early {
-		keep = false // the rest of the body is still owed
+		keep = false // the rest of the body was not sent
 		if err == nil && res.Status == policy.Error {
-			res.Status = policy.Cancelled // it wants no such body, which says nothing of its health
+			res.Status = policy.Cancelled // the server rejected the body, which is no sign of poor health
 		}
 	}
-	if ctx.Err() == nil { // else it was given up, which says nothing of its age
-		x.e.pool.used(c, err != nil && c.left == maxAnswerHead)
+	if ctx.Err() == nil { // an attempt that was cancelled says nothing about the connection's age
+		x.e.pool.recordUse(c, err != nil && c.left == maxAnswerHead)
 	}
-	// Bytes behind the answer belong to nothing that was asked for.
+	// Bytes after the answer belong to no request: the connection is not reused.
 	keep = keep && err == nil && r.Buffered() == 0
-	if keep && x.timed {
+	if keep && x.deadlineSet {
 		_ = c.SetReadDeadline(time.Time{})
 	}
 	return res, err
 }
 
-// wire is a protocol, as an exchange has it.
-type wire interface {
-	// request appends the request with what is at hand of its body: all of it, unless there is a Rest. left is
-	// what the server is told that the agent waits. begins is how many bytes of it have to go out for the server
-	// to begin; below 0: the last of the whole request. An error: a part of it can't be sent as it is, as a front
-	// end of another protocol may take what this one has no room for.
+// protocol encodes requests and reads answers for an exchange.
+type protocol interface {
+	// request appends the request and the part of its body in Body, which is the complete body unless Message.Stream
+	// is set. left is the time-out that the server is told. begins is the number of bytes after which the server may
+	// start the request; negative: only after the last byte of the complete request. It returns an error if a field
+	// can't be expressed in this protocol, as a front end of another protocol may have accepted it.
 	request(out []byte, a *core.Attempt, left time.Duration) (all []byte, begins int, err error)
-	// piece frames n bytes of the Rest that stand in buf behind before bytes, with after behind them.
+	// piece frames n bytes of the body's stream, which start at buf[frameHeadRoom], and returns the framed slice of
+	// buf. frameHeadRoom bytes before and frameTailRoom bytes after them are free for the frame.
 	piece(m *core.Message, buf []byte, n int) []byte
-	// last is what follows the Rest.
+	// last returns the bytes that end the body's stream; nil: none.
 	last(m *core.Message) []byte
-	// begun waits until an answer has begun to come, past what is none yet; false: none can come any more.
+	// begun waits until an answer begins, skipping anything that precedes it; false: the connection can bring none.
 	begun(x *exchange, r *bufio.Reader) bool
-	// answer reads the answer, and reports whether the connection can be used again. Of an answer that is
-	// spoilt in any way nothing is believed: it may have run.
+	// answer reads the answer and reports whether the connection can be reused. Nothing in a malformed answer is
+	// trusted: the request may have been executed.
 	answer(x *exchange, r *bufio.Reader) (res core.Result, keep bool, err error)
 }
 
-// listener hears a server that answers before it has all of a body.
-type listener struct {
-	ctx   context.Context // ends when the answer begins, or can't any more
-	spoke bool            // it has begun; set before done is closed
+// answerWatch detects that a server answers before it has received the complete body.
+type answerWatch struct {
+	ctx   context.Context // ends when the answer begins, or the connection can bring none
+	begun bool            // the answer has begun; set before done is closed
 	done  chan struct{}
 }
 
-// listen waits for the answer in a goroutine that has the reader until wait returns.
-func (x *exchange) listen(r *bufio.Reader) *listener {
-	l := &listener{done: make(chan struct{})}
+// watchAnswer waits for the answer in a goroutine, which owns the reader until wait returns.
+func (x *exchange) watchAnswer(r *bufio.Reader) *answerWatch {
+	l := &answerWatch{done: make(chan struct{})}
 	ctx, stop := context.WithCancel(x.a.Context())
 	l.ctx = ctx
 	go func() {
 		defer close(l.done)
 		defer stop()
-		if l.spoke = x.e.wire.begun(x, r); l.spoke {
-			_ = x.c.SetWriteDeadline(time.Unix(1, 0)) // a server that has answered may read no more
+		if l.begun = x.e.wire.begun(x, r); l.begun {
+			_ = x.c.SetWriteDeadline(time.Unix(1, 0)) // unblocks the writer: a server that has answered may stop reading
 		}
 	}()
 	return l
 }
 
-// wait returns when the answer begins, or can't any more, and tells which.
-func (l *listener) wait() bool {
+// wait blocks until the answer begins or can no longer come, and reports whether it has begun.
+func (l *answerWatch) wait() bool {
 	<-l.done
-	return l.spoke
+	return l.begun
 }
 
-// before and after are the room for the frame of a piece.
-const before, after = 16, 8
+// frameHeadRoom and frameTailRoom are the bytes reserved around a piece for its frame.
+const frameHeadRoom, frameTailRoom = 16, 8
 
-// sendRest sends what comes of a body after its first part, until the context ends; left says that it was the
-// client that did not send all of it.
-func (x *exchange) sendRest(ctx context.Context) (left bool, err error) {
+// sendBody sends the body's stream that follows Message.Body, until the context ends. left reports that the client did
+// not send the complete body.
+func (x *exchange) sendBody(ctx context.Context) (left bool, err error) {
 	m := &x.a.Request.Message
-	buf := windows.Get().(*[]byte)
-	defer windows.Put(buf)
+	buf := chunkBuffers.Get().(*[]byte)
+	defer chunkBuffers.Put(buf)
 	for sent := int64(len(m.Body)); ; {
-		n, err := m.Stream.Read(ctx, (*buf)[before:len(*buf)-after])
+		n, err := m.Stream.Read(ctx, (*buf)[frameHeadRoom:len(*buf)-frameTailRoom])
 		if n > 0 {
 			sent += int64(n)
 			if _, err := x.c.Write(x.e.wire.piece(m, *buf, n)); err != nil {
 				return false, err
 			}
 			if err == nil && sent == m.Length && x.e.wire.last(m) == nil {
-				return false, nil // all of it is out: an answer that comes now is none too early
+				return false, nil // the body is complete: an answer that begins now is not early
 			}
 		}
 		switch {
@@ -233,21 +234,21 @@
 	}
 }
 
-// overHTTP is HTTP/1.1.
+// overHTTP implements HTTP/1.1.
 type overHTTP struct{}
 
 func (overHTTP) piece(m *core.Message, buf []byte, n int) []byte {
-	part := buf[before : before+n]
+	part := buf[frameHeadRoom : frameHeadRoom+n]
 	if m.Length >= 0 {
 		return part
 	}
-	head := append(strconv.AppendInt(buf[:0:before], int64(n), 16), "\r\n"...)
-	copy(buf[before-len(head):], head)
-	return append(buf[before-len(head):before+n], "\r\n"...)
+	head := append(strconv.AppendInt(buf[:0:frameHeadRoom], int64(n), 16), "\r\n"...)
+	copy(buf[frameHeadRoom-len(head):], head)
+	return append(buf[frameHeadRoom-len(head):frameHeadRoom+n], "\r\n"...)
 }
 
 func (overHTTP) begun(x *exchange, r *bufio.Reader) bool {
-	const status = len("HTTP/1.1 1") // an interim answer's first bytes
+	const status = len("HTTP/1.1 1") // length of the first bytes of a 1xx answer
 	for range maxInterim {
 		head, err := r.Peek(status)
 		if err != nil || !bytes.HasPrefix(head, []byte("HTTP/1.")) || head[status-1] != '1' {
@@ -284,7 +285,7 @@
 	}
 	length, most := resp.ContentLength, int64(maxBody)
 	if resp.StatusCode == http.StatusOK {
-		most = window.Most // it may be passed on; any other is held
+		most = window.Most // a 200 may be streamed; any other answer is read completely
 	}
 	switch {
 	case asked.Method == http.MethodHead:
@@ -292,18 +293,18 @@
 	case length > most:
 		return res, false, errTooLong
 	case length < 0:
-		c.left += window.Most + maxAnswerHead // and the frames of the chunks
+		c.left += window.Most + maxAnswerHead // with the chunk framing
 	default:
 		c.left += int(length)
 	}
 	var body []byte
 	switch {
-	case asked.Method == http.MethodHead: // the length is of what is not sent
+	case asked.Method == http.MethodHead: // the length describes a body that is not sent
 	case resp.StatusCode == http.StatusOK:
 		var passed bool
-		in := arriving{a: x.a, c: c, body: resp.Body, length: length, kind: resp.Header.Get("Content-Type"), budget: x.e.pool.opt.Budget}
+		in := incomingAnswer{a: x.a, c: c, body: resp.Body, length: length, contentType: resp.Header.Get("Content-Type"), budget: x.e.pool.opt.Budget}
 		body, passed, err = in.receive()
-		x.timed = in.timed
+		x.deadlineSet = in.deadlineSet
 		if passed {
 			return core.Result{Status: policy.OK, Load: resp.Header.Get("Server-Load")}, err == nil && !resp.Close, err
 		}
@@ -321,7 +322,7 @@
 		resp.Header.Get("Not-Started") == "1":
 		res.Status = policy.Full
 	default:
-		res.Status = policy.Error // it may have run
+		res.Status = policy.Error // it may have been executed
 	}
 	return res, !resp.Close, nil
 }
@@ -370,8 +371,8 @@
 	return append(out, m.Body...), -1, nil
 }
 
-// printable tells whether a text holds no control characters but tabs, and nothing up to
-// and including least.
+// printable reports whether text contains no byte up to and including least, other than tabs, and no DEL. With least '
+// ' tabs are not allowed either.
 func printable(text string, least byte) bool {
 	for i := range len(text) {
 		if c := text[i]; c <= least && c != '\t' || c == '\t' && least == ' ' || c == 0x7f {
--- a/internal/protocol/transport/attempt_test.go
+++ b/internal/protocol/transport/attempt_test.go
@@ -22,7 +22,7 @@
 	"molepaddle/policy"
 )
 
-const never = time.Hour // for what a test does not let run out
+const never = time.Hour // a time-out that no test reaches
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
@@ -35,7 +35,7 @@
 	return p.Endpoint(&cluster.Server{Dial: dial}).(*endpoint)
 }
 
-// try is an attempt of a test, and how it ended.
+// try is an attempt under test and its result.
 type try struct {
 	*core.Attempt
 	e    *endpoint
@@ -59,7 +59,7 @@
 	return <-t.done
 }
 
-// counted is a server that answers all it gets.
+// counted is a server that answers every request and counts them.
 func counted(t *testing.T) string {
 	return testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -71,8 +71,8 @@
 	})
 }
 
-// A library must not send a request again by itself when a kept connection breaks:
-// that would be a second attempt that nobody decided.
+// No library layer may resend a request when a kept connection breaks: that would be an attempt that the core did not
+// start.
 func TestNoHiddenResend(t *testing.T) {
 	for _, c := range []struct{ name, method, key string }{
 		{"safe", http.MethodGet, ""}, {"keyed", http.MethodPost, "k1"}, {"unsafe", http.MethodPost, ""},
@@ -106,7 +106,7 @@
 	}
 }
 
-// How an attempt ended tells whether it has run; in doubt it may have.
+// The result states whether the request may have been executed; without proof that it was not, it may have been.
 func TestEndings(t *testing.T) {
 	answer := func(text string) func(net.Conn, *bufio.Reader) {
 		return func(c net.Conn, r *bufio.Reader) {
@@ -179,12 +179,12 @@
 	}
 }
 
-// brokenConn takes a part of each write and fails.
+// brokenConn accepts a part of each write and fails.
 type brokenConn struct{ net.Conn }
 
 func (brokenConn) Write(p []byte) (int, error) { return len(p) / 2, errors.New("broken") }
 
-// What breaks before the last byte was written never ran.
+// A request whose write fails before its last byte was never executed.
 func TestCutWrite(t *testing.T) {
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
 	p := testPool()
@@ -198,8 +198,8 @@
 	}
 }
 
-// Giving an attempt up closes its connection before the outcome is known, so that
-// the next attempt is never a second copy beside it.
+// Cancelling an attempt closes its connection before the result is reported, so that the next attempt never runs
+// beside it.
 func TestTimeoutClosesConnection(t *testing.T) {
 	closed := make(chan error, 1)
 	got := make(chan struct{})
@@ -216,7 +216,7 @@
 	done := make(chan core.Result)
 	go func() { done <- a.run() }()
 	<-got
-	a.Cancel(context.DeadlineExceeded) // the time-out, without waiting for it
+	a.Cancel(context.DeadlineExceeded) // simulates the time-out
 	if res := <-done; res.Status != policy.Timeout {
 		t.Fatalf("ended %d, want timed out", res.Status)
 	}
@@ -228,8 +228,8 @@
 	}
 }
 
-// A dial ends with its attempt: the transport would let it go on and keep what
-// comes of it, a connection to a backend that was given up or drains.
+// A dial ends with its attempt. http.Transport would let it continue and keep the connection, to a backend that was
+// given up or is draining.
 func TestDialEndsWithAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -261,7 +261,7 @@
 	}
 }
 
-// An attempt withdrawn while its connection comes up sends nothing on it.
+// An attempt withdrawn while its connection is dialled sends nothing on it.
 func TestWithdrawnSendsNothing(t *testing.T) {
 	read := make(chan int64, 1)
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
@@ -287,7 +287,7 @@
 	}
 }
 
-// Without a socket left the attempt never ran, and its backend is not to blame.
+// If no socket is left, the attempt was never executed, and its backend is not to blame.
 func TestNoSocketLeft(t *testing.T) {
 	p := testPool()
 	p.opt.Most = 0
@@ -296,7 +296,7 @@
 	}
 }
 
-// The request goes on unchanged.
+// The request is forwarded unchanged.
 func TestOutgoing(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
@@ -326,7 +326,7 @@
 	}
 }
 
-// What HTTP has no room for is not sent, and never ran.
+// A request that can't be expressed in HTTP is not sent and was never executed.
 func TestUnsendable(t *testing.T) {
 	for name, spoil := range map[string]func(m *core.Message){
 		"method": func(m *core.Message) { m.Method = "" },
@@ -352,8 +352,8 @@
 	}
 }
 
-// What a backend sends beyond an answer must not answer the next request: whether it
-// comes with the answer or behind it, the connection is not used again.
+// Surplus bytes after an answer must not answer the next request: the connection is not reused, whether they arrive
+// with the answer or after it.
 func TestSurplusAnswersNothing(t *testing.T) {
 	for _, c := range []struct{ name, surplus string }{
 		{"second copy", strings.Replace(okAnswer, "done", "gone", 1)}, {"noise", "\x00noise"},
@@ -378,9 +378,9 @@
 				g := testPool().endpoint(addr)
 				defer g.CloseIdle()
 				var wg sync.WaitGroup
-				side := 8 // attempts that wait for each other's connections
+				side := 8 // concurrent attempts
 				if apart {
-					side = 1 // each begins when the surplus of the last was written
+					side = 1 // each starts once the surplus of the previous answer is written
 				}
 				for range side {
 					wg.Add(1)
@@ -391,7 +391,7 @@
 							if res.Status != policy.OK || string(res.Body) != "done" {
 								t.Errorf("ended %d %q", res.Status, res.Body)
 							}
-							<-sent // written whole, and so seen
+							<-sent // the surplus is written completely, so it is visible
 						}
 					}()
 				}
@@ -401,7 +401,7 @@
 	}
 }
 
-// A connection that has ended or brings what nobody asked for is not used again.
+// A connection that was closed or has unread bytes is not reused.
 func TestStaleConnections(t *testing.T) {
 	var came atomic.Int32
 	closed := make(chan struct{}, 10)
@@ -422,7 +422,7 @@
 	}
 }
 
-// The connections share one bound: at the limit the longest idle is closed for a new one.
+// All connections share one limit: at the limit the longest idle one is closed for a new one.
 func TestLongestIdleMakesRoom(t *testing.T) {
 	p := testPool()
 	p.opt.Most = 2
@@ -436,21 +436,21 @@
 			t.Fatalf("ended %d", res.Status)
 		}
 	}
-	if p.open != 2 || len(groups[0].spare) != 0 || len(groups[1].spare) != 1 || len(groups[2].spare) != 1 {
-		t.Fatalf("%d open, idle %d %d %d", p.open, len(groups[0].spare), len(groups[1].spare), len(groups[2].spare))
+	if p.open != 2 || len(groups[0].idle) != 0 || len(groups[1].idle) != 1 || len(groups[2].idle) != 1 {
+		t.Fatalf("%d open, idle %d %d %d", p.open, len(groups[0].idle), len(groups[1].idle), len(groups[2].idle))
 	}
 	groups[1].Retire()
-	if p.open != 1 || p.spare.Len() != 1 {
+	if p.open != 1 || p.idle.Len() != 1 {
 		t.Fatalf("%d open after a backend has gone", p.open)
 	}
 	p.opt.Idle = 0
 	p.sweep()
-	if p.open != 0 || p.spare.Len() != 0 || p.sweeping {
+	if p.open != 0 || p.idle.Len() != 0 || p.sweeping {
 		t.Fatalf("%d open after all were idle too long", p.open)
 	}
 }
 
-// A panic in an attempt is an outcome: what had not begun never ran.
+// A panic in an attempt is a result: if it had not begun, it was never executed.
 func TestAttemptPanic(t *testing.T) {
 	p := testPool()
 	p.opt.Dial = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
@@ -459,11 +459,11 @@
 	}
 }
 
-// A crowded server has its idle connections back sooner; one that is in use again stays.
+// Idle connections to a server at its connection limit are closed sooner; one that is in use again stays.
 func TestCrowdedServerGetsConnectionsBack(t *testing.T) {
 	p := testPool()
-	p.opt.Idle = 10 * time.Millisecond * soonPart
-	p.sweeping = true // not by the sweep, which would close it later
+	p.opt.Idle = 10 * time.Millisecond * overloadedIdleDivisor
+	p.sweeping = true // prevents the sweep, which would close it later
 	e := p.endpoint(counted(t))
 	open := func() int { p.mu.Lock(); defer p.mu.Unlock(); return p.open }
 	e.Crowded(time.Now().Add(time.Hour))
@@ -475,20 +475,20 @@
 			t.Fatal("it is kept")
 		}
 	}
-	// One that was used since is not closed for an earlier rest.
+	// A connection used since is not closed for an earlier idle period.
 	p.opt.Idle = time.Hour
 	newTry(e, http.MethodGet, never).run()
 	p.mu.Lock()
-	c := e.spare[0]
+	c := e.idle[0]
 	earlier := c.since.Add(-time.Second)
 	p.mu.Unlock()
-	if e.giveBack(c, earlier); open() != 1 {
+	if e.closeIfIdle(c, earlier); open() != 1 {
 		t.Error("it was used since")
 	}
 }
 
-// The server is told the time that is left less the way back, as handshakes have shown it, and nothing
-// is sent that has no millisecond for it: then the connection stays for the next.
+// The server is told the remaining time less the return time measured from handshakes. If less than a millisecond
+// remains, nothing is sent, and the connection is kept.
 func TestServersAreToldTheTimeLeft(t *testing.T) {
 	got := make(chan string, 4)
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
@@ -507,11 +507,11 @@
 	if res := newTry(e, http.MethodGet, time.Hour).run(); res.Status != policy.OK {
 		t.Fatal(res.Status)
 	}
-	if e.way == (budget.Margin{}) || <-got < "3590000m" {
-		t.Error("a handshake teaches", e.way.ReturnTime())
+	if e.margin == (budget.Margin{}) || <-got < "3590000m" {
+		t.Error("a handshake teaches", e.margin.ReturnTime())
 	}
 	for range 50 {
-		e.way.Observe(100 * time.Millisecond)
+		e.margin.Observe(100 * time.Millisecond)
 	}
 	if res := newTry(e, http.MethodGet, 10*time.Second).run(); res.Status != policy.OK {
 		t.Fatal(res.Status)
@@ -519,17 +519,17 @@
 	text := <-got
 	left, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
 	if err != nil || left > 9950 || left < 5000 {
-		t.Errorf("told %q of 10 s with a way back of %v", text, e.way.ReturnTime())
+		t.Errorf("told %q of 10 s with a way back of %v", text, e.margin.ReturnTime())
 	}
 	if res := newTry(e, http.MethodGet, 900*time.Microsecond).run(); !res.Status.NeverRan() {
 		t.Errorf("ended %d, which may have run", res.Status)
 	}
-	if len(got) != 0 || p.spare.Len() != 1 {
-		t.Errorf("%d sent with no time left, %d connections kept", len(got), p.spare.Len())
+	if len(got) != 0 || p.idle.Len() != 1 {
+		t.Errorf("%d sent with no time left, %d connections kept", len(got), p.idle.Len())
 	}
 }
 
-// The answer to HEAD is whole without what its length names, and keeps its connection.
+// The answer to HEAD is complete without the body that its length describes, and its connection is kept.
 func TestHead(t *testing.T) {
 	addr := testkit.Raw(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -540,7 +540,7 @@
 		}
 	})
 	p := testPool()
-	if res := newTry(p.endpoint(addr), http.MethodHead, never).run(); res.Status != policy.OK || res.Length != 3221225472 || len(res.Body) != 0 || p.spare.Len() != 1 {
-		t.Fatalf("ended %d, length %d, %d kept", res.Status, res.Length, p.spare.Len())
+	if res := newTry(p.endpoint(addr), http.MethodHead, never).run(); res.Status != policy.OK || res.Length != 3221225472 || len(res.Body) != 0 || p.idle.Len() != 1 {
+		t.Fatalf("ended %d, length %d, %d kept", res.Status, res.Length, p.idle.Len())
 	}
 }
--- a/internal/protocol/transport/early_test.go
+++ b/internal/protocol/transport/early_test.go
@@ -17,14 +17,14 @@
 	"molepaddle/policy"
 )
 
-// A server that answers before it has a long body is heard: its answer counts, whether or not it reads on,
-// and the rest of the body is not waited for. What comes before an answer is none.
+// An answer that a server sends before it has the complete body counts, whether or not the server reads on, and the
+// rest of the body is not waited for. Interim answers, STDERR and empty records before it are not an answer.
 func TestAnswersBeforeTheBody(t *testing.T) {
 	fast := func(text string) []byte { return testkit.FastAnswer(text, rec.End{}) }
 	for name, c := range map[string]struct {
 		fast  bool
-		early []byte // said while the body comes
-		whole bool   // and the rest only once all of it has come
+		early []byte // sent while the body is being received
+		whole bool   // then is sent only after the complete body
 		then  []byte
 		want  policy.Status
 	}{
@@ -68,7 +68,7 @@
 					io.CopyN(io.Discard, body, 1000)
 				}
 				conn.Write(c.early)
-				tell.Do(func() { close(told) }) // also where a second connection comes, which is found below
+				tell.Do(func() { close(told) }) // which is checked below
 				if !c.whole {
 					return // and closes, with the body unread
 				}
@@ -93,7 +93,7 @@
 			rest := window.New(p.opt.Budget)
 			a.Request.Message = core.Message{Method: http.MethodPost, Target: "/order/u1", Host: "b", Body: make([]byte, 2000), Length: size, Stream: rest}
 			a.Request.TimeAfterBody = never
-			go func() { // the client sends on only where it is all read
+			go func() { // the client sends the rest only if the server reads it
 				<-told
 				if c.whole {
 					_ = rest.Write(t.Context(), make([]byte, size-len(a.Request.Message.Body)))
@@ -103,7 +103,7 @@
 			if res := a.run(); res.Status != c.want || res.Status == policy.OK && string(res.Body) != "done" {
 				t.Errorf("ended %d %q", res.Status, res.Body)
 			}
-			if n := p.spare.Len(); n > 0 && !c.whole {
+			if n := p.idle.Len(); n > 0 && !c.whole {
 				t.Error("a connection on which a body is owed is kept")
 			}
 			rest.Leave()
@@ -116,7 +116,7 @@
 	}
 }
 
-// A client that breaks off while its server is silent is a client that broke off.
+// A body that its client breaks off ends as Abandoned, although the server is silent.
 func TestClientBreaksOffABody(t *testing.T) {
 	p := testPool()
 	e := p.endpoint(testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }))
--- a/internal/protocol/transport/fastcgi.go
+++ b/internal/protocol/transport/fastcgi.go
@@ -21,23 +21,23 @@
 	"molepaddle/policy"
 )
 
-// FastCGI is how servers are spoken to that speak it.
+// FastCGI configures the connections to servers that speak FastCGI.
 type FastCGI struct {
-	// Serves tells whether a server, as the list has it, speaks FastCGI.
+	// Serves reports whether the given server of the endpoint list speaks FastCGI.
 	Serves func(s *cluster.Server) bool
-	// Params go to each request beside those that it has, and before them.
+	// Params are additional name-value pairs, sent before each request's own.
 	Params [][2]string
-	// Early says that servers begin at the end of PARAMS and read the body as they go: a request that broke
-	// after that may have run. Else they begin when all of it has come.
+	// Early states that servers start a request at the end of PARAMS and read the body meanwhile: a request that broke
+	// after that may have been executed. Otherwise they start when they have received the complete request.
 	Early bool
-	// Log is told what servers write to STDERR, at the level of debugging; nil: nobody is.
+	// Log receives what servers write to STDERR, at debug level; nil: discarded.
 	Log *slog.Logger
 }
 
 const (
-	// theID is the one request's on a connection.
-	theID = 1
-	// maxStderr is how much is kept of what a server writes to STDERR for one request, in bytes.
+	// onlyRequestID is the id of the single request on a connection.
+	onlyRequestID = 1
+	// maxStderr bounds the STDERR text kept for one request, in bytes.
 	maxStderr = 512
 )
 
@@ -48,10 +48,10 @@
 	errLength   = errors.New("answer: not as long as it says")
 )
 
-// overFastCGI is FastCGI 1.0, one request at a time on a connection.
+// overFastCGI implements FastCGI 1.0, with one request at a time on a connection.
 type overFastCGI struct{ opt *FastCGI }
 
-// request words the CGI variables by RFC 3875.
+// request encodes the CGI variables by RFC 3875.
 func (f *overFastCGI) request(out []byte, a *core.Attempt, left time.Duration) ([]byte, int, error) {
 	m := &a.Request.Message
 	for _, part := range []string{m.Method, m.Target} {
@@ -72,7 +72,7 @@
 	if m.Stream != nil {
 		length = m.Length
 	}
-	out = fcgi.AppendBegin(out, theID, fcgi.Begin{Role: fcgi.Responder, Keep: true})
+	out = fcgi.AppendBegin(out, onlyRequestID, fcgi.Begin{Role: fcgi.Responder, Keep: true})
 	params := buffers.Get().(*[]byte)
 	defer buffers.Put(params)
 	p := (*params)[:0]
@@ -95,32 +95,32 @@
 			p = fcgi.AppendPair(p, pair[0], pair[1])
 		}
 	}
-	if cap(p) <= maxKept {
+	if cap(p) <= maxPooledBuffer {
 		*params = p
 	}
-	out = fcgi.Append(fcgi.AppendStream(out, fcgi.Params, theID, p), fcgi.Params, theID, nil)
+	out = fcgi.Append(fcgi.AppendStream(out, fcgi.Params, onlyRequestID, p), fcgi.Params, onlyRequestID, nil)
 	begins := -1
 	if f.opt.Early {
 		begins = len(out)
 	}
-	out = fcgi.AppendStream(out, fcgi.Stdin, theID, m.Body)
+	out = fcgi.AppendStream(out, fcgi.Stdin, onlyRequestID, m.Body)
 	if m.Stream == nil {
-		out = fcgi.Append(out, fcgi.Stdin, theID, nil)
+		out = fcgi.Append(out, fcgi.Stdin, onlyRequestID, nil)
 	}
 	return out, begins, nil
 }
 
 func (f *overFastCGI) piece(_ *core.Message, buf []byte, n int) []byte {
 	pad := -n & 7
-	fcgi.AppendHeader(buf[before-fcgi.HeaderLen:before-fcgi.HeaderLen], fcgi.Header{Type: fcgi.Stdin, ID: theID, Length: n, Padding: pad})
-	return buf[before-fcgi.HeaderLen : before+n+pad]
+	fcgi.AppendHeader(buf[frameHeadRoom-fcgi.HeaderLen:frameHeadRoom-fcgi.HeaderLen], fcgi.Header{Type: fcgi.Stdin, ID: onlyRequestID, Length: n, Padding: pad})
+	return buf[frameHeadRoom-fcgi.HeaderLen : frameHeadRoom+n+pad]
 }
 
 func (f *overFastCGI) last(*core.Message) []byte {
-	return fcgi.Append(nil, fcgi.Stdin, theID, nil)
+	return fcgi.Append(nil, fcgi.Stdin, onlyRequestID, nil)
 }
 
-// begun passes over what a server writes to STDERR while it reads, and says of the connection.
+// begun skips STDERR records, empty STDOUT records and management records that arrive while the body is sent.
 func (f *overFastCGI) begun(x *exchange, r *bufio.Reader) bool {
 	for {
 		raw, err := r.Peek(fcgi.HeaderLen)
@@ -131,10 +131,10 @@
 		if err != nil || !h.Management() && h.Type != fcgi.Stderr && (h.Type != fcgi.Stdout || h.Length > 0) {
 			return true
 		}
-		x.noted = x.noted || h.Type == fcgi.Stderr && h.Length > 0
-		x.c.left += fcgi.HeaderLen + h.Length + h.Padding // it is not the answer's
-		if x.passed += h.Length; x.passed > maxAnswerHead*maxInterim {
-			return true // it never ends
+		x.stderrSeen = x.stderrSeen || h.Type == fcgi.Stderr && h.Length > 0
+		x.c.left += fcgi.HeaderLen + h.Length + h.Padding // not counted against the answer's limit
+		if x.skippedBytes += h.Length; x.skippedBytes > maxAnswerHead*maxInterim {
+			return true // stop skipping: the server may never end
 		}
 		if _, err := r.Discard(fcgi.HeaderLen + h.Length + h.Padding); err != nil {
 			return false
@@ -142,15 +142,15 @@
 	}
 }
 
-// output is what a server writes for one request. Read gives its STDOUT; the error is io.EOF only where the
-// request has ended well.
+// output reads a server's records for one request. Read returns its STDOUT; the error is io.EOF only if the request
+// ended successfully.
 type output struct {
 	r      *fcgi.Reader
-	some   bool // it has written anything
+	wrote  bool // the server has written to STDOUT or STDERR
 	stdout bool // a STDOUT record is being read
 	ended  bool // END_REQUEST has come
 	end    fcgi.End
-	err    error // why no more is read: whoever reads it first may forget it
+	err    error // first error, returned again by each later Read, as the first reader may drop it
 	stderr []byte
 }
 
@@ -170,7 +170,7 @@
 			o.stdout = false
 		}
 		if o.ended {
-			return 0, o.verdict()
+			return 0, o.result()
 		}
 		h, err := o.r.Next()
 		switch {
@@ -179,14 +179,14 @@
 		case err != nil:
 			return 0, err
 		case h.Management():
-			// Nothing was asked of the connection; what is said of it changes nothing.
-		case h.ID != theID:
+			// No management record was sent, so any that arrives is ignored.
+		case h.ID != onlyRequestID:
 			return 0, errRecord
 		case h.Type == fcgi.Stdout:
-			o.some = o.some || h.Length > 0
+			o.wrote = o.wrote || h.Length > 0
 			o.stdout = h.Length > 0
 		case h.Type == fcgi.Stderr:
-			o.some = o.some || h.Length > 0
+			o.wrote = o.wrote || h.Length > 0
 			var part [maxStderr]byte
 			n, err := io.ReadFull(o.r, part[:min(h.Length, maxStderr-len(o.stderr))])
 			o.stderr = append(o.stderr, part[:n]...)
@@ -209,8 +209,8 @@
 	}
 }
 
-// verdict is what the request's end says.
-func (o *output) verdict() error {
+// result returns io.EOF for a successful END_REQUEST, else an error.
+func (o *output) result() error {
 	switch {
 	case o.end.Status != fcgi.Complete:
 		return errRejected
@@ -220,18 +220,18 @@
 	return io.EOF
 }
 
-// never tells whether the end proves that the request did not run.
-func (o *output) never() bool {
-	return o.ended && !o.some && (o.end.Status == fcgi.Overloaded || o.end.Status == fcgi.CantMux)
+// neverStarted reports whether END_REQUEST proves that the request was not executed.
+func (o *output) neverStarted() bool {
+	return o.ended && !o.wrote && (o.end.Status == fcgi.Overloaded || o.end.Status == fcgi.CantMux)
 }
 
-// exact is a body that has to have the length it was said to have.
-type exact struct {
+// exactReader reads a body and fails unless it has its declared length.
+type exactReader struct {
 	r    io.Reader
 	left int64
 }
 
-func (e *exact) Read(p []byte) (int, error) {
+func (e *exactReader) Read(p []byte) (int, error) {
 	n, err := e.r.Read(p)
 	if e.left -= int64(n); e.left < 0 || err == io.EOF && e.left > 0 {
 		return 0, errLength
@@ -241,18 +241,18 @@
 
 func (f *overFastCGI) answer(x *exchange, r *bufio.Reader) (res core.Result, keep bool, err error) {
 	c := x.c
-	o := &output{r: fcgi.NewReader(r), some: x.noted}
+	o := &output{r: fcgi.NewReader(r), wrote: x.stderrSeen}
 	defer func() {
 		if len(o.stderr) > 0 && f.opt.Log != nil {
 			f.opt.Log.Debug("fastcgi: a server's STDERR", "server", x.e.dial, "request", x.a.Request.ID, "text", string(o.stderr))
 		}
 	}()
-	// What a server has said with END_REQUEST is believed before what it has written.
+	// The status in END_REQUEST takes precedence over the output.
 	ended := func(err error) (core.Result, bool, error) {
 		switch {
-		case o.never():
+		case o.neverStarted():
 			return core.Result{Status: policy.Full}, true, nil
-		case o.ended && o.verdict() != io.EOF:
+		case o.ended && o.result() != io.EOF:
 			return core.Result{Status: policy.Error}, true, nil
 		}
 		return core.Result{}, false, fmt.Errorf("answer: %w", err)
@@ -267,20 +267,20 @@
 	if err != nil {
 		return ended(err)
 	}
-	status, length, err := meaning(head)
+	status, length, err := parseHead(head)
 	if err != nil {
 		return ended(err)
 	}
-	c.left += 2 * window.Most // with the frames of the records
-	passing := arriving{a: x.a, c: c, length: length, kind: head.Get("Content-Type"), budget: x.e.pool.opt.Budget}
+	c.left += 2 * window.Most // with the record framing
+	passing := incomingAnswer{a: x.a, c: c, length: length, contentType: head.Get("Content-Type"), budget: x.e.pool.opt.Budget}
 	passing.body = in
 	if length >= 0 {
-		passing.body = &exact{in, length}
+		passing.body = &exactReader{in, length}
 	}
 	var body []byte
 	passed, tail := false, io.Reader(in)
 	switch {
-	case x.a.Request.Message.Method == http.MethodHead: // the length is of what is not to be sent
+	case x.a.Request.Message.Method == http.MethodHead: // the length describes a body that is not sent
 		_, err = io.Copy(io.Discard, io.LimitReader(in, maxBody))
 		res.Length = length
 	case status != http.StatusOK || length > window.Most:
@@ -289,12 +289,12 @@
 		body, passed, err = passing.receive()
 		tail = passing.body
 	}
-	x.timed = passing.timed
+	x.deadlineSet = passing.deadlineSet
 	if passed {
 		return core.Result{Status: policy.OK, Load: head.Get("Server-Load")}, err == nil, err
 	}
 	if err == nil {
-		var more [1]byte // its end has to follow, and nothing else
+		var more [1]byte // only the end of the request may follow
 		n, last := tail.Read(more[:])
 		if n > 0 {
 			last = errLength
@@ -312,17 +312,17 @@
 	res.Load = head.Get("Server-Load")
 	switch {
 	case status == http.StatusOK:
-		res.Status, res.Body, res.ContentType = policy.OK, body, passing.kind
+		res.Status, res.Body, res.ContentType = policy.OK, body, passing.contentType
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && head.Get("Not-Started") == "1":
 		res.Status = policy.Full
 	default:
-		res.Status = policy.Error // it may have run
+		res.Status = policy.Error // it may have been executed
 	}
 	return res, true, nil
 }
 
-// meaning is the status and the length that a CGI head tells; the length is -1 where it tells none.
-func meaning(head textproto.MIMEHeader) (status int, length int64, err error) {
+// parseHead returns the status and the length that a CGI header states; the length is -1 if there is none.
+func parseHead(head textproto.MIMEHeader) (status int, length int64, err error) {
 	status, length = http.StatusOK, -1
 	if told := head.Values("Status"); len(told) > 1 {
 		return 0, 0, errors.New("more than one Status")
--- a/internal/protocol/transport/fastcgi_test.go
+++ b/internal/protocol/transport/fastcgi_test.go
@@ -28,8 +28,8 @@
 	return p
 }
 
-// Each ending proves what the design note's table says, and no more; what ended well leaves its connection
-// for the next.
+// Each way that a request ends proves no more than the protocol lets it prove; a request that ended successfully
+// leaves its connection for reuse.
 func TestFastCGIEndings(t *testing.T) {
 	const ok = "Content-Type: text/plain\r\nContent-Length: 4\r\n\r\ndone"
 	record := func(t rec.Type, id uint16, text string) []byte { return rec.Append(nil, t, id, []byte(text)) }
@@ -95,15 +95,15 @@
 		if res.Status != c.want || res.Status == policy.OK && string(res.Body) != "done" {
 			t.Errorf("%s: ended %d, %q", name, res.Status, res.Body)
 		}
-		if kept := p.spare.Len() == 1; kept != c.kept {
+		if kept := p.idle.Len() == 1; kept != c.kept {
 			t.Errorf("%s: kept %v", name, kept)
 		}
 		p.Close()
 	}
 }
 
-// A server that closes its connection at any byte of its answer has it taken for what may have run; the
-// whole of it is needed to be believed.
+// An answer that is cut at any byte counts as a request that may have been executed; only a complete answer is
+// trusted.
 func TestFastCGICutAtEveryByte(t *testing.T) {
 	whole := rec.Append(nil, rec.Stderr, 1, []byte("note"))
 	whole = append(whole, testkit.FastAnswer("Status: 200 OK\r\nContent-Length: 4\r\n\r\ndone", rec.End{})...)
@@ -116,7 +116,7 @@
 	}))
 	for n := range len(whole) + 1 {
 		cut.Store(int64(n))
-		// Of END_REQUEST the last three bytes are reserved, and read all the same.
+		// The last three bytes of END_REQUEST are reserved, but still read.
 		want := policy.Reset
 		if n == len(whole) {
 			want = policy.OK
@@ -127,11 +127,11 @@
 	}
 }
 
-// What was not written whole never ran; where servers begin at the end of PARAMS that says nothing once
-// those are out.
+// A request that was not written completely was never executed; with servers that start at the end of PARAMS this no
+// longer holds once PARAMS has been written.
 func TestFastCGIWrittenInPart(t *testing.T) {
 	probe := newTry(fastPool(false).endpoint("x"), http.MethodPost, never)
-	const left = never - time.Second // as many digits as what is left
+	const left = never - time.Second // has as many digits as the remaining time
 	all, _, err := (&overFastCGI{opt: &FastCGI{}}).request(nil, probe.Attempt, left)
 	if err != nil {
 		t.Fatal(err)
@@ -161,8 +161,8 @@
 	}
 }
 
-// The standard library's server behind the transport: what it is asked, with bodies and answers of all
-// lengths, and one connection for all.
+// The standard library's FastCGI server receives every request correctly, with bodies and answers of all lengths, over
+// a single connection.
 func TestFastCGIWithTheStandardLibrary(t *testing.T) {
 	ln, err := net.Listen("unix", t.TempDir()+"/s")
 	if err != nil {
@@ -187,7 +187,7 @@
 			Body: bytes.Repeat([]byte("b"), n)}
 		res := a.run()
 		want := fmt.Sprintf("POST /order/a%%20b?q=1 /order/a b orders.local:81 id1 k1 <nil> %d ", n) + strings.Repeat("b", n)
-		if n == maxBody { // answered with more than is held
+		if n == maxBody { // answered with more than maxBody
 			if res.Status != policy.Reset {
 				t.Errorf("%d bytes: %d", n, res.Status)
 			}
--- a/internal/protocol/transport/lend.go
+++ b/internal/protocol/transport/lend.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Way is the connections to one process at one address, lent to callers that speak HTTP on them themselves,
-// as the proxy of the fleet does with its streams. They come from the same pool, under the same bound.
+// Way lends connections to one process at one address to callers that speak HTTP on them themselves, such as the fleet
+// proxy for its streams. They come from the Transport's pool and count against its limit.
 type Way struct{ e *endpoint }
 
-// Way gives the connections to the process that listens at host and port.
+// Way returns the connections to the process that listens at dial, a host and port.
 func (p *Transport) Way(dial string) *Way {
 	return &Way{e: &endpoint{pool: p, dial: dial, wire: overHTTP{}}}
 }
 
-// Lent is a connection that belongs to its caller until it is given back.
+// Lent is a connection that its caller owns until Return or Drop.
 type Lent struct {
 	net.Conn
 	R      *bufio.Reader
@@ -25,10 +25,10 @@
 	Reused bool // it has carried a request before
 }
 
-// Lend gives an idle connection on which nothing waits, else a new one; requestID names the request that it is for, and
-// is not empty. Two requests of one id never follow each other on a connection: a surplus answer to the first would
-// pass for the second's. Errors: core.ErrNoSocket where no descriptor is left, the context's, and those of the dial:
-// nothing has been written.
+// Lend returns an idle connection without unread bytes, or else a new one. requestID is the id of the request that the
+// connection is for and must not be empty. Two requests with the same id never follow each other on a connection: a
+// surplus answer to the first would be taken for the second's. The error is core.ErrNoSocket if no connection is left
+// in the pool, the context's error, or the dial's; nothing has been written in any of these cases.
 func (w *Way) Lend(ctx context.Context, requestID string) (*Lent, error) {
 	for {
 		c, err := w.e.take()
@@ -40,7 +40,7 @@
 		}
 		if c.carried == requestID {
 			c.Close()
-			continue // there is one idle connection less
+			continue // terminates: there is one idle connection less
 		}
 		reused := c.carried != ""
 		c.left, c.carried = math.MaxInt, requestID
@@ -53,12 +53,12 @@
 // Bound sets how many bytes may still be read from the connection.
 func (l *Lent) Bound(bytes int) { l.c.left = bytes }
 
-// Return gives a connection back for the next, whose last answer was read whole; one that holds unread bytes
-// is closed.
+// Return puts the connection back into the pool, once its last answer has been read completely. A connection with
+// unread bytes is closed.
 func (l *Lent) Return() {
 	dirty := l.R.Buffered() > 0
 	l.freeReader()
-	l.c.end.pool.used(l.c, false)
+	l.c.end.pool.recordUse(l.c, false)
 	if dirty || l.c.SetDeadline(time.Time{}) != nil {
 		l.c.Close()
 		return
@@ -66,10 +66,10 @@
 	l.c.end.put(l.c)
 }
 
-// Drop closes a connection; broke says that it ended before a byte of the answer came.
+// Drop closes the connection; broke states that it ended before the first byte of the answer.
 func (l *Lent) Drop(broke bool) {
 	l.freeReader()
-	l.c.end.pool.used(l.c, broke)
+	l.c.end.pool.recordUse(l.c, broke)
 	l.c.Close()
 }
 
@@ -79,8 +79,8 @@
 	l.R = nil
 }
 
-// CloseIdle closes the connections that stand idle.
+// CloseIdle closes the idle connections.
 func (w *Way) CloseIdle() { w.e.CloseIdle() }
 
-// Retire closes the connections for good: those in use when they come back.
+// Retire closes the idle connections at once, and those in use when they are returned.
 func (w *Way) Retire() { w.e.Retire() }
--- a/internal/protocol/transport/pool.go
+++ b/internal/protocol/transport/pool.go
@@ -1,10 +1,11 @@
-// Package transport carries attempts to servers over HTTP/1.1 or FastCGI, one at a time on a connection, and
-// keeps connections for the next: one pool, with one bound, whatever its servers speak.
+// Package transport sends attempts to servers over HTTP/1.1 or FastCGI, one at a time per connection, and keeps
+// connections for reuse. There is one pool with one limit, for servers of both protocols. It does not choose servers
+// and never retries.
 //
-// A Transport's lock guards what it counts and which connections stand idle. A connection
-// in use belongs to its attempt's goroutine; one that stands idle to the Transport.
-// Connections are chosen by whoever starts the attempt, in the order of the starts;
-// dialling, writing and reading are the attempt's goroutine's.
+// A Transport's lock guards its counters and the idle connections. A connection in use belongs to the goroutine of its
+// attempt, an idle one to the Transport. Any goroutine may start attempts; the connection is chosen in the goroutine
+// that starts the attempt, so in the order of the starts. Dialling, writing and reading happen in the attempt's
+// goroutine.
 package transport
 
 import (
@@ -24,55 +25,55 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// Options bound a Transport.
+// Options configures a Transport.
 type Options struct {
 	Dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	Timeout time.Duration // of a connect
-	Idle    time.Duration // how long a connection is kept without use, at the most
-	Most    int           // connections to all servers that are up or coming up
+	Timeout time.Duration // of a dial
+	Idle    time.Duration // maximum idle time of a connection
+	Most    int           // maximum number of connections to all servers, open or being dialled
 
-	// Settle is how long a connection rests before it is used again: what a server sends
-	// beyond its answer comes right behind it, and is seen by then.
+	// Settle is how long a connection rests before it is reused. Surplus bytes follow directly after an answer and
+	// have arrived by then.
 	Settle time.Duration
-	// Resting is how many connections to one endpoint may rest before an attempt waits for
-	// one of them rather than open another: a client that asks one request after the other
-	// goes round as many as its answers come in that time.
+	// Resting is how many connections to one endpoint may rest before an attempt waits for one of them instead of
+	// opening another: a client that sends requests one after the other cycles through as many connections as it gets
+	// answers during Settle.
 	Resting int
-	// FastCGI says which servers speak it, and how; nil: all speak HTTP.
+	// FastCGI selects and configures the servers that speak FastCGI; nil: all speak HTTP.
 	FastCGI *FastCGI
-	// Budget is what long answers take their windows from; nil: one of none, at which each is small.
+	// Budget supplies the windows of streamed answers; nil: an empty budget, with which each window has its minimum
+	// size.
 	Budget *window.Budget
 }
 
-// Transport opens connections to servers within its share of descriptors and keeps those
-// that stand idle. It has a pool of its own since http.Transport may hand a connection to
-// the next request before it sees that bytes of the last are left over.
+// Transport opens connections to servers within its share of file descriptors and keeps idle ones. It has its own pool
+// because http.Transport may reuse a connection before it notices surplus bytes of the previous answer.
 type Transport struct {
 	opt Options
 
 	mu       sync.Mutex
 	open     int        // connections that are up or coming up
-	spare    *list.List // of *conn: all that stand idle, the longest first
+	idle     *list.List // all idle connections, longest idle first
 	sweeping bool
 	closed   bool
-	ages     ages
+	ages     ageStats
 }
 
-// New makes a transport without connections.
+// New returns a Transport without connections.
 func New(o Options) *Transport {
 	if o.Budget == nil {
 		o.Budget = window.NewBudget(0)
 	}
-	return &Transport{opt: o, spare: list.New()}
+	return &Transport{opt: o, idle: list.New()}
 }
 
-// Bound sets how many connections there may be; of those over it idle ones are closed at once.
-func (p *Transport) Bound(most int) {
+// SetMaxConns sets the maximum number of connections. Idle connections above it are closed at once.
+func (p *Transport) SetMaxConns(most int) {
 	var old []*conn
 	p.mu.Lock()
 	p.opt.Most = most
-	for p.open-len(old) > most && p.spare.Len() > 0 {
-		c := p.spare.Front().Value.(*conn)
+	for p.open-len(old) > most && p.idle.Len() > 0 {
+		c := p.idle.Front().Value.(*conn)
 		c.unlist()
 		old = append(old, c)
 	}
@@ -82,12 +83,12 @@
 	}
 }
 
-// Close closes the connections that stand idle, and the others when their attempts end.
+// Close closes the idle connections at once, and the others when their attempts end.
 func (p *Transport) Close() {
 	p.mu.Lock()
 	p.closed = true
 	var old []*conn
-	for e := p.spare.Front(); e != nil; e = p.spare.Front() {
+	for e := p.idle.Front(); e != nil; e = p.idle.Front() {
 		c := e.Value.(*conn)
 		c.unlist()
 		old = append(old, c)
@@ -98,8 +99,7 @@
 	}
 }
 
-// Endpoint gives the connections to one process of a server at one address: a host and port, or "unix:" and
-// a path.
+// Endpoint returns the connections to one process of a server at one address: a host and port, or "unix:" and a path.
 func (p *Transport) Endpoint(s *cluster.Server) core.Endpoint {
 	e := &endpoint{pool: p, dial: s.Dial, wire: overHTTP{}}
 	if f := p.opt.FastCGI; f != nil && f.Serves(s) {
@@ -108,39 +108,39 @@
 	return e
 }
 
-// endpoint is the connections to one process of a server at one address.
+// endpoint holds the connections to one process of a server at one address.
 type endpoint struct {
-	pool    *Transport
-	dial    string
-	wire    wire      // what its server speaks
-	spare   []*conn   // idle, the longest first
-	retired bool      // what comes back is closed
-	crowded time.Time // until when its server has more connections than it takes
-	way     budget.Margin
+	pool            *Transport
+	dial            string
+	wire            protocol  // protocol of the server
+	idle            []*conn   // idle connections, longest idle first
+	retired         bool      // connections in use are closed when they are returned
+	overloadedUntil time.Time // the server is at its connection limit until then
+	margin          budget.Margin
 }
 
-// back is how long an answer takes from the server, at the least.
-func (e *endpoint) back() time.Duration {
+// returnTime returns the least time that an answer takes from the server to here.
+func (e *endpoint) returnTime() time.Duration {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	return e.way.ReturnTime()
+	return e.margin.ReturnTime()
 }
 
-// conn is a connection to a server, for one attempt at a time.
+// conn is a connection to a server. It serves one attempt at a time.
 type conn struct {
 	net.Conn
-	end     *endpoint
-	left    int           // bytes that may still be read for the attempt
-	idle    *list.Element // its place among all that stand idle
-	since   time.Time     // when it came to stand idle
-	age     time.Duration // how long it had stood idle; 0: new
-	carried string        // id of the request that it was lent for last; empty: none
-	once    sync.Once
+	end         *endpoint
+	left        int           // bytes that may still be read for the attempt
+	idleElement *list.Element // position in the pool's idle list; nil: in use
+	since       time.Time     // when it became idle
+	age         time.Duration // idle time before the current use; 0: new connection
+	carried     string        // id of the request that it was last lent for; empty: never lent
+	once        sync.Once
 }
 
 var errTooLong = errors.New("answer: longer than any may be")
 
-// Read bounds what one answer may bring.
+// Read reads at most the bytes still allowed for the attempt, then fails with errTooLong.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.left <= 0 {
 		return 0, errTooLong
@@ -150,11 +150,11 @@
 	return n, err
 }
 
-// readers are kept apart from the connections: only attempts that are out need one.
+// readers is separate from the connections: only attempts in flight need a reader.
 var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// Start carries an attempt on an idle connection on which nothing waits, else on a new
-// one. Which it is, is settled before it returns.
+// Start sends an attempt on an idle connection without unread bytes, or else on a new one. It chooses the connection
+// before it returns.
 func (e *endpoint) Start(a *core.Attempt) error {
 	c, err := e.take()
 	if err == nil {
@@ -163,10 +163,10 @@
 	return err
 }
 
-// take gives an idle connection that nothing waits on, or none and a place for a new one.
-// One that has not rested long enough is given only where there is no place left.
+// take returns an idle connection without unread bytes, or nil after reserving a new one in the pool. A connection
+// that has not rested long enough is returned only if enough others rest already or the pool is full.
 func (e *endpoint) take() (*conn, error) {
-	var old []*conn // closed once the lock is free
+	var old []*conn // closed after the lock is released
 	defer func() {
 		for _, c := range old {
 			c.Close()
@@ -176,19 +176,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	limit := p.ages.limit(p.opt.Idle)
+	limit := p.ages.idleLimit(p.opt.Idle)
 	for c := e.pick(now); c != nil; c = e.pick(now) {
-		if c.age = now.Sub(c.since); c.age < p.opt.Settle && len(e.spare) < p.opt.Resting && p.open-len(old) < p.opt.Most {
-			break // all of them rest, and there is room for another
+		if c.age = now.Sub(c.since); c.age < p.opt.Settle && len(e.idle) < p.opt.Resting && p.open-len(old) < p.opt.Most {
+			break // all idle connections rest, and another may be opened
 		}
 		c.unlist()
 		if c.age < p.opt.Settle || c.age <= limit && sockets.Pending(c.Conn) == 0 {
 			return c, nil
 		}
-		old = append(old, c) // it has ended or may have, or brings what nobody asked for
+		old = append(old, c) // closed by the server, too old to trust, or carrying unexpected bytes
 	}
 	for p.open-len(old) >= p.opt.Most {
-		longest := p.spare.Front()
+		longest := p.idle.Front()
 		if longest == nil {
 			return nil, core.ErrNoSocket
 		}
@@ -200,19 +200,19 @@
 	return nil, nil
 }
 
-// pick finds the idle connection used last among those that have settled, else the one
-// idle longest. The pool is locked.
+// pick returns the most recently used idle connection that has settled, else the one that has been idle longest. The
+// pool must be locked.
 func (e *endpoint) pick(now time.Time) *conn {
-	for i := len(e.spare) - 1; i >= 0; i-- {
-		if c := e.spare[i]; i == 0 || now.Sub(c.since) >= e.pool.opt.Settle {
+	for i := len(e.idle) - 1; i >= 0; i-- {
+		if c := e.idle[i]; i == 0 || now.Sub(c.since) >= e.pool.opt.Settle {
 			return c
 		}
 	}
 	return nil
 }
 
-// ready gives what was taken, or opens what there is a place for, for the request id. The wait for a
-// connection to settle ends with the context.
+// ready returns the connection from take once it has settled, or dials the one that take reserved, for the request
+// with the given id. Waiting for a connection to settle ends with the context.
 func (e *endpoint) ready(ctx context.Context, id string, c *conn) (*conn, error) {
 	if c != nil && c.age < e.pool.opt.Settle {
 		rest := time.NewTimer(e.pool.opt.Settle - c.age)
@@ -236,7 +236,7 @@
 	if c != nil {
 		return c, nil
 	}
-	ctx, cancel := context.WithTimeout(sockets.For(ctx, id), e.pool.opt.Timeout)
+	ctx, cancel := context.WithTimeout(sockets.WithPurpose(ctx, id), e.pool.opt.Timeout)
 	defer cancel()
 	start := time.Now()
 	network, addr := "tcp", e.dial
@@ -245,28 +245,28 @@
 	}
 	up, err := e.pool.opt.Dial(ctx, network, addr)
 	if err != nil {
-		e.pool.shut()
+		e.pool.release()
 		return nil, err
 	}
 	e.pool.mu.Lock()
-	e.way.Observe(time.Since(start)) // a handshake is a round trip
+	e.margin.Observe(time.Since(start)) // a handshake is a round trip
 	e.pool.mu.Unlock()
 	return &conn{Conn: up, end: e}, nil
 }
 
-// unlist takes a connection from those that stand idle. The pool is locked.
+// unlist removes the connection from the idle lists. The pool must be locked.
 func (c *conn) unlist() {
-	c.end.pool.spare.Remove(c.idle)
-	c.idle = nil
-	for i, o := range c.end.spare {
+	c.end.pool.idle.Remove(c.idleElement)
+	c.idleElement = nil
+	for i, o := range c.end.idle {
 		if o == c {
-			c.end.spare = append(c.end.spare[:i], c.end.spare[i+1:]...)
+			c.end.idle = append(c.end.idle[:i], c.end.idle[i+1:]...)
 			return
 		}
 	}
 }
 
-// put gives a connection back for the next attempt.
+// put returns a connection to the pool.
 func (e *endpoint) put(c *conn) {
 	p := e.pool
 	p.mu.Lock()
@@ -275,32 +275,32 @@
 		c.Close()
 		return
 	}
-	c.since, c.idle = time.Now(), p.spare.PushBack(c)
-	e.spare = append(e.spare, c)
-	if since := c.since; since.Before(e.crowded) {
-		time.AfterFunc(p.ages.limit(p.opt.Idle)/soonPart, func() { e.giveBack(c, since) })
+	c.since, c.idleElement = time.Now(), p.idle.PushBack(c)
+	e.idle = append(e.idle, c)
+	if since := c.since; since.Before(e.overloadedUntil) {
+		time.AfterFunc(p.ages.idleLimit(p.opt.Idle)/overloadedIdleDivisor, func() { e.closeIfIdle(c, since) })
 	}
 	if !p.sweeping {
 		p.sweeping = true
-		time.AfterFunc(p.ages.limit(p.opt.Idle), p.sweep)
+		time.AfterFunc(p.ages.idleLimit(p.opt.Idle), p.sweep)
 	}
 	p.mu.Unlock()
 }
 
-// soonPart is the part of the usual time for which a connection to a crowded server stands idle.
-const soonPart = 10
+// overloadedIdleDivisor divides the idle limit of connections to a server at its connection limit.
+const overloadedIdleDivisor = 10
 
-// Crowded has idle connections given back sooner until the time given.
+// Crowded closes idle connections sooner until the given time, as the server is at its connection limit.
 func (e *endpoint) Crowded(until time.Time) {
 	e.pool.mu.Lock()
-	e.crowded = until
+	e.overloadedUntil = until
 	e.pool.mu.Unlock()
 }
 
-// giveBack closes a connection if it has stood idle since the time given.
-func (e *endpoint) giveBack(c *conn, since time.Time) {
+// closeIfIdle closes the connection if it has been idle since the given time.
+func (e *endpoint) closeIfIdle(c *conn, since time.Time) {
 	e.pool.mu.Lock()
-	idle := c.idle != nil && c.since.Equal(since)
+	idle := c.idleElement != nil && c.since.Equal(since)
 	if idle {
 		c.unlist()
 	}
@@ -310,22 +310,21 @@
 	}
 }
 
-// used notes how the use of a connection went; broke is that it ended before a byte of
-// the answer came.
-func (p *Transport) used(c *conn, broke bool) {
+// recordUse records how a reused connection fared; broke states that it ended before the first byte of the answer.
+func (p *Transport) recordUse(c *conn, broke bool) {
 	if c.age > 0 {
 		p.mu.Lock()
-		p.ages.learn(c.age, broke, time.Now())
+		p.ages.observe(c.age, broke, time.Now())
 		p.mu.Unlock()
 	}
 }
 
-// sweep closes what has stood idle for too long, and comes back while anything is left.
+// sweep closes connections whose idle time is over, and reschedules itself while any are idle.
 func (p *Transport) sweep() {
 	var old []*conn
 	p.mu.Lock()
-	now, limit := time.Now(), p.ages.limit(p.opt.Idle)
-	for e := p.spare.Front(); e != nil; e = p.spare.Front() {
+	now, limit := time.Now(), p.ages.idleLimit(p.opt.Idle)
+	for e := p.idle.Front(); e != nil; e = p.idle.Front() {
 		c := e.Value.(*conn)
 		if left := limit - now.Sub(c.since); left > 0 {
 			time.AfterFunc(left, p.sweep)
@@ -334,26 +333,26 @@
 		c.unlist()
 		old = append(old, c)
 	}
-	p.sweeping = p.spare.Len() > 0
+	p.sweeping = p.idle.Len() > 0
 	p.mu.Unlock()
 	for _, c := range old {
 		c.Close()
 	}
 }
 
-// CloseIdle closes the connections that stand idle.
+// CloseIdle closes the idle connections.
 func (e *endpoint) CloseIdle() { e.close(false) }
 
-// Retire closes the connections for good: those in use when they come back.
+// Retire closes the idle connections at once, and those in use when they are returned.
 func (e *endpoint) Retire() { e.close(true) }
 
 func (e *endpoint) close(retire bool) {
 	e.pool.mu.Lock()
 	e.retired = e.retired || retire
-	old := e.spare
-	e.spare = nil
+	old := e.idle
+	e.idle = nil
 	for _, c := range old {
-		e.pool.spare.Remove(c.idle)
+		e.pool.idle.Remove(c.idleElement)
 	}
 	e.pool.mu.Unlock()
 	for _, c := range old {
@@ -361,16 +360,16 @@
 	}
 }
 
-// shut counts a connection as closed.
-func (p *Transport) shut() {
+// release removes a closed connection from the count.
+func (p *Transport) release() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// Close closes the connection and frees its descriptor in the pool.
+// Close closes the connection and releases its place in the pool.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.end.pool.shut)
+	c.once.Do(c.end.pool.release)
 	return err
 }
--- a/internal/protocol/window/window.go
+++ b/internal/protocol/window/window.go
@@ -1,9 +1,8 @@
-// Package window passes bodies through that are too long to be held: pipes of a bounded size with
-// back-pressure, whose bytes come out of one budget, and the decisions about them: what is held
-// whole, how slowly a client may send.
+// Package window streams bodies that are too long to be held in memory: bounded pipes with back-pressure, which share
+// one memory budget, and the limits on what is held and how slowly a client may send.
 //
-// A Pipe has one writer and one reader, each a goroutine; its lock guards what they share. A Budget
-// may be used by any goroutine.
+// A Pipe has one writer and one reader, each a goroutine; its lock guards what they share. A Budget may be used from
+// any goroutine.
 package window
 
 import (
@@ -15,86 +14,86 @@
 )
 
 const (
-	// Size is how much a pipe holds, Least how much once the budget is short, in bytes.
+	// Size is the capacity of a pipe, Least its capacity when the budget is short, in bytes.
 	Size, Least = 32 << 10, 4 << 10
-	// largePart is the part of the budget that pipes share, in quarters: the rest is left to what
-	// is short.
-	largePart = 3
+	// largeQuarters is the part of the budget that pipes of capacity Size may use, in quarters: the rest is left to
+	// short bodies.
+	largeQuarters = 3
 )
 
-// Budget is the bytes that bodies may hold together.
+// Budget bounds the memory that bodies use together.
 type Budget struct {
 	most, used atomic.Int64
 }
 
-// NewBudget makes a budget of so many bytes.
+// NewBudget returns a budget of most bytes.
 func NewBudget(most int64) *Budget {
 	b := &Budget{}
 	b.most.Store(most)
 	return b
 }
 
-// Bound changes the budget; what is held already stays.
-func (b *Budget) Bound(most int64) { b.most.Store(most) }
+// SetLimit changes the limit; bytes already taken stay taken.
+func (b *Budget) SetLimit(most int64) { b.most.Store(most) }
 
-// Used is how many bytes are held.
+// Used returns the number of bytes taken.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// Take takes bytes for what is held whole, and reports whether there is room. What was taken, also
-// where there is no room, is given back by Give.
+// Take reserves n bytes for a body held in memory and reports whether they are within the limit. They must be returned
+// with Give in either case.
 func (b *Budget) Take(n int64) bool { return b.used.Add(n) <= b.most.Load() }
 
-// Give gives bytes back.
+// Give returns n bytes to the budget.
 func (b *Budget) Give(n int64) { b.used.Add(-n) }
 
-// room is how much a pipe may hold now, and takes it.
+// room reserves a new pipe's capacity and returns it.
 func (b *Budget) room() int {
-	if b.used.Add(Size) <= b.most.Load()/4*largePart {
+	if b.used.Add(Size) <= b.most.Load()/4*largeQuarters {
 		return Size
 	}
 	b.used.Add(Least - Size)
 	return Least
 }
 
-// ErrLeft is what a writer gets whose reader has gone.
+// ErrLeft is returned by Write after the reader has called Leave.
 var ErrLeft = errors.New("window: nobody reads any more")
 
 // Pipe is a bounded pipe.
 type Pipe struct {
 	budget *Budget
 
-	mu    sync.Mutex
-	buf   []byte // grows up to room
-	room  int
-	from  int // the first byte that was not read
-	held  int // bytes that were not read
-	taken bool
-	end   error         // why no more comes; nil: it may
-	left  bool          // the reader has gone
-	given bool          // its bytes are back in the budget
-	leave func()        // the writer's, called once the reader has left before the end; nil: nobody's
-	bytes chan struct{} // tells the reader, space the writer: one that had decided to wait must not
-	space chan struct{} // lose its word to the other
+	mu         sync.Mutex
+	buf        []byte // grows up to room bytes
+	room       int
+	from       int // offset of the first unread byte
+	buffered   int // number of unread bytes
+	taken      bool
+	end        error         // why the stream ended; nil: it has not
+	readerLeft bool          // the reader has called Leave
+	released   bool          // its capacity has been returned to the budget
+	onLeave    func()        // called when the reader leaves before the end; nil: no callback
+	bytes      chan struct{} // wakes the reader; space wakes the writer. Two channels, as an end that is
+	space      chan struct{} // about to wait must not have its wake-up consumed by the other
 }
 
-// New makes a pipe; one of both ends has to end it: the reader by Leave.
+// New returns a pipe. The reader must call Leave, which returns its capacity to the budget.
 func New(b *Budget) *Pipe {
 	return &Pipe{budget: b, room: b.room(), bytes: make(chan struct{}, 1), space: make(chan struct{}, 1)}
 }
 
-// OnLeave names what is called when the reader leaves before all has come: a writer that waits for its own
-// source learns nothing of that from Write. It is called at once where that has happened already.
+// OnLeave sets a callback for when the reader leaves before the end of the stream: a writer that is blocked on its own
+// source does not learn that from Write. f is called at once if the reader has left already.
 func (p *Pipe) OnLeave(f func()) {
 	p.mu.Lock()
-	left := p.left
-	p.leave = f
+	left := p.readerLeft
+	p.onLeave = f
 	p.mu.Unlock()
 	if left {
 		f()
 	}
 }
 
-// wake wakes an end that waits, or is about to.
+// wake wakes the end of a pipe that waits, or is about to.
 func wake(end chan struct{}) {
 	select {
 	case end <- struct{}{}:
@@ -102,15 +101,15 @@
 	}
 }
 
-// Write waits for room until all is written. The error is ErrLeft, or the context's.
+// Write blocks until all of data is in the pipe. The error is ErrLeft or the context's cause.
 func (p *Pipe) Write(ctx context.Context, data []byte) error {
 	for len(data) > 0 {
 		p.mu.Lock()
-		if p.left {
+		if p.readerLeft {
 			p.mu.Unlock()
 			return ErrLeft
 		}
-		n := min(len(data), p.room-p.held)
+		n := min(len(data), p.room-p.buffered)
 		p.put(data[:n])
 		p.mu.Unlock()
 		if data = data[n:]; n > 0 {
@@ -126,23 +125,23 @@
 	return nil
 }
 
-// put appends what there is room for. The pipe is locked.
+// put appends data, which must fit into the room left. The pipe must be locked.
 func (p *Pipe) put(data []byte) {
-	if p.from+p.held+len(data) > len(p.buf) {
-		if p.held+len(data) > len(p.buf) { // grow
-			next := make([]byte, min(max(2*len(p.buf), p.held+len(data), Least), p.room))
-			copy(next, p.buf[p.from:p.from+p.held])
+	if p.from+p.buffered+len(data) > len(p.buf) {
+		if p.buffered+len(data) > len(p.buf) { // grow
+			next := make([]byte, min(max(2*len(p.buf), p.buffered+len(data), Least), p.room))
+			copy(next, p.buf[p.from:p.from+p.buffered])
 			p.buf = next
 		} else {
-			copy(p.buf, p.buf[p.from:p.from+p.held])
+			copy(p.buf, p.buf[p.from:p.from+p.buffered])
 		}
 		p.from = 0
 	}
-	copy(p.buf[p.from+p.held:], data)
-	p.held += len(data)
+	copy(p.buf[p.from+p.buffered:], data)
+	p.buffered += len(data)
 }
 
-// End says that no more comes; nil: all has come.
+// End ends the stream with err; nil: it is complete. Only the first call counts.
 func (p *Pipe) End(err error) {
 	if err == nil {
 		err = io.EOF
@@ -155,14 +154,14 @@
 	wake(p.bytes)
 }
 
-// Read waits for bytes. It returns io.EOF after the last, or why no more comes, or the context's
-// error.
+// Read blocks until there are bytes. It returns io.EOF after the last byte of a complete stream, the error given to
+// End, or the context's cause.
 func (p *Pipe) Read(ctx context.Context, to []byte) (int, error) {
 	for {
 		p.mu.Lock()
-		if n := copy(to, p.buf[p.from:p.from+p.held]); n > 0 {
-			p.from, p.held, p.taken = p.from+n, p.held-n, true
-			if p.held == 0 {
+		if n := copy(to, p.buf[p.from:p.from+p.buffered]); n > 0 {
+			p.from, p.buffered, p.taken = p.from+n, p.buffered-n, true
+			if p.buffered == 0 {
 				p.from = 0
 			}
 			p.mu.Unlock()
@@ -182,31 +181,31 @@
 	}
 }
 
-// Waiting tells whether bytes wait to be read.
+// Waiting reports whether unread bytes are in the pipe.
 func (p *Pipe) Waiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held > 0
+	return p.buffered > 0
 }
 
-// Taken tells whether any byte was read: what was can't be had again.
+// Taken reports whether any byte has been read, which can't be read again.
 func (p *Pipe) Taken() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.taken
 }
 
-// Leave ends the reading: the writer is told, and what the pipe holds goes back to the budget.
+// Leave ends the reading: it wakes the writer, discards unread bytes and returns the pipe's capacity to the budget.
 func (p *Pipe) Leave() {
 	p.mu.Lock()
-	p.left, p.buf, p.from, p.held = true, nil, 0, 0
-	if !p.given {
-		p.given = true
+	p.readerLeft, p.buf, p.from, p.buffered = true, nil, 0, 0
+	if !p.released {
+		p.released = true
 		p.budget.Give(int64(p.room))
 	}
 	var tell func()
 	if p.end == nil {
-		p.end, tell = ErrLeft, p.leave
+		p.end, tell = ErrLeft, p.onLeave
 	}
 	p.mu.Unlock()
 	wake(p.space)
--- a/internal/protocol/window/window_test.go
+++ b/internal/protocol/window/window_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// Whatever the sizes of writes and reads, all bytes come through in their order, and no more than the
-// pipe's size is held.
+// All bytes arrive in order, whatever the sizes of writes and reads, and the pipe never holds more than its size.
 func TestAllComesThrough(t *testing.T) {
 	for seed := range uint64(40) {
 		budget := NewBudget([]int64{0, 1 << 20}[seed%2])
@@ -60,7 +59,7 @@
 	}
 }
 
-// Whoever waits is woken by the other end's going, an error, or the context.
+// A blocked reader or writer is woken by the other end leaving, an error, or the context.
 func TestEnds(t *testing.T) {
 	broke := errors.New("broke")
 	full := make([]byte, Size)
@@ -99,7 +98,7 @@
 	}
 }
 
-// Large ones leave a quarter of the budget to what is short, and are never without any room.
+// Pipes of full size leave a quarter of the budget to short bodies, and every pipe gets at least Least bytes.
 func TestBudget(t *testing.T) {
 	b := NewBudget(16 * Size)
 	var pipes []*Pipe
@@ -123,7 +122,7 @@
 	if !b.Take(Short) {
 		t.Error("no room for a short one")
 	}
-	b.Bound(Size)
+	b.SetLimit(Size)
 	if b.Take(1) {
 		t.Error("room in a budget that has become smaller")
 	}
@@ -136,10 +135,10 @@
 		came int64
 		want time.Duration
 	}{
-		{0, 0, 1500 * time.Millisecond},                             // says nothing
-		{time.Second, 10, 1500 * time.Millisecond},                  // one byte now and then
+		{0, 0, 1500 * time.Millisecond},                             // sends nothing
+		{time.Second, 10, 1500 * time.Millisecond},                  // one byte, then a pause
 		{time.Second, 64 << 10, 3 * time.Second},                    // stops after a good start
-		{10 * time.Second, 640 << 10, 12 * time.Second},             // 64 KiB a second, for as long as it likes
+		{10 * time.Second, 640 << 10, 12 * time.Second},             // without limit
 		{10 * time.Second, 320 << 10, 11500 * time.Millisecond},     // at the least rate
 		{30 * time.Second, 28 * 32 << 10, 29500 * time.Millisecond}, // below it
 	} {
