--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -244,7 +244,7 @@
 		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.life, Connections: web.Connections, Requests: web.Requests,
 			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log, HeadWithin: time.Duration(web.HeadWithin),
 			BodyWithin: time.Duration(web.BodyWithin), KeepIdle: time.Duration(web.KeepIdle)})
-		a.fronts = append(a.fronts, row{frontEnd: fast, share: func(part int) { fast.Bound(max(web.Connections/part, 1)) }, listeners: network.FastCGI})
+		a.fronts = append(a.fronts, row{frontEnd: fast, share: func(part int) { fast.SetMaxConns(max(web.Connections/part, 1)) }, listeners: network.FastCGI})
 	}
 	if a.fleet, err = newFleet(a, c, o, log); err != nil {
 		stop()
--- a/internal/protocol/fcgi/fcgi.go
+++ b/internal/protocol/fcgi/fcgi.go
@@ -74,7 +74,7 @@
 type Header struct {
 	Type    Type
 	ID      uint16 // 0: about the connection, not a request
-	Length  int    // unread bytes of the content
+	Length  int    // length of the content in bytes, 0 to MaxContent
 	Padding int    // bytes after the content, 0 to 255
 }
 
@@ -218,7 +218,7 @@
 // Reader reads records one after the other without buffering their content.
 type Reader struct {
 	r    *bufio.Reader
-	left int // of the content
+	left int // unread bytes of the content
 	pad  int
 	raw  [HeaderLen]byte
 }
--- a/internal/protocol/fcgifront/conn.go
+++ b/internal/protocol/fcgifront/conn.go
@@ -20,51 +20,51 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// readSize is the buffer that a connection is read through, pieceSize what is passed on at once.
+// readSize is the size of a connection's read buffer, pieceSize that of the chunks in which bodies are forwarded.
 const readSize, pieceSize = 4 << 10, 16 << 10
 
-var pieces = sync.Pool{New: func() any { b := make([]byte, pieceSize); return &b }}
+var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, pieceSize); return &b }}
 
-// conn is a client's connection.
+// conn is a client connection.
 type conn struct {
 	f *Front
 	net.Conn
-	turn sync.Mutex // whoever writes has it
+	writeMu sync.Mutex // held while writing
 
 	mu     sync.Mutex
 	state  *sharing.Conn
 	open   map[uint16]*request
-	since  time.Time // when it came to be idle
-	ending bool      // nothing is taken any more
+	since  time.Time // when it became idle
+	ending bool      // input is discarded
 }
 
-// request is one on its way. Until it is handed on it belongs to the connection's reader; what the
-// connection's lock guards is said.
+// request is an open request. It belongs to the connection's reader until it is dispatched; fields guarded by the
+// connection's lock are marked.
 type request struct {
-	c      *conn
-	id     uint16
-	params []byte        // at most maxParams; what it can hold is taken from the budget
-	body   []byte        // the same; at most core.MaxBody
-	told   int64         // the body's length; -1: not told
-	came   int64         // bytes of it; written under the connection's lock
-	req    *core.Request // once its params are whole
-	wait   intake.Patience
-	ready  bool // it asks for /ready
-	whole  bool
-	ctx    context.Context
-	cancel context.CancelFunc
-	waited time.Duration // with nothing read from the connection, for its body's sake
-
-	// What stands below is guarded by the connection's lock.
-	began  time.Time // when it began, later by what was not read in the meantime
-	last   time.Time // when something of it came
-	asked  bool      // its params have come
-	all    bool      // all of it has come
-	handed bool      // it has a goroutine
-	bad    *intake.Problem
-	flow   *flow // of a long body
-	taken  int64 // bytes of the budget
-	over   bool  // its end is sent
+	c        *conn
+	id       uint16
+	params   []byte        // at most maxParams bytes; its capacity is taken from the budget
+	body     []byte        // at most core.MaxBody bytes; likewise
+	declared int64         // declared length of the body; -1: unknown
+	received int64         // bytes of the body received; written under the connection's lock
+	req      *core.Request // set once its params are complete
+	wait     intake.Patience
+	ready    bool // it is a request for /ready
+	bodyDone bool
+	ctx      context.Context
+	cancel   context.CancelFunc
+	waited   time.Duration // time during which the connection was not read because of its body
+
+	// The fields below are guarded by the connection's lock.
+	began       time.Time // when it began, plus the time during which the connection was not read
+	last        time.Time // when bytes of it last arrived
+	paramsDone  bool      // its params are complete
+	allReceived bool      // params and body are complete
+	dispatched  bool      // it has been given its goroutine or an answer
+	bad         *intake.Problem
+	flow        *flow // of a long body
+	taken       int64 // bytes taken from the budget
+	finished    bool  // its end is being sent
 }
 
 func newConn(f *Front, nc net.Conn) *conn {
@@ -72,14 +72,14 @@
 		open: map[uint16]*request{}, since: time.Now()}
 }
 
-// idle tells whether nothing is open, and since when.
+// idle reports whether no request is open, and since when.
 func (c *conn) idle() (bool, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open) == 0, c.since
 }
 
-// end has nothing taken any more, unless something is open or has come; it reports whether it has.
+// end stops accepting requests unless one is open or bytes are unread, and reports whether it did.
 func (c *conn) end() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,17 +90,17 @@
 	return true
 }
 
-// look ends what is late, and the connection when it has been idle for too long or is to leave.
-func (c *conn) look(now time.Time) {
+// check ends requests that are late, and the connection if it has been idle for too long or clients are sent away.
+func (c *conn) check(now time.Time) {
 	c.mu.Lock()
 	var late []*request
 	for _, q := range c.open {
-		if q.all || q.bad != nil {
+		if q.allReceived || q.bad != nil {
 			continue
 		}
 		due := q.began.Add(c.f.opt.HeadWithin)
-		if q.asked {
-			due = c.f.pace().Until(q.began, q.last, q.came)
+		if q.paramsDone {
+			due = c.f.pace().Until(q.began, q.last, q.received)
 		}
 		if now.After(due) {
 			q.bad = &intake.Problem{Status: http.StatusRequestTimeout, Text: "did not come whole"}
@@ -115,20 +115,20 @@
 	over := len(c.open) == 0 && !c.ending && (leaving || now.Sub(c.since) > c.f.opt.KeepIdle)
 	c.mu.Unlock()
 	for _, q := range late {
-		go q.fail() // its client may read nothing for a while, and others wait to be looked at
+		go q.fail() // the client may not be reading, and the other connections still have to be checked
 	}
 	if over && c.end() {
 		c.Close()
 	}
 }
 
-// kinds are the records' types as sharing has them.
+// kinds maps record types to package sharing's kinds.
 var kinds = map[fcgi.Type]sharing.Kind{fcgi.BeginRequest: sharing.BeginRequest, fcgi.AbortRequest: sharing.AbortRequest, fcgi.Params: sharing.ParamsStream,
 	fcgi.Stdin: sharing.StdinStream, fcgi.Data: sharing.ExtraStream, fcgi.GetValues: sharing.ValuesQuery}
 
-// read reads the connection to its end, and ends what is open on it then.
+// read reads the connection until it ends, then ends its open requests.
 func (c *conn) read() {
-	defer c.over()
+	defer c.endAll()
 	in := fcgi.NewReader(bufio.NewReaderSize(c.Conn, readSize))
 	for {
 		h, err := in.Next()
@@ -158,27 +158,27 @@
 	}
 }
 
-// record does what a record calls for; false: the connection is to end.
+// record handles one record; false: the connection must be closed.
 func (c *conn) record(in *fcgi.Reader, rec sharing.Record, h fcgi.Header) bool {
 	now := time.Now()
 	c.mu.Lock()
 	if c.ending {
 		c.mu.Unlock()
-		return true // read and dropped
+		return true // read and discarded
 	}
 	v := c.state.Record(rec)
 	q := c.open[rec.ID]
 	switch v {
 	case sharing.Begin:
-		q = &request{c: c, id: rec.ID, told: -1, began: now, last: now}
+		q = &request{c: c, id: rec.ID, declared: -1, began: now, last: now}
 		q.ctx, q.cancel = context.WithCancel(context.Background())
 		c.open[rec.ID] = q
 	case sharing.AppendBody, sharing.AppendParams:
 		q.last = now
 	case sharing.ParamsComplete:
-		q.began, q.last, q.asked = now, now, true // its body's time begins
+		q.began, q.last, q.paramsDone = now, now, true // the time for its body starts
 	case sharing.BodyComplete:
-		q.whole = true
+		q.bodyDone = true
 	}
 	c.mu.Unlock()
 	switch v {
@@ -192,7 +192,7 @@
 		q.complete()
 	case sharing.Abort:
 		q.cancel()
-		q.refuse(&intake.Problem{}) // nobody reads its answer
+		q.refuse(&intake.Problem{}) // the client does not expect an answer
 	case sharing.ParamsTooLong:
 		q.refuse(&intake.Problem{Status: http.StatusRequestHeaderFieldsTooLarge, Text: "params: above 32 KiB"})
 	case sharing.RejectOverloaded:
@@ -209,8 +209,8 @@
 	return true
 }
 
-// over ends all that is open on a connection that has ended.
-func (c *conn) over() {
+// endAll ends all open requests of a connection that has ended.
+func (c *conn) endAll() {
 	c.Close()
 	c.mu.Lock()
 	c.ending = true
@@ -226,16 +226,16 @@
 	c.f.drop(c)
 }
 
-// write writes whole records. A connection on which no more can be written is closed.
+// write writes complete records. If a write fails, the connection is closed.
 func (c *conn) write(out []byte) error {
 	c.mu.Lock()
 	patience := intake.ReadFor
 	if len(c.open) > 1 {
-		patience = stuckFor
+		patience = sharedWriteTimeout
 	}
 	c.mu.Unlock()
-	c.turn.Lock()
-	defer c.turn.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	_ = c.SetWriteDeadline(time.Now().Add(patience))
 	_, err := c.Conn.Write(out)
 	if err != nil {
@@ -244,7 +244,7 @@
 	return err
 }
 
-// reject rejects a request that has not been taken.
+// reject rejects a request that has not been accepted.
 func (c *conn) reject(id uint16, why fcgi.Status) bool {
 	if c.write(fcgi.AppendEnd(nil, id, fcgi.End{Status: why})) != nil {
 		return false
@@ -258,7 +258,7 @@
 	return true
 }
 
-// values answers GET_VALUES: what is asked for and known.
+// values answers GET_VALUES with the requested variables that are known.
 func (c *conn) values(in *fcgi.Reader) bool {
 	var room [maxValues]byte
 	raw, err := in.Content(room[:])
@@ -284,8 +284,8 @@
 	return c.write(fcgi.Append(nil, fcgi.GetValuesResult, 0, pairs)) == nil
 }
 
-// linger ends the sending, and has what still comes dropped for a while: closed with bytes unread, the
-// connection would take the answer back that its client has not read.
+// linger closes the sending side and discards input for a while: if the connection were closed with unread bytes, the
+// resulting reset could destroy an answer that the client has not read.
 func (c *conn) linger() {
 	c.mu.Lock()
 	c.ending = true
@@ -296,8 +296,8 @@
 	_ = c.SetReadDeadline(time.Now().Add(lingerFor))
 }
 
-// finish sends the last of a request's answer and its end. Its id is free from just before that, as its client
-// may begin another as soon as it has read it.
+// finish sends the last of a request's answer and its END_REQUEST. The id is free just before that, as the client may
+// reuse it as soon as it has read the record.
 func (q *request) finish(out []byte, app uint32) {
 	c := q.c
 	q.cancel()
@@ -305,7 +305,7 @@
 	c.state.End(q.id)
 	delete(c.open, q.id)
 	taken := q.taken
-	q.taken, q.over, c.since = 0, true, time.Now()
+	q.taken, q.finished, c.since = 0, true, time.Now()
 	if c.f.life.Leaving() {
 		c.state.CloseWhenIdle()
 	}
@@ -317,15 +317,15 @@
 	}
 }
 
-// stdout is a short answer's records, without its end.
+// stdout returns the STDOUT records of a short answer, without END_REQUEST.
 func (q *request) stdout(head string, body []byte) []byte {
 	out := make([]byte, 0, len(head)+len(body)+64)
 	out = fcgi.AppendStream(out, fcgi.Stdout, q.id, append([]byte(head), body...))
 	return fcgi.Append(out, fcgi.Stdout, q.id, nil)
 }
 
-// refuse ends a request for what is wrong with it: at once if it was not handed on; else whoever has it words
-// the answer, as it may be on its way. A problem without a status is nobody's to read.
+// refuse ends a request because of a problem: at once if it was not dispatched; otherwise its goroutine writes the
+// answer, which may be on its way already. A problem without a status is not answered.
 func (q *request) refuse(bad *intake.Problem) {
 	c := q.c
 	c.mu.Lock()
@@ -337,30 +337,30 @@
 	q.fail()
 }
 
-// fail does what q.bad calls for.
+// fail ends the request as q.bad requires.
 func (q *request) fail() {
 	q.c.mu.Lock()
-	handed, flow, bad := q.handed, q.flow, q.bad
-	q.handed = true // it is ended once
+	handed, flow, bad := q.dispatched, q.flow, q.bad
+	q.dispatched = true // ended only once
 	q.c.mu.Unlock()
 	if flow != nil {
 		flow.end(errors.New("body: " + bad.Text))
 	}
 	if !handed {
-		q.answerBad(bad)
+		q.answerProblem(bad)
 	}
 }
 
-func (q *request) answerBad(bad *intake.Problem) {
+func (q *request) answerProblem(bad *intake.Problem) {
 	if bad.Status == 0 {
 		q.finish(nil, 0)
 		return
 	}
-	q.finish(q.stdout(word(bad.Status)+"Content-Type: text/plain\r\n\r\n", []byte(bad.Text+"\n")), 0)
+	q.finish(q.stdout(statusLine(bad.Status)+"Content-Type: text/plain\r\n\r\n", []byte(bad.Text+"\n")), 0)
 }
 
-// room takes bytes from the budget for a slice that is to hold n more, and grows it.
-func (q *request) room(have []byte, n, most int) ([]byte, bool) {
+// grow grows a slice for n more bytes, up to most, and takes the growth from the budget; false: no memory is left.
+func (q *request) grow(have []byte, n, most int) ([]byte, bool) {
 	if len(have)+n <= cap(have) {
 		return have, true
 	}
@@ -375,20 +375,20 @@
 	return next, true
 }
 
-// account notes bytes that were taken from the budget, or are given back; false: the request is over.
+// account records bytes taken from the budget or, if negative, returned to it; false: the request is finished.
 func (q *request) account(bytes int64) bool {
 	q.c.mu.Lock()
 	defer q.c.mu.Unlock()
-	if !q.over {
+	if !q.finished {
 		q.taken += bytes
 	}
-	return !q.over
+	return !q.finished
 }
 
 var errNoMemory = intake.Problem{Status: http.StatusServiceUnavailable, Text: "no memory left"}
 
 func (q *request) takeParams(in *fcgi.Reader, n int) bool {
-	params, ok := q.room(q.params, n, maxParams)
+	params, ok := q.grow(q.params, n, maxParams)
 	if !ok {
 		q.refuse(&errNoMemory)
 		return true
@@ -399,7 +399,7 @@
 	return err == nil
 }
 
-// read reads the request's params, now that they are whole.
+// read parses the request's params, once they are complete.
 func (q *request) read() {
 	f, bad := fields(q.params)
 	if held := int64(cap(q.params)); q.account(-held) {
@@ -410,7 +410,7 @@
 		q.refuse(bad)
 		return
 	}
-	q.told = f.Length
+	q.declared = f.Length
 	if q.ready = f.Method == http.MethodGet && f.Path == "/ready"; !q.ready {
 		if f.ID == "" {
 			f.ID = q.c.f.ids.next()
@@ -421,23 +421,23 @@
 		}
 	}
 	switch {
-	case q.whole:
+	case q.bodyDone:
 		q.complete()
-	case q.told >= 0 && q.came > q.told:
+	case q.declared >= 0 && q.received > q.declared:
 		q.refuse(&intake.Problem{Status: http.StatusBadRequest, Text: "body: longer than CONTENT_LENGTH"})
 	}
 }
 
-// takeBody takes a piece of the body: short ones are held, of a long one the first part; the rest goes into
-// its window.
+// takeBody reads one record of the body. Short bodies are held, of a long one the first part; the rest goes into its
+// window.
 func (q *request) takeBody(in *fcgi.Reader) bool {
-	buf := pieces.Get().(*[]byte)
-	defer pieces.Put(buf)
+	buf := chunkBuffers.Get().(*[]byte)
+	defer chunkBuffers.Put(buf)
 	for {
 		n, err := in.Read(*buf)
 		if n > 0 {
 			q.c.mu.Lock()
-			q.came += int64(n)
+			q.received += int64(n)
 			q.c.mu.Unlock()
 			q.take((*buf)[:n])
 		}
@@ -454,12 +454,12 @@
 	flow, bad := q.flow, q.bad
 	q.c.mu.Unlock()
 	switch {
-	case bad != nil: // it is over
+	case bad != nil: // the request has failed
 		return
-	case q.came > window.Most:
+	case q.received > window.Most:
 		q.refuse(&intake.Problem{Status: http.StatusRequestEntityTooLarge, Text: "body: above 32 MiB"})
 		return
-	case q.told >= 0 && q.came > q.told:
+	case q.declared >= 0 && q.received > q.declared:
 		q.refuse(&intake.Problem{Status: http.StatusBadRequest, Text: "body: longer than CONTENT_LENGTH"})
 		return
 	case flow != nil:
@@ -467,21 +467,21 @@
 		return
 	}
 	if len(q.body)+len(piece) <= core.MaxBody {
-		if body, ok := q.room(q.body, len(piece), core.MaxBody); ok {
+		if body, ok := q.grow(q.body, len(piece), core.MaxBody); ok {
 			q.body = append(body, piece...)
 			return
 		}
 	}
-	// It is long, or there is no memory to hold it.
-	if q.c.f.opt.Short && q.came > core.MaxBody {
+	// The body is long, or there is no memory to hold it.
+	if q.c.f.opt.Short && q.received > core.MaxBody {
 		q.refuse(&intake.Problem{Status: http.StatusRequestEntityTooLarge, Text: "body: above 64 KiB"})
 		return
 	}
-	if q.req == nil || q.c.f.opt.Short || len(q.body) == 0 && q.told >= 0 && q.told <= core.MaxBody {
+	if q.req == nil || q.c.f.opt.Short || len(q.body) == 0 && q.declared >= 0 && q.declared <= core.MaxBody {
 		q.refuse(&errNoMemory)
 		return
 	}
-	q.req.Message.Body, q.req.Message.Length = q.body[:len(q.body):len(q.body)], q.told
+	q.req.Message.Body, q.req.Message.Length = q.body[:len(q.body):len(q.body)], q.declared
 	flow = newFlow(q.c.f.opt.Budget)
 	q.req.Message.Stream = flow.pipe
 	q.wait.Count(q.req, time.Now(), q.c.f.pace())
@@ -489,11 +489,11 @@
 	q.flow = flow
 	q.c.mu.Unlock()
 	go flow.pump(q.ctx)
-	q.handOn()
+	q.dispatch()
 	q.put(flow, piece)
 }
 
-// put passes a piece of a long body on, holds it, waits, or has the request give way, as sharing has it.
+// put forwards or buffers a piece of a long body, waits, or ends the request, as package sharing decides.
 func (q *request) put(flow *flow, piece []byte) {
 	c, budget := q.c, q.c.f.opt.Budget
 	for {
@@ -502,10 +502,10 @@
 		c.mu.Lock()
 		others := len(c.open) - 1
 		c.mu.Unlock()
-		hold, most := sharing.BackpressureFor(len(piece), sharing.Body{Buffered: flow.held(), Received: q.came, Paused: q.waited, OtherRequests: others, HasBudget: room})
+		hold, most := sharing.BackpressureFor(len(piece), sharing.Body{Buffered: flow.held(), Received: q.received, Paused: q.waited, OtherRequests: others, HasBudget: room})
 		switch hold {
 		case sharing.Buffer:
-			flow.put(piece) // and gives back what was taken
+			flow.put(piece) // returns the bytes to the budget later
 			return
 		case sharing.Terminate:
 			budget.Give(int64(len(piece)))
@@ -525,39 +525,39 @@
 		}
 		waited := time.Since(began)
 		q.waited += waited
-		c.mu.Lock() // what was not read is not its client's time
+		c.mu.Lock() // the client is not charged for the time when nothing was read
 		q.began, q.last = q.began.Add(waited), time.Now()
 		c.mu.Unlock()
 	}
 }
 
-// complete is for a request of which all has come, but perhaps its params.
+// complete handles the end of a body; the params may still be incomplete.
 func (q *request) complete() {
 	c := q.c
 	c.mu.Lock()
-	asked, flow, bad := q.asked, q.flow, q.bad
-	q.all = asked
+	asked, flow, bad := q.paramsDone, q.flow, q.bad
+	q.allReceived = asked
 	c.mu.Unlock()
 	switch {
 	case bad != nil || !asked:
-	case q.told >= 0 && q.came != q.told:
+	case q.declared >= 0 && q.received != q.declared:
 		q.refuse(&intake.Problem{Status: http.StatusBadRequest, Text: "body: not as long as CONTENT_LENGTH"})
 	case flow != nil:
 		flow.end(nil)
 	case q.ready:
-		q.handOn()
+		q.dispatch()
 	default:
 		q.req.Message.Body = q.body
 		q.wait.Count(q.req, time.Now(), c.f.pace())
-		q.handOn()
+		q.dispatch()
 	}
 }
 
-// handOn gives the request its goroutine.
-func (q *request) handOn() {
+// dispatch starts the request's goroutine, at most once.
+func (q *request) dispatch() {
 	q.c.mu.Lock()
-	first := !q.handed
-	q.handed = true
+	first := !q.dispatched
+	q.dispatched = true
 	q.c.mu.Unlock()
 	if first {
 		q.c.f.working.Add(1)
@@ -572,7 +572,7 @@
 		if p := recover(); p != nil {
 			f.opt.Log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
 			if !answered {
-				q.finish(q.stdout(word(http.StatusInternalServerError)+"\r\n", nil), 1)
+				q.finish(q.stdout(statusLine(http.StatusInternalServerError)+"\r\n", nil), 1)
 			}
 		}
 	}()
@@ -582,7 +582,7 @@
 			status = http.StatusServiceUnavailable
 		}
 		answered = true
-		q.finish(q.stdout(word(status)+"\r\n", nil), 0)
+		q.finish(q.stdout(statusLine(status)+"\r\n", nil), 0)
 		return
 	}
 	ans := f.core.Do(q.ctx, q.req)
@@ -590,21 +590,21 @@
 		q.flow.leave()
 		q.c.mu.Lock()
 		bad := q.bad
-		q.c.state.DiscardInput(q.id) // what still comes of it is nobody's
+		q.c.state.DiscardInput(q.id) // input that still arrives for it is discarded
 		q.c.mu.Unlock()
 		if bad != nil && ans.Outcome != core.Served && bad.Status != http.StatusServiceUnavailable {
 			answered = true
-			q.answerBad(bad)
+			q.answerProblem(bad)
 			return
 		}
 	}
 	answered = true
 	switch ans.Outcome {
 	case core.ClientGone:
-		q.finish(nil, 0) // its client has aborted it
+		q.finish(nil, 0) // the client aborted it
 	case core.Served:
 		if ans.Stream != nil {
-			q.pass(ans)
+			q.streamAnswer(ans)
 			return
 		}
 		length := int64(len(ans.Body))
@@ -617,19 +617,19 @@
 		if ans.RetryAfter > 0 {
 			more = "Retry-After: " + strconv.FormatFloat(ans.RetryAfter.Seconds(), 'f', -1, 64) + "\r\n"
 		}
-		q.finish(q.stdout(word(http.StatusServiceUnavailable)+more+"\r\n", nil), 0)
+		q.finish(q.stdout(statusLine(http.StatusServiceUnavailable)+more+"\r\n", nil), 0)
 	case core.Duplicate:
-		q.answerBad(&intake.Problem{Status: http.StatusConflict, Text: "Request-Id: came before"})
+		q.answerProblem(&intake.Problem{Status: http.StatusConflict, Text: "Request-Id: came before"})
 	case core.DeadlineExceeded:
-		q.finish(q.stdout(word(http.StatusGatewayTimeout)+"\r\n", nil), 0)
+		q.finish(q.stdout(statusLine(http.StatusGatewayTimeout)+"\r\n", nil), 0)
 	default:
-		q.finish(q.stdout(word(http.StatusBadGateway)+"\r\n", nil), 0)
+		q.finish(q.stdout(statusLine(http.StatusBadGateway)+"\r\n", nil), 0)
 	}
 }
 
-// head is the head of a served answer; a length below 0 is not told.
+// head returns the CGI header of a served answer; a negative length is omitted.
 func head(kind string, length int64) string {
-	text := word(http.StatusOK)
+	text := statusLine(http.StatusOK)
 	if kind != "" {
 		text += "Content-Type: " + kind + "\r\n"
 	}
@@ -639,16 +639,17 @@
 	return text + "\r\n"
 }
 
-// pass passes on an answer as it comes. One that breaks ends with an application status, and where that is all
-// by which its client could tell, and nobody shares the connection, with the connection.
-func (q *request) pass(ans core.Answer) {
+// streamAnswer forwards an answer as it arrives. If it breaks off, the request ends with an application status. If the
+// length is unknown and no other request shares the connection, the connection is closed too, as the client could not
+// otherwise tell.
+func (q *request) streamAnswer(ans core.Answer) {
 	defer ans.Stream.Leave()
 	c := q.c
 	out := fcgi.AppendStream(nil, fcgi.Stdout, q.id, append([]byte(head(ans.ContentType, ans.Length)), ans.Body...))
-	buf := pieces.Get().(*[]byte)
-	defer pieces.Put(buf)
+	buf := chunkBuffers.Get().(*[]byte)
+	defer chunkBuffers.Put(buf)
 	for {
-		if !ans.Stream.Waiting() && len(out) > 0 { // nothing that is here is held back
+		if !ans.Stream.Waiting() && len(out) > 0 { // write before waiting: bytes that have arrived are not delayed
 			if c.write(out) != nil {
 				q.finish(nil, 1)
 				return
@@ -662,7 +663,7 @@
 			q.finish(fcgi.Append(out, fcgi.Stdout, q.id, nil), 0)
 			return
 		case q.ctx.Err() != nil:
-			q.finish(nil, 0) // its client has aborted it
+			q.finish(nil, 0) // the client aborted it
 			return
 		case err != nil:
 			c.mu.Lock()
--- a/internal/protocol/fcgifront/flow.go
+++ b/internal/protocol/fcgifront/flow.go
@@ -7,44 +7,44 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// flow is a long body on its way: its window, and what is held beside it in the order it came. The
-// connection's reader puts, one goroutine pumps; the lock guards what they share.
+// flow is a long body in transit: its window, and the chunks buffered in front of it, in order. The connection's
+// reader calls put, one goroutine pumps; the lock guards what they share.
 type flow struct {
 	pipe   *window.Pipe
 	budget *window.Budget
 
-	mu     sync.Mutex
-	chunks [][]byte
-	bytes  int
-	ended  bool
-	why    error         // of an end before it was whole
-	gone   bool          // nobody reads it any more
-	more   chan struct{} // tells the pump
-	less   chan struct{} // closed, and made anew, when something was passed on
+	mu        sync.Mutex
+	chunks    [][]byte
+	bytes     int
+	ended     bool
+	why       error         // why the body ended incomplete
+	abandoned bool          // the body's reader has left
+	wakePump  chan struct{} // wakes the pump
+	drained   chan struct{} // closed and replaced when buffered bytes are forwarded or dropped
 }
 
 func newFlow(b *window.Budget) *flow {
-	return &flow{pipe: window.New(b), budget: b, more: make(chan struct{}, 1), less: make(chan struct{})}
+	return &flow{pipe: window.New(b), budget: b, wakePump: make(chan struct{}, 1), drained: make(chan struct{})}
 }
 
-// held is how many bytes stand beside the window.
+// held returns the number of bytes buffered in front of the window.
 func (f *flow) held() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.bytes
 }
 
-// changed is closed when less is held than now, or nobody reads any more.
+// changed returns a channel that is closed when fewer bytes are buffered, or the body's reader leaves.
 func (f *flow) changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.less
+	return f.drained
 }
 
-// put holds a copy of a piece, whose bytes were taken from the budget.
+// put buffers a copy of piece, whose bytes were taken from the budget.
 func (f *flow) put(piece []byte) {
 	f.mu.Lock()
-	if f.gone || f.ended {
+	if f.abandoned || f.ended {
 		f.budget.Give(int64(len(piece)))
 	} else {
 		f.chunks, f.bytes = append(f.chunks, append([]byte(nil), piece...)), f.bytes+len(piece)
@@ -55,12 +55,12 @@
 
 func (f *flow) wake() {
 	select {
-	case f.more <- struct{}{}:
+	case f.wakePump <- struct{}{}:
 	default:
 	}
 }
 
-// end says that no more comes; nil: all has come.
+// end ends the body; a nil error: it is complete.
 func (f *flow) end(why error) {
 	f.mu.Lock()
 	if !f.ended {
@@ -70,30 +70,30 @@
 	f.wake()
 }
 
-// leave is for a body that nobody reads any more.
+// leave discards the body: its reader has left.
 func (f *flow) leave() {
 	f.pipe.Leave()
 	f.mu.Lock()
-	f.gone = true
+	f.abandoned = true
 	f.drop()
 	f.mu.Unlock()
 	f.wake()
 }
 
-// drop gives back all that is held. The flow is locked.
+// drop returns all buffered bytes to the budget. The flow must be locked.
 func (f *flow) drop() {
 	f.budget.Give(int64(f.bytes))
 	f.chunks, f.bytes = nil, 0
-	close(f.less)
-	f.less = make(chan struct{})
+	close(f.drained)
+	f.drained = make(chan struct{})
 }
 
-// pump fills the window until all has come, or nobody reads it any more. An end before that is told at once,
-// ahead of what is held.
+// pump fills the window until the body is complete or its reader leaves. If the body ends incomplete, the error is
+// passed on at once, ahead of buffered bytes.
 func (f *flow) pump(ctx context.Context) {
 	for {
 		f.mu.Lock()
-		if f.gone || f.ended && (f.why != nil || len(f.chunks) == 0) {
+		if f.abandoned || f.ended && (f.why != nil || len(f.chunks) == 0) {
 			why := f.why
 			if f.bytes > 0 {
 				f.drop()
@@ -108,7 +108,7 @@
 		}
 		f.mu.Unlock()
 		if piece == nil {
-			<-f.more // end and leave wake as well
+			<-f.wakePump // end and leave wake as well
 			continue
 		}
 		if err := f.pipe.Write(ctx, piece); err != nil {
@@ -116,11 +116,11 @@
 			continue
 		}
 		f.mu.Lock()
-		if !f.gone {
+		if !f.abandoned {
 			f.chunks, f.bytes = f.chunks[1:], f.bytes-len(piece)
 			f.budget.Give(int64(len(piece)))
-			close(f.less)
-			f.less = make(chan struct{})
+			close(f.drained)
+			f.drained = make(chan struct{})
 		}
 		f.mu.Unlock()
 	}
--- a/internal/protocol/fcgifront/front.go
+++ b/internal/protocol/fcgifront/front.go
@@ -1,11 +1,11 @@
-// Package fcgifront takes clients' requests over FastCGI 1.0 and gives each its answer, several at once on a
-// connection.
+// Package fcgifront accepts clients' requests over FastCGI 1.0, several at once on a connection, and writes one answer
+// to each. It does not route, queue or retry requests: its Handler does.
 //
-// One goroutine reads a connection and owns what of its requests has not come whole; each request that is
-// handed on has a goroutine of its own, which owns it from then on, and a long body another that fills its
-// window. A connection's lock guards which requests are open and what they are at; a second one has writers
-// take turns. What a record means and who gives way is package sharing's choice. The Front's lock guards which
-// connections there are; one goroutine looks through them for what is late, idle or to leave.
+// One goroutine reads a connection and owns its incomplete requests. Each dispatched request has its own goroutine,
+// which owns it from then on, and a long body has another that fills its window. A connection's lock guards its open
+// requests and their states; a second lock serialises writers. Package sharing decides what a record means and which
+// request yields. The Front's lock guards the set of connections; one goroutine checks them for late requests, idle
+// time and shutdown. Front's methods may be called from any goroutine.
 package fcgifront
 
 import (
@@ -27,37 +27,37 @@
 )
 
 const (
-	// lookEvery is how often connections are looked through.
-	lookEvery = 50 * time.Millisecond
-	// maxParams bounds one request's params, maxValues a GET_VALUES, in bytes.
+	// checkInterval is the interval at which connections are checked.
+	checkInterval = 50 * time.Millisecond
+	// maxParams bounds one request's params, maxValues a GET_VALUES record, in bytes.
 	maxParams, maxValues = 32 << 10, 1 << 10
-	// stuckFor is how long a client may take nothing of what is written while others share its connection;
-	// while nobody does, as over HTTP.
-	stuckFor = 5 * time.Second
-	// lingerFor is how long what still comes is read and dropped before a connection is closed.
+	// sharedWriteTimeout bounds a write to a client while several requests share its connection; otherwise the limit
+	// is the same as over HTTP.
+	sharedWriteTimeout = 5 * time.Second
+	// lingerFor is how long input is read and discarded before a connection is closed.
 	lingerFor = time.Second
 )
 
-// Options is what a front end is told.
+// Options configures a Front.
 type Options struct {
 	intake.View
-	Life                             *lifecycle.Machine   // nil: it has its own
-	Connections                      int                  // of clients, at the most
-	Requests                         int                  // open at once on one of them
-	Allowed                          func(ip net.IP) bool // who may connect over TCP; nil: anybody
-	Budget                           *window.Budget       // of the bodies held together
-	Short                            bool                 // bodies of more than core.MaxBody are not taken
+	Life                             *lifecycle.Machine   // nil: New makes one
+	Connections                      int                  // maximum number of client connections
+	Requests                         int                  // maximum number of open requests per connection
+	Allowed                          func(ip net.IP) bool // addresses that may connect over TCP; nil: any
+	Budget                           *window.Budget       // memory for request bodies
+	Short                            bool                 // reject bodies longer than core.MaxBody
 	Log                              *slog.Logger
-	HeadWithin, BodyWithin, KeepIdle time.Duration // as over HTTP; a request's params are its head
+	HeadWithin, BodyWithin, KeepIdle time.Duration // as over HTTP, with a request's params as its header
 }
 
-// Front is the front end.
+// Front serves FastCGI clients.
 type Front struct {
 	core    intake.Handler
 	opt     Options
 	view    atomic.Pointer[intake.View]
 	life    *lifecycle.Machine
-	working atomic.Int64 // requests handed on and not yet answered
+	working atomic.Int64 // requests dispatched and not yet answered
 	ids     ids
 
 	mu    sync.Mutex
@@ -65,7 +65,7 @@
 	conns map[*conn]struct{}
 }
 
-// New makes a front end that hands requests to h.
+// New returns a Front that passes requests to h.
 func New(h intake.Handler, o Options) *Front {
 	if o.Budget == nil {
 		o.Budget = window.NewBudget(1 << 20)
@@ -78,20 +78,20 @@
 	return f
 }
 
-// Turn has requests that are read from now on read by another version of the settings.
+// Turn switches to another version of the settings, for requests read from now on.
 func (f *Front) Turn(v intake.View) { f.view.Store(&v) }
 
-// Bound sets how many connections there may be. Those over it stay until they end.
-func (f *Front) Bound(most int) {
+// SetMaxConns sets the maximum number of connections. Connections above it stay until they end.
+func (f *Front) SetMaxConns(most int) {
 	f.mu.Lock()
 	f.most = most
 	f.mu.Unlock()
 }
 
-// Taken is how many requests are taken and not yet answered.
+// Taken returns the number of requests dispatched and not yet answered.
 func (f *Front) Taken() int64 { return f.working.Load() }
 
-// Connections is how many clients' connections are open.
+// Connections returns the number of open client connections.
 func (f *Front) Connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +102,8 @@
 	return intake.Pace(f.opt.BodyWithin)
 }
 
-// Serve answers on the listeners until the context ends, then finishes what it holds. It may be called once.
+// Serve accepts connections on the listeners until the context ends, then shuts down gracefully. It may be called
+// once.
 func (f *Front) Serve(ctx context.Context, listeners ...net.Listener) error {
 	failed := make(chan error, len(listeners))
 	f.life.Open()
@@ -110,7 +111,7 @@
 		go func() { failed <- f.accept(ctx, ln) }()
 	}
 	go sockets.Wake(ctx, f.life, listeners)
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(checkInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -119,9 +120,9 @@
 				return fmt.Errorf("serve FastCGI: %w", err)
 			}
 		case now := <-look.C:
-			f.each(func(c *conn) { c.look(now) })
+			f.each(func(c *conn) { c.check(now) })
 		case <-ctx.Done():
-			return f.leave(listeners)
+			return f.shutdown(listeners)
 		}
 	}
 }
@@ -154,16 +155,16 @@
 			continue
 		}
 		c := newConn(f, nc)
-		if !f.place(c) {
-			nc.Close() // all are in use: its client has sent nothing that was read
+		if !f.admit(c) {
+			nc.Close() // all are in use: nothing its client sent has been read
 			continue
 		}
 		go c.read()
 	}
 }
 
-// place gives a connection its place, at the cost of the one that has been idle longest where there is none.
-func (f *Front) place(c *conn) bool {
+// admit gives a connection its admit, at the cost of the one that has been idle longest where there is none.
+func (f *Front) admit(c *conn) bool {
 	f.mu.Lock()
 	if len(f.conns) < f.most {
 		f.conns[c] = struct{}{}
@@ -195,11 +196,12 @@
 	f.mu.Unlock()
 }
 
-// leave ends in order, as over HTTP: connections between requests, then the listeners, then what is held.
-func (f *Front) leave(listeners []net.Listener) error {
+// shutdown shuts down gracefully, as over HTTP: it closes idle connections, then the listeners, then waits for the
+// requests in flight.
+func (f *Front) shutdown(listeners []net.Listener) error {
 	f.life.End()
 	for until := time.Now().Add(intake.AcceptFor); f.life.Accepts() && time.Now().Before(until); time.Sleep(intake.LeaveEvery) {
-		f.each(func(c *conn) { c.look(time.Now()) })
+		f.each(func(c *conn) { c.check(time.Now()) })
 	}
 	for _, ln := range listeners {
 		ln.Close()
@@ -207,16 +209,16 @@
 	settled := time.Now().Add(intake.SettleFor)
 	end := time.Now().Add(core.MaxRequestDuration(f.view.Load().Settings) + intake.SettleFor)
 	for ; time.Now().Before(end); time.Sleep(intake.LeaveEvery) {
-		f.each(func(c *conn) { c.look(time.Now()) })
-		if f.Connections() == 0 || f.working.Load() == 0 && time.Now().After(settled) && !f.coming() {
+		f.each(func(c *conn) { c.check(time.Now()) })
+		if f.Connections() == 0 || f.working.Load() == 0 && time.Now().After(settled) && !f.receiving() {
 			break
 		}
 	}
 	return f.Close()
 }
 
-// coming tells whether a request is coming in on any connection.
-func (f *Front) coming() (some bool) {
+// receiving tells whether a request is receiving in on any connection.
+func (f *Front) receiving() (some bool) {
 	f.each(func(c *conn) {
 		idle, _ := c.idle()
 		some = some || !idle
@@ -224,13 +226,13 @@
 	return some
 }
 
-// Close ends all connections at once.
+// Close closes all connections at once.
 func (f *Front) Close() error {
 	f.each(func(c *conn) { c.Close() })
 	return nil
 }
 
-// word is a status line of an answer in CGI form.
-func word(status int) string {
+// statusLine returns the Status field of an answer in CGI form.
+func statusLine(status int) string {
 	return fmt.Sprintf("Status: %d %s\r\n", status, http.StatusText(status))
 }
--- a/internal/protocol/fcgifront/front_test.go
+++ b/internal/protocol/fcgifront/front_test.go
@@ -586,7 +586,7 @@
 			View: intake.View{Classes: map[string]int{"order": 0}, Settings: &settings.Settings{Classes: []settings.Class{class}}}})
 		near, far := net.Pipe()
 		c := newConn(front, far)
-		front.place(c)
+		front.admit(c)
 		go io.Copy(io.Discard, near)
 		go func() {
 			near.Write(raw)
--- a/internal/protocol/fcgifront/ids.go
+++ b/internal/protocol/fcgifront/ids.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// ids makes ids for requests that came with none: 128 random bits each, from a generator seeded by the
-// system, so that no two agents make the same. The lock guards the generator.
+// ids generates ids for requests that have none: 128 random bits each, from a generator seeded by the system, so that
+// no two agents generate the same id. The lock guards the generator.
 type ids struct {
 	mu  sync.Mutex
 	rng *rand.ChaCha8
--- a/internal/protocol/fcgifront/params.go
+++ b/internal/protocol/fcgifront/params.go
@@ -12,8 +12,8 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// The variables that count; a request that has one of them twice is not taken, as
-// whoever reads the other would read another request. Any other is passed over, HTTP_PROXY among them.
+// The variables that are read. A request that has one of them twice is rejected, as a reader that takes the other
+// value would see a different request. All other variables are ignored, HTTP_PROXY among them.
 const (
 	vMethod = iota
 	vURI
@@ -30,10 +30,10 @@
 	vTenant
 	vHint
 	vRetry
-	variables
+	variableCount
 )
 
-var names = map[string]int{
+var variableIndex = map[string]int{
 	"REQUEST_METHOD":       vMethod,
 	"REQUEST_URI":          vURI,
 	"SCRIPT_NAME":          vScript,
@@ -51,17 +51,17 @@
 	"HTTP_CLIENT_RETRY":    vRetry,
 }
 
-// fields reads a request's fields from its params.
+// fields parses a request's fields from its params.
 func fields(params []byte) (*intake.Fields, *intake.Problem) {
-	var all [variables]string
-	var seen [variables]bool
+	var all [variableCount]string
+	var seen [variableCount]bool
 	for len(params) > 0 {
 		name, value, rest, err := fcgi.NextPair(params)
 		if err != nil {
 			return nil, &intake.Problem{Status: http.StatusBadRequest, Text: "params: cut short"}
 		}
 		params = rest
-		i, counts := names[string(name)]
+		i, counts := variableIndex[string(name)]
 		if !counts {
 			continue
 		}
@@ -104,7 +104,7 @@
 	return f, nil
 }
 
-// setLength reads CONTENT_LENGTH; a GET or HEAD without it has no body.
+// setLength parses CONTENT_LENGTH; a GET or HEAD without it has no body.
 func setLength(f *intake.Fields, text string) *intake.Problem {
 	if text != "" {
 		n, err := strconv.ParseUint(text, 10, 62)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// setPath brings the target into the form that begins with a slash, and sets the path that it has.
+// setPath converts the target to origin form and sets the decoded path.
 func setPath(f *intake.Fields) *intake.Problem {
 	if i := strings.Index(f.Target, "://"); i > 0 && !strings.HasPrefix(f.Target, "/") { // absolute form
 		rest := f.Target[i+3:]
--- a/internal/protocol/httpfront/bodies.go
+++ b/internal/protocol/httpfront/bodies.go
@@ -17,12 +17,12 @@
 	"molepaddle/internal/protocol/window"
 )
 
-// pace is how slowly a body may come.
+// pace returns how slowly a body may arrive.
 func (a *Front) pace() window.Pace {
 	return intake.Pace(a.opt.BodyWithin)
 }
 
-// target is a request's target with its path first: absolute forms name a host before it.
+// target returns the request target in origin form: absolute forms have a scheme and host before the path.
 func target(uri string) string {
 	if strings.HasPrefix(uri, "/") {
 		return uri
@@ -42,7 +42,7 @@
 	return uri
 }
 
-// checkLength says what is wrong with how a request tells its body's length.
+// checkLength returns the problem with a request's body framing, or nil.
 func (a *Front) checkLength(hr *http.Request) *problem {
 	switch {
 	case len(hr.TransferEncoding) == 0 && hr.ContentLength <= maxBody:
@@ -56,8 +56,8 @@
 	case len(hr.TransferEncoding) == 0:
 		return nil
 	}
-	// The server ignores a length beside a Transfer-Encoding and hides it, so a request could hide in
-	// the body for whoever reads it the other way.
+	// net/http ignores and hides a Content-Length beside a Transfer-Encoding, so a request could be smuggled in the
+	// body past a reader that prefers the length.
 	c, ok := hr.Context().Value(connKey{}).(*clientConn)
 	if !ok || len(hr.TransferEncoding) != 1 || hr.TransferEncoding[0] != "chunked" || !hr.ProtoAtLeast(1, 1) ||
 		!c.chunkedOnly(hr) {
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// headOf cuts a request's head out of the bytes that came for it; false: it is not whole, or another's.
+// headOf returns a request's header from the raw bytes received; false: it is incomplete or belongs to another
+// request.
 func headOf(raw []byte, method, uri string) ([]byte, bool) {
 	raw = bytes.TrimLeft(raw, "\r\n")
 	if !bytes.HasPrefix(raw, []byte(method+" "+uri+" ")) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// hasContentLength tells whether a head has a Content-Length in any spelling.
+// hasContentLength reports whether a header has a Content-Length, in any spelling.
 func hasContentLength(head []byte) bool {
 	for line := range bytes.Lines(head) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
@@ -96,8 +97,8 @@
 	return false
 }
 
-// readBody reads the body, as far as it is held: a short one whole, of a long one the first part. The
-// bodies held together are bounded.
+// readBody reads a short body completely and the first part of a long one. The memory of all held bodies is bounded by
+// the budget.
 func (a *Front) readBody(w http.ResponseWriter, hr *http.Request, r *core.Request) *problem {
 	if hr.ContentLength == 0 {
 		return nil
@@ -108,7 +109,7 @@
 	}
 	taken := a.opt.Budget.Take(room)
 	if long := hr.ContentLength < 0 || hr.ContentLength > room; !taken && long {
-		// What is long goes on with a small part held: it is only less likely to be sent again.
+		// A long body continues with a small part held: that only makes it less likely to be retried.
 		a.opt.Budget.Give(room - window.Least)
 		room, taken = window.Least, true
 	}
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// readPart fills a part of the body that holds all of it if it is short. Most have come with their
-// head; a timer is cheaper for them than to set a deadline and take it back.
+// readPart fills part, which has room for the complete body if it is short. Most bodies arrive with their header; for
+// them a timer is cheaper than setting and clearing a deadline.
 func (a *Front) readPart(w http.ResponseWriter, hr *http.Request, part []byte) (n int, whole bool, bad *problem) {
 	control, pace := http.NewResponseController(w), a.pace()
 	began := time.Now()
@@ -155,7 +156,7 @@
 	}
 }
 
-// broken words why a body did not come whole.
+// broken returns the problem for a failed body read.
 func broken(err error) *problem {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
@@ -164,28 +165,28 @@
 	return &problem{Status: http.StatusBadRequest, Text: "body: can't be read"}
 }
 
-// upload passes on what comes of a long body, in a goroutine of its own until end.
+// upload forwards a long body in its own goroutine until end.
 type upload struct {
-	control  *http.ResponseController
-	rest     *window.Pipe
-	stop     context.CancelFunc
-	done     chan struct{}
-	cut      bool     // end did not wait for the rest
-	complete bool     // all has come; set before done is closed
-	bad      *problem // or why not
+	control     *http.ResponseController
+	body        *window.Pipe
+	stop        context.CancelFunc
+	done        chan struct{}
+	interrupted bool     // end interrupted the read of the rest
+	complete    bool     // the complete body has arrived; set before done is closed
+	bad         *problem // why it has not
 }
 
 func (a *Front) startUpload(w http.ResponseWriter, hr *http.Request, r *core.Request) *upload {
 	ctx, stop := context.WithCancel(context.Background())
-	u := &upload{control: http.NewResponseController(w), rest: r.Message.Stream, stop: stop, done: make(chan struct{})}
+	u := &upload{control: http.NewResponseController(w), body: r.Message.Stream, stop: stop, done: make(chan struct{})}
 	go func() {
 		var why error
 		if u.bad = u.pump(ctx, a.pace(), hr, int64(len(r.Message.Body))); u.bad != nil {
 			why = errors.New(u.bad.Text)
 		}
 		u.complete = u.bad == nil
-		close(u.done) // before the answer to all of it can come
-		u.rest.End(why)
+		close(u.done) // before the server can answer the complete body
+		u.body.End(why)
 	}()
 	return u
 }
@@ -195,7 +196,7 @@
 	defer chunkBuffers.Put(buf)
 	began, last, waited := time.Now(), time.Now(), time.Duration(0)
 	for {
-		// What it waits for a server is not its client's time.
+		// Time spent waiting for the server does not count against the client.
 		_ = u.control.SetReadDeadline(pace.Until(began.Add(waited), last, came))
 		if ctx.Err() != nil {
 			return &problem{Status: http.StatusRequestTimeout, Text: "body: not waited for"}
@@ -205,7 +206,7 @@
 			return &problem{Status: http.StatusRequestEntityTooLarge, Text: "body: above 32 MiB"}
 		}
 		now := time.Now()
-		if n > 0 && u.rest.Write(ctx, (*buf)[:n]) != nil {
+		if n > 0 && u.body.Write(ctx, (*buf)[:n]) != nil {
 			return &problem{Status: http.StatusServiceUnavailable, Text: "body: not taken"}
 		}
 		last = time.Now()
@@ -219,28 +220,28 @@
 	}
 }
 
-// end ends the passing on, and says why a body did not come whole.
+// end stops the upload and returns why the body is incomplete, if its client is to blame.
 func (u *upload) end() *problem {
 	u.stop()
 	select {
 	case <-u.done:
 	default:
-		u.cut = true
+		u.interrupted = true
 		_ = u.control.SetReadDeadline(time.Unix(1, 0))
 		<-u.done
 	}
-	u.rest.Leave()
+	u.body.Leave()
 	if !u.complete && u.bad.Status != http.StatusServiceUnavailable && u.bad.Text != "body: not waited for" {
 		return u.bad
 	}
 	return nil
 }
 
-// chunkBuffers are what goes through at once.
+// chunkBuffers holds the buffers through which bodies and answers are copied.
 var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// streamAnswer passes on an answer as it comes. One that breaks ends its connection with a reset, so that the
-// client can tell, whatever framing it has.
+// streamAnswer forwards an answer as it arrives. If it breaks off, the connection is reset, so that the client notices
+// with any framing.
 func (a *Front) streamAnswer(w http.ResponseWriter, hr *http.Request, ans core.Answer) {
 	rest := ans.Stream
 	defer rest.Leave()
@@ -272,7 +273,7 @@
 	buf := chunkBuffers.Get().(*[]byte)
 	defer chunkBuffers.Put(buf)
 	for {
-		if !rest.Waiting() { // nothing that is here is held back
+		if !rest.Waiting() { // flush before waiting: bytes that have arrived are not delayed
 			if err := control.Flush(); err != nil {
 				abort()
 			}
--- a/internal/protocol/httpfront/front.go
+++ b/internal/protocol/httpfront/front.go
@@ -1,9 +1,9 @@
-// Package httpfront takes clients' requests over HTTP/1.1 and gives each its answer.
+// Package httpfront accepts clients' requests over HTTP/1.1 and writes one answer to each. It does not route, queue or
+// retry requests: its Handler does.
 //
-// A request is handled in the goroutine of its connection, as net/http's server does; it
-// shares nothing with others but the counters in Front. places guards by a lock which
-// connections there are and what each is at; its listener and the goroutine that tidies
-// up close those that need their place least.
+// A request is handled in the goroutine of its connection, as in net/http's server; requests share only the counters
+// in Front. The lock of places guards the set of connections and the stage of each; the listener and the tidying
+// goroutine close those that need their place least. Front's methods may be called from any goroutine.
 package httpfront
 
 import (
@@ -26,44 +26,43 @@
 )
 
 const (
-	// maxHead bounds a request's head.
+	// maxHead bounds a request's header, in bytes.
 	maxHead = 16 << 10
 	maxBody = core.MaxBody
 )
 
-// Handler gives a request its one final answer.
+// Handler answers each request once.
 type Handler = intake.Handler
 
-// Options is what a front end is told.
+// Options configures a Front.
 type Options struct {
 	View
-	Life    *lifecycle.Machine // nil: it has its own
-	Places  int                // connections of clients at the most
-	Kept    int                // those that are kept between requests
-	Budget  *window.Budget     // of the bodies held together
-	Streams bool               // bodies of more than core.MaxBody are taken, and chunked ones
+	Life    *lifecycle.Machine // nil: New makes one
+	Places  int                // maximum number of client connections
+	Kept    int                // number of connections kept open between requests
+	Budget  *window.Budget     // memory for request bodies
+	Streams bool               // accept bodies longer than core.MaxBody, and chunked ones
 	Log     *slog.Logger
-	// HeadWithin and BodyWithin are how long a request's head and body may take to come,
-	// KeepIdle how long a connection stays open between requests when its place is not
-	// needed.
+	// HeadWithin and BodyWithin bound how long a request's header and body may take to arrive, KeepIdle how long a
+	// connection stays open between requests while its place is not needed.
 	HeadWithin, BodyWithin, KeepIdle time.Duration
 }
 
-// View is one version of the settings, as requests are read by.
+// View is one version of the settings, by which requests are read.
 type View = intake.View
 
-// Front is the front end.
+// Front serves HTTP/1.1 clients.
 type Front struct {
 	core    Handler
 	opt     Options
 	server  *http.Server
 	view    atomic.Pointer[View]
 	life    *lifecycle.Machine
-	working atomic.Int64 // requests taken and not yet answered
+	working atomic.Int64 // requests accepted and not yet answered
 	places  *places
 }
 
-// New makes a front end that hands requests to h.
+// New returns a Front that passes requests to h.
 func New(h Handler, o Options) *Front {
 	if o.Budget == nil {
 		o.Budget = window.NewBudget(1 << 20)
@@ -78,7 +77,7 @@
 		ReadHeaderTimeout: o.HeadWithin,
 		IdleTimeout:       o.KeepIdle,
 		MaxHeaderBytes:    maxHead,
-		WriteTimeout:      intake.MaxTimeout + 5*time.Second, // a client that never reads
+		WriteTimeout:      intake.MaxTimeout + 5*time.Second, // bounds a client that never reads
 		ErrorLog:          slog.NewLogLogger(o.Log.Handler(), slog.LevelWarn),
 		ConnState:         a.places.track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -88,24 +87,24 @@
 	return a
 }
 
-// SetLimits sets what New was told of places and connections kept. Connections over it are not closed, but
-// no place is found for others before they are fewer.
+// SetLimits changes Options.Places and Options.Kept. Connections above the limit are not closed, but no other is
+// accepted until their number has fallen below it.
 func (a *Front) SetLimits(places, kept int) { a.places.bound(places, kept) }
 
-// Turn has requests that are read from now on read by another version of the settings.
+// Turn switches to another version of the settings, for requests read from now on.
 func (a *Front) Turn(v View) { a.view.Store(&v) }
 
 type connKey struct{}
 
-// Serve answers on the listeners until the context ends, then finishes what it holds. It
-// may be called once.
+// Serve accepts connections on the listeners until the context ends, then shuts down gracefully. It may be called
+// once.
 func (a *Front) Serve(ctx context.Context, listeners ...net.Listener) error {
-	context.AfterFunc(ctx, a.places.rest)
+	context.AfterFunc(ctx, a.places.stopTidying)
 	failed := make(chan error, len(listeners))
 	a.life.Open()
 	for _, ln := range listeners {
 		go func() {
-			failed <- a.server.Serve(&listener{Listener: ln, places: a.places, life: a.life, heads: a.opt.Streams, end: ctx.Done()})
+			failed <- a.server.Serve(&listener{Listener: ln, places: a.places, life: a.life, keepHeads: a.opt.Streams, end: ctx.Done()})
 		}()
 	}
 	go a.closeIdleWhileLeaving(ctx)
@@ -120,23 +119,22 @@
 	return a.shutdown(listeners)
 }
 
-// Taken is how many requests are taken and not yet answered.
+// Taken returns the number of requests accepted and not yet answered.
 func (a *Front) Taken() int64 { return a.working.Load() }
 
-// Connections is how many clients' connections are open.
+// Connections returns the number of open client connections.
 func (a *Front) Connections() int { return a.places.count() }
 
-// Close ends all connections at once.
+// Close closes all connections at once.
 func (a *Front) Close() error { return a.server.Close() }
 
-// shutdown ends the agent in order: clients go on coming for a while after the signal,
-// so idle connections are closed first, while what crosses that can still come on a
-// new one; then the listener; then all that is held is answered. Connections that are
-// silent or hold half a request are not waited for.
+// shutdown shuts down gracefully. Clients keep connecting for a while after the signal, so idle connections are closed
+// first, while a client whose request crosses the close can still open a new one; then the listeners are closed; then
+// all requests in flight are answered. Connections that are silent or hold a partial request are not waited for.
 func (a *Front) shutdown(listeners []net.Listener) error {
 	a.life.End()
-	// From now on each answer ends its connection; the server's own way to that closes idle
-	// connections without a look at what is just being read from them.
+	// From now on each answer closes its connection. http.Server.Shutdown is not used, as it closes idle connections
+	// without checking for a request that is just being read.
 	for until := time.Now().Add(intake.AcceptFor); a.life.Accepts() && time.Now().Before(until); time.Sleep(intake.LeaveEvery) {
 		a.places.closeIdleWhile(a.life.Leaving)
 	}
@@ -151,8 +149,8 @@
 			break
 		}
 	}
-	// What is left is over its deadline, or never sent a request. The server may not yet
-	// know that its listeners are closed, which is no failure.
+	// Connections left now are past their deadline or never sent a request. The server may not yet have noticed that
+	// its listeners are closed, which is not an error.
 	if err := a.server.Close(); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
@@ -160,12 +158,12 @@
 }
 
 const (
-	// sendEvery is how often, while clients are sent away, their idle connections are looked
-	// through; leaveIdleTimeout is how long a connection may say nothing then.
+	// leaveInterval is the interval at which idle connections are checked while clients are sent away;
+	// leaveIdleTimeout is how long a new connection may stay silent then.
 	leaveInterval, leaveIdleTimeout = 10 * time.Millisecond, time.Second
 )
 
-// closeIdleWhileLeaving closes what clients leave idle while they are sent away.
+// closeIdleWhileLeaving closes idle and silent connections while clients are sent away.
 func (a *Front) closeIdleWhileLeaving(ctx context.Context) {
 	for {
 		changed := a.life.Changed()
@@ -191,7 +189,7 @@
 
 type problem = intake.Problem
 
-// ServeHTTP takes one request and gives it one answer.
+// ServeHTTP handles one request and writes one answer.
 func (a *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	if hr.Method == http.MethodGet && target(hr.RequestURI) == "/ready" {
 		a.serveReady(w)
@@ -201,7 +199,7 @@
 	// A panic must not leave the request without an answer.
 	defer func() {
 		if p := recover(); p == http.ErrAbortHandler {
-			panic(p) // an answer that has begun can't be ended otherwise
+			panic(p) // the only way to abort an answer that has begun
 		} else if p != nil {
 			a.opt.Log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
 			if !answered {
@@ -209,8 +207,8 @@
 			}
 		}
 	}()
-	// Whether the connection is kept is settled as its request comes: of many that are
-	// answered in one moment it would hang on which is first.
+	// Whether the connection is kept is decided when its request arrives: of many answered at the same moment it would
+	// otherwise depend on their order.
 	conn, _ := hr.Context().Value(connKey{}).(*clientConn)
 	keep, placed := a.places.keep(conn)
 	if !placed {
@@ -237,9 +235,9 @@
 			return
 		}
 		if !up.complete {
-			keep = false // what follows on the connection is the rest of the body
+			keep = false // the rest of the body follows on the connection
 		}
-		if up.cut { // the server may take the end of its reading for the client's
+		if up.interrupted { // net/http may take the interrupted read for the client's disconnect and cancel the context
 			hr = hr.WithContext(context.WithoutCancel(hr.Context()))
 		}
 	}
@@ -248,8 +246,8 @@
 	case core.Duplicate:
 		a.reject(w, hr, &problem{Status: http.StatusConflict, Text: "Request-Id: came before"})
 	case core.ClientGone:
-		// Nothing written would go out as 200 with no body, and a client that has only
-		// ended its sending still reads.
+		// Without a write, net/http would send an empty 200, and a client that has only half-closed its connection
+		// would read it.
 		w.Header().Set("Connection", "close")
 		a.write(w, http.StatusBadGateway, "", nil)
 	case core.DeadlineExceeded:
@@ -270,8 +268,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// read makes a request of what the client sent, its body included. Its time counts from when its last
-// byte was read, also where it waits behind the request before.
+// read reads a request and its body. The request's time counts from when its last byte was read, also if it was
+// pipelined behind another.
 func (a *Front) read(w http.ResponseWriter, hr *http.Request) (*core.Request, *problem) {
 	if bad := a.checkLength(hr); bad != nil {
 		return nil, bad
@@ -299,14 +297,13 @@
 	}
 	came := time.Now()
 	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
-		came = c.came()
+		came = c.lastByteAt()
 	}
 	patience.Count(r, came, a.pace())
 	return r, nil
 }
 
-// reject tells a client that its request is not taken, and ends its connection: what
-// follows there can't be trusted to be a request.
+// reject answers a bad request and closes its connection, as the bytes that follow can't be trusted to be a request.
 func (a *Front) reject(w http.ResponseWriter, hr *http.Request, bad *problem) {
 	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
 		a.places.enter(c, rejected)
@@ -315,7 +312,7 @@
 	a.write(w, bad.Status, "text/plain", []byte(bad.Text+"\n"))
 }
 
-// answer words a final answer.
+// answer writes a final answer.
 func (a *Front) answer(w http.ResponseWriter, hr *http.Request, ans core.Answer, keep bool) {
 	if !keep {
 		w.Header().Set("Connection", "close")
@@ -341,13 +338,13 @@
 	}
 }
 
-// write sends an answer. While the agent leaves, it ends its connection, and must be out
-// before it counts as answered.
+// write writes an answer. During a shutdown it closes the connection and flushes the answer before the request counts
+// as answered.
 func (a *Front) write(w http.ResponseWriter, status int, kind string, body []byte) {
 	a.writeOf(w, status, kind, body, int64(len(body)))
 }
 
-// writeOf does so for an answer that is said to have a length, below 0 none.
+// writeOf is write with an explicit Content-Length; negative: none.
 func (a *Front) writeOf(w http.ResponseWriter, status int, kind string, body []byte, length int64) {
 	h := w.Header()
 	h["Date"] = nil
@@ -355,7 +352,7 @@
 		h.Set("Connection", "close")
 	}
 	if kind == "" {
-		h["Content-Type"] = nil // not to be guessed
+		h["Content-Type"] = nil // prevents content sniffing
 	} else {
 		h.Set("Content-Type", kind)
 	}
@@ -363,7 +360,7 @@
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // an error means that the client has gone
+	_, _ = w.Write(body) // an error means that the client has disconnected
 	if a.life.Leaving() {
 		_ = http.NewResponseController(w).Flush()
 	}
--- a/internal/protocol/httpfront/front_test.go
+++ b/internal/protocol/httpfront/front_test.go
@@ -255,7 +255,7 @@
 		t.Run(kind, func(t *testing.T) {
 			a, _, base, _, _ := start(t, most, served)
 			a.places.mu.Lock()
-			a.places.many = most // all are kept
+			a.places.maxKept = most // all are kept
 			a.places.mu.Unlock()
 			for i := range most {
 				c := dial(t, base)
@@ -295,7 +295,7 @@
 		server, client := net.Pipe()
 		t.Cleanup(func() { server.Close(); client.Close() })
 		c := &clientConn{Conn: server, places: p, stage: s, since: now}
-		c.got.Store(true)
+		c.received.Store(true)
 		if !p.take(c, now) {
 			t.Fatal("no place though there is room")
 		}
@@ -315,7 +315,7 @@
 func TestKeptConnectionsAreBounded(t *testing.T) {
 	a, _, base, _, _ := start(t, 100, served)
 	a.places.mu.Lock()
-	a.places.many = 3
+	a.places.maxKept = 3
 	a.places.mu.Unlock()
 	kept := 0
 	for i := range 10 {
@@ -334,7 +334,7 @@
 		t.Fatalf("%d connections kept, want 3", kept)
 	}
 	a.places.mu.Lock()
-	a.places.many = 2
+	a.places.maxKept = 2
 	a.places.mu.Unlock()
 	a.places.tidy(time.Now().Add(-time.Hour))
 	if n := a.places.count(); n != 3 {
--- a/internal/protocol/httpfront/places.go
+++ b/internal/protocol/httpfront/places.go
@@ -13,59 +13,59 @@
 )
 
 const (
-	// idleFor is how long a client's connection without a request is left alone.
+	// idleFor is how long a connection between requests is kept before it may be closed.
 	idleFor = 2 * time.Second
-	// unfinishedFor is how long a request may take to come while others want its place.
+	// unfinishedFor is how long a request may take to arrive while others need its connection's place.
 	unfinishedFor = 500 * time.Millisecond
-	// silentFor is how long a new connection may say nothing while others want its place,
-	// roomFor how long a new one waits for a place, looked for every roomEvery.
-	silentFor          = 30 * time.Millisecond
-	roomFor, roomEvery = 150 * time.Millisecond, 1999 * time.Microsecond // in step with nothing else
-	// tidyEvery is how often idle connections are looked through.
+	// silentFor is how long a new connection may send nothing while others need its place. placeWait is how long a new
+	// connection waits for a place, placeRetry the interval between its attempts.
+	silentFor             = 30 * time.Millisecond
+	placeWait, placeRetry = 150 * time.Millisecond, 1999 * time.Microsecond // an odd interval, not in step with other timers
+	// tidyEvery is the interval at which idle connections are checked.
 	tidyEvery = 250 * time.Millisecond
 )
 
-// stage is what a client's connection is at.
+// stage is the stage of a client connection.
 type stage uint8
 
 const (
-	fresh    stage = iota // its first request has not come whole
+	fresh    stage = iota // its first request has not arrived completely
 	idle                  // between requests
 	busy                  // a request is being read or answered
-	rejected              // it was told that its request is bad, and closes
+	rejected              // a bad request was answered, and the connection closes
 )
 
-// What has become of a connection since it was idle last, or came.
+// Read states of a connection since it became idle or was accepted.
 const (
-	quiet int32 = iota // nothing was read
-	fed                // something was: it is not closed as idle
-	shut               // it is closed as idle: what is read now is not taken
+	readNone   int32 = iota // nothing has been read
+	readSome                // bytes have been read: it is not closed as idle
+	closedIdle              // it is being closed as idle: bytes read now are discarded
 )
 
-// clientConn is a client's connection. Its stage belongs to its places.
+// clientConn is a client connection. stage, since and number are guarded by the lock of places.
 type clientConn struct {
 	net.Conn
-	places *places
-	got    atomic.Bool  // something was read from it
-	whose  atomic.Int32 // quiet, fed or shut: whoever changes it first from quiet has the connection
-	stage  stage
-	since  time.Time // when the stage began
-	number int       // counts the connections in the order in which they came
-
-	mu    sync.Mutex
-	raw   []byte // what came since the request before was answered, up to maxHead; while no handler runs
-	heads bool   // raw is kept
-
-	last atomic.Int64 // when bytes were last read, in nanoseconds since the places were made
+	places    *places
+	received  atomic.Bool  // bytes have been read from it
+	readState atomic.Int32 // readNone, readSome or closedIdle: the first change from readNone decides between reading and closing
+	stage     stage
+	since     time.Time // when the stage began
+	number    int       // sequence number in the order of acceptance
+
+	mu       sync.Mutex
+	raw      []byte // bytes since the previous request was answered, up to maxHead; only while no handler runs
+	keepHead bool   // raw is recorded
+
+	last atomic.Int64 // when bytes were last read, in nanoseconds since places.made
 }
 
-// came is when the last byte was read of the request that has been read now.
-func (c *clientConn) came() time.Time { return c.places.made.Add(time.Duration(c.last.Load())) }
+// lastByteAt returns when the last byte of the current request was read.
+func (c *clientConn) lastByteAt() time.Time { return c.places.made.Add(time.Duration(c.last.Load())) }
 
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		if c.heads {
+		if c.keepHead {
 			c.mu.Lock()
 			if len(c.raw) < maxHead {
 				c.raw = append(c.raw, p[:min(n, maxHead-len(c.raw))]...)
@@ -73,19 +73,19 @@
 			c.mu.Unlock()
 		}
 		c.last.Store(int64(time.Since(c.places.made)))
-		if !c.got.Load() {
-			c.got.Store(true)
+		if !c.received.Load() {
+			c.received.Store(true)
 		}
-		// Whether it is closed as idle or its next request read is settled here: what came to
-		// a connection that is closed was never read, and its client sends it again on another.
-		if !c.whose.CompareAndSwap(quiet, fed) && c.whose.Load() == shut {
-			return 0, io.EOF // to any other error the server would answer 400, if the close takes a moment
+		// Decides whether the connection is closed as idle or its next request is read: bytes that arrive on a closing
+		// connection count as never read, and the client sends them again on another.
+		if !c.readState.CompareAndSwap(readNone, readSome) && c.readState.Load() == closedIdle {
+			return 0, io.EOF // to any other error net/http would answer 400 if the close takes a moment
 		}
 	}
 	return n, err
 }
 
-// chunkedOnly tells whether the head of a chunked request was seen, and names no length.
+// chunkedOnly reports whether the header of a chunked request was recorded and has no Content-Length.
 func (c *clientConn) chunkedOnly(hr *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,8 +93,8 @@
 	return seen && !hasContentLength(head)
 }
 
-// forget drops the bytes of a request that is answered.
-func (c *clientConn) forget() {
+// resetHead drops the recorded bytes of a request that is answered.
+func (c *clientConn) resetHead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.raw = c.raw[:0]; cap(c.raw) > 1<<10 {
@@ -102,10 +102,10 @@
 	}
 }
 
-// end closes a connection between two requests, unless the next one has begun to be read, and
-// reports whether it did. The places are locked.
-func (c *clientConn) end() bool {
-	if !c.whose.CompareAndSwap(quiet, shut) {
+// closeIdle closes a connection between two requests unless the next one has begun to be read, and reports whether it
+// did. places must be locked.
+func (c *clientConn) closeIdle() bool {
+	if !c.readState.CompareAndSwap(readNone, closedIdle) {
 		return false
 	}
 	delete(c.places.conns, c)
@@ -118,8 +118,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite lets the server end its side first, so that a client still sending reads
-// its answer before the connection breaks.
+// CloseWrite closes the sending side first, so that a client that is still sending reads its answer before the
+// connection breaks.
 func (c *clientConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -127,59 +127,58 @@
 	return nil
 }
 
-// silent tells whether nothing has come on the connection, not even unread.
+// silent reports whether no bytes have arrived on the connection, not even unread ones.
 func (c *clientConn) silent() bool {
-	return !c.got.Load() && sockets.Pending(c.Conn) == 0
+	return !c.received.Load() && sockets.Pending(c.Conn) == 0
 }
 
-// places holds the clients' connections, at most as many as there are places.
+// places holds the client connections and limits their number.
 type places struct {
-	made  time.Time
-	most  int
-	many  int // connections that ask or have asked, past which they are not kept
-	mu    sync.Mutex
-	conns map[*clientConn]struct{}
-	came  int         // connections so far
-	again *time.Timer // looks through them; nil: there are none, or the agent leaves
-	over  bool        // the agent leaves
+	made      time.Time
+	maxConns  int
+	maxKept   int // number of used connections above which none is kept after its answer
+	mu        sync.Mutex
+	conns     map[*clientConn]struct{}
+	accepted  int         // connections accepted so far
+	tidyTimer *time.Timer // runs runTidy; nil: there are no connections, or the front end shuts down
+	stopped   bool        // the front end shuts down
 }
 
 func newPlaces(most, many int) *places {
-	return &places{made: time.Now(), most: most, many: many, conns: map[*clientConn]struct{}{}}
+	return &places{made: time.Now(), maxConns: most, maxKept: many, conns: map[*clientConn]struct{}{}}
 }
 
 func (p *places) bound(most, many int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most, p.many = most, many
+	p.maxConns, p.maxKept = most, many
 }
 
-// listener gives each connection that it accepts a place.
+// listener assigns a place to each connection that it accepts.
 type listener struct {
 	net.Listener
-	places *places
-	life   *lifecycle.Machine
-	heads  bool            // chunked requests are taken, and so heads kept
-	end    <-chan struct{} // closed when the agent is to end
+	places    *places
+	life      *lifecycle.Machine
+	keepHeads bool            // chunked requests are accepted, so headers are recorded
+	end       <-chan struct{} // closed when the front end is to shut down
 }
 
-// Accept always takes the next connection: left in the kernel's queue its request would
-// count as taken with nobody to answer. Without a place for it one is made, or where
-// all are in use the new connection is closed.
+// Accept always accepts the next connection: left in the kernel's queue, its request would seem accepted but never be
+// answered. If there is no place for it, another connection is closed, or if all are in use, the new one.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := sockets.Accept(l.Listener, l.life, l.end)
 		if err != nil {
 			return nil, err
 		}
-		cc := &clientConn{Conn: c, places: l.places, heads: l.heads, since: time.Now()}
+		cc := &clientConn{Conn: c, places: l.places, keepHead: l.keepHeads, since: time.Now()}
 		for !l.places.take(cc, time.Now()) {
-			if time.Since(cc.since) > roomFor {
+			if time.Since(cc.since) > placeWait {
 				c.Close()
 				cc = nil
 				break
 			}
-			time.Sleep(roomEvery)
+			time.Sleep(placeRetry)
 		}
 		if cc != nil {
 			return cc, nil
@@ -187,17 +186,17 @@
 	}
 }
 
-// take gives the connection a place, at the cost of the one that needs its own least.
+// take assigns a place to the connection, closing the connection that needs its own least if all are in use.
 func (p *places) take(c *clientConn, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.conns) >= p.most {
-		least, unasked := p.least(now)
+	if len(p.conns) >= p.maxConns {
+		least, unasked := p.victim(now)
 		if least == nil {
 			return false
 		}
-		if unasked { // as it was when looked at: what has come since stays
-			if !least.end() {
+		if unasked { // kept if bytes have arrived since the check
+			if !least.closeIdle() {
 				return false
 			}
 		} else {
@@ -205,40 +204,38 @@
 			least.Conn.Close()
 		}
 	}
-	p.came++
-	c.number = p.came
+	p.accepted++
+	c.number = p.accepted
 	p.conns[c] = struct{}{}
-	if p.again == nil && !p.over {
-		p.again = time.AfterFunc(tidyEvery, p.look)
+	if p.tidyTimer == nil && !p.stopped {
+		p.tidyTimer = time.AfterFunc(tidyEvery, p.runTidy)
 	}
 	return true
 }
 
-// look tidies, and comes back as long as there are connections.
-func (p *places) look() {
+// runTidy tidies, and reschedules itself as long as there are connections.
+func (p *places) runTidy() {
 	p.tidy(time.Now())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.again = nil; len(p.conns) > 0 && !p.over {
-		p.again = time.AfterFunc(tidyEvery, p.look)
+	if p.tidyTimer = nil; len(p.conns) > 0 && !p.stopped {
+		p.tidyTimer = time.AfterFunc(tidyEvery, p.runTidy)
 	}
 }
 
-// rest ends the tidying.
-func (p *places) rest() {
+// stopTidying stops the tidying for good.
+func (p *places) stopTidying() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over = true; p.again != nil {
-		p.again.Stop()
+	if p.stopped = true; p.tidyTimer != nil {
+		p.tidyTimer.Stop()
 	}
 }
 
-// least finds the connection to close for a new one: the one idle longest, else the
-// oldest that has said nothing, else one that was turned away, else the oldest whose
-// first request does not come to its end, and of the others one between requests. One
-// with a request open is never closed. unasked says that
-// nothing of a request had come.
-func (p *places) least(now time.Time) (least *clientConn, unasked bool) {
+// victim returns the connection to close for a new one: the one idle longest; else the oldest that has sent nothing;
+// else a rejected one; else the oldest whose first request remains incomplete; else one between requests. A connection
+// with a request open is never chosen. unasked reports that it had sent nothing of a request.
+func (p *places) victim(now time.Time) (least *clientConn, unasked bool) {
 	const kinds = 5
 	var found [kinds]*clientConn
 	for c := range p.conns {
@@ -246,17 +243,17 @@
 		switch {
 		case c.stage == idle && age >= idleFor:
 			kind = 0
-		case c.stage == fresh && c.got.Load() && age >= unfinishedFor:
+		case c.stage == fresh && c.received.Load() && age >= unfinishedFor:
 			kind = 3
-		case c.stage == fresh && !c.got.Load() && age >= silentFor:
+		case c.stage == fresh && !c.received.Load() && age >= silentFor:
 			kind = 1
 		case c.stage == rejected:
 			kind = 2
 		case c.stage == idle:
-			kind = 4 // may cross a request, which the client then sends again
+			kind = 4 // may race with a request, which the client then sends again
 		}
-		// What has just come and is not yet read is somebody's request.
-		if kind < kinds && (found[kind] == nil || c.longer(found[kind])) &&
+		// Unread bytes may be a request that has just arrived.
+		if kind < kinds && (found[kind] == nil || c.olderThan(found[kind])) &&
 			(kind == 2 || kind == 3 || sockets.Pending(c.Conn) <= 0) {
 			found[kind] = c
 		}
@@ -269,9 +266,9 @@
 	return nil, false
 }
 
-// longer tells whether a connection has been in its stage for longer than another; of
-// those that entered it in one moment, the one that came first has.
-func (c *clientConn) longer(than *clientConn) bool {
+// olderThan reports whether the connection has been in its stage longer than another; ties go to the one accepted
+// first.
+func (c *clientConn) olderThan(than *clientConn) bool {
 	return c.since.Before(than.since) || c.since.Equal(than.since) && c.number < than.number
 }
 
@@ -281,7 +278,7 @@
 	p.mu.Unlock()
 }
 
-// enter notes a connection's new stage. A rejected one stays so.
+// enter records a connection's new stage. A rejected connection stays rejected.
 func (p *places) enter(c *clientConn, to stage) {
 	p.mu.Lock()
 	if c.stage != rejected {
@@ -300,49 +297,50 @@
 	case http.StateActive:
 		p.enter(cc, busy)
 	case http.StateIdle:
-		cc.forget()
-		cc.whose.CompareAndSwap(fed, quiet)
+		cc.resetHead()
+		cc.readState.CompareAndSwap(readSome, readNone)
 		p.enter(cc, idle)
 	}
 }
 
-// crowded tells whether so many connections are kept that clients may soon have none left
-// for their next request: some ask once and keep theirs for good. The places are locked.
-func (p *places) crowded() bool {
+// tooManyKept reports whether so many connections are kept that clients may soon have none left for their next
+// request: some clients send one request and keep the connection for good. places must be locked.
+func (p *places) tooManyKept() bool {
 	n := 0
 	for c := range p.conns {
 		if c.stage == idle || c.stage == busy {
 			n++
 		}
 	}
-	return n > p.many
+	return n > p.maxKept
 }
 
-// keep tells whether a connection may stay open after the answer to the request whose head has just come,
-// and whether it has its place still: one that came to its end as its place went to another is not taken.
+// keep reports whether a connection may stay open after the answer to the request whose header has just arrived, and
+// whether it still has its place. If its place was given to another while the request was being completed, the request
+// must not be handled.
 func (p *places) keep(c *clientConn) (stays, placed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, placed = p.conns[c]
-	return !p.crowded(), placed || c == nil
+	return !p.tooManyKept(), placed || c == nil
 }
 
-// tidy closes those that have been idle for a while, as long as there are too many.
+// tidy closes connections that have been idle for idleFor while too many are kept.
 func (p *places) tidy(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.crowded() {
+	if !p.tooManyKept() {
 		return
 	}
 	for c := range p.conns {
 		if c.stage == idle && now.Sub(c.since) >= idleFor && sockets.Pending(c.Conn) <= 0 {
-			c.end()
+			c.closeIdle()
 		}
 	}
 }
 
-// closeIdleWhile closes the connections that are between two requests, if leaving still holds once the places are
-// locked: a connection that becomes idle after leaving ended is never closed by a pass that began before.
+// closeIdleWhile closes connections between two requests if leaving still reports true under the lock: a connection
+// that becomes idle after the draining ended is never closed by a pass that began before.
 func (p *places) closeIdleWhile(leaving func() bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -351,35 +349,34 @@
 	}
 	for c := range p.conns {
 		if c.stage == idle && sockets.Pending(c.Conn) == 0 {
-			c.end()
+			c.closeIdle()
 		}
 	}
 }
 
-// closeSilent closes the connections on which nothing has come since before the moment given.
+// closeSilent closes new connections that were accepted before the given time and have sent nothing.
 func (p *places) closeSilent(before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if c.stage == fresh && c.since.Before(before) && c.silent() {
-			c.end()
+			c.closeIdle()
 		}
 	}
 }
 
-// closeWaiting closes the connections on which no request is open or coming in, and counts
-// those of which one may have come whole and not be noted yet: there are bytes that are not
-// read, or reading began after the moment given.
+// closeWaiting closes the connections on which no request is open or arriving, and counts those on which a request may
+// have arrived unnoticed: they have unread bytes, or reading began after the given time.
 func (p *places) closeWaiting(after time.Time) (coming int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		switch {
 		case c.stage == idle && sockets.Pending(c.Conn) == 0 || c.stage == fresh && c.silent():
-			if !c.end() {
+			if !c.closeIdle() {
 				coming++
 			}
-		case c.stage == idle, c.stage == fresh && !c.got.Load(), c.stage != rejected && c.since.After(after):
+		case c.stage == idle, c.stage == fresh && !c.received.Load(), c.stage != rejected && c.since.After(after):
 			coming++
 		}
 	}
--- a/internal/protocol/httpfront/places_test.go
+++ b/internal/protocol/httpfront/places_test.go
@@ -43,7 +43,7 @@
 		"leaving, before the first":       {leave, nil},
 		"for a new one, between requests": {func(p *places) { p.take(&clientConn{Conn: &hooked{}, places: p}, time.Now().Add(time.Hour)) }, []http.ConnState{http.StateActive, http.StateIdle}},
 		"for a new one, before the first": {func(p *places) { p.take(&clientConn{Conn: &hooked{}, places: p}, time.Now().Add(100*time.Millisecond)) }, nil},
-		"too many are kept":               {func(p *places) { p.many = 0; p.tidy(time.Now().Add(time.Hour)) }, []http.ConnState{http.StateActive, http.StateIdle}},
+		"too many are kept":               {func(p *places) { p.maxKept = 0; p.tidy(time.Now().Add(time.Hour)) }, []http.ConnState{http.StateActive, http.StateIdle}},
 	} {
 		for _, when := range []string{"before", "after", "later"} {
 			p := newPlaces(1, 1)
@@ -106,7 +106,7 @@
 func (s *seen) Pending() int {
 	buf := make([]byte, 8)
 	go s.conn.Read(buf)
-	for s.conn.whose.Load() != fed {
+	for s.conn.readState.Load() != readSome {
 		runtime.Gosched()
 	}
 	return 0
@@ -149,7 +149,7 @@
 			read <- err
 		}()
 		p.mu.Lock()
-		closed := c.end()
+		closed := c.closeIdle()
 		p.mu.Unlock()
 		if err := <-read; closed != (err != nil) {
 			t.Fatalf("closed: %v, read: %v", closed, err)
