--- a/internal/protocol/fcgi/fcgi_test.go
+++ b/internal/protocol/fcgi/fcgi_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// The bytes of some records, worked out from the specification.
+// Some records match bytes derived from the specification.
 func TestRecordsAgainstWorkedOutBytes(t *testing.T) {
 	var out []byte
 	out = AppendBegin(out, 0x0102, Begin{Role: Responder, Keep: true})
@@ -29,7 +29,7 @@
 	}
 }
 
-// Whatever streams are written come back as they were, through any buffer and in any pieces.
+// Streams are read back unchanged, through any buffer and in pieces of any size.
 func TestStreamsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOfN(rapid.Byte(), 0, 200_000).Draw(t, "data")
@@ -45,7 +45,7 @@
 			if h.Length == 0 {
 				break
 			}
-			if rapid.IntRange(0, 9).Draw(t, "skip") == 0 { // part of it is not wanted
+			if rapid.IntRange(0, 9).Draw(t, "skip") == 0 { // skip a part of the content
 				part := make([]byte, min(h.Length, 3))
 				if _, err := io.ReadFull(r, part); err != nil {
 					t.Fatal(err)
@@ -68,7 +68,7 @@
 	})
 }
 
-// Pairs come back, whatever they hold; cut anywhere but between two they are an error.
+// Pairs are read back unchanged; a cut anywhere but between two pairs is an error.
 func TestPairsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, -1, 300)
@@ -102,7 +102,8 @@
 	})
 }
 
-// Input that ends in a record is told from input that ends behind one; nothing is read past another version.
+// Input that ends within a record is distinguished from input that ends after one; nothing is read past a record of
+// another version.
 func TestEnds(t *testing.T) {
 	raw := Append(nil, Stdin, 1, []byte("hello"))
 	for n := range len(raw) {
@@ -149,7 +150,7 @@
 	}
 }
 
-// Whatever comes, reading ends, and no pair reaches beyond what came.
+// For any input reading ends, and no pair reaches beyond the input.
 func FuzzReader(f *testing.F) {
 	f.Add(AppendEnd(AppendStream(AppendBegin(nil, 1, Begin{Role: Responder}), Stdin, 1, []byte("body")), 1, End{}))
 	f.Add(AppendPair(AppendPair(nil, "FCGI_MAX_CONNS", ""), "B", strings.Repeat("v", 200)))
--- a/internal/protocol/fcgifront/front.go
+++ b/internal/protocol/fcgifront/front.go
@@ -163,7 +163,8 @@
 	}
 }
 
-// admit gives a connection its admit, at the cost of the one that has been idle longest where there is none.
+// admit adds a connection. If the limit is reached, it first closes the connection that has been idle longest, and
+// returns false if none is idle.
 func (f *Front) admit(c *conn) bool {
 	f.mu.Lock()
 	if len(f.conns) < f.most {
@@ -217,7 +218,7 @@
 	return f.Close()
 }
 
-// receiving tells whether a request is receiving in on any connection.
+// receiving reports whether a request is open on any connection.
 func (f *Front) receiving() (some bool) {
 	f.each(func(c *conn) {
 		idle, _ := c.idle()
--- a/internal/protocol/fcgifront/front_test.go
+++ b/internal/protocol/fcgifront/front_test.go
@@ -21,7 +21,7 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// fake answers in a core's place.
+// fake is a stand-in for the core.
 type fake struct {
 	came   chan *core.Request
 	answer func(context.Context, *core.Request) core.Answer
@@ -94,7 +94,7 @@
 
 var begun, whole = testkit.FastBegun, testkit.FastComplete
 
-// order is what a plain web server sends of a POST, and more.
+// order returns the params that a typical web server sends for a POST, and extra ones.
 func order(length int, more vars) vars {
 	v := vars{"REQUEST_METHOD": "POST", "REQUEST_URI": "/order/u1?x=1", "SERVER_NAME": "portal", "CONTENT_LENGTH": fmt.Sprint(length), "HTTP_PROXY": "evil"}
 	for name, value := range more {
@@ -117,7 +117,7 @@
 	}
 }
 
-// next reads to the next END_REQUEST; the end of the connection is id 0.
+// next reads up to the next END_REQUEST; id 0: the connection ended.
 func (c *client) next() (id uint16, text string, end fcgi.End) {
 	id, text, end, err := c.Next()
 	if err != nil {
@@ -134,8 +134,8 @@
 	}
 }
 
-// What a plain web server sends is taken, with an id made for it; one that it sends goes on; all that counts
-// reaches the core as over HTTP.
+// A request with the params of a typical web server is accepted and given an id; an id that it has is kept; all
+// relevant params reach the core as over HTTP.
 func TestTaken(t *testing.T) {
 	_, h, addr, _ := start(t, served)
 	c := dial(t, addr)
@@ -155,14 +155,14 @@
 	if m := r.Message; m.Target != "/send/a%20b?q" || m.Host != "h:1" || m.ContentType != "x/y" || m.IdempotencyKey != "k" || !r.Retry || r.HintMs != 1.5 || time.Until(r.Deadline) > 480*time.Millisecond {
 		t.Errorf("%+v", r)
 	}
-	// An id that has ended is free at once, also for GET and the agent's own path.
+	// An id is free again as soon as its request has ended, also for GET and /ready.
 	for range 50 {
 		c.send(whole(2, vars{"REQUEST_METHOD": "GET", "REQUEST_URI": "/look/x", "SERVER_NAME": "p"}, ""))
 		c.expect(2, "Status: 200 OK", " ")
 	}
 	c.send(whole(9, vars{"REQUEST_METHOD": "GET", "REQUEST_URI": "/ready"}, ""))
 	c.expect(9, "Status: 200 OK", "\r\n\r\n")
-	// Streams in pieces of one byte, the body ahead of the params' end.
+	// Streams in records of one byte, the body before the end of the params.
 	out := fcgi.AppendBegin(nil, 3, fcgi.Begin{Role: fcgi.Responder, Keep: true})
 	for _, b := range params(order(3, vars{"HTTP_REQUEST_ID": "id8"})) {
 		out = fcgi.Append(out, fcgi.Params, 3, []byte{b})
@@ -170,7 +170,7 @@
 	out = fcgi.AppendStream(out, fcgi.Stdin, 3, []byte("abc"))
 	c.send(out, fcgi.Append(nil, fcgi.Stdin, 3, nil), fcgi.Append(nil, fcgi.Params, 3, nil))
 	c.expect(3, "Status: 200 OK", "id8 abc")
-	// Without KEEP_CONN the connection ends behind the answer.
+	// Without KEEP_CONN the connection is closed after the answer.
 	last := whole(4, order(1, nil), "x")
 	last[10] = 0
 	c.send(last)
@@ -180,7 +180,7 @@
 	}
 }
 
-// Bad input gets a 4xx in CGI form and reaches nobody; its connection serves the next.
+// Invalid requests get a 4xx in CGI form and do not reach the core; their connection serves the next request.
 func TestBadInput(t *testing.T) {
 	_, h, addr, _ := start(t, served)
 	c := dial(t, addr)
@@ -224,7 +224,7 @@
 	if len(h.came) > 0 {
 		t.Errorf("%d were handed on", len(h.came))
 	}
-	// Records of no open request, of the connection, of other roles.
+	// Records for no open request, for the connection, and with other roles.
 	c.send(fcgi.Append(nil, fcgi.Stdin, 77, []byte("x")), fcgi.Append(nil, fcgi.AbortRequest, 5, nil), fcgi.AppendBegin(nil, 6, fcgi.Begin{Role: fcgi.Filter, Keep: true}))
 	if id, _, end := c.next(); id != 6 || end.Status != fcgi.UnknownRole {
 		t.Errorf("%d %+v", id, end)
@@ -239,7 +239,7 @@
 	}
 	c.send(whole(1, order(2, nil), "ok"))
 	c.expect(1, "Status: 200 OK", " ok")
-	// An id begun twice, and what is no record, end the connection.
+	// An id that is begun twice, and bytes that are no record, close the connection.
 	for _, raw := range [][]byte{append(begun(1, order(2, nil), ""), begun(1, order(2, nil), "")...), []byte("GET / HTTP/1.1\r\n\r\n")} {
 		d := dial(t, addr)
 		d.send(raw)
@@ -249,8 +249,8 @@
 	}
 }
 
-// Of many requests on a connection the aborted one ends, at once and for whoever works for it; the others get
-// their own answers, in whatever order they come; an abort that crosses an end changes nothing.
+// An aborted request ends at once, also in the core; the others on its connection get their own answers, in any order;
+// an abort that crosses the request's end has no effect.
 func TestAbortOneOfMany(t *testing.T) {
 	release, gone, hold := make(chan struct{}), make(chan string, 100), make(chan struct{}, 1)
 	_, h, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -271,14 +271,14 @@
 		c.send(whole(id, order(4, vars{"HTTP_REQUEST_ID": fmt.Sprint("r", id)}), "body"))
 		<-h.came
 	}
-	c.send(begun(60, order(100, nil), "half"), fcgi.Append(nil, fcgi.AbortRequest, 60, nil)) // not whole
+	c.send(begun(60, order(100, nil), "half"), fcgi.Append(nil, fcgi.AbortRequest, 60, nil)) // incomplete
 	c.expect(60, "", "")
 	c.send(fcgi.Append(nil, fcgi.AbortRequest, 25, nil), fcgi.Append(nil, fcgi.AbortRequest, 25, nil))
 	if id := <-gone; id != "r25" {
 		t.Error(id)
 	}
 	c.expect(25, "", "")
-	c.send(fcgi.Append(nil, fcgi.AbortRequest, 25, nil)) // crosses its end
+	c.send(fcgi.Append(nil, fcgi.AbortRequest, 25, nil)) // crosses the request's end
 	close(release)
 	c.send(whole(25, order(4, vars{"HTTP_REQUEST_ID": "again"}), "more"))
 	got := map[uint16]string{}
@@ -298,7 +298,7 @@
 	if len(gone) > 0 {
 		t.Errorf("%s was ended as well", <-gone)
 	}
-	// A connection that ends takes along what is open on it.
+	// A connection that ends cancels its open requests.
 	hold <- struct{}{}
 	d := dial(t, addr)
 	d.send(whole(1, order(4, vars{"HTTP_REQUEST_ID": "left"}), "body"))
@@ -309,7 +309,7 @@
 	}
 }
 
-// An answer that its client aborts half way ends there; its connection serves the next.
+// An answer that its client aborts half way ends there; its connection serves the next request.
 func TestAbortAnAnswer(t *testing.T) {
 	budget := window.NewBudget(1 << 20)
 	_, _, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -334,7 +334,7 @@
 	}
 }
 
-// More than may be open are rejected as overloaded; the others are not touched.
+// Requests above the limit are rejected as overloaded; the others are not affected.
 func TestTooMany(t *testing.T) {
 	release := make(chan struct{})
 	_, h, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -355,7 +355,7 @@
 	c.expect(3, "Status: 200 OK", " d")
 }
 
-// text is a long body.
+// text returns a long body.
 func text(n int) string { return strings.Repeat("0123456789abcdef", n/16+1)[:n] }
 
 // all reads a request's body to its end.
@@ -375,7 +375,7 @@
 	}
 }
 
-// Long bodies and answers come through whole, told or not, many at once on one connection.
+// Long bodies and answers are forwarded completely, with or without a declared length, many at once on one connection.
 func TestLong(t *testing.T) {
 	budget := window.NewBudget(8 << 20)
 	_, _, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -406,7 +406,7 @@
 		}
 		outs = append(outs, whole(id, v, body))
 	}
-	go func() { // one record of each in turn
+	go func() { // one record of each request in turn
 		for more := true; more; {
 			more = false
 			for i, out := range outs {
@@ -432,8 +432,8 @@
 	}
 }
 
-// A body whose server takes nothing gives way once it holds its part while others share the connection, and
-// they are answered; alone on it, its client is held back and nothing is lost.
+// A body whose server reads nothing is ended once its share of the buffer is full while others share the connection,
+// and the others are answered; alone on its connection it is paused, and nothing is lost.
 func TestSlowBodyGivesWay(t *testing.T) {
 	release := make(chan struct{})
 	f, h, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -456,7 +456,7 @@
 	}()
 	<-h.came
 	shared := dial(t, addr)
-	shared.send(begun(2, order(4, nil), "")) // shares it, and comes slowly
+	shared.send(begun(2, order(4, nil), "")) // shares the connection and arrives slowly
 	go shared.Write(whole(1, order(size, vars{"HTTP_REQUEST_ID": "slow"}), text(size)))
 	<-h.came
 	if used := f.opt.Budget.Used(); used > 2*(sharing.MaxBuffered+core.MaxBody+window.Size)+4096 {
@@ -470,7 +470,7 @@
 	<-sent
 }
 
-// What does not come in its time is answered 408, and others on its connection are not touched by it.
+// A request that is not complete in time is answered 408, and the others on its connection are not affected.
 func TestLate(t *testing.T) {
 	_, h, addr, _ := start(t, served, func(o *Options) { o.HeadWithin, o.BodyWithin = 100*time.Millisecond, 100*time.Millisecond })
 	c := dial(t, addr)
@@ -487,8 +487,8 @@
 	}
 }
 
-// An answer that breaks is told by its application status; without a length and with nobody else on the
-// connection, by its end.
+// An answer that breaks off ends with an application status; without a length and with no other request on the
+// connection, the connection is closed.
 func TestBrokenAnswer(t *testing.T) {
 	budget := window.NewBudget(1 << 20)
 	_, _, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -511,8 +511,8 @@
 	}
 }
 
-// At the end what is open on a shared connection is answered, what still begins on it too, and then it ends;
-// idle ones end at once.
+// During a graceful shutdown open requests on a shared connection are answered, and so are those that still begin on
+// it; then it is closed. Idle connections are closed at once.
 func TestLeaves(t *testing.T) {
 	release := make(chan struct{})
 	f, h, addr, end := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -545,7 +545,7 @@
 	}
 }
 
-// Only who is allowed may connect, and never more than there are places; one that is idle makes room.
+// Only allowed addresses may connect, and never more connections than the limit; an idle one is closed to make room.
 func TestPlaces(t *testing.T) {
 	release := make(chan struct{})
 	_, h, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -573,7 +573,7 @@
 	}
 }
 
-// Whatever comes on a connection, the front end lives on and holds nothing of it in the end.
+// For any input on a connection the front end survives and holds no memory for it in the end.
 func FuzzConn(f *testing.F) {
 	f.Add(whole(1, order(4, nil), "body"))
 	f.Add(append(begun(1, order(4, nil), "bo"), fcgi.Append(nil, fcgi.AbortRequest, 1, nil)...))
--- a/internal/protocol/httpfront/bodies_test.go
+++ b/internal/protocol/httpfront/bodies_test.go
@@ -16,7 +16,7 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// whole reads all that a request brings, as a transport does.
+// whole reads the complete body of a request, as a transport does.
 func whole(ctx context.Context, r *core.Request) (string, error) {
 	var text strings.Builder
 	text.Write(r.Message.Body)
@@ -34,7 +34,7 @@
 	}
 }
 
-// echo answers with the body, through a pipe where it is long.
+// echo answers with the request's body, through a pipe if it is long.
 func echo(ctx context.Context, r *core.Request) core.Answer {
 	text, err := whole(ctx, r)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return core.Answer{Outcome: core.Served, Body: []byte(text[:10]), Stream: rest, Length: int64(len(text))*int64(1-len(text)%2*2) - int64(len(text)%2)}
 }
 
-// All forms of HTTP/1.1 are taken, also in pieces of one byte, and answered with what they brought.
+// All request forms of HTTP/1.1 are accepted, also byte by byte, and echoed.
 func TestForms(t *testing.T) {
 	_, _, base, _, _ := start(t, 20, echo)
 	addr := strings.TrimPrefix(base, "http://")
@@ -114,7 +114,7 @@
 		}
 		conn.Close()
 	}
-	// A client that expects a word is given it before its body.
+	// A client that sends Expect: 100-continue gets the interim answer before it sends its body.
 	conn, err := testkit.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -133,8 +133,8 @@
 	}
 }
 
-// A long body that stops, is cut off or goes past the bound is told so, and its connection ends;
-// nothing of the budget stays taken. A client that sends without end is not read for ever.
+// A long body that stalls, is cut off or exceeds the limit gets an error, and its connection is closed; no bytes of
+// the budget stay taken. A client that sends without end is not read for ever.
 func TestBrokenBodies(t *testing.T) {
 	a, _, base, _, _ := start(t, 20, echo)
 	long := strings.Repeat("x", 100_000)
@@ -170,8 +170,8 @@
 	eventually(t, "all given back", func() bool { return a.opt.Budget.Used() == 0 })
 }
 
-// An answer that breaks off ends its connection such that the client can tell, with either framing and
-// over HTTP/1.0; one whose client leaves is left.
+// An answer that breaks off ends its connection so that the client notices, with either framing and over HTTP/1.0; an
+// answer whose client leaves is abandoned.
 func TestBrokenAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		length  int64
@@ -214,7 +214,7 @@
 	}
 }
 
-// Whatever bytes come, a head that names a length in a form that the server reads as one is seen.
+// For any input, a header with a Content-Length that net/http accepts as one is detected.
 func FuzzHead(f *testing.F) {
 	f.Add("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n")
 	f.Add("\r\nPOST /x HTTP/1.1\nTransfer-Encoding: chunked\ncontent-length : 3\n\n")
--- a/internal/protocol/httpfront/front_test.go
+++ b/internal/protocol/httpfront/front_test.go
@@ -27,11 +27,11 @@
 
 const headFor, bodyFor = 1500 * time.Millisecond, time.Second
 
-// fakeCore answers each request by its answer function and notes what came.
+// fakeCore answers each request with its answer function and records the requests.
 type fakeCore struct {
 	came   chan *core.Request
 	answer func(ctx context.Context, r *core.Request) core.Answer
-	down   atomic.Bool // there is no server
+	down   atomic.Bool // no server is available
 }
 
 func (f *fakeCore) Ready() bool { return !f.down.Load() }
@@ -44,7 +44,7 @@
 	return core.Answer{Outcome: core.Served, Body: []byte("done")}
 }
 
-// start serves a front end with so many places until the test ends; stop is its SIGTERM.
+// start serves a front end with the given number of places until the test ends; stop starts its graceful shutdown.
 func start(t *testing.T, places int, answer func(context.Context, *core.Request) core.Answer) (a *Front, f *fakeCore, base string, stop func(), ended chan error) {
 	t.Helper()
 	a, f = newFront(places, answer)
@@ -52,7 +52,7 @@
 	return a, f, "http://" + base, stop, ended
 }
 
-// serve serves a front end at an address until the test ends.
+// serve serves a front end on an address until the test ends.
 func serve(t *testing.T, a *Front) (stop func(), addr string, ended chan error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,7 +81,7 @@
 				class("send", settings.Deduplicated), class("order", settings.NonIdempotent)}}}}), f
 }
 
-// Bad input gets a 4xx that promises nothing of a retry, and reaches no backend.
+// Invalid requests get a 4xx without Retry-After and reach no backend.
 func TestBadInput(t *testing.T) {
 	_, f, base, _, _ := start(t, 100, served)
 	for name, change := range map[string]func(r *http.Request){
@@ -112,7 +112,7 @@
 	}
 }
 
-// explodes panics when the handler reads it.
+// explodes is a body that panics when the handler reads it.
 type explodes struct{}
 
 func (explodes) Read([]byte) (int, error) { panic("boom") }
@@ -131,7 +131,7 @@
 	}
 }
 
-// How outcomes are worded.
+// Each outcome is written as its HTTP status and headers.
 func TestOutcomes(t *testing.T) {
 	for outcome, want := range map[core.Outcome]int{core.Served: 200, core.Failed: 502, core.Refused: 503,
 		core.DeadlineExceeded: 504, core.Duplicate: 409} {
@@ -145,8 +145,8 @@
 	}
 }
 
-// A client that ends its sending has gone, and yet it may read: what no server made must
-// not look like an answer.
+// A client that half-closes its connection counts as gone but may still read: it must not get an empty 200, as
+// net/http would send, for an answer that no server gave.
 func TestHalfClosedClient(t *testing.T) {
 	_, f, base, _, _ := start(t, 10, func(ctx context.Context, _ *core.Request) core.Answer {
 		<-ctx.Done()
@@ -161,7 +161,7 @@
 	}
 }
 
-// What the core is handed is what the client sent.
+// The core receives what the client sent.
 func TestRequestIsRead(t *testing.T) {
 	_, f, base, _, _ := start(t, 10, served)
 	req := testkit.Call(base, "send")
@@ -182,8 +182,8 @@
 	}
 }
 
-// After SIGTERM new connections are still answered, what is held is finished, and the
-// front end ends without an error.
+// During a graceful shutdown new connections are still answered, requests in flight are finished, and Serve returns
+// without an error.
 func TestLeave(t *testing.T) {
 	release := make(chan struct{})
 	a, f, base, stop, ended := start(t, 10, func(context.Context, *core.Request) core.Answer {
@@ -202,7 +202,7 @@
 	<-f.came
 	stop()
 	eventually(t, "leaving", a.life.Leaving)
-	go ask() // on a new connection: the first is busy
+	go ask() // on a new connection, as the first is busy
 	<-f.came
 	close(release)
 	for range 2 {
@@ -215,7 +215,7 @@
 	}
 }
 
-// dial opens a client's connection by hand.
+// dial opens a raw client connection.
 func dial(t *testing.T, base string) net.Conn {
 	t.Helper()
 	c, err := testkit.Dial("tcp", strings.TrimPrefix(base, "http://"))
@@ -226,7 +226,7 @@
 	return c
 }
 
-// eventually waits for what another goroutine is about to do.
+// eventually waits until the condition that another goroutine brings about holds.
 func eventually(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(time.Millisecond) {
@@ -236,7 +236,7 @@
 	}
 }
 
-// answered reads all that comes on a connection until it ends.
+// answered reads a connection until it ends.
 func answered(t *testing.T, c net.Conn) string {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -247,8 +247,8 @@
 	return string(text)
 }
 
-// Connections that say nothing, or asked once and are kept for good, must not keep out
-// a client whose time runs: a place is made for it.
+// Connections that send nothing, or are kept idle after one request, must not keep out a new client: one of them is
+// closed to make a place.
 func TestPlacesAreMade(t *testing.T) {
 	const most = 28
 	for _, kind := range []string{"silent", "idle"} {
@@ -268,7 +268,7 @@
 				eventually(t, "the place taken", func() bool { return a.places.count() == i+1 })
 			}
 			if kind == "idle" {
-				// As if all had been idle for long.
+				// Simulates connections that have been idle for long.
 				eventually(t, "all idle", func() bool {
 					a.places.mu.Lock()
 					defer a.places.mu.Unlock()
@@ -288,7 +288,7 @@
 	}
 }
 
-// A connection with a request open, or one that came just now, is never closed for another.
+// A connection with an open request, or one that was just accepted, is never closed for another.
 func TestBusyPlacesStay(t *testing.T) {
 	p, now := newPlaces(3, 3), time.Now()
 	for _, s := range []stage{busy, busy, fresh} {
@@ -310,8 +310,8 @@
 	}
 }
 
-// Clients that ask once and keep their connections for good must not use up all that
-// clients may hold: past a number connections end with their answer, and idle ones go.
+// Clients that send one request and keep the connection must not use up all places: above a limit connections close
+// with their answer, and idle ones are closed.
 func TestKeptConnectionsAreBounded(t *testing.T) {
 	a, _, base, _, _ := start(t, 100, served)
 	a.places.mu.Lock()
@@ -346,8 +346,8 @@
 	})
 }
 
-// What can't be read or trusted gets an error or a close soon, and no backend hears of
-// it, nor of what follows on the connection.
+// Malformed or ambiguous input soon gets an error or a close; neither it nor the bytes that follow on the connection
+// reach a backend.
 func TestBadClients(t *testing.T) {
 	_, f, base, _, _ := start(t, 100, served)
 	head := func(extra ...string) string {
@@ -395,7 +395,7 @@
 	})
 }
 
-// Silent connections and half requests end within the 3 s owed.
+// Silent connections and incomplete requests end within 3 s.
 func TestSilenceEnds(t *testing.T) {
 	_, _, base, _, _ := start(t, 100, served)
 	if said := answered(t, dial(t, base)); said != "" {
@@ -403,7 +403,7 @@
 	}
 }
 
-// After SIGTERM half requests and silent connections are not waited for.
+// A graceful shutdown does not wait for incomplete requests and silent connections.
 func TestLeaveAmongBadClients(t *testing.T) {
 	a, _, base, stop, ended := start(t, 100, served) // give-up is 30 s here
 	dial(t, base)
@@ -421,7 +421,7 @@
 	}
 }
 
-// pipeListener gives connections in memory.
+// pipeListener accepts in-memory connections.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -448,8 +448,8 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A request's time counts from its last byte: not from its head, and of one that comes behind another
-// on its connection from before that one's end. What a client's clock says has no part in it.
+// A request's time counts from its last byte, not from its header; a pipelined request's begins before the answer to
+// the one before. Clocks of clients are not used.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, f := newFront(10, func(_ context.Context, r *core.Request) core.Answer {
@@ -495,7 +495,7 @@
 	})
 }
 
-// While clients are sent away a connection that says nothing is closed, however long a head may take.
+// While clients are sent away a silent connection is closed, however long a header may take.
 func TestSilentConnectionsInADrain(t *testing.T) {
 	a, _ := newFront(10, served)
 	a.server.ReadHeaderTimeout = time.Hour
@@ -515,7 +515,7 @@
 	}
 }
 
-// askReady asks for /ready on a connection opened by hand, and reports whether the connection is kept.
+// askReady requests /ready on a raw connection and reports whether the connection is kept.
 func askReady(t *testing.T, c net.Conn) (status int, kept bool) {
 	t.Helper()
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
@@ -555,9 +555,9 @@
 		{func() {}, 200},
 		{func() { f.down.Store(true) }, 503},
 		{func() { f.down.Store(false) }, 200},
-		{func() { _ = a.life.Evacuate(); held = nil }, 503}, // what is idle is closed
+		{func() { _ = a.life.Evacuate(); held = nil }, 503}, // idle connections are closed
 		{func() { _ = a.life.Rejoin() }, 200},
-		{func() { _ = a.life.HandOver() }, 200}, // another process is
+		{func() { _ = a.life.HandOver() }, 200}, // another process accepts
 	} {
 		if c.do(); ask() != c.want {
 			t.Errorf("step %d: not %d", i, c.want)
@@ -565,7 +565,7 @@
 	}
 }
 
-// A pass over the idle connections that began while clients were sent away closes none once that has ended.
+// A pass over the idle connections that began while clients were sent away closes none after that has ended.
 func TestIdleConnectionsStayAfterADrain(t *testing.T) {
 	a, _, base, _, _ := start(t, 10, served)
 	held := dial(t, base)
@@ -593,8 +593,7 @@
 	}
 }
 
-// Once another process accepts, this one leaves what comes in the queue, and takes it up when it is
-// alone again.
+// Once another process accepts, this one leaves new connections in the queue, and accepts them when it is alone again.
 func TestAcceptsOnlyWhatIsItsOwn(t *testing.T) {
 	a, _ := newFront(10, served)
 	_, addr, _ := serve(t, a)
@@ -602,7 +601,7 @@
 	if err := a.life.HandOver(); err != nil {
 		t.Fatal(err)
 	}
-	// Whatever it was about to accept when it was told it may still take.
+	// A connection that it was about to accept at the time may still be accepted.
 	eventually(t, "one is left in the queue", func() bool {
 		c, err := testkit.Dial("tcp", addr)
 		if err != nil {
--- a/internal/protocol/httpfront/places.go
+++ b/internal/protocol/httpfront/places.go
@@ -18,9 +18,9 @@
 	// unfinishedFor is how long a request may take to arrive while others need its connection's place.
 	unfinishedFor = 500 * time.Millisecond
 	// silentFor is how long a new connection may send nothing while others need its place. placeWait is how long a new
-	// connection waits for a place, placeRetry the interval between its attempts.
+	// connection waits for a place, placeRetry the interval between its attempts, which is in step with no other timer.
 	silentFor             = 30 * time.Millisecond
-	placeWait, placeRetry = 150 * time.Millisecond, 1999 * time.Microsecond // an odd interval, not in step with other timers
+	placeWait, placeRetry = 150 * time.Millisecond, 1999 * time.Microsecond
 	// tidyEvery is the interval at which idle connections are checked.
 	tidyEvery = 250 * time.Millisecond
 )
@@ -47,7 +47,7 @@
 	net.Conn
 	places    *places
 	received  atomic.Bool  // bytes have been read from it
-	readState atomic.Int32 // readNone, readSome or closedIdle: the first change from readNone decides between reading and closing
+	readState atomic.Int32 // readNone, readSome or closedIdle; the first change from readNone wins
 	stage     stage
 	since     time.Time // when the stage began
 	number    int       // sequence number in the order of acceptance
--- a/internal/protocol/httpfront/places_test.go
+++ b/internal/protocol/httpfront/places_test.go
@@ -10,8 +10,7 @@
 	"molepaddle/internal/protocol/intake"
 )
 
-// hooked is a connection that has bytes to read, and does something before and after its
-// bytes are taken from the system.
+// hooked is a connection with bytes to read that calls hooks before and after a read.
 type hooked struct {
 	net.Conn
 	before, after func()
@@ -27,9 +26,8 @@
 
 func (h *hooked) Close() error { h.closed = true; return nil }
 
-// A connection that is closed as idle while its next request comes is either closed with
-// nothing of that read, or stays open: read and closed, the request would be taken and its
-// answer reach nobody, and the client would send it again.
+// A connection that is closed as idle while its next request arrives is either closed with none of it read, or stays
+// open: if it were read and closed, the request would be handled, its answer lost, and the client would send it again.
 func TestClosedAsItsRequestComes(t *testing.T) {
 	nothing := func() {}
 	leave := func(p *places) { p.closeWaiting(time.Now()) }
@@ -74,8 +72,8 @@
 	}
 }
 
-// While the agent leaves, a connection counts as one that a request may be coming on while there
-// are bytes that nobody has read, or for a moment after reading began.
+// During a shutdown a connection counts as receiving a request while it has unread bytes, or for a moment after
+// reading began.
 func TestComing(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -97,7 +95,7 @@
 	}
 }
 
-// seen is a connection whose first request is read as soon as somebody has looked whether any has come.
+// seen is a connection whose first request is read right after a check for unread bytes.
 type seen struct {
 	hooked
 	conn *clientConn
@@ -112,8 +110,8 @@
 	return 0
 }
 
-// A silent connection whose request is read between the look and the close keeps its place; one whose
-// request came to its end as it was closed for being late has none, and the request is not taken.
+// A silent connection whose request is read between the check and the close keeps its place; one that was closed as
+// late while its request was completed has no place, and the request is not handled.
 func TestPlaceIsNotTakenFromWhoHasJustAsked(t *testing.T) {
 	p := newPlaces(1, 1)
 	s := &seen{}
@@ -135,8 +133,8 @@
 	}
 }
 
-// Whoever reads from a connection and whoever closes it as idle in one moment don't both give way: then
-// what was read would be dropped, and the connection answered 400 for it.
+// When a read and a close as idle race, exactly one wins: if both gave way, the bytes read would be dropped and the
+// connection answered 400.
 func TestReadOrClosedNeverNeither(t *testing.T) {
 	for range 2000 {
 		p := newPlaces(1, 1)
--- a/internal/protocol/transport/answer.go
+++ b/internal/protocol/transport/answer.go
@@ -46,7 +46,8 @@
 	begin := func() { // with mu held
 		if pipe == nil {
 			pipe = window.New(x.budget)
-			pipe.OnLeave(func() { x.a.Cancel(core.ErrCancelled) }) // the client has gone; the server may send nothing that would show it
+			// The client may leave while the server is silent and no write would fail.
+			pipe.OnLeave(func() { x.a.Cancel(core.ErrCancelled) })
 			x.a.StartStream(core.Result{Body: held, Stream: pipe, Length: length, ContentType: x.contentType})
 		}
 	}
--- a/internal/protocol/transport/attempt.go
+++ b/internal/protocol/transport/attempt.go
@@ -189,7 +189,7 @@
 		defer close(l.done)
 		defer stop()
 		if l.begun = x.e.wire.begun(x, r); l.begun {
-			_ = x.c.SetWriteDeadline(time.Unix(1, 0)) // unblocks the writer: a server that has answered may stop reading
+			_ = x.c.SetWriteDeadline(time.Unix(1, 0)) // unblocks the writer: the server may read no more
 		}
 	}()
 	return l
--- a/internal/protocol/window/window.go
+++ b/internal/protocol/window/window.go
@@ -72,8 +72,8 @@
 	readerLeft bool          // the reader has called Leave
 	released   bool          // its capacity has been returned to the budget
 	onLeave    func()        // called when the reader leaves before the end; nil: no callback
-	bytes      chan struct{} // wakes the reader; space wakes the writer. Two channels, as an end that is
-	space      chan struct{} // about to wait must not have its wake-up consumed by the other
+	bytes      chan struct{} // wakes the reader
+	space      chan struct{} // wakes the writer; separate, so that neither end consumes the other's wake-up
 }
 
 // New returns a pipe. The reader must call Leave, which returns its capacity to the budget.
