--- a/internal/protocol/fcgi/fcgi.go
+++ b/internal/protocol/fcgi/fcgi.go
@@ -83,10 +83,10 @@
 
 // ErrVersion is returned for a header of another version, or for bytes that are no record: nothing after it can be
 // parsed.
-var ErrVersion = errors.New("fcgi: no record of version 1")
+var ErrVersion = errors.New("fcgi: not a record of version 1")
 
 // ErrShort is returned for a content whose length does not fit its type or the buffer.
-var ErrShort = errors.New("fcgi: content of a wrong length")
+var ErrShort = errors.New("fcgi: unexpected content length")
 
 // ParseHeader decodes a header.
 func ParseHeader(raw [HeaderLen]byte) (Header, error) {
@@ -189,7 +189,7 @@
 }
 
 // ErrPair is returned when the stream ends within a name-value pair.
-var ErrPair = errors.New("fcgi: a name-value pair is cut short")
+var ErrPair = errors.New("fcgi: truncated name-value pair")
 
 // NextPair splits the first name-value pair off data; the results alias data. Both length encodings are accepted for
 // any length.
--- a/internal/protocol/fcgifront/conn.go
+++ b/internal/protocol/fcgifront/conn.go
@@ -570,7 +570,7 @@
 	defer f.working.Add(-1)
 	defer func() {
 		if p := recover(); p != nil {
-			f.opt.Log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
+			f.opt.Log.Error("panic in request handler", "panic", p, "stack", string(debug.Stack()))
 			if !answered {
 				q.finish(q.stdout(statusLine(http.StatusInternalServerError)+"\r\n", nil), 1)
 			}
--- a/internal/protocol/fcgifront/front.go
+++ b/internal/protocol/fcgifront/front.go
@@ -150,7 +150,7 @@
 			return err
 		}
 		if tcp, ok := nc.RemoteAddr().(*net.TCPAddr); ok && f.opt.Allowed != nil && !f.opt.Allowed(tcp.IP) {
-			f.opt.Log.Warn("fastcgi: not allowed to connect", "peer", tcp.IP.String())
+			f.opt.Log.Warn("fastcgi: closed connection from an address that is not allowed", "peer", tcp.IP.String())
 			nc.Close()
 			continue
 		}
--- a/internal/protocol/httpfront/front.go
+++ b/internal/protocol/httpfront/front.go
@@ -201,7 +201,7 @@
 		if p := recover(); p == http.ErrAbortHandler {
 			panic(p) // the only way to abort an answer that has begun
 		} else if p != nil {
-			a.opt.Log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
+			a.opt.Log.Error("panic in request handler", "panic", p, "stack", string(debug.Stack()))
 			if !answered {
 				a.write(w, http.StatusInternalServerError, "", nil)
 			}
--- a/internal/protocol/transport/attempt.go
+++ b/internal/protocol/transport/attempt.go
@@ -25,7 +25,7 @@
 
 var (
 	errWithdrawn  = errors.New("attempt withdrawn before its first byte")
-	errUnsendable = errors.New("request: it can't be sent over HTTP as it is")
+	errUnsendable = errors.New("request: a field can't be encoded for the server's protocol")
 )
 
 // buffers holds encoded requests. A buffer that grew beyond maxPooledBuffer bytes for a large body is not returned to
@@ -277,7 +277,7 @@
 			return res, false, fmt.Errorf("answer: %w", err)
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols || i > maxInterim || resp.ProtoMajor != 1 {
-			return res, false, errors.New("answer: none to this request")
+			return res, false, errors.New("answer: unexpected status, protocol version or number of 1xx answers")
 		}
 		if resp.StatusCode >= 200 {
 			break
--- a/internal/protocol/transport/fastcgi.go
+++ b/internal/protocol/transport/fastcgi.go
@@ -42,10 +42,10 @@
 )
 
 var (
-	errRejected = errors.New("answer: rejected")
-	errFailed   = errors.New("answer: the application ended with a failure")
-	errRecord   = errors.New("answer: a record that belongs to no request")
-	errLength   = errors.New("answer: not as long as it says")
+	errRejected = errors.New("answer: server rejected the request")
+	errFailed   = errors.New("answer: application ended with a non-zero status")
+	errRecord   = errors.New("answer: record of an unexpected type or request id")
+	errLength   = errors.New("answer: length differs from Content-Length")
 )
 
 // overFastCGI implements FastCGI 1.0, with one request at a time on a connection.
@@ -244,7 +244,7 @@
 	o := &output{r: fcgi.NewReader(r), wrote: x.stderrSeen}
 	defer func() {
 		if len(o.stderr) > 0 && f.opt.Log != nil {
-			f.opt.Log.Debug("fastcgi: a server's STDERR", "server", x.e.dial, "request", x.a.Request.ID, "text", string(o.stderr))
+			f.opt.Log.Debug("fastcgi: server wrote to STDERR", "server", x.e.dial, "request", x.a.Request.ID, "text", string(o.stderr))
 		}
 	}()
 	// The status in END_REQUEST takes precedence over the output.
@@ -329,7 +329,7 @@
 	} else if len(told) == 1 {
 		code, _, _ := strings.Cut(told[0], " ")
 		if status, err = strconv.Atoi(code); err != nil || status < 200 || status > 599 {
-			return 0, 0, errors.New("a Status that is none")
+			return 0, 0, errors.New("invalid Status")
 		}
 	} else if head.Get("Location") != "" {
 		status = http.StatusFound
@@ -338,7 +338,7 @@
 		return 0, 0, errors.New("more than one Content-Length")
 	} else if len(told) == 1 {
 		if length, err = strconv.ParseInt(told[0], 10, 64); err != nil || length < 0 {
-			return 0, 0, errors.New("a Content-Length that is none")
+			return 0, 0, errors.New("invalid Content-Length")
 		}
 	}
 	return status, length, nil
--- a/internal/protocol/transport/pool.go
+++ b/internal/protocol/transport/pool.go
@@ -138,7 +138,7 @@
 	once        sync.Once
 }
 
-var errTooLong = errors.New("answer: longer than any may be")
+var errTooLong = errors.New("answer: longer than its limit")
 
 // Read reads at most the bytes still allowed for the attempt, then fails with errTooLong.
 func (c *conn) Read(p []byte) (int, error) {
--- a/internal/protocol/window/window.go
+++ b/internal/protocol/window/window.go
@@ -56,7 +56,7 @@
 }
 
 // ErrLeft is returned by Write after the reader has called Leave.
-var ErrLeft = errors.New("window: nobody reads any more")
+var ErrLeft = errors.New("window: reader has left")
 
 // Pipe is a bounded pipe.
 type Pipe struct {
