--- a/internal/protocol/transport/fastcgi_test.go
+++ b/internal/protocol/transport/fastcgi_test.go
@@ -66,7 +66,7 @@
 		"no end of the head":           {testkit.FastAnswer("Status: 200", rec.End{}), policy.Reset, false},
 		"a malformed head":             {testkit.FastAnswer("no head\r\n\r\nx", rec.End{}), policy.Reset, false},
 		"two Statuses":                 {testkit.FastAnswer("Status: 200\r\nStatus: 503\r\nNot-Started: 1\r\n\r\n", rec.End{}), policy.Reset, false},
-		"invalid Status":        {testkit.FastAnswer("Status: 99\r\n\r\n", rec.End{}), policy.Reset, false},
+		"invalid Status":               {testkit.FastAnswer("Status: 99\r\n\r\n", rec.End{}), policy.Reset, false},
 		"two lengths":                  {testkit.FastAnswer("Content-Length: 4\r\nContent-Length: 4\r\n\r\ndone", rec.End{}), policy.Reset, false},
 		"shorter than told":            {testkit.FastAnswer("Content-Length: 5\r\n\r\ndone", rec.End{}), policy.Reset, false},
 		"longer than told":             {testkit.FastAnswer("Content-Length: 3\r\n\r\ndone", rec.End{}), policy.Reset, false},
