--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -248,7 +248,7 @@
 		HeadWithin: time.Duration(o.Front.HTTP.HeadWithin), BodyWithin: time.Duration(o.Front.HTTP.BodyWithin),
 		KeepIdle: time.Duration(o.Front.HTTP.KeepIdle)})
 	a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: front, limitTo: func(divisor int) {
-		front.Bound(clientSockets(sockets/divisor), keepAliveSockets(sockets/divisor))
+		front.SetLimits(clientSockets(sockets/divisor), keepAliveSockets(sockets/divisor))
 	}})
 	if web.On() {
 		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.lifecycle,
@@ -257,7 +257,7 @@
 			HeadWithin: time.Duration(web.HeadWithin),
 			BodyWithin: time.Duration(web.BodyWithin), KeepIdle: time.Duration(web.KeepIdle)})
 		a.frontEnds = append(a.frontEnds, boundedFrontEnd{frontEnd: fast,
-			limitTo: func(divisor int) { fast.Bound(max(web.Connections/divisor, 1)) }, listeners: network.FastCGI})
+			limitTo: func(divisor int) { fast.SetMaxConns(max(web.Connections/divisor, 1)) }, listeners: network.FastCGI})
 	}
 	if a.fleet, err = newFleet(a, c, o, log); err != nil {
 		stop()
--- a/internal/process/agent/replace.go
+++ b/internal/process/agent/replace.go
@@ -20,11 +20,11 @@
 		a.core.IDs().StopRecording() // no successor reads them any more
 	}
 	sockets := a.sockets / divisor
-	a.transport.Bound(backendSockets(sockets))
+	a.transport.SetMaxConns(backendSockets(sockets))
 	for _, f := range a.frontEnds {
 		f.limitTo(divisor)
 	}
-	a.bodies.Bound(a.bodyBytes / int64(divisor))
+	a.bodies.SetLimit(a.bodyBytes / int64(divisor))
 	a.log.Info("handover: bounds", "sockets", sockets)
 }
 
