--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -103,7 +103,7 @@
 	frontEnds  []boundedFrontEnd // HTTP is first
 	transport  *transport.Transport
 	stop       context.CancelFunc
-	gatewayEnd *gatewayEnd   // nil: the agent is not an end of links
+	gatewayEnd *gatewayEnd         // nil: the agent is not an end of links
 	fleet      *fleetNode          // nil: the agent keeps no view of its fleet
 	promises   *promise.Replicator // nil: the agent stores nothing for others
 	sockets    int                 // descriptors that clients and servers share
