--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -25,7 +25,7 @@
 	ids    *core.IDs
 	sites  map[string]*farSite
 	order  []string
-	far    *gateway.Far // nil: it is no far end
+	far    *gateway.Receiver // nil: it is no far end
 	links  Network
 	keys   *keys.Store // nil: plain
 	table  atomic.Pointer[routes.Table]
@@ -36,7 +36,7 @@
 
 // farSite is the near end of the links to a site, with the core that sends there.
 type farSite struct {
-	link *gateway.Site
+	link *gateway.Sender
 	core *core.Core
 }
 
@@ -71,7 +71,7 @@
 		return nil, fmt.Errorf("operator: gateway.%w", err)
 	}
 	for i, s := range o.Sites {
-		so := gateway.SiteOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times, Settings: &c.Settings, ProofWithin: time.Duration(s.ProofWithin),
+		so := gateway.SenderOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times, Settings: &c.Settings, ProofWithin: time.Duration(s.ProofWithin),
 			Dial: network.Dial, Seed: c.Seed + uint64(i) + 1, Log: log}
 		for _, p := range s.Peers {
 			so.Peers = append(so.Peers, gateway.Peer(p))
@@ -79,7 +79,7 @@
 		if g.keys != nil {
 			so.TLS = g.keys.Client
 		}
-		site, err := gateway.NewSite(ctx, so)
+		site, err := gateway.NewSender(ctx, so)
 		if err != nil {
 			return nil, err
 		}
@@ -93,12 +93,12 @@
 		g.order = append(g.order, s.Name)
 	}
 	if o.Listen != "" {
-		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes, Tenants: c.Tenants, Peers: o.Peers,
+		fo := gateway.ReceiverOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes, Tenants: c.Tenants, Peers: o.Peers,
 			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Conns, PerSecond: o.Greetings, Times: times, Seed: c.Seed, Log: log, Promises: promised}
 		if g.keys != nil {
 			fo.TLS = func() *tls.Config { return g.keys.Server() }
 		}
-		g.far = gateway.NewFar(fo)
+		g.far = gateway.NewReceiver(fo)
 	}
 	return g, nil
 }
@@ -143,7 +143,7 @@
 		if g.far != nil {
 			wait, cancel := context.WithTimeout(context.Background(), g.last)
 			defer cancel()
-			g.far.Finish(wait)
+			g.far.WaitIdle(wait)
 		}
 		g.close()
 	}
@@ -152,10 +152,10 @@
 // crossings are those that have no verdict.
 func (g *gate) crossings() (n int) {
 	for _, s := range g.sites {
-		n += s.link.Open()
+		n += s.link.InFlight()
 	}
 	if g.far != nil {
-		n += g.far.Held()
+		n += g.far.InFlight()
 	}
 	return n
 }
--- a/internal/protocol/gateway/measure_test.go
+++ b/internal/protocol/gateway/measure_test.go
@@ -154,7 +154,7 @@
 	times := gateway.DefaultTimes()
 	times.StallAfter, times.DeadAfter = 20*time.Second, 30*time.Second
 	set := far.Conf.Settings
-	site, err := gateway.NewSite(ctx, gateway.SiteOptions{Name: "gw-a", Site: "b", Peers: []gateway.Peer{{Name: "gw-b", Address: net1.Addr}}, Conns: 2,
+	site, err := gateway.NewSender(ctx, gateway.SenderOptions{Name: "gw-a", Site: "b", Peers: []gateway.Peer{{Name: "gw-b", Address: net1.Addr}}, Conns: 2,
 		Limits: limit.Options{Law: limit.Fixed, MaxWindow: 2 * n}, Times: times, Settings: &set, Dial: (&net.Dialer{}).DialContext, Seed: 1, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -109,7 +109,7 @@
 func TestOwnWordReachesTheNearEnd(t *testing.T) {
 	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Idempotency: settings.NonIdempotent, ClientTimeoutMs: 10_000}}}
 	took := idle{make(chan string, 1)}
-	far := gateway.NewFar(gateway.FarOptions{Name: "far", Core: took, Settings: set, Classes: map[string]int{"order": 0}, Peers: []string{"gw-a"}, Crossings: 10, Bytes: 1 << 20,
+	far := gateway.NewReceiver(gateway.ReceiverOptions{Name: "far", Core: took, Settings: set, Classes: map[string]int{"order": 0}, Peers: []string{"gw-a"}, Crossings: 10, Bytes: 1 << 20,
 		Conns: 4, PerSecond: 100, Times: gateway.DefaultTimes(), Log: slog.New(slog.DiscardHandler)})
 	ln := sites.Loopback(t)
 	defer far.Close()
--- a/internal/protocol/gateway/far.go
+++ b/internal/protocol/gateway/receiver.go
@@ -23,53 +23,56 @@
 	"molepaddle/internal/protocol/linkwire"
 )
 
-// Taker gives a request its final answer; a core.Core is one.
-type Taker interface {
+// Handler processes a request and calls done with its final answer; a core.Core is one.
+type Handler interface {
 	Take(r *core.Request, done func(core.Answer)) (drop func())
 }
 
-// FarOptions is what a Far is made of.
-type FarOptions struct {
+// ReceiverOptions configures a Receiver.
+type ReceiverOptions struct {
 	Name      string
-	Core      Taker
+	Core      Handler
 	Settings  *settings.Settings
-	Classes   map[string]int // numbers of the classes' names
-	Tenants   map[string]int
-	Peers     []string // near gateways that may come; with TLS by their certificates
-	Crossings int      // of one near gateway at once
-	Bytes     int64    // of bodies held, all together
-	Conns     int      // open at once
-	PerSecond float64  // greetings a second
+	Classes   map[string]int // class index by name
+	Tenants   map[string]int // tenant index by name
+	Peers     []string       // names of the near gateways that may connect; with TLS, the names in their certificates
+	Crossings int            // limit of concurrent crossings per near gateway
+	Bytes     int64          // limit of the bytes of all bodies in memory
+	Conns     int            // limit of open connections
+	PerSecond float64        // limit of accepted connections per second
 	Times     Times
-	// TLS is how connections are taken, anew each time; nil: plain, for loopback only.
+	// TLS returns the configuration for each accepted connection; nil: no TLS, for loopback only.
 	TLS  func() *tls.Config
 	Seed uint64
 	Log  *slog.Logger
-	// Promises has what begins known to others first, where it may not simply be repeated; nil: nobody.
+	// Promises replicates the start of each crossing that is not idempotent, before it begins; nil: no replication.
 	Promises Promises
 }
 
-// Promises is what an agent promises and holds for others; package promise has one. Only Begin waits.
+// Promises replicates which crossings begin, and answers queries about those of other gateways;
+// package promise implements it. Only Begin blocks.
 type Promises interface {
-	// Begin promises that a crossing which was offered to an incarnation of the far end begins; false: it must not.
+	// Begin replicates the promise that a crossing, which was offered to incarnation hinc of the far
+	// end, begins. It returns false if the crossing must not begin.
 	Begin(hinc uint64, near string, inc, number uint64, until time.Time) bool
-	// Answered has the copies know an answer.
+	// Answered sends an answer to the replicas.
 	Answered(near string, inc, number uint64, r promises.Reply)
-	// Query finds out what can be said of a crossing that was offered to another gateway so long ago.
+	// Query determines the outcome of a crossing that was offered to another gateway since ago, and
+	// passes it to tell.
 	Query(holder string, hinc uint64, near string, inc, number uint64, since time.Duration, tell func(promises.Verdict, *promises.Reply))
 }
 
-// Far is the far end of links: it takes crossings and hands them to its own core, and to
-// nothing else, so that nothing that has crossed crosses again.
-type Far struct {
-	opt   FarOptions
-	clock link.Clock
-	inc   atomic.Uint64
-	pace  *rate.Limiter
-	bytes atomic.Int64 // of bodies held
-	held  atomic.Int64 // crossings that have not ended
-	owed  atomic.Int64 // answers that are not acknowledged
-	wg    sync.WaitGroup
+// Receiver is the far end of links. It accepts crossings and passes them to its own core only, so that
+// a request that has crossed once never crosses again.
+type Receiver struct {
+	opt           ReceiverOptions
+	clock         link.Clock
+	inc           atomic.Uint64
+	acceptLimiter *rate.Limiter
+	bytes         atomic.Int64 // bytes of bodies in memory
+	inFlight      atomic.Int64 // crossings that have not ended
+	unacked       atomic.Int64 // answers that the near ends have not acknowledged
+	wg            sync.WaitGroup
 
 	mu       sync.Mutex
 	draining bool
@@ -78,27 +81,28 @@
 	conns    map[net.Conn]bool
 }
 
-// sessionKey names a near process: numbers are its own, so that none can speak of
-// another's crossings.
+// sessionKey identifies a near process. Crossing numbers are per process, so no process can refer to
+// the crossings of another.
 type sessionKey struct {
 	peer string
 	inc  uint64
 }
 
-// NewFar makes a far end.
-func NewFar(o FarOptions) *Far {
-	f := &Far{opt: o, clock: link.NewClock(),
-		pace: rate.NewLimiter(rate.Limit(o.PerSecond), max(int(o.PerSecond), 1)), sessions: map[sessionKey]*session{}, conns: map[net.Conn]bool{}}
+// NewReceiver returns a Receiver; Serve accepts its links.
+func NewReceiver(o ReceiverOptions) *Receiver {
+	f := &Receiver{opt: o, clock: link.NewClock(),
+		acceptLimiter: rate.NewLimiter(rate.Limit(o.PerSecond), max(int(o.PerSecond), 1)), sessions: map[sessionKey]*session{}, conns: map[net.Conn]bool{}}
 	f.inc.Store(incarnation(o.Seed))
 	return f
 }
 
-// Incarnation is the process that near ends meet.
-func (f *Far) Incarnation() uint64 { return f.inc.Load() }
+// Incarnation returns the incarnation that near ends are greeted with.
+func (f *Receiver) Incarnation() uint64 { return f.inc.Load() }
 
-// Renew makes the far end another process for near ends: all links end, what had not begun is barred, what
-// has runs on under its lease, and its answers reach nobody.
-func (f *Far) Renew() uint64 {
+// Renew makes the far end appear to near ends as a new process, and returns its incarnation.
+// All links are closed and crossings that have not begun are fenced. Those that have begun run on
+// under their lease, but their answers are not delivered.
+func (f *Receiver) Renew() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inc.Add(1)
@@ -109,16 +113,17 @@
 	return f.inc.Load()
 }
 
-// Own answers for a crossing as a fence does, whoever asks for the near end.
-func (f *Far) Own(near string, inc, number uint64) (promises.Verdict, *promises.Reply) {
+// Own returns what this gateway knows of a crossing that was offered to it, and fences the crossing if
+// it has not begun, as a Fence frame does. Another gateway calls it on behalf of the near end.
+func (f *Receiver) Own(near string, inc, number uint64) (promises.Verdict, *promises.Reply) {
 	f.mu.Lock()
 	s := f.sessions[sessionKey{near, inc}]
 	f.mu.Unlock()
 	if s == nil {
 		return promises.Unknown, nil
 	}
-	var later todo
-	defer func() { later.do() }()
+	var later deferredCalls
+	defer func() { later.run() }()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := s.open[number]
@@ -132,7 +137,7 @@
 	s.act(x, act, &later)
 	switch {
 	case m == crossing.NotStarted:
-		s.reply(x, m) // whoever asked may wait no longer: the near end hears it by its own link too
+		s.reply(x, m) // the caller may have timed out, so the near end is told on its own link as well
 		return promises.NeverBegun, nil
 	case m == crossing.Completed && x.ended != nil:
 		if r, short := reply(x.ended); short {
@@ -140,16 +145,16 @@
 		}
 		return promises.MayHaveRun, nil
 	}
-	return promises.Unknown, nil // it runs: the answer, or its lease, settles it
+	return promises.Unknown, nil // it is running: its answer or the end of its lease decides
 }
 
-// reply is an answer as copies hold it; false: it is too long.
+// reply returns an answer as replicas store it, and false if it is too long.
 func reply(e *linkwire.Ended) (promises.Reply, bool) {
 	return promises.Reply{Result: e.Result, ContentType: e.ContentType, Body: e.Body}, len(e.Body) <= promises.MaxReply
 }
 
-// Serve takes links on a listener until that is closed.
-func (f *Far) Serve(ln net.Listener) error {
+// Serve accepts links on a listener until that is closed.
+func (f *Receiver) Serve(ln net.Listener) error {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -159,14 +164,14 @@
 			return err
 		}
 		f.mu.Lock()
-		room := !f.closed && len(f.conns) < f.opt.Conns && f.pace.Allow()
+		room := !f.closed && len(f.conns) < f.opt.Conns && f.acceptLimiter.Allow()
 		if room {
 			f.conns[conn] = true
 			f.wg.Add(1)
 		}
 		f.mu.Unlock()
 		if !room {
-			conn.Close() // it comes again, later each time
+			conn.Close() // the near end dials again, with backoff
 			continue
 		}
 		go func() {
@@ -180,8 +185,8 @@
 	}
 }
 
-// Drain tells all near ends that nothing new is taken. What is held is finished.
-func (f *Far) Drain() {
+// Drain tells all near ends that no new crossings are accepted. Those in flight are finished.
+func (f *Receiver) Drain() {
 	f.mu.Lock()
 	f.draining = true
 	var all []*session
@@ -198,17 +203,16 @@
 	}
 }
 
-// Held is how many crossings have not ended.
-func (f *Far) Held() int { return int(f.held.Load()) }
+// InFlight returns the number of crossings that have not ended.
+func (f *Receiver) InFlight() int { return int(f.inFlight.Load()) }
 
-// Finish waits until all that is held has ended and its answers are acknowledged, until
-// the context ends or, where no link is left to be told by, for as long as one may take to
-// be dialled again.
-func (f *Far) Finish(ctx context.Context) {
+// WaitIdle returns when all crossings have ended and their answers are acknowledged, or when the
+// context ends. Without any open link it waits no longer than a near end may take to dial again.
+func (f *Receiver) WaitIdle(ctx context.Context) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	heard := time.Now()
-	for f.held.Load() > 0 || f.owed.Load() > 0 {
+	for f.inFlight.Load() > 0 || f.unacked.Load() > 0 {
 		f.mu.Lock()
 		if len(f.conns) > 0 {
 			heard = time.Now()
@@ -226,8 +230,8 @@
 	}
 }
 
-// Close ends all links at once, and waits for their goroutines.
-func (f *Far) Close() {
+// Close closes all links at once, and waits for their goroutines.
+func (f *Receiver) Close() {
 	f.mu.Lock()
 	f.closed = true
 	for c := range f.conns {
@@ -237,15 +241,15 @@
 	f.wg.Wait()
 }
 
-// Draining tells whether nothing new is taken.
-func (f *Far) Draining() bool {
+// Draining reports whether Drain was called.
+func (f *Receiver) Draining() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.draining
 }
 
-// serve takes one connection to its end.
-func (f *Far) serve(conn net.Conn) error {
+// serve handles one connection until it ends, and returns the reason.
+func (f *Receiver) serve(conn net.Conn) error {
 	ctx, cancel := context.WithTimeout(context.Background(), f.opt.Times.DeadAfter)
 	defer cancel()
 	proven := ""
@@ -261,7 +265,7 @@
 		}
 	}
 	var s *session
-	c := &farConn{partial: map[uint64]*offering{}}
+	c := &receiverConn{partial: map[uint64]*partialOffer{}}
 	up, err := link.Welcome(ctx, conn, func(peer *linkwire.Hello) (linkwire.Hello, error) {
 		switch {
 		case f.opt.TLS != nil && peer.Name != proven:
@@ -272,28 +276,28 @@
 		return linkwire.Hello{Magic: linkwire.Magic, Least: linkwire.MinVersion, Most: linkwire.MaxVersion, Name: f.opt.Name,
 			Incarnation: f.inc.Load(), Crossings: uint64(f.opt.Crossings), Bytes: uint64(f.opt.Bytes), Now: f.clock.Now(), Draining: f.Draining()}, nil
 	}, link.Options{Clock: f.clock, Beat: f.opt.Times.Beat, DeadAfter: f.opt.Times.DeadAfter,
-		Status: func() (uint64, bool) { return uint64(f.Held()), f.Draining() }})
+		Status: func() (uint64, bool) { return uint64(f.InFlight()), f.Draining() }})
 	if err != nil {
 		return err
 	}
 	c.link = up
 	s = f.session(sessionKey{up.Peer.Name, up.Peer.Incarnation}, c)
 	if f.Draining() {
-		up.Urgent(&linkwire.Drain{}) // it may have been told to meanwhile
+		up.Urgent(&linkwire.Drain{}) // Drain may have been called since the greeting
 	}
-	err = up.Run(func(fr linkwire.Frame) error { return s.take(c, fr) })
-	s.lose(c)
-	f.leave(s)
+	err = up.Run(func(fr linkwire.Frame) error { return s.handleFrame(c, fr) })
+	s.connLost(c)
+	f.removeIfIdle(s)
 	return err
 }
 
-// session finds or makes the session of a near process, and adds a connection.
-func (f *Far) session(key sessionKey, c *farConn) *session {
+// session returns the session of a near process, creating it if needed, and adds a connection to it.
+func (f *Receiver) session(key sessionKey, c *receiverConn) *session {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.sessions[key]
 	if s == nil {
-		s = &session{far: f, key: key, conns: map[crossing.Conn]*farConn{}, open: map[uint64]*farCrossing{}}
+		s = &session{far: f, key: key, conns: map[crossing.Conn]*receiverConn{}, open: map[uint64]*inboundCrossing{}}
 		f.sessions[key] = s
 	}
 	s.mu.Lock()
@@ -304,8 +308,8 @@
 	return s
 }
 
-// leave forgets a session that has no connection and holds nothing.
-func (f *Far) leave(s *session) {
+// removeIfIdle removes a session that has neither connections nor crossings.
+func (f *Receiver) removeIfIdle(s *session) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.mu.Lock()
@@ -315,71 +319,71 @@
 	}
 }
 
-// session is what has come from one near process, under its lock. The core may be waiting
-// for that lock, so it is never called with it held.
+// session is the state of one near process, guarded by mu. The core may be waiting for mu, so it is
+// never called while mu is held.
 type session struct {
-	far *Far
+	far *Receiver
 	key sessionKey
 
 	mu      sync.Mutex
 	last    crossing.Conn
-	conns   map[crossing.Conn]*farConn
-	open    map[uint64]*farCrossing
-	running int // crossings that have not ended
+	conns   map[crossing.Conn]*receiverConn
+	open    map[uint64]*inboundCrossing
+	running int // number of crossings that have not ended
 }
 
-// farConn is a connection that is up.
-type farConn struct {
+// receiverConn is an open connection.
+type receiverConn struct {
 	id      crossing.Conn
 	link    *link.Conn
-	partial map[uint64]*offering
+	partial map[uint64]*partialOffer
 }
 
-// offering is an offer of which a part is still to come.
-type offering struct {
+// partialOffer is an offer whose body is still incomplete.
+type partialOffer struct {
 	f    *linkwire.Offer
 	body []byte
 }
 
-// farCrossing is one crossing.
-type farCrossing struct {
-	s       *session
-	num     uint64
-	inc     uint64 // of the far end that it was offered to
-	promise bool   // it begins once others know that it does
-	m       crossing.Receiver
-	begin   time.Time // the last moment to begin in
-	lease   time.Time // nothing of it goes on after that
-	timer   *time.Timer
-	drop    func()
-	acked   bool // the near end has its verdict
-	stopped bool // drop is to be called as soon as there is one
-	held    int64
-	why     uint64
-	ended   *linkwire.Ended // its answer, until it is acknowledged
-	never   linkwire.Never
-}
-
-// todo is what is to be done when no lock is held.
-type todo []func()
-
-func (t todo) do() {
+// inboundCrossing is one crossing that the far end knows of.
+type inboundCrossing struct {
+	s             *session
+	num           uint64
+	inc           uint64 // incarnation of the far end that it was offered to
+	promise       bool   // whether its start must be replicated first
+	m             crossing.Receiver
+	begin         time.Time // latest time at which an attempt may begin
+	lease         time.Time // time after which nothing of it may run
+	timer         *time.Timer
+	drop          func()
+	acked         bool // the near end has acknowledged its outcome
+	stopRequested bool // drop is to be called as soon as it is set
+	heldBytes     int64
+	why           uint64
+	ended         *linkwire.Ended // its answer, until that is acknowledged
+	never         linkwire.Never
+}
+
+// deferredCalls are functions to be called when no lock is held.
+type deferredCalls []func()
+
+func (t deferredCalls) run() {
 	for _, f := range t {
 		f()
 	}
 }
 
-// take takes a frame of the near end.
-func (s *session) take(c *farConn, f linkwire.Frame) error {
+// handleFrame handles a frame of the near end.
+func (s *session) handleFrame(c *receiverConn, f linkwire.Frame) error {
 	switch f := f.(type) {
 	case *linkwire.Offer:
 		if f.Size == uint64(len(f.Body)) {
 			return s.offer(c, f)
 		}
 		if c.partial[f.Number] != nil || len(c.partial) >= s.far.opt.Crossings {
-			return errors.New("an offer twice, or too many at once")
+			return errors.New("offer: number in use, or too many incomplete offers")
 		}
-		o := &offering{f: f, body: make([]byte, 0, f.Size)}
+		o := &partialOffer{f: f, body: make([]byte, 0, f.Size)}
 		o.body = append(o.body, f.Body...)
 		s.far.bytes.Add(int64(f.Size))
 		c.partial[f.Number] = o
@@ -387,7 +391,7 @@
 	case *linkwire.Part:
 		o := c.partial[f.Number]
 		if o == nil || len(o.body)+len(f.Body) > cap(o.body) {
-			return errors.New("a part of nothing")
+			return errors.New("part: no incomplete offer, or beyond its size")
 		}
 		if o.body = append(o.body, f.Body...); uint64(len(o.body)) < o.f.Size {
 			return nil
@@ -397,9 +401,9 @@
 		o.f.Body = o.body
 		return s.offer(c, o.f)
 	case *linkwire.Fence:
-		return s.ask(c, f.Number, &f.Lease, (*crossing.Receiver).Query)
+		return s.handleFence(c, f.Number, &f.Lease, (*crossing.Receiver).Query)
 	case *linkwire.Cancel:
-		return s.ask(c, f.Number, &f.Lease, (*crossing.Receiver).Cancel)
+		return s.handleFence(c, f.Number, &f.Lease, (*crossing.Receiver).Cancel)
 	case *linkwire.Ack:
 		s.mu.Lock()
 		for _, n := range f.Numbers {
@@ -416,11 +420,11 @@
 	case *linkwire.Drain:
 		return nil
 	}
-	return fmt.Errorf("a frame of kind %d is not the near end's", f.Kind())
+	return fmt.Errorf("unexpected frame of kind %d from the near end", f.Kind())
 }
 
-// query finds out what can be said of a crossing that was offered to another gateway.
-func (s *session) query(c *farConn, f *linkwire.Query) {
+// query answers a near end's query about a crossing that was offered to another gateway.
+func (s *session) query(c *receiverConn, f *linkwire.Query) {
 	v := linkwire.Verdict{Number: f.Number, Holder: f.Holder, Incarnation: f.Incarnation}
 	if s.far.opt.Promises == nil {
 		c.link.Urgent(&v)
@@ -440,31 +444,31 @@
 		})
 }
 
-// release lets go of an answer that its near end has.
-func (s *session) release(x *farCrossing) {
+// releaseAnswer frees an answer that is no longer needed.
+func (s *session) releaseAnswer(x *inboundCrossing) {
 	if x.ended != nil {
-		s.far.owed.Add(-1)
+		s.far.unacked.Add(-1)
 	}
 	x.ended = nil
-	s.far.bytes.Add(-x.held)
-	x.held = 0
+	s.far.bytes.Add(-x.heldBytes)
+	x.heldBytes = 0
 }
 
-// at translates a moment of a lease.
+// at converts a span of a lease to local time.
 func (s *session) at(l *linkwire.Lease, span uint64) time.Time {
 	return s.far.clock.At(l.Quote + span)
 }
 
-// lapsed tells whether a lease is over, or none of this process's.
-func (s *session) lapsed(l *linkwire.Lease, until time.Time) bool {
+// leaseExpired reports whether a lease is over, or belongs to another process.
+func (s *session) leaseExpired(l *linkwire.Lease, until time.Time) bool {
 	return l.Incarnation != s.far.inc.Load() || !time.Now().Before(until)
 }
 
-// offer takes a whole offer.
-func (s *session) offer(c *farConn, f *linkwire.Offer) error {
+// offer handles a complete offer.
+func (s *session) offer(c *receiverConn, f *linkwire.Offer) error {
 	far := s.far
 	if f.Lease.Incarnation == far.inc.Load() && f.Lease.Quote > far.clock.Now() {
-		return errors.New("a quote that was never told")
+		return errors.New("lease: clock reading is in the future")
 	}
 	r, known := far.request(f)
 	draining := far.Draining()
@@ -476,9 +480,9 @@
 	x.begin = s.at(&f.Lease, f.Lease.Begin)
 	x.promise = known && far.opt.Promises != nil && far.opt.Settings.Classes[r.Class].Idempotency != settings.Idempotent
 	held := int64(len(f.Body))
-	terms := crossing.Conditions{LeaseExpired: s.lapsed(&f.Lease, x.begin), Draining: draining,
+	terms := crossing.Conditions{LeaseExpired: s.leaseExpired(&f.Lease, x.begin), Draining: draining,
 		Full: !known || s.running >= far.opt.Crossings || far.bytes.Load()+held > far.opt.Bytes || len(s.open) > 8*far.opt.Crossings}
-	switch { // the first that holds is told
+	switch { // the first matching reason is reported
 	case x.m.State == crossing.Fenced:
 		x.why = linkwire.WhyBarred
 	case terms.LeaseExpired:
@@ -493,23 +497,23 @@
 	m, act := x.m.Offer(c.id, terms)
 	if act == crossing.Run {
 		s.running++
-		far.held.Add(1)
-		x.held = held
+		far.inFlight.Add(1)
+		x.heldBytes = held
 		far.bytes.Add(held)
 	}
 	s.reply(x, m)
 	s.mu.Unlock()
 	switch act {
 	case crossing.ProtocolError:
-		return errors.New("a number is used twice")
+		return errors.New("offer: number was already used")
 	case crossing.Run:
-		r.Deadline = sooner(r.Deadline, x.lease)
+		r.Deadline = earlier(r.Deadline, x.lease)
 		r.BeginBy = x.begin
 		r.Gate = x.mayBegin
 		drop := far.opt.Core.Take(r, x.done)
 		s.mu.Lock()
 		x.drop = drop
-		stopped := x.stopped
+		stopped := x.stopRequested
 		s.mu.Unlock()
 		if stopped {
 			drop()
@@ -518,16 +522,16 @@
 	return nil
 }
 
-func sooner(a, b time.Time) time.Time {
+func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// request makes the core's request of an offer, and reports whether this end knows its
-// class as the near end does.
-func (f *Far) request(o *linkwire.Offer) (*core.Request, bool) {
+// request converts an offer to a core request. It returns false if this end's settings have no such
+// class, or define it differently from the near end's.
+func (f *Receiver) request(o *linkwire.Offer) (*core.Request, bool) {
 	class, known := f.opt.Classes[o.Class]
 	if !known {
 		return nil, false
@@ -551,19 +555,20 @@
 	return r, true
 }
 
-// add begins to know of a crossing.
-func (s *session) add(num uint64, l *linkwire.Lease) *farCrossing {
-	x := &farCrossing{s: s, num: num, inc: s.far.inc.Load(), lease: s.at(l, l.Life)}
+// add creates the state of a crossing.
+func (s *session) add(num uint64, l *linkwire.Lease) *inboundCrossing {
+	x := &inboundCrossing{s: s, num: num, inc: s.far.inc.Load(), lease: s.at(l, l.Life)}
 	if l.Incarnation != x.inc {
 		x.lease = time.Now()
 	}
 	s.open[num] = x
-	x.timer = time.AfterFunc(time.Until(x.lease), x.lapse)
+	x.timer = time.AfterFunc(time.Until(x.lease), x.expireLease)
 	return x
 }
 
-// mayBegin is the gate before the first byte of each attempt.
-func (x *farCrossing) mayBegin() bool {
+// mayBegin reports whether an attempt may be started; the core calls it before the first byte of each
+// attempt.
+func (x *inboundCrossing) mayBegin() bool {
 	if x.promise {
 		x.s.mu.Lock()
 		first := x.m.State == crossing.Accepted && time.Now().Before(x.begin)
@@ -577,29 +582,29 @@
 	return x.m.Start(crossing.Conditions{LeaseExpired: !time.Now().Before(x.begin)})
 }
 
-// done takes the core's final answer. The core's lock is held.
-func (x *farCrossing) done(a core.Answer) {
+// done receives the core's final answer. The core's lock is held.
+func (x *inboundCrossing) done(a core.Answer) {
 	s := x.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
-	s.far.held.Add(-1)
+	s.far.inFlight.Add(-1)
 	ran := x.m.State == crossing.Running && (a.Ran || a.Outcome == core.Served)
-	s.far.bytes.Add(-x.held)
-	x.held = 0
+	s.far.bytes.Add(-x.heldBytes)
+	x.heldBytes = 0
 	if ran {
-		s.far.owed.Add(1)
+		s.far.unacked.Add(1)
 		x.ended = &linkwire.Ended{Number: x.num, Result: linkwire.Failed, Tries: uint64(a.Attempts)}
 		switch a.Outcome {
 		case core.Served:
 			x.ended.Result, x.ended.Size, x.ended.Body = linkwire.Served, uint64(len(a.Body)), a.Body
-			if linkwire.Plain(a.ContentType) { // else it is left out: heads of answers are free
+			if linkwire.Plain(a.ContentType) { // otherwise it is left out: servers may send any header
 				x.ended.ContentType = a.ContentType
 			}
-			x.held = int64(len(a.Body))
-			s.far.bytes.Add(x.held)
+			x.heldBytes = int64(len(a.Body))
+			s.far.bytes.Add(x.heldBytes)
 		case core.Refused:
-			x.ended.Result, x.ended.RetryUs = linkwire.Refused, advice(a)
+			x.ended.Result, x.ended.RetryUs = linkwire.Refused, retryAfterUs(a)
 		}
 		if x.promise {
 			if r, short := reply(x.ended); short {
@@ -607,19 +612,19 @@
 			}
 		}
 	} else {
-		x.never = linkwire.Never{Tries: uint64(a.Attempts), RetryUs: advice(a)}
+		x.never = linkwire.Never{Tries: uint64(a.Attempts), RetryUs: retryAfterUs(a)}
 	}
 	s.reply(x, x.m.Finish(ran))
 	s.forget(x)
 }
 
-// advice is when to come back, in microseconds.
-func advice(a core.Answer) uint64 {
+// retryAfterUs returns the advised delay before a retry, in microseconds.
+func retryAfterUs(a core.Answer) uint64 {
 	return uint64(min(max(a.RetryAfter.Microseconds(), 0), linkwire.MaxTime))
 }
 
-// reply writes the far end's word about a crossing on the connection that it last came by.
-func (s *session) reply(x *farCrossing, m crossing.Msg) {
+// reply writes a message about a crossing to the connection on which the near end last mentioned it.
+func (s *session) reply(x *inboundCrossing, m crossing.Msg) {
 	c := s.conns[x.m.On]
 	if c == nil {
 		return
@@ -630,7 +635,7 @@
 	case crossing.NotStarted:
 		f := x.never
 		f.Number, f.Why = x.num, x.why
-		c.link.Bulk(linkwire.One(&f)) // in the order of the verdicts
+		c.link.Bulk(linkwire.One(&f)) // in order with the other outcomes
 	case crossing.Started:
 		c.link.Urgent(&linkwire.Begun{Number: x.num})
 	case crossing.Indeterminate:
@@ -638,17 +643,17 @@
 	}
 }
 
-// ask answers a fence or a cancel.
-func (s *session) ask(c *farConn, num uint64, l *linkwire.Lease, step func(*crossing.Receiver, crossing.Conn, crossing.Conditions) (crossing.Msg, crossing.Action)) error {
-	var later todo
+// handleFence answers a Fence or a Cancel.
+func (s *session) handleFence(c *receiverConn, num uint64, l *linkwire.Lease, step func(*crossing.Receiver, crossing.Conn, crossing.Conditions) (crossing.Msg, crossing.Action)) error {
+	var later deferredCalls
 	s.mu.Lock()
 	x := s.open[num]
 	if x == nil {
-		terms := crossing.Conditions{LeaseExpired: s.lapsed(l, s.at(l, l.Life)), Full: len(s.open) > 8*s.far.opt.Crossings}
+		terms := crossing.Conditions{LeaseExpired: s.leaseExpired(l, s.at(l, l.Life)), Full: len(s.open) > 8*s.far.opt.Crossings}
 		if terms.LeaseExpired || terms.Full {
 			var none crossing.Receiver
 			m, _ := step(&none, c.id, terms)
-			s.reply(&farCrossing{s: s, num: num, m: none}, m)
+			s.reply(&inboundCrossing{s: s, num: num, m: none}, m)
 			s.mu.Unlock()
 			return nil
 		}
@@ -661,24 +666,24 @@
 	s.act(x, act, &later)
 	s.reply(x, m)
 	s.mu.Unlock()
-	later.do()
+	later.run()
 	return nil
 }
 
-// act carries out what a machine asks for.
-func (s *session) act(x *farCrossing, act crossing.Action, later *todo) {
-	if act != crossing.Stop || x.stopped {
+// act carries out an action of the crossing's state machine.
+func (s *session) act(x *inboundCrossing, act crossing.Action, later *deferredCalls) {
+	if act != crossing.Stop || x.stopRequested {
 		return
 	}
-	x.stopped = true
+	x.stopRequested = true
 	if x.drop != nil {
 		*later = append(*later, x.drop)
 	}
 }
 
-// lapse takes that a lease is over.
-func (x *farCrossing) lapse() {
-	var later todo
+// expireLease runs when the crossing's lease ends.
+func (x *inboundCrossing) expireLease() {
+	var later deferredCalls
 	s := x.s
 	s.mu.Lock()
 	if x.m.State == crossing.Accepted {
@@ -689,22 +694,22 @@
 	s.reply(x, m)
 	s.forget(x)
 	s.mu.Unlock()
-	later.do()
-	s.far.leave(s)
+	later.run()
+	s.far.removeIfIdle(s)
 }
 
-// forget forgets a crossing that is over and whose lease is.
-func (s *session) forget(x *farCrossing) {
+// forget removes a crossing once its state machine allows it.
+func (s *session) forget(x *inboundCrossing) {
 	if x.m.CanForget(!time.Now().Before(x.lease), x.acked) && s.open[x.num] == x {
 		delete(s.open, x.num)
-		s.release(x)
+		s.releaseAnswer(x)
 		x.timer.Stop()
 	}
 }
 
-// lose takes a connection out of use.
-func (s *session) lose(c *farConn) {
-	var later todo
+// connLost removes a connection.
+func (s *session) connLost(c *receiverConn) {
+	var later deferredCalls
 	s.mu.Lock()
 	delete(s.conns, c.id)
 	for _, o := range c.partial {
@@ -723,5 +728,5 @@
 		s.act(x, x.m.ConnLost(c.id, len(s.conns) == 0), &later)
 	}
 	s.mu.Unlock()
-	later.do()
+	later.run()
 }
--- a/internal/protocol/gateway/status.go
+++ b/internal/protocol/gateway/status.go
@@ -9,34 +9,34 @@
 	"molepaddle/internal/protocol/link"
 )
 
-// LinkStatus is one connection of a link.
+// LinkStatus describes one connection of a link.
 type LinkStatus struct {
 	RoundTrip time.Duration `json:"round_trip_ns"`
-	Heard     time.Duration `json:"heard_ago_ns"`  // how long ago the last frame came
-	Echoed    time.Duration `json:"echoed_ago_ns"` // how old the last beat is that the other end has heard
+	Heard     time.Duration `json:"heard_ago_ns"`  // time since the last frame
+	Echoed    time.Duration `json:"echoed_ago_ns"` // age of the last heartbeat that the other end has echoed
 	Stalled   bool          `json:"stalled"`
-	Draining  bool          `json:"draining"` // the other end takes nothing new
+	Draining  bool          `json:"draining"` // the other end accepts no new crossings
 }
 
-// PeerStatus is a gateway at the other end of links.
+// PeerStatus describes a gateway at the other end of links.
 type PeerStatus struct {
 	Name        string         `json:"name"`
-	Address     string         `json:"address,omitempty"` // of a far one
-	Site        string         `json:"site,omitempty"`    // of a far one
+	Address     string         `json:"address,omitempty"` // far gateways only
+	Site        string         `json:"site,omitempty"`    // far gateways only
 	Incarnation uint64         `json:"incarnation"`
 	Reachable   bool           `json:"reachable"`
 	Lost        string         `json:"lost,omitempty"` // why the last connection ended
 	Links       []LinkStatus   `json:"links"`
-	Crossings   map[string]int `json:"crossings"` // by state
-	Window      int            `json:"window"`    // most that may be out
+	Crossings   map[string]int `json:"crossings"` // number by state
+	Window      int            `json:"window"`    // limit of crossings in flight
 	Classes     []ClassStatus  `json:"classes,omitempty"`
 }
 
-// ClassStatus is what a class has of the window to a far gateway.
+// ClassStatus describes the use of the window to a far gateway by one class.
 type ClassStatus struct {
 	Name   string `json:"name"`
-	Out    int    `json:"out"`
-	Turned int    `json:"no_room"` // crossings that found none, since the start
+	Out    int    `json:"out"`     // crossings in flight
+	Turned int    `json:"no_room"` // crossings rejected as the window was full, since the start
 }
 
 func statusOf(c *link.Conn, after time.Duration, now time.Time) LinkStatus {
@@ -44,14 +44,14 @@
 	return LinkStatus{RoundTrip: st.RTT, Heard: now.Sub(st.Heard), Echoed: now.Sub(st.Echoed), Stalled: st.Stalled(now, after), Draining: st.Draining}
 }
 
-// Status tells what the near end holds.
-func (s *Site) Status() []PeerStatus {
+// Status returns the state of each far gateway.
+func (s *Sender) Status() []PeerStatus {
 	var all []PeerStatus
 	now := time.Now()
 	for _, p := range s.peers {
 		p.mu.Lock()
-		q := PeerStatus{Name: p.Name, Address: p.Address, Site: s.opt.Site, Incarnation: p.inc, Reachable: p.pick(now) != nil,
-			Lost: p.lostFor, Links: []LinkStatus{}, Crossings: map[string]int{}, Window: p.limits.Window()}
+		q := PeerStatus{Name: p.Name, Address: p.Address, Site: s.opt.Site, Incarnation: p.inc, Reachable: p.pickConn(now) != nil,
+			Lost: p.lastError, Links: []LinkStatus{}, Crossings: map[string]int{}, Window: p.limits.Window()}
 		for _, c := range p.conns {
 			q.Links = append(q.Links, statusOf(c.link, s.opt.Times.StallAfter, now))
 		}
@@ -68,8 +68,8 @@
 	return all
 }
 
-// Status tells what the far end holds, by near process.
-func (f *Far) Status() []PeerStatus {
+// Status returns the state of each near process, sorted by name.
+func (f *Receiver) Status() []PeerStatus {
 	f.mu.Lock()
 	var sessions []*session
 	for _, s := range f.sessions {
@@ -86,7 +86,7 @@
 			q.Links = append(q.Links, statusOf(c.link, f.opt.Times.StallAfter, now))
 		}
 		for _, x := range s.open {
-			q.Crossings[farState(x.m.State)]++
+			q.Crossings[receiverStateName(x.m.State)]++
 		}
 		s.mu.Unlock()
 		all = append(all, q)
@@ -95,6 +95,6 @@
 	return all
 }
 
-func farState(s crossing.ReceiverState) string {
+func receiverStateName(s crossing.ReceiverState) string {
 	return [...]string{"unknown", "taken", "running", "done", "barred"}[s]
 }
