--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -232,7 +232,7 @@
 		}
 	}
 	front := httpfront.New(handler, httpfront.Options{
-		View: intake.Of(a.table), Life: a.life,
+		View: intake.ViewOf(a.table), Life: a.life,
 		Places: clientSockets(sockets), Kept: keptSockets(sockets),
 		Budget: bodies, Streams: !o.Gateway.On(), Log: log,
 		HeadWithin: time.Duration(o.Front.HTTP.HeadWithin), BodyWithin: time.Duration(o.Front.HTTP.BodyWithin),
@@ -241,7 +241,7 @@
 		front.Bound(clientSockets(sockets/part), keptSockets(sockets/part))
 	}})
 	if web.On() {
-		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.life, Connections: web.Connections, Requests: web.Requests,
+		fast := fcgifront.New(handler, fcgifront.Options{View: intake.ViewOf(a.table), Life: a.life, Connections: web.Connections, Requests: web.Requests,
 			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log, HeadWithin: time.Duration(web.HeadWithin),
 			BodyWithin: time.Duration(web.BodyWithin), KeepIdle: time.Duration(web.KeepIdle)})
 		a.fronts = append(a.fronts, row{frontEnd: fast, share: func(part int) { fast.Bound(max(web.Connections/part, 1)) }, listeners: network.FastCGI})
@@ -271,7 +271,7 @@
 			return fmt.Errorf("config: settings: %w", err)
 		}
 		for _, f := range a.fronts {
-			f.Turn(intake.Of(next))
+			f.Turn(intake.ViewOf(next))
 		}
 		a.table, a.latest = next, c.Settings
 		a.log.Info("settings: changed", "version", next.Version, "classes", len(next.Classes))
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -36,7 +36,7 @@
 	Seed      uint64
 	Limits    Limits
 	Settings  settings.Settings
-	Words     roster.Words   // of lists
+	Words     roster.Names   // of lists
 	Classes   map[string]int // numbers of the classes names
 	Tenants   map[string]int
 	Known     cluster.List
@@ -206,7 +206,7 @@
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.Words = roster.Words{Sites: index(words.Sites), Kinds: index(words.Kinds)}
+	c.Words = roster.Names{Sites: index(words.Sites), Kinds: index(words.Kinds)}
 	c.Classes, c.Tenants = map[string]int{}, map[string]int{}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
--- a/internal/protocol/fcgifront/conn.go
+++ b/internal/protocol/fcgifront/conn.go
@@ -48,7 +48,7 @@
 	told   int64         // the body's length; -1: not told
 	came   int64         // bytes of it; written under the connection's lock
 	req    *core.Request // once its params are whole
-	wait   intake.Patience
+	wait   intake.ClientTimeout
 	ready  bool // it asks for /ready
 	whole  bool
 	ctx    context.Context
@@ -229,7 +229,7 @@
 // write writes whole records. A connection on which no more can be written is closed.
 func (c *conn) write(out []byte) error {
 	c.mu.Lock()
-	patience := intake.ReadFor
+	patience := intake.ResponseStallTimeout
 	if len(c.open) > 1 {
 		patience = stuckFor
 	}
@@ -484,7 +484,7 @@
 	q.req.Message.Body, q.req.Message.Length = q.body[:len(q.body):len(q.body)], q.told
 	flow = newFlow(q.c.f.opt.Budget)
 	q.req.Message.Stream = flow.pipe
-	q.wait.Count(q.req, time.Now(), q.c.f.pace())
+	q.wait.SetDeadline(q.req, time.Now(), q.c.f.pace())
 	q.c.mu.Lock()
 	q.flow = flow
 	q.c.mu.Unlock()
@@ -548,7 +548,7 @@
 		q.handOn()
 	default:
 		q.req.Message.Body = q.body
-		q.wait.Count(q.req, time.Now(), c.f.pace())
+		q.wait.SetDeadline(q.req, time.Now(), c.f.pace())
 		q.handOn()
 	}
 }
--- a/internal/protocol/fcgifront/front.go
+++ b/internal/protocol/fcgifront/front.go
@@ -99,7 +99,7 @@
 }
 
 func (f *Front) pace() window.Pace {
-	return intake.Pace(f.opt.BodyWithin)
+	return intake.MinPace(f.opt.BodyWithin)
 }
 
 // Serve answers on the listeners until the context ends, then finishes what it holds. It may be called once.
--- a/internal/protocol/gateway/receiver.go
+++ b/internal/protocol/gateway/receiver.go
@@ -456,7 +456,7 @@
 
 // at converts a span of a lease to local time.
 func (s *session) at(l *linkwire.Lease, span uint64) time.Time {
-	return s.far.clock.At(l.Quote + span)
+	return s.far.clock.Time(l.Quote + span)
 }
 
 // leaseExpired reports whether a lease is over, or belongs to another process.
@@ -598,7 +598,7 @@
 		switch a.Outcome {
 		case core.Served:
 			x.ended.Result, x.ended.Size, x.ended.Body = linkwire.Served, uint64(len(a.Body)), a.Body
-			if linkwire.Plain(a.ContentType) { // otherwise it is left out: servers may send any header
+			if linkwire.ValidText(a.ContentType) { // otherwise it is left out: servers may send any header
 				x.ended.ContentType = a.ContentType
 			}
 			x.heldBytes = int64(len(a.Body))
@@ -635,7 +635,7 @@
 	case crossing.NotStarted:
 		f := x.never
 		f.Number, f.Why = x.num, x.why
-		c.link.Bulk(linkwire.One(&f)) // in order with the other outcomes
+		c.link.Bulk(linkwire.SingleFrame(&f)) // in order with the other outcomes
 	case crossing.Started:
 		c.link.Urgent(&linkwire.Begun{Number: x.num})
 	case crossing.Indeterminate:
--- a/internal/protocol/httpfront/bodies.go
+++ b/internal/protocol/httpfront/bodies.go
@@ -19,7 +19,7 @@
 
 // pace is how slowly a body may come.
 func (a *Front) pace() window.Pace {
-	return intake.Pace(a.opt.BodyWithin)
+	return intake.MinPace(a.opt.BodyWithin)
 }
 
 // target is a request's target with its path first: absolute forms name a host before it.
@@ -265,7 +265,7 @@
 		h.Set("Content-Length", strconv.FormatInt(ans.Length, 10))
 	}
 	w.WriteHeader(http.StatusOK)
-	_ = control.SetWriteDeadline(time.Now().Add(intake.ReadFor))
+	_ = control.SetWriteDeadline(time.Now().Add(intake.ResponseStallTimeout))
 	if _, err := w.Write(ans.Body); err != nil {
 		abort()
 	}
@@ -279,7 +279,7 @@
 		}
 		n, err := rest.Read(hr.Context(), *buf)
 		if n > 0 {
-			_ = control.SetWriteDeadline(time.Now().Add(intake.ReadFor))
+			_ = control.SetWriteDeadline(time.Now().Add(intake.ResponseStallTimeout))
 			if _, err := w.Write((*buf)[:n]); err != nil {
 				abort()
 			}
--- a/internal/protocol/httpfront/front.go
+++ b/internal/protocol/httpfront/front.go
@@ -301,7 +301,7 @@
 	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
 		came = c.came()
 	}
-	patience.Count(r, came, a.pace())
+	patience.SetDeadline(r, came, a.pace())
 	return r, nil
 }
 
--- a/internal/protocol/intake/intake.go
+++ b/internal/protocol/intake/intake.go
@@ -22,19 +22,19 @@
 const (
 	// MaxTimeout is the longest deadline there is.
 	MaxTimeout = time.Minute
-	maxWord    = 256 // bytes of an id or a host
+	maxNameLength    = 256 // bytes of an id or a host
 	// AcceptFor is how long connections are taken after SIGTERM: they go on coming for up to 0.4 s. SettleFor is
 	// left to what was accepted last to be read; LeaveEvery is how often connections are looked through meanwhile.
 	AcceptFor, SettleFor, LeaveEvery = 450 * time.Millisecond, 50 * time.Millisecond, 5 * time.Millisecond
-	// ReadFor is how long a client may take nothing of an answer that is passed on.
-	ReadFor = time.Minute
+	// ResponseStallTimeout is how long a client may take nothing of an answer that is passed on.
+	ResponseStallTimeout = time.Minute
 	// bodyRate is how many bytes a second a body has to bring on the mean, bodyPause how long nothing may come
 	// of it: clients that are slow send twice as much.
 	bodyRate, bodyPause = 32 << 10, 2 * time.Second
 )
 
-// Pace is how slowly a body may come, with an allowance at its start.
-func Pace(allowance time.Duration) window.Pace {
+// MinPace is how slowly a body may come, with an allowance at its start.
+func MinPace(allowance time.Duration) window.Pace {
 	return window.Pace{Grace: allowance, Pause: bodyPause, Rate: bodyRate}
 }
 
@@ -51,8 +51,8 @@
 	Tenants  map[string]int // numbers of the tenants' names
 }
 
-// Of is the view of a version of the settings.
-func Of(t *settings.Table) View {
+// ViewOf is the view of a version of the settings.
+func ViewOf(t *settings.Table) View {
 	return View{Settings: &t.Settings, Classes: t.Classes, Tenants: t.Tenants}
 }
 
@@ -77,18 +77,18 @@
 	Length         int64  // of the body; -1: not known
 }
 
-// Patience is how long a client waits for its answer.
-type Patience struct {
-	Told   time.Duration // as it says
-	GiveUp time.Duration // as its class allows
+// ClientTimeout is how long a client waits for its answer.
+type ClientTimeout struct {
+	Requested   time.Duration // as it says
+	ClassLimit time.Duration // as its class allows
 }
 
 // Read makes a request of what was read, but for its body and its deadline. patient says that a client which
 // does not say how long it waits waits for as long as its class allows; else it is told to say so.
-func Read(v *View, f *Fields, patient bool) (*core.Request, Patience, *Problem) {
+func Read(v *View, f *Fields, patient bool) (*core.Request, ClientTimeout, *Problem) {
 	r := &core.Request{ID: f.ID, MaxAttempts: v.Settings.Limits.MaxAttempts, Retry: f.Retry == "1",
 		Message: core.Message{Method: f.Method, Target: f.Target, Host: f.Host, ContentType: f.ContentType, IdempotencyKey: f.IdempotencyKey}}
-	var p Patience
+	var p ClientTimeout
 	if !strings.HasPrefix(f.Target, "/") || !strings.HasPrefix(f.Path, "/") {
 		return nil, p, &Problem{http.StatusBadRequest, "no path: an agent is no proxy"}
 	}
@@ -104,10 +104,10 @@
 		want = http.MethodGet
 	}
 	// A client may wait for longer than its class is worth anything, the agent does not.
-	p.GiveUp = time.Duration(set.ClientTimeoutMs * float64(time.Millisecond))
+	p.ClassLimit = time.Duration(set.ClientTimeoutMs * float64(time.Millisecond))
 	var err error
-	if p.Told = p.GiveUp; f.Timeout != "" || !patient {
-		p.Told, err = ParseTimeout(f.Timeout)
+	if p.Requested = p.ClassLimit; f.Timeout != "" || !patient {
+		p.Requested, err = ParseTimeout(f.Timeout)
 	}
 	switch {
 	case f.Method != want && (f.Method != http.MethodHead || want != http.MethodGet):
@@ -137,14 +137,14 @@
 	return r, p, nil
 }
 
-// Count has a request's time begin when its last byte came; of one whose body is not whole, it reckons with
+// SetDeadline has a request's time begin when its last byte came; of one whose body is not whole, it reckons with
 // the longest that the rest may take to come, and its time begins when all of it has.
-func (p Patience) Count(r *core.Request, came time.Time, pace window.Pace) {
-	r.Deadline = budget.From(came, p.Told, p.GiveUp).Deadline
+func (p ClientTimeout) SetDeadline(r *core.Request, came time.Time, pace window.Pace) {
+	r.Deadline = budget.From(came, p.Requested, p.ClassLimit).Deadline
 	if r.Message.Stream == nil {
 		return
 	}
-	r.TimeAfterBody = min(p.Told, p.GiveUp)
+	r.TimeAfterBody = min(p.Requested, p.ClassLimit)
 	most := r.Message.Length
 	if most < 0 {
 		most = window.Most
@@ -154,7 +154,7 @@
 
 // Plain tells whether an id or a name can be sent on as it is.
 func Plain(id string) bool {
-	if id == "" || len(id) > maxWord {
+	if id == "" || len(id) > maxNameLength {
 		return false
 	}
 	for _, c := range []byte(id) {
--- a/internal/protocol/link/link.go
+++ b/internal/protocol/link/link.go
@@ -1,10 +1,10 @@
-// Package link is one connection between two gateways: the greeting, frames both ways, and
-// what is known of the other end's clock and of how the connection fares. It knows what a
-// crossing is as little as what a request is.
+// Package link implements one connection between two gateways or peers: the greeting, frames in both
+// directions, the other end's clock, and the health of the connection. It knows nothing of crossings
+// or requests.
 //
-// Run's goroutine reads and hands each frame on; a goroutine of its own writes, what is
-// urgent first, then of what is large one part at a time in turn. A lock guards the queue
-// and what the beats have told.
+// The goroutine of Run reads and passes each frame to a callback. Another goroutine writes: urgent
+// items first, then one part at a time of the bulk items in turn. A lock guards the queues and the
+// state learnt from heartbeats.
 package link
 
 import (
@@ -20,46 +20,46 @@
 	"molepaddle/internal/protocol/linkwire"
 )
 
-// Clock is the clock of a process: microseconds since its start, and never 0.
+// Clock is the clock of a process: microseconds since its start, never 0.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts now.
 func NewClock() Clock { return Clock{time.Now().Add(-time.Microsecond)} }
 
-// Now reads the clock.
+// Now returns the clock's reading in microseconds.
 func (c Clock) Now() uint64 { return uint64(time.Since(c.start).Microseconds()) }
 
-// At is the moment at which the clock reads us.
-func (c Clock) At(us uint64) time.Time { return c.start.Add(time.Duration(us) * time.Microsecond) }
+// Time returns the time at which the clock reads us microseconds.
+func (c Clock) Time(us uint64) time.Time { return c.start.Add(time.Duration(us) * time.Microsecond) }
 
-// Options is how a connection is kept.
+// Options configures a connection.
 type Options struct {
 	Clock     Clock
-	Beat      time.Duration // between two beats
-	DeadAfter time.Duration // without a frame, or with a write that does not go out, it is closed
-	// Status tells what the beats say of this end.
+	Beat      time.Duration // interval between heartbeats
+	DeadAfter time.Duration // time without a frame, or for one write, after which it is closed
+	// Status returns what the heartbeats report of this end.
 	Status func() (open uint64, draining bool)
 }
 
-// Item is something to be written: Item appends a frame or none to the buffer, and says
-// whether it wants to be called again for more. It runs in the connection's writer.
+// Item appends a frame or none to the buffer, and reports whether it is to be called again for more.
+// It runs in the connection's writer.
 type Item func(buf []byte) (out []byte, more bool)
 
-// State is what the beats have told.
+// State is what is known of the other end and the connection.
 type State struct {
 	Quote    uint64    // the latest reading of the other end's clock
-	QuoteAt  time.Time // when it came
-	Heard    time.Time // when the last frame came
-	Echoed   time.Time // when the latest beat was sent that the other end says it has heard
+	QuoteAt  time.Time // when that was received
+	Heard    time.Time // when the last frame was received
+	Echoed   time.Time // when the latest heartbeat that the other end has echoed was sent
 	RTT      time.Duration
-	Back     time.Duration // how long what the other end sends takes to come, seldom more
-	Open     uint64        // crossings that the other end holds
+	Back     time.Duration // upper estimate of the delay from the other end
+	Open     uint64        // crossings open at the other end
 	Draining bool
 }
 
 // Conn is a connection after its greeting.
 type Conn struct {
-	Peer linkwire.Hello // what the other end said of itself
+	Peer linkwire.Hello // the Hello of the other end
 
 	opt    Options
 	conn   net.Conn
@@ -69,61 +69,64 @@
 	urgent []Item
 	bulk   []Item
 	state  State
-	way    budget.Margin
-	wake   chan struct{} // room for one
+	rtt    budget.Margin
+	wake   chan struct{} // buffered, length 1
 	done   chan struct{} // closed by Close
 	once   sync.Once
 	cause  error
 }
 
-// errPeer is what the other end has said before it closed.
-type errPeer struct{ text string }
+// peerError is the reason that the other end gave before it closed.
+type peerError struct{ text string }
 
-func (e errPeer) Error() string { return "the other end says: " + e.text }
+func (e peerError) Error() string { return "closed by the other end: " + e.text }
 
 func (o Options) wrap(conn net.Conn) *Conn {
 	return &Conn{opt: o, conn: conn, reader: linkwire.NewReader(bufio.NewReaderSize(conn, 16<<10)),
 		wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// Greet opens a connection as the near end: it speaks first. The context bounds it.
+// Greet performs the greeting as the near end, which sends its Hello first. The context bounds the
+// greeting.
 func Greet(ctx context.Context, conn net.Conn, mine linkwire.Hello, o Options) (*Conn, error) {
 	c := o.wrap(conn)
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	err := c.say(&mine)
+	err := c.writeFrame(&mine)
 	if err == nil {
-		err = c.hear()
+		err = c.readHello()
 	}
 	if err == nil {
-		_, err = agree(&mine, &c.Peer)
+		_, err = negotiate(&mine, &c.Peer)
 	}
-	return c.greeted(stop, err)
+	return c.finishGreeting(stop, err)
 }
 
-// Welcome takes a connection as the far end. The context bounds it. mine is asked when the
-// near end has spoken, and may turn it away by an error, which it is told.
+// Welcome performs the greeting as the far end. The context bounds the greeting. mine is called with
+// the near end's Hello; if it returns an error, the near end is rejected and the error's text is sent
+// to it.
 func Welcome(ctx context.Context, conn net.Conn, mine func(peer *linkwire.Hello) (linkwire.Hello, error), o Options) (*Conn, error) {
 	c := o.wrap(conn)
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	err := c.hear()
+	err := c.readHello()
 	if err == nil {
 		var hello linkwire.Hello
 		if hello, err = mine(&c.Peer); err == nil {
-			if _, err = agree(&hello, &c.Peer); err == nil {
-				err = c.say(&hello)
+			if _, err = negotiate(&hello, &c.Peer); err == nil {
+				err = c.writeFrame(&hello)
 			}
 		}
 		if err != nil {
-			_ = c.say(&linkwire.Bye{Text: err.Error()})
+			_ = c.writeFrame(&linkwire.Bye{Text: err.Error()})
 		}
 	}
-	return c.greeted(stop, err)
+	return c.finishGreeting(stop, err)
 }
 
-// greeted ends a greeting.
-func (c *Conn) greeted(stop func() bool, err error) (*Conn, error) {
+// finishGreeting sets the initial state after a greeting, or closes the connection if the greeting
+// failed.
+func (c *Conn) finishGreeting(stop func() bool, err error) (*Conn, error) {
 	if err == nil && !stop() {
-		err = errors.New("greeting: out of time")
+		err = errors.New("greeting: timed out")
 	}
 	if err != nil {
 		c.conn.Close()
@@ -134,16 +137,16 @@
 	return c, nil
 }
 
-// agree is the version that both ends speak.
-func agree(mine, peer *linkwire.Hello) (uint64, error) {
+// negotiate returns the highest version that both ends support.
+func negotiate(mine, peer *linkwire.Hello) (uint64, error) {
 	v := min(mine.Most, peer.Most)
 	if v < mine.Least || v < peer.Least {
-		return 0, fmt.Errorf("version: this end speaks %d to %d, the other %d to %d", mine.Least, mine.Most, peer.Least, peer.Most)
+		return 0, fmt.Errorf("version: this end supports %d to %d, the other %d to %d", mine.Least, mine.Most, peer.Least, peer.Most)
 	}
 	return v, nil
 }
 
-func (c *Conn) say(f linkwire.Frame) error {
+func (c *Conn) writeFrame(f linkwire.Frame) error {
 	buf, err := linkwire.Append(nil, f)
 	if err != nil {
 		return err
@@ -152,7 +155,7 @@
 	return err
 }
 
-func (c *Conn) hear() error {
+func (c *Conn) readHello() error {
 	f, err := c.reader.Next()
 	if err != nil {
 		return fmt.Errorf("greeting: %w", err)
@@ -162,30 +165,31 @@
 		c.Peer = *f
 		return nil
 	case *linkwire.Bye:
-		return errPeer{f.Text}
+		return peerError{f.Text}
 	}
-	return fmt.Errorf("greeting: a frame of kind %d", f.Kind())
+	return fmt.Errorf("greeting: unexpected frame of kind %d", f.Kind())
 }
 
-// State tells what is known of the other end.
+// State returns the current state.
 func (c *Conn) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state
 }
 
-// Stalled tells whether for longer than after nothing came from the other end, or it has
-// heard nothing from here.
+// Stalled reports whether nothing was received for longer than after, or no heartbeat sent within that
+// time was echoed.
 func (s *State) Stalled(now time.Time, after time.Duration) bool {
 	return now.Sub(s.Heard) > after || now.Sub(s.Echoed) > after
 }
 
-// Urgent queues a frame ahead of all that is not urgent.
+// Urgent queues a frame ahead of all bulk items.
 func (c *Conn) Urgent(f linkwire.Frame) {
-	c.queue(&c.urgent, linkwire.One(f))
+	c.queue(&c.urgent, linkwire.SingleFrame(f))
 }
 
-// Bulk queues an item; those queued before it come first, but for their further parts.
+// Bulk queues an item behind the bulk items queued before it. Items with more parts are queued again
+// at the end after each part.
 func (c *Conn) Bulk(i Item) { c.queue(&c.bulk, i) }
 
 func (c *Conn) queue(q *[]Item, i Item) {
@@ -198,7 +202,7 @@
 	}
 }
 
-// Close ends the connection for the reason given; Run returns it.
+// Close closes the connection; Run returns the cause.
 func (c *Conn) Close(cause error) {
 	c.once.Do(func() {
 		c.cause = cause
@@ -207,8 +211,9 @@
 	})
 }
 
-// Run reads frames and hands them on, but for beats, until the connection ends; it returns
-// why. No frame is handed on after that. It must be called once, and soon.
+// Run reads frames and passes them to take, except for heartbeats, until the connection ends. It
+// returns the reason; take is not called after that. Run must be called exactly once, soon after the
+// greeting.
 func (c *Conn) Run(take func(linkwire.Frame) error) error {
 	wrote := make(chan struct{})
 	go func() {
@@ -232,16 +237,16 @@
 		}
 		switch f := f.(type) {
 		case *linkwire.Beat:
-			c.beaten(f)
+			c.handleBeat(f)
 			continue
 		case *linkwire.Drain:
 			c.mu.Lock()
 			c.state.Draining = true
 			c.mu.Unlock()
 		case *linkwire.Hello:
-			return errors.New("a second greeting")
+			return errors.New("unexpected second Hello")
 		case *linkwire.Bye:
-			return errPeer{f.Text}
+			return peerError{f.Text}
 		}
 		c.mu.Lock()
 		c.state.Heard = time.Now()
@@ -252,8 +257,8 @@
 	}
 }
 
-// beaten takes a beat.
-func (c *Conn) beaten(f *linkwire.Beat) {
+// handleBeat updates the state from a heartbeat.
+func (c *Conn) handleBeat(f *linkwire.Beat) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,19 +268,19 @@
 		s.Quote, s.QuoteAt = f.Now, now
 	}
 	if mine := c.opt.Clock.Now(); f.Echo > 0 && f.Echo <= mine {
-		if at := c.opt.Clock.At(f.Echo); at.After(s.Echoed) {
+		if at := c.opt.Clock.Time(f.Echo); at.After(s.Echoed) {
 			s.Echoed = at
 		}
 		if trip := int64(mine-f.Echo) - int64(f.Held); trip >= 0 {
 			s.RTT = time.Duration(trip) * time.Microsecond
-			c.way.Observe(s.RTT)
-			s.Back = c.way.ReturnTime()
+			c.rtt.Observe(s.RTT)
+			s.Back = c.rtt.ReturnTime()
 		}
 	}
 }
 
-// beat is what this end tells of itself.
-func (c *Conn) beat() *linkwire.Beat {
+// newBeat returns the next heartbeat of this end.
+func (c *Conn) newBeat() *linkwire.Beat {
 	f := &linkwire.Beat{}
 	f.Open, f.Draining = c.opt.Status()
 	c.mu.Lock()
@@ -286,14 +291,14 @@
 	return f
 }
 
-// maxWrite is how much is gathered for one write, in bytes; a last frame may go over it.
+// maxWrite is the number of bytes gathered for one write; the last frame may exceed it.
 const maxWrite = 32 << 10
 
 func (c *Conn) write() {
 	beat := time.NewTicker(c.opt.Beat)
 	defer beat.Stop()
 	buf := make([]byte, 0, 4<<10)
-	next := c.beat()
+	next := c.newBeat()
 	for {
 		buf = buf[:0]
 		if next != nil {
@@ -319,19 +324,19 @@
 			if cap(buf) > 4*maxWrite {
 				buf = make([]byte, 0, 4<<10)
 			}
-			continue // perhaps more came meanwhile
+			continue // more items may have been queued
 		}
 		select {
 		case <-c.done:
 			return
 		case <-c.wake:
 		case <-beat.C:
-			next = c.beat()
+			next = c.newBeat()
 		}
 	}
 }
 
-// pop takes the next item; large tells that it stood in the bulk.
+// pop removes and returns the next item; large reports whether it was in the bulk queue.
 func (c *Conn) pop() (i Item, large bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/protocol/linkwire/linkwire.go
+++ b/internal/protocol/linkwire/linkwire.go
@@ -32,10 +32,10 @@
 	MaxFrame      = 32 << 10 // of a frame, its length and kind left out
 	MaxPart       = 16 << 10 // of a body in one frame
 	MaxBody       = 64 << 10 // of a request or an answer
-	MaxWord       = 256      // of names, ids and keys
-	MaxLine       = 8 << 10  // of a target
+	MaxText       = 256      // of names, ids and keys
+	MaxTarget       = 8 << 10  // of a target
 	MaxAcks       = 1024     // numbers in an Ack, heads or wants in a News
-	MaxBodyOfNews = 1024     // of one record
+	MaxRecordBody = 1024     // of one record
 	MaxRecords    = 24       // in a News
 	MaxTime       = 120e6    // of times that are spans, in microseconds
 	maxClock      = 1 << 60  // of times that are readings of a clock
@@ -245,7 +245,7 @@
 const MaxTopic = 15
 
 func (f *Word) check() error {
-	return first(most("topic", f.Topic, MaxTopic), most("part", uint64(len(f.Body)), MaxPart))
+	return firstError(checkMax("topic", f.Topic, MaxTopic), checkMax("part", uint64(len(f.Body)), MaxPart))
 }
 
 // Kind tells what a frame is.
@@ -282,12 +282,12 @@
 }
 
 func (f *Query) check() error {
-	return first(number(f.Number), word("holder", f.Holder, MaxWord, true), most("since", f.SinceUs, maxClock))
+	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true), checkMax("since", f.SinceUs, maxClock))
 }
 
 func (f *Verdict) check() error {
-	return first(number(f.Number), word("holder", f.Holder, MaxWord, true), most("word", f.Word, VerdictReplied), most("result", f.Result, Refused),
-		word("content type", f.ContentType, MaxWord, false), most("body", uint64(len(f.Body)), MaxPart))
+	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true), checkMax("word", f.Word, VerdictReplied), checkMax("result", f.Result, Refused),
+		checkText("content type", f.ContentType, MaxText, false), checkMax("body", uint64(len(f.Body)), MaxPart))
 }
 
 // Kind tells what a frame is.
@@ -337,8 +337,8 @@
 // MaxSelf bounds a Self's body, in bytes.
 const MaxSelf = 512
 
-// AppendSelf words a Self. One over its bounds is an error.
-func AppendSelf(s *Self) ([]byte, error) {
+// EncodeSelf words a Self. One over its bounds is an error.
+func EncodeSelf(s *Self) ([]byte, error) {
 	text, err := enc.Marshal(s)
 	if err == nil {
 		err = s.check(len(text))
@@ -346,8 +346,8 @@
 	return text, err
 }
 
-// ReadSelf reads one.
-func ReadSelf(body []byte) (s Self, err error) {
+// DecodeSelf reads one.
+func DecodeSelf(body []byte) (s Self, err error) {
 	if err = dec.Unmarshal(body, &s); err == nil {
 		err = s.check(len(body))
 	}
@@ -360,23 +360,23 @@
 			return errors.New("load or rate: no number")
 		}
 	}
-	return first(most("self", uint64(size), MaxSelf), word("machine", s.Machine, MaxWord, false), word("zone", s.Zone, MaxWord, false),
-		word("role", s.Role, MaxWord, false), word("build", s.Build, MaxWord, false), word("settings", s.Settings, MaxWord, false),
-		word("process", s.Process, MaxWord, false), word("address", s.Address, MaxWord, false), word("silent", s.Silent, MaxWord, false))
+	return firstError(checkMax("self", uint64(size), MaxSelf), checkText("machine", s.Machine, MaxText, false), checkText("zone", s.Zone, MaxText, false),
+		checkText("role", s.Role, MaxText, false), checkText("build", s.Build, MaxText, false), checkText("settings", s.Settings, MaxText, false),
+		checkText("process", s.Process, MaxText, false), checkText("address", s.Address, MaxText, false), checkText("silent", s.Silent, MaxText, false))
 }
 
-// AppendWords words a Watch; ReadWords reads one.
-func AppendWords(words []Head) ([]byte, error) { return enc.Marshal(words) }
+// EncodeSuspicions words a Watch; ReadWords reads one.
+func EncodeSuspicions(words []Head) ([]byte, error) { return enc.Marshal(words) }
 
-// ReadWords reads a Watch.
-func ReadWords(body []byte) (words []Head, err error) {
+// DecodeSuspicions reads a Watch.
+func DecodeSuspicions(body []byte) (words []Head, err error) {
 	err = dec.Unmarshal(body, &words)
 	return words, err
 }
 
 func (f *News) check() error {
-	err := first(most("sums", uint64(len(f.Sums)), 64), most("mask", f.Mask, math.MaxUint32), most("heads", uint64(len(f.Heads)), MaxAcks),
-		most("want", uint64(len(f.Want)), MaxAcks), most("records", uint64(len(f.Records)), MaxRecords))
+	err := firstError(checkMax("sums", uint64(len(f.Sums)), 64), checkMax("mask", f.Mask, math.MaxUint32), checkMax("heads", uint64(len(f.Heads)), MaxAcks),
+		checkMax("want", uint64(len(f.Want)), MaxAcks), checkMax("records", uint64(len(f.Records)), MaxRecords))
 	for i := range f.Records {
 		e := &f.Records[i]
 		if err != nil {
@@ -386,7 +386,7 @@
 			err = errors.New("record: without incarnation or version")
 			break
 		}
-		err = first(word("record", e.Name, MaxWord, true), most("subject", e.Subject, 15), most("body", uint64(len(e.Body)), MaxBodyOfNews))
+		err = firstError(checkText("record", e.Name, MaxText, true), checkMax("subject", e.Subject, 15), checkMax("body", uint64(len(e.Body)), MaxRecordBody))
 	}
 	return err
 }
@@ -433,7 +433,7 @@
 // Kind tells what a frame is.
 func (*Bye) Kind() Kind { return KindBye }
 
-func empty(k Kind) Frame {
+func newFrame(k Kind) Frame {
 	switch k {
 	case KindHello:
 		return new(Hello)
@@ -473,8 +473,8 @@
 	return nil
 }
 
-// first is the first error of a list of checks.
-func first(checks ...error) error {
+// firstError is the firstError error of a list of checks.
+func firstError(checks ...error) error {
 	for _, err := range checks {
 		if err != nil {
 			return err
@@ -483,15 +483,15 @@
 	return nil
 }
 
-func most(what string, x, bound uint64) error {
+func checkMax(what string, x, bound uint64) error {
 	if x > bound {
 		return fmt.Errorf("%s: %d is over %d", what, x, bound)
 	}
 	return nil
 }
 
-// word checks a text that is to hold no control characters and no more than bound bytes.
-func word(what, text string, bound int, needed bool) error {
+// checkText checks a text that is to hold no control characters and no more than bound bytes.
+func checkText(what, text string, bound int, needed bool) error {
 	if len(text) > bound {
 		return fmt.Errorf("%s: %d bytes are over %d", what, len(text), bound)
 	}
@@ -506,17 +506,17 @@
 	return nil
 }
 
-// Plain tells whether a text may stand in a frame where a word is called for.
-func Plain(text string) bool { return word("", text, MaxWord, false) == nil }
+// ValidText tells whether a text may stand in a frame where a word is called for.
+func ValidText(text string) bool { return checkText("", text, MaxText, false) == nil }
 
-func number(n uint64) error {
+func checkNumber(n uint64) error {
 	if n == 0 || n > math.MaxInt64 {
 		return fmt.Errorf("number: %d is none", n)
 	}
 	return nil
 }
 
-func body(part []byte, size uint64) error {
+func checkBody(part []byte, size uint64) error {
 	switch {
 	case size > MaxBody:
 		return fmt.Errorf("size: %d is over %d", size, MaxBody)
@@ -535,59 +535,59 @@
 	if f.Least == 0 || f.Most < f.Least || f.Incarnation == 0 {
 		return errors.New("versions or incarnation: none")
 	}
-	return first(word("name", f.Name, MaxWord, true), most("now", f.Now, maxClock))
+	return firstError(checkText("name", f.Name, MaxText, true), checkMax("now", f.Now, maxClock))
 }
 
 func (f *Beat) check() error {
-	return first(most("now", f.Now, maxClock), most("echo", f.Echo, maxClock), most("held", f.Held, maxClock))
+	return firstError(checkMax("now", f.Now, maxClock), checkMax("echo", f.Echo, maxClock), checkMax("held", f.Held, maxClock))
 }
 
 func (l *Lease) check() error {
 	if l.Begin > l.Life {
 		return errors.New("lease: begins after its end")
 	}
-	return first(most("quote", l.Quote, maxClock), most("life", l.Life, MaxTime))
+	return firstError(checkMax("quote", l.Quote, maxClock), checkMax("life", l.Life, MaxTime))
 }
 
 func (f *Offer) check() error {
-	return first(number(f.Number), f.Lease.check(), most("tries", f.Tries, maxTries), most("hint", f.HintUs, MaxTime),
-		word("class", f.Class, MaxWord, true), word("effect", f.Effect, MaxWord, true), word("tenant", f.Tenant, MaxWord, false),
-		word("id", f.ID, MaxWord, true), word("method", f.Method, 16, true), word("target", f.Target, MaxLine, true),
-		word("host", f.Host, MaxWord, false), word("content type", f.ContentType, MaxWord, false),
-		word("idempotency key", f.Idempotency, MaxWord, false), body(f.Body, f.Size))
+	return firstError(checkNumber(f.Number), f.Lease.check(), checkMax("tries", f.Tries, maxTries), checkMax("hint", f.HintUs, MaxTime),
+		checkText("class", f.Class, MaxText, true), checkText("effect", f.Effect, MaxText, true), checkText("tenant", f.Tenant, MaxText, false),
+		checkText("id", f.ID, MaxText, true), checkText("method", f.Method, 16, true), checkText("target", f.Target, MaxTarget, true),
+		checkText("host", f.Host, MaxText, false), checkText("content type", f.ContentType, MaxText, false),
+		checkText("idempotency key", f.Idempotency, MaxText, false), checkBody(f.Body, f.Size))
 }
 
 func (f *Part) check() error {
 	if len(f.Body) == 0 || len(f.Body) > MaxPart {
 		return fmt.Errorf("part: %d bytes", len(f.Body))
 	}
-	return number(f.Number)
+	return checkNumber(f.Number)
 }
 
-func (f *Fence) check() error  { return first(number(f.Number), f.Lease.check()) }
-func (f *Cancel) check() error { return first(number(f.Number), f.Lease.check()) }
+func (f *Fence) check() error  { return firstError(checkNumber(f.Number), f.Lease.check()) }
+func (f *Cancel) check() error { return firstError(checkNumber(f.Number), f.Lease.check()) }
 
 func (f *Ended) check() error {
-	return first(number(f.Number), most("result", f.Result, Refused), most("tries", f.Tries, maxTries),
-		most("retry", f.RetryUs, MaxTime), word("content type", f.ContentType, MaxWord, false), body(f.Body, f.Size))
+	return firstError(checkNumber(f.Number), checkMax("result", f.Result, Refused), checkMax("tries", f.Tries, maxTries),
+		checkMax("retry", f.RetryUs, MaxTime), checkText("content type", f.ContentType, MaxText, false), checkBody(f.Body, f.Size))
 }
 
 func (f *Never) check() error {
-	return first(number(f.Number), most("why", f.Why, WhyCancelled), most("tries", f.Tries, maxTries), most("retry", f.RetryUs, MaxTime))
+	return firstError(checkNumber(f.Number), checkMax("why", f.Why, WhyCancelled), checkMax("tries", f.Tries, maxTries), checkMax("retry", f.RetryUs, MaxTime))
 }
 
-func (f *Begun) check() error  { return number(f.Number) }
-func (f *Unsure) check() error { return number(f.Number) }
+func (f *Begun) check() error  { return checkNumber(f.Number) }
+func (f *Unsure) check() error { return checkNumber(f.Number) }
 func (f *Drain) check() error  { return nil }
-func (f *Bye) check() error    { return word("text", f.Text, 4*MaxWord, false) }
+func (f *Bye) check() error    { return checkText("text", f.Text, 4*MaxText, false) }
 
 func (f *Ack) check() error {
 	for _, n := range f.Numbers {
-		if err := number(n); err != nil {
+		if err := checkNumber(n); err != nil {
 			return err
 		}
 	}
-	return most("acks", uint64(len(f.Numbers)), MaxAcks)
+	return checkMax("acks", uint64(len(f.Numbers)), MaxAcks)
 }
 
 var (
@@ -622,7 +622,7 @@
 
 // Decode reads what is in a frame of the kind.
 func Decode(k Kind, text []byte) (Frame, error) {
-	f := empty(k)
+	f := newFrame(k)
 	if f == nil {
 		return nil, fmt.Errorf("frame: kind %d is not known", k)
 	}
@@ -668,8 +668,8 @@
 	return Decode(Kind(buf[0]), buf[1:])
 }
 
-// One is one frame as what a link queues.
-func One(f Frame) func(buf []byte) (out []byte, more bool) {
+// SingleFrame is one frame as what a link queues.
+func SingleFrame(f Frame) func(buf []byte) (out []byte, more bool) {
 	return func(buf []byte) ([]byte, bool) {
 		buf, _ = Append(buf, f) // our own frames keep their bounds
 		return buf, false
--- a/internal/protocol/linkwire/linkwire_test.go
+++ b/internal/protocol/linkwire/linkwire_test.go
@@ -18,13 +18,13 @@
 		&Hello{Magic: Magic, Least: 1, Most: 1, Name: "gw-a", Incarnation: 9, Crossings: 10, Bytes: 1 << 20, Now: 5, Draining: true},
 		&Beat{Now: 5, Echo: 4, Held: 3, Open: 2, Draining: true},
 		&Offer{Number: 1, Lease: lease, Tries: 3, Class: "order", Effect: "single_shot", Tenant: "acme", Key: 1 << 63, HintUs: 5, Retry: true,
-			ID: "id", Method: "POST", Target: "/" + strings.Repeat("t", MaxLine-1), Host: "h", ContentType: "x/y", Idempotency: "k", Size: MaxBody, Body: make([]byte, MaxPart)},
+			ID: "id", Method: "POST", Target: "/" + strings.Repeat("t", MaxTarget-1), Host: "h", ContentType: "x/y", Idempotency: "k", Size: MaxBody, Body: make([]byte, MaxPart)},
 		&Part{Number: 1, Body: []byte("more")}, &Fence{Number: 1, Lease: lease}, &Cancel{Number: 1, Lease: lease},
 		&Ended{Number: 1, Result: Served, Tries: 2, RetryUs: 3, ContentType: "x", Size: 2, Body: []byte("ok")},
 		&Never{Number: 1, Why: WhyCancelled, Tries: 1, RetryUs: 2}, &Begun{Number: 1}, &Unsure{Number: 1}, &Drain{},
 		&Ack{Numbers: []uint64{1, 2, 3}}, &Bye{Text: "bad"},
 		&News{Digest: 1 << 63, Sums: make([]uint64, 32), Mask: 1 << 31, Heads: []Head{{Key: 1 << 63, Version: 2}}, Want: []uint64{7},
-			Records: []Entry{{Name: "a", Incarnation: 1, Subject: 1, Version: 2, Body: make([]byte, MaxBodyOfNews)}}},
+			Records: []Entry{{Name: "a", Incarnation: 1, Subject: 1, Version: 2, Body: make([]byte, MaxRecordBody)}}},
 	}
 }
 
@@ -81,9 +81,9 @@
 		"body over size":   offer(func(f *Offer) { f.Size = 3 }),
 		"no body":          offer(func(f *Offer) { f.Body = nil }),
 		"no id":            offer(func(f *Offer) { f.ID = "" }),
-		"long id":          offer(func(f *Offer) { f.ID = strings.Repeat("x", MaxWord+1) }),
+		"long id":          offer(func(f *Offer) { f.ID = strings.Repeat("x", MaxText+1) }),
 		"line break":       offer(func(f *Offer) { f.Host = "a\r\nb" }),
-		"target":           offer(func(f *Offer) { f.Target = "/" + strings.Repeat("x", MaxLine) }),
+		"target":           offer(func(f *Offer) { f.Target = "/" + strings.Repeat("x", MaxTarget) }),
 		"tries":            offer(func(f *Offer) { f.Tries = 1 << 20 }),
 		"result":           &Ended{Number: 1, Result: 3},
 		"why":              &Never{Number: 1, Why: 7},
--- a/internal/protocol/linkwire/wire_test.go
+++ b/internal/protocol/linkwire/wire_test.go
@@ -46,20 +46,20 @@
 	self := Self{}
 	goldenbytes.Fill(&self)
 	for name, s := range map[string]Self{"self": self, "self.zero": {}} {
-		b, err := AppendSelf(&s)
+		b, err := EncodeSelf(&s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ReadSelf(goldenbytes.Check(t, "wire/"+name+".cbor", b)); err != nil || got != s {
+		if got, err := DecodeSelf(goldenbytes.Check(t, "wire/"+name+".cbor", b)); err != nil || got != s {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 	}
 	words := []Head{{Key: 1 << 63, Version: 2}, {Key: 3, Version: 4}}
-	b, err := AppendWords(words)
+	b, err := EncodeSuspicions(words)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadWords(goldenbytes.Check(t, "wire/words.cbor", b)); err != nil || !reflect.DeepEqual(got, words) {
+	if got, err := DecodeSuspicions(goldenbytes.Check(t, "wire/words.cbor", b)); err != nil || !reflect.DeepEqual(got, words) {
 		t.Errorf("words: %+v, %v", got, err)
 	}
 }
--- a/internal/protocol/peers/peers.go
+++ b/internal/protocol/peers/peers.go
@@ -1,9 +1,10 @@
-// Package peers drives one agent's view of its fleet (package members) over links to others: it
-// listens, dials whom the view wants, carries messages, and lets the view have its periods.
+// Package peers runs one agent's membership view (package members) over links to other agents: it
+// listens, dials the members that the view asks for, carries messages, and drives the view's periodic
+// work.
 //
-// A lock guards the view and the list of links. A goroutine takes connections, one beats, each
-// link has its reader and its writer. What waits to be written to a link is bounded in bytes; the
-// oldest goes first, since views that differ are compared again.
+// One lock guards the view and the set of links. One goroutine accepts connections, one runs the
+// periods, and each link has a reader and a writer. The queue of messages to each link is bounded in
+// bytes; the oldest messages are dropped first, which is safe as views that differ are compared again.
 package peers
 
 import (
@@ -24,48 +25,48 @@
 	"molepaddle/internal/protocol/linkwire"
 )
 
-// Seed is a peer that is known by its address before anything else is.
+// Seed is a peer whose address is configured.
 type Seed struct {
-	Name    string // as its certificate has it
+	Name    string // name in its certificate
 	Address string
 }
 
-// Options is what an agent's end of its links to peers is made of.
+// Options configures an agent's end of its links to peers.
 type Options struct {
 	Members members.Options // its Seeds are those below
 	Seeds   []Seed
 	Seed    uint64
-	Conns   int // links at once, at the most
-	Queue   int // bytes that wait to be written to one link
-	// Dial opens a connection; nil: from the listener's own address, so that others can tell
-	// who comes.
+	Conns   int // limit of concurrent connections
+	Queue   int // limit of the bytes queued to one link
+	// Dial opens a connection; nil: from the listener's own address, so that peers can identify
+	// the source.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Client and Server are how links are dialled and taken, anew each time; nil: plain.
+	// Client and Server return the TLS configuration for each dialled or accepted link; nil: no TLS.
 	Client func(peer string) *tls.Config
 	Server func() *tls.Config
-	// Self tells what the process is and holds, once a period; it must not wait.
+	// Self returns the state and load of the process. It is called once per period and must not block.
 	Self func() (process string, load float64)
-	// Count is told how many agents share the fleet's bounds and which of them this one is, when
-	// that changes. nil: nobody.
+	// Count is called with the number of agents that share the fleet's limits and this agent's rank
+	// among them, when either changes; nil: not called.
 	Count func(agents, rank int)
-	// Word is handed what a peer says, in the order in which it comes on its link; it must not wait. nil:
-	// nobody listens.
+	// Word is called with each word from a peer, in the order in which they arrive on its link. It must not
+	// block; nil: words are ignored.
 	Word func(from members.ID, w Word)
-	// Beaten is told, once a period, that the view has had it. nil: nobody.
+	// Beaten is called once per period, after the view has processed it; nil: not called.
 	Beaten func()
-	// Avoid is told which gateways are better left alone, when that changes. nil: nobody.
+	// Avoid is called with the names of the gateways to avoid, when they change; nil: not called.
 	Avoid func(names []string)
 	Log   *slog.Logger
 }
 
-// Word is something that one peer says to another.
+// Word is an application message from one peer to another.
 type Word struct {
 	Topic  uint64
 	Number uint64
 	Body   []byte // at most MaxWord bytes
 }
 
-// The topics of words: to the council and its members, and between those who promise and hold.
+// The topics of words: for the council and its members, and for replicated promises.
 const (
 	TopicCouncil = iota
 	TopicCall
@@ -75,16 +76,17 @@
 	TopicVerdict
 )
 
-// MaxWord bounds a Word's body, in bytes: a council's snapshot has to fit.
+// MaxWord is the limit of a Word's body in bytes: a council's snapshot has to fit.
 const MaxWord = 8 << 20
 
-// ErrNoRoom is why a word was not taken: too much waits for that link, or there is none.
+// ErrNoRoom is returned by Say if there is no link to the process, its queue is full, or the body is
+// over MaxWord.
 var ErrNoRoom = errors.New("peers: no link, or no room on it")
 
-// kept is how many changes are remembered for operators.
-const kept = 256
+// maxEvents is the number of latest changes that are kept for operators.
+const maxEvents = 256
 
-// Event is a change as an operator reads it.
+// Event is a change of the view as shown to operators.
 type Event struct {
 	At    time.Time `json:"at"`
 	State string    `json:"state"`
@@ -92,25 +94,25 @@
 	Why   string    `json:"why"`
 }
 
-// Peers is one agent's end.
+// Peers is one agent's end of its links to peers.
 type Peers struct {
-	opt   Options
-	clock link.Clock
-	start time.Time
-	pace  *rate.Limiter
-	wg    sync.WaitGroup
-	stop  context.CancelFunc
-	ctx   context.Context
-
-	mu      sync.Mutex
-	view    *members.Machine
-	links   map[members.ID]*peer
-	conns   map[net.Conn]bool
-	dialing map[string]bool
-	wishes  map[string][]string
-	flush   *time.Timer
-	events  []Event
-	closed  bool
+	opt           Options
+	clock         link.Clock
+	start         time.Time
+	acceptLimiter *rate.Limiter
+	wg            sync.WaitGroup
+	stop          context.CancelFunc
+	ctx           context.Context
+
+	mu             sync.Mutex
+	view           *members.Machine
+	links          map[members.ID]*peer
+	conns          map[net.Conn]bool
+	dialing        map[string]bool
+	requestedLinks map[string][]string
+	flush          *time.Timer
+	events         []Event
+	closed         bool
 }
 
 // peer is one link.
@@ -119,26 +121,26 @@
 	conn   *link.Conn
 	dialer string // the name of the end that dialled
 
-	mu     sync.Mutex
-	queue  []*linkwire.News
-	queued int
-	words  []Word // that wait; of the first a part may have gone out
-	worded int    // bytes of them
+	mu          sync.Mutex
+	queue       []*linkwire.News
+	queuedBytes int
+	words       []Word // queued words; parts of the first may have been written
+	wordBytes   int    // bytes of their bodies not yet written
 
-	partly *Word // of which a part has come; the reader's
+	incoming *Word // partly received word; used by the reader only
 }
 
-// New makes an agent's end; Serve runs it.
+// New returns an agent's end; Serve runs it.
 func New(o Options) *Peers {
 	p := &Peers{
-		opt:     o,
-		clock:   link.NewClock(),
-		start:   time.Now(),
-		pace:    rate.NewLimiter(rate.Limit(200), 200),
-		links:   map[members.ID]*peer{},
-		conns:   map[net.Conn]bool{},
-		dialing: map[string]bool{},
-		wishes:  map[string][]string{},
+		opt:            o,
+		clock:          link.NewClock(),
+		start:          time.Now(),
+		acceptLimiter:  rate.NewLimiter(rate.Limit(200), 200),
+		links:          map[members.ID]*peer{},
+		conns:          map[net.Conn]bool{},
+		dialing:        map[string]bool{},
+		requestedLinks: map[string][]string{},
 	}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	for _, s := range o.Seeds {
@@ -151,16 +153,16 @@
 	return p
 }
 
-// Name is the process's own.
+// Name returns the name of this process.
 func (p *Peers) Name() string { return p.opt.Members.ID.Name }
 
-// Period is that of the view.
+// Period returns the view's period.
 func (p *Peers) Period() time.Duration { return p.opt.Members.Period }
 
 func (p *Peers) now() time.Duration { return time.Since(p.start) }
 
-// Serve takes links on the listener and keeps the view until Leave or Close, or until the
-// listener fails.
+// Serve accepts links on the listener and runs the view until Leave or Close, or until the listener
+// fails.
 func (p *Peers) Serve(ln net.Listener) error {
 	if p.opt.Dial == nil {
 		dialer := net.Dialer{KeepAlive: -1}
@@ -183,33 +185,33 @@
 			p.Close()
 			return err
 		}
-		if !p.admit(conn) {
-			conn.Close() // it comes again
+		if !p.reserveConn(conn) {
+			conn.Close() // the peer dials again
 			continue
 		}
-		p.wg.Go(func() { p.take(conn) })
+		p.wg.Go(func() { p.accept(conn) })
 	}
 }
 
-// admit counts a connection, if there is room.
-func (p *Peers) admit(conn net.Conn) bool {
+// reserveConn counts a connection, and reports whether the limits allow it.
+func (p *Peers) reserveConn(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.conns) >= p.opt.Conns || !p.pace.Allow() {
+	if p.closed || len(p.conns) >= p.opt.Conns || !p.acceptLimiter.Allow() {
 		return false
 	}
 	p.conns[conn] = true
 	return true
 }
 
-func (p *Peers) release(conn net.Conn) {
+func (p *Peers) releaseConn(conn net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, conn)
 	p.mu.Unlock()
 	conn.Close()
 }
 
-// heartbeats lets the view have its periods.
+// heartbeats drives the view's periodic work.
 func (p *Peers) heartbeats() {
 	tick := time.NewTicker(p.opt.Members.Period)
 	defer tick.Stop()
@@ -219,13 +221,13 @@
 	for {
 		process, load := p.opt.Self()
 		p.mu.Lock()
-		if periods%10 == 0 || process != "ready" { // who is leaving is waited for
-			p.act(p.view.Set(p.now(), func(i *members.Info) { i.Process, i.Load = process, load }))
+		if periods%10 == 0 || process != "ready" { // a process that is shutting down reports each period, as others wait for it
+			p.apply(p.view.Set(p.now(), func(i *members.Info) { i.Process, i.Load = process, load }))
 		} else {
-			p.act(p.view.Set(p.now(), func(i *members.Info) { i.Process = process }))
+			p.apply(p.view.Set(p.now(), func(i *members.Info) { i.Process = process }))
 		}
 		periods++
-		p.act(p.view.Tick(p.now()))
+		p.apply(p.view.Tick(p.now()))
 		agents, rank := p.view.AgentRank()
 		var avoid []string
 		if p.opt.Avoid != nil {
@@ -252,49 +254,50 @@
 	}
 }
 
-// act does what the view wants, under the lock.
-func (p *Peers) act(out members.Output) {
+// apply carries out the view's output. The caller holds the lock.
+func (p *Peers) apply(out members.Output) {
 	for _, c := range out.Changes {
 		e := Event{At: p.start.Add(c.At), State: c.State.String(), Why: c.Reason}
 		for _, id := range c.IDs {
 			e.Who = append(e.Who, id.Name)
 		}
-		if p.events = append(p.events, e); len(p.events) > kept {
-			p.events = slices.Delete(p.events, 0, len(p.events)-kept)
+		if p.events = append(p.events, e); len(p.events) > maxEvents {
+			p.events = slices.Delete(p.events, 0, len(p.events)-maxEvents)
 		}
 		p.opt.Log.Info("fleet: "+e.State, "who", e.Who, "why", e.Why)
 	}
 	for i := range out.Send {
 		if to := p.links[out.Send[i].To]; to != nil {
-			if f, err := Frame(&out.Send[i].Message); err == nil { // our own words keep their bounds
+			if f, err := Frame(&out.Send[i].Message); err == nil { // cannot fail for our own messages
 				to.send(f, p.opt.Queue)
 			}
 		}
 	}
 	for _, id := range out.Drop {
 		if l := p.links[id]; l != nil {
-			l.conn.Close(errors.New("the link is not needed"))
+			l.conn.Close(errors.New("link is no longer needed"))
 		}
 	}
 	for _, t := range out.Dial {
-		p.reach(t)
+		p.startDial(t)
 	}
 	if p.flush == nil && !p.closed && p.view.HasPending() {
 		p.flush = time.AfterFunc(p.opt.Members.Period/20, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.flush = nil
-			p.act(p.view.Flush(p.now()))
+			p.apply(p.view.Flush(p.now()))
 		})
 	}
 }
 
-// dials is how many connections are being opened at once.
-const dials = 16
+// maxDials is the limit of concurrent dials.
+const maxDials = 16
 
-// reach opens a link, unless that is under way; under the lock.
-func (p *Peers) reach(t members.Target) {
-	if p.closed || p.dialing[t.Address] || len(p.dialing) >= dials || t.Address == "" || p.links[t.ID] != nil {
+// startDial opens a link in a goroutine, unless there is one or a dial is under way. The caller holds
+// the lock.
+func (p *Peers) startDial(t members.Target) {
+	if p.closed || p.dialing[t.Address] || len(p.dialing) >= maxDials || t.Address == "" || p.links[t.ID] != nil {
 		return
 	}
 	name := t.ID.Name
@@ -307,12 +310,12 @@
 	p.wg.Go(func() {
 		err := p.dial(name, t)
 		if err != nil {
-			p.opt.Log.Debug("fleet: no link", "to", t.Address, "err", err)
+			p.opt.Log.Debug("fleet: dial failed", "to", t.Address, "err", err)
 		}
 	})
 }
 
-// dial opens a link and serves it to its end.
+// dial opens a link and serves it until it ends.
 func (p *Peers) dial(name string, t members.Target) error {
 	done := func() {
 		p.mu.Lock()
@@ -326,12 +329,12 @@
 		done()
 		return err
 	}
-	if !p.admit(conn) {
+	if !p.reserveConn(conn) {
 		done()
 		conn.Close()
-		return errors.New("no room")
+		return errors.New("connection limit or accept rate reached")
 	}
-	defer p.release(conn)
+	defer p.releaseConn(conn)
 	if p.opt.Client != nil {
 		secure := tls.Client(conn, p.opt.Client(name))
 		if err := secure.HandshakeContext(ctx); err != nil {
@@ -342,7 +345,7 @@
 	}
 	up, err := link.Greet(ctx, conn, p.hello(), p.options())
 	if err == nil {
-		err = p.fits(&up.Peer, name, t.ID)
+		err = p.checkPeer(&up.Peer, name, t.ID)
 		if err != nil {
 			up.Close(err)
 		}
@@ -354,13 +357,13 @@
 	return p.serve(up, p.opt.Members.ID.Name, done)
 }
 
-// fits tells whether the process that has answered is the one that was dialled.
-func (p *Peers) fits(peer *linkwire.Hello, name string, id members.ID) error {
+// checkPeer returns an error if the process that answered is not the one that was dialled.
+func (p *Peers) checkPeer(peer *linkwire.Hello, name string, id members.ID) error {
 	if name != "" && peer.Name != name {
-		return fmt.Errorf("name: %q answers where %q was dialled", peer.Name, name)
+		return fmt.Errorf("name: dialled %[2]q, but %[1]q answered", peer.Name, name)
 	}
 	if id.Incarnation != 0 && peer.Incarnation < id.Incarnation {
-		return fmt.Errorf("incarnation: an earlier process of %q answers", name)
+		return fmt.Errorf("incarnation: an earlier process of %q answered", name)
 	}
 	return nil
 }
@@ -378,9 +381,9 @@
 		Status: func() (uint64, bool) { return 0, false }}
 }
 
-// take takes a connection of a peer to its end.
-func (p *Peers) take(conn net.Conn) {
-	defer p.release(conn)
+// accept serves a connection that a peer opened until it ends.
+func (p *Peers) accept(conn net.Conn) {
+	defer p.releaseConn(conn)
 	ctx, cancel := context.WithTimeout(p.ctx, 4*p.opt.Members.Period)
 	defer cancel()
 	proven := ""
@@ -401,17 +404,18 @@
 		return p.hello(), nil
 	}, p.options())
 	if err != nil {
-		p.opt.Log.Debug("fleet: a link was not taken", "from", conn.RemoteAddr().String(), "err", err)
+		p.opt.Log.Debug("fleet: link rejected", "from", conn.RemoteAddr().String(), "err", err)
 		return
 	}
 	_ = p.serve(up, up.Peer.Name, func() {})
 }
 
-// serve carries a link that is up until it ends; added is called once it is known, or is not.
+// serve runs an established link until it ends; added is called once the link is registered or
+// rejected.
 func (p *Peers) serve(up *link.Conn, dialer string, added func()) error {
 	l := &peer{id: members.ID{Name: up.Peer.Name, Incarnation: up.Peer.Incarnation}, conn: up, dialer: dialer}
 	p.mu.Lock()
-	if err := p.add(l); err != nil {
+	if err := p.addLink(l); err != nil {
 		p.mu.Unlock()
 		added()
 		up.Close(err)
@@ -421,11 +425,11 @@
 	added()
 	err := up.Run(func(f linkwire.Frame) error {
 		if w, ok := f.(*linkwire.Word); ok {
-			return p.hear(l, w)
+			return p.receiveWord(l, w)
 		}
 		news, ok := f.(*linkwire.News)
 		if !ok {
-			return fmt.Errorf("a frame of kind %d between peers", f.Kind())
+			return fmt.Errorf("unexpected frame of kind %d from a peer", f.Kind())
 		}
 		msg, err := Message(news)
 		if err != nil {
@@ -434,7 +438,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.links[l.id] == l {
-			p.act(p.view.Receive(p.now(), l.id, msg))
+			p.apply(p.view.Receive(p.now(), l.id, msg))
 		}
 		return nil
 	})
@@ -442,58 +446,58 @@
 	defer p.mu.Unlock()
 	if p.links[l.id] == l {
 		delete(p.links, l.id)
-		p.act(p.view.LinkDown(p.now(), l.id))
+		p.apply(p.view.LinkDown(p.now(), l.id))
 	}
 	p.opt.Log.Debug("fleet: link ended", "peer", l.id.Name, "err", err)
 	return err
 }
 
-// add takes a link into use, under the lock. Where both ends have dialled, both keep the one that
-// the lower name dialled, unless that has been silent.
-func (p *Peers) add(l *peer) error {
+// addLink registers a link. The caller holds the lock. Where both ends have dialled, both keep the
+// link that the lower name dialled, unless nothing has been received on it for two periods.
+func (p *Peers) addLink(l *peer) error {
 	me := p.view.ID()
 	if p.closed || l.id == me {
-		return errors.New("closed, or a link to oneself")
+		return errors.New("closing, or link to this process itself")
 	}
 	if old := p.links[l.id]; old != nil {
 		s := old.conn.State()
 		if time.Since(s.Heard) < 2*p.opt.Members.Period && old.dialer <= l.dialer {
-			return errors.New("there is a link")
+			return errors.New("a link to this peer already exists")
 		}
 		delete(p.links, l.id)
-		old.conn.Close(errors.New("another link has taken its place"))
-		p.act(p.view.LinkDown(p.now(), l.id))
+		old.conn.Close(errors.New("replaced by another link"))
+		p.apply(p.view.LinkDown(p.now(), l.id))
 	}
 	p.links[l.id] = l
-	p.act(p.view.LinkUp(p.now(), l.id))
+	p.apply(p.view.LinkUp(p.now(), l.id))
 	return nil
 }
 
-// hear takes a part of a word. It runs in the link's reader.
-func (p *Peers) hear(l *peer, f *linkwire.Word) error {
-	w := l.partly
+// receiveWord handles a part of a word. It runs in the link's reader.
+func (p *Peers) receiveWord(l *peer, f *linkwire.Word) error {
+	w := l.incoming
 	switch {
 	case w == nil:
 		w = &Word{Topic: f.Topic, Number: f.Number}
 	case w.Topic != f.Topic || w.Number != f.Number:
-		return fmt.Errorf("a word %d of topic %d within %d of %d", f.Number, f.Topic, w.Number, w.Topic)
+		return fmt.Errorf("word %d of topic %d began before word %d of topic %d was complete", f.Number, f.Topic, w.Number, w.Topic)
 	}
 	if len(w.Body)+len(f.Body) > MaxWord {
-		return fmt.Errorf("a word is over %d bytes", MaxWord)
+		return fmt.Errorf("word exceeds %d bytes", MaxWord)
 	}
 	w.Body = append(w.Body, f.Body...)
-	if l.partly = w; f.More {
+	if l.incoming = w; f.More {
 		return nil
 	}
-	l.partly = nil
+	l.incoming = nil
 	if p.opt.Word != nil {
 		p.opt.Word(l.id, *w)
 	}
 	return nil
 }
 
-// Say says a word to a process, whole or not at all; ErrNoRoom: not at all. It does not wait. That it
-// was taken does not mean that it comes.
+// Say queues a word for a process, completely or not at all; in the latter case it returns ErrNoRoom.
+// It does not block. A nil error does not mean that the word will be delivered.
 func (p *Peers) Say(to members.ID, w Word) error {
 	p.mu.Lock()
 	l := p.links[to]
@@ -502,20 +506,20 @@
 		return ErrNoRoom
 	}
 	l.mu.Lock()
-	if len(l.words) > 0 && l.worded+len(w.Body) > max(4*p.opt.Queue, 1<<20) { // one always fits
+	if len(l.words) > 0 && l.wordBytes+len(w.Body) > max(4*p.opt.Queue, 1<<20) { // an empty queue accepts a word of any allowed size
 		l.mu.Unlock()
 		return ErrNoRoom
 	}
 	l.words = append(l.words, w)
-	l.worded += len(w.Body)
+	l.wordBytes += len(w.Body)
 	l.mu.Unlock()
-	l.conn.Bulk(l.part)
+	l.conn.Bulk(l.nextWordPart)
 	return nil
 }
 
-// part appends the next part of the oldest word; it runs in the link's writer. Others' items come
-// between parts, never another word.
-func (l *peer) part(buf []byte) ([]byte, bool) {
+// nextWordPart appends the next part of the oldest word. It runs in the link's writer. Other items may
+// be written between parts, but no other word.
+func (l *peer) nextWordPart(buf []byte) ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.words) == 0 {
@@ -526,8 +530,8 @@
 	if f.More = len(f.Body) > linkwire.MaxPart; f.More {
 		f.Body = f.Body[:linkwire.MaxPart]
 	}
-	buf, _ = linkwire.Append(buf, &f) // parts keep their bounds
-	l.worded -= len(f.Body)
+	buf, _ = linkwire.Append(buf, &f) // cannot fail for parts of a valid word
+	l.wordBytes -= len(f.Body)
 	if w.Body = w.Body[len(f.Body):]; !f.More {
 		l.words[0] = Word{}
 		l.words = l.words[1:]
@@ -535,52 +539,52 @@
 	return buf, len(l.words) > 0
 }
 
-// Wish names members with which somebody wants links beside the view's own, in the place of those that he
-// named before.
+// Wish sets the members with which the caller named by who wants links in addition to the view's own.
+// It replaces the caller's previous names.
 func (p *Peers) Wish(who string, names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wishes[who] = names
+	p.requestedLinks[who] = names
 	var all []string
-	for _, names := range p.wishes {
+	for _, names := range p.requestedLinks {
 		all = append(all, names...)
 	}
 	p.view.RequestLinks(all)
 }
 
-// Set changes what the process says of itself.
+// Set changes the record in which this process describes itself.
 func (p *Peers) Set(change func(*members.Info)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.act(p.view.Set(p.now(), change))
+	p.apply(p.view.Set(p.now(), change))
 }
 
-// Publish writes the process's orders anew, if they are others.
+// Publish sets this process's orders, if they differ from the current ones.
 func (p *Peers) Publish(orders string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.act(p.view.Publish(p.now(), orders))
+	p.apply(p.view.Publish(p.now(), orders))
 }
 
-// send queues a message; what is too much is dropped, the oldest first.
+// send queues a message; while the queue exceeds most bytes, the oldest are dropped.
 func (l *peer) send(f *linkwire.News, most int) {
 	l.push(f, most)
-	l.conn.Bulk(l.next)
+	l.conn.Bulk(l.nextMessage)
 }
 
 func (l *peer) push(f *linkwire.News, most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queue = append(l.queue, f)
-	l.queued += cost(f)
-	for l.queued > most && len(l.queue) > 1 {
-		l.queued -= cost(l.queue[0])
+	l.queuedBytes += cost(f)
+	for l.queuedBytes > most && len(l.queue) > 1 {
+		l.queuedBytes -= cost(l.queue[0])
 		l.queue[0] = nil
 		l.queue = l.queue[1:]
 	}
 }
 
-// cost is what a message counts as in the queue, in bytes.
+// cost returns the approximate size of a message in the queue, in bytes.
 func cost(f *linkwire.News) int {
 	size := 64 + 8*len(f.Sums) + 16*len(f.Heads) + 8*len(f.Want)
 	for i := range f.Records {
@@ -589,8 +593,8 @@
 	return size
 }
 
-// next appends the oldest message that waits; it runs in the link's writer.
-func (l *peer) next(buf []byte) ([]byte, bool) {
+// nextMessage appends the oldest queued message. It runs in the link's writer.
+func (l *peer) nextMessage(buf []byte) ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.queue) == 0 {
@@ -599,22 +603,23 @@
 	f := l.queue[0]
 	l.queue[0] = nil
 	l.queue = l.queue[1:]
-	l.queued -= cost(f)
+	l.queuedBytes -= cost(f)
 	buf, _ = linkwire.Append(buf, f)
 	return buf, false
 }
 
-// empty tells whether nothing waits.
+// empty reports whether no messages are queued.
 func (l *peer) empty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue) == 0
 }
 
-// Leave says that the process ends, waits for at most a period until that is written, and closes.
+// Leave announces that the process is leaving, waits for at most one period until that is written, and
+// closes.
 func (p *Peers) Leave() {
 	p.mu.Lock()
-	p.act(p.view.Leave(p.now()))
+	p.apply(p.view.Leave(p.now()))
 	var all []*peer
 	for _, l := range p.links {
 		all = append(all, l)
@@ -625,11 +630,11 @@
 			break
 		}
 	}
-	time.Sleep(5 * time.Millisecond) // the writers are past their queues, not past their writes
+	time.Sleep(5 * time.Millisecond) // the queues are empty, but the last writes may be under way
 	p.Close()
 }
 
-// Close ends all links at once.
+// Close closes all links at once.
 func (p *Peers) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -644,14 +649,14 @@
 	p.stop()
 }
 
-// View is what the agent believes, and the clock that its times are of.
+// View returns the agent's current view, and the time from which its times count.
 func (p *Peers) View() (members.View, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.View(), p.start
 }
 
-// Events is the last changes, the oldest first.
+// Events returns the latest changes, oldest first.
 func (p *Peers) Events() []Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/protocol/peers/peers_test.go
+++ b/internal/protocol/peers/peers_test.go
@@ -86,7 +86,7 @@
 	body := append([]byte{0xa3, 0x01, 0x61, 'h', 0x09, 0xf5}, 0x18, 99, 0x63, 'n', 'e', 'w') // {1: "h", 9: true, 99: "new"}
 	up := greet("newer")
 	passed := make(chan string, 16)
-	up.Bulk(linkwire.One(&linkwire.News{Records: []linkwire.Entry{{Name: "newer", Incarnation: 5, Version: 1, Body: body}}}))
+	up.Bulk(linkwire.SingleFrame(&linkwire.News{Records: []linkwire.Entry{{Name: "newer", Incarnation: 5, Version: 1, Body: body}}}))
 	go func() { _ = up.Run(func(linkwire.Frame) error { return nil }) }()
 	eventually(t, "b knows the newer one", func() bool { return sees(b) == 3 })
 	second := greet("reader")
@@ -102,8 +102,8 @@
 			return nil
 		})
 	}()
-	second.Bulk(linkwire.One(&linkwire.News{Sums: make([]uint64, members.Buckets), Digest: 1}))
-	second.Bulk(linkwire.One(&linkwire.News{Mask: 1<<32 - 1, Digest: 1})) // has nothing: wants all
+	second.Bulk(linkwire.SingleFrame(&linkwire.News{Sums: make([]uint64, members.Buckets), Digest: 1}))
+	second.Bulk(linkwire.SingleFrame(&linkwire.News{Mask: 1<<32 - 1, Digest: 1})) // has nothing: wants all
 	if got := <-passed; got != string(body) {
 		t.Errorf("passed on as %x, came as %x", got, body)
 	}
@@ -152,8 +152,8 @@
 		f := &linkwire.News{Digest: uint64(i), Records: []linkwire.Entry{{Body: make([]byte, 500)}}}
 		l.push(f, 10<<10)
 	}
-	if l.queued > 10<<10 || len(l.queue) < 10 || l.queue[len(l.queue)-1].Digest != 999 {
-		t.Errorf("%d bytes, %d messages", l.queued, len(l.queue))
+	if l.queuedBytes > 10<<10 || len(l.queue) < 10 || l.queue[len(l.queue)-1].Digest != 999 {
+		t.Errorf("%d bytes, %d messages", l.queuedBytes, len(l.queue))
 	}
 }
 
--- a/internal/protocol/peers/wire.go
+++ b/internal/protocol/peers/wire.go
@@ -5,7 +5,7 @@
 	"molepaddle/internal/protocol/linkwire"
 )
 
-// Frame is a message as a link carries it.
+// Frame converts a message to the frame that carries it.
 func Frame(m *members.Message) (*linkwire.News, error) {
 	f := &linkwire.News{
 		Digest: m.Digest,
@@ -31,13 +31,13 @@
 			var err error
 			if r.Kind == members.Self {
 				s := linkwire.Self(r.Info)
-				e.Body, err = linkwire.AppendSelf(&s)
+				e.Body, err = linkwire.EncodeSelf(&s)
 			} else {
 				words := make([]linkwire.Head, len(r.Suspicions))
 				for k, w := range r.Suspicions {
 					words[k] = linkwire.Head{Key: w.Target, Version: w.Version}
 				}
-				e.Body, err = linkwire.AppendWords(words)
+				e.Body, err = linkwire.EncodeSuspicions(words)
 			}
 			if err != nil {
 				return nil, err
@@ -48,7 +48,7 @@
 	return f, nil
 }
 
-// Message reads a frame. A record whose body makes no sense is an error.
+// Message converts a frame to a message. It returns an error if a record's body is invalid.
 func Message(f *linkwire.News) (members.Message, error) {
 	m := members.Message{
 		Digest: f.Digest,
@@ -71,13 +71,13 @@
 		}
 		switch r.Kind {
 		case members.Self:
-			s, err := linkwire.ReadSelf(e.Body)
+			s, err := linkwire.DecodeSelf(e.Body)
 			if err != nil {
 				return m, err
 			}
 			r.Info = members.Info(s)
 		case members.Suspects:
-			words, err := linkwire.ReadWords(e.Body)
+			words, err := linkwire.DecodeSuspicions(e.Body)
 			if err != nil {
 				return m, err
 			}
--- a/internal/protocol/roster/roster.go
+++ b/internal/protocol/roster/roster.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// watchSilence ends a watch on which no line came: discovery writes one every 2 s,
+	// watchTimeout ends a watch on which no line came: discovery writes one every 2 s,
 	// and what it has to tell counts as told after 6 s, asking again included.
-	watchSilence = 3500 * time.Millisecond
+	watchTimeout = 3500 * time.Millisecond
 	fetchTimeout = 3 * time.Second
 	maxList      = 4 << 20 // bytes of one list
 	endpoints    = "/v1/endpoints"
 	// What a new discovery tells counts as told after 4 s: the first calls are tried
-	// again for eagerFor, eagerEvery after one that failed or took over eagerTry.
-	eagerFor, eagerEvery, eagerTry = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
+	// again for eagerFor, eagerEvery after one that failed or took over eagerTimeout.
+	eagerDuration, eagerInterval, eagerTimeout = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
 )
 
 // wireList is a list of servers, or a change of it, as the service words it.
@@ -60,12 +60,12 @@
 	"ready": cluster.Ready, "draining": cluster.Draining, "gone": cluster.Gone,
 }
 
-// Words numbers the names of sites and of kinds of machines as the settings do.
-type Words struct{ Sites, Kinds map[string]int }
+// Names numbers the names of sites and of kinds of machines as the settings do.
+type Names struct{ Sites, Kinds map[string]int }
 
 // Parse reads one list and reports the first entry that makes no sense. A site or kind
 // that the settings don't name is nobody's own: it gets a number that no settings give.
-func (w *Words) Parse(text []byte) (cluster.List, error) {
+func (w *Names) Parse(text []byte) (cluster.List, error) {
 	var l wireList
 	if err := json.Unmarshal(text, &l); err != nil {
 		return cluster.List{}, err
@@ -124,10 +124,10 @@
 // Client asks one service.
 type Client struct {
 	addr    string
-	words   Words
+	names   Names
 	dial    DialFunc
-	tell    func(core.Update)
-	silence time.Duration
+	notify    func(core.Update)
+	silenceTimeout time.Duration
 	ctx     context.Context
 	cancel  context.CancelFunc
 }
@@ -136,8 +136,8 @@
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // New makes the client of the service at addr; its calls end with the context.
-func New(ctx context.Context, addr string, words Words, dial DialFunc, tell func(core.Update)) *Client {
-	d := &Client{addr: addr, words: words, dial: dial, tell: tell, silence: watchSilence}
+func New(ctx context.Context, addr string, words Names, dial DialFunc, tell func(core.Update)) *Client {
+	d := &Client{addr: addr, names: words, dial: dial, notify: tell, silenceTimeout: watchTimeout}
 	d.ctx, d.cancel = context.WithCancel(ctx)
 	return d
 }
@@ -152,16 +152,16 @@
 // or holds a line that makes no sense; then it tells WatchEnded.
 func (d *Client) Watch(since int64, eager bool) { go d.watch(since, eager) }
 
-// eagerly tries a call until it goes through, for a while if the discovery is new.
-func (d *Client) eagerly(eager bool, try func() error) error {
-	end := time.Now().Add(eagerFor)
+// retryEagerly tries a call until it goes through, for a while if the discovery is new.
+func (d *Client) retryEagerly(eager bool, try func() error) error {
+	end := time.Now().Add(eagerDuration)
 	for {
 		err := try()
 		if err == nil || !eager || time.Now().After(end) {
 			return err
 		}
 		select {
-		case <-time.After(eagerEvery):
+		case <-time.After(eagerInterval):
 		case <-d.ctx.Done():
 			return err
 		}
@@ -172,9 +172,9 @@
 	var l cluster.List
 	timeout := fetchTimeout
 	if eager {
-		timeout = eagerTry
+		timeout = eagerTimeout
 	}
-	err := d.eagerly(eager, func() error {
+	err := d.retryEagerly(eager, func() error {
 		ctx, cancel := context.WithTimeout(d.ctx, timeout)
 		defer cancel()
 		body, err := d.get(sockets.For(ctx, "fetch"), endpoints)
@@ -186,31 +186,31 @@
 		if err != nil {
 			return err
 		}
-		l, err = d.words.Parse(text)
+		l, err = d.names.Parse(text)
 		return err
 	})
-	d.tell(core.Update{Kind: core.Fetched, List: l, Err: err})
+	d.notify(core.Update{Kind: core.Fetched, List: l, Err: err})
 }
 
 func (d *Client) watch(since int64, eager bool) {
 	var err error
-	_ = d.eagerly(eager, func() error {
+	_ = d.retryEagerly(eager, func() error {
 		var told bool
 		if told, err = d.follow(since, eager); told {
 			return nil
 		}
 		return err
 	})
-	d.tell(core.Update{Kind: core.WatchEnded, Err: err})
+	d.notify(core.Update{Kind: core.WatchEnded, Err: err})
 }
 
 // follow is one watch; it reports whether a list came and why it ended.
 func (d *Client) follow(since int64, eager bool) (told bool, err error) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
-	first := d.silence
+	first := d.silenceTimeout
 	if eager {
-		first = min(first, eagerTry)
+		first = min(first, eagerTimeout)
 	}
 	dead := time.AfterFunc(first, cancel)
 	defer dead.Stop()
@@ -222,17 +222,17 @@
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 512), maxList)
 	for lines.Scan() {
-		dead.Reset(d.silence)
+		dead.Reset(d.silenceTimeout)
 		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
 			continue
 		}
-		l, err := d.words.Parse(text)
+		l, err := d.names.Parse(text)
 		if err != nil {
 			return told, fmt.Errorf("line: %w", err)
 		}
 		told = true
-		d.tell(core.Update{Kind: core.Changed, List: l})
+		d.notify(core.Update{Kind: core.Changed, List: l})
 	}
 	if err := lines.Err(); err != nil {
 		return told, err
@@ -240,17 +240,17 @@
 	return told, io.EOF
 }
 
-// maxHead bounds the head of an answer, in bytes.
-const maxHead = 64 << 10
+// maxHeader bounds the head of an answer, in bytes.
+const maxHeader = 64 << 10
 
-// answer is the body of an answer with its connection.
-type answer struct {
+// responseBody is the body of an responseBody with its connection.
+type responseBody struct {
 	io.Reader
 	conn net.Conn
 	stop func() bool
 }
 
-func (a *answer) Close() error {
+func (a *responseBody) Close() error {
 	a.stop()
 	return a.conn.Close()
 }
@@ -266,12 +266,12 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	a := &answer{conn: conn, stop: stop}
+	a := &responseBody{conn: conn, stop: stop}
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: "+d.addr+"\r\nConnection: close\r\n\r\n"); err != nil {
 		a.Close()
 		return nil, err
 	}
-	head := &io.LimitedReader{R: conn, N: maxHead}
+	head := &io.LimitedReader{R: conn, N: maxHeader}
 	resp, err := http.ReadResponse(bufio.NewReaderSize(head, 2048), &http.Request{Method: http.MethodGet})
 	switch {
 	case err != nil:
--- a/internal/protocol/roster/roster_test.go
+++ b/internal/protocol/roster/roster_test.go
@@ -34,7 +34,7 @@
 	t.Cleanup(func() { close(release); s.Close() })
 	told := make(chan core.Update, 100)
 	dial := (&net.Dialer{}).DialContext
-	return New(context.Background(), s.Listener.Addr().String(), Words{}, dial, func(in core.Update) { told <- in }), told
+	return New(context.Background(), s.Listener.Addr().String(), Names{}, dial, func(in core.Update) { told <- in }), told
 }
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
@@ -42,7 +42,7 @@
 // A watch ends at a line that makes no sense, having told those before.
 func TestMalformedLine(t *testing.T) {
 	d, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
-	d.silence = never
+	d.silenceTimeout = never
 	d.watch(1, false)
 	if in := <-told; in.Kind != core.Changed || in.List.Seq != 2 || in.List.Servers[0].Health != cluster.Draining {
 		t.Fatalf("told %+v", in)
@@ -55,7 +55,7 @@
 // A watch on which nothing comes is dead and ends.
 func TestSilentWatch(t *testing.T) {
 	d, told := scripted(t, true)
-	d.silence = time.Millisecond
+	d.silenceTimeout = time.Millisecond
 	d.watch(1, false)
 	if in := <-told; in.Kind != core.WatchEnded || in.Err == nil {
 		t.Fatalf("told %+v", in)
@@ -89,7 +89,7 @@
 	t.Cleanup(s.Close)
 	told := make(chan core.Update, 10)
 	dial := (&net.Dialer{}).DialContext
-	d := New(t.Context(), s.Listener.Addr().String(), Words{}, dial, func(in core.Update) { told <- in })
+	d := New(t.Context(), s.Listener.Addr().String(), Names{}, dial, func(in core.Update) { told <- in })
 	d.watch(0, true)
 	if in := <-told; in.Kind != core.Changed || in.List.Seq != 2 {
 		t.Fatalf("told %+v", in)
@@ -102,7 +102,7 @@
 // A dial to a service that is silent ends with the client, not with the machine's patience.
 func TestSilentDialEnds(t *testing.T) {
 	dialling, ended := make(chan struct{}), make(chan struct{})
-	d := New(t.Context(), "127.0.0.1:1", Words{}, func(ctx context.Context, _, _ string) (net.Conn, error) {
+	d := New(t.Context(), "127.0.0.1:1", Names{}, func(ctx context.Context, _, _ string) (net.Conn, error) {
 		close(dialling)
 		<-ctx.Done()
 		close(ended)
@@ -127,7 +127,7 @@
 	for _, text := range []string{change, "{}", `{"seq":-1,"hosts":[{"host":"a","dial":"a:1","health":"ready","born_ms":1e300}]}`, `{"hosts":[{}]}`, "[", "\x00"} {
 		f.Add([]byte(text))
 	}
-	w := Words{Sites: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0}}
+	w := Names{Sites: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0}}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := w.Parse(text)
 		if err != nil {
