--- a/internal/protocol/intake/intake.go
+++ b/internal/protocol/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake reads requests as every front end takes them, whatever protocol brought them: which class,
-// key, tenant and id they have, how long their clients wait, and what is wrong with them. It does no I/O;
-// all of it are values.
+// Package intake validates requests for every front end, whatever the protocol: it determines their
+// class, key, tenant, id and client time-out, or why they are invalid. It does no I/O and has no
+// state.
 package intake
 
 import (
@@ -20,49 +20,49 @@
 )
 
 const (
-	// MaxTimeout is the longest deadline there is.
-	MaxTimeout = time.Minute
-	maxNameLength    = 256 // bytes of an id or a host
-	// AcceptFor is how long connections are taken after SIGTERM: they go on coming for up to 0.4 s. SettleFor is
-	// left to what was accepted last to be read; LeaveEvery is how often connections are looked through meanwhile.
+	// MaxTimeout is the longest time-out of a client.
+	MaxTimeout    = time.Minute
+	maxNameLength = 256 // limit of an id or a host, in bytes
+	// AcceptFor is how long connections are accepted after SIGTERM, as new ones arrive for up to 0.4 s. SettleFor is
+	// the time to read from those accepted last; LeaveEvery is the interval of checks of the connections meanwhile.
 	AcceptFor, SettleFor, LeaveEvery = 450 * time.Millisecond, 50 * time.Millisecond, 5 * time.Millisecond
-	// ResponseStallTimeout is how long a client may take nothing of an answer that is passed on.
+	// ResponseStallTimeout is how long a client may read nothing of an answer that is streamed to it.
 	ResponseStallTimeout = time.Minute
-	// bodyRate is how many bytes a second a body has to bring on the mean, bodyPause how long nothing may come
-	// of it: clients that are slow send twice as much.
+	// bodyRate is the minimum mean rate of a request's body in bytes per second, bodyPause the longest pause
+	// within it. Slow clients send at twice that rate.
 	bodyRate, bodyPause = 32 << 10, 2 * time.Second
 )
 
-// MinPace is how slowly a body may come, with an allowance at its start.
+// MinPace returns the minimum speed of a request's body, with an allowance at its start.
 func MinPace(allowance time.Duration) window.Pace {
 	return window.Pace{Grace: allowance, Pause: bodyPause, Rate: bodyRate}
 }
 
-// Handler gives a request its one final answer; a core.Core is one.
+// Handler returns a request's one final answer; a core.Core is one.
 type Handler interface {
 	Do(ctx context.Context, r *core.Request) core.Answer
 	Ready() bool
 }
 
-// View is one version of the settings, as requests are read by. It is not changed.
+// View is one version of the settings, as used to read requests. It is immutable.
 type View struct {
 	Settings *settings.Settings
-	Classes  map[string]int // numbers of the classes' names
-	Tenants  map[string]int // numbers of the tenants' names
+	Classes  map[string]int // class index by name
+	Tenants  map[string]int // tenant index by name
 }
 
-// ViewOf is the view of a version of the settings.
+// ViewOf returns the view of a version of the settings.
 func ViewOf(t *settings.Table) View {
 	return View{Settings: &t.Settings, Classes: t.Classes, Tenants: t.Tenants}
 }
 
-// Problem is why a request is not taken: an HTTP status of 4xx or 503, and a word on it.
+// Problem is why a request is rejected: an HTTP status of 4xx or 503, and a short text.
 type Problem struct {
 	Status int
 	Text   string
 }
 
-// Fields are what a front end has read of a request; empty ones were not sent.
+// Fields are the parts of a request that a front end has read; empty ones were not sent.
 type Fields struct {
 	Method, Target string // Target: path and query
 	Path           string // of Target, unescaped
@@ -72,19 +72,19 @@
 	ContentType    string
 	Timeout        string // a number and a unit; see ParseTimeout
 	Tenant         string
-	Hint           string // the work, in microseconds
-	Retry          string // "1": the client has asked for the same before
+	Hint           string // estimated work, in microseconds
+	Retry          string // "1": the client has sent the same request before
 	Length         int64  // of the body; -1: not known
 }
 
 // ClientTimeout is how long a client waits for its answer.
 type ClientTimeout struct {
-	Requested   time.Duration // as it says
-	ClassLimit time.Duration // as its class allows
+	Requested  time.Duration // as the client requested
+	ClassLimit time.Duration // limit of its class
 }
 
-// Read makes a request of what was read, but for its body and its deadline. patient says that a client which
-// does not say how long it waits waits for as long as its class allows; else it is told to say so.
+// Read validates the fields and returns the request without its body and deadline. If patient is true,
+// a client that sends no time-out gets that of its class; otherwise the request is rejected.
 func Read(v *View, f *Fields, patient bool) (*core.Request, ClientTimeout, *Problem) {
 	r := &core.Request{ID: f.ID, MaxAttempts: v.Settings.Limits.MaxAttempts, Retry: f.Retry == "1",
 		Message: core.Message{Method: f.Method, Target: f.Target, Host: f.Host, ContentType: f.ContentType, IdempotencyKey: f.IdempotencyKey}}
@@ -103,7 +103,7 @@
 	if set.Idempotency == settings.Idempotent {
 		want = http.MethodGet
 	}
-	// A client may wait for longer than its class is worth anything, the agent does not.
+	// A client may wait for longer than its class's answers have value; the agent does not.
 	p.ClassLimit = time.Duration(set.ClientTimeoutMs * float64(time.Millisecond))
 	var err error
 	if p.Requested = p.ClassLimit; f.Timeout != "" || !patient {
@@ -137,8 +137,9 @@
 	return r, p, nil
 }
 
-// SetDeadline has a request's time begin when its last byte came; of one whose body is not whole, it reckons with
-// the longest that the rest may take to come, and its time begins when all of it has.
+// SetDeadline sets a request's deadline, counted from the arrival of its last byte. While a body is
+// incomplete, the deadline allows the longest time that the remainder may take, and the client's time
+// starts once all of it has arrived.
 func (p ClientTimeout) SetDeadline(r *core.Request, came time.Time, pace window.Pace) {
 	r.Deadline = budget.From(came, p.Requested, p.ClassLimit).Deadline
 	if r.Message.Stream == nil {
@@ -152,7 +153,8 @@
 	r.Deadline = time.Now().Add(pace.Longest(most) + r.TimeAfterBody)
 }
 
-// Plain tells whether an id or a name can be sent on as it is.
+// Plain reports whether an id or a name can be forwarded as it is: 1 to 256 printable ASCII characters
+// without spaces.
 func Plain(id string) bool {
 	if id == "" || len(id) > maxNameLength {
 		return false
@@ -165,8 +167,8 @@
 	return true
 }
 
-// ParseTimeout reads a number and a unit, m for milliseconds or u for microseconds, above 0 and up to
-// MaxTimeout.
+// ParseTimeout parses a number and a unit, m for milliseconds or u for microseconds. The time must be
+// above 0 and at most MaxTimeout.
 func ParseTimeout(text string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
@@ -184,7 +186,7 @@
 	return time.Duration(n) * unit, nil
 }
 
-// KeyOf gives what a request is about its number, the same at every agent; 0 is none.
+// KeyOf returns the routing key of a text, the same at every agent. It is never 0, which means no key.
 func KeyOf(text string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, text)
--- a/internal/protocol/link/link.go
+++ b/internal/protocol/link/link.go
@@ -45,7 +45,7 @@
 // It runs in the connection's writer.
 type Item func(buf []byte) (out []byte, more bool)
 
-// State is what is known of the other end and the connection.
+// State describes the other end and the health of the connection.
 type State struct {
 	Quote    uint64    // the latest reading of the other end's clock
 	QuoteAt  time.Time // when that was received
--- a/internal/protocol/linkwire/linkwire.go
+++ b/internal/protocol/linkwire/linkwire.go
@@ -1,11 +1,11 @@
-// Package linkwire is the wire of a link between two gateways: frames, and what is in them.
-// docs/LINK.md writes it down for other programs. The package has no I/O but the reader and
-// the buffer that it is handed, no state, and no goroutine.
+// Package linkwire implements the wire format of a link: frames and their contents. docs/LINK.md
+// specifies it for other programs. The package has no state and no goroutines, and does no I/O except
+// through the readers and buffers that it is given.
 //
-// A frame is a length of four bytes, big endian, that counts what follows; a byte that tells
-// its kind; and one CBOR array (RFC 8949), definite lengths only, with the fields of the
-// kind's struct in their order. Nothing is believed: lengths are bounded before anything is
-// read or held, and Decode checks every field that has bounds.
+// A frame consists of a length of four bytes, big endian, that counts the bytes after it; one byte for
+// the kind; and one CBOR array (RFC 8949), definite lengths only, with the fields of the kind's struct
+// in their order. Input is not trusted: lengths are checked before anything is read or allocated, and
+// Decode checks every field that has bounds.
 package linkwire
 
 import (
@@ -24,28 +24,28 @@
 	MaxVersion = 2 // from 2 on: Query, Verdict
 )
 
-// Magic opens every Hello.
+// Magic is the first field of every Hello.
 const Magic = "molepaddle-link"
 
-// Bounds of the wire, in bytes but where it says otherwise.
+// Limits of the format, in bytes except where noted.
 const (
-	MaxFrame      = 32 << 10 // of a frame, its length and kind left out
+	MaxFrame      = 32 << 10 // of a frame without its length and kind
 	MaxPart       = 16 << 10 // of a body in one frame
 	MaxBody       = 64 << 10 // of a request or an answer
 	MaxText       = 256      // of names, ids and keys
-	MaxTarget       = 8 << 10  // of a target
+	MaxTarget     = 8 << 10  // of a target
 	MaxAcks       = 1024     // numbers in an Ack, heads or wants in a News
 	MaxRecordBody = 1024     // of one record
 	MaxRecords    = 24       // in a News
-	MaxTime       = 120e6    // of times that are spans, in microseconds
-	maxClock      = 1 << 60  // of times that are readings of a clock
+	MaxTime       = 120e6    // of time spans, in microseconds
+	maxClock      = 1 << 60  // of clock readings, in microseconds
 	maxTries      = 1 << 10
 )
 
-// Kind is what a frame holds.
+// Kind identifies the struct that a frame contains.
 type Kind byte
 
-// The kinds.
+// The kinds of frames.
 const (
 	KindHello   Kind = 1
 	KindBeat    Kind = 2
@@ -66,52 +66,53 @@
 	KindVerdict Kind = 17
 )
 
-// Frame is what a frame may hold: a pointer to one of the structs below.
+// Frame is the contents of a frame: a pointer to one of the structs below.
 type Frame interface {
 	Kind() Kind
 	check() error
 }
 
-// Hello is the first frame of each end. The near end speaks first.
+// Hello is the first frame from each end. The near end sends its Hello first.
 type Hello struct {
 	_           struct{} `cbor:",toarray"`
 	Magic       string
-	Least, Most uint64 // versions that it speaks
-	Name        string // of the gateway
-	Incarnation uint64 // drawn anew by each process; not 0
-	Crossings   uint64 // of the far end: how many it takes of this near end at once
-	Bytes       uint64 // and their bodies' bytes
-	Now         uint64 // its clock, in microseconds
+	Least, Most uint64 // supported versions
+	Name        string // name of the process
+	Incarnation uint64 // random id of the process; not 0
+	Crossings   uint64 // from the far end: limit of concurrent crossings per near end
+	Bytes       uint64 // from the far end: limit of the bytes of their bodies
+	Now         uint64 // the sender's clock, in microseconds
 	Draining    bool
 }
 
-// Beat comes from each end all the time.
+// Beat is the heartbeat that each end sends at a fixed interval.
 type Beat struct {
 	_        struct{} `cbor:",toarray"`
 	Now      uint64   // the sender's clock
-	Echo     uint64   // the Now of the last beat that came; 0: none yet
-	Held     uint64   // how long ago that was
-	Open     uint64   // crossings that the sender holds
+	Echo     uint64   // the latest Now received; 0: none yet
+	Held     uint64   // time since it was received, in microseconds
+	Open     uint64   // crossings open at the sender
 	Draining bool
 }
 
-// Lease is until when a crossing holds, by the far end's own clock: Quote is a reading of
-// it that the far end has told, Begin and Life are spans from there. After Begin nothing of
-// it begins, after Life nothing goes on.
+// Lease limits the execution of a crossing in time, by the far end's own clock. Quote is a reading of
+// that clock which the far end has sent; Begin and Life are spans after it. No attempt starts after
+// Begin, and nothing of the crossing runs after Life.
 type Lease struct {
 	_           struct{} `cbor:",toarray"`
-	Incarnation uint64   // of the process whose clock is quoted
+	Incarnation uint64   // of the process whose clock was read
 	Quote       uint64
 	Begin       uint64
 	Life        uint64
 }
 
-// Offer is a request. If Size is over the length of Body, Parts with the rest follow.
+// Offer carries a request. If Size is greater than the length of Body, Parts with the remainder
+// follow.
 type Offer struct {
 	_           struct{} `cbor:",toarray"`
 	Number      uint64
 	Lease       Lease
-	Tries       uint64 // attempts that the far end may make
+	Tries       uint64 // limit of attempts by the far end
 	Class       string
 	Effect      string
 	Tenant      string
@@ -128,21 +129,22 @@
 	Body        []byte
 }
 
-// Part is more of the body of an Offer or an Ended that came before it on its connection.
+// Part carries more of the body of an Offer or an Ended that was sent before it on the same
+// connection.
 type Part struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Body   []byte
 }
 
-// Fence asks what has become of a crossing, and bars it if it has not begun.
+// Fence asks for the outcome of a crossing, and prevents it from starting if it has not begun.
 type Fence struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
-	Lease  Lease // that of its offer
+	Lease  Lease // the lease of its offer
 }
 
-// Cancel does the same, and ends what has begun.
+// Cancel does the same as Fence, and also stops a crossing that has begun.
 type Cancel struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
@@ -153,16 +155,16 @@
 const (
 	Served  = 0 // Body is the answer
 	Failed  = 1
-	Refused = 2 // asking again is harmless, though it may have run
+	Refused = 2 // a retry is safe, even if it ran
 )
 
-// Ended tells that a crossing ran, and its answer.
+// Ended reports that a crossing ran, with its answer.
 type Ended struct {
 	_           struct{} `cbor:",toarray"`
 	Number      uint64
 	Result      uint64
-	Tries       uint64 // attempts that were made
-	RetryUs     uint64 // advice; 0: none
+	Tries       uint64 // attempts made
+	RetryUs     uint64 // advised delay before a retry, in microseconds; 0: none
 	ContentType string
 	Size        uint64
 	Body        []byte
@@ -170,55 +172,55 @@
 
 // Why a crossing never began.
 const (
-	WhyRefused   = 0 // by the far end's decisions
-	WhyLapsed    = 1 // it came too late
+	WhyRefused   = 0 // rejected by the far end's Balancer
+	WhyLapsed    = 1 // its lease had expired
 	WhyDraining  = 2
 	WhyFull      = 3
-	WhyBarred    = 4 // the near end has asked for it
-	WhyUnknown   = 5 // its class is not known there, or another by its effect
+	WhyBarred    = 4 // it was fenced
+	WhyUnknown   = 5 // its class is unknown to the far end, or has another effect there
 	WhyCancelled = 6
 )
 
-// Never tells that a crossing never began and never will.
+// Never reports that a crossing never began and never will.
 type Never struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Why     uint64
-	Tries   uint64 // attempts that were made, all of which were turned away
+	Tries   uint64 // attempts made, all of which were rejected
 	RetryUs uint64
 }
 
-// Begun tells, when asked, that a crossing has begun.
+// Begun reports, in response to a Fence or Cancel, that a crossing has begun.
 type Begun struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 }
 
-// Unsure tells, when asked, that nothing is known and nothing can be barred.
+// Unsure reports, in response to a Fence or Cancel, that the crossing is unknown and can't be fenced.
 type Unsure struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 }
 
-// Drain tells that the sender takes nothing new. What it holds it finishes.
+// Drain reports that the sender accepts nothing new. It finishes what is in flight.
 type Drain struct {
 	_ struct{} `cbor:",toarray"`
 }
 
-// Ack tells the far end that these have their verdicts: their answers may be let go.
+// Ack acknowledges the outcomes of these crossings to the far end, which may release their answers.
 type Ack struct {
 	_       struct{} `cbor:",toarray"`
 	Numbers []uint64
 }
 
-// Bye is the last frame before the sender closes.
+// Bye is the last frame before the sender closes the connection.
 type Bye struct {
 	_    struct{} `cbor:",toarray"`
 	Text string
 }
 
-// News is what peers of one fleet tell each other of their views; package members says what the
-// fields mean. It goes over links between peers, and no others.
+// News carries a message between the membership views of two peers; package members defines the
+// meaning of the fields. It is sent on links between peers only.
 type News struct {
 	_       struct{} `cbor:",toarray"`
 	Digest  uint64
@@ -231,42 +233,42 @@
 	Records []Entry
 }
 
-// Word is a part of what one peer has to say to another, whole in order on its link. Topics that are
-// not known are left alone.
+// Word carries a part of an application message between peers; the parts of a message arrive in order
+// on one link. Unknown topics are ignored.
 type Word struct {
 	_      struct{} `cbor:",toarray"`
 	Topic  uint64   // 0: the council, 1: a call, 2: its answer
-	Number uint64   // of a call, and of its answer
+	Number uint64   // links a call and its answer
 	More   bool     // parts with the same topic and number follow
 	Body   []byte
 }
 
-// MaxTopic bounds topics.
+// MaxTopic is the highest valid topic.
 const MaxTopic = 15
 
 func (f *Word) check() error {
 	return firstError(checkMax("topic", f.Topic, MaxTopic), checkMax("part", uint64(len(f.Body)), MaxPart))
 }
 
-// Kind tells what a frame is.
+// Kind returns KindWord.
 func (*Word) Kind() Kind { return KindWord }
 
-// Query asks a far gateway what is known of a crossing that was offered to another one of its site, which
-// can't be asked.
+// Query asks a far gateway for the outcome of a crossing that was offered to another gateway of its
+// site, which can't be reached.
 type Query struct {
 	_           struct{} `cbor:",toarray"`
 	Number      uint64   // of the crossing
-	Holder      string   // the gateway that it was offered to
-	Incarnation uint64   // and its process
-	SinceUs     uint64   // how long ago, by the near end's clock
+	Holder      string   // name of the gateway that it was offered to
+	Incarnation uint64   // incarnation of that gateway
+	SinceUs     uint64   // time since the offer, by the near end's clock
 }
 
-// The words of a Verdict.
+// The values of Verdict.Word.
 const (
-	VerdictUnsure  = 0 // nothing can be proven
+	VerdictUnsure  = 0 // the outcome is not known
 	VerdictNever   = 1 // it never began and never will
 	VerdictOver    = 2 // it may have run, and nothing more of it begins
-	VerdictReplied = 3 // it ran: the answer is with it
+	VerdictReplied = 3 // it ran, and the Verdict carries the answer
 )
 
 // Verdict answers a Query.
@@ -290,10 +292,10 @@
 		checkText("content type", f.ContentType, MaxText, false), checkMax("body", uint64(len(f.Body)), MaxPart))
 }
 
-// Kind tells what a frame is.
+// Kind returns KindQuery.
 func (*Query) Kind() Kind { return KindQuery }
 
-// Kind tells what a frame is.
+// Kind returns KindVerdict.
 func (*Verdict) Kind() Kind { return KindVerdict }
 
 // Head is a record's key and version.
@@ -303,18 +305,18 @@
 	Version uint64
 }
 
-// Entry is one record of a view. Body is CBOR of its own, a Self or a list of Words by Subject, and
-// is passed on as it came.
+// Entry is one record of a view. Body is a separate CBOR item, a Self or a list of suspicions
+// depending on Subject, and is forwarded unchanged.
 type Entry struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
-	Subject     uint64 // 0: a Self, 1: a Watch, 2: Orders; later builds may have more
+	Subject     uint64 // 0: a Self, 1: suspicions, 2: orders; later versions may add more
 	Version     uint64
 	Body        []byte
 }
 
-// Self is what a process says of itself. Keys that are not known are left alone.
+// Self is the record in which a process describes itself. Unknown keys are ignored.
 type Self struct {
 	Machine  string  `cbor:"1,keyasint,omitempty"`
 	Zone     string  `cbor:"2,keyasint,omitempty"`
@@ -334,10 +336,11 @@
 	Twin     bool    `cbor:"11,keyasint,omitempty"`
 }
 
-// MaxSelf bounds a Self's body, in bytes.
+// MaxSelf is the limit of an encoded Self, in bytes.
 const MaxSelf = 512
 
-// EncodeSelf words a Self. One over its bounds is an error.
+// EncodeSelf returns the encoding of a Self. It returns an error if a field or the size is out of
+// bounds.
 func EncodeSelf(s *Self) ([]byte, error) {
 	text, err := enc.Marshal(s)
 	if err == nil {
@@ -346,7 +349,7 @@
 	return text, err
 }
 
-// DecodeSelf reads one.
+// DecodeSelf decodes a Self and checks its bounds.
 func DecodeSelf(body []byte) (s Self, err error) {
 	if err = dec.Unmarshal(body, &s); err == nil {
 		err = s.check(len(body))
@@ -357,7 +360,7 @@
 func (s *Self) check(size int) error {
 	for _, x := range []float64{s.Load, s.Rate} {
 		if math.IsNaN(x) || math.IsInf(x, 0) {
-			return errors.New("load or rate: no number")
+			return errors.New("load or rate: not a finite number")
 		}
 	}
 	return firstError(checkMax("self", uint64(size), MaxSelf), checkText("machine", s.Machine, MaxText, false), checkText("zone", s.Zone, MaxText, false),
@@ -365,10 +368,11 @@
 		checkText("process", s.Process, MaxText, false), checkText("address", s.Address, MaxText, false), checkText("silent", s.Silent, MaxText, false))
 }
 
-// EncodeSuspicions words a Watch; ReadWords reads one.
+// EncodeSuspicions returns the encoding of a list of suspicions: the keys and versions of their
+// targets.
 func EncodeSuspicions(words []Head) ([]byte, error) { return enc.Marshal(words) }
 
-// DecodeSuspicions reads a Watch.
+// DecodeSuspicions decodes a list of suspicions.
 func DecodeSuspicions(body []byte) (words []Head, err error) {
 	err = dec.Unmarshal(body, &words)
 	return words, err
@@ -383,7 +387,7 @@
 			break
 		}
 		if e.Incarnation == 0 || e.Version == 0 {
-			err = errors.New("record: without incarnation or version")
+			err = errors.New("record: incarnation or version is missing")
 			break
 		}
 		err = firstError(checkText("record", e.Name, MaxText, true), checkMax("subject", e.Subject, 15), checkMax("body", uint64(len(e.Body)), MaxRecordBody))
@@ -391,48 +395,49 @@
 	return err
 }
 
-// Kind tells what a frame is.
+// Kind returns KindNews.
 func (*News) Kind() Kind { return KindNews }
 
-// Kind tells what a frame is.
+// Kind returns KindHello.
 func (*Hello) Kind() Kind { return KindHello }
 
-// Kind tells what a frame is.
+// Kind returns KindBeat.
 func (*Beat) Kind() Kind { return KindBeat }
 
-// Kind tells what a frame is.
+// Kind returns KindOffer.
 func (*Offer) Kind() Kind { return KindOffer }
 
-// Kind tells what a frame is.
+// Kind returns KindPart.
 func (*Part) Kind() Kind { return KindPart }
 
-// Kind tells what a frame is.
+// Kind returns KindFence.
 func (*Fence) Kind() Kind { return KindFence }
 
-// Kind tells what a frame is.
+// Kind returns KindCancel.
 func (*Cancel) Kind() Kind { return KindCancel }
 
-// Kind tells what a frame is.
+// Kind returns KindEnded.
 func (*Ended) Kind() Kind { return KindEnded }
 
-// Kind tells what a frame is.
+// Kind returns KindNever.
 func (*Never) Kind() Kind { return KindNever }
 
-// Kind tells what a frame is.
+// Kind returns KindBegun.
 func (*Begun) Kind() Kind { return KindBegun }
 
-// Kind tells what a frame is.
+// Kind returns KindUnsure.
 func (*Unsure) Kind() Kind { return KindUnsure }
 
-// Kind tells what a frame is.
+// Kind returns KindDrain.
 func (*Drain) Kind() Kind { return KindDrain }
 
-// Kind tells what a frame is.
+// Kind returns KindAck.
 func (*Ack) Kind() Kind { return KindAck }
 
-// Kind tells what a frame is.
+// Kind returns KindBye.
 func (*Bye) Kind() Kind { return KindBye }
 
+// newFrame returns a zero frame of the kind, or nil if the kind is unknown.
 func newFrame(k Kind) Frame {
 	switch k {
 	case KindHello:
@@ -473,7 +478,7 @@
 	return nil
 }
 
-// firstError is the firstError error of a list of checks.
+// firstError returns the first error of a list of checks.
 func firstError(checks ...error) error {
 	for _, err := range checks {
 		if err != nil {
@@ -483,35 +488,37 @@
 	return nil
 }
 
+// checkMax returns an error if x is greater than bound.
 func checkMax(what string, x, bound uint64) error {
 	if x > bound {
-		return fmt.Errorf("%s: %d is over %d", what, x, bound)
+		return fmt.Errorf("%s: %d exceeds %d", what, x, bound)
 	}
 	return nil
 }
 
-// checkText checks a text that is to hold no control characters and no more than bound bytes.
+// checkText returns an error if a text has control characters or more than bound bytes, or if it is
+// needed and empty.
 func checkText(what, text string, bound int, needed bool) error {
 	if len(text) > bound {
-		return fmt.Errorf("%s: %d bytes are over %d", what, len(text), bound)
+		return fmt.Errorf("%s: %d bytes exceed %d", what, len(text), bound)
 	}
 	if needed && text == "" {
 		return fmt.Errorf("%s: missing", what)
 	}
 	for _, c := range []byte(text) {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return fmt.Errorf("%s: a control character", what)
+			return fmt.Errorf("%s: has a control character", what)
 		}
 	}
 	return nil
 }
 
-// ValidText tells whether a text may stand in a frame where a word is called for.
+// ValidText reports whether a text has at most MaxText bytes and no control characters.
 func ValidText(text string) bool { return checkText("", text, MaxText, false) == nil }
 
 func checkNumber(n uint64) error {
 	if n == 0 || n > math.MaxInt64 {
-		return fmt.Errorf("number: %d is none", n)
+		return fmt.Errorf("number: %d is out of range", n)
 	}
 	return nil
 }
@@ -519,21 +526,21 @@
 func checkBody(part []byte, size uint64) error {
 	switch {
 	case size > MaxBody:
-		return fmt.Errorf("size: %d is over %d", size, MaxBody)
+		return fmt.Errorf("size: %d exceeds %d", size, MaxBody)
 	case uint64(len(part)) > size || len(part) > MaxPart:
 		return fmt.Errorf("body: %d bytes of %d", len(part), size)
 	case size > 0 && len(part) == 0:
-		return errors.New("body: none of it")
+		return errors.New("body: empty, but size is not 0")
 	}
 	return nil
 }
 
 func (f *Hello) check() error {
 	if f.Magic != Magic {
-		return errors.New("magic: another protocol's")
+		return errors.New("magic: not a molepaddle link")
 	}
 	if f.Least == 0 || f.Most < f.Least || f.Incarnation == 0 {
-		return errors.New("versions or incarnation: none")
+		return errors.New("versions or incarnation: missing or invalid")
 	}
 	return firstError(checkText("name", f.Name, MaxText, true), checkMax("now", f.Now, maxClock))
 }
@@ -544,7 +551,7 @@
 
 func (l *Lease) check() error {
 	if l.Begin > l.Life {
-		return errors.New("lease: begins after its end")
+		return errors.New("lease: begin is after its end")
 	}
 	return firstError(checkMax("quote", l.Quote, maxClock), checkMax("life", l.Life, MaxTime))
 }
@@ -559,7 +566,7 @@
 
 func (f *Part) check() error {
 	if len(f.Body) == 0 || len(f.Body) > MaxPart {
-		return fmt.Errorf("part: %d bytes", len(f.Body))
+		return fmt.Errorf("part: length %d is out of range", len(f.Body))
 	}
 	return checkNumber(f.Number)
 }
@@ -603,7 +610,7 @@
 	return x
 }
 
-// Append appends a frame to a buffer. A frame that its own bounds forbid is an error.
+// Append appends an encoded frame to a buffer. It returns an error if a field is out of bounds.
 func Append(buf []byte, f Frame) ([]byte, error) {
 	if err := f.check(); err != nil {
 		return buf, err
@@ -613,18 +620,18 @@
 		return buf, err
 	}
 	if len(text) > MaxFrame {
-		return buf, fmt.Errorf("frame: %d bytes are over %d", len(text), MaxFrame)
+		return buf, fmt.Errorf("frame: %d bytes exceed %d", len(text), MaxFrame)
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(text)+1))
 	buf = append(buf, byte(f.Kind()))
 	return append(buf, text...), nil
 }
 
-// Decode reads what is in a frame of the kind.
+// Decode decodes the contents of a frame of the kind, and checks their bounds.
 func Decode(k Kind, text []byte) (Frame, error) {
 	f := newFrame(k)
 	if f == nil {
-		return nil, fmt.Errorf("frame: kind %d is not known", k)
+		return nil, fmt.Errorf("frame: unknown kind %d", k)
 	}
 	if err := dec.Unmarshal(text, f); err != nil {
 		return nil, fmt.Errorf("frame of kind %d: %w", k, err)
@@ -635,17 +642,17 @@
 	return f, nil
 }
 
-// Reader reads frames. It holds one frame at the most.
+// Reader reads frames. It buffers at most one frame.
 type Reader struct {
 	r   io.Reader
 	buf []byte
 }
 
-// NewReader makes a reader of frames; r should be buffered.
+// NewReader returns a Reader of frames; r should be buffered.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// Next reads the next frame. io.EOF is an end between two frames; in one it is
-// io.ErrUnexpectedEOF.
+// Next reads the next frame. It returns io.EOF at an end of input between two frames, and
+// io.ErrUnexpectedEOF within a frame.
 func (r *Reader) Next() (Frame, error) {
 	var head [5]byte
 	if _, err := io.ReadFull(r.r, head[:4]); err != nil {
@@ -653,7 +660,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:4])
 	if n < 1 || n > MaxFrame+1 {
-		return nil, fmt.Errorf("frame: %d bytes", n)
+		return nil, fmt.Errorf("frame: length %d is out of range", n)
 	}
 	if cap(r.buf) < int(n) {
 		r.buf = make([]byte, max(int(n), 512))
@@ -668,15 +675,15 @@
 	return Decode(Kind(buf[0]), buf[1:])
 }
 
-// SingleFrame is one frame as what a link queues.
+// SingleFrame returns a link's queue item that appends one frame.
 func SingleFrame(f Frame) func(buf []byte) (out []byte, more bool) {
 	return func(buf []byte) ([]byte, bool) {
-		buf, _ = Append(buf, f) // our own frames keep their bounds
+		buf, _ = Append(buf, f) // cannot fail for our own frames
 		return buf, false
 	}
 }
 
-// Item is an Ended and its parts as what a link queues: each call appends one frame.
+// Item returns a link's queue item that appends an Ended and its Parts, one frame with each call.
 func (f *Ended) Item() func(buf []byte) (out []byte, more bool) {
 	sent := -1
 	return func(buf []byte) ([]byte, bool) {
@@ -691,7 +698,7 @@
 			next = &Part{Number: f.Number, Body: f.Body[from:to]}
 		}
 		sent = to
-		buf, _ = Append(buf, next) // our own answers keep their bounds
+		buf, _ = Append(buf, next) // cannot fail for our own answers
 		return buf, to < len(f.Body)
 	}
 }
--- a/internal/protocol/roster/roster.go
+++ b/internal/protocol/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster is the client of the service that lists the servers: it asks for the
-// whole list or follows its changes, over HTTP, and translates what it is told.
+// Package roster is the client of the discovery service that lists the servers. It fetches the
+// complete list or follows its changes over HTTP, and converts them to the core's types.
 //
-// A Client has no state that changes but for the calls that are out: each is a goroutine
-// of its own, which tells its news by the function given to New and ends with Close.
+// A Client has no mutable state except for its calls. Each call is a goroutine that reports through
+// the function given to New, and ends with Close.
 package roster
 
 import (
@@ -26,18 +26,18 @@
 )
 
 const (
-	// watchTimeout ends a watch on which no line came: discovery writes one every 2 s,
-	// and what it has to tell counts as told after 6 s, asking again included.
+	// watchTimeout ends a watch on which no line is received. Discovery writes a line every 2 s, and a
+	// change counts as announced after 6 s, which must leave time for a new request.
 	watchTimeout = 3500 * time.Millisecond
 	fetchTimeout = 3 * time.Second
-	maxList      = 4 << 20 // bytes of one list
+	maxList      = 4 << 20 // limit of one list, in bytes
 	endpoints    = "/v1/endpoints"
 	// What a new discovery tells counts as told after 4 s: the first calls are tried
 	// again for eagerFor, eagerEvery after one that failed or took over eagerTimeout.
 	eagerDuration, eagerInterval, eagerTimeout = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
 )
 
-// wireList is a list of servers, or a change of it, as the service words it.
+// wireList is a list of servers, or a change of it, as the service encodes it.
 type wireList struct {
 	Seq   int64      `json:"seq"`
 	Whole bool       `json:"whole"`
@@ -60,11 +60,11 @@
 	"ready": cluster.Ready, "draining": cluster.Draining, "gone": cluster.Gone,
 }
 
-// Names numbers the names of sites and of kinds of machines as the settings do.
+// Names maps the names of sites and of kinds of machines to their numbers in the settings.
 type Names struct{ Sites, Kinds map[string]int }
 
-// Parse reads one list and reports the first entry that makes no sense. A site or kind
-// that the settings don't name is nobody's own: it gets a number that no settings give.
+// Parse decodes one list and returns an error for the first invalid entry. A site or kind that the
+// settings don't name gets the number -1, which no settings use.
 func (w *Names) Parse(text []byte) (cluster.List, error) {
 	var l wireList
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -83,7 +83,7 @@
 		case h.Host == "":
 			return cluster.List{}, fmt.Errorf("hosts[%d].host: missing", i)
 		case !known:
-			return cluster.List{}, fmt.Errorf("hosts[%d].health: unknown word %q", i, h.Health)
+			return cluster.List{}, fmt.Errorf("hosts[%d].health: unknown value %q", i, h.Health)
 		}
 		if health != cluster.Gone {
 			if err := CheckAddress(h.Dial); err != nil {
@@ -97,20 +97,20 @@
 	return out, nil
 }
 
-// CheckAddress tells what is wrong with an address that is to have a host and a port.
+// CheckAddress returns an error unless addr has a host and a port.
 func CheckAddress(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("no address with a port: %q", addr)
+		return fmt.Errorf("address without a port: %q", addr)
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("no port number: %q", addr)
+		return fmt.Errorf("invalid port number: %q", addr)
 	}
 	return nil
 }
 
-// AddrOf gives a server its address in the module: from its name alone, so that it is the
-// same at every agent and stays when the address to dial changes.
+// AddrOf returns the address that identifies a server in this module. It is derived from the name
+// alone, so it is the same at every agent and stays when the address to dial changes.
 func AddrOf(host string) cluster.Addr {
 	h := fnv.New64a()
 	io.WriteString(h, host)
@@ -121,21 +121,21 @@
 	return cluster.Addr(sum[2:])
 }
 
-// Client asks one service.
+// Client is a client of one discovery service.
 type Client struct {
-	addr    string
-	names   Names
-	dial    DialFunc
-	notify    func(core.Update)
+	addr           string
+	names          Names
+	dial           DialFunc
+	notify         func(core.Update)
 	silenceTimeout time.Duration
-	ctx     context.Context
-	cancel  context.CancelFunc
+	ctx            context.Context
+	cancel         context.CancelFunc
 }
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// New makes the client of the service at addr; its calls end with the context.
+// New returns a client of the service at addr. Its calls end with the context.
 func New(ctx context.Context, addr string, words Names, dial DialFunc, tell func(core.Update)) *Client {
 	d := &Client{addr: addr, names: words, dial: dial, notify: tell, silenceTimeout: watchTimeout}
 	d.ctx, d.cancel = context.WithCancel(ctx)
@@ -145,14 +145,14 @@
 // Close ends all calls.
 func (d *Client) Close() { d.cancel() }
 
-// Fetch asks for the whole list once, eagerly if so wanted, and tells Fetched.
+// Fetch requests the complete list once, with eager retries if set, and reports Fetched.
 func (d *Client) Fetch(eager bool) { go d.fetch(eager) }
 
-// Watch follows the changes after version since until the connection ends, falls silent
-// or holds a line that makes no sense; then it tells WatchEnded.
+// Watch follows the changes after version since until the connection ends, a time-out without a line
+// passes, or a line is invalid. It then reports WatchEnded.
 func (d *Client) Watch(since int64, eager bool) { go d.watch(since, eager) }
 
-// retryEagerly tries a call until it goes through, for a while if the discovery is new.
+// retryEagerly calls try and, if eager, repeats it for eagerDuration until it succeeds.
 func (d *Client) retryEagerly(eager bool, try func() error) error {
 	end := time.Now().Add(eagerDuration)
 	for {
@@ -204,7 +204,7 @@
 	d.notify(core.Update{Kind: core.WatchEnded, Err: err})
 }
 
-// follow is one watch; it reports whether a list came and why it ended.
+// follow runs one watch. It reports whether a list was received, and why the watch ended.
 func (d *Client) follow(since int64, eager bool) (told bool, err error) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
@@ -240,10 +240,10 @@
 	return told, io.EOF
 }
 
-// maxHeader bounds the head of an answer, in bytes.
+// maxHeader is the limit of a response's header, in bytes.
 const maxHeader = 64 << 10
 
-// responseBody is the body of an responseBody with its connection.
+// responseBody is the body of a response with its connection.
 type responseBody struct {
 	io.Reader
 	conn net.Conn
@@ -255,9 +255,9 @@
 	return a.conn.Close()
 }
 
-// get asks on a connection of its own: a kept one could break under the next call, and each
-// call is work for the service. The answer's body ends with the context. A watch lies idle for
-// hours; without a transport's goroutines and buffers it costs its reader and no more.
+// get sends a request on a connection of its own: a reused one could break under the next call, and
+// each call costs the service work. Reading the body fails once the context ends. A watch is idle for
+// hours; without a transport's goroutines and buffers it costs only its reader.
 func (d *Client) get(ctx context.Context, path string) (io.ReadCloser, error) {
 	dialing, cancel := context.WithTimeout(ctx, fetchTimeout)
 	conn, err := d.dial(dialing, "tcp", d.addr)
@@ -275,7 +275,7 @@
 	resp, err := http.ReadResponse(bufio.NewReaderSize(head, 2048), &http.Request{Method: http.MethodGet})
 	switch {
 	case err != nil:
-		err = fmt.Errorf("answer: %w", err)
+		err = fmt.Errorf("response: %w", err)
 	case resp.StatusCode != http.StatusOK:
 		err = errors.New(resp.Status)
 	}
@@ -283,7 +283,7 @@
 		a.Close()
 		return nil, err
 	}
-	head.N = math.MaxInt64 // who reads the body bounds it
+	head.N = math.MaxInt64 // readers of the body apply their own limits
 	a.Reader = resp.Body
 	return a, nil
 }
