--- a/internal/protocol/gateway/avoid_test.go
+++ b/internal/protocol/gateway/avoid_test.go
@@ -10,8 +10,8 @@
 	"molepaddle/internal/rig/testkit/sites"
 )
 
-// What a view speaks against gets nothing new as long as there is another, and gets all where there is
-// none: a view never closes the way.
+// An avoided gateway gets nothing new while another gateway is reachable. If all reachable gateways
+// are avoided, they are all used, so that a view can't make the site unreachable.
 func TestAvoided(t *testing.T) {
 	one, listen := startFar(t, 1, time.Millisecond), sites.Loopback(t)
 	named := farFile(t, listen.Addr().String(), "")
@@ -37,7 +37,7 @@
 	before := len(two.Came())
 	ask(40)
 	if now := len(two.Came()); now != before {
-		t.Errorf("%d came to the one avoided", now-before)
+		t.Errorf("%d requests were sent to the avoided gateway", now-before)
 	}
 	near.Agent.AvoidGateways("gw-b", "gw-c")
 	before = len(two.Came())
@@ -49,7 +49,8 @@
 	})
 }
 
-// Belief that one agent alone holds is not enough, nor any of one that doubts itself.
+// A suspicion that only one agent reports does not suffice to avoid a gateway, and a view that
+// suspects itself of being partitioned avoids none.
 func TestWhomAViewAvoids(t *testing.T) {
 	m := func(name, role, process string, s members.State, doubts ...string) members.Member {
 		return members.Member{ID: members.ID{Name: name, Incarnation: 1}, Info: members.Info{Role: role, Process: process}, State: s, SuspectedBy: doubts}
@@ -62,6 +63,6 @@
 		t.Errorf("%v", got)
 	}
 	if v.SelfSuspicion = "I may be cut off"; v.Avoid("gateway") != nil {
-		t.Error("who doubts itself avoids others")
+		t.Error("a view that suspects itself avoids others")
 	}
 }
--- a/internal/protocol/gateway/gateway_test.go
+++ b/internal/protocol/gateway/gateway_test.go
@@ -15,8 +15,8 @@
 	"molepaddle/internal/rig/wan"
 )
 
-// pair is two sites with a network between them: what clients ask at the near one, the
-// servers of the far one answer.
+// pair is two sites with a simulated network between them; the servers of the far site answer the
+// requests of the near site's clients.
 type pair struct {
 	near, far *sites.Site
 	net       *wan.Net
@@ -92,7 +92,8 @@
 	return sites.Ask(context.Background(), p.near.Base, class, patience, []byte("body"))
 }
 
-// judge holds what is promised of an answer against what came to the servers.
+// judge checks answers against the number of times that each request reached a server, and counts the
+// answers by kind.
 func judge(t testing.TB, came map[string]int, answers ...sites.Answer) (served, refused, failed, broken int) {
 	t.Helper()
 	for _, a := range answers {
@@ -122,8 +123,8 @@
 	return
 }
 
-// unanswered holds that what came to a server has an answer. A connection may end with none
-// where it is closed between two requests.
+// unanswered fails the test for each request that reached a server but has no answer. A connection may
+// end without an answer where it is closed between two requests.
 func unanswered(t testing.TB, came map[string]int, answers []sites.Answer) {
 	t.Helper()
 	for _, a := range answers {
@@ -133,7 +134,7 @@
 	}
 }
 
-// load asks at a steady rate until stop is closed, and gives all answers.
+// load sends requests at a steady rate until stop is closed, and returns all answers.
 func load(base string, each time.Duration, patience time.Duration, classes []string, stop <-chan struct{}) []sites.Answer {
 	var mu sync.Mutex
 	var all []sites.Answer
@@ -173,7 +174,8 @@
 	}
 }
 
-// With the link gone or stalled the near end refuses at once, and serves again after.
+// While the link is lost or stalled, the near end rejects requests at once; afterwards it serves them
+// again.
 func TestStalledLinkRefusesAtOnce(t *testing.T) {
 	p := startPair(t, 1, 0, "")
 	for _, ways := range [][]wan.Way{{wan.There}, {wan.Back}, {wan.There, wan.Back}} {
@@ -189,8 +191,8 @@
 	judge(t, p.far.Came())
 }
 
-// A drain notice for a far server comes while the link is stalled with orders in it: after
-// the notice and its grace nothing new comes to that server, also when the stall ends.
+// A far server starts draining while the link is stalled with requests on it. After the drain's grace
+// period it gets no new requests, not even when the stall ends.
 func TestDrainWhileTheLinkStalls(t *testing.T) {
 	t.Parallel()
 	for _, ways := range [][]wan.Way{{wan.There}, {wan.Back}, {wan.There, wan.Back}} {
@@ -213,7 +215,7 @@
 				close(stop)
 				answers := <-done
 				for _, a := range p.far.Servers[0].Came() {
-					if late := a.At.Sub(told); late > 300*time.Millisecond { // 250, and 50 of real time
+					if late := a.At.Sub(told); late > 300*time.Millisecond { // grace of 250 ms, and 50 ms for scheduling
 						t.Errorf("%s came to the drained server %v after the notice", a.ID, late)
 					}
 				}
@@ -227,8 +229,8 @@
 	}
 }
 
-// A gateway that is killed with an order in flight loses no more than it must: the order
-// comes once at most, and its client has one answer, or its connection breaks.
+// A gateway is killed while a request is in flight. The request runs at most once, and its client gets
+// one answer or a broken connection.
 func TestKilledInFlight(t *testing.T) {
 	t.Parallel()
 	for _, who := range []string{"near", "far", "both"} {
@@ -245,7 +247,7 @@
 			var next *sites.Site
 			if who != "near" {
 				p.far.Kill()
-				// Another process comes up under the same address, with servers of its own.
+				// A new process starts at the same address, with its own servers.
 				next = startFar(t, 1, 0)
 				p.net.Turn(next.Links.Addr().String())
 				p.net.Cut()
@@ -270,8 +272,8 @@
 	}
 }
 
-// A near gateway that ends as planned answers all that it has taken; what comes after finds
-// nobody, and has come to no server.
+// A near gateway that shuts down gracefully answers all accepted requests; later requests find no
+// listener and reach no server.
 func TestNearEndsUnderLoad(t *testing.T) {
 	t.Parallel()
 	p := startPair(t, 2, 20*time.Millisecond, "")
@@ -294,7 +296,8 @@
 	}
 }
 
-// Planned restarts under load lose nothing: all is answered, no order comes twice.
+// A planned restart of the far gateway under load loses nothing: all requests are answered, and no
+// order runs twice.
 func TestPlannedRestarts(t *testing.T) {
 	t.Parallel()
 	p := startPair(t, 2, 3*time.Millisecond, "")
@@ -323,8 +326,8 @@
 	}
 }
 
-// The link is cut before every byte that goes either way while an order crosses: it comes
-// once at most, is answered once, and served where the link's other connection is there.
+// The link is cut before every byte in either direction while a request crosses. The request runs at
+// most once and gets one answer, which is a success if the link's other connection is up.
 func TestCutAtEveryByte(t *testing.T) {
 	t.Parallel()
 	for _, way := range []wan.Way{wan.There, wan.Back} {
@@ -338,10 +341,10 @@
 					p.net.Cut()
 					p.near.Ready(t)
 					a := p.ask("order", 2*time.Second)
-					if answers = append(answers, a); a.Status != 200 && a.Status != 503 { // the link may go again
+					if answers = append(answers, a); a.Status != 200 && a.Status != 503 { // the link may be lost again
 						t.Fatalf("cut at byte %d: %d after %v", at, a.Status, a.Took)
 					}
-					if at > 700 { // more than a greeting, an offer and its answer
+					if at > 700 { // more than the bytes of a greeting, an offer and its answer
 						whole++
 					}
 				}
@@ -351,9 +354,9 @@
 	}
 }
 
-// The link is cut with an order in flight, and cut again before every byte that goes either
-// way while the near end greets and asks, or its client leaves: the order comes once, and its
-// client, if it still waits, is served.
+// The link is cut with a request in flight, and cut again before every byte in either direction while
+// the near end reconnects and asks for the outcome, or while its client disconnects. The request runs
+// once, and a client that still waits is served.
 func TestCutWhileAsking(t *testing.T) {
 	t.Parallel()
 	for _, way := range []wan.Way{wan.There, wan.Back} {
@@ -365,7 +368,7 @@
 				var answers []sites.Answer
 				step := int64(2)
 				if leaves {
-					step = 16 // the module sends less after each that is given up
+					step = 16 // the balancer sends less after each abandoned request
 				}
 				for at := int64(0); at < 240; at += step {
 					p.near.Ready(t)
@@ -383,7 +386,7 @@
 						}
 						return early != nil || len(server.Came()) > n
 					})
-					if early != nil { // the link was gone again
+					if early != nil { // the link was lost again
 						answers = append(answers, *early)
 						server.Hold(false)
 						cancel()
@@ -411,8 +414,8 @@
 	}
 }
 
-// Delays of 8 to 16 ms with jitter, connections that break, two links that overtake each
-// other, clients that leave: no order comes twice, each has one answer.
+// With delays of 8 to 16 ms, jitter, broken connections, two connections that overtake each other, and
+// clients that disconnect, no order runs twice and each has one answer.
 func TestRoughLink(t *testing.T) {
 	p := startPair(t, 3, 2*time.Millisecond, "")
 	p.net.Set(wan.There, wan.Path{Delay: 8 * time.Millisecond, Jitter: 8 * time.Millisecond})
@@ -451,8 +454,8 @@
 	}
 }
 
-// The routes change while a thousand crossings are under way: each of them is answered by the
-// site that has it, once, and what comes after the change goes the new way.
+// The routes change while a thousand crossings are in flight. Each is answered once by the site that
+// has it, and later requests follow the new routes.
 func TestRoutesChangeUnderWay(t *testing.T) {
 	patient := func(settings map[string]any) {
 		for _, c := range settings["classes"].([]any) {
@@ -460,7 +463,7 @@
 		}
 	}
 	const fars, each = 3, 340
-	const times = "\nstall_after = \"15s\"\ndead_after = \"20s\"\n" // a machine under this load may be late
+	const times = "\nstall_after = \"15s\"\ndead_after = \"20s\"\n" // heartbeats may be late under this load
 	text := "[gateway]\nname = \"gw-a\"\nplain = true\nwindow = 2000\ncrossings = 4000\nlaw = \"fixed\"" + times + "[[gateway.site]]\nname = \"b\"\n"
 	var far []*sites.Site
 	for i := range fars {
@@ -523,7 +526,7 @@
 		}
 	}
 	crossed := len(came)
-	for id, n := range near.Came() { // the few that came after the change
+	for id, n := range near.Came() { // the few that arrived after the change
 		came[id] += n
 	}
 	served, refused, failed, broken := judge(t, came, answers...)
@@ -533,9 +536,9 @@
 	}
 }
 
-// A class that fills the window of a link leaves another its part: an order crosses while more
-// looks than the link takes wait for a far end that does not answer, and no more are ever out
-// than the far end is said to take.
+// A class that fills the window of a link leaves another class its share: an order crosses while more
+// looks than the link takes wait for a far end that doesn't answer, and no more are in flight than the
+// far end accepts.
 func TestAClassKeepsItsPart(t *testing.T) {
 	p := startPairOf(t, 1, 0, "law = \"fixed\"\ncrossings = 24\nwindow = 500\n", false)
 	p.far.Servers[0].Hold(true)
--- a/internal/protocol/gateway/lease_test.go
+++ b/internal/protocol/gateway/lease_test.go
@@ -8,7 +8,7 @@
 	"molepaddle/internal/protocol/link"
 )
 
-// A lease ends so long before the attempt's time that the answer can come back.
+// A lease is shortened by the estimated delay of the answer.
 func TestLeaseLeavesTheWayBack(t *testing.T) {
 	a := core.NewAttempt(t.Context(), &core.Request{}, 10*time.Second, func(core.Result) {})
 	st := link.State{Quote: 7, QuoteAt: time.Now()}
--- a/internal/protocol/gateway/leave_test.go
+++ b/internal/protocol/gateway/leave_test.go
@@ -12,7 +12,7 @@
 	"molepaddle/internal/rig/wan"
 )
 
-// crowd asks many times at once; leave has all of the clients go in one instant and waits for them.
+// crowd sends n concurrent requests; leave disconnects all clients at once and waits for them.
 func crowd(base string, n int, class string, patience time.Duration) (answers []sites.Answer, leave func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	answers = make([]sites.Answer, n)
@@ -30,7 +30,7 @@
 	}
 }
 
-// patient has the classes of a site let clients wait for minutes, so that no time-out decides a test.
+// patient sets the classes' client time-outs to a minute, so that no time-out decides a test.
 func patient(cancelling bool) func(map[string]any) {
 	return func(settings map[string]any) {
 		for _, c := range settings["classes"].([]any) {
@@ -41,16 +41,16 @@
 	}
 }
 
-// still has a link be taken for stalled after a time that no busy machine takes for a beat: who comes
-// while it is gets refused, and rightly.
+// still raises the time after which a link counts as stalled, so that a late heartbeat on a busy
+// machine doesn't cause refusals.
 func still(o *operator.Settings) *operator.Settings {
 	o.Gateway.StallAfter, o.Gateway.DeadAfter = operator.Duration(30*time.Second), operator.Duration(time.Minute)
 	return o
 }
 
-// A crowd of clients goes in one instant, two hops and 16 ms each way from the servers, while most of
-// what they asked for waits: at the near end, on the link, in the far end's queue. What waits is never
-// begun, whether or not what has begun may be cancelled, and also where the link stalls meanwhile.
+// Many clients disconnect at once while most of their requests wait: at the near end, on the link with
+// a delay of 16 ms each way, or in the far end's queue. No waiting request is started afterwards,
+// whether or not running requests may be cancelled, and also if the link stalls meanwhile.
 func TestCrowdLeavesBehindALink(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		for _, stalled := range []bool{false, true} {
@@ -120,8 +120,9 @@
 	}
 }
 
-// On one site a crowd goes in one instant while the queue is full and one of the servers goes on with
-// what it was told to leave: none of what waited is begun, and who stayed is answered in time.
+// Many clients of one site disconnect at once while the queue is full and the servers still work on
+// abandoned requests. No queued request is started, and a client that comes afterwards is answered in
+// time.
 func TestCrowdLeavesAFullQueue(t *testing.T) {
 	near := sites.Start(t, sites.Options{Servers: 2, Config: func(settings map[string]any) {
 		patient(true)(settings)
@@ -151,8 +152,8 @@
 	}
 }
 
-// With little time left a request crosses and is answered, or is refused or failed at once; none is
-// begun at the far end after its client's time, and none is left without an answer.
+// With little time left a request is forwarded and answered, or rejected at once. None is started at
+// the far end after its client's deadline, and each gets an answer.
 func TestLittleTimeOnALink(t *testing.T) {
 	p := startPair(t, 2, 5*time.Millisecond, "")
 	for _, w := range []wan.Way{wan.There, wan.Back} {
--- a/internal/protocol/gateway/measure_test.go
+++ b/internal/protocol/gateway/measure_test.go
@@ -23,13 +23,13 @@
 
 var measure = flag.Bool("gateway.measure", false, "measure a gateway, for some minutes, and print a table")
 
-// quantile of sorted times.
+// quantile returns a quantile of sorted times.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// paced asks at a rate, arrivals fixed ahead, and gives the times from when each was due,
-// sorted, and how many were not served.
+// paced sends requests at a fixed rate. It returns the sorted times from when each was due, and the
+// number that were not served.
 func paced(base string, rate, n int) (times []time.Duration, bad int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -54,8 +54,8 @@
 	return times, bad
 }
 
-// TestMeasureLatency compares orders that a client sends to the far site itself, over the
-// same delay, with orders that cross through a gateway.
+// TestMeasureLatency compares the latency of orders that a client sends directly to the far site, over
+// the same network delay, with that of orders that cross through a gateway.
 func TestMeasureLatency(t *testing.T) {
 	if !*measure {
 		t.Skip("no measure is asked for")
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestMeasureStall tells how soon after the end of a stall the first answer comes.
+// TestMeasureStall measures the time from the end of a stall to the first answer.
 func TestMeasureStall(t *testing.T) {
 	if !*measure {
 		t.Skip("no measure is asked for")
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestMeasureWaiting tells what 10,000 crossings that wait on a stalled link cost the near end.
-// They are brought to the transport as attempts: a core would hold some of them itself.
+// TestMeasureWaiting measures what 10,000 crossings that wait on a stalled link cost the near end.
+// They are passed to the transport as attempts, as a core would queue some of them itself.
 func TestMeasureWaiting(t *testing.T) {
 	if !*measure {
 		t.Skip("no measure is asked for")
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestMeasureSlow compares the laws of a link's window while the far end slows to a tenth,
-// with all of both sites at work: 400 requests a second of which each server does a part.
+// TestMeasureSlow compares the window algorithms of a link while the far end slows down to a tenth,
+// with both sites fully loaded: 400 requests a second, shared by the servers.
 func TestMeasureSlow(t *testing.T) {
 	if !*measure {
 		t.Skip("no measure is asked for")
@@ -297,8 +297,8 @@
 	}
 }
 
-// BenchmarkCrossing is an order through both gateways and back, with the client and the
-// server in the process; BenchmarkStraight the same to the far agent itself.
+// BenchmarkCrossing measures an order through both gateways and back, with the client and the server
+// in the process; BenchmarkStraight sends it to the far agent directly.
 func BenchmarkCrossing(b *testing.B) {
 	p := startPair(b, 2, 0, "")
 	there, back := p.net.Passed(wan.There), p.net.Passed(wan.Back)
@@ -307,7 +307,7 @@
 	b.ReportMetric(float64(p.net.Passed(wan.Back)-back)/float64(b.N), "B-back/op")
 }
 
-// BenchmarkStraight is what BenchmarkCrossing is compared with.
+// BenchmarkStraight is the baseline of BenchmarkCrossing.
 func BenchmarkStraight(b *testing.B) {
 	far := startFar(b, 2, 0)
 	far.Ready(b)
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -26,22 +26,22 @@
 	"molepaddle/internal/rig/testkit/sites"
 )
 
-// liar is a near end that a test scripts frame by frame.
+// liar is a near end that a test scripts frame by frame, usually with invalid input.
 type liar struct {
 	net.Conn
 	r   *linkwire.Reader
 	inc uint64
-	now uint64 // the far end's clock as last told
+	now uint64 // latest reading of the far end's clock
 }
 
-// lastInc makes each liar a process of its own.
+// lastInc gives each liar its own incarnation.
 var lastInc atomic.Uint64
 
 func hello(name string) *linkwire.Hello {
 	return &linkwire.Hello{Magic: linkwire.Magic, Least: 1, Most: 1, Name: name, Incarnation: 1000 + lastInc.Add(1)}
 }
 
-// lie dials a far end and greets it so.
+// lie dials a far end and sends the Hello, if any.
 func lie(t *testing.T, addr string, h *linkwire.Hello) *liar {
 	t.Helper()
 	c, err := testkit.Dial("tcp", addr)
@@ -68,7 +68,7 @@
 	_, _ = l.Write(buf)
 }
 
-// next is the next frame that is no beat; nil: the far end has closed.
+// next returns the next frame other than a heartbeat, or nil if the far end has closed.
 func (l *liar) next(t *testing.T) linkwire.Frame {
 	t.Helper()
 	_ = l.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -76,7 +76,7 @@
 		f, err := l.r.Next()
 		if err != nil {
 			if nerr, ok := err.(net.Error); ok && nerr.Timeout() {
-				t.Fatal("no word, and not closed")
+				t.Fatal("no frame received, and connection not closed")
 			}
 			return nil
 		}
@@ -97,15 +97,16 @@
 	return linkwire.Lease{Incarnation: l.inc, Quote: l.now, Begin: 10e6, Life: 10e6}
 }
 
-// idle takes requests, and begins none.
+// idle is a Handler that accepts requests and never starts them.
 type idle struct{ dropped chan string }
 
 func (i idle) Take(r *core.Request, _ func(core.Answer)) (drop func()) {
 	return func() { i.dropped <- r.ID }
 }
 
-// What is asked about by way of another gateway and had not begun is barred. The near end hears so by its own link
-// as well: whoever asked may have given up waiting, and nobody asks again while that link is up.
+// A crossing that another gateway queries, and that has not begun, is fenced. The near end is told on
+// its own link as well: the querying gateway may have timed out, and the near end sends no further
+// query while that link is up.
 func TestOwnWordReachesTheNearEnd(t *testing.T) {
 	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Idempotency: settings.NonIdempotent, ClientTimeoutMs: 10_000}}}
 	took := idle{make(chan string, 1)}
@@ -119,7 +120,7 @@
 	l := lie(t, ln.Addr().String(), h)
 	l.say(t, l.offer(1))
 	for v, _ := far.Own("gw-a", h.Incarnation, 1); v != promises.NeverBegun; v, _ = far.Own("gw-a", h.Incarnation, 1) {
-		runtime.Gosched() // the offer is still on its way
+		runtime.Gosched() // until the offer has arrived
 	}
 	if f, ok := l.next(t).(*linkwire.Never); !ok || f.Number != 1 || f.Why != linkwire.WhyBarred {
 		t.Errorf("the near end hears %+v", f)
@@ -129,7 +130,7 @@
 	}
 }
 
-// A peer that lies is told why or cut off, and costs nobody else anything.
+// A peer that violates the protocol gets an error or is disconnected, without effect on others.
 func TestLiars(t *testing.T) {
 	far := startFar(t, 1, 0)
 	far.Ready(t)
@@ -174,7 +175,7 @@
 	})
 	t.Run("silence", func(t *testing.T) { closed(t, lie(t, addr, nil)) })
 	t.Run("silence after the greeting", func(t *testing.T) { closed(t, lie(t, addr, hello("gw-a"))) })
-	t.Run("a number twice", func(t *testing.T) {
+	t.Run("a number used twice", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		l.say(t, l.offer(1))
 		if f, ok := l.next(t).(*linkwire.Ended); !ok || f.Result != linkwire.Served {
@@ -183,14 +184,14 @@
 		l.say(t, l.offer(1))
 		closed(t, l)
 	})
-	t.Run("a time that was never told", func(t *testing.T) {
+	t.Run("a clock reading in the future", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		f := l.offer(1)
 		f.Lease.Quote += 1 << 40
 		l.say(t, f)
 		closed(t, l)
 	})
-	t.Run("parts of nothing", func(t *testing.T) {
+	t.Run("a part without an offer", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		l.say(t, &linkwire.Part{Number: 9, Body: []byte("x")})
 		closed(t, l)
@@ -206,7 +207,7 @@
 			t.Errorf("it was told %+v, want why %d", f, why)
 		}
 	}
-	t.Run("what is turned away", func(t *testing.T) {
+	t.Run("rejected offers", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		for i, c := range []struct {
 			why    uint64
@@ -241,7 +242,7 @@
 		if _, ok := l.next(t).(*linkwire.Ended); !ok {
 			t.Fatal("not served")
 		}
-		m := lie(t, addr, hello("gw-a")) // another process: its numbers are its own
+		m := lie(t, addr, hello("gw-a")) // another process, with its own numbers
 		m.say(t, &linkwire.Fence{Number: 31, Lease: m.lease()})
 		never(t, m, linkwire.WhyBarred)
 		l.say(t, &linkwire.Fence{Number: 31, Lease: l.lease()})
@@ -265,8 +266,8 @@
 	}
 }
 
-// Links under TLS: only who has a certificate of the authority, and the name that is
-// expected, comes up; certificates and routes change under load, and nothing is lost.
+// With TLS, a link comes up only for a certificate of the authority with the expected name.
+// Certificates and routes change under load, and no request is lost.
 func TestCertificatesChangeUnderLoad(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -317,7 +318,7 @@
 	if served < 100 {
 		t.Errorf("%d served, %d refused, %d failed, %d without an answer", served, refused, failed, broken)
 	}
-	// Who has the authority's word and not the name, or neither, is not let in.
+	// A certificate with another name or of another authority is rejected.
 	other := t.TempDir()
 	must(keys.Make(other, []string{"gw-a"}, time.Hour))
 	must(keys.Make(dir, []string{"gw-old"}, time.Millisecond))
@@ -344,7 +345,7 @@
 	}
 }
 
-// A near end turns from a far gateway that is another than it says.
+// A near end closes links to a far gateway with an unexpected name, or which violates the protocol.
 func TestFarLiar(t *testing.T) {
 	ln := sites.Loopback(t)
 	defer ln.Close()
@@ -368,7 +369,7 @@
 				c.Write(buf)
 			case 1:
 				io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n")
-			case 2: // answers what was never asked
+			case 2: // an answer without an offer
 				h := hello("gw-b")
 				h.Crossings = 10
 				buf, _ := linkwire.Append(nil, h)
--- a/internal/protocol/linkwire/linkwire_test.go
+++ b/internal/protocol/linkwire/linkwire_test.go
@@ -12,7 +12,7 @@
 
 var lease = Lease{Incarnation: 7, Quote: 1000, Begin: 10, Life: 2000}
 
-// frames is one of each kind, with what it may hold at the most where that is bounded.
+// frames returns frames of most kinds, some of them at the limits of their fields.
 func frames() []Frame {
 	return []Frame{
 		&Hello{Magic: Magic, Least: 1, Most: 1, Name: "gw-a", Incarnation: 9, Crossings: 10, Bytes: 1 << 20, Now: 5, Draining: true},
@@ -46,7 +46,7 @@
 	if _, err := r.Next(); err != io.EOF {
 		t.Errorf("at the end: %v", err)
 	}
-	// Cut anywhere else it is no clean end.
+	// Cut within a frame, the input has no clean end.
 	for at := range len(buf) {
 		r := NewReader(bytes.NewReader(buf[:at]))
 		var err error
@@ -59,7 +59,7 @@
 	}
 }
 
-// What a peer may not say is an error, both to write and to read.
+// Frames with fields out of bounds are rejected by Append and by Decode.
 func TestBounds(t *testing.T) {
 	offer := func(change func(*Offer)) *Offer {
 		f := *frames()[2].(*Offer)
@@ -106,7 +106,7 @@
 	if _, err := Decode(99, nil); err == nil {
 		t.Error("a kind that is not known is read")
 	}
-	// A length of 4 GB is refused before anything is held.
+	// A length of 4 GB is rejected before a buffer is allocated.
 	r := NewReader(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}))
 	if _, err := r.Next(); err == nil || cap(r.buf) != 0 {
 		t.Errorf("%v, holds %d bytes", err, cap(r.buf))
@@ -116,7 +116,7 @@
 	}
 }
 
-// An answer goes out part by part, and comes together again.
+// An answer is written in parts that add up to its body.
 func TestItem(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789"), 5000)
 	item := (&Ended{Number: 4, ContentType: "x", Size: uint64(len(body)), Body: body}).Item()
@@ -142,8 +142,8 @@
 	}
 }
 
-// Whatever comes, a reader neither panics nor holds more than its bound, and what it takes
-// it can write again.
+// Whatever the input, a Reader neither panics nor buffers more than its limit, and each frame that it
+// reads can be encoded again.
 func FuzzReader(f *testing.F) {
 	for _, x := range frames() {
 		buf, _ := Append(nil, x)
--- a/internal/protocol/linkwire/wire_test.go
+++ b/internal/protocol/linkwire/wire_test.go
@@ -9,7 +9,7 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// Frames of each kind, and the bodies of records, have the bytes that gateways and agents of other builds send.
+// Frames of each kind have the encoding of gateways and agents of other versions.
 func TestWireBytes(t *testing.T) {
 	all := append(frames(), extraFrames()...)
 	kinds := map[Kind]bool{}
@@ -32,7 +32,7 @@
 	}
 }
 
-// extraFrames are the kinds that frames leaves out.
+// extraFrames returns frames of the kinds that frames leaves out.
 func extraFrames() []Frame {
 	return []Frame{
 		&Word{Topic: MaxTopic, Number: 1 << 63, More: true, Body: []byte("part")},
@@ -41,7 +41,8 @@
 	}
 }
 
-// The body of a record in which a process describes itself, and of the list of those that it watches.
+// The bodies of a process's own record and of a list of suspicions have the encoding of other
+// versions.
 func TestRecordBytes(t *testing.T) {
 	self := Self{}
 	goldenbytes.Fill(&self)
--- a/internal/protocol/peers/peers_test.go
+++ b/internal/protocol/peers/peers_test.go
@@ -17,7 +17,7 @@
 
 const beat = 20 * time.Millisecond
 
-// end starts one agent's end on loopback; it ends with the test.
+// end starts one agent's end on loopback; it is closed with the test.
 func end(t *testing.T, name string, seeds ...Seed) (p *Peers, at string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,8 +51,8 @@
 	return v.Reachable
 }
 
-// A peer that says what can't be is cut, and harms nobody; what a newer build says of itself goes
-// on as it came.
+// A peer that sends invalid frames is disconnected without effect on others, and a record with fields
+// of a newer version is forwarded unchanged.
 func TestStrangePeers(t *testing.T) {
 	a, at := end(t, "a")
 	b, _ := end(t, "b", Seed{"a", at})
@@ -111,7 +111,8 @@
 	second.Close(nil)
 }
 
-// Of two links between two that dial at once one stays, the same at both ends; leaving is heard.
+// When two peers dial each other at once, both ends keep the same one of the two links. A graceful
+// leave is reported.
 func TestOneLinkEach(t *testing.T) {
 	var ends []*Peers
 	var seeds []Seed
@@ -145,7 +146,7 @@
 	}
 }
 
-// What waits to be written is bounded, and the oldest goes first.
+// The queue of messages is bounded, and the oldest are dropped first.
 func TestQueueIsBounded(t *testing.T) {
 	l := &peer{}
 	for i := range 1000 {
@@ -157,7 +158,7 @@
 	}
 }
 
-// What a message says survives the wire.
+// A message that was decoded is encoded to an equal message, and a view accepts any.
 func FuzzMessage(f *testing.F) {
 	text, _ := linkwire.Append(nil, &linkwire.News{Digest: 1, Heads: []linkwire.Head{{Key: 1, Version: 2}}, Records: []linkwire.Entry{
 		{Name: "a", Incarnation: 1, Version: 1, Body: []byte{0xa1, 0x01, 0x61, 'h'}}, {Name: "a", Incarnation: 1, Subject: 1, Version: 1, Body: []byte{0x81, 0x82, 1, 2}}}})
--- a/internal/protocol/peers/wire_test.go
+++ b/internal/protocol/peers/wire_test.go
@@ -10,7 +10,7 @@
 	"molepaddle/internal/protocol/linkwire"
 )
 
-// A message about members has the bytes that agents of other builds send, and is read from them.
+// The encoding of a membership message is that of agents of other versions, in both directions.
 func TestWireBytes(t *testing.T) {
 	m := members.Message{}
 	goldenbytes.Fill(&m)
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range got.Records { // what came is kept as it came
+	for i := range got.Records { // received records keep their encoding
 		if got.Records[i].Kind != members.Orders {
 			got.Records[i].Raw = ""
 		}
--- a/internal/protocol/roster/roster_test.go
+++ b/internal/protocol/roster/roster_test.go
@@ -14,9 +14,9 @@
 	"molepaddle/internal/decide/cluster"
 )
 
-const never = time.Hour // for what a test does not let run out
+const never = time.Hour // for time-outs that must not pass in a test
 
-// scripted is a service whose watch writes lines and then stays open or ends.
+// scripted is a discovery service whose watch writes the lines and then stays open or ends.
 func scripted(t *testing.T, stay bool, lines ...string) (*Client, chan core.Update) {
 	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,7 @@
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
-// A watch ends at a line that makes no sense, having told those before.
+// A watch ends at an invalid line, after the lines before it were reported.
 func TestMalformedLine(t *testing.T) {
 	d, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
 	d.silenceTimeout = never
@@ -52,7 +52,7 @@
 	}
 }
 
-// A watch on which nothing comes is dead and ends.
+// A watch without any line ends after the time-out.
 func TestSilentWatch(t *testing.T) {
 	d, told := scripted(t, true)
 	d.silenceTimeout = time.Millisecond
@@ -75,7 +75,8 @@
 	}
 }
 
-// The first calls to a new roster are tried again without the module's back-off.
+// The first calls to a new discovery service are retried at short intervals, without the core's
+// backoff.
 func TestReloadTriesAgain(t *testing.T) {
 	tries := make(chan struct{}, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// A dial to a service that is silent ends with the client, not with the machine's patience.
+// A dial to a service that doesn't answer ends with Close, before the system's connect time-out.
 func TestSilentDialEnds(t *testing.T) {
 	dialling, ended := make(chan struct{}), make(chan struct{})
 	d := New(t.Context(), "127.0.0.1:1", Names{}, func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -114,7 +115,7 @@
 	<-ended
 }
 
-// An address follows from the name alone.
+// An address depends on the name only.
 func TestAddresses(t *testing.T) {
 	first, again, other := AddrOf("s-1"), AddrOf("s-1"), AddrOf("s-2")
 	if first != again || first == other {
@@ -122,7 +123,7 @@
 	}
 }
 
-// What is read of a list makes sense, or is an error of one line; nothing crashes it.
+// Parse returns a valid list or an error, whatever the input.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{change, "{}", `{"seq":-1,"hosts":[{"host":"a","dial":"a:1","health":"ready","born_ms":1e300}]}`, `{"hosts":[{}]}`, "[", "\x00"} {
 		f.Add([]byte(text))
--- a/internal/rig/world/mutants_test.go
+++ b/internal/rig/world/mutants_test.go
@@ -113,7 +113,7 @@
 	{"every ending is taken for one that never ran", "policy/attempts.go",
 		"if ev.Status.NeverRan() {", "if true {"},
 	{"drains are heard 400 ms late", "internal/protocol/roster/roster.go",
-		"		d.tell(core.Update{Kind: core.Changed, List: l})", "		time.AfterFunc(400*time.Millisecond, func() { d.tell(core.Update{Kind: core.Changed, List: l}) })"},
+		"		d.notify(core.Update{Kind: core.Changed, List: l})", "		time.AfterFunc(400*time.Millisecond, func() { d.notify(core.Update{Kind: core.Changed, List: l}) })"},
 	{"what waits for a connection is not withdrawn at a drain", "internal/core/servers.go",
 		"	for _, a := range b.attempts {\n		c.stop(a, ErrDrained, policy.Full)\n	}\n", ""},
 	{"probes of a drained server go on", "internal/core/servers.go",
