--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -75,10 +75,10 @@
 			}
 			return a.life.State(a.Ready()).String(), load
 		},
-		Count: a.core.SetFleetSize,
+		OnCount: a.core.SetFleetSize,
 	}
 	if a.gate != nil {
-		po.Avoid = a.gate.avoid
+		po.OnAvoid = a.gate.avoid
 	}
 	for _, s := range p.Seeds {
 		po.Seeds = append(po.Seeds, peers.Seed(s))
@@ -96,9 +96,9 @@
 	}
 	if o.Work.On() {
 		f.work = newWork(a, &o.Work, p)
-		po.Beaten, po.Word = f.work.heartbeat, f.work.hear
+		po.OnPeriod, po.OnWord = f.work.heartbeat, f.work.hear
 		if a.promises != nil {
-			po.Word = func(from members.ID, w peers.Word) {
+			po.OnWord = func(from members.ID, w peers.Word) {
 				if !a.promises.Hear(from, w) {
 					f.work.hear(from, w)
 				}
--- a/internal/process/agent/status.go
+++ b/internal/process/agent/status.go
@@ -102,15 +102,15 @@
 				}
 				fmt.Fprintf(out, "     link: round trip %v, heard %v ago, its echo is %v old%s\n",
 					l.RoundTrip.Round(10*time.Microsecond),
-					l.Heard.Round(time.Millisecond), l.Echoed.Round(time.Millisecond), flags)
+					l.ReceivedAgo.Round(time.Millisecond), l.EchoedAgo.Round(time.Millisecond), flags)
 			}
 			for _, c := range p.Classes {
-				if c.Out > 0 || c.Turned > 0 {
-					fmt.Fprintf(out, "     %s: %d out, %d found no room\n", c.Name, c.Out, c.Turned)
+				if c.InFlight > 0 || c.Rejected > 0 {
+					fmt.Fprintf(out, "     %s: %d out, %d found no room\n", c.Name, c.InFlight, c.Rejected)
 				}
 			}
-			if p.Lost != "" {
-				fmt.Fprintf(out, "     last connection lost: %s\n", p.Lost)
+			if p.LastError != "" {
+				fmt.Fprintf(out, "     last connection lost: %s\n", p.LastError)
 			}
 		}
 	}
--- a/internal/process/promise/promise_test.go
+++ b/internal/process/promise/promise_test.go
@@ -18,7 +18,7 @@
 func (alone) View() (members.View, time.Time) {
 	return members.View{Self: members.ID{Name: "n0", Incarnation: 1}}, time.Time{}
 }
-func (alone) Say(members.ID, peers.Word) error { return peers.ErrNoRoom }
+func (alone) Say(members.ID, peers.Word) error { return peers.ErrQueueFull }
 func (alone) Wish(string, []string)            {}
 func (alone) Set(func(*members.Info))          {}
 
--- a/internal/protocol/gateway/gateway.go
+++ b/internal/protocol/gateway/gateway.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// incarnation returns a random, non-zero id for this process. The current time is mixed into the seed,
+// newIncarnation returns a random, non-zero id for this process. The current time is mixed into the seed,
 // so that restarted processes differ even where an installation starts all of them with the same seed.
-func incarnation(seed uint64) uint64 {
+func newIncarnation(seed uint64) uint64 {
 	return rand.New(rand.NewPCG(seed, uint64(time.Now().UnixNano()))).Uint64() | 1
 }
--- a/internal/protocol/gateway/gateway_test.go
+++ b/internal/protocol/gateway/gateway_test.go
@@ -558,10 +558,10 @@
 	for i := range looks {
 		wg.Go(func() { looks[i] = p.ask("look", 3*time.Second) })
 	}
-	sites.Eventually(t, "the looks fill what they may", func() bool { _, c := status(); return c["look"].Out == 22 && c["look"].Turned > 0 })
+	sites.Eventually(t, "the looks fill what they may", func() bool { _, c := status(); return c["look"].InFlight == 22 && c["look"].Rejected > 0 })
 	var order sites.Answer
 	wg.Go(func() { order = p.ask("order", 3*time.Second) })
-	sites.Eventually(t, "the order is out", func() bool { _, c := status(); return c["order"].Out == 1 })
+	sites.Eventually(t, "the order is out", func() bool { _, c := status(); return c["order"].InFlight == 1 })
 	if all, _ := status(); all > 24 {
 		t.Errorf("%d are out", all)
 	}
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -38,7 +38,7 @@
 var lastInc atomic.Uint64
 
 func hello(name string) *linkwire.Hello {
-	return &linkwire.Hello{Magic: linkwire.Magic, Least: 1, Most: 1, Name: name, Incarnation: 1000 + lastInc.Add(1)}
+	return &linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name, Incarnation: 1000 + lastInc.Add(1)}
 }
 
 // lie dials a far end and sends the Hello, if any.
@@ -89,7 +89,7 @@
 }
 
 func (l *liar) offer(num uint64) *linkwire.Offer {
-	return &linkwire.Offer{Number: num, Lease: l.lease(), Tries: 1, Class: "order", Effect: "single_shot", ID: fmt.Sprint("lie", num),
+	return &linkwire.Offer{Number: num, Lease: l.lease(), MaxAttempts: 1, Class: "order", Effect: "single_shot", ID: fmt.Sprint("lie", num),
 		Method: "POST", Target: "/order/u1", Host: "h"}
 }
 
@@ -122,7 +122,7 @@
 	for v, _ := far.Own("gw-a", h.Incarnation, 1); v != promises.NeverBegun; v, _ = far.Own("gw-a", h.Incarnation, 1) {
 		runtime.Gosched() // until the offer has arrived
 	}
-	if f, ok := l.next(t).(*linkwire.Never); !ok || f.Number != 1 || f.Why != linkwire.WhyBarred {
+	if f, ok := l.next(t).(*linkwire.Never); !ok || f.Number != 1 || f.Reason != linkwire.ReasonFenced {
 		t.Errorf("the near end hears %+v", f)
 	}
 	if id := <-took.dropped; id != "lie1" {
@@ -151,7 +151,7 @@
 	}
 	t.Run("another version", func(t *testing.T) {
 		l := lie(t, addr, nil)
-		l.say(t, &linkwire.Hello{Magic: linkwire.Magic, Least: 7, Most: 9, Name: "gw-a", Incarnation: 5})
+		l.say(t, &linkwire.Hello{Magic: linkwire.Magic, MinVersion: 7, MaxVersion: 9, Name: "gw-a", Incarnation: 5})
 		if f, ok := l.next(t).(*linkwire.Bye); !ok || !strings.Contains(f.Text, "version") {
 			t.Errorf("it was told %+v", f)
 		}
@@ -203,7 +203,7 @@
 	})
 	never := func(t *testing.T, l *liar, why uint64) {
 		t.Helper()
-		if f, ok := l.next(t).(*linkwire.Never); !ok || f.Why != why {
+		if f, ok := l.next(t).(*linkwire.Never); !ok || f.Reason != why {
 			t.Errorf("it was told %+v, want why %d", f, why)
 		}
 	}
@@ -213,13 +213,13 @@
 			why    uint64
 			change func(*linkwire.Offer)
 		}{
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Class = "nothing" }},
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Effect = "free" }},
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Class, f.Effect = "send", "guarded" }}, // without a key
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Method = "GET" }},
-			{linkwire.WhyLapsed, func(f *linkwire.Offer) { f.Lease.Begin, f.Lease.Life = 0, 0 }},
-			{linkwire.WhyLapsed, func(f *linkwire.Offer) { f.Lease.Begin = 0 }},
-			{linkwire.WhyLapsed, func(f *linkwire.Offer) { f.Lease.Incarnation++ }},
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Class = "nothing" }},
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Effect = "free" }},
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Class, f.Effect = "send", "guarded" }}, // without a key
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Method = "GET" }},
+			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Begin, f.Lease.Life = 0, 0 }},
+			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Begin = 0 }},
+			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Incarnation++ }},
 		} {
 			f := l.offer(uint64(i + 1))
 			c.change(f)
@@ -231,9 +231,9 @@
 		l := lie(t, addr, hello("gw-a"))
 		for i, ask := range []linkwire.Frame{&linkwire.Fence{Number: 21, Lease: l.lease()}, &linkwire.Cancel{Number: 22, Lease: l.lease()}} {
 			l.say(t, ask)
-			never(t, l, linkwire.WhyBarred)
+			never(t, l, linkwire.ReasonFenced)
 			l.say(t, l.offer(uint64(21+i)))
-			never(t, l, linkwire.WhyBarred)
+			never(t, l, linkwire.ReasonFenced)
 		}
 	})
 	t.Run("a fence for another peer's crossing", func(t *testing.T) {
@@ -244,7 +244,7 @@
 		}
 		m := lie(t, addr, hello("gw-a")) // another process, with its own numbers
 		m.say(t, &linkwire.Fence{Number: 31, Lease: m.lease()})
-		never(t, m, linkwire.WhyBarred)
+		never(t, m, linkwire.ReasonFenced)
 		l.say(t, &linkwire.Fence{Number: 31, Lease: l.lease()})
 		if f, ok := l.next(t).(*linkwire.Ended); !ok || f.Result != linkwire.Served {
 			t.Errorf("its own fence was answered %+v", f)
@@ -374,7 +374,7 @@
 				h.Crossings = 10
 				buf, _ := linkwire.Append(nil, h)
 				buf, _ = linkwire.Append(buf, &linkwire.Ended{Number: 5, Result: linkwire.Served, Size: 2, Body: []byte("no")})
-				buf, _ = linkwire.Append(buf, &linkwire.Offer{Number: 1, Tries: 1, Class: "order", Effect: "single_shot", ID: "x", Method: "POST", Target: "/"})
+				buf, _ = linkwire.Append(buf, &linkwire.Offer{Number: 1, MaxAttempts: 1, Class: "order", Effect: "single_shot", ID: "x", Method: "POST", Target: "/"})
 				c.Write(buf)
 			case 3:
 				buf, _ := linkwire.Append(nil, &linkwire.Bye{Text: "go away"})
--- a/internal/protocol/gateway/receiver.go
+++ b/internal/protocol/gateway/receiver.go
@@ -92,7 +92,7 @@
 func NewReceiver(o ReceiverOptions) *Receiver {
 	f := &Receiver{opt: o, clock: link.NewClock(),
 		acceptLimiter: rate.NewLimiter(rate.Limit(o.PerSecond), max(int(o.PerSecond), 1)), sessions: map[sessionKey]*session{}, conns: map[net.Conn]bool{}}
-	f.inc.Store(incarnation(o.Seed))
+	f.inc.Store(newIncarnation(o.Seed))
 	return f
 }
 
@@ -131,7 +131,7 @@
 		return promises.Unknown, nil
 	}
 	if x.m.State == crossing.Accepted {
-		x.why = linkwire.WhyBarred
+		x.reason = linkwire.ReasonFenced
 	}
 	m, act := x.m.Query(x.m.On, crossing.Conditions{})
 	s.act(x, act, &later)
@@ -273,7 +273,7 @@
 		case !slices.Contains(f.opt.Peers, peer.Name):
 			return linkwire.Hello{}, fmt.Errorf("name: %q may not cross here", peer.Name)
 		}
-		return linkwire.Hello{Magic: linkwire.Magic, Least: linkwire.MinVersion, Most: linkwire.MaxVersion, Name: f.opt.Name,
+		return linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion, Name: f.opt.Name,
 			Incarnation: f.inc.Load(), Crossings: uint64(f.opt.Crossings), Bytes: uint64(f.opt.Bytes), Now: f.clock.Now(), Draining: f.Draining()}, nil
 	}, link.Options{Clock: f.clock, Beat: f.opt.Times.Beat, DeadAfter: f.opt.Times.DeadAfter,
 		Status: func() (uint64, bool) { return uint64(f.InFlight()), f.Draining() }})
@@ -350,16 +350,16 @@
 	s             *session
 	num           uint64
 	inc           uint64 // incarnation of the far end that it was offered to
-	promise       bool   // whether its start must be replicated first
+	needsPromise  bool   // whether its start must be replicated first
 	m             crossing.Receiver
-	begin         time.Time // latest time at which an attempt may begin
-	lease         time.Time // time after which nothing of it may run
+	beginBy       time.Time // latest time at which an attempt may begin
+	leaseEnd      time.Time // time after which nothing of it may run
 	timer         *time.Timer
 	drop          func()
 	acked         bool // the near end has acknowledged its outcome
 	stopRequested bool // drop is to be called as soon as it is set
 	heldBytes     int64
-	why           uint64
+	reason        uint64
 	ended         *linkwire.Ended // its answer, until that is acknowledged
 	never         linkwire.Never
 }
@@ -434,11 +434,11 @@
 		func(word promises.Verdict, r *promises.Reply) {
 			switch word {
 			case promises.NeverBegun:
-				v.Word = linkwire.VerdictNever
+				v.Outcome = linkwire.VerdictNever
 			case promises.MayHaveRun:
-				v.Word = linkwire.VerdictOver
+				v.Outcome = linkwire.VerdictOver
 			case promises.Replied:
-				v.Word, v.Result, v.ContentType, v.Body = linkwire.VerdictReplied, r.Result, r.ContentType, r.Body
+				v.Outcome, v.Result, v.ContentType, v.Body = linkwire.VerdictReplied, r.Result, r.ContentType, r.Body
 			}
 			c.link.Urgent(&v)
 		})
@@ -477,22 +477,22 @@
 	if x == nil {
 		x = s.add(f.Number, &f.Lease)
 	}
-	x.begin = s.at(&f.Lease, f.Lease.Begin)
-	x.promise = known && far.opt.Promises != nil && far.opt.Settings.Classes[r.Class].Idempotency != settings.Idempotent
+	x.beginBy = s.at(&f.Lease, f.Lease.Begin)
+	x.needsPromise = known && far.opt.Promises != nil && far.opt.Settings.Classes[r.Class].Idempotency != settings.Idempotent
 	held := int64(len(f.Body))
-	terms := crossing.Conditions{LeaseExpired: s.leaseExpired(&f.Lease, x.begin), Draining: draining,
+	terms := crossing.Conditions{LeaseExpired: s.leaseExpired(&f.Lease, x.beginBy), Draining: draining,
 		Full: !known || s.running >= far.opt.Crossings || far.bytes.Load()+held > far.opt.Bytes || len(s.open) > 8*far.opt.Crossings}
 	switch { // the first matching reason is reported
 	case x.m.State == crossing.Fenced:
-		x.why = linkwire.WhyBarred
+		x.reason = linkwire.ReasonFenced
 	case terms.LeaseExpired:
-		x.why = linkwire.WhyLapsed
+		x.reason = linkwire.ReasonLeaseExpired
 	case draining:
-		x.why = linkwire.WhyDraining
+		x.reason = linkwire.ReasonDraining
 	case !known:
-		x.why = linkwire.WhyUnknown
+		x.reason = linkwire.ReasonUnknownClass
 	case terms.Full:
-		x.why = linkwire.WhyFull
+		x.reason = linkwire.ReasonFull
 	}
 	m, act := x.m.Offer(c.id, terms)
 	if act == crossing.Run {
@@ -507,8 +507,8 @@
 	case crossing.ProtocolError:
 		return errors.New("offer: number was already used")
 	case crossing.Run:
-		r.Deadline = earlier(r.Deadline, x.lease)
-		r.BeginBy = x.begin
+		r.Deadline = earlier(r.Deadline, x.leaseEnd)
+		r.BeginBy = x.beginBy
 		r.Gate = x.mayBegin
 		drop := far.opt.Core.Take(r, x.done)
 		s.mu.Lock()
@@ -541,12 +541,12 @@
 	if c.Idempotency == settings.Idempotent {
 		method = http.MethodGet
 	}
-	if string(c.Idempotency) != o.Effect || o.Method != method || c.Idempotency == settings.Deduplicated && o.Idempotency == "" || o.Tries == 0 {
+	if string(c.Idempotency) != o.Effect || o.Method != method || c.Idempotency == settings.Deduplicated && o.IdempotencyKey == "" || o.MaxAttempts == 0 {
 		return nil, false
 	}
 	r := &core.Request{ID: o.ID, Class: class, Key: o.Key, HintMs: float64(o.HintUs) / 1000, HasHint: o.HintUs > 0, Retry: o.Retry,
-		MaxAttempts: int(o.Tries), Deduplicated: true, Deadline: time.Now().Add(time.Duration(c.ClientTimeoutMs * float64(time.Millisecond))),
-		Message: core.Message{Method: o.Method, Target: o.Target, Host: o.Host, ContentType: o.ContentType, IdempotencyKey: o.Idempotency, Body: o.Body}}
+		MaxAttempts: int(o.MaxAttempts), Deduplicated: true, Deadline: time.Now().Add(time.Duration(c.ClientTimeoutMs * float64(time.Millisecond))),
+		Message: core.Message{Method: o.Method, Target: o.Target, Host: o.Host, ContentType: o.ContentType, IdempotencyKey: o.IdempotencyKey, Body: o.Body}}
 	if len(f.opt.Tenants) > 0 {
 		if r.Tenant, known = f.opt.Tenants[o.Tenant]; !known {
 			r.Tenant = -1
@@ -557,29 +557,29 @@
 
 // add creates the state of a crossing.
 func (s *session) add(num uint64, l *linkwire.Lease) *inboundCrossing {
-	x := &inboundCrossing{s: s, num: num, inc: s.far.inc.Load(), lease: s.at(l, l.Life)}
+	x := &inboundCrossing{s: s, num: num, inc: s.far.inc.Load(), leaseEnd: s.at(l, l.Life)}
 	if l.Incarnation != x.inc {
-		x.lease = time.Now()
+		x.leaseEnd = time.Now()
 	}
 	s.open[num] = x
-	x.timer = time.AfterFunc(time.Until(x.lease), x.expireLease)
+	x.timer = time.AfterFunc(time.Until(x.leaseEnd), x.expireLease)
 	return x
 }
 
 // mayBegin reports whether an attempt may be started; the core calls it before the first byte of each
 // attempt.
 func (x *inboundCrossing) mayBegin() bool {
-	if x.promise {
+	if x.needsPromise {
 		x.s.mu.Lock()
-		first := x.m.State == crossing.Accepted && time.Now().Before(x.begin)
+		first := x.m.State == crossing.Accepted && time.Now().Before(x.beginBy)
 		x.s.mu.Unlock()
-		if first && !x.s.far.opt.Promises.Begin(x.inc, x.s.key.peer, x.s.key.inc, x.num, x.begin) {
+		if first && !x.s.far.opt.Promises.Begin(x.inc, x.s.key.peer, x.s.key.inc, x.num, x.beginBy) {
 			return false
 		}
 	}
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
-	return x.m.Start(crossing.Conditions{LeaseExpired: !time.Now().Before(x.begin)})
+	return x.m.Start(crossing.Conditions{LeaseExpired: !time.Now().Before(x.beginBy)})
 }
 
 // done receives the core's final answer. The core's lock is held.
@@ -594,7 +594,7 @@
 	x.heldBytes = 0
 	if ran {
 		s.far.unacked.Add(1)
-		x.ended = &linkwire.Ended{Number: x.num, Result: linkwire.Failed, Tries: uint64(a.Attempts)}
+		x.ended = &linkwire.Ended{Number: x.num, Result: linkwire.Failed, Attempts: uint64(a.Attempts)}
 		switch a.Outcome {
 		case core.Served:
 			x.ended.Result, x.ended.Size, x.ended.Body = linkwire.Served, uint64(len(a.Body)), a.Body
@@ -606,13 +606,13 @@
 		case core.Refused:
 			x.ended.Result, x.ended.RetryUs = linkwire.Refused, retryAfterUs(a)
 		}
-		if x.promise {
+		if x.needsPromise {
 			if r, short := reply(x.ended); short {
 				s.far.opt.Promises.Answered(s.key.peer, s.key.inc, x.num, r)
 			}
 		}
 	} else {
-		x.never = linkwire.Never{Tries: uint64(a.Attempts), RetryUs: retryAfterUs(a)}
+		x.never = linkwire.Never{Attempts: uint64(a.Attempts), RetryUs: retryAfterUs(a)}
 	}
 	s.reply(x, x.m.Finish(ran))
 	s.forget(x)
@@ -634,7 +634,7 @@
 		c.link.Bulk(x.ended.Item())
 	case crossing.NotStarted:
 		f := x.never
-		f.Number, f.Why = x.num, x.why
+		f.Number, f.Reason = x.num, x.reason
 		c.link.Bulk(linkwire.SingleFrame(&f)) // in order with the other outcomes
 	case crossing.Started:
 		c.link.Urgent(&linkwire.Begun{Number: x.num})
@@ -660,7 +660,7 @@
 		x = s.add(num, l)
 	}
 	if x.m.State == crossing.Unknown || x.m.State == crossing.Accepted {
-		x.why = linkwire.WhyBarred
+		x.reason = linkwire.ReasonFenced
 	}
 	m, act := step(&x.m, c.id, crossing.Conditions{})
 	s.act(x, act, &later)
@@ -687,7 +687,7 @@
 	s := x.s
 	s.mu.Lock()
 	if x.m.State == crossing.Accepted {
-		x.why = linkwire.WhyLapsed
+		x.reason = linkwire.ReasonLeaseExpired
 	}
 	m, act := x.m.ExpireLease()
 	s.act(x, act, &later)
@@ -700,7 +700,7 @@
 
 // forget removes a crossing once its state machine allows it.
 func (s *session) forget(x *inboundCrossing) {
-	if x.m.CanForget(!time.Now().Before(x.lease), x.acked) && s.open[x.num] == x {
+	if x.m.CanForget(!time.Now().Before(x.leaseEnd), x.acked) && s.open[x.num] == x {
 		delete(s.open, x.num)
 		s.releaseAnswer(x)
 		x.timer.Stop()
@@ -723,7 +723,7 @@
 	for _, n := range numbers {
 		x := s.open[n]
 		if x.m.State == crossing.Accepted {
-			x.why = linkwire.WhyBarred
+			x.reason = linkwire.ReasonFenced
 		}
 		s.act(x, x.m.ConnLost(c.id, len(s.conns) == 0), &later)
 	}
--- a/internal/protocol/gateway/sender.go
+++ b/internal/protocol/gateway/sender.go
@@ -90,7 +90,7 @@
 	s := &Sender{opt: o, began: time.Now(), clock: link.NewClock(), byName: map[string]*peer{}, watches: map[*listClient]bool{}, seq: 1}
 	s.ctx, s.stop = context.WithCancel(ctx)
 	rng := rand.New(rand.NewPCG(o.Seed, 0x6c696e6b))
-	s.inc = incarnation(o.Seed)
+	s.inc = newIncarnation(o.Seed)
 	if len(o.Limits.Classes) == 0 {
 		for range o.Settings.Classes {
 			o.Limits.Classes = append(o.Limits.Classes, limit.Class{Share: 1 / float64(len(o.Settings.Classes))})
@@ -370,7 +370,7 @@
 		}
 		conn = secure
 	}
-	c, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, Least: linkwire.MinVersion, Most: linkwire.MaxVersion,
+	c, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion,
 		Name: s.opt.Name, Incarnation: s.inc, Now: s.clock.Now()}, link.Options{Clock: s.clock, Beat: s.opt.Times.Beat,
 		DeadAfter: s.opt.Times.DeadAfter, Status: p.status})
 	if err != nil {
@@ -576,13 +576,13 @@
 	switch v {
 	case crossing.Answered:
 		f := word.(*linkwire.Ended)
-		res = core.Result{Status: policy.Error, ExtraAttempts: spent(f.Tries)}
+		res = core.Result{Status: policy.Error, ExtraAttempts: spent(f.Attempts)}
 		if f.Result == linkwire.Served {
 			res.Status, res.Body, res.ContentType = policy.OK, f.Body, f.ContentType
 		}
 	case crossing.NeverRan:
 		if f, ok := word.(*linkwire.Never); ok {
-			res = core.Result{Status: policy.Full, ExtraAttempts: spent(f.Tries)}
+			res = core.Result{Status: policy.Full, ExtraAttempts: spent(f.Attempts)}
 			if x.m.Cancelled {
 				res.Status = policy.Cancelled // its client has gone: the far end is not overloaded
 			}
@@ -615,7 +615,7 @@
 	case *linkwire.Ended:
 		return limit.Answered
 	case *linkwire.Never:
-		if f.Why == linkwire.WhyFull {
+		if f.Reason == linkwire.ReasonFull {
 			return limit.Rejected
 		}
 		return limit.Ignored // a refusal by the far end's Balancer goes to this end's Balancer as a result
@@ -696,7 +696,7 @@
 			continue
 		}
 		q.mu.Lock()
-		if live := q.liveConns(now, after); len(live) > 0 && live[0].link.Peer.Most >= 2 {
+		if live := q.liveConns(now, after); len(live) > 0 && live[0].link.Peer.MaxVersion >= 2 {
 			able = append(able, live[0])
 		}
 		q.mu.Unlock()
@@ -750,11 +750,11 @@
 	var ends deferredResults
 	p.mu.Lock()
 	if x := p.open[f.Number]; x != nil && x.inc == f.Incarnation && x.m.State != crossing.Queued {
-		switch f.Word {
+		switch f.Outcome {
 		case linkwire.VerdictNever:
-			ends = append(ends, p.end(x, x.m.Receive(crossing.NotStarted), &linkwire.Never{Number: f.Number, Why: linkwire.WhyBarred}, nil))
+			ends = append(ends, p.end(x, x.m.Receive(crossing.NotStarted), &linkwire.Never{Number: f.Number, Reason: linkwire.ReasonFenced}, nil))
 		case linkwire.VerdictReplied:
-			ends = append(ends, p.end(x, x.m.Receive(crossing.Completed), &linkwire.Ended{Number: f.Number, Result: f.Result, Tries: 1, ContentType: f.ContentType,
+			ends = append(ends, p.end(x, x.m.Receive(crossing.Completed), &linkwire.Ended{Number: f.Number, Result: f.Result, Attempts: 1, ContentType: f.ContentType,
 				Size: uint64(len(f.Body)), Body: f.Body}, nil))
 		case linkwire.VerdictOver:
 			if x.nonIdempotent() { // others wait for their lease: the process may be alive and running them
@@ -885,15 +885,15 @@
 // left for it.
 func leaseOf(a *core.Attempt, st link.State, inc uint64) (linkwire.Lease, bool) {
 	left := time.Until(a.Deadline())
-	told, _ := budget.NextHop(left, st.Back)
-	life := a.Deadline().Sub(st.QuoteAt) - (left - told)
+	told, _ := budget.NextHop(left, st.ReturnDelay)
+	life := a.Deadline().Sub(st.PeerClockAt) - (left - told)
 	life -= life/1000 + leaseMargin
 	begin := life
 	if by := a.BeginBy(); !by.IsZero() {
-		begin = min(begin, by.Sub(st.QuoteAt)-leaseMargin)
+		begin = min(begin, by.Sub(st.PeerClockAt)-leaseMargin)
 	}
-	l := linkwire.Lease{Incarnation: inc, Quote: st.Quote, Begin: uint64(max(begin, 0).Microseconds()), Life: uint64(max(life, 0).Microseconds())}
-	return l, begin > time.Since(st.QuoteAt) && l.Life <= linkwire.MaxTime
+	l := linkwire.Lease{Incarnation: inc, Quote: st.PeerClock, Begin: uint64(max(begin, 0).Microseconds()), Life: uint64(max(life, 0).Microseconds())}
+	return l, begin > time.Since(st.PeerClockAt) && l.Life <= linkwire.MaxTime
 }
 
 // write is the crossing's Item in its connection's queue: it appends the offer, and then one part of
@@ -934,9 +934,9 @@
 // offer returns the frame that carries the request.
 func (x *outboundCrossing) offer(l linkwire.Lease) *linkwire.Offer {
 	r, set := x.a.Request, x.p.sender.opt.Settings
-	f := &linkwire.Offer{Number: x.num, Lease: l, Tries: uint64(max(x.a.AttemptsLeft, 1)), Class: set.Classes[r.Class].Name,
+	f := &linkwire.Offer{Number: x.num, Lease: l, MaxAttempts: uint64(max(x.a.AttemptsLeft, 1)), Class: set.Classes[r.Class].Name,
 		Effect: string(set.Classes[r.Class].Idempotency), Key: r.Key, Retry: r.Retry, ID: r.ID, Method: r.Message.Method,
-		Target: r.Message.Target, Host: r.Message.Host, ContentType: r.Message.ContentType, Idempotency: r.Message.IdempotencyKey,
+		Target: r.Message.Target, Host: r.Message.Host, ContentType: r.Message.ContentType, IdempotencyKey: r.Message.IdempotencyKey,
 		Size: uint64(len(r.Message.Body)), Body: r.Message.Body[:min(len(r.Message.Body), linkwire.MaxPart)]}
 	if r.Tenant >= 0 && r.Tenant < len(set.Tenants) {
 		f.Tenant = set.Tenants[r.Tenant].Name
--- a/internal/protocol/gateway/status.go
+++ b/internal/protocol/gateway/status.go
@@ -11,11 +11,11 @@
 
 // LinkStatus describes one connection of a link.
 type LinkStatus struct {
-	RoundTrip time.Duration `json:"round_trip_ns"`
-	Heard     time.Duration `json:"heard_ago_ns"`  // time since the last frame
-	Echoed    time.Duration `json:"echoed_ago_ns"` // age of the last heartbeat that the other end has echoed
-	Stalled   bool          `json:"stalled"`
-	Draining  bool          `json:"draining"` // the other end accepts no new crossings
+	RoundTrip   time.Duration `json:"round_trip_ns"`
+	ReceivedAgo time.Duration `json:"heard_ago_ns"`  // time since the last frame
+	EchoedAgo   time.Duration `json:"echoed_ago_ns"` // age of the last heartbeat that the other end has echoed
+	Stalled     bool          `json:"stalled"`
+	Draining    bool          `json:"draining"` // the other end accepts no new crossings
 }
 
 // PeerStatus describes a gateway at the other end of links.
@@ -25,7 +25,7 @@
 	Site        string         `json:"site,omitempty"`    // far gateways only
 	Incarnation uint64         `json:"incarnation"`
 	Reachable   bool           `json:"reachable"`
-	Lost        string         `json:"lost,omitempty"` // why the last connection ended
+	LastError   string         `json:"lost,omitempty"` // why the last connection ended
 	Links       []LinkStatus   `json:"links"`
 	Crossings   map[string]int `json:"crossings"` // number by state
 	Window      int            `json:"window"`    // limit of crossings in flight
@@ -34,14 +34,14 @@
 
 // ClassStatus describes the use of the window to a far gateway by one class.
 type ClassStatus struct {
-	Name   string `json:"name"`
-	Out    int    `json:"out"`     // crossings in flight
-	Turned int    `json:"no_room"` // crossings rejected as the window was full, since the start
+	Name     string `json:"name"`
+	InFlight int    `json:"out"`     // crossings in flight
+	Rejected int    `json:"no_room"` // crossings rejected as the window was full, since the start
 }
 
-func statusOf(c *link.Conn, after time.Duration, now time.Time) LinkStatus {
+func linkStatus(c *link.Conn, after time.Duration, now time.Time) LinkStatus {
 	st := c.State()
-	return LinkStatus{RoundTrip: st.RTT, Heard: now.Sub(st.Heard), Echoed: now.Sub(st.Echoed), Stalled: st.Stalled(now, after), Draining: st.Draining}
+	return LinkStatus{RoundTrip: st.RTT, ReceivedAgo: now.Sub(st.ReceivedAt), EchoedAgo: now.Sub(st.EchoedAt), Stalled: st.Stalled(now, after), Draining: st.Draining}
 }
 
 // Status returns the state of each far gateway.
@@ -51,9 +51,9 @@
 	for _, p := range s.peers {
 		p.mu.Lock()
 		q := PeerStatus{Name: p.Name, Address: p.Address, Site: s.opt.Site, Incarnation: p.inc, Reachable: p.pickConn(now) != nil,
-			Lost: p.lastError, Links: []LinkStatus{}, Crossings: map[string]int{}, Window: p.limits.Window()}
+			LastError: p.lastError, Links: []LinkStatus{}, Crossings: map[string]int{}, Window: p.limits.Window()}
 		for _, c := range p.conns {
-			q.Links = append(q.Links, statusOf(c.link, s.opt.Times.StallAfter, now))
+			q.Links = append(q.Links, linkStatus(c.link, s.opt.Times.StallAfter, now))
 		}
 		for _, x := range p.open {
 			q.Crossings[[...]string{"queued", "offered", "asking", "closed"}[x.m.State]]++
@@ -83,7 +83,7 @@
 		q := PeerStatus{Name: s.key.peer, Incarnation: s.key.inc, Reachable: len(s.conns) > 0, Links: []LinkStatus{},
 			Crossings: map[string]int{}, Window: f.opt.Crossings}
 		for _, c := range s.conns {
-			q.Links = append(q.Links, statusOf(c.link, f.opt.Times.StallAfter, now))
+			q.Links = append(q.Links, linkStatus(c.link, f.opt.Times.StallAfter, now))
 		}
 		for _, x := range s.open {
 			q.Crossings[receiverStateName(x.m.State)]++
--- a/internal/protocol/link/link.go
+++ b/internal/protocol/link/link.go
@@ -47,14 +47,14 @@
 
 // State describes the other end and the health of the connection.
 type State struct {
-	Quote    uint64    // the latest reading of the other end's clock
-	QuoteAt  time.Time // when that was received
-	Heard    time.Time // when the last frame was received
-	Echoed   time.Time // when the latest heartbeat that the other end has echoed was sent
-	RTT      time.Duration
-	Back     time.Duration // upper estimate of the delay from the other end
-	Open     uint64        // crossings open at the other end
-	Draining bool
+	PeerClock   uint64    // the latest reading of the other end's clock
+	PeerClockAt time.Time // when that was received
+	ReceivedAt  time.Time // when the last frame was received
+	EchoedAt    time.Time // when the latest heartbeat that the other end has echoed was sent
+	RTT         time.Duration
+	ReturnDelay time.Duration // upper estimate of the delay from the other end
+	Open        uint64        // crossings open at the other end
+	Draining    bool
 }
 
 // Conn is a connection after its greeting.
@@ -133,15 +133,15 @@
 		return nil, err
 	}
 	now := time.Now()
-	c.state = State{Quote: c.Peer.Now, QuoteAt: now, Heard: now, Echoed: now, Draining: c.Peer.Draining}
+	c.state = State{PeerClock: c.Peer.Now, PeerClockAt: now, ReceivedAt: now, EchoedAt: now, Draining: c.Peer.Draining}
 	return c, nil
 }
 
 // negotiate returns the highest version that both ends support.
 func negotiate(mine, peer *linkwire.Hello) (uint64, error) {
-	v := min(mine.Most, peer.Most)
-	if v < mine.Least || v < peer.Least {
-		return 0, fmt.Errorf("version: this end supports %d to %d, the other %d to %d", mine.Least, mine.Most, peer.Least, peer.Most)
+	v := min(mine.MaxVersion, peer.MaxVersion)
+	if v < mine.MinVersion || v < peer.MinVersion {
+		return 0, fmt.Errorf("version: this end supports %d to %d, the other %d to %d", mine.MinVersion, mine.MaxVersion, peer.MinVersion, peer.MaxVersion)
 	}
 	return v, nil
 }
@@ -180,7 +180,7 @@
 // Stalled reports whether nothing was received for longer than after, or no heartbeat sent within that
 // time was echoed.
 func (s *State) Stalled(now time.Time, after time.Duration) bool {
-	return now.Sub(s.Heard) > after || now.Sub(s.Echoed) > after
+	return now.Sub(s.ReceivedAt) > after || now.Sub(s.EchoedAt) > after
 }
 
 // Urgent queues a frame ahead of all bulk items.
@@ -249,7 +249,7 @@
 			return peerError{f.Text}
 		}
 		c.mu.Lock()
-		c.state.Heard = time.Now()
+		c.state.ReceivedAt = time.Now()
 		c.mu.Unlock()
 		if err := take(f); err != nil {
 			return err
@@ -263,18 +263,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &c.state
-	s.Heard, s.Open, s.Draining = now, f.Open, s.Draining || f.Draining
-	if f.Now >= s.Quote {
-		s.Quote, s.QuoteAt = f.Now, now
+	s.ReceivedAt, s.Open, s.Draining = now, f.Open, s.Draining || f.Draining
+	if f.Now >= s.PeerClock {
+		s.PeerClock, s.PeerClockAt = f.Now, now
 	}
 	if mine := c.opt.Clock.Now(); f.Echo > 0 && f.Echo <= mine {
-		if at := c.opt.Clock.Time(f.Echo); at.After(s.Echoed) {
-			s.Echoed = at
+		if at := c.opt.Clock.Time(f.Echo); at.After(s.EchoedAt) {
+			s.EchoedAt = at
 		}
-		if trip := int64(mine-f.Echo) - int64(f.Held); trip >= 0 {
+		if trip := int64(mine-f.Echo) - int64(f.EchoAge); trip >= 0 {
 			s.RTT = time.Duration(trip) * time.Microsecond
 			c.rtt.Observe(s.RTT)
-			s.Back = c.rtt.ReturnTime()
+			s.ReturnDelay = c.rtt.ReturnTime()
 		}
 	}
 }
@@ -286,8 +286,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f.Now = c.opt.Clock.Now()
-	f.Echo = c.state.Quote
-	f.Held = uint64(max(time.Since(c.state.QuoteAt).Microseconds(), 0))
+	f.Echo = c.state.PeerClock
+	f.EchoAge = uint64(max(time.Since(c.state.PeerClockAt).Microseconds(), 0))
 	return f
 }
 
--- a/internal/protocol/linkwire/linkwire.go
+++ b/internal/protocol/linkwire/linkwire.go
@@ -39,7 +39,7 @@
 	MaxRecords    = 24       // in a News
 	MaxTime       = 120e6    // of time spans, in microseconds
 	maxClock      = 1 << 60  // of clock readings, in microseconds
-	maxTries      = 1 << 10
+	maxAttempts   = 1 << 10
 )
 
 // Kind identifies the struct that a frame contains.
@@ -74,15 +74,15 @@
 
 // Hello is the first frame from each end. The near end sends its Hello first.
 type Hello struct {
-	_           struct{} `cbor:",toarray"`
-	Magic       string
-	Least, Most uint64 // supported versions
-	Name        string // name of the process
-	Incarnation uint64 // random id of the process; not 0
-	Crossings   uint64 // from the far end: limit of concurrent crossings per near end
-	Bytes       uint64 // from the far end: limit of the bytes of their bodies
-	Now         uint64 // the sender's clock, in microseconds
-	Draining    bool
+	_                      struct{} `cbor:",toarray"`
+	Magic                  string
+	MinVersion, MaxVersion uint64 // supported versions
+	Name                   string // name of the process
+	Incarnation            uint64 // random id of the process; not 0
+	Crossings              uint64 // from the far end: limit of concurrent crossings per near end
+	Bytes                  uint64 // from the far end: limit of the bytes of their bodies
+	Now                    uint64 // the sender's clock, in microseconds
+	Draining               bool
 }
 
 // Beat is the heartbeat that each end sends at a fixed interval.
@@ -90,7 +90,7 @@
 	_        struct{} `cbor:",toarray"`
 	Now      uint64   // the sender's clock
 	Echo     uint64   // the latest Now received; 0: none yet
-	Held     uint64   // time since it was received, in microseconds
+	EchoAge  uint64   // time since it was received, in microseconds
 	Open     uint64   // crossings open at the sender
 	Draining bool
 }
@@ -109,24 +109,24 @@
 // Offer carries a request. If Size is greater than the length of Body, Parts with the remainder
 // follow.
 type Offer struct {
-	_           struct{} `cbor:",toarray"`
-	Number      uint64
-	Lease       Lease
-	Tries       uint64 // limit of attempts by the far end
-	Class       string
-	Effect      string
-	Tenant      string
-	Key         uint64
-	HintUs      uint64 // 0: none
-	Retry       bool
-	ID          string
-	Method      string
-	Target      string
-	Host        string
-	ContentType string
-	Idempotency string
-	Size        uint64
-	Body        []byte
+	_              struct{} `cbor:",toarray"`
+	Number         uint64
+	Lease          Lease
+	MaxAttempts    uint64 // limit of attempts by the far end
+	Class          string
+	Effect         string
+	Tenant         string
+	Key            uint64
+	HintUs         uint64 // 0: none
+	Retry          bool
+	ID             string
+	Method         string
+	Target         string
+	Host           string
+	ContentType    string
+	IdempotencyKey string
+	Size           uint64
+	Body           []byte
 }
 
 // Part carries more of the body of an Offer or an Ended that was sent before it on the same
@@ -163,7 +163,7 @@
 	_           struct{} `cbor:",toarray"`
 	Number      uint64
 	Result      uint64
-	Tries       uint64 // attempts made
+	Attempts    uint64 // attempts made
 	RetryUs     uint64 // advised delay before a retry, in microseconds; 0: none
 	ContentType string
 	Size        uint64
@@ -172,22 +172,22 @@
 
 // Why a crossing never began.
 const (
-	WhyRefused   = 0 // rejected by the far end's Balancer
-	WhyLapsed    = 1 // its lease had expired
-	WhyDraining  = 2
-	WhyFull      = 3
-	WhyBarred    = 4 // it was fenced
-	WhyUnknown   = 5 // its class is unknown to the far end, or has another effect there
-	WhyCancelled = 6
+	ReasonRejected     = 0 // rejected by the far end's Balancer
+	ReasonLeaseExpired = 1 // its lease had expired
+	ReasonDraining     = 2
+	ReasonFull         = 3
+	ReasonFenced       = 4 // it was fenced
+	ReasonUnknownClass = 5 // its class is unknown to the far end, or has another effect there
+	ReasonCancelled    = 6
 )
 
 // Never reports that a crossing never began and never will.
 type Never struct {
-	_       struct{} `cbor:",toarray"`
-	Number  uint64
-	Why     uint64
-	Tries   uint64 // attempts made, all of which were rejected
-	RetryUs uint64
+	_        struct{} `cbor:",toarray"`
+	Number   uint64
+	Reason   uint64
+	Attempts uint64 // attempts made, all of which were rejected
+	RetryUs  uint64
 }
 
 // Begun reports, in response to a Fence or Cancel, that a crossing has begun.
@@ -263,7 +263,7 @@
 	SinceUs     uint64   // time since the offer, by the near end's clock
 }
 
-// The values of Verdict.Word.
+// The values of Verdict.Outcome.
 const (
 	VerdictUnsure  = 0 // the outcome is not known
 	VerdictNever   = 1 // it never began and never will
@@ -277,7 +277,7 @@
 	Number      uint64
 	Holder      string
 	Incarnation uint64
-	Word        uint64
+	Outcome     uint64
 	Result      uint64
 	ContentType string
 	Body        []byte
@@ -288,7 +288,7 @@
 }
 
 func (f *Verdict) check() error {
-	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true), checkMax("word", f.Word, VerdictReplied), checkMax("result", f.Result, Refused),
+	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true), checkMax("word", f.Outcome, VerdictReplied), checkMax("result", f.Result, Refused),
 		checkText("content type", f.ContentType, MaxText, false), checkMax("body", uint64(len(f.Body)), MaxPart))
 }
 
@@ -539,14 +539,14 @@
 	if f.Magic != Magic {
 		return errors.New("magic: not a molepaddle link")
 	}
-	if f.Least == 0 || f.Most < f.Least || f.Incarnation == 0 {
+	if f.MinVersion == 0 || f.MaxVersion < f.MinVersion || f.Incarnation == 0 {
 		return errors.New("versions or incarnation: missing or invalid")
 	}
 	return firstError(checkText("name", f.Name, MaxText, true), checkMax("now", f.Now, maxClock))
 }
 
 func (f *Beat) check() error {
-	return firstError(checkMax("now", f.Now, maxClock), checkMax("echo", f.Echo, maxClock), checkMax("held", f.Held, maxClock))
+	return firstError(checkMax("now", f.Now, maxClock), checkMax("echo", f.Echo, maxClock), checkMax("held", f.EchoAge, maxClock))
 }
 
 func (l *Lease) check() error {
@@ -557,11 +557,11 @@
 }
 
 func (f *Offer) check() error {
-	return firstError(checkNumber(f.Number), f.Lease.check(), checkMax("tries", f.Tries, maxTries), checkMax("hint", f.HintUs, MaxTime),
+	return firstError(checkNumber(f.Number), f.Lease.check(), checkMax("tries", f.MaxAttempts, maxAttempts), checkMax("hint", f.HintUs, MaxTime),
 		checkText("class", f.Class, MaxText, true), checkText("effect", f.Effect, MaxText, true), checkText("tenant", f.Tenant, MaxText, false),
 		checkText("id", f.ID, MaxText, true), checkText("method", f.Method, 16, true), checkText("target", f.Target, MaxTarget, true),
 		checkText("host", f.Host, MaxText, false), checkText("content type", f.ContentType, MaxText, false),
-		checkText("idempotency key", f.Idempotency, MaxText, false), checkBody(f.Body, f.Size))
+		checkText("idempotency key", f.IdempotencyKey, MaxText, false), checkBody(f.Body, f.Size))
 }
 
 func (f *Part) check() error {
@@ -575,12 +575,12 @@
 func (f *Cancel) check() error { return firstError(checkNumber(f.Number), f.Lease.check()) }
 
 func (f *Ended) check() error {
-	return firstError(checkNumber(f.Number), checkMax("result", f.Result, Refused), checkMax("tries", f.Tries, maxTries),
+	return firstError(checkNumber(f.Number), checkMax("result", f.Result, Refused), checkMax("tries", f.Attempts, maxAttempts),
 		checkMax("retry", f.RetryUs, MaxTime), checkText("content type", f.ContentType, MaxText, false), checkBody(f.Body, f.Size))
 }
 
 func (f *Never) check() error {
-	return firstError(checkNumber(f.Number), checkMax("why", f.Why, WhyCancelled), checkMax("tries", f.Tries, maxTries), checkMax("retry", f.RetryUs, MaxTime))
+	return firstError(checkNumber(f.Number), checkMax("why", f.Reason, ReasonCancelled), checkMax("tries", f.Attempts, maxAttempts), checkMax("retry", f.RetryUs, MaxTime))
 }
 
 func (f *Begun) check() error  { return checkNumber(f.Number) }
--- a/internal/protocol/linkwire/linkwire_test.go
+++ b/internal/protocol/linkwire/linkwire_test.go
@@ -15,13 +15,13 @@
 // frames returns frames of most kinds, some of them at the limits of their fields.
 func frames() []Frame {
 	return []Frame{
-		&Hello{Magic: Magic, Least: 1, Most: 1, Name: "gw-a", Incarnation: 9, Crossings: 10, Bytes: 1 << 20, Now: 5, Draining: true},
-		&Beat{Now: 5, Echo: 4, Held: 3, Open: 2, Draining: true},
-		&Offer{Number: 1, Lease: lease, Tries: 3, Class: "order", Effect: "single_shot", Tenant: "acme", Key: 1 << 63, HintUs: 5, Retry: true,
-			ID: "id", Method: "POST", Target: "/" + strings.Repeat("t", MaxTarget-1), Host: "h", ContentType: "x/y", Idempotency: "k", Size: MaxBody, Body: make([]byte, MaxPart)},
+		&Hello{Magic: Magic, MinVersion: 1, MaxVersion: 1, Name: "gw-a", Incarnation: 9, Crossings: 10, Bytes: 1 << 20, Now: 5, Draining: true},
+		&Beat{Now: 5, Echo: 4, EchoAge: 3, Open: 2, Draining: true},
+		&Offer{Number: 1, Lease: lease, MaxAttempts: 3, Class: "order", Effect: "single_shot", Tenant: "acme", Key: 1 << 63, HintUs: 5, Retry: true,
+			ID: "id", Method: "POST", Target: "/" + strings.Repeat("t", MaxTarget-1), Host: "h", ContentType: "x/y", IdempotencyKey: "k", Size: MaxBody, Body: make([]byte, MaxPart)},
 		&Part{Number: 1, Body: []byte("more")}, &Fence{Number: 1, Lease: lease}, &Cancel{Number: 1, Lease: lease},
-		&Ended{Number: 1, Result: Served, Tries: 2, RetryUs: 3, ContentType: "x", Size: 2, Body: []byte("ok")},
-		&Never{Number: 1, Why: WhyCancelled, Tries: 1, RetryUs: 2}, &Begun{Number: 1}, &Unsure{Number: 1}, &Drain{},
+		&Ended{Number: 1, Result: Served, Attempts: 2, RetryUs: 3, ContentType: "x", Size: 2, Body: []byte("ok")},
+		&Never{Number: 1, Reason: ReasonCancelled, Attempts: 1, RetryUs: 2}, &Begun{Number: 1}, &Unsure{Number: 1}, &Drain{},
 		&Ack{Numbers: []uint64{1, 2, 3}}, &Bye{Text: "bad"},
 		&News{Digest: 1 << 63, Sums: make([]uint64, 32), Mask: 1 << 31, Heads: []Head{{Key: 1 << 63, Version: 2}}, Want: []uint64{7},
 			Records: []Entry{{Name: "a", Incarnation: 1, Subject: 1, Version: 2, Body: make([]byte, MaxRecordBody)}}},
@@ -67,10 +67,10 @@
 		return &f
 	}
 	for name, f := range map[string]Frame{
-		"magic":            &Hello{Magic: "other", Least: 1, Most: 1, Name: "a", Incarnation: 1},
-		"versions":         &Hello{Magic: Magic, Least: 2, Most: 1, Name: "a", Incarnation: 1},
-		"no incarnation":   &Hello{Magic: Magic, Least: 1, Most: 1, Name: "a"},
-		"no name":          &Hello{Magic: Magic, Least: 1, Most: 1, Incarnation: 1},
+		"magic":            &Hello{Magic: "other", MinVersion: 1, MaxVersion: 1, Name: "a", Incarnation: 1},
+		"versions":         &Hello{Magic: Magic, MinVersion: 2, MaxVersion: 1, Name: "a", Incarnation: 1},
+		"no incarnation":   &Hello{Magic: Magic, MinVersion: 1, MaxVersion: 1, Name: "a"},
+		"no name":          &Hello{Magic: Magic, MinVersion: 1, MaxVersion: 1, Incarnation: 1},
 		"clock":            &Beat{Now: 1 << 61},
 		"number 0":         &Begun{},
 		"number too large": &Fence{Number: 1 << 63, Lease: lease},
@@ -84,9 +84,9 @@
 		"long id":          offer(func(f *Offer) { f.ID = strings.Repeat("x", MaxText+1) }),
 		"line break":       offer(func(f *Offer) { f.Host = "a\r\nb" }),
 		"target":           offer(func(f *Offer) { f.Target = "/" + strings.Repeat("x", MaxTarget) }),
-		"tries":            offer(func(f *Offer) { f.Tries = 1 << 20 }),
+		"tries":            offer(func(f *Offer) { f.MaxAttempts = 1 << 20 }),
 		"result":           &Ended{Number: 1, Result: 3},
-		"why":              &Never{Number: 1, Why: 7},
+		"why":              &Never{Number: 1, Reason: 7},
 		"empty part":       &Part{Number: 1},
 		"acks":             &Ack{Numbers: make([]uint64, MaxAcks+1)},
 		"ack of 0":         &Ack{Numbers: []uint64{0}},
--- a/internal/protocol/linkwire/wire_test.go
+++ b/internal/protocol/linkwire/wire_test.go
@@ -37,7 +37,7 @@
 	return []Frame{
 		&Word{Topic: MaxTopic, Number: 1 << 63, More: true, Body: []byte("part")},
 		&Query{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, SinceUs: 5},
-		&Verdict{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, Word: VerdictReplied, Result: Refused, ContentType: "x/y", Body: []byte("ok")},
+		&Verdict{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, Outcome: VerdictReplied, Result: Refused, ContentType: "x/y", Body: []byte("ok")},
 	}
 }
 
--- a/internal/protocol/peers/peers.go
+++ b/internal/protocol/peers/peers.go
@@ -46,17 +46,17 @@
 	Server func() *tls.Config
 	// Self returns the state and load of the process. It is called once per period and must not block.
 	Self func() (process string, load float64)
-	// Count is called with the number of agents that share the fleet's limits and this agent's rank
+	// OnCount is called with the number of agents that share the fleet's limits and this agent's rank
 	// among them, when either changes; nil: not called.
-	Count func(agents, rank int)
-	// Word is called with each word from a peer, in the order in which they arrive on its link. It must not
+	OnCount func(agents, rank int)
+	// OnWord is called with each word from a peer, in the order in which they arrive on its link. It must not
 	// block; nil: words are ignored.
-	Word func(from members.ID, w Word)
-	// Beaten is called once per period, after the view has processed it; nil: not called.
-	Beaten func()
-	// Avoid is called with the names of the gateways to avoid, when they change; nil: not called.
-	Avoid func(names []string)
-	Log   *slog.Logger
+	OnWord func(from members.ID, w Word)
+	// OnPeriod is called once per period, after the view has processed it; nil: not called.
+	OnPeriod func()
+	// OnAvoid is called with the names of the gateways to avoid, when they change; nil: not called.
+	OnAvoid func(names []string)
+	Log     *slog.Logger
 }
 
 // Word is an application message from one peer to another.
@@ -79,9 +79,9 @@
 // MaxWord is the limit of a Word's body in bytes: a council's snapshot has to fit.
 const MaxWord = 8 << 20
 
-// ErrNoRoom is returned by Say if there is no link to the process, its queue is full, or the body is
+// ErrQueueFull is returned by Say if there is no link to the process, its queue is full, or the body is
 // over MaxWord.
-var ErrNoRoom = errors.New("peers: no link, or no room on it")
+var ErrQueueFull = errors.New("peers: no link, or its queue is full")
 
 // maxEvents is the number of latest changes that are kept for operators.
 const maxEvents = 256
@@ -230,21 +230,21 @@
 		p.apply(p.view.Tick(p.now()))
 		agents, rank := p.view.AgentRank()
 		var avoid []string
-		if p.opt.Avoid != nil {
+		if p.opt.OnAvoid != nil {
 			view := p.view.View()
 			avoid = view.Avoid("gateway")
 		}
 		p.mu.Unlock()
 		if !slices.Equal(avoid, avoided) {
 			avoided = avoid
-			p.opt.Avoid(avoid)
+			p.opt.OnAvoid(avoid)
 		}
-		if p.opt.Beaten != nil {
-			p.opt.Beaten()
+		if p.opt.OnPeriod != nil {
+			p.opt.OnPeriod()
 		}
-		if p.opt.Count != nil && (agents != told.agents || rank != told.rank) {
+		if p.opt.OnCount != nil && (agents != told.agents || rank != told.rank) {
 			told.agents, told.rank = agents, rank
-			p.opt.Count(agents, rank)
+			p.opt.OnCount(agents, rank)
 		}
 		select {
 		case <-tick.C:
@@ -372,7 +372,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := p.view.ID()
-	return linkwire.Hello{Magic: linkwire.Magic, Least: linkwire.MinVersion, Most: linkwire.MaxVersion, Name: id.Name,
+	return linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion, Name: id.Name,
 		Incarnation: id.Incarnation, Now: p.clock.Now()}
 }
 
@@ -461,7 +461,7 @@
 	}
 	if old := p.links[l.id]; old != nil {
 		s := old.conn.State()
-		if time.Since(s.Heard) < 2*p.opt.Members.Period && old.dialer <= l.dialer {
+		if time.Since(s.ReceivedAt) < 2*p.opt.Members.Period && old.dialer <= l.dialer {
 			return errors.New("a link to this peer already exists")
 		}
 		delete(p.links, l.id)
@@ -490,25 +490,25 @@
 		return nil
 	}
 	l.incoming = nil
-	if p.opt.Word != nil {
-		p.opt.Word(l.id, *w)
+	if p.opt.OnWord != nil {
+		p.opt.OnWord(l.id, *w)
 	}
 	return nil
 }
 
-// Say queues a word for a process, completely or not at all; in the latter case it returns ErrNoRoom.
+// Say queues a word for a process, completely or not at all; in the latter case it returns ErrQueueFull.
 // It does not block. A nil error does not mean that the word will be delivered.
 func (p *Peers) Say(to members.ID, w Word) error {
 	p.mu.Lock()
 	l := p.links[to]
 	p.mu.Unlock()
 	if l == nil || len(w.Body) > MaxWord {
-		return ErrNoRoom
+		return ErrQueueFull
 	}
 	l.mu.Lock()
 	if len(l.words) > 0 && l.wordBytes+len(w.Body) > max(4*p.opt.Queue, 1<<20) { // an empty queue accepts a word of any allowed size
 		l.mu.Unlock()
-		return ErrNoRoom
+		return ErrQueueFull
 	}
 	l.words = append(l.words, w)
 	l.wordBytes += len(w.Body)
--- a/internal/protocol/peers/peers_test.go
+++ b/internal/protocol/peers/peers_test.go
@@ -64,7 +64,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		up, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, Least: 1, Most: 1, Name: name, Incarnation: 5, Now: 1},
+		up, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name, Incarnation: 5, Now: 1},
 			link.Options{Clock: link.NewClock(), Beat: beat, DeadAfter: time.Minute, Status: func() (uint64, bool) { return 0, false }})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/protocol/roster/roster.go
+++ b/internal/protocol/roster/roster.go
@@ -246,12 +246,12 @@
 // responseBody is the body of a response with its connection.
 type responseBody struct {
 	io.Reader
-	conn net.Conn
-	stop func() bool
+	conn       net.Conn
+	stopCancel func() bool
 }
 
 func (a *responseBody) Close() error {
-	a.stop()
+	a.stopCancel()
 	return a.conn.Close()
 }
 
@@ -266,7 +266,7 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	a := &responseBody{conn: conn, stop: stop}
+	a := &responseBody{conn: conn, stopCancel: stop}
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: "+d.addr+"\r\nConnection: close\r\n\r\n"); err != nil {
 		a.Close()
 		return nil, err
--- a/internal/rig/world/fellows.go
+++ b/internal/rig/world/fellows.go
@@ -60,7 +60,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !slices.ContainsFunc(f.view.Members, func(m members.Member) bool { return m.ID == to && m.Linked }) {
-		return peers.ErrNoRoom
+		return peers.ErrQueueFull
 	}
 	f.said = append(f.said, said{to, w})
 	f.w.notify()
