--- a/internal/protocol/gateway/avoid_test.go
+++ b/internal/protocol/gateway/avoid_test.go
@@ -18,7 +18,8 @@
 	named.Gateway.Name = "gw-c"
 	two := sites.Start(t, sites.Options{Servers: 1, Work: time.Millisecond, Links: listen, Operator: named})
 	file := nearFile(t, one.Links.Addr().String(), "")
-	file.Gateway.Sites[0].Peers = append(file.Gateway.Sites[0].Peers, operator.Peer{Name: "gw-c", Address: listen.Addr().String()})
+	file.Gateway.Sites[0].Peers = append(file.Gateway.Sites[0].Peers, operator.Peer{Name: "gw-c",
+		Address: listen.Addr().String()})
 	near := sites.Start(t, sites.Options{Operator: file})
 	for _, s := range []*sites.Site{one, two, near} {
 		s.Ready(t)
@@ -53,10 +54,13 @@
 // suspects itself of being partitioned avoids none.
 func TestWhomAViewAvoids(t *testing.T) {
 	m := func(name, role, process string, s members.State, doubts ...string) members.Member {
-		return members.Member{ID: members.ID{Name: name, Incarnation: 1}, Info: members.Info{Role: role, Process: process}, State: s, SuspectedBy: doubts}
+		return members.Member{ID: members.ID{Name: name, Incarnation: 1},
+			Info: members.Info{Role: role, Process: process}, State: s, SuspectedBy: doubts}
 	}
-	v := members.View{Members: []members.Member{m("a", "gateway", "ready", members.Alive), m("b", "gateway", "ready", members.Suspect, "x"),
-		m("c", "gateway", "ready", members.Suspect, "x", "y"), m("d", "gateway", "ready", members.Dead, "x", "y", "z"), m("e", "gateway", "evacuating", members.Alive),
+	v := members.View{Members: []members.Member{m("a", "gateway", "ready", members.Alive), m("b", "gateway", "ready",
+		members.Suspect, "x"),
+		m("c", "gateway", "ready", members.Suspect, "x", "y"), m("d", "gateway", "ready", members.Dead, "x", "y", "z"),
+		m("e", "gateway", "evacuating", members.Alive),
 		m("f", "agent", "ready", members.Dead), m("g", "gateway", "ending", members.Left)}}
 	got := v.Avoid("gateway")
 	if len(got) != 4 || got[0] != "c" || got[1] != "d" || got[2] != "e" || got[3] != "g" {
--- a/internal/protocol/gateway/gateway_test.go
+++ b/internal/protocol/gateway/gateway_test.go
@@ -57,7 +57,8 @@
 
 func startFar(t testing.TB, servers int, work time.Duration, more ...string) *sites.Site {
 	ln := sites.Loopback(t)
-	far := sites.Start(t, sites.Options{Servers: servers, Work: work, Links: ln, Operator: farFile(t, ln.Addr().String(), strings.Join(more, ""))})
+	far := sites.Start(t, sites.Options{Servers: servers, Work: work, Links: ln,
+		Operator: farFile(t, ln.Addr().String(), strings.Join(more, ""))})
 	return far
 }
 
@@ -78,11 +79,12 @@
 	if breaksAll {
 		aim = 20 // the module sends less for ten aims after what failed
 	}
-	p.near = sites.Start(t, sites.Options{Operator: nearFile(t, p.net.Addr, more), Config: func(settings map[string]any) {
-		for _, c := range settings["classes"].([]any) {
-			c.(map[string]any)["aimMs"] = aim
-		}
-	}})
+	p.near = sites.Start(t, sites.Options{Operator: nearFile(t, p.net.Addr, more),
+		Config: func(settings map[string]any) {
+			for _, c := range settings["classes"].([]any) {
+				c.(map[string]any)["aimMs"] = aim
+			}
+		}})
 	p.far.Ready(t)
 	p.near.Ready(t)
 	return p
@@ -135,7 +137,8 @@
 }
 
 // load sends requests at a steady rate until stop is closed, and returns all answers.
-func load(base string, each time.Duration, patience time.Duration, classes []string, stop <-chan struct{}) []sites.Answer {
+func load(base string, each time.Duration, patience time.Duration, classes []string,
+	stop <-chan struct{}) []sites.Answer {
 	var mu sync.Mutex
 	var all []sites.Answer
 	var wg sync.WaitGroup
@@ -202,20 +205,26 @@
 				p := startPair(t, 2, 2*time.Millisecond, "")
 				stop, done := make(chan struct{}), make(chan []sites.Answer)
 				go func() {
-					done <- load(p.near.Base, 2*time.Millisecond, 1500*time.Millisecond, []string{"order", "send"}, stop)
+					done <- load(p.near.Base, 2*time.Millisecond, 1500*time.Millisecond, []string{"order", "send"},
+						stop)
 				}()
-				sites.Eventually(t, "both work", func() bool { return len(p.far.Servers[0].Came()) > 5 && len(p.far.Servers[1].Came()) > 5 })
+				sites.Eventually(t, "both work", func() bool {
+					return len(p.far.Servers[0].Came()) > 5 && len(p.far.Servers[1].Came()) > 5
+				})
 				p.net.Stall(ways...)
 				timer := time.AfterFunc(stall, func() { p.net.Move(ways...) })
 				defer timer.Stop()
 				told := time.Now()
 				p.far.Roster.Set(p.far.Host(0, "draining"))
 				n := len(p.far.Servers[1].Came())
-				sites.Eventually(t, "the other works on", func() bool { return time.Since(told) > stall && len(p.far.Servers[1].Came()) > n+20 })
+				sites.Eventually(t, "the other works on", func() bool {
+					return time.Since(told) > stall && len(p.far.Servers[1].Came()) > n+20
+				})
 				close(stop)
 				answers := <-done
 				for _, a := range p.far.Servers[0].Came() {
-					if late := a.At.Sub(told); late > 300*time.Millisecond { // grace of 250 ms, and 50 ms for scheduling
+					// grace of 250 ms, and 50 ms for scheduling
+					if late := a.At.Sub(told); late > 300*time.Millisecond {
 						t.Errorf("%s came to the drained server %v after the notice", a.ID, late)
 					}
 				}
@@ -265,7 +274,9 @@
 					t.Errorf("it came to the new process as well")
 				}
 				if who == "far" {
-					sites.Eventually(t, "served by the new process", func() bool { return p.ask("order", 3*time.Second).Status == 200 })
+					sites.Eventually(t, "served by the new process", func() bool {
+						return p.ask("order", 3*time.Second).Status == 200
+					})
 				}
 			}
 		})
@@ -450,7 +461,10 @@
 		t.Errorf("%d served, %d without an answer", served, broken)
 	}
 	for _, s := range []*sites.Site{p.near, p.far} {
-		sites.Eventually(t, "nothing is left over", func() bool { l := s.Agent.Load(); return l.Requests == 0 && l.Attempts == 0 && l.Taken == 0 })
+		sites.Eventually(t, "nothing is left over", func() bool {
+			l := s.Agent.Load()
+			return l.Requests == 0 && l.Attempts == 0 && l.Taken == 0
+		})
 	}
 }
 
@@ -481,7 +495,8 @@
 		far = append(far, s)
 		text += fmt.Sprintf("[[gateway.site.peer]]\nname = \"gw-b%d\"\naddress = \"%s\"\n", i, ln.Addr())
 	}
-	near := sites.Start(t, sites.Options{Servers: 1, Operator: sites.Operator(t, "%s", text+"[[gateway.route]]\nto = [\"b\"]\n"), Config: patient, Sockets: 16384})
+	near := sites.Start(t, sites.Options{Servers: 1, Operator: sites.Operator(t, "%s",
+		text+"[[gateway.route]]\nto = [\"b\"]\n"), Config: patient, Sockets: 16384})
 	near.Ready(t)
 	sites.Eventually(t, "all far gateways are up", func() bool {
 		up := 0
@@ -496,7 +511,8 @@
 	answers := make([]sites.Answer, fars*each)
 	for i := range answers {
 		wg.Go(func() {
-			answers[i] = sites.Ask(context.Background(), near.Base, []string{"order", "send", "look"}[i%3], 30*time.Second, []byte("body"))
+			answers[i] = sites.Ask(context.Background(), near.Base, []string{"order", "send", "look"}[i%3],
+				30*time.Second, []byte("body"))
 		})
 	}
 	sites.Eventually(t, "a thousand are under way", func() bool {
@@ -510,8 +526,10 @@
 	if err := near.Agent.Reload(near.Conf, next); err != nil {
 		t.Fatal(err)
 	}
-	if a := sites.Ask(context.Background(), near.Base, "order", 10*time.Second, nil); a.Status != 200 || near.Came()[a.ID] != 1 {
-		t.Errorf("after the change it got %d, and came %d times to the near site's own server", a.Status, near.Came()[a.ID])
+	if a := sites.Ask(context.Background(), near.Base, "order", 10*time.Second, nil); a.Status != 200 ||
+		near.Came()[a.ID] != 1 {
+		t.Errorf("after the change it got %d, and came %d times to the near site's own server", a.Status,
+			near.Came()[a.ID])
 	}
 	for _, s := range far {
 		for _, server := range s.Servers {
@@ -558,7 +576,10 @@
 	for i := range looks {
 		wg.Go(func() { looks[i] = p.ask("look", 3*time.Second) })
 	}
-	sites.Eventually(t, "the looks fill what they may", func() bool { _, c := status(); return c["look"].InFlight == 22 && c["look"].Rejected > 0 })
+	sites.Eventually(t, "the looks fill what they may", func() bool {
+		_, c := status()
+		return c["look"].InFlight == 22 && c["look"].Rejected > 0
+	})
 	var order sites.Answer
 	wg.Go(func() { order = p.ask("order", 3*time.Second) })
 	sites.Eventually(t, "the order is out", func() bool { _, c := status(); return c["order"].InFlight == 1 })
--- a/internal/protocol/gateway/lease_test.go
+++ b/internal/protocol/gateway/lease_test.go
@@ -15,7 +15,8 @@
 	near, ok := leaseOf(a, st, 1)
 	st.ReturnDelay = 100 * time.Millisecond
 	far, okToo := leaseOf(a, st, 1)
-	if less := time.Duration(near.Life-far.Life) * time.Microsecond; !ok || !okToo || less < 90*time.Millisecond || less > 5*time.Second {
+	if less := time.Duration(near.Life-far.Life) * time.Microsecond; !ok || !okToo || less < 90*time.Millisecond ||
+		less > 5*time.Second {
 		t.Errorf("with a way back of 100 ms the lease is %v shorter", less)
 	}
 }
--- a/internal/protocol/gateway/leave_test.go
+++ b/internal/protocol/gateway/leave_test.go
@@ -56,7 +56,8 @@
 		for _, stalled := range []bool{false, true} {
 			t.Run(fmt.Sprintf("cancelling=%v,stalled=%v", cancelling, stalled), func(t *testing.T) {
 				ln := sites.Loopback(t)
-				far := sites.Start(t, sites.Options{Servers: 1, Links: ln, Operator: still(farFile(t, ln.Addr().String(), "")), Config: patient(cancelling)})
+				far := sites.Start(t, sites.Options{Servers: 1, Links: ln,
+					Operator: still(farFile(t, ln.Addr().String(), "")), Config: patient(cancelling)})
 				link, err := wan.New(ln.Addr().String(), 1)
 				if err != nil {
 					t.Fatal(err)
@@ -65,7 +66,8 @@
 				for _, w := range []wan.Way{wan.There, wan.Back} {
 					link.Set(w, wan.Path{Delay: 16 * time.Millisecond})
 				}
-				near := sites.Start(t, sites.Options{Operator: still(nearFile(t, link.Addr, "")), Config: patient(cancelling)})
+				near := sites.Start(t, sites.Options{Operator: still(nearFile(t, link.Addr, "")),
+					Config: patient(cancelling)})
 				far.Ready(t)
 				near.Ready(t)
 				server := far.Servers[0]
--- a/internal/protocol/gateway/measure_test.go
+++ b/internal/protocol/gateway/measure_test.go
@@ -78,7 +78,8 @@
 		n := min(12*rate, 4000)
 		a, badA := paced("http://"+straight.Addr, rate, n)
 		b, badB := paced(p.near.Base, rate, n)
-		fmt.Printf("| %d | %v / %v | %v / %v | %v / %v | %d, %d |\n", rate, quantile(a, 0.5), quantile(a, 0.99), quantile(b, 0.5), quantile(b, 0.99),
+		fmt.Printf("| %d | %v / %v | %v / %v | %v / %v | %d, %d |\n", rate, quantile(a, 0.5), quantile(a, 0.99),
+			quantile(b, 0.5), quantile(b, 0.99),
 			quantile(b, 0.5)-quantile(a, 0.5), quantile(b, 0.99)-quantile(a, 0.99), badA, badB)
 	}
 }
@@ -154,8 +155,10 @@
 	times := gateway.DefaultTimes()
 	times.StallAfter, times.DeadAfter = 20*time.Second, 30*time.Second
 	set := far.Conf.Settings
-	site, err := gateway.NewSender(ctx, gateway.SenderOptions{Name: "gw-a", Site: "b", Peers: []gateway.Peer{{Name: "gw-b", Address: net1.Addr}}, Conns: 2,
-		Limits: limit.Options{Law: limit.Fixed, MaxWindow: 2 * n}, Times: times, Settings: &set, Dial: (&net.Dialer{}).DialContext, Seed: 1, Log: slog.New(slog.DiscardHandler)})
+	site, err := gateway.NewSender(ctx, gateway.SenderOptions{Name: "gw-a", Site: "b",
+		Peers: []gateway.Peer{{Name: "gw-b", Address: net1.Addr}}, Conns: 2,
+		Limits: limit.Options{Law: limit.Fixed, MaxWindow: 2 * n}, Times: times, Settings: &set,
+		Dial: (&net.Dialer{}).DialContext, Seed: 1, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,8 +177,9 @@
 	ends := make(chan core.Result, n)
 	way := site.Endpoint(&cluster.Server{Dial: "gw-b"})
 	for i := range n {
-		r := &core.Request{ID: fmt.Sprint("m", i), Class: 2, Key: uint64(i + 1), Deadline: time.Now().Add(5 * time.Second),
-			Message: core.Message{Method: "POST", Target: "/order/u1", Host: "h", Body: body}}
+		r := &core.Request{ID: fmt.Sprint("m", i), Class: 2, Key: uint64(i + 1),
+			Deadline: time.Now().Add(5 * time.Second),
+			Message:  core.Message{Method: "POST", Target: "/order/u1", Host: "h", Body: body}}
 		if err := way.Start(core.NewAttempt(ctx, r, 5*time.Second, func(res core.Result) { ends <- res })); err != nil {
 			t.Fatal(i, err)
 		}
@@ -185,7 +189,8 @@
 		open += m
 	}
 	after := heap()
-	fmt.Printf("%d crossings of 200 bytes wait on a stalled link: %d bytes each\n", open, (after-before)/uint64(max(open, 1)))
+	fmt.Printf("%d crossings of 200 bytes wait on a stalled link: %d bytes each\n", open,
+		(after-before)/uint64(max(open, 1)))
 	for range n {
 		<-ends
 	}
@@ -203,7 +208,8 @@
 		name  string
 		work  time.Duration
 		slots int
-	}{{"work takes ten times as long", 320 * time.Millisecond, 4}, {"one slot of ten is left", 32 * time.Millisecond, 1}} {
+	}{{"work takes ten times as long", 320 * time.Millisecond, 4}, {"one slot of ten is left", 32 * time.Millisecond,
+		1}} {
 		for _, law := range []string{limit.Fixed, limit.AIMD, limit.Gradient} {
 			p := startPairOf(t, 4, 32*time.Millisecond, fmt.Sprintf("law = %q\n", law), false)
 			for _, w := range []wan.Way{wan.There, wan.Back} {
@@ -231,7 +237,8 @@
 			var all []one
 			var wg sync.WaitGroup
 			start := time.Now()
-			slowed, eased := time.AfterFunc(before, func() { change(how.work, how.slots) }), time.AfterFunc(before+slow, func() { change(32*time.Millisecond, 4) })
+			slowed, eased := time.AfterFunc(before, func() { change(how.work, how.slots) }), time.AfterFunc(before+slow,
+				func() { change(32*time.Millisecond, 4) })
 			for i := 0; ; i++ {
 				at := time.Duration(i) * 2500 * time.Microsecond
 				if at > before+slow+after {
@@ -289,7 +296,8 @@
 			if len(took) > 0 {
 				p99 = quantile(took, 0.99)
 			}
-			fmt.Printf("| %s | %s | %.0f %% | %.1f, %.1f, %.1f, %.1f %% | %v | %.0f %% | %v |\n", how.name, law, 100*in[0]/n[0], 100*in[1]/n[1], 100*late[1]/n[1],
+			fmt.Printf("| %s | %s | %.0f %% | %.1f, %.1f, %.1f, %.1f %% | %v | %.0f %% | %v |\n", how.name, law,
+				100*in[0]/n[0], 100*in[1]/n[1], 100*late[1]/n[1],
 				100*refused[1]/n[1], 100*failed[1]/n[1], p99.Round(time.Millisecond), 100*in[2]/n[2], back)
 			p.near.Kill()
 			p.far.Kill()
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -38,7 +38,8 @@
 var lastInc atomic.Uint64
 
 func hello(name string) *linkwire.Hello {
-	return &linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name, Incarnation: 1000 + lastInc.Add(1)}
+	return &linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name,
+		Incarnation: 1000 + lastInc.Add(1)}
 }
 
 // lie dials a far end and sends the Hello, if any.
@@ -89,7 +90,8 @@
 }
 
 func (l *liar) offer(num uint64) *linkwire.Offer {
-	return &linkwire.Offer{Number: num, Lease: l.lease(), MaxAttempts: 1, Class: "order", Effect: "single_shot", ID: fmt.Sprint("lie", num),
+	return &linkwire.Offer{Number: num, Lease: l.lease(), MaxAttempts: 1, Class: "order", Effect: "single_shot",
+		ID:     fmt.Sprint("lie", num),
 		Method: "POST", Target: "/order/u1", Host: "h"}
 }
 
@@ -108,9 +110,11 @@
 // its own link as well: the querying gateway may have timed out, and the near end sends no further
 // query while that link is up.
 func TestOwnWordReachesTheNearEnd(t *testing.T) {
-	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Idempotency: settings.NonIdempotent, ClientTimeoutMs: 10_000}}}
+	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Idempotency: settings.NonIdempotent,
+		ClientTimeoutMs: 10_000}}}
 	took := idle{make(chan string, 1)}
-	far := gateway.NewReceiver(gateway.ReceiverOptions{Name: "far", Core: took, Settings: set, Classes: map[string]int{"order": 0}, Peers: []string{"gw-a"}, Crossings: 10, Bytes: 1 << 20,
+	far := gateway.NewReceiver(gateway.ReceiverOptions{Name: "far", Core: took, Settings: set,
+		Classes: map[string]int{"order": 0}, Peers: []string{"gw-a"}, Crossings: 10, Bytes: 1 << 20,
 		Conns: 4, PerSecond: 100, Times: gateway.DefaultTimes(), Log: slog.New(slog.DiscardHandler)})
 	ln := sites.Loopback(t)
 	defer far.Close()
@@ -215,7 +219,8 @@
 		}{
 			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Class = "nothing" }},
 			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Effect = "free" }},
-			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Class, f.Effect = "send", "guarded" }}, // without a key
+			// without a key
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Class, f.Effect = "send", "guarded" }},
 			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Method = "GET" }},
 			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Begin, f.Lease.Life = 0, 0 }},
 			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Begin = 0 }},
@@ -229,7 +234,8 @@
 	})
 	t.Run("a fence overtakes its order", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
-		for i, ask := range []linkwire.Frame{&linkwire.Fence{Number: 21, Lease: l.lease()}, &linkwire.Cancel{Number: 22, Lease: l.lease()}} {
+		for i, ask := range []linkwire.Frame{&linkwire.Fence{Number: 21, Lease: l.lease()}, &linkwire.Cancel{Number: 22,
+			Lease: l.lease()}} {
 			l.say(t, ask)
 			never(t, l, linkwire.ReasonFenced)
 			l.say(t, l.offer(uint64(21+i)))
@@ -279,17 +285,21 @@
 	}
 	must(keys.Make(dir, []string{"gw-a", "gw-b", "gw-z"}, time.Hour))
 	tlsOf := func(name string) string {
-		return fmt.Sprintf("[gateway.keys]\nca = %q\ncert = %q\nkey = %q\n", filepath.Join(dir, "ca.pem"), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
+		return fmt.Sprintf("[gateway.keys]\nca = %q\ncert = %q\nkey = %q\n", filepath.Join(dir, "ca.pem"),
+			filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
 	}
 	ln := sites.Loopback(t)
-	far := sites.Start(t, sites.Options{Servers: 2, Links: ln, Operator: sites.Operator(t, "[gateway]\nname = \"gw-b\"\npeers = [\"gw-a\"]\nlisten = %q\n%s%s", ln.Addr().String(), times, tlsOf("gw-b"))})
+	far := sites.Start(t, sites.Options{Servers: 2, Links: ln, Operator: sites.Operator(t,
+		"[gateway]\nname = \"gw-b\"\npeers = [\"gw-a\"]\nlisten = %q\n%s%s", ln.Addr().String(), times, tlsOf("gw-b"))})
 	file := func(route string) string {
 		return fmt.Sprintf("[gateway]\nname = \"gw-a\"\n%s%s[[gateway.site]]\nname = \"b\"\n[[gateway.site.peer]]\nname = \"gw-b\"\naddress = %q\n%s", times, tlsOf("gw-a"), ln.Addr().String(), route)
 	}
-	near := sites.Start(t, sites.Options{Servers: 1, Operator: sites.Operator(t, "%s", file("[[gateway.route]]\nto = [\"b\"]\n"))})
+	near := sites.Start(t, sites.Options{Servers: 1, Operator: sites.Operator(t, "%s",
+		file("[[gateway.route]]\nto = [\"b\"]\n"))})
 	near.Ready(t)
 	sites.Eventually(t, "it crosses", func() bool {
-		return sites.Ask(context.Background(), near.Base, "order", 2*time.Second, nil).Status == 200 && len(far.Came()) > 0
+		return sites.Ask(context.Background(), near.Base, "order", 2*time.Second, nil).Status == 200 &&
+			len(far.Came()) > 0
 	})
 	stop, done := make(chan struct{}), make(chan []sites.Answer)
 	go func() { done <- load(near.Base, 5*time.Millisecond, 2*time.Second, []string{"order", "look"}, stop) }()
@@ -302,9 +312,14 @@
 		must(near.Agent.Reload(near.Conf, sites.Operator(t, "%s", file(route))))
 		must(far.Agent.Reload(far.Conf, sites.Operator(t, "[gateway]\nname = \"gw-b\"\npeers = [\"gw-a\"]\nlisten = %q\n%s%s", ln.Addr().String(), times, tlsOf("gw-b"))))
 		n, m := len(near.Came()), len(far.Came())
-		sites.Eventually(t, "both sites are used", func() bool { return len(near.Came()) > n+20 && len(far.Came()) > m+20 })
+		sites.Eventually(t, "both sites are used", func() bool {
+			return len(near.Came()) > n+20 &&
+				len(far.Came()) > m+20
+		})
 	}
-	if err := near.Agent.Reload(near.Conf, sites.Operator(t, "%s", file("[[gateway.route]]\nclass = \"nothing\"\nto = [\"b\"]\n"))); err == nil || !strings.Contains(err.Error(), "route[0].class") {
+	if err := near.Agent.Reload(near.Conf, sites.Operator(t, "%s",
+		file("[[gateway.route]]\nclass = \"nothing\"\nto = [\"b\"]\n"))); err == nil || !strings.Contains(err.Error(),
+		"route[0].class") {
 		t.Errorf("a class that does not exist: %v", err)
 	}
 	close(stop)
@@ -323,8 +338,10 @@
 	must(keys.Make(other, []string{"gw-a"}, time.Hour))
 	must(keys.Make(dir, []string{"gw-old"}, time.Millisecond))
 	for name, f := range map[string]keys.Files{
-		"another name":      {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-z.pem"), Key: filepath.Join(dir, "gw-z.key")},
-		"another authority": {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(other, "gw-a.pem"), Key: filepath.Join(other, "gw-a.key")},
+		"another name": {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-z.pem"),
+			Key: filepath.Join(dir, "gw-z.key")},
+		"another authority": {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(other, "gw-a.pem"),
+			Key: filepath.Join(other, "gw-a.key")},
 	} {
 		store, err := keys.Load(f)
 		must(err)
@@ -340,7 +357,8 @@
 		}
 		c.Close()
 	}
-	if _, err := keys.Load(keys.Files{CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-old.pem"), Key: filepath.Join(dir, "gw-old.key")}); err == nil || !strings.Contains(err.Error(), "ended") {
+	if _, err := keys.Load(keys.Files{CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-old.pem"),
+		Key: filepath.Join(dir, "gw-old.key")}); err == nil || !strings.Contains(err.Error(), "ended") {
 		t.Errorf("a certificate past its end: %v", err)
 	}
 }
@@ -373,8 +391,10 @@
 				h := hello("gw-b")
 				h.Crossings = 10
 				buf, _ := linkwire.Append(nil, h)
-				buf, _ = linkwire.Append(buf, &linkwire.Ended{Number: 5, Result: linkwire.Served, Size: 2, Body: []byte("no")})
-				buf, _ = linkwire.Append(buf, &linkwire.Offer{Number: 1, MaxAttempts: 1, Class: "order", Effect: "single_shot", ID: "x", Method: "POST", Target: "/"})
+				buf, _ = linkwire.Append(buf, &linkwire.Ended{Number: 5, Result: linkwire.Served, Size: 2,
+					Body: []byte("no")})
+				buf, _ = linkwire.Append(buf, &linkwire.Offer{Number: 1, MaxAttempts: 1, Class: "order",
+					Effect: "single_shot", ID: "x", Method: "POST", Target: "/"})
 				c.Write(buf)
 			case 3:
 				buf, _ := linkwire.Append(nil, &linkwire.Bye{Text: "go away"})
--- a/internal/protocol/gateway/receiver.go
+++ b/internal/protocol/gateway/receiver.go
@@ -59,7 +59,8 @@
 	Answered(near string, inc, number uint64, r promises.Reply)
 	// Query determines the outcome of a crossing that was offered to another gateway since ago, and
 	// passes it to tell.
-	Query(holder string, hinc uint64, near string, inc, number uint64, since time.Duration, tell func(promises.Verdict, *promises.Reply))
+	Query(holder string, hinc uint64, near string, inc, number uint64, since time.Duration,
+		tell func(promises.Verdict, *promises.Reply))
 }
 
 // Receiver is the far end of links. It accepts crossings and passes them to its own core only, so that
@@ -91,7 +92,8 @@
 // NewReceiver returns a Receiver; Serve accepts its links.
 func NewReceiver(o ReceiverOptions) *Receiver {
 	f := &Receiver{opt: o, clock: link.NewClock(),
-		acceptLimiter: rate.NewLimiter(rate.Limit(o.PerSecond), max(int(o.PerSecond), 1)), sessions: map[sessionKey]*session{}, conns: map[net.Conn]bool{}}
+		acceptLimiter: rate.NewLimiter(rate.Limit(o.PerSecond), max(int(o.PerSecond), 1)),
+		sessions:      map[sessionKey]*session{}, conns: map[net.Conn]bool{}}
 	f.inc.Store(newIncarnation(o.Seed))
 	return f
 }
@@ -273,8 +275,10 @@
 		case !slices.Contains(f.opt.Peers, peer.Name):
 			return linkwire.Hello{}, fmt.Errorf("name: %q may not cross here", peer.Name)
 		}
-		return linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion, Name: f.opt.Name,
-			Incarnation: f.inc.Load(), Crossings: uint64(f.opt.Crossings), Bytes: uint64(f.opt.Bytes), Now: f.clock.Now(), Draining: f.Draining()}, nil
+		return linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion,
+			Name:        f.opt.Name,
+			Incarnation: f.inc.Load(), Crossings: uint64(f.opt.Crossings), Bytes: uint64(f.opt.Bytes),
+			Now: f.clock.Now(), Draining: f.Draining()}, nil
 	}, link.Options{Clock: f.clock, Beat: f.opt.Times.Beat, DeadAfter: f.opt.Times.DeadAfter,
 		Status: func() (uint64, bool) { return uint64(f.InFlight()), f.Draining() }})
 	if err != nil {
@@ -430,7 +434,8 @@
 		c.link.Urgent(&v)
 		return
 	}
-	s.far.opt.Promises.Query(f.Holder, f.Incarnation, s.key.peer, s.key.inc, f.Number, time.Duration(f.SinceUs)*time.Microsecond,
+	s.far.opt.Promises.Query(f.Holder, f.Incarnation, s.key.peer, s.key.inc, f.Number,
+		time.Duration(f.SinceUs)*time.Microsecond,
 		func(word promises.Verdict, r *promises.Reply) {
 			switch word {
 			case promises.NeverBegun:
@@ -481,7 +486,8 @@
 	x.needsPromise = known && far.opt.Promises != nil && far.opt.Settings.Classes[r.Class].Idempotency != settings.Idempotent
 	held := int64(len(f.Body))
 	terms := crossing.Conditions{LeaseExpired: s.leaseExpired(&f.Lease, x.beginBy), Draining: draining,
-		Full: !known || s.running >= far.opt.Crossings || far.bytes.Load()+held > far.opt.Bytes || len(s.open) > 8*far.opt.Crossings}
+		Full: !known || s.running >= far.opt.Crossings || far.bytes.Load()+held > far.opt.Bytes ||
+			len(s.open) > 8*far.opt.Crossings}
 	switch { // the first matching reason is reported
 	case x.m.State == crossing.Fenced:
 		x.reason = linkwire.ReasonFenced
@@ -541,12 +547,15 @@
 	if c.Idempotency == settings.Idempotent {
 		method = http.MethodGet
 	}
-	if string(c.Idempotency) != o.Effect || o.Method != method || c.Idempotency == settings.Deduplicated && o.IdempotencyKey == "" || o.MaxAttempts == 0 {
+	if string(c.Idempotency) != o.Effect || o.Method != method ||
+		c.Idempotency == settings.Deduplicated && o.IdempotencyKey == "" || o.MaxAttempts == 0 {
 		return nil, false
 	}
-	r := &core.Request{ID: o.ID, Class: class, Key: o.Key, HintMs: float64(o.HintUs) / 1000, HasHint: o.HintUs > 0, Retry: o.Retry,
+	r := &core.Request{ID: o.ID, Class: class, Key: o.Key, HintMs: float64(o.HintUs) / 1000, HasHint: o.HintUs > 0,
+		Retry:       o.Retry,
 		MaxAttempts: int(o.MaxAttempts), Deduplicated: true, Deadline: time.Now().Add(time.Duration(c.ClientTimeoutMs * float64(time.Millisecond))),
-		Message: core.Message{Method: o.Method, Target: o.Target, Host: o.Host, ContentType: o.ContentType, IdempotencyKey: o.IdempotencyKey, Body: o.Body}}
+		Message: core.Message{Method: o.Method, Target: o.Target, Host: o.Host, ContentType: o.ContentType,
+			IdempotencyKey: o.IdempotencyKey, Body: o.Body}}
 	if len(f.opt.Tenants) > 0 {
 		if r.Tenant, known = f.opt.Tenants[o.Tenant]; !known {
 			r.Tenant = -1
@@ -644,12 +653,14 @@
 }
 
 // handleFence answers a Fence or a Cancel.
-func (s *session) handleFence(c *receiverConn, num uint64, l *linkwire.Lease, step func(*crossing.Receiver, crossing.Conn, crossing.Conditions) (crossing.Msg, crossing.Action)) error {
+func (s *session) handleFence(c *receiverConn, num uint64, l *linkwire.Lease,
+	step func(*crossing.Receiver, crossing.Conn, crossing.Conditions) (crossing.Msg, crossing.Action)) error {
 	var later deferredCalls
 	s.mu.Lock()
 	x := s.open[num]
 	if x == nil {
-		terms := crossing.Conditions{LeaseExpired: s.leaseExpired(l, s.at(l, l.Life)), Full: len(s.open) > 8*s.far.opt.Crossings}
+		terms := crossing.Conditions{LeaseExpired: s.leaseExpired(l, s.at(l, l.Life)),
+			Full: len(s.open) > 8*s.far.opt.Crossings}
 		if terms.LeaseExpired || terms.Full {
 			var none crossing.Receiver
 			m, _ := step(&none, c.id, terms)
--- a/internal/protocol/gateway/sender.go
+++ b/internal/protocol/gateway/sender.go
@@ -87,7 +87,8 @@
 // NewSender returns a Sender without connections; Run opens them. It returns an error if the limits
 // are invalid.
 func NewSender(ctx context.Context, o SenderOptions) (*Sender, error) {
-	s := &Sender{opt: o, began: time.Now(), clock: link.NewClock(), byName: map[string]*peer{}, watches: map[*listClient]bool{}, seq: 1}
+	s := &Sender{opt: o, began: time.Now(), clock: link.NewClock(), byName: map[string]*peer{},
+		watches: map[*listClient]bool{}, seq: 1}
 	s.ctx, s.stop = context.WithCancel(ctx)
 	rng := rand.New(rand.NewPCG(o.Seed, 0x6c696e6b))
 	s.inc = newIncarnation(o.Seed)
@@ -102,7 +103,8 @@
 			s.stop()
 			return nil, err
 		}
-		q := &peer{Peer: p, sender: s, limits: lim, conns: map[crossing.Conn]*senderConn{}, open: map[uint64]*outboundCrossing{}, rng: rand.New(rand.NewPCG(rng.Uint64(), 1))}
+		q := &peer{Peer: p, sender: s, limits: lim, conns: map[crossing.Conn]*senderConn{},
+			open: map[uint64]*outboundCrossing{}, rng: rand.New(rand.NewPCG(rng.Uint64(), 1))}
 		s.peers = append(s.peers, q)
 		s.byName[p.Name] = q
 	}
@@ -344,7 +346,8 @@
 		}
 		pause := time.Duration((0.5 + p.rng.Float64()) * float64(wait))
 		p.mu.Unlock()
-		p.sender.opt.Log.Warn("link lost or not established; dialling again", "peer", p.Name, "err", err, "again_in", pause.Round(time.Millisecond))
+		p.sender.opt.Log.Warn("link lost or not established; dialling again", "peer", p.Name, "err", err, "again_in",
+			pause.Round(time.Millisecond))
 		wait = min(2*wait, t.RedialMax)
 		select {
 		case <-p.sender.ctx.Done():
@@ -370,8 +373,9 @@
 		}
 		conn = secure
 	}
-	c, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion,
-		Name: s.opt.Name, Incarnation: s.inc, Now: s.clock.Now()}, link.Options{Clock: s.clock, Beat: s.opt.Times.Beat,
+	c, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion,
+		MaxVersion: linkwire.MaxVersion,
+		Name:       s.opt.Name, Incarnation: s.inc, Now: s.clock.Now()}, link.Options{Clock: s.clock, Beat: s.opt.Times.Beat,
 		DeadAfter: s.opt.Times.DeadAfter, Status: p.status})
 	if err != nil {
 		return nil, err
@@ -565,7 +569,8 @@
 	delete(p.open, x.num)
 	x.conn.out--
 	now := time.Now()
-	p.limits.Release(x.a.Request.Class, size(x.a), now.Sub(p.sender.began), now.Sub(x.offeredAt), x.limitResult(v, word, why, now))
+	p.limits.Release(x.a.Request.Class, size(x.a), now.Sub(p.sender.began), now.Sub(x.offeredAt),
+		x.limitResult(v, word, why, now))
 	if word != nil {
 		if p.acks = append(p.acks, x.num); len(p.acks) >= ackAt {
 			p.ack()
@@ -682,7 +687,8 @@
 // replaced. The wait allows for other gateways that could answer but are still restarting.
 func (x *outboundCrossing) unresolvable(now time.Time) bool {
 	s := x.p.sender
-	return !x.replacedAt.IsZero() && (len(s.peers) == 1 || now.Sub(x.replacedAt) >= max(s.opt.ProofWithin, minQueries*queryInterval))
+	return !x.replacedAt.IsZero() && (len(s.peers) == 1 ||
+		now.Sub(x.replacedAt) >= max(s.opt.ProofWithin, minQueries*queryInterval))
 }
 
 // queryOthers asks other gateways of the site about crossings that were offered to this one, where no
@@ -720,7 +726,8 @@
 			continue
 		}
 		x.queriedAt = now
-		able[x.queries%len(able)].link.Urgent(&linkwire.Query{Number: x.num, Holder: p.Name, Incarnation: x.inc, SinceUs: uint64(now.Sub(x.offeredAt).Microseconds())})
+		able[x.queries%len(able)].link.Urgent(&linkwire.Query{Number: x.num, Holder: p.Name, Incarnation: x.inc,
+			SinceUs: uint64(now.Sub(x.offeredAt).Microseconds())})
 		x.queries++
 	}
 }
@@ -752,9 +759,11 @@
 	if x := p.open[f.Number]; x != nil && x.inc == f.Incarnation && x.m.State != crossing.Queued {
 		switch f.Outcome {
 		case linkwire.VerdictNever:
-			ends = append(ends, p.end(x, x.m.Receive(crossing.NotStarted), &linkwire.Never{Number: f.Number, Reason: linkwire.ReasonFenced}, nil))
+			ends = append(ends, p.end(x, x.m.Receive(crossing.NotStarted),
+				&linkwire.Never{Number: f.Number, Reason: linkwire.ReasonFenced}, nil))
 		case linkwire.VerdictReplied:
-			ends = append(ends, p.end(x, x.m.Receive(crossing.Completed), &linkwire.Ended{Number: f.Number, Result: f.Result, Attempts: 1, ContentType: f.ContentType,
+			ends = append(ends, p.end(x, x.m.Receive(crossing.Completed), &linkwire.Ended{Number: f.Number,
+				Result: f.Result, Attempts: 1, ContentType: f.ContentType,
 				Size: uint64(len(f.Body)), Body: f.Body}, nil))
 		case linkwire.VerdictOver:
 			if x.nonIdempotent() { // others wait for their lease: the process may be alive and running them
@@ -833,7 +842,8 @@
 		p.mu.Unlock()
 		return
 	}
-	if cause := context.Cause(x.a.Context()); errors.Is(cause, context.DeadlineExceeded) || p.sender.ctx.Err() != nil || x.m.State == crossing.Queued {
+	if cause := context.Cause(x.a.Context()); errors.Is(cause, context.DeadlineExceeded) || p.sender.ctx.Err() != nil ||
+		x.m.State == crossing.Queued {
 		end = p.end(x, x.m.ExpireLease(), nil, cause)
 	} else {
 		// Until the far end confirms, or the lease ends, the request may be running there.
@@ -892,7 +902,8 @@
 	if by := a.BeginBy(); !by.IsZero() {
 		begin = min(begin, by.Sub(st.PeerClockAt)-leaseMargin)
 	}
-	l := linkwire.Lease{Incarnation: inc, Quote: st.PeerClock, Begin: uint64(max(begin, 0).Microseconds()), Life: uint64(max(life, 0).Microseconds())}
+	l := linkwire.Lease{Incarnation: inc, Quote: st.PeerClock, Begin: uint64(max(begin, 0).Microseconds()),
+		Life: uint64(max(life, 0).Microseconds())}
 	return l, begin > time.Since(st.PeerClockAt) && l.Life <= linkwire.MaxTime
 }
 
@@ -934,10 +945,13 @@
 // offer returns the frame that carries the request.
 func (x *outboundCrossing) offer(l linkwire.Lease) *linkwire.Offer {
 	r, set := x.a.Request, x.p.sender.opt.Settings
-	f := &linkwire.Offer{Number: x.num, Lease: l, MaxAttempts: uint64(max(x.a.AttemptsLeft, 1)), Class: set.Classes[r.Class].Name,
-		Effect: string(set.Classes[r.Class].Idempotency), Key: r.Key, Retry: r.Retry, ID: r.ID, Method: r.Message.Method,
-		Target: r.Message.Target, Host: r.Message.Host, ContentType: r.Message.ContentType, IdempotencyKey: r.Message.IdempotencyKey,
-		Size: uint64(len(r.Message.Body)), Body: r.Message.Body[:min(len(r.Message.Body), linkwire.MaxPart)]}
+	f := &linkwire.Offer{Number: x.num, Lease: l, MaxAttempts: uint64(max(x.a.AttemptsLeft, 1)),
+		Class:  set.Classes[r.Class].Name,
+		Effect: string(set.Classes[r.Class].Idempotency), Key: r.Key, Retry: r.Retry, ID: r.ID,
+		Method: r.Message.Method,
+		Target: r.Message.Target, Host: r.Message.Host, ContentType: r.Message.ContentType,
+		IdempotencyKey: r.Message.IdempotencyKey,
+		Size:           uint64(len(r.Message.Body)), Body: r.Message.Body[:min(len(r.Message.Body), linkwire.MaxPart)]}
 	if r.Tenant >= 0 && r.Tenant < len(set.Tenants) {
 		f.Tenant = set.Tenants[r.Tenant].Name
 	}
--- a/internal/protocol/gateway/status.go
+++ b/internal/protocol/gateway/status.go
@@ -41,7 +41,8 @@
 
 func linkStatus(c *link.Conn, after time.Duration, now time.Time) LinkStatus {
 	st := c.State()
-	return LinkStatus{RoundTrip: st.RTT, ReceivedAgo: now.Sub(st.ReceivedAt), EchoedAgo: now.Sub(st.EchoedAt), Stalled: st.Stalled(now, after), Draining: st.Draining}
+	return LinkStatus{RoundTrip: st.RTT, ReceivedAgo: now.Sub(st.ReceivedAt), EchoedAgo: now.Sub(st.EchoedAt),
+		Stalled: st.Stalled(now, after), Draining: st.Draining}
 }
 
 // Status returns the state of each far gateway.
@@ -50,7 +51,8 @@
 	now := time.Now()
 	for _, p := range s.peers {
 		p.mu.Lock()
-		q := PeerStatus{Name: p.Name, Address: p.Address, Site: s.opt.Site, Incarnation: p.inc, Reachable: p.pickConn(now) != nil,
+		q := PeerStatus{Name: p.Name, Address: p.Address, Site: s.opt.Site, Incarnation: p.inc,
+			Reachable: p.pickConn(now) != nil,
 			LastError: p.lastError, Links: []LinkStatus{}, Crossings: map[string]int{}, Window: p.limits.Window()}
 		for _, c := range p.conns {
 			q.Links = append(q.Links, linkStatus(c.link, s.opt.Times.StallAfter, now))
--- a/internal/protocol/intake/intake.go
+++ b/internal/protocol/intake/intake.go
@@ -87,7 +87,8 @@
 // a client that sends no time-out gets that of its class; otherwise the request is rejected.
 func Read(v *View, f *Fields, patient bool) (*core.Request, ClientTimeout, *Problem) {
 	r := &core.Request{ID: f.ID, MaxAttempts: v.Settings.Limits.MaxAttempts, Retry: f.Retry == "1",
-		Message: core.Message{Method: f.Method, Target: f.Target, Host: f.Host, ContentType: f.ContentType, IdempotencyKey: f.IdempotencyKey}}
+		Message: core.Message{Method: f.Method, Target: f.Target, Host: f.Host, ContentType: f.ContentType,
+			IdempotencyKey: f.IdempotencyKey}}
 	var p ClientTimeout
 	if !strings.HasPrefix(f.Target, "/") || !strings.HasPrefix(f.Path, "/") {
 		return nil, p, &Problem{http.StatusBadRequest, "no path: an agent is no proxy"}
--- a/internal/protocol/link/link.go
+++ b/internal/protocol/link/link.go
@@ -104,7 +104,8 @@
 // Welcome performs the greeting as the far end. The context bounds the greeting. mine is called with
 // the near end's Hello; if it returns an error, the near end is rejected and the error's text is sent
 // to it.
-func Welcome(ctx context.Context, conn net.Conn, mine func(peer *linkwire.Hello) (linkwire.Hello, error), o Options) (*Conn, error) {
+func Welcome(ctx context.Context, conn net.Conn, mine func(peer *linkwire.Hello) (linkwire.Hello, error),
+	o Options) (*Conn, error) {
 	c := o.wrap(conn)
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	err := c.readHello()
@@ -141,7 +142,8 @@
 func negotiate(mine, peer *linkwire.Hello) (uint64, error) {
 	v := min(mine.MaxVersion, peer.MaxVersion)
 	if v < mine.MinVersion || v < peer.MinVersion {
-		return 0, fmt.Errorf("version: this end supports %d to %d, the other %d to %d", mine.MinVersion, mine.MaxVersion, peer.MinVersion, peer.MaxVersion)
+		return 0, fmt.Errorf("version: this end supports %d to %d, the other %d to %d", mine.MinVersion,
+			mine.MaxVersion, peer.MinVersion, peer.MaxVersion)
 	}
 	return v, nil
 }
--- a/internal/protocol/linkwire/linkwire.go
+++ b/internal/protocol/linkwire/linkwire.go
@@ -284,11 +284,13 @@
 }
 
 func (f *Query) check() error {
-	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true), checkMax("since", f.SinceUs, maxClock))
+	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true),
+		checkMax("since", f.SinceUs, maxClock))
 }
 
 func (f *Verdict) check() error {
-	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true), checkMax("word", f.Outcome, VerdictReplied), checkMax("result", f.Result, Refused),
+	return firstError(checkNumber(f.Number), checkText("holder", f.Holder, MaxText, true),
+		checkMax("word", f.Outcome, VerdictReplied), checkMax("result", f.Result, Refused),
 		checkText("content type", f.ContentType, MaxText, false), checkMax("body", uint64(len(f.Body)), MaxPart))
 }
 
@@ -363,9 +365,12 @@
 			return errors.New("load or rate: not a finite number")
 		}
 	}
-	return firstError(checkMax("self", uint64(size), MaxSelf), checkText("machine", s.Machine, MaxText, false), checkText("zone", s.Zone, MaxText, false),
-		checkText("role", s.Role, MaxText, false), checkText("build", s.Build, MaxText, false), checkText("settings", s.Settings, MaxText, false),
-		checkText("process", s.Process, MaxText, false), checkText("address", s.Address, MaxText, false), checkText("silent", s.Silent, MaxText, false))
+	return firstError(checkMax("self", uint64(size), MaxSelf), checkText("machine", s.Machine, MaxText, false),
+		checkText("zone", s.Zone, MaxText, false),
+		checkText("role", s.Role, MaxText, false), checkText("build", s.Build, MaxText, false),
+		checkText("settings", s.Settings, MaxText, false),
+		checkText("process", s.Process, MaxText, false), checkText("address", s.Address, MaxText, false),
+		checkText("silent", s.Silent, MaxText, false))
 }
 
 // EncodeSuspicions returns the encoding of a list of suspicions: the keys and versions of their
@@ -379,7 +384,8 @@
 }
 
 func (f *News) check() error {
-	err := firstError(checkMax("sums", uint64(len(f.Sums)), 64), checkMax("mask", f.Mask, math.MaxUint32), checkMax("heads", uint64(len(f.Heads)), MaxAcks),
+	err := firstError(checkMax("sums", uint64(len(f.Sums)), 64), checkMax("mask", f.Mask, math.MaxUint32),
+		checkMax("heads", uint64(len(f.Heads)), MaxAcks),
 		checkMax("want", uint64(len(f.Want)), MaxAcks), checkMax("records", uint64(len(f.Records)), MaxRecords))
 	for i := range f.Records {
 		e := &f.Records[i]
@@ -390,7 +396,8 @@
 			err = errors.New("record: incarnation or version is missing")
 			break
 		}
-		err = firstError(checkText("record", e.Name, MaxText, true), checkMax("subject", e.Subject, 15), checkMax("body", uint64(len(e.Body)), MaxRecordBody))
+		err = firstError(checkText("record", e.Name, MaxText, true), checkMax("subject", e.Subject, 15),
+			checkMax("body", uint64(len(e.Body)), MaxRecordBody))
 	}
 	return err
 }
@@ -546,7 +553,8 @@
 }
 
 func (f *Beat) check() error {
-	return firstError(checkMax("now", f.Now, maxClock), checkMax("echo", f.Echo, maxClock), checkMax("held", f.EchoAge, maxClock))
+	return firstError(checkMax("now", f.Now, maxClock), checkMax("echo", f.Echo, maxClock),
+		checkMax("held", f.EchoAge, maxClock))
 }
 
 func (l *Lease) check() error {
@@ -557,9 +565,12 @@
 }
 
 func (f *Offer) check() error {
-	return firstError(checkNumber(f.Number), f.Lease.check(), checkMax("tries", f.MaxAttempts, maxAttempts), checkMax("hint", f.HintUs, MaxTime),
-		checkText("class", f.Class, MaxText, true), checkText("effect", f.Effect, MaxText, true), checkText("tenant", f.Tenant, MaxText, false),
-		checkText("id", f.ID, MaxText, true), checkText("method", f.Method, 16, true), checkText("target", f.Target, MaxTarget, true),
+	return firstError(checkNumber(f.Number), f.Lease.check(), checkMax("tries", f.MaxAttempts, maxAttempts),
+		checkMax("hint", f.HintUs, MaxTime),
+		checkText("class", f.Class, MaxText, true), checkText("effect", f.Effect, MaxText, true),
+		checkText("tenant", f.Tenant, MaxText, false),
+		checkText("id", f.ID, MaxText, true), checkText("method", f.Method, 16, true),
+		checkText("target", f.Target, MaxTarget, true),
 		checkText("host", f.Host, MaxText, false), checkText("content type", f.ContentType, MaxText, false),
 		checkText("idempotency key", f.IdempotencyKey, MaxText, false), checkBody(f.Body, f.Size))
 }
@@ -575,12 +586,15 @@
 func (f *Cancel) check() error { return firstError(checkNumber(f.Number), f.Lease.check()) }
 
 func (f *Ended) check() error {
-	return firstError(checkNumber(f.Number), checkMax("result", f.Result, Refused), checkMax("tries", f.Attempts, maxAttempts),
-		checkMax("retry", f.RetryUs, MaxTime), checkText("content type", f.ContentType, MaxText, false), checkBody(f.Body, f.Size))
+	return firstError(checkNumber(f.Number), checkMax("result", f.Result, Refused),
+		checkMax("tries", f.Attempts, maxAttempts),
+		checkMax("retry", f.RetryUs, MaxTime), checkText("content type", f.ContentType, MaxText, false),
+		checkBody(f.Body, f.Size))
 }
 
 func (f *Never) check() error {
-	return firstError(checkNumber(f.Number), checkMax("why", f.Reason, ReasonCancelled), checkMax("tries", f.Attempts, maxAttempts), checkMax("retry", f.RetryUs, MaxTime))
+	return firstError(checkNumber(f.Number), checkMax("why", f.Reason, ReasonCancelled),
+		checkMax("tries", f.Attempts, maxAttempts), checkMax("retry", f.RetryUs, MaxTime))
 }
 
 func (f *Begun) check() error  { return checkNumber(f.Number) }
--- a/internal/protocol/linkwire/linkwire_test.go
+++ b/internal/protocol/linkwire/linkwire_test.go
@@ -15,15 +15,20 @@
 // frames returns frames of most kinds, some of them at the limits of their fields.
 func frames() []Frame {
 	return []Frame{
-		&Hello{Magic: Magic, MinVersion: 1, MaxVersion: 1, Name: "gw-a", Incarnation: 9, Crossings: 10, Bytes: 1 << 20, Now: 5, Draining: true},
+		&Hello{Magic: Magic, MinVersion: 1, MaxVersion: 1, Name: "gw-a", Incarnation: 9, Crossings: 10, Bytes: 1 << 20,
+			Now: 5, Draining: true},
 		&Beat{Now: 5, Echo: 4, EchoAge: 3, Open: 2, Draining: true},
-		&Offer{Number: 1, Lease: lease, MaxAttempts: 3, Class: "order", Effect: "single_shot", Tenant: "acme", Key: 1 << 63, HintUs: 5, Retry: true,
-			ID: "id", Method: "POST", Target: "/" + strings.Repeat("t", MaxTarget-1), Host: "h", ContentType: "x/y", IdempotencyKey: "k", Size: MaxBody, Body: make([]byte, MaxPart)},
+		&Offer{Number: 1, Lease: lease, MaxAttempts: 3, Class: "order", Effect: "single_shot", Tenant: "acme",
+			Key: 1 << 63, HintUs: 5, Retry: true,
+			ID: "id", Method: "POST", Target: "/" + strings.Repeat("t", MaxTarget-1), Host: "h", ContentType: "x/y",
+			IdempotencyKey: "k", Size: MaxBody, Body: make([]byte, MaxPart)},
 		&Part{Number: 1, Body: []byte("more")}, &Fence{Number: 1, Lease: lease}, &Cancel{Number: 1, Lease: lease},
 		&Ended{Number: 1, Result: Served, Attempts: 2, RetryUs: 3, ContentType: "x", Size: 2, Body: []byte("ok")},
-		&Never{Number: 1, Reason: ReasonCancelled, Attempts: 1, RetryUs: 2}, &Begun{Number: 1}, &Unsure{Number: 1}, &Drain{},
+		&Never{Number: 1, Reason: ReasonCancelled, Attempts: 1, RetryUs: 2}, &Begun{Number: 1}, &Unsure{Number: 1},
+		&Drain{},
 		&Ack{Numbers: []uint64{1, 2, 3}}, &Bye{Text: "bad"},
-		&News{Digest: 1 << 63, Sums: make([]uint64, 32), Mask: 1 << 31, Heads: []Head{{Key: 1 << 63, Version: 2}}, Want: []uint64{7},
+		&News{Digest: 1 << 63, Sums: make([]uint64, 32), Mask: 1 << 31, Heads: []Head{{Key: 1 << 63, Version: 2}},
+			Want:    []uint64{7},
 			Records: []Entry{{Name: "a", Incarnation: 1, Subject: 1, Version: 2, Body: make([]byte, MaxRecordBody)}}},
 	}
 }
--- a/internal/protocol/linkwire/wire_test.go
+++ b/internal/protocol/linkwire/wire_test.go
@@ -37,7 +37,8 @@
 	return []Frame{
 		&Word{Topic: MaxTopic, Number: 1 << 63, More: true, Body: []byte("part")},
 		&Query{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, SinceUs: 5},
-		&Verdict{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, Outcome: VerdictReplied, Result: Refused, ContentType: "x/y", Body: []byte("ok")},
+		&Verdict{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, Outcome: VerdictReplied, Result: Refused,
+			ContentType: "x/y", Body: []byte("ok")},
 	}
 }
 
@@ -60,7 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := DecodeSuspicions(goldenbytes.Check(t, "wire/words.cbor", b)); err != nil || !reflect.DeepEqual(got, words) {
+	if got, err := DecodeSuspicions(goldenbytes.Check(t, "wire/words.cbor", b)); err != nil || !reflect.DeepEqual(got,
+		words) {
 		t.Errorf("words: %+v, %v", got, err)
 	}
 }
--- a/internal/protocol/peers/peers.go
+++ b/internal/protocol/peers/peers.go
@@ -221,7 +221,8 @@
 	for {
 		process, load := p.opt.Self()
 		p.mu.Lock()
-		if periods%10 == 0 || process != "ready" { // a process that is shutting down reports each period, as others wait for it
+		// a process that is shutting down reports each period, as others wait for it
+		if periods%10 == 0 || process != "ready" {
 			p.apply(p.view.Set(p.now(), func(i *members.Info) { i.Process, i.Load = process, load }))
 		} else {
 			p.apply(p.view.Set(p.now(), func(i *members.Info) { i.Process = process }))
@@ -372,7 +373,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := p.view.ID()
-	return linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion, Name: id.Name,
+	return linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion, MaxVersion: linkwire.MaxVersion,
+		Name:        id.Name,
 		Incarnation: id.Incarnation, Now: p.clock.Now()}
 }
 
@@ -480,7 +482,8 @@
 	case w == nil:
 		w = &Word{Topic: f.Topic, Number: f.Number}
 	case w.Topic != f.Topic || w.Number != f.Number:
-		return fmt.Errorf("word %d of topic %d began before word %d of topic %d was complete", f.Number, f.Topic, w.Number, w.Topic)
+		return fmt.Errorf("word %d of topic %d began before word %d of topic %d was complete", f.Number, f.Topic,
+			w.Number, w.Topic)
 	}
 	if len(w.Body)+len(f.Body) > MaxWord {
 		return fmt.Errorf("word exceeds %d bytes", MaxWord)
@@ -506,7 +509,8 @@
 		return ErrQueueFull
 	}
 	l.mu.Lock()
-	if len(l.words) > 0 && l.wordBytes+len(w.Body) > max(4*p.opt.Queue, 1<<20) { // an empty queue accepts a word of any allowed size
+	// an empty queue accepts a word of any allowed size
+	if len(l.words) > 0 && l.wordBytes+len(w.Body) > max(4*p.opt.Queue, 1<<20) {
 		l.mu.Unlock()
 		return ErrQueueFull
 	}
--- a/internal/protocol/peers/peers_test.go
+++ b/internal/protocol/peers/peers_test.go
@@ -24,8 +24,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = New(Options{Members: members.Options{ID: members.ID{Name: name, Incarnation: 1}, Period: beat, Info: members.Info{Address: ln.Addr().String(), Machine: name}},
-		Seeds: seeds, Conns: 16, Queue: 64 << 10, Self: func() (string, float64) { return "ready", 1 }, Log: slog.New(slog.DiscardHandler)})
+	p = New(Options{Members: members.Options{ID: members.ID{Name: name, Incarnation: 1}, Period: beat,
+		Info: members.Info{Address: ln.Addr().String(), Machine: name}},
+		Seeds: seeds, Conns: 16, Queue: 64 << 10, Self: func() (string, float64) { return "ready", 1 },
+		Log: slog.New(slog.DiscardHandler)})
 	done := make(chan error, 1)
 	go func() { done <- p.Serve(ln) }()
 	t.Cleanup(func() {
@@ -64,17 +66,22 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		up, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name, Incarnation: 5, Now: 1},
-			link.Options{Clock: link.NewClock(), Beat: beat, DeadAfter: time.Minute, Status: func() (uint64, bool) { return 0, false }})
+		up, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name,
+			Incarnation: 5, Now: 1},
+			link.Options{Clock: link.NewClock(), Beat: beat, DeadAfter: time.Minute,
+				Status: func() (uint64, bool) { return 0, false }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return up
 	}
 	for what, f := range map[string]linkwire.Frame{
-		"another protocol's frame": &linkwire.Offer{Number: 1, Class: "order", Effect: "free", ID: "1", Method: "GET", Target: "/"},
-		"a body that is no CBOR":   &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Version: 1, Body: []byte{0xff}}}},
-		"words that are none":      &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Subject: 1, Version: 1, Body: []byte("words")}}},
+		"another protocol's frame": &linkwire.Offer{Number: 1, Class: "order", Effect: "free", ID: "1", Method: "GET",
+			Target: "/"},
+		"a body that is no CBOR": &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Version: 1,
+			Body: []byte{0xff}}}},
+		"words that are none": &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Subject: 1,
+			Version: 1, Body: []byte("words")}}},
 	} {
 		up := greet("strange")
 		up.Urgent(f)
@@ -83,10 +90,12 @@
 		}
 	}
 	// A record with a field of a later build, told by a peer that then goes on beating.
-	body := append([]byte{0xa3, 0x01, 0x61, 'h', 0x09, 0xf5}, 0x18, 99, 0x63, 'n', 'e', 'w') // {1: "h", 9: true, 99: "new"}
+	// {1: "h", 9: true, 99: "new"}
+	body := append([]byte{0xa3, 0x01, 0x61, 'h', 0x09, 0xf5}, 0x18, 99, 0x63, 'n', 'e', 'w')
 	up := greet("newer")
 	passed := make(chan string, 16)
-	up.Bulk(linkwire.SingleFrame(&linkwire.News{Records: []linkwire.Entry{{Name: "newer", Incarnation: 5, Version: 1, Body: body}}}))
+	up.Bulk(linkwire.SingleFrame(&linkwire.News{Records: []linkwire.Entry{{Name: "newer", Incarnation: 5, Version: 1,
+		Body: body}}}))
 	go func() { _ = up.Run(func(linkwire.Frame) error { return nil }) }()
 	eventually(t, "b knows the newer one", func() bool { return sees(b) == 3 })
 	second := greet("reader")
@@ -160,8 +169,10 @@
 
 // A message that was decoded is encoded to an equal message, and a view accepts any.
 func FuzzMessage(f *testing.F) {
-	text, _ := linkwire.Append(nil, &linkwire.News{Digest: 1, Heads: []linkwire.Head{{Key: 1, Version: 2}}, Records: []linkwire.Entry{
-		{Name: "a", Incarnation: 1, Version: 1, Body: []byte{0xa1, 0x01, 0x61, 'h'}}, {Name: "a", Incarnation: 1, Subject: 1, Version: 1, Body: []byte{0x81, 0x82, 1, 2}}}})
+	text, _ := linkwire.Append(nil, &linkwire.News{Digest: 1, Heads: []linkwire.Head{{Key: 1, Version: 2}},
+		Records: []linkwire.Entry{
+			{Name: "a", Incarnation: 1, Version: 1, Body: []byte{0xa1, 0x01, 0x61, 'h'}}, {Name: "a", Incarnation: 1,
+				Subject: 1, Version: 1, Body: []byte{0x81, 0x82, 1, 2}}}})
 	f.Add(text[5:])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		frame, err := linkwire.Decode(linkwire.KindNews, text)
--- a/internal/protocol/peers/wire_test.go
+++ b/internal/protocol/peers/wire_test.go
@@ -16,7 +16,8 @@
 	goldenbytes.Fill(&m)
 	self := members.Record{ID: members.ID{Name: "a", Incarnation: 1 << 63}, Kind: members.Self, Version: 2}
 	goldenbytes.Fill(&self.Info)
-	watch := members.Record{ID: self.ID, Kind: members.Suspects, Version: 3, Suspicions: []members.Suspicion{{Target: 1 << 63, Version: 4}}}
+	watch := members.Record{ID: self.ID, Kind: members.Suspects, Version: 3,
+		Suspicions: []members.Suspicion{{Target: 1 << 63, Version: 4}}}
 	orders := members.Record{ID: self.ID, Kind: members.Orders, Version: 5, Raw: "list"}
 	m.Records = []members.Record{self, watch, orders}
 	frame, err := Frame(&m)
--- a/internal/protocol/roster/roster_test.go
+++ b/internal/protocol/roster/roster_test.go
@@ -34,7 +34,8 @@
 	t.Cleanup(func() { close(release); s.Close() })
 	told := make(chan core.Update, 100)
 	dial := (&net.Dialer{}).DialContext
-	return New(context.Background(), s.Listener.Addr().String(), Names{}, dial, func(in core.Update) { told <- in }), told
+	return New(context.Background(), s.Listener.Addr().String(), Names{}, dial, func(in core.Update) { told <- in }),
+		told
 }
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
