--- a/internal/protocol/gateway/receiver.go
+++ b/internal/protocol/gateway/receiver.go
@@ -483,7 +483,8 @@
 		x = s.add(f.Number, &f.Lease)
 	}
 	x.beginBy = s.at(&f.Lease, f.Lease.Begin)
-	x.needsPromise = known && far.opt.Promises != nil && far.opt.Settings.Classes[r.Class].Idempotency != settings.Idempotent
+	x.needsPromise = known && far.opt.Promises != nil &&
+		far.opt.Settings.Classes[r.Class].Idempotency != settings.Idempotent
 	held := int64(len(f.Body))
 	terms := crossing.Conditions{LeaseExpired: s.leaseExpired(&f.Lease, x.beginBy), Draining: draining,
 		Full: !known || s.running >= far.opt.Crossings || far.bytes.Load()+held > far.opt.Bytes ||
@@ -553,7 +554,8 @@
 	}
 	r := &core.Request{ID: o.ID, Class: class, Key: o.Key, HintMs: float64(o.HintUs) / 1000, HasHint: o.HintUs > 0,
 		Retry:       o.Retry,
-		MaxAttempts: int(o.MaxAttempts), Deduplicated: true, Deadline: time.Now().Add(time.Duration(c.ClientTimeoutMs * float64(time.Millisecond))),
+		MaxAttempts: int(o.MaxAttempts), Deduplicated: true,
+		Deadline: time.Now().Add(time.Duration(c.ClientTimeoutMs * float64(time.Millisecond))),
 		Message: core.Message{Method: o.Method, Target: o.Target, Host: o.Host, ContentType: o.ContentType,
 			IdempotencyKey: o.IdempotencyKey, Body: o.Body}}
 	if len(f.opt.Tenants) > 0 {
--- a/internal/protocol/gateway/sender.go
+++ b/internal/protocol/gateway/sender.go
@@ -375,8 +375,9 @@
 	}
 	c, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion,
 		MaxVersion: linkwire.MaxVersion,
-		Name:       s.opt.Name, Incarnation: s.inc, Now: s.clock.Now()}, link.Options{Clock: s.clock, Beat: s.opt.Times.Beat,
-		DeadAfter: s.opt.Times.DeadAfter, Status: p.status})
+		Name:       s.opt.Name, Incarnation: s.inc, Now: s.clock.Now()},
+		link.Options{Clock: s.clock, Beat: s.opt.Times.Beat,
+			DeadAfter: s.opt.Times.DeadAfter, Status: p.status})
 	if err != nil {
 		return nil, err
 	}
