--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -60,7 +60,7 @@
 	if err := g.route(c, o); err != nil {
 		return nil, err
 	}
-	times := gateway.Times{Beat: time.Duration(o.Beat), StallAfter: time.Duration(o.StallAfter), DeadAfter: time.Duration(o.DeadAfter),
+	times := gateway.Times{HeartbeatInterval: time.Duration(o.Beat), StallAfter: time.Duration(o.StallAfter), DeadAfter: time.Duration(o.DeadAfter),
 		RedialMin: time.Duration(o.RedialMin), RedialMax: time.Duration(o.RedialMax)}
 	var names []string
 	for i := range c.Settings.Classes {
--- a/internal/protocol/gateway/receiver.go
+++ b/internal/protocol/gateway/receiver.go
@@ -279,7 +279,7 @@
 			Name:        f.opt.Name,
 			Incarnation: f.inc.Load(), Crossings: uint64(f.opt.Crossings), Bytes: uint64(f.opt.Bytes),
 			Now: f.clock.Now(), Draining: f.Draining()}, nil
-	}, link.Options{Clock: f.clock, Beat: f.opt.Times.Beat, DeadAfter: f.opt.Times.DeadAfter,
+	}, link.Options{Clock: f.clock, HeartbeatInterval: f.opt.Times.HeartbeatInterval, DeadAfter: f.opt.Times.DeadAfter,
 		Status: func() (uint64, bool) { return uint64(f.InFlight()), f.Draining() }})
 	if err != nil {
 		return err
--- a/internal/protocol/gateway/sender.go
+++ b/internal/protocol/gateway/sender.go
@@ -27,16 +27,16 @@
 
 // Times configures the heartbeats, time-outs and reconnect delays of a link.
 type Times struct {
-	Beat       time.Duration // interval between heartbeats on a connection
-	StallAfter time.Duration // time without a frame after which a connection counts as stalled
-	DeadAfter  time.Duration // and after which it is closed
-	RedialMin  time.Duration // wait before a lost connection is dialled again; doubled with each failure
-	RedialMax  time.Duration // upper bound of that wait
+	HeartbeatInterval time.Duration // interval between heartbeats on a connection
+	StallAfter        time.Duration // time without a frame after which a connection counts as stalled
+	DeadAfter         time.Duration // and after which it is closed
+	RedialMin         time.Duration // wait before a lost connection is dialled again; doubled with each failure
+	RedialMax         time.Duration // upper bound of that wait
 }
 
 // DefaultTimes returns the times that apply when the operator's file sets none.
 func DefaultTimes() Times {
-	return Times{Beat: 50 * time.Millisecond, StallAfter: 250 * time.Millisecond, DeadAfter: 5 * time.Second,
+	return Times{HeartbeatInterval: 50 * time.Millisecond, StallAfter: 250 * time.Millisecond, DeadAfter: 5 * time.Second,
 		RedialMin: 100 * time.Millisecond, RedialMax: 5 * time.Second}
 }
 
@@ -376,7 +376,7 @@
 	c, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: linkwire.MinVersion,
 		MaxVersion: linkwire.MaxVersion,
 		Name:       s.opt.Name, Incarnation: s.inc, Now: s.clock.Now()},
-		link.Options{Clock: s.clock, Beat: s.opt.Times.Beat,
+		link.Options{Clock: s.clock, HeartbeatInterval: s.opt.Times.HeartbeatInterval,
 			DeadAfter: s.opt.Times.DeadAfter, Status: p.status})
 	if err != nil {
 		return nil, err
@@ -661,7 +661,7 @@
 
 // monitor detects stalled connections and sends acknowledgements once per heartbeat interval.
 func (p *peer) monitor() {
-	tick := time.NewTicker(p.sender.opt.Times.Beat)
+	tick := time.NewTicker(p.sender.opt.Times.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/protocol/link/link.go
+++ b/internal/protocol/link/link.go
@@ -34,9 +34,9 @@
 
 // Options configures a connection.
 type Options struct {
-	Clock     Clock
-	Beat      time.Duration // interval between heartbeats
-	DeadAfter time.Duration // time without a frame, or for one write, after which it is closed
+	Clock             Clock
+	HeartbeatInterval time.Duration // interval between heartbeats
+	DeadAfter         time.Duration // time without a frame, or for one write, after which it is closed
 	// Status returns what the heartbeats report of this end.
 	Status func() (open uint64, draining bool)
 }
@@ -297,7 +297,7 @@
 const maxWrite = 32 << 10
 
 func (c *Conn) write() {
-	beat := time.NewTicker(c.opt.Beat)
+	beat := time.NewTicker(c.opt.HeartbeatInterval)
 	defer beat.Stop()
 	buf := make([]byte, 0, 4<<10)
 	next := c.newBeat()
--- a/internal/protocol/peers/peers.go
+++ b/internal/protocol/peers/peers.go
@@ -379,7 +379,7 @@
 }
 
 func (p *Peers) options() link.Options {
-	return link.Options{Clock: p.clock, Beat: p.opt.Members.Period, DeadAfter: 6 * p.opt.Members.Period,
+	return link.Options{Clock: p.clock, HeartbeatInterval: p.opt.Members.Period, DeadAfter: 6 * p.opt.Members.Period,
 		Status: func() (uint64, bool) { return 0, false }}
 }
 
--- a/internal/protocol/peers/peers_test.go
+++ b/internal/protocol/peers/peers_test.go
@@ -68,7 +68,7 @@
 		defer cancel()
 		up, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name,
 			Incarnation: 5, Now: 1},
-			link.Options{Clock: link.NewClock(), Beat: beat, DeadAfter: time.Minute,
+			link.Options{Clock: link.NewClock(), HeartbeatInterval: beat, DeadAfter: time.Minute,
 				Status: func() (uint64, bool) { return 0, false }})
 		if err != nil {
 			t.Fatal(err)
