--- a/internal/protocol/gateway/sender.go
+++ b/internal/protocol/gateway/sender.go
@@ -36,7 +36,8 @@
 
 // DefaultTimes returns the times that apply when the operator's file sets none.
 func DefaultTimes() Times {
-	return Times{HeartbeatInterval: 50 * time.Millisecond, StallAfter: 250 * time.Millisecond, DeadAfter: 5 * time.Second,
+	return Times{HeartbeatInterval: 50 * time.Millisecond, StallAfter: 250 * time.Millisecond,
+		DeadAfter: 5 * time.Second,
 		RedialMin: 100 * time.Millisecond, RedialMax: 5 * time.Second}
 }
 
