--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -242,7 +242,7 @@
 		}
 	}
 	front := httpfront.New(handler, httpfront.Options{
-		View: intake.Of(a.table), Life: a.lifecycle,
+		View: intake.ViewOf(a.table), Life: a.lifecycle,
 		Places: clientSockets(sockets), Kept: keepAliveSockets(sockets),
 		Budget: bodies, Streams: !o.Gateway.On(), Log: log,
 		HeadWithin: time.Duration(o.Front.HTTP.HeadWithin), BodyWithin: time.Duration(o.Front.HTTP.BodyWithin),
@@ -251,7 +251,7 @@
 		front.SetLimits(clientSockets(sockets/divisor), keepAliveSockets(sockets/divisor))
 	}})
 	if web.On() {
-		fast := fcgifront.New(handler, fcgifront.Options{View: intake.Of(a.table), Life: a.lifecycle,
+		fast := fcgifront.New(handler, fcgifront.Options{View: intake.ViewOf(a.table), Life: a.lifecycle,
 			Connections: web.Connections, Requests: web.Requests,
 			Allowed: web.Allowed(), Budget: bodies, Short: o.Gateway.On(), Log: log,
 			HeadWithin: time.Duration(web.HeadWithin),
@@ -285,7 +285,7 @@
 			return fmt.Errorf("config: settings: %w", err)
 		}
 		for _, f := range a.frontEnds {
-			f.Turn(intake.Of(next))
+			f.Turn(intake.ViewOf(next))
 		}
 		a.table, a.latest = next, c.Settings
 		a.log.Info("settings changed", "version", next.Version, "classes", len(next.Classes))
--- a/internal/process/agent/gate.go
+++ b/internal/process/agent/gate.go
@@ -25,7 +25,7 @@
 	ids                *core.IDs
 	sites              map[string]*farSite
 	siteOrder          []string
-	farEnd             *gateway.Far // nil: not a far end
+	farEnd             *gateway.Receiver // nil: not a far end
 	links              Network
 	keys               *keys.Store // nil: no TLS
 	table              atomic.Pointer[routes.Table]
@@ -36,7 +36,7 @@
 
 // farSite is the near end of the links to a site, with the core that sends requests there.
 type farSite struct {
-	link *gateway.Site
+	link *gateway.Sender
 	core *core.Core
 }
 
@@ -62,7 +62,7 @@
 	if err := g.route(c, o); err != nil {
 		return nil, err
 	}
-	times := gateway.Times{Beat: time.Duration(o.HeartbeatInterval), StallAfter: time.Duration(o.StallAfter),
+	times := gateway.Times{HeartbeatInterval: time.Duration(o.HeartbeatInterval), StallAfter: time.Duration(o.StallAfter),
 		DeadAfter: time.Duration(o.DeadAfter),
 		RedialMin: time.Duration(o.RedialMin), RedialMax: time.Duration(o.RedialMax)}
 	var names []string
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("operator: gateway.%w", err)
 	}
 	for i, s := range o.Sites {
-		so := gateway.SiteOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times,
+		so := gateway.SenderOptions{Name: o.Name, Site: s.Name, Conns: o.Links, Limits: limits, Times: times,
 			Settings: &c.Settings, ProofWithin: time.Duration(s.ProofWithin),
 			Dial: network.Dial, Seed: c.Seed + uint64(i) + 1, Log: log}
 		for _, p := range s.Peers {
@@ -83,7 +83,7 @@
 		if g.keys != nil {
 			so.TLS = g.keys.ClientConfig
 		}
-		site, err := gateway.NewSite(ctx, so)
+		site, err := gateway.NewSender(ctx, so)
 		if err != nil {
 			return nil, err
 		}
@@ -99,14 +99,14 @@
 		g.siteOrder = append(g.siteOrder, s.Name)
 	}
 	if o.Listen != "" {
-		fo := gateway.FarOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes,
+		fo := gateway.ReceiverOptions{Name: o.Name, Core: own, Settings: &c.Settings, Classes: c.Classes,
 			Tenants: c.Tenants, Peers: o.Peers,
 			Crossings: o.Crossings, Bytes: int64(o.BytesMB) << 20, Conns: o.Connections, PerSecond: o.HandshakeRate,
 			Times: times, Seed: c.Seed, Log: log, Promises: promised}
 		if g.keys != nil {
 			fo.TLS = func() *tls.Config { return g.keys.ServerConfig() }
 		}
-		g.farEnd = gateway.NewFar(fo)
+		g.farEnd = gateway.NewReceiver(fo)
 	}
 	return g, nil
 }
@@ -151,7 +151,7 @@
 		if g.farEnd != nil {
 			wait, cancel := context.WithTimeout(context.Background(), g.maxRequestDuration)
 			defer cancel()
-			g.farEnd.Finish(wait)
+			g.farEnd.WaitIdle(wait)
 		}
 		g.close()
 	}
@@ -160,10 +160,10 @@
 // crossings returns the number of crossings that have no verdict yet.
 func (g *gatewayEnd) crossings() (n int) {
 	for _, s := range g.sites {
-		n += s.link.Open()
+		n += s.link.InFlight()
 	}
 	if g.farEnd != nil {
-		n += g.farEnd.Held()
+		n += g.farEnd.InFlight()
 	}
 	return n
 }
--- a/internal/process/agent/peers.go
+++ b/internal/process/agent/peers.go
@@ -79,10 +79,10 @@
 			}
 			return a.lifecycle.State(a.Ready()).String(), load
 		},
-		Count: a.core.SetFleetSize,
+		OnCount: a.core.SetFleetSize,
 	}
 	if a.gatewayEnd != nil {
-		po.Avoid = a.gatewayEnd.avoid
+		po.OnAvoid = a.gatewayEnd.avoid
 	}
 	for _, s := range p.Seeds {
 		po.Seeds = append(po.Seeds, peers.Seed(s))
@@ -100,9 +100,9 @@
 	}
 	if o.Work.On() {
 		f.work = newMaintenance(a, &o.Work, p)
-		po.Beaten, po.Word = f.work.heartbeat, f.work.receive
+		po.OnPeriod, po.OnWord = f.work.heartbeat, f.work.receive
 		if a.promises != nil {
-			po.Word = func(from members.ID, w peers.Word) {
+			po.OnWord = func(from members.ID, w peers.Word) {
 				if !a.promises.Receive(from, w) {
 					f.work.receive(from, w)
 				}
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -37,7 +37,7 @@
 	Seed        uint64
 	Limits      Limits
 	Settings    settings.Settings
-	RosterNames roster.Words   // numbers of the zones and kinds in endpoint lists
+	RosterNames roster.Names   // numbers of the zones and kinds in endpoint lists
 	Classes     map[string]int // class numbers by name
 	Tenants     map[string]int
 	InitialList cluster.List
@@ -207,7 +207,7 @@
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.RosterNames = roster.Words{Sites: numberNames(names.Sites), Kinds: numberNames(names.Kinds)}
+	c.RosterNames = roster.Names{Sites: numberNames(names.Sites), Kinds: numberNames(names.Kinds)}
 	c.Classes, c.Tenants = map[string]int{}, map[string]int{}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
--- a/internal/process/promise/promise_test.go
+++ b/internal/process/promise/promise_test.go
@@ -18,7 +18,7 @@
 func (singleFleet) View() (members.View, time.Time) {
 	return members.View{Self: members.ID{Name: "n0", Incarnation: 1}}, time.Time{}
 }
-func (singleFleet) Say(members.ID, peers.Word) error { return peers.ErrNoRoom }
+func (singleFleet) Say(members.ID, peers.Word) error { return peers.ErrQueueFull }
 func (singleFleet) Wish(string, []string)            {}
 func (singleFleet) Set(func(*members.Info))          {}
 
--- a/internal/protocol/fcgifront/conn.go
+++ b/internal/protocol/fcgifront/conn.go
@@ -48,7 +48,7 @@
 	declared int64         // declared length of the body; -1: unknown
 	received int64         // bytes of the body received; written under the connection's lock
 	req      *core.Request // set once its params are complete
-	wait     intake.Patience
+	wait     intake.ClientTimeout
 	ready    bool // it is a request for /ready
 	bodyDone bool
 	ctx      context.Context
@@ -229,7 +229,7 @@
 // write writes complete records. If a write fails, the connection is closed.
 func (c *conn) write(out []byte) error {
 	c.mu.Lock()
-	patience := intake.ReadFor
+	patience := intake.ResponseStallTimeout
 	if len(c.open) > 1 {
 		patience = sharedWriteTimeout
 	}
@@ -484,7 +484,7 @@
 	q.req.Message.Body, q.req.Message.Length = q.body[:len(q.body):len(q.body)], q.declared
 	flow = newFlow(q.c.f.opt.Budget)
 	q.req.Message.Stream = flow.pipe
-	q.wait.Count(q.req, time.Now(), q.c.f.pace())
+	q.wait.SetDeadline(q.req, time.Now(), q.c.f.pace())
 	q.c.mu.Lock()
 	q.flow = flow
 	q.c.mu.Unlock()
@@ -548,7 +548,7 @@
 		q.dispatch()
 	default:
 		q.req.Message.Body = q.body
-		q.wait.Count(q.req, time.Now(), c.f.pace())
+		q.wait.SetDeadline(q.req, time.Now(), c.f.pace())
 		q.dispatch()
 	}
 }
--- a/internal/protocol/fcgifront/front.go
+++ b/internal/protocol/fcgifront/front.go
@@ -99,7 +99,7 @@
 }
 
 func (f *Front) pace() window.Pace {
-	return intake.Pace(f.opt.BodyWithin)
+	return intake.MinPace(f.opt.BodyWithin)
 }
 
 // Serve accepts connections on the listeners until the context ends, then shuts down gracefully. It may be called
--- a/internal/protocol/gateway/peers_test.go
+++ b/internal/protocol/gateway/peers_test.go
@@ -26,22 +26,23 @@
 	"molepaddle/internal/rig/testkit/sites"
 )
 
-// liar is a near end that a test scripts frame by frame.
+// liar is a near end that a test scripts frame by frame, usually with invalid input.
 type liar struct {
 	net.Conn
 	r   *linkwire.Reader
 	inc uint64
-	now uint64 // the far end's clock as last told
+	now uint64 // latest reading of the far end's clock
 }
 
-// lastInc makes each liar a process of its own.
+// lastInc gives each liar its own incarnation.
 var lastInc atomic.Uint64
 
 func hello(name string) *linkwire.Hello {
-	return &linkwire.Hello{Magic: linkwire.Magic, Least: 1, Most: 1, Name: name, Incarnation: 1000 + lastInc.Add(1)}
+	return &linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name,
+		Incarnation: 1000 + lastInc.Add(1)}
 }
 
-// lie dials a far end and greets it so.
+// lie dials a far end and sends the Hello, if any.
 func lie(t *testing.T, addr string, h *linkwire.Hello) *liar {
 	t.Helper()
 	c, err := testkit.Dial("tcp", addr)
@@ -68,7 +69,7 @@
 	_, _ = l.Write(buf)
 }
 
-// next is the next frame that is no beat; nil: the far end has closed.
+// next returns the next frame other than a heartbeat, or nil if the far end has closed.
 func (l *liar) next(t *testing.T) linkwire.Frame {
 	t.Helper()
 	_ = l.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -76,7 +77,7 @@
 		f, err := l.r.Next()
 		if err != nil {
 			if nerr, ok := err.(net.Error); ok && nerr.Timeout() {
-				t.Fatal("no word, and not closed")
+				t.Fatal("no frame received, and connection not closed")
 			}
 			return nil
 		}
@@ -89,7 +90,8 @@
 }
 
 func (l *liar) offer(num uint64) *linkwire.Offer {
-	return &linkwire.Offer{Number: num, Lease: l.lease(), Tries: 1, Class: "order", Effect: "single_shot", ID: fmt.Sprint("lie", num),
+	return &linkwire.Offer{Number: num, Lease: l.lease(), MaxAttempts: 1, Class: "order", Effect: "single_shot",
+		ID:     fmt.Sprint("lie", num),
 		Method: "POST", Target: "/order/u1", Host: "h"}
 }
 
@@ -97,19 +99,22 @@
 	return linkwire.Lease{Incarnation: l.inc, Quote: l.now, Begin: 10e6, Life: 10e6}
 }
 
-// idle takes requests, and begins none.
+// idle is a Handler that accepts requests and never starts them.
 type idle struct{ dropped chan string }
 
 func (i idle) Take(r *core.Request, _ func(core.Answer)) (drop func()) {
 	return func() { i.dropped <- r.ID }
 }
 
-// What is asked about by way of another gateway and had not begun is barred. The near end hears so by its own link
-// as well: whoever asked may have given up waiting, and nobody asks again while that link is up.
+// A crossing that another gateway queries, and that has not begun, is fenced. The near end is told on
+// its own link as well: the querying gateway may have timed out, and the near end sends no further
+// query while that link is up.
 func TestOwnWordReachesTheNearEnd(t *testing.T) {
-	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Idempotency: settings.NonIdempotent, ClientTimeoutMs: 10_000}}}
+	set := &settings.Settings{Classes: []settings.Class{{Name: "order", Idempotency: settings.NonIdempotent,
+		ClientTimeoutMs: 10_000}}}
 	took := idle{make(chan string, 1)}
-	far := gateway.NewFar(gateway.FarOptions{Name: "far", Core: took, Settings: set, Classes: map[string]int{"order": 0}, Peers: []string{"gw-a"}, Crossings: 10, Bytes: 1 << 20,
+	far := gateway.NewReceiver(gateway.ReceiverOptions{Name: "far", Core: took, Settings: set,
+		Classes: map[string]int{"order": 0}, Peers: []string{"gw-a"}, Crossings: 10, Bytes: 1 << 20,
 		Conns: 4, PerSecond: 100, Times: gateway.DefaultTimes(), Log: slog.New(slog.DiscardHandler)})
 	ln := sites.Loopback(t)
 	defer far.Close()
@@ -119,9 +124,9 @@
 	l := lie(t, ln.Addr().String(), h)
 	l.say(t, l.offer(1))
 	for v, _ := far.Own("gw-a", h.Incarnation, 1); v != promises.NeverBegun; v, _ = far.Own("gw-a", h.Incarnation, 1) {
-		runtime.Gosched() // the offer is still on its way
+		runtime.Gosched() // until the offer has arrived
 	}
-	if f, ok := l.next(t).(*linkwire.Never); !ok || f.Number != 1 || f.Why != linkwire.WhyBarred {
+	if f, ok := l.next(t).(*linkwire.Never); !ok || f.Number != 1 || f.Reason != linkwire.ReasonFenced {
 		t.Errorf("the near end hears %+v", f)
 	}
 	if id := <-took.dropped; id != "lie1" {
@@ -129,7 +134,7 @@
 	}
 }
 
-// A peer that lies is told why or cut off, and costs nobody else anything.
+// A peer that violates the protocol gets an error or is disconnected, without effect on others.
 func TestLiars(t *testing.T) {
 	far := startFar(t, 1, 0)
 	far.Ready(t)
@@ -150,7 +155,7 @@
 	}
 	t.Run("another version", func(t *testing.T) {
 		l := lie(t, addr, nil)
-		l.say(t, &linkwire.Hello{Magic: linkwire.Magic, Least: 7, Most: 9, Name: "gw-a", Incarnation: 5})
+		l.say(t, &linkwire.Hello{Magic: linkwire.Magic, MinVersion: 7, MaxVersion: 9, Name: "gw-a", Incarnation: 5})
 		if f, ok := l.next(t).(*linkwire.Bye); !ok || !strings.Contains(f.Text, "version") {
 			t.Errorf("it was told %+v", f)
 		}
@@ -174,7 +179,7 @@
 	})
 	t.Run("silence", func(t *testing.T) { closed(t, lie(t, addr, nil)) })
 	t.Run("silence after the greeting", func(t *testing.T) { closed(t, lie(t, addr, hello("gw-a"))) })
-	t.Run("a number twice", func(t *testing.T) {
+	t.Run("a number used twice", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		l.say(t, l.offer(1))
 		if f, ok := l.next(t).(*linkwire.Ended); !ok || f.Result != linkwire.Served {
@@ -183,14 +188,14 @@
 		l.say(t, l.offer(1))
 		closed(t, l)
 	})
-	t.Run("a time that was never told", func(t *testing.T) {
+	t.Run("a clock reading in the future", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		f := l.offer(1)
 		f.Lease.Quote += 1 << 40
 		l.say(t, f)
 		closed(t, l)
 	})
-	t.Run("parts of nothing", func(t *testing.T) {
+	t.Run("a part without an offer", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		l.say(t, &linkwire.Part{Number: 9, Body: []byte("x")})
 		closed(t, l)
@@ -202,23 +207,24 @@
 	})
 	never := func(t *testing.T, l *liar, why uint64) {
 		t.Helper()
-		if f, ok := l.next(t).(*linkwire.Never); !ok || f.Why != why {
+		if f, ok := l.next(t).(*linkwire.Never); !ok || f.Reason != why {
 			t.Errorf("it was told %+v, want why %d", f, why)
 		}
 	}
-	t.Run("what is turned away", func(t *testing.T) {
+	t.Run("rejected offers", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
 		for i, c := range []struct {
 			why    uint64
 			change func(*linkwire.Offer)
 		}{
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Class = "nothing" }},
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Effect = "free" }},
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Class, f.Effect = "send", "guarded" }}, // without a key
-			{linkwire.WhyUnknown, func(f *linkwire.Offer) { f.Method = "GET" }},
-			{linkwire.WhyLapsed, func(f *linkwire.Offer) { f.Lease.Begin, f.Lease.Life = 0, 0 }},
-			{linkwire.WhyLapsed, func(f *linkwire.Offer) { f.Lease.Begin = 0 }},
-			{linkwire.WhyLapsed, func(f *linkwire.Offer) { f.Lease.Incarnation++ }},
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Class = "nothing" }},
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Effect = "free" }},
+			// without a key
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Class, f.Effect = "send", "guarded" }},
+			{linkwire.ReasonUnknownClass, func(f *linkwire.Offer) { f.Method = "GET" }},
+			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Begin, f.Lease.Life = 0, 0 }},
+			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Begin = 0 }},
+			{linkwire.ReasonLeaseExpired, func(f *linkwire.Offer) { f.Lease.Incarnation++ }},
 		} {
 			f := l.offer(uint64(i + 1))
 			c.change(f)
@@ -228,11 +234,12 @@
 	})
 	t.Run("a fence overtakes its order", func(t *testing.T) {
 		l := lie(t, addr, hello("gw-a"))
-		for i, ask := range []linkwire.Frame{&linkwire.Fence{Number: 21, Lease: l.lease()}, &linkwire.Cancel{Number: 22, Lease: l.lease()}} {
+		for i, ask := range []linkwire.Frame{&linkwire.Fence{Number: 21, Lease: l.lease()}, &linkwire.Cancel{Number: 22,
+			Lease: l.lease()}} {
 			l.say(t, ask)
-			never(t, l, linkwire.WhyBarred)
+			never(t, l, linkwire.ReasonFenced)
 			l.say(t, l.offer(uint64(21+i)))
-			never(t, l, linkwire.WhyBarred)
+			never(t, l, linkwire.ReasonFenced)
 		}
 	})
 	t.Run("a fence for another peer's crossing", func(t *testing.T) {
@@ -241,9 +248,9 @@
 		if _, ok := l.next(t).(*linkwire.Ended); !ok {
 			t.Fatal("not served")
 		}
-		m := lie(t, addr, hello("gw-a")) // another process: its numbers are its own
+		m := lie(t, addr, hello("gw-a")) // another process, with its own numbers
 		m.say(t, &linkwire.Fence{Number: 31, Lease: m.lease()})
-		never(t, m, linkwire.WhyBarred)
+		never(t, m, linkwire.ReasonFenced)
 		l.say(t, &linkwire.Fence{Number: 31, Lease: l.lease()})
 		if f, ok := l.next(t).(*linkwire.Ended); !ok || f.Result != linkwire.Served {
 			t.Errorf("its own fence was answered %+v", f)
@@ -265,8 +272,8 @@
 	}
 }
 
-// Links under TLS: only who has a certificate of the authority, and the name that is
-// expected, comes up; certificates and routes change under load, and nothing is lost.
+// With TLS, a link comes up only for a certificate of the authority with the expected name.
+// Certificates and routes change under load, and no request is lost.
 func TestCertificatesChangeUnderLoad(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -278,17 +285,21 @@
 	}
 	must(keys.Generate(dir, []string{"gw-a", "gw-b", "gw-z"}, time.Hour))
 	tlsOf := func(name string) string {
-		return fmt.Sprintf("[gateway.keys]\nca = %q\ncert = %q\nkey = %q\n", filepath.Join(dir, "ca.pem"), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
+		return fmt.Sprintf("[gateway.keys]\nca = %q\ncert = %q\nkey = %q\n", filepath.Join(dir, "ca.pem"),
+			filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
 	}
 	ln := sites.Loopback(t)
-	far := sites.Start(t, sites.Options{Servers: 2, Links: ln, Operator: sites.Operator(t, "[gateway]\nname = \"gw-b\"\npeers = [\"gw-a\"]\nlisten = %q\n%s%s", ln.Addr().String(), times, tlsOf("gw-b"))})
+	far := sites.Start(t, sites.Options{Servers: 2, Links: ln, Operator: sites.Operator(t,
+		"[gateway]\nname = \"gw-b\"\npeers = [\"gw-a\"]\nlisten = %q\n%s%s", ln.Addr().String(), times, tlsOf("gw-b"))})
 	file := func(route string) string {
 		return fmt.Sprintf("[gateway]\nname = \"gw-a\"\n%s%s[[gateway.site]]\nname = \"b\"\n[[gateway.site.peer]]\nname = \"gw-b\"\naddress = %q\n%s", times, tlsOf("gw-a"), ln.Addr().String(), route)
 	}
-	near := sites.Start(t, sites.Options{Servers: 1, Operator: sites.Operator(t, "%s", file("[[gateway.route]]\nto = [\"b\"]\n"))})
+	near := sites.Start(t, sites.Options{Servers: 1, Operator: sites.Operator(t, "%s",
+		file("[[gateway.route]]\nto = [\"b\"]\n"))})
 	near.Ready(t)
 	sites.Eventually(t, "it crosses", func() bool {
-		return sites.Ask(context.Background(), near.Base, "order", 2*time.Second, nil).Status == 200 && len(far.Came()) > 0
+		return sites.Ask(context.Background(), near.Base, "order", 2*time.Second, nil).Status == 200 &&
+			len(far.Came()) > 0
 	})
 	stop, done := make(chan struct{}), make(chan []sites.Answer)
 	go func() { done <- load(near.Base, 5*time.Millisecond, 2*time.Second, []string{"order", "look"}, stop) }()
@@ -301,9 +312,14 @@
 		must(near.Agent.Reload(near.Conf, sites.Operator(t, "%s", file(route))))
 		must(far.Agent.Reload(far.Conf, sites.Operator(t, "[gateway]\nname = \"gw-b\"\npeers = [\"gw-a\"]\nlisten = %q\n%s%s", ln.Addr().String(), times, tlsOf("gw-b"))))
 		n, m := len(near.Came()), len(far.Came())
-		sites.Eventually(t, "both sites are used", func() bool { return len(near.Came()) > n+20 && len(far.Came()) > m+20 })
+		sites.Eventually(t, "both sites are used", func() bool {
+			return len(near.Came()) > n+20 &&
+				len(far.Came()) > m+20
+		})
 	}
-	if err := near.Agent.Reload(near.Conf, sites.Operator(t, "%s", file("[[gateway.route]]\nclass = \"nothing\"\nto = [\"b\"]\n"))); err == nil || !strings.Contains(err.Error(), "route[0].class") {
+	if err := near.Agent.Reload(near.Conf, sites.Operator(t, "%s",
+		file("[[gateway.route]]\nclass = \"nothing\"\nto = [\"b\"]\n"))); err == nil || !strings.Contains(err.Error(),
+		"route[0].class") {
 		t.Errorf("a class that does not exist: %v", err)
 	}
 	close(stop)
@@ -317,13 +333,15 @@
 	if served < 100 {
 		t.Errorf("%d served, %d refused, %d failed, %d without an answer", served, refused, failed, broken)
 	}
-	// Who has the authority's word and not the name, or neither, is not let in.
+	// A certificate with another name or of another authority is rejected.
 	other := t.TempDir()
 	must(keys.Generate(other, []string{"gw-a"}, time.Hour))
 	must(keys.Generate(dir, []string{"gw-old"}, time.Millisecond))
 	for name, f := range map[string]keys.Files{
-		"another name":      {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-z.pem"), Key: filepath.Join(dir, "gw-z.key")},
-		"another authority": {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(other, "gw-a.pem"), Key: filepath.Join(other, "gw-a.key")},
+		"another name": {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-z.pem"),
+			Key: filepath.Join(dir, "gw-z.key")},
+		"another authority": {CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(other, "gw-a.pem"),
+			Key: filepath.Join(other, "gw-a.key")},
 	} {
 		store, err := keys.Load(f)
 		must(err)
@@ -339,12 +357,13 @@
 		}
 		c.Close()
 	}
-	if _, err := keys.Load(keys.Files{CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-old.pem"), Key: filepath.Join(dir, "gw-old.key")}); err == nil || !strings.Contains(err.Error(), "ended") {
+	if _, err := keys.Load(keys.Files{CA: filepath.Join(dir, "ca.pem"), Cert: filepath.Join(dir, "gw-old.pem"),
+		Key: filepath.Join(dir, "gw-old.key")}); err == nil || !strings.Contains(err.Error(), "ended") {
 		t.Errorf("a certificate past its end: %v", err)
 	}
 }
 
-// A near end turns from a far gateway that is another than it says.
+// A near end closes links to a far gateway with an unexpected name, or which violates the protocol.
 func TestFarLiar(t *testing.T) {
 	ln := sites.Loopback(t)
 	defer ln.Close()
@@ -368,12 +387,14 @@
 				c.Write(buf)
 			case 1:
 				io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n")
-			case 2: // answers what was never asked
+			case 2: // an answer without an offer
 				h := hello("gw-b")
 				h.Crossings = 10
 				buf, _ := linkwire.Append(nil, h)
-				buf, _ = linkwire.Append(buf, &linkwire.Ended{Number: 5, Result: linkwire.Served, Size: 2, Body: []byte("no")})
-				buf, _ = linkwire.Append(buf, &linkwire.Offer{Number: 1, Tries: 1, Class: "order", Effect: "single_shot", ID: "x", Method: "POST", Target: "/"})
+				buf, _ = linkwire.Append(buf, &linkwire.Ended{Number: 5, Result: linkwire.Served, Size: 2,
+					Body: []byte("no")})
+				buf, _ = linkwire.Append(buf, &linkwire.Offer{Number: 1, MaxAttempts: 1, Class: "order",
+					Effect: "single_shot", ID: "x", Method: "POST", Target: "/"})
 				c.Write(buf)
 			case 3:
 				buf, _ := linkwire.Append(nil, &linkwire.Bye{Text: "go away"})
--- a/internal/protocol/httpfront/bodies.go
+++ b/internal/protocol/httpfront/bodies.go
@@ -19,7 +19,7 @@
 
 // pace returns how slowly a body may arrive.
 func (a *Front) pace() window.Pace {
-	return intake.Pace(a.opt.BodyWithin)
+	return intake.MinPace(a.opt.BodyWithin)
 }
 
 // target returns the request target in origin form: absolute forms have a scheme and host before the path.
@@ -266,7 +266,7 @@
 		h.Set("Content-Length", strconv.FormatInt(ans.Length, 10))
 	}
 	w.WriteHeader(http.StatusOK)
-	_ = control.SetWriteDeadline(time.Now().Add(intake.ReadFor))
+	_ = control.SetWriteDeadline(time.Now().Add(intake.ResponseStallTimeout))
 	if _, err := w.Write(ans.Body); err != nil {
 		abort()
 	}
@@ -280,7 +280,7 @@
 		}
 		n, err := rest.Read(hr.Context(), *buf)
 		if n > 0 {
-			_ = control.SetWriteDeadline(time.Now().Add(intake.ReadFor))
+			_ = control.SetWriteDeadline(time.Now().Add(intake.ResponseStallTimeout))
 			if _, err := w.Write((*buf)[:n]); err != nil {
 				abort()
 			}
--- a/internal/protocol/httpfront/front.go
+++ b/internal/protocol/httpfront/front.go
@@ -299,7 +299,7 @@
 	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
 		came = c.lastByteAt()
 	}
-	patience.Count(r, came, a.pace())
+	patience.SetDeadline(r, came, a.pace())
 	return r, nil
 }
 
--- a/internal/protocol/intake/intake.go
+++ b/internal/protocol/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake reads requests as every front end takes them, whatever protocol brought them: which class,
-// key, tenant and id they have, how long their clients wait, and what is wrong with them. It does no I/O;
-// all of it are values.
+// Package intake validates requests for every front end, whatever the protocol: it determines their
+// class, key, tenant, id and client time-out, or why they are invalid. It does no I/O and has no
+// state.
 package intake
 
 import (
@@ -20,49 +20,49 @@
 )
 
 const (
-	// MaxTimeout is the longest deadline there is.
-	MaxTimeout = time.Minute
-	maxWord    = 256 // bytes of an id or a host
-	// AcceptFor is how long connections are taken after SIGTERM: they go on coming for up to 0.4 s. SettleFor is
-	// left to what was accepted last to be read; LeaveEvery is how often connections are looked through meanwhile.
+	// MaxTimeout is the longest time-out of a client.
+	MaxTimeout    = time.Minute
+	maxNameLength = 256 // limit of an id or a host, in bytes
+	// AcceptFor is how long connections are accepted after SIGTERM, as new ones arrive for up to 0.4 s. SettleFor is
+	// the time to read from those accepted last; LeaveEvery is the interval of checks of the connections meanwhile.
 	AcceptFor, SettleFor, LeaveEvery = 450 * time.Millisecond, 50 * time.Millisecond, 5 * time.Millisecond
-	// ReadFor is how long a client may take nothing of an answer that is passed on.
-	ReadFor = time.Minute
-	// bodyRate is how many bytes a second a body has to bring on the mean, bodyPause how long nothing may come
-	// of it: clients that are slow send twice as much.
+	// ResponseStallTimeout is how long a client may read nothing of an answer that is streamed to it.
+	ResponseStallTimeout = time.Minute
+	// bodyRate is the minimum mean rate of a request's body in bytes per second, bodyPause the longest pause
+	// within it. Slow clients send at twice that rate.
 	bodyRate, bodyPause = 32 << 10, 2 * time.Second
 )
 
-// Pace is how slowly a body may come, with an allowance at its start.
-func Pace(allowance time.Duration) window.Pace {
+// MinPace returns the minimum speed of a request's body, with an allowance at its start.
+func MinPace(allowance time.Duration) window.Pace {
 	return window.Pace{Grace: allowance, Pause: bodyPause, Rate: bodyRate}
 }
 
-// Handler gives a request its one final answer; a core.Core is one.
+// Handler returns a request's one final answer; a core.Core is one.
 type Handler interface {
 	Do(ctx context.Context, r *core.Request) core.Answer
 	Ready() bool
 }
 
-// View is one version of the settings, as requests are read by. It is not changed.
+// View is one version of the settings, as used to read requests. It is immutable.
 type View struct {
 	Settings *settings.Settings
-	Classes  map[string]int // numbers of the classes' names
-	Tenants  map[string]int // numbers of the tenants' names
+	Classes  map[string]int // class index by name
+	Tenants  map[string]int // tenant index by name
 }
 
-// Of is the view of a version of the settings.
-func Of(t *settings.Table) View {
+// ViewOf returns the view of a version of the settings.
+func ViewOf(t *settings.Table) View {
 	return View{Settings: &t.Settings, Classes: t.Classes, Tenants: t.Tenants}
 }
 
-// Problem is why a request is not taken: an HTTP status of 4xx or 503, and a word on it.
+// Problem is why a request is rejected: an HTTP status of 4xx or 503, and a short text.
 type Problem struct {
 	Status int
 	Text   string
 }
 
-// Fields are what a front end has read of a request; empty ones were not sent.
+// Fields are the parts of a request that a front end has read; empty ones were not sent.
 type Fields struct {
 	Method, Target string // Target: path and query
 	Path           string // of Target, unescaped
@@ -72,23 +72,24 @@
 	ContentType    string
 	Timeout        string // a number and a unit; see ParseTimeout
 	Tenant         string
-	Hint           string // the work, in microseconds
-	Retry          string // "1": the client has asked for the same before
+	Hint           string // estimated work, in microseconds
+	Retry          string // "1": the client has sent the same request before
 	Length         int64  // of the body; -1: not known
 }
 
-// Patience is how long a client waits for its answer.
-type Patience struct {
-	Told   time.Duration // as it says
-	GiveUp time.Duration // as its class allows
+// ClientTimeout is how long a client waits for its answer.
+type ClientTimeout struct {
+	Requested  time.Duration // as the client requested
+	ClassLimit time.Duration // limit of its class
 }
 
-// Read makes a request of what was read, but for its body and its deadline. patient says that a client which
-// does not say how long it waits waits for as long as its class allows; else it is told to say so.
-func Read(v *View, f *Fields, patient bool) (*core.Request, Patience, *Problem) {
+// Read validates the fields and returns the request without its body and deadline. If patient is true,
+// a client that sends no time-out gets that of its class; otherwise the request is rejected.
+func Read(v *View, f *Fields, patient bool) (*core.Request, ClientTimeout, *Problem) {
 	r := &core.Request{ID: f.ID, MaxAttempts: v.Settings.Limits.MaxAttempts, Retry: f.Retry == "1",
-		Message: core.Message{Method: f.Method, Target: f.Target, Host: f.Host, ContentType: f.ContentType, IdempotencyKey: f.IdempotencyKey}}
-	var p Patience
+		Message: core.Message{Method: f.Method, Target: f.Target, Host: f.Host, ContentType: f.ContentType,
+			IdempotencyKey: f.IdempotencyKey}}
+	var p ClientTimeout
 	if !strings.HasPrefix(f.Target, "/") || !strings.HasPrefix(f.Path, "/") {
 		return nil, p, &Problem{http.StatusBadRequest, "no path: an agent is no proxy"}
 	}
@@ -103,11 +104,11 @@
 	if set.Idempotency == settings.Idempotent {
 		want = http.MethodGet
 	}
-	// A client may wait for longer than its class is worth anything, the agent does not.
-	p.GiveUp = time.Duration(set.ClientTimeoutMs * float64(time.Millisecond))
+	// A client may wait for longer than its class's answers have value; the agent does not.
+	p.ClassLimit = time.Duration(set.ClientTimeoutMs * float64(time.Millisecond))
 	var err error
-	if p.Told = p.GiveUp; f.Timeout != "" || !patient {
-		p.Told, err = ParseTimeout(f.Timeout)
+	if p.Requested = p.ClassLimit; f.Timeout != "" || !patient {
+		p.Requested, err = ParseTimeout(f.Timeout)
 	}
 	switch {
 	case f.Method != want && (f.Method != http.MethodHead || want != http.MethodGet):
@@ -137,14 +138,15 @@
 	return r, p, nil
 }
 
-// Count has a request's time begin when its last byte came; of one whose body is not whole, it reckons with
-// the longest that the rest may take to come, and its time begins when all of it has.
-func (p Patience) Count(r *core.Request, came time.Time, pace window.Pace) {
-	r.Deadline = budget.From(came, p.Told, p.GiveUp).Deadline
+// SetDeadline sets a request's deadline, counted from the arrival of its last byte. While a body is
+// incomplete, the deadline allows the longest time that the remainder may take, and the client's time
+// starts once all of it has arrived.
+func (p ClientTimeout) SetDeadline(r *core.Request, came time.Time, pace window.Pace) {
+	r.Deadline = budget.From(came, p.Requested, p.ClassLimit).Deadline
 	if r.Message.Stream == nil {
 		return
 	}
-	r.TimeAfterBody = min(p.Told, p.GiveUp)
+	r.TimeAfterBody = min(p.Requested, p.ClassLimit)
 	most := r.Message.Length
 	if most < 0 {
 		most = window.Most
@@ -152,9 +154,10 @@
 	r.Deadline = time.Now().Add(pace.Longest(most) + r.TimeAfterBody)
 }
 
-// Plain tells whether an id or a name can be sent on as it is.
+// Plain reports whether an id or a name can be forwarded as it is: 1 to 256 printable ASCII characters
+// without spaces.
 func Plain(id string) bool {
-	if id == "" || len(id) > maxWord {
+	if id == "" || len(id) > maxNameLength {
 		return false
 	}
 	for _, c := range []byte(id) {
@@ -165,8 +168,8 @@
 	return true
 }
 
-// ParseTimeout reads a number and a unit, m for milliseconds or u for microseconds, above 0 and up to
-// MaxTimeout.
+// ParseTimeout parses a number and a unit, m for milliseconds or u for microseconds. The time must be
+// above 0 and at most MaxTimeout.
 func ParseTimeout(text string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
@@ -184,7 +187,7 @@
 	return time.Duration(n) * unit, nil
 }
 
-// KeyOf gives what a request is about its number, the same at every agent; 0 is none.
+// KeyOf returns the routing key of a text, the same at every agent. It is never 0, which means no key.
 func KeyOf(text string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, text)
--- a/internal/protocol/linkwire/wire_test.go
+++ b/internal/protocol/linkwire/wire_test.go
@@ -9,7 +9,7 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// Frames of each kind, and the bodies of records, have the bytes that gateways and agents of other builds send.
+// Frames of each kind have the encoding of gateways and agents of other versions.
 func TestWireBytes(t *testing.T) {
 	all := append(frames(), extraFrames()...)
 	kinds := map[Kind]bool{}
@@ -32,34 +32,37 @@
 	}
 }
 
-// extraFrames are the kinds that frames leaves out.
+// extraFrames returns frames of the kinds that frames leaves out.
 func extraFrames() []Frame {
 	return []Frame{
 		&Word{Topic: MaxTopic, Number: 1 << 63, More: true, Body: []byte("part")},
 		&Query{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, SinceUs: 5},
-		&Verdict{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, Word: VerdictReplied, Result: Refused, ContentType: "x/y", Body: []byte("ok")},
+		&Verdict{Number: 1, Holder: "gw-b", Incarnation: 1 << 63, Outcome: VerdictReplied, Result: Refused,
+			ContentType: "x/y", Body: []byte("ok")},
 	}
 }
 
-// The body of a record in which a process describes itself, and of the list of those that it watches.
+// The bodies of a process's own record and of a list of suspicions have the encoding of other
+// versions.
 func TestRecordBytes(t *testing.T) {
 	self := Self{}
 	goldenbytes.Fill(&self)
 	for name, s := range map[string]Self{"self": self, "self.zero": {}} {
-		b, err := AppendSelf(&s)
+		b, err := EncodeSelf(&s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ReadSelf(goldenbytes.Check(t, "wire/"+name+".cbor", b)); err != nil || got != s {
+		if got, err := DecodeSelf(goldenbytes.Check(t, "wire/"+name+".cbor", b)); err != nil || got != s {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 	}
 	words := []Head{{Key: 1 << 63, Version: 2}, {Key: 3, Version: 4}}
-	b, err := AppendWords(words)
+	b, err := EncodeSuspicions(words)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadWords(goldenbytes.Check(t, "wire/words.cbor", b)); err != nil || !reflect.DeepEqual(got, words) {
+	if got, err := DecodeSuspicions(goldenbytes.Check(t, "wire/words.cbor", b)); err != nil || !reflect.DeepEqual(got,
+		words) {
 		t.Errorf("words: %+v, %v", got, err)
 	}
 }
--- a/internal/protocol/peers/peers_test.go
+++ b/internal/protocol/peers/peers_test.go
@@ -17,15 +17,17 @@
 
 const beat = 20 * time.Millisecond
 
-// end starts one agent's end on loopback; it ends with the test.
+// end starts one agent's end on loopback; it is closed with the test.
 func end(t *testing.T, name string, seeds ...Seed) (p *Peers, at string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = New(Options{Members: members.Options{ID: members.ID{Name: name, Incarnation: 1}, Period: beat, Info: members.Info{Address: ln.Addr().String(), Machine: name}},
-		Seeds: seeds, Conns: 16, Queue: 64 << 10, Self: func() (string, float64) { return "ready", 1 }, Log: slog.New(slog.DiscardHandler)})
+	p = New(Options{Members: members.Options{ID: members.ID{Name: name, Incarnation: 1}, Period: beat,
+		Info: members.Info{Address: ln.Addr().String(), Machine: name}},
+		Seeds: seeds, Conns: 16, Queue: 64 << 10, Self: func() (string, float64) { return "ready", 1 },
+		Log: slog.New(slog.DiscardHandler)})
 	done := make(chan error, 1)
 	go func() { done <- p.Serve(ln) }()
 	t.Cleanup(func() {
@@ -51,8 +53,8 @@
 	return v.Reachable
 }
 
-// A peer that says what can't be is cut, and harms nobody; what a newer build says of itself goes
-// on as it came.
+// A peer that sends invalid frames is disconnected without effect on others, and a record with fields
+// of a newer version is forwarded unchanged.
 func TestStrangePeers(t *testing.T) {
 	a, at := end(t, "a")
 	b, _ := end(t, "b", Seed{"a", at})
@@ -64,17 +66,22 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		up, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, Least: 1, Most: 1, Name: name, Incarnation: 5, Now: 1},
-			link.Options{Clock: link.NewClock(), Beat: beat, DeadAfter: time.Minute, Status: func() (uint64, bool) { return 0, false }})
+		up, err := link.Greet(ctx, conn, linkwire.Hello{Magic: linkwire.Magic, MinVersion: 1, MaxVersion: 1, Name: name,
+			Incarnation: 5, Now: 1},
+			link.Options{Clock: link.NewClock(), HeartbeatInterval: beat, DeadAfter: time.Minute,
+				Status: func() (uint64, bool) { return 0, false }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return up
 	}
 	for what, f := range map[string]linkwire.Frame{
-		"another protocol's frame": &linkwire.Offer{Number: 1, Class: "order", Effect: "free", ID: "1", Method: "GET", Target: "/"},
-		"a body that is no CBOR":   &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Version: 1, Body: []byte{0xff}}}},
-		"words that are none":      &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Subject: 1, Version: 1, Body: []byte("words")}}},
+		"another protocol's frame": &linkwire.Offer{Number: 1, Class: "order", Effect: "free", ID: "1", Method: "GET",
+			Target: "/"},
+		"a body that is no CBOR": &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Version: 1,
+			Body: []byte{0xff}}}},
+		"words that are none": &linkwire.News{Records: []linkwire.Entry{{Name: "x", Incarnation: 1, Subject: 1,
+			Version: 1, Body: []byte("words")}}},
 	} {
 		up := greet("strange")
 		up.Urgent(f)
@@ -83,10 +90,12 @@
 		}
 	}
 	// A record with a field of a later build, told by a peer that then goes on beating.
-	body := append([]byte{0xa3, 0x01, 0x61, 'h', 0x09, 0xf5}, 0x18, 99, 0x63, 'n', 'e', 'w') // {1: "h", 9: true, 99: "new"}
+	// {1: "h", 9: true, 99: "new"}
+	body := append([]byte{0xa3, 0x01, 0x61, 'h', 0x09, 0xf5}, 0x18, 99, 0x63, 'n', 'e', 'w')
 	up := greet("newer")
 	passed := make(chan string, 16)
-	up.Bulk(linkwire.One(&linkwire.News{Records: []linkwire.Entry{{Name: "newer", Incarnation: 5, Version: 1, Body: body}}}))
+	up.Bulk(linkwire.SingleFrame(&linkwire.News{Records: []linkwire.Entry{{Name: "newer", Incarnation: 5, Version: 1,
+		Body: body}}}))
 	go func() { _ = up.Run(func(linkwire.Frame) error { return nil }) }()
 	eventually(t, "b knows the newer one", func() bool { return sees(b) == 3 })
 	second := greet("reader")
@@ -102,8 +111,8 @@
 			return nil
 		})
 	}()
-	second.Bulk(linkwire.One(&linkwire.News{Sums: make([]uint64, members.Buckets), Digest: 1}))
-	second.Bulk(linkwire.One(&linkwire.News{Mask: 1<<32 - 1, Digest: 1})) // has nothing: wants all
+	second.Bulk(linkwire.SingleFrame(&linkwire.News{Sums: make([]uint64, members.Buckets), Digest: 1}))
+	second.Bulk(linkwire.SingleFrame(&linkwire.News{Mask: 1<<32 - 1, Digest: 1})) // has nothing: wants all
 	if got := <-passed; got != string(body) {
 		t.Errorf("passed on as %x, came as %x", got, body)
 	}
@@ -111,7 +120,8 @@
 	second.Close(nil)
 }
 
-// Of two links between two that dial at once one stays, the same at both ends; leaving is heard.
+// When two peers dial each other at once, both ends keep the same one of the two links. A graceful
+// leave is reported.
 func TestOneLinkEach(t *testing.T) {
 	var ends []*Peers
 	var seeds []Seed
@@ -145,22 +155,24 @@
 	}
 }
 
-// What waits to be written is bounded, and the oldest goes first.
+// The queue of messages is bounded, and the oldest are dropped first.
 func TestQueueIsBounded(t *testing.T) {
 	l := &peer{}
 	for i := range 1000 {
 		f := &linkwire.News{Digest: uint64(i), Records: []linkwire.Entry{{Body: make([]byte, 500)}}}
 		l.push(f, 10<<10)
 	}
-	if l.queued > 10<<10 || len(l.queue) < 10 || l.queue[len(l.queue)-1].Digest != 999 {
-		t.Errorf("%d bytes, %d messages", l.queued, len(l.queue))
+	if l.queuedBytes > 10<<10 || len(l.queue) < 10 || l.queue[len(l.queue)-1].Digest != 999 {
+		t.Errorf("%d bytes, %d messages", l.queuedBytes, len(l.queue))
 	}
 }
 
-// What a message says survives the wire.
+// A message that was decoded is encoded to an equal message, and a view accepts any.
 func FuzzMessage(f *testing.F) {
-	text, _ := linkwire.Append(nil, &linkwire.News{Digest: 1, Heads: []linkwire.Head{{Key: 1, Version: 2}}, Records: []linkwire.Entry{
-		{Name: "a", Incarnation: 1, Version: 1, Body: []byte{0xa1, 0x01, 0x61, 'h'}}, {Name: "a", Incarnation: 1, Subject: 1, Version: 1, Body: []byte{0x81, 0x82, 1, 2}}}})
+	text, _ := linkwire.Append(nil, &linkwire.News{Digest: 1, Heads: []linkwire.Head{{Key: 1, Version: 2}},
+		Records: []linkwire.Entry{
+			{Name: "a", Incarnation: 1, Version: 1, Body: []byte{0xa1, 0x01, 0x61, 'h'}}, {Name: "a", Incarnation: 1,
+				Subject: 1, Version: 1, Body: []byte{0x81, 0x82, 1, 2}}}})
 	f.Add(text[5:])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		frame, err := linkwire.Decode(linkwire.KindNews, text)
--- a/internal/protocol/peers/wire_test.go
+++ b/internal/protocol/peers/wire_test.go
@@ -10,13 +10,14 @@
 	"molepaddle/internal/protocol/linkwire"
 )
 
-// A message about members has the bytes that agents of other builds send, and is read from them.
+// The encoding of a membership message is that of agents of other versions, in both directions.
 func TestWireBytes(t *testing.T) {
 	m := members.Message{}
 	goldenbytes.Fill(&m)
 	self := members.Record{ID: members.ID{Name: "a", Incarnation: 1 << 63}, Kind: members.Self, Version: 2}
 	goldenbytes.Fill(&self.Info)
-	watch := members.Record{ID: self.ID, Kind: members.Suspects, Version: 3, Suspicions: []members.Suspicion{{Target: 1 << 63, Version: 4}}}
+	watch := members.Record{ID: self.ID, Kind: members.Suspects, Version: 3,
+		Suspicions: []members.Suspicion{{Target: 1 << 63, Version: 4}}}
 	orders := members.Record{ID: self.ID, Kind: members.Orders, Version: 5, Raw: "list"}
 	m.Records = []members.Record{self, watch, orders}
 	frame, err := Frame(&m)
@@ -35,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range got.Records { // what came is kept as it came
+	for i := range got.Records { // received records keep their encoding
 		if got.Records[i].Kind != members.Orders {
 			got.Records[i].Raw = ""
 		}
--- a/internal/protocol/roster/roster_test.go
+++ b/internal/protocol/roster/roster_test.go
@@ -14,9 +14,9 @@
 	"molepaddle/internal/decide/cluster"
 )
 
-const never = time.Hour // for what a test does not let run out
+const never = time.Hour // for time-outs that must not pass in a test
 
-// scripted is a service whose watch writes lines and then stays open or ends.
+// scripted is a discovery service whose watch writes the lines and then stays open or ends.
 func scripted(t *testing.T, stay bool, lines ...string) (*Client, chan core.Update) {
 	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,15 +34,16 @@
 	t.Cleanup(func() { close(release); s.Close() })
 	told := make(chan core.Update, 100)
 	dial := (&net.Dialer{}).DialContext
-	return New(context.Background(), s.Listener.Addr().String(), Words{}, dial, func(in core.Update) { told <- in }), told
+	return New(context.Background(), s.Listener.Addr().String(), Names{}, dial, func(in core.Update) { told <- in }),
+		told
 }
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
-// A watch ends at a line that makes no sense, having told those before.
+// A watch ends at an invalid line, after the lines before it were reported.
 func TestMalformedLine(t *testing.T) {
 	d, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
-	d.silence = never
+	d.silenceTimeout = never
 	d.watch(1, false)
 	if in := <-told; in.Kind != core.Changed || in.List.Seq != 2 || in.List.Servers[0].Health != cluster.Draining {
 		t.Fatalf("told %+v", in)
@@ -52,10 +53,10 @@
 	}
 }
 
-// A watch on which nothing comes is dead and ends.
+// A watch without any line ends after the time-out.
 func TestSilentWatch(t *testing.T) {
 	d, told := scripted(t, true)
-	d.silence = time.Millisecond
+	d.silenceTimeout = time.Millisecond
 	d.watch(1, false)
 	if in := <-told; in.Kind != core.WatchEnded || in.Err == nil {
 		t.Fatalf("told %+v", in)
@@ -75,7 +76,8 @@
 	}
 }
 
-// The first calls to a new roster are tried again without the module's back-off.
+// The first calls to a new discovery service are retried at short intervals, without the core's
+// backoff.
 func TestReloadTriesAgain(t *testing.T) {
 	tries := make(chan struct{}, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -89,7 +91,7 @@
 	t.Cleanup(s.Close)
 	told := make(chan core.Update, 10)
 	dial := (&net.Dialer{}).DialContext
-	d := New(t.Context(), s.Listener.Addr().String(), Words{}, dial, func(in core.Update) { told <- in })
+	d := New(t.Context(), s.Listener.Addr().String(), Names{}, dial, func(in core.Update) { told <- in })
 	d.watch(0, true)
 	if in := <-told; in.Kind != core.Changed || in.List.Seq != 2 {
 		t.Fatalf("told %+v", in)
@@ -99,10 +101,10 @@
 	}
 }
 
-// A dial to a service that is silent ends with the client, not with the machine's patience.
+// A dial to a service that doesn't answer ends with Close, before the system's connect time-out.
 func TestSilentDialEnds(t *testing.T) {
 	dialling, ended := make(chan struct{}), make(chan struct{})
-	d := New(t.Context(), "127.0.0.1:1", Words{}, func(ctx context.Context, _, _ string) (net.Conn, error) {
+	d := New(t.Context(), "127.0.0.1:1", Names{}, func(ctx context.Context, _, _ string) (net.Conn, error) {
 		close(dialling)
 		<-ctx.Done()
 		close(ended)
@@ -114,7 +116,7 @@
 	<-ended
 }
 
-// An address follows from the name alone.
+// An address depends on the name only.
 func TestAddresses(t *testing.T) {
 	first, again, other := AddrOf("s-1"), AddrOf("s-1"), AddrOf("s-2")
 	if first != again || first == other {
@@ -122,12 +124,12 @@
 	}
 }
 
-// What is read of a list makes sense, or is an error of one line; nothing crashes it.
+// Parse returns a valid list or an error, whatever the input.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{change, "{}", `{"seq":-1,"hosts":[{"host":"a","dial":"a:1","health":"ready","born_ms":1e300}]}`, `{"hosts":[{}]}`, "[", "\x00"} {
 		f.Add([]byte(text))
 	}
-	w := Words{Sites: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0}}
+	w := Names{Sites: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0}}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := w.Parse(text)
 		if err != nil {
