--- a/cmd/molepaddle/fleet.go
+++ b/cmd/molepaddle/fleet.go
@@ -17,26 +17,26 @@
 	"molepaddle/internal/protocol/peers"
 )
 
-// fleetCommand asks a running agent what it believes of its fleet.
+// fleetCommand returns the command that prints a running agent's view of its fleet.
 func fleetCommand(out io.Writer) *cobra.Command {
-	asJSON, watch, door := false, false, ""
-	fleet := &cobra.Command{Use: "fleet", Short: "Say what a running agent believes of its fleet", Args: taking(noArgs),
+	asJSON, watch, management := false, false, ""
+	fleet := &cobra.Command{Use: "fleet", Short: "Show a running agent's view of its fleet", Args: checkArgs(noArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	fleet.PersistentFlags().BoolVar(&asJSON, "json", false, "as JSON")
-	fleet.PersistentFlags().StringVar(&door, "door", "",
-		"the operators' door of the agent; else the one that EDGE_CONFIG or EDGE_MANAGEMENT names")
-	show := &cobra.Command{Use: "show", Short: "Who is there, who suspects whom, settled or not", Args: taking(noArgs),
+	fleet.PersistentFlags().StringVar(&management, "door", "",
+		"management address of the agent; default: the one that EDGE_CONFIG or EDGE_MANAGEMENT names")
+	show := &cobra.Command{Use: "show", Short: "Show the members, their suspicions, and whether the view is settled", Args: checkArgs(noArgs),
 		RunE: untilSignal(func(ctx context.Context, _ []string) error {
-			at, err := doorOf(door)
+			at, err := managementAddress(management)
 			if err != nil {
 				return err
 			}
 			return showFleet(ctx, at, asJSON, watch, out)
 		})}
-	show.Flags().BoolVar(&watch, "watch", false, "again whenever the view changes, until interrupted")
-	log := &cobra.Command{Use: "log", Short: "The last changes, with reasons", Args: taking(noArgs),
+	show.Flags().BoolVar(&watch, "watch", false, "print again whenever the view changes, until interrupted")
+	log := &cobra.Command{Use: "log", Short: "Show the latest membership changes, with reasons", Args: checkArgs(noArgs),
 		RunE: func(*cobra.Command, []string) error {
-			at, err := doorOf(door)
+			at, err := managementAddress(management)
 			if err != nil {
 				return err
 			}
@@ -46,8 +46,8 @@
 	return fleet
 }
 
-// doorOf finds the door of the agent that the environment names.
-func doorOf(flag string) (string, error) {
+// managementAddress returns the management address: the flag's, or that of the agent that the environment names.
+func managementAddress(flag string) (string, error) {
 	if flag != "" {
 		return flag, nil
 	}
@@ -62,20 +62,20 @@
 	return conf.Management, nil
 }
 
-// showFleet prints the view; with watch again each time that it is another one.
-func showFleet(ctx context.Context, door string, asJSON, watch bool, out io.Writer) error {
+// showFleet prints the view; with watch, it prints it again after each change until ctx ends.
+func showFleet(ctx context.Context, address string, asJSON, watch bool, out io.Writer) error {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	last := ""
 	for {
 		var f agent.FleetView
-		if err := agent.ReadFleet(door, "/api/fleet", &f); err != nil {
+		if err := agent.ReadFleet(address, "/api/fleet", &f); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
 		if now := f.Digest + f.Why + f.Doubts; now != last {
 			last = now
 			if asJSON {
-				if err := indented(out, &f); err != nil {
+				if err := writeIndentedJSON(out, &f); err != nil {
 					return err
 				}
 			} else {
@@ -93,13 +93,13 @@
 	}
 }
 
-func showFleetLog(door string, asJSON bool, out io.Writer) error {
+func showFleetLog(address string, asJSON bool, out io.Writer) error {
 	var events []peers.Event
-	if err := agent.ReadFleet(door, "/api/fleet/log", &events); err != nil {
+	if err := agent.ReadFleet(address, "/api/fleet/log", &events); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	if asJSON {
-		return indented(out, events)
+		return writeIndentedJSON(out, events)
 	}
 	for _, e := range events {
 		fmt.Fprintf(out, "%s  %-7s  %s: %s\n", e.At.Format("15:04:05.000"), e.State, strings.Join(e.Who, ", "), e.Why)
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func indented(out io.Writer, x any) error {
+func writeIndentedJSON(out io.Writer, x any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
 	return enc.Encode(x)
--- a/cmd/molepaddle/fleet_test.go
+++ b/cmd/molepaddle/fleet_test.go
@@ -22,18 +22,18 @@
 	"molepaddle/internal/rig/wan"
 )
 
-// fleet is processes of the program with a network between them.
+// fleet is a set of processes of the program, connected by a simulated network.
 type fleet struct {
 	t      *testing.T
 	mesh   *wan.Mesh
 	server *standin.Server
-	more   []*standin.Server // on machines of their own: s-2, s-3, ...
+	more   []*standin.Server // s-2, s-3, ..., each on its own machine
 	dir    string
 	all    []*one
-	lost   func(i int) // who was killed by a schedule; nil: nobody asks
+	lost   func(i int) // called with each member that a schedule kills; may be nil
 }
 
-// one is a process's place: its addresses stay, processes come and go.
+// one is a member of a fleet: its addresses stay the same when its process is restarted.
 type one struct {
 	name, listen, peers, door, file string
 	binary                          string // path of another build's program; empty: this build's
@@ -41,11 +41,11 @@
 	out                             *output
 }
 
-// ports counts the ports that own has given.
+// ports counts the ports that own has returned.
 var ports atomic.Int32
 
-// own finds a free address on a loopback address, none of those from which the system takes ports for
-// connections: one of these may be in use when its process comes to listen.
+// own returns a free address on a loopback host, outside the system's range of local ports for outgoing
+// connections: one of those may be in use when the process starts to listen.
 func own(t *testing.T, host string) string {
 	t.Helper()
 	for range 1000 {
@@ -59,7 +59,7 @@
 	return ""
 }
 
-// add writes more into the files of all, before they start.
+// add appends text to the operator's file of each member, before the members start.
 func (f *fleet) add(text func(i int) string) {
 	for i, o := range f.all {
 		was, err := os.ReadFile(o.file)
@@ -70,7 +70,7 @@
 	}
 }
 
-// newFleet prepares n members under TLS, the first two of them seeds, in three zones; none is started.
+// newFleet prepares n members with TLS in three zones, the first two of them seeds, and starts none.
 func newFleet(t *testing.T, n int) *fleet { return newFleetOf(t, n, 100*time.Millisecond) }
 
 func newFleetOf(t *testing.T, n int, period time.Duration) *fleet {
@@ -82,7 +82,7 @@
 	t.Cleanup(func() { f.server.Close() })
 	names, targets := []string{"keys", "make", f.dir, "near"}, []string{}
 	for i := range n {
-		host := fmt.Sprintf("127.77.%d.%d", os.Getpid()%250, i+1) // apart from other tests at the same time
+		host := fmt.Sprintf("127.77.%d.%d", os.Getpid()%250, i+1) // separate from other tests that run at the same time
 		o := &one{name: fmt.Sprintf("n%d", i), listen: own(t, host), peers: own(t, host), door: own(t, host)}
 		f.all = append(f.all, o)
 		names, targets = append(names, o.name), append(targets, o.peers)
@@ -138,7 +138,7 @@
 	return v, err
 }
 
-// states is what a view says of the latest process of each name.
+// states returns the state of the latest incarnation of each name in a view.
 func states(v *agent.FleetView) map[string]string {
 	all, last := map[string]string{}, map[string]uint64{}
 	for _, m := range v.Members {
@@ -149,7 +149,7 @@
 	return all
 }
 
-// agree waits until all of these have the same view, settled, in which they and no others are alive.
+// agree waits until all of these have the same settled view, in which they and no others are alive.
 func (f *fleet) agree(what string, these ...int) {
 	f.t.Helper()
 	began := time.Now()
@@ -188,7 +188,7 @@
 	f.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
-// deaths is who was ever believed dead, by the log of one process.
+// deaths returns the names that member i has ever declared dead, from its log.
 func (f *fleet) deaths(i int) (names []string) {
 	var events []peers.Event
 	if err := agent.ReadFleet(f.all[i].door, "/api/fleet/log", &events); err != nil {
@@ -202,22 +202,22 @@
 	return names
 }
 
-// Six processes under TLS with a network between them: they find each other, lose one by a crash and get
-// it back, split in halves and heal, lose one to a stop and wake it, and see one leave. After
-// each they have one view again, and nobody is ever believed dead who could be reached.
+// Six processes with TLS over a simulated network: they join, one crashes and restarts, a partition heals, one is
+// suspended and resumed, and one leaves. After each step the views converge, and no reachable member is ever
+// declared dead.
 func TestFleet(t *testing.T) {
 	f := newFleet(t, 6)
 	all := []int{0, 1, 2, 3, 4, 5}
 	f.start(all...)
 	f.agree("six find each other", all...)
 
-	f.mesh.OneWay(2, 3) // 3 can't hear 2; everybody else can
-	eventually(t, "3 says that it can't hear 2", f.all[0].out, func() bool {
+	f.mesh.OneWay(2, 3) // 3 receives nothing from 2; all others do
+	eventually(t, "3 suspects 2", f.all[0].out, func() bool {
 		v, err := f.view(0)
 		return err == nil && states(&v)["n2"] == "suspect"
 	})
 	f.mesh.Heal(2, 3)
-	f.agree("one way is lost and back", all...)
+	f.agree("one direction is lost and healed", all...)
 	for i := range all {
 		if d := f.deaths(i); len(d) > 0 {
 			t.Errorf("%s believed %v dead", f.all[i].name, d)
@@ -227,10 +227,10 @@
 	f.signal(syscall.SIGKILL, 5)
 	f.agree("one is killed", 0, 1, 2, 3, 4)
 	f.start(5)
-	f.agree("it comes back as another process", all...)
+	f.agree("it restarts as another process", all...)
 
 	f.mesh.Split(0, 0, 0, 0, 1, 1)
-	f.agree("four are apart from two", 0, 1, 2, 3)
+	f.agree("four are partitioned from two", 0, 1, 2, 3)
 	for _, i := range []int{4, 5} {
 		eventually(t, "two doubt themselves", f.all[i].out, func() bool {
 			v, err := f.view(i)
@@ -241,13 +241,13 @@
 		}
 	}
 	f.mesh.Split(0, 0, 0, 0, 0, 0)
-	f.agree("the parts heal", all...)
+	f.agree("the partition heals", all...)
 
 	f.signal(syscall.SIGSTOP, 1)
-	f.agree("a seed is stopped", 0, 2, 3, 4, 5)
+	f.agree("a seed is suspended", 0, 2, 3, 4, 5)
 	before := f.deaths(0)
 	f.signal(syscall.SIGCONT, 1)
-	f.agree("it wakes", all...)
+	f.agree("it resumes", all...)
 	if now := f.deaths(0); len(now) != len(before) || len(f.deaths(1)) != 0 && f.deaths(1)[0] != "n5" {
 		t.Errorf("after a stop: %v, then %v; it believed %v dead", before, now, f.deaths(1))
 	}
@@ -281,8 +281,8 @@
 	fleetMembers   = flag.Int("fleet.members", 6, "processes of each")
 )
 
-// Drawn schedules on processes: parts, one-way loss, kills, stops, ends and restarts at drawn times;
-// once they end all that run have one settled view again.
+// Random schedules of faults on processes: partitions, one-way loss, kills, suspensions, graceful shutdowns and
+// restarts. After the last fault all running members converge to one settled view.
 func TestFleetDrawn(t *testing.T) {
 	for k := range *fleetSchedules {
 		s := many.Draw(*fleetFrom+uint64(k), *fleetMembers)
@@ -300,15 +300,15 @@
 	}
 }
 
-// play plays a schedule, waits until the fleet has settled, and ends it.
+// play runs a schedule of faults, waits until the views converge, and kills the fleet.
 func (f *fleet) play(s *many.Schedule) {
 	left := f.faults(s)
 	f.agree(s.String(), left...)
 	f.signal(syscall.SIGKILL, left...)
 }
 
-// faults plays a schedule five times as fast as it was drawn, since the period here is a fifth, heals the
-// network, and tells who runs.
+// faults runs a schedule five times as fast as it was drawn, since the period here is a fifth, heals the
+// network, and returns the running members.
 func (f *fleet) faults(s *many.Schedule) (left []int) {
 	up, stopped := map[int]bool{}, map[int]bool{}
 	for i := range f.all {
@@ -348,7 +348,7 @@
 		if stopped[i] {
 			f.signal(syscall.SIGCONT, i)
 		}
-		// Half of a fleet or less says that it may be cut off, and is right to: more is started.
+		// Half of a fleet or less reports that it may be partitioned, which is correct: start more members.
 		if !up[i] && len(up) <= len(f.all)/2 {
 			f.start(i)
 			up[i] = true
@@ -360,7 +360,7 @@
 	return left
 }
 
-// TestFleetMeasure prints what the design note has of real processes: until all that run believe it.
+// TestFleetMeasure prints the design note's table for real processes: the time until all views have a change.
 func TestFleetMeasure(t *testing.T) {
 	if !*fleetMeasure {
 		t.Skip("a measure: -fleet.measure")
@@ -374,8 +374,8 @@
 		}
 		rest, parts = all[:n-1], parts[:n-1]
 		half := slices.Index(parts, 1)
-		// until asks each process anew until all of these believe that just those others are alive.
-		want := "alive" // or that the others are dead
+		// until polls until the members of each group have exactly their group alive, and returns the seconds it took.
+		want := "alive" // or "dead": the others must be dead
 		until := func(groups ...[]int) float64 {
 			began := time.Now()
 			eventually(t, "all believe it", f.all[0].out, func() bool {
@@ -411,8 +411,8 @@
 	}
 }
 
-// A second process takes over under the same name: the first leaves the fleet, the later one stands in
-// its place, nobody is believed dead, and no name has two processes.
+// A second process takes over under the same name: the first leaves the fleet, the second replaces it, no member
+// is declared dead, and no name has two processes.
 func TestFleetTakenOver(t *testing.T) {
 	f := newWorkers(t, 3, 3, 2)
 	o, dir := f.all[0], t.TempDir()
@@ -439,16 +439,16 @@
 	f.council()
 	before, old, oldOut := first(&v), o.cmd, o.out
 	begin()
-	eventually(t, "the second stands in its place", o.out, func() bool {
+	eventually(t, "the second replaces the first", o.out, func() bool {
 		v, err := f.view(1)
 		return err == nil && first(&v) > before && states(&v)["n0"] == "alive"
 	})
 	end(t, old, oldOut)
 	f.agree("the second is one of three", 0, 1, 2)
-	f.ask(0, "r", "h2") // it sits where the first sat, with its disk
+	f.ask(0, "r", "h2") // it keeps the first one's seat in the council, and its disk
 	f.comes(2, "r", "granted")
 	if r := f.must(0, seat.Call{Do: seat.Show}); len(r.Voters) != 3 || !slices.Contains(r.Voters, "n0") {
-		t.Errorf("%v sit", r.Voters)
+		t.Errorf("voters %v, want three with n0", r.Voters)
 	}
 	v, _ = f.view(2)
 	for _, m := range v.Members {
--- a/cmd/molepaddle/lab.go
+++ b/cmd/molepaddle/lab.go
@@ -26,7 +26,7 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// labFlags are those that the playing commands share.
+// labFlags are the flags that the commands that play scenarios share.
 type labFlags struct {
 	live      bool
 	processes bool
@@ -38,17 +38,17 @@
 }
 
 func (f *labFlags) add(cmd *cobra.Command, seeds int) {
-	cmd.Flags().BoolVar(&f.live, "live", false, "over loopback sockets, in real time; else the model in virtual time")
-	cmd.Flags().BoolVar(&f.processes, "processes", false, "live, each agent a process of this program")
-	cmd.Flags().StringVarP(&f.file, "out", "o", "", "keep rows in this file; what stands there is not played again")
+	cmd.Flags().BoolVar(&f.live, "live", false, "play over loopback sockets in real time; default: the model in virtual time")
+	cmd.Flags().BoolVar(&f.processes, "processes", false, "play live, with each agent a process of this program")
+	cmd.Flags().StringVarP(&f.file, "out", "o", "", "store rows in this file; runs that it has are not played again")
 	cmd.Flags().StringArrayVar(&f.set, "set", nil, "change a knob, such as load=0.8 ('lab list' names them)")
 	cmd.Flags().IntVar(&f.seeds, "seeds", seeds, "how many seeds")
 	cmd.Flags().Uint64Var(&f.from, "from", 1, "the first seed")
 	cmd.Flags().IntVar(&f.jobs, "jobs", runtime.NumCPU(), "plays of the model at once")
 }
 
-// scenario reads one with the knobs that are set.
-func (f *labFlags) scenario(name string) (*scenario.Scenario, error) {
+// loadScenario loads a loadScenario and applies the knobs of --set.
+func (f *labFlags) loadScenario(name string) (*scenario.Scenario, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
 		return nil, err
@@ -66,8 +66,8 @@
 	return s, nil
 }
 
-// variant reads one; with --processes it is played by processes of this program.
-func (f *labFlags) variant(text string) (trial.Variant, error) {
+// parseVariant parses a parseVariant; with --processes, its agents are processes of this program.
+func (f *labFlags) parseVariant(text string) (trial.Variant, error) {
 	v, err := trial.ParseVariant(text)
 	if err != nil {
 		return v, usageError{err}
@@ -81,12 +81,12 @@
 	return v, nil
 }
 
-// softMemory is what the lab keeps to before it collects more often, in bytes: a thousand agents
-// that know three thousand servers each take most of it.
+// softMemory is the soft memory limit of the lab's Go runtime, in bytes: a thousand agents with three
+// thousand servers each take most of it.
 const softMemory = 900 << 20
 
-// lab opens the file of rows; close says what was cut off.
-func (f *labFlags) lab(out io.Writer) (l *trial.Lab, end func(), err error) {
+// openLab opens the file of rows and prints a notice if an incomplete last row was removed. The caller must call end.
+func (f *labFlags) openLab(out io.Writer) (l *trial.Lab, end func(), err error) {
 	debug.SetMemoryLimit(softMemory)
 	store, err := trial.Open(f.file)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return &trial.Lab{Store: store, Live: f.live, Jobs: f.jobs, Out: p, Tick: p.tick}, func() { p.end(); store.Close() }, nil
 }
 
-// progress is a bar on a terminal, and plain lines elsewhere.
+// progress writes to out, and shows a progress bar on standard error if out is a terminal.
 type progress struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -140,28 +140,28 @@
 	}
 }
 
-// broken is the error of rows of which one broke a rule or does not count.
-func broken(rows []*trial.Row) error {
+// violationError returns errBroken if one of the rows violated a rule or is void.
+func violationError(rows []*trial.Row) error {
 	if slices.ContainsFunc(rows, func(r *trial.Row) bool { return r.Result.Breaches > 0 || r.Result.Void != "" }) {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
 
 func labCommand(out io.Writer) *cobra.Command {
-	lab := &cobra.Command{Use: "lab", Short: "Play estates with their failures, compare and report", Args: taking(noArgs),
-		Long: "Scenarios say what an estate is like and what happens to it; 'lab list' names those that are shipped,\na path names one of your own. They are played in virtual time, or live over loopback sockets.",
+	lab := &cobra.Command{Use: "lab", Short: "Play deployments with their failures, compare and report", Args: checkArgs(noArgs),
+		Long: "Scenarios describe a deployment and its failures; 'lab list' names those that are shipped,\na path names one of your own. They are played in virtual time, or live over loopback sockets.",
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	lab.AddCommand(labList(out), labRun(out), labCompare(out), labSweep(out), labReport(out), labLoss(out))
 	return lab
 }
 
-func names(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
+func completeScenario(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 	return scenario.Names(), cobra.ShellCompDirectiveDefault
 }
 
 func labList(out io.Writer) *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "Name scenarios, choosers, knobs, metrics and events", Args: taking(noArgs),
+	return &cobra.Command{Use: "list", Short: "Name scenarios, choosers, knobs, metrics and events", Args: checkArgs(noArgs),
 		RunE: func(*cobra.Command, []string) error {
 			fmt.Fprintln(out, "scenarios:")
 			for _, n := range scenario.Names() {
@@ -199,7 +199,7 @@
 	f := &labFlags{}
 	var variants []string
 	all := false
-	cmd := &cobra.Command{Use: "run SCENARIO...", Short: "Play scenarios and say what came of it", Args: taking(cobra.MinimumNArgs(1)), ValidArgsFunction: names,
+	cmd := &cobra.Command{Use: "run SCENARIO...", Short: "Play scenarios and print the results", Args: checkArgs(cobra.MinimumNArgs(1)), ValidArgsFunction: completeScenario,
 		Example: "  molepaddle lab run zone-lost\n  molepaddle lab run calm bursts --all --seeds 3 -o rows.jsonl\n  molepaddle lab run calm --processes",
 		RunE: untilSignal(func(ctx context.Context, args []string) error {
 			if all {
@@ -210,7 +210,7 @@
 			}
 			var vs []trial.Variant
 			for _, text := range variants {
-				v, err := f.variant(text)
+				v, err := f.parseVariant(text)
 				if err != nil {
 					return err
 				}
@@ -218,13 +218,13 @@
 			}
 			var scenes []*scenario.Scenario
 			for _, a := range args {
-				s, err := f.scenario(a)
+				s, err := f.loadScenario(a)
 				if err != nil {
 					return err
 				}
 				scenes = append(scenes, s)
 			}
-			l, end, err := f.lab(out)
+			l, end, err := f.openLab(out)
 			if err != nil {
 				return err
 			}
@@ -235,10 +235,10 @@
 					return err
 				}
 			}
-			return errors.Join(err, broken(rows))
+			return errors.Join(err, violationError(rows))
 		})}
 	f.add(cmd, 1)
-	cmd.Flags().StringArrayVarP(&variants, "variant", "v", nil, "how to play it, such as chooser=p2c-least,load=0.9; may be repeated")
+	cmd.Flags().StringArrayVarP(&variants, "variant", "v", nil, "a variant of the agents, such as chooser=p2c-least,load=0.9; may be repeated")
 	cmd.Flags().BoolVar(&all, "all", false, "with every chooser")
 	return cmd
 }
@@ -246,23 +246,23 @@
 func labCompare(out io.Writer) *cobra.Command {
 	f := &labFlags{}
 	o := trial.CompareOptions{}
-	cmd := &cobra.Command{Use: "compare SCENARIO A B", Short: "Say whether variant B is better or worse than A", Args: taking(cobra.ExactArgs(3)), ValidArgsFunction: names,
+	cmd := &cobra.Command{Use: "compare SCENARIO A B", Short: "Test whether variant B is better or worse than A", Args: checkArgs(cobra.ExactArgs(3)), ValidArgsFunction: completeScenario,
 		Example: "  molepaddle lab compare zone-lost default p2c-least\n  molepaddle lab compare calm bin=old/molepaddle bin=bin/molepaddle --within 0.005",
 		Long:    "Both are played in turn over the same seeds, until the 95 % interval of the difference is as narrow\nas --within or --most pairs are played.",
 		RunE: untilSignal(func(ctx context.Context, args []string) error {
-			a, err := f.variant(args[1])
+			a, err := f.parseVariant(args[1])
 			if err != nil {
 				return err
 			}
-			b, err := f.variant(args[2])
+			b, err := f.parseVariant(args[2])
 			if err != nil {
 				return err
 			}
-			s, err := f.scenario(args[0])
+			s, err := f.loadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			l, end, err := f.lab(out)
+			l, end, err := f.openLab(out)
 			if err != nil {
 				return err
 			}
@@ -276,22 +276,22 @@
 			if v.Void > 0 {
 				fmt.Fprintf(out, "%d pairs did not count\n", v.Void)
 			}
-			return broken(v.Rows)
+			return violationError(v.Rows)
 		})}
 	f.add(cmd, 0)
 	cmd.Flags().Lookup("seeds").Hidden = true
 	cmd.Flags().StringVar(&o.Metric, "metric", "worth", "what to compare by ('lab list' names them)")
-	cmd.Flags().Float64Var(&o.Within, "within", 0.002, "half the interval at which it is narrow enough")
+	cmd.Flags().Float64Var(&o.Within, "within", 0.002, "half-width of the interval at which to stop")
 	cmd.Flags().IntVar(&o.Least, "least", 6, "pairs at the least")
 	cmd.Flags().IntVar(&o.Most, "most", 40, "pairs at the most")
-	cmd.Flags().BoolVar(&o.Unpaired, "unpaired", false, "B has seeds of its own")
+	cmd.Flags().BoolVar(&o.Unpaired, "unpaired", false, "play B with its own seeds")
 	return cmd
 }
 
 func labSweep(out io.Writer) *cobra.Command {
 	f := &labFlags{}
 	var over, choosers []string
-	cmd := &cobra.Command{Use: "sweep SCENARIO --over KNOB=VALUES", Short: "Play a grid of sizes or loads and find the knee", Args: taking(cobra.ExactArgs(1)), ValidArgsFunction: names,
+	cmd := &cobra.Command{Use: "sweep SCENARIO --over KNOB=VALUES", Short: "Play a grid of sizes or loads and find the knee", Args: checkArgs(cobra.ExactArgs(1)), ValidArgsFunction: completeScenario,
 		Example: "  molepaddle lab sweep calm --over load=0.3:3:0.3 --choosers molepaddle,p2c-least -o sweep.jsonl",
 		RunE: untilSignal(func(ctx context.Context, args []string) error {
 			var axes []trial.Axis
@@ -306,15 +306,15 @@
 				return usageError{errors.New("lab sweep: --over is needed, such as --over load=0.3:3:0.3")}
 			}
 			for _, c := range choosers {
-				if _, err := f.variant(c); err != nil {
+				if _, err := f.parseVariant(c); err != nil {
 					return err
 				}
 			}
-			s, err := f.scenario(args[0])
+			s, err := f.loadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			l, end, err := f.lab(out)
+			l, end, err := f.openLab(out)
 			if err != nil {
 				return err
 			}
@@ -328,17 +328,17 @@
 			for _, p := range points {
 				rows = append(rows, p.Rows...)
 			}
-			return broken(rows)
+			return violationError(rows)
 		})}
 	f.add(cmd, 2)
 	cmd.Flags().StringArrayVar(&over, "over", nil, "a knob and its values: 1,2,3 or from:to:step or from:to:xFACTOR; may be repeated")
-	cmd.Flags().StringSliceVar(&choosers, "choosers", []string{"molepaddle"}, "by which choosers")
+	cmd.Flags().StringSliceVar(&choosers, "choosers", []string{"molepaddle"}, "choosers to play")
 	return cmd
 }
 
 func labReport(out io.Writer) *cobra.Command {
 	html, bench := "", ""
-	cmd := &cobra.Command{Use: "report FILE...", Short: "Make a table or a page with plots of kept rows", Args: taking(cobra.MinimumNArgs(1)),
+	cmd := &cobra.Command{Use: "report FILE...", Short: "Make a table or a page with plots of stored rows", Args: checkArgs(cobra.MinimumNArgs(1)),
 		Example: "  molepaddle lab report rows.jsonl --html report.html",
 		RunE: func(_ *cobra.Command, args []string) error {
 			if html == "" {
@@ -348,15 +348,15 @@
 				}
 				return report.Text(out, rows)
 			}
-			return plots(args, html, bench, out)
+			return writePlots(args, html, bench, out)
 		}}
-	cmd.Flags().StringVar(&html, "html", "", "write one file with all plots there")
-	cmd.Flags().StringVar(&bench, "bench", "", "what `go test -bench Decide ./internal/rig/lab/model` said, for a plot of what decisions cost")
+	cmd.Flags().StringVar(&html, "html", "", "write one file with all plots to this path")
+	cmd.Flags().StringVar(&bench, "bench", "", "output of `go test -bench Decide ./internal/rig/lab/model`, for a plot of the cost of decisions")
 	return cmd
 }
 
-// plots has the program of that name, which stands beside this one, write a page.
-func plots(files []string, html, bench string, out io.Writer) error {
+// writePlots writes a page with the program molepaddle-writePlots, which must be in the directory of this program.
+func writePlots(files []string, html, bench string, out io.Writer) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/cmd/molepaddle/lab_test.go
+++ b/cmd/molepaddle/lab_test.go
@@ -37,7 +37,7 @@
 func TestLabSaysWhatBroke(t *testing.T) {
 	var out strings.Builder
 	err := run([]string{"lab", "run", "cold-start", "-v", "round-robin", "--set", "load=2", "--set", "length=5"}, &out)
-	if err == nil || !strings.Contains(err.Error(), errBroken.Error()) || !strings.Contains(out.String(), "BROKEN at") {
+	if err == nil || !strings.Contains(err.Error(), errViolation.Error()) || !strings.Contains(out.String(), "BROKEN at") {
 		t.Errorf("%v\n%s", err, &out)
 	}
 }
--- a/cmd/molepaddle/loss.go
+++ b/cmd/molepaddle/loss.go
@@ -12,18 +12,19 @@
 	"molepaddle/internal/decide/loss"
 )
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// labLoss accounts for what a fleet's requests did not earn, from the logs of its agents.
+// labLoss returns the command that attributes the lost value of a fleet's requests to causes, from the logs of
+// its agents.
 func labLoss(out io.Writer) *cobra.Command {
-	return &cobra.Command{Use: "loss LOG...", Short: "Put each request that earned less than it could to one cause",
+	return &cobra.Command{Use: "loss LOG...", Short: "Attribute the lost value of each request to one cause",
 		Long: "Reads the logs of any number of agents whose operator's file has [log] account = true.",
-		Args: taking(cobra.MinimumNArgs(1)),
+		Args: checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
 			tally, bad := loss.NewTally(), 0
 			for _, path := range args {
-				n, err := accountOf(path, tally)
+				n, err := addLog(path, tally)
 				if err != nil {
 					return fmt.Errorf("lab: loss: %w", err)
 				}
@@ -41,8 +42,8 @@
 		}}
 }
 
-// accountOf adds a log's records; bad is how many of them can't be read.
-func accountOf(path string, tally *loss.Tally) (bad int, err error) {
+// addLog adds the records of the log at path to the tally and returns the number of invalid ones.
+func addLog(path string, tally *loss.Tally) (bad int, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return 0, err
--- a/cmd/molepaddle/main.go
+++ b/cmd/molepaddle/main.go
@@ -1,5 +1,6 @@
-// Command molepaddle is one load-balancing agent on real sockets. Its file of settings is
-// named by EDGE_CONFIG, what an installation switches on beyond it by --operator.
+// Command molepaddle runs one load-balancing agent, and the commands that operate it.
+// EDGE_CONFIG names the platform's configuration file; --operator names the operator's file, which
+// enables optional features.
 package main
 
 import (
@@ -32,21 +33,21 @@
 	"molepaddle/internal/rig/demo"
 )
 
-// Exit codes. docs/operators/commands.md tells them.
+// Exit codes, documented in docs/operators/commands.md.
 const (
 	exitFailed      = 1
-	exitUsage       = 2   // the command line makes no sense
-	exitBroken      = 3   // the lab saw a broken rule, or a play that does not count
-	exitInterrupted = 130 // as a shell says of SIGINT
+	exitUsage       = 2   // invalid command line
+	exitViolation   = 3   // a lab run violated a rule, or is void
+	exitInterrupted = 130 // 128 + SIGINT, as shells report it
 )
 
-// usageError is one of the command line.
+// usageError is an error in the command line.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// errBroken ends a command of the lab that has said why.
-var errBroken = errors.New("a rule was broken, or a play does not count")
+// errViolation is returned by a lab command that has already printed the reason.
+var errViolation = errors.New("a rule was broken, or a play does not count")
 
 func main() {
 	err := run(os.Args[1:], os.Stdout)
@@ -62,30 +63,30 @@
 	switch {
 	case errors.As(err, &usage):
 		os.Exit(exitUsage)
-	case errors.Is(err, errBroken):
-		os.Exit(exitBroken)
+	case errors.Is(err, errViolation):
+		os.Exit(exitViolation)
 	}
 	os.Exit(exitFailed)
 }
 
-// run does what the command line asks for.
+// run executes the command line given by args.
 func run(args []string, out io.Writer) error {
-	root := command(out)
+	root := newRootCommand(out)
 	root.SetArgs(args)
 	return root.ExecuteContext(context.Background())
 }
 
-// taking words what is wrong with a command's arguments in one line.
-func taking(check cobra.PositionalArgs) cobra.PositionalArgs {
+// checkArgs returns a check of positional arguments whose error is a one-line usageError.
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := check(cmd, args); err != nil {
-			return usageError{fmt.Errorf("%s: %w; --help tells the usage", cmd.CommandPath(), err)}
+			return usageError{fmt.Errorf("%s: %w; see --help", cmd.CommandPath(), err)}
 		}
 		return nil
 	}
 }
 
-// noArgs takes none.
+// noArgs rejects positional arguments.
 func noArgs(cmd *cobra.Command, args []string) error {
 	switch {
 	case len(args) == 0:
@@ -96,7 +97,7 @@
 	return fmt.Errorf("%q is not understood", args[0])
 }
 
-// untilSignal ends a command's context at SIGTERM and SIGINT.
+// untilSignal returns a command function whose context is canceled by SIGTERM or SIGINT.
 func untilSignal(do func(ctx context.Context, args []string) error) func(*cobra.Command, []string) error {
 	return func(_ *cobra.Command, args []string) error {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -105,72 +106,75 @@
 	}
 }
 
-// command is the whole command line.
-func command(out io.Writer) *cobra.Command {
+// newRootCommand returns the root newRootCommand with all subcommands.
+func newRootCommand(out io.Writer) *cobra.Command {
 	file, asJSON, days := "", false, 365
 	root := &cobra.Command{
 		Use:           "molepaddle",
-		Short:         "A load-balancing agent, told by the file that EDGE_CONFIG names",
-		Long:          "Without a command it is the agent, told by the file that EDGE_CONFIG names. SIGTERM ends it when\nall that it holds is answered, SIGHUP reads its files anew.",
+		Short:         "A load-balancing agent, configured by the file that EDGE_CONFIG names",
+		Long:          "Without a command it runs the agent, configured by the file that EDGE_CONFIG names. SIGTERM ends it\nafter all pending requests are answered; SIGHUP reloads its files.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		Args:          taking(noArgs),
+		Args:          checkArgs(noArgs),
 		RunE:          func(*cobra.Command, []string) error { return serve(file) },
 	}
 	root.SetOut(out)
 	root.SetErr(out)
 	root.SetFlagErrorFunc(func(cmd *cobra.Command, err error) error {
-		return usageError{fmt.Errorf("%s: %w; --help tells the usage", cmd.CommandPath(), err)}
+		return usageError{fmt.Errorf("%s: %w; see --help", cmd.CommandPath(), err)}
 	})
 	operatorFlag := func(cmd *cobra.Command) {
 		cmd.Flags().StringVar(&file, "operator", "", "the operator's file")
 	}
 	operatorFlag(root)
-	check := &cobra.Command{Use: "check", Short: "Read both files and say what is on", Args: taking(noArgs),
-		RunE: func(*cobra.Command, []string) error { return check(file, out) }}
+	check := &cobra.Command{Use: "check", Short: "Read both files and print the enabled features", Args: checkArgs(noArgs),
+		RunE: func(*cobra.Command, []string) error { return printCheck(file, out) }}
 	operatorFlag(check)
-	link := &cobra.Command{Use: "link", Short: "Say what a running gateway holds of links", Args: taking(noArgs),
+	link := &cobra.Command{Use: "link", Short: "Show the links of a running gateway", Args: checkArgs(noArgs),
 		RunE: func(*cobra.Command, []string) error { return showLink(file, asJSON, out) }}
 	operatorFlag(link)
 	link.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	keysCmd := &cobra.Command{Use: "keys", Short: "Make or show certificates of links", Args: taking(noArgs),
+	keysCmd := &cobra.Command{Use: "keys", Short: "Create or show certificates of links", Args: checkArgs(noArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
-	make_ := &cobra.Command{Use: "make DIR NAME...", Short: "An authority and certificates for a trial set-up", Args: taking(cobra.MinimumNArgs(2)),
+	makeCmd := &cobra.Command{Use: "make DIR NAME...", Short: "Create a certificate authority and certificates for a trial set-up",
+		Args: checkArgs(cobra.MinimumNArgs(2)),
 		RunE: func(_ *cobra.Command, args []string) error { return makeKeys(args, days, out) }}
-	make_.Flags().IntVar(&days, "days", days, "that they last")
-	show := &cobra.Command{Use: "show FILE...", Short: "What certificates a file holds, and when they end", Args: taking(cobra.MinimumNArgs(1)),
+	makeCmd.Flags().IntVar(&days, "days", days, "validity of the certificates, in days")
+	show := &cobra.Command{Use: "show FILE...", Short: "Show the certificates in a file and when they expire",
+		Args: checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error { return showKeys(args, out) }}
-	keysCmd.AddCommand(make_, show)
+	keysCmd.AddCommand(makeCmd, show)
 	root.AddCommand(check, link, keysCmd, labCommand(out), fleetCommand(out), workCommand(out), promisesCommand(out),
-		&cobra.Command{Use: "demo", Short: "Play scenes on loopback with stand-ins", Args: taking(noArgs),
+		&cobra.Command{Use: "demo", Short: "Run demo scenes on loopback with fake servers", Args: checkArgs(noArgs),
 			RunE: untilSignal(func(ctx context.Context, _ []string) error { return demo.Run(ctx, out) })},
-		&cobra.Command{Use: "standin ROSTER SERVER...", Short: "A roster and order servers on loopback, for trials", Args: taking(cobra.MinimumNArgs(2)),
-			Long: "Each is named by its address on loopback. Lines on standard input change the list:\n'drain ADDRESS', 'ready ADDRESS'.",
-			RunE: untilSignal(func(ctx context.Context, args []string) error { return playServers(ctx, args, os.Stdin, out) })},
-		&cobra.Command{Use: "version", Short: "Tell the version and what it was built from", Args: taking(noArgs),
+		&cobra.Command{Use: "standin ROSTER SERVER...", Short: "Run a fake roster and fake order servers on loopback, for trials",
+			Args: checkArgs(cobra.MinimumNArgs(2)),
+			Long: "Each is named by its address on loopback. Lines on standard input change a server's health:\n'drain ADDRESS', 'ready ADDRESS'.",
+			RunE: untilSignal(func(ctx context.Context, args []string) error { return runFakeServers(ctx, args, os.Stdin, out) })},
+		&cobra.Command{Use: "version", Short: "Print the version, the commit and the Go version", Args: checkArgs(noArgs),
 			RunE: func(*cobra.Command, []string) error { fmt.Fprintln(out, version()); return nil }})
 	return root
 }
 
-// listenUnix listens on a Unix socket. A file that a killed process has left there is
-// replaced; one at which somebody answers is an error.
-func listenUnix(at string) (net.Listener, error) {
-	ln, err := net.Listen("unix", at)
+// listenUnix listens on a Unix socket. It replaces the stale socket file of a killed process, and
+// returns an error if a process still accepts connections there.
+func listenUnix(path string) (net.Listener, error) {
+	ln, err := net.Listen("unix", path)
 	if !errors.Is(err, syscall.EADDRINUSE) {
 		return ln, err
 	}
-	c, dialed := net.DialTimeout("unix", at, time.Second)
+	c, dialed := net.DialTimeout("unix", path, time.Second)
 	if dialed == nil {
 		c.Close()
 		return nil, err
 	}
-	if !errors.Is(dialed, syscall.ECONNREFUSED) || os.Remove(at) != nil {
+	if !errors.Is(dialed, syscall.ECONNREFUSED) || os.Remove(path) != nil {
 		return nil, err
 	}
-	return net.Listen("unix", at)
+	return net.Listen("unix", path)
 }
 
-// showLink prints what a running gateway holds.
+// showLink prints the link status of a running gateway.
 func showLink(file string, asJSON bool, out io.Writer) error {
 	oper, err := operator.Load(file)
 	if err != nil {
@@ -192,7 +196,7 @@
 	return nil
 }
 
-// makeKeys makes an authority and certificates.
+// makeKeys creates a certificate authority in the directory args[0], and a certificate for each further name.
 func makeKeys(args []string, days int, out io.Writer) error {
 	if days <= 0 {
 		return usageError{fmt.Errorf("keys make: --days must be above 0, is %d", days)}
@@ -204,7 +208,7 @@
 	return nil
 }
 
-// showKeys tells what certificates files hold.
+// showKeys prints the certificates in the files.
 func showKeys(files []string, out io.Writer) error {
 	for _, file := range files {
 		lines, err := keys.Show(file)
@@ -218,8 +222,8 @@
 	return nil
 }
 
-// read reads both files.
-func read(file string) (*config.Config, *operator.Settings, error) {
+// loadFiles reads the operator's file at the path file, and the configuration that EDGE_CONFIG names.
+func loadFiles(file string) (*config.Config, *operator.Settings, error) {
 	oper, err := operator.Load(file)
 	if err != nil {
 		return nil, nil, err
@@ -228,8 +232,8 @@
 	return conf, oper, err
 }
 
-// readAgain reads both files while the agent runs.
-func readAgain(old *config.Config, file string) (*config.Config, *operator.Settings, error) {
+// reloadFiles reads both files for a reload of the running agent, whose configuration is old.
+func reloadFiles(old *config.Config, file string) (*config.Config, *operator.Settings, error) {
 	oper, err := operator.Load(file)
 	if err != nil {
 		return nil, nil, err
@@ -238,9 +242,9 @@
 	return conf, oper, err
 }
 
-// check says what an agent that is started so would do.
-func check(file string, out io.Writer) error {
-	conf, oper, err := read(file)
+// printCheck prints what an agent started with these files would do.
+func printCheck(file string, out io.Writer) error {
+	conf, oper, err := loadFiles(file)
 	if err != nil {
 		return err
 	}
@@ -256,7 +260,7 @@
 	return nil
 }
 
-// version tells the module's version and the commit it was built from.
+// version returns the module's version, the commit it was built from and the Go version.
 func version() string {
 	text := "molepaddle"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -271,9 +275,9 @@
 	return text
 }
 
-// listen opens all places where clients connect: HTTP's, then FastCGI's.
-// Those that another process has passed are used as they are.
-func listen(conf *config.Config, oper *operator.Settings, prior *handover.Successor) (all []net.Listener, err error) {
+// openListeners opens all listeners for clients: those for HTTP, then those for FastCGI. It uses listeners that
+// the predecessor has handed over as they are.
+func openListeners(conf *config.Config, oper *operator.Settings, prior *handover.Successor) (all []net.Listener, err error) {
 	defer func() {
 		if err != nil {
 			for _, ln := range all {
@@ -281,7 +285,7 @@
 			}
 		}
 	}()
-	one := func(network, address string) (net.Listener, error) {
+	listenOne := func(network, address string) (net.Listener, error) {
 		if prior != nil {
 			if ln := prior.Listener(network, address); ln != nil {
 				return ln, nil
@@ -293,7 +297,7 @@
 		}
 		return open.Listen(context.Background(), network, address)
 	}
-	ln, err := one("tcp", conf.Listen)
+	ln, err := listenOne("tcp", conf.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("config: listen: %w", err)
 	}
@@ -303,7 +307,7 @@
 		at    []operator.Listen
 	}{{"http", oper.Front.HTTP.Listen}, {"fastcgi", oper.Front.FastCGI.Listen}} {
 		for i, l := range front.at {
-			ln, err := one(l.Where())
+			ln, err := listenOne(l.Where())
 			if err != nil {
 				return all, fmt.Errorf("operator: front.%s.listen[%d]: %w", front.table, i, err)
 			}
@@ -313,27 +317,27 @@
 	return all, nil
 }
 
-// serve is the agent.
+// serve runs the agent until SIGTERM or SIGINT.
 func serve(file string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	conf, oper, err := read(file)
+	conf, oper, err := loadFiles(file)
 	if err != nil {
 		return err
 	}
-	// The machine may have more cores than the agent may use; more threads than cores
-	// would only wait for each other.
+	// The machine may have more cores than the agent may use; threads beyond that number would only
+	// wait for each other.
 	runtime.GOMAXPROCS(max(int(math.Ceil(conf.Limits.Cores)), 1))
-	bound(conf.Limits.MemoryMB)
+	limitMemory(conf.Limits.MemoryMB)
 	log := logging.New(os.Stderr, oper.Log).With("agent", conf.Name)
-	prior, path := predecessor(conf, log)
+	prior, path := findPredecessor(conf, log)
 	if prior != nil {
 		defer prior.Close()
 		conf = agent.Newer(conf, prior.State.Known)
 	}
-	listeners, err := listen(conf, oper, prior)
+	listeners, err := openListeners(conf, oper, prior)
 	if err != nil {
 		return err
 	}
@@ -363,22 +367,22 @@
 		if err != nil {
 			return fmt.Errorf("config: management: %w", err)
 		}
-		door := management.New(a.Life(), a.Ready, log)
-		defer door.Close()
+		managementServer := management.New(a.Life(), a.Ready, log)
+		defer managementServer.Close()
 		for pattern, h := range a.FleetHandlers() {
-			door.Handle(pattern, h)
+			managementServer.Handle(pattern, h)
 		}
-		go func() { _ = door.Serve(ln) }()
+		go func() { _ = managementServer.Serve(ln) }()
 	}
 	go func() {
 		now := conf
 		for range reload {
-			next, again, err := readAgain(now, file)
+			next, nextOper, err := reloadFiles(now, file)
 			if err == nil {
-				err = a.Reload(next, again)
+				err = a.Reload(next, nextOper)
 			}
 			if err != nil {
-				log.Error("reload: what is at hand is kept", "err", err)
+				log.Error("reload failed; keeping the current configuration", "err", err)
 				continue
 			}
 			now = next
@@ -399,9 +403,9 @@
 		go a.ServePeers(ctx, open)
 	}
 	if path != "" {
-		offer, err := handover.NewOffer(path, &source{a, conf}, listeners)
+		offer, err := handover.NewOffer(path, &handoverSource{a, conf}, listeners)
 		if err != nil {
-			log.Warn("another process can't take over", "err", err)
+			log.Warn("handover offer failed; no successor can take over from this process", "err", err)
 		} else {
 			defer offer.Close()
 		}
@@ -417,59 +421,60 @@
 	return nil
 }
 
-// predecessor finds the process that this one replaces, and where this one is found in its turn;
-// without a door for operators nobody replaces it.
-func predecessor(conf *config.Config, log *slog.Logger) (*handover.Successor, string) {
+// findPredecessor returns the process that this one replaces, or nil, and the path of the socket at which this
+// process offers itself to a successor. There is no handover without a management address.
+func findPredecessor(conf *config.Config, log *slog.Logger) (*handover.Successor, string) {
 	if conf.Management == "" {
 		return nil, ""
 	}
 	path := handover.Path(os.Getenv("TMPDIR"), conf.Listen)
 	prior, err := handover.Find(path)
 	if err != nil && !errors.Is(err, handover.ErrNobody) {
-		log.Warn("starting beside what may be there", "err", err)
+		log.Warn("cannot contact the predecessor; starting without a handover", "err", err)
 	}
 	return prior, path
 }
 
-// takeOver takes over from the first process once there is a server to send to, and shares the
-// limits with it as long as it is there.
+// takeOver takes over from the predecessor once the agent has a server to send to. The two processes
+// share the limits for as long as the predecessor runs.
 func takeOver(ctx context.Context, a *agent.Agent, conf *config.Config, prior *handover.Successor, log *slog.Logger) {
-	(&source{a, conf}).Share(true)
+	(&handoverSource{a, conf}).Share(true)
 	for wait := time.NewTicker(5 * time.Millisecond); !a.Ready() && ctx.Err() == nil; <-wait.C {
 	}
 	state, err := prior.Take()
-	if err != nil { // it has gone: what it said first is what is known
-		log.Warn("the first process has not handed over", "err", err)
+	if err != nil { // the predecessor has exited: use the state that it sent on connect
+		log.Warn("handover failed; using the state that the predecessor sent first", "err", err)
 		state = prior.State
 	}
 	a.Adopt(state)
-	log.Info("handover: taken over", "servers", len(state.Known.List.Servers), "ids", len(state.IDs.Recent)+len(state.IDs.Older))
+	log.Info("handover: completed", "servers", len(state.Known.List.Servers), "ids", len(state.IDs.Recent)+len(state.IDs.Older))
 	go func() {
 		prior.Follow(a.Note)
-		(&source{a, conf}).Share(false)
+		(&handoverSource{a, conf}).Share(false)
 	}()
 }
 
-// source is the agent as its successor shares limits with it, the runtime's included.
-type source struct {
+// handoverSource is an agent that shares its limits with its successor, including the memory limit of the Go runtime.
+type handoverSource struct {
 	*agent.Agent
 	conf *config.Config
 }
 
-func (s *source) Share(half bool) {
+// Share halves the limits while another process uses the other half.
+func (s *handoverSource) Share(half bool) {
 	memory := s.conf.Limits.MemoryMB
 	if half {
 		memory /= 2
 	}
-	bound(memory)
+	limitMemory(memory)
 	s.Agent.Share(half)
 }
 
-// bound sets when garbage is collected. An agent holds a MB or two and most have little traffic: at
-// the four times that it used to let pass, the first collection came at 16 MB, which a quiet agent
-// fills in minutes, and each of a fleet's agents grew all that time. At once as much as is held, 4 MB
-// at the least, it has its size in a part of that, and answers are passed on as soon as before.
-func bound(memoryMB float64) {
+// limitMemory sets the targets of the garbage collector. An agent has 1 to 2 MB of live data, and most agents
+// have little traffic. With a GC percentage of 400, the first collection came at a heap of 16 MB, which an
+// agent with little traffic takes minutes to reach; every agent of a fleet grew for that long. With 100 (and
+// Go's minimum heap of 4 MB) an agent reaches its final size sooner, and answers are forwarded as fast as before.
+func limitMemory(memoryMB float64) {
 	debug.SetGCPercent(100)
 	debug.SetMemoryLimit(int64(memoryMB * 0.6 * (1 << 20)))
 }
--- a/cmd/molepaddle/main_test.go
+++ b/cmd/molepaddle/main_test.go
@@ -34,13 +34,13 @@
  "contract":{"answerSlackMs":20,"askWithinMs":10000,"coldFrom":0.3,"coldMs":8000,"drainGraceMs":250,"fallMultiple":2.5,"tipAfterMs":1000},
  "replicasOfMe":1,"roundMs":5,"weights":"nominal","failureDomains":["a"],"shapes":["k"]}`
 
-// child starts the program with the configuration and gives the path of its file.
+// child starts the program with the configuration and returns the path of the configuration file.
 func child(t *testing.T, config string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
 	return childIn(t, config, nil, args...)
 }
 
-// childIn does so with more in its environment.
+// childIn starts the program like child, with additional environment variables.
 func childIn(t *testing.T, config string, env []string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
 	exe, err := os.Executable()
@@ -50,7 +50,7 @@
 	return childOf(t, exe, config, env, args...)
 }
 
-// childBy starts the program at a path, or this build's where the path is empty.
+// childBy starts the program at the path binary; an empty path is this build.
 func childBy(t *testing.T, binary, config string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
 	if binary == "" {
@@ -59,7 +59,7 @@
 	return childOf(t, binary, config, nil, args...)
 }
 
-// childOf starts the program at a path, which may be one of another build.
+// childOf starts the program at the path exe, which may be another build.
 func childOf(t *testing.T, exe, config string, env []string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
@@ -75,7 +75,7 @@
 	return cmd, out, path
 }
 
-// output is what the program writes, read while it runs.
+// output collects what a program writes. It may be read while the program runs.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -93,7 +93,7 @@
 	return o.text.String()
 }
 
-// last is its last lines, but for those that say over and over that somebody is not there.
+// last returns the last 40 lines, without the repeated ones about refused connections.
 func (o *output) last() string {
 	var lines []string
 	for line := range strings.Lines(o.String()) {
@@ -111,15 +111,15 @@
 	}
 }
 
-// Ports of addresses that processes under test bind again later: below the range from which the system takes the local ports
-// of outgoing connections, since one of those would be in the way.
+// Ports that processes under test bind again later. They are below the system's range of local ports for
+// outgoing connections, one of which could occupy such a port.
 const (
 	firstFreePort = 16000
 	freePorts     = 16000
 	freeTries     = 100
 )
 
-// freeAddress returns an address of loopback at which nobody listens now.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range freeTries {
@@ -135,7 +135,7 @@
 	return ""
 }
 
-// wholeConfig lists one backend.
+// wholeConfig returns a complete agent configuration with one backend.
 func wholeConfig(listen, discovery, backend string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s,
@@ -143,7 +143,7 @@
 		listen, discovery, settings, backend)
 }
 
-// eventually waits for what the program is about to do.
+// eventually waits until done returns true, for at most 30 seconds.
 func eventually(t *testing.T, what string, out *output, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !done(); time.Sleep(10 * time.Millisecond) {
@@ -193,8 +193,8 @@
 	}
 }
 
-// SIGHUP reads the configuration anew: a bad one changes nothing and is told of in one
-// line, a good one turns to another discovery. Neither ends the program.
+// SIGHUP reloads the configuration: an invalid one changes nothing and is reported in one line, a valid one
+// switches to another discovery address. Neither ends the program.
 func TestReloadByProgram(t *testing.T) {
 	asked := make(chan string, 100)
 	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -212,7 +212,7 @@
 		}
 	}
 	hup(wholeConfig(listen, "nowhere", "127.0.0.1:1"))
-	eventually(t, "a word of the bad configuration", out, func() bool {
+	eventually(t, "the error of the invalid configuration is logged", out, func() bool {
 		return strings.Count(out.String(), "config: discovery:") == 1
 	})
 	hup(wholeConfig(listen, disc.Listener.Addr().String(), "127.0.0.1:1"))
@@ -238,7 +238,7 @@
 	}
 }
 
-// The command line: what is on is told, and what is wrong ends with one line.
+// Commands print the enabled features, and each error is one line.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	conf, good, bad := filepath.Join(dir, "c.json"), filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
--- a/cmd/molepaddle/promises.go
+++ b/cmd/molepaddle/promises.go
@@ -16,17 +16,19 @@
 	"molepaddle/internal/process/seat"
 )
 
-// promisesCommand asks who holds for whom.
+// promisesCommand returns the command that shows which agents keep replicas for which.
 func promisesCommand(out io.Writer) *cobra.Command {
 	w := &workFlags{out: out, within: 10 * time.Second}
 	machine := ""
-	cmd := &cobra.Command{Use: "promises", Short: "What agents hold for others, so that a lost machine loses nothing promised", Args: taking(noArgs),
+	cmd := &cobra.Command{Use: "promises", Short: "Show the replicas that agents keep for each other, so that a lost machine loses no acknowledged request",
+		Args: checkArgs(noArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	cmd.PersistentFlags().BoolVar(&w.json, "json", false, "as JSON")
-	cmd.PersistentFlags().StringVar(&w.door, "door", "", "the operators' door of any agent; else the one that EDGE_CONFIG or EDGE_MANAGEMENT names")
-	show := &cobra.Command{Use: "show", Short: "Who holds for whom; what this agent has; what is at risk if a machine goes now", Args: taking(noArgs),
+	cmd.PersistentFlags().StringVar(&w.management, "door", "", "management address of any agent; default: the one that EDGE_CONFIG or EDGE_MANAGEMENT names")
+	show := &cobra.Command{Use: "show", Short: "Show all replica sets, this agent's replicas, and what is at risk if a machine is lost now",
+		Args: checkArgs(noArgs),
 		RunE: untilSignal(func(ctx context.Context, _ []string) error {
-			door, err := doorOf(w.door)
+			door, err := managementAddress(w.management)
 			if err != nil {
 				return err
 			}
@@ -45,26 +47,27 @@
 			if err != nil {
 				return err
 			}
-			both := promiseView{Own: own, Holds: r, Risks: risks(r, &view, machine)}
+			combined := promiseView{Own: own, Holds: r, Risks: risks(r, &view, machine)}
 			if w.json {
-				return indented(out, &both)
+				return writeIndentedJSON(out, &combined)
 			}
-			both.print(out, &view)
+			combined.print(out, &view)
 			return nil
 		})}
-	show.Flags().StringVar(&machine, "if", "", "a machine that is to go: who would have fewer copies, and who none")
+	show.Flags().StringVar(&machine, "if", "", "a machine: show which holders would have fewer replicas, or none, without it")
 	cmd.AddCommand(show)
 	return cmd
 }
 
-// promiseView is what the command tells.
+// promiseView is the output of promises show.
 type promiseView struct {
 	Own   promise.Report `json:"own"`
 	Holds *seat.Report   `json:"council"`
 	Risks []string       `json:"risks"`
 }
 
-// risks words what would be lost with a machine, or is at risk already where none is named.
+// risks lists the holders that would lose replicas with the machine; without a machine, those that lack
+// replicas already.
 func risks(r *seat.Report, view *agent.FleetView, machine string) []string {
 	type there struct {
 		machine string
--- a/cmd/molepaddle/standin.go
+++ b/cmd/molepaddle/standin.go
@@ -12,12 +12,12 @@
 	"molepaddle/internal/rig/standin"
 )
 
-// playServers plays a roster and order servers on loopback for a trial set-up, until the context
-// ends. Each server is named by its address, works 5 ms on a request, and says what comes.
-// Lines of in change the list: 'drain ADDRESS', 'ready ADDRESS'.
-func playServers(ctx context.Context, args []string, in io.Reader, out io.Writer) error {
+// runFakeServers runs a fake roster and fake order servers on loopback for a trial set-up, until the context
+// ends. Each server is named by its address, takes 5 ms for a request, and has its requests printed to out.
+// The lines 'drain ADDRESS' and 'ready ADDRESS' on in change the health of a server.
+func runFakeServers(ctx context.Context, args []string, in io.Reader, out io.Writer) error {
 	if len(args) < 2 {
-		return usageError{errors.New("standin: the address of the roster, then those of the servers")}
+		return usageError{errors.New("standin: want the address of the roster and at least one address of a server")}
 	}
 	roster, err := standin.NewRosterAt(args[0])
 	if err != nil {
--- a/cmd/molepaddle/standin_test.go
+++ b/cmd/molepaddle/standin_test.go
@@ -16,7 +16,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	in, type_ := io.Pipe()
 	out, done := &output{}, make(chan error, 1)
-	go func() { done <- playServers(ctx, []string{roster, server}, in, out) }()
+	go func() { done <- runFakeServers(ctx, []string{roster, server}, in, out) }()
 	get := func(url string) string {
 		req, _ := http.NewRequest(http.MethodGet, url, nil)
 		req.Header.Set("Request-Id", "trial-1")
@@ -40,7 +40,7 @@
 		t.Error(err)
 	}
 	for _, args := range [][]string{{roster}, {"10.0.0.1:1", server}, {roster, "nothing"}} {
-		if playServers(t.Context(), args, strings.NewReader(""), out) == nil {
+		if runFakeServers(t.Context(), args, strings.NewReader(""), out) == nil {
 			t.Errorf("%v is taken", args)
 		}
 	}
--- a/cmd/molepaddle/work.go
+++ b/cmd/molepaddle/work.go
@@ -23,17 +23,17 @@
 	"molepaddle/internal/process/seat"
 )
 
-// workFlags are those that the commands share.
+// workFlags are the flags that the work commands share.
 type workFlags struct {
-	out    io.Writer
-	json   bool
-	door   string
-	within time.Duration
+	out        io.Writer
+	json       bool
+	management string
+	within     time.Duration
 }
 
-// call makes a call at any agent and gives what the council has after it.
+// call sends a call to the agent and returns the council's report after it.
 func (w *workFlags) call(ctx context.Context, c seat.Call) (*seat.Report, error) {
-	door, err := doorOf(w.door)
+	door, err := managementAddress(w.management)
 	if err != nil {
 		return nil, err
 	}
@@ -51,25 +51,25 @@
 	return r, nil
 }
 
-// show prints a report, or its JSON.
+// show prints a report with print, or as JSON.
 func (w *workFlags) show(r *seat.Report, print func(r *seat.Report)) error {
 	if w.json {
-		return indented(w.out, r)
+		return writeIndentedJSON(w.out, r)
 	}
 	print(r)
 	return nil
 }
 
-// workCommand asks for machines to be taken out for work.
+// workCommand returns the command that requests machines to be taken out of service for maintenance.
 func workCommand(out io.Writer) *cobra.Command {
 	w := &workFlags{out: out}
-	cmd := &cobra.Command{Use: "work", Short: "Take machines out for work, in an order that the agents settle", Args: taking(noArgs),
+	cmd := &cobra.Command{Use: "work", Short: "Take machines out for maintenance, in an order that the agents agree on", Args: checkArgs(noArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	cmd.PersistentFlags().BoolVar(&w.json, "json", false, "as JSON")
-	cmd.PersistentFlags().StringVar(&w.door, "door", "", "the operators' door of any agent; else the one that EDGE_CONFIG or EDGE_MANAGEMENT names")
-	cmd.PersistentFlags().DurationVar(&w.within, "within", 10*time.Second, "how long to try for an answer")
+	cmd.PersistentFlags().StringVar(&w.management, "door", "", "management address of any agent; default: the one that EDGE_CONFIG or EDGE_MANAGEMENT names")
+	cmd.PersistentFlags().DurationVar(&w.within, "within", 10*time.Second, "time limit for an answer")
 	sub := func(use, short string, args cobra.PositionalArgs, do func(ctx context.Context, args []string) error) *cobra.Command {
-		c := &cobra.Command{Use: use, Short: short, Args: taking(args), RunE: untilSignal(do)}
+		c := &cobra.Command{Use: use, Short: short, Args: checkArgs(args), RunE: untilSignal(do)}
 		cmd.AddCommand(c)
 		return c
 	}
@@ -87,33 +87,33 @@
 			if err != nil {
 				return err
 			}
-			return w.show(r, func(r *seat.Report) { w.why(r, args[0]) })
+			return w.show(r, func(r *seat.Report) { w.printReason(r, args[0]) })
 		}
 	}
-	a := &asked{}
-	ask := sub("ask MACHINE", "Ask for a machine; its request's id is printed", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
+	a := &requestFlags{}
+	ask := sub("ask MACHINE", "Request a machine and print the id of the request", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
 		id, r, err := w.ask(ctx, args[0], a)
 		if err != nil {
 			return err
 		}
-		return w.show(r, func(r *seat.Report) { fmt.Fprintln(out, id); w.why(r, id) })
+		return w.show(r, func(r *seat.Report) { fmt.Fprintln(out, id); w.printReason(r, id) })
 	})
 	a.flags(ask)
-	sub("show", "What is asked for, out, and overdue; who leads", noArgs, func(ctx context.Context, _ []string) error {
+	sub("show", "Show requested, out and overdue machines, and the leader", noArgs, func(ctx context.Context, _ []string) error {
 		r, err := w.call(ctx, seat.Call{Do: seat.Show})
 		if err != nil {
 			return err
 		}
-		return w.show(r, w.table)
+		return w.show(r, w.printTable)
 	})
-	sub("plan", "Who is expected to go when, and together with whom", noArgs, func(ctx context.Context, _ []string) error {
+	sub("plan", "Show which machines are expected to go out when, and together with which others", noArgs, func(ctx context.Context, _ []string) error {
 		r, err := w.call(ctx, seat.Call{Do: seat.Plan})
 		if err != nil {
 			return err
 		}
-		return w.show(r, w.plan)
+		return w.show(r, w.printPlan)
 	})
-	sub("why ID", "Where a request stands, and why", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
+	sub("why ID", "Show the state of a request, and the reason", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
 		r, err := w.call(ctx, seat.Call{Do: seat.Show})
 		if err != nil {
 			return err
@@ -121,9 +121,9 @@
 		if r.Find(args[0]) == nil {
 			return fmt.Errorf("work: no request %q", args[0])
 		}
-		return w.show(r, func(r *seat.Report) { w.why(r, args[0]) })
+		return w.show(r, func(r *seat.Report) { w.printReason(r, args[0]) })
 	})
-	sub("record", "What was settled, and why in that order", noArgs, func(ctx context.Context, _ []string) error {
+	sub("record", "Show the committed decisions, and the reason for their order", noArgs, func(ctx context.Context, _ []string) error {
 		r, err := w.call(ctx, seat.Call{Do: seat.Record})
 		if err != nil {
 			return err
@@ -131,49 +131,49 @@
 		return w.show(r, func(r *seat.Report) {
 			for _, line := range r.Record {
 				at, rest, _ := strings.Cut(line, " ")
-				fmt.Fprintln(out, clock(at), rest)
+				fmt.Fprintln(out, formatTime(at), rest)
 			}
 		})
 	})
-	sub("take ID PERMIT", "Take the machine under its permit: from here on it is out", cobra.ExactArgs(2), one(seat.Take))
-	sub("done ID", "Say that the work is done, and the machine is on its way back", cobra.ExactArgs(1), one(seat.Back))
-	sub("cancel ID", "Call off a request that is not out", cobra.ExactArgs(1), one(seat.Cancel))
-	sub("fail ID", "Say that the work will not end; the machine counts as out until it is seen up", cobra.ExactArgs(1), one(seat.Fail))
-	sub("found", "Make this agent the first member of a council; once, at one agent", noArgs, func(ctx context.Context, _ []string) error {
+	sub("take ID PERMIT", "Take the machine out under its permit", cobra.ExactArgs(2), one(seat.Take))
+	sub("done ID", "Report that the work is done and the machine is coming back", cobra.ExactArgs(1), one(seat.Back))
+	sub("cancel ID", "Cancel a request whose machine is not out", cobra.ExactArgs(1), one(seat.Cancel))
+	sub("fail ID", "Report that the work failed; the machine counts as out until it is seen up", cobra.ExactArgs(1), one(seat.Fail))
+	sub("found", "Make this agent the first member of a council; run it once, at one agent", noArgs, func(ctx context.Context, _ []string) error {
 		r, err := w.call(ctx, seat.Call{Do: seat.Found})
 		if err != nil {
 			return err
 		}
-		return w.show(r, w.table)
+		return w.show(r, w.printTable)
 	})
-	b := &asked{}
-	run := sub("run MACHINE -- COMMAND...", "Ask for a machine, wait for the permit, run a command, say how it ended", cobra.MinimumNArgs(2), func(ctx context.Context, args []string) error {
+	b := &requestFlags{}
+	run := sub("run MACHINE -- COMMAND...", "Request a machine, wait for the permit, run a command, report how it ended", cobra.MinimumNArgs(2), func(ctx context.Context, args []string) error {
 		return w.run(ctx, args[0], b, args[1:])
 	})
 	b.flags(run)
 	return cmd
 }
 
-// asked is the flags of a request.
-type asked struct {
+// requestFlags holds the flags of a request.
+type requestFlags struct {
 	id, by, why      string
-	long             time.Duration
+	duration         time.Duration
 	notBefore, dueBy string
 	urgent           bool
 }
 
-func (a *asked) flags(c *cobra.Command) {
-	c.Flags().StringVar(&a.id, "id", "", "of the request: the same again is the same request; else one is drawn")
-	c.Flags().StringVar(&a.by, "by", "", "who asks; else who runs this")
-	c.Flags().StringVar(&a.why, "why", "", "what for")
-	c.Flags().DurationVar(&a.long, "for", time.Hour, "how long the work takes")
-	c.Flags().StringVar(&a.notBefore, "not-before", "", "a time (RFC 3339), or a duration from now")
-	c.Flags().StringVar(&a.dueBy, "due-by", "", "the same, of when it has to be done")
-	c.Flags().BoolVar(&a.urgent, "urgent", false, "ahead of all that are not")
+func (a *requestFlags) flags(c *cobra.Command) {
+	c.Flags().StringVar(&a.id, "id", "", "id of the request, for idempotent retries; default: a random one")
+	c.Flags().StringVar(&a.by, "by", "", "who requests; default: the current user")
+	c.Flags().StringVar(&a.why, "why", "", "reason of the request")
+	c.Flags().DurationVar(&a.duration, "for", time.Hour, "duration of the work")
+	c.Flags().StringVar(&a.notBefore, "not-before", "", "earliest start: a time (RFC 3339), or a duration from now")
+	c.Flags().StringVar(&a.dueBy, "due-by", "", "latest end: a time (RFC 3339), or a duration from now")
+	c.Flags().BoolVar(&a.urgent, "urgent", false, "go before all requests that are not urgent")
 }
 
-// moment reads a time of the log; empty: 0.
-func moment(flag, text string) (int64, error) {
+// parseTimeFlag parses a time flag into Unix seconds; an empty text is 0.
+func parseTimeFlag(flag, text string) (int64, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -182,20 +182,20 @@
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil || at.Unix() <= 0 {
-		return 0, usageError{fmt.Errorf("work: --%s: no time: %q", flag, text)}
+		return 0, usageError{fmt.Errorf("work: --%s: %q is not a time after 1970 (RFC 3339) or a duration of at least 0", flag, text)}
 	}
 	return at.Unix(), nil
 }
 
-func (w *workFlags) ask(ctx context.Context, machine string, a *asked) (id string, r *seat.Report, err error) {
-	if a.long < time.Second {
-		return "", nil, usageError{errors.New("work: --for: at least a second")}
+func (w *workFlags) ask(ctx context.Context, machine string, a *requestFlags) (id string, r *seat.Report, err error) {
+	if a.duration < time.Second {
+		return "", nil, usageError{errors.New("work: --for: below the minimum of 1s")}
 	}
-	q := work.Ask{ID: a.id, Machine: machine, Seconds: int64(a.long / time.Second), Urgent: a.urgent, Why: a.why, By: a.by}
-	if q.NotBefore, err = moment("not-before", a.notBefore); err != nil {
+	q := work.Ask{ID: a.id, Machine: machine, Seconds: int64(a.duration / time.Second), Urgent: a.urgent, Why: a.why, By: a.by}
+	if q.NotBefore, err = parseTimeFlag("not-before", a.notBefore); err != nil {
 		return "", nil, err
 	}
-	if q.DueBy, err = moment("due-by", a.dueBy); err != nil {
+	if q.DueBy, err = parseTimeFlag("due-by", a.dueBy); err != nil {
 		return "", nil, err
 	}
 	if q.ID == "" {
@@ -210,30 +210,31 @@
 	return q.ID, r, err
 }
 
-// run asks, waits, runs and tells. Interrupted before the machine is out, it cancels; after that the
-// machine stays out until somebody says what became of it.
-func (w *workFlags) run(ctx context.Context, machine string, a *asked, command []string) error {
+// run requests a machine, waits for its permit, runs a command, and reports how the command ended. If it is
+// interrupted before the machine is out, it cancels the request; after that the machine stays out until
+// the outcome is reported.
+func (w *workFlags) run(ctx context.Context, machine string, a *requestFlags, command []string) error {
 	id, r, err := w.ask(ctx, machine, a)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(w.out, id)
-	look := time.NewTicker(250 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(250 * time.Millisecond)
+	defer poll.Stop()
 	last := ""
 	for out := false; !out; {
 		q := r.Find(id)
 		switch {
 		case q == nil || slices.Contains([]string{"cancelled", "failed", "done"}, q.Phase):
-			return fmt.Errorf("work: %s will not go: %s", id, whyOf(q))
+			return fmt.Errorf("work: %s will not go: %s", id, reasonOf(q))
 		case q.Phase == "granted":
 			var taken *seat.Report
 			if taken, err = w.call(ctx, seat.Call{Do: seat.Take, ID: id, Permit: q.Permit}); err == nil {
 				r, out = taken, true
 				continue
 			}
-			fmt.Fprintln(w.out, err) // it may have been withdrawn
-		case q.Phase == "out": // the answer to a call before was lost
+			fmt.Fprintln(w.out, err) // the permit may have been withdrawn
+		case q.Phase == "out": // the answer to an earlier take call was lost
 			out = true
 			continue
 		case q.Why != last:
@@ -241,7 +242,7 @@
 			fmt.Fprintln(w.out, last)
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			if _, err := w.call(context.WithoutCancel(ctx), seat.Call{Do: seat.Cancel, ID: id}); err != nil {
 				return fmt.Errorf("%s is not called off: %w", id, err)
@@ -260,29 +261,29 @@
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, w.out, os.Stderr
 	cmd.Env = append(os.Environ(), "WORK_ID="+id, "WORK_MACHINE="+machine)
 	ran := cmd.Run()
-	tell, said := seat.Back, "done"
+	outcome, outcomeText := seat.Back, "done"
 	if ran != nil {
-		tell, said = seat.Fail, "failed"
+		outcome, outcomeText = seat.Fail, "failed"
 	}
-	if _, err := w.call(context.WithoutCancel(ctx), seat.Call{Do: tell, ID: id}); err != nil {
-		return errors.Join(ran, fmt.Errorf("%s is still out; say 'molepaddle work %s %s': %w", machine, tell, id, err))
+	if _, err := w.call(context.WithoutCancel(ctx), seat.Call{Do: outcome, ID: id}); err != nil {
+		return errors.Join(ran, fmt.Errorf("%s is still out; say 'molepaddle work %s %s': %w", machine, outcome, id, err))
 	}
-	fmt.Fprintln(w.out, id, said)
+	fmt.Fprintln(w.out, id, outcomeText)
 	if ran != nil {
 		return fmt.Errorf("work: the command ended with %w; %s counts as out until it is seen up", ran, machine)
 	}
 	return nil
 }
 
-func whyOf(q *seat.Request) string {
+func reasonOf(q *seat.Request) string {
 	if q == nil {
 		return "it is not known any more"
 	}
 	return q.Why
 }
 
-// head tells who speaks, and how old it is.
-func (w *workFlags) head(r *seat.Report) {
+// printHeader prints which agent the report comes from, the leader, and the age of the report.
+func (w *workFlags) printHeader(r *seat.Report) {
 	lead := "no leader is heard: nothing is granted"
 	if r.Leader != "" {
 		lead = r.Leader + " leads"
@@ -300,8 +301,8 @@
 	}
 }
 
-func (w *workFlags) table(r *seat.Report) {
-	w.head(r)
+func (w *workFlags) printTable(r *seat.Report) {
+	w.printHeader(r)
 	table := tabwriter.NewWriter(w.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ID\tMACHINE\tPHASE\tPERMIT\tSINCE\tBY\tWHY")
 	for _, q := range r.Requests {
@@ -317,8 +318,8 @@
 	_ = table.Flush() // out is a terminal or a buffer
 }
 
-func (w *workFlags) plan(r *seat.Report) {
-	w.head(r)
+func (w *workFlags) printPlan(r *seat.Report) {
+	w.printHeader(r)
 	table := tabwriter.NewWriter(w.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "FROM\tUNTIL\tMACHINE\tID\tTOGETHER WITH\t")
 	for _, p := range r.Plan {
@@ -339,7 +340,7 @@
 	}
 }
 
-func (w *workFlags) why(r *seat.Report, id string) {
+func (w *workFlags) printReason(r *seat.Report, id string) {
 	if q := r.Find(id); q != nil {
 		fmt.Fprintln(w.out, q.Why)
 		if q.Permit > 0 {
@@ -348,8 +349,8 @@
 	}
 }
 
-// clock words a time of the log.
-func clock(at string) string {
+// formatTime formats the Unix time at the start of a line of the record.
+func formatTime(at string) string {
 	if n, err := strconv.ParseInt(at, 10, 64); err == nil {
 		return time.Unix(n, 0).Format("2006-01-02 15:04:05")
 	}
--- a/cmd/molepaddle/work_test.go
+++ b/cmd/molepaddle/work_test.go
@@ -24,8 +24,8 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// newWorkers prepares n agents on machines h0, h1, ..., of which the first with folders may sit in a council of
-// three, and order servers s-1, s-2, ... on machines of their own, v1, v2, ...
+// newWorkers prepares n agents on machines h0, h1, ..., and order servers s-1, s-2, ... on machines v1, v2, ...
+// Only the first agents, those with folders, may have a seat in the council of three.
 func newWorkers(t *testing.T, n, folders, servers int) *fleet {
 	return newWorkersOf(t, n, folders, servers, 100*time.Millisecond)
 }
@@ -66,10 +66,10 @@
 
 var tokens atomic.Uint64
 
-// token is one of a call, or of a request, that no other has.
+// token returns a unique token for a call or a request.
 func token() uint64 { return uint64(time.Now().UnixNano())&^0xffff | tokens.Add(1)&0xffff }
 
-// call makes a call at an agent, for at most so long.
+// call sends a call to agent i, with a time limit.
 func (f *fleet) call(i int, within time.Duration, c seat.Call) (*seat.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -93,7 +93,7 @@
 	f.must(i, seat.Call{Do: seat.Ask, Ask: &work.Ask{ID: id, Machine: machine, Seconds: 60, By: "test"}})
 }
 
-// comes waits until a request is in a phase, as an agent tells it.
+// comes waits until agent i reports the request in the phase.
 func (f *fleet) comes(i int, id, phase string) (q seat.Request) {
 	f.t.Helper()
 	last := ""
@@ -119,22 +119,22 @@
 	return q
 }
 
-// council founds one at n0 and waits until it has three members.
+// council founds a council at n0 and waits until it has three voters.
 func (f *fleet) council() {
 	f.t.Helper()
 	f.must(0, seat.Call{Do: seat.Found})
 	began := time.Now()
-	eventually(f.t, "three sit", f.all[0].out, func() bool {
+	eventually(f.t, "the council has three voters", f.all[0].out, func() bool {
 		r, err := f.call(0, 2*time.Second, seat.Call{Do: seat.Show})
 		return err == nil && len(r.Voters) == 3 && len(r.Learners) == 0
 	})
-	f.t.Logf("three sit: %v", time.Since(began).Round(10*time.Millisecond))
+	f.t.Logf("three voters after %v", time.Since(began).Round(10*time.Millisecond))
 }
 
-// leader is who leads by the word of one of these.
+// leader waits until one of these reports a leader among them, and returns it.
 func (f *fleet) leader(these ...int) (leader int) {
 	f.t.Helper()
-	eventually(f.t, "somebody leads", f.all[these[0]].out, func() bool {
+	eventually(f.t, "a leader is elected", f.all[these[0]].out, func() bool {
 		for _, i := range these {
 			if r, err := f.call(i, time.Second, seat.Call{Do: seat.Show}); err == nil && r.Leader != "" && r.AgeMs < 1000 {
 				leader = slices.IndexFunc(f.all, func(o *one) bool { return o.name == r.Leader })
@@ -146,7 +146,7 @@
 	return leader
 }
 
-// ready is what an agent answers clients that ask whether it is; 0: nothing.
+// ready returns the status code of agent i's readiness endpoint; 0: no answer.
 func (f *fleet) ready(i int) int {
 	resp, err := testkit.Client.Get("http://" + f.all[i].listen + "/ready")
 	if err != nil {
@@ -156,7 +156,7 @@
 	return resp.StatusCode
 }
 
-// requests sends some through an agent; all are served.
+// requests sends n requests through agent i, all of which must succeed.
 func (f *fleet) requests(i, n int) {
 	f.t.Helper()
 	for k := range n {
@@ -174,9 +174,9 @@
 	}
 }
 
-// Six agents, four servers: a machine with a server is asked for at an agent that sits nowhere, everybody leaves it
-// alone, its permit comes, it goes and comes back; the leader is cut off between grant and take, then
-// killed; an agent's own machine goes, with its seat; nothing that was settled is forgotten.
+// Six agents, four servers. A server's machine is requested at an agent outside the council, all agents stop
+// sending to it, its permit is granted, it goes out and comes back. The leader is partitioned between grant and
+// take, then killed. An agent's own machine goes out, and its seat moves. No committed decision is lost.
 func TestWork(t *testing.T) {
 	f := newWorkers(t, 6, 5, 4)
 	all := []int{0, 1, 2, 3, 4, 5}
@@ -200,38 +200,38 @@
 		f.requests(i, 20)
 	}
 	if came, _, _ := f.more[0].Counts(); came > 0 {
-		t.Errorf("%d requests came to a machine that all said they leave alone", came)
+		t.Errorf("%d requests reached a machine that all agents reported to have drained", came)
 	}
 
-	// The leader is cut off from all: it grants nothing more and says so; the others go on.
+	// The leader is partitioned from all others: it commits nothing more and reports so; the others go on.
 	lead := f.leader(all...)
 	parts := make([]int, 6)
 	parts[lead] = 1
 	f.mesh.Split(parts...)
 	if _, err := f.call(lead, 3*time.Second, seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit}); err == nil {
-		t.Error("the smaller part took a permit")
+		t.Error("the minority took a permit")
 	}
 	rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
 	f.leader(rest...)
 	f.must(rest[0], seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit})
 	if _, err := f.call(rest[1], 10*time.Second, seat.Call{Do: seat.Cancel, ID: "r2"}); err == nil {
-		t.Error("what is out was called off")
+		t.Error("a request whose machine is out was cancelled")
 	}
 	if r, err := f.call(lead, 5*time.Second, seat.Call{Do: seat.Show}); err != nil || r.Find("r2").Phase != "granted" || r.AgeMs < 200 {
-		t.Errorf("the smaller part shows %+v, %v", r, err)
+		t.Errorf("the minority shows %+v, %v", r, err)
 	}
 	f.mesh.Split(make([]int, 6)...)
-	f.agree("the parts heal", all...)
+	f.agree("the partition heals", all...)
 	f.comes(lead, "r2", "out")
 	f.must(lead, seat.Call{Do: seat.Back, ID: "r2"})
 	f.comes(5, "r2", "done")
-	eventually(t, "the server is sent to again", f.all[5].out, func() bool {
+	eventually(t, "the server gets requests again", f.all[5].out, func() bool {
 		f.requests(5, 8)
 		came, _, _ := f.more[0].Counts()
 		return came > 0
 	})
 
-	// The leader is killed for good: another leads soon, with all that was settled.
+	// The leader is killed for good: another is elected soon, with all committed decisions.
 	lead = f.leader(all...)
 	f.signal(syscall.SIGKILL, lead)
 	began := time.Now()
@@ -241,20 +241,20 @@
 	if q := f.comes(rest[0], "r2", "done"); q.Permit == 0 {
 		t.Errorf("%+v", q)
 	}
-	eventually(t, "another has its seat", f.all[rest[0]].out, func() bool {
+	eventually(t, "another agent has its seat", f.all[rest[0]].out, func() bool {
 		r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
 		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[lead].name) && len(r.Learners) == 0 &&
-			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of one that nobody has
+			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of a seat without an agent
 	})
 	if err := os.RemoveAll(f.folder(lead)); err != nil {
 		t.Fatal(err)
 	}
 	f.folder(lead)
-	f.start(lead) // without its disk: another member, if ever
+	f.start(lead) // without its disk it is a new member
 	f.agree("it comes back without its disk", all...)
 
-	// The machine of an agent that sits: its clients are sent away, its seat goes elsewhere, it ends and comes
-	// back, all under a command that waits for it.
+	// The machine of a voter goes out under 'work run': its clients are sent away, its seat moves to another agent,
+	// and it restarts while the command waits.
 	r := f.must(5, seat.Call{Do: seat.Show})
 	sits := slices.IndexFunc(f.all, func(o *one) bool { return o.name == r.Voters[0] })
 	other := rest[slices.IndexFunc(rest, func(i int) bool { return i != sits })]
@@ -270,10 +270,10 @@
 		t.Errorf("the agent of a machine that is out answers %d", status)
 	}
 	if r := f.must(other, seat.Call{Do: seat.Show}); slices.Contains(r.Voters, f.all[sits].name) {
-		t.Errorf("out, and %v sit, %s before", r.Voters, f.all[sits].name)
+		t.Errorf("the machine is out and the voters are %v, still with %s", r.Voters, f.all[sits].name)
 	}
-	// A seat that an earlier step gave besides may still have to go: while the machine is out, three sit.
-	eventually(t, "three sit, none of them out", f.all[other].out, func() bool {
+	// A surplus seat of an earlier step may still be removed: while the machine is out, there are three voters.
+	eventually(t, "three voters, none of them out", f.all[other].out, func() bool {
 		r, err := f.call(other, 2*time.Second, seat.Call{Do: seat.Show})
 		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[sits].name)
 	})
@@ -287,7 +287,7 @@
 		t.Errorf("it printed %s", text)
 	}
 	f.comes(other, "rh", "done")
-	eventually(t, "its clients may come", f.all[sits].out, func() bool { return f.ready(sits) == 200 })
+	eventually(t, "it accepts clients", f.all[sits].out, func() bool { return f.ready(sits) == 200 })
 
 	for _, c := range []struct{ args, want string }{
 		{"show", "rh "}, {"plan", "FROM"}, {"record", "granted -> out: taken under permit"}, {"why rh", "is done"}, {"why r9", "no request"},
@@ -302,9 +302,9 @@
 	f.signal(syscall.SIGTERM, all...)
 }
 
-// What goes wrong on a night of work, one after the other: something breaks while a permit waits to be taken; all
-// agents are killed at once; the member that leads is stopped, its disk is full; the machines of all
-// that sit are asked for; a machine's agents are all dead.
+// Faults during maintenance, one after the other: a server fails while a permit is not yet taken; all agents are
+// killed at once; the leader is suspended; the leader's disk is full; the machines of all voters are requested;
+// all agents of a machine are dead.
 func TestWorkGoesWrong(t *testing.T) {
 	f := newWorkers(t, 6, 5, 4)
 	all := []int{0, 1, 2, 3, 4, 5}
@@ -313,8 +313,8 @@
 	f.council()
 	lead := f.leader(all...)
 
-	// A server falls silent, and only agents that don't lead find out: the permit that nobody has taken is withdrawn, and its
-	// number never counts again.
+	// A server stops answering, and only agents other than the leader notice: the permit that was not yet taken is
+	// withdrawn, and its number never becomes valid again.
 	f.ask(5, "r2", "v2")
 	q := f.comes(5, "r2", "granted")
 	f.more[1].Close()
@@ -331,11 +331,11 @@
 		t.Errorf("a permit that was withdrawn: %v", err)
 	}
 	f.must(5, seat.Call{Do: seat.Cancel, ID: "r2"})
-	f.ask(5, "r3", "v3") // the one that is silent takes nothing away
+	f.ask(5, "r3", "v3") // the failed server does not count against the need
 	q = f.comes(5, "r3", "granted")
 	f.must(5, seat.Call{Do: seat.Take, ID: "r3", Permit: q.Permit})
 
-	// All at once: what was settled is there again.
+	// All agents are killed at once: the committed decisions survive.
 	f.signal(syscall.SIGKILL, all...)
 	f.start(all...)
 	f.agree("all are killed and started", all...)
@@ -344,7 +344,7 @@
 		t.Errorf("%+v", r)
 	}
 
-	// The member that leads is stopped, wakes, and follows.
+	// The leader is suspended and resumes as a follower.
 	f.signal(syscall.SIGSTOP, lead)
 	rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
 	f.leader(rest...)
@@ -352,7 +352,7 @@
 	f.signal(syscall.SIGCONT, lead)
 	f.comes(lead, "r3", "failed")
 
-	// Its disk is full: it leaves the council, says so in one line, and serves on; another takes its seat.
+	// The leader's disk is full: it leaves the council, logs one line, and goes on serving; another gets its seat.
 	lead = f.leader(all...)
 	full := &unix.Rlimit{Cur: 1, Max: 1}
 	if err := unix.Prlimit(f.all[lead].cmd.Process.Pid, unix.RLIMIT_FSIZE, full, nil); err != nil {
@@ -360,22 +360,22 @@
 	}
 	rest = slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
 	f.ask(rest[0], "h", "h5")
-	eventually(t, "the one with a full disk leaves", f.all[lead].out, func() bool {
+	eventually(t, "the agent with a full disk leaves the council", f.all[lead].out, func() bool {
 		return strings.Contains(f.all[lead].out.String(), "this agent leaves the council")
 	})
 	f.requests(lead, 5)
 	if n := strings.Count(f.all[lead].out.String(), "this agent leaves the council"); n != 1 {
-		t.Errorf("it says so %d times", n)
+		t.Errorf("it logs %d lines about leaving, want 1", n)
 	}
 	f.leader(rest...)
-	eventually(t, "another has its seat", f.all[rest[0]].out, func() bool {
+	eventually(t, "another agent has its seat", f.all[rest[0]].out, func() bool {
 		r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
 		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[lead].name) && len(r.Learners) == 0 &&
-			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of one that nobody has
+			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of a seat without an agent
 	})
 	f.must(rest[0], seat.Call{Do: seat.Cancel, ID: "h"})
 
-	// The machines of all that sit, at once: they go as the bounds allow, and the council stands throughout.
+	// The machines of all voters at once: they go out as the bounds allow, and the council keeps three voters.
 	r := f.must(rest[0], seat.Call{Do: seat.Show})
 	var ids []string
 	for _, name := range r.Voters {
@@ -392,7 +392,7 @@
 				return false
 			}
 			if len(r.Voters) < 3 {
-				t.Errorf("%v sit", r.Voters)
+				t.Errorf("voters %v, want at least 3", r.Voters)
 			}
 			for _, q := range r.Requests {
 				if q.Phase == "granted" {
@@ -405,11 +405,11 @@
 		f.must(rest[0], seat.Call{Do: seat.Back, ID: id})
 		f.comes(rest[0], id, "done")
 		back, _ := strconv.Atoi(id[len("seat-n"):])
-		eventually(t, "its clients may come", f.all[back].out, func() bool { return f.ready(back) == 200 })
+		eventually(t, "it accepts clients", f.all[back].out, func() bool { return f.ready(back) == 200 })
 		ids = slices.DeleteFunc(ids, func(o string) bool { return o == id })
 	}
 
-	// Agents that are all dead hold nothing: their machine's permit waits for nobody.
+	// A machine whose agents are all dead gets its permit without their confirmation.
 	f.signal(syscall.SIGKILL, lead)
 	dead := f.all[lead].name
 	eventually(t, "it is believed dead", f.all[rest[0]].out, func() bool {
@@ -423,8 +423,8 @@
 
 var workMeasure = flag.Bool("work.measure", false, "measure permits and leaders of 3, 5 and 9 processes at a period of 500 ms")
 
-// TestWorkMeasure prints what the design note has of times: from ask to permit with nothing in the way, and from
-// the leader's kill until another leads.
+// TestWorkMeasure prints the times of the design note: from request to permit without contention, and from
+// the leader's kill until another is elected.
 func TestWorkMeasure(t *testing.T) {
 	if !*workMeasure {
 		t.Skip("a measure: -work.measure")
