--- a/cmd/molepaddle/fleet_test.go
+++ b/cmd/molepaddle/fleet_test.go
@@ -24,29 +24,29 @@
 
 // fleet is a set of processes of the program, connected by a simulated network.
 type fleet struct {
-	t      *testing.T
-	mesh   *wan.Mesh
-	server *standin.Server
-	more   []*standin.Server // s-2, s-3, ..., each on its own machine
-	dir    string
-	all    []*one
-	lost   func(i int) // called with each member that a schedule kills; may be nil
+	t            *testing.T
+	mesh         *wan.Mesh
+	server       *standin.Server
+	extraServers []*standin.Server // s-2, s-3, ..., each on its own machine
+	dir          string
+	members      []*member
+	onKill       func(i int) // called with each member that a schedule kills; may be nil
 }
 
-// one is a member of a fleet: its addresses stay the same when its process is restarted.
-type one struct {
-	name, listen, peers, door, file string
-	binary                          string // path of another build's program; empty: this build's
-	cmd                             *exec.Cmd
-	out                             *output
+// member is a member of a fleet: its addresses stay the same when its process is restarted.
+type member struct {
+	name, listen, peers, management, file string
+	binary                                string // path of another build's program; empty: this build's
+	cmd                                   *exec.Cmd
+	out                                   *output
 }
 
-// ports counts the ports that own has returned.
+// ports counts the ports that freeAddressOn has returned.
 var ports atomic.Int32
 
-// own returns a free address on a loopback host, outside the system's range of local ports for outgoing
+// freeAddressOn returns a free address on a loopback host, outside the system's range of local ports for outgoing
 // connections: one of those may be in use when the process starts to listen.
-func own(t *testing.T, host string) string {
+func freeAddressOn(t *testing.T, host string) string {
 	t.Helper()
 	for range 1000 {
 		at := fmt.Sprintf("%s:%d", host, 10000+ports.Add(1)%20000)
@@ -59,9 +59,9 @@
 	return ""
 }
 
-// add appends text to the operator's file of each member, before the members start.
-func (f *fleet) add(text func(i int) string) {
-	for i, o := range f.all {
+// appendConfig appends text to the operator's file of each member, before the members start.
+func (f *fleet) appendConfig(text func(i int) string) {
+	for i, o := range f.members {
 		was, err := os.ReadFile(o.file)
 		if err != nil {
 			f.t.Fatal(err)
@@ -83,8 +83,8 @@
 	names, targets := []string{"keys", "make", f.dir, "near"}, []string{}
 	for i := range n {
 		host := fmt.Sprintf("127.77.%d.%d", os.Getpid()%250, i+1) // separate from other tests that run at the same time
-		o := &one{name: fmt.Sprintf("n%d", i), listen: own(t, host), peers: own(t, host), door: own(t, host)}
-		f.all = append(f.all, o)
+		o := &member{name: fmt.Sprintf("n%d", i), listen: freeAddressOn(t, host), peers: freeAddressOn(t, host), management: freeAddressOn(t, host)}
+		f.members = append(f.members, o)
 		names, targets = append(names, o.name), append(targets, o.peers)
 	}
 	if err := run(names, &output{}); err != nil {
@@ -94,11 +94,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.mesh.Close)
-	for i, o := range f.all {
+	for i, o := range f.members {
 		o.file = filepath.Join(f.dir, o.name+".toml")
 		text := fmt.Sprintf("[fleet]\non = true\n[peers]\nname = %q\nmachine = \"h%d\"\nzone = \"z%d\"\nlisten = %q\nadvertise = %q\nperiod = \"%v\"\nforget = \"1h\"\n", o.name, i, i%3, o.peers, f.mesh.Addrs[i], period)
 		for s := range 2 {
-			text += fmt.Sprintf("[[peers.seed]]\nname = %q\naddress = %q\n", f.all[s].name, f.mesh.Addrs[s])
+			text += fmt.Sprintf("[[peers.seed]]\nname = %q\naddress = %q\n", f.members[s].name, f.mesh.Addrs[s])
 		}
 		text += fmt.Sprintf("[peers.keys]\nca = %q\ncert = %q\nkey = %q\n", filepath.Join(f.dir, "ca.pem"), filepath.Join(f.dir, o.name+".pem"), filepath.Join(f.dir, o.name+".key"))
 		write(t, o.file, text)
@@ -108,33 +108,33 @@
 
 func (f *fleet) start(these ...int) {
 	for _, i := range these {
-		o := f.all[i]
+		o := f.members[i]
 		hosts := ""
-		for k, s := range f.more {
+		for k, s := range f.extraServers {
 			hosts += fmt.Sprintf(`,{"host":"s-%d","dial":%q,"site":"a","class":"k","health":"ready","share":1}`, k+2, s.Addr)
 		}
-		config := strings.Replace(wholeConfig(o.listen, "127.0.0.1:1", f.server.Addr), `"seed"`, fmt.Sprintf(`"management":%q,"seed"`, o.door), 1)
+		config := strings.Replace(agentConfig(o.listen, "127.0.0.1:1", f.server.Addr), `"seed"`, fmt.Sprintf(`"management":%q,"seed"`, o.management), 1)
 		config = strings.Replace(config, `"share":1}]`, `"share":1}`+hosts+"]", 1)
-		o.cmd, o.out, _ = childBy(f.t, o.binary, config, "--operator", o.file)
+		o.cmd, o.out, _ = startBuild(f.t, o.binary, config, "--operator", o.file)
 	}
 }
 
 func (f *fleet) signal(sig syscall.Signal, these ...int) {
 	for _, i := range these {
-		if err := f.all[i].cmd.Process.Signal(sig); err != nil {
+		if err := f.members[i].cmd.Process.Signal(sig); err != nil {
 			f.t.Fatal(err)
 		}
 		if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-			err := f.all[i].cmd.Wait()
+			err := f.members[i].cmd.Wait()
 			if sig == syscall.SIGTERM && err != nil {
-				f.t.Errorf("%s ended with %v; it said %s", f.all[i].name, err, f.all[i].out)
+				f.t.Errorf("%s ended with %v; it said %s", f.members[i].name, err, f.members[i].out)
 			}
 		}
 	}
 }
 
 func (f *fleet) view(i int) (v agent.FleetView, err error) {
-	err = agent.ReadFleet(f.all[i].door, "/api/fleet", &v)
+	err = agent.ReadFleet(f.members[i].management, "/api/fleet", &v)
 	return v, err
 }
 
@@ -149,8 +149,8 @@
 	return all
 }
 
-// agree waits until all of these have the same settled view, in which they and no others are alive.
-func (f *fleet) agree(what string, these ...int) {
+// awaitAgreement waits until all of these have the same settled view, in which they and no others are alive.
+func (f *fleet) awaitAgreement(what string, these ...int) {
 	f.t.Helper()
 	began := time.Now()
 	last := ""
@@ -159,7 +159,7 @@
 			f.t.Log(last)
 		}
 	}()
-	eventually(f.t, what, f.all[these[0]].out, func() bool {
+	eventually(f.t, what, f.members[these[0]].out, func() bool {
 		digest := ""
 		last = ""
 		for _, i := range these {
@@ -177,7 +177,7 @@
 			if !v.Settled || v.Digest != digest {
 				return false
 			}
-			for k, o := range f.all {
+			for k, o := range f.members {
 				if (states(&v)[o.name] == "alive") != slices.Contains(these, k) {
 					return false
 				}
@@ -188,10 +188,10 @@
 	f.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
-// deaths returns the names that member i has ever declared dead, from its log.
-func (f *fleet) deaths(i int) (names []string) {
+// declaredDead returns the names that member i has ever declared dead, from its log.
+func (f *fleet) declaredDead(i int) (names []string) {
 	var events []peers.Event
-	if err := agent.ReadFleet(f.all[i].door, "/api/fleet/log", &events); err != nil {
+	if err := agent.ReadFleet(f.members[i].management, "/api/fleet/log", &events); err != nil {
 		f.t.Fatal(err)
 	}
 	for _, e := range events {
@@ -209,51 +209,51 @@
 	f := newFleet(t, 6)
 	all := []int{0, 1, 2, 3, 4, 5}
 	f.start(all...)
-	f.agree("six find each other", all...)
+	f.awaitAgreement("six find each other", all...)
 
 	f.mesh.OneWay(2, 3) // 3 receives nothing from 2; all others do
-	eventually(t, "3 suspects 2", f.all[0].out, func() bool {
+	eventually(t, "3 suspects 2", f.members[0].out, func() bool {
 		v, err := f.view(0)
 		return err == nil && states(&v)["n2"] == "suspect"
 	})
 	f.mesh.Heal(2, 3)
-	f.agree("one direction is lost and healed", all...)
+	f.awaitAgreement("one direction is lost and healed", all...)
 	for i := range all {
-		if d := f.deaths(i); len(d) > 0 {
-			t.Errorf("%s believed %v dead", f.all[i].name, d)
+		if d := f.declaredDead(i); len(d) > 0 {
+			t.Errorf("%s believed %v dead", f.members[i].name, d)
 		}
 	}
 
 	f.signal(syscall.SIGKILL, 5)
-	f.agree("one is killed", 0, 1, 2, 3, 4)
+	f.awaitAgreement("one is killed", 0, 1, 2, 3, 4)
 	f.start(5)
-	f.agree("it restarts as another process", all...)
+	f.awaitAgreement("it restarts as another process", all...)
 
 	f.mesh.Split(0, 0, 0, 0, 1, 1)
-	f.agree("four are partitioned from two", 0, 1, 2, 3)
+	f.awaitAgreement("four are partitioned from two", 0, 1, 2, 3)
 	for _, i := range []int{4, 5} {
-		eventually(t, "two doubt themselves", f.all[i].out, func() bool {
+		eventually(t, "two doubt themselves", f.members[i].out, func() bool {
 			v, err := f.view(i)
 			return err == nil && !v.Settled && strings.Contains(v.Doubts, "I see 2 of 6")
 		})
-		if d := f.deaths(i); slices.Contains(d, "n0") || slices.Contains(d, "n4") {
-			t.Errorf("%s, one of two, believed %v dead", f.all[i].name, d)
+		if d := f.declaredDead(i); slices.Contains(d, "n0") || slices.Contains(d, "n4") {
+			t.Errorf("%s, one of two, believed %v dead", f.members[i].name, d)
 		}
 	}
 	f.mesh.Split(0, 0, 0, 0, 0, 0)
-	f.agree("the partition heals", all...)
+	f.awaitAgreement("the partition heals", all...)
 
 	f.signal(syscall.SIGSTOP, 1)
-	f.agree("a seed is suspended", 0, 2, 3, 4, 5)
-	before := f.deaths(0)
+	f.awaitAgreement("a seed is suspended", 0, 2, 3, 4, 5)
+	before := f.declaredDead(0)
 	f.signal(syscall.SIGCONT, 1)
-	f.agree("it resumes", all...)
-	if now := f.deaths(0); len(now) != len(before) || len(f.deaths(1)) != 0 && f.deaths(1)[0] != "n5" {
-		t.Errorf("after a stop: %v, then %v; it believed %v dead", before, now, f.deaths(1))
+	f.awaitAgreement("it resumes", all...)
+	if now := f.declaredDead(0); len(now) != len(before) || len(f.declaredDead(1)) != 0 && f.declaredDead(1)[0] != "n5" {
+		t.Errorf("after a stop: %v, then %v; it believed %v dead", before, now, f.declaredDead(1))
 	}
 
 	f.signal(syscall.SIGTERM, 4)
-	f.agree("one leaves", 0, 1, 2, 3, 5)
+	f.awaitAgreement("one leaves", 0, 1, 2, 3, 5)
 	v, err := f.view(0)
 	if err != nil || states(&v)["n4"] != "left" {
 		t.Errorf("who left is %v, %v", states(&v), err)
@@ -264,8 +264,8 @@
 		out  *output
 		want string
 	}{
-		{[]string{"fleet", "show", "--door", f.all[0].door}, &shown, "n0 sees 5 of 5, settled"},
-		{[]string{"fleet", "log", "--door", f.all[0].door}, &logged, "left     n4: it has said so"},
+		{[]string{"fleet", "show", "--door", f.members[0].management}, &shown, "n0 sees 5 of 5, settled"},
+		{[]string{"fleet", "log", "--door", f.members[0].management}, &logged, "left     n4: it has said so"},
 	} {
 		if err := run(c.args, c.out); err != nil || !strings.Contains(c.out.String(), c.want) {
 			t.Errorf("%v: %v; it reads %s", c.args, err, c.out)
@@ -292,7 +292,7 @@
 			all = append(all, i)
 		}
 		f.start(all...)
-		f.agree("at first", all...)
+		f.awaitAgreement("at first", all...)
 		f.play(s)
 		if t.Failed() {
 			t.Fatal(s)
@@ -302,16 +302,16 @@
 
 // play runs a schedule of faults, waits until the views converge, and kills the fleet.
 func (f *fleet) play(s *many.Schedule) {
-	left := f.faults(s)
-	f.agree(s.String(), left...)
+	left := f.playFaults(s)
+	f.awaitAgreement(s.String(), left...)
 	f.signal(syscall.SIGKILL, left...)
 }
 
-// faults runs a schedule five times as fast as it was drawn, since the period here is a fifth, heals the
+// playFaults runs a schedule five times as fast as it was drawn, since the period here is a fifth, heals the
 // network, and returns the running members.
-func (f *fleet) faults(s *many.Schedule) (left []int) {
+func (f *fleet) playFaults(s *many.Schedule) (left []int) {
 	up, stopped := map[int]bool{}, map[int]bool{}
-	for i := range f.all {
+	for i := range f.members {
 		up[i] = true
 	}
 	began := time.Now()
@@ -321,7 +321,7 @@
 		case x.What == "parts":
 			f.mesh.Split(x.Parts...)
 		case x.What == "one-way":
-			f.mesh.OneWay(i, (i+1)%len(f.all))
+			f.mesh.OneWay(i, (i+1)%len(f.members))
 		case x.What == "stop" && up[i]:
 			f.signal(syscall.SIGSTOP, i)
 			stopped[i] = true
@@ -332,8 +332,8 @@
 			f.signal(syscall.SIGKILL, i)
 			delete(up, i)
 			delete(stopped, i)
-			if f.lost != nil {
-				f.lost(i)
+			if f.onKill != nil {
+				f.onKill(i)
 			}
 		case x.What == "leave" && up[i] && !stopped[i]:
 			f.signal(syscall.SIGTERM, i)
@@ -343,13 +343,13 @@
 			up[i] = true
 		}
 	}
-	f.mesh.Split(make([]int, len(f.all))...)
-	for i := range f.all {
+	f.mesh.Split(make([]int, len(f.members))...)
+	for i := range f.members {
 		if stopped[i] {
 			f.signal(syscall.SIGCONT, i)
 		}
 		// Half of a fleet or less reports that it may be partitioned, which is correct: start more members.
-		if !up[i] && len(up) <= len(f.all)/2 {
+		if !up[i] && len(up) <= len(f.members)/2 {
 			f.start(i)
 			up[i] = true
 		}
@@ -378,14 +378,14 @@
 		want := "alive" // or "dead": the others must be dead
 		until := func(groups ...[]int) float64 {
 			began := time.Now()
-			eventually(t, "all believe it", f.all[0].out, func() bool {
+			eventually(t, "all believe it", f.members[0].out, func() bool {
 				for _, these := range groups {
 					for _, i := range these {
 						v, err := f.view(i)
 						if err != nil {
 							return false
 						}
-						for k, o := range f.all {
+						for k, o := range f.members {
 							if is := states(&v)[o.name]; (is == "alive") != slices.Contains(these, k) || want == "dead" && is != "alive" && is != want {
 								return false
 							}
@@ -415,15 +415,15 @@
 // is declared dead, and no name has two processes.
 func TestFleetTakenOver(t *testing.T) {
 	f := newWorkers(t, 3, 3, 2)
-	o, dir := f.all[0], t.TempDir()
-	config := wholeConfig(o.listen, "127.0.0.1:1", f.server.Addr)
+	o, dir := f.members[0], t.TempDir()
+	config := agentConfig(o.listen, "127.0.0.1:1", f.server.Addr)
 	begin := func() {
-		o.door = own(t, fmt.Sprintf("127.77.%d.1", os.Getpid()%250))
-		o.cmd, o.out, _ = childIn(t, config, []string{"TMPDIR=" + dir, "EDGE_MANAGEMENT=" + o.door}, "--operator", o.file)
+		o.management = freeAddressOn(t, fmt.Sprintf("127.77.%d.1", os.Getpid()%250))
+		o.cmd, o.out, _ = startChildEnv(t, config, []string{"TMPDIR=" + dir, "EDGE_MANAGEMENT=" + o.management}, "--operator", o.file)
 	}
 	begin()
 	f.start(1, 2)
-	f.agree("three find each other", 0, 1, 2)
+	f.awaitAgreement("three find each other", 0, 1, 2)
 	first := func(v *agent.FleetView) (n uint64) {
 		for _, m := range v.Members {
 			if m.Name == "n0" {
@@ -436,18 +436,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.council()
+	f.foundCouncil()
 	before, old, oldOut := first(&v), o.cmd, o.out
 	begin()
 	eventually(t, "the second replaces the first", o.out, func() bool {
 		v, err := f.view(1)
 		return err == nil && first(&v) > before && states(&v)["n0"] == "alive"
 	})
-	end(t, old, oldOut)
-	f.agree("the second is one of three", 0, 1, 2)
+	terminate(t, old, oldOut)
+	f.awaitAgreement("the second is one of three", 0, 1, 2)
 	f.ask(0, "r", "h2") // it keeps the first one's seat in the council, and its disk
-	f.comes(2, "r", "granted")
-	if r := f.must(0, seat.Call{Do: seat.Show}); len(r.Voters) != 3 || !slices.Contains(r.Voters, "n0") {
+	f.awaitPhase(2, "r", "granted")
+	if r := f.mustCall(0, seat.Call{Do: seat.Show}); len(r.Voters) != 3 || !slices.Contains(r.Voters, "n0") {
 		t.Errorf("voters %v, want three with n0", r.Voters)
 	}
 	v, _ = f.view(2)
@@ -456,7 +456,7 @@
 			t.Errorf("%+v", m)
 		}
 	}
-	if d := f.deaths(1); len(d) > 0 {
+	if d := f.declaredDead(1); len(d) > 0 {
 		t.Errorf("believed dead: %v", d)
 	}
 	f.signal(syscall.SIGTERM, 0, 1, 2)
--- a/cmd/molepaddle/lab.go
+++ b/cmd/molepaddle/lab.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// violationError returns errBroken if one of the rows violated a rule or is void.
+// violationError returns errViolation if one of the rows violated a rule or is void.
 func violationError(rows []*trial.Row) error {
 	if slices.ContainsFunc(rows, func(r *trial.Row) bool { return r.Result.Breaches > 0 || r.Result.Void != "" }) {
 		return errViolation
--- a/cmd/molepaddle/lab_test.go
+++ b/cmd/molepaddle/lab_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// The lab plays processes of this program, keeps the row, and plays it no second time.
+// The lab plays processes of this program and stores the row, from which it makes a report.
 func TestLabProcesses(t *testing.T) {
 	t.Setenv("MOLEPADDLE_CHILD", "1") // the agents are this test's binary
 	rows := filepath.Join(t.TempDir(), "rows.jsonl")
 	args := []string{"lab", "run", "demo", "--processes", "--set", "length=4", "-o", rows}
 	var out strings.Builder
 	err := run(args, &out)
-	late := strings.Contains(out.String(), "it does not count") // on a machine that is busy
+	late := strings.Contains(out.String(), "it does not count") // the machine may be busy
 	if err != nil && !late {
 		t.Fatalf("%v\n%s", err, &out)
 	}
@@ -29,12 +29,12 @@
 		t.Error(err)
 	}
 	if err := run([]string{"lab", "report", rows + "x"}, &out); err == nil {
-		t.Error("a file that is not there is reported")
+		t.Error("a report of a missing file succeeded")
 	}
 }
 
-// A broken rule ends with a code of its own, and the request's story.
-func TestLabSaysWhatBroke(t *testing.T) {
+// A violated rule has its own error, and the events of the request are printed.
+func TestLabReportsViolations(t *testing.T) {
 	var out strings.Builder
 	err := run([]string{"lab", "run", "cold-start", "-v", "round-robin", "--set", "load=2", "--set", "length=5"}, &out)
 	if err == nil || !strings.Contains(err.Error(), errViolation.Error()) || !strings.Contains(out.String(), "BROKEN at") {
--- a/cmd/molepaddle/large_test.go
+++ b/cmd/molepaddle/large_test.go
@@ -22,8 +22,8 @@
 
 var largeFlag = flag.Bool("large", false, "play large messages at full size: 180 answers and 180 bodies of 32 MB, as many as 1,024 descriptors hold")
 
-// bulk is an order server that gives and takes large bodies.
-func bulk(t *testing.T, size int) string {
+// newBulkServer starts an order server with answers of size bytes, which also accepts large bodies, and returns its address.
+func newBulkServer(t *testing.T, size int) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,17 +54,17 @@
 	return ln.Addr().String()
 }
 
-// Many large answers and bodies at once, together far over the memory limit, some of them read and
-// written slowly: all come whole, the process stays small, and small requests go on beside them.
+// Many concurrent large answers and bodies, in total far above the memory limit, some of them read and written
+// slowly: all arrive complete, the process stays within its limit, and small requests are still served.
 func TestLargeMessages(t *testing.T) {
 	many, size := 16, 1<<20
 	if *largeFlag {
 		many, size = 180, 32<<20
 	}
 	listen := freeAddress(t)
-	config := strings.Replace(wholeConfig(listen, "127.0.0.1:1", bulk(t, size)), settings, serviceSettings, 1)
+	config := strings.Replace(agentConfig(listen, "127.0.0.1:1", newBulkServer(t, size)), settings, serviceSettings, 1)
 	config = strings.Replace(config, `"memory_mb":192`, `"memory_mb":64`, 1)
-	cmd, out, _ := childIn(t, config, nil)
+	cmd, out, _ := startChildEnv(t, config, nil)
 	awaitReady(t, listen, out)
 	var ids atomic.Int64
 	ask := func(method, path, more string) (net.Conn, error) {
@@ -161,7 +161,7 @@
 	crawling := many / 8
 	for i := range 2*many - crawling {
 		if *largeFlag {
-			time.Sleep(20 * time.Millisecond) // they come within 8 s
+			time.Sleep(20 * time.Millisecond) // all start within 8 s
 		}
 		do := []func(time.Duration) (int64, error){get, put}[i%2]
 		if i >= 2*(many-crawling) {
@@ -180,7 +180,7 @@
 			}
 		})
 	}
-	// And some that take 64 kB a second, for as long as the others are there.
+	// Some clients read 64 KiB a second for as long as the others run.
 	stopped := make(chan struct{})
 	var crawl sync.WaitGroup
 	for range crawling {
@@ -224,9 +224,9 @@
 	}
 	t.Logf("%d answers and as many bodies of %d MB: peak %d MB of 64; small ones' 99th percentile %v alone, %v beside them; first bytes: median %v, 99th percentile %v",
 		many, size>>20, peak>>10, p99(alone), p99(with), first[len(first)/2], p99(first))
-	// The race detector's own memory is several times the program's.
+	// The race detector uses several times the program's own memory.
 	if !raceDetector && peak > 64<<10 {
-		t.Errorf("the process held %d KB", peak)
+		t.Errorf("peak memory of the process is %d KB, want at most 64 MB", peak)
 	}
-	end(t, cmd, out)
+	terminate(t, cmd, out)
 }
--- a/cmd/molepaddle/main_test.go
+++ b/cmd/molepaddle/main_test.go
@@ -34,33 +34,33 @@
  "contract":{"answerSlackMs":20,"askWithinMs":10000,"coldFrom":0.3,"coldMs":8000,"drainGraceMs":250,"fallMultiple":2.5,"tipAfterMs":1000},
  "replicasOfMe":1,"roundMs":5,"weights":"nominal","failureDomains":["a"],"shapes":["k"]}`
 
-// child starts the program with the configuration and returns the path of the configuration file.
-func child(t *testing.T, config string, args ...string) (cmd *exec.Cmd, out *output, path string) {
+// startChild starts the program with the configuration and returns the path of the configuration file.
+func startChild(t *testing.T, config string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
-	return childIn(t, config, nil, args...)
+	return startChildEnv(t, config, nil, args...)
 }
 
-// childIn starts the program like child, with additional environment variables.
-func childIn(t *testing.T, config string, env []string, args ...string) (cmd *exec.Cmd, out *output, path string) {
+// startChildEnv starts the program like startChild, with additional environment variables.
+func startChildEnv(t *testing.T, config string, env []string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return childOf(t, exe, config, env, args...)
+	return startProgram(t, exe, config, env, args...)
 }
 
-// childBy starts the program at the path binary; an empty path is this build.
-func childBy(t *testing.T, binary, config string, args ...string) (cmd *exec.Cmd, out *output, path string) {
+// startBuild starts the program at the path binary; an empty path is this build.
+func startBuild(t *testing.T, binary, config string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
 	if binary == "" {
-		return child(t, config, args...)
+		return startChild(t, config, args...)
 	}
-	return childOf(t, binary, config, nil, args...)
+	return startProgram(t, binary, config, nil, args...)
 }
 
-// childOf starts the program at the path exe, which may be another build.
-func childOf(t *testing.T, exe, config string, env []string, args ...string) (cmd *exec.Cmd, out *output, path string) {
+// startProgram starts the program at the path exe, which may be another build.
+func startProgram(t *testing.T, exe, config string, env []string, args ...string) (cmd *exec.Cmd, out *output, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
 	write(t, path, config)
@@ -93,8 +93,8 @@
 	return o.text.String()
 }
 
-// last returns the last 40 lines, without the repeated ones about refused connections.
-func (o *output) last() string {
+// tail returns the tail 40 lines, without the repeated ones about refused connections.
+func (o *output) tail() string {
 	var lines []string
 	for line := range strings.Lines(o.String()) {
 		if !strings.Contains(line, "connection refused") {
@@ -135,8 +135,8 @@
 	return ""
 }
 
-// wholeConfig returns a complete agent configuration with one backend.
-func wholeConfig(listen, discovery, backend string) string {
+// agentConfig returns a complete agent configuration with one backend.
+func agentConfig(listen, discovery, backend string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s,
  "known":{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":%q,"site":"a","class":"k","health":"ready","share":1}]}}`,
@@ -172,7 +172,7 @@
 	}))
 	defer backend.Close()
 	listen := freeAddress(t)
-	cmd, out, _ := child(t, wholeConfig(listen, "127.0.0.1:1", backend.Listener.Addr().String()))
+	cmd, out, _ := startChild(t, agentConfig(listen, "127.0.0.1:1", backend.Listener.Addr().String()))
 	awaitReady(t, listen, out)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/order/u1", strings.NewReader("x"))
 	req.Header.Set("Request-Id", "1")
@@ -203,7 +203,7 @@
 	}))
 	defer disc.Close()
 	listen := freeAddress(t)
-	cmd, out, path := child(t, wholeConfig(listen, "127.0.0.1:1", "127.0.0.1:1"))
+	cmd, out, path := startChild(t, agentConfig(listen, "127.0.0.1:1", "127.0.0.1:1"))
 	awaitReady(t, listen, out)
 	hup := func(config string) {
 		write(t, path, config)
@@ -211,11 +211,11 @@
 			t.Fatal(err)
 		}
 	}
-	hup(wholeConfig(listen, "nowhere", "127.0.0.1:1"))
+	hup(agentConfig(listen, "nowhere", "127.0.0.1:1"))
 	eventually(t, "the error of the invalid configuration is logged", out, func() bool {
 		return strings.Count(out.String(), "config: discovery:") == 1
 	})
-	hup(wholeConfig(listen, disc.Listener.Addr().String(), "127.0.0.1:1"))
+	hup(agentConfig(listen, disc.Listener.Addr().String(), "127.0.0.1:1"))
 	if got := map[string]bool{<-asked: true, <-asked: true}; !got[""] || !got["follow=1&since=0"] {
 		t.Fatalf("asked %v", got)
 	}
@@ -229,7 +229,7 @@
 }
 
 func TestBadConfig(t *testing.T) {
-	cmd, out, _ := child(t, `{"name":"n0","listen":"127.0.0.1"}`)
+	cmd, out, _ := startChild(t, `{"name":"n0","listen":"127.0.0.1"}`)
 	if err := cmd.Wait(); err == nil {
 		t.Fatal("started with a bad configuration")
 	}
@@ -242,11 +242,11 @@
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	conf, good, bad := filepath.Join(dir, "c.json"), filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
-	write(t, conf, wholeConfig("127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"))
+	write(t, conf, agentConfig("127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"))
 	write(t, good, "[transport.http]\nresting = 3\n")
 	peers, apart := filepath.Join(dir, "peers.toml"), filepath.Join(dir, "apart.json")
 	write(t, peers, "[peers]\nname = \"n0\"\nmachine = \"h0\"\nzone = \"a\"\nlisten = \"127.0.0.1:0\"\nplain = true\n")
-	write(t, apart, strings.Replace(wholeConfig("127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1"), `"maxAttempts"`, `"peerMessages":false,"maxAttempts"`, 1))
+	write(t, apart, strings.Replace(agentConfig("127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1"), `"maxAttempts"`, `"peerMessages":false,"maxAttempts"`, 1))
 	write(t, bad, "[transport.http]\nrestless = 3\n")
 	for _, c := range []struct {
 		args []string
--- a/cmd/molepaddle/sites_test.go
+++ b/cmd/molepaddle/sites_test.go
@@ -18,10 +18,9 @@
 	"molepaddle/internal/rig/wan"
 )
 
-// Two sites of processes under TLS, with a slow network between: the link stalls, gateways
-// are killed and end as planned, all on a script and under load. The servers' logs show each
-// order once at the most, every client has one answer or its connection broke, and the
-// status command tells what a person would look for.
+// Two sites of processes with TLS, connected by a slow network: the link stalls, and gateways are killed and
+// shut down gracefully, in a fixed order and under load. The servers receive each order at most once, every client
+// gets one answer or a broken connection, and the status command shows the state of the link.
 func TestTwoSites(t *testing.T) {
 	dir := t.TempDir()
 	if err := run([]string{"keys", "make", dir, "near", "far"}, &output{}); err != nil {
@@ -50,12 +49,12 @@
 	farFile := file("far", fmt.Sprintf("listen = %q\npeers = [\"near\"]", links))
 	nearFile := file("near", fmt.Sprintf("site = [{name = \"b\", peer = [{name = \"far\", address = %q}]}]\nroute = [{to = [\"b\"]}]", between.Addr))
 	far := func() (*exec.Cmd, *output) {
-		cmd, out, _ := child(t, wholeConfig(farListen, "127.0.0.1:1", server.Addr), "--operator", farFile)
+		cmd, out, _ := startChild(t, agentConfig(farListen, "127.0.0.1:1", server.Addr), "--operator", farFile)
 		awaitReady(t, farListen, out)
 		return cmd, out
 	}
 	near := func() (*exec.Cmd, *output) {
-		cmd, out, _ := child(t, wholeConfig(nearListen, "127.0.0.1:1", "127.0.0.1:9"), "--operator", nearFile)
+		cmd, out, _ := startChild(t, agentConfig(nearListen, "127.0.0.1:1", "127.0.0.1:9"), "--operator", nearFile)
 		return cmd, out
 	}
 	status := func(name string) (s agent.LinkStatus) {
@@ -102,7 +101,7 @@
 	moves("at first")
 	for _, ways := range [][]wan.Way{{wan.There}, {wan.Back}} {
 		between.Stall(ways...)
-		eventually(t, "the status says it stalls", nearOut, func() bool {
+		eventually(t, "the status shows the link as stalled", nearOut, func() bool {
 			s := status("near")
 			return len(s.To) == 1 && len(s.To[0].Links) > 0 && s.To[0].Links[0].Stalled && !s.To[0].Reachable
 		})
@@ -134,7 +133,7 @@
 	if err := ended(farCmd, syscall.SIGTERM); err != nil {
 		t.Errorf("the far gateway ended with %v; it said %s", err, farOut)
 	}
-	heldTo(t, answers, server)
+	checkAnswers(t, answers, server)
 	count := map[int]int{}
 	for _, a := range answers {
 		count[a.Status]++
@@ -145,8 +144,8 @@
 	}
 }
 
-// came counts what came to servers, by id.
-func came(servers ...*standin.Server) map[string]int {
+// arrivals counts the requests that servers received, by id.
+func arrivals(servers ...*standin.Server) map[string]int {
 	n := map[string]int{}
 	for _, s := range servers {
 		for _, a := range s.Came() {
@@ -156,19 +155,19 @@
 	return n
 }
 
-// heldTo holds what clients were told against what came to the servers: nothing twice, what was served once, what
-// was refused never.
-func heldTo(t *testing.T, answers []sites.Answer, servers ...*standin.Server) {
+// checkAnswers compares the clients' answers with the requests that the servers received: no request arrives twice, each
+// served one arrives once, and no refused one arrives.
+func checkAnswers(t *testing.T, answers []sites.Answer, servers ...*standin.Server) {
 	t.Helper()
-	ran := came(servers...)
+	ran := arrivals(servers...)
 	for _, a := range answers {
 		switch n := ran[a.ID]; {
 		case n > 1:
-			t.Errorf("%s came %d times", a.ID, n)
+			t.Errorf("%s arrived %d times, want at most 1", a.ID, n)
 		case a.Status == http.StatusOK && n != 1:
-			t.Errorf("%s was served and came %d times", a.ID, n)
+			t.Errorf("%s was served and arrived %d times, want 1", a.ID, n)
 		case a.Status == http.StatusServiceUnavailable && n != 0:
-			t.Errorf("%s was refused and came", a.ID)
+			t.Errorf("%s was refused but arrived at a server", a.ID)
 		}
 	}
 }
--- a/cmd/molepaddle/standin_test.go
+++ b/cmd/molepaddle/standin_test.go
@@ -10,7 +10,7 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// The stand-ins of a trial serve, say what comes and drain when told.
+// The fake servers of a trial serve requests, print them, and drain on command.
 func TestStandIn(t *testing.T) {
 	roster, server := freeAddress(t), freeAddress(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -29,7 +29,7 @@
 		return string(text)
 	}
 	eventually(t, "it serves", out, func() bool { return get("http://"+server+"/order/u1") == "trial-1 by "+server })
-	eventually(t, "it says so", out, func() bool { return strings.Contains(out.String(), server+" got trial-1") })
+	eventually(t, "it prints the request", out, func() bool { return strings.Contains(out.String(), server+" got trial-1") })
 	io.WriteString(type_, "what\ndrain "+server+"\n")
 	eventually(t, "it drains", out, func() bool { return strings.Contains(get("http://"+roster+"/v1/endpoints"), `"health":"draining"`) })
 	if !strings.Contains(out.String(), `"what" is not understood`) {
@@ -41,7 +41,7 @@
 	}
 	for _, args := range [][]string{{roster}, {"10.0.0.1:1", server}, {roster, "nothing"}} {
 		if runFakeServers(t.Context(), args, strings.NewReader(""), out) == nil {
-			t.Errorf("%v is taken", args)
+			t.Errorf("arguments %v are accepted", args)
 		}
 	}
 }
--- a/cmd/molepaddle/work_test.go
+++ b/cmd/molepaddle/work_test.go
@@ -38,9 +38,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { s.Close() })
-		f.more = append(f.more, s)
+		f.extraServers = append(f.extraServers, s)
 	}
-	f.add(func(i int) string {
+	f.appendConfig(func(i int) string {
 		text := "[work]\nreplace_after = \"3s\"\npatience = \"2s\"\nagent_share = 0.5\n"
 		if i < folders {
 			text += fmt.Sprintf("folder = %q\n", f.folder(i))
@@ -76,25 +76,25 @@
 	if c.Token == 0 {
 		c.Token = token() | 1<<63
 	}
-	return agent.AskWork(ctx, f.all[i].door, c)
+	return agent.AskWork(ctx, f.members[i].management, c)
 }
 
-func (f *fleet) must(i int, c seat.Call) *seat.Report {
+func (f *fleet) mustCall(i int, c seat.Call) *seat.Report {
 	f.t.Helper()
 	r, err := f.call(i, 20*time.Second, c)
 	if err != nil {
-		f.t.Fatalf("%+v at n%d: %v; it said %s", c, i, err, f.all[i].out)
+		f.t.Fatalf("%+v at n%d: %v; it said %s", c, i, err, f.members[i].out)
 	}
 	return r
 }
 
 func (f *fleet) ask(i int, id, machine string) {
 	f.t.Helper()
-	f.must(i, seat.Call{Do: seat.Ask, Ask: &work.Ask{ID: id, Machine: machine, Seconds: 60, By: "test"}})
+	f.mustCall(i, seat.Call{Do: seat.Ask, Ask: &work.Ask{ID: id, Machine: machine, Seconds: 60, By: "test"}})
 }
 
-// comes waits until agent i reports the request in the phase.
-func (f *fleet) comes(i int, id, phase string) (q seat.Request) {
+// awaitPhase waits until agent i reports the request in the phase.
+func (f *fleet) awaitPhase(i int, id, phase string) (q seat.Request) {
 	f.t.Helper()
 	last := ""
 	defer func() {
@@ -103,7 +103,7 @@
 		}
 	}()
 	began := time.Now()
-	eventually(f.t, id+" is "+phase, f.all[i].out, func() bool {
+	eventually(f.t, id+" is "+phase, f.members[i].out, func() bool {
 		r, err := f.call(i, 2*time.Second, seat.Call{Do: seat.Show})
 		if err != nil {
 			last = err.Error()
@@ -119,25 +119,25 @@
 	return q
 }
 
-// council founds a council at n0 and waits until it has three voters.
-func (f *fleet) council() {
+// foundCouncil founds a foundCouncil at n0 and waits until it has three voters.
+func (f *fleet) foundCouncil() {
 	f.t.Helper()
-	f.must(0, seat.Call{Do: seat.Found})
+	f.mustCall(0, seat.Call{Do: seat.Found})
 	began := time.Now()
-	eventually(f.t, "the council has three voters", f.all[0].out, func() bool {
+	eventually(f.t, "the council has three voters", f.members[0].out, func() bool {
 		r, err := f.call(0, 2*time.Second, seat.Call{Do: seat.Show})
 		return err == nil && len(r.Voters) == 3 && len(r.Learners) == 0
 	})
 	f.t.Logf("three voters after %v", time.Since(began).Round(10*time.Millisecond))
 }
 
-// leader waits until one of these reports a leader among them, and returns it.
-func (f *fleet) leader(these ...int) (leader int) {
+// awaitLeader waits until one of these reports a awaitLeader among them, and returns it.
+func (f *fleet) awaitLeader(these ...int) (leader int) {
 	f.t.Helper()
-	eventually(f.t, "a leader is elected", f.all[these[0]].out, func() bool {
+	eventually(f.t, "a leader is elected", f.members[these[0]].out, func() bool {
 		for _, i := range these {
 			if r, err := f.call(i, time.Second, seat.Call{Do: seat.Show}); err == nil && r.Leader != "" && r.AgeMs < 1000 {
-				leader = slices.IndexFunc(f.all, func(o *one) bool { return o.name == r.Leader })
+				leader = slices.IndexFunc(f.members, func(o *member) bool { return o.name == r.Leader })
 				return slices.Contains(these, leader)
 			}
 		}
@@ -146,9 +146,9 @@
 	return leader
 }
 
-// ready returns the status code of agent i's readiness endpoint; 0: no answer.
-func (f *fleet) ready(i int) int {
-	resp, err := testkit.Client.Get("http://" + f.all[i].listen + "/ready")
+// readyStatus returns the status code of agent i's readiness endpoint; 0: no answer.
+func (f *fleet) readyStatus(i int) int {
+	resp, err := testkit.Client.Get("http://" + f.members[i].listen + "/ready")
 	if err != nil {
 		return 0
 	}
@@ -156,11 +156,11 @@
 	return resp.StatusCode
 }
 
-// requests sends n requests through agent i, all of which must succeed.
-func (f *fleet) requests(i, n int) {
+// sendRequests sends n sendRequests through agent i, all of which must succeed.
+func (f *fleet) sendRequests(i, n int) {
 	f.t.Helper()
 	for k := range n {
-		req, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/order/u%d", f.all[i].listen, k), strings.NewReader("x"))
+		req, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/order/u%d", f.members[i].listen, k), strings.NewReader("x"))
 		req.Header.Set("Request-Id", fmt.Sprint("w", tokens.Add(1)))
 		req.Header.Set("Request-Timeout", "30000m")
 		resp, err := testkit.Client.Do(req)
@@ -181,30 +181,30 @@
 	f := newWorkers(t, 6, 5, 4)
 	all := []int{0, 1, 2, 3, 4, 5}
 	f.start(all...)
-	f.agree("six find each other", all...)
+	f.awaitAgreement("six find each other", all...)
 	if _, err := f.call(5, 2*time.Second, seat.Call{Do: seat.Show}); err == nil || !strings.Contains(err.Error(), "work found") {
 		t.Errorf("with no council: %v", err)
 	}
-	f.council()
+	f.foundCouncil()
 	if _, err := f.call(3, 5*time.Second, seat.Call{Do: seat.Found}); err == nil || !strings.Contains(err.Error(), "found: th") {
 		t.Errorf("a second council: %v", err)
 	}
 
 	f.ask(5, "r2", "v2")
-	q := f.comes(5, "r2", "granted")
+	q := f.awaitPhase(5, "r2", "granted")
 	if q.Permit == 0 || strings.Contains(q.Why, "have not said") {
 		t.Errorf("%+v", q)
 	}
-	f.more[0].Counts()
+	f.extraServers[0].Counts()
 	for _, i := range all {
-		f.requests(i, 20)
+		f.sendRequests(i, 20)
 	}
-	if came, _, _ := f.more[0].Counts(); came > 0 {
+	if came, _, _ := f.extraServers[0].Counts(); came > 0 {
 		t.Errorf("%d requests reached a machine that all agents reported to have drained", came)
 	}
 
 	// The leader is partitioned from all others: it commits nothing more and reports so; the others go on.
-	lead := f.leader(all...)
+	lead := f.awaitLeader(all...)
 	parts := make([]int, 6)
 	parts[lead] = 1
 	f.mesh.Split(parts...)
@@ -212,8 +212,8 @@
 		t.Error("the minority took a permit")
 	}
 	rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
-	f.leader(rest...)
-	f.must(rest[0], seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit})
+	f.awaitLeader(rest...)
+	f.mustCall(rest[0], seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit})
 	if _, err := f.call(rest[1], 10*time.Second, seat.Call{Do: seat.Cancel, ID: "r2"}); err == nil {
 		t.Error("a request whose machine is out was cancelled")
 	}
@@ -221,29 +221,29 @@
 		t.Errorf("the minority shows %+v, %v", r, err)
 	}
 	f.mesh.Split(make([]int, 6)...)
-	f.agree("the partition heals", all...)
-	f.comes(lead, "r2", "out")
-	f.must(lead, seat.Call{Do: seat.Back, ID: "r2"})
-	f.comes(5, "r2", "done")
-	eventually(t, "the server gets requests again", f.all[5].out, func() bool {
-		f.requests(5, 8)
-		came, _, _ := f.more[0].Counts()
+	f.awaitAgreement("the partition heals", all...)
+	f.awaitPhase(lead, "r2", "out")
+	f.mustCall(lead, seat.Call{Do: seat.Back, ID: "r2"})
+	f.awaitPhase(5, "r2", "done")
+	eventually(t, "the server gets requests again", f.members[5].out, func() bool {
+		f.sendRequests(5, 8)
+		came, _, _ := f.extraServers[0].Counts()
 		return came > 0
 	})
 
 	// The leader is killed for good: another is elected soon, with all committed decisions.
-	lead = f.leader(all...)
+	lead = f.awaitLeader(all...)
 	f.signal(syscall.SIGKILL, lead)
 	began := time.Now()
 	rest = slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
-	f.leader(rest...)
+	f.awaitLeader(rest...)
 	t.Logf("another leads after %v", time.Since(began).Round(10*time.Millisecond))
-	if q := f.comes(rest[0], "r2", "done"); q.Permit == 0 {
+	if q := f.awaitPhase(rest[0], "r2", "done"); q.Permit == 0 {
 		t.Errorf("%+v", q)
 	}
-	eventually(t, "another agent has its seat", f.all[rest[0]].out, func() bool {
+	eventually(t, "another agent has its seat", f.members[rest[0]].out, func() bool {
 		r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
-		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[lead].name) && len(r.Learners) == 0 &&
+		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.members[lead].name) && len(r.Learners) == 0 &&
 			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of a seat without an agent
 	})
 	if err := os.RemoveAll(f.folder(lead)); err != nil {
@@ -251,31 +251,31 @@
 	}
 	f.folder(lead)
 	f.start(lead) // without its disk it is a new member
-	f.agree("it comes back without its disk", all...)
+	f.awaitAgreement("it comes back without its disk", all...)
 
 	// The machine of a voter goes out under 'work run': its clients are sent away, its seat moves to another agent,
 	// and it restarts while the command waits.
-	r := f.must(5, seat.Call{Do: seat.Show})
-	sits := slices.IndexFunc(f.all, func(o *one) bool { return o.name == r.Voters[0] })
+	r := f.mustCall(5, seat.Call{Do: seat.Show})
+	sits := slices.IndexFunc(f.members, func(o *member) bool { return o.name == r.Voters[0] })
 	other := rest[slices.IndexFunc(rest, func(i int) bool { return i != sits })]
 	hold := filepath.Join(f.dir, "hold")
 	write(t, hold, "")
 	var said output
 	ended := make(chan error, 1)
 	go func() {
-		ended <- run([]string{"work", "run", "--door", f.all[other].door, "--id", "rh", "--for", "10s", fmt.Sprint("h", sits), "--", "sh", "-c", "echo at work on $WORK_MACHINE; while test -e " + hold + "; do sleep 0.05; done"}, &said)
+		ended <- run([]string{"work", "run", "--door", f.members[other].management, "--id", "rh", "--for", "10s", fmt.Sprint("h", sits), "--", "sh", "-c", "echo at work on $WORK_MACHINE; while test -e " + hold + "; do sleep 0.05; done"}, &said)
 	}()
-	f.comes(other, "rh", "out")
-	if status := f.ready(sits); status != 503 {
+	f.awaitPhase(other, "rh", "out")
+	if status := f.readyStatus(sits); status != 503 {
 		t.Errorf("the agent of a machine that is out answers %d", status)
 	}
-	if r := f.must(other, seat.Call{Do: seat.Show}); slices.Contains(r.Voters, f.all[sits].name) {
-		t.Errorf("the machine is out and the voters are %v, still with %s", r.Voters, f.all[sits].name)
+	if r := f.mustCall(other, seat.Call{Do: seat.Show}); slices.Contains(r.Voters, f.members[sits].name) {
+		t.Errorf("the machine is out and the voters are %v, still with %s", r.Voters, f.members[sits].name)
 	}
 	// A surplus seat of an earlier step may still be removed: while the machine is out, there are three voters.
-	eventually(t, "three voters, none of them out", f.all[other].out, func() bool {
+	eventually(t, "three voters, none of them out", f.members[other].out, func() bool {
 		r, err := f.call(other, 2*time.Second, seat.Call{Do: seat.Show})
-		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[sits].name)
+		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.members[sits].name)
 	})
 	f.signal(syscall.SIGTERM, sits)
 	f.start(sits)
@@ -286,15 +286,15 @@
 	if text := said.String(); !strings.Contains(text, fmt.Sprintf("h%d is out under permit", sits)) || !strings.Contains(text, fmt.Sprintf("at work on h%d", sits)) || !strings.Contains(text, "rh done") {
 		t.Errorf("it printed %s", text)
 	}
-	f.comes(other, "rh", "done")
-	eventually(t, "it accepts clients", f.all[sits].out, func() bool { return f.ready(sits) == 200 })
+	f.awaitPhase(other, "rh", "done")
+	eventually(t, "it accepts clients", f.members[sits].out, func() bool { return f.readyStatus(sits) == 200 })
 
 	for _, c := range []struct{ args, want string }{
 		{"show", "rh "}, {"plan", "FROM"}, {"record", "granted -> out: taken under permit"}, {"why rh", "is done"}, {"why r9", "no request"},
 		{"ask h9", "no machine"}, {"take rh 77", "permit 77 is not one of"}, {"cancel rh", "is done"}, {"ask v1 --id c1", "c1"}, {"cancel c1", "cancelled"}, {"take c1 x", "no permit's number"},
 	} {
 		var out output
-		err := run(append(append([]string{"work"}, strings.Fields(c.args)...), "--door", f.all[other].door), &out)
+		err := run(append(append([]string{"work"}, strings.Fields(c.args)...), "--door", f.members[other].management), &out)
 		if text := fmt.Sprint(out.String(), err); !strings.Contains(text, c.want) {
 			t.Errorf("work %s: %s", c.args, text)
 		}
@@ -305,78 +305,78 @@
 // Faults during maintenance, one after the other: a server fails while a permit is not yet taken; all agents are
 // killed at once; the leader is suspended; the leader's disk is full; the machines of all voters are requested;
 // all agents of a machine are dead.
-func TestWorkGoesWrong(t *testing.T) {
+func TestWorkFaults(t *testing.T) {
 	f := newWorkers(t, 6, 5, 4)
 	all := []int{0, 1, 2, 3, 4, 5}
 	f.start(all...)
-	f.agree("six find each other", all...)
-	f.council()
-	lead := f.leader(all...)
+	f.awaitAgreement("six find each other", all...)
+	f.foundCouncil()
+	lead := f.awaitLeader(all...)
 
 	// A server stops answering, and only agents other than the leader notice: the permit that was not yet taken is
 	// withdrawn, and its number never becomes valid again.
 	f.ask(5, "r2", "v2")
-	q := f.comes(5, "r2", "granted")
-	f.more[1].Close()
-	eventually(t, "r2 is withdrawn", f.all[lead].out, func() bool {
+	q := f.awaitPhase(5, "r2", "granted")
+	f.extraServers[1].Close()
+	eventually(t, "r2 is withdrawn", f.members[lead].out, func() bool {
 		for i := range all {
 			if i != lead {
-				f.requests(i, 2)
+				f.sendRequests(i, 2)
 			}
 		}
-		r := f.must(5, seat.Call{Do: seat.Show}).Find("r2")
+		r := f.mustCall(5, seat.Call{Do: seat.Show}).Find("r2")
 		return r.Phase == "asked" && strings.Contains(r.Why, "would be left for a need")
 	})
 	if _, err := f.call(5, 10*time.Second, seat.Call{Do: seat.Take, ID: "r2", Permit: q.Permit}); err == nil || !strings.Contains(err.Error(), "is not one of") {
 		t.Errorf("a permit that was withdrawn: %v", err)
 	}
-	f.must(5, seat.Call{Do: seat.Cancel, ID: "r2"})
+	f.mustCall(5, seat.Call{Do: seat.Cancel, ID: "r2"})
 	f.ask(5, "r3", "v3") // the failed server does not count against the need
-	q = f.comes(5, "r3", "granted")
-	f.must(5, seat.Call{Do: seat.Take, ID: "r3", Permit: q.Permit})
+	q = f.awaitPhase(5, "r3", "granted")
+	f.mustCall(5, seat.Call{Do: seat.Take, ID: "r3", Permit: q.Permit})
 
 	// All agents are killed at once: the committed decisions survive.
 	f.signal(syscall.SIGKILL, all...)
 	f.start(all...)
-	f.agree("all are killed and started", all...)
-	lead = f.leader(all...)
-	if r := f.comes(4, "r3", "out"); r.Permit != q.Permit {
+	f.awaitAgreement("all are killed and started", all...)
+	lead = f.awaitLeader(all...)
+	if r := f.awaitPhase(4, "r3", "out"); r.Permit != q.Permit {
 		t.Errorf("%+v", r)
 	}
 
 	// The leader is suspended and resumes as a follower.
 	f.signal(syscall.SIGSTOP, lead)
 	rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
-	f.leader(rest...)
-	f.must(rest[0], seat.Call{Do: seat.Fail, ID: "r3"})
+	f.awaitLeader(rest...)
+	f.mustCall(rest[0], seat.Call{Do: seat.Fail, ID: "r3"})
 	f.signal(syscall.SIGCONT, lead)
-	f.comes(lead, "r3", "failed")
+	f.awaitPhase(lead, "r3", "failed")
 
 	// The leader's disk is full: it leaves the council, logs one line, and goes on serving; another gets its seat.
-	lead = f.leader(all...)
+	lead = f.awaitLeader(all...)
 	full := &unix.Rlimit{Cur: 1, Max: 1}
-	if err := unix.Prlimit(f.all[lead].cmd.Process.Pid, unix.RLIMIT_FSIZE, full, nil); err != nil {
+	if err := unix.Prlimit(f.members[lead].cmd.Process.Pid, unix.RLIMIT_FSIZE, full, nil); err != nil {
 		t.Fatal(err)
 	}
 	rest = slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
 	f.ask(rest[0], "h", "h5")
-	eventually(t, "the agent with a full disk leaves the council", f.all[lead].out, func() bool {
-		return strings.Contains(f.all[lead].out.String(), "this agent leaves the council")
+	eventually(t, "the agent with a full disk leaves the council", f.members[lead].out, func() bool {
+		return strings.Contains(f.members[lead].out.String(), "this agent leaves the council")
 	})
-	f.requests(lead, 5)
-	if n := strings.Count(f.all[lead].out.String(), "this agent leaves the council"); n != 1 {
+	f.sendRequests(lead, 5)
+	if n := strings.Count(f.members[lead].out.String(), "this agent leaves the council"); n != 1 {
 		t.Errorf("it logs %d lines about leaving, want 1", n)
 	}
-	f.leader(rest...)
-	eventually(t, "another agent has its seat", f.all[rest[0]].out, func() bool {
+	f.awaitLeader(rest...)
+	eventually(t, "another agent has its seat", f.members[rest[0]].out, func() bool {
 		r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
-		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.all[lead].name) && len(r.Learners) == 0 &&
+		return err == nil && len(r.Voters) == 3 && !slices.Contains(r.Voters, f.members[lead].name) && len(r.Learners) == 0 &&
 			!strings.Contains(strings.Join(r.Voters, " "), "seat ") // of a seat without an agent
 	})
-	f.must(rest[0], seat.Call{Do: seat.Cancel, ID: "h"})
+	f.mustCall(rest[0], seat.Call{Do: seat.Cancel, ID: "h"})
 
 	// The machines of all voters at once: they go out as the bounds allow, and the council keeps three voters.
-	r := f.must(rest[0], seat.Call{Do: seat.Show})
+	r := f.mustCall(rest[0], seat.Call{Do: seat.Show})
 	var ids []string
 	for _, name := range r.Voters {
 		id := "seat-" + name
@@ -386,7 +386,7 @@
 	for len(ids) > 0 {
 		var id string
 		var permit uint64
-		eventually(t, fmt.Sprint("one of ", ids, " goes"), f.all[rest[0]].out, func() bool {
+		eventually(t, fmt.Sprint("one of ", ids, " goes"), f.members[rest[0]].out, func() bool {
 			r, err := f.call(rest[0], 2*time.Second, seat.Call{Do: seat.Show})
 			if err != nil {
 				return false
@@ -401,23 +401,23 @@
 			}
 			return id != ""
 		})
-		f.must(rest[0], seat.Call{Do: seat.Take, ID: id, Permit: permit})
-		f.must(rest[0], seat.Call{Do: seat.Back, ID: id})
-		f.comes(rest[0], id, "done")
+		f.mustCall(rest[0], seat.Call{Do: seat.Take, ID: id, Permit: permit})
+		f.mustCall(rest[0], seat.Call{Do: seat.Back, ID: id})
+		f.awaitPhase(rest[0], id, "done")
 		back, _ := strconv.Atoi(id[len("seat-n"):])
-		eventually(t, "it accepts clients", f.all[back].out, func() bool { return f.ready(back) == 200 })
+		eventually(t, "it accepts clients", f.members[back].out, func() bool { return f.readyStatus(back) == 200 })
 		ids = slices.DeleteFunc(ids, func(o string) bool { return o == id })
 	}
 
 	// A machine whose agents are all dead gets its permit without their confirmation.
 	f.signal(syscall.SIGKILL, lead)
-	dead := f.all[lead].name
-	eventually(t, "it is believed dead", f.all[rest[0]].out, func() bool {
+	dead := f.members[lead].name
+	eventually(t, "it is believed dead", f.members[rest[0]].out, func() bool {
 		v, err := f.view(rest[0])
 		return err == nil && states(&v)[dead] == "dead"
 	})
 	f.ask(rest[0], "dead", "h"+dead[1:])
-	f.comes(rest[0], "dead", "granted")
+	f.awaitPhase(rest[0], "dead", "granted")
 	f.signal(syscall.SIGTERM, rest...)
 }
 
@@ -437,26 +437,26 @@
 			all = append(all, i)
 		}
 		f.start(all...)
-		f.agree("they find each other", all...)
-		f.council()
+		f.awaitAgreement("they find each other", all...)
+		f.foundCouncil()
 		var permits, leaders []time.Duration
 		for k := range 10 {
 			id := fmt.Sprint("r", k)
 			began := time.Now()
 			f.ask(k%n, id, "v2")
-			f.comes(k%n, id, "granted")
+			f.awaitPhase(k%n, id, "granted")
 			permits = append(permits, time.Since(began))
-			f.must(k%n, seat.Call{Do: seat.Cancel, ID: id})
+			f.mustCall(k%n, seat.Call{Do: seat.Cancel, ID: id})
 		}
 		for range 5 {
-			lead := f.leader(all...)
+			lead := f.awaitLeader(all...)
 			f.signal(syscall.SIGKILL, lead)
 			rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lead })
 			began := time.Now()
-			eventually(t, "another leads", f.all[rest[0]].out, func() bool {
+			eventually(t, "another leads", f.members[rest[0]].out, func() bool {
 				for _, i := range rest {
 					r, err := f.call(i, 200*time.Millisecond, seat.Call{Do: seat.Show})
-					if err == nil && r.Leader != "" && r.Leader != f.all[lead].name && r.AgeMs < 1000 {
+					if err == nil && r.Leader != "" && r.Leader != f.members[lead].name && r.AgeMs < 1000 {
 						return true
 					}
 				}
@@ -464,7 +464,7 @@
 			})
 			leaders = append(leaders, time.Since(began))
 			f.start(lead)
-			f.agree("it is back", all...)
+			f.awaitAgreement("it is back", all...)
 		}
 		slices.Sort(permits)
 		slices.Sort(leaders)
--- a/cmd/molepaddle/workdrawn_test.go
+++ b/cmd/molepaddle/workdrawn_test.go
@@ -28,32 +28,31 @@
 	workFrom      = flag.Uint64("work.from", 1, "the first seed of them")
 )
 
-// Drawn schedules of faults on six processes while operators at all of them ask, take, call off and say done, and
-// clients send orders: what operators were told could have been told by one that does one thing after
-// the other; never more servers were away than the bounds allow; no number was given twice; no order ran
-// twice; once the faults end all that sit have the same.
+// Random schedules of faults on six processes, while operators at all of them ask, take, cancel and report done,
+// and clients send orders. The operators' answers are linearizable; never more servers are out than the bounds
+// allow; no permit number is given twice; no order runs twice.
 func TestWorkDrawn(t *testing.T) {
 	for k := range *workSchedules {
 		seed := *workFrom + uint64(k)
 		f := newWorkers(t, 6, 5, 4)
 		f.start(0, 1, 2, 3, 4, 5)
-		f.agree("at first", 0, 1, 2, 3, 4, 5)
-		f.council()
+		f.awaitAgreement("at first", 0, 1, 2, 3, 4, 5)
+		f.foundCouncil()
 		s := many.Draw(seed, 6)
 		h := &history{f: f, began: time.Now(), ended: make(chan struct{})}
 		for who := range 3 {
 			h.wg.Go(func() { h.operator(who, rand.New(rand.NewPCG(seed, uint64(who)))) })
 		}
-		h.wg.Go(h.orders)
-		left := f.faults(s)
-		for i := range f.all { // a council whose disks are all there goes on; one that is down is none
+		h.wg.Go(h.sendOrders)
+		left := f.playFaults(s)
+		for i := range f.members { // start the others: the council recovers from its members' disks
 			if !slices.Contains(left, i) {
 				f.start(i)
 				left = append(left, i)
 			}
 		}
-		f.agree("it settles", left...)
-		eventually(t, "operators and clients were told enough", f.all[left[0]].out, h.enough)
+		f.awaitAgreement("the views converge", left...)
+		eventually(t, "operators and clients have enough answers", f.members[left[0]].out, h.enough)
 		close(h.ended)
 		h.wg.Wait()
 		h.check(left)
@@ -61,12 +60,12 @@
 			t.Fatal(s)
 		}
 		for _, i := range left {
-			_ = f.all[i].cmd.Process.Kill()
+			_ = f.members[i].cmd.Process.Kill()
 		}
 	}
 }
 
-// history is what operators did and were told.
+// history records the operators' calls with their results.
 type history struct {
 	f     *fleet
 	began time.Time
@@ -80,34 +79,34 @@
 	ids                       atomic.Uint64
 }
 
-// done is an operator's call, and told what came of it: "ok", "no" or "unknown".
-type done struct {
+// operation is an operator's call. Its result in the history is "ok", "no" or "unknown".
+type operation struct {
 	do     seat.Do
 	id     string
 	permit uint64
 }
 
-// enough tells whether a check says anything.
+// enough reports whether there are enough answers for a meaningful check.
 func (h *history) enough() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.known >= 20 && h.served >= 50
 }
 
-// machineOf is the machine that a request is about: a server's for four, an agent's for two.
+// machineOf returns the machine of request k: a server's for 0 to 3, an agent's for 4 and 5.
 func machineOf(k int) string { return []string{"v1", "v2", "v3", "v4", "h4", "h5"}[k] }
 
-// operator does drawn things at drawn agents until the faults are over.
+// operator makes random calls at random agents until the history ends.
 func (h *history) operator(who int, rng *rand.Rand) {
 	for n := 0; ; n++ {
 		select {
 		case <-h.ended:
 			return
-		case <-time.After(time.Duration(20+rng.IntN(120)) * time.Millisecond): // people take their time
+		case <-time.After(time.Duration(20+rng.IntN(120)) * time.Millisecond): // the pace of a person
 		}
 		i, k, round := rng.IntN(6), rng.IntN(6), n/20
 		// Each operator has requests of his own; two share those of an agent's machine.
-		op := done{id: fmt.Sprintf("%s-%d-%d", machineOf(k), who, round)}
+		op := operation{id: fmt.Sprintf("%s-%d-%d", machineOf(k), who, round)}
 		switch x := rng.IntN(10); {
 		case x < 4:
 			op.do = seat.Ask
@@ -137,12 +136,12 @@
 		}
 		at := time.Since(h.began).Nanoseconds()
 		_, err := h.f.call(i, 1500*time.Millisecond, c)
-		h.note(who, op, at, err)
+		h.record(who, op, at, err)
 	}
 }
 
-// note writes down what an operator was told.
-func (h *history) note(who int, op done, at int64, err error) {
+// record records the result of an operator's call.
+func (h *history) record(who int, op operation, at int64, err error) {
 	until, told := time.Since(h.began).Nanoseconds(), "ok"
 	var no *seat.Declined
 	switch {
@@ -161,8 +160,8 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: who, Input: op, Call: at, Output: told, Return: until})
 }
 
-// orders sends orders through all agents, one after the other, whoever runs.
-func (h *history) orders() {
+// sendOrders sends sendOrders through all agents in turn, whether they run or not.
+func (h *history) sendOrders() {
 	client := http.Client{Timeout: 3 * time.Second}
 	for k := 0; ; k++ {
 		select {
@@ -170,7 +169,7 @@
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
-		req, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/order/u%d", h.f.all[k%6].listen, k), strings.NewReader("x"))
+		req, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/order/u%d", h.f.members[k%6].listen, k), strings.NewReader("x"))
 		req.Header.Set("Request-Id", fmt.Sprint("o", h.ids.Add(1)))
 		req.Header.Set("Request-Timeout", "1000m")
 		resp, err := client.Do(req)
@@ -187,12 +186,12 @@
 	}
 }
 
-// lifeOf is what one machine that does one thing after the other would tell of a request.
-var lifeOf = porcupine.Model{
+// requestModel is the sequential model of a request, for the linearizability check.
+var requestModel = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) (parts [][]porcupine.Operation) {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range ops {
-			id := o.Input.(done).id
+			id := o.Input.(operation).id
 			by[id] = append(by[id], o)
 		}
 		for _, part := range by {
@@ -202,8 +201,8 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		s, op, told := state.(string), input.(done), output.(string)
-		next, may := s, true // what a yes makes of it, and whether it can be one
+		s, op, told := state.(string), input.(operation), output.(string)
+		next, may := s, true // the state after "ok", and whether "ok" is possible
 		switch op.do {
 		case seat.Ask:
 			if s == "" {
@@ -216,31 +215,31 @@
 			next, may = "back", strings.HasPrefix(s, "out") || s == "back"
 		case seat.Cancel:
 			next, may = "cancelled", s == "asked" || s == "cancelled"
-		case seat.Show: // at the end, what it was found to be
+		case seat.Show: // the final state in the council's record
 			return s == told || told == "asked" && s == "" || strings.HasPrefix(s, "out") && told == "out", s
 		}
 		switch told {
 		case "ok":
 			return may, next
 		case "no":
-			// Grants and what is seen come from elsewhere, so a no says little; it says this.
+			// Grants and observations are not in the history, so "no" rules out only these states.
 			sure := op.do == seat.Take && s == fmt.Sprint("out", op.permit) || op.do == seat.Back && strings.HasPrefix(s, "out") || op.do == seat.Cancel && s == "asked"
 			return !sure, s
 		}
-		if may { // it never knew; one that never counted stands behind all others, as it has no end
+		if may { // unknown: a call without effect is ordered after all others, as it never returns
 			return true, next
 		}
 		return true, s
 	},
 }
 
-// check holds all that was told against itself and against what the servers saw.
+// check checks that the history is linearizable, and compares it with the requests that the servers received.
 func (h *history) check(left []int) {
 	t, f := h.f.t, h.f
 	t.Helper()
 	var shown []*seat.Report
 	for _, i := range left {
-		eventually(t, "it shows the council's record", f.all[i].out, func() bool {
+		eventually(t, "the council's record is available", f.members[i].out, func() bool {
 			r, err := f.call(i, 5*time.Second, seat.Call{Do: seat.Record})
 			if err == nil && r.Leader != "" && r.AgeMs < 1000 {
 				shown = append(shown, r)
@@ -249,7 +248,7 @@
 		})
 	}
 	if len(shown) == 0 {
-		t.Fatal("nobody shows anything")
+		t.Fatal("no agent has shown a recent record with a leader")
 	}
 	last := slices.MaxFunc(shown, func(a, b *seat.Report) int { return int(a.Applied) - int(b.Applied) })
 	at := time.Since(h.began).Nanoseconds()
@@ -258,13 +257,13 @@
 		if phase == "" {
 			phase = q.Phase
 		}
-		h.ops = append(h.ops, porcupine.Operation{ClientId: 9, Input: done{do: seat.Show, id: q.ID}, Call: at, Output: phase, Return: at + 1})
+		h.ops = append(h.ops, porcupine.Operation{ClientId: 9, Input: operation{do: seat.Show, id: q.ID}, Call: at, Output: phase, Return: at + 1})
 	}
-	if got := porcupine.CheckOperationsTimeout(lifeOf, h.ops, 20*time.Second); got == porcupine.Illegal {
+	if got := porcupine.CheckOperationsTimeout(requestModel, h.ops, 20*time.Second); got == porcupine.Illegal {
 		for _, o := range h.ops {
 			t.Logf("%d %+v: %v, %v to %v", o.ClientId, o.Input, o.Output, time.Duration(o.Call), time.Duration(o.Return))
 		}
-		t.Errorf("no order of these calls explains what was told")
+		t.Errorf("the history of calls is not linearizable")
 	}
 	away, permits := map[string]bool{}, map[string]string{}
 	for _, line := range last.Record {
@@ -283,22 +282,22 @@
 				}
 			}
 			if n > 1 {
-				t.Errorf("%d of four servers are away, and need leaves one: %s", n, line)
+				t.Errorf("%d of four servers are out, want at most 1: %s", n, line)
 			}
 		}
 		if _, permit, ok := strings.Cut(line, "taken under permit "); ok {
 			if was := permits[permit]; was != "" && was != id {
-				t.Errorf("permit %s is %s's and %s's", permit, was, id)
+				t.Errorf("permit %s was given to both %s and %s", permit, was, id)
 			}
 			permits[permit] = id
 		}
 	}
-	for id, n := range came(append([]*standin.Server{f.server}, f.more...)...) {
+	for id, n := range arrivals(append([]*standin.Server{f.server}, f.extraServers...)...) {
 		if n > 1 {
 			t.Errorf("order %s ran %d times", id, n)
 		}
 	}
-	t.Logf("%d calls with an answer, %d without; %d lines settled, %d taken; %d of %d orders served", h.known, h.open, len(last.Record), len(permits), h.served, h.sent)
+	t.Logf("%d calls with an answer, %d without; %d lines committed, %d permits taken; %d of %d orders served", h.known, h.open, len(last.Record), len(permits), h.served, h.sent)
 	if h.served < h.sent*9/10 {
 		t.Errorf("%d of %d orders were served", h.served, h.sent)
 	}
