--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs many independent balancers on the simulator's wire:
-// batches on standard input, one reply a batch on standard output.
+// Command adapter runs many independent balancers for the simulator. It reads batches of events in the
+// simulator's binary format from standard input and writes one reply per batch to standard output.
 package main
 
 import (
@@ -19,8 +19,7 @@
 	}
 }
 
-// run serves batches until the input ends. Instances share nothing but the
-// process; each is reached through its number only.
+// run answers batches until the input ends. The instances share no state; each is addressed by its number.
 func run(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -44,7 +43,7 @@
 		default:
 			b := instances[rec.Instance]
 			if b == nil {
-				return nil // dead or never started: nothing more is owed
+				return nil // killed or never started: no actions
 			}
 			actions = b.Handle(now, &rec.Event, actions[:0])
 		}
@@ -70,6 +69,7 @@
 	}
 }
 
+// boot creates the balancer of a boot record.
 func boot(rec *wire.Record) (*policy.Balancer, error) {
 	settings, err := wire.ParseSettings(rec.Settings)
 	if err != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -12,7 +12,7 @@
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
-// batch frames records of 48 bytes, given by their first bytes, with a tail.
+// batch encodes a batch frame. Records are given by their first bytes and padded to 48.
 func batch(clock float64, tail string, records ...[]byte) []byte {
 	be := binary.BigEndian
 	out := be.AppendUint32(nil, uint32(len(records)))
@@ -49,13 +49,13 @@
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	// Each life holds its one request (there is no list) and sets one timer; the
-	// request between the two lives is nobody's.
+	// Each of the two balancers queues one request, as there is no list, and sets one timer. The request between
+	// the kill and the boot has no balancer and causes no action.
 	reply := out.Bytes()
 	for i, want := range []uint32{1, 1} {
 		n, size := binary.BigEndian.Uint32(reply), binary.BigEndian.Uint32(reply[4:])
 		if n != want || reply[8] != 88 {
-			t.Errorf("batch %d: %d actions, first of code %d; want %d timer", i, n, reply[8], want)
+			t.Errorf("batch %d: %d actions, the first with code %d; want %d timer", i, n, reply[8], want)
 		}
 		reply = reply[8+size:]
 	}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	if reply := out.Bytes(); reply[8] != 87 || !strings.Contains(string(reply), "classes[0].effect") {
-		t.Errorf("reply %q is no crash that names the key", reply)
+		t.Errorf("reply %q is not a crash that names the key", reply)
 	}
 }
 
@@ -79,11 +79,11 @@
 		t.Errorf("error %v, want one line", err)
 	}
 	if err := run(bytes.NewReader(nil), &out); err != nil {
-		t.Errorf("a clean end of input: %v", err)
+		t.Errorf("empty input: %v", err)
 	}
 }
 
-// Whatever comes in, the adapter answers or stops with one line; it never panics.
+// For any input the adapter replies or returns a one-line error; it never panics.
 func FuzzAdapter(f *testing.F) {
 	list := func(since, weight float64) []byte {
 		e := append([]byte{0, 0}, binary.BigEndian.AppendUint64(nil, math.Float64bits(since))...)
--- a/cmd/molepaddle-days/main.go
+++ b/cmd/molepaddle-days/main.go
@@ -1,6 +1,6 @@
-// Command molepaddle-days writes drawn days of trouble for the operators' bench, for the developers: the day's file
-// goes to standard output. The same seed gives the same day; --without leaves entries out, to cut down a day that broke
-// a rule.
+// Command molepaddle-days is a developers' tool that generates random schedules of faults ("days") for the operators'
+// bench and writes the file to standard output. The same seed gives the same day; --without omits entries, to reduce
+// a day that violated a rule.
 package main
 
 import (
@@ -14,21 +14,21 @@
 
 type cli struct {
 	Site    string   `arg:"" help:"Site file of the deployment." type:"existingfile"`
-	Seed    uint64   `help:"What the day is drawn from." required:""`
-	Theme   string   `help:"Kinds of trouble." enum:"all,control,data,planned" default:"all"`
-	Length  float64  `help:"Seconds of traffic; 0: the deployment's own." default:"0"`
-	Fewest  int      `help:"Entries, at the least." default:"5"`
-	Most    int      `help:"Entries, at the most." default:"14"`
-	Kinds   []string `help:"Kinds that the deployment knows; none: all."`
-	Roll    bool     `help:"Also have the proxies end and start again in turn."`
-	Without []int    `help:"Entries to leave out, by their index."`
+	Seed    uint64   `help:"Seed of the random generator." required:""`
+	Theme   string   `help:"Kinds of faults." enum:"all,control,data,planned" default:"all"`
+	Length  float64  `help:"Seconds of traffic; 0: the default of the deployment." default:"0"`
+	Fewest  int      `help:"Minimum number of entries." default:"5"`
+	Most    int      `help:"Maximum number of entries." default:"14"`
+	Kinds   []string `help:"Kinds of entries to draw, of those that the deployment supports; none: all."`
+	Roll    bool     `help:"Also restart the proxies one after the other."`
+	Without []int    `help:"Indexes of entries to omit."`
 }
 
 func main() {
 	var c cli
 	k := kong.Parse(&c,
 		kong.Name("molepaddle-days"),
-		kong.Description("Draws days of trouble for the operators' bench."),
+		kong.Description("Generates random schedules of faults for the operators' bench."),
 		kong.UsageOnError())
 	site, err := drawndays.ReadSite(c.Site)
 	k.FatalIfErrorf(err)
--- a/cmd/molepaddle-plots/main.go
+++ b/cmd/molepaddle-plots/main.go
@@ -1,5 +1,5 @@
-// Command molepaddle-plots makes of kept rows of the lab one HTML page with plots. 'molepaddle lab
-// report --html' starts it; it is a program of its own so that an agent does not carry it.
+// Command molepaddle-plots makes one HTML page with plots from stored rows of the lab. 'molepaddle lab
+// report --html' starts it. It is a separate program to keep the plotting code out of the agent's binary.
 package main
 
 import (
@@ -18,14 +18,14 @@
 func main() {
 	bench, night := "", ""
 	cmd := &cobra.Command{Use: "molepaddle-plots FILE...",
-		Short:        "Make a page with plots of kept rows, or of a night of work, on standard output",
+		Short:        "Write a page with plots of stored rows, or of a night of maintenance, to standard output",
 		SilenceUsage: true, SilenceErrors: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			if night != "" {
-				return nightOf(night)
+				return writeNight(night)
 			}
 			if len(args) == 0 {
-				return errors.New("no file of rows is named, nor --night")
+				return errors.New("neither a file of rows nor --night is given")
 			}
 			rows, err := trial.Load(args)
 			if err != nil {
@@ -44,16 +44,16 @@
 				return ""
 			})
 		}}
-	cmd.Flags().StringVar(&bench, "bench", "", "what `go test -bench Decide` said")
-	cmd.Flags().StringVar(&night, "night", "", "what `molepaddle work record --json` said: a page of who was out when")
+	cmd.Flags().StringVar(&bench, "bench", "", "output of `go test -bench Decide`")
+	cmd.Flags().StringVar(&night, "night", "", "output of `molepaddle work record --json`, for a page that shows which machines were out when")
 	if err := cmd.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "molepaddle-plots:", err)
 		os.Exit(1)
 	}
 }
 
-// nightOf makes the page of a record.
-func nightOf(file string) error {
+// writeNight writes the page of a maintenance record to standard output.
+func writeNight(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
--- a/internal/goldenbytes/cbor.go
+++ b/internal/goldenbytes/cbor.go
@@ -34,7 +34,7 @@
 
 // Keys checks the keys under which a type is read from or written to text, by the name of its file in testdata/wire.
 // The key of a field is the first of the given struct tags that it has, or its Go name; each line of the file has the
-// path of a field and its kind. Use it for settings, whose values have bounds that filled ones would break.
+// path of a field and its kind. Use it for settings, where the values that Fill sets would be out of range.
 func Keys(t testing.TB, name string, value any, tags ...string) {
 	t.Helper()
 	var lines []string
@@ -42,6 +42,7 @@
 	Check(t, "wire/"+name+".keys", []byte(strings.Join(lines, "\n")+"\n"))
 }
 
+// appendKeys appends a line for each field of the type, with its path and its kind.
 func appendKeys(lines *[]string, path string, t reflect.Type, tags []string) {
 	for slices.Contains([]reflect.Kind{reflect.Pointer, reflect.Slice, reflect.Map}, t.Kind()) {
 		path += "[]"
--- a/internal/goldenbytes/goldenbytes.go
+++ b/internal/goldenbytes/goldenbytes.go
@@ -1,12 +1,12 @@
-// Package goldenbytes lets tests hold encodings as they are: it fills values by the order and the types of their
-// fields, encodes them as the programs do, and compares the bytes with files under testdata. A renamed Go identifier
-// leaves these bytes as they are; a renamed key, a lost tag or a reordered field does not.
+// Package goldenbytes lets tests detect changes of encodings: it fills values by the order and the types of their
+// fields, encodes them as the programs do, and compares the bytes with files under testdata. Renaming a Go identifier
+// does not change these bytes; renaming a key, losing a tag or reordering fields does.
 //
-// After a deliberate change of an encoding, the files of a package are written anew with
+// After a deliberate change of an encoding, the files of a package are rewritten with
 //
 //	go test ./internal/fleet/distribution -run Bytes -update
 //
-// and their differences belong in the review: bytes that an older build wrote must still be understood.
+// and their differences must be reviewed: bytes that an older build wrote must still decode.
 package goldenbytes
 
 import (
@@ -30,7 +30,7 @@
 
 var update = flag.Bool("update", false, "write the golden files under testdata instead of comparing with them")
 
-// Updating reports whether the golden files are to be written: -update was given.
+// Updating reports whether -update was given, so that the golden files are written.
 func Updating() bool { return *update }
 
 // Check compares bytes with the file testdata/name and returns the file's bytes. With -update it writes the file
@@ -80,10 +80,10 @@
 		})
 		t.Run(name+" zero", func(t *testing.T) {
 			zero := newLike(m).(Message)
-			// A list that is nil comes back empty: the values are compared by their encodings.
+			// A nil list decodes to an empty one, so the values are compared by their encodings.
 			got, want := encode(t, roundTrip(t, "wire/"+name+".zero.msgp", zero)), encode(t, zero)
 			if !bytes.Equal(got, want) {
-				t.Errorf("decoded and encoded again:\n%swant:\n%s", hex.Dump(got), hex.Dump(want))
+				t.Errorf("decoded and re-encoded:\n%swant:\n%s", hex.Dump(got), hex.Dump(want))
 			}
 		})
 	}
@@ -165,20 +165,20 @@
 	}
 }
 
-// newLike makes a zero value of the type that a pointer leads to.
+// newLike returns a pointer to a new zero value of the type that a pointer refers to.
 func newLike(pointer any) any { return reflect.New(reflect.TypeOf(pointer).Elem()).Interface() }
 
-// Fill sets every field that the pointer leads to, nested ones included, to a value that is not zero. The values
-// depend on the order and the types of the fields alone. Lists get two items, maps one. It panics where it finds a
-// field that an encoder can't see, or a type that it doesn't know.
+// Fill sets every field of the value that pointer refers to, nested ones included, to a nonzero value. The values
+// depend only on the order and the types of the fields. Lists get two items, maps one. Fill panics on an unexported
+// field, which an encoder can't see, and on an unsupported type.
 func Fill(pointer any) {
 	new(filler).fill(reflect.ValueOf(pointer).Elem())
 }
 
-// filler counts the values set so far, so that each differs from the others.
+// filler sets values. It counts them, so that each value differs from the others.
 type filler struct{ count int64 }
 
-// The types that are not filled by their kind.
+// Types that need values of their own, independent of their kind.
 var (
 	timeType    = reflect.TypeFor[time.Time]()
 	rawJSONType = reflect.TypeFor[json.RawMessage]()
@@ -225,7 +225,7 @@
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if v.Type().Field(i).Name == "_" { // holds the options of an encoding
+			if v.Type().Field(i).Name == "_" { // carries the options of an encoding
 				continue
 			}
 			if !v.Type().Field(i).IsExported() {
@@ -234,6 +234,6 @@
 			f.fill(v.Field(i))
 		}
 	default:
-		panic(fmt.Sprintf("goldenbytes: no value for a %v", v.Type()))
+		panic(fmt.Sprintf("goldenbytes: unsupported type %v", v.Type()))
 	}
 }
--- a/internal/goldenbytes/goldenbytes_test.go
+++ b/internal/goldenbytes/goldenbytes_test.go
@@ -9,7 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestFill: two types that differ in the names of their fields get equal values, and no field stays zero.
+// TestFill checks that two types that differ only in the names of their fields get equal values, and that no field
+// stays zero.
 func TestFill(t *testing.T) {
 	type inner struct {
 		Text string
@@ -57,8 +58,8 @@
 	c.Check(a.ByName, qt.HasLen, 1)
 }
 
-// TestFillRefuses a field that no encoder sees.
-func TestFillRefuses(t *testing.T) {
+// TestFillRejectsUnexportedFields checks that Fill panics on an unexported field.
+func TestFillRejectsUnexportedFields(t *testing.T) {
 	c := qt.New(t)
 	c.Check(func() { Fill(&struct{ hidden int }{}) }, qt.PanicMatches, "goldenbytes: .* has the unexported field hidden")
 }
--- a/internal/plantedfault/plantedfault.go
+++ b/internal/plantedfault/plantedfault.go
@@ -1,5 +1,5 @@
-// Package plantedfault checks that tests find deliberate errors. Each error is laid into a copy of the sources by the
-// compiler's overlay, so that nothing in the tree changes, and the tests that are named must fail then.
+// Package plantedfault checks that tests detect deliberate faults (mutation testing). It compiles each fault through the
+// go command's -overlay, so that the source tree stays unchanged, and requires the named tests to fail.
 package plantedfault
 
 import (
@@ -14,34 +14,33 @@
 	"github.com/go-faster/errors"
 )
 
-// Fault is a deliberate error.
+// Fault is a deliberate change of the sources that tests must detect.
 type Fault struct {
 	Name  string
-	Texts []string // old, new, old, new ...: each old text is there exactly once in the package's sources
-	Tests string   // which tests must find it, as for go test -run
-	Dir   string   // of the package with the sources and the tests; empty: the one whose test runs
-	// SourceDir is the directory of the package with the sources, where its tests aren't those that must find the
-	// fault.
+	Texts []string // old, new, old, new ...: each old text occurs exactly once in the package's sources
+	Tests string   // the tests that must detect it, as a pattern for go test -run
+	Dir   string   // directory of the package; empty: the current directory
+	// SourceDir is the directory of the changed sources, if it differs from the directory of the tests; empty: Dir.
 	SourceDir string
-	Args      []string // to go test besides
+	Args      []string // additional arguments of go test
 }
 
-// Fit checks that the texts of each fault are in the sources, and runs nothing.
+// Fit checks that the texts of each fault match the sources, without running the tests.
 func Fit(t *testing.T, faults []Fault) {
 	for _, f := range faults {
 		t.Run(strings.ReplaceAll(f.Name, " ", "_"), func(t *testing.T) {
-			if _, err := f.lay(t.TempDir()); err != nil {
+			if _, err := f.writeOverlay(t.TempDir()); err != nil {
 				t.Fatal(err)
 			}
 		})
 	}
 }
 
-// Find lays each fault in turn and has the tests that it names fail.
+// Find runs the tests of each fault with the fault planted, and reports an error if they pass.
 func Find(t *testing.T, faults []Fault) {
 	for _, f := range faults {
 		t.Run(strings.ReplaceAll(f.Name, " ", "_"), func(t *testing.T) {
-			overlay, err := f.lay(t.TempDir())
+			overlay, err := f.writeOverlay(t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,29 +52,29 @@
 			out, err := cmd.CombinedOutput()
 			switch {
 			case strings.Contains(string(out), "[build failed]"):
-				t.Fatalf("it doesn't compile:\n%s", out)
+				t.Fatalf("the planted fault doesn't compile:\n%s", out)
 			case strings.Contains(string(out), "no tests to run"):
-				t.Fatalf("no test is named %s", f.Tests)
+				t.Fatalf("no test matches %s", f.Tests)
 			case err == nil:
-				t.Fatalf("it was not found by %s", f.Tests)
+				t.Fatalf("the planted fault was not detected by %s", f.Tests)
 			}
-			t.Logf("found: %s", firstFailure(string(out)))
+			t.Logf("detected: %s", firstFailure(string(out)))
 		})
 	}
 }
 
-// firstFailure is the first line that tells of a failed test.
+// firstFailure returns the first line of the output that reports a failed test or a panic.
 func firstFailure(out string) string {
 	for line := range strings.Lines(out) {
 		if strings.Contains(line, "--- FAIL") || strings.HasPrefix(line, "panic:") {
 			return strings.TrimSpace(line)
 		}
 	}
-	return "no line tells"
+	return "no line reports a failed test"
 }
 
-// lay writes the changed sources and the overlay that names them into dir.
-func (f *Fault) lay(dir string) (overlay string, err error) {
+// writeOverlay writes the changed sources and an overlay file that refers to them into dir, and returns the overlay's path.
+func (f *Fault) writeOverlay(dir string) (overlay string, err error) {
 	dirOfSources := f.Dir
 	if f.SourceDir != "" {
 		dirOfSources = f.SourceDir
@@ -86,15 +85,15 @@
 	}
 	replaced := map[string]string{}
 	for pair := range slices.Chunk(f.Texts, 2) {
-		file, err := only(texts, pair[0])
+		file, err := uniqueFile(texts, pair[0])
 		if err != nil {
 			return "", err
 		}
 		texts[file] = strings.Replace(texts[file], pair[0], pair[1], 1)
 		replaced[file] = filepath.Join(dir, filepath.Base(file))
 	}
-	for file, laid := range replaced {
-		if err := os.WriteFile(laid, []byte(texts[file]), 0o600); err != nil {
+	for file, changed := range replaced {
+		if err := os.WriteFile(changed, []byte(texts[file]), 0o600); err != nil {
 			return "", errors.Wrap(err, "write")
 		}
 	}
@@ -106,7 +105,7 @@
 	return overlay, os.WriteFile(overlay, list, 0o600)
 }
 
-// sources are the files of the package in a folder that are neither tests nor generated, by absolute path.
+// sources returns the files of the package in a directory by absolute path, without tests and generated files.
 func sources(dir string) (map[string]string, error) {
 	at, err := filepath.Abs(dir)
 	if err != nil {
@@ -130,8 +129,8 @@
 	return texts, nil
 }
 
-// only is the one file that has the text, once.
-func only(texts map[string]string, text string) (file string, err error) {
+// uniqueFile returns the file that contains the text. The text must occur exactly once in all files.
+func uniqueFile(texts map[string]string, text string) (file string, err error) {
 	count := 0
 	for name, source := range texts {
 		if n := strings.Count(source, text); n > 0 {
@@ -139,7 +138,7 @@
 		}
 	}
 	if count != 1 {
-		return "", errors.Errorf("to be planted anew: %q is there %d times, not once", text, count)
+		return "", errors.Errorf("to be planted anew: %q occurs %d times in the sources, want once", text, count)
 	}
 	return file, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
 // Package wire translates between the simulator's binary frames and the
-// policy's events and actions. It decides nothing.
+// policy's events and actions. It makes no decisions. A Decoder or Encoder
+// must not be used from several goroutines at once.
 package wire
 
 import (
@@ -15,12 +16,12 @@
 	"molepaddle/policy"
 )
 
-// Record sizes of the wire.
+// Record sizes, in bytes.
 const (
 	EventSize  = 48
 	ActionSize = 24
 	entrySize  = 24
-	maxFrame   = 1 << 30 // no legal batch comes near it
+	maxFrame   = 1 << 30 // far above the size of any valid batch
 )
 
 // Event codes.
@@ -52,17 +53,17 @@
 	codeFinishError = 90
 )
 
-// Kind tells what a record of a batch is about.
+// Kind is the type of a record in a batch.
 type Kind uint8
 
-// The kinds of records.
+// The kinds of records, with the fields that they use.
 const (
 	Boot   Kind = iota + 1 // Instance, Seed, Settings
 	Killed                 // Instance
 	Event                  // Instance, Event
 )
 
-// Record is one event record of a batch, list tables already resolved.
+// Record is one event record of a batch, with the list of endpoints already resolved from its table number.
 type Record struct {
 	Kind     Kind
 	Instance uint32
@@ -71,8 +72,8 @@
 	Event    policy.Event
 }
 
-// Decoder reads batches from a stream. It keeps the numbered lists, which
-// belong to the process and are shared, read-only, by all instances.
+// Decoder reads batches from a stream. It stores the numbered tables of
+// endpoints, which all instances of the process share read-only.
 type Decoder struct {
 	r     io.Reader
 	buf   []byte
@@ -82,8 +83,8 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next reads one batch and calls fn for each record in order, after the clock
-// is known. It returns io.EOF at a clean end of input.
+// Next reads one batch and calls fn for each record in order, with the batch's
+// clock. It returns io.EOF if the input ends between two batches.
 func (d *Decoder) Next(fn func(now float64, rec *Record) error) error {
 	var head [8]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
@@ -99,7 +100,7 @@
 	if uint64(count)*EventSize > uint64(size)-8 {
 		return fmt.Errorf("batch header: number of records: %d do not fit into %d bytes", count, size)
 	}
-	if err := d.fill(int(size)); err != nil {
+	if err := d.readBody(int(size)); err != nil {
 		return err
 	}
 	now := getF64(d.buf)
@@ -116,7 +117,7 @@
 			return fmt.Errorf("record %d: %w", i, err)
 		}
 		if rec.Kind == 0 {
-			continue // a pool: kept, nothing to hand on
+			continue // a pool record: stored by decode, not passed to fn
 		}
 		if err := fn(now, &rec); err != nil {
 			return err
@@ -125,9 +126,9 @@
 	return nil
 }
 
-// fill reads size bytes in steps, so that a false length allocates no more
-// than about twice what really arrives.
-func (d *Decoder) fill(size int) error {
+// readBody reads size bytes into the buffer in steps, so that a wrong length allocates
+// no more than about twice the bytes that really arrive.
+func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
@@ -144,11 +145,11 @@
 	return nil
 }
 
-// span resolves an (offset, length) field, the length in units of the given size.
-func span(field string, raw, tail []byte, unit int) ([]byte, error) {
+// tailSpan returns the part of the tail that an (offset, length) field refers to. The length counts units of unit bytes.
+func tailSpan(field string, raw, tail []byte, unit int) ([]byte, error) {
 	off, n := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
 	if off+n*uint64(unit) > uint64(len(tail)) {
-		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes", field, off, n, len(tail))
+		return nil, fmt.Errorf("%s: offset %d and length %d exceed the tail of %d bytes", field, off, n, len(tail))
 	}
 	return tail[off : off+n*uint64(unit)], nil
 }
@@ -161,13 +162,13 @@
 	switch raw[0] {
 	case codeBoot:
 		rec.Kind, rec.Seed = Boot, be.Uint64(raw[5:])
-		rec.Settings, err = span("boot: settings", raw[13:], tail, 1)
+		rec.Settings, err = tailSpan("boot: settings", raw[13:], tail, 1)
 		return err
 	case codeKilled:
 		rec.Kind = Killed
 	case codePool:
 		rec.Kind = 0
-		return d.pool(raw, tail)
+		return d.storePool(raw, tail)
 	case codeTargets:
 		ev.Kind, ev.List = policy.EvList, cluster.ListKind(raw[5])
 		if raw[5] > uint8(cluster.ListFailed) {
@@ -190,7 +191,7 @@
 		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), cluster.Addr(raw[11:17])
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[17:])), getF64(raw[19:])
 		ev.Final = raw[27] != 0
-		ev.Report, err = report("verdict: report", raw[28:])
+		ev.Report, err = decodeReport("verdict: report", raw[28:])
 		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.Abandoned)) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
@@ -202,25 +203,25 @@
 	case codeHealth:
 		ev.Kind, ev.Server = policy.EvProbed, cluster.Addr(raw[5:11])
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[11:])), getF64(raw[13:])
-		ev.Report, err = report("health: report", raw[21:])
+		ev.Report, err = decodeReport("health: report", raw[21:])
 	case codeFired:
 		ev.Kind, ev.Token = policy.EvTimer, be.Uint32(raw[5:])
 	case codePeerData:
 		ev.Kind = policy.EvPeer
-		_, err = span("peer_data: msg", raw[9:], tail, 1)
+		_, err = tailSpan("peer_data: msg", raw[9:], tail, 1)
 	default:
 		return fmt.Errorf("code: unknown event %d", raw[0])
 	}
 	return err
 }
 
-func (d *Decoder) pool(raw, tail []byte) error {
+func (d *Decoder) storePool(raw, tail []byte) error {
 	be := binary.BigEndian
 	table := be.Uint32(raw[1:])
 	if int64(table) >= int64(len(d.pools)) {
 		return fmt.Errorf("pool: table: %d is out of range", table)
 	}
-	lines, err := span("pool: hosts", raw[5:], tail, entrySize)
+	lines, err := tailSpan("pool: hosts", raw[5:], tail, entrySize)
 	if err != nil {
 		return err
 	}
@@ -239,11 +240,11 @@
 			Kind:    int(lines[23]),
 		})
 	}
-	d.pools[table] = entries // a fresh slice: events of the old list keep theirs
+	d.pools[table] = entries // a new slice: earlier events still refer to the old one
 	return nil
 }
 
-func report(field string, raw []byte) ([]float32, error) {
+func decodeReport(field string, raw []byte) ([]float32, error) {
 	if raw[0] == 0 {
 		return nil, nil
 	}
@@ -257,7 +258,7 @@
 	return values, nil
 }
 
-// ParseSettings reads the JSON text of a boot record. Unknown keys are skipped.
+// ParseSettings parses the JSON settings of a boot record. Unknown keys are ignored.
 func ParseSettings(text []byte) (settings.Settings, error) {
 	var s settings.Settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -270,14 +271,14 @@
 	return s, nil
 }
 
-// Encoder builds one reply frame.
+// Encoder builds a reply frame from actions. Reset starts the next frame.
 type Encoder struct {
 	count   uint32
 	records []byte
 	tail    []byte
 }
 
-// Reset forgets the reply built so far.
+// Reset clears the reply.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
 func (e *Encoder) record(code byte, instance uint32) []byte {
@@ -297,10 +298,10 @@
 	e.tail = append(e.tail, text...)
 }
 
-// Crash adds the statement that an instance's decision code failed.
+// Crash appends a crash report of an instance, with the text of its error.
 func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
 
-// Add appends one action of an instance.
+// Add appends an action of an instance.
 func (e *Encoder) Add(instance uint32, a *policy.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"molepaddle/policy"
 )
 
-// frame builds a batch from hex text; blanks and newlines are for the reader.
+// frame decodes a batch from hex text; white space is ignored.
 func frame(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -82,7 +82,7 @@
 	}
 }
 
-// A list number may be used again within a batch: each event means the list of its moment.
+// A table number may be reused within a batch: each event refers to the table as of its position in the batch.
 func TestPoolNumbersAreReusedInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
@@ -184,7 +184,7 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
-		t.Error("no JSON, and no error")
+		t.Error("invalid JSON is accepted")
 	}
 	if _, err := ParseSettings([]byte(`{"roundMs": "five"}`)); err == nil || !strings.Contains(err.Error(), "roundMs") {
 		t.Errorf("error %v does not name roundMs", err)
@@ -203,7 +203,7 @@
 			}
 		}
 		if cap(d.buf) > 2*len(data)+4<<20 {
-			t.Errorf("%d bytes of input made it hold %d", len(data), cap(d.buf))
+			t.Errorf("%d bytes of input grew the buffer to %d bytes", len(data), cap(d.buf))
 		}
 	})
 }
