--- a/cmd/molepaddle-plots/main.go
+++ b/cmd/molepaddle-plots/main.go
@@ -45,7 +45,7 @@
 			})
 		}}
 	cmd.Flags().StringVar(&bench, "bench", "", "output of `go test -bench Decide`")
-	cmd.Flags().StringVar(&night, "night", "", "output of `molepaddle work record --json`, for a page that shows which machines were out when")
+	cmd.Flags().StringVar(&night, "night", "", "output of `molepaddle work record --json`, for a page of times out")
 	if err := cmd.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "molepaddle-plots:", err)
 		os.Exit(1)
--- a/cmd/molepaddle/fleet.go
+++ b/cmd/molepaddle/fleet.go
@@ -24,8 +24,9 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	fleet.PersistentFlags().BoolVar(&asJSON, "json", false, "as JSON")
 	fleet.PersistentFlags().StringVar(&management, "door", "",
-		"management address of the agent; default: the one that EDGE_CONFIG or EDGE_MANAGEMENT names")
-	show := &cobra.Command{Use: "show", Short: "Show the members, their suspicions, and whether the view is settled", Args: checkArgs(noArgs),
+		"management address of the agent; default: that of EDGE_CONFIG or EDGE_MANAGEMENT")
+	show := &cobra.Command{Use: "show", Short: "Show members, suspicions, and whether the view is settled",
+		Args: checkArgs(noArgs),
 		RunE: untilSignal(func(ctx context.Context, _ []string) error {
 			at, err := managementAddress(management)
 			if err != nil {
@@ -34,7 +35,7 @@
 			return showFleet(ctx, at, asJSON, watch, out)
 		})}
 	show.Flags().BoolVar(&watch, "watch", false, "print again whenever the view changes, until interrupted")
-	log := &cobra.Command{Use: "log", Short: "Show the latest membership changes, with reasons", Args: checkArgs(noArgs),
+	log := &cobra.Command{Use: "log", Short: "Show the latest membership changes", Args: checkArgs(noArgs),
 		RunE: func(*cobra.Command, []string) error {
 			at, err := managementAddress(management)
 			if err != nil {
--- a/internal/plantedfault/plantedfault.go
+++ b/internal/plantedfault/plantedfault.go
@@ -1,5 +1,5 @@
-// Package plantedfault checks that tests detect deliberate faults (mutation testing). It compiles each fault through the
-// go command's -overlay, so that the source tree stays unchanged, and requires the named tests to fail.
+// Package plantedfault checks that tests detect deliberate faults (mutation testing). It compiles each fault with
+// go's -overlay flag, so that the source tree stays unchanged, and requires the named tests to fail.
 package plantedfault
 
 import (
@@ -73,7 +73,7 @@
 	return "no line reports a failed test"
 }
 
-// writeOverlay writes the changed sources and an overlay file that refers to them into dir, and returns the overlay's path.
+// writeOverlay writes the changed sources and an overlay that refers to them into dir. It returns the overlay's path.
 func (f *Fault) writeOverlay(dir string) (overlay string, err error) {
 	dirOfSources := f.Dir
 	if f.SourceDir != "" {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -145,7 +145,8 @@
 	return nil
 }
 
-// tailSpan returns the part of the tail that an (offset, length) field refers to. The length counts units of unit bytes.
+// tailSpan returns the part of the tail that an (offset, length) field refers to. The length is in units of
+// unit bytes.
 func tailSpan(field string, raw, tail []byte, unit int) ([]byte, error) {
 	off, n := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
 	if off+n*uint64(unit) > uint64(len(tail)) {
