--- a/cmd/molepaddle-fleet/check.go
+++ b/cmd/molepaddle-fleet/check.go
@@ -14,11 +14,11 @@
 )
 
 type checkCmd struct {
-	Files []string `arg:"" predictor:"file" name:"file" help:"Settings files (TOML) and whole configurations (JSON)."`
-	JSON  bool     `name:"json" help:"Print a list for programs."`
+	Files []string `arg:"" predictor:"file" name:"file" help:"Settings files (TOML) and complete configurations (JSON)."`
+	JSON  bool     `name:"json" help:"Print the results as JSON."`
 }
 
-// Kinds of file.
+// Kinds of input files.
 const (
 	kindSettings      = "settings"
 	kindConfiguration = "configuration"
@@ -29,12 +29,12 @@
 type fileReport struct {
 	File     string    `json:"file"`
 	Kind     string    `json:"kind,omitempty"`  // empty where the file can't be read
-	About    string    `json:"about,omitempty"` // one line; empty with findings that hide it
+	About    string    `json:"about,omitempty"` // summary in one line; empty if findings prevent it
 	Error    string    `json:"err,omitempty"`   // why it can't be read
 	Findings []finding `json:"findings"`
 }
 
-// Run checks each file. The worst one gives the exit code.
+// Run checks each file. The exit code is the highest of all files.
 func (c *checkCmd) Run(a *app) error {
 	all := make([]fileReport, 0, len(c.Files))
 	code := exitOK
@@ -72,7 +72,7 @@
 	return exitWith(code)
 }
 
-// exitWith ends with a code after everything has been printed; nil for exitOK.
+// exitWith returns an error that only sets the exit code, everything having been printed; nil for exitOK.
 func exitWith(code int) error {
 	if code == exitOK {
 		return nil
@@ -113,7 +113,7 @@
 	return one
 }
 
-// detectKind determines what a file is meant to be: by its content, or by its name where the content is ambiguous.
+// detectKind returns the kind of a file, determined by its content, or by its name if the content is ambiguous.
 func detectKind(name string, body []byte) string {
 	text := bytes.TrimLeft(body, " \t\r\n")
 	if !bytes.HasPrefix(text, []byte("{")) && !strings.EqualFold(filepath.Ext(name), ".json") {
--- a/cmd/molepaddle-fleet/control.go
+++ b/cmd/molepaddle-fleet/control.go
@@ -16,11 +16,11 @@
 
 // controlFlags are the flags of all commands that call the control plane.
 type controlFlags struct {
-	Control []string      `help:"Control addresses (IP:port), asked in turn. Without them: those of peers and bind.ctl in the settings file." placeholder:"ADDR"`
-	Within  time.Duration `help:"Time for all tries of one call." default:"10s"`
+	Control []string      `help:"Control addresses (IP:port), tried in turn. Default: bind.ctl and peers of the settings file." placeholder:"ADDR"`
+	Within  time.Duration `help:"Time limit for all attempts of one call." default:"10s"`
 }
 
-// client makes the client of the control plane.
+// client returns a control-plane client for the addresses given by the flags or the settings file.
 func (f *controlFlags) client(a *app) (*operatorclient.Client, error) {
 	addresses := f.Control
 	if len(addresses) == 0 {
@@ -52,7 +52,7 @@
 	return &operatorclient.Client{Endpoints: addresses, CallTimeout: f.Within}, nil
 }
 
-// fetchCurrent asks for the configuration in force; the document is nil while there is none.
+// fetchCurrent returns the configuration in force; the document is nil while there is none.
 func fetchCurrent(
 	ctx context.Context, c *operatorclient.Client,
 ) (d *routingconfig.Document, response operatorclient.Response, err error) {
@@ -72,7 +72,7 @@
 	return d, response, nil
 }
 
-// exitCodeOf is the exit code of a client's error.
+// exitCodeOf returns the exit code for an error of the control-plane client.
 func exitCodeOf(err error) int {
 	var rejected *operatorclient.RejectedError
 	var unclear *operatorclient.IndeterminateError
--- a/cmd/molepaddle-fleet/demo.go
+++ b/cmd/molepaddle-fleet/demo.go
@@ -22,16 +22,16 @@
 	Keep bool `help:"Leave the fleet running at the end, until Ctrl-C."`
 }
 
-// demoTimeout bounds the whole demo; it takes about fifteen seconds.
+// demoTimeout bounds the complete demo, which takes about fifteen seconds.
 const demoTimeout = 90 * time.Second
 
-// demoIntroduction is what the demo prints first.
+// demoIntroduction is the first output of the demo.
 const demoIntroduction = "A whole fleet on this machine. Its programs run for real, " +
 	`as processes of this binary: 3 core machines (the control
 plane), 2 edge machines (a proxy, and the agent that links it to the core). Backends, the platform's list of them and
 clients are stand-ins. A prompt's token takes 20us to read, a token of an answer 5ms to make.`
 
-// Run starts a small fleet on loopback and shows what it does.
+// Run starts a small fleet on loopback and demonstrates requests, a rollout and a change of the primary.
 func (c *demoCmd) Run(ctx context.Context, a *app) (err error) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -87,7 +87,7 @@
 
 func elapsed(at time.Time) time.Duration { return roundDuration(time.Since(at)) }
 
-// roundDuration is a duration rounded for a reader: to tenths of a second from a second on, else to milliseconds.
+// roundDuration rounds a duration to tenths of a second from a second up, else to milliseconds.
 func roundDuration(d time.Duration) time.Duration {
 	if d >= time.Second {
 		return d.Round(100 * time.Millisecond)
@@ -119,7 +119,7 @@
 		d.version, d.nameOf(response.Endpoint), elapsed(began))
 }
 
-// prompts sends two prompts that begin alike.
+// prompts sends two prompts with a common prefix.
 func (d *demo) prompts() {
 	d.printLine("\n2  A prompt is read at one backend, its answer made at another")
 	shared := simulation.Part{ID: "5a", Tokens: 15_000}
@@ -199,7 +199,7 @@
 	}
 }
 
-// primary asks for the status, and keeps the primary's address.
+// primary returns the status and records the primary's address.
 func (d *demo) primary() *status.Fleet {
 	f, _, err := d.control.Status(d.ctx, false)
 	if err != nil {
@@ -218,7 +218,7 @@
 	var served, other int
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var warm sync.WaitGroup // each proxy has served one
+	var warm sync.WaitGroup // done when each proxy has answered one request
 	for _, client := range d.clients {
 		warm.Add(1)
 		all.Go(func() {
@@ -260,7 +260,7 @@
 	}
 }
 
-// showStatus prints what `molepaddle-fleet status` does.
+// showStatus prints the output of `molepaddle-fleet status`.
 func (d *demo) showStatus(a *app) {
 	f := d.primary()
 	d.printLine("\n5  molepaddle-fleet status --control %s\n", d.leader)
--- a/cmd/molepaddle-fleet/demofleet.go
+++ b/cmd/molepaddle-fleet/demofleet.go
@@ -24,35 +24,35 @@
 	demoPlain = "news-index"
 )
 
-// demoHarness starts things and ends them again: the last one first.
+// demoHarness implements simulation.TB for the demo. Cleanups run in reverse order.
 type demoHarness struct {
 	cleanups []func()
 	failed   bool
 	errOut   func(line string)
 }
 
-// demoFailure is a Fatalf on its way to the demo's end.
+// demoFailure is the panic value of Fatalf; demoCmd.Run recovers it.
 type demoFailure struct{ error }
 
-// Helper has nothing to do here.
+// Helper does nothing: failures have no line numbers here.
 func (*demoHarness) Helper() {}
 
-// Cleanup has f called at the end.
+// Cleanup registers f to be called at the end of the demo.
 func (h *demoHarness) Cleanup(f func()) { h.cleanups = append(h.cleanups, f) }
 
 // Failed reports whether Fatalf was called.
 func (h *demoHarness) Failed() bool { return h.failed }
 
-// Logf writes what helps to understand a failure.
+// Logf writes a diagnostic line.
 func (h *demoHarness) Logf(format string, args ...any) { h.errOut(fmt.Sprintf(format, args...)) }
 
-// Fatalf ends the demo.
+// Fatalf ends the demo with an error.
 func (h *demoHarness) Fatalf(format string, args ...any) {
 	h.failed = true
 	panic(demoFailure{errors.Errorf(format, args...)})
 }
 
-// TempDir makes a folder that is gone after the end.
+// TempDir creates a folder that is removed at the end of the demo.
 func (h *demoHarness) TempDir() string {
 	dir, err := os.MkdirTemp("", "molepaddle-demo-")
 	if err != nil {
@@ -62,7 +62,7 @@
 	return dir
 }
 
-// cleanUp undoes all.
+// cleanUp calls the registered cleanups, the last one first.
 func (h *demoHarness) cleanUp() {
 	for len(h.cleanups) > 0 {
 		last := len(h.cleanups) - 1
@@ -72,8 +72,8 @@
 	}
 }
 
-// demoFleet is a complete fleet on loopback: machines are addresses of 127.0.0.0/8, which Linux has without setting
-// them up.
+// demoFleet is a complete fleet on loopback. Each machine is an address of 127.0.0.0/8, on which Linux listens without
+// any setup.
 type demoFleet struct {
 	*demoHarness
 	ctx     context.Context
@@ -93,14 +93,14 @@
 }
 
 const (
-	// demoListRate is how many calls a second the demo's platform takes, and demoListDelay how far its list is behind.
+	// demoListRate is the rate limit of the demo's platform in calls a second; demoListDelay is the delay of its list.
 	demoListRate  = 42
 	demoListDelay = 50 * time.Millisecond
-	// demoPorts is how many ports the programs of a machine have among themselves.
+	// demoPorts is the size of a machine's port_range.
 	demoPorts = 4
 )
 
-// startDemo starts all programs and stand-ins.
+// startDemo starts all programs and fake servers.
 func startDemo(ctx context.Context, h *demoHarness) *demoFleet {
 	f := &demoFleet{demoHarness: h, ctx: ctx, control: &operatorclient.Client{}}
 	zones := []string{"koto-hall", "shinagawa-hall", "kawasaki-hall"}
@@ -143,8 +143,8 @@
 		set.IP = ip
 		set.Zone = zones[i]
 		if i > 0 {
-			// An agent serves its proxy at a port of 127.0.0.1, which real machines don't share: this one has ports of
-			// its own.
+			// An agent serves its proxy on a port of 127.0.0.1, which all machines of the demo share: the other edge
+			// machines need different ports.
 			set.Ports = simulation.ChoosePorts(f, demoPorts, all...)
 			f.forwardToCore(coreIPs, set.Ports, ports)
 		}
@@ -157,7 +157,7 @@
 	return f
 }
 
-// startEngines starts a zone's backends: one that prefills, one that decodes, and one of the plain service.
+// startEngines starts a zone's backends: one for prefill, one for decode, and one of the plain service.
 func (f *demoFleet) startEngines(number int, zone string) {
 	prefill := simulation.EngineSettings{
 		ID:              fmt.Sprintf("prefill-%d", number),
@@ -186,8 +186,8 @@
 	}
 }
 
-// forwardToCore has the control servers of the core found at the ports of an edge machine: where they serve node
-// agents, and where they hand out quotas to proxies.
+// forwardToCore makes the core's control servers reachable on the ports that an edge machine uses, for pulls by node
+// agents and for quota requests by proxies.
 func (f *demoFleet) forwardToCore(coreIPs []string, edgePorts, corePorts simulation.Ports) {
 	from := [2]int{edgePorts.First, edgePorts.Last}
 	to := [2]int{corePorts.First, corePorts.Last}
@@ -197,7 +197,7 @@
 	}
 }
 
-// machine starts the programs of one machine.
+// machine starts the programs of one machine, one for each role.
 func (f *demoFleet) machine(set simulation.BootSettings, roles ...string) demoMachine {
 	self, err := os.Executable()
 	if err != nil {
@@ -220,7 +220,7 @@
 	return m
 }
 
-// nameOf is the core machine with a control address.
+// nameOf returns the name of the core machine with a control address, or the address if there is none.
 func (f *demoFleet) nameOf(control string) string {
 	for i := range f.core {
 		if f.core[i].control == control {
@@ -230,7 +230,7 @@
 	return control
 }
 
-// entryOf gives what the backends of a phase did for a request; ok false: none of them had it.
+// entryOf returns the log entry of the backend that ran an attempt with the given kind; ok is false if none did.
 func (f *demoFleet) entryOf(attempt string, kind simulation.EntryKind) (e simulation.Entry, ok bool) {
 	for _, engine := range f.engines {
 		for _, e := range engine.Log.Entries() {
@@ -242,7 +242,7 @@
 	return e, false
 }
 
-// demoConfig is the first configuration, and demoChange a change that brings one more route.
+// demoConfig is the first configuration; demoChange returns an update that adds one route.
 const demoConfig = `{"ver": 1,
  "routing": [{"name": "r-chat", "hostname": "demo.example", "pfx": "/chat/", "kind": "stream", "deadline_ms": 8000,
    "target_ms": 900, "prio": 0, "svc": "chat-model", "tries": 3, "pin": true, "resumable": true, "gap_aim_ms": 150}],
--- a/cmd/molepaddle-fleet/diff.go
+++ b/cmd/molepaddle-fleet/diff.go
@@ -12,16 +12,16 @@
 
 type diffCmd struct {
 	controlFlags
-	File string `arg:"" predictor:"file" help:"A whole configuration, or a change of named items (JSON)."`
-	JSON bool   `name:"json" help:"Print the outcome for programs."`
+	File string `arg:"" predictor:"file" help:"A complete configuration, or an update of named items (JSON)."`
+	JSON bool   `name:"json" help:"Print the outcome as JSON."`
 }
 
-// diffResult is what a file would change, as --json prints it.
+// diffResult is the effect that a file would have, as --json prints it.
 type diffResult struct {
 	From     int64               `json:"from"` // the version in force; 0 for none
 	To       int64               `json:"to"`   // the file's; 0 where it can't be read
 	Changes  []configdiff.Change `json:"changes"`
-	Findings []finding           `json:"findings"` // why it would be refused
+	Findings []finding           `json:"findings"` // reasons for which it would be rejected
 }
 
 // Run prints what a file would change.
@@ -44,7 +44,7 @@
 	if detectKind(c.File, body) == kindUpdate {
 		next, in = routingconfig.Update(now, body)
 	} else if next, in = routingconfig.Decode(body); next != nil && !next.Equal(now) {
-		// What is in force may come again; anything else has to have a higher version.
+		// The configuration in force may be sent again; any other one needs a higher version.
 		_, in = routingconfig.Replace(now, body)
 	}
 	o.Findings = fileFindings(in, body)
@@ -91,7 +91,7 @@
 	}
 }
 
-// rawOrNone is a JSON value, or "(none)".
+// rawOrNone returns a JSON value as text, or "(none)" if it is absent.
 func rawOrNone(raw json.RawMessage) string {
 	if raw == nil {
 		return "(none)"
--- a/cmd/molepaddle-fleet/process.go
+++ b/cmd/molepaddle-fleet/process.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// memoryLimitFraction is the share of the memory limit from which on the garbage collector works harder. The rest
-	// is for what it doesn't count: the program itself, SQLite, bytes that sockets hold.
+	// memoryLimitFraction is the fraction of the process's memory limit that becomes Go's soft memory limit. The rest
+	// is for memory that the Go runtime doesn't count: the program itself, SQLite, socket buffers.
 	memoryLimitFraction = 0.7
-	// initialBackoff and maxBackoff are the first and the longest wait between two attempts to start.
+	// initialBackoff and maxBackoff are the shortest and the longest wait between two attempts to start.
 	initialBackoff, maxBackoff = 50 * time.Millisecond, time.Second
 )
 
-// configureRuntime keeps the process from ending by itself needlessly: by a log whose reader has gone (writing
-// to it would raise SIGPIPE), and by garbage that grows past the memory limit.
+// configureRuntime guards against two avoidable ends of the process: by SIGPIPE when it writes to a log whose reader
+// has closed the pipe, and by an out-of-memory kill because garbage grows past the memory limit.
 func configureRuntime(limits settings.Limits) {
 	signal.Ignore(syscall.SIGPIPE)
 	if limits.MemoryMB > 0 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// retryTransient calls start until it succeeds or fails with an error that stays, or ctx ends. Each transient
+// retryTransient calls start until it succeeds, fails with an error that isn't transient, or ctx ends. Each transient
 // failure is passed to onFailure.
 func retryTransient(ctx context.Context, isTransient func(error) bool, onFailure func(error),
 	start func() error) error {
--- a/cmd/molepaddle-fleet/programs.go
+++ b/cmd/molepaddle-fleet/programs.go
@@ -23,7 +23,7 @@
 	proxyCmd        struct{}
 	nodeAgentCmd    struct{}
 	controlPlaneCmd struct {
-		Readings time.Duration `help:"Least time between two writes of where tenants' data rested." default:"30s"`
+		Readings time.Duration `help:"Minimum time between two writes of the residency report." default:"30s"`
 	}
 )
 
@@ -34,7 +34,7 @@
 	})
 }
 
-// Run runs the node agent until SIGTERM or SIGINT. It reads the seeds anew from the settings file while it runs.
+// Run runs the node agent until SIGTERM or SIGINT. The agent rereads the seeds from the settings file while it runs.
 func (nodeAgentCmd) Run(ctx context.Context, a *app) error {
 	return a.runProgram(ctx, func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		agent := nodeagent.New(set, log)
@@ -49,14 +49,14 @@
 	})
 }
 
-// Run runs a control server until SIGTERM or SIGINT. It waits for a disk that fails for the moment.
+// Run runs a control server until SIGTERM or SIGINT. It retries opening the state store after transient disk errors.
 func (c controlPlaneCmd) Run(ctx context.Context, a *app) error {
 	if c.Readings <= 0 {
 		return exitError{errors.New("--readings: must be above 0"), exitUsage}
 	}
 	return a.runProgram(ctx, func(ctx context.Context, set settings.Settings, log *zap.Logger) error {
 		var server *controlplane.Server
-		// A disk that is full or refuses writes may take them again: until then this machine is as good as down.
+		// A disk that is full or read-only may become writable again; until then this machine counts as down.
 		onFailure := func(err error) { log.Warn("state store can't be opened, retrying", zap.Error(err)) }
 		err := retryTransient(ctx, statestore.Transient, onFailure, func() (err error) {
 			server, err = controlplane.New(set, log, rand.Uint64)
@@ -64,7 +64,7 @@
 		})
 		switch {
 		case ctx.Err() != nil:
-			return nil // shut down before it could begin
+			return nil // shut down before the state store could be opened
 		case err != nil:
 			return err
 		}
@@ -101,6 +101,6 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // the settings that may change are read at the next start
+	signal.Notify(hup, syscall.SIGHUP) // ignored: changed settings are read at the next start
 	return do(ctx, set, log.With(zap.String("node", set.NodeName)))
 }
--- a/cmd/molepaddle-fleet/propose.go
+++ b/cmd/molepaddle-fleet/propose.go
@@ -13,12 +13,12 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// changeFlags are the flags of both commands that change the configuration.
+// changeFlags are the flags of propose and update.
 type changeFlags struct {
 	controlFlags
 	File string `arg:"" predictor:"file" help:"The body to send (JSON)."`
-	Base int64  `help:"The version it builds on; without it the one in force is asked for. 0: none yet." default:"-1"`
-	JSON bool   `name:"json" help:"Print the outcome for programs."`
+	Base int64  `help:"The version that the change builds on; 0: none yet. Default: the version in force." default:"-1"`
+	JSON bool   `name:"json" help:"Print the outcome as JSON."`
 }
 
 type (
@@ -29,9 +29,9 @@
 // changeResult is the outcome of a change, as --json prints it.
 type changeResult struct {
 	Version  int64     `json:"ver"`            // the file's
-	Base     int64     `json:"base"`           // the version it was sent on top of
-	Status   int       `json:"status"`         // 200: acknowledged; 0: no clear answer
-	From     string    `json:"from,omitempty"` // who answered
+	Base     int64     `json:"base"`           // version that the change builds on
+	Status   int       `json:"status"`         // HTTP status; 200: acknowledged, 0: no definite answer
+	From     string    `json:"from,omitempty"` // address of the control server that answered
 	Already  bool      `json:"already,omitempty"`
 	Reason   string    `json:"err,omitempty"`
 	Findings []finding `json:"findings"`
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	// The control plane would take a complete configuration for an update of nothing: unknown fields are ignored.
+	// Unknown fields are ignored, so the control plane would accept a complete configuration as an empty update.
 	isUpdate := detectKind(c.File, body) == kindUpdate
 	switch {
 	case call == externalapi.CallUpdate && !isUpdate:
@@ -98,7 +98,7 @@
 	return c.report(a, &s, err)
 }
 
-// report prints the outcome of a change; err is the client's.
+// report prints the outcome of a change; err is the error of the control-plane client.
 func (c *changeFlags) report(a *app, s *changeResult, err error) error {
 	if c.JSON {
 		if err2 := writeJSON(a.out, s); err2 != nil {
@@ -124,7 +124,7 @@
 	return exitError{err, exitCodeOf(err)}
 }
 
-// versionOf is the version of a body, 0 where it can't be read.
+// versionOf returns the version in a body, or 0 if the body can't be decoded.
 func versionOf(body []byte) int64 {
 	var top map[string]json.RawMessage
 	var ver float64
--- a/cmd/molepaddle-fleet/residency.go
+++ b/cmd/molepaddle-fleet/residency.go
@@ -14,12 +14,12 @@
 
 type residencyCmd struct {
 	controlFlags
-	Tenant string `arg:"" optional:"" help:"Whose data; without it: everybody's."`
+	Tenant string `arg:"" optional:"" help:"Name of the tenant. Default: all tenants."`
 	Route  string `help:"A route that has regions without a tenant, in place of TENANT." placeholder:"NAME"`
-	JSON   bool   `name:"json" help:"Print what the control plane says."`
+	JSON   bool   `name:"json" help:"Print the report as JSON."`
 }
 
-// Run prints in which regions data was.
+// Run prints the regions in which the data of tenants or routes was held.
 func (c *residencyCmd) Run(ctx context.Context, a *app) error {
 	if c.Tenant != "" && c.Route != "" {
 		return exitError{errors.New("give TENANT or --route, not both"), exitUsage}
@@ -60,5 +60,5 @@
 	return t.Flush()
 }
 
-// formatTime is a time to the millisecond, of UTC.
+// formatTime returns a time in UTC to the millisecond.
 func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02T15:04:05.000Z") }
--- a/cmd/molepaddle-fleet/route.go
+++ b/cmd/molepaddle-fleet/route.go
@@ -13,12 +13,12 @@
 
 type routeCmd struct {
 	controlFlags
-	Host string `arg:"" help:"The Host header; its port and case don't count."`
+	Host string `arg:"" help:"The Host header; its port and case are ignored."`
 	Path string `arg:"" help:"The path, as in the request line."`
-	File string `predictor:"file" help:"A whole configuration (JSON). Without it the one in force is asked for." placeholder:"CONF"`
+	File string `predictor:"file" help:"A complete configuration (JSON). Default: the one in force." placeholder:"CONF"`
 }
 
-// Run prints which route a request takes.
+// Run prints the route that a request takes, and the services with their shares.
 func (c *routeCmd) Run(ctx context.Context, a *app) error {
 	path, _, _ := strings.Cut(c.Path, "?")
 	if u, err := url.ParseRequestURI(path); err != nil || !strings.HasPrefix(path, "/") || u.Path == "" {
@@ -67,7 +67,7 @@
 	return d, nil
 }
 
-// describeKind is a route's kind, and what that means for a request that fails.
+// describeKind returns a route's kind and whether its requests may be retried after they may have run.
 func describeKind(r *routingconfig.RouteSpec) string {
 	if r.Idempotent() {
 		return r.Kind + " (may run more than once)"
--- a/cmd/molepaddle-fleet/show.go
+++ b/cmd/molepaddle-fleet/show.go
@@ -16,13 +16,13 @@
 
 type showCmd struct {
 	controlFlags
-	JSON bool `name:"json" help:"Print the operator's own document as the control plane gives it, with the API keys in it."`
+	JSON bool `name:"json" help:"Print the complete document as the control plane returns it, with the API keys in it."`
 }
 
-// errNoConfiguration is that the control plane has no configuration yet.
+// errNoConfiguration is returned while the control plane has no configuration.
 var errNoConfiguration = errors.New("no configuration yet")
 
-// Run shows the configuration in force.
+// Run prints the configuration in force.
 func (c *showCmd) Run(ctx context.Context, a *app) error {
 	client, err := c.client(a)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writeRoutes writes the routes, one a line.
+// writeRoutes writes a table with one route per line.
 func writeRoutes(t io.Writer, routes []routingconfig.RouteSpec) {
 	if len(routes) > 0 {
 		fmt.Fprintln(t, "\nroute\thost\tprefix\tkind\tto\tdeadline\ttarget\tprio\ttries\tbesides")
@@ -78,7 +78,7 @@
 	}
 }
 
-// formatRouteOptions is what else a route asks for.
+// formatRouteOptions returns the options that are set on a route.
 func formatRouteOptions(r *routingconfig.RouteSpec) string {
 	var options []string
 	if r.PrefixAffinity {
@@ -96,7 +96,7 @@
 	return orDash(strings.Join(options, ", "))
 }
 
-// writeConfiguredServices writes the services, one a line.
+// writeConfiguredServices writes a table with one service per line.
 func writeConfiguredServices(t io.Writer, services []routingconfig.Service) {
 	if len(services) > 0 {
 		fmt.Fprintln(t, "\nservice\tprobe\tconnections\trequests\ttokens\tmodels")
@@ -121,7 +121,7 @@
 	}
 }
 
-// writeAccounts writes the accounts, one a line, where requests need keys. The keys themselves stand nowhere.
+// writeAccounts writes a table with one account per line, if requests need API keys. It never prints the keys.
 func writeAccounts(w io.Writer, d *routingconfig.Document) error {
 	accounts := d.Accounts()
 	if accounts == nil {
@@ -148,8 +148,8 @@
 	return t.Flush()
 }
 
-// formatServices are a route's services, with their parts where there are several. The weights of a valid route add up
-// to more than 0.
+// formatServices returns the names of a route's services, with their percentages if there are several. The weights of a
+// valid route add up to more than 0.
 func formatServices(r *routingconfig.RouteSpec) []string {
 	if len(r.Split) == 0 {
 		return []string{quoteName(r.ServiceName)}
@@ -165,11 +165,13 @@
 	return out
 }
 
-func formatPercent(part float64) string { return strconv.FormatFloat(100*part, 'g', 4, 64) + "%" }
+func formatPercent(fraction float64) string {
+	return strconv.FormatFloat(100*fraction, 'g', 4, 64) + "%"
+}
 
 func formatNumber(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
 
-// formatDuration is a duration, or a dash for 0.
+// formatDuration returns a duration, or a dash for 0.
 func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return "-"
@@ -177,7 +179,7 @@
 	return d.String()
 }
 
-// formatCount is a number, or a dash for 0.
+// formatCount returns a number, or a dash for 0.
 func formatCount(n int64) string {
 	if n == 0 {
 		return "-"
--- a/cmd/molepaddle-fleet/status.go
+++ b/cmd/molepaddle-fleet/status.go
@@ -17,11 +17,11 @@
 
 type statusCmd struct {
 	controlFlags
-	Local bool `help:"What the machine asked knows itself, without passing on to the primary."`
-	JSON  bool `name:"json" help:"Print the status for programs."`
+	Local bool `help:"Show the state known to the called machine itself, without forwarding to the primary."`
+	JSON  bool `name:"json" help:"Print the status as JSON."`
 }
 
-// Run shows the fleet's status.
+// Run prints the fleet's status.
 func (c *statusCmd) Run(ctx context.Context, a *app) error {
 	client, err := c.client(a)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return t.Flush()
 }
 
-// writeMembers writes the core's members.
+// writeMembers writes a table of the core's members.
 func writeMembers(t io.Writer, f *status.Fleet) {
 	fmt.Fprintln(t, "\ncore\tzone\trole\theard")
 	for _, m := range f.View.Members {
@@ -76,7 +76,7 @@
 	}
 }
 
-// writeSingletonRoles writes who holds the roles that one machine has at a time.
+// writeSingletonRoles writes a table of the singleton roles and their lease holders.
 func writeSingletonRoles(t io.Writer, f *status.Fleet) {
 	fmt.Fprintln(t, "\nduty\tholder\tfence\tstate")
 	for _, d := range f.SingletonRoles {
@@ -93,7 +93,7 @@
 	}
 }
 
-// writeVersions writes the versions of the configuration and of the list of backends.
+// writeVersions writes the versions of the configuration and of the backend list.
 func writeVersions(w io.Writer, f *status.Fleet) {
 	if c := f.Configuration; c.Version == 0 {
 		fmt.Fprintln(w, "\nno configuration yet")
@@ -107,7 +107,7 @@
 	}
 }
 
-// writeServices writes the services with their numbers of backends.
+// writeServices writes a table of the services with their backend counts.
 func writeServices(t io.Writer, f *status.Fleet) {
 	if len(f.Services) > 0 {
 		fmt.Fprintln(t, "\nservice\tbackends\tdraining\tphases")
@@ -117,7 +117,7 @@
 	}
 }
 
-// writeAgents writes the agents that hold a lease.
+// writeAgents writes a table of the agents that hold a lease.
 func writeAgents(t io.Writer, f *status.Fleet) {
 	if len(f.Agents) > 0 {
 		fmt.Fprintln(t, "\nagent\tzone\tversion\tfor\tlist\trenewed\tbehind")
@@ -140,7 +140,7 @@
 	}
 }
 
-// lagging is what an agent lacks, and that it drains.
+// lagging returns which of configuration and backend list are out of date at an agent, and whether it is draining.
 func lagging(f *status.Fleet, a *status.Agent) string {
 	var all []string
 	if a.ConfigVersion < f.Configuration.Version {
@@ -155,7 +155,7 @@
 	return orDash(strings.Join(all, ", "))
 }
 
-// formatVersion is a version of the list of backends as epoch and count, or a dash.
+// formatVersion returns a version of the backend list as "epoch.count", or a dash if there is none.
 func formatVersion(n status.ListVersion) string {
 	if n.Count == 0 {
 		return "-"
@@ -163,7 +163,7 @@
 	return fmt.Sprintf("%d.%d", n.Epoch, n.Count)
 }
 
-// formatPollAge is how long ago the platform was asked; nothing where that isn't known.
+// formatPollAge returns how long ago the platform was polled, or "" if that is unknown.
 func formatPollAge(ms int64) string {
 	if ms < 0 {
 		return ""
@@ -171,7 +171,7 @@
 	return ", asked for " + formatMillis(ms) + " ago"
 }
 
-// formatPhases is the number of backends by phase.
+// formatPhases returns the number of backends in each phase.
 func formatPhases(in map[string]int) string {
 	var all []string
 	for name, n := range in {
@@ -181,7 +181,7 @@
 	return orDash(strings.Join(all, ", "))
 }
 
-// orDash is a text, or a dash where it is empty.
+// orDash returns s, or a dash if s is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -189,7 +189,7 @@
 	return s
 }
 
-// formatMillis is a duration rounded for a reader: whole seconds from a minute on, tenths from a second on.
+// formatMillis returns a duration in rounded form: whole seconds from a minute up, tenths from a second up.
 func formatMillis(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	switch {
--- a/cmd/molepaddle-fleet/text.go
+++ b/cmd/molepaddle-fleet/text.go
@@ -14,10 +14,10 @@
 	"molepaddle/internal/fleet/routingconfig"
 )
 
-// maxFileBytes bounds a file that is read, in bytes; the control server takes bodies of 16 MiB.
+// maxFileBytes is the largest input file in bytes; control servers accept bodies of up to 16 MiB.
 const maxFileBytes = 64 << 20
 
-// readFile reads a file of the operator's; an error ends with exitUsage.
+// readFile reads an input file. Its errors carry exitUsage.
 func readFile(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return b, nil
 }
 
-// sanitize replaces what a terminal may take for a control sequence; line ends stay.
+// sanitize replaces unprintable characters, which a terminal could interpret as control sequences, except line feeds.
 func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\n' || unicode.IsPrint(r) {
@@ -44,7 +44,7 @@
 	}, s)
 }
 
-// quoteName is a name as tables show it: quoted where it is empty, or has spaces, quotes or unprintable characters.
+// quoteName returns a name for a table: quoted if it is empty or has spaces, quotes or unprintable characters.
 func quoteName(s string) string {
 	needsQuotes := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) || r == '"' }
 	if s == "" || strings.ContainsFunc(s, needsQuotes) {
@@ -53,14 +53,13 @@
 	return s
 }
 
-// finding is one thing wrong with a file, as --json prints it.
+// finding is one error in a file, as --json prints it.
 type finding struct {
 	Place string `json:"place"`
 	Text  string `json:"text"`
 }
 
-// fileFindings turns a configuration's findings into those of a file: a position in bytes becomes one by line and
-// column.
+// fileFindings converts a configuration's findings into findings of a file: byte positions become line and column.
 func fileFindings(in routingconfig.Findings, body []byte) []finding {
 	out := make([]finding, 0, len(in))
 	for _, f := range in {
@@ -77,7 +76,7 @@
 	return out
 }
 
-// writeFindings writes findings, one a line: "file: place: what is wrong".
+// writeFindings writes findings, one per line, as "file: place: text".
 func writeFindings(w io.Writer, file string, all []finding) {
 	for _, f := range all {
 		at := file
@@ -88,7 +87,7 @@
 	}
 }
 
-// writeJSON writes one value, indented.
+// writeJSON writes one value as indented JSON.
 func writeJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetEscapeHTML(false)
@@ -96,7 +95,7 @@
 	return e.Encode(v)
 }
 
-// plural is a number with its noun.
+// plural returns a count with its noun, in the plural unless n is 1.
 func plural(n int, noun string) string {
 	if n != 1 {
 		noun += "s"
--- a/cmd/molepaddle-fleet/version.go
+++ b/cmd/molepaddle-fleet/version.go
@@ -10,7 +10,7 @@
 
 type versionCmd struct{}
 
-// Run prints the build.
+// Run prints the build information.
 func (versionCmd) Run(a *app) error {
 	writeVersion(a.out, a.readBuildInfo)
 	return nil
@@ -18,14 +18,14 @@
 
 type versionFlag bool
 
-// BeforeReset prints the build and exits.
+// BeforeReset prints the build information and exits.
 func (versionFlag) BeforeReset(k *kong.Kong, a *app) error {
 	writeVersion(a.out, a.readBuildInfo)
 	k.Exit(exitOK)
 	return nil
 }
 
-// writeVersion prints the build's information: module version, revision, Go and platform.
+// writeVersion prints the module version, revision, Go version and platform of the build.
 func writeVersion(w io.Writer, build func() (*debug.BuildInfo, bool)) {
 	info, ok := build()
 	if !ok {
--- a/cmd/molepaddle-fleet/watch.go
+++ b/cmd/molepaddle-fleet/watch.go
@@ -15,13 +15,13 @@
 
 type watchCmd struct {
 	controlFlags
-	Version int64         `arg:"" optional:"" help:"The version to wait for; without it, the one in force."`
+	Version int64         `arg:"" optional:"" help:"The version to wait for. Default: the one in force."`
 	Limit   time.Duration `help:"The longest wait." default:"30s"`
-	JSON    bool          `name:"json" help:"Print the last status for programs, and nothing else."`
+	JSON    bool          `name:"json" help:"Print only the last status, as JSON."`
 }
 
-// watchInterval is the time between two statuses, and watchIntervalPerAgent what each agent adds to it: a status of
-// 2,500 agents takes the primary 12 ms.
+// The interval between two status polls is watchInterval plus watchIntervalPerAgent for each agent: a status of 2,500
+// agents takes the primary 12 ms.
 const (
 	watchInterval         = 250 * time.Millisecond
 	watchIntervalPerAgent = 400 * time.Microsecond
@@ -49,8 +49,8 @@
 	return err
 }
 
-// watch asks for the fleet's status until every agent with a lease has the version (0: the one in force at the first
-// answer), and prints each change. The last status is returned also with an error.
+// watch polls the fleet's status until every agent with a lease has the version (0: the one in force at the first
+// answer), and prints each change of progress. It returns the last status also with an error.
 func watch(
 	ctx context.Context, client *operatorclient.Client, version int64, limit time.Duration, printLine func(line string),
 ) (*status.Fleet, error) {
@@ -63,7 +63,7 @@
 		case err != nil && ctx.Err() == nil && exitCodeOf(err) != exitIndeterminate:
 			return w.last, exitError{err, exitCodeOf(err)}
 		case err != nil:
-			// No primary for the moment, or the time is over: which of them shows below.
+			// There is no primary at the moment, or the time limit has passed; the select below tells them apart.
 		default:
 			if done, err := w.update(fleet); done || err != nil {
 				return fleet, err
@@ -83,7 +83,7 @@
 	}
 }
 
-// rolloutWatch is how far a version has come, by the statuses so far.
+// rolloutWatch is the progress of a version's rollout, as seen in the statuses so far.
 type rolloutWatch struct {
 	version   int64 // 0: not yet known
 	printLine func(line string)
@@ -92,7 +92,7 @@
 	last      *status.Fleet    // nil: none yet
 }
 
-// update takes a status, and reports whether the version is in force at every agent.
+// update records a status and reports whether the version is in force at every agent.
 func (w *rolloutWatch) update(fleet *status.Fleet) (done bool, err error) {
 	w.last = fleet
 	if w.version == 0 {
@@ -117,7 +117,7 @@
 	return true, nil
 }
 
-// pause is the wait before the next status.
+// pause returns the wait before the next status poll.
 func (w *rolloutWatch) pause() time.Duration {
 	if w.last == nil {
 		return watchInterval
@@ -125,7 +125,7 @@
 	return watchInterval + time.Duration(len(w.last.Agents))*watchIntervalPerAgent
 }
 
-// expiredAgents are the agents that were seen without the version and hold no lease now.
+// expiredAgents lists the agents that were last seen without the version and no longer hold a lease.
 func expiredAgents(f *status.Fleet, seen map[string]int64, version int64) string {
 	var all []string
 	for name, had := range seen {
@@ -137,7 +137,7 @@
 	return strings.Join(all, ", ")
 }
 
-// progress is one line on how far a version has come.
+// progress returns one line on the rollout of a version: how many agents have it, and the names of those that don't.
 func progress(f *status.Fleet, version int64) string {
 	behind := f.Behind(version)
 	line := fmt.Sprintf("version %d: in force at %d of %s", version, len(f.Agents)-len(behind),
--- a/internal/fleet/scaletest/agents.go
+++ b/internal/fleet/scaletest/agents.go
@@ -15,53 +15,56 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// Crew is the hollow agents of one process: each pulls as a node agent with a proxy beside it does, at one of the
-// control servers, and keeps only how far it has come. What it reports stands in Event.
-type Crew struct {
+// AgentGroup is the simulated agents of one process. Each pulls from one control server at a time, as a node agent with
+// a proxy beside it does, but stores only the versions that it has. The group reports its progress as Events.
+type AgentGroup struct {
 	First, Count int
-	Addresses    []string      // where control servers answer pulls
+	Addresses    []string      // addresses at which control servers answer pulls
 	Heartbeat    time.Duration // heartbeat_ms of the settings
 	Apply        time.Duration // apply_ms of the settings
 
-	mu     sync.Mutex
-	out    io.Writer
-	seen   map[string]*arrivals
-	mark   time.Time
-	marked []int64 // by agent, when it was back; 0: not yet
-	back   int
+	mu       sync.Mutex
+	out      io.Writer
+	arrivals map[string]*arrivals
+	markedAt time.Time
+	backAt   []int64 // by agent: when it was back, ns since 1970; 0: not yet
+	numBack  int
 }
 
-// Event tells that all agents of a crew have come to a version, or were back after a mark.
+// Event reports that all agents of a group have reached a version, or are back in contact with a primary after the
+// command "mark".
 type Event struct {
-	What  string  // distribution.SourceConfig, distribution.SourceList or "back"
+	Type  string  `json:"What"` // distribution.ConfigType, distribution.BackendListType or "back"
 	Epoch uint64  // of the version
 	Count uint64  // of the version
-	At    []int64 // when each agent had it, ns since 1970, in the order of arrival; of "back", in the order of agents
+	At    []int64 // time of each agent, ns since 1970, in the order of arrival; for "back", in the order of agents
 }
 
+// arrivals are the times at which agents of a group reached a version.
 type arrivals struct {
-	at   distribution.Version
-	when []int64
+	version distribution.Version
+	times   []int64
 }
 
-// keptVersions bounds the versions that a crew still counts arrivals of.
-const keptVersions = 512
+// maxTrackedVersions is the largest number of versions for which a group records arrivals.
+const maxTrackedVersions = 512
 
-// Run pulls until ctx ends or commands do. Commands come as lines: "mark" asks for an event "back" once each agent has
-// heard, by whatever way, of a primary that was alive after now. Events go to out as lines of JSON.
-func (c *Crew) Run(ctx context.Context, commands io.Reader, out io.Writer) error {
-	c.out, c.seen = out, map[string]*arrivals{}
+// Run runs the agents until ctx or commands ends. Each line of commands is a command: "mark" requests an event "back"
+// once each agent has learned, directly or through relays, of a primary that was alive after the command. Events are
+// written to out as lines of JSON.
+func (c *AgentGroup) Run(ctx context.Context, commands io.Reader, out io.Writer) error {
+	c.out, c.arrivals = out, map[string]*arrivals{}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
 	for i := range c.Count {
-		all.Go(func() { c.follow(ctx, i) })
+		all.Go(func() { c.runAgent(ctx, i) })
 	}
 	lines := bufio.NewScanner(commands)
 	for lines.Scan() {
 		if strings.TrimSpace(lines.Text()) == "mark" {
 			c.mu.Lock()
-			c.mark, c.marked, c.back = time.Now(), make([]int64, c.Count), 0
+			c.markedAt, c.backAt, c.numBack = time.Now(), make([]int64, c.Count), 0
 			c.mu.Unlock()
 		}
 	}
@@ -70,8 +73,8 @@
 	return lines.Err()
 }
 
-// follow is one agent, with the node agent's own way of choosing and leaving control servers.
-func (c *Crew) follow(ctx context.Context, i int) {
+// runAgent runs one agent, which selects and leaves control servers by the rules of the node agent.
+func (c *AgentGroup) runAgent(ctx context.Context, i int) {
 	name, zone := fmt.Sprintf("edge-zone-%d-%d", (c.First+i)%zones, c.First+i), Zone(c.First+i)
 	have := map[string]distribution.Version{}
 	wait, silence := distribution.PullTimeouts(c.Apply, c.Heartbeat)
@@ -98,8 +101,8 @@
 						heard = h
 					}
 				}
-				c.noteBack(i, heard, now)
-				return c.take(have, n.Resources, now)
+				c.recordBack(i, heard, now)
+				return c.applyResources(have, n.Resources, now)
 			},
 			Continue: func() bool {
 				return time.Since(heard) < 2*c.Heartbeat || time.Since(began) < 2*c.Heartbeat
@@ -115,8 +118,9 @@
 	}
 }
 
-// take takes resources into the versions that an agent has, and returns the types that it lacks the base of.
-func (c *Crew) take(
+// applyResources advances an agent's versions by the resources of a response. It returns the types of changes whose
+// base version the agent doesn't have.
+func (c *AgentGroup) applyResources(
 	have map[string]distribution.Version, resources []distribution.Resource, now time.Time,
 ) (lacking []string) {
 	for _, p := range resources {
@@ -127,14 +131,15 @@
 		}
 		if was.Before(p.Version) {
 			have[p.Type] = p.Version
-			c.note(p.Type, was, p.Version, now)
+			c.recordVersion(p.Type, was, p.Version, now)
 		}
 	}
 	return lacking
 }
 
-// note counts that one more agent came from a version to another: of the configuration each one between counts.
-func (c *Crew) note(source string, was, at distribution.Version, now time.Time) {
+// recordVersion records that an agent advanced from one version to another. For the configuration, each version in
+// between counts as reached.
+func (c *AgentGroup) recordVersion(source string, was, at distribution.Version, now time.Time) {
 	if source == distribution.MembershipSizeType {
 		return
 	}
@@ -144,40 +149,42 @@
 	if source == distribution.ConfigType && was.Epoch == at.Epoch {
 		from = was.Count + 1
 	}
-	for n := max(from, at.Count-min(at.Count, keptVersions)); n <= at.Count; n++ {
+	for n := max(from, at.Count-min(at.Count, maxTrackedVersions)); n <= at.Count; n++ {
 		key := fmt.Sprint(source, at.Epoch, ".", n)
-		a := c.seen[key]
+		a := c.arrivals[key]
 		if a == nil {
-			if len(c.seen) >= keptVersions {
-				clear(c.seen)
+			if len(c.arrivals) >= maxTrackedVersions {
+				clear(c.arrivals)
 			}
-			a = &arrivals{at: distribution.Version{Epoch: at.Epoch, Count: n}}
-			c.seen[key] = a
+			a = &arrivals{version: distribution.Version{Epoch: at.Epoch, Count: n}}
+			c.arrivals[key] = a
 		}
-		if a.when = append(a.when, now.UnixNano()); len(a.when) == c.Count {
-			c.tell(Event{What: source, Epoch: at.Epoch, Count: n, At: a.when})
-			delete(c.seen, key)
+		if a.times = append(a.times, now.UnixNano()); len(a.times) == c.Count {
+			c.writeEvent(Event{Type: source, Epoch: at.Epoch, Count: n, At: a.times})
+			delete(c.arrivals, key)
 		}
 	}
 }
 
-func (c *Crew) noteBack(i int, heard, now time.Time) {
+// recordBack records that agent i is back, if its last contact with a primary is later than the mark.
+func (c *AgentGroup) recordBack(i int, heard, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.marked == nil || c.marked[i] != 0 || !heard.After(c.mark) {
+	if c.backAt == nil || c.backAt[i] != 0 || !heard.After(c.markedAt) {
 		return
 	}
-	c.marked[i] = now.UnixNano()
-	if c.back++; c.back == c.Count {
-		c.tell(Event{What: eventBack, At: c.marked})
-		c.marked = nil
+	c.backAt[i] = now.UnixNano()
+	if c.numBack++; c.numBack == c.Count {
+		c.writeEvent(Event{Type: eventBack, At: c.backAt})
+		c.backAt = nil
 	}
 }
 
+// eventBack is the Type of the Event that all agents are back.
 const eventBack = "back"
 
-// tell writes one event; the lock is held.
-func (c *Crew) tell(e Event) {
+// writeEvent writes one event. c.mu is held.
+func (c *AgentGroup) writeEvent(e Event) {
 	b, err := json.Marshal(e)
 	if err == nil {
 		_, _ = c.out.Write(append(b, '\n'))
--- a/internal/fleet/scaletest/bench_test.go
+++ b/internal/fleet/scaletest/bench_test.go
@@ -66,10 +66,10 @@
 	})
 }
 
-// BenchmarkPoll is one poll of the platform's whole list by pages of 50, both sides' work together.
+// BenchmarkPoll measures one poll of the platform's complete list by pages of 50, the work of both sides together.
 func BenchmarkPoll(b *testing.B) {
 	sizes(b, listSizes, func(b *testing.B, n int) {
-		p, err := ServePlatform(Backends(n), 50)
+		p, err := StartPlatform(Backends(n), 50)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -85,7 +85,8 @@
 	})
 }
 
-// BenchmarkPullWhole is one pull answered with the whole list over loopback, both sides' work together.
+// BenchmarkPullWhole measures one pull answered with a snapshot of the list over loopback, the work of both sides
+// together.
 func BenchmarkPullWhole(b *testing.B) {
 	sizes(b, listSizes, func(b *testing.B, n int) {
 		s := distribution.NewCache()
@@ -110,8 +111,8 @@
 	})
 }
 
-// BenchmarkLeases is what one pull of a relay costs that stands for n proxies: gathered and encoded there, decoded and
-// noted at the primary.
+// BenchmarkLeases measures one pull of a relay that reports n proxies: collected and encoded by the relay, decoded and
+// recorded by the primary.
 func BenchmarkLeases(b *testing.B) {
 	sizes(b, leaseSizes, func(b *testing.B, n int) {
 		relay, primary := distribution.NewCache(), distribution.NewCache()
@@ -236,7 +237,7 @@
 	return e, l
 }
 
-// BenchmarkRank is one ordering of all backends by tier, cap and key.
+// BenchmarkRank measures one ranking of all backends by tier, cap and key.
 func BenchmarkRank(b *testing.B) {
 	sizes(b, decisionSizes, func(b *testing.B, n int) {
 		r, _ := ranker(n)
@@ -249,7 +250,7 @@
 	})
 }
 
-// BenchmarkRankByLoad is one ordering with scheduler's estimates as costs.
+// BenchmarkRankByLoad measures one ranking with the scheduler's estimates as costs.
 func BenchmarkRankByLoad(b *testing.B) {
 	sizes(b, decisionSizes, func(b *testing.B, n int) {
 		r, l := ranker(n)
@@ -274,7 +275,7 @@
 	return p
 }
 
-// BenchmarkSent is a prompt noted as sent and read at one backend, among n.
+// BenchmarkSent measures recording a prompt as sent to and prefilled at one of n backends.
 func BenchmarkSent(b *testing.B) {
 	sizes(b, decisionSizes, func(b *testing.B, n int) {
 		e, l := engines(n)
@@ -290,7 +291,7 @@
 	})
 }
 
-// BenchmarkTakeList is a whole list taken by ranker and scheduler, that already have it.
+// BenchmarkTakeList measures applying a complete list that ranker and scheduler already have.
 func BenchmarkTakeList(b *testing.B) {
 	sizes(b, listSizes, func(b *testing.B, n int) {
 		r, l := ranker(n)
@@ -302,8 +303,8 @@
 	})
 }
 
-// BenchmarkBeliefs is the memory that what a proxy believes to be kept takes, after n prompts of three parts spread over
-// 300 backends.
+// BenchmarkBeliefs measures the memory of a proxy's estimate of the backends' prefix caches, after n prompts of three
+// parts spread over 300 backends.
 func BenchmarkBeliefs(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000, 300_000} {
 		b.Run(fmt.Sprintf("prompts=%d", n), func(b *testing.B) {
--- a/internal/fleet/scaletest/doc.go
+++ b/internal/fleet/scaletest/doc.go
@@ -1,12 +1,13 @@
-// Package scaletest measures how the fleet's own programs grow. It starts real control servers, a real node agent and a
-// real proxy as processes on loopback, and beside them hollow agents, many in one process, that pull as node agents do
-// but hold nothing, and a hollow platform that lists
-// backends which nobody runs. What it finds is written as text; docs/CAPACITY.md draws on it.
+// Package scaletest measures how the resource usage of the fleet's programs grows with the size of the fleet. It starts
+// real control servers, a real node agent and a real proxy as processes on loopback. Beside them it runs simulated
+// agents, many in one process, that pull as node agents do but store only version numbers, and a fake platform that
+// lists backends which don't exist. It writes its results as text; docs/CAPACITY.md is based on them.
 //
-// A run is bounded: every wait has an end, at most MaxAgents agents, MaxBackends backends and MaxRoutes routes.
+// A run is bounded: every wait has a time limit, and there are at most MaxAgents agents, MaxBackends backends and
+// MaxRoutes routes. It is used by the command molepaddle-scale and by tests only.
 package scaletest
 
-// Bounds of a run: each takes descriptors or memory of this machine.
+// Limits of a run. Each agent, backend and route takes file descriptors or memory of this machine.
 const (
 	MaxAgents   = 10_000
 	MaxBackends = 20_000
--- a/internal/fleet/scaletest/fleet.go
+++ b/internal/fleet/scaletest/fleet.go
@@ -7,17 +7,17 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// zones is the number of zones that hollow machines are spread over: 21, as the operators' target has.
+// zones is the number of zones over which simulated machines are spread; 21 is the operators' target.
 const zones = 21
 
-// prefillShare is the part of the backends that read prompts: 34 in 100 in the operators' target.
+// prefillShare is the fraction of the backends that serve prefill; 34 in 100 is the operators' target.
 const prefillShare = 0.34
 
-// Zone names the zone of the i-th machine.
+// Zone returns the zone of the i-th machine.
 func Zone(i int) string { return "zone-" + strconv.Itoa(i%zones) }
 
-// Backends makes a list of n hollow backends of one service, sorted by id. Their addresses are on loopback, where
-// nobody listens.
+// Backends returns a list of n fake backends of one service, sorted by id. Their addresses are on loopback, where
+// nothing listens.
 func Backends(n int) distribution.BackendList {
 	l := distribution.BackendList{Backends: make([]distribution.Backend, n)}
 	for i := range l.Backends {
@@ -39,7 +39,7 @@
 	return l
 }
 
-// The configuration's documents, as the operator words them (PROTOCOL, "The operator's API").
+// The documents of the configuration, as the operator sends them (PROTOCOL, "The operator's API").
 type (
 	document struct {
 		Version  int64         `json:"ver"`
@@ -113,7 +113,7 @@
 	}
 }
 
-// newDocument is a whole configuration with so many routes.
+// newDocument returns a complete configuration with the given number of routes.
 func newDocument(version int64, routes int) document {
 	service := serviceItem{Name: "llm", Probe: "/healthz", MaxConn: 360, Protocol: "h1", Runtime: runtimeItem{
 		Capacity: 64,
--- a/internal/fleet/scaletest/operator.go
+++ b/internal/fleet/scaletest/operator.go
@@ -14,7 +14,8 @@
 	"molepaddle/internal/fleet/externalapi"
 )
 
-// operator calls the control plane as the operator does: at one control server after the other until one takes it.
+// operator calls the control plane as an operator's client does: it tries the control servers in turn until one accepts
+// the call.
 type operator struct {
 	addresses []string // control addresses
 	client    http.Client
@@ -24,18 +25,18 @@
 
 // again is the pause between two tries, callWithin bounds one (PROTOCOL: a second of silence).
 const (
-	again      = 20 * time.Millisecond
-	callWithin = time.Second
+	retryPause  = 20 * time.Millisecond
+	callTimeout = time.Second
 )
 
 func newOperator(addresses []string) *operator {
 	return &operator{addresses: addresses, client: http.Client{
-		Timeout:   callWithin,
+		Timeout:   callTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true},
 	}}
 }
 
-// pause waits; false: ctx has ended.
+// pause waits for d and reports false if ctx ended first.
 func pause(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -47,7 +48,7 @@
 	}
 }
 
-// call sends one call until a control server answers 200. Other answers than 5xx end it.
+// call retries one call until a control server answers 200. Status codes other than 307, 404 and 5xx end it.
 func (o *operator) call(ctx context.Context, c *externalapi.Call, body []byte) error {
 	last := errors.New("no control server")
 	for i := 0; ctx.Err() == nil; i++ {
@@ -72,7 +73,7 @@
 				return last
 			}
 		}
-		if i%len(o.addresses) == len(o.addresses)-1 && !pause(ctx, again) {
+		if i%len(o.addresses) == len(o.addresses)-1 && !pause(ctx, retryPause) {
 			break
 		}
 	}
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// update changes one route.
+// update sends an update of one route.
 func (o *operator) update(ctx context.Context) error {
 	c := change{Version: o.version + 1}
 	c.Upsert.Routes = []routeItem{route(0, int(o.version%8))}
@@ -109,5 +110,5 @@
 	return nil
 }
 
-// show waits until a control server shows the configuration: a primary is there, and its view stands.
+// show waits until a control server returns the configuration, which means that there is a primary with a stable view.
 func (o *operator) show(ctx context.Context) error { return o.call(ctx, &externalapi.CallShow, nil) }
--- a/internal/fleet/scaletest/phases.go
+++ b/internal/fleet/scaletest/phases.go
@@ -12,88 +12,88 @@
 	"molepaddle/internal/fleet/replication"
 )
 
-// steadyFor is how long the agents' leases and the number of agents take to stand still: some beats.
-func (t *Trial) steadyFor() time.Duration { return 4 * t.Heartbeat }
+// settlingTime returns the time in which the agents' leases and the number of agents become stable: some heartbeats.
+func (t *Trial) settlingTime() time.Duration { return 4 * t.Heartbeat }
 
-func (t *Trial) rest(ctx context.Context) error {
-	if !pause(ctx, t.steadyFor()) {
+func (t *Trial) measureIdle(ctx context.Context) error {
+	if !pause(ctx, t.settlingTime()) {
 		return ctx.Err()
 	}
 	calls := t.platform.Calls()
-	err := t.during("rest", "second", 0, func() error {
-		if !pause(ctx, t.Rest) {
+	err := t.measureUsage("rest", "second", 0, func() error {
+		if !pause(ctx, t.IdleDuration) {
 			return ctx.Err()
 		}
 		return nil
 	})
-	t.say("rest: %.2f calls a second to the platform", float64(t.platform.Calls()-calls)/t.Rest.Seconds())
+	t.printf("rest: %.2f calls a second to the platform", float64(t.platform.Calls()-calls)/t.IdleDuration.Seconds())
 	return err
 }
 
-func (t *Trial) changes(ctx context.Context) error {
+func (t *Trial) measureConfigChanges(ctx context.Context) error {
 	var acks, sent, acked []time.Duration
-	return t.during("change", "change", t.Changes, func() error {
-		for range t.Changes {
-			tick := time.NewTimer(t.Gap)
-			bound, cancel := context.WithTimeout(ctx, t.Within)
+	return t.measureUsage("change", "change", t.ConfigChanges, func() error {
+		for range t.ConfigChanges {
+			tick := time.NewTimer(t.ChangeInterval)
+			bound, cancel := context.WithTimeout(ctx, t.WaitTimeout)
 			began := time.Now()
-			err := t.op.update(bound)
+			err := t.operator.update(bound)
 			cancel()
 			if err != nil {
 				return err
 			}
 			ack := time.Now()
 			acks = append(acks, ack.Sub(began))
-			at, err := t.await(ctx, func(e *Event) bool {
-				return e.What == distribution.ConfigType && e.Count >= t.op.changes
+			at, err := t.awaitEvents(ctx, func(e *Event) bool {
+				return e.Type == distribution.ConfigType && e.Count >= t.operator.changes
 			})
 			if err != nil {
 				return err
 			}
-			sent, acked = append(sent, lags(began, at)...), append(acked, lags(ack, at)...)
+			sent, acked = append(sent, delaysSince(began, at)...), append(acked, delaysSince(ack, at)...)
 			select {
 			case <-tick.C:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		}
-		t.quantiles("change: acknowledged after it was sent", acks)
-		t.quantiles("change: at an agent after it was sent", sent)
-		t.quantiles("change: at an agent after its acknowledgement", acked)
+		t.reportQuantiles("change: acknowledged after it was sent", acks)
+		t.reportQuantiles("change: at an agent after it was sent", sent)
+		t.reportQuantiles("change: at an agent after its acknowledgement", acked)
 		return nil
 	})
 }
 
-func (t *Trial) lists(ctx context.Context) error {
+func (t *Trial) measureListChanges(ctx context.Context) error {
 	var all, apart []time.Duration
-	return t.during("list", "change", t.Lists, func() error {
-		for i := range t.Lists {
-			for len(t.events) > 0 { // of earlier changes
+	return t.measureUsage("list", "change", t.ListChanges, func() error {
+		for i := range t.ListChanges {
+			for len(t.events) > 0 { // discard events of earlier changes
 				<-t.events
 			}
 			began := time.Now()
-			t.platform.Toggle(i)
-			at, err := t.await(ctx, func(e *Event) bool {
-				return e.What == distribution.BackendListType && e.At[0] > began.UnixNano()
+			t.platform.ToggleDraining(i)
+			at, err := t.awaitEvents(ctx, func(e *Event) bool {
+				return e.Type == distribution.BackendListType && e.At[0] > began.UnixNano()
 			})
 			if err != nil {
 				return err
 			}
 			first := slices.Min(at)
-			all = append(all, lags(began, at)...)
-			apart = append(apart, lags(time.Unix(0, first), at)...)
-			if !pause(ctx, t.Gap) {
+			all = append(all, delaysSince(began, at)...)
+			apart = append(apart, delaysSince(time.Unix(0, first), at)...)
+			if !pause(ctx, t.ChangeInterval) {
 				return ctx.Err()
 			}
 		}
-		t.quantiles("list: at an agent after the platform changed it", all)
-		t.quantiles("list: at an agent after the first agent had it", apart)
+		t.reportQuantiles("list: at an agent after the platform changed it", all)
+		t.reportQuantiles("list: at an agent after the first agent had it", apart)
 		return nil
 	})
 }
 
-// mark has the crews tell when their agents are back from now on.
-func (t *Trial) mark() error {
+// markAgents requests an event "back" from each agent group; see AgentGroup.Run.
+func (t *Trial) markAgents() error {
 	for _, in := range t.commands {
 		if _, err := io.WriteString(in, "mark\n"); err != nil {
 			return err
@@ -102,86 +102,86 @@
 	return nil
 }
 
-// after waits for the control plane to be back, and writes how long that took since began.
-func (t *Trial) after(ctx context.Context, what string, began time.Time) error {
-	bound, cancel := context.WithTimeout(ctx, t.Within)
+// awaitRecovery waits until the control plane and all agents work again, and writes the times since began.
+func (t *Trial) awaitRecovery(ctx context.Context, what string, began time.Time) error {
+	bound, cancel := context.WithTimeout(ctx, t.WaitTimeout)
 	defer cancel()
-	if err := t.op.show(bound); err != nil {
+	if err := t.operator.show(bound); err != nil {
 		return err
 	}
-	t.say("%s: configuration shown again after %v", what, since(began))
-	if err := t.op.update(bound); err != nil {
+	t.printf("%s: configuration shown again after %v", what, elapsedSince(began))
+	if err := t.operator.update(bound); err != nil {
 		return err
 	}
-	t.say("%s: next change acknowledged after %v", what, since(began))
+	t.printf("%s: next change acknowledged after %v", what, elapsedSince(began))
 	var back, config []int64
 	backs, configs := map[int]bool{}, map[int]bool{}
-	for len(backs) < t.Crews || len(configs) < t.Crews {
+	for len(backs) < t.AgentProcesses || len(configs) < t.AgentProcesses {
 		select {
 		case e := <-t.events:
 			switch {
-			case e.What == eventBack && !backs[e.crew]:
-				backs[e.crew], back = true, append(back, e.At...)
-			case e.What == distribution.ConfigType && e.Count >= t.op.changes && !configs[e.crew]:
-				configs[e.crew], config = true, append(config, e.At...)
+			case e.Type == eventBack && !backs[e.group]:
+				backs[e.group], back = true, append(back, e.At...)
+			case e.Type == distribution.ConfigType && e.Count >= t.operator.changes && !configs[e.group]:
+				configs[e.group], config = true, append(config, e.At...)
 			}
 		case <-bound.Done():
-			return errors.Wrapf(bound.Err(), "%d and %d of %d processes", len(backs), len(configs), t.Crews)
+			return errors.Wrapf(bound.Err(), "%d and %d of %d processes", len(backs), len(configs), t.AgentProcesses)
 		}
 	}
-	t.spread(what+": agents back", began, back)
-	t.spread(what+": that change at the agents", began, config)
+	t.reportDelays(what+": agents back", began, back)
+	t.reportDelays(what+": that change at the agents", began, config)
 	return nil
 }
 
-func (t *Trial) losePrimary(ctx context.Context) error {
-	i := slices.IndexFunc(t.observers, func(p *process) bool {
+func (t *Trial) killPrimary(ctx context.Context) error {
+	i := slices.IndexFunc(t.controlServers, func(p *process) bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.role == replication.Primary.String()
 	})
 	if i < 0 {
-		return errors.New("no control server says that it is the primary")
+		return errors.New("no control server has logged that it is the primary")
 	}
 	began := time.Now()
-	t.observers[i].kill()
-	if err := t.mark(); err != nil {
+	t.controlServers[i].kill()
+	if err := t.markAgents(); err != nil {
 		return err
 	}
-	if err := t.after(ctx, "primary killed", began); err != nil {
+	if err := t.awaitRecovery(ctx, "primary killed", began); err != nil {
 		return err
 	}
-	if err := t.observe(i); err != nil {
+	if err := t.startControlServer(i); err != nil {
 		return err
 	}
-	if !pause(ctx, t.steadyFor()) {
+	if !pause(ctx, t.settlingTime()) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-func (t *Trial) loseCore(ctx context.Context) error {
+func (t *Trial) killCore(ctx context.Context) error {
 	began := time.Now()
-	for _, p := range t.observers {
+	for _, p := range t.controlServers {
 		p.kill()
 	}
-	if err := t.mark(); err != nil {
+	if err := t.markAgents(); err != nil {
 		return err
 	}
-	for i := range t.observers {
-		if err := t.observe(i); err != nil {
+	for i := range t.controlServers {
+		if err := t.startControlServer(i); err != nil {
 			return err
 		}
 	}
-	return t.after(ctx, "core killed", began)
+	return t.awaitRecovery(ctx, "core killed", began)
 }
 
-// memory writes what each process holds, 10^6 bytes.
-func (t *Trial) memory(when string) {
+// reportMemory writes the memory of each process in units of 10^6 bytes.
+func (t *Trial) reportMemory(when string) {
 	for _, r := range t.rows() {
 		if u, err := r.usage(); err == nil {
-			t.say("memory %s: %-22s resident %8.2f MB, peak %8.2f MB",
-				when, r.name, float64(u.Resident)/1e6/r.share, float64(u.Peak)/1e6/r.share)
+			t.printf("memory %s: %-22s resident %8.2f MB, peak %8.2f MB",
+				when, r.name, float64(u.Resident)/1e6/r.divisor, float64(u.Peak)/1e6/r.divisor)
 		}
 	}
 }
--- a/internal/fleet/scaletest/platform.go
+++ b/internal/fleet/scaletest/platform.go
@@ -12,9 +12,9 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// Platform is the hollow platform: it gives a list by pages, without a bound on its rate.
+// Platform is a fake platform that serves a backend list page by page, without a rate limit.
 type Platform struct {
-	Page  int // entries on one page
+	Page  int // entries per page
 	ln    net.Listener
 	calls atomic.Int64
 
@@ -22,8 +22,8 @@
 	list distribution.BackendList
 }
 
-// ServePlatform starts a platform on a port of its own on loopback; Close ends it.
-func ServePlatform(list distribution.BackendList, page int) (*Platform, error) {
+// StartPlatform starts a Platform on a free port of loopback; Close stops it.
+func StartPlatform(list distribution.BackendList, page int) (*Platform, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -34,24 +34,24 @@
 	return p, nil
 }
 
-// Address is where it is asked.
+// Address returns the address at which the platform listens.
 func (p *Platform) Address() string { return p.ln.Addr().String() }
 
-// Close ends it.
+// Close closes the platform's listener.
 func (p *Platform) Close() { p.ln.Close() }
 
-// Calls is how many it has answered.
+// Calls returns the number of calls received so far.
 func (p *Platform) Calls() int64 { return p.calls.Load() }
 
-// Toggle has the i-th backend drain, or be up again.
-func (p *Platform) Toggle(i int) {
+// ToggleDraining switches the state of the i-th backend between up and draining.
+func (p *Platform) ToggleDraining(i int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := &p.list.Backends[i%len(p.list.Backends)]
 	b.Draining = !b.Draining
 }
 
-// ServeHTTP answers a call for the list, page by page.
+// ServeHTTP answers a call for one page of the list.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.calls.Add(1)
 	from, _ := strconv.Atoi(r.URL.Query().Get("marker"))
--- a/internal/fleet/scaletest/process.go
+++ b/internal/fleet/scaletest/process.go
@@ -14,18 +14,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// process is a program that a run has started.
+// process is a running program of a trial.
 type process struct {
 	name string
 	cmd  *exec.Cmd
 	done chan struct{}
 
 	mu   sync.Mutex
-	role string // a control server's, as its log last named it (replication.Role)
+	role string // role of a control server by its last log line with one (replication.Role)
 }
 
-// start starts a program. It gets no variables of the caller but those named. lines takes what it writes to standard
-// output and standard error, line by line.
+// start starts a program. Its environment is PATH and env. lines is called with each line of its standard output and
+// standard error. The returned writer is its standard input.
 func start(
 	name, binary string, args, env []string, lines func(p *process, line []byte),
 ) (*process, io.WriteCloser, error) {
@@ -64,13 +64,13 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// kill ends it without warning and waits for its end.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// watchRole learns a control server's role from the line it logs at each change.
+// watchRole updates a control server's role from the line that it logs at each view change.
 func watchRole(p *process, line []byte) {
 	var l struct {
 		Msg  string `json:"msg"`
@@ -83,7 +83,7 @@
 	}
 }
 
-// machine is the settings of one machine of a run.
+// machine holds the settings of one machine of a trial.
 type machine struct {
 	name, zone, ip   string
 	ports            [2]int
@@ -97,7 +97,7 @@
 	heartbeat, apply time.Duration
 }
 
-// write puts the settings file into a folder and returns its path.
+// write writes the settings file into a folder and returns its path.
 func (m *machine) write(dir string) (string, error) {
 	bind := map[string]string{}
 	for key, addr := range map[string]string{"edge": m.edge, "readyz": m.ready, "ctl": m.control} {
--- a/internal/fleet/scaletest/proxy.go
+++ b/internal/fleet/scaletest/proxy.go
@@ -23,33 +23,34 @@
 	"molepaddle/internal/fleet/externalapi"
 )
 
-// ProxyTrial is one run of a real proxy between hollow clients and hollow backends: what one request, one event and the
-// length of the list cost it.
+// ProxyTrial is one measurement of a real proxy between simulated clients and fake backends: its cost per request, per
+// event and by the length of the backend list.
 type ProxyTrial struct {
-	Backends int
-	Routes   int
-	Rates    []float64 // requests a second, one after the other; at most MaxRate
-	Events   int       // of each answer
-	Every    time.Duration
-	For      time.Duration // how long each rate lasts
-	Within   time.Duration // bound of the start
-	Program  string        // binary of the fleet's programs
-	Out      io.Writer
+	Backends      int
+	Routes        int
+	Rates         []float64 // rates to measure in turn, requests a second; at most MaxRate
+	Events        int       // number of events in each response
+	EventInterval time.Duration
+	RateDuration  time.Duration // duration of each rate
+	StartTimeout  time.Duration // time limit until the proxy is ready
+	Program       string        // binary of the fleet's programs
+	Out           io.Writer
 }
 
-// MaxRate bounds the requests a second of a ProxyTrial.
+// MaxRate is the highest rate of a ProxyTrial in requests a second.
 const MaxRate = 5000
 
-// bodyBytes is the length of a hollow request's body, promptTokens that of its prompt.
+// Sizes of the simulated requests: bodyBytes is the length of the body, promptTokens that of the prompt.
 const (
 	bodyBytes    = 4096
 	promptTokens = 1460
 	tenants      = 1900 // the operators' target; the tenants' requests share the first parts of their prompts
 )
 
-// Run plays the trial.
+// Run runs the trial and writes its results.
 func (t *ProxyTrial) Run(ctx context.Context) error {
-	if t.Backends < 1 || t.Backends > MaxBackends || t.Routes < 1 || t.Routes > MaxRoutes || t.Events < 1 || t.For <= 0 || t.Within <= 0 {
+	if t.Backends < 1 || t.Backends > MaxBackends || t.Routes < 1 || t.Routes > MaxRoutes || t.Events < 1 ||
+		t.RateDuration <= 0 || t.StartTimeout <= 0 {
 		return errors.New("backends, routes, events, for or within out of bounds")
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -64,7 +65,7 @@
 		return err
 	}
 	defer engines.Close()
-	go t.serveEngines(engines)
+	go t.serveBackends(engines)
 	first, err := choosePorts(8, "127.0.0.1")
 	if err != nil {
 		return err
@@ -77,7 +78,7 @@
 		return err
 	}
 	defer feed.Close()
-	if err := t.feed(ctx, feed, m.heartbeat, engines.Addr().String()); err != nil {
+	if err := t.serveConfig(ctx, feed, m.heartbeat, engines.Addr().String()); err != nil {
 		return err
 	}
 	path, err := m.write(dir)
@@ -89,8 +90,8 @@
 		return err
 	}
 	defer proxy.kill()
-	fmt.Fprintf(t.Out, "proxy: backends %d, routes %d, events %d, one each %v, body %d B, prompt %d tokens\n", t.Backends, t.Routes, t.Events, t.Every, bodyBytes, promptTokens)
-	if err := awaitReady(ctx, m.ready, t.Within); err != nil {
+	fmt.Fprintf(t.Out, "proxy: backends %d, routes %d, events %d, one each %v, body %d B, prompt %d tokens\n", t.Backends, t.Routes, t.Events, t.EventInterval, bodyBytes, promptTokens)
+	if err := awaitReady(ctx, m.ready, t.StartTimeout); err != nil {
 		return err
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}, Timeout: 30 * time.Second}
@@ -98,15 +99,15 @@
 		if rate > MaxRate {
 			return errors.Errorf("rate: at most %d", MaxRate)
 		}
-		if err := t.load(ctx, client, m.edge, proxy, rate); err != nil {
+		if err := t.runRate(ctx, client, m.edge, proxy, rate); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// feed stands in for the node agent.
-func (t *ProxyTrial) feed(ctx context.Context, ln net.Listener, beat time.Duration, engines string) error {
+// serveConfig serves the backend list and the configuration in place of a node agent.
+func (t *ProxyTrial) serveConfig(ctx context.Context, ln net.Listener, beat time.Duration, engines string) error {
 	list := Backends(t.Backends)
 	for i := range list.Backends {
 		list.Backends[i].Address = engines
@@ -142,13 +143,15 @@
 			}
 		}
 		if !pause(ctx, 20*time.Millisecond) {
-			return errors.New("the proxy is not ready in time")
+			return errors.New("proxy is not ready within the start time-out")
 		}
 	}
 }
 
-// load sends requests at one rate and writes what the proxy used for them.
-func (t *ProxyTrial) load(ctx context.Context, client *http.Client, edge string, proxy *process, rate float64) error {
+// runRate sends requests at one rate and writes the proxy's usage meanwhile.
+func (t *ProxyTrial) runRate(
+	ctx context.Context, client *http.Client, edge string, proxy *process, rate float64,
+) error {
 	before, err := ReadUsage(proxy.pid())
 	if err != nil {
 		return err
@@ -158,13 +161,13 @@
 	var mu sync.Mutex
 	var firsts []time.Duration
 	began := time.Now()
-	n := int(rate * t.For.Seconds())
+	n := int(rate * t.RateDuration.Seconds())
 	for i := range n {
 		if !pause(ctx, time.Until(began.Add(time.Duration(float64(i)/rate*float64(time.Second))))) {
 			return ctx.Err()
 		}
 		all.Go(func() {
-			first, err := t.ask(ctx, client, edge, i)
+			first, err := t.sendRequest(ctx, client, edge, i)
 			if err != nil {
 				failed.Add(1)
 				return
@@ -175,7 +178,7 @@
 			mu.Unlock()
 		})
 	}
-	if n == 0 && !pause(ctx, t.For) {
+	if n == 0 && !pause(ctx, t.RateDuration) {
 		return ctx.Err()
 	}
 	all.Wait()
@@ -188,15 +191,17 @@
 		rate, served.Load(), failed.Load(), 100*cpu.Seconds()/seconds, ms(cpu)/float64(max(n, 1)), float64(after.Read-before.Read)/float64(max(n, 1)),
 		float64(after.Written-before.Written)/float64(max(n, 1)), float64(after.Resident)/1e6, float64(after.Peak)/1e6)
 	if len(firsts) > 0 {
-		(&Trial{Out: t.Out}).quantiles("; first event", firsts)
+		(&Trial{Out: t.Out}).reportQuantiles("; first event", firsts)
 	} else {
 		fmt.Fprintln(t.Out)
 	}
 	return nil
 }
 
-// ask sends one request and reads its whole answer; it tells when the first bytes of it came.
-func (t *ProxyTrial) ask(ctx context.Context, client *http.Client, edge string, i int) (first time.Duration, err error) {
+// sendRequest sends one request, reads the complete response and returns the time to its first byte.
+func (t *ProxyTrial) sendRequest(
+	ctx context.Context, client *http.Client, edge string, i int,
+) (first time.Duration, err error) {
 	r := route(rand.IntN(t.Routes), 0)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+r.Prefix+"chat", bytes.NewReader(make([]byte, bodyBytes)))
 	if err != nil {
@@ -229,8 +234,8 @@
 	return first, nil
 }
 
-// serveEngines answers as all hollow backends do: prompts are read at once, tokens come one event each Every.
-func (t *ProxyTrial) serveEngines(ln net.Listener) {
+// serveBackends serves all fake backends: prefill takes no time, and one event is sent per EventInterval.
+func (t *ProxyTrial) serveBackends(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -247,7 +252,7 @@
 				if _, err := io.Copy(io.Discard, req.Body); err != nil {
 					return
 				}
-				if t.answer(c, req) != nil {
+				if t.respond(c, req) != nil {
 					return
 				}
 			}
@@ -255,7 +260,7 @@
 	}
 }
 
-func (t *ProxyTrial) answer(c net.Conn, req *http.Request) error {
+func (t *ProxyTrial) respond(c net.Conn, req *http.Request) error {
 	id := req.Header.Get(externalapi.HeaderAttemptID)
 	if req.Header.Get(externalapi.HeaderStage) == externalapi.PhasePrefill || strings.HasPrefix(req.URL.Path, externalapi.CallFreeKVHandle.Path) {
 		body := fmt.Sprintf(`{"kv_ref":"h%s","ntok":%d,"ver":1}`, id, promptTokens)
@@ -271,7 +276,7 @@
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return err
 		}
-		time.Sleep(t.Every)
+		time.Sleep(t.EventInterval)
 	}
 	_, err := io.WriteString(c, "0\r\n\r\n")
 	return err
--- a/internal/fleet/scaletest/scaletest_test.go
+++ b/internal/fleet/scaletest/scaletest_test.go
@@ -35,10 +35,10 @@
 	c.Assert(d.Version(), qt.Equals, int64(2))
 }
 
-func TestPlatformGivesTheListByPages(t *testing.T) {
+func TestPlatformServesPages(t *testing.T) {
 	c := qt.New(t)
 	want := Backends(120)
-	p, err := ServePlatform(Backends(120), 50)
+	p, err := StartPlatform(Backends(120), 50)
 	c.Assert(err, qt.IsNil)
 	defer p.Close()
 	client := externalapi.NewPlatformClient(p.Address(), time.Second)
@@ -47,7 +47,7 @@
 	c.Assert(calls, qt.Equals, 3)
 	externalapi.SortByID(&got)
 	c.Assert(got, qt.DeepEquals, want)
-	p.Toggle(7)
+	p.ToggleDraining(7)
 	want.Backends[7].Draining = true
 	got, _, err = client.List(context.Background())
 	c.Assert(err, qt.IsNil)
@@ -55,8 +55,9 @@
 	c.Assert(got, qt.DeepEquals, want)
 }
 
-// TestCrewTells has a crew come to versions at a real source, lose it, and come back.
-func TestCrewTells(t *testing.T) {
+// TestAgentGroupReportsEvents serves versions to an agent group from a real cache, and expects an event for each
+// version and one after the command "mark".
+func TestAgentGroupReportsEvents(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -73,8 +74,13 @@
 	in, commands := io.Pipe()
 	events, out := io.Pipe()
 	ended := make(chan error, 1)
-	crew := Crew{Count: 5, Addresses: []string{ln.Addr().String()}, Heartbeat: 50 * time.Millisecond, Apply: 2 * time.Second}
-	go func() { ended <- crew.Run(ctx, in, out) }()
+	group := AgentGroup{
+		Count:     5,
+		Addresses: []string{ln.Addr().String()},
+		Heartbeat: 50 * time.Millisecond,
+		Apply:     2 * time.Second,
+	}
+	go func() { ended <- group.Run(ctx, in, out) }()
 	read := json.NewDecoder(events)
 	next := func() (e Event) {
 		c.Assert(read.Decode(&e), qt.IsNil)
@@ -82,14 +88,14 @@
 		e.At = nil
 		return e
 	}
-	c.Assert(next(), qt.DeepEquals, Event{What: distribution.ConfigType, Count: 1})
+	c.Assert(next(), qt.DeepEquals, Event{Type: distribution.ConfigType, Count: 1})
 	s.AppendChange(distribution.ConfigType, distribution.Version{Count: 1}, distribution.Version{Count: 2}, distribution.Change{Version: distribution.Version{Count: 2}, Body: []byte("two")}, func() []byte { return []byte("whole") })
-	c.Assert(next(), qt.DeepEquals, Event{What: distribution.ConfigType, Count: 2})
+	c.Assert(next(), qt.DeepEquals, Event{Type: distribution.ConfigType, Count: 2})
 	s.SetSnapshot(distribution.BackendListType, distribution.Version{Epoch: 3, Count: 4}, []byte("list"))
-	c.Assert(next(), qt.DeepEquals, Event{What: distribution.BackendListType, Epoch: 3, Count: 4})
+	c.Assert(next(), qt.DeepEquals, Event{Type: distribution.BackendListType, Epoch: 3, Count: 4})
 	_, err = io.WriteString(commands, "mark\n")
 	c.Assert(err, qt.IsNil)
-	c.Assert(next(), qt.DeepEquals, Event{What: eventBack})
+	c.Assert(next(), qt.DeepEquals, Event{Type: eventBack})
 	c.Assert(s.Members(time.Now(), time.Minute), qt.HasLen, 5)
 	c.Assert(commands.Close(), qt.IsNil)
 	c.Assert(<-ended, qt.IsNil)
@@ -113,23 +119,23 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-func TestTrialsAreBounded(t *testing.T) {
-	good := Trial{Agents: 10, Crews: 2, Backends: 10, Routes: 10, Page: 50, Rate: 42, Heartbeat: time.Second, Apply: 2 * time.Second, Rest: time.Second, Within: time.Second}
-	qt.Assert(t, good.check(), qt.IsNil)
+func TestTrialValidation(t *testing.T) {
+	good := Trial{Agents: 10, AgentProcesses: 2, Backends: 10, Routes: 10, Page: 50, Rate: 42, Heartbeat: time.Second, Apply: 2 * time.Second, IdleDuration: time.Second, WaitTimeout: time.Second}
+	qt.Assert(t, good.validate(), qt.IsNil)
 	for name, spoil := range map[string]func(t *Trial){
-		"agents": func(t *Trial) { t.Agents = MaxAgents + 1 }, "crews": func(t *Trial) { t.Crews = 11 }, "backends": func(t *Trial) { t.Backends = 0 },
-		"routes": func(t *Trial) { t.Routes = MaxRoutes + 1 }, "page": func(t *Trial) { t.Page = 0 }, "within": func(t *Trial) { t.Within = 0 },
+		"agents": func(t *Trial) { t.Agents = MaxAgents + 1 }, "crews": func(t *Trial) { t.AgentProcesses = 11 }, "backends": func(t *Trial) { t.Backends = 0 },
+		"routes": func(t *Trial) { t.Routes = MaxRoutes + 1 }, "page": func(t *Trial) { t.Page = 0 }, "within": func(t *Trial) { t.WaitTimeout = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			bad := good
 			spoil(&bad)
-			qt.Assert(t, bad.check(), qt.IsNotNil)
+			qt.Assert(t, bad.validate(), qt.IsNotNil)
 		})
 	}
 }
 
-// TestRolesAreLearned keeps to the line that control servers log at a change of their view.
-func TestRolesAreLearned(t *testing.T) {
+// TestWatchRole pins the log line from which the role of a control server is read.
+func TestWatchRole(t *testing.T) {
 	c := qt.New(t)
 	p := &process{}
 	watchRole(p, []byte("no JSON\n"))
--- a/internal/fleet/scaletest/setup.go
+++ b/internal/fleet/scaletest/setup.go
@@ -17,7 +17,8 @@
 	"molepaddle/internal/fleet/distribution"
 )
 
-// choosePorts finds a range that is free on all addresses, below those that Linux gives to outgoing connections.
+// choosePorts returns the first of n consecutive ports that are free on all addresses. They are below the ports that
+// Linux assigns to outgoing connections.
 func choosePorts(n int, ips ...string) (int, error) {
 	for range 200 {
 		from := 12_000 + rand.IntN(20_000-n)
@@ -37,26 +38,26 @@
 	return 0, errors.Errorf("no %d free ports in a row", n)
 }
 
-// portsEach is how many ports in a row a run takes on each of its addresses.
-const portsEach = 8
+// portsPerAddress is the number of consecutive ports that a trial uses on each of its addresses.
+const portsPerAddress = 8
 
-// Where in a run's range the ports stand that settings name by themselves.
+// Offsets in a trial's port range of the ports that the settings name individually; the first four are port_range.
 const (
 	controlPort = 4
 	edgePort    = 5
 	readyPort   = 6
 )
 
-// layout is where the programs of one run are.
+// layout holds the addresses and folders of the programs of one trial.
 type layout struct {
-	dir      string // of settings files and disks
-	first    int    // port
+	dir      string // folder of settings files and data folders
+	first    int    // first port of the range
 	base     machine
-	pulls    []string // where control servers answer pulls
-	controls []string // where they take the operator's calls
+	pulls    []string // addresses at which control servers answer pulls
+	controls []string // addresses at which control servers answer the operator
 }
 
-// at is an address of the run.
+// at returns the address of a port, given by its offset in the trial's port range.
 func (l *layout) at(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(l.first+offset))
 }
@@ -64,43 +65,43 @@
 // setUp starts all programs and waits until every agent has the first configuration.
 func (t *Trial) setUp(ctx context.Context, dir string) error {
 	var err error
-	if t.platform, err = ServePlatform(Backends(t.Backends), t.Page); err != nil {
+	if t.platform, err = StartPlatform(Backends(t.Backends), t.Page); err != nil {
 		return err
 	}
-	l, err := t.layOut(dir)
+	l, err := t.chooseLayout(dir)
 	if err != nil {
 		return err
 	}
-	if err := t.startControl(dir); err != nil {
+	if err := t.startControlServers(dir); err != nil {
 		return err
 	}
-	if err := t.firstConfiguration(ctx, l); err != nil {
+	if err := t.submitFirstConfig(ctx, l); err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := t.startProbes(l); err != nil {
+	if err := t.startEdgePrograms(l); err != nil {
 		return err
 	}
 	if err := t.startAgents(l); err != nil {
 		return err
 	}
-	config, err := t.await(ctx, func(e *Event) bool {
-		return e.What == distribution.ConfigType && e.Count >= t.op.changes
+	config, err := t.awaitEvents(ctx, func(e *Event) bool {
+		return e.Type == distribution.ConfigType && e.Count >= t.operator.changes
 	})
 	if err != nil {
-		return errors.Wrap(err, "configuration to all")
+		return errors.Wrap(err, "first configuration at all agents")
 	}
-	t.spread("start: configuration at all agents, from the start of the agents", began, config)
+	t.reportDelays("start: configuration at all agents, from the start of the agents", began, config)
 	return nil
 }
 
-// layOut chooses ports and names the control servers.
-func (t *Trial) layOut(dir string) (*layout, error) {
+// chooseLayout chooses ports and prepares the settings and data folders of the control servers.
+func (t *Trial) chooseLayout(dir string) (*layout, error) {
 	ips := []string{"127.0.0.1"}
-	for i := range cores {
+	for i := range numControlServers {
 		ips = append(ips, fmt.Sprintf("127.77.0.%d", i+1))
 	}
-	first, err := choosePorts(portsEach, ips...)
+	first, err := choosePorts(portsPerAddress, ips...)
 	if err != nil {
 		return nil, err
 	}
@@ -130,16 +131,16 @@
 	return l, nil
 }
 
-// startControl starts the control servers; only this start is a first one.
-func (t *Trial) startControl(dir string) error {
+// startControlServers starts all control servers for the first time; only this start has bootstrap set.
+func (t *Trial) startControlServers(dir string) error {
 	for i := range t.machines {
 		path, err := t.machines[i].write(dir)
 		if err != nil {
 			return err
 		}
 		t.settings = append(t.settings, path)
-		t.observers = append(t.observers, nil)
-		if err := t.observe(i); err != nil {
+		t.controlServers = append(t.controlServers, nil)
+		if err := t.startControlServer(i); err != nil {
 			return err
 		}
 		t.machines[i].bootstrap = false
@@ -147,16 +148,16 @@
 	return nil
 }
 
-// firstConfiguration has the control servers take the first configuration.
-func (t *Trial) firstConfiguration(ctx context.Context, l *layout) error {
-	t.op = newOperator(l.controls)
-	bound, cancel := context.WithTimeout(ctx, t.Within)
+// submitFirstConfig submits the first configuration and rewrites the settings files without bootstrap.
+func (t *Trial) submitFirstConfig(ctx context.Context, l *layout) error {
+	t.operator = newOperator(l.controls)
+	bound, cancel := context.WithTimeout(ctx, t.WaitTimeout)
 	defer cancel()
 	began := time.Now()
-	if err := t.op.replace(bound, t.Routes); err != nil {
+	if err := t.operator.replace(bound, t.Routes); err != nil {
 		return err
 	}
-	t.say("start: first configuration acknowledged after %v", since(began))
+	t.printf("start: first configuration acknowledged after %v", elapsedSince(began))
 	for i := range t.machines {
 		if _, err := t.machines[i].write(l.dir); err != nil {
 			return err
@@ -165,8 +166,8 @@
 	return nil
 }
 
-// startProbes starts a real node agent and a real proxy.
-func (t *Trial) startProbes(l *layout) error {
+// startEdgePrograms starts a real node agent and a real proxy.
+func (t *Trial) startEdgePrograms(l *layout) error {
 	for _, role := range []string{"node-agent", "proxy"} {
 		m := l.base
 		m.name, m.zone, m.ip = "edge-real-"+role, Zone(0), "127.0.0.1"
@@ -179,51 +180,52 @@
 		if err != nil {
 			return err
 		}
-		t.probes = append(t.probes, p)
+		t.edgePrograms = append(t.edgePrograms, p)
 	}
 	return nil
 }
 
-// startAgents starts the processes that the hollow agents share.
+// startAgents starts the processes of simulated agents.
 func (t *Trial) startAgents(l *layout) error {
-	for i := range t.Crews {
-		from, to := i*t.Agents/t.Crews, (i+1)*t.Agents/t.Crews
-		args := t.CrewArgs(from, to-from, l.pulls)
-		note := func(_ *process, line []byte) { t.note(i, line) }
-		p, in, err := start(fmt.Sprint("agents-", i), t.Self, args, nil, note)
+	for i := range t.AgentProcesses {
+		from, to := i*t.Agents/t.AgentProcesses, (i+1)*t.Agents/t.AgentProcesses
+		args := t.AgentArgs(from, to-from, l.pulls)
+		note := func(_ *process, line []byte) { t.recordEvent(i, line) }
+		p, in, err := start(fmt.Sprint("agents-", i), t.AgentBinary, args, nil, note)
 		if err != nil {
 			return err
 		}
-		t.crews, t.commands = append(t.crews, p), append(t.commands, in)
+		t.agentGroups, t.commands = append(t.agentGroups, p), append(t.commands, in)
 	}
 	return nil
 }
 
-// note takes a line that a process of agents wrote.
-func (t *Trial) note(crew int, line []byte) {
+// recordEvent queues the event in a line that a process of simulated agents wrote. It drops the event when the queue is
+// full.
+func (t *Trial) recordEvent(group int, line []byte) {
 	var e Event
-	if json.Unmarshal(line, &e) != nil || e.What == "" {
+	if json.Unmarshal(line, &e) != nil || e.Type == "" {
 		return
 	}
 	select {
-	case t.events <- tagged{crew, e}:
+	case t.events <- groupEvent{group, e}:
 	default:
 	}
 }
 
-// env is what the fleet's programs are started with: one core each, as DEPLOY says of the machines.
+// env returns the environment of the fleet's programs: one core each, as DEPLOY specifies for the machines.
 func (t *Trial) env(settings string) []string {
 	return []string{"MOLEPADDLE_CONFIG=" + settings, "GOMAXPROCS=1"}
 }
 
-func (t *Trial) observe(i int) error {
+func (t *Trial) startControlServer(i int) error {
 	p, _, err := start(t.machines[i].name, t.Program, []string{"control-plane"}, t.env(t.settings[i]), watchRole)
-	t.observers[i] = p
+	t.controlServers[i] = p
 	return err
 }
 
-func (t *Trial) end() {
-	for _, p := range slices.Concat(t.crews, t.probes, t.observers) {
+func (t *Trial) stopAll() {
+	for _, p := range slices.Concat(t.agentGroups, t.edgePrograms, t.controlServers) {
 		if p != nil {
 			p.kill()
 		}
--- a/internal/fleet/scaletest/trial.go
+++ b/internal/fleet/scaletest/trial.go
@@ -11,65 +11,66 @@
 	"github.com/go-faster/errors"
 )
 
-// Trial is one run at one size.
+// Trial is one measurement of the control plane and its agents at one size of the fleet.
 type Trial struct {
-	Agents    int           // hollow ones; a real node agent and proxy come besides
-	Crews     int           // processes that the hollow agents share
-	Backends  int           // on the platform's list
-	Routes    int           // in the configuration
-	Page      int           // entries on one page of the platform's list
-	Rate      float64       // calls a second that the platform is said to take
-	Heartbeat time.Duration // heartbeat_ms of the settings
-	Apply     time.Duration // apply_ms of the settings
-	Rest      time.Duration // how long use at rest is measured
-	Changes   int           // of the configuration, one a Gap
-	Gap       time.Duration
-	Lists     int           // changes of the list
-	Losses    bool          // the primary is killed, then the whole core
-	Within    time.Duration // bound of each wait
-	Program   string        // binary of the fleet's programs
-	Self      string        // binary that runs Crew.Run when told "agents"
-	CrewArgs  func(first, count int, addresses []string) []string
-	Out       io.Writer
-	observers []*process
-	machines  []machine
-	settings  []string
-	crews     []*process
-	commands  []io.WriteCloser
-	probes    []*process // the real node agent and proxy
-	events    chan tagged
-	platform  *Platform
-	op        *operator
-	stall     *atomic.Int64 // ns that this process stood still at the most, since it was last asked
+	Agents         int           // simulated agents, beside a real node agent and proxy
+	AgentProcesses int           // processes that run the simulated agents
+	Backends       int           // backends on the platform's list
+	Routes         int           // routes in the configuration
+	Page           int           // entries per page of the platform's list
+	Rate           float64       // rate limit of the platform in the settings, calls a second
+	Heartbeat      time.Duration // heartbeat_ms of the settings
+	Apply          time.Duration // apply_ms of the settings
+	IdleDuration   time.Duration // duration of the idle measurement
+	ConfigChanges  int           // number of configuration changes, one per ChangeInterval
+	ChangeInterval time.Duration
+	ListChanges    int           // number of backend list changes
+	KillServers    bool          // kill the primary, then the complete core
+	WaitTimeout    time.Duration // time limit of each wait
+	Program        string        // binary of the fleet's programs
+	AgentBinary    string        // binary that runs AgentGroup.Run when called with AgentArgs
+	AgentArgs      func(first, count int, addresses []string) []string
+	Out            io.Writer
+	controlServers []*process
+	machines       []machine
+	settings       []string
+	agentGroups    []*process
+	commands       []io.WriteCloser
+	edgePrograms   []*process // the real node agent and proxy
+	events         chan groupEvent
+	platform       *Platform
+	operator       *operator
+	maxTimerDelay  *atomic.Int64 // longest delay of a timer of this process in the current phase, ns
 }
 
-type tagged struct {
-	crew int
+// groupEvent is an Event with the index of its agent group.
+type groupEvent struct {
+	group int
 	Event
 }
 
-// cores is how many control servers a run has.
-const cores = 3
+// numControlServers is the number of control servers of a trial.
+const numControlServers = 3
 
-func (t *Trial) check() error {
+func (t *Trial) validate() error {
 	switch {
 	case t.Agents < 1 || t.Agents > MaxAgents:
 		return errors.Errorf("agents: 1 to %d", MaxAgents)
-	case t.Crews < 1 || t.Crews > 32 || t.Crews > t.Agents:
+	case t.AgentProcesses < 1 || t.AgentProcesses > 32 || t.AgentProcesses > t.Agents:
 		return errors.New("crews: 1 to 32, and no more than agents")
 	case t.Backends < 1 || t.Backends > MaxBackends:
 		return errors.Errorf("backends: 1 to %d", MaxBackends)
 	case t.Routes < 1 || t.Routes > MaxRoutes:
 		return errors.Errorf("routes: 1 to %d", MaxRoutes)
-	case t.Page < 1 || t.Rate <= 0 || t.Heartbeat <= 0 || t.Apply <= 0 || t.Rest <= 0 || t.Within <= 0:
+	case t.Page < 1 || t.Rate <= 0 || t.Heartbeat <= 0 || t.Apply <= 0 || t.IdleDuration <= 0 || t.WaitTimeout <= 0:
 		return errors.New("page, rate, beat, apply, rest, within: above 0")
 	}
 	return nil
 }
 
-// Run plays the trial and writes what it finds. All that it starts has ended when it returns.
+// Run runs the trial and writes its results. All processes that it started have ended when it returns.
 func (t *Trial) Run(ctx context.Context) error {
-	if err := t.check(); err != nil {
+	if err := t.validate(); err != nil {
 		return err
 	}
 	dir, err := os.MkdirTemp("", "molepaddle-scale-")
@@ -77,56 +78,56 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	defer t.end()
-	t.events, t.stall = make(chan tagged, 4096), new(atomic.Int64)
+	defer t.stopAll()
+	t.events, t.maxTimerDelay = make(chan groupEvent, 4096), new(atomic.Int64)
 	watched, stop := context.WithCancel(ctx)
 	defer stop()
-	go t.watch(watched)
-	t.say("agents %d, backends %d, routes %d, page %d, rate %g/s, beat %v, apply %v, control servers %d, "+
+	go t.measureTimerDelay(watched)
+	t.printf("agents %d, backends %d, routes %d, page %d, rate %g/s, beat %v, apply %v, control servers %d, "+
 		"agents' processes %d",
-		t.Agents, t.Backends, t.Routes, t.Page, t.Rate, t.Heartbeat, t.Apply, cores, t.Crews)
+		t.Agents, t.Backends, t.Routes, t.Page, t.Rate, t.Heartbeat, t.Apply, numControlServers, t.AgentProcesses)
 	if err := t.setUp(ctx, dir); err != nil {
 		return errors.Wrap(err, "set up")
 	}
-	for _, part := range []struct {
+	for _, phase := range []struct {
 		name string
 		run  func(context.Context) error
 		on   bool
 	}{
-		{"rest", t.rest, true},
-		{"changes", t.changes, t.Changes > 0},
-		{"lists", t.lists, t.Lists > 0},
-		{"memory", func(context.Context) error { t.memory("before losses"); return nil }, t.Losses},
-		{"primary killed", t.losePrimary, t.Losses},
-		{"core killed", t.loseCore, t.Losses},
+		{"rest", t.measureIdle, true},
+		{"changes", t.measureConfigChanges, t.ConfigChanges > 0},
+		{"lists", t.measureListChanges, t.ListChanges > 0},
+		{"memory", func(context.Context) error { t.reportMemory("before losses"); return nil }, t.KillServers},
+		{"primary killed", t.killPrimary, t.KillServers},
+		{"core killed", t.killCore, t.KillServers},
 	} {
-		if !part.on {
+		if !phase.on {
 			continue
 		}
-		t.stall.Store(0)
-		if err := part.run(ctx); err != nil {
-			return errors.Wrap(err, part.name)
+		t.maxTimerDelay.Store(0)
+		if err := phase.run(ctx); err != nil {
+			return errors.Wrap(err, phase.name)
 		}
-		t.say("%s: this machine's other work held the run up for %.0f ms at the most",
-			part.name, ms(time.Duration(t.stall.Load())))
+		t.printf("%s: this machine's other work held the run up for %.0f ms at the most",
+			phase.name, ms(time.Duration(t.maxTimerDelay.Load())))
 	}
-	t.memory("at the end")
+	t.reportMemory("at the end")
 	return nil
 }
 
-// watch notes how much later than due a timer of this process fires: figures of a run that was held up for long are no
-// good.
-func (t *Trial) watch(ctx context.Context) {
+// measureTimerDelay records the longest delay of a timer of this process: the figures of a run are invalid if other
+// work on the machine delayed it for long.
+func (t *Trial) measureTimerDelay(ctx context.Context) {
 	const every = 10 * time.Millisecond
 	for {
 		due := time.Now().Add(every)
 		if !pause(ctx, every) {
 			return
 		}
-		if late := int64(time.Since(due)); late > t.stall.Load() {
-			t.stall.Store(late)
+		if late := int64(time.Since(due)); late > t.maxTimerDelay.Load() {
+			t.maxTimerDelay.Store(late)
 		}
 	}
 }
 
-func (t *Trial) say(format string, args ...any) { fmt.Fprintf(t.Out, format+"\n", args...) }
+func (t *Trial) printf(format string, args ...any) { fmt.Fprintf(t.Out, format+"\n", args...) }
--- a/internal/fleet/scaletest/usage.go
+++ b/internal/fleet/scaletest/usage.go
@@ -10,17 +10,17 @@
 	"github.com/go-faster/errors"
 )
 
-// Usage is what a process has used, as Linux counts it (/proc).
+// Usage is the resource usage of a process as reported by Linux in /proc.
 type Usage struct {
 	At       time.Time
-	CPU      time.Duration // of all its threads that still are (schedstat)
+	CPU      time.Duration // processor time of all running threads (schedstat)
 	Read     int64         // bytes by read(2), sockets among them (io, rchar)
 	Written  int64         // bytes by write(2) (io, wchar)
 	Resident int64         // bytes (VmRSS)
 	Peak     int64         // bytes (VmHWM)
 }
 
-// ReadUsage reads what the process pid has used so far.
+// ReadUsage returns the current usage of the process pid.
 func ReadUsage(pid int) (u Usage, err error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	tasks, err := filepath.Glob(filepath.Join(dir, "task", "*", "schedstat"))
@@ -31,7 +31,7 @@
 	for _, task := range tasks {
 		b, err := os.ReadFile(task)
 		if err != nil {
-			continue // a thread that has just ended
+			continue // the thread has just ended
 		}
 		first, _, _ := strings.Cut(string(b), " ")
 		ns, _ := strconv.ParseInt(first, 10, 64)
