--- a/cmd/molepaddle-fleet/accountkeys_test.go
+++ b/cmd/molepaddle-fleet/accountkeys_test.go
@@ -23,15 +23,15 @@
 // secretKey is an API key.
 func secretKey(name string) string { return secretMark + "-" + name }
 
-// keyPlay is a fleet with accounts, and all that its commands have printed.
-type keyPlay struct {
+// keyTest is a fleet with accounts, and the output of all commands that were run against it.
+type keyTest struct {
 	*fleet
 	dir     string
 	printed strings.Builder
 }
 
-// withKeys is a configuration with accounts, and a public route.
-func (p *keyPlay) withKeys(version uint64, accounts ...object) object {
+// withKeys returns a configuration with accounts and a public route.
+func (p *keyTest) withKeys(version uint64, accounts ...object) object {
 	doc := p.configuration(version)
 	doc["routing"].(list)[1].(object)["public"] = true
 	var all list
@@ -42,8 +42,8 @@
 	return doc
 }
 
-// file writes a file for a command.
-func (p *keyPlay) file(name string, content any) string {
+// file writes an input file for a command and returns its path.
+func (p *keyTest) file(name string, content any) string {
 	b, isBytes := content.([]byte)
 	if !isBytes {
 		var err error
@@ -55,8 +55,8 @@
 	return path
 }
 
-// run runs a command with each output that it has, and keeps what it prints. It must end with the code given.
-func (p *keyPlay) run(code int, args ...string) {
+// run runs a command, asserts its exit code and records its output.
+func (p *keyTest) run(code int, args ...string) {
 	p.Helper()
 	if slices.Contains([]string{"diff", "propose", "update", "status", "show", "watch", "residency"}, args[0]) {
 		args = append(args, "--control", strings.Join(p.operator.Ctl, ","))
@@ -67,14 +67,14 @@
 }
 
 // runBoth runs a command with and without --json.
-func (p *keyPlay) runBoth(code int, args ...string) {
+func (p *keyTest) runBoth(code int, args ...string) {
 	p.Helper()
 	p.run(code, args...)
 	p.run(code, append(args, "--json")...)
 }
 
-// request sends a lookup with an Authorization field to each proxy; it must be answered with the status given.
-func (p *keyPlay) request(status int, authorization ...string) {
+// request sends a lookup with an Authorization field to each proxy and asserts the status of the answer.
+func (p *keyTest) request(status int, authorization ...string) {
 	p.Helper()
 	r := lookup()
 	r.Header = http.Header{"Authorization": authorization}
@@ -85,8 +85,8 @@
 	}
 }
 
-// awaitKey waits until both proxies have a key.
-func (p *keyPlay) awaitKey(key string) {
+// awaitKey waits until both proxies accept a key.
+func (p *keyTest) awaitKey(key string) {
 	r := lookup()
 	r.Header = http.Header{"Authorization": {"Bearer " + key}}
 	for i, client := range p.clients {
@@ -96,12 +96,12 @@
 	}
 }
 
-// TestAPIKeysAreShownNowhere plays a fleet whose programs log all they can, has keys added and taken away, used rightly
-// and wrongly, and files with keys go through every command, valid and not. No output and no log has a key in it, or
-// a part of one; only `show --json` has, which is the operator's own document.
-func TestAPIKeysAreShownNowhere(t *testing.T) {
+// TestAPIKeysAreNotDisclosed runs a fleet whose programs log at the lowest level, has keys added and revoked, sent in
+// valid and invalid form, and passes valid and invalid files with keys to every command. No output and no log contains
+// a key or a part of one, except `show --json`, which prints the operator's document unchanged.
+func TestAPIKeysAreNotDisclosed(t *testing.T) {
 	debug := []string{"--log-level=debug"}
-	p := &keyPlay{
+	p := &keyTest{
 		fleet: newFleet(t, fleetOptions{
 			bounds: map[string]any{"strict_revoke": true, "revoke_ms": 5000},
 			flags:  map[string][]string{"proxy": debug, "node-agent": debug, "control-plane": debug},
@@ -127,7 +127,7 @@
 		object{"name": "one", "apikeys": list{secretKey("b"), secretKey("d")}},
 	}}, "remove": object{"accounts": list{"two"}}})
 	p.runBoth(exitOK, "diff", change)
-	p.runBoth(exitFailure, "check", change) // it is no whole configuration
+	p.runBoth(exitFailure, "check", change) // an update is not a complete configuration
 	p.run(exitOK, "update", change)
 	p.runBoth(exitOK, "watch", "3")
 	p.awaitKey(secretKey("d"))
@@ -142,7 +142,7 @@
 	p.Check(shown, qt.Contains, secretKey("d"), qt.Commentf("show --json is the operator's own document"))
 	p.Check(p.printed.String(), qt.Not(qt.Contains), secretMark)
 	p.checkRules()
-	p.endSome()
+	p.terminateSome()
 	for _, program := range p.programs {
 		out := program.Output()
 		p.Check(out, qt.Contains, `"msg":"started"`)
@@ -150,8 +150,8 @@
 	}
 }
 
-// playRequests sends requests with keys that are known, not known, and no keys at all.
-func (p *keyPlay) playRequests() {
+// playRequests sends requests with known keys, unknown keys and no keys.
+func (p *keyTest) playRequests() {
 	p.request(http.StatusOK, "bearer  "+secretKey("b"))
 	for _, wrong := range [][]string{
 		nil,
@@ -175,8 +175,8 @@
 	p.Check(statuses[http.StatusOK] > 0, qt.IsTrue, qt.Commentf("%v", statuses))
 }
 
-// playInvalidFiles has files that are no configuration go through the commands.
-func (p *keyPlay) playInvalidFiles(one, two object) {
+// playInvalidFiles passes files that are not valid configurations to the commands.
+func (p *keyTest) playInvalidFiles(one, two object) {
 	whole, err := json.Marshal(p.withKeys(9, one, two))
 	p.Assert(err, qt.IsNil)
 	cut := strings.Index(string(whole), secretMark) + len(secretMark) + 1
@@ -204,9 +204,9 @@
 	p.run(exitFailure, "proxy", "--settings", settingsFile)
 }
 
-// endSome ends the edge machines' programs and a control server with SIGTERM, so that they log what they log at their
-// end.
-func (p *keyPlay) endSome() {
+// terminateSome ends the edge machines' programs and a control server with SIGTERM, so that they write their log lines
+// of a shutdown.
+func (p *keyTest) terminateSome() {
 	for _, m := range append(slices.Clone(p.edge), p.core[0]) {
 		for _, program := range m.programs {
 			p.expectExit(program)
--- a/cmd/molepaddle-fleet/accounts_test.go
+++ b/cmd/molepaddle-fleet/accounts_test.go
@@ -15,11 +15,11 @@
 // openPath is the prefix of the route that needs no key where the configuration has accounts.
 const openPath = "/open/"
 
-// account is an account of the configuration.
+// account returns an account of the configuration.
 func account(name string, keys ...string) object { return object{"name": name, "apikeys": keys} }
 
-// withAccounts is a configuration with accounts, beside a public route and one that only it has, by which the version
-// is told.
+// withAccounts returns a configuration with accounts, a public route, and a route that only this version has, which
+// shows whether the version is in force.
 func (f *fleet) withAccounts(version uint64, accounts ...object) object {
 	doc := f.configuration(version)
 	open := route("r-open", openPath, "readonly", lookups, 4000, 200, 3, false)
@@ -31,7 +31,7 @@
 	return doc
 }
 
-// keyed is a request with a key, and with further fields.
+// keyed returns a request with a key and further header fields.
 func keyed(r simulation.Request, key string, more http.Header) simulation.Request {
 	r.Header = maps.Clone(more)
 	if r.Header == nil {
@@ -43,20 +43,21 @@
 	return r
 }
 
-// open is a request of the public route.
+// open returns a request on the public route.
 func open() simulation.Request {
 	r := lookup()
 	r.Path = openPath + "x"
 	return r
 }
 
-// unservable is a request that no service may run.
+// unservable returns a request that no service may run.
 func unservable(r simulation.Request) simulation.Request {
 	r.Services = []string{}
 	return r
 }
 
-// replaceAccounts puts a configuration with accounts in force at all proxies. One of its keys is given to ask by.
+// replaceAccounts replaces the configuration by one with accounts, and waits until all proxies have it. key must be one
+// of its keys; it is used to check.
 func (f *fleet) replaceAccounts(key string, accounts ...object) {
 	f.Helper()
 	version := f.version + 1
@@ -104,11 +105,11 @@
 	f.Check(long.Status/100 == 4 || long.Status == 0, qt.IsTrue, qt.Commentf("a key of 64 KB: %d", long.Status))
 }
 
-// TestBackendsNeverSeeAPIKeys is the failure UNASKED of the shared deployments: each request's key went on to a
-// backend, and no tenant was named. Clients send requests of all kinds with keys, without, and with a tenant of their
-// own to both proxies, also while backends fail and break off their answers, so that requests are sent again and
-// streams resumed; and a key goes from one tenant to another.
-func TestBackendsNeverSeeAPIKeys(t *testing.T) {
+// TestAPIKeysAreNotForwarded guards against the failure UNASKED of the shared deployments: proxies forwarded the API
+// key of each request to a backend and named no tenant. Clients send requests of all kinds with keys, without keys, and
+// with a forged tenant to both proxies, also while backends fail and cut their answers, so that requests are retried
+// and streams resumed. A key also moves from one tenant to another.
+func TestAPIKeysAreNotForwarded(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"retry_extra": 400}})
 	f.tenants = map[string][]string{
 		"key-airline":   {"airline"},
--- a/cmd/molepaddle-fleet/control_test.go
+++ b/cmd/molepaddle-fleet/control_test.go
@@ -26,18 +26,18 @@
 	"molepaddle/internal/rig/testkit"
 )
 
-// fakeControlPlane stands in for the control plane: one agent that takes configurations as PROTOCOL.md says.
+// fakeControlPlane is a fake control server that accepts configurations as PROTOCOL.md specifies.
 type fakeControlPlane struct {
 	addr string
 
 	mu          sync.Mutex
 	doc         *routingconfig.Document
-	previous    *routingconfig.Document // in force before
+	previous    *routingconfig.Document // the configuration before the one in force
 	calls       []string                // method, path and base version of each call
-	statusCalls int                     // at the status since the last change
+	statusCalls int                     // status calls since the last change
 }
 
-// newFakeControlPlane starts one, ended with the test.
+// newFakeControlPlane starts a fakeControlPlane, which is stopped at the end of the test.
 func newFakeControlPlane(tb testing.TB) *fakeControlPlane {
 	s := &fakeControlPlane{}
 	server := httptest.NewServer(s)
@@ -134,7 +134,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// writeRejection answers as a control server refuses.
+// writeRejection writes the answer with which a control server rejects a change.
 func writeRejection(w http.ResponseWriter, status int, why string, in routingconfig.Findings) {
 	w.WriteHeader(status)
 	list := []map[string]string{}
@@ -144,14 +144,14 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"err": why, "findings": list})
 }
 
-// readBuildInfo is the build information that the command is given.
+// build returns fixed build information for the commands under test.
 func build() (*debug.BuildInfo, bool) {
 	return &debug.BuildInfo{GoVersion: "go1.26.8", Main: debug.Module{Version: "v1.2.0"}, Settings: []debug.BuildSetting{
 		{Key: "GOOS", Value: "linux"}, {Key: "GOARCH", Value: "amd64"}, {Key: "vcs.revision", Value: "a923778"},
 		{Key: "vcs.time", Value: "2026-12-02T04:06:00Z"}, {Key: "vcs.modified", Value: "true"}}}, true
 }
 
-// fleetctl runs a command line, with no settings file but those that it names.
+// fleetctl runs a command line. No settings file is set by the environment.
 func fleetctl(tb testing.TB, args ...string) (code int, out, errOut string) {
 	tb.Setenv("MOLEPADDLE_CONFIG", "")
 	var o, e bytes.Buffer
@@ -161,15 +161,15 @@
 
 func data(name string) string { return filepath.Join("testdata", name) }
 
-// deadAddr is an address where nobody listens.
-func deadAddr(c *qt.C) string {
+// unusedAddr returns an address where nothing listens.
+func unusedAddr(c *qt.C) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-func TestCheckCodes(t *testing.T) {
+func TestCheckExitCodes(t *testing.T) {
 	c := qt.New(t)
 	for _, one := range []struct {
 		files []string
@@ -225,10 +225,10 @@
 	c.Assert(strings.ContainsRune(out, 0x1b), qt.IsFalse)
 }
 
-func TestProposeTakesTheCurrentVersion(t *testing.T) {
+func TestProposeUsesCurrentVersion(t *testing.T) {
 	c := qt.New(t)
 	s := newFakeControlPlane(c)
-	// While there is none, the third no is the answer.
+	// While there is no configuration, three answers of 404 mean that there is none.
 	show := "GET /molepaddle/cfg/show"
 	code, out, _ := fleetctl(t, "propose", data("fleet.json"), "--control", s.addr)
 	c.Assert(code, qt.Equals, exitOK)
@@ -238,12 +238,12 @@
 	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "version 7 on top of 5")
 	c.Assert(s.recordedCalls()[4:], qt.DeepEquals, []string{show, "POST /molepaddle/cfg/replace 5"})
-	// What is in force already is not sent.
+	// The configuration in force is not sent again.
 	code, out, _ = fleetctl(t, "propose", data("next.json"), "--control", s.addr)
 	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "in force already")
 	c.Assert(s.recordedCalls(), qt.HasLen, 7)
-	// With a base nothing is asked.
+	// With --base the current version is not requested.
 	code, _, errOut := fleetctl(t, "propose", data("back.json"), "--control", s.addr, "--base", "5")
 	c.Assert(code, qt.Equals, exitVersionConflict)
 	c.Assert(errOut, qt.Contains, "(412): version 7 is in place")
@@ -269,7 +269,7 @@
 	c.Assert(got.Findings, qt.HasLen, 2)
 }
 
-func TestChangesAreNotMixedUp(t *testing.T) {
+func TestProposeAndUpdateRejectOtherKind(t *testing.T) {
 	c := qt.New(t)
 	s := newFakeControlPlane(c)
 	code, _, errOut := fleetctl(t, "update", data("fleet.json"), "--control", s.addr)
@@ -296,8 +296,8 @@
 	c.Assert(d.NumRoutes(), qt.Equals, 3)
 }
 
-// TestIndeterminate: a control server that takes a call and doesn't answer leaves it open whether a change is in force.
-// Where nobody could be reached, or only the question for the version in force went out, nothing has changed.
+// TestIndeterminate: if a control server receives a change and doesn't answer, the change may be in force or not. If no
+// server could be reached, or only the version in force was requested, nothing has changed.
 func TestIndeterminate(t *testing.T) {
 	c := qt.New(t)
 	silent := testkit.Raw(t, func(conn net.Conn, r *bufio.Reader) {
@@ -305,7 +305,7 @@
 			_, _ = io.Copy(io.Discard, req.Body)
 		}
 	})
-	nobody := deadAddr(c)
+	nobody := unusedAddr(c)
 	for _, args := range [][]string{
 		{"show"}, {"diff", data("fleet.json")}, {"propose", data("fleet.json")},
 		{"propose", "--base", "0", data("fleet.json")},
@@ -345,11 +345,11 @@
 	c.Check(o.To, qt.Equals, int64(5))
 	c.Check(o.Findings, qt.DeepEquals, []finding{{"ver", "5 is not above the current version, 7"}})
 	c.Check(len(o.Changes) > 0, qt.IsTrue)
-	// What is in force is no change, and would not be refused.
+	// The configuration in force is no change, and would not be rejected.
 	code, out, _ = fleetctl(t, "diff", data("next.json"), "--control", s.addr)
 	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Equals, "version 7 -> 7: 0 changes\n")
-	// An update is laid over what is in force.
+	// An update is applied to the configuration in force.
 	code, out, _ = fleetctl(t, "diff", data("reading.json"), "--control", s.addr)
 	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(out, qt.Contains, "+ route r-reading")
--- a/cmd/molepaddle-fleet/core_test.go
+++ b/cmd/molepaddle-fleet/core_test.go
@@ -14,9 +14,9 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestPrimaryKilledAmidChanges kills the primary while changes come one after the other: all that were acknowledged are
-// there, the rest of them is taken, and requests go on.
-func TestPrimaryKilledAmidChanges(t *testing.T) {
+// TestPrimaryKilledDuringChanges kills the primary while changes are submitted one after the other. All acknowledged
+// changes are kept, the others are accepted, and requests are served throughout.
+func TestPrimaryKilledDuringChanges(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	primary := f.primary()
 	load := f.traffic([]int{0, 1})
@@ -68,20 +68,20 @@
 	f.checkRules()
 }
 
-// TestCoreKilled kills all processes of the core at once; their disks stay.
+// TestCoreKilled kills all processes of the core at once; their disks are kept.
 func TestCoreKilled(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	f.applyAddRoute(2)
 	f.awaitInForce(0, 2, time.Now().Add(testTimeout))
 	f.awaitInForce(1, 2, time.Now().Add(testTimeout))
-	load := f.traffic([]int{0, 1}, addedRouteRequest(2)) // no proxy goes back to an older version
+	load := f.traffic([]int{0, 1}, addedRouteRequest(2)) // no proxy returns to an older version
 	var all sync.WaitGroup
 	for _, m := range f.core {
 		all.Go(func() { m.kill("control-plane") })
 	}
 	all.Wait()
 	load.awaitMore(40, 0, 1)
-	// Node agents ask for the list themselves, once nobody else does.
+	// Node agents poll the platform for the list themselves when the core doesn't.
 	fresh := f.startPlain()
 	f.platform.Add(fresh)
 	alone := time.Now()
@@ -105,23 +105,23 @@
 	f.checkRules()
 }
 
-// TestCoreDiskLost takes the primary's disk, then, once that machine was taken in again, kills the next primary.
+// TestCoreDiskLost wipes the primary's disk and, once that machine is a member again, kills the next primary.
 func TestCoreDiskLost(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
 	f.applyAddRoute(2)
 	load := f.traffic([]int{0, 1})
 	lost := f.primary()
 	lost.kill("control-plane")
-	lost.settings.DataDir = "" // a new one, empty
+	lost.settings.DataDir = "" // use a new, empty folder
 	lost.start("control-plane")
 	back := time.Now()
 	f.checkConfig(2)
-	// A machine that is no member knows no primary to send a caller to.
+	// A machine that is not a member doesn't know the primary, to which it could redirect a caller.
 	version, _, from := f.showConfig(&simulation.Operator{Ctl: []string{lost.boot.Ctl}})
 	f.Assert(version, qt.Equals, uint64(2))
 	t.Logf("taken in %v after the return", time.Since(back))
 	f.applyAddRoute(3)
-	// What the system may lose at once counts as lost for that long after its return.
+	// A machine counts as lost for that long after its return.
 	f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(back) > f.bound("sync_s", time.Second) })
 	if now := f.primary(); now != from {
 		t.Logf("%s leads after %s", now.settings.Node, from.settings.Node)
@@ -140,7 +140,8 @@
 	f.checkRules()
 }
 
-// TestOperatorsRace has two operators build on one version, and send the same calls again: one of them wins, for good.
+// TestOperatorsRace has two operators submit changes on the same base version and retry them: one of them wins, and
+// retries don't change the outcome.
 func TestOperatorsRace(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	ctls := f.operator.Ctl
@@ -196,8 +197,8 @@
 	f.checkRules()
 }
 
-// TestInvalidConfigurations sends invalid configurations: all findings come with their paths, and nothing of it is in
-// force.
+// TestInvalidConfigurations submits invalid configurations: all findings are returned with their paths, and no part of
+// a configuration takes effect.
 func TestInvalidConfigurations(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	bad := f.version + 1
--- a/cmd/molepaddle-fleet/demo_test.go
+++ b/cmd/molepaddle-fleet/demo_test.go
@@ -19,8 +19,8 @@
 	demoSpaces = regexp.MustCompile(` +`)
 )
 
-// shape is what stays the same of the demo's lines from play to play: times, addresses, numbers, who leads and how wide
-// columns are may differ, and how often `watch` saw something new.
+// shape normalizes the demo's output, so that it is equal in all runs: times, addresses, numbers, roles, column widths
+// and the number of progress lines of `watch` may differ.
 func shape(text string) (all []string) {
 	for l := range strings.Lines(text) {
 		l = strings.TrimSpace(l)
@@ -37,7 +37,7 @@
 	return all
 }
 
-// TestDemo plays the demo: it does what it prints, and the page's transcript is one of it.
+// TestDemo runs the demo and compares its output with the expected lines and with the transcript in the page.
 func TestDemo(t *testing.T) {
 	c := qt.New(t)
 	t.Setenv("MOLEPADDLE_CONFIG", "")
--- a/cmd/molepaddle-fleet/fencing_test.go
+++ b/cmd/molepaddle-fleet/fencing_test.go
@@ -13,9 +13,10 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestFrozenOwnerGivesNoOrders freezes the owner of the phase orders for several leases while another takes the role
-// over, and thaws it: the judge finds no order with an old fencing token, and no turns within a lease.
-func TestFrozenOwnerGivesNoOrders(t *testing.T) {
+// TestFrozenOwnerSendsNoOrders stops the owner of the phase orders for several leases while another machine takes the
+// role over, and continues it. There must be no order with an old fencing token, and no two owners that alternate
+// within a lease.
+func TestFrozenOwnerSendsNoOrders(t *testing.T) {
 	f := newFleet(t, fleetOptions{decode: 4, bounds: map[string]any{"lease_ms": 1000, "sync_s": 1}})
 	load := f.traffic([]int{0, 1})
 	f.eventually(2*testTimeout, "an order is given", func() bool { return len(f.orders()) > 0 })
--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -25,11 +25,11 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestMain is the program itself where it is started with a settings file: the programs under test are this binary, so
-// that they run with the race detector where the tests do.
+// TestMain runs the program itself when a settings file is set: the programs under test are this test binary, so that
+// they run with the race detector if the tests do.
 func TestMain(m *testing.M) {
 	if _, ok := os.LookupEnv(settings.EnvFile); ok {
-		// The race detector would hold each end up for a second.
+		// By default the race detector delays each exit by a second.
 		if _, ok := os.LookupEnv("GORACE"); !ok {
 			self, err := os.Executable()
 			if err == nil {
@@ -55,25 +55,25 @@
 	lookups = "wuno96b" // plain service
 )
 
-// testTimeout bounds each wait of a test; nothing here takes that long.
+// testTimeout bounds each wait of a test; no step takes that long.
 const testTimeout = 20 * time.Second
 
-// fleetOptions is what differs between the fleets of the tests.
+// fleetOptions configures the fleet of a test.
 type fleetOptions struct {
-	bounds  map[string]any // over the example's bnds
+	bounds  map[string]any // bnds set over those of the example
 	prefill int            // backends of each kind; 1, 2 and 2 when 0
 	decode  int
 	plain   int
 
-	noReport bool                // the model backends' reports don't come: nobody orders them to change their phase
-	flags    map[string][]string // by role, beside its name
+	noReport bool                // the model backends answer no report polls, so that they get no phase orders
+	flags    map[string][]string // further arguments by role
 
-	accounts []simulation.Account // of the first configuration, which has none where this is nil
-	public   []string             // names of its routes that are public
-	relay    bool                 // machines reach each other through a relay, whose links can be cut
+	accounts []simulation.Account // accounts of the first configuration; none when nil
+	public   []string             // names of the public routes of the first configuration
+	relay    bool                 // machines are connected through a relay, whose links can be cut
 
-	coreBinary string // program of the core machines; this one where it is empty
-	edgeBinary string // and of the edge machines
+	coreBinary string // program of the core machines; this binary when empty
+	edgeBinary string // program of the edge machines; this binary when empty
 }
 
 // machine is one machine of the fleet, with the programs that run there.
@@ -82,7 +82,7 @@
 	settings simulation.BootSettings
 	boot     simulation.BootFile
 	roles    []string
-	binary   string // what it runs; this program where it is empty
+	binary   string // its program; this binary when empty
 	programs map[string]*simulation.Program
 }
 
@@ -124,14 +124,14 @@
 
 const (
 	fleetRegion = "kanto"
-	// platformRate is how many calls a second the platform takes.
+	// platformRate is the rate limit of the platform in calls a second.
 	platformRate = 42
-	// machinePorts is how many ports the programs of a machine have among themselves.
+	// machinePorts is the size of a machine's port_range.
 	machinePorts = 4
 )
 
-// newFleet starts a fleet, gives it its first configuration and waits until both proxies are ready and all core
-// machines are members.
+// newFleet starts a fleet, submits its first configuration and waits until both proxies are ready and all core machines
+// are members.
 func newFleet(t *testing.T, options fleetOptions) *fleet {
 	c := qt.New(t)
 	f := &fleet{
@@ -183,8 +183,8 @@
 	}
 	c.Logf("first configuration taken after %v, at the try %d; proxies ready after %v", rep.At.Sub(began), rep.Attempts,
 		time.Since(began))
-	// The core serves as soon as two of its machines are there. What it promises to survive counts from when all are
-	// in: one that is no member knows no primary to send a caller to.
+	// The core serves as soon as two of its machines are members, but it tolerates faults only once all are: a machine
+	// that is not a member doesn't know the primary, to which it could redirect a caller.
 	for _, m := range f.core {
 		version, _, _ := f.showConfig(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
 		c.Assert(version, qt.Equals, f.version, qt.Commentf("%s", m.settings.Node))
@@ -195,7 +195,7 @@
 
 // startBackends starts the backends and the platform that lists them.
 func (f *fleet) startBackends(options fleetOptions) {
-	// A token takes 4 us to be read at a prefill backend: 250 are read in a ms.
+	// A prefill backend takes 4 us for a token: it prefills 250 tokens in a ms.
 	prefill := simulation.EngineSettings{
 		Service:         model,
 		Phase:           simulation.PhasePrefill,
@@ -270,8 +270,8 @@
 		set.IP = ip
 		set.Zone = fleetZones[i]
 		if i > 0 {
-			// Node agents serve their proxies at a port of 127.0.0.1, which machines don't share and these here do. This
-			// one gets ports of its own, and finds the control servers there by way of relays.
+			// Node agents serve their proxies on a port of 127.0.0.1, which all machines of the test share. This
+			// machine gets different ports, and reaches the control servers on these through port forwarding.
 			set.Ports = simulation.ChoosePorts(f.C, machinePorts, all...)
 			for _, core := range coreIPs {
 				f.forwardToCore(core, set.Ports, ports)
@@ -286,8 +286,8 @@
 	}
 }
 
-// forwardToCore has a core machine's control server found at the ports that an edge machine has: where it answers node
-// agents, and where it hands out quotas to proxies.
+// forwardToCore makes a core machine's control server reachable on the ports that an edge machine uses, for pulls by
+// node agents and for quota requests by proxies.
 func (f *fleet) forwardToCore(core string, edgePorts, corePorts simulation.Ports) {
 	for _, address := range []func(string, [2]int) string{distribution.PullAddr, distribution.QuotaAddr} {
 		from := address(core, [2]int{edgePorts.First, edgePorts.Last})
@@ -308,7 +308,7 @@
 	Region:   "kanto",
 }
 
-// startPlain starts one more backend of the plain service, which is not listed yet.
+// startPlain starts another backend of the plain service, which is not listed yet.
 func (f *fleet) startPlain() *simulation.Engine {
 	e := simulation.StartEngine(f, plainEngine)
 	f.plain = append(f.plain, e)
@@ -319,7 +319,7 @@
 	return slices.Concat(f.prefill, f.decode, f.plain, f.others)
 }
 
-// start runs one of the machine's roles with the settings of this moment.
+// start starts one of the machine's programs with the current settings.
 func (m *machine) start(role string) {
 	f, s := m.f, m.settings
 	if role == "node-agent" {
@@ -331,7 +331,7 @@
 		m.boot = boot
 		m.settings.DataDir = boot.DataDir
 	}
-	m.settings.Bootstrap = false // only at the very first start
+	m.settings.Bootstrap = false // only at the first start
 	binary := m.binary
 	if binary == "" {
 		self, err := os.Executable()
@@ -356,7 +356,7 @@
 	p.Kill()
 }
 
-// expectExit says that a program ends because the test wants it to.
+// expectExit records that the test ends a program on purpose.
 func (f *fleet) expectExit(p *simulation.Program) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -375,7 +375,7 @@
 		qt.Commentf("%s", m.settings.Node))
 }
 
-// eventually waits until ok holds, for as long as given.
+// eventually waits until ok returns true, and fails the test if it doesn't within d.
 func (f *fleet) eventually(d time.Duration, what string, ok func() bool) {
 	f.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
@@ -390,12 +390,12 @@
 	}
 }
 
-// bound is a figure of the settings' bnds, which counts units of unit.
+// bound returns a value of bnds in the settings, which is given in multiples of unit.
 func (f *fleet) bound(name string, unit time.Duration) time.Duration {
 	return time.Duration(f.settings[name].(int)) * unit
 }
 
-// Routes and services, as the operator words them.
+// Routes and services, as the operator sends them.
 type (
 	object = map[string]any
 	list   = []any
@@ -410,7 +410,7 @@
 	return r
 }
 
-// configuration is a complete configuration.
+// configuration returns a complete configuration.
 func (f *fleet) configuration(version uint64) object {
 	doc := object{
 		"ver": version,
@@ -441,7 +441,7 @@
 	return doc
 }
 
-// replaceConfig has a complete configuration acknowledged on top of the newest.
+// replaceConfig replaces the newest configuration and asserts the acknowledgement.
 func (f *fleet) replaceConfig(ctx context.Context, doc object) simulation.Reply {
 	f.Helper()
 	rep, err := f.operator.Replace(ctx, f.version, doc)
@@ -453,14 +453,14 @@
 
 func addedRouteName(version uint64) string { return fmt.Sprintf("added-%d", version) }
 
-// addRoute is a change that brings a readonly route named by the version.
+// addRoute returns an update that adds a readonly route named by the version.
 func addRoute(version uint64) object {
 	name := addedRouteName(version)
 	return object{"ver": version,
 		"upsert": object{"routing": list{route(name, "/"+name+"/", "readonly", lookups, 4000, 200, 3, false)}}}
 }
 
-// applyAddRoute has such a change acknowledged on top of the newest.
+// applyAddRoute submits such an update on top of the newest version and asserts the acknowledgement.
 func (f *fleet) applyAddRoute(version uint64) simulation.Reply {
 	f.Helper()
 	rep, err := f.operator.Update(f.withTimeout(testTimeout), f.version, addRoute(version))
@@ -470,8 +470,8 @@
 	return rep
 }
 
-// showConfig is what the operator reads back: the version and the names of the routes; from is the core machine that
-// said it.
+// showConfig reads the configuration and returns its version, the names of its routes and the core machine that
+// answered.
 func (f *fleet) showConfig(o *simulation.Operator) (version uint64, routes []string, from *machine) {
 	f.Helper()
 	rep, err := o.Show(f.withTimeout(testTimeout))
@@ -489,14 +489,14 @@
 	return rep.Version, routes, f.core[i]
 }
 
-// primary is the core machine that answers the operator.
+// primary returns the core machine that answers the operator.
 func (f *fleet) primary() *machine {
 	f.Helper()
 	_, _, m := f.showConfig(f.operator)
 	return m
 }
 
-// checkConfig asks that the newest acknowledged configuration is shown, with a route for each version added.
+// checkConfig asserts that the newest acknowledged configuration is shown, with a route for each version added.
 func (f *fleet) checkConfig(versions ...uint64) {
 	f.Helper()
 	version, routes, _ := f.showConfig(f.operator)
@@ -507,7 +507,7 @@
 	}
 }
 
-// awaitInForce waits until the proxy of an edge machine serves the route of a version, at most until the time given.
+// awaitInForce waits until the proxy of an edge machine serves the route of a version, at most until a time.
 func (f *fleet) awaitInForce(edge int, version uint64, by time.Time) {
 	f.Helper()
 	r := addedRouteRequest(version)
@@ -519,7 +519,7 @@
 
 var number atomic.Int64
 
-// lookup, report, bulletin and hazard are requests of the configuration's routes.
+// lookup, report, bulletin and hazard return requests on the configuration's routes.
 func lookup() simulation.Request {
 	return simulation.Request{
 		Kind:     simulation.ReadOnly,
@@ -532,7 +532,7 @@
 	}
 }
 
-// addedRouteRequest is a request of the route that addRoute brings.
+// addedRouteRequest returns a request on the route that addRoute adds.
 func addedRouteRequest(version uint64) simulation.Request {
 	r := lookup()
 	r.Path = "/" + addedRouteName(version) + "/x"
@@ -545,7 +545,7 @@
 	return r
 }
 
-// bulletin has a long prompt, three quarters of which are shared, and a short answer; it may be resumed.
+// bulletin returns a resumable request with a long prompt, three quarters of which are shared, and a short answer.
 func bulletin(tokens, out int) simulation.Request {
 	shared := tokens * 3 / 4
 	return simulation.Request{
@@ -563,15 +563,15 @@
 	}
 }
 
-// hazard has a short prompt and a long answer; it may run once.
+// hazard returns a request with a short prompt and a long answer, which may run only once.
 func hazard() simulation.Request {
 	r := bulletin(220, 24)
 	r.Path, r.Resumable = "/hazard/2f", false
 	return r
 }
 
-// traffic sends requests of all kinds, and those given besides, to some of the proxies, to each one after the other,
-// until stop is called, which asks that all were served.
+// traffic sends requests of all kinds, and further ones, to some of the proxies until stop is called, which asserts
+// that all were served. Each proxy gets one request at a time.
 type traffic struct {
 	f    *fleet
 	end  context.CancelFunc
@@ -599,7 +599,7 @@
 	return t
 }
 
-// endedSince counts what was sent to an edge machine after a time and ended.
+// endedSince counts the requests that were sent to an edge machine after a time and have ended.
 func (t *traffic) endedSince(edge int, at time.Time) (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -611,7 +611,7 @@
 	return n
 }
 
-// awaitMore waits until so many more requests have been sent to each edge machine given, and answered.
+// awaitMore waits until n more requests have been sent to each of some edge machines and answered.
 func (t *traffic) awaitMore(n int, edges ...int) {
 	t.f.Helper()
 	at := time.Now()
@@ -621,7 +621,7 @@
 	}
 }
 
-// stop ends the traffic; all of it must have been served.
+// stop ends the traffic and asserts that all requests were served.
 func (t *traffic) stop() {
 	t.f.Helper()
 	t.end()
@@ -633,7 +633,7 @@
 	}
 }
 
-// checkServed asserts that a request got a complete success, a stream to its last event.
+// checkServed asserts that a request succeeded with a complete answer, a stream up to its last event.
 func (f *fleet) checkServed(r simulation.Result, where string) {
 	f.Helper()
 	if !r.OK() {
@@ -645,7 +645,7 @@
 	}
 }
 
-// attemptsOf lists the backends that an attempt reached, for the log of a failure.
+// attemptsOf lists the backends that an attempt reached, for failure messages.
 func (f *fleet) attemptsOf(attempt string) (out []string) {
 	for _, e := range f.engines() {
 		for _, en := range e.Log.Entries() {
@@ -664,7 +664,7 @@
 	return ch
 }
 
-// startedAt counts the runs that began at some backends.
+// startedRuns counts the runs that began at some backends.
 func startedRuns(es []*simulation.Engine) (n int) {
 	for _, e := range es {
 		for _, en := range e.Log.Entries() {
@@ -676,7 +676,7 @@
 	return n
 }
 
-// orders are those that came to backends.
+// orders returns the orders that reached backends.
 func (f *fleet) orders() (out []simulation.Entry) {
 	for _, e := range f.engines() {
 		for _, en := range e.Log.Entries() {
@@ -688,7 +688,7 @@
 	return out
 }
 
-// lease is lease_ms of the settings: 3 s unless a test says otherwise.
+// lease returns lease_ms of the settings; the default is 3 s.
 func (f *fleet) lease() time.Duration {
 	if ms, ok := f.settings["lease_ms"].(int); ok {
 		return time.Duration(ms) * time.Millisecond
@@ -696,7 +696,7 @@
 	return 3 * time.Second
 }
 
-// checkRules asks that no rule was broken, no program ended by itself and none had a race or a panic.
+// checkRules asserts that no rule was broken, that no program ended unexpectedly and that none had a race or a panic.
 func (f *fleet) checkRules() {
 	f.Helper()
 	for _, c := range f.clients {
--- a/cmd/molepaddle-fleet/leave_test.go
+++ b/cmd/molepaddle-fleet/leave_test.go
@@ -24,9 +24,9 @@
 	})
 }
 
-// TestDrainingProxyRejectsWhatItCannotFinish: a proxy that is shutting down still gets clients for some seconds. A
-// stream that may take longer than it has left is refused at once, before any backend saw it, so that its client goes
-// elsewhere in time; what ends soon is served.
+// TestDrainingProxyRejectsWhatItCannotFinish: a proxy that is shutting down still receives clients for some seconds. It
+// rejects a stream that may outlast its grace period at once, before it reaches a backend, so that the client can retry
+// at another proxy in time. It serves requests that end soon.
 func TestDrainingProxyRejectsWhatItCannotFinish(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	m := f.edge[0]
@@ -71,7 +71,7 @@
 	f.checkRules()
 }
 
-// holdStream starts a stream at an edge machine that lasts until release is called.
+// holdStream starts a stream at an edge machine, which stays open until release is called.
 func (f *fleet) holdStream(edge int) (answer <-chan simulation.Result, release func()) {
 	var releases []func()
 	for _, e := range f.decode {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestDrainingProxyFollowsConfiguration ends a machine whose proxy has a stream to finish: a route that is added
-// meanwhile is served there, as the node agent stays for as long as its proxy does, and both end once the stream has.
+// TestDrainingProxyFollowsConfiguration shuts down a machine whose proxy has an open stream. A route that is added
+// meanwhile is served there, as the node agent runs for as long as its proxy does. Both end after the stream.
 func TestDrainingProxyFollowsConfiguration(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	m := f.edge[0]
@@ -122,8 +122,8 @@
 	f.checkRules()
 }
 
-// TestNodeAgentEndsAlone ends a node agent whose proxy goes on: it doesn't wait for it.
-func TestNodeAgentEndsAlone(t *testing.T) {
+// TestNodeAgentShutsDownAlone shuts down a node agent while its proxy keeps running: the agent doesn't wait for it.
+func TestNodeAgentShutsDownAlone(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	agent := f.edge[0].programs["node-agent"]
 	f.expectExit(agent)
@@ -137,9 +137,10 @@
 	f.checkRules()
 }
 
-// TestAllProxiesEndAtOnce ends all edge machines while each has a stream to finish: until their ends they serve what
-// they can finish, and what they can't is told to come back when they are back, rather than at another of them.
-func TestAllProxiesEndAtOnce(t *testing.T) {
+// TestAllProxiesShutDownAtOnce shuts down all edge machines while each has an open stream. Until they end they serve
+// the requests that they can finish. To the others they answer with a Retry-After that covers their restart, as there
+// is no other proxy to retry at.
+func TestAllProxiesShutDownAtOnce(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	var streams []<-chan simulation.Result
 	var releases []func()
@@ -166,7 +167,7 @@
 		}
 		f.eventually(2*time.Second, "a client is told when they are back", told)
 	}
-	// Longer than any of them would accept clients if others served: nobody else is there.
+	// This is longer than any of them would accept clients if other proxies were serving.
 	f.eventually(testTimeout, "3.5 s are over", func() bool { return time.Since(term) > 3500*time.Millisecond })
 	for _, client := range f.clients[len(f.edge):] {
 		f.checkServed(client.Do(f.ctx, lookup()), "while all drain")
@@ -186,12 +187,12 @@
 	f.checkRules()
 }
 
-// TestCoreShutsDownInTurn shuts down each core machine, the primary of the moment first, while changes come one
-// after the other. Each is released by the others before its grace is over, and comes back; every change is
-// acknowledged.
+// TestCoreShutsDownInTurn shuts down each core machine, the current primary first, while changes are submitted one
+// after the other. The others release each machine before its grace period ends, and it is started again. Every change
+// is acknowledged.
 func TestCoreShutsDownInTurn(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
-	const name = 2 // of the one route that all changes bring again
+	const name = 2 // version in the name of the route that every change sets again
 	stop, done := make(chan struct{}), make(chan struct{})
 	var longest time.Duration
 	version, at := f.version, time.Now()
--- a/cmd/molepaddle-fleet/page_test.go
+++ b/cmd/molepaddle-fleet/page_test.go
@@ -21,23 +21,23 @@
 
 var rewrite = flag.Bool("rewrite", false, "write the output of the commands into the pages that show it")
 
-// pageFile tells the commands and the log, accountsPage how keys and quotas are changed.
+// pageFile documents the commands and the log; accountsPage documents how to change keys and quotas.
 const (
 	pageFile     = "../../docs/operators/fleet-commands.md"
 	accountsPage = "../../docs/operators/accounts.md"
 )
 
-// Addresses as the page has them: the control plane's, and one where nobody listens.
+// Addresses in the page: the control plane's, and one where nothing listens.
 const pageControl, pageDead = "10.1.0.16:8166", "10.2.0.32:8166"
 
-// And the other core machines of the status.
+// Addresses of the other core machines in the status.
 var pageCore = []string{pageControl, "10.1.1.16:8166", "10.1.2.16:8166"}
 
-// indent begins a transcript's lines.
+// indent is the prefix of the lines of a transcript.
 const indent = "    "
 
-// blockEnd is where the transcript ends that begins at a line: at the first line that isn't indented; blank lines
-// within are part of it.
+// blockEnd returns the end of the transcript that begins at a line: the first line that isn't indented. Blank lines
+// within belong to the transcript.
 func blockEnd(in []string, begin int) int {
 	end := begin + 1
 	for end < len(in) && !strings.HasPrefix(in[end], indent+"$ ") &&
@@ -48,30 +48,30 @@
 	return end
 }
 
-// TestPageTranscripts plays the transcripts of the pages and compares what is printed.
+// TestPageTranscripts runs the transcripts of the pages and compares the output.
 func TestPageTranscripts(t *testing.T) {
 	c := qt.New(t)
 	t.Setenv("MOLEPADDLE_CONFIG", "")
 	t.Chdir("testdata")
-	played := playTranscripts(c, "../"+pageFile)
+	played := runTranscripts(c, "../"+pageFile)
 	for _, name := range []string{"check", "show", "diff", "propose", "update", "route", "status", "watch",
 		"residency", "demo", "version"} {
 		c.Check(played[name], qt.IsTrue, qt.Commentf("no transcript of molepaddle-fleet %s", name))
 	}
-	played = playTranscripts(c, "../"+accountsPage)
+	played = runTranscripts(c, "../"+accountsPage)
 	for _, name := range []string{"show", "diff", "update", "watch"} {
 		c.Check(played[name], qt.IsTrue, qt.Commentf("%s: no transcript of molepaddle-fleet %s", accountsPage, name))
 	}
 }
 
-// playTranscripts plays the transcripts of a page, blocks that begin with "    $ molepaddle-fleet", in their order
-// against one control plane that has no configuration at first; files are those of testdata, where it must be called.
-// It returns the commands that were played.
-func playTranscripts(c *qt.C, page string) map[string]bool {
+// runTranscripts runs the transcripts of a page, blocks that begin with "    $ molepaddle-fleet", in their order
+// against one control plane that has no configuration at first. It must be called in testdata, where the files are. It
+// returns the commands that were run.
+func runTranscripts(c *qt.C, page string) map[string]bool {
 	text, err := os.ReadFile(page)
 	c.Assert(err, qt.IsNil)
 	s := newFakeControlPlane(c)
-	there := strings.NewReplacer(pageControl, s.addr, pageDead, deadAddr(c))
+	there := strings.NewReplacer(pageControl, s.addr, pageDead, unusedAddr(c))
 	dead := there.Replace(pageDead)
 	back := strings.NewReplacer(s.addr, pageControl, dead, pageDead)
 	var out []string
@@ -85,7 +85,7 @@
 			continue
 		}
 		end := blockEnd(in, i)
-		if line == "demo" { // TestDemo plays it
+		if line == "demo" { // run by TestDemo
 			out = append(out, in[i:end]...)
 			played[line], i = true, end
 			continue
@@ -119,10 +119,10 @@
 	return played
 }
 
-// logCall is a call in the source that writes a line.
+// logCall is a call in the source that writes a log line.
 type logCall struct{ level, msg, where string }
 
-// logCalls reads the log calls and the keys of their fields out of the programs' source.
+// logCalls returns the log calls in the programs' source, and the keys of their fields.
 func logCalls(c *qt.C) (calls []logCall, keys map[string]string) {
 	keys = map[string]string{}
 	var files []string
@@ -188,7 +188,7 @@
 	return false
 }
 
-// literal is the text of a string literal, or of the literal that a sum begins with.
+// literal returns the text of a string literal, or of the literal with which a concatenation begins.
 func literal(e ast.Expr) (string, bool) {
 	if sum, ok := e.(*ast.BinaryExpr); ok {
 		e = sum.X
@@ -203,8 +203,8 @@
 
 var logRow = regexp.MustCompile("(?m)^\\| (debug|info|warn|error|dpanic|panic|fatal) \\| `([^`]+)` \\|")
 
-// Each line that the programs may log has its row in the page, and each row its line.
-func TestPageHasTheLog(t *testing.T) {
+// TestPageListsLogLines asserts that each log line of the programs has a row in the page, and each row a log line.
+func TestPageListsLogLines(t *testing.T) {
 	c := qt.New(t)
 	text, err := os.ReadFile(pageFile)
 	c.Assert(err, qt.IsNil)
--- a/cmd/molepaddle-fleet/planned_schedule_test.go
+++ b/cmd/molepaddle-fleet/planned_schedule_test.go
@@ -23,25 +23,25 @@
 )
 
 const (
-	// plannedSteps is how many pieces of planned work a schedule has.
+	// plannedSteps is the number of maintenance steps of a schedule.
 	plannedSteps = 5
-	// plannedClients is how many clients send requests beside them to each edge machine.
+	// plannedClients is the number of clients that send requests to each edge machine meanwhile.
 	plannedClients = 3
 )
 
-// plannedRun is a schedule of planned work under way.
+// plannedRun is a running schedule of planned maintenance.
 type plannedRun struct {
 	*fleet
 	rng  *rand.Rand
-	busy sync.WaitGroup // machines that end and come back
+	busy sync.WaitGroup // machines that are being restarted
 
-	listed   []*simulation.Engine // plain backends that don't drain
+	listed   []*simulation.Engine // plain backends that are not draining
 	draining []simulation.Departure
 
-	mu sync.Mutex // for what starts programs
+	mu sync.Mutex // guards the start of programs
 }
 
-// plannedWork are the pieces that schedules are drawn of.
+// plannedWork lists the maintenance steps from which schedules are drawn.
 var plannedWork = []struct {
 	name string
 	do   func(r *plannedRun)
@@ -57,7 +57,7 @@
 		m := r.core[r.rng.IntN(len(r.core))]
 		r.end(m, "control-plane")
 		m.start("control-plane")
-		r.pause(1200 * time.Millisecond) // sync_s: one is lost at a time
+		r.pause(1200 * time.Millisecond) // sync_s, so that one machine at a time counts as lost
 	}},
 	{"all are hung up", func(r *plannedRun) {
 		for _, m := range append(slices.Clone(r.core), r.edge...) {
@@ -74,7 +74,7 @@
 	{"a backend is replaced", func(r *plannedRun) { r.replaceBackend() }},
 }
 
-// end ends a program of a machine as the platform does, and waits for it.
+// end ends a program of a machine with SIGTERM, as the platform does, and waits for its exit.
 func (r *plannedRun) end(m *machine, role string) {
 	p := m.programs[role]
 	r.expectExit(p)
@@ -84,7 +84,7 @@
 	r.Check(code, qt.Equals, 0, qt.Commentf("%s", role))
 }
 
-// restart ends machines at the same moment; each is started again once it has ended, and waited for.
+// restart ends machines at the same time, and starts each again once it has ended.
 func (r *plannedRun) restart(machines ...*machine) {
 	for _, m := range machines {
 		m.terminate()
@@ -109,7 +109,7 @@
 	}
 }
 
-// replaceBackend has a new plain backend listed and an old one drained.
+// replaceBackend lists a new plain backend and drains an old one.
 func (r *plannedRun) replaceBackend() {
 	old := r.listed[0]
 	fresh := r.startPlain()
@@ -119,15 +119,15 @@
 	r.draining = append(r.draining, simulation.Departure{Engine: old.ID(), ListedAt: time.Now().Add(r.delay)})
 }
 
-// pause waits, as planned work is spread over a time.
+// pause waits between maintenance steps.
 func (r *plannedRun) pause(d time.Duration) {
 	over := time.NewTimer(d)
 	defer over.Stop()
 	<-over.C
 }
 
-// load has clients send requests of all kinds to the edge machines until ctx ends. One that finds nobody, or is told to
-// come back, goes on a little later.
+// load has clients send requests of all kinds to the edge machines until ctx ends. A client that can't connect, or gets
+// a Retry-After, continues a little later.
 func (r *plannedRun) load(ctx context.Context) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for _, m := range r.edge {
@@ -147,16 +147,16 @@
 	return &all
 }
 
-// TestPlannedWorkSchedules draws schedules of planned work and plays them on whole processes under traffic: the judge
-// finds nothing lost, run twice, late or left over, and all are ready and serve when it is over.
+// TestPlannedWorkSchedules runs drawn schedules of planned maintenance on real processes under traffic. No request may
+// be lost, run twice, be late or go on after its client has left, and at the end all machines are ready and serve.
 func TestPlannedWorkSchedules(t *testing.T) {
 	for i := range *plannedCount {
 		seed := *plannedFirst + uint64(i)
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playPlannedWork(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runPlannedWork(t, seed) })
 	}
 }
 
-func playPlannedWork(t *testing.T, seed uint64) {
+func runPlannedWork(t *testing.T, seed uint64) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"grace_s": 3, "sync_s": 1}})
 	r := &plannedRun{
 		fleet:  f,
--- a/cmd/molepaddle-fleet/process_test.go
+++ b/cmd/molepaddle-fleet/process_test.go
@@ -24,7 +24,8 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestMemoryLimit gives the garbage collector a part of the process's memory limit, and none where none is known.
+// TestMemoryLimit: the soft limit of the garbage collector is a fraction of the process's memory limit, and is not set
+// if that is unknown.
 func TestMemoryLimit(t *testing.T) {
 	c := qt.New(t)
 	before := debug.SetMemoryLimit(-1)
@@ -38,7 +39,7 @@
 	c.Assert(limit > memoryMB<<19 && limit < memoryMB<<20, qt.IsTrue, qt.Commentf("%d bytes of %d MB", limit, memoryMB))
 }
 
-// TestRetry starts again after errors that pass, with pauses that grow to a bound.
+// TestRetry: transient errors are retried with a backoff that grows to its maximum.
 func TestRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -68,7 +69,7 @@
 	})
 }
 
-// loggedProgram is one of the fleet's programs, whose log the test reads.
+// loggedProgram is a process of the fleet whose log the test reads.
 type loggedProgram struct {
 	*qt.C
 	cmd    *exec.Cmd
@@ -76,7 +77,7 @@
 	lines  *bufio.Reader
 }
 
-// startLogged starts a program; it is killed after patient at the latest, so that no read of its log waits for ever.
+// startLogged starts a program. It is killed after a time limit, so that no read of its log blocks forever.
 func startLogged(c *qt.C, boot simulation.BootFile, args ...string) *loggedProgram {
 	self, err := os.Executable()
 	c.Assert(err, qt.IsNil)
@@ -96,7 +97,7 @@
 	return &loggedProgram{C: c, cmd: cmd, reader: reader, lines: bufio.NewReader(reader)}
 }
 
-// awaitLine reads the log up to a line that holds text.
+// awaitLine reads the log up to a line that contains text.
 func (p *loggedProgram) awaitLine(text string) {
 	p.Helper()
 	var log strings.Builder
@@ -110,19 +111,20 @@
 	}
 }
 
-// awaitCleanExit sends SIGTERM, which must end the program without an error.
+// awaitCleanExit sends SIGTERM and asserts that the program exits without an error.
 func (p *loggedProgram) awaitCleanExit() {
 	p.Helper()
 	p.Assert(p.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	p.Assert(p.cmd.Wait(), qt.IsNil)
 }
 
-// TestLogReaderGone closes the pipe that a program logs to: it goes on with its work, and ends only on a signal.
-func TestLogReaderGone(t *testing.T) {
+// TestLogReaderClosesPipe closes the pipe to which a program logs: the program continues to work, and ends only on a
+// signal.
+func TestLogReaderClosesPipe(t *testing.T) {
 	c := qt.New(t)
 	const coreIP = "127.0.1.61"
 	ports := simulation.ChoosePorts(c, 4, "127.0.0.1", coreIP)
-	// The agent's peer, which closes each connection: the agent logs that, and comes again.
+	// The agent's peer closes each connection: the agent logs that and connects again.
 	peer, err := net.Listen("tcp", net.JoinHostPort(coreIP, strconv.Itoa(ports.First+1)))
 	c.Assert(err, qt.IsNil)
 	defer peer.Close()
@@ -131,7 +133,7 @@
 	p := startLogged(c, boot, "--log-level=debug", "node-agent")
 	p.awaitLine("started")
 	c.Assert(p.reader.Close(), qt.IsNil)
-	const calls = 5 // each but the last has been followed by a write to the log
+	const calls = 5 // each but the last was followed by a write to the log
 	for i := range calls {
 		c.Assert(peer.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)), qt.IsNil)
 		conn, err := peer.Accept()
@@ -141,9 +143,9 @@
 	p.awaitCleanExit()
 }
 
-// TestControlPlaneWaitsForItsDisk starts a control server on a disk that gives it no file: it doesn't end, and serves
-// once the disk does.
-func TestControlPlaneWaitsForItsDisk(t *testing.T) {
+// TestControlPlaneRetriesStateStore starts a control server on a disk on which files can't be created. It keeps
+// running, and serves once the disk works.
+func TestControlPlaneRetriesStateStore(t *testing.T) {
 	c := qt.New(t)
 	const ip = "127.0.1.62"
 	dir := t.TempDir()
@@ -168,8 +170,8 @@
 	p.awaitCleanExit()
 }
 
-// TestControlPlaneEndsWhileItWaitsForItsDisk shuts down a control server while its disk gives it no file.
-func TestControlPlaneEndsWhileItWaitsForItsDisk(t *testing.T) {
+// TestControlPlaneShutdownDuringStateStoreRetry shuts down a control server while no file can be created on its disk.
+func TestControlPlaneShutdownDuringStateStoreRetry(t *testing.T) {
 	c := qt.New(t)
 	const ip = "127.0.1.63"
 	dir := t.TempDir()
@@ -189,8 +191,8 @@
 	p.awaitCleanExit()
 }
 
-// TestHangUpIsIgnored sends SIGHUP to every program of a fleet with requests under way: all of them are served, and the
-// programs run on.
+// TestHangUpIsIgnored sends SIGHUP to every program of a fleet while requests are in flight: all requests are served,
+// and the programs keep running.
 func TestHangUpIsIgnored(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	var releases []func()
--- a/cmd/molepaddle-fleet/quota_test.go
+++ b/cmd/molepaddle-fleet/quota_test.go
@@ -18,9 +18,9 @@
 	quotaLength = flag.Duration("quota.for", 4*time.Second, "how long TestProcessorQuota plays")
 )
 
-// TestProcessorQuota gives every program a quota of processor time, which stops it for the rest of each tenth of a
-// second once it is spent, under traffic and changes: nobody is taken for lost, no backend is ejected, all changes
-// are acknowledged and all requests answered.
+// TestProcessorQuota limits the processor time of every program under traffic and changes: a program is stopped for the
+// rest of each tenth of a second once its quota is used up. No machine is declared lost, no backend is ejected, all
+// changes are acknowledged and all requests are answered.
 func TestProcessorQuota(t *testing.T) {
 	f := newFleet(t, fleetOptions{noReport: true})
 	quotas := map[string]*simulation.Quota{}
--- a/cmd/molepaddle-fleet/regions_test.go
+++ b/cmd/molepaddle-fleet/regions_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestTenantResidencyTerms sends the terms of tenants to running programs: a region that the deployment doesn't have
-// is rejected with its path, a valid one is acknowledged and shown.
+// TestTenantResidencyTerms submits residency terms of tenants: a region that the deployment doesn't have is rejected
+// with its path, a valid one is acknowledged and shown.
 func TestTenantResidencyTerms(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	terms := func(version uint64, region string) object {
--- a/cmd/molepaddle-fleet/residency_test.go
+++ b/cmd/molepaddle-fleet/residency_test.go
@@ -15,7 +15,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// residency asks one core machine in which regions the data of a tenant was, by the command.
+// residency runs the residency command for a tenant against one core machine.
 func (f *fleet) residency(ctl, tenant string) (code int, report externalapi.ResidencyReport, said string) {
 	f.Helper()
 	code, out, errOut := fleetctl(f, "residency", tenant, "--json", "--control", ctl, "--within", "3s")
@@ -25,8 +25,8 @@
 	return code, report, errOut
 }
 
-// residencyRow waits until each running core machine reports that the tenant's data was in one region, by so many
-// plain requests.
+// residencyRow waits until each running core machine reports a single region for the tenant's data, with the given
+// number of plain requests.
 func (f *fleet) residencyRow(tenant string, plain int64) (r externalapi.ResidencyRow) {
 	f.Helper()
 	for _, m := range f.core {
@@ -48,9 +48,10 @@
 	return r
 }
 
-// TestResidencyOutlives kills a proxy, its node agent, the primary and at last the whole core, one after the other,
-// with requests of a tenant in between: the report keeps the earliest time throughout, and counts each request once.
-func TestResidencyOutlives(t *testing.T) {
+// TestResidencyReportSurvivesKills kills a proxy, its node agent, the primary and at last the complete core, one after
+// the other, with requests of a tenant in between. The report keeps the earliest time throughout, and counts each
+// request once.
+func TestResidencyReportSurvivesKills(t *testing.T) {
 	f := newFleet(t, fleetOptions{flags: map[string][]string{"control-plane": {"--readings", "200ms"}}})
 	rep, err := f.operator.Update(f.withTimeout(testTimeout), f.version, object{"ver": f.version + 1, "upsert": object{
 		"tenants": list{object{"name": "labs", "regions": list{"kanto"}}, object{"name": "idle", "regions": list{"kanto"}}},
@@ -108,7 +109,7 @@
 	primary := f.primary()
 	ask(0, 1)
 	ask(1, 1)
-	primary.kill("control-plane") // some of it may be on its way
+	primary.kill("control-plane") // parts of the report may be in transit
 	ask(0, 3)
 	primary.start("control-plane")
 	since("the primary's kill")
@@ -126,13 +127,13 @@
 	}
 	since("a kill of the whole core")
 
-	// Orderly ends hand on the last that was served.
+	// A graceful shutdown delivers the report on the last requests.
 	end := func(roles ...string) {
 		for _, role := range roles {
 			f.expectExit(edge.programs[role])
 			edge.programs[role].Signal(syscall.SIGTERM)
 		}
-		ask(0, 2) // whoever comes before the platform sends nobody any more is served
+		ask(0, 2) // clients that arrive before the platform stops sending them are served
 		began := time.Now()
 		for _, role := range roles {
 			code, err := edge.programs[role].Wait(f.withTimeout(testTimeout))
@@ -149,15 +150,15 @@
 	ask(0, 1)
 	end("proxy", "node-agent")
 	since("a machine's orderly end")
-	// The configuration is what it was, and still changes.
+	// The configuration is unchanged, and can still be changed.
 	rep = f.applyAddRoute(f.version + 1)
 	f.Assert(rep.Status, qt.Equals, http.StatusOK)
 	f.checkConfig(f.version)
 	f.checkRules()
 }
 
-// TestNoResidencyReportsWithoutTerms has no tenant: nothing of a report is ever written, and the log takes the
-// operator's changes alone.
+// TestNoResidencyReportsWithoutTerms: without tenants no residency report is written, and the replicated log contains
+// only the operator's changes.
 func TestNoResidencyReportsWithoutTerms(t *testing.T) {
 	f := newFleet(t, fleetOptions{flags: map[string][]string{"control-plane": {"--readings", "1ms"}}})
 	load := f.traffic([]int{0, 1})
@@ -175,8 +176,8 @@
 	f.checkRules()
 }
 
-// TestResidencyCodes plays the command against a control plane that answers by rote.
-func TestResidencyCodes(t *testing.T) {
+// TestResidencyExitCodes runs the command against a fake control plane.
+func TestResidencyExitCodes(t *testing.T) {
 	c := qt.New(t)
 	s := newFakeControlPlane(c)
 	for _, one := range []struct {
@@ -190,7 +191,7 @@
 		{"residency nobody", exitFailure, "nothing is known"},
 		{"residency kochi-labs --route r-old", exitUsage, "not both"},
 		{"residency kochi-labs --control 1", exitUsage, "no IP:port"},
-		{"residency kochi-labs --within 200ms --control " + deadAddr(c), exitFailure, "nothing was sent"},
+		{"residency kochi-labs --within 200ms --control " + unusedAddr(c), exitFailure, "nothing was sent"},
 	} {
 		args := strings.Fields(one.args)
 		if !strings.Contains(one.args, "--control") {
--- a/cmd/molepaddle-fleet/retries_test.go
+++ b/cmd/molepaddle-fleet/retries_test.go
@@ -16,7 +16,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// earlierChange is a change that was sent once, with the answer that is due whenever it comes again.
+// earlierChange is a change that was sent before, with the answer expected whenever it is sent again.
 type earlierChange struct {
 	replace bool
 	base    uint64
@@ -24,7 +24,7 @@
 	want    int
 }
 
-// renumber has n changes acknowledged one after the other that raise the version alone.
+// renumber submits n changes that only raise the version, and asserts their acknowledgement.
 func (f *fleet) renumber(n int) {
 	f.Helper()
 	for range n {
@@ -35,7 +35,7 @@
 	}
 }
 
-// checkResendsAt asks that changes that come again at one machine of the core get the answers due.
+// checkResendsAt asserts the answers to changes that are sent again to one machine of the core.
 func (f *fleet) checkResendsAt(m *machine, when string, changes []earlierChange) {
 	f.Helper()
 	o := &simulation.Operator{Ctl: []string{m.boot.Ctl}}
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkResends asks the same of each machine of the core.
+// checkResends does so at each machine of the core.
 func (f *fleet) checkResends(when string, changes []earlierChange) {
 	f.Helper()
 	for _, m := range f.core {
@@ -58,10 +58,9 @@
 	}
 }
 
-// TestResendAfterManyChanges: changes that were acknowledged are sent again at each machine after hundreds of others,
-// after the primary lost its disk and was taken in again, after the next primary was killed, after one was frozen,
-// and after all were killed. They are acknowledged each time, and those that lost their base to them are refused each
-// time.
+// TestResendAfterManyChanges sends acknowledged changes again to each machine: after hundreds of others, after the
+// primary lost its disk and became a member again, after the next primary was killed, after one was stopped, and after
+// all were killed. They are acknowledged each time, and competing changes on the same base are rejected each time.
 func TestResendAfterManyChanges(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
 	f.applyAddRoute(2)
@@ -124,16 +123,17 @@
 	return fmt.Sprintf("rival-%d-%d", operator, version)
 }
 
-// rivalRoute is a change that brings a route of one of two operators under a number that both use.
+// rivalRoute returns a change by one of two operators that use the same version number; it adds a route of that
+// operator.
 func rivalRoute(operator int, version uint64) object {
 	name := rivalName(operator, version)
 	return object{"ver": version,
 		"upsert": object{"routing": list{route(name, "/"+name+"/", "readonly", lookups, 4000, 200, 3, false)}}}
 }
 
-// sendRivals has two operators send different changes under one number on top of the newest, at once, and more happen
-// meanwhile. Their first calls time out soon, so that the answers are lost at some step. One of them must be
-// confirmed, the other refused.
+// sendRivals has two operators concurrently send different changes with the same version on top of the newest, and
+// calls meanwhile. Their first calls time out early, so that the answers are lost at some step. One change must be
+// acknowledged, the other rejected.
 func (f *fleet) sendRivals(round int, meanwhile func()) (winner int, unanswered int64) {
 	f.Helper()
 	base := f.version
@@ -167,10 +167,9 @@
 	return winner, lost.Load()
 }
 
-// TestOperatorsRaceAcrossTakeovers has two operators send different changes under one number, over and over, while
-// the primary is killed, later another one frozen, and while answers that take a millisecond are not waited for. One
-// of the two is confirmed each time, the other is rejected, and both get the same answer when they send their changes
-// again at any machine.
+// TestOperatorsRaceAcrossTakeovers has two operators repeatedly send different changes with the same version while the
+// primary is killed, later another one is stopped, and while calls time out after a millisecond. Each time one change
+// is acknowledged and the other rejected, and both get the same answer again when they are sent again to any machine.
 func TestOperatorsRaceAcrossTakeovers(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}})
 	const rounds, killAt, freezeAt, thawAt = 45, 10, 30, 32
--- a/cmd/molepaddle-fleet/revoke_planted_test.go
+++ b/cmd/molepaddle-fleet/revoke_planted_test.go
@@ -10,7 +10,7 @@
 var revokePlanted = flag.Bool("revoke.planted", false,
 	"plant each fault of TestPlantedRevokeFaults in turn and play TestRevokedKeyStopsEverywhere, which takes minutes")
 
-// revokeFaults are errors by which a key that was taken away goes on working at some machine.
+// revokeFaults are bugs with which a revoked key continues to work at some machine.
 var revokeFaults = []plantedfault.Fault{
 	{
 		Name:      "keys count whenever they were confirmed",
@@ -44,8 +44,8 @@
 	},
 }
 
-// TestPlantedRevokeFaults: the faults still fit the sources; with -revoke.planted each is planted, and the whole
-// programs have to show it.
+// TestPlantedRevokeFaults asserts that the faults still match the sources. With -revoke.planted it builds the programs
+// with each fault, and the tests must detect it.
 func TestPlantedRevokeFaults(t *testing.T) {
 	if !*revokePlanted {
 		plantedfault.Fit(t, revokeFaults)
--- a/cmd/molepaddle-fleet/revoke_test.go
+++ b/cmd/molepaddle-fleet/revoke_test.go
@@ -20,10 +20,10 @@
 
 var coreAway = flag.String("revoke.away", "2s", "for how long TestKeysWithoutTheCore has the core away, in turn, by commas")
 
-// keyedEdges are how many proxies the tests of keys ask.
+// keyedEdges is the number of proxies in the tests of keys.
 const keyedEdges = 2
 
-// getWithKey is a lookup with an API key, without a body.
+// getWithKey returns a lookup with an API key and without a body.
 func getWithKey(key string) simulation.Request {
 	r := lookup()
 	r.Method, r.Body = http.MethodGet, nil
@@ -32,7 +32,7 @@
 	return r
 }
 
-// keyLoad sends a request with each of its keys to each proxy at each tick, whether or not earlier ones were answered.
+// keyLoad sends a request with each of its keys to each proxy at each tick, without waiting for earlier answers.
 type keyLoad struct {
 	f   *fleet
 	end context.CancelFunc
@@ -43,7 +43,7 @@
 	seen []simulation.Result
 }
 
-// startKeyLoad begins to send requests with some keys, until stop.
+// startKeyLoad sends requests with some keys until stop is called.
 func (f *fleet) startKeyLoad(keys ...string) *keyLoad {
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.Cleanup(cancel)
@@ -80,20 +80,20 @@
 	}
 }
 
-// add has requests sent with a further key.
+// add adds a key to the load.
 func (l *keyLoad) add(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.keys = append(l.keys, key)
 }
 
-// stop ends the load and waits for what is under way.
+// stop ends the load and waits for the requests in flight.
 func (l *keyLoad) stop() {
 	l.end()
 	l.all.Wait()
 }
 
-// results are those of the requests with a key that were sent to a proxy within a time, by when they were sent.
+// results returns the results of the requests with a key that were sent to a proxy within a time, ordered by send time.
 func (l *keyLoad) results(edge int, key string, from, to time.Time) []simulation.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	return out
 }
 
-// setKeys has the keys of the account "lab" acknowledged on top of the newest configuration.
+// setKeys sets the keys of the account "lab" on top of the newest configuration and asserts the acknowledgement.
 func (f *fleet) setKeys(o *simulation.Operator, keys ...string) simulation.Reply {
 	f.Helper()
 	account := object{"name": "lab", "apikeys": keys}
@@ -119,8 +119,8 @@
 	return rep
 }
 
-// revokeKey has one key taken away, and another added, which the judge is told of; inTouch are the proxies that have to
-// know the latter in time.
+// revokeKey revokes one key and adds another, and records both for the judge; inTouch are the proxies that must accept
+// the added key in time.
 func (f *fleet) revokeKey(o *simulation.Operator, gone, added string, inTouch []int, rest ...string) time.Time {
 	f.Helper()
 	rep := f.setKeys(o, append(rest, added)...)
@@ -145,11 +145,11 @@
 	return sent
 }
 
-// TestRevokedKeyStopsEverywhere takes a key away while the node agent of a proxy is frozen, another while a proxy is,
-// which is thawed with requests waiting, and a third while all control servers that an agent reaches are cut off from
-// the primary. No request runs that was sent more than revoke_ms after the acknowledgement. Keys that are added
-// meanwhile are served in time by the proxies in touch, and by the others once they are back.
-func TestRevokedKeyStopsEverywhere(t *testing.T) {
+// TestRevokedKeyIsRejectedEverywhere revokes one key while the node agent of a proxy is stopped, another while a proxy
+// is stopped, which continues with requests pending, and a third while all control servers that an agent reaches are
+// partitioned from the primary. No request runs that was sent more than revoke_ms after the acknowledgement. Keys that
+// are added meanwhile are accepted in time by the proxies in contact, and by the others once they are back.
+func TestRevokedKeyIsRejectedEverywhere(t *testing.T) {
 	f := newFleet(t, fleetOptions{relay: true, noReport: true, bounds: map[string]any{
 		"strict_revoke": true, "revoke_ms": 3000, "sync_s": 1,
 	}})
@@ -205,7 +205,7 @@
 	f.checkRules()
 }
 
-// isolate cuts a core machine and an edge machine off from the rest of the core, and returns the links.
+// isolate partitions a core machine and an edge machine from the rest of the core, and returns the cut links.
 func (f *fleet) isolate(core, edge *machine) (links []simulation.Link) {
 	for _, m := range f.core {
 		if m == core {
@@ -232,8 +232,8 @@
 	f.Logf("all serve %v %v after %s", keys, time.Since(began), since)
 }
 
-// checkRefused asks that a proxy that is not in contact refused all requests with a key in a time by 503, and that there
-// were some.
+// checkRefused asserts that a proxy without contact rejected all requests with a key within a time by 503, and that
+// there were some.
 func (f *fleet) checkRefused(load *keyLoad, edge int, key string, from, to time.Time) {
 	f.Helper()
 	results := load.results(edge, key, from, to)
@@ -244,9 +244,9 @@
 	}
 }
 
-// TestKeysWithoutTheCore kills the core's processes for a time, and starts them again: requests with keys are served as
+// TestKeysDuringCoreOutage kills the core's processes and restarts them later: requests with keys are served for as
 // long as revoke_ms allows, and again once the core is back. The times are logged.
-func TestKeysWithoutTheCore(t *testing.T) {
+func TestKeysDuringCoreOutage(t *testing.T) {
 	f := newFleet(t, fleetOptions{noReport: true, bounds: map[string]any{
 		"strict_revoke": true, "revoke_ms": 5000, "apply_ms": 2500, "contact_ms": 4000,
 	}})
@@ -287,9 +287,9 @@
 	f.checkRules()
 }
 
-// logServed logs how long a proxy served a key after the core was gone, and from when on again.
+// logServed logs how long a proxy served a key after the core was killed, and when it served it again.
 func (f *fleet) logServed(load *keyLoad, edge int, gone, back time.Time) {
-	var first, last time.Time // refused
+	var first, last time.Time // first and last rejection
 	n := 0
 	results := load.results(edge, "k1", gone, time.Now().Add(-time.Second))
 	for _, r := range results {
@@ -310,8 +310,8 @@
 		back.Sub(gone), edge+1, n, len(results), first.Sub(gone), last.Sub(back))
 }
 
-// logOrdinaryAges logs how old the newest confirmation is, seen at moments of equal distance by a client that pulls from
-// the node agent of the first machine as its proxy does.
+// logOrdinaryAges logs the age of the newest confirmation, sampled at equal intervals by a client that pulls from the
+// node agent of the first machine as its proxy does.
 func (f *fleet) logOrdinaryAges() {
 	const samples, pause = 300, 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(f.ctx)
--- a/cmd/molepaddle-fleet/schedule_client_test.go
+++ b/cmd/molepaddle-fleet/schedule_client_test.go
@@ -20,16 +20,16 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// operatorChange is a change of the configuration. Its tag is its own; its number and its base may be others' as well.
+// operatorChange is a change of the configuration. Its tag is unique; other changes may have the same version and base.
 type operatorChange struct {
 	base, version int
 	tag           string
 }
 
-// routeName is the name of the route that a change brings; its path is /mark/.
+// routeName returns the name of the route that a change adds. The path of the route is /mark/.
 func (o operatorChange) routeName() string { return fmt.Sprintf("mark-%d-%s", o.version, o.tag) }
 
-// parseRouteName reads a route's name; false: it is none that a change brought.
+// parseRouteName parses the name of a route; ok is false if no change added the route.
 func parseRouteName(name string) (version int, tag string, ok bool) {
 	parts := strings.SplitN(name, "-", 3)
 	if len(parts) != 3 || parts[0] != "mark" {
@@ -43,7 +43,7 @@
 	return route(name, "/"+name+"/", "readonly", lookups, 4000, 200, 3, false)
 }
 
-// verdict is how a call of an operator ended.
+// verdict is the outcome of an operator's call.
 type verdict uint8
 
 const (
@@ -53,24 +53,24 @@
 	shown                        // 200 with a configuration
 )
 
-// scheduleOperator sends changes and reads the configuration back, one call at a time.
+// scheduleOperator submits changes and reads the configuration, one call at a time.
 type scheduleOperator struct {
-	id    int
-	run   *scheduleRun
-	rng   *rand.Rand
-	http  *http.Client
-	known []operatorChange // the configuration as this operator knows it: all changes up to the newest
-	mine  []operatorChange // own changes that were acknowledged
-	dead  []operatorChange // own changes that were refused
-	count int
+	id           int
+	run          *scheduleRun
+	rng          *rand.Rand
+	http         *http.Client
+	known        []operatorChange // the configuration as this operator knows it: all changes up to the newest
+	acknowledged []operatorChange // own changes that were acknowledged
+	refused      []operatorChange // own changes that were rejected
+	count        int
 }
 
 const (
-	// operatorReadTimeout is how long a caller waits for an answer before it turns elsewhere.
+	// operatorReadTimeout is the wait for an answer before an operator tries another machine.
 	operatorReadTimeout = time.Second
-	// lateResendChanges is after how many further changes a call that comes again counts as late.
+	// lateResendChanges is the number of further changes after which a resent call counts as late.
 	lateResendChanges = 100
-	// resendTimeout bounds the attempts of a resent call: it may be left without a definite answer.
+	// resendTimeout bounds the attempts of a resent call, which may end without a definite answer.
 	resendTimeout = 4 * time.Second
 )
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// work calls until stop is closed; the call under way then goes on until it has a clear answer or ctx ends.
+// work makes calls until stop is closed. The call in flight then continues until it has a definite answer or ctx ends.
 func (o *scheduleOperator) work(ctx context.Context, stop <-chan struct{}) {
 	for {
 		select {
@@ -104,7 +104,7 @@
 		switch draw := o.rng.IntN(10); {
 		case draw < 6:
 			o.change(ctx)
-		case draw < 8 && len(o.mine)+len(o.dead) > 0:
+		case draw < 8 && len(o.acknowledged)+len(o.refused) > 0:
 			o.resend(ctx)
 		default:
 			o.show(ctx)
@@ -124,16 +124,16 @@
 	}
 }
 
-// callResult is what one call got in the end.
+// callResult is the answer that ended a call.
 type callResult struct {
 	status int
 	body   []byte
 	from   string    // control address that answered
-	sent   time.Time // when the attempt that was answered was sent
+	sent   time.Time // send time of the attempt that was answered
 	at     time.Time
 }
 
-// call sends one call to one machine after the other until it has a clear answer; false: ctx ended before.
+// call tries a call at one machine after the other until it has a definite answer; it reports false if ctx ended first.
 func (o *scheduleOperator) call(ctx context.Context, method, path string, base int, body []byte) (callResult, bool) {
 	pause := 10 * time.Millisecond
 	for ctx.Err() == nil {
@@ -149,8 +149,8 @@
 	return callResult{}, false
 }
 
-// isDefinite reports whether an answer ends a call. A 404 to a read does: an operator who knows of a
-// configuration gets the answer that there is none.
+// isDefinite reports whether an answer ends a call. A 404 to a read does: if the operator knows of a configuration, the
+// 404 is a finding.
 func isDefinite(method string, status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed,
@@ -162,7 +162,7 @@
 	return false
 }
 
-// attempt makes one call and follows 307 twice.
+// attempt makes one call and follows up to two redirects by 307.
 func (o *scheduleOperator) attempt(ctx context.Context, method, to string, base int, body []byte) (callResult, error) {
 	sent := time.Now()
 	for hop := 0; ; hop++ {
@@ -194,7 +194,7 @@
 	}
 }
 
-// document is the complete configuration after some changes.
+// document returns the complete configuration after some changes.
 func document(changes []operatorChange) object {
 	doc := (&fleet{}).configuration(uint64(changes[len(changes)-1].version))
 	routes := doc["routing"].(list)
@@ -205,7 +205,7 @@
 	return doc
 }
 
-// body is the call that brings a change on top of those known.
+// body returns the path and body of a call that submits a change on top of those known.
 func (o *scheduleOperator) body(next operatorChange, whole bool) (path string, body []byte) {
 	path = simulation.PathUpdate
 	doc := object{"ver": next.version, "upsert": object{"routing": list{changeRoute(next.routeName())}}}
@@ -214,23 +214,23 @@
 	}
 	body, err := json.Marshal(doc)
 	if err != nil {
-		panic(err) // of strings and numbers
+		panic(err) // impossible: strings and numbers only
 	}
 	return path, body
 }
 
-// change sends a new one on top of the configuration that this operator knows.
+// change submits a new change on top of the configuration that this operator knows.
 func (o *scheduleOperator) change(ctx context.Context) {
 	o.count++
 	base := o.known[len(o.known)-1].version
 	next := operatorChange{base, base + 1 + o.rng.IntN(2), fmt.Sprintf("%d.%d", o.id, o.count)}
 	path, body := o.body(next, o.rng.IntN(5) == 0)
-	o.run.history.ordered(next, path, body)
+	o.run.history.recordSent(next, path, body)
 	began := o.run.sinceBegin()
 	a, ok := o.call(ctx, http.MethodPost, path, base, body)
 	op := porcupine.Operation{
 		ClientId: o.id,
-		Input:    operatorInput{order: next},
+		Input:    operatorInput{change: next},
 		Call:     began,
 		Output:   operatorOutput{},
 		Return:   math.MaxInt64,
@@ -243,38 +243,38 @@
 	if a.status == http.StatusOK {
 		op.Output = operatorOutput{verdict: accepted}
 		o.run.history.add(op)
-		o.run.history.acknowledged(next, a)
+		o.run.history.recordAck(next, a)
 		o.known = append(o.known[:len(o.known):len(o.known)], next)
-		o.mine = append(o.mine, next)
+		o.acknowledged = append(o.acknowledged, next)
 		return
 	}
 	op.Output = operatorOutput{verdict: rejected}
 	o.run.history.add(op)
-	o.run.history.refuses(next)
-	o.dead = append(o.dead, next)
+	o.run.history.recordRefusal(next)
+	o.refused = append(o.refused, next)
 	o.show(ctx)
 }
 
-// resend sends an earlier change again, as it was.
+// resend sends an earlier change again, unchanged.
 func (o *scheduleOperator) resend(ctx context.Context) {
-	all, was := o.mine, accepted
-	if len(all) == 0 || len(o.dead) > 0 && o.rng.IntN(4) == 0 {
-		all, was = o.dead, rejected
+	all, was := o.acknowledged, accepted
+	if len(all) == 0 || len(o.refused) > 0 && o.rng.IntN(4) == 0 {
+		all, was = o.refused, rejected
 	}
 	one := all[o.rng.IntN(len(all))]
 	if o.rng.IntN(2) == 0 {
 		one = all[0] // the oldest
 	}
-	path, body := o.run.history.callOf(one)
-	since := o.run.history.takenSince(one)
+	path, body := o.run.history.storedCall(one)
+	since := o.run.history.countAcksAfter(one)
 	bounded, cancel := context.WithTimeout(ctx, resendTimeout)
 	defer cancel()
 	a, ok := o.call(bounded, http.MethodPost, path, one.base, body)
 	if !ok {
-		o.run.history.unanswered()
+		o.run.history.countUnanswered()
 		return
 	}
-	o.run.history.repeated(one, was, a.status, since)
+	o.run.history.checkResend(one, was, a.status, since)
 }
 
 // show reads the newest configuration.
@@ -282,11 +282,11 @@
 	began := o.run.sinceBegin()
 	a, ok := o.call(ctx, http.MethodGet, simulation.PathShow, 0, nil)
 	if !ok {
-		return // one without an answer says nothing
+		return // a read without an answer has no effect on the history
 	}
 	out := operatorOutput{verdict: shown}
 	if a.status == http.StatusOK {
-		changes, err := o.run.history.read(a.body)
+		changes, err := o.run.history.parseShown(a.body)
 		if err != nil {
 			o.run.reportBreach("%s showed a configuration that nobody made: %v", a.from, err)
 			return
--- a/cmd/molepaddle-fleet/schedule_fault_test.go
+++ b/cmd/molepaddle-fleet/schedule_fault_test.go
@@ -12,11 +12,13 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// beginFault records the begin of a fault, with the core machines that count as lost meanwhile and for sync_s after;
-// what it gives ends it.
-func (run *scheduleRun) beginFault(lost ...*coreNode) (end func()) { return run.keepSpan(false, lost) }
+// beginFault records the begin of a fault, and the core machines that count as lost until sync_s after its end. The
+// returned function records the end.
+func (run *scheduleRun) beginFault(lost ...*coreNode) (end func()) {
+	return run.recordSpan(false, lost)
+}
 
-func (run *scheduleRun) keepSpan(absent bool, lost []*coreNode) (end func()) {
+func (run *scheduleRun) recordSpan(absent bool, lost []*coreNode) (end func()) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	span := &faultSpan{from: time.Now(), to: time.Now().Add(time.Hour), absent: absent}
@@ -35,14 +37,14 @@
 	}
 }
 
-// beginAbsence is a fault that takes one core machine away completely: once contact_ms have passed the core is stable
-// without it, as long as more than half of it is there.
+// beginAbsence records a fault that completely removes one core machine: the core is stable without it once contact_ms
+// have passed, as long as more than half of the core is available.
 func (run *scheduleRun) beginAbsence(n *coreNode) (end func()) {
-	return run.keepSpan(true, []*coreNode{n})
+	return run.recordSpan(true, []*coreNode{n})
 }
 
-// undisturbed reports whether the core was stable, and the agents' machines and links without a fault, from one time to
-// another.
+// undisturbed reports whether from one time to another the core was stable, and the agents' machines and links had no
+// fault.
 func (run *scheduleRun) undisturbed(from, to time.Time) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -59,8 +61,8 @@
 	return 2*absent < run.s.machines
 }
 
-// lostBeside counts the core machines that count as lost, one aside.
-func (run *scheduleRun) lostBeside(one *coreNode) (n int) {
+// countOtherLost counts the core machines that count as lost, except one.
+func (run *scheduleRun) countOtherLost(one *coreNode) (n int) {
 	for _, c := range run.cores {
 		if c != one && (c.activeFaults > 0 || time.Now().Before(c.lostUntil)) {
 			n++
@@ -69,11 +71,11 @@
 	return n
 }
 
-// node is a step's target.
+// node returns the core machine that is a step's target.
 func (run *scheduleRun) node(target int) *coreNode {
 	primary := run.history.primary()
 	if target == agentTarget {
-		primary = run.servesAgent(primary)
+		primary = run.agentSource(primary)
 		target = primaryTarget
 	}
 	run.mu.Lock()
@@ -89,9 +91,9 @@
 	return run.cores[target%len(run.cores)]
 }
 
-// servesAgent is the control address of the core machine last in contact with the first edge machine's node agent,
-// and so is the one that this pulls from; the primary where none has been.
-func (run *scheduleRun) servesAgent(primary string) string {
+// agentSource returns the control address of the core machine that was last in contact with the first edge machine's
+// node agent, which is the one from which the agent pulls, or the primary's if there was none.
+func (run *scheduleRun) agentSource(primary string) string {
 	source, youngest := primary, int64(math.MaxInt64)
 	for _, ctl := range run.controls() {
 		f, err := run.localView(ctl)
@@ -107,30 +109,30 @@
 	return source
 }
 
-// seize takes a core machine's process for a step; false: another step has it, or, where a disk is to be lost, as many
-// machines as may be are lost already.
-func (run *scheduleRun) seize(n *coreNode, disk bool) bool {
+// acquireNode reserves a core machine's process for a step. It reports false if another step has it, or if the step
+// wipes a disk and the maximum number of machines is lost already.
+func (run *scheduleRun) acquireNode(n *coreNode, disk bool) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if n.busy || disk && run.lostBeside(n) >= run.s.survive {
+	if n.busy || disk && run.countOtherLost(n) >= run.s.survive {
 		return false
 	}
 	if disk {
-		// It counts from now on: two steps may ask at once.
+		// The machine counts as lost from now on, as another step may call this concurrently.
 		n.lostUntil = time.Now().Add(run.syncFor())
 	}
 	n.busy = true
 	return true
 }
 
-func (run *scheduleRun) release(n *coreNode) {
+func (run *scheduleRun) releaseNode(n *coreNode) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	n.busy = false
 }
 
-// hits notes a fault of the primary.
-func (run *scheduleRun) hits(kind faultKind, n *coreNode) {
+// recordPrimaryFault records a fault if it hits the primary.
+func (run *scheduleRun) recordPrimaryFault(kind faultKind, n *coreNode) {
 	if n.ctl != run.history.primary() {
 		return
 	}
@@ -139,49 +141,49 @@
 	run.primary = append(run.primary, primaryFault{kind, time.Now()})
 }
 
-func (run *scheduleRun) count(kind faultKind) {
+func (run *scheduleRun) countFault(kind faultKind) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.report.faults[kind]++
 }
 
-func (run *scheduleRun) skip() {
+func (run *scheduleRun) countSkipped() {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.report.skipped++
 }
 
-// play carries a step out, to its end.
-func (run *scheduleRun) play(s step) {
+// runStep executes a step and blocks until its end.
+func (run *scheduleRun) runStep(s step) {
 	done := false
 	switch s.kind {
 	case partitionNode, partitionInbound, partitionOutbound, partitionPair, slowLinks:
-		done = run.playLinks(s)
+		done = run.disturbLinks(s)
 	case partitionHalves:
-		done = run.playHalves(s, func() { run.rest(s.lasts) })
+		done = run.partitionCore(s, func() { run.wait(s.lasts) })
 	case restartHalf:
-		done = run.playHalves(s, func() { run.killAll(s.lasts / 2); run.rest(s.lasts / 2) })
+		done = run.partitionCore(s, func() { run.killAll(s.lasts / 2); run.wait(s.lasts / 2) })
 	case killProcess, wipeDisk, freeze:
-		done = run.playProcess(s)
+		done = run.disturbProcess(s)
 	case replaceNode:
 		done = run.replace(s)
 	case rollCore:
-		done = run.roll()
+		done = run.restartCore()
 	case killCore:
 		done = run.killAll(s.lasts)
 	case partitionAgent:
-		done = run.playAgentCut(s)
+		done = run.partitionAgentNode(s)
 	case killAgent, freezeAgent:
-		done = run.playAgent(s)
+		done = run.disturbAgent(s)
 	}
 	if done {
-		run.count(s.kind)
+		run.countFault(s.kind)
 	} else {
-		run.skip()
+		run.countSkipped()
 	}
 }
 
-// others are all IPs but one, those of agents as well if asked for.
+// others returns the IPs of all core machines but one, and also those of edge machines if agents is set.
 func (run *scheduleRun) others(ip string, agents bool) []string {
 	all := slices.Clone(run.ips)
 	if agents {
@@ -190,7 +192,7 @@
 	return slices.DeleteFunc(all, func(other string) bool { return other == ip })
 }
 
-// linksBetween are the links from some machines to others.
+// linksBetween returns the links from some machines to others.
 func linksBetween(from, to []string) (links []simulation.Link) {
 	for _, a := range from {
 		for _, b := range to {
@@ -200,8 +202,8 @@
 	return links
 }
 
-// playLinks disturbs the links of one machine.
-func (run *scheduleRun) playLinks(s step) bool {
+// disturbLinks disturbs the links of one machine.
+func (run *scheduleRun) disturbLinks(s step) bool {
 	n := run.node(s.target)
 	self, others := []string{n.settings.IP}, run.others(n.settings.IP, s.agents)
 	in, out := linksBetween(others, self), linksBetween(self, others)
@@ -225,23 +227,22 @@
 	}
 	end := start(n)
 	defer end()
-	run.hits(s.kind, n)
+	run.recordPrimaryFault(s.kind, n)
 	if s.kind == slowLinks {
 		const slow = 150 * time.Millisecond
 		run.network.Delay(slow, links...)
-		run.rest(s.lasts)
+		run.wait(s.lasts)
 		run.network.Delay(0, links...)
 		return true
 	}
 	run.network.Cut(links...)
-	run.rest(s.lasts)
+	run.wait(s.lasts)
 	run.network.Heal(links...)
 	return true
 }
 
-// playHalves partitions the core in two, with the agents and the machines to come on one side or the other, while do
-// runs.
-func (run *scheduleRun) playHalves(s step, do func()) bool {
+// partitionCore partitions the core in two while do runs. Agents and spare machines are on either side.
+func (run *scheduleRun) partitionCore(s step, do func()) bool {
 	var halves [2][]string
 	for i, ip := range append(slices.Clone(run.ips), run.edgeIPs...) {
 		side := (i + s.other) % 2
@@ -264,26 +265,26 @@
 	return true
 }
 
-// playProcess kills or freezes one machine's process, which may find an empty disk when it starts again.
-func (run *scheduleRun) playProcess(s step) bool {
+// disturbProcess kills or freezes one machine's process, and may wipe its disk before the restart.
+func (run *scheduleRun) disturbProcess(s step) bool {
 	n := run.node(s.target)
-	if !run.seize(n, s.kind == wipeDisk) {
+	if !run.acquireNode(n, s.kind == wipeDisk) {
 		return false
 	}
-	defer run.release(n)
+	defer run.releaseNode(n)
 	end := run.beginAbsence(n)
 	defer end()
-	run.hits(s.kind, n)
+	run.recordPrimaryFault(s.kind, n)
 	if s.kind == freeze {
 		n.program.Signal(syscall.SIGSTOP)
-		run.rest(s.lasts)
+		run.wait(s.lasts)
 		n.program.Signal(syscall.SIGCONT)
 		return true
 	}
 	n.program.Kill()
-	run.rest(s.lasts)
+	run.wait(s.lasts)
 	if s.kind == wipeDisk {
-		n.settings.DataDir = "" // a new one, empty
+		n.settings.DataDir = "" // use a new, empty folder
 	}
 	run.restart(n)
 	return true
@@ -299,23 +300,23 @@
 	}
 }
 
-// replace has a machine go for good and another one come at a new address with an empty disk.
+// replace removes a machine permanently and adds another one at a new address with an empty disk.
 func (run *scheduleRun) replace(s step) bool {
 	n := run.node(s.target)
 	run.mu.Lock()
 	left := run.spare < len(run.ips)
 	run.mu.Unlock()
-	if !left || !run.seize(n, true) {
+	if !left || !run.acquireNode(n, true) {
 		return false
 	}
-	defer run.release(n)
+	defer run.releaseNode(n)
 	end := run.beginFault(n)
 	defer end()
-	run.hits(s.kind, n)
+	run.recordPrimaryFault(s.kind, n)
 	n.program.Kill()
-	run.rest(s.lasts)
+	run.wait(s.lasts)
 	run.mu.Lock()
-	if run.spare >= len(run.ips) { // another step took the last one meanwhile
+	if run.spare >= len(run.ips) { // another step has used the last spare meanwhile
 		run.mu.Unlock()
 		n.settings.DataDir = ""
 		run.restart(n)
@@ -336,25 +337,25 @@
 	return true
 }
 
-// roll restarts all of the core by SIGTERM, one machine after the other.
-func (run *scheduleRun) roll() bool {
+// restartCore restarts all core machines by SIGTERM, one after the other.
+func (run *scheduleRun) restartCore() bool {
 	run.mu.Lock()
 	all := slices.Clone(run.cores)
 	run.mu.Unlock()
 	for _, n := range all {
-		if !run.seize(n, false) {
+		if !run.acquireNode(n, false) {
 			continue
 		}
-		run.rollOne(n)
-		run.release(n)
+		run.restartGracefully(n)
+		run.releaseNode(n)
 	}
 	return true
 }
 
-func (run *scheduleRun) rollOne(n *coreNode) {
+func (run *scheduleRun) restartGracefully(n *coreNode) {
 	end := run.beginFault(n)
 	defer end()
-	run.hits(rollCore, n)
+	run.recordPrimaryFault(rollCore, n)
 	const grace = 8 * time.Second
 	ctx, cancel := context.WithTimeout(run.ctx, grace)
 	defer cancel()
@@ -366,18 +367,18 @@
 	run.restart(n)
 }
 
-// killAll kills all processes of the core that no other step has, and starts them again a while later.
+// killAll kills all processes of the core that no other step has reserved, and restarts them after a pause.
 func (run *scheduleRun) killAll(pause time.Duration) bool {
 	run.mu.Lock()
 	all := slices.Clone(run.cores)
 	run.mu.Unlock()
-	all = slices.DeleteFunc(all, func(n *coreNode) bool { return !run.seize(n, false) })
+	all = slices.DeleteFunc(all, func(n *coreNode) bool { return !run.acquireNode(n, false) })
 	end := run.beginFault(all...)
 	defer end()
 	for _, n := range all {
 		n.program.Kill()
 	}
-	run.rest(pause)
+	run.wait(pause)
 	for _, n := range all {
 		run.startCore(n)
 	}
@@ -387,13 +388,13 @@
 			run.reportBreach("%s doesn't start: %v", n.ctl, err)
 		}
 		cancel()
-		run.release(n)
+		run.releaseNode(n)
 	}
 	return true
 }
 
-// playAgentCut partitions an edge machine from all of the core but one machine.
-func (run *scheduleRun) playAgentCut(s step) bool {
+// partitionAgentNode partitions an edge machine from all of the core but one machine.
+func (run *scheduleRun) partitionAgentNode(s step) bool {
 	ip := run.edgeIPs[s.other%len(run.edgeIPs)]
 	kept := run.node(s.target)
 	others := run.others(kept.settings.IP, false)
@@ -404,13 +405,13 @@
 	end := run.beginFault()
 	defer end()
 	run.network.Cut(links...)
-	run.rest(s.lasts)
+	run.wait(s.lasts)
 	run.network.Heal(links...)
 	return true
 }
 
-// playAgent kills or freezes a node agent.
-func (run *scheduleRun) playAgent(s step) bool {
+// disturbAgent kills and restarts, or freezes, a node agent.
+func (run *scheduleRun) disturbAgent(s step) bool {
 	e := run.edges[s.other%len(run.edges)]
 	run.mu.Lock()
 	was := e.busy
@@ -428,12 +429,12 @@
 	}()
 	if s.kind == freezeAgent {
 		e.agent.Signal(syscall.SIGSTOP)
-		run.rest(s.lasts)
+		run.wait(s.lasts)
 		e.agent.Signal(syscall.SIGCONT)
 		return true
 	}
 	e.agent.Kill()
-	run.rest(s.lasts)
+	run.wait(s.lasts)
 	run.startAgent(e)
 	return true
 }
--- a/cmd/molepaddle-fleet/schedule_judge_test.go
+++ b/cmd/molepaddle-fleet/schedule_judge_test.go
@@ -15,10 +15,10 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// operatorInput is a call in the history.
+// operatorInput is the input of a call in the history.
 type operatorInput struct {
-	show  bool
-	order operatorChange
+	show   bool
+	change operatorChange
 }
 
 type operatorOutput struct {
@@ -26,10 +26,10 @@
 	shown   operatorChange
 }
 
-// initialChange is the configuration that is there before a schedule begins.
+// initialChange is the configuration in force before a schedule begins.
 var initialChange = operatorChange{0, 1, "first"}
 
-// configurationRegister is one machine that does one thing after the other.
+// configurationRegister is the sequential model against which linearizability is checked: a compare-and-set register.
 var configurationRegister = porcupine.Model{
 	Init: func() any { return initialChange },
 	Step: func(state, in, out any) (bool, any) {
@@ -38,11 +38,11 @@
 		case call.show:
 			return got.shown == now, now
 		case got.verdict == accepted:
-			return now.version == call.order.base, call.order
+			return now.version == call.change.base, call.change
 		case got.verdict == rejected:
-			return now.version != call.order.base, now
-		case now.version == call.order.base: // without an answer: it was accepted, or comes after all else
-			return true, call.order
+			return now.version != call.change.base, now
+		case now.version == call.change.base: // no definite answer: accepted, or takes effect after all others
+			return true, call.change
 		}
 		return true, now
 	},
@@ -51,10 +51,10 @@
 
 // acknowledgement is a change that was acknowledged.
 type acknowledgement struct {
-	order operatorChange
-	sent  time.Time // when the attempt that was acknowledged was sent
-	at    time.Time
-	from  string // control address
+	change operatorChange
+	sent   time.Time // send time of the attempt that was acknowledged
+	at     time.Time
+	from   string // control address
 }
 
 // storedCall is a change as it was sent.
@@ -63,13 +63,13 @@
 	body []byte
 }
 
-// operatorHistory is all calls of the operators, with their answers.
+// operatorHistory records all calls of the operators with their answers.
 type operatorHistory struct {
 	run *scheduleRun
 
 	mu      sync.Mutex
 	ops     []porcupine.Operation
-	orders  map[string]operatorChange // by tag
+	changes map[string]operatorChange // by tag
 	calls   map[operatorChange]storedCall
 	acks    []acknowledgement
 	refused []operatorChange
@@ -79,21 +79,21 @@
 
 func newOperatorHistory(run *scheduleRun) *operatorHistory {
 	return &operatorHistory{
-		run:    run,
-		report: run.report,
-		orders: map[string]operatorChange{initialChange.tag: initialChange},
-		calls:  map[operatorChange]storedCall{},
+		run:     run,
+		report:  run.report,
+		changes: map[string]operatorChange{initialChange.tag: initialChange},
+		calls:   map[operatorChange]storedCall{},
 	}
 }
 
-func (h *operatorHistory) ordered(o operatorChange, path string, body []byte) {
+func (h *operatorHistory) recordSent(o operatorChange, path string, body []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.orders[o.tag] = o
+	h.changes[o.tag] = o
 	h.calls[o] = storedCall{path, body}
 }
 
-func (h *operatorHistory) callOf(o operatorChange) (path string, body []byte) {
+func (h *operatorHistory) storedCall(o operatorChange) (path string, body []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.calls[o]
@@ -106,7 +106,7 @@
 	h.ops = append(h.ops, op)
 	switch op.Output.(operatorOutput).verdict {
 	case accepted:
-		h.report.taken++
+		h.report.accepted++
 	case rejected:
 		h.report.refused++
 	case shown:
@@ -114,36 +114,36 @@
 	}
 }
 
-func (h *operatorHistory) acknowledged(o operatorChange, a callResult) {
+func (h *operatorHistory) recordAck(o operatorChange, a callResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.acks = append(h.acks, acknowledgement{o, a.sent, a.at, a.from})
 }
 
-func (h *operatorHistory) refuses(o operatorChange) {
+func (h *operatorHistory) recordRefusal(o operatorChange) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.refused = append(h.refused, o)
 }
 
-// takenSince counts the changes acknowledged after one.
-func (h *operatorHistory) takenSince(o operatorChange) (n int) {
+// countAcksAfter counts the acknowledged changes with a higher version than one.
+func (h *operatorHistory) countAcksAfter(o operatorChange) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.acks {
-		if a.order.version > o.version {
+		if a.change.version > o.version {
 			n++
 		}
 	}
 	return n
 }
 
-// repeated judges the answer to a change that had a clear answer before and came again.
-func (h *operatorHistory) repeated(o operatorChange, was verdict, status, since int) {
+// checkResend checks the answer to a resent change against the definite answer that it had before.
+func (h *operatorHistory) checkResend(o operatorChange, was verdict, status, since int) {
 	h.mu.Lock()
-	h.report.again++
+	h.report.resent++
 	if since >= lateResendChanges {
-		h.report.late++
+		h.report.lateResends++
 	}
 	h.mu.Unlock()
 	if now := status == http.StatusOK; now != (was == accepted) {
@@ -152,36 +152,36 @@
 	}
 }
 
-// unanswered counts a change that came again and got no clear answer.
-func (h *operatorHistory) unanswered() {
+// countUnanswered counts a resent change that got no definite answer.
+func (h *operatorHistory) countUnanswered() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.report.unanswered++
 }
 
-// newest is the acknowledged change with the highest version; false: there is none.
+// newest returns the acknowledged change with the highest version; it reports false if there is none.
 func (h *operatorHistory) newest() (acknowledgement, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.acks) == 0 {
 		return acknowledgement{}, false
 	}
-	return slices.MaxFunc(h.acks, func(a, b acknowledgement) int { return a.order.version - b.order.version }), true
+	return slices.MaxFunc(h.acks, func(a, b acknowledgement) int { return a.change.version - b.change.version }), true
 }
 
-// newestBefore is the change with the highest version among those acknowledged before a time.
+// newestBefore returns the change with the highest version among those acknowledged before a time.
 func (h *operatorHistory) newestBefore(at time.Time) (newest operatorChange, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.acks {
-		if a.at.Before(at) && a.order.version > newest.version {
-			newest, ok = a.order, true
+		if a.at.Before(at) && a.change.version > newest.version {
+			newest, ok = a.change, true
 		}
 	}
 	return newest, ok
 }
 
-// primary is the control address of who acknowledged last; empty: nobody has.
+// primary returns the control address of the machine that acknowledged last; it is empty if none has.
 func (h *operatorHistory) primary() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -191,7 +191,7 @@
 	return h.acks[len(h.acks)-1].from
 }
 
-// nextAfter is the first acknowledgement of an attempt that was sent after a time.
+// nextAfter returns the first acknowledgement of an attempt that was sent after a time.
 func (h *operatorHistory) nextAfter(at time.Time) (acknowledgement, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -204,9 +204,9 @@
 	return first, !first.at.IsZero()
 }
 
-// read gives the changes that a shown configuration holds, the oldest first. One of two configurations that were
-// shown must go on from the other.
-func (h *operatorHistory) read(body []byte) ([]operatorChange, error) {
+// parseShown returns the changes in a shown configuration, the oldest first. Of two configurations that were shown, one
+// must be a prefix of the other.
+func (h *operatorHistory) parseShown(body []byte) ([]operatorChange, error) {
 	var doc struct {
 		Version int `json:"ver"`
 		Routing []struct{ Name string }
@@ -222,7 +222,7 @@
 		if !ok {
 			continue
 		}
-		o, known := h.orders[tag]
+		o, known := h.changes[tag]
 		if !known || o.version != version {
 			return nil, errors.Errorf("route %s", r.Name)
 		}
@@ -247,79 +247,82 @@
 	return changes, nil
 }
 
-// historyWithin bounds the search for an order of all calls.
-const historyWithin = 30 * time.Second
+// linearizabilityTimeout bounds the search for a linearization of all calls.
+const linearizabilityTimeout = 30 * time.Second
 
-// checkRules looks for an order of all calls that explains the answers, and for changes that were lost.
-func (h *operatorHistory) judge() {
+// check checks that the history is linearizable and that no acknowledged change was lost.
+func (h *operatorHistory) check() {
 	h.mu.Lock()
 	ops, acks, chain := slices.Clone(h.ops), slices.Clone(h.acks), h.chain
 	h.mu.Unlock()
 	end := h.run.sinceBegin()
 	for i := range ops {
 		if ops[i].Return == math.MaxInt64 {
-			ops[i].Return = end + int64(time.Hour) // with no clear answer until now
+			ops[i].Return = end + int64(time.Hour) // no definite answer until now
 		}
 	}
-	switch porcupine.CheckOperationsTimeout(configurationRegister, ops, historyWithin) {
+	switch porcupine.CheckOperationsTimeout(configurationRegister, ops, linearizabilityTimeout) {
 	case porcupine.Illegal:
 		h.run.reportBreach("no order of %d calls explains their answers", len(ops))
 	case porcupine.Unknown:
-		h.run.reportBreach("%d calls weren't judged within %v", len(ops), historyWithin)
+		h.run.reportBreach("%d calls weren't judged within %v", len(ops), linearizabilityTimeout)
 	}
 	for _, a := range acks {
-		if !slices.Contains(chain, a.order) {
-			h.run.reportBreach("%v was acknowledged by %s and isn't in the newest configuration shown", a.order, a.from)
+		if !slices.Contains(chain, a.change) {
+			h.run.reportBreach("%v was acknowledged by %s and isn't in the newest configuration shown", a.change,
+				a.from)
 		}
 	}
 }
 
-// probe is one request to a proxy on the route of a change.
+// probe is one request to a proxy on the route that a change adds.
 type probe struct {
-	edge, life int
-	order      operatorChange
-	sent, done time.Time
-	status     int
+	edge, incarnation int
+	change            operatorChange
+	sent, done        time.Time
+	status            int
 }
 
-// judgeProbes asks that proxies have each acknowledged change in force in time, and don't go back.
-func (run *scheduleRun) judgeProbes() {
+// checkProbes checks that each acknowledged change is in force at the proxies in time, and that they don't return to an
+// older version.
+func (run *scheduleRun) checkProbes() {
 	apply, contact, downgrade := run.bound("apply_ms"), run.bound("contact_ms"), run.bound("downgrade_ms")
 	acked := map[operatorChange]time.Time{}
 	for _, a := range run.history.acks {
-		acked[a.order] = a.at
+		acked[a.change] = a.at
 	}
 	type life struct{ edge, life int }
-	inForce := map[life][]probe{} // those that were served, of rising versions
+	inForce := map[life][]probe{} // served probes with ascending versions
 	for _, p := range run.probes {
 		run.report.probes++
-		calm := run.undisturbed(p.sent.Add(-contact), p.sent)
-		if calm {
+		undisturbed := run.undisturbed(p.sent.Add(-contact), p.sent)
+		if undisturbed {
 			run.report.judged++
 		}
-		at := life{p.edge, p.life}
+		at := life{p.edge, p.incarnation}
 		served := inForce[at]
 		switch p.status {
 		case http.StatusOK:
-			if n := len(served); n == 0 || p.order.version > served[n-1].order.version {
+			if n := len(served); n == 0 || p.change.version > served[n-1].change.version {
 				inForce[at] = append(served, p)
 			}
 		case http.StatusNotFound:
-			if i := slices.IndexFunc(served, func(was probe) bool { return was.order.version >= p.order.version }); i >= 0 &&
+			if i := slices.IndexFunc(served,
+				func(was probe) bool { return was.change.version >= p.change.version }); i >= 0 &&
 				p.sent.After(served[i].done.Add(downgrade)) {
-				run.reportBreach("edge %d went back: %v isn't in force, and %v was %v before", p.edge, p.order, served[i].order,
-					p.sent.Sub(served[i].done))
+				run.reportBreach("edge %d went back: %v isn't in force, and %v was %v before", p.edge, p.change,
+					served[i].change, p.sent.Sub(served[i].done))
 			}
-			if when, ok := acked[p.order]; ok && calm && p.sent.After(when.Add(apply)) {
-				run.reportBreach("edge %d: %v isn't in force %v after its acknowledgement, in calm", p.edge, p.order,
-					p.sent.Sub(when))
+			if when, ok := acked[p.change]; ok && undisturbed && p.sent.After(when.Add(apply)) {
+				run.reportBreach("edge %d: %v isn't in force %v after its acknowledgement, without a fault", p.edge,
+					p.change, p.sent.Sub(when))
 			}
 		}
 	}
 }
 
-// judgeRefused asks that no refused change is in force at a proxy.
-func (run *scheduleRun) judgeRefused(edge int, client *simulation.Client) {
+// checkRefusedChanges checks that no rejected change is in force at a proxy.
+func (run *scheduleRun) checkRefusedChanges(edge int, client *simulation.Client) {
 	const most = 8
 	refused := run.history.refused
 	for _, o := range refused[max(0, len(refused)-most):] {
--- a/cmd/molepaddle-fleet/schedule_planted_test.go
+++ b/cmd/molepaddle-fleet/schedule_planted_test.go
@@ -19,12 +19,13 @@
 	schedulePlantedCount = flag.Int("schedules.planted-count", 24, "how many schedules are played with each fault")
 )
 
-// plantedFault is one bug laid into a copy of a package's sources: each old text, which stands there once, replaced.
+// plantedFault is a bug that is inserted into a copy of a package's sources by replacing texts, each of which must
+// occur exactly once.
 type plantedFault struct {
-	name   string
-	pkgs   string   // below internal/fleet, with commas between
-	texts  []string // old, new, old, new ...
-	missed string   // why the schedules don't find it; "" when they do
+	name      string
+	pkgs      string   // packages below internal/fleet, separated by commas
+	texts     []string // old, new, old, new ...
+	whyMissed string   // reason why the schedules don't detect it; "" if they do
 }
 
 var plantedFaults = []plantedFault{
@@ -57,8 +58,8 @@
 		"it needs a vote before and after the loss in one epoch, which replication's search brings about"},
 }
 
-// plant lays a fault into the programs by the compiler's overlay and gives the tests' binary; "" where only the fault's
-// place is looked up. Nothing in the tree is changed.
+// plant builds the test binary with a fault, by the compiler's overlay, and returns its path. If build is false, it
+// only checks that the texts match, and returns "". The source tree isn't changed.
 func (f *plantedFault) plant(c *qt.C, dir string, build bool) string {
 	here, err := filepath.Abs(filepath.Join("..", "..", "internal", "fleet"))
 	c.Assert(err, qt.IsNil)
@@ -105,8 +106,8 @@
 	return bin
 }
 
-// TestPlantedInPrograms: the faults still fit the sources; with -schedules.planted each is planted, and the schedules
-// must find it unless it says why not.
+// TestPlantedInPrograms asserts that the faults still match the sources. With -schedules.planted it builds the programs
+// with each fault, and the schedules must detect it unless whyMissed is set.
 func TestPlantedInPrograms(t *testing.T) {
 	for _, f := range plantedFaults {
 		t.Run(strings.ReplaceAll(f.name, " ", "_"), func(t *testing.T) {
@@ -128,7 +129,7 @@
 				}
 			}
 			t.Logf("%d of %d schedules broke a rule; the first: %s", seeds, *schedulePlantedCount+len(directedSchedules), found)
-			c.Check(err != nil && found != "", qt.Equals, f.missed == "", qt.Commentf("%s", f.missed))
+			c.Check(err != nil && found != "", qt.Equals, f.whyMissed == "", qt.Commentf("%s", f.whyMissed))
 		})
 	}
 }
--- a/cmd/molepaddle-fleet/schedule_run_test.go
+++ b/cmd/molepaddle-fleet/schedule_run_test.go
@@ -24,7 +24,7 @@
 	"molepaddle/internal/fleet/status"
 )
 
-// throughRelay has this process dial other machines through the relay that its settings file names, if it names one.
+// throughRelay makes this process dial other machines through the relay in its settings file, if there is one.
 func throughRelay(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -47,38 +47,38 @@
 	return nil
 }
 
-// scheduleBounds are the deployment's figures where they differ from the example's: shorter spans make shorter runs.
+// scheduleBounds are the bnds that differ from those of the example: shorter times make shorter runs.
 var scheduleBounds = map[string]any{"contact_ms": 2000, "sync_s": 2, "apply_ms": 2000, "ack_ms": 4000,
 	"downgrade_ms": 250}
 
 const (
-	// scheduleSpares is how many machines may come to the core.
+	// scheduleSpares is the number of machines that may join the core during a run.
 	scheduleSpares = 3
-	// calmTail is how much longer than contact_ms a run goes on after the last fault.
-	calmTail = 800 * time.Millisecond
-	// busyFactor is what is added for a machine that runs much besides: bounds on liveness are doubled.
+	// quietTail is the time, beside contact_ms, for which a run continues after the last fault.
+	quietTail = 800 * time.Millisecond
+	// busyFactor multiplies the bounds on liveness, for machines that are busy with other work.
 	busyFactor = 2
-	// convergeWithin bounds the time until all of the core has the newest, without a fault.
-	convergeWithin = 12 * time.Second
+	// convergeTimeout bounds the time until the complete core has the newest version, without faults.
+	convergeTimeout = 12 * time.Second
 )
 
 // scheduleReport is the result of a run.
 type scheduleReport struct {
-	taken, refused, shown, again, late, skipped int
-	unanswered                                  int // calls that came again and got no clear answer
-	probes, judged                              int
-	faults                                      map[faultKind]int
-	takeovers                                   []takeover
-	settled, converged                          time.Duration
-	breaches                                    []string       // at most a few of each kind
-	kinds                                       map[string]int // breaches by their format
+	accepted, refused, shown, resent, lateResends, skipped int
+	unanswered                                             int // resent calls without a definite answer
+	probes, judged                                         int
+	faults                                                 map[faultKind]int
+	takeovers                                              []takeover
+	settled, converged                                     time.Duration
+	breaches                                               []string       // at most a few of each kind
+	kinds                                                  map[string]int // breaches by their format
 }
 
-// takeover is how long it took from a fault of the primary to the next acknowledgement.
+// takeover is the time from a fault of the primary to the next acknowledgement.
 type takeover struct {
 	kind  faultKind
 	took  time.Duration
-	alone bool // no other fault was near
+	alone bool // no other fault was close in time
 }
 
 // coreNode is a core machine.
@@ -86,9 +86,9 @@
 	settings     simulation.BootSettings
 	ctl          string
 	program      *simulation.Program
-	busy         bool      // a step has its process
-	activeFaults int       // steps that disturb it now
-	lostUntil    time.Time // until when it counts as lost
+	busy         bool      // a step has reserved its process
+	activeFaults int       // number of faults in effect
+	lostUntil    time.Time // time until which it counts as lost
 }
 
 // edgeNode is an edge machine.
@@ -97,17 +97,17 @@
 	agent       *simulation.Program
 	client      *simulation.Client
 	readyz      string
-	incarnation int // of its processes
+	incarnation int // number of its restarts
 	busy        bool
 }
 
-// faultSpan is the time of a fault.
+// faultSpan is the time span of a fault.
 type faultSpan struct {
 	from, to time.Time
-	absent   bool // a core machine was away completely, see beginAbsence
+	absent   bool // a core machine was completely absent, see beginAbsence
 }
 
-// scheduleRun is one schedule as it is played.
+// scheduleRun is one run of a schedule.
 type scheduleRun struct {
 	*testing.T
 	s       schedule
@@ -116,13 +116,13 @@
 	network *simulation.RelayNetwork
 	history *operatorHistory
 	report  *scheduleReport
-	ips     []string // of all core machines, those to come as well
+	ips     []string // IPs of all core machines, with the spares
 	edgeIPs []string
 
 	mu       sync.Mutex
 	cores    []*coreNode
 	edges    []*edgeNode
-	spare    int // the next IP
+	spare    int // index in ips of the next spare
 	spans    []*faultSpan
 	probes   []probe
 	primary  []primaryFault
@@ -145,7 +145,7 @@
 	return time.Duration(scheduleBounds["sync_s"].(int)) * time.Second
 }
 
-// reportBreach notes that a rule was broken.
+// reportBreach records a broken rule, a few of each kind at most.
 func (run *scheduleRun) reportBreach(format string, args ...any) {
 	const mostOfAKind = 3
 	run.mu.Lock()
@@ -158,9 +158,9 @@
 	run.report.breaches = append(run.report.breaches, text)
 }
 
-// playSchedule plays a schedule and judges it. Runs at once have different slots, whose machines have different
-// addresses.
-func playSchedule(t *testing.T, s schedule, slot int) *scheduleReport {
+// runSchedule runs a schedule and checks the results. Concurrent runs must have different slots, which determine the
+// addresses of the machines.
+func runSchedule(t *testing.T, s schedule, slot int) *scheduleReport {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), s.window+90*time.Second)
 	t.Cleanup(cancel)
@@ -187,31 +187,31 @@
 	}
 	from := time.Now()
 	for _, one := range s.steps {
-		run.rest(time.Until(from.Add(one.at)))
-		faults.Go(func() { run.play(one) })
+		run.wait(time.Until(from.Add(one.at)))
+		faults.Go(func() { run.runStep(one) })
 	}
 	faults.Wait()
 	healed := time.Now()
 	run.awaitLiveness(healed)
-	run.rest(time.Until(healed.Add(run.bound("contact_ms") + calmTail)))
+	run.wait(time.Until(healed.Add(run.bound("contact_ms") + quietTail)))
 	close(stop)
 	limit := busyFactor * run.bound("ack_ms")
 	last := time.AfterFunc(limit, func() {
-		run.reportBreach("calls have no clear answer %v after the last one began, in calm", limit)
+		run.reportBreach("calls have no clear answer %v after the last one began, without a fault", limit)
 		giveUp()
 	})
 	operators.Wait()
 	last.Stop()
-	run.converges(time.Now())
+	run.checkConvergence(time.Now())
 	close(stopProbes)
 	probers.Wait()
 	for i, e := range run.edges {
-		run.judgeRefused(i, e.client)
+		run.checkRefusedChanges(i, e.client)
 	}
-	run.history.judge()
-	run.judgeProbes()
-	run.judgePrograms()
-	run.takeovers()
+	run.history.check()
+	run.checkProbes()
+	run.checkPrograms()
+	run.computeTakeovers()
 	for _, text := range run.report.breaches {
 		t.Errorf("breach: %s", text)
 	}
@@ -222,8 +222,8 @@
 	return run.report
 }
 
-// rest lets a drawn span of the schedule pass.
-func (run *scheduleRun) rest(d time.Duration) {
+// wait waits for d or until the run ends.
+func (run *scheduleRun) wait(d time.Duration) {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
 	select {
@@ -232,7 +232,7 @@
 	}
 }
 
-// start starts the fleet, and gives it its first configuration.
+// start starts the fleet and submits its first configuration.
 func (run *scheduleRun) start(slot int) {
 	zones := []string{"koto-hall", "shinagawa-hall", "kawasaki-hall"}
 	for i := range run.s.machines + scheduleSpares {
@@ -269,8 +269,8 @@
 	for i, ip := range run.edgeIPs {
 		s := base
 		s.Tier, s.Node, s.IP, s.Zone = "edge", fmt.Sprintf("edge-%d", i+1), ip, zones[i%len(zones)]
-		// Node agents feed their proxies at a port of 127.0.0.1, which machines don't share and these here do: each has
-		// ports of its own.
+		// Node agents serve their proxies on a port of 127.0.0.1, which all machines of the test share: each edge
+		// machine has different ports.
 		s.Ports = simulation.ChoosePorts(run, 4, all...)
 		for _, core := range run.ips {
 			for _, address := range []func(string, [2]int) string{distribution.PullAddr, distribution.QuotaAddr} {
@@ -295,8 +295,8 @@
 			run.Fatal(err)
 		}
 	}
-	// What the system promises to survive counts from when all of the core is in.
-	if !run.until(testTimeout, func() bool { return run.allHave(initialChange.version) }) {
+	// The fleet tolerates faults only once all core machines are members.
+	if !run.waitUntil(testTimeout, func() bool { return run.allHave(initialChange.version) }) {
 		run.Fatalf("the core isn't whole: %s", run.views())
 	}
 }
@@ -313,7 +313,7 @@
 	return p
 }
 
-// startCore starts a core machine's process with the settings of this moment.
+// startCore starts a core machine's process with its current settings.
 func (run *scheduleRun) startCore(n *coreNode) {
 	boot := simulation.Boot(run, n.settings)
 	n.settings.DataDir, n.settings.Bootstrap = boot.DataDir, false
@@ -343,7 +343,7 @@
 	e.incarnation++
 }
 
-// controls are the control addresses of the core as it now is.
+// controls returns the control addresses of the current core machines.
 func (run *scheduleRun) controls() []string {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -354,8 +354,8 @@
 	return all
 }
 
-// eventually waits until ok holds; false: not within d.
-func (run *scheduleRun) until(d time.Duration, ok func() bool) bool {
+// eventually waits waitUntil ok holds; false: not within d.
+func (run *scheduleRun) waitUntil(d time.Duration, ok func() bool) bool {
 	ctx, cancel := context.WithTimeout(run.ctx, d)
 	defer cancel()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -372,7 +372,7 @@
 
 var localStatus = http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// localView asks one core machine how it sees the fleet.
+// localView returns the status of the fleet from one core machine's own state.
 func (run *scheduleRun) localView(ctl string) (f status.Fleet, err error) {
 	req, err := http.NewRequestWithContext(run.ctx, http.MethodGet,
 		"http://"+ctl+externalapi.CallStatus.Path+"?"+externalapi.QueryLocal, nil)
@@ -415,7 +415,7 @@
 	return true
 }
 
-// views is how all core machines see the core.
+// views describes the core from the local status of each core machine.
 func (run *scheduleRun) views() string {
 	var text strings.Builder
 	for _, ctl := range run.controls() {
@@ -425,10 +425,10 @@
 	return text.String()
 }
 
-// awaitLiveness asks that a change is acknowledged in time after the last fault.
+// awaitLiveness checks that a change is acknowledged in time after the last fault.
 func (run *scheduleRun) awaitLiveness(healed time.Time) {
 	var next acknowledgement
-	ok := run.until(convergeWithin, func() (ok bool) { next, ok = run.history.nextAfter(healed); return ok })
+	ok := run.waitUntil(convergeTimeout, func() (ok bool) { next, ok = run.history.nextAfter(healed); return ok })
 	if !ok {
 		run.reportBreach("no change is acknowledged %v after the last fault:\n%s", time.Since(healed), run.views())
 		return
@@ -439,15 +439,15 @@
 	}
 }
 
-// converges asks that every machine of the core and every proxy comes to the newest version once operators keep still,
-// and that each shows it.
-func (run *scheduleRun) converges(still time.Time) {
+// checkConvergence checks that every core machine and every proxy reaches the newest version after the operators have
+// stopped, and that each core machine shows it.
+func (run *scheduleRun) checkConvergence(still time.Time) {
 	o := newScheduleOperator(run, 0)
-	end, cancel := context.WithTimeout(run.ctx, convergeWithin)
+	end, cancel := context.WithTimeout(run.ctx, convergeTimeout)
 	defer cancel()
 	o.show(end)
 	newest := o.known[len(o.known)-1]
-	if !run.until(convergeWithin, func() bool { return run.allHave(newest.version) }) {
+	if !run.waitUntil(convergeTimeout, func() bool { return run.allHave(newest.version) }) {
 		run.reportBreach("not all of the core has version %d %v after the last change:\n%s", newest.version,
 			time.Since(still), run.views())
 	}
@@ -455,33 +455,33 @@
 	for _, ctl := range run.controls() {
 		a, err := o.attempt(end, http.MethodGet, "http://"+ctl+simulation.PathShow, 0, nil)
 		if err != nil || a.status != http.StatusOK {
-			run.reportBreach("%s doesn't show the configuration in calm: %d, %v", ctl, a.status, err)
+			run.reportBreach("%s doesn't show the configuration, without a fault: %d, %v", ctl, a.status, err)
 			continue
 		}
-		changes, err := run.history.read(a.body)
+		changes, err := run.history.parseShown(a.body)
 		if err != nil || changes[len(changes)-1] != newest {
-			run.reportBreach("%s shows another configuration than %v in calm: %v", ctl, newest, err)
+			run.reportBreach("%s shows another configuration than %v, without a fault: %v", ctl, newest, err)
 		}
 	}
 	for i, e := range run.edges {
-		if !run.until(run.bound("apply_ms"),
+		if !run.waitUntil(run.bound("apply_ms"),
 			func() bool { return e.client.Do(run.ctx, changeRequest(newest)).Status == http.StatusOK }) {
-			run.reportBreach("edge %d hasn't %v in force in calm", i, newest)
+			run.reportBreach("edge %d doesn't have %v in force, without a fault", i, newest)
 		}
 	}
 }
 
-// changeRequest is a request on the route of a change.
+// changeRequest returns a request on the route that a change adds.
 func changeRequest(o operatorChange) simulation.Request {
 	r := lookup()
 	r.Path, r.Services = "/"+o.routeName()+"/x", nil
 	return r
 }
 
-// probeEvery is the pause between two requests to a proxy.
+// probeEvery is the interval between two probes of a proxy.
 const probeEvery = 25 * time.Millisecond
 
-// probe asks one proxy for the route of the newest acknowledged change, and at times of an older one.
+// probe probes one proxy for the route of the newest acknowledged change, and sometimes of an older one.
 func (run *scheduleRun) probe(edge int, stop <-chan struct{}) {
 	e := run.edges[edge]
 	tick := time.NewTicker(probeEvery)
@@ -498,10 +498,10 @@
 		if !ok {
 			continue
 		}
-		p := probe{edge: edge, order: one, sent: time.Now(), life: run.incarnationOf(e)}
+		p := probe{edge: edge, change: one, sent: time.Now(), incarnation: run.incarnationOf(e)}
 		p.status = e.client.Do(run.ctx, changeRequest(one)).Status
 		p.done = time.Now()
-		if run.incarnationOf(e) != p.life {
+		if run.incarnationOf(e) != p.incarnation {
 			continue
 		}
 		run.mu.Lock()
@@ -516,17 +516,18 @@
 	return e.incarnation
 }
 
-// probeTarget is the newest change that was acknowledged, or every other time the newest that is due everywhere.
+// probeTarget returns the newest acknowledged change, or every other time the newest one that must be in force at all
+// proxies.
 func (run *scheduleRun) probeTarget(i int) (operatorChange, bool) {
 	newest, ok := run.history.newest()
 	if !ok || i%2 == 0 {
-		return newest.order, ok
+		return newest.change, ok
 	}
 	return run.history.newestBefore(time.Now().Add(-run.bound("apply_ms")))
 }
 
-// judgePrograms asks that no process had a race or a panic.
-func (run *scheduleRun) judgePrograms() {
+// checkPrograms checks that no process had a race or a panic.
+func (run *scheduleRun) checkPrograms() {
 	for _, p := range run.programs {
 		for _, sign := range []string{"DATA RACE", "panic:", "fatal error:"} {
 			if out := p.Output(); strings.Contains(out, sign) {
@@ -536,8 +537,8 @@
 	}
 }
 
-// takeovers works out how long after each fault of the primary the next change was acknowledged.
-func (run *scheduleRun) takeovers() {
+// computeTakeovers computes the time from each fault of the primary to the next acknowledged change.
+func (run *scheduleRun) computeTakeovers() {
 	for _, f := range run.primary {
 		next, ok := run.history.nextAfter(f.at)
 		if !ok {
--- a/cmd/molepaddle-fleet/schedule_test.go
+++ b/cmd/molepaddle-fleet/schedule_test.go
@@ -13,7 +13,7 @@
 
 // Schedules are seeded sequences of faults over whole processes: a core of three or five machines, node agents and
 // proxies on loopback, with a relay between them, while operators change and read the configuration. A schedule is a
-// function of its seed; what the processes make of it is not, as they run on the clock.
+// function of its seed; the behaviour of the processes isn't, as they run in real time.
 
 var (
 	scheduleCount  = flag.Int("schedules", 12, "how many schedules of faults over whole processes are played")
@@ -24,29 +24,29 @@
 	scheduleLong = flag.Bool("schedules.long", false, "schedules of half a minute, with cuts and freezes of up to 20 s")
 )
 
-// faultKind is what a step of a schedule does.
+// faultKind is the kind of fault of a step in a schedule.
 type faultKind string
 
 const (
-	partitionNode     faultKind = "cut whole"      // a machine from all others, in both directions
+	partitionNode     faultKind = "cut whole"      // partitions a machine from all others, in both directions
 	partitionInbound  faultKind = "cut inbound"    // nothing reaches a machine, which still sends
 	partitionOutbound faultKind = "cut outbound"   // nothing leaves a machine, which still receives
-	partitionPair     faultKind = "cut pair"       // two machines from each other
-	partitionHalves   faultKind = "cut halves"     // the core into two parts, each with some of the agents and spares
-	slowLinks         faultKind = "slow links"     // what a machine sends and receives is delayed
+	partitionPair     faultKind = "cut pair"       // partitions two machines from each other
+	partitionHalves   faultKind = "cut halves"     // partitions the core in two, each half with some agents and spares
+	slowLinks         faultKind = "slow links"     // delays all traffic of a machine
 	killProcess       faultKind = "kill"           // SIGKILL and a restart
 	freeze            faultKind = "freeze"         // SIGSTOP, later SIGCONT
 	wipeDisk          faultKind = "wipe"           // SIGKILL and a restart with an empty disk
-	replaceNode       faultKind = "replace"        // a machine is gone for good, another comes at a new address
-	rollCore          faultKind = "roll"           // SIGTERM and a restart, one machine after the other
-	killCore          faultKind = "kill all"       // all processes of the core at once
-	partitionAgent    faultKind = "cut agent"      // an edge machine from all core machines but one
+	replaceNode       faultKind = "replace"        // replaces a machine by another one at a new address
+	rollCore          faultKind = "roll"           // SIGTERM and a restart, one core machine after the other
+	killCore          faultKind = "kill all"       // SIGKILL of all processes of the core at once
+	partitionAgent    faultKind = "cut agent"      // partitions an edge machine from all core machines but one
 	killAgent         faultKind = "kill agent"     // SIGKILL of a node agent and a restart
 	freezeAgent       faultKind = "freeze agent"   // SIGSTOP of a node agent, later SIGCONT
 	restartHalf       faultKind = "restart inside" // the core is partitioned in two, and both halves restart meanwhile
 )
 
-// drawnKinds are the kinds as often as they are drawn.
+// drawnKinds lists the kinds, each as often as it is to be drawn.
 var drawnKinds = []faultKind{
 	partitionNode, partitionNode, partitionNode, partitionInbound, partitionInbound, partitionOutbound,
 	partitionOutbound, partitionPair, partitionHalves, partitionHalves, slowLinks,
@@ -54,23 +54,23 @@
 	rollCore, killCore, partitionAgent, killAgent, freezeAgent, restartHalf,
 }
 
-// Targets of steps that are looked up when the step begins.
+// Targets that are resolved when the step begins.
 const (
-	primaryTarget = -1 // whichever machine acknowledged last
-	agentTarget   = -2 // the one that the first edge machine's node agent pulls from
+	primaryTarget = -1 // the machine that acknowledged last
+	agentTarget   = -2 // the core machine from which the first edge machine's node agent pulls
 )
 
 // step is one fault.
 type step struct {
-	at     time.Duration // after the schedule's begin
+	at     time.Duration // since the begin of the schedule
 	kind   faultKind
-	target int           // a core machine, an edge machine or primaryTarget
-	other  int           // the second one of a pair, or how many are partitioned off
-	lasts  time.Duration // until the fault ends, or the process starts again
-	agents bool          // the agents are partitioned off as well
+	target int           // index of a core or edge machine, or primaryTarget or agentTarget
+	other  int           // the second machine of a pair, or the size of one side of a partition
+	lasts  time.Duration // time until the fault ends, or the process is restarted
+	agents bool          // whether the agents are partitioned as well
 }
 
-// String describes a step.
+// String returns a description of the step.
 func (s step) String() string {
 	target := fmt.Sprint(s.target)
 	switch s.target {
@@ -83,15 +83,15 @@
 		s.agents, s.lasts.Round(time.Millisecond))
 }
 
-// schedule is all that is drawn before a run.
+// schedule holds all random choices that are made before a run.
 type schedule struct {
 	seed      uint64
-	machines  int // of the core
+	machines  int // number of core machines
 	survive   int
 	edges     int
 	operators int
-	lossy     float64 // share of answers that operators don't get
-	busy      bool    // operators send as fast as they are answered
+	lossy     float64 // fraction of answers that operators lose
+	busy      bool    // operators send the next call as soon as one is answered
 	window    time.Duration
 	steps     []step
 }
@@ -102,7 +102,7 @@
 	longFault   = 20 * time.Second
 )
 
-// drawSchedule draws the schedule of a seed.
+// drawSchedule returns the schedule of a seed.
 func drawSchedule(seed uint64, long bool) schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x5c4ed))
 	s := schedule{
@@ -160,7 +160,7 @@
 		one.lasts = between(rng, 0, 600*time.Millisecond)
 	default:
 		one.lasts = between(rng, 200*time.Millisecond, 1200*time.Millisecond)
-		if rng.IntN(2) == 0 { // long enough for another primary to have acknowledged something meanwhile
+		if rng.IntN(2) == 0 { // long enough for another primary to acknowledge changes meanwhile
 			one.lasts = between(rng, time.Second, 3*time.Second)
 		}
 	}
@@ -171,9 +171,9 @@
 	return least + time.Duration(rng.Int64N(int64(most-least)))
 }
 
-// TestSchedules plays the schedules: what operators are answered is linearizable, an acknowledged change stays and is
-// never refused, every proxy has it in time and doesn't go back, and after the last fault changes are acknowledged
-// again and all of the core has the newest.
+// TestSchedules runs the schedules: the answers to operators must be linearizable, an acknowledged change must be kept
+// and never be rejected when it is sent again, every proxy must have it in time and not return to an older version, and
+// after the last fault changes must be acknowledged again and the complete core must have the newest one.
 func TestSchedules(t *testing.T) {
 	var total totals
 	place := make(chan int, max(*scheduleAtOnce, 1))
@@ -187,27 +187,27 @@
 				t.Parallel()
 				slot := <-place
 				defer func() { place <- slot }()
-				total.add(playSchedule(t, drawSchedule(seed, *scheduleLong), slot))
+				total.add(runSchedule(t, drawSchedule(seed, *scheduleLong), slot))
 			})
 		}
 	})
 	t.Log(total.String())
 }
 
-// directedSchedules bring about what is seldom drawn.
+// directedSchedules are schedules for situations that are seldom drawn.
 var directedSchedules = []schedule{
-	// The core goes on without the machine that an agent pulls from, for long enough that its configuration has to be
-	// another's.
+	// The core continues without the machine from which an agent pulls, for long enough that the agent has to get its
+	// configuration from another one.
 	{seed: 90_001, machines: 3, survive: 1, edges: 2, operators: 3, window: 5 * time.Second, steps: []step{
 		{at: 100 * time.Millisecond, kind: partitionNode, target: agentTarget, lasts: 4600 * time.Millisecond},
 	}},
-	// Agents lose their sources one after the other, while the first one is behind the others.
+	// Agents lose their sources one after the other, while the first source is behind the others.
 	{seed: 90_002, machines: 3, survive: 1, edges: 2, operators: 3, window: 5 * time.Second, busy: true, steps: []step{
 		{at: 100 * time.Millisecond, kind: partitionNode, target: agentTarget, lasts: 4600 * time.Millisecond},
 		{at: 2 * time.Second, kind: killProcess, target: agentTarget, lasts: 300 * time.Millisecond},
 		{at: 3200 * time.Millisecond, kind: killProcess, target: agentTarget, lasts: 300 * time.Millisecond},
 	}},
-	// The primary is partitioned off for long, and once more after it is back.
+	// The primary is partitioned for long, and once more after it is back.
 	{
 		seed:      90_003,
 		machines:  3,
@@ -224,20 +224,20 @@
 	},
 }
 
-// TestDirectedSchedules plays them.
+// TestDirectedSchedules runs directedSchedules.
 func TestDirectedSchedules(t *testing.T) {
-	const firstSlot = 20 // beside those of TestSchedules
+	const firstSlot = 20 // the slots below are those of TestSchedules
 	for i, s := range directedSchedules {
 		t.Run(fmt.Sprint(s.seed), func(t *testing.T) {
 			t.Parallel()
 			var total totals
-			total.add(playSchedule(t, s, firstSlot+i))
+			total.add(runSchedule(t, s, firstSlot+i))
 			t.Log(total.String())
 		})
 	}
 }
 
-// takeoverSchedule kills and freezes the primary in turn, each time long after the fault before.
+// takeoverSchedule returns a schedule that kills and freezes the primary in turn, each time long after the last fault.
 func takeoverSchedule(seed uint64, machines, survive int) schedule {
 	const (
 		faults  = 6
@@ -261,7 +261,8 @@
 	return s
 }
 
-// TestTakeovers measures, with -schedules.takeovers, how long changes aren't acknowledged after a fault of the primary.
+// TestTakeovers measures, with -schedules.takeovers, the time until changes are acknowledged again after a fault of the
+// primary.
 func TestTakeovers(t *testing.T) {
 	var total totals
 	for i := range *takeoverRuns {
@@ -269,14 +270,14 @@
 		if i%2 == 1 {
 			machines, survive = 5, 2
 		}
-		total.add(playSchedule(t, takeoverSchedule(uint64(91_000+i), machines, survive), 0))
+		total.add(runSchedule(t, takeoverSchedule(uint64(91_000+i), machines, survive), 0))
 	}
 	if *takeoverRuns > 0 {
 		t.Log(total.String())
 	}
 }
 
-// totals adds up the results of runs.
+// totals accumulates the results of runs.
 type totals struct {
 	mu                                       sync.Mutex
 	runs, breaches                           int
@@ -287,7 +288,7 @@
 	takeover                                 map[faultKind][]time.Duration
 	alone                                    map[faultKind][]time.Duration
 	settle, converge                         []time.Duration
-	kinds                                    map[string]int // schedules by the kinds of their breaches
+	kinds                                    map[string]int // number of schedules by kind of breach
 }
 
 func (t *totals) add(r *scheduleReport) {
@@ -301,11 +302,11 @@
 	if len(r.breaches) > 0 {
 		t.breaches++
 	}
-	t.taken += r.taken
+	t.taken += r.accepted
 	t.refused += r.refused
 	t.shown += r.shown
-	t.again += r.again
-	t.late += r.late
+	t.again += r.resent
+	t.late += r.lateResends
 	t.unanswered += r.unanswered
 	t.skip += r.skipped
 	t.probes += r.probes
@@ -345,7 +346,7 @@
 	return text + fmt.Sprintf("\nnext acknowledgement after the last fault: %s\nall of the core at the newest after the last change: %s", spread(t.settle), spread(t.converge))
 }
 
-// spread formats the median, the 99th percentile and the most of durations.
+// spread formats the median, the 99th percentile and the maximum of durations.
 func spread(all []time.Duration) string {
 	if len(all) == 0 {
 		return "none"
--- a/cmd/molepaddle-fleet/status_test.go
+++ b/cmd/molepaddle-fleet/status_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/internal/fleet/status"
 )
 
-// status is what `molepaddle-fleet status --json` prints, asked at one core machine.
+// status returns the output of `molepaddle-fleet status --json` at one core machine.
 func (f *fleet) status(at *machine, flags ...string) *status.Fleet {
 	f.Helper()
 	code, out, errOut := fleetctl(f, append([]string{"status", "--json", "--control", at.boot.Ctl}, flags...)...)
@@ -23,7 +23,7 @@
 	return &s
 }
 
-// watch runs `molepaddle-fleet watch`, asked at all core machines.
+// watch runs `molepaddle-fleet watch` with the addresses of all core machines and returns its output.
 func (f *fleet) watch(code int, args ...string) string {
 	f.Helper()
 	args = append([]string{"watch"}, args...)
@@ -42,7 +42,8 @@
 	return all
 }
 
-// TestStatus follows a configuration to every proxy, past one that hangs and past the loss of the primary.
+// TestStatus follows the rollout of configurations to every proxy, also while one hangs and after the loss of the
+// primary.
 func TestStatus(t *testing.T) {
 	f := newFleet(t, fleetOptions{prefill: 2, decode: 2})
 	primary := f.primary()
@@ -55,7 +56,7 @@
 	f.checkRules()
 }
 
-// checkStatusEverywhere: any control server is asked, the primary answers.
+// checkStatusEverywhere: whichever control server is called, the primary answers.
 func (f *fleet) checkStatusEverywhere(primary *machine) {
 	for _, m := range f.core {
 		s := f.status(m)
@@ -96,7 +97,7 @@
 	}
 }
 
-// checkListVersions: the list's version comes back from the proxies by way of their node agents.
+// checkListVersions: proxies report their version of the backend list through their node agents.
 func (f *fleet) checkListVersions(primary *machine) {
 	f.eventually(testTimeout, "both proxies have the newest list", func() bool {
 		s := f.status(primary)
@@ -113,7 +114,7 @@
 	})
 }
 
-// checkLocalStatus: a control server that is not the primary answers with what it knows when asked for that.
+// checkLocalStatus: with --local a control server that is not the primary answers from its own state.
 func (f *fleet) checkLocalStatus(primary *machine) {
 	other := f.core[slices.IndexFunc(f.core, func(m *machine) bool { return m != primary })]
 	s := f.status(other, "--local")
@@ -122,7 +123,7 @@
 	f.Check(s.View.Primary, qt.Equals, primary.boot.Ctl)
 }
 
-// checkHungProxy: a proxy that hangs lacks the next version, for as long as it has a lease.
+// checkHungProxy: a proxy that hangs is listed without the next version, for as long as it has a lease.
 func (f *fleet) checkHungProxy(primary *machine) {
 	hung := f.edge[1].programs["proxy"]
 	hung.Signal(syscall.SIGSTOP)
@@ -144,7 +145,8 @@
 	f.awaitReady(f.edge[1])
 }
 
-// checkStatusAfterTakeover: with the primary gone, the next one answers, and waits until it knows all agents.
+// checkStatusAfterTakeover: after the loss of the primary the next one answers, and reports that it is still collecting
+// leases until it knows all agents.
 func (f *fleet) checkStatusAfterTakeover(primary *machine) {
 	primary.kill("control-plane")
 	out := f.watch(exitOK, "3")
@@ -164,7 +166,7 @@
 	f.Check(fmt.Sprint(s.Agents[0].ConfigVersion, s.Agents[1].ConfigVersion), qt.Equals, "3 3")
 }
 
-// TestStatusWithoutPrimary asks where most of the core is gone.
+// TestStatusWithoutPrimary requests the status while most of the core is down.
 func TestStatusWithoutPrimary(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	primary := f.primary()
@@ -186,10 +188,10 @@
 	f.checkRules()
 }
 
-// lateFor is for how many looks one agent of the stand-in lacks a change.
+// lateFor is the number of status calls for which one agent of the fake control plane lacks a change.
 const lateFor = 3
 
-// status is the status that the stand-in for the control plane gives: of three agents one is late with each change.
+// fleetStatus returns the status of the fake control plane: of three agents one is late with each change.
 func (s *fakeControlPlane) fleetStatus(local bool) *status.Fleet {
 	f := &status.Fleet{
 		From:          "core-koto-hall-1",
@@ -233,7 +235,7 @@
 	return f
 }
 
-func TestStatusCodes(t *testing.T) {
+func TestStatusExitCodes(t *testing.T) {
 	c := qt.New(t)
 	s := newFakeControlPlane(c)
 	code, out, errOut := fleetctl(t, "watch", "--control", s.addr)
@@ -243,7 +245,7 @@
 	c.Check(code, qt.Equals, exitOK)
 	c.Check(out, qt.Contains, "no configuration yet")
 	c.Check(out, qt.Contains, "no agent holds a lease")
-	// A version that nobody has is waited for.
+	// watch waits for a version that no agent has, until its time limit.
 	code, _, errOut = fleetctl(t, "watch", "5", "--limit", "300ms", "--control", s.addr)
 	c.Check(code, qt.Equals, exitTimeout)
 	c.Check(errOut, qt.Contains, "not within 300ms: version 5: in force at 0 of 0 agents")
@@ -254,7 +256,7 @@
 	f, err := status.Decode([]byte(out))
 	c.Assert(err, qt.IsNil)
 	c.Check(f.AppliedEverywhere(5), qt.IsTrue)
-	nobody := deadAddr(c)
+	nobody := unusedAddr(c)
 	code, _, errOut = fleetctl(t, "status", "--control", nobody, "--within", "150ms")
 	c.Check(code, qt.Equals, exitFailure)
 	c.Check(errOut, qt.Contains, "nothing was sent: "+nobody)
--- a/cmd/molepaddle-fleet/tenantquota_test.go
+++ b/cmd/molepaddle-fleet/tenantquota_test.go
@@ -17,36 +17,36 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// The tenants of the quota tests, and how often each asks at each of the two proxies.
+// The tenants of the quota tests, and the interval between the requests of each at each of the two proxies.
 const (
-	hotKey   = "key-hot"  // asks ten times its quota
-	calmKey  = "key-calm" // half of its quota
-	brimKey  = "key-brim" // nine tenths of it
-	lowKey   = "key-low"  // an eighth of it
-	rushKey  = "key-rush" // nothing, and ten times its quota from shortly before a fault on
-	hotEvery = 10 * time.Millisecond
-	calmRate = 40.0
-	brimRate = 40.0
-
-	lowRate   = 80.0
-	lowEvery  = 200 * time.Millisecond
-	calmEvery = 100 * time.Millisecond
-	brimEvery = 56 * time.Millisecond
+	hotKey        = "key-hot"  // sends ten times its quota
+	moderateKey   = "key-calm" // sends half of its quota
+	nearQuotaKey  = "key-brim" // sends nine tenths of its quota
+	lowKey        = "key-low"  // sends an eighth of its quota
+	burstKey      = "key-rush" // sends nothing until shortly before a fault, then ten times its quota
+	hotInterval   = 10 * time.Millisecond
+	moderateRate  = 40.0
+	nearQuotaRate = 40.0
+
+	lowRate           = 80.0
+	lowInterval       = 200 * time.Millisecond
+	moderateInterval  = 100 * time.Millisecond
+	nearQuotaInterval = 56 * time.Millisecond
 
 	// tenantDeadline bounds each request of the tenants.
 	tenantDeadline = 2 * time.Second
-	// quotaBackends are enough that none of them is ever full, also where requests have piled up.
+	// quotaBackends is the number of backends: enough that none is ever full, also with a backlog of requests.
 	quotaBackends = 6
 )
 
-// quotaAccounts are the tenants of the quota tests; the first one is hot.
+// quotaAccounts returns the tenants of the quota tests; the first one exceeds its quota.
 func quotaAccounts() []simulation.Account {
 	return []simulation.Account{
 		{Name: "hot", Keys: []string{hotKey}, Limits: []simulation.Limit{{Rate: 20, Burst: 5}}},
-		{Name: "calm", Keys: []string{calmKey}, Limits: []simulation.Limit{{Rate: calmRate}}},
-		{Name: "brim", Keys: []string{brimKey}, Limits: []simulation.Limit{{Rate: brimRate}}},
+		{Name: "calm", Keys: []string{moderateKey}, Limits: []simulation.Limit{{Rate: moderateRate}}},
+		{Name: "brim", Keys: []string{nearQuotaKey}, Limits: []simulation.Limit{{Rate: nearQuotaRate}}},
 		{Name: "low", Keys: []string{lowKey}, Limits: []simulation.Limit{{Rate: lowRate}}},
-		{Name: "rush", Keys: []string{rushKey}, Limits: []simulation.Limit{{Rate: 20, Burst: 5}}},
+		{Name: "rush", Keys: []string{burstKey}, Limits: []simulation.Limit{{Rate: 20, Burst: 5}}},
 	}
 }
 
@@ -60,7 +60,7 @@
 	})
 }
 
-// tenantLoad sends a tenant's requests to both proxies, at even times whatever comes of them.
+// tenantLoad sends a tenant's requests to both proxies at a fixed rate, whatever the answers are.
 type tenantLoad struct {
 	f    *fleet
 	key  string
@@ -70,7 +70,7 @@
 	seen []simulation.Result
 }
 
-// loadTenant starts the load of a tenant, a request each time that an interval is over to each proxy, until stop.
+// loadTenant starts the load of a tenant, one request per interval to each proxy, until stop is called.
 func (f *fleet) loadTenant(key string, every time.Duration) *tenantLoad {
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.Cleanup(cancel)
@@ -109,16 +109,16 @@
 	slices.SortFunc(l.seen, func(a, b simulation.Result) int { return a.SentAt.Compare(b.SentAt) })
 }
 
-// tally is what came of a tenant's requests that were sent in a span of time.
+// tally counts the outcomes of a tenant's requests that were sent in a span of time.
 type tally struct {
 	Sent, Served, Over int
-	Others             map[string]int // neither served nor over a quota, by what was answered instead
-	// FirstServed and LastRefused count from the beginning of the span; -1: none.
+	Others             map[string]int // neither served nor over quota, by answer
+	// FirstServed and LastRefused are measured from the beginning of the span; -1: none.
 	FirstServed, LastRefused time.Duration
 }
 
-// between returns what came of the requests that were sent from a time on and before another. The load has to be
-// stopped before.
+// between returns the outcomes of the requests sent at or after one time and before another. The load must have been
+// stopped.
 func (l *tenantLoad) between(from, to time.Time) tally {
 	t := tally{Others: map[string]int{}, FirstServed: -1, LastRefused: -1}
 	for _, r := range l.seen {
@@ -146,37 +146,37 @@
 	return t
 }
 
-// quotaPlay is a fleet under the load of its tenants.
-type quotaPlay struct {
+// quotaTest is a fleet under load from its tenants.
+type quotaTest struct {
 	*fleet
 	began time.Time
-	loads []*tenantLoad // hot, calm, brim, low, and rush once it has begun
+	loads []*tenantLoad // hot, moderate, near quota, low, and the burst once it has begun
 }
 
-// Indexes of quotaPlay's loads.
+// Indexes in quotaTest.loads.
 const (
 	hot = iota
-	calm
-	brim
+	moderate
+	nearQuota
 	low
 )
 
-// playQuotas starts the loads of the tenants.
-func playQuotas(f *fleet) *quotaPlay {
-	return &quotaPlay{
+// startQuotaTest starts the loads of the tenants.
+func startQuotaTest(f *fleet) *quotaTest {
+	return &quotaTest{
 		fleet: f,
 		began: time.Now(),
 		loads: []*tenantLoad{
-			f.loadTenant(hotKey, hotEvery),
-			f.loadTenant(calmKey, calmEvery),
-			f.loadTenant(brimKey, brimEvery),
-			f.loadTenant(lowKey, lowEvery),
+			f.loadTenant(hotKey, hotInterval),
+			f.loadTenant(moderateKey, moderateInterval),
+			f.loadTenant(nearQuotaKey, nearQuotaInterval),
+			f.loadTenant(lowKey, lowInterval),
 		},
 	}
 }
 
-// pass lets a span of the play pass.
-func (p *quotaPlay) pass(d time.Duration) {
+// wait waits for d.
+func (p *quotaTest) wait(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -185,15 +185,15 @@
 	}
 }
 
-// rush has a tenant ask for all of its quota at once, and go on so: what it got in the second before a fault counts in
-// the first window after it.
-func (p *quotaPlay) rush() {
-	p.loads = append(p.loads, p.loadTenant(rushKey, hotEvery))
-	p.pass(time.Second)
+// startBurst starts the load of a tenant that uses up its quota at once and keeps sending: the requests served in the
+// second before a fault count in the first window after it.
+func (p *quotaTest) startBurst() {
+	p.loads = append(p.loads, p.loadTenant(burstKey, hotInterval))
+	p.wait(time.Second)
 }
 
-// stop ends the loads, and judges all that was seen.
-func (p *quotaPlay) stop() {
+// stop ends the loads and checks all results.
+func (p *quotaTest) stop() {
 	p.Helper()
 	for _, l := range p.loads {
 		l.stop()
@@ -201,21 +201,21 @@
 	p.checkRules()
 }
 
-// logSpan logs what came of all requests in a span of the play.
-func (p *quotaPlay) logSpan(what string, from, to time.Time) {
+// logSpan logs the outcomes of all requests in a span of the test.
+func (p *quotaTest) logSpan(what string, from, to time.Time) {
 	p.Helper()
-	for i, name := range []string{"hot", "calm", "brim", "low", "rush"}[:len(p.loads)] {
+	for i, name := range []string{"hot", "moderate", "near quota", "low", "burst"}[:len(p.loads)] {
 		p.Logf("%s, %v to %v, %s: %+v", what, from.Sub(p.began).Round(time.Millisecond),
 			to.Sub(p.began).Round(time.Millisecond), name, p.loads[i].between(from, to))
 	}
 }
 
-// checkCalm asserts that a tenant within its quota was served all its requests in a span, and that the hot one, which
-// asks ten times its quota, got little less than that, and was refused the rest.
-func (p *quotaPlay) checkCalm(what string, from, to time.Time) {
+// checkQuotas asserts that the tenants within their quotas had all requests served in a span, and that the hot one,
+// which sends ten times its quota, got little less than its quota and was rejected otherwise.
+func (p *quotaTest) checkQuotas(what string, from, to time.Time) {
 	p.Helper()
 	p.logSpan(what, from, to)
-	for _, i := range []int{calm, low} {
+	for _, i := range []int{moderate, low} {
 		t := p.loads[i].between(from, to)
 		p.Check(t.Served, qt.Equals, t.Sent, qt.Commentf("%s: %+v", what, t))
 	}
@@ -224,96 +224,96 @@
 	p.Check(t.Served >= t.Sent*8/100, qt.IsTrue, qt.Commentf("%s, hot: %+v", what, t))
 }
 
-// settleTime is for how long after a new allocator a test of quotas lets the play go on: longer than a lease, a window
-// and the overlap of primaries, after which the slots of all proxies are known.
-const settleTime = 6 * time.Second
+// settlingTime is how long a test of quotas waits after a change of the allocator: longer than a lease, a window and
+// the overlap of primaries, after which the slots of all proxies are known.
+const settlingTime = 6 * time.Second
 
-// TestQuotaHoldsOverAllProxies has a tenant ask ten times its quota of both proxies at once: in no window do more of
-// its requests run than the quota allows, and a tenant that keeps to its own is not refused.
+// TestQuotaHoldsOverAllProxies has a tenant send ten times its quota through both proxies: in no window do more of its
+// requests run than the quota allows, and a tenant within its quota is never rejected.
 func TestQuotaHoldsOverAllProxies(t *testing.T) {
-	p := playQuotas(quotaFleet(t, false))
-	p.pass(settleTime)
+	p := startQuotaTest(quotaFleet(t, false))
+	p.wait(settlingTime)
 	settled := time.Now()
-	p.pass(5 * time.Second)
+	p.wait(5 * time.Second)
 	end := time.Now()
 	p.stop()
 	p.logSpan("beginning", p.began, settled)
-	p.checkCalm("calm", settled, end)
+	p.checkQuotas("settled", settled, end)
 }
 
-// TestQuotaHoldsWhenPrimaryIsKilled kills the primary under the loads. Whoever is within its quota is served again
-// within a second.
+// TestQuotaHoldsWhenPrimaryIsKilled kills the primary under load. A tenant within its quota is served again within a
+// second.
 func TestQuotaHoldsWhenPrimaryIsKilled(t *testing.T) {
-	p := playQuotas(quotaFleet(t, false))
-	p.pass(settleTime + 3*time.Second)
-	p.rush()
+	p := startQuotaTest(quotaFleet(t, false))
+	p.wait(settlingTime + 3*time.Second)
+	p.startBurst()
 	p.primary().kill("control-plane")
 	killed := time.Now()
-	p.pass(settleTime)
+	p.wait(settlingTime)
 	settled := time.Now()
-	p.pass(3 * time.Second)
+	p.wait(3 * time.Second)
 	end := time.Now()
 	p.stop()
-	p.checkCalm("before", killed.Add(-3*time.Second), killed)
+	p.checkQuotas("before", killed.Add(-3*time.Second), killed)
 	p.logSpan("after the kill", killed, settled)
-	p.checkServedWithin("after the kill", calm, killed, time.Second)
-	p.checkCalm("settled", settled, end)
+	p.checkServedWithin("after the kill", moderate, killed, time.Second)
+	p.checkQuotas("settled", settled, end)
 }
 
 // checkServedWithin asserts that a tenant within its quota is served soon after a time.
-func (p *quotaPlay) checkServedWithin(what string, load int, at time.Time, within time.Duration) {
+func (p *quotaTest) checkServedWithin(what string, load int, at time.Time, within time.Duration) {
 	p.Helper()
-	t := p.loads[load].between(at, at.Add(2*settleTime))
+	t := p.loads[load].between(at, at.Add(2*settlingTime))
 	p.Check(t.FirstServed >= 0 && t.FirstServed <= within, qt.IsTrue, qt.Commentf("%s: %+v", what, t))
 }
 
-// TestQuotaHoldsWhenProxyIsFrozen stops a proxy for longer than a lease and a window, and has it go on.
+// TestQuotaHoldsWhenProxyIsFrozen stops a proxy for longer than a lease and a window, and continues it.
 func TestQuotaHoldsWhenProxyIsFrozen(t *testing.T) {
 	for _, frozen := range []time.Duration{1200 * time.Millisecond, 5 * time.Second} {
 		t.Run(frozen.String(), func(t *testing.T) {
-			p := playQuotas(quotaFleet(t, false))
-			p.pass(settleTime)
+			p := startQuotaTest(quotaFleet(t, false))
+			p.wait(settlingTime)
 			proxy := p.edge[0].programs["proxy"]
 			proxy.Signal(syscall.SIGSTOP)
 			stopped := time.Now()
-			p.pass(frozen)
+			p.wait(frozen)
 			proxy.Signal(syscall.SIGCONT)
 			thawed := time.Now()
-			p.pass(4 * time.Second)
+			p.wait(4 * time.Second)
 			settled := time.Now()
-			p.pass(2 * time.Second)
+			p.wait(2 * time.Second)
 			end := time.Now()
 			p.stop()
 			p.logSpan("frozen", stopped, thawed)
 			p.logSpan("thawed", thawed, settled)
-			p.checkCalm("settled", settled, end)
+			p.checkQuotas("settled", settled, end)
 		})
 	}
 }
 
-// TestQuotaHoldsWhenPrimaryIsFrozen stops the primary until another one has been elected, and has it go on.
+// TestQuotaHoldsWhenPrimaryIsFrozen stops the primary until another one has been elected, and continues it.
 func TestQuotaHoldsWhenPrimaryIsFrozen(t *testing.T) {
-	p := playQuotas(quotaFleet(t, false))
-	p.pass(settleTime)
-	p.rush()
+	p := startQuotaTest(quotaFleet(t, false))
+	p.wait(settlingTime)
+	p.startBurst()
 	control := p.primary().programs["control-plane"]
 	control.Signal(syscall.SIGSTOP)
 	stopped := time.Now()
-	p.pass(3 * time.Second)
+	p.wait(3 * time.Second)
 	control.Signal(syscall.SIGCONT)
 	thawed := time.Now()
-	p.pass(settleTime)
+	p.wait(settlingTime)
 	settled := time.Now()
-	p.pass(3 * time.Second)
+	p.wait(3 * time.Second)
 	end := time.Now()
 	p.stop()
 	p.logSpan("frozen", stopped, thawed)
 	p.logSpan("thawed", thawed, settled)
-	p.checkServedWithin("frozen", calm, stopped, time.Second)
-	p.checkCalm("settled", settled, end)
+	p.checkServedWithin("frozen", moderate, stopped, time.Second)
+	p.checkQuotas("settled", settled, end)
 }
 
-// linksToAll are both directions between one machine and each of some others.
+// linksToAll returns both directions between one machine and each of some others.
 func linksToAll(one string, others ...string) (links []simulation.Link) {
 	for _, other := range others {
 		if other != one {
@@ -323,7 +323,7 @@
 	return links
 }
 
-// coreIPs are the addresses of all core machines.
+// coreIPs returns the addresses of all core machines.
 func (f *fleet) coreIPs() (ips []string) {
 	for _, m := range f.core {
 		ips = append(ips, m.settings.IP)
@@ -331,28 +331,28 @@
 	return ips
 }
 
-// TestQuotaHoldsWhenProxyIsCutOff cuts an edge machine from all of the core: its proxy goes on with the slots that it
-// has for the time of a lease, and after that nothing of a tenant that has a quota runs there until the cut heals.
+// TestQuotaHoldsWhenProxyIsCutOff partitions an edge machine from the complete core: its proxy continues with its slots
+// for the time of a lease; after that no request of a tenant with a quota runs there until the partition heals.
 func TestQuotaHoldsWhenProxyIsCutOff(t *testing.T) {
 	bounds := accountBounds()
-	bounds["revoke_ms"] = 60_000 // keys stay valid, so that only quotas tell of the cut
-	p := playQuotas(newFleet(t, fleetOptions{
+	bounds["revoke_ms"] = 60_000 // keys stay valid, so that only the quotas show the partition
+	p := startQuotaTest(newFleet(t, fleetOptions{
 		bounds:   bounds,
 		plain:    quotaBackends,
 		accounts: quotaAccounts(),
 		relay:    true,
 	}))
-	p.pass(settleTime)
+	p.wait(settlingTime)
 	cut := linksToAll(p.edge[0].settings.IP, p.coreIPs()...)
 	p.network.Cut(cut...)
 	cutAt := time.Now()
 	lapsed := cutAt.Add(p.bound("contact_ms", time.Millisecond))
-	p.pass(time.Until(lapsed) + 3*time.Second)
+	p.wait(time.Until(lapsed) + 3*time.Second)
 	healed := time.Now()
 	p.network.Heal(cut...)
-	p.pass(4 * time.Second)
+	p.wait(4 * time.Second)
 	settled := time.Now()
-	p.pass(2 * time.Second)
+	p.wait(2 * time.Second)
 	end := time.Now()
 	p.stop()
 	p.logSpan("cut off, within the lease", cutAt, lapsed)
@@ -373,60 +373,60 @@
 	}
 	p.Check(served > 0, qt.IsTrue)
 	p.Check(late > 0, qt.IsTrue)
-	p.checkCalm("settled", settled, end)
+	p.checkQuotas("settled", settled, end)
 }
 
-// TestQuotaHoldsWhenPrimaryIsCutOff cuts the primary from the rest of the core, but not from the proxies: it hands out
-// nothing any more once another one may.
+// TestQuotaHoldsWhenPrimaryIsCutOff partitions the primary from the rest of the core, but not from the proxies: it
+// stops granting slots before another primary may begin to.
 func TestQuotaHoldsWhenPrimaryIsCutOff(t *testing.T) {
-	p := playQuotas(quotaFleet(t, true))
-	p.pass(settleTime)
-	p.rush()
+	p := startQuotaTest(quotaFleet(t, true))
+	p.wait(settlingTime)
+	p.startBurst()
 	cut := linksToAll(p.primary().settings.IP, p.coreIPs()...)
 	p.network.Cut(cut...)
 	cutAt := time.Now()
-	p.pass(4 * time.Second)
+	p.wait(4 * time.Second)
 	healed := time.Now()
 	p.network.Heal(cut...)
-	p.pass(settleTime)
+	p.wait(settlingTime)
 	settled := time.Now()
-	p.pass(3 * time.Second)
+	p.wait(3 * time.Second)
 	end := time.Now()
 	p.stop()
 	p.logSpan("cut off", cutAt, healed)
 	p.logSpan("healed", healed, settled)
-	p.checkServedWithin("cut off", calm, cutAt, time.Second)
-	p.checkCalm("settled", settled, end)
+	p.checkServedWithin("cut off", moderate, cutAt, time.Second)
+	p.checkQuotas("settled", settled, end)
 }
 
-// TestQuotaHoldsWhenProxyRestarts kills a proxy, whose slots are lost, and starts it at once.
+// TestQuotaHoldsWhenProxyRestarts kills a proxy, which loses its slots, and restarts it at once.
 func TestQuotaHoldsWhenProxyRestarts(t *testing.T) {
-	p := playQuotas(quotaFleet(t, false))
-	p.pass(settleTime)
-	p.rush()
+	p := startQuotaTest(quotaFleet(t, false))
+	p.wait(settlingTime)
+	p.startBurst()
 	m := p.edge[0]
 	m.kill("proxy")
 	killed := time.Now()
 	m.start("proxy")
 	p.awaitReady(m)
 	ready := time.Now()
-	p.pass(4 * time.Second)
+	p.wait(4 * time.Second)
 	settled := time.Now()
-	p.pass(3 * time.Second)
+	p.wait(3 * time.Second)
 	end := time.Now()
 	p.stop()
 	p.logSpan("away", killed, ready)
 	p.logSpan("after the return", ready, settled)
-	p.checkServedWithin("after the return", calm, ready, time.Second)
-	p.checkCalm("settled", settled, end)
+	p.checkServedWithin("after the return", moderate, ready, time.Second)
+	p.checkQuotas("settled", settled, end)
 }
 
-// TestQuotaHoldsWhenAllIsKilled kills all processes of all machines at once, and starts them again. A tenant far below
-// its quota is served at once; one that has used much of it at the latest when all slots are known.
+// TestQuotaHoldsWhenAllIsKilled kills all processes of all machines at once and restarts them. A tenant far below its
+// quota is served at once; one that has used much of it is served at the latest when all slots are known.
 func TestQuotaHoldsWhenAllIsKilled(t *testing.T) {
-	p := playQuotas(quotaFleet(t, false))
-	p.pass(settleTime)
-	p.rush()
+	p := startQuotaTest(quotaFleet(t, false))
+	p.wait(settlingTime)
+	p.startBurst()
 	machines := append(slices.Clone(p.core), p.edge...)
 	var all sync.WaitGroup
 	for _, m := range machines {
@@ -445,24 +445,25 @@
 		p.awaitReady(m)
 	}
 	ready := time.Now()
-	p.pass(settleTime)
+	p.wait(settlingTime)
 	settled := time.Now()
-	p.pass(3 * time.Second)
+	p.wait(3 * time.Second)
 	end := time.Now()
 	p.stop()
 	p.logSpan("away", killed, ready)
 	p.logSpan("after the return", ready, settled)
 	p.checkServedWithin("after the return", low, ready, time.Second)
-	p.checkServedWithin("after the return", calm, ready, settleTime)
-	p.checkServedWithin("after the return", brim, ready, settleTime)
-	p.checkCalm("settled", settled, end)
+	p.checkServedWithin("after the return", moderate, ready, settlingTime)
+	p.checkServedWithin("after the return", nearQuota, ready, settlingTime)
+	p.checkQuotas("settled", settled, end)
 }
 
-// TestQuotaLowered lowers the quota of a tenant that is hot: the lower one binds a window after all proxies have it.
+// TestQuotaLowered lowers the quota of a tenant that exceeds it: the lower one holds from one window after all proxies
+// have it.
 func TestQuotaLowered(t *testing.T) {
 	f := quotaFleet(t, false)
-	p := playQuotas(f)
-	p.pass(settleTime)
+	p := startQuotaTest(f)
+	p.wait(settlingTime)
 	sent := time.Now()
 	lower := simulation.Limit{Rate: 5, Burst: 5, From: sent}
 	acked := p.updateAccounts(simulation.Account{
@@ -472,32 +473,31 @@
 	})
 	f.accounts[hot].Limits[0].Until = acked.Add(f.bound("apply_ms", time.Millisecond))
 	f.accounts[hot].Limits = append(f.accounts[hot].Limits, lower)
-	p.pass(settleTime)
+	p.wait(settlingTime)
 	end := time.Now()
 	p.stop()
 	bound := f.accounts[hot].Limits[0].Until
 	p.logSpan("before", p.began, sent)
 	p.logSpan("until it binds", sent, bound)
 	p.logSpan("lowered", bound, end)
-	others := p.loads[calm].between(sent, end)
+	others := p.loads[moderate].between(sent, end)
 	p.Check(others.Served, qt.Equals, others.Sent)
 }
 
-// TestNoQuotaAtRateZero lifts the quota of a tenant that is hot: with the rate 0 it has no limit. Then it gets one
-// again.
+// TestNoQuotaAtRateZero removes the quota of a tenant that exceeds it, by the rate 0, and then sets one again.
 func TestNoQuotaAtRateZero(t *testing.T) {
 	f := quotaFleet(t, false)
-	p := playQuotas(f)
-	p.pass(settleTime)
+	p := startQuotaTest(f)
+	p.wait(settlingTime)
 	apply := f.bound("apply_ms", time.Millisecond)
 	limits := []simulation.Limit{f.accounts[hot].Limits[0], {Burst: 5}, {Rate: 20, Burst: 5}}
-	var changed []time.Time // when each but the first one was acknowledged
+	var changed []time.Time // acknowledgement of each change but the first
 	for i := range limits[1:] {
 		limits[i+1].From = time.Now()
 		acked := p.updateAccounts(simulation.Account{Name: "hot", Keys: []string{hotKey}, Limits: limits[i+1 : i+2]})
 		limits[i].Until = acked.Add(apply)
 		changed = append(changed, acked)
-		p.pass(apply + 3*time.Second)
+		p.wait(apply + 3*time.Second)
 	}
 	f.accounts[hot].Limits = limits
 	end := time.Now()
@@ -506,5 +506,5 @@
 	p.logSpan("again", changed[1], end)
 	free := p.loads[hot].between(changed[0].Add(apply), limits[2].From)
 	p.Check(free.Sent > 0 && free.Served == free.Sent, qt.IsTrue, qt.Commentf("without a limit: %+v", free))
-	p.checkCalm("again", changed[1].Add(apply), end)
+	p.checkQuotas("again", changed[1].Add(apply), end)
 }
--- a/cmd/molepaddle-fleet/traffic_test.go
+++ b/cmd/molepaddle-fleet/traffic_test.go
@@ -18,7 +18,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// TestAllRequestKindsWithoutFaults serves requests of all kinds on a quiet day.
+// TestAllRequestKindsWithoutFaults sends requests of all kinds to a fleet without faults.
 func TestAllRequestKindsWithoutFaults(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	for i, cl := range f.clients {
@@ -27,12 +27,12 @@
 			f.checkServed(cl.Do(f.ctx, report()), f.edge[i].settings.Node)
 			f.checkServed(cl.Do(f.ctx, hazard()), f.edge[i].settings.Node)
 		}
-		// A prompt takes a prefill backend 160 ms, a decode backend twice that, of an aim of 200.
+		// A prompt takes a prefill backend 160 ms and a decode backend twice that; the latency target is 200 ms.
 		for range 3 {
 			f.checkServed(cl.Do(f.ctx, bulletin(40_000, 3)), f.edge[i].settings.Node)
 		}
 	}
-	// Each prompt was prefilled at one backend, all of it, and its tokens were made once.
+	// Each prompt was prefilled completely at one backend, and its tokens were generated once.
 	apart, asked := 0, map[string]simulation.Result{}
 	for _, cl := range f.clients {
 		for _, r := range cl.Results() {
@@ -70,11 +70,11 @@
 	f.checkRules()
 }
 
-// TestBackendFaults meets backends that die before, in and after the head of an answer, that send bytes which are no
-// answer, or more than one. What it asks for holds of three backends that make tokens, one of which the core would have
-// read prompts: their reports don't come, so that no order does.
+// TestBackendFaults sends requests to backends that crash before, in and after the head of an answer, that send
+// garbage, or more than one answer. Its assertions need three decode backends, one of which the core would order to
+// prefill: the backends send no load reports, so that there are no orders.
 func TestBackendFaults(t *testing.T) {
-	p := &faultPlay{fleet: newFleet(t, fleetOptions{
+	p := &faultTest{fleet: newFleet(t, fleetOptions{
 		decode:   3,
 		plain:    3,
 		noReport: true,
@@ -84,7 +84,7 @@
 		name  string
 		fault simulation.Faults
 	}{
-		{"no connection", simulation.Faults{Refuse: true}}, // first: those that are open go on
+		{"no connection", simulation.Faults{Refuse: true}}, // must be first: open connections keep working
 		{"before the head", simulation.Faults{LoseAnswer: true}},
 		{"in the head", simulation.Faults{Garble: true}},
 		{"after the head", simulation.Faults{CutAfter: 2}},
@@ -92,7 +92,7 @@
 	} {
 		p.failingBackends(tc.name, tc.fault)
 	}
-	p.silentBackends()
+	p.unresponsiveBackends()
 	p.failingPrefill()
 	p.surplusAnswers()
 	p.replacedBackends()
@@ -101,26 +101,27 @@
 	p.checkRules()
 }
 
-// faultPlay is a fleet whose backends get faults, with a count of the requests, which go to its proxies in turn.
-type faultPlay struct {
+// faultTest is a fleet whose backends get faults, with a count of the requests, which are sent to its proxies in turn.
+type faultTest struct {
 	*fleet
 	sent int
 }
 
-func (p *faultPlay) setFaults(engines []*simulation.Engine, fault simulation.Faults) {
+func (p *faultTest) setFaults(engines []*simulation.Engine, fault simulation.Faults) {
 	for _, e := range engines {
 		e.SetFaults(fault)
 	}
 }
 
-func (p *faultPlay) do(r simulation.Request) simulation.Result {
+func (p *faultTest) do(r simulation.Request) simulation.Result {
 	p.sent++
 	return p.clients[p.sent%len(p.clients)].Do(p.ctx, r)
 }
 
 // failingBackends sends requests while all backends have a fault, and then while one of three has none.
-func (p *faultPlay) failingBackends(name string, fault simulation.Faults) {
-	// Where none is well, what may run once ends in something that promises nothing, or in a refusal that holds.
+func (p *faultTest) failingBackends(name string, fault simulation.Faults) {
+	// If no backend is healthy, a request that may run once ends without a definite result, or is rejected and never
+	// runs.
 	p.setFaults(p.plain, fault)
 	p.setFaults(p.decode, fault)
 	for range 4 {
@@ -137,7 +138,7 @@
 		}
 	}
 	if fault.CutAfter > 0 {
-		// Three backends make 2, 2 and 1 of its 5 events.
+		// Three backends generate 2, 2 and 1 of its 5 events.
 		r := p.do(bulletin(2000, 5))
 		p.checkServed(r, name)
 		seals := map[string]bool{}
@@ -146,7 +147,7 @@
 		}
 		p.Check(seals, qt.HasLen, 3)
 	}
-	// Where one of three backends is well, what may run more than once is served.
+	// If one of three backends is healthy, a request that may run more than once is served.
 	p.setFaults(p.plain[2:], simulation.Faults{})
 	p.setFaults(p.decode[2:], simulation.Faults{})
 	for range 6 {
@@ -156,9 +157,10 @@
 	p.setFaults(p.engines(), simulation.Faults{})
 }
 
-// silentBackends: what may run again goes on to the one that is well; what may not is waited for, to its deadline.
-func (p *faultPlay) silentBackends() {
-	for _, r := range p.whileSilent(slices.Concat(p.decode[:2], p.plain[:2]), lookup(), lookup(), bulletin(2000, 3),
+// unresponsiveBackends: idempotent requests are retried at the healthy backend; for the others the proxy waits until
+// their deadline.
+func (p *faultTest) unresponsiveBackends() {
+	for _, r := range p.whileUnresponsive(slices.Concat(p.decode[:2], p.plain[:2]), lookup(), lookup(), bulletin(2000, 3),
 		bulletin(2000, 3)) {
 		p.checkServed(r, "silent")
 	}
@@ -166,7 +168,7 @@
 	for i := range once {
 		once[i].Deadline = 800 * time.Millisecond
 	}
-	for _, r := range p.whileSilent(slices.Concat(p.decode, p.plain), once...) {
+	for _, r := range p.whileUnresponsive(slices.Concat(p.decode, p.plain), once...) {
 		p.Check(r.Status == 0 || r.Status == http.StatusGatewayTimeout, qt.IsTrue,
 			qt.Commentf("%s: status %d", r.Path, r.Status))
 		p.Check(r.EndedAt.Sub(r.SentAt) > r.Deadline*3/4, qt.IsTrue,
@@ -174,8 +176,9 @@
 	}
 }
 
-// whileSilent sends requests at once while some backends don't answer, and returns the results in their order.
-func (p *faultPlay) whileSilent(es []*simulation.Engine, rs ...simulation.Request) (out []simulation.Result) {
+// whileUnresponsive concurrently sends requests while some backends don't answer, and returns the results in the order
+// of the requests.
+func (p *faultTest) whileUnresponsive(es []*simulation.Engine, rs ...simulation.Request) (out []simulation.Result) {
 	p.setFaults(es, simulation.Faults{Unresponsive: true})
 	var open []<-chan simulation.Result
 	for i, r := range rs {
@@ -188,8 +191,8 @@
 	return out
 }
 
-// failingPrefill: a prefill backend that fails costs a prompt its prefill there, not its answer.
-func (p *faultPlay) failingPrefill() {
+// failingPrefill: if a prefill backend fails, the prompt is served nevertheless.
+func (p *faultTest) failingPrefill() {
 	for _, fault := range []simulation.Faults{{LoseAnswer: true}, {Garble: true}, {Fail: 500}, {Refuse: true}} {
 		p.setFaults(p.prefill, fault)
 		p.checkServed(p.do(bulletin(40_000, 3)), "prefill")
@@ -197,8 +200,8 @@
 	p.setFaults(p.prefill, simulation.Faults{})
 }
 
-// surplusAnswers: a surplus answer belongs to no request that comes after it on the same connection.
-func (p *faultPlay) surplusAnswers() {
+// surplusAnswers: a surplus answer is never taken for the answer to the next request on the same connection.
+func (p *faultTest) surplusAnswers() {
 	p.setFaults(p.engines(), simulation.Faults{Extra: true})
 	for range 10 {
 		for _, r := range []simulation.Request{lookup(), report(), hazard(), bulletin(2000, 3)} {
@@ -213,9 +216,9 @@
 	p.setFaults(p.engines(), simulation.Faults{})
 }
 
-// replacedBackends: another backend at the address of one that is still listed, of the same service or of another,
-// does not run what is meant for that; upon its answer a request that may run once goes elsewhere.
-func (p *faultPlay) replacedBackends() {
+// replacedBackends: another backend at the address of a listed one, of the same service or another, doesn't run
+// requests meant for the listed one. When it rejects one, also a request that may run once is retried elsewhere.
+func (p *faultTest) replacedBackends() {
 	p.decode[0].Restart(p)
 	gone := p.plain[0]
 	gone.Crash()
@@ -233,9 +236,9 @@
 	p.plain, p.others = p.plain[1:], append(p.others, gone)
 }
 
-// fullBackends: while all backends are full by others' requests, a request is rejected with a Retry-After, and never
-// runs.
-func (p *faultPlay) fullBackends() {
+// fullBackends: while other requests occupy all slots of the backends, a request is rejected with a Retry-After and
+// never runs.
+func (p *faultTest) fullBackends() {
 	full := slices.Concat(p.decode, p.plain)
 	var held []<-chan simulation.Result
 	var releases []func()
@@ -247,7 +250,7 @@
 		if e.Settings().Phase != simulation.PhaseNone {
 			r = bulletin(100, 1)
 		}
-		r.Deadline = testTimeout // it holds its slot for as long as this takes
+		r.Deadline = testTimeout // so that it occupies its slot until release
 		for range e.Settings().Capacity {
 			held = append(held, p.doAsync(len(p.clients)-1, r))
 		}
@@ -270,9 +273,9 @@
 	}
 }
 
-// TestPhaseOrdered has one backend more make tokens than need be: the core orders it to read prompts, and all that
-// comes meanwhile is served.
-func TestPhaseOrdered(t *testing.T) {
+// TestPhaseOrder starts with one decode backend too many: the core orders it to prefill, and all requests are served
+// meanwhile.
+func TestPhaseOrder(t *testing.T) {
 	f := newFleet(t, fleetOptions{decode: 4})
 	load := f.traffic([]int{0, 1})
 	reads := func() (n int) {
@@ -283,12 +286,12 @@
 		}
 		return n
 	}
-	// An order that could not be confirmed by the backups is not given, and comes anew once its announcement has lapsed.
+	// An order that the backups could not confirm is not sent; it is decided again once its announcement has expired.
 	f.eventually(2*testTimeout, "one reads prompts instead", func() bool { return reads() == 1 })
 	load.awaitMore(16, 0, 1)
 	load.stop()
-	// More may follow where reports are late, as a backend that doesn't report counts as lost. No fencing token is ever
-	// too low.
+	// Late load reports may cause further orders, as a backend that doesn't report counts as lost. No fencing token is
+	// ever too low.
 	orders := f.orders()
 	f.Assert(len(orders) > 0, qt.IsTrue)
 	slices.SortFunc(orders, func(a, b simulation.Entry) int { return cmp.Compare(a.Seq, b.Seq) })
@@ -300,11 +303,11 @@
 	f.checkRules()
 }
 
-// TestProxyEnds sends SIGTERM to a proxy with requests under way.
-func TestProxyEnds(t *testing.T) {
+// TestProxyShutdown sends SIGTERM to a proxy with requests in flight.
+func TestProxyShutdown(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"grace_s": 3}})
 	m, cl := f.edge[0], f.clients[0]
-	f.checkServed(cl.Do(f.ctx, lookup()), "before") // its connection stays
+	f.checkServed(cl.Do(f.ctx, lookup()), "before") // its connection stays open
 	var releases []func()
 	for _, e := range slices.Concat(f.decode, f.plain) {
 		releases = append(releases, e.Hold())
@@ -328,7 +331,7 @@
 	for _, ch := range open {
 		f.checkServed(<-ch, "under way at SIGTERM")
 	}
-	// Clients come as long as they are accepted. A request that was read completely is answered.
+	// Clients connect for as long as they are accepted. A request that was read completely is answered.
 	var after atomic.Int64
 	var late sync.WaitGroup
 	for range 3 {
@@ -365,16 +368,16 @@
 	f.checkRules()
 }
 
-// TestProxyEndsAsClientsCome has clients come for as long as a proxy that got SIGTERM lets them in, each with a
-// stream that takes half a second, as the proxy has seen before: what it begins it finishes, within its grace. With a
-// long grace it begins all of them; with a short one it may send some away, of which no backend knows.
-func TestProxyEndsAsClientsCome(t *testing.T) {
+// TestProxyShutdownUnderArrivals sends streams to a proxy that got SIGTERM for as long as it accepts connections. Each
+// takes half a second, which the proxy has observed before. It completes every stream that it begins within its grace
+// period. With a long grace period it begins all; with a short one it may reject some, before they reach a backend.
+func TestProxyShutdownUnderArrivals(t *testing.T) {
 	for _, grace := range []int{3, 8} {
-		t.Run(fmt.Sprintf("grace %d s", grace), func(t *testing.T) { proxyEndsAsClientsCome(t, grace) })
+		t.Run(fmt.Sprintf("grace %d s", grace), func(t *testing.T) { proxyShutdownUnderArrivals(t, grace) })
 	}
 }
 
-func proxyEndsAsClientsCome(t *testing.T, grace int) {
+func proxyShutdownUnderArrivals(t *testing.T, grace int) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"grace_s": grace}})
 	proxy := f.edge[0].programs["proxy"]
 	half := hazard()
@@ -414,8 +417,9 @@
 	f.checkRules()
 }
 
-// TestDrain has backends of both services drained: nothing comes to them later than drain_ms after the list shows it.
-func TestDrain(t *testing.T) {
+// TestBackendDrain drains backends of both services: no request reaches them later than drain_ms after the list shows
+// them as draining.
+func TestBackendDrain(t *testing.T) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"drain_ms": 2000}})
 	load := f.traffic([]int{0, 1})
 	load.awaitMore(16, 0, 1)
@@ -443,7 +447,7 @@
 	f.checkRules()
 }
 
-// TestNodeAgentKilled takes the proxy its link: it serves on, and gets what it missed when the link is back.
+// TestNodeAgentKilled kills a node agent: its proxy keeps serving, and catches up when the agent is back.
 func TestNodeAgentKilled(t *testing.T) {
 	f := newFleet(t, fleetOptions{})
 	apply := f.bound("apply_ms", time.Millisecond)
@@ -451,7 +455,7 @@
 	for i := range f.edge {
 		f.awaitInForce(i, 2, rep.At.Add(apply))
 	}
-	load := f.traffic([]int{0, 1}, addedRouteRequest(2)) // no proxy goes back to an older version
+	load := f.traffic([]int{0, 1}, addedRouteRequest(2)) // no proxy returns to an older version
 	m := f.edge[0]
 	m.kill("node-agent")
 	rep = f.applyAddRoute(3)
@@ -467,7 +471,7 @@
 	for i := range f.edge {
 		f.awaitInForce(i, 6, rep.At.Add(apply))
 	}
-	// The list goes on as well.
+	// Updates of the backend list arrive again as well.
 	fresh := f.startPlain()
 	f.platform.Add(fresh)
 	f.eventually(testTimeout, "a new backend is sent to",
@@ -476,11 +480,11 @@
 	f.checkRules()
 }
 
-// TestUnresponsiveBackendIsDetected has a backend that decodes become unresponsive: what may run once and comes there
-// is lost to it, by each proxy for itself, until the control plane has asked it for its report and notified them all.
+// TestUnresponsiveBackendIsDetected makes a decode backend unresponsive: each proxy may lose requests that run once to
+// it, until the control plane has polled its load report in vain and notified all proxies.
 func TestUnresponsiveBackendIsDetected(t *testing.T) {
 	f := newFleet(t, fleetOptions{decode: 3})
-	// Those that make long answers are the same for all proxies while there are few.
+	// While there are few backends, all proxies use the same ones for long answers.
 	f.checkServed(f.clients[0].Do(f.ctx, hazard()), "before")
 	asked := func(e *simulation.Engine) (n int) {
 		for _, en := range e.Log.Entries() {
@@ -493,7 +497,7 @@
 	silent := f.decode[slices.IndexFunc(f.decode, func(e *simulation.Engine) bool { return asked(e) > 0 })]
 	silent.SetFaults(simulation.Faults{Unresponsive: true})
 	began := time.Now()
-	// Clients leave before their deadline, from which a proxy learns nothing about the backend.
+	// Clients leave before their deadline, which tells a proxy nothing about the backend.
 	r := hazard()
 	r.Deadline = testTimeout
 	row := 0
--- a/cmd/molepaddle-fleet/unknownkeys_test.go
+++ b/cmd/molepaddle-fleet/unknownkeys_test.go
@@ -13,7 +13,7 @@
 	"molepaddle/internal/fleet/simulation"
 )
 
-// accountBounds are the bounds of the tests of keys and quotas, over those of all fleets.
+// accountBounds returns the bnds of the tests of keys and quotas, set over those of all fleets.
 func accountBounds() map[string]any {
 	return map[string]any{
 		"contact_ms":    2000, // also the lease of a proxy's slots
@@ -25,7 +25,7 @@
 	}
 }
 
-// accountItems is accounts as the operator words them, each with the newest of its limits.
+// accountItems returns accounts as the operator sends them, each with the newest of its limits.
 func accountItems(accounts ...simulation.Account) list {
 	items := list{}
 	for _, a := range accounts {
@@ -38,8 +38,8 @@
 	return items
 }
 
-// updateAccounts has accounts changed on top of the newest configuration, and returns when that was acknowledged. What
-// the judge is to know of the change is the caller's.
+// updateAccounts changes accounts on top of the newest configuration and returns the time of the acknowledgement. The
+// caller has to inform the judge of the change.
 func (f *fleet) updateAccounts(accounts ...simulation.Account) time.Time {
 	f.Helper()
 	doc := object{"ver": f.version + 1, "upsert": object{"accounts": accountItems(accounts...)}}
@@ -50,21 +50,21 @@
 	return rep.At
 }
 
-// withKey is a lookup with an API key; none where it is empty.
+// withKey returns a lookup with an API key, or without one if key is empty.
 func withKey(key string) simulation.Request {
 	r := lookup()
 	r.Key = key
 	return r
 }
 
-// awaitStatus waits until a request is answered with a status at an edge machine, at most until the time given.
+// awaitStatus waits until an edge machine answers a request with a status, at most until a time.
 func (f *fleet) awaitStatus(edge int, r simulation.Request, status int, by time.Time) {
 	f.Helper()
 	f.eventually(max(time.Until(by), time.Millisecond), fmt.Sprintf("status %d for the key %q", status, r.Key),
 		func() bool { return f.clients[edge].Do(f.ctx, r).Status == status })
 }
 
-// arrivalsOf are the entries of an attempt at backends.
+// arrivalsOf returns the log entries of an attempt at backends.
 func (f *fleet) arrivalsOf(attempt string) (out []simulation.Entry) {
 	for _, e := range f.engines() {
 		for _, en := range e.Log.Entries() {
@@ -88,9 +88,9 @@
 	})
 }
 
-// TestUnknownKeysNeverRun sends requests of all kinds with keys that no configuration ever held, without one, and with
-// one written in other ways: none of them runs, each is answered 401, and with a key that is known they are served. So
-// it is with a proxy that has just come, and has no configuration at first.
+// TestUnknownKeysNeverRun sends requests of all kinds with keys that no configuration ever had, without a key, and with
+// a malformed one: none of them runs, and each is answered 401. With a known key they are served. The same holds at a
+// proxy that has just started and has no configuration at first.
 func TestUnknownKeysNeverRun(t *testing.T) {
 	f := keyedFleet(t)
 	f.checkKeysAtEdges("key-a", "airline")
@@ -98,7 +98,7 @@
 
 	m := f.edge[0]
 	m.kill("proxy")
-	stop := f.unknownKeys(0)
+	stop := f.sendUnknownKeys(0)
 	m.start("proxy")
 	f.awaitReady(m)
 	f.awaitStatus(0, withKey("key-a"), http.StatusOK, time.Now().Add(testTimeout))
@@ -115,8 +115,8 @@
 	f.checkRules()
 }
 
-// TestKeysChange gives accounts keys and takes others away: those that come are served, those that go are answered 401,
-// at the latest after the bound.
+// TestKeysChange adds and revokes keys: added ones are served and revoked ones answered 401, at the latest after the
+// bound.
 func TestKeysChange(t *testing.T) {
 	f := keyedFleet(t)
 	f.accounts[0].Keys = append(f.accounts[0].Keys, "key-b")
@@ -133,7 +133,7 @@
 	f.checkRules()
 }
 
-// checkKeysAtEdges sends requests of all kinds with a key that is known and with such as aren't, to both proxies.
+// checkKeysAtEdges sends requests of all kinds with a known key and with unknown ones to both proxies.
 func (f *fleet) checkKeysAtEdges(key, tenant string) {
 	f.Helper()
 	for i, cl := range f.clients {
@@ -148,13 +148,13 @@
 			r.Header = http.Header{simulation.HeaderTenant: {"another"}}
 			res := cl.Do(f.ctx, r)
 			f.checkServed(res, "with its key")
-			f.checkToldTenant(res, tenant)
+			f.checkTenantHeader(res, tenant)
 		}
 	}
 }
 
-// checkToldTenant asserts that backends were told a tenant, and not the key; none where it is empty.
-func (f *fleet) checkToldTenant(res simulation.Result, tenant string) {
+// checkTenantHeader asserts that backends received the name of a tenant, or none if it is empty, and never the key.
+func (f *fleet) checkTenantHeader(res simulation.Result, tenant string) {
 	f.Helper()
 	arrivals := f.arrivalsOf(res.Attempt)
 	f.Check(len(arrivals) > 0, qt.IsTrue)
@@ -169,8 +169,8 @@
 	}
 }
 
-// checkPublicRoute sends requests on the public route with a key, an unknown one and none: all run, for the tenant of
-// the key if it has one.
+// checkPublicRoute sends requests on the public route with a known key, an unknown one and none: all run, for the
+// tenant of the key if there is one.
 func (f *fleet) checkPublicRoute(key, tenant string) {
 	f.Helper()
 	for i, cl := range f.clients {
@@ -180,14 +180,14 @@
 			r.Header = http.Header{simulation.HeaderTenant: {"another"}}
 			res := cl.Do(f.ctx, r)
 			f.checkServed(res, fmt.Sprintf("edge %d, public, key %q", i+1, sent))
-			f.checkToldTenant(res, told)
+			f.checkTenantHeader(res, told)
 		}
 	}
 }
 
-// unknownKeys sends requests with a key that no configuration held to an edge machine, one after the other, until the
-// function that it returns is called.
-func (f *fleet) unknownKeys(edge int) (stop func()) {
+// sendUnknownKeys sends requests with a key that no configuration had to an edge machine, one after the other, until
+// the returned function is called.
+func (f *fleet) sendUnknownKeys(edge int) (stop func()) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.Cleanup(cancel)
 	done := make(chan struct{})
