--- a/cmd/molepaddle-fleet/upgrade_test.go
+++ b/cmd/molepaddle-fleet/upgrade_test.go
@@ -26,26 +26,26 @@
 	"path of molepaddle-fleet of an older build, from which and back to which TestRollingUpgrade replaces servers; "+
 		"without it this build is restarted")
 
-// TestRollingUpgrade replaces the control servers of an older build by those of this build, one at a time, and then
-// back, while changes are proposed and clients send requests. Node agents and proxies are of the older build in one
-// play, and of this build in another. .ci/upgrade builds the older program.
+// TestRollingUpgrade upgrades the control servers from an older build to this one, one at a time, and back again, while
+// changes are proposed and clients send requests. Node agents and proxies run the older build in one case, and this
+// build in the other. .ci/upgrade builds the older program.
 func TestRollingUpgrade(t *testing.T) {
 	if *upgradeOld == "" {
-		t.Run("restarts", func(t *testing.T) { playUpgrade(t, "", "") })
+		t.Run("restarts", func(t *testing.T) { runUpgrade(t, "", "") })
 		return
 	}
-	t.Run("agents of the older build", func(t *testing.T) { playUpgrade(t, *upgradeOld, *upgradeOld) })
-	t.Run("agents of this build", func(t *testing.T) { playUpgrade(t, *upgradeOld, "") })
+	t.Run("agents of the older build", func(t *testing.T) { runUpgrade(t, *upgradeOld, *upgradeOld) })
+	t.Run("agents of this build", func(t *testing.T) { runUpgrade(t, *upgradeOld, "") })
 }
 
-// playUpgrade plays one upgrade and the way back; an empty path stands for this build.
-func playUpgrade(t *testing.T, old, edge string) {
+// runUpgrade runs one upgrade and the downgrade; an empty path means this build.
+func runUpgrade(t *testing.T, old, edge string) {
 	f := newFleet(t, fleetOptions{bounds: map[string]any{"sync_s": 1}, coreBinary: old, edgeBinary: edge})
 	load := f.traffic([]int{0, 1})
 	changes := f.proposeChanges()
 	u := &upgrade{fleet: f, changes: changes, newer: map[*machine]bool{}, pairs: map[buildPair]bool{}}
-	// A primary of the one build must have led a backup of the other. The primary is replaced last, so that it leads
-	// servers of the other build alone before; on a busy machine it may lose its role to one of them, and the play is
+	// Each build must have been the primary of a backup of the other. The primary is replaced last, so that by then all
+	// its backups are of the other build. On a busy machine it may lose its role to one of them; then the upgrade is
 	// repeated.
 	const rounds = 3
 	mixed := func() bool { return u.pairs[buildPair{primary: true}] && u.pairs[buildPair{backup: true}] }
@@ -63,13 +63,13 @@
 	f.Check(mixed(), qt.IsTrue, qt.Commentf("no primary of each build led a backup of the other: %+v", u.pairs))
 
 	changes.stop()
-	f.converged()
+	f.awaitConvergence()
 	version, routes, _ := f.showConfig(f.operator)
 	f.Check(version, qt.Equals, f.version)
 	for _, m := range f.core {
 		version, _, _ := f.showConfig(&simulation.Operator{Ctl: []string{m.boot.Ctl}})
 		f.Check(version, qt.Equals, f.version, qt.Commentf("asked at %s", m.settings.Node))
-		s, err := f.local(m)
+		s, err := f.localStatus(m)
 		f.Assert(err, qt.IsNil, qt.Commentf("%s", m.settings.Node))
 		if holdsRecord(s) {
 			f.Check(s.Configuration.Version, qt.Equals, int64(f.version), qt.Commentf("held by %s", m.settings.Node))
@@ -78,7 +78,7 @@
 	for _, v := range changes.acknowledged {
 		f.Check(slices.Contains(routes, addedRouteName(v)), qt.IsTrue, qt.Commentf("the acknowledged version %d is lost", v))
 	}
-	f.takenUp(f.version)
+	f.awaitRollout(f.version)
 	load.awaitMore(8, 0, 1)
 	load.stop()
 	f.checkRules()
@@ -86,18 +86,18 @@
 		len(changes.acknowledged), changes.retried, changes.repeated, changes.reads.Load(), changes.longest)
 }
 
-// upgrade is one play.
+// upgrade is the state of one upgrade test.
 type upgrade struct {
 	*fleet
 	changes *changeLoad
-	newer   map[*machine]bool  // runs the new build
-	pairs   map[buildPair]bool // that were seen at work
+	newer   map[*machine]bool  // true for machines that run the new build
+	pairs   map[buildPair]bool // pairs that were observed while changes were acknowledged
 }
 
-// buildPair tells of a primary and its backup whether they run the new build.
+// buildPair records whether a primary and its backup run the new build.
 type buildPair struct{ primary, backup bool }
 
-// primaryLast lists the core machines, the primary last.
+// primaryLast returns the core machines, the primary last.
 func (f *fleet) primaryLast() []*machine {
 	f.Helper()
 	primary := f.primary()
@@ -105,8 +105,9 @@
 	return append(all, primary)
 }
 
-// replace ends a control server with SIGTERM and starts another build on its data folder. It returns once all
-// servers have the newest version again, changes go on in one view, and the proxies have a version of that time.
+// replace ends a control server with SIGTERM and starts another build on its data folder. It returns once all servers
+// have the newest version again, changes are acknowledged in a stable view, and the proxies have a version of that
+// time.
 func (u *upgrade) replace(m *machine, binary string, newer bool) {
 	f := u.fleet
 	f.Helper()
@@ -124,24 +125,24 @@
 	m.start("control-plane")
 	// A server counts as lost until sync_s after its return.
 	f.eventually(testTimeout, "sync_s over", func() bool { return time.Since(ended) > f.bound("sync_s", time.Second) })
-	f.converged()
-	u.calm()
-	f.takenUp(u.changes.newest.Load())
+	f.awaitConvergence()
+	u.awaitStableView()
+	f.awaitRollout(u.changes.newest.Load())
 	_, err = os.Stat(filepath.Join(m.settings.DataDir, "control.db.broken"))
 	f.Check(os.IsNotExist(err), qt.IsTrue, qt.Commentf("%s set the state of the other build aside", m.settings.Node))
-	f.Logf("%s was replaced: ended after %v, calm again after %v",
+	f.Logf("%s was replaced: ended after %v, stable view again after %v",
 		m.settings.Node, ended.Sub(began), time.Since(began))
 }
 
-// converged waits until all control servers, by what each knows itself, are in one view with all members, and those
-// that hold the record, the primary and its backups, have a version that is not older than the newest at the call.
-func (f *fleet) converged() {
+// awaitConvergence waits until all control servers, by their local status, are in one view with all members, and the
+// primary and its backups, which store the replicated log, have a version at least as new as the newest at the call.
+func (f *fleet) awaitConvergence() {
 	f.Helper()
 	newest, _, _ := f.showConfig(&simulation.Operator{Ctl: f.operator.Ctl})
 	f.eventually(testTimeout, "all control servers in one view, at the newest version", func() bool {
 		var view status.View
 		for _, m := range f.core {
-			s, err := f.local(m)
+			s, err := f.localStatus(m)
 			if err != nil || !s.View.Ready || len(s.View.Members) != len(f.core) ||
 				holdsRecord(s) && s.Configuration.Version < int64(newest) {
 				return false
@@ -157,16 +158,16 @@
 	})
 }
 
-// calm waits until some changes in a row were acknowledged in one view, and notes the builds of its primary and backup.
-// Where a backup doesn't understand its primary, the servers form new views until both are of one build: nothing is
-// lost, but the builds don't work together.
-func (u *upgrade) calm() {
+// awaitStableView waits until some consecutive changes were acknowledged in one view, and records the builds of its
+// primary and backup. If a backup can't decode its primary's messages, the servers form new views until both are of one
+// build: nothing is lost, but the builds are not compatible.
+func (u *upgrade) awaitStableView() {
 	f := u.fleet
 	f.Helper()
 	const inOneView = 10
 	var epoch, from uint64
 	f.eventually(testTimeout, "changes go on in one view", func() bool {
-		s, err := f.local(f.core[0])
+		s, err := f.localStatus(f.core[0])
 		newest := u.changes.newest.Load()
 		if err != nil || !s.View.Ready || s.View.Epoch != epoch {
 			if epoch, from = 0, newest; err == nil {
@@ -194,8 +195,8 @@
 	})
 }
 
-// takenUp waits until both proxies have a version in force.
-func (f *fleet) takenUp(version uint64) {
+// awaitRollout waits until a version is in force at both proxies.
+func (f *fleet) awaitRollout(version uint64) {
 	f.Helper()
 	within := f.bound("apply_ms", time.Millisecond) + f.bound("skew_ms", time.Millisecond)
 	for i := range f.edge {
@@ -203,15 +204,15 @@
 	}
 }
 
-// holdsRecord tells whether the control server that gave a status holds the record: a witness doesn't.
+// holdsRecord reports whether the control server that returned a status stores the replicated log; a witness doesn't.
 func holdsRecord(s *status.Fleet) bool {
 	return slices.ContainsFunc(s.View.Members, func(m status.Member) bool {
 		return m.Self && m.Role != replication.Witness.String()
 	})
 }
 
-// local is the status of a control server by what it knows itself.
-func (f *fleet) local(m *machine) (*status.Fleet, error) {
+// localStatus returns the status of a control server from its own state.
+func (f *fleet) localStatus(m *machine) (*status.Fleet, error) {
 	client := operatorclient.Client{Endpoints: []string{m.boot.Ctl}, CallTimeout: time.Second}
 	s, _, err := client.Status(f.ctx, true)
 	return s, err
@@ -225,9 +226,9 @@
 	newest  atomic.Uint64 // acknowledged
 	reads   atomic.Int64
 
-	// Of the goroutine that proposes, and of others once it has ended.
+	// Owned by the goroutine that proposes, and readable by others once it has ended.
 	acknowledged []uint64
-	retried      int // acknowledged after more than one try
+	retried      int // changes acknowledged after more than one attempt
 	repeated     int // acknowledged changes that were sent again
 	longest      time.Duration
 }
@@ -235,13 +236,14 @@
 const (
 	// changePause is the time between two changes.
 	changePause = 20 * time.Millisecond
-	// changePadding is the size of a change in bytes: some tens of them exceed what a server keeps beside a snapshot.
+	// changePadding is the size of a change in bytes: some tens of changes exceed the log that a server keeps after a
+	// snapshot.
 	changePadding = 24 << 10
-	// repeatEvery is how many changes come before an earlier one is sent again.
+	// repeatEvery is the number of changes after which an earlier one is sent again.
 	repeatEvery = 4
 )
 
-// proposeChanges starts to propose changes on top of the newest version, until stop is called.
+// proposeChanges proposes changes on top of the newest version until stop is called.
 func (f *fleet) proposeChanges() *changeLoad {
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.Cleanup(cancel)
@@ -252,7 +254,7 @@
 	return l
 }
 
-// paddedChange is a change that brings the route of a version, and replaces one that is large.
+// paddedChange returns an update that adds the route of a version and replaces a large one.
 func paddedChange(version uint64) object {
 	change := addRoute(version)
 	upsert := change["upsert"].(object)
@@ -262,9 +264,9 @@
 	return change
 }
 
-// propose has each change acknowledged before the next. Answers that mean 'ask again' are followed by the same call;
-// any other answer than an acknowledgement fails the test. Now and then an earlier change is sent again: it must be
-// recognised, also by a build that did not take it.
+// propose submits changes, each after the acknowledgement of the one before. Retryable answers lead to a retry; any
+// other answer than an acknowledgement fails the test. Every repeatEvery changes an earlier one is sent again: it must
+// be recognized as a duplicate, also by a build that did not accept it itself.
 func (l *changeLoad) propose(ctx context.Context) {
 	operator := &simulation.Operator{Ctl: l.f.operator.Ctl}
 	send := func(v uint64) bool {
@@ -289,7 +291,7 @@
 		l.acknowledged = append(l.acknowledged, v)
 		l.newest.Store(v)
 		if v%repeatEvery == 0 {
-			// Early and late ones in turn: some came to the servers by a snapshot of the other build.
+			// Both early and late changes are sent again: servers received some in a snapshot of the other build.
 			l.repeated++
 			if !send(l.acknowledged[l.repeated*17%len(l.acknowledged)]) {
 				return
@@ -302,7 +304,7 @@
 	}
 }
 
-// read asks for the configuration over and over: it is never older than what was acknowledged or shown before.
+// read reads the configuration repeatedly and asserts that it is never older than one acknowledged or shown before.
 func (l *changeLoad) read(ctx context.Context) {
 	ctls := l.f.operator.Ctl
 	var last uint64
@@ -325,7 +327,7 @@
 	}
 }
 
-// stop waits until the change under way has ended.
+// stop ends the load and waits for the change in flight.
 func (l *changeLoad) stop() {
 	l.end()
 	l.running.Wait()
--- a/cmd/molepaddle-fleet/wire_test.go
+++ b/cmd/molepaddle-fleet/wire_test.go
@@ -11,8 +11,8 @@
 	"molepaddle/internal/goldenbytes"
 )
 
-// TestWireBytes holds what the commands print with --json: check, diff, residency, propose and update, which print what
-// was sent, and status and watch, which print the status. Scripts of operators read it.
+// TestWireBytes pins the --json output of check, diff, residency, propose and update, and of status and watch.
+// Operators' scripts parse it.
 func TestWireBytes(t *testing.T) {
 	for name, value := range map[string]any{
 		"check":     new([]fileReport),
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestWireNamesOfKinds holds the kinds of files that check prints.
+// TestWireNamesOfKinds pins the names of the kinds of files that check prints.
 func TestWireNamesOfKinds(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]string{kindSettings, kindConfiguration, kindUpdate}, qt.DeepEquals,
--- a/internal/fleet/scaletest/operator.go
+++ b/internal/fleet/scaletest/operator.go
@@ -23,7 +23,8 @@
 	changes   uint64 // acknowledged so far
 }
 
-// again is the pause between two tries, callWithin bounds one (PROTOCOL: a second of silence).
+// retryPause is the pause after each round of attempts; callTimeout bounds one attempt (PROTOCOL allows a second
+// without an answer).
 const (
 	retryPause  = 20 * time.Millisecond
 	callTimeout = time.Second
