--- a/cmd/molepaddle-fleet/fleet_test.go
+++ b/cmd/molepaddle-fleet/fleet_test.go
@@ -179,7 +179,7 @@
 	rep := f.replaceConfig(f.ctx, f.configuration(1))
 	for _, m := range f.edge {
 		f.awaitReady(m)
-		f.clients = append(f.clients, &simulation.Client{Edge: m.boot.Edge, Keep: true})
+		f.clients = append(f.clients, &simulation.Client{Edge: m.boot.Edge, KeepAlive: true})
 	}
 	c.Logf("first configuration taken after %v, at the try %d; proxies ready after %v", rep.At.Sub(began), rep.Attempts,
 		time.Since(began))
--- a/cmd/molepaddle-fleet/planned_schedule_test.go
+++ b/cmd/molepaddle-fleet/planned_schedule_test.go
@@ -132,7 +132,7 @@
 	var all sync.WaitGroup
 	for _, m := range r.edge {
 		for k := range plannedClients {
-			client := &simulation.Client{Edge: m.boot.Edge, Keep: k > 0}
+			client := &simulation.Client{Edge: m.boot.Edge, KeepAlive: k > 0}
 			r.clients = append(r.clients, client)
 			all.Go(func() {
 				for n := k; ctx.Err() == nil; n++ {
--- a/cmd/molepaddle-fleet/schedule_run_test.go
+++ b/cmd/molepaddle-fleet/schedule_run_test.go
@@ -329,7 +329,7 @@
 	s.Role = "proxy"
 	boot := simulation.Boot(run, s)
 	run.exec(boot, "proxy")
-	e.client, e.readyz = &simulation.Client{Edge: boot.Edge, Keep: true}, boot.Readyz
+	e.client, e.readyz = &simulation.Client{Edge: boot.Edge, KeepAlive: true}, boot.Readyz
 	return e
 }
 
@@ -354,7 +354,7 @@
 	return all
 }
 
-// eventually waits waitUntil ok holds; false: not within d.
+// waitUntil waits until ok returns true; it reports false if it does not within d.
 func (run *scheduleRun) waitUntil(d time.Duration, ok func() bool) bool {
 	ctx, cancel := context.WithTimeout(run.ctx, d)
 	defer cancel()
--- a/cmd/molepaddle-fleet/traffic_test.go
+++ b/cmd/molepaddle-fleet/traffic_test.go
@@ -335,7 +335,7 @@
 	var after atomic.Int64
 	var late sync.WaitGroup
 	for range 3 {
-		cl := &simulation.Client{Edge: m.boot.Edge, Keep: true}
+		cl := &simulation.Client{Edge: m.boot.Edge, KeepAlive: true}
 		f.clients = append(f.clients, cl)
 		late.Go(func() {
 			for r := cl.Do(f.ctx, lookup()); r.OK(); r = cl.Do(f.ctx, lookup()) {
@@ -388,7 +388,7 @@
 	term := time.Now()
 	var come sync.WaitGroup
 	for range 3 {
-		cl := &simulation.Client{Edge: f.edge[0].boot.Edge, Keep: true}
+		cl := &simulation.Client{Edge: f.edge[0].boot.Edge, KeepAlive: true}
 		f.clients = append(f.clients, cl)
 		come.Go(func() {
 			for ok := true; ok; {
--- a/internal/fleet/simulation/admission.go
+++ b/internal/fleet/simulation/admission.go
@@ -8,7 +8,7 @@
 // waiter is a request in the admission queue.
 type waiter struct {
 	priority   int         // 0 is the most urgent
-	tryReserve func() bool // reserves what it needs beside a slot, under incarnation.mu, and reports whether it could
+	tryReserve func() bool // reserves the resources needed beside a slot, under incarnation.mu; reports success
 	granted    chan bool   // receives the outcome once; buffered, so that the sender never blocks
 }
 
--- a/internal/fleet/simulation/boot.go
+++ b/internal/fleet/simulation/boot.go
@@ -16,8 +16,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Ports are the ports of one process: Edge, Readyz and Ctl for its listeners, First to Last (both included) for its own
-// use as port_range.
+// Ports are the ports of one process: Edge, Readyz and Ctl for its listeners, First to Last (inclusive) as port_range.
 type Ports struct {
 	Edge   int
 	Readyz int
@@ -33,11 +32,11 @@
 	highestPort = 32_768
 )
 
-// listenerPorts is the number of ports beside port_range: Edge, Readyz and Ctl.
+// listenerPorts is the number of ports outside port_range: Edge, Readyz and Ctl.
 const listenerPorts = 3
 
-// portDraws is the number of ranges that ChoosePorts tries before it fails the test.
-const portDraws = 1000
+// maxPortAttempts is the number of ranges that ChoosePorts tries before it fails the test.
+const maxPortAttempts = 1000
 
 // assignedPorts are the port ranges [from, to) that this process has assigned.
 var assignedPorts struct {
@@ -49,8 +48,8 @@
 // port_range. No call of this process returns a port twice; another process may take one before it is used. It fails
 // the test when it finds none. It is safe for concurrent use.
 //
-// Machines of one test share the machine's ports when they all are 127.0.0.1: give each its own Ports, or each its own
-// address of 127.0.0.0/8, on which Linux listens without any setup.
+// Simulated machines that all use 127.0.0.1 share its ports: give each its own Ports, or its own address of
+// 127.0.0.0/8, on which Linux listens without any setup.
 func ChoosePorts(tb TB, n int, ips ...string) Ports {
 	tb.Helper()
 	if len(ips) == 0 {
@@ -59,7 +58,7 @@
 	count := n + listenerPorts
 	assignedPorts.Lock()
 	defer assignedPorts.Unlock()
-	for range portDraws {
+	for range maxPortAttempts {
 		from := lowestPort + rand.IntN(highestPort-lowestPort-count)
 		overlaps := func(r [2]int) bool { return from < r[1] && r[0] < from+count }
 		if slices.ContainsFunc(assignedPorts.ranges, overlaps) || !portsFree(ips, from, from+count) {
@@ -98,7 +97,7 @@
 	Node      string            // nodename; made of Tier, Zone and random digits when empty
 	Role      string            // "molepaddle-fleet" when empty
 	Tier      string            // "edge" or "core"; "edge" when empty
-	Roles     []string          // what it serves; ["edge"] or ["ctl"], by Tier, when nil; none when empty
+	Roles     []string          // served roles; ["edge"] or ["ctl"], by Tier, when nil; none when empty
 	IP        string            // 127.0.0.1 when empty
 	Zone      string            // az
 	Region    string            // rgn
@@ -118,7 +117,7 @@
 	Extra     string            // further TOML keys, written before all tables
 }
 
-// BootFile is a settings file that was written.
+// BootFile is a settings file written by Boot.
 type BootFile struct {
 	Path    string
 	DataDir string // "" when there is none
@@ -164,7 +163,7 @@
 	return out
 }
 
-// setDefaults fills in the zero fields, but for DataDir.
+// setDefaults fills in the zero fields except DataDir.
 func (s *BootSettings) setDefaults(tb TB) {
 	tb.Helper()
 	s.Tier = cmp.Or(s.Tier, "edge")
@@ -193,7 +192,7 @@
 	}
 }
 
-// at returns the address of one of its ports.
+// at returns the address of one of the process's ports.
 func (s *BootSettings) at(port int) string {
 	return net.JoinHostPort(s.IP, strconv.Itoa(port))
 }
--- a/internal/fleet/simulation/boot_test.go
+++ b/internal/fleet/simulation/boot_test.go
@@ -48,7 +48,7 @@
 	return doc, err
 }
 
-// TestMain is a program when it is started with a settings file: ready at readyz until SIGTERM.
+// TestMain acts as a program when a settings file is set: it serves readyz until SIGTERM.
 func TestMain(m *testing.M) {
 	path, ok := os.LookupEnv("MOLEPADDLE_CONFIG")
 	if !ok {
@@ -99,7 +99,7 @@
 	c.Assert([]string{noRoles.Edge, noRoles.Readyz, noRoles.Ctl}, qt.DeepEquals, []string{"", "", ""})
 }
 
-func TestPortsDoNotMeet(t *testing.T) {
+func TestChosenPortsAreDisjoint(t *testing.T) {
 	c := qt.New(t)
 	seen := map[int]bool{}
 	for range 20 {
--- a/internal/fleet/simulation/client.go
+++ b/internal/fleet/simulation/client.go
@@ -20,8 +20,8 @@
 // Client sends requests to one edge address over plain connections and records a Result of each. It does not retry. It
 // is safe for concurrent use.
 type Client struct {
-	Edge string // IP:PORT
-	Keep bool   // reuse connections for further requests
+	Edge      string // IP:PORT
+	KeepAlive bool   // reuse connections for further requests
 
 	mu      sync.Mutex
 	idle    []*clientConn
@@ -32,20 +32,20 @@
 type clientConn struct {
 	net.Conn
 	br         *bufio.Reader
-	lastResult *Result // of the request before
+	lastResult *Result // Result of the previous request
 }
 
 const (
 	// defaultDeadline bounds a request that has no deadline.
 	defaultDeadline = 10 * time.Second
-	// trailingBytesWait is how long Client waits for bytes after an answer on a closing connection: long enough for
-	// those that follow it at once over loopback.
+	// trailingBytesWait is the wait for bytes after an answer on a closing connection: long enough for bytes that
+	// follow the answer immediately over loopback.
 	trailingBytesWait = 200 * time.Millisecond
-	// idleBytesWait is as trailingBytesWait, for a kept connection that Close closes.
+	// idleBytesWait is the same wait for an idle connection that Close closes.
 	idleBytesWait = 10 * time.Millisecond
 	// clientDialTimeout bounds the connect to the edge.
 	clientDialTimeout = time.Second
-	// requestChunk is the most bytes of a chunk of a request's body.
+	// requestChunk is the maximum size in bytes of a chunk of a request's body.
 	requestChunk = 512
 )
 
@@ -68,7 +68,7 @@
 	}
 	res.Err = c.exchange(ctx, res)
 	res.EndedAt = time.Now()
-	res.Left = res.Err != nil && errors.Is(ctx.Err(), context.Canceled)
+	res.Abandoned = res.Err != nil && errors.Is(ctx.Err(), context.Canceled)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.results = append(c.results, res)
@@ -167,7 +167,7 @@
 }
 
 // exchange sends res.Request over a connection and fills in the answer. The connection is kept for another request only
-// when nothing is left on it; whatever else happens, it is closed.
+// if no bytes are left on it; otherwise it is closed.
 func (c *Client) exchange(ctx context.Context, res *Result) error {
 	limit := res.Deadline
 	if limit <= 0 {
@@ -177,7 +177,7 @@
 	defer cancel()
 	k, reused, err := c.acquireConn(ctx)
 	if err != nil {
-		res.Unread = true
+		res.NotSent = true
 		return err
 	}
 	res.Reused = reused
@@ -197,8 +197,8 @@
 	if k.br.Buffered() > 0 {
 		res.Extra = true
 	}
-	// A peer may answer before it has read the body: a failed write is returned only when no answer can be read.
-	_, sendErr := k.Write(formatRequest(res.Request, c.Keep))
+	// A peer may answer before it has read the body, so a write error is returned only if no answer can be read.
+	_, sendErr := k.Write(formatRequest(res.Request, c.KeepAlive))
 	resp, err := readResponseHead(k.br, res.Method)
 	if err != nil {
 		res.Malformed = isMalformed(err)
@@ -211,7 +211,7 @@
 	if err := res.readBody(resp); err != nil {
 		return err
 	}
-	reusable = k.checkTrailingBytes(res) && c.Keep
+	reusable = k.checkTrailingBytes(res) && c.KeepAlive
 	return nil
 }
 
@@ -260,7 +260,7 @@
 		r.Malformed = r.Malformed || isMalformed(err)
 		return errors.Wrap(err, "read body")
 	}
-	// An answer that has no length and no chunks ends with its connection, and looks complete wherever it was cut.
+	// An answer without length and chunks ends with its connection, and looks complete wherever it was cut.
 	r.Complete = true
 	return nil
 }
@@ -278,15 +278,15 @@
 	}
 }
 
-// isMalformed reports whether err is about the bytes that came, and not a time-out or their end.
+// isMalformed reports whether err is about the content of the received bytes, not a time-out or the end of the input.
 func isMalformed(err error) bool {
 	var ne net.Error
 	return !errors.As(err, &ne) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) &&
 		!errors.Is(err, net.ErrClosed)
 }
 
-// readEvents reads a stream of events: lines "versions: N", "id: N" and "data: SEAL TOKENS", and an empty line. What is
-// not of this form makes res.Malformed true. It returns nil at an end between two events.
+// readEvents reads a stream of events: lines "versions: N", "id: N" and "data: SEAL TOKENS", and an empty line. Other
+// input sets res.Malformed. It returns nil if the input ends between two events.
 func readEvents(r io.Reader, res *Result) error {
 	br := bufio.NewReader(r)
 	var ev Event
@@ -320,7 +320,7 @@
 	}
 }
 
-// parseLine adds one line of an event, and reports whether it could be read.
+// parseLine adds one line of an event, and reports whether it is well-formed.
 func (ev *Event) parseLine(line string) bool {
 	name, value, ok := strings.Cut(line, ": ")
 	if !ok {
--- a/internal/fleet/simulation/doc.go
+++ b/internal/fleet/simulation/doc.go
@@ -1,16 +1,18 @@
-// Package simulation has the stand-ins for whole-program tests over loopback: Engine (a backend), Platform (the list of
-// backends), Operator and Client, a Judge of what they recorded, Boot, which writes settings files, and Exec, which
-// starts programs. RelayNetwork and Network are links between machines that can be cut. Tests and `molepaddle-fleet
-// demo` use it; nothing that serves clients does. It follows the statements of PROTOCOL.md, RULES.md and DEPLOY.md, and
-// uses no code of the programs under test but for socket options, so that a fault of theirs isn't repeated here.
+// Package simulation provides fake servers and clients for tests of complete programs over loopback: Engine (a
+// backend), Platform (which lists the backends), Operator and Client. Judge checks what they recorded against the
+// rules, Boot writes settings files, and Exec starts programs. RelayNetwork and Network connect machines through links
+// that can be cut. Only tests and `molepaddle-fleet demo` use the package; no program that serves clients does. It
+// implements PROTOCOL.md, RULES.md and DEPLOY.md independently: it shares no code with the programs under test except
+// socket options, so that it doesn't repeat their bugs.
 //
-// The stand-ins can be called from any goroutine, and end with the test that started them.
+// The fake servers and clients can be called from any goroutine. They are stopped at the end of the test that started
+// them.
 //
-// Nothing here sleeps to let something happen: tests wait for events (Log.Wait, Engine.Hold, AwaitReady). The times
-// that a stand-in takes itself (steps, transfers, delays) are zero unless set.
+// Nothing here sleeps to wait for an effect: tests wait for events (Log.Wait, Engine.Hold, AwaitReady). The durations
+// that the fake servers simulate (steps, transfers, delays) are zero unless set.
 package simulation
 
-// The names of headers, as in PROTOCOL.md.
+// Header names of PROTOCOL.md.
 const (
 	HeaderAttempt       = "X-Molepaddle-Attempt-Id"
 	HeaderDeadline      = "X-Molepaddle-Deadline-Ms"
@@ -34,7 +36,7 @@
 	HeaderAuthorization = "Authorization"
 )
 
-// The paths of the backends' and the system's own interfaces, as in PROTOCOL.md.
+// Paths of the interfaces of the backends and of the system in PROTOCOL.md.
 const (
 	PathReport  = "/molepaddle/report"
 	PathOrder   = "/molepaddle/order"
--- a/internal/fleet/simulation/engine.go
+++ b/internal/fleet/simulation/engine.go
@@ -14,13 +14,13 @@
 // enginesByAddress holds the Engines of this process (string to *Engine): transfers find their source there.
 var enginesByAddress sync.Map
 
-// Engine is a backend on loopback, speaking HTTP/1.1 as PROTOCOL.md says. Its Log can be judged. It is safe for
-// concurrent use.
+// Engine is a fake backend on loopback that implements the HTTP/1.1 interface of PROTOCOL.md. A Judge can check its
+// Log. It is safe for concurrent use.
 //
-// What it leaves out: requests are not preempted (a request reserves its memory, all tokens to come included, before it
-// begins), reports are not late, and the tokens of one request don't slow down those of others.
+// It doesn't simulate preemption (a request reserves its memory, with that of all output tokens, before it begins),
+// late load reports, or requests that slow each other down.
 type Engine struct {
-	Log Log // what arrived, and which parts of prompts were cached
+	Log Log // arrivals, and the cached parts of prompts
 
 	s      EngineSettings // with the defaults; not changed after StartEngine
 	faults atomic.Pointer[Faults]
@@ -32,7 +32,7 @@
 	changeHooks []func()
 }
 
-// incarnation is what a backend forgets when it restarts. ctx ends with it.
+// incarnation is the state of a backend that is lost at a restart. ctx ends with it.
 type incarnation struct {
 	e      *Engine
 	id     string
@@ -46,7 +46,7 @@
 	mem            *memory
 	handles        map[string]*handle
 	orders         orderState
-	orderFinishing bool // an order's phase change is under way
+	orderFinishing bool // the phase change of an order is in progress
 	models         []Model
 
 	link       sync.Mutex // locked before mu, also before that of the incarnation at a transfer's other end
@@ -151,19 +151,19 @@
 	return e.current
 }
 
-// ID returns the id of the current incarnation.
+// ID returns the id of the current incarnation of the backend.
 func (e *Engine) ID() string { return e.incarnation().id }
 
-// Address returns the IP:PORT at which it listens.
+// Address returns the IP:PORT at which the Engine listens.
 func (e *Engine) Address() string { return e.s.Address }
 
-// Settings returns its settings with the defaults; ID and Phase are those of its start.
+// Settings returns the Engine's settings with the defaults filled in; ID and Phase are the initial ones.
 func (e *Engine) Settings() EngineSettings { return e.s }
 
-// SetFaults changes its faults for the requests and connections that begin from now on.
+// SetFaults changes the faults for the requests and connections that begin from now on.
 func (e *Engine) SetFaults(f Faults) { e.faults.Store(&f) }
 
-// Faults returns its faults.
+// Faults returns the current faults.
 func (e *Engine) Faults() Faults { return *e.faults.Load() }
 
 // Hold stops the work on requests before the next step until release is called. Requests still get slots and memory.
@@ -228,7 +228,7 @@
 	e.notifyChange()
 }
 
-// Phase returns its current phase.
+// Phase returns the Engine's current phase.
 func (e *Engine) Phase() Phase {
 	ic := e.incarnation()
 	ic.mu.Lock()
@@ -236,7 +236,7 @@
 	return ic.orders.phase
 }
 
-// Models returns its models at their current versions.
+// Models returns the Engine's models at their current versions.
 func (e *Engine) Models() []Model {
 	ic := e.incarnation()
 	ic.mu.Lock()
@@ -244,7 +244,7 @@
 	return slices.Clone(ic.models)
 }
 
-// Load returns how many requests are running and how many are queued.
+// Load returns the number of running requests and the number of queued ones.
 func (e *Engine) Load() (running, waiting int) {
 	ic := e.incarnation()
 	ic.mu.Lock()
--- a/internal/fleet/simulation/engine_admit.go
+++ b/internal/fleet/simulation/engine_admit.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// tokenCount returns the tokens of the prompt, at least those of its parts, and the most tokens to come out, from
-// X-Molepaddle-Token-Count.
+// tokenCount returns the number of prompt tokens, at least those of the prompt's parts, and the maximum number of
+// output tokens, from X-Molepaddle-Token-Count.
 func (ic *incarnation) tokenCount(rw *responseWriter, en *Entry) (prompt, out int) {
 	promptText, outText, _ := strings.Cut(rw.request.Header.Get(HeaderTokens), ",")
 	prompt, _ = strconv.Atoi(strings.TrimSpace(promptText))
@@ -20,7 +20,7 @@
 	return prompt, out
 }
 
-// partTokens returns the tokens of all parts.
+// partTokens returns the number of tokens of all parts.
 func partTokens(parts []Part) int {
 	sum := 0
 	for _, p := range parts {
--- a/internal/fleet/simulation/engine_conn.go
+++ b/internal/fleet/simulation/engine_conn.go
@@ -124,7 +124,7 @@
 	*incarnation
 	conn      net.Conn
 	request   incoming
-	faults    Faults // as they were set when the request came
+	faults    Faults // faults in effect when the request arrived
 	keepAlive bool   // the connection stays open
 	release   func() // returns the request's slot and memory, before the end of its answer is sent
 }
--- a/internal/fleet/simulation/engine_handle.go
+++ b/internal/fleet/simulation/engine_handle.go
@@ -36,7 +36,7 @@
 	run(ctx, rw, en)
 }
 
-// newEntry returns the entry of a request that has just come.
+// newEntry returns the log entry of a request that has just arrived.
 func (ic *incarnation) newEntry(r incoming) *Entry {
 	s := &ic.e.s
 	en := &Entry{
--- a/internal/fleet/simulation/engine_run.go
+++ b/internal/fleet/simulation/engine_run.go
@@ -14,7 +14,7 @@
 // sealSeq counts the seals of this process.
 var sealSeq atomic.Uint64
 
-// seal returns another seal; no two are equal in this process.
+// seal returns a new seal, unique in this process.
 func (ic *incarnation) seal() string {
 	n := sealSeq.Add(1)
 	return fmt.Sprintf("%08x.%x.%s", xxhash.Sum64String(ic.id)>>32, n, randomHex(4))
@@ -28,7 +28,7 @@
 	return context.WithTimeout(ctx, en.Deadline)
 }
 
-// recordStart records that work began.
+// recordStart records that the work on a request began.
 func (ic *incarnation) recordStart(en *Entry, seal string) {
 	ic.e.Log.edit(func() {
 		en.Ran = true
@@ -37,7 +37,7 @@
 	})
 }
 
-// readPrompt prefills the uncached part of the prompt, in the time each for a token, and caches it.
+// readPrompt prefills the uncached part of the prompt, which takes the time each per token, and caches it.
 func (ic *incarnation) readPrompt(
 	ctx context.Context, rw *responseWriter, en *Entry, rs *reservation, each time.Duration,
 ) error {
@@ -69,13 +69,13 @@
 	rw.keepAlive = false
 }
 
-// recordBroken records that the Engine itself breaks the answer, and closes the connection after it.
+// recordBroken records that the Engine deliberately breaks the answer, and has the connection closed after it.
 func (ic *incarnation) recordBroken(rw *responseWriter, en *Entry) {
 	rw.keepAlive = false
 	ic.e.Log.edit(func() { en.Broke = true })
 }
 
-// garbage is no answer in HTTP.
+// garbage is not a valid HTTP response.
 const garbage = "\x00\x17 no answer \xff\r\n\r\n"
 
 // serveRequest runs a client's request.
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// sendAnswer answers a running request, or does what a fault has it do instead.
+// sendAnswer answers a running request, subject to the faults that are set.
 func (ic *incarnation) sendAnswer(ctx context.Context, rw *responseWriter, en *Entry, out, ver int) {
 	switch {
 	case rw.faults.Fail != 0:
--- a/internal/fleet/simulation/engine_stream.go
+++ b/internal/fleet/simulation/engine_stream.go
@@ -11,14 +11,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// streaming reports whether its answers are streams.
+// streaming reports whether the Engine answers with streams.
 func (ic *incarnation) streaming() bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	return ic.orders.phase != PhaseNone || ic.e.s.Stream
 }
 
-// step does work for d and SlowBy, after blocking while the Engine is held. It ends with ctx.
+// step simulates work of d plus SlowBy, after blocking while the Engine is held. It returns early when ctx ends.
 func (ic *incarnation) step(ctx context.Context, rw *responseWriter, d time.Duration) error {
 	if err := ic.e.awaitRelease(ctx); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	}
 }
 
-// streamHead returns the head of a stream, which is to be sent.
+// streamHead returns the response head of a stream.
 func (ic *incarnation) streamHead(rw *responseWriter, en *Entry, ver int) *bytes.Buffer {
 	ic.e.Log.edit(func() { en.Status = http.StatusOK })
 	b := rw.head(http.StatusOK,
@@ -109,8 +109,8 @@
 	return b
 }
 
-// streamFault cuts or stalls a stream after as many events as the faults say, and reports whether it is over. A stalled
-// stream is over when ctx ends.
+// streamFault cuts or stalls a stream after the number of events that the faults specify, and reports whether the
+// stream is over. A stalled stream is over when ctx ends.
 func (ic *incarnation) streamFault(ctx context.Context, rw *responseWriter, en *Entry, events int) bool {
 	if n := rw.faults.CutAfter; n > 0 && events >= n {
 		ic.recordBroken(rw, en)
--- a/internal/fleet/simulation/engine_test.go
+++ b/internal/fleet/simulation/engine_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// prompt is a stream request of two shared parts and one of its own.
+// prompt returns a stream request with a prompt of two shared parts and one of its own.
 func prompt(own string) Request {
 	return Request{
 		Kind: Stream, Host: "h.example", Path: "/s/x", Model: "m", Tokens: [2]int{160, 5},
@@ -112,9 +112,9 @@
 	c.Assert(r.Answered, qt.Equals, r.Attempt)
 }
 
-// TestHandoff: a prompt is prefilled at one backend and decoded at another, which caches its parts; the handle can be
-// fetched once.
-func TestHandoff(t *testing.T) {
+// TestPrefillDecodeTransfer: a prompt is prefilled at one backend and decoded at another, which caches its parts; the
+// handle can be fetched once.
+func TestPrefillDecodeTransfer(t *testing.T) {
 	c := qt.New(t)
 	p := StartEngine(t, EngineSettings{Phase: PhasePrefill, KVTokens: 1000})
 	d := StartEngine(t, EngineSettings{Phase: PhaseDecode, Stride: 2})
@@ -224,8 +224,9 @@
 	c.Assert(last(d).CachedTokens, qt.Equals, 0, qt.Commentf("parts are kept for their weights"))
 }
 
-// TestFull: slots, then the queue, then 503; more urgent requests are admitted first.
-func TestFull(t *testing.T) {
+// TestAdmissionWhenFull: requests first get slots, then are queued, then are rejected with 503. More urgent requests
+// are admitted first.
+func TestAdmissionWhenFull(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Capacity: 1, Queue: 2})
 	cl := &Client{Edge: e.Address()}
@@ -258,7 +259,7 @@
 	c.Assert(do(c, small, prompt("a")).Status, qt.Equals, 503)
 }
 
-// TestDeadline: 503 when it passes in the queue, 504 that counts as run when it passes while the request runs.
+// TestDeadline: 503 when the deadline passes in the queue; 504, which counts as run, when it passes during the run.
 func TestDeadline(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Capacity: 1, Queue: 1})
@@ -340,7 +341,7 @@
 	c.Assert(got.Closing, qt.IsTrue)
 
 	e.SetFaults(Faults{Extra: true})
-	cl := &Client{Edge: e.Address(), Keep: true}
+	cl := &Client{Edge: e.Address(), KeepAlive: true}
 	got = cl.Do(c.Context(), r)
 	cl.Close()
 	c.Assert(got.Status, qt.Equals, 200)
@@ -422,7 +423,7 @@
 	c := qt.New(t)
 	for _, s := range []EngineSettings{{}, {Phase: PhaseDecode}, {Phase: PhasePrefill}} {
 		e := StartEngine(t, s)
-		cl := &Client{Edge: e.Address(), Keep: true}
+		cl := &Client{Edge: e.Address(), KeepAlive: true}
 		r := prompt("a")
 		if s.Phase == PhasePrefill {
 			r = with(r, HeaderStage, "prefill")
@@ -438,10 +439,10 @@
 	}
 }
 
-func TestKeepsConnections(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{MaxConn: 1, KeepAlive: 60})
-	cl := &Client{Edge: e.Address(), Keep: true}
+	cl := &Client{Edge: e.Address(), KeepAlive: true}
 	defer cl.Close()
 	for i := range 3 {
 		r := cl.Do(c.Context(), Request{Path: "/a/", Body: make([]byte, 2000), Chunked: i == 1})
--- a/internal/fleet/simulation/finding.go
+++ b/internal/fleet/simulation/finding.go
@@ -5,7 +5,7 @@
 // Rule is the name of a rule of RULES.md.
 type Rule string
 
-// The rules that Judge knows.
+// The rules that Judge checks.
 const (
 	MIXED   Rule = "MIXED"
 	UNASKED Rule = "UNASKED"
@@ -26,31 +26,31 @@
 // Finding is one breach of a rule.
 type Finding struct {
 	Rule    Rule
-	Attempt string // "" when it concerns no single attempt
+	Attempt string // "" if it doesn't concern a single attempt
 	Service string
-	Engine  string    // id; "" when it was seen at the client only
+	Engine  string    // id; "" if it was observed only at the client
 	At      time.Time // of the arrival, or when the client sent the request
-	What    string    // one sentence
+	Message string    // one sentence
 }
 
-// Bounds are the values of the settings file that Judge needs.
+// Bounds are the limits against which Judge checks, mostly values of the settings file.
 type Bounds struct {
 	RetryRatio  float64       // further arrivals allowed for each request
 	RetryWindow time.Duration // BUDGET is not judged when 0
-	RetryExtra  float64       // further arrivals allowed in each window beside these
+	RetryExtra  float64       // further arrivals allowed in each window in addition
 
-	Lease       time.Duration // turns of holders of a role are not judged when 0
+	Lease       time.Duration // lease of a singleton role; turns of owners are not judged when 0
 	Grace       time.Duration // from SIGTERM to SIGKILL
-	LossSlack   time.Duration // for which a request may wait that no backend has
-	Drain       time.Duration // from the list's showing that a backend drains
-	Apply       time.Duration // from the acknowledgement of a configuration
-	Revoke      time.Duration // from the acknowledgement of a configuration that takes an API key away
-	QuotaWindow time.Duration // over which a tenant's requests count; QUOTA is not judged when 0
-	QuotaExcess float64       // fraction of a quota by which a window may be above it
-	QuotaExtra  float64       // requests in each window beside that
+	LossSlack   time.Duration // time for which a request that reached no backend may have waited
+	Drain       time.Duration // time after the list first shows that a backend is draining
+	Apply       time.Duration // time after the acknowledgement of a configuration
+	Revoke      time.Duration // time after the acknowledgement of a configuration that revokes an API key
+	QuotaWindow time.Duration // window in which a tenant's requests are counted; QUOTA is not judged when 0
+	QuotaExcess float64       // fraction of a quota by which a window may exceed it
+	QuotaExtra  float64       // requests allowed in each window in addition
 }
 
-// Execution is where one attempt ran or was prefilled.
+// Execution is a run or a prefill of one attempt at a backend.
 type Execution struct {
 	Attempt string
 	Stage   EntryKind // KindRequest or KindPrefill
--- a/internal/fleet/simulation/forward.go
+++ b/internal/fleet/simulation/forward.go
@@ -9,8 +9,8 @@
 // forwardDialTimeout bounds the connect to the target of ForwardPort.
 const forwardDialTimeout = time.Second
 
-// ForwardPort forwards connections from one address to another until the test ends, as if what listens at to
-// listened at from: for machines that share 127.0.0.1 and so need ports of their own.
+// ForwardPort forwards connections from one address to another until the test ends, so that the server at to is also
+// reachable at from. It serves machines that share 127.0.0.1 and therefore need different ports.
 func ForwardPort(tb TB, from, to string) {
 	tb.Helper()
 	ln, err := net.Listen("tcp", from)
--- a/internal/fleet/simulation/handles.go
+++ b/internal/fleet/simulation/handles.go
@@ -11,7 +11,7 @@
 // handle is the memory of a prefilled prompt, kept for a decode backend to fetch.
 type handle struct {
 	id          string
-	owner       string // attempt whose prompt made it
+	owner       string // attempt whose prefill created it
 	model       string
 	ver         int
 	parts       []Part
@@ -20,10 +20,10 @@
 	expires     time.Time
 }
 
-// maxLinkWait is how long a transfer may wait for the link; one that had to wait longer isn't started (PROTOCOL.md).
+// maxLinkWait is the longest wait of a transfer for the link; one that would wait longer isn't started (PROTOCOL.md).
 const maxLinkWait = 2 * time.Second
 
-// How much longer a transfer takes between two zones of one region, and between two regions.
+// Factors on the duration of a transfer between two zones of one region, and between two regions.
 const (
 	zoneTransferFactor   = 2
 	regionTransferFactor = 10
@@ -69,7 +69,7 @@
 	}
 }
 
-// Handles returns how many handles have neither expired nor been fetched or freed.
+// Handles returns the number of handles that have neither expired nor been fetched or freed.
 func (e *Engine) Handles() int {
 	ic := e.incarnation()
 	ic.mu.Lock()
@@ -143,8 +143,8 @@
 	return h, nil
 }
 
-// startTransfer takes a handle, and the link for as long as its transfer needs. Transfers are started one after the
-// other, under the lock of the link, so that each sees the link as those before it have left it.
+// startTransfer takes a handle, and reserves the link for the duration of its transfer. Transfers are started one after
+// the other, under the lock of the link, so that each sees the reservations of those before it.
 func (ic *incarnation) startTransfer(
 	now time.Time, source *incarnation, id, model string, ver int, slowdown float64,
 ) (h *handle, arrives time.Time, err error) {
--- a/internal/fleet/simulation/judge.go
+++ b/internal/fleet/simulation/judge.go
@@ -7,30 +7,30 @@
 	"slices"
 )
 
-// Judge finds what broke a rule of RULES.md, from what Engines and Clients recorded. Call it when all requests have
-// ended: it knows a request only by its Result. Its fields are not to be changed during a call.
+// Judge finds breaches of RULES.md in the records of Engines and Clients. It must be called when all requests have
+// ended, as it knows a request only by its Result. Its fields must not be changed during a call.
 type Judge struct {
 	Bounds  Bounds
 	Engines []*Engine
 	Clients []*Client
-	Results []Result // beside those of Clients
+	Results []Result // results in addition to those of Clients
 
-	// Tenants are the names of those that had an API key in any configuration that may have been in force, by key: ""
-	// among them means that the key was no tenant's for a time. Nil: no key was required, and tenants aren't judged.
+	// Tenants maps each API key to the tenants that had it in any configuration that may have been in force. "" among
+	// them means that for a time no tenant had the key. Nil: no key was required, and tenants aren't judged.
 	Tenants map[string][]string
 
-	// What the test did and saw besides; a rule is judged for these.
-	Shutdowns   []Shutdown     // of proxies
-	Departures  []Departure    // of backends
-	Changes     []ConfigChange // of the configuration
+	// Further actions and observations of the test, each of which is judged by a rule.
+	Shutdowns   []Shutdown     // shutdowns of proxies
+	Departures  []Departure    // departures of backends
+	Changes     []ConfigChange // changes of the configuration
 	Reads       []ConfigRead
-	Orders      []Entry         // beside those that reached Engines
-	Revocations []KeyRevocation // of API keys
+	Orders      []Entry         // orders in addition to those that reached Engines
+	Revocations []KeyRevocation // revocations of API keys
 	Additions   []KeyAddition
 	Accounts    []Account
 }
 
-// observations are the records that one judgement is made of, and its findings.
+// observations holds the records that one call of Judge examines, and its findings.
 type observations struct {
 	bounds  Bounds
 	tenants map[string][]string // Judge.Tenants
@@ -38,7 +38,7 @@
 	orders  []Entry             // orders to change the phase
 	results []Result
 
-	// These point into entries and results. runBySeal has the runs with a seal, by it.
+	// Indexes into entries and results. runBySeal maps seals to runs.
 	runBySeal        map[string]*Entry
 	entriesByAttempt map[string][]*Entry
 	resultByAttempt  map[string]*Result
@@ -118,7 +118,7 @@
 		Rule:    rule,
 		Attempt: r.Attempt,
 		At:      r.SentAt,
-		What:    fmt.Sprintf(format, args...),
+		Message: fmt.Sprintf(format, args...),
 	}
 	if run := o.runBySeal[r.Seal]; run != nil {
 		f.Engine = run.Engine
@@ -135,7 +135,7 @@
 		Service: en.Service,
 		Engine:  en.Engine,
 		At:      en.At,
-		What:    fmt.Sprintf(format, args...),
+		Message: fmt.Sprintf(format, args...),
 	})
 }
 
@@ -188,7 +188,7 @@
 	if r.Status/100 != 2 || head == nil || head.Attempt != r.Attempt || head.FirstEvent == 0 {
 		return
 	}
-	at := head // the run of the event before
+	at := head // the run of the previous event
 	last := r.LastEvent
 	for _, ev := range r.Events {
 		if ev.ID != last+1 {
--- a/internal/fleet/simulation/judge_accounts.go
+++ b/internal/fleet/simulation/judge_accounts.go
@@ -9,8 +9,8 @@
 // bearerScheme is the scheme of an Authorization field that has an API key; its case doesn't count.
 const bearerScheme = "Bearer"
 
-// checkTenant judges UNASKED of what a backend ran or prefilled, by the fields that came with it: not the client's key,
-// and once the name of a tenant that had the key. A request without a key that any tenant had names none.
+// checkTenant judges UNASKED by the header fields of a request that a backend ran or prefilled: they must not contain
+// the client's key, and must name once a tenant that had the key. A request without a key of any tenant must name none.
 func (o *observations) checkTenant(r *Result, en *Entry) {
 	if o.tenants == nil {
 		return
@@ -43,7 +43,7 @@
 	return strings.Trim(key, " ")
 }
 
-// fieldValues returns the values of all fields of a name, in whatever case and with whatever space it was sent.
+// fieldValues returns the values of all fields with a name, ignoring the case of the name and white space around it.
 func fieldValues(h http.Header, name string) []string {
 	var values []string
 	for key, more := range h {
--- a/internal/fleet/simulation/judge_accounts_test.go
+++ b/internal/fleet/simulation/judge_accounts_test.go
@@ -8,15 +8,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// keyTenants are the tenants of the keys in the tests of API keys: one that a tenant has throughout, one that went from
-// one tenant to another, and one that was added or taken away.
+// keyTenants are the tenants of the keys in the tests of API keys: a key that one tenant has throughout, one that moved
+// from one tenant to another, and one that was added or revoked.
 var keyTenants = map[string][]string{
 	"key-a":     {"a"},
 	"key-moved": {"a", "b"},
 	"key-added": {"", "b"},
 }
 
-// fields is a header with each field given as "Name: value", under the name as it stands there.
+// fields returns a header with fields given as "Name: value", with the names in the case given.
 func fields(lines ...string) http.Header {
 	h := http.Header{}
 	for _, line := range lines {
@@ -26,9 +26,9 @@
 	return h
 }
 
-// TestJudgeTenants: a run or a prefill that has the client's key, or that names another tenant than one of the key's,
-// is found; so is one that names several, or none where the key has one. Without keys, or where it didn't run, nothing
-// is.
+// TestJudgeTenants: a run or prefill that got the client's key, or that names another tenant than one of the key's, is
+// found; so is one that names several, or none although the key has one. Without keys, or if the request didn't run,
+// nothing is found.
 func TestJudgeTenants(t *testing.T) {
 	const named = HeaderTenant + ": "
 	bearer := func(key string) http.Header { return fields("Authorization: Bearer " + key) }
@@ -74,7 +74,7 @@
 			found := judgeTenants(Entry{Kind: kind, Header: tc.came, Ran: true}, tc.sent, keyTenants)
 			qt.Check(t, rules(found), qt.DeepEquals, tc.want, what)
 			for _, f := range found {
-				qt.Check(t, strings.Contains(f.What, "key-"), qt.IsFalse, qt.Commentf("it shows a key: %s", f.What))
+				qt.Check(t, strings.Contains(f.Message, "key-"), qt.IsFalse, qt.Commentf("it shows a key: %s", f.Message))
 			}
 			qt.Check(t, judgeTenants(Entry{Kind: kind, Header: tc.came, Ran: true}, tc.sent, nil), qt.HasLen, 0, what)
 			qt.Check(t, judgeTenants(Entry{Kind: kind, Header: tc.came}, tc.sent, keyTenants), qt.HasLen, 0, what)
@@ -82,7 +82,7 @@
 	}
 }
 
-// judgeTenants judges what came to a backend of a request that was sent with some fields; nil tenants: no keys are
+// judgeTenants judges the arrival at a backend of a request that was sent with some fields. Nil tenants: no keys are
 // required.
 func judgeTenants(en Entry, sent http.Header, tenants map[string][]string) []Finding {
 	en.Attempt = "r"
--- a/internal/fleet/simulation/judge_budget.go
+++ b/internal/fleet/simulation/judge_budget.go
@@ -92,7 +92,7 @@
 				Attempt: en.Attempt,
 				Engine:  en.Engine,
 				At:      en.At,
-				What: fmt.Sprintf("%d further arrivals in the window to %s, %g are allowed for %d requests",
+				Message: fmt.Sprintf("%d further arrivals in the window to %s, %g are allowed for %d requests",
 					n, end.Format(time.TimeOnly), limit, requests),
 			}
 		}
--- a/internal/fleet/simulation/judge_keys.go
+++ b/internal/fleet/simulation/judge_keys.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// KeyRevocation is an API key that an acknowledged configuration took away.
+// KeyRevocation is an API key that an acknowledged configuration revoked.
 type KeyRevocation struct {
 	Key     string
 	AckedAt time.Time
-	// RestoredAt is when the operator sent a later configuration that has the key; zero: none was sent.
+	// RestoredAt is when the operator sent a later configuration with the key; zero if none was sent.
 	RestoredAt time.Time
 }
 
@@ -18,13 +18,13 @@
 type KeyAddition struct {
 	Key     string
 	AckedAt time.Time
-	// Edges are the addresses at machines that are in touch from the acknowledgement on; those at others aren't judged.
+	// Edges are the edge addresses of the machines in contact since the acknowledgement; others aren't judged.
 	Edges []string
-	// RevokedAt is when the operator sent a later configuration that takes the key away; zero: none was sent.
+	// RevokedAt is when the operator sent a later configuration that revokes the key; zero if none was sent.
 	RevokedAt time.Time
 }
 
-// SentKey returns the API key that the request carries, in Key or among its further headers; empty: none.
+// SentKey returns the API key that the request carries, in Key or among its further headers, or "" if there is none.
 func (r Request) SentKey() string {
 	if r.Key != "" {
 		return r.Key
@@ -32,8 +32,8 @@
 	return apiKey(r.Header)
 }
 
-// checkRevocations judges CONFIG: no request runs that was sent later than the bound after the acknowledgement of a
-// configuration that took its key away, at any machine.
+// checkRevocations judges CONFIG: a request must not run, at any machine, if it was sent later than the bound after the
+// acknowledgement of a configuration that revoked its key.
 func (o *observations) checkRevocations(revocations []KeyRevocation) {
 	for _, revoked := range revocations {
 		for i := range o.entries {
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkAdditions judges CONFIG: a machine in touch doesn't refuse a key that was sent later than the bound after the
+// checkAdditions judges CONFIG: a machine in contact must not reject a key that was sent later than the bound after the
 // acknowledgement of the configuration that added it.
 func (o *observations) checkAdditions(additions []KeyAddition) {
 	for _, added := range additions {
--- a/internal/fleet/simulation/judge_keys_test.go
+++ b/internal/fleet/simulation/judge_keys_test.go
@@ -8,16 +8,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// keyBounds are those of the tests of keys.
+// keyBounds are the bounds of the tests of keys.
 var keyBounds = Bounds{Revoke: 5 * time.Second, Apply: 2 * time.Second}
 
-// withKey is a request with a value of Authorization.
+// withKey returns a request with a value of Authorization.
 func withKey(authorization string) Request {
 	return Request{Attempt: "a", Header: http.Header{"Authorization": {authorization}}}
 }
 
-// TestJudgeRevocations: a request that runs with a key that was taken away is found where it was sent later than the
-// bound after the acknowledgement, however late it runs.
+// TestJudgeRevocations: a request that runs with a revoked key is found if it was sent later than the bound after the
+// acknowledgement, however late it runs.
 func TestJudgeRevocations(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestJudgeAdditions: a machine in touch that refuses a key later than the bound after the acknowledgement of a
-// configuration that has it is found, but not one that doesn't know.
+// TestJudgeAdditions: a machine in contact that rejects a key later than the bound after the acknowledgement of a
+// configuration with it is found, but not one without contact.
 func TestJudgeAdditions(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/fleet/simulation/judge_orders.go
+++ b/internal/fleet/simulation/judge_orders.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// maxOrdersAfterFencing is how many orders a holder may still give with a fencing token that was rejected, later than
-// a lease after that: the rule counts more than three.
+// maxOrdersAfterFencing is the number of orders that an owner may still send with a rejected fencing token later than a
+// lease after the rejection: the rule is broken by more than three.
 const maxOrdersAfterFencing = 3
 
-// checkOrders judges ONE and Duty by the orders that reached backends: of two holders with one fencing token, of
-// lower tokens after higher ones where a backend doesn't check, and of holders that go on after they were fenced.
+// checkOrders judges ONE and Duty by the orders that reached backends: two owners with the same fencing token, lower
+// tokens after higher ones at a backend that doesn't check them, and owners that continue after they were fenced.
 func (o *observations) checkOrders(orders []Entry) {
 	slices.SortFunc(orders, func(a, b Entry) int { return cmp.Compare(a.Seq, b.Seq) })
 	o.checkOneHolder(orders)
@@ -21,7 +21,7 @@
 	o.checkFencedHolders(orders)
 }
 
-// checkOneHolder judges that a fencing token has one holder.
+// checkOneHolder judges that a fencing token has one owner.
 func (o *observations) checkOneHolder(orders []Entry) {
 	holders := map[int64]string{}
 	for i := range orders {
@@ -37,13 +37,13 @@
 	}
 }
 
-// checkRisingTokens judges that no backend that doesn't check them takes a lower token after a higher one.
+// checkRisingTokens judges that a backend that doesn't check tokens gets no lower token after a higher one.
 func (o *observations) checkRisingTokens(orders []Entry) {
 	highest := map[string]int64{} // by id of the backend
 	for i := range orders {
 		en := &orders[i]
 		if en.Status == http.StatusPreconditionFailed {
-			continue // it checks
+			continue // the backend checks tokens
 		}
 		if en.Gen < highest[en.Engine] {
 			o.reportAtEngine(ONE, en, "the fencing token %d after %d", en.Gen, highest[en.Engine])
@@ -52,7 +52,8 @@
 	}
 }
 
-// checkTurns judges that holders don't take turns at a backend within a lease: that of the one before is over.
+// checkTurns judges that two owners don't alternate at a backend within a lease: the lease of the previous one must
+// have expired.
 func (o *observations) checkTurns(orders []Entry) {
 	last := map[string]*Entry{} // by id of the backend
 	for i := range orders {
@@ -68,8 +69,9 @@
 	}
 }
 
-// checkFencedHolders judges Duty: a holder that a backend rejected, since another had used a higher token, gives more
-// than maxOrdersAfterFencing orders with the same token or a lower one later than a lease after that.
+// checkFencedHolders judges Duty: it is broken if an owner, after a backend rejected it because of a higher token,
+// sends more than maxOrdersAfterFencing orders with the same token or a lower one later than a lease after the
+// rejection.
 func (o *observations) checkFencedHolders(orders []Entry) {
 	type fencing struct {
 		token int64
--- a/internal/fleet/simulation/judge_orders_test.go
+++ b/internal/fleet/simulation/judge_orders_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// orderAt is an order of a holder with a fencing token, so many ms after the beginning.
+// orderAt returns an order of an owner with a fencing token, sent some ms after the beginning.
 func orderAt(ms int, owner string, token int64, status int) Entry {
 	return Entry{
 		Seq:    uint64(ms) + 1,
@@ -27,7 +27,8 @@
 	return en
 }
 
-// TestJudgeOrders: for each way to break ONE and Duty, the breach is found and what just keeps the rule isn't.
+// TestJudgeOrders: for each way to break ONE and Duty, the breach is found, and the closest case that keeps the rule is
+// not.
 func TestJudgeOrders(t *testing.T) {
 	const taken, rejected = http.StatusAccepted, http.StatusPreconditionFailed
 	fencedThen := func(late ...int) []Entry {
--- a/internal/fleet/simulation/judge_planned.go
+++ b/internal/fleet/simulation/judge_planned.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Shutdown is a SIGTERM that a test sent to the proxy at an edge address.
+// Shutdown is a SIGTERM that a test has sent to the proxy at an edge address.
 type Shutdown struct {
 	Edge string
 	At   time.Time
 }
 
-// Departure is a backend that the platform's list shows as draining from a time on.
+// Departure is a backend that the platform's list shows as draining since a time.
 type Departure struct {
 	Engine   string // id
 	ListedAt time.Time
 }
 
-// ConfigRead is a read of the configuration that a test made, and what came of it.
+// ConfigRead is a read of the configuration by a test, with its outcome.
 type ConfigRead struct {
 	SentAt  time.Time
 	Status  int
@@ -31,28 +31,28 @@
 }
 
 const (
-	// lateArrival is how long after a client has left a request may reach a backend, or be worked on there.
+	// lateArrival is the time after a client has left within which its request may reach a backend or run there.
 	lateArrival = 500 * time.Millisecond
-	// maxLateArrivals is how many requests may reach backends later than that: the rule counts more than a few.
+	// maxLateArrivals is the number of requests that may do so later: the rule is broken only by more than a few.
 	maxLateArrivals = 3
-	// maxDeadlineGrowth is how much more time than the client gave a backend may be handed.
+	// maxDeadlineGrowth is the time by which the deadline at a backend may exceed the client's.
 	maxDeadlineGrowth = 500 * time.Millisecond
-	// maxWrongDeadlines and maxWrongDeadlineShare bound the attempts that are handed more.
+	// maxWrongDeadlines and maxWrongDeadlineShare bound the number and the fraction of attempts that exceed it by more.
 	maxWrongDeadlines     = 20
 	maxWrongDeadlineShare = 0.2
-	// exemptSent is until when after a SIGTERM a request may have been sent that is broken off at the end of the grace
-	// period.
-	exemptSent = 3 * time.Second
+	// exemptSendWindow is the time after a SIGTERM within which a request must have been sent if it may be aborted at
+	// the end of the grace period.
+	exemptSendWindow = 3 * time.Second
 )
 
-// checkShutdowns judges LOST around each SIGTERM: a request whose client connected, and that a backend had or that
-// waited for longer than the slack, has a complete answer.
+// checkShutdowns judges LOST around each SIGTERM: a request whose client connected must get a complete answer if it
+// reached a backend or waited for longer than the slack.
 func (o *observations) checkShutdowns(shutdowns []Shutdown) {
 	for _, s := range shutdowns {
 		end := s.At.Add(o.bounds.Grace + time.Second)
 		for i := range o.results {
 			r := &o.results[i]
-			if r.Edge == s.Edge && r.EndedAt.After(s.At) && r.EndedAt.Before(end) && o.lost(r, s.At) {
+			if r.Edge == s.Edge && r.EndedAt.After(s.At) && r.EndedAt.Before(end) && o.isLost(r, s.At) {
 				o.reportAtClient(LOST, r, "the connection ended %v after SIGTERM without a complete answer: %v",
 					r.EndedAt.Sub(s.At), r.Err)
 			}
@@ -60,14 +60,14 @@
 	}
 }
 
-// lost reports whether a request is lost that ended after a SIGTERM at a time.
-func (o *observations) lost(r *Result, term time.Time) bool {
-	if r.Complete || r.Unread || r.Left {
+// isLost reports whether a request that ended after a SIGTERM at the time term was lost.
+func (o *observations) isLost(r *Result, term time.Time) bool {
+	if r.Complete || r.NotSent || r.Abandoned {
 		return false
 	}
 	entries := o.entriesByAttempt[r.Attempt]
 	if len(entries) == 0 && r.EndedAt.Sub(r.SentAt) <= o.bounds.LossSlack {
-		return false // it crossed the close
+		return false // it was sent while the proxy closed the connection
 	}
 	if r.Deadline > 0 && r.EndedAt.Sub(r.SentAt) >= r.Deadline {
 		return false
@@ -75,14 +75,15 @@
 	lastSixth := term.Add(o.bounds.Grace - o.bounds.Grace/6)
 	for _, en := range entries {
 		atWork := en.Ended.IsZero() || en.Ended.After(lastSixth)
-		if en.Broke || atWork && r.EndedAt.After(lastSixth) && r.SentAt.Sub(term) <= exemptSent {
+		if en.Broke || atWork && r.EndedAt.After(lastSixth) && r.SentAt.Sub(term) <= exemptSendWindow {
 			return false
 		}
 	}
 	return true
 }
 
-// checkDepartures judges DRAIN: nothing reaches a backend that drains later than the bound.
+// checkDepartures judges DRAIN: no request may reach a draining backend later than the bound, except ones that it
+// rejects as misdirected.
 func (o *observations) checkDepartures(departures []Departure) {
 	for _, d := range departures {
 		bound := d.ListedAt.Add(o.bounds.Drain)
@@ -96,14 +97,14 @@
 	}
 }
 
-// checkGone judges GONE: after a client has left, no more than a few of all requests reach a backend or are worked on
-// there for long.
+// checkGone judges GONE: no more than a few of all requests may reach a backend late, or run there for long, after
+// their clients have left.
 func (o *observations) checkGone() {
 	late := 0
 	for i := range o.entries {
 		en := &o.entries[i]
 		r := o.resultByAttempt[en.Attempt]
-		if r == nil || !r.Left {
+		if r == nil || !r.Abandoned {
 			continue
 		}
 		arrivedLate := en.At.Sub(r.EndedAt) > lateArrival
@@ -119,8 +120,8 @@
 	}
 }
 
-// checkDeadlines judges BUDGET by time: backends aren't handed more time than the client gave, or, sent once more, than
-// is left of it.
+// checkDeadlines judges the time budget of BUDGET: the deadline that a backend gets must not exceed the client's, nor,
+// at a retry, what is left of it.
 func (o *observations) checkDeadlines() {
 	judged, wrong := 0, 0
 	var last *Entry
@@ -143,8 +144,8 @@
 	}
 }
 
-// checkReads judges CONFIG: a read that was sent later than the bound after an acknowledgement shows no older version.
-// Silence and a 5xx are no breach.
+// checkReads judges CONFIG: a read that was sent later than the bound after an acknowledgement must not show an older
+// version. Time-outs and 5xx answers are no breach.
 func (o *observations) checkReads(changes []ConfigChange, reads []ConfigRead) {
 	for _, read := range reads {
 		if read.Status != http.StatusOK {
@@ -153,9 +154,9 @@
 		for _, change := range changes {
 			if read.SentAt.Sub(change.AckedAt) > o.bounds.Apply && read.Version < change.Version {
 				o.findings = append(o.findings, Finding{
-					Rule: CONFIG,
-					At:   read.SentAt,
-					What: "a read shows an older version than was acknowledged before",
+					Rule:    CONFIG,
+					At:      read.SentAt,
+					Message: "a read shows an older version than was acknowledged before",
 				})
 				break
 			}
--- a/internal/fleet/simulation/judge_planned_test.go
+++ b/internal/fleet/simulation/judge_planned_test.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// plannedBounds are those of the tests of planned work.
+// plannedBounds are the bounds of the tests of planned maintenance.
 var plannedBounds = Bounds{
 	Grace:     8 * time.Second,
 	LossSlack: 200 * time.Millisecond,
@@ -18,13 +18,13 @@
 	Apply:     2 * time.Second,
 }
 
-// start is when the records of these tests begin.
+// start is the begin of the records in these tests.
 var start = time.Unix(1000, 0)
 
-// after is so many ms after start.
+// after returns the time some ms after start.
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// recorded judges records that no Engine made.
+// recorded judges constructed records.
 func recorded(bounds Bounds, entries []Entry, results []Result) *observations {
 	o := &observations{
 		bounds:           bounds,
@@ -43,8 +43,8 @@
 	return o
 }
 
-// TestJudgeLost: a request that a proxy that was told to end leaves without a complete answer is lost, unless one of
-// the rule's conditions excuses it.
+// TestJudgeLost: a request that a proxy leaves without a complete answer after SIGTERM is lost, unless one of the
+// conditions of the rule exempts it.
 func TestJudgeLost(t *testing.T) {
 	broken := Result{
 		Request: Request{Attempt: "a"},
@@ -65,8 +65,8 @@
 		{"waited and was broken off", func(*Result, *Entry) {}, false, []Rule{LOST}},
 		{"crossed the close", func(r *Result, _ *Entry) { r.EndedAt = after(300) }, false, []Rule{}},
 		{"waited a little longer", func(r *Result, _ *Entry) { r.EndedAt = after(301) }, false, []Rule{LOST}},
-		{"no connection", func(r *Result, _ *Entry) { r.Unread = true }, false, []Rule{}},
-		{"its client left", func(r *Result, _ *Entry) { r.Left = true }, true, []Rule{}},
+		{"no connection", func(r *Result, _ *Entry) { r.NotSent = true }, false, []Rule{}},
+		{"its client left", func(r *Result, _ *Entry) { r.Abandoned = true }, true, []Rule{}},
 		{"the backend broke off", func(_ *Result, en *Entry) { en.Broke = true }, true, []Rule{}},
 		{"its deadline passed", func(r *Result, _ *Entry) { r.Deadline = 3900 * time.Millisecond }, true, []Rule{}},
 		{"its deadline was to come", func(r *Result, _ *Entry) { r.Deadline = 3901 * time.Millisecond }, true, []Rule{LOST}},
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestJudgeDepartures: what reaches a backend after its time is found, but for what it turns away as not its own.
+// TestJudgeDepartures: a request that reaches a draining backend too late is found, unless the backend rejects it as
+// misdirected.
 func TestJudgeDepartures(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -110,7 +111,8 @@
 	}
 }
 
-// TestJudgeGone: work for clients that have left is found once it is more than a few requests.
+// TestJudgeGone: requests that reach or occupy backends after their clients have left are found if they are more than a
+// few.
 func TestJudgeGone(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -131,10 +133,10 @@
 		for i := range tc.count {
 			id := fmt.Sprint(i)
 			results = append(results, Result{
-				Request: Request{Attempt: id, Kind: tc.kind},
-				SentAt:  start,
-				EndedAt: after(1000),
-				Left:    true,
+				Request:   Request{Attempt: id, Kind: tc.kind},
+				SentAt:    start,
+				EndedAt:   after(1000),
+				Abandoned: true,
 			})
 			entries = append(entries, Entry{Attempt: id, At: after(tc.came), Ran: true, Ended: after(tc.done)})
 		}
@@ -144,7 +146,7 @@
 	}
 }
 
-// TestJudgeDeadlines: attempts that are handed more time than is left are found, where they are many.
+// TestJudgeDeadlines: attempts with a deadline later than the client's are found if they are many.
 func TestJudgeDeadlines(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -179,7 +181,7 @@
 	}
 }
 
-// TestJudgeReads: a read that shows an older version than was acknowledged long enough before is found.
+// TestJudgeReads: a read that shows an older version than one acknowledged long enough before is found.
 func TestJudgeReads(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/fleet/simulation/judge_quota.go
+++ b/internal/fleet/simulation/judge_quota.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Account is a tenant of the configurations of a test, with all that any of them gave it.
+// Account is a tenant in a test, with the keys and limits that any configuration of the test gave it.
 type Account struct {
 	Name   string
 	Keys   []string
@@ -16,9 +16,9 @@
 // Limit is a tenant's quota, for the time in which it may be in force at a proxy.
 type Limit struct {
 	Rate  float64 // requests a second; 0: no limit
-	Burst float64 // requests in a window beside these
-	// From is when the configuration that has it was sent, and Until the time from which all proxies know of a later
-	// one. Zero: from the beginning, and to the end.
+	Burst float64 // requests in a window in addition
+	// From is when the configuration with the limit was sent; Until is when all proxies have a later one. Zero means
+	// the beginning and the end of the test.
 	From, Until time.Time
 }
 
@@ -27,8 +27,8 @@
 	return (l.From.IsZero() || !l.From.After(to)) && (l.Until.IsZero() || !l.Until.Before(from))
 }
 
-// checkKeys judges what ran by its key: ROUTE where no configuration ever held it, and UNASKED where the backend was
-// told another tenant than the key's. They are not judged where there are no accounts.
+// checkKeys judges runs by their API keys: ROUTE if no configuration ever had the key, and UNASKED if the backend got
+// the name of another tenant than the key's. They are not judged if there are no accounts.
 func (o *observations) checkKeys(accounts []Account) {
 	if accounts == nil {
 		return
@@ -60,11 +60,11 @@
 // quotaRequest is a request that a backend ran.
 type quotaRequest struct {
 	sentAt  time.Time
-	arrival *Entry // the first at a backend that ran it
+	arrival *Entry // first arrival at a backend that ran it
 }
 
-// checkQuotas judges QUOTA: in no window do more requests of a tenant both leave the client and reach a backend that
-// runs them than its quota allows. One that ran at two backends is one request.
+// checkQuotas judges QUOTA: in no window may more requests of a tenant both leave the client and reach a backend that
+// runs them than its quota allows. A request that ran at two backends counts once.
 func (o *observations) checkQuotas(accounts []Account) {
 	if o.bounds.QuotaWindow <= 0 {
 		return
@@ -143,7 +143,8 @@
 	return n, last
 }
 
-// mostAllowed returns how many requests of a tenant a window may have, by the highest limit that may be in force in it.
+// mostAllowed returns the number of requests of a tenant allowed in a window, by the highest limit that may be in force
+// in it.
 func (o *observations) mostAllowed(a *Account, from, to time.Time) float64 {
 	quota := 0.0
 	for i := range a.Limits {
--- a/internal/fleet/simulation/judge_quota_test.go
+++ b/internal/fleet/simulation/judge_quota_test.go
@@ -19,13 +19,13 @@
 	return Account{Name: "airline", Keys: []string{"k1", "k2"}, Limits: limits}
 }
 
-// keyed is requests with a key: for each of them, the ms at which it was sent and that at which a backend ran it.
+// keyed holds requests with a key: for each, the ms at which it was sent and at which a backend ran it.
 type keyed struct {
 	key   string
 	times [][2]int
 }
 
-// evenly is n requests that arrive as they are sent, from a time in steps, all in ms.
+// evenly returns n requests that arrive when they are sent, from a time in equal steps, all in ms.
 func evenly(key string, n, from, step int) keyed {
 	k := keyed{key: key}
 	for i := range n {
@@ -34,7 +34,7 @@
 	return k
 }
 
-// records are what an Engine and a Client would have recorded of the requests.
+// records returns the records that an Engine and a Client would have made of the requests.
 func records(sets ...keyed) (entries []Entry, results []Result) {
 	for _, set := range sets {
 		for _, at := range set.times {
@@ -49,8 +49,8 @@
 	return entries, results
 }
 
-// TestJudgeQuota: the requests of a tenant that are sent and run in one window, wherever that begins, are no more than
-// its quota with its excess.
+// TestJudgeQuota: no window may contain more requests of a tenant that are both sent and run in it than the quota with
+// its excess allows, wherever the window begins.
 func TestJudgeQuota(t *testing.T) {
 	const fits = 40
 	for _, tc := range []struct {
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestJudgeQuotaCountsRuns: of the requests within a window those count that a backend ran, each once.
+// TestJudgeQuotaCountsRuns: of the requests in a window only those that a backend ran count, each once.
 func TestJudgeQuotaCountsRuns(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestJudgeQuotaOfChangedLimits: a window is held to the highest limit that may have been in force in it.
+// TestJudgeQuotaOfChangedLimits: a window is judged by the highest limit that may have been in force in it.
 func TestJudgeQuotaOfChangedLimits(t *testing.T) {
 	lowered := []Limit{{Rate: 100, Until: after(3000)}, {Rate: 10, Burst: 4, From: after(1000)}}
 	raised := []Limit{{Rate: 10, Burst: 4, Until: after(3000)}, {Rate: 100, From: after(1000)}}
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestJudgeKeys: what runs has a key that some configuration held, and its backend is told the tenant of that key.
+// TestJudgeKeys: a request that runs must have a key of some configuration, and its backend must get the key's tenant.
 func TestJudgeKeys(t *testing.T) {
 	accounts := []Account{
 		{Name: "airline", Keys: []string{"k1", "moved"}},
--- a/internal/fleet/simulation/judge_residency.go
+++ b/internal/fleet/simulation/judge_residency.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// ResidenceKind is the form in which a request's data was at a backend.
+// ResidenceKind is the form in which a backend held a request's data.
 type ResidenceKind string
 
-// The forms in which data is at a backend.
+// The forms in which a backend holds data.
 const (
 	ResidencePrefill ResidenceKind = "read"   // its prompt was prefilled there
 	ResidenceRun     ResidenceKind = "run"    // it ran there
-	ResidenceHandle  ResidenceKind = "handle" // its memory was there to be fetched
+	ResidenceHandle  ResidenceKind = "handle" // its memory could be fetched there
 	ResidenceCached  ResidenceKind = "kept"   // a part of its prompt was cached there
 )
 
-// Residence is data of one request that was at one backend, by the backend's own record.
+// Residence is data of one request that one backend held, according to the backend's log.
 type Residence struct {
 	Attempt string
 	Kind    ResidenceKind
@@ -27,7 +27,7 @@
 	Zone    string
 	Region  string
 	From    time.Time
-	Until   time.Time // zero: it is there still
+	Until   time.Time // zero while the backend still holds it
 }
 
 // String returns the kind, attempt, engine and region in a few words.
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s of %s at %s in %s", r.Kind, r.Attempt, r.Engine, r.Region)
 }
 
-// Term is the regions that are allowed from a time on. Nil Regions: any; empty, not nil: none.
+// Term is the set of regions that are allowed since a time. Nil Regions: any; empty, not nil: none.
 type Term struct {
 	From    time.Time
 	Regions []string
@@ -45,8 +45,8 @@
 	return t.Regions == nil || slices.Contains(t.Regions, region)
 }
 
-// Residences returns everywhere that data of requests was, by the Engines' own record, in order of time. It doesn't use
-// what the proxies under test recorded about their choice.
+// Residences returns all residences of requests' data according to the Engines' logs, in order of time. It doesn't use
+// records of the proxies under test.
 func (j *Judge) Residences() []Residence {
 	var out []Residence
 	for _, e := range j.Engines {
@@ -134,7 +134,7 @@
 	return r
 }
 
-// verdict says whether a residence kept to the terms of its request; of several, the highest counts.
+// verdict is the result of checking a residence against the terms of its request; of several, the highest counts.
 type verdict int
 
 const (
--- a/internal/fleet/simulation/judge_residency_test.go
+++ b/internal/fleet/simulation/judge_residency_test.go
@@ -30,7 +30,7 @@
 	leaked, _ = j.Leaks(always(region, "west", "east"), 0)
 	c.Assert(leaked, qt.HasLen, 0)
 
-	// The regions are withdrawn after all requests ended: only cached parts linger.
+	// The regions are withdrawn after all requests have ended: only cached parts remain.
 	over := time.Now()
 	later := func(Result) []Term {
 		return []Term{{Regions: []string{region, "west", "east"}}, {From: over, Regions: []string{}}}
--- a/internal/fleet/simulation/judge_test.go
+++ b/internal/fleet/simulation/judge_test.go
@@ -20,14 +20,14 @@
 	return out
 }
 
-// scene is one plain and one stream backend with one good request at each.
-type scene struct {
+// fixture is one plain and one stream backend with one successful request at each.
+type fixture struct {
 	plain, model *Engine
 	read, stream Result
 }
 
-func newScene(c *qt.C) scene {
-	s := scene{
+func newScene(c *qt.C) fixture {
+	s := fixture{
 		plain: StartEngine(c, EngineSettings{Service: "plain", Region: "east"}),
 		model: StartEngine(c, EngineSettings{Service: "model", Region: "west", Phase: PhaseDecode}),
 	}
@@ -39,11 +39,11 @@
 	return s
 }
 
-func (s scene) judge(rs ...Result) *Judge {
+func (s fixture) judge(rs ...Result) *Judge {
 	return &Judge{Engines: []*Engine{s.plain, s.model}, Results: rs}
 }
 
-func TestJudgeFindsNothing(t *testing.T) {
+func TestJudgeWithoutBreaches(t *testing.T) {
 	c := qt.New(t)
 	s := newScene(c)
 	c.Assert(s.judge(s.read, s.stream).Findings(), qt.HasLen, 0)
@@ -156,7 +156,7 @@
 	c.Assert(rules(fs), qt.DeepEquals, []Rule{MIXED}, qt.Commentf("%v", fs))
 }
 
-// TestJudgeResumed: on resumable routes a new run may go on from Last-Event-Id, on others it may not.
+// TestJudgeResumed: on resumable routes another run may continue from Last-Event-Id, on others it may not.
 func TestJudgeResumed(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Phase: PhaseDecode})
--- a/internal/fleet/simulation/log.go
+++ b/internal/fleet/simulation/log.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// EntryKind is what arrived at an Engine.
+// EntryKind is the kind of an arrival at an Engine.
 type EntryKind string
 
 // The kinds of entries.
@@ -27,7 +27,7 @@
 	Tokens int
 }
 
-// Entry is one arrival at an Engine, with what became of it.
+// Entry is one arrival at an Engine with its outcome.
 type Entry struct {
 	Seq     uint64    // order among all Engines of this process
 	At      time.Time // when it was read completely
@@ -86,20 +86,20 @@
 	Ver         int
 	Part        Part
 	Attempt     string    // the attempt whose prompt it was
-	Transferred bool      // it came by a transfer, not by a prefill
-	CachedAt    time.Time // from when on others could use it
+	Transferred bool      // cached by a transfer, not by a prefill
+	CachedAt    time.Time // when it became usable by other requests
 	EvictedAt   time.Time // zero while it is cached
 }
 
 // entrySeq counts the entries of this process.
 var entrySeq atomic.Uint64
 
-// Log records what arrived at one Engine and which parts of prompts it cached. It is safe for concurrent use.
+// Log records the arrivals at one Engine and the parts of prompts that it cached. It is safe for concurrent use.
 type Log struct {
 	mu          sync.Mutex
 	entries     []*Entry
 	cachedParts []*CachedPart
-	changed     chan struct{} // closed at the next change; nil when nobody waits
+	changed     chan struct{} // closed at the next change; nil without waiters
 }
 
 // Entries returns a copy of all entries, in the order in which they arrived.
@@ -152,7 +152,7 @@
 	l.edit(func() { l.entries = append(l.entries, e) })
 }
 
-// edit calls change under the lock and wakes those who wait. change may be empty, to wake them only.
+// edit calls change under the lock and wakes the waiters. change may do nothing, to only wake them.
 func (l *Log) edit(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/simulation/memory.go
+++ b/internal/fleet/simulation/memory.go
@@ -12,7 +12,7 @@
 	key     cacheKey
 	tokens  int
 	refs    int         // running requests and handles that use it; it can't be evicted while there are any
-	ready   bool        // it was prefilled or transferred, so that others can use it
+	ready   bool        // it was prefilled or transferred and is usable by other requests
 	lastUse uint64      // memory.useCount at its last use
 	record  *CachedPart // nil until ready
 }
@@ -35,7 +35,7 @@
 	parts          []*memoryPart
 	unshared       int // tokens that belong to no part
 	cachedTokens   int // tokens of the leading parts that were ready
-	uncachedTokens int // tokens to prefill: the other parts, and the prompt's rest
+	uncachedTokens int // tokens to prefill: the other parts, and the prompt's tokens beyond its parts
 }
 
 // inUse returns the tokens that can't be evicted.
@@ -69,7 +69,7 @@
 		h.refs++
 		h.lastUse = m.useCount
 		rs.parts = append(rs.parts, h)
-		// A part's memory depends on all tokens before it: it can be used only after parts that are ready.
+		// A part's memory depends on all tokens before it: it is usable only if all parts before it are ready.
 		leading = leading && h.ready
 		if leading {
 			rs.cachedTokens += h.tokens
--- a/internal/fleet/simulation/memory_test.go
+++ b/internal/fleet/simulation/memory_test.go
@@ -71,7 +71,7 @@
 	c.Assert(m.used, qt.Equals, 200, qt.Commentf("what was not prefilled does not stay"))
 }
 
-func TestMemoryAddsUp(t *testing.T) {
+func TestMemoryAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemory(rapid.IntRange(0, 200).Draw(t, "size"))
 		tokens := map[string]int{}
--- a/internal/fleet/simulation/network.go
+++ b/internal/fleet/simulation/network.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Network is a network of machines of one process, known by their IP addresses, that can be partitioned, also in one
-// direction only. A connection that was opened with Dialer delays what a partition holds up until the partition heals;
-// its reads and writes fail when their deadline passes or it is closed. It is safe for concurrent use. For machines
-// that are processes of their own, see RelayNetwork.
+// Network simulates a network between machines in one process, identified by their IP addresses. It can be partitioned,
+// also in one direction only. A connection opened with Dialer holds data back during a partition until the partition
+// heals; reads and writes fail when their deadline passes or the connection is closed. It is safe for concurrent use.
+// For machines that are separate processes, see RelayNetwork.
 type Network struct {
-	Delay time.Duration // of whatever is sent, in each direction; not to be changed once there are connections
+	Delay time.Duration // delay of sent data in each direction; must not change once there are connections
 
 	mu      sync.Mutex
 	cut     map[direction]bool
 	changed chan struct{}         // closed and replaced at each change of cut
-	conns   map[*networkConn]bool // those that are open
-	parked  []net.Conn            // closed by their owners behind a cut: the other side doesn't learn of it yet
+	conns   map[*networkConn]bool // open connections
+	parked  []net.Conn            // closed by their owners behind a cut; the other side isn't notified yet
 }
 
 // direction is a direction between two machines, by their IPs.
 type direction struct{ from, to string }
 
-// NewNetwork returns a network without cuts. They heal when the test ends.
+// NewNetwork returns a network without cuts. All cuts are healed at the end of the test.
 func NewNetwork(tb TB) *Network {
 	n := &Network{
 		cut:     map[direction]bool{},
@@ -35,7 +35,7 @@
 	return n
 }
 
-// Cut holds up whatever one machine sends to another.
+// Cut holds back all data that one machine sends to another.
 func (n *Network) Cut(from, to string) { n.cutDirections(direction{from, to}) }
 
 // Partition partitions the network: it cuts the machines of one side from those of the other, in both directions.
@@ -47,7 +47,7 @@
 	}
 }
 
-// CloseConns closes the connections that a machine has opened, as the end of its process would.
+// CloseConns closes the connections that a machine has opened, as the exit of its process would.
 func (n *Network) CloseConns(from string) {
 	n.mu.Lock()
 	var all []*networkConn
@@ -84,7 +84,7 @@
 	n.signal()
 }
 
-// signal wakes those who wait for a change. n.mu is held.
+// signal wakes the goroutines that wait for a change. n.mu is held.
 func (n *Network) signal() {
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -259,7 +259,7 @@
 			return
 		}
 		c.network.parked = append(c.network.parked, c.Conn)
-		c.Conn.SetDeadline(time.Unix(1, 0)) // whoever reads or writes returns
+		c.Conn.SetDeadline(time.Unix(1, 0)) // pending reads and writes return
 	})
 	return nil
 }
--- a/internal/fleet/simulation/operator.go
+++ b/internal/fleet/simulation/operator.go
@@ -19,19 +19,20 @@
 	// defaultBackoff and longestBackoff bound the pauses between calls, which double.
 	defaultBackoff = 20 * time.Millisecond
 	longestBackoff = time.Second
-	// maxRedirects is how often a call follows a 307: to the leader, and once more when that has changed meanwhile.
+	// maxRedirects is the number of 307s that a call follows: one to the leader, and one more if the leader has
+	// changed.
 	maxRedirects = 2
 	// clientErrorLimit is the number of 4xx answers after which a call ends with the last of them.
 	clientErrorLimit = 3
 )
 
-// Operator calls the operator's API at the ctl addresses. Its fields are not to be changed during a call; it is safe
-// for concurrent use otherwise.
+// Operator calls the operator's API at the ctl addresses. It is safe for concurrent use, but its fields must not be
+// changed during a call.
 type Operator struct {
 	Ctl         []string      // IP:PORT; called in turn
 	Timeout     time.Duration // bounds each call; 1 s, and 1 s more for each MiB of its body, when 0
 	Backoff     time.Duration // first pause between calls, doubled up to 1 s; 20 ms when 0
-	MaxAttempts int           // most calls, 307s not counted; 0 for as many as ctx allows
+	MaxAttempts int           // maximum number of calls, 307s not counted; 0 for no limit but ctx
 }
 
 // Reply is the outcome of one of the operator's calls.
@@ -44,18 +45,18 @@
 	At       time.Time // of the answer
 }
 
-// Replace sends a complete configuration based on the version base, and blocks until an answer ends the call, or
-// returns an error when ctx or Tries does. doc is JSON as []byte, or a value to be marshalled.
+// Replace sends a complete configuration based on the version base. It blocks until an answer ends the call, or returns
+// an error when ctx ends or MaxAttempts is reached. doc is JSON as []byte, or a value to be marshalled.
 func (o *Operator) Replace(ctx context.Context, base uint64, doc any) (Reply, error) {
 	return o.submit(ctx, PathReplace, base, doc)
 }
 
-// Update is as Replace, for a change of named items.
+// Update sends an update of named items, like Replace.
 func (o *Operator) Update(ctx context.Context, base uint64, doc any) (Reply, error) {
 	return o.submit(ctx, PathUpdate, base, doc)
 }
 
-// Show returns the newest configuration in Reply.Body; it blocks as Replace does.
+// Show returns the newest configuration in Reply.Body. It blocks like Replace.
 func (o *Operator) Show(ctx context.Context) (Reply, error) {
 	rep, err := o.call(ctx, http.MethodGet, PathShow, nil, nil)
 	if err == nil && rep.Status == http.StatusOK {
@@ -97,7 +98,7 @@
 	return *v.Ver, nil
 }
 
-// call makes calls, to one ctl address after the other, until one is final or ctx or Tries ends them.
+// call tries one ctl address after the other until an answer is final, ctx ends or MaxAttempts is reached.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, h http.Header) (Reply, error) {
 	if len(o.Ctl) == 0 {
 		return Reply{}, errors.New("no ctl address")
@@ -134,8 +135,7 @@
 	}
 }
 
-// isFinal reports whether a status ends a call at once: any 2xx, and those that another agent would answer with as
-// well.
+// isFinal reports whether a status ends a call at once: any 2xx, and errors that another agent would return as well.
 func isFinal(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
@@ -145,7 +145,7 @@
 	return status/100 == 2
 }
 
-// isClientError reports whether a status is a 4xx that another agent may answer with as well.
+// isClientError reports whether a status is a 4xx that another agent might return as well.
 func isClientError(status int) bool {
 	return status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
--- a/internal/fleet/simulation/orders.go
+++ b/internal/fleet/simulation/orders.go
@@ -14,8 +14,8 @@
 	Expect *int    `json:"expect"`
 }
 
-// orderState is what a backend remembers of orders until it restarts: a state machine without lock or clock. An order
-// changes the phase; it is pending until the requests that run have ended.
+// orderState is a backend's state of phase orders, which is lost at a restart: a state machine without lock or clock.
+// An order changes the phase; it is pending until the running requests have ended.
 type orderState struct {
 	fencing      bool
 	phase        Phase
@@ -34,8 +34,8 @@
 	return o, o.Opcode == "phase" && (o.Phase == PhasePrefill || o.Phase == PhaseDecode)
 }
 
-// accept judges a valid order and returns the status of its answer. After 202 the order is pending, until complete is
-// called. An order for what is pending already gets 202 again and isn't counted twice (ours).
+// accept decides on a valid order and returns the status of the answer. After 202 the order is pending until complete
+// is called. A repeated order for the pending phase gets 202 again and isn't counted twice (ours).
 //
 // A gen lower than one seen is rejected with 412 when fencing is on: its sender has lost its lease to a later one.
 func (s *orderState) accept(o orderBody) int {
--- a/internal/fleet/simulation/orders_test.go
+++ b/internal/fleet/simulation/orders_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// call makes a plain call to a stand-in.
+// call makes a plain call to a fake server.
 func call(c *qt.C, method, url, body string, headers ...string) *http.Response {
 	c.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -30,7 +30,7 @@
 	return call(c, "POST", "http://"+e.Address()+PathOrder, body, headers...).StatusCode
 }
 
-// TestOrdersAreFenced goes through the answers that PROTOCOL.md lists for an order.
+// TestOrdersAreFenced checks all answers that PROTOCOL.md lists for an order.
 func TestOrdersAreFenced(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Phase: PhaseDecode, Fencing: true})
@@ -53,9 +53,9 @@
 	c.Assert(order(c, e, phase(PhasePrefill, 1, `,"expect":0`)), qt.Equals, 202, qt.Commentf("a restart forgets"))
 }
 
-// TestOrderWaitsForTheRunning: requests that run are completed, those that have not begun get 503, and another order
-// 409.
-func TestOrderWaitsForTheRunning(t *testing.T) {
+// TestOrderWaitsForRunningRequests: requests that run are completed, those that have not begun get 503, and another
+// order 409.
+func TestOrderWaitsForRunningRequests(t *testing.T) {
 	c := qt.New(t)
 	e := StartEngine(t, EngineSettings{Phase: PhaseDecode})
 	release := e.Hold()
--- a/internal/fleet/simulation/platform.go
+++ b/internal/fleet/simulation/platform.go
@@ -15,7 +15,7 @@
 // rateWindow is the time in which PlatformSettings.Rate counts calls: rate_s is calls a second.
 const rateWindow = time.Second
 
-// PlatformSettings configure a Platform.
+// PlatformSettings configures a Platform.
 type PlatformSettings struct {
 	Page  int              // entries on a page; 50 when 0
 	Rate  float64          // rate_s: calls accepted from all callers in a second, at least 1; 0 for no bound
@@ -43,13 +43,14 @@
 	state string
 }
 
-// listVersion is the list from a time on.
+// listVersion is the content of the list since a time.
 type listVersion struct {
 	at   time.Time
 	list []Backend
 }
 
-// Platform serves the list of backends over HTTP: GET /backends with az and marker. It is safe for concurrent use.
+// Platform is a fake platform that serves the list of backends over HTTP: GET /backends with az and marker. It is safe
+// for concurrent use.
 type Platform struct {
 	s        PlatformSettings
 	listener net.Listener
@@ -77,7 +78,7 @@
 		tb.Fatalf("simulation: platform: %v", err)
 	}
 	p := &Platform{s: s, listener: ln}
-	// What is there at the start was always there: the delay begins with the first change.
+	// The initial list is visible at once; the delay applies to changes only.
 	p.history = []listVersion{{}}
 	for _, e := range engines {
 		p.engines = append(p.engines, listedEngine{e, StateUp})
@@ -119,7 +120,7 @@
 	p.history = append(p.history, listVersion{p.s.Now(), p.snapshot()})
 }
 
-// Address returns its IP:PORT, for provider.address.
+// Address returns the platform's IP:PORT, for provider.address.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
 // Add lists engines as up.
@@ -152,7 +153,7 @@
 	}
 }
 
-// Remove takes engines off the list; without it, those that crashed stay on it.
+// Remove removes engines from the list. Crashed engines stay on the list unless they are removed.
 func (p *Platform) Remove(engines ...*Engine) {
 	p.mu.Lock()
 	p.engines = slices.DeleteFunc(p.engines, func(l listedEngine) bool { return slices.Contains(engines, l.e) })
@@ -167,7 +168,7 @@
 	p.down = down
 }
 
-// Calls returns how many calls came, and how many of them were answered with 429.
+// Calls returns the number of calls received, and the number of those answered with 429.
 func (p *Platform) Calls() (total, rejected int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/simulation/platform_test.go
+++ b/internal/fleet/simulation/platform_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// page is an answer of the platform.
+// page is one page of the list, as the platform returns it.
 type page struct {
 	Backends []Backend `json:"backends"`
 	Next     *string   `json:"next_marker"`
@@ -25,7 +25,7 @@
 	return got, resp.StatusCode
 }
 
-// clock is a clock that tests set.
+// clock is a clock under the control of a test.
 type clock struct{ ns atomic.Int64 }
 
 func (k *clock) now() time.Time          { return time.Unix(0, k.ns.Load()) }
@@ -52,7 +52,7 @@
 	c.Assert(az.Backends, qt.HasLen, 2)
 	c.Assert(az.Backends[1].ID, qt.Equals, es[2].ID())
 
-	// A change is listed delay_ms later; a crashed backend stays.
+	// A change is listed delay_ms later; a crashed backend stays on the list.
 	p.Drain(es[0])
 	es[1].Crash()
 	k.advance(999 * time.Millisecond)
--- a/internal/fleet/simulation/program.go
+++ b/internal/fleet/simulation/program.go
@@ -18,7 +18,7 @@
 	// readyTimeout bounds one call or connect of AwaitReady and AwaitListening.
 	readyTimeout = time.Second
 	// firstPollPause and longestPollPause bound the pauses between these: a program on loopback is ready within tens of
-	// milliseconds, and a busy machine shouldn't be kept busier.
+	// milliseconds, but polling shouldn't add much load to a busy machine.
 	firstPollPause   = 5 * time.Millisecond
 	longestPollPause = 100 * time.Millisecond
 )
@@ -30,20 +30,20 @@
 	done chan struct{} // closed when the process has ended
 }
 
-// output collects what a process writes.
+// output collects the output of a process.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-// Write appends p.
+// Write appends p to the output.
 func (o *output) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.b.Write(p)
 }
 
-// String returns all that was written so far.
+// String returns the output so far.
 func (o *output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -78,7 +78,7 @@
 	return p
 }
 
-// Output returns what the process has written so far.
+// Output returns the output of the process so far.
 func (p *Program) Output() string { return p.out.String() }
 
 // Signal sends a signal, as the platform does with SIGTERM and SIGHUP; it does nothing after the process has ended.
--- a/internal/fleet/simulation/quota.go
+++ b/internal/fleet/simulation/quota.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// quotaPeriod is the time in which a process may use its quota: once that is spent, it stands still for the rest.
+	// quotaPeriod is the accounting period of a quota: a process that has used its quota is stopped until the period
+	// ends.
 	quotaPeriod = 100 * time.Millisecond
-	// quotaSample is how often it is looked how much was used.
+	// quotaSample is the interval between two measurements of the used time.
 	quotaSample = time.Millisecond
 )
 
-// QuotaStats is what a quota did to a process.
+// QuotaStats are statistics on the effect of a quota on a process.
 type QuotaStats struct {
-	Periods int           // in which it ran
-	Stalls  int           // of these, in which it was stopped
-	Stalled time.Duration // in all
-	Longest time.Duration // of one stall
-	Busiest time.Duration // the most processor time that it used in one period
+	Periods int           // periods in which the process ran
+	Stalls  int           // periods of these in which it was stopped
+	Stalled time.Duration // total time for which it was stopped
+	Longest time.Duration // longest time for which it was stopped
+	Busiest time.Duration // maximum processor time used in one period
 }
 
-// Quota bounds the processor time of a program, as some deployments do: full speed until its share of a period is
-// spent, then nothing for the rest of it. It stops and continues the process with signals.
+// Quota limits the processor time of a program, as some deployments do: the program runs at full speed until its share
+// of a period is used up, and is stopped for the rest of the period. Quota stops and continues the process with
+// signals.
 type Quota struct {
 	program *Program
-	allowed time.Duration // in a period
+	allowed time.Duration // processor time allowed in a period
 	end     chan struct{}
 	ended   sync.WaitGroup
-	stats   QuotaStats // once ended
+	stats   QuotaStats // complete once the quota has ended
 }
 
-// StartQuota bounds a program to a share of a core from now on, until Stop, or until the program ends.
+// StartQuota limits a program to a share of a core until Stop is called or the program ends.
 func StartQuota(p *Program, share float64) *Quota {
 	q := &Quota{
 		program: p,
@@ -45,14 +47,14 @@
 	return q
 }
 
-// Stop lifts the bound, and returns what it did.
+// Stop removes the limit and returns the statistics.
 func (q *Quota) Stop() QuotaStats {
 	close(q.end)
 	q.ended.Wait()
 	return q.stats
 }
 
-// run plays one period after the other.
+// run executes one period after the other.
 func (q *Quota) run() {
 	sample := time.NewTicker(quotaSample)
 	defer sample.Stop()
@@ -60,7 +62,7 @@
 	}
 }
 
-// period plays one period; false: the quota or the program has ended.
+// period executes one period. It reports false if the quota or the program has ended.
 func (q *Quota) period(sample <-chan time.Time) bool {
 	began := time.Now()
 	first, ok := processorTime(q.program.cmd.Process.Pid)
@@ -88,7 +90,7 @@
 	return true
 }
 
-// stall has the process stand still until a time; false: the quota has ended meanwhile.
+// stall stops the process until a time. It reports false if the quota has ended meanwhile.
 func (q *Quota) stall(until time.Time) bool {
 	began := time.Now()
 	q.program.Signal(syscall.SIGSTOP)
@@ -110,9 +112,11 @@
 	return goesOn
 }
 
-// processorTime returns the processor time that all threads of a process have used; false: there is no such process.
+// processorTime returns the processor time used by all threads of a process. It reports false if there is no such
+// process.
 func processorTime(pid int) (used time.Duration, ok bool) {
-	// A process's clock has its id in the upper bits of the clock's, inverted, and 2 for time on a processor below.
+	// The id of a process's CPU clock has the inverted process id in the upper bits, and 2 (CPUCLOCK_SCHED) in the
+	// lower three bits.
 	clock := int32(^pid<<3 | 2)
 	var t unix.Timespec
 	if unix.ClockGettime(clock, &t) != nil {
--- a/internal/fleet/simulation/quota_test.go
+++ b/internal/fleet/simulation/quota_test.go
@@ -9,8 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestQuota: a process that does nothing but reckon gets its share of a core, and is stopped for the rest of each
-// period.
+// TestQuota: a process that only computes gets its share of a core, and is stopped for the rest of each period.
 func TestQuota(t *testing.T) {
 	c := qt.New(t)
 	p := &Program{cmd: exec.Command("sh", "-c", "while :; do :; done"), out: &output{}, done: make(chan struct{})}
--- a/internal/fleet/simulation/relaynetwork.go
+++ b/internal/fleet/simulation/relaynetwork.go
@@ -15,13 +15,13 @@
 	"molepaddle/internal/protocol/sockets"
 )
 
-// RelayNetwork is the links between machines of one test, each with its own address of 127.0.0.0/8: a relay through
-// which processes dial each other with DialRelay, so that links can be cut and delayed in each direction independently.
-// It is safe for concurrent use.
+// RelayNetwork connects the machines of one test, each of which has its own address of 127.0.0.0/8. Processes dial each
+// other through its relay with DialRelay, so that links can be cut and delayed in each direction independently. It is
+// safe for concurrent use.
 //
-// A direction that is cut carries nothing: what was sent is held up until the cut heals, unless the machine that dialed
-// closes the connection before. It does so as TCP_USER_TIMEOUT would: once bytes of its own were not acknowledged for
-// as long as its dial's bound, which a cut of either direction causes. A dial needs both directions.
+// A cut direction carries no data: sent data is held back until the cut heals, unless the connection is closed before.
+// As with TCP_USER_TIMEOUT, the relay closes a connection once bytes of the dialing machine have not been acknowledged
+// for its dial's time limit, which a cut of either direction causes. A dial needs both directions.
 type RelayNetwork struct {
 	listener net.Listener
 
@@ -35,13 +35,13 @@
 // Link is one direction between two machines, by their IPs.
 type Link struct{ From, To string }
 
-// relayGreeting is the line with which a dial begins: the dialing machine's IP, the address and the dial's bound in ms.
+// relayGreeting is the first line of a dial: the dialing machine's IP, the address and the dial's time limit in ms.
 const relayGreeting = "%s %s %d\n"
 
 // relayOpen is the byte with which the relay answers once the connection is open.
 const relayOpen = '+'
 
-// relayChunk is the most bytes that the relay holds of one direction; more wait with the sender.
+// relayChunk is the maximum number of bytes that the relay buffers per direction.
 const relayChunk = 64 << 10
 
 // StartRelayNetwork starts a RelayNetwork without cuts, which ends with the test.
@@ -77,7 +77,7 @@
 	n.aliases[from] = to
 }
 
-// Cut cuts links. One that was cut twice is open after two calls of Heal.
+// Cut cuts links. A link that was cut twice is open again after two calls of Heal.
 func (n *RelayNetwork) Cut(links ...Link) { n.addCuts(1, links) }
 
 // Heal undoes one cut of each link.
@@ -93,7 +93,7 @@
 	n.signal()
 }
 
-// Delay delays what passes each link from now on; 0 undoes it.
+// Delay sets the delay of data that passes each link from now on; 0 removes it.
 func (n *RelayNetwork) Delay(d time.Duration, links ...Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,20 +103,20 @@
 	n.signal()
 }
 
-// signal wakes those who wait for a change. n.mu is held.
+// signal wakes the goroutines that wait for a change. n.mu is held.
 func (n *RelayNetwork) signal() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// open returns whether a link is open, its delay, and a channel that is closed when either may have changed.
+// open returns whether a link is open, the link's delay, and a channel that is closed when either may have changed.
 func (n *RelayNetwork) open(l Link) (open bool, delay time.Duration, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[l] <= 0, n.delays[l], n.changed
 }
 
-// resolve returns the address to which connections to addr go.
+// resolve returns the address to which connections to addr are made, which an alias may change.
 func (n *RelayNetwork) resolve(addr string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -200,14 +200,14 @@
 	c.copyDirection(fromDialer, c.target, c.out, true)
 }
 
-// greeting is what a dial begins with.
+// greeting is the parsed first line of a dial.
 type greeting struct {
 	link    Link // from the dialing machine to the host of address
 	address string
 	within  time.Duration
 }
 
-// readGreeting blocks until the greeting has come.
+// readGreeting blocks until the greeting has been received.
 func readGreeting(r *bufio.Reader) (greeting, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -261,7 +261,7 @@
 			}
 		}
 		if err != nil {
-			c.network.awaitOpen(c.ctx, l) // the other end learns of the close once its link is open
+			c.network.awaitOpen(c.ctx, l) // the other end is notified of the close once its link is open
 			return
 		}
 	}
--- a/internal/fleet/simulation/relaynetwork_test.go
+++ b/internal/fleet/simulation/relaynetwork_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// networkTimeout bounds the wait for what must happen.
+	// networkTimeout bounds the wait for expected events.
 	networkTimeout = 10 * time.Second
-	// networkShort is the wait for what must not happen.
+	// networkShort is the wait in which an unexpected event must not occur.
 	networkShort = 50 * time.Millisecond
 )
 
@@ -79,7 +79,7 @@
 	c.Assert(ok && timeout.Timeout(), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// TestRelayNetworkForwards: both directions of an open link carry what is sent, an alias changes the target.
+// TestRelayNetworkForwards: both directions of an open link carry data, and an alias changes the target.
 func TestRelayNetworkForwards(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
@@ -95,8 +95,8 @@
 	c.Assert(err, qt.Equals, io.EOF)
 }
 
-// TestRelayNetworkCutsOneWay: a cut direction carries nothing until it is healed, the other one goes on.
-func TestRelayNetworkCutsOneWay(t *testing.T) {
+// TestRelayNetworkCutsOneDirection: a cut direction carries nothing until it is healed, while the other one works.
+func TestRelayNetworkCutsOneDirection(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
 	address, accepted := listenAtTarget(c)
@@ -120,9 +120,9 @@
 	expectText(c, dialer, "late")
 }
 
-// TestRelayNetworkDialsNeedBothWays: a dial over a link that is cut in one direction fails at its bound, and one over a
-// link that heals meanwhile succeeds.
-func TestRelayNetworkDialsNeedBothWays(t *testing.T) {
+// TestRelayNetworkDialNeedsBothDirections: a dial over a link that is cut in one direction fails at its bound, and one
+// over a link that heals meanwhile succeeds.
+func TestRelayNetworkDialNeedsBothDirections(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
 	address, accepted := listenAtTarget(c)
@@ -153,7 +153,7 @@
 }
 
 // TestRelayNetworkTimesOut: the dialing machine loses the connection once its bytes were not acknowledged for as long
-// as its dial's bound, whichever direction is cut; what a cut held up is lost with it.
+// as its dial's time limit, whichever direction is cut. The data that the cut held back is lost.
 func TestRelayNetworkTimesOut(t *testing.T) {
 	for _, l := range []Link{outbound, inbound} {
 		t.Run(l.From, func(t *testing.T) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// TestRelayNetworkDelays: what passes a link with a delay comes late.
+// TestRelayNetworkDelays: data over a link with a delay arrives late.
 func TestRelayNetworkDelays(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
--- a/internal/fleet/simulation/request.go
+++ b/internal/fleet/simulation/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind is a route's kind: it says whether a request may run more than once.
+// Kind is the kind of a route, which determines whether a request may run more than once.
 type Kind string
 
 // The kinds of routes.
@@ -27,16 +27,16 @@
 	Chunked   bool          // send the body in chunks
 	Deadline  time.Duration // X-Molepaddle-Deadline-Ms, and the bound of the attempt; 10 s and no header when 0
 	Model     string        // X-Molepaddle-Model; no header when empty
-	Tokens    [2]int        // of the prompt, and the most to come out; no header when both are 0
+	Tokens    [2]int        // prompt tokens and maximum output tokens; no header when both are 0
 	Parts     []Part        // X-Molepaddle-Prompt-Prefix
 	LastEvent int           // Last-Event-Id; no header when 0
 	Header    http.Header   // further headers
 	Key       string        // API key, sent as Authorization: Bearer; no header when empty
 	Public    bool          // the route is public in any configuration that may be in force: it needs no key
-	// Services are those to which any configuration that may be in force routes the request. Nil: not judged. Empty,
-	// not nil: no service may run it.
+	// Services are the services to which any configuration that may be in force routes the request. Nil: not judged.
+	// Empty, not nil: no service may run it.
 	Services []string
-	// Regions are those in which it may run, be prefilled and be cached. Nil: any.
+	// Regions are the regions in which the request may run, be prefilled and be cached. Nil: any.
 	Regions []string
 }
 
@@ -48,7 +48,7 @@
 // Event is one event of a stream as the client received it.
 type Event struct {
 	ID       int
-	Seal     string // of the run that made it
+	Seal     string // seal of the run that generated the event
 	Tokens   int
 	Versions string // the event's versions line; "" when it had none
 	At       time.Time
@@ -65,19 +65,19 @@
 	Status     int // 0 when no answer came
 	Header     http.Header
 	Seal       string
-	Answered   string // attempt id in the answer
+	Answered   string // attempt id in the answer's headers
 	AnswerBody []byte
 	AnswerHash uint64
 	Events     []Event
-	Complete   bool // the answer ended in a way that a client takes for its proper end
+	Complete   bool // the answer ended in a way that a client accepts as its regular end
 	Extra      bool // bytes came after the answer although no request was waiting
-	Malformed  bool // the bytes were no answer in the protocol
+	Malformed  bool // the bytes were not a valid answer
 	RetryAfter time.Duration
 	Closing    bool  // the answer says that the connection closes after it
 	Reused     bool  // its connection had carried a request before
-	Left       bool  // the client gave it up before its deadline
-	Unread     bool  // no connection was made, so that the request was not sent
-	Err        error // what ended it; nil when Complete
+	Abandoned  bool  // the client abandoned the request before its deadline
+	NotSent    bool  // no connection was made, so that the request was not sent
+	Err        error // error that ended the request; nil when Complete
 }
 
 // OK reports whether the answer is a complete success: 2xx, with a seal, its own attempt id and all bytes.
--- a/internal/fleet/simulation/settings.go
+++ b/internal/fleet/simulation/settings.go
@@ -22,7 +22,7 @@
 	LoRAs []string `json:"loras"`
 }
 
-// EngineSettings configure an Engine. A zero field means what its comment says.
+// EngineSettings configures an Engine. The comment of each field gives its default.
 type EngineSettings struct {
 	ID      string // id of the first incarnation; random when empty
 	Service string // name of the service; "svc" when empty
@@ -58,7 +58,7 @@
 	Now func() time.Time // clock for expiry and delays; time.Now when nil
 }
 
-// setDefaults fills in the zero fields that mean something else.
+// setDefaults replaces zero fields by their defaults.
 func (s *EngineSettings) setDefaults() {
 	s.Service = cmp.Or(s.Service, "svc")
 	s.Version = cmp.Or(s.Version, "v1")
@@ -79,13 +79,13 @@
 	}
 }
 
-// Faults are what an Engine does wrong. The zero value has none. Set them with Engine.SetFaults at any time; a request
-// meets those that were set when it began.
+// Faults are injected faults of an Engine; the zero value has none. They can be changed with Engine.SetFaults at any
+// time. A request is subject to the faults that were set when it began.
 type Faults struct {
 	Fail             int           // run each request and answer it with this status (500 and up); 0 for none
 	CutAfter         int           // cut the answer after this many events, or bytes of a plain body; 0 for none
 	StallAfter       int           // send nothing more after this many events and keep the connection; 0 for none
-	Garble           bool          // send bytes that are no answer
+	Garble           bool          // send bytes that are not an HTTP response
 	Extra            bool          // send another complete answer, with another attempt's id, after each answer
 	LoseAnswer       bool          // run the request and close without an answer
 	Unresponsive     bool          // read requests and never answer; nothing runs
--- a/internal/fleet/simulation/tb.go
+++ b/internal/fleet/simulation/tb.go
@@ -1,10 +1,11 @@
 package simulation
 
-// TB is what the stand-ins need of whoever starts them: testing.TB implements it, and so does `molepaddle-fleet demo`.
+// TB is the interface through which the fake servers use their test: testing.TB implements it, and so does
+// `molepaddle-fleet demo`.
 type TB interface {
-	// Helper marks the caller as one whose lines are left out of failures.
+	// Helper marks the caller as a helper, whose lines are not reported in failures.
 	Helper()
-	// Cleanup has f called at the end; the last one added is called first.
+	// Cleanup registers f to be called at the end, in reverse order of registration.
 	Cleanup(f func())
 	// TempDir returns a new folder, which is removed at the end.
 	TempDir() string
@@ -12,6 +13,6 @@
 	Failed() bool
 	// Logf writes a line to the log.
 	Logf(format string, args ...any)
-	// Fatalf logs a failure and doesn't return.
+	// Fatalf logs a failure and ends the test; it doesn't return.
 	Fatalf(format string, args ...any)
 }
