--- a/cmd/molepaddle-scale/main.go
+++ b/cmd/molepaddle-scale/main.go
@@ -112,7 +112,13 @@
 
 // Run runs the simulated agents until standard input ends.
 func (c *agentsCmd) Run(ctx context.Context) error {
-	group := scaletest.AgentGroup{First: c.First, Count: c.Count, Addresses: c.At, Heartbeat: c.Heartbeat, Apply: c.Apply}
+	group := scaletest.AgentGroup{
+		First:     c.First,
+		Count:     c.Count,
+		Addresses: c.At,
+		Heartbeat: c.Heartbeat,
+		Apply:     c.Apply,
+	}
 	return group.Run(ctx, os.Stdin, os.Stdout)
 }
 
--- a/internal/fleet/simulation/orders_test.go
+++ b/internal/fleet/simulation/orders_test.go
@@ -53,7 +53,7 @@
 	c.Assert(order(c, e, phase(PhasePrefill, 1, `,"expect":0`)), qt.Equals, 202, qt.Commentf("a restart forgets"))
 }
 
-// TestOrderWaitsForRunningRequests: requests that run are completed, those that have not begun get 503, and another
+// TestOrderWaitsForRunningRequests: running requests are completed, queued ones get 503, and another
 // order 409.
 func TestOrderWaitsForRunningRequests(t *testing.T) {
 	c := qt.New(t)
--- a/internal/fleet/simulation/platform.go
+++ b/internal/fleet/simulation/platform.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// Drain lists engines as draining and sets their Draining fault; they go on serving.
+// Drain lists engines as draining and sets their Draining fault; they continue to serve.
 func (p *Platform) Drain(engines ...*Engine) {
 	p.mu.Lock()
 	for i, l := range p.engines {
--- a/internal/fleet/simulation/relaynetwork_test.go
+++ b/internal/fleet/simulation/relaynetwork_test.go
@@ -120,8 +120,8 @@
 	expectText(c, dialer, "late")
 }
 
-// TestRelayNetworkDialNeedsBothDirections: a dial over a link that is cut in one direction fails at its bound, and one
-// over a link that heals meanwhile succeeds.
+// TestRelayNetworkDialNeedsBothDirections: a dial over a link that is cut in one direction fails at its time limit, and
+// one over a link that heals meanwhile succeeds.
 func TestRelayNetworkDialNeedsBothDirections(t *testing.T) {
 	c := qt.New(t)
 	n := StartRelayNetwork(c)
