--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -29,7 +29,7 @@
 	// ErrOverQuota means that the tenant has used up its quota.
 	ErrOverQuota = errors.New("over the tenant's quota")
 	// ErrNoAllocator means that no allocator has answered, so that it is unknown whether the tenant has quota left.
-	ErrNoAllocator = errors.New("no control server has answered how much of the tenant's quota is left")
+	ErrNoAllocator = errors.New("no control server tells how much of the tenant's quota is left")
 )
 
 // Client is a Holder together with its connection to the allocator. It is safe for concurrent use.
