--- a/internal/rig/lab/model/cost_test.go
+++ b/internal/rig/lab/model/cost_test.go
@@ -9,8 +9,8 @@
 	"molepaddle/policy"
 )
 
-// BenchmarkDecide is the time of the decisions on one request and its outcome, at so many
-// servers and with so many other requests open. `molepaddle lab report --bench` draws it.
+// BenchmarkDecide measures the decisions on one request and its outcome, by the number of servers
+// and of other open requests. `molepaddle lab report --bench` plots it.
 func BenchmarkDecide(b *testing.B) {
 	for _, servers := range []int{3, 30, 300, 3000} {
 		for _, open := range []int{1, 100, 10000} {
--- a/internal/rig/lab/model/model.go
+++ b/internal/rig/lab/model/model.go
@@ -1,12 +1,13 @@
-// Package model plays a scenario by discrete events in virtual time, with the real decisions:
-// policy.Balancer, and package fleet where the operator's file has that table. What the core,
-// the transport and the pool do round them on sockets is modelled: connections, their cost and
-// their idle times, attempts that may not begin any more, cancels, the last guard of a request,
-// lists and what an agent was told when. One goroutine plays all of it, and a seed decides
-// everything: the same scenario, chooser and seed give the same bytes.
+// Package model runs a scenario as a discrete-event simulation in virtual time with the real
+// decision code: policy.Balancer, and package fleet where the operator's file has that table. What
+// core, the transport and the connection pool do around it on sockets is simulated: connections,
+// their cost and idle times, attempts whose time to begin has passed, cancellations, the final
+// deadline guard of a request, endpoint lists and the time at which each agent received them. One
+// goroutine runs the whole simulation, and the seed determines it: the same scenario, chooser and
+// seed give the same bytes.
 //
-// What it leaves out: the time that the agents themselves and their clients' connections take,
-// and the bytes of messages. Times are in milliseconds since the start.
+// The simulation leaves out the processing time of the agents, the connections between clients and
+// agents, and the bytes of messages. Times are in milliseconds since the start.
 package model
 
 import (
@@ -28,76 +29,79 @@
 	"molepaddle/policy"
 )
 
-// kind tells what an event is.
-type kind uint8
+// eventKind is the type of a simulation event.
+type eventKind uint8
 
 const (
-	evAsk       kind = iota // n: of the plan
-	evConnected             // att
-	evArrive                // att
-	evEnd                   // att: its job's time is up
-	evAnswer                // att, n: status
-	evTimeout               // att
-	evCancel                // att: the server learns that nobody waits
-	evDo                    // do
+	evRequest   eventKind = iota // n: index in the plan
+	evConnected                  // att
+	evArrive                     // att
+	evEnd                        // att: its job is done
+	evAnswer                     // att; n: status
+	evTimeout                    // att
+	evCancel                     // att: the server notices that its client has closed
+	evDo                         // do
 )
 
-// clockBase is the Balancers' clock at the start, so that no start of a server is at 0.
+// clockBase is the reading of the Balancers' clock at the start. It is above 0 so that no server
+// has a start time of 0.
 const clockBase = 1e9
 
-// guard is how long before its deadline a request is answered at the latest, as core does it.
+// guard is how long before its deadline a request is answered at the latest, in milliseconds; core
+// uses the same guard.
 const guard = 2.0
 
-// Options is what a play may be told.
+// Options configures a simulation.
 type Options struct {
-	Chooser string         // empty: the scenario's
-	Seed    uint64         // decides everything
-	Fleet   *fleet.Options // of the operator's file; nil: no such table
-	// Tick is called now and then with the part that is played; false ends the play.
+	Chooser string         // empty: that of the scenario
+	Seed    uint64         // seed of every random choice
+	Fleet   *fleet.Options // table of the operator's file; nil: none
+	// Tick is called every 65536 events with the fraction of the simulation that is done; false
+	// stops the simulation.
 	Tick func(part float64) bool
-	// NewDecider replaces the chooser: a planted fault, say.
+	// NewDecider replaces the chooser, for example to inject a fault.
 	NewDecider func(index, zone int, seed uint64, truth choose.Truth) (choose.Decider, error)
 }
 
-// ErrStopped is told where Tick ended the play.
+// ErrStopped is returned by Play if Tick stopped the simulation.
 var ErrStopped = errors.New("stopped")
 
-// server is one identity in the list: a process at a time.
+// server is one simulated server identity, which has at most one process at a time.
 type server struct {
-	num     int
-	name    string
-	kind    int
-	zone    int
-	addr    cluster.Addr
-	st      *station.Station
-	gen     int // counts processes and deaths: connections of another one are of no use
-	up      bool
-	silent  bool
-	health  cluster.Health // the truth
-	conns   int
-	most    int
-	coming  int // attempts on their way to it
-	live    []*attempt
-	late    float64 // added to its reports' age
-	busy    []float64
-	worked  float64 // by processes before
-	peak    float64
-	fell    bool
-	removed bool
-}
-
-// change is one version of the list.
-type change struct {
+	num         int
+	name        string
+	kind        int
+	zone        int
+	addr        cluster.Addr
+	st          *station.Station
+	gen         int // generation, counts starts and ends of processes; a connection of another one is unusable
+	up          bool
+	silent      bool
+	health      cluster.Health // true state, ahead of the list
+	conns       int
+	maxConns    int
+	inTransit   int // requests written but not arrived yet
+	live        []*attempt
+	reportDelay float64 // added to the age of its load reports, ms
+	busy        []float64
+	pastWork    float64 // work of earlier processes, ms
+	peak        float64
+	fell        bool
+	removed     bool
+}
+
+// listChange is one version of the endpoint list: the entry that it changed.
+type listChange struct {
 	at    float64
 	entry cluster.Entry
 }
 
-// try is one sending of a request by its client.
-type try struct {
+// clientRequest is one request that a client sends to its agent; a client retry is another one.
+type clientRequest struct {
 	measure.Try
 	agent    *agent
 	n        policy.RequestID
-	number   int // of the client's tries, from 0
+	number   int // of the client's attempts, from 0
 	attempts []*attempt
 	deadline float64
 	answered bool
@@ -106,14 +110,14 @@
 type stage uint8
 
 const (
-	waiting stage = iota // no byte has gone out
+	waiting stage = iota // for a connection, nothing written yet
 	sending
-	over
+	finished
 )
 
-// attempt is one attempt.
+// attempt is one attempt of an agent at a server: a request or a health check.
 type attempt struct {
-	t       *try
+	t       *clientRequest
 	agent   *agent
 	s       *server
 	gen     int
@@ -124,61 +128,61 @@
 	arrives float64
 	stage   stage
 	arrived bool
-	live    int // place in the server's list, -1: not there
+	live    int // index in the server's live, -1: not in it
 	st      *station.Station
 	job     station.Job
 	probe   bool
-	took    bool // holds a connection
+	hasConn bool // it owns a connection
 }
 
-// pool is an agent's connections to a server.
+// pool represents the connections of an agent to a server.
 type pool struct {
 	gen  int
-	idle []float64 // since when, oldest first
+	idle []float64 // times at which each became idle, oldest first
 	open int
 }
 
-// agent is one process.
+// agent is one agent process.
 type agent struct {
-	index, zone int
-	dec         choose.Decider
-	tries       map[policy.RequestID]*try
-	next        policy.RequestID
-	pools       map[int]*pool
-	seq         int // version of the list at hand
-	watching    bool
-	gone        bool
-	told        []float64 // by server: since when it wants nothing new; -1: it does
-	part        *fleet.Planner
-	list        map[int]cluster.Entry // whole, in a fleet only
-	heard       float64
-	planGen     int
-	probes      int
-}
-
-// world is a play.
+	index, zone   int
+	dec           choose.Decider
+	tries         map[policy.RequestID]*clientRequest
+	next          policy.RequestID
+	pools         map[int]*pool
+	listVersion   int // version of the list that it has
+	watching      bool
+	stopped       bool
+	notReadySince []float64 // by server: time from which the agent knew it as not ready; -1: ready
+	planner       *fleet.Planner
+	list          map[int]cluster.Entry // by server number, with a fleet table only
+	listAt        float64
+	planGen       int
+	probes        int
+}
+
+// world is the state of a simulation.
 type world struct {
-	s       *scenario.Scenario
-	o       Options
-	q       queue
-	now     float64
-	plan    []law.Ask
-	paths   *law.Paths
-	rng     *rand.Rand
-	zones   []int
-	agents  []*agent
-	servers []*server
-	byAddr  map[cluster.Addr]*server
-	changes []change
-	down    float64 // until then the roster answers nothing
-	stalls  []stall
-	rec     *measure.Recorder
-	res     struct{ connects, questions int }
-	actions [][]policy.Action // scratch, by depth
-	depth   int
-	means   float64
-	events  int64
-	err     error
+	s               *scenario.Scenario
+	o               Options
+	q               queue
+	now             float64
+	plan            []law.Ask
+	paths           *law.Paths
+	rng             *rand.Rand
+	zones           []int
+	agents          []*agent
+	servers         []*server
+	byAddr          map[cluster.Addr]*server
+	changes         []listChange
+	rosterDownUntil float64 // until then the roster does not answer
+	stalls          []stall
+	rec             *measure.Recorder
+	res             struct{ connects, questions int }
+	actions         [][]policy.Action // scratch, by depth
+	depth           int
+	meanWork        float64
+	events          int64
+	err             error
 }
 
 type stall struct {
@@ -186,13 +190,13 @@
 	until float64
 }
 
-// Play plays a scenario.
+// Play simulates a scenario and returns its measurements.
 func Play(s *scenario.Scenario, o Options) (*measure.Result, error) {
 	if o.Chooser == "" {
 		o.Chooser = s.Agent.Chooser
 	}
 	w := &world{s: s, o: o, plan: law.Plan(s, o.Seed), paths: law.NewPaths(s), rng: law.Source(o.Seed, "network"),
-		zones: law.Zones(s), byAddr: map[cluster.Addr]*server{}, means: s.MeanWork()}
+		zones: law.Zones(s), byAddr: map[cluster.Addr]*server{}, meanWork: s.MeanWork()}
 	w.rec = measure.New(s, w.plan)
 	w.setUp()
 	begun := time.Now()
@@ -201,17 +205,17 @@
 		return nil, err
 	}
 	for _, v := range w.servers {
-		w.rec.Worked(v.worked + v.st.Worked)
+		w.rec.Worked(v.pastWork + v.st.Worked)
 	}
 	return w.rec.Result(func(r *measure.Result) {
 		r.Connects, r.Questions, r.Events = w.res.connects, w.res.questions, w.events
 		r.EventsPerS = float64(w.events) / time.Since(begun).Seconds()
 		span := s.Length.Ms()
 		for _, v := range w.servers {
-			r.OpenMost = max(r.OpenMost, v.most)
+			r.OpenMost = max(r.OpenMost, v.maxConns)
 			k := &s.Servers[v.kind]
 			r.Servers = append(r.Servers, measure.Server{Name: v.name, Kind: k.Kind, Zone: s.Zones[v.zone], Busy: v.busy,
-				Work: (v.worked + v.st.Worked) / (span * float64(k.Slots) * k.Speed),
+				Work: (v.pastWork + v.st.Worked) / (span * float64(k.Slots) * k.Speed),
 				Peak: max(v.peak, v.st.Peak) / s.Rules.FallMultiple, Fell: v.fell})
 		}
 	}), nil
@@ -257,26 +261,26 @@
 		}
 	}
 	for _, v := range w.servers {
-		w.changes = append(w.changes, change{entry: w.entry(v)})
+		w.changes = append(w.changes, listChange{entry: w.entry(v)})
 	}
 	if len(w.plan) > 0 {
-		w.at(w.plan[0].At, event{kind: evAsk})
+		w.at(w.plan[0].At, event{kind: evRequest})
 	}
 	for i := range w.s.Events {
 		e := &w.s.Events[i]
-		w.at(e.At.Ms(), event{kind: evDo, do: func() { timeline.Run(host{w}, w.s, i, w.o.Seed) }})
+		w.at(e.At.Ms(), event{kind: evDo, do: func() { timeline.Run(timelineHost{w}, w.s, i, w.o.Seed) }})
 	}
 	w.at(w.rec.Bucket(), event{kind: evDo, do: w.sample})
 	for i, z := range w.zones {
 		w.agents = append(w.agents, nil)
-		w.start(i, z, 0)
+		w.startAgent(i, z, 0)
 	}
 }
 
-// start starts an agent, which is told the list as the roster has it.
-func (w *world) start(index, zone, run int) {
+// startAgent starts an agent process, which receives the roster's current endpoint list.
+func (w *world) startAgent(index, zone, run int) {
 	seed := law.Seed(w.o.Seed, fmt.Sprint("agent", index, ".", run))
-	a := &agent{index: index, zone: zone, tries: map[policy.RequestID]*try{}, pools: map[int]*pool{}}
+	a := &agent{index: index, zone: zone, tries: map[policy.RequestID]*clientRequest{}, pools: map[int]*pool{}}
 	var err error
 	if w.o.NewDecider != nil {
 		a.dec, err = w.o.NewDecider(index, zone, seed, w)
@@ -285,7 +289,7 @@
 	}
 	if err == nil && w.o.Fleet != nil {
 		set := w.s.Settings(index, zone)
-		a.part, err = fleet.New(*w.o.Fleet, &set, seed, clockBase+w.now)
+		a.planner, err = fleet.New(*w.o.Fleet, &set, seed, clockBase+w.now)
 		a.list = map[int]cluster.Entry{}
 	}
 	if err != nil {
@@ -293,16 +297,16 @@
 		return
 	}
 	w.agents[index] = a
-	a.heard = w.now
-	w.act(a, a.dec.Start(clockBase+w.now, w.scratch()))
+	a.listAt = w.now
+	w.apply(a, a.dec.Start(clockBase+w.now, w.scratch()))
 	w.depth--
-	w.learn(a, cluster.ListCached, w.known(0))
+	w.applyList(a, cluster.ListCached, w.entriesSince(0))
 	if w.s.Roster.Pushed {
-		w.follow(a)
+		w.watchList(a)
 	}
 }
 
-// run plays until the last client has its answer or gave up.
+// run processes events until the last client has its answer or has given up.
 func (w *world) run() error {
 	end := w.s.Length.Ms()
 	for _, c := range w.s.Classes {
@@ -318,28 +322,28 @@
 		if w.events&0xffff == 0 && w.o.Tick != nil && !w.o.Tick(w.now/end) {
 			return ErrStopped
 		}
-		w.one(&e)
+		w.dispatch(&e)
 	}
 	return w.err
 }
 
-func (w *world) one(e *event) {
+func (w *world) dispatch(e *event) {
 	switch e.kind {
-	case evAsk:
+	case evRequest:
 		if next := int(e.n) + 1; next < len(w.plan) {
-			w.at(w.plan[next].At, event{kind: evAsk, n: int32(next)})
+			w.at(w.plan[next].At, event{kind: evRequest, n: int32(next)})
 		}
-		w.ask(int(e.n), 0)
+		w.submit(int(e.n), 0)
 	case evConnected:
 		w.connected(e.att)
 	case evArrive:
 		w.arrive(e.att)
 	case evEnd:
-		w.ended(e.att)
+		w.completeJob(e.att)
 	case evAnswer:
 		w.outcome(e.att, policy.Status(e.n))
 	case evTimeout:
-		if e.att.stage != over {
+		if e.att.stage != finished {
 			w.giveUp(e.att, policy.Timeout)
 		}
 	case evCancel:
@@ -349,8 +353,9 @@
 	}
 }
 
-// trip is the time of a message between an agent and a server, with what stalls it.
-func (w *world) trip(a *agent, s *server) float64 {
+// networkDelay returns the delay of a message between an agent and a server, including stalls of the
+// link between their zones.
+func (w *world) networkDelay(a *agent, s *server) float64 {
 	t := w.paths.Draw(a.zone, s.zone, w.rng)
 	for i := range w.stalls {
 		if st := &w.stalls[i]; (st.a == a.zone && st.b == s.zone || st.a == s.zone && st.b == a.zone) && w.now+t < st.until {
@@ -362,11 +367,11 @@
 
 // ---- clients ----
 
-func (w *world) ask(n, number int) {
+func (w *world) submit(n, number int) {
 	p := &w.plan[n]
 	a := w.agents[p.Agent]
 	deadline := p.At + float64(p.Patience)
-	t := &try{agent: a, number: number, deadline: deadline}
+	t := &clientRequest{agent: a, number: number, deadline: deadline}
 	t.Try = measure.Try{ID: fmt.Sprint("r", n, ".", number), Ask: n, Class: int(p.Class), At: w.now, Deadline: deadline}
 	w.rec.Start(&t.Try)
 	a.next++
@@ -374,9 +379,9 @@
 	a.tries[t.n] = t
 	w.at(deadline-guard, event{kind: evDo, do: func() {
 		if !t.answered {
-			w.final(t, measure.Failed, 0)
-			w.tell(a, &policy.Event{Kind: policy.EvDropped, Request: t.n})
-			w.unsend(t)
+			w.respond(t, measure.Failed, 0)
+			w.handleEvent(a, &policy.Event{Kind: policy.EvDropped, Request: t.n})
+			w.cancelWaiting(t)
 			w.forget(t)
 		}
 	}})
@@ -385,18 +390,18 @@
 			if !t.answered {
 				t.answered = true
 				w.rec.End(&t.Try, w.now, measure.Gone, false)
-				w.tell(a, &policy.Event{Kind: policy.EvDropped, Request: t.n})
-				w.unsend(t)
+				w.handleEvent(a, &policy.Event{Kind: policy.EvDropped, Request: t.n})
+				w.cancelWaiting(t)
 				w.forget(t)
 			}
 		}})
 	}
-	w.tell(a, &policy.Event{Kind: policy.EvRequest, Request: t.n, Class: int(p.Class), Tenant: -1, Key: uint64(p.Key),
+	w.handleEvent(a, &policy.Event{Kind: policy.EvRequest, Request: t.n, Class: int(p.Class), Tenant: -1, Key: uint64(p.Key),
 		LeftMs: deadline - w.now, Retry: number > 0})
 }
 
-// final gives a try its answer; the client may ask again.
-func (w *world) final(t *try, o measure.Outcome, retryAfter float64) {
+// respond records the final outcome of a request; the client may retry.
+func (w *world) respond(t *clientRequest, o measure.Outcome, retryAfter float64) {
 	t.answered = true
 	needless := o != measure.Served && w.needless(t)
 	w.rec.End(&t.Try, w.now, o, needless)
@@ -414,18 +419,19 @@
 	}
 	if w.now+wait+guard < t.deadline {
 		n, number := t.Ask, t.number+1
-		w.after(wait, func() { w.ask(n, number) })
+		w.after(wait, func() { w.submit(n, number) })
 	}
 }
 
-// needless tells whether a warm server that is well stands idle and could still answer in time.
-func (w *world) needless(t *try) bool {
+// needless reports whether a server that is warm and healthy has a free slot and could still answer
+// in time. It checks at most 64 servers, from a random one on.
+func (w *world) needless(t *clientRequest) bool {
 	work := float64(w.plan[t.Ask].Work)
 	n := len(w.servers)
 	from := w.rng.IntN(n)
 	for i := range min(n, 64) {
 		v := w.servers[(from+i)%n]
-		if v.up && !v.silent && v.health == cluster.Ready && v.st.Free(w.now, v.coming) &&
+		if v.up && !v.silent && v.health == cluster.Ready && v.st.Free(w.now, v.inTransit) &&
 			2*w.paths.Mean(t.agent.zone, v.zone)+work/v.st.Rate(w.now) < t.deadline-guard-w.now {
 			return true
 		}
@@ -433,7 +439,7 @@
 	return false
 }
 
-// ---- what an agent does ----
+// ---- agents ----
 
 func (w *world) scratch() []policy.Action {
 	if w.depth == len(w.actions) {
@@ -443,15 +449,15 @@
 	return w.actions[w.depth-1][:0]
 }
 
-// tell hands an agent's decider an event and does what it says.
-func (w *world) tell(a *agent, ev *policy.Event) {
+// handleEvent passes an event to an agent's decider and applies the resulting actions.
+func (w *world) handleEvent(a *agent, ev *policy.Event) {
 	acts := a.dec.Handle(clockBase+w.now, ev, w.scratch())
-	w.act(a, acts)
+	w.apply(a, acts)
 	w.depth--
 	w.actions[w.depth] = acts[:0]
 }
 
-func (w *world) act(a *agent, acts []policy.Action) {
+func (w *world) apply(a *agent, acts []policy.Action) {
 	for i := range acts {
 		act := acts[i]
 		t := a.tries[act.Request]
@@ -470,23 +476,23 @@
 				if act.Kind == policy.ActFail {
 					o = measure.Failed
 				}
-				w.final(t, o, act.Ms)
-				w.unsend(t)
+				w.respond(t, o, act.Ms)
+				w.cancelWaiting(t)
 				w.forget(t)
-				if a.part != nil && o == measure.Refused && a.part.ObserveRejection(clockBase+w.now) {
+				if a.planner != nil && o == measure.Refused && a.planner.ObserveRejection(clockBase+w.now) {
 					w.after(0, func() { w.replan(a) })
 				}
 			}
 		case policy.ActProbe:
-			w.later(a, a.part, func() float64 { return a.part.ProbeDelay() }, func() { w.probe(a, act.Server) })
+			w.afterDelay(a, a.planner, func() float64 { return a.planner.ProbeDelay() }, func() { w.probe(a, act.Server) })
 		case policy.ActTimer:
 			w.after(act.Ms, func() {
-				if !a.gone || len(a.tries) > 0 {
-					w.tell(a, &policy.Event{Kind: policy.EvTimer, Token: act.Token})
+				if !a.stopped || len(a.tries) > 0 {
+					w.handleEvent(a, &policy.Event{Kind: policy.EvTimer, Token: act.Token})
 				}
 			})
 		case policy.ActFollow:
-			w.follow(a)
+			w.watchList(a)
 		case policy.ActClose:
 			if v := w.byAddr[act.Server]; v != nil {
 				w.closeIdle(a, v)
@@ -495,7 +501,7 @@
 	}
 }
 
-func (w *world) later(a *agent, part *fleet.Planner, wait func() float64, do func()) {
+func (w *world) afterDelay(a *agent, part *fleet.Planner, wait func() float64, do func()) {
 	if part == nil {
 		do()
 		return
@@ -503,7 +509,7 @@
 	w.after(wait(), do)
 }
 
-// pool gives an agent's connections to a server, without those of a process that has ended.
+// pool returns an agent's connections to a server, without those to a process that has ended.
 func (w *world) pool(a *agent, v *server) *pool {
 	p := a.pools[v.num]
 	if p == nil {
@@ -516,8 +522,8 @@
 	return p
 }
 
-// fresh drops the connections that have idled too long.
-func (w *world) fresh(v *server, p *pool) {
+// closeExpired closes the connections that have been idle for too long.
+func (w *world) closeExpired(v *server, p *pool) {
 	keep := min(w.s.Limits.KeepIdle.Ms()/2, w.s.Servers[v.kind].IdleClose.Ms())
 	n := 0
 	for n < len(p.idle) && w.now-p.idle[n] >= keep {
@@ -535,41 +541,41 @@
 	p.idle = p.idle[:0]
 }
 
-func (w *world) send(t *try, act *policy.Action) {
+func (w *world) send(t *clientRequest, act *policy.Action) {
 	a, v := t.agent, w.byAddr[act.Server]
 	att := &attempt{t: t, agent: a, s: v, gen: v.gen, index: len(t.attempts), sent: w.now, until: w.now + act.Ms, live: -1}
 	if act.BeginMs > 0 {
 		att.beginBy = w.now + act.BeginMs
 	}
 	t.attempts = append(t.attempts, att)
-	w.rec.Sent(&t.Try, w.now, a.toldOf(v.num), v.name, a.zone != v.zone)
+	w.rec.Sent(&t.Try, w.now, a.notReadyAt(v.num), v.name, a.zone != v.zone)
 	w.at(att.until, event{kind: evTimeout, att: att})
 	w.connect(att)
 }
 
-func (a *agent) toldOf(num int) float64 {
-	if num >= len(a.told) {
+func (a *agent) notReadyAt(num int) float64 {
+	if num >= len(a.notReadySince) {
 		return -1
 	}
-	return a.told[num]
+	return a.notReadySince[num]
 }
 
-// connect takes a connection that idles, or opens one.
+// connect takes an idle connection from the pool or opens a new one.
 func (w *world) connect(att *attempt) {
 	a, v := att.agent, att.s
 	p := w.pool(a, v)
-	w.fresh(v, p)
+	w.closeExpired(v, p)
 	v.live = append(v.live, att)
 	att.live = len(v.live) - 1
 	if n := len(p.idle); n > 0 {
 		p.idle = p.idle[:n-1]
-		att.took = true
-		w.begin(att)
+		att.hasConn = true
+		w.writeRequest(att)
 		return
 	}
 	kind := &w.s.Servers[v.kind]
 	limit := w.s.Limits.Connect.Ms()
-	took := w.trip(a, v) + w.trip(a, v)
+	took := w.networkDelay(a, v) + w.networkDelay(a, v)
 	switch {
 	case v.silent || took > limit:
 		w.at(w.now+limit, event{kind: evAnswer, att: att, n: int32(policy.ConnectFailed)})
@@ -579,58 +585,58 @@
 		w.res.connects++
 		p.open++
 		v.conns++
-		v.most = max(v.most, v.conns)
-		att.took = true
+		v.maxConns = max(v.maxConns, v.conns)
+		att.hasConn = true
 		w.at(w.now+took+kind.Connect.Ms(), event{kind: evConnected, att: att})
 	}
 }
 
 func (w *world) connected(att *attempt) {
-	if att.stage == over {
-		w.rest(att) // it was withdrawn: the connection is there for another
+	if att.stage == finished {
+		w.releaseConn(att) // cancelled meanwhile: the connection can be reused
 		return
 	}
 	if att.gen != att.s.gen || att.s.silent {
-		return // its process has gone meanwhile, or says nothing
+		return // the process has ended meanwhile or does not respond
 	}
 	if att.beginBy > 0 && w.now >= att.beginBy {
 		w.outcome(att, policy.Abandoned)
-		w.rest(att)
+		w.releaseConn(att)
 		return
 	}
-	w.begin(att)
+	w.writeRequest(att)
 }
 
-// begin writes the request; from here on it may run.
-func (w *world) begin(att *attempt) {
+// writeRequest writes the request to the connection; from now on the server may execute it.
+func (w *world) writeRequest(att *attempt) {
 	att.stage = sending
-	att.s.coming++
-	att.arrives = w.now + w.trip(att.agent, att.s)
+	att.s.inTransit++
+	att.arrives = w.now + w.networkDelay(att.agent, att.s)
 	w.at(att.arrives, event{kind: evArrive, att: att})
 }
 
-// rest gives a connection back to those that idle.
-func (w *world) rest(att *attempt) {
-	if !att.took || att.gen != att.s.gen {
+// releaseConn returns the attempt's connection to the idle ones of its pool.
+func (w *world) releaseConn(att *attempt) {
+	if !att.hasConn || att.gen != att.s.gen {
 		return
 	}
-	att.took = false
+	att.hasConn = false
 	p := w.pool(att.agent, att.s)
 	p.idle = append(p.idle, w.now)
 }
 
-// hangUp closes the attempt's connection.
-func (w *world) hangUp(att *attempt) {
-	if !att.took || att.gen != att.s.gen {
+// closeConn closes the attempt's connection.
+func (w *world) closeConn(att *attempt) {
+	if !att.hasConn || att.gen != att.s.gen {
 		return
 	}
-	att.took = false
+	att.hasConn = false
 	p := w.pool(att.agent, att.s)
 	p.open--
 	att.s.conns--
 }
 
-func (w *world) unsend(t *try) {
+func (w *world) cancelWaiting(t *clientRequest) {
 	for _, att := range t.attempts {
 		if att.stage == waiting {
 			w.giveUp(att, policy.Cancelled)
@@ -638,34 +644,35 @@
 	}
 }
 
-// giveUp ends an attempt at the agent's side. Of one that has not begun nothing goes out any more.
+// giveUp ends an attempt at the agent's side. An attempt that is still waiting for its connection is
+// never sent.
 func (w *world) giveUp(att *attempt, why policy.Status) {
-	if att.stage == over {
+	if att.stage == finished {
 		return
 	}
 	if att.stage == waiting {
 		if why == policy.Timeout {
 			why = policy.ConnectFailed
 		}
-		w.leave(att)
-		// The connection comes up all the same, and rests then.
-		w.settle(att, why)
+		w.removeLive(att)
+		// The connection is still established, and is idle then.
+		w.finishAttempt(att, why)
 		return
 	}
-	w.hangUp(att)
+	w.closeConn(att)
 	if why == policy.Timeout {
 		w.closeIdle(att.agent, att.s)
 	}
 	if att.gen == att.s.gen && !att.s.silent {
-		w.at(max(w.now+w.trip(att.agent, att.s), att.arrives), event{kind: evCancel, att: att})
+		w.at(max(w.now+w.networkDelay(att.agent, att.s), att.arrives), event{kind: evCancel, att: att})
 	} else {
-		w.leave(att)
+		w.removeLive(att)
 	}
-	w.settle(att, why)
+	w.finishAttempt(att, why)
 }
 
-// leave takes an attempt from its server's list.
-func (w *world) leave(att *attempt) {
+// removeLive removes an attempt from its server's list of live attempts.
+func (w *world) removeLive(att *attempt) {
 	if att.live < 0 {
 		return
 	}
@@ -677,30 +684,30 @@
 	att.live = -1
 }
 
-// outcome brings the end of an attempt to its agent.
+// outcome delivers the end of an attempt to its agent.
 func (w *world) outcome(att *attempt, st policy.Status) {
-	if att.stage == over {
+	if att.stage == finished {
 		return
 	}
-	w.leave(att)
+	w.removeLive(att)
 	switch st {
 	case policy.OK, policy.Error, policy.Full:
-		w.rest(att)
+		w.releaseConn(att)
 	case policy.ConnectFailed:
 	case policy.Abandoned:
 	default:
-		w.hangUp(att)
+		w.closeConn(att)
 	}
-	w.settle(att, st)
+	w.finishAttempt(att, st)
 }
 
-// settle tells the decider how an attempt ended.
-func (w *world) settle(att *attempt, st policy.Status) {
-	att.stage = over
+// finishAttempt marks an attempt as finished and notifies the decider of its status.
+func (w *world) finishAttempt(att *attempt, st policy.Status) {
+	att.stage = finished
 	a, t := att.agent, att.t
 	if att.probe {
 		a.probes--
-		w.tell(a, &policy.Event{Kind: policy.EvProbed, Server: att.s.addr, Status: st, LatencyMs: w.now - att.sent})
+		w.handleEvent(a, &policy.Event{Kind: policy.EvProbed, Server: att.s.addr, Status: st, LatencyMs: w.now - att.sent})
 		return
 	}
 	w.rec.Over(&t.Try)
@@ -708,16 +715,16 @@
 		t.Note(w.now, statusName(st), att.s.name)
 	}
 	if st == policy.OK && !t.answered {
-		w.final(t, measure.Served, 0)
+		w.respond(t, measure.Served, 0)
 	}
 	ev := policy.Event{Kind: policy.EvOutcome, Request: t.n, Attempt: att.index, Server: att.s.addr, Status: st,
 		LatencyMs: w.now - att.sent, Final: t.answered}
 	if st == policy.OK || st == policy.Error || st == policy.Full {
-		if r, ok := att.s.st.Load(w.now, att.s.late); ok {
+		if r, ok := att.s.st.Load(w.now, att.s.reportDelay); ok {
 			ev.Report = []float32{float32(r.QPS), float32(r.Util), float32(r.EPS)}
 		}
 	}
-	w.tell(a, &ev)
+	w.handleEvent(a, &ev)
 	w.forget(t)
 }
 
@@ -739,12 +746,12 @@
 	return "not begun at"
 }
 
-func (w *world) forget(t *try) {
+func (w *world) forget(t *clientRequest) {
 	if !t.answered {
 		return
 	}
 	for _, att := range t.attempts {
-		if att.stage != over {
+		if att.stage != finished {
 			return
 		}
 	}
@@ -767,9 +774,9 @@
 func (w *world) arrive(att *attempt) {
 	v := att.s
 	if att.gen != v.gen {
-		return // its connection has ended
+		return // its connection was closed
 	}
-	v.coming--
+	v.inTransit--
 	if v.silent {
 		return
 	}
@@ -779,7 +786,7 @@
 		if law.Unit(w.o.Seed, uint64(w.events)) < v.st.Failing(w.now) {
 			st = policy.Error
 		}
-		w.at(w.now+w.trip(att.agent, v), event{kind: evAnswer, att: att, n: int32(st)})
+		w.at(w.now+w.networkDelay(att.agent, v), event{kind: evAnswer, att: att, n: int32(st)})
 		return
 	}
 	p := &w.plan[att.t.Ask]
@@ -793,7 +800,7 @@
 	}
 	switch verdict {
 	case station.Started:
-		w.begun(&att.job)
+		w.scheduleEnd(&att.job)
 	case station.Full:
 		w.reply(att, policy.Full)
 	case station.Failed:
@@ -802,32 +809,32 @@
 	}
 }
 
-func (w *world) begun(j *station.Job) {
+func (w *world) scheduleEnd(j *station.Job) {
 	att := j.Tag.(*attempt)
 	w.rec.Begun(&att.t.Try, w.now, att.s.name)
 	w.at(j.Until, event{kind: evEnd, att: att})
 }
 
 func (w *world) reply(att *attempt, st policy.Status) {
-	w.at(w.now+w.trip(att.agent, att.s), event{kind: evAnswer, att: att, n: int32(st)})
+	w.at(w.now+w.networkDelay(att.agent, att.s), event{kind: evAnswer, att: att, n: int32(st)})
 }
 
-func (w *world) ended(att *attempt) {
+func (w *world) completeJob(att *attempt) {
 	if !att.job.Serving() || att.job.Until > w.now+1e-9 {
-		return // given up, or its process has ended
+		return // cancelled, or its process has ended
 	}
 	next := att.st.End(w.now, &att.job)
 	if att.gen == att.s.gen {
 		w.reply(att, policy.OK)
 	}
 	if next != nil {
-		w.begun(next)
+		w.scheduleEnd(next)
 	}
 }
 
-// cancelled is when a server sees that its client has closed.
+// cancelled handles a cancellation that reaches the server: its client has closed the connection.
 func (w *world) cancelled(att *attempt) {
-	w.leave(att)
+	w.removeLive(att)
 	if att.gen != att.s.gen {
 		return
 	}
@@ -835,14 +842,15 @@
 		return
 	}
 	if next, _ := att.st.Cancel(w.now, &att.job); next != nil {
-		w.begun(next)
+		w.scheduleEnd(next)
 	}
 }
 
-// die ends a server's process: what it had is lost. Connections break where it is not silent.
-func (w *world) die(v *server, silent bool) {
+// stopServer ends a server's process, which loses its jobs. Connections are reset unless the server
+// vanishes silently.
+func (w *world) stopServer(v *server, silent bool) {
 	v.st.Kill(w.now)
-	v.worked += v.st.Worked
+	v.pastWork += v.st.Worked
 	v.st.Worked = 0
 	v.peak = max(v.peak, v.st.Peak)
 	v.up, v.silent = false, silent
@@ -851,10 +859,10 @@
 	}
 }
 
-// breakAll breaks all connections to a server.
+// breakAll resets all connections to a server.
 func (w *world) breakAll(v *server) {
 	v.gen++
-	v.conns, v.coming = 0, 0
+	v.conns, v.inTransit = 0, 0
 	live := v.live
 	v.live = nil
 	for _, att := range live {
@@ -863,26 +871,26 @@
 		if att.stage == waiting {
 			st = policy.ConnectFailed
 		}
-		if att.stage != over {
+		if att.stage != finished {
 			w.reply(att, st)
 		}
 	}
 }
 
-// back starts a new process on a server's machine, cold.
-func (w *world) back(v *server) {
+// restartServer starts a new, cold process of a stopped server.
+func (w *world) restartServer(v *server) {
 	if v.removed || v.up {
 		return
 	}
 	if v.silent {
-		w.breakAll(v) // what was sent to the old one is answered with resets
+		w.breakAll(v) // requests to the old process are reset
 	}
 	v.up, v.silent = true, false
 	v.gen++
 	v.st = station.New(&w.s.Servers[v.kind], &w.s.Rules, law.Seed(w.o.Seed, fmt.Sprint(v.name, w.now)), w.now)
 }
 
-// sample notes how busy the servers are, once a bucket.
+// sample records the share of busy slots of each server, once per bucket.
 func (w *world) sample() {
 	span := w.rec.Bucket()
 	for _, v := range w.servers {
--- a/internal/rig/lab/model/model_test.go
+++ b/internal/rig/lab/model/model_test.go
@@ -34,8 +34,8 @@
 	return r
 }
 
-// line is a queue of which theory knows the mean time in it.
-func line(t *testing.T, servers, slots int, rate float64, seconds int) *scenario.Scenario {
+// queueScenario returns a scenario of a queue whose mean sojourn time is known from theory.
+func queueScenario(t *testing.T, servers, slots int, rate float64, seconds int) *scenario.Scenario {
 	return parse(t, fmt.Sprintf(`
 length = "%ds"
 network = {same = "0s", jitter = 0.0}
@@ -56,9 +56,9 @@
 `, seconds, servers, slots, rate))
 }
 
-// The model meets what theory says of three queues within 2 %.
-func TestTheory(t *testing.T) {
-	erlangC := func(c int, rho float64) float64 { // mean time over mean work
+// The simulation agrees with queueing theory within 2 % for three queues.
+func TestMatchesQueueingTheory(t *testing.T) {
+	erlangC := func(c int, rho float64) float64 { // mean sojourn time over mean work
 		a, sum, term := float64(c)*rho, 0.0, 1.0
 		for k := range c {
 			if k > 0 {
@@ -69,7 +69,7 @@
 		last := term * a / float64(c) / (1 - rho)
 		return 1 + last/(sum+last)/(float64(c)*(1-rho))
 	}
-	supermarket := func(rho float64) (sum float64) { // Mitzenmacher 1996, for ever more servers
+	supermarket := func(rho float64) (sum float64) { // Mitzenmacher 1996, in the limit of many servers
 		for i := 1; i < 12; i++ {
 			sum += math.Pow(rho, math.Pow(2, float64(i))-2)
 		}
@@ -87,7 +87,7 @@
 		{"supermarket", "p2c-least", 300, 1, 0.9, supermarket(0.9), 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := line(t, c.servers, c.slots, c.rho*float64(c.servers*c.slots)*100, c.seconds)
+			s := queueScenario(t, c.servers, c.slots, c.rho*float64(c.servers*c.slots)*100, c.seconds)
 			s.Warmup = s.Length / 10
 			got, asked := 0.0, 0
 			for seed := range uint64(3) {
@@ -122,9 +122,9 @@
 	return s
 }
 
-// The same seed gives the same bytes, another one others, for every shipped scenario; and the
-// agent breaks no rule in any.
-func TestSameBytes(t *testing.T) {
+// For every shipped scenario the same seed gives the same bytes and another seed different ones, and
+// the agent violates no rule.
+func TestDeterministicResults(t *testing.T) {
 	for _, name := range scenario.Names() {
 		s := shipped(t, name, 28)
 		text := func(seed uint64) string {
@@ -149,7 +149,7 @@
 	}
 }
 
-// Nobody can answer from the start: each request gets its answer all the same.
+// With all servers crashed from the start, every request still gets an answer.
 func TestAllServersGone(t *testing.T) {
 	s := shipped(t, "calm", 5)
 	s.Warmup = 0
@@ -162,7 +162,7 @@
 	}
 }
 
-// Two events of one instant take effect in the order of the file.
+// Two events of the same time take effect in the order of the file.
 func TestEventsOfOneInstant(t *testing.T) {
 	s := shipped(t, "calm", 12)
 	e := scenario.Event{At: scenario.Duration(6e9), Kind: "drain", Server: "large-1"}
@@ -177,21 +177,21 @@
 	}
 }
 
-// wild is a decider that breaks a rule, for the checker to find.
-type wild struct {
-	list   []cluster.Addr
-	sent   map[policy.RequestID]int
-	repeat bool // sends again whatever happened
-	at     bool // two at once
-	mute   bool // never answers
-	rng    *rand.Rand
+// ruleBreaker is a decider that violates a rule, for the checker to detect.
+type ruleBreaker struct {
+	list         []cluster.Addr
+	sent         map[policy.RequestID]int
+	repeat       bool // retries after any failure
+	twoAtOnce    bool // sends two attempts at once
+	neverAnswers bool // never gives a final answer
+	rng          *rand.Rand
 }
 
-func (d *wild) Start(float64, []policy.Action) []policy.Action {
+func (d *ruleBreaker) Start(float64, []policy.Action) []policy.Action {
 	return []policy.Action{{Kind: policy.ActFollow}}
 }
 
-func (d *wild) Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
+func (d *ruleBreaker) Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
 	send := func() {
 		d.sent[ev.Request]++
 		out = append(out, policy.Action{Kind: policy.ActSend, Request: ev.Request, Server: d.list[d.rng.IntN(len(d.list))], Ms: 400})
@@ -202,20 +202,20 @@
 			d.list = append(d.list, e.Server)
 		}
 	case policy.EvRequest:
-		if send(); d.at {
+		if send(); d.twoAtOnce {
 			send()
 		}
 	case policy.EvOutcome:
 		if ev.Status != policy.OK && d.repeat && d.sent[ev.Request] < 3 {
 			send()
-		} else if ev.Status != policy.OK && !d.mute {
+		} else if ev.Status != policy.OK && !d.neverAnswers {
 			out = append(out, policy.Action{Kind: policy.ActRefuse, Request: ev.Request})
 		}
 	}
 	return out
 }
 
-// The checker finds each rule broken, and tells the request's story.
+// The checker detects each violated rule and prints the request's history.
 func TestBreachesAreFound(t *testing.T) {
 	s := shipped(t, "calm", 12)
 	fail := []scenario.Event{{At: scenario.Duration(1e9), Kind: "fail", Share: 0.5}}
@@ -223,11 +223,11 @@
 	for _, c := range []struct {
 		rule   string
 		events []scenario.Event
-		d      wild
+		d      ruleBreaker
 	}{
-		{"an effect twice", fail, wild{repeat: true}},
-		{"two attempts at once", nil, wild{at: true}},
-		{"a send after a drain", drain, wild{}},
+		{"an effect twice", fail, ruleBreaker{repeat: true}},
+		{"two attempts at once", nil, ruleBreaker{twoAtOnce: true}},
+		{"a send after a drain", drain, ruleBreaker{}},
 	} {
 		s.Events = c.events
 		r := play(t, s, Options{Seed: 1, NewDecider: func(_, _ int, seed uint64, _ choose.Truth) (choose.Decider, error) {
@@ -255,8 +255,8 @@
 	}
 }
 
-// Servers that all start cold are paced by the answers, and not left to idle: at a third of what
-// they can do when warm, what they do cold is enough for most of it.
+// When all servers start cold, the answers pace the load without leaving servers idle: at a third of
+// the warm capacity, the cold capacity suffices for most of the load.
 func TestAllColdIsServed(t *testing.T) {
 	for _, agents := range []float64{1, 4, 16} {
 		s := shipped(t, "cold-start", 12)
@@ -278,7 +278,7 @@
 	}
 }
 
-// Events come in the order of their times, those of one time as they were pushed.
+// Events are ordered by time, and those of the same time by insertion.
 func TestQueueOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var q queue
@@ -298,7 +298,7 @@
 	}
 }
 
-// BenchmarkModel plays a calm day: events a second of one core.
+// BenchmarkModel simulates the calm scenario and reports events per second on one core.
 func BenchmarkModel(b *testing.B) {
 	for _, c := range []string{"molepaddle", "p2c-least"} {
 		b.Run(c, func(b *testing.B) {
--- a/internal/rig/lab/model/queue.go
+++ b/internal/rig/lab/model/queue.go
@@ -1,18 +1,18 @@
 package model
 
-// event is something that will happen. Kinds that are many carry what they are about by value;
-// the few others a function.
+// event is a scheduled simulation event. Frequent kinds carry their data by value, the others a
+// function.
 type event struct {
 	at   float64 // ms
-	seq  uint64  // of events at the same time, the order in which they came
-	kind kind
+	seq  uint64  // order among events of the same time
+	kind eventKind
 	n    int32
 	att  *attempt
 	do   func()
 }
 
 // queue is a four-ary heap of events: half as deep as a binary one, with the children of a node
-// beside each other. The zero queue is empty.
+// adjacent in memory. The zero queue is empty.
 type queue struct {
 	heap []event
 	seq  uint64
@@ -22,7 +22,7 @@
 
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// push adds an event behind all of the same time.
+// push adds an event after all those of the same time.
 func (q *queue) push(e event) {
 	q.seq++
 	e.seq = q.seq
@@ -39,7 +39,7 @@
 	q.heap[i] = e
 }
 
-// pop takes the next event out; there is one.
+// pop removes and returns the next event. The queue must not be empty.
 func (q *queue) pop() event {
 	top := q.heap[0]
 	last := len(q.heap) - 1
