--- a/cmd/molepaddle-plots/main.go
+++ b/cmd/molepaddle-plots/main.go
@@ -69,5 +69,5 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	return page.Night(os.Stdout, spans)
+	return page.WriteOutages(os.Stdout, spans)
 }
--- a/cmd/molepaddle/lab.go
+++ b/cmd/molepaddle/lab.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if store.Cut {
+	if store.Truncated {
 		fmt.Fprintf(out, "%s ended in the middle of a row, which was taken off\n", f.file)
 	}
 	p := newProgress(out)
@@ -266,7 +266,7 @@
 			if err != nil {
 				return err
 			}
-			o.From = f.from
+			o.FirstSeed = f.from
 			v, err := l.Compare(ctx, s, a, b, o)
 			end()
 			if err != nil {
@@ -281,9 +281,9 @@
 	f.add(cmd, 0)
 	cmd.Flags().Lookup("seeds").Hidden = true
 	cmd.Flags().StringVar(&o.Metric, "metric", "worth", "what to compare by ('lab list' names them)")
-	cmd.Flags().Float64Var(&o.Within, "within", 0.002, "half the interval at which it is narrow enough")
-	cmd.Flags().IntVar(&o.Least, "least", 6, "pairs at the least")
-	cmd.Flags().IntVar(&o.Most, "most", 40, "pairs at the most")
+	cmd.Flags().Float64Var(&o.HalfWidth, "within", 0.002, "half the interval at which it is narrow enough")
+	cmd.Flags().IntVar(&o.MinPairs, "least", 6, "pairs at the least")
+	cmd.Flags().IntVar(&o.MaxPairs, "most", 40, "pairs at the most")
 	cmd.Flags().BoolVar(&o.Unpaired, "unpaired", false, "B has seeds of its own")
 	return cmd
 }
--- a/internal/rig/lab/choose/choose_test.go
+++ b/internal/rig/lab/choose/choose_test.go
@@ -8,8 +8,8 @@
 	"molepaddle/policy"
 )
 
-// world is one baseline with some servers that all are ready.
-type world struct {
+// harness drives one baseline with servers that are all ready.
+type harness struct {
 	t   *testing.T
 	d   Decider
 	now float64
@@ -18,7 +18,7 @@
 
 func addr(i int) cluster.Addr { return cluster.Addr{10, 0, 0, byte(i), 0, 1} }
 
-func start(t *testing.T, name string, servers int) *world {
+func newHarness(t *testing.T, name string, servers int) *harness {
 	t.Helper()
 	var set settings.Settings
 	for _, e := range []settings.Idempotency{settings.Idempotent, settings.Deduplicated, settings.NonIdempotent} {
@@ -29,29 +29,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, d: d, now: 1000}
+	w := &harness{t: t, d: d, now: 1000}
 	for i := range servers {
-		w.list(i, cluster.Ready)
+		w.setHealth(i, cluster.Ready)
 	}
 	return w
 }
 
-func (w *world) list(i int, h cluster.Health) {
+func (w *harness) setHealth(i int, h cluster.Health) {
 	w.d.Handle(w.now, &policy.Event{Kind: policy.EvList, List: cluster.ListDelta, Entries: []cluster.Entry{{Server: addr(i), Health: h, Weight: 1}}}, nil)
 }
 
-// ask brings a request and gives what is done; end brings how its attempt ended.
-func (w *world) ask(class int) policy.Action {
+// request sends a request event and returns the resulting action; finish does so for an outcome.
+func (w *harness) request(class int) policy.Action {
 	w.id++
-	return w.only(w.d.Handle(w.now, &policy.Event{Kind: policy.EvRequest, Request: w.id, Class: class, LeftMs: 1000}, nil))
+	return w.single(w.d.Handle(w.now, &policy.Event{Kind: policy.EvRequest, Request: w.id, Class: class, LeftMs: 1000}, nil))
 }
 
-func (w *world) end(id policy.RequestID, st policy.Status, ms float64) policy.Action {
+func (w *harness) finish(id policy.RequestID, st policy.Status, ms float64) policy.Action {
 	w.now += ms
-	return w.only(w.d.Handle(w.now, &policy.Event{Kind: policy.EvOutcome, Request: id, Status: st, LatencyMs: ms}, nil))
+	return w.single(w.d.Handle(w.now, &policy.Event{Kind: policy.EvOutcome, Request: id, Status: st, LatencyMs: ms}, nil))
 }
 
-func (w *world) only(acts []policy.Action) policy.Action {
+func (w *harness) single(acts []policy.Action) policy.Action {
 	w.t.Helper()
 	if len(acts) > 1 {
 		w.t.Fatalf("%+v", acts)
@@ -62,66 +62,66 @@
 	return acts[0]
 }
 
-// Every baseline keeps the rules that a list and the outcomes tell.
+// Every baseline follows the rules that it can derive from the list and the outcomes.
 func TestRulesAreKept(t *testing.T) {
 	for _, name := range Baselines() {
-		w := start(t, name, 3)
-		w.list(1, cluster.Draining)
+		w := newHarness(t, name, 3)
+		w.setHealth(1, cluster.Draining)
 		for range 50 {
-			if a := w.ask(0); a.Kind != policy.ActSend || a.Server == addr(1) {
+			if a := w.request(0); a.Kind != policy.ActSend || a.Server == addr(1) {
 				t.Fatalf("%s: %+v", name, a)
 			}
-			w.end(w.id, policy.OK, 10)
+			w.finish(w.id, policy.OK, 10)
 		}
-		// Safe: elsewhere, never twice to one server while there is another; then refused.
-		first := w.ask(0)
-		if again := w.end(w.id, policy.Error, 1); again.Kind != policy.ActSend || again.Server == first.Server {
+		// Safe: retried at another server while there is one.
+		first := w.request(0)
+		if again := w.finish(w.id, policy.Error, 1); again.Kind != policy.ActSend || again.Server == first.Server {
 			t.Errorf("%s: %+v", name, again)
 		}
-		// Keyed: within its window only.
-		w.ask(1)
-		if a := w.end(w.id, policy.Reset, 280); a.Kind != policy.ActSend || !(a.BeginMs > 0 && a.BeginMs <= 20) {
+		// Keyed: retried within the deduplication window only.
+		w.request(1)
+		if a := w.finish(w.id, policy.Reset, 280); a.Kind != policy.ActSend || !(a.BeginMs > 0 && a.BeginMs <= 20) {
 			t.Errorf("%s: a keyed repeat: %+v", name, a)
 		}
-		if a := w.end(w.id, policy.Reset, 30); a.Kind != policy.ActRefuse {
+		if a := w.finish(w.id, policy.Reset, 30); a.Kind != policy.ActRefuse {
 			t.Errorf("%s: a keyed repeat after its window: %+v", name, a)
 		}
-		// Unsafe: only what never ran.
-		w.ask(2)
-		if a := w.end(w.id, policy.Full, 1); a.Kind != policy.ActSend {
+		// Unsafe: retried only if it never ran.
+		w.request(2)
+		if a := w.finish(w.id, policy.Full, 1); a.Kind != policy.ActSend {
 			t.Errorf("%s: turned away: %+v", name, a)
 		}
-		if a := w.end(w.id, policy.Error, 1); a.Kind != policy.ActFail {
+		if a := w.finish(w.id, policy.Error, 1); a.Kind != policy.ActFail {
 			t.Errorf("%s: an order that may have run: %+v", name, a)
 		}
-		// Three attempts at the most.
-		w.list(1, cluster.Ready)
-		w.list(4, cluster.Ready)
-		w.ask(0)
-		w.end(w.id, policy.Full, 1)
-		if a := w.end(w.id, policy.Full, 1); a.Kind != policy.ActSend {
+		// At most three attempts.
+		w.setHealth(1, cluster.Ready)
+		w.setHealth(4, cluster.Ready)
+		w.request(0)
+		w.finish(w.id, policy.Full, 1)
+		if a := w.finish(w.id, policy.Full, 1); a.Kind != policy.ActSend {
 			t.Errorf("%s: %+v", name, a)
 		}
-		if a := w.end(w.id, policy.Full, 1); a.Kind != policy.ActRefuse {
+		if a := w.finish(w.id, policy.Full, 1); a.Kind != policy.ActRefuse {
 			t.Errorf("%s: a fourth attempt: %+v", name, a)
 		}
 	}
 }
 
-// Two choices take the one with less out; round robin takes all in turn.
+// Two choices prefer the server with fewer attempts in flight; round robin uses all in turn.
 func TestPicks(t *testing.T) {
-	w := start(t, "p2c-least", 2)
+	w := newHarness(t, "p2c-least", 2)
 	out := map[cluster.Addr]int{}
 	for range 40 {
-		out[w.ask(0).Server]++
+		out[w.request(0).Server]++
 	}
 	if out[addr(0)] != 20 || out[addr(1)] != 20 {
 		t.Errorf("two choices: %v", out)
 	}
-	w = start(t, "round-robin", 4)
+	w = newHarness(t, "round-robin", 4)
 	out = map[cluster.Addr]int{}
 	for range 40 {
-		out[w.ask(0).Server]++
+		out[w.request(0).Server]++
 	}
 	for i := range 4 {
 		if out[addr(i)] != 10 {
@@ -129,36 +129,36 @@
 		}
 	}
 	// Peak EWMA keeps off a server that was slow, and comes back as the peak fades.
-	w = start(t, "peak-ewma", 2)
-	slow := w.ask(0).Server
-	w.end(w.id, policy.OK, 900)
+	w = newHarness(t, "peak-ewma", 2)
+	slow := w.request(0).Server
+	w.finish(w.id, policy.OK, 900)
 	for range 20 {
-		if a := w.ask(0); a.Server == slow && w.id > 3 {
+		if a := w.request(0); a.Server == slow && w.id > 3 {
 			t.Errorf("peak EWMA went to the slow one at request %d", w.id)
 		}
-		w.end(w.id, policy.OK, 10)
+		w.finish(w.id, policy.OK, 10)
 	}
 }
 
-// Envoy's ejection: five errors in a row, one server of few at once, for 30 s, longer each time.
-func TestOutlier(t *testing.T) {
-	w := start(t, "envoy-outlier", 4)
+// Envoy's ejection: after five errors in a row, one server of four at once, for 30 s, longer each time.
+func TestEnvoyOutlierEjection(t *testing.T) {
+	w := newHarness(t, "envoy-outlier", 4)
 	fail := func(i int) {
 		for n := 0; n < 5; {
-			a := w.ask(2)
+			a := w.request(2)
 			if a.Server == addr(i) {
-				w.end(w.id, policy.Error, 1)
+				w.finish(w.id, policy.Error, 1)
 				n++
 			} else {
-				w.end(w.id, policy.OK, 1)
+				w.finish(w.id, policy.OK, 1)
 			}
 		}
 	}
 	seen := func() map[cluster.Addr]int {
 		out := map[cluster.Addr]int{}
 		for range 200 {
-			out[w.ask(0).Server]++
-			w.end(w.id, policy.OK, 1)
+			out[w.request(0).Server]++
+			w.finish(w.id, policy.OK, 1)
 		}
 		return out
 	}
--- a/internal/rig/lab/law/law.go
+++ b/internal/rig/lab/law/law.go
@@ -1,6 +1,6 @@
-// Package law draws what chance decides in the lab: work, arrivals, keys. All of it follows
-// from a seed and from what it is about, so a play in virtual time and one over sockets meet the
-// same requests. Values and plain functions; a Source belongs to one goroutine.
+// Package law draws the random inputs of the lab: work, arrivals, keys. They depend only on the seed
+// and the purpose, so that a play in virtual time and one over sockets get the same requests. It
+// consists of values and plain functions; a generator that Source returns belongs to one goroutine.
 package law
 
 import (
@@ -17,7 +17,7 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// Seed is one for a part of what a seed decides.
+// Seed derives the seed of a named part from the seed of a play.
 func Seed(seed uint64, part string) uint64 {
 	for _, c := range []byte(part) {
 		seed = arith.Mix(seed ^ uint64(c))
@@ -25,52 +25,52 @@
 	return arith.Mix(seed)
 }
 
-// Source is random numbers of a part of what a seed decides.
+// Source returns the random number generator of a named part of a play.
 func Source(seed uint64, part string) *rand.Rand {
 	s := Seed(seed, part)
 	return rand.New(rand.NewPCG(s, arith.Mix(s)))
 }
 
-// Unit is a number above 0 and below 1 that follows from what it is given and no order.
-func Unit(seed uint64, of ...uint64) float64 {
+// Uniform returns a number above 0 and below 1 that depends only on its arguments, not on earlier calls.
+func Uniform(seed uint64, of ...uint64) float64 {
 	for _, x := range of {
 		seed = arith.Mix(seed ^ x)
 	}
 	return (float64(seed>>11) + 0.5) / (1 << 53)
 }
 
-// Work draws times with the mean and the law of a class.
-type Work struct {
+// WorkDistribution is the distribution of a class's work, with the mean and the law of the class.
+type WorkDistribution struct {
 	quantile func(p float64) float64
 }
 
-// NewWork makes the law of a class, in milliseconds.
-func NewWork(c *scenario.Class) Work {
+// NewWorkDistribution returns the work distribution of a class, in milliseconds.
+func NewWorkDistribution(c *scenario.Class) WorkDistribution {
 	mean := c.Work.Ms()
 	switch c.Law {
 	case "fixed":
-		return Work{func(float64) float64 { return mean }}
+		return WorkDistribution{func(float64) float64 { return mean }}
 	case "lognormal":
 		sigma2 := math.Log(1 + c.CV*c.CV)
-		return Work{distuv.LogNormal{Mu: math.Log(mean) - sigma2/2, Sigma: math.Sqrt(sigma2)}.Quantile}
+		return WorkDistribution{distuv.LogNormal{Mu: math.Log(mean) - sigma2/2, Sigma: math.Sqrt(sigma2)}.Quantile}
 	case "pareto":
 		// cv^2 = 1/(a(a-2)), so a = 1 + sqrt(1 + 1/cv^2).
 		alpha := 1 + math.Sqrt(1+1/(c.CV*c.CV))
 		xm := mean * (alpha - 1) / alpha
-		return Work{func(p float64) float64 { return xm * math.Pow(1-p, -1/alpha) }}
+		return WorkDistribution{func(p float64) float64 { return xm * math.Pow(1-p, -1/alpha) }}
 	}
-	return Work{func(p float64) float64 { return -mean * math.Log(1-p) }}
+	return WorkDistribution{func(p float64) float64 { return -mean * math.Log(1-p) }}
 }
 
-// At is the time at a part of the law above 0 and below 1.
-func (w Work) At(p float64) float64 { return w.quantile(p) }
+// At returns the quantile at p, above 0 and below 1.
+func (w WorkDistribution) At(p float64) float64 { return w.quantile(p) }
 
 // Zipf draws from 1 to n, k with a weight of k to the power of -s, for any s from 0 on.
 type Zipf struct {
 	sums []float64
 }
 
-// NewZipf makes it; n is at least 1.
+// NewZipf returns a Zipf distribution; n is at least 1.
 func NewZipf(n int, s float64) *Zipf {
 	z := &Zipf{sums: make([]float64, n)}
 	sum := 0.0
@@ -84,25 +84,25 @@
 	return z
 }
 
-// At is the number at a part of the law.
+// At returns the quantile at p.
 func (z *Zipf) At(p float64) int {
 	return min(sort.SearchFloat64s(z.sums, p), len(z.sums)-1) + 1
 }
 
-// Ask is a request that a client will make.
-type Ask struct {
-	At       float64 // ms from the start
-	Agent    int32
-	Class    int32
-	Key      uint32  // 0: none
-	Work     float32 // ms on a core of speed 1
-	Patience float32 // ms until its client gives up
-	Leaves   float32 // ms until it goes without a word; 0: it does not
-	Portal   int32
+// Request is a planned request of a client.
+type Request struct {
+	At          float64 // ms from the start
+	Agent       int32
+	Class       int32
+	Key         uint32  // 0: none
+	Work        float32 // ms on a core of speed 1
+	Patience    float32 // ms until its client gives up
+	LeavesAfter float32 // ms until it disconnects; 0: it does not
+	Portal      int32
 }
 
-// factor is what the timeline makes of the load at a time.
-func factor(s *scenario.Scenario, at float64) float64 {
+// loadFactor returns the factor by which the timeline scales the load at a time.
+func loadFactor(s *scenario.Scenario, at float64) float64 {
 	f := 1.0
 	for i := range s.Events {
 		if e := &s.Events[i]; e.Kind == "load" && at >= e.At.Ms() && (e.For == 0 || at < e.At.Ms()+e.For.Ms()) {
@@ -112,9 +112,9 @@
 	return f
 }
 
-// rate is what a portal asks in a millisecond at a time, over its mean: bursts last a fifth of
-// their period and are as much above it as the rest of the period is below.
-func shape(p *scenario.Portal, at float64) float64 {
+// arrivalShape returns the arrival rate of a portal at a time over its mean: bursts last a fifth of their
+// period, and the rest of the period is below the mean so that the mean is kept.
+func arrivalShape(p *scenario.Portal, at float64) float64 {
 	phase := 0.0
 	if p.Period > 0 {
 		phase = math.Mod(at, p.Period.Ms()) / p.Period.Ms()
@@ -132,15 +132,15 @@
 }
 
 // Plan draws all requests of a scenario, in order of their times. Arrivals are Poisson processes
-// thinned from the highest rate; nothing in it depends on what becomes of a request.
-func Plan(s *scenario.Scenario, seed uint64) []Ask {
-	var plan []Ask
+// thinned from the highest rate; the plan does not depend on the outcome of requests.
+func Plan(s *scenario.Scenario, seed uint64) []Request {
+	var plan []Request
 	shares, sum := make([]float64, len(s.Classes)), 0.0
-	works := make([]Work, len(s.Classes))
+	works := make([]WorkDistribution, len(s.Classes))
 	for i := range s.Classes {
 		sum += s.Classes[i].Share
 		shares[i] = sum
-		works[i] = NewWork(&s.Classes[i])
+		works[i] = NewWorkDistribution(&s.Classes[i])
 	}
 	top := 1.0
 	for i := range s.Events {
@@ -158,7 +158,7 @@
 			keys = NewZipf(p.Keys, p.Zipf)
 		}
 		add := func(at float64) {
-			a := Ask{At: at, Portal: int32(i), Agent: int32(first + agents.At(rng.Float64()) - 1)}
+			a := Request{At: at, Portal: int32(i), Agent: int32(first + agents.At(rng.Float64()) - 1)}
 			a.Class = int32(min(sort.SearchFloat64s(shares, rng.Float64()*sum), len(shares)-1))
 			if keys != nil {
 				a.Key = uint32(i)<<24 | uint32(keys.At(rng.Float64()))
@@ -167,7 +167,7 @@
 			a.Patience = float32(s.Classes[a.Class].GiveUp.Ms() * (p.Patience[0] + (p.Patience[1]-p.Patience[0])*rng.Float64()))
 			if p.Leaves > 0 {
 				if x, at := rng.Float64(), rng.Float64(); x < p.Leaves {
-					a.Leaves = a.Patience * float32(at)
+					a.LeavesAfter = a.Patience * float32(at)
 				}
 			}
 			plan = append(plan, a)
@@ -181,18 +181,18 @@
 		} else {
 			most := s.PortalRate(p) / 1000 * top * (1 + 4*p.Swing)
 			for at := rng.ExpFloat64() / most; at < s.Length.Ms(); at += rng.ExpFloat64() / most {
-				if rng.Float64()*top*(1+4*p.Swing) < shape(p, at)*factor(s, at) {
+				if rng.Float64()*top*(1+4*p.Swing) < arrivalShape(p, at)*loadFactor(s, at) {
 					add(at)
 				}
 			}
 		}
 		first += p.Agents
 	}
-	slices.SortStableFunc(plan, func(a, b Ask) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(plan, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-// Zones are those of the agents, by their numbers.
+// Zones returns the zone of each agent, by its number.
 func Zones(s *scenario.Scenario) []int {
 	var zones []int
 	turn := 0
@@ -209,14 +209,14 @@
 	return zones
 }
 
-// Paths are the one-way times between zones.
+// Paths contains the one-way delays between zones.
 type Paths struct {
 	mean, loss, stall []float64
 	zones             int
 	jitter            float64
 }
 
-// NewPaths makes those of a scenario.
+// NewPaths returns the paths of a scenario.
 func NewPaths(s *scenario.Scenario) *Paths {
 	n := len(s.Zones)
 	p := &Paths{mean: make([]float64, n*n), loss: make([]float64, n*n), stall: make([]float64, n*n), zones: n, jitter: s.Network.Jitter}
@@ -238,10 +238,10 @@
 	return p
 }
 
-// Mean is the one-way time between two zones, in milliseconds.
+// Mean returns the mean one-way delay between two zones, in milliseconds.
 func (p *Paths) Mean(from, to int) float64 { return p.mean[from*p.zones+to] }
 
-// Draw is the time of one message.
+// Draw returns the delay of one message, with jitter and the stall after a loss.
 func (p *Paths) Draw(from, to int, rng *rand.Rand) float64 {
 	i := from*p.zones + to
 	t := p.mean[i]
@@ -254,5 +254,5 @@
 	return t
 }
 
-// Ms makes a time of milliseconds.
+// Ms converts milliseconds to a Duration.
 func Ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
--- a/internal/rig/lab/law/law_test.go
+++ b/internal/rig/lab/law/law_test.go
@@ -8,8 +8,8 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// The arrivals of a portal are a Poisson process by the test of Kolmogorov and Smirnov, at one
-// seed and the level of 1 %; bursts are not.
+// A portal's arrivals pass the Kolmogorov-Smirnov test for a Poisson process at one seed and the 1 %
+// level; bursts do not.
 func TestArrivals(t *testing.T) {
 	s, err := scenario.Load("calm")
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Rates are kept whatever the shape, and the timeline's load changes them.
+// Every arrival shape keeps the mean rate, and the load events of the timeline change it.
 func TestRates(t *testing.T) {
 	s, err := scenario.Load("calm")
 	if err != nil {
@@ -58,11 +58,11 @@
 	}
 }
 
-// Works have the mean and the deviation that the class says.
-func TestWorks(t *testing.T) {
+// Work has the mean and the coefficient of variation of its class.
+func TestWorkDistributions(t *testing.T) {
 	for _, c := range []scenario.Class{{Law: "fixed"}, {Law: "exp", CV: 1}, {Law: "lognormal", CV: 0.8}, {Law: "pareto", CV: 0.5}} {
 		c.Work = scenario.Duration(20e6)
-		w := NewWork(&c)
+		w := NewWorkDistribution(&c)
 		n, sum, squares := 200000, 0.0, 0.0
 		for i := range n {
 			x := w.At((float64(i) + 0.5) / float64(n))
--- a/internal/rig/lab/live/agents.go
+++ b/internal/rig/lab/live/agents.go
@@ -34,16 +34,16 @@
 	client *http.Client
 	since  float64 // when it started, in ms of the play
 
-	said tail
-	cmd  *exec.Cmd
-	gone chan struct{} // closed when it has ended
-	end  func(planned bool)
-	once sync.Once
+	output   tail
+	cmd      *exec.Cmd
+	exited   chan struct{} // closed when it has ended
+	shutdown func(planned bool)
+	once     sync.Once
 
-	mu     sync.Mutex
-	killed bool // by the timeline
-	last   measure.Agent
-	spent  bool
+	mu        sync.Mutex
+	killed    bool // by the timeline
+	lastUsage measure.Agent
+	hasUsage  bool
 }
 
 // tail keeps the end of what a process says.
@@ -64,8 +64,8 @@
 	return len(p), nil
 }
 
-// last is the last line that was said.
-func (t *tail) last() string {
+// lastLine is the lastLine line that was said.
+func (t *tail) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lines := strings.Split(strings.TrimSpace(string(t.text)), "\n")
@@ -85,39 +85,39 @@
 	return a.killed
 }
 
-// spawn starts a process.
-func (a *agentRun) spawn(binary, config, operator string) error {
+// startProcess starts a process.
+func (a *agentRun) startProcess(binary, config, operator string) error {
 	var args []string
 	if operator != "" {
 		args = []string{"--operator", operator}
 	}
 	a.cmd = exec.Command(binary, args...)
 	a.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
-	a.cmd.Stderr, a.cmd.Stdout = &a.said, &a.said
+	a.cmd.Stderr, a.cmd.Stdout = &a.output, &a.output
 	a.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := a.cmd.Start(); err != nil {
 		return err
 	}
-	a.gone = make(chan struct{})
-	go func() { a.cmd.Wait(); close(a.gone) }()
-	a.end = func(planned bool) {
-		a.read()
+	a.exited = make(chan struct{})
+	go func() { a.cmd.Wait(); close(a.exited) }()
+	a.shutdown = func(planned bool) {
+		a.readUsage()
 		if planned {
 			a.cmd.Process.Signal(syscall.SIGTERM)
 			select {
-			case <-a.gone:
+			case <-a.exited:
 				return
 			case <-time.After(5 * time.Second):
 			}
 		}
 		a.cmd.Process.Kill()
-		<-a.gone
+		<-a.exited
 	}
 	return nil
 }
 
-// inside starts an agent in this process, with a chooser of its own.
-func (a *agentRun) inside(w *world, index int, text []byte) error {
+// startInProcess starts an agent in this process, with a chooser of its own.
+func (a *agentRun) startInProcess(w *world, index int, text []byte) error {
 	conf, err := config.Parse(text)
 	if err != nil {
 		return err
@@ -125,12 +125,12 @@
 	decide := func(set settings.Settings, seed uint64) (core.Decider, error) {
 		return choose.New(w.o.Chooser, set, seed, truth{w})
 	}
-	log := slog.New(slog.NewTextHandler(&a.said, &slog.HandlerOptions{Level: slog.LevelError}))
+	log := slog.New(slog.NewTextHandler(&a.output, &slog.HandlerOptions{Level: slog.LevelError}))
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := w.dial(ctx, network, addr)
 		if err == nil {
 			w.mu.Lock()
-			w.dialled[c.LocalAddr().String()] = a.name
+			w.agentByConn[c.LocalAddr().String()] = a.name
 			w.mu.Unlock()
 		}
 		return c, err
@@ -145,13 +145,13 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	a.gone = make(chan struct{})
-	go func() { defer close(a.gone); g.Serve(ctx, ln) }()
-	a.end = func(planned bool) {
+	a.exited = make(chan struct{})
+	go func() { defer close(a.exited); g.Serve(ctx, ln) }()
+	a.shutdown = func(planned bool) {
 		if planned {
 			cancel()
 			select {
-			case <-a.gone:
+			case <-a.exited:
 				return
 			case <-time.After(5 * time.Second):
 			}
@@ -159,7 +159,7 @@
 		g.Close()
 		cancel()
 		ln.Close()
-		<-a.gone
+		<-a.exited
 	}
 	return nil
 }
@@ -185,8 +185,8 @@
 			said = err.Error()
 		}
 		select {
-		case <-a.gone:
-			return fmt.Errorf("ended before it was ready: %q", a.said.last())
+		case <-a.exited:
+			return fmt.Errorf("ended before it was ready: %q", a.output.lastLine())
 		case <-ctx.Done():
 			return fmt.Errorf("not ready after %v, said %q: %w", within, said, context.Cause(ctx))
 		case <-time.After(10 * time.Millisecond):
@@ -200,15 +200,15 @@
 
 func (a *agentRun) finish(planned bool) {
 	a.once.Do(func() {
-		if a.end != nil {
-			a.end(planned)
+		if a.shutdown != nil {
+			a.shutdown(planned)
 		}
 		a.client.CloseIdleConnections()
 	})
 }
 
-// read notes what a process has used.
-func (a *agentRun) read() {
+// readUsage notes what a process has used.
+func (a *agentRun) readUsage() {
 	if a.cmd == nil || a.cmd.Process == nil {
 		return
 	}
@@ -217,19 +217,19 @@
 		return
 	}
 	a.mu.Lock()
-	a.last, a.spent = u, true
+	a.lastUsage, a.hasUsage = u, true
 	a.mu.Unlock()
 }
 
 func (a *agentRun) usage() (measure.Agent, bool) {
 	select {
-	case <-a.gone:
+	case <-a.exited:
 	default:
-		a.read()
+		a.readUsage()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last, a.spent
+	return a.lastUsage, a.hasUsage
 }
 
 // processUsage reads what a process has used so far: memory at the most, and cores on the mean
--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -53,8 +53,8 @@
 	slack = 50.0
 	// lateAllowed is how late the generator, or a stand-in, may be at the 99th percentile, as a part
 	// of the least aim; a run in which they were later does not count.
-	lateAllowed = 0.02
-	lateLeast   = 2.0 // ms, however short the aim
+	lateAllowed    = 0.02
+	minLateAllowed = 2.0 // ms, however short the aim
 )
 
 // Options is what a play may be told.
@@ -65,84 +65,84 @@
 	Operator string // path of the operator's file; empty: none
 	Tick     func(part float64)
 
-	begun func(*world) // of tests: the generator is about to begin
-	ready time.Duration
+	beforeStart func(*world) // of tests: the generator is about to begin
+	ready       time.Duration
 }
 
 type server struct {
-	num      int
-	name     string
-	kind     int
-	zone     int
-	dial     string
-	st       *station.Station
-	http     *http.Server
-	conns    map[net.Conn]bool
-	up       bool
-	silent   bool
-	health   cluster.Health
-	removed  bool
-	hush     chan struct{} // closed when its process ends or its machine is back
-	most     int
-	connects int
-	coming   int
-	out      []*out
-	late     float64
-	told     float64 // since when the roster tells that it wants nothing new; -1: it does
-	busy     []float64
-	worked   float64
-	peak     float64
-	fell     bool
+	num           int
+	name          string
+	kind          int
+	zone          int
+	dial          string
+	st            *station.Station
+	http          *http.Server
+	conns         map[net.Conn]bool
+	up            bool
+	silent        bool
+	health        cluster.Health
+	removed       bool
+	processEnded  chan struct{} // closed when its process ends or its machine is back
+	maxConns      int
+	connects      int
+	inTransit     int
+	attempts      []*attempt
+	reportDelay   float64
+	notReadySince float64 // since when the roster tells that it wants nothing new; -1: it does
+	busy          []float64
+	pastWork      float64
+	peak          float64
+	fell          bool
 }
 
-// try is one sending of a request.
-type try struct {
-	measure.Try
-	agent  int
-	number int
-	out    []*out
+// clientRequest is one sending of a request.
+type clientRequest struct {
+	measure.Request
+	agent    int
+	number   int
+	attempts []*attempt
 }
 
-// out is an attempt of a try at a server.
-type out struct {
-	v    *server
-	over bool // its answer has gone, its client has closed, or its server has died
+// attempt is an attempt of a try at a server.
+type attempt struct {
+	v        *server
+	finished bool // its answer has gone, its client has closed, or its server has died
 }
 
 type world struct {
-	s      *scenario.Scenario
-	o      Options
-	plan   []law.Ask
-	paths  *law.Paths
-	zones  []int
-	start  time.Time
-	roster *standin.Roster
-	oper   *operator.Settings
-	ctx    context.Context
-	dir    string
-	wg     sync.WaitGroup
-	turns  []sync.Mutex // by agent: of its restarts
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers []*server
-	byAddr  map[cluster.Addr]*server
-	byDial  map[string]*server
-	agents  []*agentRun
-	starts  []int             // by agent
-	kills   []int             // by agent: how often it was killed
-	lives   []string          // what became of agents, a line each, the oldest first
-	dialled map[string]string // which agent in this process has which end of a connection
-	tries   map[string]*try
-	stalls  []stall
-	down    float64 // until then the roster answers nothing
-	rec     *measure.Recorder
-	timers  map[*time.Timer]bool
-	ended   bool
-	late    *hdrhistogram.Histogram // of the generator, us
-	slow    *hdrhistogram.Histogram // of the stand-ins' timers, us
-	means   float64
-	asked   int
+	s            *scenario.Scenario
+	o            Options
+	plan         []law.Request
+	paths        *law.Paths
+	zones        []int
+	start        time.Time
+	roster       *standin.Roster
+	oper         *operator.Settings
+	ctx          context.Context
+	dir          string
+	wg           sync.WaitGroup
+	restartLocks []sync.Mutex // by agent: of its restarts
+
+	mu              sync.Mutex
+	rng             *rand.Rand
+	servers         []*server
+	byAddr          map[cluster.Addr]*server
+	byDial          map[string]*server
+	agents          []*agentRun
+	starts          []int             // by agent
+	kills           []int             // by agent: how often it was killed
+	agentHistory    []string          // what became of agents, a line each, the oldest first
+	agentByConn     map[string]string // which agent in this process has which end of a connection
+	requests        map[string]*clientRequest
+	stalls          []stall
+	rosterDownUntil float64 // until then the roster answers nothing
+	rec             *measure.Recorder
+	timers          map[*time.Timer]bool
+	ended           bool
+	generatorDelay  *hdrhistogram.Histogram // of the generator, us
+	timerDelay      *hdrhistogram.Histogram // of the stand-ins' timers, us
+	meanWork        float64
+	asked           int
 }
 
 type stall struct {
@@ -166,8 +166,8 @@
 		return nil, fmt.Errorf("live: %s plays in this process only, not in %s", o.Chooser, o.Binary)
 	}
 	w := &world{s: s, o: o, plan: law.Plan(s, o.Seed), paths: law.NewPaths(s), zones: law.Zones(s), rng: law.Source(o.Seed, "network"),
-		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, tries: map[string]*try{}, dialled: map[string]string{}, timers: map[*time.Timer]bool{},
-		late: hdrhistogram.New(1, 60e6, 3), slow: hdrhistogram.New(1, 60e6, 3), means: s.MeanWork(), oper: operator.Default()}
+		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, requests: map[string]*clientRequest{}, agentByConn: map[string]string{}, timers: map[*time.Timer]bool{},
+		generatorDelay: hdrhistogram.New(1, 60e6, 3), timerDelay: hdrhistogram.New(1, 60e6, 3), meanWork: s.MeanWork(), oper: operator.Default()}
 	w.rec = measure.New(s, w.plan)
 	if o.Operator != "" {
 		var err error
@@ -193,10 +193,10 @@
 	}
 	w.start = time.Now() // ramps of servers that start cold begin now
 	begun := w.cpu()
-	if o.begun != nil {
-		o.begun(w)
+	if o.beforeStart != nil {
+		o.beforeStart(w)
 	}
-	w.begin()
+	w.startTimeline()
 	err = w.generate(ctx)
 	w.wait(ctx)
 	return w.result(begun), err
@@ -257,18 +257,18 @@
 			if err != nil {
 				return err
 			}
-			w.roster.Set(w.host(v))
+			w.roster.Set(w.rosterEntry(v))
 		}
 	}
 	return nil
 }
 
-// begin sets the timeline going.
-func (w *world) begin() {
+// startTimeline sets the timeline going.
+func (w *world) startTimeline() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.s.Events {
-		w.after(w.s.Events[i].At.Ms(), func() { timeline.Run(host{w}, w.s, i, w.o.Seed) })
+		w.after(w.s.Events[i].At.Ms(), func() { timeline.Run(timelineHost{w}, w.s, i, w.o.Seed) })
 	}
 	w.after(w.rec.Bucket(), w.sample)
 }
@@ -302,11 +302,11 @@
 		}
 		late := time.Since(due)
 		w.mu.Lock()
-		_ = w.late.RecordValue(min(max(late.Microseconds(), 1), 60e6))
+		_ = w.generatorDelay.RecordValue(min(max(late.Microseconds(), 1), 60e6))
 		w.asked = i + 1
 		w.mu.Unlock()
 		w.wg.Add(1)
-		go w.ask(ctx, i, 0)
+		go w.sendRequest(ctx, i, 0)
 		if w.o.Tick != nil && i%64 == 0 {
 			w.o.Tick(w.plan[i].At / w.s.Length.Ms())
 		}
@@ -325,23 +325,23 @@
 	}
 }
 
-// ask sends one request and tells what became of it.
-func (w *world) ask(ctx context.Context, i, number int) {
+// sendRequest sends one request and tells what became of it.
+func (w *world) sendRequest(ctx context.Context, i, number int) {
 	defer w.wg.Done()
 	p := &w.plan[i]
 	class := &w.s.Classes[p.Class]
 	now := w.now()
 	deadline := p.At + float64(p.Patience)
-	t := &try{agent: int(p.Agent), number: number}
-	t.Try = measure.Try{ID: fmt.Sprint("r", i, ".", number), Ask: i, Class: int(p.Class), At: now, Deadline: deadline}
+	t := &clientRequest{agent: int(p.Agent), number: number}
+	t.Request = measure.Request{ID: fmt.Sprint("r", i, ".", number), Ask: i, Class: int(p.Class), At: now, Deadline: deadline}
 	w.mu.Lock()
-	w.rec.Start(&t.Try)
-	w.tries[t.ID] = t
+	w.rec.RequestStarted(&t.Request)
+	w.requests[t.ID] = t
 	a, kills := w.agents[p.Agent], w.kills[p.Agent]
 	w.mu.Unlock()
 	limit := deadline + slack
-	if p.Leaves > 0 && number == 0 {
-		limit = p.At + float64(p.Leaves)
+	if p.LeavesAfter > 0 && number == 0 {
+		limit = p.At + float64(p.LeavesAfter)
 	}
 	at, cancel := context.WithDeadline(ctx, w.start.Add(law.Ms(limit)))
 	defer cancel()
@@ -364,7 +364,7 @@
 			req.Header.Set("Client-Retry", "1")
 		}
 		var resp *http.Response
-		if resp, err = a.client.Do(req); crossed(err) && at.Err() == nil && !w.killed(a, p.Agent, kills) {
+		if resp, err = a.client.Do(req); connectionLost(err) && at.Err() == nil && !w.killed(a, p.Agent, kills) {
 			// The agent may have closed its connection before it read this, as it may between requests: a client
 			// sends it once more, on a new one.
 			req.Close = true
@@ -386,7 +386,7 @@
 				outcome = measure.Served
 				if by, of, _ := strings.Cut(string(body), " "); by != t.ID {
 					w.mu.Lock()
-					w.rec.Breach(w.now(), "an answer made for another request: "+by+" of "+of, &t.Try)
+					w.rec.RecordViolation(w.now(), "an answer made for another request: "+by+" of "+of, &t.Request)
 					w.mu.Unlock()
 				}
 			case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
@@ -406,22 +406,22 @@
 	}
 	var dial *net.OpError
 	untaken := errors.As(err, &dial) && dial.Op == "dial" // its agent is being restarted
-	if err != nil && (ctx.Err() != nil || p.Leaves > 0 && number == 0 || killed || untaken) {
+	if err != nil && (ctx.Err() != nil || p.LeavesAfter > 0 && number == 0 || killed || untaken) {
 		outcome = measure.Gone // the play ended, the client left, or its agent was killed
 	}
-	w.rec.End(&t.Try, now, outcome, outcome != measure.Served && outcome != measure.Gone && w.needless(t, now))
+	w.rec.RequestEnded(&t.Request, now, outcome, outcome != measure.Served && outcome != measure.Gone && w.needless(t, now))
 	portal := &w.s.Portals[p.Portal]
-	if outcome == measure.Served || ctx.Err() != nil || number >= portal.Retries || p.Leaves > 0 ||
+	if outcome == measure.Served || ctx.Err() != nil || number >= portal.Retries || p.LeavesAfter > 0 ||
 		outcome != measure.Refused && !untaken && class.Effect == "unsafe" {
 		return
 	}
 	wait := portal.Backoff.Ms() * float64(int(1)<<number)
-	if retryAfter > 0 && law.Unit(w.o.Seed, uint64(i), uint64(number), 7) < portal.Heeds {
+	if retryAfter > 0 && law.Uniform(w.o.Seed, uint64(i), uint64(number), 7) < portal.Heeds {
 		wait = max(wait, 1000*retryAfter)
 	}
 	if now+wait+2 < deadline && !w.ended {
 		w.wg.Add(1)
-		time.AfterFunc(law.Ms(wait), func() { w.ask(ctx, i, number+1) })
+		time.AfterFunc(law.Ms(wait), func() { w.sendRequest(ctx, i, number+1) })
 	}
 }
 
@@ -434,15 +434,15 @@
 	return a.wasKilled() || w.kills[agent] != kills
 }
 
-// crossed tells whether a connection ended without a byte of an answer.
-func crossed(err error) bool {
+// connectionLost tells whether a connection ended without a byte of an answer.
+func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || err != nil && strings.Contains(err.Error(), "server closed idle connection")
 }
 
-func (w *world) needless(t *try, now float64) bool {
+func (w *world) needless(t *clientRequest, now float64) bool {
 	work := float64(w.plan[t.Ask].Work)
 	for _, v := range w.servers {
-		if v.up && !v.silent && v.health == cluster.Ready && v.st.Free(now, v.coming) &&
+		if v.up && !v.silent && v.health == cluster.Ready && v.st.HasFreeSlot(now, v.inTransit) &&
 			2*w.paths.Mean(w.zones[t.agent], v.zone)+work/v.st.Rate(now) < t.Deadline-now {
 			return true
 		}
@@ -456,15 +456,15 @@
 	w.ended = true
 	now := min(w.now(), w.s.Length.Ms())
 	for _, v := range w.servers {
-		w.rec.Worked(v.worked + v.st.Worked)
+		w.rec.AddWork(v.pastWork + v.st.Worked)
 	}
 	return w.rec.Result(func(r *measure.Result) {
 		for _, v := range w.servers {
-			r.OpenMost = max(r.OpenMost, v.most)
+			r.OpenMost = max(r.OpenMost, v.maxConns)
 			r.Connects += v.connects
 			k := &w.s.Servers[v.kind]
 			r.Servers = append(r.Servers, measure.Server{Name: v.name, Kind: k.Kind, Zone: w.s.Zones[v.zone], Busy: v.busy,
-				Work: (v.worked + v.st.Worked) / (now * float64(k.Slots) * k.Speed), Peak: max(v.peak, v.st.Peak) / w.s.Rules.FallMultiple, Fell: v.fell})
+				Work: (v.pastWork + v.st.Worked) / (now * float64(k.Slots) * k.Speed), Peak: max(v.peak, v.st.Peak) / w.s.Rules.FallMultiple, Fell: v.fell})
 		}
 		r.Questions, _ = w.roster.Counts()
 		for _, a := range w.agents {
@@ -476,16 +476,16 @@
 		for _, c := range w.s.Classes {
 			aim = min(aim, c.Aim.Ms())
 		}
-		r.LateP99 = float64(w.late.ValueAtQuantile(99)) / 1000
+		r.LateP99 = float64(w.generatorDelay.ValueAtQuantile(99)) / 1000
 		r.GeneratorCPU = (w.cpu() - begun) / max(now/1000, 0.001)
-		r.Void = void(r.LateP99, float64(w.slow.ValueAtQuantile(99))/1000, aim)
+		r.Void = voidReason(r.LateP99, float64(w.timerDelay.ValueAtQuantile(99))/1000, aim)
 	})
 }
 
-// void says why a run does not count, in which generator and stand-ins were so late at the 99th
+// voidReason says why a run does not count, in which generator and stand-ins were so late at the 99th
 // percentile; empty: it does. All in ms.
-func void(generator, standIns, aim float64) string {
-	most := max(aim*lateAllowed, lateLeast)
+func voidReason(generator, standIns, aim float64) string {
+	most := max(aim*lateAllowed, minLateAllowed)
 	switch {
 	case generator > most:
 		return fmt.Sprintf("the generator was late by %.1f ms at the 99th percentile, %.1f at the most", generator, most)
@@ -524,7 +524,7 @@
 // startAgents starts all agents and waits until each is ready.
 func (w *world) startAgents() error {
 	n := w.s.Agents()
-	w.agents, w.starts, w.kills, w.turns = make([]*agentRun, n), make([]int, n), make([]int, n), make([]sync.Mutex, n)
+	w.agents, w.starts, w.kills, w.restartLocks = make([]*agentRun, n), make([]int, n), make([]int, n), make([]sync.Mutex, n)
 	errs := make(chan error, n)
 	for i := range n {
 		go func() { errs <- w.startAgent(i) }()
@@ -536,9 +536,9 @@
 	return errors.Join(all...)
 }
 
-// lived notes what becomes of an agent; the lock is held.
-func (w *world) lived(a *agentRun, what string) {
-	w.lives = append(w.lives, fmt.Sprintf("%.1f ms: %s %s", w.now(), a.name, what))
+// noteAgent notes what becomes of an agent; the lock is held.
+func (w *world) noteAgent(a *agentRun, what string) {
+	w.agentHistory = append(w.agentHistory, fmt.Sprintf("%.1f ms: %s %s", w.now(), a.name, what))
 }
 
 // startAgent starts one, at the address that it had before if it had one.
@@ -566,11 +566,11 @@
 	}
 	a := &agentRun{name: name, listen: listen, base: "http://" + listen, client: newClient(w.s), since: w.now()}
 	if w.o.Binary == "" {
-		err = a.inside(w, i, text)
+		err = a.startInProcess(w, i, text)
 	} else {
 		path := filepath.Join(w.dir, fmt.Sprint("agent-", i, ".json"))
 		if err = os.WriteFile(path, text, 0o600); err == nil {
-			err = a.spawn(w.o.Binary, path, w.o.Operator)
+			err = a.startProcess(w.o.Binary, path, w.o.Operator)
 		}
 	}
 	if err == nil {
@@ -582,7 +582,7 @@
 	}
 	w.mu.Lock()
 	w.agents[i] = a
-	w.lived(a, "is ready")
+	w.noteAgent(a, "is ready")
 	w.mu.Unlock()
 	return nil
 }
@@ -598,18 +598,18 @@
 	if v == nil || !v.up || v.silent {
 		return 0, 0, false
 	}
-	after, wait, ok = v.st.Finish(w.now(), work, uint32(key), v.coming, w.means)
+	after, wait, ok = v.st.Finish(w.now(), work, uint32(key), v.inTransit, w.meanWork)
 	return after + 2*w.paths.Mean(zone, v.zone), wait, ok
 }
 
-func (t truth) Work(int, policy.RequestID) float64 { return t.w.means }
+func (t truth) Work(int, policy.RequestID) float64 { return t.w.meanWork }
 func (t truth) MeanWork(class int) float64         { return t.w.s.Classes[class].Work.Ms() }
 
-func (t truth) Bears(addr cluster.Addr, work float64) bool {
+func (t truth) CanAccept(addr cluster.Addr, work float64) bool {
 	t.w.mu.Lock()
 	defer t.w.mu.Unlock()
 	v := t.w.byAddr[addr]
-	return v != nil && v.st.Bears(t.w.now(), work+float64(v.coming)*t.w.means, 0.7)
+	return v != nil && v.st.CanAccept(t.w.now(), work+float64(v.inTransit)*t.w.meanWork, 0.7)
 }
 
 var _ choose.Truth = truth{}
--- a/internal/rig/lab/live/live_test.go
+++ b/internal/rig/lab/live/live_test.go
@@ -35,14 +35,14 @@
 	case "hangs":
 		time.Sleep(time.Minute)
 	case "garbage":
-		garbage()
+		serveGarbage()
 	default:
 		os.Exit(m.Run())
 	}
 }
 
-// garbage is an agent that says it is ready, and nothing else that can be read.
-func garbage() {
+// serveGarbage is an agent that says it is ready, and nothing else that can be read.
+func serveGarbage() {
 	text, _ := os.ReadFile(os.Getenv("EDGE_CONFIG"))
 	var c struct{ Listen string }
 	json.Unmarshal(text, &c)
@@ -67,8 +67,8 @@
 	}
 }
 
-// small is a scenario of a few seconds.
-func small(t *testing.T, rate string, events string) *scenario.Scenario {
+// smallScenario is a scenario of a few seconds.
+func smallScenario(t *testing.T, rate string, events string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("small.toml", []byte(`version = 1
 length = "2500ms"
@@ -105,7 +105,7 @@
 // Every kind of event passes over real sockets without a broken rule, and worth is near that of
 // the model.
 func TestEventsLive(t *testing.T) {
-	s := small(t, "200.0", `
+	s := smallScenario(t, "200.0", `
 [[event]]
 at = "400ms"
 kind = "crash"
@@ -156,7 +156,7 @@
 for = "200ms"
 `)
 	var played *world
-	r, err := Play(t.Context(), s, Options{Seed: 1, begun: func(w *world) { played = w }})
+	r, err := Play(t.Context(), s, Options{Seed: 1, beforeStart: func(w *world) { played = w }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 		if t.Failed() {
 			played.mu.Lock()
 			defer played.mu.Unlock()
-			t.Logf("what became of agents:\n%s", strings.Join(played.lives, "\n"))
+			t.Logf("what became of agents:\n%s", strings.Join(played.agentHistory, "\n"))
 		}
 	}()
 	m, err := model.Play(s, model.Options{Seed: 1})
@@ -194,29 +194,29 @@
 	}
 	for how, want := range map[string]string{"dies": `ended before it was ready: "what a pity"`, "hangs": "not ready after"} {
 		t.Setenv("LAB_AGENT", how)
-		if _, err := Play(t.Context(), small(t, "20.0", ""), Options{Seed: 1, Binary: self, ready: 400 * time.Millisecond}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Seed: 1, Binary: self, ready: 400 * time.Millisecond}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", how, err)
 		}
 	}
 	t.Setenv("LAB_AGENT", "garbage")
-	r, err := Play(t.Context(), small(t, "20.0", ""), Options{Seed: 1, Binary: self})
+	r, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Seed: 1, Binary: self})
 	if err != nil || r.Served != 0 || r.Lost == 0 || r.Breaches < r.Lost {
 		t.Errorf("garbage: %+v, %v", r, err)
 	}
-	if _, err := Play(t.Context(), small(t, "20.0", ""), Options{Chooser: "random", Binary: self}); err == nil {
+	if _, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Chooser: "random", Binary: self}); err == nil {
 		t.Error("a chooser was put into a process")
 	}
-	if _, err := Play(t.Context(), small(t, "20.0", ""), Options{Binary: "/nowhere"}); err == nil {
+	if _, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Binary: "/nowhere"}); err == nil {
 		t.Error("a binary that is not there was played")
 	}
 }
 
 // A run that is cut gives what it has, and leaves no goroutine and no port.
-func TestCutRun(t *testing.T) {
+func TestCancelledRun(t *testing.T) {
 	before := runtime.NumGoroutine()
 	ctx, cancel := context.WithCancel(t.Context())
 	var dial string
-	r, err := Play(ctx, small(t, "200.0", ""), Options{Seed: 1, begun: func(w *world) {
+	r, err := Play(ctx, smallScenario(t, "200.0", ""), Options{Seed: 1, beforeStart: func(w *world) {
 		dial = w.servers[0].dial
 		time.AfterFunc(500*time.Millisecond, cancel)
 	}})
@@ -236,18 +236,18 @@
 
 // A run whose generator or stand-ins were late does not count, by its own word.
 func TestLateRunsAreVoid(t *testing.T) {
-	s := small(t, "200.0", "")
+	s := smallScenario(t, "200.0", "")
 	r, err := Play(t.Context(), s, Options{Seed: 1, Tick: func(float64) { time.Sleep(100 * time.Millisecond) }})
 	if err != nil || !strings.Contains(r.Void, "the generator was late") {
 		t.Errorf("%q, %v", r.Void, err)
 	}
-	if got := void(0.5, 30, 200); !strings.Contains(got, "a stand-in was late") {
+	if got := voidReason(0.5, 30, 200); !strings.Contains(got, "a stand-in was late") {
 		t.Errorf("said %q", got)
 	}
-	if got := void(3.9, 3.9, 200); got != "" {
+	if got := voidReason(3.9, 3.9, 200); got != "" {
 		t.Errorf("said %q", got)
 	}
-	if _, err := Play(t.Context(), small(t, "9000.0", ""), Options{}); err == nil {
+	if _, err := Play(t.Context(), smallScenario(t, "9000.0", ""), Options{}); err == nil {
 		t.Error("more was begun than one machine plays")
 	}
 }
@@ -255,7 +255,7 @@
 // Any chooser plays over sockets.
 func TestChoosersLive(t *testing.T) {
 	for _, c := range []string{"peak-ewma", "oracle"} {
-		s := small(t, "100.0", "")
+		s := smallScenario(t, "100.0", "")
 		if err := s.Set("length", 1); err != nil {
 			t.Fatal(err)
 		}
@@ -269,11 +269,11 @@
 // second at once.
 func TestSilentAttemptEnds(t *testing.T) {
 	ended := make(chan bool, 1)
-	_, err := Play(t.Context(), small(t, "20.0", ""), Options{Seed: 1, begun: func(w *world) {
-		k := &try{Try: measure.Try{ID: "x", Deadline: 1e6}}
+	_, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Seed: 1, beforeStart: func(w *world) {
+		k := &clientRequest{Request: measure.Request{ID: "x", Deadline: 1e6}}
 		w.mu.Lock()
-		w.tries["x"] = k
-		host{w}.Die(0, true)
+		w.requests["x"] = k
+		timelineHost{w}.StopServer(0, true)
 		dial := w.servers[0].dial
 		w.mu.Unlock()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -281,7 +281,7 @@
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+dial+"/look/u1", nil)
 		req.Header.Set("Request-Id", "x")
 		http.DefaultClient.Do(req)
-		over := func() bool { w.mu.Lock(); defer w.mu.Unlock(); return len(k.out) == 1 && k.out[0].over }
+		over := func() bool { w.mu.Lock(); defer w.mu.Unlock(); return len(k.attempts) == 1 && k.attempts[0].finished }
 		for end := time.Now().Add(5 * time.Second); !over() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
@@ -294,12 +294,12 @@
 
 // A request whose connection its agent closed just then is sent once more on a connection of its own: another that was kept
 // may be closing just as well.
-func TestCrossedIsSentOnANewConnection(t *testing.T) {
-	s := small(t, "20.0", "")
+func TestLostConnectionIsRetriedOnANewOne(t *testing.T) {
+	s := smallScenario(t, "20.0", "")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	story := make(chan string, 1)
-	_, err := Play(ctx, s, Options{Seed: 1, begun: func(w *world) {
+	_, err := Play(ctx, s, Options{Seed: 1, beforeStart: func(w *world) {
 		defer cancel() // nothing else is asked
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -315,12 +315,12 @@
 				both.Wait()
 				return
 			}
-			if kept, _ := r.Context().Value(firstKey{}).(bool); kept {
+			if kept, _ := r.Context().Value(connUseKey{}).(bool); kept {
 				panic(http.ErrAbortHandler)
 			}
 			fmt.Fprint(rw, r.Header.Get("Request-Id"), " x")
 		}), ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-			return context.WithValue(ctx, firstKey{}, came.Add(1) <= 2)
+			return context.WithValue(ctx, connUseKey{}, came.Add(1) <= 2)
 		}}
 		go host.Serve(ln)
 		defer host.Close()
@@ -335,19 +335,19 @@
 			})
 		}
 		asked.Wait()
-		ask := slices.IndexFunc(w.plan, func(p law.Ask) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.Leaves == 0 })
+		ask := slices.IndexFunc(w.plan, func(p law.Request) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.LeavesAfter == 0 })
 		i := w.plan[ask].Agent
 		w.mu.Lock()
 		now := w.agents[i]
 		w.agents[i] = a
 		w.mu.Unlock()
 		w.wg.Add(1)
-		w.ask(t.Context(), ask, 7)
+		w.sendRequest(t.Context(), ask, 7)
 		a.client.CloseIdleConnections()
 		w.mu.Lock()
 		w.agents[i] = now
-		k := w.tries[fmt.Sprint("r", ask, ".7")]
-		story <- k.Outcome.String() + ": " + k.Story()
+		k := w.requests[fmt.Sprint("r", ask, ".7")]
+		story <- k.Outcome.String() + ": " + k.History()
 		w.mu.Unlock()
 	}})
 	if !errors.Is(err, context.Canceled) {
@@ -358,8 +358,8 @@
 	}
 }
 
-// door is an address whose first connection goes to one listener, the second to another.
-func door(t *testing.T, to ...string) string {
+// proxyInTurn is an address whose first connection goes to one listener, the second to another.
+func proxyInTurn(t *testing.T, to ...string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -385,40 +385,40 @@
 
 // What a killed agent held is not sent once more as if its connection had only crossed the request, also where its client
 // still knew the run that was there before it, at the same address.
-func TestKilledBeforeItsClientKnew(t *testing.T) {
+func TestRequestOfKilledAgentIsNotResent(t *testing.T) {
 	type came struct {
 		sent    int
 		outcome measure.Outcome
 		story   string
 	}
 	told := make(chan came, 1)
-	s := small(t, "20.0", "")
+	s := smallScenario(t, "20.0", "")
 	for k := range s.Classes {
 		s.Classes[k].GiveUp = scenario.Duration(20 * time.Second)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	_, err := Play(ctx, s, Options{Seed: 1, begun: func(w *world) {
+	_, err := Play(ctx, s, Options{Seed: 1, beforeStart: func(w *world) {
 		defer cancel() // nothing else is asked
-		ask := slices.IndexFunc(w.plan, func(p law.Ask) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.Leaves == 0 })
+		ask := slices.IndexFunc(w.plan, func(p law.Request) bool { return w.s.Classes[p.Class].Effect == "unsafe" && p.LeavesAfter == 0 })
 		i := int(w.plan[ask].Agent)
 		w.mu.Lock()
 		for n := range w.servers { // long enough for the kill to come first
-			host{w}.Fault(n, station.Fault{Slow: 1000, Until: 60000})
+			timelineHost{w}.AddFault(n, station.Fault{Slow: 1000, Until: 60000})
 		}
 		now := w.agents[i]
-		before := &agentRun{name: "the run before", listen: now.listen, base: "http://" + door(t, now.listen, w.agents[1-i].listen), client: newClient(w.s)}
+		before := &agentRun{name: "the run before", listen: now.listen, base: "http://" + proxyInTurn(t, now.listen, w.agents[1-i].listen), client: newClient(w.s)}
 		w.agents[i] = before
 		w.mu.Unlock()
 		defer before.client.CloseIdleConnections()
 		w.wg.Add(1)
 		ended := make(chan struct{})
-		go func() { defer close(ended); w.ask(t.Context(), ask, 7) }()
+		go func() { defer close(ended); w.sendRequest(t.Context(), ask, 7) }()
 		look := func() (c came) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if k := w.tries[fmt.Sprint("r", ask, ".7")]; k != nil {
-				c = came{k.Attempts, k.Outcome, k.Story()}
+			if k := w.requests[fmt.Sprint("r", ask, ".7")]; k != nil {
+				c = came{k.Attempts, k.Outcome, k.History()}
 			}
 			return c
 		}
@@ -427,7 +427,7 @@
 		}
 		w.mu.Lock()
 		w.agents[i] = now
-		host{w}.Restart(i, true)
+		timelineHost{w}.RestartAgent(i, true)
 		w.mu.Unlock()
 		<-ended
 		told <- look()
--- a/internal/rig/lab/live/servers.go
+++ b/internal/rig/lab/live/servers.go
@@ -18,15 +18,15 @@
 	"molepaddle/internal/rig/standin"
 )
 
-// first marks a connection of which no request has come.
-type first struct{ unused bool }
+// connUse marks a connection of which no request has come.
+type connUse struct{ unused bool }
 
-type firstKey struct{}
+type connUseKey struct{}
 
 func (w *world) newServer(kind, zone int, name string, born float64) (*server, error) {
-	v := &server{num: len(w.servers), name: name, kind: kind, zone: zone, health: cluster.Ready, told: -1}
+	v := &server{num: len(w.servers), name: name, kind: kind, zone: zone, health: cluster.Ready, notReadySince: -1}
 	v.st = station.New(&w.s.Servers[kind], &w.s.Rules, law.Seed(w.o.Seed, name), born)
-	if err := w.open(v, "127.0.0.1:0"); err != nil {
+	if err := w.listen(v, "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
 	w.servers = append(w.servers, v)
@@ -34,20 +34,20 @@
 	return v, nil
 }
 
-// open lets a server's process listen.
-func (w *world) open(v *server, at string) error {
+// listen lets a server's process listen.
+func (w *world) listen(v *server, at string) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		return err
 	}
 	v.dial = ln.Addr().String()
-	v.up, v.silent, v.conns, v.hush = true, false, map[net.Conn]bool{}, make(chan struct{})
+	v.up, v.silent, v.conns, v.processEnded = true, false, map[net.Conn]bool{}, make(chan struct{})
 	v.http = &http.Server{
 		Handler:           http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.serve(v, rw, r) }),
 		ReadHeaderTimeout: time.Minute,
 		IdleTimeout:       time.Duration(w.s.Servers[v.kind].IdleClose),
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-			return context.WithValue(ctx, firstKey{}, &first{true})
+			return context.WithValue(ctx, connUseKey{}, &connUse{true})
 		},
 	}
 	conns := v.conns
@@ -58,7 +58,7 @@
 		case http.StateNew:
 			v.connects++
 			conns[c] = true
-			v.most = max(v.most, len(conns))
+			v.maxConns = max(v.maxConns, len(conns))
 			if most := w.s.Servers[v.kind].Connections; most > 0 && len(conns) > most {
 				c.Close()
 			}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (w *world) host(v *server) standin.Host {
+func (w *world) rosterEntry(v *server) standin.Host {
 	h := standin.Host{Host: v.name, Dial: v.dial, Site: w.s.Zones[v.zone], Class: w.s.Servers[v.kind].Kind, Block: v.num / 4, Share: 1,
 		Health: map[cluster.Health]string{cluster.Ready: "ready", cluster.Draining: "draining", cluster.Gone: "gone"}[v.health]}
 	if w.s.Agent.Weights == "nominal" {
@@ -82,8 +82,8 @@
 	return h
 }
 
-// trip is the time of a message between an agent and a server; the lock is held.
-func (w *world) trip(zone int, v *server) float64 {
+// networkDelay is the time of a message between an agent and a server; the lock is held.
+func (w *world) networkDelay(zone int, v *server) float64 {
 	t := w.paths.Draw(zone, v.zone, w.rng)
 	now := w.now()
 	for _, s := range w.stalls {
@@ -94,8 +94,8 @@
 	return t
 }
 
-// rest waits, and reports whether the request is still wanted.
-func rest(ctx context.Context, ms float64) bool {
+// sleep waits, and reports whether the request is still wanted.
+func sleep(ctx context.Context, ms float64) bool {
 	if ms <= 0 {
 		return ctx.Err() == nil
 	}
@@ -116,7 +116,7 @@
 	}
 	id := r.Header.Get("Request-Id")
 	w.mu.Lock()
-	t := w.tries[id]
+	t := w.requests[id]
 	if t == nil {
 		w.mu.Unlock()
 		rw.WriteHeader(http.StatusNotFound) // nobody has asked that
@@ -124,45 +124,45 @@
 	}
 	zone := w.zones[t.agent]
 	now := w.now()
-	wait := w.trip(zone, v)
-	if f, _ := r.Context().Value(firstKey{}).(*first); f != nil && f.unused {
+	wait := w.networkDelay(zone, v)
+	if f, _ := r.Context().Value(connUseKey{}).(*connUse); f != nil && f.unused {
 		f.unused = false
-		wait += w.trip(zone, v) + w.trip(zone, v) + w.s.Servers[v.kind].Connect.Ms()
+		wait += w.networkDelay(zone, v) + w.networkDelay(zone, v) + w.s.Servers[v.kind].Connect.Ms()
 	}
-	from := w.dialled[r.RemoteAddr] // empty: of a process
+	from := w.agentByConn[r.RemoteAddr] // empty: of a process
 	if from == "" {
 		from = r.RemoteAddr
 	}
 	t.Note(now, "by "+from, "")
-	w.rec.Sent(&t.Try, now, w.told(v, t, now), v.name, zone != v.zone)
-	w.rec.Over(&t.Try) // whether two are out is seen below
-	o := &out{v: v}
-	for _, before := range t.out {
+	w.rec.AttemptSent(&t.Request, now, w.drainKnownSince(v, t, now), v.name, zone != v.zone)
+	w.rec.AttemptEnded(&t.Request) // whether two are out is seen below
+	o := &attempt{v: v}
+	for _, before := range t.attempts {
 		// A server learns a little later than its client that a connection has ended.
-		if !before.over {
+		if !before.finished {
 			w.after(slack, func() {
-				if !before.over {
-					w.rec.Breach(w.now(), "two attempts at once", &t.Try)
+				if !before.finished {
+					w.rec.RecordViolation(w.now(), "two attempts at once", &t.Request)
 				}
 			})
 		}
 	}
-	t.out = append(t.out, o)
-	v.out = append(slices.DeleteFunc(v.out, func(o *out) bool { return o.over }), o)
-	v.coming++
-	hush := v.hush
+	t.attempts = append(t.attempts, o)
+	v.attempts = append(slices.DeleteFunc(v.attempts, func(o *attempt) bool { return o.finished }), o)
+	v.inTransit++
+	hush := v.processEnded
 	w.mu.Unlock()
 	defer func() { // also where hushed breaks the connection
 		w.mu.Lock()
-		o.over = true
+		o.finished = true
 		w.mu.Unlock()
 	}()
-	rest(r.Context(), wait) // also what was given up under way comes
+	sleep(r.Context(), wait) // also what was given up under way comes
 	w.mu.Lock()
-	v.coming--
-	if v.silent || hush != v.hush {
+	v.inTransit--
+	if v.silent || hush != v.processEnded {
 		w.mu.Unlock()
-		w.hushed(r, hush)
+		w.holdUntilClosed(r, hush)
 	}
 	status, job, done := w.arrive(v, t)
 	w.mu.Unlock()
@@ -180,19 +180,19 @@
 		}
 	}
 	w.mu.Lock()
-	if v.silent || hush != v.hush {
+	if v.silent || hush != v.processEnded {
 		w.mu.Unlock()
-		w.hushed(r, hush)
+		w.holdUntilClosed(r, hush)
 	}
-	wait = w.trip(zone, v)
-	report, told := v.st.Load(w.now(), v.late)
+	wait = w.networkDelay(zone, v)
+	report, told := v.st.Load(w.now(), v.reportDelay)
 	w.mu.Unlock()
-	alive := rest(r.Context(), wait)
+	alive := sleep(r.Context(), wait)
 	w.mu.Lock()
-	silent := v.silent || hush != v.hush
+	silent := v.silent || hush != v.processEnded
 	w.mu.Unlock()
 	if silent {
-		w.hushed(r, hush)
+		w.holdUntilClosed(r, hush)
 	}
 	if !alive {
 		return
@@ -211,19 +211,19 @@
 	}
 }
 
-// told is since when the agent of a request must have known that a server wants nothing new; below
-// 0: it need not. The roster has told at once whoever watches it; an agent that has just started
+// drainKnownSince is since when the agent of a request must have known that a server wants nothing new; below
+// 0: it need not. The roster has drainKnownSince at once whoever watches it; an agent that has just started
 // may not watch yet. On sockets the limit is longer by the slack.
-func (w *world) told(v *server, t *try, now float64) float64 {
-	if v.told < 0 || w.agents[t.agent] == nil || now-w.agents[t.agent].since < w.s.Rules.AskWithin.Ms()/8+1000 {
+func (w *world) drainKnownSince(v *server, t *clientRequest, now float64) float64 {
+	if v.notReadySince < 0 || w.agents[t.agent] == nil || now-w.agents[t.agent].since < w.s.Rules.AskWithin.Ms()/8+1000 {
 		return -1
 	}
-	return v.told + slack
+	return v.notReadySince + slack
 }
 
-// hushed holds a request of which nothing is heard any more, until its client gives up or the
+// holdUntilClosed holds a request of which nothing is heard any more, until its client gives up or the
 // machine is back; then its connection breaks. It does not return.
-func (w *world) hushed(r *http.Request, hush chan struct{}) {
+func (w *world) holdUntilClosed(r *http.Request, hush chan struct{}) {
 	select {
 	case <-hush:
 	case <-r.Context().Done():
@@ -235,28 +235,28 @@
 type job struct {
 	station.Job
 	st   *station.Station
-	t    *try
+	t    *clientRequest
 	v    *server
 	done chan struct{}
 }
 
 // arrive brings a request to its station; done is closed when it is done, nil: it is over.
-func (w *world) arrive(v *server, t *try) (station.Verdict, *job, chan struct{}) {
+func (w *world) arrive(v *server, t *clientRequest) (station.Verdict, *job, chan struct{}) {
 	now := w.now()
 	p := &w.plan[t.Ask]
 	j := &job{st: v.st, t: t, v: v, done: make(chan struct{})}
 	j.Job = station.Job{ID: uint64(t.Ask)<<8 | uint64(t.number), Work: float64(p.Work), Key: p.Key, Tag: j}
-	fell := v.st.Fell()
+	fell := v.st.Collapsed()
 	verdict := v.st.Arrive(now, &j.Job)
-	if !fell && v.st.Fell() {
+	if !fell && v.st.Collapsed() {
 		v.fell = true
-		w.rec.Fell(now, v.name)
+		w.rec.ServerCollapsed(now, v.name)
 	}
 	switch verdict {
 	case station.Started:
 		w.work(&j.Job)
 	case station.Failed:
-		w.rec.Begun(&t.Try, now, v.name)
+		w.rec.WorkStarted(&t.Request, now, v.name)
 		return verdict, j, nil
 	case station.Full:
 		return verdict, j, nil
@@ -268,13 +268,13 @@
 func (w *world) work(sj *station.Job) {
 	j := sj.Tag.(*job)
 	now := w.now()
-	w.rec.Begun(&j.t.Try, now, j.v.name)
+	w.rec.WorkStarted(&j.t.Request, now, j.v.name)
 	w.after(j.Until-now, func() {
 		if !j.Serving() {
 			return
 		}
 		now := w.now()
-		_ = w.slow.RecordValue(min(max(int64(1000*(now-j.Until)), 1), 60e6))
+		_ = w.timerDelay.RecordValue(min(max(int64(1000*(now-j.Until)), 1), 60e6))
 		next := j.st.End(now, &j.Job)
 		close(j.done)
 		if next != nil {
@@ -298,26 +298,26 @@
 
 // ---- what the timeline does ----
 
-// host is the estate as the timeline sees it; the lock is held.
-type host struct{ *world }
+// timelineHost is the estate as the timeline sees it; the lock is held.
+type timelineHost struct{ *world }
 
-func (h host) Now() float64               { return h.now() }
-func (h host) After(d float64, do func()) { h.after(d, do) }
-func (h host) Agents() int                { return len(h.agents) }
+func (h timelineHost) Now() float64               { return h.now() }
+func (h timelineHost) After(d float64, do func()) { h.after(d, do) }
+func (h timelineHost) Agents() int                { return len(h.agents) }
 
-func (h host) Servers() []timeline.Server {
+func (h timelineHost) Servers() []timeline.Server {
 	all := make([]timeline.Server, len(h.servers))
 	for i, v := range h.servers {
 		all[i] = timeline.Server{Name: v.name, Kind: h.s.Servers[v.kind].Kind, Zone: h.s.Zones[v.zone], Up: v.up, Gone: v.removed,
-			Busy: v.st.Holds() > 0 || v.coming > 0}
+			Busy: v.st.Jobs() > 0 || v.inTransit > 0}
 	}
 	return all
 }
 
-func (h host) Die(n int, silent bool) {
+func (h timelineHost) StopServer(n int, silent bool) {
 	v := h.servers[n]
 	v.st.Kill(h.now())
-	v.worked += v.st.Worked
+	v.pastWork += v.st.Worked
 	v.st.Worked = 0
 	v.peak = max(v.peak, v.st.Peak)
 	v.up, v.silent = false, silent
@@ -328,12 +328,12 @@
 
 // breakAll closes a server's listener and connections.
 func (w *world) breakAll(v *server) {
-	for _, o := range v.out {
-		o.over = true
+	for _, o := range v.attempts {
+		o.finished = true
 	}
-	v.out = nil
-	close(v.hush)
-	v.hush = make(chan struct{})
+	v.attempts = nil
+	close(v.processEnded)
+	v.processEnded = make(chan struct{})
 	for c := range v.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			tcp.SetLinger(0) // a reset, as of a process that dies
@@ -342,76 +342,76 @@
 	go v.http.Close()
 }
 
-func (h host) Back(n int) {
+func (h timelineHost) RestartServer(n int) {
 	v := h.servers[n]
 	if v.silent {
 		h.breakAll(v)
 	}
 	v.st = station.New(&h.s.Servers[v.kind], &h.s.Rules, law.Seed(h.o.Seed, fmt.Sprint(v.name, n)), h.now())
-	h.reopen(v, 0)
+	h.listenAgain(v, 0)
 }
 
-// reopen listens at the old address again, as soon as that is free.
-func (w *world) reopen(v *server, tries int) {
-	if err := w.open(v, v.dial); err != nil && tries < 200 {
-		w.after(5, func() { w.reopen(v, tries+1) })
+// listenAgain listens at the old address again, as soon as that is free.
+func (w *world) listenAgain(v *server, tries int) {
+	if err := w.listen(v, v.dial); err != nil && tries < 200 {
+		w.after(5, func() { w.listenAgain(v, tries+1) })
 	}
 }
 
-func (h host) List(n int, health cluster.Health, after float64) {
+func (h timelineHost) PublishHealth(n int, health cluster.Health, after float64) {
 	v := h.servers[n]
 	v.health = health
-	entry := h.host(v)
+	entry := h.rosterEntry(v)
 	h.after(after, func() {
 		h.roster.Set(entry)
 		switch {
 		case health == cluster.Ready:
-			v.told = -1
-		case v.told < 0 && h.now() >= h.down: // else it is told when the roster is back, nobody knows when
-			v.told = h.now()
+			v.notReadySince = -1
+		case v.notReadySince < 0 && h.now() >= h.rosterDownUntil: // else it is told when the roster is back, nobody knows when
+			v.notReadySince = h.now()
 		}
 	})
 }
 
-func (h host) Follow(n int, notice float64) {
+func (h timelineHost) ReplaceServer(n int, notice float64) {
 	v := h.servers[n]
 	if v.up {
-		h.Die(n, false)
+		h.StopServer(n, false)
 	}
 	v.removed = true
-	h.List(n, cluster.Gone, 0)
+	h.PublishHealth(n, cluster.Gone, 0)
 	next, err := h.newServer(v.kind, v.zone, v.name+"'", h.now())
 	if err != nil {
 		return // no port: the estate stays without it
 	}
 	next.busy = make([]float64, len(v.busy))
-	h.List(next.num, cluster.Ready, notice)
+	h.PublishHealth(next.num, cluster.Ready, notice)
 }
 
-func (h host) Fault(n int, f station.Fault) { h.servers[n].st.Add(f) }
-func (h host) Late(n int, ms float64)       { h.servers[n].late = ms }
+func (h timelineHost) AddFault(n int, f station.Fault) { h.servers[n].st.Add(f) }
+func (h timelineHost) DelayReports(n int, ms float64)  { h.servers[n].reportDelay = ms }
 
-func (h host) Stall(a, b int, until float64) {
+func (h timelineHost) StallLink(a, b int, until float64) {
 	h.stalls = append(h.stalls, stall{a, b, until})
 	h.after(until-h.now(), func() {
 		h.stalls = slices.DeleteFunc(h.stalls, func(s stall) bool { return s.until <= h.now() })
 	})
 }
 
-func (h host) RosterDown(until float64) {
+func (h timelineHost) RosterDown(until float64) {
 	h.roster.Down(true)
-	h.down = max(h.down, until)
+	h.rosterDownUntil = max(h.rosterDownUntil, until)
 	h.after(until-h.now(), func() { h.roster.Down(false) })
 }
 
-// Restart ends an agent and starts it again at its address. Two restarts of one agent come one
+// RestartAgent ends an agent and starts it again at its address. Two restarts of one agent come one
 // after the other.
-func (h host) Restart(i int, killed bool) {
+func (h timelineHost) RestartAgent(i int, killed bool) {
 	h.wg.Add(1)
 	go func() {
 		defer h.wg.Done()
-		h.turns[i].Lock()
-		defer h.turns[i].Unlock()
+		h.restartLocks[i].Lock()
+		defer h.restartLocks[i].Unlock()
 		h.mu.Lock()
 		a := h.agents[i]
 		how := "is told to end"
@@ -422,7 +422,7 @@
 			a.killed = true
 			a.mu.Unlock()
 		}
-		h.lived(a, how)
+		h.noteAgent(a, how)
 		h.mu.Unlock()
 		if killed {
 			a.kill()
@@ -430,11 +430,11 @@
 			a.stop()
 		}
 		h.mu.Lock()
-		h.lived(a, "has ended")
+		h.noteAgent(a, "has ended")
 		h.mu.Unlock()
 		if err := h.startAgent(i); err != nil && h.ctx.Err() == nil {
 			h.mu.Lock()
-			h.rec.Breach(h.now(), "an agent did not start again: "+strings.TrimSpace(err.Error()), nil)
+			h.rec.RecordViolation(h.now(), "an agent did not start again: "+strings.TrimSpace(err.Error()), nil)
 			h.mu.Unlock()
 		}
 	}()
--- a/internal/rig/lab/measure/measure.go
+++ b/internal/rig/lab/measure/measure.go
@@ -1,7 +1,7 @@
-// Package measure counts what a play comes to: worth, latencies, needless failures, wasted work,
-// load per server, recovery after events, breaches of the four rules with their stories. A
-// Recorder belongs to one goroutine at a time; whoever plays over sockets guards it by a lock.
-// Times are in milliseconds since the start of the play.
+// Package measure computes the metrics of a play: worth, latencies, needless failures, wasted work, load
+// per server, recovery after events, and violations of the four rules with the history of the request.
+// A Recorder belongs to one goroutine at a time; a play over sockets guards it by a lock. Times are in
+// milliseconds since the start of the play.
 package measure
 
 import (
@@ -16,10 +16,10 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// Outcome is what became of one try of a client.
+// Outcome is the final state of a client's request.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	Open Outcome = iota
 	Served
@@ -33,21 +33,21 @@
 	return [...]string{"open", "served", "refused", "failed", "lost", "gone"}[o]
 }
 
-// Run is one beginning of work on a request.
+// Run is one start of work on a request by a server.
 type Run struct {
 	At     float64
 	Server string
 }
 
-// Step is one thing that happened to a try, for its story.
+// Step is one entry in a request's history.
 type Step struct {
 	At     float64
 	What   string
 	Server string
 }
 
-// Try is one sending of a request by a client to its agent.
-type Try struct {
+// Request is one request of a client to its agent; a client retry is another one.
+type Request struct {
 	ID       string
 	Ask      int // index into the plan
 	Class    int
@@ -61,15 +61,15 @@
 	Steps    []Step
 }
 
-// Note adds a step to the story.
-func (t *Try) Note(at float64, what, server string) {
+// Note appends a step to the history, which keeps 64 at most.
+func (t *Request) Note(at float64, what, server string) {
 	if len(t.Steps) < 64 {
 		t.Steps = append(t.Steps, Step{at, what, server})
 	}
 }
 
-// Story tells all steps in one line.
-func (t *Try) Story() string {
+// History returns all steps in one line.
+func (t *Request) History() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s of request %d: asked at %.1f ms, given up at %.1f", t.ID, t.Ask, t.At, t.Deadline)
 	for _, s := range t.Steps {
@@ -81,20 +81,21 @@
 	return b.String()
 }
 
-// Breach is a broken rule.
-type Breach struct {
+// Violation is a violated rule.
+type Violation struct {
 	At    float64 `json:"at_ms"`
 	Rule  string  `json:"rule"`
 	Story string  `json:"story"`
 }
 
-// endSlack is how long after a try's end work on it may still begin, in ms: the end was on its way.
+// endSlack is how long after a request's end work on it may still start, in ms: the server learns of the
+// end with a delay.
 const endSlack = 50.0
 
-// maxBreaches bounds the stories that are kept; all are counted.
-const maxBreaches = 20
+// maxViolations limits the violations that are kept with their history; all are counted.
+const maxViolations = 20
 
-// Latency is of served requests from their intended start, in milliseconds.
+// Latency summarizes the latency of served requests from their intended start, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -103,11 +104,11 @@
 	P99   float64 `json:"p99"`
 	P999  float64 `json:"p99_9"`
 	Max   float64 `json:"max"`
-	// Curve is the latency at growing shares of the requests: pairs of share and ms.
+	// Curve is the latency at increasing quantiles: pairs of the share of requests and ms.
 	Curve [][2]float64 `json:"curve,omitempty"`
 }
 
-// Class is what a class came to.
+// Class contains the metrics of a class.
 type Class struct {
 	Name    string  `json:"name"`
 	Worth   float64 `json:"worth"` // share of what was asked
@@ -117,34 +118,34 @@
 	Latency Latency `json:"latency_ms"`
 }
 
-// Server is what a server came to.
+// Server contains the metrics of a server.
 type Server struct {
 	Name string    `json:"name"`
 	Kind string    `json:"kind"`
 	Zone string    `json:"zone"`
-	Work float64   `json:"work"` // share of its capacity that was used
-	Peak float64   `json:"peak"` // most that came while it was cold, over what pushes it over
+	Work float64   `json:"work"` // utilization of its capacity
+	Peak float64   `json:"peak"` // maximum load while cold, over the load at which it collapses
 	Fell bool      `json:"fell,omitempty"`
-	Busy []float64 `json:"busy"` // share of its slots, by bucket
+	Busy []float64 `json:"busy"` // share of busy slots, by bucket
 }
 
-// Recovery is how long an event of the timeline was felt.
+// Recovery describes the effect of a timeline event on worth.
 type Recovery struct {
 	At     float64 `json:"at_ms"`
 	Kind   string  `json:"kind"`
 	Before float64 `json:"worth_before"`
-	Lowest float64 `json:"worth_lowest"` // in one bucket, until the next event
+	Lowest float64 `json:"worth_lowest"` // lowest value until it is back
 	After  float64 `json:"recovered_ms"` // until worth is back within 0.02 of before; below 0: not until the end
 }
 
-// Agent is what one agent process took.
+// Agent contains the resource usage of an agent process.
 type Agent struct {
 	MemoryMB   float64 `json:"memory_mb"`
 	CPU        float64 `json:"cpu"` // cores
 	Goroutines int     `json:"goroutines,omitempty"`
 }
 
-// Result is what a play came to.
+// Result contains the metrics of a play.
 type Result struct {
 	Worth    float64 `json:"worth"` // share of what was asked
 	Asked    int     `json:"asked"`
@@ -155,86 +156,86 @@
 	Gone     int     `json:"gone"`
 	Tries    int     `json:"tries"`
 	Attempts int     `json:"attempts"`
-	Needless int     `json:"needless"` // refused or failed though a warm server stood idle that could do it
+	Needless int     `json:"needless"` // refused or failed although an idle, warm server could have served it
 	Retries  float64 `json:"retries"`  // attempts beyond the first, as a share of tries
-	Waste    float64 `json:"waste"`    // share of the work done that served nobody in time
-	Begun    int     `json:"begun"`    // pieces of work that servers began
-	Repeated int     `json:"repeated"` // of them, those of a try that one had begun before
-	// AfterEnd is those of a try that had ended for its client more than 50 ms before: it had left,
-	// or had its answer.
-	AfterEnd     int        `json:"after_end"`
-	Cross        float64    `json:"cross"`     // share of attempts that crossed zones
-	Imbalance    float64    `json:"imbalance"` // the most loaded server's share of its capacity over the mean
-	Connects     int        `json:"connects"`
-	OpenMost     int        `json:"open_most"` // connections to the server with the most
-	Questions    int        `json:"questions"` // to the roster
-	Classes      []Class    `json:"classes"`
-	Servers      []Server   `json:"servers"`
-	Agents       []Agent    `json:"agents,omitempty"`
-	Recovered    []Recovery `json:"recovered,omitempty"`
-	Breaches     int        `json:"breaches"`
-	Broken       []Breach   `json:"broken,omitempty"`
-	BucketMs     float64    `json:"bucket_ms"`
-	Series       []float64  `json:"series"`           // worth by bucket of when it was asked
-	Events       int64      `json:"events,omitempty"` // of the model
-	EventsPerS   float64    `json:"events_per_s,omitempty"`
-	LateP99      float64    `json:"late_p99_ms,omitempty"`   // of the generator
-	GeneratorCPU float64    `json:"generator_cpu,omitempty"` // cores of the lab process
-	Void         string     `json:"void,omitempty"`          // why the run does not count
+	Waste    float64 `json:"waste"`    // share of the work that did not lead to an answer in time
+	Begun    int     `json:"begun"`    // starts of work by servers
+	Repeated int     `json:"repeated"` // of these, on a request that a server had started before
+	// AfterEnd counts starts of work on a request that had ended for its client more than 50 ms before:
+	// the client had left or had its answer.
+	AfterEnd     int         `json:"after_end"`
+	Cross        float64     `json:"cross"`     // share of attempts to another zone
+	Imbalance    float64     `json:"imbalance"` // highest utilization of a server over the mean
+	Connects     int         `json:"connects"`
+	OpenMost     int         `json:"open_most"` // maximum number of open connections of a server
+	Questions    int         `json:"questions"` // requests to the roster
+	Classes      []Class     `json:"classes"`
+	Servers      []Server    `json:"servers"`
+	Agents       []Agent     `json:"agents,omitempty"`
+	Recovered    []Recovery  `json:"recovered,omitempty"`
+	Breaches     int         `json:"breaches"`
+	Broken       []Violation `json:"broken,omitempty"`
+	BucketMs     float64     `json:"bucket_ms"`
+	Series       []float64   `json:"series"`           // worth by bucket of the request's intended start
+	Events       int64       `json:"events,omitempty"` // simulation events
+	EventsPerS   float64     `json:"events_per_s,omitempty"`
+	LateP99      float64     `json:"late_p99_ms,omitempty"`   // delay of the load generator
+	GeneratorCPU float64     `json:"generator_cpu,omitempty"` // cores of the lab process
+	Void         string      `json:"void,omitempty"`          // reason for which the play does not count
 }
 
-// Recorder gathers what happens.
+// Recorder collects the metrics during a play.
 type Recorder struct {
-	s      *scenario.Scenario
-	plan   []law.Ask
-	hists  []*hdrhistogram.Histogram
-	class  []Class
-	got    []float64 // worth won by class
-	of     []float64 // and asked
-	bucket float64
-	won    []float64
-	asked  []float64
-	served []bool // by ask
-	warmup float64
-	res    Result
-	useful float64
-	work   float64
+	s                *scenario.Scenario
+	plan             []law.Request
+	hists            []*hdrhistogram.Histogram
+	class            []Class
+	earnedByClass    []float64 // worth earned, by class
+	possibleByClass  []float64 // worth of all requests, by class
+	bucket           float64
+	earnedByBucket   []float64
+	possibleByBucket []float64
+	served           []bool // by index in the plan
+	warmup           float64
+	res              Result
+	useful           float64
+	work             float64
 }
 
-// Buckets is how many parts a play is cut into.
+// Buckets is the number of time intervals into which a long play is divided.
 const Buckets = 240
 
-// New makes a recorder of a play.
-func New(s *scenario.Scenario, plan []law.Ask) *Recorder {
+// New returns a recorder for a play.
+func New(s *scenario.Scenario, plan []law.Request) *Recorder {
 	r := &Recorder{s: s, plan: plan, bucket: max(s.Length.Ms()/Buckets, 250), warmup: s.Warmup.Ms(), served: make([]bool, len(plan))}
 	n := int(math.Ceil(s.Length.Ms()/r.bucket)) + 1
-	r.won, r.asked = make([]float64, n), make([]float64, n)
+	r.earnedByBucket, r.possibleByBucket = make([]float64, n), make([]float64, n)
 	for _, c := range s.Classes {
 		r.hists = append(r.hists, hdrhistogram.New(1, int64(2*c.GiveUp.Ms()*1000)+1000, 3))
 		r.class = append(r.class, Class{Name: c.Name})
 	}
-	r.got, r.of = make([]float64, len(s.Classes)), make([]float64, len(s.Classes))
+	r.earnedByClass, r.possibleByClass = make([]float64, len(s.Classes)), make([]float64, len(s.Classes))
 	for i := range plan {
 		a := &plan[i]
-		if a.At >= r.warmup && a.Leaves == 0 {
+		if a.At >= r.warmup && a.LeavesAfter == 0 {
 			w := s.Classes[a.Class].Worth
 			r.class[a.Class].Asked++
-			r.of[a.Class] += w
-			r.asked[int(a.At/r.bucket)] += w
+			r.possibleByClass[a.Class] += w
+			r.possibleByBucket[int(a.At/r.bucket)] += w
 		}
 	}
 	return r
 }
 
-// Bucket is the length of one, in milliseconds.
+// Bucket returns the length of a bucket in milliseconds.
 func (r *Recorder) Bucket() float64 { return r.bucket }
 
-// Start notes that a client asks.
-func (r *Recorder) Start(t *Try) { r.res.Tries++ }
+// RequestStarted records that a client sends a request.
+func (r *Recorder) RequestStarted(t *Request) { r.res.Tries++ }
 
-// Sent notes an attempt as the agent sends it. told is since when the agent knew that the server
-// wants nothing new; below 0: it does.
-func (r *Recorder) Sent(t *Try, now, told float64, server string, crosses bool) {
+// AttemptSent records an attempt that the agent sends. told is the time from which the agent knew that
+// the server was not ready; below 0: the server is ready.
+func (r *Recorder) AttemptSent(t *Request, now, told float64, server string, crosses bool) {
 	t.Attempts++
 	t.Out++
 	r.res.Attempts++
@@ -247,22 +248,22 @@
 	t.Note(now, "sent to", server)
 	switch {
 	case t.Out > 1:
-		r.Breach(now, "two attempts at once", t)
+		r.RecordViolation(now, "two attempts at once", t)
 	case t.Attempts > r.s.Limits.Attempts:
-		r.Breach(now, "more attempts than allowed", t)
+		r.RecordViolation(now, "more attempts than allowed", t)
 	case t.Outcome != Open:
-		r.Breach(now, "an attempt after the final answer", t)
+		r.RecordViolation(now, "an attempt after the final answer", t)
 	}
 	if told >= 0 && now-told > r.s.Rules.DrainGrace.Ms() {
-		r.Breach(now, "a send after a drain", t)
+		r.RecordViolation(now, "a send after a drain", t)
 	}
 }
 
-// Over notes that an attempt is out no more.
-func (r *Recorder) Over(t *Try) { t.Out-- }
+// AttemptEnded records that an attempt is no longer in flight.
+func (r *Recorder) AttemptEnded(t *Request) { t.Out-- }
 
-// Begun notes that a server begins to work on a try.
-func (r *Recorder) Begun(t *Try, now float64, server string) {
+// WorkStarted records that a server starts to work on a request.
+func (r *Recorder) WorkStarted(t *Request, now float64, server string) {
 	c := &r.s.Classes[t.Class]
 	t.Note(now, "begun by", server)
 	r.res.Begun++
@@ -273,30 +274,30 @@
 		r.res.Repeated++
 		switch {
 		case c.Effect == "unsafe":
-			r.Breach(now, "an effect twice", t)
+			r.RecordViolation(now, "an effect twice", t)
 		case c.Effect == "keyed" && now-t.Runs[0].At > c.KeyWindow.Ms():
-			r.Breach(now, "a keyed repeat after its window", t)
+			r.RecordViolation(now, "a keyed repeat after its window", t)
 		}
 	}
 	t.Runs = append(t.Runs, Run{now, server})
 }
 
-// Worked notes work that was done, on a core of speed 1.
-func (r *Recorder) Worked(ms float64) { r.work += ms }
+// AddWork adds work that was done, in milliseconds on a core of speed 1.
+func (r *Recorder) AddWork(ms float64) { r.work += ms }
 
-// End notes the final answer of a try, or that there is none. needless says that it was refused
-// or failed though a server stood idle that could do it. work is that of the request.
-func (r *Recorder) End(t *Try, now float64, o Outcome, needless bool) {
+// RequestEnded records the final outcome of a request. needless reports that it was refused or failed
+// although an idle server could have served it.
+func (r *Recorder) RequestEnded(t *Request, now float64, o Outcome, needless bool) {
 	if t.Outcome != Open {
 		if o != Gone {
-			r.Breach(now, "two final answers", t)
+			r.RecordViolation(now, "two final answers", t)
 		}
 		return
 	}
 	t.Outcome, t.Ended = o, now
 	t.Note(now, o.String(), "")
 	a := &r.plan[t.Ask]
-	counts := a.At >= r.warmup && a.Leaves == 0
+	counts := a.At >= r.warmup && a.LeavesAfter == 0
 	c := &r.s.Classes[t.Class]
 	switch o {
 	case Served:
@@ -321,8 +322,8 @@
 			if worth == 1 {
 				k.InTime++
 			}
-			r.got[t.Class] += worth * c.Worth
-			r.won[int(a.At/r.bucket)] += worth * c.Worth
+			r.earnedByClass[t.Class] += worth * c.Worth
+			r.earnedByBucket[int(a.At/r.bucket)] += worth * c.Worth
 			_ = r.hists[t.Class].RecordValue(min(max(int64(took*1000), 1), r.hists[t.Class].HighestTrackableValue()))
 		}
 	case Refused:
@@ -331,7 +332,7 @@
 		r.res.Failed++
 	case Lost:
 		r.res.Lost++
-		r.Breach(now, "a request lost", t)
+		r.RecordViolation(now, "a request lost", t)
 	case Gone:
 		r.res.Gone++
 	}
@@ -340,36 +341,36 @@
 	}
 }
 
-// Breach notes a broken rule.
-func (r *Recorder) Breach(now float64, rule string, t *Try) {
+// RecordViolation records a violated rule.
+func (r *Recorder) RecordViolation(now float64, rule string, t *Request) {
 	r.res.Breaches++
-	if len(r.res.Broken) < maxBreaches {
-		b := Breach{At: now, Rule: rule}
+	if len(r.res.Broken) < maxViolations {
+		b := Violation{At: now, Rule: rule}
 		if t != nil {
-			b.Story = t.Story()
+			b.Story = t.History()
 		}
 		r.res.Broken = append(r.res.Broken, b)
 	}
 }
 
-// Fell notes that a cold server was pushed over.
-func (r *Recorder) Fell(now float64, server string) {
-	r.Breach(now, "a cold server pushed over: "+server, nil)
+// ServerCollapsed records that a cold server collapsed under too much work.
+func (r *Recorder) ServerCollapsed(now float64, server string) {
+	r.RecordViolation(now, "a cold server pushed over: "+server, nil)
 }
 
-// Result sums up. Servers and what whoever plays counts are theirs to fill in before: add is
-// called with the result to be completed.
+// Result computes the result. It first calls add, in which the caller fills in the servers and its own
+// counters.
 func (r *Recorder) Result(add func(*Result)) *Result {
 	res := &r.res
 	add(res)
 	won, of := 0.0, 0.0
 	for i := range r.class {
 		c := &r.class[i]
-		if r.of[i] > 0 {
-			c.Worth = r.got[i] / r.of[i]
+		if r.possibleByClass[i] > 0 {
+			c.Worth = r.earnedByClass[i] / r.possibleByClass[i]
 		}
 		c.Latency = latency(r.hists[i])
-		won, of = won+r.got[i], of+r.of[i]
+		won, of = won+r.earnedByClass[i], of+r.possibleByClass[i]
 		res.Asked += c.Asked
 	}
 	if of > 0 {
@@ -385,15 +386,15 @@
 		res.Waste = max(1-r.useful/r.work, 0)
 	}
 	res.Classes, res.BucketMs = r.class, r.bucket
-	for i := range r.won {
+	for i := range r.earnedByBucket {
 		x := math.NaN()
-		if r.asked[i] > 0 {
-			x = r.won[i] / r.asked[i]
+		if r.possibleByBucket[i] > 0 {
+			x = r.earnedByBucket[i] / r.possibleByBucket[i]
 		} else if i > 0 {
 			x = res.Series[i-1]
 		}
 		if math.IsNaN(x) {
-			x = 1 // nothing asked yet
+			x = 1 // no requests yet
 		}
 		res.Series = append(res.Series, x)
 	}
@@ -417,24 +418,24 @@
 	l.Mean, l.Max = h.Mean()/1000, float64(h.Max())/1000
 	l.P50, l.P90, l.P99, l.P999 = at(50), at(90), at(99), at(99.9)
 	for _, q := range []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 97, 98, 99, 99.5, 99.9, 99.99} {
-		if float64(l.Count)*(100-q) >= 100 { // at least one request lies beyond
+		if float64(l.Count)*(100-q) >= 100 { // at least one request is beyond
 			l.Curve = append(l.Curve, [2]float64{q / 100, at(q)})
 		}
 	}
 	return l
 }
 
-// within is how near to what it was before worth must come to count as recovered.
-const within = 0.02
+// recoveryTolerance is how close to its previous value worth must be to count as recovered.
+const recoveryTolerance = 0.02
 
-// recovered tells of each event how long until worth was back within 0.02 of what it was in the
-// five seconds before, for a second on end. Worth is smoothed over a second.
+// recovered returns for each event the time until worth was back within 0.02 of its mean in the five
+// seconds before, for at least one second. Worth is smoothed over a second.
 func (r *Recorder) recovered(series []float64) (all []Recovery) {
 	per := max(int(1000/r.bucket), 1)
 	smooth := func(i int) float64 {
 		won, of := 0.0, 0.0
 		for j := max(i-per+1, 0); j <= i; j++ {
-			won, of = won+r.won[j], of+r.asked[j]
+			won, of = won+r.earnedByBucket[j], of+r.possibleByBucket[j]
 		}
 		if of == 0 {
 			return series[i]
@@ -450,19 +451,19 @@
 		}
 		won, of := 0.0, 0.0
 		for j := from; j < at; j++ {
-			won, of = won+r.won[j], of+r.asked[j]
+			won, of = won+r.earnedByBucket[j], of+r.possibleByBucket[j]
 		}
 		if of == 0 {
 			continue
 		}
 		rec := Recovery{At: e.At.Ms(), Kind: e.Kind, Before: won / of, Lowest: 1, After: -1}
-		good, last, felt := 0, len(series)-1, false // the last bucket is not whole
+		good, last, felt := 0, len(series)-1, false // the last bucket is incomplete
 		for j := at; j < last; j++ {
 			x := smooth(j)
 			if j >= at+per-1 {
 				rec.Lowest = min(rec.Lowest, x)
 			}
-			if x >= rec.Before-within {
+			if x >= rec.Before-recoveryTolerance {
 				if good++; good >= per && rec.After < 0 && j >= at+2*per {
 					rec.After = max(float64(j-good+1)*r.bucket-rec.At, 0)
 					break
@@ -479,7 +480,7 @@
 	return all
 }
 
-// SortedServers are the servers of a result by kind and zone, for drawing.
+// SortedServers returns the servers by zone and kind, for plots.
 func (r *Result) SortedServers() []Server {
 	all := slices.Clone(r.Servers)
 	slices.SortStableFunc(all, func(a, b Server) int {
@@ -491,8 +492,8 @@
 	return all
 }
 
-// WorstP99 is the 99th percentile of the latency of the class in which it is longest: the most
-// of all classes, in milliseconds.
+// WorstP99 returns the 99th percentile of the latency of the class in which it is highest, in
+// milliseconds.
 func (r *Result) WorstP99() (most float64) {
 	for _, c := range r.Classes {
 		most = max(most, c.Latency.P99)
--- a/internal/rig/lab/model/estate.go
+++ b/internal/rig/lab/model/estate.go
@@ -158,31 +158,31 @@
 // timelineHost implements timeline.Host on the simulation.
 type timelineHost struct{ *world }
 
-func (h timelineHost) Now() float64                 { return h.now }
-func (h timelineHost) After(d float64, do func())   { h.after(d, do) }
-func (h timelineHost) Agents() int                  { return len(h.agents) }
-func (h timelineHost) Die(n int, silent bool)       { h.stopServer(h.servers[n], silent) }
-func (h timelineHost) Back(n int)                   { h.restartServer(h.servers[n]) }
-func (h timelineHost) Late(n int, ms float64)       { h.servers[n].reportDelay = ms }
-func (h timelineHost) Restart(n int, killed bool)   { h.restartAgent(n, killed) }
-func (h timelineHost) Fault(n int, f station.Fault) { h.servers[n].st.Add(f) }
+func (h timelineHost) Now() float64                    { return h.now }
+func (h timelineHost) After(d float64, do func())      { h.after(d, do) }
+func (h timelineHost) Agents() int                     { return len(h.agents) }
+func (h timelineHost) StopServer(n int, silent bool)   { h.stopServer(h.servers[n], silent) }
+func (h timelineHost) RestartServer(n int)             { h.restartServer(h.servers[n]) }
+func (h timelineHost) DelayReports(n int, ms float64)  { h.servers[n].reportDelay = ms }
+func (h timelineHost) RestartAgent(n int, killed bool) { h.restartAgent(n, killed) }
+func (h timelineHost) AddFault(n int, f station.Fault) { h.servers[n].st.Add(f) }
 
 func (h timelineHost) Servers() []timeline.Server {
 	all := make([]timeline.Server, len(h.servers))
 	for i, v := range h.servers {
 		all[i] = timeline.Server{Name: v.name, Kind: h.s.Servers[v.kind].Kind, Zone: h.s.Zones[v.zone], Up: v.up,
 			Gone: v.removed,
-			Busy: v.st.Holds() > 0 || v.inTransit > 0}
+			Busy: v.st.Jobs() > 0 || v.inTransit > 0}
 	}
 	return all
 }
 
-func (h timelineHost) List(n int, health cluster.Health, after float64) {
+func (h timelineHost) PublishHealth(n int, health cluster.Health, after float64) {
 	h.servers[n].health = health
 	h.publish(h.servers[n], after)
 }
 
-func (h timelineHost) Follow(n int, notice float64) {
+func (h timelineHost) ReplaceServer(n int, notice float64) {
 	v := h.servers[n]
 	if v.up {
 		h.stopServer(v, false)
@@ -194,7 +194,7 @@
 	h.publish(next, notice)
 }
 
-func (h timelineHost) Stall(a, b int, until float64) {
+func (h timelineHost) StallLink(a, b int, until float64) {
 	h.stalls = append(h.stalls, stall{a, b, until})
 	h.after(until-h.now, func() {
 		h.stalls = slices.DeleteFunc(h.stalls, func(s stall) bool { return s.until <= h.now })
@@ -286,8 +286,8 @@
 // MeanWork returns the mean work of a class.
 func (w *world) MeanWork(class int) float64 { return w.s.Classes[class].Work.Ms() }
 
-// Bears reports whether a cold server can take one more request without overload.
-func (w *world) Bears(addr cluster.Addr, work float64) bool {
+// CanAccept reports whether a cold server can take one more request without overload.
+func (w *world) CanAccept(addr cluster.Addr, work float64) bool {
 	v := w.byAddr[addr]
-	return v.st.Bears(w.now, work+float64(v.inTransit)*w.meanWork, 0.7)
+	return v.st.CanAccept(w.now, work+float64(v.inTransit)*w.meanWork, 0.7)
 }
--- a/internal/rig/lab/model/model.go
+++ b/internal/rig/lab/model/model.go
@@ -98,7 +98,7 @@
 
 // clientRequest is one request that a client sends to its agent; a client retry is another one.
 type clientRequest struct {
-	measure.Try
+	measure.Request
 	agent    *agent
 	n        policy.RequestID
 	number   int // of the client's attempts, from 0
@@ -166,7 +166,7 @@
 	o               Options
 	q               queue
 	now             float64
-	plan            []law.Ask
+	plan            []law.Request
 	paths           *law.Paths
 	rng             *rand.Rand
 	zones           []int
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	for _, v := range w.servers {
-		w.rec.Worked(v.pastWork + v.st.Worked)
+		w.rec.AddWork(v.pastWork + v.st.Worked)
 	}
 	return w.rec.Result(func(r *measure.Result) {
 		r.Connects, r.Questions, r.Events = w.res.connects, w.res.questions, w.events
@@ -372,8 +372,8 @@
 	a := w.agents[p.Agent]
 	deadline := p.At + float64(p.Patience)
 	t := &clientRequest{agent: a, number: number, deadline: deadline}
-	t.Try = measure.Try{ID: fmt.Sprint("r", n, ".", number), Ask: n, Class: int(p.Class), At: w.now, Deadline: deadline}
-	w.rec.Start(&t.Try)
+	t.Request = measure.Request{ID: fmt.Sprint("r", n, ".", number), Ask: n, Class: int(p.Class), At: w.now, Deadline: deadline}
+	w.rec.RequestStarted(&t.Request)
 	a.next++
 	t.n = a.next
 	a.tries[t.n] = t
@@ -385,11 +385,11 @@
 			w.forget(t)
 		}
 	}})
-	if p.Leaves > 0 && number == 0 {
-		w.at(p.At+float64(p.Leaves), event{kind: evDo, do: func() {
+	if p.LeavesAfter > 0 && number == 0 {
+		w.at(p.At+float64(p.LeavesAfter), event{kind: evDo, do: func() {
 			if !t.answered {
 				t.answered = true
-				w.rec.End(&t.Try, w.now, measure.Gone, false)
+				w.rec.RequestEnded(&t.Request, w.now, measure.Gone, false)
 				w.handleEvent(a, &policy.Event{Kind: policy.EvDropped, Request: t.n})
 				w.cancelWaiting(t)
 				w.forget(t)
@@ -404,7 +404,7 @@
 func (w *world) respond(t *clientRequest, o measure.Outcome, retryAfter float64) {
 	t.answered = true
 	needless := o != measure.Served && w.needless(t)
-	w.rec.End(&t.Try, w.now, o, needless)
+	w.rec.RequestEnded(&t.Request, w.now, o, needless)
 	if o == measure.Served {
 		return
 	}
@@ -414,7 +414,7 @@
 		return
 	}
 	wait := portal.Backoff.Ms() * float64(int(1)<<t.number)
-	if retryAfter > 0 && law.Unit(w.o.Seed, uint64(t.Ask), uint64(t.number), 7) < portal.Heeds {
+	if retryAfter > 0 && law.Uniform(w.o.Seed, uint64(t.Ask), uint64(t.number), 7) < portal.Heeds {
 		wait = max(wait, retryAfter)
 	}
 	if w.now+wait+guard < t.deadline {
@@ -431,7 +431,7 @@
 	from := w.rng.IntN(n)
 	for i := range min(n, 64) {
 		v := w.servers[(from+i)%n]
-		if v.up && !v.silent && v.health == cluster.Ready && v.st.Free(w.now, v.inTransit) &&
+		if v.up && !v.silent && v.health == cluster.Ready && v.st.HasFreeSlot(w.now, v.inTransit) &&
 			2*w.paths.Mean(t.agent.zone, v.zone)+work/v.st.Rate(w.now) < t.deadline-guard-w.now {
 			return true
 		}
@@ -548,7 +548,7 @@
 		att.beginBy = w.now + act.BeginMs
 	}
 	t.attempts = append(t.attempts, att)
-	w.rec.Sent(&t.Try, w.now, a.notReadyAt(v.num), v.name, a.zone != v.zone)
+	w.rec.AttemptSent(&t.Request, w.now, a.notReadyAt(v.num), v.name, a.zone != v.zone)
 	w.at(att.until, event{kind: evTimeout, att: att})
 	w.connect(att)
 }
@@ -710,7 +710,7 @@
 		w.handleEvent(a, &policy.Event{Kind: policy.EvProbed, Server: att.s.addr, Status: st, LatencyMs: w.now - att.sent})
 		return
 	}
-	w.rec.Over(&t.Try)
+	w.rec.AttemptEnded(&t.Request)
 	if st != policy.OK {
 		t.Note(w.now, statusName(st), att.s.name)
 	}
@@ -783,7 +783,7 @@
 	att.arrived = true
 	if att.probe {
 		st := policy.OK
-		if law.Unit(w.o.Seed, uint64(w.events)) < v.st.Failing(w.now) {
+		if law.Uniform(w.o.Seed, uint64(w.events)) < v.st.ErrorRate(w.now) {
 			st = policy.Error
 		}
 		w.at(w.now+w.networkDelay(att.agent, v), event{kind: evAnswer, att: att, n: int32(st)})
@@ -792,11 +792,11 @@
 	p := &w.plan[att.t.Ask]
 	att.st = v.st
 	att.job = station.Job{ID: uint64(att.t.Ask)<<8 | uint64(att.t.number), Work: float64(p.Work), Key: p.Key, Tag: att}
-	fell := v.st.Fell()
+	fell := v.st.Collapsed()
 	verdict := v.st.Arrive(w.now, &att.job)
-	if !fell && v.st.Fell() {
+	if !fell && v.st.Collapsed() {
 		v.fell = true
-		w.rec.Fell(w.now, v.name)
+		w.rec.ServerCollapsed(w.now, v.name)
 	}
 	switch verdict {
 	case station.Started:
@@ -804,14 +804,14 @@
 	case station.Full:
 		w.reply(att, policy.Full)
 	case station.Failed:
-		w.rec.Begun(&att.t.Try, w.now, v.name)
+		w.rec.WorkStarted(&att.t.Request, w.now, v.name)
 		w.reply(att, policy.Error)
 	}
 }
 
 func (w *world) scheduleEnd(j *station.Job) {
 	att := j.Tag.(*attempt)
-	w.rec.Begun(&att.t.Try, w.now, att.s.name)
+	w.rec.WorkStarted(&att.t.Request, w.now, att.s.name)
 	w.at(j.Until, event{kind: evEnd, att: att})
 }
 
--- a/internal/rig/lab/page/night.go
+++ b/internal/rig/lab/page/outages.go
@@ -23,13 +23,13 @@
 	Open               bool   // it lasted when the record was taken
 }
 
-// shownPhase is a phase in which a machine counts as out, with its colour.
-type shownPhase struct {
-	phase string
-	of    color.Color
+// outPhase is a phase in which a machine counts as out, with its colour.
+type outPhase struct {
+	phase  string
+	colour color.Color
 }
 
-var shown = []shownPhase{{"emptying", colours[4]}, {"granted", colours[2]}, {"out", colours[1]}, {"returning", colours[5]}}
+var outPhases = []outPhase{{"emptying", colours[4]}, {"granted", colours[2]}, {"out", colours[1]}, {"returning", colours[5]}}
 
 // Spans reads a record of what the agents have settled ('molepaddle work record --json'), a line a change, up to a
 // time. A line that is none is an error that names it.
@@ -50,7 +50,7 @@
 			all[was].Until, all[was].Open = max(at, all[was].From), false
 			delete(open, id)
 		}
-		if slices.ContainsFunc(shown, func(p shownPhase) bool { return p.phase == phase }) {
+		if slices.ContainsFunc(outPhases, func(p outPhase) bool { return p.phase == phase }) {
 			why := ""
 			if len(words) == 7 {
 				why = words[6]
@@ -63,8 +63,8 @@
 	return all, nil
 }
 
-// Most is how many machines counted as out at once at the most, and when first.
-func Most(spans []Span) (most int, at int64) {
+// MaxConcurrent is how many machines counted as out at once at the most, and when first.
+func MaxConcurrent(spans []Span) (most int, at int64) {
 	for _, s := range spans {
 		here := map[string]bool{}
 		for _, o := range spans {
@@ -79,7 +79,7 @@
 	return most, at
 }
 
-var nightPage = template.Must(template.New("night").Parse(`<!doctype html>
+var outagesTemplate = template.Must(template.New("night").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Who was out when</title>
 <style>body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em}td,th{text-align:left;padding:.15em .8em .15em 0;vertical-align:top}</style></head><body>
 <h1>Who was out when</h1>
@@ -90,8 +90,8 @@
 {{end}}</table></body></html>
 `))
 
-// Night writes a page of who was out when, and why in that order.
-func Night(w io.Writer, spans []Span) error {
+// WriteOutages writes a page of who was out when, and why in that order.
+func WriteOutages(w io.Writer, spans []Span) error {
 	if len(spans) == 0 {
 		return fmt.Errorf("record: nobody was out")
 	}
@@ -105,7 +105,7 @@
 	}
 	p := newPlot("minutes", "")
 	minutes := func(at int64) float64 { return float64(at-first) / 60 }
-	for i, of := range shown {
+	for i, of := range outPhases {
 		for k, s := range spans {
 			if s.Phase != of.phase {
 				continue
@@ -115,10 +115,10 @@
 			if err != nil {
 				return err
 			}
-			line.Color, line.Width = of.of, vg.Points(7)
+			line.Color, line.Width = of.colour, vg.Points(7)
 			p.Add(line)
 			if k == slices.IndexFunc(spans, func(o Span) bool { return o.Phase == of.phase }) {
-				p.Legend.Add(shown[i].phase, line)
+				p.Legend.Add(outPhases[i].phase, line)
 			}
 		}
 	}
@@ -126,11 +126,11 @@
 	slices.Reverse(names)
 	p.NominalY(names...)
 	p.Legend.Top = true
-	f, err := drawn("who was out when", p, max(height, vg.Length(len(machines))*14*vg.Millimeter/3+vg.Inch))
+	f, err := renderFigure("who was out when", p, max(height, vg.Length(len(machines))*14*vg.Millimeter/3+vg.Inch))
 	if err != nil {
 		return err
 	}
-	most, at := Most(spans)
+	most, at := MaxConcurrent(spans)
 	clock := func(at int64) string { return time.Unix(at, 0).UTC().Format("01-02 15:04:05") }
 	type row struct{ From, Until, Machine, ID, Phase, Why string }
 	page := struct {
@@ -145,5 +145,5 @@
 		}
 		page.Rows = append(page.Rows, row{clock(s.From), until, s.Machine, s.ID, s.Phase, s.Why})
 	}
-	return nightPage.Execute(w, page)
+	return outagesTemplate.Execute(w, page)
 }
--- a/internal/rig/lab/page/page.go
+++ b/internal/rig/lab/page/page.go
@@ -34,7 +34,7 @@
 // HTML writes one file that needs no other. bench is text of Go benchmarks that name servers and
 // open requests, for a plot of how decisions cost; it may be empty.
 func HTML(w io.Writer, rows []*trial.Row, bench []byte, ask Questions) error {
-	all, void := report.Scenes(rows)
+	all, void := report.GroupByScenario(rows)
 	page := struct {
 		Sections []section
 		Void     int
--- a/internal/rig/lab/page/page_test.go
+++ b/internal/rig/lab/page/page_test.go
@@ -103,7 +103,7 @@
 }
 
 // A night as the agents' record has it: spans by phase, what lasts is open, a line that is none is named.
-func TestNight(t *testing.T) {
+func TestOutages(t *testing.T) {
 	record := []string{"100 r1 m1: asked -> emptying: its turn", "130 r1 m1: emptying -> granted: empty", "140 r2 m2: asked -> emptying: its turn", "150 r1 m1: granted -> out: taken under permit 1",
 		"160 r2 m2: emptying -> asked: withdrawn: b", "400 r1 m1: out -> returning: done", "500 r1 m1: returning -> done: warm", "600 r3 m3: asked -> emptying: its turn"}
 	spans, err := Spans(record, 660)
@@ -116,14 +116,14 @@
 	if s := spans[5]; s.Machine != "m3" || !s.Open || s.Until != 660 {
 		t.Errorf("%+v", s)
 	}
-	if most, at := Most(spans); most != 2 || at != 140 {
+	if most, at := MaxConcurrent(spans); most != 2 || at != 140 {
 		t.Errorf("%d at once at %d", most, at)
 	}
 	var b bytes.Buffer
-	if err := Night(&b, spans); err != nil || !strings.Contains(b.String(), "<svg") || !strings.Contains(b.String(), "3 machines between") || !strings.Contains(b.String(), "still") {
+	if err := WriteOutages(&b, spans); err != nil || !strings.Contains(b.String(), "<svg") || !strings.Contains(b.String(), "3 machines between") || !strings.Contains(b.String(), "still") {
 		t.Errorf("%v: %.300s", err, b.String())
 	}
-	if Night(&b, nil) == nil {
+	if WriteOutages(&b, nil) == nil {
 		t.Error("a page of nothing")
 	}
 	for _, line := range []string{"x", "x r1 m1: asked -> emptying: w"} {
--- a/internal/rig/lab/page/plots.go
+++ b/internal/rig/lab/page/plots.go
@@ -52,7 +52,7 @@
 	return p
 }
 
-func drawn(title string, p *plot.Plot, high vg.Length) (figure, error) {
+func renderFigure(title string, p *plot.Plot, high vg.Length) (figure, error) {
 	c := vgsvg.New(width, high)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// chosen are the groups that are drawn.
-func chosen(s *report.Scene) []*report.Group {
+// drawnGroups are the groups that are drawn.
+func drawnGroups(s *report.Scenario) []*report.Group {
 	all := report.ByName(s.Groups)
 	return all[:min(len(all), maxLines)]
 }
 
 // plots are those of a scenario: worth over time, latency, load, recovery.
-func plots(s *report.Scene) (all []figure, err error) {
-	for _, draw := range []func(*report.Scene) (figure, error){overTime, latency, heat} {
+func plots(s *report.Scenario) (all []figure, err error) {
+	for _, draw := range []func(*report.Scenario) (figure, error){overTime, latency, busyHeatMap} {
 		f, err := draw(s)
 		if err != nil {
 			return nil, err
@@ -111,11 +111,11 @@
 }
 
 // overTime is worth over time, the mean over the plays, with the timeline's events.
-func overTime(s *report.Scene) (figure, error) {
+func overTime(s *report.Scenario) (figure, error) {
 	p := newPlot("time, s", "worth (share of what was asked, over 1 s)")
 	p.Legend.Left, p.Legend.Top = true, false
 	least := 1.0
-	for i, g := range chosen(s) {
+	for i, g := range drawnGroups(s) {
 		bucket := g.Rows[0].Result.BucketMs
 		per := max(int(1000/bucket), 1)
 		n := len(g.Rows[0].Result.Series) - 1 // the last one is not whole
@@ -161,11 +161,11 @@
 	}
 	p.Legend.Top, p.Legend.Left = false, false
 	p.Legend.YOffs = vg.Points(14)
-	return drawn("Worth over time; the timeline's events are marked", p, height)
+	return renderFigure("Worth over time; the timeline's events are marked", p, height)
 }
 
 // latency is of served requests by their share, as curves of the first play.
-func latency(s *report.Scene) (figure, error) {
+func latency(s *report.Scenario) (figure, error) {
 	p := newPlot("requests answered within, %", "latency of served requests, ms")
 	p.Legend.Left, p.Legend.Top = true, true
 	nines := []float64{0.5, 0.9, 0.99, 0.999, 0.9999}
@@ -175,7 +175,7 @@
 		ticks = append(ticks, plot.Tick{Value: at(q), Label: strconv.FormatFloat(100*q, 'f', -1, 64)})
 	}
 	p.X.Tick.Marker = ticks
-	for i, g := range chosen(s) {
+	for i, g := range drawnGroups(s) {
 		var class *measure.Class
 		for k := range g.Rows[0].Result.Classes { // the one with the most worth at stake
 			if c := &g.Rows[0].Result.Classes[k]; class == nil || c.Latency.P99 > class.Latency.P99 {
@@ -196,7 +196,7 @@
 		}
 	}
 	p.Y.Min = 0
-	return drawn("Latency from the intended start, of the class with the longest, first play", p, height)
+	return renderFigure("Latency from the intended start, of the class with the longest, first play", p, height)
 }
 
 // grid is a heat map's values.
@@ -210,8 +210,8 @@
 func (g grid) X(c int) float64    { return (float64(c) + 0.5) * g.bucket }
 func (g grid) Y(r int) float64    { return float64(r) }
 
-// heat is how busy each server was, in the first play of the first variant.
-func heat(s *report.Scene) (figure, error) {
+// busyHeatMap is how busy each server was, in the first play of the first variant.
+func busyHeatMap(s *report.Scenario) (figure, error) {
 	g := report.ByName(s.Groups)[0]
 	r := g.Rows[0].Result
 	servers := r.SortedServers()
@@ -253,7 +253,7 @@
 	m := plotter.NewHeatMap(h, shades())
 	m.Min, m.Max = 0, 1
 	p.Add(m)
-	return drawn("How busy each server's slots were ("+g.Name+", first play): white 0, dark 1", p, vg.Points(70+13*float64(len(h.z))))
+	return renderFigure("How busy each server's slots were ("+g.Name+", first play): white 0, dark 1", p, vg.Points(70+13*float64(len(h.z))))
 }
 
 // shades go from white to dark blue.
@@ -266,16 +266,16 @@
 	m.SetMax(1)
 	p := m.Palette(24).Colors()
 	slices.Reverse(p)
-	return listed(p)
+	return colourList(p)
 }
 
-type listed []color.Color
+type colourList []color.Color
 
-func (l listed) Colors() []color.Color { return l }
+func (l colourList) Colors() []color.Color { return l }
 
 // recovery is how long the events were felt, the mean over the plays, a bar a variant.
-func recovery(s *report.Scene) (f figure, ok bool, err error) {
-	groups := chosen(s)
+func recovery(s *report.Scenario) (f figure, ok bool, err error) {
+	groups := drawnGroups(s)
 	events := groups[0].Rows[0].Result.Recovered
 	if len(events) == 0 {
 		return f, false, nil
@@ -312,13 +312,13 @@
 		p.Legend.Add(g.Name, b)
 	}
 	p.NominalX(names...)
-	f, err = drawn("How long each event was felt: until worth was back within 0.02 of before (not at all: 0; not back: until the end)", p, height)
+	f, err = renderFigure("How long each event was felt: until worth was back within 0.02 of before (not at all: 0; not back: until the end)", p, height)
 	return f, err == nil, err
 }
 
 // sweeps draws worth and the 99th percentile over the first knob that varies, a line for each
 // chooser and setting of the others.
-func sweeps(s *report.Scene) (all []figure, err error) {
+func sweeps(s *report.Scenario) (all []figure, err error) {
 	knobs := map[string]map[float64]bool{}
 	for _, g := range s.Groups {
 		for k, v := range g.Rows[0].Set {
@@ -400,7 +400,7 @@
 		title string
 		p     *plot.Plot
 	}{{title, worth}, {"99th percentile of the class with the longest", p99}} {
-		f, err := drawn(d.title, d.p, 1.2*height)
+		f, err := renderFigure(d.title, d.p, 1.2*height)
 		if err != nil {
 			return nil, err
 		}
@@ -443,6 +443,6 @@
 			return nil, err
 		}
 	}
-	f, err := drawn("Time of one core for the decisions on one request", p, height)
+	f, err := renderFigure("Time of one core for the decisions on one request", p, height)
 	return &f, err
 }
--- a/internal/rig/lab/report/report.go
+++ b/internal/rig/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report makes of rows what a person reads: a table for a terminal, and the groups and
-// means that package page draws. It reads rows only.
+// Package report groups the rows of plays: it prints a table for a terminal, and computes the groups and
+// means that package page plots. It only reads rows.
 package report
 
 import (
@@ -16,14 +16,14 @@
 	"molepaddle/internal/rig/lab/trial"
 )
 
-// Group is the plays of one variant of a scenario.
+// Group contains the plays of one variant of a scenario.
 type Group struct {
 	Name string
 	mode string
 	Rows []*trial.Row
 }
 
-// Mean is that of a figure over the plays.
+// Mean returns the mean of a figure over the plays.
 func (g *Group) Mean(of func(r *measure.Result) float64) float64 {
 	sum := 0.0
 	for _, r := range g.Rows {
@@ -32,16 +32,16 @@
 	return sum / float64(len(g.Rows))
 }
 
-// Scene is the plays of one scenario.
-type Scene struct {
+// Scenario contains the plays of one scenario.
+type Scenario struct {
 	Name   string
 	Groups []*Group
-	Sweep  bool // its variants change knobs
+	Sweep  bool // at least one variant changes knobs
 }
 
-// Scenes sorts rows by scenario and variant. Plays that do not count are left out, and counted.
-func Scenes(rows []*trial.Row) (all []*Scene, void int) {
-	by := map[string]*Scene{}
+// GroupByScenario groups rows by scenario and variant. Void plays are left out and counted.
+func GroupByScenario(rows []*trial.Row) (all []*Scenario, void int) {
+	by := map[string]*Scenario{}
 	groups := map[string]*Group{}
 	for _, r := range rows {
 		if r.Result.Void != "" {
@@ -50,7 +50,7 @@
 		}
 		s := by[r.Scenario]
 		if s == nil {
-			s = &Scene{Name: r.Scenario}
+			s = &Scenario{Name: r.Scenario}
 			by[r.Scenario] = s
 			all = append(all, s)
 		}
@@ -68,7 +68,7 @@
 		g.Rows = append(g.Rows, r)
 		s.Sweep = s.Sweep || len(r.Set) > 0
 	}
-	for _, s := range all { // builds that share a name are told apart
+	for _, s := range all { // add the build to names that several builds share
 		names := map[string]int{}
 		for _, g := range s.Groups {
 			names[g.Name+g.mode]++
@@ -85,22 +85,22 @@
 	return all, void
 }
 
-// Line is one of the table.
+// Line is one line of the table.
 type Line struct {
 	Name                       string
 	Plays                      int
 	Worth                      float64
-	Way                        string // of the way from random to the oracle
+	Way                        string // position between random (0) and oracle (1)
 	Served, Refused, Failed    float64
 	Needless, Waste, P50, P99  float64
 	Imbalance, Connects, Retry float64
-	Repeated, Nobody           float64 // pieces of work, in a thousand begun
+	Repeated, Nobody           float64 // per thousand starts of work
 	Breaches                   int
 	Memory, CPU                string
 }
 
-// Lines are those of the table, the most worth first.
-func (s *Scene) Lines() []Line {
+// Lines returns the lines of the table, by decreasing worth.
+func (s *Scenario) Lines() []Line {
 	worth := func(r *measure.Result) float64 { return r.Worth }
 	random, oracle := math.NaN(), math.NaN()
 	for _, g := range s.Groups {
@@ -127,8 +127,8 @@
 			Imbalance: g.Mean(func(r *measure.Result) float64 { return r.Imbalance }),
 			Connects:  g.Mean(func(r *measure.Result) float64 { return float64(r.Connects) }),
 			Retry:     g.Mean(func(r *measure.Result) float64 { return r.Retries }),
-			Repeated:  perBegun(g, func(r *measure.Result) int { return r.Repeated }),
-			Nobody:    perBegun(g, func(r *measure.Result) int { return r.AfterEnd }),
+			Repeated:  perThousandBegun(g, func(r *measure.Result) int { return r.Repeated }),
+			Nobody:    perThousandBegun(g, func(r *measure.Result) int { return r.AfterEnd }),
 			Memory:    "-", CPU: "-"}
 		if oracle-random > 0.005 {
 			l.Way = fmt.Sprintf("%.2f", (l.Worth-random)/(oracle-random))
@@ -149,14 +149,14 @@
 	return all
 }
 
-// perBegun is a count of pieces of work, in a thousand that were begun.
-func perBegun(g *Group, of func(r *measure.Result) int) float64 {
+// perThousandBegun returns the mean of a counter per thousand starts of work.
+func perThousandBegun(g *Group, of func(r *measure.Result) int) float64 {
 	return g.Mean(func(r *measure.Result) float64 { return 1000 * float64(of(r)) / float64(max(r.Begun, 1)) })
 }
 
 // Text writes a table for a terminal.
 func Text(w io.Writer, rows []*trial.Row) error {
-	all, void := Scenes(rows)
+	all, void := GroupByScenario(rows)
 	for _, s := range all {
 		fmt.Fprintf(w, "%s\n", s.Name)
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// Points writes the places of a sweep, and the knee of each chooser where there is one axis.
+// Points writes the points of a sweep, and the knee of each chooser if there is one axis.
 func Points(w io.Writer, points []trial.Point, axes []trial.Axis) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, a := range axes {
@@ -222,7 +222,7 @@
 	}
 }
 
-// Recovery words how long an event was felt.
+// Recovery returns a text for an event's recovery time.
 func Recovery(ms float64) string {
 	switch {
 	case ms < 0:
@@ -233,7 +233,7 @@
 	return fmt.Sprintf("back after %.2f s", ms/1000)
 }
 
-// ByName sorts groups, the agent's own first.
+// ByName sorts groups by name, those of the agent's own chooser first.
 func ByName(groups []*Group) []*Group {
 	all := slices.Clone(groups)
 	slices.SortStableFunc(all, func(a, b *Group) int {
--- a/internal/rig/lab/station/station.go
+++ b/internal/rig/lab/station/station.go
@@ -1,8 +1,8 @@
-// Package station is one order server of the lab as a state machine: slots, a bounded queue,
-// work that a cold start slows down, a memory of keys, faults, and what it reports of its load.
-// There is no I/O and no clock: times come in, in milliseconds, and whoever drives it calls End
-// when a job's time has come. The model drives it by events in virtual time, the live stand-ins
-// by timers; a Station belongs to its driver, live under a lock.
+// Package station simulates one server process of the lab as a state machine: slots, a bounded queue,
+// slow start, a cache of keys, injected faults, and load reports. It does no I/O and reads no clock:
+// times are arguments in milliseconds, and the caller calls End when a job is done. The model calls it
+// from events in virtual time, the live fake servers from timers. A Station is not safe for concurrent
+// use; package live guards it by a lock.
 package station
 
 import (
@@ -13,15 +13,15 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// Verdict is what becomes of a job that arrives.
+// Verdict is the result of the arrival of a job.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts.
 const (
 	Started Verdict = iota // End is due at the job's Until
-	Queued                 // it waits
-	Full                   // turned away: it never ran
-	Failed                 // begun, and ended in an error at once
+	Queued                 // in the queue
+	Full                   // rejected: it never ran
+	Failed                 // started and failed at once
 )
 
 // Job is one request at a server.
@@ -31,76 +31,76 @@
 	Key     uint32
 	Arrived float64
 	Began   float64
-	Until   float64 // when it ends
-	Tag     any     // the driver's
+	Until   float64 // time of its end
+	Tag     any     // for the caller
 	serving bool
-	over    bool
-	place   int
+	ended   bool
+	slot    int
 }
 
-// Serving tells whether the job is being worked on.
+// Serving reports whether the job occupies a slot.
 func (j *Job) Serving() bool { return j.serving }
 
-// Report is what a server tells of its load.
+// Report is a server's load report.
 type Report struct {
 	At             float64
 	QPS, Util, EPS float64
 }
 
-// Fault is what is wrong with a server for a time.
+// Fault is a temporary fault of a server.
 type Fault struct {
 	Slow  float64 // factor; 0: none
 	Fail  float64 // share of requests
 	Until float64
 }
 
-// arrival is work that came.
+// arrival is the arrival of a job: its time and work.
 type arrival struct{ at, work float64 }
 
-// Station is one process of an order server.
+// Station is one process of a simulated server.
 type Station struct {
-	Kind  *scenario.Server
-	rules *scenario.Rules
-	seed  uint64
-	born  float64 // below 0: long ago
-	slots []*Job
-	busy  int
-	queue []*Job
-	head  int
-	fault []Fault
-	fell  bool
-	// Work that came while it was cold, within the time after which it falls.
-	came  []arrival
-	sent  float64
-	known map[uint32]float64
-	order []uint32
-	// Reports.
-	served, errors   int
-	busyTime, lookAt float64
-	looked           float64
-	reports          []Report
+	Kind      *scenario.Server
+	rules     *scenario.Rules
+	seed      uint64
+	born      float64 // below 0: long ago
+	slots     []*Job
+	busy      int
+	queue     []*Job
+	head      int
+	fault     []Fault
+	collapsed bool
+	// Work that arrived while cold, within FallAfter.
+	arrivals    []arrival
+	arrivedWork float64
+	keys        map[uint32]float64
+	keyOrder    []uint32
+	// Load reports.
+	served, errors       int
+	busyTime, reportFrom float64
+	busyUpdatedAt        float64
+	reports              []Report
 	// Sums since the start.
-	Worked float64 // ms of work begun and not given up, on a core of speed 1
-	Peak   float64 // most that came while it was cold, over what it bore at that moment
+	Worked float64 // ms of work that was started and not cancelled, on a core of speed 1
+	Peak   float64 // maximum load while cold, over the capacity at that time
 	serial uint64
 
-	busySum, busyTold float64
+	busySum, busyReported float64
 }
 
-// New makes a process that starts at born, below 0 long ago.
+// New returns a process that was started at born; below 0: long ago.
 func New(kind *scenario.Server, rules *scenario.Rules, seed uint64, born float64) *Station {
-	s := &Station{Kind: kind, rules: rules, seed: seed, born: born, slots: make([]*Job, kind.Slots), lookAt: max(born, 0), looked: max(born, 0)}
+	s := &Station{Kind: kind, rules: rules, seed: seed, born: born, slots: make([]*Job, kind.Slots), reportFrom: max(born, 0), busyUpdatedAt: max(born, 0)}
 	if kind.Keys > 0 {
-		s.known = map[uint32]float64{}
+		s.keys = map[uint32]float64{}
 	}
 	return s
 }
 
-// Born is when it started.
+// Born returns the start time; below 0: long ago.
 func (s *Station) Born() float64 { return s.born }
 
-// Ramp is the part of its capacity that it has.
-func (s *Station) Ramp(now float64) float64 {
+// CapacityFraction returns the fraction of its capacity that it has while it warms up; 1: warm.
+func (s *Station) CapacityFraction(now float64) float64 {
 	cold := s.rules.Cold.Ms()
 	if s.born < 0 || now-s.born >= cold {
 		return 1
@@ -108,14 +108,14 @@
 	return s.rules.ColdFrom + (1-s.rules.ColdFrom)*max(now-s.born, 0)/cold
 }
 
-// Fell tells whether it was pushed over: then it does nothing any more.
-func (s *Station) Fell() bool { return s.fell }
+// Collapsed reports whether the server does no more work: it was overloaded while cold, or was killed.
+func (s *Station) Collapsed() bool { return s.collapsed }
 
-// Add adds a fault.
+// Add injects a fault.
 func (s *Station) Add(f Fault) { s.fault = append(s.fault, f) }
 
-// now drops what is over.
-func (s *Station) at(now float64) (slow, fail float64) {
+// activeFaults removes expired faults and returns the effect of the others.
+func (s *Station) activeFaults(now float64) (slow, fail float64) {
 	slow = 1
 	if len(s.fault) == 0 {
 		return slow, 0
@@ -130,39 +130,39 @@
 	return slow, fail
 }
 
-// Rate is the work that it does in a millisecond with one slot.
+// Rate returns the work that one slot does per millisecond.
 func (s *Station) Rate(now float64) float64 {
-	slow, _ := s.at(now)
-	return s.Kind.Speed * s.Ramp(now) / slow
+	slow, _ := s.activeFaults(now)
+	return s.Kind.Speed * s.CapacityFraction(now) / slow
 }
 
-// Failing is the share of requests that end in an error.
-func (s *Station) Failing(now float64) float64 {
-	_, fail := s.at(now)
+// ErrorRate returns the share of requests that end in an error.
+func (s *Station) ErrorRate(now float64) float64 {
+	_, fail := s.activeFaults(now)
 	return fail
 }
 
-// Idle is how many slots are free.
+// Idle returns the number of free slots.
 func (s *Station) Idle() int {
-	if s.fell {
+	if s.collapsed {
 		return 0
 	}
 	return len(s.slots) - s.busy
 }
 
-// Holds is how many jobs it has.
-func (s *Station) Holds() int { return s.busy + len(s.queue) - s.head }
+// Jobs returns the number of jobs in slots and in the queue.
+func (s *Station) Jobs() int { return s.busy + len(s.queue) - s.head }
 
-// Finish is about how long from now a job that comes would be done, and how long of that it would
-// wait in line, when so many others of a mean work are on their way; ok is false where it would
-// be turned away, or more likely fail than not.
+// Finish returns about how long from now a job that arrives would be done, and how long of that it would
+// wait in the queue, while coming other jobs of mean work are on their way. ok is false if the job would
+// be rejected, or is more likely than not to fail.
 func (s *Station) Finish(now, work float64, key uint32, coming int, mean float64) (after, wait float64, ok bool) {
-	fail := s.Failing(now)
-	if s.fell || fail > 0.5 {
+	fail := s.ErrorRate(now)
+	if s.collapsed || fail > 0.5 {
 		return 0, 0, false
 	}
 	rate := s.Rate(now)
-	if s.Knows(now, key) {
+	if s.HasKey(now, key) {
 		work *= 1 - s.Kind.KeySaves
 	}
 	if s.Idle() <= coming {
@@ -174,29 +174,30 @@
 	return (wait + work/rate) / (1 - fail), wait, true
 }
 
-// Free tells whether it is warm and well and has a slot for one more job than are on their way.
-func (s *Station) Free(now float64, coming int) bool {
-	return s.Idle() > coming && s.Ramp(now) == 1 && s.Failing(now) < 0.05
+// HasFreeSlot reports whether it is warm, has an error rate below 5 %, and has more free slots than jobs
+// on their way.
+func (s *Station) HasFreeSlot(now float64, coming int) bool {
+	return s.Idle() > coming && s.CapacityFraction(now) == 1 && s.ErrorRate(now) < 0.05
 }
 
-// Knows tells whether it would save work for a key.
-func (s *Station) Knows(now float64, key uint32) bool {
-	if key == 0 || s.known == nil {
+// HasKey reports whether a key is in the cache, which reduces the work.
+func (s *Station) HasKey(now float64, key uint32) bool {
+	if key == 0 || s.keys == nil {
 		return false
 	}
-	at, ok := s.known[key]
+	at, ok := s.keys[key]
 	return ok && now-at < s.Kind.KeysFor.Ms()
 }
 
-// Arrive takes a job.
+// Arrive processes the arrival of a job.
 func (s *Station) Arrive(now float64, j *Job) Verdict {
 	j.Arrived = now
-	s.push(now, j.Work)
-	if s.fell {
+	s.recordArrival(now, j.Work)
+	if s.collapsed {
 		return Full
 	}
 	s.serial++
-	if _, fail := s.at(now); fail > 0 && law.Unit(s.seed, j.ID, s.serial) < fail {
+	if _, fail := s.activeFaults(now); fail > 0 && law.Uniform(s.seed, j.ID, s.serial) < fail {
 		s.errors++
 		return Failed
 	}
@@ -211,56 +212,56 @@
 	return Queued
 }
 
-// recent is the work that came within the time after which a server falls, as of now.
+// recent returns the work that arrived within the last FallAfter.
 func (s *Station) recent(now float64) float64 {
 	n := 0
-	for n < len(s.came) && now-s.came[n].at >= s.rules.FallAfter.Ms() {
-		s.sent -= s.came[n].work
+	for n < len(s.arrivals) && now-s.arrivals[n].at >= s.rules.FallAfter.Ms() {
+		s.arrivedWork -= s.arrivals[n].work
 		n++
 	}
-	s.came = s.came[n:]
-	if len(s.came) == 0 {
-		s.sent = 0 // and no rest of what was rounded
+	s.arrivals = s.arrivals[n:]
+	if len(s.arrivals) == 0 {
+		s.arrivedWork = 0 // drop the rounding error
 	}
-	return s.sent
+	return s.arrivedWork
 }
 
-// bears is the work that a cold server can do in the time after which it falls.
-func (s *Station) bears(now float64) float64 {
-	return float64(len(s.slots)) * s.Kind.Speed * s.Ramp(now) * s.rules.FallAfter.Ms()
+// coldCapacity returns the work that the server can do within FallAfter at its present capacity.
+func (s *Station) coldCapacity(now float64) float64 {
+	return float64(len(s.slots)) * s.Kind.Speed * s.CapacityFraction(now) * s.rules.FallAfter.Ms()
 }
 
-// push notes the work that comes, and whether a cold server falls over: it was sent more than a
-// multiple of what it can do, over the time that the rules say. One request may be more than a
-// small server does in that time: it takes three to push it over.
-func (s *Station) push(now, work float64) {
-	if s.Ramp(now) == 1 {
-		s.came, s.sent = nil, 0
+// recordArrival adds work that arrives, and makes a cold server collapse if the work within FallAfter
+// exceeds FallMultiple times what it can do in that time. A single request may be more than a small
+// server does in that time, so a collapse takes three requests.
+func (s *Station) recordArrival(now, work float64) {
+	if s.CapacityFraction(now) == 1 {
+		s.arrivals, s.arrivedWork = nil, 0
 		return
 	}
 	s.recent(now)
-	s.came = append(s.came, arrival{now, work})
-	s.sent += work
-	over := s.sent / s.bears(now)
+	s.arrivals = append(s.arrivals, arrival{now, work})
+	s.arrivedWork += work
+	over := s.arrivedWork / s.coldCapacity(now)
 	s.Peak = max(s.Peak, over)
-	if over > s.rules.FallMultiple && len(s.came) > 2 {
-		s.fell = true
+	if over > s.rules.FallMultiple && len(s.arrivals) > 2 {
+		s.collapsed = true
 	}
 }
 
 func (s *Station) begin(now float64, j *Job) {
 	work := j.Work
-	if s.known != nil && j.Key != 0 {
-		if s.Knows(now, j.Key) {
+	if s.keys != nil && j.Key != 0 {
+		if s.HasKey(now, j.Key) {
 			work *= 1 - s.Kind.KeySaves
 		}
-		s.learn(now, j.Key)
+		s.rememberKey(now, j.Key)
 	}
-	s.tick(now)
+	s.addBusyTime(now)
 	j.Began, j.Until, j.serving = now, now+work/s.Rate(now), true
 	for i := range s.slots {
 		if s.slots[i] == nil {
-			s.slots[i], j.place = j, i
+			s.slots[i], j.slot = j, i
 			break
 		}
 	}
@@ -268,40 +269,40 @@
 	s.Worked += j.Work
 }
 
-// learn remembers a key, and forgets the oldest where there are too many.
-func (s *Station) learn(now float64, key uint32) {
-	if _, ok := s.known[key]; !ok {
-		s.order = append(s.order, key)
-		for len(s.known) >= s.Kind.Keys && len(s.order) > 0 {
-			delete(s.known, s.order[0])
-			s.order = s.order[1:]
+// rememberKey adds a key to the cache, and evicts the oldest keys if it is full.
+func (s *Station) rememberKey(now float64, key uint32) {
+	if _, ok := s.keys[key]; !ok {
+		s.keyOrder = append(s.keyOrder, key)
+		for len(s.keys) >= s.Kind.Keys && len(s.keyOrder) > 0 {
+			delete(s.keys, s.keyOrder[0])
+			s.keyOrder = s.keyOrder[1:]
 		}
 	}
-	s.known[key] = now
+	s.keys[key] = now
 }
 
-// tick adds up how busy it was.
-func (s *Station) tick(now float64) {
-	s.busyTime += (now - s.looked) * float64(s.busy)
-	s.busySum += (now - s.looked) * float64(s.busy)
-	s.looked = now
+// addBusyTime adds the busy time of the slots since the last call.
+func (s *Station) addBusyTime(now float64) {
+	s.busyTime += (now - s.busyUpdatedAt) * float64(s.busy)
+	s.busySum += (now - s.busyUpdatedAt) * float64(s.busy)
+	s.busyUpdatedAt = now
 }
 
-// End takes a job that is done out of its slot, and starts the next in line; nil: none waits.
+// End removes a completed job from its slot and starts the next one in the queue; nil: it is empty.
 func (s *Station) End(now float64, j *Job) (next *Job) {
-	if j.over || !j.serving {
+	if j.ended || !j.serving {
 		return nil
 	}
 	s.served++
-	return s.free(now, j)
+	return s.release(now, j)
 }
 
-func (s *Station) free(now float64, j *Job) (next *Job) {
-	j.over, j.serving = true, false
-	s.tick(now)
-	s.slots[j.place] = nil
+func (s *Station) release(now float64, j *Job) (next *Job) {
+	j.ended, j.serving = true, false
+	s.addBusyTime(now)
+	s.slots[j.slot] = nil
 	s.busy--
-	if s.head == len(s.queue) || s.fell {
+	if s.head == len(s.queue) || s.collapsed {
 		return nil
 	}
 	next = s.queue[s.head]
@@ -317,20 +318,20 @@
 	return next
 }
 
-// Cancel gives a job up: it leaves the line, or its slot where work stops with its request.
+// Cancel cancels a job: it leaves the queue, or its slot unless the server runs cancelled jobs to the end.
 // left is the work that was not done, on a core of speed 1.
 func (s *Station) Cancel(now float64, j *Job) (next *Job, left float64) {
 	switch {
-	case j.over:
+	case j.ended:
 		return nil, 0
 	case j.serving && s.Kind.RunsOn:
 		return nil, 0
 	case j.serving:
 		left = j.Work * max(j.Until-now, 0) / max(j.Until-j.Began, 1e-9)
 		s.Worked -= left
-		return s.free(now, j), left
+		return s.release(now, j), left
 	}
-	j.over = true
+	j.ended = true
 	if i := slices.Index(s.queue[s.head:], j); i >= 0 {
 		s.queue = slices.Delete(s.queue, s.head+i, s.head+i+1)
 		if s.head == len(s.queue) {
@@ -340,9 +341,9 @@
 	return nil, j.Work
 }
 
-// Kill ends the process with all its jobs, which it gives. It takes nothing any more.
+// Kill ends the process and returns its jobs. Later jobs are rejected.
 func (s *Station) Kill(now float64) (jobs []*Job) {
-	s.tick(now)
+	s.addBusyTime(now)
 	for i, j := range s.slots {
 		if j != nil {
 			s.Worked -= j.Work * max(j.Until-now, 0) / max(j.Until-j.Began, 1e-9)
@@ -352,13 +353,13 @@
 	}
 	jobs = append(jobs, s.queue[s.head:]...)
 	for _, j := range jobs {
-		j.over, j.serving = true, false
+		j.ended, j.serving = true, false
 	}
-	s.busy, s.queue, s.head, s.fell = 0, nil, 0, true
+	s.busy, s.queue, s.head, s.collapsed = 0, nil, 0, true
 	return jobs
 }
 
-// Backlog is the time that one slot would need for all that it has, in milliseconds.
+// Backlog returns the time that one slot would need for all jobs, in milliseconds.
 func (s *Station) Backlog(now float64) float64 {
 	sum := 0.0
 	for _, j := range s.slots {
@@ -373,36 +374,36 @@
 	return sum
 }
 
-// Bears tells whether work that comes now leaves a server that is cold within a part of what
-// pushes it over; a warm one bears any.
-func (s *Station) Bears(now, work, part float64) bool {
-	return s.Ramp(now) == 1 || s.recent(now)+work <= part*s.rules.FallMultiple*s.bears(now)
+// CanAccept reports whether a cold server stays within a part of the load at which it collapses if work
+// arrives now; a warm server can always accept.
+func (s *Station) CanAccept(now, work, part float64) bool {
+	return s.CapacityFraction(now) == 1 || s.recent(now)+work <= part*s.rules.FallMultiple*s.coldCapacity(now)
 }
 
-// BusyTime adds up the time of slots that were busy since it was asked last, in milliseconds.
+// BusyTime returns the sum of the busy time of all slots since the last call, in milliseconds.
 func (s *Station) BusyTime(now float64) float64 {
-	s.tick(now)
-	t := s.busySum - s.busyTold
-	s.busyTold = s.busySum
+	s.addBusyTime(now)
+	t := s.busySum - s.busyReported
+	s.busyReported = s.busySum
 	return t
 }
 
-// Load is the report that an answer carries at a time: made anew every so often, told as it was
-// some time ago, and a little wrong. extra is added to its age. No report: ok is false.
+// Load returns the load report that an answer carries. Reports are made periodically, have a delay and a
+// random error; extra is added to the delay. ok is false if there is no report.
 func (s *Station) Load(now, extra float64) (r Report, ok bool) {
 	every := s.Kind.ReportEvery.Ms()
 	if every <= 0 {
 		return r, false
 	}
-	if now-s.lookAt >= every {
-		s.tick(now)
-		span := now - s.lookAt
+	if now-s.reportFrom >= every {
+		s.addBusyTime(now)
+		span := now - s.reportFrom
 		wrong := func(part uint64) float64 {
-			return 1 + s.Kind.ReportError*(2*law.Unit(s.seed, math.Float64bits(now), part)-1)
+			return 1 + s.Kind.ReportError*(2*law.Uniform(s.seed, math.Float64bits(now), part)-1)
 		}
 		s.reports = append(s.reports, Report{At: now, QPS: float64(s.served) / span * 1000 * wrong(1),
 			Util: min(s.busyTime/span/float64(len(s.slots))*wrong(2), 1), EPS: float64(s.errors) / span * 1000 * wrong(3)})
-		s.served, s.errors, s.busyTime, s.lookAt = 0, 0, 0, now
+		s.served, s.errors, s.busyTime, s.reportFrom = 0, 0, 0, now
 	}
 	age := s.Kind.ReportAge.Ms() + extra
 	for len(s.reports) > 1 && now-s.reports[1].At >= age {
--- a/internal/rig/lab/station/station_test.go
+++ b/internal/rig/lab/station/station_test.go
@@ -9,7 +9,7 @@
 
 var rules = scenario.Rules{Cold: scenario.Duration(8e9), ColdFrom: 0.25, FallMultiple: 2, FallAfter: scenario.Duration(1e9)}
 
-func TestSlotsAndLine(t *testing.T) {
+func TestSlotsAndQueue(t *testing.T) {
 	s := New(&scenario.Server{Slots: 1, Speed: 2, Queue: 1}, &rules, 1, -1)
 	a, b, c := &Job{Work: 10}, &Job{Work: 20}, &Job{Work: 30}
 	if s.Arrive(0, a) != Started || a.Until != 5 || s.Arrive(1, b) != Queued || s.Arrive(2, c) != Full {
@@ -21,18 +21,19 @@
 	if next := s.End(5, a); next != b || b.Until != 15 {
 		t.Fatalf("%+v", next)
 	}
-	if s.End(5, a) != nil || s.Holds() != 1 {
+	if s.End(5, a) != nil || s.Jobs() != 1 {
 		t.Error("a job ended twice")
 	}
 	if next, left := s.Cancel(10, b); next != nil || left != 10 || s.Idle() != 1 || s.Worked != 20 {
 		t.Errorf("left %v, worked %v", left, s.Worked)
 	}
-	if s.Arrive(11, c) != Started || len(s.Kill(12)) != 1 || s.Holds() != 0 || s.End(26, c) != nil || s.Arrive(27, a) != Full {
+	if s.Arrive(11, c) != Started || len(s.Kill(12)) != 1 || s.Jobs() != 0 || s.End(26, c) != nil || s.Arrive(27, a) != Full {
 		t.Error("a process that has ended works on")
 	}
 }
 
-// One that leaves the line is not begun; work that runs on keeps its slot.
+// A job that is cancelled in the queue is never started; a running job keeps its slot if the server runs
+// cancelled jobs to the end.
 func TestCancel(t *testing.T) {
 	s := New(&scenario.Server{Slots: 1, Speed: 1, Queue: 9, RunsOn: true}, &rules, 1, -1)
 	a, b, c := &Job{Work: 10}, &Job{Work: 10}, &Job{Work: 10}
@@ -48,8 +49,8 @@
 	}
 }
 
-// A cold server is slow, and falls over when more than it bears comes for long, not before.
-func TestColdFalls(t *testing.T) {
+// A cold server is slow, and collapses only under a lasting overload.
+func TestColdServerCollapses(t *testing.T) {
 	at := func(every float64) *Station {
 		s := New(&scenario.Server{Slots: 4, Speed: 1, Queue: 1000}, &rules, 1, 0)
 		for now := 0.0; now < 6000; now += every {
@@ -60,10 +61,10 @@
 	if s := New(&scenario.Server{Slots: 1, Speed: 1}, &rules, 1, 100); s.Rate(100) != 0.25 || math.Abs(s.Rate(4100)-0.625) > 1e-9 || s.Rate(8100) != 1 {
 		t.Error("it warms up otherwise")
 	}
-	if s := at(5.5); s.Fell() || s.Peak > 2 { // 1.8 of 1 at the start
+	if s := at(5.5); s.Collapsed() || s.Peak > 2 { // 1.8 times its capacity at the start
 		t.Errorf("fell at 1.8 times what it bears, peak %v", s.Peak)
 	}
-	if s := at(3); !s.Fell() { // 2.4 of what it has after a second
+	if s := at(3); !s.Collapsed() { // 2.4 times its capacity after a second
 		t.Errorf("bears 2.4 times what it can, peak %v", s.Peak)
 	}
 }
@@ -84,7 +85,7 @@
 	}
 	serve(1500, 2)
 	serve(1600, 3)
-	if s.Knows(1700, 1) || !s.Knows(1700, 3) {
+	if s.HasKey(1700, 1) || !s.HasKey(1700, 3) {
 		t.Error("the oldest key stays")
 	}
 	if _, ok := s.Load(1750, 0); ok {
@@ -96,12 +97,12 @@
 	}
 	s.Add(Fault{Slow: 4, Until: 3000})
 	s.Add(Fault{Fail: 1, Until: 2500})
-	if s.Arrive(2100, &Job{Work: 1}) != Failed || s.Failing(2600) != 0 || s.Rate(2600) != 0.25 || s.Rate(3000) != 1 {
+	if s.Arrive(2100, &Job{Work: 1}) != Failed || s.ErrorRate(2600) != 0 || s.Rate(2600) != 0.25 || s.Rate(3000) != 1 {
 		t.Error("faults last otherwise")
 	}
 }
 
-// What the oracle is told of a server: the wait for a free slot, what is under way, warm keys, faults.
+// Finish accounts for the wait for a free slot, jobs on their way, cached keys and faults.
 func TestFinish(t *testing.T) {
 	s := New(&scenario.Server{Slots: 2, Speed: 1, Queue: 1, Keys: 9, KeysFor: scenario.Duration(1e9), KeySaves: 0.5}, &rules, 1, -1)
 	finish := func(key uint32, coming int) (after, wait float64) {
@@ -111,7 +112,7 @@
 		}
 		return after, wait
 	}
-	if a, w := finish(0, 1); a != 10 || w != 0 || !s.Free(0, 1) || s.Free(0, 2) {
+	if a, w := finish(0, 1); a != 10 || w != 0 || !s.HasFreeSlot(0, 1) || s.HasFreeSlot(0, 2) {
 		t.Errorf("idle: %v %v", a, w)
 	}
 	if a, w := finish(0, 2); a != 18 || w != 8 {
@@ -128,7 +129,7 @@
 	}
 	s = New(&scenario.Server{Slots: 1, Speed: 1, Queue: 9}, &rules, 1, -1)
 	s.Add(Fault{Fail: 0.5, Until: 100})
-	if a, _ := finish(0, 0); a != 20 || s.Free(0, 0) {
+	if a, _ := finish(0, 0); a != 20 || s.HasFreeSlot(0, 0) {
 		t.Errorf("half fail: %v", a)
 	}
 	s.Add(Fault{Fail: 0.6, Until: 100})
--- a/internal/rig/lab/timeline/timeline.go
+++ b/internal/rig/lab/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline carries out the events of a scenario on whatever plays it: the model or a
-// live estate, each a Host. It owns no time and no state beyond what Run's caller holds; Run is
-// called in the Host's goroutine, or under its lock, as are the functions that it hands to After.
+// Package timeline executes the events of a scenario on a Host: the model or the live estate. It has no
+// clock and no state. Run is called in the Host's goroutine or under its lock, and so are the functions
+// that it passes to After.
 package timeline
 
 import (
@@ -14,49 +14,49 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// Server is what a Host tells of one of its servers.
+// Server is the state of one of a Host's servers.
 type Server struct {
 	Name, Kind, Zone string
 	Up               bool // its process runs
-	Gone             bool // for good
-	Busy             bool // it works on something, or something is on its way to it
+	Gone             bool // removed permanently
+	Busy             bool // it has jobs, or requests are on their way to it
 }
 
-// Host is an estate that events happen to. Servers and agents are known by their numbers, times
-// are in milliseconds since the start.
+// Host is the set of servers and agents on which events are executed. Both are identified by their
+// numbers; times are in milliseconds since the start.
 type Host interface {
 	Now() float64
 	After(wait float64, do func())
 	Servers() []Server
-	// Die ends a server's process; a silent one says nothing of it.
-	Die(server int, silent bool)
-	// Back starts a process of a server that has died, cold.
-	Back(server int)
-	// List has the roster know after a while how a server is.
-	List(server int, health cluster.Health, after float64)
-	// Follow starts a server in the place of one that has gone for good, cold.
-	Follow(server int, notice float64)
-	Fault(server int, f station.Fault)
-	Late(server int, ms float64)
-	Stall(a, b int, until float64)
+	// StopServer ends a server's process; a silent one does not reset its connections.
+	StopServer(server int, silent bool)
+	// RestartServer starts a cold process of a stopped server.
+	RestartServer(server int)
+	// PublishHealth makes the roster publish the health of a server after a delay.
+	PublishHealth(server int, health cluster.Health, after float64)
+	// ReplaceServer removes a server and starts a cold one in its place.
+	ReplaceServer(server int, notice float64)
+	AddFault(server int, f station.Fault)
+	DelayReports(server int, ms float64)
+	StallLink(a, b int, until float64)
 	RosterDown(until float64)
 	Agents() int
-	Restart(agent int, killed bool)
+	RestartAgent(agent int, killed bool)
 }
 
-// named are the servers that an event is about; a share of them follows from a draw.
-func named(h Host, e *scenario.Event, seed uint64, i int) []int {
+// matchingServers returns the servers that an event applies to; a share of them is drawn from the seed.
+func matchingServers(h Host, e *scenario.Event, seed uint64, i int) []int {
 	var all []int
 	for n, v := range h.Servers() {
 		if !v.Gone && (e.Server == "" || v.Name == e.Server) && (e.Of == "" || v.Kind == e.Of) && (e.Zone == "" || v.Zone == e.Zone) {
 			all = append(all, n)
 		}
 	}
-	return draw(all, e, seed, i)
+	return sampleShare(all, e, seed, i)
 }
 
-// draw takes the share of an event out of what it names.
-func draw(all []int, e *scenario.Event, seed uint64, i int) []int {
+// sampleShare draws an event's share of the matching servers or agents.
+func sampleShare(all []int, e *scenario.Event, seed uint64, i int) []int {
 	if e.Share == 0 || e.Kind == "fail" || len(all) == 0 {
 		return all
 	}
@@ -65,7 +65,7 @@
 	return all[:min(max(int(math.Round(e.Share*float64(len(all)))), 1), len(all))]
 }
 
-// Run carries out event i of a scenario; its time has come.
+// Run executes event i of a scenario, whose time has come.
 func Run(h Host, s *scenario.Scenario, i int, seed uint64) {
 	e := &s.Events[i]
 	until := h.Now() + e.For.Ms()
@@ -79,17 +79,17 @@
 		if e.Kind == "crash" {
 			known = notice
 		}
-		for _, n := range named(h, e, seed, i) {
+		for _, n := range matchingServers(h, e, seed, i) {
 			if !h.Servers()[n].Up {
 				continue
 			}
-			h.Die(n, e.Kind != "crash")
-			h.List(n, cluster.Gone, known)
+			h.StopServer(n, e.Kind != "crash")
+			h.PublishHealth(n, cluster.Gone, known)
 			if e.For > 0 {
 				h.After(e.For.Ms(), func() {
 					if v := h.Servers()[n]; !v.Gone && !v.Up {
-						h.Back(n)
-						h.List(n, cluster.Ready, notice)
+						h.RestartServer(n)
+						h.PublishHealth(n, cluster.Ready, notice)
 					}
 				})
 			}
@@ -99,17 +99,17 @@
 		for _, c := range s.Classes {
 			longest = max(longest, c.GiveUp.Ms())
 		}
-		for _, n := range named(h, e, seed, i) {
-			h.List(n, cluster.Draining, notice)
-			drained(h, n, h.Now()+2*notice, h.Now()+2*notice+longest, func() { h.Follow(n, notice) })
+		for _, n := range matchingServers(h, e, seed, i) {
+			h.PublishHealth(n, cluster.Draining, notice)
+			whenDrained(h, n, h.Now()+2*notice, h.Now()+2*notice+longest, func() { h.ReplaceServer(n, notice) })
 		}
 	case "drain":
-		for _, n := range named(h, e, seed, i) {
-			h.List(n, cluster.Draining, notice)
+		for _, n := range matchingServers(h, e, seed, i) {
+			h.PublishHealth(n, cluster.Draining, notice)
 			if e.For > 0 {
 				h.After(e.For.Ms(), func() {
 					if h.Servers()[n].Up {
-						h.List(n, cluster.Ready, notice)
+						h.PublishHealth(n, cluster.Ready, notice)
 					}
 				})
 			}
@@ -119,38 +119,37 @@
 		if e.Kind == "fail" {
 			f = station.Fault{Fail: e.Share, Until: until}
 		}
-		for _, n := range named(h, e, seed, i) {
-			h.Fault(n, f)
+		for _, n := range matchingServers(h, e, seed, i) {
+			h.AddFault(n, f)
 		}
 	case "reports-late":
-		for _, n := range named(h, e, seed, i) {
-			h.Late(n, e.For.Ms())
+		for _, n := range matchingServers(h, e, seed, i) {
+			h.DelayReports(n, e.For.Ms())
 		}
 	case "link-stalled":
-		h.Stall(slices.Index(s.Zones, e.Zone), slices.Index(s.Zones, e.With), until)
+		h.StallLink(slices.Index(s.Zones, e.Zone), slices.Index(s.Zones, e.With), until)
 	case "roster-down":
 		h.RosterDown(until)
 	case "restart-agents":
 		for n := range h.Agents() {
-			h.After(float64(n)/e.Rate*1000, func() { h.Restart(n, false) })
+			h.After(float64(n)/e.Rate*1000, func() { h.RestartAgent(n, false) })
 		}
 	case "kill-agents":
 		all := make([]int, h.Agents())
 		for n := range all {
 			all[n] = n
 		}
-		for _, n := range draw(all, e, seed, i) {
-			h.Restart(n, true)
+		for _, n := range sampleShare(all, e, seed, i) {
+			h.RestartAgent(n, true)
 		}
 	}
 }
 
-// drained does something once a server has nothing more to do, not before and at the latest at
-// a time.
-func drained(h Host, n int, least, latest float64, do func()) {
+// whenDrained calls do when a server has no more work, not before least and not after latest.
+func whenDrained(h Host, n int, least, latest float64, do func()) {
 	h.After(100, func() {
 		if v := h.Servers()[n]; v.Up && h.Now() < latest && (v.Busy || h.Now() < least) {
-			drained(h, n, least, latest, do)
+			whenDrained(h, n, least, latest, do)
 			return
 		}
 		do()
--- a/internal/rig/lab/trial/compare.go
+++ b/internal/rig/lab/trial/compare.go
@@ -18,15 +18,15 @@
 
 // Metric is a figure of a play by which variants are compared.
 type Metric struct {
-	Of   func(r *measure.Result) float64
-	More bool // more of it is better
+	Value          func(r *measure.Result) float64
+	HigherIsBetter bool // a larger value is better
 }
 
 func count(of func(r *measure.Result) int) func(*measure.Result) float64 {
 	return func(r *measure.Result) float64 { return float64(of(r)) }
 }
 
-// Metrics are those that can be compared by.
+// Metrics are the metrics by name.
 var Metrics = map[string]Metric{
 	"worth":     {func(r *measure.Result) float64 { return r.Worth }, true},
 	"p99":       {(*measure.Result).WorstP99, false},
@@ -45,23 +45,23 @@
 	"breaches":  {count(func(r *measure.Result) int { return r.Breaches }), false},
 }
 
-// CompareOptions says how long a comparison goes on.
+// CompareOptions configures a comparison.
 type CompareOptions struct {
-	Metric   string  // empty: worth
-	Within   float64 // half the interval at which it is narrow enough
-	Least    int     // pairs at the least, 2 or more
-	Most     int     // pairs at the most, with those that do not count
-	From     uint64  // the first seed
-	Unpaired bool    // B has seeds of its own
+	Metric    string  // empty: worth
+	HalfWidth float64 // half the interval's width at which to stop
+	MinPairs  int     // minimum number of pairs, 2 or more
+	MaxPairs  int     // maximum number of pairs, with the void ones
+	FirstSeed uint64  // first seed
+	Unpaired  bool    // B uses different seeds than A
 }
 
-// Verdict is what a comparison says.
+// Verdict is the result of a comparison.
 type Verdict struct {
 	Metric     string
 	A, B       float64 // means
 	Low, High  float64 // of the difference B - A, 95 %
 	Pairs      int
-	Void       int    // pairs that did not count
+	Void       int    // number of pairs with a void play
 	Better     string // "better", "worse", or empty
 	Rows       []*Row
 	difference float64
@@ -78,12 +78,12 @@
 	return fmt.Sprintf("%s: %s: A %.4f, B %.4f, difference %+.4f (95 %% interval %+.4f to %+.4f, %d pairs)", v.Metric, said, v.A, v.B, v.difference, v.Low, v.High, v.Pairs)
 }
 
-// apart is how far B's seeds lie from A's where they are not paired.
-const apart = 1 << 32
+// unpairedSeedOffset is the distance of B's seeds from A's in an unpaired comparison.
+const unpairedSeedOffset = 1 << 32
 
-// Compare plays A and B over the same seeds until the interval of the difference is narrow enough
-// or Most pairs are played; who is first alternates. It stops by the interval's width, never by what
-// it says.
+// Compare plays A and B over the same seeds until the interval of the difference is narrow enough or
+// MaxPairs are played; the order within a pair alternates. The stopping rule depends on the interval's
+// width only, never on its position.
 func (l *Lab) Compare(ctx context.Context, s *scenario.Scenario, a, b Variant, o CompareOptions) (*Verdict, error) {
 	if o.Metric == "" {
 		o.Metric = "worth"
@@ -92,24 +92,24 @@
 	if !ok {
 		return nil, fmt.Errorf("%q is no metric; there are %s", o.Metric, strings.Join(slices.Sorted(maps.Keys(Metrics)), ", "))
 	}
-	if o.Least < 2 || o.Most < o.Least || !(o.Within >= 0) || o.Most > maxPlays/2 {
+	if o.MinPairs < 2 || o.MaxPairs < o.MinPairs || !(o.HalfWidth >= 0) || o.MaxPairs > maxPlays/2 {
 		return nil, fmt.Errorf("want 2 or more pairs at the least, as many or more at the most (%d), and an interval of 0 or more", maxPlays/2)
 	}
 	v := &Verdict{Metric: o.Metric}
 	var as, bs []float64
 	at := 0
-	for at < o.Most {
+	for at < o.MaxPairs {
 		batch := max(l.Jobs, 1) / 2
 		if at == 0 {
-			batch = o.Least
+			batch = o.MinPairs
 		}
-		batch = min(max(batch, 1), o.Most-at)
+		batch = min(max(batch, 1), o.MaxPairs-at)
 		var jobs []*job
 		for i := at; i < at+batch; i++ {
-			seedA := o.From + uint64(i)
+			seedA := o.FirstSeed + uint64(i)
 			seedB := seedA
 			if o.Unpaired {
-				seedB += apart
+				seedB += unpairedSeedOffset
 			}
 			ja, err := l.plan(s, a, seedA)
 			if err != nil {
@@ -124,7 +124,7 @@
 			}
 			jobs = append(jobs, ja, jb)
 		}
-		rows, err := l.all(ctx, jobs)
+		rows, err := l.runAll(ctx, jobs)
 		if err != nil {
 			return nil, err
 		}
@@ -138,8 +138,8 @@
 				continue
 			}
 			v.Rows = append(v.Rows, ra, rb)
-			as, bs = append(as, m.Of(ra.Result)), append(bs, m.Of(rb.Result))
-			if v.judge(as, bs, o, m.More) {
+			as, bs = append(as, m.Value(ra.Result)), append(bs, m.Value(rb.Result))
+			if v.update(as, bs, o, m.HigherIsBetter) {
 				return v, nil
 			}
 		}
@@ -148,12 +148,12 @@
 	return v, nil
 }
 
-// judge works out the verdict and reports whether it is narrow enough.
-func (v *Verdict) judge(as, bs []float64, o CompareOptions, more bool) bool {
+// update recomputes the verdict and reports whether its interval is narrow enough.
+func (v *Verdict) update(as, bs []float64, o CompareOptions, more bool) bool {
 	n := len(as)
 	v.Pairs, v.A, v.B = n, stat.Mean(as, nil), stat.Mean(bs, nil)
 	v.difference = v.B - v.A
-	if n < max(o.Least, 2) {
+	if n < max(o.MinPairs, 2) {
 		return false
 	}
 	v.Low, v.High = interval(as, bs, o.Unpaired)
@@ -163,15 +163,16 @@
 	} else if v.Low > 0 || v.High < 0 {
 		v.Better = "worse"
 	}
-	return (v.High-v.Low)/2 <= o.Within
+	return (v.High-v.Low)/2 <= o.HalfWidth
 }
 
-// resamples of a bootstrap: the ends of a 95 % interval move by a few hundredths of its width.
+// resamples is the number of bootstrap samples: at 2000, the ends of a 95 % interval vary by a few
+// hundredths of its width.
 const resamples = 2000
 
-// interval is the bootstrapped percentile one of the mean of b - a, 95 %, widened for few values as
-// the expanded percentile interval is (Hesterberg, 2015): by Student's t over the normal quantile
-// and by what a bootstrap takes the variance too small.
+// interval returns the 95 % bootstrap percentile interval of the mean of b - a. It is widened for small
+// samples as the expanded percentile interval is (Hesterberg, 2015): by Student's t over the normal
+// quantile, and for the bootstrap's underestimate of the variance.
 func interval(a, b []float64, unpaired bool) (low, high float64) {
 	rng := rand.New(rand.NewPCG(uint64(len(a)), 0x6c6162))
 	n := len(a)
--- a/internal/rig/lab/trial/row.go
+++ b/internal/rig/lab/trial/row.go
@@ -1,5 +1,5 @@
-// Package trial makes experiments of plays: it plays scenarios by variants and seeds, keeps a row
-// of each, compares two variants by an interval, and sweeps grids for the knee.
+// Package trial runs experiments: it plays scenarios by variants and seeds, stores one row per play,
+// compares two variants by a confidence interval, and sweeps parameter grids for the knee.
 //
 // A Store may be used by several goroutines; a lock guards its file and rows. A Lab belongs to one
 // goroutine, which starts a bounded number of others for plays of the model and waits for them.
@@ -19,17 +19,17 @@
 	"molepaddle/internal/rig/lab/measure"
 )
 
-// Version is the one that rows carry.
+// Version is the format version of the rows.
 const Version = 1
 
-// maxRow bounds a line of a file, in bytes: a play of 10,000 servers takes some 20 MB.
+// maxRow limits a line of a file, in bytes: a play of 10,000 servers takes some 20 MB.
 const maxRow = 64 << 20
 
-// Row is one play, a line of a file.
+// Row is the record of one play, a line of a file.
 type Row struct {
 	V        int                `json:"v"`
 	Scenario string             `json:"scenario"`
-	Hash     string             `json:"hash"` // of the scenario with all that the variant changes
+	Hash     string             `json:"hash"` // of the scenario with the variant's changes
 	Variant  string             `json:"variant"`
 	Chooser  string             `json:"chooser"`
 	Set      map[string]float64 `json:"set,omitempty"`
@@ -37,14 +37,14 @@
 	Build    string             `json:"build"`
 	Machine  string             `json:"machine"`
 	Seed     uint64             `json:"seed"`
-	Load     float64            `json:"load"` // over what all servers can do
+	Load     float64            `json:"load"` // offered load over the capacity of all servers
 	Servers  int                `json:"servers"`
 	Agents   int                `json:"agents"`
 	TookS    float64            `json:"took_s"`
 	Result   *measure.Result    `json:"result"`
 }
 
-// key is what makes a play another one.
+// key identifies a play.
 type key struct {
 	hash, variant, mode, build string
 	seed                       uint64
@@ -52,18 +52,18 @@
 
 func (r *Row) key() key { return key{r.Hash, r.Variant, r.Mode, r.Build, r.Seed} }
 
-// Store keeps rows, in a file if it has one.
+// Store keeps rows in memory, and in a file if it has one.
 type Store struct {
-	Cut bool // the file ended in the middle of a row, which was taken off
+	Truncated bool // the file ended in an incomplete row, which was removed
 
 	mu   sync.Mutex
 	file *os.File
 	rows map[key]*Row
 }
 
-// Open reads a file of rows, or makes it, and locks it; an empty path keeps rows in memory only. A
-// last row that is cut off is taken off the file. Anything else that is no row of this Version is an
-// error, and the file stays as it is.
+// Open reads and locks a file of rows, and creates it if it does not exist; with an empty path, rows
+// are kept in memory only. A truncated last row is removed from the file. Any other line that is not a
+// row of this Version is an error, and the file is not changed.
 func Open(path string) (*Store, error) {
 	s := &Store{rows: map[key]*Row{}}
 	if path == "" {
@@ -81,7 +81,7 @@
 	if err == nil {
 		var size int64
 		if size, err = f.Seek(0, io.SeekEnd); err == nil && size > whole {
-			s.Cut = true
+			s.Truncated = true
 			if err = f.Truncate(whole); err == nil {
 				_, err = f.Seek(whole, io.SeekStart)
 			}
@@ -95,7 +95,7 @@
 	return s, nil
 }
 
-// read takes the rows of a file and returns how many bytes those take that end in a newline.
+// read passes each row of a file to take and returns the length of the complete lines, in bytes.
 func read(r io.Reader, name string, take func(*Row)) (whole int64, err error) {
 	in := bufio.NewReaderSize(r, 1<<16)
 	var line []byte
@@ -110,7 +110,7 @@
 				break
 			}
 			if errors.Is(err, io.EOF) {
-				return whole, nil // what has no end is cut off
+				return whole, nil // a line without a newline is incomplete
 			}
 			if !errors.Is(err, bufio.ErrBufferFull) {
 				return whole, fmt.Errorf("%s:%d: %w", name, n, err)
@@ -125,7 +125,7 @@
 	}
 }
 
-// parse reads one line.
+// parse decodes one line.
 func parse(line []byte) (*Row, error) {
 	var v struct {
 		V *int `json:"v"`
@@ -151,7 +151,7 @@
 	return r, nil
 }
 
-// Load reads the rows of files, in their order. A last row that is cut off is left out.
+// Load returns the rows of files, in their order. A truncated last row is skipped.
 func Load(paths []string) (rows []*Row, err error) {
 	for _, p := range paths {
 		f, err := os.Open(p)
@@ -173,7 +173,7 @@
 	return s.rows[k]
 }
 
-// add keeps a row; it is in the file, as far as the system has taken it, when add returns.
+// add stores a row. When add returns, the row was written to the file, but not synced.
 func (s *Store) add(r *Row) error {
 	line, err := json.Marshal(r)
 	if err != nil {
--- a/internal/rig/lab/trial/sweep.go
+++ b/internal/rig/lab/trial/sweep.go
@@ -14,17 +14,17 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// maxValues bounds an axis.
+// maxValues limits the values of an axis.
 const maxValues = 1000
 
-// Axis is a knob and the values that it takes.
+// Axis is a knob and its values.
 type Axis struct {
 	Knob   string
 	Values []float64
 }
 
-// ParseAxis reads KNOB=1,2,3, KNOB=FROM:TO:STEP or KNOB=FROM:TO:xFACTOR; TO is reached where the
-// steps meet it.
+// ParseAxis parses KNOB=1,2,3, KNOB=FROM:TO:STEP or KNOB=FROM:TO:xFACTOR. TO is included if a step
+// reaches it.
 func ParseAxis(text string) (Axis, error) {
 	knob, values, ok := strings.Cut(text, "=")
 	bad := func(why string) (Axis, error) {
@@ -81,17 +81,17 @@
 	return a, nil
 }
 
-// Point is one place of a sweep, by one chooser.
+// Point is one grid point of a sweep, for one chooser.
 type Point struct {
 	Set     map[string]float64
 	Chooser string
-	Worth   float64 // means of the plays that count; NaN: none does
-	P99     float64 // of the class in which it is longest, in milliseconds
+	Worth   float64 // mean of the plays that count; NaN: there are none
+	P99     float64 // of the class with the highest, in ms
 	Rows    []*Row
 }
 
-// Sweep plays each place of a grid by each chooser, with seeds from 'from' on. The grid is checked
-// whole before the first play.
+// Sweep plays each point of a grid with each chooser, with seeds from 'from' on. The whole grid is
+// validated before the first play.
 func (l *Lab) Sweep(ctx context.Context, s *scenario.Scenario, choosers []string, axes []Axis, seeds int, from uint64) ([]Point, error) {
 	places := []map[string]float64{{}}
 	for i, a := range axes {
@@ -142,16 +142,17 @@
 	return points, nil
 }
 
-// The least fall of a curve, and the least distance from its chord, at which it has a knee.
+// A curve has a knee only if it falls by minKneeFall and one of its points is further than minKneeBend
+// above its chord.
 const (
-	kneeFall = 0.02
-	kneeBend = 0.05
+	minKneeFall = 0.02
+	minKneeBend = 0.05
 )
 
-// Knee is the x from which a falling curve falls: where it lies furthest above the line between its
-// ends, with both axes scaled to 1 (Satopää et al., "Finding a Kneedle in a Haystack", 2011). Points
-// may come in any order. There is none in fewer than three, in a curve that falls by less than 0.02,
-// or in one that bends little.
+// Knee returns the x at which a falling curve begins to fall: the point furthest above the line between
+// its ends, with both axes scaled to 1 (Satopää et al., "Finding a Kneedle in a Haystack", 2011). The
+// points may be in any order. There is no knee with fewer than three points, in a curve that falls by
+// less than 0.02, or in one that bends too little.
 func Knee(xs, ys []float64) (at float64, ok bool) {
 	order := make([]int, len(xs))
 	for i := range order {
@@ -163,10 +164,10 @@
 	}
 	first, last := order[0], order[len(order)-1]
 	wide, fall := xs[last]-xs[first], ys[first]-ys[last]
-	if !(wide > 0) || !(fall >= kneeFall) {
+	if !(wide > 0) || !(fall >= minKneeFall) {
 		return 0, false
 	}
-	most := kneeBend
+	most := minKneeBend
 	for _, i := range order {
 		if above := (ys[i]-ys[last])/fall + (xs[i]-xs[first])/wide - 1; above > most {
 			at, ok, most = xs[i], true, above
--- a/internal/rig/lab/trial/trial.go
+++ b/internal/rig/lab/trial/trial.go
@@ -15,28 +15,28 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// maxPlays bounds what one call plays.
+// maxPlays limits the plays of one call.
 const maxPlays = 100_000
 
-// Lab plays.
+// Lab runs plays and stores their rows.
 type Lab struct {
 	Store *Store
-	Live  bool      // over sockets, one play at a time
-	Jobs  int       // plays of the model at once; below 1: one
-	Out   io.Writer // a line of each play; nil: none
-	// Tick is told the part of a play that is over; several plays call it at once. It may be nil.
+	Live  bool      // play over sockets, one play at a time
+	Jobs  int       // concurrent plays of the model; below 1: one
+	Out   io.Writer // receives a line per play; nil: none
+	// Tick is called with the fraction of a play that is done, by several plays at once. It may be nil.
 	Tick func(part float64)
 
-	sums map[string]string
+	fileHashes map[string]string
 }
 
 func machine() string {
 	return fmt.Sprintf("%s/%s, %d cores", runtime.GOOS, runtime.GOARCH, runtime.NumCPU())
 }
 
-// Play plays scenarios by variants, each with seeds from 'from' on, and returns a row of each play
-// that ended, in that order. What stands in the store is not played again. Where ctx ends it returns
-// what there is, with ctx's error.
+// Play plays each scenario with each variant and each of the seeds from 'from' on, and returns the rows
+// of the completed plays, in that order. A play whose row is in the store is not run again. If ctx ends,
+// Play returns the rows so far with ctx's error.
 func (l *Lab) Play(
 	ctx context.Context, scenes []*scenario.Scenario, vs []Variant, seeds int, from uint64,
 ) ([]*Row, error) {
@@ -55,11 +55,11 @@
 			}
 		}
 	}
-	return l.all(ctx, jobs)
+	return l.runAll(ctx, jobs)
 }
 
-// all plays jobs and returns the rows of those that ended, in their order. The first error ends it.
-func (l *Lab) all(ctx context.Context, jobs []*job) ([]*Row, error) {
+// runAll runs jobs and returns the rows of those that completed, in order. The first error stops the rest.
+func (l *Lab) runAll(ctx context.Context, jobs []*job) ([]*Row, error) {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	rows := make([]*Row, len(jobs))
@@ -71,7 +71,7 @@
 	for range min(places, len(jobs)) {
 		wait.Go(func() {
 			for i := range next {
-				r, err := l.one(ctx, jobs[i])
+				r, err := l.runOne(ctx, jobs[i])
 				if err != nil {
 					stop(err)
 				}
@@ -96,8 +96,8 @@
 	return done, context.Cause(ctx)
 }
 
-// one plays a job, unless its row is there. A play that was broken off has none.
-func (l *Lab) one(ctx context.Context, j *job) (*Row, error) {
+// runOne runs a job unless its row is stored. An interrupted play has no row.
+func (l *Lab) runOne(ctx context.Context, j *job) (*Row, error) {
 	row := j.row
 	if had := l.Store.find(row.key()); had != nil {
 		return had, nil
--- a/internal/rig/lab/trial/trial_test.go
+++ b/internal/rig/lab/trial/trial_test.go
@@ -17,7 +17,7 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-func scene(t *testing.T, name string, seconds float64) *scenario.Scenario {
+func loadScenario(t *testing.T, name string, seconds float64) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return s
 }
 
-func open(t *testing.T, path string) *Store {
+func openStore(t *testing.T, path string) *Store {
 	t.Helper()
 	s, err := Open(path)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return s
 }
 
-func variant(t *testing.T, text string) Variant {
+func mustParseVariant(t *testing.T, text string) Variant {
 	t.Helper()
 	v, err := ParseVariant(text)
 	if err != nil {
@@ -48,13 +48,13 @@
 	return v
 }
 
-// Rows outlive the program; a play that is there is not played again; a row that a crash cut off
-// anywhere is played again, to the same figures.
+// Rows are persistent: a stored play is not run again, and a row that a crash truncated at any byte is
+// played again with the same result.
 func TestRowsAreKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rows.jsonl")
-	s, vs := scene(t, "demo", 4), []Variant{{Name: "default"}, variant(t, "random")}
+	s, vs := loadScenario(t, "demo", 4), []Variant{{Name: "default"}, mustParseVariant(t, "random")}
 	play := func() ([]*Row, string, bool) {
-		store, said := open(t, path), strings.Builder{}
+		store, said := openStore(t, path), strings.Builder{}
 		rows, err := (&Lab{Store: store, Out: &said}).Play(t.Context(), []*scenario.Scenario{s}, vs, 2, 5)
 		if err != nil || len(rows) != 4 {
 			t.Fatal(len(rows), err)
@@ -62,7 +62,7 @@
 		if err := store.Close(); err != nil {
 			t.Fatal(err)
 		}
-		return rows, said.String(), store.Cut
+		return rows, said.String(), store.Truncated
 	}
 	first, said, _ := play()
 	if strings.Count(said, "\n") != 4 || first[0].Seed != 5 || first[3].Chooser != "random" || first[0].Servers != 3 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// A file that holds anything else is an error that names the line, and stays as it is; so does one
-// that another program writes.
+// A file with any other content is rejected with an error that names the line, and is not changed. A
+// file that another program has locked is rejected too.
 func TestRowsOfOthers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rows.jsonl")
 	for text, want := range map[string]string{
@@ -120,7 +120,7 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	open(t, path)
+	openStore(t, path)
 	if _, err := Open(path); err == nil || !strings.Contains(err.Error(), "another program") {
 		t.Errorf("opened twice: %v", err)
 	}
@@ -136,12 +136,12 @@
 	})
 }
 
-// What was played when an interrupt came is kept, and the same call goes on from there.
+// After an interrupt the completed plays are stored, and the same call resumes after them.
 func TestInterrupted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rows.jsonl")
-	s := scene(t, "demo", 4)
+	s := loadScenario(t, "demo", 4)
 	ctx, cancel := context.WithCancel(t.Context())
-	l := &Lab{Store: open(t, path), Jobs: 2}
+	l := &Lab{Store: openStore(t, path), Jobs: 2}
 	l.Out = writer(func() { cancel() })
 	rows, err := l.Play(ctx, []*scenario.Scenario{s}, []Variant{{Name: "default"}}, 30, 1)
 	if !errors.Is(err, context.Canceled) || len(rows) == 0 || len(rows) == 30 {
@@ -154,11 +154,11 @@
 	if rows, err = l.Play(t.Context(), []*scenario.Scenario{s}, []Variant{{Name: "default"}}, 30, 1); err != nil || len(rows) != 30 || more != 30-had {
 		t.Errorf("%d rows, %d played after %d, %v", len(rows), more, had, err)
 	}
-	// A play under way ends too.
+	// A running play is interrupted too.
 	ctx, cancel = context.WithCancel(t.Context())
 	l.Tick = func(part float64) { cancel() }
 	start := time.Now()
-	long := scene(t, "calm", 600)
+	long := loadScenario(t, "calm", 600)
 	if rows, err = l.Play(ctx, []*scenario.Scenario{long}, []Variant{{Name: "default"}}, 1, 1); !errors.Is(err, context.Canceled) || len(rows) != 0 {
 		t.Errorf("%d rows, %v, after %v", len(rows), err, time.Since(start))
 	}
@@ -169,7 +169,7 @@
 func (w writer) Write(b []byte) (int, error) { w(); return len(b), nil }
 
 func TestParseVariant(t *testing.T) {
-	got := variant(t, "chooser=p2c-least,load=0.9,operator=o.toml,bin=old/molepaddle")
+	got := mustParseVariant(t, "chooser=p2c-least,load=0.9,operator=o.toml,bin=old/molepaddle")
 	want := Variant{Name: got.Name, Chooser: "p2c-least", Set: map[string]float64{"load": 0.9}, Operator: "o.toml", Binary: "old/molepaddle"}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
@@ -181,19 +181,19 @@
 	}
 }
 
-// A variant's plays differ in their hash by knob, chooser and the operator's file; what can't be
-// played is told before any play.
+// The hash of a play depends on knobs, chooser and the operator's file; an invalid variant is rejected
+// before any play.
 func TestPlan(t *testing.T) {
 	dir := t.TempDir()
-	s := scene(t, "demo", 4)
-	l := &Lab{Store: open(t, "")}
+	s := loadScenario(t, "demo", 4)
+	l := &Lab{Store: openStore(t, "")}
 	file := filepath.Join(dir, "o.toml")
 	if err := os.WriteFile(file, []byte("[fleet]\non = true\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	seen := map[string]string{}
 	for _, text := range []string{"default", "random", "load=0.5", "load=0.6", "operator=" + file, "operator=" + file + ",load=0.5"} {
-		j, err := l.plan(s, variant(t, text), 1)
+		j, err := l.plan(s, mustParseVariant(t, text), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -208,14 +208,14 @@
 	if s.Load() == 0.6 {
 		t.Error("the scenario itself was changed")
 	}
-	// The scenario's own file stands beside it.
+	// The operator file that the scenario names is relative to the scenario's folder.
 	s.Dir, s.Agent.Operator = dir, "o.toml"
 	if j, err := l.plan(s, Variant{Name: "default"}, 1); err != nil || j.fleet == nil {
 		t.Errorf("%+v, %v", j, err)
 	}
-	live := &Lab{Store: open(t, ""), Live: true}
+	live := &Lab{Store: openStore(t, ""), Live: true}
 	for text, by := range map[string]*Lab{"bin=" + file: l, "load=-1": l, "length=0": l, "operator=" + dir + "/none": l, "bin=" + dir + "/none": live, "chooser=random,bin=" + file: live} {
-		if rows, err := by.Play(t.Context(), []*scenario.Scenario{s}, []Variant{variant(t, text)}, 1, 1); err == nil || rows != nil {
+		if rows, err := by.Play(t.Context(), []*scenario.Scenario{s}, []Variant{mustParseVariant(t, text)}, 1, 1); err == nil || rows != nil {
 			t.Errorf("%s: %d rows, %v", text, len(rows), err)
 		}
 	}
@@ -224,11 +224,12 @@
 	}
 }
 
-// A planted 1 % is found either way, and said in the metric's sense; of the same there is none but
-// in the one of twenty that an interval of 95 % is wrong in.
+// An injected difference of 2 % in load is detected in both directions, better or worse by the metric's
+// sense. Comparing equal variants shows a difference in about one of twenty cases, as expected of a
+// 95 % interval.
 func TestCompare(t *testing.T) {
-	l := &Lab{Store: open(t, ""), Jobs: 4}
-	s := scene(t, "calm", 20)
+	l := &Lab{Store: openStore(t, ""), Jobs: 4}
+	s := loadScenario(t, "calm", 20)
 	if err := s.Set("load", 1.5); err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +240,7 @@
 		{"load=1.53", "default", "worth", "better"},
 		{"default", "load=1.53", "refused", "worse"},
 	} {
-		v, err := l.Compare(t.Context(), s, variant(t, c.a), variant(t, c.b), CompareOptions{Metric: c.metric, Least: 6, Most: 40, Within: 0.001, From: 1})
+		v, err := l.Compare(t.Context(), s, mustParseVariant(t, c.a), mustParseVariant(t, c.b), CompareOptions{Metric: c.metric, MinPairs: 6, MaxPairs: 40, HalfWidth: 0.001, FirstSeed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -249,8 +250,8 @@
 	}
 	wrong := 0
 	for i := range 20 {
-		v, err := l.Compare(t.Context(), scene(t, "demo", 4), Variant{Name: "default"}, variant(t, "load-factor=1"),
-			CompareOptions{Least: 6, Most: 6, From: uint64(100 * i), Unpaired: i > 0})
+		v, err := l.Compare(t.Context(), loadScenario(t, "demo", 4), Variant{Name: "default"}, mustParseVariant(t, "load-factor=1"),
+			CompareOptions{MinPairs: 6, MaxPairs: 6, FirstSeed: uint64(100 * i), Unpaired: i > 0})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -264,15 +265,15 @@
 	if wrong > 2 {
 		t.Errorf("%d of 20 null comparisons say a difference", wrong)
 	}
-	for _, o := range []CompareOptions{{Least: 1, Most: 2}, {Least: 3, Most: 2}, {Least: 2, Most: 3, Metric: "beauty"}, {Least: 2, Most: 3, Within: math.NaN()}, {Least: 2, Most: maxPlays}} {
+	for _, o := range []CompareOptions{{MinPairs: 1, MaxPairs: 2}, {MinPairs: 3, MaxPairs: 2}, {MinPairs: 2, MaxPairs: 3, Metric: "beauty"}, {MinPairs: 2, MaxPairs: 3, HalfWidth: math.NaN()}, {MinPairs: 2, MaxPairs: maxPlays}} {
 		if _, err := l.Compare(t.Context(), s, Variant{}, Variant{}, o); err == nil {
 			t.Errorf("%+v is taken", o)
 		}
 	}
 }
 
-// The interval holds the true difference in 95 of 100 cases, about, also of few pairs, and a
-// comparison ends at its width.
+// The interval contains the true difference in about 95 of 100 cases, also with few pairs, and a
+// comparison stops by its width.
 func TestInterval(t *testing.T) {
 	for _, c := range []struct {
 		n        int
@@ -298,7 +299,7 @@
 		}
 	}
 	v := &Verdict{}
-	if v.judge([]float64{1, 1}, []float64{1, 1}, CompareOptions{Least: 3}, true) || !v.judge([]float64{1, 1, 1}, []float64{1, 1, 1}, CompareOptions{Least: 3}, true) || v.Better != "" {
+	if v.update([]float64{1, 1}, []float64{1, 1}, CompareOptions{MinPairs: 3}, true) || !v.update([]float64{1, 1, 1}, []float64{1, 1, 1}, CompareOptions{MinPairs: 3}, true) || v.Better != "" {
 		t.Errorf("%+v", v)
 	}
 	if got := (&Verdict{Metric: "worth"}).String(); !strings.Contains(got, "nothing to say") {
@@ -306,17 +307,17 @@
 	}
 }
 
-// A pair with a play that does not count is left out and counted.
+// A pair with a void play is left out and counted.
 func TestCompareVoid(t *testing.T) {
-	l := &Lab{Store: open(t, "")}
-	s := scene(t, "demo", 4)
+	l := &Lab{Store: openStore(t, "")}
+	s := loadScenario(t, "demo", 4)
 	rows, err := l.Play(t.Context(), []*scenario.Scenario{s}, []Variant{{Name: "default"}}, 8, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rows[1].Result.Void = "late"
 	rows[4].Result.Void = "late"
-	v, err := l.Compare(t.Context(), s, Variant{Name: "default"}, variant(t, "random"), CompareOptions{Least: 3, Most: 8, From: 1, Within: 1})
+	v, err := l.Compare(t.Context(), s, Variant{Name: "default"}, mustParseVariant(t, "random"), CompareOptions{MinPairs: 3, MaxPairs: 8, FirstSeed: 1, HalfWidth: 1})
 	if err != nil || v.Pairs != 3 || v.Void != 1 || v.Rows[2].Seed != 3 {
 		t.Errorf("%+v, %v", v, err)
 	}
@@ -340,11 +341,11 @@
 	}
 }
 
-// A sweep plays its grid in order; a knee is found where the load meets the capacity.
+// A sweep plays its grid in order.
 func TestSweep(t *testing.T) {
-	l := &Lab{Store: open(t, ""), Jobs: 4}
+	l := &Lab{Store: openStore(t, ""), Jobs: 4}
 	axes := []Axis{{"load", []float64{1.5, 0.25, 1, 3}}, {"retries", []float64{0, 2}}}
-	points, err := l.Sweep(t.Context(), scene(t, "calm", 10), []string{"p2c-least", "random"}, axes, 2, 1)
+	points, err := l.Sweep(t.Context(), loadScenario(t, "calm", 10), []string{"p2c-least", "random"}, axes, 2, 1)
 	if err != nil || len(points) != 16 {
 		t.Fatal(len(points), err)
 	}
@@ -359,7 +360,7 @@
 		t.Error(points[7].Rows[0].Load)
 	}
 	for _, bad := range [][]Axis{{axes[0], axes[0]}, {{"load", []float64{-1}}}, {{"load", make([]float64, 1000)}, {"agents", make([]float64, 1000)}}} {
-		if _, err := l.Sweep(t.Context(), scene(t, "calm", 10), []string{"random"}, bad, 1, 1); err == nil {
+		if _, err := l.Sweep(t.Context(), loadScenario(t, "calm", 10), []string{"random"}, bad, 1, 1); err == nil {
 			t.Errorf("%v is swept", bad[0].Knob)
 		}
 	}
@@ -386,7 +387,7 @@
 	}
 }
 
-// Each metric reads a figure of its own.
+// Each metric reads a different figure.
 func TestMetrics(t *testing.T) {
 	v := reflect.New(reflect.TypeFor[measure.Result]()).Elem()
 	for i := range v.NumField() {
@@ -401,13 +402,13 @@
 	r.Classes = []measure.Class{{Latency: measure.Latency{P99: 7}}, {Latency: measure.Latency{P99: 9}}}
 	seen := map[float64]string{}
 	for name, m := range Metrics {
-		x := m.Of(r)
+		x := m.Value(r)
 		if seen[x] != "" || x == 0 {
 			t.Errorf("%s and %s are both %v", name, seen[x], x)
 		}
 		seen[x] = name
 	}
-	if got := fmt.Sprint(Metrics["p99"].Of(r), Metrics["nobody"].Of(r) == float64(r.AfterEnd), Metrics["worth"].More, Metrics["waste"].More); got != "9 true true false" {
+	if got := fmt.Sprint(Metrics["p99"].Value(r), Metrics["nobody"].Value(r) == float64(r.AfterEnd), Metrics["worth"].HigherIsBetter, Metrics["waste"].HigherIsBetter); got != "9 true true false" {
 		t.Error(got)
 	}
 }
--- a/internal/rig/lab/trial/variant.go
+++ b/internal/rig/lab/trial/variant.go
@@ -21,16 +21,16 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// Variant is a way to play a scenario. What is empty is as the scenario has it.
+// Variant is a set of changes to a scenario. An empty field keeps the value of the scenario.
 type Variant struct {
 	Name     string
 	Chooser  string
 	Set      map[string]float64 // knobs
-	Operator string             // path of an operator's file
-	Binary   string             // live: the agents' program; empty: agents in this process
+	Operator string             // path of the operator's file
+	Binary   string             // live only: path of the agents' program; empty: agents in this process
 }
 
-// ParseVariant reads "default", the name of a chooser, or parts with commas between: chooser=NAME,
+// ParseVariant parses "default", the name of a chooser, or comma-separated parts: chooser=NAME,
 // operator=FILE, bin=FILE, KNOB=NUMBER. The text is the variant's name.
 func ParseVariant(text string) (Variant, error) {
 	v := Variant{Name: text}
@@ -79,8 +79,8 @@
 	return v, nil
 }
 
-// set changes knobs in an order of its own: what others work out from (servers, agents) goes first.
-func set(s *scenario.Scenario, knobs map[string]float64) error {
+// applyKnobs sets knobs in a fixed order: servers, then load, then the others by name.
+func applyKnobs(s *scenario.Scenario, knobs map[string]float64) error {
 	first := func(k string) int {
 		return cmp.Or(slices.Index([]string{"load", "servers"}, k)+1, 0)
 	}
@@ -95,19 +95,19 @@
 	return nil
 }
 
-// job is one play that is wanted.
+// job is one play to run.
 type job struct {
 	s     *scenario.Scenario
 	v     Variant
 	seed  uint64
 	fleet *fleet.Options
-	row   Row // all but what the play tells
+	row   Row // without its result
 }
 
-// plan works out what a play of a variant is.
+// plan prepares the play of a scenario with a variant and a seed.
 func (l *Lab) plan(of *scenario.Scenario, v Variant, seed uint64) (*job, error) {
 	j := &job{s: of.Clone(), v: v, seed: seed}
-	if err := set(j.s, v.Set); err != nil {
+	if err := applyKnobs(j.s, v.Set); err != nil {
 		return nil, fmt.Errorf("%s: variant %s: %w", of.Name, v.Name, err)
 	}
 	j.s.Agent.Chooser = cmp.Or(v.Chooser, j.s.Agent.Chooser)
@@ -131,7 +131,7 @@
 			return nil, err
 		}
 		j.fleet = oper.Fleet.Options()
-		sum, err := l.sum(j.v.Operator)
+		sum, err := l.fileHash(j.v.Operator)
 		if err != nil {
 			return nil, err
 		}
@@ -144,7 +144,7 @@
 			return nil, err
 		}
 	}
-	build, err := l.sum(program)
+	build, err := l.fileHash(program)
 	if err != nil {
 		return nil, err
 	}
@@ -154,9 +154,9 @@
 	return j, nil
 }
 
-// sum is short and the same for files of the same content; a file is read once.
-func (l *Lab) sum(path string) (string, error) {
-	if s, ok := l.sums[path]; ok {
+// fileHash returns a short hash of the content of a file; each file is read once.
+func (l *Lab) fileHash(path string) (string, error) {
+	if s, ok := l.fileHashes[path]; ok {
 		return s, nil
 	}
 	f, err := os.Open(path)
@@ -168,9 +168,9 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return "", err
 	}
-	if l.sums == nil {
-		l.sums = map[string]string{}
+	if l.fileHashes == nil {
+		l.fileHashes = map[string]string{}
 	}
-	l.sums[path] = hex.EncodeToString(h.Sum(nil)[:6])
-	return l.sums[path], nil
+	l.fileHashes[path] = hex.EncodeToString(h.Sum(nil)[:6])
+	return l.fileHashes[path], nil
 }
