--- a/internal/rig/lab/live/agents.go
+++ b/internal/rig/lab/live/agents.go
@@ -26,17 +26,17 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// agentRun is one agent, a process or in this one.
+// agentRun is one run of an agent, as a process or in this process.
 type agentRun struct {
-	name   string // which agent it is, and its which start
+	name   string // number of the agent and of its start
 	listen string
 	base   string
 	client *http.Client
-	since  float64 // when it started, in ms of the play
+	since  float64 // start time, in ms of the play
 
 	output   tail
 	cmd      *exec.Cmd
-	exited   chan struct{} // closed when it has ended
+	exited   chan struct{} // closed when the agent has ended
 	shutdown func(planned bool)
 	once     sync.Once
 
@@ -46,7 +46,7 @@
 	hasUsage  bool
 }
 
-// tail keeps the end of what a process says.
+// tail keeps the end of a process's output.
 type tail struct {
 	mu   sync.Mutex
 	text []byte
@@ -64,7 +64,7 @@
 	return len(p), nil
 }
 
-// lastLine is the lastLine line that was said.
+// lastLine returns the last line of the output.
 func (t *tail) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,14 +78,14 @@
 		IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
 }
 
-// wasKilled tells whether the agent was killed.
+// wasKilled reports whether the timeline killed the agent.
 func (a *agentRun) wasKilled() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.killed
 }
 
-// startProcess starts a process.
+// startProcess starts the agent as a process.
 func (a *agentRun) startProcess(binary, config, operator string) error {
 	var args []string
 	if operator != "" {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// startInProcess starts an agent in this process, with a chooser of its own.
+// startInProcess starts an agent in this process, with the chooser of the play.
 func (a *agentRun) startInProcess(w *world, index int, text []byte) error {
 	conf, err := config.Parse(text)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// ready waits until the agent says so.
+// ready waits until the agent's readiness check succeeds.
 func (a *agentRun) ready(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -194,7 +194,7 @@
 	}
 }
 
-// stop ends the agent as planned, kill at once.
+// stop shuts the agent down gracefully, kill at once.
 func (a *agentRun) stop() { a.finish(true) }
 func (a *agentRun) kill() { a.finish(false) }
 
@@ -207,7 +207,7 @@
 	})
 }
 
-// readUsage notes what a process has used.
+// readUsage records the resource usage of the process.
 func (a *agentRun) readUsage() {
 	if a.cmd == nil || a.cmd.Process == nil {
 		return
@@ -232,8 +232,7 @@
 	return a.lastUsage, a.hasUsage
 }
 
-// processUsage reads what a process has used so far: memory at the most, and cores on the mean
-// of its life.
+// processUsage returns a process's peak memory and its mean number of busy cores since its start.
 func processUsage(pid int) (u measure.Agent, ok bool) {
 	status, err := os.ReadFile(fmt.Sprint("/proc/", pid, "/status"))
 	if err != nil {
@@ -247,12 +246,12 @@
 	}
 	stat, err := os.ReadFile(fmt.Sprint("/proc/", pid, "/stat"))
 	uptime, err2 := os.ReadFile("/proc/uptime")
-	_, rest, found := strings.Cut(string(stat), ") ") // the name may hold anything
+	_, rest, found := strings.Cut(string(stat), ") ") // the process name may contain any character
 	fields := strings.Fields(rest)
 	if err != nil || err2 != nil || !found || len(fields) < 20 {
 		return u, false
 	}
-	const ticks = 100 // a second, on Linux
+	const ticks = 100 // per second, on Linux
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
 	began, _ := strconv.ParseFloat(fields[19], 64)
@@ -263,7 +262,7 @@
 	return u, true
 }
 
-// cpu is what this process has used so far, in seconds of a core.
+// cpu returns the CPU time of this process, in seconds.
 func (w *world) cpu() float64 {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -1,16 +1,16 @@
-// Package live plays a scenario over loopback sockets: real agents, as processes of any build or
-// in this process with any chooser, stand-ins that behave as the scenario says, and an open-loop
-// generator that holds to arrival times fixed ahead. Servers, requests, timeline and recorder are
+// Package live plays a scenario over loopback sockets: real agents, as processes of any build or in this
+// process with any chooser; fake servers that behave as the scenario says; and an open-loop load
+// generator with arrival times that are fixed in advance. Servers, requests, timeline and recorder are
 // those of the model.
 //
-// One lock guards the stations, the recorder and all that the timeline changes. Each stand-in
-// server is a net/http server with a goroutine for each connection; a request of the generator
-// is a goroutine; the generator itself is Play's.
+// One lock guards the stations, the recorder and everything that the timeline changes. Each fake server
+// is a net/http server with a goroutine per connection, each request of the generator is a goroutine,
+// and the generator runs in Play's goroutine.
 //
-// What the network does is played by the stand-ins: a request and its answer wait there for as
-// long as they would be under way, and the first request on a connection for a connect. A
-// machine that says nothing accepts connections all the same where agents are processes, as the
-// kernel does that for it; in-process agents' connects to it hang.
+// The fake servers simulate the network: a request and its answer wait there for their network delay,
+// and the first request on a connection also for the connect. A silent machine still accepts connections
+// from agents that are processes, as its kernel completes them; connects of in-process agents to it
+// hang.
 package live
 
 import (
@@ -43,29 +43,29 @@
 	"molepaddle/policy"
 )
 
-// Bounds of what is played on one machine.
+// Limits of what can be played on one machine.
 const (
 	MaxAgents  = 64
 	MaxServers = 256
 	MaxRate    = 5000.0 // requests a second
 	MaxLength  = 30 * time.Minute
-	// slack is how long after its time is up an answer still counts: it was under way.
+	// slack is how long after its deadline an answer still counts, in ms: it was on its way.
 	slack = 50.0
-	// lateAllowed is how late the generator, or a stand-in, may be at the 99th percentile, as a part
-	// of the least aim; a run in which they were later does not count.
+	// lateAllowed is the maximum delay of the generator or a fake server at the 99th percentile, as a
+	// fraction of the lowest latency target; a play with a higher delay does not count.
 	lateAllowed    = 0.02
-	minLateAllowed = 2.0 // ms, however short the aim
+	minLateAllowed = 2.0 // ms, lower bound of the allowed delay
 )
 
-// Options is what a play may be told.
+// Options configures a play.
 type Options struct {
-	Chooser  string // empty: the scenario's; of in-process agents only
+	Chooser  string // empty: that of the scenario; any other than molepaddle for in-process agents only
 	Seed     uint64
-	Binary   string // the agents' program; empty: agents in this process
+	Binary   string // path of the agents' program; empty: agents in this process
 	Operator string // path of the operator's file; empty: none
 	Tick     func(part float64)
 
-	beforeStart func(*world) // of tests: the generator is about to begin
+	beforeStart func(*world) // for tests: called before the generator starts
 	ready       time.Duration
 }
 
@@ -82,20 +82,20 @@
 	silent        bool
 	health        cluster.Health
 	removed       bool
-	processEnded  chan struct{} // closed when its process ends or its machine is back
+	processEnded  chan struct{} // closed when its process ends or its machine restarts
 	maxConns      int
 	connects      int
 	inTransit     int
 	attempts      []*attempt
 	reportDelay   float64
-	notReadySince float64 // since when the roster tells that it wants nothing new; -1: it does
+	notReadySince float64 // time from which the roster lists it as not ready; -1: ready
 	busy          []float64
 	pastWork      float64
 	peak          float64
 	fell          bool
 }
 
-// clientRequest is one sending of a request.
+// clientRequest is one request that a client sends to its agent; a client retry is another one.
 type clientRequest struct {
 	measure.Request
 	agent    int
@@ -103,10 +103,10 @@
 	attempts []*attempt
 }
 
-// attempt is an attempt of a try at a server.
+// attempt is an attempt of a request at a server.
 type attempt struct {
 	v        *server
-	finished bool // its answer has gone, its client has closed, or its server has died
+	finished bool // answered, closed by its client, or its server was stopped
 }
 
 type world struct {
@@ -121,7 +121,7 @@
 	ctx          context.Context
 	dir          string
 	wg           sync.WaitGroup
-	restartLocks []sync.Mutex // by agent: of its restarts
+	restartLocks []sync.Mutex // by agent, serializes its restarts
 
 	mu              sync.Mutex
 	rng             *rand.Rand
@@ -130,17 +130,17 @@
 	byDial          map[string]*server
 	agents          []*agentRun
 	starts          []int             // by agent
-	kills           []int             // by agent: how often it was killed
-	agentHistory    []string          // what became of agents, a line each, the oldest first
-	agentByConn     map[string]string // which agent in this process has which end of a connection
+	kills           []int             // by agent: number of kills
+	agentHistory    []string          // starts and ends of agents, a line each, oldest first
+	agentByConn     map[string]string // in-process agent by the local address of its connection
 	requests        map[string]*clientRequest
 	stalls          []stall
-	rosterDownUntil float64 // until then the roster answers nothing
+	rosterDownUntil float64 // until then the roster does not answer
 	rec             *measure.Recorder
 	timers          map[*time.Timer]bool
 	ended           bool
-	generatorDelay  *hdrhistogram.Histogram // of the generator, us
-	timerDelay      *hdrhistogram.Histogram // of the stand-ins' timers, us
+	generatorDelay  *hdrhistogram.Histogram // delays of the generator, us
+	timerDelay      *hdrhistogram.Histogram // delays of the fake servers' timers, us
 	meanWork        float64
 	asked           int
 }
@@ -150,8 +150,8 @@
 	until float64
 }
 
-// Play plays a scenario until its end or the context's: then what came of it so far is told
-// with the context's error. Nothing is left running.
+// Play plays a scenario until its end or until ctx ends; then it returns the results so far with ctx's
+// error. It leaves nothing running.
 func Play(ctx context.Context, s *scenario.Scenario, o Options) (*measure.Result, error) {
 	if err := check(s); err != nil {
 		return nil, err
@@ -191,7 +191,7 @@
 	if err := w.startAgents(); err != nil {
 		return nil, err
 	}
-	w.start = time.Now() // ramps of servers that start cold begin now
+	w.start = time.Now() // the slow start of cold servers begins now
 	begun := w.cpu()
 	if o.beforeStart != nil {
 		o.beforeStart(w)
@@ -222,10 +222,10 @@
 	return nil
 }
 
-// now is the time since the start, in ms.
+// now returns the time since the start, in ms.
 func (w *world) now() float64 { return float64(time.Since(w.start)) / float64(time.Millisecond) }
 
-// after does something later, under the lock, unless the play has ended.
+// after calls do later, under the lock, unless the play has ended.
 func (w *world) after(wait float64, do func()) {
 	var t *time.Timer
 	t = time.AfterFunc(law.Ms(max(wait, 0)), func() {
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// startTimeline sets the timeline going.
+// startTimeline schedules the events of the timeline.
 func (w *world) startTimeline() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -284,7 +284,7 @@
 	}
 }
 
-// generate asks what the plan says, at the times that it says, whatever becomes of it.
+// generate sends the planned requests at their times, independent of the outcome of earlier ones.
 func (w *world) generate(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -314,18 +314,18 @@
 	return nil
 }
 
-// wait waits for the requests that are out; each ends by itself.
+// wait waits for the pending requests; each ends by its deadline.
 func (w *world) wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() { w.wg.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-ctx.Done():
-		<-done // their contexts end with it
+		<-done // their contexts derive from ctx
 	}
 }
 
-// sendRequest sends one request and tells what became of it.
+// sendRequest sends one request and records its outcome.
 func (w *world) sendRequest(ctx context.Context, i, number int) {
 	defer w.wg.Done()
 	p := &w.plan[i]
@@ -352,7 +352,7 @@
 	outcome, retryAfter := measure.Lost, 0.0
 	req, err := http.NewRequestWithContext(at, method, fmt.Sprintf("%s/%s/k%d", a.base, class.Name, p.Key), nil)
 	if err == nil {
-		if p.Key == 0 { // about nothing: what the path ends in is new each time
+		if p.Key == 0 { // without a key: the path is unique
 			req.URL.Path = fmt.Sprintf("/%s/u%d.%d", class.Name, i, number)
 		}
 		req.Header.Set("Request-Id", t.ID)
@@ -365,14 +365,14 @@
 		}
 		var resp *http.Response
 		if resp, err = a.client.Do(req); connectionLost(err) && at.Err() == nil && !w.killed(a, p.Agent, kills) {
-			// The agent may have closed its connection before it read this, as it may between requests: a client
-			// sends it once more, on a new one.
+			// The agent may close an idle connection while the request is on its way: the client sends it once
+			// more, on a new connection.
 			req.Close = true
 			w.mu.Lock()
 			t.Note(w.now(), fmt.Sprintf("%s ended the connection (%v), asked once more", a.name, err), "")
 			a, kills = w.agents[p.Agent], w.kills[p.Agent]
 			w.mu.Unlock()
-			once := newClient(w.s) // which has kept none
+			once := newClient(w.s) // without idle connections
 			defer once.CloseIdleConnections()
 			resp, err = once.Do(req)
 		}
@@ -405,9 +405,9 @@
 		t.Note(now, err.Error(), "")
 	}
 	var dial *net.OpError
-	untaken := errors.As(err, &dial) && dial.Op == "dial" // its agent is being restarted
+	untaken := errors.As(err, &dial) && dial.Op == "dial" // the agent is restarting
 	if err != nil && (ctx.Err() != nil || p.LeavesAfter > 0 && number == 0 || killed || untaken) {
-		outcome = measure.Gone // the play ended, the client left, or its agent was killed
+		outcome = measure.Gone // the play ended, the client left, or its agent was killed or is restarting
 	}
 	w.rec.RequestEnded(&t.Request, now, outcome, outcome != measure.Served && outcome != measure.Gone && w.needless(t, now))
 	portal := &w.s.Portals[p.Portal]
@@ -425,16 +425,16 @@
 	}
 }
 
-// killed tells whether an agent was killed that may have held a request: the run that its client asked, or
-// the one that had come in its place, at the same address, before the client knew. What it held is its client's to ask
-// again. kills is how often the agent had been killed as the client asked.
+// killed reports whether an agent was killed that may have accepted a request: the process to which the
+// client sent it, or its successor at the same address that started before the client noticed. The client
+// of such a request may retry it. kills is how often the agent had been killed when the client sent it.
 func (w *world) killed(a *agentRun, agent int32, kills int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return a.wasKilled() || w.kills[agent] != kills
 }
 
-// connectionLost tells whether a connection ended without a byte of an answer.
+// connectionLost reports whether a connection ended without any byte of an answer.
 func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || err != nil && strings.Contains(err.Error(), "server closed idle connection")
 }
@@ -482,8 +482,8 @@
 	})
 }
 
-// voidReason says why a run does not count, in which generator and stand-ins were so late at the 99th
-// percentile; empty: it does. All in ms.
+// voidReason returns why a play does not count, given the delays of the generator and of the fake servers
+// at the 99th percentile; empty: it counts. All values are in ms.
 func voidReason(generator, standIns, aim float64) string {
 	most := max(aim*lateAllowed, minLateAllowed)
 	switch {
@@ -495,7 +495,7 @@
 	return ""
 }
 
-// close ends all that was started.
+// close stops everything that was started.
 func (w *world) close() {
 	w.mu.Lock()
 	w.ended = true
@@ -536,12 +536,12 @@
 	return errors.Join(all...)
 }
 
-// noteAgent notes what becomes of an agent; the lock is held.
+// noteAgent appends to the agents' history; the lock must be held.
 func (w *world) noteAgent(a *agentRun, what string) {
 	w.agentHistory = append(w.agentHistory, fmt.Sprintf("%.1f ms: %s %s", w.now(), a.name, what))
 }
 
-// startAgent starts one, at the address that it had before if it had one.
+// startAgent starts an agent, at its previous address if it had one.
 func (w *world) startAgent(i int) error {
 	listen := "127.0.0.1:0"
 	w.mu.Lock()
@@ -587,7 +587,7 @@
 	return nil
 }
 
-// truth is what the oracle sees; it takes the lock.
+// truth implements choose.Truth for the oracle; it takes the lock.
 type truth struct{ w *world }
 
 func (t truth) Finish(addr cluster.Addr, zone int, work float64, key uint64) (after, wait float64, ok bool) {
--- a/internal/rig/lab/live/live_test.go
+++ b/internal/rig/lab/live/live_test.go
@@ -26,7 +26,7 @@
 	"molepaddle/internal/rig/scenario"
 )
 
-// TestMain makes the test binary a bad agent when it is started as one.
+// TestMain runs the test binary as a faulty agent if LAB_AGENT is set.
 func TestMain(m *testing.M) {
 	switch os.Getenv("LAB_AGENT") {
 	case "dies":
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveGarbage is an agent that says it is ready, and nothing else that can be read.
+// serveGarbage is an agent that reports ready and answers every other request with garbage.
 func serveGarbage() {
 	text, _ := os.ReadFile(os.Getenv("EDGE_CONFIG"))
 	var c struct{ Listen string }
@@ -67,7 +67,7 @@
 	}
 }
 
-// smallScenario is a scenario of a few seconds.
+// smallScenario returns a scenario of a few seconds.
 func smallScenario(t *testing.T, rate string, events string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("small.toml", []byte(`version = 1
@@ -102,8 +102,8 @@
 	return s
 }
 
-// Every kind of event passes over real sockets without a broken rule, and worth is near that of
-// the model.
+// Every kind of event runs over real sockets without a violated rule, and worth is close to that of the
+// model.
 func TestEventsLive(t *testing.T) {
 	s := smallScenario(t, "200.0", `
 [[event]]
@@ -173,7 +173,7 @@
 	}
 	t.Logf("worth %.3f live, %.3f in the model", r.Worth, m.Worth)
 	if r.Void != "" {
-		t.Logf("it does not count: %s", r.Void) // nor does what came too late
+		t.Logf("it does not count: %s", r.Void) // violations by late messages do not count either
 		for _, b := range r.Broken {
 			if b.Rule == "an effect twice" {
 				t.Error(b)
@@ -186,7 +186,7 @@
 	}
 }
 
-// An agent that dies, never becomes ready or answers garbage is told, and nothing is left.
+// An agent that exits, never becomes ready or answers garbage is reported.
 func TestBadAgents(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// A run that is cut gives what it has, and leaves no goroutine and no port.
+// A cancelled play returns the results so far, and leaves no goroutine and no open port.
 func TestCancelledRun(t *testing.T) {
 	before := runtime.NumGoroutine()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -234,7 +234,7 @@
 	}
 }
 
-// A run whose generator or stand-ins were late does not count, by its own word.
+// A play whose generator or fake servers were late is marked as void.
 func TestLateRunsAreVoid(t *testing.T) {
 	s := smallScenario(t, "200.0", "")
 	r, err := Play(t.Context(), s, Options{Seed: 1, Tick: func(float64) { time.Sleep(100 * time.Millisecond) }})
@@ -252,7 +252,7 @@
 	}
 }
 
-// Any chooser plays over sockets.
+// Baselines and the oracle can play over sockets.
 func TestChoosersLive(t *testing.T) {
 	for _, c := range []string{"peak-ewma", "oracle"} {
 		s := smallScenario(t, "100.0", "")
@@ -265,8 +265,8 @@
 	}
 }
 
-// An attempt at a server that says nothing is over when its client gives up: the next one is no
-// second at once.
+// An attempt at a silent server ends when its client gives up, so the next attempt does not count as a
+// second one at once.
 func TestSilentAttemptEnds(t *testing.T) {
 	ended := make(chan bool, 1)
 	_, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Seed: 1, beforeStart: func(w *world) {
@@ -292,8 +292,8 @@
 	}
 }
 
-// A request whose connection its agent closed just then is sent once more on a connection of its own: another that was kept
-// may be closing just as well.
+// A request whose connection its agent closed at the same time is sent once more, on a new connection:
+// another idle connection may be closing just as well.
 func TestLostConnectionIsRetriedOnANewOne(t *testing.T) {
 	s := smallScenario(t, "20.0", "")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -358,7 +358,8 @@
 	}
 }
 
-// proxyInTurn is an address whose first connection goes to one listener, the second to another.
+// proxyInTurn returns an address whose first connection is forwarded to the first listener, the second to
+// the second one.
 func proxyInTurn(t *testing.T, to ...string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -383,8 +384,8 @@
 	return ln.Addr().String()
 }
 
-// What a killed agent held is not sent once more as if its connection had only crossed the request, also where its client
-// still knew the run that was there before it, at the same address.
+// A request that a killed agent had accepted is not sent again as if only its connection had been closed,
+// also if its client still used the previous run of the agent at the same address.
 func TestRequestOfKilledAgentIsNotResent(t *testing.T) {
 	type came struct {
 		sent    int
--- a/internal/rig/lab/live/servers.go
+++ b/internal/rig/lab/live/servers.go
@@ -18,7 +18,7 @@
 	"molepaddle/internal/rig/standin"
 )
 
-// connUse marks a connection of which no request has come.
+// connUse records whether a connection has carried a request.
 type connUse struct{ unused bool }
 
 type connUseKey struct{}
@@ -34,7 +34,7 @@
 	return v, nil
 }
 
-// listen lets a server's process listen.
+// listen starts a server's process on an address.
 func (w *world) listen(v *server, at string) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return h
 }
 
-// networkDelay is the time of a message between an agent and a server; the lock is held.
+// networkDelay returns the delay of a message between an agent and a server; the lock must be held.
 func (w *world) networkDelay(zone int, v *server) float64 {
 	t := w.paths.Draw(zone, v.zone, w.rng)
 	now := w.now()
@@ -94,7 +94,7 @@
 	return t
 }
 
-// sleep waits, and reports whether the request is still wanted.
+// sleep waits, and reports whether the request was not cancelled meanwhile.
 func sleep(ctx context.Context, ms float64) bool {
 	if ms <= 0 {
 		return ctx.Err() == nil
@@ -109,17 +109,17 @@
 	}
 }
 
-// serve is a request at a server.
+// serve handles a request at a server.
 func (w *world) serve(v *server, rw http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20)); err != nil {
-		return // it never came whole
+		return // the request body is incomplete
 	}
 	id := r.Header.Get("Request-Id")
 	w.mu.Lock()
 	t := w.requests[id]
 	if t == nil {
 		w.mu.Unlock()
-		rw.WriteHeader(http.StatusNotFound) // nobody has asked that
+		rw.WriteHeader(http.StatusNotFound) // unknown request
 		return
 	}
 	zone := w.zones[t.agent]
@@ -129,16 +129,16 @@
 		f.unused = false
 		wait += w.networkDelay(zone, v) + w.networkDelay(zone, v) + w.s.Servers[v.kind].Connect.Ms()
 	}
-	from := w.agentByConn[r.RemoteAddr] // empty: of a process
+	from := w.agentByConn[r.RemoteAddr] // empty: the agent is a process
 	if from == "" {
 		from = r.RemoteAddr
 	}
 	t.Note(now, "by "+from, "")
 	w.rec.AttemptSent(&t.Request, now, w.drainKnownSince(v, t, now), v.name, zone != v.zone)
-	w.rec.AttemptEnded(&t.Request) // whether two are out is seen below
+	w.rec.AttemptEnded(&t.Request) // attempts at once are checked below
 	o := &attempt{v: v}
 	for _, before := range t.attempts {
-		// A server learns a little later than its client that a connection has ended.
+		// A server notices the end of a connection slightly later than its client.
 		if !before.finished {
 			w.after(slack, func() {
 				if !before.finished {
@@ -152,12 +152,12 @@
 	v.inTransit++
 	hush := v.processEnded
 	w.mu.Unlock()
-	defer func() { // also where hushed breaks the connection
+	defer func() { // also after holdUntilClosed breaks the connection
 		w.mu.Lock()
 		o.finished = true
 		w.mu.Unlock()
 	}()
-	sleep(r.Context(), wait) // also what was given up under way comes
+	sleep(r.Context(), wait) // a cancelled request still arrives
 	w.mu.Lock()
 	v.inTransit--
 	if v.silent || hush != v.processEnded {
@@ -211,9 +211,9 @@
 	}
 }
 
-// drainKnownSince is since when the agent of a request must have known that a server wants nothing new; below
-// 0: it need not. The roster has drainKnownSince at once whoever watches it; an agent that has just started
-// may not watch yet. On sockets the limit is longer by the slack.
+// drainKnownSince returns the time from which the agent of a request must have known that a server is not
+// ready; below 0: it need not know. The roster notifies its watchers at once, but an agent that has just
+// started may not watch yet. On sockets the time is later by slack.
 func (w *world) drainKnownSince(v *server, t *clientRequest, now float64) float64 {
 	if v.notReadySince < 0 || w.agents[t.agent] == nil || now-w.agents[t.agent].since < w.s.Rules.AskWithin.Ms()/8+1000 {
 		return -1
@@ -221,8 +221,8 @@
 	return v.notReadySince + slack
 }
 
-// holdUntilClosed holds a request of which nothing is heard any more, until its client gives up or the
-// machine is back; then its connection breaks. It does not return.
+// holdUntilClosed blocks a request at a silent server until its client gives up or the machine restarts,
+// and then breaks the connection. It does not return.
 func (w *world) holdUntilClosed(r *http.Request, hush chan struct{}) {
 	select {
 	case <-hush:
@@ -231,7 +231,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// job is one at a station.
+// job is a request at a station.
 type job struct {
 	station.Job
 	st   *station.Station
@@ -240,7 +240,8 @@
 	done chan struct{}
 }
 
-// arrive brings a request to its station; done is closed when it is done, nil: it is over.
+// arrive passes a request to its station. The returned channel is closed when the job is done; it is nil
+// if the job was rejected or failed.
 func (w *world) arrive(v *server, t *clientRequest) (station.Verdict, *job, chan struct{}) {
 	now := w.now()
 	p := &w.plan[t.Ask]
@@ -264,7 +265,7 @@
 	return verdict, j, j.done
 }
 
-// work has a station work on a job that it has begun.
+// work schedules the end of a job that a station has started.
 func (w *world) work(sj *station.Job) {
 	j := sj.Tag.(*job)
 	now := w.now()
@@ -283,7 +284,7 @@
 	})
 }
 
-// dial connects as an in-process agent does: to a machine that says nothing none comes up.
+// dial connects for an in-process agent; a connect to a silent machine hangs.
 func (w *world) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	w.mu.Lock()
 	v := w.byDial[addr]
@@ -296,9 +297,9 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, network, addr)
 }
 
-// ---- what the timeline does ----
+// ---- timeline ----
 
-// timelineHost is the estate as the timeline sees it; the lock is held.
+// timelineHost implements timeline.Host; the lock must be held.
 type timelineHost struct{ *world }
 
 func (h timelineHost) Now() float64               { return h.now() }
@@ -326,7 +327,7 @@
 	}
 }
 
-// breakAll closes a server's listener and connections.
+// breakAll closes a server's listener and resets its connections.
 func (w *world) breakAll(v *server) {
 	for _, o := range v.attempts {
 		o.finished = true
@@ -336,7 +337,7 @@
 	v.processEnded = make(chan struct{})
 	for c := range v.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			tcp.SetLinger(0) // a reset, as of a process that dies
+			tcp.SetLinger(0) // a reset, as when a process is killed
 		}
 	}
 	go v.http.Close()
@@ -351,7 +352,7 @@
 	h.listenAgain(v, 0)
 }
 
-// listenAgain listens at the old address again, as soon as that is free.
+// listenAgain listens at the old address again as soon as it is free.
 func (w *world) listenAgain(v *server, tries int) {
 	if err := w.listen(v, v.dial); err != nil && tries < 200 {
 		w.after(5, func() { w.listenAgain(v, tries+1) })
@@ -367,7 +368,7 @@
 		switch {
 		case health == cluster.Ready:
 			v.notReadySince = -1
-		case v.notReadySince < 0 && h.now() >= h.rosterDownUntil: // else it is told when the roster is back, nobody knows when
+		case v.notReadySince < 0 && h.now() >= h.rosterDownUntil: // otherwise watchers are notified at an unknown time after the roster is back
 			v.notReadySince = h.now()
 		}
 	})
@@ -382,7 +383,7 @@
 	h.PublishHealth(n, cluster.Gone, 0)
 	next, err := h.newServer(v.kind, v.zone, v.name+"'", h.now())
 	if err != nil {
-		return // no port: the estate stays without it
+		return // no free port: the server is not replaced
 	}
 	next.busy = make([]float64, len(v.busy))
 	h.PublishHealth(next.num, cluster.Ready, notice)
@@ -404,8 +405,8 @@
 	h.after(until-h.now(), func() { h.roster.Down(false) })
 }
 
-// RestartAgent ends an agent and starts it again at its address. Two restarts of one agent come one
-// after the other.
+// RestartAgent ends an agent and starts it again at its address. Restarts of the same agent are
+// serialized.
 func (h timelineHost) RestartAgent(i int, killed bool) {
 	h.wg.Add(1)
 	go func() {
--- a/internal/rig/lab/page/outages.go
+++ b/internal/rig/lab/page/outages.go
@@ -15,15 +15,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Span is a stretch of time in which a request had its machine in one phase.
+// Span is an interval during which a request had its machine in one phase.
 type Span struct {
 	Machine, ID, Phase string
-	Why                string // it began
+	Why                string // reason for its start
 	From, Until        int64  // seconds of the log
-	Open               bool   // it lasted when the record was taken
+	Open               bool   // it had not ended when the record was taken
 }
 
-// outPhase is a phase in which a machine counts as out, with its colour.
+// outPhase is a phase in which a machine counts as out of service, with its colour.
 type outPhase struct {
 	phase  string
 	colour color.Color
@@ -31,8 +31,8 @@
 
 var outPhases = []outPhase{{"emptying", colours[4]}, {"granted", colours[2]}, {"out", colours[1]}, {"returning", colours[5]}}
 
-// Spans reads a record of what the agents have settled ('molepaddle work record --json'), a line a change, up to a
-// time. A line that is none is an error that names it.
+// Spans parses a record of the agents' committed changes ('molepaddle work record --json'), one line per
+// change, up to a time. An invalid line is an error that names it.
 func Spans(record []string, now int64) ([]Span, error) {
 	var all []Span
 	open := map[string]int{} // by request
@@ -63,7 +63,8 @@
 	return all, nil
 }
 
-// MaxConcurrent is how many machines counted as out at once at the most, and when first.
+// MaxConcurrent returns the maximum number of machines that were out of service at once, and the first
+// time of it.
 func MaxConcurrent(spans []Span) (most int, at int64) {
 	for _, s := range spans {
 		here := map[string]bool{}
@@ -90,7 +91,7 @@
 {{end}}</table></body></html>
 `))
 
-// WriteOutages writes a page of who was out when, and why in that order.
+// WriteOutages writes a page of which machines were out of service when, and why, ordered by time.
 func WriteOutages(w io.Writer, spans []Span) error {
 	if len(spans) == 0 {
 		return fmt.Errorf("record: nobody was out")
--- a/internal/rig/lab/page/page.go
+++ b/internal/rig/lab/page/page.go
@@ -1,6 +1,6 @@
-// Package page makes of rows one HTML file with all its plots in it, drawn by gonum's plot as
-// SVG. It is part of a program of its own: the plotting library takes memory from its start on,
-// which an agent has no use for.
+// Package page renders rows as one HTML file with all plots embedded as SVG, drawn by gonum's plot. It is
+// used by a separate program: the plotting library allocates memory at its start that an agent does not
+// need.
 package page
 
 import (
@@ -28,11 +28,11 @@
 	SVG   template.HTML
 }
 
-// Questions tells what a scenario asks, for the page.
+// Questions returns the question that a scenario answers, for the page.
 type Questions func(scenario string) string
 
-// HTML writes one file that needs no other. bench is text of Go benchmarks that name servers and
-// open requests, for a plot of how decisions cost; it may be empty.
+// HTML writes one self-contained file. bench is the output of Go benchmarks whose names contain servers
+// and open requests, for a plot of the cost of decisions; it may be empty.
 func HTML(w io.Writer, rows []*trial.Row, bench []byte, ask Questions) error {
 	all, void := report.GroupByScenario(rows)
 	page := struct {
--- a/internal/rig/lab/page/page_test.go
+++ b/internal/rig/lab/page/page_test.go
@@ -41,8 +41,8 @@
 	return plain, swept
 }
 
-// The page is whole by itself: well-formed plots of all kinds, labelled with units, no word of
-// another place; plays that do not count are told and left out.
+// The page is self-contained: well-formed plots of all kinds, labelled with units, without external
+// references. Void plays are counted and left out.
 func TestPage(t *testing.T) {
 	plain, swept := rows(t)
 	bad := *plain[0]
@@ -87,7 +87,7 @@
 	}
 }
 
-// The table has each variant, its way from random to the oracle, and broken rules.
+// The table contains each variant, its position between random and oracle, and violated rules.
 func TestText(t *testing.T) {
 	plain, _ := rows(t)
 	plain[0].Result.Breaches++
@@ -102,7 +102,8 @@
 	}
 }
 
-// A night as the agents' record has it: spans by phase, what lasts is open, a line that is none is named.
+// A record of the agents' changes yields spans by phase; the last span of a machine stays open, and an
+// invalid line is named.
 func TestOutages(t *testing.T) {
 	record := []string{"100 r1 m1: asked -> emptying: its turn", "130 r1 m1: emptying -> granted: empty", "140 r2 m2: asked -> emptying: its turn", "150 r1 m1: granted -> out: taken under permit 1",
 		"160 r2 m2: emptying -> asked: withdrawn: b", "400 r1 m1: out -> returning: done", "500 r1 m1: returning -> done: warm", "600 r3 m3: asked -> emptying: its turn"}
--- a/internal/rig/lab/page/plots.go
+++ b/internal/rig/lab/page/plots.go
@@ -28,13 +28,13 @@
 const (
 	width  = 9.5 * vg.Inch
 	height = 3.4 * vg.Inch
-	// maxLines bounds the variants drawn in one plot, the agent's own among them.
+	// maxLines limits the variants in one plot, the agent's own among them.
 	maxLines = 8
-	// maxHeat bounds a heat map: servers beyond it are drawn in groups, as are buckets.
+	// maxHeat and maxColumns limit a heat map; with more servers or buckets, they are grouped.
 	maxHeat, maxColumns = 48, 120
 )
 
-// colours of lines: the eight of Okabe and Ito, which the colour-blind tell apart.
+// colours are the line colours: the eight of Okabe and Ito, which colour-blind readers can distinguish.
 var colours = []color.Color{
 	color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{0, 0, 0, 255}, color.RGBA{150, 150, 150, 255},
@@ -60,7 +60,7 @@
 		return figure{}, fmt.Errorf("report: %s: %w", title, err)
 	}
 	text := b.String()
-	if i := strings.Index(text, "<svg"); i > 0 { // without the prolog, which HTML has no place for
+	if i := strings.Index(text, "<svg"); i > 0 { // HTML does not allow the XML prolog
 		text = text[i:]
 	}
 	return figure{Title: title, SVG: template.HTML(text)}, nil
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// drawnGroups are the groups that are drawn.
+// drawnGroups returns the groups that are plotted.
 func drawnGroups(s *report.Scenario) []*report.Group {
 	all := report.ByName(s.Groups)
 	return all[:min(len(all), maxLines)]
 }
 
-// plots are those of a scenario: worth over time, latency, load, recovery.
+// plots returns the plots of a scenario: worth over time, latency, load, recovery.
 func plots(s *report.Scenario) (all []figure, err error) {
 	for _, draw := range []func(*report.Scenario) (figure, error){overTime, latency, busyHeatMap} {
 		f, err := draw(s)
@@ -110,7 +110,7 @@
 	return all, nil
 }
 
-// overTime is worth over time, the mean over the plays, with the timeline's events.
+// overTime plots worth over time, the mean over the plays, with the events of the timeline.
 func overTime(s *report.Scenario) (figure, error) {
 	p := newPlot("time, s", "worth (share of what was asked, over 1 s)")
 	p.Legend.Left, p.Legend.Top = true, false
@@ -118,7 +118,7 @@
 	for i, g := range drawnGroups(s) {
 		bucket := g.Rows[0].Result.BucketMs
 		per := max(int(1000/bucket), 1)
-		n := len(g.Rows[0].Result.Series) - 1 // the last one is not whole
+		n := len(g.Rows[0].Result.Series) - 1 // the last one is incomplete
 		var xy plotter.XYs
 		for j := per - 1; j < n; j++ {
 			sum := 0.0
@@ -150,7 +150,7 @@
 		v.Color, v.Dashes = color.Gray{110}, []vg.Length{vg.Points(3), vg.Points(3)}
 		p.Add(v)
 		if e.At/1000-last < (p.X.Max-p.X.Min)/14 {
-			continue // its name would lie over the one before
+			continue // its label would overlap the previous one
 		}
 		last = e.At / 1000
 		name, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: last, Y: p.Y.Min + 0.02*(1.02-p.Y.Min)}}, Labels: []string{" " + e.Kind}})
@@ -164,7 +164,7 @@
 	return renderFigure("Worth over time; the timeline's events are marked", p, height)
 }
 
-// latency is of served requests by their share, as curves of the first play.
+// latency plots the latency of served requests by quantile, of the first play.
 func latency(s *report.Scenario) (figure, error) {
 	p := newPlot("requests answered within, %", "latency of served requests, ms")
 	p.Legend.Left, p.Legend.Top = true, true
@@ -177,7 +177,7 @@
 	p.X.Tick.Marker = ticks
 	for i, g := range drawnGroups(s) {
 		var class *measure.Class
-		for k := range g.Rows[0].Result.Classes { // the one with the most worth at stake
+		for k := range g.Rows[0].Result.Classes { // the one with the highest latency
 			if c := &g.Rows[0].Result.Classes[k]; class == nil || c.Latency.P99 > class.Latency.P99 {
 				class = c
 			}
@@ -199,7 +199,7 @@
 	return renderFigure("Latency from the intended start, of the class with the longest, first play", p, height)
 }
 
-// grid is a heat map's values.
+// grid contains the values of a heat map.
 type grid struct {
 	z      [][]float64
 	bucket float64
@@ -210,7 +210,7 @@
 func (g grid) X(c int) float64    { return (float64(c) + 0.5) * g.bucket }
 func (g grid) Y(r int) float64    { return float64(r) }
 
-// busyHeatMap is how busy each server was, in the first play of the first variant.
+// busyHeatMap plots the share of busy slots of each server, in the first play of the first variant.
 func busyHeatMap(s *report.Scenario) (figure, error) {
 	g := report.ByName(s.Groups)[0]
 	r := g.Rows[0].Result
@@ -256,7 +256,7 @@
 	return renderFigure("How busy each server's slots were ("+g.Name+", first play): white 0, dark 1", p, vg.Points(70+13*float64(len(h.z))))
 }
 
-// shades go from white to dark blue.
+// shades returns a palette from white to dark blue.
 func shades() palette.Palette {
 	m, err := moreland.NewLuminance([]color.Color{color.RGBA{0, 32, 96, 255}, color.RGBA{64, 140, 200, 255}, color.White})
 	if err != nil {
@@ -273,7 +273,7 @@
 
 func (l colourList) Colors() []color.Color { return l }
 
-// recovery is how long the events were felt, the mean over the plays, a bar a variant.
+// recovery plots the recovery time of the events, the mean over the plays, one bar per variant.
 func recovery(s *report.Scenario) (f figure, ok bool, err error) {
 	groups := drawnGroups(s)
 	events := groups[0].Rows[0].Result.Recovered
@@ -296,7 +296,7 @@
 				}
 				e := r.Result.Recovered[j]
 				x := e.After
-				if x < 0 { // until the end
+				if x < 0 { // not recovered until the end
 					x = float64(len(r.Result.Series))*r.Result.BucketMs - e.At
 				}
 				values[j] += x / 1000 / float64(len(g.Rows))
@@ -316,8 +316,8 @@
 	return f, err == nil, err
 }
 
-// sweeps draws worth and the 99th percentile over the first knob that varies, a line for each
-// chooser and setting of the others.
+// sweeps plots worth and the 99th percentile over the knob with the most values, a line for each chooser
+// and setting of the others.
 func sweeps(s *report.Scenario) (all []figure, err error) {
 	knobs := map[string]map[float64]bool{}
 	for _, g := range s.Groups {
@@ -411,8 +411,8 @@
 
 var benchLine = regexp.MustCompile(`(?m)^Benchmark\S*servers=(\d+)/open=(\d+)\S*\s+\d+\s+([0-9.]+) ns/op`)
 
-// cost draws what `go test -bench` said of decisions: time over servers, a line for each number
-// of open requests.
+// cost plots the output of `go test -bench` for decisions: time over servers, a line for each number of
+// open requests.
 func cost(text []byte) (*figure, error) {
 	lines := map[int]plotter.XYs{}
 	for _, m := range benchLine.FindAllSubmatch(text, -1) {
