--- a/internal/rig/lab/choose/choose.go
+++ b/internal/rig/lab/choose/choose.go
@@ -72,7 +72,7 @@
 		p.chooser, p.outlier = leastWeighted{p.rng}, true
 	case "oracle":
 		if truth == nil {
-			return nil, fmt.Errorf("the oracle needs to see the servers")
+			return nil, fmt.Errorf("chooser oracle needs the true state of the servers")
 		}
 		p.chooser = &oracle{truth: truth, set: &p.set}
 	default:
--- a/internal/rig/lab/choose/choose_test.go
+++ b/internal/rig/lab/choose/choose_test.go
@@ -89,7 +89,7 @@
 		// Unsafe: retried only if it never ran.
 		w.request(2)
 		if a := w.finish(w.id, policy.Full, 1); a.Kind != policy.ActSend {
-			t.Errorf("%s: turned away: %+v", name, a)
+			t.Errorf("%s: rejected: %+v", name, a)
 		}
 		if a := w.finish(w.id, policy.Error, 1); a.Kind != policy.ActFail {
 			t.Errorf("%s: an order that may have run: %+v", name, a)
@@ -134,7 +134,7 @@
 	w.finish(w.id, policy.OK, 900)
 	for range 20 {
 		if a := w.request(0); a.Server == slow && w.id > 3 {
-			t.Errorf("peak EWMA went to the slow one at request %d", w.id)
+			t.Errorf("peak EWMA picked the slow server at request %d", w.id)
 		}
 		w.finish(w.id, policy.OK, 10)
 	}
@@ -164,11 +164,11 @@
 	}
 	fail(0)
 	if out := seen(); out[addr(0)] != 0 {
-		t.Errorf("ousted, and sent to: %v", out)
+		t.Errorf("ejected, but gets requests: %v", out)
 	}
 	fail(1)
 	if out := seen(); out[addr(1)] == 0 {
-		t.Errorf("two of four were ousted: %v", out)
+		t.Errorf("two of four were ejected: %v", out)
 	}
 	w.now += 30000
 	if out := seen(); out[addr(0)] == 0 {
@@ -180,6 +180,6 @@
 		t.Errorf("back after 31 s the second time: %v", out)
 	}
 	if _, err := New("best", settings.Settings{}, 1, nil); err == nil {
-		t.Error("a chooser that is none")
+		t.Error("an unknown chooser was accepted")
 	}
 }
--- a/internal/rig/lab/live/agents.go
+++ b/internal/rig/lab/live/agents.go
@@ -188,7 +188,7 @@
 		case <-a.exited:
 			return fmt.Errorf("ended before it was ready: %q", a.output.lastLine())
 		case <-ctx.Done():
-			return fmt.Errorf("not ready after %v, said %q: %w", within, said, context.Cause(ctx))
+			return fmt.Errorf("not ready after %v, last answer %q: %w", within, said, context.Cause(ctx))
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -163,7 +163,7 @@
 		o.ready = 15 * time.Second
 	}
 	if o.Binary != "" && o.Chooser != "molepaddle" {
-		return nil, fmt.Errorf("live: %s plays in this process only, not in %s", o.Chooser, o.Binary)
+		return nil, fmt.Errorf("live: chooser %s runs in this process only, not in %s", o.Chooser, o.Binary)
 	}
 	w := &world{s: s, o: o, plan: law.Plan(s, o.Seed), paths: law.NewPaths(s), zones: law.Zones(s), rng: law.Source(o.Seed, "network"),
 		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, requests: map[string]*clientRequest{}, agentByConn: map[string]string{}, timers: map[*time.Timer]bool{},
@@ -211,13 +211,13 @@
 	}
 	switch {
 	case s.Agents() > MaxAgents:
-		return fmt.Errorf("live: at most %d agents, are %d: play the model", MaxAgents, s.Agents())
+		return fmt.Errorf("live: at most %d agents, got %d: use the model", MaxAgents, s.Agents())
 	case s.Count() > MaxServers:
-		return fmt.Errorf("live: at most %d servers, are %d: play the model", MaxServers, s.Count())
+		return fmt.Errorf("live: at most %d servers, got %d: use the model", MaxServers, s.Count())
 	case rate > MaxRate:
-		return fmt.Errorf("live: at most %v requests a second, are %.0f: play the model", MaxRate, rate)
+		return fmt.Errorf("live: at most %v requests per second, got %.0f: use the model", MaxRate, rate)
 	case time.Duration(s.Length) > MaxLength:
-		return fmt.Errorf("live: at most %v, is %v: play the model", MaxLength, time.Duration(s.Length))
+		return fmt.Errorf("live: a length of at most %v, got %v: use the model", MaxLength, time.Duration(s.Length))
 	}
 	return nil
 }
--- a/internal/rig/lab/live/live_test.go
+++ b/internal/rig/lab/live/live_test.go
@@ -204,10 +204,10 @@
 		t.Errorf("garbage: %+v, %v", r, err)
 	}
 	if _, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Chooser: "random", Binary: self}); err == nil {
-		t.Error("a chooser was put into a process")
+		t.Error("a chooser was accepted for a process")
 	}
 	if _, err := Play(t.Context(), smallScenario(t, "20.0", ""), Options{Binary: "/nowhere"}); err == nil {
-		t.Error("a binary that is not there was played")
+		t.Error("a missing binary was accepted")
 	}
 }
 
@@ -248,7 +248,7 @@
 		t.Errorf("said %q", got)
 	}
 	if _, err := Play(t.Context(), smallScenario(t, "9000.0", ""), Options{}); err == nil {
-		t.Error("more was begun than one machine plays")
+		t.Error("a rate above the limit was accepted")
 	}
 }
 
@@ -288,7 +288,7 @@
 		ended <- over()
 	}})
 	if err != nil || !<-ended {
-		t.Errorf("it is out for good, %v", err)
+		t.Errorf("the attempt does not end: %v", err)
 	}
 }
 
--- a/internal/rig/lab/model/network_test.go
+++ b/internal/rig/lab/model/network_test.go
@@ -98,7 +98,7 @@
 func TestVanishedAndCrashedServers(t *testing.T) {
 	got, _ := playObserved(t, "count = 1\nslots = 8", "rate = 100.0", eventTOML("vanish", "share = 1.0\nfor = \"1s\""))
 	if n, others := got.count(2003, 2590, policy.Timeout, policy.ConnectFailed, policy.Cancelled); n == 0 || others != 0 {
-		t.Errorf("silent: %d timed out or had no connection, %d else", n, others)
+		t.Errorf("vanished: %d timed out or had no connection, %d other", n, others)
 	}
 	got, _ = playObserved(t, "count = 1\nslots = 8", "rate = 100.0", eventTOML("crash", "share = 1.0\nfor = \"1s\""))
 	if n, _ := got.count(2000, 2010, policy.Reset); n == 0 {
--- a/internal/rig/lab/page/outages.go
+++ b/internal/rig/lab/page/outages.go
@@ -39,11 +39,11 @@
 	for i, line := range record {
 		words := strings.SplitN(line, " ", 7)
 		if len(words) < 6 || words[4] != "->" {
-			return nil, fmt.Errorf("record: line %d: no change: %q", i+1, line)
+			return nil, fmt.Errorf("record: line %d: not a change: %q", i+1, line)
 		}
 		at, err := strconv.ParseInt(words[0], 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("record: line %d: no time: %q", i+1, words[0])
+			return nil, fmt.Errorf("record: line %d: not a time: %q", i+1, words[0])
 		}
 		id, machine, phase := words[1], strings.TrimSuffix(words[2], ":"), strings.TrimSuffix(words[5], ":")
 		if was, is := open[id]; is {
@@ -94,7 +94,7 @@
 // WriteOutages writes a page of which machines were out of service when, and why, ordered by time.
 func WriteOutages(w io.Writer, spans []Span) error {
 	if len(spans) == 0 {
-		return fmt.Errorf("record: nobody was out")
+		return fmt.Errorf("record: no machine was out of service")
 	}
 	var machines []string
 	first, last := spans[0].From, spans[0].Until
--- a/internal/rig/lab/page/page_test.go
+++ b/internal/rig/lab/page/page_test.go
@@ -64,11 +64,11 @@
 		text := b.String()
 		for _, w := range c.want {
 			if !strings.Contains(text, w) {
-				t.Errorf("the page says nothing of %q", w)
+				t.Errorf("the page lacks %q", w)
 			}
 		}
 		if strings.Contains(text, "src=") || strings.Contains(text, "href=\"http") {
-			t.Error("the page needs other places")
+			t.Error("the page has external references")
 		}
 		for _, part := range strings.Split(text, "<svg")[1:] {
 			svg := "<svg" + part[:strings.Index(part, "</svg>")+6]
@@ -78,12 +78,12 @@
 				_, err = d.Token()
 			}
 			if !errors.Is(err, io.EOF) {
-				t.Errorf("a plot that is no SVG: %v", err)
+				t.Errorf("invalid SVG: %v", err)
 			}
 		}
 	}
 	if err := HTML(io.Discard, plain, []byte("nothing"), func(string) string { return "" }); err == nil {
-		t.Error("benchmarks that say nothing are taken")
+		t.Error("output without benchmarks is accepted")
 	}
 }
 
@@ -97,7 +97,7 @@
 	}
 	for _, w := range []string{"chooser=random", "chooser=oracle", "way", "fail at 2 s"} {
 		if !strings.Contains(b.String(), w) {
-			t.Errorf("the table says nothing of %q:\n%s", w, &b)
+			t.Errorf("the table lacks %q:\n%s", w, &b)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		t.Errorf("%v: %.300s", err, b.String())
 	}
 	if WriteOutages(&b, nil) == nil {
-		t.Error("a page of nothing")
+		t.Error("an empty record is accepted")
 	}
 	for _, line := range []string{"x", "x r1 m1: asked -> emptying: w"} {
 		if _, err := Spans([]string{line}, 0); err == nil || !strings.Contains(err.Error(), "line 1") {
--- a/internal/rig/lab/station/station_test.go
+++ b/internal/rig/lab/station/station_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("left %v, worked %v", left, s.Worked)
 	}
 	if s.Arrive(11, c) != Started || len(s.Kill(12)) != 1 || s.Jobs() != 0 || s.End(26, c) != nil || s.Arrive(27, a) != Full {
-		t.Error("a process that has ended works on")
+		t.Error("a killed process still works")
 	}
 }
 
@@ -42,10 +42,10 @@
 	s.Arrive(0, c)
 	s.Cancel(1, b)
 	if s.Cancel(1, a); !a.Serving() {
-		t.Error("work was cut that runs on")
+		t.Error("a job that runs to its end was cut off")
 	}
 	if s.End(10, a) != c {
-		t.Error("the one that left was begun")
+		t.Error("a cancelled job was started")
 	}
 }
 
@@ -59,7 +59,7 @@
 		return s
 	}
 	if s := New(&scenario.Server{Slots: 1, Speed: 1}, &rules, 1, 100); s.Rate(100) != 0.25 || math.Abs(s.Rate(4100)-0.625) > 1e-9 || s.Rate(8100) != 1 {
-		t.Error("it warms up otherwise")
+		t.Error("wrong slow start")
 	}
 	if s := at(5.5); s.Collapsed() || s.Peak > 2 { // 1.8 times its capacity at the start
 		t.Errorf("fell at 1.8 times what it bears, peak %v", s.Peak)
@@ -86,10 +86,10 @@
 	serve(1500, 2)
 	serve(1600, 3)
 	if s.HasKey(1700, 1) || !s.HasKey(1700, 3) {
-		t.Error("the oldest key stays")
+		t.Error("the oldest key was not evicted")
 	}
 	if _, ok := s.Load(1750, 0); ok {
-		t.Error("a report is told before its age")
+		t.Error("a report was returned before its delay")
 	}
 	s.Load(1850, 0)
 	if r, ok := s.Load(2000, 0); !ok || r.Util <= 0 || r.Util > 1 || r.At > 1800 {
@@ -98,7 +98,7 @@
 	s.Add(Fault{Slow: 4, Until: 3000})
 	s.Add(Fault{Fail: 1, Until: 2500})
 	if s.Arrive(2100, &Job{Work: 1}) != Failed || s.ErrorRate(2600) != 0 || s.Rate(2600) != 0.25 || s.Rate(3000) != 1 {
-		t.Error("faults last otherwise")
+		t.Error("wrong effect or duration of faults")
 	}
 }
 
--- a/internal/rig/lab/trial/compare.go
+++ b/internal/rig/lab/trial/compare.go
@@ -90,10 +90,10 @@
 	}
 	m, ok := Metrics[o.Metric]
 	if !ok {
-		return nil, fmt.Errorf("%q is no metric; there are %s", o.Metric, strings.Join(slices.Sorted(maps.Keys(Metrics)), ", "))
+		return nil, fmt.Errorf("unknown metric %q; want one of %s", o.Metric, strings.Join(slices.Sorted(maps.Keys(Metrics)), ", "))
 	}
 	if o.MinPairs < 2 || o.MaxPairs < o.MinPairs || !(o.HalfWidth >= 0) || o.MaxPairs > maxPlays/2 {
-		return nil, fmt.Errorf("want 2 or more pairs at the least, as many or more at the most (%d), and an interval of 0 or more", maxPlays/2)
+		return nil, fmt.Errorf("the minimum of pairs must be 2 or more, the maximum between the minimum and %d, and the interval 0 or more", maxPlays/2)
 	}
 	v := &Verdict{Metric: o.Metric}
 	var as, bs []float64
--- a/internal/rig/lab/trial/row.go
+++ b/internal/rig/lab/trial/row.go
@@ -75,7 +75,7 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
-		return nil, fmt.Errorf("%s: another program writes it: %w", path, err)
+		return nil, fmt.Errorf("%s: locked by another program: %w", path, err)
 	}
 	whole, err := read(f, path, func(r *Row) { s.rows[r.key()] = r })
 	if err == nil {
@@ -104,7 +104,7 @@
 		for {
 			part, err := in.ReadSlice('\n')
 			if line = append(line, part...); len(line) > maxRow {
-				return whole, fmt.Errorf("%s:%d: a row of more than %d MB", name, n, maxRow>>20)
+				return whole, fmt.Errorf("%s:%d: row exceeds %d MB", name, n, maxRow>>20)
 			}
 			if err == nil {
 				break
@@ -131,22 +131,22 @@
 		V *int `json:"v"`
 	}
 	if err := json.Unmarshal(line, &v); err != nil {
-		return nil, fmt.Errorf("no row: %w", err)
+		return nil, fmt.Errorf("invalid row: %w", err)
 	}
 	if v.V == nil {
 		return nil, errors.New("v: not set")
 	}
 	if *v.V != Version {
-		return nil, fmt.Errorf("v: is %d, this program reads %d", *v.V, Version)
+		return nil, fmt.Errorf("v: is %d, this program supports %d", *v.V, Version)
 	}
 	r := &Row{}
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(r); err != nil {
-		return nil, fmt.Errorf("no row: %w", err)
+		return nil, fmt.Errorf("invalid row: %w", err)
 	}
 	if r.Result == nil || r.Scenario == "" {
-		return nil, errors.New("a row without scenario or result")
+		return nil, errors.New("row without scenario or result")
 	}
 	return r, nil
 }
--- a/internal/rig/lab/trial/sweep.go
+++ b/internal/rig/lab/trial/sweep.go
@@ -31,7 +31,7 @@
 		return Axis{}, fmt.Errorf("axis %q: want values such as load=1,2,3 or load=0.3:3:0.3 or servers=3:300:x10: %s", text, why)
 	}
 	if !ok {
-		return bad("there is no =")
+		return bad("missing '='")
 	}
 	if scenario.Knobs[knob] == "" {
 		return bad(fmt.Sprintf("%q is no knob", knob))
@@ -46,23 +46,23 @@
 		for s := range strings.SplitSeq(values, ",") {
 			x, ok := number(s)
 			if !ok {
-				return bad(fmt.Sprintf("%q is no number", s))
+				return bad(fmt.Sprintf("%q is not a number", s))
 			}
 			if slices.Contains(a.Values, x) {
-				return bad(fmt.Sprintf("%v stands there twice", x))
+				return bad(fmt.Sprintf("%v is given twice", x))
 			}
 			a.Values = append(a.Values, x)
 		}
 	} else {
 		if len(parts) != 3 {
-			return bad("a range has three parts")
+			return bad("a range needs three parts")
 		}
 		step, times := strings.CutPrefix(parts[2], "x")
 		from, ok1 := number(parts[0])
 		to, ok2 := number(parts[1])
 		by, ok3 := number(step)
 		if !ok1 || !ok2 || !ok3 || to < from || times && (by <= 1 || from <= 0) || !times && by <= 0 {
-			return bad("a range goes up")
+			return bad("a range must ascend with a positive step")
 		}
 		for i := range maxValues + 1 {
 			x := from + float64(i)*by
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(a.Values) > maxValues {
-		return bad(fmt.Sprintf("more than %d", maxValues))
+		return bad(fmt.Sprintf("more than %d values", maxValues))
 	}
 	return a, nil
 }
@@ -96,7 +96,7 @@
 	places := []map[string]float64{{}}
 	for i, a := range axes {
 		if slices.ContainsFunc(axes[:i], func(o Axis) bool { return o.Knob == a.Knob }) {
-			return nil, fmt.Errorf("axis %s stands there twice", a.Knob)
+			return nil, fmt.Errorf("axis %s is given twice", a.Knob)
 		}
 		var more []map[string]float64
 		for _, p := range places {
@@ -109,7 +109,7 @@
 			}
 		}
 		if places = more; len(places)*len(choosers)*seeds > maxPlays {
-			return nil, fmt.Errorf("a sweep of more than %d plays", maxPlays)
+			return nil, fmt.Errorf("sweep exceeds the limit of %d plays", maxPlays)
 		}
 	}
 	var points []Point
--- a/internal/rig/lab/trial/trial.go
+++ b/internal/rig/lab/trial/trial.go
@@ -41,7 +41,7 @@
 	ctx context.Context, scenes []*scenario.Scenario, vs []Variant, seeds int, from uint64,
 ) ([]*Row, error) {
 	if n := len(scenes) * len(vs) * seeds; seeds < 1 || n > maxPlays {
-		return nil, fmt.Errorf("%d plays are wanted; from 1 to %d are played", n, maxPlays)
+		return nil, fmt.Errorf("%d plays requested, want 1 to %d", n, maxPlays)
 	}
 	var jobs []*job
 	for _, s := range scenes {
--- a/internal/rig/lab/trial/trial_test.go
+++ b/internal/rig/lab/trial/trial_test.go
@@ -98,10 +98,10 @@
 	for text, want := range map[string]string{
 		"{\"v\":2}\n":                    "rows.jsonl:1: v: is 2",
 		"{}\n":                           "v: not set",
-		"words\n":                        "no row",
+		"words\n":                        "invalid row",
 		"{\"v\":1,\"scenario\":\"x\"}\n": "without scenario or result",
 		"{\"v\":1,\"scenario\":\"x\",\"other\":1}\n":        "unknown field",
-		"{\"v\":1,\"scenario\":\"x\",\"result\":{}}\n\n":    ":2: no row",
+		"{\"v\":1,\"scenario\":\"x\",\"result\":{}}\n\n":    ":2: invalid row",
 		"{\"v\":1,\"result\":{}}\n{\"v\":1,\"scenario\":\"": "without scenario",
 	} {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -131,7 +131,7 @@
 	f.Add([]byte(`{"v":1,"scenario":"demo","set":{"load":1e309},"result":null}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if r, err := parse(line); err == nil && (r.Result == nil || r.V != Version) {
-			t.Error("a row that is none")
+			t.Error("an invalid row was accepted")
 		}
 	})
 }
@@ -220,7 +220,7 @@
 		}
 	}
 	if _, err := l.Play(t.Context(), []*scenario.Scenario{s}, []Variant{{Name: "default"}}, maxPlays+1, 1); err == nil {
-		t.Error("plays without bound")
+		t.Error("more plays than the limit are accepted")
 	}
 }
 
@@ -263,11 +263,11 @@
 		}
 	}
 	if wrong > 2 {
-		t.Errorf("%d of 20 null comparisons say a difference", wrong)
+		t.Errorf("%d of 20 null comparisons find a difference", wrong)
 	}
 	for _, o := range []CompareOptions{{MinPairs: 1, MaxPairs: 2}, {MinPairs: 3, MaxPairs: 2}, {MinPairs: 2, MaxPairs: 3, Metric: "beauty"}, {MinPairs: 2, MaxPairs: 3, HalfWidth: math.NaN()}, {MinPairs: 2, MaxPairs: maxPlays}} {
 		if _, err := l.Compare(t.Context(), s, Variant{}, Variant{}, o); err == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("%+v is accepted", o)
 		}
 	}
 }
@@ -361,7 +361,7 @@
 	}
 	for _, bad := range [][]Axis{{axes[0], axes[0]}, {{"load", []float64{-1}}}, {{"load", make([]float64, 1000)}, {"agents", make([]float64, 1000)}}} {
 		if _, err := l.Sweep(t.Context(), loadScenario(t, "calm", 10), []string{"random"}, bad, 1, 1); err == nil {
-			t.Errorf("%v is swept", bad[0].Knob)
+			t.Errorf("%v is accepted", bad[0].Knob)
 		}
 	}
 }
@@ -383,7 +383,7 @@
 		}
 	}
 	if _, ok := Knee([]float64{1, 1, 1}, []float64{3, 2, 1}); ok {
-		t.Error("a knee of one place")
+		t.Error("a knee for one x only")
 	}
 }
 
--- a/internal/rig/lab/trial/variant.go
+++ b/internal/rig/lab/trial/variant.go
@@ -45,10 +45,10 @@
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(part, "=")
 		if !ok || value == "" {
-			return v, fmt.Errorf("variant %q: %q is no chooser, nor NAME=VALUE", text, part)
+			return v, fmt.Errorf("variant %q: %q is no chooser and not NAME=VALUE", text, part)
 		}
 		if seen[name] {
-			return v, fmt.Errorf("variant %q: %s stands there twice", text, name)
+			return v, fmt.Errorf("variant %q: %s is given twice", text, name)
 		}
 		seen[name] = true
 		switch name {
@@ -68,7 +68,7 @@
 			}
 			x, err := strconv.ParseFloat(value, 64)
 			if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-				return v, fmt.Errorf("variant %q: %s: %q is no number", text, name, value)
+				return v, fmt.Errorf("variant %q: %s: %q is not a number", text, name, value)
 			}
 			if v.Set == nil {
 				v.Set = map[string]float64{}
@@ -119,10 +119,10 @@
 	if l.Live {
 		mode = "live"
 	} else if v.Binary != "" {
-		return nil, fmt.Errorf("variant %s: a program plays live only", v.Name)
+		return nil, fmt.Errorf("variant %s: bin needs a live play", v.Name)
 	}
 	if v.Binary != "" && j.s.Agent.Chooser != "molepaddle" {
-		return nil, fmt.Errorf("variant %s: %s plays in this process only", v.Name, j.s.Agent.Chooser)
+		return nil, fmt.Errorf("variant %s: chooser %s cannot be combined with bin", v.Name, j.s.Agent.Chooser)
 	}
 	hash := j.s.Hash()
 	if j.v.Operator != "" {
