--- a/internal/rig/lab/live/live.go
+++ b/internal/rig/lab/live/live.go
@@ -1,16 +1,16 @@
-// Package live plays a scenario over loopback sockets: real agents, as processes of any build or
-// in this process with any chooser, stand-ins that behave as the scenario says, and an open-loop
-// generator that holds to arrival times fixed ahead. Servers, requests, timeline and recorder are
+// Package live plays a scenario over loopback sockets: real agents, as processes of any build or in this
+// process with any chooser; fake servers that behave as the scenario says; and an open-loop load
+// generator with arrival times that are fixed in advance. Servers, requests, timeline and recorder are
 // those of the model.
 //
-// One lock guards the stations, the recorder and all that the timeline changes. Each stand-in
-// server is a net/http server with a goroutine for each connection; a request of the generator
-// is a goroutine; the generator itself is Play's.
+// One lock guards the stations, the recorder and everything that the timeline changes. Each fake server
+// is a net/http server with a goroutine per connection, each request of the generator is a goroutine,
+// and the generator runs in Play's goroutine.
 //
-// What the network does is played by the stand-ins: a request and its answer wait there for as
-// long as they would be under way, and the first request on a connection for a connect. A
-// machine that says nothing accepts connections all the same where agents are processes, as the
-// kernel does that for it; in-process agents' connects to it hang.
+// The fake servers simulate the network: a request and its answer wait there for their network delay,
+// and the first request on a connection also for the connect. A silent machine still accepts connections
+// from agents that are processes, as its kernel completes them; connects of in-process agents to it
+// hang.
 package live
 
 import (
@@ -43,106 +43,106 @@
 	"molepaddle/policy"
 )
 
-// Bounds of what is played on one machine.
+// Limits of what can be played on one machine.
 const (
 	MaxAgents  = 64
 	MaxServers = 256
 	MaxRate    = 5000.0 // requests a second
 	MaxLength  = 30 * time.Minute
-	// slack is how long after its time is up an answer still counts: it was under way.
+	// slack is how long after its deadline an answer still counts, in ms: it was on its way.
 	slack = 50.0
-	// lateAllowed is how late the generator, or a stand-in, may be at the 99th percentile, as a part
-	// of the least aim; a run in which they were later does not count.
-	lateAllowed = 0.02
-	lateLeast   = 2.0 // ms, however short the aim
+	// lateAllowed is the maximum delay of the generator or a fake server at the 99th percentile, as a
+	// fraction of the lowest latency target; a play with a higher delay does not count.
+	lateAllowed    = 0.02
+	minLateAllowed = 2.0 // ms, lower bound of the allowed delay
 )
 
-// Options is what a play may be told.
+// Options configures a play.
 type Options struct {
-	Chooser  string // empty: the scenario's; of in-process agents only
+	Chooser  string // empty: that of the scenario; any other than molepaddle for in-process agents only
 	Seed     uint64
-	Binary   string // the agents' program; empty: agents in this process
+	Binary   string // path of the agents' program; empty: agents in this process
 	Operator string // path of the operator's file; empty: none
 	Tick     func(part float64)
 
-	begun func(*world) // of tests: the generator is about to begin
-	ready time.Duration
+	beforeStart func(*world) // for tests: called before the generator starts
+	ready       time.Duration
 }
 
 type server struct {
-	num      int
-	name     string
-	kind     int
-	zone     int
-	dial     string
-	st       *station.Station
-	http     *http.Server
-	conns    map[net.Conn]bool
-	up       bool
-	silent   bool
-	health   cluster.Health
-	removed  bool
-	hush     chan struct{} // closed when its process ends or its machine is back
-	most     int
-	connects int
-	coming   int
-	out      []*out
-	late     float64
-	told     float64 // since when the roster tells that it wants nothing new; -1: it does
-	busy     []float64
-	worked   float64
-	peak     float64
-	fell     bool
+	num           int
+	name          string
+	kind          int
+	zone          int
+	dial          string
+	st            *station.Station
+	http          *http.Server
+	conns         map[net.Conn]bool
+	up            bool
+	silent        bool
+	health        cluster.Health
+	removed       bool
+	processEnded  chan struct{} // closed when its process ends or its machine restarts
+	maxConns      int
+	connects      int
+	inTransit     int
+	attempts      []*attempt
+	reportDelay   float64
+	notReadySince float64 // time from which the roster lists it as not ready; -1: ready
+	busy          []float64
+	pastWork      float64
+	peak          float64
+	fell          bool
 }
 
-// try is one sending of a request.
-type try struct {
-	measure.Try
-	agent  int
-	number int
-	out    []*out
+// clientRequest is one request that a client sends to its agent; a client retry is another one.
+type clientRequest struct {
+	measure.Request
+	agent    int
+	number   int
+	attempts []*attempt
 }
 
-// out is an attempt of a try at a server.
-type out struct {
-	v    *server
-	over bool // its answer has gone, its client has closed, or its server has died
+// attempt is an attempt of a request at a server.
+type attempt struct {
+	v        *server
+	finished bool // answered, closed by its client, or its server was stopped
 }
 
 type world struct {
-	s      *scenario.Scenario
-	o      Options
-	plan   []law.Ask
-	paths  *law.Paths
-	zones  []int
-	start  time.Time
-	roster *standin.Roster
-	oper   *operator.Settings
-	ctx    context.Context
-	dir    string
-	wg     sync.WaitGroup
-	turns  []sync.Mutex // by agent: of its restarts
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers []*server
-	byAddr  map[cluster.Addr]*server
-	byDial  map[string]*server
-	agents  []*agentRun
-	starts  []int             // by agent
-	kills   []int             // by agent: how often it was killed
-	lives   []string          // what became of agents, a line each, the oldest first
-	dialled map[string]string // which agent in this process has which end of a connection
-	tries   map[string]*try
-	stalls  []stall
-	down    float64 // until then the roster answers nothing
-	rec     *measure.Recorder
-	timers  map[*time.Timer]bool
-	ended   bool
-	late    *hdrhistogram.Histogram // of the generator, us
-	slow    *hdrhistogram.Histogram // of the stand-ins' timers, us
-	means   float64
-	asked   int
+	s            *scenario.Scenario
+	o            Options
+	plan         []law.Request
+	paths        *law.Paths
+	zones        []int
+	start        time.Time
+	roster       *standin.Roster
+	oper         *operator.Settings
+	ctx          context.Context
+	dir          string
+	wg           sync.WaitGroup
+	restartLocks []sync.Mutex // by agent, serializes its restarts
+
+	mu              sync.Mutex
+	rng             *rand.Rand
+	servers         []*server
+	byAddr          map[cluster.Addr]*server
+	byDial          map[string]*server
+	agents          []*agentRun
+	starts          []int             // by agent
+	kills           []int             // by agent: number of kills
+	agentHistory    []string          // starts and ends of agents, a line each, oldest first
+	agentByConn     map[string]string // in-process agent by the local address of its connection
+	requests        map[string]*clientRequest
+	stalls          []stall
+	rosterDownUntil float64 // until then the roster does not answer
+	rec             *measure.Recorder
+	timers          map[*time.Timer]bool
+	ended           bool
+	generatorDelay  *hdrhistogram.Histogram // delays of the generator, us
+	timerDelay      *hdrhistogram.Histogram // delays of the fake servers' timers, us
+	meanWork        float64
+	asked           int
 }
 
 type stall struct {
@@ -150,8 +150,8 @@
 	until float64
 }
 
-// Play plays a scenario until its end or the context's: then what came of it so far is told
-// with the context's error. Nothing is left running.
+// Play plays a scenario until its end or until ctx ends; then it returns the results so far with ctx's
+// error. It leaves nothing running.
 func Play(ctx context.Context, s *scenario.Scenario, o Options) (*measure.Result, error) {
 	if err := check(s); err != nil {
 		return nil, err
@@ -163,11 +163,11 @@
 		o.ready = 15 * time.Second
 	}
 	if o.Binary != "" && o.Chooser != "molepaddle" {
-		return nil, fmt.Errorf("live: %s plays in this process only, not in %s", o.Chooser, o.Binary)
+		return nil, fmt.Errorf("live: chooser %s runs in this process only, not in %s", o.Chooser, o.Binary)
 	}
 	w := &world{s: s, o: o, plan: law.Plan(s, o.Seed), paths: law.NewPaths(s), zones: law.Zones(s), rng: law.Source(o.Seed, "network"),
-		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, tries: map[string]*try{}, dialled: map[string]string{}, timers: map[*time.Timer]bool{},
-		late: hdrhistogram.New(1, 60e6, 3), slow: hdrhistogram.New(1, 60e6, 3), means: s.MeanWork(), oper: operator.Default()}
+		byAddr: map[cluster.Addr]*server{}, byDial: map[string]*server{}, requests: map[string]*clientRequest{}, agentByConn: map[string]string{}, timers: map[*time.Timer]bool{},
+		generatorDelay: hdrhistogram.New(1, 60e6, 3), timerDelay: hdrhistogram.New(1, 60e6, 3), meanWork: s.MeanWork(), oper: operator.Default()}
 	w.rec = measure.New(s, w.plan)
 	if o.Operator != "" {
 		var err error
@@ -191,12 +191,12 @@
 	if err := w.startAgents(); err != nil {
 		return nil, err
 	}
-	w.start = time.Now() // ramps of servers that start cold begin now
+	w.start = time.Now() // the slow start of cold servers begins now
 	begun := w.cpu()
-	if o.begun != nil {
-		o.begun(w)
+	if o.beforeStart != nil {
+		o.beforeStart(w)
 	}
-	w.begin()
+	w.startTimeline()
 	err = w.generate(ctx)
 	w.wait(ctx)
 	return w.result(begun), err
@@ -211,21 +211,21 @@
 	}
 	switch {
 	case s.Agents() > MaxAgents:
-		return fmt.Errorf("live: at most %d agents, are %d: play the model", MaxAgents, s.Agents())
+		return fmt.Errorf("live: at most %d agents, got %d: use the model", MaxAgents, s.Agents())
 	case s.Count() > MaxServers:
-		return fmt.Errorf("live: at most %d servers, are %d: play the model", MaxServers, s.Count())
+		return fmt.Errorf("live: at most %d servers, got %d: use the model", MaxServers, s.Count())
 	case rate > MaxRate:
-		return fmt.Errorf("live: at most %v requests a second, are %.0f: play the model", MaxRate, rate)
+		return fmt.Errorf("live: at most %v requests per second, got %.0f: use the model", MaxRate, rate)
 	case time.Duration(s.Length) > MaxLength:
-		return fmt.Errorf("live: at most %v, is %v: play the model", MaxLength, time.Duration(s.Length))
+		return fmt.Errorf("live: a length of at most %v, got %v: use the model", MaxLength, time.Duration(s.Length))
 	}
 	return nil
 }
 
-// now is the time since the start, in ms.
+// now returns the time since the start, in ms.
 func (w *world) now() float64 { return float64(time.Since(w.start)) / float64(time.Millisecond) }
 
-// after does something later, under the lock, unless the play has ended.
+// after calls do later, under the lock, unless the play has ended.
 func (w *world) after(wait float64, do func()) {
 	var t *time.Timer
 	t = time.AfterFunc(law.Ms(max(wait, 0)), func() {
@@ -257,18 +257,18 @@
 			if err != nil {
 				return err
 			}
-			w.roster.Set(w.host(v))
+			w.roster.Set(w.rosterEntry(v))
 		}
 	}
 	return nil
 }
 
-// begin sets the timeline going.
-func (w *world) begin() {
+// startTimeline schedules the events of the timeline.
+func (w *world) startTimeline() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.s.Events {
-		w.after(w.s.Events[i].At.Ms(), func() { timeline.Run(host{w}, w.s, i, w.o.Seed) })
+		w.after(w.s.Events[i].At.Ms(), func() { timeline.Run(timelineHost{w}, w.s, i, w.o.Seed) })
 	}
 	w.after(w.rec.Bucket(), w.sample)
 }
@@ -284,7 +284,7 @@
 	}
 }
 
-// generate asks what the plan says, at the times that it says, whatever becomes of it.
+// generate sends the planned requests at their times, independent of the outcome of earlier ones.
 func (w *world) generate(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -302,11 +302,11 @@
 		}
 		late := time.Since(due)
 		w.mu.Lock()
-		_ = w.late.RecordValue(min(max(late.Microseconds(), 1), 60e6))
+		_ = w.generatorDelay.RecordValue(min(max(late.Microseconds(), 1), 60e6))
 		w.asked = i + 1
 		w.mu.Unlock()
 		w.wg.Add(1)
-		go w.ask(ctx, i, 0)
+		go w.sendRequest(ctx, i, 0)
 		if w.o.Tick != nil && i%64 == 0 {
 			w.o.Tick(w.plan[i].At / w.s.Length.Ms())
 		}
@@ -314,34 +314,34 @@
 	return nil
 }
 
-// wait waits for the requests that are out; each ends by itself.
+// wait waits for the pending requests; each ends by its deadline.
 func (w *world) wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() { w.wg.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-ctx.Done():
-		<-done // their contexts end with it
+		<-done // their contexts derive from ctx
 	}
 }
 
-// ask sends one request and tells what became of it.
-func (w *world) ask(ctx context.Context, i, number int) {
+// sendRequest sends one request and records its outcome.
+func (w *world) sendRequest(ctx context.Context, i, number int) {
 	defer w.wg.Done()
 	p := &w.plan[i]
 	class := &w.s.Classes[p.Class]
 	now := w.now()
 	deadline := p.At + float64(p.Patience)
-	t := &try{agent: int(p.Agent), number: number}
-	t.Try = measure.Try{ID: fmt.Sprint("r", i, ".", number), Ask: i, Class: int(p.Class), At: now, Deadline: deadline}
+	t := &clientRequest{agent: int(p.Agent), number: number}
+	t.Request = measure.Request{ID: fmt.Sprint("r", i, ".", number), Ask: i, Class: int(p.Class), At: now, Deadline: deadline}
 	w.mu.Lock()
-	w.rec.Start(&t.Try)
-	w.tries[t.ID] = t
+	w.rec.RequestStarted(&t.Request)
+	w.requests[t.ID] = t
 	a, kills := w.agents[p.Agent], w.kills[p.Agent]
 	w.mu.Unlock()
 	limit := deadline + slack
-	if p.Leaves > 0 && number == 0 {
-		limit = p.At + float64(p.Leaves)
+	if p.LeavesAfter > 0 && number == 0 {
+		limit = p.At + float64(p.LeavesAfter)
 	}
 	at, cancel := context.WithDeadline(ctx, w.start.Add(law.Ms(limit)))
 	defer cancel()
@@ -352,7 +352,7 @@
 	outcome, retryAfter := measure.Lost, 0.0
 	req, err := http.NewRequestWithContext(at, method, fmt.Sprintf("%s/%s/k%d", a.base, class.Name, p.Key), nil)
 	if err == nil {
-		if p.Key == 0 { // about nothing: what the path ends in is new each time
+		if p.Key == 0 { // without a key: the path is unique
 			req.URL.Path = fmt.Sprintf("/%s/u%d.%d", class.Name, i, number)
 		}
 		req.Header.Set("Request-Id", t.ID)
@@ -364,15 +364,15 @@
 			req.Header.Set("Client-Retry", "1")
 		}
 		var resp *http.Response
-		if resp, err = a.client.Do(req); crossed(err) && at.Err() == nil && !w.killed(a, p.Agent, kills) {
-			// The agent may have closed its connection before it read this, as it may between requests: a client
-			// sends it once more, on a new one.
+		if resp, err = a.client.Do(req); connectionLost(err) && at.Err() == nil && !w.killed(a, p.Agent, kills) {
+			// The agent may close an idle connection while the request is on its way: the client sends it once
+			// more, on a new connection.
 			req.Close = true
 			w.mu.Lock()
 			t.Note(w.now(), fmt.Sprintf("%s ended the connection (%v), asked once more", a.name, err), "")
 			a, kills = w.agents[p.Agent], w.kills[p.Agent]
 			w.mu.Unlock()
-			once := newClient(w.s) // which has kept none
+			once := newClient(w.s) // without idle connections
 			defer once.CloseIdleConnections()
 			resp, err = once.Do(req)
 		}
@@ -386,7 +386,7 @@
 				outcome = measure.Served
 				if by, of, _ := strings.Cut(string(body), " "); by != t.ID {
 					w.mu.Lock()
-					w.rec.Breach(w.now(), "an answer made for another request: "+by+" of "+of, &t.Try)
+					w.rec.RecordViolation(w.now(), "an answer made for another request: "+by+" of "+of, &t.Request)
 					w.mu.Unlock()
 				}
 			case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
@@ -405,44 +405,44 @@
 		t.Note(now, err.Error(), "")
 	}
 	var dial *net.OpError
-	untaken := errors.As(err, &dial) && dial.Op == "dial" // its agent is being restarted
-	if err != nil && (ctx.Err() != nil || p.Leaves > 0 && number == 0 || killed || untaken) {
-		outcome = measure.Gone // the play ended, the client left, or its agent was killed
+	untaken := errors.As(err, &dial) && dial.Op == "dial" // the agent is restarting
+	if err != nil && (ctx.Err() != nil || p.LeavesAfter > 0 && number == 0 || killed || untaken) {
+		outcome = measure.Gone // the play ended, the client left, or its agent was killed or is restarting
 	}
-	w.rec.End(&t.Try, now, outcome, outcome != measure.Served && outcome != measure.Gone && w.needless(t, now))
+	w.rec.RequestEnded(&t.Request, now, outcome, outcome != measure.Served && outcome != measure.Gone && w.needless(t, now))
 	portal := &w.s.Portals[p.Portal]
-	if outcome == measure.Served || ctx.Err() != nil || number >= portal.Retries || p.Leaves > 0 ||
+	if outcome == measure.Served || ctx.Err() != nil || number >= portal.Retries || p.LeavesAfter > 0 ||
 		outcome != measure.Refused && !untaken && class.Effect == "unsafe" {
 		return
 	}
 	wait := portal.Backoff.Ms() * float64(int(1)<<number)
-	if retryAfter > 0 && law.Unit(w.o.Seed, uint64(i), uint64(number), 7) < portal.Heeds {
+	if retryAfter > 0 && law.Uniform(w.o.Seed, uint64(i), uint64(number), 7) < portal.Heeds {
 		wait = max(wait, 1000*retryAfter)
 	}
 	if now+wait+2 < deadline && !w.ended {
 		w.wg.Add(1)
-		time.AfterFunc(law.Ms(wait), func() { w.ask(ctx, i, number+1) })
+		time.AfterFunc(law.Ms(wait), func() { w.sendRequest(ctx, i, number+1) })
 	}
 }
 
-// killed tells whether an agent was killed that may have held a request: the run that its client asked, or
-// the one that had come in its place, at the same address, before the client knew. What it held is its client's to ask
-// again. kills is how often the agent had been killed as the client asked.
+// killed reports whether an agent was killed that may have accepted a request: the process to which the
+// client sent it, or its successor at the same address that started before the client noticed. The client
+// of such a request may retry it. kills is how often the agent had been killed when the client sent it.
 func (w *world) killed(a *agentRun, agent int32, kills int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return a.wasKilled() || w.kills[agent] != kills
 }
 
-// crossed tells whether a connection ended without a byte of an answer.
-func crossed(err error) bool {
+// connectionLost reports whether a connection ended without any byte of an answer.
+func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || err != nil && strings.Contains(err.Error(), "server closed idle connection")
 }
 
-func (w *world) needless(t *try, now float64) bool {
+func (w *world) needless(t *clientRequest, now float64) bool {
 	work := float64(w.plan[t.Ask].Work)
 	for _, v := range w.servers {
-		if v.up && !v.silent && v.health == cluster.Ready && v.st.Free(now, v.coming) &&
+		if v.up && !v.silent && v.health == cluster.Ready && v.st.HasFreeSlot(now, v.inTransit) &&
 			2*w.paths.Mean(w.zones[t.agent], v.zone)+work/v.st.Rate(now) < t.Deadline-now {
 			return true
 		}
@@ -456,15 +456,15 @@
 	w.ended = true
 	now := min(w.now(), w.s.Length.Ms())
 	for _, v := range w.servers {
-		w.rec.Worked(v.worked + v.st.Worked)
+		w.rec.AddWork(v.pastWork + v.st.Worked)
 	}
 	return w.rec.Result(func(r *measure.Result) {
 		for _, v := range w.servers {
-			r.OpenMost = max(r.OpenMost, v.most)
+			r.OpenMost = max(r.OpenMost, v.maxConns)
 			r.Connects += v.connects
 			k := &w.s.Servers[v.kind]
 			r.Servers = append(r.Servers, measure.Server{Name: v.name, Kind: k.Kind, Zone: w.s.Zones[v.zone], Busy: v.busy,
-				Work: (v.worked + v.st.Worked) / (now * float64(k.Slots) * k.Speed), Peak: max(v.peak, v.st.Peak) / w.s.Rules.FallMultiple, Fell: v.fell})
+				Work: (v.pastWork + v.st.Worked) / (now * float64(k.Slots) * k.Speed), Peak: max(v.peak, v.st.Peak) / w.s.Rules.FallMultiple, Fell: v.fell})
 		}
 		r.Questions, _ = w.roster.Counts()
 		for _, a := range w.agents {
@@ -476,16 +476,16 @@
 		for _, c := range w.s.Classes {
 			aim = min(aim, c.Aim.Ms())
 		}
-		r.LateP99 = float64(w.late.ValueAtQuantile(99)) / 1000
+		r.LateP99 = float64(w.generatorDelay.ValueAtQuantile(99)) / 1000
 		r.GeneratorCPU = (w.cpu() - begun) / max(now/1000, 0.001)
-		r.Void = void(r.LateP99, float64(w.slow.ValueAtQuantile(99))/1000, aim)
+		r.Void = voidReason(r.LateP99, float64(w.timerDelay.ValueAtQuantile(99))/1000, aim)
 	})
 }
 
-// void says why a run does not count, in which generator and stand-ins were so late at the 99th
-// percentile; empty: it does. All in ms.
-func void(generator, standIns, aim float64) string {
-	most := max(aim*lateAllowed, lateLeast)
+// voidReason returns why a play does not count, given the delays of the generator and of the fake servers
+// at the 99th percentile; empty: it counts. All values are in ms.
+func voidReason(generator, standIns, aim float64) string {
+	most := max(aim*lateAllowed, minLateAllowed)
 	switch {
 	case generator > most:
 		return fmt.Sprintf("the generator was late by %.1f ms at the 99th percentile, %.1f at the most", generator, most)
@@ -495,7 +495,7 @@
 	return ""
 }
 
-// close ends all that was started.
+// close stops everything that was started.
 func (w *world) close() {
 	w.mu.Lock()
 	w.ended = true
@@ -524,7 +524,7 @@
 // startAgents starts all agents and waits until each is ready.
 func (w *world) startAgents() error {
 	n := w.s.Agents()
-	w.agents, w.starts, w.kills, w.turns = make([]*agentRun, n), make([]int, n), make([]int, n), make([]sync.Mutex, n)
+	w.agents, w.starts, w.kills, w.restartLocks = make([]*agentRun, n), make([]int, n), make([]int, n), make([]sync.Mutex, n)
 	errs := make(chan error, n)
 	for i := range n {
 		go func() { errs <- w.startAgent(i) }()
@@ -536,12 +536,12 @@
 	return errors.Join(all...)
 }
 
-// lived notes what becomes of an agent; the lock is held.
-func (w *world) lived(a *agentRun, what string) {
-	w.lives = append(w.lives, fmt.Sprintf("%.1f ms: %s %s", w.now(), a.name, what))
+// noteAgent appends to the agents' history; the lock must be held.
+func (w *world) noteAgent(a *agentRun, what string) {
+	w.agentHistory = append(w.agentHistory, fmt.Sprintf("%.1f ms: %s %s", w.now(), a.name, what))
 }
 
-// startAgent starts one, at the address that it had before if it had one.
+// startAgent starts an agent, at its previous address if it had one.
 func (w *world) startAgent(i int) error {
 	listen := "127.0.0.1:0"
 	w.mu.Lock()
@@ -566,11 +566,11 @@
 	}
 	a := &agentRun{name: name, listen: listen, base: "http://" + listen, client: newClient(w.s), since: w.now()}
 	if w.o.Binary == "" {
-		err = a.inside(w, i, text)
+		err = a.startInProcess(w, i, text)
 	} else {
 		path := filepath.Join(w.dir, fmt.Sprint("agent-", i, ".json"))
 		if err = os.WriteFile(path, text, 0o600); err == nil {
-			err = a.spawn(w.o.Binary, path, w.o.Operator)
+			err = a.startProcess(w.o.Binary, path, w.o.Operator)
 		}
 	}
 	if err == nil {
@@ -582,12 +582,12 @@
 	}
 	w.mu.Lock()
 	w.agents[i] = a
-	w.lived(a, "is ready")
+	w.noteAgent(a, "is ready")
 	w.mu.Unlock()
 	return nil
 }
 
-// truth is what the oracle sees; it takes the lock.
+// truth implements choose.Truth for the oracle; it takes the lock.
 type truth struct{ w *world }
 
 func (t truth) Finish(addr cluster.Addr, zone int, work float64, key uint64) (after, wait float64, ok bool) {
@@ -598,18 +598,18 @@
 	if v == nil || !v.up || v.silent {
 		return 0, 0, false
 	}
-	after, wait, ok = v.st.Finish(w.now(), work, uint32(key), v.coming, w.means)
+	after, wait, ok = v.st.Finish(w.now(), work, uint32(key), v.inTransit, w.meanWork)
 	return after + 2*w.paths.Mean(zone, v.zone), wait, ok
 }
 
-func (t truth) Work(int, policy.RequestID) float64 { return t.w.means }
+func (t truth) Work(int, policy.RequestID) float64 { return t.w.meanWork }
 func (t truth) MeanWork(class int) float64         { return t.w.s.Classes[class].Work.Ms() }
 
-func (t truth) Bears(addr cluster.Addr, work float64) bool {
+func (t truth) CanAccept(addr cluster.Addr, work float64) bool {
 	t.w.mu.Lock()
 	defer t.w.mu.Unlock()
 	v := t.w.byAddr[addr]
-	return v != nil && v.st.Bears(t.w.now(), work+float64(v.coming)*t.w.means, 0.7)
+	return v != nil && v.st.CanAccept(t.w.now(), work+float64(v.inTransit)*t.w.meanWork, 0.7)
 }
 
 var _ choose.Truth = truth{}
--- a/internal/rig/lab/page/page_test.go
+++ b/internal/rig/lab/page/page_test.go
@@ -41,8 +41,8 @@
 	return plain, swept
 }
 
-// The page is whole by itself: well-formed plots of all kinds, labelled with units, no word of
-// another place; plays that do not count are told and left out.
+// The page is self-contained: well-formed plots of all kinds, labelled with units, without external
+// references. Void plays are counted and left out.
 func TestPage(t *testing.T) {
 	plain, swept := rows(t)
 	bad := *plain[0]
@@ -64,11 +64,11 @@
 		text := b.String()
 		for _, w := range c.want {
 			if !strings.Contains(text, w) {
-				t.Errorf("the page says nothing of %q", w)
+				t.Errorf("the page lacks %q", w)
 			}
 		}
 		if strings.Contains(text, "src=") || strings.Contains(text, "href=\"http") {
-			t.Error("the page needs other places")
+			t.Error("the page has external references")
 		}
 		for _, part := range strings.Split(text, "<svg")[1:] {
 			svg := "<svg" + part[:strings.Index(part, "</svg>")+6]
@@ -78,16 +78,16 @@
 				_, err = d.Token()
 			}
 			if !errors.Is(err, io.EOF) {
-				t.Errorf("a plot that is no SVG: %v", err)
+				t.Errorf("invalid SVG: %v", err)
 			}
 		}
 	}
 	if err := HTML(io.Discard, plain, []byte("nothing"), func(string) string { return "" }); err == nil {
-		t.Error("benchmarks that say nothing are taken")
+		t.Error("output without benchmarks is accepted")
 	}
 }
 
-// The table has each variant, its way from random to the oracle, and broken rules.
+// The table contains each variant, its position between random and oracle, and violated rules.
 func TestText(t *testing.T) {
 	plain, _ := rows(t)
 	plain[0].Result.Breaches++
@@ -97,13 +97,14 @@
 	}
 	for _, w := range []string{"chooser=random", "chooser=oracle", "way", "fail at 2 s"} {
 		if !strings.Contains(b.String(), w) {
-			t.Errorf("the table says nothing of %q:\n%s", w, &b)
+			t.Errorf("the table lacks %q:\n%s", w, &b)
 		}
 	}
 }
 
-// A night as the agents' record has it: spans by phase, what lasts is open, a line that is none is named.
-func TestNight(t *testing.T) {
+// A record of the agents' changes yields spans by phase; the last span of a machine stays open, and an
+// invalid line is named.
+func TestOutages(t *testing.T) {
 	record := []string{"100 r1 m1: asked -> emptying: its turn", "130 r1 m1: emptying -> granted: empty", "140 r2 m2: asked -> emptying: its turn", "150 r1 m1: granted -> out: taken under permit 1",
 		"160 r2 m2: emptying -> asked: withdrawn: b", "400 r1 m1: out -> returning: done", "500 r1 m1: returning -> done: warm", "600 r3 m3: asked -> emptying: its turn"}
 	spans, err := Spans(record, 660)
@@ -116,15 +117,15 @@
 	if s := spans[5]; s.Machine != "m3" || !s.Open || s.Until != 660 {
 		t.Errorf("%+v", s)
 	}
-	if most, at := Most(spans); most != 2 || at != 140 {
+	if most, at := MaxConcurrent(spans); most != 2 || at != 140 {
 		t.Errorf("%d at once at %d", most, at)
 	}
 	var b bytes.Buffer
-	if err := Night(&b, spans); err != nil || !strings.Contains(b.String(), "<svg") || !strings.Contains(b.String(), "3 machines between") || !strings.Contains(b.String(), "still") {
+	if err := WriteOutages(&b, spans); err != nil || !strings.Contains(b.String(), "<svg") || !strings.Contains(b.String(), "3 machines between") || !strings.Contains(b.String(), "still") {
 		t.Errorf("%v: %.300s", err, b.String())
 	}
-	if Night(&b, nil) == nil {
-		t.Error("a page of nothing")
+	if WriteOutages(&b, nil) == nil {
+		t.Error("an empty record is accepted")
 	}
 	for _, line := range []string{"x", "x r1 m1: asked -> emptying: w"} {
 		if _, err := Spans([]string{line}, 0); err == nil || !strings.Contains(err.Error(), "line 1") {
