--- a/cmd/molepaddle-fleet/demofleet.go
+++ b/cmd/molepaddle-fleet/demofleet.go
@@ -150,7 +150,7 @@
 		}
 		f.edge = append(f.edge, f.machine(set, "proxy", "node-agent"))
 		f.clients = append(f.clients, &simulation.Client{
-			Edge: net.JoinHostPort(ip, strconv.Itoa(set.Ports.Edge)),
+			Edge:      net.JoinHostPort(ip, strconv.Itoa(set.Ports.Edge)),
 			KeepAlive: true,
 		})
 	}
