--- a/internal/fleet/distribution/outcomepush.go
+++ b/internal/fleet/distribution/outcomepush.go
@@ -76,8 +76,8 @@
 	return ReadFrame(r, &response)
 }
 
-// newestVersions returns versions that no server exceeds. A server of a release before Request.Push treats a push as an
-// ordinary request, and must not send a resource in its response.
+// newestVersions returns the highest possible versions. A server of a release before Request.Push treats a push as an
+// ordinary request; with these versions it has nothing newer to send in its response.
 func newestVersions() map[string]Version {
 	newest := Version{Epoch: math.MaxUint64, Count: math.MaxUint64}
 	return map[string]Version{
--- a/internal/fleet/externalapi/residency.go
+++ b/internal/fleet/externalapi/residency.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ResidencyReport is the response to CallResidency: the regions in which tenants' data was, according to the disks of
-// the primary and its backups.
+// ResidencyReport is the response to CallResidency: the regions in which tenants' data was, as recorded on the disks
+// of the primary and its backups.
 type ResidencyReport struct {
 	// Seq is a sequence number of the log: the report includes all changes up to it.
 	Seq uint64 `json:"seqno"`
--- a/internal/fleet/routingconfig/accounts.go
+++ b/internal/fleet/routingconfig/accounts.go
@@ -45,7 +45,7 @@
 // accountItem is an account with the operator's own JSON of it. Only the JSON contains the keys themselves.
 type accountItem struct {
 	Account
-	keyHashes []KeyHash // no two accounts share one; may be empty
+	keyHashes []KeyHash // may be empty; only documents of earlier builds have two accounts with the same key
 	raw       json.RawMessage
 }
 
@@ -53,7 +53,8 @@
 func (a *accountItem) rawJSON() json.RawMessage { return a.raw }
 func (a *accountItem) detach()                  { a.raw = bytes.Clone(a.raw) }
 
-// accounts reads a list of accounts; never nil, since requests need keys with an empty list too.
+// accounts reads a list of accounts. It never returns nil: with nil, requests would need no keys, but with an empty
+// list they do.
 func (o *object) accounts(key string, raw json.RawMessage) []*accountItem {
 	if accounts := readItems(o, key, raw, (*object).account); accounts != nil {
 		return accounts
@@ -143,7 +144,8 @@
 		x.accountsByName[a.Name] = &a.Account
 		for _, hash := range a.keyHashes {
 			if other, taken := x.accountsByKey[hash]; taken && other != &a.Account {
-				x.accountsByKey[hash] = nil // accepted by an earlier build: a key of two accounts is not valid
+				// An earlier build, which did not check this, stored the document: the key identifies no account.
+				x.accountsByKey[hash] = nil
 				continue
 			}
 			x.accountsByKey[hash] = &a.Account
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -36,7 +36,7 @@
 // reservedSockets is the number of descriptors reserved for the registry client, the listener and the runtime.
 const reservedSockets = 16
 
-// availableSockets returns the number of descriptors that remain for clients and servers.
+// availableSockets returns the number of descriptors that the management endpoint does not use.
 func availableSockets(c *config.Config) int {
 	if c.Management != "" {
 		return c.Limits.Sockets - management.MaxConnections
@@ -47,12 +47,12 @@
 // backendSockets returns the number of descriptors for connections to servers.
 func backendSockets(all int) int { return (all - reservedSockets) * 2 / 5 }
 
-// clientSockets returns the number of descriptors for clients' connections. Clients hold at most a third of all
-// descriptors for requests.
+// clientSockets returns the number of descriptors for clients' connections: three fifths of those that aren't
+// reserved.
 func clientSockets(all int) int { return all - reservedSockets - backendSockets(all) }
 
-// keepAliveSockets returns how many clients' connections are kept open between requests. It is half of what
-// clients hold for requests.
+// keepAliveSockets returns the number of clients' connections, idle between requests or busy, above which a connection
+// is closed after its answer: a sixth of all descriptors.
 func keepAliveSockets(all int) int { return all / 6 }
 
 // maxOpenRequests returns how many requests may be open at once. The core refuses any request over this
@@ -71,8 +71,8 @@
 	Links net.Listener
 	// FastCGI accepts the web servers' connections, one listener for each in the operator's file.
 	FastCGI []net.Listener
-	// Promises replaces the promise store that the operator's file configures. Its caller runs it. Tests use it for
-	// a far end that makes promises without peers.
+	// Promises is the promise store to use if the operator's file enables none. The caller of New runs it. Tests use it
+	// for a far gateway that replicates its promises without peers.
 	Promises *promise.Replicator
 }
 
@@ -103,7 +103,7 @@
 	frontEnds  []boundedFrontEnd // HTTP is first
 	transport  *transport.Transport
 	stop       context.CancelFunc
-	gatewayEnd *gatewayEnd         // nil: the agent is not an end of links
+	gatewayEnd *gatewayEnd         // nil: the agent is not a gateway at either end of links
 	fleet      *fleetNode          // nil: the agent keeps no view of its fleet
 	promises   *promise.Replicator // nil: the agent stores nothing for others
 	sockets    int                 // descriptors that clients and servers share
@@ -119,7 +119,8 @@
 // Lifecycle returns the lifecycle of the agent's process.
 func (a *Agent) Lifecycle() *lifecycle.Machine { return a.lifecycle }
 
-// Ready reports whether any server accepts requests. It does not block.
+// Ready reports whether any server accepts requests; for a gateway that sends to far sites, also one there.
+// It does not block.
 func (a *Agent) Ready() bool {
 	if a.gatewayEnd != nil {
 		return a.gatewayEnd.Ready()
@@ -340,7 +341,7 @@
 	core.Load
 	Taken     int64 // requests accepted and not yet answered
 	BodyBytes int64 // bytes of bodies in memory
-	// Crossings is the number of crossings offered or accepted that have no verdict yet, at either end of links.
+	// Crossings is the number of crossings offered or accepted that have no outcome yet, at either end of links.
 	Crossings int
 }
 
--- a/internal/process/agent/service_test.go
+++ b/internal/process/agent/service_test.go
@@ -46,7 +46,7 @@
 func TestFiftyDrains(t *testing.T) {
 	s := server(t, time.Millisecond)
 	o := operator.Default()
-	o.Front.HTTP.KeepIdle = operator.Duration(time.Hour) // no other time-out ends a connection
+	o.Front.HTTP.KeepIdle = operator.Duration(time.Hour) // so that only the drain closes idle connections
 	a, err := New(parse(t, testkit.Config(unusedRegistry, s.Addr)), o, Network{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/process/journal/journal.go
+++ b/internal/process/journal/journal.go
@@ -1,7 +1,7 @@
 // Package journal stores the replicas that an agent holds of other agents' promises in one bbolt file in a persistent
 // folder, so that the next process can answer queries with them. Entries added while a write is in flight are written
-// together in the next transaction, with one fsync, and their callers are notified after it. Every value has a
-// checksum.
+// together in the next transaction, so that they share its fsyncs, and their callers are notified after it.
+// Every value has a checksum.
 //
 // The goroutine of Run writes; Add and Drop may be called by any goroutine and never block. Only one process may have
 // the file open.
@@ -32,12 +32,13 @@
 	records = []byte("records")
 )
 
-// MaxPendingBytes limits the entries that wait to be written. A larger single entry is accepted if the queue is empty.
+// MaxPendingBytes limits the estimated size of the queued entries. A larger single entry is accepted if the queue is
+// empty.
 const MaxPendingBytes = 32 << 20
 
 // entry is one addition or deletion.
 type entry struct {
-	holder promises.Holder
+	holder promises.Holder  // the process that made the promises
 	row    *promises.Row    // nil: unchanged
 	record *promises.Record // nil: none
 	drop   bool             // delete the row of the holder
@@ -45,7 +46,7 @@
 	size   int
 }
 
-// writtenBatch is the last record of a transaction and the time of that.
+// writtenBatch is the number of a transaction's last record, and when the transaction was written, since Open.
 type writtenBatch struct {
 	lastRecord uint64
 	writtenAt  time.Duration
@@ -67,8 +68,8 @@
 }
 
 // Open opens the journal file in a folder, or creates it, and passes its contents to the callbacks: first each row,
-// then the records in order. Records are deleted once this process has had them for longer than retention. Errors are
-// of one line and name the file; they wrap store.ErrLocked if another process has the file open, and store.ErrDamaged
+// then the records in order. Records are deleted once this process has had them for longer than retention. Errors
+// name the file; they wrap store.ErrLocked if another process has the file open, and store.ErrDamaged
 // if its contents can't be used.
 func Open(dir string, retention time.Duration, row func(promises.Holder, *promises.Row), record func(*promises.Record)) (*Journal, error) {
 	path := filepath.Join(dir, file)
--- a/internal/process/operator/work.go
+++ b/internal/process/operator/work.go
@@ -14,7 +14,7 @@
 // Work is the table of machines that are taken out for maintenance in an order that the agents agree on; see
 // package work. All agents must have the same machines.
 type Work struct {
-	Folder             string   `toml:"folder"`        // persistent; for a seat in the council; empty: no seat
+	Folder             string   `toml:"folder"`        // persistent; of the council's seat (empty: none) and the journal
 	Seats              int      `toml:"seats"`         // size of the council
 	ReplaceAfter       Duration `toml:"replace_after"` // absence after which another agent takes a member's seat
 	Reserve            float64  `toml:"reserve"`       // spare capacity, as a share of the need
@@ -22,8 +22,8 @@
 	KindShare          float64  `toml:"kind_share"`    // the same, of the machines of one kind
 	AgentShare         float64  `toml:"agent_share"`   // the same, of the machines that run agents
 	Gateways           float64  `toml:"gateways"`      // the same, of the machines that run gateways
-	MaxOvertaken       int      `toml:"passed_over"`   // times that other requests may start before a waiting one
-	AcknowledgeTimeout Duration `toml:"patience"`      // time that a permit waits for acknowledgements of agents
+	MaxOvertaken       int      `toml:"passed_over"`   // times that others may start before a waiting request
+	AcknowledgeTimeout Duration `toml:"patience"`      // after it, a permit needs no acknowledgements of agents
 	// Measured uses the daily peak of the agents' reported request rates as the need, where it is higher than the
 	// configured one. Capacities are in requests per second then.
 	Measured bool          `toml:"measured"`
--- a/internal/process/strict/strict.go
+++ b/internal/process/strict/strict.go
@@ -1,6 +1,6 @@
-// Package strict decodes TOML 1.0 files strictly: an unknown key, a value of the wrong type, or one that the caller's
-// validation rejects gives an error of one line with the file, the line and the key. Its functions have no state and
-// may be called from any goroutine.
+// Package strict decodes TOML 1.0 files strictly: an unknown key, a value of the wrong type, or a value that the
+// caller's validation rejects gives an error of one line with the file, the line and the key. Its functions have no
+// state and may be called from any goroutine.
 package strict
 
 import (
--- a/internal/protocol/fcgifront/front_test.go
+++ b/internal/protocol/fcgifront/front_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// next reads up to the next END_REQUEST; id 0: the connection ended.
+// next reads up to the next END_REQUEST or management record; id 0: a management record, or the connection ended.
 func (c *client) next() (id uint16, text string, end fcgi.End) {
 	id, text, end, err := c.Next()
 	if err != nil {
@@ -155,14 +155,14 @@
 	if m := r.Message; m.Target != "/send/a%20b?q" || m.Host != "h:1" || m.ContentType != "x/y" || m.IdempotencyKey != "k" || !r.Retry || r.HintMs != 1.5 || time.Until(r.Deadline) > 480*time.Millisecond {
 		t.Errorf("%+v", r)
 	}
-	// An id is free again as soon as its request has ended, also for GET and /ready.
+	// An id is free again as soon as its request has ended. A GET of /ready is answered too.
 	for range 50 {
 		c.send(whole(2, vars{"REQUEST_METHOD": "GET", "REQUEST_URI": "/look/x", "SERVER_NAME": "p"}, ""))
 		c.expect(2, "Status: 200 OK", " ")
 	}
 	c.send(whole(9, vars{"REQUEST_METHOD": "GET", "REQUEST_URI": "/ready"}, ""))
 	c.expect(9, "Status: 200 OK", "\r\n\r\n")
-	// Streams in records of one byte, the body before the end of the params.
+	// Params in records of one byte, the body before the end of the params.
 	out := fcgi.AppendBegin(nil, 3, fcgi.Begin{Role: fcgi.Responder, Keep: true})
 	for _, b := range params(order(3, vars{"HTTP_REQUEST_ID": "id8"})) {
 		out = fcgi.Append(out, fcgi.Params, 3, []byte{b})
--- a/internal/protocol/gateway/measure_test.go
+++ b/internal/protocol/gateway/measure_test.go
@@ -197,7 +197,7 @@
 }
 
 // TestMeasureSlow compares the window algorithms of a link while the far end slows down to a tenth,
-// with both sites fully loaded: 400 requests a second, shared by the servers.
+// at 400 requests a second, shared by the servers: four fifths of the far site's capacity.
 func TestMeasureSlow(t *testing.T) {
 	if !*measure {
 		t.Skip("no measure is asked for")
--- a/internal/protocol/gateway/sender.go
+++ b/internal/protocol/gateway/sender.go
@@ -31,7 +31,7 @@
 	StallAfter        time.Duration // time without a frame after which a connection counts as stalled
 	DeadAfter         time.Duration // and after which it is closed
 	RedialMin         time.Duration // wait before a lost connection is dialled again; doubled with each failure
-	RedialMax         time.Duration // upper bound of that wait
+	RedialMax         time.Duration // upper bound of that wait, before a jitter of 50 % either way
 }
 
 // DefaultTimes returns the times that apply when the operator's file sets none.
@@ -57,7 +57,8 @@
 	Times    Times
 	Settings *settings.Settings
 	// ProofWithin is how long other gateways are queried about a non-idempotent crossing that was offered to a
-	// process which has been replaced, before the crossing fails. The time for three queries is the minimum.
+	// process which has been replaced, before the crossing fails. The time for three queries is the minimum; with
+	// a single peer, the crossing fails at once.
 	ProofWithin time.Duration
 	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	// TLS returns the configuration for each dial to a peer; nil: no TLS, for loopback only.
@@ -130,7 +131,8 @@
 	}
 }
 
-// Close closes the links, fails all crossings on them, and waits for the goroutines.
+// Close closes the links, fails the crossings that were not offered yet, and waits for the goroutines. Offered ones end
+// with their attempts' contexts.
 func (s *Sender) Close() {
 	s.stop()
 	for _, p := range s.peers {
@@ -175,7 +177,7 @@
 
 // ---- the endpoint list of far gateways ----
 
-// Known returns the endpoint list before any link is up.
+// Known returns the current endpoint list. It needs no link to be up.
 func (s *Sender) Known() cluster.List { return s.list() }
 
 func (s *Sender) list() cluster.List {
@@ -454,7 +456,7 @@
 	return all
 }
 
-// connOf returns the connection to a process that was opened first, other than not; nil: none.
+// connOf returns the connection to a process that was opened first, skipping the connection in not; nil: none.
 func (p *peer) connOf(inc uint64, not *senderConn) *senderConn {
 	var best *senderConn
 	for _, c := range p.conns {
@@ -560,9 +562,9 @@
 	return nil
 }
 
-// end closes a crossing with its outcome. word is the frame of the far end that decided it, or nil;
-// why is any other cause. The returned function delivers the result to the core and must be called
-// without the lock.
+// end closes a crossing with its outcome. word is the frame of the far end that decided it, or one made
+// from another gateway's Verdict, or nil; why is any other cause. The returned function delivers the result to
+// the core and must be called without the lock.
 func (p *peer) end(x *outboundCrossing, v crossing.Outcome, word linkwire.Frame, why error) func() {
 	if v == crossing.Pending || x.ended {
 		return func() {}
@@ -681,8 +683,8 @@
 // queryInterval is the time between two queries to other gateways about the same crossing.
 const queryInterval = 150 * time.Millisecond
 
-// minQueries is the minimum number of queries about a non-idempotent crossing whose process has been
-// replaced, before the crossing fails.
+// minQueries is the number of queries about a non-idempotent crossing whose process has been replaced that other
+// gateways must have got, if they answer that they don't know, before the crossing fails.
 const minQueries = 3
 
 // unresolvable reports whether to stop waiting for the outcome of a crossing whose process has been
@@ -694,8 +696,8 @@
 }
 
 // queryOthers asks other gateways of the site about crossings that were offered to this one, where no
-// connection to that process is alive: it may have replicated its promise to run them, and the others
-// may know the outcome.
+// connection to that process is alive: that process may have replicated its promise to run them, and the
+// others may know the outcome.
 func (p *peer) queryOthers() {
 	now, after := time.Now(), p.sender.opt.Times.StallAfter
 	var able []*senderConn
@@ -785,8 +787,8 @@
 const ackAt = 128
 
 // ack tells the far end which crossings have their outcomes, so that it can release the answers.
-// Numbers of a replaced process are dropped: the current one does not know them, and if the old one
-// still runs, its leases end them.
+// They go to the current process only, also numbers of a process that it replaced: if the old one still runs, its
+// leases end them. Without a connection to the current process the numbers are dropped.
 func (p *peer) ack() {
 	if c := p.connOf(p.inc, nil); c != nil && len(p.acks) > 0 {
 		c.link.Urgent(&linkwire.Ack{Numbers: p.acks})
@@ -909,7 +911,7 @@
 	return l, begin > time.Since(st.PeerClockAt) && l.Life <= linkwire.MaxTime
 }
 
-// write is the crossing's Item in its connection's queue: it appends the offer, and then one part of
+// write is the crossing's item in its connection's queue: it appends the offer, and then one part of
 // the body with each call.
 func (x *outboundCrossing) write(buf []byte) ([]byte, bool) {
 	p, r := x.p, x.a.Request
--- a/internal/protocol/httpfront/places_test.go
+++ b/internal/protocol/httpfront/places_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// seen is a connection whose first request is read right after a check for unread bytes.
+// seen is a connection whose first request is read during a check for unread bytes, which reports none.
 type seen struct {
 	hooked
 	conn *clientConn
--- a/internal/protocol/linkwire/linkwire.go
+++ b/internal/protocol/linkwire/linkwire.go
@@ -307,8 +307,8 @@
 	Version uint64
 }
 
-// Entry is one record of a view. Body is a separate CBOR item, a Self or a list of suspicions
-// depending on Subject, and is forwarded unchanged.
+// Entry is one record of a view. Body is a separate CBOR item, a Self, a list of suspicions or
+// orders, depending on Subject, and is forwarded unchanged.
 type Entry struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -503,7 +503,7 @@
 	return nil
 }
 
-// checkText returns an error if a text has control characters or more than bound bytes, or if it is
+// checkText returns an error if a text has control characters other than tab, or more than bound bytes, or if it is
 // needed and empty.
 func checkText(what, text string, bound int, needed bool) error {
 	if len(text) > bound {
@@ -520,7 +520,7 @@
 	return nil
 }
 
-// ValidText reports whether a text has at most MaxText bytes and no control characters.
+// ValidText reports whether a text has at most MaxText bytes and no control characters other than tab.
 func ValidText(text string) bool { return checkText("", text, MaxText, false) == nil }
 
 func checkNumber(n uint64) error {
--- a/internal/protocol/window/window_test.go
+++ b/internal/protocol/window/window_test.go
@@ -136,9 +136,9 @@
 		want time.Duration
 	}{
 		{0, 0, 1500 * time.Millisecond},                             // sends nothing
-		{time.Second, 10, 1500 * time.Millisecond},                  // one byte, then a pause
+		{time.Second, 10, 1500 * time.Millisecond},                  // ten bytes, then a pause
 		{time.Second, 64 << 10, 3 * time.Second},                    // stops after a good start
-		{10 * time.Second, 640 << 10, 12 * time.Second},             // without limit
+		{10 * time.Second, 640 << 10, 12 * time.Second},             // at twice the least rate
 		{10 * time.Second, 320 << 10, 11500 * time.Millisecond},     // at the least rate
 		{30 * time.Second, 28 * 32 << 10, 29500 * time.Millisecond}, // below it
 	} {
