--- a/internal/process/operator/work.go
+++ b/internal/process/operator/work.go
@@ -14,14 +14,14 @@
 // Work is the table of machines that are taken out for maintenance in an order that the agents agree on; see
 // package work. All agents must have the same machines.
 type Work struct {
-	Folder             string   `toml:"folder"`        // persistent; of the council's seat (empty: none) and the journal
+	Folder             string   `toml:"folder"`        // persistent, for a council seat and the promise journal; empty: no seat
 	Seats              int      `toml:"seats"`         // size of the council
 	ReplaceAfter       Duration `toml:"replace_after"` // absence after which another agent takes a member's seat
 	Reserve            float64  `toml:"reserve"`       // spare capacity, as a share of the need
 	ZoneShare          float64  `toml:"zone_share"`    // share of a zone's machines that may be out or down at once
-	KindShare          float64  `toml:"kind_share"`    // the same, of the machines of one kind
-	AgentShare         float64  `toml:"agent_share"`   // the same, of the machines that run agents
-	Gateways           float64  `toml:"gateways"`      // the same, of the machines that run gateways
+	KindShare          float64  `toml:"kind_share"`    // the same for the machines of one kind
+	AgentShare         float64  `toml:"agent_share"`   // the same for the machines that run agents
+	Gateways           float64  `toml:"gateways"`      // the same for the machines that run gateways
 	MaxOvertaken       int      `toml:"passed_over"`   // times that others may start before a waiting request
 	AcknowledgeTimeout Duration `toml:"patience"`      // after it, a permit needs no acknowledgements of agents
 	// Measured uses the daily peak of the agents' reported request rates as the need, where it is higher than the
--- a/internal/protocol/fcgifront/front_test.go
+++ b/internal/protocol/fcgifront/front_test.go
@@ -432,8 +432,8 @@
 	}
 }
 
-// A body whose server reads nothing is ended once its share of the buffer is full while others share the connection,
-// and the others are answered; alone on its connection it is paused, and nothing is lost.
+// A request whose server does not read its body is ended once its share of the buffer is full, if other requests share
+// the connection, and the others are answered. Alone on its connection it is paused, and nothing is lost.
 func TestSlowBodyGivesWay(t *testing.T) {
 	release := make(chan struct{})
 	f, h, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
@@ -511,8 +511,8 @@
 	}
 }
 
-// During a graceful shutdown open requests on a shared connection are answered, and so are those that still begin on
-// it; then it is closed. Idle connections are closed at once.
+// During a graceful shutdown open requests on a shared connection are answered, and so are requests that begin on
+// it meanwhile; then it is closed. Idle connections are closed at once.
 func TestLeaves(t *testing.T) {
 	release := make(chan struct{})
 	f, h, addr, end := start(t, func(ctx context.Context, r *core.Request) core.Answer {
--- a/internal/protocol/gateway/sender.go
+++ b/internal/protocol/gateway/sender.go
@@ -132,7 +132,7 @@
 }
 
 // Close closes the links, fails the crossings that were not offered yet, and waits for the goroutines. Offered ones end
-// with their attempts' contexts.
+// with their attempts' contexts at the latest.
 func (s *Sender) Close() {
 	s.stop()
 	for _, p := range s.peers {
@@ -787,8 +787,8 @@
 const ackAt = 128
 
 // ack tells the far end which crossings have their outcomes, so that it can release the answers.
-// They go to the current process only, also numbers of a process that it replaced: if the old one still runs, its
-// leases end them. Without a connection to the current process the numbers are dropped.
+// They go to the current process only, which ignores numbers of a process that it replaced: if the old one still runs,
+// its leases end them. Without a connection to the current process the numbers are dropped.
 func (p *peer) ack() {
 	if c := p.connOf(p.inc, nil); c != nil && len(p.acks) > 0 {
 		c.link.Urgent(&linkwire.Ack{Numbers: p.acks})
--- a/internal/protocol/httpfront/places_test.go
+++ b/internal/protocol/httpfront/places_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// During a shutdown a connection counts as receiving a request while it has unread bytes, or for a moment after
-// reading began.
+// During a shutdown a connection without unread bytes counts as receiving a request only for a moment after reading
+// began.
 func TestComing(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -110,8 +110,8 @@
 	return 0
 }
 
-// A silent connection whose request is read between the check and the close keeps its place; one that was closed as
-// late while its request was completed has no place, and the request is not handled.
+// A silent connection whose request is read between the check and the close keeps its place. One that was closed since
+// its request took too long has no place, even if the request is completed meanwhile, and it is not handled.
 func TestPlaceIsNotTakenFromWhoHasJustAsked(t *testing.T) {
 	p := newPlaces(1, 1)
 	s := &seen{}
--- a/internal/protocol/linkwire/linkwire.go
+++ b/internal/protocol/linkwire/linkwire.go
@@ -207,7 +207,7 @@
 	_ struct{} `cbor:",toarray"`
 }
 
-// Ack acknowledges the outcomes of these crossings to the far end, which may release their answers.
+// Ack acknowledges the outcomes of these crossings to the far end, so that it can release their answers.
 type Ack struct {
 	_       struct{} `cbor:",toarray"`
 	Numbers []uint64
--- a/internal/protocol/window/window_test.go
+++ b/internal/protocol/window/window_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// All bytes arrive in order, whatever the sizes of writes and reads, and the pipe never holds more than its size.
+// All bytes arrive in order, whatever the sizes of writes and reads, and the pipe's buffer ends no larger than Size.
 func TestAllComesThrough(t *testing.T) {
 	for seed := range uint64(40) {
 		budget := NewBudget([]int64{0, 1 << 20}[seed%2])
