--- a/internal/fleet/distribution/outcomepush.go
+++ b/internal/fleet/distribution/outcomepush.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// minPushInterval is the least time between two pushes of outcomes, which bounds the rate at which a busy proxy sends.
+// minPushInterval is the least time between two pushes of reports or lease renewals, which bounds the rate at
+// which a busy proxy sends.
 const minPushInterval = 100 * time.Millisecond
 
 // pushOutcomes pushes reports, and renewals of leases that can't wait for the next pull, to a server until ctx ends,
--- a/internal/process/operator/work.go
+++ b/internal/process/operator/work.go
@@ -14,7 +14,7 @@
 // Work is the table of machines that are taken out for maintenance in an order that the agents agree on; see
 // package work. All agents must have the same machines.
 type Work struct {
-	Folder             string   `toml:"folder"`        // persistent, for a council seat and the promise journal; empty: no seat
+	Folder             string   `toml:"folder"`        // persistent; of council seat (empty: none) and promise journal
 	Seats              int      `toml:"seats"`         // size of the council
 	ReplaceAfter       Duration `toml:"replace_after"` // absence after which another agent takes a member's seat
 	Reserve            float64  `toml:"reserve"`       // spare capacity, as a share of the need
--- a/internal/protocol/httpfront/places.go
+++ b/internal/protocol/httpfront/places.go
@@ -303,8 +303,8 @@
 	}
 }
 
-// tooManyKept reports whether so many connections are kept that clients may soon have none left for their next
-// request: some clients send one request and keep the connection for good. places must be locked.
+// tooManyKept reports whether so many connections, idle or busy, are open that clients may soon have none left for
+// their next request: some clients send one request and keep the connection for good. places must be locked.
 func (p *places) tooManyKept() bool {
 	n := 0
 	for c := range p.conns {
--- a/internal/protocol/linkwire/linkwire.go
+++ b/internal/protocol/linkwire/linkwire.go
@@ -155,7 +155,7 @@
 const (
 	Served  = 0 // Body is the answer
 	Failed  = 1
-	Refused = 2 // a retry is safe, even if it ran
+	Refused = 2 // it ran, and the far end's core refused it in the end; the near end handles it like Failed
 )
 
 // Ended reports that a crossing ran, with its answer.
