--- a/internal/protocol/fcgifront/front_test.go
+++ b/internal/protocol/fcgifront/front_test.go
@@ -432,8 +432,8 @@
 	}
 }
 
-// A request whose server does not read its body is answered 503 once its share of the buffer is full, if other requests share
-// the connection, and the others are answered. Alone on its connection it is paused, and nothing is lost.
+// A request whose server does not read its body is answered 503 once its share of the buffer is full, if other requests
+// share the connection, and the others are answered. Alone on its connection it is paused, and nothing is lost.
 func TestSlowBodyGivesWay(t *testing.T) {
 	release := make(chan struct{})
 	f, h, addr, _ := start(t, func(ctx context.Context, r *core.Request) core.Answer {
