--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -169,7 +169,7 @@
 // New returns a Core that ends with the context, or an error if the settings are invalid.
 // The list in the options is applied before New returns.
 func New(ctx context.Context, o Options) (*Core, error) {
-	set := withOpenCap(o.Settings, o.MaxOpen)
+	set := withMaxOpenRequests(o.Settings, o.MaxOpen)
 	var decider Decider
 	var err error
 	if o.NewDecider != nil {
@@ -210,8 +210,8 @@
 	return c, nil
 }
 
-// withOpenCap returns the settings with OpenCap set to at most most, the agent's limit of open requests.
-func withOpenCap(set settings.Settings, most int) settings.Settings {
+// withMaxOpenRequests returns the settings with Limits.MaxOpenRequests set to at most most, the agent's own limit.
+func withMaxOpenRequests(set settings.Settings, most int) settings.Settings {
 	if set.Limits.MaxOpenRequests <= 0 || set.Limits.MaxOpenRequests > most {
 		set.Limits.MaxOpenRequests = most
 	}
@@ -487,7 +487,7 @@
 	case inReplan:
 		c.replan()
 	case inSettings:
-		c.set = withOpenCap(in.table.Settings, c.maxOpen)
+		c.set = withMaxOpenRequests(in.table.Settings, c.maxOpen)
 		c.configuredAgents = c.set.Replicas
 		c.set.Replicas = max(c.configuredAgents, c.observedAgents)
 		c.classes.Store(&c.set.Classes)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -15,7 +15,7 @@
 // out. The core's goroutine owns it. A nil fleetState delays nothing.
 type fleetState struct {
 	machine     *fleet.Planner
-	lastUpdate  float64     // last update from the roster, or start of the next watch if later, ms
+	lastUpdate  float64     // time of the last roster result or failure, or start of the next watch if later, ms
 	replanTimer *time.Timer // nil: none is running
 }
 
@@ -47,15 +47,15 @@
 	complete.Seq = list.Seq
 }
 
-// recordUpdate records an update from the roster.
+// recordUpdate records the time of a result from the roster, which may be a failure.
 func (p *fleetState) recordUpdate(now float64) {
 	if p != nil {
 		p.lastUpdate = now
 	}
 }
 
-// followDelay returns how long to delay the next watch.
-func (p *fleetState) followDelay(now float64) time.Duration {
+// watchDelay returns how long to delay the next watch.
+func (p *fleetState) watchDelay(now float64) time.Duration {
 	if p == nil {
 		return 0
 	}
@@ -78,8 +78,8 @@
 	c.post(input{kind: inFleetSize, agents: agents, rank: rank})
 }
 
-// setFleetSize applies the greater of the given and the configured number of agents to this agent's part of the
-// fleet's limits: its plan, and the load that it sends to servers in slow start.
+// setFleetSize applies the given number of agents to the plan, and the greater of it and the configured number to
+// Settings.Replicas, from which the Decider infers the load of the whole fleet.
 func (c *Core) setFleetSize(agents, rank int) {
 	if c.fleet != nil && c.fleet.machine.SetFleetSize(agents, rank) {
 		c.replan()
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordRefusal records a refused request, which may require a new plan.
+// recordRefusal records that the Decider refused a client's request, which may require a new plan.
 func (c *Core) recordRefusal() {
 	if c.fleet != nil && c.fleet.machine.ObserveRejection(c.clock()) {
 		c.pending = append(c.pending, input{kind: inReplan})
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -39,8 +39,8 @@
 	Err  error
 }
 
-// onUpdate applies an update from the roster. Fetched lists and changes that are older than the current
-// version are ignored; a complete list from a watch always applies.
+// onUpdate applies an update from the roster. A fetched list applies unless it is older than the current version,
+// and a change only if it is newer; a complete list from a watch always applies.
 func (c *Core) onUpdate(n *Update) {
 	c.fleet.recordUpdate(c.clock())
 	switch n.Kind {
@@ -70,7 +70,7 @@
 	}
 }
 
-// watchRetryDelay is the maximum delay until an ended watch of a pushed list is restarted.
+// watchRetryDelay is the maximum delay until the core restarts an ended watch, if lists are pushed.
 const watchRetryDelay = 250 * time.Millisecond
 
 // pushed reports whether lists are pushed. The Decider, which gets them from the simulator in
@@ -86,7 +86,7 @@
 	c.watching = true
 	wait := time.Duration(0)
 	if !c.pushed() {
-		wait = c.fleet.followDelay(c.clock())
+		wait = c.fleet.watchDelay(c.clock())
 	}
 	c.runAfter(wait, input{kind: inWatch, gen: c.rosterGen}, func() { c.roster.Watch(c.seq, false) })
 }
--- a/internal/decide/budget/time.go
+++ b/internal/decide/budget/time.go
@@ -1,8 +1,8 @@
 // Package budget tracks what a request may still spend: time at each hop, and retries of its class.
 //
 // A Time is the time budget of a request: when it was received and when its client stops waiting.
-// Whoever forwards the request grants the next hop what NextHop returns: the time left, less the time
-// of the way back, which a Margin estimates from round trips. LatencyEstimates holds the latency of
+// NextHop returns the time that the next hop gets when the request is forwarded: the time left, less
+// the time of the way back, which a Margin estimates from round trips. LatencyEstimates holds the latency of
 // each class, RetryBudget bounds retries to a fraction of the requests of a class, and Throttle blocks
 // attempts that are not worthwhile. The package has no clock and no locks: each value is used by one
 // goroutine at a time.
--- a/internal/decide/calm/calm.go
+++ b/internal/decide/calm/calm.go
@@ -13,23 +13,24 @@
 
 const (
 	// MaxTargetFraction is the fraction of the latency target that the mean latency of a server may
-	// reach.
+	// reach once it has warmed up.
 	MaxTargetFraction = 0.5
 	// overloadFactor is the multiple of the unloaded latency that a server may reach without counting
 	// as overloaded.
 	overloadFactor = 1.5
 	// warmupSamples is the number of answers that make up the first baseline.
 	warmupSamples = 50
-	// meanWeight is the weight of one answer in the mean of the fleet.
+	// meanWeight is the weight of one answer in OverallMean after the first 200, which weigh equally. The
+	// weight in Unloaded is derived from it.
 	meanWeight = 0.005
 )
 
 // Baseline is the estimate of one agent.
 type Baseline struct {
-	FleetMean float64 // mean latency of all servers
-	Unloaded  float64 // mean latency without overload
-	replicas  float64 // number of agents, this one included
-	answers   float64
+	OverallMean float64 // mean latency of this agent's answers from all servers
+	Unloaded    float64 // mean latency without overload
+	replicas    float64 // number of agents, this one included
+	answers     float64
 }
 
 // New returns a Baseline without samples. replicas is the number of agents, this one included.
@@ -43,27 +44,27 @@
 // agent in flight to its server.
 func (c *Baseline) Observe(x float64, alone bool) {
 	c.answers++
-	c.FleetMean = arith.Mean(c.FleetMean, x, max(meanWeight, 1/c.answers))
+	c.OverallMean = arith.Mean(c.OverallMean, x, max(meanWeight, 1/c.answers))
 	switch {
 	case !c.Ready():
 		// Neither one quick answer nor an overload at the start may set the baseline (id08146).
-		c.Unloaded = min(c.FleetMean, MaxTargetFraction/2)
-	case c.FleetMean < c.Unloaded:
-		c.Unloaded = arith.Mean(c.Unloaded, c.FleetMean, meanWeight)
+		c.Unloaded = min(c.OverallMean, MaxTargetFraction/2)
+	case c.OverallMean < c.Unloaded:
+		c.Unloaded = arith.Mean(c.Unloaded, c.OverallMean, meanWeight)
 	case alone:
 		// The fewer agents there are, the more an answer to a lone request says about the unloaded
 		// latency: a single agent that took its first quick answers as the baseline would leave its
 		// servers idle.
-		c.Unloaded = arith.Mean(c.Unloaded, c.FleetMean, meanWeight/min(2*math.Pow(max(c.replicas, 1), 3), 250))
+		c.Unloaded = arith.Mean(c.Unloaded, c.OverallMean, meanWeight/min(2*math.Pow(max(c.replicas, 1), 3), 250))
 	default: // very slowly, or an overload would become the baseline
-		c.Unloaded = arith.Mean(c.Unloaded, c.FleetMean, meanWeight/250)
+		c.Unloaded = arith.Mean(c.Unloaded, c.OverallMean, meanWeight/250)
 	}
 }
 
 // OverloadLimit returns the mean latency above which a server counts as overloaded. ramp, above 0, is
 // the fraction of its capacity that the server has: one that is warming up is slow before it is
-// overloaded (i5d0607). A few agents observe most of the load themselves, so their limit is higher:
-// they need not avoid a server that answers well within the target.
+// overloaded (i5d0607). If there are few agents, each observes much of the load itself, so its limit
+// is higher: it need not avoid a server that answers well within the target.
 func (c *Baseline) OverloadLimit(ramp float64) float64 {
 	least := 2 * MaxTargetFraction / (2 + c.replicas)
 	return min(MaxTargetFraction, max(overloadFactor*c.Unloaded, least)) / ramp
--- a/internal/decide/calm/calm_test.go
+++ b/internal/decide/calm/calm_test.go
@@ -18,8 +18,8 @@
 	for range 2000 {
 		c.Observe(0.05, false)
 	}
-	if c.Unloaded > 0.1 || c.FleetMean < 0.049 || c.FleetMean > 0.06 {
-		t.Errorf("answers of 0.05: baseline %v, fleet mean %v", c.Unloaded, c.FleetMean)
+	if c.Unloaded > 0.1 || c.OverallMean < 0.049 || c.OverallMean > 0.06 {
+		t.Errorf("answers of 0.05: baseline %v, overall mean %v", c.Unloaded, c.OverallMean)
 	}
 	low := c.Unloaded
 	for range 200 {
--- a/internal/decide/cluster/cluster.go
+++ b/internal/decide/cluster/cluster.go
@@ -3,11 +3,11 @@
 // plain values without locks.
 package cluster
 
-// Addr identifies a server: four bytes of address and two of port. It is only compared for
-// equality, and is sent back exactly as received.
+// Addr identifies a server: four bytes of address and two of port. Only its identity and its Hash are
+// used, and it is sent back exactly as received.
 type Addr [6]byte
 
-// Hash returns the address as a number. It is the same at every agent.
+// Hash returns the six bytes as one number, which is unique to the address and the same at every agent.
 func (a Addr) Hash() uint64 {
 	h := uint64(0)
 	for _, x := range a {
@@ -16,7 +16,8 @@
 	return h
 }
 
-// Health is the health of a server according to the list.
+// Health is the health of a server according to the list, or Draining if this agent must not send it new
+// requests, as it may not connect to it yet or has excluded it.
 type Health uint8
 
 // The values of Health.
@@ -36,7 +37,7 @@
 	Health  Health
 	Weight  float64
 	Window  float64 // maximum attempts in flight from one agent before the first is answered; 0: unknown
-	Rank    float64 // position in this agent's order, lower is first; 0: not ranked
+	Rank    float64 // sort key in this agent's order, lower is first; 0: not ranked
 }
 
 // ListKind is the kind of a list event: how it changes the current list.
--- a/internal/decide/fleet/fleet_test.go
+++ b/internal/decide/fleet/fleet_test.go
@@ -59,7 +59,8 @@
 	entries := readyEntries(30, 0)
 	entries[3].Health = cluster.Draining
 	least, wake := m.Plan(5000, entries)
-	// 400 connections * 29 servers / 2,000 agents = 5.8, less one; the arc may touch one more.
+	// 400 connections * 29 servers / 2,000 agents = 5.8 servers per agent. Its arc, a stretch of the ring of servers,
+	// covers one less, since it shares the servers at both ends with its neighbours; it may touch up to 7.
 	if least < 4 || least > 7 || wake != 0 {
 		t.Errorf("subset of %d, to be computed again at %v", least, wake)
 	}
@@ -89,7 +90,7 @@
 	}
 }
 
-// Agents connect to a newly started process one after the other, at the configured rate. Each keeps
+// Agents connect to a newly started process spread over time, at the configured rate. Each keeps
 // its time when the list is received again, and has a different one for another process.
 func TestConnectsToNewProcessAreSpread(t *testing.T) {
 	const agents, born, now = 2000, 100000, 100100.0
@@ -185,8 +186,8 @@
 	}
 }
 
-// All agents together check a server no more often than the configured rate, if each schedules the
-// next check when one is answered.
+// All agents together check a server at about the configured rate of 10 per second, if each schedules
+// the next check when one is answered. As delays are random, up to 12 are accepted.
 func TestProbeRate(t *testing.T) {
 	const agents, seconds = 2000, 100
 	n := 0
--- a/internal/decide/hearsay/hearsay.go
+++ b/internal/decide/hearsay/hearsay.go
@@ -41,29 +41,29 @@
 	if l.previous = now; selfSuspicion {
 		return ""
 	}
-	var text []byte
+	var raw []byte
 	n := 0
 	for _, h := range now {
 		if _, before := slices.BinarySearch(earlier, h); before && n < MaxServers {
-			text = binary.BigEndian.AppendUint32(text, h)
+			raw = binary.BigEndian.AppendUint32(raw, h)
 			n++
 		}
 	}
-	return hex.EncodeToString(text)
+	return hex.EncodeToString(raw)
 }
 
 // decode decodes a report.
 func decode(report string) ([]uint32, error) {
-	text, err := hex.DecodeString(report)
+	raw, err := hex.DecodeString(report)
 	if err != nil {
 		return nil, err
 	}
-	if len(text)%4 != 0 || len(text) > 4*MaxServers {
+	if len(raw)%4 != 0 || len(raw) > 4*MaxServers {
 		return nil, errors.New("hearsay: report with an incomplete hash or too many hashes")
 	}
 	var all []uint32
-	for ; len(text) > 0; text = text[4:] {
-		all = append(all, binary.BigEndian.Uint32(text))
+	for ; len(raw) > 0; raw = raw[4:] {
+		all = append(all, binary.BigEndian.Uint32(raw))
 	}
 	return all, nil
 }
@@ -91,7 +91,7 @@
 			continue
 		}
 		machines[m.Info.Machine] = true
-		all, _ := decode(m.Info.Silent) // an invalid report is ignored
+		all, _ := decode(m.Info.Silent) // the member's report of unresponsive servers; an invalid one is ignored
 		for _, s := range all {
 			if h.reporters[s] == nil {
 				h.reporters[s] = map[string]bool{}
@@ -103,6 +103,6 @@
 	return h
 }
 
-// Unresponsive reports whether members on enough machines report a server: three machines, or a majority if there are
-// fewer than five, and always at least two.
+// Unresponsive reports whether members on enough machines report a server: three machines, or a majority if fewer than
+// five have members whose reports count, and always at least two.
 func (h *Reports) Unresponsive(a cluster.Addr) bool { return len(h.reporters[Hash(a)]) >= h.quorum }
--- a/internal/decide/loss/loss.go
+++ b/internal/decide/loss/loss.go
@@ -17,7 +17,8 @@
 	"text/tabwriter"
 )
 
-// LogMessage is the message of log lines with a record, which is under the key "record".
+// LogMessage is the message of log lines that account for one request's lost value, with the Record under the key
+// "record".
 const LogMessage = "account"
 
 // Record describes one request that earned less than its full value. Times are in milliseconds; all but At
@@ -48,10 +49,10 @@
 // The endings of an attempt.
 const (
 	Answered  Ending = "ok"
-	TimedOut  Ending = "silent" // no response until it was given up
-	Errored   Ending = "broken" // an error or a reset: the request may have run
-	Rejected  Ending = "full"   // rejected by the server, or no connection: the request never ran
-	Abandoned Ending = "unspent"
+	TimedOut  Ending = "silent"  // no response until it was given up
+	Errored   Ending = "broken"  // an error or a reset: the request may have run
+	Rejected  Ending = "full"    // rejected by the server, or no connection: the request never ran
+	Abandoned Ending = "unspent" // cancelled, or still in flight when the request was over
 )
 
 // ParseLine parses the record of a log line in slog's text or JSON format. ok reports whether the line has a
@@ -93,10 +94,10 @@
 	ErroredOnce                         // an attempt failed
 	ErroredAgain                        // several attempts failed
 	RejectedByServer                    // no attempt timed out or failed, and at least one was rejected
-	Slow                                // the attempts had no fault: the answer was late
-	NoCapacity                          // no attempt was made until more than half of the latency target had passed
+	Slow                                // attempts were made, and none timed out, failed or was rejected
+	NoCapacity                          // no attempt, and ended after more than half of the latency target
 	RefusedEarly                        // no attempt, and ended within half of the latency target
-	ClientLeft                          // no attempt until the client left
+	ClientLeft                          // no attempt; the client left
 	causeCount
 )
 
@@ -152,9 +153,9 @@
 type Tally struct {
 	all     [causeCount]total
 	classes map[string]*[causeCount]total
-	zones   map[int]*[causeCount]total
+	zones   map[int]*[causeCount]total // by the zone of the last attempt; -1: no attempt
 	seconds map[int64]*[causeCount]total
-	servers map[string]*[causeCount]total // by the server of the last attempt
+	servers map[string]*[causeCount]total // by the server of the last attempt; "": no attempt
 	total   total
 }
 
@@ -222,7 +223,8 @@
 	printTable(out, "class", t.classes, strings.Compare)
 	printTable(out, "zone", t.zones, cmp.Compare)
 	printTable(out, "second", t.seconds, cmp.Compare)
-	fmt.Fprintf(out, "\nservers tried last: %d, of which these lost most\n", len(t.servers))
+	fmt.Fprintf(out, "\nservers of the last attempt: %d (one without a name: no attempt); the largest losses\n",
+		len(t.servers))
 	worst := map[string]*[causeCount]total{}
 	for _, name := range largestLosses(t.servers, 10) {
 		worst[name] = t.servers[name]
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -31,8 +31,10 @@
 	SuspectAfter    int           // periods without contact after which an observer suspects a subject
 	Grace           int           // periods that a quorum's suspicions stay unrefuted before a member is declared dead
 	CoalescePeriods int           // maximum periods that a death is delayed, to report it together with others
-	WitnessAfter    int           // periods without open suspicions after which a member's own suspicions count
-	ForgetAfter     time.Duration // how long members that died or left are kept, and afterwards barred from returning
+	WitnessAfter    int           // periods without open suspicions of a member after which its own suspicions count
+	// ForgetAfter is how long members that are suspect, dead or left are kept, and afterwards barred from returning. A
+	// process that doesn't tick for longer discards its view and joins again.
+	ForgetAfter time.Duration
 }
 
 // Default returns the options that apply when the operator's settings file sets none.
@@ -102,13 +104,13 @@
 	state              State
 	reported           bool // a Change has been reported for it
 	since              time.Duration
-	unsuspectedPeriods int // a witness from Options.WitnessAfter on
+	unsuspectedPeriods int // periods without open suspicions, see Options.WitnessAfter
 
 	// The following fields matter if this agent observes the process.
-	subject               bool
+	subject               bool // this agent observes it
 	watchedPeriods        int
 	contactHistory        uint64 // one bit a period, the latest lowest; set: there was contact
-	refutations           int    // suspicions that were refuted though no contact was made
+	refutations           int    // times in a row, at most 3, that it refuted a suspicion of this agent without contact
 	suspectNotBefore      int    // tick before which it isn't suspected again
 	updatedSinceSuspected bool   // it has published a newer Self record since, so dialling it may succeed
 
@@ -164,8 +166,8 @@
 	observersStale bool              // observers have to be assigned anew
 	observers      map[ID]bool       // members that observe this one
 	requestedLinks []string          // names to which the caller wants a link
-	// overruled has, by kind, the versions that this process's next records have to exceed: those of forged
-	// records and of suspicions to refute.
+	// overruled is, by kind, the version that this process's next record has to exceed: the highest of forged
+	// records in its name and, for Self, of suspicions to refute. 0: none.
 	overruled [kinds]uint64
 	// The following fields say whether this agent itself may be at fault.
 	starvedTicks        int // remaining ticks for which it counts as starved of CPU time
@@ -286,7 +288,8 @@
 	})
 }
 
-// Leave announces on all links that this process ends. Later versions of its Self record are ignored.
+// Leave announces on all links that this process is about to exit. The other members ignore later versions of its Self
+// record.
 func (m *Machine) Leave(now time.Duration) Output {
 	return m.apply(now, func() {
 		if info := m.local.self.Info; !info.Left {
@@ -297,7 +300,8 @@
 	})
 }
 
-// publishInfo writes a new version of this process's Self record. The Info is kept across a reset.
+// publishInfo writes a new version of this process's Self record. The Info is kept across a reset, except for Joined,
+// Left and Twin.
 func (m *Machine) publishInfo(info Info) {
 	r := &Record{ID: m.options.ID, Kind: Self, Version: max(m.local.self.Version, m.overruled[Self]) + 1, Info: info}
 	m.overruled[Self] = 0
@@ -321,8 +325,8 @@
 	m.enqueue([]Record{*r}, ID{})
 }
 
-// Publish publishes this process's orders, at most MaxOrders bytes. Publishing the same orders again
-// changes nothing.
+// Publish publishes this process's orders, an encoded orders.List of at most MaxOrders bytes that is not decoded
+// here. Publishing the same orders again changes nothing.
 func (m *Machine) Publish(now time.Duration, orders string) Output {
 	return m.apply(now, func() { m.publishOrders(orders) })
 }
@@ -579,7 +583,8 @@
 // record is accepted.
 func (m *Machine) resolveName(r *Record) bool {
 	for _, o := range m.nodesNamed(r.ID.Name) {
-		switch { // a death that relied on suspicions of a removed process relies on the others' from then on
+		// Removing a process removes the suspicions it published; a dead member stays dead while others suspect it.
+		switch {
 		case o.self == nil || o.id == r.ID:
 		case o.id.Incarnation > r.ID.Incarnation && !r.Info.Twin:
 			return false // superseded by a later incarnation
@@ -589,7 +594,7 @@
 	}
 	if r.ID.Name == m.options.ID.Name && r.ID.Incarnation > m.options.ID.Incarnation && !m.local.self.Info.Twin {
 		info := m.local.self.Info
-		info.Twin = true // if the other is forged, it never shows up
+		info.Twin = true // this process still runs; the other record may be forged
 		m.publishInfo(info)
 	}
 	return true
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/sharing/sharing.go
@@ -18,7 +18,7 @@
 
 // The values of Action.
 const (
-	Ignore           Action = iota // nothing: the record belongs to no open request
+	Ignore           Action = iota // nothing: no open request awaits the record
 	Begin                          // start a request
 	AppendParams                   // append the content to the params of the request
 	ParamsComplete                 // the params are complete
@@ -29,7 +29,7 @@
 	RejectRole                     // reject with FCGI_UNKNOWN_ROLE
 	ParamsTooLong                  // the params exceed Limits.Params: answer with an error, ignore further input
 	ReplyValues                    // answer FCGI_GET_VALUES
-	ReplyUnknownType               // answer a management record of unknown type
+	ReplyUnknownType               // answer a record with id 0 that is neither FCGI_GET_VALUES nor FCGI_BEGIN_REQUEST
 	CloseConnection                // the records that follow are ambiguous: close the connection
 )
 
@@ -169,8 +169,8 @@
 	// MaxBuffered is how much of one body is buffered beyond its window, in bytes.
 	MaxBuffered = 256 << 10
 	// MaxPause is how long in total one body may pause reading from a connection that other requests
-	// share. A body whose server takes more than MinDrainRate bytes per second may pause longer; a
-	// slower one is terminated.
+	// share, in addition to the time that the bytes already passed to its server take at MinDrainRate,
+	// in bytes per second. After that its request is terminated.
 	MaxPause, MinDrainRate = 500 * time.Millisecond, 4 << 20
 )
 
--- a/internal/fleet/controlplane/plantedfault_test.go
+++ b/internal/fleet/controlplane/plantedfault_test.go
@@ -15,7 +15,7 @@
 		"the tests that have to find each fault of TestPlantedIdempotencyFaults")
 )
 
-// Directories of the packages with the sources of a fault, or with the tests that find it.
+// Directories of other packages, for Dir and SourceDir of a plantedfault.Fault.
 const (
 	distributionDir = "../distribution"
 	externalAPIDir  = "../externalapi"
@@ -23,7 +23,8 @@
 	replicationDir  = "../replication"
 )
 
-// partitionFaults are faults in the behaviour of a machine without contact.
+// partitionFaults are faults in the behaviour of a machine without contact, in the age of the data that it passes on,
+// and in phase orders.
 var partitionFaults = []plantedfault.Fault{
 	{
 		Name:  "a change is rejected without contact",
@@ -153,7 +154,7 @@
 		},
 	},
 	{
-		Name:  "an order is given without contact",
+		Name:  "a phase order is sent without contact",
 		Tests: "^TestOrdersNeedContact$",
 		Texts: []string{
 			"if !p.confirmEpoch(ctx, epoch) {",
--- a/internal/fleet/controlplane/poller.go
+++ b/internal/fleet/controlplane/poller.go
@@ -21,8 +21,8 @@
 	pollerTick = 100 * time.Millisecond
 	// platformTimeout bounds a call to the platform.
 	platformTimeout = time.Second
-	// callsPerPollShare is the number of times that the platform's rate limit must allow the calls of one poll within
-	// the poll interval: polls use half of the rate, and the other half is left to node agents that poll directly.
+	// callsPerPollShare is the divisor of the platform's rate limit for polls: they use half of the rate, and the other
+	// half is left to node agents that poll directly.
 	callsPerPollShare = 2
 	// clientAheadThreshold is how long a node agent must have a newer configuration than the primary before that is
 	// logged: a new primary may not have applied its newest change yet.
@@ -43,7 +43,7 @@
 	term     term
 }
 
-// term is the poller's state as the primary of one epoch.
+// term is the poller's state for the time during which this machine is the primary of one epoch.
 type term struct {
 	epoch       uint64
 	count       uint64    // number of publications
@@ -117,8 +117,10 @@
 			p.term.ahead = map[string]bool{}
 		}
 		p.term.ahead[client] = true
-		p.server.log.Warn("node agent has a newer configuration than the primary, restart it",
-			zap.String("agent", client))
+		p.server.log.Warn(
+			"node agent has a newer configuration than the primary and accepts no update: restart the node agent",
+			zap.String("agent", client),
+		)
 	}
 }
 
@@ -145,9 +147,9 @@
 	return max(pollInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// runPhases runs a round of reports and phase orders, and publishes the load report if it has changed. Orders are sent
-// only phaseTakeoverWait after the start of the term, so that the role doesn't alternate between owners within a lease;
-// reports are fetched from the start.
+// runPhases runs a round of reports and phase orders, and publishes the load report if its active counts have changed
+// or a backend is unresponsive in it or in the last one. Orders are sent only phaseTakeoverWait after the start of the
+// term, so that a lease lies between the orders of a former primary and its own; reports are fetched from the start.
 func (p *poller) runPhases(ctx context.Context, now time.Time) {
 	r := round{
 		now:      time.Since(p.server.start),
@@ -186,7 +188,7 @@
 	}
 }
 
-// recordPoll publishes the poller's state for the fleet status and the outlier detection.
+// recordPoll stores the poller's state in the Server, for the fleet status and the outlier detection.
 func (p *poller) recordPoll() {
 	t := &p.term
 	previous := p.server.lastPoll.Load()
@@ -203,7 +205,8 @@
 	}
 }
 
-// publishMembershipSize publishes the number of proxies that hold a lease and of those that are draining, if changed.
+// publishMembershipSize publishes the number of proxies that hold a lease and of those that are draining, if it has
+// changed and is not 0.
 func (p *poller) publishMembershipSize() {
 	size := distribution.MembershipSize{Zones: map[string]int{}}
 	for _, m := range p.server.cache.Members(time.Now(), p.server.memberLease()) {
--- a/internal/fleet/proxy/accounts.go
+++ b/internal/fleet/proxy/accounts.go
@@ -64,7 +64,7 @@
 }
 
 // authenticate returns the account of a request's key; nil if the request needs none. It removes the key from the
-// request, and the client's tenant header. Its errors are rejections.
+// request, and the client's tenant header. Its errors are of type *rejection.
 //
 // Safety: a key that an acknowledged configuration revoked must not admit a request that was sent Bounds.Revoke later.
 // The request was sent before arrivedAt, and as of confirmedAt no such configuration had been acknowledged that is not
@@ -135,7 +135,7 @@
 	header[externalapi.HeaderTenant] = []string{account.Name}
 }
 
-// acquireQuota acquires a slot of the account's quota for a request. Its errors are rejections.
+// acquireQuota acquires a slot of the account's quota for a request. Its errors are of type *rejection.
 func (p *Proxy) acquireQuota(
 	ctx context.Context, account *routingconfig.Account, route *routingconfig.Route,
 ) (quota.Slot, error) {
--- a/internal/fleet/proxy/attemptrecord.go
+++ b/internal/fleet/proxy/attemptrecord.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// headerReceived records that the response has started, after which the attempt can no longer become overdue. It
+// endHeaderWait records that the response has started or the attempt has failed, so that it can't become overdue. It
 // returns the time since the start of the attempt, in milliseconds.
-func (ar *attemptRecord) headerReceived() float64 {
+func (ar *attemptRecord) endHeaderWait() float64 {
 	ar.svc.mu.Lock()
 	defer ar.svc.mu.Unlock()
 	ar.svc.recorder.HeadersReceived(ar.recorded)
--- a/internal/fleet/proxy/decode.go
+++ b/internal/fleet/proxy/decode.go
@@ -139,7 +139,7 @@
 func (a *decodeAttempt) firstEvent() {
 	a.gotEvent = true
 	a.firstEventAt = time.Now()
-	a.record.headerReceived()
+	a.record.endHeaderWait()
 	if a.pl.promptTokens > 0 {
 		a.prefillMs = milliseconds(time.Since(a.startedAt))
 	}
--- a/internal/fleet/proxy/prefill.go
+++ b/internal/fleet/proxy/prefill.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a.tookMs = a.record.headerReceived()
+	a.tookMs = a.record.endHeaderWait()
 	return handle, nil
 }
 
--- a/internal/fleet/proxy/requestwrite.go
+++ b/internal/fleet/proxy/requestwrite.go
@@ -11,8 +11,8 @@
 // reading.
 const maxSyncWrite = 16 << 10
 
-// requestWrite is the write of a request. The goroutine of a long one ends with the write, which abort and the
-// context's deadline end; the goroutine that returns the connection waits for it.
+// requestWrite is the write of a request. A long one has its own goroutine, which ends when the write does, at the
+// latest through exchange.abort or the context's deadline; the goroutine that returns the connection waits for it.
 type requestWrite struct {
 	length int
 	done   chan struct{} // closed when no further byte is sent
@@ -45,8 +45,8 @@
 	return rw
 }
 
-// failed returns the error of a short request's write, and whether a byte of it may have been sent. The error of a long
-// one appears when its response is read.
+// failed returns the error of a short request's write, and whether a byte of it may have been sent. For a long one it
+// always returns false and nil, though bytes may have been sent: the error appears when its response is read.
 func (rw *requestWrite) failed() (wrote bool, err error) {
 	if rw.length > maxSyncWrite {
 		return false, nil
--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -18,7 +18,8 @@
 const (
 	// defaultBodyLimit bounds a request's body, in bytes, if the configuration sets no limit.
 	defaultBodyLimit = 4 << 20
-	// maxAttemptIDBytes bounds a client's attempt id, which is copied into headers and sent to backends.
+	// maxAttemptIDBytes bounds the id that a client gives its request, which is copied into headers and sent to
+	// backends.
 	maxAttemptIDBytes = 256
 	// minRetryAfter is the least Retry-After of a request that was not run.
 	minRetryAfter = 50 * time.Millisecond
@@ -31,7 +32,8 @@
 	// net/http reads that body before it sends the response. It also bounds the time for a client to read its response
 	// after the deadline.
 	unreadBodyTimeout = 500 * time.Millisecond
-	// returnMargin is the part of the time limit that is reserved for the response's way back to the client.
+	// returnMargin is the part of the time limit that is reserved for the response's way back to the client, at most a
+	// tenth of the limit.
 	returnMargin = 10 * time.Millisecond
 )
 
@@ -90,7 +92,7 @@
 }
 
 // admit checks a request against the routing snapshot, reads its body, and finds its route and service. Its errors are
-// rejections.
+// of type *rejection.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) (*clientRequest, error) {
 	if r.ContentLength != 0 {
 		_ = http.NewResponseController(w).SetReadDeadline(arrivedAt.Add(unreadBodyTimeout))
@@ -116,7 +118,7 @@
 }
 
 // admitHead checks the head of a request: its route, its key and quota, its id and its deadline. Its errors are
-// rejections.
+// of type *rejection.
 func (p *Proxy) admitHead(
 	r *http.Request, snapshot *routingSnapshot, arrivedAt, confirmedAt time.Time,
 ) (*clientRequest, error) {
@@ -151,7 +153,7 @@
 	}, nil
 }
 
-// admitBody reads the body of a request and finds its service. Its errors are rejections.
+// admitBody reads the body of a request and finds its service. Its errors are of type *rejection.
 func (cr *clientRequest) admitBody(r *http.Request, snapshot *routingSnapshot) error {
 	body, err := readClientBody(cr.w, r, snapshot.bodyLimit(), cr.deadline)
 	if err != nil {
@@ -181,7 +183,7 @@
 	var prompt *scheduler.Prompt
 	if cr.svc.countRequest(cr.arrivedAt) {
 		if p, ok := parsePrompt(cr.outbound.header); ok {
-			prompt = &p // p stays on the stack
+			prompt = &p // p is not allocated on the heap
 		}
 	}
 	if cr.rejectIfOutlastsDrain(prompt) {
@@ -210,7 +212,7 @@
 	}
 }
 
-// findRoute returns the route of a request. A nil snapshot has no routes. Its errors are rejections.
+// findRoute returns the route of a request. A nil snapshot has no routes. Its errors are of type *rejection.
 func (rs *routingSnapshot) findRoute(r *http.Request) (*routingconfig.Route, error) {
 	if rs == nil || rs.index == nil {
 		return nil, &rejection{
@@ -223,7 +225,7 @@
 	if !strings.HasPrefix(path, "/") {
 		return nil, &rejection{
 			status: http.StatusBadRequest,
-			reason: "no path: a proxy of this fleet takes paths only",
+			reason: "request target must be a path that begins with /",
 		}
 	}
 	route, ok := rs.index.Lookup(r.Host, path)
@@ -241,13 +243,14 @@
 	return defaultBodyLimit
 }
 
-// attemptID returns the client's attempt id of a request, which has to occur exactly once. Its errors are rejections.
+// attemptID returns the id that the client gave its request, which has to occur exactly once. It is no id of an attempt
+// in this package's sense. Its errors are of type *rejection.
 func attemptID(header http.Header) (string, error) {
 	id := header.Get(externalapi.HeaderAttemptID)
 	if !validID(id) || len(header[externalapi.HeaderAttemptID]) != 1 {
 		return "", &rejection{
 			status: http.StatusBadRequest,
-			reason: externalapi.HeaderAttemptID + ": missing, several or no plain word",
+			reason: externalapi.HeaderAttemptID + ": must occur once, at most 256 bytes of printable ASCII without spaces",
 		}
 	}
 	return id, nil
@@ -267,8 +270,8 @@
 	return true
 }
 
-// timeToAnswer returns the time limit of the response: that of the route, or that of the client if it is shorter. Its
-// errors are rejections.
+// timeToAnswer returns the time limit of the response: that of the route, or that of the client if it is shorter or the
+// route has none. Its errors are of type *rejection.
 func timeToAnswer(route *routingconfig.Route, header http.Header) (time.Duration, error) {
 	wait := route.Deadline()
 	text := header.Get(externalapi.HeaderDeadlineMs)
@@ -279,7 +282,7 @@
 	if err != nil || ms <= 0 {
 		return 0, &rejection{
 			status: http.StatusBadRequest,
-			reason: externalapi.HeaderDeadlineMs + ": no number above 0",
+			reason: externalapi.HeaderDeadlineMs + ": must be a number above 0",
 		}
 	}
 	requested := time.Duration(ms * float64(time.Millisecond))
@@ -289,19 +292,23 @@
 	return wait, nil
 }
 
-// readClientBody reads the body of a request, of at most limit bytes, until deadline. Its errors are rejections that
-// close the connection, since the rest of the body may still be to come.
+// readClientBody reads the body of a request, of at most limit bytes, until deadline. Its errors are of type
+// *rejection and close the connection, since the rest of the body may still arrive.
 func readClientBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
 	body, err := readBodyUntil(w, r, limit, deadline)
 	switch {
 	case err == nil:
 		return body, nil
 	case isTimeout(err):
-		return nil, &rejection{status: http.StatusRequestTimeout, reason: "body not whole in time", closeConn: true}
+		return nil, &rejection{
+			status:    http.StatusRequestTimeout,
+			reason:    "body incomplete when the time was up",
+			closeConn: true,
+		}
 	case errors.Is(err, errBodyTooLarge):
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "body too large", closeConn: true}
 	}
-	return nil, &rejection{status: http.StatusBadRequest, reason: "body not whole", closeConn: true}
+	return nil, &rejection{status: http.StatusBadRequest, reason: "body could not be read completely", closeConn: true}
 }
 
 // parsePrompt returns the description of the prompt in a request's headers; false: it is missing or invalid.
--- a/internal/fleet/proxy/trials_test.go
+++ b/internal/fleet/proxy/trials_test.go
@@ -118,7 +118,7 @@
 	c.Assert(s.takeOutcomes(false), qt.IsNil)
 	s.start = s.start.Add(-200 * time.Millisecond)
 	c.Assert(s.takeOutcomes(false), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Attempts: 1, Overdue: 1}})
-	waiting.headerReceived()
+	waiting.endHeaderWait()
 	waiting.finish(policy.OK, speedSlow, true)
 	c.Assert(s.takeOutcomes(true), qt.DeepEquals, []distribution.Outcome{{Backend: "d0", Late: 1}})
 	s.beginAttempt("d1", 100).finish(policy.Cancelled, speedUsual, false)
--- a/internal/fleet/quota/server.go
+++ b/internal/fleet/quota/server.go
@@ -19,7 +19,8 @@
 type Server struct {
 	rule    Rule
 	overlap time.Duration
-	// leads reports whether this server is the primary of an epoch; it may do so for overlap after another was elected.
+	// leads reports whether this server is the primary of an epoch; it may still return true for up to overlap after
+	// another server was elected.
 	leads func(epoch uint64) bool
 	start time.Time // time 0 of the allocator's clock
 
@@ -53,8 +54,8 @@
 	}
 }
 
-// Lead makes this server the allocator of an epoch, with the ceilings that limited all earlier allocators. If it was
-// the allocator of the preceding epoch, it keeps its state, since no other server allocated slots in between.
+// Lead makes this server the allocator of an epoch. If it was the allocator of the preceding epoch, it keeps its state,
+// since no other server allocated slots in between. Else it starts with ceilings, which limited all earlier allocators.
 func (s *Server) Lead(epoch uint64, ceilings *Ceilings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +90,8 @@
 	return wanted, !wanted.Equal(s.ceilings)
 }
 
-// Serve answers the reports of holders until ctx ends and the caller closes the listener. It returns when all of its
-// connections have ended.
+// Serve answers the reports of holders, the proxies that hold slots, until ctx ends and the caller closes the listener.
+// It returns when all of its connections have ended.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) {
 	var conns sync.WaitGroup
 	defer conns.Wait()
@@ -119,8 +120,8 @@
 	return s.conns
 }
 
-// serveConn answers the reports of one holder until the connection breaks, no report has come for a lease, or this
-// server is no longer the allocator.
+// serveConn answers the reports of one holder until the connection breaks, no report has come for a lease, a report
+// is rejected or of another epoch, or this server is no longer the allocator.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn, number uint64) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
--- a/internal/fleet/ranking/ranker.go
+++ b/internal/fleet/ranking/ranker.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// maxFailedTransfers is how many KV cache transfers in a row must fail to demote their source. A single failure can
-	// be due to an expired handle or to a network partition of the fetching backend; three in a row seldom are.
+	// maxFailedTransfers is the number of failed KV cache transfers in a row from which on each one demotes its source.
+	// A single failure can be due to an expired handle or to a network partition of the fetching backend; three in a
+	// row seldom are.
 	maxFailedTransfers = 3
-	// defaultPendingTimeoutMs and the other defaults replace settings that are 0, ms.
+	// Defaults, in ms, of settings that are 0.
 	defaultPendingTimeoutMs     = 60000
 	defaultUnhealthyHoldMs      = 60000
 	defaultMinRefetchIntervalMs = 1000
@@ -56,10 +57,10 @@
 type Ranker struct {
 	settings RankerSettings
 	byID     map[string]*backend
-	all      []*backend // listed, or removed with an attempt or probe in flight, in the order of their addition
+	all      []*backend // listed, or removed and not yet dropped by SetEndpoints, in the order of their addition
 
 	probesInFlight int
-	refetchDue     bool    // a refresh has made a fetch of the endpoint list due
+	refetchDue     bool    // to fetch the endpoint list: refresh made Unhealthy backends UnhealthyPending
 	refetchedAt    float64 // time when ShouldRefetch last returned true, ms
 
 	scratch []order.Candidate // buffer of Rank, reused to avoid allocations
--- a/internal/fleet/replication/membershipfaults_test.go
+++ b/internal/fleet/replication/membershipfaults_test.go
@@ -22,7 +22,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a departing machine is released while it holds the record",
+		name: "a departing machine is released while it is primary or backup",
 		texts: []string{
 			"m.peers.departing[o.ID] && !pending && m.view.rank(o.ID) < 0",
 			"m.peers.departing[o.ID] && !pending",
@@ -84,7 +84,7 @@
 		foundBy: "hand",
 	},
 	{
-		name: "a departing holder is removed from the members immediately",
+		name: "a departing primary or backup is removed from the members immediately",
 		texts: []string{
 			"return m.peers.departing[id] && m.view.rank(id) < 0",
 			"return m.peers.departing[id]",
@@ -105,6 +105,6 @@
 			"|| m.departure.begun || msg.Seq != m.log.seq || msg.Digest != m.log.digest {",
 			"|| m.departure.begun {",
 		},
-		missed: "the missing changes were not acknowledged, so the caller retries them",
+		missed: "harmless: the missing changes were not acknowledged, so the caller retries them",
 	},
 }
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -33,7 +33,7 @@
 // testKind is a kind of tests that may find a planted fault: those whose names match run and not skip.
 type testKind struct{ name, run, skip string }
 
-// testKinds are the kinds of tests, run with CI's settings.
+// testKinds are the kinds of tests, run with CI's settings. Kind hand is the tests with hand-written cases.
 var testKinds = []testKind{
 	{"search", "^TestSearch", ""},
 	{"hand", "", "^Test(Search|Storm$|Histories$|HastyVerdicts$|PlantedFaults$)"},
--- a/internal/fleet/replication/sim_test.go
+++ b/internal/fleet/replication/sim_test.go
@@ -135,8 +135,8 @@
 	token         uint64
 	confirms      int
 	views         map[uint64]View
-	wiped         int            // disks lost since the core last had its full redundancy
-	highLatency   bool           // delays near the time-outs, so that proposals compete
+	wiped         int            // disks lost since the core last had its full redundancy; initially the limit
+	highLatency   bool           // short election time-outs, near the test's delays, so that proposals compete
 	repairFirst   bool           // no disk is lost before all machines are members again
 	adjustOptions func(*Options) // adjusts the options of each process, if set
 }
@@ -183,7 +183,7 @@
 	}
 }
 
-// runUntil executes events up to a time, or until stop returns true, and reports whether it did.
+// runUntil executes events up to a time, or until stop returns true, and reports whether stop did.
 func (s *sim) runUntil(end time.Duration, stop func() bool) bool {
 	for s.err == nil && len(s.q) > 0 && s.q[0].at <= end {
 		e := heap.Pop(&s.q).(event)
@@ -201,7 +201,7 @@
 
 func (s *sim) options(b *simNode) Options {
 	seeds := s.seeds
-	if s.now >= s.bootUntil { // seeds may be any of the machines not removed at the start of the process
+	if s.now >= s.bootUntil { // any three of the machines that aren't removed
 		var there []string
 		for _, b := range s.nodes {
 			if !b.removed {
@@ -317,7 +317,7 @@
 	save(&b.disk, c.out.Write)
 	for seq := b.checked + 1; seq <= c.out.Committed; seq++ {
 		if seq > uint64(len(c.log)) {
-			s.fail("%s: %d committed, %d in the record", b.addr, seq, len(c.log))
+			s.fail("%s: %d committed, %d in the log", b.addr, seq, len(c.log))
 			return
 		}
 		switch n := uint64(len(s.committed)); {
@@ -360,7 +360,7 @@
 			s.fail("%s: read shows %d, %d was acknowledged before it began", b.addr, a.Seq, s.floors[a.Token])
 		}
 		if a.Seq > uint64(len(c.log)) {
-			s.fail("%s: read of %d, %d in the record", b.addr, a.Seq, len(c.log))
+			s.fail("%s: read of %d, %d in the log", b.addr, a.Seq, len(c.log))
 		}
 	}
 	delete(s.floors, a.Token)
@@ -476,8 +476,9 @@
 	return l
 }
 
-// healthyPrimary returns a ready primary whose view has the required number of holders in enough zones and keeps a
-// majority after the largest tolerated loss among the members whose identity still exists; nil if there is none.
+// healthyPrimary returns a ready primary whose view has the required number of replicas in enough zones, whose backups
+// all still exist, and which keeps a majority after the largest tolerated loss among the members that still exist; nil
+// if there is none.
 func (s *sim) healthyPrimary() *simNode {
 	ids := map[ID]bool{}
 	for _, b := range s.nodes {
--- a/internal/fleet/replication/wire_test.go
+++ b/internal/fleet/replication/wire_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestStoredDigest checks the values of the digests that chain the changes of a record: servers compare them, and state
-// stores keep them.
+// TestStoredDigest checks the values of the digests that chain the changes of the replicated log: servers compare
+// them, and state stores keep them.
 func TestStoredDigest(t *testing.T) {
 	c := qt.New(t)
 	first := ChainDigest(0, 1, []byte("first"))
--- a/internal/fleet/scheduler/phase_planner_test.go
+++ b/internal/fleet/scheduler/phase_planner_test.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// Guards against slow growth: with 3 of 44 backends decoding, full batches hid the demand beyond them.
+// Guards against slow growth: with 3 of 44 backends decoding, decode backends report at most their batch size, which
+// hid the demand beyond it.
 func TestDecodeGrowsFromFullBatches(t *testing.T) {
 	c := qt.New(t)
 	f, p := newFleet(41, 3), NewPhasePlanner()
@@ -115,7 +116,7 @@
 		f.step(p, now, 64, 40)
 	}
 	_, decode = f.count()
-	c.Assert(decode, qt.Equals, 4, qt.Commentf("without prefill overload, preferred backends keep their phase"))
+	c.Assert(decode, qt.Equals, 4, qt.Commentf("without prefill overload, up to half may decode, so none changes"))
 	f.prefilling = 15
 	for now := 80000.0; now < 140000; now += 500 {
 		f.step(p, now, 64, 40)
@@ -144,15 +145,15 @@
 		}
 	}
 	c.Assert(at > 0 && at <= 10000+2*prefillHalfLifeMs+announceMs+1000, qt.IsTrue,
-		qt.Commentf("overloaded prefill waits only for the announcement: %v", at))
-	// More decode load doesn't take over busy prefill backends.
+		qt.Commentf("the change waits only for the mean load and the announcement: %v", at))
+	// More decode load takes over busy prefill backends only until half of all, rounded up, decode.
 	f, p = newFleet(5, 4), NewPhasePlanner()
 	f.prefilling = 15
 	for now := 0.0; now < 20000; now += 500 {
 		f.step(p, now, 64, 230)
 	}
 	prefill, _ := f.count()
-	c.Assert(prefill, qt.Equals, 4, qt.Commentf("half of all prefill"))
+	c.Assert(prefill, qt.Equals, 4, qt.Commentf("half of all backends, rounded down, prefill"))
 }
 
 func TestTransitionIsAnnouncedBeforeItsOrder(t *testing.T) {
--- a/internal/fleet/statestore/errors.go
+++ b/internal/fleet/statestore/errors.go
@@ -63,9 +63,10 @@
 	sqlite3.ErrFormat,
 }
 
-// Transient reports whether an error of Open or Save comes from a failing disk, so that a later attempt may succeed: a
-// process retries instead of exiting. Errors that persist until an operator acts are not transient: a newer schema
-// version, a directory without permission.
+// Transient reports whether a later attempt may succeed after an error of Open or Save, so that a process retries
+// instead of exiting: the disk is full, read-only or failing, the file is locked, or the process lacks memory or file
+// descriptors. Not transient are, for example, a newer schema version and the operating system's error for a lack of
+// permission. SQLite's ErrCantOpen and ErrReadonly count as transient, whatever their cause.
 func Transient(err error) bool {
 	var code sqlite3.Error
 	if errors.As(err, &code) {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -186,7 +186,7 @@
 	set := testSettings()
 	r := newHarness(t, set, 2)
 	a, b := r.b.byAddr[addr(0)], r.b.byAddr[addr(1)]
-	r.b.normalLatency.FleetMean, a.latencyRatio, b.latencyRatio = 0.1, 0.1, 0.9
+	r.b.normalLatency.OverallMean, a.latencyRatio, b.latencyRatio = 0.1, 0.1, 0.9
 	b.window, a.window = 9, 9
 	need := r.b.answerTimes.Mean(0) / 2
 	for range 20 {
@@ -203,7 +203,7 @@
 			t.Fatalf("must begin within %v ms, want %v", send.BeginMs, want)
 		}
 		r.outcome(r.id, 0, a.id, OK, need)
-		a.latencyRatio, b.latencyRatio, r.b.normalLatency.FleetMean = 0.1, 0.9, 0.1
+		a.latencyRatio, b.latencyRatio, r.b.normalLatency.OverallMean = 0.1, 0.9, 0.1
 		need = r.b.answerTimes.Mean(0) / 2
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -109,7 +109,8 @@
 		}
 	}
 	latency, answerTimes := r.b.normalLatency, r.b.answerTimes
-	x := latency.FleetMean + answerTimes.MeanHint + answerTimes.Expected(0, 5) + latency.Unloaded + answerTimes.Mean(0)
+	x := latency.OverallMean + answerTimes.MeanHint + answerTimes.Expected(0, 5) + latency.Unloaded +
+		answerTimes.Mean(0)
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		t.Errorf("unusual values made the means %v", x)
 	}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// maxFailures is the number of requests without an available server after which dispatch stops.
+// maxFailures is the number of queued requests without an available server after which one pass of
+// dispatch ends.
 const maxFailures = 4
 
 // dispatch sends queued requests while there is capacity: the most valuable first, newest first among equals.
@@ -56,8 +57,8 @@
 		!b.underCap(near[0], r) && !b.underCap(near[1], r)
 }
 
-// overfull reports whether the queue exceeds maxQueued, or queued requests and attempts in flight exceed
-// OpenCap.
+// overfull reports whether the queue exceeds maxQueued, or is not empty while queued requests and attempts in
+// flight together exceed Limits.MaxOpenRequests (0: no limit).
 func (b *Balancer) overfull() bool {
 	if len(b.queue) > maxQueued {
 		return true
@@ -66,7 +67,8 @@
 	return len(b.queue) > 0 && most > 0 && len(b.queue)+b.inFlight > most
 }
 
-// expire rejects queued requests that the mean answer time would make useless, and those past their deadline.
+// expire rejects queued requests whose answer is expected too late to be useful, and those past their
+// deadline.
 func (b *Balancer) expire() {
 	for _, r := range slices.Clone(b.queue) {
 		if b.now+b.expectedAnswerMs(r) > b.latestUseful(r) || b.now >= r.deadline {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// Requests beyond OpenCap are refused at once, the least valuable first; requests in flight are never refused.
-func TestOpenCapRefusesAtOnce(t *testing.T) {
+// Requests beyond Limits.MaxOpenRequests are refused at once, the least valuable first; requests in flight are never
+// refused.
+func TestMaxOpenRequestsRefusesAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Limits.MaxOpenRequests = 4
 	r := newHarness(t, s, 1)
--- a/policy/request.go
+++ b/policy/request.go
@@ -224,7 +224,7 @@
 	if r.bodyPending {
 		return 0 // the time begins when the body is complete
 	}
-	slow := max(s.latencyRatio/max(b.normalLatency.FleetMean, s.latencyRatio/maxSlowdown, 1e-9), 1)
+	slow := max(s.latencyRatio/max(b.normalLatency.OverallMean, s.latencyRatio/maxSlowdown, 1e-9), 1)
 	return slow * b.expectedAnswerMs(r) / 2
 }
 
