--- a/policy/passive_health.go
+++ b/policy/passive_health.go
@@ -77,7 +77,8 @@
 		}
 		// A server that answered other attempts in the meantime counts as slow, not as failed.
 		b.answerTimes.ObserveHinted(a.r.hint, rtt)
-		b.learnLatency(s, b.answerTimes.NormalizedLatency(a.r.hint, rtt/b.set.Classes[a.r.class].LatencyTargetMs))
+		b.learnLatency(s,
+			b.answerTimes.NormalizedLatency(a.r.hint, rtt/b.set.Classes[a.r.class].LatencyTargetMs))
 	case Full:
 		s.lastContact = b.now
 		b.shrinkWindow(s, rejectedWindowFactor, leastWindow)
--- a/policy/types.go
+++ b/policy/types.go
@@ -23,7 +23,8 @@
 const (
 	OK, Error, Full, Timeout                        = event.OK, event.Error, event.Full, event.Timeout
 	ConnectFailed, Reset, Cancelled                 = event.ConnectFailed, event.Reset, event.Cancelled
-	Abandoned, NoConnection, MaxUnconnectedAttempts = event.Moot, event.NoConnection, event.MaxAttemptsWithoutConnection
+	Abandoned, NoConnection, MaxUnconnectedAttempts = event.Moot, event.NoConnection,
+		event.MaxAttemptsWithoutConnection
 
 	EvRequest, EvOutcome, EvStarted = event.EvRequest, event.EvOutcome, event.EvStarted
 	EvDropped, EvList, EvProbed     = event.EvDropped, event.EvList, event.EvProbed
