--- a/internal/decide/promises/copies.go
+++ b/internal/decide/promises/copies.go
@@ -40,7 +40,7 @@
 	lastUpdate time.Duration
 }
 
-// Row is what is stored on disk of one holder, besides its keys.
+// Row is the on-disk state of one holder, apart from its keys.
 type Row struct {
 	_          struct{} `cbor:",toarray"`
 	Process    Peer
@@ -48,7 +48,7 @@
 	Epoch      uint64
 }
 
-// Record is what is stored on disk of one message: keys that begin, or one key and its reply.
+// Record is the on-disk form of one message: keys that begin, or one key and its reply.
 type Record struct {
 	_      struct{} `cbor:",toarray"`
 	Holder Holder
--- a/internal/fleet/simulation/judge_budget.go
+++ b/internal/fleet/simulation/judge_budget.go
@@ -8,9 +8,9 @@
 )
 
 // checkBudget judges BUDGET per service: within each window, the arrivals beyond the first of each request, the first
-// successful prefill left out, against ratio x requests + extra. The windows tried are those that end with such an
-// arrival and those that begin with one; the first window of each service that breaks the rule is a finding. A request
-// counts for each service of its Services, or where it arrived when they are nil.
+// successful prefill left out, against ratio x requests + extra. For each such arrival, two windows are checked: one
+// that ends with it and one that begins with it; the first window of each service that breaks the rule is a finding. A
+// request counts for each service of its Services, or where it arrived when they are nil.
 func (o *observations) checkBudget() {
 	if o.bounds.RetryWindow <= 0 {
 		return
