--- a/internal/fleet/proxy/reverseproxy.go
+++ b/internal/fleet/proxy/reverseproxy.go
@@ -225,7 +225,7 @@
 	if !strings.HasPrefix(path, "/") {
 		return nil, &rejection{
 			status: http.StatusBadRequest,
-			reason: "request target must be a path that begins with /",
+			reason: "no path: a proxy of this fleet takes paths only",
 		}
 	}
 	route, ok := rs.index.Lookup(r.Host, path)
@@ -250,7 +250,7 @@
 	if !validID(id) || len(header[externalapi.HeaderAttemptID]) != 1 {
 		return "", &rejection{
 			status: http.StatusBadRequest,
-			reason: externalapi.HeaderAttemptID + ": must occur once, at most 256 bytes of printable ASCII without spaces",
+			reason: externalapi.HeaderAttemptID + ": missing, several or no plain word",
 		}
 	}
 	return id, nil
@@ -282,7 +282,7 @@
 	if err != nil || ms <= 0 {
 		return 0, &rejection{
 			status: http.StatusBadRequest,
-			reason: externalapi.HeaderDeadlineMs + ": must be a number above 0",
+			reason: externalapi.HeaderDeadlineMs + ": no number above 0",
 		}
 	}
 	requested := time.Duration(ms * float64(time.Millisecond))
@@ -302,13 +302,13 @@
 	case isTimeout(err):
 		return nil, &rejection{
 			status:    http.StatusRequestTimeout,
-			reason:    "body incomplete when the time was up",
+			reason:    "body not whole in time",
 			closeConn: true,
 		}
 	case errors.Is(err, errBodyTooLarge):
 		return nil, &rejection{status: http.StatusRequestEntityTooLarge, reason: "body too large", closeConn: true}
 	}
-	return nil, &rejection{status: http.StatusBadRequest, reason: "body could not be read completely", closeConn: true}
+	return nil, &rejection{status: http.StatusBadRequest, reason: "body not whole", closeConn: true}
 }
 
 // parsePrompt returns the description of the prompt in a request's headers; false: it is missing or invalid.
