--- a/internal/decide/loss/loss.go
+++ b/internal/decide/loss/loss.go
@@ -223,7 +223,7 @@
 	printTable(out, "class", t.classes, strings.Compare)
 	printTable(out, "zone", t.zones, cmp.Compare)
 	printTable(out, "second", t.seconds, cmp.Compare)
-	fmt.Fprintf(out, "\nservers of the last attempt: %d (one without a name: no attempt); the largest losses\n",
+	fmt.Fprintf(out, "\nservers tried last: %d, of which these lost most\n",
 		len(t.servers))
 	worst := map[string]*[causeCount]total{}
 	for _, name := range largestLosses(t.servers, 10) {
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -594,7 +594,7 @@
 	}
 	if r.ID.Name == m.options.ID.Name && r.ID.Incarnation > m.options.ID.Incarnation && !m.local.self.Info.Twin {
 		info := m.local.self.Info
-		info.Twin = true // this process still runs; the other record may be forged
+		info.Twin = true // the other record may be forged; its process is then unresponsive
 		m.publishInfo(info)
 	}
 	return true
