--- a/cmd/molepaddle-fleet/revoke_planted_test.go
+++ b/cmd/molepaddle-fleet/revoke_planted_test.go
@@ -8,13 +8,13 @@
 )
 
 var revokePlanted = flag.Bool("revoke.planted", false,
-	"plant each fault of TestPlantedRevokeFaults in turn and play TestRevokedKeyStopsEverywhere, which takes minutes")
+	"plant each fault of TestPlantedRevokeFaults in turn and play TestRevokedKeyIsRejectedEverywhere, which takes minutes")
 
 // revokeFaults are bugs with which a revoked key continues to work at some machine.
 var revokeFaults = []plantedfault.Fault{
 	{
 		Name:      "keys count whenever they were confirmed",
-		Tests:     "^TestRevokedKeyStopsEverywhere$",
+		Tests:     "^TestRevokedKeyIsRejectedEverywhere$",
 		Dir:       ".",
 		SourceDir: "../../internal/fleet/proxy",
 		Texts: []string{
@@ -24,7 +24,7 @@
 	},
 	{
 		Name:      "a primary that was cut off claims to be in contact",
-		Tests:     "^TestRevokedKeyStopsEverywhere$",
+		Tests:     "^TestRevokedKeyIsRejectedEverywhere$",
 		Dir:       ".",
 		SourceDir: "../../internal/fleet/controlplane",
 		Texts: []string{
@@ -34,7 +34,7 @@
 	},
 	{
 		Name:      "an answer confirms the configuration as of when it was received",
-		Tests:     "^TestRevokedKeyStopsEverywhere$",
+		Tests:     "^TestRevokedKeyIsRejectedEverywhere$",
 		Dir:       ".",
 		SourceDir: "../../internal/fleet/proxy",
 		Texts: []string{
