--- a/cmd/molepaddle/main_test.go
+++ b/cmd/molepaddle/main_test.go
@@ -93,7 +93,7 @@
 	return o.text.String()
 }
 
-// tail returns the tail 40 lines, without the repeated ones about refused connections.
+// tail returns the last 40 lines, without the repeated ones about refused connections.
 func (o *output) tail() string {
 	var lines []string
 	for line := range strings.Lines(o.String()) {
