--- a/cmd/molepaddle/fastcgi_test.go
+++ b/cmd/molepaddle/fastcgi_test.go
@@ -33,7 +33,7 @@
 
 func (s *webConn) endBody(id uint16) { s.Write(fcgi.Append(nil, fcgi.Stdin, id, nil)) }
 
-// nextAnswer returns the id and the answer of the nextAnswer request that ends; 0: the connection has ended.
+// nextAnswer returns the id and the answer of the next request that ends; 0: the connection has ended.
 func (s *webConn) nextAnswer() (id uint16, text string) {
 	id, text, _, err := s.Next()
 	if err != nil {
--- a/cmd/molepaddle/lab.go
+++ b/cmd/molepaddle/lab.go
@@ -47,7 +47,7 @@
 	cmd.Flags().IntVar(&f.jobs, "jobs", runtime.NumCPU(), "plays of the model at once")
 }
 
-// loadScenario loads a loadScenario and applies the knobs of --set.
+// loadScenario loads a scenario and applies the knobs of --set.
 func (f *labFlags) loadScenario(name string) (*scenario.Scenario, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-// parseVariant parses a parseVariant; with --processes, its agents are processes of this program.
+// parseVariant parses a variant; with --processes, its agents are processes of this program.
 func (f *labFlags) parseVariant(text string) (trial.Variant, error) {
 	v, err := trial.ParseVariant(text)
 	if err != nil {
--- a/cmd/molepaddle/promises_test.go
+++ b/cmd/molepaddle/promises_test.go
@@ -149,7 +149,7 @@
 	return r
 }
 
-// awaitSettled waits until each of these has a awaitSettled epoch with the number of replicas.
+// awaitSettled waits until each of these has a settled epoch with the number of replicas.
 func (c *siteFleet) awaitSettled(copies int, these ...int) {
 	c.t.Helper()
 	for _, i := range these {
--- a/cmd/molepaddle/work_test.go
+++ b/cmd/molepaddle/work_test.go
@@ -119,7 +119,7 @@
 	return q
 }
 
-// foundCouncil founds a foundCouncil at n0 and waits until it has three voters.
+// foundCouncil founds a council at n0 and waits until it has three voters.
 func (f *fleet) foundCouncil() {
 	f.t.Helper()
 	f.mustCall(0, seat.Call{Operation: seat.Bootstrap})
@@ -131,7 +131,7 @@
 	f.t.Logf("three voters after %v", time.Since(began).Round(10*time.Millisecond))
 }
 
-// awaitLeader waits until one of these reports a awaitLeader among them, and returns it.
+// awaitLeader waits until one of these reports a leader among them, and returns it.
 func (f *fleet) awaitLeader(these ...int) (leader int) {
 	f.t.Helper()
 	eventually(f.t, "a leader is elected", f.members[these[0]].out, func() bool {
