--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -513,7 +513,7 @@
 	c.actions = c.bal.Handle(c.clock(), ev, c.actions[:0])
 	if c.reach != nil && c.reach.Changes() != c.changes {
 		c.changes = c.reach.Changes()
-		if zones, all := c.reach.Doubted(); all {
+		if zones, all := c.reach.Suspected(); all {
 			c.log.Warn("no zone answers: this agent's own way may be cut")
 		} else {
 			c.log.Warn("zones that answer nothing come last", "zones", c.zones(zones))
--- a/internal/decide/cluster/cluster.go
+++ b/internal/decide/cluster/cluster.go
@@ -1,13 +1,13 @@
-// Package cluster holds the terms in which the list of servers is told, shared by those
-// who bring a list (the roster's client, the simulator's wire) and the decisions made
-// on it. It is values only: nothing here has an owner or a lock.
+// Package cluster defines the types of the list of servers. They are shared by the sources of a
+// list (the roster's client, the simulator's wire) and by the packages that decide on it. They are
+// plain values without locks.
 package cluster
 
-// Addr names a server: four bytes of address and a port. It has no meaning
-// beyond equality and is sent back exactly as it came.
+// Addr identifies a server: four bytes of address and two of port. It is only compared for
+// equality, and is sent back exactly as received.
 type Addr [6]byte
 
-// Hash is the address as a number, the same everywhere.
+// Hash returns the address as a number. It is the same at every agent.
 func (a Addr) Hash() uint64 {
 	h := uint64(0)
 	for _, x := range a {
@@ -16,10 +16,10 @@
 	return h
 }
 
-// Health is what the list says of a server.
+// Health is the health of a server according to the list.
 type Health uint8
 
-// The list's words.
+// The values of Health.
 const (
 	Draining Health = iota
 	Ready
@@ -32,14 +32,14 @@
 	Zone    int
 	Cell    int
 	Kind    int
-	SinceMs float64 // clock time of the latest start; 0: long past
+	SinceMs float64 // clock time of the latest start in ms; 0: long ago
 	Health  Health
 	Weight  float64
-	Window  float64 // attempts that it may hold of one agent before any is answered; 0: not told
-	Rank    float64 // its place in this agent's order, lower is first; 0: not ranked
+	Window  float64 // maximum attempts in flight from one agent before the first is answered; 0: unknown
+	Rank    float64 // position in this agent's order, lower is first; 0: not ranked
 }
 
-// ListKind tells how a list event changes the list at hand.
+// ListKind is the kind of a list event: how it changes the current list.
 type ListKind uint8
 
 // The kinds of list events.
@@ -50,16 +50,16 @@
 	ListFailed
 )
 
-// Server is one line of a list with the address at which the agent reaches it, which may
-// differ from one agent to the next.
+// Server is one line of a list with the address at which this agent reaches the server, which may
+// differ between agents.
 type Server struct {
 	Entry
-	Dial string // host:port, or what else the transport takes
+	Dial string // host:port, or another form of address that the transport accepts
 }
 
-// List is a list of servers, or a change of one.
+// List is a complete list of servers, or a change of a list.
 type List struct {
-	Seq      int64 // its version; later ones are higher, but for another roster's
+	Seq      int64 // version; increases with each list of the same roster
 	Complete bool
 	Servers  []Server
 }
--- a/internal/decide/doubt/doubt.go
+++ b/internal/decide/doubt/doubt.go
@@ -1,92 +1,96 @@
-// Package doubt tells which groups of servers, those of a zone, are out of an agent's reach as a whole. An agent of
-// many meets a server seldom: it would find each of a zone that is cut off silent by itself, at the price of a request
-// each. Here several that wait for an answer while nobody of their group gives one are evidence together.
+// Package doubt detects groups of servers, those of a zone, that are unreachable from an agent as a whole. In a large
+// fleet each agent sends few requests to any one server, so it would have to detect each server of a partitioned zone
+// by itself, at the cost of a request each. Instead, several unanswered attempts are combined as evidence while no
+// server of their group answers.
 //
-// There is no I/O and no clock here; times are in milliseconds of one clock. A Groups belongs to whoever decides.
+// The package does no I/O and reads no clock; times are in milliseconds of the caller's clock. A Groups isn't safe for
+// concurrent use.
 package doubt
 
 import "slices"
 
-// Enough is the evidence with which a group is doubted. Answer times are taken for exponential at the least, so that
-// one unanswered for x times the mean has the chance exp(-x), and several the product of theirs: 7 is one in a
-// thousand. Two that are gone at once are not rare where few servers are (lbsim's big-1 lost 0.003 to doubts of two),
-// and no server speaks for more than alone, however long it waits.
+// Threshold is the evidence from which on a group is suspected. Response times are assumed to have an exponential tail
+// at worst, so that an attempt is unanswered after x times the mean with a probability of exp(-x), and several attempts
+// with the product of theirs: a sum of 7 is one in a thousand. Two servers that fail at the same time aren't rare if
+// there are few (lbsim's big-1 lost 0.003 to suspicions from two), hence minServers; and a single server contributes
+// at most maxPerServer, however long its attempt waits.
 const (
-	Enough = 7.0
-	alone  = 4.0
-	least  = 3
-	// A trial follows the last after as many sends of the agent as this, doubled each time up to the most of them: a
-	// part of what it sends, however much that is. It comes after so many bases at the latest.
-	first, most = 10, 40
-	latest      = 8.0
+	Threshold    = 7.0
+	maxPerServer = 4.0
+	minServers   = 3
+	// A suspected group is tried again after firstTrialSends requests of the agent. The interval doubles with each
+	// trial up to maxTrialSends, so trials are a bounded part of its requests at any request rate. A trial is due after
+	// maxTrialBases times the base time at the latest.
+	firstTrialSends, maxTrialSends = 10, 40
+	maxTrialBases                  = 8.0
 )
 
-// Groups is what one agent believes.
+// Groups holds an agent's suspicions of groups.
 type Groups struct {
-	of      map[int]*group
-	doubted int
-	sends   int
-	changes int
+	groups         map[int]*group
+	suspectedCount int
+	sends          int
+	changes        int
 }
 
 type group struct {
-	answeredAt float64 // when any of it answered last
-	since      float64 // when it came to be doubted
-	out        bool    // it is
-	due        float64 // when the next trial may be
-	last       float64 // and when it is due whatever was sent
-	after      int     // of all sends; it is due with that one
-	pace       int     // sends until the one after
-
-	evidence float64 // of the look under way
-	servers  int
+	answeredAt    float64 // time of the latest answer of any of its servers
+	since         float64 // start of the suspicion
+	suspected     bool
+	trialAfter    float64 // earliest time of the next trial
+	trialBy       float64 // time at which the trial is due regardless of the number of sends
+	trialAtSend   int     // value of Groups.sends at which the trial is due
+	trialInterval int     // sends between the next trial and the one after
+
+	evidence float64 // sum since the latest Evaluate
+	servers  int     // waiting servers since the latest Evaluate
 }
 
-// New doubts nobody.
-func New() *Groups { return &Groups{of: map[int]*group{}} }
+// New returns a Groups without suspicions.
+func New() *Groups { return &Groups{groups: map[int]*group{}} }
 
-func (g *Groups) at(zone int) *group {
-	x := g.of[zone]
+func (g *Groups) zoneGroup(zone int) *group {
+	x := g.groups[zone]
 	if x == nil {
 		x = &group{}
-		g.of[zone] = x
+		g.groups[zone] = x
 	}
 	return x
 }
 
-// Answered takes that a server of the group has answered anything, and reports whether the group was doubted, and since
-// when: what was held against its servers from then on was held against the way to them.
+// Answered notes that a server of the group has answered. It reports whether that lifts a suspicion of the group, and
+// since when the group was suspected: failures of its servers since then are due to the network path to them.
 func (g *Groups) Answered(zone int, now float64) (since float64, lifted bool) {
-	x := g.at(zone)
+	x := g.zoneGroup(zone)
 	x.answeredAt = now
-	if !x.out {
+	if !x.suspected {
 		return 0, false
 	}
-	x.out = false
-	g.doubted--
+	x.suspected = false
+	g.suspectedCount--
 	g.changes++
-	for _, o := range g.of { // who was cut off may be back with all of them
-		o.due, o.after, o.pace = min(o.due, now), 0, first
+	for _, o := range g.groups { // if this agent was partitioned, all groups may be reachable again
+		o.trialAfter, o.trialAtSend, o.trialInterval = min(o.trialAfter, now), 0, firstTrialSends
 	}
 	return x.since, true
 }
 
-// Waits takes a server's attempt that has been out since sent without an answer, for so many times what one takes on
-// the mean. All of them are told, then Judge is asked.
-func (g *Groups) Waits(zone int, sent, times float64) {
-	if x := g.at(zone); sent > x.answeredAt {
-		x.evidence += min(times, alone)
+// AddWaiting adds a server's attempt that was sent at the time sent and has been unanswered for so many times the mean
+// response time. The caller adds all such attempts, and then calls Evaluate.
+func (g *Groups) AddWaiting(zone int, sent, times float64) {
+	if x := g.zoneGroup(zone); sent > x.answeredAt {
+		x.evidence += min(times, maxPerServer)
 		x.servers++
 	}
 }
 
-// Judge reports whether more groups are doubted from now on; base is the time until the first trial.
-func (g *Groups) Judge(now, base float64) (more bool) {
-	for _, x := range g.of {
-		if !x.out && x.servers >= least && x.evidence >= Enough {
-			x.out, x.since, x.pace = true, now, first
-			g.next(x, now, base)
-			g.doubted++
+// Evaluate updates the suspicions, and reports whether there are new ones; base is the time until the first trial.
+func (g *Groups) Evaluate(now, base float64) (more bool) {
+	for _, x := range g.groups {
+		if !x.suspected && x.servers >= minServers && x.evidence >= Threshold {
+			x.suspected, x.since, x.trialInterval = true, now, firstTrialSends
+			g.scheduleTrial(x, now, base)
+			g.suspectedCount++
 			g.changes++
 			more = true
 		}
@@ -95,16 +99,17 @@
 	return more
 }
 
-// Changes counts how often what is doubted has changed.
+// Changes returns how often a group became suspected or a suspicion was lifted.
 func (g *Groups) Changes() int { return g.changes }
 
-// Doubted is the groups that come behind others, in order; all: each of them is doubted, and none does.
-func (g *Groups) Doubted() (zones []int, all bool) {
-	if all = g.doubted > 0 && g.doubted == len(g.of); all {
+// Suspected returns the groups that are to be ranked after others, sorted. all reports that every group is suspected;
+// then none is returned.
+func (g *Groups) Suspected() (zones []int, all bool) {
+	if all = g.suspectedCount > 0 && g.suspectedCount == len(g.groups); all {
 		return nil, true
 	}
-	for zone, x := range g.of {
-		if x.out {
+	for zone, x := range g.groups {
+		if x.suspected {
 			zones = append(zones, zone)
 		}
 	}
@@ -112,39 +117,40 @@
 	return zones, false
 }
 
-// Of tells whether a group's servers come behind others now. Not where all groups are doubted: then this agent is the
-// one who is cut off, or there is one group only, and nobody is to blame.
-func (g *Groups) Of(zone int) bool {
-	if g.doubted == 0 {
-		return false // as nearly always
+// IsSuspected reports whether a group's servers are to be ranked after others now. They aren't if all groups are
+// suspected: then this agent itself is partitioned, or there is only one group.
+func (g *Groups) IsSuspected(zone int) bool {
+	if g.suspectedCount == 0 {
+		return false // the common case
 	}
-	x := g.of[zone]
-	return x != nil && x.out && g.doubted < len(g.of)
+	x := g.groups[zone]
+	return x != nil && x.suspected && g.suspectedCount < len(g.groups)
 }
 
-// next sets when the next trial is due.
-func (g *Groups) next(x *group, now, base float64) {
-	x.due, x.last, x.after = now+base, now+latest*base, g.sends+x.pace
-	x.pace = min(2*x.pace, most)
+// scheduleTrial sets when the next trial is due.
+func (g *Groups) scheduleTrial(x *group, now, base float64) {
+	x.trialAfter, x.trialBy, x.trialAtSend = now+base, now+maxTrialBases*base, g.sends+x.trialInterval
+	x.trialInterval = min(2*x.trialInterval, maxTrialSends)
 }
 
-// Due tells whether a request that may be repeated may try the group.
-func (g *Groups) Due(zone int, now float64) bool {
-	x := g.at(zone)
-	return now >= x.due && (g.sends >= x.after || now >= x.last)
+// MayTry reports whether an idempotent request may be sent to the group as a trial.
+func (g *Groups) MayTry(zone int, now float64) bool {
+	x := g.zoneGroup(zone)
+	return now >= x.trialAfter && (g.sends >= x.trialAtSend || now >= x.trialBy)
 }
 
-// Sent takes that a request went to a server of the group. If it tries a doubted one, the next trial is further away.
-// Where most groups are doubted this agent is cut off from them together, and a trial of one is one of all.
+// Sent notes that a request was sent to a server of the group. If it is a trial of a suspected group, the next trial is
+// scheduled. If most groups are suspected, this agent is presumably partitioned from all of them, and a trial of one
+// counts as a trial of all.
 func (g *Groups) Sent(zone int, now, base float64) {
 	g.sends++
-	x := g.at(zone)
-	if !x.out || !g.Due(zone, now) {
+	x := g.zoneGroup(zone)
+	if !x.suspected || !g.MayTry(zone, now) {
 		return
 	}
-	for _, o := range g.of {
-		if o.out && (o == x || 2*g.doubted > len(g.of)) {
-			g.next(o, now, base)
+	for _, o := range g.groups {
+		if o.suspected && (o == x || 2*g.suspectedCount > len(g.groups)) {
+			g.scheduleTrial(o, now, base)
 		}
 	}
 }
--- a/internal/decide/hearsay/hearsay.go
+++ b/internal/decide/hearsay/hearsay.go
@@ -1,8 +1,9 @@
-// Package hearsay is what the members of a fleet tell each other of servers that give them no answer. An agent of many
-// meets a server seldom, so one alone learns late; but one alone may also be broken, or lie. So what a member says counts
-// only with others', on other machines, and only against a server: nothing here makes anybody less careful.
+// Package hearsay encodes and evaluates the reports that members of a fleet gossip about unresponsive servers. In a
+// large fleet each agent sends few requests to any one server, so a single agent detects a failure late. A single
+// agent may also be broken or lie. So a report counts only together with reports from other machines, and it can only
+// count against a server: no report makes an agent trust a server more.
 //
-// There is no I/O and no clock here; all of it is values.
+// The package does no I/O and reads no clock. A Reporter isn't safe for concurrent use.
 package hearsay
 
 import (
@@ -16,33 +17,34 @@
 	"molepaddle/internal/decide/members"
 )
 
-// Most is how many servers a member names: the first by their hashes, so that members that hear nothing of many name
-// the same ones.
-const Most = 8
+// MaxServers is the maximum number of servers in a report. The ones with the lowest hashes are named, so that members
+// that have many unresponsive servers name the same ones.
+const MaxServers = 8
 
-// Hash names a server in a word.
+// Hash returns the hash by which a report names a server.
 func Hash(a cluster.Addr) uint32 { return uint32(arith.Mix(a.Hash()) >> 32) }
 
-// Look is what one agent finds silent, as its own word to the others. The zero Look has looked at nothing.
-type Look struct{ last []uint32 }
+// Reporter makes one agent's reports. The zero Reporter is ready for use.
+type Reporter struct{ previous []uint32 }
 
-// Word is the servers that have been silent at this look and the one before: one unanswered attempt is soon
-// put right by the next. An agent that doubts itself says nothing: it is its own way that may be cut.
-func (l *Look) Word(silent []cluster.Addr, doubts bool) string {
+// Report returns the encoded report of the servers that are unresponsive in this call and were so in the call before:
+// a single unanswered attempt is often followed by one that succeeds. While the agent suspects itself, the report is
+// empty, because it may be its own network that is partitioned.
+func (l *Reporter) Report(unresponsive []cluster.Addr, selfSuspicion bool) string {
 	var now []uint32
-	for _, a := range silent {
+	for _, a := range unresponsive {
 		now = append(now, Hash(a))
 	}
 	slices.Sort(now)
 	now = slices.Compact(now)
-	was := l.last
-	if l.last = now; doubts {
+	earlier := l.previous
+	if l.previous = now; selfSuspicion {
 		return ""
 	}
 	var text []byte
 	n := 0
 	for _, h := range now {
-		if _, before := slices.BinarySearch(was, h); before && n < Most {
+		if _, before := slices.BinarySearch(earlier, h); before && n < MaxServers {
 			text = binary.BigEndian.AppendUint32(text, h)
 			n++
 		}
@@ -50,14 +52,14 @@
 	return hex.EncodeToString(text)
 }
 
-// read reads a word.
-func read(word string) ([]uint32, error) {
-	text, err := hex.DecodeString(word)
+// decode decodes a report.
+func decode(report string) ([]uint32, error) {
+	text, err := hex.DecodeString(report)
 	if err != nil {
 		return nil, err
 	}
-	if len(text)%4 != 0 || len(text) > 4*Most {
-		return nil, errors.New("hearsay: no whole hashes, or too many")
+	if len(text)%4 != 0 || len(text) > 4*MaxServers {
+		return nil, errors.New("hearsay: report with an incomplete hash or too many hashes")
 	}
 	var all []uint32
 	for ; len(text) > 0; text = text[4:] {
@@ -66,21 +68,22 @@
 	return all, nil
 }
 
-// Count is how many servers a word names; one that makes no sense names none.
-func Count(word string) int {
-	all, _ := read(word)
+// Count returns the number of servers that a report names, 0 if it is invalid.
+func Count(report string) int {
+	all, _ := decode(report)
 	return len(all)
 }
 
-// Heard is what a fleet says.
-type Heard struct {
-	by     map[uint32]map[string]bool // machines of those who say so
-	quorum int
+// Reports is the reports of a fleet.
+type Reports struct {
+	reporters map[uint32]map[string]bool // by hash of a server: the machines that report it
+	quorum    int                        // number of machines that have to report a server
 }
 
-// Gather takes what the members of a view say. Who can't be heard, is doubted, stands twice or leaves says nothing.
-func Gather(v *members.View) Heard {
-	h := Heard{by: map[uint32]map[string]bool{}}
+// Collect collects the reports of the members in a view. Reports of members that aren't alive, are suspected, have a
+// duplicate name or are leaving don't count.
+func Collect(v *members.View) Reports {
+	h := Reports{reporters: map[uint32]map[string]bool{}}
 	machines := map[string]bool{}
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -88,18 +91,18 @@
 			continue
 		}
 		machines[m.Info.Machine] = true
-		all, _ := read(m.Info.Silent) // of one that makes no sense nothing is believed
+		all, _ := decode(m.Info.Silent) // an invalid report is ignored
 		for _, s := range all {
-			if h.by[s] == nil {
-				h.by[s] = map[string]bool{}
+			if h.reporters[s] == nil {
+				h.reporters[s] = map[string]bool{}
 			}
-			h.by[s][m.Info.Machine] = true
+			h.reporters[s][m.Info.Machine] = true
 		}
 	}
 	h.quorum = min(3, max(2, len(machines)/2+1))
 	return h
 }
 
-// Silent tells whether enough of them can't hear a server: three machines' members, or the most where there are fewer
-// than five, and never one alone.
-func (h *Heard) Silent(a cluster.Addr) bool { return len(h.by[Hash(a)]) >= h.quorum }
+// Unresponsive reports whether members on enough machines report a server: three machines, or a majority if there are
+// fewer than five, and always at least two.
+func (h *Reports) Unresponsive(a cluster.Addr) bool { return len(h.reporters[Hash(a)]) >= h.quorum }
--- a/internal/decide/lifecycle/lifecycle.go
+++ b/internal/decide/lifecycle/lifecycle.go
@@ -1,10 +1,10 @@
-// Package lifecycle says what an agent's process is (starting, ready, evacuating, handing over,
-// ending), and it alone says what follows: what /ready answers, who may connect, which connections
-// are closed. Operators' calls, signals and a second process are its inputs. It has no I/O and no
-// clock.
+// Package lifecycle is the state machine of an agent's process: starting, ready, evacuating, handing
+// over, ending. It alone decides what follows from the state: the answer of /ready, whether connections
+// are accepted, and which are closed. Its inputs are operators' calls, signals and the hand-over to a
+// second process. It does no I/O and reads no clock.
 //
-// A Machine may be used by any goroutine; its lock is held for a few instructions, so whoever asks
-// it is never kept waiting by requests.
+// A Machine is safe for concurrent use. Its lock is held only for a few instructions, so callers never
+// wait for requests.
 package lifecycle
 
 import (
@@ -12,77 +12,77 @@
 	"sync"
 )
 
-// State is what a process is.
+// State is the state of a process.
 type State uint8
 
-// The states.
+// The states of a process.
 const (
-	Starting    State = iota // no server could be sent to yet
-	Ready                    // at work
-	Evacuating               // told to send its clients away; at work until they have gone
-	HandingOver              // another process takes the connections that come
-	Ending                   // told to end; what is held is answered
+	Starting    State = iota // no server has been available yet
+	Ready                    // serves requests
+	Evacuating               // sends its clients away on an operator's call; serves until they have left
+	HandingOver              // another process accepts new connections
+	Ending                   // shuts down; requests in flight are still answered
 )
 
-// String is the name of a state, as operators read it.
+// String returns the name of a state, as shown to operators.
 func (s State) String() string {
 	return [...]string{"starting", "ready", "evacuating", "handing over", "ending"}[s]
 }
 
-// Why an input is turned down. The machine is then as it was.
+// Errors of inputs that the Machine rejects; its state is then unchanged.
 var (
 	ErrEnding     = errors.New("the process is ending")
 	ErrHandedOver = errors.New("another process has taken over")
 )
 
-// Machine is one process's state.
+// Machine is the state machine of one process.
 type Machine struct {
-	mu        sync.Mutex
-	open      bool // it has begun to accept
-	served    bool // a server could be sent to at some time since
-	evacuated bool
-	handed    bool // another process accepts in this one's place
-	ending    bool
-	changed   chan struct{}
+	mu         sync.Mutex
+	accepting  bool // it has begun to accept connections
+	hadServer  bool // a server has been available since then
+	evacuated  bool
+	handedOver bool // another process accepts connections in its place
+	ending     bool
+	changed    chan struct{}
 }
 
-// New is the machine of a process that starts.
+// New returns the Machine of a process that is starting.
 func New() *Machine { return &Machine{changed: make(chan struct{})} }
 
-// input changes the machine and wakes who waits for that.
-func (m *Machine) input(do func() error) error {
+// update applies an input. If the state changes, it closes the channel that Changed has returned.
+func (m *Machine) update(do func() error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	was := [...]bool{m.open, m.evacuated, m.handed, m.ending}
+	was := [...]bool{m.accepting, m.evacuated, m.handedOver, m.ending}
 	if err := do(); err != nil {
 		return err
 	}
-	if was != [...]bool{m.open, m.evacuated, m.handed, m.ending} {
+	if was != [...]bool{m.accepting, m.evacuated, m.handedOver, m.ending} {
 		close(m.changed)
 		m.changed = make(chan struct{})
 	}
 	return nil
 }
 
-// Changed is closed when the machine next changes.
+// Changed returns a channel that is closed at the next change of the state.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Open is for a process that begins to accept connections; until then it is starting, whatever
-// servers there are.
-func (m *Machine) Open() { _ = m.input(func() error { m.open = true; return nil }) }
+// Open notes that the process begins to accept connections. Until then it is Starting, even if servers
+// are available.
+func (m *Machine) Open() { _ = m.update(func() error { m.accepting = true; return nil }) }
 
-// Evacuate has clients sent away. Again, or while the process ends, it changes nothing and is no
-// error: they are being sent away.
+// Evacuate begins to send clients away. If that is in progress already, or the process is ending, it
+// changes nothing and returns no error.
 func (m *Machine) Evacuate() error {
-	return m.input(func() error {
+	return m.update(func() error {
 		switch {
 		case m.ending:
 			return nil
-		case m.handed:
+		case m.handedOver:
 			return ErrHandedOver
 		}
 		m.evacuated = true
@@ -90,13 +90,13 @@
 	})
 }
 
-// Rejoin ends an evacuation, at any moment of it; without one it changes nothing.
+// Rejoin ends an evacuation at any point. Without one it changes nothing.
 func (m *Machine) Rejoin() error {
-	return m.input(func() error {
+	return m.update(func() error {
 		switch {
 		case m.ending:
 			return ErrEnding
-		case m.handed:
+		case m.handedOver:
 			return ErrHandedOver
 		}
 		m.evacuated = false
@@ -104,77 +104,78 @@
 	})
 }
 
-// HandOver leaves the connections that come to another process.
+// HandOver leaves new connections to another process.
 func (m *Machine) HandOver() error {
-	return m.input(func() error {
+	return m.update(func() error {
 		if m.ending {
 			return ErrEnding
 		}
-		m.handed = true
+		m.handedOver = true
 		return nil
 	})
 }
 
-// TakeBack is for another process that has ended: this one is alone again.
-func (m *Machine) TakeBack() { _ = m.input(func() error { m.handed = false; return nil }) }
+// TakeBack ends a hand-over because the other process has ended.
+func (m *Machine) TakeBack() { _ = m.update(func() error { m.handedOver = false; return nil }) }
 
-// End is the way to the process's end; there is none back.
-func (m *Machine) End() { _ = m.input(func() error { m.ending = true; return nil }) }
+// End begins the shutdown of the process, which can't be revoked.
+func (m *Machine) End() { _ = m.update(func() error { m.ending = true; return nil }) }
 
-// State is the state, where servers tells whether any can be sent to now.
+// State returns the state; servers reports whether any server is available now.
 func (m *Machine) State(servers bool) State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.served = m.served || m.open && servers
+	m.hadServer = m.hadServer || m.accepting && servers
 	switch {
 	case m.ending:
 		return Ending
-	case m.handed:
+	case m.handedOver:
 		return HandingOver
 	case m.evacuated:
 		return Evacuating
-	case m.served:
+	case m.hadServer:
 		return Ready
 	}
 	return Starting
 }
 
-// Evacuated tells whether clients are to stay away, whichever process they ask.
+// Evacuated reports whether clients are to stay away, from this process and from one that has taken over.
 func (m *Machine) Evacuated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.evacuated
 }
 
-// Alone tells whether no other process has taken over.
+// Alone reports whether no other process has taken over.
 func (m *Machine) Alone() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.handed
+	return !m.handedOver
 }
 
-// AnswerReady is what /ready says to clients, where servers tells whether any can be sent to. They
-// can't tell two processes from each other: while another has taken over, the answer is for both.
+// AnswerReady reports whether /ready answers clients that the agent is ready; servers reports whether any
+// server is available. Clients can't distinguish two processes, so while another has taken over, the
+// answer applies to both.
 func (m *Machine) AnswerReady(servers bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.open && servers && !m.evacuated && (!m.ending || m.handed)
+	return m.accepting && servers && !m.evacuated && (!m.ending || m.handedOver)
 }
 
-// Serving is what this process says of itself to operators.
+// Serving reports to operators whether this process itself accepts and serves requests.
 func (m *Machine) Serving(servers bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.open && servers && !m.evacuated && !m.handed && !m.ending
+	return m.accepting && servers && !m.evacuated && !m.handedOver && !m.ending
 }
 
-// Accepts tells whether connections that come are this process's to accept. At its end it is for
-// the listener's owner to say how long they still come.
+// Accepts reports whether this process is to accept new connections. While it is ending, the listener's
+// owner decides how long it still does.
 func (m *Machine) Accepts() bool { return m.Alone() }
 
-// Leaving tells whether connections are to end: each with its next answer, and between two requests.
+// Leaving reports whether connections are to be closed, each with its next response or while idle.
 func (m *Machine) Leaving() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.evacuated || m.handed || m.ending
+	return m.evacuated || m.handedOver || m.ending
 }
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -59,6 +59,7 @@
 	Left
 )
 
+// String returns the name of a state, as shown to operators.
 func (s State) String() string { return [...]string{"joining", "alive", "suspect", "dead", "left"}[s] }
 
 // Change is a change of the state of one member, or of several that were declared dead together.
@@ -136,7 +137,7 @@
 
 // link is the state of a link that is up.
 type link struct {
-	heard       bool            // a message arrived since the last tick
+	received    bool            // a message arrived since the last tick
 	digest      uint64          // of the peer's view, from its latest message
 	upSince     int             // tick at which it came up
 	sumsSentAt  int             // tick at which sums were last sent
@@ -424,7 +425,7 @@
 		delete(m.barredUntil, id.Hash()) // the process is evidently running
 		m.links[id] = &link{
 			upSince:     m.ticks,
-			heard:       true,
+			received:    true,
 			sumsSentAt:  -1,
 			lastContact: m.ticks,
 			pending:     map[uint64]bool{},
@@ -452,7 +453,7 @@
 		if l == nil {
 			return
 		}
-		l.heard, l.lastContact, l.digest = true, m.ticks, msg.Digest
+		l.received, l.lastContact, l.digest = true, m.ticks, msg.Digest
 		if msg.Stamp > 0 {
 			// lastEcho is 0 until the first echo.
 			l.lastStamp, l.lastEcho = msg.Stamp, min(max(l.lastEcho, msg.Echo), uint64(m.ticks))
--- a/internal/decide/members/tick.go
+++ b/internal/decide/members/tick.go
@@ -53,17 +53,17 @@
 		if n.subject || m.suspected[n.hash] != 0 {
 			n.contactHistory <<= 1
 			n.watchedPeriods++
-			if l := m.links[n.id]; l != nil && l.heard || m.starvedTicks == 2*m.options.SuspectAfter {
+			if l := m.links[n.id]; l != nil && l.received || m.starvedTicks == 2*m.options.SuspectAfter {
 				n.contactHistory |= 1
 			}
 		}
 	}
 	m.ticksWithoutContact++
 	for _, l := range m.links {
-		if l.heard {
+		if l.received {
 			m.ticksWithoutContact = 0
 		}
-		l.heard = false
+		l.received = false
 	}
 }
 
@@ -177,7 +177,8 @@
 				n.refutations = min(n.refutations+1, 3)
 				n.suspectNotBefore = m.ticks + m.options.SuspectAfter<<n.refutations
 			}
-			if alreadySuspected && m.ticks < n.suspectNotBefore || !alreadySuspected && len(m.suspected) >= MaxSuspicions {
+			if alreadySuspected && m.ticks < n.suspectNotBefore ||
+				!alreadySuspected && len(m.suspected) >= MaxSuspicions {
 				continue
 			}
 			m.suspected[n.hash] = n.self.Version
--- a/internal/decide/order/order.go
+++ b/internal/decide/order/order.go
@@ -1,5 +1,5 @@
-// Package order puts the places a request may go to in the order in which it tries them. Values only, no
-// I/O, no clock.
+// Package order sorts the candidates of a request into the order in which they are tried. It does no I/O
+// and reads no clock.
 package order
 
 import (
@@ -7,41 +7,42 @@
 	"slices"
 )
 
-// Place is one that a request may go to. Lower comes first in each figure, and the figures count in turn.
-type Place struct {
-	Index int // the caller's; the last word between equals
-	Tier  int
-	Cost  float64 // any one unit, finite
-	Over  bool    // comes behind those of its tier and cost that are not
-	Score float64
+// Candidate is a destination of a request. Candidates are compared by Tier, Cost, Deferred, Score and
+// Index, in this order; lower values come first.
+type Candidate struct {
+	Index    int // of the caller's; breaks ties
+	Tier     int
+	Cost     float64 // finite; in the same unit for all candidates
+	Deferred bool    // sorts after others of the same tier and cost
+	Score    float64
 }
 
-// Sort sorts places. Costs of a tier that are no more than tolerance (0 or more, in the unit of the costs)
-// above the lowest of them are equal, then those as near to the lowest of the rest, and so on; it sets them
-// equal. It takes O(n log n) and allocates nothing.
-func Sort(places []Place, tolerance float64) {
-	slices.SortFunc(places, cheaper)
-	for i := 1; i < len(places); i++ {
-		p, lowest := &places[i], &places[i-1]
+// Sort sorts candidates. Within a tier, costs that exceed the lowest by no more than tolerance (at least 0, in
+// the unit of the costs) count as equal, and Sort sets them to the lowest. The remaining costs are grouped
+// the same way. Sort takes O(n log n) time and allocates no memory.
+func Sort(candidates []Candidate, tolerance float64) {
+	slices.SortFunc(candidates, compareCost)
+	for i := 1; i < len(candidates); i++ {
+		p, lowest := &candidates[i], &candidates[i-1]
 		if p.Tier == lowest.Tier && p.Cost <= lowest.Cost+tolerance {
 			p.Cost = lowest.Cost
 		}
 	}
-	slices.SortFunc(places, before)
+	slices.SortFunc(candidates, compareCandidate)
 }
 
-func cheaper(x, y Place) int {
+func compareCost(x, y Candidate) int {
 	if x.Tier != y.Tier {
 		return cmp.Compare(x.Tier, y.Tier)
 	}
 	return cmp.Compare(x.Cost, y.Cost)
 }
 
-func before(x, y Place) int {
-	if d := cheaper(x, y); d != 0 {
+func compareCandidate(x, y Candidate) int {
+	if d := compareCost(x, y); d != 0 {
 		return d
-	} else if x.Over != y.Over {
-		if x.Over {
+	} else if x.Deferred != y.Deferred {
+		if x.Deferred {
 			return 1
 		}
 		return -1
--- a/internal/fleet/ranking/order.go
+++ b/internal/fleet/ranking/order.go
@@ -63,7 +63,7 @@
 		if !b.usable || among != nil && !among(b.id) {
 			continue
 		}
-		p := order.Place{
+		p := order.Candidate{
 			Index: i,
 			Tier:  b.tier(now, r.settings.PendingTimeoutMs),
 			Score: policy.Rendezvous(key, b.hash, 1),
@@ -78,7 +78,7 @@
 	for i := range r.scratch {
 		p := &r.scratch[i]
 		share := 1 / float64(tierSizes[p.Tier])
-		p.Over = float64(r.all[p.Index].inFlight) >= policy.Cap(c, inFlight, share)
+		p.Deferred = float64(r.all[p.Index].inFlight) >= policy.Cap(c, inFlight, share)
 	}
 	order.Sort(r.scratch, r.settings.CostTolerance)
 	for _, p := range r.scratch {
--- a/internal/fleet/ranking/ranker.go
+++ b/internal/fleet/ranking/ranker.go
@@ -62,7 +62,7 @@
 	refetchDue     bool    // a failure calls for the endpoint list
 	refetchedAt    float64 // last call for it, ms
 
-	scratch []order.Place // of Rank, kept to allocate nothing
+	scratch []order.Candidate // of Rank, kept to allocate nothing
 }
 
 // backend is what a Ranker knows of one.
--- a/internal/process/agent/work.go
+++ b/internal/process/agent/work.go
@@ -47,7 +47,7 @@
 	asked   int64
 	at      time.Time
 	rate    float64
-	look    hearsay.Look
+	look    hearsay.Reporter
 	peak    work.Peak // the seat's
 }
 
@@ -134,7 +134,7 @@
 		w.rate = coarse(float64(asked-w.asked) / now.Sub(w.at).Seconds())
 		w.asked, w.at = asked, now
 	}
-	rate, silent := w.rate, w.look.Word(known.Silent, view.SelfSuspicion != "")
+	rate, silent := w.rate, w.look.Report(known.Silent, view.SelfSuspicion != "")
 	w.peers.Set(func(i *members.Info) {
 		i.Rate, i.Silent = rate, silent
 		if v.Version != 0 {
@@ -159,7 +159,7 @@
 	for _, m := range w.set.Machines {
 		s.Places = append(s.Places, work.Place{Name: m.Name, Zone: m.Zone, Kind: m.Kind, Capacity: m.Capacity})
 	}
-	known, heard := w.a.core.Known(), hearsay.Gather(&view)
+	known, heard := w.a.core.Known(), hearsay.Collect(&view)
 	now := float64(time.Now().UnixMilli())
 	for _, v := range known.List.Servers {
 		machine := w.of[v.Server]
@@ -170,7 +170,7 @@
 			Machine:      machine,
 			Capacity:     v.Weight,
 			Ready:        v.Health == cluster.Ready,
-			Unresponsive: slices.Contains(known.Silent, v.Server) || heard.Silent(v.Server),
+			Unresponsive: slices.Contains(known.Silent, v.Server) || heard.Unresponsive(v.Server),
 			Warmth:       1,
 		}
 		if !(one.Capacity > 0 && one.Capacity < 1e9) {
--- a/policy/passive_health.go
+++ b/policy/passive_health.go
@@ -228,14 +228,14 @@
 		}
 		oldest := s.inFlight[0]
 		mean := b.expectedAnswerMs(oldest.r)
-		b.zoneSuspicion.Waits(s.zone, oldest.sentAt, (b.now-oldest.sentAt)/mean)
+		b.zoneSuspicion.AddWaiting(s.zone, oldest.sentAt, (b.now-oldest.sentAt)/mean)
 		quiet := b.now - max(s.lastContact, oldest.sentAt)
 		attempts := float64(min(len(s.inFlight), unresponsiveAttempts))
 		if s.state != Unhealthy && quiet >= mean*unresponsiveTimes/attempts {
 			b.demote(s, true)
 		}
 	}
-	b.noteTierChange(b.zoneSuspicion.Judge(b.now, b.minLatencyTarget))
+	b.noteTierChange(b.zoneSuspicion.Evaluate(b.now, b.minLatencyTarget))
 }
 
 // liftSuspicion takes that a zone has answered: while it was suspected its servers were silent because of the
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -48,7 +48,7 @@
 		pendingTimeout = b.minLatencyTarget
 	}
 	tier := s.Tier(b.now, pendingTimeout)
-	if tier == 0 && b.zoneSuspicion.Of(s.zone) && (once || !b.zoneSuspicion.Due(s.zone, b.now)) {
+	if tier == 0 && b.zoneSuspicion.IsSuspected(s.zone) && (once || !b.zoneSuspicion.MayTry(s.zone, b.now)) {
 		tier = 1
 	}
 	return tier
